--- a/crates/emulator/src/system/machine.rs
+++ b/crates/emulator/src/system/machine.rs
@@ -110,6 +110,11 @@
         self.folder.join("data")
     }
 
+    /// The program that the machine runs from its next start on.
+    pub fn set_program(&mut self, program: PathBuf) {
+        self.program = program;
+    }
+
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
--- /dev/null
+++ b/crates/node/src/lib.rs
@@ -0,0 +1,93 @@
+//! `dunespur`: the processes of the serving tier, each a role, and the tools of those who run it.
+
+mod allocator;
+mod api;
+mod budgets;
+mod check;
+mod clock;
+mod command;
+mod core;
+mod deadline;
+mod directory;
+mod explain;
+mod founding;
+mod gateway;
+mod homes;
+mod joining;
+mod keeping;
+mod logging;
+mod membership;
+pub mod messages;
+mod plane;
+mod registry;
+mod service;
+mod settings;
+mod signals;
+pub mod status;
+mod store;
+mod trace;
+mod utc;
+
+use command::{Command, Logging};
+use logging::Origin;
+use settings::{Role, Settings, SETTINGS_VARIABLE};
+use std::future::Future;
+use std::path::PathBuf;
+use std::process::ExitCode;
+use tokio::task::LocalSet;
+
+/// Settings that can't be used.
+const UNUSABLE_SETTINGS: u8 = 2;
+
+/// Runs the command line of this process; the program's exit code.
+pub fn run() -> ExitCode {
+    let command = match command::asked() {
+        Ok(command) => command,
+        Err(code) => return code,
+    };
+    match command {
+        Command::Gateway(logging) => play(Role::Gateway, &logging, gateway::run),
+        Command::Store(logging) => play(Role::Store, &logging, store::run),
+        Command::Check(check) => check::run(&check),
+        Command::Explain(asked) => explain::run(asked),
+        Command::Status(asked) => ended(block_on(status::run(asked))),
+    }
+}
+
+/// Plays a role with the settings that the environment names.
+fn play<F: Future<Output = anyhow::Result<()>>>(
+    role: Role,
+    logging: &Logging,
+    run: impl FnOnce(Settings, PathBuf) -> F,
+) -> ExitCode {
+    let Some(path) = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from) else {
+        eprintln!("{SETTINGS_VARIABLE}: is not set");
+        return ExitCode::from(UNUSABLE_SETTINGS);
+    };
+    let settings = match Settings::read(&path, role) {
+        Ok(settings) => settings,
+        Err(error) => {
+            eprintln!("{error}");
+            return ExitCode::from(UNUSABLE_SETTINGS);
+        }
+    };
+    allocator::keep_little();
+    logging::start(logging.level, logging.format, Origin { node: settings.node.clone(), role });
+    ended(block_on(run(settings, path)))
+}
+
+/// How the program ends; an error is told on standard error.
+fn ended(result: anyhow::Result<()>) -> ExitCode {
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("{error:#}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn block_on(role: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    LocalSet::new().block_on(&runtime, role)
+}
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// A call or message to a process.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
     /// From one core member to another; not answered.
     Chain { from: MemberId, message: Message },
@@ -70,7 +70,7 @@
 }
 
 /// Answers.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// The process can't answer this now; another one may.
     Unavailable,
@@ -87,7 +87,7 @@
 }
 
 /// What a candidate for the first view is told.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Candidacy {
     /// Ask again soon.
     Wait,
@@ -98,7 +98,7 @@
 }
 
 /// Changes after the index that was asked for.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Watched {
     /// The index up to which these changes go.
     pub index: u64,
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -5,7 +5,7 @@
 mod ask;
 mod gather;
 mod own;
-mod report;
+pub mod report;
 mod table;
 
 pub use ask::{run, AskStatus};
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use dunespur_emulator::system::Role;
 use serde_json::Value;
 use std::ops::{Deref, DerefMut};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::Instant;
@@ -55,8 +55,13 @@
 
 /// A scene that serves.
 pub async fn stage(plan: ScenePlan) -> Stage {
+    stage_of(&program(), plan).await
+}
+
+/// A scene of this program that serves.
+pub async fn stage_of(program: &Path, plan: ScenePlan) -> Stage {
     let place = SCENES.acquire().await.expect("never closed");
-    let scene = Scene::start(&program(), plan).await.unwrap_or_else(|error| panic!("{error:#}"));
+    let scene = Scene::start(program, plan).await.unwrap_or_else(|error| panic!("{error:#}"));
     Stage { scene, _place: place }
 }
 
--- /dev/null
+++ b/crates/node/tests/upgrading.rs
@@ -0,0 +1,144 @@
+//! Another version of the program takes the place of the one that runs, while turns go on and from the data folders
+//! that the earlier one wrote.
+//!
+//! The environment variable `DUNESPUR_EARLIER_PROGRAM` names the earlier program. Where it is not set, the program
+//! under test is its own predecessor: then the scenes still show that a replacement loses nothing.
+
+mod support;
+
+use dunespur_emulator::client::Client;
+use dunespur_emulator::program::{play, End, Line};
+use dunespur_emulator::scene::{usual_program, Scene, ScenePlan};
+use dunespur_emulator::system::Role;
+use std::path::PathBuf;
+use std::time::Duration;
+use support::disk::{fail_as_late, with_standstills_apart};
+use support::{
+    add_route, expect_no_violation, generation, go_on_within, line_of, program, programs_for, stage_of,
+    Stage, CATCH_UP, LATER, ORDER_LIMIT, RECOVERY,
+};
+use tokio::sync::watch;
+use tokio::task::JoinHandle;
+
+/// Names the program that runs before.
+const EARLIER_PROGRAM: &str = "DUNESPUR_EARLIER_PROGRAM";
+/// Lines of turns that begin under the earlier program and go on under the later one.
+const LINES: usize = 12;
+/// The platform kills a process this long after SIGTERM.
+const GRACE: Duration = Duration::from_secs(8);
+
+fn earlier_program() -> PathBuf {
+    std::env::var_os(EARLIER_PROGRAM).map_or_else(program, PathBuf::from)
+}
+
+/// A scene of the earlier program with lines of turns and a configuration of two versions.
+async fn earlier_stage() -> (Stage, Vec<Line>, u64) {
+    let mut scene = stage_of(&earlier_program(), ScenePlan::default()).await;
+    let mut lines = Vec::new();
+    for _ in 0..LINES {
+        lines.push(line_of(&scene, 2).await);
+    }
+    let version = add_route(&mut scene, 1).await;
+    (scene, lines, version)
+}
+
+/// Programs that are played one after the other until they are asked to stop.
+struct Traffic {
+    stop: watch::Sender<bool>,
+    playing: JoinHandle<Vec<End>>,
+}
+
+impl Traffic {
+    fn start(client: &Client) -> Traffic {
+        let (stop, stopped) = watch::channel(false);
+        let client = client.clone();
+        let playing = tokio::spawn(async move {
+            let mut ends = Vec::new();
+            while !*stopped.borrow() {
+                ends.push(play(&client, &usual_program()).await.end);
+            }
+            ends
+        });
+        Traffic { stop, playing }
+    }
+
+    /// Lets the program that is being played end; how all of them ended.
+    async fn stop(self) -> Vec<End> {
+        self.stop.send(true).expect("the programs are still played");
+        self.playing.await.expect("programs end without a panic")
+    }
+}
+
+/// Starts the program under test in the place of the earlier one on a machine, after a planned end of that.
+async fn replace_program(scene: &mut Scene, machine: usize) {
+    let is_gateway = scene.system.machines()[machine].plan().role != Role::Store;
+    if is_gateway {
+        scene.terminate(machine).unwrap();
+    } else {
+        scene.system.machine(machine).terminate().unwrap();
+    }
+    let status = scene.system.machine(machine).wait(GRACE).await.unwrap();
+    assert!(status.success(), "{status}");
+    scene.system.machine(machine).set_program(program());
+    scene.system.restart(machine).unwrap();
+    scene.settle().await.unwrap();
+    scene.client.set_fronts(scene.system.fronts());
+}
+
+/// The configuration and the lines of turns that the earlier program was told are there.
+async fn expect_continued(scene: &mut Stage, lines: &mut [Line], version: u64) {
+    assert_eq!(generation(scene).await, version);
+    for line in &mut *lines {
+        go_on_within(scene, line, "under the later program", RECOVERY).await;
+    }
+    let version = add_route(scene, version).await;
+    scene.settle().await.unwrap();
+    assert_eq!(generation(scene).await, version);
+    expect_no_violation(scene);
+}
+
+/// None of the programs has failed.
+fn expect_finished(ends: &[End]) {
+    assert!(!ends.is_empty());
+    for end in ends {
+        if *end == (End::Failed { status: Some(LATER) }) {
+            fail_as_late(format!("{ends:?}"));
+        }
+        assert_eq!(*end, End::Finished, "{ends:?}");
+    }
+}
+
+#[tokio::test]
+async fn processes_are_replaced_one_after_another_while_turns_go_on() {
+    with_standstills_apart(|| async {
+        let (mut scene, mut lines, version) = earlier_stage().await;
+        let traffic = Traffic::start(&scene.client);
+        for machine in 0..scene.system.machines().len() {
+            replace_program(&mut scene, machine).await;
+            for line in &mut lines {
+                go_on_within(&scene, line, &format!("after machine {machine}"), ORDER_LIMIT).await;
+            }
+            programs_for(&scene, CATCH_UP).await;
+        }
+        expect_finished(&traffic.stop().await);
+        expect_continued(&mut scene, &mut lines, version).await;
+    })
+    .await;
+}
+
+#[tokio::test]
+async fn a_whole_system_is_replaced_at_once() {
+    with_standstills_apart(|| async {
+        let (mut scene, mut lines, version) = earlier_stage().await;
+        scene.system.kill_all();
+        for machine in 0..scene.system.machines().len() {
+            scene.system.machine(machine).set_program(program());
+            scene.system.restart(machine).unwrap();
+        }
+        scene.settle().await.unwrap();
+        expect_continued(&mut scene, &mut lines, version).await;
+        programs_for(&scene, CATCH_UP).await;
+        expect_no_violation(&scene);
+    })
+    .await;
+}
