--- a/crates/budget/src/counter/mod.rs
+++ b/crates/budget/src/counter/mod.rs
@@ -55,9 +55,20 @@
                 program.take_back(holder, units);
                 CounterReply::Returned
             }
-            CounterChange::Lease { needed, wanted, returned } => {
+            CounterChange::Lease {
+                needed,
+                wanted,
+                returned,
+            } => {
                 program.take_back(holder, returned);
-                let ask = Ask { holder, budget: request.budget, needed, wanted, limiters, now };
+                let ask = Ask {
+                    holder,
+                    budget: request.budget,
+                    needed,
+                    wanted,
+                    limiters,
+                    now,
+                };
                 program.lease(&ask, &self.senders)
             }
         };
@@ -89,10 +100,20 @@
     /// Forgets idle programs, a few with each request, so that no request pays for all.
     fn sweep(&mut self, now: Millis) {
         let pressed = self.programs.len() > MAX_PROGRAMS / 2;
-        let keep = if pressed { FORGET_PRESSED_MS } else { FORGET_AFTER_MS };
+        let keep = if pressed {
+            FORGET_PRESSED_MS
+        } else {
+            FORGET_AFTER_MS
+        };
         for _ in 0..SWEPT_PER_REQUEST {
-            let from = self.swept.as_deref().map_or(Bound::Unbounded, Bound::Excluded);
-            let next = self.programs.range_mut::<str, _>((from, Bound::Unbounded)).next();
+            let from = self
+                .swept
+                .as_deref()
+                .map_or(Bound::Unbounded, Bound::Excluded);
+            let next = self
+                .programs
+                .range_mut::<str, _>((from, Bound::Unbounded))
+                .next();
             let Some((name, program)) = next else {
                 self.swept = None;
                 return;
@@ -111,7 +132,10 @@
 }
 
 /// The program's record, made if it is needed and there is room.
-fn program_for<'a>(programs: &'a mut Programs, request: &CounterRequest) -> Option<&'a mut Program> {
+fn program_for<'a>(
+    programs: &'a mut Programs,
+    request: &CounterRequest,
+) -> Option<&'a mut Program> {
     let name = request.program.as_str();
     let full = programs.len() >= MAX_PROGRAMS || name.len() > MAX_PROGRAM_NAME;
     if !programs.contains_key(name) && (full || only_gives_back(request)) {
--- a/crates/budget/src/counter/program.rs
+++ b/crates/budget/src/counter/program.rs
@@ -62,7 +62,9 @@
 
     /// Units that limiters hold, for all the counter knows.
     pub(crate) fn held(&self) -> u64 {
-        self.holders.iter().fold(0, |sum, holder| sum.saturating_add(holder.unresolved))
+        self.holders
+            .iter()
+            .fold(0, |sum, holder| sum.saturating_add(holder.unresolved))
     }
 
     pub(crate) fn idle(&self, now: Millis) -> Millis {
@@ -70,8 +72,15 @@
     }
 
     /// The reply to a request that was applied already; `Stale` to one older than the limiter's last.
-    pub(crate) fn answered_before(&self, limiter: &LimiterId, sequence: u64) -> Option<CounterReply> {
-        let holder = self.holders.iter().find(|holder| holder.limiter == *limiter)?;
+    pub(crate) fn answered_before(
+        &self,
+        limiter: &LimiterId,
+        sequence: u64,
+    ) -> Option<CounterReply> {
+        let holder = self
+            .holders
+            .iter()
+            .find(|holder| holder.limiter == *limiter)?;
         let last = holder.last.as_ref()?;
         match sequence.cmp(&last.sequence) {
             std::cmp::Ordering::Less => Some(CounterReply::Stale),
@@ -104,7 +113,10 @@
             let units = self.grant_size(ask, headroom, senders);
             self.begun = true;
             self.holders[ask.holder].unresolved += units;
-            return CounterReply::Granted { units, left: headroom - units };
+            return CounterReply::Granted {
+                units,
+                left: headroom - units,
+            };
         }
         let held = self.recoverable(ask.now, senders);
         if headroom.saturating_add(held) >= ask.needed {
@@ -115,7 +127,10 @@
     }
 
     pub(crate) fn remember(&mut self, holder: usize, sequence: u64, reply: &CounterReply) {
-        self.holders[holder].last = Some(Answered { sequence, reply: reply.clone() });
+        self.holders[holder].last = Some(Answered {
+            sequence,
+            reply: reply.clone(),
+        });
     }
 
     /// Drops the records of limiters that hold nothing.
@@ -142,8 +157,9 @@
     fn sharers(&self, ask: &Ask, senders: &Senders) -> u64 {
         let lately = |holder: &&Holder| ask.now.saturating_sub(holder.heard) < ASKED_LATELY_MS;
         let holds = |holder: &&Holder| holder.unresolved > 0;
-        let shares =
-            |holder: &&Holder| holder.may_come_back(ask.now, senders) && (lately(holder) || holds(holder));
+        let shares = |holder: &&Holder| {
+            holder.may_come_back(ask.now, senders) && (lately(holder) || holds(holder))
+        };
         let counted = self.holders.iter().filter(shares).count().max(1) as u64;
         match ask.limiters {
             0 => counted,
@@ -153,26 +169,41 @@
 
     /// Units that limiters hold and may still give back.
     fn recoverable(&self, now: Millis, senders: &Senders) -> u64 {
-        let alive = self.holders.iter().filter(|holder| holder.may_come_back(now, senders));
+        let alive = self
+            .holders
+            .iter()
+            .filter(|holder| holder.may_come_back(now, senders));
         alive.fold(0, |sum, holder| sum.saturating_add(holder.unresolved))
     }
 
     fn place_of(&mut self, limiter: &LimiterId) -> usize {
-        let known = self.holders.iter().position(|holder| holder.limiter == *limiter);
+        let known = self
+            .holders
+            .iter()
+            .position(|holder| holder.limiter == *limiter);
         if let Some(place) = known {
             return place;
         }
         if self.holders.len() >= MAX_HOLDERS {
             self.write_one_off();
         }
-        let holder = Holder { limiter: limiter.clone(), unresolved: 0, heard: 0, last: None };
+        let holder = Holder {
+            limiter: limiter.clone(),
+            unresolved: 0,
+            heard: 0,
+            last: None,
+        };
         self.holders.push(holder);
         self.holders.len() - 1
     }
 
     /// Makes room for a holder: what the one heard longest ago holds stays spent.
     fn write_one_off(&mut self) {
-        let longest = self.holders.iter().enumerate().min_by_key(|(_, holder)| holder.heard);
+        let longest = self
+            .holders
+            .iter()
+            .enumerate()
+            .min_by_key(|(_, holder)| holder.heard);
         if let Some(place) = longest.map(|(place, _)| place) {
             let holder = self.holders.remove(place);
             self.used = self.used.saturating_add(holder.unresolved);
--- a/crates/budget/src/counter/senders.rs
+++ b/crates/budget/src/counter/senders.rs
@@ -61,7 +61,11 @@
         if self.by_node.len() >= MAX_SENDERS {
             self.forget_one();
         }
-        let sender = Sender { incarnation: limiter.incarnation, reading, elapsed: self.now };
+        let sender = Sender {
+            incarnation: limiter.incarnation,
+            reading,
+            elapsed: self.now,
+        };
         self.by_node.insert(limiter.node.as_str().into(), sender);
     }
 
--- a/crates/budget/src/lease/demand.rs
+++ b/crates/budget/src/lease/demand.rs
@@ -16,7 +16,10 @@
 
 impl Demand {
     pub(crate) fn new(now: Millis) -> Self {
-        Self { used: 0, since: now }
+        Self {
+            used: 0,
+            since: now,
+        }
     }
 
     pub(crate) fn add(&mut self, units: u64) {
--- a/crates/budget/src/lease/exchange.rs
+++ b/crates/budget/src/lease/exchange.rs
@@ -29,12 +29,19 @@
 impl Exchange {
     pub(crate) fn begin(&mut self, request: CounterRequest, now: Millis, settings: &LeaseSettings) {
         let resend_at = now + settings.answer_wait_ms;
-        *self = Exchange::Asked(Asked { request, since: now, resend_at, failures: 0 });
+        *self = Exchange::Asked(Asked {
+            request,
+            since: now,
+            resend_at,
+            failures: 0,
+        });
     }
 
     /// Ends the exchange if that is the request under way; tells whether it was.
     pub(crate) fn end(&mut self, sequence: u64) -> bool {
-        let awaited = self.asked().is_some_and(|asked| asked.request.sequence == sequence);
+        let awaited = self
+            .asked()
+            .is_some_and(|asked| asked.request.sequence == sequence);
         if awaited {
             *self = Exchange::Quiet;
         }
@@ -50,8 +57,14 @@
     }
 
     /// The request to send again.
-    pub(crate) fn resend(&mut self, now: Millis, settings: &LeaseSettings) -> Option<CounterRequest> {
-        let Exchange::Asked(asked) = self else { return None };
+    pub(crate) fn resend(
+        &mut self,
+        now: Millis,
+        settings: &LeaseSettings,
+    ) -> Option<CounterRequest> {
+        let Exchange::Asked(asked) = self else {
+            return None;
+        };
         asked.put_off(settings.answer_wait_ms, now, settings);
         Some(asked.request.clone())
     }
--- a/crates/budget/src/lease/mod.rs
+++ b/crates/budget/src/lease/mod.rs
@@ -75,7 +75,14 @@
 
     /// Decides on a turn, or on a further try of one that runs here: what earlier tries used stays used, and the
     /// turn's most is reserved anew. `turn` is the caller's key.
-    pub fn admit(&mut self, program: &str, budget: u64, most: u64, turn: u64, now: Millis) -> Admission {
+    pub fn admit(
+        &mut self,
+        program: &str,
+        budget: u64,
+        most: u64,
+        turn: u64,
+        now: Millis,
+    ) -> Admission {
         if !self.enrol(program, budget, most, turn, now) {
             return Admission::Refused(Refusal::Crowded);
         }
@@ -110,8 +117,12 @@
 
     /// Counts units that a turn handed its client.
     pub fn used(&mut self, turn: u64, units: u64) {
-        let Some(turn) = self.turns.get_mut(&turn) else { return };
-        let Some(lease) = self.programs.get_mut(&turn.program) else { return };
+        let Some(turn) = self.turns.get_mut(&turn) else {
+            return;
+        };
+        let Some(lease) = self.programs.get_mut(&turn.program) else {
+            return;
+        };
         let beyond = units.saturating_sub(turn.left);
         turn.left = turn.left.saturating_sub(units);
         lease.used(units, beyond);
@@ -120,7 +131,9 @@
     /// Ends a turn, running or waiting, and frees what it reserved and did not use. Turns that wait may be
     /// admitted by it; see [`outcomes`](Self::outcomes).
     pub fn finish(&mut self, turn: u64, now: Millis) {
-        let Some(program) = self.strike(turn, now) else { return };
+        let Some(program) = self.strike(turn, now) else {
+            return;
+        };
         self.serve_waiting(&program, now);
         self.reschedule(&program);
     }
@@ -182,7 +195,9 @@
         if !self.turns.contains_key(&turn) && !self.enrol_new(program, turn, now) {
             return false;
         }
-        let Some(entry) = self.turns.get_mut(&turn) else { return false };
+        let Some(entry) = self.turns.get_mut(&turn) else {
+            return false;
+        };
         entry.budget = budget;
         entry.most = most;
         if let Some(lease) = self.programs.get_mut(program) {
@@ -195,8 +210,19 @@
         if self.turns.len() >= self.settings.max_turns {
             return false;
         }
-        let Some(program) = self.enrol_program(program, now) else { return false };
-        self.turns.insert(turn, Turn { program, budget: 0, most: 0, left: 0, admitted: false });
+        let Some(program) = self.enrol_program(program, now) else {
+            return false;
+        };
+        self.turns.insert(
+            turn,
+            Turn {
+                program,
+                budget: 0,
+                most: 0,
+                left: 0,
+                admitted: false,
+            },
+        );
         true
     }
 
@@ -220,8 +246,12 @@
     /// The verdict on a turn as things stand: out of the lease if that covers it, else the counter is asked.
     fn decide(&mut self, turn: u64, now: Millis) -> Admission {
         let silent = Admission::Refused(Refusal::Silent);
-        let Some(entry) = self.turns.get_mut(&turn) else { return silent };
-        let Some(lease) = self.programs.get_mut(&entry.program) else { return silent };
+        let Some(entry) = self.turns.get_mut(&turn) else {
+            return silent;
+        };
+        let Some(lease) = self.programs.get_mut(&entry.program) else {
+            return silent;
+        };
         let lacking = entry.lacking();
         if lease.reserve(lacking, now) {
             entry.left += lacking;
@@ -250,17 +280,31 @@
     /// Asks the counter for a lease that covers a turn.
     fn ask(&mut self, turn: u64, now: Millis) -> Admission {
         let silent = Admission::Refused(Refusal::Silent);
-        let Some(entry) = self.turns.get(&turn) else { return silent };
+        let Some(entry) = self.turns.get(&turn) else {
+            return silent;
+        };
         let (program, budget, needed) = (entry.program.clone(), entry.budget, entry.lacking());
-        let Some(lease) = self.programs.get_mut(&program) else { return silent };
+        let Some(lease) = self.programs.get_mut(&program) else {
+            return silent;
+        };
         let wanted = lease.demand.refill(now).max(needed);
         let returned = lease.take_free();
-        let change = CounterChange::Lease { needed, wanted, returned };
+        let change = CounterChange::Lease {
+            needed,
+            wanted,
+            returned,
+        };
         Admission::Ask(self.begin(&program, budget, change, now))
     }
 
     /// Begins an exchange with the program's counter; the request is to be sent.
-    fn begin(&mut self, program: &str, budget: u64, change: CounterChange, now: Millis) -> CounterRequest {
+    fn begin(
+        &mut self,
+        program: &str,
+        budget: u64,
+        change: CounterChange,
+        now: Millis,
+    ) -> CounterRequest {
         self.last_sequence += 1;
         let lease = self.programs.get_mut(program);
         let used = lease.map_or(0, ProgramLease::take_unreported);
@@ -336,7 +380,9 @@
 
     /// Puts a program where it belongs in the schedule.
     fn reschedule(&mut self, program: &str) {
-        let Some((name, lease)) = self.programs.get_key_value(program) else { return };
+        let Some((name, lease)) = self.programs.get_key_value(program) else {
+            return;
+        };
         let at = lease.planned(&self.settings).map(|planned| planned.at);
         let before = lease.due_at;
         self.schedule.set(name, before, at);
@@ -354,16 +400,31 @@
     now: Millis,
     settings: &LeaseSettings,
 ) {
-    let CounterChange::Lease { needed, .. } = request.change else { return };
+    let CounterChange::Lease { needed, .. } = request.change else {
+        return;
+    };
     match *reply {
         CounterReply::Granted { units, left } => lease.granted(units, left, now, settings),
-        CounterReply::Spent => lease.verdicts.spent(needed, request.budget, now + settings.spent_kept_ms),
+        CounterReply::Spent => {
+            lease
+                .verdicts
+                .spent(needed, request.budget, now + settings.spent_kept_ms)
+        }
         CounterReply::Elsewhere { .. } => {
-            let refusal = Refusal::Elsewhere { retry_after_ms: settings.retry_after_ms };
-            lease.verdicts.put_off(refusal, needed, request.budget, now + settings.put_off_ms);
+            let refusal = Refusal::Elsewhere {
+                retry_after_ms: settings.retry_after_ms,
+            };
+            lease
+                .verdicts
+                .put_off(refusal, needed, request.budget, now + settings.put_off_ms);
         }
         CounterReply::Returned | CounterReply::Stale => {
-            lease.verdicts.put_off(Refusal::Silent, needed, request.budget, now + settings.put_off_ms);
+            lease.verdicts.put_off(
+                Refusal::Silent,
+                needed,
+                request.budget,
+                now + settings.put_off_ms,
+            );
         }
     }
 }
--- a/crates/budget/src/lease/program.rs
+++ b/crates/budget/src/lease/program.rs
@@ -170,26 +170,36 @@
     /// Until when a turn that waits since then may wait.
     fn wait_ends(&self, since: Millis, settings: &LeaseSettings) -> Millis {
         let own_end = since + settings.turn_wait_ms;
-        let silent_at = self.exchange.asked().map(|asked| asked.since + settings.silent_after_ms);
+        let silent_at = self
+            .exchange
+            .asked()
+            .map(|asked| asked.since + settings.silent_after_ms);
         silent_at.map_or(own_end, |silent_at| silent_at.min(own_end))
     }
 
     /// When the turn that has waited longest is refused.
     fn refuse_waiting(&self, settings: &LeaseSettings) -> Option<Planned> {
         let first = self.waiting.front()?;
-        Some(Planned { at: self.wait_ends(first.since, settings), step: Step::RefuseWaiting })
+        Some(Planned {
+            at: self.wait_ends(first.since, settings),
+            step: Step::RefuseWaiting,
+        })
     }
 
     /// The next step, if nothing else happens before.
     pub(crate) fn planned(&self, settings: &LeaseSettings) -> Option<Planned> {
         match self.exchange.asked() {
             Some(asked) => {
-                let resend = Planned { at: asked.resend_at, step: Step::Resend };
+                let resend = Planned {
+                    at: asked.resend_at,
+                    step: Step::Resend,
+                };
                 earliest([self.refuse_waiting(settings), Some(resend)])
             }
-            None if self.turns > 0 => {
-                earliest([self.give_back_while_running(settings), Some(self.report(settings))])
-            }
+            None if self.turns > 0 => earliest([
+                self.give_back_while_running(settings),
+                Some(self.report(settings)),
+            ]),
             None => Some(self.planned_at_rest(settings)),
         }
     }
@@ -197,16 +207,25 @@
     /// Between turns: what is held goes back after a while, at once near the limit.
     fn planned_at_rest(&self, settings: &LeaseSettings) -> Planned {
         if self.free == 0 && self.unreported == 0 {
-            return Planned { at: settings.batched(self.last_end + settings.forget_ms), step: Step::Forget };
+            return Planned {
+                at: settings.batched(self.last_end + settings.forget_ms),
+                step: Step::Forget,
+            };
         }
         if self.tight {
-            return Planned { at: self.last_end, step: Step::GiveBack };
+            return Planned {
+                at: self.last_end,
+                step: Step::GiveBack,
+            };
         }
         let mut at = self.last_end + settings.idle_return_ms;
         if self.free > 0 {
             at = at.min(self.lapses_at);
         }
-        Planned { at: settings.batched(at), step: Step::GiveBack }
+        Planned {
+            at: settings.batched(at),
+            step: Step::GiveBack,
+        }
     }
 
     /// While turns run: what is free goes back when the lease lapses, at once near the limit if a turn freed it.
@@ -217,14 +236,23 @@
         let lapse = settings.batched(self.lapses_at);
         let freed_at = self.freed_at.filter(|_| self.tight);
         let at = freed_at.map_or(lapse, |freed_at| freed_at.min(lapse));
-        Some(Planned { at, step: Step::GiveBack })
+        Some(Planned {
+            at,
+            step: Step::GiveBack,
+        })
     }
 
     fn report(&self, settings: &LeaseSettings) -> Planned {
-        Planned { at: settings.batched(self.reported_at + settings.report_ms), step: Step::Report }
+        Planned {
+            at: settings.batched(self.reported_at + settings.report_ms),
+            step: Step::Report,
+        }
     }
 }
 
 fn earliest<const N: usize>(planned: [Option<Planned>; N]) -> Option<Planned> {
-    planned.into_iter().flatten().min_by_key(|planned| planned.at)
+    planned
+        .into_iter()
+        .flatten()
+        .min_by_key(|planned| planned.at)
 }
--- a/crates/budget/src/lease/verdict.rs
+++ b/crates/budget/src/lease/verdict.rs
@@ -33,11 +33,21 @@
 
 impl Verdicts {
     pub(crate) fn spent(&mut self, from: u64, budget: u64, until: Millis) {
-        self.spent = Some(Verdict { refusal: Refusal::Spent, from, budget, until });
+        self.spent = Some(Verdict {
+            refusal: Refusal::Spent,
+            from,
+            budget,
+            until,
+        });
     }
 
     pub(crate) fn put_off(&mut self, refusal: Refusal, from: u64, budget: u64, until: Millis) {
-        self.put_off = Some(Verdict { refusal, from, budget, until });
+        self.put_off = Some(Verdict {
+            refusal,
+            from,
+            budget,
+            until,
+        });
     }
 
     /// Units came, granted or freed: what was put off may fit now.
@@ -48,6 +58,9 @@
     pub(crate) fn on(&self, needed: u64, budget: u64, now: Millis) -> Option<Refusal> {
         let kept = [&self.spent, &self.put_off];
         let covering = |verdict: &&Verdict| verdict.covers(needed, budget, now);
-        kept.into_iter().flatten().find(covering).map(|verdict| verdict.refusal)
+        kept.into_iter()
+            .flatten()
+            .find(covering)
+            .map(|verdict| verdict.refusal)
     }
 }
--- a/crates/budget/tests/common/mod.rs
+++ b/crates/budget/tests/common/mod.rs
@@ -4,17 +4,26 @@
 pub mod world;
 
 use dunespur_budget::{
-    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseBook, LimiterId, TurnOutcome,
+    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseBook, LimiterId,
+    TurnOutcome,
 };
 
 pub const PROGRAM: &str = "program";
 
 pub fn limiter(node: &str, incarnation: u64) -> LimiterId {
-    LimiterId { node: node.to_owned(), incarnation }
+    LimiterId {
+        node: node.to_owned(),
+        incarnation,
+    }
 }
 
 /// A request of one limiter to the counter of [`PROGRAM`].
-pub fn request(limiter: &LimiterId, sequence: u64, budget: u64, change: CounterChange) -> CounterRequest {
+pub fn request(
+    limiter: &LimiterId,
+    sequence: u64,
+    budget: u64,
+    change: CounterChange,
+) -> CounterRequest {
     CounterRequest {
         program: PROGRAM.to_owned(),
         budget,
@@ -27,7 +36,11 @@
 }
 
 pub fn lease(needed: u64, wanted: u64) -> CounterChange {
-    CounterChange::Lease { needed, wanted, returned: 0 }
+    CounterChange::Lease {
+        needed,
+        wanted,
+        returned: 0,
+    }
 }
 
 pub fn granted(reply: &CounterReply) -> u64 {
@@ -46,7 +59,13 @@
 }
 
 /// Asks for a turn and, if the counter is needed, lets it answer until there is a verdict.
-pub fn admit(book: &mut LeaseBook, counters: &mut Counters, most: u64, turn: u64, now: u64) -> Admission {
+pub fn admit(
+    book: &mut LeaseBook,
+    counters: &mut Counters,
+    most: u64,
+    turn: u64,
+    now: u64,
+) -> Admission {
     admit_within(book, counters, BUDGET, most, turn, now)
 }
 
@@ -99,7 +118,11 @@
 
 impl Ticker {
     pub fn new() -> Self {
-        Self { limiter: limiter("ticker", 1), sequence: 0, at_ms: 0 }
+        Self {
+            limiter: limiter("ticker", 1),
+            sequence: 0,
+            at_ms: 0,
+        }
     }
 
     /// Lets time pass at the counters, in short steps.
@@ -112,7 +135,12 @@
                 program: "ticking".to_owned(),
                 used: 1,
                 at_ms: self.at_ms,
-                ..request(&self.limiter, self.sequence, BUDGET, CounterChange::Return { units: 0 })
+                ..request(
+                    &self.limiter,
+                    self.sequence,
+                    BUDGET,
+                    CounterChange::Return { units: 0 },
+                )
             };
             counters.apply(&report, 0);
         }
--- a/crates/budget/tests/common/world.rs
+++ b/crates/budget/tests/common/world.rs
@@ -5,8 +5,8 @@
 //! promises against them at every step.
 
 use dunespur_budget::{
-    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseBook, LimiterId, Refusal,
-    TurnOutcome,
+    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseBook, LimiterId,
+    Refusal, TurnOutcome,
 };
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -105,7 +105,9 @@
 impl World {
     pub fn new(plan: Plan, seed: u64) -> Self {
         let incarnations = vec![1; plan.limiters];
-        let books = (0..plan.limiters).map(|place| LeaseBook::new(id(place, 1))).collect();
+        let books = (0..plan.limiters)
+            .map(|place| LeaseBook::new(id(place, 1)))
+            .collect();
         let mut world = Self {
             plan,
             rng: Rng::with_seed(seed),
@@ -129,7 +131,9 @@
         loop {
             let event_at = self.queue.first_key_value().map(|((at, _), _)| *at);
             let due_at = self.books.iter().filter_map(LeaseBook::next_due).min();
-            let Some(at) = event_at.into_iter().chain(due_at).min() else { break };
+            let Some(at) = event_at.into_iter().chain(due_at).min() else {
+                break;
+            };
             assert!(at < 10_000_000, "the world comes to rest");
             self.now = self.now.max(at);
             if event_at.is_some_and(|event_at| event_at <= due_at.unwrap_or(u64::MAX)) {
@@ -139,12 +143,21 @@
                 self.all_due();
             }
         }
-        assert!(self.turns.is_empty(), "every turn came to an end: {:?}", self.turns);
-        assert!(self.books.iter().all(|book| book.programs() == 0), "idle programs are forgotten");
+        assert!(
+            self.turns.is_empty(),
+            "every turn came to an end: {:?}",
+            self.turns
+        );
+        assert!(
+            self.books.iter().all(|book| book.programs() == 0),
+            "idle programs are forgotten"
+        );
     }
 
     pub fn programs(&self) -> Vec<String> {
-        (0..self.plan.programs).map(|program| format!("program-{program}")).collect()
+        (0..self.plan.programs)
+            .map(|program| format!("program-{program}"))
+            .collect()
     }
 
     /// Units that clients received.
@@ -172,7 +185,12 @@
             for turn in 0..self.plan.turns {
                 let at = self.rng.u64(..self.plan.span_ms);
                 let limiter = self.rng.usize(..self.plan.limiters);
-                self.enter((place * self.plan.turns + turn) as u64, program.clone(), limiter, at);
+                self.enter(
+                    (place * self.plan.turns + turn) as u64,
+                    program.clone(),
+                    limiter,
+                    at,
+                );
             }
         }
         for _ in 0..self.plan.deaths {
@@ -215,12 +233,20 @@
     }
 
     fn start(&mut self, key: u64) {
-        let Some(turn) = self.turns.get_mut(&key) else { return };
+        let Some(turn) = self.turns.get_mut(&key) else {
+            return;
+        };
         turn.incarnation = self.incarnations[turn.limiter];
         let (limiter, program) = (turn.limiter, turn.program.clone());
         let (budget, most) = (self.plan.budget, self.plan.most);
         let admission = self.books[limiter].admit(&program, budget, most, key, self.now);
-        self.judge(limiter, TurnOutcome { turn: key, admission });
+        self.judge(
+            limiter,
+            TurnOutcome {
+                turn: key,
+                admission,
+            },
+        );
     }
 
     fn judge(&mut self, limiter: usize, outcome: TurnOutcome) {
@@ -238,7 +264,9 @@
     }
 
     fn note_wait(&mut self, key: u64, admission: &Admission) {
-        let Some(turn) = self.turns.get_mut(&key) else { return };
+        let Some(turn) = self.turns.get_mut(&key) else {
+            return;
+        };
         let since = turn.waiting_since;
         match admission {
             Admission::Ask(_) | Admission::Waiting => turn.waiting_since = since.or(Some(self.now)),
@@ -250,7 +278,9 @@
     }
 
     fn refused(&mut self, limiter: usize, key: u64, refusal: Refusal) {
-        let Some(turn) = self.turns.get_mut(&key) else { panic!("a turn that ended is refused") };
+        let Some(turn) = self.turns.get_mut(&key) else {
+            panic!("a turn that ended is refused")
+        };
         let pause = match refusal {
             Refusal::Spent => {
                 let turn = self.turns.remove(&key).expect("the turn is there");
@@ -279,7 +309,9 @@
     }
 
     fn token(&mut self, key: u64) {
-        let Some(turn) = self.turns.get_mut(&key) else { return };
+        let Some(turn) = self.turns.get_mut(&key) else {
+            return;
+        };
         let limiter = turn.limiter;
         if turn.incarnation != self.incarnations[limiter] {
             self.turns.remove(&key);
@@ -330,7 +362,11 @@
 
     /// Carries a message: it may be lost, in which case its sender may be told, or arrive twice.
     fn carry(&mut self, event: Event) {
-        let copies = if self.rng.f64() < self.plan.doubled { 2 } else { 1 };
+        let copies = if self.rng.f64() < self.plan.doubled {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let at = self.now + 1 + self.rng.u64(..self.plan.delay_ms);
             if self.rng.f64() >= self.plan.lost {
@@ -348,13 +384,19 @@
         if (middle..middle + self.plan.outage_ms).contains(&self.now) {
             return;
         }
-        let again = self.applied.contains(&(request.limiter.clone(), request.sequence));
+        let again = self
+            .applied
+            .contains(&(request.limiter.clone(), request.sequence));
         let before = again.then(|| self.counters.clone());
         let reply = self.counters.apply(&request, self.plan.limiters as u32);
         if let Some(before) = before {
-            assert_eq!(before, self.counters, "a request that comes again changes nothing");
+            assert_eq!(
+                before, self.counters,
+                "a request that comes again changes nothing"
+            );
         } else {
-            self.applied.insert((request.limiter.clone(), request.sequence));
+            self.applied
+                .insert((request.limiter.clone(), request.sequence));
             self.write_down(&request, &reply);
         }
         self.carry(Event::ToLimiter(request, reply));
@@ -374,7 +416,10 @@
     }
 
     fn at_limiter(&mut self, request: &CounterRequest, reply: Option<&CounterReply>) {
-        let limiter = NODES.iter().position(|node| *node == request.limiter.node).expect("the node is known");
+        let limiter = NODES
+            .iter()
+            .position(|node| *node == request.limiter.node)
+            .expect("the node is known");
         if request.limiter.incarnation != self.incarnations[limiter] {
             return;
         }
@@ -386,7 +431,10 @@
     fn kill(&mut self, limiter: usize) {
         self.incarnations[limiter] += 1;
         self.books[limiter] = LeaseBook::new(id(limiter, self.incarnations[limiter]));
-        let dead = self.turns.iter().filter(|(_, turn)| turn.limiter == limiter && turn.incarnation != 0);
+        let dead = self
+            .turns
+            .iter()
+            .filter(|(_, turn)| turn.limiter == limiter && turn.incarnation != 0);
         let dead: Vec<u64> = dead.map(|(key, _)| *key).collect();
         for key in dead {
             self.turns.remove(&key);
@@ -403,18 +451,32 @@
     /// To be called after each change of what was granted or received.
     fn check_program(&self, program: &str) {
         let out: u64 = self.of(program).map(|(_, ledger)| ledger.out()).sum();
-        assert!(out <= self.plan.budget, "{program}: {out} granted at {}", self.now);
+        assert!(
+            out <= self.plan.budget,
+            "{program}: {out} granted at {}",
+            self.now
+        );
         let received = self.received(program);
-        assert!(received <= self.plan.budget, "{program}: {received} received at {}", self.now);
+        assert!(
+            received <= self.plan.budget,
+            "{program}: {received} received at {}",
+            self.now
+        );
         for (limiter, ledger) in self.of(program) {
-            assert!(ledger.used <= ledger.out(), "{limiter:?} uses what it holds: {ledger:?}");
+            assert!(
+                ledger.used <= ledger.out(),
+                "{limiter:?} uses what it holds: {ledger:?}"
+            );
         }
     }
 
     /// To be called when a turn gets its verdict.
     fn check_wait(&self, key: u64, since: Option<u64>) {
         let waited = since.map_or(0, |since| self.now - since);
-        assert!(waited <= 1_000 + SLACK_MS, "turn {key} waited for {waited} ms");
+        assert!(
+            waited <= 1_000 + SLACK_MS,
+            "turn {key} waited for {waited} ms"
+        );
     }
 
     /// A turn is refused as spent only if it would not fit even with all that living limiters have not used.
@@ -423,7 +485,11 @@
         let living = self.of(program).filter(|(limiter, _)| self.lives(limiter));
         let unused: u64 = living.map(|(_, ledger)| ledger.out() - ledger.used).sum();
         let left = self.plan.budget - out + unused;
-        assert!(left < self.plan.most, "{program}: {left} could still be used at {}", self.now);
+        assert!(
+            left < self.plan.most,
+            "{program}: {left} could still be used at {}",
+            self.now
+        );
     }
 
     fn lives(&self, limiter: &LimiterId) -> bool {
@@ -432,5 +498,8 @@
 }
 
 fn id(place: usize, incarnation: u64) -> LimiterId {
-    LimiterId { node: NODES[place].to_owned(), incarnation }
+    LimiterId {
+        node: NODES[place].to_owned(),
+        incarnation,
+    }
 }
--- a/crates/budget/tests/design.rs
+++ b/crates/budget/tests/design.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::{admit, asked, granted, lease, limiter, request, settle, verdict, Ticker, BUDGET, PROGRAM};
+use common::{
+    admit, asked, granted, lease, limiter, request, settle, verdict, Ticker, BUDGET, PROGRAM,
+};
 use dunespur_budget::{Admission, CounterReply, Counters, LeaseBook, LeaseSettings, Refusal};
 
 /// Admission spends a locally held lease and reserves each turn's most out.
@@ -10,7 +12,10 @@
 fn a_turn_reserves_its_most_out_of_the_held_lease_and_frees_what_it_did_not_use() {
     let mut counters = Counters::default();
     let mut book = LeaseBook::new(limiter("a", 1));
-    assert_eq!(admit(&mut book, &mut counters, 100, 1, 0), Admission::Admitted);
+    assert_eq!(
+        admit(&mut book, &mut counters, 100, 1, 0),
+        Admission::Admitted
+    );
     assert_eq!(book.held(PROGRAM), 100);
 
     // All of the lease is reserved: a second turn may not run on it.
@@ -69,7 +74,10 @@
     assert_eq!(granted(&grant(&mut counters, &b, 2, 50, 900)), 89);
     // Never more limiters than there are: headroom / 1 / 2.
     let mut shared = counters.clone();
-    assert_eq!(granted(&shared.apply(&request(&a, 9, BUDGET, lease(50, 900)), 1)), 134);
+    assert_eq!(
+        granted(&shared.apply(&request(&a, 9, BUDGET, lease(50, 900)), 1)),
+        134
+    );
     // No more than is wanted, where that is little.
     assert_eq!(granted(&grant(&mut counters, &a, 3, 20, 30)), 30);
     // A share of 59 is less than the turn needs.
@@ -84,7 +92,10 @@
 fn a_spent_budget_is_refused_before_the_turn_is_admitted() {
     let mut counters = Counters::default();
     let mut first = LeaseBook::new(limiter("a", 1));
-    assert_eq!(admit(&mut first, &mut counters, 950, 1, 0), Admission::Admitted);
+    assert_eq!(
+        admit(&mut first, &mut counters, 950, 1, 0),
+        Admission::Admitted
+    );
     first.used(1, 950);
     first.finish(1, 100);
     settle(&mut first, &mut counters, 2_000);
@@ -95,16 +106,25 @@
     assert_eq!(admit(&mut first, &mut counters, 51, 3, 2_000), refused);
     assert_eq!(first.held(PROGRAM) + second.held(PROGRAM), 0);
     // A turn that fits is admitted all the same.
-    assert_eq!(admit(&mut second, &mut counters, 50, 4, 2_000), Admission::Admitted);
+    assert_eq!(
+        admit(&mut second, &mut counters, 50, 4, 2_000),
+        Admission::Admitted
+    );
 }
 
 /// While the counter is silent, no turn goes beyond units already held.
 #[test]
 fn while_the_counter_is_silent_no_turn_goes_beyond_the_units_held() {
     let mut counters = Counters::default();
-    let settings = LeaseSettings { silent_after_ms: 1_000, ..LeaseSettings::default() };
+    let settings = LeaseSettings {
+        silent_after_ms: 1_000,
+        ..LeaseSettings::default()
+    };
     let mut book = LeaseBook::with_settings(limiter("a", 1), settings);
-    assert_eq!(admit(&mut book, &mut counters, 100, 1, 0), Admission::Admitted);
+    assert_eq!(
+        admit(&mut book, &mut counters, 100, 1, 0),
+        Admission::Admitted
+    );
     book.used(1, 30);
     book.finish(1, 100);
 
@@ -125,14 +145,25 @@
     }
     assert_eq!(now, 1_300);
     assert_eq!(outcomes.len(), 2);
-    assert!(outcomes.iter().all(|outcome| outcome.admission == Admission::Refused(Refusal::Silent)));
-    assert_eq!(book.admit(PROGRAM, BUDGET, 1, 5, 1_301), Admission::Refused(Refusal::Silent));
+    assert!(outcomes
+        .iter()
+        .all(|outcome| outcome.admission == Admission::Refused(Refusal::Silent)));
+    assert_eq!(
+        book.admit(PROGRAM, BUDGET, 1, 5, 1_301),
+        Admission::Refused(Refusal::Silent)
+    );
 
     // The counter is back: its grant to the turn that is gone serves the next.
     let reply = counters.apply(&lost, 0);
     assert!(book.replied(&lost, Some(&reply), 1_400).is_empty());
-    assert_eq!(book.admit(PROGRAM, BUDGET, 1, 6, 1_401), Admission::Admitted);
+    assert_eq!(
+        book.admit(PROGRAM, BUDGET, 1, 6, 1_401),
+        Admission::Admitted
+    );
     let more = asked(book.admit(PROGRAM, BUDGET, 500, 7, 1_402));
     let reply = counters.apply(&more, 0);
-    assert_eq!(verdict(book.replied(&more, Some(&reply), 1_403), 7), Admission::Admitted);
+    assert_eq!(
+        verdict(book.replied(&more, Some(&reply), 1_403), 7),
+        Admission::Admitted
+    );
 }
--- a/crates/budget/tests/once_only.rs
+++ b/crates/budget/tests/once_only.rs
@@ -41,11 +41,20 @@
     let mut counters = Counters::default();
     let (a, b) = (limiter("a", 1), limiter("b", 1));
     counters.apply(&request(&a, 1, BUDGET, lease(100, 100)), 3);
-    counters.apply(&request(&b, 1, BUDGET, CounterChange::Return { units: 80 }), 3);
+    counters.apply(
+        &request(&b, 1, BUDGET, CounterChange::Return { units: 80 }),
+        3,
+    );
     assert_eq!(counters.held(PROGRAM), 100);
-    counters.apply(&request(&a, 2, BUDGET, CounterChange::Return { units: 500 }), 3);
+    counters.apply(
+        &request(&a, 2, BUDGET, CounterChange::Return { units: 500 }),
+        3,
+    );
     assert_eq!(counters.held(PROGRAM), 0);
-    assert_eq!(granted(&counters.apply(&request(&a, 3, BUDGET, lease(BUDGET, BUDGET)), 3)), BUDGET);
+    assert_eq!(
+        granted(&counters.apply(&request(&a, 3, BUDGET, lease(BUDGET, BUDGET)), 3)),
+        BUDGET
+    );
 }
 
 #[test]
@@ -85,7 +94,10 @@
             last = now;
         }
     }
-    assert!(pauses.windows(2).skip(1).all(|pair| pair[0] <= pair[1]), "{pauses:?}");
+    assert!(
+        pauses.windows(2).skip(1).all(|pair| pair[0] <= pair[1]),
+        "{pauses:?}"
+    );
     assert_eq!(pauses.last(), Some(&1_000));
 }
 
@@ -95,13 +107,19 @@
     let mut book = LeaseBook::new(limiter("a", 1));
     let first = asked(book.admit(PROGRAM, BUDGET, 100, 1, 0));
     let reply = counters.apply(&first, 3);
-    assert_eq!(verdict(book.replied(&first, Some(&reply), 5), 1), Admission::Admitted);
+    assert_eq!(
+        verdict(book.replied(&first, Some(&reply), 5), 1),
+        Admission::Admitted
+    );
 
     let second = asked(book.admit(PROGRAM, BUDGET, 100, 2, 10));
     assert!(book.replied(&first, Some(&reply), 11).is_empty());
     assert_eq!(book.held(PROGRAM), 100);
     let reply = counters.apply(&second, 3);
-    assert_eq!(verdict(book.replied(&second, Some(&reply), 15), 2), Admission::Admitted);
+    assert_eq!(
+        verdict(book.replied(&second, Some(&reply), 15), 2),
+        Admission::Admitted
+    );
 }
 
 #[test]
--- a/crates/budget/tests/world.rs
+++ b/crates/budget/tests/world.rs
@@ -24,11 +24,20 @@
 }
 
 fn harmed() -> Plan {
-    Plan { lost: 0.2, doubled: 0.2, delay_ms: 80, ..calm() }
+    Plan {
+        lost: 0.2,
+        doubled: 0.2,
+        delay_ms: 80,
+        ..calm()
+    }
 }
 
 fn deadly() -> Plan {
-    Plan { deaths: 4, outage_ms: 2_500, ..harmed() }
+    Plan {
+        deaths: 4,
+        outage_ms: 2_500,
+        ..harmed()
+    }
 }
 
 /// Plays a plan under many seeds; what each step checks is in the world.
@@ -43,7 +52,11 @@
 
 fn all_came_back(world: &World) {
     for program in world.programs() {
-        assert_eq!(world.counters().held(&program), 0, "{program} is held by nobody");
+        assert_eq!(
+            world.counters().held(&program),
+            0,
+            "{program} is held by nobody"
+        );
         assert_eq!(world.counters().used(&program), world.received(&program));
     }
 }
@@ -70,12 +83,16 @@
     for world in &worlds {
         for program in world.programs() {
             let counted = world.counters().used(&program) + world.counters().held(&program);
-            assert!(world.received(&program) <= counted, "what clients received is counted");
+            assert!(
+                world.received(&program) <= counted,
+                "what clients received is counted"
+            );
             assert!(counted <= deadly().budget);
         }
     }
     // The worlds show each verdict, else they would prove little.
-    let all = |count: fn(&Tally) -> u64| worlds.iter().map(|world| count(&world.tally)).sum::<u64>();
+    let all =
+        |count: fn(&Tally) -> u64| worlds.iter().map(|world| count(&world.tally)).sum::<u64>();
     assert!(all(|tally| tally.admitted) > 0);
     assert!(all(|tally| tally.spent) > 0);
     assert!(all(|tally| tally.elsewhere) > 0);
@@ -84,7 +101,10 @@
 
 #[test]
 fn a_program_with_ample_budget_is_never_put_off() {
-    let plan = Plan { budget: 2 * 14 * 40, ..calm() };
+    let plan = Plan {
+        budget: 2 * 14 * 40,
+        ..calm()
+    };
     for world in play_all(&plan) {
         let put_off = world.tally.elsewhere + world.tally.silent + world.tally.spent;
         assert_eq!(put_off, 0, "{:?}", world.tally);
@@ -94,13 +114,19 @@
 
 #[test]
 fn a_budget_is_used_up_to_less_than_one_turn_before_it_is_refused_as_spent() {
-    let plan = Plan { turns: 40, ..harmed() };
+    let plan = Plan {
+        turns: 40,
+        ..harmed()
+    };
     for mut world in play_all(&plan) {
         for program in world.programs() {
             let before = world.tally.clone();
             while world.tally.spent == before.spent {
                 world.calm_turn(&program);
-                assert_eq!(world.tally.given_up, before.given_up, "a turn that fits is admitted");
+                assert_eq!(
+                    world.tally.given_up, before.given_up,
+                    "a turn that fits is admitted"
+                );
             }
             assert!(plan.budget - world.received(&program) < plan.most);
         }
@@ -109,6 +135,11 @@
 
 #[test]
 fn the_same_seed_plays_the_same_world() {
-    let tallies = || -> Vec<Tally> { play_all(&deadly()).into_iter().map(|world| world.tally).collect() };
+    let tallies = || -> Vec<Tally> {
+        play_all(&deadly())
+            .into_iter()
+            .map(|world| world.tally)
+            .collect()
+    };
     assert_eq!(tallies(), tallies());
 }
--- a/crates/chain/src/disk.rs
+++ b/crates/chain/src/disk.rs
@@ -61,7 +61,8 @@
             Write::Entry { entry } => self.entries.push(entry.clone()),
             Write::Truncate { index } => self.entries.retain(|entry| entry.index() <= *index),
             Write::Snapshot { snapshot } => {
-                self.entries.retain(|entry| entry.index() > snapshot.position.index);
+                self.entries
+                    .retain(|entry| entry.index() > snapshot.position.index);
                 self.snapshot = Some(snapshot.clone());
             }
         }
--- a/crates/chain/src/identity.rs
+++ b/crates/chain/src/identity.rs
@@ -85,8 +85,11 @@
     /// Whether the view could be in force: members and chain without doubles, the chain within the members and not
     /// shorter than a majority of them.
     pub fn is_sound(&self) -> bool {
-        let members_differ = (1..self.members.len())
-            .all(|index| !self.members[..index].iter().any(|member| member.id == self.members[index].id));
+        let members_differ = (1..self.members.len()).all(|index| {
+            !self.members[..index]
+                .iter()
+                .any(|member| member.id == self.members[index].id)
+        });
         let chain_differs =
             (1..self.chain.len()).all(|index| !self.chain[..index].contains(&self.chain[index]));
         let chain_within = self.chain.iter().all(|id| self.has_member(id));
--- a/crates/chain/src/journal.rs
+++ b/crates/chain/src/journal.rs
@@ -64,8 +64,15 @@
         }
         self.last_number += 1;
         let consequences = std::mem::take(&mut self.consequences);
-        self.out = Some(Batch { number: self.last_number, since: now, consequences });
-        Some(NextBatch { number: self.last_number, writes: std::mem::take(&mut self.writes) })
+        self.out = Some(Batch {
+            number: self.last_number,
+            since: now,
+            consequences,
+        });
+        Some(NextBatch {
+            number: self.last_number,
+            writes: std::mem::take(&mut self.writes),
+        })
     }
 
     /// What waited for this batch.
@@ -94,7 +101,10 @@
 
     /// Entries after `index` were cut off: what is on disk of them doesn't count.
     pub fn truncated(&mut self, index: u64) {
-        let out = self.out.iter_mut().flat_map(|batch| batch.consequences.iter_mut());
+        let out = self
+            .out
+            .iter_mut()
+            .flat_map(|batch| batch.consequences.iter_mut());
         for consequence in out.chain(self.consequences.iter_mut()) {
             if let Consequence::Stored { index: stored } = consequence {
                 *stored = index.min(*stored);
@@ -104,6 +114,8 @@
 
     /// How long the disk has had a batch without an answer.
     pub fn out_for(&self, now: Millis) -> Millis {
-        self.out.as_ref().map_or(0, |batch| now.saturating_sub(batch.since))
+        self.out
+            .as_ref()
+            .map_or(0, |batch| now.saturating_sub(batch.since))
     }
 }
--- a/crates/chain/src/log.rs
+++ b/crates/chain/src/log.rs
@@ -84,7 +84,9 @@
 
 /// A place in the sequence. Two logs that have the same position are alike up to it: in one view only its head
 /// appends, and only to its own log.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Position {
     /// From 1; 0 is the place before the first entry.
     pub index: u64,
@@ -133,7 +135,11 @@
 impl Log {
     /// What was found on disk: entries up to `start` are within the snapshot.
     pub fn restore(start: Position, entries: Vec<Entry>) -> Log {
-        let mut log = Log { start, entries: VecDeque::new(), bytes: 0 };
+        let mut log = Log {
+            start,
+            entries: VecDeque::new(),
+            bytes: 0,
+        };
         for entry in entries {
             if entry.index() == log.last().index + 1 {
                 log.append(entry);
@@ -148,7 +154,9 @@
     }
 
     pub fn last(&self) -> Position {
-        self.entries.back().map_or(self.start, |entry| entry.position)
+        self.entries
+            .back()
+            .map_or(self.start, |entry| entry.position)
     }
 
     /// About the bytes of all entries held.
@@ -190,7 +198,9 @@
     /// Drops the entries up to `index`, which are in a snapshot.
     pub fn forget(&mut self, index: u64) {
         while self.start.index < index {
-            let Some(entry) = self.entries.pop_front() else { return };
+            let Some(entry) = self.entries.pop_front() else {
+                return;
+            };
             self.bytes -= entry.size();
             self.start = entry.position;
         }
@@ -198,7 +208,11 @@
 
     /// Starts anew after a snapshot that ends at `position`.
     pub fn reset(&mut self, position: Position) {
-        *self = Log { start: position, entries: VecDeque::new(), bytes: 0 };
+        *self = Log {
+            start: position,
+            entries: VecDeque::new(),
+            bytes: 0,
+        };
     }
 
     /// Entries after `from` up to `to`, at least one if there is one, no more than `most_bytes` otherwise.
@@ -219,7 +233,10 @@
     /// Whether an entry after `index` was submitted under this ticket.
     pub fn has_origin_after(&self, index: u64, origin: Origin) -> bool {
         let after = index.saturating_sub(self.start.index) as usize;
-        self.entries.iter().skip(after).any(|entry| entry.origin == origin)
+        self.entries
+            .iter()
+            .skip(after)
+            .any(|entry| entry.origin == origin)
     }
 
     /// About the bytes of the entries after `index`.
@@ -229,6 +246,9 @@
 
     /// About the bytes of the entries after `from` up to `to`.
     pub fn bytes_between(&self, from: u64, to: u64) -> usize {
-        (from + 1..=to).filter_map(|index| self.get(index)).map(Entry::size).sum()
+        (from + 1..=to)
+            .filter_map(|index| self.get(index))
+            .map(Entry::size)
+            .sum()
     }
 }
--- a/crates/chain/src/member/agreement.rs
+++ b/crates/chain/src/member/agreement.rs
@@ -50,7 +50,11 @@
 
 impl PromiseOf {
     fn sealed_log(&self) -> SealedLog<'_> {
-        SealedLog { of: &self.from, synced_view: self.promise.synced_view, last: self.promise.last }
+        SealedLog {
+            of: &self.from,
+            synced_view: self.promise.synced_view,
+            last: self.promise.last,
+        }
     }
 }
 
@@ -73,7 +77,9 @@
             return;
         }
         match &self.proposer {
-            Proposer::Preparing { .. } if self.promises_suffice(now) => return self.propose(now, out),
+            Proposer::Preparing { .. } if self.promises_suffice(now) => {
+                return self.propose(now, out)
+            }
             Proposer::Preparing { since, .. } | Proposer::Accepting { since, .. } => {
                 if now >= since + ATTEMPT_LASTS {
                     self.back_off(now);
@@ -94,51 +100,99 @@
     }
 
     fn wants_next_view(&mut self, now: Millis) -> bool {
-        let Some(plan) = self.plan(now) else { return false };
+        let Some(plan) = self.plan(now) else {
+            return false;
+        };
         let in_force = self.view().is_some_and(|view| plan.is_in_force(view));
         (self.is_sealed() || !in_force) && self.may_propose(now)
     }
 
     /// A member that is cut off even one way, or whose disk doesn't answer, would only disturb the others.
     fn may_propose(&self, now: Millis) -> bool {
-        let Some(view) = self.view() else { return false };
-        let proven = view.members.iter().filter(|member| self.peers.is_proven(&member.id, now)).count();
+        let Some(view) = self.view() else {
+            return false;
+        };
+        let proven = view
+            .members
+            .iter()
+            .filter(|member| self.peers.is_proven(&member.id, now))
+            .count();
         proven + 1 >= view.majority() && !self.is_stalled(now)
     }
 
     /// How many go before this member in proposing: those before it in the chain, or in the members' order.
     fn rank(&self, now: Millis) -> u64 {
         let Some(view) = self.view() else { return 0 };
-        let others = view.members.iter().map(|member| &member.id).filter(|id| !view.in_chain(id));
-        let order = view.chain.iter().chain(others).take_while(|id| **id != self.me.id);
-        order.filter(|id| self.peers.is_heard(id, now) && !self.is_unfit_by_ping(id)).count() as u64
+        let others = view
+            .members
+            .iter()
+            .map(|member| &member.id)
+            .filter(|id| !view.in_chain(id));
+        let order = view
+            .chain
+            .iter()
+            .chain(others)
+            .take_while(|id| **id != self.me.id);
+        order
+            .filter(|id| self.peers.is_heard(id, now) && !self.is_unfit_by_ping(id))
+            .count() as u64
     }
 
     fn is_unfit_by_ping(&self, id: &MemberId) -> bool {
-        self.peers.ping(id, self.number()).is_some_and(|ping| ping.stalled || ping.leaving)
+        self.peers
+            .ping(id, self.number())
+            .is_some_and(|ping| ping.stalled || ping.leaving)
     }
 
     fn begin_attempt(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let Some(decided) = self.decided.clone() else { return };
-        let round = self.acceptor.promised.as_ref().map_or(0, |promised| promised.round) + 1;
-        let ballot = Ballot { round, proposer: self.me.id.clone(), session: self.session };
+        let Some(decided) = self.decided.clone() else {
+            return;
+        };
+        let round = self
+            .acceptor
+            .promised
+            .as_ref()
+            .map_or(0, |promised| promised.round)
+            + 1;
+        let ballot = Ballot {
+            round,
+            proposer: self.me.id.clone(),
+            session: self.session,
+        };
         self.propose_at = None;
-        self.proposer = Proposer::Preparing { ballot: ballot.clone(), since: now, promises: Vec::new() };
+        self.proposer = Proposer::Preparing {
+            ballot: ballot.clone(),
+            since: now,
+            promises: Vec::new(),
+        };
         for member in &decided.view.members {
-            let message = Message::Prepare { ballot: ballot.clone(), decided: decided.clone() };
+            let message = Message::Prepare {
+                ballot: ballot.clone(),
+                decided: decided.clone(),
+            };
             self.send(&member.id, message, now, out);
         }
     }
 
     fn back_off(&mut self, now: Millis) {
-        self.proposer = Proposer::Waiting { until: now + BACKOFF + self.random.below(BACKOFF_JITTER) };
+        self.proposer = Proposer::Waiting {
+            until: now + BACKOFF + self.random.below(BACKOFF_JITTER),
+        };
         self.propose_at = None;
     }
 
     /// Messages of the agreement say on which view they build: later ones are learned, to earlier ones the present
     /// view is told. Says whether the sender may ask for this member's vote.
-    fn same_base(&mut self, from: &MemberId, number: u64, now: Millis, out: &mut Vec<Output>) -> bool {
-        let Some(view) = self.view() else { return false };
+    fn same_base(
+        &mut self,
+        from: &MemberId,
+        number: u64,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) -> bool {
+        let Some(view) = self.view() else {
+            return false;
+        };
         let voter = view.has_member(from) && view.has_member(&self.me.id);
         if number > view.number + 1 {
             self.ask_for_view_of(from, now, out);
@@ -166,7 +220,12 @@
         if !self.same_base(&from, number, now, out) {
             return;
         }
-        if let Some(promised) = self.acceptor.promised.clone().filter(|promised| *promised > ballot) {
+        if let Some(promised) = self
+            .acceptor
+            .promised
+            .clone()
+            .filter(|promised| *promised > ballot)
+        {
             return self.send(&from, Message::Refuse { number, promised }, now, out);
         }
         self.promise_to(ballot.clone(), now);
@@ -177,25 +236,40 @@
             synced_view: self.synced_view,
             last: self.log.last(),
         };
-        self.journal.then(Consequence::Vote { to: from, message: Box::new(Message::Promise(promise)) });
+        self.journal.then(Consequence::Vote {
+            to: from,
+            message: Box::new(Message::Promise(promise)),
+        });
     }
 
     /// Seals the present view here.
     fn promise_to(&mut self, ballot: Ballot, now: Millis) {
         if ballot.proposer != self.me.id {
             let rank = self.rank(now);
-            self.propose_at =
-                Some(now + PROMISE_PATIENCE + rank * RANK_DELAY + self.random.below(PROPOSE_JITTER));
+            self.propose_at = Some(
+                now + PROMISE_PATIENCE + rank * RANK_DELAY + self.random.below(PROPOSE_JITTER),
+            );
         }
-        self.journal.write(Write::Promise { ballot: ballot.clone() });
+        self.journal.write(Write::Promise {
+            ballot: ballot.clone(),
+        });
         self.acceptor.promised = Some(ballot);
         self.seal();
     }
 
-    pub(super) fn promised(&mut self, from: MemberId, promise: Promise, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn promised(
+        &mut self,
+        from: MemberId,
+        promise: Promise,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         let voter = self.view().is_some_and(|view| view.has_member(&from));
         let number = self.number() + 1;
-        if let Proposer::Preparing { ballot, promises, .. } = &mut self.proposer {
+        if let Proposer::Preparing {
+            ballot, promises, ..
+        } = &mut self.proposer
+        {
             let new = !promises.iter().any(|other| other.from == from);
             if voter && new && promise.number == number && promise.ballot == *ballot {
                 promises.push(PromiseOf { from, promise });
@@ -216,30 +290,62 @@
 
     /// A majority has promised, and so have all that seem alive, or they were awaited long enough.
     fn promises_suffice(&self, now: Millis) -> bool {
-        let Proposer::Preparing { since, promises, .. } = &self.proposer else { return false };
-        let Some(view) = self.view() else { return false };
+        let Proposer::Preparing {
+            since, promises, ..
+        } = &self.proposer
+        else {
+            return false;
+        };
+        let Some(view) = self.view() else {
+            return false;
+        };
         let promised = |id: &MemberId| promises.iter().any(|other| other.from == *id);
-        let missing = view.members.iter().map(|member| &member.id).filter(|id| !promised(id));
-        let all = missing.filter(|id| **id == self.me.id || self.peers.is_connected(id, now)).count() == 0;
+        let missing = view
+            .members
+            .iter()
+            .map(|member| &member.id)
+            .filter(|id| !promised(id));
+        let all = missing
+            .filter(|id| **id == self.me.id || self.peers.is_connected(id, now))
+            .count()
+            == 0;
         promises.len() >= view.majority() && (all || now >= since + PROMISES_AWAITED)
     }
 
     /// Puts a view to the vote: the one that may have been decided already, or else the one that there should be.
     fn propose(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let Proposer::Preparing { ballot, promises, .. } = self.proposer.clone() else { return };
-        let accepted = promises.iter().filter_map(|other| other.promise.accepted.as_ref());
+        let Proposer::Preparing {
+            ballot, promises, ..
+        } = self.proposer.clone()
+        else {
+            return;
+        };
+        let accepted = promises
+            .iter()
+            .filter_map(|other| other.promise.accepted.as_ref());
         let newest = accepted.max_by(|one, other| one.ballot.cmp(&other.ballot));
         let proposal = match newest {
             Some(accepted) => Some(accepted.proposal.clone()),
             None => self.free_proposal(&promises, now),
         };
-        let Some(proposal) = proposal else { return self.back_off(now) };
-        let voters: Vec<Peer> = self.view().map_or_else(Vec::new, |view| view.members.clone());
+        let Some(proposal) = proposal else {
+            return self.back_off(now);
+        };
+        let voters: Vec<Peer> = self
+            .view()
+            .map_or_else(Vec::new, |view| view.members.clone());
         let votes = Vec::new();
-        self.proposer =
-            Proposer::Accepting { ballot: ballot.clone(), since: now, proposal: proposal.clone(), votes };
+        self.proposer = Proposer::Accepting {
+            ballot: ballot.clone(),
+            since: now,
+            proposal: proposal.clone(),
+            votes,
+        };
         for voter in voters {
-            let message = Message::Accept { ballot: ballot.clone(), proposal: proposal.clone() };
+            let message = Message::Accept {
+                ballot: ballot.clone(),
+                proposal: proposal.clone(),
+            };
             self.send(&voter.id, message, now, out);
         }
     }
@@ -263,12 +369,22 @@
         if !self.same_base(&from, number, now, out) || !proposal.view.is_sound() {
             return;
         }
-        if let Some(promised) = self.acceptor.promised.clone().filter(|promised| *promised > ballot) {
+        if let Some(promised) = self
+            .acceptor
+            .promised
+            .clone()
+            .filter(|promised| *promised > ballot)
+        {
             return self.send(&from, Message::Refuse { number, promised }, now, out);
         }
         self.promise_to(ballot.clone(), now);
-        let accepted = AcceptedView { ballot: ballot.clone(), proposal };
-        self.journal.write(Write::Accept { accepted: accepted.clone() });
+        let accepted = AcceptedView {
+            ballot: ballot.clone(),
+            proposal,
+        };
+        self.journal.write(Write::Accept {
+            accepted: accepted.clone(),
+        });
         self.acceptor.accepted = Some(accepted);
         let message = Box::new(Message::Accepted { number, ballot });
         self.journal.then(Consequence::Vote { to: from, message });
@@ -282,8 +398,18 @@
         now: Millis,
         out: &mut Vec<Output>,
     ) {
-        let Some(view) = self.view().cloned() else { return };
-        let Proposer::Accepting { ballot: own, proposal, votes, .. } = &mut self.proposer else { return };
+        let Some(view) = self.view().cloned() else {
+            return;
+        };
+        let Proposer::Accepting {
+            ballot: own,
+            proposal,
+            votes,
+            ..
+        } = &mut self.proposer
+        else {
+            return;
+        };
         let counts = view.has_member(&from) && !votes.contains(&from);
         if !counts || number != view.number + 1 || ballot != *own {
             return;
@@ -299,19 +425,28 @@
     /// The view that there should be, by what this member sees.
     fn plan(&mut self, now: Millis) -> Option<Plan> {
         let view = self.view()?.clone();
-        let mut standings: Vec<Standing> =
-            (0..view.members.len()).map(|index| self.standing(&view, index, now)).collect();
+        let mut standings: Vec<Standing> = (0..view.members.len())
+            .map(|index| self.standing(&view, index, now))
+            .collect();
         self.note_returns(&view, &mut standings, now);
-        let heard = self.newcomers.iter().filter(|newcomer| newcomer.is_heard(now));
+        let heard = self
+            .newcomers
+            .iter()
+            .filter(|newcomer| newcomer.is_heard(now));
         let applicants: Vec<Applicant> = heard.map(|newcomer| newcomer.applicant(now)).collect();
-        plan(&Situation { view: &view, standings: &standings, applicants: &applicants })
+        plan(&Situation {
+            view: &view,
+            standings: &standings,
+            applicants: &applicants,
+        })
     }
 
     fn standing(&self, view: &View, index: usize, now: Millis) -> Standing {
         let id = &view.members[index].id;
         let silent = !self.is_heard_by_any(view, index, now);
-        let connected =
-            (0..view.members.len()).map(|other| self.connected(view, index, other, now)).collect();
+        let connected = (0..view.members.len())
+            .map(|other| self.connected(view, index, other, now))
+            .collect();
         Standing {
             connected,
             unfit: self.is_unfit(view, id, now),
@@ -338,14 +473,19 @@
         if *id == self.me.id {
             self.has_come_up()
         } else {
-            self.peers.ping(id, view.number).is_some_and(|ping| ping.synced)
+            self.peers
+                .ping(id, view.number)
+                .is_some_and(|ping| ping.synced)
         }
     }
 
     /// What `one` has told about its connection with `other`; nothing, if it isn't heard or hasn't told in this view.
     fn told_connected(&self, view: &View, one: usize, other: usize, now: Millis) -> Option<bool> {
         let id = &view.members[one].id;
-        let ping = self.peers.ping(id, view.number).filter(|_| self.peers.is_heard(id, now));
+        let ping = self
+            .peers
+            .ping(id, view.number)
+            .filter(|_| self.peers.is_heard(id, now));
         ping.map(|ping| ping.connected & 1 << other != 0)
     }
 
@@ -374,7 +514,10 @@
                 self.told_connected(view, *other, index, now) == Some(false)
             }
         };
-        (0..view.members.len()).filter(|other| *other != index).filter(accuses).count()
+        (0..view.members.len())
+            .filter(|other| *other != index)
+            .filter(accuses)
+            .count()
     }
 
     /// Whether this member, or one that it hears, is in touch with the member at `index`.
@@ -403,19 +546,26 @@
                 ping.is_none_or(|ping| ping.synced)
             }
         };
-        now >= self.decided_at + LAGGING_AFTER && view.chain.iter().find(|id| !synced(id)) == Some(id)
+        now >= self.decided_at + LAGGING_AFTER
+            && view.chain.iter().find(|id| !synced(id)) == Some(id)
     }
 
     /// Notes how long the members out of the chain have been well.
     fn note_returns(&mut self, view: &View, standings: &mut [Standing], now: Millis) {
-        let in_chain: Vec<usize> = view.chain.iter().filter_map(|id| view.member_index(id)).collect();
+        let in_chain: Vec<usize> = view
+            .chain
+            .iter()
+            .filter_map(|id| view.member_index(id))
+            .collect();
         for index in (0..view.members.len()).filter(|index| !in_chain.contains(index)) {
             let connected = |other: &usize| {
                 let heard = !standings[*other].silent;
                 !heard || standings[index].connected[*other]
             };
             let id = &view.members[index].id;
-            let fit = !standings[index].unfit && !standings[index].silent && in_chain.iter().all(connected);
+            let fit = !standings[index].unfit
+                && !standings[index].silent
+                && in_chain.iter().all(connected);
             let well = fit && self.has_nearly_all_commits(id, view.number);
             standings[index].may_return = self.peers.may_return(id, well, now);
         }
@@ -423,14 +573,27 @@
 
     /// A member that is taken in too early holds the chain up until it has caught up.
     fn has_nearly_all_commits(&self, id: &MemberId, number: u64) -> bool {
-        self.peers.ping(id, number).is_some_and(|ping| ping.committed + MOST_BEHIND >= self.committed)
+        self.peers
+            .ping(id, number)
+            .is_some_and(|ping| ping.committed + MOST_BEHIND >= self.committed)
     }
 
     pub(super) fn next_agreement_tick(&self) -> Option<Millis> {
         let attempt = match &self.proposer {
-            Proposer::Preparing { since, promises, .. } => {
-                let enough = self.view().is_some_and(|view| promises.len() >= view.majority());
-                Some(since + if enough { PROMISES_AWAITED } else { ATTEMPT_LASTS })
+            Proposer::Preparing {
+                since, promises, ..
+            } => {
+                let enough = self
+                    .view()
+                    .is_some_and(|view| promises.len() >= view.majority());
+                Some(
+                    since
+                        + if enough {
+                            PROMISES_AWAITED
+                        } else {
+                            ATTEMPT_LASTS
+                        },
+                )
             }
             Proposer::Accepting { since, .. } => Some(since + ATTEMPT_LASTS),
             Proposer::Waiting { until } => Some(*until),
--- a/crates/chain/src/member/chain.rs
+++ b/crates/chain/src/member/chain.rs
@@ -9,7 +9,8 @@
 use crate::log::{Entry, Origin, Payload, Position};
 use crate::message::{Append, Attach, Message};
 use crate::timing::{
-    Millis, APPEND_BYTES, ATTACH_AGAIN, ATTACH_GAP, MOST_UNCOMMITTED, MOST_UNCOMMITTED_BYTES, PROBE_AFTER,
+    Millis, APPEND_BYTES, ATTACH_AGAIN, ATTACH_GAP, MOST_UNCOMMITTED, MOST_UNCOMMITTED_BYTES,
+    PROBE_AFTER,
 };
 
 /// What part a member takes in the chain of its view.
@@ -75,7 +76,9 @@
     }
 
     pub(super) fn stage_at_start(&self) -> Stage {
-        let Some(view) = self.view() else { return Stage::Outside };
+        let Some(view) = self.view() else {
+            return Stage::Outside;
+        };
         if !view.in_chain(&self.me.id) {
             Stage::Outside
         } else if self.is_sealed() {
@@ -98,7 +101,9 @@
     pub(super) fn resume_chain(&mut self, now: Millis, out: &mut Vec<Output>) {
         match self.stage {
             Stage::Synced => self.begin_passing_on(now, out),
-            Stage::Unsynced if self.is_head() || !self.guards.whole_before_synced => self.come_up(now),
+            Stage::Unsynced if self.is_head() || !self.guards.whole_before_synced => {
+                self.come_up(now)
+            }
             Stage::Unsynced => self.attach(now, out),
             Stage::Outside => self.hurry_following(now, out),
             Stage::Sealed | Stage::Syncing => {}
@@ -112,7 +117,11 @@
         self.following = Following::default();
         self.snapshots.forget_demands();
         let in_chain = self.view().is_some_and(|view| view.in_chain(&self.me.id));
-        self.enter(if in_chain { Stage::Unsynced } else { Stage::Outside });
+        self.enter(if in_chain {
+            Stage::Unsynced
+        } else {
+            Stage::Outside
+        });
         self.resume_chain(now, out);
     }
 
@@ -155,19 +164,34 @@
     // --- from the predecessor ---
 
     fn attach(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let Some(predecessor) = self.predecessor() else { return };
+        let Some(predecessor) = self.predecessor() else {
+            return;
+        };
         self.upstream.attached_at = Some(now);
-        let attach = Attach { view: self.number(), last: self.log.last(), committed: self.committed };
+        let attach = Attach {
+            view: self.number(),
+            last: self.log.last(),
+            committed: self.committed,
+        };
         self.send(&predecessor, Message::Attach(attach), now, out);
     }
 
-    pub(super) fn appended(&mut self, from: MemberId, append: Append, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn appended(
+        &mut self,
+        from: MemberId,
+        append: Append,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         let predecessor = |view: &View, me: &MemberId| view.predecessor(me).cloned();
         if !self.counts(&from, append.view, predecessor, now, out) {
             return;
         }
         if append.previous.index > self.committed && !self.log.holds(append.previous) {
-            let asked_just_now = self.upstream.attached_at.is_some_and(|at| now < at + ATTACH_GAP);
+            let asked_just_now = self
+                .upstream
+                .attached_at
+                .is_some_and(|at| now < at + ATTACH_GAP);
             if !asked_just_now {
                 self.attach(now, out);
             }
@@ -200,7 +224,9 @@
 
     fn append(&mut self, entry: Entry) {
         let index = entry.index();
-        self.journal.write(Write::Entry { entry: entry.clone() });
+        self.journal.write(Write::Entry {
+            entry: entry.clone(),
+        });
         self.journal.then(Consequence::Stored { index });
         self.log.append(entry);
     }
@@ -261,7 +287,9 @@
             }
             return;
         }
-        let Some(successor) = self.successor() else { return };
+        let Some(successor) = self.successor() else {
+            return;
+        };
         while self.downstream.sent < self.persisted && !self.snapshots.is_wanted_by(&successor) {
             let Some(previous) = self.log.position(self.downstream.sent) else {
                 return self.want_snapshot_for(successor, now, out);
@@ -269,21 +297,41 @@
             let entries = self.log.copy(previous.index, self.persisted, APPEND_BYTES);
             self.downstream.sent += entries.len() as u64;
             self.downstream.moved_at = now;
-            let append = Append { view: self.number(), previous, entries, last: self.persisted };
+            let append = Append {
+                view: self.number(),
+                previous,
+                entries,
+                last: self.persisted,
+            };
             self.send(&successor, Message::Append(append), now, out);
         }
     }
 
     /// Asks the successor whether it holds what was sent to it.
     fn ask_successor(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let Some(successor) = self.successor() else { return };
-        let Some(previous) = self.log.position(self.downstream.sent) else { return };
+        let Some(successor) = self.successor() else {
+            return;
+        };
+        let Some(previous) = self.log.position(self.downstream.sent) else {
+            return;
+        };
         self.downstream.moved_at = now;
-        let append = Append { view: self.number(), previous, entries: Vec::new(), last: self.persisted };
+        let append = Append {
+            view: self.number(),
+            previous,
+            entries: Vec::new(),
+            last: self.persisted,
+        };
         self.send(&successor, Message::Append(append), now, out);
     }
 
-    pub(super) fn attached(&mut self, from: MemberId, attach: Attach, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn attached(
+        &mut self,
+        from: MemberId,
+        attach: Attach,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         let successor = |view: &View, me: &MemberId| view.successor(me).cloned();
         if !self.counts(&from, attach.view, successor, now, out) || !self.is_synced() {
             return;
@@ -301,7 +349,10 @@
     /// From where another member's log can go on: its end, if it is held here, or else what it has committed.
     pub(super) fn common_position(&self, other: &Attach, most: u64) -> Option<Position> {
         let candidates = [Some(other.last), self.log.position(other.committed)];
-        candidates.into_iter().flatten().find(|at| self.log.holds(*at) && at.index <= most)
+        candidates
+            .into_iter()
+            .flatten()
+            .find(|at| self.log.holds(*at) && at.index <= most)
     }
 
     /// After the position was set from which to send.
@@ -333,8 +384,13 @@
     }
 
     fn send_committed(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let Some(predecessor) = self.predecessor() else { return };
-        let message = Message::Committed { view: self.number(), index: self.committed };
+        let Some(predecessor) = self.predecessor() else {
+            return;
+        };
+        let message = Message::Committed {
+            view: self.number(),
+            index: self.committed,
+        };
         self.send(&predecessor, message, now, out);
     }
 
@@ -344,12 +400,22 @@
             return false;
         }
         while self.committed < index {
-            let Some(entry) = self.log.get(self.committed + 1) else { break };
+            let Some(entry) = self.log.get(self.committed + 1) else {
+                break;
+            };
             self.snapshots.note_committed(entry.size());
-            let Entry { position, origin, payload } = entry.clone();
+            let Entry {
+                position,
+                origin,
+                payload,
+            } = entry.clone();
             self.committed = position.index;
             let ticket = self.submission_committed(origin);
-            out.push(Output::Commit { index: position.index, payload: payload.to_vec(), ticket });
+            out.push(Output::Commit {
+                index: position.index,
+                payload: payload.to_vec(),
+                ticket,
+            });
         }
         self.commits_given_out(out);
         self.compact_if_long(now, out);
@@ -371,14 +437,26 @@
         if many || large {
             return false;
         }
-        let position = Position { index: last + 1, view: self.number() };
-        self.append(Entry { position, origin, payload });
+        let position = Position {
+            index: last + 1,
+            view: self.number(),
+        };
+        self.append(Entry {
+            position,
+            origin,
+            payload,
+        });
         true
     }
 
     // --- time and connections ---
 
-    pub(super) fn chain_reconnected(&mut self, peer: &MemberId, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn chain_reconnected(
+        &mut self,
+        peer: &MemberId,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         if self.stage == Stage::Synced && self.successor().as_ref() == Some(peer) {
             self.ask_successor(now, out);
         }
@@ -399,7 +477,9 @@
     /// When to ask the successor, from which nothing has come.
     fn next_question(&self) -> Option<Millis> {
         let open = !self.downstream.confirmed || self.committed < self.downstream.sent;
-        let waits = self.successor().is_none_or(|successor| self.snapshots.is_wanted_by(&successor));
+        let waits = self
+            .successor()
+            .is_none_or(|successor| self.snapshots.is_wanted_by(&successor));
         let asks = self.stage == Stage::Synced && open && !waits;
         asks.then_some(self.downstream.moved_at + PROBE_AFTER)
     }
@@ -410,6 +490,9 @@
     }
 
     pub(super) fn next_chain_tick(&self) -> Option<Millis> {
-        [self.next_question(), self.next_attach()].into_iter().flatten().min()
+        [self.next_question(), self.next_attach()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 }
--- a/crates/chain/src/member/follow.rs
+++ b/crates/chain/src/member/follow.rs
@@ -24,14 +24,26 @@
 
     /// Asks the tail for what is committed after the end of the log here.
     fn ask_tail(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let Some(tail) = self.view().and_then(|view| view.chain.last()).cloned() else { return };
+        let Some(tail) = self.view().and_then(|view| view.chain.last()).cloned() else {
+            return;
+        };
         self.following.next = now + FOLLOW_AGAIN;
-        let attach = Attach { view: self.number(), last: self.log.last(), committed: self.committed };
+        let attach = Attach {
+            view: self.number(),
+            last: self.log.last(),
+            committed: self.committed,
+        };
         self.send(&tail, Message::Follow(attach), now, out);
     }
 
     /// At the tail: a member out of the chain asks.
-    pub(super) fn followed(&mut self, from: MemberId, attach: Attach, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn followed(
+        &mut self,
+        from: MemberId,
+        attach: Attach,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         if attach.view != self.number() || !self.is_followed_by(&from) {
             return;
         }
@@ -44,7 +56,9 @@
 
     /// Whether this member is the tail, which a member out of the chain follows.
     fn is_followed_by(&self, from: &MemberId) -> bool {
-        let outside = self.view().is_some_and(|view| view.has_member(from) && !view.in_chain(from));
+        let outside = self
+            .view()
+            .is_some_and(|view| view.has_member(from) && !view.in_chain(from));
         outside && self.is_tail() && self.is_synced()
     }
 
@@ -60,13 +74,26 @@
             return;
         }
         let entries = self.log.copy(previous.index, self.committed, APPEND_BYTES);
-        let append = Append { view: self.number(), previous, entries, last: self.committed };
+        let append = Append {
+            view: self.number(),
+            previous,
+            entries,
+            last: self.committed,
+        };
         self.send(to, Message::Followed(append), now, out);
     }
 
     /// The tail's answer: committed entries, which take the place of any others here.
-    pub(super) fn follow(&mut self, from: MemberId, append: Append, now: Millis, out: &mut Vec<Output>) {
-        let from_tail = self.view().is_some_and(|view| view.is_tail(&from) && view.number == append.view);
+    pub(super) fn follow(
+        &mut self,
+        from: MemberId,
+        append: Append,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
+        let from_tail = self
+            .view()
+            .is_some_and(|view| view.is_tail(&from) && view.number == append.view);
         let fits = append.previous.index <= self.committed || self.log.holds(append.previous);
         if !from_tail || !fits || !self.is_following() {
             return;
--- a/crates/chain/src/member/freshness.rs
+++ b/crates/chain/src/member/freshness.rs
@@ -24,19 +24,31 @@
 impl Freshness {
     /// The member has taken its place in the chain, or its process has started: its log ends at `last`.
     pub(super) fn begins(last: u64, now: Millis) -> Freshness {
-        Freshness { known_at: None, mark: Mark { index: last, at: now } }
+        Freshness {
+            known_at: None,
+            mark: Mark {
+                index: last,
+                at: now,
+            },
+        }
     }
 
     /// Commits were given out up to `committed`, and the log ends at `last`.
     pub(super) fn note(&mut self, committed: u64, last: u64, now: Millis) {
         if committed >= self.mark.index {
             self.known_at = Some(self.mark.at);
-            self.mark = Mark { index: last, at: now };
+            self.mark = Mark {
+                index: last,
+                at: now,
+            };
         }
     }
 
     /// Whether all that was committed has been given out, but what was in the last moments.
     pub(super) fn is_fresh(&self, committed: u64, last: u64, now: Millis) -> bool {
-        committed >= last || self.known_at.is_some_and(|at| now <= at + COMMITS_KNOWN_WITHIN)
+        committed >= last
+            || self
+                .known_at
+                .is_some_and(|at| now <= at + COMMITS_KNOWN_WITHIN)
     }
 }
--- a/crates/chain/src/member/membership.rs
+++ b/crates/chain/src/member/membership.rs
@@ -23,7 +23,10 @@
 
 impl Newcomer {
     pub(super) fn applicant(&self, now: Millis) -> Applicant {
-        Applicant { peer: self.peer.clone(), patient: now >= self.first_heard_at + NEWCOMER_WAITS }
+        Applicant {
+            peer: self.peer.clone(),
+            patient: now >= self.first_heard_at + NEWCOMER_WAITS,
+        }
     }
 
     pub(super) fn is_heard(&self, now: Millis) -> bool {
@@ -69,7 +72,10 @@
             self.joining = None;
             return;
         }
-        let joining = self.joining.get_or_insert(Joining { contacts: Vec::new(), next: now });
+        let joining = self.joining.get_or_insert(Joining {
+            contacts: Vec::new(),
+            next: now,
+        });
         joining.next = now;
         if !contacts.is_empty() {
             joining.contacts = contacts;
@@ -77,35 +83,58 @@
     }
 
     fn ask_to_join(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let Some(joining) = self.joining.as_mut().filter(|joining| now >= joining.next) else { return };
+        let Some(joining) = self.joining.as_mut().filter(|joining| now >= joining.next) else {
+            return;
+        };
         joining.next = now + JOIN_EVERY;
         let mut addresses = joining.contacts.clone();
-        let message = Message::Join { newcomer: self.me.clone() };
+        let message = Message::Join {
+            newcomer: self.me.clone(),
+        };
         if let Some(view) = self.view() {
-            addresses.retain(|address| !view.members.iter().any(|member| member.address == *address));
-            let asked =
-                view.members.iter().map(|to| Output::Send { to: to.clone(), message: message.clone() });
+            addresses
+                .retain(|address| !view.members.iter().any(|member| member.address == *address));
+            let asked = view.members.iter().map(|to| Output::Send {
+                to: to.clone(),
+                message: message.clone(),
+            });
             out.extend(asked);
         }
         addresses.retain(|address| *address != self.me.address);
-        out.extend(addresses.into_iter().map(|address| Output::SendTo { address, message: message.clone() }));
+        out.extend(addresses.into_iter().map(|address| Output::SendTo {
+            address,
+            message: message.clone(),
+        }));
     }
 
     pub(super) fn newcomer_asks(&mut self, newcomer: Peer, now: Millis, out: &mut Vec<Output>) {
-        let Some(decided) = self.decided.clone() else { return };
+        let Some(decided) = self.decided.clone() else {
+            return;
+        };
         out.push(Output::Send {
             to: newcomer.clone(),
-            message: Message::Decided { decided: decided.clone() },
+            message: Message::Decided {
+                decided: decided.clone(),
+            },
         });
         if decided.view.has_member(&newcomer.id) || !decided.view.has_member(&self.me.id) {
             return;
         }
         self.newcomers.retain(|other| other.is_heard(now));
-        if let Some(known) = self.newcomers.iter_mut().find(|other| other.peer == newcomer) {
+        if let Some(known) = self
+            .newcomers
+            .iter_mut()
+            .find(|other| other.peer == newcomer)
+        {
             known.heard_at = now;
         } else if self.newcomers.len() < MOST_NEWCOMERS {
-            self.newcomers.push(Newcomer { peer: newcomer, first_heard_at: now, heard_at: now });
-            self.newcomers.sort_by(|one, other| one.peer.id.cmp(&other.peer.id));
+            self.newcomers.push(Newcomer {
+                peer: newcomer,
+                first_heard_at: now,
+                heard_at: now,
+            });
+            self.newcomers
+                .sort_by(|one, other| one.peer.id.cmp(&other.peer.id));
         }
         self.consider_next_view(now, out);
     }
@@ -126,16 +155,27 @@
 
     /// The one place where the view changes.
     pub(super) fn install(&mut self, decided: DecidedView, now: Millis, out: &mut Vec<Output>) {
-        self.journal.write(Write::Install { decided: decided.clone() });
+        self.journal.write(Write::Install {
+            decided: decided.clone(),
+        });
         let before = self.decided.replace(decided);
         let view = self.view().cloned().expect("just installed");
         self.decided_at = now;
         self.end_agreement();
-        self.peers.install(before.as_ref().map(|before| &before.view), &view, &self.me.id, now);
-        self.newcomers.retain(|newcomer| !view.has_member(&newcomer.peer.id));
+        self.peers.install(
+            before.as_ref().map(|before| &before.view),
+            &view,
+            &self.me.id,
+            now,
+        );
+        self.newcomers
+            .retain(|newcomer| !view.has_member(&newcomer.peer.id));
         self.seek_place(Vec::new(), now);
         self.told_current = self.current(now);
-        out.push(Output::ViewChanged { view, current: self.told_current });
+        out.push(Output::ViewChanged {
+            view,
+            current: self.told_current,
+        });
         self.enter_chain(now, out);
         self.view_changed_for_requests(now, out);
         self.ping_all(false, now, out);
@@ -150,9 +190,20 @@
     ) {
         let gone = before.into_iter().flat_map(|before| before.members.iter());
         let gone = gone.filter(|member| !decided.view.has_member(&member.id));
-        for to in decided.view.members.iter().chain(gone).filter(|member| member.id != self.me.id) {
-            let message = Message::Decided { decided: decided.clone() };
-            out.push(Output::Send { to: to.clone(), message });
+        for to in decided
+            .view
+            .members
+            .iter()
+            .chain(gone)
+            .filter(|member| member.id != self.me.id)
+        {
+            let message = Message::Decided {
+                decided: decided.clone(),
+            };
+            out.push(Output::Send {
+                to: to.clone(),
+                message,
+            });
         }
     }
 
@@ -188,34 +239,58 @@
             committed: self.committed,
             answer,
         };
-        out.push(Output::Send { to: to.clone(), message: Message::Ping(ping) });
+        out.push(Output::Send {
+            to: to.clone(),
+            message: Message::Ping(ping),
+        });
     }
 
     /// Whom this member is connected with both ways, a bit for each member of the view.
     fn connected_bits(&self, now: Millis) -> u32 {
         let Some(view) = self.view() else { return 0 };
         let connected = |id: &MemberId| *id == self.me.id || self.peers.is_connected(id, now);
-        let bits = view.members.iter().enumerate().filter(|(_, member)| connected(&member.id));
+        let bits = view
+            .members
+            .iter()
+            .enumerate()
+            .filter(|(_, member)| connected(&member.id));
         bits.fold(0, |bits, (index, _)| bits | 1 << index)
     }
 
     /// When a stamp of this run was sent; none for those of other runs.
     fn time_of_stamp(&self, stamp: Option<u64>, now: Millis) -> Option<Millis> {
-        stamp?.checked_sub(self.stamps_begin).filter(|at| *at <= now)
+        stamp?
+            .checked_sub(self.stamps_begin)
+            .filter(|at| *at <= now)
     }
 
     pub(super) fn ping_all(&mut self, answer: bool, now: Millis, out: &mut Vec<Output>) {
         self.next_ping = now + PING_EVERY;
-        let Some(view) = self.view().filter(|view| view.has_member(&self.me.id)) else { return };
-        let others: Vec<Peer> =
-            view.members.iter().filter(|member| member.id != self.me.id).cloned().collect();
+        let Some(view) = self.view().filter(|view| view.has_member(&self.me.id)) else {
+            return;
+        };
+        let others: Vec<Peer> = view
+            .members
+            .iter()
+            .filter(|member| member.id != self.me.id)
+            .cloned()
+            .collect();
         for other in &others {
             self.ping(other, answer, now, out);
         }
     }
 
-    pub(super) fn pinged(&mut self, from: MemberId, ping: Ping, now: Millis, out: &mut Vec<Output>) {
-        let sender = Peer { id: from, address: ping.address };
+    pub(super) fn pinged(
+        &mut self,
+        from: MemberId,
+        ping: Ping,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
+        let sender = Peer {
+            id: from,
+            address: ping.address,
+        };
         let number = ping.view;
         let answer = ping.answer;
         let echoed = self.time_of_stamp(ping.echo, now);
@@ -237,7 +312,10 @@
     /// Tells the present view to one that doesn't know it.
     pub(super) fn tell_view(&mut self, to: &Peer, out: &mut Vec<Output>) {
         if let Some(decided) = self.decided.clone() {
-            out.push(Output::Send { to: to.clone(), message: Message::Decided { decided } });
+            out.push(Output::Send {
+                to: to.clone(),
+                message: Message::Decided { decided },
+            });
         }
     }
 
--- a/crates/chain/src/member/mod.rs
+++ b/crates/chain/src/member/mod.rs
@@ -192,7 +192,10 @@
         let mut random = Random::new(seed);
         let session = random.next();
         let stamps_begin = random.next() >> SPARE_STAMP_BITS;
-        let start = saved.snapshot.as_ref().map_or_else(Default::default, |snapshot| snapshot.position);
+        let start = saved
+            .snapshot
+            .as_ref()
+            .map_or_else(Default::default, |snapshot| snapshot.position);
         let log = Log::restore(start, saved.entries);
         let mut peers = Peers::default();
         if let Some(decided) = &saved.decided {
@@ -209,7 +212,10 @@
             journal: Journal::default(),
             decided: saved.decided,
             decided_at: now,
-            acceptor: Acceptor { promised: saved.promised, accepted: saved.accepted },
+            acceptor: Acceptor {
+                promised: saved.promised,
+                accepted: saved.accepted,
+            },
             proposer: Proposer::Idle,
             propose_at: None,
             peers,
@@ -279,7 +285,9 @@
 
     /// Whether a majority of the view's members has answered lately, in this view.
     pub fn current(&self, now: Millis) -> bool {
-        let Some(view) = self.view() else { return false };
+        let Some(view) = self.view() else {
+            return false;
+        };
         if !view.has_member(&self.me.id) {
             return false;
         }
@@ -302,7 +310,9 @@
     /// log by a moment only. One that has started again, was taken back, or is parted from the tail holds commits that
     /// it doesn't know to be some.
     pub fn follows(&self, now: Millis) -> bool {
-        let fresh = self.freshness.is_fresh(self.committed, self.log.last().index, now);
+        let fresh = self
+            .freshness
+            .is_fresh(self.committed, self.log.last().index, now);
         self.takes_part(now) && (fresh || !self.guards.commits_awaited)
     }
 
@@ -322,10 +332,16 @@
         self.started = true;
         self.last_step = now;
         if let Some(snapshot) = self.restored.take() {
-            out.push(Output::Install { index: snapshot.position.index, bytes: snapshot.bytes.to_vec() });
+            out.push(Output::Install {
+                index: snapshot.position.index,
+                bytes: snapshot.bytes.to_vec(),
+            });
         }
         if let Some(view) = self.view().cloned() {
-            out.push(Output::ViewChanged { view, current: false });
+            out.push(Output::ViewChanged {
+                view,
+                current: false,
+            });
             self.resume_chain(now, out);
             self.seek_place(Vec::new(), now);
             self.ping_all(true, now, out);
@@ -370,12 +386,19 @@
             self.carry_out(waiting, now, out);
         }
         if let Some(batch) = self.journal.next_batch(now) {
-            out.push(Output::Persist { batch: batch.number, writes: batch.writes });
+            out.push(Output::Persist {
+                batch: batch.number,
+                writes: batch.writes,
+            });
         }
-        self.freshness.note(self.committed, self.log.last().index, now);
+        self.freshness
+            .note(self.committed, self.log.last().index, now);
         let current = self.current(now);
         if let Some(view) = self.view().filter(|_| current != self.told_current) {
-            out.push(Output::ViewChanged { view: view.clone(), current });
+            out.push(Output::ViewChanged {
+                view: view.clone(),
+                current,
+            });
             self.told_current = current;
         }
     }
@@ -421,26 +444,36 @@
             Message::Join { newcomer } => self.newcomer_asks(newcomer, now, out),
             Message::Decided { decided } => self.learn(decided, now, out),
             Message::Ping(ping) => self.pinged(from, ping, now, out),
-            Message::Prepare { ballot, decided } => self.prepare_asked(from, ballot, decided, now, out),
+            Message::Prepare { ballot, decided } => {
+                self.prepare_asked(from, ballot, decided, now, out)
+            }
             Message::Promise(promise) => self.promised(from, promise, now, out),
             Message::Refuse { number, promised } => self.refused(number, promised, now),
-            Message::Accept { ballot, proposal } => self.accept_asked(from, ballot, proposal, now, out),
+            Message::Accept { ballot, proposal } => {
+                self.accept_asked(from, ballot, proposal, now, out)
+            }
             Message::Accepted { number, ballot } => self.accepted(from, number, ballot, now, out),
             Message::Append(append) => self.appended(from, append, now, out),
             Message::Attach(attach) => self.attached(from, attach, now, out),
             Message::Follow(attach) => self.followed(from, attach, now, out),
             Message::Followed(append) => self.follow(from, append, now, out),
-            Message::Snapshot { view, position, bytes } => {
-                self.snapshot_received(from, view, SavedSnapshot { position, bytes }, now, out)
+            Message::Snapshot {
+                view,
+                position,
+                bytes,
+            } => self.snapshot_received(from, view, SavedSnapshot { position, bytes }, now, out),
+            Message::SnapshotPart { view, part } => {
+                self.snapshot_part_received(from, view, part, now, out)
             }
-            Message::SnapshotPart { view, part } => self.snapshot_part_received(from, view, part, now, out),
             Message::SnapshotProgress { view, progress } => {
                 self.snapshot_progressed(from, view, progress, now, out)
             }
             Message::Committed { view, index } => self.committed_below(from, view, index, now, out),
-            Message::Submit { view, origin, payload } => {
-                self.submission_received(from, view, origin, payload, now, out)
-            }
+            Message::Submit {
+                view,
+                origin,
+                payload,
+            } => self.submission_received(from, view, origin, payload, now, out),
             Message::Overloaded { origin } => self.overloaded(origin, out),
             Message::Probe(probe) => self.probed(from, probe, now, out),
             Message::ProbeAnswer { round, index } => self.probe_answered(round, index, now, out),
--- a/crates/chain/src/member/snapshots.rs
+++ b/crates/chain/src/member/snapshots.rs
@@ -56,7 +56,8 @@
 impl Snapshots {
     /// A snapshot is to be made for the member, or is on its way there.
     pub(super) fn is_wanted_by(&self, member: &MemberId) -> bool {
-        self.for_members.contains(member) || self.transfers.iter().any(|transfer| transfer.to == *member)
+        self.for_members.contains(member)
+            || self.transfers.iter().any(|transfer| transfer.to == *member)
     }
 
     pub(super) fn is_not_wanted_by(&mut self, member: &MemberId) {
@@ -81,17 +82,24 @@
     }
 
     fn ended_just_now(&self, to: &MemberId, now: Millis) -> bool {
-        self.ended.iter().any(|ended| ended.to == *to && now < ended.at + SNAPSHOT_GAP)
+        self.ended
+            .iter()
+            .any(|ended| ended.to == *to && now < ended.at + SNAPSHOT_GAP)
     }
 
     fn transfer_mut(&mut self, to: &MemberId) -> Option<&mut Transfer> {
-        self.transfers.iter_mut().find(|transfer| transfer.to == *to)
+        self.transfers
+            .iter_mut()
+            .find(|transfer| transfer.to == *to)
     }
 
     fn end_transfer(&mut self, to: &MemberId, now: Millis) {
         self.is_not_wanted_by(to);
         self.ended.retain(|ended| ended.to != *to);
-        self.ended.push(EndedTransfer { to: to.clone(), at: now });
+        self.ended.push(EndedTransfer {
+            to: to.clone(),
+            at: now,
+        });
     }
 
     fn is_wanted(&self) -> bool {
@@ -113,7 +121,12 @@
     }
 
     /// The log here doesn't reach back to where the member's ends.
-    pub(super) fn want_snapshot_for(&mut self, member: MemberId, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn want_snapshot_for(
+        &mut self,
+        member: MemberId,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         self.drop_outrun_transfers();
         if let Some(transfer) = self.snapshots.transfer_mut(&member) {
             if now >= transfer.sent_at + SNAPSHOT_PART_AGAIN {
@@ -124,7 +137,11 @@
         if self.snapshots.ended_just_now(&member, now) || self.snapshots.is_wanted_by(&member) {
             return;
         }
-        let shared = self.snapshots.transfers.first().map(|other| other.shared_with(member.clone(), now));
+        let shared = self
+            .snapshots
+            .transfers
+            .first()
+            .map(|other| other.shared_with(member.clone(), now));
         match shared {
             Some(transfer) => {
                 self.snapshots.transfers.push(transfer);
@@ -140,7 +157,9 @@
     /// The log has to go on from where a snapshot ends.
     fn drop_outrun_transfers(&mut self) {
         let log = &self.log;
-        self.snapshots.transfers.retain(|transfer| log.holds(transfer.position()));
+        self.snapshots
+            .transfers
+            .retain(|transfer| log.holds(transfer.position()));
     }
 
     fn ask_for_snapshot(&mut self, now: Millis, out: &mut Vec<Output>) {
@@ -148,12 +167,25 @@
         out.push(Output::WantSnapshot);
     }
 
-    pub(super) fn snapshot_given(&mut self, index: u64, bytes: Vec<u8>, now: Millis, out: &mut Vec<Output>) {
-        let Some(position) = self.log.position(index).filter(|_| index <= self.committed) else { return };
+    pub(super) fn snapshot_given(
+        &mut self,
+        index: u64,
+        bytes: Vec<u8>,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(position) = self.log.position(index).filter(|_| index <= self.committed) else {
+            return;
+        };
         self.snapshots.asked_at = None;
-        let snapshot = SavedSnapshot { position, bytes: Payload::from(bytes) };
+        let snapshot = SavedSnapshot {
+            position,
+            bytes: Payload::from(bytes),
+        };
         for member in std::mem::take(&mut self.snapshots.for_members) {
-            self.snapshots.transfers.push(Transfer::new(member.clone(), snapshot.clone(), now));
+            self.snapshots
+                .transfers
+                .push(Transfer::new(member.clone(), snapshot.clone(), now));
             self.send_part(&member, now, out);
         }
         if std::mem::take(&mut self.snapshots.for_log) && index > self.snapshots.on_disk {
@@ -170,7 +202,9 @@
             return;
         }
         let view = self.number();
-        let Some(transfer) = self.snapshots.transfer_mut(to) else { return };
+        let Some(transfer) = self.snapshots.transfer_mut(to) else {
+            return;
+        };
         let part = transfer.next_part(now);
         self.send(to, Message::SnapshotPart { view, part }, now, out);
     }
@@ -187,7 +221,9 @@
         if view != self.number() || !self.is_synced() {
             return;
         }
-        let Some(transfer) = self.snapshots.transfer_mut(&from) else { return };
+        let Some(transfer) = self.snapshots.transfer_mut(&from) else {
+            return;
+        };
         if transfer.label() != progress.label {
             return;
         }
@@ -211,10 +247,19 @@
     /// shortly, and those that a member needs which a snapshot is on its way to.
     fn forget_entries(&mut self) {
         let on_disk = self.snapshots.on_disk;
-        let needed = self.snapshots.transfers.iter().map(|transfer| transfer.position().index).min();
+        let needed = self
+            .snapshots
+            .transfers
+            .iter()
+            .map(|transfer| transfer.position().index)
+            .min();
         while self.log.start().index < on_disk {
             let is_needed = needed.is_some_and(|index| index <= self.log.start().index);
-            let most = if is_needed { KEPT_FOR_TRANSFER_BYTES } else { KEPT_BYTES };
+            let most = if is_needed {
+                KEPT_FOR_TRANSFER_BYTES
+            } else {
+                KEPT_BYTES
+            };
             if self.log.bytes() <= most {
                 return;
             }
@@ -225,7 +270,9 @@
     /// Whether this member takes snapshots from `from` in this view.
     fn takes_snapshots_of(&self, from: &MemberId, view: u64) -> bool {
         let behind = matches!(self.stage, Stage::Unsynced | Stage::Outside);
-        let source = self.view().and_then(|view| Member::snapshot_source(view, &self.me.id));
+        let source = self
+            .view()
+            .and_then(|view| Member::snapshot_source(view, &self.me.id));
         view == self.number() && source.as_ref() == Some(from) && behind
     }
 
@@ -249,10 +296,23 @@
         self.upstream.heard_snapshot(now);
         if self.reaches(label.position) {
             // The sender goes on from there: it may know neither the end of the log here nor what is committed here.
-            let progress = SnapshotProgress { label, held: label.length, refused: false };
-            return self.send(&from, Message::SnapshotProgress { view, progress }, now, out);
+            let progress = SnapshotProgress {
+                label,
+                held: label.length,
+                refused: false,
+            };
+            return self.send(
+                &from,
+                Message::SnapshotProgress { view, progress },
+                now,
+                out,
+            );
         }
-        let taken = Incoming::take(&mut self.snapshots.incoming, part, self.guards.snapshots_checked);
+        let taken = Incoming::take(
+            &mut self.snapshots.incoming,
+            part,
+            self.guards.snapshots_checked,
+        );
         let (held, refused) = match taken {
             Taken::Held(held) => (held, false),
             Taken::Whole(_) => (label.length, false),
@@ -261,8 +321,17 @@
                 (0, true)
             }
         };
-        let progress = SnapshotProgress { label, held, refused };
-        self.send(&from, Message::SnapshotProgress { view, progress }, now, out);
+        let progress = SnapshotProgress {
+            label,
+            held,
+            refused,
+        };
+        self.send(
+            &from,
+            Message::SnapshotProgress { view, progress },
+            now,
+            out,
+        );
         if let Taken::Whole(snapshot) = taken {
             self.install_snapshot(snapshot, now, out);
         }
@@ -293,11 +362,19 @@
         self.journal.truncated(0);
         self.journal.write(Write::Truncate { index: 0 });
         self.journal.write(Write::Synced { view: 0 });
-        out.push(Output::Install { index: position.index, bytes: snapshot.bytes.to_vec() });
+        out.push(Output::Install {
+            index: position.index,
+            bytes: snapshot.bytes.to_vec(),
+        });
         let refusals = self.snapshots.refusals;
-        self.snapshots = Snapshots { refusals, ..Snapshots::from(Some(&snapshot)) };
+        self.snapshots = Snapshots {
+            refusals,
+            ..Snapshots::from(Some(&snapshot))
+        };
         self.journal.write(Write::Snapshot { snapshot });
-        self.journal.then(Consequence::Stored { index: position.index });
+        self.journal.then(Consequence::Stored {
+            index: position.index,
+        });
         self.log.reset(position);
         self.persisted = 0;
         self.committed = position.index;
@@ -309,27 +386,46 @@
         if self.next_demand().is_some_and(|at| now >= at) {
             self.ask_for_snapshot(now, out);
         }
-        self.snapshots.transfers.retain(|transfer| !transfer.is_given_up(now));
+        self.snapshots
+            .transfers
+            .retain(|transfer| !transfer.is_given_up(now));
         let due = |transfer: &&Transfer| now >= transfer.sent_at + SNAPSHOT_PART_AGAIN;
-        let again: Vec<MemberId> =
-            self.snapshots.transfers.iter().filter(due).map(|transfer| transfer.to.clone()).collect();
+        let again: Vec<MemberId> = self
+            .snapshots
+            .transfers
+            .iter()
+            .filter(due)
+            .map(|transfer| transfer.to.clone())
+            .collect();
         for member in again {
             self.send_part(&member, now, out);
         }
     }
 
     /// The connection to a member works again: the part on its way is lost.
-    pub(super) fn snapshots_reconnected(&mut self, peer: &MemberId, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn snapshots_reconnected(
+        &mut self,
+        peer: &MemberId,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         self.send_part(peer, now, out);
     }
 
     /// When to ask the caller again.
     fn next_demand(&self) -> Option<Millis> {
-        self.snapshots.asked_at.filter(|_| self.snapshots.is_wanted()).map(|at| at + SNAPSHOT_AGAIN)
+        self.snapshots
+            .asked_at
+            .filter(|_| self.snapshots.is_wanted())
+            .map(|at| at + SNAPSHOT_AGAIN)
     }
 
     pub(super) fn next_snapshot_tick(&self) -> Option<Millis> {
-        let parts = self.snapshots.transfers.iter().map(|transfer| transfer.sent_at + SNAPSHOT_PART_AGAIN);
+        let parts = self
+            .snapshots
+            .transfers
+            .iter()
+            .map(|transfer| transfer.sent_at + SNAPSHOT_PART_AGAIN);
         let parts = parts.filter(|_| self.is_synced()).min();
         [self.next_demand(), parts].into_iter().flatten().min()
     }
--- a/crates/chain/src/member/transfer.rs
+++ b/crates/chain/src/member/transfer.rs
@@ -24,7 +24,11 @@
 impl SnapshotLabel {
     pub fn of(snapshot: &SavedSnapshot) -> SnapshotLabel {
         let bytes = snapshot.bytes.bytes();
-        SnapshotLabel { position: snapshot.position, length: bytes.len() as u64, checksum: xxh3_64(bytes) }
+        SnapshotLabel {
+            position: snapshot.position,
+            length: bytes.len() as u64,
+            checksum: xxh3_64(bytes),
+        }
     }
 }
 
@@ -94,8 +98,14 @@
 
     /// Reasons that there were none of before.
     pub fn first_since(&self, before: &SnapshotRefusals) -> Vec<SnapshotRefusal> {
-        let all = [SnapshotRefusal::TooLarge, SnapshotRefusal::PartOutOfBounds, SnapshotRefusal::Checksum];
-        all.into_iter().filter(|refusal| before.of(*refusal) == 0 && self.of(*refusal) > 0).collect()
+        let all = [
+            SnapshotRefusal::TooLarge,
+            SnapshotRefusal::PartOutOfBounds,
+            SnapshotRefusal::Checksum,
+        ];
+        all.into_iter()
+            .filter(|refusal| before.of(*refusal) == 0 && self.of(*refusal) > 0)
+            .collect()
     }
 
     pub fn total(&self) -> u64 {
@@ -119,12 +129,25 @@
 impl Transfer {
     pub(super) fn new(to: MemberId, snapshot: SavedSnapshot, now: Millis) -> Transfer {
         let label = SnapshotLabel::of(&snapshot);
-        Transfer { to, label, snapshot, held: 0, moved_at: now, sent_at: now }
+        Transfer {
+            to,
+            label,
+            snapshot,
+            held: 0,
+            moved_at: now,
+            sent_at: now,
+        }
     }
 
     /// The same snapshot for another member: its bytes are shared.
     pub(super) fn shared_with(&self, to: MemberId, now: Millis) -> Transfer {
-        Transfer { to, held: 0, moved_at: now, sent_at: now, ..self.clone() }
+        Transfer {
+            to,
+            held: 0,
+            moved_at: now,
+            sent_at: now,
+            ..self.clone()
+        }
     }
 
     pub(super) fn position(&self) -> Position {
@@ -141,7 +164,11 @@
         let bytes = self.snapshot.bytes.bytes();
         let from = (self.held as usize).min(bytes.len());
         let to = (from + SNAPSHOT_PART_BYTES).min(bytes.len());
-        SnapshotPart { label: self.label, offset: self.held, bytes: Payload::from(&bytes[from..to]) }
+        SnapshotPart {
+            label: self.label,
+            offset: self.held,
+            bytes: Payload::from(&bytes[from..to]),
+        }
     }
 
     /// Notes what the receiver holds; says whether that is all.
@@ -177,30 +204,51 @@
 
 impl Incoming {
     /// Takes a part into what has come so far. Nothing of an earlier snapshot is mixed with it.
-    pub(super) fn take(incoming: &mut Option<Incoming>, part: SnapshotPart, check_whole: bool) -> Taken {
+    pub(super) fn take(
+        incoming: &mut Option<Incoming>,
+        part: SnapshotPart,
+        check_whole: bool,
+    ) -> Taken {
         let label = part.label;
         if label.length > MOST_SNAPSHOT_BYTES {
             return Taken::Refused(SnapshotRefusal::TooLarge);
         }
         let end = part.offset.checked_add(part.bytes.len() as u64);
         let empty = part.bytes.is_empty() && label.length > 0;
-        if empty || part.bytes.len() > SNAPSHOT_PART_BYTES || end.is_none_or(|end| end > label.length) {
+        if empty
+            || part.bytes.len() > SNAPSHOT_PART_BYTES
+            || end.is_none_or(|end| end > label.length)
+        {
             return Taken::Refused(SnapshotRefusal::PartOutOfBounds);
         }
-        if incoming.as_ref().is_none_or(|incoming| incoming.label != label) {
-            *incoming = Some(Incoming { label, bytes: Vec::new() });
+        if incoming
+            .as_ref()
+            .is_none_or(|incoming| incoming.label != label)
+        {
+            *incoming = Some(Incoming {
+                label,
+                bytes: Vec::new(),
+            });
         }
-        let Some(current) = incoming else { return Taken::Held(0) };
+        let Some(current) = incoming else {
+            return Taken::Held(0);
+        };
         if part.offset == current.bytes.len() as u64 {
             current.bytes.extend_from_slice(part.bytes.bytes());
         }
         if (current.bytes.len() as u64) < label.length {
             return Taken::Held(current.bytes.len() as u64);
         }
-        let bytes = incoming.take().map(|incoming| incoming.bytes).unwrap_or_default();
+        let bytes = incoming
+            .take()
+            .map(|incoming| incoming.bytes)
+            .unwrap_or_default();
         if check_whole && xxh3_64(&bytes) != label.checksum {
             return Taken::Refused(SnapshotRefusal::Checksum);
         }
-        Taken::Whole(SavedSnapshot { position: label.position, bytes: Payload::from(bytes) })
+        Taken::Whole(SavedSnapshot {
+            position: label.position,
+            bytes: Payload::from(bytes),
+        })
     }
 }
--- a/crates/chain/src/peers.rs
+++ b/crates/chain/src/peers.rs
@@ -49,7 +49,8 @@
     /// When it becomes suspected, unless it is heard before.
     fn suspected_at(&self) -> Millis {
         let silent = self.heard_at + SUSPECT_AFTER;
-        self.disconnected_at.map_or(silent, |at| silent.min(at + SUSPECT_AFTER_DISCONNECT))
+        self.disconnected_at
+            .map_or(silent, |at| silent.min(at + SUSPECT_AFTER_DISCONNECT))
     }
 
     fn is_heard(&self, now: Millis) -> bool {
@@ -79,7 +80,8 @@
     /// Keeps what is known of the view's members, forgets others, and notes who left the chain.
     /// One that isn't a member exchanges no pings, so it knows nothing.
     pub fn install(&mut self, before: Option<&View>, view: &View, me: &MemberId, now: Millis) {
-        self.states.retain(|state| view.has_member(&state.id) && view.has_member(me));
+        self.states
+            .retain(|state| view.has_member(&state.id) && view.has_member(me));
         if !view.has_member(me) {
             return;
         }
@@ -109,15 +111,20 @@
 
     /// Says whether the ping tells anything that the one before didn't, as to who should be in the chain.
     pub fn pinged(&mut self, id: &MemberId, ping: Ping, echoed: Option<Millis>) -> bool {
-        let Some(state) = self.state_mut(id) else { return false };
+        let Some(state) = self.state_mut(id) else {
+            return false;
+        };
         let first_echo = state.echoed.is_none();
         state.stamp = Some(ping.stamp);
         if echoed >= state.echoed {
             state.echoed = echoed;
             state.echoed_in_view = ping.view;
         }
-        let news =
-            first_echo || state.ping.as_ref().is_none_or(|before| before.standing() != ping.standing());
+        let news = first_echo
+            || state
+                .ping
+                .as_ref()
+                .is_none_or(|before| before.standing() != ping.standing());
         state.ping = Some(ping);
         news
     }
@@ -130,13 +137,16 @@
     }
 
     pub fn is_disconnected(&self, id: &MemberId) -> bool {
-        self.state(id).is_some_and(|state| state.disconnected_at.is_some())
+        self.state(id)
+            .is_some_and(|state| state.disconnected_at.is_some())
     }
 
     /// We stood still ourselves: what wasn't heard meanwhile says nothing. Everyone gets a round to be heard.
     pub fn doubt_ourselves(&mut self, now: Millis) {
         for state in &mut self.states {
-            state.heard_at = state.heard_at.max((now + DOUBT_ROUND).saturating_sub(SUSPECT_AFTER));
+            state.heard_at = state
+                .heard_at
+                .max((now + DOUBT_ROUND).saturating_sub(SUSPECT_AFTER));
             state.disconnected_at = None;
             state.trusted_until = state.trusted_until.max(now + DOUBT_ROUND);
             state.well_since = None;
@@ -149,25 +159,34 @@
 
     /// Heard, and taken to hear us.
     pub fn is_connected(&self, id: &MemberId, now: Millis) -> bool {
-        self.state(id).is_some_and(|state| state.is_heard(now) && state.hears_us(now))
+        self.state(id)
+            .is_some_and(|state| state.is_heard(now) && state.hears_us(now))
     }
 
     /// Heard, and shown to hear us.
     pub fn is_proven(&self, id: &MemberId, now: Millis) -> bool {
         let echoed = |state: &PeerState| state.echoed.is_some_and(|stamp| now < stamp + ECHO_LASTS);
-        self.state(id).is_some_and(|state| state.is_heard(now) && echoed(state))
+        self.state(id)
+            .is_some_and(|state| state.is_heard(now) && echoed(state))
     }
 
     /// Has answered lately, in view `number`.
     pub fn is_current(&self, id: &MemberId, number: u64, now: Millis) -> bool {
-        let echoed = |state: &PeerState| state.echoed.is_some_and(|stamp| now <= stamp + CURRENT_WITHIN);
-        self.state(id).is_some_and(|state| echoed(state) && state.echoed_in_view == number)
+        let echoed = |state: &PeerState| {
+            state
+                .echoed
+                .is_some_and(|stamp| now <= stamp + CURRENT_WITHIN)
+        };
+        self.state(id)
+            .is_some_and(|state| echoed(state) && state.echoed_in_view == number)
     }
 
     /// Was heard lately, in view `number`; for the guard that is against this.
     pub fn is_heard_lately(&self, id: &MemberId, number: u64, now: Millis) -> bool {
-        let same_view = |state: &PeerState| state.ping.as_ref().is_some_and(|ping| ping.view == number);
-        self.state(id).is_some_and(|state| now <= state.heard_at + CURRENT_WITHIN && same_view(state))
+        let same_view =
+            |state: &PeerState| state.ping.as_ref().is_some_and(|ping| ping.view == number);
+        self.state(id)
+            .is_some_and(|state| now <= state.heard_at + CURRENT_WITHIN && same_view(state))
     }
 
     /// Our clock went back: what was echoed says nothing any more.
@@ -178,17 +197,23 @@
     }
 
     pub fn silent_for(&self, id: &MemberId, now: Millis) -> Millis {
-        self.state(id).map_or(0, |state| now.saturating_sub(state.heard_at))
+        self.state(id)
+            .map_or(0, |state| now.saturating_sub(state.heard_at))
     }
 
     /// Its newest ping, if it was in view `number`.
     pub fn ping(&self, id: &MemberId, number: u64) -> Option<&Ping> {
-        self.state(id)?.ping.as_ref().filter(|ping| ping.view == number)
+        self.state(id)?
+            .ping
+            .as_ref()
+            .filter(|ping| ping.view == number)
     }
 
     /// Whether it has said that its process is about to end, in whichever view. One that comes back takes it back.
     pub fn is_leaving(&self, id: &MemberId) -> bool {
-        self.state(id).and_then(|state| state.ping.as_ref()).is_some_and(|ping| ping.leaving)
+        self.state(id)
+            .and_then(|state| state.ping.as_ref())
+            .is_some_and(|ping| ping.leaving)
     }
 
     /// Its newest stamp, to be echoed.
@@ -198,7 +223,9 @@
 
     /// Notes whether it could be taken back into the chain, and says whether it has been so for long enough.
     pub fn may_return(&mut self, id: &MemberId, well: bool, now: Millis) -> bool {
-        let Some(state) = self.state_mut(id) else { return false };
+        let Some(state) = self.state_mut(id) else {
+            return false;
+        };
         if !well {
             state.well_since = None;
             return false;
@@ -209,6 +236,10 @@
 
     /// The next time after `now` at which another becomes suspected.
     pub fn next_suspicion(&self, now: Millis) -> Option<Millis> {
-        self.states.iter().map(PeerState::suspected_at).filter(|at| *at > now).min()
+        self.states
+            .iter()
+            .map(PeerState::suspected_at)
+            .filter(|at| *at > now)
+            .min()
     }
 }
--- a/crates/chain/src/plan.rs
+++ b/crates/chain/src/plan.rs
@@ -62,10 +62,17 @@
     let least = majority_of(members.len());
     let in_place = |index: &usize| members.contains(&situation.view.members[*index]);
 
-    let present: Vec<usize> = situation.chain_indices().into_iter().filter(in_place).collect();
+    let present: Vec<usize> = situation
+        .chain_indices()
+        .into_iter()
+        .filter(in_place)
+        .collect();
     let reachable = situation.without_disconnected(present);
-    let mut chain: Vec<usize> =
-        reachable.iter().copied().filter(|index| !situation.standings[*index].unfit).collect();
+    let mut chain: Vec<usize> = reachable
+        .iter()
+        .copied()
+        .filter(|index| !situation.standings[*index].unfit)
+        .collect();
     situation.take_back(&mut chain, in_place, |standing| standing.may_return);
 
     if chain.len() < least {
@@ -76,12 +83,19 @@
     let newcomers = usize::from(newcomer.is_some());
     if chain.len() + newcomers < least {
         // Rather a chain with unfit members than none.
-        let returned: Vec<usize> = chain.into_iter().filter(|index| !reachable.contains(index)).collect();
+        let returned: Vec<usize> = chain
+            .into_iter()
+            .filter(|index| !reachable.contains(index))
+            .collect();
         chain = reachable;
         chain.extend(returned);
     }
     let id_of = |index: &usize| situation.view.members[*index].id.clone();
-    let chain: Vec<MemberId> = chain.iter().map(id_of).chain(newcomer.map(|peer| peer.id)).collect();
+    let chain: Vec<MemberId> = chain
+        .iter()
+        .map(id_of)
+        .chain(newcomer.map(|peer| peer.id))
+        .collect();
     (chain.len() >= least).then_some(Plan { members, chain })
 }
 
@@ -118,12 +132,19 @@
     if situation.view.has_member(&newcomer.id) {
         return Place::None;
     }
-    if let Some(index) = members.iter().position(|member| member.id.node == newcomer.id.node) {
+    if let Some(index) = members
+        .iter()
+        .position(|member| member.id.node == newcomer.id.node)
+    {
         // Against a late message of the disk before: a member that is heard isn't put out by its own name.
         let gone = situation.standings[index].silent;
         return if gone { Place::Of(index) } else { Place::None };
     }
-    if let Some(index) = situation.standings.iter().position(|standing| standing.replaceable) {
+    if let Some(index) = situation
+        .standings
+        .iter()
+        .position(|standing| standing.replaceable)
+    {
         return Place::Of(index);
     }
     if let Some(index) = dispensable_leaver(situation, members.len()) {
@@ -131,7 +152,10 @@
     }
     // A member that isn't heard will be back soon, or the newcomer takes its place: with the newcomer as one more, the
     // loss of another would be one too many.
-    let all_here = situation.standings.iter().all(|standing| standing.present && !standing.silent);
+    let all_here = situation
+        .standings
+        .iter()
+        .all(|standing| standing.present && !standing.silent);
     if all_here && applicant.patient && members.len() < MOST_MEMBERS {
         Place::New
     } else {
@@ -144,8 +168,15 @@
 fn superfluous(situation: &Situation) -> Option<usize> {
     let count = situation.view.members.len();
     let may_shrink = count > FEWEST_MEMBERS && count.is_multiple_of(2);
-    let gone = || situation.standings.iter().position(|standing| standing.replaceable);
-    may_shrink.then(|| gone().or_else(|| dispensable_leaver(situation, count - 1))).flatten()
+    let gone = || {
+        situation
+            .standings
+            .iter()
+            .position(|standing| standing.replaceable)
+    };
+    may_shrink
+        .then(|| gone().or_else(|| dispensable_leaver(situation, count - 1)))
+        .flatten()
 }
 
 /// A member that leaves and may go at once, to leave a view of `members_after` members. It need not have ended: a slow
@@ -155,7 +186,10 @@
     let standings = situation.standings;
     let holds = |standing: &&Standing| standing.synced && !standing.silent && !standing.unfit;
     let holders = |leaver: usize| {
-        let others = standings.iter().enumerate().filter(|(index, _)| *index != leaver);
+        let others = standings
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| *index != leaver);
         others.map(|(_, standing)| standing).filter(holds).count()
     };
     (0..standings.len())
@@ -164,7 +198,11 @@
 
 impl Situation<'_> {
     fn chain_indices(&self) -> Vec<usize> {
-        self.view.chain.iter().filter_map(|id| self.view.member_index(id)).collect()
+        self.view
+            .chain
+            .iter()
+            .filter_map(|id| self.view.member_index(id))
+            .collect()
     }
 
     fn connected(&self, one: usize, other: usize) -> bool {
@@ -175,11 +213,16 @@
     /// within the chain, the one goes that lacks the most to all members; of equals the one that more say they have
     /// lost, and then the one further down.
     fn without_disconnected(&self, mut indices: Vec<usize>) -> Vec<usize> {
-        let lacking =
-            |one: usize| (0..self.standings.len()).filter(|other| !self.connected(one, *other)).count();
+        let lacking = |one: usize| {
+            (0..self.standings.len())
+                .filter(|other| !self.connected(one, *other))
+                .count()
+        };
         loop {
             let cut_off = |one: usize| indices.iter().any(|other| !self.connected(one, *other));
-            let cut_off: Vec<usize> = (0..indices.len()).filter(|place| cut_off(indices[*place])).collect();
+            let cut_off: Vec<usize> = (0..indices.len())
+                .filter(|place| cut_off(indices[*place]))
+                .collect();
             let badness = |place: &usize| {
                 let index = indices[*place];
                 (lacking(index), self.standings[index].accusers, *place)
--- a/crates/chain/src/succession.rs
+++ b/crates/chain/src/succession.rs
@@ -28,7 +28,11 @@
     let base = base_after(decided, sealed)?;
     let holders = sealed.iter().filter(|log| log.synced_view >= base);
     let chain = chain_after(&decided.view, &plan, holders)?;
-    let view = View { number: decided.number() + 1, members: plan.members, chain };
+    let view = View {
+        number: decided.number() + 1,
+        members: plan.members,
+        chain,
+    };
     view.is_sound().then_some(DecidedView { view, base })
 }
 
@@ -41,7 +45,10 @@
 /// loss the end of the core.
 fn base_after(decided: &DecidedView, sealed: &[SealedLog]) -> Option<u64> {
     let number = decided.number();
-    let mut of_chain = sealed.iter().filter(|log| decided.view.in_chain(log.of)).peekable();
+    let mut of_chain = sealed
+        .iter()
+        .filter(|log| decided.view.in_chain(log.of))
+        .peekable();
     of_chain.peek()?;
     let all_synced = of_chain.all(|log| log.synced_view == number);
     Some(if all_synced { number } else { decided.base })
@@ -57,16 +64,29 @@
     let mut holders: Vec<&SealedLog> = holders.filter(stays).collect();
     // Those that go furthest first; of equals those further up the chain before.
     let place = |id: &MemberId| before.chain_index(id).unwrap_or(usize::MAX);
-    holders.sort_by(|one, other| other.extent().cmp(&one.extent()).then(place(one.of).cmp(&place(other.of))));
+    holders.sort_by(|one, other| {
+        other
+            .extent()
+            .cmp(&one.extent())
+            .then(place(one.of).cmp(&place(other.of)))
+    });
     let is_holder = |id: &MemberId| holders.iter().any(|other| other.of == id);
     let mut chain: Vec<MemberId> = Vec::new();
     if plan.chain.iter().any(is_holder) {
-        let planned = holders.iter().map(|other| other.of).filter(|id| plan.chain.contains(id));
+        let planned = holders
+            .iter()
+            .map(|other| other.of)
+            .filter(|id| plan.chain.contains(id));
         chain.extend(planned.cloned());
     } else {
         chain.push(holders.first()?.of.clone());
     }
-    let rest: Vec<MemberId> = plan.chain.iter().filter(|id| !chain.contains(id)).cloned().collect();
+    let rest: Vec<MemberId> = plan
+        .chain
+        .iter()
+        .filter(|id| !chain.contains(id))
+        .cloned()
+        .collect();
     chain.extend(rest);
     Some(chain)
 }
--- a/crates/chain/tests/faults.rs
+++ b/crates/chain/tests/faults.rs
@@ -24,7 +24,12 @@
 impl Tally {
     fn assert_none_failed(&self) {
         let failed = &self.failed;
-        assert!(failed.is_empty(), "{} failed: {:#?}", failed.len(), &failed[..failed.len().min(12)]);
+        assert!(
+            failed.is_empty(),
+            "{} failed: {:#?}",
+            failed.len(),
+            &failed[..failed.len().min(12)]
+        );
     }
 
     fn add(&mut self, played: Result<Played, String>) {
@@ -44,7 +49,9 @@
 fn play_all(seeds: std::ops::Range<u64>, plan: impl Fn(&Setup) -> Schedule + Sync) -> Tally {
     let next = AtomicU64::new(seeds.start);
     let tally = Mutex::new(Tally::default());
-    let workers = std::thread::available_parallelism().map_or(2, |count| count.get()).min(4);
+    let workers = std::thread::available_parallelism()
+        .map_or(2, |count| count.get())
+        .min(4);
     std::thread::scope(|scope| {
         for _ in 0..workers {
             scope.spawn(|| loop {
@@ -84,10 +91,22 @@
     let tally = play_all(seeds, |setup| schedule(setup, ROUNDS));
     tally.assert_none_failed();
     // What is said here was tried: writes, reads, and snapshots to members that were away.
-    assert!(tally.acknowledged > 200 * count, "{} writes", tally.acknowledged);
+    assert!(
+        tally.acknowledged > 200 * count,
+        "{} writes",
+        tally.acknowledged
+    );
     assert!(tally.reads > 50 * count, "{} reads", tally.reads);
-    assert!(tally.snapshots_given > count / 4, "{} snapshots", tally.snapshots_given);
-    assert!(tally.snapshots_installed > count / 20, "{} installed", tally.snapshots_installed);
+    assert!(
+        tally.snapshots_given > count / 4,
+        "{} snapshots",
+        tally.snapshots_given
+    );
+    assert!(
+        tally.snapshots_installed > count / 20,
+        "{} installed",
+        tally.snapshots_installed
+    );
 }
 
 #[test]
@@ -95,7 +114,11 @@
     let (seeds, count) = seeds();
     let tally = play_all(seeds, storm);
     tally.assert_none_failed();
-    assert!(tally.acknowledged > 50 * count, "{} writes", tally.acknowledged);
+    assert!(
+        tally.acknowledged > 50 * count,
+        "{} writes",
+        tally.acknowledged
+    );
     assert!(tally.reads > 10 * count, "{} reads", tally.reads);
 }
 
--- a/crates/chain/tests/guards.rs
+++ b/crates/chain/tests/guards.rs
@@ -18,14 +18,21 @@
     (0..SEEDS).find_map(|seed| {
         let mut setup = Setup::new(seed, 3 + (seed % 4) as usize);
         without(&mut setup);
-        play(setup, schedule(&setup, ROUNDS)).err().filter(|text| is_broken_promise(text))
+        play(setup, schedule(&setup, ROUNDS))
+            .err()
+            .filter(|text| is_broken_promise(text))
     })
 }
 
 fn is_broken_promise(text: &str) -> bool {
-    ["was committed before", "two views", "out of order", "wrong snapshot"]
-        .iter()
-        .any(|sign| text.contains(sign))
+    [
+        "was committed before",
+        "two views",
+        "out of order",
+        "wrong snapshot",
+    ]
+    .iter()
+    .any(|sign| text.contains(sign))
 }
 
 fn without(guards: Guards) -> Option<String> {
@@ -34,7 +41,10 @@
 
 #[test]
 fn views_must_be_checked() {
-    let found = without(Guards { views_checked: false, ..Guards::default() });
+    let found = without(Guards {
+        views_checked: false,
+        ..Guards::default()
+    });
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
@@ -48,14 +58,20 @@
 
 #[test]
 fn syncs_must_come_before_messages() {
-    let found = without(Guards { synced_before_passed_on: false, ..Guards::default() });
+    let found = without(Guards {
+        synced_before_passed_on: false,
+        ..Guards::default()
+    });
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
 
 #[test]
 fn reads_must_be_confirmed() {
-    let found = without(Guards { reads_confirmed: false, ..Guards::default() });
+    let found = without(Guards {
+        reads_confirmed: false,
+        ..Guards::default()
+    });
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
@@ -68,7 +84,9 @@
         let mut setup = Setup::new(seed, 3);
         setup.sync_most = 4;
         setup.guards.decided_once = false;
-        play(setup, storm(&setup)).err().filter(|text| text.contains("two views"))
+        play(setup, storm(&setup))
+            .err()
+            .filter(|text| text.contains("two views"))
     });
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
@@ -76,7 +94,10 @@
 
 #[test]
 fn members_must_be_whole_before_they_count() {
-    let found = without(Guards { whole_before_synced: false, ..Guards::default() });
+    let found = without(Guards {
+        whole_before_synced: false,
+        ..Guards::default()
+    });
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
--- a/crates/chain/tests/member.rs
+++ b/crates/chain/tests/member.rs
@@ -5,34 +5,54 @@
     COMMITS_KNOWN_WITHIN, MOST_NEWCOMERS, MOST_READS, MOST_SUBMISSIONS, MOST_UNCOMMITTED,
 };
 use dunespur_chain::{
-    AcceptedView, Ballot, DecidedView, Entry, Input, Member, MemberId, Message, Origin, Output, Payload,
-    Peer, Position, Saved, View, Write,
+    AcceptedView, Ballot, DecidedView, Entry, Input, Member, MemberId, Message, Origin, Output,
+    Payload, Peer, Position, Saved, View, Write,
 };
 
 const NOW: u64 = 10_000;
 
 fn id(node: usize) -> MemberId {
-    MemberId { node: format!("m{node}"), disk: 1 }
+    MemberId {
+        node: format!("m{node}"),
+        disk: 1,
+    }
 }
 
 fn peer(node: usize) -> Peer {
-    Peer { id: id(node), address: ([10, 0, 0, node as u8], 7380).into() }
+    Peer {
+        id: id(node),
+        address: ([10, 0, 0, node as u8], 7380).into(),
+    }
 }
 
 fn view(number: u64, chain: &[usize]) -> View {
     let members = (0..3).map(peer).collect();
-    View { number, members, chain: chain.iter().map(|node| id(*node)).collect() }
+    View {
+        number,
+        members,
+        chain: chain.iter().map(|node| id(*node)).collect(),
+    }
 }
 
 fn entry(index: u64, view: u64) -> Entry {
-    let origin = Origin { session: 9, ticket: index };
-    Entry { position: Position { index, view }, origin, payload: Payload::from(vec![index as u8]) }
+    let origin = Origin {
+        session: 9,
+        ticket: index,
+    };
+    Entry {
+        position: Position { index, view },
+        origin,
+        payload: Payload::from(vec![index as u8]),
+    }
 }
 
 /// A member of view 1, synced, with some entries on its disk.
 fn saved(entries: u64) -> Saved {
     Saved {
-        decided: Some(DecidedView { view: view(1, &[0, 1, 2]), base: 0 }),
+        decided: Some(DecidedView {
+            view: view(1, &[0, 1, 2]),
+            base: 0,
+        }),
         synced_view: 1,
         entries: (1..=entries).map(|index| entry(index, 1)).collect(),
         ..Saved::default()
@@ -49,7 +69,11 @@
 impl Driven {
     fn new(node: usize, saved: Saved) -> Driven {
         let member = Member::new(id(node), peer(node).address, true, saved, 7, NOW);
-        let mut driven = Driven { member, now: NOW, outputs: Vec::new() };
+        let mut driven = Driven {
+            member,
+            now: NOW,
+            outputs: Vec::new(),
+        };
         driven.give(Input::Tick);
         driven
     }
@@ -60,7 +84,10 @@
     }
 
     fn receive(&mut self, from: usize, message: Message) {
-        self.give(Input::Received { from: id(from), message });
+        self.give(Input::Received {
+            from: id(from),
+            message,
+        });
     }
 
     fn sent(&self) -> Vec<&Message> {
@@ -121,7 +148,10 @@
     }
 
     fn dropped(&self) -> usize {
-        self.outputs.iter().filter(|output| matches!(output, Output::Dropped { .. })).count()
+        self.outputs
+            .iter()
+            .filter(|output| matches!(output, Output::Dropped { .. }))
+            .count()
     }
 }
 
@@ -141,24 +171,45 @@
 }
 
 fn ballot(round: u64, proposer: usize) -> Ballot {
-    Ballot { round, proposer: id(proposer), session: 3 }
+    Ballot {
+        round,
+        proposer: id(proposer),
+        session: 3,
+    }
 }
 
 fn prepare(round: u64, proposer: usize) -> Message {
     Message::Prepare {
         ballot: ballot(round, proposer),
-        decided: DecidedView { view: view(1, &[0, 1, 2]), base: 0 },
+        decided: DecidedView {
+            view: view(1, &[0, 1, 2]),
+            base: 0,
+        },
     }
 }
 
 fn accept(round: u64, proposer: usize, chain: &[usize]) -> Message {
-    let proposal = DecidedView { view: view(2, chain), base: 1 };
-    Message::Accept { ballot: ballot(round, proposer), proposal }
+    let proposal = DecidedView {
+        view: view(2, chain),
+        base: 1,
+    };
+    Message::Accept {
+        ballot: ballot(round, proposer),
+        proposal,
+    }
 }
 
 fn append(index: u64, last: u64) -> Message {
-    let previous = Position { index: index - 1, view: if index == 1 { 0 } else { 1 } };
-    Message::Append(Append { view: 1, previous, entries: vec![entry(index, 1)], last })
+    let previous = Position {
+        index: index - 1,
+        view: if index == 1 { 0 } else { 1 },
+    };
+    Message::Append(Append {
+        view: 1,
+        previous,
+        entries: vec![entry(index, 1)],
+        last,
+    })
 }
 
 fn is_promise(message: &Message) -> bool {
@@ -171,7 +222,9 @@
     driven.receive(2, prepare(1, 2));
     assert!(!driven.sends(is_promise));
     let (_, writes) = driven.batch().expect("the promise goes to the disk");
-    assert!(writes.contains(&Write::Promise { ballot: ballot(1, 2) }));
+    assert!(writes.contains(&Write::Promise {
+        ballot: ballot(1, 2)
+    }));
     driven.persist();
     assert!(driven.sends(is_promise));
 }
@@ -199,8 +252,14 @@
 
 #[test]
 fn what_was_voted_for_is_told_with_the_promise() {
-    let proposal = DecidedView { view: view(2, &[1, 2]), base: 1 };
-    let accepted = AcceptedView { ballot: ballot(1, 2), proposal };
+    let proposal = DecidedView {
+        view: view(2, &[1, 2]),
+        base: 1,
+    };
+    let accepted = AcceptedView {
+        ballot: ballot(1, 2),
+        proposal,
+    };
     let mut on_disk = saved(0);
     on_disk.promised = Some(ballot(1, 2));
     on_disk.accepted = Some(accepted.clone());
@@ -231,8 +290,7 @@
 
 #[test]
 fn entries_are_passed_on_and_acknowledged_once_they_are_on_disk() {
-    let passes_on =
-        |message: &Message| matches!(message, Message::Append(append) if !append.entries.is_empty());
+    let passes_on = |message: &Message| matches!(message, Message::Append(append) if !append.entries.is_empty());
     let mut driven = Driven::new(1, saved(0));
     driven.receive(0, append(1, 1));
     assert!(!driven.sends(passes_on));
@@ -259,7 +317,8 @@
     let mut driven = Driven::new(1, saved(2));
     driven.receive(0, append(5, 6));
     assert!(driven.batch().is_none());
-    assert!(driven.sends(|message| matches!(message, Message::Attach(attach) if attach.last.index == 2)));
+    assert!(driven
+        .sends(|message| matches!(message, Message::Attach(attach) if attach.last.index == 2)));
     driven.receive(0, append(6, 6));
     assert!(driven.sent().is_empty());
 }
@@ -284,11 +343,23 @@
     let ballot = sent.expect("just seen");
     driven.persist();
     let last = Position::default();
-    let promise = Message::Promise(Promise { number: 2, ballot, accepted: None, synced_view: 1, last });
+    let promise = Message::Promise(Promise {
+        number: 2,
+        ballot,
+        accepted: None,
+        synced_view: 1,
+        last,
+    });
     driven.now += 100;
-    let wiped = MemberId { node: "m1".into(), disk: 2 };
+    let wiped = MemberId {
+        node: "m1".into(),
+        disk: 2,
+    };
     let goes_on = |message: &Message| matches!(message, Message::Accept { .. });
-    driven.give(Input::Received { from: wiped, message: promise.clone() });
+    driven.give(Input::Received {
+        from: wiped,
+        message: promise.clone(),
+    });
     assert!(!driven.sends(goes_on));
     driven.receive(1, promise);
     assert!(driven.sends(goes_on));
@@ -315,7 +386,10 @@
 #[test]
 fn a_head_that_leaves_before_others_are_synced_is_not_needed() {
     let mut on_disk = saved(5);
-    on_disk.decided = Some(DecidedView { view: view(2, &[0, 1, 2]), base: 1 });
+    on_disk.decided = Some(DecidedView {
+        view: view(2, &[0, 1, 2]),
+        base: 1,
+    });
     on_disk.synced_view = 2;
     let mut driven = Driven::new(0, on_disk);
     driven.hear_from(1);
@@ -324,7 +398,13 @@
     driven.give(Input::Leave);
     let ballot = begin_attempt(&mut driven);
     let last = Position { index: 5, view: 1 };
-    let promise = Promise { number: 3, ballot, accepted: None, synced_view: 1, last };
+    let promise = Promise {
+        number: 3,
+        ballot,
+        accepted: None,
+        synced_view: 1,
+        last,
+    };
     driven.receive(1, Message::Promise(promise.clone()));
     driven.receive(2, Message::Promise(promise));
     let proposal = driven.sent().into_iter().find_map(|message| match message {
@@ -340,12 +420,22 @@
 fn a_first_view_is_taken_on_an_empty_disk_only_where_it_may_be() {
     let first = view(1, &[0, 1, 2]);
     let mut fresh = Driven::new(1, Saved::default());
-    fresh.receive(0, Message::Found { view: first.clone() });
+    fresh.receive(
+        0,
+        Message::Found {
+            view: first.clone(),
+        },
+    );
     assert_eq!(fresh.member.view(), Some(&first));
 
     let mut standing = Driven::new(1, saved(1));
     let other = view(1, &[2, 1, 0]);
-    standing.receive(0, Message::Found { view: other.clone() });
+    standing.receive(
+        0,
+        Message::Found {
+            view: other.clone(),
+        },
+    );
     assert_eq!(standing.member.view(), Some(&first));
 
     let mut member = Member::new(id(1), peer(1).address, false, Saved::default(), 7, NOW);
@@ -362,7 +452,9 @@
 fn a_founder_tells_the_first_view_once_it_is_on_disk() {
     let mut fresh = Driven::new(1, Saved::default());
     let tells = |message: &Message| matches!(message, Message::Decided { .. });
-    fresh.give(Input::Found { view: view(1, &[0, 1, 2]) });
+    fresh.give(Input::Found {
+        view: view(1, &[0, 1, 2]),
+    });
     assert!(!fresh.sends(tells));
     fresh.persist();
     assert!(fresh.sends(tells));
@@ -372,13 +464,21 @@
 fn submissions_and_reads_in_hand_are_bounded() {
     let mut driven = Driven::new(1, saved(0));
     for ticket in 0..MOST_SUBMISSIONS as u64 {
-        driven.give(Input::Submit { ticket, payload: vec![1] });
+        driven.give(Input::Submit {
+            ticket,
+            payload: vec![1],
+        });
         assert_eq!(driven.dropped(), 0);
     }
-    driven.give(Input::Submit { ticket: 1 << 20, payload: vec![1] });
+    driven.give(Input::Submit {
+        ticket: 1 << 20,
+        payload: vec![1],
+    });
     assert_eq!(driven.dropped(), 1);
     for ticket in 0..MOST_READS as u64 {
-        driven.give(Input::Read { ticket: 1 << 30 | ticket });
+        driven.give(Input::Read {
+            ticket: 1 << 30 | ticket,
+        });
         assert_eq!(driven.dropped(), 0);
     }
     driven.give(Input::Read { ticket: 1 << 31 });
@@ -390,7 +490,11 @@
     let mut driven = Driven::new(0, saved(0));
     let submit = |ticket: u64| {
         let origin = Origin { session: 5, ticket };
-        Message::Submit { view: 1, origin, payload: Payload::from(vec![1]) }
+        Message::Submit {
+            view: 1,
+            origin,
+            payload: Payload::from(vec![1]),
+        }
     };
     let overloaded = |message: &Message| matches!(message, Message::Overloaded { .. });
     for ticket in 0..MOST_UNCOMMITTED {
@@ -405,8 +509,14 @@
 fn a_flood_of_newcomers_is_borne_and_answered() {
     let mut driven = Driven::new(0, saved(0));
     for node in 10..10 + 20 * MOST_NEWCOMERS {
-        let newcomer = Peer { id: id(node), address: peer(node % 256).address };
-        driven.give(Input::Received { from: newcomer.id.clone(), message: Message::Join { newcomer } });
+        let newcomer = Peer {
+            id: id(node),
+            address: peer(node % 256).address,
+        };
+        driven.give(Input::Received {
+            from: newcomer.id.clone(),
+            message: Message::Join { newcomer },
+        });
     }
     assert!(driven.sends(|message| matches!(message, Message::Decided { .. })));
 }
@@ -414,7 +524,10 @@
 #[test]
 fn what_is_given_up_is_dropped_in_time() {
     let mut driven = Driven::new(2, saved(0));
-    driven.give(Input::Submit { ticket: 1, payload: vec![1] });
+    driven.give(Input::Submit {
+        ticket: 1,
+        payload: vec![1],
+    });
     driven.give(Input::Read { ticket: 2 });
     let mut dropped = 0;
     while dropped < 2 {
@@ -484,7 +597,13 @@
     let early = driven.stamp();
     driven.now += 100;
     let late = driven.stamp();
-    driven.receive(1, Message::Ping(Ping { view: 2, ..ping(1, Some(late)) }));
+    driven.receive(
+        1,
+        Message::Ping(Ping {
+            view: 2,
+            ..ping(1, Some(late))
+        }),
+    );
     assert!(!driven.is_current());
     driven.receive(1, Message::Ping(ping(1, Some(early))));
     assert!(!driven.is_current(), "m1 has gone on to another view since");
@@ -495,7 +614,10 @@
     let mut driven = Driven::new(0, saved(3));
     driven.hear_from(1);
     assert!(driven.is_current());
-    assert!(!driven.member.follows(driven.now), "it doesn't know what of its log is committed");
+    assert!(
+        !driven.member.follows(driven.now),
+        "it doesn't know what of its log is committed"
+    );
     driven.receive(1, Message::Committed { view: 1, index: 2 });
     assert!(!driven.member.follows(driven.now));
     driven.receive(1, Message::Committed { view: 1, index: 3 });
@@ -506,22 +628,38 @@
 fn a_member_that_lags_behind_its_log_does_not_follow() {
     let mut driven = Driven::new(0, saved(0));
     driven.hear_from(1);
-    driven.give(Input::Submit { ticket: 1, payload: vec![1] });
+    driven.give(Input::Submit {
+        ticket: 1,
+        payload: vec![1],
+    });
     let begun = driven.now;
     while driven.now < begun + COMMITS_KNOWN_WITHIN {
-        assert!(driven.member.follows(driven.now), "after {} ms", driven.now - begun);
+        assert!(
+            driven.member.follows(driven.now),
+            "after {} ms",
+            driven.now - begun
+        );
         driven.hear_from(1);
     }
     driven.hear_from(1);
     assert!(driven.is_current());
-    assert!(!driven.member.follows(driven.now), "what it holds may have been committed long ago");
+    assert!(
+        !driven.member.follows(driven.now),
+        "what it holds may have been committed long ago"
+    );
     driven.receive(1, Message::Committed { view: 1, index: 0 });
     assert!(!driven.member.follows(driven.now));
 }
 
 #[test]
 fn a_member_that_is_sealed_before_it_has_come_up_does_not_follow() {
-    let mut driven = Driven::new(1, Saved { synced_view: 0, ..saved(0) });
+    let mut driven = Driven::new(
+        1,
+        Saved {
+            synced_view: 0,
+            ..saved(0)
+        },
+    );
     driven.hear_from(2);
     assert!(driven.is_current() && !driven.member.follows(driven.now));
     driven.receive(2, prepare(1, 2));
--- a/crates/chain/tests/plan.rs
+++ b/crates/chain/tests/plan.rs
@@ -7,8 +7,14 @@
 const CASES: u64 = 20_000;
 
 fn peer(node: usize, disk: u64) -> Peer {
-    let id = MemberId { node: format!("m{node}"), disk };
-    Peer { id, address: ([10, 0, 0, node as u8], 7380).into() }
+    let id = MemberId {
+        node: format!("m{node}"),
+        disk,
+    };
+    Peer {
+        id,
+        address: ([10, 0, 0, node as u8], 7380).into(),
+    }
 }
 
 struct Case {
@@ -29,7 +35,9 @@
         let trouble = rng.u32(0..4);
         let rare = |rng: &mut Rng| rng.u32(0..8) < trouble;
         let standings = (0..count).map(|index| {
-            let connected = (0..count).map(|other| other == index || !rare(&mut rng)).collect();
+            let connected = (0..count)
+                .map(|other| other == index || !rare(&mut rng))
+                .collect();
             Standing {
                 connected,
                 unfit: rare(&mut rng),
@@ -45,10 +53,21 @@
         let standings: Vec<Standing> = standings.collect();
         let applicants = (0..rng.usize(0..3)).map(|_| {
             let node = rng.usize(0..10);
-            Applicant { peer: peer(node, 2), patient: rng.bool() }
+            Applicant {
+                peer: peer(node, 2),
+                patient: rng.bool(),
+            }
         });
         let applicants = applicants.collect();
-        Case { view: View { number: 1, members, chain }, standings, applicants }
+        Case {
+            view: View {
+                number: 1,
+                members,
+                chain,
+            },
+            standings,
+            applicants,
+        }
     }
 
     /// Nothing is wrong, and all are in the chain.
@@ -67,11 +86,23 @@
             synced: true,
         };
         let standings = vec![standing; count];
-        Case { view: View { number: 1, members, chain }, standings, applicants: Vec::new() }
+        Case {
+            view: View {
+                number: 1,
+                members,
+                chain,
+            },
+            standings,
+            applicants: Vec::new(),
+        }
     }
 
     fn plan(&self) -> Option<Plan> {
-        plan(&Situation { view: &self.view, standings: &self.standings, applicants: &self.applicants })
+        plan(&Situation {
+            view: &self.view,
+            standings: &self.standings,
+            applicants: &self.applicants,
+        })
     }
 
     fn lose(&mut self, index: usize) {
@@ -102,7 +133,11 @@
     for seed in 0..CASES {
         let case = Case::drawn(seed);
         let Some(plan) = case.plan() else { continue };
-        let view = View { number: 2, members: plan.members, chain: plan.chain };
+        let view = View {
+            number: 2,
+            members: plan.members,
+            chain: plan.chain,
+        };
         assert!(view.is_sound(), "seed {seed}: {view:?}");
     }
 }
@@ -124,8 +159,17 @@
     for seed in 0..CASES {
         let case = Case::drawn(seed);
         let Some(plan) = case.plan() else { continue };
-        let new = plan.members.iter().filter(|member| !case.view.members.contains(member)).count();
-        let gone = case.view.members.iter().filter(|member| !plan.members.contains(member)).count();
+        let new = plan
+            .members
+            .iter()
+            .filter(|member| !case.view.members.contains(member))
+            .count();
+        let gone = case
+            .view
+            .members
+            .iter()
+            .filter(|member| !plan.members.contains(member))
+            .count();
         assert!(new <= 1 && gone <= 1, "seed {seed}: {new} new, {gone} gone");
         assert!(plan.members.len() <= 7);
     }
@@ -180,11 +224,18 @@
 fn a_newcomer_takes_the_place_of_its_disk_before() {
     let mut case = Case::calm(3);
     case.apply(peer(1, 2), false);
-    assert!(case.plan().expect("a plan").is_in_force(&case.view), "the disk before is still heard");
+    assert!(
+        case.plan().expect("a plan").is_in_force(&case.view),
+        "the disk before is still heard"
+    );
     case.lose(1);
     let plan = case.plan().expect("a plan");
     assert_eq!(plan.members[1], peer(1, 2));
-    assert_eq!(nodes(&plan.chain), ["m0", "m2"], "a newcomer follows the commits first");
+    assert_eq!(
+        nodes(&plan.chain),
+        ["m0", "m2"],
+        "a newcomer follows the commits first"
+    );
 }
 
 #[test]
@@ -208,7 +259,10 @@
     assert_eq!(case.plan().expect("a plan").members.len(), 4);
     case.lose(0);
     let plan = case.plan().expect("a plan");
-    assert_eq!(plan.members, case.view.members, "the lost one may be back soon");
+    assert_eq!(
+        plan.members, case.view.members,
+        "the lost one may be back soon"
+    );
     case.standings[0].replaceable = true;
     let plan = case.plan().expect("a plan");
     assert_eq!(plan.members[0], peer(8, 2));
@@ -246,7 +300,11 @@
         let plan = case.plan().expect("a plan");
         assert_eq!(plan.members[1], peer(8, 2));
         assert_eq!(plan.members.len(), count);
-        assert_eq!(plan.chain.len(), count - 1, "a newcomer follows the commits first");
+        assert_eq!(
+            plan.chain.len(),
+            count - 1,
+            "a newcomer follows the commits first"
+        );
     }
 }
 
@@ -260,7 +318,11 @@
     case.standings[1].synced = true;
     assert_eq!(case.plan().expect("a plan").members.len(), 3);
     case.lose(1);
-    assert_eq!(case.plan().expect("a plan").members, case.view.members, "one that is lost holds nothing");
+    assert_eq!(
+        case.plan().expect("a plan").members,
+        case.view.members,
+        "one that is lost holds nothing"
+    );
     let mut case = Case::calm(3);
     case.leaves(0);
     case.standings[1].synced = false;
@@ -277,13 +339,19 @@
         let stays = |index: &usize| plan.members.contains(&case.view.members[*index]);
         let count = case.view.members.len();
         let put_out = (0..count).filter(|index| !stays(index));
-        let by_leaving =
-            put_out.filter(|index| !case.standings[*index].silent && !case.standings[*index].replaceable);
+        let by_leaving = put_out
+            .filter(|index| !case.standings[*index].silent && !case.standings[*index].replaceable);
         if by_leaving.count() == 0 {
             continue;
         }
-        let holders = (0..count).filter(stays).filter(|index| case.standings[*index].synced).count();
-        assert!(holders + case.view.majority() > count, "seed {seed}: {holders} of {count}");
+        let holders = (0..count)
+            .filter(stays)
+            .filter(|index| case.standings[*index].synced)
+            .count();
+        assert!(
+            holders + case.view.majority() > count,
+            "seed {seed}: {holders} of {count}"
+        );
     }
 }
 
--- a/crates/chain/tests/resubmitted.rs
+++ b/crates/chain/tests/resubmitted.rs
@@ -1,30 +1,55 @@
 //! A submission that is sent to the head again while its entry is on its way makes no second one.
 
 use dunespur_chain::{
-    DecidedView, Input, Member, MemberId, Message, Origin, Output, Payload, Peer, Saved, View, Write,
+    DecidedView, Input, Member, MemberId, Message, Origin, Output, Payload, Peer, Saved, View,
+    Write,
 };
 
 const NOW: u64 = 10_000;
 
 fn id(node: usize) -> MemberId {
-    MemberId { node: format!("m{node}"), disk: 1 }
+    MemberId {
+        node: format!("m{node}"),
+        disk: 1,
+    }
 }
 
 fn peer(node: usize) -> Peer {
-    Peer { id: id(node), address: ([10, 0, 0, node as u8], 7380).into() }
+    Peer {
+        id: id(node),
+        address: ([10, 0, 0, node as u8], 7380).into(),
+    }
 }
 
 fn head() -> Member {
-    let view = View { number: 1, members: (0..3).map(peer).collect(), chain: (0..3).map(id).collect() };
-    let saved = Saved { decided: Some(DecidedView { view, base: 0 }), synced_view: 1, ..Saved::default() };
+    let view = View {
+        number: 1,
+        members: (0..3).map(peer).collect(),
+        chain: (0..3).map(id).collect(),
+    };
+    let saved = Saved {
+        decided: Some(DecidedView { view, base: 0 }),
+        synced_view: 1,
+        ..Saved::default()
+    };
     Member::new(id(0), peer(0).address, true, saved, 7, NOW)
 }
 
 /// Gives the head a submission of another member; how many entries it makes.
 fn entries_of(head: &mut Member, ticket: u64) -> usize {
     let origin = Origin { session: 5, ticket };
-    let message = Message::Submit { view: 1, origin, payload: Payload::from(vec![1, 2, 3]) };
-    give(head, Input::Received { from: id(1), message })
+    let message = Message::Submit {
+        view: 1,
+        origin,
+        payload: Payload::from(vec![1, 2, 3]),
+    };
+    give(
+        head,
+        Input::Received {
+            from: id(1),
+            message,
+        },
+    )
 }
 
 /// Gives the head an input, and the disk all that comes of it; how many entries were written.
@@ -36,7 +61,10 @@
         head.step(input, NOW, &mut outputs);
         for output in outputs {
             if let Output::Persist { batch, writes } = output {
-                entries += writes.iter().filter(|write| matches!(write, Write::Entry { .. })).count();
+                entries += writes
+                    .iter()
+                    .filter(|write| matches!(write, Write::Entry { .. }))
+                    .count();
                 inputs.push(Input::Persisted { batch });
             }
         }
@@ -48,11 +76,21 @@
 fn a_submission_that_comes_again_makes_one_entry() {
     let mut head = head();
     assert_eq!(entries_of(&mut head, 1), 1);
-    assert_eq!(entries_of(&mut head, 2), 1, "another one with the same payload is another one");
+    assert_eq!(
+        entries_of(&mut head, 2),
+        1,
+        "another one with the same payload is another one"
+    );
     assert_eq!(entries_of(&mut head, 1), 0);
     assert_eq!(entries_of(&mut head, 2), 0);
     let committed = Message::Committed { view: 1, index: 2 };
-    give(&mut head, Input::Received { from: id(1), message: committed });
+    give(
+        &mut head,
+        Input::Received {
+            from: id(1),
+            message: committed,
+        },
+    );
     assert_eq!(head.committed(), 2);
     assert_eq!(entries_of(&mut head, 3), 1);
 }
--- a/crates/chain/tests/snapshots.rs
+++ b/crates/chain/tests/snapshots.rs
@@ -40,7 +40,11 @@
     world.play_to(CALM).expect("the core comes up");
     world.play_to(CALM + 15_000).expect("changes are made");
     // More than the log holds between two snapshots, and for members that were away shortly.
-    assert!(world.committed_count() * CHANGE_BYTES > 14 * MB, "{} changes", world.committed_count());
+    assert!(
+        world.committed_count() * CHANGE_BYTES > 14 * MB,
+        "{} changes",
+        world.committed_count()
+    );
     world
 }
 
@@ -61,16 +65,28 @@
 fn wiped_for(setup: Setup) -> Millis {
     let mut world = grown(setup);
     let machine = (setup.seed / 4) as usize % setup.machines;
-    world.trouble_at(world.now, Trouble::Wipe { machine, back_after: 1_000 });
+    world.trouble_at(
+        world.now,
+        Trouble::Wipe {
+            machine,
+            back_after: 1_000,
+        },
+    );
     world.play_to(world.now + 1_001).expect("it comes back");
     let installed = world.snapshots_installed;
     let took = time_until_whole(&mut world).expect("it is made whole");
-    assert!(world.snapshots_installed > installed, "it needed a snapshot");
+    assert!(
+        world.snapshots_installed > installed,
+        "it needed a snapshot"
+    );
     took
 }
 
 fn worst_of(state_bytes: usize, link: u64) -> Millis {
-    (0..SEEDS).map(|seed| wiped_for(setup(seed, state_bytes, link))).max().expect("some seeds")
+    (0..SEEDS)
+        .map(|seed| wiped_for(setup(seed, state_bytes, link)))
+        .max()
+        .expect("some seeds")
 }
 
 #[test]
@@ -85,7 +101,10 @@
     ] {
         let worst = worst_of(state_bytes, link);
         eprintln!("{state_bytes} bytes at {link} bytes a millisecond: whole after {worst} ms");
-        assert!(worst <= CATCH_UP, "{state_bytes} bytes at {link}: {worst} ms");
+        assert!(
+            worst <= CATCH_UP,
+            "{state_bytes} bytes at {link}: {worst} ms"
+        );
     }
 }
 
@@ -110,7 +129,13 @@
 #[test]
 fn a_member_that_was_away_for_twenty_seconds_is_whole_in_time() {
     let away = 20_000;
-    let (worst, snapshots) = away_for(|machine| Trouble::PowerLoss { machine, back_after: away }, away);
+    let (worst, snapshots) = away_for(
+        |machine| Trouble::PowerLoss {
+            machine,
+            back_after: away,
+        },
+        away,
+    );
     eprintln!("away for {away} ms: whole after {worst} ms, {snapshots} installs");
     assert!(worst <= CATCH_UP, "{worst} ms");
 }
@@ -118,7 +143,13 @@
 #[test]
 fn a_member_that_was_started_again_is_whole_in_time() {
     let away = 500;
-    let (worst, snapshots) = away_for(|machine| Trouble::Kill { machine, back_after: away }, away);
+    let (worst, snapshots) = away_for(
+        |machine| Trouble::Kill {
+            machine,
+            back_after: away,
+        },
+        away,
+    );
     eprintln!("started again: whole after {worst} ms, {snapshots} installs");
     assert!(worst <= CATCH_UP, "{worst} ms");
 }
@@ -129,8 +160,16 @@
         let setup = setup(seed, 10 * MB, FAST_LINK);
         let mut world = grown(setup);
         let machine = (seed / 4) as usize % setup.machines;
-        world.trouble_at(world.now, Trouble::Replace { machine, back_after: 1_000 });
-        world.play_to(world.now + 1_001).expect("the successor comes");
+        world.trouble_at(
+            world.now,
+            Trouble::Replace {
+                machine,
+                back_after: 1_000,
+            },
+        );
+        world
+            .play_to(world.now + 1_001)
+            .expect("the successor comes");
         let took = time_until_whole(&mut world).unwrap_or_else(|text| panic!("{text}"));
         eprintln!("seed {seed}: a successor whole after {took} ms");
         assert!(took <= CATCH_UP, "seed {seed}: {took} ms");
@@ -148,11 +187,23 @@
         let setup = setup(seed, 10 * MB, SLOW_LINK);
         let mut world = grown(setup);
         let machine = (seed / 4) as usize % setup.machines;
-        world.trouble_at(world.now, Trouble::Wipe { machine, back_after: 1_000 });
+        world.trouble_at(
+            world.now,
+            Trouble::Wipe {
+                machine,
+                back_after: 1_000,
+            },
+        );
         let back = world.now + 1_000;
         for number in 0..BREAKS {
             for other in (0..setup.machines).filter(|other| *other != machine) {
-                world.trouble_at(back + number * BREAK_EVERY, Trouble::Reset { one: machine, other });
+                world.trouble_at(
+                    back + number * BREAK_EVERY,
+                    Trouble::Reset {
+                        one: machine,
+                        other,
+                    },
+                );
             }
         }
         world.play_to(back + 1).expect("it comes back");
@@ -163,14 +214,22 @@
         assert!(took <= CATCH_UP, "seed {seed}: {took} ms");
         // A change of view meanwhile may bring another sender, whose snapshot is another one.
         let lost = BREAKS * 2 * SNAPSHOT_PART_BYTES as u64;
-        assert!(sent <= 2 * 10 * MB as u64 + lost, "seed {seed}: {sent} bytes");
+        assert!(
+            sent <= 2 * 10 * MB as u64 + lost,
+            "seed {seed}: {sent} bytes"
+        );
     }
 }
 
 /// Worlds of large snapshots with all kinds of trouble, with bytes spoilt on the way.
 fn spoilt(seed: u64) -> Setup {
     let setup = Setup::new(seed, 3 + (seed % 4) as usize);
-    Setup { snapshot_padding: 900_000, padding: 12_000, spoils_parts: true, ..setup }
+    Setup {
+        snapshot_padding: 900_000,
+        padding: 12_000,
+        spoils_parts: true,
+        ..setup
+    }
 }
 
 #[test]
@@ -181,7 +240,10 @@
         let played = play(setup, schedule(&setup, 2)).unwrap_or_else(|text| panic!("{text}"));
         installed += played.snapshots_installed;
     }
-    assert!(installed > 10, "{installed} snapshots were installed: the worlds say nothing");
+    assert!(
+        installed > 10,
+        "{installed} snapshots were installed: the worlds say nothing"
+    );
 }
 
 /// What goes wrong first without a guard, if anything does.
@@ -196,16 +258,33 @@
 
 #[test]
 fn snapshots_must_be_checked() {
-    let guards = Guards { snapshots_checked: false, ..Guards::default() };
-    let found = counterexample(200, |seed| Setup { guards, ..spoilt(seed) });
-    assert!(found.as_ref().is_some_and(|text| text.contains("wrong snapshot")), "{found:?}");
+    let guards = Guards {
+        snapshots_checked: false,
+        ..Guards::default()
+    };
+    let found = counterexample(200, |seed| Setup {
+        guards,
+        ..spoilt(seed)
+    });
+    assert!(
+        found
+            .as_ref()
+            .is_some_and(|text| text.contains("wrong snapshot")),
+        "{found:?}"
+    );
     eprintln!("{found:?}");
 }
 
 #[test]
 fn a_log_must_be_whole_before_it_counts() {
-    let guards = Guards { whole_before_synced: false, ..Guards::default() };
-    let found = counterexample(400, |seed| Setup { guards, ..Setup::new(seed, 3 + (seed % 4) as usize) });
+    let guards = Guards {
+        whole_before_synced: false,
+        ..Guards::default()
+    };
+    let found = counterexample(400, |seed| Setup {
+        guards,
+        ..Setup::new(seed, 3 + (seed % 4) as usize)
+    });
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
--- a/crates/chain/tests/times.rs
+++ b/crates/chain/tests/times.rs
@@ -53,11 +53,17 @@
 
 fn assert_pause_below(world: &World, since: Millis, most: Millis) {
     let pause = world.longest_pause(since);
-    assert!(pause < most, "{}", world.told(format!("nothing was committed for {pause} ms")));
+    assert!(
+        pause < most,
+        "{}",
+        world.told(format!("nothing was committed for {pause} ms"))
+    );
 }
 
 fn assert_whole(world: &World) {
-    world.check_whole(20).unwrap_or_else(|text| panic!("{text}"));
+    world
+        .check_whole(20)
+        .unwrap_or_else(|text| panic!("{text}"));
 }
 
 fn views(world: &World) -> u64 {
@@ -68,7 +74,13 @@
 fn a_silent_loss_is_noticed() {
     each_place(|world, machine| {
         let since = world.now;
-        happens(world, Trouble::PowerLoss { machine, back_after: NEVER });
+        happens(
+            world,
+            Trouble::PowerLoss {
+                machine,
+                back_after: NEVER,
+            },
+        );
         play(world, 4_000);
         assert_pause_below(world, since, SILENT_LOSS);
         assert!(!world.is_in_chain(machine));
@@ -79,7 +91,13 @@
 fn a_closed_connection_is_noticed_at_once() {
     each_place(|world, machine| {
         let since = world.now;
-        happens(world, Trouble::Kill { machine, back_after: NEVER });
+        happens(
+            world,
+            Trouble::Kill {
+                machine,
+                back_after: NEVER,
+            },
+        );
         play(world, 4_000);
         assert_pause_below(world, since, CLOSED_CONNECTION);
     });
@@ -91,10 +109,21 @@
         let since = world.now;
         let before = views(world);
         let other = (machine + 1) % world.machines.len();
-        happens(world, Trouble::Reset { one: machine, other });
+        happens(
+            world,
+            Trouble::Reset {
+                one: machine,
+                other,
+            },
+        );
         play(world, 2_000);
         assert_pause_below(world, since, CLOSED_CONNECTION + 100);
-        assert_eq!(views(world), before, "{}", world.told("the view changed".into()));
+        assert_eq!(
+            views(world),
+            before,
+            "{}",
+            world.told("the view changed".into())
+        );
     });
 }
 
@@ -108,7 +137,12 @@
         assert!(!world.is_in_chain(machine));
         let changed = views(world);
         play(world, 5_000);
-        assert_eq!(views(world), changed, "{}", world.told("the view keeps changing".into()));
+        assert_eq!(
+            views(world),
+            changed,
+            "{}",
+            world.told("the view keeps changing".into())
+        );
         happens(world, Trouble::UnstallDisk { machine });
         play(world, CATCH_UP);
         assert_whole(world);
@@ -119,18 +153,35 @@
 fn a_member_cut_off_one_way_stays_out_until_it_is_healed() {
     each_place(|world, machine| {
         for outward in [true, false] {
-            let others: Vec<usize> = (0..world.machines.len()).filter(|other| *other != machine).collect();
-            let ends = |other: usize| if outward { (machine, other) } else { (other, machine) };
+            let others: Vec<usize> = (0..world.machines.len())
+                .filter(|other| *other != machine)
+                .collect();
+            let ends = |other: usize| {
+                if outward {
+                    (machine, other)
+                } else {
+                    (other, machine)
+                }
+            };
             let since = world.now;
             for (from, to) in others.iter().map(|other| ends(*other)) {
                 happens(world, Trouble::Cut { from, to });
             }
             play(world, 3_000);
             assert_pause_below(world, since, SILENT_LOSS + 300);
-            assert!(!world.is_in_chain(machine), "{}", world.told(format!("m{machine} is in the chain")));
+            assert!(
+                !world.is_in_chain(machine),
+                "{}",
+                world.told(format!("m{machine} is in the chain"))
+            );
             let changed = views(world);
             play(world, 10_000);
-            assert_eq!(views(world), changed, "{}", world.told("the view keeps changing".into()));
+            assert_eq!(
+                views(world),
+                changed,
+                "{}",
+                world.told("the view keeps changing".into())
+            );
             for (from, to) in others.iter().map(|other| ends(*other)) {
                 happens(world, Trouble::Heal { from, to });
             }
@@ -145,14 +196,34 @@
     each_place(|world, machine| {
         let other = (machine + 1) % world.machines.len();
         let since = world.now;
-        happens(world, Trouble::Cut { from: machine, to: other });
-        happens(world, Trouble::Cut { from: other, to: machine });
+        happens(
+            world,
+            Trouble::Cut {
+                from: machine,
+                to: other,
+            },
+        );
+        happens(
+            world,
+            Trouble::Cut {
+                from: other,
+                to: machine,
+            },
+        );
         play(world, 3_000);
         assert_pause_below(world, since, SILENT_LOSS + 300);
         let changed = views(world);
         play(world, 10_000);
-        assert_eq!(views(world), changed, "{}", world.told("the view keeps changing".into()));
-        assert_eq!(world.newest_view().map_or(0, |view| view.chain.len()), world.machines.len() - 1);
+        assert_eq!(
+            views(world),
+            changed,
+            "{}",
+            world.told("the view keeps changing".into())
+        );
+        assert_eq!(
+            world.newest_view().map_or(0, |view| view.chain.len()),
+            world.machines.len() - 1
+        );
     });
 }
 
@@ -160,7 +231,13 @@
 fn a_machine_that_comes_back_is_whole_in_time() {
     each_place(|world, machine| {
         let since = world.now;
-        happens(world, Trouble::PowerLoss { machine, back_after: 2_500 });
+        happens(
+            world,
+            Trouble::PowerLoss {
+                machine,
+                back_after: 2_500,
+            },
+        );
         play(world, 2_500 + CATCH_UP);
         assert_pause_below(world, since, SILENT_LOSS);
         assert_whole(world);
@@ -172,11 +249,20 @@
     each_place(|world, machine| {
         let count = world.machines.len();
         let since = world.now;
-        happens(world, Trouble::Wipe { machine, back_after: 500 });
+        happens(
+            world,
+            Trouble::Wipe {
+                machine,
+                back_after: 500,
+            },
+        );
         play(world, 500 + CATCH_UP);
         assert_pause_below(world, since, SILENT_LOSS);
         assert_whole(world);
-        assert_eq!(world.newest_view().map_or(0, |view| view.members.len()), count);
+        assert_eq!(
+            world.newest_view().map_or(0, |view| view.members.len()),
+            count
+        );
     });
 }
 
@@ -185,11 +271,20 @@
     each_place(|world, machine| {
         let count = world.machines.len();
         let since = world.now;
-        happens(world, Trouble::Replace { machine, back_after: 100 });
+        happens(
+            world,
+            Trouble::Replace {
+                machine,
+                back_after: 100,
+            },
+        );
         play(world, 100 + CATCH_UP);
         assert_pause_below(world, since, SILENT_LOSS);
         assert_whole(world);
-        assert_eq!(world.newest_view().map_or(0, |view| view.members.len()), count);
+        assert_eq!(
+            world.newest_view().map_or(0, |view| view.members.len()),
+            count
+        );
     });
 }
 
@@ -209,9 +304,19 @@
 fn a_member_that_leaves_is_put_out_without_a_pause() {
     each_place(|world, machine| {
         let since = world.now;
-        happens(world, Trouble::Leave { machine, back_after: NEVER });
+        happens(
+            world,
+            Trouble::Leave {
+                machine,
+                back_after: NEVER,
+            },
+        );
         play(world, 290);
-        assert!(!world.is_in_chain(machine), "{}", world.told(format!("m{machine} is in the chain")));
+        assert!(
+            !world.is_in_chain(machine),
+            "{}",
+            world.told(format!("m{machine} is in the chain"))
+        );
         play(world, 2_000);
         assert_pause_below(world, since, PLANNED_CHANGE);
     });
@@ -233,7 +338,12 @@
         );
         play(world, CATCH_UP);
         assert_whole(world);
-        assert_eq!(views(world), before + 2, "{}", world.told("out and in again".into()));
+        assert_eq!(
+            views(world),
+            before + 2,
+            "{}",
+            world.told("out and in again".into())
+        );
     });
 }
 
@@ -246,13 +356,22 @@
         play(world, 4_000);
         assert_pause_below(world, since, SILENT_LOSS);
         happens(world, Trouble::Thaw { machine });
-        assert!(!world.is_current(machine), "{}", world.told("current right after a thaw".into()));
+        assert!(
+            !world.is_current(machine),
+            "{}",
+            world.told("current right after a thaw".into())
+        );
         play(world, CATCH_UP);
         assert_whole(world);
         // Out of the chain and in again; an even number of members also drops it, and takes it as a newcomer.
         let expected = if world.running().len() % 2 == 0 { 4 } else { 2 };
         let changes = views(world) - before;
-        assert_eq!(changes, expected, "{}", world.told("changes of the view".into()));
+        assert_eq!(
+            changes,
+            expected,
+            "{}",
+            world.told("changes of the view".into())
+        );
     });
 }
 
@@ -264,7 +383,12 @@
         play(world, 500);
         happens(world, Trouble::Thaw { machine });
         play(world, 2_000);
-        assert_eq!(views(world), before, "{}", world.told("the view changed".into()));
+        assert_eq!(
+            views(world),
+            before,
+            "{}",
+            world.told("the view changed".into())
+        );
     });
 }
 
@@ -277,8 +401,14 @@
             for machine in 0..world.machines.len() {
                 let back_after = 400 + 37 * machine as Millis;
                 let trouble = match with_power {
-                    true => Trouble::Kill { machine, back_after },
-                    false => Trouble::PowerLoss { machine, back_after },
+                    true => Trouble::Kill {
+                        machine,
+                        back_after,
+                    },
+                    false => Trouble::PowerLoss {
+                        machine,
+                        back_after,
+                    },
                 };
                 happens(&mut world, trouble);
             }
@@ -303,7 +433,10 @@
         assert_eq!(views(&world), 1);
         let per_member = (world.steps - steps) / seconds / machines as u64;
         let pings_heard = 5 * (machines as u64 - 1);
-        assert!(per_member <= pings_heard + 6, "{per_member} steps a second at each of {machines}");
+        assert!(
+            per_member <= pings_heard + 6,
+            "{per_member} steps a second at each of {machines}"
+        );
     }
 }
 
@@ -311,8 +444,20 @@
 fn a_member_alone_is_not_current_and_drops_what_it_cannot_do() {
     for seed in 0..SEEDS {
         let mut world = calm_world(seed, 3);
-        happens(&mut world, Trouble::PowerLoss { machine: 0, back_after: NEVER });
-        happens(&mut world, Trouble::PowerLoss { machine: 1, back_after: NEVER });
+        happens(
+            &mut world,
+            Trouble::PowerLoss {
+                machine: 0,
+                back_after: NEVER,
+            },
+        );
+        happens(
+            &mut world,
+            Trouble::PowerLoss {
+                machine: 1,
+                back_after: NEVER,
+            },
+        );
         play(&mut world, 1_500);
         let count = world.committed_count();
         assert!(!world.is_current(2));
@@ -336,13 +481,29 @@
 fn a_restarted_member_does_not_take_echoes_of_its_run_before_for_its_own() {
     each_place(|world, machine| {
         play(world, 20_000);
-        happens(world, Trouble::Kill { machine, back_after: 300 });
+        happens(
+            world,
+            Trouble::Kill {
+                machine,
+                back_after: 300,
+            },
+        );
         play(world, 1_500);
         assert!(world.is_current(machine));
         for other in (0..world.machines.len()).filter(|other| *other != machine) {
-            happens(world, Trouble::Cut { from: machine, to: other });
+            happens(
+                world,
+                Trouble::Cut {
+                    from: machine,
+                    to: other,
+                },
+            );
         }
         play(world, 1_200);
-        assert!(!world.is_current(machine), "{}", world.told(format!("m{machine} is current")));
+        assert!(
+            !world.is_current(machine),
+            "{}",
+            world.told(format!("m{machine} is current"))
+        );
     });
 }
