--- a/crates/control/tests/world/machines.rs
+++ b/crates/control/tests/world/machines.rs
@@ -84,14 +84,24 @@
     }
 
     pub fn id(&self, machine: usize) -> MemberId {
-        MemberId { node: self.machines[machine].node.clone(), disk: self.machines[machine].disk }
+        MemberId {
+            node: self.machines[machine].node.clone(),
+            disk: self.machines[machine].disk,
+        }
     }
 
     pub fn first_view(&self) -> View {
-        let peer = |index| Peer { id: self.id(index), address: self.machines[index].address };
+        let peer = |index| Peer {
+            id: self.id(index),
+            address: self.machines[index].address,
+        };
         let members: Vec<Peer> = (0..self.setup.machines).map(peer).collect();
         let chain = members.iter().map(|member| member.id.clone()).collect();
-        View { number: 1, members, chain }
+        View {
+            number: 1,
+            members,
+            chain,
+        }
     }
 
     pub fn start_at(&mut self, machine: usize, at: Millis) {
@@ -103,7 +113,11 @@
     pub fn start(&mut self, index: usize, run: u64) {
         let clock_zero = self.now;
         let seed = self.rng.u64(..);
-        let contacts: Vec<SocketAddr> = self.machines.iter().map(|machine| machine.address).collect();
+        let contacts: Vec<SocketAddr> = self
+            .machines
+            .iter()
+            .map(|machine| machine.address)
+            .collect();
         let id = self.id(index);
         let guards = self.setup.guards;
         let machine = &mut self.machines[index];
@@ -112,8 +126,17 @@
         }
         machine.powered = true;
         machine.frozen = false;
-        let (saved, address, may_found) = (machine.saved.clone(), machine.address, machine.may_found);
-        let member = Member::with_guards(id, address, may_found, saved, seed, FIRST_MOMENT, guards.chain);
+        let (saved, address, may_found) =
+            (machine.saved.clone(), machine.address, machine.may_found);
+        let member = Member::with_guards(
+            id,
+            address,
+            may_found,
+            saved,
+            seed,
+            FIRST_MOMENT,
+            guards.chain,
+        );
         machine.process = Some(Process {
             member,
             clock_zero,
@@ -125,7 +148,11 @@
         });
         let first_start = machine.may_found && run == 1;
         self.note(|| format!("m{index} starts"));
-        let input = if first_start { Input::Tick } else { Input::Join { contacts } };
+        let input = if first_start {
+            Input::Tick
+        } else {
+            Input::Join { contacts }
+        };
         self.arrive(index, Arrival::Chain(input));
     }
 
@@ -139,7 +166,10 @@
         machine.frozen = false;
         machine.powered = with_power;
         if let Some(flight) = machine.flight.take().filter(|_| keeps_batch) {
-            flight.writes.iter().for_each(|write| machine.saved.apply(write));
+            flight
+                .writes
+                .iter()
+                .for_each(|write| machine.saved.apply(write));
         }
         for other in 0..self.machines.len() {
             self.reset_connection(index, other, with_power);
@@ -171,11 +201,19 @@
 
     pub fn disk_done(&mut self, index: usize, run: u64, batch: u64) {
         let machine = &mut self.machines[index];
-        if machine.run != run || machine.flight.as_ref().is_none_or(|flight| flight.batch != batch) {
+        if machine.run != run
+            || machine
+                .flight
+                .as_ref()
+                .is_none_or(|flight| flight.batch != batch)
+        {
             return;
         }
         let flight = machine.flight.take().expect("just seen");
-        flight.writes.iter().for_each(|write| machine.saved.apply(write));
+        flight
+            .writes
+            .iter()
+            .for_each(|write| machine.saved.apply(write));
         self.arrive(index, Arrival::Chain(Input::Persisted { batch }));
     }
 
@@ -184,7 +222,13 @@
         if machine.run != run {
             return;
         }
-        let Some(process) = machine.process.as_mut().filter(|process| process.tick_at == at) else { return };
+        let Some(process) = machine
+            .process
+            .as_mut()
+            .filter(|process| process.tick_at == at)
+        else {
+            return;
+        };
         process.tick_at = Millis::MAX;
         if !machine.frozen {
             self.arrive(index, Arrival::Chain(Input::Tick));
@@ -207,7 +251,10 @@
     }
 
     fn process(&mut self, index: usize) -> &mut Process {
-        self.machines[index].process.as_mut().expect("a running process")
+        self.machines[index]
+            .process
+            .as_mut()
+            .expect("a running process")
     }
 
     fn clock(&mut self, index: usize) -> Millis {
@@ -219,12 +266,23 @@
         let process = self.process(index);
         let mut out = Vec::new();
         process.member.step(input, clock, &mut out);
-        let next = process.member.next_tick().saturating_sub(FIRST_MOMENT).saturating_add(process.clock_zero);
+        let next = process
+            .member
+            .next_tick()
+            .saturating_sub(FIRST_MOMENT)
+            .saturating_add(process.clock_zero);
         let due = next.max(now + 1);
         if due < process.tick_at {
             process.tick_at = due;
             let run = self.machines[index].run;
-            self.schedule(due, Event::Tick { machine: index, run, at: due });
+            self.schedule(
+                due,
+                Event::Tick {
+                    machine: index,
+                    run,
+                    at: due,
+                },
+            );
         }
         for output in out {
             self.output(index, output);
@@ -247,9 +305,20 @@
                 let sync = self.rng.u64(1..self.setup.sync_most);
                 let run = self.machines[index].run;
                 self.machines[index].flight = Some(Flight { batch, writes });
-                self.schedule(self.now + sync, Event::DiskDone { machine: index, run, batch });
+                self.schedule(
+                    self.now + sync,
+                    Event::DiskDone {
+                        machine: index,
+                        run,
+                        batch,
+                    },
+                );
             }
-            Output::Commit { index: at, payload, ticket } => self.commit(index, at, &payload, ticket),
+            Output::Commit {
+                index: at,
+                payload,
+                ticket,
+            } => self.commit(index, at, &payload, ticket),
             Output::ReadReady { ticket } => self.read_ready(index, ticket),
             Output::Dropped { ticket } => {
                 if let Some(call) = self.process(index).tickets.remove(&ticket) {
@@ -258,14 +327,26 @@
             }
             Output::WantSnapshot => {
                 let process = self.process(index);
-                let input = Input::Snapshot { index: process.applied, bytes: process.state.snapshot() };
+                let input = Input::Snapshot {
+                    index: process.applied,
+                    bytes: process.state.snapshot(),
+                };
                 let at = self.now + self.rng.u64(0..5);
                 let run = self.machines[index].run;
-                self.schedule(at, Event::Arrive { machine: index, run, arrival: Arrival::Chain(input) });
+                self.schedule(
+                    at,
+                    Event::Arrive {
+                        machine: index,
+                        run,
+                        arrival: Arrival::Chain(input),
+                    },
+                );
             }
             Output::Install { index: at, bytes } => {
                 let guards = self.setup.guards.control;
-                let state = ControlState::restore(&bytes).expect("a snapshot").guarded_by(guards);
+                let state = ControlState::restore(&bytes)
+                    .expect("a snapshot")
+                    .guarded_by(guards);
                 self.snapshots_installed += 1;
                 let process = self.process(index);
                 process.applied = at;
@@ -274,14 +355,19 @@
             Output::ViewChanged { view, current } => {
                 self.note(|| {
                     let chain: Vec<&str> = view.chain.iter().map(|id| id.node.as_str()).collect();
-                    format!("m{index} is in view {} of {chain:?}, current {current}", view.number)
+                    format!(
+                        "m{index} is in view {} of {chain:?}, current {current}",
+                        view.number
+                    )
                 });
             }
         }
     }
 
     fn machine_at(&self, address: SocketAddr) -> Option<usize> {
-        self.machines.iter().position(|machine| machine.address == address)
+        self.machines
+            .iter()
+            .position(|machine| machine.address == address)
     }
 
     fn commit(&mut self, index: usize, at: u64, payload: &[u8], ticket: Option<u64>) {
@@ -307,10 +393,23 @@
     fn called(&mut self, index: usize, call: CallId, question: Question) {
         let clock = self.clock(index);
         let process = self.process(index);
-        process.pending.insert(call, Pending { question: question.clone(), since: clock });
+        process.pending.insert(
+            call,
+            Pending {
+                question: question.clone(),
+                since: clock,
+            },
+        );
         let run = self.machines[index].run;
         let at = self.now + CALL_LIMIT;
-        self.schedule(at, Event::Arrive { machine: index, run, arrival: Arrival::Deadline { call } });
+        self.schedule(
+            at,
+            Event::Arrive {
+                machine: index,
+                run,
+                arrival: Arrival::Deadline { call },
+            },
+        );
         match question {
             Question::Order(_) | Question::Retire(_) => self.execute(index, call, &question, 0),
             Question::Configuration => {
@@ -320,16 +419,25 @@
             }
             Question::Watch => {
                 let process = self.process(index);
-                let generation = process.state.configuration().map_or(0, |document| document.generation());
+                let generation = process
+                    .state
+                    .configuration()
+                    .map_or(0, |document| document.generation());
                 let follows = process.member.follows(clock);
-                let answer = if follows { Answer::Watched { generation } } else { Answer::Unclear };
+                let answer = if follows {
+                    Answer::Watched { generation }
+                } else {
+                    Answer::Unclear
+                };
                 self.answer(index, call, answer);
             }
         }
     }
 
     fn execute(&mut self, index: usize, call: CallId, question: &Question, fence: u64) {
-        let Some(operation) = operation(question, fence) else { return };
+        let Some(operation) = operation(question, fence) else {
+            return;
+        };
         let clock = self.clock(index);
         let refuses_unconfirmed = self.setup.guards.refuses_unconfirmed;
         let process = self.process(index);
@@ -351,10 +459,16 @@
     fn decided(&mut self, index: usize, call: CallId, outcome: Outcome) {
         match outcome {
             Outcome::Accepted => self.answer(index, call, Answer::Accepted),
-            Outcome::Current { generation } => self.answer(index, call, Answer::Current { generation }),
+            Outcome::Current { generation } => {
+                self.answer(index, call, Answer::Current { generation })
+            }
             Outcome::Invalid(_) => self.answer(index, call, Answer::Invalid),
             Outcome::Fenced { fence } => {
-                let question = self.process(index).pending.get(&call).map(|pending| pending.question.clone());
+                let question = self
+                    .process(index)
+                    .pending
+                    .get(&call)
+                    .map(|pending| pending.question.clone());
                 if let Some(question) = question {
                     self.execute(index, call, &question, fence);
                 }
@@ -367,7 +481,9 @@
 
     fn read_ready(&mut self, index: usize, ticket: u64) {
         let process = self.process(index);
-        let Some(call) = process.tickets.remove(&ticket) else { return };
+        let Some(call) = process.tickets.remove(&ticket) else {
+            return;
+        };
         let document = process.state.configuration();
         let configuration = document.map(|document| (document.generation(), document.to_json()));
         self.answer(index, call, Answer::Configuration(configuration));
@@ -376,7 +492,9 @@
     /// Answers a call, without a clear answer if it has taken too long: the process may have been frozen.
     fn answer(&mut self, index: usize, call: CallId, answer: Answer) {
         let clock = self.clock(index);
-        let Some(pending) = self.process(index).pending.remove(&call) else { return };
+        let Some(pending) = self.process(index).pending.remove(&call) else {
+            return;
+        };
         let late = clock > pending.since + CALL_LIMIT;
         let answer = if late { Answer::Unclear } else { answer };
         self.send_answer(index, call, answer);
@@ -385,7 +503,14 @@
     /// A payload that means nothing.
     pub fn submit_filling(&mut self, index: usize) {
         let node = "-".repeat(self.setup.filling);
-        self.submit(index, &Operation::RetireDone { node, incarnation: 0, round: 0 });
+        self.submit(
+            index,
+            &Operation::RetireDone {
+                node,
+                incarnation: 0,
+                round: 0,
+            },
+        );
     }
 
     /// An operation of which nobody waits to hear.
@@ -395,17 +520,28 @@
         }
         let payload = postcard::to_stdvec(operation);
         let ticket = self.take_ticket();
-        self.step(index, Input::Submit { ticket, payload: payload.expect("an operation") });
+        self.step(
+            index,
+            Input::Submit {
+                ticket,
+                payload: payload.expect("an operation"),
+            },
+        );
     }
 }
 
 /// What a call asks the core to agree on.
 fn operation(question: &Question, fence: u64) -> Option<Operation> {
     match question {
-        Question::Order(order) => Some(Operation::Configure(Order { fence, ..order.clone() })),
-        Question::Retire(node) => {
-            Some(Operation::RetireStart { node: node.clone(), tolerated_losses: TOLERATED_LOSSES, fence })
-        }
+        Question::Order(order) => Some(Operation::Configure(Order {
+            fence,
+            ..order.clone()
+        })),
+        Question::Retire(node) => Some(Operation::RetireStart {
+            node: node.clone(),
+            tolerated_losses: TOLERATED_LOSSES,
+            fence,
+        }),
         Question::Configuration | Question::Watch => None,
     }
 }
@@ -413,7 +549,9 @@
 /// The store that an operation may begin to empty.
 fn retired_before(state: &ControlState, operation: &Operation) -> Option<String> {
     match operation {
-        Operation::RetireStart { node, .. } if state.retirement(node).is_none() => Some(node.clone()),
+        Operation::RetireStart { node, .. } if state.retirement(node).is_none() => {
+            Some(node.clone())
+        }
         _ => None,
     }
 }
--- a/crates/control/tests/world/mod.rs
+++ b/crates/control/tests/world/mod.rs
@@ -193,13 +193,23 @@
 
     pub fn schedule(&mut self, at: Millis, event: Event) {
         self.order += 1;
-        self.events.push(Reverse(Scheduled { at: at.max(self.now), order: self.order, event }));
+        self.events.push(Reverse(Scheduled {
+            at: at.max(self.now),
+            order: self.order,
+            event,
+        }));
     }
 
     /// Plays up to a time, or to the first broken promise.
     pub fn play_to(&mut self, end: Millis) -> Verdict {
-        while self.events.peek().is_some_and(|Reverse(next)| next.at <= end) {
-            let Some(Reverse(next)) = self.events.pop() else { break };
+        while self
+            .events
+            .peek()
+            .is_some_and(|Reverse(next)| next.at <= end)
+        {
+            let Some(Reverse(next)) = self.events.pop() else {
+                break;
+            };
             self.now = next.at;
             self.happen(next.event);
             if let Some(broken) = self.broken.take() {
@@ -217,13 +227,21 @@
             Event::Fill => self.fill(),
             Event::Tick { machine, run, at } => self.tick(machine, run, at),
             Event::Deliver { from, to } => self.deliver(from, to),
-            Event::Arrive { machine, run, arrival } => {
+            Event::Arrive {
+                machine,
+                run,
+                arrival,
+            } => {
                 if self.machines[machine].run == run {
                     self.arrive(machine, arrival);
                 }
             }
             Event::ArriveLate { machine, arrival } => self.arrive(machine, arrival),
-            Event::DiskDone { machine, run, batch } => self.disk_done(machine, run, batch),
+            Event::DiskDone {
+                machine,
+                run,
+                batch,
+            } => self.disk_done(machine, run, batch),
             Event::Caller { caller, wake } => self.caller_wakes(caller, wake),
             Event::Trouble(trouble) => self.strike(trouble),
         }
@@ -236,14 +254,20 @@
         if first {
             self.sequence.push(payload);
         } else if self.sequence.get(place) != Some(&payload) {
-            self.breaks(format!("m{machine} commits something else at {index} than was committed before"));
+            self.breaks(format!(
+                "m{machine} commits something else at {index} than was committed before"
+            ));
         }
         first
     }
 
     fn found(&mut self) {
         let view = self.first_view();
-        if self.machines.iter().all(|machine| machine.saved.decided.is_none()) {
+        if self
+            .machines
+            .iter()
+            .all(|machine| machine.saved.decided.is_none())
+        {
             self.schedule(self.now + FOUND_AGAIN, Event::Found);
         }
         self.arrive(0, Arrival::Chain(Input::Found { view }));
@@ -274,6 +298,9 @@
     }
 
     pub fn told(&self, text: &str) -> String {
-        format!("seed {} with {} members at {} ms: {text}", self.setup.seed, self.setup.machines, self.now)
+        format!(
+            "seed {} with {} members at {} ms: {text}",
+            self.setup.seed, self.setup.machines, self.now
+        )
     }
 }
--- a/crates/control/tests/world/trouble.rs
+++ b/crates/control/tests/world/trouble.rs
@@ -71,8 +71,14 @@
     /// The trouble as it befalls this machine.
     pub fn at(self, machine: usize) -> Trouble {
         match self {
-            Trouble::PowerLoss { back_after, .. } => Trouble::PowerLoss { machine, back_after },
-            Trouble::Wipe { back_after, .. } => Trouble::Wipe { machine, back_after },
+            Trouble::PowerLoss { back_after, .. } => Trouble::PowerLoss {
+                machine,
+                back_after,
+            },
+            Trouble::Wipe { back_after, .. } => Trouble::Wipe {
+                machine,
+                back_after,
+            },
             other => other,
         }
     }
@@ -82,9 +88,18 @@
     pub fn strike(&mut self, trouble: Trouble) {
         self.note(|| format!("{trouble:?}"));
         match trouble {
-            Trouble::Kill { machine, back_after } => self.end_and_start(machine, true, back_after),
-            Trouble::PowerLoss { machine, back_after } => self.end_and_start(machine, false, back_after),
-            Trouble::Wipe { machine, back_after } => {
+            Trouble::Kill {
+                machine,
+                back_after,
+            } => self.end_and_start(machine, true, back_after),
+            Trouble::PowerLoss {
+                machine,
+                back_after,
+            } => self.end_and_start(machine, false, back_after),
+            Trouble::Wipe {
+                machine,
+                back_after,
+            } => {
                 self.end_process(machine, false);
                 self.wipe(machine);
                 self.start_at(machine, self.now + back_after);
@@ -106,18 +121,28 @@
             Trouble::AtAcknowledgement { trouble } => {
                 let (machine, back_after) = (0, GONE);
                 let first = match trouble {
-                    Acknowledgement::PowerLoss => Trouble::PowerLoss { machine, back_after },
+                    Acknowledgement::PowerLoss => Trouble::PowerLoss {
+                        machine,
+                        back_after,
+                    },
                     Acknowledgement::Blackout => Trouble::Blackout { back_after },
-                    Acknowledgement::DiskLoss => Trouble::Wipe { machine, back_after },
+                    Acknowledgement::DiskLoss => Trouble::Wipe {
+                        machine,
+                        back_after,
+                    },
                     Acknowledgement::DiskLossInBlackout => {
                         self.blackout_after_wipe = true;
-                        Trouble::Wipe { machine, back_after }
+                        Trouble::Wipe {
+                            machine,
+                            back_after,
+                        }
                     }
                 };
                 self.at_next_acknowledgement = Some(first);
             }
         }
-        if matches!(trouble, Trouble::Wipe { .. }) && std::mem::take(&mut self.blackout_after_wipe) {
+        if matches!(trouble, Trouble::Wipe { .. }) && std::mem::take(&mut self.blackout_after_wipe)
+        {
             self.strike(Trouble::Blackout { back_after: GONE });
         }
     }
@@ -191,8 +216,22 @@
         let machine = self.rng.usize(..self.machines);
         let back_after = lasts.min(3_000);
         match self.rng.u32(0..14) {
-            0 => self.ends(at, Trouble::Kill { machine, back_after }, back_after),
-            1 => self.ends(at, Trouble::PowerLoss { machine, back_after }, back_after),
+            0 => self.ends(
+                at,
+                Trouble::Kill {
+                    machine,
+                    back_after,
+                },
+                back_after,
+            ),
+            1 => self.ends(
+                at,
+                Trouble::PowerLoss {
+                    machine,
+                    back_after,
+                },
+                back_after,
+            ),
             2..=4 => {
                 self.push(at, Trouble::Freeze { machine });
                 self.push(at + lasts, Trouble::Thaw { machine });
@@ -238,7 +277,9 @@
     /// Machines and callers fall apart into two sides.
     fn split(&mut self, at: Millis, lasts: Millis) {
         let machines = (0..self.machines).map(Place::Machine);
-        let places: Vec<Place> = machines.chain((0..self.callers).map(Place::Caller)).collect();
+        let places: Vec<Place> = machines
+            .chain((0..self.callers).map(Place::Caller))
+            .collect();
         let sides: Vec<bool> = places.iter().map(|_| self.rng.bool()).collect();
         for (one, side) in places.iter().zip(&sides) {
             for (other, other_side) in places.iter().zip(&sides) {
@@ -268,7 +309,14 @@
         match self.rng.u32(0..3) {
             0 => {
                 let machine = self.rng.usize(..self.machines);
-                self.ends(at, Trouble::Wipe { machine, back_after: GONE }, GONE);
+                self.ends(
+                    at,
+                    Trouble::Wipe {
+                        machine,
+                        back_after: GONE,
+                    },
+                    GONE,
+                );
             }
             1 => {
                 let trouble = Acknowledgement::DiskLoss;
@@ -294,5 +342,10 @@
     check(&world.history).map_err(|text| world.told(&text))?;
     let snapshots = world.snapshots_installed;
     let (emptied, kept) = (world.keeper.begun, world.keeper.refused);
-    Ok(Tally { snapshots, emptied, kept, ..world.history.tally() })
+    Ok(Tally {
+        snapshots,
+        emptied,
+        kept,
+        ..world.history.tally()
+    })
 }
--- a/crates/distribution/src/distribution.rs
+++ b/crates/distribution/src/distribution.rs
@@ -130,7 +130,10 @@
             service.home.keep(&self.roster);
             service.subscription.keep(&self.roster);
             service.neighbours.retain(|zone, _| zones.contains(zone));
-            service.neighbours.values_mut().for_each(|neighbour| neighbour.keep(&self.roster));
+            service
+                .neighbours
+                .values_mut()
+                .for_each(|neighbour| neighbour.keep(&self.roster));
         }
     }
 
@@ -143,7 +146,9 @@
         }
         self.last_version += 1;
         let version = self.last_version;
-        let Some(service) = self.service(service) else { return };
+        let Some(service) = self.service(service) else {
+            return;
+        };
         if *service.subscription.loads() != loads {
             service.subscription.set(loads, version, now);
         }
@@ -151,7 +156,10 @@
 
     /// Services of which something in flight was stated.
     pub fn busy(&self) -> Vec<Rc<str>> {
-        let busy = self.services.iter().filter(|(_, service)| !service.subscription.is_empty());
+        let busy = self
+            .services
+            .iter()
+            .filter(|(_, service)| !service.subscription.is_empty());
         busy.map(|(name, _)| name.clone()).collect()
     }
 
@@ -160,7 +168,13 @@
         let life = self.own.life;
         let Some(service) = self.service(&ask.service) else {
             let wants_statement = false;
-            return Answer { life, version: 0, whole: true, loads: Vec::new(), wants_statement };
+            return Answer {
+                life,
+                version: 0,
+                whole: true,
+                loads: Vec::new(),
+                wants_statement,
+            };
         };
         let answer = service.home.asked(ask, now);
         if let Speaker::Home { zone, gateway } = &ask.speaker {
@@ -170,7 +184,13 @@
     }
 
     /// A home of another zone was answered, and so told what this zone's subscribers have.
-    fn answered_neighbour(&mut self, name: &Rc<str>, zone: &Rc<str>, gateway: &Rc<str>, now: Millis) {
+    fn answered_neighbour(
+        &mut self,
+        name: &Rc<str>,
+        zone: &Rc<str>,
+        gateway: &Rc<str>,
+        now: Millis,
+    ) {
         self.sum_up(name, now);
         let service = self.services.get_mut(name);
         if let Some(neighbour) = service.and_then(|service| service.neighbours.get_mut(zone)) {
@@ -181,30 +201,55 @@
     /// The next call that is to be made now.
     pub fn poll(&mut self, now: Millis) -> Option<Call> {
         let names: Vec<Rc<str>> = self.services.keys().cloned().collect();
-        names.into_iter().find_map(|name| self.poll_service(&name, now))
+        names
+            .into_iter()
+            .find_map(|name| self.poll_service(&name, now))
     }
 
     /// A call was answered.
     pub fn answered(&mut self, number: u64, answer: &Answer, now: Millis) {
-        let Some(call) = self.calls.remove(&number) else { return };
-        let Some(service) = self.services.get_mut(&call.service) else { return };
+        let Some(call) = self.calls.remove(&number) else {
+            return;
+        };
+        let Some(service) = self.services.get_mut(&call.service) else {
+            return;
+        };
         let Some(zone) = call.neighbour else {
-            if service.subscription.answered(number, call.version, answer, now) {
+            if service
+                .subscription
+                .answered(number, call.version, answer, now)
+            {
                 let others = service.subscription.others();
-                self.news.push(News { service: call.service, others });
+                self.news.push(News {
+                    service: call.service,
+                    others,
+                });
             }
             return;
         };
-        let Some(neighbour) = service.neighbours.get_mut(&zone) else { return };
+        let Some(neighbour) = service.neighbours.get_mut(&zone) else {
+            return;
+        };
         if neighbour.answered(number, call.version, answer, now) {
-            service.home.told(Speaker::Home { zone, gateway: call.gateway }, answer, now);
+            service.home.told(
+                Speaker::Home {
+                    zone,
+                    gateway: call.gateway,
+                },
+                answer,
+                now,
+            );
         }
     }
 
     /// A call got no answer.
     pub fn failed(&mut self, number: u64, now: Millis) {
-        let Some(call) = self.calls.remove(&number) else { return };
-        let Some(service) = self.services.get_mut(&call.service) else { return };
+        let Some(call) = self.calls.remove(&number) else {
+            return;
+        };
+        let Some(service) = self.services.get_mut(&call.service) else {
+            return;
+        };
         match &call.neighbour {
             None => service.subscription.failed(number, now),
             Some(zone) => {
@@ -234,11 +279,24 @@
         if service.sum_due().is_some_and(|at| at <= now) {
             self.sum_up(name, now);
         }
-        let zones: Vec<Rc<str>> = self.services.get(name)?.neighbours.keys().cloned().collect();
-        zones.into_iter().find_map(|zone| self.poll_subscription(name, Some(zone), now))
+        let zones: Vec<Rc<str>> = self
+            .services
+            .get(name)?
+            .neighbours
+            .keys()
+            .cloned()
+            .collect();
+        zones
+            .into_iter()
+            .find_map(|zone| self.poll_subscription(name, Some(zone), now))
     }
 
-    fn poll_subscription(&mut self, name: &Rc<str>, zone: Option<Rc<str>>, now: Millis) -> Option<Call> {
+    fn poll_subscription(
+        &mut self,
+        name: &Rc<str>,
+        zone: Option<Rc<str>>,
+        now: Millis,
+    ) -> Option<Call> {
         let number = self.last_number + 1;
         let service = self.services.get_mut(name)?;
         let subscription = match &zone {
@@ -248,29 +306,47 @@
         let Outgoing { to, ask } = subscription.poll(number, &self.roster, now)?;
         self.last_number = number;
         let is_own = to.name == self.own.name;
-        let call =
-            UnderWay { service: name.clone(), neighbour: zone, gateway: to.name, version: ask.version };
+        let call = UnderWay {
+            service: name.clone(),
+            neighbour: zone,
+            gateway: to.name,
+            version: ask.version,
+        };
         self.calls.insert(number, call);
         if is_own {
             let answer = self.asked(&ask, now);
             self.answered(number, &answer, now);
             return None;
         }
-        Some(Call { number, address: to.address, ask })
+        Some(Call {
+            number,
+            address: to.address,
+            ask,
+        })
     }
 
     /// As a home: what this zone's subscribers have together is to be told to the other zones' homes.
     fn sum_up(&mut self, name: &Rc<str>, now: Millis) {
-        let Some(service) = self.services.get_mut(name) else { return };
+        let Some(service) = self.services.get_mut(name) else {
+            return;
+        };
         service.summed_version = service.home.version();
         service.summed_at = now;
         if service.neighbours.is_empty() && !service.home.serves() {
             return;
         }
         let sum: ByServer = by_server(&service.home.of_subscribers());
-        for zone in self.roster.zones().into_iter().filter(|zone| *zone != self.own.zone) {
+        for zone in self
+            .roster
+            .zones()
+            .into_iter()
+            .filter(|zone| *zone != self.own.zone)
+        {
             let subject = neighbour_subject(&self.own, name, &zone);
-            let neighbour = service.neighbours.entry(zone).or_insert_with(|| Subscription::new(subject));
+            let neighbour = service
+                .neighbours
+                .entry(zone)
+                .or_insert_with(|| Subscription::new(subject));
             if *neighbour.loads() != sum {
                 neighbour.set(sum.clone(), service.summed_version, now);
             }
@@ -282,13 +358,16 @@
             return None;
         }
         let own = &self.own;
-        let service = self.services.entry(name.clone()).or_insert_with(|| Service {
-            subscription: Subscription::new(subscriber_subject(own, name)),
-            home: Home::new(own.life),
-            neighbours: BTreeMap::new(),
-            summed_version: 0,
-            summed_at: 0,
-        });
+        let service = self
+            .services
+            .entry(name.clone())
+            .or_insert_with(|| Service {
+                subscription: Subscription::new(subscriber_subject(own, name)),
+                home: Home::new(own.life),
+                neighbours: BTreeMap::new(),
+                summed_version: 0,
+                summed_at: 0,
+            });
         Some(service)
     }
 }
@@ -297,7 +376,12 @@
     /// When this gateway has something to do for the service.
     fn next_due(&self) -> Option<Millis> {
         let neighbours = self.neighbours.values().filter_map(Subscription::next_due);
-        self.subscription.next_due().into_iter().chain(self.sum_due()).chain(neighbours).min()
+        self.subscription
+            .next_due()
+            .into_iter()
+            .chain(self.sum_due())
+            .chain(neighbours)
+            .min()
     }
 
     /// When the neighbours are to be told of a changed table.
@@ -311,7 +395,9 @@
     Subject {
         service: service.clone(),
         zone: own.zone.clone(),
-        speaker: Speaker::Subscriber { gateway: own.name.clone() },
+        speaker: Speaker::Subscriber {
+            gateway: own.name.clone(),
+        },
         life: own.life,
         period_ms: SUBSCRIBER_PERIOD_MS,
     }
@@ -322,7 +408,10 @@
     Subject {
         service: service.clone(),
         zone: zone.clone(),
-        speaker: Speaker::Home { zone: own.zone.clone(), gateway: own.name.clone() },
+        speaker: Speaker::Home {
+            zone: own.zone.clone(),
+            gateway: own.name.clone(),
+        },
         life: own.life,
         period_ms: HOME_PERIOD_MS + stagger,
     }
--- a/crates/distribution/src/failover.rs
+++ b/crates/distribution/src/failover.rs
@@ -31,28 +31,44 @@
 impl Failover {
     /// The first of the ranked gateways that may be asked.
     pub(crate) fn choose<'a>(&self, ranked: &[&'a Gateway], now: Millis) -> Option<&'a Gateway> {
-        ranked.iter().copied().find(|gateway| !self.is_silent(gateway, now))
+        ranked
+            .iter()
+            .copied()
+            .find(|gateway| !self.is_silent(gateway, now))
     }
 
     /// When the first of them may be asked again.
     pub(crate) fn next_chance(&self, ranked: &[&Gateway]) -> Option<Millis> {
-        ranked.iter().filter_map(|gateway| self.silent.get(&gateway.name)).map(|silence| silence.until).min()
+        ranked
+            .iter()
+            .filter_map(|gateway| self.silent.get(&gateway.name))
+            .map(|silence| silence.until)
+            .min()
     }
 
     /// A gateway gave no answer.
     pub(crate) fn failed(&mut self, name: &Rc<str>, life: u64, now: Millis) {
         let before = self.silent.get(name).filter(|silence| silence.life == life);
-        let lately = before.filter(|silence| now.saturating_sub(silence.failed_at) < FORGIVEN_AFTER_MS);
+        let lately =
+            before.filter(|silence| now.saturating_sub(silence.failed_at) < FORGIVEN_AFTER_MS);
         let failures = lately.map_or(0, |silence| silence.failures);
         let pause = FIRST_PAUSE_MS << failures.min(MOST_DOUBLINGS);
-        let silence = Silence { life, until: now + pause, failed_at: now, failures: failures + 1 };
+        let silence = Silence {
+            life,
+            until: now + pause,
+            failed_at: now,
+            failures: failures + 1,
+        };
         self.silent.insert(name.clone(), silence);
     }
 
     /// Forgets gateways that are gone or live anew.
     pub(crate) fn keep(&mut self, roster: &Roster) {
-        self.silent
-            .retain(|name, silence| roster.find(name).is_some_and(|gateway| gateway.life == silence.life));
+        self.silent.retain(|name, silence| {
+            roster
+                .find(name)
+                .is_some_and(|gateway| gateway.life == silence.life)
+        });
     }
 
     fn is_silent(&self, gateway: &Gateway, now: Millis) -> bool {
--- a/crates/distribution/src/home.rs
+++ b/crates/distribution/src/home.rs
@@ -58,7 +58,13 @@
 impl Home {
     /// A home in the life `life` of this gateway's process.
     pub(crate) fn new(life: u64) -> Home {
-        Home { life, version: 1, floor: 0, voices: BTreeMap::new(), totals: BTreeMap::new() }
+        Home {
+            life,
+            version: 1,
+            floor: 0,
+            voices: BTreeMap::new(),
+            totals: BTreeMap::new(),
+        }
     }
 
     /// Takes what the speaker says and answers it.
@@ -69,7 +75,13 @@
             Speaker::Subscriber { .. } => self.news_of_all(ask.known),
             Speaker::Home { .. } => self.news_of_subscribers(ask.known),
         };
-        Answer { life: self.life, version: self.version, whole, loads, wants_statement }
+        Answer {
+            life: self.life,
+            version: self.version,
+            whole,
+            loads,
+            wants_statement,
+        }
     }
 
     /// What all have together, as far as it is new; and whether that is everything.
@@ -82,7 +94,12 @@
 
     /// What the subscribers have together, whole if it may be new.
     fn news_of_subscribers(&self, known: Known) -> (bool, Vec<ServerLoad>) {
-        if known == (Known { life: self.life, version: self.version }) {
+        if known
+            == (Known {
+                life: self.life,
+                version: self.version,
+            })
+        {
             return (false, Vec::new());
         }
         (true, self.of_subscribers())
@@ -98,7 +115,15 @@
             return;
         }
         let loads = bounded(&answer.loads);
-        self.take(speaker, Voice { life: answer.life, version: answer.version, loads, heard_at: now });
+        self.take(
+            speaker,
+            Voice {
+                life: answer.life,
+                version: answer.version,
+                loads,
+                heard_at: now,
+            },
+        );
     }
 
     /// What this zone's subscribers have together.
@@ -119,8 +144,9 @@
     /// Whether subscribers have anything in flight.
     pub(crate) fn serves(&self) -> bool {
         let mut subscribers = self.voices.iter();
-        subscribers
-            .any(|(speaker, voice)| matches!(speaker, Speaker::Subscriber { .. }) && !voice.loads.is_empty())
+        subscribers.any(|(speaker, voice)| {
+            matches!(speaker, Speaker::Subscriber { .. }) && !voice.loads.is_empty()
+        })
     }
 
     /// Rises with each change, within one life.
@@ -137,23 +163,37 @@
     pub(crate) fn keep(&mut self, roster: &Roster) {
         self.forget(|speaker, voice| {
             // A life that the list does not name yet is younger than it.
-            roster.find(speaker.gateway()).is_none_or(|gateway| voice.life < gateway.life)
+            roster
+                .find(speaker.gateway())
+                .is_none_or(|gateway| voice.life < gateway.life)
         });
     }
 
     /// Takes a statement, if there is one and it is not an old one; says whether the newest is held.
     fn hear(&mut self, ask: &Ask, now: Millis) -> bool {
         let held = self.voices.get_mut(&ask.speaker);
-        if let Some(voice) = held.filter(|voice| (voice.life, voice.version) >= (ask.life, ask.version)) {
+        if let Some(voice) =
+            held.filter(|voice| (voice.life, voice.version) >= (ask.life, ask.version))
+        {
             // Late and doubled ones change nothing; they show that the speaker lives if they are of this life.
             if voice.life == ask.life {
                 voice.heard_at = now;
             }
             return true;
         }
-        let Some(statement) = &ask.statement else { return false };
+        let Some(statement) = &ask.statement else {
+            return false;
+        };
         let loads = bounded(&statement.loads);
-        self.take(ask.speaker.clone(), Voice { life: ask.life, version: ask.version, loads, heard_at: now });
+        self.take(
+            ask.speaker.clone(),
+            Voice {
+                life: ask.life,
+                version: ask.version,
+                loads,
+                heard_at: now,
+            },
+        );
         true
     }
 
@@ -222,12 +262,21 @@
     }
 
     fn changed_since(&self, version: u64) -> Vec<ServerLoad> {
-        let changed = self.totals.iter().filter(|(_, total)| total.changed > version);
-        changed.map(|(server, total)| total.figures.at(server.clone())).collect()
+        let changed = self
+            .totals
+            .iter()
+            .filter(|(_, total)| total.changed > version);
+        changed
+            .map(|(server, total)| total.figures.at(server.clone()))
+            .collect()
     }
 
     fn all(&self) -> Vec<ServerLoad> {
-        let busy = self.totals.iter().filter(|(_, total)| !total.figures.is_nothing());
-        busy.map(|(server, total)| total.figures.at(server.clone())).collect()
+        let busy = self
+            .totals
+            .iter()
+            .filter(|(_, total)| !total.figures.is_nothing());
+        busy.map(|(server, total)| total.figures.at(server.clone()))
+            .collect()
     }
 }
--- a/crates/distribution/src/loads.rs
+++ b/crates/distribution/src/loads.rs
@@ -56,11 +56,15 @@
 
 /// The loads by server. Of two that name one server the last one counts.
 pub(crate) fn by_server(loads: &[ServerLoad]) -> ByServer {
-    loads.iter().map(|load| (load.server.clone(), Figures::of(load))).collect()
+    loads
+        .iter()
+        .map(|load| (load.server.clone(), Figures::of(load)))
+        .collect()
 }
 
 /// The loads as they are told.
 pub(crate) fn listed(loads: &ByServer) -> Vec<ServerLoad> {
     let busy = loads.iter().filter(|(_, figures)| !figures.is_nothing());
-    busy.map(|(server, figures)| figures.at(server.clone())).collect()
+    busy.map(|(server, figures)| figures.at(server.clone()))
+        .collect()
 }
--- a/crates/distribution/src/roster.rs
+++ b/crates/distribution/src/roster.rs
@@ -40,7 +40,9 @@
     /// The home of a service in a zone.
     pub fn home(&self, service: &str, zone: &str) -> Option<&Gateway> {
         let key = key(service, zone);
-        self.candidates(zone).into_iter().max_by_key(|gateway| rank(key, gateway))
+        self.candidates(zone)
+            .into_iter()
+            .max_by_key(|gateway| rank(key, gateway))
     }
 
     /// The home and who stands in for it, in this order.
@@ -53,7 +55,11 @@
 
     /// Zones with gateways, in the order of their names.
     pub fn zones(&self) -> Vec<Rc<str>> {
-        let mut zones: Vec<Rc<str>> = self.gateways.iter().map(|gateway| gateway.zone.clone()).collect();
+        let mut zones: Vec<Rc<str>> = self
+            .gateways
+            .iter()
+            .map(|gateway| gateway.zone.clone())
+            .collect();
         zones.sort_unstable();
         zones.dedup();
         zones
@@ -61,7 +67,11 @@
 
     /// The zone's gateways, or all of them for a zone without any.
     fn candidates(&self, zone: &str) -> Vec<&Gateway> {
-        let local: Vec<&Gateway> = self.gateways.iter().filter(|gateway| *gateway.zone == *zone).collect();
+        let local: Vec<&Gateway> = self
+            .gateways
+            .iter()
+            .filter(|gateway| *gateway.zone == *zone)
+            .collect();
         match local.is_empty() {
             true => self.gateways.iter().collect(),
             false => local,
@@ -76,5 +86,8 @@
 
 /// The gateway's weight for a key; the name decides between equal ones.
 fn rank(key: u64, gateway: &Gateway) -> (u64, &str) {
-    (xxh3_64_with_seed(gateway.name.as_bytes(), key), &gateway.name)
+    (
+        xxh3_64_with_seed(gateway.name.as_bytes(), key),
+        &gateway.name,
+    )
 }
--- a/crates/distribution/src/subscription.rs
+++ b/crates/distribution/src/subscription.rs
@@ -32,7 +32,11 @@
     /// The time of the next ask.
     Due { at: Millis },
     /// An answer.
-    Asking { number: u64, home: Rc<str>, home_life: u64 },
+    Asking {
+        number: u64,
+        home: Rc<str>,
+        home_life: u64,
+    },
 }
 
 /// A statement, or the part of a table, that one home is known to hold.
@@ -116,29 +120,60 @@
         }
         let ranked = roster.ranked(&self.subject.service, &self.subject.zone);
         let Some(home) = self.failover.choose(&ranked, now) else {
-            let at = self.failover.next_chance(&ranked).unwrap_or(now + RENEW_AFTER_MS);
-            self.enter(State::Due { at: at.max(now + 1) });
+            let at = self
+                .failover
+                .next_chance(&ranked)
+                .unwrap_or(now + RENEW_AFTER_MS);
+            self.enter(State::Due {
+                at: at.max(now + 1),
+            });
             return None;
         };
-        let outgoing = Outgoing { to: home.clone(), ask: self.ask(&home.name) };
+        let outgoing = Outgoing {
+            to: home.clone(),
+            ask: self.ask(&home.name),
+        };
         self.asked_at = Some(now);
         self.told_loads.clone_from(&self.loads);
-        self.enter(State::Asking { number, home: home.name.clone(), home_life: home.life });
+        self.enter(State::Asking {
+            number,
+            home: home.name.clone(),
+            home_life: home.life,
+        });
         Some(outgoing)
     }
 
     /// An answer; false for a late one, which says nothing.
-    pub(crate) fn answered(&mut self, number: u64, asked_version: u64, answer: &Answer, now: Millis) -> bool {
+    pub(crate) fn answered(
+        &mut self,
+        number: u64,
+        asked_version: u64,
+        answer: &Answer,
+        now: Millis,
+    ) -> bool {
         let home = match &self.state {
-            State::Asking { number: awaited, home, .. } if *awaited == number => home.clone(),
+            State::Asking {
+                number: awaited,
+                home,
+                ..
+            } if *awaited == number => home.clone(),
             _ => return false,
         };
         self.told = match answer.wants_statement {
             true => At::default(),
-            false => At { home: Some(home.clone()), what: asked_version },
+            false => At {
+                home: Some(home.clone()),
+                what: asked_version,
+            },
+        };
+        let known = Known {
+            life: answer.life,
+            version: answer.version,
+        };
+        self.known = At {
+            home: Some(home),
+            what: known,
         };
-        let known = Known { life: answer.life, version: answer.version };
-        self.known = At { home: Some(home), what: known };
         let loads = by_server(&answer.loads);
         match answer.whole {
             true => self.totals = loads,
@@ -155,7 +190,14 @@
 
     /// The ask of this number got no answer: the next gateway is asked, at once.
     pub(crate) fn failed(&mut self, number: u64, now: Millis) {
-        let State::Asking { number: awaited, home, home_life } = self.state.clone() else { return };
+        let State::Asking {
+            number: awaited,
+            home,
+            home_life,
+        } = self.state.clone()
+        else {
+            return;
+        };
         if awaited != number {
             return;
         }
@@ -173,7 +215,10 @@
         if another || matches!(self.state, State::Asking { .. }) {
             return;
         }
-        self.told = At { home: Some(home.clone()), what: self.version };
+        self.told = At {
+            home: Some(home.clone()),
+            what: self.version,
+        };
         self.asked_at = Some(now);
         self.settle(now);
     }
@@ -195,9 +240,20 @@
     }
 
     fn ask(&self, home: &Rc<str>) -> Ask {
-        let is_held = self.told == At { home: Some(home.clone()), what: self.version };
-        let statement = Statement { version: self.version, loads: listed(&self.loads) };
-        let known = if self.known.home.as_ref() == Some(home) { self.known.what } else { Known::default() };
+        let is_held = self.told
+            == At {
+                home: Some(home.clone()),
+                what: self.version,
+            };
+        let statement = Statement {
+            version: self.version,
+            loads: listed(&self.loads),
+        };
+        let known = if self.known.home.as_ref() == Some(home) {
+            self.known.what
+        } else {
+            Known::default()
+        };
         Ask {
             service: self.subject.service.clone(),
             speaker: self.subject.speaker.clone(),
--- a/crates/distribution/tests/common/mod.rs
+++ b/crates/distribution/tests/common/mod.rs
@@ -15,21 +15,43 @@
 /// A load without trouble.
 pub fn load(server: &str, in_flight: u32) -> ServerLoad {
     let waiting_tokens = u64::from(in_flight) * 100;
-    ServerLoad { server: server.into(), in_flight, waiting_tokens, in_trouble: 0 }
+    ServerLoad {
+        server: server.into(),
+        in_flight,
+        waiting_tokens,
+        in_trouble: 0,
+    }
 }
 
 /// A gateway `name` in `zone`, whose address ends in `number`.
 pub fn gateway(name: &str, zone: &str, number: u8, life: u64) -> Gateway {
     let address = SocketAddr::from(([10, 0, 0, number], 7_000));
-    Gateway { name: name.into(), zone: zone.into(), address, life }
+    Gateway {
+        name: name.into(),
+        zone: zone.into(),
+        address,
+        life,
+    }
 }
 
 /// A message on its way.
 #[derive(Clone, Debug)]
 enum Message {
-    Ask { from: Rc<str>, call: Call },
-    Answer { to: Rc<str>, to_life: u64, number: u64, answer: Answer },
-    Failed { to: Rc<str>, to_life: u64, number: u64 },
+    Ask {
+        from: Rc<str>,
+        call: Call,
+    },
+    Answer {
+        to: Rc<str>,
+        to_life: u64,
+        number: u64,
+        answer: Answer,
+    },
+    Failed {
+        to: Rc<str>,
+        to_life: u64,
+        number: u64,
+    },
 }
 
 /// What the network does to messages.
@@ -98,8 +120,15 @@
     /// Starts a gateway's process, anew if there was one; the others are not told.
     pub fn start(&mut self, name: &str, zone: &str) {
         self.next_life += 1;
-        let number = self.nodes.get(name).map_or(self.nodes.len() as u8 + 1, |node| last_byte(node.address));
-        let identity = Identity { name: name.into(), zone: zone.into(), life: self.next_life };
+        let number = self
+            .nodes
+            .get(name)
+            .map_or(self.nodes.len() as u8 + 1, |node| last_byte(node.address));
+        let identity = Identity {
+            name: name.into(),
+            zone: zone.into(),
+            life: self.next_life,
+        };
         let node = Node {
             distribution: Distribution::new(identity.clone()),
             identity,
@@ -118,7 +147,12 @@
         let up = self.nodes.values().filter(|node| !node.down);
         up.map(|node| {
             let identity = &node.identity;
-            gateway(&identity.name, &identity.zone, last_byte(node.address), identity.life)
+            gateway(
+                &identity.name,
+                &identity.zone,
+                last_byte(node.address),
+                identity.life,
+            )
         })
         .collect()
     }
@@ -163,7 +197,10 @@
     /// What the others have, in truth, by server.
     pub fn truth(&self, name: &str, service: &str) -> BTreeMap<Rc<str>, u32> {
         let mut truth = BTreeMap::new();
-        let others = self.nodes.values().filter(|node| *node.identity.name != *name && !node.down);
+        let others = self
+            .nodes
+            .values()
+            .filter(|node| *node.identity.name != *name && !node.down);
         for load in others.filter_map(|node| node.own.get(service)).flatten() {
             *truth.entry(load.server.clone()).or_default() += load.in_flight;
         }
@@ -173,7 +210,8 @@
     /// What it was told that the others have, by server.
     pub fn belief(&self, name: &str, service: &str) -> BTreeMap<Rc<str>, u32> {
         let told = self.node(name).others.get(service).into_iter().flatten();
-        told.map(|load| (load.server.clone(), load.in_flight)).collect()
+        told.map(|load| (load.server.clone(), load.in_flight))
+            .collect()
     }
 
     /// Calls made by all.
@@ -200,7 +238,14 @@
                     number: call.number,
                 };
                 self.send_at(self.now + ASK_TIMEOUT_MS, failed);
-                self.send(&name.clone(), call.address, Message::Ask { from: name.clone(), call });
+                self.send(
+                    &name.clone(),
+                    call.address,
+                    Message::Ask {
+                        from: name.clone(),
+                        call,
+                    },
+                );
             }
         }
     }
@@ -209,7 +254,11 @@
         let now = self.now;
         let node = self.nodes.get_mut(name).filter(|node| !node.down)?;
         let due = node.distribution.next_due().is_some_and(|at| at <= now);
-        let call = if due { node.distribution.poll(now) } else { None };
+        let call = if due {
+            node.distribution.poll(now)
+        } else {
+            None
+        };
         node.take_news();
         node.calls += u64::from(call.is_some());
         call
@@ -229,16 +278,32 @@
         let now = self.now;
         match message {
             Message::Ask { from, call } => self.arrive_ask(&from, &call),
-            Message::Answer { to, to_life, number, answer } => {
+            Message::Answer {
+                to,
+                to_life,
+                number,
+                answer,
+            } => {
                 if let Some(node) = self.alive(&to, to_life) {
                     node.distribution.answered(number, &answer, now);
                     node.take_news();
                 }
             }
-            Message::Failed { to, to_life, number } => {
+            Message::Failed {
+                to,
+                to_life,
+                number,
+            } => {
                 if self.nodes[&to].down {
                     // A frozen process finds its timers over when it thaws.
-                    return self.send_at(now + 1, Message::Failed { to, to_life, number });
+                    return self.send_at(
+                        now + 1,
+                        Message::Failed {
+                            to,
+                            to_life,
+                            number,
+                        },
+                    );
                 }
                 if let Some(node) = self.alive(&to, to_life) {
                     node.distribution.failed(number, now);
@@ -249,24 +314,37 @@
 
     fn arrive_ask(&mut self, from: &Rc<str>, call: &Call) {
         let now = self.now;
-        let to = self.nodes.values_mut().find(|node| node.address == call.address && !node.down);
+        let to = self
+            .nodes
+            .values_mut()
+            .find(|node| node.address == call.address && !node.down);
         let Some(node) = to else { return };
         node.answers += 1;
         let answer = node.distribution.asked(&call.ask, now);
         let address = self.nodes[from].address;
         let by = self.name_at(call.address);
         let to_life = call.ask.life;
-        let answer = Message::Answer { to: from.clone(), to_life, number: call.number, answer };
+        let answer = Message::Answer {
+            to: from.clone(),
+            to_life,
+            number: call.number,
+            answer,
+        };
         self.send(&by, address, answer);
     }
 
     fn alive(&mut self, name: &Rc<str>, life: u64) -> Option<&mut Node> {
-        self.nodes.get_mut(name).filter(|node| !node.down && node.identity.life == life)
+        self.nodes
+            .get_mut(name)
+            .filter(|node| !node.down && node.identity.life == life)
     }
 
     fn name_at(&self, address: SocketAddr) -> Rc<str> {
         let node = self.nodes.values().find(|node| node.address == address);
-        node.expect("a gateway at this address").identity.name.clone()
+        node.expect("a gateway at this address")
+            .identity
+            .name
+            .clone()
     }
 
     fn send(&mut self, from: &Rc<str>, to: SocketAddr, message: Message) {
@@ -274,9 +352,17 @@
         if self.cut.contains(&pair) || self.happens(self.weather.lost) {
             return;
         }
-        let copies = if self.happens(self.weather.doubled) { 2 } else { 1 };
+        let copies = if self.happens(self.weather.doubled) {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
-            let late = if self.happens(self.weather.late) { self.random.u64(0..2_000) } else { 0 };
+            let late = if self.happens(self.weather.late) {
+                self.random.u64(0..2_000)
+            } else {
+                0
+            };
             self.send_at(self.now + WAY_MS + late, message.clone());
         }
     }
--- a/crates/distribution/tests/exchange.rs
+++ b/crates/distribution/tests/exchange.rs
@@ -18,7 +18,11 @@
     world.set("north-3", SERVICE, &[load("s3", 1)]);
     world.pass(RENEWED_MS);
     for name in ["north-1", "north-2", "north-3"] {
-        assert_eq!(world.belief(name, SERVICE), world.truth(name, SERVICE), "{name}");
+        assert_eq!(
+            world.belief(name, SERVICE),
+            world.truth(name, SERVICE),
+            "{name}"
+        );
     }
 }
 
@@ -33,18 +37,36 @@
     world.pass(260);
     world.set("north-2", SERVICE, &[load("s1", 3)]);
     world.pass(260);
-    assert_eq!(world.belief("north-2", SERVICE), world.truth("north-2", SERVICE));
+    assert_eq!(
+        world.belief("north-2", SERVICE),
+        world.truth("north-2", SERVICE)
+    );
 }
 
 #[test]
 fn homes_tell_each_other_their_zones_sums() {
     let mut world = World::new(3, &ZONES, 3);
-    for (place, name) in world.nodes.keys().cloned().collect::<Vec<_>>().iter().enumerate() {
-        world.set(name, SERVICE, &[load("s1", place as u32 + 1), load(&format!("t{place}"), 1)]);
+    for (place, name) in world
+        .nodes
+        .keys()
+        .cloned()
+        .collect::<Vec<_>>()
+        .iter()
+        .enumerate()
+    {
+        world.set(
+            name,
+            SERVICE,
+            &[load("s1", place as u32 + 1), load(&format!("t{place}"), 1)],
+        );
     }
     world.pass(4_000);
     for name in world.nodes.keys() {
-        assert_eq!(world.belief(name, SERVICE), world.truth(name, SERVICE), "{name}");
+        assert_eq!(
+            world.belief(name, SERVICE),
+            world.truth(name, SERVICE),
+            "{name}"
+        );
     }
 }
 
@@ -69,7 +91,11 @@
 fn a_subscriber_asks_four_times_a_second_at_most_however_often_its_load_changes() {
     let mut world = World::new(5, &["north"], 2);
     let home = world.home("north-1", SERVICE, "north");
-    let subscriber = if &*home == "north-1" { "north-2" } else { "north-1" };
+    let subscriber = if &*home == "north-1" {
+        "north-2"
+    } else {
+        "north-1"
+    };
     for step in 0..1_000 {
         world.set(subscriber, SERVICE, &[load("s1", step % 7 + 1)]);
         world.pass(10);
@@ -82,14 +108,22 @@
 fn a_load_that_stays_is_renewed_once_a_second_without_its_statement() {
     let mut world = World::new(6, &["north"], 2);
     let home = world.home("north-1", SERVICE, "north");
-    let subscriber = if &*home == "north-1" { "north-2" } else { "north-1" };
+    let subscriber = if &*home == "north-1" {
+        "north-2"
+    } else {
+        "north-1"
+    };
     world.set(subscriber, SERVICE, &[load("s1", 1)]);
     world.pass(10_000);
     let calls = world.node(subscriber).calls;
     assert!((10..=11).contains(&calls), "{calls} in ten seconds");
     world.set(&home.clone(), SERVICE, &[load("s1", 1)]);
     world.pass(300);
-    assert_eq!(world.belief(&home, SERVICE), world.truth(&home, SERVICE), "it still counts");
+    assert_eq!(
+        world.belief(&home, SERVICE),
+        world.truth(&home, SERVICE),
+        "it still counts"
+    );
 }
 
 #[test]
@@ -103,7 +137,11 @@
     assert!(world.calls() <= 22, "{} in ten seconds", world.calls());
     world.pass(1_200);
     for name in ["north-1", "west-1"] {
-        assert_eq!(world.belief(name, SERVICE), world.truth(name, SERVICE), "{name}");
+        assert_eq!(
+            world.belief(name, SERVICE),
+            world.truth(name, SERVICE),
+            "{name}"
+        );
     }
 }
 
@@ -124,7 +162,14 @@
     let mut world = World::new(9, &["north"], 3);
     for name in ["north-1", "north-2", "north-3"] {
         let in_trouble = u32::from(name != "north-1");
-        world.set(name, SERVICE, &[ServerLoad { in_trouble, ..load("s1", 1) }]);
+        world.set(
+            name,
+            SERVICE,
+            &[ServerLoad {
+                in_trouble,
+                ..load("s1", 1)
+            }],
+        );
     }
     world.pass(RENEWED_MS);
     assert_eq!(world.node("north-1").others[SERVICE][0].in_trouble, 2);
@@ -133,18 +178,36 @@
 
 #[test]
 fn an_ask_and_its_answer_are_some_hundred_bytes() {
-    let loads: Vec<_> = (0..5).map(|number| load(&format!("i-7f3a91c{number}"), 3)).collect();
+    let loads: Vec<_> = (0..5)
+        .map(|number| load(&format!("i-7f3a91c{number}"), 3))
+        .collect();
     let ask = Ask {
         service: "huvo11a".into(),
-        speaker: Speaker::Subscriber { gateway: "front-queretaro-a-1".into() },
+        speaker: Speaker::Subscriber {
+            gateway: "front-queretaro-a-1".into(),
+        },
         life: 1_764_659_000_000,
         version: 5_000,
-        statement: Some(Statement { version: 5_000, loads: loads.clone() }),
-        known: Known { life: 1_764_659_000_000, version: 5_000 },
+        statement: Some(Statement {
+            version: 5_000,
+            loads: loads.clone(),
+        }),
+        known: Known {
+            life: 1_764_659_000_000,
+            version: 5_000,
+        },
     };
-    let answer =
-        Answer { life: 1_764_659_000_000, version: 5_001, whole: false, loads, wants_statement: false };
-    let sizes = [postcard::to_stdvec(&ask).unwrap().len(), postcard::to_stdvec(&answer).unwrap().len()];
+    let answer = Answer {
+        life: 1_764_659_000_000,
+        version: 5_001,
+        whole: false,
+        loads,
+        wants_statement: false,
+    };
+    let sizes = [
+        postcard::to_stdvec(&ask).unwrap().len(),
+        postcard::to_stdvec(&answer).unwrap().len(),
+    ];
     assert!(sizes[0] <= 140 && sizes[1] <= 90, "{sizes:?}");
 }
 
@@ -152,11 +215,19 @@
 fn trouble_is_believed_of_a_third_of_the_servers_at_most() {
     let in_trouble = |servers: usize| -> Vec<ServerLoad> {
         let named = (0..servers).map(|number| load(&format!("s{number}"), 0));
-        named.map(|load| ServerLoad { in_trouble: 1, ..load }).collect()
+        named
+            .map(|load| ServerLoad {
+                in_trouble: 1,
+                ..load
+            })
+            .collect()
     };
     let mut others = in_trouble(4);
     others.push(load("well", 3));
-    let news = News { service: SERVICE.into(), others };
+    let news = News {
+        service: SERVICE.into(),
+        others,
+    };
     assert_eq!(news.in_trouble(12).len(), 4);
     assert!(news.in_trouble(11).is_empty(), "it is the one who says it");
     assert!(news.in_trouble(0).is_empty());
--- a/crates/distribution/tests/failures.rs
+++ b/crates/distribution/tests/failures.rs
@@ -27,7 +27,11 @@
 
 fn expect_truth(world: &World, names: &[Rc<str>]) {
     for name in names {
-        assert_eq!(world.belief(name, SERVICE), world.truth(name, SERVICE), "{name}");
+        assert_eq!(
+            world.belief(name, SERVICE),
+            world.truth(name, SERVICE),
+            "{name}"
+        );
     }
 }
 
@@ -71,7 +75,10 @@
     world.pass(1_500);
     let all: Vec<Rc<str>> = world.nodes.keys().cloned().collect();
     expect_truth(&world, &all);
-    assert!(others.iter().all(|name| world.node(name).answers == 0), "the home is where it was");
+    assert!(
+        others.iter().all(|name| world.node(name).answers == 0),
+        "the home is where it was"
+    );
 }
 
 #[test]
@@ -79,7 +86,12 @@
     let (mut world, home, _) = zone_of_three(4);
     let list = world.list();
     world.start(&home, "north");
-    world.nodes.get_mut(&home).unwrap().distribution.set_gateways(list);
+    world
+        .nodes
+        .get_mut(&home)
+        .unwrap()
+        .distribution
+        .set_gateways(list);
     world.set(&home, SERVICE, &[load("s1", 9)]);
     world.pass(1_500);
     let all: Vec<Rc<str>> = world.nodes.keys().cloned().collect();
@@ -156,8 +168,17 @@
 fn gateways_that_disagree_about_the_home_agree_again() {
     let (mut world, home, others) = zone_of_three(9);
     // One of them has not heard of the home, and asks the next one.
-    let list: Vec<_> = world.list().into_iter().filter(|gateway| gateway.name != home).collect();
-    world.nodes.get_mut(&others[0]).unwrap().distribution.set_gateways(list);
+    let list: Vec<_> = world
+        .list()
+        .into_iter()
+        .filter(|gateway| gateway.name != home)
+        .collect();
+    world
+        .nodes
+        .get_mut(&others[0])
+        .unwrap()
+        .distribution
+        .set_gateways(list);
     for step in 0..30 {
         for name in &others {
             world.set(name, SERVICE, &[load("s1", step + 1)]);
@@ -179,7 +200,12 @@
     let mut world = World::new(10, &["north", "west"], 3);
     let home = world.home("north-1", SERVICE, "west");
     world.nodes.get_mut(&home).unwrap().down = true;
-    let up: Vec<Rc<str>> = world.nodes.keys().filter(|name| **name != home).cloned().collect();
+    let up: Vec<Rc<str>> = world
+        .nodes
+        .keys()
+        .filter(|name| **name != home)
+        .cloned()
+        .collect();
     for step in 0..40 {
         for name in &up {
             world.set(name, SERVICE, &[load("s1", step + 1)]);
@@ -214,17 +240,35 @@
 
 impl Asked {
     fn new() -> Asked {
-        let identity = Identity { name: "home".into(), zone: "north".into(), life: 5 };
-        Asked { home: Distribution::new(identity), now: 1_000 }
+        let identity = Identity {
+            name: "home".into(),
+            zone: "north".into(),
+            life: 5,
+        };
+        Asked {
+            home: Distribution::new(identity),
+            now: 1_000,
+        }
     }
 
-    fn ask(&mut self, gateway: &str, life: u64, version: u64, loads: &[ServerLoad]) -> Vec<ServerLoad> {
+    fn ask(
+        &mut self,
+        gateway: &str,
+        life: u64,
+        version: u64,
+        loads: &[ServerLoad],
+    ) -> Vec<ServerLoad> {
         let ask = Ask {
             service: SERVICE.into(),
-            speaker: Speaker::Subscriber { gateway: gateway.into() },
+            speaker: Speaker::Subscriber {
+                gateway: gateway.into(),
+            },
             life,
             version,
-            statement: Some(Statement { version, loads: loads.to_vec() }),
+            statement: Some(Statement {
+                version,
+                loads: loads.to_vec(),
+            }),
             known: Known::default(),
         };
         let answer = self.home.asked(&ask, self.now);
@@ -237,10 +281,26 @@
 fn statements_that_come_late_or_twice_change_nothing() {
     let mut asked = Asked::new();
     asked.ask("a", 1, 2, &[load("s1", 2)]);
-    assert_eq!(asked.ask("a", 1, 1, &[load("s1", 9)]), [load("s1", 2)], "an older one");
-    assert_eq!(asked.ask("a", 1, 2, &[load("s1", 2)]), [load("s1", 2)], "the same");
-    assert_eq!(asked.ask("a", 2, 1, &[load("s1", 3)]), [load("s1", 3)], "another life");
-    assert_eq!(asked.ask("a", 1, 7, &[load("s1", 9)]), [load("s1", 3)], "of a life that is over");
+    assert_eq!(
+        asked.ask("a", 1, 1, &[load("s1", 9)]),
+        [load("s1", 2)],
+        "an older one"
+    );
+    assert_eq!(
+        asked.ask("a", 1, 2, &[load("s1", 2)]),
+        [load("s1", 2)],
+        "the same"
+    );
+    assert_eq!(
+        asked.ask("a", 2, 1, &[load("s1", 3)]),
+        [load("s1", 3)],
+        "another life"
+    );
+    assert_eq!(
+        asked.ask("a", 1, 7, &[load("s1", 9)]),
+        [load("s1", 3)],
+        "of a life that is over"
+    );
 }
 
 #[test]
@@ -260,11 +320,16 @@
     let mut asked = Asked::new();
     let ask = Ask {
         service: SERVICE.into(),
-        speaker: Speaker::Subscriber { gateway: "a".into() },
+        speaker: Speaker::Subscriber {
+            gateway: "a".into(),
+        },
         life: 1,
         version: 4,
         statement: None,
-        known: Known { life: 5, version: 1 },
+        known: Known {
+            life: 5,
+            version: 1,
+        },
     };
     assert!(asked.home.asked(&ask, asked.now).wants_statement);
 }
@@ -273,19 +338,28 @@
 fn memory_is_bounded_however_many_names_are_told() {
     let mut asked = Asked::new();
     for number in 0..3_000u32 {
-        let loads: Vec<_> = (0..5).map(|server| load(&format!("s{number}-{server}"), 1)).collect();
+        let loads: Vec<_> = (0..5)
+            .map(|server| load(&format!("s{number}-{server}"), 1))
+            .collect();
         asked.ask(&format!("g{number}"), 1, 1, &loads);
     }
-    let many: Vec<_> = (0..9_000).map(|server| load(&format!("t{server}"), 1)).collect();
+    let many: Vec<_> = (0..9_000)
+        .map(|server| load(&format!("t{server}"), 1))
+        .collect();
     let known = asked.ask("g0", 1, 2, &many);
     assert!(known.len() <= 4_096, "{}", known.len());
     for number in 0..2_000 {
         let ask = Ask {
             service: format!("service-{number}").as_str().into(),
-            speaker: Speaker::Subscriber { gateway: "a".into() },
+            speaker: Speaker::Subscriber {
+                gateway: "a".into(),
+            },
             life: 1,
             version: 1,
-            statement: Some(Statement { version: 1, loads: vec![load("s", 1)] }),
+            statement: Some(Statement {
+                version: 1,
+                loads: vec![load("s", 1)],
+            }),
             known: Known::default(),
         };
         let answer = asked.home.asked(&ask, asked.now);
--- a/crates/distribution/tests/faults.rs
+++ b/crates/distribution/tests/faults.rs
@@ -17,7 +17,9 @@
 
 fn some_loads(random: &mut Rng) -> Vec<ServerLoad> {
     let busy: Vec<u32> = (0..6).filter(|_| random.bool()).collect();
-    busy.into_iter().map(|server| load(&format!("s{server}"), random.u32(1..9))).collect()
+    busy.into_iter()
+        .map(|server| load(&format!("s{server}"), random.u32(1..9)))
+        .collect()
 }
 
 fn one_fault(world: &mut World, random: &mut Rng) {
@@ -42,8 +44,17 @@
             }
         }
         _ => {
-            let list: Vec<_> = world.list().into_iter().filter(|_| random.u32(0..5) > 0).collect();
-            world.nodes.get_mut(&name).unwrap().distribution.set_gateways(list);
+            let list: Vec<_> = world
+                .list()
+                .into_iter()
+                .filter(|_| random.u32(0..5) > 0)
+                .collect();
+            world
+                .nodes
+                .get_mut(&name)
+                .unwrap()
+                .distribution
+                .set_gateways(list);
         }
     }
 }
@@ -63,7 +74,11 @@
 fn troubled_world(seed: u64) -> World {
     let mut random = Rng::with_seed(seed);
     let mut world = World::new(seed, &["east", "north", "west"], random.usize(1..4));
-    world.weather = Weather { lost: random.u32(0..30), doubled: random.u32(0..20), late: random.u32(0..20) };
+    world.weather = Weather {
+        lost: random.u32(0..30),
+        doubled: random.u32(0..20),
+        late: random.u32(0..20),
+    };
     for _ in 0..12 {
         one_fault(&mut world, &mut random);
         change_loads(&mut world, &mut random);
@@ -89,7 +104,11 @@
         let names: Vec<Rc<str>> = world.nodes.keys().cloned().collect();
         for (place, name) in names.iter().enumerate() {
             for service in SERVICES {
-                world.set(name, service, &[load("s1", place as u32 + 1), load("last", 1)]);
+                world.set(
+                    name,
+                    service,
+                    &[load("s1", place as u32 + 1), load("last", 1)],
+                );
             }
         }
         world.pass(CALM_MS);
@@ -133,6 +152,10 @@
         // Each gateway: four asks a second for each service to its home, two to each of two other zones as a home,
         // and as many again for failures.
         let bound = 2 * 5 * (4 + 2 * 2) * 2 * world.nodes.len() as u64;
-        assert!(world.calls() - before <= bound, "seed {seed}: {} calls", world.calls() - before);
+        assert!(
+            world.calls() - before <= bound,
+            "seed {seed}: {} calls",
+            world.calls() - before
+        );
     }
 }
--- a/crates/distribution/tests/roster.rs
+++ b/crates/distribution/tests/roster.rs
@@ -10,7 +10,9 @@
 fn gateways() -> Vec<Gateway> {
     let zones = ["north", "north", "north", "north", "south", "south"];
     let numbered = zones.iter().zip(1u8..);
-    numbered.map(|(zone, number)| gateway(&format!("{zone}-{number}"), zone, number, 1)).collect()
+    numbered
+        .map(|(zone, number)| gateway(&format!("{zone}-{number}"), zone, number, 1))
+        .collect()
 }
 
 fn home(roster: &Roster, service: &str, zone: &str) -> Rc<str> {
@@ -39,18 +41,33 @@
     let roster = Roster::new(gateways());
     for number in 1..=4 {
         let name = format!("north-{number}");
-        let count = services().iter().filter(|service| *home(&roster, service, "north") == *name).count();
-        assert!((25..=80).contains(&count), "{name} is the home of {count} of 200");
+        let count = services()
+            .iter()
+            .filter(|service| *home(&roster, service, "north") == *name)
+            .count();
+        assert!(
+            (25..=80).contains(&count),
+            "{name} is the home of {count} of 200"
+        );
     }
 }
 
 #[test]
 fn a_gateway_that_goes_moves_its_own_services_only_and_to_the_next_in_order() {
     let whole = Roster::new(gateways());
-    let without = Roster::new(gateways().into_iter().filter(|gateway| &*gateway.name != "north-2").collect());
+    let without = Roster::new(
+        gateways()
+            .into_iter()
+            .filter(|gateway| &*gateway.name != "north-2")
+            .collect(),
+    );
     for service in services() {
         let before = whole.ranked(&service, "north");
-        let expected = if &*before[0].name == "north-2" { before[1] } else { before[0] };
+        let expected = if &*before[0].name == "north-2" {
+            before[1]
+        } else {
+            before[0]
+        };
         assert_eq!(home(&without, &service, "north"), expected.name);
     }
 }
@@ -58,8 +75,10 @@
 #[test]
 fn a_zone_without_gateways_has_its_homes_elsewhere() {
     let roster = Roster::new(gateways());
-    let homes: BTreeSet<Rc<str>> =
-        services().iter().map(|service| home(&roster, service, "nowhere")).collect();
+    let homes: BTreeSet<Rc<str>> = services()
+        .iter()
+        .map(|service| home(&roster, service, "nowhere"))
+        .collect();
     assert_eq!(homes.len(), 6, "all gateways have a part");
     assert!(Roster::default().home("service", "north").is_none());
 }
@@ -69,5 +88,8 @@
     let roster = Roster::new(gateways());
     assert!(home(&roster, "service-1", "north").starts_with("north"));
     assert!(home(&roster, "service-1", "south").starts_with("south"));
-    assert_eq!(roster.zones(), ["north".into(), "south".into()] as [Rc<str>; 2]);
+    assert_eq!(
+        roster.zones(),
+        ["north".into(), "south".into()] as [Rc<str>; 2]
+    );
 }
--- a/crates/drill/src/host.rs
+++ b/crates/drill/src/host.rs
@@ -45,28 +45,38 @@
 
 impl<'a> Parts<'a> {
     fn text(&mut self, what: &str) -> Result<&'a str, String> {
-        self.0.next().filter(|s| !s.is_empty()).ok_or(format!("{what} is missing"))
+        self.0
+            .next()
+            .filter(|s| !s.is_empty())
+            .ok_or(format!("{what} is missing"))
     }
 
     fn number(&mut self, what: &str) -> Result<f64, String> {
         match self.text(what)? {
             "-" => Ok(0.0),
-            s => {
-                s.parse().ok().filter(|x: &f64| x.is_finite()).ok_or(format!("{what} '{s}' is not a number"))
-            }
+            s => s
+                .parse()
+                .ok()
+                .filter(|x: &f64| x.is_finite())
+                .ok_or(format!("{what} '{s}' is not a number")),
         }
     }
 
     fn whole(&mut self, what: &str) -> Result<u64, String> {
         match self.text(what)? {
             "-" => Ok(0),
-            s => s.parse().map_err(|_| format!("{what} '{s}' is not a whole number")),
+            s => s
+                .parse()
+                .map_err(|_| format!("{what} '{s}' is not a whole number")),
         }
     }
 }
 
 fn position(names: &[String], name: &str, what: &str) -> Result<usize, String> {
-    names.iter().position(|n| n == name).ok_or(format!("{what} '{name}' is not in the settings"))
+    names
+        .iter()
+        .position(|n| n == name)
+        .ok_or(format!("{what} '{name}' is not in the settings"))
 }
 
 impl Host {
@@ -80,11 +90,25 @@
     }
 
     /// Writes out one answer about an invocation; those that are finished with nothing out are let go.
-    fn answer(&mut self, name: &str, num: u64, answer: Answer, now: f64, out: &mut impl Write) -> Done {
-        let Some((id, inv)) = self.held.get(&num) else { return Ok(()) };
+    fn answer(
+        &mut self,
+        name: &str,
+        num: u64,
+        answer: Answer,
+        now: f64,
+        out: &mut impl Write,
+    ) -> Done {
+        let Some((id, inv)) = self.held.get(&num) else {
+            return Ok(());
+        };
         let wait = self.limiter.wait(inv, now);
         match answer {
-            Answer::Send(tgt) => writeln!(out, "TRY {name} {id} {} {:.6}", self.addresses[tgt], now + wait),
+            Answer::Send(tgt) => writeln!(
+                out,
+                "TRY {name} {id} {} {:.6}",
+                self.addresses[tgt],
+                now + wait
+            ),
             Answer::Hold if inv.stage != Stage::Out => {
                 let due = self.due.get(&num).copied().unwrap_or(f64::INFINITY);
                 if now + wait < due {
@@ -107,7 +131,9 @@
     }
 
     fn place(&mut self, name: &str, num: u64, now: f64, out: &mut impl Write) -> Done {
-        let Some((_, inv)) = self.held.get_mut(&num) else { return Ok(()) };
+        let Some((_, inv)) = self.held.get_mut(&num) else {
+            return Ok(());
+        };
         if matches!(inv.stage, Stage::Out | Stage::Done) {
             return Ok(());
         }
@@ -119,7 +145,12 @@
         while let Some(action) = self.limiter.next_action() {
             match action {
                 Action::Ask(num) => self.place(name, num, now, out)?,
-                Action::Count { name: count, add, life, .. } => {
+                Action::Count {
+                    name: count,
+                    add,
+                    life,
+                    ..
+                } => {
                     writeln!(out, "TALLY {name} {life} {add:.6} {count}")?;
                 }
                 Action::WatchEndpoints => writeln!(out, "STREAM_CHANGES {name} 1")?,
@@ -149,11 +180,18 @@
             if self.batch.is_some() {
                 return Err("a batch starts inside another".into());
             }
-            self.batch = Some((parts.number("clock")?, parts.text("batch number")?.to_owned()));
+            self.batch = Some((
+                parts.number("clock")?,
+                parts.text("batch number")?.to_owned(),
+            ));
             return Ok(false);
         }
         let Some((now, batch)) = &self.batch else {
-            return if line.is_empty() { Ok(false) } else { Err(format!("'{verb}' stands outside a batch")) };
+            return if line.is_empty() {
+                Ok(false)
+            } else {
+                Err(format!("'{verb}' stands outside a batch"))
+            };
         };
         let now = *now;
         if verb == "EOF_BATCH" {
@@ -187,7 +225,10 @@
             self.hosts.remove(&name);
             return Ok(false);
         }
-        let host = self.hosts.get_mut(&name).ok_or(format!("instance '{name}' was never started"))?;
+        let host = self
+            .hosts
+            .get_mut(&name)
+            .ok_or(format!("instance '{name}' was never started"))?;
         if verb == "VIEW" {
             let list = parts.whole("setId")?;
             let scope = parts.text("scope")?;
@@ -200,7 +241,10 @@
                     "total" | "warm_copy" => true,
                     other => return Err(format!("scope '{other}' is unknown")),
                 };
-                let rows = self.lists.get(&list).ok_or(format!("list {list} was never given"))?;
+                let rows = self
+                    .lists
+                    .get(&list)
+                    .ok_or(format!("list {list} was never given"))?;
                 let mut entries = Vec::with_capacity(rows.len());
                 for row in rows {
                     let zone = position(&host.read.zones, &row.zone, "area")?;
@@ -232,7 +276,13 @@
         };
         let cell = parts.whole("block")?;
         let server = parts.text("server")?.to_owned();
-        self.lists.entry(list).or_default().push(Row { server, zone, cell, came_up, readiness });
+        self.lists.entry(list).or_default().push(Row {
+            server,
+            zone,
+            cell,
+            came_up,
+            readiness,
+        });
         Ok(())
     }
 
@@ -250,7 +300,8 @@
                 let id = parts.text("opId")?.to_owned();
                 let units = parts.number("sizeUnits")?;
                 let plan = position(&host.read.plans, parts.text("tariff")?, "tariff")?;
-                let operation = position(&host.read.operations, parts.text("tierClass")?, "tierClass")?;
+                let operation =
+                    position(&host.read.operations, parts.text("tierClass")?, "tierClass")?;
                 let first = parts.whole("firstDoor")? as u32;
                 let gateways = parts.whole("setSize")? as u32;
                 let customer = parts.whole("holder")?;
@@ -258,8 +309,16 @@
                 let until = parts.number("validUntilS")?;
                 host.last += 1;
                 let num = host.last;
-                let mut inv =
-                    Invocation::new(num, customer, plan, operation, units, (first, gateways), now, until);
+                let mut inv = Invocation::new(
+                    num,
+                    customer,
+                    plan,
+                    operation,
+                    units,
+                    (first, gateways),
+                    now,
+                    until,
+                );
                 inv.repeat = repeat;
                 host.by_id.insert(id.clone(), num);
                 host.held.insert(num, (id, inv));
@@ -282,19 +341,36 @@
                 };
                 let spent = parts.number("spentS")?;
                 let done = parts.whole("doneFlag")? != 0;
-                let used = Some(parts.number("usePct")?).filter(|&u| u > 0.0).map(|u| (u - 1.0) / 100.0);
+                let used = Some(parts.number("usePct")?)
+                    .filter(|&u| u > 0.0)
+                    .map(|u| (u - 1.0) / 100.0);
                 let cost = parts.number("cost")?;
                 let settled = Some(cost).filter(|&c| host.read.settles && c > 0.0);
-                let Some(&num) = host.by_id.get(id) else { return Ok(()) };
-                let Some((_, inv)) = host.held.get_mut(&num) else { return Ok(()) };
-                let outcome = Outcome { n, ending, spent, done, used, settled };
+                let Some(&num) = host.by_id.get(id) else {
+                    return Ok(());
+                };
+                let Some((_, inv)) = host.held.get_mut(&num) else {
+                    return Ok(());
+                };
+                let outcome = Outcome {
+                    n,
+                    ending,
+                    spent,
+                    done,
+                    used,
+                    settled,
+                };
                 let answer = host.limiter.after(inv, &outcome, now);
                 host.answer(name, num, answer, now, out).map_err(io)
             }
             "ABORTED" => {
                 let id = parts.text("opId")?;
-                let Some(&num) = host.by_id.get(id) else { return Ok(()) };
-                let Some((_, inv)) = host.held.get_mut(&num) else { return Ok(()) };
+                let Some(&num) = host.by_id.get(id) else {
+                    return Ok(());
+                };
+                let Some((_, inv)) = host.held.get_mut(&num) else {
+                    return Ok(());
+                };
                 host.limiter.gone(inv);
                 host.answer(name, num, Answer::Done, now, out).map_err(io)
             }
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -16,10 +16,16 @@
         line.clear();
         number += 1;
         let fail = |e: String| format!("line {number}: {e}");
-        if input.read_line(&mut line).map_err(|e| fail(e.to_string()))? == 0 {
+        if input
+            .read_line(&mut line)
+            .map_err(|e| fail(e.to_string()))?
+            == 0
+        {
             return Ok(());
         }
-        let ended = wire.line(line.trim_end_matches(['\r', '\n']), &mut output).map_err(fail)?;
+        let ended = wire
+            .line(line.trim_end_matches(['\r', '\n']), &mut output)
+            .map_err(fail)?;
         if ended {
             output.flush().map_err(|e| fail(e.to_string()))?;
         }
--- a/crates/drill/tests/transcripts.rs
+++ b/crates/drill/tests/transcripts.rs
@@ -35,14 +35,20 @@
     "MARK 8.5 2\nNEW_REQUEST limiter/0 270b61355d3a91c4 1 small read 0 1 4569 0 10.5\nEOF_BATCH\n";
 
 fn lines(output: &Output) -> Vec<String> {
-    String::from_utf8_lossy(&output.stdout).lines().map(str::to_owned).collect()
+    String::from_utf8_lossy(&output.stdout)
+        .lines()
+        .map(str::to_owned)
+        .collect()
 }
 
 #[test]
 fn an_invocation_leases_goes_out_and_ends() {
     let asked = run(&(started() + ASK));
     assert!(asked.status.success());
-    let tally = lines(&asked).into_iter().find(|l| l.starts_with("TALLY limiter/0 60 1.")).unwrap();
+    let tally = lines(&asked)
+        .into_iter()
+        .find(|l| l.starts_with("TALLY limiter/0 60 1."))
+        .unwrap();
     let count = tally.rsplit(' ').next().unwrap();
     let rest = format!(
         "MARK 8.504 3\nSUM limiter/0 {count} ok 1 0.004\nEOF_BATCH\nMARK 8.6 4\n\
@@ -51,10 +57,21 @@
          ABORTED limiter/0 270b61355d3a91c4\nTICK_DUE limiter/0 1\nEOF_BATCH\n"
     );
     let whole = run(&(started() + ASK + &rest));
-    assert!(whole.status.success(), "{}", String::from_utf8_lossy(&whole.stderr));
-    let tries: Vec<_> = lines(&whole).into_iter().filter(|l| l.starts_with("TRY")).collect();
+    assert!(
+        whole.status.success(),
+        "{}",
+        String::from_utf8_lossy(&whole.stderr)
+    );
+    let tries: Vec<_> = lines(&whole)
+        .into_iter()
+        .filter(|l| l.starts_with("TRY"))
+        .collect();
     assert_eq!(tries.len(), 1);
-    assert!(tries[0].starts_with("TRY limiter/0 270b61355d3a91c4 10.0.0.1:80 "), "{}", tries[0]);
+    assert!(
+        tries[0].starts_with("TRY limiter/0 270b61355d3a91c4 10.0.0.1:80 "),
+        "{}",
+        tries[0]
+    );
     assert_eq!(lines(&whole).last().unwrap(), "FINISHED 4");
 }
 
@@ -79,20 +96,59 @@
     let bad = [
         ("EOF_BATCH\n".to_owned(), "line 1:", "outside a batch"),
         ("MARK soon 1\n".to_owned(), "line 1:", "not a number"),
-        (started() + "MARK 9 2\nWHAT limiter/0\n", "line 8:", "unknown"),
-        (started() + "MARK 9 2\nTICK_DUE limiter/9 1\n", "line 8:", "never started"),
-        (started() + "MARK 9 2\nTICK_DUE limiter/0\n", "line 8:", "missing"),
-        (started() + "MARK 9 2\nSUM limiter/0 5 perhaps 1 0.1\n", "line 8:", "unknown"),
-        (started() + "MARK 9 2\nINVENTORY 0 2\nEOF_BATCH\n", "line 9:", "lacks 2"),
-        (started() + &ASK.replace("small", "huge"), "line 8:", "not in the settings"),
-        (started().replace("\"free\"", "\"fre\""), "line 2:", "unknown"),
-        (started().replace("\"fleetSize\":1", "\"fleetSize\":-1"), "line 2:", "fleetSize"),
-        (started().replace("{\"classes\"", "{classes"), "line 2:", "settings"),
+        (
+            started() + "MARK 9 2\nWHAT limiter/0\n",
+            "line 8:",
+            "unknown",
+        ),
+        (
+            started() + "MARK 9 2\nTICK_DUE limiter/9 1\n",
+            "line 8:",
+            "never started",
+        ),
+        (
+            started() + "MARK 9 2\nTICK_DUE limiter/0\n",
+            "line 8:",
+            "missing",
+        ),
+        (
+            started() + "MARK 9 2\nSUM limiter/0 5 perhaps 1 0.1\n",
+            "line 8:",
+            "unknown",
+        ),
+        (
+            started() + "MARK 9 2\nINVENTORY 0 2\nEOF_BATCH\n",
+            "line 9:",
+            "lacks 2",
+        ),
+        (
+            started() + &ASK.replace("small", "huge"),
+            "line 8:",
+            "not in the settings",
+        ),
+        (
+            started().replace("\"free\"", "\"fre\""),
+            "line 2:",
+            "unknown",
+        ),
+        (
+            started().replace("\"fleetSize\":1", "\"fleetSize\":-1"),
+            "line 2:",
+            "fleetSize",
+        ),
+        (
+            started().replace("{\"classes\"", "{classes"),
+            "line 2:",
+            "settings",
+        ),
     ];
     for (transcript, line, word) in bad {
         let output = run(&transcript);
         let told = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{told}");
-        assert!(told.contains(line) && told.contains(word), "expected {line} {word}: {told}");
+        assert!(
+            told.contains(line) && told.contains(word),
+            "expected {line} {word}: {told}"
+        );
     }
 }
--- a/crates/duties/src/audit.rs
+++ b/crates/duties/src/audit.rs
@@ -72,7 +72,15 @@
                 return;
             }
         }
-        let fresh = || Own { sum: Use { name, ..Use::default() }, at: now, since: now, said: false };
+        let fresh = || Own {
+            sum: Use {
+                name,
+                ..Use::default()
+            },
+            at: now,
+            since: now,
+            said: false,
+        };
         let own = self.names.entry(name).or_insert_with(fresh);
         if std::mem::take(&mut own.said) {
             own.since = now;
@@ -91,7 +99,11 @@
     /// name has to have heard of all who still add to it.
     pub fn due(&mut self, now: f64, settings: &Settings) -> Vec<Use> {
         let mut uses = Vec::new();
-        for own in self.names.values_mut().filter(|o| !o.said && now > o.since + settings.quiet / 2.0) {
+        for own in self
+            .names
+            .values_mut()
+            .filter(|o| !o.said && now > o.since + settings.quiet / 2.0)
+        {
             own.said = true;
             uses.push(own.sum.clone());
         }
@@ -140,7 +152,10 @@
         let Msg::Uses { run, uses } = msg;
         for u in uses {
             // Amounts that are no numbers say nothing.
-            if ![u.units, u.least, u.most].iter().all(|v| v.is_finite()) || u.least > 0.0 || u.most < 0.0 {
+            if ![u.units, u.least, u.most].iter().all(|v| v.is_finite())
+                || u.least > 0.0
+                || u.most < 0.0
+            {
                 self.dropped += 1;
                 continue;
             }
@@ -148,7 +163,11 @@
                 self.dropped += 1;
                 continue;
             }
-            let fresh = || Summed { by: BTreeMap::new(), at: now, asked: false };
+            let fresh = || Summed {
+                by: BTreeMap::new(),
+                at: now,
+                asked: false,
+            };
             let of = self.names.entry(u.name).or_insert_with(fresh);
             let key = (from.to_owned(), run);
             // Sums only grow in calls; an older one that comes late changes nothing.
@@ -166,7 +185,11 @@
     /// Names that have been quiet for long enough to be read now.
     pub fn due(&mut self, now: f64, settings: &Settings) -> Vec<u64> {
         let mut due = Vec::new();
-        for (name, of) in self.names.iter_mut().filter(|(_, o)| !o.asked && now > o.at + settings.quiet) {
+        for (name, of) in self
+            .names
+            .iter_mut()
+            .filter(|(_, o)| !o.asked && now > o.at + settings.quiet)
+        {
             of.asked = true;
             due.push(*name);
         }
@@ -199,7 +222,11 @@
     use super::*;
 
     fn settings() -> Settings {
-        Settings { quiet: 2.0, names: 100, units: 0.01 }
+        Settings {
+            quiet: 2.0,
+            names: 100,
+            units: 0.01,
+        }
     }
 
     /// Two limiters add to a name, one call's fate is unknown; reports come twice and out of order.
@@ -218,9 +245,12 @@
         let mut busy = Tally::default();
         (0..40).for_each(|n| busy.call(9, 1.0, true, n as f64 * 0.1, &s));
         assert_eq!(busy.due(4.0, &s).len(), 1, "said though it never was quiet");
-        for (from, run, uses) in
-            [("x", 1, late.clone()), ("x", 1, early), ("x", 1, late), ("y", 1, y.due(3.0, &s))]
-        {
+        for (from, run, uses) in [
+            ("x", 1, late.clone()),
+            ("x", 1, early),
+            ("x", 1, late),
+            ("y", 1, y.due(3.0, &s)),
+        ] {
             a.hear(from, Msg::Uses { run, uses }, 3.0, &s);
         }
         assert_eq!(a.due(4.0, &s), [] as [u64; 0]);
@@ -241,11 +271,43 @@
     #[test]
     fn a_restarted_limiter_counts_beside_its_older_run_and_bad_amounts_are_dropped() {
         let (s, mut a) = (settings(), summed());
-        let one = |units: f64| Use { name: 7, calls: 1, units, ..Use::default() };
-        a.hear("x", Msg::Uses { run: 2, uses: vec![one(5.0)] }, 5.2, &s);
-        a.hear("z", Msg::Uses { run: 1, uses: vec![one(f64::INFINITY)] }, 5.2, &s);
-        let wrong = Use { least: 1.0, ..one(1.0) };
-        a.hear("z", Msg::Uses { run: 1, uses: vec![wrong] }, 5.2, &s);
+        let one = |units: f64| Use {
+            name: 7,
+            calls: 1,
+            units,
+            ..Use::default()
+        };
+        a.hear(
+            "x",
+            Msg::Uses {
+                run: 2,
+                uses: vec![one(5.0)],
+            },
+            5.2,
+            &s,
+        );
+        a.hear(
+            "z",
+            Msg::Uses {
+                run: 1,
+                uses: vec![one(f64::INFINITY)],
+            },
+            5.2,
+            &s,
+        );
+        let wrong = Use {
+            least: 1.0,
+            ..one(1.0)
+        };
+        a.hear(
+            "z",
+            Msg::Uses {
+                run: 1,
+                uses: vec![wrong],
+            },
+            5.2,
+            &s,
+        );
         assert_eq!(a.dropped, 2);
         assert_eq!(a.due(7.3, &s), [7], "it is read anew");
         assert_eq!(a.total(7, 9.0, &s), Some(Verdict::Agrees));
--- a/crates/duties/src/book.rs
+++ b/crates/duties/src/book.rs
@@ -71,59 +71,106 @@
 impl Book {
     pub fn new(settings: &Settings, group: &Group) -> Self {
         let voters = group.iter().cloned().collect();
-        Book { voters, slots: vec![Held::default(); settings.slots() as usize], ..Default::default() }
+        Book {
+            voters,
+            slots: vec![Held::default(); settings.slots() as usize],
+            ..Default::default()
+        }
     }
 
     /// The session of this run, unless it was replaced.
     pub fn session(&self, name: &str, run: u64) -> Option<u64> {
-        let mut of = self.sessions.iter().filter(|(_, s)| s.name == name && s.run == run && !s.replaced);
+        let mut of = self
+            .sessions
+            .iter()
+            .filter(|(_, s)| s.name == name && s.run == run && !s.replaced);
         of.next().map(|(id, _)| *id)
     }
 
     pub fn held_by(&self, session: u64) -> Vec<(Slot, u64)> {
-        let slots = self.slots.iter().enumerate().filter(|(_, h)| h.session == session);
+        let slots = self
+            .slots
+            .iter()
+            .enumerate()
+            .filter(|(_, h)| h.session == session);
         slots.map(|(slot, h)| (slot as Slot, h.token)).collect()
     }
 
     /// Takes the entry with this number; says whose list it changed.
     pub fn apply(&mut self, index: u64, command: &Command) -> Option<u64> {
         match command {
-            Command::Enter { name, run, zone, machine } => {
+            Command::Enter {
+                name,
+                run,
+                zone,
+                machine,
+            } => {
                 if self.doubled.contains(name) || self.session(name, *run).is_some() {
                     return None;
                 }
-                self.sessions.values_mut().filter(|s| s.name == *name).for_each(|s| s.replaced = true);
+                self.sessions
+                    .values_mut()
+                    .filter(|s| s.name == *name)
+                    .for_each(|s| s.replaced = true);
                 let (name, zone, machine) = (name.clone(), zone.clone(), machine.clone());
                 // Several may enter in one entry; ids stay apart and grow.
-                let id = self.sessions.keys().next_back().map_or(index, |last| index.max(last + 1));
-                self.sessions.insert(id, Session { name, run: *run, zone, machine, replaced: false });
+                let id = self
+                    .sessions
+                    .keys()
+                    .next_back()
+                    .map_or(index, |last| index.max(last + 1));
+                self.sessions.insert(
+                    id,
+                    Session {
+                        name,
+                        run: *run,
+                        zone,
+                        machine,
+                        replaced: false,
+                    },
+                );
                 self.versions.insert(id, index);
                 Some(id)
             }
             Command::Expire { session } => {
                 self.sessions.remove(session)?;
                 self.versions.remove(session);
-                self.slots.iter_mut().filter(|h| h.session == *session).for_each(|h| h.session = 0);
+                self.slots
+                    .iter_mut()
+                    .filter(|h| h.session == *session)
+                    .for_each(|h| h.session = 0);
                 None
             }
             Command::Free { slot, token } => {
-                let held =
-                    self.slots.get_mut(*slot as usize).filter(|h| h.token == *token && h.session > 0)?;
+                let held = self
+                    .slots
+                    .get_mut(*slot as usize)
+                    .filter(|h| h.token == *token && h.session > 0)?;
                 let session = std::mem::take(&mut held.session);
                 self.versions.insert(session, index);
                 Some(session)
             }
-            Command::Grant { slot, token, session } => {
+            Command::Grant {
+                slot,
+                token,
+                session,
+            } => {
                 self.sessions.get(session).filter(|s| !s.replaced)?;
                 let held = self.slots.get_mut(*slot as usize);
                 let held = held.filter(|h| h.token == *token && h.session == 0)?;
-                *held = Held { token: index, session: *session };
+                *held = Held {
+                    token: index,
+                    session: *session,
+                };
                 self.versions.insert(*session, index);
                 Some(*session)
             }
             Command::Double { name } => {
                 self.doubled.insert(name.clone());
-                self.sessions.values_mut().filter(|s| s.name == *name).for_each(|s| s.replaced = true);
+                self.sessions
+                    .values_mut()
+                    .filter(|s| s.name == *name)
+                    .for_each(|s| s.replaced = true);
                 None
             }
             Command::Single { name } => {
--- a/crates/duties/src/fence.rs
+++ b/crates/duties/src/fence.rs
@@ -13,17 +13,28 @@
 
 impl Fence {
     pub fn new(slots: u32) -> Self {
-        Fence { seen: vec![0; slots as usize], primed: false, refused: 0 }
+        Fence {
+            seen: vec![0; slots as usize],
+            primed: false,
+            refused: 0,
+        }
     }
 
     /// One whose tokens outlive a restart, or whose receiver never took any.
     pub fn kept(seen: Vec<u64>) -> Self {
-        Fence { seen, primed: true, refused: 0 }
+        Fence {
+            seen,
+            primed: true,
+            refused: 0,
+        }
     }
 
     /// What the log granted up to now.
     pub fn prime(&mut self, tokens: &[u64]) {
-        self.seen.iter_mut().zip(tokens).for_each(|(seen, token)| *seen = (*seen).max(*token));
+        self.seen
+            .iter_mut()
+            .zip(tokens)
+            .for_each(|(seen, token)| *seen = (*seen).max(*token));
         self.primed = true;
     }
 
--- a/crates/duties/src/holder.rs
+++ b/crates/duties/src/holder.rs
@@ -36,7 +36,8 @@
 
 impl Holder {
     pub fn new(settings: Settings, me: Me, now: f64) -> Self {
-        let turn = (xxhash_rust::xxh3::xxh3_64(me.name.as_bytes()) % settings.voters.len() as u64) as usize;
+        let turn = (xxhash_rust::xxh3::xxh3_64(me.name.as_bytes()) % settings.voters.len() as u64)
+            as usize;
         Holder {
             settings,
             me,
@@ -60,12 +61,18 @@
 
     /// The token under which it holds a slot at this moment. Ask right before each effect.
     pub fn holds(&self, slot: Slot, now: f64) -> Option<u64> {
-        self.held.get(&slot).filter(|_| self.tenure.holds(now)).map(|h| h.token)
+        self.held
+            .get(&slot)
+            .filter(|_| self.tenure.holds(now))
+            .map(|h| h.token)
     }
 
     pub fn held(&self, now: f64) -> impl Iterator<Item = (Slot, u64)> + '_ {
         let holds = self.tenure.holds(now);
-        self.held.iter().filter(move |_| holds).map(|(slot, h)| (*slot, h.token))
+        self.held
+            .iter()
+            .filter(move |_| holds)
+            .map(|(slot, h)| (*slot, h.token))
     }
 
     /// The duty's work got on. What gets on with nothing for the stated time is given up.
@@ -89,9 +96,15 @@
         }
         if self.settings.stall > 0.0 {
             let stall = self.settings.stall;
-            let stuck: Vec<Slot> =
-                self.held.iter().filter(|h| now > h.1.progress + stall).map(|h| *h.0).collect();
-            stuck.into_iter().for_each(|slot| self.stop(slot, true, out));
+            let stuck: Vec<Slot> = self
+                .held
+                .iter()
+                .filter(|h| now > h.1.progress + stall)
+                .map(|h| *h.0)
+                .collect();
+            stuck
+                .into_iter()
+                .for_each(|slot| self.stop(slot, true, out));
         }
         if now >= self.next_ask {
             self.ask(now, out);
@@ -100,7 +113,10 @@
 
     fn drop_all(&mut self, out: &mut Vec<Output>) {
         for (slot, h) in std::mem::take(&mut self.held) {
-            out.push(Output::Ended { slot, token: h.token });
+            out.push(Output::Ended {
+                slot,
+                token: h.token,
+            });
         }
         // The next list is wanted whole.
         self.version = 0;
@@ -108,7 +124,10 @@
 
     fn stop(&mut self, slot: Slot, stuck: bool, out: &mut Vec<Output>) {
         if let Some(h) = self.held.remove(&slot) {
-            out.push(Output::Ended { slot, token: h.token });
+            out.push(Output::Ended {
+                slot,
+                token: h.token,
+            });
             self.freed.insert(slot, (h.token, stuck));
             self.next_ask = 0.0;
         }
@@ -132,14 +151,32 @@
         if self.leader.is_none() {
             self.turn = (self.turn + 1) % self.settings.voters.len();
         }
-        let to = self.leader.clone().unwrap_or_else(|| self.settings.voters[self.turn].clone());
+        let to = self
+            .leader
+            .clone()
+            .unwrap_or_else(|| self.settings.voters[self.turn].clone());
         self.seq += 1;
         self.tenure.asked(self.seq, now);
-        let freed = self.freed.iter().map(|(slot, (token, stuck))| (*slot, *token, *stuck)).collect();
+        let freed = self
+            .freed
+            .iter()
+            .map(|(slot, (token, stuck))| (*slot, *token, *stuck))
+            .collect();
         let (me, version) = (self.me.clone(), self.version);
         let (leaving, prime) = (self.leaving, !self.primed);
-        let ask = Ask { me, seq: self.seq, version, freed, leaving, prime, who: self.who.clone() };
-        out.push(Output::Send { to, msg: Msg::Ask(ask) });
+        let ask = Ask {
+            me,
+            seq: self.seq,
+            version,
+            freed,
+            leaving,
+            prime,
+            who: self.who.clone(),
+        };
+        out.push(Output::Send {
+            to,
+            msg: Msg::Ask(ask),
+        });
     }
 
     pub fn hear(&mut self, from: &str, msg: Msg, now: f64, out: &mut Vec<Output>) {
@@ -153,7 +190,11 @@
                 self.until = self.tenure.until();
                 self.leader = Some(from.into());
                 if std::mem::take(&mut self.doubled) {
-                    report(out, true, format!("{} is the only process of its name again", self.me.name));
+                    report(
+                        out,
+                        true,
+                        format!("{} is the only process of its name again", self.me.name),
+                    );
                 }
                 if !self.who.is_empty() {
                     self.holders = told.holders.into_iter().collect();
@@ -170,9 +211,15 @@
                     self.version = told.version;
                     self.take(list, now, out);
                 }
-                told.give_up.into_iter().for_each(|slot| self.stop(slot, false, out));
+                told.give_up
+                    .into_iter()
+                    .for_each(|slot| self.stop(slot, false, out));
             }
-            Msg::Elsewhere { run: r, seq, leader } if r == run && seq == self.seq => {
+            Msg::Elsewhere {
+                run: r,
+                seq,
+                leader,
+            } if r == run && seq == self.seq => {
                 self.answered = if leader.is_some() { now } else { self.answered };
                 let known = leader.is_some() && leader != self.leader;
                 self.leader = leader;
@@ -190,7 +237,9 @@
                     report(
                         out,
                         true,
-                        format!("another living process has the name {name}; this one holds nothing"),
+                        format!(
+                            "another living process has the name {name}; this one holds nothing"
+                        ),
                     );
                 }
             }
@@ -206,17 +255,31 @@
     fn take(&mut self, list: Vec<(Slot, u64)>, now: f64, out: &mut Vec<Output>) {
         let list: BTreeMap<Slot, u64> = list.into_iter().collect();
         // What the list no longer names under that token is gone for good.
-        self.freed.retain(|slot, (token, _)| list.get(slot) == Some(token));
-        let over: Vec<Slot> =
-            self.held.iter().filter(|(s, h)| list.get(s) != Some(&h.token)).map(|(s, _)| *s).collect();
+        self.freed
+            .retain(|slot, (token, _)| list.get(slot) == Some(token));
+        let over: Vec<Slot> = self
+            .held
+            .iter()
+            .filter(|(s, h)| list.get(s) != Some(&h.token))
+            .map(|(s, _)| *s)
+            .collect();
         for slot in over {
             if let Some(h) = self.held.remove(&slot) {
-                out.push(Output::Ended { slot, token: h.token });
+                out.push(Output::Ended {
+                    slot,
+                    token: h.token,
+                });
             }
         }
         for (slot, token) in list {
             if !self.held.contains_key(&slot) && !self.freed.contains_key(&slot) {
-                self.held.insert(slot, Held { token, progress: now });
+                self.held.insert(
+                    slot,
+                    Held {
+                        token,
+                        progress: now,
+                    },
+                );
                 out.push(Output::Began { slot, token });
             }
         }
--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -26,7 +26,9 @@
 
     /// The ask was granted: it holds from before it went out. False for one that is not awaited.
     pub fn granted(&mut self, seq: u64, lease: T) -> bool {
-        let Some(at) = self.asked.iter().position(|a| a.0 == seq) else { return false };
+        let Some(at) = self.asked.iter().position(|a| a.0 == seq) else {
+            return false;
+        };
         let until = self.asked[at].1 + lease;
         self.last = self.asked[at];
         self.asked.drain(..=at);
@@ -64,7 +66,9 @@
 impl<T: Copy + PartialOrd + std::ops::Add<Output = T>> Granter<T> {
     /// Takes over: what a forerunner may have granted up to now counts as granted now.
     pub fn takes_over(sessions: impl Iterator<Item = u64>, now: T) -> Self {
-        Granter { heard: sessions.map(|s| (s, now)).collect() }
+        Granter {
+            heard: sessions.map(|s| (s, now)).collect(),
+        }
     }
 
     /// An ask that was heard at this time is about to be granted.
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -78,7 +78,9 @@
         }
         for (i, v) in self.voters.iter().enumerate() {
             if self.voters[..i].contains(v) {
-                return Err(format!("fleet.voters: {v} stands there twice; each voter is another limiter"));
+                return Err(format!(
+                    "fleet.voters: {v} stands there twice; each voter is another limiter"
+                ));
             }
         }
         let positive = [
@@ -93,10 +95,16 @@
             }
         }
         if !(0.0..0.5).contains(&self.drift) {
-            return Err(format!("fleet.drift: {}; give a share from 0 to under 0.5", self.drift));
+            return Err(format!(
+                "fleet.drift: {}; give a share from 0 to under 0.5",
+                self.drift
+            ));
         }
         if self.stall != 0.0 && (self.stall <= self.lease || self.stall.is_nan()) {
-            return Err(format!("fleet.stall: {}; give more than the lease, or 0 for none", self.stall));
+            return Err(format!(
+                "fleet.stall: {}; give more than the lease, or 0 for none",
+                self.stall
+            ));
         }
         if self.lease < 3.0 * self.renew {
             return Err(format!(
@@ -105,14 +113,23 @@
             ));
         }
         if self.lease < 2.0 * self.tick {
-            return Err(format!("fleet.lease: {} is under two ticks of {}", self.lease, self.tick));
+            return Err(format!(
+                "fleet.lease: {} is under two ticks of {}",
+                self.lease, self.tick
+            ));
         }
-        if self.duties.iter().any(|d| d.shards == 0 || d.name.is_empty()) {
+        if self
+            .duties
+            .iter()
+            .any(|d| d.shards == 0 || d.name.is_empty())
+        {
             return Err("fleet.duties: a duty needs a name and a shard or more".into());
         }
         let slots: u64 = self.duties.iter().map(|d| self.shards(d) as u64).sum();
         if slots > MOST_SLOTS as u64 {
-            return Err(format!("fleet.duties: {slots} shards in all; the bound is {MOST_SLOTS}"));
+            return Err(format!(
+                "fleet.duties: {slots} shards in all; the bound is {MOST_SLOTS}"
+            ));
         }
         Ok(())
     }
@@ -149,7 +166,11 @@
             let shards = self.shards(d);
             if slot < first + shards {
                 let shard = slot - first;
-                return (&d.name, shard, d.by_zone.then(|| self.zones[shard as usize].as_str()));
+                return (
+                    &d.name,
+                    shard,
+                    d.by_zone.then(|| self.zones[shard as usize].as_str()),
+                );
             }
             first += shards;
         }
@@ -225,7 +246,12 @@
     Empty { disk: u64 },
     /// The group it belongs to as it was formed, what it holds of the asker's disk, and whose disk leads, as
     /// far as it knows, in which term.
-    Formed { disk: u64, group: book::Group, judged: Judged, leader: (u64, u64) },
+    Formed {
+        disk: u64,
+        group: book::Group,
+        judged: Judged,
+        leader: (u64, u64),
+    },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/duties/src/log.rs
+++ b/crates/duties/src/log.rs
@@ -67,7 +67,13 @@
 impl From<&pb::Entry> for Entry {
     fn from(e: &pb::Entry) -> Self {
         let (data, context) = (e.get_data().to_vec(), e.get_context().to_vec());
-        Entry { kind: e.get_entry_type() as u8, term: e.term, index: e.index, data, context }
+        Entry {
+            kind: e.get_entry_type() as u8,
+            term: e.term,
+            index: e.index,
+            data,
+            context,
+        }
     }
 }
 
@@ -78,7 +84,11 @@
             2 if self.data.len() <= MOST_CHANGE => pb::EntryType::EntryConfChangeV2,
             _ => return None,
         };
-        let mut e = pb::Entry { term: self.term, index: self.index, ..Default::default() };
+        let mut e = pb::Entry {
+            term: self.term,
+            index: self.index,
+            ..Default::default()
+        };
         e.set_entry_type(kind);
         e.set_data(self.data.clone().into());
         e.set_context(self.context.clone().into());
@@ -88,7 +98,10 @@
 
 impl Conf {
     pub fn of(voters: Vec<u64>) -> Self {
-        Conf { voters, ..Default::default() }
+        Conf {
+            voters,
+            ..Default::default()
+        }
     }
 
     pub fn from_raft(c: &pb::ConfState) -> Self {
@@ -116,7 +129,12 @@
     pub fn from_raft(s: &pb::Snapshot) -> Self {
         let m = s.get_metadata();
         let conf = Conf::from_raft(m.get_conf_state());
-        Snap { index: m.index, term: m.term, conf, data: s.get_data().to_vec() }
+        Snap {
+            index: m.index,
+            term: m.term,
+            conf,
+            data: s.get_data().to_vec(),
+        }
     }
 
     pub fn to_raft(&self) -> pb::Snapshot {
@@ -142,7 +160,11 @@
             entries: m.entries.iter().map(Entry::from).collect(),
             commit: m.commit,
             commit_term: m.commit_term,
-            snap: m.snapshot.as_ref().filter(|s| s.get_metadata().index > 0).map(Snap::from_raft),
+            snap: m
+                .snapshot
+                .as_ref()
+                .filter(|s| s.get_metadata().index > 0)
+                .map(Snap::from_raft),
             request_snapshot: m.request_snapshot,
             reject: m.reject,
             reject_hint: m.reject_hint,
@@ -168,7 +190,10 @@
     pub fn to_raft(&self) -> Option<pb::Message> {
         use protobuf::ProtobufEnum;
         let kind = pb::MessageType::from_i32(self.kind as i32)?;
-        let proposal = matches!(kind, pb::MessageType::MsgPropose | pb::MessageType::MsgReadIndex);
+        let proposal = matches!(
+            kind,
+            pb::MessageType::MsgPropose | pb::MessageType::MsgReadIndex
+        );
         if raft::raw_node::is_local_msg(kind) || proposal {
             return None;
         }
@@ -186,7 +211,13 @@
             ..Default::default()
         };
         m.set_msg_type(kind);
-        m.set_entries(self.entries.iter().map(Entry::to_raft).collect::<Option<Vec<_>>>()?.into());
+        m.set_entries(
+            self.entries
+                .iter()
+                .map(Entry::to_raft)
+                .collect::<Option<Vec<_>>>()?
+                .into(),
+        );
         m.set_context(self.context.clone().into());
         m.snapshot = SingularPtrField::from_option(self.snap.as_ref().map(Snap::to_raft));
         Some(m)
@@ -270,10 +301,22 @@
 
 impl Log {
     pub fn new(saved: &Saved) -> Option<Self> {
-        let entries = saved.entries.iter().map(Entry::to_raft).collect::<Option<Vec<_>>>()?;
+        let entries = saved
+            .entries
+            .iter()
+            .map(Entry::to_raft)
+            .collect::<Option<Vec<_>>>()?;
         let (hard, snap) = (saved.hard, saved.snap.clone());
-        let gapless = entries.iter().enumerate().all(|(i, e)| e.index == snap.index + 1 + i as u64);
-        gapless.then(|| Log { hard, conf: snap.conf.clone(), snap, entries })
+        let gapless = entries
+            .iter()
+            .enumerate()
+            .all(|(i, e)| e.index == snap.index + 1 + i as u64);
+        gapless.then(|| Log {
+            hard,
+            conf: snap.conf.clone(),
+            snap,
+            entries,
+        })
     }
 
     pub fn first(&self) -> u64 {
@@ -290,7 +333,8 @@
 
     pub fn append(&mut self, entries: &[pb::Entry]) {
         if let Some(first) = entries.first() {
-            self.entries.truncate(first.index.saturating_sub(self.first()) as usize);
+            self.entries
+                .truncate(first.index.saturating_sub(self.first()) as usize);
             self.entries.extend_from_slice(entries);
         }
     }
@@ -343,7 +387,9 @@
             return Err(StorageError::Compacted.into());
         }
         let entry = self.entries.get((index - self.first()) as usize);
-        entry.map(|e| e.term).ok_or(StorageError::Unavailable.into())
+        entry
+            .map(|e| e.term)
+            .ok_or(StorageError::Unavailable.into())
     }
 
     fn first_index(&self) -> raft::Result<u64> {
--- a/crates/duties/src/placement.rs
+++ b/crates/duties/src/placement.rs
@@ -22,15 +22,30 @@
 
 impl Placement {
     pub fn new(settings: &Settings) -> Self {
-        let bound = (0..settings.slots()).map(|s| settings.slot(s).2.map(str::to_owned)).collect::<Vec<_>>();
-        Placement { best: vec![None; bound.len()], among: BTreeMap::new(), bound }
+        let bound = (0..settings.slots())
+            .map(|s| settings.slot(s).2.map(str::to_owned))
+            .collect::<Vec<_>>();
+        Placement {
+            best: vec![None; bound.len()],
+            among: BTreeMap::new(),
+            bound,
+        }
     }
 
     /// Takes the sessions that may hold now. Costs the slots once for each that joined, and all sessions
     /// once for each slot of one that left.
     pub fn among(&mut self, sessions: &BTreeMap<u64, Session>, live: &BTreeSet<u64>) {
-        let left: Vec<u64> = self.among.keys().filter(|s| !live.contains(s)).copied().collect();
-        let joined: Vec<u64> = live.iter().filter(|s| !self.among.contains_key(s)).copied().collect();
+        let left: Vec<u64> = self
+            .among
+            .keys()
+            .filter(|s| !live.contains(s))
+            .copied()
+            .collect();
+        let joined: Vec<u64> = live
+            .iter()
+            .filter(|s| !self.among.contains_key(s))
+            .copied()
+            .collect();
         if left.is_empty() && joined.is_empty() {
             return;
         }
@@ -39,7 +54,10 @@
         });
         for s in &joined {
             if let Some(of) = sessions.get(s) {
-                self.among.insert(*s, (xxh3_64_with_seed(of.name.as_bytes(), 0), of.zone.clone()));
+                self.among.insert(
+                    *s,
+                    (xxh3_64_with_seed(of.name.as_bytes(), 0), of.zone.clone()),
+                );
             }
         }
         for slot in 0..self.best.len() {
@@ -50,7 +68,9 @@
             let fits = |zone: &str| self.bound[slot].as_deref().is_none_or(|z| z == zone);
             let mut best = self.best[slot];
             let mut offer = |s: u64| {
-                let Some((hash, zone)) = self.among.get(&s) else { return };
+                let Some((hash, zone)) = self.among.get(&s) else {
+                    return;
+                };
                 if fits(zone) {
                     best = best.max(Some((score(*hash, slot as Slot), s)));
                 }
@@ -74,8 +94,12 @@
             return self.best(slot);
         }
         let bound = self.bound[slot as usize].as_deref();
-        let fit = self.among.iter().filter(|(s, a)| !not(**s) && bound.is_none_or(|z| z == a.1));
-        fit.max_by_key(|(s, a)| (score(a.0, slot), **s)).map(|(s, _)| *s)
+        let fit = self
+            .among
+            .iter()
+            .filter(|(s, a)| !not(**s) && bound.is_none_or(|z| z == a.1));
+        fit.max_by_key(|(s, a)| (score(a.0, slot), **s))
+            .map(|(s, _)| *s)
     }
 }
 
@@ -85,7 +109,13 @@
     use crate::Duty;
 
     fn session(name: &str, zone: &str) -> Session {
-        Session { name: name.into(), run: 1, zone: zone.into(), machine: name.into(), replaced: false }
+        Session {
+            name: name.into(),
+            run: 1,
+            zone: zone.into(),
+            machine: name.into(),
+            replaced: false,
+        }
     }
 
     fn settings(shards: u32) -> Settings {
@@ -94,8 +124,16 @@
             voters: vec!["a".into(), "b".into(), "c".into()],
             zones: vec!["x".into(), "y".into()],
             duties: vec![
-                Duty { name: "watch".into(), shards: 1, by_zone: true },
-                Duty { name: "audit".into(), shards, by_zone: false },
+                Duty {
+                    name: "watch".into(),
+                    shards: 1,
+                    by_zone: true,
+                },
+                Duty {
+                    name: "audit".into(),
+                    shards,
+                    by_zone: false,
+                },
             ],
             lease: 2.0,
             drift: 0.01,
@@ -116,12 +154,21 @@
         }
         let mut placement = Placement::new(&settings);
         placement.among(&all, &(0..19).collect());
-        let before: Vec<_> = (0..settings.slots()).map(|s| placement.best(s).unwrap()).collect();
-        assert!(before[0] % 2 == 0 && before[1] % 2 == 1, "a zone's slot stays in its zone");
+        let before: Vec<_> = (0..settings.slots())
+            .map(|s| placement.best(s).unwrap())
+            .collect();
+        assert!(
+            before[0] % 2 == 0 && before[1] % 2 == 1,
+            "a zone's slot stays in its zone"
+        );
         placement.among(&all, &(0..20).collect());
-        let moved: Vec<_> =
-            (0..settings.slots()).filter(|s| placement.best(*s) != Some(before[*s as usize])).collect();
-        assert!(moved.iter().all(|s| placement.best(*s) == Some(19)), "only the newcomer gains");
+        let moved: Vec<_> = (0..settings.slots())
+            .filter(|s| placement.best(*s) != Some(before[*s as usize]))
+            .collect();
+        assert!(
+            moved.iter().all(|s| placement.best(*s) == Some(19)),
+            "only the newcomer gains"
+        );
         assert!(moved.len() < 4096 / 20 * 3 / 2, "{} moved", moved.len());
         // Five is lost: no other gets more than a few times its share of what it had.
         placement.among(&all, &(0..19).collect());
@@ -130,10 +177,18 @@
         for s in (0..settings.slots()).filter(|s| before[*s as usize] == 5) {
             *gained.entry(placement.best(s).unwrap()).or_insert(0u32) += 1;
         }
-        assert!(gained.len() > 10 && gained.values().all(|n| *n < 40), "{gained:?}");
+        assert!(
+            gained.len() > 10 && gained.values().all(|n| *n < 40),
+            "{gained:?}"
+        );
         let again: Vec<_> = (0..settings.slots()).map(|s| placement.best(s)).collect();
         let mut anew = Placement::new(&settings);
         anew.among(&all, &(0..19).filter(|s| *s != 5).collect());
-        assert_eq!(again, (0..settings.slots()).map(|s| anew.best(s)).collect::<Vec<_>>());
+        assert_eq!(
+            again,
+            (0..settings.slots())
+                .map(|s| anew.best(s))
+                .collect::<Vec<_>>()
+        );
     }
 }
--- a/crates/duties/src/probe.rs
+++ b/crates/duties/src/probe.rs
@@ -24,8 +24,10 @@
 
 impl Settings {
     pub fn check(&self) -> Result<(), String> {
-        let times =
-            self.window > 0.0 && self.again > 0.0 && self.window.is_finite() && self.again.is_finite();
+        let times = self.window > 0.0
+            && self.again > 0.0
+            && self.window.is_finite()
+            && self.again.is_finite();
         if self.unanswered == 0 || self.many < 2 || !times || self.servers == 0 {
             return Err(format!(
                 "fleet.probe: unanswered {}, many {} (2 or more), window {}, again {}, servers {}; all over 0",
@@ -78,7 +80,13 @@
 
 impl Complaints {
     /// A delivery ended; says when its server is worth a complaint now.
-    pub fn ended(&mut self, server: &str, answered: bool, now: f64, settings: &Settings) -> Option<Msg> {
+    pub fn ended(
+        &mut self,
+        server: &str,
+        answered: bool,
+        now: f64,
+        settings: &Settings,
+    ) -> Option<Msg> {
         if answered {
             self.rows.remove(server);
             if !self.answers.contains_key(server) && self.answers.len() >= settings.servers {
@@ -103,7 +111,10 @@
         *row = (row.0 + 1, now);
         // Said once for each so many: what is lost on the way is said again.
         let due = row.0.is_multiple_of(settings.unanswered);
-        due.then(|| Msg::Complaint { server: server.to_owned(), unanswered: row.0 })
+        due.then(|| Msg::Complaint {
+            server: server.to_owned(),
+            unanswered: row.0,
+        })
     }
 
     /// Judges what a probe saw `age` ago beside what this limiter saw itself: an answer since then goes before
@@ -124,7 +135,10 @@
         if seen == Seen::Answered {
             return Some(Judged::Good(settings.again * chance));
         }
-        let answered = self.answers.get(server).is_some_and(|at| *at + settings.again > now - age);
+        let answered = self
+            .answers
+            .get(server)
+            .is_some_and(|at| *at + settings.again > now - age);
         (!answered).then_some(Judged::Bad(settings.again * (1.0 + chance)))
     }
 }
@@ -146,14 +160,18 @@
     pub fn complaint(&mut self, from: &str, server: &str, now: f64, settings: &Settings) -> bool {
         if !self.servers.contains_key(server) && self.servers.len() >= settings.servers {
             let over = |s: &Server| {
-                s.by.values().all(|at| now > at + settings.window) && now > s.probed + settings.again
+                s.by.values().all(|at| now > at + settings.window)
+                    && now > s.probed + settings.again
             };
             self.servers.retain(|_, s| !over(s));
             if self.servers.len() >= settings.servers {
                 return false;
             }
         }
-        let fresh = || Server { by: BTreeMap::new(), probed: f64::NEG_INFINITY };
+        let fresh = || Server {
+            by: BTreeMap::new(),
+            probed: f64::NEG_INFINITY,
+        };
         let of = self.servers.entry(server.to_owned()).or_insert_with(fresh);
         of.by.insert(from.to_owned(), now);
         of.by.retain(|_, at| now <= *at + settings.window);
@@ -180,7 +198,13 @@
     use super::*;
 
     fn settings() -> Settings {
-        Settings { unanswered: 3, many: 2, window: 5.0, again: 2.0, servers: 4 }
+        Settings {
+            unanswered: 3,
+            many: 2,
+            window: 5.0,
+            again: 2.0,
+            servers: 4,
+        }
     }
 
     #[test]
@@ -192,13 +216,19 @@
         assert!(!p.complaint("c", "x", 1.5, &s), "too soon");
         assert!(p.complaint("c", "x", 3.1, &s));
         assert!(!p.complaint("a", "y", 4.0, &s));
-        assert!(!p.complaint("b", "y", 9.5, &s), "the first complaint is too old");
+        assert!(
+            !p.complaint("b", "y", 9.5, &s),
+            "the first complaint is too old"
+        );
         for n in 0..20 {
             p.complaint("a", &format!("s{n}"), 10.0, &s);
         }
         assert!(p.remembered() <= 4);
         assert!(!p.complaint("a", "late", 10.1, &s));
-        assert!(!p.complaint("a", "late", 20.0, &s) && p.remembered() <= 4, "old ones make room");
+        assert!(
+            !p.complaint("a", "late", 20.0, &s) && p.remembered() <= 4,
+            "old ones make room"
+        );
     }
 
     #[test]
@@ -212,7 +242,11 @@
         }
         c.ended("x", true, 1.0, &s);
         assert_eq!(judge(&c, Seen::Refused, 0.1, 2.0), None, "it answers here");
-        assert_eq!(judge(&c, Seen::Refused, 0.1, 3.2), Some(Judged::Bad(3.0)), "it did, a while ago");
+        assert_eq!(
+            judge(&c, Seen::Refused, 0.1, 3.2),
+            Some(Judged::Bad(3.0)),
+            "it did, a while ago"
+        );
         for n in 0..9 {
             c.ended(&format!("s{n}"), true, 4.0, &s);
         }
--- a/crates/duties/src/voter.rs
+++ b/crates/duties/src/voter.rs
@@ -116,7 +116,11 @@
         let log = Log::new(&saved).ok_or("the voter's store has a gap in its log; move it away")?;
         if meta.disk == 0 {
             meta.disk = rng.random_range(1..u64::MAX);
-            report(out, true, format!("an empty disk: voter {name} has no vote until it is let in"));
+            report(
+                out,
+                true,
+                format!("an empty disk: voter {name} has no vote until it is let in"),
+            );
         }
         meta.starts += 1;
         let nonce = rng.random();
@@ -132,7 +136,10 @@
             binding_save: 0,
             seen_written: BTreeMap::new(),
             unsaved: VecDeque::new(),
-            batch: Batch { meta: Some(meta.clone()), ..Default::default() },
+            batch: Batch {
+                meta: Some(meta.clone()),
+                ..Default::default()
+            },
             lead: None,
             next_tick: now,
             next_hello: now,
@@ -145,7 +152,11 @@
         };
         if voter.meta.group.is_some() {
             voter.open(log)?;
-            voter.stage = Stage::Asking { fit: BTreeSet::new(), leader: (0, 0), since: now };
+            voter.stage = Stage::Asking {
+                fit: BTreeSet::new(),
+                leader: (0, 0),
+                since: now,
+            };
         }
         voter.save(0, Vec::new(), out);
         Ok(voter)
@@ -157,7 +168,9 @@
             Book::new(&self.settings, &group)
         } else {
             let book = postcard::from_bytes::<Book>(&log.snap.data);
-            book.map_err(|e| format!("the voter's snapshot can't be read ({e}); move the store away"))?
+            book.map_err(|e| {
+                format!("the voter's snapshot can't be read ({e}); move the store away")
+            })?
         };
         let slots = self.settings.slots() as usize;
         if self.book.slots.len() != slots {
@@ -182,14 +195,16 @@
             ..Default::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        self.raw = Some(RawNode::new(&config, log, &logger).map_err(|e| format!("the voter's log: {e}"))?);
+        self.raw =
+            Some(RawNode::new(&config, log, &logger).map_err(|e| format!("the voter's log: {e}"))?);
         Ok(())
     }
 
     /// A group's number, from who formed it.
     fn group(&self) -> u64 {
         self.meta.group.as_ref().map_or(0, |g| {
-            xxh3_64(&postcard::to_stdvec(g).unwrap_or_default()) ^ xxh3_64(self.settings.fleet.as_bytes())
+            xxh3_64(&postcard::to_stdvec(g).unwrap_or_default())
+                ^ xxh3_64(self.settings.fleet.as_bytes())
         })
     }
 
@@ -244,7 +259,9 @@
     pub fn saved(&mut self, number: u64, now: f64, out: &mut Vec<Output>) {
         self.now = now;
         while self.unsaved.front().is_some_and(|u| u.0 <= number) {
-            let Some((_, ready, after)) = self.unsaved.pop_front() else { break };
+            let Some((_, ready, after)) = self.unsaved.pop_front() else {
+                break;
+            };
             if let Some(raw) = self.raw.as_mut().filter(|_| ready > 0) {
                 raw.on_persist_ready(ready);
                 // Only on the disk does a snapshot count as applied.
@@ -265,7 +282,14 @@
         self.unsaved.clear();
         self.stage = Stage::Outside;
         self.meta.disk = 0;
-        report(out, true, format!("voter {} can't write its disk and has stopped voting", self.name));
+        report(
+            out,
+            true,
+            format!(
+                "voter {} can't write its disk and has stopped voting",
+                self.name
+            ),
+        );
     }
 
     pub fn tick(&mut self, now: f64, out: &mut Vec<Output>) {
@@ -300,12 +324,26 @@
         if !self.unsaved.is_empty() {
             return;
         }
-        let (term, last) = self.raw.as_ref().map_or((0, 0), |r| (r.store().hard.term, r.store().last()));
+        let (term, last) = self
+            .raw
+            .as_ref()
+            .map_or((0, 0), |r| (r.store().hard.term, r.store().last()));
         let (disk, starts, nonce) = (self.meta.disk, self.meta.starts, self.nonce);
         let voter = matches!(self.stage, Stage::Asking { .. });
-        let hello = Hello { name: self.name.clone(), disk, starts, nonce, term, last, voter };
+        let hello = Hello {
+            name: self.name.clone(),
+            disk,
+            starts,
+            nonce,
+            term,
+            last,
+            voter,
+        };
         for to in self.settings.voters.iter().filter(|v| **v != self.name) {
-            out.push(Output::Send { to: to.clone(), msg: Msg::Hello(hello.clone()) });
+            out.push(Output::Send {
+                to: to.clone(),
+                msg: Msg::Hello(hello.clone()),
+            });
         }
     }
 
@@ -335,7 +373,8 @@
         self.see(&message);
         // A leader never says in a heartbeat that more is settled than this disk acknowledged to it.
         let beat = message.kind == raft::eraftpb::MessageType::MsgHeartbeat as u8;
-        let behind = |r: &RawNode<Log>| message.term >= r.raft.term && message.commit > r.store().last();
+        let behind =
+            |r: &RawNode<Log>| message.term >= r.raft.term && message.commit > r.store().last();
         if beat && self.raw.as_ref().is_some_and(behind) && self.votes() {
             let what = "acknowledged entries that its disk does not have; it starts empty";
             report(out, true, format!("voter {} {what}", self.name));
@@ -375,15 +414,24 @@
             report(
                 out,
                 true,
-                format!("{from} says it votes as {}, which the file does not list", hello.name),
+                format!(
+                    "{from} says it votes as {}, which the file does not list",
+                    hello.name
+                ),
             );
             return;
         }
         let Some(group) = self.meta.group.clone() else {
-            let back = HelloBack::Empty { disk: self.meta.disk };
+            let back = HelloBack::Empty {
+                disk: self.meta.disk,
+            };
             out.push(Output::Send {
                 to: from.into(),
-                msg: Msg::HelloBack { of: hello.disk, nonce: hello.nonce, back },
+                msg: Msg::HelloBack {
+                    of: hello.disk,
+                    nonce: hello.nonce,
+                    back,
+                },
             });
             if let Stage::Forming(heard) = &mut self.stage {
                 if !hello.voter {
@@ -410,12 +458,24 @@
         } else {
             Judged::Fit
         };
-        let leader = self.raw.as_ref().map_or((0, 0), |r| match r.raft.leader_id {
-            0 => (0, 0),
-            id => (r.raft.term, id),
-        });
-        let back = HelloBack::Formed { disk: self.meta.disk, group, judged, leader };
-        let msg = Msg::HelloBack { of: hello.disk, nonce: hello.nonce, back };
+        let leader = self
+            .raw
+            .as_ref()
+            .map_or((0, 0), |r| match r.raft.leader_id {
+                0 => (0, 0),
+                id => (r.raft.term, id),
+            });
+        let back = HelloBack::Formed {
+            disk: self.meta.disk,
+            group,
+            judged,
+            leader,
+        };
+        let msg = Msg::HelloBack {
+            of: hello.disk,
+            nonce: hello.nonce,
+            back,
+        };
         if judged == Judged::Fit && !again {
             // Remembered on the disk; the word goes out with the next hello, when that is done.
             let seen = self.meta.seen.entry(hello.disk).or_default();
@@ -424,7 +484,10 @@
             self.save(0, Vec::new(), out);
             return;
         }
-        out.push(Output::Send { to: from.into(), msg });
+        out.push(Output::Send {
+            to: from.into(),
+            msg,
+        });
         if judged == Judged::Unknown && !hello.voter {
             self.let_in(hello.name, hello.disk, out);
         }
@@ -432,7 +495,10 @@
 
     /// The leader swaps a voter's lost disk for its new one, through both majorities.
     fn let_in(&mut self, name: Name, disk: u64, out: &mut Vec<Output>) {
-        let Some(lead) = self.lead.as_mut().filter(|l| l.ready && self.now > l.let_in + self.settings.lease)
+        let Some(lead) = self
+            .lead
+            .as_mut()
+            .filter(|l| l.ready && self.now > l.let_in + self.settings.lease)
         else {
             return;
         };
@@ -440,7 +506,10 @@
         lead.let_in = self.now;
         let old = self.book.voters.iter().find(|v| *v.1 == name).map(|v| *v.0);
         let single = |id: u64, kind: ConfChangeType| {
-            let mut c = ConfChangeSingle { node_id: id, ..Default::default() };
+            let mut c = ConfChangeSingle {
+                node_id: id,
+                ..Default::default()
+            };
             c.set_change_type(kind);
             c
         };
@@ -450,7 +519,11 @@
         change.set_changes(changes.into());
         let context = postcard::to_stdvec(&(name.clone(), disk)).unwrap_or_default();
         if raw.propose_conf_change(context, change).is_ok() {
-            report(out, true, format!("voter {name} comes with another disk and is let in anew"));
+            report(
+                out,
+                true,
+                format!("voter {name} comes with another disk and is let in anew"),
+            );
         }
     }
 
@@ -462,7 +535,12 @@
                 }
                 self.form(out);
             }
-            HelloBack::Formed { disk, group, judged, leader } => match (&mut self.stage, judged) {
+            HelloBack::Formed {
+                disk,
+                group,
+                judged,
+                leader,
+            } => match (&mut self.stage, judged) {
                 (Stage::Forming(_), _) if group.contains(&(self.meta.disk, self.name.clone())) => {
                     self.begin(group, out);
                 }
@@ -470,7 +548,10 @@
                     report(
                         out,
                         true,
-                        format!("{from} knows another disk of voter {}; this one waits", self.name),
+                        format!(
+                            "{from} knows another disk of voter {}; this one waits",
+                            self.name
+                        ),
                     );
                     // Adopts the group's number, so that it understands the leader that lets it in.
                     self.meta.group = Some(group);
@@ -478,7 +559,12 @@
                     self.save(0, Vec::new(), out);
                     self.join(out);
                 }
-                (Stage::Asking { fit, leader: known, .. }, Judged::Fit) => {
+                (
+                    Stage::Asking {
+                        fit, leader: known, ..
+                    },
+                    Judged::Fit,
+                ) => {
                     fit.insert(disk);
                     *known = leader.max(*known);
                     self.trust(out);
@@ -492,7 +578,10 @@
                     report(
                         out,
                         true,
-                        format!("voter {}: {from} says this disk {what}; it starts empty", self.name),
+                        format!(
+                            "voter {}: {from} says this disk {what}; it starts empty",
+                            self.name
+                        ),
                     );
                     self.start_empty(out);
                 }
@@ -505,18 +594,27 @@
     /// left without one of them, and the leader, which counts what this disk acknowledged before its start.
     /// Where those are gone for longer than the stated wait, half of the others are believed.
     fn trust(&mut self, out: &mut Vec<Output>) {
-        let Stage::Asking { fit, leader, since } = &self.stage else { return };
+        let Stage::Asking { fit, leader, since } = &self.stage else {
+            return;
+        };
         let n = self.settings.voters.len();
         let waited = self.now > since + self.settings.disk_wait;
         let leader = leader.1 == 0 || leader.1 == self.meta.disk || fit.contains(&leader.1);
         if fit.len() >= n - n / 2 && leader {
-            report(out, false, format!("voter {}: its disk is the newest, it votes", self.name));
+            report(
+                out,
+                false,
+                format!("voter {}: its disk is the newest, it votes", self.name),
+            );
         } else if fit.len() >= n / 2 && waited {
             let heard = fit.len();
             report(
                 out,
                 true,
-                format!("voter {}: {heard} others found its disk fit, the rest is gone", self.name),
+                format!(
+                    "voter {}: {heard} others found its disk fit, the rest is gone",
+                    self.name
+                ),
             );
         } else {
             return;
@@ -528,14 +626,24 @@
     fn start_empty(&mut self, out: &mut Vec<Output>) {
         self.raw = None;
         self.lead = None;
-        self.unsaved.iter_mut().for_each(|u| *u = (u.0, 0, Vec::new()));
+        self.unsaved
+            .iter_mut()
+            .for_each(|u| *u = (u.0, 0, Vec::new()));
         self.snap_taken = None;
-        self.meta = Meta { disk: self.rng.random_range(1..u64::MAX), starts: 1, ..Default::default() };
+        self.meta = Meta {
+            disk: self.rng.random_range(1..u64::MAX),
+            starts: 1,
+            ..Default::default()
+        };
         self.nonce = self.rng.random();
         self.book = Book::default();
         self.applied = 0;
         self.stage = Stage::Forming(BTreeMap::new());
-        self.batch = Batch { wipe: true, meta: Some(self.meta.clone()), ..Default::default() };
+        self.batch = Batch {
+            wipe: true,
+            meta: Some(self.meta.clone()),
+            ..Default::default()
+        };
         self.save(0, Vec::new(), out);
     }
 
@@ -550,9 +658,13 @@
 
     /// All voters of the file have empty disks: they form the group, each for itself, alike.
     fn form(&mut self, out: &mut Vec<Output>) {
-        let Stage::Forming(heard) = &self.stage else { return };
+        let Stage::Forming(heard) = &self.stage else {
+            return;
+        };
         let others = self.settings.voters.iter().filter(|v| **v != self.name);
-        let group: Option<Vec<_>> = others.map(|v| heard.get(v).map(|disk| (*disk, v.clone()))).collect();
+        let group: Option<Vec<_>> = others
+            .map(|v| heard.get(v).map(|disk| (*disk, v.clone())))
+            .collect();
         let Some(mut group) = group else { return };
         group.push((self.meta.disk, self.name.clone()));
         group.sort();
@@ -563,10 +675,24 @@
         let book = Book::new(&self.settings, &group);
         let data = postcard::to_stdvec(&book).unwrap_or_default();
         let conf = Conf::of(group.iter().map(|g| g.0).collect());
-        let snap = Snap { index: 1, term: 1, conf, data };
-        let hard = Hard { term: 1, vote: 0, commit: 1 };
+        let snap = Snap {
+            index: 1,
+            term: 1,
+            conf,
+            data,
+        };
+        let hard = Hard {
+            term: 1,
+            vote: 0,
+            commit: 1,
+        };
         self.meta.group = Some(group);
-        let saved = Saved { meta: self.meta.clone(), hard, snap: snap.clone(), entries: Vec::new() };
+        let saved = Saved {
+            meta: self.meta.clone(),
+            hard,
+            snap: snap.clone(),
+            entries: Vec::new(),
+        };
         let Some(log) = Log::new(&saved) else { return };
         if let Err(e) = self.open(log) {
             report(out, true, e);
@@ -577,16 +703,30 @@
         self.batch.snap = Some(snap);
         self.save(0, Vec::new(), out);
         self.stage = Stage::Voting;
-        report(out, false, format!("voter {}: the group is formed", self.name));
+        report(
+            out,
+            false,
+            format!("voter {}: the group is formed", self.name),
+        );
     }
 
     fn send_raft(&self, messages: Vec<Message>, out: &mut Vec<Output>) {
         let group = self.group();
         for message in messages {
             let to = self.book.voters.get(&message.to).cloned();
-            let formed = || self.meta.group.iter().flatten().find(|g| g.0 == message.to).map(|g| g.1.clone());
+            let formed = || {
+                self.meta
+                    .group
+                    .iter()
+                    .flatten()
+                    .find(|g| g.0 == message.to)
+                    .map(|g| g.1.clone())
+            };
             if let Some(to) = to.or_else(formed) {
-                out.push(Output::Send { to, msg: Msg::Raft { group, message } });
+                out.push(Output::Send {
+                    to,
+                    msg: Msg::Raft { group, message },
+                });
             }
         }
     }
@@ -596,11 +736,18 @@
         while let Some(raw) = self.raw.as_mut().filter(|r| r.has_ready()) {
             let hard_before = raw.store().hard;
             let mut ready = raw.ready();
-            let mut now_out: Vec<Message> = ready.take_messages().iter().map(Message::from).collect();
+            let mut now_out: Vec<Message> =
+                ready.take_messages().iter().map(Message::from).collect();
             // Others take what a leader says is settled for what its own disk holds.
             let on_disk = raw.raft.raft_log.persisted;
-            now_out.iter_mut().for_each(|message| message.say_settled_up_to(on_disk));
-            let after: Vec<Message> = ready.take_persisted_messages().iter().map(Message::from).collect();
+            now_out
+                .iter_mut()
+                .for_each(|message| message.say_settled_up_to(on_disk));
+            let after: Vec<Message> = ready
+                .take_persisted_messages()
+                .iter()
+                .map(Message::from)
+                .collect();
             let (answers, after): (Vec<Message>, Vec<Message>) =
                 after.into_iter().partition(Message::answers_heartbeat);
             let reads = ready.take_read_states();
@@ -615,7 +762,9 @@
                 if let Ok(book) = postcard::from_bytes(&snap.data) {
                     self.book = book;
                 }
-                if matches!(self.stage, Stage::Outside) && self.book.voters.contains_key(&self.meta.disk) {
+                if matches!(self.stage, Stage::Outside)
+                    && self.book.voters.contains_key(&self.meta.disk)
+                {
                     self.stage = Stage::Voting;
                 }
                 self.applied = snap.index;
@@ -632,7 +781,11 @@
                 write = true;
             }
             if let Some(hs) = ready.hs() {
-                let hard = Hard { term: hs.term, vote: hs.vote, commit: hs.commit };
+                let hard = Hard {
+                    term: hs.term,
+                    vote: hs.vote,
+                    commit: hs.commit,
+                };
                 raw.mut_store().hard = hard;
                 self.batch.hard = Some(hard);
                 binding |= (hard.term, hard.vote) != (hard_before.term, hard_before.vote);
@@ -677,7 +830,11 @@
         if !leads {
             self.lead = None;
         } else if self.lead.as_ref().is_none_or(|l| l.term != term) {
-            report(out, false, format!("voter {} leads in term {term}", self.name));
+            report(
+                out,
+                false,
+                format!("voter {} leads in term {term}", self.name),
+            );
             self.lead = Some(Lead {
                 term,
                 since: self.now,
@@ -703,7 +860,9 @@
         self.applied = entry.index;
         match entry.get_entry_type() {
             EntryType::EntryConfChangeV2 => {
-                let Ok(change) = ConfChangeV2::parse_from_bytes(entry.get_data()) else { return };
+                let Ok(change) = ConfChangeV2::parse_from_bytes(entry.get_data()) else {
+                    return;
+                };
                 if let Some(raw) = &mut self.raw {
                     if let Ok(conf) = raw.apply_conf_change(&change) {
                         raw.mut_store().conf = Conf::from_raft(&conf);
@@ -714,24 +873,40 @@
                     self.book.voters.retain(|_, n| *n != name);
                     self.book.voters.insert(disk, name);
                 }
-                if matches!(self.stage, Stage::Outside) && self.book.voters.contains_key(&self.meta.disk) {
+                if matches!(self.stage, Stage::Outside)
+                    && self.book.voters.contains_key(&self.meta.disk)
+                {
                     self.stage = Stage::Voting;
-                    report(out, true, format!("voter {}: let in anew, it votes", self.name));
+                    report(
+                        out,
+                        true,
+                        format!("voter {}: let in anew, it votes", self.name),
+                    );
                 }
             }
             _ if entry.get_data().is_empty() => {
-                if let Some(lead) = self.lead.as_mut().filter(|l| l.term == entry.term && !l.ready) {
+                if let Some(lead) = self
+                    .lead
+                    .as_mut()
+                    .filter(|l| l.term == entry.term && !l.ready)
+                {
                     lead.ready = true;
                     lead.since = self.now;
-                    lead.granter = Granter::takes_over(self.book.sessions.keys().copied(), self.now);
+                    lead.granter =
+                        Granter::takes_over(self.book.sessions.keys().copied(), self.now);
                     let replaced = self.book.sessions.iter().filter(|s| s.1.replaced);
                     lead.replaced = replaced.map(|(id, _)| (*id, self.now)).collect();
                 }
             }
             _ => {
-                let Ok((number, commands)) = postcard::from_bytes::<(u64, Vec<Command>)>(entry.get_data())
+                let Ok((number, commands)) =
+                    postcard::from_bytes::<(u64, Vec<Command>)>(entry.get_data())
                 else {
-                    report(out, true, format!("entry {} of the log can't be read", entry.index));
+                    report(
+                        out,
+                        true,
+                        format!("entry {} of the log can't be read", entry.index),
+                    );
                     return;
                 };
                 for command in &commands {
@@ -765,7 +940,11 @@
                     }
                     lead.changed.extend(changed);
                 }
-                if let Some(lead) = self.lead.as_mut().filter(|l| l.doing.is_some_and(|d| d.0 == number)) {
+                if let Some(lead) = self
+                    .lead
+                    .as_mut()
+                    .filter(|l| l.doing.is_some_and(|d| d.0 == number))
+                {
                     lead.doing = None;
                     self.keep_house(out);
                 }
@@ -780,14 +959,24 @@
         let changed = std::mem::take(&mut self.changed);
         let Some(raw) = self.raw.as_mut() else { return };
         let log = raw.mut_store();
-        if (applied < log.first() + KEPT && !changed) || applied < log.first() || applied > log.last() {
+        if (applied < log.first() + KEPT && !changed)
+            || applied < log.first()
+            || applied > log.last()
+        {
             return;
         }
-        let (Ok(term), Ok(data)) = (raft::Storage::term(log, applied), postcard::to_stdvec(&self.book))
-        else {
+        let (Ok(term), Ok(data)) = (
+            raft::Storage::term(log, applied),
+            postcard::to_stdvec(&self.book),
+        ) else {
             return;
         };
-        let snap = Snap { index: applied, term, conf: log.conf.clone(), data };
+        let snap = Snap {
+            index: applied,
+            term,
+            conf: log.conf.clone(),
+            data,
+        };
         log.cut(snap.clone());
         self.batch.snap = Some(snap);
     }
@@ -796,8 +985,17 @@
         let (now, me) = (self.now, ask.me.clone());
         let Some(lead) = self.lead.as_mut().filter(|l| l.ready) else {
             let leader = self.raw.as_ref().map_or(0, |r| r.raft.leader_id);
-            let leader = self.book.voters.get(&leader).filter(|n| **n != self.name).cloned();
-            let msg = Msg::Elsewhere { run: me.run, seq: ask.seq, leader };
+            let leader = self
+                .book
+                .voters
+                .get(&leader)
+                .filter(|n| **n != self.name)
+                .cloned();
+            let msg = Msg::Elsewhere {
+                run: me.run,
+                seq: ask.seq,
+                leader,
+            };
             out.push(Output::Send { to: me.name, msg });
             return;
         };
@@ -811,8 +1009,13 @@
 
     /// Asks the other voters whether this one still leads, once for all asks that wait.
     fn read(&mut self) {
-        let Some(lead) = self.lead.as_mut().filter(|l| l.ready) else { return };
-        let lost = lead.reading.as_ref().is_some_and(|r| self.now > r.1 + self.settings.tick * 4.0);
+        let Some(lead) = self.lead.as_mut().filter(|l| l.ready) else {
+            return;
+        };
+        let lost = lead
+            .reading
+            .as_ref()
+            .is_some_and(|r| self.now > r.1 + self.settings.tick * 4.0);
         if lead.asks.is_empty() || (lead.reading.is_some() && !lost) {
             return;
         }
@@ -825,11 +1028,19 @@
 
     /// A majority confirmed that it led after these asks had come.
     fn confirmed(&mut self, context: &[u8], out: &mut Vec<Output>) {
-        let Some(lead) = self.lead.as_mut().filter(|l| l.ready) else { return };
-        if lead.reading.as_ref().is_none_or(|r| r.0.to_le_bytes() != context) {
+        let Some(lead) = self.lead.as_mut().filter(|l| l.ready) else {
+            return;
+        };
+        if lead
+            .reading
+            .as_ref()
+            .is_none_or(|r| r.0.to_le_bytes() != context)
+        {
             return;
         }
-        let Some((_, _, asks)) = lead.reading.take() else { return };
+        let Some((_, _, asks)) = lead.reading.take() else {
+            return;
+        };
         for (ask, received) in asks {
             self.grant(ask, received, out);
         }
@@ -842,24 +1053,37 @@
         let Some(lead) = &mut self.lead else { return };
         let me = &ask.me;
         for (slot, token, stuck) in &ask.freed {
-            let held =
-                self.book.slots.get(*slot as usize).is_some_and(|h| h.token == *token && h.session > 0);
-            let command = Command::Free { slot: *slot, token: *token };
+            let held = self
+                .book
+                .slots
+                .get(*slot as usize)
+                .is_some_and(|h| h.token == *token && h.session > 0);
+            let command = Command::Free {
+                slot: *slot,
+                token: *token,
+            };
             if held && !lead.todo.contains(&command) {
                 lead.todo.push_back(command);
                 if *stuck {
-                    lead.barred.insert((*slot, me.name.clone()), now + self.settings.stall * 4.0);
+                    lead.barred
+                        .insert((*slot, me.name.clone()), now + self.settings.stall * 4.0);
                     let (duty, shard, _) = self.settings.slot(*slot);
                     report(
                         out,
                         true,
-                        format!("{} got on with nothing in {duty} {shard}; another takes it", me.name),
+                        format!(
+                            "{} got on with nothing in {duty} {shard}; another takes it",
+                            me.name
+                        ),
                     );
                 }
             }
         }
         if self.book.doubled.contains(&me.name) {
-            out.push(Output::Send { to: me.name.clone(), msg: Msg::Doubled { run: me.run } });
+            out.push(Output::Send {
+                to: me.name.clone(),
+                msg: Msg::Doubled { run: me.run },
+            });
             return;
         }
         let Some(session) = self.book.session(&me.name, me.run) else {
@@ -869,16 +1093,24 @@
                 zone: me.zone.clone(),
                 machine: me.machine.clone(),
             };
-            let gone = self.book.sessions.iter().find(|s| s.1.name == me.name && s.1.run == me.run);
+            let gone = self
+                .book
+                .sessions
+                .iter()
+                .find(|s| s.1.name == me.name && s.1.run == me.run);
             if let Some((id, _)) = gone {
                 // Replaced by a later run, and still there when its lease is long over: both live.
                 let since = lead.replaced.get(id).copied().unwrap_or(lead.since);
-                let other = lead
-                    .runs
-                    .iter()
-                    .any(|((n, run), at)| *n == me.name && *run != me.run && *at > now - self.settings.lease);
-                let double = Command::Double { name: me.name.clone() };
-                if other && received > since + self.settings.renew * 2.0 && !lead.todo.contains(&double) {
+                let other = lead.runs.iter().any(|((n, run), at)| {
+                    *n == me.name && *run != me.run && *at > now - self.settings.lease
+                });
+                let double = Command::Double {
+                    name: me.name.clone(),
+                };
+                if other
+                    && received > since + self.settings.renew * 2.0
+                    && !lead.todo.contains(&double)
+                {
                     lead.todo.push_back(double);
                 }
                 return;
@@ -899,26 +1131,49 @@
         lead.changed.remove(&session);
         let version = self.book.versions.get(&session).copied().unwrap_or(0);
         let list = (version != ask.version).then(|| self.book.held_by(session));
-        let give_up = lead.giving.iter().filter(|g| *g.1 == session).map(|g| *g.0).collect();
-        let tokens = ask.prime.then(|| self.book.slots.iter().map(|h| h.token).collect());
+        let give_up = lead
+            .giving
+            .iter()
+            .filter(|g| *g.1 == session)
+            .map(|g| *g.0)
+            .collect();
+        let tokens = ask
+            .prime
+            .then(|| self.book.slots.iter().map(|h| h.token).collect());
         let holder = |slot: &Slot| {
             let held = self.book.slots.get(*slot as usize)?;
             let of = self.book.sessions.get(&held.session)?;
             Some((*slot, of.name.clone()))
         };
         let holders = ask.who.iter().take(MOST_WHO).filter_map(holder).collect();
-        let told = Told { seq: ask.seq, version, index, list, give_up, tokens, holders };
-        out.push(Output::Send { to: me.name.clone(), msg: Msg::Told { run: me.run, told } });
+        let told = Told {
+            seq: ask.seq,
+            version,
+            index,
+            list,
+            give_up,
+            tokens,
+            holders,
+        };
+        out.push(Output::Send {
+            to: me.name.clone(),
+            msg: Msg::Told { run: me.run, told },
+        });
     }
 
     /// What the leader does unasked: lapsed sessions go, free slots are granted, misplaced ones asked back.
     fn keep_house(&mut self, out: &mut Vec<Output>) {
         let (now, settings) = (self.now, &self.settings);
-        let Some(lead) = self.lead.as_mut().filter(|l| l.ready) else { return };
+        let Some(lead) = self.lead.as_mut().filter(|l| l.ready) else {
+            return;
+        };
         // What changed for someone is said at once; the lease itself goes by its ask.
         for id in std::mem::take(&mut lead.changed) {
             if let Some(s) = self.book.sessions.get(&id) {
-                out.push(Output::Send { to: s.name.clone(), msg: Msg::Notice { run: s.run } });
+                out.push(Output::Send {
+                    to: s.name.clone(),
+                    msg: Msg::Notice { run: s.run },
+                });
             }
         }
         if lead.doing.is_some_and(|d| now > d.1 + settings.lease) {
@@ -943,26 +1198,44 @@
             }
         }
         let live = self.book.sessions.iter().filter(|(id, s)| {
-            let heard = lead.granter.heard(**id).is_some_and(|at| now < at + settings.lease);
-            !s.replaced && heard && !lead.ending.contains(id) && !self.book.doubled.contains(&s.name)
+            let heard = lead
+                .granter
+                .heard(**id)
+                .is_some_and(|at| now < at + settings.lease);
+            !s.replaced
+                && heard
+                && !lead.ending.contains(id)
+                && !self.book.doubled.contains(&s.name)
         });
         let live: BTreeSet<u64> = live.map(|(id, _)| *id).collect();
         lead.placement.among(&self.book.sessions, &live);
         let mut moves = settings.moves.saturating_sub(lead.giving.len());
-        lead.giving.retain(|slot, id| self.book.slots[*slot as usize].session == *id && live.contains(id));
+        lead.giving
+            .retain(|slot, id| self.book.slots[*slot as usize].session == *id && live.contains(id));
         let barred = &lead.barred;
         for (slot, held) in self.book.slots.iter().enumerate() {
             let slot = slot as Slot;
-            let name = |id: u64| self.book.sessions.get(&id).map(|s| s.name.clone()).unwrap_or_default();
+            let name = |id: u64| {
+                self.book
+                    .sessions
+                    .get(&id)
+                    .map(|s| s.name.clone())
+                    .unwrap_or_default()
+            };
             let best = if barred.is_empty() {
                 lead.placement.best(slot)
             } else {
-                lead.placement.best_but(slot, |id| barred.contains_key(&(slot, name(id))))
+                lead.placement
+                    .best_but(slot, |id| barred.contains_key(&(slot, name(id))))
             };
             let Some(best) = best else { continue };
             if held.session == 0 {
                 if lead.todo.len() < MOST_COMMANDS {
-                    lead.todo.push_back(Command::Grant { slot, token: held.token, session: best });
+                    lead.todo.push_back(Command::Grant {
+                        slot,
+                        token: held.token,
+                        session: best,
+                    });
                 }
             } else if held.session != best
                 && live.contains(&held.session)
@@ -976,15 +1249,25 @@
         if lead.todo.is_empty() {
             return;
         }
-        let commands: Vec<Command> = lead.todo.drain(..lead.todo.len().min(MOST_COMMANDS)).collect();
+        let commands: Vec<Command> = lead
+            .todo
+            .drain(..lead.todo.len().min(MOST_COMMANDS))
+            .collect();
         // A slot freed and granted in one entry would get no greater token.
-        let (first, later): (Vec<_>, Vec<_>) =
-            commands.into_iter().partition(|c| !matches!(c, Command::Grant { .. }));
+        let (first, later): (Vec<_>, Vec<_>) = commands
+            .into_iter()
+            .partition(|c| !matches!(c, Command::Grant { .. }));
         let commands = if first.is_empty() { later } else { first };
         self.numbers = self.numbers.wrapping_add(1);
         let number = self.numbers;
-        let Ok(data) = postcard::to_stdvec(&(number, commands)) else { return };
-        if self.raw.as_mut().is_some_and(|r| r.propose(Vec::new(), data).is_ok()) {
+        let Ok(data) = postcard::to_stdvec(&(number, commands)) else {
+            return;
+        };
+        if self
+            .raw
+            .as_mut()
+            .is_some_and(|r| r.propose(Vec::new(), data).is_ok())
+        {
             lead.doing = Some((number, now));
         }
     }
--- a/crates/duties/src/watch.rs
+++ b/crates/duties/src/watch.rs
@@ -21,9 +21,17 @@
 
 impl Settings {
     pub fn check(&self) -> Result<(), String> {
-        if !(self.beat > 0.0 && self.stale > 2.0 * self.beat && self.spread >= 0.0 && self.trust > self.beat)
+        if !(self.beat > 0.0
+            && self.stale > 2.0 * self.beat
+            && self.spread >= 0.0
+            && self.trust > self.beat)
         {
-            let Settings { beat, stale, spread, trust } = self;
+            let Settings {
+                beat,
+                stale,
+                spread,
+                trust,
+            } = self;
             return Err(format!(
                 "fleet.watch: beat {beat}, stale {stale}, spread {spread}, trust {trust}; stale has to be over \
                  two beats, trust over one, all over 0"
@@ -36,9 +44,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Msg {
     /// The holder is there, with this list; its own watch last said something `age` ago.
-    Beat { slot: Slot, token: u64, revision: u64, age: f64 },
+    Beat {
+        slot: Slot,
+        token: u64,
+        revision: u64,
+        age: f64,
+    },
     /// What changed after `since`, or the whole list.
-    News { slot: Slot, token: u64, since: Option<u64>, revision: u64, list: Vec<u8> },
+    News {
+        slot: Slot,
+        token: u64,
+        since: Option<u64>,
+        revision: u64,
+        list: Vec<u8>,
+    },
     /// The asker needs the whole list.
     Want { slot: Slot },
 }
@@ -118,7 +137,12 @@
         self.holding = token.is_some();
         if let Some(token) = token.filter(|_| now >= self.next_beat) {
             let age = now - self.heard;
-            out.push(Act::ToZone(Msg::Beat { slot: self.slot, token, revision: self.revision, age }));
+            out.push(Act::ToZone(Msg::Beat {
+                slot: self.slot,
+                token,
+                revision: self.revision,
+                age,
+            }));
         }
         if now >= self.next_beat {
             self.next_beat = now + self.settings.beat;
@@ -143,11 +167,19 @@
         out: &mut Vec<Act>,
     ) {
         self.heard = now;
-        let Some((revision, complete, list)) = list else { return };
+        let Some((revision, complete, list)) = list else {
+            return;
+        };
         let since = (!complete).then_some(self.revision);
         self.revision = revision;
         if let Some(token) = token {
-            out.push(Act::ToZone(Msg::News { slot: self.slot, token, since, revision, list }));
+            out.push(Act::ToZone(Msg::News {
+                slot: self.slot,
+                token,
+                since,
+                revision,
+                list,
+            }));
         }
     }
 
@@ -156,7 +188,10 @@
         match msg {
             Msg::Want { .. } => {
                 if let Some(token) = token {
-                    out.push(Act::Whole { to: from.into(), token });
+                    out.push(Act::Whole {
+                        to: from.into(),
+                        token,
+                    });
                 }
             }
             _ if token.is_some() => {}
@@ -170,7 +205,12 @@
                     self.freshen(now);
                 }
             }
-            Msg::News { since, revision, list, .. } => {
+            Msg::News {
+                since,
+                revision,
+                list,
+                ..
+            } => {
                 if revision <= self.revision {
                     return;
                 }
@@ -196,7 +236,10 @@
     fn want(&mut self, from: &str, now: f64, out: &mut Vec<Act>) {
         if now > self.wanted + self.settings.beat {
             self.wanted = now;
-            out.push(Act::To { to: from.into(), msg: Msg::Want { slot: self.slot } });
+            out.push(Act::To {
+                to: from.into(),
+                msg: Msg::Want { slot: self.slot },
+            });
         }
     }
 }
@@ -206,12 +249,22 @@
     use super::*;
 
     fn relay(part: f64) -> Relay {
-        let settings = Settings { beat: 0.5, stale: 1.6, spread: 0.5, trust: 5.0 };
+        let settings = Settings {
+            beat: 0.5,
+            stale: 1.6,
+            spread: 0.5,
+            trust: 5.0,
+        };
         Relay::new(settings, 0, 10, part, 0.0)
     }
 
     fn beat(revision: u64, age: f64) -> Msg {
-        Msg::Beat { slot: 0, token: 4, revision, age }
+        Msg::Beat {
+            slot: 0,
+            token: 4,
+            revision,
+            age,
+        }
     }
 
     #[test]
@@ -252,19 +305,39 @@
     #[test]
     fn news_that_skip_some_ask_for_the_whole_and_older_ones_change_nothing() {
         let (mut r, mut out) = (relay(0.0), Vec::new());
-        let news =
-            |since, revision| Msg::News { slot: 0, token: 4, since, revision, list: vec![revision as u8] };
+        let news = |since, revision| Msg::News {
+            slot: 0,
+            token: 4,
+            since,
+            revision,
+            list: vec![revision as u8],
+        };
         r.hear("h", news(Some(12), 13), None, 0.0, &mut out);
-        assert_eq!(out, [Act::To { to: "h".into(), msg: Msg::Want { slot: 0 } }]);
+        assert_eq!(
+            out,
+            [Act::To {
+                to: "h".into(),
+                msg: Msg::Want { slot: 0 }
+            }]
+        );
         out.clear();
         r.hear("h", news(None, 13), None, 0.1, &mut out);
         r.hear("h", news(Some(12), 13), None, 0.1, &mut out);
         r.hear("h", news(Some(13), 14), None, 0.2, &mut out);
         r.hear("h", news(Some(10), 11), None, 0.3, &mut out);
-        let take = |revision| Act::Take { list: vec![revision as u8], revision };
+        let take = |revision| Act::Take {
+            list: vec![revision as u8],
+            revision,
+        };
         assert_eq!(out, [take(13), take(14)]);
         out.clear();
         r.hear("x", Msg::Want { slot: 0 }, Some(9), 1.0, &mut out);
-        assert_eq!(out, [Act::Whole { to: "x".into(), token: 9 }]);
+        assert_eq!(
+            out,
+            [Act::Whole {
+                to: "x".into(),
+                token: 9
+            }]
+        );
     }
 }
--- a/crates/duties/tests/lease_model.rs
+++ b/crates/duties/tests/lease_model.rs
@@ -21,8 +21,12 @@
     waits_whole: bool,
 }
 
-const ALL: Guards =
-    Guards { token: true, counted_before: true, waits_after_restart: true, waits_whole: true };
+const ALL: Guards = Guards {
+    token: true,
+    counted_before: true,
+    waits_after_restart: true,
+    waits_whole: true,
+};
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Mail {
@@ -186,7 +190,11 @@
                     }
                     if s.holder == Some(who) {
                         s.granter.renew(who as u64, s.now);
-                        s.mail.push(Mail::Granted { who, seq, token: s.token });
+                        s.mail.push(Mail::Granted {
+                            who,
+                            seq,
+                            token: s.token,
+                        });
                     }
                 }
                 Mail::Granted { who, seq, token } => {
@@ -225,33 +233,76 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one holder at a time", |_, s: &State| !s.overlap),
-            Property::always("effects in the order of their tokens", |_, s: &State| !s.disorder),
-            Property::sometimes("the slot changes hands", |_, s: &State| s.token >= 2 && s.seen >= 2),
+            Property::always("effects in the order of their tokens", |_, s: &State| {
+                !s.disorder
+            }),
+            Property::sometimes("the slot changes hands", |_, s: &State| {
+                s.token >= 2 && s.seen >= 2
+            }),
         ]
     }
 }
 
 fn broken(guards: Guards) -> Vec<&'static str> {
-    let checker =
-        Lease(guards).checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+    let checker = Lease(guards)
+        .checker()
+        .threads(4)
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
     let found = checker.discoveries();
-    found.into_keys().filter(|k| *k != "the slot changes hands").collect()
+    found
+        .into_keys()
+        .filter(|k| *k != "the slot changes hands")
+        .collect()
 }
 
 #[test]
 fn with_all_guards_nothing_breaks() {
-    let checker = Lease(ALL).checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+    let checker = Lease(ALL)
+        .checker()
+        .threads(4)
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
     assert!(checker.is_done());
     println!("{} states", checker.unique_state_count());
     let found = checker.discoveries();
-    assert!(found.contains_key("the slot changes hands"), "the model plays what it is for");
+    assert!(
+        found.contains_key("the slot changes hands"),
+        "the model plays what it is for"
+    );
     assert_eq!(found.len(), 1);
 }
 
 #[test]
 fn each_guard_taken_out_gives_a_counterexample() {
-    assert_eq!(broken(Guards { token: false, ..ALL }), ["effects in the order of their tokens"]);
-    assert_eq!(broken(Guards { counted_before: false, ..ALL }), ["one holder at a time"]);
-    assert_eq!(broken(Guards { waits_after_restart: false, ..ALL }), ["one holder at a time"]);
-    assert_eq!(broken(Guards { waits_whole: false, ..ALL }), ["one holder at a time"]);
+    assert_eq!(
+        broken(Guards {
+            token: false,
+            ..ALL
+        }),
+        ["effects in the order of their tokens"]
+    );
+    assert_eq!(
+        broken(Guards {
+            counted_before: false,
+            ..ALL
+        }),
+        ["one holder at a time"]
+    );
+    assert_eq!(
+        broken(Guards {
+            waits_after_restart: false,
+            ..ALL
+        }),
+        ["one holder at a time"]
+    );
+    assert_eq!(
+        broken(Guards {
+            waits_whole: false,
+            ..ALL
+        }),
+        ["one holder at a time"]
+    );
 }
--- a/crates/duties/tests/voters.rs
+++ b/crates/duties/tests/voters.rs
@@ -44,7 +44,11 @@
         fleet: "f".into(),
         voters: ["n0", "n1", "n2"].map(String::from).into(),
         zones: vec!["a".into()],
-        duties: vec![Duty { name: "audit".into(), shards: 8, by_zone: false }],
+        duties: vec![Duty {
+            name: "audit".into(),
+            shards: 8,
+            by_zone: false,
+        }],
         lease: 2.0,
         drift: 0.01,
         renew: 0.5,
@@ -72,7 +76,12 @@
             mail_first: false,
         };
         for n in 0..limiters {
-            let me = Me { name: format!("n{n}"), run: 0, zone: "a".into(), machine: format!("m{n}") };
+            let me = Me {
+                name: format!("n{n}"),
+                run: 0,
+                zone: "a".into(),
+                machine: format!("m{n}"),
+            };
             fleet.nodes.push(Node {
                 name: me.name.clone(),
                 voter: None,
@@ -94,7 +103,12 @@
         self.runs += 1;
         let (run, now) = (self.runs, self.now);
         let name = self.nodes[n].name.clone();
-        let me = Me { name: name.clone(), run, zone: "a".into(), machine: format!("m{n}") };
+        let me = Me {
+            name: name.clone(),
+            run,
+            zone: "a".into(),
+            machine: format!("m{n}"),
+        };
         let node = &mut self.nodes[n];
         node.holder = Holder::new(self.settings.clone(), me, now);
         node.mail.clear();
@@ -102,7 +116,8 @@
         let mut out = Vec::new();
         if self.settings.voters.contains(&name) {
             let disk = node.disk.clone();
-            node.voter = Some(Voter::new(self.settings.clone(), name, disk, run, now, &mut out).unwrap());
+            node.voter =
+                Some(Voter::new(self.settings.clone(), name, disk, run, now, &mut out).unwrap());
         }
         self.take(n, out);
     }
@@ -126,7 +141,8 @@
                 Output::Save(batch) => {
                     self.writes += 1;
                     let slow = self.slow_disk.filter(|slow| slow.0 == n).map(|slow| slow.1);
-                    self.saving.push_back((self.now + slow.unwrap_or(self.fsync), n, batch));
+                    self.saving
+                        .push_back((self.now + slow.unwrap_or(self.fsync), n, batch));
                     self.sync();
                 }
                 Output::Report { text, .. } => self.reports.push(text),
@@ -145,7 +161,9 @@
     /// Writes whose time has come are on the disk, and said to be.
     fn sync(&mut self) {
         while let Some(at) = self.saving.iter().position(|write| write.0 <= self.now) {
-            let Some((_, n, batch)) = self.saving.remove(at) else { return };
+            let Some((_, n, batch)) = self.saving.remove(at) else {
+                return;
+            };
             if !self.nodes[n].up {
                 continue;
             }
@@ -185,7 +203,10 @@
                 let mut out = Vec::new();
                 let node = &mut self.nodes[n];
                 match msg {
-                    Msg::Told { .. } | Msg::Elsewhere { .. } | Msg::Doubled { .. } | Msg::Notice { .. } => {
+                    Msg::Told { .. }
+                    | Msg::Elsewhere { .. }
+                    | Msg::Doubled { .. }
+                    | Msg::Notice { .. } => {
                         node.holder.hear(&from, msg, now, &mut out);
                     }
                     _ => {
@@ -202,14 +223,25 @@
         }
         // One holder at a time, on the one clock; standing still takes nothing from what a lease says.
         for slot in 0..self.settings.slots() {
-            let holds = self.nodes.iter().filter(|n| n.up && n.holder.holds(slot, now).is_some());
+            let holds = self
+                .nodes
+                .iter()
+                .filter(|n| n.up && n.holder.holds(slot, now).is_some());
             let holds: Vec<_> = holds.map(|n| n.name.clone()).collect();
             assert!(holds.len() <= 1, "{holds:?} hold {slot} at {now}");
         }
-        let leads: Vec<_> =
-            self.nodes.iter().filter_map(|n| n.voter.as_ref()).filter(|v| v.leads()).collect();
+        let leads: Vec<_> = self
+            .nodes
+            .iter()
+            .filter_map(|n| n.voter.as_ref())
+            .filter(|v| v.leads())
+            .collect();
         for (i, a) in leads.iter().enumerate() {
-            assert!(leads[i + 1..].iter().all(|b| b.term() != a.term()), "two lead in term {}", a.term());
+            assert!(
+                leads[i + 1..].iter().all(|b| b.term() != a.term()),
+                "two lead in term {}",
+                a.term()
+            );
         }
     }
 
@@ -219,18 +251,27 @@
             let second = self.now as u64;
             self.step();
             if self.now as u64 != second {
-                self.nodes.iter_mut().for_each(|n| n.copies.push(n.disk.clone()));
+                self.nodes
+                    .iter_mut()
+                    .for_each(|n| n.copies.push(n.disk.clone()));
             }
         }
     }
 
     fn held(&self) -> bool {
-        let held = |slot| self.nodes.iter().any(|n| n.up && n.holder.holds(slot, self.now).is_some());
+        let held = |slot| {
+            self.nodes
+                .iter()
+                .any(|n| n.up && n.holder.holds(slot, self.now).is_some())
+        };
         (0..self.settings.slots()).all(held)
     }
 
     fn leader(&self) -> usize {
-        self.nodes.iter().position(|n| n.voter.as_ref().is_some_and(Voter::leads)).unwrap()
+        self.nodes
+            .iter()
+            .position(|n| n.voter.as_ref().is_some_and(Voter::leads))
+            .unwrap()
     }
 
     fn said(&self, what: &str) -> bool {
@@ -277,9 +318,15 @@
     fleet.start(second);
     fleet.start(first);
     fleet.run(20.0);
-    assert!(fleet.said("is older than what was seen of it"), "{:?}", fleet.reports);
+    assert!(
+        fleet.said("is older than what was seen of it"),
+        "{:?}",
+        fleet.reports
+    );
     assert!(fleet.said("is let in anew") && fleet.held());
-    assert!(fleet.nodes[..3].iter().all(|n| n.voter.as_ref().unwrap().votes()));
+    assert!(fleet.nodes[..3]
+        .iter()
+        .all(|n| n.voter.as_ref().unwrap().votes()));
 }
 
 #[test]
@@ -295,12 +342,22 @@
     fleet.start(lost);
     fleet.run(10.0);
     assert!(!fleet.nodes[lost].voter.as_ref().unwrap().votes());
-    assert!(fleet.nodes.iter().all(|n| n.voter.as_ref().is_none_or(|v| !v.leads())));
-    assert!((0..8).all(|s| fleet.nodes.iter().all(|n| n.holder.holds(s, fleet.now).is_none())));
+    assert!(fleet
+        .nodes
+        .iter()
+        .all(|n| n.voter.as_ref().is_none_or(|v| !v.leads())));
+    assert!((0..8).all(|s| fleet
+        .nodes
+        .iter()
+        .all(|n| n.holder.holds(s, fleet.now).is_none())));
     // With the third back there is a majority, which lets it in; then it counts like any other.
     fleet.start(third);
     fleet.run(16.0);
-    assert!(fleet.nodes[lost].voter.as_ref().unwrap().votes() && fleet.held(), "{:?}", fleet.reports);
+    assert!(
+        fleet.nodes[lost].voter.as_ref().unwrap().votes() && fleet.held(),
+        "{:?}",
+        fleet.reports
+    );
     fleet.kill(third);
     fleet.run(6.0);
     assert!(fleet.held());
@@ -314,7 +371,10 @@
     fleet.run(0.5);
     fleet.start(1);
     fleet.run(3.0);
-    assert!(!fleet.nodes[1].voter.as_ref().unwrap().votes(), "one of the others could know better");
+    assert!(
+        !fleet.nodes[1].voter.as_ref().unwrap().votes(),
+        "one of the others could know better"
+    );
     fleet.run(12.0);
     assert!(fleet.said("the rest is gone") && fleet.held());
 }
@@ -322,26 +382,48 @@
 #[test]
 fn a_fence_takes_nothing_until_it_knows_the_tokens() {
     let mut fleet = Fleet::new(4);
-    let token = fleet.nodes.iter().find_map(|n| n.holder.holds(0, fleet.now)).unwrap();
+    let token = fleet
+        .nodes
+        .iter()
+        .find_map(|n| n.holder.holds(0, fleet.now))
+        .unwrap();
     let mut fence = Fence::new(8);
-    assert!(!fence.accept(0, token), "started anew, it could take one that is older than what it took");
+    assert!(
+        !fence.accept(0, token),
+        "started anew, it could take one that is older than what it took"
+    );
     fleet.kill(3);
     fleet.run(5.0);
     fleet.start(3);
     fleet.run(3.0);
     fence.prime(&fleet.tokens[3]);
-    let now = fleet.nodes.iter().find_map(|n| n.holder.holds(0, fleet.now)).unwrap();
-    assert!(fence.accept(0, now) && !fence.accept(0, 1) && !fence.accept(99, now) && !fence.accept(0, 0));
+    let now = fleet
+        .nodes
+        .iter()
+        .find_map(|n| n.holder.holds(0, fleet.now))
+        .unwrap();
+    assert!(
+        fence.accept(0, now)
+            && !fence.accept(0, 1)
+            && !fence.accept(99, now)
+            && !fence.accept(0, 0)
+    );
 }
 
 #[test]
 fn a_drain_hands_over_at_once_and_a_death_within_lease_and_election() {
     let mut fleet = Fleet::new(5);
     let slot = (0..8)
-        .find(|s| [3, 4].iter().any(|n| fleet.nodes[*n].holder.holds(*s, fleet.now).is_some()))
+        .find(|s| {
+            [3, 4]
+                .iter()
+                .any(|n| fleet.nodes[*n].holder.holds(*s, fleet.now).is_some())
+        })
+        .unwrap();
+    let holder = [3, 4]
+        .into_iter()
+        .find(|n| fleet.nodes[*n].holder.holds(slot, fleet.now).is_some())
         .unwrap();
-    let holder =
-        [3, 4].into_iter().find(|n| fleet.nodes[*n].holder.holds(slot, fleet.now).is_some()).unwrap();
     let mut out = Vec::new();
     let now = fleet.now;
     fleet.nodes[holder].holder.leave(now, &mut out);
@@ -360,7 +442,10 @@
     while fleet.now < end {
         fleet.step();
         for slot in slots {
-            let held = fleet.nodes.iter().any(|n| n.up && n.holder.holds(*slot, fleet.now).is_some());
+            let held = fleet
+                .nodes
+                .iter()
+                .any(|n| n.up && n.holder.holds(*slot, fleet.now).is_some());
             assert!(held, "nobody holds {slot} at {}", fleet.now);
         }
     }
@@ -384,13 +469,21 @@
     let lost = fleet.nodes[4].name.clone();
     let (of_lost, others): (Vec<u32>, Vec<u32>) =
         (0..8).partition(|slot| fleet.nodes[4].holder.holds(*slot, fleet.now).is_some());
-    assert!(!of_lost.is_empty() && !others.is_empty(), "{lost} holds some, not all");
+    assert!(
+        !of_lost.is_empty() && !others.is_empty(),
+        "{lost} holds some, not all"
+    );
     fleet.fsync = 8.0;
     fleet.kill(4);
     // Its session's end and the grants of its slots are in the log, and on no disk.
     run_with_no_lapse(&mut fleet, 8.0, &others);
     let free = |fleet: &Fleet| {
-        of_lost.iter().all(|s| fleet.nodes.iter().all(|n| !n.up || n.holder.holds(*s, fleet.now).is_none()))
+        of_lost.iter().all(|s| {
+            fleet
+                .nodes
+                .iter()
+                .all(|n| !n.up || n.holder.holds(*s, fleet.now).is_none())
+        })
     };
     assert!(free(&fleet), "nothing is granted that no disk holds");
     fleet.disks_go_on();
@@ -413,10 +506,16 @@
     fleet.run(4.0);
     fleet.start(leader);
     fleet.run(2.0);
-    assert!(!fleet.said("is older than what was seen of it"), "{:?}", fleet.reports);
+    assert!(
+        !fleet.said("is older than what was seen of it"),
+        "{:?}",
+        fleet.reports
+    );
     assert!(fleet.nodes[leader].voter.as_ref().unwrap().votes());
     // With its vote the group stands without a third.
-    let third = (0..3).find(|n| *n != leader && *n != fleet.leader()).unwrap();
+    let third = (0..3)
+        .find(|n| *n != leader && *n != fleet.leader())
+        .unwrap();
     fleet.kill(third);
     fleet.run(6.0);
     assert!(fleet.held());
--- a/crates/emulator/examples/chain_throughput.rs
+++ b/crates/emulator/examples/chain_throughput.rs
@@ -93,9 +93,16 @@
             Output::Send { to, message } => self.send(&to, &message),
             Output::Persist { batch, writes } => {
                 self.batches += 1;
-                let _ = self.disk.send(Batch { number: batch, writes });
+                let _ = self.disk.send(Batch {
+                    number: batch,
+                    writes,
+                });
             }
-            Output::Commit { index, payload, ticket } => {
+            Output::Commit {
+                index,
+                payload,
+                ticket,
+            } => {
                 let operation: Operation = postcard::from_bytes(&payload).expect("an operation");
                 self.state.apply(&operation, &mut Vec::new());
                 self.applied = index;
@@ -113,7 +120,10 @@
                 self.snapshot_time += began.elapsed();
                 self.snapshots += 1;
                 self.snapshot_bytes = bytes.len();
-                inputs.push_back(Input::Snapshot { index: self.applied, bytes });
+                inputs.push_back(Input::Snapshot {
+                    index: self.applied,
+                    bytes,
+                });
             }
             Output::Install { index, bytes } => {
                 self.state = ControlState::restore(&bytes).expect("a control state");
@@ -127,7 +137,11 @@
         let bytes = postcard::to_stdvec(message).expect("a message can be written");
         self.sent_bytes += bytes.len() as u64;
         let from = self.peers[self.number].id.clone();
-        let place = self.peers.iter().position(|peer| peer.id == to.id).expect("a member");
+        let place = self
+            .peers
+            .iter()
+            .position(|peer| peer.id == to.id)
+            .expect("a member");
         let _ = self.senders[place].send(Arrival::Message { from, bytes });
     }
 
@@ -139,15 +153,26 @@
         let request = CounterRequest {
             program: format!("program-{program:012}"),
             budget: BUDGET,
-            limiter: LimiterId { node: format!("front-zone-a-{gateway}"), incarnation: 1 },
+            limiter: LimiterId {
+                node: format!("front-zone-a-{gateway}"),
+                incarnation: 1,
+            },
             sequence: serial + 1,
             used: UNITS / 2,
-            change: CounterChange::Lease { needed: UNITS, wanted: UNITS, returned: 0 },
+            change: CounterChange::Lease {
+                needed: UNITS,
+                wanted: UNITS,
+                returned: 0,
+            },
             at_ms: self.now(),
         };
         self.submitted += 1;
-        let payload = postcard::to_stdvec(&Operation::Budget(request)).expect("an operation can be written");
-        self.step(Input::Submit { ticket: self.submitted, payload });
+        let payload =
+            postcard::to_stdvec(&Operation::Budget(request)).expect("an operation can be written");
+        self.step(Input::Submit {
+            ticket: self.submitted,
+            payload,
+        });
     }
 
     /// Works until `adds` more of this member's adds are answered.
@@ -194,8 +219,16 @@
 fn disk_thread(disk: CoreDisk, queue: Receiver<Batch>, answers: Sender<Arrival>, used: &AtomicU64) {
     while let Ok(batch) = queue.recv() {
         disk.write(&batch.writes).expect("the disk takes it");
-        used.store(u64::try_from(processor_time().as_nanos()).unwrap_or(u64::MAX), Ordering::Relaxed);
-        if answers.send(Arrival::Persisted { batch: batch.number }).is_err() {
+        used.store(
+            u64::try_from(processor_time().as_nanos()).unwrap_or(u64::MAX),
+            Ordering::Relaxed,
+        );
+        if answers
+            .send(Arrival::Persisted {
+                batch: batch.number,
+            })
+            .is_err()
+        {
             return;
         }
     }
@@ -204,35 +237,59 @@
 /// Processor time of the calling thread.
 fn processor_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    let nanoseconds = text.split_whitespace().next().and_then(|field| field.parse().ok());
+    let nanoseconds = text
+        .split_whitespace()
+        .next()
+        .and_then(|field| field.parse().ok());
     Duration::from_nanos(nanoseconds.unwrap_or_default())
 }
 
 fn main() {
-    let arguments: Vec<u64> = std::env::args().skip(1).filter_map(|text| text.parse().ok()).collect();
+    let arguments: Vec<u64> = std::env::args()
+        .skip(1)
+        .filter_map(|text| text.parse().ok())
+        .collect();
     let [programs, adds, under_way, rest @ ..] = arguments.as_slice() else {
         eprintln!("PROGRAMS ADDS UNDER_WAY [GATEWAYS]");
         return;
     };
     let gateways = rest.first().copied().unwrap_or(DEFAULT_GATEWAYS);
-    let load = Load { programs: *programs, adds: *adds, under_way: *under_way, gateways };
+    let load = Load {
+        programs: *programs,
+        adds: *adds,
+        under_way: *under_way,
+        gateways,
+    };
     run(load);
 }
 
 fn run(load: Load) {
     let folder = std::env::temp_dir().join(format!("chain-throughput-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let paths: Vec<PathBuf> = (0..MEMBERS).map(|number| folder.join(format!("{number}.redb"))).collect();
-    let disks: Vec<_> = paths.iter().map(|path| CoreDisk::open(path).expect("a file")).collect();
+    let paths: Vec<PathBuf> = (0..MEMBERS)
+        .map(|number| folder.join(format!("{number}.redb")))
+        .collect();
+    let disks: Vec<_> = paths
+        .iter()
+        .map(|path| CoreDisk::open(path).expect("a file"))
+        .collect();
     let peers: Vec<Peer> = (0..MEMBERS)
         .map(|number| Peer {
-            id: MemberId { node: format!("front-zone-a-{number}"), disk: number as u64 + 1 },
+            id: MemberId {
+                node: format!("front-zone-a-{number}"),
+                disk: number as u64 + 1,
+            },
             address: SocketAddr::from(([127, 0, 0, 1], 9000 + number as u16)),
         })
         .collect();
     let chain = peers.iter().map(|peer| peer.id.clone()).collect();
-    let view = View { number: 1, members: peers.clone(), chain };
-    let channels: Vec<(Sender<Arrival>, Receiver<Arrival>)> = (0..MEMBERS).map(|_| channel()).collect();
+    let view = View {
+        number: 1,
+        members: peers.clone(),
+        chain,
+    };
+    let channels: Vec<(Sender<Arrival>, Receiver<Arrival>)> =
+        (0..MEMBERS).map(|_| channel()).collect();
     let senders: Vec<_> = channels.iter().map(|(sender, _)| sender.clone()).collect();
     let queues = channels.into_iter().map(|(_, queue)| queue);
     let began = Instant::now();
@@ -278,7 +335,10 @@
         thread.join().expect("a member's thread");
     }
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let peak = status.lines().find(|line| line.starts_with("VmHWM")).unwrap_or_default();
+    let peak = status
+        .lines()
+        .find(|line| line.starts_with("VmHWM"))
+        .unwrap_or_default();
     println!("three members in one process: {peak}");
     let _ = std::fs::remove_dir_all(&folder);
 }
