--- a/crates/emulator/examples/hollow.rs
+++ b/crates/emulator/examples/hollow.rs
@@ -57,9 +57,16 @@
     let program = PathBuf::from(arguments.next().context("PROGRAM")?);
     let seconds: u64 = arguments.next().context("SECONDS")?.parse()?;
     let servers: u64 = arguments.next().context("SERVERS")?.parse()?;
-    let followers = arguments.map(|text| text.parse()).collect::<Result<Vec<usize>, _>>()?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, measure_all(program, Duration::from_secs(seconds), servers, followers))
+    let followers = arguments
+        .map(|text| text.parse())
+        .collect::<Result<Vec<usize>, _>>()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    LocalSet::new().block_on(
+        &runtime,
+        measure_all(program, Duration::from_secs(seconds), servers, followers),
+    )
 }
 
 async fn measure_all(
@@ -70,7 +77,9 @@
 ) -> anyhow::Result<()> {
     println!("{servers} servers\nfollowers | changes/s | processor of the member, thousandths of a core | peak kB | answers/s | B/s a follower | failures");
     for number in numbers {
-        let machines = (0..CORE_MEMBERS).map(|_| MachinePlan::new(Role::Core, "a")).collect();
+        let machines = (0..CORE_MEMBERS)
+            .map(|_| MachinePlan::new(Role::Core, "a"))
+            .collect();
         let plan = SystemPlan {
             program: program.clone(),
             machines,
@@ -80,7 +89,16 @@
         let mut system = System::start(plan)?;
         let internal = internal_addresses(&mut system).await?;
         register(internal[0], servers).await;
-        measure(&system, &internal, Load { followers: number, servers }, span).await;
+        measure(
+            &system,
+            &internal,
+            Load {
+                followers: number,
+                servers,
+            },
+            span,
+        )
+        .await;
     }
     Ok(())
 }
@@ -101,7 +119,11 @@
                 return Ok(view.members.iter().map(|peer| peer.address).collect());
             }
         }
-        anyhow::ensure!(Instant::now() < until, "no view of all members\n{}", system.log_tails());
+        anyhow::ensure!(
+            Instant::now() < until,
+            "no view of all members\n{}",
+            system.log_tails()
+        );
         sleep(Duration::from_millis(50)).await;
     }
 }
@@ -138,12 +160,21 @@
     let number = load.followers;
     let member = internal[0];
     let counted = Rc::new(Counted::default());
-    let followers: Vec<JoinHandle<()>> =
-        (0..number).map(|which| spawn_local(follow(member, which, load, counted.clone()))).collect();
+    let followers: Vec<JoinHandle<()>> = (0..number)
+        .map(|which| spawn_local(follow(member, which, load, counted.clone())))
+        .collect();
     sleep(SETTLE).await;
     measure_span(system, member, number, span, &counted, "heartbeats alone").await;
     let churn = spawn_local(churn(member));
-    measure_span(system, member, number, span, &counted, "heartbeats, servers come and go").await;
+    measure_span(
+        system,
+        member,
+        number,
+        span,
+        &counted,
+        "heartbeats, servers come and go",
+    )
+    .await;
     churn.abort();
     for follower in followers {
         follower.abort();
@@ -178,22 +209,34 @@
 }
 
 fn usage(system: &System, member: SocketAddr) -> Usage {
-    let machine = system.machines().iter().find(|machine| machine.ip() == member.ip());
+    let machine = system
+        .machines()
+        .iter()
+        .find(|machine| machine.ip() == member.ip());
     machine.map(|machine| machine.usage()).unwrap_or_default()
 }
 
 /// The watch of a gateway.
 async fn follow(member: SocketAddr, which: usize, load: Load, counted: Rc<Counted>) {
     let client = Client::new(member);
-    let lease = NodeLease { name: format!("hollow-{which}"), incarnation: 1 };
+    let lease = NodeLease {
+        name: format!("hollow-{which}"),
+        incarnation: 1,
+    };
     let (mut after, mut view) = (None, 0);
-    let share: Vec<String> = (which as u64..load.servers).step_by(load.followers).map(server_id).collect();
+    let share: Vec<String> = (which as u64..load.servers)
+        .step_by(load.followers)
+        .map(server_id)
+        .collect();
     let third = share.len().div_ceil(WATCHES_A_HEARTBEAT).max(1);
     // All at first: a server that was registered long ago and not heard of since would lapse.
     let mut parts = std::iter::once(share.as_slice()).chain(share.chunks(third).cycle());
     loop {
         let beating = parts.next().unwrap_or_default();
-        let heard = Heard { servers: beating.to_vec(), nodes: vec![lease.clone()] };
+        let heard = Heard {
+            servers: beating.to_vec(),
+            nodes: vec![lease.clone()],
+        };
         let request = encode(&Request::Watch(WatchRequest { after, view, heard }));
         let asked = request.len();
         let Ok(bytes) = client.call(request, CALL_LIMIT).await else {
@@ -207,8 +250,12 @@
             continue;
         };
         counted.answers.set(counted.answers.get() + 1);
-        counted.changes.set(counted.changes.get() + watched.changes.len() as u64);
-        counted.bytes.set(counted.bytes.get() + (asked + bytes.len()) as u64);
+        counted
+            .changes
+            .set(counted.changes.get() + watched.changes.len() as u64);
+        counted
+            .bytes
+            .set(counted.bytes.get() + (asked + bytes.len()) as u64);
         after = Some(watched.index);
         view = watched.view.map_or(view, |newer| newer.number);
     }
@@ -219,8 +266,11 @@
     let client = Client::new(member);
     for number in 0u64.. {
         let id = format!("i-churn-{:04x}", number / 2);
-        let operation =
-            if number % 2 == 0 { Operation::Server(report(id)) } else { Operation::ServerLeft { id } };
+        let operation = if number % 2 == 0 {
+            Operation::Server(report(id))
+        } else {
+            Operation::ServerLeft { id }
+        };
         let _ = call(&client, &Request::Execute(operation)).await;
         sleep(CHURN_PAUSE).await;
     }
--- a/crates/emulator/src/client/attempt.rs
+++ b/crates/emulator/src/client/attempt.rs
@@ -53,9 +53,16 @@
         };
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
-        let left = self.patience.until.saturating_duration_since(Instant::now());
+        let left = self
+            .patience
+            .until
+            .saturating_duration_since(Instant::now());
         let head = self.ask.head(self.request, left.as_millis() as u64);
-        if write.write_all(&request_bytes(&head, &self.ask.body)).await.is_err() {
+        if write
+            .write_all(&request_bytes(&head, &self.ask.body))
+            .await
+            .is_err()
+        {
             return TryOutcome::NotSent;
         }
         let outcome = Receiving::new(self, read, started).receive().await;
@@ -140,7 +147,9 @@
         self.answered.stamp = headers.get(name::STAMP).map(str::to_owned);
         self.answered.encoding = headers.get(name::CONTENT_ENCODING).map(str::to_owned);
         self.answered.not_executed = headers.get(name::NOT_EXECUTED).is_some();
-        let seconds = headers.get(name::RETRY_AFTER).and_then(|text| text.trim().parse::<f64>().ok());
+        let seconds = headers
+            .get(name::RETRY_AFTER)
+            .and_then(|text| text.trim().parse::<f64>().ok());
         self.answered.retry_after_ms = seconds.map(|seconds| (seconds * 1_000.0) as u64);
     }
 
@@ -223,7 +232,9 @@
     match stop {
         Stop::Silence => TryOutcome::GivenUp,
         Stop::Wire(WireError::Garbled(what)) => TryOutcome::Garbled(what.to_owned()),
-        Stop::Wire(WireError::BrokenOff) => TryOutcome::Garbled("an answer's head is cut".to_owned()),
+        Stop::Wire(WireError::BrokenOff) => {
+            TryOutcome::Garbled("an answer's head is cut".to_owned())
+        }
         Stop::Wire(WireError::Ended | WireError::Failed(_)) => TryOutcome::Closed,
     }
 }
--- a/crates/emulator/src/client/call.rs
+++ b/crates/emulator/src/client/call.rs
@@ -20,13 +20,23 @@
 
 impl Call {
     pub fn get(target: impl Into<String>) -> Call {
-        Call { method: "GET", target: target.into(), headers: Headers::new(), body: Bytes::new() }
+        Call {
+            method: "GET",
+            target: target.into(),
+            headers: Headers::new(),
+            body: Bytes::new(),
+        }
     }
 
     /// A call with a JSON body.
     pub fn post(target: impl Into<String>, body: impl Into<Bytes>) -> Call {
         let headers = Headers::new().with(name::CONTENT_TYPE, "application/json");
-        Call { method: "POST", target: target.into(), headers, body: body.into() }
+        Call {
+            method: "POST",
+            target: target.into(),
+            headers,
+            body: body.into(),
+        }
     }
 }
 
@@ -59,20 +69,41 @@
 impl std::error::Error for CallError {}
 
 /// Calls `address` and reads the whole answer, within `limit`.
-pub async fn call(address: SocketAddr, what: &Call, limit: Duration) -> Result<CallAnswer, CallError> {
-    timeout(limit, exchange(address, what)).await.unwrap_or(Err(CallError::Silence))
+pub async fn call(
+    address: SocketAddr,
+    what: &Call,
+    limit: Duration,
+) -> Result<CallAnswer, CallError> {
+    timeout(limit, exchange(address, what))
+        .await
+        .unwrap_or(Err(CallError::Silence))
 }
 
 async fn exchange(address: SocketAddr, what: &Call) -> Result<CallAnswer, CallError> {
-    let stream = TcpStream::connect(address).await.map_err(|error| CallError::NoConnection(error.kind()))?;
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(|error| CallError::NoConnection(error.kind()))?;
     let (read, mut write) = stream.into_split();
-    let mut headers = Headers::new().with(name::HOST, address.to_string()).with(name::CONNECTION, "close");
+    let mut headers = Headers::new()
+        .with(name::HOST, address.to_string())
+        .with(name::CONNECTION, "close");
     headers.0.extend(what.headers.0.iter().cloned());
-    let head = RequestHead { method: what.method.to_owned(), target: what.target.clone(), headers };
+    let head = RequestHead {
+        method: what.method.to_owned(),
+        target: what.target.clone(),
+        headers,
+    };
     let failed = |error: std::io::Error| CallError::Broken(WireError::Failed(error.kind()));
-    write.write_all(&request_bytes(&head, &what.body)).await.map_err(failed)?;
+    write
+        .write_all(&request_bytes(&head, &what.body))
+        .await
+        .map_err(failed)?;
     let mut reader = MessageReader::new(read);
     let head = reader.response_head().await.map_err(CallError::Broken)?;
     let body = reader.body().await.map_err(CallError::Broken)?;
-    Ok(CallAnswer { status: head.status, headers: head.headers, body })
+    Ok(CallAnswer {
+        status: head.status,
+        headers: head.headers,
+        body,
+    })
 }
--- a/crates/emulator/src/client/request.rs
+++ b/crates/emulator/src/client/request.rs
@@ -84,7 +84,13 @@
     pub fn post(host: &str, target: &str, kind: Kind, body: impl Into<Bytes>) -> Ask {
         let body = body.into();
         let expected = Some(Digest::of(&body));
-        Ask { method: "POST", kind, body, expected, ..Ask::get(host, target) }
+        Ask {
+            method: "POST",
+            kind,
+            body,
+            expected,
+            ..Ask::get(host, target)
+        }
     }
 
     pub(super) fn head(&self, request: RequestId, left_ms: u64) -> RequestHead {
@@ -106,7 +112,11 @@
             turn.push_headers(&mut headers);
         }
         headers.0.extend(self.headers.0.iter().cloned());
-        RequestHead { method: self.method.to_owned(), target: self.target.clone(), headers }
+        RequestHead {
+            method: self.method.to_owned(),
+            target: self.target.clone(),
+            headers,
+        }
     }
 
     pub(super) fn program_try(&self) -> Option<ProgramTry> {
@@ -125,7 +135,10 @@
 impl Turn {
     fn push_headers(&self, headers: &mut Headers) {
         headers.push(name::MODEL, self.model.clone());
-        headers.push(name::TOKEN_COUNT, format!("{},{}", self.prompt_tokens, self.most));
+        headers.push(
+            name::TOKEN_COUNT,
+            format!("{},{}", self.prompt_tokens, self.most),
+        );
         headers.push(name::PROMPT_PREFIX, self.prefix.clone());
         if let Some(budget) = self.budget {
             headers.push(name::BUDGET, budget.to_string());
--- a/crates/emulator/src/client/retry.rs
+++ b/crates/emulator/src/client/retry.rs
@@ -65,19 +65,37 @@
 
     /// Whether it succeeded.
     pub fn succeeded(&self) -> bool {
-        self.status().is_some_and(|status| (200..300).contains(&status))
+        self.status()
+            .is_some_and(|status| (200..300).contains(&status))
     }
 }
 
 impl Client {
-    pub fn new(clock: Clock, record: Record, identities: IdentitySource, fronts: Vec<SocketAddr>) -> Client {
+    pub fn new(
+        clock: Clock,
+        record: Record,
+        identities: IdentitySource,
+        fronts: Vec<SocketAddr>,
+    ) -> Client {
         let fronts = Mutex::new(fronts);
-        Client { shared: Arc::new(Shared { clock, record, identities, fronts, wanted: AtomicU64::new(0) }) }
+        Client {
+            shared: Arc::new(Shared {
+                clock,
+                record,
+                identities,
+                fronts,
+                wanted: AtomicU64::new(0),
+            }),
+        }
     }
 
     /// The limiters that new connections go to from now on.
     pub fn set_fronts(&self, fronts: Vec<SocketAddr>) {
-        *self.shared.fronts.lock().unwrap_or_else(PoisonError::into_inner) = fronts;
+        *self
+            .shared
+            .fronts
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = fronts;
     }
 
     pub fn identities(&self) -> &IdentitySource {
@@ -95,14 +113,24 @@
 
     /// One try at one limiter.
     pub async fn send_to(&self, front: SocketAddr, ask: &Ask) -> Served {
-        self.send_by(&Ask { retries: 0, ..ask.clone() }, Some(front)).await
+        self.send_by(
+            &Ask {
+                retries: 0,
+                ..ask.clone()
+            },
+            Some(front),
+        )
+        .await
     }
 
     async fn send_by(&self, ask: &Ask, front: Option<SocketAddr>) -> Served {
         let wanted = self.shared.wanted.fetch_add(1, Ordering::SeqCst);
         let started = Instant::now();
         let until = started + Duration::from_millis(ask.deadline_ms);
-        let patience = Patience { until, silence: silence(ask) };
+        let patience = Patience {
+            until,
+            silence: silence(ask),
+        };
         let mut tries = 0;
         loop {
             let attempt = Attempt {
@@ -126,7 +154,11 @@
 
     /// The limiters in turn, from a place that differs from request to request.
     fn front(&self, place: u64) -> SocketAddr {
-        let fronts = self.shared.fronts.lock().unwrap_or_else(PoisonError::into_inner);
+        let fronts = self
+            .shared
+            .fronts
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         fronts[place as usize % fronts.len()]
     }
 }
@@ -143,7 +175,13 @@
 impl<'a> Noting<'a> {
     fn begin(shared: &'a Shared, attempt: &'a Attempt<'a>, wanted: u64) -> Noting<'a> {
         let sent_us = shared.clock.now_us();
-        Noting { shared, attempt, wanted, sent_us, outcome: TryOutcome::GivenUp }
+        Noting {
+            shared,
+            attempt,
+            wanted,
+            sent_us,
+            outcome: TryOutcome::GivenUp,
+        }
     }
 
     fn end(mut self, outcome: TryOutcome) -> TryOutcome {
@@ -177,10 +215,16 @@
 
 fn moments(sent_us: u64, ended_us: u64, outcome: &TryOutcome) -> Moments {
     let first_us = match outcome {
-        TryOutcome::Answered(answered) => Some(answered.first_event_us.map_or(ended_us, |us| sent_us + us)),
+        TryOutcome::Answered(answered) => {
+            Some(answered.first_event_us.map_or(ended_us, |us| sent_us + us))
+        }
         _ => None,
     };
-    Moments { begun_us: sent_us, first_us, ended_us: Some(ended_us) }
+    Moments {
+        begun_us: sent_us,
+        first_us,
+        ended_us: Some(ended_us),
+    }
 }
 
 fn served(
@@ -197,7 +241,13 @@
         _ => None,
     };
     let first_ms = first_event.map_or(took_ms, |first| before_ms + first / 1_000);
-    Served { request: attempt.request, outcome, tries, first_ms, took_ms }
+    Served {
+        request: attempt.request,
+        outcome,
+        tries,
+        first_ms,
+        took_ms,
+    }
 }
 
 fn silence(ask: &Ask) -> Duration {
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -10,7 +10,9 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        Clock { start: Instant::now() }
+        Clock {
+            start: Instant::now(),
+        }
     }
 
     pub fn now_ms(&self) -> u64 {
--- a/crates/emulator/src/configuration.rs
+++ b/crates/emulator/src/configuration.rs
@@ -84,7 +84,10 @@
             timeout_ms: 5_000,
             target_ms: 200,
             priority: 0,
-            backends: vec![Share { backend: backend.to_owned(), weight: 1 }],
+            backends: vec![Share {
+                backend: backend.to_owned(),
+                weight: 1,
+            }],
             retries: 1,
             persisted: false,
             retention_s: 60.0,
@@ -136,7 +139,11 @@
             "tls": false,
         });
         if let Some(engine) = &self.engine {
-            let models: Vec<Value> = engine.models.iter().map(|name| json!({ "name": name })).collect();
+            let models: Vec<Value> = engine
+                .models
+                .iter()
+                .map(|name| json!({ "name": name }))
+                .collect();
             service["engine"] = json!({
                 "slots": engine.slots,
                 "kv_capacity": engine.kv_capacity,
@@ -153,14 +160,27 @@
 impl ConfigurationPlan {
     /// The next version: with these routes added or replaced by name, and those removed.
     #[must_use]
-    pub fn patched(&self, generation: u64, upsert: &[RoutePlan], remove: &[&str]) -> ConfigurationPlan {
+    pub fn patched(
+        &self,
+        generation: u64,
+        upsert: &[RoutePlan],
+        remove: &[&str],
+    ) -> ConfigurationPlan {
         let replaced = |route: &RoutePlan| {
             remove.contains(&route.name.as_str()) || upsert.iter().any(|new| new.name == route.name)
         };
-        let mut routes: Vec<RoutePlan> =
-            self.routes.iter().filter(|route| !replaced(route)).cloned().collect();
+        let mut routes: Vec<RoutePlan> = self
+            .routes
+            .iter()
+            .filter(|route| !replaced(route))
+            .cloned()
+            .collect();
         routes.extend_from_slice(upsert);
-        ConfigurationPlan { generation, routes, ..self.clone() }
+        ConfigurationPlan {
+            generation,
+            routes,
+            ..self.clone()
+        }
     }
 
     /// The whole configuration as the operator sends it.
--- a/crates/emulator/src/digest.rs
+++ b/crates/emulator/src/digest.rs
@@ -48,6 +48,9 @@
     }
 
     pub fn finish(&self) -> Digest {
-        Digest { length: self.length, hash: self.state.digest() }
+        Digest {
+            length: self.length,
+            hash: self.state.digest(),
+        }
     }
 }
--- a/crates/emulator/src/engine/batch.rs
+++ b/crates/emulator/src/engine/batch.rs
@@ -20,7 +20,12 @@
 
 impl Default for Speeds {
     fn default() -> Self {
-        Speeds { step_us: 5_470, per_running_us: 120, read_per_ms: 38.7, piece_tokens: 512 }
+        Speeds {
+            step_us: 5_470,
+            per_running_us: 120,
+            read_per_ms: 38.7,
+            piece_tokens: 512,
+        }
     }
 }
 
@@ -95,7 +100,13 @@
         }
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        let request = Request { ticket, prompt, to_read: 0, since_let_in: 0, generated: 0 };
+        let request = Request {
+            ticket,
+            prompt,
+            to_read: 0,
+            since_let_in: 0,
+            generated: 0,
+        };
         self.insert_waiting(request);
         Ok(ticket)
     }
@@ -103,7 +114,11 @@
     /// A request's caller has left, or its time is over.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.waiting.retain(|request| request.ticket != ticket);
-        if let Some(index) = self.running.iter().position(|request| request.ticket == ticket) {
+        if let Some(index) = self
+            .running
+            .iter()
+            .position(|request| request.ticket == ticket)
+        {
             let request = self.running.remove(index);
             self.release(&request);
         }
@@ -128,7 +143,10 @@
             .filter(|request| request.to_read == 0)
             .map(|request| request.ticket)
             .collect();
-        tickets.into_iter().filter_map(|ticket| self.generate(ticket)).collect()
+        tickets
+            .into_iter()
+            .filter_map(|ticket| self.generate(ticket))
+            .collect()
     }
 
     pub fn running(&self) -> usize {
@@ -161,8 +179,12 @@
     /// The more urgent go first; those alike in the order of their coming.
     fn insert_waiting(&mut self, request: Request) {
         let key = |request: &Request| (request.prompt.priority, request.ticket);
-        let place = self.waiting.iter().position(|other| key(other) > key(&request));
-        self.waiting.insert(place.unwrap_or(self.waiting.len()), request);
+        let place = self
+            .waiting
+            .iter()
+            .position(|other| key(other) > key(&request));
+        self.waiting
+            .insert(place.unwrap_or(self.waiting.len()), request);
     }
 
     fn let_in(&mut self) {
@@ -171,7 +193,9 @@
             if self.running.len() >= self.slots && !self.preempt_below(priority) {
                 return;
             }
-            let Some(mut request) = self.waiting.pop_front() else { return };
+            let Some(mut request) = self.waiting.pop_front() else {
+                return;
+            };
             match self.memory.take(&request.prompt.parts) {
                 Some(found) => {
                     request.to_read = found.to_read + request.generated;
@@ -202,7 +226,8 @@
 
     fn least_urgent(&self) -> Option<usize> {
         let keys = self.running.iter().enumerate();
-        keys.max_by_key(|(_, request)| (request.prompt.priority, request.ticket)).map(|(index, _)| index)
+        keys.max_by_key(|(_, request)| (request.prompt.priority, request.ticket))
+            .map(|(index, _)| index)
     }
 
     fn preempt(&mut self, index: usize) {
@@ -217,7 +242,8 @@
             let read = request.prompt.tokens().saturating_sub(request.to_read);
             self.memory.give_back_unread(&request.prompt.parts, read);
         } else {
-            self.memory.give_back(&request.prompt.parts, request.since_let_in);
+            self.memory
+                .give_back(&request.prompt.parts, request.since_let_in);
         }
     }
 
@@ -243,15 +269,22 @@
                 return None;
             }
         }
-        let Some(index) = self.running.iter().position(|request| request.ticket == ticket) else {
+        let Some(index) = self
+            .running
+            .iter()
+            .position(|request| request.ticket == ticket)
+        else {
             self.memory.give_back(&[], 1);
             return None;
         };
         let request = &mut self.running[index];
         request.since_let_in += 1;
         request.generated += 1;
-        let produced =
-            Produced { ticket, generated: request.generated, last: request.generated >= request.prompt.most };
+        let produced = Produced {
+            ticket,
+            generated: request.generated,
+            last: request.generated >= request.prompt.most,
+        };
         if produced.last {
             let request = self.running.remove(index);
             self.release(&request);
--- a/crates/emulator/src/engine/memory.rs
+++ b/crates/emulator/src/engine/memory.rs
@@ -36,7 +36,13 @@
 
 impl Memory {
     pub fn new(total: u64) -> Memory {
-        Memory { total, parts: HashMap::new(), held: 0, generated: 0, uses: 0 }
+        Memory {
+            total,
+            parts: HashMap::new(),
+            held: 0,
+            generated: 0,
+            uses: 0,
+        }
     }
 
     pub fn total(&self) -> u64 {
@@ -45,13 +51,21 @@
 
     /// What can't give way.
     pub fn in_use(&self) -> u64 {
-        let pinned: u64 = self.parts.values().filter(|kept| kept.users > 0).map(|kept| kept.tokens).sum();
+        let pinned: u64 = self
+            .parts
+            .values()
+            .filter(|kept| kept.users > 0)
+            .map(|kept| kept.tokens)
+            .sum();
         pinned + self.generated
     }
 
     /// What is kept of a prompt, by the rule that every part before has to be kept as well.
     pub fn look(&self, parts: &[Part]) -> Found {
-        let mut found = Found { kept: 0, to_read: 0 };
+        let mut found = Found {
+            kept: 0,
+            to_read: 0,
+        };
         let mut unbroken = true;
         for part in parts {
             unbroken = unbroken && self.parts.contains_key(&part.id);
@@ -68,8 +82,11 @@
     pub fn take(&mut self, parts: &[Part]) -> Option<Found> {
         let found = self.look(parts);
         self.pin(parts);
-        let missing: u64 =
-            parts.iter().filter(|part| !self.parts.contains_key(&part.id)).map(|part| part.tokens).sum();
+        let missing: u64 = parts
+            .iter()
+            .filter(|part| !self.parts.contains_key(&part.id))
+            .map(|part| part.tokens)
+            .sum();
         if !self.make_room(missing + 1) {
             self.unpin(parts);
             return None;
@@ -116,7 +133,14 @@
             return;
         }
         self.held += part.tokens;
-        self.parts.insert(part.id, Kept { tokens: part.tokens, users: 1, used });
+        self.parts.insert(
+            part.id,
+            Kept {
+                tokens: part.tokens,
+                users: 1,
+                used,
+            },
+        );
     }
 
     fn pin(&mut self, parts: &[Part]) {
@@ -137,9 +161,14 @@
 
     fn make_room(&mut self, tokens: u64) -> bool {
         while self.held + self.generated + tokens > self.total {
-            let oldest =
-                self.parts.iter().filter(|(_, kept)| kept.users == 0).min_by_key(|(_, kept)| kept.used);
-            let Some(id) = oldest.map(|(id, _)| *id) else { return false };
+            let oldest = self
+                .parts
+                .iter()
+                .filter(|(_, kept)| kept.users == 0)
+                .min_by_key(|(_, kept)| kept.used);
+            let Some(id) = oldest.map(|(id, _)| *id) else {
+                return false;
+            };
             self.drop_part(id);
         }
         true
--- a/crates/emulator/src/engine/mod.rs
+++ b/crates/emulator/src/engine/mod.rs
@@ -75,11 +75,22 @@
         let gate = Gate::default();
         let door_settings = settings.door.clone();
         let clock = surroundings.clock;
-        let work = Arc::new(EngineWork::new(settings, identity.slots as usize, clock, gate.clone()));
+        let work = Arc::new(EngineWork::new(
+            settings,
+            identity.slots as usize,
+            clock,
+            gate.clone(),
+        ));
         let door = Arc::new(Door::new(identity, door_settings, surroundings));
         let steps = tokio::spawn(run_steps(work.clone()));
         let listening = Listening::start(listener, door.clone(), Arc::new(work.clone()));
-        EngineServer { door, gate, work, steps, _listening: listening }
+        EngineServer {
+            door,
+            gate,
+            work,
+            steps,
+            _listening: listening,
+        }
     }
 
     /// Tokens of prompts that were read, kept ones not counted.
--- a/crates/emulator/src/engine/prompt.rs
+++ b/crates/emulator/src/engine/prompt.rs
@@ -24,14 +24,29 @@
 impl Prompt {
     /// Reads the headers; what is missing counts as little as can be.
     pub fn read(headers: &Headers) -> Prompt {
-        let (total, most) = headers.get(name::TOKEN_COUNT).and_then(counts).unwrap_or((1, 1));
-        let mut parts = headers.get(name::PROMPT_PREFIX).map(parts).unwrap_or_default();
+        let (total, most) = headers
+            .get(name::TOKEN_COUNT)
+            .and_then(counts)
+            .unwrap_or((1, 1));
+        let mut parts = headers
+            .get(name::PROMPT_PREFIX)
+            .map(parts)
+            .unwrap_or_default();
         let named: u64 = parts.iter().map(|part| part.tokens).sum();
         if named < total {
-            parts.push(Part { id: u64::MAX, tokens: total - named });
+            parts.push(Part {
+                id: u64::MAX,
+                tokens: total - named,
+            });
+        }
+        let priority = headers
+            .get(name::PRIORITY)
+            .and_then(|text| text.parse().ok());
+        Prompt {
+            parts,
+            most: most.max(1),
+            priority: priority.unwrap_or(ORDINARY_PRIORITY),
         }
-        let priority = headers.get(name::PRIORITY).and_then(|text| text.parse().ok());
-        Prompt { parts, most: most.max(1), priority: priority.unwrap_or(ORDINARY_PRIORITY) }
     }
 
     pub fn tokens(&self) -> u64 {
@@ -50,5 +65,8 @@
 
 fn part(text: &str) -> Option<Part> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(Part { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
+    Some(Part {
+        id: u64::from_str_radix(id, 16).ok()?,
+        tokens: tokens.parse().ok()?,
+    })
 }
--- a/crates/emulator/src/engine/work.rs
+++ b/crates/emulator/src/engine/work.rs
@@ -39,8 +39,17 @@
     pub fn new(settings: EngineSettings, slots: usize, clock: Clock, gate: Gate) -> EngineWork {
         let memory = Memory::new(settings.memory_tokens);
         let batch = Batch::new(settings.speeds, slots, settings.queue, memory);
-        let state = Mutex::new(State { batch, listeners: HashMap::new() });
-        EngineWork { settings, clock, gate, state, arrived: Notify::new() }
+        let state = Mutex::new(State {
+            batch,
+            listeners: HashMap::new(),
+        });
+        EngineWork {
+            settings,
+            clock,
+            gate,
+            state,
+            arrived: Notify::new(),
+        }
     }
 
     pub fn tokens_read(&self) -> u64 {
@@ -75,7 +84,11 @@
             ticket
         };
         self.arrived.notify_one();
-        Some(Entered { work: self.clone(), ticket, tokens })
+        Some(Entered {
+            work: self.clone(),
+            ticket,
+            tokens,
+        })
     }
 
     fn finish_step(&self) {
@@ -181,12 +194,20 @@
 
 impl EngineWork {
     /// Sends events as their tokens come, an incomplete one at the end.
-    async fn stream(&self, arrived: &Arrived, first: Produced, entered: &mut Entered, reply: &mut Reply) {
+    async fn stream(
+        &self,
+        arrived: &Arrived,
+        first: Produced,
+        entered: &mut Entered,
+        reply: &mut Reply,
+    ) {
         let after = arrived.head.headers.number(name::LAST_EVENT_ID);
         let mut events = 0;
         let mut next = Some(first);
         while let Some(produced) = next {
-            let full = produced.generated.is_multiple_of(self.settings.chunk_tokens);
+            let full = produced
+                .generated
+                .is_multiple_of(self.settings.chunk_tokens);
             if full || produced.last {
                 let event = self.event(arrived, events);
                 events += 1;
--- a/crates/emulator/src/experiment/check.rs
+++ b/crates/emulator/src/experiment/check.rs
@@ -16,26 +16,55 @@
     let machines = &experiment.machines;
     let count = machines.core + machines.gateways + machines.stores;
     findings.expect(!machines.zones.is_empty(), "machines.zones: is empty");
-    findings.expect((1..=MOST_CORE).contains(&machines.core), "machines.core: is not 1 to 7");
+    findings.expect(
+        (1..=MOST_CORE).contains(&machines.core),
+        "machines.core: is not 1 to 7",
+    );
     findings.expect(count <= MOST_MACHINES, "machines: are more than 40");
     let services = &experiment.services;
     let servers = services.models.servers + services.tools.servers;
     findings.expect(servers <= MOST_SERVERS, "service: servers are more than 64");
-    findings.expect(services.models.chunk_tokens > 0, "service.models.chunk_tokens: is 0");
-    findings.expect(services.models.read_per_ms > 0.0, "service.models.read_per_ms: is not above 0");
-    findings
-        .expect(within(experiment.traffic_s, MOST_TRAFFIC_S), "traffic_s: is not above 0 and at most 300");
+    findings.expect(
+        services.models.chunk_tokens > 0,
+        "service.models.chunk_tokens: is 0",
+    );
+    findings.expect(
+        services.models.read_per_ms > 0.0,
+        "service.models.read_per_ms: is not above 0",
+    );
+    findings.expect(
+        within(experiment.traffic_s, MOST_TRAFFIC_S),
+        "traffic_s: is not above 0 and at most 300",
+    );
     let idle = experiment.idle_s;
-    findings.expect(idle == 0.0 || within(idle, MOST_IDLE_S), "idle_s: is not 0 to 60");
-    let programs = experiment.programs.iter().map(|class| (&class.name, class.rate));
-    let requests = experiment.requests.iter().map(|class| (&class.name, class.rate));
+    findings.expect(
+        idle == 0.0 || within(idle, MOST_IDLE_S),
+        "idle_s: is not 0 to 60",
+    );
+    let programs = experiment
+        .programs
+        .iter()
+        .map(|class| (&class.name, class.rate));
+    let requests = experiment
+        .requests
+        .iter()
+        .map(|class| (&class.name, class.rate));
     for (name, rate) in programs.chain(requests) {
-        findings.expect(within(rate, MOST_RATE), &format!("{name}.rate: is not above 0 and at most 2000"));
+        findings.expect(
+            within(rate, MOST_RATE),
+            &format!("{name}.rate: is not above 0 and at most 2000"),
+        );
     }
     for (index, fault) in experiment.faults.iter().enumerate() {
         let known = fault.number < targets(experiment, fault);
-        findings.expect(known, &format!("fault {index}: there is no number {}", fault.number));
-        findings.expect(fault.lasts_s >= 0.0, &format!("fault {index}.lasts_s: is below 0"));
+        findings.expect(
+            known,
+            &format!("fault {index}: there is no number {}", fault.number),
+        );
+        findings.expect(
+            fault.lasts_s >= 0.0,
+            &format!("fault {index}.lasts_s: is below 0"),
+        );
     }
     findings.0
 }
--- a/crates/emulator/src/experiment/ending.rs
+++ b/crates/emulator/src/experiment/ending.rs
@@ -23,7 +23,12 @@
 
 /// The newest acknowledged version, or a newer one, is read back as it was sent.
 async fn configuration(scene: &mut Scene) -> Option<Violation> {
-    let lost = |detail: String| Some(Violation { rule: Rule::Lost, detail });
+    let lost = |detail: String| {
+        Some(Violation {
+            rule: Rule::Lost,
+            detail,
+        })
+    };
     let acknowledgements = scene.record.acknowledgements().into_iter();
     let newest = acknowledgements.filter_map(|acknowledgement| match acknowledgement.what {
         Acknowledged::Configuration { generation } => Some(generation),
@@ -37,9 +42,14 @@
     let read: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     let generation = read["generation"].as_u64().unwrap_or_default();
     if generation < newest {
-        return lost(format!("version {newest} was acknowledged, {generation} is read back"));
+        return lost(format!(
+            "version {newest} was acknowledged, {generation} is read back"
+        ));
     }
-    let sent = scene.configurations.iter().find(|version| version.generation == generation);
+    let sent = scene
+        .configurations
+        .iter()
+        .find(|version| version.generation == generation);
     let same = sent.is_some_and(|sent| by_name(&sent.json()) == by_name(&read));
     if same {
         return None;
@@ -66,6 +76,13 @@
         }
         last = served.status();
     }
-    let detail = format!("program {} does not go on from {:?}: {last:?}", line.program(), line.previous());
-    Some(Violation { rule: Rule::Lost, detail })
+    let detail = format!(
+        "program {} does not go on from {:?}: {last:?}",
+        line.program(),
+        line.previous()
+    );
+    Some(Violation {
+        rule: Rule::Lost,
+        detail,
+    })
 }
--- a/crates/emulator/src/experiment/faults/mod.rs
+++ b/crates/emulator/src/experiment/faults/mod.rs
@@ -47,8 +47,9 @@
 
     /// Does all that is due by now.
     pub async fn due(&mut self, scene: &mut Scene, now: Duration) -> anyhow::Result<()> {
-        let (due, planned) =
-            std::mem::take(&mut self.planned).into_iter().partition(|fault| now.as_secs_f64() >= fault.at_s);
+        let (due, planned) = std::mem::take(&mut self.planned)
+            .into_iter()
+            .partition(|fault| now.as_secs_f64() >= fault.at_s);
         self.planned = planned;
         for fault in due {
             self.begin(scene, &fault);
@@ -75,16 +76,24 @@
         if !fault.what.leaves_in_touch() {
             let from_ms = scene.clock.now_ms();
             let lasting_ms = (fault.lasts_s * 1_000.0) as u64;
-            self.unrest.push(Span { from_ms, to_ms: from_ms + lasting_ms + CONTACT_MS });
+            self.unrest.push(Span {
+                from_ms,
+                to_ms: from_ms + lasting_ms + CONTACT_MS,
+            });
         }
         let at = |after: f64| Duration::from_secs_f64(fault.at_s + after);
         let actions = self.steps(scene, fault).into_iter();
-        self.actions.extend(actions.map(|step| Action { at: at(step.after_s), step: step.step }));
+        self.actions.extend(actions.map(|step| Action {
+            at: at(step.after_s),
+            step: step.step,
+        }));
     }
 
     /// What a fault consists of; nothing where its machine is gone.
     fn steps(&self, scene: &Scene, fault: &Fault) -> Vec<Timed> {
-        let Some(target) = self.target(scene, fault) else { return Vec::new() };
+        let Some(target) = self.target(scene, fault) else {
+            return Vec::new();
+        };
         let lasting = |first, then| vec![now(first), after(fault.lasts_s, then)];
         match fault.what {
             What::KillCore | What::KillGateway | What::KillStore => {
@@ -93,12 +102,19 @@
             What::KillAll => lasting(Step::KillAll, Step::StartAll),
             What::TerminateCore | What::TerminateGateway => {
                 let process = scene.system.machines()[target].starts();
-                let start = Step::StartAfterLeave { place: target, process };
+                let start = Step::StartAfterLeave {
+                    place: target,
+                    process,
+                };
                 vec![now(Step::Terminate(target)), after(GRACE_S, start)]
             }
-            What::FreezeCore | What::FreezeStore => lasting(Step::Freeze(target), Step::Thaw(target)),
+            What::FreezeCore | What::FreezeStore => {
+                lasting(Step::Freeze(target), Step::Thaw(target))
+            }
             What::WipeCore | What::WipeStore => vec![now(Step::Wipe(target))],
-            What::ReplaceCore | What::ReplaceStore => lasting(Step::TakeAway(target), Step::Replace(target)),
+            What::ReplaceCore | What::ReplaceStore => {
+                lasting(Step::TakeAway(target), Step::Replace(target))
+            }
             What::RetireStore => vec![now(Step::Retire(target))],
             What::AddGateway => vec![now(Step::Add(Role::Gateway))],
             What::AddStore => vec![now(Step::Add(Role::Store))],
@@ -111,9 +127,14 @@
 
     /// The machine or server that a fault is about.
     fn target(&self, scene: &Scene, fault: &Fault) -> Option<usize> {
-        let Some(role) = fault.what.role() else { return Some(fault.number) };
+        let Some(role) = fault.what.role() else {
+            return Some(fault.number);
+        };
         let places = scene.system.places(|plan| plan.role == role);
-        let left: Vec<usize> = places.into_iter().filter(|place| !self.gone.contains(place)).collect();
+        let left: Vec<usize> = places
+            .into_iter()
+            .filter(|place| !self.gone.contains(place))
+            .collect();
         if left.is_empty() {
             return None;
         }
@@ -123,7 +144,9 @@
     fn machines_changed(&mut self, scene: &mut Scene) {
         self.ingress.set_entries(entries(scene, &self.gone));
         let controls = scene.system.places(|plan| plan.role != Role::Store);
-        let left = controls.into_iter().filter(|place| !self.gone.contains(place));
+        let left = controls
+            .into_iter()
+            .filter(|place| !self.gone.contains(place));
         let controls: Vec<_> = left.map(|place| scene.system.control(place)).collect();
         scene.operator.set_controls(controls.clone());
         for engine in &scene.engines {
@@ -152,6 +175,9 @@
 fn entries(scene: &Scene, gone: &BTreeSet<usize>) -> Vec<Entry> {
     let gateways = scene.system.places(|plan| plan.role != Role::Store);
     let left = gateways.into_iter().filter(|place| !gone.contains(place));
-    left.map(|place| Entry { ready: scene.system.ready_address(place), front: scene.system.front(place) })
-        .collect()
+    left.map(|place| Entry {
+        ready: scene.system.ready_address(place),
+        front: scene.system.front(place),
+    })
+    .collect()
 }
--- a/crates/emulator/src/experiment/faults/steps.rs
+++ b/crates/emulator/src/experiment/faults/steps.rs
@@ -63,8 +63,16 @@
 }
 
 impl Faults {
-    pub(super) async fn carry_out(&mut self, scene: &mut Scene, action: Action) -> anyhow::Result<()> {
-        if action.step.signals().is_some_and(|place| !scene.system.machines()[place].is_running()) {
+    pub(super) async fn carry_out(
+        &mut self,
+        scene: &mut Scene,
+        action: Action,
+    ) -> anyhow::Result<()> {
+        if action
+            .step
+            .signals()
+            .is_some_and(|place| !scene.system.machines()[place].is_running())
+        {
             return Ok(());
         }
         match action.step {
@@ -83,15 +91,23 @@
             Step::KillAll => scene.system.kill_all(),
             Step::StartAll => self.start_all(scene)?,
             Step::TakeAway(place) => self.take_away(scene, place),
-            Step::Replace(place) => self.add(scene, scene.system.machines()[place].plan().clone())?,
+            Step::Replace(place) => {
+                self.add(scene, scene.system.machines()[place].plan().clone())?
+            }
             Step::Retire(place) => self.retire(scene, place, action.at).await?,
-            Step::AwaitRetired { place, until } => self.await_retired(scene, place, until, action.at).await?,
+            Step::AwaitRetired { place, until } => {
+                self.await_retired(scene, place, until, action.at).await?
+            }
             Step::Add(role) => {
                 let zone = scene.system.machines()[0].plan().zone.clone();
                 self.add(scene, MachinePlan::new(role, &zone))?;
             }
             Step::LoseAnswers(server) => {
-                scene.plains[server].server.door.troubles.always(Some(Trouble::AnswerLost));
+                scene.plains[server]
+                    .server
+                    .door
+                    .troubles
+                    .always(Some(Trouble::AnswerLost));
             }
             Step::EndTrouble(server) => scene.plains[server].server.door.troubles.always(None),
             Step::DrainModel(server) => drain_model(scene, server).await?,
@@ -125,13 +141,31 @@
         Ok(())
     }
 
-    async fn retire(&mut self, scene: &mut Scene, place: usize, at: Duration) -> anyhow::Result<()> {
+    async fn retire(
+        &mut self,
+        scene: &mut Scene,
+        place: usize,
+        at: Duration,
+    ) -> anyhow::Result<()> {
         let name = scene.system.machines()[place].name().to_owned();
-        let answer = scene.operator.retire(&name, RETIRE_DEADLINE_S, ORDER_LIMIT).await?;
-        ensure!([200, 409].contains(&answer.status), "retiring {name}: {}", answer.status);
+        let answer = scene
+            .operator
+            .retire(&name, RETIRE_DEADLINE_S, ORDER_LIMIT)
+            .await?;
+        ensure!(
+            [200, 409].contains(&answer.status),
+            "retiring {name}: {}",
+            answer.status
+        );
         if answer.status == 200 {
-            let step = Step::AwaitRetired { place, until: at + RETIRE_PATIENCE };
-            self.actions.push(Action { at: at + RETIRE_LOOK, step });
+            let step = Step::AwaitRetired {
+                place,
+                until: at + RETIRE_PATIENCE,
+            };
+            self.actions.push(Action {
+                at: at + RETIRE_LOOK,
+                step,
+            });
         }
         Ok(())
     }
@@ -154,7 +188,10 @@
         }
         if at < until {
             let step = Step::AwaitRetired { place, until };
-            self.actions.push(Action { at: at + RETIRE_LOOK, step });
+            self.actions.push(Action {
+                at: at + RETIRE_LOOK,
+                step,
+            });
             return Ok(());
         }
         eprintln!("{name} is not empty after {RETIRE_PATIENCE:?}");
@@ -182,13 +219,20 @@
 }
 
 async fn add_route(scene: &mut Scene) -> anyhow::Result<()> {
-    let Some(current) = scene.configurations.last().cloned() else { return Ok(()) };
+    let Some(current) = scene.configurations.last().cloned() else {
+        return Ok(());
+    };
     let generation = current.generation + 2;
     let name = format!("added-{generation}");
     let route = RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS);
     let body = patch(generation, std::slice::from_ref(&route), &[]);
-    scene.configurations.push(current.patched(generation, &[route], &[]));
-    let answer = scene.operator.patch(current.generation, &body, ORDER_LIMIT).await?;
+    scene
+        .configurations
+        .push(current.patched(generation, &[route], &[]));
+    let answer = scene
+        .operator
+        .patch(current.generation, &body, ORDER_LIMIT)
+        .await?;
     ensure!(answer.status == 200, "a patch: {}", answer.status);
     Ok(())
 }
--- a/crates/emulator/src/experiment/file.rs
+++ b/crates/emulator/src/experiment/file.rs
@@ -98,7 +98,14 @@
 
 impl Default for ToolService {
     fn default() -> Self {
-        ToolService { servers: 7, slots: 6, queue: 6, work_ms: 26, body_bytes: 800, max_connections: 120 }
+        ToolService {
+            servers: 7,
+            slots: 6,
+            queue: 6,
+            work_ms: 26,
+            body_bytes: 800,
+            max_connections: 120,
+        }
     }
 }
 
@@ -222,9 +229,11 @@
     /// The role of the machines that it is about; nothing where it is about servers or all machines.
     pub fn role(self) -> Option<Role> {
         match self {
-            What::KillCore | What::TerminateCore | What::FreezeCore | What::WipeCore | What::ReplaceCore => {
-                Some(Role::Core)
-            }
+            What::KillCore
+            | What::TerminateCore
+            | What::FreezeCore
+            | What::WipeCore
+            | What::ReplaceCore => Some(Role::Core),
             What::KillGateway | What::TerminateGateway => Some(Role::Gateway),
             What::KillStore
             | What::FreezeStore
@@ -257,11 +266,17 @@
         let faults: Vec<String> = faults
             .iter()
             .map(|fault| {
-                format!("{:.1} {:?}({}, {:.1} s)", fault.at_s, fault.what, fault.number, fault.lasts_s)
+                format!(
+                    "{:.1} {:?}({}, {:.1} s)",
+                    fault.at_s, fault.what, fault.number, fault.lasts_s
+                )
             })
             .collect();
         let (core, gateways, stores) = (machines.core, machines.gateways, machines.stores);
-        format!("{core} core, {gateways} gateways, {stores} stores; {}", faults.join(", "))
+        format!(
+            "{core} core, {gateways} gateways, {stores} stores; {}",
+            faults.join(", ")
+        )
     }
 
     fn parse(text: &str) -> anyhow::Result<Experiment> {
--- a/crates/emulator/src/experiment/findings.rs
+++ b/crates/emulator/src/experiment/findings.rs
@@ -85,7 +85,9 @@
         }
         Findings {
             seconds: spans.loaded_s(),
-            classes: names.map(|(class, name)| class_finding(name, class, outcomes)).collect(),
+            classes: names
+                .map(|(class, name)| class_finding(name, class, outcomes))
+                .collect(),
             server_first_ms: server_first(&sightings),
             added_ms: added(&sightings, &tries),
             prompt_tokens: prompt_tokens(scene),
@@ -128,11 +130,27 @@
                 class.took_ms.text()
             )?;
         }
-        writeln!(text, "first event at the server, ms p50/p95/p99: {}", self.server_first_ms.text())?;
-        writeln!(text, "added ms to the first event p50/p95/p99: {}", self.added_ms.text())?;
+        writeln!(
+            text,
+            "first event at the server, ms p50/p95/p99: {}",
+            self.server_first_ms.text()
+        )?;
+        writeln!(
+            text,
+            "added ms to the first event p50/p95/p99: {}",
+            self.added_ms.text()
+        )?;
         let tokens = self.prompt_tokens;
-        writeln!(text, "prompt tokens: {} asked, {} read", tokens.asked, tokens.read)?;
-        writeln!(text, "connections to servers: {}, probes: {}", self.server_connections, self.probes)?;
+        writeln!(
+            text,
+            "prompt tokens: {} asked, {} read",
+            tokens.asked, tokens.read
+        )?;
+        writeln!(
+            text,
+            "connections to servers: {}, probes: {}",
+            self.server_connections, self.probes
+        )?;
         writeln!(text, "tries by answer: {:?}", self.answers)?;
         writeln!(
             text,
@@ -165,9 +183,16 @@
         times.sort_by(f64::total_cmp);
         let at = |part: f64| {
             let place = (times.len() as f64 * part).ceil() as usize;
-            times.get(place.saturating_sub(1)).copied().unwrap_or_default()
+            times
+                .get(place.saturating_sub(1))
+                .copied()
+                .unwrap_or_default()
         };
-        Quantiles { p50: at(0.5), p95: at(0.95), p99: at(0.99) }
+        Quantiles {
+            p50: at(0.5),
+            p95: at(0.95),
+            p99: at(0.99),
+        }
     }
 
     fn text(&self) -> String {
@@ -176,9 +201,14 @@
 }
 
 fn class_finding(name: String, class: usize, outcomes: &[Outcome]) -> ClassFinding {
-    let own: Vec<&Outcome> = outcomes.iter().filter(|outcome| outcome.class == class).collect();
+    let own: Vec<&Outcome> = outcomes
+        .iter()
+        .filter(|outcome| outcome.class == class)
+        .collect();
     let count = |ended| own.iter().filter(|outcome| outcome.ended == ended).count();
-    let served = own.iter().filter(|outcome| matches!(outcome.ended, Ended::InTime | Ended::Late));
+    let served = own
+        .iter()
+        .filter(|outcome| matches!(outcome.ended, Ended::InTime | Ended::Late));
     ClassFinding {
         name,
         in_time: count(Ended::InTime),
@@ -187,7 +217,10 @@
         failed: count(Ended::Failed),
         skipped: count(Ended::Skipped),
         first_ms: Quantiles::of(
-            own.iter().flat_map(|outcome| &outcome.first_ms).map(|ms| *ms as f64).collect(),
+            own.iter()
+                .flat_map(|outcome| &outcome.first_ms)
+                .map(|ms| *ms as f64)
+                .collect(),
         ),
         took_ms: Quantiles::of(served.map(|outcome| outcome.took_ms as f64).collect()),
     }
@@ -195,14 +228,22 @@
 
 /// Of the requests that ran.
 fn server_first(sightings: &[Sighting]) -> Quantiles {
-    let ran = sightings.iter().filter(|sighting| sighting.fate == Fate::Run);
-    Quantiles::of(ran.filter_map(|sighting| Some(sighting.moments.to_first_us()? as f64 / 1_000.0)).collect())
+    let ran = sightings
+        .iter()
+        .filter(|sighting| sighting.fate == Fate::Run);
+    Quantiles::of(
+        ran.filter_map(|sighting| Some(sighting.moments.to_first_us()? as f64 / 1_000.0))
+            .collect(),
+    )
 }
 
 /// What the way through the system added to the time that the server took to its first event.
 fn added(sightings: &[Sighting], tries: &[Try]) -> Quantiles {
     let mut at_server: HashMap<RequestId, u64> = HashMap::new();
-    for sighting in sightings.iter().filter(|sighting| sighting.fate == Fate::Run) {
+    for sighting in sightings
+        .iter()
+        .filter(|sighting| sighting.fate == Fate::Run)
+    {
         if let (Some(request), Some(us)) = (sighting.request, sighting.moments.to_first_us()) {
             at_server.insert(request, us);
         }
--- a/crates/emulator/src/experiment/hunt.rs
+++ b/crates/emulator/src/experiment/hunt.rs
@@ -1,6 +1,8 @@
 //! Experiments drawn from a seed: machines, load and faults, one loss of a counted machine at a time.
 
-use super::file::{Experiment, Fault, Machines, ModelService, ProgramClass, RequestClass, RequestKind};
+use super::file::{
+    Experiment, Fault, Machines, ModelService, ProgramClass, RequestClass, RequestKind,
+};
 use super::file::{Services, ToolService, What};
 
 /// A machine counts as lost for this long after its return.
@@ -52,8 +54,18 @@
         tolerated_losses: 1,
         heartbeat_ms: random.u64(400..=1_200),
     };
-    let models = ModelService { servers: 4, slots: 8, step_us: 2_000, ..ModelService::default() };
-    let tools = ToolService { servers: 3, slots: 4, work_ms: 10, ..ToolService::default() };
+    let models = ModelService {
+        servers: 4,
+        slots: 8,
+        step_us: 2_000,
+        ..ModelService::default()
+    };
+    let tools = ToolService {
+        servers: 3,
+        slots: 4,
+        work_ms: 10,
+        ..ToolService::default()
+    };
     let faults = faults(&mut random, traffic_s);
     Experiment {
         seed,
@@ -61,7 +73,10 @@
         idle_s: 0.0,
         machines,
         services: Services { models, tools },
-        programs: vec![program("kept", true, &mut random), program("whole", false, &mut random)],
+        programs: vec![
+            program("kept", true, &mut random),
+            program("whole", false, &mut random),
+        ],
         requests: vec![lookups()],
         faults,
     }
@@ -102,7 +117,11 @@
     let mut at_s = CALM_S;
     while at_s < traffic_s - LONGEST_FAULT_S {
         let fault = drawn(random, &LOSSES, at_s);
-        let grace_s = if fault.what == What::TerminateCore { GRACE_S } else { 0.0 };
+        let grace_s = if fault.what == What::TerminateCore {
+            GRACE_S
+        } else {
+            0.0
+        };
         at_s += fault.lasts_s.max(grace_s) + CATCH_UP_S + random.f64() * SPREAD_S;
         faults.push(fault);
     }
@@ -115,6 +134,15 @@
 
 fn drawn(random: &mut fastrand::Rng, among: &[What], at_s: f64) -> Fault {
     let what = among[random.usize(..among.len())];
-    let number = if what.role().is_some() { random.usize(..8) } else { random.usize(..3) };
-    Fault { at_s, what, number, lasts_s: random.f64() * LONGEST_FAULT_S }
+    let number = if what.role().is_some() {
+        random.usize(..8)
+    } else {
+        random.usize(..3)
+    };
+    Fault {
+        at_s,
+        what,
+        number,
+        lasts_s: random.f64() * LONGEST_FAULT_S,
+    }
 }
--- a/crates/emulator/src/experiment/listing.rs
+++ b/crates/emulator/src/experiment/listing.rs
@@ -14,7 +14,10 @@
 pub fn tries(scene: &Scene) -> String {
     let sightings = scene.record.sightings();
     let mut last: HashMap<RequestId, &Sighting> = HashMap::new();
-    for sighting in sightings.iter().filter(|sighting| sighting.fate == Fate::Run) {
+    for sighting in sightings
+        .iter()
+        .filter(|sighting| sighting.fate == Fate::Run)
+    {
         if let Some(request) = sighting.request {
             last.insert(request, sighting);
         }
@@ -27,7 +30,10 @@
 }
 
 fn line(text: &mut String, attempt: &Try, run: Option<&Sighting>) {
-    let program = attempt.program.as_ref().map_or("", |program| program.program.as_str());
+    let program = attempt
+        .program
+        .as_ref()
+        .map_or("", |program| program.program.as_str());
     let first = milliseconds(attempt.moments.to_first_us());
     let server = run.map_or("", |run| run.instance.as_str());
     let server_first = milliseconds(run.and_then(|run| run.moments.to_first_us()));
--- a/crates/emulator/src/experiment/measure.rs
+++ b/crates/emulator/src/experiment/measure.rs
@@ -34,8 +34,16 @@
 
 impl Meter {
     pub fn read(scene: &Scene) -> Meter {
-        let usages = scene.system.machines().iter().map(|machine| machine.usage()).collect();
-        Meter { at: Instant::now(), usages }
+        let usages = scene
+            .system
+            .machines()
+            .iter()
+            .map(|machine| machine.usage())
+            .collect();
+        Meter {
+            at: Instant::now(),
+            usages,
+        }
     }
 
     fn used(&self, place: usize) -> Usage {
--- a/crates/emulator/src/experiment/mod.rs
+++ b/crates/emulator/src/experiment/mod.rs
@@ -58,7 +58,10 @@
 
 /// Of finished programs, spread over the whole time: their lines are to go on at the end.
 fn lines(outcomes: &[Outcome]) -> Vec<Line> {
-    let lines: Vec<&Line> = outcomes.iter().filter_map(|outcome| outcome.line.as_ref()).collect();
+    let lines: Vec<&Line> = outcomes
+        .iter()
+        .filter_map(|outcome| outcome.line.as_ref())
+        .collect();
     let stride = (lines.len() / CONTINUED_LINES).max(1);
     lines.into_iter().rev().step_by(stride).cloned().collect()
 }
--- a/crates/emulator/src/experiment/stage.rs
+++ b/crates/emulator/src/experiment/stage.rs
@@ -52,13 +52,19 @@
 }
 
 fn door(max_connections: u32) -> DoorSettings {
-    DoorSettings { max_connections: max_connections as usize, ..DoorSettings::default() }
+    DoorSettings {
+        max_connections: max_connections as usize,
+        ..DoorSettings::default()
+    }
 }
 
 fn machines(experiment: &Experiment) -> Vec<MachinePlan> {
     let machines = &experiment.machines;
-    let roles =
-        [(Role::Core, machines.core), (Role::Gateway, machines.gateways), (Role::Store, machines.stores)];
+    let roles = [
+        (Role::Core, machines.core),
+        (Role::Gateway, machines.gateways),
+        (Role::Store, machines.stores),
+    ];
     let mut plans = Vec::new();
     for (role, count) in roles {
         let zones = machines.zones.iter().cycle().take(count);
@@ -72,8 +78,11 @@
     let services = &experiment.services;
     for service in &mut configuration.services {
         let models = service.name == MODELS;
-        service.max_conns =
-            if models { services.models.max_connections } else { services.tools.max_connections };
+        service.max_conns = if models {
+            services.models.max_connections
+        } else {
+            services.tools.max_connections
+        };
         if let Some(engine) = &mut service.engine {
             engine.slots = services.models.slots;
             engine.kv_capacity = services.models.memory_tokens;
--- a/crates/emulator/src/experiment/traffic.rs
+++ b/crates/emulator/src/experiment/traffic.rs
@@ -49,15 +49,28 @@
     pub fn start(scene: &Scene, experiment: &Experiment) -> Traffic {
         let mut under_way = JoinSet::new();
         let length = Duration::from_secs_f64(experiment.traffic_s);
-        let programs =
-            experiment.programs.iter().map(|class| Work::Program(class.clone(), chunk(experiment)));
-        let requests = experiment.requests.iter().map(|class| Work::Request(class.clone()));
+        let programs = experiment
+            .programs
+            .iter()
+            .map(|class| Work::Program(class.clone(), chunk(experiment)));
+        let requests = experiment
+            .requests
+            .iter()
+            .map(|class| Work::Request(class.clone()));
         for (class, work) in programs.chain(requests).enumerate() {
             let random = fastrand::Rng::with_seed(experiment.seed ^ (class as u64 + 1) << 32);
-            let source = Source { class, work, client: scene.client.clone(), random };
+            let source = Source {
+                class,
+                work,
+                client: scene.client.clone(),
+                random,
+            };
             under_way.spawn(source.run(length));
         }
-        Traffic { under_way, outcomes: Vec::new() }
+        Traffic {
+            under_way,
+            outcomes: Vec::new(),
+        }
     }
 
     /// Whether all that began has ended.
@@ -119,7 +132,12 @@
                 continue;
             }
             let sub_agents = self.random.f64();
-            under_way.spawn(once(self.class, self.work.clone(), self.client.clone(), sub_agents));
+            under_way.spawn(once(
+                self.class,
+                self.work.clone(),
+                self.client.clone(),
+                sub_agents,
+            ));
             while let Some(outcome) = under_way.try_join_next() {
                 outcomes.extend(outcome);
             }
@@ -131,7 +149,13 @@
     }
 
     fn skipped(&self) -> Outcome {
-        Outcome { class: self.class, ended: Ended::Skipped, took_ms: 0, first_ms: Vec::new(), line: None }
+        Outcome {
+            class: self.class,
+            ended: Ended::Skipped,
+            took_ms: 0,
+            first_ms: Vec::new(),
+            line: None,
+        }
     }
 
     /// Time to the next beginning: independent of all others.
@@ -143,7 +167,9 @@
 
 async fn once(class: usize, work: Work, client: Client, sub_agents: f64) -> Outcome {
     match work {
-        Work::Program(program, chunk) => once_program(class, &program, chunk, &client, sub_agents).await,
+        Work::Program(program, chunk) => {
+            once_program(class, &program, chunk, &client, sub_agents).await
+        }
         Work::Request(request) => once_request(class, &request, &client).await,
     }
 }
@@ -155,7 +181,11 @@
     client: &Client,
     sub_agents: f64,
 ) -> Outcome {
-    let played = play(client, &plan(program, chunk, sub_agents < program.sub_agents)).await;
+    let played = play(
+        client,
+        &plan(program, chunk, sub_agents < program.sub_agents),
+    )
+    .await;
     let ended = match played.end {
         End::Finished if played.took_ms <= program.aim_ms => Ended::InTime,
         End::Finished => Ended::Late,
@@ -164,7 +194,13 @@
     };
     let first_ms = played.turns.iter().map(|turn| turn.first_ms).collect();
     let line = Some(played.line).filter(|_| program.kept && played.end == End::Finished);
-    Outcome { class, ended, took_ms: played.took_ms, first_ms, line }
+    Outcome {
+        class,
+        ended,
+        took_ms: played.took_ms,
+        first_ms,
+        line,
+    }
 }
 
 async fn once_request(class: usize, request: &RequestClass, client: &Client) -> Outcome {
@@ -180,7 +216,13 @@
         true => Ended::Late,
         false => without_success(served.status()),
     };
-    Outcome { class, ended, took_ms: served.took_ms, first_ms: vec![served.first_ms], line: None }
+    Outcome {
+        class,
+        ended,
+        took_ms: served.took_ms,
+        first_ms: vec![served.first_ms],
+        line: None,
+    }
 }
 
 fn without_success(status: Option<u16>) -> Ended {
@@ -192,22 +234,41 @@
 
 fn plan(class: &ProgramClass, chunk_tokens: u64, sub_agents: bool) -> ProgramPlan {
     let path = if class.kept { KEPT_TURNS } else { TURNS };
-    let lookup = Tool { target: format!("{LOOKUP}x"), kind: Kind::ReadOnly, deadline_ms: 1_200, retries: 1 };
-    let record = Tool { target: format!("{RECORD}x"), kind: Kind::Mutating, deadline_ms: 3_000, retries: 1 };
+    let lookup = Tool {
+        target: format!("{LOOKUP}x"),
+        kind: Kind::ReadOnly,
+        deadline_ms: 1_200,
+        retries: 1,
+    };
+    let record = Tool {
+        target: format!("{RECORD}x"),
+        kind: Kind::Mutating,
+        deadline_ms: 3_000,
+        retries: 1,
+    };
     let lookups = std::iter::repeat_n(lookup, class.lookups);
     let records = std::iter::repeat_n(record, class.records);
     ProgramPlan {
         target: format!("{path}{}", class.name),
         persisted: class.kept,
         turns: class.turns,
-        shared: SharedPart { id: shared_id(&class.name), tokens: class.shared_tokens },
+        shared: SharedPart {
+            id: shared_id(&class.name),
+            tokens: class.shared_tokens,
+        },
         input_bytes: class.input_bytes,
         input_tokens: class.input_tokens,
         most: class.most,
         chunk_tokens,
-        budget: class.budget.unwrap_or(AMPLE_BUDGET * u64::from(class.turns) * class.most),
+        budget: class
+            .budget
+            .unwrap_or(AMPLE_BUDGET * u64::from(class.turns) * class.most),
         tools: lookups.chain(records).collect(),
-        sub_agents: sub_agents.then_some(SubAgents { after_turn: 1, count: 2, turns: 2 }),
+        sub_agents: sub_agents.then_some(SubAgents {
+            after_turn: 1,
+            count: 2,
+            turns: 2,
+        }),
         retries: class.retries,
         finish_ms: class.aim_ms,
         ..usual_program()
--- a/crates/emulator/src/gate.rs
+++ b/crates/emulator/src/gate.rs
@@ -100,7 +100,9 @@
     fn begin(inner: &Arc<Inner>) -> Waiting {
         inner.lock().waiting += 1;
         inner.changed.notify_waiters();
-        Waiting { inner: inner.clone() }
+        Waiting {
+            inner: inner.clone(),
+        }
     }
 }
 
--- a/crates/emulator/src/heartbeat.rs
+++ b/crates/emulator/src/heartbeat.rs
@@ -71,12 +71,21 @@
             next: 0,
             preferred: None,
         };
-        Registration { door, shared, beat, task: tokio::spawn(teller.run()) }
+        Registration {
+            door,
+            shared,
+            beat,
+            task: tokio::spawn(teller.run()),
+        }
     }
 
     /// The limiters to be called from now on.
     pub fn set_controls(&self, controls: Vec<SocketAddr>) {
-        *self.shared.controls.lock().unwrap_or_else(PoisonError::into_inner) = controls;
+        *self
+            .shared
+            .controls
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = controls;
     }
 
     /// Ends once the server is known as ready.
@@ -97,10 +106,20 @@
 
     /// Sends one heartbeat with these values to `control`, beside those that are sent by themselves.
     pub async fn stray(&self, control: SocketAddr, seq: u64, draining: bool) -> Option<u16> {
-        let phase = if draining { Phase::Draining } else { Phase::Ready };
+        let phase = if draining {
+            Phase::Draining
+        } else {
+            Phase::Ready
+        };
         let body = body(&self.door.identity, &self.beat, phase, seq);
-        let call = Call::post(format!("/api/instances/{}/heartbeat", self.door.identity.instance), body);
-        call_within(control, &call).await.ok().map(|answer| answer.status)
+        let call = Call::post(
+            format!("/api/instances/{}/heartbeat", self.door.identity.instance),
+            body,
+        );
+        call_within(control, &call)
+            .await
+            .ok()
+            .map(|answer| answer.status)
     }
 
     /// Says nothing any more, as a server that crashed.
@@ -169,7 +188,12 @@
             }
             self.preferred = None;
         }
-        let controls = self.shared.controls.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let controls = self
+            .shared
+            .controls
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         for offset in 0..controls.len() {
             let address = controls[(self.next + offset) % controls.len()];
             if self.tell_one(address, phase, asked_ms).await {
@@ -190,7 +214,9 @@
             ),
         };
         self.seq += 1;
-        let Ok(answer) = call_within(address, &call).await else { return false };
+        let Ok(answer) = call_within(address, &call).await else {
+            return false;
+        };
         if !(200..300).contains(&answer.status) || answer.body.len() > LONGEST_ACKNOWLEDGEMENT {
             return false;
         }
@@ -207,12 +233,18 @@
             Phase::Ready | Phase::Silent => return,
         };
         let surroundings = &self.door.surroundings;
-        surroundings.record.acknowledged(surroundings.clock.now_ms(), asked_ms, what);
+        surroundings
+            .record
+            .acknowledged(surroundings.clock.now_ms(), asked_ms, what);
     }
 }
 
 fn body(identity: &Identity, beat: &Beat, phase: Phase, seq: u64) -> String {
-    let state = if phase == Phase::Draining { "draining" } else { "ready" };
+    let state = if phase == Phase::Draining {
+        "draining"
+    } else {
+        "ready"
+    };
     let mut body = json!({
         "backend": identity.backend,
         "address": identity.address.to_string(),
--- a/crates/emulator/src/identity.rs
+++ b/crates/emulator/src/identity.rs
@@ -11,7 +11,10 @@
     /// Reads the value of a header.
     pub fn parse(text: &str) -> Option<RequestId> {
         let whole = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        whole.then(|| u64::from_str_radix(text, 16).ok()).flatten().map(RequestId)
+        whole
+            .then(|| u64::from_str_radix(text, 16).ok())
+            .flatten()
+            .map(RequestId)
     }
 }
 
@@ -35,7 +38,9 @@
 
 impl IdentitySource {
     pub fn new(seed: u64) -> IdentitySource {
-        IdentitySource { random: Arc::new(Mutex::new(fastrand::Rng::with_seed(seed))) }
+        IdentitySource {
+            random: Arc::new(Mutex::new(fastrand::Rng::with_seed(seed))),
+        }
     }
 
     pub fn request(&self) -> RequestId {
@@ -62,10 +67,16 @@
 
     /// A number from 0 up to 1.
     pub fn fraction(&self) -> f64 {
-        self.random.lock().unwrap_or_else(PoisonError::into_inner).f64()
+        self.random
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .f64()
     }
 
     fn draw(&self) -> u64 {
-        self.random.lock().unwrap_or_else(PoisonError::into_inner).u64(..)
+        self.random
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .u64(..)
     }
 }
--- a/crates/emulator/src/ingress.rs
+++ b/crates/emulator/src/ingress.rs
@@ -57,11 +57,17 @@
 async fn keep(client: Client, entries: Arc<Mutex<Vec<Entry>>>) {
     let mut seen: Vec<Seen> = Vec::new();
     loop {
-        let listed = entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let listed = entries
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         seen.retain(|limiter| listed.contains(&limiter.entry));
         for entry in listed {
             if !seen.iter().any(|limiter| limiter.entry == entry) {
-                seen.push(Seen { entry, misses: MISSES });
+                seen.push(Seen {
+                    entry,
+                    misses: MISSES,
+                });
             }
         }
         let mut answers = JoinSet::new();
@@ -80,8 +86,11 @@
 
 /// Those that are in; all where fewer than half are.
 fn open(seen: &[Seen]) -> Vec<SocketAddr> {
-    let ready: Vec<SocketAddr> =
-        seen.iter().filter(|limiter| limiter.misses < MISSES).map(|limiter| limiter.entry.front).collect();
+    let ready: Vec<SocketAddr> = seen
+        .iter()
+        .filter(|limiter| limiter.misses < MISSES)
+        .map(|limiter| limiter.entry.front)
+        .collect();
     if ready.len() * 2 < seen.len() {
         return seen.iter().map(|limiter| limiter.entry.front).collect();
     }
--- a/crates/emulator/src/judge/answers.rs
+++ b/crates/emulator/src/judge/answers.rs
@@ -8,7 +8,10 @@
     for attempt in &view.tries {
         if let Some(problem) = problem(view, attempt) {
             let detail = format!("{} {}: {problem}", attempt.request, attempt.target);
-            violations.push(Violation { rule: Rule::Mixed, detail });
+            violations.push(Violation {
+                rule: Rule::Mixed,
+                detail,
+            });
         }
     }
 }
@@ -21,7 +24,10 @@
     if answered.surplus > 0 {
         return Some(format!("{} bytes behind the answer", answered.surplus));
     }
-    if answered.request.is_some_and(|request| request != attempt.request) {
+    if answered
+        .request
+        .is_some_and(|request| request != attempt.request)
+    {
         return Some("the answer to another request".to_owned());
     }
     let source = source(view, attempt, answered);
@@ -30,9 +36,10 @@
     }
     match (&answered.stamp, source) {
         (Some(_), None) => Some("a stamp that no server gave to this request".to_owned()),
-        (Some(_), Some(source)) if source.status != Some(answered.status) => {
-            Some(format!("a failure {} under the stamp of {:?}", answered.status, source.status))
-        }
+        (Some(_), Some(source)) if source.status != Some(answered.status) => Some(format!(
+            "a failure {} under the stamp of {:?}",
+            answered.status, source.status
+        )),
         _ => None,
     }
 }
@@ -46,18 +53,25 @@
         return Some("a success that no server gave to this request".to_owned());
     };
     if source.status != Some(answered.status) {
-        return Some(format!("a success where the server answered {:?}", source.status));
+        return Some(format!(
+            "a success where the server answered {:?}",
+            source.status
+        ));
     }
     if !source.whole {
         return Some("whole, though the server's answer was not".to_owned());
     }
     if answered.encoding.is_some() || source.sent != Some(answered.digest) {
-        return Some(format!("a body of {:?}, the server sent {:?}", answered.digest, source.sent));
+        return Some(format!(
+            "a body of {:?}, the server sent {:?}",
+            answered.digest, source.sent
+        ));
     }
     None
 }
 
 fn source<'a>(view: &'a View, attempt: &Try, answered: &Answered) -> Option<&'a Sighting> {
     let stamp = answered.stamp.as_ref()?;
-    view.sightings_of(attempt.request).find(|sighting| sighting.stamp.as_ref() == Some(stamp))
+    view.sightings_of(attempt.request)
+        .find(|sighting| sighting.stamp.as_ref() == Some(stamp))
 }
--- a/crates/emulator/src/judge/drain.rs
+++ b/crates/emulator/src/judge/drain.rs
@@ -8,7 +8,8 @@
 pub(super) fn judge(view: &View, terms: &Terms, violations: &mut Vec<Violation>) {
     let mut drained: HashMap<&str, u64> = HashMap::new();
     for acknowledgement in &view.acknowledgements {
-        let (Acknowledged::Draining { instance } | Acknowledged::Left { instance }) = &acknowledgement.what
+        let (Acknowledged::Draining { instance } | Acknowledged::Left { instance }) =
+            &acknowledgement.what
         else {
             continue;
         };
@@ -16,12 +17,20 @@
         *at_ms = (*at_ms).min(acknowledgement.at_ms);
     }
     for sighting in &view.sightings {
-        let Some(acknowledged_ms) = drained.get(sighting.instance.as_str()) else { continue };
+        let Some(acknowledged_ms) = drained.get(sighting.instance.as_str()) else {
+            continue;
+        };
         let late = sighting.at_ms > acknowledged_ms + terms.drain_ms;
         if late && terms.calm(sighting.at_ms) && !is_misdirected(sighting) {
             let late = sighting.at_ms - acknowledged_ms;
-            let detail = format!("{:?} came to {} {late} ms after", sighting.request, sighting.instance);
-            violations.push(Violation { rule: Rule::Drain, detail });
+            let detail = format!(
+                "{:?} came to {} {late} ms after",
+                sighting.request, sighting.instance
+            );
+            violations.push(Violation {
+                rule: Rule::Drain,
+                detail,
+            });
         }
     }
 }
--- a/crates/emulator/src/judge/mod.rs
+++ b/crates/emulator/src/judge/mod.rs
@@ -78,16 +78,30 @@
 impl Terms {
     /// Terms of these versions with the usual bounds, in calm times.
     pub fn of(versions: Vec<ConfigurationPlan>) -> Terms {
-        Terms { versions, drain_ms: DRAIN_MS, config_apply_ms: CONFIG_APPLY_MS, unrest: Vec::new() }
+        Terms {
+            versions,
+            drain_ms: DRAIN_MS,
+            config_apply_ms: CONFIG_APPLY_MS,
+            unrest: Vec::new(),
+        }
     }
 
     /// The routes that take a request, one of each version that has one.
-    fn routes_for<'a>(&'a self, host: &'a str, target: &'a str) -> impl Iterator<Item = &'a RoutePlan> {
-        self.versions.iter().filter_map(move |version| version.route(host, target))
+    fn routes_for<'a>(
+        &'a self,
+        host: &'a str,
+        target: &'a str,
+    ) -> impl Iterator<Item = &'a RoutePlan> {
+        self.versions
+            .iter()
+            .filter_map(move |version| version.route(host, target))
     }
 
     fn calm_during(&self, from_ms: u64, to_ms: u64) -> bool {
-        !self.unrest.iter().any(|span| span.from_ms <= to_ms && from_ms <= span.to_ms)
+        !self
+            .unrest
+            .iter()
+            .any(|span| span.from_ms <= to_ms && from_ms <= span.to_ms)
     }
 
     fn calm(&self, at_ms: u64) -> bool {
@@ -113,14 +127,22 @@
 /// Proper requests that ended with a 3xx or 4xx of the system's own.
 fn denied(view: &View, violations: &mut Vec<Violation>) {
     let denied = view.tries.iter().filter(|attempt| {
-        let Some(answered) = attempt.answered() else { return false };
+        let Some(answered) = attempt.answered() else {
+            return false;
+        };
         let own = answered.stamp.is_none() && !answered.not_executed;
         let owed = !matches!(answered.status, 402 | 404 | 408 | 421 | 429);
         own && owed && (300..500).contains(&answered.status)
     });
     let count = denied.count();
     if count > DENIED_FREE + view.tries.len() / DENIED_ONE_IN {
-        let detail = format!("{count} proper requests of {} were denied", view.tries.len());
-        violations.push(Violation { rule: Rule::Denied, detail });
+        let detail = format!(
+            "{count} proper requests of {} were denied",
+            view.tries.len()
+        );
+        violations.push(Violation {
+            rule: Rule::Denied,
+            detail,
+        });
     }
 }
--- a/crates/emulator/src/judge/planned.rs
+++ b/crates/emulator/src/judge/planned.rs
@@ -23,16 +23,27 @@
         .acknowledgements
         .iter()
         .filter_map(|acknowledgement| match acknowledgement.what {
-            Acknowledged::Terminated { front } => Some(Leaving { front, at_ms: acknowledgement.at_ms }),
+            Acknowledged::Terminated { front } => Some(Leaving {
+                front,
+                at_ms: acknowledgement.at_ms,
+            }),
             _ => None,
         })
         .collect();
     for attempt in &view.tries {
-        let Some(leaving) = leaving.iter().find(|leaving| concerns(leaving, attempt)) else { continue };
+        let Some(leaving) = leaving.iter().find(|leaving| concerns(leaving, attempt)) else {
+            continue;
+        };
         if cut(view, attempt) && terms.calm_during(attempt.sent_ms, attempt.ended_ms) {
             let after = attempt.ended_ms.saturating_sub(leaving.at_ms);
-            let detail = format!("{} {} was cut {after} ms after SIGTERM", attempt.request, attempt.target);
-            violations.push(Violation { rule: Rule::Lost, detail });
+            let detail = format!(
+                "{} {} was cut {after} ms after SIGTERM",
+                attempt.request, attempt.target
+            );
+            violations.push(Violation {
+                rule: Rule::Lost,
+                detail,
+            });
         }
     }
 }
@@ -45,7 +56,10 @@
 
 /// Whether the connection was closed without a whole answer, though no server broke off.
 fn cut(view: &View, attempt: &Try) -> bool {
-    if !matches!(attempt.outcome, TryOutcome::Closed | TryOutcome::BrokenOff(_)) {
+    if !matches!(
+        attempt.outcome,
+        TryOutcome::Closed | TryOutcome::BrokenOff(_)
+    ) {
         return false;
     }
     let mut sightings = view.sightings_of(attempt.request).peekable();
--- a/crates/emulator/src/judge/programs.rs
+++ b/crates/emulator/src/judge/programs.rs
@@ -21,11 +21,17 @@
     for attempt in &view.tries {
         if let Some(problem) = lost(view, terms, attempt) {
             let detail = format!("{} {}: {problem}", attempt.request, attempt.target);
-            violations.push(Violation { rule: Rule::Lost, detail });
+            violations.push(Violation {
+                rule: Rule::Lost,
+                detail,
+            });
         }
         if let Some(problem) = invented(view, attempt) {
             let detail = format!("{} {}: {problem}", attempt.request, attempt.target);
-            violations.push(Violation { rule: Rule::Unasked, detail });
+            violations.push(Violation {
+                rule: Rule::Unasked,
+                detail,
+            });
         }
     }
 }
@@ -33,18 +39,26 @@
 fn budgets(view: &View, violations: &mut Vec<Violation>) {
     let mut programs: HashMap<&str, Handed> = HashMap::new();
     for attempt in &view.tries {
-        let Some(program) = &attempt.program else { continue };
-        let Some(budget) = program.budget else { continue };
+        let Some(program) = &attempt.program else {
+            continue;
+        };
+        let Some(budget) = program.budget else {
+            continue;
+        };
         let handed = programs.entry(&program.program).or_default();
         let events = attempt.heard().map_or(0, |heard| heard.events.len() as u64);
-        handed.tokens += (events * program.chunk_tokens).min(program.most.max(program.chunk_tokens));
+        handed.tokens +=
+            (events * program.chunk_tokens).min(program.most.max(program.chunk_tokens));
         handed.budget = handed.budget.max(budget);
         handed.most = handed.most.max(program.most);
     }
     for (program, handed) in programs {
         if handed.tokens > handed.budget + handed.most {
             let detail = format!("program {program} was handed {handed:?}");
-            violations.push(Violation { rule: Rule::Budget, detail });
+            violations.push(Violation {
+                rule: Rule::Budget,
+                detail,
+            });
         }
     }
 }
@@ -56,7 +70,10 @@
         return None;
     }
     let previous = view.try_of(attempt.program.as_ref()?.previous?)?;
-    if previous.answered().is_none_or(|answered| answered.status != 200) {
+    if previous
+        .answered()
+        .is_none_or(|answered| answered.status != 200)
+    {
         return None;
     }
     let kept_s = terms
--- a/crates/emulator/src/judge/streams.rs
+++ b/crates/emulator/src/judge/streams.rs
@@ -6,10 +6,15 @@
 
 pub(super) fn judge(view: &View, violations: &mut Vec<Violation>) {
     for attempt in &view.tries {
-        let Some(heard) = attempt.heard() else { continue };
+        let Some(heard) = attempt.heard() else {
+            continue;
+        };
         if let Some(problem) = problem(view, attempt, heard) {
             let detail = format!("{} {}: {problem}", attempt.request, attempt.target);
-            violations.push(Violation { rule: Rule::Order, detail });
+            violations.push(Violation {
+                rule: Rule::Order,
+                detail,
+            });
         }
     }
 }
@@ -25,7 +30,9 @@
     if heard.events.is_empty() {
         return None;
     }
-    let mut runs = view.runs_of(attempt.request).filter(|run| run.events.starts_with(&heard.events));
+    let mut runs = view
+        .runs_of(attempt.request)
+        .filter(|run| run.events.starts_with(&heard.events));
     if runs.next().is_none() && !attempt.repeatable {
         return Some("pieces that are not the beginning of one run".to_owned());
     }
--- a/crates/emulator/src/judge/view.rs
+++ b/crates/emulator/src/judge/view.rs
@@ -22,8 +22,11 @@
                 sightings_by_request.entry(request).or_default().push(index);
             }
         }
-        let tries_by_request =
-            tries.iter().enumerate().map(|(index, attempt)| (attempt.request, index)).collect();
+        let tries_by_request = tries
+            .iter()
+            .enumerate()
+            .map(|(index, attempt)| (attempt.request, index))
+            .collect();
         View {
             sightings,
             tries,
@@ -35,17 +38,24 @@
 
     /// What servers saw of a try.
     pub fn sightings_of(&self, request: RequestId) -> impl Iterator<Item = &Sighting> {
-        let indices = self.sightings_by_request.get(&request).map(Vec::as_slice).unwrap_or_default();
+        let indices = self
+            .sightings_by_request
+            .get(&request)
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         indices.iter().map(|index| &self.sightings[*index])
     }
 
     /// Runs of a try.
     pub fn runs_of(&self, request: RequestId) -> impl Iterator<Item = &Sighting> {
-        self.sightings_of(request).filter(|sighting| sighting.fate == Fate::Run)
+        self.sightings_of(request)
+            .filter(|sighting| sighting.fate == Fate::Run)
     }
 
     pub fn try_of(&self, request: RequestId) -> Option<&Try> {
-        self.tries_by_request.get(&request).map(|index| &self.tries[*index])
+        self.tries_by_request
+            .get(&request)
+            .map(|index| &self.tries[*index])
     }
 }
 
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -17,7 +17,11 @@
 #[bpaf(options, version)]
 struct Arguments {
     /// The program of the serving tier; target/release/dunespur where it is left out
-    #[bpaf(long, argument("PATH"), fallback(PathBuf::from("target/release/dunespur")))]
+    #[bpaf(
+        long,
+        argument("PATH"),
+        fallback(PathBuf::from("target/release/dunespur"))
+    )]
     program: PathBuf,
     /// Where every try of the last experiment is written, one a line
     #[bpaf(long, argument("PATH"))]
@@ -66,23 +70,32 @@
 
 /// False where rules were broken.
 fn run(arguments: &Arguments) -> anyhow::Result<bool> {
-    let program =
-        arguments.program.canonicalize().with_context(|| arguments.program.display().to_string())?;
+    let program = arguments
+        .program
+        .canonicalize()
+        .with_context(|| arguments.program.display().to_string())?;
     match &arguments.command {
         Command::Play { json, experiment } => {
             let findings = arguments.play(&program, &Experiment::read(experiment)?)?;
             if let Some(path) = json {
-                std::fs::write(path, findings.json()).with_context(|| path.display().to_string())?;
+                std::fs::write(path, findings.json())
+                    .with_context(|| path.display().to_string())?;
             }
             Ok(findings.violations.is_empty())
         }
-        Command::Hunt { first, count, seconds } => arguments.hunt(&program, *first..first + count, *seconds),
+        Command::Hunt {
+            first,
+            count,
+            seconds,
+        } => arguments.hunt(&program, *first..first + count, *seconds),
     }
 }
 
 impl Arguments {
     fn play(&self, program: &Path, experiment: &Experiment) -> anyhow::Result<Findings> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let findings = runtime.block_on(experiment::play(program, experiment))?;
         print!("{}", findings.table());
         if let Some(path) = &self.tries {
@@ -95,7 +108,9 @@
         for seed in seeds {
             let experiment = experiment::draw(seed, seconds);
             println!("seed {seed}: {}", experiment.summary());
-            let findings = self.play(program, &experiment).with_context(|| format!("seed {seed}"))?;
+            let findings = self
+                .play(program, &experiment)
+                .with_context(|| format!("seed {seed}"))?;
             if !findings.violations.is_empty() {
                 return Ok(false);
             }
--- a/crates/emulator/src/operator.rs
+++ b/crates/emulator/src/operator.rs
@@ -47,7 +47,11 @@
 
 impl std::fmt::Display for Unclear {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "no clear answer in {} tries, the last one {:?}", self.tries, self.last)
+        write!(
+            f,
+            "no clear answer in {} tries, the last one {:?}",
+            self.tries, self.last
+        )
     }
 }
 
@@ -55,7 +59,12 @@
 
 impl Operator {
     pub fn new(clock: Clock, record: Record, controls: Vec<SocketAddr>) -> Operator {
-        Operator { clock, record, controls, next: 0 }
+        Operator {
+            clock,
+            record,
+            controls,
+            next: 0,
+        }
     }
 
     /// The limiters called from now on.
@@ -70,11 +79,17 @@
         body: &Value,
         limit: Duration,
     ) -> Result<OrderAnswer, Unclear> {
-        self.configure("/api/config/replace", base, body, limit).await
+        self.configure("/api/config/replace", base, body, limit)
+            .await
     }
 
     /// Changes named items on top of version `base`.
-    pub async fn patch(&mut self, base: u64, body: &Value, limit: Duration) -> Result<OrderAnswer, Unclear> {
+    pub async fn patch(
+        &mut self,
+        base: u64,
+        body: &Value,
+        limit: Duration,
+    ) -> Result<OrderAnswer, Unclear> {
         self.configure("/api/config/patch", base, body, limit).await
     }
 
@@ -104,12 +119,21 @@
         limit: Duration,
     ) -> Result<OrderAnswer, Unclear> {
         let body = serde_json::json!({ "deadline_s": deadline_s }).to_string();
-        self.order(&Call::post(format!("/api/retire/{node}/start"), body), limit).await
+        self.order(
+            &Call::post(format!("/api/retire/{node}/start"), body),
+            limit,
+        )
+        .await
     }
 
     /// How far the emptying is.
-    pub async fn retirement(&mut self, node: &str, limit: Duration) -> Result<OrderAnswer, Unclear> {
-        self.order(&Call::get(format!("/api/retire/{node}/get")), limit).await
+    pub async fn retirement(
+        &mut self,
+        node: &str,
+        limit: Duration,
+    ) -> Result<OrderAnswer, Unclear> {
+        self.order(&Call::get(format!("/api/retire/{node}/get")), limit)
+            .await
     }
 
     async fn configure(
@@ -122,16 +146,23 @@
         let asked_ms = self.clock.now_ms();
         let answer = self.send_raw(target, base, body.to_string(), limit).await?;
         if answer.status == 200 {
-            let generation = body.get("generation").and_then(Value::as_u64).unwrap_or_default();
+            let generation = body
+                .get("generation")
+                .and_then(Value::as_u64)
+                .unwrap_or_default();
             let what = Acknowledged::Configuration { generation };
-            self.record.acknowledged(self.clock.now_ms(), asked_ms, what);
+            self.record
+                .acknowledged(self.clock.now_ms(), asked_ms, what);
         }
         Ok(answer)
     }
 
     async fn order(&mut self, order: &Call, limit: Duration) -> Result<OrderAnswer, Unclear> {
         let started = Instant::now();
-        let mut unclear = Unclear { last: None, tries: 0 };
+        let mut unclear = Unclear {
+            last: None,
+            tries: 0,
+        };
         let mut refusals = 0;
         let mut pause = FIRST_PAUSE;
         while started.elapsed() < limit {
@@ -143,7 +174,12 @@
                 if is_clear(answer.status, refusals) {
                     let took_ms = started.elapsed().as_millis() as u64;
                     let tries = unclear.tries;
-                    return Ok(OrderAnswer { status: answer.status, body: answer.body, took_ms, tries });
+                    return Ok(OrderAnswer {
+                        status: answer.status,
+                        body: answer.body,
+                        took_ms,
+                        tries,
+                    });
                 }
             }
             self.next += 1;
@@ -162,7 +198,11 @@
         if answer.status != 307 {
             return Some(answer);
         }
-        let location = answer.headers.get(name::LOCATION)?.strip_prefix("http://")?.to_owned();
+        let location = answer
+            .headers
+            .get(name::LOCATION)?
+            .strip_prefix("http://")?
+            .to_owned();
         let (host, path) = location.split_once('/')?;
         address = host.parse().ok()?;
         order.target = format!("/{path}");
--- a/crates/emulator/src/plain.rs
+++ b/crates/emulator/src/plain.rs
@@ -23,7 +23,12 @@
 
 impl Default for PlainSettings {
     fn default() -> Self {
-        PlainSettings { queue: 4, work_time: Duration::ZERO, body_bytes: 800, door: DoorSettings::default() }
+        PlainSettings {
+            queue: 4,
+            work_time: Duration::ZERO,
+            body_bytes: 800,
+            door: DoorSettings::default(),
+        }
     }
 }
 
@@ -55,7 +60,11 @@
         };
         let door = Arc::new(Door::new(identity, settings.door, surroundings));
         let listening = Listening::start(listener, door.clone(), Arc::new(work));
-        PlainServer { door, gate, _listening: listening }
+        PlainServer {
+            door,
+            gate,
+            _listening: listening,
+        }
     }
 }
 
--- a/crates/emulator/src/program.rs
+++ b/crates/emulator/src/program.rs
@@ -135,7 +135,10 @@
 
     /// A line that goes on from here as another session.
     pub fn branch(&self, client: &Client) -> Line {
-        Line { session: client.identities().short(), ..self.clone() }
+        Line {
+            session: client.identities().short(),
+            ..self.clone()
+        }
     }
 
     pub fn program(&self) -> &str {
@@ -161,8 +164,19 @@
             false => [&self.transcript[..], &input[..]].concat().into(),
         };
         let own = format!("{}:{}", client.identities().short(), plan.input_tokens);
-        let prefix = self.parts.iter().cloned().chain([own]).collect::<Vec<_>>().join(",");
-        let mut ask = Ask::post(&plan.host, &plan.target, Kind::Streaming { resumable: false }, body);
+        let prefix = self
+            .parts
+            .iter()
+            .cloned()
+            .chain([own])
+            .collect::<Vec<_>>()
+            .join(",");
+        let mut ask = Ask::post(
+            &plan.host,
+            &plan.target,
+            Kind::Streaming { resumable: false },
+            body,
+        );
         ask.expected = Some(expected);
         ask.deadline_ms = plan.deadline_ms;
         ask.target_ms = plan.target_ms;
@@ -195,7 +209,9 @@
 
     /// What a whole answer adds to the line.
     pub fn heard(&mut self, ask: &Ask, input: &Bytes, served: &Served) {
-        let Some(answered) = served.answer() else { return };
+        let Some(answered) = served.answer() else {
+            return;
+        };
         self.say(input);
         for event in &answered.events {
             self.say(event.data.as_bytes());
@@ -205,7 +221,8 @@
         let Some(turn) = &ask.turn else { return };
         self.parts = turn.prefix.split(',').map(str::to_owned).collect();
         let generated = answered.events.len() as u64 * self.plan.chunk_tokens;
-        self.parts.push(format!("{:x}:{generated}", served.request.0));
+        self.parts
+            .push(format!("{:x}:{generated}", served.request.0));
         self.prompt_tokens = turn.prompt_tokens + generated;
     }
 
@@ -217,13 +234,20 @@
     }
 
     fn finish_ms(&self) -> u64 {
-        self.plan.finish_ms.saturating_sub(self.started.elapsed().as_millis() as u64)
+        self.plan
+            .finish_ms
+            .saturating_sub(self.started.elapsed().as_millis() as u64)
     }
 
     fn tool_ask(&self, tool: &Tool) -> Ask {
         let mut ask = match tool.kind {
             Kind::ReadOnly => Ask::get(&self.plan.host, &tool.target),
-            kind => Ask::post(&self.plan.host, &tool.target, kind, format!("call of {}", self.program)),
+            kind => Ask::post(
+                &self.plan.host,
+                &tool.target,
+                kind,
+                format!("call of {}", self.program),
+            ),
         };
         ask.deadline_ms = tool.deadline_ms;
         ask.retries = tool.retries;
@@ -244,7 +268,13 @@
         Err(end) => end,
     };
     let took_ms = started.elapsed().as_millis() as u64;
-    Played { program: line.program.clone(), end, turns, took_ms, line }
+    Played {
+        program: line.program.clone(),
+        end,
+        turns,
+        took_ms,
+        line,
+    }
 }
 
 async fn main_line(client: &Client, line: &mut Line, turns: &mut Vec<TurnDone>) -> Result<(), End> {
@@ -280,7 +310,11 @@
         }
         match served.status() {
             Some(402) => return Err(End::Spent),
-            Some(status @ (400 | 401 | 403 | 404 | 413)) => return Err(End::Failed { status: Some(status) }),
+            Some(status @ (400 | 401 | 403 | 404 | 413)) => {
+                return Err(End::Failed {
+                    status: Some(status),
+                })
+            }
             status if renewal == MOST_RENEWALS => return Err(End::Failed { status }),
             _ => {}
         }
@@ -299,7 +333,11 @@
     while let Some(served) = calls.join_next().await {
         match served {
             Ok(served) if served.succeeded() => {}
-            Ok(served) => return Err(End::Failed { status: served.status() }),
+            Ok(served) => {
+                return Err(End::Failed {
+                    status: served.status(),
+                })
+            }
             Err(_) => return Err(End::Failed { status: None }),
         }
     }
--- a/crates/emulator/src/record.rs
+++ b/crates/emulator/src/record.rs
@@ -22,7 +22,10 @@
 
 impl Moments {
     pub fn begun(begun_us: u64) -> Moments {
-        Moments { begun_us, ..Moments::default() }
+        Moments {
+            begun_us,
+            ..Moments::default()
+        }
     }
 
     /// From the beginning to the first event.
@@ -240,7 +243,11 @@
     }
 
     pub fn acknowledged(&self, at_ms: u64, asked_ms: u64, what: Acknowledged) {
-        self.lock().acknowledgements.push(Acknowledgement { at_ms, asked_ms, what });
+        self.lock().acknowledgements.push(Acknowledgement {
+            at_ms,
+            asked_ms,
+            what,
+        });
         self.inner.changed.notify_waiters();
     }
 
@@ -258,12 +265,22 @@
 
     /// Sightings of one try, by its id.
     pub fn sightings_of(&self, request: RequestId) -> Vec<Sighting> {
-        self.lock().sightings.iter().filter(|sighting| sighting.request == Some(request)).cloned().collect()
+        self.lock()
+            .sightings
+            .iter()
+            .filter(|sighting| sighting.request == Some(request))
+            .cloned()
+            .collect()
     }
 
     /// Sightings at one server.
     pub fn sightings_at(&self, instance: &str) -> Vec<Sighting> {
-        self.lock().sightings.iter().filter(|sighting| sighting.instance == instance).cloned().collect()
+        self.lock()
+            .sightings
+            .iter()
+            .filter(|sighting| sighting.instance == instance)
+            .cloned()
+            .collect()
     }
 
     /// Ends once the sightings fulfil `holds`.
@@ -285,6 +302,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Entries> {
-        self.inner.entries.lock().unwrap_or_else(PoisonError::into_inner)
+        self.inner
+            .entries
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/emulator/src/scene.rs
+++ b/crates/emulator/src/scene.rs
@@ -58,8 +58,10 @@
     /// Three core members, one gateway without a disk, three stores, two servers of each service.
     fn default() -> Self {
         let zones = ["zone-a", "zone-b", "zone-c"];
-        let mut machines: Vec<MachinePlan> =
-            zones.iter().map(|zone| MachinePlan::new(Role::Core, zone)).collect();
+        let mut machines: Vec<MachinePlan> = zones
+            .iter()
+            .map(|zone| MachinePlan::new(Role::Core, zone))
+            .collect();
         machines.push(MachinePlan::new(Role::Gateway, zones[0]));
         machines.extend(zones.iter().map(|zone| MachinePlan::new(Role::Store, zone)));
         ScenePlan {
@@ -86,7 +88,12 @@
     kept.persisted = true;
     let mut lookup = RoutePlan::new("lookup", HOST, LOOKUP, Kind::ReadOnly, TOOLS);
     lookup.retries = 2;
-    let engine = EnginePlan { slots: 8, kv_capacity: 232_000, chunk_tokens: 3, models: vec!["m".to_owned()] };
+    let engine = EnginePlan {
+        slots: 8,
+        kv_capacity: 232_000,
+        chunk_tokens: 3,
+        models: vec!["m".to_owned()],
+    };
     ConfigurationPlan {
         generation: 1,
         routes: vec![
@@ -96,8 +103,16 @@
             RoutePlan::new("record", HOST, RECORD, Kind::Mutating, TOOLS),
         ],
         services: vec![
-            ServicePlan { name: MODELS.to_owned(), max_conns: 220, engine: Some(engine) },
-            ServicePlan { name: TOOLS.to_owned(), max_conns: 120, engine: None },
+            ServicePlan {
+                name: MODELS.to_owned(),
+                max_conns: 220,
+                engine: Some(engine),
+            },
+            ServicePlan {
+                name: TOOLS.to_owned(),
+                max_conns: 120,
+                engine: None,
+            },
         ],
         limits: LimitsPlan::default(),
     }
@@ -110,7 +125,10 @@
         target: format!("{KEPT_TURNS}chat"),
         persisted: true,
         turns: 3,
-        shared: SharedPart { id: "5c1e07a2".to_owned(), tokens: 800 },
+        shared: SharedPart {
+            id: "5c1e07a2".to_owned(),
+            tokens: 800,
+        },
         input_bytes: 400,
         input_tokens: 100,
         most: 12,
@@ -171,7 +189,11 @@
     /// Starts the processes and the servers without any order of the operator.
     pub async fn begin(program: &Path, plan: ScenePlan) -> anyhow::Result<Scene> {
         let clock = Clock::start();
-        let record = if plan.keep_bodies { Record::with_bodies() } else { Record::default() };
+        let record = if plan.keep_bodies {
+            Record::with_bodies()
+        } else {
+            Record::default()
+        };
         let identities = IdentitySource::new(plan.seed);
         let system = System::start(SystemPlan {
             program: program.to_owned(),
@@ -221,7 +243,11 @@
         let plan = self.plan.configuration.clone();
         let answer = self.operator.replace(0, &plan.json(), SETTLE_LIMIT).await?;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
-        anyhow::ensure!(answer.status == 200, "the first configuration: {} {text}", answer.status);
+        anyhow::ensure!(
+            answer.status == 200,
+            "the first configuration: {} {text}",
+            answer.status
+        );
         self.configurations.push(plan);
         Ok(())
     }
@@ -241,7 +267,8 @@
     pub async fn serves(&self, index: usize) -> anyhow::Result<()> {
         let front = self.system.front(index);
         if !self.plains.is_empty() {
-            self.answers(front, &Ask::get(HOST, &format!("{LOOKUP}settle"))).await?;
+            self.answers(front, &Ask::get(HOST, &format!("{LOOKUP}settle")))
+                .await?;
         }
         if !self.engines.is_empty() {
             let ask = self.turn_ask();
@@ -258,7 +285,11 @@
             if served.succeeded() {
                 return Ok(());
             }
-            anyhow::ensure!(Instant::now() < until, "{front} does not serve {}: {served:?}", ask.target);
+            anyhow::ensure!(
+                Instant::now() < until,
+                "{front} does not serve {}: {served:?}",
+                ask.target
+            );
             sleep(LOOK_PAUSE).await;
         }
     }
@@ -275,15 +306,28 @@
         let settings = self.plan.engine.clone();
         let models = settings.models.clone();
         let server = EngineServer::start(listener, identity, settings, self.surroundings());
-        let beat = Beat { pause: self.beat_pause(), cold_left_ms: 0, models };
+        let beat = Beat {
+            pause: self.beat_pause(),
+            cold_left_ms: 0,
+            models,
+        };
         let registration = Registration::start(server.door.clone(), self.system.controls(), beat);
-        self.engines.push(Engine { server, registration });
+        self.engines.push(Engine {
+            server,
+            registration,
+        });
         Ok(self.engines.len() - 1)
     }
 
     /// Starts a plain server of another incarnation, and maybe another service, at an address that was used before.
-    pub async fn add_plain_at(&mut self, address: SocketAddr, backend: &str) -> anyhow::Result<usize> {
-        let (listener, identity) = self.identity_at(address, backend, self.plan.plain_slots).await?;
+    pub async fn add_plain_at(
+        &mut self,
+        address: SocketAddr,
+        backend: &str,
+    ) -> anyhow::Result<usize> {
+        let (listener, identity) = self
+            .identity_at(address, backend, self.plan.plain_slots)
+            .await?;
         Ok(self.start_plain(listener, identity))
     }
 
@@ -294,16 +338,31 @@
     }
 
     fn start_plain(&mut self, listener: TcpListener, identity: Identity) -> usize {
-        let server = PlainServer::start(listener, identity, self.plan.plain.clone(), self.surroundings());
-        let beat = Beat { pause: self.beat_pause(), cold_left_ms: 0, models: Vec::new() };
+        let server = PlainServer::start(
+            listener,
+            identity,
+            self.plan.plain.clone(),
+            self.surroundings(),
+        );
+        let beat = Beat {
+            pause: self.beat_pause(),
+            cold_left_ms: 0,
+            models: Vec::new(),
+        };
         let registration = Registration::start(server.door.clone(), self.system.controls(), beat);
-        self.plains.push(Plain { server, registration });
+        self.plains.push(Plain {
+            server,
+            registration,
+        });
         self.plains.len() - 1
     }
 
     /// The doors of all servers that run.
     pub fn servers(&self) -> impl Iterator<Item = &Door> {
-        let engines = self.engines.iter().map(|engine| engine.server.door.as_ref());
+        let engines = self
+            .engines
+            .iter()
+            .map(|engine| engine.server.door.as_ref());
         engines.chain(self.plains.iter().map(|plain| plain.server.door.as_ref()))
     }
 
@@ -314,22 +373,35 @@
 
     /// All rules that the record breaks, where machines were out of touch at times.
     pub fn violations_except(&self, unrest: Vec<Span>) -> Vec<Violation> {
-        let terms = Terms { unrest, ..Terms::of(self.configurations.clone()) };
+        let terms = Terms {
+            unrest,
+            ..Terms::of(self.configurations.clone())
+        };
         judge(&self.record, &terms)
     }
 
     /// Asks a gateway to leave; clients go to the others from now on.
     pub fn terminate(&mut self, index: usize) -> anyhow::Result<()> {
         let front = self.system.front(index);
-        let others = self.system.fronts().into_iter().filter(|other| *other != front).collect();
+        let others = self
+            .system
+            .fronts()
+            .into_iter()
+            .filter(|other| *other != front)
+            .collect();
         self.system.machine(index).terminate()?;
         self.client.set_fronts(others);
         let now = self.clock.now_ms();
-        self.record.acknowledged(now, now, Acknowledged::Terminated { front });
+        self.record
+            .acknowledged(now, now, Acknowledged::Terminated { front });
         Ok(())
     }
 
-    async fn identity(&mut self, backend: &str, slots: u32) -> anyhow::Result<(TcpListener, Identity)> {
+    async fn identity(
+        &mut self,
+        backend: &str,
+        slots: u32,
+    ) -> anyhow::Result<(TcpListener, Identity)> {
         let address = self.system.server_address()?;
         self.identity_at(address, backend, slots).await
     }
@@ -340,8 +412,12 @@
         backend: &str,
         slots: u32,
     ) -> anyhow::Result<(TcpListener, Identity)> {
-        let listener = TcpListener::bind(address).await.with_context(|| address.to_string())?;
-        let zone = self.plan.machines[self.engines.len() % self.plan.machines.len()].zone.clone();
+        let listener = TcpListener::bind(address)
+            .await
+            .with_context(|| address.to_string())?;
+        let zone = self.plan.machines[self.engines.len() % self.plan.machines.len()]
+            .zone
+            .clone();
         let identity = Identity {
             instance: self.identities.instance(),
             backend: backend.to_owned(),
@@ -354,7 +430,10 @@
     }
 
     fn surroundings(&self) -> Surroundings {
-        Surroundings { clock: self.clock, record: self.record.clone() }
+        Surroundings {
+            clock: self.clock,
+            record: self.record.clone(),
+        }
     }
 
     fn beat_pause(&self) -> Duration {
--- a/crates/emulator/src/server/connection.rs
+++ b/crates/emulator/src/server/connection.rs
@@ -44,8 +44,13 @@
     let _place = Place(door.clone());
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
-    let mut connection =
-        Connection { reader: MessageReader::new(read), write: Some(write), door, work, surplus: None };
+    let mut connection = Connection {
+        reader: MessageReader::new(read),
+        write: Some(write),
+        door,
+        work,
+        surplus: None,
+    };
     while connection.serve_one().await {}
 }
 
@@ -62,8 +67,12 @@
     /// Serves one request; false once the connection is to end.
     async fn serve_one(&mut self) -> bool {
         let idle = self.door.settings.idle;
-        let Ok(Ok(head)) = timeout(idle, self.reader.request_head()).await else { return false };
-        let Ok(body) = self.reader.body().await else { return false };
+        let Ok(Ok(head)) = timeout(idle, self.reader.request_head()).await else {
+            return false;
+        };
+        let Ok(body) = self.reader.body().await else {
+            return false;
+        };
         if let Some(surplus) = self.surplus.take() {
             if !self.write_bytes(&surplus).await {
                 return false;
@@ -81,11 +90,16 @@
     async fn health(&mut self, head: &RequestHead) -> bool {
         self.door.probed();
         let status = if self.door.healthy() { 200 } else { 503 };
-        let mut headers = Headers::new().with(name::INSTANCE_ID, self.door.identity.instance.clone());
+        let mut headers =
+            Headers::new().with(name::INSTANCE_ID, self.door.identity.instance.clone());
         if let Some(id) = head.headers.get(name::REQUEST_ID) {
             headers.push(name::REQUEST_ID, id);
         }
-        self.write_bytes(&response_head(status, &headers.with(name::CONTENT_LENGTH, "0"))).await
+        self.write_bytes(&response_head(
+            status,
+            &headers.with(name::CONTENT_LENGTH, "0"),
+        ))
+        .await
     }
 
     async fn report(&mut self) -> bool {
@@ -102,15 +116,30 @@
     }
 
     async fn request(&mut self, head: RequestHead, body: Bytes) -> bool {
-        let id = head.headers.get(name::REQUEST_ID).and_then(RequestId::parse);
+        let id = head
+            .headers
+            .get(name::REQUEST_ID)
+            .and_then(RequestId::parse);
         let sighting = self.sighting(&head, &body, id);
-        let Some(write) = self.write.take() else { return false };
-        let mut reply = Reply::new(self.door.clone(), write, id.unwrap_or(RequestId(0)), sighting);
+        let Some(write) = self.write.take() else {
+            return false;
+        };
+        let mut reply = Reply::new(
+            self.door.clone(),
+            write,
+            id.unwrap_or(RequestId(0)),
+            sighting,
+        );
         let refusal = self.refusal(&head, id).or(reply.ordered_away());
         let done = match (refusal, id) {
             (None, Some(request)) => {
                 let deadline_ms = head.headers.number(name::DEADLINE);
-                let arrived = Arrived { head, body, request, deadline_ms };
+                let arrived = Arrived {
+                    head,
+                    body,
+                    request,
+                    deadline_ms,
+                };
                 tokio::select! {
                     () = self.work.work(arrived, &mut reply) => true,
                     () = self.reader.closed() => false,
--- a/crates/emulator/src/server/door.rs
+++ b/crates/emulator/src/server/door.rs
@@ -112,6 +112,9 @@
     /// A stamp that no other answer has.
     pub(super) fn stamp(&self) -> String {
         let number = self.answers.fetch_add(1, Ordering::SeqCst);
-        format!("{}.{number:x}", self.identity.instance.trim_start_matches("i-"))
+        format!(
+            "{}.{number:x}",
+            self.identity.instance.trim_start_matches("i-")
+        )
     }
 }
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -70,7 +70,9 @@
 impl Listening {
     /// Serves connections of `listener` by `work` behind `door`.
     pub fn start<W: Work>(listener: TcpListener, door: Arc<Door>, work: Arc<W>) -> Listening {
-        Listening { task: tokio::spawn(connection::accept(listener, door, work)) }
+        Listening {
+            task: tokio::spawn(connection::accept(listener, door, work)),
+        }
     }
 }
 
--- a/crates/emulator/src/server/reply.rs
+++ b/crates/emulator/src/server/reply.rs
@@ -41,7 +41,12 @@
 }
 
 impl Reply {
-    pub(super) fn new(door: Arc<Door>, write: OwnedWriteHalf, request: RequestId, sighting: usize) -> Reply {
+    pub(super) fn new(
+        door: Arc<Door>,
+        write: OwnedWriteHalf,
+        request: RequestId,
+        sighting: usize,
+    ) -> Reply {
         let stamp = door.stamp();
         let trouble = door.troubles.draw();
         Reply {
@@ -195,7 +200,9 @@
     }
 
     async fn cut_whole(&mut self, status: u16, body: &Bytes, after: usize) {
-        let headers = self.stamped_headers().with(name::CONTENT_LENGTH, body.len().to_string());
+        let headers = self
+            .stamped_headers()
+            .with(name::CONTENT_LENGTH, body.len().to_string());
         let mut bytes = response_head(status, &headers).to_vec();
         bytes.extend_from_slice(&body[..after.min(body.len().saturating_sub(1))]);
         self.write(&bytes).await;
@@ -234,7 +241,10 @@
         if self.trouble == Some(Trouble::Close) || self.door.leaving() {
             return headers.with(name::CONNECTION, "close");
         }
-        headers.with("Keep-Alive", format!("timeout={}", self.door.settings.idle.as_secs()))
+        headers.with(
+            "Keep-Alive",
+            format!("timeout={}", self.door.settings.idle.as_secs()),
+        )
     }
 
     fn stamped_headers(&self) -> Headers {
--- a/crates/emulator/src/system/addresses.rs
+++ b/crates/emulator/src/system/addresses.rs
@@ -61,7 +61,11 @@
             let first_bytes = [(number >> 8) as u8, number as u8];
             let guard = Ipv4Addr::new(127, first_bytes[0], first_bytes[1], GUARD);
             if let Ok(listener) = TcpListener::bind((guard, ports.guard)) {
-                return Ok(AddressBlock { first_bytes, used: 0, _guard: listener });
+                return Ok(AddressBlock {
+                    first_bytes,
+                    used: 0,
+                    _guard: listener,
+                });
             }
         }
         bail!("no free block of addresses on loopback")
--- a/crates/emulator/src/system/folder.rs
+++ b/crates/emulator/src/system/folder.rs
@@ -17,7 +17,8 @@
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
         let path = std::env::temp_dir().join(format!("{name}-{}-{number}", std::process::id()));
         if path.exists() {
-            std::fs::remove_dir_all(&path).context("a folder that an earlier process left behind")?;
+            std::fs::remove_dir_all(&path)
+                .context("a folder that an earlier process left behind")?;
         }
         std::fs::create_dir_all(&path).context("a temporary folder")?;
         Ok(TemporaryFolder { path })
--- a/crates/emulator/src/system/machine.rs
+++ b/crates/emulator/src/system/machine.rs
@@ -157,14 +157,22 @@
                 return Ok(status);
             }
             anyhow::ensure!(self.child.is_some(), "no process runs");
-            anyhow::ensure!(Instant::now() < until, "{} has not ended after {limit:?}", self.name);
+            anyhow::ensure!(
+                Instant::now() < until,
+                "{} has not ended after {limit:?}",
+                self.name
+            );
             sleep(LOOK_PAUSE).await;
         }
     }
 
     /// What the machine's processes have used so far; of those that ended by themselves it is not known.
     pub fn usage(&self) -> Usage {
-        let present = self.child.as_ref().filter(|_| !self.kill_sent).and_then(|child| usage_of(child.id()));
+        let present = self
+            .child
+            .as_ref()
+            .filter(|_| !self.kill_sent)
+            .and_then(|child| usage_of(child.id()));
         self.used_before.and(present.unwrap_or_default())
     }
 
@@ -188,7 +196,11 @@
 
     pub(super) fn start(&mut self) -> anyhow::Result<()> {
         anyhow::ensure!(self.child.is_none(), "{} runs already", self.name);
-        let log = File::options().create(true).append(true).open(self.log_path()).context("a log file")?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.log_path())
+            .context("a log file")?;
         let child = Command::new(&self.program)
             .arg(self.plan.role.command())
             .env_clear()
@@ -225,7 +237,10 @@
 
     fn signal(&mut self, name: &str) -> anyhow::Result<()> {
         let id = self.child.as_ref().context("no process runs")?.id();
-        let status = Command::new("kill").arg(format!("-{name}")).arg(id.to_string()).status()?;
+        let status = Command::new("kill")
+            .arg(format!("-{name}"))
+            .arg(id.to_string())
+            .status()?;
         anyhow::ensure!(status.success(), "kill -{name} {id}: {status}");
         Ok(())
     }
@@ -245,9 +260,18 @@
     let processor_ms = (ticks(USER_TIME_FIELD)? + ticks(SYSTEM_TIME_FIELD)?) * TICK_MS;
     let line = |name: &str| {
         let value = status.lines().find_map(|line| line.strip_prefix(name))?;
-        value.trim().trim_end_matches(" kB").trim().parse::<u64>().ok()
+        value
+            .trim()
+            .trim_end_matches(" kB")
+            .trim()
+            .parse::<u64>()
+            .ok()
     };
     let peak_memory_kb = line("VmHWM:")?;
     let wake_ups = line("voluntary_ctxt_switches:")?;
-    Some(Usage { processor_ms, peak_memory_kb, wake_ups })
+    Some(Usage {
+        processor_ms,
+        peak_memory_kb,
+        wake_ups,
+    })
 }
--- a/crates/emulator/src/system/mod.rs
+++ b/crates/emulator/src/system/mod.rs
@@ -52,7 +52,14 @@
         let ports = Ports::default();
         let addresses = AddressBlock::reserve(ports)?;
         let folder = TemporaryFolder::new("dunespur-system")?;
-        let mut system = System { plan, ports, addresses, seeds: Vec::new(), machines: Vec::new(), folder };
+        let mut system = System {
+            plan,
+            ports,
+            addresses,
+            seeds: Vec::new(),
+            machines: Vec::new(),
+            folder,
+        };
         for plan in system.plan.machines.clone() {
             system.add(plan)?;
         }
@@ -122,7 +129,10 @@
     /// Places of machines of a kind.
     pub fn places(&self, wanted: impl Fn(&MachinePlan) -> bool) -> Vec<usize> {
         let machines = self.machines.iter().enumerate();
-        machines.filter(|(_, machine)| wanted(machine.plan())).map(|(index, _)| index).collect()
+        machines
+            .filter(|(_, machine)| wanted(machine.plan()))
+            .map(|(index, _)| index)
+            .collect()
     }
 
     /// `control` addresses of all gateways.
@@ -173,10 +183,16 @@
             }
             let name = self.machines[index].name().to_owned();
             if let Some(status) = self.machines[index].ended() {
-                bail!("{name} ended by itself: {status}\n{}", self.machines[index].log_tail());
+                bail!(
+                    "{name} ended by itself: {status}\n{}",
+                    self.machines[index].log_tail()
+                );
             }
             if Instant::now() > until {
-                bail!("{name} is not ready after {limit:?}\n{}", self.machines[index].log_tail());
+                bail!(
+                    "{name} is not ready after {limit:?}\n{}",
+                    self.machines[index].log_tail()
+                );
             }
             sleep(LOOK_PAUSE).await;
         }
@@ -189,8 +205,10 @@
 
     /// The ends of all logs.
     pub fn log_tails(&self) -> String {
-        let tails =
-            self.machines.iter().map(|machine| format!("--- {} ---\n{}", machine.name(), machine.log_tail()));
+        let tails = self
+            .machines
+            .iter()
+            .map(|machine| format!("--- {} ---\n{}", machine.name(), machine.log_tail()));
         tails.collect::<Vec<_>>().join("\n")
     }
 
@@ -200,15 +218,26 @@
     }
 
     fn of_gateways(&self, port: u16) -> Vec<SocketAddr> {
-        let gateways = self.machines.iter().filter(|machine| machine.plan().role != Role::Store);
-        gateways.map(|machine| SocketAddr::new(machine.ip(), port)).collect()
+        let gateways = self
+            .machines
+            .iter()
+            .filter(|machine| machine.plan().role != Role::Store);
+        gateways
+            .map(|machine| SocketAddr::new(machine.ip(), port))
+            .collect()
     }
 
     fn add(&mut self, plan: MachinePlan) -> anyhow::Result<usize> {
         let index = self.machines.len();
         let ip = self.addresses.next()?;
         let folder = self.folder.path().join(plan.name(index));
-        self.machines.push(Machine::new(plan, index, ip, folder, self.plan.program.clone())?);
+        self.machines.push(Machine::new(
+            plan,
+            index,
+            ip,
+            folder,
+            self.plan.program.clone(),
+        )?);
         Ok(index)
     }
 
--- a/crates/emulator/src/system/settings.rs
+++ b/crates/emulator/src/system/settings.rs
@@ -38,7 +38,10 @@
 
 impl MachinePlan {
     pub fn new(role: Role, zone: &str) -> MachinePlan {
-        MachinePlan { role, zone: zone.to_owned() }
+        MachinePlan {
+            role,
+            zone: zone.to_owned(),
+        }
     }
 
     /// The machine's name, by its number in the system.
@@ -67,10 +70,21 @@
             "front": at(ports.front), "ready": at(ports.ready), "control": at(ports.control),
         }),
     };
-    let serves = if role == Role::Store { json!(["storage"]) } else { json!(["front", "control"]) };
-    let class = if role == Role::Store { "storage" } else { "front" };
-    let zones: serde_json::Map<_, _> =
-        system.machines.iter().map(|plan| (plan.zone.clone(), json!("region"))).collect();
+    let serves = if role == Role::Store {
+        json!(["storage"])
+    } else {
+        json!(["front", "control"])
+    };
+    let class = if role == Role::Store {
+        "storage"
+    } else {
+        "front"
+    };
+    let zones: serde_json::Map<_, _> = system
+        .machines
+        .iter()
+        .map(|plan| (plan.zone.clone(), json!("region")))
+        .collect();
     let disk = (role != Role::Gateway).then(|| machine.data_folder().display().to_string());
     json!({
         "node": machine.name(),
--- a/crates/emulator/src/wire/body.rs
+++ b/crates/emulator/src/wire/body.rs
@@ -40,7 +40,9 @@
     }
     match (encoding, length) {
         (Some(_), Some(_)) => None,
-        (Some(encoding), None) if encoding.eq_ignore_ascii_case("chunked") => Some(Some(Framing::Chunked)),
+        (Some(encoding), None) if encoding.eq_ignore_ascii_case("chunked") => {
+            Some(Some(Framing::Chunked))
+        }
         (Some(_), None) => None,
         (None, Some(length)) => Some(Some(Framing::Length(length.parse().ok()?))),
         (None, None) => Some(None),
--- a/crates/emulator/src/wire/event.rs
+++ b/crates/emulator/src/wire/event.rs
@@ -41,7 +41,10 @@
                 _ => {}
             }
         }
-        Some(Event { id: id?, data: data? })
+        Some(Event {
+            id: id?,
+            data: data?,
+        })
     }
 }
 
@@ -63,9 +66,14 @@
 
     /// The next whole event, or what stands in its place.
     pub fn take(&mut self) -> Option<Result<Event, GarbledEvent>> {
-        let end = self.buffer.windows(2).position(|window| window == b"\n\n")?;
+        let end = self
+            .buffer
+            .windows(2)
+            .position(|window| window == b"\n\n")?;
         let block = self.buffer.split_to(end + 2);
-        let event = std::str::from_utf8(&block[..end]).ok().and_then(Event::parse);
+        let event = std::str::from_utf8(&block[..end])
+            .ok()
+            .and_then(Event::parse);
         Some(event.ok_or(GarbledEvent))
     }
 
--- a/crates/emulator/src/wire/headers.rs
+++ b/crates/emulator/src/wire/headers.rs
@@ -18,7 +18,10 @@
 
     /// Adds a line at the end.
     pub fn push(&mut self, name: &str, value: impl Into<String>) {
-        self.0.push(Header { name: name.to_owned(), value: value.into() });
+        self.0.push(Header {
+            name: name.to_owned(),
+            value: value.into(),
+        });
     }
 
     /// The same with one more line.
@@ -38,7 +41,10 @@
 
     /// All lines of that name.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        self.0.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value.as_str())
+        self.0
+            .iter()
+            .filter(move |h| h.name.eq_ignore_ascii_case(name))
+            .map(|h| h.value.as_str())
     }
 
     /// The value as a number.
@@ -81,7 +87,11 @@
         if version != "HTTP/1.1" || first.next().is_some() || !target.starts_with('/') {
             return None;
         }
-        Some(RequestHead { method, target, headers: headers(lines)? })
+        Some(RequestHead {
+            method,
+            target,
+            headers: headers(lines)?,
+        })
     }
 }
 
@@ -91,7 +101,10 @@
         let mut lines = text.split("\r\n");
         let first = lines.next()?.strip_prefix("HTTP/1.1 ")?;
         let status = first.get(..3)?.parse().ok()?;
-        Some(ResponseHead { status, headers: headers(lines)? })
+        Some(ResponseHead {
+            status,
+            headers: headers(lines)?,
+        })
     }
 }
 
--- a/crates/emulator/src/wire/reader.rs
+++ b/crates/emulator/src/wire/reader.rs
@@ -62,7 +62,11 @@
 
 impl<R: AsyncRead + Unpin> MessageReader<R> {
     pub fn new(stream: R) -> Self {
-        MessageReader { stream, buffer: BytesMut::new(), rest: Rest::Nothing }
+        MessageReader {
+            stream,
+            buffer: BytesMut::new(),
+            rest: Rest::Nothing,
+        }
     }
 
     /// The next request's head; the body is then read by [`Self::piece`] or [`Self::body`].
@@ -78,7 +82,8 @@
     pub async fn response_head(&mut self) -> Result<ResponseHead, WireError> {
         let bytes = self.head_bytes().await?;
         let head = ResponseHead::parse(&bytes).ok_or(WireError::Garbled("an answer's head"))?;
-        let framing = Framing::of_response(&head).ok_or(WireError::Garbled("an answer's length"))?;
+        let framing =
+            Framing::of_response(&head).ok_or(WireError::Garbled("an answer's length"))?;
         self.expect_body(framing);
         Ok(head)
     }
@@ -147,7 +152,11 @@
             }
             let begun = !self.buffer.is_empty();
             if self.fill().await? == 0 {
-                return Err(if begun { WireError::BrokenOff } else { WireError::Ended });
+                return Err(if begun {
+                    WireError::BrokenOff
+                } else {
+                    WireError::Ended
+                });
             }
         }
     }
@@ -156,7 +165,10 @@
         if self.buffer.is_empty() && self.fill().await? == 0 {
             return Err(WireError::BrokenOff);
         }
-        let taken = self.buffer.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+        let taken = self
+            .buffer
+            .len()
+            .min(usize::try_from(left).unwrap_or(usize::MAX));
         self.rest = rest(left - taken as u64);
         Ok(self.buffer.split_to(taken).freeze())
     }
@@ -165,7 +177,8 @@
         let line = self.line().await?;
         let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
         let digits = std::str::from_utf8(digits).unwrap_or_default();
-        let length = u64::from_str_radix(digits, 16).map_err(|_| WireError::Garbled("a chunk's length"))?;
+        let length =
+            u64::from_str_radix(digits, 16).map_err(|_| WireError::Garbled("a chunk's length"))?;
         if length > 0 {
             self.rest = Rest::Chunk(length);
             return Ok(());
@@ -210,10 +223,15 @@
     }
 
     async fn fill(&mut self) -> Result<usize, WireError> {
-        self.stream.read_buf(&mut self.buffer).await.map_err(|error| WireError::Failed(error.kind()))
+        self.stream
+            .read_buf(&mut self.buffer)
+            .await
+            .map_err(|error| WireError::Failed(error.kind()))
     }
 }
 
 fn find(bytes: &[u8], wanted: &[u8]) -> Option<usize> {
-    bytes.windows(wanted.len()).position(|window| window == wanted)
+    bytes
+        .windows(wanted.len())
+        .position(|window| window == wanted)
 }
--- a/crates/emulator/tests/batch.rs
+++ b/crates/emulator/tests/batch.rs
@@ -7,7 +7,11 @@
 }
 
 fn prompt(parts: &[Part], most: u64, priority: u8) -> Prompt {
-    Prompt { parts: parts.to_vec(), most, priority }
+    Prompt {
+        parts: parts.to_vec(),
+        most,
+        priority,
+    }
 }
 
 fn batch(slots: usize, queue: usize, memory: u64) -> Batch {
@@ -20,7 +24,13 @@
     let mut took = 0;
     while let Some(duration) = batch.begin_step() {
         took += duration;
-        ended.extend(batch.finish_step().into_iter().filter(|produced| produced.last).map(|p| p.ticket));
+        ended.extend(
+            batch
+                .finish_step()
+                .into_iter()
+                .filter(|produced| produced.last)
+                .map(|p| p.ticket),
+        );
         assert!(took < 60_000_000, "the batch does not come to an end");
     }
     (ended, took)
@@ -30,7 +40,9 @@
 fn a_prompt_is_read_once_and_kept_for_the_next() {
     let mut batch = batch(2, 2, 10_000);
     let shared = part(1, 1_000);
-    batch.enqueue(prompt(&[shared, part(2, 100)], 5, 5)).unwrap();
+    batch
+        .enqueue(prompt(&[shared, part(2, 100)], 5, 5))
+        .unwrap();
     let (_, first) = run(&mut batch);
     assert_eq!(batch.tokens_read(), 1_100);
     batch.enqueue(prompt(&[shared, part(3, 50)], 5, 5)).unwrap();
@@ -45,7 +57,10 @@
     memory.take(&[part(1, 100), part(2, 100)]).unwrap();
     assert_eq!(memory.look(&[part(1, 100), part(2, 100)]).to_read, 0);
     assert_eq!(memory.look(&[part(9, 10), part(2, 100)]).to_read, 110);
-    assert_eq!(memory.look(&[part(1, 100), part(9, 10), part(2, 100)]).kept, 100);
+    assert_eq!(
+        memory.look(&[part(1, 100), part(9, 10), part(2, 100)]).kept,
+        100
+    );
 }
 
 #[test]
@@ -90,8 +105,9 @@
 #[test]
 fn memory_that_runs_out_makes_the_newest_give_way_and_all_end() {
     let mut batch = batch(3, 3, 400);
-    let tickets: Vec<Ticket> =
-        (1..=3).map(|id| batch.enqueue(prompt(&[part(id, 100)], 90, 5)).unwrap()).collect();
+    let tickets: Vec<Ticket> = (1..=3)
+        .map(|id| batch.enqueue(prompt(&[part(id, 100)], 90, 5)).unwrap())
+        .collect();
     let (ended, _) = run(&mut batch);
     assert!(batch.preempted() > 0);
     assert_eq!(ended.len(), 3);
@@ -109,7 +125,11 @@
     batch.cancel(running);
     assert_eq!((batch.running(), batch.waiting()), (0, 0));
     assert_eq!(batch.memory().in_use(), 0);
-    assert_eq!(batch.memory().look(&[part(1, 5_000)]).kept, 0, "a part that was not read whole is not kept");
+    assert_eq!(
+        batch.memory().look(&[part(1, 5_000)]).kept,
+        0,
+        "a part that was not read whole is not kept"
+    );
 }
 
 /// Random requests, cancellations and steps: nothing is held once all have ended, and all end.
@@ -117,17 +137,25 @@
 fn random_batches_come_to_rest() {
     for seed in 0..200 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut batch = batch(random.usize(1..6), random.usize(0..4), random.u64(300..2_000));
+        let mut batch = batch(
+            random.usize(1..6),
+            random.usize(0..4),
+            random.u64(300..2_000),
+        );
         let mut tickets = Vec::new();
         for _ in 0..100 {
             match random.u8(0..4) {
                 0 => {
-                    let parts: Vec<Part> =
-                        (0..random.u64(1..4)).map(|_| random.u64(0..8)).map(|id| part(id, 20 + id)).collect();
+                    let parts: Vec<Part> = (0..random.u64(1..4))
+                        .map(|_| random.u64(0..8))
+                        .map(|id| part(id, 20 + id))
+                        .collect();
                     let asked = prompt(&parts, random.u64(1..60), random.u8(0..10));
                     tickets.extend(batch.enqueue(asked));
                 }
-                1 if !tickets.is_empty() => batch.cancel(tickets.swap_remove(random.usize(..tickets.len()))),
+                1 if !tickets.is_empty() => {
+                    batch.cancel(tickets.swap_remove(random.usize(..tickets.len())))
+                }
                 _ => {
                     if batch.begin_step().is_some() {
                         batch.finish_step();
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -25,7 +25,12 @@
 }
 
 fn version(generation: u64, routes: Vec<RoutePlan>) -> ConfigurationPlan {
-    ConfigurationPlan { generation, routes, services: Vec::new(), limits: LimitsPlan::default() }
+    ConfigurationPlan {
+        generation,
+        routes,
+        services: Vec::new(),
+        limits: LimitsPlan::default(),
+    }
 }
 
 /// One request as its server and its client saw it.
@@ -35,11 +40,19 @@
 }
 
 fn events() -> Vec<Event> {
-    (0..4).map(|id| Event { id, data: format!("piece {id}") }).collect()
+    (0..4)
+        .map(|id| Event {
+            id,
+            data: format!("piece {id}"),
+        })
+        .collect()
 }
 
 fn stream_body() -> Bytes {
-    events().iter().flat_map(|event| event.bytes().to_vec()).collect()
+    events()
+        .iter()
+        .flat_map(|event| event.bytes().to_vec())
+        .collect()
 }
 
 fn sighting(id: u64, target: &str, backend: &str, body: &[u8]) -> Sighting {
@@ -102,7 +115,10 @@
         outcome: TryOutcome::Answered(answered(id, 200, b"answer")),
         moments: Moments::default(),
     };
-    Exchange { sightings: vec![sighting(id, target, backend, b"asked")], attempt }
+    Exchange {
+        sightings: vec![sighting(id, target, backend, b"asked")],
+        attempt,
+    }
 }
 
 /// A turn of a program with four events of three tokens.
@@ -136,8 +152,10 @@
 }
 
 fn broken(exchanges: Vec<Exchange>) -> Vec<Rule> {
-    let mut rules: Vec<Rule> =
-        judge(&record_of(exchanges), &terms()).into_iter().map(|violation| violation.rule).collect();
+    let mut rules: Vec<Rule> = judge(&record_of(exchanges), &terms())
+        .into_iter()
+        .map(|violation| violation.rule)
+        .collect();
     rules.sort();
     rules.dedup();
     rules
@@ -167,7 +185,14 @@
 #[test]
 fn honest_exchanges_break_nothing() {
     assert_eq!(changed(|_| {}), []);
-    assert_eq!(broken(vec![turn(1, None), turn(2, Some(1)), exchange(3, "/lookup/x", "tools")]), []);
+    assert_eq!(
+        broken(vec![
+            turn(1, None),
+            turn(2, Some(1)),
+            exchange(3, "/lookup/x", "tools")
+        ]),
+        []
+    );
     assert_eq!(changed(|it| it.attempt.outcome = TryOutcome::Closed), []);
     assert_eq!(changed(|it| it.attempt.outcome = TryOutcome::GivenUp), []);
 }
@@ -176,25 +201,52 @@
 fn an_answer_that_is_not_the_servers_is_mixed() {
     let mixed = [Rule::Mixed];
     assert_eq!(changed(|it| answer_of(it).stamp = None), mixed);
-    assert_eq!(changed(|it| answer_of(it).stamp = Some("another".to_owned())), mixed);
-    assert_eq!(changed(|it| answer_of(it).digest = Digest::of(b"answe")), mixed);
-    assert_eq!(changed(|it| answer_of(it).request = Some(RequestId(9))), mixed);
-    assert_eq!(changed(|it| answer_of(it).encoding = Some("gzip".to_owned())), mixed);
+    assert_eq!(
+        changed(|it| answer_of(it).stamp = Some("another".to_owned())),
+        mixed
+    );
+    assert_eq!(
+        changed(|it| answer_of(it).digest = Digest::of(b"answe")),
+        mixed
+    );
+    assert_eq!(
+        changed(|it| answer_of(it).request = Some(RequestId(9))),
+        mixed
+    );
+    assert_eq!(
+        changed(|it| answer_of(it).encoding = Some("gzip".to_owned())),
+        mixed
+    );
     assert_eq!(changed(|it| answer_of(it).surplus = 1), mixed);
     assert_eq!(changed(|it| answer_of(it).status = 201), mixed);
     assert_eq!(changed(|it| answer_of(it).status = 502), mixed);
     assert_eq!(changed(|it| it.sightings[0].status = Some(500)), mixed);
     assert_eq!(changed(|it| it.sightings[0].whole = false), mixed);
-    assert_eq!(changed(|it| it.attempt.outcome = TryOutcome::Garbled("x".to_owned())), mixed);
+    assert_eq!(
+        changed(|it| it.attempt.outcome = TryOutcome::Garbled("x".to_owned())),
+        mixed
+    );
 }
 
 #[test]
 fn a_request_that_no_client_sent_so_is_unasked() {
     let unasked = [Rule::Unasked];
-    assert_eq!(changed(|it| it.sightings[0].digest = Digest::of(b"aske")), unasked);
-    assert_eq!(changed(|it| it.sightings[0].method = "PUT".to_owned()), unasked);
-    assert_eq!(changed(|it| it.sightings[0].target = "/record/x?y".to_owned()), unasked);
-    let unknown = |it: &mut Exchange| it.sightings.push(sighting(7, "/record/x", "tools", b"asked"));
+    assert_eq!(
+        changed(|it| it.sightings[0].digest = Digest::of(b"aske")),
+        unasked
+    );
+    assert_eq!(
+        changed(|it| it.sightings[0].method = "PUT".to_owned()),
+        unasked
+    );
+    assert_eq!(
+        changed(|it| it.sightings[0].target = "/record/x?y".to_owned()),
+        unasked
+    );
+    let unknown = |it: &mut Exchange| {
+        it.sightings
+            .push(sighting(7, "/record/x", "tools", b"asked"))
+    };
     assert_eq!(changed(unknown), unasked);
     let invented = turn(2, Some(77));
     assert_eq!(broken(vec![invented]), unasked);
@@ -221,7 +273,11 @@
 #[test]
 fn a_promise_that_is_not_kept_is_refused() {
     for status in [402, 408, 421, 429, 503] {
-        assert_eq!(changed(|it| refuse(it, status)), [Rule::Refused], "{status}");
+        assert_eq!(
+            changed(|it| refuse(it, status)),
+            [Rule::Refused],
+            "{status}"
+        );
         let turned_away = |it: &mut Exchange| {
             refuse(it, status);
             it.sightings[0].fate = Fate::TurnedAway;
@@ -233,7 +289,10 @@
 
 #[test]
 fn a_service_that_no_route_leads_to_is_route() {
-    assert_eq!(changed(|it| it.sightings[0].backend = "models".to_owned()), [Rule::Route]);
+    assert_eq!(
+        changed(|it| it.sightings[0].backend = "models".to_owned()),
+        [Rule::Route]
+    );
 }
 
 #[test]
@@ -312,12 +371,19 @@
         next.attempt.ended_ms = ended_ms;
         next
     };
-    assert_eq!(broken(vec![turn(1, None), asked_later(59_000)]), [Rule::Lost]);
+    assert_eq!(
+        broken(vec![turn(1, None), asked_later(59_000)]),
+        [Rule::Lost]
+    );
     assert_eq!(broken(vec![turn(1, None), asked_later(61_000)]), []);
     let mut cut = turn(1, None);
     let beginning = answer_of(&mut cut).clone();
     cut.attempt.outcome = TryOutcome::BrokenOff(beginning);
-    assert_eq!(broken(vec![cut, asked_later(1_000)]), [], "only turns answered whole are kept");
+    assert_eq!(
+        broken(vec![cut, asked_later(1_000)]),
+        [],
+        "only turns answered whole are kept"
+    );
 }
 
 #[test]
@@ -333,7 +399,10 @@
         let record = record_of(vec![late]);
         let instance = "i-tools".to_owned();
         record.acknowledged(50, 40, Acknowledged::Draining { instance });
-        judge(&record, &terms()).iter().map(|violation| violation.rule).collect::<Vec<_>>()
+        judge(&record, &terms())
+            .iter()
+            .map(|violation| violation.rule)
+            .collect::<Vec<_>>()
     };
     assert_eq!(came(50 + DRAIN_MS, 200), []);
     assert_eq!(came(51 + DRAIN_MS, 200), [Rule::Drain]);
@@ -355,8 +424,15 @@
     exchange.attempt.sent_ms = ACKNOWLEDGED_MS + sent_after_ms;
     let record = record_of(vec![exchange]);
     record.acknowledged(500, 400, Acknowledged::Configuration { generation: 1 });
-    record.acknowledged(ACKNOWLEDGED_MS, 900, Acknowledged::Configuration { generation: 2 });
-    judge(&record, terms).iter().map(|violation| violation.rule).collect()
+    record.acknowledged(
+        ACKNOWLEDGED_MS,
+        900,
+        Acknowledged::Configuration { generation: 2 },
+    );
+    judge(&record, terms)
+        .iter()
+        .map(|violation| violation.rule)
+        .collect()
 }
 
 #[test]
@@ -377,9 +453,18 @@
     for old in [old_service(), dropped_route(), unknown_route()] {
         assert_eq!(after_second(old, late, &terms), [Rule::Config]);
     }
-    assert_eq!(after_second(exchange(1, "/record/x", "models"), late, &terms), []);
-    let unrest = vec![Span { from_ms: 1_000, to_ms: 9_000 }];
-    assert_eq!(after_second(old_service(), late, &Terms { unrest, ..terms }), []);
+    assert_eq!(
+        after_second(exchange(1, "/record/x", "models"), late, &terms),
+        []
+    );
+    let unrest = vec![Span {
+        from_ms: 1_000,
+        to_ms: 9_000,
+    }];
+    assert_eq!(
+        after_second(old_service(), late, &Terms { unrest, ..terms }),
+        []
+    );
 }
 
 #[test]
@@ -393,7 +478,10 @@
         let front = cut.attempt.front;
         let record = record_of(vec![cut]);
         record.acknowledged(1_000, 1_000, Acknowledged::Terminated { front });
-        judge(&record, &terms()).iter().map(|violation| violation.rule).collect::<Vec<_>>()
+        judge(&record, &terms())
+            .iter()
+            .map(|violation| violation.rule)
+            .collect::<Vec<_>>()
     };
     assert_eq!(cut(2_000, |_| {}), [Rule::Lost]);
     assert_eq!(cut(999, |_| {}), []);
@@ -409,6 +497,9 @@
     let front = in_trouble.attempt.front;
     let record = record_of(vec![in_trouble]);
     record.acknowledged(1_000, 1_000, Acknowledged::Terminated { front });
-    let unrest = vec![Span { from_ms: 1_500, to_ms: 1_600 }];
+    let unrest = vec![Span {
+        from_ms: 1_500,
+        to_ms: 1_600,
+    }];
     assert_eq!(judge(&record, &Terms { unrest, ..terms() }), []);
 }
--- a/crates/emulator/tests/wire.rs
+++ b/crates/emulator/tests/wire.rs
@@ -4,7 +4,10 @@
 
 /// Reads one answer out of `bytes`, handed over in pieces of `size`.
 async fn answer(bytes: &[u8], size: usize) -> Result<(u16, Vec<u8>), WireError> {
-    let mut builder = Pieces { left: bytes.to_vec(), size };
+    let mut builder = Pieces {
+        left: bytes.to_vec(),
+        size,
+    };
     let mut reader = MessageReader::new(&mut builder);
     let head = reader.response_head().await?;
     let body = reader.body().await?;
@@ -33,7 +36,10 @@
 async fn whole_answers_are_read_whatever_the_pieces() {
     let cases: [(&str, &str); 4] = [
         ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", "hello"),
-        ("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n", "hello"),
+        (
+            "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n",
+            "hello",
+        ),
         ("HTTP/1.1 200 OK\r\n\r\nhello", "hello"),
         ("HTTP/1.1 204 No Content\r\n\r\n", ""),
     ];
@@ -53,7 +59,9 @@
     ];
     for bytes in whole {
         for length in 1..bytes.len() {
-            let error = answer(&bytes.as_bytes()[..length], 7).await.expect_err(&bytes[..length]);
+            let error = answer(&bytes.as_bytes()[..length], 7)
+                .await
+                .expect_err(&bytes[..length]);
             assert_eq!(error, WireError::BrokenOff, "{:?}", &bytes[..length]);
         }
     }
@@ -82,11 +90,23 @@
 #[test]
 fn events_come_out_as_they_were_put_in() {
     let events = [
-        Event { id: 3, data: "one".to_owned() },
-        Event { id: 7, data: "two\nlines".to_owned() },
-        Event { id: 8, data: String::new() },
+        Event {
+            id: 3,
+            data: "one".to_owned(),
+        },
+        Event {
+            id: 7,
+            data: "two\nlines".to_owned(),
+        },
+        Event {
+            id: 8,
+            data: String::new(),
+        },
     ];
-    let bytes: Vec<u8> = events.iter().flat_map(|event| event.bytes().to_vec()).collect();
+    let bytes: Vec<u8> = events
+        .iter()
+        .flat_map(|event| event.bytes().to_vec())
+        .collect();
     for size in 1..bytes.len() {
         let mut reader = EventReader::default();
         let mut read = Vec::new();
@@ -103,7 +123,12 @@
 
 #[test]
 fn a_block_without_id_or_data_is_no_event() {
-    for block in ["data: x\n\n", "id: 1\n\n", "id: x\ndata: y\n\n", "hello\n\n"] {
+    for block in [
+        "data: x\n\n",
+        "id: 1\n\n",
+        "id: x\ndata: y\n\n",
+        "hello\n\n",
+    ] {
         let mut reader = EventReader::default();
         reader.push(block.as_bytes());
         assert_eq!(reader.take(), Some(Err(GarbledEvent)), "{block:?}");
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -37,8 +37,14 @@
 
 impl Counter {
     pub fn new(address: Option<SocketAddr>, dial: Duration, connections: usize) -> Self {
-        let queues = (0..connections.max(1)).map(|_| CallQueue::default()).collect();
-        Counter { address: Cell::new(address), dial, queues }
+        let queues = (0..connections.max(1))
+            .map(|_| CallQueue::default())
+            .collect();
+        Counter {
+            address: Cell::new(address),
+            dial,
+            queues,
+        }
     }
 
     pub fn address(&self) -> Option<SocketAddr> {
@@ -52,7 +58,10 @@
     pub fn call(&self, call: u64, name: u64, add: f64, life: f64) {
         // A name keeps to its connection, so that its totals come in the order of its calls.
         let queue = &self.queues[(name % self.queues.len() as u64) as usize];
-        queue.unwritten.borrow_mut().push_back((call, encode_count(name, add, life)));
+        queue
+            .unwritten
+            .borrow_mut()
+            .push_back((call, encode_count(name, add, life)));
         queue.more.notify_one();
     }
 
@@ -64,7 +73,11 @@
             let at = unwritten.iter().position(|c| c.0 == call);
             at.and_then(|at| unwritten.remove(at)).is_some()
         });
-        let counted = if never { Counted::Refused } else { Counted::Silent };
+        let counted = if never {
+            Counted::Refused
+        } else {
+            Counted::Silent
+        };
         hub.tell(Event::Counted { call, counted });
     }
 
@@ -80,7 +93,10 @@
     fn refuse(&self, hub: &Rc<Hub>) {
         let unwritten = std::mem::take(&mut *self.unwritten.borrow_mut());
         for (call, _) in unwritten {
-            hub.tell(Event::Counted { call, counted: Counted::Refused });
+            hub.tell(Event::Counted {
+                call,
+                counted: Counted::Refused,
+            });
         }
     }
 }
@@ -143,7 +159,15 @@
 impl Link {
     fn new(address: SocketAddr, stream: TcpStream) -> Self {
         let (part, written, buffer) = (None, VecDeque::new(), BytesMut::with_capacity(4096));
-        Link { address, stream, part, written, buffer, heard: Instant::now(), leaving: false }
+        Link {
+            address,
+            stream,
+            part,
+            written,
+            buffer,
+            heard: Instant::now(),
+            leaving: false,
+        }
     }
 
     /// Writes and reads until the connection breaks or the counter has moved, says whether it has; after
@@ -159,7 +183,8 @@
                 return false;
             }
             let waiting = !self.written.is_empty();
-            let unwritten = self.part.is_some() || (!self.leaving && !queue.unwritten.borrow().is_empty());
+            let unwritten =
+                self.part.is_some() || (!self.leaving && !queue.unwritten.borrow().is_empty());
             if self.leaving && !waiting && !unwritten {
                 return false;
             }
@@ -211,7 +236,9 @@
             if self.part.is_none() && !self.leaving {
                 self.part = queue.unwritten.borrow_mut().pop_front();
             }
-            let Some((call, bytes)) = &mut self.part else { return Ok(()) };
+            let Some((call, bytes)) = &mut self.part else {
+                return Ok(());
+            };
             match self.stream.try_write(bytes) {
                 Ok(n) if n < bytes.len() => bytes.advance(n),
                 Ok(_) => {
@@ -227,10 +254,16 @@
     /// The connection is gone: says of each call on it how far it had come.
     fn broken(&mut self, hub: &Rc<Hub>) {
         for call in self.written.drain(..) {
-            hub.tell(Event::Counted { call, counted: Counted::Silent });
+            hub.tell(Event::Counted {
+                call,
+                counted: Counted::Silent,
+            });
         }
         if let Some((call, _)) = self.part.take() {
-            hub.tell(Event::Counted { call, counted: Counted::Refused });
+            hub.tell(Event::Counted {
+                call,
+                counted: Counted::Refused,
+            });
         }
     }
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -51,7 +51,15 @@
         let (moved, wanted) = (Notify::new(), Notify::new());
         let (address, revision) = (Cell::new(address), Cell::new(revision));
         let (relayed, tap) = (Cell::new(false), RefCell::default());
-        Discovery { address, moved, on_request, revision, wanted, relayed, tap }
+        Discovery {
+            address,
+            moved,
+            on_request,
+            revision,
+            wanted,
+            relayed,
+            tap,
+        }
     }
 
     /// From now on the list is watched at this address.
@@ -118,7 +126,11 @@
                 }
             };
             log::debug!("discovery: {fault}");
-            again = if watch.signs.spoke.get().is_some() { AGAIN } else { (again * 2).min(LONGEST) };
+            again = if watch.signs.spoke.get().is_some() {
+                AGAIN
+            } else {
+                (again * 2).min(LONGEST)
+            };
             if fault == Fault::Silent && watch.signs.asked.get() {
                 silent = Some(watch);
             }
@@ -144,10 +156,14 @@
     /// Follows one watch to its end; what it says of itself are its signs.
     async fn follow(&self, hub: &Rc<Hub>, address: SocketAddr, signs: &Signs) -> Fault {
         let connect = async {
-            let stream = TcpStream::connect(address).await.map_err(|_| Fault::NotConnected)?;
+            let stream = TcpStream::connect(address)
+                .await
+                .map_err(|_| Fault::NotConnected)?;
             let _ = stream.set_nodelay(true);
             let io = TokioIo::new(stream);
-            hyper::client::conn::http1::handshake(io).await.map_err(|_| Fault::Unwritten)
+            hyper::client::conn::http1::handshake(io)
+                .await
+                .map_err(|_| Fault::Unwritten)
         };
         let (mut sender, connection) = match timeout(ANSWER, connect).await {
             Ok(Ok(pair)) => pair,
@@ -166,7 +182,9 @@
                     if let Some(line) = lines.take()? {
                         break line;
                     }
-                    let Some(Ok(frame)) = body.frame().await else { return Err(Fault::Broken) };
+                    let Some(Ok(frame)) = body.frame().await else {
+                        return Err(Fault::Broken);
+                    };
                     lines.add(frame.data_ref().map_or(&[], |d| d));
                 };
                 let Some(value) = line else {
@@ -223,7 +241,9 @@
 
     /// When it is to be taken for silent.
     fn silent_at(&self) -> Instant {
-        self.spoke.get().map_or(self.begun + ANSWER, |spoke| spoke + SILENCE)
+        self.spoke
+            .get()
+            .map_or(self.begun + ANSWER, |spoke| spoke + SILENCE)
     }
 }
 
@@ -236,9 +256,17 @@
 impl Watch {
     fn open(hub: &Rc<Hub>, address: SocketAddr) -> Self {
         let (asked, spoke, silent) = (Cell::new(false), Cell::new(None), Cell::new(false));
-        let signs = Rc::new(Signs { begun: Instant::now(), asked, spoke, silent });
+        let signs = Rc::new(Signs {
+            begun: Instant::now(),
+            asked,
+            spoke,
+            silent,
+        });
         let (hub, shared) = (hub.clone(), signs.clone());
-        Watch { signs, end: Box::pin(async move { hub.discovery.follow(&hub, address, &shared).await }) }
+        Watch {
+            signs,
+            end: Box::pin(async move { hub.discovery.follow(&hub, address, &shared).await }),
+        }
     }
 
     /// Stands until it ends or is silent. The one before it is let go once this one has asked, and takes its
--- a/crates/gateway/src/fault.rs
+++ b/crates/gateway/src/fault.rs
@@ -61,7 +61,9 @@
             Fault::TooLarge => f.write_str("the body is too large"),
             Fault::Crowded => f.write_str("no memory for one more body, trying again is harmless"),
             Fault::NotConnected => f.write_str("no connection came up"),
-            Fault::Unwritten => f.write_str("the connection broke before the last byte was written"),
+            Fault::Unwritten => {
+                f.write_str("the connection broke before the last byte was written")
+            }
             Fault::Broken => f.write_str("the connection broke after the last byte was written"),
             Fault::Silent => f.write_str("no answer in time"),
             Fault::Withdrawn => f.write_str("no longer wanted"),
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -81,7 +81,13 @@
 impl Tap {
     pub fn new(to: mpsc::UnboundedSender<Told>) -> Self {
         let (waiting, dropped) = (Rc::default(), Rc::default());
-        Tap { to, waiting, dropped, sent: RefCell::default(), calls: RefCell::default() }
+        Tap {
+            to,
+            waiting,
+            dropped,
+            sent: RefCell::default(),
+            calls: RefCell::default(),
+        }
     }
 
     fn tell(&self, told: Told) {
@@ -95,7 +101,9 @@
     pub fn effect(&self, effect: &Effect) {
         match effect {
             Effect::Send(d) => _ = self.sent.borrow_mut().insert((d.num, d.n), d.address),
-            Effect::Count { call, name, add, .. } => _ = self.calls.borrow_mut().insert(*call, (*name, *add)),
+            Effect::Count {
+                call, name, add, ..
+            } => _ = self.calls.borrow_mut().insert(*call, (*name, *add)),
             _ => {}
         }
     }
@@ -103,26 +111,45 @@
     pub fn event(&self, event: &Event) {
         match event {
             Event::Ended { num, n, answered } => {
-                let Some(server) = self.sent.borrow_mut().remove(&(*num, *n)) else { return };
+                let Some(server) = self.sent.borrow_mut().remove(&(*num, *n)) else {
+                    return;
+                };
                 match answered.ending {
-                    Ending::Timeout | Ending::ConnectFailed => {
-                        self.tell(Told::Delivered { server, answered: false })
-                    }
+                    Ending::Timeout | Ending::ConnectFailed => self.tell(Told::Delivered {
+                        server,
+                        answered: false,
+                    }),
                     Ending::Succeeded | Ending::Error | Ending::Full => {
-                        self.tell(Told::Delivered { server, answered: true });
+                        self.tell(Told::Delivered {
+                            server,
+                            answered: true,
+                        });
                     }
                     Ending::Reset | Ending::Cancelled | Ending::Moot => {}
                 }
             }
             Event::Counted { call, counted } => {
-                if *call >= BROKER && self.to.send(Told::Brokered { call: *call, counted: *counted }).is_err()
+                if *call >= BROKER
+                    && self
+                        .to
+                        .send(Told::Brokered {
+                            call: *call,
+                            counted: *counted,
+                        })
+                        .is_err()
                 {
                     return;
                 }
-                let Some((name, add)) = self.calls.borrow_mut().remove(call) else { return };
+                let Some((name, add)) = self.calls.borrow_mut().remove(call) else {
+                    return;
+                };
                 if *counted != Counted::Refused {
                     let answered = matches!(counted, Counted::Total(_));
-                    self.tell(Told::Counted { name, add, answered });
+                    self.tell(Told::Counted {
+                        name,
+                        add,
+                        answered,
+                    });
                 }
             }
             _ => {}
@@ -210,16 +237,30 @@
     ) -> Result<(Self, mpsc::UnboundedReceiver<Disk>), Fault> {
         let now = clock();
         let fail = |e: String| Fault::Config(e);
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let wall = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let wall = ((wall.as_secs_f64() + plan.trial.wall).max(0.0) * 1e3) as u64;
         let run = seed ^ (wall << 20) ^ u64::from(std::process::id());
-        let me = Me { name: name.clone(), run, zone: plan.zone.clone(), machine: plan.machine.clone() };
+        let me = Me {
+            name: name.clone(),
+            run,
+            zone: plan.zone.clone(),
+            machine: plan.machine.clone(),
+        };
         let (saved_tx, saved_rx) = mpsc::unbounded_channel();
         let votes = plan.voters.iter().any(|v| v.0 == name);
         let (mut voter, mut disk, mut out) = (None, None, Vec::new());
         if let Some(path) = plan.disk.as_ref().filter(|_| votes) {
             let (store, saved) = Store::open(path, &plan.duties.fleet, &name).map_err(fail)?;
-            let made = Voter::new(plan.duties.clone(), name.clone(), saved, seed, now, &mut out);
+            let made = Voter::new(
+                plan.duties.clone(),
+                name.clone(),
+                saved,
+                seed,
+                now,
+                &mut out,
+            );
             voter = Some(made.map_err(fail)?);
             let (tx, rx) = std::sync::mpsc::channel::<Batch>();
             let slow = plan.trial.slow_disk.clone();
@@ -248,7 +289,9 @@
             plan.via.clone(),
             inbox,
         );
-        let links = listen.await.map_err(|e| fail(format!("fleet.listen: {}: {e}", plan.listen)))?;
+        let links = listen
+            .await
+            .map_err(|e| fail(format!("fleet.listen: {}: {e}", plan.listen)))?;
         let version = plan.trial.version.unwrap_or(dunespur_peer::VERSION);
         links.version.set(version);
         let member = members::Member {
@@ -264,16 +307,34 @@
         let history = match &plan.trial.history {
             None => None,
             Some(path) => {
-                let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
-                Some(std::io::BufWriter::new(file.map_err(|e| fail(format!("{}: {e}", path.display())))?))
+                let file = std::fs::OpenOptions::new()
+                    .create(true)
+                    .append(true)
+                    .open(path);
+                Some(std::io::BufWriter::new(
+                    file.map_err(|e| fail(format!("{}: {e}", path.display())))?,
+                ))
             }
         };
-        let zone = plan.duties.zones.iter().position(|z| *z == plan.zone).unwrap_or(0) as u32;
-        let slot = plan.duties.range("watch").filter(|r| zone < r.1).map(|r| r.0 + zone);
+        let zone = plan
+            .duties
+            .zones
+            .iter()
+            .position(|z| *z == plan.zone)
+            .unwrap_or(0) as u32;
+        let slot = plan
+            .duties
+            .range("watch")
+            .filter(|r| zone < r.1)
+            .map(|r| r.0 + zone);
         let part = fastrand::f64();
         let relay = slot.map(|slot| (Relay::new(plan.watch.clone(), slot, 0, part, now), slot));
         let broker = Broker::new(plan.lend.clone(), BROKER);
-        let lends = plan.duties.range("lend").map(|r| (r.0, r.1.min(MOST_SHARDS))).filter(|r| r.1 > 0);
+        let lends = plan
+            .duties
+            .range("lend")
+            .map(|r| (r.0, r.1.min(MOST_SHARDS)))
+            .filter(|r| r.1 > 0);
         let lending = lends.map(|range| Lending::new(&plan.lend, range, tell.clone()));
         let mut fleet = Fleet {
             members: Members::new(plan.members.clone(), member, seed, now),
@@ -309,9 +370,14 @@
         };
         fleet.probes = fleet.plan.duties.range("probe").filter(|r| r.1 > 0);
         fleet.audits = fleet.plan.duties.range("audit").filter(|r| r.1 > 0);
-        let few =
-            |r: Option<(Slot, u32)>| r.into_iter().flat_map(|(first, n)| first..first + n.min(MOST_SHARDS));
-        fleet.holder.who = few(fleet.probes).chain(few(fleet.audits)).chain(few(lends)).collect();
+        let few = |r: Option<(Slot, u32)>| {
+            r.into_iter()
+                .flat_map(|(first, n)| first..first + n.min(MOST_SHARDS))
+        };
+        fleet.holder.who = few(fleet.probes)
+            .chain(few(fleet.audits))
+            .chain(few(lends))
+            .collect();
         fleet.note(json!({"line": "started", "t": now, "who": fleet.me.name, "run": run}));
         fleet.take(out, now);
         Ok((fleet, saved_rx))
@@ -331,7 +397,8 @@
         // Bounded by the fleet's size in the file, and by time.
         let most = self.plan.members.size as usize * 2 + 16;
         if !self.places.contains_key(name) && self.places.len() >= most {
-            self.places.retain(|_, p| p.iter().any(|p| p.1 > now - FORGOTTEN));
+            self.places
+                .retain(|_, p| p.iter().any(|p| p.1 > now - FORGOTTEN));
             if self.places.len() >= most {
                 return;
             }
@@ -389,15 +456,19 @@
                     let (duty, shard, _) = self.plan.duties.slot(slot);
                     ::log::info!("fleet: ends {duty} {shard} under {token}");
                     let until = self.holder.last_until();
-                    self.note(json!({"line": "ended", "t": now, "who": who, "run": run, "slot": slot,
-                        "token": token, "until": until}));
+                    self.note(
+                        json!({"line": "ended", "t": now, "who": who, "run": run, "slot": slot,
+                        "token": token, "until": until}),
+                    );
                 }
                 Output::Report { loud, text } => {
                     match loud {
                         true => ::log::warn!("fleet: {text}"),
                         false => ::log::info!("fleet: {text}"),
                     }
-                    self.note(json!({"line": "report", "t": now, "who": who, "loud": loud, "text": text}));
+                    self.note(
+                        json!({"line": "report", "t": now, "who": who, "loud": loud, "text": text}),
+                    );
                 }
             }
         }
@@ -427,7 +498,9 @@
         if let Some((seq, index)) = told.filter(|_| self.history.is_some()) {
             if let Some(asked) = self.holder.asked_at(seq) {
                 let who = self.me.name.clone();
-                self.note(json!({"line": "told", "asked": asked, "t": now, "who": who, "index": index}));
+                self.note(
+                    json!({"line": "told", "asked": asked, "t": now, "who": who, "index": index}),
+                );
             }
         }
         self.take(out, now);
@@ -436,14 +509,20 @@
     fn take_members(&mut self, out: Vec<members::Output>, now: f64) {
         for o in out {
             match o {
-                members::Output::Datagram { to, bytes } => self.links.datagram(to, Kind::Gossip, bytes),
+                members::Output::Datagram { to, bytes } => {
+                    self.links.datagram(to, Kind::Gossip, bytes)
+                }
                 members::Output::Up(m) => ::log::info!("fleet: {} is up at {}", m.name, m.address),
-                members::Output::Down(m) => ::log::info!("fleet: {} at {} is gone", m.name, m.address),
+                members::Output::Down(m) => {
+                    ::log::info!("fleet: {} at {} is gone", m.name, m.address)
+                }
                 members::Output::Doubled { name, runs } => {
                     let text = format!("two living processes have the name {name}");
                     ::log::error!("fleet: {text} (runs {:x} and {:x})", runs.0, runs.1);
                     let who = self.me.name.clone();
-                    self.note(json!({"line": "report", "t": now, "who": who, "loud": true, "text": text}));
+                    self.note(
+                        json!({"line": "report", "t": now, "who": who, "loud": true, "text": text}),
+                    );
                 }
                 members::Output::StoodStill(s) => {
                     ::log::warn!("fleet: this process stood still for {s:.1} s")
@@ -482,10 +561,22 @@
         while !self.lent.is_empty() {
             for o in std::mem::take(&mut self.lent) {
                 match o {
-                    lend::Output::Tell { to, run, slot, seq, answer } => {
+                    lend::Output::Tell {
+                        to,
+                        run,
+                        slot,
+                        seq,
+                        answer,
+                    } => {
                         let token = self.holder.holds(slot, now);
                         let answer = token.map_or(Answer::Not, |_| answer);
-                        let msg = lend::Msg::Told { slot, token: token.unwrap_or(0), run, seq, answer };
+                        let msg = lend::Msg::Told {
+                            slot,
+                            token: token.unwrap_or(0),
+                            run,
+                            seq,
+                            answer,
+                        };
                         if to == self.me.name {
                             self.told(hub, msg, now);
                         } else if let Some(at) = self.places(&to).first() {
@@ -493,7 +584,12 @@
                             self.links.send(*at, Kind::Work, body);
                         }
                     }
-                    lend::Output::Count { call, name, add, life } => {
+                    lend::Output::Count {
+                        call,
+                        name,
+                        add,
+                        life,
+                    } => {
                         hub.call_counter(call, name, add, life);
                     }
                     lend::Output::Abandon { call } => hub.counter.abandon(hub, call),
@@ -504,10 +600,21 @@
 
     /// A broker's answer. One under an older token than was seen is refused; a no changes nothing.
     fn told(&mut self, hub: &Rc<Hub>, msg: lend::Msg, now: f64) {
-        let lend::Msg::Told { slot, token, run, seq, answer } = msg else { return };
+        let lend::Msg::Told {
+            slot,
+            token,
+            run,
+            seq,
+            answer,
+        } = msg
+        else {
+            return;
+        };
         let total = matches!(answer, Answer::Total(_));
         let fits = run == self.me.run && (!total || self.fence.accept(slot, token));
-        let Some(lending) = self.lending.as_ref().filter(|_| fits) else { return };
+        let Some(lending) = self.lending.as_ref().filter(|_| fits) else {
+            return;
+        };
         if let Some(counted) = lending.told(seq, answer) {
             self.holder.progress(slot, now);
             hub.tell(Event::Counted { call: seq, counted });
@@ -521,14 +628,29 @@
             self.broker.ask(&me, run, slot, ask, now, &mut self.lent);
             return self.lend(hub, now);
         }
-        let holder = self.holder.holders.get(&slot).filter(|h| **h != me).cloned();
+        let holder = self
+            .holder
+            .holders
+            .get(&slot)
+            .filter(|h| **h != me)
+            .cloned();
         match holder.and_then(|h| self.places(&h).first().copied()) {
             Some(at) => {
                 let work = Work::Lend(lend::Msg::Ask { slot, run, ask });
-                self.links.send(at, Kind::Work, postcard::to_stdvec(&work).unwrap_or_default());
+                self.links.send(
+                    at,
+                    Kind::Work,
+                    postcard::to_stdvec(&work).unwrap_or_default(),
+                );
             }
             None => {
-                let msg = lend::Msg::Told { slot, token: 0, run, seq: ask.seq, answer: Answer::Not };
+                let msg = lend::Msg::Told {
+                    slot,
+                    token: 0,
+                    run,
+                    seq: ask.seq,
+                    answer: Answer::Not,
+                };
                 self.told(hub, msg, now);
             }
         }
@@ -544,7 +666,13 @@
                     self.broker.ask(from, run, slot, ask, now, &mut self.lent);
                 } else {
                     let (to, seq) = (from.to_owned(), ask.seq);
-                    self.lent.push(lend::Output::Tell { to, run, slot, seq, answer: Answer::Not });
+                    self.lent.push(lend::Output::Tell {
+                        to,
+                        run,
+                        slot,
+                        seq,
+                        answer: Answer::Not,
+                    });
                 }
                 self.lend(hub, now);
             }
@@ -556,7 +684,12 @@
     fn know(&self, now: f64) {
         let Some(lending) = &self.lending else { return };
         let held = self.holder.held(now).map(|h| h.0);
-        let known = self.holder.holders.iter().filter(|h| *h.1 != self.me.name).map(|h| *h.0);
+        let known = self
+            .holder
+            .holders
+            .iter()
+            .filter(|h| *h.1 != self.me.name)
+            .map(|h| *h.0);
         *lending.known.borrow_mut() = held.chain(known).collect();
     }
 
@@ -565,7 +698,13 @@
             Work::Lend(msg) => self.lend_msg(hub, from, msg, now),
             Work::Effect { slot, token } => _ = self.accept(from, slot, token, now),
             Work::Probe(probe::Msg::Complaint { server, .. }) => self.complaint(from, server, now),
-            Work::Probe(probe::Msg::Outcome { slot, token, server, seen, age }) => {
+            Work::Probe(probe::Msg::Outcome {
+                slot,
+                token,
+                server,
+                seen,
+                age,
+            }) => {
                 let known = (0.0..60.0).contains(&age) && server.len() < 64;
                 if known && self.accept(from, slot, token, now) {
                     self.outcome(hub, &server, seen, age, now);
@@ -596,7 +735,9 @@
             true
         } else if let Some(name) = self.holder.holders.get(&slot).cloned() {
             let body = postcard::to_stdvec(&work).unwrap_or_default();
-            self.places(&name).into_iter().for_each(|at| self.links.send(at, Kind::Work, body.clone()));
+            self.places(&name)
+                .into_iter()
+                .for_each(|at| self.links.send(at, Kind::Work, body.clone()));
             true
         } else {
             false
@@ -605,9 +746,16 @@
 
     /// As the duty's holder: someone gave up on a server.
     fn complaint(&mut self, from: &str, server: String, now: f64) {
-        let Some(slot) = self.probe_slot(&server) else { return };
-        let Ok(address) = server.parse::<SocketAddr>() else { return };
-        let listed = self.list.values().any(|m| m["host_port"] == server.as_str());
+        let Some(slot) = self.probe_slot(&server) else {
+            return;
+        };
+        let Ok(address) = server.parse::<SocketAddr>() else {
+            return;
+        };
+        let listed = self
+            .list
+            .values()
+            .any(|m| m["host_port"] == server.as_str());
         // Evidence about a server that is not on the list is none.
         if !listed || self.holder.holds(slot, now).is_none() {
             return;
@@ -623,25 +771,42 @@
 
     /// As the holder: the probe is over; all that are up hear of it, if this one still holds the duty.
     fn probed(&mut self, hub: &Rc<Hub>, server: String, seen: Seen, now: f64) {
-        let Some(slot) = self.probe_slot(&server) else { return };
-        let Some(token) = self.holder.holds(slot, now) else { return };
+        let Some(slot) = self.probe_slot(&server) else {
+            return;
+        };
+        let Some(token) = self.holder.holds(slot, now) else {
+            return;
+        };
         self.holder.progress(slot, now);
         self.outcome(hub, &server, seen, 0.0, now);
-        let work = Work::Probe(probe::Msg::Outcome { slot, token, server, seen, age: 0.0 });
+        let work = Work::Probe(probe::Msg::Outcome {
+            slot,
+            token,
+            server,
+            seen,
+            age: 0.0,
+        });
         let body = postcard::to_stdvec(&work).unwrap_or_default();
         let to: Vec<_> = self.members.living().map(|m| m.address).collect();
-        to.into_iter().for_each(|at| self.links.datagram(at, Kind::Work, body.clone()));
+        to.into_iter()
+            .for_each(|at| self.links.datagram(at, Kind::Work, body.clone()));
     }
 
     /// What a probe saw goes to the module, as far as this limiter's own experience lets it.
     fn outcome(&mut self, hub: &Rc<Hub>, server: &str, seen: Seen, age: f64, now: f64) {
-        let judged = self.complaints.judge(server, seen, age, fastrand::f64(), now, &self.plan.probe);
+        let judged =
+            self.complaints
+                .judge(server, seen, age, fastrand::f64(), now, &self.plan.probe);
         if let (Some(judged), Ok(address)) = (judged, server.parse()) {
             let (bad, pause) = match judged {
                 probe::Judged::Bad(pause) => (true, pause),
                 probe::Judged::Good(pause) => (false, pause),
             };
-            hub.tell(Event::Told { address, bad, pause });
+            hub.tell(Event::Told {
+                address,
+                bad,
+                pause,
+            });
         }
         self.outcomes += 1;
         ::log::info!("fleet: a probe of {server}: {seen:?}");
@@ -660,13 +825,18 @@
         }
         for (slot, uses) in by {
             let names: Vec<u64> = uses.iter().map(|u| u.name).collect();
-            let msg = audit::Msg::Uses { run: self.me.run, uses };
+            let msg = audit::Msg::Uses {
+                run: self.me.run,
+                uses,
+            };
             if !self.tell_holder(hub, slot, Work::Audit { slot, msg }, now) {
                 self.tally.unsaid(names.into_iter());
             }
         }
         let due = self.auditor.due(now, &self.plan.audit);
-        let Some(counter) = hub.counter.address().filter(|_| !due.is_empty()) else { return };
+        let Some(counter) = hub.counter.address().filter(|_| !due.is_empty()) else {
+            return;
+        };
         let tell = self.tell.clone();
         tokio::task::spawn_local(async move {
             for names in due.chunks(MOST_READ) {
@@ -679,12 +849,15 @@
     }
 
     fn total(&mut self, name: u64, total: f64, now: f64) {
-        let Some(slot) = Fleet::shard(self.audits, name).filter(|s| self.holder.holds(*s, now).is_some())
+        let Some(slot) =
+            Fleet::shard(self.audits, name).filter(|s| self.holder.holds(*s, now).is_some())
         else {
             return;
         };
         self.holder.progress(slot, now);
-        let Some(verdict) = self.auditor.total(name, total, &self.plan.audit) else { return };
+        let Some(verdict) = self.auditor.total(name, total, &self.plan.audit) else {
+            return;
+        };
         let (n, what, value) = match verdict {
             audit::Verdict::Agrees => (0, "agrees", 0.0),
             audit::Verdict::Lost(units) => (1, "lost", units),
@@ -692,9 +865,13 @@
         };
         self.audited[n] += 1;
         if n > 0 {
-            ::log::warn!("fleet: audit of {name:016x}: the counter holds {total}, {what} {value:.3} units");
+            ::log::warn!(
+                "fleet: audit of {name:016x}: the counter holds {total}, {what} {value:.3} units"
+            );
         }
-        self.note(json!({"line": "counted", "t": now, "what": format!("audit {what}"), "value": value}));
+        self.note(
+            json!({"line": "counted", "t": now, "what": format!("audit {what}"), "value": value}),
+        );
     }
 
     /// The receiver's check, whatever the effect.
@@ -702,12 +879,16 @@
         let took = self.fence.accept(slot, token);
         let line = if took { "accepted" } else { "refused" };
         let at = self.me.name.clone();
-        self.note(json!({"line": line, "t": now, "at": at, "who": from, "slot": slot, "token": token}));
+        self.note(
+            json!({"line": line, "t": now, "at": at, "who": from, "slot": slot, "token": token}),
+        );
         took
     }
 
     fn watch(&mut self, hub: &Rc<Hub>, from: String, msg: watch::Msg, now: f64) {
-        let Some(slot) = self.relay.as_ref().map(|r| r.1) else { return };
+        let Some(slot) = self.relay.as_ref().map(|r| r.1) else {
+            return;
+        };
         let fits = match &msg {
             watch::Msg::Want { slot: s } => *s == slot,
             watch::Msg::Beat { slot: s, token, .. } | watch::Msg::News { slot: s, token, .. } => {
@@ -748,7 +929,10 @@
         for act in acts {
             match act {
                 Act::Own(own) => {
-                    ::log::info!("fleet: its own watch {}", if own { "opens" } else { "closes" });
+                    ::log::info!(
+                        "fleet: its own watch {}",
+                        if own { "opens" } else { "closes" }
+                    );
                     let who = self.me.name.clone();
                     let value = if own { 1.0 } else { 0.0 };
                     self.note(
@@ -758,9 +942,16 @@
                 }
                 Act::ToZone(msg) => {
                     let body = postcard::to_stdvec(&msg).unwrap_or_default();
-                    let zone = |m: &&members::Member| m.zone == self.me.zone && m.name != self.me.name;
-                    let to: Vec<_> = self.members.living().filter(zone).map(|m| m.address).collect();
-                    to.into_iter().for_each(|at| self.links.send(at, Kind::Watch, body.clone()));
+                    let zone =
+                        |m: &&members::Member| m.zone == self.me.zone && m.name != self.me.name;
+                    let to: Vec<_> = self
+                        .members
+                        .living()
+                        .filter(zone)
+                        .map(|m| m.address)
+                        .collect();
+                    to.into_iter()
+                        .for_each(|at| self.links.send(at, Kind::Watch, body.clone()));
                 }
                 Act::To { to, msg } => {
                     let body = postcard::to_stdvec(&msg).unwrap_or_default();
@@ -769,20 +960,32 @@
                     }
                 }
                 Act::Whole { to, token } => {
-                    let Some((relay, slot)) = &self.relay else { continue };
+                    let Some((relay, slot)) = &self.relay else {
+                        continue;
+                    };
                     let members: Vec<&Value> = self.list.values().collect();
                     let revision = relay.revision;
                     let whole = json!({"revision": revision, "complete": true, "members": members});
                     let list = whole.to_string().into_bytes();
-                    let msg = watch::Msg::News { slot: *slot, token, since: None, revision, list };
+                    let msg = watch::Msg::News {
+                        slot: *slot,
+                        token,
+                        since: None,
+                        revision,
+                        list,
+                    };
                     let body = postcard::to_stdvec(&msg).unwrap_or_default();
                     for at in self.places(&to) {
                         self.links.send(at, Kind::Watch, body.clone());
                     }
                 }
                 Act::Take { list, revision } => {
-                    let Ok(value) = serde_json::from_slice::<Value>(&list) else { continue };
-                    let Ok(news) = decode_news(&value, &hub.names) else { continue };
+                    let Ok(value) = serde_json::from_slice::<Value>(&list) else {
+                        continue;
+                    };
+                    let Ok(news) = decode_news(&value, &hub.names) else {
+                        continue;
+                    };
                     self.merge(&value);
                     self.relayed += 1;
                     // Its own watch would go on from here.
@@ -798,7 +1001,10 @@
             let (revision, complete) = self.merge(&value)?;
             Some((revision, complete, value.to_string().into_bytes()))
         });
-        let token = self.relay.as_ref().and_then(|r| self.holder.holds(r.1, now));
+        let token = self
+            .relay
+            .as_ref()
+            .and_then(|r| self.holder.holds(r.1, now));
         let mut acts = Vec::new();
         if let Some((relay, slot)) = &mut self.relay {
             relay.own_watch(list, token, now, &mut acts);
@@ -824,7 +1030,10 @@
         if !self.lent.is_empty() {
             return 0.0;
         }
-        let late = self.lending.as_ref().map_or(f64::INFINITY, |l| l.next_due());
+        let late = self
+            .lending
+            .as_ref()
+            .map_or(f64::INFINITY, |l| l.next_due());
         due.min(self.broker.next_due()).min(late)
     }
 
@@ -849,7 +1058,12 @@
         }
         self.lend(hub, now);
         self.know(now);
-        for anew in self.lending.as_ref().map(|l| l.overdue()).unwrap_or_default() {
+        for anew in self
+            .lending
+            .as_ref()
+            .map(|l| l.overdue())
+            .unwrap_or_default()
+        {
             hub.call_counter(anew.call, anew.name, anew.add, anew.life);
         }
         if self.members.next_due() <= now {
@@ -879,7 +1093,8 @@
             self.turn += 1;
             let body = postcard::to_stdvec(&Work::Effect { slot, token }).unwrap_or_default();
             if !members.is_empty() {
-                self.links.send(members[self.turn % members.len()], Kind::Work, body.clone());
+                self.links
+                    .send(members[self.turn % members.len()], Kind::Work, body.clone());
             }
             if !self.plan.trial.receivers.is_empty() {
                 let at = self.plan.trial.receivers[self.turn % self.plan.trial.receivers.len()];
@@ -891,7 +1106,10 @@
     fn report(&self) {
         let c = self.links.counts.borrow();
         let lent = self.lending.as_ref().map_or((0, 0, 0), |l| l.counts());
-        let (leads, votes) = self.voter.as_ref().map_or((false, false), |v| (v.leads(), v.votes()));
+        let (leads, votes) = self
+            .voter
+            .as_ref()
+            .map_or((false, false), |v| (v.leads(), v.votes()));
         ::log::info!(
             "fleet: members={} held={} began={} ended={} votes={votes} leads={leads} doubled={} relayed={} \
              outcomes={} probes={} brokered={} direct={} late={} names={} unlent={:.1} audit agreed={} lost={} surplus={} fenced={} links={} sent={} sent_bytes={} came={} refused={} dropped={}",
@@ -931,7 +1149,9 @@
         let io = hyper_util::rt::TokioIo::new(stream);
         let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.ok()?;
         let request = hyper::Request::get("/").header("host", at.to_string());
-        let request = request.body(http_body_util::Empty::<bytes::Bytes>::new()).ok()?;
+        let request = request
+            .body(http_body_util::Empty::<bytes::Bytes>::new())
+            .ok()?;
         tokio::select! {
             answer = sender.send_request(request) => answer.ok().map(|_| ()),
             _ = connection => None,
@@ -944,10 +1164,16 @@
 }
 
 /// Reads names by adding nothing to them; one that is gone comes to be for a millisecond.
-async fn totals(at: SocketAddr, names: &[u64], tell: &mpsc::UnboundedSender<Told>) -> std::io::Result<()> {
+async fn totals(
+    at: SocketAddr,
+    names: &[u64],
+    tell: &mpsc::UnboundedSender<Told>,
+) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(at).await?;
     let mut calls = BytesMut::new();
-    names.iter().for_each(|n| calls.extend_from_slice(&encode_count(*n, 0.0, 0.001)));
+    names
+        .iter()
+        .for_each(|n| calls.extend_from_slice(&encode_count(*n, 0.0, 0.001)));
     stream.write_all(&calls).await?;
     let mut answers = BytesMut::new();
     for name in names {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -171,7 +171,10 @@
     async fn end(&self, now: f64) {
         self.stage.set(Stage::Ended { since: now });
         self.ahead.take();
-        if poll_fn(|cx| Pin::new(&mut *self.stream.borrow_mut()).poll_shutdown(cx)).await.is_err() {
+        if poll_fn(|cx| Pin::new(&mut *self.stream.borrow_mut()).poll_shutdown(cx))
+            .await
+            .is_err()
+        {
             return;
         }
         let read_off = async {
@@ -202,9 +205,16 @@
 }
 
 impl Read for Wire {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, mut buffer: ReadBufCursor) -> Poll<Io<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        mut buffer: ReadBufCursor,
+    ) -> Poll<Io<()>> {
         let client = &self.client;
-        if matches!(client.stage.get(), Stage::InHand { .. } | Stage::Answering { .. }) {
+        if matches!(
+            client.stage.get(),
+            Stage::InHand { .. } | Stage::Answering { .. }
+        ) {
             client.held.set(true);
             return Poll::Pending;
         }
@@ -217,7 +227,9 @@
             buffer.put_slice(&ahead.split_to(bytes));
         }
         if let Stage::Resting { .. } = client.stage.get() {
-            client.stage.set(Stage::Coming { since: self.hub.clock.now() });
+            client.stage.set(Stage::Coming {
+                since: self.hub.clock.now(),
+            });
         }
         Poll::Ready(Ok(()))
     }
@@ -233,7 +245,9 @@
         ready!(Pin::new(&mut *client.stream.borrow_mut()).poll_flush(cx))?;
         // Hyper flushes when all it held has been written.
         if let Stage::Answering { .. } = client.stage.get() {
-            client.stage.set(Stage::Resting { since: self.hub.clock.now() });
+            client.stage.set(Stage::Resting {
+                since: self.hub.clock.now(),
+            });
             if client.held.take() {
                 cx.waker().wake_by_ref();
             }
@@ -301,7 +315,11 @@
     /// Guards against a delivery for a client whose end is known to the machine, but whose connection's task
     /// has not had its turn since: its leaving is told before the delivery is written.
     pub fn look_after(&self, hub: &Rc<Hub>, num: u64) {
-        let gone = self.waiting.borrow().get(&num).is_some_and(|w| w.client.has_gone());
+        let gone = self
+            .waiting
+            .borrow()
+            .get(&num)
+            .is_some_and(|w| w.client.has_gone());
         if gone && self.waiting.borrow_mut().remove(&num).is_some() {
             hub.tell(Event::ClientGone { num });
         }
@@ -352,7 +370,9 @@
         let clients = self.clients.borrow();
         let since = |c: &Client| match c.stage.get() {
             Stage::Ended { since } if at_once => Some((false, since)),
-            Stage::Resting { since } | Stage::Coming { since } if !c.leaving() => Some((true, since)),
+            Stage::Resting { since } | Stage::Coming { since } if !c.leaving() => {
+                Some((true, since))
+            }
             _ => None,
         };
         let candidates = clients.values().filter_map(|c| Some((since(c)?, c)));
@@ -369,7 +389,11 @@
     /// Guards against clients that say nothing, begin a message and never end it, or do not take their
     /// answer: they would keep their places for good.
     pub fn sweep(&self, now: f64) {
-        self.clients.borrow().values().filter(|c| c.late(now)).for_each(|c| c.changed.notify_one());
+        self.clients
+            .borrow()
+            .values()
+            .filter(|c| c.late(now))
+            .for_each(|c| c.changed.notify_one());
     }
 
     pub async fn serve(hub: Rc<Hub>, listener: TcpListener) {
@@ -389,7 +413,8 @@
                 front.make_room(now, open >= front.most);
             }
             if open >= front.most {
-                let _ = tokio::time::timeout(Duration::from_millis(10), front.changed.notified()).await;
+                let _ =
+                    tokio::time::timeout(Duration::from_millis(10), front.changed.notified()).await;
                 continue;
             }
             let accepted = tokio::select! {
@@ -423,10 +448,16 @@
     async fn connection(hub: Rc<Hub>, client: Rc<Client>, _place: Place) {
         hub.tell(Event::ClientConnected);
         {
-            let service = TowerToHyperService::new(Handler { hub: hub.clone(), client: client.clone() });
+            let service = TowerToHyperService::new(Handler {
+                hub: hub.clone(),
+                client: client.clone(),
+            });
             let mut builder = hyper::server::conn::http1::Builder::new();
             builder.auto_date_header(false).max_buf_size(MOST_BODY);
-            let wire = Wire { hub: hub.clone(), client: client.clone() };
+            let wire = Wire {
+                hub: hub.clone(),
+                client: client.clone(),
+            };
             let mut connection = pin!(builder.serve_connection(wire, service));
             let mut looked = false;
             loop {
@@ -470,7 +501,10 @@
     fn new(hub: &Rc<Hub>, client: &Rc<Client>) -> Self {
         let at = hub.front.next();
         hub.front.clients.borrow_mut().insert(at, client.clone());
-        Place { hub: hub.clone(), at }
+        Place {
+            hub: hub.clone(),
+            at,
+        }
     }
 }
 
@@ -501,7 +535,10 @@
 
 impl Drop for Room<'_> {
     fn drop(&mut self) {
-        self.hub.front.bodies.set(self.hub.front.bodies.get() - self.bytes);
+        self.hub
+            .front
+            .bodies
+            .set(self.hub.front.bodies.get() - self.bytes);
     }
 }
 
@@ -515,7 +552,13 @@
 impl Drop for InHand<'_> {
     fn drop(&mut self) {
         self.hub.front.ids.borrow_mut().remove(&self.id);
-        let left = self.hub.front.waiting.borrow_mut().remove(&self.num).is_some();
+        let left = self
+            .hub
+            .front
+            .waiting
+            .borrow_mut()
+            .remove(&self.num)
+            .is_some();
         // After a panic the invocation ends by its own time.
         if left && !std::thread::panicking() {
             self.hub.tell(Event::ClientGone { num: self.num });
@@ -551,7 +594,9 @@
             };
             handler.client.stage.set(Stage::Answering { until });
             if handler.client.flooded() || handler.client.leaving() {
-                response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                response
+                    .headers_mut()
+                    .insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok(response)
         })
@@ -564,7 +609,9 @@
             return match self.hub.front.phase.get() {
                 Phase::Starting => plain(StatusCode::SERVICE_UNAVAILABLE, "starting\n"),
                 Phase::Open => plain(StatusCode::OK, "ready\n"),
-                Phase::Leaving | Phase::Closing => plain(StatusCode::SERVICE_UNAVAILABLE, "leaving\n"),
+                Phase::Leaving | Phase::Closing => {
+                    plain(StatusCode::SERVICE_UNAVAILABLE, "leaving\n")
+                }
             };
         }
         match self.invoke(request).await {
@@ -591,16 +638,29 @@
             }
         })?;
         let asked = Rc::new(decode_asked(head, body.to_bytes(), &self.hub.names)?);
-        let (num, (answer, answered), id) = (self.hub.front.next(), oneshot::channel(), asked.id().clone());
+        let (num, (answer, answered), id) = (
+            self.hub.front.next(),
+            oneshot::channel(),
+            asked.id().clone(),
+        );
         // Guards against a copy of what another client has in hand: to a server it would be a second one.
         if !self.hub.front.ids.borrow_mut().insert(id.clone()) {
             return Err(Fault::InHand);
         }
-        let _in_hand = InHand { hub: &self.hub, num, id };
+        let _in_hand = InHand {
+            hub: &self.hub,
+            num,
+            id,
+        };
         // Until its last byte was there it was not taken, and its connection could be closed for others.
         self.client.read_ahead.set(self.client.ahead.borrow().len());
-        self.client.stage.set(Stage::InHand { until: self.hub.clock.now() + asked.wait });
-        let waiting = Waiting { answer, client: self.client.clone() };
+        self.client.stage.set(Stage::InHand {
+            until: self.hub.clock.now() + asked.wait,
+        });
+        let waiting = Waiting {
+            answer,
+            client: self.client.clone(),
+        };
         self.hub.front.waiting.borrow_mut().insert(num, waiting);
         self.hub.tell(Event::Taken { num, asked });
         Ok(answered.await.unwrap_or(Reply::Errored))
--- a/crates/gateway/src/front/tests.rs
+++ b/crates/gateway/src/front/tests.rs
@@ -25,12 +25,23 @@
     let front = Front::new(16, 1024 * 1024);
     let upstream = Upstream::new(dial, 1.0, 4);
     let counter = Counter::new(None, dial, 1);
-    Hub::new(clock, names, reducer, front, upstream, counter, Discovery::new(nowhere, false, 0))
+    Hub::new(
+        clock,
+        names,
+        reducer,
+        front,
+        upstream,
+        counter,
+        Discovery::new(nowhere, false, 0),
+    )
 }
 
 #[test]
 fn a_client_accepted_in_the_turn_of_the_close_is_told_to_leave() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -43,7 +54,11 @@
         // It waits for clients. The next turn of the runtime tells it of this one, and this task of the close.
         let _client = std::net::TcpStream::connect(address).unwrap();
         yield_now().await;
-        assert_eq!(hub.front.clients(), 0, "closed before the listener had its turn");
+        assert_eq!(
+            hub.front.clients(),
+            0,
+            "closed before the listener had its turn"
+        );
         hub.front.close(hub.clock.now());
         while hub.front.clients() == 0 && !serving.is_finished() {
             yield_now().await;
