--- a/crates/gateway/src/hub.rs
+++ b/crates/gateway/src/hub.rs
@@ -25,8 +25,13 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix: unix.as_secs_f64() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            unix: unix.as_secs_f64(),
+        }
     }
 
     pub fn now(&self) -> f64 {
@@ -98,21 +103,31 @@
         let _busy = Busy(&self.busy);
         let mut effects = Vec::new();
         loop {
-            let Some(event) = self.events.borrow_mut().pop_front() else { break };
+            let Some(event) = self.events.borrow_mut().pop_front() else {
+                break;
+            };
             if let Some(tap) = &*self.tap.borrow() {
                 tap.event(&event);
             }
-            if let (Event::Counted { call, .. }, Some(lending)) = (&event, &*self.lending.borrow()) {
+            if let (Event::Counted { call, .. }, Some(lending)) = (&event, &*self.lending.borrow())
+            {
                 // The end of a call of this process's own broker was heard by the tap.
                 if *call >= BROKER {
                     continue;
                 }
                 lending.counted(*call);
             }
-            self.reducer.borrow_mut().reduce(event, self.clock.now(), &mut effects);
+            self.reducer
+                .borrow_mut()
+                .reduce(event, self.clock.now(), &mut effects);
             effects.drain(..).for_each(|e| self.carry_out(e));
         }
-        if self.reducer.borrow().next_due().is_some_and(|due| due < self.set.get()) {
+        if self
+            .reducer
+            .borrow()
+            .next_due()
+            .is_some_and(|due| due < self.set.get())
+        {
             self.earlier.notify_one();
         }
     }
@@ -120,15 +135,38 @@
     /// A call to the counter that the reducer did not ask for, or asked of a broker.
     pub fn call_counter(&self, call: u64, name: u64, add: f64, life: f64) {
         if let Some(tap) = &*self.tap.borrow() {
-            tap.effect(&Effect::Count { call, name, add, life, about: Default::default() });
+            tap.effect(&Effect::Count {
+                call,
+                name,
+                add,
+                life,
+                about: Default::default(),
+            });
         }
         self.counter.call(call, name, add, life);
     }
 
     fn carry_out(self: &Rc<Self>, effect: Effect) {
         let lending = self.lending.borrow().clone();
-        if let (Effect::Count { call, name, add, life, about }, Some(lending)) = (&effect, &lending) {
-            if lending.take(*call, *name, *add, *life, about, self.clock.now() - about.start) {
+        if let (
+            Effect::Count {
+                call,
+                name,
+                add,
+                life,
+                about,
+            },
+            Some(lending),
+        ) = (&effect, &lending)
+        {
+            if lending.take(
+                *call,
+                *name,
+                *add,
+                *life,
+                about,
+                self.clock.now() - about.start,
+            ) {
                 return;
             }
         }
@@ -139,10 +177,19 @@
             Effect::Send(delivery) => self.upstream.send(self, delivery),
             Effect::Abandon { num, n, ending } => self.upstream.abandon(self, num, n, ending),
             Effect::Reply { num, reply } => self.front.reply(num, reply),
-            Effect::Count { call, name, add, life, .. } => self.counter.call(call, name, add, life),
+            Effect::Count {
+                call,
+                name,
+                add,
+                life,
+                ..
+            } => self.counter.call(call, name, add, life),
             Effect::AbandonCount { call } => match lending {
                 Some(lending) if lending.abandon(call) => {
-                    self.tell(Event::Counted { call, counted: Counted::Silent });
+                    self.tell(Event::Counted {
+                        call,
+                        counted: Counted::Silent,
+                    });
                 }
                 _ => self.counter.abandon(self, call),
             },
--- a/crates/gateway/src/lending.rs
+++ b/crates/gateway/src/lending.rs
@@ -34,7 +34,14 @@
         to: mpsc::UnboundedSender<Told>,
     ) -> Rc<Self> {
         let (borrower, known) = (RefCell::new(Borrower::new(settings)), RefCell::default());
-        Rc::new(Lending { borrower, first, shards, known, to, waiting: Cell::new(0) })
+        Rc::new(Lending {
+            borrower,
+            first,
+            shards,
+            known,
+            to,
+            waiting: Cell::new(0),
+        })
     }
 
     fn slot(&self, customer: u64) -> Slot {
@@ -42,10 +49,23 @@
     }
 
     /// Takes a call to a broker, if one answers; `since` is how long ago the name's window began.
-    pub fn take(&self, call: u64, name: u64, add: f64, life: f64, about: &About, since: f64) -> bool {
+    pub fn take(
+        &self,
+        call: u64,
+        name: u64,
+        add: f64,
+        life: f64,
+        about: &About,
+        since: f64,
+    ) -> bool {
         let slot = self.slot(about.customer);
         let known = self.known.borrow().contains(&slot) && self.waiting.get() < MOST_WAITING;
-        let anew = Anew { call, name, add, life };
+        let anew = Anew {
+            call,
+            name,
+            add,
+            life,
+        };
         let Way::Broker(slot) = self.borrower.borrow_mut().way(anew, slot, known, clock()) else {
             return false;
         };
@@ -83,7 +103,9 @@
 
     /// A broker's answer; what the limiter is told, if it still waits.
     pub fn told(&self, call: u64, answer: Answer) -> Option<Counted> {
-        self.borrower.borrow_mut().told(call, answer, fastrand::f64(), clock())
+        self.borrower
+            .borrow_mut()
+            .told(call, answer, fastrand::f64(), clock())
     }
 
     /// Calls that went to brokers, to the counter, and answers that came too late.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -67,7 +67,8 @@
 fn read_config(path: Option<String>) -> Result<Config, Fault> {
     let path = path.ok_or_else(|| Fault::Config("RELAY_CONFIG names no file".into()))?;
     let text = std::fs::read_to_string(&path).map_err(|e| Fault::Config(format!("{path}: {e}")))?;
-    let v: Value = serde_json::from_str(&text).map_err(|e| Fault::Config(format!("{path}: {e}")))?;
+    let v: Value =
+        serde_json::from_str(&text).map_err(|e| Fault::Config(format!("{path}: {e}")))?;
     let address = |key: &str| match v[key].as_str().map(str::parse) {
         Some(Ok(address)) => Ok(address),
         _ => Err(Fault::Config(format!("{key} is no address with a port"))),
@@ -76,20 +77,34 @@
         .map_err(|_| Fault::Config("seed is no hexadecimal number".into()))?;
     let sockets = v["limits"]["sockets"].as_u64().unwrap_or(1024) as usize;
     if sockets < LEAST_SOCKETS {
-        return Err(Fault::Config(format!("limits.sockets is under {LEAST_SOCKETS}")));
+        return Err(Fault::Config(format!(
+            "limits.sockets is under {LEAST_SOCKETS}"
+        )));
     }
     let memory = v["limits"]["memory_mb"].as_u64().unwrap_or(192) as usize * 1024 * 1024;
     if memory < LEAST_MEMORY {
-        return Err(Fault::Config(format!("limits.memory_mb is under {}", LEAST_MEMORY >> 20)));
+        return Err(Fault::Config(format!(
+            "limits.memory_mb is under {}",
+            LEAST_MEMORY >> 20
+        )));
     }
     let name = v["name"].as_str().unwrap_or("gateway").to_owned();
     let read = dunespur_settings::read(&v["settings"], seed).map_err(Fault::Config)?;
-    let fleet = operators::plan(&name, &read.zones, read.settings.zone, read.settings.count_wait)?;
+    let fleet = operators::plan(
+        &name,
+        &read.zones,
+        read.settings.zone,
+        read.settings.count_wait,
+    )?;
     Ok(Config {
         name,
         listen: address("listen")?,
         discovery: address("discovery")?,
-        counter: if v["counter"].is_null() { None } else { Some(address("counter")?) },
+        counter: if v["counter"].is_null() {
+            None
+        } else {
+            Some(address("counter")?)
+        },
         sockets,
         memory,
         known: v["known"].clone(),
@@ -146,7 +161,11 @@
         // After a reload the old connections to the counter bring the answers they owe.
         let left = sockets - OWN_SOCKETS - 2 * calls;
         let servers = (sockets / 4).min(left * 2 / 7);
-        Sockets { clients: (sockets * 5 / 8).min(left - servers), servers, calls }
+        Sockets {
+            clients: (sockets * 5 / 8).min(left - servers),
+            servers,
+            calls,
+        }
     }
 }
 
@@ -167,7 +186,11 @@
     };
     let dial = seconds(read.dial_timeout, "dialTimeoutS")?;
     let idle_time = seconds(read.idle_time, "keepaliveS")?;
-    let Sockets { clients, servers, calls } = Sockets::share(config.sockets);
+    let Sockets {
+        clients,
+        servers,
+        calls,
+    } = Sockets::share(config.sockets);
     let reducer = reducer::Reducer::new(&read.settings, clock.now());
     let hub = Hub::new(
         clock,
@@ -182,13 +205,23 @@
     if let Some(known) = known {
         hub.tell(Event::Endpoints(known));
     }
-    let listener = TcpListener::bind(config.listen).await.map_err(fail("listen"))?;
+    let listener = TcpListener::bind(config.listen)
+        .await
+        .map_err(fail("listen"))?;
     let (tell, told) = mpsc::unbounded_channel();
     let fleet = match config.fleet.take() {
         None => None,
         Some(plan) => {
             hub.discovery.tap(tell.clone());
-            fleet::start(hub.clone(), plan, config.name.clone(), config.seed, tell.clone(), told).await?;
+            fleet::start(
+                hub.clone(),
+                plan,
+                config.name.clone(),
+                config.seed,
+                tell.clone(),
+                told,
+            )
+            .await?;
             Some(tell)
         }
     };
@@ -267,7 +300,11 @@
 fn reload(hub: &Rc<Hub>) {
     match read_config(std::env::var("RELAY_CONFIG").ok()) {
         Ok(config) => {
-            ::log::info!("discovery at {}, counter at {:?}", config.discovery, config.counter);
+            ::log::info!(
+                "discovery at {}, counter at {:?}",
+                config.discovery,
+                config.counter
+            );
             hub.discovery.move_to(config.discovery);
             hub.counter.move_to(config.counter);
         }
@@ -292,7 +329,9 @@
 /// The whole program: reads the configuration that the environment names, serves, ends.
 pub fn main() -> ExitCode {
     log::start(std::env::var("RELAY_LOG").ok().as_deref());
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let ended = match runtime {
         Ok(runtime) => tokio::task::LocalSet::new().block_on(&runtime, run()),
         Err(e) => Err(Fault::Config(format!("no runtime: {e}"))),
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -45,7 +45,11 @@
             text += &format!("warn {left_out} lines left out\n");
         }
         if due {
-            text += &format!("{} {}\n", record.level().as_str().to_ascii_lowercase(), record.args());
+            text += &format!(
+                "{} {}\n",
+                record.level().as_str().to_ascii_lowercase(),
+                record.args()
+            );
         }
         let _ = std::io::stderr().write_all(text.as_bytes());
     }
@@ -55,7 +59,9 @@
 
 /// Starts logging; a second call changes nothing.
 pub fn start(level: Option<&str>) {
-    let level = level.and_then(|l| l.parse().ok()).unwrap_or(LevelFilter::Info);
+    let level = level
+        .and_then(|l| l.parse().ok())
+        .unwrap_or(LevelFilter::Info);
     if log::set_boxed_logger(Box::new(Lines::default())).is_ok() {
         log::set_max_level(level);
     }
@@ -69,6 +75,9 @@
     fn a_flood_is_cut_and_counted() {
         let lines = Lines::default();
         let written = (0..MOST + 7).filter(|_| lines.admit(5).0).count() as u64;
-        assert_eq!((written, lines.admit(6), lines.admit(6)), (MOST, (true, 7), (true, 0)));
+        assert_eq!(
+            (written, lines.admit(6), lines.admit(6)),
+            (MOST, (true, 7), (true, 0))
+        );
     }
 }
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -74,7 +74,11 @@
 impl Answered {
     /// Nothing was said: this is how it ended instead.
     pub fn none(ending: Ending) -> Self {
-        Answered { ending, used: None, body: Bytes::new() }
+        Answered {
+            ending,
+            used: None,
+            body: Bytes::new(),
+        }
     }
 }
 
@@ -105,23 +109,37 @@
 /// Guards against a name given twice, which two readers may read differently.
 fn header<'a>(headers: &'a HeaderMap, name: &str) -> Result<&'a str, Fault> {
     let mut values = headers.get_all(name).iter();
-    let value = values.next().ok_or_else(|| malformed(&format!("{name} is missing")))?;
+    let value = values
+        .next()
+        .ok_or_else(|| malformed(&format!("{name} is missing")))?;
     if values.next().is_some() {
         return Err(malformed(&format!("{name} is given twice")));
     }
-    value.to_str().map_err(|_| malformed(&format!("{name} is no text")))
+    value
+        .to_str()
+        .map_err(|_| malformed(&format!("{name} is no text")))
 }
 
 fn index(names: &[String], name: &str, what: &str) -> Result<usize, Fault> {
-    names.iter().position(|n| n == name).ok_or_else(|| malformed(&format!("{what} is not in the settings")))
+    names
+        .iter()
+        .position(|n| n == name)
+        .ok_or_else(|| malformed(&format!("{what} is not in the settings")))
 }
 
 fn customer(headers: &HeaderMap) -> Result<u64, Fault> {
-    let cookies = headers.get_all(COOKIE).iter().filter_map(|c| c.to_str().ok());
+    let cookies = headers
+        .get_all(COOKIE)
+        .iter()
+        .filter_map(|c| c.to_str().ok());
     let mut pairs = cookies.flat_map(|c| c.split(';')).map(str::trim);
-    let account = pairs.find_map(|p| p.strip_prefix("account=")).ok_or_else(|| malformed("no account"))?;
+    let account = pairs
+        .find_map(|p| p.strip_prefix("account="))
+        .ok_or_else(|| malformed("no account"))?;
     let digits = account.len() == DIGITS && account.bytes().all(|b| b.is_ascii_hexdigit());
-    let number = u64::from_str_radix(account, 16).ok().filter(|n| digits && *n < CUSTOMERS);
+    let number = u64::from_str_radix(account, 16)
+        .ok()
+        .filter(|n| digits && *n < CUSTOMERS);
     number.ok_or_else(|| malformed("the account is no customer's number"))
 }
 
@@ -130,17 +148,28 @@
 fn weight(text: &str, names: &Names) -> Result<(f64, u32, u32), Fault> {
     let (mut units, mut spread, mut first) = (1.0, 1, 0);
     for pair in text.split(',').map(str::trim) {
-        let (key, value) = pair.split_once('=').ok_or_else(|| malformed("X-Weight is no list of pairs"))?;
+        let (key, value) = pair
+            .split_once('=')
+            .ok_or_else(|| malformed("X-Weight is no list of pairs"))?;
         let bad = |_| malformed("X-Weight holds no number");
         match key {
-            "units" => units = value.parse().map_err(|_| malformed("X-Weight holds no number"))?,
+            "units" => {
+                units = value
+                    .parse()
+                    .map_err(|_| malformed("X-Weight holds no number"))?
+            }
             "spread" => spread = value.parse().map_err(bad)?,
             "first" => first = value.parse().map_err(bad)?,
             _ => {}
         }
     }
-    let most = if names.most_units > 0.0 { names.most_units } else { f64::MAX };
-    if !(units > 0.0 && units <= most && (1..=names.fleet).contains(&spread) && first < names.fleet) {
+    let most = if names.most_units > 0.0 {
+        names.most_units
+    } else {
+        f64::MAX
+    };
+    if !(units > 0.0 && units <= most && (1..=names.fleet).contains(&spread) && first < names.fleet)
+    {
         return Err(malformed("X-Weight holds a number out of range"));
     }
     Ok((units, spread, first))
@@ -163,16 +192,27 @@
     Ok(Asked {
         customer: customer(headers)?,
         plan: index(&names.plans, header(headers, "x-tariff")?, "X-Tariff")?,
-        operation: index(&names.operations, header(headers, "x-priority-class")?, "X-Priority-Class")?,
+        operation: index(
+            &names.operations,
+            header(headers, "x-priority-class")?,
+            "X-Priority-Class",
+        )?,
         units,
         first_gateway,
         gateways,
         repeat: headers.get("x-retried").is_some_and(|v| v == "1"),
         wait: f64::from(millis) / 1000.0,
-        host: headers.get(HOST).cloned().unwrap_or(HeaderValue::from_static("")),
+        host: headers
+            .get(HOST)
+            .cloned()
+            .unwrap_or(HeaderValue::from_static("")),
         id: headers["x-request-id"].clone(),
         token: headers.get("idempotency-key").cloned(),
-        path: parts.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/")),
+        path: parts
+            .uri
+            .path_and_query()
+            .cloned()
+            .unwrap_or(PathAndQuery::from_static("/")),
         method: parts.method,
         body,
     })
@@ -199,7 +239,10 @@
     if let Some(token) = &asked.token {
         headers.insert("idempotency-key", token.clone());
     }
-    headers.insert("x-timeout-ms", HeaderValue::from((wait * 1000.0).max(1.0) as u32));
+    headers.insert(
+        "x-timeout-ms",
+        HeaderValue::from((wait * 1000.0).max(1.0) as u32),
+    );
     if !asked.body.is_empty() {
         headers.insert(CONTENT_LENGTH, HeaderValue::from(asked.body.len()));
     }
@@ -207,14 +250,24 @@
 }
 
 pub fn decode_answer(head: &response::Parts, body: Bytes) -> Answered {
-    let turned_away = head.headers.get("x-not-processed").is_some_and(|v| v == "1");
+    let turned_away = head
+        .headers
+        .get("x-not-processed")
+        .is_some_and(|v| v == "1");
     let ending = match head.status.as_u16() {
         200 => Ending::Succeeded,
         503 | 504 if turned_away => Ending::Full,
         _ => Ending::Error,
     };
-    let used = head.headers.get("x-allowance-used").and_then(|v| v.to_str().ok()?.trim().parse().ok());
-    Answered { ending, used: used.filter(|u: &f64| *u >= 0.0).map(|u| u / 100.0), body }
+    let used = head
+        .headers
+        .get("x-allowance-used")
+        .and_then(|v| v.to_str().ok()?.trim().parse().ok());
+    Answered {
+        ending,
+        used: used.filter(|u: &f64| *u >= 0.0).map(|u| u / 100.0),
+        body,
+    }
 }
 
 pub fn encode_reply(reply: Reply) -> Response<Full<Bytes>> {
@@ -222,7 +275,8 @@
         Reply::Succeeded(body) => Response::new(Full::new(body)),
         Reply::Throttled { pause } => {
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "throttled\n");
-            if let (true, Ok(value)) = (pause > 0.0, HeaderValue::from_str(&format!("{pause:.3}"))) {
+            if let (true, Ok(value)) = (pause > 0.0, HeaderValue::from_str(&format!("{pause:.3}")))
+            {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
             response
@@ -241,7 +295,9 @@
     let status = StatusCode::from_u16(fault.status()).unwrap_or(StatusCode::BAD_REQUEST);
     let mut response = plain(status, &format!("{fault}\n"));
     // Guards against reading on where the end of what was turned down is in doubt.
-    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    response
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
@@ -249,17 +305,28 @@
 
 pub fn encode_watch(revision: u64, host: SocketAddr) -> Result<Request<Full<Bytes>>, Fault> {
     let uri = format!("/api/targets?follow=1&since={revision}");
-    let request = Request::builder().uri(uri).header(HOST, host.to_string()).body(Full::default());
+    let request = Request::builder()
+        .uri(uri)
+        .header(HOST, host.to_string())
+        .body(Full::default());
     request.map_err(|_| malformed("no request for a watch"))
 }
 
 pub fn decode_news(v: &Value, names: &Names) -> Result<News, Fault> {
-    let members = v["members"].as_array().ok_or_else(|| malformed("the list has no members"))?;
+    let members = v["members"]
+        .as_array()
+        .ok_or_else(|| malformed("the list has no members"))?;
     let member = |m: &Value| -> Result<Member, Fault> {
-        let text = |key: &str| m[key].as_str().ok_or_else(|| malformed(&format!("a member has no {key}")));
+        let text = |key: &str| {
+            m[key]
+                .as_str()
+                .ok_or_else(|| malformed(&format!("a member has no {key}")))
+        };
         Ok(Member {
             id: text("id")?.to_owned(),
-            address: text("host_port")?.parse().map_err(|_| malformed("host_port is no address"))?,
+            address: text("host_port")?
+                .parse()
+                .map_err(|_| malformed("host_port is no address"))?,
             zone: index(&names.zones, text("locality")?, "locality")?,
             cell: m["cell"].as_u64().unwrap_or(0),
             came_up: m["up_since_ms"].as_f64().unwrap_or(0.0) / 1000.0,
@@ -272,11 +339,17 @@
         })
     };
     // One member that can't be read must not cost the news of all others.
-    let known = |m: &Value| member(m).map_err(|fault| log::warn!("discovery: {fault}")).ok();
+    let known = |m: &Value| {
+        member(m)
+            .map_err(|fault| log::warn!("discovery: {fault}"))
+            .ok()
+    };
     let read: Vec<Member> = members.iter().filter_map(known).collect();
     Ok(News {
         whole: read.len() == members.len(),
-        revision: v["revision"].as_u64().ok_or_else(|| malformed("the list has no revision"))?,
+        revision: v["revision"]
+            .as_u64()
+            .ok_or_else(|| malformed("the list has no revision"))?,
         complete: v["complete"].as_bool().unwrap_or(false),
         members: read,
     })
@@ -340,8 +413,12 @@
 // ---- The counter ----
 
 pub fn encode_count(name: u64, add: f64, life: f64) -> Bytes {
-    let parts =
-        ["CNT.ADD".to_owned(), name.to_string(), format!("{add:.6}"), format!("{:.0}", life * 1000.0)];
+    let parts = [
+        "CNT.ADD".to_owned(),
+        name.to_string(),
+        format!("{add:.6}"),
+        format!("{:.0}", life * 1000.0),
+    ];
     let mut call = format!("*{}\r\n", parts.len());
     for part in parts {
         call.push_str(&format!("${}\r\n{part}\r\n", part.len()));
@@ -352,9 +429,14 @@
 /// Takes one answer of the counter off the buffer, None until it is whole.
 pub fn take_counted(buffer: &mut BytesMut) -> Result<Option<Counted>, Fault> {
     let Some(end) = buffer.windows(2).position(|w| w == b"\r\n") else {
-        return if buffer.len() > MOST_BODY { Err(Fault::TooLarge) } else { Ok(None) };
+        return if buffer.len() > MOST_BODY {
+            Err(Fault::TooLarge)
+        } else {
+            Ok(None)
+        };
     };
-    let line = std::str::from_utf8(&buffer[1..end.max(1)]).map_err(|_| malformed("the counter's answer"))?;
+    let line = std::str::from_utf8(&buffer[1..end.max(1)])
+        .map_err(|_| malformed("the counter's answer"))?;
     match buffer.first() {
         // An error's wording is free: whichever it is, nothing was added.
         Some(b'-') => {
@@ -362,7 +444,9 @@
             Ok(Some(Counted::Refused))
         }
         Some(b'$') => {
-            let len: usize = line.parse().map_err(|_| malformed("the counter's answer has no length"))?;
+            let len: usize = line
+                .parse()
+                .map_err(|_| malformed("the counter's answer has no length"))?;
             if len > MOST_BODY {
                 return Err(Fault::TooLarge);
             }
@@ -371,9 +455,13 @@
                 return Ok(None);
             }
             let total = std::str::from_utf8(&buffer[end + 2..end + 2 + len]).ok();
-            let total = total.and_then(|t| t.parse().ok()).filter(|t: &f64| t.is_finite());
+            let total = total
+                .and_then(|t| t.parse().ok())
+                .filter(|t: &f64| t.is_finite());
             buffer.advance(whole);
-            total.map(|t| Some(Counted::Total(t))).ok_or_else(|| malformed("the counter's total"))
+            total
+                .map(|t| Some(Counted::Total(t)))
+                .ok_or_else(|| malformed("the counter's total"))
         }
         _ => Err(malformed("the counter's answer is of no known kind")),
     }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -92,7 +92,14 @@
 
 impl Default for MembersPart {
     fn default() -> Self {
-        MembersPart { probe: 1.0, answer: 0.3, suspect: 4.0, gossip: 0.2, again: 5.0, datagram: 1400 }
+        MembersPart {
+            probe: 1.0,
+            answer: 0.3,
+            suspect: 4.0,
+            gossip: 0.2,
+            again: 5.0,
+            datagram: 1400,
+        }
     }
 }
 
@@ -108,7 +115,13 @@
 
 impl Default for LinksPart {
     fn default() -> Self {
-        LinksPart { peers: 64, queue: 256, frame: 1 << 20, dial: 0.5, idle: 30.0 }
+        LinksPart {
+            peers: 64,
+            queue: 256,
+            frame: 1 << 20,
+            dial: 0.5,
+            idle: 30.0,
+        }
     }
 }
 
@@ -123,7 +136,12 @@
 
 impl Default for WatchPart {
     fn default() -> Self {
-        WatchPart { beat: 0.5, stale: 1.6, spread: 0.5, trust: 5.0 }
+        WatchPart {
+            beat: 0.5,
+            stale: 1.6,
+            spread: 0.5,
+            trust: 5.0,
+        }
     }
 }
 
@@ -139,7 +157,13 @@
 
 impl Default for ProbePart {
     fn default() -> Self {
-        ProbePart { unanswered: 1, many: 2, window: 5.0, again: 2.0, servers: 256 }
+        ProbePart {
+            unanswered: 1,
+            many: 2,
+            window: 5.0,
+            again: 2.0,
+            servers: 256,
+        }
     }
 }
 
@@ -153,7 +177,11 @@
 
 impl Default for AuditPart {
     fn default() -> Self {
-        AuditPart { quiet: 2.0, names: 10_000, units: 0.01 }
+        AuditPart {
+            quiet: 2.0,
+            names: 10_000,
+            units: 0.01,
+        }
     }
 }
 
@@ -229,8 +257,16 @@
     64
 }
 fn duties() -> Vec<Duty> {
-    let duty = |name: &str, by_zone| Duty { name: name.into(), shards: 1, by_zone };
-    vec![duty("watch", true), duty("probe", false), duty("audit", false)]
+    let duty = |name: &str, by_zone| Duty {
+        name: name.into(),
+        shards: 1,
+        by_zone,
+    };
+    vec![
+        duty("watch", true),
+        duty("probe", false),
+        duty("audit", false),
+    ]
 }
 
 /// What the fleet's part of the process is made from.
@@ -252,7 +288,8 @@
 }
 
 fn address(key: &str, text: &str) -> Result<SocketAddrV4, String> {
-    let wrong = || format!("{key}: {text} is no IPv4 address with a port; write it like 10.0.0.4:7100");
+    let wrong =
+        || format!("{key}: {text} is no IPv4 address with a port; write it like 10.0.0.4:7100");
     text.parse().map_err(|_| wrong())
 }
 
@@ -265,16 +302,30 @@
     count_wait: f64,
 ) -> Result<Option<Plan>, String> {
     let file: File = toml::from_str(text).map_err(|e| {
-        let line = e.span().map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1);
-        format!("line {}: {}", line.unwrap_or(1), e.message().replace('\n', " "))
+        let line = e
+            .span()
+            .map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1);
+        format!(
+            "line {}: {}",
+            line.unwrap_or(1),
+            e.message().replace('\n', " ")
+        )
     })?;
     let Some(f) = file.fleet else { return Ok(None) };
-    let voters = f.voters.iter().map(|v| Ok((v.name.clone(), address("fleet.voter.address", &v.address)?)));
+    let voters = f
+        .voters
+        .iter()
+        .map(|v| Ok((v.name.clone(), address("fleet.voter.address", &v.address)?)));
     let voters = voters.collect::<Result<Vec<_>, String>>()?;
     let zones = f.zones.unwrap_or_else(|| zones.to_vec());
-    let zone = f.zone.unwrap_or_else(|| zones.get(zone).cloned().unwrap_or_default());
+    let zone = f
+        .zone
+        .unwrap_or_else(|| zones.get(zone).cloned().unwrap_or_default());
     if !zones.contains(&zone) {
-        return Err(format!("fleet.zone: {zone} is not among the zones {}", zones.join(", ")));
+        return Err(format!(
+            "fleet.zone: {zone} is not among the zones {}",
+            zones.join(", ")
+        ));
     }
     let duties = Duties {
         fleet: f.name,
@@ -293,10 +344,14 @@
     let listen = address("fleet.listen", &f.listen)?;
     let votes = voters.iter().find(|v| v.0 == name);
     if votes.is_some() && f.disk.is_none() {
-        return Err(format!("fleet.disk: {name} is a voter and needs a file on a disk that persists"));
+        return Err(format!(
+            "fleet.disk: {name} is a voter and needs a file on a disk that persists"
+        ));
     }
     if let Some((_, at)) = votes.filter(|v| v.1 != listen) {
-        return Err(format!("fleet.listen: {listen}, but the voters' list has {name} at {at}"));
+        return Err(format!(
+            "fleet.listen: {listen}, but the voters' list has {name} at {at}"
+        ));
     }
     let m = f.members;
     let seeds = voters.iter().map(|v| v.1).collect();
@@ -319,9 +374,20 @@
             l.peers, l.queue, l.frame, l.dial, l.idle
         ));
     }
-    let bounds = Bounds { peers: l.peers, queue: l.queue, frame: l.frame, dial: l.dial, idle: l.idle };
+    let bounds = Bounds {
+        peers: l.peers,
+        queue: l.queue,
+        frame: l.frame,
+        dial: l.dial,
+        idle: l.idle,
+    };
     let w = f.watch;
-    let watch = watch::Settings { beat: w.beat, stale: w.stale, spread: w.spread, trust: w.trust };
+    let watch = watch::Settings {
+        beat: w.beat,
+        stale: w.stale,
+        spread: w.spread,
+        trust: w.trust,
+    };
     watch.check()?;
     let p = f.probe;
     let probe = probe::Settings {
@@ -333,14 +399,22 @@
     };
     probe.check()?;
     let a = f.audit;
-    let audit = audit::Settings { quiet: a.quiet, names: a.names, units: a.units };
+    let audit = audit::Settings {
+        quiet: a.quiet,
+        names: a.names,
+        units: a.units,
+    };
     audit.check()?;
     let l = f.lend;
     let lend = lend::Settings {
         ahead: l.ahead,
         span: l.span,
         // A borrower has to hear of it before its own time is up.
-        wait: if l.wait > 0.0 { l.wait } else { count_wait * 0.7 },
+        wait: if l.wait > 0.0 {
+            l.wait
+        } else {
+            count_wait * 0.7
+        },
         again: l.again,
         pace: l.pace,
         pause: l.pause,
@@ -357,7 +431,10 @@
         ));
     }
     let trial = f.trial.unwrap_or_default();
-    let via = trial.via.iter().map(|(a, b)| Ok((address("via", a)?, address("via", b)?)));
+    let via = trial
+        .via
+        .iter()
+        .map(|(a, b)| Ok((address("via", a)?, address("via", b)?)));
     let via = via.collect::<Result<_, String>>()?;
     let machine = f.machine.unwrap_or_else(|| name.to_owned());
     Ok(Some(Plan {
@@ -379,8 +456,15 @@
 }
 
 /// The plan that the environment names; none where it names no file.
-pub fn plan(name: &str, zones: &[String], zone: usize, count_wait: f64) -> Result<Option<Plan>, Fault> {
-    let Ok(path) = std::env::var(VARIABLE) else { return Ok(None) };
+pub fn plan(
+    name: &str,
+    zones: &[String],
+    zone: usize,
+    count_wait: f64,
+) -> Result<Option<Plan>, Fault> {
+    let Ok(path) = std::env::var(VARIABLE) else {
+        return Ok(None);
+    };
     let fail = |e: String| Fault::Config(format!("{path}: {e}"));
     let text = std::fs::read_to_string(&path).map_err(|e| fail(e.to_string()))?;
     read(&text, name, zones, zone, count_wait).map_err(fail)
@@ -403,13 +487,24 @@
 "#;
 
     fn refused(text: &str, name: &str) -> String {
-        read(text, name, &["a".into(), "b".into()], 1, 0.05).err().unwrap()
+        read(text, name, &["a".into(), "b".into()], 1, 0.05)
+            .err()
+            .unwrap()
     }
 
     #[test]
     fn a_file_that_can_be_used_is_read_and_nothing_runs_without_its_section() {
-        let plan = read(GOOD, "n1", &["a".into(), "b".into()], 1, 0.05).unwrap().unwrap();
-        assert_eq!((plan.zone.as_str(), plan.machine.as_str(), plan.duties.slots()), ("b", "n1", 4));
+        let plan = read(GOOD, "n1", &["a".into(), "b".into()], 1, 0.05)
+            .unwrap()
+            .unwrap();
+        assert_eq!(
+            (
+                plan.zone.as_str(),
+                plan.machine.as_str(),
+                plan.duties.slots()
+            ),
+            ("b", "n1", 4)
+        );
         assert!(read("", "n1", &["a".into()], 0, 0.05).unwrap().is_none());
     }
 
@@ -417,17 +512,35 @@
     fn what_can_not_be_used_is_named_with_its_remedy() {
         let with = |from: &str, to: &str| GOOD.replace(from, to);
         let cases = [
-            (with("    { name = \"n3\", address = \"127.0.0.1:7003\" },\n", ""), "3, 5 or 7"),
+            (
+                with("    { name = \"n3\", address = \"127.0.0.1:7003\" },\n", ""),
+                "3, 5 or 7",
+            ),
             (with("\"n3\"", "\"n2\""), "stands there twice"),
-            (with("disk = \"voter.redb\"", "lease = 1.0\ndisk = \"v\""), "shorter than three renewals"),
+            (
+                with("disk = \"voter.redb\"", "lease = 1.0\ndisk = \"v\""),
+                "shorter than three renewals",
+            ),
             (with("127.0.0.1:7003", "[::1]:7003"), "no IPv4 address"),
             (with("disk = \"voter.redb\"\n", ""), "needs a file"),
-            (with("listen = \"127.0.0.1:7001\"", "listen = \"127.0.0.1:7009\""), "the voters' list has n1"),
+            (
+                with("listen = \"127.0.0.1:7001\"", "listen = \"127.0.0.1:7009\""),
+                "the voters' list has n1",
+            ),
             (with("disk =", "dusk ="), "line 5: unknown field `dusk`"),
-            (with("disk =", "zone = \"x\"\ndisk ="), "x is not among the zones a, b"),
+            (
+                with("disk =", "zone = \"x\"\ndisk ="),
+                "x is not among the zones a, b",
+            ),
             (with("disk =", "drift = 0.7\ndisk ="), "a share from 0"),
-            (format!("{GOOD}[fleet.lend]\nspan = -1.0\n"), "fleet.lend.span: -1; give seconds over 0"),
-            (format!("{GOOD}[fleet.lend]\nwait = 0.05\n"), "no less than the counter's time-out of 0.05"),
+            (
+                format!("{GOOD}[fleet.lend]\nspan = -1.0\n"),
+                "fleet.lend.span: -1; give seconds over 0",
+            ),
+            (
+                format!("{GOOD}[fleet.lend]\nwait = 0.05\n"),
+                "no less than the counter's time-out of 0.05",
+            ),
         ];
         for (text, says) in cases {
             let said = refused(&text, "n1");
--- a/crates/gateway/src/reducer.rs
+++ b/crates/gateway/src/reducer.rs
@@ -167,11 +167,16 @@
 
     /// Whether this delivery is still what the module wants, asked when its connection has come up.
     pub fn holds(&self, d: &Delivery, now: f64) -> bool {
-        let Some(held) = self.held.get(&d.num) else { return false };
+        let Some(held) = self.held.get(&d.num) else {
+            return false;
+        };
         let known = &self.known[d.tgt];
         let there = known.live && known.address == d.address;
         // Guards against a window for repeats that ended while the connection came up.
-        held.open & (1 << d.n) != 0 && now < d.until && there && self.limiter.resendable(&held.inv, now)
+        held.open & (1 << d.n) != 0
+            && now < d.until
+            && there
+            && self.limiter.resendable(&held.inv, now)
     }
 
     pub fn reduce(&mut self, event: Event, now: f64, out: &mut Vec<Effect>) {
@@ -181,7 +186,9 @@
             Event::ClientGone { num } => self.client_gone(num, now, out),
             Event::Ended { num, n, answered } => self.ended(num, n, answered, now, out),
             Event::Counted { call, counted } => {
-                let Some((name, at)) = self.calls.remove(&call) else { return };
+                let Some((name, at)) = self.calls.remove(&call) else {
+                    return;
+                };
                 self.stats.counted(counted);
                 self.limiter.counted(name, counted, now - at, now);
             }
@@ -190,8 +197,16 @@
                 self.stats.news_lost += 1;
                 self.limiter.watch_lost();
             }
-            Event::Told { address, bad, pause } => {
-                if let Some(tgt) = self.known.iter().position(|k| k.live && k.address == address) {
+            Event::Told {
+                address,
+                bad,
+                pause,
+            } => {
+                if let Some(tgt) = self
+                    .known
+                    .iter()
+                    .position(|k| k.live && k.address == address)
+                {
                     self.limiter.told(tgt, bad, pause, now);
                 }
             }
@@ -207,14 +222,33 @@
         // The answer has to be with the client before its time is up.
         let until = now + (asked.wait - self.answer_slack).max(0.0);
         let (a, gateways) = (&asked, (asked.first_gateway, asked.gateways));
-        let mut inv = Invocation::new(num, a.customer, a.plan, a.operation, a.units, gateways, now, until);
+        let mut inv = Invocation::new(
+            num,
+            a.customer,
+            a.plan,
+            a.operation,
+            a.units,
+            gateways,
+            now,
+            until,
+        );
         inv.repeat = a.repeat;
-        self.held.insert(num, Held { asked, inv, due: f64::INFINITY, open: 0 });
+        self.held.insert(
+            num,
+            Held {
+                asked,
+                inv,
+                due: f64::INFINITY,
+                open: 0,
+            },
+        );
         self.place(num, now, out);
     }
 
     fn place(&mut self, num: u64, now: f64, out: &mut Vec<Effect>) {
-        let Some(held) = self.held.get_mut(&num) else { return };
+        let Some(held) = self.held.get_mut(&num) else {
+            return;
+        };
         if matches!(held.inv.stage, Stage::Out | Stage::Done) {
             return;
         }
@@ -224,7 +258,9 @@
 
     /// Carries out one answer; what is finished with nothing out is let go.
     fn answer(&mut self, num: u64, answer: Answer, now: f64, out: &mut Vec<Effect>) {
-        let Some(held) = self.held.get_mut(&num) else { return };
+        let Some(held) = self.held.get_mut(&num) else {
+            return;
+        };
         let wait = self.limiter.wait(&held.inv, now);
         match answer {
             Answer::Send(tgt) => {
@@ -233,7 +269,14 @@
                 self.timers.push(Due(until, Timer::Limit(num, n)));
                 self.stats.deliveries += 1;
                 let (address, asked) = (self.known[tgt].address, held.asked.clone());
-                out.push(Effect::Send(Delivery { num, n, tgt, address, asked, until }));
+                out.push(Effect::Send(Delivery {
+                    num,
+                    n,
+                    tgt,
+                    address,
+                    asked,
+                    until,
+                }));
             }
             Answer::Hold if held.inv.stage != Stage::Out && now + wait < held.due => {
                 held.due = now + wait;
@@ -241,11 +284,17 @@
             }
             Answer::Throttle { pause, cause } => {
                 self.stats.throttled[cause as usize] += 1;
-                out.push(Effect::Reply { num, reply: Reply::Throttled { pause } });
+                out.push(Effect::Reply {
+                    num,
+                    reply: Reply::Throttled { pause },
+                });
             }
             Answer::Error => {
                 self.stats.errored += 1;
-                out.push(Effect::Reply { num, reply: Reply::Errored });
+                out.push(Effect::Reply {
+                    num,
+                    reply: Reply::Errored,
+                });
             }
             Answer::Hold | Answer::Done => {}
         }
@@ -256,27 +305,49 @@
 
     fn ended(&mut self, num: u64, n: usize, answered: Answered, now: f64, out: &mut Vec<Effect>) {
         let Answered { ending, used, body } = answered;
-        let Some(held) = self.held.get_mut(&num).filter(|h| h.open & (1 << n) != 0) else { return };
+        let Some(held) = self.held.get_mut(&num).filter(|h| h.open & (1 << n) != 0) else {
+            return;
+        };
         held.open &= !(1 << n);
         self.stats.ended(ending);
         let finished = held.inv.stage == Stage::Done;
         let done = finished || ending == Ending::Succeeded;
         if done && !finished {
             self.stats.succeeded += 1;
-            out.push(Effect::Reply { num, reply: Reply::Succeeded(body) });
+            out.push(Effect::Reply {
+                num,
+                reply: Reply::Succeeded(body),
+            });
         }
         // No answer on this protocol settles units.
-        let outcome = Outcome { n, ending, spent: now - held.inv.sent[n].1, done, used, settled: None };
+        let outcome = Outcome {
+            n,
+            ending,
+            spent: now - held.inv.sent[n].1,
+            done,
+            used,
+            settled: None,
+        };
         let answer = self.limiter.after(&mut held.inv, &outcome, now);
         self.answer(num, answer, now, out);
     }
 
     fn client_gone(&mut self, num: u64, now: f64, out: &mut Vec<Effect>) {
-        let Some(held) = self.held.get_mut(&num).filter(|h| h.inv.stage != Stage::Done) else { return };
+        let Some(held) = self
+            .held
+            .get_mut(&num)
+            .filter(|h| h.inv.stage != Stage::Done)
+        else {
+            return;
+        };
         self.stats.clients_gone += 1;
         self.limiter.gone(&mut held.inv);
         for n in (0..held.inv.sent.len()).filter(|n| held.open & (1 << n) != 0) {
-            out.push(Effect::Abandon { num, n, ending: Ending::Cancelled });
+            out.push(Effect::Abandon {
+                num,
+                n,
+                ending: Ending::Cancelled,
+            });
         }
         self.answer(num, Answer::Done, now, out);
     }
@@ -289,7 +360,11 @@
         let mut entries = Vec::with_capacity(news.members.len());
         for m in news.members {
             let live = m.readiness == Readiness::Live;
-            let known = Known { address: m.address, came_up: m.came_up, live };
+            let known = Known {
+                address: m.address,
+                came_up: m.came_up,
+                live,
+            };
             let tgt = match self.numbers.get(&m.id) {
                 Some(&tgt) => {
                     let old = std::mem::replace(&mut self.known[tgt], known);
@@ -305,7 +380,13 @@
                 }
             };
             let (zone, cell, came_up, readiness) = (m.zone, m.cell, m.came_up, m.readiness);
-            entries.push(Server { tgt, zone, cell, came_up, readiness });
+            entries.push(Server {
+                tgt,
+                zone,
+                cell,
+                came_up,
+                readiness,
+            });
         }
         let shut = self.known.iter().enumerate().filter(|(_, k)| !k.live);
         out.extend(shut.map(|(tgt, _)| Effect::Retire { tgt }));
@@ -314,7 +395,9 @@
 
     fn due(&mut self, now: f64, out: &mut Vec<Effect>) {
         while self.timers.peek().is_some_and(|d| d.0 <= now) {
-            let Some(Due(at, timer)) = self.timers.pop() else { return };
+            let Some(Due(at, timer)) = self.timers.pop() else {
+                return;
+            };
             match timer {
                 Timer::Ask(num) => {
                     if let Some(held) = self.held.get_mut(&num).filter(|h| h.due <= at) {
@@ -324,7 +407,11 @@
                 }
                 Timer::Limit(num, n) => {
                     if self.held.get(&num).is_some_and(|h| h.open & (1 << n) != 0) {
-                        out.push(Effect::Abandon { num, n, ending: Ending::Timeout });
+                        out.push(Effect::Abandon {
+                            num,
+                            n,
+                            ending: Ending::Timeout,
+                        });
                     }
                 }
                 Timer::Call(call) => {
@@ -341,13 +428,25 @@
         while let Some(action) = self.limiter.next_action() {
             match action {
                 Action::Ask(num) => self.place(num, now, out),
-                Action::Count { name, add, life, about } => {
+                Action::Count {
+                    name,
+                    add,
+                    life,
+                    about,
+                } => {
                     self.last_call += 1;
                     self.stats.calls += 1;
                     let call = self.last_call;
                     self.calls.insert(call, (name, now));
-                    self.timers.push(Due(now + self.count_wait, Timer::Call(call)));
-                    out.push(Effect::Count { call, name, add, life, about });
+                    self.timers
+                        .push(Due(now + self.count_wait, Timer::Call(call)));
+                    out.push(Effect::Count {
+                        call,
+                        name,
+                        add,
+                        life,
+                        about,
+                    });
                 }
                 Action::WatchEndpoints => out.push(Effect::Watch),
                 Action::Tick(after) => self.timers.push(Due(now + after, Timer::Tick)),
@@ -358,8 +457,18 @@
 
 /// The names and bounds that the settings give to the rest of the gateway.
 pub fn names(read: &dunespur_settings::Read) -> Names {
-    let (plans, operations, zones) = (read.plans.clone(), read.operations.clone(), read.zones.clone());
-    Names { plans, operations, zones, fleet: read.settings.fleet, most_units: read.most_units }
+    let (plans, operations, zones) = (
+        read.plans.clone(),
+        read.operations.clone(),
+        read.zones.clone(),
+    );
+    Names {
+        plans,
+        operations,
+        zones,
+        fleet: read.settings.fleet,
+        most_units: read.most_units,
+    }
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/reducer/tests.rs
+++ b/crates/gateway/src/reducer/tests.rs
@@ -4,8 +4,13 @@
 use dunespur::types::Effect as Run;
 use std::collections::HashSet;
 
-const ENDINGS: [Ending; 5] =
-    [Ending::Succeeded, Ending::Error, Ending::Full, Ending::ConnectFailed, Ending::Reset];
+const ENDINGS: [Ending; 5] = [
+    Ending::Succeeded,
+    Ending::Error,
+    Ending::Full,
+    Ending::ConnectFailed,
+    Ending::Reset,
+];
 
 pub fn settings() -> Settings {
     let operation = |effect| OperationSettings {
@@ -15,7 +20,10 @@
         billed_value: 1.0,
         late_share: 0.0,
     };
-    let tokened = Run::Tokened { group: Group::All, window: 2.5 };
+    let tokened = Run::Tokened {
+        group: Group::All,
+        window: 2.5,
+    };
     let effects = [Run::Idempotent, tokened, Run::NonIdempotent];
     Settings {
         seed: 1,
@@ -85,16 +93,26 @@
             let event = match any(8) {
                 0 | 1 if !last => {
                     waiting.insert(step);
-                    Event::Taken { num: step, asked: asked(any(3) as u64, any(3) as u64) }
+                    Event::Taken {
+                        num: step,
+                        asked: asked(any(3) as u64, any(3) as u64),
+                    }
                 }
                 2 | 3 if !open.is_empty() => {
                     let d = open.remove(any(open.len()));
                     let answered = Answered::none(ENDINGS[any(5)]);
-                    Event::Ended { num: d.num, n: d.n, answered }
+                    Event::Ended {
+                        num: d.num,
+                        n: d.n,
+                        answered,
+                    }
                 }
                 4 if !calls.is_empty() => {
                     let counted = [Counted::Total(any(60) as f64), Counted::Refused][any(2)];
-                    Event::Counted { call: calls.remove(any(calls.len())), counted }
+                    Event::Counted {
+                        call: calls.remove(any(calls.len())),
+                        counted,
+                    }
                 }
                 5 if !waiting.is_empty() && any(4) == 0 => {
                     let num = *waiting.iter().min().unwrap();
@@ -110,10 +128,19 @@
                         zone: 0,
                         cell: 0,
                         came_up: 0.0,
-                        readiness: if live[tgt] { Readiness::Live } else { Readiness::Draining },
+                        readiness: if live[tgt] {
+                            Readiness::Live
+                        } else {
+                            Readiness::Draining
+                        },
                     };
                     let members = (0..4).map(member).collect();
-                    Event::Endpoints(News { revision: step, complete: false, members, whole: true })
+                    Event::Endpoints(News {
+                        revision: step,
+                        complete: false,
+                        members,
+                        whole: true,
+                    })
                 }
                 _ => {
                     now += any(40) as f64 / 1000.0 * if last { 10.0 } else { 1.0 };
@@ -135,7 +162,9 @@
                         let answered = Answered::none(ending);
                         reducer.reduce(Event::Ended { num, n, answered }, now, &mut out);
                     }
-                    Effect::Reply { num, .. } => assert!(waiting.remove(num), "answered twice or none"),
+                    Effect::Reply { num, .. } => {
+                        assert!(waiting.remove(num), "answered twice or none")
+                    }
                     &Effect::Count { call, .. } => calls.push(call),
                     &Effect::AbandonCount { call } => {
                         calls.retain(|c| *c != call);
@@ -147,12 +176,25 @@
                 at += 1;
             }
             out.clear();
-            assert!(open.iter().all(|d| waiting.contains(&d.num)), "out for one that is done");
+            assert!(
+                open.iter().all(|d| waiting.contains(&d.num)),
+                "out for one that is done"
+            );
         }
-        assert!(waiting.is_empty() && reducer.in_hand() == 0, "{} kept", reducer.in_hand());
-        assert!(reducer.calls.is_empty() && reducer.timers.is_empty(), "timers or calls kept");
+        assert!(
+            waiting.is_empty() && reducer.in_hand() == 0,
+            "{} kept",
+            reducer.in_hand()
+        );
+        assert!(
+            reducer.calls.is_empty() && reducer.timers.is_empty(),
+            "timers or calls kept"
+        );
         succeeded += reducer.stats.succeeded;
         timed_out += reducer.stats.endings[Ending::Timeout as usize];
     }
-    assert!(succeeded > 1000 && timed_out > 50, "{succeeded} succeeded, {timed_out} timed out");
+    assert!(
+        succeeded > 1000 && timed_out > 50,
+        "{succeeded} succeeded, {timed_out} timed out"
+    );
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -128,11 +128,25 @@
 impl Upstream {
     pub fn new(dial: Duration, idle_time: f64, most: usize) -> Self {
         let (idle, retired, out) = Default::default();
-        Upstream { dial, idle_time, most, open: Cell::new(0), idle, retired, out }
+        Upstream {
+            dial,
+            idle_time,
+            most,
+            open: Cell::new(0),
+            idle,
+            retired,
+            out,
+        }
     }
 
     pub fn send(&self, hub: &Rc<Hub>, delivery: Delivery) {
-        let Delivery { num, n, tgt, address, .. } = delivery;
+        let Delivery {
+            num,
+            n,
+            tgt,
+            address,
+            ..
+        } = delivery;
         if let Some(conn) = self.rested(tgt, hub.clock.now()) {
             conn.written.set(Written::default());
             *conn.job.borrow_mut() = Some(delivery);
@@ -175,8 +189,16 @@
             conn.close();
             ending == Ending::Timeout && !conn.written.get().whole()
         });
-        let ending = if unsent { Fault::Unwritten.ending() } else { ending };
-        hub.tell(Event::Ended { num, n, answered: Answered::none(ending) });
+        let ending = if unsent {
+            Fault::Unwritten.ending()
+        } else {
+            ending
+        };
+        hub.tell(Event::Ended {
+            num,
+            n,
+            answered: Answered::none(ending),
+        });
     }
 
     /// A server left, moved or started anew: its idle connections close, those in use after their answer.
@@ -216,7 +238,9 @@
 
     fn close_oldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter_mut().filter(|connections| !connections.is_empty());
+        let oldest = idle
+            .iter_mut()
+            .filter(|connections| !connections.is_empty());
         match oldest.min_by(|a, b| a[0].idle_since.get().total_cmp(&b[0].idle_since.get())) {
             Some(connections) => {
                 connections.remove(0).close();
@@ -253,7 +277,11 @@
         }
         // A panic in here on top of another would end the process; the delivery's time-out ends it instead.
         if !std::thread::panicking() {
-            let fault = if conn.written.get().whole() { Fault::Broken } else { Fault::Unwritten };
+            let fault = if conn.written.get().whole() {
+                Fault::Broken
+            } else {
+                Fault::Unwritten
+            };
             self.ended(Err(fault));
         }
     }
@@ -263,7 +291,9 @@
     /// Tells how the delivery on this connection ended, once.
     fn ended(&self, result: Result<Answered, Fault>) {
         let Task(hub, conn) = self;
-        let Some(Delivery { num, n, .. }) = conn.job.borrow_mut().take() else { return };
+        let Some(Delivery { num, n, .. }) = conn.job.borrow_mut().take() else {
+            return;
+        };
         if hub.upstream.out.borrow_mut().remove(&(num, n)).is_none() {
             return;
         }
@@ -282,7 +312,10 @@
         conn.close();
         let delivery = conn.job.borrow_mut().take();
         if let Some(delivery) = delivery {
-            hub.upstream.out.borrow_mut().remove(&(delivery.num, delivery.n));
+            hub.upstream
+                .out
+                .borrow_mut()
+                .remove(&(delivery.num, delivery.n));
             hub.upstream.send(hub, delivery);
         }
         Fault::Unwritten
@@ -296,7 +329,9 @@
             _ = conn.wake.notified() => return Fault::Withdrawn,
             connected = timeout(hub.upstream.dial, TcpStream::connect(address)) => connected,
         };
-        let Ok(Ok(stream)) = connected else { return Fault::NotConnected };
+        let Ok(Ok(stream)) = connected else {
+            return Fault::NotConnected;
+        };
         let _ = stream.set_nodelay(true);
         *conn.stream.borrow_mut() = Some(TokioIo::new(stream));
         hub.tell(Event::ServerConnected);
@@ -341,7 +376,10 @@
                 self.ended(Err(Fault::Unwritten));
                 continue;
             }
-            conn.written.set(Written { body_left: job.asked.body_len(), ..Written::default() });
+            conn.written.set(Written {
+                body_left: job.asked.body_len(),
+                ..Written::default()
+            });
             let request = encode_delivery(&job.asked, job.until - now);
             let mut exchange = pin!(async {
                 sender.ready().await?;
@@ -350,7 +388,10 @@
                 if !conn.written.get().whole() {
                     return Ok(None);
                 }
-                let last = head.headers.get(CONNECTION).is_some_and(|v| v.as_bytes() == b"close");
+                let last = head
+                    .headers
+                    .get(CONNECTION)
+                    .is_some_and(|v| v.as_bytes() == b"close");
                 let body = Limited::new(body, MOST_BODY).collect().await;
                 Ok::<_, hyper::Error>(Some((head, body, last)))
             });
--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -11,8 +11,11 @@
 use std::time::{Duration, Instant};
 
 /// Three effects: each with its operation and whether it may be sent again after it may have run.
-const EFFECTS: [(&str, &str, bool); 3] =
-    [("GET", "read", true), ("POST", "write", true), ("POST", "once", false)];
+const EFFECTS: [(&str, &str, bool); 3] = [
+    ("GET", "read", true),
+    ("POST", "write", true),
+    ("POST", "once", false),
+];
 
 /// A second copy of an answer comes some milliseconds after it, and would be taken for the answer to the next
 /// delivery if that was written by then. Until then the connection is a resting one, on which bytes end it.
@@ -33,7 +36,10 @@
     (0..12).for_each(|_| assert!(gateway.read().ends_with("served")));
     let gaps = gaps.lock().unwrap();
     assert!(gaps.len() > 5, "{gaps:?}: a connection is used again");
-    assert!(gaps.iter().all(|&g| g >= Duration::from_millis(10)), "{gaps:?}");
+    assert!(
+        gaps.iter().all(|&g| g >= Duration::from_millis(10)),
+        "{gaps:?}"
+    );
 }
 
 #[test]
@@ -44,10 +50,16 @@
     gateway.paused(|| {
         // The server would close it after a second; three quarters of that are what it is trusted for.
         sleep(Duration::from_millis(850));
-        resting.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+        resting
+            .write_all(invocation("GET", "read", 2000, "").as_bytes())
+            .unwrap();
     });
     assert!(message(&mut resting).unwrap().ends_with("served"));
-    assert_eq!(server.connections.load(Ordering::SeqCst), 2, "over a new one");
+    assert_eq!(
+        server.connections.load(Ordering::SeqCst),
+        2,
+        "over a new one"
+    );
 }
 
 #[test]
@@ -62,9 +74,17 @@
     assert!(gateway.read().ends_with("served"));
     // Six seconds and some after it; the last sweep was a moment too early for it, the next one is to come.
     at(6.6);
-    assert_eq!(server.ended.load(Ordering::SeqCst), 0, "no sweep has closed it");
+    assert_eq!(
+        server.ended.load(Ordering::SeqCst),
+        0,
+        "no sweep has closed it"
+    );
     assert!(gateway.read().ends_with("served"));
-    assert_eq!(server.connections.load(Ordering::SeqCst), 2, "over a new one");
+    assert_eq!(
+        server.connections.load(Ordering::SeqCst),
+        2,
+        "over a new one"
+    );
 }
 
 #[test]
@@ -73,7 +93,10 @@
     let address = listener.local_addr().unwrap();
     let settings = SETTINGS
         .replace("\"dialTimeoutS\":0.25", "\"dialTimeoutS\":3")
-        .replace("\"goalTimeS\":0.5,\"deadlineS\":1.5", "\"goalTimeS\":3.0,\"deadlineS\":4.0")
+        .replace(
+            "\"goalTimeS\":0.5,\"deadlineS\":1.5",
+            "\"goalTimeS\":3.0,\"deadlineS\":4.0",
+        )
         .replace("\"windowS\":2.5", "\"windowS\":0.6");
     assert!(settings.contains("0.6}"));
     // The first message is reset once the listener is full again; it is full for longer than the window
@@ -95,16 +118,30 @@
     });
     let (gateway, _discovery, _counter) = Gateway::before_by(&[address], &settings);
     let answer = gateway.ask(&invocation("POST", "write", 4000, "")).unwrap();
-    assert!(answer.starts_with("HTTP/1.1 502 "), "it may have run: {answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 502 "),
+        "it may have run: {answer}"
+    );
     drop(gateway);
-    assert!(!served.join().unwrap(), "it is not sent again once the window is over");
+    assert!(
+        !served.join().unwrap(),
+        "it is not sent again once the window is over"
+    );
 }
 
 #[test]
 fn a_server_that_vanishes_in_its_answer_is_followed_only_where_that_is_harmless() {
     let begun = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nser";
-    let parts = [begun, &begun[..30], "HTTP/1.1 200 OK\r\n\r\nserved", "HTTP/1.1 200 OK\r\n\r\n"];
-    for (part, (method, operation, again)) in parts.iter().flat_map(|p| EFFECTS.map(|e| (p.to_string(), e))) {
+    let parts = [
+        begun,
+        &begun[..30],
+        "HTTP/1.1 200 OK\r\n\r\nserved",
+        "HTTP/1.1 200 OK\r\n\r\n",
+    ];
+    for (part, (method, operation, again)) in parts
+        .iter()
+        .flat_map(|p| EFFECTS.map(|e| (p.to_string(), e)))
+    {
         let server = StandIn::scripted(move |me, _, stream| {
             if me.seen() > 1 {
                 return stream.write_all(ok("served").as_bytes()).is_ok();
@@ -116,11 +153,19 @@
             false
         });
         let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
-        let answer = gateway.ask(&invocation(method, operation, 2000, "")).unwrap();
+        let answer = gateway
+            .ask(&invocation(method, operation, 2000, ""))
+            .unwrap();
         if again {
-            assert!(answer.ends_with("served") && server.seen() == 2, "{operation}: {answer}");
+            assert!(
+                answer.ends_with("served") && server.seen() == 2,
+                "{operation}: {answer}"
+            );
         } else {
-            assert!(answer.starts_with("HTTP/1.1 502 ") && server.seen() == 1, "{operation}: {answer}");
+            assert!(
+                answer.starts_with("HTTP/1.1 502 ") && server.seen() == 1,
+                "{operation}: {answer}"
+            );
         }
     }
 }
@@ -136,16 +181,24 @@
     });
     let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
     for (method, operation, _) in EFFECTS {
-        let answer = gateway.ask(&invocation(method, operation, 2000, "")).unwrap();
-        assert!(answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("served"), "{answer}");
+        let answer = gateway
+            .ask(&invocation(method, operation, 2000, ""))
+            .unwrap();
+        assert!(
+            answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("served"),
+            "{answer}"
+        );
     }
     assert_eq!(server.seen(), 3);
 }
 
 #[test]
 fn an_answer_that_never_ends_costs_its_time_and_no_more() {
-    let bodies =
-        ["HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n", "HTTP/1.1 2"];
+    let bodies = [
+        "HTTP/1.1 200 OK\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n",
+        "HTTP/1.1 2",
+    ];
     for begin in bodies {
         let server = StandIn::scripted(move |me, _, stream| {
             if me.mood() == Mood::Well {
@@ -161,9 +214,13 @@
         *server.mood.lock().unwrap() = Mood::Slow;
         let began = Instant::now();
         let answer = gateway.ask(&invocation("POST", "once", 600, "")).unwrap();
-        assert!(answer.starts_with("HTTP/1.1 502 ") && began.elapsed() < Duration::from_millis(700));
+        assert!(
+            answer.starts_with("HTTP/1.1 502 ") && began.elapsed() < Duration::from_millis(700)
+        );
         assert_eq!(server.seen(), 1);
-        until("its connection is closed", || server.ended.load(Ordering::SeqCst) == 1);
+        until("its connection is closed", || {
+            server.ended.load(Ordering::SeqCst) == 1
+        });
         *server.mood.lock().unwrap() = Mood::Well;
         until("it is used again", || gateway.read().ends_with("served"));
     }
@@ -184,7 +241,10 @@
     assert!(gateway.read().ends_with("served"));
     until("it is closed", || server.ended.load(Ordering::SeqCst) == 1);
     assert!(gateway.read().ends_with("served"));
-    assert_eq!((server.seen(), server.connections.load(Ordering::SeqCst)), (2, 2));
+    assert_eq!(
+        (server.seen(), server.connections.load(Ordering::SeqCst)),
+        (2, 2)
+    );
 }
 
 #[test]
@@ -201,10 +261,14 @@
     let mut resting = gateway.rested();
     gateway.paused(|| {
         *server.mood.lock().unwrap() = Mood::Slow;
-        until("the connection has ended", || server.ended.load(Ordering::SeqCst) == 1);
+        until("the connection has ended", || {
+            server.ended.load(Ordering::SeqCst) == 1
+        });
         // A busy machine passes the end on a little later.
         sleep(Duration::from_millis(50));
-        resting.write_all(invocation("POST", "once", 2000, "").as_bytes()).unwrap();
+        resting
+            .write_all(invocation("POST", "once", 2000, "").as_bytes())
+            .unwrap();
     });
     assert!(message(&mut resting).unwrap().ends_with("served"));
     drop(resting);
@@ -231,7 +295,9 @@
     gateway.paused(|| {
         *server.mood.lock().unwrap() = Mood::Slow;
         until("the bytes are there", || server.mood() == Mood::Well);
-        resting.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+        resting
+            .write_all(invocation("GET", "read", 2000, "").as_bytes())
+            .unwrap();
     });
     let answer = message(&mut resting).unwrap();
     assert!(answer.ends_with("served"), "{answer}");
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -11,7 +11,9 @@
 
 fn sent(gateway: &Gateway, operation: &str, wait_ms: u32) -> TcpStream {
     let mut stream = gateway.connect().unwrap();
-    stream.write_all(invocation("GET", operation, wait_ms, "").as_bytes()).unwrap();
+    stream
+        .write_all(invocation("GET", operation, wait_ms, "").as_bytes())
+        .unwrap();
     stream
 }
 
@@ -30,9 +32,18 @@
         sleep(Duration::from_millis(50));
         let left = Instant::now();
         drop(stream);
-        until("its connection is closed", || server.ended.load(Ordering::SeqCst) == at + 1);
-        assert!(left.elapsed() < Duration::from_millis(500), "at once, not by a time-out");
-        assert_eq!(server.seen(), at + 1, "nothing that came behind it is sent on");
+        until("its connection is closed", || {
+            server.ended.load(Ordering::SeqCst) == at + 1
+        });
+        assert!(
+            left.elapsed() < Duration::from_millis(500),
+            "at once, not by a time-out"
+        );
+        assert_eq!(
+            server.seen(),
+            at + 1,
+            "nothing that came behind it is sent on"
+        );
     }
 }
 
@@ -42,9 +53,13 @@
     let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
     let mut stream = sent(&gateway, "once", 8000);
     until("the delivery has come", || server.seen() == 1);
-    let writes = (0..2000).take_while(|_| stream.write_all(&[b'x'; 65536]).is_ok()).count();
+    let writes = (0..2000)
+        .take_while(|_| stream.write_all(&[b'x'; 65536]).is_ok())
+        .count();
     assert!(writes < 2000, "130 MB are not read");
-    until("the delivery is given up", || server.ended.load(Ordering::SeqCst) == 1);
+    until("the delivery is given up", || {
+        server.ended.load(Ordering::SeqCst) == 1
+    });
     *server.mood.lock().unwrap() = Mood::Well;
     assert!(gateway.read().ends_with("served"));
 }
@@ -63,7 +78,9 @@
         sleep(Duration::from_millis(700));
     });
     assert!(message(&mut client).expect("an answer").ends_with("served"));
-    client.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+    client
+        .write_all(invocation("GET", "read", 2000, "").as_bytes())
+        .unwrap();
     assert!(message(&mut client).expect("an answer").ends_with("served"));
 }
 
@@ -81,8 +98,13 @@
         } else {
             stream.shutdown(std::net::Shutdown::Write).unwrap();
         }
-        until("its connection is closed", || server.ended.load(Ordering::SeqCst) == at + 1);
-        assert!(left.elapsed() < Duration::from_millis(500), "at once, not by a time-out");
+        until("its connection is closed", || {
+            server.ended.load(Ordering::SeqCst) == at + 1
+        });
+        assert!(
+            left.elapsed() < Duration::from_millis(500),
+            "at once, not by a time-out"
+        );
     }
 }
 
@@ -92,36 +114,55 @@
     let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
     // A new connection to the server and one that is there already.
     for seen in [0, 1] {
-        let mut resting = if seen > 0 { gateway.rested() } else { gateway.connect().unwrap() };
+        let mut resting = if seen > 0 {
+            gateway.rested()
+        } else {
+            gateway.connect().unwrap()
+        };
         gateway.paused(|| {
-            resting.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+            resting
+                .write_all(invocation("GET", "read", 2000, "").as_bytes())
+                .unwrap();
             drop(resting);
             drop(sent(&gateway, "read", 2000));
         });
         sleep(Duration::from_millis(300));
-        assert_eq!(server.seen(), seen, "of those whose clients have gone none is sent on");
+        assert_eq!(
+            server.seen(),
+            seen,
+            "of those whose clients have gone none is sent on"
+        );
     }
     assert!(gateway.read().ends_with("served"));
 }
 
 #[test]
 fn none_is_sent_on_whose_client_left_while_the_counter_was_asked() {
-    let (server, slow) = (StandIn::server(Mood::Well), SETTINGS.replace("0.01,", "0.5,"));
+    let (server, slow) = (
+        StandIn::server(Mood::Well),
+        SETTINGS.replace("0.01,", "0.5,"),
+    );
     let (gateway, _discovery, counter) = Gateway::before_by(&[server.address], &slow);
     *counter.mood.lock().unwrap() = Mood::Silent;
     let stream = sent(&gateway, "read", 2000);
     until("the counter is asked", || counter.seen() == 1);
     drop(stream);
     sleep(Duration::from_millis(900));
-    assert_eq!(server.seen(), 0, "its client had gone when the call's time was up");
+    assert_eq!(
+        server.seen(),
+        0,
+        "its client had gone when the call's time was up"
+    );
 }
 
 #[test]
 fn none_is_sent_on_whose_client_left_while_the_connection_came_up() {
     let (listener, fills) = full_listener();
     let address = listener.local_addr().unwrap();
-    let (gateway, _discovery, counter) =
-        Gateway::before_by(&[address], &SETTINGS.replace("\"dialTimeoutS\":0.25", "\"dialTimeoutS\":3"));
+    let (gateway, _discovery, counter) = Gateway::before_by(
+        &[address],
+        &SETTINGS.replace("\"dialTimeoutS\":0.25", "\"dialTimeoutS\":3"),
+    );
     let stream = sent(&gateway, "once", 2000);
     until("its units are leased", || counter.seen() > 0);
     sleep(Duration::from_millis(100));
@@ -133,7 +174,11 @@
     });
     drop(fills);
     sleep(Duration::from_millis(1500));
-    assert_eq!(server.seen(), 0, "the connection that came up late carried nothing");
+    assert_eq!(
+        server.seen(),
+        0,
+        "the connection that came up late carried nothing"
+    );
 }
 
 #[test]
@@ -174,7 +219,9 @@
     drop(streams);
     sleep(Duration::from_millis(100));
     let (seen, open) = (server.seen(), server.connections.load(Ordering::SeqCst));
-    until("all deliveries end", || server.ended.load(Ordering::SeqCst) == open);
+    until("all deliveries end", || {
+        server.ended.load(Ordering::SeqCst) == open
+    });
     sleep(Duration::from_millis(700));
     assert_eq!(server.seen(), seen, "nothing is sent for who has gone");
     *server.mood.lock().unwrap() = Mood::Well;
@@ -187,8 +234,13 @@
     let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
     let mut flood = gateway.connect().unwrap();
     let began = Instant::now();
-    let writes = (0..200).take_while(|_| flood.write_all(&[b'x'; 65536]).is_ok()).count();
-    assert!(writes < 200 || flood.read(&mut [0; 16]).is_ok_and(|n| n < 16), "13 MB are not read");
+    let writes = (0..200)
+        .take_while(|_| flood.write_all(&[b'x'; 65536]).is_ok())
+        .count();
+    assert!(
+        writes < 200 || flood.read(&mut [0; 16]).is_ok_and(|n| n < 16),
+        "13 MB are not read"
+    );
     assert!(began.elapsed() < Duration::from_secs(5));
     assert!(gateway.read().ends_with("served"));
     assert_eq!(server.seen(), 1);
@@ -197,9 +249,15 @@
 #[test]
 fn descriptors_full_of_idle_clients_leave_room_for_discovery_servers_and_the_counter() {
     let (kept, drains) = (StandIn::server(Mood::Well), StandIn::server(Mood::Well));
-    let known = list(1, true, &[(0, kept.address, "Ready"), (1, drains.address, "Ready")]);
-    let (discovery, counter) =
-        (StandIn::discovery(known.clone(), Mood::Silent), StandIn::counter(Mood::Well));
+    let known = list(
+        1,
+        true,
+        &[(0, kept.address, "Ready"), (1, drains.address, "Ready")],
+    );
+    let (discovery, counter) = (
+        StandIn::discovery(known.clone(), Mood::Silent),
+        StandIn::counter(Mood::Well),
+    );
     let mut gateway = Gateway::with(&known, discovery.address, counter.address, 64);
     let mut clients = Vec::new();
     // Twice as many as there are descriptors, each rests after an answer or before its first message.
@@ -207,14 +265,18 @@
         clients.push(gateway.rested());
         clients.extend(gateway.connect().filter(|_| at % 2 == 0));
     }
-    assert!(gateway.read().ends_with("served"), "while discovery is silent");
+    assert!(
+        gateway.read().ends_with("served"),
+        "while discovery is silent"
+    );
     discovery.news.lock().unwrap()[0] = list(2, false, &[(1, drains.address, "Terminating")]);
     let asked = discovery.seen();
     *discovery.mood.lock().unwrap() = Mood::Well;
     until("it is watched again", || discovery.seen() > asked);
     sleep(Duration::from_millis(100));
     let (before, calls) = (drains.seen(), counter.seen());
-    let other = |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
+    let other =
+        |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
     (0..20).for_each(|n| assert!(gateway.ask(&other(n)).unwrap().ends_with("served")));
     assert_eq!(drains.seen(), before, "the drain is heeded");
     assert!(counter.seen() > calls, "the counter is asked");
@@ -231,12 +293,20 @@
     let mut clients: Vec<_> = (0..60).map(|_| gateway.rested()).collect();
     let mut ended = 0;
     for client in &mut clients[..30] {
-        client.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
+        client
+            .set_read_timeout(Some(Duration::from_secs(2)))
+            .unwrap();
         let mut told = Vec::new();
-        assert!(client.read_to_end(&mut told).is_ok() && told.is_empty(), "an end, no reset");
+        assert!(
+            client.read_to_end(&mut told).is_ok() && told.is_empty(),
+            "an end, no reset"
+        );
         let before = server.seen();
         _ = client.write_all(invocation("GET", "read", 2000, "").as_bytes());
-        assert!(!client.read(&mut [0; 64]).is_ok_and(|n| n > 0), "nothing is answered after the end");
+        assert!(
+            !client.read(&mut [0; 64]).is_ok_and(|n| n > 0),
+            "nothing is answered after the end"
+        );
         assert_eq!(server.seen(), before, "nor sent on");
         ended += 1;
     }
@@ -262,17 +332,28 @@
         let answer = message(client).unwrap_or_default();
         refused += usize::from(answer.starts_with("HTTP/1.1 503 "));
     }
-    let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.child.as_ref().unwrap().id()));
+    let status = std::fs::read_to_string(format!(
+        "/proc/{}/status",
+        gateway.child.as_ref().unwrap().id()
+    ));
     let most: usize = status
         .unwrap()
         .lines()
-        .find_map(|l| l.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB")?.parse().ok())
+        .find_map(|l| {
+            l.strip_prefix("VmHWM:")?
+                .trim()
+                .strip_suffix(" kB")?
+                .parse()
+                .ok()
+        })
         .unwrap();
     assert!(most < 32 * 1024, "{most} kB of 32 MB");
     assert!(refused > 100, "{refused} were told to come again");
     drop(clients);
     *server.mood.lock().unwrap() = Mood::Well;
     until("there is room again", || {
-        gateway.ask(&invocation("POST", "write", 1500, &body)).is_some_and(|a| a.ends_with("served"))
+        gateway
+            .ask(&invocation("POST", "write", 1500, &body))
+            .is_some_and(|a| a.ends_with("served"))
     });
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -54,7 +54,10 @@
         bytes.push(byte[0]);
     }
     let head = String::from_utf8_lossy(&bytes).to_ascii_lowercase();
-    let len = head.lines().find_map(|l| l.strip_prefix("content-length: ")?.parse().ok()).unwrap_or(0);
+    let len = head
+        .lines()
+        .find_map(|l| l.strip_prefix("content-length: ")?.parse().ok())
+        .unwrap_or(0);
     let mut body = vec![0; len];
     stream.read_exact(&mut body).ok()?;
     bytes.extend(body);
@@ -68,12 +71,17 @@
 
 /// From now on this connection's end is a reset.
 pub fn ends_by_reset(stream: &TcpStream) {
-    socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap();
+    socket2::SockRef::from(stream)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
 }
 
 /// A 200 with this body.
 pub fn ok(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// The id that a message carries.
@@ -86,7 +94,9 @@
 /// comes up with its next try, a second later. The connection that fills it comes with it.
 pub fn full_listener() -> (TcpListener, TcpStream) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(0).unwrap();
     let listener = TcpListener::from(socket);
     let fills = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -94,7 +104,10 @@
 }
 
 impl StandIn {
-    pub fn start(mood: Mood, serve: impl Fn(&StandIn, TcpStream) + Send + Sync + 'static) -> Arc<StandIn> {
+    pub fn start(
+        mood: Mood,
+        serve: impl Fn(&StandIn, TcpStream) + Send + Sync + 'static,
+    ) -> Arc<StandIn> {
         Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), mood, serve)
     }
 
@@ -136,7 +149,9 @@
                     Mood::Well | Mood::Slow => {
                         "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nX-Allowance-Used: 40\r\n\r\nserved"
                     }
-                    Mood::Full => "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Not-Processed: 1\r\n\r\n",
+                    Mood::Full => {
+                        "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Not-Processed: 1\r\n\r\n"
+                    }
                     Mood::Fails => "HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\nno",
                     Mood::Silent => continue,
                     _ => return reset(stream),
@@ -168,12 +183,15 @@
             let mut mute = false;
             let mut line = || {
                 let mut line = String::new();
-                std::io::BufRead::read_line(&mut reader, &mut line).ok().filter(|&n| n > 0)?;
+                std::io::BufRead::read_line(&mut reader, &mut line)
+                    .ok()
+                    .filter(|&n| n > 0)?;
                 Some(line.trim_end().to_owned())
             };
             while let Some(count) = line() {
                 let parts: usize = count.strip_prefix('*').unwrap().parse().unwrap();
-                let call: Option<Vec<String>> = (0..parts).map(|_| line().and_then(|_| line())).collect();
+                let call: Option<Vec<String>> =
+                    (0..parts).map(|_| line().and_then(|_| line())).collect();
                 let Some(call) = call else { return };
                 let mut seen = me.seen.lock().unwrap();
                 seen.push(call.join(" "));
@@ -187,7 +205,9 @@
                 mute |= me.mood() == Mood::Silent;
                 match me.mood() {
                     _ if mute => {}
-                    Mood::Well => _ = stream.write_all(format!("${}\r\n{total}\r\n", total.len()).as_bytes()),
+                    Mood::Well => {
+                        _ = stream.write_all(format!("${}\r\n{total}\r\n", total.len()).as_bytes())
+                    }
                     Mood::Full => _ = stream.write_all(b"-BUSY crowded\r\n"),
                     Mood::SpoilsFirst if first => {
                         sleep(Duration::from_millis(300));
@@ -206,7 +226,9 @@
 
     pub fn discovery(list: String, mood: Mood) -> Arc<StandIn> {
         let discovery = Self::start(mood, |me, mut stream| {
-            let Some(asked) = message(&mut stream) else { return };
+            let Some(asked) = message(&mut stream) else {
+                return;
+            };
             me.seen.lock().unwrap().push(asked);
             if me.mood() == Mood::Silent {
                 return sleep(Duration::from_secs(60));
@@ -216,8 +238,14 @@
             loop {
                 let lines = me.news.lock().unwrap()[told..].to_vec();
                 told += lines.len();
-                for line in lines.iter().chain(lines.is_empty().then_some(&String::new())) {
-                    if stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).is_err() {
+                for line in lines
+                    .iter()
+                    .chain(lines.is_empty().then_some(&String::new()))
+                {
+                    if stream
+                        .write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
+                        .is_err()
+                    {
                         return;
                     }
                 }
@@ -245,8 +273,14 @@
         )
     };
     // A watch holds each list on one line.
-    let members: Vec<_> = servers.iter().map(|m| member(m).replace('\n', "")).collect();
-    format!(r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#, members.join(","))
+    let members: Vec<_> = servers
+        .iter()
+        .map(|m| member(m).replace('\n', ""))
+        .collect();
+    format!(
+        r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#,
+        members.join(",")
+    )
 }
 
 /// Held while a program is started: until that has begun to run it holds all that this process has open, and an
@@ -289,7 +323,12 @@
 }
 
 impl Gateway {
-    pub fn with(known: &str, discovery: SocketAddr, counter: SocketAddr, sockets: usize) -> Gateway {
+    pub fn with(
+        known: &str,
+        discovery: SocketAddr,
+        counter: SocketAddr,
+        sockets: usize,
+    ) -> Gateway {
         Self::of(known, discovery, counter, sockets, SETTINGS)
     }
 
@@ -302,7 +341,10 @@
     ) -> Gateway {
         let mut gateway = Self::started(known, discovery, counter, sockets, settings);
         let began = Instant::now();
-        while gateway.ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").is_none_or(|a| !a.contains(" 200 ")) {
+        while gateway
+            .ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .is_none_or(|a| !a.contains(" 200 "))
+        {
             if began.elapsed() > Duration::from_secs(10) {
                 gateway.signal("-KILL");
                 let told = String::from_utf8_lossy(&gateway.output().stderr).into_owned();
@@ -323,7 +365,11 @@
     ) -> Gateway {
         static LAST: AtomicUsize = AtomicUsize::new(0);
         let address = free_address();
-        let name = format!("dunespur-{}-{}.json", std::process::id(), LAST.fetch_add(1, Ordering::SeqCst));
+        let name = format!(
+            "dunespur-{}-{}.json",
+            std::process::id(),
+            LAST.fetch_add(1, Ordering::SeqCst)
+        );
         let config = std::env::temp_dir().join(name);
         let text = format!(
             r#"{{"name":"n0","listen":"{address}","discovery":"{discovery}","counter":"{counter}",
@@ -332,7 +378,11 @@
         );
         std::fs::write(&config, text).unwrap();
         let child = start_within(&config, sockets);
-        Gateway { child: Some(child), address, config }
+        Gateway {
+            child: Some(child),
+            address,
+            config,
+        }
     }
 
     /// One with these servers, a counter and discovery that are well.
@@ -340,7 +390,10 @@
         Self::within(servers, 256, SETTINGS)
     }
 
-    pub fn before_by(servers: &[SocketAddr], settings: &str) -> (Gateway, Arc<StandIn>, Arc<StandIn>) {
+    pub fn before_by(
+        servers: &[SocketAddr],
+        settings: &str,
+    ) -> (Gateway, Arc<StandIn>, Arc<StandIn>) {
         Self::within(servers, 256, settings)
     }
 
@@ -349,15 +402,31 @@
         sockets: usize,
         settings: &str,
     ) -> (Gateway, Arc<StandIn>, Arc<StandIn>) {
-        let live: Vec<_> = servers.iter().enumerate().map(|(id, &a)| (id, a, "Ready")).collect();
+        let live: Vec<_> = servers
+            .iter()
+            .enumerate()
+            .map(|(id, &a)| (id, a, "Ready"))
+            .collect();
         let (known, counter) = (list(1, true, &live), StandIn::counter(Mood::Well));
         let discovery = StandIn::discovery(known.clone(), Mood::Well);
-        (Gateway::of(&known, discovery.address, counter.address, sockets, settings), discovery, counter)
+        (
+            Gateway::of(
+                &known,
+                discovery.address,
+                counter.address,
+                sockets,
+                settings,
+            ),
+            discovery,
+            counter,
+        )
     }
 
     pub fn connect(&self) -> Option<TcpStream> {
         let stream = TcpStream::connect(self.address).ok()?;
-        stream.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(8)))
+            .unwrap();
         Some(stream)
     }
 
@@ -374,14 +443,19 @@
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.as_ref().unwrap().id().to_string();
-        assert!(spawned(Command::new("kill").args([name, &pid])).wait().unwrap().success());
+        assert!(spawned(Command::new("kill").args([name, &pid]))
+            .wait()
+            .unwrap()
+            .success());
     }
 
     /// Does this while the process stands still: all that happens meanwhile reaches it in one moment.
     pub fn paused(&self, act: impl FnOnce()) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.as_ref().unwrap().id());
-        until("it stands still", || std::fs::read_to_string(&stat).unwrap().contains(") T "));
+        until("it stands still", || {
+            std::fs::read_to_string(&stat).unwrap().contains(") T ")
+        });
         act();
         self.signal("-CONT");
     }
@@ -389,7 +463,9 @@
     /// A connection that has been answered once and rests.
     pub fn rested(&self) -> TcpStream {
         let mut stream = self.connect().unwrap();
-        stream.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+        stream
+            .write_all(invocation("GET", "read", 2000, "").as_bytes())
+            .unwrap();
         assert!(message(&mut stream).unwrap().ends_with("served"));
         stream
     }
@@ -403,7 +479,10 @@
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             let ended = child.try_wait().unwrap();
-            assert!(std::thread::panicking() || ended.is_none(), "the gateway ended by itself");
+            assert!(
+                std::thread::panicking() || ended.is_none(),
+                "the gateway ended by itself"
+            );
             _ = child.kill();
             match child.wait_with_output() {
                 Ok(output) if std::thread::panicking() => {
@@ -432,13 +511,22 @@
 }
 
 fn start_by(mut command: Command, config: &PathBuf) -> Child {
-    spawned(command.env("RELAY_CONFIG", config).stdout(Stdio::piped()).stderr(Stdio::piped()))
+    spawned(
+        command
+            .env("RELAY_CONFIG", config)
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped()),
+    )
 }
 
 pub fn invocation(method: &str, operation: &str, wait_ms: u32, body: &str) -> String {
     static LAST: AtomicUsize = AtomicUsize::new(1);
     let id = LAST.fetch_add(1, Ordering::SeqCst);
-    let length = if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+    let length = if body.is_empty() {
+        String::new()
+    } else {
+        format!("Content-Length: {}\r\n", body.len())
+    };
     format!(
         "{method} /api?n=7 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: {id:016x}\r\n\
          X-Priority-Class: {operation}\r\n\
@@ -450,7 +538,10 @@
 pub fn until(what: &str, holds: impl Fn() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < Duration::from_secs(8), "not in time: {what}");
+        assert!(
+            began.elapsed() < Duration::from_secs(8),
+            "not in time: {what}"
+        );
         sleep(Duration::from_millis(5));
     }
 }
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -21,7 +21,9 @@
 fn held(gateway: &Gateway, server: &StandIn) -> TcpStream {
     let before = server.seen();
     let mut stream = gateway.connect().unwrap();
-    stream.write_all(invocation("POST", "once", 2000, "").as_bytes()).unwrap();
+    stream
+        .write_all(invocation("POST", "once", 2000, "").as_bytes())
+        .unwrap();
     until("it is out", || server.seen() > before);
     stream
 }
@@ -34,8 +36,13 @@
     assert!(gateway.read().ends_with("served"));
     let began = Instant::now();
     gateway.signal("-TERM");
-    until("the idle one is closed", || server.ended.load(Ordering::SeqCst) == 1);
-    assert!(began.elapsed() < Duration::from_millis(1400), "before its server would, not at the exit");
+    until("the idle one is closed", || {
+        server.ended.load(Ordering::SeqCst) == 1
+    });
+    assert!(
+        began.elapsed() < Duration::from_millis(1400),
+        "before its server would, not at the exit"
+    );
 }
 
 /// From the signal to the close of the listener.
@@ -48,7 +55,11 @@
 fn over_its_close(gateway: &Gateway, act: impl FnOnce()) -> bool {
     let asked = Instant::now();
     gateway.signal("-TERM");
-    let ready = || gateway.ask("GET /-/ready HTTP/1.1\r\n\r\n").is_some_and(|a| a.contains(" 200 "));
+    let ready = || {
+        gateway
+            .ask("GET /-/ready HTTP/1.1\r\n\r\n")
+            .is_some_and(|a| a.contains(" 200 "))
+    };
     until("it leaves", || !ready());
     let seen_to_leave = Instant::now();
     let mut in_time = false;
@@ -64,7 +75,10 @@
 
 #[test]
 fn what_the_machine_accepted_before_the_close_is_answered() {
-    assert!((0..ATTEMPTS).any(|_| accepted_before_the_close()), "no gateway stood still before its close");
+    assert!(
+        (0..ATTEMPTS).any(|_| accepted_before_the_close()),
+        "no gateway stood still before its close"
+    );
 }
 
 fn accepted_before_the_close() -> bool {
@@ -75,7 +89,8 @@
     let in_time = over_its_close(&gateway, || {
         clients.extend((0..5).map(|_| gateway.connect().unwrap()));
         clients.iter_mut().chain([&mut resting]).for_each(|c| {
-            c.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+            c.write_all(invocation("GET", "read", 2000, "").as_bytes())
+                .unwrap();
         });
     });
     if !in_time {
@@ -85,7 +100,10 @@
     }
     for client in clients.iter_mut().chain([&mut resting]) {
         let answer = message(client).expect("an answer");
-        assert!(answer.ends_with("served") && answer.contains("connection: close"), "{answer}");
+        assert!(
+            answer.ends_with("served") && answer.contains("connection: close"),
+            "{answer}"
+        );
     }
     drop((clients, resting));
     assert!(gateway.output().status.success());
@@ -102,7 +120,10 @@
     resting.read_to_end(&mut told).unwrap();
     assert!(told.is_empty());
     _ = resting.write_all(invocation("GET", "read", 2000, "").as_bytes());
-    assert!(!resting.read(&mut [0; 64]).is_ok_and(|n| n > 0), "nothing is answered after the end");
+    assert!(
+        !resting.read(&mut [0; 64]).is_ok_and(|n| n > 0),
+        "nothing is answered after the end"
+    );
     drop(resting);
     assert!(gateway.output().status.success());
     assert_eq!(server.seen(), 1);
@@ -120,7 +141,9 @@
     let sends = move |at: u64| {
         let (mut answered, mut unanswered) = (0, Vec::new());
         let mut stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(4))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(4)))
+            .unwrap();
         loop {
             let text = invocation("GET", ["read", "once"][at as usize % 2], 1000, "");
             let began = Instant::now();
@@ -134,7 +157,10 @@
                     return (answered, unanswered);
                 }
             }
-            assert!(began.elapsed() < Duration::from_millis(1500), "answered in its time");
+            assert!(
+                began.elapsed() < Duration::from_millis(1500),
+                "answered in its time"
+            );
             sleep(Duration::from_millis(7 + at));
         }
     };
@@ -145,14 +171,24 @@
     let ends: Vec<_> = clients.into_iter().map(|c| c.join().unwrap()).collect();
     let output = gateway.output();
     assert!(output.status.success());
-    assert!(began.elapsed() < Duration::from_millis(500 + 1000 + 1200), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(500 + 1000 + 1200),
+        "{:?}",
+        began.elapsed()
+    );
     let answered: usize = ends.iter().map(|e| e.0).sum();
     let seen = server.seen.lock().unwrap();
     let lost = |lost: &String| seen.iter().any(|m| id(m) == lost);
     let lost: Vec<_> = ends.iter().flat_map(|e| &e.1).filter(|l| lost(l)).collect();
-    assert!(answered > 50 && lost.is_empty(), "{answered} answered, sent on and never answered: {lost:?}");
+    assert!(
+        answered > 50 && lost.is_empty(),
+        "{answered} answered, sent on and never answered: {lost:?}"
+    );
     let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(told.contains(&format!("taken={answered} ")), "{answered}: {told}");
+    assert!(
+        told.contains(&format!("taken={answered} ")),
+        "{answered}: {told}"
+    );
 }
 
 /// A close over bytes that nobody read is a reset, which takes with it what the client has not read yet.
@@ -166,7 +202,9 @@
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&gateway.address.into()).unwrap();
     let mut client = TcpStream::from(socket);
-    client.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
+    client
+        .set_read_timeout(Some(Duration::from_secs(8)))
+        .unwrap();
     let mut text = invocation("GET", "read", 2000, "");
     text.push_str("POST /api HTTP/1.1\r\nContent-Length: 900000\r\n\r\n");
     text.push_str(&"x".repeat(200_000));
@@ -185,7 +223,12 @@
     }
     writes.join().unwrap();
     let told = String::from_utf8_lossy(&told);
-    assert!(told.contains(&body), "{} bytes of {}", told.len(), body.len());
+    assert!(
+        told.contains(&body),
+        "{} bytes of {}",
+        told.len(),
+        body.len()
+    );
     drop(client);
     assert!(gateway.output().status.success());
     assert_eq!(server.seen(), 1, "nothing behind it was sent on");
@@ -193,7 +236,10 @@
 
 #[test]
 fn a_message_that_comes_in_while_it_closes_is_answered_or_cut_unsent() {
-    assert!((0..ATTEMPTS).any(|_| message_over_the_close()), "no gateway stood still before its close");
+    assert!(
+        (0..ATTEMPTS).any(|_| message_over_the_close()),
+        "no gateway stood still before its close"
+    );
 }
 
 fn message_over_the_close() -> bool {
@@ -220,7 +266,10 @@
     assert!(told.is_empty(), "an end and no reset");
     drop((quick, slow));
     assert!(gateway.output().status.success());
-    assert!(went_on.elapsed() < Duration::from_millis(1400), "half a message is not waited for");
+    assert!(
+        went_on.elapsed() < Duration::from_millis(1400),
+        "half a message is not waited for"
+    );
     assert_eq!(server.seen(), 3);
     true
 }
@@ -235,7 +284,10 @@
         sleep(Duration::from_millis(50));
     }
     assert!(gateway.read().ends_with("served"));
-    assert!(message(&mut held).unwrap().starts_with("HTTP/1.1 502 "), "what is in hand has its time");
+    assert!(
+        message(&mut held).unwrap().starts_with("HTTP/1.1 502 "),
+        "what is in hand has its time"
+    );
     drop(held);
     assert!(gateway.output().status.success());
 }
@@ -244,10 +296,16 @@
 #[test]
 fn a_reload_in_the_middle_of_the_start_does_not_end_it() {
     let path = std::env::temp_dir().join(format!("dunespur-pipe-{}", std::process::id()));
-    assert!(spawned(Command::new("mkfifo").arg(&path)).wait().unwrap().success());
+    assert!(spawned(Command::new("mkfifo").arg(&path))
+        .wait()
+        .unwrap()
+        .success());
     let server = holds_posts();
     let known = list(1, true, &[(0, server.address, "Ready")]);
-    let (discovery, counter) = (StandIn::discovery(known.clone(), Mood::Well), StandIn::counter(Mood::Well));
+    let (discovery, counter) = (
+        StandIn::discovery(known.clone(), Mood::Well),
+        StandIn::counter(Mood::Well),
+    );
     let address = free_address();
     let text = format!(
         r#"{{"listen":"{address}","discovery":"{}","counter":"{}","seed":"1f","known":{known},
@@ -255,7 +313,11 @@
         discovery.address, counter.address
     );
     let child = start(&path);
-    let gateway = Gateway { child: Some(child), address, config: path.clone() };
+    let gateway = Gateway {
+        child: Some(child),
+        address,
+        config: path.clone(),
+    };
     // Opening the pipe waits for the process to open it: from here to the write it reads.
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
     gateway.signal("-HUP");
@@ -267,7 +329,9 @@
     std::fs::write(&path, &text).unwrap();
     until("it is ready", || {
         gateway.connect().is_some()
-            && gateway.ask("GET /-/ready HTTP/1.1\r\n\r\n").is_some_and(|a| a.contains(" 200 "))
+            && gateway
+                .ask("GET /-/ready HTTP/1.1\r\n\r\n")
+                .is_some_and(|a| a.contains(" 200 "))
     });
     assert!(gateway.read().ends_with("served"));
 }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -13,15 +13,35 @@
 fn an_invocation_passes_on_unchanged_and_its_answer_comes_back() {
     let server = StandIn::server(Mood::Well);
     let (gateway, _discovery, counter) = Gateway::before(&[server.address]);
-    let answer = gateway.ask(&invocation("POST", "write", 1500, "some body")).unwrap();
-    assert!(answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("served"), "{answer}");
+    let answer = gateway
+        .ask(&invocation("POST", "write", 1500, "some body"))
+        .unwrap();
+    assert!(
+        answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("served"),
+        "{answer}"
+    );
     let seen = server.seen.lock().unwrap()[0].to_ascii_lowercase();
-    assert!(seen.starts_with("post /api?n=7 http/1.1\r\n") && seen.ends_with("\r\n\r\nsome body"), "{seen}");
-    assert!(seen.contains("x-request-id: 0000") && seen.contains("idempotency-key: 5c0f6e1a\r\n"), "{seen}");
-    let waits = seen.split("x-timeout-ms: ").nth(1).unwrap().split('\r').next().unwrap();
+    assert!(
+        seen.starts_with("post /api?n=7 http/1.1\r\n") && seen.ends_with("\r\n\r\nsome body"),
+        "{seen}"
+    );
+    assert!(
+        seen.contains("x-request-id: 0000") && seen.contains("idempotency-key: 5c0f6e1a\r\n"),
+        "{seen}"
+    );
+    let waits = seen
+        .split("x-timeout-ms: ")
+        .nth(1)
+        .unwrap()
+        .split('\r')
+        .next()
+        .unwrap();
     assert!((1..1500).contains(&waits.parse::<u32>().unwrap()), "{seen}");
     let call = counter.seen.lock().unwrap()[0].clone();
-    assert!(call.starts_with("CNT.ADD ") && call.ends_with(" 1.000000 60000"), "{call}");
+    assert!(
+        call.starts_with("CNT.ADD ") && call.ends_with(" 1.000000 60000"),
+        "{call}"
+    );
 }
 
 #[test]
@@ -29,10 +49,19 @@
     let server = StandIn::server(Mood::Well);
     let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
     (0..5).for_each(|_| assert!(gateway.read().contains("200 OK")));
-    assert_eq!(server.connections.load(Ordering::SeqCst), 1, "one connection carries all of them in turn");
+    assert_eq!(
+        server.connections.load(Ordering::SeqCst),
+        1,
+        "one connection carries all of them in turn"
+    );
     let began = Instant::now();
-    until("the idle connection is closed", || server.ended.load(Ordering::SeqCst) == 1);
-    assert!(began.elapsed() < Duration::from_secs(1), "before the second after which servers close it");
+    until("the idle connection is closed", || {
+        server.ended.load(Ordering::SeqCst) == 1
+    });
+    assert!(
+        began.elapsed() < Duration::from_secs(1),
+        "before the second after which servers close it"
+    );
     assert!(gateway.read().contains("200 OK"));
 }
 
@@ -41,12 +70,19 @@
     let server = StandIn::server(Mood::Silent);
     let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
     let mut stream = gateway.connect().unwrap();
-    stream.write_all(invocation("GET", "once", 2000, "").as_bytes()).unwrap();
+    stream
+        .write_all(invocation("GET", "once", 2000, "").as_bytes())
+        .unwrap();
     until("the delivery has come", || server.seen() == 1);
     let left = Instant::now();
     drop(stream);
-    until("its connection is closed", || server.ended.load(Ordering::SeqCst) == 1);
-    assert!(left.elapsed() < Duration::from_millis(500), "at once, not by a time-out");
+    until("its connection is closed", || {
+        server.ended.load(Ordering::SeqCst) == 1
+    });
+    assert!(
+        left.elapsed() < Duration::from_millis(500),
+        "at once, not by a time-out"
+    );
     *server.mood.lock().unwrap() = Mood::Well;
     assert!(gateway.read().contains("200 OK"));
 }
@@ -56,12 +92,18 @@
     let server = StandIn::server(Mood::Resets);
     let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
     let after = gateway.ask(&invocation("GET", "once", 2000, "")).unwrap();
-    assert!(after.starts_with("HTTP/1.1 502 "), "not to be repeated: {after}");
+    assert!(
+        after.starts_with("HTTP/1.1 502 "),
+        "not to be repeated: {after}"
+    );
     assert_eq!(server.seen(), 1, "nor sent again");
     // Nothing listens there: no byte was ever written.
     let (gateway, _discovery, _counter) = Gateway::before(&[free_address()]);
     let before = gateway.ask(&invocation("GET", "once", 2000, "")).unwrap();
-    assert!(before.starts_with("HTTP/1.1 429 ") && before.contains("retry-after: 0."), "harmless: {before}");
+    assert!(
+        before.starts_with("HTTP/1.1 429 ") && before.contains("retry-after: 0."),
+        "harmless: {before}"
+    );
 }
 
 #[test]
@@ -70,17 +112,23 @@
         // Two bad ones: which is tried first is left to chance, and a third delivery is allowed.
         let (bad, worse) = (StandIn::server(mood), StandIn::server(mood));
         let good = StandIn::server(Mood::Well);
-        let (gateway, _discovery, _counter) = Gateway::before(&[bad.address, worse.address, good.address]);
+        let (gateway, _discovery, _counter) =
+            Gateway::before(&[bad.address, worse.address, good.address]);
         (0..10).for_each(|_| assert!(gateway.read().ends_with("served")));
         let seen = bad.seen() + worse.seen();
-        assert!(seen > 0 && good.seen() == 10, "{seen} and {} seen", good.seen());
+        assert!(
+            seen > 0 && good.seen() == 10,
+            "{seen} and {} seen",
+            good.seen()
+        );
     }
 }
 
 #[test]
 fn a_silent_server_is_given_up_in_time() {
     let servers = [StandIn::server(Mood::Well), StandIn::server(Mood::Well)];
-    let (gateway, _discovery, _counter) = Gateway::before(&[servers[0].address, servers[1].address]);
+    let (gateway, _discovery, _counter) =
+        Gateway::before(&[servers[0].address, servers[1].address]);
     (0..40).for_each(|_| assert!(gateway.read().ends_with("served")));
     // The one that is used rather falls silent: its deliveries move to the other within the objective.
     let silent = usize::from(servers[1].seen() > servers[0].seen());
@@ -91,7 +139,10 @@
     *servers[1 - silent].mood.lock().unwrap() = Mood::Silent;
     let began = Instant::now();
     let answer = gateway.ask(&invocation("GET", "once", 700, "")).unwrap();
-    assert!(answer.starts_with("HTTP/1.1 502 ") && began.elapsed() < Duration::from_millis(700), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 502 ") && began.elapsed() < Duration::from_millis(700),
+        "{answer}"
+    );
 }
 
 #[test]
@@ -102,10 +153,15 @@
         *counter.mood.lock().unwrap() = mood;
         (0..20).for_each(|_| assert!(gateway.read().ends_with("served")));
         assert!(counter.seen() > 0, "the counter was asked");
-        let tiny = invocation("GET", "read", 2000, "").replace("small", "tiny").replace("b4d6", "b4d7");
+        let tiny = invocation("GET", "read", 2000, "")
+            .replace("small", "tiny")
+            .replace("b4d6", "b4d7");
         let answers: Vec<_> = (0..20).map(|_| gateway.ask(&tiny).unwrap()).collect();
         let throttled = answers.iter().filter(|a| a.contains(" 429 ")).count();
-        assert!((17..20).contains(&throttled), "{throttled} of 20 throttled beyond a burst of 1");
+        assert!(
+            (17..20).contains(&throttled),
+            "{throttled} of 20 throttled beyond a burst of 1"
+        );
     }
 }
 
@@ -119,8 +175,8 @@
     // A connection that stays silent is taken for dead after a while, and another one opened.
     let before = counter.seen();
     until("it is asked on a new connection", || {
-        let other =
-            invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{:08x}", counter.seen()));
+        let other = invocation("GET", "read", 2000, "")
+            .replace("b4d65521", &format!("{:08x}", counter.seen()));
         gateway.ask(&other).unwrap();
         counter.seen() > before + 3 && counter.connections.load(Ordering::SeqCst) > 1
     });
@@ -132,7 +188,8 @@
     let server = StandIn::server(Mood::Well);
     let (mut gateway, _discovery, counter) = Gateway::before(&[server.address]);
     *counter.mood.lock().unwrap() = Mood::SpoilsFirst;
-    let other = |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
+    let other =
+        |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
     let mut first = gateway.connect().unwrap();
     first.write_all(other(0).as_bytes()).unwrap();
     until("its call is on its way", || counter.seen() == 1);
@@ -141,35 +198,63 @@
     assert!(message(&mut first).unwrap().ends_with("served"));
     // Eight at once; the spoilt one may have been opened anew by now.
     let open = counter.connections.load(Ordering::SeqCst);
-    assert!((2..=9).contains(&open), "{open} connections, of 256 descriptors");
+    assert!(
+        (2..=9).contains(&open),
+        "{open} connections, of 256 descriptors"
+    );
     gateway.signal("-USR1");
     sleep(Duration::from_millis(100));
     gateway.signal("-KILL");
     let told = String::from_utf8_lossy(&gateway.output().stderr).into_owned();
     let figure = |key: &str| {
         let after = told.split(key).nth(1)?;
-        after.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u32>().ok()
+        after
+            .split(|c: char| !c.is_ascii_digit())
+            .next()?
+            .parse::<u32>()
+            .ok()
     };
     let (calls, silent) = (figure("calls=").unwrap(), figure("silent=").unwrap());
-    assert!(silent > 0 && silent * 8 < calls, "{silent} of {calls} silent: {told}");
+    assert!(
+        silent > 0 && silent * 8 < calls,
+        "{silent} of {calls} silent: {told}"
+    );
 }
 
 #[test]
 fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
     let (a, b) = (StandIn::server(Mood::Well), StandIn::server(Mood::Well));
     let (gateway, discovery, _counter) = Gateway::before(&[a.address, b.address]);
-    for (revision, phases) in [(2, ["Terminating", "Ready"]), (3, ["Ready", "Gone"]), (4, ["Gone", "Ready"])]
-    {
+    for (revision, phases) in [
+        (2, ["Terminating", "Ready"]),
+        (3, ["Ready", "Gone"]),
+        (4, ["Gone", "Ready"]),
+    ] {
         let changed = [(0, a.address, phases[0]), (1, b.address, phases[1])];
-        discovery.news.lock().unwrap().push(list(revision, false, &changed));
+        discovery
+            .news
+            .lock()
+            .unwrap()
+            .push(list(revision, false, &changed));
         sleep(Duration::from_millis(100));
         let before = (a.seen(), b.seen());
         (0..20).for_each(|_| assert!(gateway.read().ends_with("served")));
         let came = (a.seen() - before.0, b.seen() - before.1);
-        assert_eq!(came, if phases[0] == "Ready" { (20, 0) } else { (0, 20) }, "while {phases:?}");
+        assert_eq!(
+            came,
+            if phases[0] == "Ready" {
+                (20, 0)
+            } else {
+                (0, 20)
+            },
+            "while {phases:?}"
+        );
     }
     let asked = discovery.seen.lock().unwrap()[0].clone();
-    assert!(asked.starts_with("GET /api/targets?follow=1&since=1 "), "{asked}");
+    assert!(
+        asked.starts_with("GET /api/targets?follow=1&since=1 "),
+        "{asked}"
+    );
 }
 
 #[test]
@@ -177,12 +262,24 @@
     let (old, new) = (StandIn::server(Mood::Slow), StandIn::server(Mood::Well));
     let (gateway, discovery, _counter) = Gateway::before(&[old.address]);
     let mut out = gateway.connect().unwrap();
-    out.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+    out.write_all(invocation("GET", "read", 2000, "").as_bytes())
+        .unwrap();
     until("it is out", || old.seen() == 1);
-    discovery.news.lock().unwrap().push(list(2, false, &[(0, new.address, "Ready")]));
-    assert!(message(&mut out).unwrap().ends_with("served"), "what was out there is still answered");
+    discovery
+        .news
+        .lock()
+        .unwrap()
+        .push(list(2, false, &[(0, new.address, "Ready")]));
+    assert!(
+        message(&mut out).unwrap().ends_with("served"),
+        "what was out there is still answered"
+    );
     assert!(gateway.read().ends_with("served"));
-    assert_eq!((old.seen(), new.seen()), (1, 1), "the connection that was in use is not used again");
+    assert_eq!(
+        (old.seen(), new.seen()),
+        (1, 1),
+        "the connection that was in use is not used again"
+    );
     until("it is closed", || old.ended.load(Ordering::SeqCst) == 1);
 }
 
@@ -210,10 +307,18 @@
     let known = list(1, true, &[(0, server.address, "Ready")]);
     let gateway = Gateway::with(&known, turned_away.address, counter.address, 256);
     let before = turned_away.connections.load(Ordering::SeqCst);
-    (0..20).for_each(|_| assert!(gateway.read().ends_with("served"), "from the list it was given"));
+    (0..20).for_each(|_| {
+        assert!(
+            gateway.read().ends_with("served"),
+            "from the list it was given"
+        )
+    });
     sleep(Duration::from_secs(3));
     let asked = turned_away.connections.load(Ordering::SeqCst) - before;
-    assert!((1..=12).contains(&asked), "{asked} times in 3 s, about 30 without a pause that grows");
+    assert!(
+        (1..=12).contains(&asked),
+        "{asked} times in 3 s, about 30 without a pause that grows"
+    );
 }
 
 #[test]
@@ -246,7 +351,10 @@
         good.replace("\r\n\r\n", "\r\nContent-Length: 99999999999\r\n\r\n"),
         "\u{1}\u{2}\u{3}\r\n\r\n".into(),
         invocation("POST", "write", 1500, &"x".repeat(64 * 1024 + 1)),
-        good.replace("\r\n\r\n", &format!("\r\nX-Long: {}\r\n\r\n", "x".repeat(128 * 1024))),
+        good.replace(
+            "\r\n\r\n",
+            &format!("\r\nX-Long: {}\r\n\r\n", "x".repeat(128 * 1024)),
+        ),
     ];
     for text in &bad {
         // A connection that ends while much is still unread may cut off its answer.
@@ -265,18 +373,31 @@
     let (gateway, _discovery, _counter) = Gateway::before(&[server.address]);
     let hidden = invocation("GET", "read", 2000, "");
     let body = format!("0\r\n\r\n{hidden}");
-    for lengths in ["Transfer-Encoding: chunked\r\nContent-Length", "Content-Length"] {
+    for lengths in [
+        "Transfer-Encoding: chunked\r\nContent-Length",
+        "Content-Length",
+    ] {
         let text = invocation("POST", "write", 1500, &body).replace("Content-Length", lengths);
         let after = format!("\r\nTransfer-Encoding: chunked\r\n\r\n{body}");
-        let text =
-            if lengths.starts_with('C') { text.replace(&format!("\r\n\r\n{body}"), &after) } else { text };
+        let text = if lengths.starts_with('C') {
+            text.replace(&format!("\r\n\r\n{body}"), &after)
+        } else {
+            text
+        };
         let mut client = gateway.connect().unwrap();
         client.write_all(text.as_bytes()).unwrap();
         let mut told = String::new();
         _ = client.read_to_string(&mut told);
-        assert!(told.starts_with("HTTP/1.1 400 ") && told.matches("HTTP/1.1").count() == 1, "{told}");
+        assert!(
+            told.starts_with("HTTP/1.1 400 ") && told.matches("HTTP/1.1").count() == 1,
+            "{told}"
+        );
     }
-    assert_eq!(server.seen(), 0, "neither the one nor the other is passed on");
+    assert_eq!(
+        server.seen(),
+        0,
+        "neither the one nor the other is passed on"
+    );
 }
 
 #[test]
@@ -290,7 +411,10 @@
     assert!(gateway.ask(&text).unwrap().starts_with("HTTP/1.1 409 "));
     assert!(message(&mut owner).unwrap().ends_with("served"));
     assert_eq!(server.seen(), 1, "the copy was not passed on");
-    assert!(gateway.ask(&text).unwrap().ends_with("served"), "later the id is as good as any");
+    assert!(
+        gateway.ask(&text).unwrap().ends_with("served"),
+        "later the id is as good as any"
+    );
 }
 
 #[test]
@@ -301,7 +425,10 @@
     let half = invocation("POST", "write", 1500, &"x".repeat(100));
     let parts = ["", "GET /api HTTP/1.1\r\nHost:", &half[..half.len() - 50]];
     let mut clients: Vec<_> = (0..72).filter_map(|_| gateway.connect()).collect();
-    clients.iter_mut().enumerate().for_each(|(at, s)| _ = s.write_all(parts[at % 3].as_bytes()));
+    clients
+        .iter_mut()
+        .enumerate()
+        .for_each(|(at, s)| _ = s.write_all(parts[at % 3].as_bytes()));
     (0..10).for_each(|_| assert!(gateway.read().ends_with("served")));
 }
 
@@ -314,32 +441,54 @@
     let discovery = StandIn::discovery(list(2, false, &[(1, second.address, "Ready")]), Mood::Well);
     until("the old list is watched", || old_discovery.seen() == 1);
     let mut out = gateway.connect().unwrap();
-    out.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+    out.write_all(invocation("GET", "read", 2000, "").as_bytes())
+        .unwrap();
     until("it is out", || first.seen() == 1);
     let text = std::fs::read_to_string(&gateway.config).unwrap();
-    let moved = text.replace(&old_discovery.address.to_string(), &discovery.address.to_string());
-    let moved = moved.replace(&old_counter.address.to_string(), &counter.address.to_string());
+    let moved = text.replace(
+        &old_discovery.address.to_string(),
+        &discovery.address.to_string(),
+    );
+    let moved = moved.replace(
+        &old_counter.address.to_string(),
+        &counter.address.to_string(),
+    );
     // One that is written in part changes nothing.
     std::fs::write(&gateway.config, &moved[..moved.len() / 2]).unwrap();
     gateway.signal("-HUP");
     sleep(Duration::from_millis(100));
-    let other = |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
+    let other =
+        |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
     assert!(gateway.ask(&other(1)).unwrap().ends_with("served"));
     assert_eq!(old_discovery.seen(), 1, "the old addresses hold");
     std::fs::write(&gateway.config, &moved).unwrap();
     gateway.signal("-HUP");
-    until("the list is watched at its new address", || discovery.seen() == 1);
-    until("the old watch ends", || old_discovery.ended.load(Ordering::SeqCst) == 1);
-    assert!(discovery.seen.lock().unwrap()[0].contains("since=1 "), "it goes on from where it was");
+    until("the list is watched at its new address", || {
+        discovery.seen() == 1
+    });
+    until("the old watch ends", || {
+        old_discovery.ended.load(Ordering::SeqCst) == 1
+    });
+    assert!(
+        discovery.seen.lock().unwrap()[0].contains("since=1 "),
+        "it goes on from where it was"
+    );
     assert!(gateway.ask(&other(2)).unwrap().ends_with("served"));
     assert!(counter.seen() > 0, "calls go to the new counter");
     let before = old_counter.seen();
     assert!(gateway.ask(&other(3)).unwrap().ends_with("served"));
     assert_eq!(old_counter.seen(), before, "and none to the old one");
     let open = old_counter.connections.load(Ordering::SeqCst);
-    until("the old connections are closed", || old_counter.ended.load(Ordering::SeqCst) == open);
-    assert!(message(&mut out).unwrap().ends_with("served"), "what was out there is still answered");
-    until("the new list's server is used", || gateway.read().ends_with("served") && second.seen() > 0);
+    until("the old connections are closed", || {
+        old_counter.ended.load(Ordering::SeqCst) == open
+    });
+    assert!(
+        message(&mut out).unwrap().ends_with("served"),
+        "what was out there is still answered"
+    );
+    until("the new list's server is used", || {
+        gateway.read().ends_with("served") && second.seen() > 0
+    });
 }
 
 #[test]
@@ -349,19 +498,33 @@
     let half = invocation("POST", "write", 1500, &"x".repeat(100));
     let began = Instant::now();
     let mut idle = gateway.connect().unwrap();
-    idle.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+    idle.write_all(invocation("GET", "read", 2000, "").as_bytes())
+        .unwrap();
     assert!(message(&mut idle).unwrap().ends_with("served"));
     let mut clients: Vec<_> = (0..3).map(|_| gateway.connect().unwrap()).collect();
     let parts = ["", "GET /api HTTP/1.1\r\nHost:", &half[..half.len() - 50]];
-    clients.iter_mut().zip(parts).for_each(|(c, part)| c.write_all(part.as_bytes()).unwrap());
+    clients
+        .iter_mut()
+        .zip(parts)
+        .for_each(|(c, part)| c.write_all(part.as_bytes()).unwrap());
     for (client, part) in clients.iter_mut().zip(parts) {
         let mut told = Vec::new();
         _ = client.read_to_end(&mut told);
-        assert!(began.elapsed() < Duration::from_millis(2900), "never cut after {part:?}");
+        assert!(
+            began.elapsed() < Duration::from_millis(2900),
+            "never cut after {part:?}"
+        );
     }
-    assert!(began.elapsed() > Duration::from_millis(1900), "each had its two seconds");
-    idle.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
-    assert!(message(&mut idle).unwrap().ends_with("served"), "one between messages stays");
+    assert!(
+        began.elapsed() > Duration::from_millis(1900),
+        "each had its two seconds"
+    );
+    idle.write_all(invocation("GET", "read", 2000, "").as_bytes())
+        .unwrap();
+    assert!(
+        message(&mut idle).unwrap().ends_with("served"),
+        "one between messages stays"
+    );
 }
 
 #[test]
@@ -369,19 +532,34 @@
     let (server, slow) = (StandIn::server(Mood::Well), StandIn::server(Mood::Silent));
     let (mut gateway, _discovery, _counter) = Gateway::before(&[server.address]);
     let (mut kept, mut held) = (gateway.connect().unwrap(), gateway.connect().unwrap());
-    kept.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+    kept.write_all(invocation("GET", "read", 2000, "").as_bytes())
+        .unwrap();
     assert!(message(&mut kept).unwrap().ends_with("served"));
     *server.mood.lock().unwrap() = Mood::Silent;
-    held.write_all(invocation("GET", "once", 1200, "").as_bytes()).unwrap();
+    held.write_all(invocation("GET", "once", 1200, "").as_bytes())
+        .unwrap();
     until("it is out", || server.seen() == 2);
     *server.mood.lock().unwrap() = Mood::Well;
     gateway.signal("-TERM");
     sleep(Duration::from_millis(200));
-    assert!(gateway.ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").unwrap().contains(" 503 "));
-    assert!(gateway.read().ends_with("served"), "a new connection is still served");
-    kept.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
-    assert!(message(&mut kept).unwrap().ends_with("served"), "and one that was open");
-    assert!(message(&mut held).unwrap().contains("502"), "what is in hand gets its answer");
+    assert!(gateway
+        .ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        .unwrap()
+        .contains(" 503 "));
+    assert!(
+        gateway.read().ends_with("served"),
+        "a new connection is still served"
+    );
+    kept.write_all(invocation("GET", "read", 2000, "").as_bytes())
+        .unwrap();
+    assert!(
+        message(&mut kept).unwrap().ends_with("served"),
+        "and one that was open"
+    );
+    assert!(
+        message(&mut held).unwrap().contains("502"),
+        "what is in hand gets its answer"
+    );
     let output = gateway.output();
     let told = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(output.status.success(), "{told}");
@@ -402,7 +580,10 @@
     assert!(gateway.read().ends_with("served"), "it goes on");
     gateway.signal("-KILL");
     let told = String::from_utf8_lossy(&gateway.output().stderr).into_owned();
-    assert!(told.contains("taken=3 ") && told.contains("deliveries sent=3 succeeded=3 "), "{told}");
+    assert!(
+        told.contains("taken=3 ") && told.contains("deliveries sent=3 succeeded=3 "),
+        "{told}"
+    );
 }
 
 #[test]
@@ -417,13 +598,29 @@
         (good.replace("\"listen\":\"", "\"listen\":\"x"), "listen"),
         (good.replace("\"1f\"", "\"seed\""), "seed"),
         (good.replace("\"free\"", "\"fre\""), "fre"),
-        (good.replace("\"dialTimeoutS\":0.25", "\"dialTimeoutS\":1e300"), "dialTimeoutS"),
-        (good.replace("\"seed\":\"1f\"", "\"seed\":\"1f\",\"limits\":{\"sockets\":3}"), "sockets"),
-        (good.replace("\"seed\":\"1f\"", "\"seed\":\"1f\",\"limits\":{\"memory_mb\":3}"), "memory_mb"),
+        (
+            good.replace("\"dialTimeoutS\":0.25", "\"dialTimeoutS\":1e300"),
+            "dialTimeoutS",
+        ),
+        (
+            good.replace(
+                "\"seed\":\"1f\"",
+                "\"seed\":\"1f\",\"limits\":{\"sockets\":3}",
+            ),
+            "sockets",
+        ),
+        (
+            good.replace(
+                "\"seed\":\"1f\"",
+                "\"seed\":\"1f\",\"limits\":{\"memory_mb\":3}",
+            ),
+            "memory_mb",
+        ),
         (good.clone(), "listen"),
     ];
     for (at, (text, word)) in bad.iter().enumerate() {
-        let path = std::env::temp_dir().join(format!("dunespur-bad-{}-{at}.json", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("dunespur-bad-{}-{at}.json", std::process::id()));
         std::fs::write(&path, text).unwrap();
         let output = start(&path).wait_with_output().unwrap();
         _ = std::fs::remove_file(&path);
--- a/crates/gateway/tests/watches.rs
+++ b/crates/gateway/tests/watches.rs
@@ -40,10 +40,22 @@
             stream.write_all(ok("served").as_bytes()).is_ok()
         };
         let (kept, drains) = (StandIn::scripted(works), StandIn::scripted(works));
-        let known = list(1, true, &[(0, kept.address, "Ready"), (1, drains.address, "Ready")]);
+        let known = list(
+            1,
+            true,
+            &[(0, kept.address, "Ready"), (1, drains.address, "Ready")],
+        );
         let (discovery, counter) = (discovery(&kept, &drains), StandIn::counter(Mood::Well));
         let gateway = Gateway::of(&known, discovery.address, counter.address, 256, settings);
-        (Case { kept, drains, gateway, _counter: counter }, discovery)
+        (
+            Case {
+                kept,
+                drains,
+                gateway,
+                _counter: counter,
+            },
+            discovery,
+        )
     }
 
     /// Whether the drain is heeded by now: of some sent together none goes there, as half of them else do.
@@ -51,9 +63,13 @@
         let before = (self.kept.seen(), self.drains.seen());
         let mut clients: Vec<_> = (0..4).map(|_| self.gateway.connect().unwrap()).collect();
         for client in &mut clients {
-            client.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+            client
+                .write_all(invocation("GET", "read", 2000, "").as_bytes())
+                .unwrap();
         }
-        clients.iter_mut().for_each(|c| assert!(message(c).unwrap().ends_with("served")));
+        clients
+            .iter_mut()
+            .for_each(|c| assert!(message(c).unwrap().ends_with("served")));
         assert!(self.kept.seen() > before.0);
         self.drains.seen() == before.1
     }
@@ -64,9 +80,14 @@
 }
 
 /// A discovery whose first watch goes wrong as the test says and whose later ones tell of the drain.
-fn first_goes_wrong(news: String, first: impl Fn(&mut dyn Write) + Send + Sync + 'static) -> Arc<StandIn> {
+fn first_goes_wrong(
+    news: String,
+    first: impl Fn(&mut dyn Write) + Send + Sync + 'static,
+) -> Arc<StandIn> {
     StandIn::start(Mood::Well, move |me, mut stream| {
-        let Some(asked) = message(&mut stream) else { return };
+        let Some(asked) = message(&mut stream) else {
+            return;
+        };
         me.seen.lock().unwrap().push(asked);
         if me.seen() == 1 {
             return first(&mut stream);
@@ -83,7 +104,9 @@
 fn a_watch_that_goes_wrong_right_before_a_drain_is_opened_anew_in_time() {
     type Wrong = fn(&mut dyn Write);
     let wrongs: [(&str, Wrong); 7] = [
-        ("silent from its first byte", |_| sleep(Duration::from_secs(20))),
+        ("silent from its first byte", |_| {
+            sleep(Duration::from_secs(20))
+        }),
         ("silent after a line", |to| {
             _ = to.write_all(&[HEAD, &chunk("\n")].concat());
             sleep(Duration::from_secs(20));
@@ -106,7 +129,9 @@
                 sleep(Duration::from_millis(300));
             }
         }),
-        ("spoilt", |to| _ = to.write_all(&[HEAD, &chunk("{\"revision\":oh}\n")].concat())),
+        ("spoilt", |to| {
+            _ = to.write_all(&[HEAD, &chunk("{\"revision\":oh}\n")].concat())
+        }),
         ("ended", |_| {}),
     ];
     let cases = wrongs.map(|(what, wrong)| {
@@ -116,7 +141,11 @@
             let began = Instant::now();
             until(what, || discovery.seen() > 1);
             until(what, || case.heeded());
-            assert!(began.elapsed() < TOLD - Duration::from_millis(700), "{what}: {:?}", began.elapsed());
+            assert!(
+                began.elapsed() < TOLD - Duration::from_millis(700),
+                "{what}: {:?}",
+                began.elapsed()
+            );
         })
     });
     cases.into_iter().for_each(|c| c.join().unwrap());
@@ -126,18 +155,30 @@
 fn a_watch_on_request_is_asked_for_in_time_however_long_the_objectives_are() {
     let settings = SETTINGS
         .replace("\"pushed\"", "\"on_request\"")
-        .replace("\"goalTimeS\":0.6,\"deadlineS\":2.0", "\"goalTimeS\":9.0,\"deadlineS\":20.0")
-        .replace("\"goalTimeS\":0.5,\"deadlineS\":1.5", "\"goalTimeS\":9.0,\"deadlineS\":20.0");
+        .replace(
+            "\"goalTimeS\":0.6,\"deadlineS\":2.0",
+            "\"goalTimeS\":9.0,\"deadlineS\":20.0",
+        )
+        .replace(
+            "\"goalTimeS\":0.5,\"deadlineS\":1.5",
+            "\"goalTimeS\":9.0,\"deadlineS\":20.0",
+        );
     let silent = |to: &mut dyn Write| {
         _ = to.write_all(&[HEAD, &chunk("\n")].concat());
         sleep(Duration::from_secs(20));
     };
-    let (case, discovery) = Case::by(&settings, |_, drains| first_goes_wrong(drain(drains), silent));
+    let (case, discovery) = Case::by(&settings, |_, drains| {
+        first_goes_wrong(drain(drains), silent)
+    });
     until("the first watch", || discovery.seen() > 0);
     let began = Instant::now();
     until("another is asked for", || discovery.seen() > 1);
     until("the drain is heeded", || case.heeded());
-    assert!(began.elapsed() < TOLD - Duration::from_millis(300), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < TOLD - Duration::from_millis(300),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
@@ -159,7 +200,10 @@
     let asked = asked.lock().unwrap();
     let longest = asked.windows(2).map(|w| w[1] - w[0]).max().unwrap();
     // In the worst case discovery is back just after one of them was written.
-    assert!(longest < Duration::from_millis(2800), "{longest:?} between two: {asked:?}");
+    assert!(
+        longest < Duration::from_millis(2800),
+        "{longest:?} between two: {asked:?}"
+    );
 }
 
 #[test]
@@ -170,7 +214,9 @@
         let news = drain(drains);
         // Like an agent that is cut off: it takes what is asked, and answers all of it when it is back.
         StandIn::start(Mood::Silent, move |me, mut stream| {
-            let Some(asked) = message(&mut stream) else { return };
+            let Some(asked) = message(&mut stream) else {
+                return;
+            };
             me.seen.lock().unwrap().push(asked);
             until("it is back", || *held.lock().unwrap());
             _ = stream.write_all(&[HEAD, &chunk(&format!("{news}\n"))].concat());
@@ -186,7 +232,11 @@
     *back.lock().unwrap() = true;
     let began = Instant::now();
     until("the drain is heeded", || case.heeded());
-    assert!(began.elapsed() < Duration::from_millis(300), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(300),
+        "{:?}",
+        began.elapsed()
+    );
     assert_eq!(discovery.seen(), 4, "over a watch that was there");
 }
 
@@ -209,17 +259,33 @@
     let began = Instant::now();
     case.gateway.signal("-HUP");
     until("the new one is asked", || moved.seen() == 1);
-    assert!(began.elapsed() < Duration::from_millis(300), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(300),
+        "{:?}",
+        began.elapsed()
+    );
     until("the drain is heeded", || case.heeded());
 }
 
 #[test]
 fn lists_may_come_indented_and_in_pieces() {
     let (case, discovery) = Case::with(|kept, drains| {
-        let flat = list(2, true, &[(0, kept.address, "Ready"), (1, drains.address, "Terminating")]);
-        let indented = flat.replace(",", ",\n  ").replace("{", "{\n").replace("}", "\r\n}");
+        let flat = list(
+            2,
+            true,
+            &[
+                (0, kept.address, "Ready"),
+                (1, drains.address, "Terminating"),
+            ],
+        );
+        let indented = flat
+            .replace(",", ",\n  ")
+            .replace("{", "{\n")
+            .replace("}", "\r\n}");
         StandIn::start(Mood::Well, move |me, mut stream| {
-            let Some(asked) = message(&mut stream) else { return };
+            let Some(asked) = message(&mut stream) else {
+                return;
+            };
             me.seen.lock().unwrap().push(asked);
             _ = stream.write_all(HEAD);
             for piece in indented.as_bytes().chunks(7) {
@@ -237,7 +303,14 @@
 #[test]
 fn a_spoilt_member_costs_no_news_of_the_others_and_is_asked_for_again() {
     let (case, discovery) = Case::with(|kept, drains| {
-        let good = list(2, true, &[(0, kept.address, "Ready"), (1, drains.address, "Terminating")]);
+        let good = list(
+            2,
+            true,
+            &[
+                (0, kept.address, "Ready"),
+                (1, drains.address, "Terminating"),
+            ],
+        );
         let spoilt = good.replacen("\"Ready\"", "\"Rea\"", 1);
         let first = move |to: &mut dyn Write| {
             _ = to.write_all(&[HEAD, &chunk(&format!("{spoilt}\n"))].concat());
@@ -247,8 +320,14 @@
     });
     until("it is asked again", || discovery.seen() == 2);
     let again = discovery.seen.lock().unwrap()[1].clone();
-    assert!(again.contains("since=1 "), "from before the list that could not be read whole: {again}");
-    assert!(case.heeded(), "what could be read holds, and the one that could not stays in use");
+    assert!(
+        again.contains("since=1 "),
+        "from before the list that could not be read whole: {again}"
+    );
+    assert!(
+        case.heeded(),
+        "what could be read holds, and the one that could not stays in use"
+    );
 }
 
 #[test]
@@ -258,7 +337,9 @@
     let sent: Arc<Mutex<bool>> = Arc::default();
     let held = sent.clone();
     let discovery = StandIn::start(Mood::Well, move |_, mut stream| {
-        let Some(_) = message(&mut stream) else { return };
+        let Some(_) = message(&mut stream) else {
+            return;
+        };
         until("the client has sent", || *held.lock().unwrap());
         _ = stream.write_all(&[HEAD, &chunk(&format!("{news}\n"))].concat());
         sleep(Duration::from_secs(20));
@@ -268,10 +349,16 @@
     let gateway = Gateway::started(&known, discovery.address, counter.address, 256, SETTINGS);
     until("it listens", || gateway.connect().is_some());
     let mut client = gateway.connect().unwrap();
-    client.write_all(invocation("GET", "read", 2000, "").as_bytes()).unwrap();
+    client
+        .write_all(invocation("GET", "read", 2000, "").as_bytes())
+        .unwrap();
     *sent.lock().unwrap() = true;
     assert!(message(&mut client).unwrap().ends_with("served"));
-    assert_eq!((gone.seen(), new.seen()), (0, 1), "by the list that discovery had from the first moment");
+    assert_eq!(
+        (gone.seen(), new.seen()),
+        (0, 1),
+        "by the list that discovery had from the first moment"
+    );
 }
 
 #[test]
@@ -281,7 +368,9 @@
     let (case, _discovery) = Case::with(|_, drains| {
         let news = drain(drains);
         StandIn::start(Mood::Well, move |_, mut stream| {
-            let Some(_) = message(&mut stream) else { return };
+            let Some(_) = message(&mut stream) else {
+                return;
+            };
             // Long enough for one that does not wait to be ready.
             sleep(Duration::from_millis(400));
             *held.lock().unwrap() = true;
--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -62,23 +62,42 @@
     let mut gaps = Vec::new();
     for line in lines {
         match line {
-            Line::Began { t, who, run, slot, .. } => {
+            Line::Began {
+                t, who, run, slot, ..
+            } => {
                 let s = *slot as usize;
                 if holder[s].is_none() {
-                    gaps.push(Gap { slot: *slot, from: empty[s], to: *t });
+                    gaps.push(Gap {
+                        slot: *slot,
+                        from: empty[s],
+                        to: *t,
+                    });
                 }
                 holder[s] = Some((who.clone(), *run));
             }
-            Line::Ended { t, who, run, slot, until, .. } => {
+            Line::Ended {
+                t,
+                who,
+                run,
+                slot,
+                until,
+                ..
+            } => {
                 let s = *slot as usize;
-                if holder[s].as_ref().is_some_and(|h| h.0 == *who && h.1 == *run) {
+                if holder[s]
+                    .as_ref()
+                    .is_some_and(|h| h.0 == *who && h.1 == *run)
+                {
                     holder[s] = None;
                     empty[s] = t.min(*until);
                 }
             }
             Line::Died { t, who, run, .. } => {
                 for s in 0..slots {
-                    if holder[s].as_ref().is_some_and(|h| h.0 == *who && h.1 == *run) {
+                    if holder[s]
+                        .as_ref()
+                        .is_some_and(|h| h.0 == *who && h.1 == *run)
+                    {
                         holder[s] = None;
                         empty[s] = *t;
                     }
@@ -89,7 +108,11 @@
     }
     for s in 0..slots {
         if holder[s].is_none() {
-            gaps.push(Gap { slot: s as u32, from: empty[s], to: f64::INFINITY });
+            gaps.push(Gap {
+                slot: s as u32,
+                from: empty[s],
+                to: f64::INFINITY,
+            });
         }
     }
     gaps
@@ -101,7 +124,11 @@
     let mut holder: BTreeMap<u32, &str> = BTreeMap::new();
     let mut open: Vec<(f64, f64, BTreeMap<u32, &str>)> = Vec::new();
     let mut took = Vec::new();
-    let mut faults = trial.faults.iter().map(|f| (f.at, f.at + f.length)).collect::<Vec<_>>();
+    let mut faults = trial
+        .faults
+        .iter()
+        .map(|f| (f.at, f.at + f.length))
+        .collect::<Vec<_>>();
     faults.sort_by(|a, b| b.0.total_cmp(&a.0));
     for line in lines {
         match line {
@@ -146,18 +173,36 @@
     let mut held: BTreeMap<u32, Vec<(f64, f64, u64, &str)>> = BTreeMap::new();
     for line in lines {
         match line {
-            Line::Accepted { t, at, who, slot, token } => {
+            Line::Accepted {
+                t,
+                at,
+                who,
+                slot,
+                token,
+            } => {
                 let last = seen.entry((at, *slot)).or_insert(0);
                 if token < last {
                     let last = *last;
                     broken.add("token", || {
-                        format!("{at} took {} under {token} from {who} at {t:.3}, after {last}", name(*slot))
+                        format!(
+                            "{at} took {} under {token} from {who} at {t:.3}, after {last}",
+                            name(*slot)
+                        )
                     });
                 }
                 *last = (*last).max(*token);
             }
-            Line::Began { t, who, run, slot, token } => {
-                if owner.insert((*slot, *token), (who, *run)).is_some_and(|o| o != (who.as_str(), *run)) {
+            Line::Began {
+                t,
+                who,
+                run,
+                slot,
+                token,
+            } => {
+                if owner
+                    .insert((*slot, *token), (who, *run))
+                    .is_some_and(|o| o != (who.as_str(), *run))
+                {
                     broken.add("owner", || {
                         format!("token {token} of {} has two holders at {t:.3}", name(*slot))
                     });
@@ -171,16 +216,31 @@
                 *greatest = (*greatest).max(*token);
                 holds.insert((*slot, who, *run), (*t, *token));
             }
-            Line::Ended { t, who, run, slot, until, .. } => {
+            Line::Ended {
+                t,
+                who,
+                run,
+                slot,
+                until,
+                ..
+            } => {
                 if let Some((from, token)) = holds.remove(&(*slot, who.as_str(), *run)) {
-                    held.entry(*slot).or_default().push((from, t.min(*until), token, who));
+                    held.entry(*slot)
+                        .or_default()
+                        .push((from, t.min(*until), token, who));
                 }
             }
             Line::Died { t, who, run, until } => {
-                let of: Vec<_> = holds.keys().filter(|k| k.1 == who && k.2 == *run).copied().collect();
+                let of: Vec<_> = holds
+                    .keys()
+                    .filter(|k| k.1 == who && k.2 == *run)
+                    .copied()
+                    .collect();
                 for key in of {
                     if let Some((from, token)) = holds.remove(&key) {
-                        held.entry(key.0).or_default().push((from, t.min(*until), token, who));
+                        held.entry(key.0)
+                            .or_default()
+                            .push((from, t.min(*until), token, who));
                     }
                 }
             }
@@ -188,7 +248,9 @@
         }
     }
     for ((slot, who, _), (from, token)) in &holds {
-        held.entry(*slot).or_default().push((*from, f64::INFINITY, *token, who));
+        held.entry(*slot)
+            .or_default()
+            .push((*from, f64::INFINITY, *token, who));
     }
     // One at a time: whoever begins does so when the one before holds no more, stopped or not.
     for (slot, of) in &mut held {
@@ -196,7 +258,14 @@
         for (n, a) in of.iter().enumerate() {
             if let Some(b) = of[n + 1..].iter().find(|b| b.0 < a.1 && b.2 != a.2) {
                 broken.add("alone", || {
-                    format!("{} held {} until {:.3}, {} from {:.3}", a.3, name(*slot), a.1, b.3, b.0)
+                    format!(
+                        "{} held {} until {:.3}, {} from {:.3}",
+                        a.3,
+                        name(*slot),
+                        a.1,
+                        b.3,
+                        b.0
+                    )
                 });
             }
         }
@@ -205,11 +274,18 @@
     // Every duty is held again in time.
     let calm = trial.calm_from() + trial.settle;
     // Where messages are lost all the time, a lease may be too.
-    let handover = HANDOVER + if trial.net.lose > 0.0 { duties.wait() } else { 0.0 };
+    let handover = HANDOVER
+        + if trial.net.lose > 0.0 {
+            duties.wait()
+        } else {
+            0.0
+        };
     for gap in gaps(trial, lines).into_iter().filter(|g| g.to > calm) {
         if gap.from < calm || gap.to - gap.from > handover {
             let (from, to) = (gap.from, gap.to);
-            broken.add("held", || format!("nobody held {} from {from:.3} to {to:.3}", name(gap.slot)));
+            broken.add("held", || {
+                format!("nobody held {} from {from:.3} to {to:.3}", name(gap.slot))
+            });
         }
     }
 
@@ -217,7 +293,9 @@
     let mut told: Vec<(f64, f64, u64)> = lines
         .iter()
         .filter_map(|l| match l {
-            Line::Told { asked, t, index, .. } => Some((*asked, *t, *index)),
+            Line::Told {
+                asked, t, index, ..
+            } => Some((*asked, *t, *index)),
             _ => None,
         })
         .collect();
@@ -225,20 +303,33 @@
     for some in told.chunks(AT_ONCE) {
         if !linear(some) {
             broken.add("log", || {
-                format!("asks between {:.3} and {:.3} see it run back", some[0].0, some[some.len() - 1].1)
+                format!(
+                    "asks between {:.3} and {:.3} see it run back",
+                    some[0].0,
+                    some[some.len() - 1].1
+                )
             });
         }
     }
 
     // Invocations: one final answer each.
     for line in lines {
-        if let Line::Answer { sent, answers, status, in_time, .. } = line {
+        if let Line::Answer {
+            sent,
+            answers,
+            status,
+            in_time,
+            ..
+        } = line
+        {
             if *answers != 1 {
                 broken.add("answer", || {
                     format!("the invocation sent at {sent:.3} got {answers} answers ({status})")
                 });
             } else if !in_time {
-                broken.add("late", || format!("the invocation sent at {sent:.3} got its answer too late"));
+                broken.add("late", || {
+                    format!("the invocation sent at {sent:.3} got its answer too late")
+                });
             }
         }
     }
@@ -248,14 +339,21 @@
         let seen = quotas::judge(trial, quota, lines);
         if seen.overshoot > seen.bound {
             broken.add("quota", || {
-                format!("{:.1} over the quota; the bound is {:.1}", seen.overshoot, seen.bound)
+                format!(
+                    "{:.1} over the quota; the bound is {:.1}",
+                    seen.overshoot, seen.bound
+                )
             });
         }
         if seen.over_ceiling > quotas::JITTER {
-            broken.add("ceiling", || format!("{:.1} over the hard ceiling", seen.over_ceiling));
+            broken.add("ceiling", || {
+                format!("{:.1} over the hard ceiling", seen.over_ceiling)
+            });
         }
         if let Some(served) = seen.served.filter(|s| *s < SERVED) {
-            broken.add("served", || format!("after all faults {served:.2} of what the quotas hold"));
+            broken.add("served", || {
+                format!("after all faults {served:.2} of what the quotas hold")
+            });
         }
     }
     broken.0.into_values().flatten().collect()
@@ -307,34 +405,83 @@
     }
 
     fn began(t: f64, who: &str, token: u64) -> Line {
-        Line::Began { t, who: who.into(), run: 1, slot: 0, token }
+        Line::Began {
+            t,
+            who: who.into(),
+            run: 1,
+            slot: 0,
+            token,
+        }
     }
 
     fn ended(t: f64, who: &str, token: u64, until: f64) -> Line {
-        Line::Ended { t, who: who.into(), run: 1, slot: 0, token, until }
+        Line::Ended {
+            t,
+            who: who.into(),
+            run: 1,
+            slot: 0,
+            token,
+            until,
+        }
     }
 
     fn accepted(t: f64, token: u64) -> Line {
-        Line::Accepted { t, at: "r".into(), who: "x".into(), slot: 0, token }
+        Line::Accepted {
+            t,
+            at: "r".into(),
+            who: "x".into(),
+            slot: 0,
+            token,
+        }
     }
 
     #[test]
     fn each_checker_finds_what_it_is_for() {
         let t = trial();
-        let good = vec![began(1.0, "a", 5), accepted(2.0, 5), ended(4.0, "a", 5, 6.0), began(4.2, "b", 9)];
+        let good = vec![
+            began(1.0, "a", 5),
+            accepted(2.0, 5),
+            ended(4.0, "a", 5, 6.0),
+            began(4.2, "b", 9),
+        ];
         assert_eq!(check(&t, &good), Vec::<String>::new());
         let kinds = |lines: &[Line]| -> Vec<String> {
-            check(&t, lines).iter().map(|b| b.split(':').next().unwrap().to_owned()).collect()
+            check(&t, lines)
+                .iter()
+                .map(|b| b.split(':').next().unwrap().to_owned())
+                .collect()
         };
         let mut old = good.clone();
         old.extend([accepted(5.0, 9), accepted(5.1, 5)]);
         assert_eq!(kinds(&old), ["token"]);
-        assert_eq!(kinds(&[began(1.0, "a", 5), began(2.0, "b", 9), ended(3.0, "a", 5, 9.0)]), ["alone"]);
-        assert_eq!(kinds(&[began(1.0, "a", 5), began(2.0, "b", 9), ended(9.0, "a", 5, 1.9)]), [""; 0]);
+        assert_eq!(
+            kinds(&[
+                began(1.0, "a", 5),
+                began(2.0, "b", 9),
+                ended(3.0, "a", 5, 9.0)
+            ]),
+            ["alone"]
+        );
+        assert_eq!(
+            kinds(&[
+                began(1.0, "a", 5),
+                began(2.0, "b", 9),
+                ended(9.0, "a", 5, 1.9)
+            ]),
+            [""; 0]
+        );
         assert_eq!(kinds(&[began(1.0, "a", 5), began(2.0, "b", 9)]), ["alone"]);
-        assert_eq!(kinds(&[began(1.0, "a", 5), ended(20.0, "a", 5, 21.0)]), ["held"]);
+        assert_eq!(
+            kinds(&[began(1.0, "a", 5), ended(20.0, "a", 5, 21.0)]),
+            ["held"]
+        );
         assert_eq!(kinds(&[]), ["held"]);
-        let told = |asked, t, index| Line::Told { asked, t, who: "a".into(), index };
+        let told = |asked, t, index| Line::Told {
+            asked,
+            t,
+            who: "a".into(),
+            index,
+        };
         let mut back = good.clone();
         back.extend([told(1.0, 2.0, 8), told(3.0, 4.0, 7)]);
         assert_eq!(kinds(&back), ["log"]);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -15,7 +15,11 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "dunespur-lab", version, about = "Trials of a fleet of limiters, with faults between them")]
+#[command(
+    name = "dunespur-lab",
+    version,
+    about = "Trials of a fleet of limiters, with faults between them"
+)]
 struct Args {
     #[command(subcommand)]
     command: Command,
@@ -102,13 +106,23 @@
     let args = Args::parse();
     if matches!(args.command, Command::Gateway) {
         // Whoever started it is gone: so is this.
-        let _ = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
+        let _ =
+            rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
         return dunespur_gateway::main();
     }
-    tracing_subscriber::fmt().json().with_writer(std::io::stderr).with_max_level(tracing::Level::INFO).init();
+    tracing_subscriber::fmt()
+        .json()
+        .with_writer(std::io::stderr)
+        .with_max_level(tracing::Level::INFO)
+        .init();
     match args.command {
         Command::Gateway => ExitCode::SUCCESS,
-        Command::Trial { file, world, seed, json } => {
+        Command::Trial {
+            file,
+            world,
+            seed,
+            json,
+        } => {
             let text = match std::fs::read_to_string(&file) {
                 Ok(text) => text,
                 Err(e) => return unusable(&format!("{}: {e}", file.display())),
@@ -151,7 +165,12 @@
                 let mut waited: Vec<f64> = lines
                     .iter()
                     .filter_map(|l| match l {
-                        history::Line::Answer { sent, t, status: 200, .. } => Some(t - sent),
+                        history::Line::Answer {
+                            sent,
+                            t,
+                            status: 200,
+                            ..
+                        } => Some(t - sent),
                         _ => None,
                     })
                     .collect();
@@ -163,7 +182,10 @@
                     _ => None,
                 });
                 let processor_s: f64 = used.sum();
-                let quotas = trial.quota.as_ref().map(|q| quotas::judge(&trial, q, &lines));
+                let quotas = trial
+                    .quota
+                    .as_ref()
+                    .map(|q| quotas::judge(&trial, q, &lines));
                 let last = serde_json::json!({
                     "quotas": quotas,
                     "latency": latency, "processor_s": processor_s,
@@ -176,11 +198,26 @@
             broken.iter().for_each(|b| eprintln!("{b}"));
             ExitCode::from(u8::from(!broken.is_empty()))
         }
-        Command::Quotas { limiters, loss, spread, times, seed, seconds } => {
-            measure::quotas(&limiters, &loss, spread, times, seed, seconds)
-        }
+        Command::Quotas {
+            limiters,
+            loss,
+            spread,
+            times,
+            seed,
+            seconds,
+        } => measure::quotas(&limiters, &loss, spread, times, seed, seconds),
         Command::Steps { seed } => measure::steps(seed),
-        Command::Sweep { seed, count, faults, keep } => measure::sweep(seed, count, faults, keep),
-        Command::Measure { limiters, loss, seed, seconds } => measure::fleet(&limiters, &loss, seed, seconds),
+        Command::Sweep {
+            seed,
+            count,
+            faults,
+            keep,
+        } => measure::sweep(seed, count, faults, keep),
+        Command::Measure {
+            limiters,
+            loss,
+            seed,
+            seconds,
+        } => measure::fleet(&limiters, &loss, seed, seconds),
     }
 }
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -19,7 +19,11 @@
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let voters = if rng.random_bool(0.7) { 3 } else { 5 };
     let limiters = rng.random_range(voters..voters + 6);
-    let duty = |name: &str, shards, by_zone| Duty { name: name.into(), shards, by_zone };
+    let duty = |name: &str, shards, by_zone| Duty {
+        name: name.into(),
+        shards,
+        by_zone,
+    };
     let stall = if rng.random_bool(0.3) { 4.0 } else { 0.0 };
     let fleet = Fleet {
         limiters,
@@ -36,7 +40,10 @@
         name: format!("drawn-{seed}"),
         seconds: 0.0,
         settle: 22.0,
-        net: Net { lose: [0.0, 0.0, 0.01, 0.05][rng.random_range(0..4)], ..Net::default() },
+        net: Net {
+            lose: [0.0, 0.0, 0.01, 0.05][rng.random_range(0..4)],
+            ..Net::default()
+        },
         load: Load::default(),
         fleet,
         quota: None,
@@ -46,8 +53,8 @@
     for _ in 0..faults {
         use Kind::*;
         let kinds = [
-            Kill, Kill, Stall, Stall, Term, Upgrade, Twin, Cut, Cut, Cut, Lose, Delay, Reorder, Double, Slow,
-            SlowDisk, Idle,
+            Kill, Kill, Stall, Stall, Term, Upgrade, Twin, Cut, Cut, Cut, Lose, Delay, Reorder,
+            Double, Slow, SlowDisk, Idle,
         ];
         let kind = kinds[rng.random_range(0..kinds.len())];
         let mut target = match rng.random_range(0..8) {
@@ -62,9 +69,21 @@
         if kind == Twin && !target.starts_with("holder") {
             target = format!("limiter:{}", rng.random_range(0..limiters));
         }
-        let peers = [None, Some("voters"), Some("leader"), Some("half"), Some("receivers"), Some("voter:0")];
+        let peers = [
+            None,
+            Some("voters"),
+            Some("leader"),
+            Some("half"),
+            Some("receivers"),
+            Some("voter:0"),
+        ];
         let link = matches!(kind, Cut | Lose | Delay | Reorder | Double);
-        let peer = peers[if link { rng.random_range(0..peers.len()) } else { 0 }].map(str::to_owned);
+        let peer = peers[if link {
+            rng.random_range(0..peers.len())
+        } else {
+            0
+        }]
+        .map(str::to_owned);
         let amount = match kind {
             Lose => rng.random_range(0.05..0.6),
             Delay => rng.random_range(0.01..1.5),
@@ -84,7 +103,11 @@
         {
             // One voter's disk in a trial: with a majority's disks gone nothing can come back by itself.
             target = format!("voter:{}", rng.random_range(0..voters));
-            disk = if rng.random_bool(0.5) { Disk::Lost } else { Disk::Older };
+            disk = if rng.random_bool(0.5) {
+                Disk::Lost
+            } else {
+                Disk::Older
+            };
             spoilt = true;
         }
         trial.faults.push(Fault {
@@ -97,13 +120,20 @@
             amount,
             disk,
             older: rng.random_range(0.5..4.0),
-            every: if link && rng.random_bool(0.2) { 0.7 } else { 0.0 },
+            every: if link && rng.random_bool(0.2) {
+                0.7
+            } else {
+                0.0
+            },
         });
     }
     trial.seconds = trial.calm_from() + trial.settle + 3.0;
     // In one of three, customers over their quotas, brokers between them and the counter, and its faults.
     if rng.random_range(0..3) == 0 {
-        trial.fleet.duties.push(duty("lend", rng.random_range(1..6), false));
+        trial
+            .fleet
+            .duties
+            .push(duty("lend", rng.random_range(1..6), false));
         let hard = rng.random_bool(0.5);
         trial.quota = Some(Quota {
             customers: rng.random_range(1..6),
@@ -117,7 +147,11 @@
             ..Quota::default()
         });
         if rng.random_bool(0.6) {
-            let kind = if rng.random_bool(0.7) { Kind::Silence } else { Kind::Forget };
+            let kind = if rng.random_bool(0.7) {
+                Kind::Silence
+            } else {
+                Kind::Forget
+            };
             let (at, length) = (rng.random_range(3.0..16.0), rng.random_range(0.3..7.0));
             trial.faults.push(Fault::new(kind, at, length, "counter"));
             trial.seconds = trial.calm_from() + trial.settle + 3.0;
@@ -158,7 +192,11 @@
                 let played = std::panic::catch_unwind(|| {
                     let mut w = World::new(&trial, of);
                     w.run();
-                    let accepted = w.lines.iter().filter(|l| matches!(l, Line::Accepted { .. })).count();
+                    let accepted = w
+                        .lines
+                        .iter()
+                        .filter(|l| matches!(l, Line::Accepted { .. }))
+                        .count();
                     (check(&trial, &w.lines), w.tally.events, accepted as u64)
                 });
                 let what = match played {
@@ -174,11 +212,18 @@
                         let text = toml::to_string(&trial).unwrap_or_default();
                         let _ = std::fs::write(dir.join(format!("drawn-{of}.toml")), text);
                     }
-                    broken.lock().unwrap_or_else(|p| p.into_inner()).push((of, what));
+                    broken
+                        .lock()
+                        .unwrap_or_else(|p| p.into_inner())
+                        .push((of, what));
                 }
                 if n % 1000 == 999 {
                     let broken = broken.lock().map_or(0, |b| b.len());
-                    tracing::info!(played = n + 1, broken, seconds = start.elapsed().as_secs_f64());
+                    tracing::info!(
+                        played = n + 1,
+                        broken,
+                        seconds = start.elapsed().as_secs_f64()
+                    );
                 }
             });
         }
@@ -223,7 +268,10 @@
     };
     let (mut broken, granted) = play(&trial);
     let Some(granted) = granted else {
-        println!("{}", serde_json::json!({"line": "verdict", "verdict": "broken", "broken": ["no grant"]}));
+        println!(
+            "{}",
+            serde_json::json!({"line": "verdict", "verdict": "broken", "broken": ["no grant"]})
+        );
         return ExitCode::from(1);
     };
     // From before the holder's session is ended to after the next one has begun, a quarter of a fsync apart.
@@ -231,9 +279,14 @@
     let mut at = granted - 0.06;
     while at < granted + 0.01 {
         trial.faults.truncate(1);
-        trial.faults.push(Fault::new(Kind::Stall, at, 4.0, "leader"));
+        trial
+            .faults
+            .push(Fault::new(Kind::Stall, at, 4.0, "leader"));
         let (what, then) = play(&trial);
-        broken.extend(what.into_iter().map(|w| format!("leader stopped at {at:.5}: {w}")));
+        broken.extend(
+            what.into_iter()
+                .map(|w| format!("leader stopped at {at:.5}: {w}")),
+        );
         moments += 1;
         delayed += u32::from(then.is_none_or(|t| t > granted + 0.001));
         at += trial.net.fsync / 4.0;
@@ -250,7 +303,11 @@
 /// Count, median, 99th percentile and worst of some seconds.
 pub fn spread(of: &mut [f64]) -> serde_json::Value {
     let round = |v: f64| (v * 1e5).round() / 1e5;
-    let (p50, p99, worst) = (percentile(of, 0.5), percentile(of, 0.99), percentile(of, 1.0));
+    let (p50, p99, worst) = (
+        percentile(of, 0.5),
+        percentile(of, 0.99),
+        percentile(of, 1.0),
+    );
     if of.is_empty() {
         return serde_json::json!({"count": 0});
     }
@@ -259,7 +316,9 @@
 
 fn percentile(of: &mut [f64], share: f64) -> f64 {
     of.sort_by(f64::total_cmp);
-    of.get(((of.len() as f64 * share) as usize).min(of.len().saturating_sub(1))).copied().unwrap_or(f64::NAN)
+    of.get(((of.len() as f64 * share) as usize).min(of.len().saturating_sub(1)))
+        .copied()
+        .unwrap_or(f64::NAN)
 }
 
 /// Customers over their quotas at a counter that takes a part of the tries, for each size and loss, with
@@ -272,8 +331,8 @@
     seed: u64,
     seconds: f64,
 ) -> ExitCode {
-    let ranges =
-        limiters.iter().all(|n| (3..=1000).contains(n)) && loss.iter().all(|l| (0.0..1.0).contains(l));
+    let ranges = limiters.iter().all(|n| (3..=1000).contains(n))
+        && loss.iter().all(|l| (0.0..1.0).contains(l));
     let loads = spread > 0 && times > 0.0 && times <= 100.0;
     if !(ranges && loads && (15.0..=600.0).contains(&seconds)) {
         eprintln!(
@@ -284,7 +343,10 @@
     }
     let cases: Vec<(usize, f64, bool)> = limiters
         .iter()
-        .flat_map(|n| loss.iter().flat_map(move |l| [(*n, *l, false), (*n, *l, true)]))
+        .flat_map(|n| {
+            loss.iter()
+                .flat_map(move |l| [(*n, *l, false), (*n, *l, true)])
+        })
         .collect();
     let rows = Mutex::new(BTreeMap::new());
     let next = AtomicU64::new(0);
@@ -341,7 +403,11 @@
             });
         }
     });
-    for row in rows.into_inner().unwrap_or_else(|p| p.into_inner()).into_values() {
+    for row in rows
+        .into_inner()
+        .unwrap_or_else(|p| p.into_inner())
+        .into_values()
+    {
         println!("{row}");
     }
     ExitCode::SUCCESS
@@ -349,15 +415,19 @@
 
 /// One fleet for each size and loss: starts within a second, then loses one limiter.
 pub fn fleet(limiters: &[usize], loss: &[f64], seed: u64, seconds: f64) -> ExitCode {
-    let ranges =
-        limiters.iter().all(|n| (3..=1000).contains(n)) && loss.iter().all(|l| (0.0..1.0).contains(l));
+    let ranges = limiters.iter().all(|n| (3..=1000).contains(n))
+        && loss.iter().all(|l| (0.0..1.0).contains(l));
     if !ranges || !(20.0..=3600.0).contains(&seconds) {
         eprintln!("dunespur-lab: give 3 to 1000 limiters, a loss from 0 to under 1, and 20 to 3600 seconds");
         return ExitCode::from(2);
     }
     for &n in limiters {
         for &lose in loss {
-            let duty = |name: &str, shards, by_zone| Duty { name: name.into(), shards, by_zone };
+            let duty = |name: &str, shards, by_zone| Duty {
+                name: name.into(),
+                shards,
+                by_zone,
+            };
             let trial = Trial {
                 name: "measure".into(),
                 seconds,
@@ -365,11 +435,21 @@
                 fleet: Fleet {
                     limiters: n,
                     voters: 5.min(n),
-                    duties: vec![duty("watch", 1, true), duty("probe", 64, false), duty("audit", 64, false)],
+                    duties: vec![
+                        duty("watch", 1, true),
+                        duty("probe", 64, false),
+                        duty("audit", 64, false),
+                    ],
                     ..Fleet::default()
                 },
-                net: Net { lose, ..Net::default() },
-                load: Load { effects: 0.5, ..Load::default() },
+                net: Net {
+                    lose,
+                    ..Net::default()
+                },
+                load: Load {
+                    effects: 0.5,
+                    ..Load::default()
+                },
                 quota: None,
                 faults: vec![Fault::new(
                     Kind::Kill,
@@ -387,12 +467,25 @@
             w.measure_from = seconds / 3.0;
             w.run();
             let dead = trial.limiter(n - 1);
-            let mut heard: Vec<f64> =
-                w.tally.downs.iter().filter(|d| d.0 == dead).map(|d| d.2 - seconds / 2.0).collect();
+            let mut heard: Vec<f64> = w
+                .tally
+                .downs
+                .iter()
+                .filter(|d| d.0 == dead)
+                .map(|d| d.2 - seconds / 2.0)
+                .collect();
             let known = heard.len();
-            let p99 = if known * 100 >= (n - 1) * 99 { percentile(&mut heard, 0.99) } else { f64::NAN };
+            let p99 = if known * 100 >= (n - 1) * 99 {
+                percentile(&mut heard, 0.99)
+            } else {
+                f64::NAN
+            };
             let gaps = gaps(&trial, &w.lines);
-            let all_held = gaps.iter().filter(|g| g.from == 0.0).map(|g| g.to).fold(0.0, f64::max);
+            let all_held = gaps
+                .iter()
+                .filter(|g| g.from == 0.0)
+                .map(|g| g.to)
+                .fold(0.0, f64::max);
             let each = (n as f64 * (seconds - seconds / 3.0)).recip();
             let round = |v: f64| (v * 1000.0).round() / 1000.0;
             let row = serde_json::json!({
--- a/crates/lab/src/processes.rs
+++ b/crates/lab/src/processes.rs
@@ -81,7 +81,9 @@
 ) -> std::io::Result<SocketAddrV4> {
     let (tcp, udp, at) = loop {
         let tcp = TcpListener::bind("127.0.0.1:0").await?;
-        let SocketAddr::V4(at) = tcp.local_addr()? else { continue };
+        let SocketAddr::V4(at) = tcp.local_addr()? else {
+            continue;
+        };
         if let Ok(udp) = UdpSocket::bind(at).await {
             break (tcp, Rc::new(udp), at);
         }
@@ -90,13 +92,16 @@
     tokio::task::spawn_local(async move {
         let mut buffer = vec![0; 65_536];
         loop {
-            let Ok((n, _)) = udp.recv_from(&mut buffer).await else { continue };
+            let Ok((n, _)) = udp.recv_from(&mut buffer).await else {
+                continue;
+            };
             let link = own.link(from, to);
             if link.cut || own.chance() < link.lose {
                 continue;
             }
             for copy in 0..1 + usize::from(link.double) {
-                let wait = link.delay + link.reorder * own.chance() + copy as f64 * 0.3 * own.chance();
+                let wait =
+                    link.delay + link.reorder * own.chance() + copy as f64 * 0.3 * own.chance();
                 let (bytes, udp) = (buffer[..n].to_vec(), udp.clone());
                 if wait <= 0.0 {
                     let _ = udp.try_send_to(&bytes, real.into());
@@ -117,7 +122,9 @@
                 while rules.link(from, to).cut {
                     sleep(Duration::from_millis(20)).await;
                 }
-                let Ok(Ok(onward)) = timeout(Duration::from_secs(2), TcpStream::connect(real)).await else {
+                let Ok(Ok(onward)) =
+                    timeout(Duration::from_secs(2), TcpStream::connect(real)).await
+                else {
                     return;
                 };
                 let _ = (stream.set_nodelay(true), onward.set_nodelay(true));
@@ -144,7 +151,9 @@
     use tokio::io::AsyncWriteExt;
     let mut buffer = vec![0; 16_384];
     loop {
-        let Ok(n) = read.read(&mut buffer).await else { return };
+        let Ok(n) = read.read(&mut buffer).await else {
+            return;
+        };
         if n == 0 {
             return;
         }
@@ -222,9 +231,16 @@
 /// one that was given before and is not in use yet: the machine gives it again.
 fn free() -> std::io::Result<SocketAddrV4> {
     static GIVEN: Mutex<BTreeSet<SocketAddrV4>> = Mutex::new(BTreeSet::new());
-    let mut given = GIVEN.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let mut given = GIVEN
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
     let id = std::process::id();
-    let host = format!("127.{}.{}.{}:0", 64 + (id >> 16) % 128, (id >> 8) & 255, id & 255);
+    let host = format!(
+        "127.{}.{}.{}:0",
+        64 + (id >> 16) % 128,
+        (id >> 8) & 255,
+        id & 255
+    );
     loop {
         let tcp = std::net::TcpListener::bind(&host)?;
         if let SocketAddr::V4(at) = tcp.local_addr()? {
@@ -245,7 +261,10 @@
     }
     let only = |k: Kind| matches!(k, Kind::Idle);
     if let Some(f) = trial.faults.iter().find(|f| only(f.kind)) {
-        return Err(format!("fault {:?} at {}: only the simulated world plays it", f.kind, f.at));
+        return Err(format!(
+            "fault {:?} at {}: only the simulated world plays it",
+            f.kind, f.at
+        ));
     }
     Ok(())
 }
@@ -253,10 +272,15 @@
 /// Plays the trial; the error says what could not be started.
 pub fn play(trial: &Trial, seed: u64) -> Result<Vec<Line>, String> {
     check(trial)?;
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-    let dir =
-        std::env::temp_dir().join(format!("dunespur-trial-{}-{}", std::process::id(), clock().to_bits()));
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())?;
+    let dir = std::env::temp_dir().join(format!(
+        "dunespur-trial-{}-{}",
+        std::process::id(),
+        clock().to_bits()
+    ));
     let local = tokio::task::LocalSet::new();
     let played = local.block_on(&runtime, async {
         tokio::select! {
@@ -274,7 +298,10 @@
     std::fs::create_dir_all(&dir).map_err(fail)?;
     let program = match std::env::var_os("DUNESPUR_GATEWAY") {
         Some(path) => (PathBuf::from(path), vec![]),
-        None => (std::env::current_exe().map_err(fail)?, vec!["gateway".to_owned()]),
+        None => (
+            std::env::current_exe().map_err(fail)?,
+            vec!["gateway".to_owned()],
+        ),
     };
     let rules = Rc::new(Rules {
         faults: trial.faults.clone(),
@@ -316,7 +343,9 @@
     for from in 0..limiters.len() {
         let mut of = BTreeMap::new();
         for to in (0..limiters.len()).filter(|to| *to != from) {
-            let at = proxy(rules.clone(), from, to, limiters[to].peer).await.map_err(fail)?;
+            let at = proxy(rules.clone(), from, to, limiters[to].peer)
+                .await
+                .map_err(fail)?;
             of.insert(limiters[to].peer, at);
         }
         via.push(of);
@@ -325,22 +354,41 @@
     let mut receivers = Vec::new();
     for n in 0..trial.fleet.receivers {
         let udp = UdpSocket::bind("127.0.0.1:0").await.map_err(fail)?;
-        let SocketAddr::V4(at) = udp.local_addr().map_err(fail)? else { continue };
+        let SocketAddr::V4(at) = udp.local_addr().map_err(fail)? else {
+            continue;
+        };
         receivers.push(at);
         let mut fence = Fence::kept(vec![0; trial.duties().slots() as usize]);
         let (lines, rules) = (lines.clone(), rules.clone());
         tokio::task::spawn_local(async move {
             let mut buffer = vec![0; 2048];
             loop {
-                let Ok((len, _)) = udp.recv_from(&mut buffer).await else { continue };
-                let Ok(frame) = Frame::from_datagram(&buffer[..len], "trial") else { continue };
-                let Ok(Work::Effect { slot, token }) = postcard::from_bytes::<Work>(&frame.body) else {
+                let Ok((len, _)) = udp.recv_from(&mut buffer).await else {
+                    continue;
+                };
+                let Ok(frame) = Frame::from_datagram(&buffer[..len], "trial") else {
+                    continue;
+                };
+                let Ok(Work::Effect { slot, token }) = postcard::from_bytes::<Work>(&frame.body)
+                else {
                     continue;
                 };
                 let (t, at, who) = (clock() - rules.start.get(), format!("r{n}"), frame.from);
                 lines.borrow_mut().push(match fence.accept(slot, token) {
-                    true => Line::Accepted { t, at, who, slot, token },
-                    false => Line::Refused { t, at, who, slot, token },
+                    true => Line::Accepted {
+                        t,
+                        at,
+                        who,
+                        slot,
+                        token,
+                    },
+                    false => Line::Refused {
+                        t,
+                        at,
+                        who,
+                        slot,
+                        token,
+                    },
                 });
             }
         });
@@ -385,7 +433,8 @@
         };
         std::fs::create_dir_all(&dir).map_err(fail)?;
         let f = &self.trial.fleet;
-        let mut settings: serde_json::Value = serde_json::from_str(SETTINGS).map_err(|e| e.to_string())?;
+        let mut settings: serde_json::Value =
+            serde_json::from_str(SETTINGS).map_err(|e| e.to_string())?;
         if let Some(q) = &self.trial.quota {
             let plan = &mut settings["contracts"][0];
             (plan["rate"], plan["burst"]) = (q.rate.into(), q.burst.into());
@@ -397,7 +446,12 @@
         settings["fleetSize"] = f.limiters.into();
         settings["slotNo"] = n.into();
         settings["zone"] = f.zones[self.trial.zone(n)].clone().into();
-        self.runs.set(self.runs.get().wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407));
+        self.runs.set(
+            self.runs
+                .get()
+                .wrapping_mul(6364136223846793005)
+                .wrapping_add(1442695040888963407),
+        );
         let config = serde_json::json!({
             "name": l.name, "listen": client.to_string(), "discovery": self.discovery.address.to_string(),
             "counter": self.counter.address.to_string(), "seed": format!("{:x}", self.runs.get()),
@@ -409,7 +463,9 @@
             .map(|v| {
                 let of = &self.limiters[v];
                 let pair = [("name", of.name.clone()), ("address", of.peer.to_string())];
-                pair.into_iter().map(|(k, v)| (k.to_owned(), toml::Value::String(v))).collect::<toml::Table>()
+                pair.into_iter()
+                    .map(|(k, v)| (k.to_owned(), toml::Value::String(v)))
+                    .collect::<toml::Table>()
             })
             .collect();
         let mut fleet = toml::Table::new();
@@ -420,7 +476,10 @@
         put("zone", f.zones[self.trial.zone(n)].clone().into());
         put("machine", format!("m{n}").into());
         put("size", (f.limiters as i64).into());
-        put("voter", toml::Value::Array(voters.into_iter().map(toml::Value::Table).collect()));
+        put(
+            "voter",
+            toml::Value::Array(voters.into_iter().map(toml::Value::Table).collect()),
+        );
         put("lease", f.lease.into());
         put("renew", f.renew.into());
         put("drift", f.drift.into());
@@ -433,23 +492,34 @@
         let duties = toml::Value::try_from(&f.duties).map_err(|e| e.to_string())?;
         put("duty", duties);
         let mut t = toml::Table::new();
-        let via = self.via[n].iter().map(|(a, b)| (a.to_string(), toml::Value::String(b.to_string())));
+        let via = self.via[n]
+            .iter()
+            .map(|(a, b)| (a.to_string(), toml::Value::String(b.to_string())));
         t.insert("via".into(), toml::Value::Table(via.collect()));
         let history = dir.join("history.jsonl");
         t.insert("history".into(), history.display().to_string().into());
         t.insert("effects".into(), self.trial.load.effects.into());
-        let receivers = self.receivers.iter().map(|r| toml::Value::String(r.to_string()));
+        let receivers = self
+            .receivers
+            .iter()
+            .map(|r| toml::Value::String(r.to_string()));
         t.insert("receivers".into(), toml::Value::Array(receivers.collect()));
         t.insert("wall".into(), l.wall.get().into());
         t.insert("version".into(), i64::from(l.version.get()).into());
-        t.insert("slow_disk".into(), dir.join("slow-disk").display().to_string().into());
+        t.insert(
+            "slow_disk".into(),
+            dir.join("slow-disk").display().to_string().into(),
+        );
         fleet.insert("trial".into(), toml::Value::Table(t));
         let mut file = toml::Table::new();
         file.insert("fleet".into(), toml::Value::Table(fleet));
         let text = toml::to_string(&file).map_err(|e| e.to_string())?;
         std::fs::write(dir.join("operators.toml"), text).map_err(fail)?;
-        let log =
-            std::fs::OpenOptions::new().create(true).append(true).open(dir.join("log")).map_err(fail)?;
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(dir.join("log"))
+            .map_err(fail)?;
         let mut command = Command::new(&self.program.0);
         command
             .args(&self.program.1)
@@ -461,7 +531,9 @@
         if self.trial.load.fleet {
             command.env("DUNESPUR_OPERATORS", dir.join("operators.toml"));
         }
-        let child = command.spawn().map_err(|e| format!("{}: {e}", self.program.0.display()))?;
+        let child = command
+            .spawn()
+            .map_err(|e| format!("{}: {e}", self.program.0.display()))?;
         Ok(Running { child })
     }
 
@@ -476,7 +548,10 @@
         }
         let twins = Cell::new(0);
         for l in self.limiters.iter() {
-            let path = self.dir.join(format!("{}-twin", l.name)).join("history.jsonl");
+            let path = self
+                .dir
+                .join(format!("{}-twin", l.name))
+                .join("history.jsonl");
             if path.exists() && l.twin.borrow().is_none() {
                 // Read once, when it has ended.
                 self.read_one(&path, &twins);
@@ -487,19 +562,28 @@
     }
 
     fn read_one(&self, path: &Path, from: &Cell<u64>) {
-        let Ok(mut file) = std::fs::File::open(path) else { return };
+        let Ok(mut file) = std::fs::File::open(path) else {
+            return;
+        };
         if file.seek(std::io::SeekFrom::Start(from.get())).is_err() {
             return;
         }
         let mut text = Vec::new();
         let _ = file.read_to_end(&mut text);
         // A line that is half written is read the next time.
-        let whole = text.iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1);
+        let whole = text
+            .iter()
+            .rposition(|b| *b == b'\n')
+            .map_or(0, |at| at + 1);
         from.set(from.get() + whole as u64);
         let start = self.rules.start.get();
-        let twin = path.parent().is_some_and(|d| d.to_string_lossy().ends_with("-twin"));
+        let twin = path
+            .parent()
+            .is_some_and(|d| d.to_string_lossy().ends_with("-twin"));
         for line in text[..whole].lines().map_while(Result::ok) {
-            let Ok(mut line) = serde_json::from_str::<Line>(&line) else { continue };
+            let Ok(mut line) = serde_json::from_str::<Line>(&line) else {
+                continue;
+            };
             match &mut line {
                 Line::Told { asked, t, .. } => {
                     *asked -= start;
@@ -551,7 +635,10 @@
                     })
                     .collect();
                 leads.sort_by(|a, b| a.0.total_cmp(&b.0));
-                leads.last().and_then(|l| named(l.1)).map_or(vec![0], |n| vec![n])
+                leads
+                    .last()
+                    .and_then(|l| named(l.1))
+                    .map_or(vec![0], |n| vec![n])
             }
             ["holder", duty, shard] => {
                 self.read();
@@ -560,14 +647,23 @@
                 let mut began: Vec<(f64, &String)> = lines
                     .iter()
                     .filter_map(|l| match l {
-                        Line::Began { t, who, slot: s, .. } if *s == slot => Some((*t, who)),
+                        Line::Began {
+                            t, who, slot: s, ..
+                        } if *s == slot => Some((*t, who)),
                         _ => None,
                     })
                     .collect();
                 began.sort_by(|a, b| a.0.total_cmp(&b.0));
-                began.last().and_then(|b| named(b.1)).map_or(vec![], |n| vec![n])
+                began
+                    .last()
+                    .and_then(|b| named(b.1))
+                    .map_or(vec![], |n| vec![n])
             }
-            ["any"] => vec![self.rules.rng.borrow_mut().random_range(0..trial.fleet.limiters)],
+            ["any"] => vec![self
+                .rules
+                .rng
+                .borrow_mut()
+                .random_range(0..trial.fleet.limiters)],
             _ => all,
         }
     }
@@ -587,8 +683,16 @@
         let l = &self.limiters[n];
         let (t, run) = (self.now(), self.run_of(&l.name));
         // Stopped before it was killed, it may hold no longer than a lease from then.
-        let until = l.stalled.get().map_or(t, |at| (at + self.trial.fleet.lease).min(t));
-        self.lines.borrow_mut().push(Line::Died { t, who: l.name.clone(), run, until });
+        let until = l
+            .stalled
+            .get()
+            .map_or(t, |at| (at + self.trial.fleet.lease).min(t));
+        self.lines.borrow_mut().push(Line::Died {
+            t,
+            who: l.name.clone(),
+            run,
+            until,
+        });
     }
 
     async fn hit(&self, node: usize, fault: &Fault) -> Result<(), String> {
@@ -727,8 +831,15 @@
                 next += 1;
                 let fault = &self.trial.faults[n];
                 let what = serde_json::to_string(fault).unwrap_or_default();
-                self.lines.borrow_mut().push(Line::Fault { t: self.now(), what, on });
-                let server = fault.target.strip_prefix("server:").and_then(|n| n.parse::<usize>().ok());
+                self.lines.borrow_mut().push(Line::Fault {
+                    t: self.now(),
+                    what,
+                    on,
+                });
+                let server = fault
+                    .target
+                    .strip_prefix("server:")
+                    .and_then(|n| n.parse::<usize>().ok());
                 if let (Kind::Hang, Some(server)) = (fault.kind, server) {
                     self.servers[server].hangs.set(on);
                 }
@@ -740,7 +851,11 @@
                 if on {
                     let from = self.target(&fault.target);
                     let to = fault.peer.as_ref().map(|p| self.target(p));
-                    self.rules.active.borrow_mut().push(Active { n, from: from.clone(), to });
+                    self.rules.active.borrow_mut().push(Active {
+                        n,
+                        from: from.clone(),
+                        to,
+                    });
                     for node in &from {
                         self.hit(*node, fault).await?;
                     }
@@ -768,7 +883,10 @@
         let keep = std::env::var_os("DUNESPUR_KEEP_LOGS");
         if let Some(to) = keep {
             for l in self.limiters.iter() {
-                let _ = std::fs::copy(l.dir.join("log"), Path::new(&to).join(format!("{}.log", l.name)));
+                let _ = std::fs::copy(
+                    l.dir.join("log"),
+                    Path::new(&to).join(format!("{}.log", l.name)),
+                );
             }
         }
         let mut lines = std::mem::take(&mut *self.lines.borrow_mut());
@@ -794,33 +912,63 @@
     fn count_time(&self) {
         let per = rustix::param::clock_ticks_per_second() as f64;
         for l in self.limiters.iter() {
-            let Some(pid) = l.running.borrow().as_ref().map(|r| r.child.id()) else { continue };
+            let Some(pid) = l.running.borrow().as_ref().map(|r| r.child.id()) else {
+                continue;
+            };
             let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
             // User and system time are the 14th and 15th; the name, in brackets, may hold anything.
             let after = stat.rsplit(')').next().unwrap_or_default();
-            let ticks: f64 =
-                after.split_whitespace().skip(11).take(2).filter_map(|t| t.parse::<f64>().ok()).sum();
+            let ticks: f64 = after
+                .split_whitespace()
+                .skip(11)
+                .take(2)
+                .filter_map(|t| t.parse::<f64>().ok())
+                .sum();
             let (t, what) = (self.now(), format!("processor seconds {}", l.name));
-            self.lines.borrow_mut().push(Line::Counted { t, what, value: ticks / per });
+            self.lines.borrow_mut().push(Line::Counted {
+                t,
+                what,
+                value: ticks / per,
+            });
         }
     }
 
     /// Little processor time: the target stands still for most of each tenth of a second.
     fn throttle(&self, count: u64) {
-        for a in self.rules.active.borrow().iter().filter(|a| self.trial.faults[a.n].kind == Kind::Slow) {
+        for a in self
+            .rules
+            .active
+            .borrow()
+            .iter()
+            .filter(|a| self.trial.faults[a.n].kind == Kind::Slow)
+        {
             for n in &a.from {
                 let l = &self.limiters[*n];
                 if l.stalled.get().is_none() {
                     if let Some(r) = l.running.borrow().as_ref() {
-                        r.signal(if count % 10 < 8 { Signal::STOP } else { Signal::CONT });
+                        r.signal(if count % 10 < 8 {
+                            Signal::STOP
+                        } else {
+                            Signal::CONT
+                        });
                     }
                 }
             }
         }
         if count.is_multiple_of(10) {
             // Nobody is left standing when such a fault has ended.
-            let slow: Vec<usize> = self.rules.active.borrow().iter().flat_map(|a| a.from.clone()).collect();
-            for l in self.limiters.iter().filter(|l| l.stalled.get().is_none() && !slow.contains(&l.number)) {
+            let slow: Vec<usize> = self
+                .rules
+                .active
+                .borrow()
+                .iter()
+                .flat_map(|a| a.from.clone())
+                .collect();
+            for l in self
+                .limiters
+                .iter()
+                .filter(|l| l.stalled.get().is_none() && !slow.contains(&l.number))
+            {
                 if let Some(r) = l.running.borrow().as_ref() {
                     r.signal(Signal::CONT);
                 }
@@ -832,7 +980,9 @@
     fn copy_disks(&self, count: u64) {
         for l in self.limiters.iter().take(self.trial.fleet.voters) {
             let running = l.running.borrow();
-            let Some(r) = running.as_ref().filter(|_| l.stalled.get().is_none()) else { continue };
+            let Some(r) = running.as_ref().filter(|_| l.stalled.get().is_none()) else {
+                continue;
+            };
             r.signal(Signal::STOP);
             let to = l.dir.join(format!("copy-{count}"));
             if std::fs::copy(l.dir.join("voter.redb"), &to).is_ok() {
@@ -849,13 +999,18 @@
         let stream = TcpStream::connect(to).await.ok()?;
         let _ = stream.set_nodelay(true);
         let (mut sender, connection) =
-            hyper::client::conn::http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream)).await.ok()?;
+            hyper::client::conn::http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream))
+                .await
+                .ok()?;
         let driver = tokio::task::spawn_local(connection);
         let mut request = hyper::Request::get(path).header("host", "trial");
         for (key, value) in headers {
             request = request.header(*key, value);
         }
-        let answer = sender.send_request(request.body(Empty::new()).ok()?).await.ok()?;
+        let answer = sender
+            .send_request(request.body(Empty::new()).ok()?)
+            .await
+            .ok()?;
         let status = answer.status().as_u16();
         let whole = answer.into_body().collect().await.is_ok();
         driver.abort();
@@ -872,7 +1027,9 @@
     rate: f64,
     quota: Option<Quota>,
 ) {
-    let rate = quota.as_ref().map_or(rate, |q| q.rate * q.times * q.customers as f64);
+    let rate = quota
+        .as_ref()
+        .map_or(rate, |q| q.rate * q.times * q.customers as f64);
     if rate <= 0.0 {
         return;
     }
@@ -889,14 +1046,28 @@
         n += 1;
         // With quotas whose and where are drawn; without, in turn.
         let (customer, limiter, gateways, first) = match &quota {
-            None => (number % 7, number as usize % limiters.len(), limiters.len(), 0),
+            None => (
+                number % 7,
+                number as usize % limiters.len(),
+                limiters.len(),
+                0,
+            ),
             Some(q) => {
                 let customer = (rules.chance() * q.customers as f64) as usize;
                 let gateways = q.spread.min(limiters.len());
                 let first = customer * 7 % limiters.len();
                 let thick = q.thin && rules.chance() < 25.0 / (24.0 + gateways as f64);
-                let door = if thick { 0 } else { (rules.chance() * gateways as f64) as usize };
-                (customer as u64, (first + door) % limiters.len(), gateways, first)
+                let door = if thick {
+                    0
+                } else {
+                    (rules.chance() * gateways as f64) as usize
+                };
+                (
+                    customer as u64,
+                    (first + door) % limiters.len(),
+                    gateways,
+                    first,
+                )
             }
         };
         tokio::task::spawn_local(async move {
@@ -907,7 +1078,10 @@
                 ("x-priority-class", "read".to_owned()),
                 ("x-tariff", "small".to_owned()),
                 ("x-timeout-ms", "2000".to_owned()),
-                ("x-weight", format!("units=1,spread={gateways},first={first}")),
+                (
+                    "x-weight",
+                    format!("units=1,spread={gateways},first={first}"),
+                ),
                 ("cookie", format!("account={:016x}", customer + 1)),
             ];
             let before = l.excused.get();
@@ -920,7 +1094,15 @@
             }
             let answers = u32::from(status.is_some());
             let (status, in_time) = (status.unwrap_or(0), t - sent < 2.5 || excused);
-            lines.borrow_mut().push(Line::Answer { sent, t, status, answers, in_time, customer, limiter });
+            lines.borrow_mut().push(Line::Answer {
+                sent,
+                t,
+                status,
+                answers,
+                in_time,
+                customer,
+                limiter,
+            });
         });
     }
 }
--- a/crates/lab/src/quotas.rs
+++ b/crates/lab/src/quotas.rs
@@ -34,12 +34,21 @@
 /// is more.
 pub fn bound(trial: &Trial, quota: &Quota) -> f64 {
     let gateways = quota.spread.min(trial.fleet.limiters) as f64;
-    let passes = trial.faults.iter().filter(|f| f.kind != Kind::Clock).count() as f64 * 2.0;
+    let passes = trial
+        .faults
+        .iter()
+        .filter(|f| f.kind != Kind::Clock)
+        .count() as f64
+        * 2.0;
     let names = (trial.seconds / NAME).ceil() + 1.0;
     // Where the counter can't take all, those whose calls fail let in their share beside the others. Most
     // tries over a quota make two calls, as what was refused is taken back.
     let scarce = quota.counter < 2.0 * quota.rate * quota.customers as f64 * quota.times;
-    let beside = if scarce { quota.rate * trial.seconds } else { 0.0 };
+    let beside = if scarce {
+        quota.rate * trial.seconds
+    } else {
+        0.0
+    };
     quota.burst.max(gateways) * (names + passes) + beside
 }
 
@@ -57,7 +66,12 @@
 
 impl Bucket {
     pub fn new(quota: &Quota) -> Self {
-        Bucket { tokens: quota.burst, level: 0.0, hard: 0.0, at: 0.0 }
+        Bucket {
+            tokens: quota.burst,
+            level: 0.0,
+            hard: 0.0,
+            at: 0.0,
+        }
     }
 
     /// Brings it up to a time.
@@ -90,13 +104,26 @@
 }
 
 pub fn judge(trial: &Trial, quota: &Quota, lines: &[Line]) -> Seen {
-    let mut seen = Seen { bound: bound(trial, quota), ..Seen::default() };
+    let mut seen = Seen {
+        bound: bound(trial, quota),
+        ..Seen::default()
+    };
     let mut buckets = vec![Bucket::new(quota); quota.customers];
     let calm = trial.calm_from();
     let mut let_in: Vec<f64> = Vec::new();
     for line in lines {
-        let Line::Answer { t, status, customer, .. } = line else { continue };
-        let Some(b) = buckets.get_mut(*customer as usize) else { continue };
+        let Line::Answer {
+            t,
+            status,
+            customer,
+            ..
+        } = line
+        else {
+            continue;
+        };
+        let Some(b) = buckets.get_mut(*customer as usize) else {
+            continue;
+        };
         b.fill(quota, *t);
         match status {
             200 => {
@@ -122,8 +149,13 @@
         n as f64 / (hold * (to - from))
     };
     let ends = trial.seconds - 0.5;
-    let starts = (0..).map(|n| calm + 0.5 * f64::from(n)).take_while(|s| s + 2.0 <= ends);
-    seen.healed_after_s = starts.clone().find(|s| share(*s, s + 2.0) >= 0.95).map(|s| s - calm);
+    let starts = (0..)
+        .map(|n| calm + 0.5 * f64::from(n))
+        .take_while(|s| s + 2.0 <= ends);
+    seen.healed_after_s = starts
+        .clone()
+        .find(|s| share(*s, s + 2.0) >= 0.95)
+        .map(|s| s - calm);
     let settled = calm + trial.settle;
     // Where a customer comes in at one limiter nearly alone, or the counter is scarce, less is served in any case.
     let plain = !quota.thin && quota.counter > 2.0 * hold * quota.times;
@@ -138,7 +170,8 @@
 
     #[test]
     fn a_bucket_tells_what_was_beyond_and_what_was_refused_with_room() {
-        let text = "name = \"q\"\nseconds = 30.0\n[quota]\ncustomers = 1\nrate = 1.0\nburst = 4.0\n";
+        let text =
+            "name = \"q\"\nseconds = 30.0\n[quota]\ncustomers = 1\nrate = 1.0\nburst = 4.0\n";
         let trial = Trial::parse(&format!("{text}hard_rate = 2.0\nhard_burst = 5.0\n")).unwrap();
         let quota = trial.quota.clone().unwrap();
         let answer = |t: f64, status| Line::Answer {
@@ -153,7 +186,10 @@
         let mut lines: Vec<Line> = (0..6).map(|_| answer(1.0, 200)).collect();
         lines.extend([answer(2.5, 429), answer(4.0, 429)]);
         let seen = judge(&trial, &quota, &lines);
-        assert_eq!((seen.sent, seen.beyond, seen.refused, seen.with_room), (6, 2, 2, 1));
+        assert_eq!(
+            (seen.sent, seen.beyond, seen.refused, seen.with_room),
+            (6, 2, 2, 1)
+        );
         assert_eq!((seen.overshoot, seen.over_ceiling), (2.0, 1.0));
     }
 }
