--- a/crates/lab/src/service.rs
+++ b/crates/lab/src/service.rs
@@ -303,15 +303,39 @@
     pub fn step(&mut self, ev: Ev, now: f64, out: &mut Vec<Out>) {
         match ev {
             Ev::Come => self.come(now, out),
-            Ev::Again { gate, epoch, num } if self.lives(gate, epoch) => self.place(gate, num, now, out),
-            Ev::Limit { gate, epoch, num, n } if self.lives(gate, epoch) => {
+            Ev::Again { gate, epoch, num } if self.lives(gate, epoch) => {
+                self.place(gate, num, now, out)
+            }
+            Ev::Limit {
+                gate,
+                epoch,
+                num,
+                n,
+            } if self.lives(gate, epoch) => {
                 self.ended(gate, num, n, Ending::Timeout, now, out);
             }
-            Ev::Served { gate, epoch, num, n, ending } if self.lives(gate, epoch) => {
+            Ev::Served {
+                gate,
+                epoch,
+                num,
+                n,
+                ending,
+            } if self.lives(gate, epoch) => {
                 self.ended(gate, num, n, ending, now, out);
             }
-            Ev::Count { gate, epoch, call, name, add } => self.count(gate, epoch, call, name, add, now, out),
-            Ev::Total { gate, epoch, call, total } if self.lives(gate, epoch) => {
+            Ev::Count {
+                gate,
+                epoch,
+                call,
+                name,
+                add,
+            } => self.count(gate, epoch, call, name, add, now, out),
+            Ev::Total {
+                gate,
+                epoch,
+                call,
+                total,
+            } if self.lives(gate, epoch) => {
                 self.counted(gate, call, Counted::Total(total), now, out);
             }
             Ev::CallLimit { gate, epoch, call }
@@ -326,8 +350,20 @@
             Ev::Overdue { gate, epoch } if self.lives(gate, epoch) => {
                 let chance = self.rng.random();
                 let g = &mut self.gates[gate];
-                for Anew { call, name, add, .. } in g.borrower.overdue(chance, now) {
-                    out.push(Out::At(now + WAY, Ev::Count { gate, epoch, call, name, add }));
+                for Anew {
+                    call, name, add, ..
+                } in g.borrower.overdue(chance, now)
+                {
+                    out.push(Out::At(
+                        now + WAY,
+                        Ev::Count {
+                            gate,
+                            epoch,
+                            call,
+                            name,
+                            add,
+                        },
+                    ));
                 }
                 let due = g.borrower.next_due();
                 if due.is_finite() {
@@ -368,13 +404,23 @@
         let gateways = (first as u32, gateways as u32);
         let id = customer as u64 * 0x9E37_79B9 + 11;
         let inv = Invocation::new(num, id, 0, 0, 1.0, gateways, now, now + PATIENCE);
-        self.gates[gate].held.insert(num, Held { inv, customer, came: now, open: 0 });
+        self.gates[gate].held.insert(
+            num,
+            Held {
+                inv,
+                customer,
+                came: now,
+                open: 0,
+            },
+        );
         self.place(gate, num, now, out);
     }
 
     fn place(&mut self, gate: usize, num: u64, now: f64, out: &mut Vec<Out>) {
         let g = &mut self.gates[gate];
-        let Some(held) = g.held.get_mut(&num) else { return };
+        let Some(held) = g.held.get_mut(&num) else {
+            return;
+        };
         if matches!(held.inv.stage, types::Stage::Out | types::Stage::Done) {
             return;
         }
@@ -386,7 +432,9 @@
     fn answer(&mut self, gate: usize, num: u64, answer: Answer, now: f64, out: &mut Vec<Out>) {
         let g = &mut self.gates[gate];
         let (epoch, measured) = (g.epoch, now >= self.measure_from);
-        let Some(held) = g.held.get_mut(&num) else { return };
+        let Some(held) = g.held.get_mut(&num) else {
+            return;
+        };
         let wait = g.limiter.wait(&held.inv, now);
         match answer {
             Answer::Send(tgt) => {
@@ -394,21 +442,46 @@
                 held.open += 1;
                 let first = n == 0;
                 let (customer, until) = (held.customer, (now + wait).min(held.inv.until));
-                out.push(Out::At(until, Ev::Limit { gate, epoch, num, n }));
+                out.push(Out::At(
+                    until,
+                    Ev::Limit {
+                        gate,
+                        epoch,
+                        num,
+                        n,
+                    },
+                ));
                 if !self.hung.contains(&tgt) {
                     let at = now + 2.0 * WAY + self.rng.random_range(WORK.0..WORK.1);
-                    out.push(Out::At(at, Ev::Served { gate, epoch, num, n, ending: Ending::Succeeded }));
+                    out.push(Out::At(
+                        at,
+                        Ev::Served {
+                            gate,
+                            epoch,
+                            num,
+                            n,
+                            ending: Ending::Succeeded,
+                        },
+                    ));
                 }
                 if first {
                     let over = self.take(customer, now);
                     self.tally.sent += u64::from(measured);
                     self.tally.beyond += u64::from(measured && over);
                     self.tally.tries += u64::from(measured);
-                    out.push(Out::Answered { sent: now, gate, customer, ok: true });
+                    out.push(Out::Answered {
+                        sent: now,
+                        gate,
+                        customer,
+                        ok: true,
+                    });
                 }
             }
             Answer::Hold if held.inv.stage != types::Stage::Out => {
-                out.push(Out::At(now + wait.max(1e-4), Ev::Again { gate, epoch, num }));
+                out.push(Out::At(
+                    now + wait.max(1e-4),
+                    Ev::Again { gate, epoch, num },
+                ));
             }
             Answer::Throttle { cause, .. } => {
                 let (sent, customer) = (held.came, held.customer);
@@ -418,23 +491,44 @@
                     self.tally.refused += u64::from(measured);
                     self.tally.with_room += u64::from(measured && room);
                     if measured {
-                        let name = types::Cause::ALL.iter().find(|c| c.0 == cause).map_or("", |c| c.1);
+                        let name = types::Cause::ALL
+                            .iter()
+                            .find(|c| c.0 == cause)
+                            .map_or("", |c| c.1);
                         *self.tally.by_cause.entry(name).or_default() += 1;
                     }
-                    out.push(Out::Answered { sent, gate, customer, ok: false });
+                    out.push(Out::Answered {
+                        sent,
+                        gate,
+                        customer,
+                        ok: false,
+                    });
                 }
             }
             _ => {}
         }
         let g = &mut self.gates[gate];
-        if g.held.get(&num).is_some_and(|h| h.inv.stage == types::Stage::Done && h.inv.out == 0) {
+        if g.held
+            .get(&num)
+            .is_some_and(|h| h.inv.stage == types::Stage::Done && h.inv.out == 0)
+        {
             g.held.remove(&num);
         }
     }
 
-    fn ended(&mut self, gate: usize, num: u64, n: usize, ending: Ending, now: f64, out: &mut Vec<Out>) {
+    fn ended(
+        &mut self,
+        gate: usize,
+        num: u64,
+        n: usize,
+        ending: Ending,
+        now: f64,
+        out: &mut Vec<Out>,
+    ) {
         let g = &mut self.gates[gate];
-        let Some(held) = g.held.get_mut(&num) else { return };
+        let Some(held) = g.held.get_mut(&num) else {
+            return;
+        };
         // The latest delivery is the one that is out: an earlier one has had its end.
         if held.open == 0 || n + 1 != held.inv.sent.len() {
             return;
@@ -442,7 +536,14 @@
         held.open -= 1;
         let done = ending == Ending::Succeeded || held.inv.stage == types::Stage::Done;
         let spent = now - held.inv.sent[n].1;
-        let outcome = Outcome { n, ending, spent, done, used: None, settled: None };
+        let outcome = Outcome {
+            n,
+            ending,
+            spent,
+            done,
+            used: None,
+            settled: None,
+        };
         let answer = g.limiter.after(&mut held.inv, &outcome, now);
         self.answer(gate, num, answer, now, out);
         self.carry_out(gate, now, out);
@@ -453,21 +554,43 @@
         while let Some(action) = self.gates[gate].limiter.next_action() {
             match action {
                 Action::Ask(num) => self.place(gate, num, now, out),
-                Action::Count { name, add, life, about } => {
+                Action::Count {
+                    name,
+                    add,
+                    life,
+                    about,
+                } => {
                     let g = &mut self.gates[gate];
                     g.last_call += 1;
                     let (call, epoch) = (g.last_call, g.epoch);
                     g.calls.insert(call, (name, now));
-                    out.push(Out::At(now + COUNT_WAIT, Ev::CallLimit { gate, epoch, call }));
-                    let slot = self.lends.map(|(first, n)| first + (about.customer % u64::from(n)) as Slot);
-                    let anew = Anew { call, name, add, life };
+                    out.push(Out::At(
+                        now + COUNT_WAIT,
+                        Ev::CallLimit { gate, epoch, call },
+                    ));
+                    let slot = self
+                        .lends
+                        .map(|(first, n)| first + (about.customer % u64::from(n)) as Slot);
+                    let anew = Anew {
+                        call,
+                        name,
+                        add,
+                        life,
+                    };
                     let way = slot.map_or(Way::Counter, |slot| {
                         g.borrower.way(anew, slot, g.known.contains(&slot), now)
                     });
                     match way {
-                        Way::Counter => {
-                            out.push(Out::At(now + WAY, Ev::Count { gate, epoch, call, name, add }))
-                        }
+                        Way::Counter => out.push(Out::At(
+                            now + WAY,
+                            Ev::Count {
+                                gate,
+                                epoch,
+                                call,
+                                name,
+                                add,
+                            },
+                        )),
                         Way::Broker(slot) => {
                             self.tally.brokered += u64::from(now >= self.measure_from);
                             let ask = Ask::new(anew, &about, now - about.start);
@@ -507,7 +630,15 @@
         self.tally.taken += u64::from(now >= self.measure_from);
         let total = self.counter.entry(name).or_default();
         *total = (*total + add).max(0.0);
-        out.push(Out::At(self.busy + WAY, Ev::Total { gate, epoch, call, total: *total }));
+        out.push(Out::At(
+            self.busy + WAY,
+            Ev::Total {
+                gate,
+                epoch,
+                call,
+                total: *total,
+            },
+        ));
     }
 
     /// The counter loses all its names.
@@ -518,11 +649,15 @@
     fn counted(&mut self, gate: usize, call: u64, counted: Counted, now: f64, out: &mut Vec<Out>) {
         if call >= BROKER {
             let mut said = Vec::new();
-            self.gates[gate].broker.counted(call, counted, now, &mut said);
+            self.gates[gate]
+                .broker
+                .counted(call, counted, now, &mut said);
             return self.lent(gate, said, now, out);
         }
         let g = &mut self.gates[gate];
-        let Some((name, at)) = g.calls.remove(&call) else { return };
+        let Some((name, at)) = g.calls.remove(&call) else {
+            return;
+        };
         g.borrower.counted(call);
         g.limiter.counted(name, counted, now - at, now);
         self.carry_out(gate, now, out);
@@ -533,11 +668,35 @@
         let epoch = self.gates[gate].epoch;
         for o in said {
             match o {
-                lend::Output::Tell { to, run, slot, seq, answer } => {
-                    out.push(Out::Tell { gate, to, run, slot, seq, answer });
+                lend::Output::Tell {
+                    to,
+                    run,
+                    slot,
+                    seq,
+                    answer,
+                } => {
+                    out.push(Out::Tell {
+                        gate,
+                        to,
+                        run,
+                        slot,
+                        seq,
+                        answer,
+                    });
                 }
-                lend::Output::Count { call, name, add, .. } => {
-                    out.push(Out::At(now + WAY, Ev::Count { gate, epoch, call, name, add }));
+                lend::Output::Count {
+                    call, name, add, ..
+                } => {
+                    out.push(Out::At(
+                        now + WAY,
+                        Ev::Count {
+                            gate,
+                            epoch,
+                            call,
+                            name,
+                            add,
+                        },
+                    ));
                 }
                 lend::Output::Abandon { .. } => {}
             }
@@ -564,13 +723,22 @@
     ) {
         if gate < self.limiters {
             let mut said = Vec::new();
-            self.gates[gate].broker.ask(from, run, slot, ask, now, &mut said);
+            self.gates[gate]
+                .broker
+                .ask(from, run, slot, ask, now, &mut said);
             self.lent(gate, said, now, out);
         }
     }
 
     /// A broker's answer came to this limiter, and its fence took it.
-    pub fn told(&mut self, gate: usize, seq: u64, answer: lend::Answer, now: f64, out: &mut Vec<Out>) {
+    pub fn told(
+        &mut self,
+        gate: usize,
+        seq: u64,
+        answer: lend::Answer,
+        now: f64,
+        out: &mut Vec<Out>,
+    ) {
         if gate >= self.limiters {
             return;
         }
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -52,7 +52,11 @@
 
 impl Default for Fleet {
     fn default() -> Self {
-        let duty = |name: &str, shards, by_zone| Duty { name: name.into(), shards, by_zone };
+        let duty = |name: &str, shards, by_zone| Duty {
+            name: name.into(),
+            shards,
+            by_zone,
+        };
         Fleet {
             limiters: 5,
             voters: 3,
@@ -62,7 +66,11 @@
             drift: 0.01,
             stall: 0.0,
             tick: 0.05,
-            duties: vec![duty("watch", 1, true), duty("probe", 2, false), duty("audit", 2, false)],
+            duties: vec![
+                duty("watch", 1, true),
+                duty("probe", 2, false),
+                duty("audit", 2, false),
+            ],
             skew: 0.005,
             receivers: 2,
         }
@@ -81,7 +89,12 @@
 
 impl Default for Net {
     fn default() -> Self {
-        Net { delay: 0.0005, jitter: 0.001, lose: 0.0, fsync: 0.003 }
+        Net {
+            delay: 0.0005,
+            jitter: 0.001,
+            lose: 0.0,
+            fsync: 0.003,
+        }
     }
 }
 
@@ -98,7 +111,11 @@
 
 impl Default for Load {
     fn default() -> Self {
-        Load { rate: 50.0, effects: 10.0, fleet: true }
+        Load {
+            rate: 50.0,
+            effects: 10.0,
+            fleet: true,
+        }
     }
 }
 
@@ -260,7 +277,11 @@
     /// Whether it lies on what one limiter sends to another at this moment.
     pub fn hits(&self, fault: &Fault, from: usize, to: usize, now: f64) -> bool {
         let on = fault.every <= 0.0 || ((now - fault.at) / fault.every).fract() < 0.5;
-        let other = |n: usize| self.to.as_ref().map_or(!self.from.contains(&n), |to| to.contains(&n));
+        let other = |n: usize| {
+            self.to
+                .as_ref()
+                .map_or(!self.from.contains(&n), |to| to.contains(&n))
+        };
         let out = self.from.contains(&from) && other(to);
         let back = self.from.contains(&to) && other(from);
         on && match fault.way {
@@ -281,7 +302,9 @@
 impl Trial {
     pub fn parse(text: &str) -> Result<Self, String> {
         let trial: Trial = toml::from_str(text).map_err(|e| {
-            let place = e.span().map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1);
+            let place = e
+                .span()
+                .map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1);
             let place = place.map_or(String::new(), |l| format!("line {l}: "));
             format!("{place}{}", e.message().replace('\n', " "))
         })?;
@@ -292,7 +315,10 @@
     pub fn check(&self) -> Result<(), String> {
         let f = &self.fleet;
         if !(self.seconds > 0.0 && self.seconds <= 86_400.0) {
-            return Err(format!("seconds: {}; give a length over 0 and up to a day", self.seconds));
+            return Err(format!(
+                "seconds: {}; give a length over 0 and up to a day",
+                self.seconds
+            ));
         }
         if self.settle <= 0.0 || self.settle.is_nan() {
             return Err(format!("settle: {}; give seconds over 0", self.settle));
@@ -318,7 +344,9 @@
         if let Some(q) = &self.quota {
             let sound = q.customers > 0
                 && q.customers <= 1_000_000
-                && [q.rate, q.burst, q.times, q.counter].iter().all(|v| *v > 0.0 && *v < 1e9)
+                && [q.rate, q.burst, q.times, q.counter]
+                    .iter()
+                    .all(|v| *v > 0.0 && *v < 1e9)
                 && q.spread > 0
                 && q.servers > 0
                 && q.servers <= 10_000;
@@ -339,7 +367,11 @@
         share("fleet.skew", f.skew)?;
         for (n, fault) in self.faults.iter().enumerate() {
             let place = format!("fault {} ({:?} at {})", n + 1, fault.kind, fault.at);
-            if !(fault.at >= 0.0 && fault.length >= 0.0 && fault.at.is_finite() && fault.length.is_finite()) {
+            if !(fault.at >= 0.0
+                && fault.length >= 0.0
+                && fault.at.is_finite()
+                && fault.length.is_finite())
+            {
                 return Err(format!("{place}: at and for are seconds from 0 up"));
             }
             let end = fault.at + fault.length;
@@ -353,12 +385,19 @@
                 share(&format!("{place}: amount"), fault.amount)?;
             }
             if fault.kind == Kind::Upgrade && !(fault.amount >= 1.0 && fault.amount <= 1000.0) {
-                return Err(format!("{place}: amount is the version it starts with, from 1 up"));
+                return Err(format!(
+                    "{place}: amount is the version it starts with, from 1 up"
+                ));
             }
             if !(fault.amount.is_finite() && fault.every >= 0.0 && fault.older >= 0.0) {
-                return Err(format!("{place}: amount, every and older are numbers, the last two from 0 up"));
+                return Err(format!(
+                    "{place}: amount, every and older are numbers, the last two from 0 up"
+                ));
             }
-            for target in [Some(&fault.target), fault.peer.as_ref()].into_iter().flatten() {
+            for target in [Some(&fault.target), fault.peer.as_ref()]
+                .into_iter()
+                .flatten()
+            {
                 self.target(target).map_err(|e| format!("{place}: {e}"))?;
             }
         }
@@ -367,10 +406,13 @@
 
     /// Says whether a target can be understood.
     fn target(&self, target: &str) -> Result<(), String> {
-        let known = "limiter:N, holder:DUTY:SHARD, leader, voter:N, voters, zone:NAME, half, all, any";
+        let known =
+            "limiter:N, holder:DUTY:SHARD, leader, voter:N, voters, zone:NAME, half, all, any";
         let number = |n: &str, most: usize| match n.parse::<usize>() {
             Ok(n) if n < most => Ok(()),
-            _ => Err(format!("{target}: no such number; there are {most}, from 0")),
+            _ => Err(format!(
+                "{target}: no such number; there are {most}, from 0"
+            )),
         };
         let parts: Vec<&str> = target.split(':').collect();
         match parts.as_slice() {
@@ -420,7 +462,11 @@
         match target.split(':').collect::<Vec<_>>().as_slice() {
             ["limiter" | "voter", n] => Some(vec![number(n)]),
             ["voters"] => Some((0..f.voters).collect()),
-            ["zone", z] => Some((0..f.limiters).filter(|n| f.zones[self.zone(*n)] == *z).collect()),
+            ["zone", z] => Some(
+                (0..f.limiters)
+                    .filter(|n| f.zones[self.zone(*n)] == *z)
+                    .collect(),
+            ),
             ["half"] => Some((0..f.limiters / 2).collect()),
             ["all"] => Some((0..f.limiters).collect()),
             _ => None,
@@ -429,6 +475,9 @@
 
     /// When the last fault is over.
     pub fn calm_from(&self) -> f64 {
-        self.faults.iter().map(|f| f.at + f.length).fold(0.0, f64::max)
+        self.faults
+            .iter()
+            .map(|f| f.at + f.length)
+            .fold(0.0, f64::max)
     }
 }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -217,7 +217,11 @@
             version: 1,
             epoch: 0,
             run: 0,
-            skew: if skew > 0.0 { self.rng.random_range(-skew..skew) } else { 0.0 },
+            skew: if skew > 0.0 {
+                self.rng.random_range(-skew..skew)
+            } else {
+                0.0
+            },
             offset: self.rng.random_range(0.0..1e4),
             members: None,
             holder: None,
@@ -255,10 +259,19 @@
         let seed = self.rng.random();
         let now = self.local(n, at);
         let zone = trial.fleet.zones[trial.zone(self.nodes[n].number)].clone();
-        let seeds = self.nodes.iter().take(trial.fleet.voters).map(|v| v.address).collect();
+        let seeds = self
+            .nodes
+            .iter()
+            .take(trial.fleet.voters)
+            .map(|v| v.address)
+            .collect();
         let node = &mut self.nodes[n];
-        let me =
-            Me { name: node.name.clone(), run, zone: zone.clone(), machine: format!("m{}", node.number) };
+        let me = Me {
+            name: node.name.clone(),
+            run,
+            zone: zone.clone(),
+            machine: format!("m{}", node.number),
+        };
         node.epoch += 1;
         node.up = true;
         node.stalled = false;
@@ -279,9 +292,15 @@
             voter: node.votes,
         };
         let settings = member_settings(trial, seeds);
-        node.members = self.gossip.then(|| members::Members::new(settings, member, seed, now));
+        node.members = self
+            .gossip
+            .then(|| members::Members::new(settings, member, seed, now));
         let mut holder = Holder::new(trial.duties(), me, now);
-        holder.who = self.lends.into_iter().flat_map(|(first, n)| first..first + n).collect();
+        holder.who = self
+            .lends
+            .into_iter()
+            .flat_map(|(first, n)| first..first + n)
+            .collect();
         node.holder = Some(holder);
         let mut out = Vec::new();
         if node.votes {
@@ -337,7 +356,12 @@
             // Guards against a world that makes events without end: that is a defect, and reported as one.
             if self.tally.events > MOST_EVENTS {
                 let text = "the world does not come to an end".to_owned();
-                self.lines.push(Line::Report { t, who: "world".into(), loud: true, text });
+                self.lines.push(Line::Report {
+                    t,
+                    who: "world".into(),
+                    loud: true,
+                    text,
+                });
                 break;
             }
             self.step(ev);
@@ -382,7 +406,11 @@
                 }
                 self.turn(to, Some((from, packet)));
             }
-            Ev::Disk { node, epoch, number } => {
+            Ev::Disk {
+                node,
+                epoch,
+                number,
+            } => {
                 let n = &mut self.nodes[node];
                 if n.epoch != epoch {
                     return;
@@ -397,7 +425,14 @@
                 }
                 if n.stalled {
                     // The disk did it; the process hears of it when it goes on.
-                    return self.push(t + 0.05, Ev::Disk { node, epoch, number });
+                    return self.push(
+                        t + 0.05,
+                        Ev::Disk {
+                            node,
+                            epoch,
+                            number,
+                        },
+                    );
                 }
                 let now = self.local(node, t);
                 let mut out = Vec::new();
@@ -417,7 +452,13 @@
                 let pause = self.rng.random_range(0.5..1.5) / self.trial.load.effects;
                 self.push(t + pause, Ev::Work { node, epoch });
             }
-            Ev::Finish { node, epoch, slot, token, to } => {
+            Ev::Finish {
+                node,
+                epoch,
+                slot,
+                token,
+                to,
+            } => {
                 let n = &mut self.nodes[node];
                 if n.epoch != epoch || !n.up {
                     return;
@@ -457,22 +498,37 @@
                             if let Some(s) = &mut self.service {
                                 s.asked(gate, &name, run, slot, ask, t, &mut out);
                             }
-                        } else if let Some(to) = self.nodes[gate]
-                            .holder
-                            .as_ref()
-                            .and_then(|h| h.holders.get(&slot).and_then(|n| n[1..].parse::<usize>().ok()))
-                        {
+                        } else if let Some(to) = self.nodes[gate].holder.as_ref().and_then(|h| {
+                            h.holders
+                                .get(&slot)
+                                .and_then(|n| n[1..].parse::<usize>().ok())
+                        }) {
                             let msg = lend::Msg::Ask { slot, run, ask };
                             self.send(gate, to, Packet::Lend(Box::new(msg)));
                         }
                     }
-                    service::Out::Tell { gate, to, run, slot, seq, answer } => {
+                    service::Out::Tell {
+                        gate,
+                        to,
+                        run,
+                        slot,
+                        seq,
+                        answer,
+                    } => {
                         let token = self.holds(gate, slot);
                         let answer = token.map_or(lend::Answer::Not, |_| answer);
                         let token = token.unwrap_or(0);
-                        let Ok(to) = to[1..].parse::<usize>() else { continue };
+                        let Ok(to) = to[1..].parse::<usize>() else {
+                            continue;
+                        };
                         if to != gate {
-                            let msg = lend::Msg::Told { slot, token, run, seq, answer };
+                            let msg = lend::Msg::Told {
+                                slot,
+                                token,
+                                run,
+                                seq,
+                                answer,
+                            };
                             self.send(gate, to, Packet::Lend(Box::new(msg)));
                         } else if run == self.nodes[gate].run {
                             if let Some(s) = &mut self.service {
@@ -480,7 +536,12 @@
                             }
                         }
                     }
-                    service::Out::Answered { sent, gate, customer, ok } => {
+                    service::Out::Answered {
+                        sent,
+                        gate,
+                        customer,
+                        ok,
+                    } => {
                         if self.trial.fleet.limiters <= SHOWN {
                             let status = if ok { 200 } else { 429 };
                             let customer = customer as u64;
@@ -503,7 +564,10 @@
 
     fn holds(&self, node: usize, slot: u32) -> Option<u64> {
         let now = self.local(node, self.now);
-        self.nodes[node].holder.as_ref().and_then(|h| h.holds(slot, now))
+        self.nodes[node]
+            .holder
+            .as_ref()
+            .and_then(|h| h.holds(slot, now))
     }
 
     /// Something of a broker came to a node.
@@ -516,10 +580,22 @@
                     return self.serve(|s, out| s.asked(node, &name, run, slot, ask, t, out));
                 }
                 let (token, seq, answer) = (0, ask.seq, lend::Answer::Not);
-                let msg = lend::Msg::Told { slot, token, run, seq, answer };
+                let msg = lend::Msg::Told {
+                    slot,
+                    token,
+                    run,
+                    seq,
+                    answer,
+                };
                 self.send(node, from, Packet::Lend(Box::new(msg)));
             }
-            lend::Msg::Told { slot, token, run, seq, answer } => {
+            lend::Msg::Told {
+                slot,
+                token,
+                run,
+                seq,
+                answer,
+            } => {
                 let n = &mut self.nodes[node];
                 let total = matches!(answer, lend::Answer::Total(_));
                 let fits = !total || n.fence.accept(slot, token) || !self.fenced;
@@ -566,7 +642,11 @@
                     let took = n.fence.accept(slot, token) || !self.fenced;
                     // A twin is another receiver, though it has the same name.
                     let twin = node >= self.trial.fleet.limiters;
-                    let at = if twin { format!("{}'{}", n.name, n.run) } else { n.name.clone() };
+                    let at = if twin {
+                        format!("{}'{}", n.name, n.run)
+                    } else {
+                        n.name.clone()
+                    };
                     self.effect(at, from, slot, token, took);
                 }
                 Packet::Peer(msg) => match &*msg {
@@ -603,7 +683,12 @@
         if let Some((seq, index)) = told {
             if let Some(asked) = n.holder.as_mut().and_then(|h| h.asked_at(seq)) {
                 let (who, asked) = (n.name.clone(), self.truth(node, asked));
-                self.lines.push(Line::Told { asked, t, who, index });
+                self.lines.push(Line::Told {
+                    asked,
+                    t,
+                    who,
+                    index,
+                });
             }
         }
         let asks = told.is_some();
@@ -623,7 +708,9 @@
         let due = [
             n.holder.as_ref().map_or(f64::INFINITY, Holder::next_due),
             n.voter.as_ref().map_or(f64::INFINITY, Voter::next_due),
-            n.members.as_ref().map_or(f64::INFINITY, members::Members::next_due),
+            n.members
+                .as_ref()
+                .map_or(f64::INFINITY, members::Members::next_due),
         ];
         let due = due.into_iter().fold(f64::INFINITY, f64::min);
         let at = (self.truth(node, due) + 1e-6).max(self.now + 1e-6 + n.slow);
@@ -652,7 +739,11 @@
                             // To itself, past the network.
                             self.push(
                                 t + 1e-5,
-                                Ev::Arrive { to, from: node, packet: Packet::Peer(Box::new(msg.clone())) },
+                                Ev::Arrive {
+                                    to,
+                                    from: node,
+                                    packet: Packet::Peer(Box::new(msg.clone())),
+                                },
                             );
                         }
                     }
@@ -662,19 +753,47 @@
                     self.nodes[node].writing.push_back(batch);
                     let fsync = self.trial.net.fsync * self.rng.random_range(0.3..2.0);
                     let takes = fsync + self.nodes[node].slow_disk;
-                    self.push(t + takes, Ev::Disk { node, epoch, number });
+                    self.push(
+                        t + takes,
+                        Ev::Disk {
+                            node,
+                            epoch,
+                            number,
+                        },
+                    );
                 }
                 Output::Tokens(tokens) => self.nodes[node].fence.prime(&tokens),
-                Output::Began { slot, token } => self.lines.push(Line::Began { t, who, run, slot, token }),
+                Output::Began { slot, token } => self.lines.push(Line::Began {
+                    t,
+                    who,
+                    run,
+                    slot,
+                    token,
+                }),
                 Output::Ended { slot, token } => {
-                    let until = self.nodes[node].holder.as_ref().map_or(0.0, |h| h.last_until());
+                    let until = self.nodes[node]
+                        .holder
+                        .as_ref()
+                        .map_or(0.0, |h| h.last_until());
                     let until = self.truth(node, until);
-                    self.lines.push(Line::Ended { t, who, run, slot, token, until });
-                    if self.lends.is_some_and(|(first, n)| (first..first + n).contains(&slot)) {
+                    self.lines.push(Line::Ended {
+                        t,
+                        who,
+                        run,
+                        slot,
+                        token,
+                        until,
+                    });
+                    if self
+                        .lends
+                        .is_some_and(|(first, n)| (first..first + n).contains(&slot))
+                    {
                         self.serve(|s, out| s.ended_slot(node, slot, t, out));
                     }
                 }
-                Output::Report { loud, text } => self.lines.push(Line::Report { t, who, loud, text }),
+                Output::Report { loud, text } => {
+                    self.lines.push(Line::Report { t, who, loud, text })
+                }
             }
         }
     }
@@ -694,7 +813,10 @@
                     }
                 }
                 members::Output::Down(m) => {
-                    let lives = self.nodes.iter().any(|n| n.up && n.name == m.name && n.run == m.run);
+                    let lives = self
+                        .nodes
+                        .iter()
+                        .any(|n| n.up && n.name == m.name && n.run == m.run);
                     if lives && t >= self.measure_from {
                         self.tally.false_downs += 1;
                     } else if lives {
@@ -705,7 +827,12 @@
                 }
                 members::Output::Doubled { name, .. } => {
                     let text = format!("two living processes have the name {name}");
-                    self.lines.push(Line::Report { t, who: who.clone(), loud: true, text });
+                    self.lines.push(Line::Report {
+                        t,
+                        who: who.clone(),
+                        loud: true,
+                        text,
+                    });
                 }
                 members::Output::Up(_) | members::Output::StoodStill(_) => {}
             }
@@ -731,7 +858,12 @@
             let fault = &self.trial.faults[a.n];
             let link = matches!(
                 fault.kind,
-                Kind::Cut | Kind::Lose | Kind::Delay | Kind::Reorder | Kind::Double | Kind::HalfOpen
+                Kind::Cut
+                    | Kind::Lose
+                    | Kind::Delay
+                    | Kind::Reorder
+                    | Kind::Double
+                    | Kind::HalfOpen
             );
             if !link {
                 continue;
@@ -751,15 +883,28 @@
             if lose > 0.0 && self.rng.random::<f64>() < lose {
                 continue;
             }
-            let again = if copy > 0 { self.rng.random::<f64>() * 0.5 } else { 0.0 };
+            let again = if copy > 0 {
+                self.rng.random::<f64>() * 0.5
+            } else {
+                0.0
+            };
             let at = self.now + net.delay + jitter + extra + again;
-            self.push(at, Ev::Arrive { to, from, packet: packet.clone() });
+            self.push(
+                at,
+                Ev::Arrive {
+                    to,
+                    from,
+                    packet: packet.clone(),
+                },
+            );
         }
     }
 
     /// A receiver that is no limiter.
     fn receive(&mut self, to: usize, from: usize, packet: Packet) {
-        let Packet::Effect { slot, token } = packet else { return };
+        let Packet::Effect { slot, token } = packet else {
+            return;
+        };
         let n = to - RECEIVER;
         let took = self.receivers[n].accept(slot, token) || !self.fenced;
         self.effect(format!("r{n}"), from, slot, token, took);
@@ -768,16 +913,30 @@
     fn effect(&mut self, at: String, from: usize, slot: u32, token: u64, took: bool) {
         let (t, who) = (self.now, self.nodes[from].name.clone());
         self.lines.push(if took {
-            Line::Accepted { t, at, who, slot, token }
+            Line::Accepted {
+                t,
+                at,
+                who,
+                slot,
+                token,
+            }
         } else {
-            Line::Refused { t, at, who, slot, token }
+            Line::Refused {
+                t,
+                at,
+                who,
+                slot,
+                token,
+            }
         });
     }
 
     /// A holder does its duties: looks whether it holds, and carries the effect out a little later.
     fn work(&mut self, node: usize, epoch: u64) {
         let now = self.local(node, self.now);
-        let Some(holder) = &self.nodes[node].holder else { return };
+        let Some(holder) = &self.nodes[node].holder else {
+            return;
+        };
         if self.nodes[node].idle {
             return;
         }
@@ -797,7 +956,16 @@
                 _ => self.rng.random_range(0..self.nodes.len()),
             };
             let later = self.rng.random_range(0.0..0.02);
-            self.push(self.now + later, Ev::Finish { node, epoch, slot, token, to });
+            self.push(
+                self.now + later,
+                Ev::Finish {
+                    node,
+                    epoch,
+                    slot,
+                    token,
+                    to,
+                },
+            );
         }
     }
 
@@ -814,13 +982,19 @@
             ["receivers"] => (0..self.receivers.len()).map(|r| RECEIVER + r).collect(),
             ["leader"] => {
                 let leads = |n: &&usize| self.nodes[**n].voter.as_ref().is_some_and(Voter::leads);
-                all.iter().rfind(leads).map(|n| vec![*n]).unwrap_or_else(|| vec![0])
+                all.iter()
+                    .rfind(leads)
+                    .map(|n| vec![*n])
+                    .unwrap_or_else(|| vec![0])
             }
             ["holder", duty, shard] => {
                 let slot = trial.duties().range(duty).map_or(0, |r| r.0) + number(shard) as u32;
                 let holds = |n: &&usize| {
                     let now = self.local(**n, self.now);
-                    self.nodes[**n].holder.as_ref().is_some_and(|h| h.holds(slot, now).is_some())
+                    self.nodes[**n]
+                        .holder
+                        .as_ref()
+                        .is_some_and(|h| h.holds(slot, now).is_some())
                 };
                 all.iter().find(holds).map(|n| vec![*n]).unwrap_or_default()
             }
@@ -856,8 +1030,13 @@
     /// A fault that lies on the counter or a server begins or ends.
     fn outside(&mut self, n: usize, on: bool) {
         let fault = &self.trial.faults[n];
-        let Some(service) = &mut self.service else { return };
-        let server = fault.target.strip_prefix("server:").and_then(|n| n.parse::<usize>().ok());
+        let Some(service) = &mut self.service else {
+            return;
+        };
+        let server = fault
+            .target
+            .strip_prefix("server:")
+            .and_then(|n| n.parse::<usize>().ok());
         match (fault.kind, server) {
             (Kind::Silence, _) => service.counter_silent = on,
             (Kind::Forget, _) if on => service.forget(),
@@ -920,7 +1099,11 @@
                     Disk::Lost => self.nodes[node].disk = Saved::default(),
                     Disk::Older => {
                         let wanted = fault.at - fault.older;
-                        let old = self.nodes[node].old_disks.iter().rfind(|d| d.0 <= wanted).cloned();
+                        let old = self.nodes[node]
+                            .old_disks
+                            .iter()
+                            .rfind(|d| d.0 <= wanted)
+                            .cloned();
                         self.nodes[node].disk = old.map_or_else(Saved::default, |d| d.1);
                     }
                 }
@@ -956,7 +1139,8 @@
 
 /// Whether the simulated world can play this trial.
 pub fn check(trial: &Trial) -> Result<(), String> {
-    let only = |k: Kind| matches!(k, Kind::Hang | Kind::Forget | Kind::Silence) && trial.quota.is_none();
+    let only =
+        |k: Kind| matches!(k, Kind::Hang | Kind::Forget | Kind::Silence) && trial.quota.is_none();
     match trial.faults.iter().find(|f| only(f.kind)) {
         Some(f) => Err(format!(
             "fault {:?} at {}: only the world of processes plays it without a quota section",
--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -92,11 +92,18 @@
     }
 
     /// Calls and waits for the answer, `limit` at most.
-    pub async fn call(self: &Rc<Self>, payload: Bytes, limit: Duration) -> Result<Bytes, CallError> {
+    pub async fn call(
+        self: &Rc<Self>,
+        payload: Bytes,
+        limit: Duration,
+    ) -> Result<Bytes, CallError> {
         let number = self.next_number.replace(self.next_number.get() + 1);
         let (sender, answer) = oneshot::channel();
         self.waiting.borrow_mut().insert(number, sender);
-        let _forget = Forget { client: self, number };
+        let _forget = Forget {
+            client: self,
+            number,
+        };
         self.enqueue(number, payload)?;
         match timeout(limit, answer).await {
             Ok(Ok(result)) => result,
@@ -140,11 +147,16 @@
                 client.close(error);
             }
         });
-        Connection { queue, task: task.abort_handle() }
+        Connection {
+            queue,
+            task: task.abort_handle(),
+        }
     }
 
     fn close(&self, error: CallError) {
-        let Some(connection) = self.connection.borrow_mut().take() else { return };
+        let Some(connection) = self.connection.borrow_mut().take() else {
+            return;
+        };
         let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
         for sender in waiting.into_values() {
             let _ = sender.send(Err(error));
@@ -183,7 +195,11 @@
 }
 
 /// One connection from its opening to its end; says what calls without an answer get.
-async fn run(address: SocketAddr, frames: mpsc::Receiver<(u64, Bytes)>, client: Weak<Client>) -> CallError {
+async fn run(
+    address: SocketAddr,
+    frames: mpsc::Receiver<(u64, Bytes)>,
+    client: Weak<Client>,
+) -> CallError {
     let Ok(Some(stream)) = timeout(CONNECT_TIMEOUT, open(address)).await else {
         return CallError::Unreachable;
     };
@@ -226,9 +242,14 @@
     }
 }
 
-async fn read_answers<R: tokio::io::AsyncRead + Unpin>(mut reader: FrameReader<R>, client: Weak<Client>) {
+async fn read_answers<R: tokio::io::AsyncRead + Unpin>(
+    mut reader: FrameReader<R>,
+    client: Weak<Client>,
+) {
     while let Ok(frame) = reader.next().await {
-        let Some(client) = client.upgrade() else { return };
+        let Some(client) = client.upgrade() else {
+            return;
+        };
         client.answered(frame.number, frame.payload);
     }
 }
--- a/crates/link/src/frame.rs
+++ b/crates/link/src/frame.rs
@@ -64,7 +64,10 @@
         return Err(FrameError::Checksum);
     }
     let number = rest.get_u64_le();
-    Ok(Some(Frame { number, payload: rest.freeze() }))
+    Ok(Some(Frame {
+        number,
+        payload: rest.freeze(),
+    }))
 }
 
 /// Reads frames off one connection.
@@ -75,7 +78,10 @@
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
     pub fn new(input: R) -> Self {
-        FrameReader { input, buffer: BytesMut::new() }
+        FrameReader {
+            input,
+            buffer: BytesMut::new(),
+        }
     }
 
     /// The next frame; waits for it.
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -52,7 +52,9 @@
     let places = Arc::new(Semaphore::new(MOST_CALLS));
     let ended = Rc::new(tokio::sync::Notify::new());
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { break };
+        let Ok(place) = places.clone().acquire_owned().await else {
+            break;
+        };
         let frame = tokio::select! {
             frame = reader.next() => frame,
             () = ended.notified() => break,
--- a/crates/link/tests/calls.rs
+++ b/crates/link/tests/calls.rs
@@ -43,7 +43,10 @@
 }
 
 fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
 
@@ -82,7 +85,10 @@
         for text in ["one", "two", "three"] {
             client.notify(Bytes::from_static(text.as_bytes())).unwrap();
         }
-        client.call(Bytes::from_static(b"last"), LIMIT).await.unwrap();
+        client
+            .call(Bytes::from_static(b"last"), LIMIT)
+            .await
+            .unwrap();
         assert_eq!(*service.seen.borrow(), ["one", "two", "three", "last"]);
     });
 }
@@ -96,7 +102,10 @@
         let notices = Rc::new(Cell::new(0));
         let counted = notices.clone();
         let client = Client::with_notice(address, Box::new(move || counted.set(counted.get() + 1)));
-        assert_eq!(client.call(Bytes::new(), LIMIT).await, Err(CallError::Unreachable));
+        assert_eq!(
+            client.call(Bytes::new(), LIMIT).await,
+            Err(CallError::Unreachable)
+        );
         assert_eq!(notices.get(), 1);
     });
 }
@@ -142,7 +151,10 @@
         );
         assert_eq!(hanging, Err(CallError::Closed));
         assert_eq!(ending, Err(CallError::Closed));
-        assert_eq!(client.call(Bytes::from_static(b"ab"), LIMIT).await.unwrap(), "ba");
+        assert_eq!(
+            client.call(Bytes::from_static(b"ab"), LIMIT).await.unwrap(),
+            "ba"
+        );
     });
 }
 
@@ -152,15 +164,20 @@
         let (service, address) = started().await;
         let client = Client::new(address);
         client.call(Bytes::from_static(b"ab"), LIMIT).await.unwrap();
-        for spoilt in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[9, 0, 0, 0, 1, 2, 3, 4, 0, 0, 0, 0, 0, 0, 0, 0, 65]]
-        {
+        for spoilt in [
+            &b"GET / HTTP/1.1\r\n\r\n"[..],
+            &[9, 0, 0, 0, 1, 2, 3, 4, 0, 0, 0, 0, 0, 0, 0, 0, 65],
+        ] {
             let mut stranger = TcpStream::connect(address).await.unwrap();
             stranger.write_all(spoilt).await.unwrap();
             let mut rest = Vec::new();
             let _ = stranger.read_to_end(&mut rest).await;
             assert!(rest.is_empty());
         }
-        assert_eq!(client.call(Bytes::from_static(b"cd"), LIMIT).await.unwrap(), "dc");
+        assert_eq!(
+            client.call(Bytes::from_static(b"cd"), LIMIT).await.unwrap(),
+            "dc"
+        );
         assert_eq!(service.seen.borrow().len(), 2);
     });
 }
--- a/crates/link/tests/late_answers.rs
+++ b/crates/link/tests/late_answers.rs
@@ -26,7 +26,9 @@
 
 impl Called {
     async fn accept(listener: &TcpListener) -> Called {
-        Called { stream: listener.accept().await.unwrap().0 }
+        Called {
+            stream: listener.accept().await.unwrap().0,
+        }
     }
 
     /// The next call: its number and payload.
@@ -36,7 +38,10 @@
         let length = u32::from_le_bytes(head[..4].try_into().unwrap()) as usize;
         let mut rest = vec![0; length];
         self.stream.read_exact(&mut rest).await.unwrap();
-        assert_eq!(u32::from_le_bytes(head[4..].try_into().unwrap()), crc32fast::hash(&rest));
+        assert_eq!(
+            u32::from_le_bytes(head[4..].try_into().unwrap()),
+            crc32fast::hash(&rest)
+        );
         let mut rest = Bytes::from(rest);
         (rest.get_u64_le(), rest)
     }
@@ -64,7 +69,10 @@
 }
 
 fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
 
@@ -170,7 +178,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let closed = Rc::new(Notify::new());
     let notice = closed.clone();
-    let client = Client::with_notice(listener.local_addr().unwrap(), Box::new(move || notice.notify_one()));
+    let client = Client::with_notice(
+        listener.local_addr().unwrap(),
+        Box::new(move || notice.notify_one()),
+    );
     let mut called: Option<Called> = None;
     let mut calls = Vec::new();
     let mut numbers: Vec<(u64, Bytes)> = Vec::new();
@@ -204,7 +215,10 @@
     for (payload, call) in calls {
         match call.await.unwrap() {
             Ok(answer) => assert_eq!(answer, payload),
-            Err(error) => assert!(matches!(error, CallError::Closed | CallError::Unreachable), "{error:?}"),
+            Err(error) => assert!(
+                matches!(error, CallError::Closed | CallError::Unreachable),
+                "{error:?}"
+            ),
         }
     }
 }
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -36,7 +36,10 @@
     type Addr = SocketAddrV4;
 
     fn renew(&self) -> Option<Self> {
-        Some(Member { turn: self.turn.saturating_add(TURN), ..self.clone() })
+        Some(Member {
+            turn: self.turn.saturating_add(TURN),
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> SocketAddrV4 {
@@ -79,7 +82,9 @@
             ("again", self.again),
         ] {
             if !(v > 0.0 && v < 86_400.0) {
-                return Err(format!("fleet.members.{key}: {v}; give seconds over 0 and under a day"));
+                return Err(format!(
+                    "fleet.members.{key}: {v}; give seconds over 0 and under a day"
+                ));
             }
         }
         if self.answer * 2.0 > self.probe {
@@ -89,7 +94,10 @@
             ));
         }
         if !(512..=65_000).contains(&self.datagram) {
-            return Err(format!("fleet.members.datagram: {}; give 512 to 65000 bytes", self.datagram));
+            return Err(format!(
+                "fleet.members.datagram: {}; give 512 to 65000 bytes",
+                self.datagram
+            ));
         }
         Ok(())
     }
@@ -164,14 +172,24 @@
     }
 
     fn send_to(&mut self, to: Member, data: &[u8]) {
-        self.out.push(Output::Datagram { to: to.address, bytes: data.to_vec() });
+        self.out.push(Output::Datagram {
+            to: to.address,
+            bytes: data.to_vec(),
+        });
     }
 
     fn submit_after(&mut self, event: Timer<Member>, after: Duration) {
         *self.numbers += 1;
-        let judges = matches!(event, Timer::SendIndirectProbe { .. } | Timer::ChangeSuspectToDown { .. });
+        let judges = matches!(
+            event,
+            Timer::SendIndirectProbe { .. } | Timer::ChangeSuspectToDown { .. }
+        );
         let slower = if judges { self.doubt } else { 1.0 };
-        self.timers.push(Due(self.now + after.as_secs_f64() * slower, *self.numbers, event));
+        self.timers.push(Due(
+            self.now + after.as_secs_f64() * slower,
+            *self.numbers,
+            event,
+        ));
     }
 }
 
@@ -217,11 +235,21 @@
         config.max_packet_size = some(settings.datagram);
         config.max_transmissions = config.max_transmissions.max(TOLD);
         config.notify_down_members = true;
-        let each = |s: f64, n: usize| Some(PeriodicParams { frequency: seconds(s), num_members: some(n) });
+        let each = |s: f64, n: usize| {
+            Some(PeriodicParams {
+                frequency: seconds(s),
+                num_members: some(n),
+            })
+        };
         config.periodic_gossip = each(settings.gossip, 3);
         config.periodic_announce = each(settings.again * 2.0, 1);
         config.periodic_announce_to_down_members = each(settings.again, 2);
-        let foca = Foca::new(me, config, Xoshiro256PlusPlus::seed_from_u64(seed), PostcardCodec);
+        let foca = Foca::new(
+            me,
+            config,
+            Xoshiro256PlusPlus::seed_from_u64(seed),
+            PostcardCodec,
+        );
         Members {
             settings,
             foca,
@@ -242,11 +270,23 @@
     }
 
     /// Runs one thing through the library and takes what it says of members.
-    fn with(&mut self, now: f64, out: &mut Vec<Output>, act: impl FnOnce(&mut Swim, &mut Carrier) -> bool) {
+    fn with(
+        &mut self,
+        now: f64,
+        out: &mut Vec<Output>,
+        act: impl FnOnce(&mut Swim, &mut Carrier) -> bool,
+    ) {
         let doubt = 1.0 + self.doubt;
         let (up, down) = (Vec::new(), Vec::new());
-        let mut carrier =
-            Carrier { now, doubt, timers: &mut self.timers, numbers: &mut self.numbers, up, down, out };
+        let mut carrier = Carrier {
+            now,
+            doubt,
+            timers: &mut self.timers,
+            numbers: &mut self.numbers,
+            up,
+            down,
+            out,
+        };
         if !act(&mut self.foca, &mut carrier) {
             self.refused += 1;
         }
@@ -260,7 +300,13 @@
             let key = (m.name.clone(), m.run);
             let fresh = !self.up.contains_key(&key);
             let since = self.up.get(&key).map_or(now, |s| s.since);
-            self.up.insert(key, Seen { member: m.clone(), since });
+            self.up.insert(
+                key,
+                Seen {
+                    member: m.clone(),
+                    since,
+                },
+            );
             if fresh {
                 out.push(Output::Up(m));
             }
@@ -274,15 +320,26 @@
 
     /// A datagram came in.
     pub fn datagram(&mut self, bytes: &[u8], now: f64, out: &mut Vec<Output>) {
-        self.with(now, out, |foca, carrier| foca.handle_data(bytes, carrier).is_ok());
+        self.with(now, out, |foca, carrier| {
+            foca.handle_data(bytes, carrier).is_ok()
+        });
     }
 
     /// Guards against the library's word to a suspect that has spoken up: at the end of each suspicion it
     /// tells it that it is held for gone, refuted or not, and the suspect then takes a new identity.
     fn refuted(&self, timer: &Timer<Member>) -> bool {
-        let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
+        let Timer::ChangeSuspectToDown {
+            member_id,
+            incarnation,
+            ..
+        } = timer
+        else {
+            return false;
+        };
         let stands = |m: &foca::Member<Member>| {
-            m.id() == member_id && m.incarnation() == *incarnation && m.state() == foca::State::Suspect
+            m.id() == member_id
+                && m.incarnation() == *incarnation
+                && m.state() == foca::State::Suspect
         };
         !self.foca.iter_membership_state().any(stands)
     }
@@ -291,7 +348,11 @@
         let late = now - self.next_due();
         if late > self.settings.answer {
             // It was this one that stood still: answers may lie unread, so every timer gets its time again.
-            let shifted = self.timers.drain().map(|d| Due(d.0 + late, d.1, d.2)).collect();
+            let shifted = self
+                .timers
+                .drain()
+                .map(|d| Due(d.0 + late, d.1, d.2))
+                .collect();
             self.timers = shifted;
             self.doubt = (self.doubt + 2.0).min(MOST_DOUBT);
             self.doubt_at = now;
@@ -299,14 +360,22 @@
         }
         if self.doubt > 0.0 && now > self.doubt_at + self.settings.probe * HALVED_IN {
             self.doubt_at = now;
-            self.doubt = if self.doubt < 0.25 { 0.0 } else { self.doubt / 2.0 };
+            self.doubt = if self.doubt < 0.25 {
+                0.0
+            } else {
+                self.doubt / 2.0
+            };
         }
         while self.timers.peek().is_some_and(|d| d.0 <= now) {
-            let Some(Due(_, _, timer)) = self.timers.pop() else { break };
+            let Some(Due(_, _, timer)) = self.timers.pop() else {
+                break;
+            };
             if self.refuted(&timer) {
                 continue;
             }
-            self.with(now, out, |foca, carrier| foca.handle_timer(timer, carrier).is_ok());
+            self.with(now, out, |foca, carrier| {
+                foca.handle_timer(timer, carrier).is_ok()
+            });
         }
         if now >= self.next_announce {
             // Alone, it knocks at the seeds; in company it does so now and then, as a seed that lost all
@@ -315,10 +384,22 @@
             let pause = self.settings.again * if alone { 0.25 } else { 4.0 };
             self.next_announce = now + pause;
             let me = self.foca.identity().clone();
-            for address in self.settings.seeds.clone().into_iter().filter(|a| *a != me.address) {
+            for address in self
+                .settings
+                .seeds
+                .clone()
+                .into_iter()
+                .filter(|a| *a != me.address)
+            {
                 let known = self.foca.iter_members().any(|m| m.id().address == address);
                 if !known {
-                    let to = Member { name: String::new(), run: 0, turn: 0, address, ..me.clone() };
+                    let to = Member {
+                        name: String::new(),
+                        run: 0,
+                        turn: 0,
+                        address,
+                        ..me.clone()
+                    };
                     self.with(now, out, |foca, carrier| foca.announce(to, carrier).is_ok());
                 }
             }
@@ -350,7 +431,10 @@
         }
         for (name, runs) in &found {
             if !self.doubled.contains_key(name) {
-                out.push(Output::Doubled { name: name.clone(), runs: *runs });
+                out.push(Output::Doubled {
+                    name: name.clone(),
+                    runs: *runs,
+                });
             }
         }
         self.doubled = found;
@@ -366,13 +450,22 @@
 
     /// The members that are up, itself not among them; of several runs of a name the latest alone.
     pub fn living(&self) -> impl Iterator<Item = &Member> {
-        let of = |key: &(String, u64)| self.up.range((key.0.clone(), 0)..=(key.0.clone(), u64::MAX));
-        let latest = move |key: &(String, u64), s: &Seen| of(key).all(|o| o.1.member.turn <= s.member.turn);
-        self.up.iter().filter(move |(k, s)| latest(k, s)).map(|(_, s)| &s.member)
+        let of = |key: &(String, u64)| {
+            self.up
+                .range((key.0.clone(), 0)..=(key.0.clone(), u64::MAX))
+        };
+        let latest =
+            move |key: &(String, u64), s: &Seen| of(key).all(|o| o.1.member.turn <= s.member.turn);
+        self.up
+            .iter()
+            .filter(move |(k, s)| latest(k, s))
+            .map(|(_, s)| &s.member)
     }
 
     pub fn find(&self, name: &str) -> Option<&Member> {
-        let of = self.up.range((name.to_owned(), 0)..=(name.to_owned(), u64::MAX));
+        let of = self
+            .up
+            .range((name.to_owned(), 0)..=(name.to_owned(), u64::MAX));
         of.map(|(_, s)| &s.member).max_by_key(|m| m.turn)
     }
 
@@ -431,7 +524,12 @@
 
     impl World {
         fn new(n: u16) -> Self {
-            let mut w = World { now: 0.0, nodes: BTreeMap::new(), still: vec![], lines: vec![] };
+            let mut w = World {
+                now: 0.0,
+                nodes: BTreeMap::new(),
+                still: vec![],
+                lines: vec![],
+            };
             (1..=n).for_each(|p| w.start(&format!("n{p}"), p as u64, p));
             w
         }
@@ -486,9 +584,15 @@
         w.run(10.0, |_, _| false);
         assert!((1..=6).all(|p| w.see(p).len() == 5));
         w.run(30.0, |a, b| (a <= 3) != (b <= 3));
-        assert!((1..=6).all(|p| w.see(p).len() == 2), "a half sees itself alone");
+        assert!(
+            (1..=6).all(|p| w.see(p).len() == 2),
+            "a half sees itself alone"
+        );
         w.run(40.0, |_, _| false);
-        assert!((1..=6).all(|p| w.see(p).len() == 5), "all again, with no help");
+        assert!(
+            (1..=6).all(|p| w.see(p).len() == 5),
+            "all again, with no help"
+        );
     }
 
     #[test]
@@ -503,7 +607,11 @@
         std::mem::swap(w.nodes.get_mut(&3).unwrap(), &mut again);
         w.run(10.0, |_, _| false);
         for p in [1, 2, 4] {
-            let runs: Vec<_> = w.nodes[&p].living().filter(|m| m.name == "n3").map(|m| m.run).collect();
+            let runs: Vec<_> = w.nodes[&p]
+                .living()
+                .filter(|m| m.name == "n3")
+                .map(|m| m.run)
+                .collect();
             assert_eq!(runs, [77]);
             assert_eq!(w.nodes[&p].count(), 3, "the older self is not kept");
         }
@@ -513,12 +621,18 @@
         for o in out {
             if let Output::Datagram { to, bytes } = o {
                 let mut said = Vec::new();
-                w.nodes.get_mut(&to.port()).unwrap().datagram(&bytes, now, &mut said);
+                w.nodes
+                    .get_mut(&to.port())
+                    .unwrap()
+                    .datagram(&bytes, now, &mut said);
             }
         }
         w.still.push(4);
         w.run(1.0, |_, _| false);
-        assert!([1, 2, 3].iter().all(|p| !w.see(*p).contains(&"n4".into())), "before any probe could tell");
+        assert!(
+            [1, 2, 3].iter().all(|p| !w.see(*p).contains(&"n4".into())),
+            "before any probe could tell"
+        );
     }
 
     #[test]
@@ -529,12 +643,18 @@
         w.run(20.0, |_, _| false);
         for p in [1, 2, 3, 4, 9] {
             assert!(w.nodes[&p].doubled("n3"), "{p} knows");
-            let lines = w.lines.iter().filter(|l| l.0 == p && matches!(&l.1, Output::Doubled { .. }));
+            let lines = w
+                .lines
+                .iter()
+                .filter(|l| l.0 == p && matches!(&l.1, Output::Doubled { .. }));
             assert_eq!(lines.count(), 1, "said once");
         }
         w.nodes.remove(&9);
         w.run(20.0, |_, _| false);
-        assert!([1, 2, 3, 4].iter().all(|p| !w.nodes[p].doubled("n3")), "single again");
+        assert!(
+            [1, 2, 3, 4].iter().all(|p| !w.nodes[p].doubled("n3")),
+            "single again"
+        );
     }
 
     #[test]
@@ -547,9 +667,15 @@
         w.run(8.0, |_, _| false);
         w.still.clear();
         w.run(20.0, |_, _| false);
-        let wrong = w.lines.iter().filter(|(p, o)| *p == 2 && matches!(o, Output::Down(_)));
+        let wrong = w
+            .lines
+            .iter()
+            .filter(|(p, o)| *p == 2 && matches!(o, Output::Down(_)));
         assert_eq!(wrong.count(), 0);
-        assert!(w.lines.iter().any(|(p, o)| *p == 2 && matches!(o, Output::StoodStill(s) if *s > 6.0)));
+        assert!(w
+            .lines
+            .iter()
+            .any(|(p, o)| *p == 2 && matches!(o, Output::StoodStill(s) if *s > 6.0)));
         assert!((1..=6).all(|p| w.see(p).len() == 5));
     }
 
@@ -560,11 +686,25 @@
         w.lines.clear();
         // Nearly a third of all is lost: suspicions come by the minute, and each is refuted in time.
         let rng = std::cell::RefCell::new(Xoshiro256PlusPlus::seed_from_u64(5));
-        w.run(120.0, |_, _| rand::RngExt::random::<f64>(&mut *rng.borrow_mut()) < 0.3);
-        let gone: Vec<_> = w.lines.iter().filter(|l| matches!(l.1, Output::Down(_))).collect();
-        assert!(gone.is_empty(), "{} reports: {:?}", gone.len(), gone.first());
+        w.run(120.0, |_, _| {
+            rand::RngExt::random::<f64>(&mut *rng.borrow_mut()) < 0.3
+        });
+        let gone: Vec<_> = w
+            .lines
+            .iter()
+            .filter(|l| matches!(l.1, Output::Down(_)))
+            .collect();
+        assert!(
+            gone.is_empty(),
+            "{} reports: {:?}",
+            gone.len(),
+            gone.first()
+        );
         let anew = |m: &Members| m.me().turn > TURN;
-        assert!(!w.nodes.values().any(anew), "nobody was told that it is held for gone");
+        assert!(
+            !w.nodes.values().any(anew),
+            "nobody was told that it is held for gone"
+        );
     }
 
     #[test]
--- a/crates/node/src/api.rs
+++ b/crates/node/src/api.rs
@@ -5,7 +5,9 @@
 use crate::homes::Homes;
 use crate::registry::{self, Heartbeat};
 use bytes::Bytes;
-use dunespur_control::{Operation, Order, OrderKind, Outcome, RetireOutcome, RetireState, ServerReport};
+use dunespur_control::{
+    Operation, Order, OrderKind, Outcome, RetireOutcome, RetireState, ServerReport,
+};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
@@ -123,7 +125,10 @@
         let target = target(request.method(), request.uri().path());
         let base = base_version(&request);
         let Ok(body) = Limited::new(request.into_body(), MOST_BODY).collect().await else {
-            return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large or broke off");
+            return plain(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                "the body is too large or broke off",
+            );
         };
         let body = body.to_bytes();
         match target {
@@ -153,7 +158,11 @@
         if registry::is_known(&self.directory.known(), &report) {
             return heard(beat_address);
         }
-        match self.directory.execute(&Operation::Server(report), ORDER_LIMIT).await {
+        match self
+            .directory
+            .execute(&Operation::Server(report), ORDER_LIMIT)
+            .await
+        {
             Ok(_) => heard(beat_address),
             Err(Unavailable) => unavailable(),
         }
@@ -192,14 +201,29 @@
 
     async fn configure(&self, kind: OrderKind, base: Option<u64>, body: Bytes) -> Answer {
         let Some(base) = base else {
-            return plain(StatusCode::BAD_REQUEST, "X-Dunespur-Base-Version: is missing or no number");
+            return plain(
+                StatusCode::BAD_REQUEST,
+                "X-Dunespur-Base-Version: is missing or no number",
+            );
+        };
+        let limit = if body.len() >= LARGE_BODY {
+            LARGE_ORDER_LIMIT
+        } else {
+            ORDER_LIMIT
+        };
+        let order = |fence| {
+            Operation::Configure(Order {
+                kind,
+                base,
+                body: body.to_vec(),
+                fence,
+            })
         };
-        let limit = if body.len() >= LARGE_BODY { LARGE_ORDER_LIMIT } else { ORDER_LIMIT };
-        let order = |fence| Operation::Configure(Order { kind, base, body: body.to_vec(), fence });
         match self.decide(order, limit).await {
             Ok(Outcome::Accepted) => accepted(),
             Ok(Outcome::Current { generation }) => {
-                let text = json!({ "error": "another version is current", "generation": generation });
+                let text =
+                    json!({ "error": "another version is current", "generation": generation });
                 json_answer(StatusCode::PRECONDITION_FAILED, text.to_string())
             }
             Ok(Outcome::Invalid(findings)) => {
@@ -228,7 +252,11 @@
             return plain(StatusCode::BAD_REQUEST, &error.to_string());
         }
         let tolerated_losses = self.tolerated_losses;
-        let order = |fence| Operation::RetireStart { node: node.clone(), tolerated_losses, fence };
+        let order = |fence| Operation::RetireStart {
+            node: node.clone(),
+            tolerated_losses,
+            fence,
+        };
         match self.decide(order, ORDER_LIMIT).await {
             Ok(Outcome::Retire(RetireOutcome::Taken)) => accepted(),
             Ok(Outcome::Retire(RetireOutcome::UnknownNode)) => {
@@ -256,7 +284,14 @@
 }
 
 fn base_version(request: &Request<Incoming>) -> Option<u64> {
-    request.headers().get(BASE_VERSION)?.to_str().ok()?.trim().parse().ok()
+    request
+        .headers()
+        .get(BASE_VERSION)?
+        .to_str()
+        .ok()?
+        .trim()
+        .parse()
+        .ok()
 }
 
 fn accepted() -> Answer {
@@ -266,14 +301,23 @@
 /// A heartbeat was taken; later ones go to the address, if there is one.
 fn heard(beat_address: Option<SocketAddr>) -> Answer {
     match beat_address {
-        Some(address) => json_answer(StatusCode::OK, json!({ "beat_addr": address.to_string() }).to_string()),
+        Some(address) => json_answer(
+            StatusCode::OK,
+            json!({ "beat_addr": address.to_string() }).to_string(),
+        ),
         None => accepted(),
     }
 }
 
 fn unavailable() -> Answer {
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "the core did not answer in time");
-    answer.headers_mut().insert(RETRY_AFTER, hyper::header::HeaderValue::from_static(RETRY_SECONDS));
+    let mut answer = plain(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "the core did not answer in time",
+    );
+    answer.headers_mut().insert(
+        RETRY_AFTER,
+        hyper::header::HeaderValue::from_static(RETRY_SECONDS),
+    );
     answer
 }
 
--- a/crates/node/src/budgets.rs
+++ b/crates/node/src/budgets.rs
@@ -53,7 +53,10 @@
     pub async fn reserve(&self, ask: TurnAsk<'_>) -> Reserve {
         let turn = self.next_turn.replace(self.next_turn.get() + 1);
         let now = self.clock.now();
-        let admission = self.book.borrow_mut().admit(ask.program, ask.budget, ask.most, turn, now);
+        let admission = self
+            .book
+            .borrow_mut()
+            .admit(ask.program, ask.budget, ask.most, turn, now);
         self.rescheduled.notify_one();
         let admission = match admission {
             Admission::Ask(request) => {
@@ -67,8 +70,12 @@
         match admission {
             Admission::Admitted => Reserve::Admitted(TurnKey(turn)),
             Admission::Refused(Refusal::Spent) => Reserve::Spent,
-            Admission::Refused(Refusal::Elsewhere { retry_after_ms }) => Reserve::Wait { retry_after_ms },
-            _ => Reserve::Wait { retry_after_ms: SILENT_RETRY_MS },
+            Admission::Refused(Refusal::Elsewhere { retry_after_ms }) => {
+                Reserve::Wait { retry_after_ms }
+            }
+            _ => Reserve::Wait {
+                retry_after_ms: SILENT_RETRY_MS,
+            },
         }
     }
 
@@ -76,7 +83,11 @@
     fn await_verdict(&self, turn: u64) -> impl std::future::Future<Output = Admission> + '_ {
         let (sender, verdict) = oneshot::channel();
         self.waiting.borrow_mut().insert(turn, sender);
-        let left = LeftWaiting { budgets: self, turn, decided: false };
+        let left = LeftWaiting {
+            budgets: self,
+            turn,
+            decided: false,
+        };
         async move {
             let mut left = left;
             let admission = verdict.await.unwrap_or(Admission::Refused(Refusal::Silent));
@@ -87,7 +98,10 @@
 
     /// How many programs and turns there are.
     pub fn status(&self) -> BudgetStatus {
-        BudgetStatus { programs: self.book.borrow().programs(), waiting: self.waiting.borrow().len() }
+        BudgetStatus {
+            programs: self.book.borrow().programs(),
+            waiting: self.waiting.borrow().len(),
+        }
     }
 
     /// Tokens of a program that are held here.
@@ -118,7 +132,10 @@
     /// Gives back what is held, before the end of the process.
     pub async fn close(&self) {
         let requests = self.book.borrow_mut().close(self.clock.now());
-        let sent: Vec<_> = requests.into_iter().filter_map(|request| self.exchange(request)).collect();
+        let sent: Vec<_> = requests
+            .into_iter()
+            .filter_map(|request| self.exchange(request))
+            .collect();
         for exchange in sent {
             let _ = exchange.await;
         }
@@ -138,7 +155,10 @@
             if let Some(took_ms) = stopwatch.took_ms() {
                 trace::counter(&request, reply, took_ms);
             }
-            let outcomes = budgets.book.borrow_mut().replied(&request, reply, budgets.clock.now());
+            let outcomes = budgets
+                .book
+                .borrow_mut()
+                .replied(&request, reply, budgets.clock.now());
             budgets.tell(outcomes);
             budgets.rescheduled.notify_one();
         }))
@@ -169,7 +189,9 @@
             let requests = book.due(self.clock.now());
             (requests, book.outcomes())
         };
-        requests.into_iter().for_each(|request| drop(self.exchange(request)));
+        requests
+            .into_iter()
+            .for_each(|request| drop(self.exchange(request)));
         self.tell(outcomes);
     }
 }
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -83,19 +83,26 @@
 
 /// Which of the two the content looks like. What is no JSON is the same finding for either.
 fn guess(bytes: &[u8]) -> Option<Kind> {
-    let Ok(value) = serde_json::from_slice::<Value>(bytes) else { return Some(Kind::Configuration) };
+    let Ok(value) = serde_json::from_slice::<Value>(bytes) else {
+        return Some(Kind::Configuration);
+    };
     let has = |name: &&str| value.get(*name).is_some();
     if ["routes", "services", "generation"].iter().any(has) {
         return Some(Kind::Configuration);
     }
-    ["node", "port_range", "listen", "seeds"].iter().any(has).then_some(Kind::Settings)
+    ["node", "port_range", "listen", "seeds"]
+        .iter()
+        .any(has)
+        .then_some(Kind::Settings)
 }
 
 /// What is said of a file that can be used.
 fn judge(bytes: &[u8], kind: Kind, role: Option<Role>) -> Result<String, Findings> {
     let what = match kind {
         Kind::Settings => format!("{} of {}", kind.name(), Settings::parse(bytes, role)?.node),
-        Kind::Configuration => format!("{} {}", kind.name(), Document::replace(bytes)?.generation()),
+        Kind::Configuration => {
+            format!("{} {}", kind.name(), Document::replace(bytes)?.generation())
+        }
     };
     Ok(format!("{what}, no findings"))
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -14,7 +14,9 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        Clock { start: Instant::now() }
+        Clock {
+            start: Instant::now(),
+        }
     }
 
     /// Steady milliseconds.
@@ -30,5 +32,7 @@
 
 /// Milliseconds of the time of day.
 pub fn wall_clock_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |time| time.as_millis() as u64)
 }
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -18,14 +18,16 @@
 
 /// What the command line asks for; `Err` where it is answered already, by help or by what is wrong with it.
 pub fn asked() -> Result<Command, ExitCode> {
-    command().run_inner(bpaf::Args::current_args()).map_err(|failure| {
-        failure.print_message(COLUMNS);
-        if failure.exit_code() == 0 {
-            ExitCode::SUCCESS
-        } else {
-            ExitCode::from(WRONG_USAGE)
-        }
-    })
+    command()
+        .run_inner(bpaf::Args::current_args())
+        .map_err(|failure| {
+            failure.print_message(COLUMNS);
+            if failure.exit_code() == 0 {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::from(WRONG_USAGE)
+            }
+        })
 }
 
 /// A serving tier for agent programs
@@ -73,17 +75,29 @@
 #[derive(Clone, Debug, Bpaf)]
 pub struct Logging {
     /// Log level on standard error: off, error, warn, info, debug or trace; debug has lines of every request
-    #[bpaf(long("log"), argument("LEVEL"), fallback(LevelFilter::Info), display_fallback)]
+    #[bpaf(
+        long("log"),
+        argument("LEVEL"),
+        fallback(LevelFilter::Info),
+        display_fallback
+    )]
     pub level: LevelFilter,
     /// Format of log lines: text, or json for an object a line
-    #[bpaf(long("log-format"), argument("FORMAT"), fallback(LogFormat::Text), display_fallback)]
+    #[bpaf(
+        long("log-format"),
+        argument("FORMAT"),
+        fallback(LogFormat::Text),
+        display_fallback
+    )]
     pub format: LogFormat,
 }
 
 fn explain() -> impl bpaf::Parser<Explain> {
     use bpaf::{construct, positional, Parser};
     let request = positional::<String>("ID").help("The request's X-Dunespur-Request-Id");
-    let files = positional::<PathBuf>("FILE").help("Logs; standard input where none is named").many();
+    let files = positional::<PathBuf>("FILE")
+        .help("Logs; standard input where none is named")
+        .many();
     construct!(Explain { request, files })
 }
 
@@ -96,14 +110,21 @@
         .optional();
     let address = positional::<SocketAddr>("ADDRESS")
         .help("Where the process listens for the others: its address and the first port of its port_range");
-    construct!(AskStatus { json, program, address })
+    construct!(AskStatus {
+        json,
+        program,
+        address
+    })
 }
 
 fn check() -> impl bpaf::Parser<Check> {
     use bpaf::{construct, long, positional, Parser};
-    let settings = long("settings").help("Check it as settings of a process").req_flag(Kind::Settings);
-    let configuration =
-        long("configuration").help("Check it as an operator's configuration").req_flag(Kind::Configuration);
+    let settings = long("settings")
+        .help("Check it as settings of a process")
+        .req_flag(Kind::Settings);
+    let configuration = long("configuration")
+        .help("Check it as an operator's configuration")
+        .req_flag(Kind::Configuration);
     let kind = construct!([settings, configuration]).optional();
     let role = long("role")
         .help("Check what this role needs of its settings as well: gateway or store")
--- a/crates/node/src/core/applied.rs
+++ b/crates/node/src/core/applied.rs
@@ -58,7 +58,9 @@
     /// The state falls behind from this index on; said once.
     fn lose_track(&mut self, index: u64, reason: &str) {
         if self.unreadable_since.is_none() {
-            log::error!("control state at index {index}: {reason}; this member answers nothing from now on");
+            log::error!(
+                "control state at index {index}: {reason}; this member answers nothing from now on"
+            );
             self.unreadable_since = Some(index);
         }
     }
--- a/crates/node/src/core/applied/tests.rs
+++ b/crates/node/src/core/applied/tests.rs
@@ -3,9 +3,17 @@
 
 fn configured(state: &mut AppliedState, index: u64, generation: u64) {
     let body = format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#);
-    let order = Order { kind: OrderKind::Replace, base: generation - 1, body: body.into_bytes(), fence: 0 };
-    let payload = postcard::to_stdvec(&Operation::Configure(order)).expect("an operation can be written");
-    state.commit(index, &payload).expect("an operation that was written can be read");
+    let order = Order {
+        kind: OrderKind::Replace,
+        base: generation - 1,
+        body: body.into_bytes(),
+        fence: 0,
+    };
+    let payload =
+        postcard::to_stdvec(&Operation::Configure(order)).expect("an operation can be written");
+    state
+        .commit(index, &payload)
+        .expect("an operation that was written can be read");
 }
 
 #[test]
--- a/crates/node/src/core/changes.rs
+++ b/crates/node/src/core/changes.rs
@@ -52,6 +52,11 @@
             return None;
         }
         let start = self.kept.partition_point(|(at, _)| *at <= index);
-        Some(self.kept.range(start..).flat_map(|(_, changes)| changes.iter().cloned()).collect())
+        Some(
+            self.kept
+                .range(start..)
+                .flat_map(|(_, changes)| changes.iter().cloned())
+                .collect(),
+        )
     }
 }
--- a/crates/node/src/core/coordinator.rs
+++ b/crates/node/src/core/coordinator.rs
@@ -84,13 +84,27 @@
 
 impl Coordinator {
     /// Opens the disk and starts the member's tasks.
-    pub fn start(identity: CoreIdentity, data: &Path, clock: Clock) -> anyhow::Result<Rc<Coordinator>> {
+    pub fn start(
+        identity: CoreIdentity,
+        data: &Path,
+        clock: Clock,
+    ) -> anyhow::Result<Rc<Coordinator>> {
         std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
         let (disk, disk_identity, saved) = CoreDisk::open(&data.join(DISK_FILE))?;
-        let id = MemberId { node: identity.node.clone(), disk: disk_identity.disk };
+        let id = MemberId {
+            node: identity.node.clone(),
+            disk: disk_identity.disk,
+        };
         let now = clock.now();
         let seed = fastrand::u64(..);
-        let member = Member::new(id.clone(), identity.address, identity.bootstrap, saved, seed, now);
+        let member = Member::new(
+            id.clone(),
+            identity.address,
+            identity.bootstrap,
+            saved,
+            seed,
+            now,
+        );
         let (persisted, synced) = mpsc::unbounded_channel();
         let inner = Inner {
             member,
@@ -121,7 +135,10 @@
 
     /// This member as others know it.
     pub fn peer(&self) -> Peer {
-        Peer { id: self.id.clone(), address: self.address }
+        Peer {
+            id: self.id.clone(),
+            address: self.address,
+        }
     }
 
     /// The newest view that this member knows.
@@ -149,7 +166,10 @@
     pub fn budget_of(&self, program: &str) -> CountedBudget {
         let inner = self.inner.borrow();
         let counters = inner.applied.state().counters();
-        CountedBudget { used: counters.used(program), held: counters.held(program) }
+        CountedBudget {
+            used: counters.used(program),
+            held: counters.held(program),
+        }
     }
 
     /// Takes part in the first view of the system.
@@ -174,7 +194,9 @@
 
     /// Carries out an operation; answered once it is committed.
     pub async fn execute(&self, operation: &Operation) -> Reply {
-        let Some(answer) = self.submit(operation) else { return Reply::Unavailable };
+        let Some(answer) = self.submit(operation) else {
+            return Reply::Unavailable;
+        };
         match within(EXECUTE_LIMIT, answer).await {
             Some(Ok(Some(outcome))) => Reply::Executed(outcome),
             _ => Reply::Unavailable,
@@ -205,7 +227,13 @@
         if !self.confirmed().await {
             return Reply::Unavailable;
         }
-        let json = self.inner.borrow().applied.state().configuration().map(|document| document.to_json());
+        let json = self
+            .inner
+            .borrow()
+            .applied
+            .state()
+            .configuration()
+            .map(|document| document.to_json());
         Reply::Configuration(json)
     }
 
@@ -252,8 +280,14 @@
 
     fn news_for(&self, request: &WatchRequest) -> bool {
         let inner = self.inner.borrow();
-        let newer_view = inner.member.view().is_some_and(|view| view.number > request.view);
-        newer_view || request.after.is_none_or(|after| inner.applied.changes().has_after(after))
+        let newer_view = inner
+            .member
+            .view()
+            .is_some_and(|view| view.number > request.view);
+        newer_view
+            || request
+                .after
+                .is_none_or(|after| inner.applied.changes().has_after(after))
     }
 
     fn watched(&self, request: &WatchRequest) -> Reply {
@@ -261,13 +295,28 @@
         if !inner.serves(self.clock.now()) {
             return Reply::Unavailable;
         }
-        let view = inner.member.view().filter(|view| view.number > request.view).cloned();
+        let view = inner
+            .member
+            .view()
+            .filter(|view| view.number > request.view)
+            .cloned();
         let newest = inner.applied.changes().newest();
-        let kept = request.after.and_then(|after| inner.applied.changes().after(after));
+        let kept = request
+            .after
+            .and_then(|after| inner.applied.changes().after(after));
         let whole = kept.is_none();
         let changes = kept.unwrap_or_else(|| inner.applied.state().image());
-        let index = if whole { newest } else { newest.max(request.after.unwrap_or(0)) };
-        Reply::Watched(Watched { index, whole, changes, view })
+        let index = if whole {
+            newest
+        } else {
+            newest.max(request.after.unwrap_or(0))
+        };
+        Reply::Watched(Watched {
+            index,
+            whole,
+            changes,
+            view,
+        })
     }
 
     /// Processes that may have lost the core: those that seeds name or that are remembered, and are not heard of. A
@@ -322,8 +371,15 @@
                 drop(inner);
                 self.send(&link, message);
             }
-            Output::Persist { batch, writes } => inner.disk.write(Batch { number: batch, writes }),
-            Output::Commit { index, payload, ticket } => return inner.commit(index, &payload, ticket),
+            Output::Persist { batch, writes } => inner.disk.write(Batch {
+                number: batch,
+                writes,
+            }),
+            Output::Commit {
+                index,
+                payload,
+                ticket,
+            } => return inner.commit(index, &payload, ticket),
             Output::ReadReady { ticket } => {
                 if let Some(waiting) = inner.reading.remove(&ticket) {
                     let _ = waiting.send(());
@@ -337,7 +393,10 @@
                 // A state that has fallen behind isn't handed on as that of the newest index.
                 if inner.applied.is_readable() {
                     let bytes = inner.applied.state().snapshot();
-                    inputs.push_back(Input::Snapshot { index: inner.applied.changes().newest(), bytes });
+                    inputs.push_back(Input::Snapshot {
+                        index: inner.applied.changes().newest(),
+                        bytes,
+                    });
                 }
             }
             Output::Install { index, bytes } => {
@@ -345,7 +404,11 @@
                 return true;
             }
             Output::ViewChanged { view, current } => {
-                log::info!("view {}: chain {:?}, current {current}", view.number, names(&view));
+                log::info!(
+                    "view {}: chain {:?}, current {current}",
+                    view.number,
+                    names(&view)
+                );
                 return true;
             }
         }
@@ -353,12 +416,18 @@
     }
 
     fn send(&self, link: &Rc<Client>, message: Message) {
-        let _ = link.notify(encode(&Request::Chain { from: self.id.clone(), message }));
+        let _ = link.notify(encode(&Request::Chain {
+            from: self.id.clone(),
+            message,
+        }));
     }
 
     fn link_closed(&self, address: SocketAddr) {
         let peer = self.inner.borrow().member.view().and_then(|view| {
-            view.members.iter().find(|peer| peer.address == address).map(|peer| peer.id.clone())
+            view.members
+                .iter()
+                .find(|peer| peer.address == address)
+                .map(|peer| peer.id.clone())
         });
         if let Some(peer) = peer {
             self.step(Input::Disconnected { peer });
@@ -467,14 +536,25 @@
     }
 
     fn other_members(&self, own: &MemberId) -> Vec<SocketAddr> {
-        let members = self.member.view().map(|view| view.members.as_slice()).unwrap_or_default();
-        members.iter().filter(|peer| peer.id != *own).map(|peer| peer.address).collect()
+        let members = self
+            .member
+            .view()
+            .map(|view| view.members.as_slice())
+            .unwrap_or_default();
+        members
+            .iter()
+            .filter(|peer| peer.id != *own)
+            .map(|peer| peer.address)
+            .collect()
     }
 
     /// Operations for what has lapsed, if this member decides on that: it is the head of the chain, and was at the
     /// last round.
     fn lapsed(&mut self, own: &MemberId, now: u64) -> Vec<Operation> {
-        let heads = self.member.view().is_some_and(|view| view.chain.first() == Some(own));
+        let heads = self
+            .member
+            .view()
+            .is_some_and(|view| view.chain.first() == Some(own));
         let decides = heads && self.member.current(now) && self.applied.is_readable();
         if !decides || !self.decided_leases {
             self.leases.renew_all(now);
@@ -482,8 +562,10 @@
             return Vec::new();
         }
         let state = self.applied.state();
-        self.leases.keep_servers(state.servers().map(|server| server.id.as_str()), now);
-        self.leases.keep_nodes(store_leases(state).chain(gateway_leases(state)), now);
+        self.leases
+            .keep_servers(state.servers().map(|server| server.id.as_str()), now);
+        self.leases
+            .keep_nodes(store_leases(state).chain(gateway_leases(state)), now);
         let names: Vec<String> = remembered(state).map(|(name, _)| name).collect();
         self.leases.keep_heard(names.iter().map(String::as_str));
         let servers = self.leases.lapsed_servers(now);
@@ -493,9 +575,10 @@
             let last_sequence = state.server(&id)?.sequence;
             Some(Operation::ServerExpired { id, last_sequence })
         });
-        let absent = nodes
-            .into_iter()
-            .map(|node| Operation::NodeGone { name: node.name, incarnation: node.incarnation });
+        let absent = nodes.into_iter().map(|node| Operation::NodeGone {
+            name: node.name,
+            incarnation: node.incarnation,
+        });
         gone.chain(absent).collect()
     }
 
@@ -512,20 +595,31 @@
 /// The leases of the stores that are there.
 fn store_leases(state: &ControlState) -> impl Iterator<Item = NodeLease> + '_ {
     let present = state.stores().filter(|store| store.present);
-    present.map(|store| NodeLease { name: store.name, incarnation: store.incarnation })
+    present.map(|store| NodeLease {
+        name: store.name,
+        incarnation: store.incarnation,
+    })
 }
 
 /// Names and addresses of all gateways and stores that may come back.
 fn remembered(state: &ControlState) -> impl Iterator<Item = (String, SocketAddr)> + '_ {
-    let gateways = state.remembered_gateways().map(|gateway| (gateway.name.clone(), gateway.address));
-    let stores = state.stores().filter(|store| !store.retired).map(|store| (store.name, store.address));
+    let gateways = state
+        .remembered_gateways()
+        .map(|gateway| (gateway.name.clone(), gateway.address));
+    let stores = state
+        .stores()
+        .filter(|store| !store.retired)
+        .map(|store| (store.name, store.address));
     gateways.chain(stores)
 }
 
 /// The leases of the gateways that are there.
 fn gateway_leases(state: &ControlState) -> impl Iterator<Item = NodeLease> + '_ {
     let present = state.gateways();
-    present.map(|gateway| NodeLease { name: gateway.name.clone(), incarnation: gateway.incarnation })
+    present.map(|gateway| NodeLease {
+        name: gateway.name.clone(),
+        incarnation: gateway.incarnation,
+    })
 }
 
 fn names(view: &View) -> Vec<&str> {
--- a/crates/node/src/core/disk.rs
+++ b/crates/node/src/core/disk.rs
@@ -42,16 +42,23 @@
         let (batches, queue) = mpsc::channel::<Batch>();
         let progress = Arc::new(Progress::default());
         let counted = progress.clone();
-        thread::Builder::new().name("core-disk".to_owned()).stack_size(STACK_SIZE).spawn(move || {
-            while let Ok(batch) = queue.recv() {
-                write(&disk, &batch, &counted.failed);
-                counted.done.fetch_add(1, Ordering::Relaxed);
-                if persisted.send(batch.number).is_err() {
-                    return;
+        thread::Builder::new()
+            .name("core-disk".to_owned())
+            .stack_size(STACK_SIZE)
+            .spawn(move || {
+                while let Ok(batch) = queue.recv() {
+                    write(&disk, &batch, &counted.failed);
+                    counted.done.fetch_add(1, Ordering::Relaxed);
+                    if persisted.send(batch.number).is_err() {
+                        return;
+                    }
                 }
-            }
-        })?;
-        Ok(DiskWriter { batches, queued: Cell::new(0), progress })
+            })?;
+        Ok(DiskWriter {
+            batches,
+            queued: Cell::new(0),
+            progress,
+        })
     }
 
     /// Queues a batch.
@@ -74,7 +81,10 @@
 fn write(disk: &CoreDisk, batch: &Batch, failed: &AtomicU64) {
     while let Err(error) = disk.write(&batch.writes) {
         failed.fetch_add(1, Ordering::Relaxed);
-        log::error!("the core's disk does not take batch {}: {error:#}", batch.number);
+        log::error!(
+            "the core's disk does not take batch {}: {error:#}",
+            batch.number
+        );
         thread::sleep(RETRY_PAUSE);
     }
 }
--- a/crates/node/src/core/executing.rs
+++ b/crates/node/src/core/executing.rs
@@ -54,13 +54,21 @@
         if let Some(payload) = &payload {
             self.repeatable.insert(payload.clone(), ticket);
         }
-        self.waiting.insert(ticket, Waiting { callers: vec![sender], payload });
+        self.waiting.insert(
+            ticket,
+            Waiting {
+                callers: vec![sender],
+                payload,
+            },
+        );
         Taken::New(answer)
     }
 
     /// The operation was committed, or dropped.
     pub fn ended(&mut self, ticket: u64, outcome: Option<Outcome>) {
-        let Some(waiting) = self.waiting.remove(&ticket) else { return };
+        let Some(waiting) = self.waiting.remove(&ticket) else {
+            return;
+        };
         if let Some(payload) = waiting.payload {
             self.repeatable.remove(&payload);
         }
--- a/crates/node/src/core/executing/tests.rs
+++ b/crates/node/src/core/executing/tests.rs
@@ -6,10 +6,17 @@
     Operation::Budget(CounterRequest {
         program: "program".to_owned(),
         budget: 100,
-        limiter: LimiterId { node: "front".to_owned(), incarnation: 1 },
+        limiter: LimiterId {
+            node: "front".to_owned(),
+            incarnation: 1,
+        },
         sequence,
         used: 0,
-        change: CounterChange::Lease { needed: 1, wanted: 1, returned: 0 },
+        change: CounterChange::Lease {
+            needed: 1,
+            wanted: 1,
+            returned: 0,
+        },
         at_ms: 5,
     })
 }
@@ -69,7 +76,10 @@
 #[test]
 fn other_operations_do_not_join() {
     let mut executing = Executing::default();
-    let operation = Operation::NodeGone { name: "front".to_owned(), incarnation: 1 };
+    let operation = Operation::NodeGone {
+        name: "front".to_owned(),
+        incarnation: 1,
+    };
     new(take(&mut executing, 1, &operation));
     new(take(&mut executing, 2, &operation));
     assert_eq!(executing.len(), 2);
--- a/crates/node/src/core/expiry.rs
+++ b/crates/node/src/core/expiry.rs
@@ -63,19 +63,24 @@
 
     /// Whether a node was heard of lately, under whatever incarnation.
     pub fn hears(&self, name: &str, now: u64) -> bool {
-        self.heard_nodes.get(name).is_some_and(|at| now.saturating_sub(*at) <= HEARD_LATELY_MS)
+        self.heard_nodes
+            .get(name)
+            .is_some_and(|at| now.saturating_sub(*at) <= HEARD_LATELY_MS)
     }
 
     /// Forgets when nodes were heard of that are not remembered any more.
     pub fn keep_heard<'a>(&mut self, remembered: impl Iterator<Item = &'a str>) {
         let names: BTreeSet<&str> = remembered.collect();
-        self.heard_nodes.retain(|name, _| names.contains(name.as_str()));
+        self.heard_nodes
+            .retain(|name, _| names.contains(name.as_str()));
     }
 
     /// What the other members are to be told.
     pub fn take_untold(&mut self) -> Heard {
         Heard {
-            servers: std::mem::take(&mut self.untold_servers).into_iter().collect(),
+            servers: std::mem::take(&mut self.untold_servers)
+                .into_iter()
+                .collect(),
             nodes: std::mem::take(&mut self.untold_nodes).into_iter().collect(),
         }
     }
@@ -108,8 +113,14 @@
 
     /// All leases, those of nodes first, so many at most.
     pub fn status(&self, most: usize, now: u64) -> Vec<LeaseStatus> {
-        let nodes = self.nodes.iter().map(|(node, at)| (&node.name, *at, NODE_LEASE_MS));
-        let servers = self.servers.iter().map(|(id, at)| (id, *at, self.server_lease_ms));
+        let nodes = self
+            .nodes
+            .iter()
+            .map(|(node, at)| (&node.name, *at, NODE_LEASE_MS));
+        let servers = self
+            .servers
+            .iter()
+            .map(|(id, at)| (id, *at, self.server_lease_ms));
         let leases = nodes.chain(servers).take(most);
         let mut leases: Vec<LeaseStatus> = leases
             .map(|(holder, at, lease_ms)| LeaseStatus {
@@ -118,7 +129,9 @@
                 lease_ms,
             })
             .collect();
-        leases.sort_by(|one, other| (one.lease_ms, &one.holder).cmp(&(other.lease_ms, &other.holder)));
+        leases.sort_by(|one, other| {
+            (one.lease_ms, &one.holder).cmp(&(other.lease_ms, &other.holder))
+        });
         leases
     }
 
@@ -148,9 +161,16 @@
 }
 
 fn lapsed<K: Clone>(leases: &HashMap<K, u64>, lease_ms: u64, now: u64) -> Vec<K> {
-    let heard = leases.values().filter(|at| now.saturating_sub(**at) <= lease_ms / 2).count();
+    let heard = leases
+        .values()
+        .filter(|at| now.saturating_sub(**at) <= lease_ms / 2)
+        .count();
     if heard * 100 < leases.len() * LEAST_HEARD_PERCENT {
         return Vec::new();
     }
-    leases.iter().filter(|(_, at)| now.saturating_sub(**at) > lease_ms).map(|(key, _)| key.clone()).collect()
+    leases
+        .iter()
+        .filter(|(_, at)| now.saturating_sub(**at) > lease_ms)
+        .map(|(key, _)| key.clone())
+        .collect()
 }
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -10,7 +10,9 @@
 use bytes::Bytes;
 use dunespur_chain::View;
 use dunespur_configuration::{Document, Table};
-use dunespur_control::{Change, GatewayEntry, Operation, Outcome, RetireState, ServerReport, StoreEntry};
+use dunespur_control::{
+    Change, GatewayEntry, Operation, Outcome, RetireState, ServerReport, StoreEntry,
+};
 use dunespur_link::{CallError, Client};
 use dunespur_turns::roster::Store;
 use std::cell::{Cell, RefCell};
@@ -158,7 +160,10 @@
     /// Learns a view; older ones are ignored.
     pub fn learn_view(&self, view: View) {
         let mut known = self.view.borrow_mut();
-        if known.as_ref().is_some_and(|known| known.number >= view.number) {
+        if known
+            .as_ref()
+            .is_some_and(|known| known.number >= view.number)
+        {
             return;
         }
         *known = Some(view);
@@ -185,7 +190,10 @@
     /// Core members to ask, the one that answered last first.
     fn members(&self) -> Vec<SocketAddr> {
         let view = self.view.borrow();
-        let members = view.as_ref().map(|view| view.members.as_slice()).unwrap_or_default();
+        let members = view
+            .as_ref()
+            .map(|view| view.members.as_slice())
+            .unwrap_or_default();
         let mut addresses: Vec<_> = members.iter().map(|peer| peer.address).collect();
         fastrand::shuffle(&mut addresses);
         let attached = self.attached.get();
@@ -254,7 +262,9 @@
     /// Tells a process of the view that this one knows.
     pub fn announce(&self, address: SocketAddr) {
         if let Some(view) = self.view() {
-            let _ = self.client(address).notify(encode(&Request::Announce(view)));
+            let _ = self
+                .client(address)
+                .notify(encode(&Request::Announce(view)));
         }
     }
 
@@ -265,7 +275,10 @@
 
     /// Asks one process for the view it knows.
     pub async fn hello(&self, address: SocketAddr) -> Option<View> {
-        match self.call(address, encode(&Request::Hello), HELLO_TIMEOUT).await {
+        match self
+            .call(address, encode(&Request::Hello), HELLO_TIMEOUT)
+            .await
+        {
             Ok(Reply::View(view)) => view,
             _ => None,
         }
@@ -286,7 +299,12 @@
             known.gateways.clear();
         }
         let whole = watched.whole;
-        let mut touched = Touched { configuration: false, servers: whole, stores: whole, gateways: whole };
+        let mut touched = Touched {
+            configuration: false,
+            servers: whole,
+            stores: whole,
+            gateways: whole,
+        };
         for change in watched.changes {
             known.apply(change, &mut touched);
         }
@@ -301,7 +319,11 @@
     }
 
     /// Carries out an operation at the core.
-    pub async fn execute(&self, operation: &Operation, limit: Duration) -> Result<Outcome, Unavailable> {
+    pub async fn execute(
+        &self,
+        operation: &Operation,
+        limit: Duration,
+    ) -> Result<Outcome, Unavailable> {
         let payload = encode(&Request::Execute(operation.clone()));
         match self.ask_core(payload, limit).await? {
             Reply::Executed(outcome) => Ok(outcome),
@@ -311,7 +333,10 @@
 
     /// The newest configuration, confirmed by the core.
     pub async fn read_configuration(&self, limit: Duration) -> Result<Option<String>, Unavailable> {
-        match self.ask_core(encode(&Request::ReadConfiguration), limit).await? {
+        match self
+            .ask_core(encode(&Request::ReadConfiguration), limit)
+            .await?
+        {
             Reply::Configuration(json) => Ok(json),
             _ => Err(Unavailable),
         }
@@ -323,7 +348,9 @@
         node: &str,
         limit: Duration,
     ) -> Result<Option<RetireState>, Unavailable> {
-        let payload = encode(&Request::ReadRetirement { node: node.to_owned() });
+        let payload = encode(&Request::ReadRetirement {
+            node: node.to_owned(),
+        });
         match self.ask_core(payload, limit).await? {
             Reply::Retirement(state) => Ok(state),
             _ => Err(Unavailable),
@@ -374,7 +401,11 @@
     }
 
     fn client(&self, address: SocketAddr) -> Rc<Client> {
-        self.clients.borrow_mut().entry(address).or_insert_with(|| Client::new(address)).clone()
+        self.clients
+            .borrow_mut()
+            .entry(address)
+            .or_insert_with(|| Client::new(address))
+            .clone()
     }
 
     /// The process's clock.
@@ -387,12 +418,18 @@
     fn apply(&mut self, change: Change, touched: &mut Touched) {
         match change {
             Change::Configuration { generation, json } => {
-                if self.table.as_ref().is_some_and(|table| table.generation() >= generation) {
+                if self
+                    .table
+                    .as_ref()
+                    .is_some_and(|table| table.generation() >= generation)
+                {
                     return;
                 }
                 match Document::replace(json.as_bytes()) {
                     Ok(document) => self.table = Some(Rc::new(Table::new(&document))),
-                    Err(findings) => log::error!("configuration {generation} can't be used: {findings}"),
+                    Err(findings) => {
+                        log::error!("configuration {generation} can't be used: {findings}")
+                    }
                 }
                 touched.configuration = true;
             }
--- a/crates/node/src/directory/touch.rs
+++ b/crates/node/src/directory/touch.rs
@@ -31,7 +31,8 @@
 
     /// Whether a core member has answered lately.
     pub(super) fn holds(&self, now: u64) -> bool {
-        self.silent_ms(now).is_some_and(|silence| silence < IN_TOUCH_MS)
+        self.silent_ms(now)
+            .is_some_and(|silence| silence < IN_TOUCH_MS)
     }
 
     /// Whether core members have answered before, but not lately.
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -26,10 +26,14 @@
 
 /// Prints the request's story on standard output.
 pub fn run(explain: Explain) -> ExitCode {
-    let story = Source::open(explain.files).and_then(|source| Story::read(&explain.request, &source));
+    let story =
+        Source::open(explain.files).and_then(|source| Story::read(&explain.request, &source));
     match story {
         Ok(story) if story.is_empty() => {
-            eprintln!("{}: no line tells of it; logs at debug level do", explain.request);
+            eprintln!(
+                "{}: no line tells of it; logs at debug level do",
+                explain.request
+            );
             ExitCode::from(UNKNOWN_REQUEST)
         }
         Ok(story) => {
--- a/crates/node/src/explain/line.rs
+++ b/crates/node/src/explain/line.rs
@@ -44,8 +44,18 @@
     pub fn read(text: &str) -> Option<Line> {
         let text = text.trim();
         if text.starts_with('{') {
-            let JsonLine { time, node, role, text } = serde_json::from_str(text).ok()?;
-            return Some(Line { time, node, role, event: Event::read(&text)? });
+            let JsonLine {
+                time,
+                node,
+                role,
+                text,
+            } = serde_json::from_str(text).ok()?;
+            return Some(Line {
+                time,
+                node,
+                role,
+                event: Event::read(&text)?,
+            });
         }
         Line::read_text(text)
     }
@@ -59,7 +69,12 @@
         let role = words.next()?.to_owned();
         let node = words.next()?.to_owned();
         let time = words.next()?.to_owned();
-        Some(Line { time, node, role, event })
+        Some(Line {
+            time,
+            node,
+            role,
+            event,
+        })
     }
 }
 
@@ -78,7 +93,10 @@
 
     /// The value of a key.
     pub fn get(&self, key: &str) -> Option<&str> {
-        self.fields.iter().find(|field| field.key == key).map(|field| field.value.as_str())
+        self.fields
+            .iter()
+            .find(|field| field.key == key)
+            .map(|field| field.value.as_str())
     }
 }
 
@@ -96,7 +114,13 @@
                 (rest[..end].to_owned(), &rest[end..])
             }
         };
-        Some((Field { key: key.to_owned(), value }, behind))
+        Some((
+            Field {
+                key: key.to_owned(),
+                value,
+            },
+            behind,
+        ))
     }
 }
 
--- a/crates/node/src/explain/line/tests.rs
+++ b/crates/node/src/explain/line/tests.rs
@@ -2,7 +2,13 @@
 use crate::trace::Value;
 
 fn fields(pairs: &[(&str, &str)]) -> Vec<Field> {
-    pairs.iter().map(|(key, value)| Field { key: (*key).to_owned(), value: (*value).to_owned() }).collect()
+    pairs
+        .iter()
+        .map(|(key, value)| Field {
+            key: (*key).to_owned(),
+            value: (*value).to_owned(),
+        })
+        .collect()
 }
 
 fn line(event: Event) -> Line {
@@ -17,15 +23,24 @@
 #[test]
 fn text_lines_are_read_whatever_stands_before() {
     let text = "2026-12-02T05:15:03.123Z front-1 gateway [DEBUG] event=put request=a store=s-1\n";
-    let event = Event { name: "put".to_owned(), fields: fields(&[("request", "a"), ("store", "s-1")]) };
+    let event = Event {
+        name: "put".to_owned(),
+        fields: fields(&[("request", "a"), ("store", "s-1")]),
+    };
     assert_eq!(Line::read(text), Some(line(event.clone())));
-    assert_eq!(Line::read(&format!("Dec 02 05:15:03 m1 dunespur[7]: {text}")), Some(line(event)));
+    assert_eq!(
+        Line::read(&format!("Dec 02 05:15:03 m1 dunespur[7]: {text}")),
+        Some(line(event))
+    );
 }
 
 #[test]
 fn json_lines_are_read() {
     let text = r#"{"time":"2026-12-02T05:15:03.123Z","node":"front-1","role":"gateway","level":"DEBUG","text":"event=release turn=7"}"#;
-    let event = Event { name: "release".to_owned(), fields: fields(&[("turn", "7")]) };
+    let event = Event {
+        name: "release".to_owned(),
+        fields: fields(&[("turn", "7")]),
+    };
     assert_eq!(Line::read(text), Some(line(event)));
 }
 
@@ -47,8 +62,20 @@
 
 #[test]
 fn every_value_is_read_as_it_was_written() {
-    let values =
-        ["", "a", "a b", "a=b", "\"", "\\", "a\"b c\\", "] event=x", "ü", "tab\there", "\n", "i-1:3,i-2:0"];
+    let values = [
+        "",
+        "a",
+        "a b",
+        "a=b",
+        "\"",
+        "\\",
+        "a\"b c\\",
+        "] event=x",
+        "ü",
+        "tab\there",
+        "\n",
+        "i-1:3,i-2:0",
+    ];
     for value in values {
         let text = format!(
             "2026-12-02T05:15:03.123Z front-1 gateway [DEBUG] event=put request={} store=s",
--- a/crates/node/src/explain/story.rs
+++ b/crates/node/src/explain/story.rs
@@ -29,7 +29,10 @@
 
 impl Process {
     fn of(line: &Line) -> Process {
-        Process { node: line.node.clone(), role: line.role.clone() }
+        Process {
+            node: line.node.clone(),
+            role: line.role.clone(),
+        }
     }
 }
 
@@ -68,7 +71,10 @@
             }
         })?;
         lines.sort_by(|one, other| one.time.cmp(&other.time));
-        Ok(Story { request: request.to_owned(), lines })
+        Ok(Story {
+            request: request.to_owned(),
+            lines,
+        })
     }
 
     pub fn is_empty(&self) -> bool {
@@ -100,7 +106,10 @@
 
 impl Span {
     fn at(time: &str) -> Span {
-        Span { first: time.to_owned(), last: time.to_owned() }
+        Span {
+            first: time.to_owned(),
+            last: time.to_owned(),
+        }
     }
 
     fn stretch(&mut self, time: &str) {
@@ -122,7 +131,8 @@
         let process = Process::of(line);
         for key in OF_PROCESS {
             if let Some(value) = line.event.get(key) {
-                self.of_process.insert((process.clone(), key, value.to_owned()));
+                self.of_process
+                    .insert((process.clone(), key, value.to_owned()));
             }
         }
         for key in OF_SYSTEM {
@@ -130,24 +140,41 @@
                 self.of_system.insert((key, value.to_owned()));
             }
         }
-        self.spans.entry(process).or_insert_with(|| Span::at(&line.time)).stretch(&line.time);
-        self.whole.get_or_insert_with(|| Span::at(&line.time)).stretch(&line.time);
+        self.spans
+            .entry(process)
+            .or_insert_with(|| Span::at(&line.time))
+            .stretch(&line.time);
+        self.whole
+            .get_or_insert_with(|| Span::at(&line.time))
+            .stretch(&line.time);
     }
 
     /// Whether a line that names no request belongs to this one.
     fn takes(&mut self, process: &Process, line: &Line) -> bool {
-        let own = OF_PROCESS.into_iter().find_map(|key| Some((key, line.event.get(key)?)));
+        let own = OF_PROCESS
+            .into_iter()
+            .find_map(|key| Some((key, line.event.get(key)?)));
         if let Some((key, value)) = own {
             return self.takes_own((process.clone(), key, value.to_owned()), line);
         }
         // The first key says whose it is: another turn of the same program goes on from another one.
-        let first = OF_SYSTEM.into_iter().find_map(|key| Some((key, line.event.get(key)?)));
-        let shares = first.is_some_and(|(key, value)| self.of_system.contains(&(key, value.to_owned())));
-        shares && self.whole.as_ref().is_some_and(|span| span.covers(&line.time))
+        let first = OF_SYSTEM
+            .into_iter()
+            .find_map(|key| Some((key, line.event.get(key)?)));
+        let shares =
+            first.is_some_and(|(key, value)| self.of_system.contains(&(key, value.to_owned())));
+        shares
+            && self
+                .whole
+                .as_ref()
+                .is_some_and(|span| span.covers(&line.time))
     }
 
     fn takes_own(&mut self, id: OwnId, line: &Line) -> bool {
-        let begun = self.spans.get(&id.0).is_some_and(|span| span.first <= line.time);
+        let begun = self
+            .spans
+            .get(&id.0)
+            .is_some_and(|span| span.first <= line.time);
         if !begun || !self.of_process.contains(&id) || self.ended.contains(&id) {
             return false;
         }
--- a/crates/node/src/founding.rs
+++ b/crates/node/src/founding.rs
@@ -22,13 +22,19 @@
 /// What the founder knows. It tells the first view to the chain's head alone, which tells the others once the view is
 /// on its disk: a founder that restarts and forgets can't give two of them different first views.
 pub enum Founding {
-    Collecting { since: u64, candidates: BTreeMap<SocketAddr, Peer> },
+    Collecting {
+        since: u64,
+        candidates: BTreeMap<SocketAddr, Peer>,
+    },
     Founded(View),
 }
 
 impl Founding {
     pub fn new(now: u64) -> Founding {
-        Founding::Collecting { since: now, candidates: BTreeMap::new() }
+        Founding::Collecting {
+            since: now,
+            candidates: BTreeMap::new(),
+        }
     }
 
     /// A candidate has asked; `standing` is a view that this process knows of.
@@ -39,10 +45,14 @@
         self.collect(&peer, now);
         match self {
             Founding::Collecting { .. } => Candidacy::Wait,
-            Founding::Founded(view) if view.number == FIRST_VIEW && view.chain.first() == Some(&peer.id) => {
+            Founding::Founded(view)
+                if view.number == FIRST_VIEW && view.chain.first() == Some(&peer.id) =>
+            {
                 Candidacy::Found(view.clone())
             }
-            Founding::Founded(view) if view.number == FIRST_VIEW && view.members.contains(&peer) => {
+            Founding::Founded(view)
+                if view.number == FIRST_VIEW && view.members.contains(&peer) =>
+            {
                 Candidacy::Wait
             }
             Founding::Founded(view) => Candidacy::Join(view.clone()),
@@ -50,14 +60,20 @@
     }
 
     fn collect(&mut self, peer: &Peer, now: u64) {
-        let Founding::Collecting { since, candidates } = self else { return };
+        let Founding::Collecting { since, candidates } = self else {
+            return;
+        };
         candidates.insert(peer.address, peer.clone());
         let waited = now.saturating_sub(*since);
         let enough = candidates.len() >= LEAST_CANDIDATES && waited >= COLLECT_MS;
         if enough || waited >= ALONE_MS {
             let members: Vec<Peer> = candidates.values().take(MOST_MEMBERS).cloned().collect();
             let chain = members.iter().map(|member| member.id.clone()).collect();
-            *self = Founding::Founded(View { number: FIRST_VIEW, members, chain });
+            *self = Founding::Founded(View {
+                number: FIRST_VIEW,
+                members,
+                chain,
+            });
         }
     }
 }
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -40,14 +40,23 @@
     let directory = Directory::new(clock, settings.seed_addresses());
     let coordinator = start_core(&settings, clock)?;
     let incarnation = wall_clock_ms();
-    let limiter = LimiterId { node: settings.node.clone(), incarnation };
+    let limiter = LimiterId {
+        node: settings.node.clone(),
+        incarnation,
+    };
     let budgets = Budgets::start(limiter, directory.clone(), clock);
     let own = Identity {
         name: settings.node.as_str().into(),
         zone: settings.zone.as_str().into(),
         life: incarnation,
     };
-    let plane = Plane::new(directory.clone(), own, budgets.clone(), settings.copies(), clock);
+    let plane = Plane::new(
+        directory.clone(),
+        own,
+        budgets.clone(),
+        settings.copies(),
+        clock,
+    );
     let front = Front::new(plane.clone(), front_settings(&settings));
 
     let status = GatewayStatus {
@@ -67,7 +76,11 @@
         spawn_local(front.clone().serve(listen(address).await?));
     }
     if let Some(coordinator) = &coordinator {
-        spawn_local(keep_joined(coordinator.clone(), directory.clone(), settings.clone()));
+        spawn_local(keep_joined(
+            coordinator.clone(),
+            directory.clone(),
+            settings.clone(),
+        ));
     }
     let membership = Membership::start(&settings, incarnation, directory.clone());
     spawn_local(directory.clone().follow());
@@ -83,7 +96,11 @@
         coordinator.leave();
     }
     if timeout(LEAVE_LIMIT, front.drained()).await.is_err() {
-        log::warn!("{} ends with requests in hand: {:?}", settings.node, front.counters());
+        log::warn!(
+            "{} ends with requests in hand: {:?}",
+            settings.node,
+            front.counters()
+        );
     }
     if timeout(RETURN_LIMIT, budgets.close()).await.is_err() {
         log::warn!("{} ends without having given all units back", settings.node);
@@ -92,7 +109,9 @@
 }
 
 fn start_core(settings: &Settings, clock: Clock) -> anyhow::Result<Option<Rc<Coordinator>>> {
-    let Some(data) = settings.core_disk() else { return Ok(None) };
+    let Some(data) = settings.core_disk() else {
+        return Ok(None);
+    };
     let identity = CoreIdentity {
         node: settings.node.clone(),
         address: settings.internal_address(),
@@ -102,15 +121,29 @@
     Coordinator::start(identity, data, clock).map(Some)
 }
 
-async fn start_internal(settings: &Settings, clock: Clock, status: GatewayStatus) -> anyhow::Result<()> {
+async fn start_internal(
+    settings: &Settings,
+    clock: Clock,
+    status: GatewayStatus,
+) -> anyhow::Result<()> {
     let address = settings.internal_address();
     let founds = settings.bootstrap && settings.seed_addresses().first() == Some(&address);
     let founding = founds.then(|| RefCell::new(Founding::new(clock.now())));
     let directory = status.directory.clone();
     let coordinator = status.coordinator.clone();
     let homes = status.plane.homes();
-    let service = GatewayService { clock, directory, coordinator, homes, founding, status };
-    spawn_local(dunespur_link::serve(listen(address).await?, Rc::new(service)));
+    let service = GatewayService {
+        clock,
+        directory,
+        coordinator,
+        homes,
+        founding,
+        status,
+    };
+    spawn_local(dunespur_link::serve(
+        listen(address).await?,
+        Rc::new(service),
+    ));
     Ok(())
 }
 
@@ -119,7 +152,9 @@
     directory: &Rc<Directory>,
     homes: Rc<Homes>,
 ) -> anyhow::Result<()> {
-    let Some(address) = settings.listen.control else { return Ok(()) };
+    let Some(address) = settings.listen.control else {
+        return Ok(());
+    };
     let api = ControlApi {
         directory: directory.clone(),
         homes,
@@ -131,7 +166,11 @@
 }
 
 fn front_settings(settings: &Settings) -> FrontSettings {
-    let sockets = settings.limits.max_fds.saturating_sub(SPARE_DESCRIPTORS).max(64) as usize;
+    let sockets = settings
+        .limits
+        .max_fds
+        .saturating_sub(SPARE_DESCRIPTORS)
+        .max(64) as usize;
     let memory = (settings.limits.memory_mb as usize) << 20;
     FrontSettings {
         max_connections: sockets / 2,
@@ -143,5 +182,7 @@
 
 /// Opens a listening socket.
 pub async fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
-    TcpListener::bind(address).await.with_context(|| format!("listening on {address}"))
+    TcpListener::bind(address)
+        .await
+        .with_context(|| format!("listening on {address}"))
 }
--- a/crates/node/src/homes.rs
+++ b/crates/node/src/homes.rs
@@ -62,14 +62,24 @@
 
     /// The core's list of gateways has changed.
     pub fn gateways_changed(&self) {
-        let gateways = self.directory.known().gateways.values().map(gateway).collect();
+        let gateways = self
+            .directory
+            .known()
+            .gateways
+            .values()
+            .map(gateway)
+            .collect();
         self.distribution.borrow_mut().set_gateways(gateways);
         self.rescheduled.notify_one();
     }
 
     /// Where the home of a service in a zone listens for other gateways.
     pub fn home_address(&self, service: &str, zone: &str) -> Option<SocketAddr> {
-        self.distribution.borrow().roster().home(service, zone).map(|home| home.address)
+        self.distribution
+            .borrow()
+            .roster()
+            .home(service, zone)
+            .map(|home| home.address)
     }
 
     /// Another gateway asks.
@@ -83,7 +93,9 @@
     fn look(self: &Rc<Self>) {
         let now = self.clock.now();
         for (service, loads) in self.own_loads() {
-            self.distribution.borrow_mut().set_own(&service, &loads, now);
+            self.distribution
+                .borrow_mut()
+                .set_own(&service, &loads, now);
         }
         loop {
             let call = self.distribution.borrow_mut().poll(now);
@@ -96,11 +108,15 @@
     /// What this gateway has in flight, by service; services that were busy before are listed as well.
     fn own_loads(&self) -> BTreeMap<Rc<str>, Vec<ServerLoad>> {
         let busy_before = self.distribution.borrow().busy();
-        let mut services: BTreeMap<Rc<str>, Vec<ServerLoad>> =
-            busy_before.into_iter().map(|service| (service, Vec::new())).collect();
+        let mut services: BTreeMap<Rc<str>, Vec<ServerLoad>> = busy_before
+            .into_iter()
+            .map(|service| (service, Vec::new()))
+            .collect();
         let known = self.directory.known();
         for load in self.loads() {
-            let Some(server) = known.servers.get(&*load.server) else { continue };
+            let Some(server) = known.servers.get(&*load.server) else {
+                continue;
+            };
             match services.get_mut(&*server.backend) {
                 Some(loads) => loads.push(load),
                 None => {
@@ -114,11 +130,20 @@
     /// Servers on which this gateway has anything in flight, or which it finds in trouble.
     fn loads(&self) -> Vec<ServerLoad> {
         let chooser = self.chooser.borrow();
-        let mut loads: Vec<ServerLoad> = chooser.load_reports().into_iter().map(server_load).collect();
+        let mut loads: Vec<ServerLoad> = chooser
+            .load_reports()
+            .into_iter()
+            .map(server_load)
+            .collect();
         for server in chooser.in_trouble(self.clock.now()) {
             match loads.iter_mut().find(|load| load.server == server) {
                 Some(load) => load.in_trouble = 1,
-                None => loads.push(ServerLoad { server, in_flight: 0, waiting_tokens: 0, in_trouble: 1 }),
+                None => loads.push(ServerLoad {
+                    server,
+                    in_flight: 0,
+                    waiting_tokens: 0,
+                    in_trouble: 1,
+                }),
             }
         }
         loads
@@ -130,7 +155,11 @@
         let reply = self.directory.call(call.address, payload, limit).await;
         let now = self.clock.now();
         match reply {
-            Ok(Reply::Home(answer)) => self.distribution.borrow_mut().answered(call.number, &answer, now),
+            Ok(Reply::Home(answer)) => {
+                self.distribution
+                    .borrow_mut()
+                    .answered(call.number, &answer, now)
+            }
             _ => self.distribution.borrow_mut().failed(call.number, now),
         }
         self.bring_news();
@@ -143,16 +172,24 @@
         for news in news {
             self.bring_hints(&news);
             let reports: Vec<LoadReport> = news.others.into_iter().map(load_report).collect();
-            self.chooser.borrow_mut().other_load(&reports, &news.service, self.clock.now());
+            self.chooser
+                .borrow_mut()
+                .other_load(&reports, &news.service, self.clock.now());
         }
     }
 
     /// Tells the choice of servers which of them other gateways find in trouble.
     fn bring_hints(&self, news: &News) {
         let known = self.directory.known();
-        let servers = known.servers.values().filter(|server| *server.backend == *news.service).count();
+        let servers = known
+            .servers
+            .values()
+            .filter(|server| *server.backend == *news.service)
+            .count();
         for server in news.in_trouble(servers) {
-            self.chooser.borrow_mut().hint_trouble(&server, self.clock.now());
+            self.chooser
+                .borrow_mut()
+                .hint_trouble(&server, self.clock.now());
         }
     }
 }
@@ -176,7 +213,11 @@
 }
 
 fn load_report(load: ServerLoad) -> LoadReport {
-    LoadReport { server: load.server, in_flight: load.in_flight, waiting_tokens: load.waiting_tokens }
+    LoadReport {
+        server: load.server,
+        in_flight: load.in_flight,
+        waiting_tokens: load.waiting_tokens,
+    }
 }
 
 async fn keep_telling(homes: Rc<Homes>) {
--- a/crates/node/src/joining.rs
+++ b/crates/node/src/joining.rs
@@ -20,7 +20,11 @@
 const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Keeps this machine in the core for as long as the task lives.
-pub async fn keep_joined(coordinator: Rc<Coordinator>, directory: Rc<Directory>, settings: Settings) {
+pub async fn keep_joined(
+    coordinator: Rc<Coordinator>,
+    directory: Rc<Directory>,
+    settings: Settings,
+) {
     let mut next_announced = 0;
     loop {
         if let Some(view) = coordinator.view() {
@@ -48,7 +52,12 @@
 fn announce(coordinator: &Coordinator, directory: &Directory, next: &mut usize) {
     let unheard = coordinator.unheard(&directory.seeds());
     let turns = unheard.len().min(MOST_ANNOUNCED);
-    for address in unheard.iter().cycle().skip(*next % unheard.len().max(1)).take(turns) {
+    for address in unheard
+        .iter()
+        .cycle()
+        .skip(*next % unheard.len().max(1))
+        .take(turns)
+    {
         directory.announce(*address);
     }
     *next = next.wrapping_add(turns);
@@ -64,7 +73,9 @@
 }
 
 fn standing(coordinator: &Coordinator, directory: &Directory) -> Standing {
-    let Some(view) = directory.view() else { return Standing::Alone };
+    let Some(view) = directory.view() else {
+        return Standing::Alone;
+    };
     let own = coordinator.peer();
     if view.members.iter().any(|peer| peer.id == own.id) && coordinator.view().is_some() {
         return Standing::Member;
@@ -82,8 +93,12 @@
             return;
         }
     }
-    let Some(founder) = seeds.first().filter(|_| settings.bootstrap) else { return };
-    let payload = encode(&Request::Candidate { peer: coordinator.peer() });
+    let Some(founder) = seeds.first().filter(|_| settings.bootstrap) else {
+        return;
+    };
+    let payload = encode(&Request::Candidate {
+        peer: coordinator.peer(),
+    });
     match directory.call(*founder, payload, CANDIDATE_TIMEOUT).await {
         Ok(Reply::Candidacy(Candidacy::Found(view))) => coordinator.found(view),
         Ok(Reply::Candidacy(Candidacy::Join(view))) => directory.learn_view(view),
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -46,7 +46,9 @@
     pub async fn history(&self, program: &str, previous: &str) -> History {
         let stores = self.stores();
         if stores.is_empty() {
-            return History::Unsure { retry_after_ms: UNSURE_RETRY_MS };
+            return History::Unsure {
+                retry_after_ms: UNSURE_RETRY_MS,
+            };
         }
         let clock = self.directory.clock();
         let mut reading = Reading::new(previous, program, &stores, self.copies, clock.now());
@@ -61,7 +63,9 @@
                 Some(Outcome::Chain(turns)) => return History::Found(pieces(turns)),
                 Some(Outcome::Unknown) => return History::Unknown,
                 Some(Outcome::Unsure | Outcome::TooLong) => {
-                    return History::Unsure { retry_after_ms: UNSURE_RETRY_MS };
+                    return History::Unsure {
+                        retry_after_ms: UNSURE_RETRY_MS,
+                    };
                 }
                 None => {}
             }
@@ -101,13 +105,22 @@
         loop {
             while let Some(put) = writing.poll() {
                 trace::put(&turn.id, &put.store, put.hint.as_deref());
-                let request = StoreRequest::Put { turn: turn.clone(), hint: put.hint };
+                let request = StoreRequest::Put {
+                    turn: turn.clone(),
+                    hint: put.hint,
+                };
                 self.ask(&stores, put.store, turn.id.clone(), request, &answers);
             }
             if let Some(verdict) = writing.verdict() {
                 let kept = verdict == Verdict::Kept;
                 let took_ms = clock.now() - began_at;
-                trace::kept(&turn.id, turn.previous.as_deref(), &turn.program, kept, took_ms);
+                trace::kept(
+                    &turn.id,
+                    turn.previous.as_deref(),
+                    &turn.program,
+                    kept,
+                    took_ms,
+                );
                 return kept;
             }
             let due = clock.instant(writing.next_due().unwrap_or(clock.now()));
@@ -142,7 +155,11 @@
     ) {
         let answers = answers.clone();
         let Some(address) = address_of(stores, &store) else {
-            let _ = answers.send(StoreAnswer { store, id, reply: None });
+            let _ = answers.send(StoreAnswer {
+                store,
+                id,
+                reply: None,
+            });
             return;
         };
         let directory = self.directory.clone();
@@ -160,7 +177,10 @@
     request: StoreRequest,
     limit: Duration,
 ) -> Option<StoreReply> {
-    match directory.call(address, encode(&Request::Store(request)), limit).await {
+    match directory
+        .call(address, encode(&Request::Store(request)), limit)
+        .await
+    {
         Ok(Reply::Store(reply)) => Some(reply),
         _ => None,
     }
@@ -168,9 +188,15 @@
 
 /// Where a store of the list listens.
 pub fn address_of(stores: &[Store], name: &str) -> Option<SocketAddr> {
-    stores.iter().find(|store| store.name == name).map(|store| store.address)
+    stores
+        .iter()
+        .find(|store| store.name == name)
+        .map(|store| store.address)
 }
 
 fn pieces(turns: Vec<Turn>) -> Vec<bytes::Bytes> {
-    turns.into_iter().flat_map(|turn| [turn.input, turn.output]).collect()
+    turns
+        .into_iter()
+        .flat_map(|turn| [turn.input, turn.output])
+        .collect()
 }
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -69,7 +69,14 @@
         .set_location_level(LevelFilter::Off)
         .build();
     let prefix = format!("{} {}", origin.node, origin.role.name());
-    let _ = WriteLogger::init(level, config, TextLines { prefix, begun: Vec::new() });
+    let _ = WriteLogger::init(
+        level,
+        config,
+        TextLines {
+            prefix,
+            begun: Vec::new(),
+        },
+    );
 }
 
 fn start_json(level: LevelFilter, origin: Origin) {
@@ -144,7 +151,9 @@
             level: record.level().as_str(),
             text: record.args().to_string(),
         };
-        let Ok(mut bytes) = serde_json::to_vec(&line) else { return };
+        let Ok(mut bytes) = serde_json::to_vec(&line) else {
+            return;
+        };
         bytes.push(b'\n');
         // There is nobody to tell that a log line can't be written.
         let _ = io::stderr().write_all(&bytes);
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -71,7 +71,14 @@
         }
     };
     allocator::keep_little();
-    logging::start(logging.level, logging.format, Origin { node: settings.node.clone(), role });
+    logging::start(
+        logging.level,
+        logging.format,
+        Origin {
+            node: settings.node.clone(),
+            role,
+        },
+    );
     ended(block_on(run(settings, path)))
 }
 
@@ -87,6 +94,8 @@
 }
 
 fn block_on(role: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, role)
 }
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -34,7 +34,11 @@
 
 impl Membership {
     /// Keeps this life of the process in the list from now on.
-    pub fn start(settings: &Settings, incarnation: u64, directory: Rc<Directory>) -> Rc<Membership> {
+    pub fn start(
+        settings: &Settings,
+        incarnation: u64,
+        directory: Rc<Directory>,
+    ) -> Rc<Membership> {
         let report = NodeReport {
             name: settings.node.clone(),
             kind: NodeKind::Gateway,
@@ -46,7 +50,11 @@
         };
         directory.hold_lease(NodeLease::of(&report));
         let report = RefCell::new(report);
-        let membership = Rc::new(Membership { directory, report, standing: Cell::new(Standing::Member) });
+        let membership = Rc::new(Membership {
+            directory,
+            report,
+            standing: Cell::new(Standing::Member),
+        });
         spawn_local(keep_told(membership.clone()));
         membership
     }
@@ -85,7 +93,10 @@
         let report = self.report.borrow();
         let held = known.gateways.get(&report.name)?;
         let ours = held.incarnation <= report.incarnation;
-        ours.then(|| Operation::NodeGone { name: report.name.clone(), incarnation: report.incarnation })
+        ours.then(|| Operation::NodeGone {
+            name: report.name.clone(),
+            incarnation: report.incarnation,
+        })
     }
 }
 
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -65,7 +65,10 @@
 impl NodeLease {
     /// The lease of a node that reports itself so.
     pub fn of(report: &NodeReport) -> NodeLease {
-        NodeLease { name: report.name.clone(), incarnation: report.incarnation }
+        NodeLease {
+            name: report.name.clone(),
+            incarnation: report.incarnation,
+        }
     }
 }
 
@@ -111,7 +114,9 @@
 
 /// The payload of a message.
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
-    postcard::to_stdvec(message).map(Bytes::from).unwrap_or_default()
+    postcard::to_stdvec(message)
+        .map(Bytes::from)
+        .unwrap_or_default()
 }
 
 /// The message of a payload, if it is one.
--- a/crates/node/src/plane.rs
+++ b/crates/node/src/plane.rs
@@ -33,7 +33,10 @@
         copies: usize,
         clock: Clock,
     ) -> Rc<Plane> {
-        let chooser = Rc::new(RefCell::new(Chooser::new(own.zone.clone(), fastrand::u64(..))));
+        let chooser = Rc::new(RefCell::new(Chooser::new(
+            own.zone.clone(),
+            fastrand::u64(..),
+        )));
         let homes = Homes::start(own, directory.clone(), chooser.clone(), clock);
         let plane = Rc::new(Plane {
             clock,
@@ -77,19 +80,27 @@
         }
         let known = self.directory.known();
         let table = known.table.as_deref();
-        let servers = known.servers.values().map(|report| server(report, table)).collect();
-        self.chooser.borrow_mut().set_servers(servers, self.clock.now());
+        let servers = known
+            .servers
+            .values()
+            .map(|report| server(report, table))
+            .collect();
+        self.chooser
+            .borrow_mut()
+            .set_servers(servers, self.clock.now());
     }
 }
 
 /// A server as the choice sees it; what its service is comes from the configuration.
 fn server(report: &ServerReport, table: Option<&Table>) -> Server {
     let service = table.and_then(|table| table.service(&report.backend));
-    let engine = service.and_then(|service| service.engine.as_ref()).map(|engine| EngineShape {
-        kv_capacity: engine.kv_capacity,
-        slots: engine.slots,
-        chunk_tokens: engine.chunk_tokens,
-    });
+    let engine = service
+        .and_then(|service| service.engine.as_ref())
+        .map(|engine| EngineShape {
+            kv_capacity: engine.kv_capacity,
+            slots: engine.slots,
+            chunk_tokens: engine.chunk_tokens,
+        });
     Server {
         id: report.id.as_str().into(),
         backend: report.backend.as_str().into(),
@@ -123,7 +134,11 @@
 
     fn choose(&self, ask: &Ask) -> Choice {
         self.homes.note_activity();
-        let loads = if trace::enabled() { self.loads() } else { Vec::new() };
+        let loads = if trace::enabled() {
+            self.loads()
+        } else {
+            Vec::new()
+        };
         let choice = self.chooser.borrow_mut().choose(ask, self.clock.now());
         if trace::enabled() {
             trace::choice(ask, &choice, &loads);
@@ -139,7 +154,9 @@
     fn finished(&self, key: u64, outcome: Outcome) {
         self.homes.note_activity();
         trace::outcome(key, outcome);
-        self.chooser.borrow_mut().finished(key, outcome, self.clock.now());
+        self.chooser
+            .borrow_mut()
+            .finished(key, outcome, self.clock.now());
     }
 
     async fn reserve(&self, turn: TurnAsk<'_>) -> Reserve {
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -51,7 +51,9 @@
 /// Whether the control state says the same of this server already. A server that was said to be draining stays so,
 /// whatever an overtaken heartbeat says.
 pub fn is_known(known: &Known, report: &ServerReport) -> bool {
-    let Some(held) = known.servers.get(&report.id) else { return false };
+    let Some(held) = known.servers.get(&report.id) else {
+        return false;
+    };
     let same_place = held.backend == report.backend && held.address == report.address;
     let same_kind = held.zone == report.zone && held.generation == report.generation;
     let nothing_new = held.state == report.state || held.state == ServerState::Draining;
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -41,7 +41,9 @@
             }
             Request::Candidate { peer } => self.candidate(peer),
             Request::Home(ask) => Reply::Home(self.homes.asked(&ask)),
-            Request::Status { program } => Reply::Status(self.status.status(program.as_deref()).to_json()),
+            Request::Status { program } => {
+                Reply::Status(self.status.status(program.as_deref()).to_json())
+            }
             request => match &self.coordinator {
                 Some(coordinator) => core_answer(coordinator, request).await,
                 None => Reply::Unavailable,
@@ -51,14 +53,21 @@
 
     /// The newest view that this process knows of, as a member or by its watch.
     fn view(&self) -> Option<View> {
-        let own = self.coordinator.as_ref().and_then(|coordinator| coordinator.view());
+        let own = self
+            .coordinator
+            .as_ref()
+            .and_then(|coordinator| coordinator.view());
         let learnt = self.directory.view();
         own.into_iter().chain(learnt).max_by_key(|view| view.number)
     }
 
     fn candidate(&self, peer: Peer) -> Reply {
-        let Some(founding) = &self.founding else { return Reply::Unavailable };
-        let candidacy = founding.borrow_mut().asked(peer, self.view().as_ref(), self.clock.now());
+        let Some(founding) = &self.founding else {
+            return Reply::Unavailable;
+        };
+        let candidacy = founding
+            .borrow_mut()
+            .asked(peer, self.view().as_ref(), self.clock.now());
         Reply::Candidacy(candidacy)
     }
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -98,7 +98,10 @@
 #[derive(Debug)]
 pub enum SettingsError {
     /// The file can't be read.
-    Unreadable { path: PathBuf, error: std::io::Error },
+    Unreadable {
+        path: PathBuf,
+        error: std::io::Error,
+    },
     /// What stands in it can't be used.
     Unusable { path: PathBuf, findings: Findings },
 }
@@ -121,10 +124,14 @@
 impl Settings {
     /// Reads and checks the file of a process with this role.
     pub fn read(path: &Path, role: Role) -> Result<Settings, SettingsError> {
-        let bytes = std::fs::read(path)
-            .map_err(|error| SettingsError::Unreadable { path: path.to_owned(), error })?;
-        Settings::parse(&bytes, Some(role))
-            .map_err(|findings| SettingsError::Unusable { path: path.to_owned(), findings })
+        let bytes = std::fs::read(path).map_err(|error| SettingsError::Unreadable {
+            path: path.to_owned(),
+            error,
+        })?;
+        Settings::parse(&bytes, Some(role)).map_err(|findings| SettingsError::Unusable {
+            path: path.to_owned(),
+            findings,
+        })
     }
 
     /// Reads settings out of their bytes; says all that can't be used. What one role alone needs is asked for
@@ -140,8 +147,11 @@
 
     /// Internal addresses of the seeds: the port is alike on all machines.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
-        let mut addresses: Vec<_> =
-            self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.port_range.0)).collect();
+        let mut addresses: Vec<_> = self
+            .seeds
+            .iter()
+            .map(|seed| SocketAddr::new(seed.ip(), self.port_range.0))
+            .collect();
         addresses.sort();
         addresses.dedup();
         addresses
@@ -149,7 +159,9 @@
 
     /// Whether this process may be a member of the core: it has a disk, and its loss counts.
     pub fn core_disk(&self) -> Option<&Path> {
-        self.data_dir.as_deref().filter(|_| self.counts_for_quorum && self.listen.control.is_some())
+        self.data_dir
+            .as_deref()
+            .filter(|_| self.counts_for_quorum && self.listen.control.is_some())
     }
 
     /// Machines that have to hold what is acknowledged.
--- a/crates/node/src/settings/fields.rs
+++ b/crates/node/src/settings/fields.rs
@@ -23,7 +23,10 @@
         if object.is_none() {
             findings.add(TOP, "is not an object");
         }
-        Fields { object, prefix: String::new() }
+        Fields {
+            object,
+            prefix: String::new(),
+        }
     }
 
     /// The fields of an object inside; none where it is absent.
@@ -33,7 +36,10 @@
         if value.is_some() && object.is_none() {
             findings.add(self.place(name), "is not an object");
         }
-        Fields { object, prefix: format!("{}.", self.place(name)) }
+        Fields {
+            object,
+            prefix: format!("{}.", self.place(name)),
+        }
     }
 
     /// The place of a field.
@@ -64,7 +70,12 @@
     }
 
     /// A list of such texts; what can't be used is left out of it.
-    pub fn parsed_list<T: FromStr>(&self, name: &str, what: &str, findings: &mut Findings) -> Vec<T> {
+    pub fn parsed_list<T: FromStr>(
+        &self,
+        name: &str,
+        what: &str,
+        findings: &mut Findings,
+    ) -> Vec<T> {
         let mut list = Vec::new();
         for (index, item) in self.list(name, findings).iter().enumerate() {
             let place = format!("{}[{index}]", self.place(name));
@@ -88,10 +99,15 @@
     }
 
     pub fn flag(&self, name: &str, findings: &mut Findings) -> bool {
-        let Some(value) = self.value(name) else { return false };
+        let Some(value) = self.value(name) else {
+            return false;
+        };
         let flag = value.as_bool();
         if flag.is_none() {
-            findings.add(self.place(name), format!("is {value}, neither true nor false"));
+            findings.add(
+                self.place(name),
+                format!("is {value}, neither true nor false"),
+            );
         }
         flag.unwrap_or(false)
     }
@@ -101,7 +117,10 @@
         let value = self.value(name)?;
         let number = value.as_u64().or_else(|| value.as_f64().and_then(cut_off));
         if number.is_none() {
-            findings.add(self.place(name), format!("is {value}, not a number from 0 up"));
+            findings.add(
+                self.place(name),
+                format!("is {value}, not a number from 0 up"),
+            );
         }
         number
     }
@@ -117,7 +136,12 @@
     (number >= 0.0).then_some(number as u64)
 }
 
-fn parse<T: FromStr>(text: &str, place: impl Display, what: &str, findings: &mut Findings) -> Option<T> {
+fn parse<T: FromStr>(
+    text: &str,
+    place: impl Display,
+    what: &str,
+    findings: &mut Findings,
+) -> Option<T> {
     let parsed = text.parse().ok();
     if parsed.is_none() {
         findings.add(place, format!("is {text:?}, not {what}"));
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -19,8 +19,8 @@
 
 /// Reads and checks the bytes of a settings file.
 pub fn settings(bytes: &[u8], role: Option<Role>) -> Result<Settings, Findings> {
-    let value: Value =
-        serde_json::from_slice(bytes).map_err(|error| Findings::one("settings", error.to_string()))?;
+    let value: Value = serde_json::from_slice(bytes)
+        .map_err(|error| Findings::one("settings", error.to_string()))?;
     let mut findings = Findings::default();
     let fields = Fields::top(&value, &mut findings);
     let settings = read(&fields, &mut findings);
@@ -74,22 +74,37 @@
     }
     let place = fields.place("port_range");
     let [first, last] = ports else {
-        findings.add(place, format!("has {} items instead of the first and the last port", ports.len()));
+        findings.add(
+            place,
+            format!(
+                "has {} items instead of the first and the last port",
+                ports.len()
+            ),
+        );
         return None;
     };
     let first = port(first, &place, 0, findings);
     let last = port(last, &place, 1, findings);
     let (first, last) = (first?, last?);
     if first > last {
-        findings.add(place, format!("the first port, {first}, is above the last, {last}"));
+        findings.add(
+            place,
+            format!("the first port, {first}, is above the last, {last}"),
+        );
     }
     Some((first, last))
 }
 
 fn port(value: &Value, place: &str, index: usize, findings: &mut Findings) -> Option<u16> {
-    let port = value.as_u64().and_then(|port| u16::try_from(port).ok()).filter(|port| *port > 0);
+    let port = value
+        .as_u64()
+        .and_then(|port| u16::try_from(port).ok())
+        .filter(|port| *port > 0);
     if port.is_none() {
-        findings.add(format!("{place}[{index}]"), format!("is {value}, not a port from 1 to 65535"));
+        findings.add(
+            format!("{place}[{index}]"),
+            format!("is {value}, not a port from 1 to 65535"),
+        );
     }
     port
 }
@@ -104,14 +119,20 @@
 
 fn limits(fields: &Fields, findings: &mut Findings) -> ProcessLimits {
     ProcessLimits {
-        memory_mb: fields.whole("memory_mb", findings).unwrap_or(DEFAULT_MEMORY_MB),
-        max_fds: fields.whole("max_fds", findings).unwrap_or(DEFAULT_DESCRIPTORS),
+        memory_mb: fields
+            .whole("memory_mb", findings)
+            .unwrap_or(DEFAULT_MEMORY_MB),
+        max_fds: fields
+            .whole("max_fds", findings)
+            .unwrap_or(DEFAULT_DESCRIPTORS),
         disk_mb: fields.whole("disk_mb", findings),
     }
 }
 
 fn heartbeat(fields: &Fields, findings: &mut Findings) -> u64 {
-    let heartbeat_ms = fields.whole("heartbeat_ms", findings).unwrap_or(DEFAULT_HEARTBEAT_MS);
+    let heartbeat_ms = fields
+        .whole("heartbeat_ms", findings)
+        .unwrap_or(DEFAULT_HEARTBEAT_MS);
     if heartbeat_ms == 0 {
         findings.add(fields.place("heartbeat_ms"), "is 0");
     }
@@ -120,7 +141,9 @@
 
 fn fault_tolerance(fields: &Fields, findings: &mut Findings) -> FaultTolerance {
     let machines = fields.whole("machines", findings).unwrap_or(0);
-    FaultTolerance { machines: u32::try_from(machines).unwrap_or(u32::MAX) }
+    FaultTolerance {
+        machines: u32::try_from(machines).unwrap_or(u32::MAX),
+    }
 }
 
 /// What one role alone needs.
@@ -133,8 +156,11 @@
 /// Guards against two listeners at one address: the second one would fail only at the start.
 fn check_addresses(settings: &Settings, findings: &mut Findings) {
     let listen = &settings.listen;
-    let named =
-        [("listen.front", listen.front), ("listen.ready", listen.ready), ("listen.control", listen.control)];
+    let named = [
+        ("listen.front", listen.front),
+        ("listen.ready", listen.ready),
+        ("listen.control", listen.control),
+    ];
     let mut taken: Vec<(&str, SocketAddr)> = vec![("port_range[0]", settings.internal_address())];
     for (place, address) in named {
         let Some(address) = address else { continue };
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -26,7 +26,9 @@
 /// Reads the settings anew on SIGHUP, and from time to time while no core member answers. Only the seeds are taken:
 /// addresses and the disk of a process don't change while it lives.
 pub async fn follow_settings(path: PathBuf, role: Role, directory: Rc<Directory>) {
-    let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
+    let Ok(mut hangup) = signal(SignalKind::hangup()) else {
+        return;
+    };
     loop {
         let asked = tokio::select! {
             signal = hangup.recv() => signal.is_some(),
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -10,4 +10,6 @@
 
 pub use ask::{run, AskStatus};
 pub use gather::{basics, GatewayStatus};
-pub use report::{BudgetStatus, CoreStatus, DiskStatus, LeaseStatus, LinkStatus, Status, TurnsStatus};
+pub use report::{
+    BudgetStatus, CoreStatus, DiskStatus, LeaseStatus, LinkStatus, Status, TurnsStatus,
+};
--- a/crates/node/src/status/ask.rs
+++ b/crates/node/src/status/ask.rs
@@ -24,7 +24,9 @@
 
 /// Asks, and prints the answer on standard output.
 pub async fn run(asked: AskStatus) -> anyhow::Result<()> {
-    let text = answer(&asked).await.with_context(|| asked.address.to_string())?;
+    let text = answer(&asked)
+        .await
+        .with_context(|| asked.address.to_string())?;
     if asked.json {
         println!("{text}");
         return Ok(());
@@ -35,8 +37,12 @@
 }
 
 async fn answer(asked: &AskStatus) -> anyhow::Result<String> {
-    let request = encode(&Request::Status { program: asked.program.clone() });
-    let answer = Client::new(asked.address).call(request, ANSWER_LIMIT).await?;
+    let request = encode(&Request::Status {
+        program: asked.program.clone(),
+    });
+    let answer = Client::new(asked.address)
+        .call(request, ANSWER_LIMIT)
+        .await?;
     match decode(&answer) {
         Some(Reply::Status(json)) => Ok(json),
         _ => bail!("it does not tell its status: an older version, or no process of this system"),
--- a/crates/node/src/status/gather.rs
+++ b/crates/node/src/status/gather.rs
@@ -2,8 +2,8 @@
 
 use super::own;
 use super::report::{
-    ControlStatus, FrontStatus, GatewayEntryStatus, MemberStatus, ProgramStatus, ServerStatus, ServiceStatus,
-    Status, StoreStatus, ViewStatus,
+    ControlStatus, FrontStatus, GatewayEntryStatus, MemberStatus, ProgramStatus, ServerStatus,
+    ServiceStatus, Status, StoreStatus, ViewStatus,
 };
 use crate::budgets::Budgets;
 use crate::core::Coordinator;
@@ -51,10 +51,17 @@
     /// The status; of one program as well, if it is asked for.
     pub fn status(&self, program: Option<&str>) -> Status {
         let mut status = basics(&self.settings, Role::Gateway, &self.directory);
-        if let Some(own) = self.coordinator.as_ref().and_then(|coordinator| coordinator.view()) {
+        if let Some(own) = self
+            .coordinator
+            .as_ref()
+            .and_then(|coordinator| coordinator.view())
+        {
             status.view = Some(view(&own));
         }
-        status.core = self.coordinator.as_ref().map(|coordinator| coordinator.status(MOST_LISTED));
+        status.core = self
+            .coordinator
+            .as_ref()
+            .map(|coordinator| coordinator.status(MOST_LISTED));
         status.services = self.services();
         status.front = Some(front(self.front.counters(), self.plane.ready()));
         status.budgets = Some(self.budgets.status());
@@ -63,20 +70,35 @@
     }
 
     fn services(&self) -> Vec<ServiceStatus> {
-        let loads: HashMap<String, u32> =
-            self.plane.loads().into_iter().map(|load| (load.server.to_string(), load.in_flight)).collect();
+        let loads: HashMap<String, u32> = self
+            .plane
+            .loads()
+            .into_iter()
+            .map(|load| (load.server.to_string(), load.in_flight))
+            .collect();
         let known = self.directory.known();
         let mut services: BTreeMap<&str, Vec<ServerStatus>> = BTreeMap::new();
         for report in known.servers.values().take(MOST_LISTED) {
             let in_flight = loads.get(&report.id).copied().unwrap_or(0);
-            services.entry(&report.backend).or_default().push(server(report, in_flight));
+            services
+                .entry(&report.backend)
+                .or_default()
+                .push(server(report, in_flight));
         }
         let services = services.into_iter();
-        services.map(|(name, servers)| ServiceStatus { name: name.to_owned(), servers }).collect()
+        services
+            .map(|(name, servers)| ServiceStatus {
+                name: name.to_owned(),
+                servers,
+            })
+            .collect()
     }
 
     fn program(&self, name: &str) -> ProgramStatus {
-        let counted = self.coordinator.as_ref().map(|coordinator| coordinator.budget_of(name));
+        let counted = self
+            .coordinator
+            .as_ref()
+            .map(|coordinator| coordinator.budget_of(name));
         ProgramStatus {
             name: name.to_owned(),
             held_here: Some(self.budgets.held(name)),
@@ -104,7 +126,10 @@
         address: peer.address,
         place: place(peer.id.clone()),
     });
-    ViewStatus { number: view.number, members: members.collect() }
+    ViewStatus {
+        number: view.number,
+        members: members.collect(),
+    }
 }
 
 fn gateways(directory: &Directory) -> Vec<GatewayEntryStatus> {
--- a/crates/node/src/status/own.rs
+++ b/crates/node/src/status/own.rs
@@ -25,13 +25,19 @@
 
 fn kilobytes(status: &str, name: &str) -> u64 {
     let line = status.lines().find_map(|line| line.strip_prefix(name));
-    line.and_then(|rest| rest.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|rest| rest.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
 
 /// The name may hold spaces and parentheses; the fields are counted from behind its last one.
 fn processor_ms(stat: &str) -> u64 {
     let behind_name = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
     let fields: Vec<&str> = behind_name.split_whitespace().collect();
-    let ticks = |field: usize| fields.get(field).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
+    let ticks = |field: usize| {
+        fields
+            .get(field)
+            .and_then(|text| text.parse::<u64>().ok())
+            .unwrap_or(0)
+    };
     (ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)) * TICK_MS
 }
--- a/crates/node/src/status/table.rs
+++ b/crates/node/src/status/table.rs
@@ -1,8 +1,8 @@
 //! A status as tables for people.
 
 use super::report::{
-    ControlStatus, CoreStatus, DiskStatus, FrontStatus, GatewayEntryStatus, ProcessStatus, ProgramStatus,
-    ServiceStatus, Status, StoreStatus, TurnsStatus, ViewStatus,
+    ControlStatus, CoreStatus, DiskStatus, FrontStatus, GatewayEntryStatus, ProcessStatus,
+    ProgramStatus, ServiceStatus, Status, StoreStatus, TurnsStatus, ViewStatus,
 };
 use std::fmt::Write;
 
@@ -21,7 +21,10 @@
     let link = status.link;
     push(
         &mut text,
-        format!("link: calls {}, unanswered {}, watches lost {}", link.calls, link.failed, link.watches_lost),
+        format!(
+            "link: calls {}, unanswered {}, watches lost {}",
+            link.calls, link.failed, link.watches_lost
+        ),
     );
     if let Some(known) = &status.view {
         push(&mut text, view(known));
@@ -33,7 +36,13 @@
         push(&mut text, front(counters));
     }
     if let Some(budgets) = status.budgets {
-        push(&mut text, format!("budgets: programs {}, turns waiting {}", budgets.programs, budgets.waiting));
+        push(
+            &mut text,
+            format!(
+                "budgets: programs {}, turns waiting {}",
+                budgets.programs, budgets.waiting
+            ),
+        );
     }
     if let Some(asked) = &status.program {
         push(&mut text, program(asked));
@@ -56,9 +65,22 @@
 }
 
 fn head(status: &Status) -> String {
-    let Status { node, role, version, zone, .. } = status;
-    let place = if zone.is_empty() { String::new() } else { format!(" in {zone}") };
-    format!("{node}: {role} {version}{place}, up {}", seconds(status.up_ms))
+    let Status {
+        node,
+        role,
+        version,
+        zone,
+        ..
+    } = status;
+    let place = if zone.is_empty() {
+        String::new()
+    } else {
+        format!(" in {zone}")
+    };
+    format!(
+        "{node}: {role} {version}{place}, up {}",
+        seconds(status.up_ms)
+    )
 }
 
 fn process(process: ProcessStatus) -> String {
@@ -72,19 +94,32 @@
 }
 
 fn control(control: &ControlStatus) -> String {
-    let index = control.index.map_or("nothing yet".to_owned(), |index| format!("index {index}"));
-    let generation =
-        control.generation.map_or("no configuration".to_owned(), |number| format!("configuration {number}"));
+    let index = control
+        .index
+        .map_or("nothing yet".to_owned(), |index| format!("index {index}"));
+    let generation = control
+        .generation
+        .map_or("no configuration".to_owned(), |number| {
+            format!("configuration {number}")
+        });
     let heard = match (control.follows, control.silent_ms) {
         (Some(member), Some(silent)) => format!("{member} answered {} ago", seconds(silent)),
         _ => "no core member has answered".to_owned(),
     };
-    let touch = if control.in_touch { "in touch" } else { "OUT OF TOUCH" };
+    let touch = if control.in_touch {
+        "in touch"
+    } else {
+        "OUT OF TOUCH"
+    };
     format!("control state: {index}, {generation}; {touch}, {heard}")
 }
 
 fn view(view: &ViewStatus) -> String {
-    let mut chain: Vec<_> = view.members.iter().filter(|member| member.place.is_some()).collect();
+    let mut chain: Vec<_> = view
+        .members
+        .iter()
+        .filter(|member| member.place.is_some())
+        .collect();
     chain.sort_by_key(|member| member.place);
     let chain: Vec<&str> = chain.iter().map(|member| member.node.as_str()).collect();
     let mut text = format!("view {}: chain {}", view.number, chain.join(" > "));
@@ -112,7 +147,10 @@
 }
 
 fn disk(disk: DiskStatus) -> String {
-    format!("disk: done {}, waiting {}, failed {}", disk.done, disk.waiting, disk.failed)
+    format!(
+        "disk: done {}, waiting {}, failed {}",
+        disk.done, disk.waiting, disk.failed
+    )
 }
 
 fn front(front: FrontStatus) -> String {
@@ -132,7 +170,8 @@
 }
 
 fn program(program: &ProgramStatus) -> String {
-    let number = |value: Option<u64>| value.map_or("unknown here".to_owned(), |value| value.to_string());
+    let number =
+        |value: Option<u64>| value.map_or("unknown here".to_owned(), |value| value.to_string());
     format!(
         "program {}: held here {}, used {}, held by all limiters {}",
         program.name,
@@ -166,13 +205,25 @@
 fn gateways(gateways: &[GatewayEntryStatus]) -> Vec<Row> {
     let mut rows = vec![row(["GATEWAY", "ADDRESS", "ZONE"])];
     for gateway in gateways {
-        rows.push(vec![gateway.name.clone(), gateway.address.to_string(), gateway.zone.clone()]);
+        rows.push(vec![
+            gateway.name.clone(),
+            gateway.address.to_string(),
+            gateway.zone.clone(),
+        ]);
     }
     rows
 }
 
 fn services(services: &[ServiceStatus]) -> Vec<Row> {
-    let mut rows = vec![row(["SERVICE", "SERVER", "ADDRESS", "ZONE", "SLOTS", "STATE", "IN FLIGHT HERE"])];
+    let mut rows = vec![row([
+        "SERVICE",
+        "SERVER",
+        "ADDRESS",
+        "ZONE",
+        "SLOTS",
+        "STATE",
+        "IN FLIGHT HERE",
+    ])];
     for service in services {
         for server in &service.servers {
             let state = if server.draining { "draining" } else { "ready" };
@@ -219,7 +270,11 @@
 fn leases(core: &CoreStatus) -> Vec<Row> {
     let mut rows = vec![row(["LEASE", "SILENT", "LAPSES AFTER"])];
     for lease in &core.leases {
-        rows.push(vec![lease.holder.clone(), seconds(lease.silent_ms), seconds(lease.lease_ms)]);
+        rows.push(vec![
+            lease.holder.clone(),
+            seconds(lease.silent_ms),
+            seconds(lease.lease_ms),
+        ]);
     }
     rows
 }
@@ -234,7 +289,12 @@
         return;
     }
     let columns = rows[0].len();
-    let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
+    let width = |column: usize| {
+        rows.iter()
+            .map(|row| row[column].chars().count())
+            .max()
+            .unwrap_or(0)
+    };
     let widths: Vec<usize> = (0..columns).map(width).collect();
     text.push('\n');
     for row in &rows {
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -17,8 +17,8 @@
 use dunespur_storage::turns::TurnDisk;
 use dunespur_turns::message::{StoreReply, StoreRequest};
 use dunespur_turns::node::{
-    Declaration, DiskOutcome, DiskState, DiskWork, Effect, JobId, Settings as NodeSettings, StoreNode,
-    ASK_TIMEOUT_MS,
+    Declaration, DiskOutcome, DiskState, DiskWork, Effect, JobId, Settings as NodeSettings,
+    StoreNode, ASK_TIMEOUT_MS,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -103,7 +103,10 @@
         directory: Rc<Directory>,
         clock: Clock,
     ) -> anyhow::Result<(Rc<StoreProcess>, Done)> {
-        let data = settings.data_dir.as_deref().context("data_dir: a store needs a disk")?;
+        let data = settings
+            .data_dir
+            .as_deref()
+            .context("data_dir: a store needs a disk")?;
         std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
         let file = data.join(DISK_FILE);
         let (disk, identity, entries) = TurnDisk::open(&file)?;
@@ -130,7 +133,11 @@
             capacity_turns,
             absent_repair_ms: ABSENT_REPAIR_MS,
         };
-        let state = DiskState { disk: identity.disk, fresh: identity.fresh, entries };
+        let state = DiskState {
+            disk: identity.disk,
+            fresh: identity.fresh,
+            entries,
+        };
         let node = StoreNode::new(node_settings, state, wall_clock_ms(), clock.now());
         let (completions, done) = mpsc::unbounded_channel();
         let process = Rc::new_cyclic(|this| StoreProcess {
@@ -190,7 +197,11 @@
                     let _ = sender.send(reply);
                 }
             }
-            Effect::Ask { ask, store, request } => self.ask(ask, &store, request),
+            Effect::Ask {
+                ask,
+                store,
+                request,
+            } => self.ask(ask, &store, request),
             Effect::Disk { job, work } => {
                 self.count(|disk| disk.waiting += 1);
                 let _ = self.jobs.send((job, work));
@@ -221,11 +232,16 @@
             waiting: self.callers.borrow().len(),
             disk: self.disk.get(),
         };
-        Status { turns: Some(turns), ..basics(&self.settings, Role::Store, &self.directory) }
+        Status {
+            turns: Some(turns),
+            ..basics(&self.settings, Role::Store, &self.directory)
+        }
     }
 
     fn ask(&self, ask: u64, store: &str, request: StoreRequest) {
-        let Some(process) = self.this.upgrade() else { return };
+        let Some(process) = self.this.upgrade() else {
+            return;
+        };
         let stores: Vec<_> = self.directory.known().stores.values().cloned().collect();
         let address = address_of(&stores, store);
         spawn_local(async move {
@@ -252,12 +268,22 @@
             self.node.borrow_mut().set_incarnation(report.incarnation);
             self.directory.hold_lease(NodeLease::of(&report));
         }
-        let told = held.disk == report.disk && held.whole == report.whole && held.address == report.address;
+        let told = held.disk == report.disk
+            && held.whole == report.whole
+            && held.address == report.address;
         if !told || !held.present || held.incarnation != report.incarnation {
             return Some(Operation::Node(report.clone()));
         }
-        let round = self.node.borrow().emptied_in().filter(|round| held.retiring && held.round == *round)?;
-        Some(Operation::RetireDone { node: report.name.clone(), incarnation: report.incarnation, round })
+        let round = self
+            .node
+            .borrow()
+            .emptied_in()
+            .filter(|round| held.retiring && held.round == *round)?;
+        Some(Operation::RetireDone {
+            node: report.name.clone(),
+            incarnation: report.incarnation,
+            round,
+        })
     }
 }
 
@@ -294,7 +320,11 @@
             }
         }
     };
-    if let Err(error) = thread::Builder::new().name("turns".to_owned()).stack_size(STACK_SIZE).spawn(work) {
+    if let Err(error) = thread::Builder::new()
+        .name("turns".to_owned())
+        .stack_size(STACK_SIZE)
+        .spawn(work)
+    {
         log::error!("no thread for the disk: {error}");
     }
     jobs
--- a/crates/node/src/trace.rs
+++ b/crates/node/src/trace.rs
@@ -91,7 +91,10 @@
 
 /// `server:requests` of each, such as `i-1:3,i-2:0`.
 fn loads_text(loads: &[LoadReport]) -> String {
-    let texts = loads.iter().take(MOST_LOADS).map(|load| format!("{}:{}", load.server, load.in_flight));
+    let texts = loads
+        .iter()
+        .take(MOST_LOADS)
+        .map(|load| format!("{}:{}", load.server, load.in_flight));
     texts.collect::<Vec<_>>().join(",")
 }
 
@@ -144,13 +147,19 @@
 /// The core's counter has answered a request of this limiter, or has not.
 pub fn counter(request: &CounterRequest, reply: Option<&CounterReply>, took_ms: u64) {
     let asked = match request.change {
-        CounterChange::Lease { needed, wanted, returned } => {
+        CounterChange::Lease {
+            needed,
+            wanted,
+            returned,
+        } => {
             format!("needed={needed} wanted={wanted} returned={returned}")
         }
         CounterChange::Return { units } => format!("returned={units}"),
     };
     let reply = match reply {
-        Some(CounterReply::Granted { units, left }) => format!("reply=granted units={units} left={left}"),
+        Some(CounterReply::Granted { units, left }) => {
+            format!("reply=granted units={units} left={left}")
+        }
         Some(CounterReply::Spent) => "reply=spent".to_owned(),
         Some(CounterReply::Elsewhere { held }) => format!("reply=elsewhere held={held}"),
         Some(CounterReply::Returned) => "reply=returned".to_owned(),
@@ -173,7 +182,9 @@
             format!("outcome=found pieces={} bytes={bytes}", pieces.len())
         }
         History::Unknown => "outcome=unknown".to_owned(),
-        History::Unsure { retry_after_ms } => format!("outcome=unsure retry_after_ms={retry_after_ms}"),
+        History::Unsure { retry_after_ms } => {
+            format!("outcome=unsure retry_after_ms={retry_after_ms}")
+        }
     };
     log::debug!(
         "event=history previous={} program={} {outcome} took_ms={took_ms}",
@@ -184,7 +195,12 @@
 
 /// A store was asked for the chain that ends in a turn.
 pub fn chain_asked(previous: &str, turn: &str, store: &str) {
-    log::debug!("event=chain_asked previous={} of={} store={}", Value(previous), Value(turn), Value(store));
+    log::debug!(
+        "event=chain_asked previous={} of={} store={}",
+        Value(previous),
+        Value(turn),
+        Value(store)
+    );
 }
 
 /// It answered, or could not be reached.
@@ -199,7 +215,12 @@
 
 /// A turn was put to a store.
 pub fn put(request: &str, store: &str, hint: Option<&str>) {
-    log::debug!("event=put request={} store={}{}", Value(request), Value(store), Field("hint", hint));
+    log::debug!(
+        "event=put request={} store={}{}",
+        Value(request),
+        Value(store),
+        Field("hint", hint)
+    );
 }
 
 /// The store answered, or could not be reached.
@@ -233,7 +254,10 @@
             Field("hint", hint.as_deref()),
         ),
         StoreSubject::Chain { id } => {
-            log::debug!("event=chain_read previous={} reply={reply} took_ms={took_ms}", Value(id));
+            log::debug!(
+                "event=chain_read previous={} reply={reply} took_ms={took_ms}",
+                Value(id)
+            );
         }
     }
 }
@@ -251,9 +275,10 @@
             return None;
         }
         match request {
-            StoreRequest::Put { turn, hint } => {
-                Some(StoreSubject::Put { id: turn.id.clone(), hint: hint.clone() })
-            }
+            StoreRequest::Put { turn, hint } => Some(StoreSubject::Put {
+                id: turn.id.clone(),
+                hint: hint.clone(),
+            }),
             StoreRequest::Chain { id } => Some(StoreSubject::Chain { id: id.clone() }),
             _ => None,
         }
--- a/crates/node/src/utc.rs
+++ b/crates/node/src/utc.rs
@@ -26,7 +26,10 @@
         let minute = of_day % SECONDS_PER_HOUR / SECONDS_PER_MINUTE;
         let second = of_day % SECONDS_PER_MINUTE;
         let ms = self.0 % MS_PER_SECOND;
-        write!(f, "{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{ms:03}Z")
+        write!(
+            f,
+            "{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{ms:03}Z"
+        )
     }
 }
 
@@ -48,7 +51,11 @@
         // Months from March on have 31, 30, 31, 30, 31 days, and so on again: 153 days in five.
         let month_from_march = (5 * day_of_year + 2) / 153;
         let day = day_of_year - (153 * month_from_march + 2) / 5 + 1;
-        let month = if month_from_march < 10 { month_from_march + 3 } else { month_from_march - 9 };
+        let month = if month_from_march < 10 {
+            month_from_march + 3
+        } else {
+            month_from_march - 9
+        };
         let january_or_february = u64::from(month <= 2);
         let year = year_of_era + days / DAYS_PER_ERA * YEARS_PER_ERA + january_or_february;
         Date { year, month, day }
--- a/crates/node/src/utc/tests.rs
+++ b/crates/node/src/utc/tests.rs
@@ -20,6 +20,8 @@
 #[test]
 fn texts_are_in_the_order_of_their_moments() {
     let day_and_a_bit = 86_400_000 + 12_345;
-    let texts: Vec<String> = (0..60_000u64).map(|step| Utc(step * day_and_a_bit).to_string()).collect();
+    let texts: Vec<String> = (0..60_000u64)
+        .map(|step| Utc(step * day_and_a_bit).to_string())
+        .collect();
     assert!(texts.windows(2).all(|pair| pair[0] < pair[1]));
 }
--- a/crates/node/tests/budgets.rs
+++ b/crates/node/tests/budgets.rs
@@ -13,7 +13,10 @@
 /// A program whose budget is spent after so many turns.
 fn of_turns(turns: u64) -> ProgramPlan {
     let plan = usual_program();
-    ProgramPlan { budget: turns * plan.most, ..plan }
+    ProgramPlan {
+        budget: turns * plan.most,
+        ..plan
+    }
 }
 
 #[tokio::test]
@@ -21,11 +24,16 @@
     let scene = stage(ScenePlan::default()).await;
     let mut line = Line::new(&scene.client, &of_turns(4));
     for number in 0..4 {
-        let served = line.turn(&scene.client, &format!("turn {number}").into()).await;
+        let served = line
+            .turn(&scene.client, &format!("turn {number}").into())
+            .await;
         assert!(served.succeeded(), "{number}: {served:?}");
     }
     for front in scene.system.fronts() {
-        let served = scene.client.send_to(front, &line.ask(&scene.client, &"one more".into())).await;
+        let served = scene
+            .client
+            .send_to(front, &line.ask(&scene.client, &"one more".into()))
+            .await;
         assert_eq!(served.status(), Some(402), "{served:?}");
         assert!(scene.record.sightings_of(served.request).is_empty());
     }
@@ -41,18 +49,27 @@
     let mut handed = 0;
     let mut spent = false;
     while !spent {
-        assert!(Instant::now() < until, "{handed} of {} tokens were handed out", plan.budget);
+        assert!(
+            Instant::now() < until,
+            "{handed} of {} tokens were handed out",
+            plan.budget
+        );
         let mut turns = JoinSet::new();
         for side in 0..4 {
             let (client, mut line) = (scene.client.clone(), trunk.branch(&scene.client));
             turns.spawn(async move { line.turn(&client, &format!("side {side}").into()).await });
         }
         for served in turns.join_all().await {
-            handed += served.answer().map_or(0, |answered| answered.events.len() as u64 * plan.chunk_tokens);
+            handed += served.answer().map_or(0, |answered| {
+                answered.events.len() as u64 * plan.chunk_tokens
+            });
             spent |= served.status() == Some(402);
         }
     }
-    assert_eq!(handed, plan.budget, "a turn was refused though it fitted, or went through though it did not");
+    assert_eq!(
+        handed, plan.budget,
+        "a turn was refused though it fitted, or went through though it did not"
+    );
     expect_no_violation(&scene);
 }
 
@@ -62,7 +79,10 @@
     let plan = of_turns(4);
     let mut line = Line::new(&scene.client, &plan);
     for number in 0..3 {
-        assert!(line.turn(&scene.client, &format!("turn {number}").into()).await.succeeded());
+        assert!(line
+            .turn(&scene.client, &format!("turn {number}").into())
+            .await
+            .succeeded());
     }
     scene.system.kill_all();
     for index in 0..scene.system.machines().len() {
@@ -71,7 +91,9 @@
     scene.settle().await.unwrap();
     let mut ended = false;
     for number in 0..20 {
-        let served = line.turn(&scene.client, &format!("later turn {number}").into()).await;
+        let served = line
+            .turn(&scene.client, &format!("later turn {number}").into())
+            .await;
         ended |= served.status() == Some(402);
     }
     assert!(ended, "the budget came back with the processes");
@@ -83,20 +105,38 @@
 async fn broken_tries_count() {
     use dunespur_emulator::server::Trouble;
     let scene = stage(ScenePlan::default()).await;
-    let plan = ProgramPlan { retries: 0, ..of_turns(3) };
+    let plan = ProgramPlan {
+        retries: 0,
+        ..of_turns(3)
+    };
     for engine in &scene.engines {
-        engine.server.door.troubles.always(Some(Trouble::Cut { after: 150 }));
+        engine
+            .server
+            .door
+            .troubles
+            .always(Some(Trouble::Cut { after: 150 }));
     }
     let line = Line::new(&scene.client, &plan);
     let until = Instant::now() + RECOVERY;
     loop {
-        let served = scene.client.send(&line.ask(&scene.client, &"cut".into())).await;
+        let served = scene
+            .client
+            .send(&line.ask(&scene.client, &"cut".into()))
+            .await;
         if served.status() == Some(402) {
             break;
         }
-        assert!(Instant::now() < until, "broken tries are not counted: {served:?}");
+        assert!(
+            Instant::now() < until,
+            "broken tries are not counted: {served:?}"
+        );
     }
-    let runs = scene.record.sightings().iter().filter(|sighting| sighting.fate == Fate::Run).count();
+    let runs = scene
+        .record
+        .sightings()
+        .iter()
+        .filter(|sighting| sighting.fate == Fate::Run)
+        .count();
     assert!(runs > 0);
     expect_no_violation(&scene);
 }
--- a/crates/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -39,10 +39,15 @@
 
 /// Files of this folder of test data with this extension.
 fn data(folder: &str, extension: &str) -> Vec<PathBuf> {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests").join(folder);
-    let files = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
-    let mut files: Vec<_> =
-        files.filter(|file| file.extension().is_some_and(|end| end == extension)).collect();
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests")
+        .join(folder);
+    let files = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().path());
+    let mut files: Vec<_> = files
+        .filter(|file| file.extension().is_some_and(|end| end == extension))
+        .collect();
     files.sort();
     assert!(!files.is_empty());
     files
@@ -54,7 +59,10 @@
 
 /// The lines of findings, each behind the file's name.
 fn told(file: &Path, findings: &str) -> String {
-    findings.lines().map(|line| format!("{}: {line}\n", file.display())).collect()
+    findings
+        .lines()
+        .map(|line| format!("{}: {line}\n", file.display()))
+        .collect()
 }
 
 #[test]
@@ -62,9 +70,15 @@
     let overview = run(&["--help"]);
     assert_eq!(code(&overview), DONE);
     let commands = [
-        ("gateway", ["--log", "--log-format", "DUNESPUR_CONFIG"].as_slice()),
+        (
+            "gateway",
+            ["--log", "--log-format", "DUNESPUR_CONFIG"].as_slice(),
+        ),
         ("store", &["--log", "--log-format", "DUNESPUR_CONFIG"]),
-        ("check", &["--settings", "--configuration", "--role", "FILE"]),
+        (
+            "check",
+            &["--settings", "--configuration", "--role", "FILE"],
+        ),
         ("status", &["--json", "--program", "ADDRESS"]),
         ("explain", &["ID", "FILE", "--log debug"]),
     ];
@@ -73,7 +87,11 @@
         let help = run(&[command, "--help"]);
         assert_eq!(code(&help), DONE);
         for word in words {
-            assert!(out(&help).contains(word), "{command} {word}: {}", out(&help));
+            assert!(
+                out(&help).contains(word),
+                "{command} {word}: {}",
+                out(&help)
+            );
         }
     }
     assert!(out(&run(&["--version"])).contains(env!("CARGO_PKG_VERSION")));
@@ -95,7 +113,10 @@
     for arguments in wrong {
         let output = run(arguments);
         assert_eq!(code(&output), UNUSABLE, "{arguments:?}");
-        assert!(!err(&output).is_empty() && out(&output).is_empty(), "{arguments:?}");
+        assert!(
+            !err(&output).is_empty() && out(&output).is_empty(),
+            "{arguments:?}"
+        );
     }
 }
 
@@ -115,17 +136,30 @@
     for file in data("settings/good", "json") {
         let output = run(&["check", text(&file)]);
         assert_eq!(code(&output), DONE, "{}", out(&output));
-        assert!(out(&output).contains("settings of front-"), "{}", out(&output));
+        assert!(
+            out(&output).contains("settings of front-"),
+            "{}",
+            out(&output)
+        );
     }
 }
 
 #[test]
 fn check_tells_what_a_role_needs() {
-    let file = data("settings/good", "json").into_iter().find(|file| file.ends_with("least.json")).unwrap();
+    let file = data("settings/good", "json")
+        .into_iter()
+        .find(|file| file.ends_with("least.json"))
+        .unwrap();
     let output = run(&["check", "--role", "store", text(&file)]);
-    assert_eq!(out(&output), told(&file, "data_dir: is missing, and a store needs a disk"));
+    assert_eq!(
+        out(&output),
+        told(&file, "data_dir: is missing, and a store needs a disk")
+    );
     assert_eq!(code(&output), HAS_FINDINGS);
-    assert_eq!(code(&run(&["check", "--role", "gateway", text(&file)])), DONE);
+    assert_eq!(
+        code(&run(&["check", "--role", "gateway", text(&file)])),
+        DONE
+    );
 }
 
 #[test]
@@ -143,11 +177,20 @@
     std::fs::write(&file, configuration.to_string()).unwrap();
     let output = run(&["check", text(&file)]);
     assert_eq!(code(&output), HAS_FINDINGS);
-    let places: Vec<&str> = out(&output).lines().map(|line| line.split(": ").nth(1).unwrap()).collect();
+    let places: Vec<&str> = out(&output)
+        .lines()
+        .map(|line| line.split(": ").nth(1).unwrap())
+        .collect();
     assert_eq!(places, ["routes[0].timeout_ms", "routes[1]"]);
 
-    let mended = configuration.to_string().replace(r#""timeout_ms":0"#, r#""timeout_ms":9"#);
-    std::fs::write(&file, mended.replace(r#""backend":"b""#, r#""backend":"a""#)).unwrap();
+    let mended = configuration
+        .to_string()
+        .replace(r#""timeout_ms":0"#, r#""timeout_ms":9"#);
+    std::fs::write(
+        &file,
+        mended.replace(r#""backend":"b""#, r#""backend":"a""#),
+    )
+    .unwrap();
     let output = run(&["check", text(&file)]);
     assert_eq!(out(&output), told(&file, "configuration 4, no findings"));
     assert_eq!(code(&output), DONE);
@@ -172,17 +215,32 @@
     let other = folder.path().join("other.json");
     std::fs::write(&other, "{}").unwrap();
     assert_eq!(code(&run(&["check", text(&other)])), UNUSABLE);
-    assert_eq!(code(&run(&["check", "--settings", text(&other)])), HAS_FINDINGS);
+    assert_eq!(
+        code(&run(&["check", "--settings", text(&other)])),
+        HAS_FINDINGS
+    );
 }
 
 #[test]
 fn check_reads_standard_input() {
-    let mut child =
-        dunespur().args(["check", "-"]).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().unwrap();
-    child.stdin.take().unwrap().write_all(br#"{"node":"a"}"#).unwrap();
+    let mut child = dunespur()
+        .args(["check", "-"])
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .spawn()
+        .unwrap();
+    child
+        .stdin
+        .take()
+        .unwrap()
+        .write_all(br#"{"node":"a"}"#)
+        .unwrap();
     let output = child.wait_with_output().unwrap();
     assert_eq!(code(&output), HAS_FINDINGS);
-    assert_eq!(out(&output), "-: ip: is missing\n-: port_range: is missing\n");
+    assert_eq!(
+        out(&output),
+        "-: ip: is missing\n-: port_range: is missing\n"
+    );
 }
 
 #[test]
@@ -192,12 +250,20 @@
         assert_eq!(code(&unset), UNUSABLE);
         assert_eq!(err(&unset).lines().count(), 1, "{}", err(&unset));
         for file in data("settings/bad", "json") {
-            let output = dunespur().arg(role).env("DUNESPUR_CONFIG", &file).output().unwrap();
+            let output = dunespur()
+                .arg(role)
+                .env("DUNESPUR_CONFIG", &file)
+                .output()
+                .unwrap();
             assert_eq!(code(&output), UNUSABLE, "{role} {}", file.display());
             assert_eq!(err(&output).lines().count(), 1, "{}", err(&output));
             let findings = std::fs::read_to_string(file.with_extension("findings")).unwrap();
             for finding in findings.lines() {
-                assert!(err(&output).contains(finding), "{finding}: {}", err(&output));
+                assert!(
+                    err(&output).contains(finding),
+                    "{finding}: {}",
+                    err(&output)
+                );
             }
         }
     }
@@ -217,7 +283,10 @@
     write(Ports::default().first_internal);
     let line = Running::start(&[], &settings).line();
     let (time, rest) = line.split_once(' ').unwrap();
-    assert!(time.starts_with("20") && time.ends_with('Z') && time.len() == 24, "{line}");
+    assert!(
+        time.starts_with("20") && time.ends_with('Z') && time.len() == 24,
+        "{line}"
+    );
     assert_eq!(rest, "front-1 gateway [INFO] front-1 serves\n");
 
     write(Ports::default().first_internal);
--- a/crates/node/tests/explain.rs
+++ b/crates/node/tests/explain.rs
@@ -17,21 +17,35 @@
 
 fn explain(request: &str, files: &[PathBuf]) -> Command {
     let mut command = Command::new(program());
-    command.env_clear().stdin(Stdio::null()).arg("explain").arg(request).args(files);
+    command
+        .env_clear()
+        .stdin(Stdio::null())
+        .arg("explain")
+        .arg(request)
+        .args(files);
     command
 }
 
 fn story(output: &Output) -> &str {
-    assert_eq!(output.status.code(), Some(TOLD), "{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(
+        output.status.code(),
+        Some(TOLD),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     std::str::from_utf8(&output.stdout).unwrap()
 }
 
 fn data(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/explain").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/explain")
+        .join(name)
 }
 
 fn logs() -> Vec<PathBuf> {
-    ["front-1.log", "front-2.log", "store-1.log"].map(data).to_vec()
+    ["front-1.log", "front-2.log", "store-1.log"]
+        .map(data)
+        .to_vec()
 }
 
 #[test]
@@ -44,9 +58,19 @@
 fn standard_input_tells_the_same_as_files() {
     let folder = TemporaryFolder::new("dunespur-explain").unwrap();
     let all = folder.path().join("all.log");
-    let texts = logs().iter().map(|file| fs::read_to_string(file).unwrap()).collect::<String>();
-    fs::write(&all, format!("a line of another program\n\u{fffd}\n{texts}")).unwrap();
-    let told = explain("r-2", &[]).stdin(File::open(&all).unwrap()).output().unwrap();
+    let texts = logs()
+        .iter()
+        .map(|file| fs::read_to_string(file).unwrap())
+        .collect::<String>();
+    fs::write(
+        &all,
+        format!("a line of another program\n\u{fffd}\n{texts}"),
+    )
+    .unwrap();
+    let told = explain("r-2", &[])
+        .stdin(File::open(&all).unwrap())
+        .output()
+        .unwrap();
     assert_eq!(story(&told), fs::read_to_string(data("story.txt")).unwrap());
 }
 
@@ -63,7 +87,10 @@
 /// A program that logs at debug level, whatever it is started with.
 fn talkative(folder: &Path, format: &str) -> PathBuf {
     let script = folder.join("dunespur");
-    let text = format!("#!/bin/sh\nexec {} \"$@\" --log debug --log-format {format}\n", program().display());
+    let text = format!(
+        "#!/bin/sh\nexec {} \"$@\" --log debug --log-format {format}\n",
+        program().display()
+    );
     fs::write(&script, text).unwrap();
     fs::set_permissions(&script, fs::Permissions::from_mode(0o755)).unwrap();
     script
@@ -91,10 +118,15 @@
         let first = line.previous().unwrap().to_string();
         go_on(&scene, &mut line, "second").await;
         let second = line.previous().unwrap().to_string();
-        let told = explain(&second, &written(&scene, folder.path())).output().unwrap();
+        let told = explain(&second, &written(&scene, folder.path()))
+            .output()
+            .unwrap();
         let story = story(&told);
         let copies = scene.plan.tolerated_losses as usize + 1;
-        assert!(story.matches("asked to keep it, says kept").count() >= copies, "{story}");
+        assert!(
+            story.matches("asked to keep it, says kept").count() >= copies,
+            "{story}"
+        );
         assert!(story.contains("turn kept"), "{story}");
         assert!(story.contains(&first), "{story}");
     }
@@ -113,17 +145,36 @@
     let turn = line.previous().unwrap().to_string();
     let files = written(&scene, folder.path());
 
-    let told = explain(&served.request.to_string(), &files).output().unwrap();
-    for words in
-        ["route lookup", "choice for service tools", "goes to", "sent to", "answered 200", "client: 200"]
-    {
+    let told = explain(&served.request.to_string(), &files)
+        .output()
+        .unwrap();
+    for words in [
+        "route lookup",
+        "choice for service tools",
+        "goes to",
+        "sent to",
+        "answered 200",
+        "client: 200",
+    ] {
         assert!(story(&told).contains(words), "{words}: {}", story(&told));
     }
-    let told = explain(&refused.request.to_string(), &files).output().unwrap();
-    assert!(story(&told).contains("refused with 404: no route"), "{}", story(&told));
+    let told = explain(&refused.request.to_string(), &files)
+        .output()
+        .unwrap();
+    assert!(
+        story(&told).contains("refused with 404: no route"),
+        "{}",
+        story(&told)
+    );
     let told = explain(&turn, &files).output().unwrap();
-    for words in ["route kept", "admitted", "the core's counter", "the answer begins", "turn kept", "is free"]
-    {
+    for words in [
+        "route kept",
+        "admitted",
+        "the core's counter",
+        "the answer begins",
+        "turn kept",
+        "is free",
+    ] {
         assert!(story(&told).contains(words), "{words}: {}", story(&told));
     }
 }
--- a/crates/node/tests/founding.rs
+++ b/crates/node/tests/founding.rs
@@ -20,17 +20,27 @@
 
 /// Gateways without a disk come first, so that the seeds are no members of the core.
 fn seeds_without_disks() -> ScenePlan {
-    let mut plan = ScenePlan { engines: 1, plains: 1, ..ScenePlan::default() };
+    let mut plan = ScenePlan {
+        engines: 1,
+        plains: 1,
+        ..ScenePlan::default()
+    };
     plan.machines = Vec::new();
     for (role, count) in [(Role::Gateway, 3), (Role::Core, 3), (Role::Store, 3)] {
-        plan.machines.extend((0..count).map(|_| MachinePlan::new(role, "zone-a")));
+        plan.machines
+            .extend((0..count).map(|_| MachinePlan::new(role, "zone-a")));
     }
     plan
 }
 
 /// Whether this gateway's core answers: with a configuration or that there is none.
 async fn reads(scene: &Scene, index: usize) -> bool {
-    let answer = call(scene.system.control(index), &Call::get("/api/config/get"), LOOK).await;
+    let answer = call(
+        scene.system.control(index),
+        &Call::get("/api/config/get"),
+        LOOK,
+    )
+    .await;
     answer.is_ok_and(|answer| [200, 404].contains(&answer.status))
 }
 
@@ -50,7 +60,10 @@
 /// Ends once this machine's control address takes connections.
 async fn listens(scene: &Scene, index: usize) {
     let until = Instant::now() + RECOVERY;
-    while TcpStream::connect(scene.system.control(index)).await.is_err() {
+    while TcpStream::connect(scene.system.control(index))
+        .await
+        .is_err()
+    {
         assert!(Instant::now() < until, "machine {index} does not come up");
     }
 }
@@ -66,8 +79,17 @@
         let name = format!("route-{version}");
         let route = RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS);
         let body = patch(version + 1, &[route], &[]);
-        let answer = scene.operator.patch(version, &body, RECOVERY).await.unwrap();
-        assert_eq!(answer.status, 200, "{control}: {}", String::from_utf8_lossy(&answer.body));
+        let answer = scene
+            .operator
+            .patch(version, &body, RECOVERY)
+            .await
+            .unwrap();
+        assert_eq!(
+            answer.status,
+            200,
+            "{control}: {}",
+            String::from_utf8_lossy(&answer.body)
+        );
         version += 1;
     }
     for control in &controls {
@@ -110,7 +132,12 @@
 #[tokio::test]
 async fn a_founder_with_a_disk_may_be_killed_when_the_core_stands() {
     for _ in 0..4 {
-        let mut scene = begin(ScenePlan { engines: 1, plains: 1, ..ScenePlan::default() }).await;
+        let mut scene = begin(ScenePlan {
+            engines: 1,
+            plains: 1,
+            ..ScenePlan::default()
+        })
+        .await;
         somebody_reads(&scene).await;
         scene.system.machine(0).kill();
         scene.system.restart_bootstrapping(0).unwrap();
@@ -144,18 +171,34 @@
     let other = places(&scene, Role::Core)[0];
     scene.system.machine(other).kill();
     let route = RoutePlan::new("later", HOST, "/later/", Kind::ReadOnly, TOOLS);
-    let answer = scene.operator.patch(1, &patch(2, &[route], &[]), RECOVERY).await.unwrap();
+    let answer = scene
+        .operator
+        .patch(1, &patch(2, &[route], &[]), RECOVERY)
+        .await
+        .unwrap();
     assert_eq!(answer.status, 200);
 }
 
 #[tokio::test]
 async fn a_machine_whose_seeds_are_gone_but_one_comes_up() {
-    let mut scene = stage(ScenePlan { engines: 1, plains: 1, ..ScenePlan::default() }).await;
+    let mut scene = stage(ScenePlan {
+        engines: 1,
+        plains: 1,
+        ..ScenePlan::default()
+    })
+    .await;
     let alive = scene.system.control(places(&scene, Role::Gateway)[0]);
     let nobody = scene.system.server_address().unwrap();
-    let seeds = vec![nobody, std::net::SocketAddr::new(nobody.ip(), alive.port()), alive];
+    let seeds = vec![
+        nobody,
+        std::net::SocketAddr::new(nobody.ip(), alive.port()),
+        alive,
+    ];
     scene.system.set_seeds(seeds);
-    let joined = scene.system.join(MachinePlan::new(Role::Gateway, "zone-b")).unwrap();
+    let joined = scene
+        .system
+        .join(MachinePlan::new(Role::Gateway, "zone-b"))
+        .unwrap();
     scene.system.ready_one(joined, RECOVERY).await.unwrap();
     scene.serves(joined).await.unwrap();
     scene.system.machine(joined).kill();
