--- a/crates/node/tests/frozen.rs
+++ b/crates/node/tests/frozen.rs
@@ -48,7 +48,12 @@
 
 async fn take(scene: &mut Stage, base: u64, body: &Value) {
     let answer = scene.operator.patch(base, body, ORDER_LIMIT).await.unwrap();
-    assert_eq!(answer.status, 200, "{}", String::from_utf8_lossy(&answer.body));
+    assert_eq!(
+        answer.status,
+        200,
+        "{}",
+        String::from_utf8_lossy(&answer.body)
+    );
 }
 
 fn generation(answer: &CallAnswer) -> Value {
@@ -73,12 +78,22 @@
     let mut scene = stage(ScenePlan::default()).await;
     let member = places(&scene, Role::Core)[0];
     let frozen = scene.system.control(member);
-    let others: Vec<SocketAddr> =
-        scene.system.controls().into_iter().filter(|control| *control != frozen).collect();
+    let others: Vec<SocketAddr> = scene
+        .system
+        .controls()
+        .into_iter()
+        .filter(|control| *control != frozen)
+        .collect();
     take(&mut scene, 1, &patch(3, &[route("before")], &[])).await;
     scene.system.machine(member).freeze().unwrap();
-    let (lost, fresh) = (patch(5, &[route("lost")], &[]), patch(8, &[route("fresh")], &[]));
-    let unknown = Call::post("/api/retire/nobody/start", json!({ "deadline_s": 5 }).to_string());
+    let (lost, fresh) = (
+        patch(5, &[route("lost")], &[]),
+        patch(8, &[route("fresh")], &[]),
+    );
+    let unknown = Call::post(
+        "/api/retire/nobody/start",
+        json!({ "deadline_s": 5 }).to_string(),
+    );
     let mut calls = JoinSet::new();
     for number in 0..CALLS {
         let asked = [
@@ -111,7 +126,10 @@
         "state": "ready", "cold_left_ms": 0, "seq": 1,
     });
     let request = Call::post("/api/instances/i-beats/heartbeat", body.to_string());
-    call(control, &request, ANSWERED_WITHIN).await.ok().map(|answer| answer.status)
+    call(control, &request, ANSWERED_WITHIN)
+        .await
+        .ok()
+        .map(|answer| answer.status)
 }
 
 async fn freeze_core(scene: &mut Scene) {
@@ -122,21 +140,30 @@
 
 #[tokio::test]
 async fn a_thawed_gateway_takes_no_heartbeat_on_an_answer_of_before() {
-    let mut scene = stage(ScenePlan { engines: 2, ..ScenePlan::default() }).await;
+    let mut scene = stage(ScenePlan {
+        engines: 2,
+        ..ScenePlan::default()
+    })
+    .await;
     let gateway = places(&scene, Role::Gateway)[0];
     let control = scene.system.control(gateway);
     while beat(control).await != Some(200) {}
     scene.system.machine(gateway).freeze().unwrap();
     let fronts = scene.system.fronts();
     let own = scene.system.front(gateway);
-    scene.client.set_fronts(fronts.into_iter().filter(|front| *front != own).collect());
+    scene
+        .client
+        .set_fronts(fronts.into_iter().filter(|front| *front != own).collect());
     programs_for(&scene, OUT_OF_TOUCH).await;
     // Now the core's last answer lies in the gateway's socket, and no other one comes.
     freeze_core(&mut scene).await;
     scene.system.machine(gateway).thaw().unwrap();
     for number in 0..BEATS {
         let status = beat(control).await;
-        assert!(status.is_none_or(|status| status == 503), "heartbeat {number}: {status:?}");
+        assert!(
+            status.is_none_or(|status| status == 503),
+            "heartbeat {number}: {status:?}"
+        );
     }
     for member in places(&scene, Role::Core) {
         scene.system.machine(member).thaw().unwrap();
--- a/crates/node/tests/homes.rs
+++ b/crates/node/tests/homes.rs
@@ -32,14 +32,23 @@
         "seq": seq,
     });
     let target = format!("/api/instances/i-{service}/heartbeat");
-    let answer = call(control, &Call::post(target, body.to_string()), ANSWERED_WITHIN).await.ok()?;
+    let answer = call(
+        control,
+        &Call::post(target, body.to_string()),
+        ANSWERED_WITHIN,
+    )
+    .await
+    .ok()?;
     let answer: Value = serde_json::from_slice(&answer.body).ok()?;
     answer["beat_addr"].as_str()?.parse().ok()
 }
 
 /// The gateways of the zone: one with the core's disk and one without.
 fn gateways(scene: &Scene) -> [usize; 2] {
-    [places(scene, Role::Core)[0], places(scene, Role::Gateway)[0]]
+    [
+        places(scene, Role::Core)[0],
+        places(scene, Role::Gateway)[0],
+    ]
 }
 
 /// Waits until `by` names `home` for the service's heartbeats.
@@ -60,8 +69,10 @@
 /// A service whose home in the zone is the gateway at `place`, as all gateways say after a while.
 async fn service_at(scene: &Scene, place: usize) -> String {
     let controls = scene.system.controls();
-    let homes: Vec<SocketAddr> =
-        gateways(scene).into_iter().map(|place| scene.system.control(place)).collect();
+    let homes: Vec<SocketAddr> = gateways(scene)
+        .into_iter()
+        .map(|place| scene.system.control(place))
+        .collect();
     for number in 0.. {
         let service = format!("service-{number}");
         let until = Instant::now() + SETTLE_LIMIT;
@@ -70,7 +81,9 @@
             for control in &controls {
                 named.push(beat(*control, &service, 1).await);
             }
-            if let Some(home) = named[0].filter(|home| named.iter().all(|other| *other == Some(*home))) {
+            if let Some(home) =
+                named[0].filter(|home| named.iter().all(|other| *other == Some(*home)))
+            {
                 assert!(homes.contains(&home), "{home} is not in the zone");
                 if home == scene.system.control(place) {
                     return service;
@@ -111,7 +124,10 @@
     scene.terminate(home).unwrap();
     let asked = scene.system.control(places(&scene, Role::Core)[1]);
     named(asked, &service, scene.system.control(other)).await;
-    assert!(scene.system.machine(home).is_running(), "it was named until its end");
+    assert!(
+        scene.system.machine(home).is_running(),
+        "it was named until its end"
+    );
     for engine in &scene.engines {
         engine.server.gate.open();
     }
@@ -131,7 +147,11 @@
 #[tokio::test]
 async fn a_server_drains_in_time_while_the_home_that_it_beats_at_is_frozen() {
     // The next server after three engines stands in the zone that has two gateways.
-    let mut scene = stage(ScenePlan { engines: 3, ..ScenePlan::default() }).await;
+    let mut scene = stage(ScenePlan {
+        engines: 3,
+        ..ScenePlan::default()
+    })
+    .await;
     let [_, home] = gateways(&scene);
     let service = service_at(&scene, home).await;
     let address = scene.system.server_address().unwrap();
@@ -158,7 +178,10 @@
     let control = scene.system.control(home);
     let until = Instant::now() + SETTLE_LIMIT;
     while beat(control, &service, 200).await.is_some() {
-        assert!(Instant::now() < until, "it takes heartbeats that nobody hears of");
+        assert!(
+            Instant::now() < until,
+            "it takes heartbeats that nobody hears of"
+        );
         sleep(LOOK_PAUSE).await;
     }
     for core in places(&scene, Role::Core) {
--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -10,8 +10,8 @@
 use std::process::Command;
 use std::time::Duration;
 use support::{
-    expect_no_violation, go_on, holder_of_a_turn, line_of, lookup, places, program, programs_for, stage,
-    CATCH_UP, ORDER_LIMIT, RECOVERY,
+    expect_no_violation, go_on, holder_of_a_turn, line_of, lookup, places, program, programs_for,
+    stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
 };
 use tokio::time::Instant;
 
@@ -35,7 +35,10 @@
     for engine in &scene.engines {
         engine.server.gate.let_go(5);
     }
-    scene.record.until(|sightings| sightings.iter().any(|sighting| sighting.events.len() == 1)).await;
+    scene
+        .record
+        .until(|sightings| sightings.iter().any(|sighting| sighting.events.len() == 1))
+        .await;
     scene.terminate(leaving).unwrap();
     while scene.system.readiness(leaving).await == Some(200) {}
     for engine in &scene.engines {
@@ -52,15 +55,28 @@
 #[tokio::test]
 async fn gateways_that_are_asked_to_leave_are_not_ready_while_they_still_serve() {
     let mut scene = stage(ScenePlan::default()).await;
-    let leaving = [places(&scene, Role::Gateway)[0], places(&scene, Role::Core)[0]];
-    scene.engines.iter().for_each(|engine| engine.server.gate.hold());
+    let leaving = [
+        places(&scene, Role::Gateway)[0],
+        places(&scene, Role::Core)[0],
+    ];
+    scene
+        .engines
+        .iter()
+        .for_each(|engine| engine.server.gate.hold());
     let before = scene.record.sightings().len();
     let turns = leaving.map(|index| {
-        let (client, front, ask) = (scene.client.clone(), scene.system.front(index), scene.turn_ask());
+        let (client, front, ask) = (
+            scene.client.clone(),
+            scene.system.front(index),
+            scene.turn_ask(),
+        );
         tokio::spawn(async move { client.send_to(front, &ask).await })
     });
     let arrived = |seen: &&Sighting| seen.fate != Fate::TurnedAway;
-    scene.record.until(|seen| seen[before..].iter().filter(arrived).count() == leaving.len()).await;
+    scene
+        .record
+        .until(|seen| seen[before..].iter().filter(arrived).count() == leaving.len())
+        .await;
     for index in leaving {
         scene.terminate(index).unwrap();
     }
@@ -73,8 +89,14 @@
         assert_eq!(status, Some(503), "it still runs, and says so");
     }
     assert!(asked.elapsed() < READY_LIMIT, "{:?}", asked.elapsed());
-    assert!(turns.iter().all(|turn| !turn.is_finished()), "their turns are still in hand");
-    scene.engines.iter().for_each(|engine| engine.server.gate.open());
+    assert!(
+        turns.iter().all(|turn| !turn.is_finished()),
+        "their turns are still in hand"
+    );
+    scene
+        .engines
+        .iter()
+        .for_each(|engine| engine.server.gate.open());
     for turn in turns {
         let served = turn.await.unwrap();
         assert!(served.succeeded(), "{served:?}");
@@ -86,18 +108,31 @@
 async fn a_gateway_whose_settings_change_cuts_nothing() {
     let mut scene = stage(ScenePlan::default()).await;
     let gateway = places(&scene, Role::Gateway)[0];
-    scene.engines.iter().for_each(|engine| engine.server.gate.hold());
-    let (client, front, ask) = (scene.client.clone(), scene.system.front(gateway), scene.turn_ask());
+    scene
+        .engines
+        .iter()
+        .for_each(|engine| engine.server.gate.hold());
+    let (client, front, ask) = (
+        scene.client.clone(),
+        scene.system.front(gateway),
+        scene.turn_ask(),
+    );
     let turn = tokio::spawn(async move { client.send_to(front, &ask).await });
     holder_of_a_turn(&scene).await;
-    let seeds = places(&scene, Role::Core).into_iter().map(|core| scene.system.control(core)).collect();
+    let seeds = places(&scene, Role::Core)
+        .into_iter()
+        .map(|core| scene.system.control(core))
+        .collect();
     scene.system.set_seeds(seeds);
     scene.system.rewrite_settings(gateway).unwrap();
     scene.system.machine(gateway).hang_up().unwrap();
     // Behind the signal, and by a process that still runs.
     assert_eq!(scene.system.readiness(gateway).await, Some(200));
     assert!(scene.client.send_to(front, &lookup()).await.succeeded());
-    scene.engines.iter().for_each(|engine| engine.server.gate.open());
+    scene
+        .engines
+        .iter()
+        .for_each(|engine| engine.server.gate.open());
     let served = turn.await.unwrap();
     assert!(served.succeeded() && served.tries == 1, "{served:?}");
     assert!(scene.system.machine(gateway).is_running());
@@ -133,7 +168,12 @@
     let retired = places(&scene, Role::Store)[0];
     let name = scene.system.machines()[retired].name().to_owned();
     let answer = scene.operator.retire(&name, 10, ORDER_LIMIT).await.unwrap();
-    assert_eq!(answer.status, 200, "{}", String::from_utf8_lossy(&answer.body));
+    assert_eq!(
+        answer.status,
+        200,
+        "{}",
+        String::from_utf8_lossy(&answer.body)
+    );
     let until = Instant::now() + RECOVERY;
     loop {
         let answer = scene.operator.retirement(&name, ORDER_LIMIT).await.unwrap();
@@ -155,7 +195,11 @@
 #[tokio::test]
 async fn a_retirement_of_an_unknown_store_is_404_and_of_one_too_many_409() {
     let mut scene = stage(ScenePlan::default()).await;
-    let answer = scene.operator.retire("nobody", 10, ORDER_LIMIT).await.unwrap();
+    let answer = scene
+        .operator
+        .retire("nobody", 10, ORDER_LIMIT)
+        .await
+        .unwrap();
     assert_eq!(answer.status, 404);
     let mut taken = 0;
     for store in places(&scene, Role::Store) {
@@ -173,17 +217,35 @@
 fn settings_that_cannot_be_used_are_told_in_one_line() {
     let folder = TemporaryFolder::new("dunespur-settings").unwrap();
     let path = folder.path().join("node.json");
-    for text in ["", "{", "{}", "[]", r#"{"node":"","ip":"127.0.0.1","zone":"z","port_range":[9,8]}"#] {
+    for text in [
+        "",
+        "{",
+        "{}",
+        "[]",
+        r#"{"node":"","ip":"127.0.0.1","zone":"z","port_range":[9,8]}"#,
+    ] {
         std::fs::write(&path, text).unwrap();
         for role in ["gateway", "store"] {
-            let output = Command::new(program()).arg(role).env("DUNESPUR_CONFIG", &path).output().unwrap();
+            let output = Command::new(program())
+                .arg(role)
+                .env("DUNESPUR_CONFIG", &path)
+                .output()
+                .unwrap();
             expect_one_line(&output, text);
         }
     }
     let missing = folder.path().join("missing.json");
-    let output = Command::new(program()).arg("gateway").env("DUNESPUR_CONFIG", missing).output().unwrap();
+    let output = Command::new(program())
+        .arg("gateway")
+        .env("DUNESPUR_CONFIG", missing)
+        .output()
+        .unwrap();
     expect_one_line(&output, "no file");
-    let output = Command::new(program()).arg("gateway").env_remove("DUNESPUR_CONFIG").output().unwrap();
+    let output = Command::new(program())
+        .arg("gateway")
+        .env_remove("DUNESPUR_CONFIG")
+        .output()
+        .unwrap();
     expect_one_line(&output, "no variable");
 }
 
--- a/crates/node/tests/losses.rs
+++ b/crates/node/tests/losses.rs
@@ -7,8 +7,8 @@
 use dunespur_emulator::system::{MachinePlan, Role};
 use support::disk::with_standstills_apart;
 use support::{
-    add_route, expect_no_violation, generation, go_on_within, line_of, places, programs_for, stage, CATCH_UP,
-    ORDER_LIMIT, RECOVERY,
+    add_route, expect_no_violation, generation, go_on_within, line_of, places, programs_for, stage,
+    CATCH_UP, ORDER_LIMIT, RECOVERY,
 };
 use tokio::time::Instant;
 
@@ -17,7 +17,10 @@
     let ask = Ask::get(HOST, &format!("/route-{generation}/x"));
     for index in scene.system.places(|plan| plan.role != Role::Store) {
         if scene.system.machines()[index].is_running() {
-            scene.answers(scene.system.front(index), &ask).await.unwrap();
+            scene
+                .answers(scene.system.front(index), &ask)
+                .await
+                .unwrap();
         }
     }
 }
@@ -83,7 +86,10 @@
     for member in &members[..2] {
         let zone = scene.system.machines()[*member].plan().zone.clone();
         scene.system.machine(*member).kill();
-        scene.system.join(MachinePlan::new(Role::Core, &zone)).unwrap();
+        scene
+            .system
+            .join(MachinePlan::new(Role::Core, &zone))
+            .unwrap();
         let (fronts, controls) = running(&scene);
         scene.client.set_fronts(fronts);
         scene.operator.set_controls(controls);
@@ -106,8 +112,14 @@
         .into_iter()
         .filter(|index| scene.system.machines()[*index].is_running())
         .collect();
-    let fronts = running.iter().map(|index| scene.system.front(*index)).collect();
-    let controls = running.iter().map(|index| scene.system.control(*index)).collect();
+    let fronts = running
+        .iter()
+        .map(|index| scene.system.front(*index))
+        .collect();
+    let controls = running
+        .iter()
+        .map(|index| scene.system.control(*index))
+        .collect();
     (fronts, controls)
 }
 
@@ -153,7 +165,12 @@
     for member in places(&scene, Role::Core) {
         scene.system.machine(member).freeze().unwrap();
         let front = scene.system.front(member);
-        let others: Vec<_> = scene.system.fronts().into_iter().filter(|other| *other != front).collect();
+        let others: Vec<_> = scene
+            .system
+            .fronts()
+            .into_iter()
+            .filter(|other| *other != front)
+            .collect();
         scene.client.set_fronts(others);
         let frozen = Instant::now();
         version = add_route(&mut scene, version).await;
--- a/crates/node/tests/orders.rs
+++ b/crates/node/tests/orders.rs
@@ -19,15 +19,30 @@
 }
 
 /// Has a patch taken on top of version `base`, and the judge know of it.
-async fn change(scene: &mut Stage, base: u64, generation: u64, upsert: &[RoutePlan], remove: &[&str]) {
-    let version = scene.configurations.last().unwrap().patched(generation, upsert, remove);
+async fn change(
+    scene: &mut Stage,
+    base: u64,
+    generation: u64,
+    upsert: &[RoutePlan],
+    remove: &[&str],
+) {
+    let version = scene
+        .configurations
+        .last()
+        .unwrap()
+        .patched(generation, upsert, remove);
     scene.configurations.push(version);
     take(scene, base, &patch(generation, upsert, remove)).await;
 }
 
 async fn take(scene: &mut Stage, base: u64, body: &Value) {
     let answer = scene.operator.patch(base, body, ORDER_LIMIT).await.unwrap();
-    assert_eq!(answer.status, 200, "{}", String::from_utf8_lossy(&answer.body));
+    assert_eq!(
+        answer.status,
+        200,
+        "{}",
+        String::from_utf8_lossy(&answer.body)
+    );
 }
 
 /// Every gateway answers with this status before the time for it is over.
@@ -65,20 +80,40 @@
     everywhere(&scene, &Ask::get(HOST, &format!("{LOOKUP}x")), 200).await;
     let until = Instant::now() + APPLY;
     loop {
-        let served = scene.client.send(&Ask::get(HOST, &format!("{LOOKUP}x"))).await;
+        let served = scene
+            .client
+            .send(&Ask::get(HOST, &format!("{LOOKUP}x")))
+            .await;
         let runs = scene.record.sightings_of(served.request);
-        if served.succeeded() && runs.iter().all(|run| run.backend == MODELS) && Instant::now() > until {
+        if served.succeeded()
+            && runs.iter().all(|run| run.backend == MODELS)
+            && Instant::now() > until
+        {
             break;
         }
         assert!(served.succeeded(), "{served:?}");
-        assert!(Instant::now() < until + APPLY, "the old service still runs the route's requests");
+        assert!(
+            Instant::now() < until + APPLY,
+            "the old service still runs the route's requests"
+        );
     }
-    moved.backends =
-        vec![Share { backend: TOOLS.to_owned(), weight: 0 }, Share { backend: MODELS.to_owned(), weight: 3 }];
+    moved.backends = vec![
+        Share {
+            backend: TOOLS.to_owned(),
+            weight: 0,
+        },
+        Share {
+            backend: MODELS.to_owned(),
+            weight: 3,
+        },
+    ];
     change(&mut scene, 2, 3, &[moved], &[]).await;
     let after = Instant::now();
     while after.elapsed() < APPLY + APPLY / 4 {
-        let served = scene.client.send(&Ask::get(HOST, &format!("{LOOKUP}x"))).await;
+        let served = scene
+            .client
+            .send(&Ask::get(HOST, &format!("{LOOKUP}x")))
+            .await;
         assert!(served.succeeded(), "{served:?}");
     }
     expect_no_violation(&scene);
@@ -92,7 +127,11 @@
         take(&mut scene, 1, &body).await;
     }
     let first = scene.plan.configuration.json();
-    let answer = scene.operator.replace(0, &first, ORDER_LIMIT).await.unwrap();
+    let answer = scene
+        .operator
+        .replace(0, &first, ORDER_LIMIT)
+        .await
+        .unwrap();
     assert!([200, 412].contains(&answer.status), "{}", answer.status);
 }
 
@@ -102,7 +141,11 @@
     take(&mut scene, 1, &patch(5, &[added()], &[])).await;
     for base in [0, 1, 4, 6] {
         let other = RoutePlan::new("other", HOST, "/other/", Kind::ReadOnly, TOOLS);
-        let answer = scene.operator.patch(base, &patch(7, &[other], &[]), ORDER_LIMIT).await.unwrap();
+        let answer = scene
+            .operator
+            .patch(base, &patch(7, &[other], &[]), ORDER_LIMIT)
+            .await
+            .unwrap();
         assert_eq!(answer.status, 412, "base {base}");
     }
     assert_eq!(current(&mut scene).await["generation"], json!(5));
@@ -136,11 +179,18 @@
     for wanted in ["nobody", "timeout_ms"] {
         assert!(text.contains(wanted), "{wanted} is not told: {text}");
     }
-    let cut =
-        scene.operator.send_raw("/api/config/patch", 1, "{\"generation\":5,", ORDER_LIMIT).await.unwrap();
+    let cut = scene
+        .operator
+        .send_raw("/api/config/patch", 1, "{\"generation\":5,", ORDER_LIMIT)
+        .await
+        .unwrap();
     assert_eq!(cut.status, 400);
     let not_above = patch(1, &[added()], &[]);
-    let answer = scene.operator.patch(1, &not_above, ORDER_LIMIT).await.unwrap();
+    let answer = scene
+        .operator
+        .patch(1, &not_above, ORDER_LIMIT)
+        .await
+        .unwrap();
     assert!([400, 412].contains(&answer.status), "{}", answer.status);
     assert_eq!(current(&mut scene).await, scene.plan.configuration.json());
 }
@@ -152,7 +202,11 @@
     whole["generation"] = json!(3);
     whole["notes"] = json!({ "by": "operator", "numbers": [1, 2.5, 1e30] });
     whole["routes"][0]["colour"] = json!("blue");
-    let answer = scene.operator.replace(1, &whole, ORDER_LIMIT).await.unwrap();
+    let answer = scene
+        .operator
+        .replace(1, &whole, ORDER_LIMIT)
+        .await
+        .unwrap();
     assert_eq!(answer.status, 200);
     for _ in scene.system.controls() {
         assert_eq!(current(&mut scene).await, whole);
@@ -170,7 +224,13 @@
             let name = format!("side-{side}");
             let route = RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS);
             let body = patch(base + 10, &[route], &[]);
-            orders.spawn(async move { operator.patch(base, &body, ORDER_LIMIT).await.unwrap().status });
+            orders.spawn(async move {
+                operator
+                    .patch(base, &body, ORDER_LIMIT)
+                    .await
+                    .unwrap()
+                    .status
+            });
         }
         let mut statuses = orders.join_all().await;
         statuses.sort_unstable();
--- a/crates/node/tests/quiet.rs
+++ b/crates/node/tests/quiet.rs
@@ -14,10 +14,24 @@
     let scene = stage(ScenePlan::default()).await;
     let mut plan = usual_program();
     plan.tools = vec![
-        Tool { target: format!("{LOOKUP}x"), kind: Kind::ReadOnly, deadline_ms: 1_200, retries: 1 },
-        Tool { target: format!("{RECORD}y"), kind: Kind::Mutating, deadline_ms: 3_000, retries: 1 },
+        Tool {
+            target: format!("{LOOKUP}x"),
+            kind: Kind::ReadOnly,
+            deadline_ms: 1_200,
+            retries: 1,
+        },
+        Tool {
+            target: format!("{RECORD}y"),
+            kind: Kind::Mutating,
+            deadline_ms: 3_000,
+            retries: 1,
+        },
     ];
-    plan.sub_agents = Some(SubAgents { after_turn: 2, count: 2, turns: 2 });
+    plan.sub_agents = Some(SubAgents {
+        after_turn: 2,
+        count: 2,
+        turns: 2,
+    });
     for _ in 0..5 {
         let played = play(&scene.client, &plan).await;
         assert_eq!(played.end, End::Finished, "{played:?}");
@@ -47,7 +61,9 @@
     for name in ["left", "middle", "right"] {
         let mut branch = trunk.branch(&scene.client);
         for number in 0..2 {
-            let served = branch.turn(&scene.client, &format!("{name} {number}").into()).await;
+            let served = branch
+                .turn(&scene.client, &format!("{name} {number}").into())
+                .await;
             assert!(served.succeeded(), "{served:?}");
         }
     }
@@ -68,7 +84,11 @@
 #[tokio::test]
 async fn requests_without_a_route_are_404_and_run_nowhere() {
     let scene = stage(ScenePlan::default()).await;
-    for (host, target) in [(HOST, "/nowhere/x"), ("other.example", "/lookup/x"), (HOST, "/lookup")] {
+    for (host, target) in [
+        (HOST, "/nowhere/x"),
+        ("other.example", "/lookup/x"),
+        (HOST, "/lookup"),
+    ] {
         let served = scene.client.send(&Ask::get(host, target)).await;
         assert_eq!(served.status(), Some(404), "{host}{target}");
         assert!(scene.record.sightings_of(served.request).is_empty());
@@ -117,7 +137,10 @@
         for _ in 0..6 {
             let served = scene.client.send(&ask).await;
             let runs = scene.record.sightings_of(served.request);
-            let ran = runs.iter().filter(|sighting| sighting.fate == Fate::Run).count();
+            let ran = runs
+                .iter()
+                .filter(|sighting| sighting.fate == Fate::Run)
+                .count();
             assert!(ran <= 1, "{trouble:?}: {served:?}");
         }
     }
--- a/crates/node/tests/replacing.rs
+++ b/crates/node/tests/replacing.rs
@@ -7,7 +7,8 @@
 use dunespur_emulator::system::{MachinePlan, Role};
 use support::disk::with_standstills_apart;
 use support::{
-    expect_no_violation, go_on, go_on_within, line_of, places, programs_for, stage, CATCH_UP, RECOVERY,
+    expect_no_violation, go_on, go_on_within, line_of, places, programs_for, stage, CATCH_UP,
+    RECOVERY,
 };
 
 #[tokio::test]
@@ -21,7 +22,10 @@
     for (round, store) in stores.iter().enumerate() {
         let zone = scene.system.machines()[*store].plan().zone.clone();
         scene.system.machine(*store).kill();
-        scene.system.join(MachinePlan::new(Role::Store, &zone)).unwrap();
+        scene
+            .system
+            .join(MachinePlan::new(Role::Store, &zone))
+            .unwrap();
         programs_for(&scene, CATCH_UP).await;
         for line in &mut lines {
             go_on(&scene, line, &format!("after replacement {round}")).await;
@@ -41,7 +45,10 @@
         let stores = places(&scene, Role::Store);
         let zone = scene.system.machines()[stores[0]].plan().zone.clone();
         scene.system.machine(stores[0]).kill();
-        scene.system.join(MachinePlan::new(Role::Store, &zone)).unwrap();
+        scene
+            .system
+            .join(MachinePlan::new(Role::Store, &zone))
+            .unwrap();
         programs_for(&scene, CATCH_UP).await;
         scene.system.wipe(stores[1]).unwrap();
         for line in &mut lines {
--- a/crates/node/tests/seeds.rs
+++ b/crates/node/tests/seeds.rs
@@ -14,18 +14,26 @@
 #[tokio::test]
 async fn gateways_come_back_when_their_seeds_have_restarted_without_a_disk() {
     let mut plan = ScenePlan::default();
-    plan.machines.push(MachinePlan::new(Role::Gateway, "zone-b"));
+    plan.machines
+        .push(MachinePlan::new(Role::Gateway, "zone-b"));
     let mut scene = stage(plan).await;
     let gateways = places(&scene, Role::Gateway);
     assert!(gateways.len() >= 2, "gateways without a disk");
-    let seeds = gateways.iter().map(|gateway| scene.system.control(*gateway)).collect();
+    let seeds = gateways
+        .iter()
+        .map(|gateway| scene.system.control(*gateway))
+        .collect();
     scene.system.kill_all();
     scene.system.set_seeds(seeds);
     for index in 0..scene.system.machines().len() {
         scene.system.restart(index).unwrap();
     }
     for gateway in gateways {
-        scene.system.ready_one(gateway, RECOVERY).await.unwrap_or_else(|error| panic!("{error:#}"));
+        scene
+            .system
+            .ready_one(gateway, RECOVERY)
+            .await
+            .unwrap_or_else(|error| panic!("{error:#}"));
     }
     line_of(&scene, 2).await;
     expect_no_violation(&scene);
@@ -51,7 +59,17 @@
         let mut status = None;
         // It may not listen yet.
         while status.is_none() && Instant::now() < until {
-            status = scene.client.send_to(front, &Ask { retries: 0, ..ask.clone() }).await.status();
+            status = scene
+                .client
+                .send_to(
+                    front,
+                    &Ask {
+                        retries: 0,
+                        ..ask.clone()
+                    },
+                )
+                .await
+                .status();
         }
         assert_eq!(status, Some(503), "{}", ask.target);
     }
--- a/crates/node/tests/servers.rs
+++ b/crates/node/tests/servers.rs
@@ -7,7 +7,9 @@
 use dunespur_emulator::configuration::ServicePlan;
 use dunespur_emulator::record::Fate;
 use dunespur_emulator::scene::{Engine, Scene, ScenePlan, HOST, LOOKUP, RECORD};
-use support::{expect_no_violation, holder_of_a_turn, lookup, programs_for, stage, Stage, DRAIN, RECOVERY};
+use support::{
+    expect_no_violation, holder_of_a_turn, lookup, programs_for, stage, Stage, DRAIN, RECOVERY,
+};
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
@@ -21,14 +23,24 @@
 /// A scene whose routes hold requests for as long as the others are watched.
 async fn patient_stage() -> Stage {
     let mut plan = ScenePlan::default();
-    plan.configuration.routes.iter_mut().for_each(|route| route.timeout_ms = PATIENCE_MS);
+    plan.configuration
+        .routes
+        .iter_mut()
+        .for_each(|route| route.timeout_ms = PATIENCE_MS);
     stage(plan).await
 }
 
 /// A turn that one of the engines holds, and which one that is.
 async fn held_turn(scene: &Scene) -> (usize, JoinHandle<Served>) {
-    scene.engines.iter().for_each(|engine| engine.server.gate.hold());
-    let ask = Ask { deadline_ms: PATIENCE_MS, pause_ms: PATIENCE_MS, ..scene.turn_ask() };
+    scene
+        .engines
+        .iter()
+        .for_each(|engine| engine.server.gate.hold());
+    let ask = Ask {
+        deadline_ms: PATIENCE_MS,
+        pause_ms: PATIENCE_MS,
+        ..scene.turn_ask()
+    };
     let client = scene.client.clone();
     let turn = tokio::spawn(async move { client.send(&ask).await });
     (holder_of_a_turn(scene).await, turn)
@@ -36,7 +48,10 @@
 
 /// Requests that an engine has seen.
 fn seen_at(scene: &Scene, engine: &Engine) -> usize {
-    scene.record.sightings_at(&engine.server.door.identity.instance).len()
+    scene
+        .record
+        .sightings_at(&engine.server.door.identity.instance)
+        .len()
 }
 
 /// Serves turns until long after it was acknowledged that this engine is not to get any more, and sees that it gets
@@ -93,7 +108,10 @@
         let served = scene.client.send(&lookup()).await;
         assert!(served.succeeded(), "{served:?}");
         clean = if served.tries == 1 { clean + 1 } else { 0 };
-        assert!(Instant::now() < until, "the server is tried again and again");
+        assert!(
+            Instant::now() < until,
+            "the server is tried again and again"
+        );
     }
     expect_no_violation(&scene);
 }
@@ -112,17 +130,30 @@
         assert!(scene.client.send(&lookup()).await.succeeded());
     }
     expect_no_violation(&scene);
-    let before = scene.record.sightings_at(&draining.server.door.identity.instance).len();
+    let before = scene
+        .record
+        .sightings_at(&draining.server.door.identity.instance)
+        .len();
     for _ in 0..50 {
         assert!(scene.client.send(&lookup()).await.succeeded());
     }
-    assert_eq!(scene.record.sightings_at(&draining.server.door.identity.instance).len(), before);
+    assert_eq!(
+        scene
+            .record
+            .sightings_at(&draining.server.door.identity.instance)
+            .len(),
+        before
+    );
 }
 
 #[tokio::test]
 async fn an_address_used_again_by_another_service_runs_nothing_of_the_first() {
     let mut plan = ScenePlan::default();
-    let other = ServicePlan { name: "other".to_owned(), max_conns: 120, engine: None };
+    let other = ServicePlan {
+        name: "other".to_owned(),
+        max_conns: 120,
+        engine: None,
+    };
     plan.configuration.services.push(other);
     let mut scene = stage(plan).await;
     let crashed = scene.plains.remove(0);
@@ -138,7 +169,10 @@
         assert!(scene.client.send(&record()).await.succeeded());
     }
     let sightings = scene.record.sightings_at(&instance);
-    let ran = sightings.iter().filter(|sighting| sighting.fate == Fate::Run).count();
+    let ran = sightings
+        .iter()
+        .filter(|sighting| sighting.fate == Fate::Run)
+        .count();
     assert_eq!(ran, 0, "a server of another service ran requests");
     expect_no_violation(&scene);
 }
@@ -153,11 +187,18 @@
     let mut held = tokio::task::JoinSet::new();
     for _ in 0..4 * places {
         let client = scene.client.clone();
-        let ask = Ask { deadline_ms: 2_000, ..record() };
+        let ask = Ask {
+            deadline_ms: 2_000,
+            ..record()
+        };
         held.spawn(async move { client.send(&ask).await });
     }
     for plain in &scene.plains {
-        plain.server.gate.waiting(scene.plan.plain_slots as usize).await;
+        plain
+            .server
+            .gate
+            .waiting(scene.plan.plain_slots as usize)
+            .await;
     }
     for plain in &scene.plains {
         plain.server.gate.open();
@@ -165,7 +206,10 @@
     let served = held.join_all().await;
     assert!(served.iter().filter(|served| served.succeeded()).count() >= places);
     let clear = |status: Option<u16>| matches!(status, Some(200 | 429 | 503));
-    assert!(served.iter().all(|served| clear(served.status())), "{served:?}");
+    assert!(
+        served.iter().all(|served| clear(served.status())),
+        "{served:?}"
+    );
     expect_no_violation(&scene);
 }
 
--- a/crates/node/tests/status.rs
+++ b/crates/node/tests/status.rs
@@ -19,22 +19,41 @@
 /// What `dunespur status` says. Servers and clients of the scene go on meanwhile.
 async fn ask(address: SocketAddr, arguments: &[&str]) -> Output {
     let mut command = Command::new(program());
-    command.env_clear().stdin(Stdio::null()).arg("status").args(arguments).arg(address.to_string());
-    tokio::task::spawn_blocking(move || command.output().unwrap()).await.unwrap()
+    command
+        .env_clear()
+        .stdin(Stdio::null())
+        .arg("status")
+        .args(arguments)
+        .arg(address.to_string());
+    tokio::task::spawn_blocking(move || command.output().unwrap())
+        .await
+        .unwrap()
 }
 
 fn internal(scene: &Scene, machine: usize) -> SocketAddr {
-    SocketAddr::new(scene.system.machines()[machine].ip(), Ports::default().first_internal)
+    SocketAddr::new(
+        scene.system.machines()[machine].ip(),
+        Ports::default().first_internal,
+    )
 }
 
 async fn json_of(address: SocketAddr, arguments: &[&str]) -> Value {
     let output = ask(address, &[&["--json"], arguments].concat()).await;
-    assert_eq!(output.status.code(), Some(ANSWERED), "{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(
+        output.status.code(),
+        Some(ANSWERED),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
 /// The status as soon as it is as wanted: what a process knows of others comes a moment later.
-async fn json_that(address: SocketAddr, arguments: &[&str], wanted: impl Fn(&Value) -> bool) -> Value {
+async fn json_that(
+    address: SocketAddr,
+    arguments: &[&str],
+    wanted: impl Fn(&Value) -> bool,
+) -> Value {
     let until = Instant::now() + SETTLE_LIMIT;
     loop {
         let status = json_of(address, arguments).await;
@@ -47,7 +66,12 @@
 
 async fn table_of(address: SocketAddr) -> String {
     let output = ask(address, &[]).await;
-    assert_eq!(output.status.code(), Some(ANSWERED), "{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(
+        output.status.code(),
+        Some(ANSWERED),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     String::from_utf8(output.stdout).unwrap()
 }
 
@@ -56,23 +80,35 @@
     let until = Instant::now() + SETTLE_LIMIT;
     loop {
         let table = table_of(address).await;
-        let Some(missing) = words.iter().find(|word| !table.contains(**word)) else { return };
+        let Some(missing) = words.iter().find(|word| !table.contains(**word)) else {
+            return;
+        };
         assert!(Instant::now() < until, "{missing}: {table}");
     }
 }
 
 fn names(list: &Value, field: &str) -> Vec<String> {
-    list.as_array().unwrap().iter().map(|item| item[field].as_str().unwrap().to_owned()).collect()
+    list.as_array()
+        .unwrap()
+        .iter()
+        .map(|item| item[field].as_str().unwrap().to_owned())
+        .collect()
 }
 
 #[tokio::test]
 async fn every_process_tells_how_it_is() {
     let scene = stage(ScenePlan::default()).await;
     for _ in 0..2 {
-        assert_eq!(play(&scene.client, &usual_program()).await.end, End::Finished);
+        assert_eq!(
+            play(&scene.client, &usual_program()).await.end,
+            End::Finished
+        );
     }
     let cores = places(&scene, Role::Core);
-    let core_names: Vec<&str> = cores.iter().map(|place| scene.system.machines()[*place].name()).collect();
+    let core_names: Vec<&str> = cores
+        .iter()
+        .map(|place| scene.system.machines()[*place].name())
+        .collect();
     let stores = places(&scene, Role::Store);
     let mut requests = 0;
     for place in 0..scene.system.machines().len() {
@@ -80,24 +116,41 @@
         let knows_all = |status: &Value| {
             let mut members = names(&status["view"]["members"], "node");
             members.sort();
-            let is_known = members == core_names && names(&status["stores"], "name").len() == stores.len();
-            is_known && status["control"]["in_touch"] == true && status["control"]["generation"] == 1
+            let is_known =
+                members == core_names && names(&status["stores"], "name").len() == stores.len();
+            is_known
+                && status["control"]["in_touch"] == true
+                && status["control"]["generation"] == 1
         };
         let status = json_that(internal(&scene, place), &[], knows_all).await;
         assert_eq!(status["node"], machine.name());
         assert_eq!(status["role"], machine.plan().role.command());
         assert_eq!(status["zone"], *machine.plan().zone);
-        assert!(status["process"]["peak_memory_kb"].as_u64().unwrap() > 0, "{status}");
-        assert!(status["process"]["descriptors"].as_u64().unwrap() > 3, "{status}");
+        assert!(
+            status["process"]["peak_memory_kb"].as_u64().unwrap() > 0,
+            "{status}"
+        );
+        assert!(
+            status["process"]["descriptors"].as_u64().unwrap() > 3,
+            "{status}"
+        );
         assert!(status["link"]["calls"].as_u64().unwrap() > 0, "{status}");
-        assert_eq!(status["front"].is_null(), machine.plan().role == Role::Store);
-        assert_eq!(status["turns"].is_null(), machine.plan().role != Role::Store);
+        assert_eq!(
+            status["front"].is_null(),
+            machine.plan().role == Role::Store
+        );
+        assert_eq!(
+            status["turns"].is_null(),
+            machine.plan().role != Role::Store
+        );
         assert_eq!(status["core"].is_null(), machine.plan().role != Role::Core);
         if machine.plan().role == Role::Store {
             continue;
         }
         let serves_all = |status: &Value| {
-            let servers = status["services"][0]["servers"].as_array().map_or(0, Vec::len);
+            let servers = status["services"][0]["servers"]
+                .as_array()
+                .map_or(0, Vec::len);
             let is_served = names(&status["services"], "name") == [MODELS, TOOLS];
             is_served && servers == scene.engines.len() && status["front"]["ready"] == true
         };
@@ -117,19 +170,33 @@
     }
     let mut kept = 0;
     for place in stores {
-        kept += json_of(internal(&scene, place), &[]).await["turns"]["turns"].as_u64().unwrap();
+        kept += json_of(internal(&scene, place), &[]).await["turns"]["turns"]
+            .as_u64()
+            .unwrap();
     }
-    assert!(kept >= sent * (u64::from(scene.plan.tolerated_losses) + 1), "{kept}");
+    assert!(
+        kept >= sent * (u64::from(scene.plan.tolerated_losses) + 1),
+        "{kept}"
+    );
 }
 
 #[tokio::test]
 async fn tables_name_what_there_is() {
     let scene = stage(ScenePlan::default()).await;
     let core = places(&scene, Role::Core)[0];
-    let mut wanted = vec!["in touch", "front: ready", "core member: follows", "configuration 1"];
+    let mut wanted = vec![
+        "in touch",
+        "front: ready",
+        "core member: follows",
+        "configuration 1",
+    ];
     wanted.extend(["GATEWAY", "SERVICE", "STORE", "LEASE"]);
     wanted.extend(scene.system.machines().iter().map(|machine| machine.name()));
-    wanted.extend(scene.servers().map(|server| server.identity.instance.as_str()));
+    wanted.extend(
+        scene
+            .servers()
+            .map(|server| server.identity.instance.as_str()),
+    );
     table_with(internal(&scene, core), &wanted).await;
     let store = places(&scene, Role::Store)[0];
     table_with(internal(&scene, store), &["turns: ", "in touch"]).await;
@@ -149,7 +216,10 @@
     assert_eq!(status["program"]["name"], *name);
     let gateway = places(&scene, Role::Gateway)[0];
     let status = json_of(internal(&scene, gateway), &["--program", &name]).await;
-    assert!(status["program"]["held_here"].is_u64() && status["program"]["used"].is_null(), "{status}");
+    assert!(
+        status["program"]["held_here"].is_u64() && status["program"]["used"].is_null(),
+        "{status}"
+    );
 }
 
 #[tokio::test]
@@ -159,12 +229,18 @@
     let ip = addresses.next().unwrap();
     let port = Ports::default().first_internal;
     let settings = folder.path().join("node.json");
-    std::fs::write(&settings, json!({"node": "front-1", "ip": ip, "port_range": [port, port]}).to_string())
-        .unwrap();
+    std::fs::write(
+        &settings,
+        json!({"node": "front-1", "ip": ip, "port_range": [port, port]}).to_string(),
+    )
+    .unwrap();
     let mut alone = Running::start(&[], &settings);
     assert!(alone.line().contains("serves"));
     let table = table_of(SocketAddr::new(ip, port)).await;
-    assert!(table.contains("OUT OF TOUCH") && table.contains("NOT READY"), "{table}");
+    assert!(
+        table.contains("OUT OF TOUCH") && table.contains("NOT READY"),
+        "{table}"
+    );
 }
 
 #[tokio::test]
--- a/crates/node/tests/support/disk.rs
+++ b/crates/node/tests/support/disk.rs
@@ -48,7 +48,9 @@
     loop {
         let begun = Instant::now();
         watched().lock().unwrap().begun = Some(begun);
-        file.write_all(b"sync").and_then(|()| file.sync_data()).expect("a sync");
+        file.write_all(b"sync")
+            .and_then(|()| file.sync_data())
+            .expect("a sync");
         let mut watched = watched().lock().unwrap();
         watched.begun = None;
         if begun.elapsed() >= STANDSTILL {
@@ -70,7 +72,9 @@
     let under_way = watched.begun.map(|begun| (begun, Instant::now()));
     let under_way = under_way.filter(|(begun, now)| *now - *begun >= STANDSTILL);
     let spans = watched.standstills.iter().chain(under_way.iter());
-    spans.map(|(begun, ended)| ended.saturating_duration_since(since.max(*begun))).sum()
+    spans
+        .map(|(begun, ended)| ended.saturating_duration_since(since.max(*begun)))
+        .sum()
 }
 
 /// Fails the test: the program answered "later" and was not to.
@@ -85,13 +89,23 @@
     begin();
     for play in 1.. {
         let begun = Instant::now();
-        let played = LocalSet::new().run_until(async { spawn_local(scene()).await }).await;
+        let played = LocalSet::new()
+            .run_until(async { spawn_local(scene()).await })
+            .await;
         let Err(failure) = played else { return };
         let failure = failure.into_panic();
-        let Some(Later(what)) = failure.downcast_ref::<Later>() else { resume_unwind(failure) };
+        let Some(Later(what)) = failure.downcast_ref::<Later>() else {
+            resume_unwind(failure)
+        };
         let stood_still = stood_still_since(begun);
-        assert!(!stood_still.is_zero(), "answered \"later\" while the disk went on: {what}");
-        assert!(play < PLAYS, "answered \"later\" in each of {PLAYS} plays: {what}");
+        assert!(
+            !stood_still.is_zero(),
+            "answered \"later\" while the disk went on: {what}"
+        );
+        assert!(
+            play < PLAYS,
+            "answered \"later\" in each of {PLAYS} plays: {what}"
+        );
         eprintln!("play {play}: the disk stood still for {stood_still:?}, so it is played again");
     }
 }
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -56,15 +56,25 @@
 /// A scene that serves.
 pub async fn stage(plan: ScenePlan) -> Stage {
     let place = SCENES.acquire().await.expect("never closed");
-    let scene = Scene::start(&program(), plan).await.unwrap_or_else(|error| panic!("{error:#}"));
-    Stage { scene, _place: place }
+    let scene = Scene::start(&program(), plan)
+        .await
+        .unwrap_or_else(|error| panic!("{error:#}"));
+    Stage {
+        scene,
+        _place: place,
+    }
 }
 
 /// A scene whose processes have been started, without any order of the operator.
 pub async fn begin(plan: ScenePlan) -> Stage {
     let place = SCENES.acquire().await.expect("never closed");
-    let scene = Scene::begin(&program(), plan).await.unwrap_or_else(|error| panic!("{error:#}"));
-    Stage { scene, _place: place }
+    let scene = Scene::begin(&program(), plan)
+        .await
+        .unwrap_or_else(|error| panic!("{error:#}"));
+    Stage {
+        scene,
+        _place: place,
+    }
 }
 
 /// Places of machines of a role.
@@ -88,7 +98,11 @@
     let begun = std::time::Instant::now();
     while begun.elapsed() < time + stood_still_since(begun) {
         let played = play(&scene.client, &usual_program()).await;
-        if played.end == (End::Failed { status: Some(LATER) }) {
+        if played.end
+            == (End::Failed {
+                status: Some(LATER),
+            })
+        {
             fail_as_late(format!("{played:?}"));
         }
         assert_eq!(played.end, End::Finished, "{played:?}");
@@ -148,10 +162,24 @@
     let generation = base + 3;
     let name = format!("route-{generation}");
     let route = RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS);
-    let plan = scene.configurations.last().unwrap().patched(generation, std::slice::from_ref(&route), &[]);
+    let plan =
+        scene
+            .configurations
+            .last()
+            .unwrap()
+            .patched(generation, std::slice::from_ref(&route), &[]);
     scene.configurations.push(plan);
-    let answer = scene.operator.patch(base, &patch(generation, &[route], &[]), RECOVERY).await.unwrap();
-    assert_eq!(answer.status, 200, "{}", String::from_utf8_lossy(&answer.body));
+    let answer = scene
+        .operator
+        .patch(base, &patch(generation, &[route], &[]), RECOVERY)
+        .await
+        .unwrap();
+    assert_eq!(
+        answer.status,
+        200,
+        "{}",
+        String::from_utf8_lossy(&answer.body)
+    );
     generation
 }
 
--- a/crates/node/tests/unreadable.rs
+++ b/crates/node/tests/unreadable.rs
@@ -8,7 +8,8 @@
 use std::fs::{self, OpenOptions};
 use std::path::{Path, PathBuf};
 use support::{
-    add_route, expect_no_violation, generation, go_on, line_of, places, programs_for, stage, CATCH_UP,
+    add_route, expect_no_violation, generation, go_on, line_of, places, programs_for, stage,
+    CATCH_UP,
 };
 
 const CORE_FILE: &str = "core.redb";
@@ -45,7 +46,11 @@
 /// The machine runs, has said why, and holds one file that was set aside.
 fn expect_set_aside(scene: &Scene, machine: usize, path: &Path) {
     let machine = &scene.system.machines()[machine];
-    let said = machine.log().lines().filter(|line| line.contains("is set aside as")).count();
+    let said = machine
+        .log()
+        .lines()
+        .filter(|line| line.contains("is set aside as"))
+        .count();
     assert_eq!(said, 1, "{}", machine.log_tail());
     assert!(path.with_extension("unreadable").exists() && path.exists());
 }
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -18,7 +18,12 @@
 }
 
 impl Kind {
-    const ALL: [(Kind, u16); 4] = [(Kind::Gossip, 1), (Kind::Duties, 2), (Kind::Watch, 3), (Kind::Work, 4)];
+    const ALL: [(Kind, u16); 4] = [
+        (Kind::Gossip, 1),
+        (Kind::Duties, 2),
+        (Kind::Watch, 3),
+        (Kind::Work, 4),
+    ];
 
     pub fn number(self) -> u16 {
         Kind::ALL.iter().find(|k| k.0 == self).map_or(0, |k| k.1)
@@ -112,13 +117,24 @@
     fn frame() -> Frame {
         let at = SocketAddrV4::new([127, 0, 0, 1].into(), 7);
         let (fleet, from) = ("f".to_owned(), "n1".to_owned());
-        Frame { version: 9, fleet, from, at, kind: Kind::Duties.number(), body: vec![1, 2, 3] }
+        Frame {
+            version: 9,
+            fleet,
+            from,
+            at,
+            kind: Kind::Duties.number(),
+            body: vec![1, 2, 3],
+        }
     }
 
     #[test]
     fn a_frame_comes_back_and_any_turned_bit_is_found() {
         let bytes = frame().datagram();
-        assert_eq!(Frame::from_datagram(&bytes, "f"), Ok(frame()), "a newer version's head is read");
+        assert_eq!(
+            Frame::from_datagram(&bytes, "f"),
+            Ok(frame()),
+            "a newer version's head is read"
+        );
         assert_eq!(Frame::from_datagram(&bytes, "g"), Err(Refused::Fleet));
         for at in 0..bytes.len() * 8 {
             let mut turned = bytes.clone();
@@ -132,7 +148,10 @@
 
     #[test]
     fn a_newer_kind_is_told_from_a_spoilt_frame() {
-        let newer = Frame { kind: 999, ..frame() };
+        let newer = Frame {
+            kind: 999,
+            ..frame()
+        };
         let back = Frame::from_datagram(&newer.datagram(), "f").unwrap();
         assert_eq!(back.kind(), Err(Refused::Unknown));
         let stream = frame().stream();
--- a/crates/peer/src/links.rs
+++ b/crates/peer/src/links.rs
@@ -85,7 +85,19 @@
         let listener = TcpListener::bind(at).await?;
         let (peers, taken, counts) = (RefCell::default(), Cell::new(0), RefCell::default());
         let version = Cell::new(VERSION);
-        let links = Rc::new(Links { fleet, me, at, bounds, udp, via, peers, taken, inbox, counts, version });
+        let links = Rc::new(Links {
+            fleet,
+            me,
+            at,
+            bounds,
+            udp,
+            via,
+            peers,
+            taken,
+            inbox,
+            counts,
+            version,
+        });
         tokio::task::spawn_local(links.clone().hear());
         tokio::task::spawn_local(links.clone().listen(listener));
         Ok(links)
@@ -93,13 +105,25 @@
 
     fn frame(&self, kind: Kind, body: Vec<u8>) -> Frame {
         let (fleet, from, version) = (self.fleet.clone(), self.me.clone(), self.version.get());
-        Frame { version, fleet, from, at: self.at, kind: kind.number(), body }
+        Frame {
+            version,
+            fleet,
+            from,
+            at: self.at,
+            kind: kind.number(),
+            body,
+        }
     }
 
     /// For trials: what a newer version may send, of a kind that this one does not know.
     pub fn strange(&self, to: SocketAddrV4) {
-        let frame = Frame { kind: u16::MAX, ..self.frame(Kind::Work, vec![0xA5; 40]) };
-        let _ = self.udp.try_send_to(&frame.datagram(), self.reach(to).into());
+        let frame = Frame {
+            kind: u16::MAX,
+            ..self.frame(Kind::Work, vec![0xA5; 40])
+        };
+        let _ = self
+            .udp
+            .try_send_to(&frame.datagram(), self.reach(to).into());
     }
 
     fn reach(&self, to: SocketAddrV4) -> SocketAddrV4 {
@@ -132,7 +156,10 @@
                 return;
             }
             None => {
-                let peer = Rc::new(Peer { queue: RefCell::default(), more: Notify::new() });
+                let peer = Rc::new(Peer {
+                    queue: RefCell::default(),
+                    more: Notify::new(),
+                });
                 peers.insert(to, peer.clone());
                 tokio::task::spawn_local(self.clone().serve(to, peer.clone()));
                 peer
@@ -160,7 +187,9 @@
         let (mut unread, mut since) = (0usize, Instant::now());
         loop {
             while peer.queue.borrow().is_empty() {
-                if timeout(idle, peer.more.notified()).await.is_err() && peer.queue.borrow().is_empty() {
+                if timeout(idle, peer.more.notified()).await.is_err()
+                    && peer.queue.borrow().is_empty()
+                {
                     self.peers.borrow_mut().remove(&to);
                     return;
                 }
@@ -255,7 +284,9 @@
         loop {
             let end = Instant::now() + idle;
             let quiet = |_| io::Error::from(io::ErrorKind::TimedOut);
-            tokio::time::timeout_at(end, stream.read_exact(&mut head)).await.map_err(quiet)??;
+            tokio::time::timeout_at(end, stream.read_exact(&mut head))
+                .await
+                .map_err(quiet)??;
             let (length, sum) = match Frame::head(&head, self.bounds.frame) {
                 Ok(head) => head,
                 Err(refused) => {
@@ -264,7 +295,9 @@
                 }
             };
             body.resize(length, 0);
-            tokio::time::timeout_at(end, stream.read_exact(&mut body)).await.map_err(quiet)??;
+            tokio::time::timeout_at(end, stream.read_exact(&mut body))
+                .await
+                .map_err(quiet)??;
             let _ = stream.try_write(&[1]);
             match Frame::checked(sum, &body, &self.fleet) {
                 Ok(frame) => {
@@ -339,7 +372,13 @@
     use super::*;
 
     fn bounds() -> Bounds {
-        Bounds { peers: 4, queue: 8, frame: 1000, dial: 0.5, idle: 5.0 }
+        Bounds {
+            peers: 4,
+            queue: 8,
+            frame: 1000,
+            dial: 0.5,
+            idle: 5.0,
+        }
     }
 
     fn free() -> SocketAddrV4 {
@@ -352,12 +391,23 @@
 
     async fn open(name: &str) -> (Rc<Links>, mpsc::Receiver<Came>) {
         let (tx, rx) = mpsc::channel(64);
-        let links = Links::open("f".into(), name.into(), free(), bounds(), BTreeMap::new(), tx).await;
+        let links = Links::open(
+            "f".into(),
+            name.into(),
+            free(),
+            bounds(),
+            BTreeMap::new(),
+            tx,
+        )
+        .await;
         (links.unwrap(), rx)
     }
 
     async fn next(rx: &mut mpsc::Receiver<Came>) -> Came {
-        timeout(Duration::from_secs(10), rx.recv()).await.unwrap().unwrap()
+        timeout(Duration::from_secs(10), rx.recv())
+            .await
+            .unwrap()
+            .unwrap()
     }
 
     #[tokio::test]
@@ -375,19 +425,40 @@
                 let mut s = TcpStream::connect(b.at).await.unwrap();
                 s.write_all(&[0xFF; 64]).await.unwrap();
                 let mut end = [0];
-                let ended = timeout(Duration::from_secs(10), s.read(&mut end)).await.unwrap();
+                let ended = timeout(Duration::from_secs(10), s.read(&mut end))
+                    .await
+                    .unwrap();
                 assert!(!matches!(ended, Ok(n) if n > 0), "closed or reset");
-                let other = Frame { fleet: "g".into(), ..a.frame(Kind::Duties, vec![3]) };
-                let newer = Frame { kind: 77, ..a.frame(Kind::Duties, vec![4]) };
+                let other = Frame {
+                    fleet: "g".into(),
+                    ..a.frame(Kind::Duties, vec![3])
+                };
+                let newer = Frame {
+                    kind: 77,
+                    ..a.frame(Kind::Duties, vec![4])
+                };
                 let mut s = TcpStream::connect(b.at).await.unwrap();
                 s.write_all(&other.stream()).await.unwrap();
                 s.write_all(&newer.stream()).await.unwrap();
-                s.write_all(&a.frame(Kind::Duties, vec![5]).stream()).await.unwrap();
-                assert_eq!(next(&mut from_a).await.frame.body, [5], "what it can't read is skipped");
+                s.write_all(&a.frame(Kind::Duties, vec![5]).stream())
+                    .await
+                    .unwrap();
+                assert_eq!(
+                    next(&mut from_a).await.frame.body,
+                    [5],
+                    "what it can't read is skipped"
+                );
                 let counts = b.counts.borrow().clone();
-                assert_eq!((counts.too_large, counts.other_fleet, counts.unknown), (1, 1, 1));
+                assert_eq!(
+                    (counts.too_large, counts.other_fleet, counts.unknown),
+                    (1, 1, 1)
+                );
                 a.send(b.at, Kind::Duties, vec![6]);
-                assert_eq!(next(&mut from_a).await.frame.body, [6], "the old link still stands");
+                assert_eq!(
+                    next(&mut from_a).await.frame.body,
+                    [6],
+                    "the old link still stands"
+                );
             })
             .await;
     }
--- a/crates/proxy/src/answer.rs
+++ b/crates/proxy/src/answer.rs
@@ -33,7 +33,14 @@
         }
         *self.0.borrow_mut() = Some(piece);
         // Taking it polls this anew.
-        poll_fn(|_| if self.0.borrow().is_none() { Poll::Ready(()) } else { Poll::Pending }).await;
+        poll_fn(|_| {
+            if self.0.borrow().is_none() {
+                Poll::Ready(())
+            } else {
+                Poll::Pending
+            }
+        })
+        .await;
     }
 
     fn take(&self) -> Option<Bytes> {
@@ -63,8 +70,15 @@
 
 impl AnswerBody {
     pub(crate) fn whole(bytes: Bytes, client: &Rc<Client>) -> AnswerBody {
-        let source = if bytes.is_empty() { Source::Over } else { Source::Whole(bytes) };
-        AnswerBody { source, client: client.clone() }
+        let source = if bytes.is_empty() {
+            Source::Over
+        } else {
+            Source::Whole(bytes)
+        };
+        AnswerBody {
+            source,
+            client: client.clone(),
+        }
     }
 
     /// One whose pieces `pump` puts into `outlet`; `length` in bytes, where it is known.
@@ -74,8 +88,15 @@
         length: Option<u64>,
         client: &Rc<Client>,
     ) -> AnswerBody {
-        let source = Source::Pumped { pump: Box::pin(pump), outlet, length };
-        AnswerBody { source, client: client.clone() }
+        let source = Source::Pumped {
+            pump: Box::pin(pump),
+            outlet,
+            length,
+        };
+        AnswerBody {
+            source,
+            client: client.clone(),
+        }
     }
 }
 
@@ -83,12 +104,19 @@
     type Data = Bytes;
     type Error = Broken;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
         match std::mem::replace(&mut self.source, Source::Over) {
             Source::Over => Poll::Ready(None),
             Source::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
             Source::Breaking(broken) => Poll::Ready(Some(Err(broken))),
-            Source::Pumped { mut pump, outlet, length } => {
+            Source::Pumped {
+                mut pump,
+                outlet,
+                length,
+            } => {
                 let polled = pump.as_mut().poll(cx);
                 match polled {
                     Poll::Ready(Ok(())) => return Poll::Ready(None),
@@ -100,7 +128,11 @@
                     Poll::Pending => {}
                 }
                 let piece = outlet.take();
-                self.source = Source::Pumped { pump, outlet, length };
+                self.source = Source::Pumped {
+                    pump,
+                    outlet,
+                    length,
+                };
                 match piece {
                     Some(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
                     None => Poll::Pending,
@@ -117,7 +149,10 @@
         match &self.source {
             Source::Over => SizeHint::with_exact(0),
             Source::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Source::Pumped { length: Some(length), .. } => SizeHint::with_exact(*length),
+            Source::Pumped {
+                length: Some(length),
+                ..
+            } => SizeHint::with_exact(*length),
             Source::Pumped { length: None, .. } | Source::Breaking(_) => SizeHint::default(),
         }
     }
--- a/crates/proxy/src/answer_head.rs
+++ b/crates/proxy/src/answer_head.rs
@@ -15,16 +15,20 @@
         return AnswerKind::NotOurs;
     }
     // Clients ask for bodies without an encoding; with one it isn't the server's body.
-    if head.headers.get(CONTENT_ENCODING).is_some_and(|coding| coding != "identity") {
+    if head
+        .headers
+        .get(CONTENT_ENCODING)
+        .is_some_and(|coding| coding != "identity")
+    {
         return AnswerKind::NotOurs;
     }
     let not_executed = head.headers.contains_key(http_headers::NOT_EXECUTED);
     match head.status {
         StatusCode::MISDIRECTED_REQUEST => AnswerKind::OtherInstance,
         status if not_executed => kind_of_not_executed(status),
-        StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            AnswerKind::UnbackedPromise
-        }
+        StatusCode::REQUEST_TIMEOUT
+        | StatusCode::TOO_MANY_REQUESTS
+        | StatusCode::SERVICE_UNAVAILABLE => AnswerKind::UnbackedPromise,
         status if status.is_success() => kind_of_success(head),
         status if status.is_server_error() => AnswerKind::Failure,
         status if status.is_informational() => AnswerKind::NotOurs,
@@ -34,9 +38,12 @@
 
 /// How the end of the answer to a request of this method is told.
 pub(crate) fn framing_of(head: &Parts, method: &Method) -> Framing {
-    let bodiless =
-        matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED) || method == Method::HEAD;
-    let delimited = head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
+    let bodiless = matches!(
+        head.status,
+        StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
+    ) || method == Method::HEAD;
+    let delimited =
+        head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
     if bodiless || delimited {
         Framing::Delimited
     } else {
--- a/crates/proxy/src/asked.rs
+++ b/crates/proxy/src/asked.rs
@@ -27,8 +27,15 @@
 
 impl Asked {
     pub(crate) fn read(headers: &HeaderMap) -> Result<Asked, Refusal> {
-        let text = |name: HeaderName| headers.get(name).filter(|value| value.to_str().is_ok()).cloned();
-        let id = text(http_headers::REQUEST_ID).filter(|id| !id.is_empty()).ok_or(Refusal::NoId)?;
+        let text = |name: HeaderName| {
+            headers
+                .get(name)
+                .filter(|value| value.to_str().is_ok())
+                .cloned()
+        };
+        let id = text(http_headers::REQUEST_ID)
+            .filter(|id| !id.is_empty())
+            .ok_or(Refusal::NoId)?;
         let (prompt_tokens, most_tokens) = token_count(headers);
         Ok(Asked {
             id,
@@ -51,29 +58,43 @@
 }
 
 fn number(headers: &HeaderMap, name: HeaderName) -> Result<Option<u64>, Refusal> {
-    let Some(value) = headers.get(name) else { return Ok(None) };
-    let number = value.to_str().ok().and_then(|value| value.trim().parse().ok());
+    let Some(value) = headers.get(name) else {
+        return Ok(None);
+    };
+    let number = value
+        .to_str()
+        .ok()
+        .and_then(|value| value.trim().parse().ok());
     number.map(Some).ok_or(Refusal::Malformed)
 }
 
 /// Tokens of the prompt, and the most that are generated.
 fn token_count(headers: &HeaderMap) -> (u32, u32) {
-    let value =
-        headers.get(http_headers::TOKEN_COUNT).and_then(|value| value.to_str().ok()).unwrap_or_default();
-    let mut numbers = value.split(',').map(|number| number.trim().parse().unwrap_or(0));
+    let value = headers
+        .get(http_headers::TOKEN_COUNT)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or_default();
+    let mut numbers = value
+        .split(',')
+        .map(|number| number.trim().parse().unwrap_or(0));
     (numbers.next().unwrap_or(0), numbers.next().unwrap_or(0))
 }
 
 /// The parts that the prompt consists of, in order.
 fn prefix(headers: &HeaderMap) -> SmallVec<[Part; 8]> {
-    let value =
-        headers.get(http_headers::PROMPT_PREFIX).and_then(|value| value.to_str().ok()).unwrap_or_default();
+    let value = headers
+        .get(http_headers::PROMPT_PREFIX)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or_default();
     value.split(',').map_while(part).take(MOST_PARTS).collect()
 }
 
 fn part(text: &str) -> Option<Part> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(Part { id: part_id(id)?, tokens: tokens.parse().ok()? })
+    Some(Part {
+        id: part_id(id)?,
+        tokens: tokens.parse().ok()?,
+    })
 }
 
 /// The last 16 hex digits of an id.
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -79,27 +79,47 @@
 
     pub(crate) fn split(self) -> (Parts, ReplyBody) {
         let terms = KeepTerms::read(&self.head.headers);
-        (self.head, ReplyBody::new(self.incoming, self.link, self.kind, self.framing, terms))
+        (
+            self.head,
+            ReplyBody::new(self.incoming, self.link, self.kind, self.framing, terms),
+        )
     }
 
     fn so_far(&self, ended_by: EndedBy) -> Attempt {
-        let received = Received::PartOfAnswer { kind: self.kind, framing: self.framing, passed_on: false };
-        Attempt { sent: self.link.sent(), received, ended_by }
+        let received = Received::PartOfAnswer {
+            kind: self.kind,
+            framing: self.framing,
+            passed_on: false,
+        };
+        Attempt {
+            sent: self.link.sent(),
+            received,
+            ended_by,
+        }
     }
 }
 
 impl<N: Node> Sending<N> {
     /// Sends the request to one server and waits for the head of its answer.
-    pub(crate) async fn attempt(&mut self, ticket: &Ticket, over: Over) -> Result<Answered, AttemptError> {
+    pub(crate) async fn attempt(
+        &mut self,
+        ticket: &Ticket,
+        over: Over,
+    ) -> Result<Answered, AttemptError> {
         self.limit.wait_out();
         let idempotent = self.route.idempotent();
-        let kept = || self.front.servers.kept(&ticket.server, idempotent, &self.front.clock);
+        let kept = || {
+            self.front
+                .servers
+                .kept(&ticket.server, idempotent, &self.front.clock)
+        };
         if let Some(link) = (over == Over::KeptOrNew).then(kept).flatten() {
             trace::sent(&self.asked, ticket, trace::Over::Kept);
             match self.exchange(link, ticket).await {
                 // The connection ended as it was used again: the server is as well reached over a new one.
                 Err(AttemptError::Ended(attempt)) if self.may_reconnect(attempt) => {
-                    self.record.note(&ticket.server.id, attempt.disposition().execution);
+                    self.record
+                        .note(&ticket.server.id, attempt.disposition().execution);
                 }
                 result => return result,
             }
@@ -107,7 +127,9 @@
         let front = self.front.clone();
         let connecting = front.servers.connect(&ticket.server, self.route.target_ms);
         let connected = self.limit.bound(connecting).await;
-        let link = connected.unwrap_or(Err(ConnectError::TimeUp)).map_err(AttemptError::Connect)?;
+        let link = connected
+            .unwrap_or(Err(ConnectError::TimeUp))
+            .map_err(AttemptError::Connect)?;
         trace::sent(&self.asked, ticket, trace::Over::New);
         self.exchange(link, ticket).await
     }
@@ -116,28 +138,44 @@
     fn may_reconnect(&self, attempt: Attempt) -> bool {
         match attempt.disposition().execution {
             Execution::NotRun => true,
-            Execution::MayHaveRun => self.route.idempotent() && attempt.received == Received::Nothing,
+            Execution::MayHaveRun => {
+                self.route.idempotent() && attempt.received == Received::Nothing
+            }
             Execution::MayBeRunning => false,
         }
     }
 
-    async fn exchange(&mut self, mut link: Link, ticket: &Ticket) -> Result<Answered, AttemptError> {
+    async fn exchange(
+        &mut self,
+        mut link: Link,
+        ticket: &Ticket,
+    ) -> Result<Answered, AttemptError> {
         let head = self.head(ticket);
         if self.record.may_leave() {
-            self.limit.expect_within(PATIENCE_AIMS * self.route.target_ms);
+            self.limit
+                .expect_within(PATIENCE_AIMS * self.route.target_ms);
         }
         let time_left = Duration::from_millis(self.limit.left_ms());
         let exchange = link.exchange(head, self.message.pieces.clone(), time_left);
         let (head, incoming) = match self.wait(exchange).await {
             Some(answered) => answered.map_err(AttemptError::Ended)?.into_parts(),
             None => {
-                return Err(AttemptError::Ended(Attempt::unanswered(link.sent(), EndedBy::Timeout)));
+                return Err(AttemptError::Ended(Attempt::unanswered(
+                    link.sent(),
+                    EndedBy::Timeout,
+                )));
             }
         };
         let kind = kind_of(&head, &self.asked.id, self.front.guards);
         let framing = framing_of(&head, &self.message.method);
         trace::answer_kind(&self.asked, ticket, head.status, kind);
-        let answered = Answered { link, head, incoming, kind, framing };
+        let answered = Answered {
+            link,
+            head,
+            incoming,
+            kind,
+            framing,
+        };
         if matches!(kind, AnswerKind::NotOurs | AnswerKind::UnbackedPromise) {
             return Err(AttemptError::Ended(answered.so_far(EndedBy::Proxy)));
         }
@@ -149,12 +187,18 @@
         *head.method_mut() = self.message.method.clone();
         *head.uri_mut() = self.message.uri.clone();
         let mut headers = self.message.headers.clone();
-        headers.insert(http_headers::DEADLINE, http_headers::number(self.limit.left_ms().max(1)));
+        headers.insert(
+            http_headers::DEADLINE,
+            http_headers::number(self.limit.left_ms().max(1)),
+        );
         if let Ok(id) = HeaderValue::from_str(&ticket.server.id) {
             headers.insert(http_headers::EXPECT_INSTANCE, id);
         }
         if let Some(priority) = ticket.engine_priority {
-            headers.insert(http_headers::PRIORITY, http_headers::number(u64::from(priority)));
+            headers.insert(
+                http_headers::PRIORITY,
+                http_headers::number(u64::from(priority)),
+            );
         }
         *head.headers_mut() = headers;
         head
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -32,14 +32,18 @@
     room.take(stated as usize)?;
     let mut pieces = Pieces::new(stated as usize);
     loop {
-        let next = limit.bound(poll_fn(|cx| Pin::new(&mut body).poll_frame(cx))).await;
+        let next = limit
+            .bound(poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)))
+            .await;
         let frame = match next {
             None => return Err(Refusal::Slow),
             Some(None) => return Ok(pieces.join()),
             Some(Some(Err(_))) => return Err(Refusal::Malformed),
             Some(Some(Ok(frame))) => frame,
         };
-        let Ok(bytes) = frame.into_data() else { continue };
+        let Ok(bytes) = frame.into_data() else {
+            continue;
+        };
         if pieces.len + bytes.len() > most {
             return Err(Refusal::TooLarge);
         }
@@ -60,7 +64,12 @@
 
 impl Pieces {
     fn new(reserved: usize) -> Pieces {
-        Pieces { first: Bytes::new(), more: BytesMut::new(), len: 0, reserved }
+        Pieces {
+            first: Bytes::new(),
+            more: BytesMut::new(),
+            len: 0,
+            reserved,
+        }
     }
 
     fn add(&mut self, bytes: Bytes) {
@@ -72,7 +81,8 @@
         }
         if self.more.is_empty() {
             self.more.reserve(self.reserved.max(self.len));
-            self.more.extend_from_slice(&std::mem::take(&mut self.first));
+            self.more
+                .extend_from_slice(&std::mem::take(&mut self.first));
         }
         self.more.extend_from_slice(&bytes);
     }
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -21,7 +21,8 @@
 /// The most of them; nothing beyond is read.
 const MOST_READ_OFF: usize = 1024 * 1024;
 /// The answer to a head that does not come whole.
-const SLOW_HEAD: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
+const SLOW_HEAD: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
 /// How far a connection has come with its present message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +45,9 @@
         match self {
             Stage::Resting { since_ms } if now_ms >= since_ms + idle_timeout_ms => Order::Leave,
             Stage::Coming { since_ms } if now_ms >= since_ms + header_timeout_ms => Order::TooSlow,
-            Stage::Answering { until_ms } | Stage::Finishing { until_ms } if now_ms >= until_ms => Order::Cut,
+            Stage::Answering { until_ms } | Stage::Finishing { until_ms } if now_ms >= until_ms => {
+                Order::Cut
+            }
             _ => Order::Stay,
         }
     }
@@ -129,7 +132,9 @@
     /// Whether bytes of a next message lie there that were not read yet.
     pub(crate) fn has_unread(&self) -> bool {
         let stream = self.stream.borrow();
-        SockRef::from(stream.inner()).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|bytes| bytes > 0)
+        SockRef::from(stream.inner())
+            .peek(&mut [MaybeUninit::uninit()])
+            .is_ok_and(|bytes| bytes > 0)
     }
 
     /// Says that the message came too slowly.
@@ -198,7 +203,9 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buffer: ReadBufCursor) -> Poll<Io<()>> {
         ready!(self.poll(|stream| stream.poll_read(cx, buffer)))?;
         if let Stage::Resting { .. } = self.client.stage.get() {
-            self.client.stage.set(Stage::Coming { since_ms: self.clock.now_ms() });
+            self.client.stage.set(Stage::Coming {
+                since_ms: self.clock.now_ms(),
+            });
         }
         Poll::Ready(Ok(()))
     }
@@ -209,7 +216,11 @@
         self.poll(|stream| stream.poll_write(cx, bytes))
     }
 
-    fn poll_write_vectored(self: Pin<&mut Self>, cx: &mut Context, slices: &[IoSlice]) -> Poll<Io<usize>> {
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        slices: &[IoSlice],
+    ) -> Poll<Io<usize>> {
         self.poll(|stream| stream.poll_write_vectored(cx, slices))
     }
 
@@ -221,7 +232,9 @@
         ready!(self.poll(|stream| stream.poll_flush(cx)))?;
         // Hyper flushes when all that it held has been written.
         if let Stage::Finishing { .. } = self.client.stage.get() {
-            self.client.stage.set(Stage::Resting { since_ms: self.clock.now_ms() });
+            self.client.stage.set(Stage::Resting {
+                since_ms: self.clock.now_ms(),
+            });
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/proxy/src/client/tests.rs
+++ b/crates/proxy/src/client/tests.rs
@@ -28,7 +28,10 @@
 
 #[test]
 fn an_answer_that_is_not_taken_is_given_up() {
-    for stage in [Stage::Answering { until_ms: 500 }, Stage::Finishing { until_ms: 500 }] {
+    for stage in [
+        Stage::Answering { until_ms: 500 },
+        Stage::Finishing { until_ms: 500 },
+    ] {
         assert_eq!(due(stage, 499), Order::Stay);
         assert_eq!(due(stage, 500), Order::Cut);
     }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -9,7 +9,9 @@
 
 impl Clock {
     pub(crate) fn new() -> Clock {
-        Clock { origin: Instant::now() }
+        Clock {
+            origin: Instant::now(),
+        }
     }
 
     pub(crate) fn now_ms(&self) -> u64 {
--- a/crates/proxy/src/disposition.rs
+++ b/crates/proxy/src/disposition.rs
@@ -28,7 +28,12 @@
 
 impl Sent {
     /// All states, in order.
-    pub const ALL: [Sent; 4] = [Sent::Nothing, Sent::PartOfHead, Sent::PartOfBody, Sent::Whole];
+    pub const ALL: [Sent; 4] = [
+        Sent::Nothing,
+        Sent::PartOfHead,
+        Sent::PartOfBody,
+        Sent::Whole,
+    ];
 
     /// Whether a server that has it may work on it.
     pub fn may_run(self) -> bool {
@@ -134,8 +139,14 @@
 
 impl EndedBy {
     /// All of them.
-    pub const ALL: [EndedBy; 6] =
-        [EndedBy::Nobody, EndedBy::Server, EndedBy::Reset, EndedBy::Timeout, EndedBy::Client, EndedBy::Proxy];
+    pub const ALL: [EndedBy; 6] = [
+        EndedBy::Nobody,
+        EndedBy::Server,
+        EndedBy::Reset,
+        EndedBy::Timeout,
+        EndedBy::Client,
+        EndedBy::Proxy,
+    ];
 }
 
 /// Whether a request that was sent has run.
@@ -226,7 +237,11 @@
 impl Attempt {
     /// One that came to nothing before any of its answer.
     pub fn unanswered(sent: Sent, ended_by: EndedBy) -> Attempt {
-        Attempt { sent, received: Received::Nothing, ended_by }
+        Attempt {
+            sent,
+            received: Received::Nothing,
+            ended_by,
+        }
     }
 
     /// The table.
@@ -259,8 +274,13 @@
             return Repeat::No;
         }
         match self.received {
-            Received::PartOfAnswer { passed_on: true, .. } => Repeat::IfResumable,
-            Received::WholeAnswer { kind: AnswerKind::Final, .. } => Repeat::No,
+            Received::PartOfAnswer {
+                passed_on: true, ..
+            } => Repeat::IfResumable,
+            Received::WholeAnswer {
+                kind: AnswerKind::Final,
+                ..
+            } => Repeat::No,
             _ if execution == Execution::NotRun => Repeat::Allowed,
             _ => Repeat::IfIdempotent,
         }
@@ -289,7 +309,9 @@
             return ClientAnswer::Nothing;
         }
         match self.received {
-            Received::PartOfAnswer { passed_on: true, .. } => ClientAnswer::Broken,
+            Received::PartOfAnswer {
+                passed_on: true, ..
+            } => ClientAnswer::Broken,
             Received::WholeAnswer { kind, .. } if kind.is_for_client() => ClientAnswer::Servers,
             _ => execution.without_answer(),
         }
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -84,7 +84,10 @@
     pub fn all(whole: &'a [u8]) -> impl Iterator<Item = Event<'a>> {
         let mut lines = Lines(whole);
         std::iter::from_fn(move || {
-            let mut event = Event { id: None, data: SmallVec::new() };
+            let mut event = Event {
+                id: None,
+                data: SmallVec::new(),
+            };
             for line in lines.by_ref() {
                 if !line.is_empty() {
                     event.read(line);
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -64,14 +64,20 @@
         }
     };
     if front.is_leaving() || client.is_ending() {
-        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
     }
     let until_ms = until_ms.max(front.clock.now_ms()) + OVERTIME_MS;
     client.set_stage(Stage::Answering { until_ms });
     response
 }
 
-fn refuse<N: Node>(front: &Front<N>, client: &Rc<Client>, refusal: Refusal) -> Response<AnswerBody> {
+fn refuse<N: Node>(
+    front: &Front<N>,
+    client: &Rc<Client>,
+    refusal: Refusal,
+) -> Response<AnswerBody> {
     front.count_refusal(refusal);
     if refusal.leaves_unread() {
         client.refuse_unread();
@@ -88,7 +94,11 @@
     until_ms: &mut u64,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let (head, body) = request.into_parts();
-    let Routed { table, route, asked } = match Routed::find(front, &head).await {
+    let Routed {
+        table,
+        route,
+        asked,
+    } = match Routed::find(front, &head).await {
         Ok(routed) => routed,
         Err(refusal) => {
             if !discard(body).await {
@@ -107,7 +117,14 @@
     let turn = admit(front, &route, &asked, &mut limit).await?;
     let keeping = keeping(front, &route, &asked, input);
     let message = message(head, pieces, room);
-    let sending = Box::new(Sending::new(front.clone(), table, route, asked, message, limit));
+    let sending = Box::new(Sending::new(
+        front.clone(),
+        table,
+        route,
+        asked,
+        message,
+        limit,
+    ));
     run(sending, turn, keeping, client).await
 }
 
@@ -131,18 +148,26 @@
         let route = match find_route(&table, head) {
             // The route may have been added since.
             Err(Refusal::NoRoute) if front.node.is_out_of_touch() => {
-                return Err(Refusal::Later { retry_after_ms: NO_TABLE_RETRY_MS });
+                return Err(Refusal::Later {
+                    retry_after_ms: NO_TABLE_RETRY_MS,
+                });
             }
             found => found?,
         };
         let asked = Asked::read(&head.headers)?;
-        Ok(Routed { table, route, asked })
+        Ok(Routed {
+            table,
+            route,
+            asked,
+        })
     }
 }
 
 /// The first configuration, waited for while the process starts.
 async fn first_table<N: Node>(front: &Front<N>, head: &Parts) -> Result<Rc<Table>, Refusal> {
-    let later = Refusal::Later { retry_after_ms: NO_TABLE_RETRY_MS };
+    let later = Refusal::Later {
+        retry_after_ms: NO_TABLE_RETRY_MS,
+    };
     let time_ms = Asked::read(&head.headers)?.deadline_ms.unwrap_or(u64::MAX);
     let wait_ms = (time_ms / TABLE_WAIT_PARTS).min(MOST_TABLE_WAIT_MS);
     if wait_ms == 0 {
@@ -156,14 +181,23 @@
             }
         }
     };
-    timeout(Duration::from_millis(wait_ms), coming).await.map_err(|_| later)
+    timeout(Duration::from_millis(wait_ms), coming)
+        .await
+        .map_err(|_| later)
 }
 
 fn find_route(table: &Table, head: &Parts) -> Result<Rc<Route>, Refusal> {
     let named = || head.headers.get(HOST).and_then(|host| host.to_str().ok());
-    let host = head.uri.authority().map(|authority| authority.as_str()).or_else(named);
+    let host = head
+        .uri
+        .authority()
+        .map(|authority| authority.as_str())
+        .or_else(named);
     let host = host.ok_or(Refusal::Malformed)?;
-    table.find(host, head.uri.path()).cloned().ok_or(Refusal::NoRoute)
+    table
+        .find(host, head.uri.path())
+        .cloned()
+        .ok_or(Refusal::NoRoute)
 }
 
 /// The body for the server: what the turn goes on from, then its input.
@@ -178,7 +212,9 @@
     let mut pieces = SmallVec::new();
     if route.persisted && asked.last_event_id.is_some() {
         // Only the rest of the answer would come, and kept as the whole it would be another one.
-        return Err(Refusal::Later { retry_after_ms: NOT_ADMITTED_RETRY_MS });
+        return Err(Refusal::Later {
+            retry_after_ms: NOT_ADMITTED_RETRY_MS,
+        });
     }
     let previous = text(&asked.previous).filter(|_| route.persisted);
     if let Some(previous) = previous {
@@ -190,8 +226,14 @@
                 pieces.extend(found);
             }
             Some(History::Unknown) => return Err(Refusal::UnknownTurn),
-            Some(History::Unsure { retry_after_ms }) => return Err(Refusal::Later { retry_after_ms }),
-            None => return Err(Refusal::Later { retry_after_ms: NOT_ADMITTED_RETRY_MS }),
+            Some(History::Unsure { retry_after_ms }) => {
+                return Err(Refusal::Later { retry_after_ms })
+            }
+            None => {
+                return Err(Refusal::Later {
+                    retry_after_ms: NOT_ADMITTED_RETRY_MS,
+                })
+            }
         }
     }
     pieces.push(input.clone());
@@ -205,11 +247,17 @@
     asked: &Asked,
     limit: &mut TimeLimit,
 ) -> Result<Option<Turn<N>>, Refusal> {
-    let (Some(budget), Some(program)) = (asked.budget, text(&asked.program)) else { return Ok(None) };
+    let (Some(budget), Some(program)) = (asked.budget, text(&asked.program)) else {
+        return Ok(None);
+    };
     if route.kind != Kind::Streaming {
         return Ok(None);
     }
-    let ask = TurnAsk { program, budget, most: most_tokens(asked) };
+    let ask = TurnAsk {
+        program,
+        budget,
+        most: most_tokens(asked),
+    };
     match limit.bound(front.node.reserve(ask)).await {
         Some(Reserve::Admitted(key)) => {
             trace::admitted(asked, key.0);
@@ -217,7 +265,9 @@
         }
         Some(Reserve::Spent) => Err(Refusal::Spent),
         Some(Reserve::Wait { retry_after_ms }) => Err(Refusal::Later { retry_after_ms }),
-        None => Err(Refusal::Later { retry_after_ms: NOT_ADMITTED_RETRY_MS }),
+        None => Err(Refusal::Later {
+            retry_after_ms: NOT_ADMITTED_RETRY_MS,
+        }),
     }
 }
 
@@ -230,7 +280,12 @@
 }
 
 /// What is kept of the turn once its answer is whole.
-fn keeping<N: Node>(front: &Front<N>, route: &Route, asked: &Asked, input: Bytes) -> Option<Keeping> {
+fn keeping<N: Node>(
+    front: &Front<N>,
+    route: &Route,
+    asked: &Asked,
+    input: Bytes,
+) -> Option<Keeping> {
     let of_text = |value: &Option<HeaderValue>| text(value).map(str::to_owned);
     let turn = KeptTurn {
         id: asked.id.to_str().ok()?.to_owned(),
@@ -241,18 +296,33 @@
         retention_ms: route.retention_ms,
     };
     let is_kept = route.persisted && route.kind == Kind::Streaming;
-    is_kept.then(|| Keeping { turn, room: front.memory.room(), output: BytesMut::new() })
+    is_kept.then(|| Keeping {
+        turn,
+        room: front.memory.room(),
+        output: BytesMut::new(),
+    })
 }
 
 /// The message for the servers, but for what each of them gets of its own.
 fn message(head: Parts, pieces: SmallVec<[Bytes; 1]>, room: Room) -> Message {
-    let Parts { method, uri, mut headers, .. } = head;
+    let Parts {
+        method,
+        uri,
+        mut headers,
+        ..
+    } = head;
     http_headers::prepare_request(&mut headers);
     let is_empty = pieces.iter().all(Bytes::is_empty);
     if is_empty && matches!(method, Method::POST | Method::PUT | Method::PATCH) {
         headers.insert(CONTENT_LENGTH, HeaderValue::from_static("0"));
     }
-    Message { method, uri: origin_form(uri), headers, pieces, _room: room }
+    Message {
+        method,
+        uri: origin_form(uri),
+        headers,
+        pieces,
+        _room: room,
+    }
 }
 
 /// Path and query as they came, without scheme and host.
@@ -260,7 +330,9 @@
     if uri.authority().is_none() {
         return uri;
     }
-    uri.path_and_query().map(|path| Uri::from(path.clone())).unwrap_or_default()
+    uri.path_and_query()
+        .map(|path| Uri::from(path.clone()))
+        .unwrap_or_default()
 }
 
 /// Sends a request, and turns the server's answer into the client's.
@@ -287,7 +359,9 @@
             sending.limit.wait_out();
             match plain::await_body(&mut sending, &mut reply.source).await {
                 Awaited::Whole(body) => return Ok(finish_plain(&sending, reply, body, client)),
-                Awaited::Longer(begun) => return Ok(plain::relayed_response(sending, reply, begun, client)),
+                Awaited::Longer(begun) => {
+                    return Ok(plain::relayed_response(sending, reply, begun, client))
+                }
                 Awaited::Broken(ended_by) => ended_by,
             }
         };
--- a/crates/proxy/src/flight.rs
+++ b/crates/proxy/src/flight.rs
@@ -63,7 +63,11 @@
 impl<N: Node> Drop for Flight<N> {
     fn drop(&mut self) {
         if self.open {
-            self.tell(if self.is_for_silence() { Outcome::Silent } else { Outcome::Abandoned });
+            self.tell(if self.is_for_silence() {
+                Outcome::Silent
+            } else {
+                Outcome::Abandoned
+            });
         }
     }
 }
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -166,7 +166,10 @@
         }
         self.last_look(&listener).await;
         drop(listener);
-        self.clients.borrow().values().for_each(|client| client.tell(Order::Leave));
+        self.clients
+            .borrow()
+            .values()
+            .for_each(|client| client.tell(Order::Leave));
         while !self.clients.borrow().is_empty() {
             tokio::select! {
                 _ = sweep.tick() => self.sweep(),
@@ -181,7 +184,9 @@
     /// no new ones are taken.
     pub fn drain(&self) {
         if self.phase.get() == Phase::Serving {
-            self.phase.set(Phase::Leaving { since_ms: self.clock.now_ms() });
+            self.phase.set(Phase::Leaving {
+                since_ms: self.clock.now_ms(),
+            });
             self.changed.notify_waiters();
         }
     }
@@ -238,7 +243,9 @@
     }
 
     fn limits(&self) -> Limits {
-        self.node.table().map_or(Limits::DEFAULT, |table| table.limits())
+        self.node
+            .table()
+            .map_or(Limits::DEFAULT, |table| table.limits())
     }
 
     /// Whether there is a place for one more client; else the one that has rested longest is to give its own.
@@ -248,7 +255,9 @@
             return true;
         }
         let resting = clients.values().filter_map(|client| match client.stage() {
-            Stage::Resting { since_ms } if client.order() == Order::Stay => Some((since_ms, client)),
+            Stage::Resting { since_ms } if client.order() == Order::Stay => {
+                Some((since_ms, client))
+            }
             _ => None,
         });
         if let Some((_, longest)) = resting.min_by_key(|(since_ms, _)| *since_ms) {
@@ -274,7 +283,10 @@
         self.accepted.set(number);
         let client = Client::new(stream, self.clock.now_ms());
         self.clients.borrow_mut().insert(number, client.clone());
-        let place = Place { front: self.clone(), number };
+        let place = Place {
+            front: self.clone(),
+            number,
+        };
         tokio::task::spawn_local(connection(self.clone(), client, place));
     }
 
@@ -290,7 +302,10 @@
         self.servers.sweep(now_ms);
         let limits = self.limits();
         for client in self.clients.borrow().values() {
-            let order = client.stage().due(now_ms, limits.header_timeout_ms, limits.idle_timeout_ms);
+            let order =
+                client
+                    .stage()
+                    .due(now_ms, limits.header_timeout_ms, limits.idle_timeout_ms);
             if order != Order::Stay {
                 client.tell(order);
             }
@@ -326,7 +341,10 @@
         .max_headers(MOST_HEADERS)
         .max_header_size(most_head_bytes)
         .max_buf_size(most_head_bytes.max(BUFFER));
-    let wire = Wire { client: client.clone(), clock: front.clock.clone() };
+    let wire = Wire {
+        client: client.clone(),
+        clock: front.clock.clone(),
+    };
     let service = service_fn(|request| {
         let (front, client) = (front.clone(), client.clone());
         // Boxed, so that a connection at rest takes no room for a request.
--- a/crates/proxy/src/http_headers.rs
+++ b/crates/proxy/src/http_headers.rs
@@ -1,8 +1,8 @@
 //! Headers that concern only one connection, and those of the system's own.
 
 use http::header::{
-    HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, EXPECT, TE, TRAILER, TRANSFER_ENCODING,
-    UPGRADE,
+    HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, EXPECT, TE, TRAILER,
+    TRANSFER_ENCODING, UPGRADE,
 };
 use smallvec::SmallVec;
 
@@ -10,7 +10,8 @@
 pub(crate) const STAMP: HeaderName = HeaderName::from_static("x-dunespur-response-stamp");
 pub(crate) const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-dunespur-not-executed");
 pub(crate) const DEADLINE: HeaderName = HeaderName::from_static("x-dunespur-deadline-ms");
-pub(crate) const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-dunespur-expect-instance");
+pub(crate) const EXPECT_INSTANCE: HeaderName =
+    HeaderName::from_static("x-dunespur-expect-instance");
 pub(crate) const TOKEN_COUNT: HeaderName = HeaderName::from_static("x-dunespur-token-count");
 pub(crate) const PROMPT_PREFIX: HeaderName = HeaderName::from_static("x-dunespur-prompt-prefix");
 /// Set by the system alone, which does not set it so far. Guards against a client that has servers answer 421, and so
@@ -26,8 +27,14 @@
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
 /// Always of one connection only.
-const OF_ONE_CONNECTION: [HeaderName; 6] =
-    [CONNECTION, KEEP_ALIVE, PROXY_CONNECTION, TE, TRAILER, TRANSFER_ENCODING];
+const OF_ONE_CONNECTION: [HeaderName; 6] = [
+    CONNECTION,
+    KEEP_ALIVE,
+    PROXY_CONNECTION,
+    TE,
+    TRAILER,
+    TRANSFER_ENCODING,
+];
 
 /// Takes out what concerns only the connection that the message came over.
 pub(crate) fn strip(headers: &mut HeaderMap) {
@@ -42,9 +49,14 @@
 
 /// Takes out what a client's `Connection` names.
 fn strip_named(headers: &mut HeaderMap) {
-    let values = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    let named: SmallVec<[HeaderName; 2]> =
-        values.flat_map(|value| value.split(',')).filter_map(|name| name.trim().parse().ok()).collect();
+    let values = headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok());
+    let named: SmallVec<[HeaderName; 2]> = values
+        .flat_map(|value| value.split(','))
+        .filter_map(|name| name.trim().parse().ok())
+        .collect();
     for name in named {
         headers.remove(name);
     }
@@ -63,14 +75,23 @@
 
 /// Whether the other side ends the connection after this message.
 pub(crate) fn says_close(headers: &HeaderMap) -> bool {
-    let mut values = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    values.any(|value| value.split(',').any(|token| token.trim().eq_ignore_ascii_case("close")))
+    let mut values = headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok());
+    values.any(|value| {
+        value
+            .split(',')
+            .any(|token| token.trim().eq_ignore_ascii_case("close"))
+    })
 }
 
 /// The idle time that `Keep-Alive` states, in milliseconds.
 pub(crate) fn keep_alive_ms(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
-    let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+    let seconds = value
+        .split(',')
+        .find_map(|part| part.trim().strip_prefix("timeout="))?;
     Some(seconds.trim().parse::<u64>().ok()?.saturating_mul(1000))
 }
 
--- a/crates/proxy/src/limit.rs
+++ b/crates/proxy/src/limit.rs
@@ -25,11 +25,14 @@
 
 impl Departures {
     pub(crate) fn new() -> Departures {
-        Departures { saved: Cell::new(MOST_DEPARTURES * REQUESTS_PER_DEPARTURE) }
+        Departures {
+            saved: Cell::new(MOST_DEPARTURES * REQUESTS_PER_DEPARTURE),
+        }
     }
 
     pub(crate) fn count_request(&self) {
-        self.saved.set((self.saved.get() + 1).min(MOST_DEPARTURES * REQUESTS_PER_DEPARTURE));
+        self.saved
+            .set((self.saved.get() + 1).min(MOST_DEPARTURES * REQUESTS_PER_DEPARTURE));
     }
 
     fn take(&self) -> bool {
@@ -87,7 +90,10 @@
 
     /// From now on a server may be silent for so long.
     pub(crate) fn expect_within(&mut self, lasts_ms: u64) {
-        let patience = Patience { heard_ms: self.clock.now_ms(), lasts_ms };
+        let patience = Patience {
+            heard_ms: self.clock.now_ms(),
+            lasts_ms,
+        };
         self.patience = Some(patience);
         self.set_timer(patience.ends_ms());
     }
@@ -98,7 +104,10 @@
         if self.patience.is_none() {
             return;
         }
-        let patience = Patience { heard_ms: self.clock.now_ms(), lasts_ms };
+        let patience = Patience {
+            heard_ms: self.clock.now_ms(),
+            lasts_ms,
+        };
         self.patience = Some(patience);
         if patience.ends_ms() < self.armed_ms {
             self.set_timer(patience.ends_ms());
--- a/crates/proxy/src/limit/tests.rs
+++ b/crates/proxy/src/limit/tests.rs
@@ -11,7 +11,10 @@
 
 impl World {
     fn new() -> World {
-        World { clock: Rc::new(Clock::new()), departures: Rc::new(Departures::new()) }
+        World {
+            clock: Rc::new(Clock::new()),
+            departures: Rc::new(Departures::new()),
+        }
     }
 
     fn limit(&self, until_ms: u64) -> TimeLimit {
@@ -60,7 +63,10 @@
     let world = World::new();
     let mut limit = world.limit(10_000);
     limit.expect_within(5_000);
-    assert_eq!(limit.bound(sleep(Duration::from_millis(100))).await, Some(()));
+    assert_eq!(
+        limit.bound(sleep(Duration::from_millis(100))).await,
+        Some(())
+    );
     limit.heard(50);
     assert_eq!(world.ends_ms(&mut limit).await, 150);
 }
@@ -84,7 +90,11 @@
     let mut limit = world.limit(world.clock.now_ms() + 1000);
     limit.expect_within(10);
     let end_ms = world.clock.now_ms() + 1100;
-    assert_eq!(world.ends_ms(&mut limit).await, end_ms, "the server is waited out");
+    assert_eq!(
+        world.ends_ms(&mut limit).await,
+        end_ms,
+        "the server is waited out"
+    );
     for _ in 0..REQUESTS_PER_DEPARTURE {
         world.departures.count_request();
     }
--- a/crates/proxy/src/link.rs
+++ b/crates/proxy/src/link.rs
@@ -64,7 +64,9 @@
         mut self: Pin<&mut Self>,
         _: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        let Some(piece) = self.pieces.find(|piece| !piece.is_empty()) else { return Poll::Ready(None) };
+        let Some(piece) = self.pieces.find(|piece| !piece.is_empty()) else {
+            return Poll::Ready(None);
+        };
         self.left -= piece.len() as u64;
         if self.left == 0 {
             self.line.change(Progress::note_body_taken);
@@ -93,7 +95,8 @@
     fn set_peer_timeout(&self, peer_timeout: Duration) {
         if self.peer_timeout.replace(peer_timeout) != peer_timeout {
             let stream = self.stream.borrow();
-            let set = SockRef::from(stream.inner().stream()).set_tcp_user_timeout(Some(peer_timeout));
+            let set =
+                SockRef::from(stream.inner().stream()).set_tcp_user_timeout(Some(peer_timeout));
             set.unwrap_or_else(|error| log::debug!("peer timeout: {error}"));
         }
     }
@@ -109,7 +112,10 @@
 struct Wire(Rc<Line>);
 
 impl Wire {
-    fn poll<T>(&self, f: impl FnOnce(Pin<&mut TokioIo<WatchedStream>>) -> Poll<Io<T>>) -> Poll<Io<T>> {
+    fn poll<T>(
+        &self,
+        f: impl FnOnce(Pin<&mut TokioIo<WatchedStream>>) -> Poll<Io<T>>,
+    ) -> Poll<Io<T>> {
         f(Pin::new(&mut *self.0.stream.borrow_mut()))
     }
 }
@@ -123,11 +129,16 @@
 impl Write for Wire {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<Io<usize>> {
         let written = ready!(self.poll(|stream| stream.poll_write(cx, bytes)))?;
-        self.0.change(|progress| progress.note_written(&bytes[..written]));
+        self.0
+            .change(|progress| progress.note_written(&bytes[..written]));
         Poll::Ready(Ok(written))
     }
 
-    fn poll_write_vectored(self: Pin<&mut Self>, cx: &mut Context, slices: &[IoSlice]) -> Poll<Io<usize>> {
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        slices: &[IoSlice],
+    ) -> Poll<Io<usize>> {
         let written = ready!(self.poll(|stream| stream.poll_write_vectored(cx, slices)))?;
         let mut left = written;
         for slice in slices {
@@ -180,7 +191,11 @@
 }
 
 impl Link {
-    pub(crate) async fn new(server: ServerId, stream: TcpStream, place: Place) -> Result<Link, ConnectError> {
+    pub(crate) async fn new(
+        server: ServerId,
+        stream: TcpStream,
+        place: Place,
+    ) -> Result<Link, ConnectError> {
         let line = Rc::new(Line {
             stream: RefCell::new(TokioIo::new(WatchedStream::new(stream))),
             progress: Cell::new(Progress::of_request(0)),
@@ -190,7 +205,13 @@
         builder.max_headers(MOST_HEADERS).max_buf_size(BUFFER);
         let handshake = builder.handshake(Wire(line.clone())).await;
         let (sender, connection) = handshake.map_err(|_| ConnectError::Unreachable)?;
-        Ok(Link { server, line, sender, connection: Some(Box::new(connection)), _place: place })
+        Ok(Link {
+            server,
+            line,
+            sender,
+            connection: Some(Box::new(connection)),
+            _place: place,
+        })
     }
 
     /// Whether it stays open for a moment after it has come up.
@@ -238,8 +259,16 @@
         let left = pieces.iter().map(|piece| piece.len() as u64).sum();
         self.line.progress.set(Progress::of_request(left));
         let is_long = left > MOST_UNREAD;
-        self.line.set_peer_timeout(if is_long { time_left.max(PEER_TIMEOUT) } else { PEER_TIMEOUT });
-        let body = Outgoing { pieces: pieces.into_iter(), left, line: self.line.clone() };
+        self.line.set_peer_timeout(if is_long {
+            time_left.max(PEER_TIMEOUT)
+        } else {
+            PEER_TIMEOUT
+        });
+        let body = Outgoing {
+            pieces: pieces.into_iter(),
+            left,
+            line: self.line.clone(),
+        };
         let mut answer = pin!(self.sender.send_request(head.map(|()| body)));
         let connection = &mut self.connection;
         let answered = poll_fn(|cx| {
@@ -265,7 +294,11 @@
             EndedBy::Nobody => EndedBy::Proxy,
             other => other,
         };
-        Attempt { sent: self.sent(), received, ended_by }
+        Attempt {
+            sent: self.sent(),
+            received,
+            ended_by,
+        }
     }
 
     /// The next bytes of the answer's body; None at its end.
@@ -291,14 +324,19 @@
     /// Whether it stands ready for a request.
     pub(crate) fn is_ready(&mut self) -> bool {
         // Its news concern nobody until it is used again.
-        drive(&mut self.connection, &mut Context::from_waker(Waker::noop()));
+        drive(
+            &mut self.connection,
+            &mut Context::from_waker(Waker::noop()),
+        );
         self.connection.is_some() && self.sender.is_ready()
     }
 }
 
 /// Lets a connection go on; takes it out once it has ended.
 fn drive(connection: &mut Option<Box<http1::Connection<Wire, Outgoing>>>, cx: &mut Context) {
-    let ended = connection.as_mut().is_some_and(|connection| Pin::new(connection).poll(cx).is_ready());
+    let ended = connection
+        .as_mut()
+        .is_some_and(|connection| Pin::new(connection).poll(cx).is_ready());
     if ended {
         // A request that it has not begun to write gets its end only by this.
         *connection = None;
--- a/crates/proxy/src/memory.rs
+++ b/crates/proxy/src/memory.rs
@@ -16,7 +16,10 @@
 
 impl Memory {
     pub(crate) fn new(most: usize) -> Rc<Memory> {
-        Rc::new(Memory { most, taken: Cell::new(0) })
+        Rc::new(Memory {
+            most,
+            taken: Cell::new(0),
+        })
     }
 
     pub(crate) fn taken(&self) -> usize {
@@ -25,7 +28,10 @@
 
     /// Room for nothing yet.
     pub(crate) fn room(self: &Rc<Self>) -> Room {
-        Room { memory: self.clone(), bytes: 0 }
+        Room {
+            memory: self.clone(),
+            bytes: 0,
+        }
     }
 }
 
@@ -39,7 +45,9 @@
     pub(crate) fn take(&mut self, bytes: usize) -> Result<(), Refusal> {
         let taken = self.memory.taken.get().saturating_add(bytes);
         if taken > self.memory.most {
-            return Err(Refusal::Later { retry_after_ms: NO_MEMORY_RETRY_MS });
+            return Err(Refusal::Later {
+                retry_after_ms: NO_MEMORY_RETRY_MS,
+            });
         }
         self.memory.taken.set(taken);
         self.bytes += bytes;
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/plain.rs
@@ -28,7 +28,10 @@
 }
 
 /// Waits for the body of an answer.
-pub(crate) async fn await_body<N: Node>(sending: &mut Sending<N>, source: &mut Source<N>) -> Awaited {
+pub(crate) async fn await_body<N: Node>(
+    sending: &mut Sending<N>,
+    source: &mut Source<N>,
+) -> Awaited {
     let mut body = BytesMut::new();
     let mut first = Bytes::new();
     loop {
@@ -67,7 +70,10 @@
 /// The head for the client of an answer with this head.
 pub(crate) fn response_head(mut head: Parts) -> Parts {
     http_headers::strip(&mut head.headers);
-    if matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED) {
+    if matches!(
+        head.status,
+        StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
+    ) {
         head.headers.remove(CONTENT_LENGTH);
     }
     head
@@ -79,7 +85,11 @@
 }
 
 /// The answer to the client where the server's was awaited whole.
-pub(crate) fn whole_response(head: Parts, body: Bytes, client: &Rc<Client>) -> Response<AnswerBody> {
+pub(crate) fn whole_response(
+    head: Parts,
+    body: Bytes,
+    client: &Rc<Client>,
+) -> Response<AnswerBody> {
     Response::from_parts(response_head(head), AnswerBody::whole(body, client))
 }
 
@@ -94,8 +104,17 @@
     let status = head.status;
     let length = stated_length(&head.headers);
     let outlet = Outlet::default();
-    let relay = Relay { sending, source, status, left: length, outlet: outlet.clone() };
-    Response::from_parts(response_head(head), AnswerBody::pumped(relay.run(begun), outlet, length, client))
+    let relay = Relay {
+        sending,
+        source,
+        status,
+        left: length,
+        outlet: outlet.clone(),
+    };
+    Response::from_parts(
+        response_head(head),
+        AnswerBody::pumped(relay.run(begun), outlet, length, client),
+    )
 }
 
 /// Passes the rest of an answer on.
@@ -112,7 +131,9 @@
     async fn run(mut self, begun: Bytes) -> Result<(), Broken> {
         let mut piece = begun;
         loop {
-            self.left = self.left.map(|left| left.saturating_sub(piece.len() as u64));
+            self.left = self
+                .left
+                .map(|left| left.saturating_sub(piece.len() as u64));
             // Once the client has the last byte nobody polls this again: it comes after all else.
             if self.left == Some(0) {
                 break;
@@ -134,7 +155,13 @@
                 Next::Piece(_) => return self.broken(EndedBy::Proxy),
             }
         }
-        let Relay { sending, mut source, status, outlet, .. } = self;
+        let Relay {
+            sending,
+            mut source,
+            status,
+            outlet,
+            ..
+        } = self;
         source.flight.finish(outcome(status));
         source.body.give_back(&sending.front);
         outlet.put(piece).await;
--- a/crates/proxy/src/progress.rs
+++ b/crates/proxy/src/progress.rs
@@ -18,7 +18,12 @@
 impl Progress {
     /// Of a request of which nothing has gone out.
     pub(crate) fn of_request(body_bytes: u64) -> Progress {
-        Progress { any_written: false, head_end_matched: 0, body_taken: body_bytes == 0, whole: false }
+        Progress {
+            any_written: false,
+            head_end_matched: 0,
+            body_taken: body_bytes == 0,
+            whole: false,
+        }
     }
 
     /// These bytes were written to the socket.
--- a/crates/proxy/src/progress/tests.rs
+++ b/crates/proxy/src/progress/tests.rs
@@ -33,7 +33,11 @@
 fn one_without_a_body_is_whole_with_its_head() {
     let mut progress = Progress::of_request(0);
     progress.note_flushed();
-    assert_eq!(progress.sent(), Sent::Nothing, "a flush before the first byte says nothing");
+    assert_eq!(
+        progress.sent(),
+        Sent::Nothing,
+        "a flush before the first byte says nothing"
+    );
     progress.note_written(HEAD);
     progress.note_flushed();
     assert_eq!(progress.sent(), Sent::Whole);
--- a/crates/proxy/src/ready.rs
+++ b/crates/proxy/src/ready.rs
@@ -67,5 +67,9 @@
     });
     let mut builder = http1::Builder::new();
     builder.auto_date_header(false).header_read_timeout(None);
-    let _ = timeout(CONNECTION_TIME, builder.serve_connection(TokioIo::new(stream), service)).await;
+    let _ = timeout(
+        CONNECTION_TIME,
+        builder.serve_connection(TokioIo::new(stream), service),
+    )
+    .await;
 }
--- a/crates/proxy/src/refusal.rs
+++ b/crates/proxy/src/refusal.rs
@@ -67,7 +67,10 @@
 
     /// Whether the client's message was left unread in part, so that the connection can't go on.
     pub(crate) fn leaves_unread(self) -> bool {
-        matches!(self, Refusal::Malformed | Refusal::TooLarge | Refusal::Slow | Refusal::OldVersion)
+        matches!(
+            self,
+            Refusal::Malformed | Refusal::TooLarge | Refusal::Slow | Refusal::OldVersion
+        )
     }
 
     /// The head of the answer; its body is the reason.
--- a/crates/proxy/src/reply.rs
+++ b/crates/proxy/src/reply.rs
@@ -1,6 +1,8 @@
 //! A server's answer on its way to the client, with the connection that it comes over.
 
-use crate::disposition::{is_whole_at, AnswerKind, Attempt, ConnectionUse, EndedBy, Framing, Received, Sent};
+use crate::disposition::{
+    is_whole_at, AnswerKind, Attempt, ConnectionUse, EndedBy, Framing, Received, Sent,
+};
 use crate::flight::Flight;
 use crate::front::Front;
 use crate::guards::Guards;
@@ -53,11 +55,19 @@
         framing: Framing,
         terms: KeepTerms,
     ) -> ReplyBody {
-        ReplyBody { incoming, kind, framing, link: Some(link), terms }
+        ReplyBody {
+            incoming,
+            kind,
+            framing,
+            link: Some(link),
+            terms,
+        }
     }
 
     pub(crate) fn poll_next(&mut self, guards: Guards, cx: &mut Context) -> Poll<Next> {
-        let Some(link) = &mut self.link else { return Poll::Ready(Next::End) };
+        let Some(link) = &mut self.link else {
+            return Poll::Ready(Next::End);
+        };
         let next = std::task::ready!(link.poll_body(&mut self.incoming, cx));
         let ended_by = link.ended_by();
         let is_whole = match (self.framing, &next) {
@@ -79,13 +89,25 @@
     /// The attempt whose answer came only in part.
     pub(crate) fn broken_off(&self, ended_by: EndedBy, passed_on: bool) -> Attempt {
         let Self { kind, framing, .. } = *self;
-        Attempt { sent: self.sent(), received: Received::PartOfAnswer { kind, framing, passed_on }, ended_by }
+        Attempt {
+            sent: self.sent(),
+            received: Received::PartOfAnswer {
+                kind,
+                framing,
+                passed_on,
+            },
+            ended_by,
+        }
     }
 
     fn whole(&self) -> Attempt {
         let Self { kind, framing, .. } = *self;
         let received = Received::WholeAnswer { kind, framing };
-        Attempt { sent: self.sent(), received, ended_by: EndedBy::Nobody }
+        Attempt {
+            sent: self.sent(),
+            received,
+            ended_by: EndedBy::Nobody,
+        }
     }
 
     fn sent(&self) -> Sent {
--- a/crates/proxy/src/reuse.rs
+++ b/crates/proxy/src/reuse.rs
@@ -36,17 +36,27 @@
 
     /// Whether it may carry a request that can be repeated, or else one that can't.
     pub(crate) fn is_safe_for(self, idempotent: bool) -> bool {
-        let bound_ms = if idempotent { self.most_ms() } else { self.fresh_ms() };
+        let bound_ms = if idempotent {
+            self.most_ms()
+        } else {
+            self.fresh_ms()
+        };
         self.rested_ms < bound_ms
     }
 
     fn most_ms(self) -> u64 {
-        let stated_ms = self.stated_ms.map(|stated_ms| stated_ms.saturating_sub(STATED_MARGIN_MS));
+        let stated_ms = self
+            .stated_ms
+            .map(|stated_ms| stated_ms.saturating_sub(STATED_MARGIN_MS));
         stated_ms.unwrap_or(UNSTATED_REST_MS).min(MOST_REST_MS)
     }
 
     fn fresh_ms(self) -> u64 {
-        let bound_ms = if self.stated_ms.is_some() { MOST_FRESH_MS } else { UNSTATED_FRESH_MS };
+        let bound_ms = if self.stated_ms.is_some() {
+            MOST_FRESH_MS
+        } else {
+            UNSTATED_FRESH_MS
+        };
         self.most_ms().min(bound_ms)
     }
 }
--- a/crates/proxy/src/reuse/tests.rs
+++ b/crates/proxy/src/reuse/tests.rs
@@ -1,7 +1,10 @@
 use super::Rest;
 
 fn rest(rested_ms: u64, stated_ms: Option<u64>) -> Rest {
-    Rest { rested_ms, stated_ms }
+    Rest {
+        rested_ms,
+        stated_ms,
+    }
 }
 
 #[test]
@@ -38,5 +41,8 @@
     assert!(!rest(100, None).is_safe_for(false));
     assert!(rest(4999, Some(600_000)).is_safe_for(false));
     assert!(!rest(5000, Some(600_000)).is_safe_for(false));
-    assert!(!rest(1500, Some(2000)).is_safe_for(false), "nor one that is too old for anything");
+    assert!(
+        !rest(1500, Some(2000)).is_safe_for(false),
+        "nor one that is too old for anything"
+    );
 }
--- a/crates/proxy/src/run_record.rs
+++ b/crates/proxy/src/run_record.rs
@@ -90,7 +90,9 @@
     /// The answer where no server's can be had.
     pub(crate) fn refusal(&self) -> Refusal {
         match self.execution.without_answer() {
-            ClientAnswer::Refused => Refusal::Later { retry_after_ms: NO_SERVER_RETRY_MS },
+            ClientAnswer::Refused => Refusal::Later {
+                retry_after_ms: NO_SERVER_RETRY_MS,
+            },
             ClientAnswer::TimeUp => Refusal::TimeUp,
             _ => Refusal::MayHaveRun,
         }
--- a/crates/proxy/src/run_record/tests.rs
+++ b/crates/proxy/src/run_record/tests.rs
@@ -13,7 +13,12 @@
     for execution in [Execution::MayHaveRun, Execution::MayBeRunning] {
         let mut record = RunRecord::new(false, 3, Guards::default());
         record.note(&server("i-1"), execution);
-        for repeat in [Repeat::Allowed, Repeat::IfIdempotent, Repeat::IfResumable, Repeat::No] {
+        for repeat in [
+            Repeat::Allowed,
+            Repeat::IfIdempotent,
+            Repeat::IfResumable,
+            Repeat::No,
+        ] {
             assert!(!record.may_go_on(repeat), "{execution:?} {repeat:?}");
         }
         assert!(!record.may_resend() && !record.may_leave());
@@ -49,7 +54,10 @@
 
 #[test]
 fn without_its_guard_an_unrepeatable_request_goes_on() {
-    let guards = Guards { unrepeatable_sent_once: false, ..Guards::default() };
+    let guards = Guards {
+        unrepeatable_sent_once: false,
+        ..Guards::default()
+    };
     let mut record = RunRecord::new(false, 2, guards);
     record.note(&server("i-1"), Execution::MayHaveRun);
     assert!(record.may_go_on(Repeat::IfIdempotent));
--- a/crates/proxy/src/sending.rs
+++ b/crates/proxy/src/sending.rs
@@ -95,7 +95,11 @@
     /// Sends the request until a server's answer has come that is to be passed on.
     pub(crate) async fn send(&mut self) -> Result<Reply<N>, Refusal> {
         loop {
-            let Chosen { ticket, flight, over } = self.next_server()?;
+            let Chosen {
+                ticket,
+                flight,
+                over,
+            } = self.next_server()?;
             if let Some(reply) = self.ask(ticket, flight, over).await? {
                 return Ok(reply);
             }
@@ -129,7 +133,11 @@
         ended_by: EndedBy,
         passed_on: bool,
     ) -> Result<Reply<N>, Refusal> {
-        let Source { body, flight, ticket } = cut;
+        let Source {
+            body,
+            flight,
+            ticket,
+        } = cut;
         let disposition = body.broken_off(ended_by, passed_on).disposition();
         drop(body);
         self.record.note(&ticket.server.id, disposition.execution);
@@ -191,7 +199,8 @@
 
     /// A server is at work on the stream: pauses up to a multiple of their aim are waited out.
     pub(crate) fn heard_event(&mut self) {
-        self.limit.heard(PATIENCE_AIMS * self.route.gap_aim_ms.unwrap_or(self.route.target_ms));
+        self.limit
+            .heard(PATIENCE_AIMS * self.route.gap_aim_ms.unwrap_or(self.route.target_ms));
     }
 
     fn next_server(&mut self) -> Result<Chosen<N>, Refusal> {
@@ -214,16 +223,29 @@
     }
 
     fn flight(&self, ticket: &Ticket) -> Flight<N> {
-        Flight::new(&self.front.node, &self.front.clock, ticket.key, self.limit.until_ms())
+        Flight::new(
+            &self.front.node,
+            &self.front.clock,
+            ticket.key,
+            self.limit.until_ms(),
+        )
     }
 
     fn note_sent(&mut self, ticket: Ticket, flight: Flight<N>) -> Chosen<N> {
         self.sends += 1;
-        let over = if self.tried.contains(&ticket.server.id) { Over::New } else { Over::KeptOrNew };
+        let over = if self.tried.contains(&ticket.server.id) {
+            Over::New
+        } else {
+            Over::KeptOrNew
+        };
         if over == Over::KeptOrNew {
             self.tried.push(ticket.server.id.clone());
         }
-        Chosen { ticket, flight, over }
+        Chosen {
+            ticket,
+            flight,
+            over,
+        }
     }
 
     /// Chooses a server to go to from one that is silent; false where there is none, so that the silent one is
@@ -233,7 +255,11 @@
         if let Choice::Send(ticket) = self.choose() {
             let flight = self.flight(&ticket);
             if !self.tried.contains(&ticket.server.id) {
-                self.ahead = Some(Chosen { ticket, flight, over: Over::KeptOrNew });
+                self.ahead = Some(Chosen {
+                    ticket,
+                    flight,
+                    over: Over::KeptOrNew,
+                });
                 return true;
             }
             flight.finish(Outcome::Abandoned);
@@ -249,10 +275,16 @@
         if !matches!(choice, Choice::NoServer) {
             return choice;
         }
-        let others =
-            self.route.backends.iter().filter(|other| other.weight > 0 && other.backend != self.backend);
+        let others = self
+            .route
+            .backends
+            .iter()
+            .filter(|other| other.weight > 0 && other.backend != self.backend);
         let chosen = others.map(|other| (&other.backend, self.choose_of(&other.backend)));
-        match chosen.into_iter().find(|(_, choice)| !matches!(choice, Choice::NoServer)) {
+        match chosen
+            .into_iter()
+            .find(|(_, choice)| !matches!(choice, Choice::NoServer))
+        {
             Some((backend, choice)) => {
                 self.backend = backend.clone();
                 choice
@@ -304,7 +336,14 @@
             }
             _ => {
                 self.record.note_run(&ticket.server.id);
-                return Ok(Some(Reply { head, source: Source { body, flight, ticket } }));
+                return Ok(Some(Reply {
+                    head,
+                    source: Source {
+                        body,
+                        flight,
+                        ticket,
+                    },
+                }));
             }
         }
         self.check_may_go_on(repeat)?;
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -50,7 +50,10 @@
 
 impl Idle {
     fn rest(&self, now_ms: u64) -> Rest {
-        Rest { rested_ms: now_ms.saturating_sub(self.since_ms), stated_ms: self.stated_ms }
+        Rest {
+            rested_ms: now_ms.saturating_sub(self.since_ms),
+            stated_ms: self.stated_ms,
+        }
     }
 
     /// Whether it stands ready for a request.
@@ -62,7 +65,14 @@
 impl Servers {
     /// At most so many, each watched for a moment before it carries a request.
     pub(crate) fn new(most: usize, settle: Duration, guards: Guards) -> Servers {
-        Servers { most, settle, guards, open: Rc::default(), opened: Cell::new(0), idle: RefCell::default() }
+        Servers {
+            most,
+            settle,
+            guards,
+            open: Rc::default(),
+            opened: Cell::new(0),
+            idle: RefCell::default(),
+        }
     }
 
     pub(crate) fn open(&self) -> usize {
@@ -93,7 +103,11 @@
     }
 
     /// A new connection, for a request with this aim.
-    pub(crate) async fn connect(&self, server: &Server, target_ms: u64) -> Result<Link, ConnectError> {
+    pub(crate) async fn connect(
+        &self,
+        server: &Server,
+        target_ms: u64,
+    ) -> Result<Link, ConnectError> {
         if self.open.get() >= self.most && !self.close_oldest() {
             return Err(ConnectError::NoConnectionLeft);
         }
@@ -101,7 +115,10 @@
         self.opened.set(self.opened.get() + 1);
         let connect_ms = (target_ms / 2).clamp(LEAST_CONNECT_MS, MOST_CONNECT_MS);
         match timeout(Duration::from_millis(connect_ms), dial(server.address)).await {
-            Ok(Ok(stream)) => self.settled(Link::new(server.id.clone(), stream, place).await?).await,
+            Ok(Ok(stream)) => {
+                self.settled(Link::new(server.id.clone(), stream, place).await?)
+                    .await
+            }
             Ok(Err(error)) => {
                 log::debug!("server {} at {}: {error}", server.id, server.address);
                 Err(connect_error(&error))
@@ -133,7 +150,11 @@
         if links.len() >= MOST_IDLE_OF_SERVER {
             links.remove(0);
         }
-        links.push(Idle { link, since_ms: clock.now_ms(), stated_ms: terms.stated_ms });
+        links.push(Idle {
+            link,
+            since_ms: clock.now_ms(),
+            stated_ms: terms.stated_ms,
+        });
     }
 
     /// Closes what has stood idle for so long that the server might close it first, and what has ended.
@@ -178,7 +199,11 @@
 }
 
 async fn dial(address: SocketAddr) -> Io<TcpStream> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     SockRef::from(&socket).set_tcp_user_timeout(Some(PEER_TIMEOUT))?;
     socket.set_nodelay(true)?;
     socket.connect(address).await
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -79,7 +79,14 @@
         keeping: Option<Keeping>,
         start_id: Option<u64>,
     ) -> Streaming<N> {
-        Streaming { splitter: Splitter::default(), start_id, last_id: start_id, tokens, turn, keeping }
+        Streaming {
+            splitter: Splitter::default(),
+            start_id,
+            last_id: start_id,
+            tokens,
+            turn,
+            keeping,
+        }
     }
 
     /// Whether the turn is kept once its answer is whole.
@@ -88,7 +95,11 @@
     }
 
     /// Waits for the first event.
-    pub(crate) async fn begin(&mut self, sending: &mut Sending<N>, source: &mut Source<N>) -> Begin {
+    pub(crate) async fn begin(
+        &mut self,
+        sending: &mut Sending<N>,
+        source: &mut Source<N>,
+    ) -> Begin {
         self.set_chunk(sending);
         self.splitter.clear();
         self.last_id = self.start_id;
@@ -126,7 +137,10 @@
         head.headers.remove(CONTENT_LENGTH);
         let outlet = Outlet::default();
         let pump = self.pump(sending, source, begun, outlet.clone());
-        Response::from_parts(response_head(head), AnswerBody::pumped(pump, outlet, None, client))
+        Response::from_parts(
+            response_head(head),
+            AnswerBody::pumped(pump, outlet, None, client),
+        )
     }
 
     async fn pump(
@@ -202,8 +216,14 @@
             cut.give_up(ended_by);
             return Err(Broken);
         };
-        sending.message.headers.insert(http_headers::LAST_EVENT_ID, http_headers::number(last_id));
-        let reply = sending.send_again(cut, ended_by, true).await.map_err(|_| Broken)?;
+        sending
+            .message
+            .headers
+            .insert(http_headers::LAST_EVENT_ID, http_headers::number(last_id));
+        let reply = sending
+            .send_again(cut, ended_by, true)
+            .await
+            .map_err(|_| Broken)?;
         if !is_stream(sending.route.kind, &reply.head) {
             reply.source.give_up(EndedBy::Proxy);
             return Err(Broken);
@@ -215,13 +235,23 @@
 
     /// Reads how many tokens an event of the present server holds.
     fn set_chunk(&mut self, sending: &Sending<N>) {
-        let engine = sending.service().and_then(|service| service.engine.as_ref());
-        self.tokens.set_chunk(engine.map_or(1, |engine| u64::from(engine.chunk_tokens)));
+        let engine = sending
+            .service()
+            .and_then(|service| service.engine.as_ref());
+        self.tokens
+            .set_chunk(engine.map_or(1, |engine| u64::from(engine.chunk_tokens)));
     }
 
     /// Keeps the turn, so that the end of its answer may go out.
     async fn keep(self, sending: &mut Sending<N>) -> Result<(), Broken> {
-        let Some(Keeping { mut turn, output, room: _room }) = self.keeping else { return Ok(()) };
+        let Some(Keeping {
+            mut turn,
+            output,
+            room: _room,
+        }) = self.keeping
+        else {
+            return Ok(());
+        };
         turn.output = output.freeze();
         let node = sending.front.node.clone();
         let kept = sending.limit.bound(node.keep(turn)).await;
--- a/crates/proxy/src/trace.rs
+++ b/crates/proxy/src/trace.rs
@@ -21,14 +21,23 @@
 
 impl Told {
     pub(crate) fn of<B>(request: &Request<B>) -> Told {
-        let id = || request.headers().get(crate::http_headers::REQUEST_ID).cloned();
+        let id = || {
+            request
+                .headers()
+                .get(crate::http_headers::REQUEST_ID)
+                .cloned()
+        };
         Told(enabled().then(id).flatten())
     }
 
     /// The head of an answer goes to the client.
     pub(crate) fn answered(&self, status: StatusCode) {
         if let Some(id) = &self.0 {
-            log::debug!("event=answered request={} status={}", Value::of(id), status.as_u16());
+            log::debug!(
+                "event=answered request={} status={}",
+                Value::of(id),
+                status.as_u16()
+            );
         }
     }
 
@@ -36,7 +45,11 @@
     pub(crate) fn refused(&self, refusal: Refusal) {
         let Some(id) = &self.0 else { return };
         let (status, reason) = (refusal.status().as_u16(), refusal.reason().trim_end());
-        log::debug!("event=refused request={} status={status} reason={}", Value::of(id), Value(reason));
+        log::debug!(
+            "event=refused request={} status={status} reason={}",
+            Value::of(id),
+            Value(reason)
+        );
     }
 }
 
@@ -60,7 +73,10 @@
 
 /// A turn's budget is reserved under this key.
 pub(crate) fn admitted(asked: &Asked, turn: u64) {
-    log::debug!("event=admitted request={} turn={turn}", Value::of(&asked.id));
+    log::debug!(
+        "event=admitted request={} turn={turn}",
+        Value::of(&asked.id)
+    );
 }
 
 /// A server was chosen, or none.
@@ -80,7 +96,9 @@
                 "event=choice request={id} backend={backend} verdict=refuse retry_after_ms={retry_after_ms}"
             );
         }
-        Choice::NoServer => log::debug!("event=choice request={id} backend={backend} verdict=no_server"),
+        Choice::NoServer => {
+            log::debug!("event=choice request={id} backend={backend} verdict=no_server")
+        }
     }
 }
 
@@ -98,7 +116,10 @@
         Over::New => "new",
     };
     let (id, server) = (Value::of(&asked.id), Value(&ticket.server.id));
-    log::debug!("event=try request={id} ticket={} server={server} over={over}", ticket.key);
+    log::debug!(
+        "event=try request={id} ticket={} server={server} over={over}",
+        ticket.key
+    );
 }
 
 /// The head of an answer has come. The key `verdict` is what `dunespur explain` reads.
@@ -114,7 +135,11 @@
 /// An attempt brought no answer that can be used.
 pub(crate) fn attempt_failed(asked: &Asked, ticket: &Ticket, error: AttemptError) {
     let (id, server) = (Value::of(&asked.id), Value(&ticket.server.id));
-    log::debug!("event=fault request={id} ticket={} server={server} fault={}", ticket.key, Fault(error));
+    log::debug!(
+        "event=fault request={id} ticket={} server={server} fault={}",
+        ticket.key,
+        Fault(error)
+    );
 }
 
 /// An error of an attempt as one word.
@@ -126,7 +151,11 @@
             AttemptError::Connect(error) => write!(f, "{error:?}"),
             AttemptError::Ended(attempt) => {
                 let execution = attempt.disposition().execution;
-                write!(f, "{execution:?},sent:{:?},ended_by:{:?}", attempt.sent, attempt.ended_by)
+                write!(
+                    f,
+                    "{execution:?},sent:{:?},ended_by:{:?}",
+                    attempt.sent, attempt.ended_by
+                )
             }
         }
     }
--- a/crates/proxy/src/turn.rs
+++ b/crates/proxy/src/turn.rs
@@ -11,7 +11,10 @@
 
 impl<N: Node> Turn<N> {
     pub(crate) fn new(node: &Rc<N>, key: TurnKey) -> Turn<N> {
-        Turn { node: node.clone(), key }
+        Turn {
+            node: node.clone(),
+            key,
+        }
     }
 
     pub(crate) fn used(&self, tokens: u64) {
@@ -36,7 +39,11 @@
 impl TokenCount {
     /// Of a turn that generates `most` at most.
     pub(crate) fn new(most: u64) -> TokenCount {
-        TokenCount { chunk: 1, most, counted: 0 }
+        TokenCount {
+            chunk: 1,
+            most,
+            counted: 0,
+        }
     }
 
     /// From now on an event holds `chunk` tokens.
@@ -48,7 +55,11 @@
     /// server should send, count in full.
     pub(crate) fn next_event(&mut self) -> u64 {
         let left = self.most.saturating_sub(self.counted);
-        let tokens = if left > 0 { self.chunk.min(left) } else { self.chunk };
+        let tokens = if left > 0 {
+            self.chunk.min(left)
+        } else {
+            self.chunk
+        };
         self.counted += tokens;
         tokens
     }
--- a/crates/proxy/src/watched_stream.rs
+++ b/crates/proxy/src/watched_stream.rs
@@ -15,7 +15,10 @@
 
 impl WatchedStream {
     pub(crate) fn new(stream: TcpStream) -> WatchedStream {
-        WatchedStream { stream, ended_by: EndedBy::Nobody }
+        WatchedStream {
+            stream,
+            ended_by: EndedBy::Nobody,
+        }
     }
 
     pub(crate) fn stream(&self) -> &TcpStream {
--- a/crates/proxy/tests/connections.rs
+++ b/crates/proxy/tests/connections.rs
@@ -28,10 +28,16 @@
             client.send(get("/read/", id).as_bytes()).await;
             let (mut connection, message) = server.take().await;
             assert_eq!(message.id(), id);
-            connection.answer(200, id, "Connection: close\r\n", id).await;
+            connection
+                .answer(200, id, "Connection: close\r\n", id)
+                .await;
             let answer = client.message().await;
             assert_eq!(answer.text(), id);
-            assert_eq!(answer.header("connection"), None, "the server's close is not the client's");
+            assert_eq!(
+                answer.header("connection"),
+                None,
+                "the server's close is not the client's"
+            );
         }
         assert_eq!(gateway.front.counters().accepted, 1);
     });
@@ -48,7 +54,9 @@
             let (mut connection, message) = server.take().await;
             assert_eq!(message.id(), id);
             assert!(server.is_untouched().await, "one at a time");
-            connection.answer(200, id, "Connection: close\r\n", id).await;
+            connection
+                .answer(200, id, "Connection: close\r\n", id)
+                .await;
             assert_eq!(client.message().await.text(), id);
         }
     });
@@ -154,7 +162,10 @@
         assert_eq!(message.id(), "r2");
         connection.answer(200, "r2", "", "ok").await;
         assert_eq!(client.message().await.text(), "ok");
-        assert_eq!(gateway.node.outcomes(), [Outcome::Served { tokens_out: 0 }; 2]);
+        assert_eq!(
+            gateway.node.outcomes(),
+            [Outcome::Served { tokens_out: 0 }; 2]
+        );
     });
 }
 
@@ -162,7 +173,10 @@
 fn connections_to_servers_are_bounded() {
     play(async {
         let (first, second) = (StandIn::start("i-1").await, StandIn::start("i-2").await);
-        let settings = FrontSettings { max_server_connections: 1, ..FrontSettings::default() };
+        let settings = FrontSettings {
+            max_server_connections: 1,
+            ..FrontSettings::default()
+        };
         let gateway = Gateway::with(&[&first], settings).await;
         let mut idle = serve_first(&gateway, &first, "Keep-Alive: timeout=5\r\n").await;
         // An idle one gives its place.
@@ -171,7 +185,11 @@
         let (mut connection, _) = second.take().await;
         assert!(idle.is_closed().await);
         // One in use does not.
-        let answer = gateway.ask(&post("/write/", "r3", "", "x")).await.message().await;
+        let answer = gateway
+            .ask(&post("/write/", "r3", "", "x"))
+            .await
+            .message()
+            .await;
         assert_eq!(answer.status(), 503);
         connection.answer(200, "r2", "", "ok").await;
         assert_eq!(client.message().await.text(), "ok");
@@ -181,13 +199,24 @@
 #[test]
 fn clients_beyond_the_bound_take_the_place_of_the_one_that_has_rested_longest() {
     play(async {
-        let settings = FrontSettings { max_connections: 2, ..FrontSettings::default() };
+        let settings = FrontSettings {
+            max_connections: 2,
+            ..FrontSettings::default()
+        };
         let gateway = Gateway::with(&[], settings).await;
         let mut longest = gateway.ask(&get("/nowhere/", "r1")).await;
         longest.message().await;
         let mut other = gateway.ask(&get("/nowhere/", "r2")).await;
         other.message().await;
-        assert_eq!(gateway.ask(&get("/nowhere/", "r3")).await.message().await.status(), 404);
+        assert_eq!(
+            gateway
+                .ask(&get("/nowhere/", "r3"))
+                .await
+                .message()
+                .await
+                .status(),
+            404
+        );
         assert!(longest.is_closed().await);
     });
 }
@@ -204,10 +233,14 @@
         assert_eq!(message.text(), "abcde");
         assert_eq!(message.header("content-length"), Some("5"));
         assert_eq!(message.header("transfer-encoding"), None);
-        connection.answer(200, "r1", "Connection: close\r\n", "ok").await;
+        connection
+            .answer(200, "r1", "Connection: close\r\n", "ok")
+            .await;
         client.message().await;
 
-        client.send(post("/write/", "r2", "Expect: 100-continue\r\n", "").as_bytes()).await;
+        client
+            .send(post("/write/", "r2", "Expect: 100-continue\r\n", "").as_bytes())
+            .await;
         let (_connection, message) = server.take().await;
         assert_eq!(message.header("content-length"), Some("0"));
         assert_eq!(message.header("expect"), None);
@@ -220,11 +253,18 @@
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
         let head = "POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n";
-        let mut client = gateway.ask(&format!("{head}Content-Length: 100001\r\n\r\n")).await;
+        let mut client = gateway
+            .ask(&format!("{head}Content-Length: 100001\r\n\r\n"))
+            .await;
         let answer = client.message().await;
-        assert_eq!((answer.status(), answer.header("connection")), (413, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (413, Some("close"))
+        );
 
-        let mut client = gateway.ask(&format!("{head}Transfer-Encoding: chunked\r\n\r\n")).await;
+        let mut client = gateway
+            .ask(&format!("{head}Transfer-Encoding: chunked\r\n\r\n"))
+            .await;
         client.chunk(&"x".repeat(60_000)).await;
         client.chunk(&"x".repeat(60_000)).await;
         assert_eq!(client.message().await.status(), 413);
@@ -251,16 +291,29 @@
 fn bodies_take_no_more_memory_than_there_is() {
     play(async {
         let server = StandIn::start("i-1").await;
-        let settings = FrontSettings { memory_bytes: 1000, ..FrontSettings::default() };
+        let settings = FrontSettings {
+            memory_bytes: 1000,
+            ..FrontSettings::default()
+        };
         let gateway = Gateway::with(&[&server], settings).await;
-        let mut first = gateway.ask(&post("/write/", "r1", "", &"x".repeat(600))).await;
+        let mut first = gateway
+            .ask(&post("/write/", "r1", "", &"x".repeat(600)))
+            .await;
         let (mut connection, _) = server.take().await;
-        let refused = gateway.ask(&post("/write/", "r2", "", &"x".repeat(600))).await.message().await;
+        let refused = gateway
+            .ask(&post("/write/", "r2", "", &"x".repeat(600)))
+            .await
+            .message()
+            .await;
         assert_eq!(refused.status(), 503);
         assert!(refused.header("retry-after").is_some());
-        connection.answer(200, "r1", "Connection: close\r\n", "ok").await;
+        connection
+            .answer(200, "r1", "Connection: close\r\n", "ok")
+            .await;
         assert_eq!(first.message().await.status(), 200);
-        let _third = gateway.ask(&post("/write/", "r3", "", &"x".repeat(600))).await;
+        let _third = gateway
+            .ask(&post("/write/", "r3", "", &"x".repeat(600)))
+            .await;
         assert_eq!(server.take().await.1.id(), "r3");
     });
 }
@@ -272,16 +325,30 @@
         let gateway = Gateway::start(&[&server]).await;
         for length in [9_000, 16_000] {
             let mut client = gateway
-                .ask(&post("/write/", "r1", &format!("X-Long: {}\r\n", "y".repeat(length)), "x"))
+                .ask(&post(
+                    "/write/",
+                    "r1",
+                    &format!("X-Long: {}\r\n", "y".repeat(length)),
+                    "x",
+                ))
                 .await;
             let (mut connection, message) = server.take().await;
             assert_eq!(message.header("x-long").unwrap().len(), length);
             let more = format!("Connection: close\r\nX-Long: {}\r\n", "z".repeat(length));
             connection.answer(200, "r1", &more, "ok").await;
-            assert_eq!(client.message().await.header("x-long").unwrap().len(), length);
+            assert_eq!(
+                client.message().await.header("x-long").unwrap().len(),
+                length
+            );
         }
-        let mut client =
-            gateway.ask(&post("/write/", "r1", &format!("X-Long: {}\r\n", "y".repeat(30_000)), "x")).await;
+        let mut client = gateway
+            .ask(&post(
+                "/write/",
+                "r1",
+                &format!("X-Long: {}\r\n", "y".repeat(30_000)),
+                "x",
+            ))
+            .await;
         assert_eq!(client.message().await.status(), 431);
         assert!(server.is_untouched().await);
     });
@@ -292,7 +359,9 @@
     play(async {
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
-        let many: String = (0..150).map(|number| format!("X-H{number}: {number}\r\n")).collect();
+        let many: String = (0..150)
+            .map(|number| format!("X-H{number}: {number}\r\n"))
+            .collect();
         let mut client = gateway.ask(&post("/write/", "r1", &many, "x")).await;
         let (mut connection, message) = server.take().await;
         assert_eq!(message.header("x-h149"), Some("149"));
@@ -329,7 +398,9 @@
             let (mut connection, message) = server.take().await;
             assert_eq!((message.id(), message.text()), ("r1", "ab"));
             assert_eq!(message.header("content-length"), Some("2"));
-            connection.answer(200, "r1", "Connection: close\r\n", "ok").await;
+            connection
+                .answer(200, "r1", "Connection: close\r\n", "ok")
+                .await;
             assert_eq!(client.message().await.header("connection"), Some("close"));
             assert!(client.is_closed().await);
             assert!(server.is_untouched().await);
@@ -363,7 +434,8 @@
 fn a_slow_head_is_told_so() {
     play(async {
         let gateway = Gateway::start(&[]).await;
-        let hurried = CONFIGURATION.replace(r#""header_timeout_ms":3000"#, r#""header_timeout_ms":1"#);
+        let hurried =
+            CONFIGURATION.replace(r#""header_timeout_ms":3000"#, r#""header_timeout_ms":1"#);
         *gateway.node.table.borrow_mut() = Some(table(&hurried));
         let mut client = gateway.ask("GET /read/ HTTP/1.1\r\nHost").await;
         assert_eq!(client.message().await.status(), 408);
@@ -378,7 +450,10 @@
         let request = "POST /short/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\nContent-Length: 10\r\n\r\nhalf";
         let mut client = gateway.ask(request).await;
         let answer = client.message().await;
-        assert_eq!((answer.status(), answer.header("connection")), (408, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (408, Some("close"))
+        );
     });
 }
 
@@ -415,7 +490,10 @@
 fn a_drain_answers_what_is_in_hand_and_ends_every_connection() {
     play(async {
         let server = StandIn::start("i-1").await;
-        let settings = FrontSettings { leave_ms: 0, ..FrontSettings::default() };
+        let settings = FrontSettings {
+            leave_ms: 0,
+            ..FrontSettings::default()
+        };
         let gateway = Gateway::with(&[&server], settings).await;
         let mut resting = gateway.ask(&get("/nowhere/", "r0")).await;
         assert_eq!(resting.message().await.header("connection"), None);
@@ -453,7 +531,10 @@
         let (mut connection, _) = server.take().await;
         connection.answer(200, "r1", "", "ok").await;
         let answer = kept.message().await;
-        assert_eq!((answer.text(), answer.header("connection")), ("ok", Some("close")));
+        assert_eq!(
+            (answer.text(), answer.header("connection")),
+            ("ok", Some("close"))
+        );
         assert!(kept.is_closed().await);
         let mut new = gateway.ask(&get("/nowhere/", "r2")).await;
         assert_eq!(new.message().await.header("connection"), Some("close"));
@@ -470,7 +551,9 @@
         let mut caller = Peer::new(TcpStream::connect(address).await.unwrap());
         for (ready, status) in [(true, 200), (false, 503), (true, 200)] {
             node.ready.set(ready);
-            caller.send(b"GET /api/readyz HTTP/1.1\r\nHost: x\r\n\r\n").await;
+            caller
+                .send(b"GET /api/readyz HTTP/1.1\r\nHost: x\r\n\r\n")
+                .await;
             assert_eq!(caller.message().await.status(), status);
         }
         caller.send(b"GET /else HTTP/1.1\r\nHost: x\r\n\r\n").await;
@@ -481,8 +564,13 @@
 #[test]
 fn a_front_that_was_never_used_drains() {
     play(async {
-        let front =
-            Front::new(TestNode::new(Vec::new()), FrontSettings { leave_ms: 0, ..FrontSettings::default() });
+        let front = Front::new(
+            TestNode::new(Vec::new()),
+            FrontSettings {
+                leave_ms: 0,
+                ..FrontSettings::default()
+            },
+        );
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let serving = tokio::task::spawn_local(front.clone().serve(listener));
         front.drain();
@@ -505,7 +593,10 @@
         }
         client.send(b"POST /nowhere/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\nContent-Length: 20000\r\n\r\nhalf").await;
         let answer = client.message().await;
-        assert_eq!((answer.status(), answer.header("connection")), (404, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (404, Some("close"))
+        );
         assert!(client.is_closed().await);
     });
 }
@@ -514,13 +605,19 @@
 fn a_server_that_resets_a_new_connection_has_not_run_what_was_to_come_over_it() {
     play(async {
         let (full, server) = (StandIn::start("i-1").await, StandIn::start("i-2").await);
-        let settings = FrontSettings { settle_ms: 300, ..FrontSettings::default() };
+        let settings = FrontSettings {
+            settle_ms: 300,
+            ..FrontSettings::default()
+        };
         let gateway = Gateway::with(&[&full, &server], settings).await;
         let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
         full.accept().await.reset();
         let (mut connection, _) = server.take().await;
         connection.answer(200, "r1", "", "ok").await;
         assert_eq!(client.message().await.text(), "ok");
-        assert_eq!(gateway.node.outcomes(), [Outcome::Shed, Outcome::Served { tokens_out: 0 }]);
+        assert_eq!(
+            gateway.node.outcomes(),
+            [Outcome::Shed, Outcome::Served { tokens_out: 0 }]
+        );
     });
 }
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -5,13 +5,18 @@
 use dunespur_routing::Outcome;
 use support::*;
 
-const TURN: &str = "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
+const TURN: &str =
+    "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
 /// How many times the aim of its route a server may be silent before a request that can be repeated leaves it.
 const PATIENCE_AIMS: u64 = 4;
 
 /// The time that a server was told is left.
 fn handed_down(message: &Message) -> u64 {
-    message.header("x-dunespur-deadline-ms").expect("every send tells the time").parse().unwrap()
+    message
+        .header("x-dunespur-deadline-ms")
+        .expect("every send tells the time")
+        .parse()
+        .unwrap()
 }
 
 /// Changes the table in force.
@@ -23,7 +28,11 @@
 /// A gateway that holds streams for 50 ms.
 async fn with_short_streams(server: &StandIn) -> Gateway {
     let gateway = Gateway::start(&[server]).await;
-    configure(&gateway.node, r#""timeout_ms":20000,"target_ms":200"#, r#""timeout_ms":50,"target_ms":200"#);
+    configure(
+        &gateway.node,
+        r#""timeout_ms":20000,"target_ms":200"#,
+        r#""timeout_ms":50,"target_ms":200"#,
+    );
     gateway
 }
 
@@ -87,7 +96,9 @@
         let mut other = gateway.ask(&post("/short/", "r2", "", "x")).await;
         let (_silent, short) = full.take().await;
         assert_eq!(other.message().await.status(), 504);
-        connection.answer(503, "r1", "X-Dunespur-Not-Executed: 1\r\n", "").await;
+        connection
+            .answer(503, "r1", "X-Dunespur-Not-Executed: 1\r\n", "")
+            .await;
         let (mut connection, message) = second.take().await;
         assert!(handed_down(&message) + handed_down(&short) <= handed_down(&first));
         connection.answer(200, "r1", "", "done").await;
--- a/crates/proxy/tests/dispositions.rs
+++ b/crates/proxy/tests/dispositions.rs
@@ -8,7 +8,8 @@
 mod support;
 
 use dunespur_proxy::disposition::{
-    AnswerKind, Attempt, ClientAnswer, ConnectionUse, Disposition, EndedBy, Framing, Received, Repeat, Sent,
+    AnswerKind, Attempt, ClientAnswer, ConnectionUse, Disposition, EndedBy, Framing, Received,
+    Repeat, Sent,
 };
 use support::*;
 use tokio::time::Duration;
@@ -44,8 +45,16 @@
         Received::Nothing => return String::new(),
         Received::Interim => return "HTTP/1.1 103 Early Hints\r\nX-Any: 1\r\n\r\n".to_owned(),
         Received::WholeAnswer { kind, framing } => (kind, framing, 4, 4),
-        Received::PartOfAnswer { kind, framing, passed_on: false } => (kind, framing, 10, 4),
-        Received::PartOfAnswer { kind, framing, passed_on: true } => (kind, framing, WHOLE, PART),
+        Received::PartOfAnswer {
+            kind,
+            framing,
+            passed_on: false,
+        } => (kind, framing, 10, 4),
+        Received::PartOfAnswer {
+            kind,
+            framing,
+            passed_on: true,
+        } => (kind, framing, WHOLE, PART),
     };
     let end_of_head = match framing {
         Framing::Delimited => format!("Content-Length: {length}\r\n\r\n"),
@@ -78,17 +87,40 @@
             Repeat::IfResumable | Repeat::No => false,
         };
         let sent_again = may && has_time && self.further;
-        Seen { sent_again, client: if sent_again { ClientAnswer::Servers } else { client } }
+        Seen {
+            sent_again,
+            client: if sent_again {
+                ClientAnswer::Servers
+            } else {
+                client
+            },
+        }
     }
 
     async fn drive(&self) {
-        let Attempt { sent, received, ended_by } = self.attempt;
+        let Attempt {
+            sent,
+            received,
+            ended_by,
+        } = self.attempt;
         let (first, second) = (StandIn::narrow("i-1").await, StandIn::start("i-2").await);
-        let servers = if self.further { vec![&first, &second] } else { vec![&first] };
+        let servers = if self.further {
+            vec![&first, &second]
+        } else {
+            vec![&first]
+        };
         let gateway = Gateway::start(&servers).await;
         *gateway.node.table.borrow_mut() = Some(roomy_table());
-        let body = if sent == Sent::Whole { "x".to_owned() } else { "x".repeat(LONG_BODY) };
-        let path = if self.idempotent { "/read2/" } else { "/write/" };
+        let body = if sent == Sent::Whole {
+            "x".to_owned()
+        } else {
+            "x".repeat(LONG_BODY)
+        };
+        let path = if self.idempotent {
+            "/read2/"
+        } else {
+            "/write/"
+        };
         let mut client = Some(gateway.client().await);
         let request = post(path, "r1", "", &body);
         client.as_mut().unwrap().send(request.as_bytes()).await;
@@ -99,7 +131,13 @@
             connection.body_of(&head).await.unwrap();
         }
         connection.send(bytes_of(received).as_bytes()).await;
-        if matches!(received, Received::PartOfAnswer { passed_on: true, .. }) {
+        if matches!(
+            received,
+            Received::PartOfAnswer {
+                passed_on: true,
+                ..
+            }
+        ) {
             client.as_mut().unwrap().until("xx").await;
         }
         let mut connection = Some(connection);
@@ -126,7 +164,10 @@
 
     async fn observe(&self, client: Option<Peer>, second: &StandIn) -> Seen {
         let Some(mut client) = client else {
-            return Seen { sent_again: false, client: ClientAnswer::Nothing };
+            return Seen {
+                sent_again: false,
+                client: ClientAnswer::Nothing,
+            };
         };
         let expected = self.expected();
         if expected.sent_again {
@@ -134,7 +175,10 @@
             assert_eq!(message.id(), "r1");
             connection.answer(200, "r1", "", "second").await;
             assert_eq!(client.message().await.text(), "second");
-            return Seen { sent_again: true, client: ClientAnswer::Servers };
+            return Seen {
+                sent_again: true,
+                client: ClientAnswer::Servers,
+            };
         }
         let answer = if expected.client == ClientAnswer::Broken {
             client.rest().await;
@@ -149,7 +193,10 @@
                 other => panic!("{other:?}"),
             }
         };
-        Seen { sent_again: !second.is_untouched().await, client: answer }
+        Seen {
+            sent_again: !second.is_untouched().await,
+            client: answer,
+        }
     }
 
     /// A connection that may be used again carries the next request, another one ends.
@@ -167,10 +214,18 @@
 }
 
 fn drive(sent: Sent, received: Received, ended_by: EndedBy) {
-    let attempt = Attempt { sent, received, ended_by };
+    let attempt = Attempt {
+        sent,
+        received,
+        ended_by,
+    };
     for idempotent in [false, true] {
         for further in [false, true] {
-            let row = Row { attempt, idempotent, further };
+            let row = Row {
+                attempt,
+                idempotent,
+                further,
+            };
             play(async move { row.drive().await });
         }
     }
@@ -182,7 +237,12 @@
 fn nothing_came_or_interim_answers_alone() {
     for sent in SENT {
         for received in [Received::Nothing, Received::Interim] {
-            for ended_by in [EndedBy::Server, EndedBy::Reset, EndedBy::Timeout, EndedBy::Client] {
+            for ended_by in [
+                EndedBy::Server,
+                EndedBy::Reset,
+                EndedBy::Timeout,
+                EndedBy::Client,
+            ] {
                 drive(sent, received, ended_by);
             }
         }
@@ -193,15 +253,28 @@
 fn a_part_came_that_the_client_has_not() {
     for sent in SENT {
         for kind in [AnswerKind::Final, AnswerKind::Failure] {
-            let received = Received::PartOfAnswer { kind, framing: Framing::Delimited, passed_on: false };
-            for ended_by in [EndedBy::Server, EndedBy::Reset, EndedBy::Timeout, EndedBy::Client] {
+            let received = Received::PartOfAnswer {
+                kind,
+                framing: Framing::Delimited,
+                passed_on: false,
+            };
+            for ended_by in [
+                EndedBy::Server,
+                EndedBy::Reset,
+                EndedBy::Timeout,
+                EndedBy::Client,
+            ] {
                 // A failure of one server is not waited for where another one may be asked.
                 if kind == AnswerKind::Final || ended_by != EndedBy::Timeout {
                     drive(sent, received, ended_by);
                 }
             }
             // The end in order of a body without a length is its whole.
-            let received = Received::PartOfAnswer { kind, framing: Framing::UntilClose, passed_on: false };
+            let received = Received::PartOfAnswer {
+                kind,
+                framing: Framing::UntilClose,
+                passed_on: false,
+            };
             drive(sent, received, EndedBy::Reset);
         }
     }
@@ -211,12 +284,25 @@
 fn a_part_came_that_the_client_has() {
     for sent in SENT {
         let kind = AnswerKind::Final;
-        for ended_by in [EndedBy::Server, EndedBy::Reset, EndedBy::Timeout, EndedBy::Client] {
-            let received = Received::PartOfAnswer { kind, framing: Framing::Delimited, passed_on: true };
+        for ended_by in [
+            EndedBy::Server,
+            EndedBy::Reset,
+            EndedBy::Timeout,
+            EndedBy::Client,
+        ] {
+            let received = Received::PartOfAnswer {
+                kind,
+                framing: Framing::Delimited,
+                passed_on: true,
+            };
             drive(sent, received, ended_by);
         }
         for ended_by in [EndedBy::Reset, EndedBy::Timeout, EndedBy::Client] {
-            let received = Received::PartOfAnswer { kind, framing: Framing::UntilClose, passed_on: true };
+            let received = Received::PartOfAnswer {
+                kind,
+                framing: Framing::UntilClose,
+                passed_on: true,
+            };
             drive(sent, received, ended_by);
         }
     }
@@ -225,13 +311,38 @@
 #[test]
 fn all_came() {
     for sent in SENT {
-        for kind in [AnswerKind::Final, AnswerKind::Failure, AnswerKind::NotExecuted] {
-            drive(sent, Received::WholeAnswer { kind, framing: Framing::Delimited }, EndedBy::Nobody);
+        for kind in [
+            AnswerKind::Final,
+            AnswerKind::Failure,
+            AnswerKind::NotExecuted,
+        ] {
+            drive(
+                sent,
+                Received::WholeAnswer {
+                    kind,
+                    framing: Framing::Delimited,
+                },
+                EndedBy::Nobody,
+            );
         }
-        for kind in [AnswerKind::Final, AnswerKind::Failure, AnswerKind::NotExecuted] {
-            drive(sent, Received::WholeAnswer { kind, framing: Framing::UntilClose }, EndedBy::Server);
+        for kind in [
+            AnswerKind::Final,
+            AnswerKind::Failure,
+            AnswerKind::NotExecuted,
+        ] {
+            drive(
+                sent,
+                Received::WholeAnswer {
+                    kind,
+                    framing: Framing::UntilClose,
+                },
+                EndedBy::Server,
+            );
         }
-        let received = Received::WholeAnswer { kind: AnswerKind::OtherInstance, framing: Framing::Delimited };
+        let received = Received::WholeAnswer {
+            kind: AnswerKind::OtherInstance,
+            framing: Framing::Delimited,
+        };
         drive(sent, received, EndedBy::Nobody);
     }
 }
@@ -241,8 +352,20 @@
     for sent in SENT {
         for kind in [AnswerKind::UnbackedPromise, AnswerKind::NotOurs] {
             for framing in [Framing::Delimited, Framing::UntilClose] {
-                drive(sent, Received::PartOfAnswer { kind, framing, passed_on: false }, EndedBy::Proxy);
-                drive(sent, Received::WholeAnswer { kind, framing }, EndedBy::Proxy);
+                drive(
+                    sent,
+                    Received::PartOfAnswer {
+                        kind,
+                        framing,
+                        passed_on: false,
+                    },
+                    EndedBy::Proxy,
+                );
+                drive(
+                    sent,
+                    Received::WholeAnswer { kind, framing },
+                    EndedBy::Proxy,
+                );
             }
         }
     }
--- a/crates/proxy/tests/events.rs
+++ b/crates/proxy/tests/events.rs
@@ -11,13 +11,23 @@
         event.append_data(&mut output);
         String::from_utf8(output.to_vec()).unwrap()
     };
-    Event::all(whole).map(|event| (event.id, data(event))).collect()
+    Event::all(whole)
+        .map(|event| (event.id, data(event)))
+        .collect()
 }
 
 #[test]
 fn events_are_read() {
-    let expected = [(Some(1), "a\n"), (Some(2), "b\nc\n"), (Some(3), "d\n"), (Some(10), "\n")];
-    let expected: Vec<_> = expected.into_iter().map(|(id, data)| (id, data.to_owned())).collect();
+    let expected = [
+        (Some(1), "a\n"),
+        (Some(2), "b\nc\n"),
+        (Some(3), "d\n"),
+        (Some(10), "\n"),
+    ];
+    let expected: Vec<_> = expected
+        .into_iter()
+        .map(|(id, data)| (id, data.to_owned()))
+        .collect();
     assert_eq!(read(STREAM.as_bytes()), expected);
 }
 
@@ -30,7 +40,11 @@
             let mut splitter = Splitter::default();
             let mut came = Vec::new();
             let mut passed = Vec::new();
-            for part in [bytes.slice(..first), bytes.slice(first..second), bytes.slice(second..)] {
+            for part in [
+                bytes.slice(..first),
+                bytes.slice(first..second),
+                bytes.slice(second..),
+            ] {
                 let whole = splitter.push(part).unwrap();
                 came.extend(read(&whole));
                 passed.extend_from_slice(&whole);
@@ -45,7 +59,9 @@
 #[test]
 fn a_partial_event_is_held_back() {
     let mut splitter = Splitter::default();
-    let whole = splitter.push(Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\ndata: b\n")).unwrap();
+    let whole = splitter
+        .push(Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\ndata: b\n"))
+        .unwrap();
     assert_eq!(whole, "id: 1\ndata: a\n\n");
     assert_eq!(splitter.held(), "id: 2\ndata: b\n".len());
     splitter.clear();
--- a/crates/proxy/tests/exchanges.rs
+++ b/crates/proxy/tests/exchanges.rs
@@ -17,7 +17,10 @@
 const COUNTEREXAMPLE_CASES: u64 = 8_000;
 
 fn cases() -> u64 {
-    std::env::var("EXCHANGE_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(CASES)
+    std::env::var("EXCHANGE_CASES")
+        .ok()
+        .and_then(|cases| cases.parse().ok())
+        .unwrap_or(CASES)
 }
 
 #[test]
@@ -30,25 +33,47 @@
 
 fn counterexample(guards: Guards, is_wanted: impl Fn(&Violation) -> bool) {
     let played = play_cases(COUNTEREXAMPLE_CASES, guards);
-    let found = played.violations.iter().find(|violation| is_wanted(violation));
+    let found = played
+        .violations
+        .iter()
+        .find(|violation| is_wanted(violation));
     eprintln!("{found:?}");
-    assert!(found.is_some(), "none of the wanted kind in {played}: {:?}", played.violations);
+    assert!(
+        found.is_some(),
+        "none of the wanted kind in {played}: {:?}",
+        played.violations
+    );
 }
 
 #[test]
 fn without_one_send_a_request_runs_twice() {
-    let guards = Guards { unrepeatable_sent_once: false, ..Guards::default() };
-    counterexample(guards, |violation| matches!(violation, Violation::RunTwice { .. }));
+    let guards = Guards {
+        unrepeatable_sent_once: false,
+        ..Guards::default()
+    };
+    counterexample(guards, |violation| {
+        matches!(violation, Violation::RunTwice { .. })
+    });
 }
 
 #[test]
 fn without_ids_a_client_gets_another_answer() {
-    let guards = Guards { answer_ids_compared: false, ..Guards::default() };
-    counterexample(guards, |violation| matches!(violation, Violation::WrongAnswer { .. }));
+    let guards = Guards {
+        answer_ids_compared: false,
+        ..Guards::default()
+    };
+    counterexample(guards, |violation| {
+        matches!(violation, Violation::WrongAnswer { .. })
+    });
 }
 
 #[test]
 fn without_a_reset_that_is_no_end_a_part_looks_whole() {
-    let guards = Guards { reset_is_no_end: false, ..Guards::default() };
-    counterexample(guards, |violation| matches!(violation, Violation::WrongAnswer { .. }));
+    let guards = Guards {
+        reset_is_no_end: false,
+        ..Guards::default()
+    };
+    counterexample(guards, |violation| {
+        matches!(violation, Violation::WrongAnswer { .. })
+    });
 }
--- a/crates/proxy/tests/requests.rs
+++ b/crates/proxy/tests/requests.rs
@@ -31,10 +31,21 @@
             assert_eq!(message.header(hop), None, "{hop}");
         }
         assert_eq!(message.text(), "body");
-        let deadline: u64 = message.header("x-dunespur-deadline-ms").unwrap().parse().unwrap();
+        let deadline: u64 = message
+            .header("x-dunespur-deadline-ms")
+            .unwrap()
+            .parse()
+            .unwrap();
         assert!(deadline > 0 && deadline <= 15_000);
 
-        connection.answer(201, "r1", "Keep-Alive: timeout=5\r\nX-More: yes\r\n", "done").await;
+        connection
+            .answer(
+                201,
+                "r1",
+                "Keep-Alive: timeout=5\r\nX-More: yes\r\n",
+                "done",
+            )
+            .await;
         let answer = client.message().await;
         assert_eq!(answer.status(), 201);
         assert_eq!(answer.header("x-dunespur-response-stamp"), Some("s.r1"));
@@ -63,8 +74,11 @@
         let (_, message) = server.take().await;
         assert_eq!(message.header("priority"), Some("2"));
         assert_eq!(message.header("expect-version"), None);
-        let instances: Vec<_> =
-            message.headers.iter().filter(|(name, _)| name == "x-dunespur-expect-instance").collect();
+        let instances: Vec<_> = message
+            .headers
+            .iter()
+            .filter(|(name, _)| name == "x-dunespur-expect-instance")
+            .collect();
         assert_eq!(instances.len(), 1);
         assert_eq!(instances[0].1, "i-1");
     });
@@ -78,9 +92,19 @@
         let cases = [
             (get("/nowhere/", "r1"), 404),
             (get("/read", "r1"), 404),
-            ("GET /read/ HTTP/1.1\r\nHost: h.example\r\n\r\n".to_owned(), 400),
-            ("GET /read/ HTTP/1.1\r\nX-Dunespur-Request-Id: r1\r\n\r\n".to_owned(), 400),
-            ("GET /read/ HTTP/1.0\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n\r\n".to_owned(), 505),
+            (
+                "GET /read/ HTTP/1.1\r\nHost: h.example\r\n\r\n".to_owned(),
+                400,
+            ),
+            (
+                "GET /read/ HTTP/1.1\r\nX-Dunespur-Request-Id: r1\r\n\r\n".to_owned(),
+                400,
+            ),
+            (
+                "GET /read/ HTTP/1.0\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n\r\n"
+                    .to_owned(),
+                505,
+            ),
             ("BAD\r\n\r\n".to_owned(), 400),
         ];
         for (request, status) in cases {
@@ -171,13 +195,18 @@
 fn a_request_that_was_not_run_goes_to_the_next_server() {
     play(async {
         let dead = StandIn::dead("i-dead").await;
-        let (full, moved, good) =
-            (StandIn::start("i-1").await, StandIn::start("i-2").await, StandIn::start("i-3").await);
+        let (full, moved, good) = (
+            StandIn::start("i-1").await,
+            StandIn::start("i-2").await,
+            StandIn::start("i-3").await,
+        );
         let gateway = Gateway::start(&[&dead, &full, &moved, &good]).await;
         let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
 
         let (mut connection, _) = full.take().await;
-        connection.answer(503, "r1", "X-Dunespur-Not-Executed: full\r\n", "full").await;
+        connection
+            .answer(503, "r1", "X-Dunespur-Not-Executed: full\r\n", "full")
+            .await;
         let (mut connection, _) = moved.take().await;
         connection.answer(421, "r1", "", "").await;
         let (mut connection, _) = good.take().await;
@@ -185,8 +214,16 @@
 
         let answer = client.message().await;
         assert_eq!((answer.status(), answer.text()), (200, "ok"));
-        assert_eq!(gateway.node.outcomes(), [Outcome::Unreachable, Outcome::Shed, Outcome::Moved, SERVED]);
-        let tried: Vec<_> = gateway.node.asks().into_iter().map(|ask| ask.tried.len()).collect();
+        assert_eq!(
+            gateway.node.outcomes(),
+            [Outcome::Unreachable, Outcome::Shed, Outcome::Moved, SERVED]
+        );
+        let tried: Vec<_> = gateway
+            .node
+            .asks()
+            .into_iter()
+            .map(|ask| ask.tried.len())
+            .collect();
         assert_eq!(tried, [0, 1, 2, 3]);
     });
 }
@@ -198,7 +235,9 @@
         let gateway = Gateway::start(&[&full]).await;
         let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = full.take().await;
-        connection.answer(429, "r1", "X-Dunespur-Not-Executed: full\r\n", "").await;
+        connection
+            .answer(429, "r1", "X-Dunespur-Not-Executed: full\r\n", "")
+            .await;
         let answer = client.message().await;
         assert_eq!(answer.status(), 503);
         assert_eq!(answer.header("x-dunespur-response-stamp"), None);
@@ -230,7 +269,9 @@
         for (status, id) in [(503, "r1"), (429, "r2"), (408, "r3")] {
             let mut client = gateway.ask(&post("/write/", id, "", "x")).await;
             let (mut connection, _) = server.take().await;
-            connection.answer(status, id, "Connection: close\r\n", "").await;
+            connection
+                .answer(status, id, "Connection: close\r\n", "")
+                .await;
             let answer = client.message().await;
             assert_eq!(answer.status(), 502);
             assert_eq!(answer.header("x-dunespur-response-stamp"), None);
@@ -243,13 +284,22 @@
     play(async {
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
-        for (status, id, path) in [(500, "r1", "/write/"), (504, "r2", "/write/"), (500, "r3", "/read/")] {
+        for (status, id, path) in [
+            (500, "r1", "/write/"),
+            (504, "r2", "/write/"),
+            (500, "r3", "/read/"),
+        ] {
             let mut client = gateway.ask(&post(path, id, "", "x")).await;
             let (mut connection, _) = server.take().await;
-            connection.answer(status, id, "Connection: close\r\n", "failed").await;
+            connection
+                .answer(status, id, "Connection: close\r\n", "failed")
+                .await;
             let answer = client.message().await;
             assert_eq!((answer.status(), answer.text()), (status, "failed"));
-            assert_eq!(answer.header("x-dunespur-response-stamp"), Some(format!("s.{id}").as_str()));
+            assert_eq!(
+                answer.header("x-dunespur-response-stamp"),
+                Some(format!("s.{id}").as_str())
+            );
         }
         assert_eq!(gateway.node.outcomes(), [Outcome::Failed; 3]);
     });
@@ -258,13 +308,21 @@
 #[test]
 fn an_idempotent_request_fails_over_as_often_as_its_route_allows() {
     play(async {
-        let servers = [StandIn::start("i-1").await, StandIn::start("i-2").await, StandIn::start("i-3").await];
+        let servers = [
+            StandIn::start("i-1").await,
+            StandIn::start("i-2").await,
+            StandIn::start("i-3").await,
+        ];
         let gateway = Gateway::start(&[&servers[0], &servers[1], &servers[2]]).await;
         let mut client = gateway.ask(&get("/read2/", "r1")).await;
         let (mut connection, _) = servers[0].take().await;
-        connection.answer(500, "r1", "Connection: close\r\n", "").await;
+        connection
+            .answer(500, "r1", "Connection: close\r\n", "")
+            .await;
         let (mut connection, _) = servers[1].take().await;
-        connection.answer(200, "r1", "Connection: close\r\n", "ok").await;
+        connection
+            .answer(200, "r1", "Connection: close\r\n", "ok")
+            .await;
         assert_eq!(client.message().await.text(), "ok");
 
         let mut client = gateway.ask(&get("/read2/", "r2")).await;
@@ -308,7 +366,8 @@
     play(async {
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
-        let head = "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n";
+        let head =
+            "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n";
         for rest in [
             "Content-Length: 10\r\n\r\nhalf",
             "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -328,7 +387,8 @@
     play(async {
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
-        let head = "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n";
+        let head =
+            "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n";
         let part = "x".repeat(80_000);
         for framing in [
             "Content-Length: 200000\r\n\r\n".to_owned(),
@@ -336,7 +396,9 @@
         ] {
             let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
             let (mut connection, _) = server.take().await;
-            connection.send(format!("{head}{framing}{part}").as_bytes()).await;
+            connection
+                .send(format!("{head}{framing}{part}").as_bytes())
+                .await;
             drop(connection);
             assert!(client.try_message().await.is_err(), "{framing}");
         }
@@ -365,7 +427,11 @@
         let gateway = Gateway::start(&[&server]).await;
         let mut client = gateway.ask(&post("/short/", "r1", "", "x")).await;
         let (mut connection, message) = server.take().await;
-        let deadline: u64 = message.header("x-dunespur-deadline-ms").unwrap().parse().unwrap();
+        let deadline: u64 = message
+            .header("x-dunespur-deadline-ms")
+            .unwrap()
+            .parse()
+            .unwrap();
         assert!(deadline <= 50);
         assert_eq!(client.message().await.status(), 504);
         assert!(connection.is_closed().await);
@@ -413,7 +479,10 @@
         let asks = gateway.node.asks();
         let ask = &asks[0];
         assert_eq!(ask.backend, "engine");
-        assert_eq!((ask.program.as_deref(), ask.session.as_deref()), (Some("p1"), Some("s1")));
+        assert_eq!(
+            (ask.program.as_deref(), ask.session.as_deref()),
+            (Some("p1"), Some("s1"))
+        );
         assert_eq!(ask.prefix, [(0x5c1e07a2, 800), (0x91bd3f06, 410)]);
         assert_eq!((ask.prompt_tokens, ask.most_tokens), (1460, 80));
         assert!(ask.idempotent);
@@ -481,7 +550,11 @@
             r#""timeout_ms":20000,"target_ms":500,"priority":1,"backends":[{"backend":"engine","weight":100},{"backend":"plain","weight":1}]"#,
         );
         *gateway.node.table.borrow_mut() = Some(table(&split));
-        gateway.node.without_servers.borrow_mut().push("engine".to_owned());
+        gateway
+            .node
+            .without_servers
+            .borrow_mut()
+            .push("engine".to_owned());
         let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = server.take().await;
         connection.answer(200, "r1", "", "ok").await;
@@ -507,21 +580,48 @@
     play(async {
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
-        let head = "X-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\nConnection: close\r\n";
+        let head =
+            "X-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\nConnection: close\r\n";
         for (method, answer, length) in [
-            ("HEAD", format!("HTTP/1.1 200 OK\r\n{head}Content-Length: 500\r\n\r\n"), Some("500")),
+            (
+                "HEAD",
+                format!("HTTP/1.1 200 OK\r\n{head}Content-Length: 500\r\n\r\n"),
+                Some("500"),
+            ),
             ("HEAD", format!("HTTP/1.1 200 OK\r\n{head}\r\n"), None),
-            ("GET", format!("HTTP/1.1 204 No Content\r\n{head}\r\n"), None),
-            ("DELETE", format!("HTTP/1.1 304 Not Modified\r\n{head}\r\n"), None),
-            ("GET", format!("HTTP/1.1 200 OK\r\n{head}Content-Length: 0\r\n\r\n"), Some("0")),
+            (
+                "GET",
+                format!("HTTP/1.1 204 No Content\r\n{head}\r\n"),
+                None,
+            ),
+            (
+                "DELETE",
+                format!("HTTP/1.1 304 Not Modified\r\n{head}\r\n"),
+                None,
+            ),
+            (
+                "GET",
+                format!("HTTP/1.1 200 OK\r\n{head}Content-Length: 0\r\n\r\n"),
+                Some("0"),
+            ),
         ] {
-            let mut client = gateway.ask(&get("/write/", "r1").replace("GET", method)).await;
+            let mut client = gateway
+                .ask(&get("/write/", "r1").replace("GET", method))
+                .await;
             let (mut connection, message) = server.take().await;
             assert!(message.first_line.starts_with(method));
             connection.send(answer.as_bytes()).await;
             let passed_on = client.head().await;
-            assert_eq!(passed_on.first_line.split(' ').nth(1), answer.split(' ').nth(1), "{method} {answer}");
-            assert_eq!(passed_on.header("content-length"), length, "{method} {answer}");
+            assert_eq!(
+                passed_on.first_line.split(' ').nth(1),
+                answer.split(' ').nth(1),
+                "{method} {answer}"
+            );
+            assert_eq!(
+                passed_on.header("content-length"),
+                length,
+                "{method} {answer}"
+            );
             assert_eq!(client.unread(), b"");
         }
     });
@@ -534,8 +634,15 @@
         let gateway = Gateway::start(&[&server]).await;
         let request = get("/write/a?b=c", "r1").replace("GET ", "GET http://h.example:80");
         let _client = gateway.ask(&request).await;
-        assert_eq!(server.take().await.1.first_line, "GET /write/a?b=c HTTP/1.1");
-        let answer = gateway.ask(&get("*", "r1").replace("GET", "OPTIONS")).await.message().await;
+        assert_eq!(
+            server.take().await.1.first_line,
+            "GET /write/a?b=c HTTP/1.1"
+        );
+        let answer = gateway
+            .ask(&get("*", "r1").replace("GET", "OPTIONS"))
+            .await
+            .message()
+            .await;
         assert_eq!(answer.status(), 404);
     });
 }
@@ -553,7 +660,10 @@
             "/write/?",
         ] {
             let _client = gateway.ask(&get(target, "r1")).await;
-            assert_eq!(server.take().await.1.first_line, format!("GET {target} HTTP/1.1"));
+            assert_eq!(
+                server.take().await.1.first_line,
+                format!("GET {target} HTTP/1.1")
+            );
         }
     });
 }
@@ -563,7 +673,8 @@
     play(async {
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
-        let head = "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n\r\n";
+        let head =
+            "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n\r\n";
         for body in ["".to_owned(), "ok".to_owned(), "x".repeat(200_000)] {
             let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
             let (mut connection, _) = server.take().await;
@@ -590,7 +701,10 @@
             .send(b"HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n\r\nok")
             .await;
         let answer = client.message().await;
-        assert_eq!((answer.status(), answer.header("x-dunespur-response-stamp")), (504, None));
+        assert_eq!(
+            (answer.status(), answer.header("x-dunespur-response-stamp")),
+            (504, None)
+        );
         assert!(connection.is_closed().await);
     });
 }
@@ -600,20 +714,29 @@
     play(async {
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
-        let head = "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n\r\n";
+        let head =
+            "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n\r\n";
         let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = server.take().await;
         connection.send(format!("{head}half").as_bytes()).await;
         connection.reset();
         let answer = client.message().await;
-        assert_eq!((answer.status(), answer.header("x-dunespur-response-stamp")), (502, None));
+        assert_eq!(
+            (answer.status(), answer.header("x-dunespur-response-stamp")),
+            (502, None)
+        );
 
         let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = server.take().await;
-        connection.send(format!("{head}{}", "x".repeat(80_000)).as_bytes()).await;
+        connection
+            .send(format!("{head}{}", "x".repeat(80_000)).as_bytes())
+            .await;
         client.until("xx").await;
         connection.reset();
-        assert!(!client.rest().await.ends_with(b"0\r\n\r\n"), "no last chunk");
+        assert!(
+            !client.rest().await.ends_with(b"0\r\n\r\n"),
+            "no last chunk"
+        );
         assert_eq!(gateway.node.outcomes(), [Outcome::Failed; 2]);
     });
 }
--- a/crates/proxy/tests/storm.rs
+++ b/crates/proxy/tests/storm.rs
@@ -30,13 +30,17 @@
 
 async fn serve(mut rng: Rng, mut peer: Peer, server: String, runs: Runs) {
     loop {
-        let Some(request) = peer.next_message().await else { return };
+        let Some(request) = peer.next_message().await else {
+            return;
+        };
         let id = request.id().to_owned();
-        let streams = request.first_line.contains("/stream/") || request.first_line.contains("/resume");
+        let streams =
+            request.first_line.contains("/stream/") || request.first_line.contains("/resume");
         let draw = rng.u32(0..14);
         match draw {
             0 => {
-                peer.answer(503, &id, "X-Dunespur-Not-Executed: full\r\n", "").await;
+                peer.answer(503, &id, "X-Dunespur-Not-Executed: full\r\n", "")
+                    .await;
                 continue;
             }
             // Another instance says so, and that one has not run it before.
@@ -44,7 +48,11 @@
                 peer.answer(421, &id, "", "").await;
                 continue;
             }
-            _ => runs.borrow_mut().entry(id.clone()).or_default().push(server.clone()),
+            _ => runs
+                .borrow_mut()
+                .entry(id.clone())
+                .or_default()
+                .push(server.clone()),
         }
         match draw {
             2 => return peer.reset(),
@@ -67,15 +75,20 @@
 }
 
 fn has_run(runs: &Runs, id: &str, server: &str) -> bool {
-    runs.borrow().get(id).is_some_and(|servers| servers.iter().any(|ran| ran == server))
+    runs.borrow()
+        .get(id)
+        .is_some_and(|servers| servers.iter().any(|ran| ran == server))
 }
 
 fn first_event(request: &Message) -> u64 {
-    request.header("last-event-id").map_or(1, |id| id.parse::<u64>().unwrap() + 1)
+    request
+        .header("last-event-id")
+        .map_or(1, |id| id.parse::<u64>().unwrap() + 1)
 }
 
 async fn stream(peer: &mut Peer, request: &Message, last: u64) {
-    peer.stream_head(request.id(), "Keep-Alive: timeout=5\r\n").await;
+    peer.stream_head(request.id(), "Keep-Alive: timeout=5\r\n")
+        .await;
     for id in first_event(request)..=last {
         peer.chunk(&event(id)).await;
     }
@@ -111,7 +124,14 @@
     let mut client = gateway.client().await;
     for request in 0..REQUESTS_PER_CLIENT {
         let id = format!("c{number}r{request}");
-        let kind = ["/read/", "/read2/", "/write/", "/stream/", "/resume/", "/resume2/"][rng.usize(0..6)];
+        let kind = [
+            "/read/",
+            "/read2/",
+            "/write/",
+            "/stream/",
+            "/resume/",
+            "/resume2/",
+        ][rng.usize(0..6)];
         let more = "Program: p\r\nBudget: 100000\r\nX-Dunespur-Token-Count: 10,100\r\n";
         client.send(post(kind, &id, more, &id).as_bytes()).await;
         if rng.u32(0..10) == 0 {
@@ -125,13 +145,25 @@
             client = gateway.client().await;
         }
         let stamped = head.header("x-dunespur-response-stamp").is_some();
-        got.push(Got { id, kind, status: head.status(), stamped, body });
+        got.push(Got {
+            id,
+            kind,
+            status: head.status(),
+            stamped,
+            body,
+        });
     }
     got
 }
 
 fn check(got: &Got, runs: &[String]) {
-    let Got { id, kind, status, stamped, body } = got;
+    let Got {
+        id,
+        kind,
+        status,
+        stamped,
+        body,
+    } = got;
     let streams = kind.starts_with("/stream") || kind.starts_with("/resume");
     match (status, body) {
         (200, Ok(body)) if streams => assert_eq!(body, events(1..=EVENTS).as_bytes(), "{id}"),
@@ -147,7 +179,10 @@
         other => panic!("{id}: {other:?}"),
     }
     assert_eq!(*stamped, matches!(status, 200 | 500), "{id}");
-    assert!(!runs.is_empty() || *status == 503, "{id}: answered by nobody");
+    assert!(
+        !runs.is_empty() || *status == 503,
+        "{id}: answered by nobody"
+    );
     let servers: HashSet<_> = runs.iter().collect();
     let most_servers = if kind.ends_with("2/") { 2 } else { 1 };
     assert!(servers.len() <= most_servers, "{id}: run at {servers:?}");
@@ -173,8 +208,9 @@
     for server in servers {
         storm_server(rng.fork(), server, runs.clone());
     }
-    let clients: Vec<_> =
-        (0..CLIENTS).map(|number| spawn_local(storm_client(rng.fork(), gateway.clone(), number))).collect();
+    let clients: Vec<_> = (0..CLIENTS)
+        .map(|number| spawn_local(storm_client(rng.fork(), gateway.clone(), number)))
+        .collect();
     let mut all = Vec::new();
     for client in clients {
         all.extend(client.await.unwrap());
@@ -189,7 +225,13 @@
     }
     let told = gateway.node.told();
     let count = |wanted: fn(&Told) -> bool| told.iter().filter(|told| wanted(told)).count();
-    assert_eq!(count(|told| matches!(told, Told::Finished(_))), gateway.node.sends());
-    assert_eq!(count(|told| matches!(told, Told::Reserve { .. })), count(|told| *told == Told::Release));
+    assert_eq!(
+        count(|told| matches!(told, Told::Finished(_))),
+        gateway.node.sends()
+    );
+    assert_eq!(
+        count(|told| matches!(told, Told::Reserve { .. })),
+        count(|told| *told == Told::Release)
+    );
     assert_eq!(gateway.front.counters().body_bytes, 0);
 }
--- a/crates/proxy/tests/strays.rs
+++ b/crates/proxy/tests/strays.rs
@@ -10,7 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::time::Duration;
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n";
+const HEAD: &str =
+    "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n";
 /// More than the sockets hold of a request that its server does not read.
 const LONG_BODY: usize = 6 * 1024 * 1024;
 
@@ -25,14 +26,20 @@
 
 /// Bytes in which each place tells itself.
 fn numbered_body(bytes: usize) -> String {
-    (0..).flat_map(|number: u32| format!("{number},").into_bytes()).map(char::from).take(bytes).collect()
+    (0..)
+        .flat_map(|number: u32| format!("{number},").into_bytes())
+        .map(char::from)
+        .take(bytes)
+        .collect()
 }
 
 /// Serves one request over a connection that is kept and has rested, so that anything may go over it next.
 async fn rested_connection(gateway: &Gateway, server: &StandIn) -> Peer {
     let mut client = gateway.ask(&get("/read/", "first")).await;
     let (mut connection, _) = server.take().await;
-    connection.answer(200, "first", "Keep-Alive: timeout=5\r\n", "ok").await;
+    connection
+        .answer(200, "first", "Keep-Alive: timeout=5\r\n", "ok")
+        .await;
     assert_eq!(client.message().await.text(), "ok");
     pass_time(Duration::from_millis(20)).await;
     connection
@@ -48,7 +55,9 @@
         let mut client = gateway.ask(&post("/write/", "r1", "", &body)).await;
         let mut connection = server.accept().await;
         connection.head().await;
-        connection.answer(200, "r1", "Keep-Alive: timeout=5\r\n", "early").await;
+        connection
+            .answer(200, "r1", "Keep-Alive: timeout=5\r\n", "early")
+            .await;
         assert_eq!(client.message().await.text(), "early");
 
         let _other = gateway.ask(&post("/write/", "r2", "", "other")).await;
@@ -70,7 +79,10 @@
         let mut connection = server.accept().await;
         let head = connection.head().await;
         connection
-            .send(format!("{HEAD}Keep-Alive: timeout=5\r\nTransfer-Encoding: chunked\r\n\r\n").as_bytes())
+            .send(
+                format!("{HEAD}Keep-Alive: timeout=5\r\nTransfer-Encoding: chunked\r\n\r\n")
+                    .as_bytes(),
+            )
             .await;
         connection.chunk("early").await;
         assert!(connection.body_of(&head).await.unwrap() == body.as_bytes());
@@ -99,7 +111,11 @@
         let mut connection = first.accept().await;
         connection.head().await;
         pass_time(Duration::from_millis(15_200)).await;
-        assert_eq!(client.message().await.status(), 504, "no promise that it has not run");
+        assert_eq!(
+            client.message().await.status(),
+            504,
+            "no promise that it has not run"
+        );
         assert!(second.is_untouched().await);
     });
 }
@@ -108,7 +124,9 @@
 async fn unread_bytes_are_given_up(peer_timeout: Duration) {
     let unread = StandIn::narrow("unread").await;
     let mut stream = TcpStream::connect(unread.address).await.unwrap();
-    socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(peer_timeout)).unwrap();
+    socket2::SockRef::from(&stream)
+        .set_tcp_user_timeout(Some(peer_timeout))
+        .unwrap();
     let written = stream.write_all(&vec![0; LONG_BODY]).await;
     assert_eq!(written.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
 }
@@ -125,7 +143,10 @@
         let head = connection.head().await;
         unread_bytes_are_given_up(Duration::from_millis(1500)).await;
         let read = connection.body_of(&head).await;
-        assert!(read.is_ok_and(|read| read == body.as_bytes()), "all of the body");
+        assert!(
+            read.is_ok_and(|read| read == body.as_bytes()),
+            "all of the body"
+        );
         connection.answer(200, "r1", "", "late").await;
         assert_eq!(client.message().await.text(), "late");
     });
@@ -174,7 +195,9 @@
         drop(left);
         // No time passes: the end of the client's connection is that of the server's.
         assert!(connection.is_closed().await);
-        connection.answer(200, "r1", "", "for one that has left").await;
+        connection
+            .answer(200, "r1", "", "for one that has left")
+            .await;
         let mut client = gateway.ask(&post("/write/", "r2", "", "x")).await;
         let (mut connection, message) = server.take().await;
         assert_eq!(message.id(), "r2");
@@ -209,7 +232,9 @@
         let gateway = Gateway::start(&[&server]).await;
         let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = server.take().await;
-        connection.send(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nX-Any: 1\r\n\r\n").await;
+        connection
+            .send(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nX-Any: 1\r\n\r\n")
+            .await;
         connection.answer(200, "r1", "", "ok").await;
         let answer = client.message().await;
         assert_eq!((answer.status(), answer.text()), (200, "ok"));
@@ -245,7 +270,13 @@
 fn what_can_not_be_repeated_must_be_sent_once() {
     play(async {
         assert!(!runs_twice(Guards::default()).await);
-        assert!(runs_twice(Guards { unrepeatable_sent_once: false, ..Guards::default() }).await);
+        assert!(
+            runs_twice(Guards {
+                unrepeatable_sent_once: false,
+                ..Guards::default()
+            })
+            .await
+        );
     });
 }
 
@@ -270,7 +301,10 @@
 fn the_ids_of_answers_must_be_compared() {
     play(async {
         assert_eq!(answer_behind_a_late_one(Guards::default()).await, "its own");
-        let guards = Guards { answer_ids_compared: false, ..Guards::default() };
+        let guards = Guards {
+            answer_ids_compared: false,
+            ..Guards::default()
+        };
         assert_eq!(answer_behind_a_late_one(guards).await, "another's");
     });
 }
@@ -282,9 +316,13 @@
     let gateway = gateway_without(&[&server], guards).await;
     let mut connection = rested_connection(&gateway, &server).await;
     let mut writer = connection.writer();
-    let surplus = format!("{}Content-Length: 4\r\n\r\nlate", HEAD.replace("r1", "first"));
-    *gateway.node.at_next_choice.borrow_mut() =
-        Some(Box::new(move || writer.write_all(surplus.as_bytes()).unwrap()));
+    let surplus = format!(
+        "{}Content-Length: 4\r\n\r\nlate",
+        HEAD.replace("r1", "first")
+    );
+    *gateway.node.at_next_choice.borrow_mut() = Some(Box::new(move || {
+        writer.write_all(surplus.as_bytes()).unwrap()
+    }));
     let mut client = gateway.ask(&post("/write/", "r2", "", "x")).await;
     tokio::select! {
         answer = client.message() => {
@@ -303,7 +341,10 @@
 fn surplus_bytes_must_end_their_connection() {
     play(async {
         assert!(!goes_behind_surplus_bytes(Guards::default()).await);
-        let guards = Guards { surplus_bytes_end_connection: false, ..Guards::default() };
+        let guards = Guards {
+            surplus_bytes_end_connection: false,
+            ..Guards::default()
+        };
         assert!(goes_behind_surplus_bytes(guards).await);
     });
 }
@@ -324,7 +365,10 @@
 fn a_reset_must_be_no_end() {
     play(async {
         assert_eq!(answer_that_is_reset(Guards::default()).await.0, 502);
-        let guards = Guards { reset_is_no_end: false, ..Guards::default() };
+        let guards = Guards {
+            reset_is_no_end: false,
+            ..Guards::default()
+        };
         assert_eq!(answer_that_is_reset(guards).await, (200, "half".to_owned()));
     });
 }
@@ -336,8 +380,13 @@
     play(async {
         let (first, second) = (StandIn::start("i-1").await, StandIn::start("i-2").await);
         let gateway = Gateway::start(&[&first, &second]).await;
-        let deadline =
-            |message: &Message| -> u64 { message.header("x-dunespur-deadline-ms").unwrap().parse().unwrap() };
+        let deadline = |message: &Message| -> u64 {
+            message
+                .header("x-dunespur-deadline-ms")
+                .unwrap()
+                .parse()
+                .unwrap()
+        };
         let _client = gateway.ask(&get("/read2/", "r1")).await;
         let (connection, message) = first.take().await;
         let first_ms = deadline(&message);
@@ -357,7 +406,11 @@
         let request = get("/read/", "r1").replace("X-Dunespur-Deadline-Ms: 15000\r\n", "");
         let _client = gateway.ask(&request).await;
         let (_, message) = server.take().await;
-        let deadline: u64 = message.header("x-dunespur-deadline-ms").unwrap().parse().unwrap();
+        let deadline: u64 = message
+            .header("x-dunespur-deadline-ms")
+            .unwrap()
+            .parse()
+            .unwrap();
         assert!(deadline <= 20_000 && deadline > 15_000, "{deadline}");
     });
 }
@@ -383,8 +436,9 @@
     play(async {
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
-        let mut client =
-            gateway.ask(&post("/stream/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000")).await;
+        let mut client = gateway
+            .ask(&post("/stream/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000"))
+            .await;
         let (mut connection, _) = server.take().await;
         connection.stream_head("r1", "").await;
         connection.chunk(&event(1)).await;
