--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -6,7 +6,8 @@
 use dunespur_routing::Outcome;
 use support::*;
 
-const TURN: &str = "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
+const TURN: &str =
+    "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
 
 fn served(tokens_out: u32) -> Outcome {
     Outcome::Served { tokens_out }
@@ -34,7 +35,11 @@
         connection.last_chunk().await;
         assert_eq!(client.next_chunk().await.unwrap(), b"");
         gateway.node.hears(&Told::Release).await;
-        let reserve = Told::Reserve { program: "p1".to_owned(), budget: 1000, most: 8 };
+        let reserve = Told::Reserve {
+            program: "p1".to_owned(),
+            budget: 1000,
+            most: 8,
+        };
         assert_eq!(
             gateway.node.told(),
             [
@@ -62,10 +67,16 @@
         client.head().await;
         assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
         connection.chunk("id: 2\nda").await;
-        connection.chunk(&format!("ta: word2\n\n{}id: 4", event(3))).await;
+        connection
+            .chunk(&format!("ta: word2\n\n{}id: 4", event(3)))
+            .await;
         assert_eq!(client.next_chunk().await.unwrap(), events(2..=3).as_bytes());
         drop(connection);
-        assert_eq!(client.next_chunk().await, None, "neither a partial event nor a clean end");
+        assert_eq!(
+            client.next_chunk().await,
+            None,
+            "neither a partial event nor a clean end"
+        );
         gateway.node.hears(&Told::Finished(Outcome::Failed)).await;
         assert_eq!(gateway.node.used(), 8);
     });
@@ -79,7 +90,9 @@
         let mut client = gateway.ask(&post("/stream/", "r1", TURN, "x")).await;
         let (mut connection, _) = server.take().await;
         connection.stream_head("r1", "").await;
-        connection.chunk(&format!("{}id: 2\ndata: wo", event(1))).await;
+        connection
+            .chunk(&format!("{}id: 2\ndata: wo", event(1)))
+            .await;
         connection.last_chunk().await;
         client.head().await;
         assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
@@ -152,7 +165,9 @@
         let mut client = gateway.ask(&post("/resume2/", "r1", TURN, "x")).await;
         let (mut connection, _) = first.take().await;
         connection.stream_head("r1", "X-From: first\r\n").await;
-        connection.chunk(&format!("{}id: 3\nda", events(1..=2))).await;
+        connection
+            .chunk(&format!("{}id: 3\nda", events(1..=2)))
+            .await;
         let head = client.head().await;
         assert_eq!(client.next_chunk().await.unwrap(), events(1..=2).as_bytes());
         connection.reset();
@@ -289,7 +304,9 @@
     play(async {
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
-        let mut client = gateway.ask(&post("/resume/", "r2", "Last-Event-Id: 4\r\n", "x")).await;
+        let mut client = gateway
+            .ask(&post("/resume/", "r2", "Last-Event-Id: 4\r\n", "x"))
+            .await;
         let (mut connection, message) = server.take().await;
         assert_eq!(message.header("last-event-id"), Some("4"));
         connection.stream_head("r2", "").await;
@@ -328,7 +345,11 @@
         gateway.node.hears(&Told::Release).await;
         assert_eq!(gateway.node.outcomes(), [Outcome::Abandoned]);
         assert_eq!(gateway.front.counters().body_bytes, 0);
-        let kept = gateway.node.told().iter().any(|told| matches!(told, Told::Keep(_)));
+        let kept = gateway
+            .node
+            .told()
+            .iter()
+            .any(|told| matches!(told, Told::Keep(_)));
         assert!(!kept);
     });
 }
@@ -339,10 +360,28 @@
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
         gateway.node.reserve.set(Reserve::Spent);
-        assert_eq!(gateway.ask(&post("/stream/", "r1", TURN, "x")).await.message().await.status(), 402);
-        gateway.node.reserve.set(Reserve::Wait { retry_after_ms: 80 });
-        let answer = gateway.ask(&post("/stream/", "r2", TURN, "x")).await.message().await;
-        assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.080")));
+        assert_eq!(
+            gateway
+                .ask(&post("/stream/", "r1", TURN, "x"))
+                .await
+                .message()
+                .await
+                .status(),
+            402
+        );
+        gateway
+            .node
+            .reserve
+            .set(Reserve::Wait { retry_after_ms: 80 });
+        let answer = gateway
+            .ask(&post("/stream/", "r2", TURN, "x"))
+            .await
+            .message()
+            .await;
+        assert_eq!(
+            (answer.status(), answer.header("retry-after")),
+            (503, Some("0.080"))
+        );
         assert!(server.is_untouched().await);
         assert!(!gateway.node.told().contains(&Told::Release));
     });
@@ -352,7 +391,15 @@
 fn a_turn_that_finds_no_server_gives_its_tokens_back() {
     play(async {
         let gateway = Gateway::start(&[]).await;
-        assert_eq!(gateway.ask(&post("/stream/", "r1", TURN, "x")).await.message().await.status(), 503);
+        assert_eq!(
+            gateway
+                .ask(&post("/stream/", "r1", TURN, "x"))
+                .await
+                .message()
+                .await
+                .status(),
+            503
+        );
         assert_eq!(gateway.node.told().last(), Some(&Told::Release));
     });
 }
@@ -362,12 +409,21 @@
     play(async {
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
-        let mut client =
-            gateway.ask(&post("/write/", "r1", "Program: p1\r\nSession: s1\r\nBudget: 5\r\n", "x")).await;
+        let mut client = gateway
+            .ask(&post(
+                "/write/",
+                "r1",
+                "Program: p1\r\nSession: s1\r\nBudget: 5\r\n",
+                "x",
+            ))
+            .await;
         let (mut connection, _) = server.take().await;
         connection.answer(200, "r1", "", "ok").await;
         assert_eq!(client.message().await.status(), 200);
-        assert_eq!(gateway.node.told(), [Told::FirstEvent, Told::Finished(served(0))]);
+        assert_eq!(
+            gateway.node.told(),
+            [Told::FirstEvent, Told::Finished(served(0))]
+        );
     });
 }
 
@@ -377,7 +433,8 @@
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
         let more = format!("{TURN}Previous: r0\r\n");
-        *gateway.node.history.borrow_mut() = History::Found(vec![bytes("first "), bytes("answer\n")]);
+        *gateway.node.history.borrow_mut() =
+            History::Found(vec![bytes("first "), bytes("answer\n")]);
         gateway.node.keepings.forget_permits(1000);
         let mut client = gateway.ask(&post("/turn/", "r1", &more, "second")).await;
         let (mut connection, message) = server.take().await;
@@ -385,7 +442,9 @@
         assert_eq!(message.header("previous"), Some("r0"));
         connection.stream_head("r1", "").await;
         connection.chunk(&event(1)).await;
-        connection.chunk("versions: 2\nid: 2\ndata: a\ndata: b\n\n").await;
+        connection
+            .chunk("versions: 2\nid: 2\ndata: a\ndata: b\n\n")
+            .await;
         connection.last_chunk().await;
         let kept = Told::Keep(KeptTurn {
             id: "r1".to_owned(),
@@ -415,7 +474,10 @@
         connection.stream_head("r1", "").await;
         connection.chunk(&event(1)).await;
         connection.last_chunk().await;
-        assert_eq!(client.try_message().await.unwrap_err().body, event(1).as_bytes());
+        assert_eq!(
+            client.try_message().await.unwrap_err().body,
+            event(1).as_bytes()
+        );
     });
 }
 
@@ -427,8 +489,13 @@
         gateway.node.keeps.set(false);
         let mut client = gateway.ask(&post("/turn/", "r1", TURN, "x")).await;
         let (mut connection, _) = server.take().await;
-        connection.answer(200, "r1", "Content-Type: text/event-stream\r\n", &event(1)).await;
-        assert_eq!(client.try_message().await.unwrap_err().body, event(1).as_bytes());
+        connection
+            .answer(200, "r1", "Content-Type: text/event-stream\r\n", &event(1))
+            .await;
+        assert_eq!(
+            client.try_message().await.unwrap_err().body,
+            event(1).as_bytes()
+        );
     });
 }
 
@@ -439,10 +506,27 @@
         let gateway = Gateway::start(&[&server]).await;
         let more = format!("{TURN}Previous: r0\r\n");
         *gateway.node.history.borrow_mut() = History::Unknown;
-        assert_eq!(gateway.ask(&post("/turn/", "r1", &more, "x")).await.message().await.status(), 404);
-        *gateway.node.history.borrow_mut() = History::Unsure { retry_after_ms: 300 };
-        let answer = gateway.ask(&post("/turn/", "r2", &more, "x")).await.message().await;
-        assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.300")));
+        assert_eq!(
+            gateway
+                .ask(&post("/turn/", "r1", &more, "x"))
+                .await
+                .message()
+                .await
+                .status(),
+            404
+        );
+        *gateway.node.history.borrow_mut() = History::Unsure {
+            retry_after_ms: 300,
+        };
+        let answer = gateway
+            .ask(&post("/turn/", "r2", &more, "x"))
+            .await
+            .message()
+            .await;
+        assert_eq!(
+            (answer.status(), answer.header("retry-after")),
+            (503, Some("0.300"))
+        );
         assert!(server.is_untouched().await);
     });
 }
@@ -455,13 +539,18 @@
         let more = format!("{TURN}Previous: r0\r\n");
         let mut client = gateway.ask(&post("/stream/", "r1", &more, "x")).await;
         let (mut connection, message) = server.take().await;
-        assert_eq!((message.header("previous"), message.text()), (Some("r0"), "x"));
+        assert_eq!(
+            (message.header("previous"), message.text()),
+            (Some("r0"), "x")
+        );
         connection.stream_head("r1", "").await;
         connection.chunk(&event(1)).await;
         connection.last_chunk().await;
         assert_eq!(client.message().await.text(), event(1));
         let told = gateway.node.told();
-        assert!(!told.iter().any(|told| matches!(told, Told::Keep(_) | Told::History { .. })));
+        assert!(!told
+            .iter()
+            .any(|told| matches!(told, Told::Keep(_) | Told::History { .. })));
     });
 }
 
@@ -471,7 +560,11 @@
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
         gateway.node.admissions.forget_permits(1000);
-        let reserve = Told::Reserve { program: "p1".to_owned(), budget: 1000, most: 8 };
+        let reserve = Told::Reserve {
+            program: "p1".to_owned(),
+            budget: 1000,
+            most: 8,
+        };
         let client = gateway.ask(&post("/stream/", "r1", TURN, "x")).await;
         gateway.node.hears(&reserve).await;
         drop(client);
@@ -569,7 +662,9 @@
         let gateway = Gateway::start(&[&server]).await;
         let mut client = gateway.ask(&post("/turn/", "r1", TURN, "x")).await;
         let (mut connection, _) = server.take().await;
-        connection.answer(200, "r1", "Content-Type: application/json\r\n", "{}").await;
+        connection
+            .answer(200, "r1", "Content-Type: application/json\r\n", "{}")
+            .await;
         assert_eq!(client.message().await.status(), 502);
     });
 }
@@ -580,7 +675,15 @@
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
         let more = format!("{TURN}Last-Event-Id: 3\r\n");
-        assert_eq!(gateway.ask(&post("/turn/", "r1", &more, "x")).await.message().await.status(), 503);
+        assert_eq!(
+            gateway
+                .ask(&post("/turn/", "r1", &more, "x"))
+                .await
+                .message()
+                .await
+                .status(),
+            503
+        );
         assert!(server.is_untouched().await);
     });
 }
@@ -589,14 +692,22 @@
 fn an_output_too_long_to_be_kept_ends_broken() {
     play(async {
         let server = StandIn::start("i-1").await;
-        let settings = FrontSettings { memory_bytes: 1000, ..FrontSettings::default() };
+        let settings = FrontSettings {
+            memory_bytes: 1000,
+            ..FrontSettings::default()
+        };
         let gateway = Gateway::with(&[&server], settings).await;
         let mut client = gateway.ask(&post("/turn/", "r1", TURN, "x")).await;
         let (mut connection, _) = server.take().await;
         connection.stream_head("r1", "").await;
         connection.chunk(&event(1)).await;
-        connection.chunk(&format!("id: 2\ndata: {}\n\n", "x".repeat(2000))).await;
-        assert_eq!(client.try_message().await.unwrap_err().body, event(1).as_bytes());
+        connection
+            .chunk(&format!("id: 2\ndata: {}\n\n", "x".repeat(2000)))
+            .await;
+        assert_eq!(
+            client.try_message().await.unwrap_err().body,
+            event(1).as_bytes()
+        );
         assert!(connection.is_closed().await);
     });
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -4,7 +4,9 @@
 
 use bytes::Bytes;
 use dunespur_configuration::{Document, Table};
-use dunespur_proxy::{Front, FrontSettings, Guards, History, KeptTurn, Node, Reserve, TurnAsk, TurnKey};
+use dunespur_proxy::{
+    Front, FrontSettings, Guards, History, KeptTurn, Node, Reserve, TurnAsk, TurnKey,
+};
 use dunespur_routing::{Ask, Choice, Outcome, Server, Ticket};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -26,7 +28,10 @@
 
 /// Runs a test on one thread.
 pub fn play(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let local = LocalSet::new();
     runtime.block_on(local.run_until(async {
         timeout(WATCHDOG, test).await.expect("the test hangs");
@@ -60,7 +65,9 @@
     "limits":{"max_header_bytes":16384,"max_body_bytes":100000,"header_timeout_ms":3000,"idle_timeout_ms":15000}}"#;
 
 pub fn table(json: &str) -> Rc<Table> {
-    Rc::new(Table::new(&Document::replace(json.as_bytes()).expect("a proper configuration")))
+    Rc::new(Table::new(
+        &Document::replace(json.as_bytes()).expect("a proper configuration"),
+    ))
 }
 
 /// What a test says the node answers, and what it was told.
@@ -98,10 +105,17 @@
     AwaitsChange,
     FirstEvent,
     Finished(Outcome),
-    Reserve { program: String, budget: u64, most: u64 },
+    Reserve {
+        program: String,
+        budget: u64,
+        most: u64,
+    },
     Used(u64),
     Release,
-    History { program: String, previous: String },
+    History {
+        program: String,
+        previous: String,
+    },
     Keep(KeptTurn),
 }
 
@@ -167,13 +181,29 @@
     pub fn outcomes(&self) -> Vec<Outcome> {
         let log = self.log.borrow();
         log.iter()
-            .filter_map(|told| if let Told::Finished(outcome) = told { Some(*outcome) } else { None })
+            .filter_map(|told| {
+                if let Told::Finished(outcome) = told {
+                    Some(*outcome)
+                } else {
+                    None
+                }
+            })
             .collect()
     }
 
     /// Tokens counted so far.
     pub fn used(&self) -> u64 {
-        self.log.borrow().iter().map(|told| if let Told::Used(tokens) = told { *tokens } else { 0 }).sum()
+        self.log
+            .borrow()
+            .iter()
+            .map(|told| {
+                if let Told::Used(tokens) = told {
+                    *tokens
+                } else {
+                    0
+                }
+            })
+            .sum()
     }
 
     fn note(&self, told: Told) {
@@ -217,7 +247,11 @@
             backend: ask.backend.to_owned(),
             program: ask.program.map(str::to_owned),
             session: ask.session.map(str::to_owned),
-            prefix: ask.prefix.iter().map(|part| (part.id, part.tokens)).collect(),
+            prefix: ask
+                .prefix
+                .iter()
+                .map(|part| (part.id, part.tokens))
+                .collect(),
             prompt_tokens: ask.prompt_tokens,
             most_tokens: ask.most_tokens,
             idempotent: ask.idempotent,
@@ -230,16 +264,27 @@
         if let Some(retry_after_ms) = self.refuse.get() {
             return Choice::Refuse { retry_after_ms };
         }
-        if self.without_servers.borrow().iter().any(|service| service == ask.backend) {
+        if self
+            .without_servers
+            .borrow()
+            .iter()
+            .any(|service| service == ask.backend)
+        {
             return Choice::NoServer;
         }
         let servers = self.servers.borrow();
-        let untried = servers.iter().find(|server| !ask.tried.contains(&server.id));
+        let untried = servers
+            .iter()
+            .find(|server| !ask.tried.contains(&server.id));
         match untried.or(servers.first().filter(|_| self.offers_tried.get())) {
             Some(server) => {
                 self.last_key.set(self.last_key.get() + 1);
                 let engine_priority = self.engine_priority.get();
-                Choice::Send(Ticket { server: server.clone(), key: self.last_key.get(), engine_priority })
+                Choice::Send(Ticket {
+                    server: server.clone(),
+                    key: self.last_key.get(),
+                    engine_priority,
+                })
             }
             None => Choice::NoServer,
         }
@@ -254,7 +299,11 @@
     }
 
     async fn reserve(&self, turn: TurnAsk<'_>) -> Reserve {
-        self.note(Told::Reserve { program: turn.program.to_owned(), budget: turn.budget, most: turn.most });
+        self.note(Told::Reserve {
+            program: turn.program.to_owned(),
+            budget: turn.budget,
+            most: turn.most,
+        });
         self.admissions.acquire().await.unwrap().forget();
         self.reserve.get()
     }
@@ -268,7 +317,10 @@
     }
 
     async fn history(&self, program: &str, previous: &str) -> History {
-        self.note(Told::History { program: program.to_owned(), previous: previous.to_owned() });
+        self.note(Told::History {
+            program: program.to_owned(),
+            previous: previous.to_owned(),
+        });
         self.history.borrow().clone()
     }
 
@@ -302,7 +354,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         tokio::task::spawn_local(front.clone().serve(listener));
-        Gateway { node, front, address }
+        Gateway {
+            node,
+            front,
+            address,
+        }
     }
 
     pub async fn client(&self) -> Peer {
@@ -327,7 +383,11 @@
 impl StandIn {
     pub async fn start(id: &str) -> StandIn {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        StandIn { id: id.to_owned(), address: listener.local_addr().unwrap(), listener: Some(listener) }
+        StandIn {
+            id: id.to_owned(),
+            address: listener.local_addr().unwrap(),
+            listener: Some(listener),
+        }
     }
 
     /// One whose connections hold little that it has not read, so that a long request stays with its sender.
@@ -336,7 +396,11 @@
         socket.set_recv_buffer_size(NARROW_BYTES).unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let listener = socket.listen(64).unwrap();
-        StandIn { id: id.to_owned(), address: listener.local_addr().unwrap(), listener: Some(listener) }
+        StandIn {
+            id: id.to_owned(),
+            address: listener.local_addr().unwrap(),
+            listener: Some(listener),
+        }
     }
 
     /// One whose port nobody listens at.
@@ -366,7 +430,15 @@
     }
 
     pub async fn accept(&self) -> Peer {
-        Peer::new(self.listener.as_ref().expect("it listens").accept().await.unwrap().0)
+        Peer::new(
+            self.listener
+                .as_ref()
+                .expect("it listens")
+                .accept()
+                .await
+                .unwrap()
+                .0,
+        )
     }
 
     /// The next connection with the first request on it.
@@ -379,7 +451,8 @@
     /// Whether nobody has connected by now.
     pub async fn is_untouched(&self) -> bool {
         let mut accept = std::pin::pin!(self.listener.as_ref().expect("it listens").accept());
-        std::future::poll_fn(|cx| std::task::Poll::Ready(accept.as_mut().poll(cx).is_pending())).await
+        std::future::poll_fn(|cx| std::task::Poll::Ready(accept.as_mut().poll(cx).is_pending()))
+            .await
     }
 }
 
@@ -399,7 +472,10 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 
     pub fn id(&self) -> &str {
@@ -424,7 +500,10 @@
 impl Peer {
     pub fn new(stream: TcpStream) -> Peer {
         stream.set_nodelay(true).unwrap();
-        Peer { stream, buffer: Vec::new() }
+        Peer {
+            stream,
+            buffer: Vec::new(),
+        }
     }
 
     /// Sends this, unless the other side has gone.
@@ -473,8 +552,10 @@
         for _ in 0..TURNS_TO_REST {
             tokio::task::yield_now().await;
         }
-        let peeked = socket2::SockRef::from(&self.stream).peek(&mut [std::mem::MaybeUninit::uninit()]);
-        self.buffer.is_empty() && peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
+        let peeked =
+            socket2::SockRef::from(&self.stream).peek(&mut [std::mem::MaybeUninit::uninit()]);
+        self.buffer.is_empty()
+            && peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
     /// Waits for the end of the connection; whether nothing came before it.
@@ -489,7 +570,11 @@
                 return self.buffer.drain(..at + wanted.len()).collect();
             }
             let came = self.more().await;
-            assert!(came, "no {wanted:?} in {:?}", String::from_utf8_lossy(&self.buffer));
+            assert!(
+                came,
+                "no {wanted:?} in {:?}",
+                String::from_utf8_lossy(&self.buffer)
+            );
         }
     }
 
@@ -498,9 +583,15 @@
         let head = String::from_utf8(self.until("\r\n\r\n").await).unwrap();
         let mut lines = head.trim_end().split("\r\n");
         let first_line = lines.next().unwrap().to_owned();
-        let header =
-            |line: &str| line.split_once(": ").map(|(name, value)| (name.to_owned(), value.to_owned()));
-        Message { first_line, headers: lines.filter_map(header).collect(), body: Vec::new() }
+        let header = |line: &str| {
+            line.split_once(": ")
+                .map(|(name, value)| (name.to_owned(), value.to_owned()))
+        };
+        Message {
+            first_line,
+            headers: lines.filter_map(header).collect(),
+            body: Vec::new(),
+        }
     }
 
     /// The next message, whole.
@@ -511,7 +602,10 @@
     /// The next message, or what of its body came before the connection ended.
     pub async fn try_message(&mut self) -> Result<Message, CutShort> {
         let mut message = self.head().await;
-        message.body = self.body_of(&message).await.map_err(|body| CutShort { body })?;
+        message.body = self
+            .body_of(&message)
+            .await
+            .map_err(|body| CutShort { body })?;
         Ok(message)
     }
 
@@ -544,7 +638,9 @@
                 }
             }
         }
-        let length = head.header("content-length").map_or(0, |length| length.parse().unwrap());
+        let length = head
+            .header("content-length")
+            .map_or(0, |length| length.parse().unwrap());
         while self.buffer.len() < length {
             if !self.more().await {
                 return Err(std::mem::take(&mut self.buffer));
@@ -558,7 +654,8 @@
         loop {
             if let Some(line) = find(&self.buffer, b"\r\n") {
                 let size =
-                    usize::from_str_radix(std::str::from_utf8(&self.buffer[..line]).unwrap(), 16).unwrap();
+                    usize::from_str_radix(std::str::from_utf8(&self.buffer[..line]).unwrap(), 16)
+                        .unwrap();
                 if self.buffer.len() >= line + 2 + size + 2 {
                     let chunk = self.buffer[line + 2..line + 2 + size].to_vec();
                     self.buffer.drain(..line + 2 + size + 2);
@@ -594,7 +691,9 @@
 }
 
 fn find(bytes: &[u8], wanted: &[u8]) -> Option<usize> {
-    bytes.windows(wanted.len()).position(|window| window == wanted)
+    bytes
+        .windows(wanted.len())
+        .position(|window| window == wanted)
 }
 
 /// A request without a body.
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -44,7 +44,8 @@
     if at_best_ms <= outlook.patience_ms as f64 {
         return None;
     }
-    let relief_ms = outlook.expected_ms as u64 - outlook.patience_ms.min(outlook.expected_ms as u64);
+    let relief_ms =
+        outlook.expected_ms as u64 - outlook.patience_ms.min(outlook.expected_ms as u64);
     let longest_ms = (ask.time_left_ms / LONGEST_RETRY_PART).max(SHORTEST_RETRY_MS);
     Some(relief_ms.clamp(SHORTEST_RETRY_MS, longest_ms))
 }
--- a/crates/routing/src/admission/tests.rs
+++ b/crates/routing/src/admission/tests.rs
@@ -17,7 +17,11 @@
 }
 
 fn outlook(all_places_taken: bool, expected_ms: f64) -> Outlook {
-    Outlook { all_places_taken, expected_ms, patience_ms: 1_000 }
+    Outlook {
+        all_places_taken,
+        expected_ms,
+        patience_ms: 1_000,
+    }
 }
 
 #[test]
@@ -41,7 +45,10 @@
 #[test]
 fn the_time_to_come_back_stays_within_what_clients_honour() {
     assert_eq!(refusal(&ask(0, 3_000), &outlook(true, 1e9)), Some(1_000));
-    assert_eq!(refusal(&ask(0, 30), &outlook(true, 1e9)), Some(SHORTEST_RETRY_MS));
+    assert_eq!(
+        refusal(&ask(0, 30), &outlook(true, 1e9)),
+        Some(SHORTEST_RETRY_MS)
+    );
 }
 
 #[test]
--- a/crates/routing/src/chooser.rs
+++ b/crates/routing/src/chooser.rs
@@ -41,9 +41,13 @@
     pub fn set_servers(&mut self, servers: Vec<Server>, now: Millis) {
         let mut by_backend: BTreeMap<Rc<str>, Vec<Server>> = BTreeMap::new();
         for server in servers {
-            by_backend.entry(server.backend.clone()).or_default().push(server);
+            by_backend
+                .entry(server.backend.clone())
+                .or_default()
+                .push(server);
         }
-        self.pools.retain(|backend, _| by_backend.contains_key(backend));
+        self.pools
+            .retain(|backend, _| by_backend.contains_key(backend));
         for (backend, servers) in by_backend {
             let pool = self.pools.entry(backend).or_insert_with(Pool::new);
             pool.set_servers(servers, &self.zone, &mut self.last_member, now);
@@ -105,11 +109,20 @@
     /// Takes the whole statement of another gateway in place of its last one.
     pub fn other_load(&mut self, reports: &[LoadReport], from: &str, now: Millis) {
         let from = name_hash(from);
-        let members = self.pools.values_mut().flat_map(|pool| pool.members.iter_mut());
+        let members = self
+            .pools
+            .values_mut()
+            .flat_map(|pool| pool.members.iter_mut());
         for member in members {
-            let report = reports.iter().find(|report| report.server == member.server.id);
+            let report = reports
+                .iter()
+                .find(|report| report.server == member.server.id);
             match report {
-                Some(report) => member.load.report(from, report.in_flight, report.waiting_tokens, now),
+                Some(report) => {
+                    member
+                        .load
+                        .report(from, report.in_flight, report.waiting_tokens, now)
+                }
                 None => member.load.report(from, 0, 0, now),
             }
         }
@@ -136,7 +149,10 @@
 
     /// Another gateway avoids this server for its faults: it is asked less until our own requests are served there.
     pub fn hint_trouble(&mut self, server: &str, now: Millis) {
-        let mut members = self.pools.values_mut().flat_map(|pool| pool.members.iter_mut());
+        let mut members = self
+            .pools
+            .values_mut()
+            .flat_map(|pool| pool.members.iter_mut());
         if let Some(member) = members.find(|member| *member.server.id == *server) {
             member.hint.note(now);
         }
@@ -169,7 +185,11 @@
         let traffic_share = pool.traffic_share.get();
         let member = &mut pool.members[choice.index];
         let batch = member.load.usual_in_flight(now);
-        let new_part = ask.prefix.last().map(|part| part.id).filter(|id| !member.cache.holds(*id));
+        let new_part = ask
+            .prefix
+            .last()
+            .map(|part| part.id)
+            .filter(|id| !member.cache.holds(*id));
         let engine = EngineFlight {
             fresh_tokens: choice.fresh_tokens,
             footprint: choice.footprint,
@@ -181,7 +201,10 @@
             new_part,
         };
         member.sent(choice.fresh_tokens, choice.footprint, now);
-        member.cache.sent(ask.prefix, (memory_capacity(member) as f64 * traffic_share) as u64);
+        member.cache.sent(
+            ask.prefix,
+            (memory_capacity(member) as f64 * traffic_share) as u64,
+        );
         let priority = engine_priority(ask, under_way, choice.estimate.first_token_ms);
         self.send(ask, choice.index, Some(engine), Some(priority), now)
     }
@@ -229,6 +252,10 @@
         };
         self.last_key += 1;
         self.flights.insert(self.last_key, flight);
-        Choice::Send(Ticket { server, key: self.last_key, engine_priority })
+        Choice::Send(Ticket {
+            server,
+            key: self.last_key,
+            engine_priority,
+        })
     }
 }
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -46,7 +46,9 @@
 
 impl Caller {
     pub(crate) fn of(ask: &Ask) -> Self {
-        Self { program: ask.program.or(ask.session).map(name_hash) }
+        Self {
+            program: ask.program.or(ask.session).map(name_hash),
+        }
     }
 }
 
@@ -86,7 +88,12 @@
     fn find(pool: &Pool, candidates: &[usize], program: u64, subject: Option<Subject>) -> Self {
         let eligible = eligible(pool, candidates);
         let subject_threshold = subject.map_or(0, |subject| threshold(pool, &eligible, subject));
-        let mut homes = Self { program, home: None, subject, subject_threshold };
+        let mut homes = Self {
+            program,
+            home: None,
+            subject,
+            subject_threshold,
+        };
         homes.home = eligible
             .into_iter()
             .filter(|index| homes.is_for_subject(&pool.members[*index]))
@@ -95,7 +102,8 @@
     }
 
     fn is_for_subject(&self, member: &Member) -> bool {
-        self.subject.is_none_or(|subject| weight(member.name_hash, subject.id) >= self.subject_threshold)
+        self.subject
+            .is_none_or(|subject| weight(member.name_hash, subject.id) >= self.subject_threshold)
     }
 
     /// Memory that the request takes: its subject's parts are there for all its programs together.
@@ -118,8 +126,11 @@
 
 /// The engines among which homes are sought: those of the own zone, if it has its share of them.
 fn eligible(pool: &Pool, candidates: &[usize]) -> Vec<usize> {
-    let local: Vec<usize> =
-        candidates.iter().copied().filter(|index| pool.members[*index].is_local).collect();
+    let local: Vec<usize> = candidates
+        .iter()
+        .copied()
+        .filter(|index| pool.members[*index].is_local)
+        .collect();
     if local.len() >= FEWEST_IN_ZONE && 2 * local.len() * pool.zones() >= candidates.len() {
         return local;
     }
@@ -133,9 +144,12 @@
     if wanted >= eligible.len() {
         return 0;
     }
-    let mut weights: Vec<u64> =
-        eligible.iter().map(|index| weight(pool.members[*index].name_hash, subject.id)).collect();
-    let (_, threshold, _) = weights.select_nth_unstable_by(wanted - 1, |left, right| right.cmp(left));
+    let mut weights: Vec<u64> = eligible
+        .iter()
+        .map(|index| weight(pool.members[*index].name_hash, subject.id))
+        .collect();
+    let (_, threshold, _) =
+        weights.select_nth_unstable_by(wanted - 1, |left, right| right.cmp(left));
     *threshold
 }
 
@@ -183,5 +197,8 @@
 
 /// Tokens that fit into an engine's memory.
 pub(crate) fn memory_capacity(member: &Member) -> u64 {
-    member.server.engine.map_or(u64::MAX, |engine| engine.kv_capacity)
+    member
+        .server
+        .engine
+        .map_or(u64::MAX, |engine| engine.kv_capacity)
 }
--- a/crates/routing/src/estimate.rs
+++ b/crates/routing/src/estimate.rs
@@ -91,7 +91,12 @@
                 PRIOR_FAR_TOKENS,
                 PRIOR_WEIGHT,
             ),
-            pause: LineFit::new(PRIOR_PAUSE_MS, PRIOR_PAUSE_PER_REQUEST_MS, PRIOR_FAR_BATCH, PRIOR_WEIGHT),
+            pause: LineFit::new(
+                PRIOR_PAUSE_MS,
+                PRIOR_PAUSE_PER_REQUEST_MS,
+                PRIOR_FAR_BATCH,
+                PRIOR_WEIGHT,
+            ),
             service_ms: FadingMean::new(PRIOR_SERVICE_MS, MEAN_GAIN),
             answer_share: FadingMean::new(PRIOR_ANSWER_SHARE, MEAN_GAIN),
             footprint: FadingMean::new(PRIOR_FOOTPRINT_TOKENS, MEAN_GAIN),
@@ -149,8 +154,10 @@
 
     /// What a request would take on an engine.
     pub(crate) fn estimate(&self, engine: &EngineState, need: &Need) -> Estimate {
-        let wait_ms = engine.slowness * (self.wait_for_place(engine) + self.wait_for_memory(engine, need));
-        let read_ms = engine.slowness * self.first_token_ms(engine.waiting_tokens + need.fresh_tokens);
+        let wait_ms =
+            engine.slowness * (self.wait_for_place(engine) + self.wait_for_memory(engine, need));
+        let read_ms =
+            engine.slowness * self.first_token_ms(engine.waiting_tokens + need.fresh_tokens);
         let batch = engine.in_flight.min(engine.places) + 1.0;
         let answer_ms = engine.slowness * need.answer_tokens * self.pause_ms(batch);
         let first_token_ms = wait_ms + read_ms;
@@ -158,7 +165,10 @@
             + answer_ms
             + (engine.quiet_ms - QUIET_GRACE * first_token_ms).max(0.0)
             + engine.slowness * self.burden_ms(engine, need);
-        Estimate { first_token_ms, cost_ms }
+        Estimate {
+            first_token_ms,
+            cost_ms,
+        }
     }
 
     /// What the requests beside it lose, and what reading anew is priced at.
--- a/crates/routing/src/flight.rs
+++ b/crates/routing/src/flight.rs
@@ -81,7 +81,10 @@
         return;
     };
     member.load.ended(engine.footprint);
-    let never_ran = matches!(result, Outcome::Shed | Outcome::Moved | Outcome::Unreachable);
+    let never_ran = matches!(
+        result,
+        Outcome::Shed | Outcome::Moved | Outcome::Unreachable
+    );
     if let (true, Some(part)) = (never_ran, engine.new_part) {
         member.cache.forget(part);
     }
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -100,9 +100,11 @@
     /// The standing as of now.
     pub(crate) fn standing(&self, now: Millis) -> Standing {
         match self.standing {
-            Standing::Avoided { until, for_ms } if now >= until => {
-                Standing::Returning { since: until, over_ms: for_ms * RETURN_FACTOR }.settled(now)
+            Standing::Avoided { until, for_ms } if now >= until => Standing::Returning {
+                since: until,
+                over_ms: for_ms * RETURN_FACTOR,
             }
+            .settled(now),
             standing => standing.settled(now),
         }
     }
@@ -173,9 +175,11 @@
     fn note_failure(&mut self, now: Millis) {
         self.count(1.0);
         self.failures_in_a_row += 1;
-        let returning = matches!(self.standing, Standing::Returning { .. }) && self.times_avoided > 0;
+        let returning =
+            matches!(self.standing, Standing::Returning { .. }) && self.times_avoided > 0;
         let in_a_row = self.failures_in_a_row >= FAILURES_IN_A_ROW;
-        let share = self.recent >= FEWEST_FOR_SHARE && self.recent_failed >= FAILED_SHARE * self.recent;
+        let share =
+            self.recent >= FEWEST_FOR_SHARE && self.recent_failed >= FAILED_SHARE * self.recent;
         if returning || in_a_row || share {
             self.avoid(FAILING_MS, now);
         }
@@ -195,7 +199,10 @@
         let for_ms = first_ms << self.times_avoided.min(MOST_DOUBLINGS);
         self.times_avoided += 1;
         self.at_fault = true;
-        self.enter(Standing::Avoided { until: now + for_ms, for_ms });
+        self.enter(Standing::Avoided {
+            until: now + for_ms,
+            for_ms,
+        });
     }
 
     fn note_full(&mut self, now: Millis) {
@@ -209,7 +216,10 @@
         self.at_fault = false;
         let doublings = self.full_in_a_row - self.full_tolerated - 1;
         let for_ms = FULL_MS << doublings.min(MOST_DOUBLINGS);
-        self.enter(Standing::Avoided { until: now + for_ms, for_ms });
+        self.enter(Standing::Avoided {
+            until: now + for_ms,
+            for_ms,
+        });
     }
 
     fn count(&mut self, failed: f64) {
--- a/crates/routing/src/health/tests.rs
+++ b/crates/routing/src/health/tests.rs
@@ -47,13 +47,21 @@
 fn a_share_of_failures_between_successes_counts_too() {
     let mut health = Health::of_server();
     for now in 0..10 {
-        let sign = if now % 2 == 0 { Sign::Success } else { Sign::Failure };
+        let sign = if now % 2 == 0 {
+            Sign::Success
+        } else {
+            Sign::Failure
+        };
         health.note(sign, now);
     }
     assert!(health.is_avoided(10));
     let mut rarely = Health::of_server();
     for now in 0..100 {
-        let sign = if now % 5 == 0 { Sign::Failure } else { Sign::Success };
+        let sign = if now % 5 == 0 {
+            Sign::Failure
+        } else {
+            Sign::Success
+        };
         rarely.note(sign, now);
         assert!(!rarely.is_avoided(now));
     }
@@ -85,7 +93,11 @@
 fn an_engine_is_avoided_only_if_it_takes_nothing_at_all() {
     let mut health = Health::of_engine();
     for now in 0..100 {
-        let sign = if now % 8 == 7 { Sign::Success } else { Sign::Full };
+        let sign = if now % 8 == 7 {
+            Sign::Success
+        } else {
+            Sign::Full
+        };
         health.note(sign, now);
         assert!(!health.is_avoided(now));
     }
--- a/crates/routing/src/hint.rs
+++ b/crates/routing/src/hint.rs
@@ -20,7 +20,11 @@
     #[default]
     None,
     /// It is in trouble.
-    Trouble { since: Millis, until: Millis, slower_until: Millis },
+    Trouble {
+        since: Millis,
+        until: Millis,
+        slower_until: Millis,
+    },
     /// It is in trouble, while our own request was served.
     Refuted { until: Millis },
 }
@@ -30,8 +34,20 @@
     pub(crate) fn note(&mut self, now: Millis) {
         let until = now + HINT_MS;
         let next = match self.at(now) {
-            Hint::None => Hint::Trouble { since: now, until, slower_until: now + PROBE_AFTER_MS },
-            Hint::Trouble { since, slower_until, .. } => Hint::Trouble { since, until, slower_until },
+            Hint::None => Hint::Trouble {
+                since: now,
+                until,
+                slower_until: now + PROBE_AFTER_MS,
+            },
+            Hint::Trouble {
+                since,
+                slower_until,
+                ..
+            } => Hint::Trouble {
+                since,
+                until,
+                slower_until,
+            },
             Hint::Refuted { .. } => Hint::Refuted { until },
         };
         self.enter(next);
@@ -39,9 +55,18 @@
 
     /// A request of our own is sent there.
     pub(crate) fn sent(&mut self, now: Millis) {
-        if let Hint::Trouble { since, until, slower_until } = self.at(now) {
+        if let Hint::Trouble {
+            since,
+            until,
+            slower_until,
+        } = self.at(now)
+        {
             if now >= slower_until {
-                self.enter(Hint::Trouble { since, until, slower_until: now + PROBE_AFTER_MS });
+                self.enter(Hint::Trouble {
+                    since,
+                    until,
+                    slower_until: now + PROBE_AFTER_MS,
+                });
             }
         }
     }
--- a/crates/routing/src/learning.rs
+++ b/crates/routing/src/learning.rs
@@ -5,7 +5,12 @@
 use crate::types::Millis;
 
 /// A stream's first event came.
-pub(crate) fn engine_first_event(pool: &mut Pool, flight: &Flight, engine: EngineFlight, now: Millis) {
+pub(crate) fn engine_first_event(
+    pool: &mut Pool,
+    flight: &Flight,
+    engine: EngineFlight,
+    now: Millis,
+) {
     let took_ms = now.saturating_sub(flight.sent_at) as f64;
     let mean_slowness = pool.mean_slowness(now);
     let expected_ms = pool.pace.first_token_ms(engine.tokens_ahead);
@@ -18,7 +23,8 @@
     }
     member.saw_slowness(took_ms / expected_ms.max(1.0), now);
     let relative = member.learnt_slowness(now) / mean_slowness;
-    pool.pace.saw_first_token(engine.tokens_ahead, took_ms / relative);
+    pool.pace
+        .saw_first_token(engine.tokens_ahead, took_ms / relative);
 }
 
 /// A stream came whole.
@@ -33,7 +39,8 @@
         return;
     };
     let service_ms = now.saturating_sub(flight.sent_at) as f64;
-    pool.pace.saw_end(service_ms, tokens_out, engine.most_tokens);
+    pool.pace
+        .saw_end(service_ms, tokens_out, engine.most_tokens);
     let later_tokens = tokens_out.saturating_sub(engine.chunk_tokens);
     if later_tokens == 0 {
         return;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -34,5 +34,6 @@
 
 pub use chooser::Chooser;
 pub use types::{
-    Ask, Choice, EngineShape, LoadReport, Millis, Outcome, Part, Server, ServerId, Ticket, TicketKey,
+    Ask, Choice, EngineShape, LoadReport, Millis, Outcome, Part, Server, ServerId, Ticket,
+    TicketKey,
 };
--- a/crates/routing/src/line_fit.rs
+++ b/crates/routing/src/line_fit.rs
@@ -61,7 +61,12 @@
         let mut prior = Sums::default();
         prior.add(weight, 0.0, base);
         prior.add(weight, far, base + slope * far);
-        Self { prior, seen: Sums::default(), base, slope }
+        Self {
+            prior,
+            seen: Sums::default(),
+            base,
+            slope,
+        }
     }
 
     /// The value expected at `x`.
@@ -86,7 +91,11 @@
     fn solve(&mut self) {
         let sums = self.prior.plus(self.seen);
         let spread = sums.weight * sums.xx - sums.x * sums.x;
-        let slope = if spread > 0.0 { (sums.weight * sums.xy - sums.x * sums.y) / spread } else { 0.0 };
+        let slope = if spread > 0.0 {
+            (sums.weight * sums.xy - sums.x * sums.y) / spread
+        } else {
+            0.0
+        };
         if slope <= 0.0 {
             self.slope = 0.0;
             self.base = (sums.y / sums.weight).max(0.0);
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -126,7 +126,8 @@
                 usual_waiting_tokens: waiting_tokens as f64,
             });
         }
-        self.others.retain(|report| report.usual_in_flight > NEGLIGIBLE && report.weight(now) > 0.0);
+        self.others
+            .retain(|report| report.usual_in_flight > NEGLIGIBLE && report.weight(now) > 0.0);
     }
 
     fn add(&mut self, report: Reported) {
@@ -136,7 +137,10 @@
     }
 
     fn sum_of_others(&self, now: Millis, figure: impl Fn(&Reported) -> f64) -> f64 {
-        self.others.iter().map(|report| report.weight(now) * figure(report)).sum()
+        self.others
+            .iter()
+            .map(|report| report.weight(now) * figure(report))
+            .sum()
     }
 }
 
@@ -145,7 +149,8 @@
         self.at = now;
         self.in_flight = in_flight;
         self.usual_in_flight += REPORT_GAIN * (f64::from(in_flight) - self.usual_in_flight);
-        self.usual_waiting_tokens += REPORT_GAIN * (waiting_tokens as f64 - self.usual_waiting_tokens);
+        self.usual_waiting_tokens +=
+            REPORT_GAIN * (waiting_tokens as f64 - self.usual_waiting_tokens);
     }
 
     fn weight(&self, now: Millis) -> f64 {
--- a/crates/routing/src/member.rs
+++ b/crates/routing/src/member.rs
@@ -41,11 +41,18 @@
             number,
             name_hash: name_hash(&server.id),
             is_local: *server.zone == *zone,
-            health: if server.engine.is_some() { Health::of_engine() } else { Health::of_server() },
+            health: if server.engine.is_some() {
+                Health::of_engine()
+            } else {
+                Health::of_server()
+            },
             hint: Hint::default(),
             load: Load::default(),
             cache: PrefixCache::new(),
-            slowness: Slowness { value: 1.0, at: now },
+            slowness: Slowness {
+                value: 1.0,
+                at: now,
+            },
             cold_until: now + server.cold_left_ms,
             server: Rc::new(server),
         }
@@ -79,7 +86,10 @@
 
     /// Requests that it works on at once.
     pub(crate) fn slots(&self) -> u32 {
-        let slots = self.server.engine.map_or(self.server.slots, |engine| engine.slots);
+        let slots = self
+            .server
+            .engine
+            .map_or(self.server.slots, |engine| engine.slots);
         slots.max(1)
     }
 
@@ -95,7 +105,11 @@
 
     /// How slow it is, 1 for the mean.
     pub(crate) fn slowness(&self, now: Millis) -> f64 {
-        let cold = if self.is_cold(now) { COLD_SLOWNESS } else { 1.0 };
+        let cold = if self.is_cold(now) {
+            COLD_SLOWNESS
+        } else {
+            1.0
+        };
         cold * self.hint.slowness(now) * self.learnt_slowness(now)
     }
 
--- a/crates/routing/src/plain.rs
+++ b/crates/routing/src/plain.rs
@@ -38,7 +38,11 @@
 fn score(member: &Member, answer_ms: f64, now: Millis) -> f64 {
     let occupancy = (member.load.usual_in_flight(now) + 1.0) / member.places(now);
     let beyond = (occupancy - 1.0).max(0.0);
-    let zone = if member.is_local { 1.0 } else { OTHER_ZONE_FACTOR };
+    let zone = if member.is_local {
+        1.0
+    } else {
+        OTHER_ZONE_FACTOR
+    };
     let quiet = member.load.quiet_ms(now) as f64 / answer_ms;
     let overdue = (quiet - QUIET_GRACE).max(0.0);
     zone * member.slowness(now) * (1.0 + occupancy + QUEUE_WEIGHT * beyond) + overdue
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -40,10 +40,18 @@
     }
 
     /// Takes the whole list of the service's servers; `numbers` names those that are new.
-    pub(crate) fn set_servers(&mut self, servers: Vec<Server>, zone: &str, numbers: &mut u64, now: Millis) {
+    pub(crate) fn set_servers(
+        &mut self,
+        servers: Vec<Server>,
+        zone: &str,
+        numbers: &mut u64,
+        now: Millis,
+    ) {
         let mut before = std::mem::take(&mut self.members);
         for server in servers {
-            let known = before.iter().position(|member| member.server.id == server.id);
+            let known = before
+                .iter()
+                .position(|member| member.server.id == server.id);
             let member = match known {
                 Some(index) => {
                     let mut member = before.swap_remove(index);
@@ -57,7 +65,11 @@
             };
             self.members.push(member);
         }
-        let mut zones: Vec<&str> = self.members.iter().map(|member| &*member.server.zone).collect();
+        let mut zones: Vec<&str> = self
+            .members
+            .iter()
+            .map(|member| &*member.server.zone)
+            .collect();
         zones.sort_unstable();
         zones.dedup();
         self.zones = zones.len();
@@ -69,12 +81,18 @@
     }
 
     pub(crate) fn member_mut(&mut self, number: u64) -> Option<&mut Member> {
-        self.members.iter_mut().find(|member| member.number == number)
+        self.members
+            .iter_mut()
+            .find(|member| member.number == number)
     }
 
     /// The mean slowness, against which one member's is judged.
     pub(crate) fn mean_slowness(&self, now: Millis) -> f64 {
-        let sum: f64 = self.members.iter().map(|member| member.learnt_slowness(now)).sum();
+        let sum: f64 = self
+            .members
+            .iter()
+            .map(|member| member.learnt_slowness(now))
+            .sum();
         sum / self.members.len().max(1) as f64
     }
 
@@ -87,19 +105,32 @@
             return untried;
         }
         let left = without_tried(self, usable, ask);
-        let least_bad = left.into_iter().min_by_key(|index| self.members[*index].health.avoided_for(now));
+        let least_bad = left
+            .into_iter()
+            .min_by_key(|index| self.members[*index].health.avoided_for(now));
         least_bad.into_iter().collect()
     }
 
     /// Whether every place of every server is taken, as far as known.
     pub(crate) fn is_full(&self, now: Millis) -> bool {
-        self.members.iter().filter(|member| member.is_usable()).all(|member| member.is_full(now))
+        self.members
+            .iter()
+            .filter(|member| member.is_usable())
+            .all(|member| member.is_full(now))
     }
 
     /// Notes how much of the traffic is this gateway's own.
     pub(crate) fn observe_traffic_share(&mut self, now: Millis) {
-        let own: u32 = self.members.iter().map(|member| member.load.own_in_flight()).sum();
-        let others: f64 = self.members.iter().map(|member| member.load.others_usual_in_flight(now)).sum();
+        let own: u32 = self
+            .members
+            .iter()
+            .map(|member| member.load.own_in_flight())
+            .sum();
+        let others: f64 = self
+            .members
+            .iter()
+            .map(|member| member.load.others_usual_in_flight(now))
+            .sum();
         let own = f64::from(own) + 1.0;
         self.traffic_share.observe(own / (own + others));
     }
@@ -108,8 +139,9 @@
     /// that are left could not bear the load.
     fn in_use(&self, usable: Vec<usize>, now: Millis) -> Vec<usize> {
         let fewest = usable.len().div_ceil(2);
-        let (mut avoided, mut in_use): (Vec<usize>, Vec<usize>) =
-            usable.into_iter().partition(|index| self.members[*index].health.is_avoided(now));
+        let (mut avoided, mut in_use): (Vec<usize>, Vec<usize>) = usable
+            .into_iter()
+            .partition(|index| self.members[*index].health.is_avoided(now));
         if in_use.len() >= fewest {
             return in_use;
         }
@@ -122,7 +154,10 @@
 
     fn indices(&self, wanted: impl Fn(&Member) -> bool) -> Vec<usize> {
         let members = self.members.iter().enumerate();
-        members.filter(|(_, member)| wanted(member)).map(|(index, _)| index).collect()
+        members
+            .filter(|(_, member)| wanted(member))
+            .map(|(index, _)| index)
+            .collect()
     }
 }
 
--- a/crates/routing/src/prefix_cache.rs
+++ b/crates/routing/src/prefix_cache.rs
@@ -107,7 +107,12 @@
     }
 
     fn insert(&mut self, id: u64) -> u32 {
-        let entry = Entry { id, tokens: 0, newer: NONE, older: NONE };
+        let entry = Entry {
+            id,
+            tokens: 0,
+            newer: NONE,
+            older: NONE,
+        };
         let place = match self.free.pop() {
             Some(place) => {
                 self.entries[place as usize] = entry;
--- a/crates/routing/src/prefix_cache/tests.rs
+++ b/crates/routing/src/prefix_cache/tests.rs
@@ -69,8 +69,11 @@
         } else {
             cache.sent(&[part(id % 7, 40), part(id, random.u32(1..90))], 9_000);
         }
-        let sum: u64 =
-            cache.places.values().map(|place| u64::from(cache.entries[*place as usize].tokens)).sum();
+        let sum: u64 = cache
+            .places
+            .values()
+            .map(|place| u64::from(cache.entries[*place as usize].tokens))
+            .sum();
         assert_eq!(sum, cache.tokens());
         assert!(cache.tokens() <= 9_000);
     }
--- a/crates/routing/src/priority.rs
+++ b/crates/routing/src/priority.rs
@@ -14,8 +14,14 @@
 
 /// Whether some engine holds a part of the prompt that is the program's own: it has had a turn.
 pub(crate) fn is_under_way(pool: &Pool, prefix: &[Part]) -> bool {
-    let mut own = prefix.iter().filter(|part| !pool.sharing.is_shared(part.id));
-    own.any(|part| pool.members.iter().any(|member| member.cache.holds(part.id)))
+    let mut own = prefix
+        .iter()
+        .filter(|part| !pool.sharing.is_shared(part.id));
+    own.any(|part| {
+        pool.members
+            .iter()
+            .any(|member| member.cache.holds(part.id))
+    })
 }
 
 /// From the route's priority; a program under way before a new one, and one short of time before others.
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -45,4 +45,5 @@
 }
 
 /// A map by id.
-pub(crate) type IdMap<V> = std::collections::HashMap<u64, V, std::hash::BuildHasherDefault<IdHasher>>;
+pub(crate) type IdMap<V> =
+    std::collections::HashMap<u64, V, std::hash::BuildHasherDefault<IdHasher>>;
--- a/crates/routing/src/sharing.rs
+++ b/crates/routing/src/sharing.rs
@@ -50,9 +50,16 @@
         let known = self.observe_parts(prefix, program);
         let usual = self.first_turn_length().min(prefix.len()).checked_sub(2);
         let index = known.max(usual)?;
-        let tokens = prefix[..=index].iter().map(|part| u64::from(part.tokens)).sum();
+        let tokens = prefix[..=index]
+            .iter()
+            .map(|part| u64::from(part.tokens))
+            .sum();
         let id = prefix[index].id;
-        Some(Subject { id, tokens, popularity: self.popularity(id) })
+        Some(Subject {
+            id,
+            tokens,
+            popularity: self.popularity(id),
+        })
     }
 
     /// Whether prompts of several programs have this part.
@@ -78,7 +85,14 @@
             return seen.shared;
         }
         if self.parts.len() < MOST_PARTS {
-            self.parts.insert(id, Seen { program, hits: 1, shared: false });
+            self.parts.insert(
+                id,
+                Seen {
+                    program,
+                    hits: 1,
+                    shared: false,
+                },
+            );
         }
         false
     }
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -55,7 +55,10 @@
     let ticket = sent(chooser.choose(&plain_ask(), 0));
     chooser.finished(ticket.key, Outcome::Moved, 1);
     chooser.set_servers(vec![plain_server(0, "a")], 2);
-    assert!(matches!(chooser.choose(&plain_ask(), 100_000), Choice::NoServer));
+    assert!(matches!(
+        chooser.choose(&plain_ask(), 100_000),
+        Choice::NoServer
+    ));
 }
 
 #[test]
@@ -66,7 +69,10 @@
     let mut counts = vec![0; 5];
     for _ in 0..30 {
         let ticket = sent(chooser.choose(&plain_ask(), 0));
-        let index = servers.iter().position(|server| server.id == ticket.server.id).unwrap();
+        let index = servers
+            .iter()
+            .position(|server| server.id == ticket.server.id)
+            .unwrap();
         counts[index] += 1;
     }
     assert_eq!(counts, vec![6; 5]);
@@ -79,7 +85,9 @@
     chooser.set_servers(servers, 0);
     let first = sent(chooser.choose(&plain_ask(), 0));
     assert_eq!(&*first.server.zone, "a");
-    let zones: Vec<_> = (0..8).map(|_| sent(chooser.choose(&plain_ask(), 0)).server.zone.clone()).collect();
+    let zones: Vec<_> = (0..8)
+        .map(|_| sent(chooser.choose(&plain_ask(), 0)).server.zone.clone())
+        .collect();
     assert!(zones.iter().any(|zone| &**zone == "b"));
 }
 
@@ -88,10 +96,17 @@
     let mut chooser = Chooser::new("a".into(), 1);
     let servers = vec![plain_server(0, "a"), plain_server(1, "a")];
     chooser.set_servers(servers.clone(), 0);
-    let report = LoadReport { server: servers[0].id.clone(), in_flight: 5, waiting_tokens: 0 };
+    let report = LoadReport {
+        server: servers[0].id.clone(),
+        in_flight: 5,
+        waiting_tokens: 0,
+    };
     chooser.other_load(&[report], "gateway-2", 0);
     for _ in 0..5 {
-        assert_eq!(sent(chooser.choose(&plain_ask(), 100)).server.id, servers[1].id);
+        assert_eq!(
+            sent(chooser.choose(&plain_ask(), 100)).server.id,
+            servers[1].id
+        );
     }
     let later = (0..4).map(|_| sent(chooser.choose(&plain_ask(), 60_000)).server.id.clone());
     assert!(later.into_iter().all(|id| id == servers[0].id));
@@ -102,10 +117,23 @@
     let mut chooser = Chooser::new("a".into(), 1);
     let server = engine_server(0, "a");
     chooser.set_servers(vec![server.clone()], 0);
-    let prefix = [Part { id: 1, tokens: 500 }, Part { id: 77, tokens: 300 }];
-    let crowd = LoadReport { server: server.id, in_flight: 400, waiting_tokens: 400_000 };
+    let prefix = [
+        Part { id: 1, tokens: 500 },
+        Part {
+            id: 77,
+            tokens: 300,
+        },
+    ];
+    let crowd = LoadReport {
+        server: server.id,
+        in_flight: 400,
+        waiting_tokens: 400_000,
+    };
     chooser.other_load(&[crowd], "gateway-2", 0);
-    assert!(matches!(chooser.choose(&engine_ask("program", &prefix), 1), Choice::Refuse { .. }));
+    assert!(matches!(
+        chooser.choose(&engine_ask("program", &prefix), 1),
+        Choice::Refuse { .. }
+    ));
     chooser.other_load(&[], "gateway-2", 2);
     let _kept = sent(chooser.choose(&engine_ask("program", &prefix), 3));
 }
@@ -115,7 +143,11 @@
     let mut chooser = Chooser::new("a".into(), 1);
     let servers = vec![plain_server(0, "a"), plain_server(1, "a")];
     chooser.set_servers(servers.clone(), 0);
-    let report = LoadReport { server: servers[0].id.clone(), in_flight: 5, waiting_tokens: 0 };
+    let report = LoadReport {
+        server: servers[0].id.clone(),
+        in_flight: 5,
+        waiting_tokens: 0,
+    };
     chooser.other_load(&[report], "gateway-2", 0);
     for now in 1..=4 {
         chooser.other_load(&[], "gateway-2", now);
@@ -157,7 +189,9 @@
 #[test]
 fn all_gateways_of_a_zone_send_a_program_to_the_same_engine() {
     let prefix = [Part { id: 1, tokens: 800 }, Part { id: 2, tokens: 200 }];
-    let servers: Vec<_> = (0..12).map(|number| engine_server(number, ["a", "b", "c"][number % 3])).collect();
+    let servers: Vec<_> = (0..12)
+        .map(|number| engine_server(number, ["a", "b", "c"][number % 3]))
+        .collect();
     let mut homes = std::collections::BTreeSet::new();
     for program in 0..40 {
         let name = format!("program-{program}");
@@ -170,7 +204,12 @@
     assert!(homes.len() >= 3, "{homes:?}");
 }
 
-fn home_by(servers: &[dunespur_routing::Server], seed: u64, program: &str, prefix: &[Part]) -> String {
+fn home_by(
+    servers: &[dunespur_routing::Server],
+    seed: u64,
+    program: &str,
+    prefix: &[Part],
+) -> String {
     let mut chooser = Chooser::new("a".into(), seed);
     chooser.set_servers(servers.to_vec(), 0);
     let ticket = sent(chooser.choose(&engine_ask(program, prefix), 0));
@@ -185,7 +224,13 @@
     let mut tokens = 300;
     let mut home = None;
     for turn in 0..6 {
-        let prefix = [Part { id: 1, tokens: 2_560 }, Part { id: 77, tokens }];
+        let prefix = [
+            Part {
+                id: 1,
+                tokens: 2_560,
+            },
+            Part { id: 77, tokens },
+        ];
         let now = turn * 1_000;
         let ticket = sent(chooser.choose(&engine_ask("program", &prefix), now));
         let first = home.get_or_insert(ticket.server.id.clone());
@@ -201,11 +246,30 @@
     let mut chooser = Chooser::new("a".into(), 1);
     let servers: Vec<_> = (0..3).map(|number| engine_server(number, "a")).collect();
     chooser.set_servers(servers, 0);
-    let prefix = [Part { id: 1, tokens: 2_560 }, Part { id: 77, tokens: 300 }];
-    let home = sent(chooser.choose(&engine_ask("program", &prefix), 0)).server.id.clone();
-    let report = LoadReport { server: home.clone(), in_flight: 30, waiting_tokens: 60_000 };
+    let prefix = [
+        Part {
+            id: 1,
+            tokens: 2_560,
+        },
+        Part {
+            id: 77,
+            tokens: 300,
+        },
+    ];
+    let home = sent(chooser.choose(&engine_ask("program", &prefix), 0))
+        .server
+        .id
+        .clone();
+    let report = LoadReport {
+        server: home.clone(),
+        in_flight: 30,
+        waiting_tokens: 60_000,
+    };
     chooser.other_load(&[report], "gateway-2", 10);
-    let next = sent(chooser.choose(&engine_ask("program", &prefix), 20)).server.id.clone();
+    let next = sent(chooser.choose(&engine_ask("program", &prefix), 20))
+        .server
+        .id
+        .clone();
     assert_ne!(home, next);
 }
 
@@ -213,9 +277,19 @@
 fn a_program_under_way_goes_before_a_new_one() {
     let mut chooser = Chooser::new("a".into(), 1);
     chooser.set_servers(vec![engine_server(0, "a")], 0);
-    let prefix = [Part { id: 1, tokens: 500 }, Part { id: 77, tokens: 300 }];
-    let new = sent(chooser.choose(&engine_ask("program", &prefix), 0)).engine_priority.unwrap();
-    let under_way = sent(chooser.choose(&engine_ask("program", &prefix), 10)).engine_priority.unwrap();
+    let prefix = [
+        Part { id: 1, tokens: 500 },
+        Part {
+            id: 77,
+            tokens: 300,
+        },
+    ];
+    let new = sent(chooser.choose(&engine_ask("program", &prefix), 0))
+        .engine_priority
+        .unwrap();
+    let under_way = sent(chooser.choose(&engine_ask("program", &prefix), 10))
+        .engine_priority
+        .unwrap();
     assert!(under_way < new);
     assert!(new <= 9);
 }
@@ -225,7 +299,13 @@
     let mut chooser = Chooser::new("a".into(), 1);
     let servers: Vec<_> = (0..2).map(|number| engine_server(number, "a")).collect();
     chooser.set_servers(servers.clone(), 0);
-    let prefix = [Part { id: 1, tokens: 500 }, Part { id: 77, tokens: 300 }];
+    let prefix = [
+        Part { id: 1, tokens: 500 },
+        Part {
+            id: 77,
+            tokens: 300,
+        },
+    ];
     let crowd = |number: usize, in_flight| LoadReport {
         server: servers[number].id.clone(),
         in_flight,
@@ -268,6 +348,7 @@
         assert_ne!(ticket.server.id, bad.server.id);
         chooser.finished(ticket.key, Outcome::Served { tokens_out: 0 }, now);
     }
-    let returned = (0..30).any(|_| sent(chooser.choose(&plain_ask(), 60_000)).server.id == bad.server.id);
+    let returned =
+        (0..30).any(|_| sent(chooser.choose(&plain_ask(), 60_000)).server.id == bad.server.id);
     assert!(returned);
 }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -7,8 +7,16 @@
 pub const PLAIN: &str = "plain";
 
 pub fn engine_server(number: usize, zone: &str) -> Server {
-    let shape = EngineShape { kv_capacity: 220_000, slots: 24, chunk_tokens: 3 };
-    Server { engine: Some(shape), slots: 24, ..server(ENGINES, number, zone) }
+    let shape = EngineShape {
+        kv_capacity: 220_000,
+        slots: 24,
+        chunk_tokens: 3,
+    };
+    Server {
+        engine: Some(shape),
+        slots: 24,
+        ..server(ENGINES, number, zone)
+    }
 }
 
 pub fn plain_server(number: usize, zone: &str) -> Server {
--- a/crates/routing/tests/fleet/engine.rs
+++ b/crates/routing/tests/fleet/engine.rs
@@ -123,7 +123,8 @@
             }
         }
         let batch = self.running.len() as f64;
-        self.running.retain(|request| request.answered < request.job.answer_tokens);
+        self.running
+            .retain(|request| request.answered < request.job.answer_tokens);
         self.make_room();
         let step_ms = self.model.step_ms
             + self.model.step_per_request_ms * batch
@@ -133,11 +134,16 @@
 
     fn admit(&mut self) {
         while self.running.len() < self.model.slots {
-            let urgent = self.waiting.iter().enumerate().min_by_key(|(index, job)| (job.priority, *index));
+            let urgent = self
+                .waiting
+                .iter()
+                .enumerate()
+                .min_by_key(|(index, job)| (job.priority, *index));
             let Some((index, _)) = urgent else {
                 return;
             };
-            let needed = self.waiting[index].prompt_tokens + u64::from(self.waiting[index].answer_tokens);
+            let needed =
+                self.waiting[index].prompt_tokens + u64::from(self.waiting[index].answer_tokens);
             if !self.running.is_empty() && self.running_tokens() + needed > self.model.kv_capacity {
                 return;
             }
@@ -148,19 +154,32 @@
             self.keep(&job.prefix);
             self.uses += 1;
             let started = self.uses;
-            self.running.push(Running { job, unread, answered: 0, first_told: false, started });
+            self.running.push(Running {
+                job,
+                unread,
+                answered: 0,
+                first_told: false,
+                started,
+            });
             self.make_room();
         }
     }
 
     fn running_tokens(&self) -> u64 {
-        self.running.iter().map(|request| request.job.prompt_tokens + u64::from(request.answered)).sum()
+        self.running
+            .iter()
+            .map(|request| request.job.prompt_tokens + u64::from(request.answered))
+            .sum()
     }
 
     fn held(&self, prefix: &[Part]) -> u64 {
         let mut held = 0;
         for part in prefix {
-            let kept = self.kept.get(&part.id).map_or(0, |(tokens, _)| *tokens).min(part.tokens);
+            let kept = self
+                .kept
+                .get(&part.id)
+                .map_or(0, |(tokens, _)| *tokens)
+                .min(part.tokens);
             held += u64::from(kept);
             if kept < part.tokens {
                 break;
--- a/crates/routing/tests/fleet/mod.rs
+++ b/crates/routing/tests/fleet/mod.rs
@@ -118,8 +118,12 @@
     }
 
     pub fn late_share(&self) -> f64 {
-        let late =
-            self.first_ms.iter().filter(|first_ms| **first_ms > TARGET_MS as f64).count() + self.failed;
+        let late = self
+            .first_ms
+            .iter()
+            .filter(|first_ms| **first_ms > TARGET_MS as f64)
+            .count()
+            + self.failed;
         late as f64 / self.turns.max(1) as f64
     }
 }
@@ -179,12 +183,26 @@
 enum Happening {
     Program,
     Ask(usize),
-    Arrive { turn: usize, engine: usize, priority: u8 },
+    Arrive {
+        turn: usize,
+        engine: usize,
+        priority: u8,
+    },
     Step(usize),
-    Told { turn: usize, key: u64, event: Event },
-    Silence { turn: usize, key: u64 },
+    Told {
+        turn: usize,
+        key: u64,
+        event: Event,
+    },
+    Silence {
+        turn: usize,
+        key: u64,
+    },
     Report(usize),
-    Reported { from: usize, reports: Rc<Vec<LoadReport>> },
+    Reported {
+        from: usize,
+        reports: Rc<Vec<LoadReport>>,
+    },
 }
 
 #[derive(Debug)]
@@ -207,7 +225,9 @@
 }
 impl Ord for At {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.time.total_cmp(&other.time).then(self.order.cmp(&other.order))
+        self.time
+            .total_cmp(&other.time)
+            .then(self.order.cmp(&other.order))
     }
 }
 
@@ -234,14 +254,21 @@
 
 impl Fleet {
     fn new(day: Day, way: Way) -> Self {
-        let servers: Vec<Server> = (0..day.engines).map(|number| server(&day, number)).collect();
+        let servers: Vec<Server> = (0..day.engines)
+            .map(|number| server(&day, number))
+            .collect();
         let mut engines = Vec::new();
         for number in 0..day.engines {
             let slow = day.slow.iter().find(|(slow, _)| *slow == number);
             let slowness = slow.map_or(1.0, |(_, slowness)| *slowness);
-            engines.push(Engine::new(EngineModel { slowness, ..day.model }));
+            engines.push(Engine::new(EngineModel {
+                slowness,
+                ..day.model
+            }));
         }
-        let routers = (0..day.gateways).map(|gateway| router(&day, &servers, way, gateway)).collect();
+        let routers = (0..day.gateways)
+            .map(|gateway| router(&day, &servers, way, gateway))
+            .collect();
         Self {
             random: fastrand::Rng::with_seed(day.seed),
             stepping: vec![false; day.engines],
@@ -262,7 +289,10 @@
     fn play(mut self) -> Outturn {
         self.put(0.0, Happening::Program);
         for gateway in 0..self.day.gateways {
-            self.put(REPORT_EVERY_MS * gateway as f64 / self.day.gateways as f64, Happening::Report(gateway));
+            self.put(
+                REPORT_EVERY_MS * gateway as f64 / self.day.gateways as f64,
+                Happening::Report(gateway),
+            );
         }
         while let Some(Reverse(at)) = self.queue.pop() {
             if at.time > self.day.length_ms + 20_000.0 {
@@ -279,7 +309,11 @@
         match happening {
             Happening::Program => self.start_program(now),
             Happening::Ask(turn) => self.ask(turn, now),
-            Happening::Arrive { turn, engine, priority } => self.arrive(turn, engine, priority, now),
+            Happening::Arrive {
+                turn,
+                engine,
+                priority,
+            } => self.arrive(turn, engine, priority, now),
             Happening::Step(engine) => self.step(engine, now),
             Happening::Told { turn, key, event } => self.told(turn, key, event, now),
             Happening::Silence { turn, key } => self.silence(turn, key, now),
@@ -290,7 +324,11 @@
 
     fn put(&mut self, time: f64, happening: Happening) {
         self.order += 1;
-        self.queue.push(Reverse(At { time, order: self.order, happening }));
+        self.queue.push(Reverse(At {
+            time,
+            order: self.order,
+            happening,
+        }));
     }
 
     fn start_program(&mut self, now: f64) {
@@ -303,15 +341,24 @@
         let number = self.programs;
         let zone = self.random.usize(..self.day.zones);
         // Popular subjects come more often: the lesser of two.
-        let subject = self.random.usize(..self.day.subjects).min(self.random.usize(..self.day.subjects));
+        let subject = self
+            .random
+            .usize(..self.day.subjects)
+            .min(self.random.usize(..self.day.subjects));
         let line = Line {
             program: format!("program-{number}").into(),
             session: format!("session-{number}").into(),
             zone,
             gateway: gateway_in(&self.day, zone, &mut self.random),
             prefix: vec![
-                Part { id: 1, tokens: self.day.common_tokens },
-                Part { id: 100 + subject as u64, tokens: self.day.subject_tokens },
+                Part {
+                    id: 1,
+                    tokens: self.day.common_tokens,
+                },
+                Part {
+                    id: 100 + subject as u64,
+                    tokens: self.day.subject_tokens,
+                },
             ],
             turns_left: self.day.turns,
             is_main: true,
@@ -323,7 +370,9 @@
 
     fn next_turn(&mut self, mut line: Line, now: f64) {
         line.turns_left -= 1;
-        let extra = line.random.u32(self.day.turn_tokens / 2..=self.day.turn_tokens * 3 / 2);
+        let extra = line
+            .random
+            .u32(self.day.turn_tokens / 2..=self.day.turn_tokens * 3 / 2);
         let own = line.prefix.len() > 2 && self.day.growth == Growth::LastPart && !line.is_fresh();
         if own {
             let last = line.prefix.last_mut().expect("a line has its own part");
@@ -339,7 +388,15 @@
             gateway_in(&self.day, line.zone, &mut line.random)
         };
         self.last_turn += 1;
-        let turn = Turn { line, asked_at: now, first_at: None, tried: vec![], tries: 0, gateway, key: 0 };
+        let turn = Turn {
+            line,
+            asked_at: now,
+            first_at: None,
+            tried: vec![],
+            tries: 0,
+            gateway,
+            key: 0,
+        };
         self.turns.insert(self.last_turn, turn);
         self.outturn.turns += 1;
         self.put(now, Happening::Ask(self.last_turn));
@@ -372,13 +429,23 @@
         };
         match self.routers[turn.gateway].choose(&ask, now as Millis) {
             Answer::Sent(sent) => {
-                let engine = self.servers.iter().position(|server| server.id == sent.server);
+                let engine = self
+                    .servers
+                    .iter()
+                    .position(|server| server.id == sent.server);
                 let engine = engine.expect("a router chooses known servers");
                 turn.key = sent.key;
                 turn.tried.push(sent.server);
                 let priority = sent.priority;
                 let key = sent.key;
-                self.put(now + GATEWAY_DELAY_MS, Happening::Arrive { turn: number, engine, priority });
+                self.put(
+                    now + GATEWAY_DELAY_MS,
+                    Happening::Arrive {
+                        turn: number,
+                        engine,
+                        priority,
+                    },
+                );
                 self.put(now + SILENCE_MS, Happening::Silence { turn: number, key });
             }
             Answer::ComeBack(after_ms) => {
@@ -395,10 +462,22 @@
             return;
         };
         let answer_tokens = turn.line.random.u32(low..=low * 3);
-        let prompt_tokens = turn.line.prefix.iter().map(|part| u64::from(part.tokens)).sum();
+        let prompt_tokens = turn
+            .line
+            .prefix
+            .iter()
+            .map(|part| u64::from(part.tokens))
+            .sum();
         let key = turn.key;
         let prefix = turn.line.prefix.clone();
-        let job = Job { number, key, prefix, prompt_tokens, answer_tokens, priority };
+        let job = Job {
+            number,
+            key,
+            prefix,
+            prompt_tokens,
+            answer_tokens,
+            priority,
+        };
         if !self.engines[engine].offer(job) {
             self.outturn.shed += 1;
             let (gateway, key) = (turn.gateway, turn.key);
@@ -446,7 +525,10 @@
         let took = self.engines[engine].step(&mut events);
         for event in events {
             let (Event::First(turn, key) | Event::Finished(turn, key)) = event;
-            self.put(now + took + GATEWAY_DELAY_MS, Happening::Told { turn, key, event });
+            self.put(
+                now + took + GATEWAY_DELAY_MS,
+                Happening::Told { turn, key, event },
+            );
         }
         self.put(now + took, Happening::Step(engine));
     }
@@ -464,7 +546,9 @@
             }
             Event::Finished(..) => {
                 let turn = self.turns.remove(&number).expect("it was found above");
-                let served = Outcome::Served { tokens_out: self.day.answer_tokens };
+                let served = Outcome::Served {
+                    tokens_out: self.day.answer_tokens,
+                };
                 self.routers[turn.gateway].finished(key, served, now as Millis);
                 self.outturn.turn_ms.push(now - turn.asked_at);
                 self.go_on(turn.line, now);
@@ -505,7 +589,13 @@
 
     fn report(&mut self, gateway: usize, now: f64) {
         let reports = Rc::new(self.routers[gateway].reports());
-        self.put(now + REPORT_DELAY_MS, Happening::Reported { from: gateway, reports });
+        self.put(
+            now + REPORT_DELAY_MS,
+            Happening::Reported {
+                from: gateway,
+                reports,
+            },
+        );
         if now < self.day.length_ms {
             self.put(now + REPORT_EVERY_MS, Happening::Report(gateway));
         }
--- a/crates/routing/tests/fleet/router.rs
+++ b/crates/routing/tests/fleet/router.rs
@@ -99,8 +99,9 @@
     }
 
     fn pick(&mut self, ask: &Ask) -> Option<usize> {
-        let left: Vec<usize> =
-            (0..self.servers.len()).filter(|index| !ask.tried.contains(&self.servers[*index])).collect();
+        let left: Vec<usize> = (0..self.servers.len())
+            .filter(|index| !ask.tried.contains(&self.servers[*index]))
+            .collect();
         let start = self.random.usize(..left.len().max(1));
         let rotated = left.iter().cycle().skip(start).take(left.len()).copied();
         match self.rule {
@@ -108,7 +109,8 @@
             Rule::LeastLoaded => rotated.min_by_key(|index| self.load(*index)),
             Rule::PrefixOnly => {
                 let subject = ask.prefix[ask.prefix.len().min(2) - 1].id;
-                left.into_iter().max_by_key(|index| subject_weight(&self.servers[*index], subject))
+                left.into_iter()
+                    .max_by_key(|index| subject_weight(&self.servers[*index], subject))
             }
         }
     }
@@ -126,7 +128,11 @@
         self.own[index] += 1;
         self.last_key += 1;
         self.sends.insert(self.last_key, index);
-        Answer::Sent(Sent { server: self.servers[index].clone(), key: self.last_key, priority: 5 })
+        Answer::Sent(Sent {
+            server: self.servers[index].clone(),
+            key: self.last_key,
+            priority: 5,
+        })
     }
 
     fn first_event(&mut self, _key: u64, _now: Millis) {}
@@ -151,7 +157,11 @@
     fn other_load(&mut self, reports: &[LoadReport], from: &str, _now: Millis) {
         let mut loads = vec![0; self.servers.len()];
         for report in reports {
-            if let Some(index) = self.servers.iter().position(|server| *server == report.server) {
+            if let Some(index) = self
+                .servers
+                .iter()
+                .position(|server| *server == report.server)
+            {
                 loads[index] = report.in_flight;
             }
         }
--- a/crates/routing/tests/plain_simulation.rs
+++ b/crates/routing/tests/plain_simulation.rs
@@ -92,8 +92,12 @@
 }
 
 fn play(day: &Day, way: Way) -> Outturn {
-    let servers: Vec<Server> = (0..SERVERS).map(|number| plain_server(number, ZONES[number % 3])).collect();
-    let choosers = (0..GATEWAYS).map(|gateway| chooser(&servers, gateway, day.seed)).collect();
+    let servers: Vec<Server> = (0..SERVERS)
+        .map(|number| plain_server(number, ZONES[number % 3]))
+        .collect();
+    let choosers = (0..GATEWAYS)
+        .map(|gateway| chooser(&servers, gateway, day.seed))
+        .collect();
     let mut fleet = Fleet {
         random: fastrand::Rng::with_seed(day.seed),
         day: day.clone(),
@@ -132,11 +136,21 @@
             let kind = random.usize(..KINDS.len());
             let work_ms = KINDS[kind].0 * (0.5 + random.f64());
             let gateway = random.usize(..GATEWAYS);
-            self.requests.push(Request { gateway, kind, work_ms, asked_at: now, tried: vec![], key: 0 });
+            self.requests.push(Request {
+                gateway,
+                kind,
+                work_ms,
+                asked_at: now,
+                tried: vec![],
+                key: 0,
+            });
             self.put(now, Happening::Ask(self.requests.len() - 1));
         }
         for gateway in 0..GATEWAYS {
-            self.put(gateway as u64 * REPORT_EVERY_US / GATEWAYS as u64, Happening::Report(gateway));
+            self.put(
+                gateway as u64 * REPORT_EVERY_US / GATEWAYS as u64,
+                Happening::Report(gateway),
+            );
         }
     }
 
@@ -177,7 +191,9 @@
 
     fn choose(&mut self, number: usize, now: u64) -> Option<usize> {
         let request = self.requests[number].clone();
-        let left: Vec<usize> = (0..SERVERS).filter(|server| !request.tried.contains(server)).collect();
+        let left: Vec<usize> = (0..SERVERS)
+            .filter(|server| !request.tried.contains(server))
+            .collect();
         let start = self.random.usize(..left.len());
         match self.way {
             Way::Random => Some(left[start]),
@@ -190,14 +206,20 @@
     }
 
     fn choose_ours(&mut self, number: usize, request: &Request, now: u64) -> Option<usize> {
-        let tried: Vec<_> = request.tried.iter().map(|server| self.servers[*server].id.clone()).collect();
+        let tried: Vec<_> = request
+            .tried
+            .iter()
+            .map(|server| self.servers[*server].id.clone())
+            .collect();
         let mut ask = plain_ask();
         ask.tried = &tried;
         ask.target_ms = KINDS[request.kind].1;
         match self.choosers[request.gateway].choose(&ask, now / 1_000) {
             Choice::Send(ticket) => {
                 self.requests[number].key = ticket.key;
-                self.servers.iter().position(|server| server.id == ticket.server.id)
+                self.servers
+                    .iter()
+                    .position(|server| server.id == ticket.server.id)
             }
             Choice::Refuse { .. } | Choice::NoServer => None,
         }
@@ -210,7 +232,12 @@
             self.put(now + 1_000, Happening::Ask(number));
             return;
         }
-        if self.day.failing.as_ref().is_some_and(|(failing, when)| *failing == server && now >= when.end) {
+        if self
+            .day
+            .failing
+            .as_ref()
+            .is_some_and(|(failing, when)| *failing == server && now >= when.end)
+        {
             self.outturn.sends_after += 1;
         }
         if self.running[server] < SLOTS {
@@ -224,7 +251,10 @@
     }
 
     fn is_failing(&self, server: usize, now: u64) -> bool {
-        self.day.failing.as_ref().is_some_and(|(failing, when)| *failing == server && when.contains(&now))
+        self.day
+            .failing
+            .as_ref()
+            .is_some_and(|(failing, when)| *failing == server && when.contains(&now))
     }
 
     fn start(&mut self, number: usize, server: usize, now: u64) {
@@ -240,7 +270,12 @@
         if let Some(next) = self.waiting[server].pop_front() {
             self.start(next, server, now);
         }
-        self.end(number, server, Outcome::Served { tokens_out: 0 }, now + 1_000);
+        self.end(
+            number,
+            server,
+            Outcome::Served { tokens_out: 0 },
+            now + 1_000,
+        );
         let request = &self.requests[number];
         let took_us = now + 1_000 - request.asked_at;
         self.outturn.served += 1;
@@ -295,7 +330,12 @@
 }
 
 fn day(seed: u64, requests_per_s: f64) -> Day {
-    Day { seed, requests_per_s, slowness: [0.8, 1.0, 1.4, 0.9, 1.1, 1.8, 1.0], failing: None }
+    Day {
+        seed,
+        requests_per_s,
+        slowness: [0.8, 1.0, 1.4, 0.9, 1.1, 1.8, 1.0],
+        failing: None,
+    }
 }
 
 /// What ours and the simple ways made of the same days.
@@ -307,9 +347,18 @@
 fn answers_come_sooner_than_with_simple_ways_and_fewer_cross_zones() {
     for rate in [50.0, 150.0, 250.0, 350.0] {
         let [ours, random, own_least] = compare(rate);
-        assert!(ours.mean_ms() <= random.mean_ms(), "{rate}: {ours:?} {random:?}");
-        assert!(ours.mean_ms() <= own_least.mean_ms(), "{rate}: {ours:?} {own_least:?}");
-        assert!(ours.other_zone * 2 <= own_least.other_zone, "{rate}: {ours:?} {own_least:?}");
+        assert!(
+            ours.mean_ms() <= random.mean_ms(),
+            "{rate}: {ours:?} {random:?}"
+        );
+        assert!(
+            ours.mean_ms() <= own_least.mean_ms(),
+            "{rate}: {ours:?} {own_least:?}"
+        );
+        assert!(
+            ours.other_zone * 2 <= own_least.other_zone,
+            "{rate}: {ours:?} {own_least:?}"
+        );
         assert!(
             ours.not_served <= own_least.not_served + ours.requests / 2_000,
             "{rate}: {ours:?} {own_least:?}"
@@ -320,7 +369,10 @@
 #[test]
 fn a_random_choice_is_far_behind_where_servers_are_half_full() {
     let [ours, random, _] = compare(250.0);
-    assert!(ours.mean_ms() <= 0.85 * random.mean_ms(), "{ours:?} {random:?}");
+    assert!(
+        ours.mean_ms() <= 0.85 * random.mean_ms(),
+        "{ours:?} {random:?}"
+    );
     assert!(ours.late * 10 <= random.late, "{ours:?} {random:?}");
 }
 
@@ -338,10 +390,19 @@
 #[test]
 fn a_failing_server_is_avoided_and_used_again_when_it_is_well() {
     for rate in [50.0, 250.0] {
-        let failing = |seed| Day { failing: Some((1, 5_000_000..10_000_000)), ..day(seed, rate) };
+        let failing = |seed| Day {
+            failing: Some((1, 5_000_000..10_000_000)),
+            ..day(seed, rate)
+        };
         let [ours, own_least] = [Way::Ours, Way::OwnLeast].map(|way| sum(failing, way));
-        assert!(ours.failed_sends * 2 <= own_least.failed_sends + 10, "{ours:?} {own_least:?}");
-        assert!(ours.sends_after * 3 >= own_least.sends_after, "{ours:?} {own_least:?}");
+        assert!(
+            ours.failed_sends * 2 <= own_least.failed_sends + 10,
+            "{ours:?} {own_least:?}"
+        );
+        assert!(
+            ours.sends_after * 3 >= own_least.sends_after,
+            "{ours:?} {own_least:?}"
+        );
         assert_eq!(ours.not_served, 0, "{ours:?}");
     }
 }
--- a/crates/routing/tests/properties.rs
+++ b/crates/routing/tests/properties.rs
@@ -64,9 +64,10 @@
     fn list(&mut self) {
         let mut servers = vec![];
         for number in 0..6 {
-            for mut server in
-                [plain_server(number, ZONES[number % 3]), engine_server(number, ZONES[number % 3])]
-            {
+            for mut server in [
+                plain_server(number, ZONES[number % 3]),
+                engine_server(number, ZONES[number % 3]),
+            ] {
                 server.draining = self.random.u8(..6) == 0;
                 if self.random.u8(..6) > 0 {
                     servers.push(server);
@@ -84,14 +85,22 @@
         let mut reports = vec![];
         for server in &self.servers {
             let (in_flight, waiting_tokens) = (self.random.u32(..40), self.random.u64(..50_000));
-            reports.push(LoadReport { server: server.id.clone(), in_flight, waiting_tokens });
+            reports.push(LoadReport {
+                server: server.id.clone(),
+                in_flight,
+                waiting_tokens,
+            });
         }
         let from = format!("gateway-{}", self.random.u8(..4));
         self.chooser.other_load(&reports, &from, self.now);
     }
 
     fn tried(&mut self) -> Vec<ServerId> {
-        let mut tried: Vec<ServerId> = self.servers.iter().map(|server| server.id.clone()).collect();
+        let mut tried: Vec<ServerId> = self
+            .servers
+            .iter()
+            .map(|server| server.id.clone())
+            .collect();
         let keep = self.random.usize(..3);
         self.random.shuffle(&mut tried);
         tried.truncate(keep);
@@ -110,8 +119,14 @@
         let tried = self.tried();
         let program = format!("program-{}", self.random.u8(..20));
         let prefix = [
-            Part { id: self.random.u64(..5), tokens: 800 },
-            Part { id: self.random.u64(100..), tokens: self.random.u32(..2_000) },
+            Part {
+                id: self.random.u64(..5),
+                tokens: 800,
+            },
+            Part {
+                id: self.random.u64(100..),
+                tokens: self.random.u32(..2_000),
+            },
         ];
         let mut ask = engine_ask(&program, &prefix);
         ask.tried = &tried;
@@ -127,8 +142,12 @@
                 && !tried.contains(&server.id)
                 && !self.gone.contains(&server.id)
         };
-        let allowed: BTreeSet<ServerId> =
-            self.servers.iter().filter(may_take).map(|server| server.id.clone()).collect();
+        let allowed: BTreeSet<ServerId> = self
+            .servers
+            .iter()
+            .filter(may_take)
+            .map(|server| server.id.clone())
+            .collect();
         match choice {
             Choice::Send(ticket) => {
                 if !allowed.contains(&ticket.server.id) {
@@ -187,8 +206,10 @@
             *open.entry(id.clone()).or_default() += 1;
         }
         let reports = self.chooser.load_reports();
-        let reported: HashMap<ServerId, u32> =
-            reports.into_iter().map(|report| (report.server, report.in_flight)).collect();
+        let reported: HashMap<ServerId, u32> = reports
+            .into_iter()
+            .map(|report| (report.server, report.in_flight))
+            .collect();
         if open == reported {
             return Ok(());
         }
@@ -208,12 +229,16 @@
 
 fn gives_the_same_choices_again(seed: u64, calls: Vec<u8>) -> bool {
     let (mut first, mut second) = (Record::new(seed), Record::new(seed));
-    calls.into_iter().all(|call| first.call(call) == second.call(call) && first.open == second.open)
+    calls
+        .into_iter()
+        .all(|call| first.call(call) == second.call(call) && first.open == second.open)
 }
 
 /// Rows of calls from a fixed seed: the same ones in every run.
 fn rows() -> QuickCheck {
-    QuickCheck::new().rng(Gen::from_size_and_seed(LONGEST_ROW, SEED)).tests(ROWS)
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(LONGEST_ROW, SEED))
+        .tests(ROWS)
 }
 
 #[test]
--- a/crates/routing/tests/simulation.rs
+++ b/crates/routing/tests/simulation.rs
@@ -47,12 +47,18 @@
 
 /// A program's turns come through any gateway of its zone.
 fn roaming_day(seed: u64) -> Day {
-    Day { keeps_gateway: false, ..quiet_day(seed) }
+    Day {
+        keeps_gateway: false,
+        ..quiet_day(seed)
+    }
 }
 
 /// Close to what the engines can do if little is read anew.
 fn busy_day(seed: u64) -> Day {
-    Day { programs_per_s: 40.0, ..roaming_day(seed) }
+    Day {
+        programs_per_s: 40.0,
+        ..roaming_day(seed)
+    }
 }
 
 /// What the four ways made of the same days.
@@ -74,7 +80,11 @@
     }
 
     fn others(&self) -> [(&'static str, &Outturn); 3] {
-        [("random", &self.random), ("least loaded", &self.least_loaded), ("prefix only", &self.prefix_only)]
+        [
+            ("random", &self.random),
+            ("least loaded", &self.least_loaded),
+            ("prefix only", &self.prefix_only),
+        ]
     }
 
     /// Ours is at most `factor` times every other's in `measure`.
@@ -123,7 +133,12 @@
     days.assert_at_most(1.0, "turn", Outturn::mean_turn_ms);
     assert!(read_again(&days.ours) <= 0.4 * read_again(&days.random));
     assert!(read_again(&days.ours) <= 0.4 * read_again(&days.least_loaded));
-    assert_eq!(days.ours.failed + days.ours.shed + days.ours.refused, 0, "{}", days.ours);
+    assert_eq!(
+        days.ours.failed + days.ours.shed + days.ours.refused,
+        0,
+        "{}",
+        days.ours
+    );
 }
 
 #[test]
@@ -137,7 +152,10 @@
 
 #[test]
 fn prompts_whose_turns_are_parts_of_their_own_are_followed_too() {
-    let days = Comparison::over(|seed| Day { growth: Growth::NewParts, ..roaming_day(seed) });
+    let days = Comparison::over(|seed| Day {
+        growth: Growth::NewParts,
+        ..roaming_day(seed)
+    });
     days.assert_at_most(AS_GOOD, "first token", Outturn::mean_first_ms);
     days.assert_at_most(1.0, "turn", Outturn::mean_turn_ms);
     assert!(read_again(&days.ours) <= 0.4 * read_again(&days.least_loaded));
@@ -155,14 +173,20 @@
 
 #[test]
 fn one_subject_for_all_does_not_crowd_one_engine() {
-    let days = Comparison::over(|seed| Day { subjects: 1, ..roaming_day(seed) });
+    let days = Comparison::over(|seed| Day {
+        subjects: 1,
+        ..roaming_day(seed)
+    });
     days.assert_at_most(0.7, "first token", Outturn::mean_first_ms);
     days.assert_at_most(0.6, "read again", read_again);
 }
 
 #[test]
 fn slow_engines_get_less() {
-    let slow_day = |seed| Day { slow: vec![(0, 2.5), (4, 2.0)], ..roaming_day(seed) };
+    let slow_day = |seed| Day {
+        slow: vec![(0, 2.5), (4, 2.0)],
+        ..roaming_day(seed)
+    };
     let days = Comparison::over(slow_day);
     days.assert_at_most(0.95, "first token", Outturn::mean_first_ms);
     days.assert_at_most(0.8, "turn", Outturn::mean_turn_ms);
@@ -171,18 +195,32 @@
 
 #[test]
 fn beyond_what_the_engines_can_do_hardly_more_is_lost_than_with_any_other_way() {
-    let days = Comparison::over(|seed| Day { programs_per_s: 72.0, ..roaming_day(seed) });
+    let days = Comparison::over(|seed| Day {
+        programs_per_s: 72.0,
+        ..roaming_day(seed)
+    });
     days.assert_at_most(1.1, "not served", not_served);
     let (ours, random) = (&days.ours, &days.random);
-    assert!(ours.mean_first_ms() <= 0.8 * random.mean_first_ms(), "ours: {ours}\nrandom: {random}");
-    assert!(read_again(ours) <= 0.8 * read_again(random), "ours: {ours}\nrandom: {random}");
+    assert!(
+        ours.mean_first_ms() <= 0.8 * random.mean_first_ms(),
+        "ours: {ours}\nrandom: {random}"
+    );
+    assert!(
+        read_again(ours) <= 0.8 * read_again(random),
+        "ours: {ours}\nrandom: {random}"
+    );
 }
 
 #[test]
 fn an_engine_that_stands_still_is_left_early() {
-    let days = Comparison::over(|seed| Day { frozen: Some((3, 6_000.0..14_000.0)), ..roaming_day(seed) });
+    let days = Comparison::over(|seed| Day {
+        frozen: Some((3, 6_000.0..14_000.0)),
+        ..roaming_day(seed)
+    });
     days.assert_at_most(0.7, "silent", |outturn| outturn.silent as f64);
-    days.assert_at_most(0.7, "slowest first tokens", |outturn| outturn.first_ms_at(0.99));
+    days.assert_at_most(0.7, "slowest first tokens", |outturn| {
+        outturn.first_ms_at(0.99)
+    });
     days.assert_at_most(1.0, "late", Outturn::late_share);
     assert_eq!(days.ours.failed, 0, "{}", days.ours);
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -21,7 +21,10 @@
 fn number(v: &Value, key: &str) -> Result<f64, String> {
     match &v[key] {
         Value::Null => Ok(0.0),
-        x => x.as_f64().filter(|n| *n >= 0.0).ok_or(format!("settings: {key} is not a number from 0 up")),
+        x => x
+            .as_f64()
+            .filter(|n| *n >= 0.0)
+            .ok_or(format!("settings: {key} is not a number from 0 up")),
     }
 }
 
@@ -33,15 +36,24 @@
 }
 
 fn text<'a>(v: &'a Value, key: &str) -> Result<&'a str, String> {
-    v[key].as_str().ok_or(format!("settings: {key} is not a text"))
+    v[key]
+        .as_str()
+        .ok_or(format!("settings: {key} is not a text"))
 }
 
 fn list<'a>(v: &'a Value, key: &str) -> Result<&'a [Value], String> {
-    v[key].as_array().map(Vec::as_slice).ok_or(format!("settings: {key} is not a list"))
+    v[key]
+        .as_array()
+        .map(Vec::as_slice)
+        .ok_or(format!("settings: {key} is not a list"))
 }
 
 fn names(v: &Value, key: &str) -> Result<Vec<String>, String> {
-    let name = |x: &Value| x.as_str().map(str::to_owned).ok_or(format!("settings: {key} holds no texts"));
+    let name = |x: &Value| {
+        x.as_str()
+            .map(str::to_owned)
+            .ok_or(format!("settings: {key} holds no texts"))
+    };
     list(v, key)?.iter().map(name).collect()
 }
 
@@ -56,7 +68,10 @@
                 "cell" => Group::Cell,
                 other => return Err(format!("settings: group {other} is unknown")),
             };
-            Effect::Tokened { group, window: number(v, "windowS")? }
+            Effect::Tokened {
+                group,
+                window: number(v, "windowS")?,
+            }
         }
         other => return Err(format!("settings: effect {other} is unknown")),
     };
@@ -78,32 +93,52 @@
         hard_burst: number(v, "hardBurst")?,
         over_worth: number(v, "overWorth")?,
         beyond_costs: number(v, "beyondCosts")?,
-        price: if v["worthFactor"].is_null() { 1.0 } else { number(v, "worthFactor")? },
+        price: if v["worthFactor"].is_null() {
+            1.0
+        } else {
+            number(v, "worthFactor")?
+        },
     })
 }
 
 /// Reads the document from its text.
 pub fn parse(document: &str, seed: u64) -> Result<Read, String> {
-    read(&serde_json::from_str(document).map_err(|e| format!("settings: {e}"))?, seed)
+    read(
+        &serde_json::from_str(document).map_err(|e| format!("settings: {e}"))?,
+        seed,
+    )
 }
 
 pub fn read(v: &Value, seed: u64) -> Result<Read, String> {
     let (domain, limits, rules) = (&v["domain"], &v["limits"], &v["rules"]);
     let zones = names(v, "failureDomains")?;
     let zone = text(v, "zone")?;
-    let zone = zones.iter().position(|z| z == zone).ok_or("settings: zone is not listed")?;
+    let zone = zones
+        .iter()
+        .position(|z| z == zone)
+        .ok_or("settings: zone is not listed")?;
     let advised = limits["retryAfter"].as_bool().unwrap_or(false);
     let settings = Settings {
         seed,
         slot: number(v, "slotNo")? as u32,
         fleet: needed(v, "fleetSize")? as u32,
         zone,
-        operations: list(v, "classes")?.iter().map(operation).collect::<Result<_, _>>()?,
-        plans: list(v, "contracts")?.iter().map(plan).collect::<Result<_, _>>()?,
+        operations: list(v, "classes")?
+            .iter()
+            .map(operation)
+            .collect::<Result<_, _>>()?,
+        plans: list(v, "contracts")?
+            .iter()
+            .map(plan)
+            .collect::<Result<_, _>>()?,
         counter: domain["sharedCounter"].as_bool().unwrap_or(false),
         count_wait: number(domain, "countWaitS")?,
         call_price: number(domain, "callPrice")?,
-        max_pause: if advised { number(limits, "maxRetryAfterS")? } else { 0.0 },
+        max_pause: if advised {
+            number(limits, "maxRetryAfterS")?
+        } else {
+            0.0
+        },
         most_deliveries: needed(limits, "tryLimit")? as u32,
         cold_from: number(rules, "coldFrom")?,
         cold_for: number(rules, "coldS")?,
@@ -124,5 +159,8 @@
 }
 
 fn names_of(v: &Value, key: &str) -> Result<Vec<String>, String> {
-    list(v, key)?.iter().map(|x| Ok(text(x, "name")?.to_owned())).collect()
+    list(v, key)?
+        .iter()
+        .map(|x| Ok(text(x, "name")?.to_owned()))
+        .collect()
 }
--- a/crates/shared-state/src/lend/borrower.rs
+++ b/crates/shared-state/src/lend/borrower.rs
@@ -82,7 +82,12 @@
 
     /// Where this call goes; `broker` says whether the slot's holder is known.
     pub fn way(&mut self, anew: Anew, slot: Slot, broker: bool, now: f64) -> Way {
-        let Anew { call, name, add, life } = anew;
+        let Anew {
+            call,
+            name,
+            add,
+            life,
+        } = anew;
         let open = {
             let trust = self.trust.entry(slot).or_default();
             // One that failed is tried with one call first.
@@ -95,7 +100,16 @@
         };
         let of = self.names.entry(name).or_insert((0, to));
         *of = (of.0 + 1, to);
-        self.calls.insert(call, Out { name, slot: to, add, life, at: now });
+        self.calls.insert(
+            call,
+            Out {
+                name,
+                slot: to,
+                add,
+                life,
+                at: now,
+            },
+        );
         match to {
             Some(slot) => {
                 self.by_broker += 1;
@@ -135,17 +149,35 @@
     /// broker may have added all the same lapses at the counter; no invocation is decided blind for it.
     pub fn overdue(&mut self, chance: f64, now: f64) -> Vec<Anew> {
         let mut anew = Vec::new();
-        while let Some(call) = self.at_brokers.first().copied().filter(|_| now >= self.next_due()) {
-            let Some(Some(slot)) = self.calls.get(&call).map(|o| o.slot) else { break };
+        while let Some(call) = self
+            .at_brokers
+            .first()
+            .copied()
+            .filter(|_| now >= self.next_due())
+        {
+            let Some(Some(slot)) = self.calls.get(&call).map(|o| o.slot) else {
+                break;
+            };
             let name = self.calls.get(&call).map_or(0, |o| o.name);
             self.fail(slot, chance, now);
-            let of: Vec<u64> =
-                self.at_brokers.iter().filter(|c| self.calls[*c].name == name).copied().collect();
+            let of: Vec<u64> = self
+                .at_brokers
+                .iter()
+                .filter(|c| self.calls[*c].name == name)
+                .copied()
+                .collect();
             for call in of {
                 self.at_brokers.remove(&call);
-                let Some(out) = self.calls.get_mut(&call) else { continue };
+                let Some(out) = self.calls.get_mut(&call) else {
+                    continue;
+                };
                 out.slot = None;
-                anew.push(Anew { call, name, add: out.add, life: out.life });
+                anew.push(Anew {
+                    call,
+                    name,
+                    add: out.add,
+                    life: out.life,
+                });
                 if let Some(trust) = self.trust.get_mut(&slot) {
                     trust.out = trust.out.saturating_sub(1);
                 }
@@ -185,7 +217,9 @@
             self.at_brokers.remove(&call);
             return None;
         }
-        let Some(Some(slot)) = self.over(call) else { return None };
+        let Some(Some(slot)) = self.over(call) else {
+            return None;
+        };
         let trust = self.trust.entry(slot).or_default();
         trust.failed = 0;
         match answer {
--- a/crates/shared-state/src/lend/broker/held.rs
+++ b/crates/shared-state/src/lend/broker/held.rs
@@ -22,7 +22,13 @@
 
 impl Waits {
     pub(super) fn not(self) -> Output {
-        Output::Tell { to: self.from, run: self.run, slot: self.slot, seq: self.ask.seq, answer: Answer::Not }
+        Output::Tell {
+            to: self.from,
+            run: self.run,
+            slot: self.slot,
+            seq: self.ask.seq,
+            answer: Answer::Not,
+        }
     }
 }
 
@@ -88,7 +94,8 @@
         let others = others.unwrap_or(0.0);
         // Guards against a window that is used up in its first moment, and shut for the rest of it.
         self.was_full |= no_room;
-        let early = self.even && before + rest + ask.needs > (full * (FIRST + ask.elapsed)).min(full);
+        let early =
+            self.even && before + rest + ask.needs > (full * (FIRST + ask.elapsed)).min(full);
         let barred = soon || early || (others > 0.0 && before + rest + ask.needs + others > full);
         if ask.asked <= 0.0 || !(no_room || barred) {
             // A return fills the block, an ask is lent out of it; what is left to others it does not see.
@@ -107,6 +114,10 @@
         } else {
             self.block -= rest;
         }
-        Some(if no_room { before + ask.add } else { (full + ask.asked).max(before + ask.add) })
+        Some(if no_room {
+            before + ask.add
+        } else {
+            (full + ask.asked).max(before + ask.add)
+        })
     }
 }
--- a/crates/shared-state/src/lend/broker/leasing.rs
+++ b/crates/shared-state/src/lend/broker/leasing.rs
@@ -17,41 +17,67 @@
     /// Answers those that wait for a name, in turn, as far as the block goes; else the counter is asked.
     pub(super) fn serve(&mut self, name: u64, now: f64, out: &mut Vec<Output>) {
         loop {
-            let Some(held) = self.names.get(&name) else { return };
+            let Some(held) = self.names.get(&name) else {
+                return;
+            };
             if held.out.is_some() {
                 return;
             }
-            let Some(first) = held.waiting.front() else { return };
+            let Some(first) = held.waiting.front() else {
+                return;
+            };
             let (customer, from, ask) = (held.customer, first.from.clone(), first.ask);
             if now > first.at + self.settings.wait * 2.0 {
                 // Whoever asked has given up: units lent to it would be nobody's.
-                let Some(w) = self.names.get_mut(&name).and_then(|n| n.waiting.pop_front()) else { return };
+                let Some(w) = self
+                    .names
+                    .get_mut(&name)
+                    .and_then(|n| n.waiting.pop_front())
+                else {
+                    return;
+                };
                 out.push(w.not());
                 continue;
             }
             let grown = ask.full + ask.rate * (now - first.at);
             let others = self.left_to_others(customer, &from, ask.needs, ask.rate, now);
-            let Some(held) = self.names.get_mut(&name) else { return };
+            let Some(held) = self.names.get_mut(&name) else {
+                return;
+            };
             let Some(total) = held.answer(&from, &ask, grown, others, &self.settings, now) else {
                 return self.refill(name, now, out);
             };
-            let Some(w) = held.waiting.pop_front() else { return };
+            let Some(w) = held.waiting.pop_front() else {
+                return;
+            };
             if ask.asked > 0.0 {
                 // What it takes less, and what it was refused where the limit grows, it takes back itself.
-                let got = if total <= grown || ask.rate > 0.0 { ask.asked } else { 0.0 };
+                let got = if total <= grown || ask.rate > 0.0 {
+                    ask.asked
+                } else {
+                    0.0
+                };
                 self.part(customer, &from, now).lent += got;
             } else {
                 let part = self.part(customer, &from, now);
                 part.lent = (part.lent + ask.add.min(0.0)).max(0.0);
             }
             let answer = Answer::Total(total);
-            out.push(Output::Tell { to: w.from, run: w.run, slot: w.slot, seq: ask.seq, answer });
+            out.push(Output::Tell {
+                to: w.from,
+                run: w.run,
+                slot: w.slot,
+                seq: ask.seq,
+                answer,
+            });
         }
     }
 
     /// One call to the counter for all that wait, and a block ahead of what will be asked.
     pub(super) fn refill(&mut self, name: u64, now: f64, out: &mut Vec<Output>) {
-        let Some(held) = self.names.get(&name) else { return };
+        let Some(held) = self.names.get(&name) else {
+            return;
+        };
         let by = self.customers.get_mut(&held.customer).map(|c| &mut c.by);
         let span = self.settings.span;
         let mut demand = 0.0;
@@ -59,11 +85,15 @@
             part.fade(span, now);
             demand += part.demand / span;
         }
-        let Some(held) = self.names.get_mut(&name) else { return };
+        let Some(held) = self.names.get_mut(&name) else {
+            return;
+        };
         let lead = self.customers.get(&held.customer).map_or(0.0, |c| c.lead);
         let waits: f64 = held.waiting.iter().map(|w| w.ask.add).sum();
         // Before the first answer nothing is known of the room.
-        let room = held.known.map_or(0.0, |known| held.full - known - (waits - held.block).max(0.0));
+        let room = held.known.map_or(0.0, |known| {
+            held.full - known - (waits - held.block).max(0.0)
+        });
         let near = (demand * self.settings.ahead).min(room / SHRINK).max(0.0);
         // With nobody else about, what will come free is leased before it does, and lent when it has. In a
         // window that ends it is what it holds, where all ask for more than that; else what will be asked for
@@ -73,7 +103,11 @@
             false => {
                 let left = (held.full - held.known.unwrap_or(waits)).max(0.0);
                 let pressed = demand * held.length > PRESSED * held.full;
-                let want = if pressed { left } else { (demand * held.left).min(left) };
+                let want = if pressed {
+                    left
+                } else {
+                    (demand * held.left).min(left)
+                };
                 want * lead / self.settings.ahead
             }
         };
@@ -86,24 +120,46 @@
             }
             (_, first) => first.is_none(),
         };
-        let add = if full { -held.block } else { waits - held.block + ahead }.max(0.0);
+        let add = if full {
+            -held.block
+        } else {
+            waits - held.block + ahead
+        }
+        .max(0.0);
         for w in held.waiting.iter_mut().filter(|w| !w.told) {
             w.told = true;
             let (to, run, slot, seq) = (w.from.clone(), w.run, w.slot, w.ask.seq);
-            out.push(Output::Tell { to, run, slot, seq, answer: Answer::Wait });
+            out.push(Output::Tell {
+                to,
+                run,
+                slot,
+                seq,
+                answer: Answer::Wait,
+            });
         }
         self.last_call += 1;
         let call = self.last_call;
         held.out = Some((call, add));
         self.calls.insert(call, (name, now));
-        out.push(Output::Count { call, name, add, life: held.life });
+        out.push(Output::Count {
+            call,
+            name,
+            add,
+            life: held.life,
+        });
     }
 
     /// The counter's answer to a call of this broker.
     pub fn counted(&mut self, call: u64, counted: Counted, now: f64, out: &mut Vec<Output>) {
-        let Some((name, _)) = self.calls.remove(&call) else { return };
-        let Some(held) = self.names.get_mut(&name) else { return };
-        let Some((_, add)) = held.out.take_if(|o| o.0 == call) else { return };
+        let Some((name, _)) = self.calls.remove(&call) else {
+            return;
+        };
+        let Some(held) = self.names.get_mut(&name) else {
+            return;
+        };
+        let Some((_, add)) = held.out.take_if(|o| o.0 == call) else {
+            return;
+        };
         match counted {
             Counted::Total(total) if total.is_finite() => {
                 // A name that is read for the first time may hold what was added before this broker came.
@@ -132,7 +188,11 @@
             }
             // What may have been added is nobody's: it lapses at the counter.
             _ => {
-                out.extend(std::mem::take(&mut held.waiting).into_iter().map(Waits::not));
+                out.extend(
+                    std::mem::take(&mut held.waiting)
+                        .into_iter()
+                        .map(Waits::not),
+                );
             }
         }
     }
--- a/crates/shared-state/src/lend/broker/shares.rs
+++ b/crates/shared-state/src/lend/broker/shares.rs
@@ -43,13 +43,19 @@
     pub(super) fn part(&mut self, customer: u64, from: &str, now: f64) -> &mut Part {
         let most = self.settings.borrowers;
         let span = self.settings.span;
-        let fresh = || Customer { others_at: f64::NEG_INFINITY, ..Customer::default() };
+        let fresh = || Customer {
+            others_at: f64::NEG_INFINITY,
+            ..Customer::default()
+        };
         let by = &mut self.customers.entry(customer).or_insert_with(fresh).by;
         if !by.contains_key(from) && by.len() >= most {
             by.retain(|_, p| now < p.at + span);
             // Still too many: the one heard of longest ago makes room.
             if by.len() >= most {
-                let oldest = by.iter().min_by(|a, b| a.1.at.total_cmp(&b.1.at)).map(|p| p.0.clone());
+                let oldest = by
+                    .iter()
+                    .min_by(|a, b| a.1.at.total_cmp(&b.1.at))
+                    .map(|p| p.0.clone());
                 oldest.map(|o| by.remove(&o));
             }
         }
@@ -71,7 +77,12 @@
     ) -> Option<f64> {
         let span = self.settings.span;
         let all = rate * span;
-        let Some(by) = self.customers.get_mut(&customer).map(|c| &mut c.by).filter(|by| by.len() > 1) else {
+        let Some(by) = self
+            .customers
+            .get_mut(&customer)
+            .map(|c| &mut c.by)
+            .filter(|by| by.len() > 1)
+        else {
             return Some(0.0);
         };
         let mut sum = 0.0;
@@ -95,7 +106,10 @@
         // What each has had of its part, at most the even one.
         let had = |p: &Part| p.lent / p.demand.min(each).max(1e-9);
         let own = by.get(from).map_or(0.0, had);
-        let short = by.values().filter(|p| p.demand >= needs && had(p) < own - BEHIND).count();
+        let short = by
+            .values()
+            .filter(|p| p.demand >= needs && had(p) < own - BEHIND)
+            .count();
         if short == 0 && own < 1.0 - BEHIND {
             return None;
         }
--- a/crates/shared-state/src/lend/broker/tests.rs
+++ b/crates/shared-state/src/lend/broker/tests.rs
@@ -31,7 +31,13 @@
 
 impl Rig {
     fn new() -> Self {
-        Rig { broker: Broker::new(settings(), 0), counter: 0.0, silent: false, calls: 0, now: 0.0 }
+        Rig {
+            broker: Broker::new(settings(), 0),
+            counter: 0.0,
+            silent: false,
+            calls: 0,
+            now: 0.0,
+        }
     }
 
     fn drive(&mut self, mut out: Vec<Output>) -> Vec<(u64, Answer)> {
@@ -40,7 +46,10 @@
             let mut next = Vec::new();
             for o in out {
                 match o {
-                    Output::Tell { answer: Answer::Wait, .. } => {}
+                    Output::Tell {
+                        answer: Answer::Wait,
+                        ..
+                    } => {}
                     Output::Tell { seq, answer, .. } => told.push((seq, answer)),
                     Output::Count { call, add, .. } => {
                         self.calls += 1;
@@ -79,26 +88,47 @@
     for n in 0..40 {
         rig.now = n as f64 * 0.02;
         let told = rig.ask(["a", "b", "c"][n % 3], ask(n as u64, 1.0));
-        let [(_, Answer::Total(total))] = told[..] else { panic!("{told:?}") };
+        let [(_, Answer::Total(total))] = told[..] else {
+            panic!("{told:?}")
+        };
         lent += if total <= 20.0 { 1.0 } else { 0.0 };
         assert!(lent <= rig.counter, "{lent} lent, {} counted", rig.counter);
     }
     assert_eq!(lent, 20.0, "all of it, and no more");
     assert!(rig.calls <= 10, "{} calls for 40 asks", rig.calls);
-    assert!(rig.counter <= 21.0, "what is refused is not added: {}", rig.counter);
+    assert!(
+        rig.counter <= 21.0,
+        "what is refused is not added: {}",
+        rig.counter
+    );
 }
 
 #[test]
 fn what_comes_back_is_lent_again_and_what_is_left_goes_back() {
     let mut rig = Rig::new();
-    let grows = |seq, asked, add| Ask { rate: 0.5, add, asked, ..ask(seq, 0.0) };
-    assert_eq!(rig.ask("a", grows(1, 12.0, 12.0)), [(1, Answer::Total(12.0))]);
+    let grows = |seq, asked, add| Ask {
+        rate: 0.5,
+        add,
+        asked,
+        ..ask(seq, 0.0)
+    };
+    assert_eq!(
+        rig.ask("a", grows(1, 12.0, 12.0)),
+        [(1, Answer::Total(12.0))]
+    );
     assert_eq!(rig.ask("a", grows(2, 0.0, -6.0)), [(2, Answer::Total(6.0))]);
     let calls = rig.calls;
     assert_eq!(rig.ask("b", grows(3, 5.0, 5.0)), [(3, Answer::Total(11.0))]);
-    assert_eq!((rig.calls, rig.broker.unlent()), (calls, 1.0), "out of what came back");
+    assert_eq!(
+        (rig.calls, rig.broker.unlent()),
+        (calls, 1.0),
+        "out of what came back"
+    );
     rig.tick(30.0);
-    assert_eq!((rig.broker.names(), rig.broker.customers(), rig.counter), (0, 0, 11.0));
+    assert_eq!(
+        (rig.broker.names(), rig.broker.customers(), rig.counter),
+        (0, 0, 11.0)
+    );
 }
 
 #[test]
@@ -110,7 +140,11 @@
         // One wakes up and lends again what it holds, the other has the duty.
         std::mem::swap(&mut rig.broker, &mut old);
         for told in rig.ask("a", ask(n, 1.0)) {
-            lent += if matches!(told.1, Answer::Total(t) if t <= 20.0) { 1.0 } else { 0.0 };
+            lent += if matches!(told.1, Answer::Total(t) if t <= 20.0) {
+                1.0
+            } else {
+                0.0
+            };
         }
     }
     assert!((10.0..=20.0).contains(&lent), "{lent}");
@@ -127,28 +161,57 @@
     let mut lent = 0.0;
     for n in 0..6u64 {
         let told = rig.ask("b", ask(10 + n, 1.0));
-        lent += told.iter().filter(|t| matches!(t.1, Answer::Total(_))).count() as f64;
+        lent += told
+            .iter()
+            .filter(|t| matches!(t.1, Answer::Total(_)))
+            .count() as f64;
     }
     assert!(lent <= left);
     let told = rig.tick(0.2);
-    assert!(!told.is_empty() && told.iter().all(|t| t.1 == Answer::Not), "{told:?}");
+    assert!(
+        !told.is_empty() && told.iter().all(|t| t.1 == Answer::Not),
+        "{told:?}"
+    );
     rig.silent = false;
-    assert!(matches!(rig.ask("b", ask(30, 1.0))[..], [(30, Answer::Total(_))]));
+    assert!(matches!(
+        rig.ask("b", ask(30, 1.0))[..],
+        [(30, Answer::Total(_))]
+    ));
 }
 
 #[test]
 fn amounts_that_are_none_and_what_is_over_a_bound_are_refused_and_counted() {
     let mut rig = Rig::new();
     for bad in [f64::NAN, f64::INFINITY, -1.0] {
-        let told = rig.ask("a", Ask { asked: bad, ..ask(1, 1.0) });
+        let told = rig.ask(
+            "a",
+            Ask {
+                asked: bad,
+                ..ask(1, 1.0)
+            },
+        );
         assert_eq!(told, [(1, Answer::Not)]);
     }
     for n in 0..10 {
-        rig.ask("a", Ask { name: n, customer: n, ..ask(n, 1.0) });
+        rig.ask(
+            "a",
+            Ask {
+                name: n,
+                customer: n,
+                ..ask(n, 1.0)
+            },
+        );
     }
     assert_eq!((rig.broker.names(), rig.broker.refused), (4, 9));
     for n in 0..20 {
-        rig.ask(&format!("x{n}"), Ask { name: 1, customer: 1, ..ask(n, 1.0) });
+        rig.ask(
+            &format!("x{n}"),
+            Ask {
+                name: 1,
+                customer: 1,
+                ..ask(n, 1.0)
+            },
+        );
     }
     assert!(rig.broker.customers.values().all(|c| c.by.len() <= 4));
 }
@@ -156,13 +219,25 @@
 #[test]
 fn a_new_name_holds_the_backlog_of_the_one_before() {
     let mut rig = Rig::new();
-    let grows = |seq, name, add, asked| Ask { name, rate: 1.0, add, asked, ..ask(seq, 0.0) };
+    let grows = |seq, name, add, asked| Ask {
+        name,
+        rate: 1.0,
+        add,
+        asked,
+        ..ask(seq, 0.0)
+    };
     rig.ask("a", grows(1, 7, 18.0, 18.0));
     rig.now = 0.1;
     // Another one knows nothing of the eighteen, and brings nothing over.
     rig.counter = 0.0;
     let told = rig.ask("b", grows(2, 8, 1.0, 1.0));
-    let [(2, Answer::Total(total))] = told[..] else { panic!("{told:?}") };
+    let [(2, Answer::Total(total))] = told[..] else {
+        panic!("{told:?}")
+    };
     assert!((total - 18.9).abs() < 0.2, "{total}");
-    assert!((rig.counter - rig.broker.unlent() - 18.9).abs() < 0.2, "the counter knows: {}", rig.counter);
+    assert!(
+        (rig.counter - rig.broker.unlent() - 18.9).abs() < 0.2,
+        "the counter knows: {}",
+        rig.counter
+    );
 }
--- a/crates/shared-state/src/lend/message.rs
+++ b/crates/shared-state/src/lend/message.rs
@@ -30,18 +30,49 @@
 impl Ask {
     /// What the module wants added, `since` seconds after the name came into use.
     pub fn new(anew: Anew, about: &About, since: f64) -> Self {
-        let Anew { call: seq, name, add, life } = anew;
-        let About { customer, asked, needs, rate, .. } = *about;
+        let Anew {
+            call: seq,
+            name,
+            add,
+            life,
+        } = anew;
+        let About {
+            customer,
+            asked,
+            needs,
+            rate,
+            ..
+        } = *about;
         let full = about.most + rate * since.max(0.0);
         let elapsed = (since / about.length.max(1e-9)).clamp(0.0, 1.0);
         let left = (about.length - since).max(0.0);
-        Ask { seq, name, customer, add, asked, needs, life, full, rate, elapsed, left }
+        Ask {
+            seq,
+            name,
+            customer,
+            add,
+            asked,
+            needs,
+            life,
+            full,
+            rate,
+            elapsed,
+            left,
+        }
     }
 
     /// Amounts that are no amounts are refused whole.
     pub(super) fn sound(&self) -> bool {
-        let finite =
-            [self.add, self.asked, self.needs, self.life, self.full, self.rate, self.elapsed, self.left];
+        let finite = [
+            self.add,
+            self.asked,
+            self.needs,
+            self.life,
+            self.full,
+            self.rate,
+            self.elapsed,
+            self.left,
+        ];
         finite.iter().all(|v| v.is_finite() && v.abs() < 1e12)
             && self.asked >= 0.0
             && self.needs >= 0.0
@@ -62,8 +93,18 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Msg {
-    Ask { slot: Slot, run: u64, ask: Ask },
-    Told { slot: Slot, token: u64, run: u64, seq: u64, answer: Answer },
+    Ask {
+        slot: Slot,
+        run: u64,
+        ask: Ask,
+    },
+    Told {
+        slot: Slot,
+        token: u64,
+        run: u64,
+        seq: u64,
+        answer: Answer,
+    },
 }
 
 /// What a broker wants done.
@@ -84,7 +125,5 @@
         life: f64,
     },
     /// Nobody waits for that call any more.
-    Abandon {
-        call: u64,
-    },
+    Abandon { call: u64 },
 }
--- a/crates/shared-state/src/lend/settings.rs
+++ b/crates/shared-state/src/lend/settings.rs
@@ -33,10 +33,16 @@
             ("pause", self.pause),
         ] {
             if !(v > 0.0 && v <= 600.0) {
-                return Err(format!("fleet.lend.{key}: {v}; give seconds over 0 and up to 600"));
+                return Err(format!(
+                    "fleet.lend.{key}: {v}; give seconds over 0 and up to 600"
+                ));
             }
         }
-        for (key, v) in [("names", self.names), ("waiting", self.waiting), ("borrowers", self.borrowers)] {
+        for (key, v) in [
+            ("names", self.names),
+            ("waiting", self.waiting),
+            ("borrowers", self.borrowers),
+        ] {
             if v == 0 {
                 return Err(format!("fleet.lend.{key}: 0; give 1 or more"));
             }
--- a/crates/shared-state/tests/lend_model.rs
+++ b/crates/shared-state/tests/lend_model.rs
@@ -23,7 +23,11 @@
     once: bool,
 }
 
-const ALL: Guards = Guards { counted_first: true, silent_is_none: true, once: true };
+const ALL: Guards = Guards {
+    counted_first: true,
+    silent_is_none: true,
+    once: true,
+};
 
 #[derive(Clone, Debug)]
 struct State {
@@ -88,7 +92,12 @@
         for o in out {
             match o {
                 // Only totals let anyone in.
-                Output::Tell { to, seq, answer: answer @ Answer::Total(_), .. } => {
+                Output::Tell {
+                    to,
+                    seq,
+                    answer: answer @ Answer::Total(_),
+                    ..
+                } => {
                     s.told.push((usize::from(to == "b"), seq, answer));
                 }
                 Output::Count { call, add, .. } => {
@@ -96,7 +105,12 @@
                     if !self.0.counted_first {
                         // Taken out: it goes by what the counter will surely say.
                         let mut next = Vec::new();
-                        s.brokers[broker].counted(call, Counted::Total(s.total + add), 0.0, &mut next);
+                        s.brokers[broker].counted(
+                            call,
+                            Counted::Total(s.total + add),
+                            0.0,
+                            &mut next,
+                        );
                         self.drive(s, broker, next);
                     }
                 }
@@ -133,7 +147,10 @@
             borrowers: 4,
         };
         vec![State {
-            brokers: vec![Broker::new(settings.clone(), 0), Broker::new(settings.clone(), 1000)],
+            brokers: vec![
+                Broker::new(settings.clone(), 0),
+                Broker::new(settings.clone(), 1000),
+            ],
             limiters: vec![Borrower::new(&settings), Borrower::new(&settings)],
             total: 0.0,
             calls: vec![],
@@ -171,7 +188,9 @@
                 acts.push(Act::ToldTwice(n));
             }
         }
-        (0..2).filter(|b| s.brokers[*b].names() > 0 && s.lost < 1).for_each(|b| acts.push(Act::Ended(b)));
+        (0..2)
+            .filter(|b| s.brokers[*b].names() > 0 && s.lost < 1)
+            .for_each(|b| acts.push(Act::Ended(b)));
     }
 
     fn next_state(&self, last: &State, act: Act) -> Option<State> {
@@ -182,11 +201,32 @@
                 s.asked += 1;
                 let seq = u64::from(s.asked);
                 // Each ask on its own name at the borrower: where it goes is drawn here, not by its trust.
-                s.limiters[limiter].way(Anew { call: seq, name: seq, add: 1.0, life: 60.0 }, 0, true, 0.0);
+                s.limiters[limiter].way(
+                    Anew {
+                        call: seq,
+                        name: seq,
+                        add: 1.0,
+                        life: 60.0,
+                    },
+                    0,
+                    true,
+                    0.0,
+                );
                 let (name, customer, add, asked, needs) = (7, 1, 1.0, 1.0, 1.0);
                 let (life, full, rate, elapsed) = (60.0, FULL, 0.0, 1.0);
-                let ask =
-                    Ask { seq, name, customer, add, asked, needs, life, full, rate, elapsed, left: 1.0 };
+                let ask = Ask {
+                    seq,
+                    name,
+                    customer,
+                    add,
+                    asked,
+                    needs,
+                    life,
+                    full,
+                    rate,
+                    elapsed,
+                    left: 1.0,
+                };
                 s.brokers[broker].ask(["a", "b"][limiter], 1, 0, ask, 0.0, &mut out);
                 self.drive(&mut s, broker, out);
             }
@@ -247,9 +287,17 @@
 }
 
 fn explore(guards: Guards) -> (bool, bool, usize) {
-    let checker = Lending(guards).checker().finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+    let checker = Lending(guards)
+        .checker()
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
     let found = |name: &'static str| checker.discovery(name).is_some();
-    (found("never over"), found("all of it"), checker.unique_state_count())
+    (
+        found("never over"),
+        found("all of it"),
+        checker.unique_state_count(),
+    )
 }
 
 #[test]
@@ -262,8 +310,14 @@
 #[test]
 fn each_guard_taken_out_lets_in_too_much() {
     for guards in [
-        Guards { counted_first: false, ..ALL },
-        Guards { silent_is_none: false, ..ALL },
+        Guards {
+            counted_first: false,
+            ..ALL
+        },
+        Guards {
+            silent_is_none: false,
+            ..ALL
+        },
         Guards { once: false, ..ALL },
     ] {
         assert!(explore(guards).0);
--- a/crates/shared-state/tests/thin.rs
+++ b/crates/shared-state/tests/thin.rs
@@ -21,8 +21,13 @@
 
 impl Rig {
     fn new(broker: bool) -> Self {
-        let plan =
-            PlanSettings { rate: 26.0, burst: 26.0, beyond_costs: 1.0, price: 1.0, ..Default::default() };
+        let plan = PlanSettings {
+            rate: 26.0,
+            burst: 26.0,
+            beyond_costs: 1.0,
+            price: 1.0,
+            ..Default::default()
+        };
         let operation = OperationSettings {
             effect: Effect::Idempotent,
             objective: 0.6,
@@ -53,7 +58,13 @@
                 },
                 now,
             );
-            let server = |tgt| Server { tgt, zone: 0, cell: 0, came_up: 0.0, readiness: Readiness::Live };
+            let server = |tgt| Server {
+                tgt,
+                zone: 0,
+                cell: 0,
+                came_up: 0.0,
+                readiness: Readiness::Live,
+            };
             limiter.endpoints(&[0, 1, 2, 3].map(server), true, now);
             limiter
         };
@@ -70,7 +81,15 @@
         };
         let broker = broker.then(|| Broker::new(settings, 0));
         let (gates, counter, held) = (vec![gate(0), gate(1)], BTreeMap::new(), BTreeMap::new());
-        Rig { now, gates, counter, calls: 0, broker, held, sent: BTreeMap::new() }
+        Rig {
+            now,
+            gates,
+            counter,
+            calls: 0,
+            broker,
+            held,
+            sent: BTreeMap::new(),
+        }
     }
 
     fn count(&mut self, name: u64, add: f64) -> f64 {
@@ -82,8 +101,19 @@
 
     /// The total that an add is answered with, by the broker where there is one.
     fn add(&mut self, gate: usize, name: u64, add: f64, life: f64, a: About) -> Counted {
-        let Some(mut broker) = self.broker.take() else { return Counted::Total(self.count(name, add)) };
-        let ask = Ask::new(Anew { call: 1, name, add, life }, &a, self.now - a.start);
+        let Some(mut broker) = self.broker.take() else {
+            return Counted::Total(self.count(name, add));
+        };
+        let ask = Ask::new(
+            Anew {
+                call: 1,
+                name,
+                add,
+                life,
+            },
+            &a,
+            self.now - a.start,
+        );
         let mut out = Vec::new();
         broker.ask(&format!("g{gate}"), 1, 0, ask, self.now, &mut out);
         let mut told = Counted::Refused;
@@ -91,8 +121,13 @@
             let mut next = Vec::new();
             for o in out {
                 match o {
-                    Output::Tell { answer: Answer::Total(total), .. } => told = Counted::Total(total),
-                    Output::Count { call, name, add, .. } => {
+                    Output::Tell {
+                        answer: Answer::Total(total),
+                        ..
+                    } => told = Counted::Total(total),
+                    Output::Count {
+                        call, name, add, ..
+                    } => {
                         let total = self.count(name, add);
                         broker.counted(call, Counted::Total(total), self.now, &mut next);
                     }
@@ -108,7 +143,12 @@
     fn pump(&mut self, gate: usize) {
         while let Some(action) = self.gates[gate].next_action() {
             match action {
-                Action::Count { name, add, life, about } => {
+                Action::Count {
+                    name,
+                    add,
+                    life,
+                    about,
+                } => {
                     let counted = self.add(gate, name, add, life, about);
                     self.gates[gate].counted(name, counted, 0.001, self.now);
                 }
@@ -119,7 +159,9 @@
     }
 
     fn place(&mut self, num: u64) {
-        let Some((gate, mut inv)) = self.held.remove(&num) else { return };
+        let Some((gate, mut inv)) = self.held.remove(&num) else {
+            return;
+        };
         match self.gates[gate].place(&mut inv, self.now) {
             dunespur::types::Answer::Send(_) => {
                 self.sent.insert(num, gate);
@@ -165,12 +207,26 @@
     let mut alone = Rig::new(false);
     let (busy, thin) = alone.play();
     // What the module and the counter alone make of it: recorded, so that a change shows.
-    assert!(busy > 1500 && thin < 30, "with the counter alone {busy} and {thin}");
+    assert!(
+        busy > 1500 && thin < 30,
+        "with the counter alone {busy} and {thin}"
+    );
     let mut shared = Rig::new(true);
     let (busy, thin) = shared.play();
     assert!(thin >= 80, "with a broker {busy} and {thin} of 120");
     let all = 26.0 * 60.0 + 26.0;
-    assert!((busy + thin) as f64 <= all + 1.0, "{busy} and {thin} are over the quota of {all}");
-    assert!((busy + thin) as f64 >= 0.95 * all, "{busy} and {thin} of {all}");
-    assert!(shared.calls * 5 < alone.calls, "{} calls, {} with the counter alone", shared.calls, alone.calls);
+    assert!(
+        (busy + thin) as f64 <= all + 1.0,
+        "{busy} and {thin} are over the quota of {all}"
+    );
+    assert!(
+        (busy + thin) as f64 >= 0.95 * all,
+        "{busy} and {thin} of {all}"
+    );
+    assert!(
+        shared.calls * 5 < alone.calls,
+        "{} calls, {} with the counter alone",
+        shared.calls,
+        alone.calls
+    );
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -33,7 +33,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (takes, hangs, began) = (Cell::new(takes), Cell::new(false), Cell::new(0));
-        let server = Rc::new(Server { address, takes, hangs, began });
+        let server = Rc::new(Server {
+            address,
+            takes,
+            hangs,
+            began,
+        });
         let own = server.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -59,8 +64,9 @@
                 Ok::<_, Infallible>(Response::new(Full::new(body)))
             }
         });
-        let _ =
-            hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+        let _ = hyper::server::conn::http1::Builder::new()
+            .serve_connection(TokioIo::new(stream), service)
+            .await;
     }
 }
 
@@ -77,7 +83,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (silent, calls, names) = (Cell::new(false), Cell::new(0), RefCell::default());
-        let counter = Rc::new(Counter { address, silent, calls, names });
+        let counter = Rc::new(Counter {
+            address,
+            silent,
+            calls,
+            names,
+        });
         let own = counter.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -98,7 +109,13 @@
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
         loop {
-            let count: usize = lines.next_line().await.ok()??.strip_prefix('*')?.parse().ok()?;
+            let count: usize = lines
+                .next_line()
+                .await
+                .ok()??
+                .strip_prefix('*')?
+                .parse()
+                .ok()?;
             let mut call = Vec::new();
             for _ in 0..count.min(8) {
                 lines.next_line().await.ok()??;
@@ -107,7 +124,12 @@
             while self.silent.get() {
                 sleep(Duration::from_millis(20)).await;
             }
-            let answer = match call.iter().map(String::as_str).collect::<Vec<_>>().as_slice() {
+            let answer = match call
+                .iter()
+                .map(String::as_str)
+                .collect::<Vec<_>>()
+                .as_slice()
+            {
                 ["CNT.ADD", name, amount, life] => {
                     self.calls.set(self.calls.get() + 1);
                     let now = tokio::time::Instant::now();
@@ -157,8 +179,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (watches, calls) = (Cell::new(0), Cell::new(0));
-        let discovery =
-            Rc::new(Discovery { address, list: watch::channel((revision, list)).0, watches, calls });
+        let discovery = Rc::new(Discovery {
+            address,
+            list: watch::channel((revision, list)).0,
+            watches,
+            calls,
+        });
         let own = discovery.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -179,7 +205,10 @@
             async move {
                 me.calls.set(me.calls.get() + 1);
                 let (tx, mut rx) = mpsc::channel::<Result<Frame<Bytes>, Infallible>>(8);
-                let follows = request.uri().query().is_some_and(|q| q.contains("follow=1"));
+                let follows = request
+                    .uri()
+                    .query()
+                    .is_some_and(|q| q.contains("follow=1"));
                 let mut list = me.list.subscribe();
                 me.watches.set(me.watches.get() + 1);
                 let open = Open(me);
@@ -210,8 +239,9 @@
                 Ok::<_, Infallible>(Response::new(StreamBody::new(frames)))
             }
         });
-        let _ =
-            hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+        let _ = hyper::server::conn::http1::Builder::new()
+            .serve_connection(TokioIo::new(stream), service)
+            .await;
     }
 }
 
--- a/crates/storage/src/core.rs
+++ b/crates/storage/src/core.rs
@@ -8,8 +8,8 @@
 use anyhow::{bail, Context, Result};
 use dunespur_chain::{Entry, Position, Saved, SavedSnapshot, Write};
 use redb::{
-    Builder, Database, DatabaseError, Durability, ReadableTable, StorageBackend, Table, TableDefinition,
-    WriteTransaction,
+    Builder, Database, DatabaseError, Durability, ReadableTable, StorageBackend, Table,
+    TableDefinition, WriteTransaction,
 };
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -89,7 +89,8 @@
         }
         let owned = path.to_owned();
         let opener: Opener = Box::new(move || file::open(&builder(), &owned));
-        let database = open_checked(builder, path).with_context(|| format!("opening {}", path.display()))?;
+        let database =
+            open_checked(builder, path).with_context(|| format!("opening {}", path.display()))?;
         Self::start(database, opener, fresh).with_context(|| format!("reading {}", path.display()))
     }
 
@@ -107,9 +108,16 @@
         Self::start(database, opener, fresh)
     }
 
-    fn start(database: Database, opener: Opener, fresh: bool) -> Result<(CoreDisk, DiskIdentity, Saved)> {
+    fn start(
+        database: Database,
+        opener: Opener,
+        fresh: bool,
+    ) -> Result<(CoreDisk, DiskIdentity, Saved)> {
         let (identity, saved) = read(&database, fresh)?;
-        let snapshot_index = saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
+        let snapshot_index = saved
+            .snapshot
+            .as_ref()
+            .map_or(0, |snapshot| snapshot.position.index);
         let disk = CoreDisk {
             opener,
             database: RefCell::new(Some(database)),
@@ -148,15 +156,23 @@
     let values = transaction.open_table(VALUES)?;
     let found: Option<u64> = value(&values, KEY_FORMAT)?;
     if found != Some(FORMAT) {
-        bail!(UnknownFormat { found, known: FORMAT });
+        bail!(UnknownFormat {
+            found,
+            known: FORMAT
+        });
     }
     let disk = value(&values, KEY_DISK)?.context("no identity")?;
     let head: Option<SnapshotHead> = value(&values, KEY_SNAPSHOT)?;
     let snapshot = match head {
-        Some(head) => Some(read_snapshot(&transaction.open_table(SNAPSHOT_PARTS)?, &head)?),
+        Some(head) => Some(read_snapshot(
+            &transaction.open_table(SNAPSHOT_PARTS)?,
+            &head,
+        )?),
         None => None,
     };
-    let first = snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index + 1);
+    let first = snapshot
+        .as_ref()
+        .map_or(0, |snapshot| snapshot.position.index + 1);
     let mut entries: Vec<Entry> = Vec::new();
     for row in transaction.open_table(ENTRIES)?.range(first..)? {
         entries.push(postcard::from_bytes(row?.1.value())?);
@@ -178,10 +194,15 @@
 ) -> Result<SavedSnapshot> {
     let mut bytes = Vec::new();
     for number in 0..head.parts {
-        let part = parts.get(number)?.with_context(|| format!("no part {number} of the snapshot"))?;
+        let part = parts
+            .get(number)?
+            .with_context(|| format!("no part {number} of the snapshot"))?;
         bytes.extend_from_slice(part.value());
     }
-    Ok(SavedSnapshot { position: head.position, bytes: bytes.into() })
+    Ok(SavedSnapshot {
+        position: head.position,
+        bytes: bytes.into(),
+    })
 }
 
 fn builder() -> Builder {
@@ -227,7 +248,9 @@
 /// The library's hash keys come from the operating system's random source; the time is mixed in should that be poor.
 fn random_disk() -> u64 {
     let mut hasher = RandomState::new().build_hasher();
-    let time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |time| time.as_nanos());
+    let time = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .map_or(0, |time| time.as_nanos());
     hasher.write_u128(time);
     hasher.write_u32(std::process::id());
     hasher.finish()
@@ -237,7 +260,9 @@
     values: &impl ReadableTable<&'static str, &'static [u8]>,
     key: &str,
 ) -> Result<Option<T>> {
-    let Some(found) = values.get(key)? else { return Ok(None) };
+    let Some(found) = values.get(key)? else {
+        return Ok(None);
+    };
     let read = postcard::from_bytes(found.value());
     read.map(Some).with_context(|| format!("value of {key}"))
 }
@@ -275,7 +300,11 @@
             }
         }
     }
-    remove_held(&mut entries, snapshot_index, REMOVED_PER_WRITE + REMOVED_PER_ENTRY * added)?;
+    remove_held(
+        &mut entries,
+        snapshot_index,
+        REMOVED_PER_WRITE + REMOVED_PER_ENTRY * added,
+    )?;
     Ok(snapshot_index)
 }
 
@@ -290,13 +319,22 @@
         count += 1;
     }
     parts.retain_in(count.., |_, _| false)?;
-    put(values, KEY_SNAPSHOT, &SnapshotHead { position: snapshot.position, parts: count })
+    put(
+        values,
+        KEY_SNAPSHOT,
+        &SnapshotHead {
+            position: snapshot.position,
+            parts: count,
+        },
+    )
 }
 
 /// Removes the oldest entries that the snapshot holds, `most` at most.
 fn remove_held(entries: &mut Table<u64, &[u8]>, snapshot_index: u64, most: usize) -> Result<()> {
     for _ in 0..most {
-        let held = entries.first()?.is_some_and(|(index, _)| index.value() <= snapshot_index);
+        let held = entries
+            .first()?
+            .is_some_and(|(index, _)| index.value() <= snapshot_index);
         if !held {
             return Ok(());
         }
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -16,8 +16,8 @@
 use crate::file;
 use anyhow::{bail, Context};
 use redb::{
-    Builder, CommitError, Database, DatabaseError, Durability, StorageError, TableDefinition, TableError,
-    TransactionError,
+    Builder, CommitError, Database, DatabaseError, Durability, StorageError, TableDefinition,
+    TableError, TransactionError,
 };
 
 #[cfg(panic = "abort")]
@@ -39,7 +39,11 @@
 
 impl fmt::Display for UnknownFormat {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "format {:?} is not {}, the one that this program knows", self.found, self.known)
+        write!(
+            formatter,
+            "format {:?} is not {}, the one that this program knows",
+            self.found, self.known
+        )
     }
 }
 
@@ -48,7 +52,10 @@
 /// Opens a file with `open`, and once more after it was set aside if its contents can't be read. `open` makes the
 /// file if there is none. Errors that say nothing of the contents (rights, a full disk, another process that has the
 /// file open, another format) are given back, and the file stays.
-pub fn open_or_set_aside<T>(path: &Path, open: impl Fn() -> anyhow::Result<T>) -> anyhow::Result<T> {
+pub fn open_or_set_aside<T>(
+    path: &Path,
+    open: impl Fn() -> anyhow::Result<T>,
+) -> anyhow::Result<T> {
     let reason = match caught(&open) {
         Ok(Ok(opened)) => return Ok(opened),
         Ok(Err(error)) if !is_unreadable(&error) => return Err(error),
@@ -85,7 +92,8 @@
 
 fn text_of(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<&str>().map(|text| text.to_string());
-    text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "a panic".to_owned())
+    text.or_else(|| panic.downcast_ref::<String>().cloned())
+        .unwrap_or_else(|| "a panic".to_owned())
 }
 
 /// Opens an existing file and checks all that is in it. The library does so by itself only after an end of the process
@@ -125,14 +133,23 @@
     if error.chain().any(|cause| cause.is::<UnknownFormat>()) {
         return false;
     }
-    if let Some(error) = error.chain().find_map(|cause| cause.downcast_ref::<DatabaseError>()) {
-        let other = matches!(error, DatabaseError::DatabaseAlreadyOpen | DatabaseError::UpgradeRequired(_));
+    if let Some(error) = error
+        .chain()
+        .find_map(|cause| cause.downcast_ref::<DatabaseError>())
+    {
+        let other = matches!(
+            error,
+            DatabaseError::DatabaseAlreadyOpen | DatabaseError::UpgradeRequired(_)
+        );
         if other {
             return false;
         }
     }
     match error.chain().find_map(|cause| io_error(cause)) {
-        Some(error) => matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof),
+        Some(error) => matches!(
+            error.kind(),
+            ErrorKind::InvalidData | ErrorKind::UnexpectedEof
+        ),
         None => true,
     }
 }
@@ -164,7 +181,8 @@
 /// the beginning is kept.
 fn set_aside(path: &Path) -> anyhow::Result<PathBuf> {
     let aside = aside_path(path);
-    fs::rename(path, &aside).with_context(|| format!("setting unreadable {} aside", path.display()))?;
+    fs::rename(path, &aside)
+        .with_context(|| format!("setting unreadable {} aside", path.display()))?;
     sync_folder(path)?;
     let file = OpenOptions::new().write(true).open(&aside)?;
     if file.metadata()?.len() > MOST_ASIDE_BYTES {
@@ -180,7 +198,10 @@
 
 /// Against a loss of power after which a new name is gone, or an old one is back.
 pub fn sync_folder(path: &Path) -> anyhow::Result<()> {
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let synced = File::open(folder).and_then(|folder| folder.sync_all());
     synced.with_context(|| format!("syncing {}", folder.display()))
 }
--- a/crates/storage/src/turns.rs
+++ b/crates/storage/src/turns.rs
@@ -67,7 +67,10 @@
 
 impl fmt::Debug for TurnDisk {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.debug_struct("TurnDisk").field("database", &self.database).finish_non_exhaustive()
+        formatter
+            .debug_struct("TurnDisk")
+            .field("database", &self.database)
+            .finish_non_exhaustive()
     }
 }
 
@@ -99,10 +102,16 @@
         Self::start(database, opener)
     }
 
-    fn start(database: Database, opener: Opener) -> anyhow::Result<(Self, DiskIdentity, Vec<IndexEntry>)> {
+    fn start(
+        database: Database,
+        opener: Opener,
+    ) -> anyhow::Result<(Self, DiskIdentity, Vec<IndexEntry>)> {
         let identity = identity(&database)?;
         let entries = entries(&database)?;
-        let disk = Self { opener, database: RefCell::new(Some(database)) };
+        let disk = Self {
+            opener,
+            database: RefCell::new(Some(database)),
+        };
         Ok((disk, identity, entries))
     }
 
@@ -130,7 +139,8 @@
                 let mut bodies = write.open_table(BODIES)?;
                 for turn in turns {
                     headers.insert(turn.id.as_str(), encode(turn)?.as_slice())?;
-                    let mut body = bodies.insert_reserve(turn.id.as_str(), turn.body_bytes() as u32)?;
+                    let mut body =
+                        bodies.insert_reserve(turn.id.as_str(), turn.body_bytes() as u32)?;
                     let (input, output) = body.as_mut().split_at_mut(turn.input.len());
                     input.copy_from_slice(&turn.input);
                     output.copy_from_slice(&turn.output);
@@ -227,10 +237,15 @@
         Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
         Err(error) => return Err(error.into()),
     };
-    let number = |key: &str| -> anyhow::Result<Option<u64>> { Ok(meta.get(key)?.map(|value| value.value())) };
+    let number = |key: &str| -> anyhow::Result<Option<u64>> {
+        Ok(meta.get(key)?.map(|value| value.value()))
+    };
     match number(META_FORMAT)? {
         Some(FORMAT_VERSION) => {}
-        found => bail!(UnknownFormat { found, known: FORMAT_VERSION }),
+        found => bail!(UnknownFormat {
+            found,
+            known: FORMAT_VERSION
+        }),
     }
     let disk = number(META_DISK)?.context("the file of turns names no disk")?;
     let fresh = number(META_WHOLE)?.is_none();
@@ -289,13 +304,21 @@
         program: row.program.to_owned(),
         ended_at_ms: row.ended_at_ms,
         retention_ms: row.retention_ms,
-        size: size_of(id, row.previous, row.program, row.input_bytes + row.output_bytes),
+        size: size_of(
+            id,
+            row.previous,
+            row.program,
+            row.input_bytes + row.output_bytes,
+        ),
     }
 }
 
 fn turn(id: &str, row: &HeaderRow<'_>, body: &[u8]) -> anyhow::Result<Turn> {
     if body.len() as u64 != row.input_bytes + row.output_bytes {
-        bail!("turn {id} has {} bytes, its header says otherwise", body.len());
+        bail!(
+            "turn {id} has {} bytes, its header says otherwise",
+            body.len()
+        );
     }
     let mut input = Bytes::copy_from_slice(body);
     let output = input.split_off(row.input_bytes as usize);
--- a/crates/storage/tests/core.rs
+++ b/crates/storage/tests/core.rs
@@ -13,7 +13,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("dunespur-core-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("dunespur-core-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
         fs::create_dir_all(&path).expect("a folder for the test");
         Folder(path)
@@ -37,23 +38,49 @@
 }
 
 fn member(number: u64) -> MemberId {
-    MemberId { node: format!("node-{number}"), disk: number }
+    MemberId {
+        node: format!("node-{number}"),
+        disk: number,
+    }
 }
 
 fn view(number: u64) -> DecidedView {
     let address = "10.1.0.1:7380".parse().expect("an address");
-    let members: Vec<Peer> = (0..3).map(|index| Peer { id: member(index + number), address }).collect();
+    let members: Vec<Peer> = (0..3)
+        .map(|index| Peer {
+            id: member(index + number),
+            address,
+        })
+        .collect();
     let chain = members.iter().map(|member| member.id.clone()).collect();
-    DecidedView { view: View { number, members, chain }, base: number - 1 }
+    DecidedView {
+        view: View {
+            number,
+            members,
+            chain,
+        },
+        base: number - 1,
+    }
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, proposer: member(round % 3), session: round * 7 }
+    Ballot {
+        round,
+        proposer: member(round % 3),
+        session: round * 7,
+    }
 }
 
 fn entry(index: u64, view: u64) -> Entry {
     let payload = Payload::from(vec![index as u8; (index % 200) as usize]);
-    Entry { position: Position { index, view }, origin: Origin { session: 5, ticket: index }, payload }
+    Entry {
+        position: Position { index, view },
+        origin: Origin {
+            session: 5,
+            ticket: index,
+        },
+        payload,
+    }
 }
 
 /// Writes as a member makes them, drawn from a small random source.
@@ -66,21 +93,32 @@
 
 impl Writer {
     fn below(&mut self, bound: u64) -> u64 {
-        self.state =
-            self.state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.state = self
+            .state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.state >> 33) % bound
     }
 
     fn next(&mut self) -> Write {
         match self.below(12) {
-            0 => Write::Promise { ballot: ballot(self.below(100)) },
+            0 => Write::Promise {
+                ballot: ballot(self.below(100)),
+            },
             1 => {
                 let ballot = ballot(self.below(100));
-                Write::Accept { accepted: AcceptedView { ballot, proposal: view(self.view + 1) } }
+                Write::Accept {
+                    accepted: AcceptedView {
+                        ballot,
+                        proposal: view(self.view + 1),
+                    },
+                }
             }
             2 => {
                 self.view += 1;
-                Write::Install { decided: view(self.view) }
+                Write::Install {
+                    decided: view(self.view),
+                }
             }
             3 => Write::Synced { view: self.view },
             4 => {
@@ -89,13 +127,20 @@
             }
             5 => {
                 self.snapshot += self.below(self.last - self.snapshot + 1);
-                let position = Position { index: self.snapshot, view: self.view };
+                let position = Position {
+                    index: self.snapshot,
+                    view: self.view,
+                };
                 let bytes = Payload::from(vec![self.snapshot as u8; 10_000]);
-                Write::Snapshot { snapshot: SavedSnapshot { position, bytes } }
+                Write::Snapshot {
+                    snapshot: SavedSnapshot { position, bytes },
+                }
             }
             _ => {
                 self.last += 1;
-                Write::Entry { entry: entry(self.last, self.view) }
+                Write::Entry {
+                    entry: entry(self.last, self.view),
+                }
             }
         }
     }
@@ -105,7 +150,12 @@
 fn what_was_written_is_found_again() {
     for seed in 0..6 {
         let folder = Folder::new(&format!("writes-{seed}"));
-        let mut writer = Writer { state: seed, last: 0, snapshot: 0, view: 1 };
+        let mut writer = Writer {
+            state: seed,
+            last: 0,
+            snapshot: 0,
+            view: 1,
+        };
         let mut expected = Saved::default();
         for _ in 0..6 {
             let (disk, _, found) = CoreDisk::open(&folder.file()).expect("the file opens");
@@ -171,17 +221,29 @@
     let mut index = 0;
     for _ in 0..4 {
         for _ in 0..ENTRIES_PER_SNAPSHOT / 4 {
-            let writes: Vec<Write> =
-                (1..=4).map(|step| Write::Entry { entry: entry(index + step, 1) }).collect();
+            let writes: Vec<Write> = (1..=4)
+                .map(|step| Write::Entry {
+                    entry: entry(index + step, 1),
+                })
+                .collect();
             index += 4;
             disk.write(&writes).expect("the disk takes it");
         }
-        let position = Position { index: index - 10, view: 1 };
-        let snapshot = SavedSnapshot { position, bytes: vec![7; SNAPSHOT_BYTES].into() };
-        disk.write(&[Write::Snapshot { snapshot }]).expect("the disk takes it");
+        let position = Position {
+            index: index - 10,
+            view: 1,
+        };
+        let snapshot = SavedSnapshot {
+            position,
+            bytes: vec![7; SNAPSHOT_BYTES].into(),
+        };
+        disk.write(&[Write::Snapshot { snapshot }])
+            .expect("the disk takes it");
     }
     drop(disk);
-    let size = fs::metadata(folder.file()).expect("the file is there").len();
+    let size = fs::metadata(folder.file())
+        .expect("the file is there")
+        .len();
     assert!(size < MOST_FILE_BYTES, "{size} bytes");
     let saved = reopened(&folder.file());
     let snapshot = saved.snapshot.expect("a snapshot");
--- a/crates/storage/tests/core_growth.rs
+++ b/crates/storage/tests/core_growth.rs
@@ -21,7 +21,9 @@
 impl Writer {
     fn write(&mut self, writes: &[Write]) {
         self.disk.write(writes).expect("the disk takes it");
-        self.worst = self.worst.max(std::fs::metadata(&self.path).expect("the file").len());
+        self.worst = self
+            .worst
+            .max(std::fs::metadata(&self.path).expect("the file").len());
     }
 
     fn next_entries(&mut self, size: usize, count: u64) -> Vec<Write> {
@@ -29,10 +31,17 @@
         self.index += count;
         let entry = |index| Entry {
             position: Position { index, view: 1 },
-            origin: Origin { session: 5, ticket: index },
+            origin: Origin {
+                session: 5,
+                ticket: index,
+            },
             payload: Payload::from(vec![index as u8; size]),
         };
-        (first..=self.index).map(|index| Write::Entry { entry: entry(index) }).collect()
+        (first..=self.index)
+            .map(|index| Write::Entry {
+                entry: entry(index),
+            })
+            .collect()
     }
 
     /// So many bytes of entries, in batches as they come together in a sync.
@@ -47,21 +56,34 @@
 
     /// A snapshot among the entries of a batch, from `behind` entries ago: so many came while it was made.
     fn snapshot(&mut self, bytes: usize, size: usize, batch: u64, behind: u64) {
-        let position = Position { index: self.index.saturating_sub(behind), view: 1 };
+        let position = Position {
+            index: self.index.saturating_sub(behind),
+            view: 1,
+        };
         let bytes = Payload::from(vec![self.index as u8; bytes]);
         let mut writes = self.next_entries(size, batch);
-        writes.push(Write::Snapshot { snapshot: SavedSnapshot { position, bytes } });
+        writes.push(Write::Snapshot {
+            snapshot: SavedSnapshot { position, bytes },
+        });
         writes.extend(self.next_entries(size, batch));
         self.write(&writes);
     }
 }
 
 fn worst_file(state: usize, entry: usize, batch: u64) -> u64 {
-    let folder = std::env::temp_dir().join(format!("dunespur-core-growth-{}-{entry}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!(
+        "dunespur-core-growth-{}-{entry}",
+        std::process::id()
+    ));
     std::fs::create_dir_all(&folder).expect("a folder for the test");
     let path = folder.join("core.redb");
     let (disk, _, _) = CoreDisk::open(&path).expect("a new file");
-    let mut writer = Writer { disk, index: 0, worst: 0, path };
+    let mut writer = Writer {
+        disk,
+        index: 0,
+        worst: 0,
+        path,
+    };
     for _ in 0..SNAPSHOTS {
         writer.entries(state.clamp(COMPACT_BYTES, MOST_COMPACT_BYTES), entry, batch);
         writer.snapshot(state, entry, batch, batch * 4);
@@ -77,6 +99,9 @@
     for (entry, batch) in [(60, 200), (130, 200), (300, 200), (5_000, 8), (400_000, 1)] {
         let worst = worst_file(LARGEST_STATE, entry, batch);
         eprintln!("entries of {entry} bytes: {worst} bytes at worst");
-        assert!(worst <= DISK_BYTES, "entries of {entry} bytes: {worst} bytes");
+        assert!(
+            worst <= DISK_BYTES,
+            "entries of {entry} bytes: {worst} bytes"
+        );
     }
 }
--- a/crates/storage/tests/full/core.rs
+++ b/crates/storage/tests/full/core.rs
@@ -8,14 +8,24 @@
 
 fn open(storage: &Storage) -> (CoreDisk, Saved) {
     let storage = storage.clone();
-    let (disk, _, saved) = CoreDisk::open_backend(move || storage.clone()).expect("the storage opens");
+    let (disk, _, saved) =
+        CoreDisk::open_backend(move || storage.clone()).expect("the storage opens");
     (disk, saved)
 }
 
 fn entry(index: u64) -> Write {
     let position = Position { index, view: 1 };
-    let origin = Origin { session: 5, ticket: index };
-    Write::Entry { entry: Entry { position, origin, payload: Payload::from(vec![index as u8; ENTRY_BYTES]) } }
+    let origin = Origin {
+        session: 5,
+        ticket: index,
+    };
+    Write::Entry {
+        entry: Entry {
+            position,
+            origin,
+            payload: Payload::from(vec![index as u8; ENTRY_BYTES]),
+        },
+    }
 }
 
 fn indexes(saved: &Saved) -> Vec<u64> {
@@ -55,7 +65,10 @@
         drop(disk);
         storage.has_room();
         let found = indexes(&open(&storage).1);
-        assert!(found == [1, 2, 3] || (!taken && found == [1]), "{found:?} after {takes} writes");
+        assert!(
+            found == [1, 2, 3] || (!taken && found == [1]),
+            "{found:?} after {takes} writes"
+        );
     }
 }
 
@@ -63,7 +76,8 @@
 fn an_identity_outlives_a_full_disk() {
     let storage = Storage::default();
     let named = storage.clone();
-    let (disk, first, _) = CoreDisk::open_backend(move || named.clone()).expect("the storage opens");
+    let (disk, first, _) =
+        CoreDisk::open_backend(move || named.clone()).expect("the storage opens");
     assert!(first.fresh);
     storage.full_after(0);
     disk.write(&[entry(1)]).expect_err("there is no room");
--- a/crates/storage/tests/full/support.rs
+++ b/crates/storage/tests/full/support.rs
@@ -17,7 +17,10 @@
 
 impl Default for State {
     fn default() -> State {
-        State { bytes: Vec::new(), takes: u64::MAX }
+        State {
+            bytes: Vec::new(),
+            takes: u64::MAX,
+        }
     }
 }
 
@@ -62,7 +65,10 @@
     fn read(&self, offset: u64, len: usize) -> Result<Vec<u8>> {
         let offset = offset as usize;
         let state = self.state();
-        let bytes = state.bytes.get(offset..offset + len).ok_or(Error::from(ErrorKind::UnexpectedEof))?;
+        let bytes = state
+            .bytes
+            .get(offset..offset + len)
+            .ok_or(Error::from(ErrorKind::UnexpectedEof))?;
         Ok(bytes.to_vec())
     }
 
--- a/crates/storage/tests/full/turns.rs
+++ b/crates/storage/tests/full/turns.rs
@@ -8,7 +8,8 @@
 
 fn open(storage: &Storage) -> (TurnDisk, Vec<IndexEntry>) {
     let storage = storage.clone();
-    let (disk, _, entries) = TurnDisk::open_backend(move || storage.clone()).expect("the storage opens");
+    let (disk, _, entries) =
+        TurnDisk::open_backend(move || storage.clone()).expect("the storage opens");
     (disk, entries)
 }
 
@@ -59,7 +60,8 @@
         let storage = Storage::default();
         let (disk, _) = open(&storage);
         let kept = turn(0, 20_000);
-        disk.put(std::slice::from_ref(&kept)).expect("there is room");
+        disk.put(std::slice::from_ref(&kept))
+            .expect("there is room");
         storage.full_after(takes);
         let _ = disk.put(&[turn(1, 20_000)]);
         storage.has_room();
@@ -82,7 +84,10 @@
         let (_, entries) = open(&storage);
         let found = ids(&entries);
         let all = ["turn-000000", "turn-000001", "turn-000002"];
-        assert!(found == all || (!taken && found == all[..1]), "{found:?} after {takes} writes");
+        assert!(
+            found == all || (!taken && found == all[..1]),
+            "{found:?} after {takes} writes"
+        );
     }
 }
 
@@ -90,7 +95,8 @@
 fn turns_are_removed_while_others_find_no_room() {
     let storage = Storage::default();
     let (disk, _) = open(&storage);
-    disk.put(&[turn(0, 20_000), turn(1, 20_000)]).expect("there is room");
+    disk.put(&[turn(0, 20_000), turn(1, 20_000)])
+        .expect("there is room");
     storage.full_after(0);
     disk.put(&[turn(2, 20_000)]).expect_err("there is no room");
     disk.remove(&["turn-000000"]).expect_err("nor for that");
@@ -106,11 +112,14 @@
     let (disk, _) = open(&storage);
     let mut state: u64 = 7;
     for number in 0..rounds {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        state = state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         let bytes = 100 + (state >> 33) as usize % 40_000;
         disk.put(&[turn(number, bytes)]).expect("there is room");
         if number >= live {
-            disk.remove(&[turn(number - live, 0).id]).expect("it is removed");
+            disk.remove(&[turn(number - live, 0).id])
+                .expect("it is removed");
         }
     }
     storage.length()
@@ -121,7 +130,10 @@
     let live = 100;
     let short = length_after(2 * live, live);
     let long = length_after(12 * live, live);
-    assert!(long <= short + short / 4, "{short} bytes at first, {long} later");
+    assert!(
+        long <= short + short / 4,
+        "{short} bytes at first, {long} later"
+    );
     // Twenty kilobytes a turn on average, and pages of powers of two.
     assert!(long <= 4 * live * 20_000, "{long} bytes for {live} turns");
 }
--- a/crates/storage/tests/growth.rs
+++ b/crates/storage/tests/growth.rs
@@ -27,13 +27,16 @@
 #[test]
 fn the_file_takes_no_more_than_four_times_the_bodies() {
     for input in [1_000, 5_000, 140_000] {
-        let folder = std::env::temp_dir().join(format!("dunespur-growth-{}-{input}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("dunespur-growth-{}-{input}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder for the test");
         let path = folder.join("turns.redb");
         let (disk, _, _) = TurnDisk::open(&path).expect("a new file");
         let (mut bodies, mut number, mut worst) = (0, 0, (0, 0));
         while bodies < BODIES {
-            let turns: Vec<Turn> = (number..number + BATCH).map(|number| turn(number, input)).collect();
+            let turns: Vec<Turn> = (number..number + BATCH)
+                .map(|number| turn(number, input))
+                .collect();
             number += BATCH;
             bodies += turns.iter().map(Turn::size).sum::<u64>();
             disk.put(&turns).expect("the disk takes them");
@@ -44,6 +47,10 @@
         }
         drop(disk);
         std::fs::remove_dir_all(&folder).expect("the folder goes");
-        assert_eq!(worst, (0, 0), "file and bodies, turns with {input} bytes of input");
+        assert_eq!(
+            worst,
+            (0, 0),
+            "file and bodies, turns with {input} bytes of input"
+        );
     }
 }
--- a/crates/storage/tests/power/support.rs
+++ b/crates/storage/tests/power/support.rs
@@ -65,11 +65,21 @@
 impl Disk {
     pub fn new(syncs: Syncs) -> Disk {
         let (seen, durable, unsynced) = (Vec::new(), Vec::new(), Vec::new());
-        Disk(Arc::new(Mutex::new(State { seen, durable, unsynced, life: 0, takes: u64::MAX, syncs })))
+        Disk(Arc::new(Mutex::new(State {
+            seen,
+            durable,
+            unsynced,
+            life: 0,
+            takes: u64::MAX,
+            syncs,
+        })))
     }
 
     pub fn handle(&self) -> Handle {
-        Handle { disk: self.clone(), life: self.state().life }
+        Handle {
+            disk: self.clone(),
+            life: self.state().life,
+        }
     }
 
     /// After so many changes more nothing reaches the disk.
@@ -134,7 +144,10 @@
 
     fn change(&self, change: Change) -> Result<()> {
         let mut state = self.state()?;
-        state.takes = state.takes.checked_sub(1).ok_or(Error::from(ErrorKind::BrokenPipe))?;
+        state.takes = state
+            .takes
+            .checked_sub(1)
+            .ok_or(Error::from(ErrorKind::BrokenPipe))?;
         match &change {
             Change::Length(length) => state.seen.resize(*length, 0),
             Change::Bytes { offset, data } => write(&mut state.seen, *offset, data),
@@ -152,7 +165,10 @@
     fn read(&self, offset: u64, len: usize) -> Result<Vec<u8>> {
         let offset = offset as usize;
         let state = self.state()?;
-        let bytes = state.seen.get(offset..offset + len).ok_or(Error::from(ErrorKind::UnexpectedEof))?;
+        let bytes = state
+            .seen
+            .get(offset..offset + len)
+            .ok_or(Error::from(ErrorKind::UnexpectedEof))?;
         Ok(bytes.to_vec())
     }
 
@@ -162,7 +178,10 @@
 
     fn sync_data(&self, _eventual: bool) -> Result<()> {
         let mut state = self.state()?;
-        state.takes = state.takes.checked_sub(1).ok_or(Error::from(ErrorKind::BrokenPipe))?;
+        state.takes = state
+            .takes
+            .checked_sub(1)
+            .ok_or(Error::from(ErrorKind::BrokenPipe))?;
         if state.syncs == Syncs::Honest {
             state.durable = state.seen.clone();
             state.unsynced.clear();
@@ -171,6 +190,9 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<()> {
-        self.change(Change::Bytes { offset: offset as usize, data: data.to_vec() })
+        self.change(Change::Bytes {
+            offset: offset as usize,
+            data: data.to_vec(),
+        })
     }
 }
--- a/crates/storage/tests/power/turns.rs
+++ b/crates/storage/tests/power/turns.rs
@@ -17,7 +17,8 @@
 }
 
 fn turn(number: u64, random: &mut Random) -> Turn {
-    let body = |random: &mut Random, fill: u8| Bytes::from(vec![fill; random.below(9_000) as usize]);
+    let body =
+        |random: &mut Random, fill: u8| Bytes::from(vec![fill; random.below(9_000) as usize]);
     Turn {
         id: format!("turn-{number:06}"),
         previous: (number > 0).then(|| format!("turn-{:06}", number - 1)),
@@ -49,7 +50,8 @@
         if turns.put(&batch).is_err() {
             return;
         }
-        told.acknowledged.extend(batch.into_iter().map(|turn| (turn.id.clone(), turn)));
+        told.acknowledged
+            .extend(batch.into_iter().map(|turn| (turn.id.clone(), turn)));
         if random.below(4) == 0 {
             remove_one(turns, told, random);
         }
@@ -94,7 +96,9 @@
             other => return Some(format!("{id} is read as {other:?}")),
         }
     }
-    let unreadable = entries.iter().find(|entry| !matches!(turns.get(&entry.id), Ok(Some(_))));
+    let unreadable = entries
+        .iter()
+        .find(|entry| !matches!(turns.get(&entry.id), Ok(Some(_))));
     unreadable.map(|entry| format!("{} is listed and can't be read", entry.id))
 }
 
--- a/crates/storage/tests/turns.rs
+++ b/crates/storage/tests/turns.rs
@@ -12,7 +12,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("dunespur-turns-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("dunespur-turns-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
         fs::create_dir_all(&path).expect("a folder for the test");
         Folder(path)
@@ -64,7 +65,10 @@
     disk.put(&[turn("a", None)]).expect("it puts");
     drop(disk);
     let (_, second, _) = TurnDisk::open(&folder.file()).expect("it opens again");
-    assert_eq!(second, first, "a store that was killed while it was filled is not whole");
+    assert_eq!(
+        second, first,
+        "a store that was killed while it was filled is not whole"
+    );
 }
 
 #[test]
@@ -76,8 +80,11 @@
 
 #[test]
 fn a_file_that_can_not_be_read_is_a_new_disk() {
-    for (name, contents) in [("garbage", vec![7; 20_000]), ("zeros", vec![0; 20_000]), ("short", vec![9; 10])]
-    {
+    for (name, contents) in [
+        ("garbage", vec![7; 20_000]),
+        ("zeros", vec![0; 20_000]),
+        ("short", vec![9; 10]),
+    ] {
         let folder = Folder::new(name);
         fs::write(folder.file(), contents).expect("a file");
         let (disk, identity, entries) = TurnDisk::open(&folder.file()).expect("it is made anew");
@@ -96,7 +103,10 @@
         let (disk, _, _) = TurnDisk::open(&folder.file()).expect("a new file");
         disk.put(&[turn("a", None)]).expect("it puts");
         drop(disk);
-        let file = fs::OpenOptions::new().write(true).open(folder.file()).expect("the file");
+        let file = fs::OpenOptions::new()
+            .write(true)
+            .open(folder.file())
+            .expect("the file");
         let length = file.metadata().expect("its length").len();
         file.set_len(length * twentieths / 20).expect("it is cut");
         drop(file);
@@ -114,8 +124,12 @@
     assert_eq!(disk.perform(&put).expect("done"), DiskOutcome::Done);
     let get = |ids: &[&str]| DiskWork::Get(ids.iter().map(|id| id.to_string()).collect());
     let found = disk.perform(&get(&["b", "z", "a"])).expect("done");
-    assert_eq!(found, DiskOutcome::Turns(vec![turn("b", Some("a")), turn("a", None)]));
-    disk.perform(&DiskWork::Remove(vec!["a".to_owned()])).expect("done");
+    assert_eq!(
+        found,
+        DiskOutcome::Turns(vec![turn("b", Some("a")), turn("a", None)])
+    );
+    disk.perform(&DiskWork::Remove(vec!["a".to_owned()]))
+        .expect("done");
     let found = disk.perform(&get(&["a", "b"])).expect("done");
     assert_eq!(found, DiskOutcome::Turns(vec![turn("b", Some("a"))]));
 }
--- a/crates/storage/tests/unreadable.rs
+++ b/crates/storage/tests/unreadable.rs
@@ -24,7 +24,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("dunespur-unreadable-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("dunespur-unreadable-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
         fs::create_dir_all(&path).expect("a folder for the test");
         Folder(path)
@@ -46,8 +47,9 @@
 
     fn names(&self) -> Vec<String> {
         let entries = fs::read_dir(&self.0).expect("the folder").flatten();
-        let mut names: Vec<String> =
-            entries.map(|entry| entry.file_name().to_string_lossy().into_owned()).collect();
+        let mut names: Vec<String> = entries
+            .map(|entry| entry.file_name().to_string_lossy().into_owned())
+            .collect();
         names.sort();
         names
     }
@@ -61,12 +63,24 @@
 
 fn entry(index: u64) -> Entry {
     let payload = Payload::from(vec![index as u8; 300]);
-    Entry { position: Position { index, view: 1 }, origin: Origin { session: 5, ticket: index }, payload }
+    Entry {
+        position: Position { index, view: 1 },
+        origin: Origin {
+            session: 5,
+            ticket: index,
+        },
+        payload,
+    }
 }
 
 fn snapshot(index: u64) -> Write {
     let position = Position { index, view: 1 };
-    Write::Snapshot { snapshot: SavedSnapshot { position, bytes: vec![3; 60_000].into() } }
+    Write::Snapshot {
+        snapshot: SavedSnapshot {
+            position,
+            bytes: vec![3; 60_000].into(),
+        },
+    }
 }
 
 /// A core member's file as it was after each of its last two batches, and what was acknowledged by then.
@@ -85,8 +99,11 @@
     let mut index = 0;
     let mut before_last = Saved::default();
     for batch in 0..40 {
-        let mut writes: Vec<Write> =
-            (1..=5).map(|step| Write::Entry { entry: entry(index + step) }).collect();
+        let mut writes: Vec<Write> = (1..=5)
+            .map(|step| Write::Entry {
+                entry: entry(index + step),
+            })
+            .collect();
         index += 5;
         writes.push(Write::Synced { view: batch + 1 });
         if batch % 8 == 7 {
@@ -99,7 +116,13 @@
     let killed = fs::read(&path).expect("the file");
     drop(disk);
     let closed = fs::read(&path).expect("the file");
-    CoreFile { disk: identity.disk, before_last, last: saved, killed, closed }
+    CoreFile {
+        disk: identity.disk,
+        before_last,
+        last: saved,
+        killed,
+        closed,
+    }
 }
 
 /// What a start made of a spoilt file.
@@ -112,8 +135,10 @@
 }
 
 fn open_core(folder: &Folder, path: &Path, written: &CoreFile, what: &str) -> Found {
-    let (disk, identity, saved) = CoreDisk::open(path).unwrap_or_else(|error| panic!("{what}: {error:#}"));
-    disk.write(&[Write::Synced { view: 99 }]).unwrap_or_else(|error| panic!("{what}: {error:#}"));
+    let (disk, identity, saved) =
+        CoreDisk::open(path).unwrap_or_else(|error| panic!("{what}: {error:#}"));
+    disk.write(&[Write::Synced { view: 99 }])
+        .unwrap_or_else(|error| panic!("{what}: {error:#}"));
     drop(disk);
     if identity.fresh {
         assert_ne!(identity.disk, written.disk, "{what}: another identity");
@@ -128,16 +153,25 @@
     if saved == written.last {
         return Found::All;
     }
-    assert_eq!(saved, written.before_last, "{what}: neither all nor all but the last batch");
+    assert_eq!(
+        saved, written.before_last,
+        "{what}: neither all nor all but the last batch"
+    );
     Found::AllButLast
 }
 
 /// Lengths at which a file of so many bytes is cut: all that the header has fields at, and beginnings and ends of pages.
 fn lengths(whole: usize) -> Vec<usize> {
     let header = (0..HEADER).step_by(32).chain([1, 9, 10, HEADER - 1]);
-    let pages = (0..whole).step_by(PAGE).filter(|page| (page / PAGE).is_multiple_of(60) || *page < 4 * PAGE);
+    let pages = (0..whole)
+        .step_by(PAGE)
+        .filter(|page| (page / PAGE).is_multiple_of(60) || *page < 4 * PAGE);
     let around = pages.flat_map(|page| [page + 1, page + PAGE / 2, page + PAGE]);
-    let mut lengths: Vec<usize> = header.chain(around).chain([whole - 1]).filter(|at| *at < whole).collect();
+    let mut lengths: Vec<usize> = header
+        .chain(around)
+        .chain([whole - 1])
+        .filter(|at| *at < whole)
+        .collect();
     lengths.sort_unstable();
     lengths.dedup();
     lengths
@@ -159,14 +193,33 @@
 /// Places that matter: the header whole, and of the pages that aren't empty the beginning and some bytes within.
 fn places(bytes: &[u8], mask: u8) -> Vec<usize> {
     let all = std::env::var_os(ALL_PLACES).is_some();
-    let used = bytes.chunks(PAGE).enumerate().filter(|(_, page)| page.iter().any(|byte| *byte != 0));
-    let within =
-        used.flat_map(|(number, _)| [0, 1, 2, 3, 4, 9, 40, 700, PAGE - 1].map(|at| number * PAGE + at));
-    let within: Vec<usize> = within.filter(|at| *at >= HEADER && *at < bytes.len()).collect();
-    let step = (within.len() / if all { 10 * SPOILT_PLACES } else { SPOILT_PLACES }).max(1);
-    let (first_root, root_step) = if all { (ROOTS, 1) } else { (ROOTS + usize::from(mask % 6), 6) };
+    let used = bytes
+        .chunks(PAGE)
+        .enumerate()
+        .filter(|(_, page)| page.iter().any(|byte| *byte != 0));
+    let within = used
+        .flat_map(|(number, _)| [0, 1, 2, 3, 4, 9, 40, 700, PAGE - 1].map(|at| number * PAGE + at));
+    let within: Vec<usize> = within
+        .filter(|at| *at >= HEADER && *at < bytes.len())
+        .collect();
+    let step = (within.len()
+        / if all {
+            10 * SPOILT_PLACES
+        } else {
+            SPOILT_PLACES
+        })
+    .max(1);
+    let (first_root, root_step) = if all {
+        (ROOTS, 1)
+    } else {
+        (ROOTS + usize::from(mask % 6), 6)
+    };
     let roots = (first_root..HEADER).step_by(root_step);
-    (0..ROOTS).step_by(if all { 1 } else { 2 }).chain(roots).chain(within.into_iter().step_by(step)).collect()
+    (0..ROOTS)
+        .step_by(if all { 1 } else { 2 })
+        .chain(roots)
+        .chain(within.into_iter().step_by(step))
+        .collect()
 }
 
 fn spoilt(bytes: &[u8], place: usize, mask: u8) -> Vec<u8> {
@@ -183,12 +236,20 @@
     for mask in [0x01, 0xff] {
         for place in places(&written.closed, mask) {
             let path = folder.put("core.redb", &spoilt(&written.closed, place, mask));
-            let found = open_core(&folder, &path, &written, &format!("byte {place} ^ {mask:#x}"));
+            let found = open_core(
+                &folder,
+                &path,
+                &written,
+                &format!("byte {place} ^ {mask:#x}"),
+            );
             assert_ne!(found, Found::AllButLast, "byte {place} ^ {mask:#x}");
             set_aside += usize::from(found == Found::SetAside);
         }
     }
-    assert!(set_aside > 60, "only {set_aside} were set aside: the places say nothing");
+    assert!(
+        set_aside > 60,
+        "only {set_aside} were set aside: the places say nothing"
+    );
 }
 
 /// A process that was killed leaves the last commit as a loss of power within it might: a byte of that commit alone
@@ -203,7 +264,10 @@
         let found = open_core(&folder, &path, &written, &format!("byte {place}"));
         set_aside += usize::from(found == Found::SetAside);
     }
-    assert!(set_aside > 10, "only {set_aside} were set aside: the places say nothing");
+    assert!(
+        set_aside > 10,
+        "only {set_aside} were set aside: the places say nothing"
+    );
 }
 
 fn turn(number: u64, bytes: usize) -> Turn {
@@ -233,8 +297,11 @@
 }
 
 fn open_turns(folder: &Folder, path: &Path, disk: u64, what: &str) -> Found {
-    let (turns, identity, entries) = TurnDisk::open(path).unwrap_or_else(|error| panic!("{what}: {error:#}"));
-    turns.put(&[turn(99, 10)]).unwrap_or_else(|error| panic!("{what}: {error:#}"));
+    let (turns, identity, entries) =
+        TurnDisk::open(path).unwrap_or_else(|error| panic!("{what}: {error:#}"));
+    turns
+        .put(&[turn(99, 10)])
+        .unwrap_or_else(|error| panic!("{what}: {error:#}"));
     if identity.disk != disk {
         assert!(identity.fresh && entries.is_empty(), "{what}");
         assert_eq!(folder.names(), ["turns.redb", "turns.unreadable"], "{what}");
@@ -242,7 +309,9 @@
     }
     assert_eq!(entries.len(), 60, "{what}");
     for number in 0..60 {
-        let found = turns.get(&format!("turn-{number}")).unwrap_or_else(|error| panic!("{what}: {error:#}"));
+        let found = turns
+            .get(&format!("turn-{number}"))
+            .unwrap_or_else(|error| panic!("{what}: {error:#}"));
         assert_eq!(found, Some(turn(number, 5_000)), "{what}");
     }
     // The last commit was the mark alone.
@@ -278,7 +347,10 @@
             set_aside += usize::from(found == Found::SetAside);
         }
     }
-    assert!(set_aside > 40, "only {set_aside} were set aside: the places say nothing");
+    assert!(
+        set_aside > 40,
+        "only {set_aside} were set aside: the places say nothing"
+    );
 }
 
 #[test]
@@ -286,7 +358,10 @@
     let folder = Folder::new("bound");
     let path = folder.put("core.redb", b"the first");
     let (_, first, _) = CoreDisk::open(&path).expect("it is made anew");
-    assert_eq!(fs::read(folder.file("core.unreadable")).expect("it is kept"), b"the first");
+    assert_eq!(
+        fs::read(folder.file("core.unreadable")).expect("it is kept"),
+        b"the first"
+    );
     fs::write(&path, vec![9; MOST_ASIDE_BYTES as usize * 3]).expect("a large file");
     let (_, second, _) = CoreDisk::open(&path).expect("it is made anew");
     assert!(second.fresh && second.disk != first.disk);
@@ -327,11 +402,18 @@
     {
         let values: TableDefinition<&str, &[u8]> = TableDefinition::new("values");
         let mut values = write.open_table(values).expect("the table");
-        values.insert("format", [77].as_slice()).expect("another format");
+        values
+            .insert("format", [77].as_slice())
+            .expect("another format");
     }
     write.commit().expect("it is written");
     drop(database);
-    let Err(error) = CoreDisk::open(&path) else { panic!("it opens") };
-    assert!(format!("{error:#}").contains("format Some(77) is not 2"), "{error:#}");
+    let Err(error) = CoreDisk::open(&path) else {
+        panic!("it opens")
+    };
+    assert!(
+        format!("{error:#}").contains("format Some(77) is not 2"),
+        "{error:#}"
+    );
     assert_eq!(folder.names(), ["core.redb"]);
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -21,7 +21,8 @@
 }
 
 fn decode<T: DeserializeOwned>(bytes: &[u8], what: &str) -> Result<T, String> {
-    postcard::from_bytes(bytes).map_err(|e| format!("{what} can't be read ({e}); move the file away"))
+    postcard::from_bytes(bytes)
+        .map_err(|e| format!("{what} can't be read ({e}); move the file away"))
 }
 
 impl Store {
@@ -57,11 +58,17 @@
                         ));
                     }
                     if (f.as_str(), n.as_str()) != (fleet, name) {
-                        return Err(format!("is the store of {n} in fleet {f}, not of {name} in {fleet}"));
+                        return Err(format!(
+                            "is the store of {n} in fleet {f}, not of {name} in {fleet}"
+                        ));
                     }
                 }
             }
-            let get = |key: &str| head.get(key).map_err(text).map(|v| v.map(|v| v.value().to_vec()));
+            let get = |key: &str| {
+                head.get(key)
+                    .map_err(text)
+                    .map(|v| v.map(|v| v.value().to_vec()))
+            };
             if let Some(bytes) = get("meta")? {
                 saved.meta = decode::<Meta>(&bytes, "its head")?;
             }
@@ -101,8 +108,9 @@
                 }
                 log.retain(|_, _| false).map_err(text)?;
             }
-            let mut put =
-                |key: &str, value: Vec<u8>| head.insert(key, value.as_slice()).map(|_| ()).map_err(text);
+            let mut put = |key: &str, value: Vec<u8>| {
+                head.insert(key, value.as_slice()).map(|_| ()).map_err(text)
+            };
             if let Some(meta) = &batch.meta {
                 put("meta", bytes(meta)?)?;
             }
@@ -117,7 +125,8 @@
                 log.retain_in(first.index.., |_, _| false).map_err(text)?;
             }
             for entry in &batch.entries {
-                log.insert(entry.index, bytes(entry)?.as_slice()).map_err(text)?;
+                log.insert(entry.index, bytes(entry)?.as_slice())
+                    .map_err(text)?;
             }
         }
         write.commit().map_err(text)
@@ -133,13 +142,20 @@
     use super::*;
 
     fn dir(name: &str) -> std::path::PathBuf {
-        let dir = std::env::temp_dir().join(format!("dunespur-store-{}-{name}", std::process::id()));
+        let dir =
+            std::env::temp_dir().join(format!("dunespur-store-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
         dir
     }
 
     fn entry(index: u64, term: u64) -> Entry {
-        Entry { kind: 0, term, index, data: vec![index as u8; 9], context: vec![] }
+        Entry {
+            kind: 0,
+            term,
+            index,
+            data: vec![index as u8; 9],
+            context: vec![],
+        }
     }
 
     /// What the file holds after any row of writes is what the plain form in memory holds.
@@ -148,25 +164,48 @@
         let dir = dir("holds");
         let path = dir.join("voter.redb");
         let mut plain = Saved::default();
-        let snap = Snap { index: 2, term: 1, ..Default::default() };
+        let snap = Snap {
+            index: 2,
+            term: 1,
+            ..Default::default()
+        };
         let batches = [
             Batch {
                 number: 1,
-                meta: Some(Meta { disk: 7, starts: 1, ..Default::default() }),
+                meta: Some(Meta {
+                    disk: 7,
+                    starts: 1,
+                    ..Default::default()
+                }),
+                ..Default::default()
+            },
+            Batch {
+                number: 2,
+                entries: vec![entry(1, 1), entry(2, 1), entry(3, 1)],
                 ..Default::default()
             },
-            Batch { number: 2, entries: vec![entry(1, 1), entry(2, 1), entry(3, 1)], ..Default::default() },
             Batch {
                 number: 3,
                 entries: vec![entry(3, 2)],
-                hard: Some(Hard { term: 2, vote: 7, commit: 1 }),
+                hard: Some(Hard {
+                    term: 2,
+                    vote: 7,
+                    commit: 1,
+                }),
+                ..Default::default()
+            },
+            Batch {
+                number: 4,
+                snap: Some(snap),
                 ..Default::default()
             },
-            Batch { number: 4, snap: Some(snap), ..Default::default() },
             Batch {
                 number: 5,
                 wipe: true,
-                meta: Some(Meta { disk: 8, ..Default::default() }),
+                meta: Some(Meta {
+                    disk: 8,
+                    ..Default::default()
+                }),
                 ..Default::default()
             },
         ];
@@ -188,8 +227,14 @@
         let (store, _) = Store::open(&path, "f", "n1").unwrap();
         assert!(Store::open(&path, "f", "n1").is_err(), "it is open already");
         drop(store);
-        assert!(Store::open(&path, "g", "n1").err().unwrap().contains("not of n1 in g"));
-        assert!(Store::open(&path, "f", "n2").err().unwrap().contains("not of n2 in f"));
+        assert!(Store::open(&path, "g", "n1")
+            .err()
+            .unwrap()
+            .contains("not of n1 in g"));
+        assert!(Store::open(&path, "f", "n2")
+            .err()
+            .unwrap()
+            .contains("not of n2 in f"));
         std::fs::write(&path, b"something else altogether, and longer than nothing").unwrap();
         assert!(Store::open(&path, "f", "n1").is_err());
         std::fs::remove_dir_all(dir).unwrap();
--- a/crates/turns/src/commit.rs
+++ b/crates/turns/src/commit.rs
@@ -16,7 +16,10 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Waiter {
     /// A caller, to be told that its turns are kept; with the home that this store stands in for.
-    Caller { caller: CallerId, hint: Option<String> },
+    Caller {
+        caller: CallerId,
+        hint: Option<String>,
+    },
     /// The pull that fetched the turns.
     Pull { pass: u64 },
     /// The completion of a chain that lacked this turn.
@@ -61,7 +64,11 @@
             return Err(Refusal::Busy);
         }
         self.waiting_bytes += bytes;
-        self.waiting.push_back(Entry { turns, bytes, waiter });
+        self.waiting.push_back(Entry {
+            turns,
+            bytes,
+            waiter,
+        });
         Ok(())
     }
 
@@ -85,11 +92,14 @@
     }
 
     fn start(&mut self, entry: Entry, turns: &mut Vec<Turn>) {
-        let committed = entry
-            .turns
-            .iter()
-            .map(|held| CommittedTurn { header: held.turn.header(), remaining_ms: held.remaining_ms });
-        self.under_way.push(Committed { turns: committed.collect(), waiter: entry.waiter });
+        let committed = entry.turns.iter().map(|held| CommittedTurn {
+            header: held.turn.header(),
+            remaining_ms: held.remaining_ms,
+        });
+        self.under_way.push(Committed {
+            turns: committed.collect(),
+            waiter: entry.waiter,
+        });
         turns.extend(entry.turns.into_iter().map(|held| held.turn));
     }
 
--- a/crates/turns/src/complete.rs
+++ b/crates/turns/src/complete.rs
@@ -87,7 +87,14 @@
     fn add(&mut self, id: &str, mut sources: Vec<String>) {
         self.given_up.remove(id);
         sources.reverse();
-        self.wants.insert(id.to_owned(), Want { state: WantState::Ready, sources, parked: Vec::new() });
+        self.wants.insert(
+            id.to_owned(),
+            Want {
+                state: WantState::Ready,
+                sources,
+                parked: Vec::new(),
+            },
+        );
     }
 
     /// Nothing is looked for.
@@ -103,7 +110,11 @@
 
     /// The next question to be sent.
     pub fn next_ask(&mut self) -> Option<WantAsk> {
-        let under_way = self.wants.values().filter(|want| want.state == WantState::Asked).count();
+        let under_way = self
+            .wants
+            .values()
+            .filter(|want| want.state == WantState::Asked)
+            .count();
         if under_way >= ASKS_BOUND {
             return None;
         }
@@ -113,7 +124,10 @@
             .find(|(_, want)| want.state == WantState::Ready && !want.sources.is_empty())?;
         let store = want.sources.pop()?;
         want.state = WantState::Asked;
-        Some(WantAsk { store, id: id.clone() })
+        Some(WantAsk {
+            store,
+            id: id.clone(),
+        })
     }
 
     /// A search that has no store left to ask; the puts that waited for it are handed back.
@@ -125,7 +139,8 @@
             .map(|(id, _)| id.clone())?;
         let want = self.wants.remove(&id)?;
         self.given_up.retain(|_, until| *until > now_ms);
-        self.given_up.insert(id, now_ms.saturating_add(LOOK_AGAIN_MS));
+        self.given_up
+            .insert(id, now_ms.saturating_add(LOOK_AGAIN_MS));
         Some(want.parked)
     }
 
@@ -147,7 +162,10 @@
     /// It is on the disk, by whichever way: the puts that waited may go on.
     pub fn is_here(&mut self, id: &str) -> Vec<ParkedPut> {
         self.given_up.remove(id);
-        self.wants.remove(id).map(|want| want.parked).unwrap_or_default()
+        self.wants
+            .remove(id)
+            .map(|want| want.parked)
+            .unwrap_or_default()
     }
 
     fn change(&mut self, id: &str, from: WantState, to: WantState) {
