--- a/crates/turns/src/handoff.rs
+++ b/crates/turns/src/handoff.rs
@@ -65,14 +65,22 @@
             bytes += id.len();
             room
         };
-        self.ids.iter().take(PAGE_IDS).take_while(fits).cloned().collect()
+        self.ids
+            .iter()
+            .take(PAGE_IDS)
+            .take_while(fits)
+            .cloned()
+            .collect()
     }
 }
 
 /// Where the emptying of this store stands with one of the new homes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum EmptyingState {
-    Waiting { after: Option<String>, not_before_ms: u64 },
+    Waiting {
+        after: Option<String>,
+        not_before_ms: u64,
+    },
     Done,
 }
 
@@ -128,8 +136,10 @@
         }
         // No room to note it: everything is offered again.
         if let Some(state) = self.emptying.as_mut().and_then(|peers| peers.get_mut(home)) {
-            *state =
-                EmptyingState::Waiting { after: None, not_before_ms: now_ms.saturating_add(RETIRE_REST_MS) };
+            *state = EmptyingState::Waiting {
+                after: None,
+                not_before_ms: now_ms.saturating_add(RETIRE_REST_MS),
+            };
         }
     }
 
@@ -144,8 +154,16 @@
     /// Begins to empty this store into these; anew if it was under way.
     pub fn begin_emptying(&mut self, peers: impl IntoIterator<Item = String>, now_ms: u64) {
         let not_before_ms = now_ms.saturating_add(RETIRE_REST_MS);
-        let waiting = EmptyingState::Waiting { after: None, not_before_ms };
-        self.emptying = Some(peers.into_iter().map(|peer| (peer, waiting.clone())).collect());
+        let waiting = EmptyingState::Waiting {
+            after: None,
+            not_before_ms,
+        };
+        self.emptying = Some(
+            peers
+                .into_iter()
+                .map(|peer| (peer, waiting.clone()))
+                .collect(),
+        );
         self.delivery = None;
     }
 
@@ -161,7 +179,9 @@
         let has_all = |(peer, state): (&String, &EmptyingState)| {
             *state == EmptyingState::Done && !self.hints.contains_key(peer)
         };
-        self.emptying.as_ref().is_some_and(|peers| !peers.is_empty() && peers.iter().all(has_all))
+        self.emptying
+            .as_ref()
+            .is_some_and(|peers| !peers.is_empty() && peers.iter().all(has_all))
     }
 
     /// The number of the delivery under way, for its questions and reads.
@@ -174,11 +194,19 @@
         if self.delivery.is_some() {
             return None;
         }
-        let hints = self.hints.iter().filter(|(home, _)| present(home)).map(|(_, hints)| hints.not_before_ms);
-        let emptying = self.emptying.iter().flatten().filter_map(|(_, state)| match state {
-            EmptyingState::Waiting { not_before_ms, .. } => Some(*not_before_ms),
-            EmptyingState::Done => None,
-        });
+        let hints = self
+            .hints
+            .iter()
+            .filter(|(home, _)| present(home))
+            .map(|(_, hints)| hints.not_before_ms);
+        let emptying = self
+            .emptying
+            .iter()
+            .flatten()
+            .filter_map(|(_, state)| match state {
+                EmptyingState::Waiting { not_before_ms, .. } => Some(*not_before_ms),
+                EmptyingState::Done => None,
+            });
         hints.chain(emptying).min()
     }
 
@@ -203,9 +231,13 @@
                 self.finish();
                 continue;
             }
-            let delivery =
-                self.next_emptying(index, placement, now_ms).or_else(|| self.next_hints(&present, now_ms))?;
-            let offer = DeliveryStep::Offer { peer: delivery.peer.clone(), ids: delivery.offered.clone() };
+            let delivery = self
+                .next_emptying(index, placement, now_ms)
+                .or_else(|| self.next_hints(&present, now_ms))?;
+            let offer = DeliveryStep::Offer {
+                peer: delivery.peer.clone(),
+                ids: delivery.offered.clone(),
+            };
             let nothing_to_offer = delivery.offered.is_empty();
             self.delivery = Some(delivery);
             self.serial += 1;
@@ -217,21 +249,37 @@
         }
     }
 
-    fn next_emptying(&self, index: &Index, placement: Placement<'_>, now_ms: u64) -> Option<Delivery> {
-        let (peer, after) = self.emptying.iter().flatten().find_map(|(peer, state)| match state {
-            EmptyingState::Waiting { after, not_before_ms } if *not_before_ms <= now_ms => {
-                Some((peer, after.as_deref()))
-            }
-            _ => None,
-        })?;
+    fn next_emptying(
+        &self,
+        index: &Index,
+        placement: Placement<'_>,
+        now_ms: u64,
+    ) -> Option<Delivery> {
+        let (peer, after) =
+            self.emptying
+                .iter()
+                .flatten()
+                .find_map(|(peer, state)| match state {
+                    EmptyingState::Waiting {
+                        after,
+                        not_before_ms,
+                    } if *not_before_ms <= now_ms => Some((peer, after.as_deref())),
+                    _ => None,
+                })?;
         let page = index.missing_at(peer, placement.candidates, placement.copies, after, now_ms);
         let offered = page.turns.into_iter().map(|listed| listed.id).collect();
-        Some(Delivery::new(peer, Source::Everything { next: page.next }, offered))
+        Some(Delivery::new(
+            peer,
+            Source::Everything { next: page.next },
+            offered,
+        ))
     }
 
     fn next_hints(&self, present: &impl Fn(&str) -> bool, now_ms: u64) -> Option<Delivery> {
-        let (home, hints) =
-            self.hints.iter().find(|(home, hints)| present(home) && hints.not_before_ms <= now_ms)?;
+        let (home, hints) = self
+            .hints
+            .iter()
+            .find(|(home, hints)| present(home) && hints.not_before_ms <= now_ms)?;
         Some(Delivery::new(home, Source::Hints, hints.page()))
     }
 
@@ -273,7 +321,10 @@
                 }
             }
             Source::Everything { .. } => {
-                let state = self.emptying.as_mut().and_then(|peers| peers.get_mut(&delivery.peer));
+                let state = self
+                    .emptying
+                    .as_mut()
+                    .and_then(|peers| peers.get_mut(&delivery.peer));
                 if let Some(EmptyingState::Waiting { not_before_ms, .. }) = state {
                     *not_before_ms = again_at;
                 }
@@ -309,7 +360,10 @@
             return;
         };
         *state = match next {
-            Some(next) => EmptyingState::Waiting { after: Some(next), not_before_ms: 0 },
+            Some(next) => EmptyingState::Waiting {
+                after: Some(next),
+                not_before_ms: 0,
+            },
             None => EmptyingState::Done,
         };
     }
@@ -318,13 +372,21 @@
         if serial != self.serial {
             return None;
         }
-        self.delivery.as_mut().filter(|delivery| delivery.step == step)
+        self.delivery
+            .as_mut()
+            .filter(|delivery| delivery.step == step)
     }
 }
 
 impl Delivery {
     fn new(peer: &str, source: Source, offered: Vec<String>) -> Self {
-        Self { peer: peer.to_owned(), source, offered, lacking: Vec::new(), step: Step::Offering }
+        Self {
+            peer: peer.to_owned(),
+            source,
+            offered,
+            lacking: Vec::new(),
+            step: Step::Offering,
+        }
     }
 
     /// As many lacking turns as one message may carry.
--- a/crates/turns/src/index.rs
+++ b/crates/turns/src/index.rs
@@ -86,10 +86,18 @@
         if self.records.contains_key(&id) {
             return self.extend(&id, expires_at_ms);
         }
-        let previous = header.previous.as_deref().map(|previous| self.shared_id(previous));
+        let previous = header
+            .previous
+            .as_deref()
+            .map(|previous| self.shared_id(previous));
         let program = self.shared_program(&header.program);
         self.bytes += header.size;
-        let record = Record { previous: previous.clone(), program, size: header.size, expires_at_ms };
+        let record = Record {
+            previous: previous.clone(),
+            program,
+            size: header.size,
+            expires_at_ms,
+        };
         self.records.insert(id, record);
         if let Some(previous) = previous {
             self.extend(&previous, expires_at_ms);
@@ -140,7 +148,9 @@
 
     /// How long a turn is still kept.
     pub fn remaining_ms(&self, id: &str, now_ms: u64) -> Option<u64> {
-        self.records.get(id).map(|record| record.expires_at_ms.saturating_sub(now_ms))
+        self.records
+            .get(id)
+            .map(|record| record.expires_at_ms.saturating_sub(now_ms))
     }
 
     /// What a turn takes.
@@ -169,7 +179,11 @@
         if record.expires_at_ms <= now_ms {
             return None;
         }
-        let mut chain = HeldChain { ids: vec![first.clone()], missing: record.previous.clone(), more: false };
+        let mut chain = HeldChain {
+            ids: vec![first.clone()],
+            missing: record.previous.clone(),
+            more: false,
+        };
         let mut bytes = record.size;
         while let Some(older) = chain.missing.clone() {
             let Some(record) = self.records.get(&older) else {
@@ -210,7 +224,8 @@
 
     /// Forgets the turns past their time; they are to be deleted from the disk.
     pub fn expire(&mut self, now_ms: u64) -> Vec<String> {
-        self.dangling.retain(|_, expires_at_ms| *expires_at_ms > now_ms);
+        self.dangling
+            .retain(|_, expires_at_ms| *expires_at_ms > now_ms);
         let gone: Vec<Arc<str>> = self
             .records
             .iter()
@@ -221,7 +236,8 @@
             self.forget(id);
         }
         if !gone.is_empty() {
-            self.programs.retain(|program| Arc::strong_count(program) > 1);
+            self.programs
+                .retain(|program| Arc::strong_count(program) > 1);
         }
         gone.iter().map(|id| id.to_string()).collect()
     }
@@ -244,13 +260,24 @@
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut page = Page::default();
         let mut id_bytes = 0;
-        for (scanned, (id, record)) in self.records.range::<str, _>((start, Bound::Unbounded)).enumerate() {
-            if record.expires_at_ms > now_ms && placement::is_home(&record.program, store, candidates, copies)
+        for (scanned, (id, record)) in self
+            .records
+            .range::<str, _>((start, Bound::Unbounded))
+            .enumerate()
+        {
+            if record.expires_at_ms > now_ms
+                && placement::is_home(&record.program, store, candidates, copies)
             {
-                page.turns.push(ListedTurn { id: id.to_string(), size: record.size });
+                page.turns.push(ListedTurn {
+                    id: id.to_string(),
+                    size: record.size,
+                });
                 id_bytes += id.len();
             }
-            if page.turns.len() >= PAGE_IDS || id_bytes >= PAGE_ID_BYTES || scanned + 1 >= SCAN_BOUND {
+            if page.turns.len() >= PAGE_IDS
+                || id_bytes >= PAGE_ID_BYTES
+                || scanned + 1 >= SCAN_BOUND
+            {
                 page.next = Some(id.to_string());
                 break;
             }
@@ -277,7 +304,10 @@
 
 fn term_after_start(entry: &IndexEntry, wall_ms: u64) -> u64 {
     let full = entry.full_term_ms();
-    let ends_at = entry.ended_at_ms.saturating_add(full).saturating_add(CLOCK_STEP_BOUND_MS);
+    let ends_at = entry
+        .ended_at_ms
+        .saturating_add(full)
+        .saturating_add(CLOCK_STEP_BOUND_MS);
     let least = LEAST_TERM_AFTER_START_MS.min(full);
     ends_at.saturating_sub(wall_ms).clamp(least, full)
 }
--- a/crates/turns/src/message.rs
+++ b/crates/turns/src/message.rs
@@ -25,9 +25,17 @@
     /// The chain that ends in this turn.
     Chain { id: String },
     /// The ids that store `home` should hold, were the candidates all the stores there are.
-    List { home: String, candidates: Vec<Candidate>, copies: usize, after: Option<String> },
+    List {
+        home: String,
+        candidates: Vec<Candidate>,
+        copies: usize,
+        after: Option<String>,
+    },
     /// These turns; with their ancestors, as far as there is room.
-    Fetch { ids: Vec<String>, with_ancestors: bool },
+    Fetch {
+        ids: Vec<String>,
+        with_ancestors: bool,
+    },
     /// Which of these does the store lack?
     Offer { ids: Vec<String> },
     /// Keep these turns, handed over by another store.
@@ -43,11 +51,18 @@
     Refused(Refusal),
     /// Part of a chain, oldest first, its last turn the one asked for. `missing` is the next older turn; the
     /// store holds it too if `more` is set.
-    Found { turns: Vec<Turn>, missing: Option<String>, more: bool },
+    Found {
+        turns: Vec<Turn>,
+        missing: Option<String>,
+        more: bool,
+    },
     /// Not held. `whole`: the store holds all it ever should. `knows`: the stores it knows, itself included.
     Unknown { whole: bool, knows: Vec<String> },
     /// A page of a listing, by rising id; `next` is where the following page goes on, none after the last.
-    Listed { turns: Vec<ListedTurn>, next: Option<String> },
+    Listed {
+        turns: Vec<ListedTurn>,
+        next: Option<String>,
+    },
     /// What is held of the turns asked for.
     Fetched { turns: Vec<HeldTurn> },
     /// What is not held of the turns offered.
--- a/crates/turns/src/node/commits.rs
+++ b/crates/turns/src/node/commits.rs
@@ -24,7 +24,8 @@
 
     pub(super) fn committed(&mut self, entry: Committed, now_ms: u64) {
         for turn in &entry.turns {
-            self.index.insert(&turn.header, now_ms.saturating_add(turn.remaining_ms));
+            self.index
+                .insert(&turn.header, now_ms.saturating_add(turn.remaining_ms));
             self.owe(&turn.header, now_ms);
             for put in self.completions.is_here(&turn.header.id) {
                 self.go_on_with(put, now_ms);
--- a/crates/turns/src/node/deliveries.rs
+++ b/crates/turns/src/node/deliveries.rs
@@ -5,7 +5,12 @@
 use crate::message::{StoreReply, StoreRequest};
 
 impl StoreNode {
-    pub(super) fn delivery_answered(&mut self, serial: u64, reply: Option<StoreReply>, now_ms: u64) {
+    pub(super) fn delivery_answered(
+        &mut self,
+        serial: u64,
+        reply: Option<StoreReply>,
+        now_ms: u64,
+    ) {
         match reply {
             Some(StoreReply::Lacks { ids }) => self.deliveries.lacks(serial, ids),
             Some(StoreReply::Kept) => self.deliveries.handed_over(serial),
@@ -21,23 +26,44 @@
             return;
         };
         let turns = self.with_time_left(turns, now_ms);
-        self.ask(peer, AskPurpose::Delivery { serial }, StoreRequest::Handoff { turns }, now_ms);
+        self.ask(
+            peer,
+            AskPurpose::Delivery { serial },
+            StoreRequest::Handoff { turns },
+            now_ms,
+        );
     }
 
     pub(super) fn deliver(&mut self, now_ms: u64) {
         let stores = &self.stores;
-        let present =
-            |name: &str| stores.iter().any(|store| store.name == name && store.present && !store.retired);
-        let placement = Placement { candidates: &self.candidates, copies: self.settings.copies };
-        let Some(step) = self.deliveries.next_step(&self.index, placement, present, now_ms) else {
+        let present = |name: &str| {
+            stores
+                .iter()
+                .any(|store| store.name == name && store.present && !store.retired)
+        };
+        let placement = Placement {
+            candidates: &self.candidates,
+            copies: self.settings.copies,
+        };
+        let Some(step) = self
+            .deliveries
+            .next_step(&self.index, placement, present, now_ms)
+        else {
             return;
         };
         let serial = self.deliveries.serial();
         match step {
             DeliveryStep::Offer { peer, ids } => {
-                self.ask(peer, AskPurpose::Delivery { serial }, StoreRequest::Offer { ids }, now_ms);
+                self.ask(
+                    peer,
+                    AskPurpose::Delivery { serial },
+                    StoreRequest::Offer { ids },
+                    now_ms,
+                );
+            }
+            DeliveryStep::Read { ids } => {
+                self.work(JobPurpose::Delivery { serial }, DiskWork::Get(ids))
             }
-            DeliveryStep::Read { ids } => self.work(JobPurpose::Delivery { serial }, DiskWork::Get(ids)),
         }
     }
 }
--- a/crates/turns/src/node/interface.rs
+++ b/crates/turns/src/node/interface.rs
@@ -44,7 +44,11 @@
     /// Answer a caller.
     Reply { caller: CallerId, reply: StoreReply },
     /// Ask another store; its answer goes to [`StoreNode::peer_answered`].
-    Ask { ask: AskId, store: String, request: StoreRequest },
+    Ask {
+        ask: AskId,
+        store: String,
+        request: StoreRequest,
+    },
     /// Work for the disk; its completion goes to [`StoreNode::disk_done`].
     Disk { job: JobId, work: DiskWork },
     /// Tell the core.
--- a/crates/turns/src/node/mod.rs
+++ b/crates/turns/src/node/mod.rs
@@ -62,9 +62,19 @@
 #[derive(Debug)]
 enum JobPurpose {
     Commit,
-    Chain { caller: CallerId, bytes: u64, missing: Option<String>, more: bool },
-    Fetch { caller: CallerId, bytes: u64 },
-    Delivery { serial: u64 },
+    Chain {
+        caller: CallerId,
+        bytes: u64,
+        missing: Option<String>,
+        more: bool,
+    },
+    Fetch {
+        caller: CallerId,
+        bytes: u64,
+    },
+    Delivery {
+        serial: u64,
+    },
     Removal,
     MarkWhole,
 }
@@ -120,7 +130,11 @@
         now_ms: u64,
         guards: Guards,
     ) -> Self {
-        let wholeness = if disk.fresh { Wholeness::Joining } else { Wholeness::Whole };
+        let wholeness = if disk.fresh {
+            Wholeness::Joining
+        } else {
+            Wholeness::Whole
+        };
         Self {
             settings,
             guards,
@@ -187,7 +201,8 @@
         self.note_absences(now_ms);
         self.note_registration();
         let stores = &self.stores;
-        self.guests.retain(|guest| !stores.iter().any(|store| store.name == *guest));
+        self.guests
+            .retain(|guest| !stores.iter().any(|store| store.name == *guest));
         let moved = self.place_anew(now_ms) || places_differ(&before, &self.stores);
         self.note_service(now_ms);
         if moved {
@@ -204,14 +219,33 @@
         match request {
             StoreRequest::Put { turn, hint } => self.put(caller, turn, hint, now_ms),
             StoreRequest::Chain { id } => self.chain(caller, &id, now_ms),
-            StoreRequest::List { home, candidates, copies, after } => {
+            StoreRequest::List {
+                home,
+                candidates,
+                copies,
+                after,
+            } => {
                 self.meet(&home);
-                let page = self.index.missing_at(&home, &candidates, copies, after.as_deref(), now_ms);
-                self.reply(caller, StoreReply::Listed { turns: page.turns, next: page.next });
+                let page =
+                    self.index
+                        .missing_at(&home, &candidates, copies, after.as_deref(), now_ms);
+                self.reply(
+                    caller,
+                    StoreReply::Listed {
+                        turns: page.turns,
+                        next: page.next,
+                    },
+                );
             }
-            StoreRequest::Fetch { ids, with_ancestors } => self.fetch(caller, &ids, with_ancestors, now_ms),
+            StoreRequest::Fetch {
+                ids,
+                with_ancestors,
+            } => self.fetch(caller, &ids, with_ancestors, now_ms),
             StoreRequest::Offer { ids } => {
-                let lacking = ids.into_iter().filter(|id| !self.index.contains(id)).collect();
+                let lacking = ids
+                    .into_iter()
+                    .filter(|id| !self.index.contains(id))
+                    .collect();
                 self.reply(caller, StoreReply::Lacks { ids: lacking });
             }
             StoreRequest::Handoff { turns } => self.take_over(caller, turns, now_ms),
@@ -242,7 +276,12 @@
         };
         match purpose {
             JobPurpose::Commit => self.commit_done(outcome != DiskOutcome::Failed, now_ms),
-            JobPurpose::Chain { caller, bytes, missing, more } => {
+            JobPurpose::Chain {
+                caller,
+                bytes,
+                missing,
+                more,
+            } => {
                 self.reading_bytes -= bytes;
                 self.chain_read(caller, missing, more, outcome);
             }
@@ -271,7 +310,11 @@
     /// When [`Self::tick`] has to be called.
     pub fn next_due(&self) -> u64 {
         let settles = self.wholeness == Wholeness::Filling && self.is_filled();
-        let placed = |name: &str| self.candidates.iter().any(|candidate| candidate.name == name);
+        let placed = |name: &str| {
+            self.candidates
+                .iter()
+                .any(|candidate| candidate.name == name)
+        };
         let absences = self.absent_since.iter().filter(|(name, _)| placed(name));
         self.asks
             .values()
@@ -302,13 +345,28 @@
     fn ask(&mut self, store: String, purpose: AskPurpose, request: StoreRequest, now_ms: u64) {
         let ask = self.number();
         let give_up_at_ms = now_ms.saturating_add(ASK_TIMEOUT_MS);
-        self.asks.insert(ask, OpenAsk { purpose, store: store.clone(), give_up_at_ms });
-        self.effects.push_back(Effect::Ask { ask, store, request });
+        self.asks.insert(
+            ask,
+            OpenAsk {
+                purpose,
+                store: store.clone(),
+                give_up_at_ms,
+            },
+        );
+        self.effects.push_back(Effect::Ask {
+            ask,
+            store,
+            request,
+        });
     }
 
     fn end_late_asks(&mut self, now_ms: u64) {
-        let late: Vec<AskId> =
-            self.asks.iter().filter(|(_, open)| open.give_up_at_ms <= now_ms).map(|(ask, _)| *ask).collect();
+        let late: Vec<AskId> = self
+            .asks
+            .iter()
+            .filter(|(_, open)| open.give_up_at_ms <= now_ms)
+            .map(|(ask, _)| *ask)
+            .collect();
         for ask in late {
             self.peer_answered(ask, None, now_ms);
         }
--- a/crates/turns/src/node/pulls.rs
+++ b/crates/turns/src/node/pulls.rs
@@ -16,7 +16,11 @@
             }
         }
         let came: Vec<String> = peers(&self.stores, &self.settings.name)
-            .filter(|peer| !before.iter().any(|old| old.name == peer.name && old.present))
+            .filter(|peer| {
+                !before
+                    .iter()
+                    .any(|old| old.name == peer.name && old.present)
+            })
             .map(|peer| peer.name.clone())
             .collect();
         for peer in came {
@@ -25,8 +29,9 @@
     }
 
     pub(super) fn pull_from_all(&mut self, now_ms: u64) {
-        let peers: Vec<String> =
-            peers(&self.stores, &self.settings.name).map(|peer| peer.name.clone()).collect();
+        let peers: Vec<String> = peers(&self.stores, &self.settings.name)
+            .map(|peer| peer.name.clone())
+            .collect();
         self.repair.begin(peers, now_ms);
     }
 
@@ -43,7 +48,10 @@
     /// The other present stores, the program's homes first.
     pub(super) fn likely_holders(&self, program: &str) -> Vec<String> {
         let peers: Vec<&Store> = peers(&self.stores, &self.settings.name).collect();
-        placement::order_of(program, &peers).into_iter().map(|store| store.name.clone()).collect()
+        placement::order_of(program, &peers)
+            .into_iter()
+            .map(|store| store.name.clone())
+            .collect()
     }
 
     pub(super) fn pull_answered(&mut self, store: &str, reply: Option<StoreReply>, now_ms: u64) {
@@ -55,7 +63,13 @@
             Some(StoreReply::Fetched { turns }) => {
                 let turns = self.repair.fetched(turns);
                 if !turns.is_empty() {
-                    self.commit(turns, Waiter::Pull { pass: self.repair.pass() }, now_ms);
+                    self.commit(
+                        turns,
+                        Waiter::Pull {
+                            pass: self.repair.pass(),
+                        },
+                        now_ms,
+                    );
                 }
             }
             _ => self.repair.failed(now_ms),
@@ -78,7 +92,10 @@
             self.want_dangling(now_ms);
         }
         while let Some(ask) = self.completions.next_ask() {
-            let request = StoreRequest::Fetch { ids: vec![ask.id.clone()], with_ancestors: true };
+            let request = StoreRequest::Fetch {
+                ids: vec![ask.id.clone()],
+                with_ancestors: true,
+            };
             self.ask(ask.store, AskPurpose::Want { id: ask.id }, request, now_ms);
         }
         while let Some(parked) = self.completions.next_given_up(now_ms) {
@@ -89,8 +106,9 @@
     }
 
     pub(super) fn want_dangling(&mut self, now_ms: u64) {
-        let sources: Vec<String> =
-            peers(&self.stores, &self.settings.name).map(|peer| peer.name.clone()).collect();
+        let sources: Vec<String> = peers(&self.stores, &self.settings.name)
+            .map(|peer| peer.name.clone())
+            .collect();
         if sources.is_empty() {
             return;
         }
@@ -101,7 +119,9 @@
 
     pub(super) fn pull(&mut self, now_ms: u64) {
         while let Some(ask) = self.repair.next_ask(&self.index, now_ms) {
-            let purpose = AskPurpose::Pull { pass: self.repair.pass() };
+            let purpose = AskPurpose::Pull {
+                pass: self.repair.pass(),
+            };
             match ask {
                 PullAsk::List { peer, after } => {
                     let request = StoreRequest::List {
@@ -113,7 +133,10 @@
                     self.ask(peer, purpose, request, now_ms);
                 }
                 PullAsk::Fetch { peer, ids } => {
-                    let request = StoreRequest::Fetch { ids, with_ancestors: false };
+                    let request = StoreRequest::Fetch {
+                        ids,
+                        with_ancestors: false,
+                    };
                     self.ask(peer, purpose, request, now_ms);
                 }
             }
--- a/crates/turns/src/node/requests.rs
+++ b/crates/turns/src/node/requests.rs
@@ -1,6 +1,8 @@
 //! Requests of gateways and other stores.
 
-use super::{CallerId, DiskOutcome, DiskWork, Effect, JobPurpose, StoreNode, Wholeness, READING_BOUND_BYTES};
+use super::{
+    CallerId, DiskOutcome, DiskWork, Effect, JobPurpose, StoreNode, Wholeness, READING_BOUND_BYTES,
+};
 use crate::commit::Waiter;
 use crate::complete::ParkedPut;
 use crate::index::READ_HOLD_MS;
@@ -20,10 +22,20 @@
             self.index.extend(&header.id, now_ms.saturating_add(term));
             return self.reply(caller, StoreReply::Kept);
         }
-        if let Some(refusal) = self.refusal(&turn).filter(|refusal| !known || *refusal != Refusal::Conflict) {
+        if let Some(refusal) = self
+            .refusal(&turn)
+            .filter(|refusal| !known || *refusal != Refusal::Conflict)
+        {
             return self.reply(caller, StoreReply::Refused(refusal));
         }
-        let put = ParkedPut { caller, turn: HeldTurn { turn, remaining_ms: term }, hint };
+        let put = ParkedPut {
+            caller,
+            turn: HeldTurn {
+                turn,
+                remaining_ms: term,
+            },
+            hint,
+        };
         self.go_on_with(put, now_ms);
     }
 
@@ -57,13 +69,19 @@
     }
 
     pub(super) fn commit_put(&mut self, put: ParkedPut, now_ms: u64) {
-        let waiter = Waiter::Caller { caller: put.caller, hint: put.hint };
+        let waiter = Waiter::Caller {
+            caller: put.caller,
+            hint: put.hint,
+        };
         self.commit(vec![put.turn], waiter, now_ms);
     }
 
     pub(super) fn chain(&mut self, caller: CallerId, id: &str, now_ms: u64) {
         let Some(chain) = self.index.chain(id, CHAIN_PAGE_BYTES, now_ms) else {
-            let reply = StoreReply::Unknown { whole: self.is_whole(), knows: self.known_stores() };
+            let reply = StoreReply::Unknown {
+                whole: self.is_whole(),
+                knows: self.known_stores(),
+            };
             return self.reply(caller, reply);
         };
         self.index.extend(id, now_ms.saturating_add(READ_HOLD_MS));
@@ -72,7 +90,15 @@
             return self.reply(caller, StoreReply::Refused(Refusal::Busy));
         };
         let missing = chain.missing.map(|id| id.to_string());
-        self.work(JobPurpose::Chain { caller, bytes, missing, more: chain.more }, DiskWork::Get(ids));
+        self.work(
+            JobPurpose::Chain {
+                caller,
+                bytes,
+                missing,
+                more: chain.more,
+            },
+            DiskWork::Get(ids),
+        );
     }
 
     /// What these turns take, if as much may be read now.
@@ -93,20 +119,36 @@
         outcome: DiskOutcome,
     ) {
         let reply = match outcome {
-            DiskOutcome::Turns(turns) if !turns.is_empty() => StoreReply::Found { turns, missing, more },
+            DiskOutcome::Turns(turns) if !turns.is_empty() => StoreReply::Found {
+                turns,
+                missing,
+                more,
+            },
             _ => StoreReply::Refused(Refusal::Disk),
         };
         self.reply(caller, reply);
     }
 
-    pub(super) fn fetch(&mut self, caller: CallerId, ids: &[String], with_ancestors: bool, now_ms: u64) {
+    pub(super) fn fetch(
+        &mut self,
+        caller: CallerId,
+        ids: &[String],
+        with_ancestors: bool,
+        now_ms: u64,
+    ) {
         let mut wanted: Vec<String> = Vec::new();
         let mut bytes = 0;
         for id in ids {
             let held = if with_ancestors {
-                self.index.chain(id, PAGE_BYTES, now_ms).map(|chain| chain.ids).unwrap_or_default()
+                self.index
+                    .chain(id, PAGE_BYTES, now_ms)
+                    .map(|chain| chain.ids)
+                    .unwrap_or_default()
             } else {
-                self.index.chain(id, 0, now_ms).map(|chain| chain.ids).unwrap_or_default()
+                self.index
+                    .chain(id, 0, now_ms)
+                    .map(|chain| chain.ids)
+                    .unwrap_or_default()
             };
             for id in held {
                 let size = self.index.size(&id).unwrap_or(0);
@@ -128,7 +170,9 @@
 
     pub(super) fn fetch_read(&mut self, caller: CallerId, outcome: DiskOutcome, now_ms: u64) {
         let reply = match outcome {
-            DiskOutcome::Turns(turns) => StoreReply::Fetched { turns: self.with_time_left(turns, now_ms) },
+            DiskOutcome::Turns(turns) => StoreReply::Fetched {
+                turns: self.with_time_left(turns, now_ms),
+            },
             _ => StoreReply::Refused(Refusal::Disk),
         };
         self.reply(caller, reply);
@@ -144,10 +188,12 @@
 
     /// Another store hands turns over.
     pub(super) fn take_over(&mut self, caller: CallerId, turns: Vec<HeldTurn>, now_ms: u64) {
-        let refusal = turns.iter().find_map(|held| match self.refusal(&held.turn) {
-            Some(Refusal::Conflict) | None => None,
-            refusal => refusal,
-        });
+        let refusal = turns
+            .iter()
+            .find_map(|held| match self.refusal(&held.turn) {
+                Some(Refusal::Conflict) | None => None,
+                refusal => refusal,
+            });
         if let Some(refusal) = refusal {
             return self.reply(caller, StoreReply::Refused(refusal));
         }
--- a/crates/turns/src/node/service.rs
+++ b/crates/turns/src/node/service.rs
@@ -44,7 +44,9 @@
 
     /// This store in the list.
     pub(super) fn entry(&self) -> Option<&Store> {
-        self.stores.iter().find(|store| store.name == self.settings.name)
+        self.stores
+            .iter()
+            .find(|store| store.name == self.settings.name)
     }
 
     pub(super) fn enter_service(&mut self, service: Service, now_ms: u64) {
@@ -53,7 +55,8 @@
             Service::InUse | Service::Retired => self.deliveries.stop_emptying(),
             Service::Emptying { .. } => self.empty_anew(now_ms),
             Service::Emptied { round } => {
-                self.effects.push_back(Effect::Declare(Declaration::Emptied { round }));
+                self.effects
+                    .push_back(Effect::Declare(Declaration::Emptied { round }));
             }
         }
     }
@@ -68,7 +71,11 @@
             return;
         }
         // Fewer homes than copies: nothing can be declared until another store has come.
-        let homes = if self.candidates.len() < self.settings.copies { &[] } else { &self.candidates[..] };
+        let homes = if self.candidates.len() < self.settings.copies {
+            &[]
+        } else {
+            &self.candidates[..]
+        };
         let names: Vec<String> = homes.iter().map(|home| home.name.clone()).collect();
         self.deliveries.begin_emptying(names, now_ms);
     }
@@ -88,7 +95,9 @@
             return;
         }
         let candidates: Vec<&Candidate> = self.candidates.iter().collect();
-        let homes = placement::order_of(&turn.program, &candidates).into_iter().take(self.settings.copies);
+        let homes = placement::order_of(&turn.program, &candidates)
+            .into_iter()
+            .take(self.settings.copies);
         for home in homes {
             self.deliveries.owe(&home.name, &turn.id, now_ms);
         }
@@ -106,8 +115,11 @@
 
     /// All stores that turns are placed on are present and whole.
     pub(super) fn homes_are_sound(&self) -> bool {
-        let sound =
-            |home: &Candidate| self.stores.iter().any(|store| store.name == home.name && store.is_sound());
+        let sound = |home: &Candidate| {
+            self.stores
+                .iter()
+                .any(|store| store.name == home.name && store.is_sound())
+        };
         self.candidates.iter().all(sound) || !self.guards.homes_present_and_whole
     }
 }
--- a/crates/turns/src/node/wholeness.rs
+++ b/crates/turns/src/node/wholeness.rs
@@ -18,7 +18,9 @@
     /// Once noted, a life stays so: the core's numbers of lives only rise.
     pub(super) fn note_registration(&mut self) {
         let (incarnation, disk) = (self.settings.incarnation, self.disk);
-        self.registered |= self.entry().is_some_and(|own| own.incarnation == incarnation && own.disk == disk);
+        self.registered |= self
+            .entry()
+            .is_some_and(|own| own.incarnation == incarnation && own.disk == disk);
     }
 
     pub(super) fn marked(&mut self, written: bool, now_ms: u64) {
@@ -64,6 +66,7 @@
         let listed = self.entry().is_some();
         listed
             && self.registered
-            && peers(&self.stores, &self.settings.name).all(|peer| self.introduced_to.contains(&peer.name))
+            && peers(&self.stores, &self.settings.name)
+                .all(|peer| self.introduced_to.contains(&peer.name))
     }
 }
--- a/crates/turns/src/placement.rs
+++ b/crates/turns/src/placement.rs
@@ -36,8 +36,10 @@
 /// Orders the given candidates for a program.
 pub fn order_of<'a, P: Placed>(program: &str, candidates: &[&'a P]) -> Vec<&'a P> {
     let seed = xxh3_64(program.as_bytes());
-    let mut placed: Vec<(Place, &'a P)> =
-        candidates.iter().map(|candidate| (place(seed, *candidate, candidates), *candidate)).collect();
+    let mut placed: Vec<(Place, &'a P)> = candidates
+        .iter()
+        .map(|candidate| (place(seed, *candidate, candidates), *candidate))
+        .collect();
     placed.sort_by(|left, right| left.0.cmp(&right.0));
     placed.into_iter().map(|(_, candidate)| candidate).collect()
 }
--- a/crates/turns/src/read.rs
+++ b/crates/turns/src/read.rs
@@ -25,7 +25,10 @@
 
 impl Default for Bounds {
     fn default() -> Self {
-        Self { turns: 4_096, bytes: 32 << 20 }
+        Self {
+            turns: 4_096,
+            bytes: 32 << 20,
+        }
     }
 }
 
@@ -163,7 +166,11 @@
             return;
         }
         match reply {
-            StoreReply::Found { turns, missing, more } => self.join(store, turns, missing, more, now_ms),
+            StoreReply::Found {
+                turns,
+                missing,
+                more,
+            } => self.join(store, turns, missing, more, now_ms),
             StoreReply::Unknown { whole, knows } => self.not_held(store, whole, &knows, now_ms),
             _ => self.failed(store, id, now_ms),
         }
@@ -229,13 +236,26 @@
     /// list may be wrong about them. A caller is not held for long because of that.
     fn hurry_absent(&mut self, now_ms: u64) {
         let answered = |source: &Source| matches!(source.state, AskState::Unknown { .. });
-        if self.sources.iter().all(|source| answered(source) || !source.present) {
-            self.give_up_at_ms = self.give_up_at_ms.min(now_ms.saturating_add(ABSENT_WAIT_MS));
+        if self
+            .sources
+            .iter()
+            .all(|source| answered(source) || !source.present)
+        {
+            self.give_up_at_ms = self
+                .give_up_at_ms
+                .min(now_ms.saturating_add(ABSENT_WAIT_MS));
         }
     }
 
     /// Adds a piece of the chain and looks for the turn before it, if there is one.
-    fn join(&mut self, store: &str, turns: Vec<Turn>, missing: Option<String>, more: bool, now_ms: u64) {
+    fn join(
+        &mut self,
+        store: &str,
+        turns: Vec<Turn>,
+        missing: Option<String>,
+        more: bool,
+        now_ms: u64,
+    ) {
         if !is_chain(&turns, &self.wanted, missing.as_deref()) {
             return self.failed(store, &self.wanted.clone(), now_ms);
         }
@@ -275,17 +295,32 @@
             Stage::Homes => self.ask_next_home(now_ms),
             Stage::Everybody => self.ask_everybody(now_ms),
         }
-        if self.sources.iter().all(|source| matches!(source.state, AskState::Unknown { .. })) {
-            let outcome = if self.is_unknown() { Outcome::Unknown } else { Outcome::Unsure };
+        if self
+            .sources
+            .iter()
+            .all(|source| matches!(source.state, AskState::Unknown { .. }))
+        {
+            let outcome = if self.is_unknown() {
+                Outcome::Unknown
+            } else {
+                Outcome::Unsure
+            };
             self.end(outcome);
         }
     }
 
     fn ask_next_home(&mut self, now_ms: u64) {
-        if self.sources.iter().any(|source| matches!(source.state, AskState::Asked { .. })) {
+        if self
+            .sources
+            .iter()
+            .any(|source| matches!(source.state, AskState::Asked { .. }))
+        {
             return;
         }
-        let next = self.sources.iter().find(|source| source.home && source.state == AskState::Untried);
+        let next = self
+            .sources
+            .iter()
+            .find(|source| source.home && source.state == AskState::Untried);
         match next.map(|source| source.store.clone()) {
             Some(store) => self.ask(&store, now_ms),
             None => {
@@ -309,13 +344,19 @@
 
     fn ask(&mut self, store: &str, now_ms: u64) {
         self.change(store, AskState::Asked { at_ms: now_ms });
-        self.asks.push(Ask { store: store.to_owned(), id: self.wanted.clone() });
+        self.asks.push(Ask {
+            store: store.to_owned(),
+            id: self.wanted.clone(),
+        });
     }
 
     /// Guards against calling a kept turn unknown: a piece of its chain was found, a store may lack what it
     /// should hold, or the list is older than a store on which it may lie.
     fn is_unknown(&self) -> bool {
-        let all_whole = self.sources.iter().all(|source| source.state == AskState::Unknown { whole: true });
+        let all_whole = self
+            .sources
+            .iter()
+            .all(|source| source.state == AskState::Unknown { whole: true });
         self.found.is_empty() && !self.sources.is_empty() && all_whole && !self.list_is_old
     }
 }
@@ -340,9 +381,15 @@
 /// those of the given zone before those of others.
 fn sources(program: &str, stores: &[Store], copies: usize, zone: Option<&str>) -> Vec<Source> {
     let order = placement::order(program, stores);
-    let placed = order.into_iter().enumerate().map(|(position, store)| (store, position < copies));
-    let emptying = stores.iter().filter(|store| store.retiring && !store.retired);
-    let mut stores: Vec<(&Store, bool)> = placed.chain(emptying.map(|store| (store, false))).collect();
+    let placed = order
+        .into_iter()
+        .enumerate()
+        .map(|(position, store)| (store, position < copies));
+    let emptying = stores
+        .iter()
+        .filter(|store| store.retiring && !store.retired);
+    let mut stores: Vec<(&Store, bool)> =
+        placed.chain(emptying.map(|store| (store, false))).collect();
     stores.sort_by_key(|(store, home)| (!home, !store.present, zone != Some(store.zone.as_str())));
     let source = |(store, home): (&Store, bool)| Source {
         store: store.name.clone(),
@@ -357,7 +404,11 @@
 /// from the one before it, and the first from the one said to be missing.
 fn is_chain(turns: &[Turn], wanted: &str, missing: Option<&str>) -> bool {
     let ends_right = turns.last().is_some_and(|turn| turn.id == wanted);
-    let starts_right = turns.first().is_some_and(|turn| turn.previous.as_deref() == missing);
-    let linked = turns.windows(2).all(|pair| pair[1].previous.as_deref() == Some(pair[0].id.as_str()));
+    let starts_right = turns
+        .first()
+        .is_some_and(|turn| turn.previous.as_deref() == missing);
+    let linked = turns
+        .windows(2)
+        .all(|pair| pair[1].previous.as_deref() == Some(pair[0].id.as_str()));
     ends_right && starts_right && linked
 }
--- a/crates/turns/src/repair.rs
+++ b/crates/turns/src/repair.rs
@@ -70,13 +70,27 @@
         self.pass += 1;
         self.began_at_ms = now_ms;
         self.pull = None;
-        self.peers =
-            peers.into_iter().map(|peer| (peer, PeerState::Waiting { not_before_ms: now_ms })).collect();
+        self.peers = peers
+            .into_iter()
+            .map(|peer| {
+                (
+                    peer,
+                    PeerState::Waiting {
+                        not_before_ms: now_ms,
+                    },
+                )
+            })
+            .collect();
     }
 
     /// Adds a store that has come back.
     pub fn add(&mut self, peer: &str, now_ms: u64) {
-        self.peers.insert(peer.to_owned(), PeerState::Waiting { not_before_ms: now_ms });
+        self.peers.insert(
+            peer.to_owned(),
+            PeerState::Waiting {
+                not_before_ms: now_ms,
+            },
+        );
     }
 
     /// Leaves a store out that has gone.
@@ -142,7 +156,10 @@
 
     fn next_peer(&self, now_ms: u64) -> Option<String> {
         let ready = |state: &PeerState| matches!(state, PeerState::Waiting { not_before_ms } if *not_before_ms <= now_ms);
-        self.peers.iter().find(|(_, state)| ready(state)).map(|(peer, _)| peer.clone())
+        self.peers
+            .iter()
+            .find(|(_, state)| ready(state))
+            .map(|(peer, _)| peer.clone())
     }
 
     fn finish_peer(&mut self) {
@@ -187,7 +204,9 @@
         // What is still on its way to the disk belongs to this pull, not to the next.
         self.pass += 1;
         if let Some(pull) = self.pull.take() {
-            let again = PeerState::Waiting { not_before_ms: now_ms.saturating_add(PULL_RETRY_MS) };
+            let again = PeerState::Waiting {
+                not_before_ms: now_ms.saturating_add(PULL_RETRY_MS),
+            };
             self.peers.insert(pull.peer, again);
         }
     }
@@ -199,7 +218,14 @@
 
 impl Pull {
     fn new(peer: String) -> Self {
-        Self { peer, step: Step::Ready, after: None, listed_all: false, lacking: VecDeque::new(), commits: 0 }
+        Self {
+            peer,
+            step: Step::Ready,
+            after: None,
+            listed_all: false,
+            lacking: VecDeque::new(),
+            commits: 0,
+        }
     }
 
     /// Fetches what the last page has that is not here, then asks for the next page.
@@ -207,13 +233,19 @@
         let ids = self.next_ids(index);
         if !ids.is_empty() {
             self.step = Step::Fetching;
-            return Some(PullAsk::Fetch { peer: self.peer.clone(), ids });
+            return Some(PullAsk::Fetch {
+                peer: self.peer.clone(),
+                ids,
+            });
         }
         if self.listed_all {
             return None;
         }
         self.step = Step::Listing;
-        Some(PullAsk::List { peer: self.peer.clone(), after: self.after.clone() })
+        Some(PullAsk::List {
+            peer: self.peer.clone(),
+            after: self.after.clone(),
+        })
     }
 
     /// As many lacking turns as one message may carry.
@@ -224,7 +256,11 @@
             if !ids.is_empty() && bytes + listed.size > PAGE_BYTES {
                 break;
             }
-            if let Some(listed) = self.lacking.pop_front().filter(|listed| !index.contains(&listed.id)) {
+            if let Some(listed) = self
+                .lacking
+                .pop_front()
+                .filter(|listed| !index.contains(&listed.id))
+            {
                 bytes += listed.size;
                 ids.push(listed.id);
             }
--- a/crates/turns/src/roster.rs
+++ b/crates/turns/src/roster.rs
@@ -65,7 +65,10 @@
 
 impl From<&Store> for Candidate {
     fn from(store: &Store) -> Self {
-        Self { name: store.name.clone(), zone: store.zone.clone() }
+        Self {
+            name: store.name.clone(),
+            zone: store.zone.clone(),
+        }
     }
 }
 
--- a/crates/turns/src/turn.rs
+++ b/crates/turns/src/turn.rs
@@ -34,7 +34,12 @@
 
     /// What the turn takes in a message, in memory or on a disk.
     pub fn size(&self) -> u64 {
-        size_of(&self.id, self.previous.as_deref(), &self.program, self.body_bytes())
+        size_of(
+            &self.id,
+            self.previous.as_deref(),
+            &self.program,
+            self.body_bytes(),
+        )
     }
 
     /// Everything but the bodies.
--- a/crates/turns/src/write.rs
+++ b/crates/turns/src/write.rs
@@ -73,11 +73,15 @@
     /// Begins to keep a turn on `copies` of the stores.
     pub fn new(turn: &TurnHeader, stores: &[Store], copies: usize, now_ms: u64) -> Self {
         let wanted = copies.max(1);
-        let homes_and_stand_ins = placement::order(&turn.program, stores).into_iter().enumerate();
+        let homes_and_stand_ins = placement::order(&turn.program, stores)
+            .into_iter()
+            .enumerate();
         let list = homes_and_stand_ins
             .map(|(position, store)| Copy::new(store, position < wanted))
             .chain(
-                placement::fallbacks(&turn.program, stores).into_iter().map(|store| Copy::new(store, false)),
+                placement::fallbacks(&turn.program, stores)
+                    .into_iter()
+                    .map(|store| Copy::new(store, false)),
             )
             .collect();
         let mut writing = Self {
@@ -172,7 +176,11 @@
     }
 
     fn is_kept(&self) -> bool {
-        let acknowledged = || self.copies.iter().filter(|copy| copy.state == CopyState::Acknowledged);
+        let acknowledged = || {
+            self.copies
+                .iter()
+                .filter(|copy| copy.state == CopyState::Acknowledged)
+        };
         let zones_there = count_zones(self.copies.iter().filter(|copy| copy.present));
         acknowledged().count() >= self.wanted
             && count_zones(acknowledged()) >= self.wanted_zones.min(zones_there.max(1))
@@ -187,7 +195,10 @@
             self.start(next, now_ms);
         }
         while self.hopeful_zones() < self.wanted_zones {
-            let Some(next) = self.copy_in_fresh_zone(false).or_else(|| self.copy_in_fresh_zone(true)) else {
+            let Some(next) = self
+                .copy_in_fresh_zone(false)
+                .or_else(|| self.copy_in_fresh_zone(true))
+            else {
                 return;
             };
             self.start(next, now_ms);
@@ -196,13 +207,21 @@
 
     /// The first untried present store of a zone that no hopeful copy is in; among fallbacks or the others.
     fn copy_in_fresh_zone(&self, fallback: bool) -> Option<usize> {
-        let used = |zone: &str| self.copies.iter().any(|other| other.is_hopeful() && other.zone == zone);
-        self.copies.iter().position(|copy| copy.is_untried(fallback) && !used(&copy.zone))
+        let used = |zone: &str| {
+            self.copies
+                .iter()
+                .any(|other| other.is_hopeful() && other.zone == zone)
+        };
+        self.copies
+            .iter()
+            .position(|copy| copy.is_untried(fallback) && !used(&copy.zone))
     }
 
     /// The first untried present store; among fallbacks or the others.
     fn untried_copy(&self, fallback: bool) -> Option<usize> {
-        self.copies.iter().position(|copy| copy.is_untried(fallback))
+        self.copies
+            .iter()
+            .position(|copy| copy.is_untried(fallback))
     }
 
     /// Fewer stores than wanted promise an answer.
@@ -228,15 +247,25 @@
     }
 
     fn start(&mut self, position: usize, now_ms: u64) {
-        let hint = if self.copies[position].home { None } else { self.uncovered_home() };
+        let hint = if self.copies[position].home {
+            None
+        } else {
+            self.uncovered_home()
+        };
         let copy = &mut self.copies[position];
         copy.state = CopyState::Asked { at_ms: now_ms };
-        self.puts.push(Put { store: copy.store.clone(), hint });
+        self.puts.push(Put {
+            store: copy.store.clone(),
+            hint,
+        });
     }
 
     /// A home that needs a stand-in and has none yet.
     fn uncovered_home(&mut self) -> Option<String> {
-        let home = self.copies.iter_mut().find(|copy| copy.home && !copy.covered && !copy.is_hopeful())?;
+        let home = self
+            .copies
+            .iter_mut()
+            .find(|copy| copy.home && !copy.covered && !copy.is_hopeful())?;
         home.covered = true;
         Some(home.store.clone())
     }
@@ -261,7 +290,10 @@
     }
 
     fn is_hopeful(&self) -> bool {
-        matches!(self.state, CopyState::Asked { .. } | CopyState::Acknowledged)
+        matches!(
+            self.state,
+            CopyState::Asked { .. } | CopyState::Acknowledged
+        )
     }
 
     fn may_retry(&self, now_ms: u64) -> bool {
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -27,7 +27,9 @@
 
 /// So many stores, each in a zone of its own.
 pub fn stores(count: usize) -> Vec<Store> {
-    (0..count).map(|number| store(&format!("storage-{number}"), &format!("zone-{number}"))).collect()
+    (0..count)
+        .map(|number| store(&format!("storage-{number}"), &format!("zone-{number}")))
+        .collect()
 }
 
 pub fn turn(id: &str, previous: Option<&str>) -> Turn {
@@ -44,5 +46,8 @@
 
 /// The names of stores in the order of a program.
 pub fn order(program: &str, stores: &[Store]) -> Vec<String> {
-    dunespur_turns::placement::order(program, stores).into_iter().map(|store| store.name.clone()).collect()
+    dunespur_turns::placement::order(program, stores)
+        .into_iter()
+        .map(|store| store.name.clone())
+        .collect()
 }
--- a/crates/turns/tests/faults.rs
+++ b/crates/turns/tests/faults.rs
@@ -39,7 +39,10 @@
 fn check_liveness(seen: &Seen, most_whole_ms: u64) {
     assert!(seen.kept > 500, "{seen:?}");
     assert!(seen.chains > 500, "{seen:?}");
-    assert!(seen.unknown > 0, "what never was is never said to be unknown: {seen:?}");
+    assert!(
+        seen.unknown > 0,
+        "what never was is never said to be unknown: {seen:?}"
+    );
     assert!(seen.slowest_whole_ms < most_whole_ms, "{seen:?}");
     assert!(seen.largest_message <= 4 << 20, "{seen:?}");
 }
@@ -54,14 +57,20 @@
 #[test]
 fn lost_disks_one_after_the_other() {
     for seed in 100..110 {
-        check_liveness(&World::play(plan(seed, &[FaultKind::Wipe, FaultKind::Replace])), CATCH_UP_MS);
+        check_liveness(
+            &World::play(plan(seed, &[FaultKind::Wipe, FaultKind::Replace])),
+            CATCH_UP_MS,
+        );
     }
 }
 
 #[test]
 fn stores_come_and_are_emptied() {
     for seed in 200..210 {
-        let seen = World::play(plan(seed, &[FaultKind::Add, FaultKind::Retire, FaultKind::Wipe]));
+        let seen = World::play(plan(
+            seed,
+            &[FaultKind::Add, FaultKind::Retire, FaultKind::Wipe],
+        ));
         check_liveness(&seen, CATCH_UP_MS);
     }
 }
@@ -69,7 +78,11 @@
 #[test]
 fn two_lost_at_once() {
     for seed in 300..306 {
-        let plan = Plan { stores: 6, tolerated: 2, ..plan(seed, &ALL) };
+        let plan = Plan {
+            stores: 6,
+            tolerated: 2,
+            ..plan(seed, &ALL)
+        };
         // A new disk waits for the stores that it can't ask while they count as present.
         check_liveness(&World::play(plan), CATCH_UP_MS + LONGEST_TROUBLE_MS);
     }
@@ -78,9 +91,18 @@
 #[test]
 fn thousands_of_turns_are_caught_up_in_time() {
     for seed in 400..402 {
-        let faults = [FaultKind::Wipe, FaultKind::Replace, FaultKind::Retire, FaultKind::Add];
-        let plan =
-            Plan { programs: 70, most_input_bytes: 12_000, faults_until_ms: 60_000, ..plan(seed, &faults) };
+        let faults = [
+            FaultKind::Wipe,
+            FaultKind::Replace,
+            FaultKind::Retire,
+            FaultKind::Add,
+        ];
+        let plan = Plan {
+            programs: 70,
+            most_input_bytes: 12_000,
+            faults_until_ms: 60_000,
+            ..plan(seed, &faults)
+        };
         let seen = World::play(plan);
         check_liveness(&seen, CATCH_UP_MS);
         assert!(seen.most_held > 3_000, "{seen:?}");
--- a/crates/turns/tests/guards.rs
+++ b/crates/turns/tests/guards.rs
@@ -13,8 +13,18 @@
 /// Stores that come and go while others are in every kind of trouble.
 fn plan(seed: u64) -> Plan {
     let mut faults = vec![FaultKind::Retire; 5];
-    faults.extend([FaultKind::Add, FaultKind::Add, FaultKind::Wipe, FaultKind::Replace]);
-    faults.extend([FaultKind::Freeze, FaultKind::CutOff, FaultKind::CutFromStores, FaultKind::Kill]);
+    faults.extend([
+        FaultKind::Add,
+        FaultKind::Add,
+        FaultKind::Wipe,
+        FaultKind::Replace,
+    ]);
+    faults.extend([
+        FaultKind::Freeze,
+        FaultKind::CutOff,
+        FaultKind::CutFromStores,
+        FaultKind::Kill,
+    ]);
     Plan {
         seed,
         stores: 3 + (seed % 2) as usize,
@@ -44,7 +54,9 @@
     (0..SEEDS).find_map(|seed| {
         let mut plan = plan(seed);
         without(&mut plan);
-        play(plan).err().filter(|text| signs.iter().any(|sign| text.contains(sign)))
+        play(plan)
+            .err()
+            .filter(|text| signs.iter().any(|sign| text.contains(sign)))
     })
 }
 
@@ -67,15 +79,24 @@
 
 #[test]
 fn turns_taken_while_emptying_must_be_owed() {
-    expect_counterexample(Guards { late_turns_owed: false, ..Guards::default() });
+    expect_counterexample(Guards {
+        late_turns_owed: false,
+        ..Guards::default()
+    });
 }
 
 /// A home that does not answer for a while gets turns only by its own pulls and the chains that gateways go on with.
 #[test]
 fn nothing_acknowledged_rests_on_a_hint() {
     for seed in 0..8 {
-        let guards = Guards { hints: false, ..Guards::default() };
-        let seen = World::play(Plan { guards, ..plan(seed) });
+        let guards = Guards {
+            hints: false,
+            ..Guards::default()
+        };
+        let seen = World::play(Plan {
+            guards,
+            ..plan(seed)
+        });
         assert!(seen.kept > 500, "{seen:?}");
     }
 }
@@ -84,7 +105,13 @@
 fn unsure_writes(guards: Guards, core_guards: dunespur_control::Guards) -> u64 {
     let faults = vec![FaultKind::Retire, FaultKind::Freeze, FaultKind::CutOff];
     let played = (0..8).map(|seed| {
-        World::play(Plan { stores: 3, faults: faults.clone(), guards, core_guards, ..plan(seed) })
+        World::play(Plan {
+            stores: 3,
+            faults: faults.clone(),
+            guards,
+            core_guards,
+            ..plan(seed)
+        })
     });
     played.map(|seen| seen.needless_unsure_writes).sum()
 }
@@ -93,7 +120,13 @@
 fn emptying_stores_must_stay_a_fallback() {
     let core = dunespur_control::Guards::default();
     let with_all = unsure_writes(Guards::default(), core);
-    let refused = unsure_writes(Guards { emptying_takes_turns: false, ..Guards::default() }, core);
+    let refused = unsure_writes(
+        Guards {
+            emptying_takes_turns: false,
+            ..Guards::default()
+        },
+        core,
+    );
     eprintln!("turns not kept in 8 worlds: {with_all}, without the guard {refused}");
     assert_eq!(with_all, 0);
     assert!(refused > 0, "nothing went wrong");
--- a/crates/turns/tests/index.rs
+++ b/crates/turns/tests/index.rs
@@ -85,14 +85,20 @@
     let entries = vec![header("a", None)];
     let day_ms = 86_400_000;
     let index = Index::load(entries, 1_000_000 + day_ms, 5_000);
-    assert_eq!(index.remaining_ms("a", 5_000), Some(LEAST_TERM_AFTER_START_MS));
+    assert_eq!(
+        index.remaining_ms("a", 5_000),
+        Some(LEAST_TERM_AFTER_START_MS)
+    );
 }
 
 #[test]
 fn a_wall_clock_that_steps_back_keeps_nothing_for_ever() {
     let entries = vec![header("a", None)];
     let index = Index::load(entries, 0, 5_000);
-    assert_eq!(index.remaining_ms("a", 5_000), Some(RETENTION_MS + RETENTION_MARGIN_MS));
+    assert_eq!(
+        index.remaining_ms("a", 5_000),
+        Some(RETENTION_MS + RETENTION_MARGIN_MS)
+    );
 }
 
 #[test]
@@ -136,7 +142,9 @@
     let expected: Vec<String> = (0..count)
         .filter(|number| {
             let program = format!("program-{}", number % 100);
-            placement::homes(&program, &stores, 2).iter().any(|home| home.name == "storage-1")
+            placement::homes(&program, &stores, 2)
+                .iter()
+                .any(|home| home.name == "storage-1")
         })
         .map(|number| format!("turn-{number:06}"))
         .collect();
--- a/crates/turns/tests/placement.rs
+++ b/crates/turns/tests/placement.rs
@@ -11,8 +11,14 @@
 
 #[test]
 fn homes_lie_in_different_zones_while_there_are_enough() {
-    let stores: Vec<_> =
-        (0..9).map(|number| store(&format!("storage-{number}"), &format!("zone-{}", number % 3))).collect();
+    let stores: Vec<_> = (0..9)
+        .map(|number| {
+            store(
+                &format!("storage-{number}"),
+                &format!("zone-{}", number % 3),
+            )
+        })
+        .collect();
     for program in 0..200 {
         let homes = homes(&format!("program-{program}"), &stores, 3);
         let zones: BTreeSet<&str> = homes.iter().map(|home| home.zone.as_str()).collect();
--- a/crates/turns/tests/reading.rs
+++ b/crates/turns/tests/reading.rs
@@ -23,7 +23,11 @@
 }
 
 fn found(turns: &[Turn], missing: Option<&str>) -> StoreReply {
-    StoreReply::Found { turns: turns.to_vec(), missing: missing.map(str::to_owned), more: false }
+    StoreReply::Found {
+        turns: turns.to_vec(),
+        missing: missing.map(str::to_owned),
+        more: false,
+    }
 }
 
 fn unknown(stores: &[Store]) -> StoreReply {
@@ -64,7 +68,11 @@
     assert_eq!(asked(&mut reading), [order[1].clone()]);
     let far = stores.iter().find(|store| store.name == order[3]).unwrap();
     let mut reading = Reading::near("c", PROGRAM, &stores, 2, Some(&far.zone), 0);
-    assert_eq!(asked(&mut reading), [order[0].clone()], "a store that is no home does not go first");
+    assert_eq!(
+        asked(&mut reading),
+        [order[0].clone()],
+        "a store that is no home does not go first"
+    );
 }
 
 #[test]
@@ -99,7 +107,12 @@
     asks(&mut reading);
     reading.answered(&order[0], "c", found(&turns[1..], Some("a")), 1);
     let second: Vec<Ask> = asks(&mut reading);
-    assert!(second.iter().all(|ask| ask.id == "a" && ask.store != order[0]), "{second:?}");
+    assert!(
+        second
+            .iter()
+            .all(|ask| ask.id == "a" && ask.store != order[0]),
+        "{second:?}"
+    );
     reading.answered(&order[1], "a", unknown(&stores), 2);
     reading.answered(&order[2], "a", found(&turns[..1], None), 3);
     assert_eq!(reading.take_outcome(), Some(Outcome::Chain(turns)));
@@ -112,9 +125,19 @@
     let turns = chain();
     let mut reading = begin(&stores);
     asks(&mut reading);
-    let piece = StoreReply::Found { turns: turns[1..].to_vec(), missing: Some("a".into()), more: true };
+    let piece = StoreReply::Found {
+        turns: turns[1..].to_vec(),
+        missing: Some("a".into()),
+        more: true,
+    };
     reading.answered(&order[0], "c", piece, 1);
-    assert_eq!(asks(&mut reading), [Ask { store: order[0].clone(), id: "a".into() }]);
+    assert_eq!(
+        asks(&mut reading),
+        [Ask {
+            store: order[0].clone(),
+            id: "a".into()
+        }]
+    );
     reading.answered(&order[0], "a", found(&turns[..1], None), 2);
     assert_eq!(reading.take_outcome(), Some(Outcome::Chain(turns)));
 }
@@ -122,15 +145,27 @@
 #[test]
 fn unknown_is_said_if_all_stores_say_so() {
     let stores = stores(4);
-    assert_eq!(told_by_all(&stores, |_| unknown(&stores)), Some(Outcome::Unknown));
+    assert_eq!(
+        told_by_all(&stores, |_| unknown(&stores)),
+        Some(Outcome::Unknown)
+    );
 }
 
 #[test]
 fn unknown_is_not_said_while_a_store_is_not_whole() {
     let stores = stores(4);
-    let not_whole = StoreReply::Unknown { whole: false, knows: Vec::new() };
+    let not_whole = StoreReply::Unknown {
+        whole: false,
+        knows: Vec::new(),
+    };
     for lacking in 0..4 {
-        let reply = |number| if number == lacking { not_whole.clone() } else { unknown(&stores) };
+        let reply = |number| {
+            if number == lacking {
+                not_whole.clone()
+            } else {
+                unknown(&stores)
+            }
+        };
         assert_eq!(told_by_all(&stores, reply), Some(Outcome::Unsure));
     }
 }
@@ -139,7 +174,13 @@
 fn unknown_is_not_said_with_an_old_list() {
     let list = stores(3);
     let newer = stores(4);
-    let reply = |number| if number == 1 { unknown(&newer) } else { unknown(&list) };
+    let reply = |number| {
+        if number == 1 {
+            unknown(&newer)
+        } else {
+            unknown(&list)
+        }
+    };
     assert_eq!(told_by_all(&list, reply), Some(Outcome::Unsure));
 }
 
@@ -164,13 +205,25 @@
 fn a_store_said_to_be_absent_is_waited_for_a_moment_only() {
     let mut stores = stores(3);
     let order = order(PROGRAM, &stores);
-    stores.iter_mut().find(|store| store.name == order[0]).unwrap().present = false;
+    stores
+        .iter_mut()
+        .find(|store| store.name == order[0])
+        .unwrap()
+        .present = false;
     for late in [false, true] {
         let mut reading = begin(&stores);
-        assert_eq!(asked(&mut reading), [order[1].clone()], "the present home first");
+        assert_eq!(
+            asked(&mut reading),
+            [order[1].clone()],
+            "the present home first"
+        );
         reading.answered(&order[1], "c", unknown(&stores), 1);
         reading.answered(&order[2], "c", unknown(&stores), 2);
-        assert_eq!(reading.take_outcome(), None, "unknown is not said without it");
+        assert_eq!(
+            reading.take_outcome(),
+            None,
+            "unknown is not said without it"
+        );
         if late {
             reading.answered(&order[0], "c", found(&chain(), None), 3);
             assert_eq!(reading.take_outcome(), Some(Outcome::Chain(chain())));
@@ -201,7 +254,10 @@
     let first = asked(&mut reading);
     reading.answered(&first[0], "c", unknown(&stores), 1);
     let rest = asked(&mut reading);
-    assert!(rest.contains(&"storage-0".to_owned()) && !rest.contains(&"storage-1".to_owned()), "{rest:?}");
+    assert!(
+        rest.contains(&"storage-0".to_owned()) && !rest.contains(&"storage-1".to_owned()),
+        "{rest:?}"
+    );
 }
 
 #[test]
@@ -215,7 +271,12 @@
     let order = order(PROGRAM, &stores);
     let turns = chain();
     let gap = [turns[0].clone(), turns[2].clone()];
-    for wrong in [found(&turns[..2], None), found(&gap, None), found(&turns[1..], None), found(&[], None)] {
+    for wrong in [
+        found(&turns[..2], None),
+        found(&gap, None),
+        found(&turns[1..], None),
+        found(&[], None),
+    ] {
         let mut reading = begin(&stores);
         reading.answered(&order[0], "c", wrong, 1);
         assert_eq!(reading.take_outcome(), None);
@@ -226,7 +287,16 @@
 fn a_chain_beyond_its_bounds_is_told() {
     let stores = stores(2);
     let order = order(PROGRAM, &stores);
-    for bounds in [Bounds { turns: 2, bytes: u64::MAX }, Bounds { turns: 9, bytes: 10 }] {
+    for bounds in [
+        Bounds {
+            turns: 2,
+            bytes: u64::MAX,
+        },
+        Bounds {
+            turns: 9,
+            bytes: 10,
+        },
+    ] {
         let mut reading = begin(&stores).within(bounds);
         reading.answered(&order[0], "c", found(&chain(), None), 1);
         assert_eq!(reading.take_outcome(), Some(Outcome::TooLong));
--- a/crates/turns/tests/windows.rs
+++ b/crates/turns/tests/windows.rs
@@ -31,9 +31,17 @@
         programs: 12,
         most_input_bytes: 4_000,
         faults_until_ms: 60_000,
-        faults: vec![FaultKind::Wipe, FaultKind::Replace, FaultKind::Add, FaultKind::Retire],
+        faults: vec![
+            FaultKind::Wipe,
+            FaultKind::Replace,
+            FaultKind::Add,
+            FaultKind::Retire,
+        ],
         final_fault: false,
-        absence: Absence { lease_ms: LEASE_MS, repair_ms: ABSENT_REPAIR_MS },
+        absence: Absence {
+            lease_ms: LEASE_MS,
+            repair_ms: ABSENT_REPAIR_MS,
+        },
         guards: Guards::default(),
         core_guards: dunespur_control::Guards::default(),
     }
@@ -48,14 +56,19 @@
 fn there_is_a_spare_copy_again_in_time() {
     let first = from_environment("TURNS_FIRST").unwrap_or(0);
     let count = from_environment("TURNS_SEEDS").unwrap_or(SEEDS);
-    let windows: Vec<_> = (first..first + count).flat_map(|seed| World::play(plan(seed)).windows).collect();
+    let windows: Vec<_> = (first..first + count)
+        .flat_map(|seed| World::play(plan(seed)).windows)
+        .collect();
     for kind in [FaultKind::Wipe, FaultKind::Replace, FaultKind::Retire] {
         let of_kind = windows.iter().filter(|window| window.after == kind);
         let mut lasted: Vec<u64> = of_kind.map(|window| window.lasted_ms).collect();
         lasted.sort_unstable();
         assert!(!lasted.is_empty(), "no {kind:?} was played");
         let [half, most, worst] = [50, 99, 100].map(|hundredths| percentile(&lasted, hundredths));
-        eprintln!("{kind:?}: {} times, p50 {half} ms, p99 {most} ms, worst {worst} ms", lasted.len());
+        eprintln!(
+            "{kind:?}: {} times, p50 {half} ms, p99 {most} ms, worst {worst} ms",
+            lasted.len()
+        );
         assert!(worst < MOST_MS, "{kind:?}: {worst} ms");
     }
 }
--- a/crates/turns/tests/world/core.rs
+++ b/crates/turns/tests/world/core.rs
@@ -28,7 +28,10 @@
 
 impl Core {
     pub fn new(state: ControlState) -> Self {
-        Core { state, ..Core::default() }
+        Core {
+            state,
+            ..Core::default()
+        }
     }
 
     /// The list of stores as it stands.
@@ -67,7 +70,11 @@
     /// The operator's order to empty a store: what it came to.
     pub(super) fn order_to_retire(&mut self, name: &str) -> RetireOutcome {
         let tolerated_losses = self.plan.tolerated as u32;
-        let order = |fence| Operation::RetireStart { node: name.to_owned(), tolerated_losses, fence };
+        let order = |fence| Operation::RetireStart {
+            node: name.to_owned(),
+            tolerated_losses,
+            fence,
+        };
         let outcome = match self.agree(&order(0)) {
             Outcome::Fenced { fence } => self.agree(&order(fence)),
             outcome => outcome,
@@ -97,7 +104,9 @@
             disk: machine.disk.number,
             whole: machine.node.as_ref().is_some_and(|node| node.is_whole()),
         };
-        self.core.heard_at_ms.insert(report.name.clone(), self.now_ms);
+        self.core
+            .heard_at_ms
+            .insert(report.name.clone(), self.now_ms);
         self.agree(&Operation::Node(report));
     }
 
@@ -107,10 +116,24 @@
         let Some(round) = machine.node.as_ref().and_then(|node| node.emptied_in()) else {
             return;
         };
-        let said = Operation::RetireDone { node: machine.name.clone(), incarnation: machine.life, round };
-        let most_ms = if self.rng.u8(0..4) == 0 { LONGEST_DELAY_MS } else { USUAL_DELAY_MS };
+        let said = Operation::RetireDone {
+            node: machine.name.clone(),
+            incarnation: machine.life,
+            round,
+        };
+        let most_ms = if self.rng.u8(0..4) == 0 {
+            LONGEST_DELAY_MS
+        } else {
+            USUAL_DELAY_MS
+        };
         let delay_ms = self.rng.u64(1..most_ms);
-        self.after(delay_ms, Event::EmptiedHeard { machine: number, operation: said });
+        self.after(
+            delay_ms,
+            Event::EmptiedHeard {
+                machine: number,
+                operation: said,
+            },
+        );
     }
 
     fn miss_the_silent(&mut self) {
@@ -120,7 +143,10 @@
         };
         let lapsed: Vec<StoreEntry> = self.core.state.stores().filter(silent).collect();
         for entry in lapsed {
-            self.agree(&Operation::NodeGone { name: entry.name, incarnation: entry.incarnation });
+            self.agree(&Operation::NodeGone {
+                name: entry.name,
+                incarnation: entry.incarnation,
+            });
         }
     }
 
@@ -134,7 +160,14 @@
         for gateway in 0..self.gateways.len() {
             let lag_ms = self.rng.u64(0..self.gateways[gateway].most_lag_ms);
             let (version, list) = (self.core.version, self.core.list());
-            self.after(lag_ms, Event::ListToGateway { gateway, version, list });
+            self.after(
+                lag_ms,
+                Event::ListToGateway {
+                    gateway,
+                    version,
+                    list,
+                },
+            );
         }
     }
 
--- a/crates/turns/tests/world/faults.rs
+++ b/crates/turns/tests/world/faults.rs
@@ -68,7 +68,8 @@
 
     /// A machine that is in no trouble.
     fn pick_machine(&mut self) -> Option<usize> {
-        let in_trouble = |number: &usize| self.slots.iter().any(|slot| slot.machine == Some(*number));
+        let in_trouble =
+            |number: &usize| self.slots.iter().any(|slot| slot.machine == Some(*number));
         let fit: Vec<usize> = (0..self.machines.len())
             .filter(|number| self.machines[*number].is_reachable())
             .filter(|number| !in_trouble(number))
@@ -137,9 +138,13 @@
         let taken_before = self.machines[machine].retire_told_at_ms.is_some();
         match self.order_to_retire(&name) {
             RetireOutcome::Taken => {
-                self.machines[machine].retire_told_at_ms.get_or_insert(now_ms);
+                self.machines[machine]
+                    .retire_told_at_ms
+                    .get_or_insert(now_ms);
+            }
+            _ if taken_before => {
+                self.fail("an order that was taken is refused when it comes again")
             }
-            _ if taken_before => self.fail("an order that was taken is refused when it comes again"),
             RetireOutcome::TooFew => self.seen.too_few += 1,
             RetireOutcome::UnknownNode if known => self.fail("a known store is said to be unknown"),
             RetireOutcome::UnknownNode => {}
@@ -175,7 +180,9 @@
 
     /// Everything loses power, and some disks are lost.
     pub(super) fn final_fault(&mut self) {
-        let wiped: Vec<usize> = (0..self.plan.tolerated).filter_map(|_| self.pick_machine()).collect();
+        let wiped: Vec<usize> = (0..self.plan.tolerated)
+            .filter_map(|_| self.pick_machine())
+            .collect();
         for machine in 0..self.machines.len() {
             if self.machines[machine].is_reachable() {
                 self.end_process(machine);
@@ -201,7 +208,11 @@
     /// those that are being emptied counted as lost or kept as they are.
     pub(super) fn check_copies(&mut self) {
         self.check_copies_but(
-            self.slots.iter().filter(|slot| slot.machine.is_some()).count().saturating_sub(1),
+            self.slots
+                .iter()
+                .filter(|slot| slot.machine.is_some())
+                .count()
+                .saturating_sub(1),
         );
     }
 
@@ -209,11 +220,17 @@
         let wanted = (self.plan.tolerated + 1).saturating_sub(lost);
         for id in self.truth.owed(self.now_ms).clone() {
             for turn in self.truth.chain(&id) {
-                let holders =
-                    self.machines.iter().filter(|machine| machine.disk.turns.contains_key(&turn.id)).count();
+                let holders = self
+                    .machines
+                    .iter()
+                    .filter(|machine| machine.disk.turns.contains_key(&turn.id))
+                    .count();
                 if holders < wanted {
                     self.describe(&id);
-                    self.fail(&format!("{} of the chain of {id} lies on {holders} disks", turn.id));
+                    self.fail(&format!(
+                        "{} of the chain of {id} lies on {holders} disks",
+                        turn.id
+                    ));
                 }
             }
         }
--- a/crates/turns/tests/world/machine.rs
+++ b/crates/turns/tests/world/machine.rs
@@ -112,7 +112,11 @@
             machine.disk.number = drawn;
         }
         let entries = machine.disk.turns.values().map(Turn::header).collect();
-        let disk = DiskState { disk: machine.disk.number, fresh: !machine.disk.whole, entries };
+        let disk = DiskState {
+            disk: machine.disk.number,
+            fresh: !machine.disk.whole,
+            entries,
+        };
         let settings = Settings {
             name: machine.name.clone(),
             incarnation: machine.life,
@@ -122,7 +126,13 @@
             absent_repair_ms,
         };
         let wall_ms = wall(self.now_ms, wall_offset_ms);
-        machine.node = Some(StoreNode::with_guards(settings, disk, wall_ms, self.now_ms, guards));
+        machine.node = Some(StoreNode::with_guards(
+            settings,
+            disk,
+            wall_ms,
+            self.now_ms,
+            guards,
+        ));
         machine.trouble = Trouble::None;
         machine.well_since_ms = self.now_ms;
         machine.list_version = 0;
@@ -161,7 +171,10 @@
     pub(super) fn thaw(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         let was = machine.trouble;
-        if !matches!(was, Trouble::Frozen | Trouble::CutOff | Trouble::CutFromStores) {
+        if !matches!(
+            was,
+            Trouble::Frozen | Trouble::CutOff | Trouble::CutFromStores
+        ) {
             return;
         }
         machine.trouble = Trouble::None;
@@ -177,7 +190,11 @@
 
     /// Sends a request to a store by its name.
     pub(super) fn send(&mut self, store: &str, request: StoreRequest, asker: Asker) {
-        let to = self.machines.iter().position(|machine| machine.name == store).expect("stores are known");
+        let to = self
+            .machines
+            .iter()
+            .position(|machine| machine.name == store)
+            .expect("stores are known");
         let delay_ms = self.transfer_ms(request_bytes(&request));
         self.after(delay_ms, Event::Request { to, request, asker });
     }
@@ -187,7 +204,9 @@
             Trouble::None if self.machines[to].node.is_some() => {}
             Trouble::CutFromStores if matches!(asker, Asker::Gateway { .. }) => {}
             Trouble::Frozen | Trouble::CutOff | Trouble::CutFromStores => {
-                return self.machines[to].held_up.push(Event::Request { to, request, asker });
+                return self.machines[to]
+                    .held_up
+                    .push(Event::Request { to, request, asker });
             }
             _ => {
                 let delay_ms = self.latency_ms();
@@ -205,7 +224,11 @@
 
     pub(super) fn answer_arrives(&mut self, asker: Asker, reply: Option<StoreReply>) {
         match asker {
-            Asker::Gateway { operation, store, id } => self.operation_answered(operation, &store, &id, reply),
+            Asker::Gateway {
+                operation,
+                store,
+                id,
+            } => self.operation_answered(operation, &store, &id, reply),
             Asker::Machine { machine, life, ask } => {
                 let asking = &mut self.machines[machine];
                 if asking.life != life {
@@ -226,19 +249,32 @@
         }
     }
 
-    pub(super) fn disk_done(&mut self, number: usize, life: u64, job: JobId, outcome: Option<DiskOutcome>) {
+    pub(super) fn disk_done(
+        &mut self,
+        number: usize,
+        life: u64,
+        job: JobId,
+        outcome: Option<DiskOutcome>,
+    ) {
         let now_ms = self.now_ms;
         let machine = &mut self.machines[number];
         if machine.life != life || machine.node.is_none() {
             return;
         }
         if machine.trouble == Trouble::Frozen {
-            return machine.held_up.push(Event::DiskDone { machine: number, life, job, outcome });
+            return machine.held_up.push(Event::DiskDone {
+                machine: number,
+                life,
+                job,
+                outcome,
+            });
         }
         let outcome = match machine.unsynced.remove(&job) {
-            Some(DiskWork::Get(ids)) => {
-                DiskOutcome::Turns(ids.iter().filter_map(|id| machine.disk.turns.get(id).cloned()).collect())
-            }
+            Some(DiskWork::Get(ids)) => DiskOutcome::Turns(
+                ids.iter()
+                    .filter_map(|id| machine.disk.turns.get(id).cloned())
+                    .collect(),
+            ),
             Some(work) => {
                 apply(&mut machine.disk, &work);
                 DiskOutcome::Done
@@ -257,7 +293,10 @@
             return;
         }
         if machine.trouble == Trouble::Frozen {
-            return machine.held_up.push(Event::Tick { machine: number, life });
+            return machine.held_up.push(Event::Tick {
+                machine: number,
+                life,
+            });
         }
         machine.tick_at_ms = u64::MAX;
         let now_ms = self.now_ms;
@@ -268,7 +307,13 @@
         self.drain(number);
     }
 
-    pub(super) fn list_to_machine(&mut self, number: usize, life: u64, version: u64, list: Vec<Store>) {
+    pub(super) fn list_to_machine(
+        &mut self,
+        number: usize,
+        life: u64,
+        version: u64,
+        list: Vec<Store>,
+    ) {
         let machine = &mut self.machines[number];
         if machine.life != life || machine.node.is_none() || machine.trouble != Trouble::None {
             return;
@@ -285,7 +330,10 @@
     }
 
     fn node(&mut self, number: usize) -> &mut StoreNode {
-        self.machines[number].node.as_mut().expect("checked by the caller")
+        self.machines[number]
+            .node
+            .as_mut()
+            .expect("checked by the caller")
     }
 
     /// Carries all effects of a node out.
@@ -297,7 +345,13 @@
         if due_ms < self.machines[number].tick_at_ms {
             self.machines[number].tick_at_ms = due_ms;
             let life = self.machines[number].life;
-            self.at(due_ms, Event::Tick { machine: number, life });
+            self.at(
+                due_ms,
+                Event::Tick {
+                    machine: number,
+                    life,
+                },
+            );
         }
     }
 
@@ -307,7 +361,10 @@
             Effect::Reply { caller, reply } => {
                 let bytes = reply_bytes(&reply);
                 self.seen.largest_message = self.seen.largest_message.max(bytes);
-                let asker = self.machines[number].callers.remove(&caller).expect("one reply to each caller");
+                let asker = self.machines[number]
+                    .callers
+                    .remove(&caller)
+                    .expect("one reply to each caller");
                 let cut = match self.machines[number].trouble {
                     Trouble::CutOff => true,
                     Trouble::CutFromStores => matches!(asker, Asker::Machine { .. }),
@@ -315,13 +372,32 @@
                 };
                 if !cut {
                     let delay_ms = self.transfer_ms(bytes);
-                    self.after(delay_ms, Event::Answer { asker, reply: Some(reply) });
+                    self.after(
+                        delay_ms,
+                        Event::Answer {
+                            asker,
+                            reply: Some(reply),
+                        },
+                    );
                 }
             }
-            Effect::Ask { ask, store, request } => {
-                let cut = [Trouble::CutOff, Trouble::CutFromStores].contains(&self.machines[number].trouble);
+            Effect::Ask {
+                ask,
+                store,
+                request,
+            } => {
+                let cut = [Trouble::CutOff, Trouble::CutFromStores]
+                    .contains(&self.machines[number].trouble);
                 if !cut {
-                    self.send(&store, request, Asker::Machine { machine: number, life, ask });
+                    self.send(
+                        &store,
+                        request,
+                        Asker::Machine {
+                            machine: number,
+                            life,
+                            ask,
+                        },
+                    );
                 }
             }
             Effect::Disk { job, work } => {
@@ -329,7 +405,12 @@
                 let machine = &mut self.machines[number];
                 machine.disk_busy_until_ms = machine.disk_busy_until_ms.max(self.now_ms) + takes_ms;
                 machine.unsynced.insert(job, work);
-                let done = Event::DiskDone { machine: number, life, job, outcome: None };
+                let done = Event::DiskDone {
+                    machine: number,
+                    life,
+                    job,
+                    outcome: None,
+                };
                 let at_ms = machine.disk_busy_until_ms;
                 self.at(at_ms, done);
             }
@@ -357,7 +438,9 @@
     match reply {
         StoreReply::Found { turns, .. } => turns.iter().map(Turn::size).sum(),
         StoreReply::Fetched { turns } => turns.iter().map(|held| held.turn.size()).sum(),
-        StoreReply::Listed { turns, .. } => turns.iter().map(|listed| listed.id.len() as u64 + 8).sum(),
+        StoreReply::Listed { turns, .. } => {
+            turns.iter().map(|listed| listed.id.len() as u64 + 8).sum()
+        }
         _ => 0,
     }
 }
@@ -384,7 +467,8 @@
 fn apply(disk: &mut Disk, work: &DiskWork) {
     match work {
         DiskWork::Put(turns) => {
-            disk.turns.extend(turns.iter().map(|turn| (turn.id.clone(), turn.clone())));
+            disk.turns
+                .extend(turns.iter().map(|turn| (turn.id.clone(), turn.clone())));
         }
         DiskWork::Remove(ids) => ids.iter().for_each(|id| {
             disk.turns.remove(id);
--- a/crates/turns/tests/world/mod.rs
+++ b/crates/turns/tests/world/mod.rs
@@ -42,7 +42,10 @@
 
 impl Default for Absence {
     fn default() -> Absence {
-        Absence { lease_ms: 1_500, repair_ms: 1_000 }
+        Absence {
+            lease_ms: 1_500,
+            repair_ms: 1_000,
+        }
     }
 }
 
@@ -98,30 +101,79 @@
 /// Who waits for the answer of a store.
 #[derive(Clone, Debug)]
 enum Asker {
-    Machine { machine: usize, life: u64, ask: AskId },
-    Gateway { operation: u64, store: String, id: String },
+    Machine {
+        machine: usize,
+        life: u64,
+        ask: AskId,
+    },
+    Gateway {
+        operation: u64,
+        store: String,
+        id: String,
+    },
 }
 
 #[derive(Debug)]
 enum Event {
-    Request { to: usize, request: StoreRequest, asker: Asker },
-    Answer { asker: Asker, reply: Option<StoreReply> },
-    DiskDone { machine: usize, life: u64, job: JobId, outcome: Option<DiskOutcome> },
-    Tick { machine: usize, life: u64 },
+    Request {
+        to: usize,
+        request: StoreRequest,
+        asker: Asker,
+    },
+    Answer {
+        asker: Asker,
+        reply: Option<StoreReply>,
+    },
+    DiskDone {
+        machine: usize,
+        life: u64,
+        job: JobId,
+        outcome: Option<DiskOutcome>,
+    },
+    Tick {
+        machine: usize,
+        life: u64,
+    },
     Heartbeats,
-    ListToMachine { machine: usize, life: u64, version: u64, list: Vec<Store> },
-    ListToGateway { gateway: usize, version: u64, list: Vec<Store> },
-    OperationDue { operation: u64 },
-    ProgramStep { program: usize },
+    ListToMachine {
+        machine: usize,
+        life: u64,
+        version: u64,
+        list: Vec<Store>,
+    },
+    ListToGateway {
+        gateway: usize,
+        version: u64,
+        list: Vec<Store>,
+    },
+    OperationDue {
+        operation: u64,
+    },
+    ProgramStep {
+        program: usize,
+    },
     Probe,
-    NextFault { slot: usize },
-    Start { machine: usize },
-    Thaw { machine: usize },
-    Join { machine: usize },
-    CaughtUp { slot: usize },
+    NextFault {
+        slot: usize,
+    },
+    Start {
+        machine: usize,
+    },
+    Thaw {
+        machine: usize,
+    },
+    Join {
+        machine: usize,
+    },
+    CaughtUp {
+        slot: usize,
+    },
     FinalFault,
     CheckCopies,
-    EmptiedHeard { machine: usize, operation: CoreOperation },
+    EmptiedHeard {
+        machine: usize,
+        operation: CoreOperation,
+    },
     LookForSpares,
 }
 
@@ -168,7 +220,10 @@
                 break;
             }
             world.now_ms = at_ms;
-            let event = world.events.remove(&number).expect("each queued event is there");
+            let event = world
+                .events
+                .remove(&number)
+                .expect("each queued event is there");
             world.handle(event);
         }
         world.check_end();
@@ -210,7 +265,12 @@
             let wall_offset_ms = self.rng.i64(-2_000..2_000);
             // The last one lags far behind the core.
             let most_lag_ms = if gateway == 2 { 3_000 } else { 200 };
-            self.gateways.push(Gateway { list: Vec::new(), version: 0, wall_offset_ms, most_lag_ms });
+            self.gateways.push(Gateway {
+                list: Vec::new(),
+                version: 0,
+                wall_offset_ms,
+                most_lag_ms,
+            });
         }
         self.at(50, Event::Heartbeats);
         self.set_up_programs();
@@ -228,7 +288,8 @@
     fn at(&mut self, at_ms: u64, event: Event) {
         self.last_event += 1;
         self.events.insert(self.last_event, event);
-        self.queue.push(Reverse((at_ms.max(self.now_ms), self.last_event)));
+        self.queue
+            .push(Reverse((at_ms.max(self.now_ms), self.last_event)));
     }
 
     fn after(&mut self, delay_ms: u64, event: Event) {
@@ -239,13 +300,27 @@
         match event {
             Event::Request { to, request, asker } => self.request_arrives(to, request, asker),
             Event::Answer { asker, reply } => self.answer_arrives(asker, reply),
-            Event::DiskDone { machine, life, job, outcome } => self.disk_done(machine, life, job, outcome),
+            Event::DiskDone {
+                machine,
+                life,
+                job,
+                outcome,
+            } => self.disk_done(machine, life, job, outcome),
             Event::Tick { machine, life } => self.tick(machine, life),
             Event::Heartbeats => self.heartbeats(),
-            Event::ListToMachine { machine, life, version, list } => {
+            Event::ListToMachine {
+                machine,
+                life,
+                version,
+                list,
+            } => {
                 self.list_to_machine(machine, life, version, list);
             }
-            Event::ListToGateway { gateway, version, list } => self.list_to_gateway(gateway, version, list),
+            Event::ListToGateway {
+                gateway,
+                version,
+                list,
+            } => self.list_to_gateway(gateway, version, list),
             Event::OperationDue { operation } => self.operation_due(operation),
             Event::ProgramStep { program } => self.program_step(program),
             Event::Probe => self.probe(),
@@ -272,6 +347,9 @@
     }
 
     fn fail(&self, what: &str) -> ! {
-        panic!("seed {}, {} ms: {what}\n{:?}", self.plan.seed, self.now_ms, self.seen);
+        panic!(
+            "seed {}, {} ms: {what}\n{:?}",
+            self.plan.seed, self.now_ms, self.seen
+        );
     }
 }
--- a/crates/turns/tests/world/programs.rs
+++ b/crates/turns/tests/world/programs.rs
@@ -25,8 +25,19 @@
 
 /// Something under way at a gateway.
 pub enum Operation {
-    Read { reading: Reading, id: String, for_program: Option<usize>, gateway: usize, began_at_ms: u64 },
-    Write { writing: Writing, turn: Turn, for_program: usize, began_at_ms: u64 },
+    Read {
+        reading: Reading,
+        id: String,
+        for_program: Option<usize>,
+        gateway: usize,
+        began_at_ms: u64,
+    },
+    Write {
+        writing: Writing,
+        turn: Turn,
+        for_program: usize,
+        began_at_ms: u64,
+    },
 }
 
 /// All turns that were ever written, and when they were answered whole.
@@ -42,7 +53,9 @@
 impl Truth {
     /// The turn was answered whole less than its retention ago.
     pub(super) fn is_owed(&self, id: &str, now_ms: u64) -> bool {
-        self.answered_at_ms.get(id).is_some_and(|at_ms| now_ms < at_ms + RETENTION_MS)
+        self.answered_at_ms
+            .get(id)
+            .is_some_and(|at_ms| now_ms < at_ms + RETENTION_MS)
     }
 
     fn answered(&mut self, id: &str, now_ms: u64) {
@@ -52,7 +65,11 @@
 
     /// All turns that are owed.
     pub(super) fn owed(&mut self, now_ms: u64) -> &VecDeque<String> {
-        while self.recent.front().is_some_and(|id| !self.is_owed(id, now_ms)) {
+        while self
+            .recent
+            .front()
+            .is_some_and(|id| !self.is_owed(id, now_ms))
+        {
             self.recent.pop_front();
         }
         &self.recent
@@ -76,7 +93,11 @@
     pub(super) fn set_up_programs(&mut self) {
         for program in 0..self.plan.programs {
             let name = format!("program-{program}-0");
-            self.programs.push(Program { name, last: None, turns_left: 4 });
+            self.programs.push(Program {
+                name,
+                last: None,
+                turns_left: 4,
+            });
             let at_ms = 4_000 + self.rng.u64(0..1_000);
             self.at(at_ms, Event::ProgramStep { program });
         }
@@ -101,7 +122,11 @@
         let goes_on = !owed.is_empty() && self.rng.u8(0..4) == 0;
         let last = goes_on.then(|| owed[self.rng.usize(0..owed.len())].clone());
         let turns_left = self.rng.u32(1..8);
-        self.programs[program] = Program { name: format!("program-{program}-{drawn:x}"), last, turns_left };
+        self.programs[program] = Program {
+            name: format!("program-{program}-{drawn:x}"),
+            last,
+            turns_left,
+        };
     }
 
     /// Asks for some owed turn, and at times for one that never was.
@@ -120,20 +145,42 @@
         let gateway = self.rng.usize(0..self.gateways.len());
         let name = match for_program {
             Some(program) => self.programs[program].name.clone(),
-            None => self.truth.turns.get(&id).map_or("nobody".to_owned(), |turn| turn.program.clone()),
+            None => self
+                .truth
+                .turns
+                .get(&id)
+                .map_or("nobody".to_owned(), |turn| turn.program.clone()),
         };
         let copies = self.plan.tolerated + 1;
-        let reading = Reading::new(&id, &name, &self.gateways[gateway].list, copies, self.now_ms);
+        let reading = Reading::new(
+            &id,
+            &name,
+            &self.gateways[gateway].list,
+            copies,
+            self.now_ms,
+        );
         let began_at_ms = self.now_ms;
-        self.begin(Operation::Read { reading, id, for_program, gateway, began_at_ms });
+        self.begin(Operation::Read {
+            reading,
+            id,
+            for_program,
+            gateway,
+            began_at_ms,
+        });
     }
 
     fn write(&mut self, program: usize, gateway: usize) {
         self.truth.last_id += 1;
-        let id = format!("{:016x}", self.truth.last_id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let id = format!(
+            "{:016x}",
+            self.truth.last_id.wrapping_mul(0x9e37_79b9_7f4a_7c15)
+        );
         let wall_ms = wall(self.now_ms, self.gateways[gateway].wall_offset_ms);
         let turn = Turn {
-            input: Bytes::from(vec![self.rng.u8(..); self.rng.usize(0..self.plan.most_input_bytes)]),
+            input: Bytes::from(vec![
+                self.rng.u8(..);
+                self.rng.usize(0..self.plan.most_input_bytes)
+            ]),
             output: Bytes::from(format!("answer to {id}\n")),
             id,
             previous: self.programs[program].last.clone(),
@@ -143,8 +190,18 @@
         };
         self.truth.turns.insert(turn.id.clone(), turn.clone());
         let copies = self.plan.tolerated + 1;
-        let writing = Writing::new(&turn.header(), &self.gateways[gateway].list, copies, self.now_ms);
-        self.begin(Operation::Write { writing, turn, for_program: program, began_at_ms: self.now_ms });
+        let writing = Writing::new(
+            &turn.header(),
+            &self.gateways[gateway].list,
+            copies,
+            self.now_ms,
+        );
+        self.begin(Operation::Write {
+            writing,
+            turn,
+            for_program: program,
+            began_at_ms: self.now_ms,
+        });
     }
 
     fn begin(&mut self, operation: Operation) {
@@ -162,32 +219,65 @@
         let due_ms = match &mut operation {
             Operation::Read { reading, .. } => {
                 while let Some(ask) = reading.poll() {
-                    sends.push((ask.store, ask.id.clone(), StoreRequest::Chain { id: ask.id }));
+                    sends.push((
+                        ask.store,
+                        ask.id.clone(),
+                        StoreRequest::Chain { id: ask.id },
+                    ));
                 }
                 reading.next_due()
             }
             Operation::Write { writing, turn, .. } => {
                 while let Some(put) = writing.poll() {
-                    let request = StoreRequest::Put { turn: turn.clone(), hint: put.hint };
+                    let request = StoreRequest::Put {
+                        turn: turn.clone(),
+                        hint: put.hint,
+                    };
                     sends.push((put.store, turn.id.clone(), request));
                 }
                 writing.next_due()
             }
         };
         for (store, id, request) in sends {
-            let asker = Asker::Gateway { operation: number, store: store.clone(), id };
+            let asker = Asker::Gateway {
+                operation: number,
+                store: store.clone(),
+                id,
+            };
             self.send(&store, request, asker);
         }
         let ended = match operation {
-            Operation::Read { mut reading, id, for_program, gateway, began_at_ms } => {
-                match reading.take_outcome() {
-                    Some(outcome) => return self.read_ended(outcome, &id, for_program, gateway, began_at_ms),
-                    None => Operation::Read { reading, id, for_program, gateway, began_at_ms },
+            Operation::Read {
+                mut reading,
+                id,
+                for_program,
+                gateway,
+                began_at_ms,
+            } => match reading.take_outcome() {
+                Some(outcome) => {
+                    return self.read_ended(outcome, &id, for_program, gateway, began_at_ms)
                 }
-            }
-            Operation::Write { writing, turn, for_program, began_at_ms } => match writing.verdict() {
+                None => Operation::Read {
+                    reading,
+                    id,
+                    for_program,
+                    gateway,
+                    began_at_ms,
+                },
+            },
+            Operation::Write {
+                writing,
+                turn,
+                for_program,
+                began_at_ms,
+            } => match writing.verdict() {
                 Some(verdict) => return self.write_ended(verdict, &turn, for_program, began_at_ms),
-                None => Operation::Write { writing, turn, for_program, began_at_ms },
+                None => Operation::Write {
+                    writing,
+                    turn,
+                    for_program,
+                    began_at_ms,
+                },
             },
         };
         self.operations.insert(number, ended);
@@ -285,7 +375,9 @@
                 self.seen.unsure_reads += 1;
                 if owed && self.is_calm(began_at_ms) {
                     self.describe(id);
-                    self.fail(&format!("unsure in a calm time: {id}, which was answered whole"));
+                    self.fail(&format!(
+                        "unsure in a calm time: {id}, which was answered whole"
+                    ));
                 }
             }
         }
@@ -305,7 +397,10 @@
                 self.seen.needless_unsure_writes += u64::from(self.could_be_kept(began_at_ms));
                 if self.is_calm(began_at_ms) {
                     self.describe(&turn.id);
-                    self.fail(&format!("in a calm time it is unsure whether {} is kept", turn.id));
+                    self.fail(&format!(
+                        "in a calm time it is unsure whether {} is kept",
+                        turn.id
+                    ));
                 }
             }
         }
@@ -319,14 +414,16 @@
 
     /// As many stores as have to keep a turn were there, and known to be, all the time since `began_at_ms`.
     fn could_be_kept(&self, began_at_ms: u64) -> bool {
-        let there =
-            |machine: &&Machine| machine.is_reachable() && machine.well_since_ms + SETTLED_MS <= began_at_ms;
+        let there = |machine: &&Machine| {
+            machine.is_reachable() && machine.well_since_ms + SETTLED_MS <= began_at_ms
+        };
         self.machines.iter().filter(there).count() > self.plan.tolerated
     }
 
     /// No trouble since long enough for every store to have caught up.
     fn is_calm(&self, began_at_ms: u64) -> bool {
-        self.calm_since_ms.is_some_and(|since_ms| began_at_ms >= since_ms + CATCH_UP_MS)
+        self.calm_since_ms
+            .is_some_and(|since_ms| began_at_ms >= since_ms + CATCH_UP_MS)
     }
 
     /// Prints where a chain lies.
@@ -339,7 +436,10 @@
                 .map(|machine| format!("{} ({:?})", machine.name, machine.trouble))
                 .collect();
             let answered = self.truth.answered_at_ms.get(&turn.id);
-            eprintln!("{} of {} answered {answered:?}: {holders:?}", turn.id, turn.program);
+            eprintln!(
+                "{} of {} answered {answered:?}: {holders:?}",
+                turn.id, turn.program
+            );
         }
         for entry in self.core.list() {
             eprintln!("{entry:?}");
--- a/crates/turns/tests/world/windows.rs
+++ b/crates/turns/tests/world/windows.rs
@@ -26,20 +26,28 @@
         if self.open_windows.is_empty() {
             self.after(0, Event::LookForSpares);
         }
-        self.open_windows.push(OpenWindow { after, since_ms: self.now_ms });
+        self.open_windows.push(OpenWindow {
+            after,
+            since_ms: self.now_ms,
+        });
     }
 
     pub(super) fn look_for_spares(&mut self) {
         // Mostly the turn that had no spare the last time has none yet.
-        let known =
-            self.without_spare.take().filter(|id| self.truth.is_owed(id, self.now_ms) && !self.has_spare(id));
+        let known = self
+            .without_spare
+            .take()
+            .filter(|id| self.truth.is_owed(id, self.now_ms) && !self.has_spare(id));
         self.without_spare = known.or_else(|| self.find_without_spare());
         if self.without_spare.is_some() {
             return self.after(LOOK_MS, Event::LookForSpares);
         }
         for open in std::mem::take(&mut self.open_windows) {
             let lasted_ms = self.now_ms - open.since_ms;
-            self.seen.windows.push(Window { after: open.after, lasted_ms });
+            self.seen.windows.push(Window {
+                after: open.after,
+                lasted_ms,
+            });
         }
     }
 
@@ -50,8 +58,15 @@
     }
 
     fn has_spare(&self, id: &str) -> bool {
-        let copies =
-            |id: &str| self.machines.iter().filter(|machine| machine.disk.turns.contains_key(id)).count();
-        self.truth.chain(id).into_iter().all(|turn| copies(&turn.id) > self.plan.tolerated)
+        let copies = |id: &str| {
+            self.machines
+                .iter()
+                .filter(|machine| machine.disk.turns.contains_key(id))
+                .count()
+        };
+        self.truth
+            .chain(id)
+            .into_iter()
+            .all(|turn| copies(&turn.id) > self.plan.tolerated)
     }
 }
--- a/crates/turns/tests/writing.rs
+++ b/crates/turns/tests/writing.rs
@@ -42,7 +42,13 @@
     puts(&mut writing);
     writing.failed(&order[1], 5);
     let sent = puts(&mut writing);
-    assert_eq!(sent, [Put { store: order[2].clone(), hint: Some(order[1].clone()) }]);
+    assert_eq!(
+        sent,
+        [Put {
+            store: order[2].clone(),
+            hint: Some(order[1].clone())
+        }]
+    );
     writing.acknowledged(&order[0], 6);
     writing.acknowledged(&order[2], 7);
     assert_eq!(writing.verdict(), Some(Verdict::Kept));
@@ -57,7 +63,13 @@
     writing.acknowledged(&order[0], 2);
     assert_eq!(writing.next_due(), Some(HEDGE_MS));
     writing.due(HEDGE_MS);
-    assert_eq!(puts(&mut writing), [Put { store: order[2].clone(), hint: Some(order[1].clone()) }]);
+    assert_eq!(
+        puts(&mut writing),
+        [Put {
+            store: order[2].clone(),
+            hint: Some(order[1].clone())
+        }]
+    );
     writing.acknowledged(&order[1], HEDGE_MS + 1);
     assert_eq!(writing.verdict(), Some(Verdict::Kept));
 }
@@ -66,7 +78,11 @@
 fn an_absent_home_is_not_waited_for() {
     let mut stores = stores(3);
     let order = order(PROGRAM, &stores);
-    stores.iter_mut().find(|store| store.name == order[0]).unwrap().present = false;
+    stores
+        .iter_mut()
+        .find(|store| store.name == order[0])
+        .unwrap()
+        .present = false;
     let sent = puts(&mut begin(&stores, 2));
     assert_eq!(names(&sent), [&order[1], &order[2]]);
     assert_eq!(sent[1].hint, Some(order[0].clone()));
@@ -87,7 +103,11 @@
     writing.due(WRITE_DEADLINE_MS);
     assert_eq!(writing.verdict(), Some(Verdict::Unsure));
     writing.acknowledged(&order[1], WRITE_DEADLINE_MS + 1);
-    assert_eq!(writing.verdict(), Some(Verdict::Unsure), "what was said once stays said");
+    assert_eq!(
+        writing.verdict(),
+        Some(Verdict::Unsure),
+        "what was said once stays said"
+    );
 }
 
 #[test]
@@ -121,18 +141,36 @@
 fn two_stores_of_one_zone_are_not_two_zones() {
     let mut stores = stores(4);
     for store in &mut stores {
-        store.zone = if store.name.as_str() < "storage-2" { "a".into() } else { "b".into() };
+        store.zone = if store.name.as_str() < "storage-2" {
+            "a".into()
+        } else {
+            "b".into()
+        };
     }
     let order = order(PROGRAM, &stores);
-    let zone = |name: &str| stores.iter().find(|store| store.name == name).unwrap().zone.clone();
+    let zone = |name: &str| {
+        stores
+            .iter()
+            .find(|store| store.name == name)
+            .unwrap()
+            .zone
+            .clone()
+    };
     let mut writing = begin(&stores, 2).over_zones(2);
     let first = puts(&mut writing);
     let lost = first[1].store.clone();
     writing.acknowledged(&order[0], 1);
     writing.failed(&lost, 1);
     let second = puts(&mut writing);
-    assert_eq!(zone(&second[0].store), zone(&lost), "the stand-in lies in the zone that has no copy");
-    let same_zone = order.iter().find(|name| **name != order[0] && zone(name) == zone(&order[0])).unwrap();
+    assert_eq!(
+        zone(&second[0].store),
+        zone(&lost),
+        "the stand-in lies in the zone that has no copy"
+    );
+    let same_zone = order
+        .iter()
+        .find(|name| **name != order[0] && zone(name) == zone(&order[0]))
+        .unwrap();
     writing.acknowledged(same_zone, 2);
     assert_eq!(writing.verdict(), None);
     writing.acknowledged(&second[0].store, 3);
@@ -145,17 +183,24 @@
     stores[0].retiring = true;
     let mut writing = begin(&stores, 2);
     let homes = puts(&mut writing);
-    assert!(homes.iter().all(|put| put.store != stores[0].name), "{homes:?}");
+    assert!(
+        homes.iter().all(|put| put.store != stores[0].name),
+        "{homes:?}"
+    );
     writing.acknowledged(&homes[0].store, 2);
     writing.due(HEDGE_MS);
-    let fallback = Put { store: stores[0].name.clone(), hint: Some(homes[1].store.clone()) };
+    let fallback = Put {
+        store: stores[0].name.clone(),
+        hint: Some(homes[1].store.clone()),
+    };
     assert_eq!(puts(&mut writing), [fallback]);
     writing.acknowledged(&stores[0].name, HEDGE_MS + 2);
     assert_eq!(writing.verdict(), Some(Verdict::Kept));
 }
 
 #[test]
-fn a_store_that_is_being_emptied_goes_before_one_that_is_away_and_one_that_was_emptied_is_not_asked() {
+fn a_store_that_is_being_emptied_goes_before_one_that_is_away_and_one_that_was_emptied_is_not_asked(
+) {
     let mut stores = stores(4);
     stores[0].retiring = true;
     stores[1].present = false;
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -40,7 +40,14 @@
     /// With the counter's time-out in seconds, the fee, and the mean worth of an invocation as set.
     pub fn new(wait: f64, fee: f64, worth: f64) -> Self {
         let worth = worth.max(1e-9);
-        Calls { wait, fee: fee.max(LEAST), worth, slow: FIRST, ended: f64::NEG_INFINITY, ..Calls::default() }
+        Calls {
+            wait,
+            fee: fee.max(LEAST),
+            worth,
+            slow: FIRST,
+            ended: f64::NEG_INFINITY,
+            ..Calls::default()
+        }
     }
 
     /// The mean worth of the invocations seen lately.
@@ -65,13 +72,21 @@
     /// The counter's answer to one call, after so many seconds.
     pub fn heard(&mut self, counted: Counted, spent: f64, now: f64) {
         if matches!(counted, Counted::Total(_)) {
-            self.ended = if self.failures >= SILENT { now } else { self.ended };
+            self.ended = if self.failures >= SILENT {
+                now
+            } else {
+                self.ended
+            };
             self.failures = 0;
         } else {
             self.since = if self.failures == 0 { now } else { self.since };
             self.failures += 1;
         }
-        let spent = if self.failures == 0 { (HALF * spent / self.wait).min(1.0) } else { 1.0 };
+        let spent = if self.failures == 0 {
+            (HALF * spent / self.wait).min(1.0)
+        } else {
+            1.0
+        };
         self.slow += LATEST * (spent - self.slow);
     }
 
--- a/src/ceilings.rs
+++ b/src/ceilings.rs
@@ -28,7 +28,10 @@
             return (self.rate / gateways, self.burst / gateways);
         }
         let burst = (self.burst - self.quota_burst) / gateways;
-        ((self.rate - self.quota_rate) / gateways, if burst < 1.0 { 0.0 } else { burst })
+        (
+            (self.rate - self.quota_rate) / gateways,
+            if burst < 1.0 { 0.0 } else { burst },
+        )
     }
 
     /// What may be leased in one short window, and its length: with the parts, two windows are no more than
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -63,7 +63,11 @@
     /// How likely it has room, by what was heard of it, or of its plan where nothing was.
     fn likely(&self, plan: &Plan, repeat: bool) -> f64 {
         let usual = plan.had_room[usize::from(repeat)];
-        let known = if repeat { self.likely.min(usual) } else { self.likely };
+        let known = if repeat {
+            self.likely.min(usual)
+        } else {
+            self.likely
+        };
         if self.heard > 0.0 {
             known
         } else {
@@ -122,7 +126,11 @@
 impl Limiter {
     pub fn new(s: &Settings, now: f64) -> Self {
         let plans = s.plans.iter().map(|p| {
-            let span = if p.rate > 0.0 { (p.burst / p.rate).max(1e-3) } else { WINDOW };
+            let span = if p.rate > 0.0 {
+                (p.burst / p.rate).max(1e-3)
+            } else {
+                WINDOW
+            };
             let room = p.hard_rate > p.rate && p.hard_burst > p.burst;
             let (rate, burst) = (p.rate, p.burst);
             let hard = (p.hard_rate, p.hard_burst);
@@ -131,7 +139,12 @@
                 burst,
                 open: p.open,
                 span,
-                hard: Ceiling { rate: hard.0, burst: hard.1, quota_rate: rate, quota_burst: burst },
+                hard: Ceiling {
+                    rate: hard.0,
+                    burst: hard.1,
+                    quota_rate: rate,
+                    quota_burst: burst,
+                },
                 halves: s.counter && p.rate > 0.0 && p.burst >= LEAST && room,
                 had_room: [1.0 - CALM * CALM, CALM],
                 price: p.price,
@@ -147,9 +160,14 @@
             pays_late: o.late_share > 0.0,
         });
         let operations: Vec<Operation> = operations.collect();
-        let objective = operations.iter().map(|o| o.objective).fold(f64::INFINITY, f64::min);
+        let objective = operations
+            .iter()
+            .map(|o| o.objective)
+            .fold(f64::INFINITY, f64::min);
         let plans: Vec<Plan> = plans.collect();
-        let each = operations.iter().flat_map(|o| plans.iter().map(move |p| o.value * p.price));
+        let each = operations
+            .iter()
+            .flat_map(|o| plans.iter().map(move |p| o.value * p.price));
         let worth = each.sum::<f64>() / (operations.len() * plans.len()).max(1) as f64;
         Limiter {
             plans,
@@ -165,7 +183,11 @@
             lead: (s.fall_multiple / 2.0).clamp(1.0, 2.0),
             slack: s.answer_slack,
             watch: s.watch_on_request,
-            objective: if objective.is_finite() { objective.max(1e-3) } else { 1.0 },
+            objective: if objective.is_finite() {
+                objective.max(1e-3)
+            } else {
+                1.0
+            },
             operations,
             born: now,
             rng: fastrand::Rng::with_seed(s.seed),
@@ -175,7 +197,11 @@
             fleet_slow: CALM / 2.0,
             answered: CALM / 2.0,
             flow_at: now,
-            actions: s.watch_on_request.then_some(Action::WatchEndpoints).into_iter().collect(),
+            actions: s
+                .watch_on_request
+                .then_some(Action::WatchEndpoints)
+                .into_iter()
+                .collect(),
             ..Limiter::default()
         }
     }
@@ -193,7 +219,11 @@
     /// Where to send this invocation: the ordinary path, top to bottom.
     pub fn place(&mut self, inv: &mut Invocation, now: f64) -> Answer {
         if matches!(inv.stage, Stage::Out | Stage::Done) {
-            return if inv.stage == Stage::Done { Answer::Done } else { Answer::Hold };
+            return if inv.stage == Stage::Done {
+                Answer::Done
+            } else {
+                Answer::Hold
+            };
         }
         let a = self.account(inv, now);
         if inv.stage == Stage::New {
@@ -234,7 +264,8 @@
                         inv.stage = Stage::Quota;
                         return Answer::Hold;
                     }
-                    let room = plan.burst - (account.backlog - plan.rate * (now - account.heard)).max(0.0);
+                    let room =
+                        plan.burst - (account.backlog - plan.rate * (now - account.heard)).max(0.0);
                     if account.heard > 0.0 && room < inv.units {
                         return self.beyond(inv, Cause::Quota, (inv.units - room) / plan.rate, now);
                     }
@@ -277,7 +308,9 @@
 
     /// What to do after this outcome.
     pub fn after(&mut self, inv: &mut Invocation, outcome: &Outcome, now: f64) -> Answer {
-        let Some(&(tgt, at)) = inv.sent.get(outcome.n) else { return Answer::Done };
+        let Some(&(tgt, at)) = inv.sent.get(outcome.n) else {
+            return Answer::Done;
+        };
         inv.out = inv.out.saturating_sub(1);
         self.learn(tgt, inv, outcome, at, now);
         self.ask_front();
@@ -289,7 +322,10 @@
             account.open = (account.open - 1.0).max(0.0);
             // A meter well over the rate tells without the counter that the limiters let in too much.
             let rate = self.plans[inv.plan].rate;
-            if outcome.used.is_some_and(|used| used * rate > rate + inv.units) {
+            if outcome
+                .used
+                .is_some_and(|used| used * rate > rate + inv.units)
+            {
                 (account.share, account.calm, account.likely) = (0.0, false, account.likely * CALM);
             }
             if let (Some(units), true) = (outcome.settled, inv.paid) {
@@ -303,8 +339,13 @@
             return Answer::Hold;
         }
         // Another delivery only where it is allowed, can still earn, and adds nothing to an overload.
-        let left = inv.sent.len() < self.most_deliveries.min(FURTHER + 1) && self.pressure < PRESSED;
-        if left && outcome.ending != Ending::Moot && now < self.give_up(inv) && self.resendable(inv, now) {
+        let left =
+            inv.sent.len() < self.most_deliveries.min(FURTHER + 1) && self.pressure < PRESSED;
+        if left
+            && outcome.ending != Ending::Moot
+            && now < self.give_up(inv)
+            && self.resendable(inv, now)
+        {
             inv.stage = Stage::Queued;
             if let Some(tgt) = self.pick(inv, now) {
                 return self.send(inv, tgt, now);
@@ -332,41 +373,88 @@
     fn refill(&mut self, a: usize, inv: &Invocation, now: f64) {
         let (needs, account) = (inv.units, &mut self.accounts[a]);
         let plan = &mut self.plans[account.plan];
-        let window = ((now + phase(account.customer, account.length)) / account.length).floor() as i64;
+        let window =
+            ((now + phase(account.customer, account.length)) / account.length).floor() as i64;
         let backlog = (account.backlog - plan.rate * (now - account.heard)).max(0.0);
         let room = plan.burst - backlog;
         let want = account.demand.max(needs).min(plan.burst.max(needs));
         let few = (room / account.gateways / SHRINK).max(needs);
-        let asked = if want * account.gateways > room { want.min(few) } else { want };
+        let asked = if want * account.gateways > room {
+            want.min(few)
+        } else {
+            want
+        };
         // A new name starts at nothing: the backlog known here goes over with the first add.
-        let carried = if account.window == window || account.short { 0.0 } else { backlog };
+        let carried = if account.window == window || account.short {
+            0.0
+        } else {
+            backlog
+        };
         // Units left of the last lease go back with the same add.
         let fresh = account.window == window || !account.short;
-        let back = if fresh { account.lease.min(backlog).max(0.0) } else { 0.0 };
+        let back = if fresh {
+            account.lease.min(backlog).max(0.0)
+        } else {
+            0.0
+        };
         let debt = account.owed(plan, now);
         (account.debt, account.lease, account.asking) = (0.0, 0.0, true);
         let add = asked + carried + debt - back;
-        self.count(Call { account: a, add, asked, needs, carried, debt, back, window, repeat: inv.repeat });
+        self.count(Call {
+            account: a,
+            add,
+            asked,
+            needs,
+            carried,
+            debt,
+            back,
+            window,
+            repeat: inv.repeat,
+        });
     }
 
     fn count(&mut self, call: Call) {
         let account = &self.accounts[call.account];
         let (customer, plan) = (account.customer, &self.plans[account.plan]);
-        let most = if account.short { plan.hard.window(account.gateways).0 } else { plan.burst };
-        let most = if account.short { whole(most, call.window) } else { most };
+        let most = if account.short {
+            plan.hard.window(account.gateways).0
+        } else {
+            plan.burst
+        };
+        let most = if account.short {
+            whole(most, call.window)
+        } else {
+            most
+        };
         let rate = if account.short { 0.0 } else { plan.rate };
         let start = window_start(customer, call.window, account.length);
         let (plan, asked, needs) = (account.plan, call.asked, call.needs);
-        let about = About { customer, plan, asked, needs, start, length: account.length, rate, most };
+        let about = About {
+            customer,
+            plan,
+            asked,
+            needs,
+            start,
+            length: account.length,
+            rate,
+            most,
+        };
         let name = mix(customer, call.window as u64) >> 1;
-        self.actions.push_back(Action::Count { name, add: call.add, life: NAME_LIFE, about });
+        self.actions.push_back(Action::Count {
+            name,
+            add: call.add,
+            life: NAME_LIFE,
+            about,
+        });
         self.calls.entry(name).or_default().push_back(call);
     }
 
     /// The counter's answer. The name holds units let in since the window began; what stands above the
     /// line of the rate is backlog, and the burst is the most that it may be.
     pub fn counted(&mut self, name: u64, counted: Counted, spent: f64, now: f64) {
-        let Some(call) = self.calls.get_mut(&name).and_then(VecDeque::pop_front) else { return };
+        let Some(call) = self.calls.get_mut(&name).and_then(VecDeque::pop_front) else {
+            return;
+        };
         if self.calls[&name].is_empty() {
             self.calls.remove(&name);
         }
@@ -377,7 +465,11 @@
         let Counted::Total(total) = counted else {
             if counted == Counted::Refused {
                 // Nothing was added: what it was to report or return goes with the next one, a write-off not.
-                let correction = if call.asked > 0.0 { 0.0 } else { call.add.min(0.0) };
+                let correction = if call.asked > 0.0 {
+                    0.0
+                } else {
+                    call.add.min(0.0)
+                };
                 account.debt = account.owed(plan, now) + call.debt + correction;
                 account.lease += call.back;
             }
@@ -392,7 +484,10 @@
             // wrote takes its own back, else the customer would owe a whole window's rate.
             let twice = (total - call.needs).min(call.add);
             if call.add > plan.burst && twice > call.add / 2.0 {
-                self.count(Call { add: -twice, ..call });
+                self.count(Call {
+                    add: -twice,
+                    ..call
+                });
             }
             return;
         }
@@ -407,12 +502,17 @@
             true => (0.0, plan.hard.window(account.gateways).0),
             false => (plan.rate * (now - start), plan.burst),
         };
-        let most = if account.short { whole(most, call.window) } else { most };
+        let most = if account.short {
+            whole(most, call.window)
+        } else {
+            most
+        };
         let before = total - call.add;
         // Guards against an emptied counter: a total far under the last one heard lost its units, so
         // what is known here is put back. Gives a peer's large return back too late by one span at worst.
         let known = (account.backlog - plan.rate * (now - account.heard)).max(0.0);
-        let forgot = !account.short && account.window == call.window && before - line < known - plan.burst;
+        let forgot =
+            !account.short && account.window == call.window && before - line < known - plan.burst;
         let floor = (if forgot { known } else { call.carried } - call.back).max(0.0);
         // An idle customer's store holds the burst at most: the rest is written off once demand could use it.
         // Guards against units beyond the quota, which take nothing, and what was added in vain: with hundreds
@@ -429,16 +529,25 @@
         let target = line + (base + call.debt + grant).min(most);
         let off = target - total;
         // In a long set one invocation says little: else a call would follow each answer.
-        let hot = account.demand * account.gateways > plan.burst / 2.0 && account.demand > call.needs;
+        let hot =
+            account.demand * account.gateways > plan.burst / 2.0 && account.demand > call.needs;
         let idle = hot || floor > 0.0 || off > plan.burst;
         // A short window that had no room is shut until it ends, so nothing is put right there.
-        let correct =
-            if account.short { grant > 0.0 && off < -0.5 } else { off < -0.5 || (off > 0.5 && idle) };
+        let correct = if account.short {
+            grant > 0.0 && off < -0.5
+        } else {
+            off < -0.5 || (off > 0.5 && idle)
+        };
         let first = account.heard <= 0.0;
-        (account.window, account.heard, account.lease, account.asking) = (call.window, now, grant, false);
+        (account.window, account.heard, account.lease, account.asking) =
+            (call.window, now, grant, false);
         let over = grant <= 0.0;
         account.full_at = if over { now } else { account.full_at };
-        account.calm = if account.short { room > most / 2.0 } else { before + call.asked < line };
+        account.calm = if account.short {
+            room > most / 2.0
+        } else {
+            before + call.asked < line
+        };
         let had_room = f64::from(u8::from(!over));
         if first {
             let usual = &mut plan.had_room[usize::from(call.repeat)];
@@ -456,13 +565,21 @@
             account.lapses = now + HOLD * plan.span;
         }
         if correct {
-            self.count(Call { add: off, asked: 0.0, needs: target, debt: 0.0, back: 0.0, ..call });
+            self.count(Call {
+                add: off,
+                asked: 0.0,
+                needs: target,
+                debt: 0.0,
+                back: 0.0,
+                ..call
+            });
         }
         self.wake(a);
     }
 
     fn wake(&mut self, a: usize) {
-        self.actions.extend(self.accounts[a].waiting.drain(..).map(Action::Ask));
+        self.actions
+            .extend(self.accounts[a].waiting.drain(..).map(Action::Ask));
     }
 
     /// What this invocation earns if it is sent now: its worth times the chance of an answer in its time.
@@ -483,12 +600,26 @@
         self.pricing.seen(worth);
         let (account, plan) = (&self.accounts[a], &self.plans[inv.plan]);
         // What was heard gives way to what is usual over a span: else one without room is never asked again.
-        let (likely, usual) = (account.likely(plan, inv.repeat), plan.had_room[usize::from(inv.repeat)]);
-        let likely = (usual + (likely - usual) * (-(now - account.heard) / plan.span).exp()).min(SURE);
+        let (likely, usual) = (
+            account.likely(plan, inv.repeat),
+            plan.had_room[usize::from(inv.repeat)],
+        );
+        let likely =
+            (usual + (likely - usual) * (-(now - account.heard) / plan.span).exp()).min(SURE);
         // A lease that serves many is worth more than one that serves one, as near the limit of a long set.
-        let few = if account.demand * account.gateways > plan.burst { 0.0 } else { account.demand };
+        let few = if account.demand * account.gateways > plan.burst {
+            0.0
+        } else {
+            account.demand
+        };
         let serves = (few / inv.units.max(1e-9)).max(1.0);
-        worth * serves * if blind { (1.0 - likely) * plan.excess } else { likely }
+        worth
+            * serves
+            * if blind {
+                (1.0 - likely) * plan.excess
+            } else {
+                likely
+            }
     }
 
     /// Without the counter each limiter admits its share of the quota, opened as far as the plan's price of
@@ -499,7 +630,11 @@
         let account = &mut self.accounts[a];
         let plan = &mut self.plans[account.plan];
         // One that was heard to use less than its rate may come unevenly: here it gets the whole.
-        let part = if account.calm { 1.0 } else { (plan.openness / account.gateways).min(1.0) };
+        let part = if account.calm {
+            1.0
+        } else {
+            (plan.openness / account.gateways).min(1.0)
+        };
         let most = (plan.burst * part).max(units);
         let since = now - account.share_at;
         if since > plan.span {
@@ -553,7 +688,9 @@
         if account.short && burst <= 0.0 {
             let rank = (self.slot + self.fleet - inv.first_gateway % self.fleet) % self.fleet;
             let apart = phase(account.customer, account.gateways / plan.hard.rate);
-            let turn = plan.hard.turn(account.gateways, f64::from(rank), apart, now);
+            let turn = plan
+                .hard
+                .turn(account.gateways, f64::from(rank), apart, now);
             let since = self.pricing.silent_since().unwrap_or(now);
             account.turn = turn.filter(|turn| *turn > since.max(account.spent));
             return (account.turn.is_none() || inv.units > 1.0).then_some(self.max_pause);
@@ -569,11 +706,15 @@
         if let Some(&a) = self.by_customer.get(&inv.customer) {
             return a;
         }
-        let (plan, gateways) = (&self.plans[inv.plan], f64::from(inv.gateways.clamp(1, self.fleet)));
+        let (plan, gateways) = (
+            &self.plans[inv.plan],
+            f64::from(inv.gateways.clamp(1, self.fleet)),
+        );
         // Where a part of the ceiling covers little, short windows bound leases whatever is forgotten.
         // In a set so long that no gateway's part of the burst covers a unit a lease serves one invocation;
         // what a refused one added would cost another call to take back, and windows forget it themselves.
-        let thin = self.counter && plan.hard.rate <= 0.0 && plan.rate > 0.0 && plan.burst < gateways;
+        let thin =
+            self.counter && plan.hard.rate <= 0.0 && plan.rate > 0.0 && plan.burst < gateways;
         let short = thin || (plan.halves && plan.hard.burst < COARSE * gateways);
         let (hard_rate, hard_burst) = plan.hard.part(gateways, short);
         let account = Account {
@@ -587,7 +728,11 @@
             failed_at: f64::NEG_INFINITY,
             spent: f64::NEG_INFINITY,
             short,
-            length: if short { plan.hard.window(gateways).1 } else { WINDOW },
+            length: if short {
+                plan.hard.window(gateways).1
+            } else {
+                WINDOW
+            },
             full_at: f64::NEG_INFINITY,
             hard: (hard_rate * (now - self.born)).min(hard_burst),
             hard_at: now,
@@ -597,7 +742,11 @@
             self.hand = (self.hand + 1) % self.accounts.len();
             let idle = &self.accounts[self.hand];
             let plan = &self.plans[idle.plan];
-            let refilled = if plan.hard.rate > 0.0 { plan.hard.burst / plan.hard.rate } else { 0.0 };
+            let refilled = if plan.hard.rate > 0.0 {
+                plan.hard.burst / plan.hard.rate
+            } else {
+                0.0
+            };
             let quiet = now - idle.seen > WINDOW.max(2.0 * plan.span).max(2.0 * refilled);
             if quiet && !idle.asking && idle.waiting.is_empty() && idle.open <= 0.0 {
                 self.by_customer.remove(&idle.customer);
@@ -607,7 +756,8 @@
             }
         }
         self.accounts.push(account);
-        self.by_customer.insert(inv.customer, self.accounts.len() - 1);
+        self.by_customer
+            .insert(inv.customer, self.accounts.len() - 1);
         self.accounts.len() - 1
     }
 
@@ -616,45 +766,81 @@
     /// When an unsent invocation, or one between deliveries, can no longer be answered in time.
     fn give_up(&self, inv: &Invocation) -> f64 {
         let operation = &self.operations[inv.operation];
-        let late = if operation.pays_late { f64::INFINITY } else { inv.came + operation.objective };
+        let late = if operation.pays_late {
+            f64::INFINITY
+        } else {
+            inv.came + operation.objective
+        };
         let ends = inv.until.min(late) - self.fleet_slow.min(CALM) * operation.objective / 2.0;
         // Guards against a counter that is slow beside short objectives: its time-out is waited out.
         let held = (QUEUE * operation.objective).max(self.count_wait);
-        ends.min(if inv.sent.is_empty() { inv.came + held } else { f64::INFINITY })
+        ends.min(if inv.sent.is_empty() {
+            inv.came + held
+        } else {
+            f64::INFINITY
+        })
     }
 
     /// How many are ahead in the queue: dearer operations, whatever the plan, and equals unless it was out.
     fn ahead(&self, inv: &Invocation, again: bool) -> usize {
         let value = self.operations[inv.operation].value;
-        self.queue.partition_point(|&(v, _)| v > value || (v == value && !again))
+        self.queue
+            .partition_point(|&(v, _)| v > value || (v == value && !again))
     }
 
     fn join(&mut self, inv: &Invocation, again: bool) -> usize {
         let ahead = self.ahead(inv, again);
-        self.queue.insert(ahead, (self.operations[inv.operation].value, inv.num));
+        self.queue
+            .insert(ahead, (self.operations[inv.operation].value, inv.num));
         ahead
     }
 
     fn ask_front(&mut self) {
-        self.actions.extend(self.queue.front().map(|&(_, num)| Action::Ask(num)));
+        self.actions
+            .extend(self.queue.front().map(|&(_, num)| Action::Ask(num)));
     }
 
     fn refuse(&mut self, inv: &mut Invocation, cause: Cause, pause: f64, now: f64) -> Answer {
         let unsent = inv.paid && inv.sent.is_empty();
         let crowded = cause == Cause::Queue || (unsent && inv.stage == Stage::Queued);
-        self.crowd += if crowded { NEWEST * (1.0 - self.crowd) } else { 0.0 };
+        self.crowd += if crowded {
+            NEWEST * (1.0 - self.crowd)
+        } else {
+            0.0
+        };
         let unrun = inv.may_have_run.is_none() && inv.out == 0;
         let effect = self.operations[inv.operation].effect;
-        let all = matches!(effect, Effect::Idempotent | Effect::Tokened { group: Group::All, .. });
+        let all = matches!(
+            effect,
+            Effect::Idempotent
+                | Effect::Tokened {
+                    group: Group::All,
+                    ..
+                }
+        );
         // Units leased for one that was never sent go back to the lease, but not into another short window.
         if let (true, Some(&a)) = (unsent, self.by_customer.get(&inv.customer)) {
             let account = &mut self.accounts[a];
             let same = inv.drawn && inv.came >= account.lapses - account.length;
             let lasts = now < account.lapses && (same || !account.short);
-            *(if lasts { &mut account.lease } else { &mut account.share }) += inv.units;
+            *(if lasts {
+                &mut account.lease
+            } else {
+                &mut account.share
+            }) += inv.units;
         }
-        let throttle = Answer::Throttle { pause: pause.max(0.0).min(self.max_pause), cause };
-        self.finish(inv, if unrun || all { throttle } else { Answer::Error })
+        let throttle = Answer::Throttle {
+            pause: pause.max(0.0).min(self.max_pause),
+            cause,
+        };
+        self.finish(
+            inv,
+            if unrun || all {
+                throttle
+            } else {
+                Answer::Error
+            },
+        )
     }
 
     fn finish(&mut self, inv: &mut Invocation, answer: Answer) -> Answer {
@@ -695,10 +881,17 @@
                 continue;
             }
             let v = &self.servers;
-            let (far, good) = (if v.zone[s] == self.zone { 1.0 } else { 1.05 }, (1.0 - v.bad[s]).max(0.05));
+            let (far, good) = (
+                if v.zone[s] == self.zone { 1.0 } else { 1.05 },
+                (1.0 - v.bad[s]).max(0.05),
+            );
             let soon = (v.out[s] + 1.0) * v.slow[s].max(0.02) * far / (good * good);
             // One whose rest is over gets its trial at once, with one delivery.
-            let soon = if v.on_trial[s] { 0.0 } else { soon * (1.0 + 0.1 * self.rng.f64()) };
+            let soon = if v.on_trial[s] {
+                0.0
+            } else {
+                soon * (1.0 + 0.1 * self.rng.f64())
+            };
             let key = (inv.sent.iter().any(|&(t, _)| t == s), soon);
             if best.is_none_or(|(least, _)| key < least) {
                 best = Some((key, s));
@@ -723,7 +916,11 @@
 
     fn usable(&self, s: usize, now: f64) -> bool {
         let v = &self.servers;
-        let most = if v.on_trial[s] { 1.0 } else { v.places[s].max(1.0).ceil() };
+        let most = if v.on_trial[s] {
+            1.0
+        } else {
+            v.places[s].max(1.0).ceil()
+        };
         if v.out[s] + 1.0 > most || v.paced_until[s] > now {
             return false;
         }
@@ -735,18 +932,26 @@
     }
 
     fn in_group(&self, inv: &Invocation, s: usize) -> bool {
-        let Some(n) = inv.may_have_run else { return true };
+        let Some(n) = inv.may_have_run else {
+            return true;
+        };
         let first = inv.sent[n].0;
         match self.operations[inv.operation].effect {
-            Effect::Tokened { group: Group::Zone, .. } => self.servers.zone[s] == self.servers.zone[first],
-            Effect::Tokened { group: Group::Cell, .. } => self.servers.cell[s] == self.servers.cell[first],
+            Effect::Tokened {
+                group: Group::Zone, ..
+            } => self.servers.zone[s] == self.servers.zone[first],
+            Effect::Tokened {
+                group: Group::Cell, ..
+            } => self.servers.cell[s] == self.servers.cell[first],
             _ => true,
         }
     }
 
     /// No effect twice: whether a further delivery is allowed now.
     pub fn resendable(&self, inv: &Invocation, now: f64) -> bool {
-        let Some(n) = inv.may_have_run else { return true };
+        let Some(n) = inv.may_have_run else {
+            return true;
+        };
         match self.operations[inv.operation].effect {
             Effect::Idempotent => true,
             Effect::Tokened { window, .. } => now < inv.sent[n].1 + window - self.slack,
@@ -769,7 +974,11 @@
             inv.drawn = true;
         }
         self.accounts[a].open += 1.0;
-        self.crowd -= if inv.sent.is_empty() { NEWEST * self.crowd } else { 0.0 };
+        self.crowd -= if inv.sent.is_empty() {
+            NEWEST * self.crowd
+        } else {
+            0.0
+        };
         self.finish(inv, Answer::Done);
         let kept = self.sends * (-(now - self.flow_at) / (2.0 * self.objective)).exp();
         (self.sends, self.flow_at) = (kept, now);
@@ -780,11 +989,23 @@
             && inv.sent.len() + 1 < self.most_deliveries
             && operation.effect != Effect::NonIdempotent;
         let ends = inv.came + operation.objective;
-        let means = if self.missing > CALM { LOST / 2.0 } else { LOST };
+        let means = if self.missing > CALM {
+            LOST / 2.0
+        } else {
+            LOST
+        };
         let patience = ((ends - now) * CALM).max(means * self.fleet_slow * operation.objective);
-        inv.limit = if more && now + patience < ends { now + patience } else { inv.until };
+        inv.limit = if more && now + patience < ends {
+            now + patience
+        } else {
+            inv.until
+        };
         let v = &mut self.servers;
-        v.quiet_since[tgt] = if v.out[tgt] <= 0.0 { now } else { v.quiet_since[tgt] };
+        v.quiet_since[tgt] = if v.out[tgt] <= 0.0 {
+            now
+        } else {
+            v.quiet_since[tgt]
+        };
         (v.sent_at[tgt], v.out[tgt]) = (now, v.out[tgt] + 1.0);
         let cold = now - v.cold_since[tgt] < self.cold_for;
         let (pace, none_warm) = self.pace(tgt, now);
@@ -803,9 +1024,13 @@
     /// it, half of what pushes it over when the warm ones are full, if the other limiters do alike.
     fn pace(&self, tgt: usize, now: f64) -> (f64, bool) {
         let v = &self.servers;
-        let warm = (0..v.live.len()).filter(|&s| v.live[s] && now - v.cold_since[s] >= self.cold_for).count();
-        let part = self.cold_from + (1.0 - self.cold_from) * (now - v.cold_since[tgt]) / self.cold_for;
-        let each = (self.sends / 2.0 / warm.max(1) as f64).max(1.0 / f64::from(self.fleet)) / self.objective;
+        let warm = (0..v.live.len())
+            .filter(|&s| v.live[s] && now - v.cold_since[s] >= self.cold_for)
+            .count();
+        let part =
+            self.cold_from + (1.0 - self.cold_from) * (now - v.cold_since[tgt]) / self.cold_for;
+        let each = (self.sends / 2.0 / warm.max(1) as f64).max(1.0 / f64::from(self.fleet))
+            / self.objective;
         (1.0 / (each * part * self.lead), warm == 0)
     }
 
@@ -816,10 +1041,16 @@
         if matches!(outcome.ending, Ending::Moot | Ending::Cancelled) {
             return;
         }
-        let (fleet, objective) = (f64::from(self.fleet), self.operations[inv.operation].objective);
+        let (fleet, objective) = (
+            f64::from(self.fleet),
+            self.operations[inv.operation].objective,
+        );
         let share = (outcome.spent / objective).min(2.0);
         // Turned away counts as failed: a server that is quick to say no would draw ever more.
-        let (ok, end) = (outcome.ending == Ending::Succeeded, outcome.ending == Ending::Timeout);
+        let (ok, end) = (
+            outcome.ending == Ending::Succeeded,
+            outcome.ending == Ending::Timeout,
+        );
         // Guards against answers that get lost: one awaited for several times a quick mean tells nothing of
         // load. Clients that give up before that do.
         let lost = self.answered < 0.75 * FULL && share > 3.0 * self.answered;
@@ -869,7 +1100,10 @@
             } else if ok && used && self.fleet_slow < 1.5 * FULL {
                 scale += v.live.len() as f64 / fleet / (self.window * self.window).max(1.0);
             }
-            v.places.iter_mut().filter(|p| **p < 1.0).for_each(|p| *p = (*p * scale).max(1.0 / fleet));
+            v.places
+                .iter_mut()
+                .filter(|p| **p < 1.0)
+                .for_each(|p| *p = (*p * scale).max(1.0 / fleet));
         } else if late || (lost && !ok) || v.slow[tgt] > FULL {
             if at > v.shrunk[tgt] {
                 v.shrunk[tgt] = now;
@@ -882,7 +1116,8 @@
         // fault. Covers crashes, hangs, cut links and quick errors; hurts a server that had bad luck.
         if !ok && (v.on_trial[tgt] || (v.bad[tgt] > SICK && v.bad[tgt] > 2.0 * fleet_bad)) {
             v.rest[tgt] = (v.rest[tgt] * 2.0).clamp(2.0 * self.objective, self.cold_for / 2.0);
-            (v.rest_until[tgt], v.on_trial[tgt]) = (now + v.rest[tgt] * (0.75 + self.rng.f64() / 2.0), true);
+            (v.rest_until[tgt], v.on_trial[tgt]) =
+                (now + v.rest[tgt] * (0.75 + self.rng.f64() / 2.0), true);
         }
     }
 
@@ -902,14 +1137,23 @@
         for e in entries {
             let v = &mut self.servers;
             while v.live.len() <= e.tgt {
-                [&mut v.live, &mut v.on_trial].into_iter().for_each(|column| column.push(false));
+                [&mut v.live, &mut v.on_trial]
+                    .into_iter()
+                    .for_each(|column| column.push(false));
                 v.zone.push(0);
                 v.cell.push(0);
                 v.places.push(START / f64::from(self.fleet));
                 v.slow.push(CALM / 2.0);
                 let never = [&mut v.cold_since, &mut v.shrunk];
-                never.into_iter().for_each(|column| column.push(f64::NEG_INFINITY));
-                let times = [&mut v.quiet_since, &mut v.sent_at, &mut v.rest_until, &mut v.paced_until];
+                never
+                    .into_iter()
+                    .for_each(|column| column.push(f64::NEG_INFINITY));
+                let times = [
+                    &mut v.quiet_since,
+                    &mut v.sent_at,
+                    &mut v.rest_until,
+                    &mut v.paced_until,
+                ];
                 times.into_iter().for_each(|column| column.push(0.0));
                 let rest = [&mut v.came_up, &mut v.out, &mut v.bad, &mut v.rest];
                 rest.into_iter().for_each(|column| column.push(0.0));
@@ -942,7 +1186,8 @@
     }
 
     pub fn tick(&mut self) {
-        self.actions.extend(self.watch.then_some(Action::WatchEndpoints));
+        self.actions
+            .extend(self.watch.then_some(Action::WatchEndpoints));
     }
 }
 
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -13,7 +13,10 @@
     let mut late = std::collections::VecDeque::new();
     for i in 0..steps {
         let now = i as f64 * step;
-        while late.front().is_some_and(|&(at, ..): &(f64, usize, Counted, f64)| at <= now) {
+        while late
+            .front()
+            .is_some_and(|&(at, ..): &(f64, usize, Counted, f64)| at <= now)
+        {
             if let Some((at, who, counted, spent)) = late.pop_front() {
                 each[who].heard(counted, spent, at);
             }
@@ -37,7 +40,10 @@
             failed += f64::from(u8::from(counted != Counted::Total(0.0)));
         }
     }
-    (asked.map(|n| n / 10.0), failed / f64::max(asked[0] + asked[1], 1.0))
+    (
+        asked.map(|n| n / 10.0),
+        failed / f64::max(asked[0] + asked[1], 1.0),
+    )
 }
 
 #[test]
@@ -45,16 +51,28 @@
     for limiters in [3, 30, 300] {
         let (asked, failed) = day(limiters, 2000.0, 600.0);
         let all = asked[0] + asked[1];
-        assert!((350.0..=1000.0).contains(&all), "{all} a second of 600 by {limiters} limiters");
-        assert!(failed < 0.4, "{failed} of the calls of {limiters} limiters failed, 0.7 if all were made");
-        assert!(asked[1] > 2.0 * asked[0], "{asked:?}: as many went where they are worth little");
+        assert!(
+            (350.0..=1000.0).contains(&all),
+            "{all} a second of 600 by {limiters} limiters"
+        );
+        assert!(
+            failed < 0.4,
+            "{failed} of the calls of {limiters} limiters failed, 0.7 if all were made"
+        );
+        assert!(
+            asked[1] > 2.0 * asked[0],
+            "{asked:?}: as many went where they are worth little"
+        );
     }
 }
 
 #[test]
 fn all_are_asked_about_where_the_counter_bears_it() {
     let (asked, failed) = day(30, 500.0, 5000.0);
-    assert!(asked[0] + asked[1] > 490.0 && failed == 0.0, "{asked:?} of 500, {failed} failed");
+    assert!(
+        asked[0] + asked[1] > 490.0 && failed == 0.0,
+        "{asked:?} of 500, {failed} failed"
+    );
 }
 
 #[test]
@@ -64,7 +82,9 @@
     assert_eq!(calls.silent_since(), None, "two failures are no silence");
     calls.heard(Counted::Refused, 0.001, 12.0);
     assert_eq!(calls.silent_since(), Some(10.0));
-    assert!(calls.open(0.0, 0.9, 13.0) && !calls.open(0.0, 0.9, 13.5) && calls.open(0.0, 0.9, 14.3));
+    assert!(
+        calls.open(0.0, 0.9, 13.0) && !calls.open(0.0, 0.9, 13.5) && calls.open(0.0, 0.9, 14.3)
+    );
     calls.heard(Counted::Total(1.0), 0.001, 15.0);
     assert_eq!((calls.silent_since(), calls.silent_until()), (None, 15.0));
 }
@@ -75,6 +95,8 @@
     let mut calls = Calls::new(0.05, 0.02, 1.0);
     (0..4).for_each(|_| calls.heard(Counted::Silent, 0.05, 1.0));
     (0..15).for_each(|_| calls.heard(Counted::Total(1.0), 0.003, 2.0));
-    let asked = (0..100).filter(|i| calls.open(0.1, f64::from(*i) / 100.0, 2.1)).count();
+    let asked = (0..100)
+        .filter(|i| calls.open(0.1, f64::from(*i) / 100.0, 2.1))
+        .count();
     assert!(asked > 90, "{asked} of 100 calls worth a tenth of the mean");
 }
--- a/tests/ceilings.rs
+++ b/tests/ceilings.rs
@@ -4,11 +4,20 @@
 use quickcheck::quickcheck;
 
 fn ceiling(rate: f64, ratio: f64, burst: f64) -> Ceiling {
-    Ceiling { rate: rate * ratio, burst: burst * ratio, quota_rate: rate, quota_burst: burst }
+    Ceiling {
+        rate: rate * ratio,
+        burst: burst * ratio,
+        quota_rate: rate,
+        quota_burst: burst,
+    }
 }
 
 fn any(rate: u8, burst: u8, ratio: u8) -> Ceiling {
-    ceiling(1.0 + f64::from(rate % 40), 1.6 + f64::from(ratio % 10) / 10.0, 4.0 + f64::from(burst) / 3.0)
+    ceiling(
+        1.0 + f64::from(rate % 40),
+        1.6 + f64::from(ratio % 10) / 10.0,
+        4.0 + f64::from(burst) / 3.0,
+    )
 }
 
 /// The largest amount by which sends at these times pass a store of the rate and the burst.
@@ -67,11 +76,26 @@
 fn a_turn_comes_to_every_limiter_and_ends() {
     let c = ceiling(13.0, 2.0, 30.0);
     let gateways = 200.0;
-    let held =
-        |now: f64| (0..200).filter(|&rank| c.turn(gateways, f64::from(rank), 0.0, now).is_some()).count();
-    assert!((57..=60).contains(&held(500.0)), "{} hold a unit of a burst of 60", held(500.0));
-    let ever = (0..200)
-        .filter(|&r| (0..80).any(|t| c.turn(gateways, f64::from(r), 0.0, f64::from(t) / 10.0).is_some()));
+    let held = |now: f64| {
+        (0..200)
+            .filter(|&rank| c.turn(gateways, f64::from(rank), 0.0, now).is_some())
+            .count()
+    };
+    assert!(
+        (57..=60).contains(&held(500.0)),
+        "{} hold a unit of a burst of 60",
+        held(500.0)
+    );
+    let ever = (0..200).filter(|&r| {
+        (0..80).any(|t| {
+            c.turn(gateways, f64::from(r), 0.0, f64::from(t) / 10.0)
+                .is_some()
+        })
+    });
     assert_eq!(ever.count(), 200, "some never had a turn in one round");
-    assert_eq!(c.turn(gateways, 200.0, 0.0, 500.0), None, "one outside the set had a turn");
+    assert_eq!(
+        c.turn(gateways, 200.0, 0.0, 500.0),
+        None,
+        "one outside the set had a turn"
+    );
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -23,17 +23,30 @@
 
 /// Plays a fleet at the capacity of all servers, one of which comes back cold. Gives the most sends to it in
 /// any span of the settings' fall time over what the settings allow it then, with the part put down to chance.
-fn worst_over_its_budget(limiters: usize, told: Told, fall: (f64, f64), cold_from: f64, seed: u64) -> f64 {
+fn worst_over_its_budget(
+    limiters: usize,
+    told: Told,
+    fall: (f64, f64),
+    cold_from: f64,
+    seed: u64,
+) -> f64 {
     let (multiple, span) = fall;
     let plans = vec![rate_plan(1e6, 1e6)];
-    let settings =
-        Settings { plans, counter: false, cold_from, fall_multiple: multiple, ..settings(limiters as u32) };
+    let settings = Settings {
+        plans,
+        counter: false,
+        cold_from,
+        fall_multiple: multiple,
+        ..settings(limiters as u32)
+    };
     let mut f = Front::new(settings, SERVERS);
     let mut rng = fastrand::Rng::with_seed(seed);
     let step = 1.0 / (CAPACITY * SERVERS as f64);
     let (began, mut up, mut came_up) = (f.now, true, f64::INFINITY);
     let tell = |f: &mut Front, gates: &dyn Fn(usize) -> bool, entry: Server| {
-        (0..limiters).filter(|&gate| gates(gate)).for_each(|gate| f.endpoints(gate, vec![entry], false));
+        (0..limiters)
+            .filter(|&gate| gates(gate))
+            .for_each(|gate| f.endpoints(gate, vec![entry], false));
     };
     let (down, back, end) = (4.0, 12.0, 30.0);
     let (mut late, mut sends) = (Vec::new(), Vec::new());
@@ -44,12 +57,22 @@
         if up && at > down && at < back {
             up = false;
             if !matches!(told, Told::Late) {
-                tell(&mut f, &|_| true, Server { readiness: Readiness::Gone, ..server(COLD) });
+                tell(
+                    &mut f,
+                    &|_| true,
+                    Server {
+                        readiness: Readiness::Gone,
+                        ..server(COLD)
+                    },
+                );
             }
         }
         if !up && at > back {
             (up, came_up) = (true, f.now);
-            let entry = Server { came_up, ..server(COLD) };
+            let entry = Server {
+                came_up,
+                ..server(COLD)
+            };
             match told {
                 Told::AtOnce => tell(&mut f, &|_| true, entry),
                 Told::HalfLate => {
@@ -67,17 +90,28 @@
         while let Some(at) = (0..f.out.len()).find(|&i| answers(&f.out[i], f.now)) {
             f.end(at, Ending::Succeeded);
         }
-        let to_it = |s: &(f64, usize, Seen)| matches!(s.2, Seen::Sent { tgt: COLD, .. }).then_some(s.0);
+        let to_it =
+            |s: &(f64, usize, Seen)| matches!(s.2, Seen::Sent { tgt: COLD, .. }).then_some(s.0);
         sends.extend(f.seen.drain(..).filter_map(|s| to_it(&s)));
     }
     let part = |at: f64| (cold_from + (1.0 - cold_from) * (at - came_up) / 10.0).clamp(0.0, 1.0);
     let over = |&from: &f64| {
-        let sent = sends.iter().filter(|&&at| (from..=from + span).contains(&at)).count() as f64;
+        let sent = sends
+            .iter()
+            .filter(|&&at| (from..=from + span).contains(&at))
+            .count() as f64;
         let allowed = multiple * CAPACITY * span * part(from + span / 2.0);
         sent / (allowed + 2.0 * allowed.sqrt() + 2.0)
     };
-    assert!(sends.iter().filter(|&&at| at > came_up + 10.0).count() > 20, "it is used once it is warm");
-    sends.iter().filter(|&&at| at >= came_up && at < came_up + 10.0).map(over).fold(0.0, f64::max)
+    assert!(
+        sends.iter().filter(|&&at| at > came_up + 10.0).count() > 20,
+        "it is used once it is warm"
+    );
+    sends
+        .iter()
+        .filter(|&&at| at >= came_up && at < came_up + 10.0)
+        .map(over)
+        .fold(0.0, f64::max)
 }
 
 #[test]
@@ -87,7 +121,10 @@
             for (fall, cold_from) in [((4.0, 3.0), 0.16), ((2.0, 2.0), 0.27), ((3.0, 1.0), 0.2)] {
                 for seed in 0..3 {
                     let worst = worst_over_its_budget(limiters, told, fall, cold_from, seed);
-                    assert!(worst <= 1.0, "{limiters} limiters, {told:?}, {fall:?}, seed {seed}: {worst:.2}");
+                    assert!(
+                        worst <= 1.0,
+                        "{limiters} limiters, {told:?}, {fall:?}, seed {seed}: {worst:.2}"
+                    );
                 }
             }
         }
--- a/tests/front/mod.rs
+++ b/tests/front/mod.rs
@@ -7,14 +7,43 @@
 
 #[derive(Clone, Debug)]
 pub enum Seen {
-    Took { gate: usize, inv: Invocation },
-    Sent { gate: usize, num: u64, n: usize, tgt: usize },
-    Ended { gate: usize, num: u64, n: usize, ending: Ending, done: bool },
-    Final { gate: usize, num: u64, answer: Answer },
-    Left { gate: usize, num: u64 },
-    Killed { gate: usize },
-    Told { gate: usize, entry: Server },
-    Withdrawn { gate: usize, tgt: usize },
+    Took {
+        gate: usize,
+        inv: Invocation,
+    },
+    Sent {
+        gate: usize,
+        num: u64,
+        n: usize,
+        tgt: usize,
+    },
+    Ended {
+        gate: usize,
+        num: u64,
+        n: usize,
+        ending: Ending,
+        done: bool,
+    },
+    Final {
+        gate: usize,
+        num: u64,
+        answer: Answer,
+    },
+    Left {
+        gate: usize,
+        num: u64,
+    },
+    Killed {
+        gate: usize,
+    },
+    Told {
+        gate: usize,
+        entry: Server,
+    },
+    Withdrawn {
+        gate: usize,
+        tgt: usize,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -46,11 +75,23 @@
 }
 
 pub fn operation(effect: Effect, billed_value: f64) -> OperationSettings {
-    OperationSettings { effect, objective: 0.6, integration_timeout: 2.0, billed_value, late_share: 0.0 }
+    OperationSettings {
+        effect,
+        objective: 0.6,
+        integration_timeout: 2.0,
+        billed_value,
+        late_share: 0.0,
+    }
 }
 
 pub fn rate_plan(rate: f64, burst: f64) -> PlanSettings {
-    PlanSettings { rate, burst, beyond_costs: 1.0, price: 1.0, ..PlanSettings::default() }
+    PlanSettings {
+        rate,
+        burst,
+        beyond_costs: 1.0,
+        price: 1.0,
+        ..PlanSettings::default()
+    }
 }
 
 pub fn settings(fleet: u32) -> Settings {
@@ -75,7 +116,13 @@
 }
 
 pub fn server(tgt: usize) -> Server {
-    Server { tgt, zone: tgt % 2, cell: tgt as u64 / 2, came_up: 0.0, readiness: Readiness::Live }
+    Server {
+        tgt,
+        zone: tgt % 2,
+        cell: tgt as u64 / 2,
+        came_up: 0.0,
+        readiness: Readiness::Live,
+    }
 }
 
 impl Front {
@@ -107,7 +154,14 @@
 
     fn limiter(&mut self, gate: usize) -> Limiter {
         self.lives += 1;
-        Limiter::new(&Settings { seed: self.lives, slot: gate as u32, ..self.settings.clone() }, self.now)
+        Limiter::new(
+            &Settings {
+                seed: self.lives,
+                slot: gate as u32,
+                ..self.settings.clone()
+            },
+            self.now,
+        )
     }
 
     fn see(&mut self, seen: Seen) {
@@ -141,12 +195,24 @@
         self.carry_out(gate);
     }
 
-    pub fn take(&mut self, gate: usize, customer: u64, plan: usize, operation: usize, units: f64) -> u64 {
+    pub fn take(
+        &mut self,
+        gate: usize,
+        customer: u64,
+        plan: usize,
+        operation: usize,
+        units: f64,
+    ) -> u64 {
         self.last += 1;
         let until = self.now + self.settings.operations[operation].integration_timeout;
         let gateways = (0, self.settings.fleet);
-        let inv = Invocation::new(self.last, customer, plan, operation, units, gateways, self.now, until);
-        self.see(Seen::Took { gate, inv: inv.clone() });
+        let inv = Invocation::new(
+            self.last, customer, plan, operation, units, gateways, self.now, until,
+        );
+        self.see(Seen::Took {
+            gate,
+            inv: inv.clone(),
+        });
         self.held.insert(self.last, (gate, inv, f64::INFINITY));
         let num = self.last;
         self.place(num);
@@ -171,7 +237,9 @@
     }
 
     fn place(&mut self, num: u64) {
-        let Some((gate, inv, _)) = self.held.get_mut(&num) else { return };
+        let Some((gate, inv, _)) = self.held.get_mut(&num) else {
+            return;
+        };
         if matches!(inv.stage, Stage::Out | Stage::Done) {
             return;
         }
@@ -183,14 +251,24 @@
         let (gate, inv, due) = self.held.get_mut(&num).unwrap();
         let gate = *gate;
         let wait = self.gates[gate].wait(inv, self.now);
-        *due =
-            if answer == Answer::Hold && inv.stage != Stage::Out { self.now + wait } else { f64::INFINITY };
+        *due = if answer == Answer::Hold && inv.stage != Stage::Out {
+            self.now + wait
+        } else {
+            f64::INFINITY
+        };
         let finished = inv.stage == Stage::Done && inv.out == 0;
         match answer {
             Answer::Send(tgt) => {
                 let n = inv.sent.len() - 1;
                 let limit = (self.now + wait).min(inv.until);
-                self.out.push(Out { gate, num, n, tgt, at: self.now, limit });
+                self.out.push(Out {
+                    gate,
+                    num,
+                    n,
+                    tgt,
+                    at: self.now,
+                    limit,
+                });
                 self.see(Seen::Sent { gate, num, n, tgt });
             }
             Answer::Throttle { .. } | Answer::Error => self.see(Seen::Final { gate, num, answer }),
@@ -213,7 +291,9 @@
                     Action::WatchEndpoints | Action::Tick(_) => {}
                 }
             }
-            let Some(at) = self.calls.iter().position(|c| self.quick && c.0 == gate) else { return };
+            let Some(at) = self.calls.iter().position(|c| self.quick && c.0 == gate) else {
+                return;
+            };
             self.count(at, true, true);
         }
     }
@@ -234,19 +314,40 @@
 
     pub fn end(&mut self, at: usize, ending: Ending) {
         let out = self.out.remove(at);
-        let Some((_, inv, _)) = self.held.get_mut(&out.num) else { return };
+        let Some((_, inv, _)) = self.held.get_mut(&out.num) else {
+            return;
+        };
         let done = inv.stage == Stage::Done || ending == Ending::Succeeded;
         let (n, gate, num, spent) = (out.n, out.gate, out.num, self.now - out.at);
         let settled = self.settles.filter(|_| ending == Ending::Succeeded);
-        let outcome = Outcome { n, ending, spent, done, used: self.used, settled };
-        self.seen.push((self.now, self.seen.len(), Seen::Ended { gate, num, n, ending, done }));
+        let outcome = Outcome {
+            n,
+            ending,
+            spent,
+            done,
+            used: self.used,
+            settled,
+        };
+        self.seen.push((
+            self.now,
+            self.seen.len(),
+            Seen::Ended {
+                gate,
+                num,
+                n,
+                ending,
+                done,
+            },
+        ));
         let answer = self.gates[gate].after(inv, &outcome, self.now);
         self.answer(num, answer);
         self.carry_out(gate);
     }
 
     pub fn leave(&mut self, num: u64) {
-        let Some((gate, inv, _)) = self.held.get_mut(&num) else { return };
+        let Some((gate, inv, _)) = self.held.get_mut(&num) else {
+            return;
+        };
         let gate = *gate;
         self.gates[gate].gone(inv);
         self.see(Seen::Left { gate, num });
@@ -258,9 +359,21 @@
         let end = self.now + seconds;
         for round in 0.. {
             assert!(round < 100_000, "asked without end");
-            let asked = self.held.iter().map(|(&num, h)| (h.2, num)).min_by(|a, b| a.partial_cmp(b).unwrap());
-            let late = self.out.iter().map(|o| o.limit).enumerate().min_by(|a, b| a.1.total_cmp(&b.1));
-            let (asked, late) = (asked.unwrap_or((f64::INFINITY, 0)), late.unwrap_or((0, f64::INFINITY)));
+            let asked = self
+                .held
+                .iter()
+                .map(|(&num, h)| (h.2, num))
+                .min_by(|a, b| a.partial_cmp(b).unwrap());
+            let late = self
+                .out
+                .iter()
+                .map(|o| o.limit)
+                .enumerate()
+                .min_by(|a, b| a.1.total_cmp(&b.1));
+            let (asked, late) = (
+                asked.unwrap_or((f64::INFINITY, 0)),
+                late.unwrap_or((0, f64::INFINITY)),
+            );
             if asked.0.min(late.1) > end {
                 break;
             }
@@ -279,12 +392,26 @@
     pub fn sends(&self) -> Vec<usize> {
         self.seen
             .iter()
-            .filter_map(|s| if let Seen::Sent { tgt, .. } = s.2 { Some(tgt) } else { None })
+            .filter_map(|s| {
+                if let Seen::Sent { tgt, .. } = s.2 {
+                    Some(tgt)
+                } else {
+                    None
+                }
+            })
             .collect()
     }
 
     pub fn throttles(&self) -> usize {
-        let throttle = |s: &Seen| matches!(s, Seen::Final { answer: Answer::Throttle { .. }, .. });
+        let throttle = |s: &Seen| {
+            matches!(
+                s,
+                Seen::Final {
+                    answer: Answer::Throttle { .. },
+                    ..
+                }
+            )
+        };
         self.seen.iter().filter(|s| throttle(&s.2)).count()
     }
 }
