--- a/tests/calls.rs
+++ b/crates/gateway/decisions/tests/calls.rs
@@ -1,7 +1,7 @@
 //! The price of a call to the counter, against a counter that answers so many a second in turn.
 
-use dunespur::calls::Calls;
-use dunespur::types::Counted;
+use dunespur_decisions::calls::Calls;
+use dunespur_decisions::types::Counted;
 
 /// Limiters that ask at random, before a counter that answers so many a second in turn; the calls of
 /// each stake that were answered in time and failed, in the second half.
--- a/tests/ceilings.rs
+++ b/crates/gateway/decisions/tests/ceilings.rs
@@ -1,6 +1,6 @@
 //! Parts, windows and turns of a hard ceiling add up to the ceiling at most, for any limiter.
 
-use dunespur::ceilings::{whole, Ceiling};
+use dunespur_decisions::ceilings::{whole, Ceiling};
 use quickcheck::quickcheck;
 
 fn ceiling(rate: f64, ratio: f64, burst: f64) -> Ceiling {
--- a/tests/cold.rs
+++ b/crates/gateway/decisions/tests/cold.rs
@@ -2,7 +2,7 @@
 
 mod front;
 
-use dunespur::types::*;
+use dunespur_decisions::types::*;
 use front::*;
 
 /// What a server takes in a second when it is warm; so many in hand at once then.
--- a/tests/failures.rs
+++ b/crates/gateway/decisions/tests/failures.rs
@@ -2,7 +2,7 @@
 
 mod front;
 
-use dunespur::types::*;
+use dunespur_decisions::types::*;
 use front::*;
 
 fn with_plan(plan: PlanSettings, fleet: u32, servers: usize) -> Front {
--- a/tests/front/mod.rs
+++ b/crates/gateway/decisions/tests/front/mod.rs
@@ -1,8 +1,8 @@
 //! A front for the tests: several limiters, a counter and servers that answer only when told to.
 #![allow(dead_code)]
 
-use dunespur::rules::Limiter;
-use dunespur::types::*;
+use dunespur_decisions::rules::Limiter;
+use dunespur_decisions::types::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
--- a/tests/known_red.rs
+++ b/crates/gateway/decisions/tests/known_red.rs
@@ -13,7 +13,10 @@
     let listed: Vec<_> = tests.iter().map(|t| format!("{t}: test\n")).collect();
     let mut command = Command::new("bash");
     command
-        .arg(concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/known-red"))
+        .arg(concat!(
+            env!("CARGO_MANIFEST_DIR"),
+            "/../../../.ci/known-red"
+        ))
         .arg(&file);
     // Stands for the test command: prints its list whatever it is asked.
     command.args(["printf", "%.0s%.0s%.0s%.0s%b", "", "", "", ""]);
--- a/tests/rules_model.rs
+++ b/crates/gateway/decisions/tests/rules_model.rs
@@ -2,7 +2,7 @@
 
 mod front;
 
-use dunespur::types::*;
+use dunespur_decisions::types::*;
 use front::*;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/gateway/src/counter.rs
@@ -6,7 +6,7 @@
 use crate::message::{encode_count, take_counted};
 use crate::reducer::Event;
 use bytes::{Buf, Bytes, BytesMut};
-use dunespur::types::Counted;
+use dunespur_decisions::types::Counted;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
--- a/crates/gateway/src/fault.rs
+++ b/crates/gateway/gateway/src/fault.rs
@@ -2,7 +2,7 @@
 //! to the ending that the decisions are told and to the status that a client sees. It must never panic,
 //! log, retry or decide anything.
 
-use dunespur::types::Ending;
+use dunespur_decisions::types::Ending;
 use std::fmt;
 
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/gateway/src/fleet.rs
@@ -10,19 +10,19 @@
 use crate::operators::Plan;
 use crate::reducer::{Effect, Event};
 use bytes::BytesMut;
-use dunespur::types::{Counted, Ending};
-use dunespur_duties::audit::{self, Auditor, Tally};
-use dunespur_duties::fence::Fence;
-use dunespur_duties::holder::Holder;
-use dunespur_duties::log::Batch;
-use dunespur_duties::probe::{self, Complaints, Prober, Seen};
-use dunespur_duties::voter::Voter;
-use dunespur_duties::watch::{self, Act, Relay};
-use dunespur_duties::{Me, Msg, Output, Slot};
-use dunespur_members::{self as members, Members};
-use dunespur_peer::{Came, Kind, Links};
-use dunespur_shared_state::lend::{self, Answer, Ask, Broker};
-use dunespur_store::Store;
+use dunespur_decisions::types::{Counted, Ending};
+use dunespur_gossip_membership::{self as members, Members};
+use dunespur_peer_transport::{Came, Kind, Links};
+use dunespur_quota_sharing::lend::{self, Answer, Ask, Broker};
+use dunespur_singleton_roles::audit::{self, Auditor, Tally};
+use dunespur_singleton_roles::fence::Fence;
+use dunespur_singleton_roles::holder::Holder;
+use dunespur_singleton_roles::log::Batch;
+use dunespur_singleton_roles::probe::{self, Complaints, Prober, Seen};
+use dunespur_singleton_roles::voter::Voter;
+use dunespur_singleton_roles::watch::{self, Act, Relay};
+use dunespur_singleton_roles::{Me, Msg, Output, Slot};
+use dunespur_voter_storage::Store;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -292,7 +292,10 @@
         let links = listen
             .await
             .map_err(|e| fail(format!("fleet.listen: {}: {e}", plan.listen)))?;
-        let version = plan.trial.version.unwrap_or(dunespur_peer::VERSION);
+        let version = plan
+            .trial
+            .version
+            .unwrap_or(dunespur_peer_transport::VERSION);
         links.version.set(version);
         let member = members::Member {
             name: name.clone(),
@@ -534,7 +537,7 @@
     fn came(&mut self, hub: &Rc<Hub>, came: Came, now: f64) {
         let Came { kind, frame } = came;
         self.heard(&frame.from, frame.at, now);
-        let spoilt = |links: &Links| links.refuse(dunespur_peer::frame::Refused::Unknown);
+        let spoilt = |links: &Links| links.refuse(dunespur_peer_transport::frame::Refused::Unknown);
         match kind {
             Kind::Gossip => {
                 let mut out = Vec::new();
@@ -1085,7 +1088,7 @@
         self.next_effect = now + (0.5 + fastrand::f64()) / self.plan.trial.effects;
         let held: Vec<(Slot, u64)> = self.holder.held(now).collect();
         let members: Vec<SocketAddrV4> = self.members.living().map(|m| m.address).collect();
-        if self.links.version.get() > dunespur_peer::VERSION {
+        if self.links.version.get() > dunespur_peer_transport::VERSION {
             members.iter().for_each(|at| self.links.strange(*at));
         }
         for (slot, token) in held {
--- a/crates/gateway/src/hub.rs
+++ b/crates/gateway/gateway/src/hub.rs
@@ -9,7 +9,7 @@
 use crate::message::Names;
 use crate::reducer::{Effect, Event, Reducer};
 use crate::upstream::Upstream;
-use dunespur::types::Counted;
+use dunespur_decisions::types::Counted;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
--- a/crates/gateway/src/lending.rs
+++ b/crates/gateway/gateway/src/lending.rs
@@ -3,9 +3,9 @@
 //! lent; it must never let a call go two ways, and must be out of the way where there is no broker.
 
 use crate::fleet::{clock, Told};
-use dunespur::types::{About, Counted};
-use dunespur_duties::Slot;
-use dunespur_shared_state::lend::{self, Anew, Answer, Ask, Borrower, Way};
+use dunespur_decisions::types::{About, Counted};
+use dunespur_quota_sharing::lend::{self, Anew, Answer, Ask, Borrower, Way};
+use dunespur_singleton_roles::Slot;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/gateway/src/message.rs
@@ -4,7 +4,7 @@
 
 use crate::fault::Fault;
 use bytes::{Buf, Bytes, BytesMut};
-use dunespur::types::{Counted, Ending, Readiness};
+use dunespur_decisions::types::{Counted, Ending, Readiness};
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::header::{CONNECTION, CONTENT_LENGTH, COOKIE, HOST, RETRY_AFTER, TRANSFER_ENCODING};
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/gateway/src/operators.rs
@@ -2,10 +2,10 @@
 //! its checks. It must never be needed: without it, or without its `fleet` section, nothing of it runs.
 
 use crate::fault::Fault;
-use dunespur_duties::{audit, probe, watch, Duty, Settings as Duties};
-use dunespur_members::Settings as Members;
-use dunespur_peer::Bounds;
-use dunespur_shared_state::lend;
+use dunespur_gossip_membership::Settings as Members;
+use dunespur_peer_transport::Bounds;
+use dunespur_quota_sharing::lend;
+use dunespur_singleton_roles::{audit, probe, watch, Duty, Settings as Duties};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
--- a/crates/gateway/src/reducer.rs
+++ b/crates/gateway/gateway/src/reducer.rs
@@ -4,8 +4,8 @@
 
 use crate::message::{Answered, Asked, Names, News, Reply};
 use crate::stats::Stats;
-use dunespur::rules::Limiter;
-use dunespur::types::*;
+use dunespur_decisions::rules::Limiter;
+use dunespur_decisions::types::*;
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
--- a/crates/gateway/src/reducer/tests.rs
+++ b/crates/gateway/gateway/src/reducer/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::message::{decode_asked, Member};
 use bytes::Bytes;
-use dunespur::types::Effect as Run;
+use dunespur_decisions::types::Effect as Run;
 use std::collections::HashSet;
 
 const ENDINGS: [Ending; 5] = [
--- a/crates/gateway/src/stats.rs
+++ b/crates/gateway/gateway/src/stats.rs
@@ -1,7 +1,7 @@
 //! Counters of what the gateway takes in, sends and answers. Owns the figures and the one line that shows
 //! them, printed at exit and on SIGUSR1. Nothing is ever decided by them, and they are never reset.
 
-use dunespur::types::{Cause, Counted, Ending};
+use dunespur_decisions::types::{Cause, Counted, Ending};
 use std::fmt;
 
 #[derive(Debug, Default)]
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/gateway/src/upstream.rs
@@ -6,7 +6,7 @@
 use crate::hub::Hub;
 use crate::message::{decode_answer, encode_delivery, Answered, MOST_BODY};
 use crate::reducer::{Delivery, Event};
-use dunespur::types::Ending;
+use dunespur_decisions::types::Ending;
 use http_body_util::{BodyExt, Limited};
 use hyper::client::conn::http1;
 use hyper::header::CONNECTION;
--- a/crates/shared-state/src/lend/borrower.rs
+++ b/crates/gateway/quota-sharing/src/lend/borrower.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Settings};
 use crate::Slot;
-use dunespur::types::Counted;
+use dunespur_decisions::types::Counted;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Answers in a row without the counter behind them after which a borrower asks the counter itself.
--- a/crates/shared-state/src/lend/borrower/tests.rs
+++ b/crates/gateway/quota-sharing/src/lend/borrower/tests.rs
@@ -2,7 +2,7 @@
 use crate::lend::test_settings::settings;
 use crate::lend::Answer;
 use crate::Slot;
-use dunespur::types::Counted;
+use dunespur_decisions::types::Counted;
 
 fn way(b: &mut Borrower, call: u64, name: u64, slot: Slot, known: bool, now: f64) -> Way {
     b.way(
--- a/crates/shared-state/src/lend/broker/leasing.rs
+++ b/crates/gateway/quota-sharing/src/lend/broker/leasing.rs
@@ -3,7 +3,7 @@
 use super::held::Waits;
 use super::{Broker, WORTH};
 use crate::lend::{Answer, Output};
-use dunespur::types::Counted;
+use dunespur_decisions::types::Counted;
 
 /// Near the limit a block is this part of the room (the paper's factor).
 const SHRINK: f64 = 2.0;
--- a/crates/shared-state/src/lend/broker/mod.rs
+++ b/crates/gateway/quota-sharing/src/lend/broker/mod.rs
@@ -6,7 +6,7 @@
 
 use super::{Answer, Ask, Output, Settings};
 use crate::Slot;
-use dunespur::types::Counted;
+use dunespur_decisions::types::Counted;
 use held::{Held, Waits};
 use shares::Customer;
 use std::collections::BTreeMap;
--- a/crates/shared-state/src/lend/broker/tests.rs
+++ b/crates/gateway/quota-sharing/src/lend/broker/tests.rs
@@ -1,7 +1,7 @@
 use super::Broker;
 use crate::lend::test_settings::settings;
 use crate::lend::{Answer, Ask, Output};
-use dunespur::types::Counted;
+use dunespur_decisions::types::Counted;
 
 fn ask(seq: u64, asked: f64) -> Ask {
     let (name, customer, needs) = (7, 1, 1.0);
--- a/crates/shared-state/src/lend/message.rs
+++ b/crates/gateway/quota-sharing/src/lend/message.rs
@@ -2,7 +2,7 @@
 
 use super::Anew;
 use crate::{Name, Slot};
-use dunespur::types::About;
+use dunespur_decisions::types::About;
 use serde::{Deserialize, Serialize};
 
 /// One add that a limiter would make at the counter. Units, and units a second.
--- a/crates/shared-state/tests/lend_model.rs
+++ b/crates/gateway/quota-sharing/tests/lend_model.rs
@@ -4,8 +4,8 @@
 //! out in turn, and the checker has to find a history that lets in more than the name holds. Time stands still
 //! in it: names that grow, the pace near the limit and shares between borrowers are not covered.
 
-use dunespur::types::Counted;
-use dunespur_shared_state::lend::{Anew, Answer, Ask, Borrower, Broker, Output, Settings};
+use dunespur_decisions::types::Counted;
+use dunespur_quota_sharing::lend::{Anew, Answer, Ask, Borrower, Broker, Output, Settings};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::hash::{Hash, Hasher};
 
--- a/crates/shared-state/tests/thin.rs
+++ b/crates/gateway/quota-sharing/tests/thin.rs
@@ -1,12 +1,12 @@
 //! A busy limiter and a thin one of the same customer, over its quota: the module with the counter alone, and
 //! the same module with a broker in the counter's place.
 
-use dunespur::rules::Limiter;
-use dunespur::types::{
+use dunespur_decisions::rules::Limiter;
+use dunespur_decisions::types::{
     About, Action, Counted, Effect, Ending, Invocation, OperationSettings, Outcome, PlanSettings,
 };
-use dunespur::types::{Readiness, Server, Settings};
-use dunespur_shared_state::lend::{self, Anew, Answer, Ask, Broker, Output};
+use dunespur_decisions::types::{Readiness, Server, Settings};
+use dunespur_quota_sharing::lend::{self, Anew, Answer, Ask, Broker, Output};
 use std::collections::BTreeMap;
 
 struct Rig {
@@ -163,7 +163,7 @@
             return;
         };
         match self.gates[gate].place(&mut inv, self.now) {
-            dunespur::types::Answer::Send(_) => {
+            dunespur_decisions::types::Answer::Send(_) => {
                 self.sent.insert(num, gate);
                 let outcome = Outcome {
                     n: 0,
@@ -175,7 +175,7 @@
                 };
                 self.gates[gate].after(&mut inv, &outcome, self.now);
             }
-            dunespur::types::Answer::Hold => _ = self.held.insert(num, (gate, inv)),
+            dunespur_decisions::types::Answer::Hold => _ = self.held.insert(num, (gate, inv)),
             _ => {}
         }
         self.pump(gate);
--- a/crates/settings/src/lib.rs
+++ b/crates/gateway/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the settings document. Keys that are not known are skipped; absent optional ones have the
 //! meaning that the wire's page gives them.
 
-use dunespur::types::*;
+use dunespur_decisions::types::*;
 use serde_json::Value;
 
 /// The settings and the names that invocations use.
--- a/crates/duties/tests/lease_model.rs
+++ b/crates/gateway/singleton-roles/tests/lease_model.rs
@@ -3,8 +3,8 @@
 //! `Tenure`, `Granter` and `Fence`. Each guard is then taken out in turn, and the checker has to find a
 //! history in which that breaks something: a model that can't fail would prove nothing.
 
-use dunespur_duties::fence::Fence;
-use dunespur_duties::lease::{Granter, Tenure};
+use dunespur_singleton_roles::fence::Fence;
+use dunespur_singleton_roles::lease::{Granter, Tenure};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// Time runs in steps. A lease of 2, and one step of allowance for what clocks differ.
--- a/crates/duties/tests/voters.rs
+++ b/crates/gateway/singleton-roles/tests/voters.rs
@@ -1,11 +1,11 @@
 //! Three voters and their holders in one process, on one clock and links without delay: what trials found,
 //! each in its smallest form.
 
-use dunespur_duties::fence::Fence;
-use dunespur_duties::holder::Holder;
-use dunespur_duties::log::{Batch, Saved};
-use dunespur_duties::voter::Voter;
-use dunespur_duties::{Duty, Me, Msg, Output, Settings};
+use dunespur_singleton_roles::fence::Fence;
+use dunespur_singleton_roles::holder::Holder;
+use dunespur_singleton_roles::log::{Batch, Saved};
+use dunespur_singleton_roles::voter::Voter;
+use dunespur_singleton_roles::{Duty, Me, Msg, Output, Settings};
 use std::collections::VecDeque;
 
 struct Node {
--- a/crates/store/src/lib.rs
+++ b/crates/gateway/voter-storage/src/lib.rs
@@ -2,7 +2,7 @@
 //! be opened for another fleet, another name or a newer format, and never say that something is written when
 //! the fsync failed. Calls block: they belong on a thread of their own.
 
-use dunespur_duties::log::{Batch, Entry, Hard, Meta, Saved, Snap};
+use dunespur_singleton_roles::log::{Batch, Entry, Hard, Meta, Saved, Snap};
 use redb::{Database, Durability, ReadableTable, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/crates/chain/tests/guards.rs
+++ b/crates/serving/chain-replication/tests/guards.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use dunespur_chain::Guards;
+use dunespur_chain_replication::Guards;
 use world::trouble::{play, schedule, storm};
 use world::Setup;
 
--- a/crates/chain/tests/member.rs
+++ b/crates/serving/chain-replication/tests/member.rs
@@ -1,10 +1,10 @@
 //! Single members, driven by hand: what they must not do, and what is bounded.
 
-use dunespur_chain::message::{Append, Ping, Promise};
-use dunespur_chain::timing::{
+use dunespur_chain_replication::message::{Append, Ping, Promise};
+use dunespur_chain_replication::timing::{
     COMMITS_KNOWN_WITHIN, MOST_NEWCOMERS, MOST_READS, MOST_SUBMISSIONS, MOST_UNCOMMITTED,
 };
-use dunespur_chain::{
+use dunespur_chain_replication::{
     AcceptedView, Ballot, DecidedView, Entry, Input, Member, MemberId, Message, Origin, Output,
     Payload, Peer, Position, Saved, View, Write,
 };
--- a/crates/chain/tests/parts.rs
+++ b/crates/serving/chain-replication/tests/parts.rs
@@ -1,8 +1,8 @@
 //! One member that takes a snapshot in parts: what it refuses, what it holds meanwhile, and when the whole counts.
 
-use dunespur_chain::member::transfer::{SnapshotLabel, SnapshotPart, SnapshotProgress};
-use dunespur_chain::timing::{MOST_SNAPSHOT_BYTES, SNAPSHOT_PART_BYTES};
-use dunespur_chain::{
+use dunespur_chain_replication::member::transfer::{SnapshotLabel, SnapshotPart, SnapshotProgress};
+use dunespur_chain_replication::timing::{MOST_SNAPSHOT_BYTES, SNAPSHOT_PART_BYTES};
+use dunespur_chain_replication::{
     DecidedView, Entry, Input, Member, MemberId, Message, Origin, Output, Payload, Peer, Position,
     Saved, SavedSnapshot, View, Write,
 };
@@ -137,12 +137,12 @@
     }
 }
 
-fn far_ahead() -> dunespur_chain::message::Append {
+fn far_ahead() -> dunespur_chain_replication::message::Append {
     let previous = Position {
         index: 5_000,
         view: VIEW,
     };
-    dunespur_chain::message::Append {
+    dunespur_chain_replication::message::Append {
         view: VIEW,
         previous,
         entries: Vec::new(),
--- a/crates/chain/tests/plan.rs
+++ b/crates/serving/chain-replication/tests/plan.rs
@@ -1,7 +1,7 @@
 //! Plans for the next view, over drawn situations: whatever is seen, a plan is a view that could be in force.
 
-use dunespur_chain::plan::{plan, Applicant, Plan, Situation, Standing};
-use dunespur_chain::{MemberId, Peer, View};
+use dunespur_chain_replication::plan::{plan, Applicant, Plan, Situation, Standing};
+use dunespur_chain_replication::{MemberId, Peer, View};
 use fastrand::Rng;
 
 const CASES: u64 = 20_000;
--- a/crates/chain/tests/resubmitted.rs
+++ b/crates/serving/chain-replication/tests/resubmitted.rs
@@ -1,6 +1,6 @@
 //! A submission that is sent to the head again while its entry is on its way makes no second one.
 
-use dunespur_chain::{
+use dunespur_chain_replication::{
     DecidedView, Input, Member, MemberId, Message, Origin, Output, Payload, Peer, Saved, View,
     Write,
 };
--- a/crates/chain/tests/snapshots.rs
+++ b/crates/serving/chain-replication/tests/snapshots.rs
@@ -3,8 +3,8 @@
 
 mod world;
 
-use dunespur_chain::timing::SNAPSHOT_PART_BYTES;
-use dunespur_chain::{Guards, Millis};
+use dunespur_chain_replication::timing::SNAPSHOT_PART_BYTES;
+use dunespur_chain_replication::{Guards, Millis};
 use world::trouble::{play, schedule, Trouble};
 use world::{Setup, World};
 
--- a/crates/chain/tests/times.rs
+++ b/crates/serving/chain-replication/tests/times.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use dunespur_chain::{Input, Millis};
+use dunespur_chain_replication::{Input, Millis};
 use world::trouble::Trouble;
 use world::{Setup, World};
 
--- a/crates/chain/tests/view_model.rs
+++ b/crates/serving/chain-replication/tests/view_model.rs
@@ -6,9 +6,9 @@
 //! The real `Member` isn't run here: its state holds clocks and a random generator, so that no two histories ever come
 //! to the same state.
 
-use dunespur_chain::plan::Plan;
-use dunespur_chain::succession::{view_after, SealedLog};
-use dunespur_chain::{DecidedView, MemberId, Peer, Position, View};
+use dunespur_chain_replication::plan::Plan;
+use dunespur_chain_replication::succession::{view_after, SealedLog};
+use dunespur_chain_replication::{DecidedView, MemberId, Peer, Position, View};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeMap;
 
--- a/crates/chain/tests/windows.rs
+++ b/crates/serving/chain-replication/tests/windows.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use dunespur_chain::Millis;
+use dunespur_chain_replication::Millis;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 use world::windows::{tolerated, window, Change};
--- a/crates/chain/tests/world/mod.rs
+++ b/crates/serving/chain-replication/tests/world/mod.rs
@@ -7,7 +7,7 @@
 pub mod trouble;
 pub mod windows;
 
-use dunespur_chain::{
+use dunespur_chain_replication::{
     Guards, Input, Member, MemberId, Message, Millis, Output, Peer, Saved, View, Write,
 };
 use fastrand::Rng;
--- a/crates/chain/tests/world/trouble.rs
+++ b/crates/serving/chain-replication/tests/world/trouble.rs
@@ -1,7 +1,7 @@
 //! What goes wrong, and a seeded plan of it.
 
 use super::{Setup, World};
-use dunespur_chain::{Input, Millis};
+use dunespur_chain_replication::{Input, Millis};
 use fastrand::Rng;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/chain/tests/world/windows.rs
+++ b/crates/serving/chain-replication/tests/world/windows.rs
@@ -1,7 +1,7 @@
 //! How long the core bears fewer losses than it has to after a change of its machines.
 
 use super::{Setup, World};
-use dunespur_chain::{Input, Millis, Saved, View};
+use dunespur_chain_replication::{Input, Millis, Saved, View};
 
 /// The first view is in force by then, and the core is calm.
 const CALM: Millis = 2_500;
--- a/crates/control/tests/budgets.rs
+++ b/crates/serving/control-state/tests/budgets.rs
@@ -4,7 +4,7 @@
 
 use common::{gateway, Trial};
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest, Counters, LimiterId};
-use dunespur_control::{Operation, Outcome};
+use dunespur_control_state::{Operation, Outcome};
 
 const GATEWAYS: u32 = 4;
 const LIMITERS: u64 = 8;
--- a/crates/control/tests/common/mod.rs
+++ b/crates/serving/control-state/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests of the control state share: operations with what doesn't matter filled in.
 #![allow(dead_code)]
 
-use dunespur_control::{
+use dunespur_control_state::{
     Change, ControlState, NodeKind, NodeReport, Operation, Order, OrderKind, Outcome, ServerReport,
     ServerState,
 };
--- a/crates/control/tests/guards.rs
+++ b/crates/serving/control-state/tests/guards.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{store, Trial};
-use dunespur_control::{ControlState, Guards, Operation, Outcome, RetireOutcome, RetireState};
+use dunespur_control_state::{
+    ControlState, Guards, Operation, Outcome, RetireOutcome, RetireState,
+};
 
 fn with_stores(guards: Guards, names: &[&str]) -> Trial {
     let mut trial = Trial {
@@ -111,12 +113,12 @@
     let mut trial = with_stores(guards, &["a", "b", "c"]);
     retire(&mut trial, "a");
     let round = round_of(&trial, "a");
-    trial.node(dunespur_control::NodeReport {
+    trial.node(dunespur_control_state::NodeReport {
         disk: 2,
         whole: false,
         ..store("b", 11)
     });
-    trial.node(dunespur_control::NodeReport {
+    trial.node(dunespur_control_state::NodeReport {
         disk: 2,
         ..store("b", 11)
     });
--- a/crates/control/tests/nodes.rs
+++ b/crates/serving/control-state/tests/nodes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{address, gateway, store, Trial};
-use dunespur_control::{
+use dunespur_control_state::{
     Change, GatewayEntry, NodeReport, Operation, Outcome, RetireOutcome, RetireState, StoreEntry,
 };
 
--- a/crates/control/tests/operators_guards.rs
+++ b/crates/serving/control-state/tests/operators_guards.rs
@@ -43,7 +43,7 @@
 
 #[test]
 fn currency_after_a_freeze_counts_from_the_sending() {
-    let chain = dunespur_chain::Guards {
+    let chain = dunespur_chain_replication::Guards {
         currency_by_sending: false,
         ..Default::default()
     };
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_member_that_has_started_again_awaits_its_commits() {
-    let chain = dunespur_chain::Guards {
+    let chain = dunespur_chain_replication::Guards {
         commits_awaited: false,
         ..Default::default()
     };
@@ -73,7 +73,7 @@
 
 #[test]
 fn reads_are_confirmed() {
-    let chain = dunespur_chain::Guards {
+    let chain = dunespur_chain_replication::Guards {
         reads_confirmed: false,
         ..Default::default()
     };
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_snapshot_holds_which_orders_were_taken() {
-    let control = dunespur_control::Guards {
+    let control = dunespur_control_state::Guards {
         taken_orders_in_snapshot: false,
         ..Default::default()
     };
@@ -103,7 +103,7 @@
 
 #[test]
 fn the_first_writer_wins() {
-    let control = dunespur_control::Guards {
+    let control = dunespur_control_state::Guards {
         first_writer_wins: false,
         ..Default::default()
     };
@@ -118,7 +118,7 @@
 
 #[test]
 fn refusals_are_fenced() {
-    let control = dunespur_control::Guards {
+    let control = dunespur_control_state::Guards {
         refusals_fenced: false,
         ..Default::default()
     };
@@ -134,7 +134,7 @@
 
 #[test]
 fn orders_to_empty_a_store_are_fenced() {
-    let control = dunespur_control::Guards {
+    let control = dunespur_control_state::Guards {
         refusals_fenced: false,
         ..Default::default()
     };
@@ -150,7 +150,7 @@
 
 #[test]
 fn what_is_acknowledged_is_on_disk() {
-    let chain = dunespur_chain::Guards {
+    let chain = dunespur_chain_replication::Guards {
         synced_before_passed_on: false,
         ..Default::default()
     };
--- a/crates/control/tests/orders.rs
+++ b/crates/serving/control-state/tests/orders.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{patch, replace, replace_with, Trial};
-use dunespur_control::{Change, ControlState, Guards, Order, Outcome};
+use dunespur_control_state::{Change, ControlState, Guards, Order, Outcome};
 
 /// More orders than are remembered.
 const MANY_ORDERS: u64 = 66_000;
--- a/crates/control/tests/replicas.rs
+++ b/crates/serving/control-state/tests/replicas.rs
@@ -5,7 +5,7 @@
 
 use common::{draining, gateway, patch, replace, retire, server, store};
 use dunespur_budget::{CounterChange, CounterRequest, LimiterId};
-use dunespur_control::{
+use dunespur_control_state::{
     Change, ControlState, NodeReport, Operation, Order, Outcome, RetireOutcome, ServerReport,
     ServerState, SnapshotError,
 };
--- a/crates/control/tests/servers.rs
+++ b/crates/serving/control-state/tests/servers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{address, draining, server, Trial};
-use dunespur_control::{Change, Operation, ServerReport, ServerState};
+use dunespur_control_state::{Change, Operation, ServerReport, ServerState};
 
 fn left(id: &str) -> Operation {
     Operation::ServerLeft { id: id.to_owned() }
--- a/crates/control/tests/world/callers.rs
+++ b/crates/serving/control-state/tests/world/callers.rs
@@ -5,8 +5,8 @@
 use super::lines::Place;
 use super::machines::Arrival;
 use super::{Event, World};
-use dunespur_chain::Millis;
-use dunespur_control::{Order, OrderKind};
+use dunespur_chain_replication::Millis;
+use dunespur_control_state::{Order, OrderKind};
 
 const OPERATORS: usize = 3;
 const FOLLOWERS: usize = 2;
--- a/crates/control/tests/world/history.rs
+++ b/crates/serving/control-state/tests/world/history.rs
@@ -9,8 +9,8 @@
 //! * what is seen never goes back: from one call's end to another's begin.
 
 use super::callers::Answer;
-use dunespur_chain::Millis;
-use dunespur_control::Order;
+use dunespur_chain_replication::Millis;
+use dunespur_control_state::Order;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/control/tests/world/keeper.rs
+++ b/crates/serving/control-state/tests/world/keeper.rs
@@ -3,7 +3,7 @@
 
 use super::callers::{Answer, Question, Wake};
 use super::{Event, World};
-use dunespur_control::{NodeKind, NodeReport, Operation};
+use dunespur_control_state::{NodeKind, NodeReport, Operation};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/control/tests/world/lines.rs
+++ b/crates/serving/control-state/tests/world/lines.rs
@@ -3,7 +3,7 @@
 
 use super::machines::Arrival;
 use super::{Event, World};
-use dunespur_chain::{Input, MemberId, Message, Millis};
+use dunespur_chain_replication::{Input, MemberId, Message, Millis};
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// One direction of a connection between two members.
--- a/crates/control/tests/world/machines.rs
+++ b/crates/serving/control-state/tests/world/machines.rs
@@ -3,8 +3,10 @@
 
 use super::callers::{Answer, CallId, Question};
 use super::{Event, World};
-use dunespur_chain::{Input, Member, MemberId, Millis, Output, Peer, Saved, View, Write};
-use dunespur_control::{ControlState, Operation, Order, Outcome, RetireOutcome};
+use dunespur_chain_replication::{
+    Input, Member, MemberId, Millis, Output, Peer, Saved, View, Write,
+};
+use dunespur_control_state::{ControlState, Operation, Order, Outcome, RetireOutcome};
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hasher};
 use std::net::SocketAddr;
--- a/crates/control/tests/world/mod.rs
+++ b/crates/serving/control-state/tests/world/mod.rs
@@ -12,7 +12,7 @@
 pub mod machines;
 pub mod trouble;
 
-use dunespur_chain::{Input, Millis};
+use dunespur_chain_replication::{Input, Millis};
 use fastrand::Rng;
 use history::History;
 use lines::Lines;
@@ -34,8 +34,8 @@
 /// Guards that may be taken out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Guards {
-    pub chain: dunespur_chain::Guards,
-    pub control: dunespur_control::Guards,
+    pub chain: dunespur_chain_replication::Guards,
+    pub control: dunespur_control_state::Guards,
     /// A member refuses orders out of its own copy of the state, without having them committed. The guard against this
     /// is that nothing answers an order but its commit.
     pub refuses_unconfirmed: bool,
--- a/crates/control/tests/world/trouble.rs
+++ b/crates/serving/control-state/tests/world/trouble.rs
@@ -3,7 +3,7 @@
 use super::history::{check, Tally};
 use super::lines::Place;
 use super::{Setup, World};
-use dunespur_chain::Millis;
+use dunespur_chain_replication::Millis;
 use fastrand::Rng;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/node/src/api.rs
+++ b/crates/serving/dunespur/src/api.rs
@@ -5,7 +5,7 @@
 use crate::homes::Homes;
 use crate::registry::{self, Heartbeat};
 use bytes::Bytes;
-use dunespur_control::{
+use dunespur_control_state::{
     Operation, Order, OrderKind, Outcome, RetireOutcome, RetireState, ServerReport,
 };
 use http_body_util::{BodyExt, Full, Limited};
--- a/crates/node/src/budgets.rs
+++ b/crates/serving/dunespur/src/budgets.rs
@@ -6,7 +6,7 @@
 use crate::status::BudgetStatus;
 use crate::trace::{self, Stopwatch};
 use dunespur_budget::{Admission, CounterRequest, LeaseBook, LimiterId, Refusal, TurnOutcome};
-use dunespur_control::{Operation, Outcome};
+use dunespur_control_state::{Operation, Outcome};
 use dunespur_proxy::{Reserve, TurnAsk, TurnKey};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/node/src/core/applied.rs
+++ b/crates/serving/dunespur/src/core/applied.rs
@@ -1,7 +1,7 @@
 //! The control state as this member has applied it, with the changes for those who follow it.
 
 use super::changes::ChangeLog;
-use dunespur_control::{ControlState, Operation, Outcome};
+use dunespur_control_state::{ControlState, Operation, Outcome};
 
 /// The control state after the operations committed so far.
 #[derive(Default)]
--- a/crates/node/src/core/applied/tests.rs
+++ b/crates/serving/dunespur/src/core/applied/tests.rs
@@ -1,5 +1,5 @@
 use super::AppliedState;
-use dunespur_control::{ControlState, Operation, Order, OrderKind};
+use dunespur_control_state::{ControlState, Operation, Order, OrderKind};
 
 fn configured(state: &mut AppliedState, index: u64, generation: u64) {
     let body = format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#);
--- a/crates/node/src/core/changes.rs
+++ b/crates/serving/dunespur/src/core/changes.rs
@@ -1,6 +1,6 @@
 //! The newest changes of the control state by their index, for those who follow it.
 
-use dunespur_control::Change;
+use dunespur_control_state::Change;
 use std::collections::VecDeque;
 
 /// Indices with changes that are kept; who is further behind gets the whole state.
--- a/crates/node/src/core/coordinator.rs
+++ b/crates/serving/dunespur/src/core/coordinator.rs
@@ -9,9 +9,11 @@
 use crate::messages::{encode, Heard, NodeLease, Reply, Request, WatchRequest, Watched};
 use crate::status::CoreStatus;
 use anyhow::Context;
-use dunespur_chain::{Input, Member, MemberId, Message, Output, Peer, SnapshotRefusals, View};
-use dunespur_control::{ControlState, Operation};
-use dunespur_link::Client;
+use dunespur_chain_replication::{
+    Input, Member, MemberId, Message, Output, Peer, SnapshotRefusals, View,
+};
+use dunespur_control_state::{ControlState, Operation};
+use dunespur_rpc::Client;
 use dunespur_storage::core::CoreDisk;
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap, VecDeque};
--- a/crates/node/src/core/disk.rs
+++ b/crates/serving/dunespur/src/core/disk.rs
@@ -1,7 +1,7 @@
 //! The thread that writes a core member's disk: syncs block, and a slow disk must not hold up the data plane.
 
 use crate::status::DiskStatus;
-use dunespur_chain::Write;
+use dunespur_chain_replication::Write;
 use dunespur_storage::core::CoreDisk;
 use std::cell::Cell;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/node/src/core/executing.rs
+++ b/crates/serving/dunespur/src/core/executing.rs
@@ -1,6 +1,6 @@
 //! Operations that were handed to the chain here and are not committed yet, and who waits for them.
 
-use dunespur_control::{Operation, Outcome};
+use dunespur_control_state::{Operation, Outcome};
 use std::collections::HashMap;
 use std::rc::Rc;
 use tokio::sync::oneshot;
--- a/crates/node/src/core/executing/tests.rs
+++ b/crates/serving/dunespur/src/core/executing/tests.rs
@@ -1,6 +1,6 @@
 use super::{Executing, Taken};
 use dunespur_budget::{CounterChange, CounterRequest, LimiterId};
-use dunespur_control::{Operation, Outcome};
+use dunespur_control_state::{Operation, Outcome};
 
 fn request(sequence: u64) -> Operation {
     Operation::Budget(CounterRequest {
--- a/crates/node/src/directory.rs
+++ b/crates/serving/dunespur/src/directory.rs
@@ -8,13 +8,13 @@
 use crate::messages::{decode, encode, Heard, NodeLease, Reply, Request, WatchRequest, Watched};
 use crate::status::LinkStatus;
 use bytes::Bytes;
-use dunespur_chain::View;
+use dunespur_chain_replication::View;
 use dunespur_configuration::{Document, Table};
-use dunespur_control::{
+use dunespur_control_state::{
     Change, GatewayEntry, Operation, Outcome, RetireState, ServerReport, StoreEntry,
 };
-use dunespur_link::{CallError, Client};
-use dunespur_turns::roster::Store;
+use dunespur_rpc::{CallError, Client};
+use dunespur_turn_replication::roster::Store;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
--- a/crates/node/src/founding.rs
+++ b/crates/serving/dunespur/src/founding.rs
@@ -3,7 +3,7 @@
 //! first view, once.
 
 use crate::messages::Candidacy;
-use dunespur_chain::{Peer, View};
+use dunespur_chain_replication::{Peer, View};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/node/src/gateway.rs
+++ b/crates/serving/dunespur/src/gateway.rs
@@ -16,7 +16,7 @@
 use crate::status::GatewayStatus;
 use anyhow::Context;
 use dunespur_budget::LimiterId;
-use dunespur_distribution::Identity;
+use dunespur_load_distribution::Identity;
 use dunespur_proxy::{serve_ready, Front, FrontSettings};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -140,7 +140,7 @@
         founding,
         status,
     };
-    spawn_local(dunespur_link::serve(
+    spawn_local(dunespur_rpc::serve(
         listen(address).await?,
         Rc::new(service),
     ));
--- a/crates/node/src/homes.rs
+++ b/crates/serving/dunespur/src/homes.rs
@@ -6,8 +6,8 @@
 use crate::clock::Clock;
 use crate::directory::Directory;
 use crate::messages::{encode, Reply, Request};
-use dunespur_control::GatewayEntry;
-use dunespur_distribution::{
+use dunespur_control_state::GatewayEntry;
+use dunespur_load_distribution::{
     Answer, Ask, Call, Distribution, Gateway, Identity, News, ServerLoad, ASK_TIMEOUT_MS,
 };
 use dunespur_routing::{Chooser, LoadReport};
--- a/crates/node/src/membership.rs
+++ b/crates/serving/dunespur/src/membership.rs
@@ -4,7 +4,7 @@
 use crate::directory::{Directory, Known};
 use crate::messages::NodeLease;
 use crate::settings::Settings;
-use dunespur_control::{NodeKind, NodeReport, Operation};
+use dunespur_control_state::{NodeKind, NodeReport, Operation};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/node/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -1,10 +1,10 @@
 //! What processes of the system say to each other, as postcard payloads of `dunespur-link` frames.
 
 use bytes::Bytes;
-use dunespur_chain::{MemberId, Message, Peer, View};
-use dunespur_control::{Change, NodeReport, Operation, Outcome, RetireState};
-use dunespur_distribution::{Answer, Ask};
-use dunespur_turns::message::{StoreReply, StoreRequest};
+use dunespur_chain_replication::{MemberId, Message, Peer, View};
+use dunespur_control_state::{Change, NodeReport, Operation, Outcome, RetireState};
+use dunespur_load_distribution::{Answer, Ask};
+use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
--- a/crates/node/src/registry.rs
+++ b/crates/serving/dunespur/src/registry.rs
@@ -2,7 +2,7 @@
 //! for the core, and is acknowledged once it is committed.
 
 use crate::directory::Known;
-use dunespur_control::{ServerReport, ServerState};
+use dunespur_control_state::{ServerReport, ServerState};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/node/src/service.rs
+++ b/crates/serving/dunespur/src/service.rs
@@ -8,8 +8,8 @@
 use crate::messages::{decode, encode, Reply, Request};
 use crate::status::GatewayStatus;
 use bytes::Bytes;
-use dunespur_chain::{Peer, View};
-use dunespur_link::Service;
+use dunespur_chain_replication::{Peer, View};
+use dunespur_rpc::Service;
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/node/src/status/ask.rs
+++ b/crates/serving/dunespur/src/status/ask.rs
@@ -4,7 +4,7 @@
 use super::table;
 use crate::messages::{decode, encode, Reply, Request};
 use anyhow::{bail, Context};
-use dunespur_link::Client;
+use dunespur_rpc::Client;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/node/src/store.rs
+++ b/crates/serving/dunespur/src/store.rs
@@ -11,12 +11,12 @@
 use crate::trace::{self, Stopwatch, StoreSubject};
 use anyhow::Context;
 use bytes::Bytes;
-use dunespur_control::{NodeKind, NodeReport, Operation};
-use dunespur_link::Service;
+use dunespur_control_state::{NodeKind, NodeReport, Operation};
+use dunespur_rpc::Service;
 use dunespur_storage::recovery::aside_bytes;
 use dunespur_storage::turns::TurnDisk;
-use dunespur_turns::message::{StoreReply, StoreRequest};
-use dunespur_turns::node::{
+use dunespur_turn_replication::message::{StoreReply, StoreRequest};
+use dunespur_turn_replication::node::{
     Declaration, DiskOutcome, DiskState, DiskWork, Effect, JobId, Settings as NodeSettings,
     StoreNode, ASK_TIMEOUT_MS,
 };
@@ -36,7 +36,7 @@
 /// Stack of the disk's thread in bytes.
 const STACK_SIZE: usize = 512 * 1024;
 /// Share of the disk, in hundredths, that bodies may take. The library doubles the file when it needs more, so that it
-/// takes up to four times the bodies in it (crates/storage/tests/growth.rs).
+/// takes up to four times the bodies in it (crates/serving/storage/tests/growth.rs).
 const DISK_PERCENT: u64 = 25;
 /// Of a disk of unknown size, in megabytes.
 const UNKNOWN_DISK_MB: u64 = 256;
@@ -77,7 +77,7 @@
     let directory = Directory::new(clock, settings.seed_addresses());
     let (process, done) = StoreProcess::open(&settings, directory.clone(), clock)?;
     let listener = listen(settings.internal_address()).await?;
-    spawn_local(dunespur_link::serve(listener, process.clone()));
+    spawn_local(dunespur_rpc::serve(listener, process.clone()));
     let weak = Rc::downgrade(&process);
     directory.when_changed(Box::new(move |touched| {
         if let Some(process) = weak.upgrade().filter(|_| touched.stores) {
--- a/crates/node/src/trace.rs
+++ b/crates/serving/dunespur/src/trace.rs
@@ -8,7 +8,7 @@
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest};
 use dunespur_proxy::{History, Reserve, TurnAsk};
 use dunespur_routing::{Ask, Choice, LoadReport, Outcome};
-use dunespur_turns::message::{StoreReply, StoreRequest};
+use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use std::fmt;
 
 /// Servers whose load is told with a choice; guards against lines of hundreds of servers.
--- a/crates/node/tests/cli.rs
+++ b/crates/serving/dunespur/tests/cli.rs
@@ -198,7 +198,7 @@
 
 #[test]
 fn the_example_of_the_operators_page_can_be_used() {
-    for file in data("../../../deploy/example", "json") {
+    for file in data("../../../../deploy/example", "json") {
         let output = run(&["check", text(&file)]);
         assert_eq!(code(&output), DONE, "{}", out(&output));
     }
--- a/crates/distribution/tests/common/mod.rs
+++ b/crates/serving/load-distribution/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A world of gateways for the tests: carries their calls, loses, doubles and delays some, and knows the truth.
 #![allow(dead_code)]
 
-use dunespur_distribution::{
+use dunespur_load_distribution::{
     Answer, Call, Distribution, Gateway, Identity, Millis, ServerLoad, ASK_TIMEOUT_MS,
 };
 use fastrand::Rng;
--- a/crates/distribution/tests/exchange.rs
+++ b/crates/serving/load-distribution/tests/exchange.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{load, World};
-use dunespur_distribution::{Answer, Ask, Known, News, ServerLoad, Speaker, Statement};
+use dunespur_load_distribution::{Answer, Ask, Known, News, ServerLoad, Speaker, Statement};
 
 const SERVICE: &str = "pool";
 /// A load that stays is renewed within this time, the way included.
--- a/crates/distribution/tests/failures.rs
+++ b/crates/serving/load-distribution/tests/failures.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{load, World};
-use dunespur_distribution::{Ask, Distribution, Identity, Known, ServerLoad, Speaker, Statement};
+use dunespur_load_distribution::{
+    Ask, Distribution, Identity, Known, ServerLoad, Speaker, Statement,
+};
 use std::rc::Rc;
 
 const SERVICE: &str = "pool";
--- a/crates/distribution/tests/faults.rs
+++ b/crates/serving/load-distribution/tests/faults.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{load, Weather, World};
-use dunespur_distribution::ServerLoad;
+use dunespur_load_distribution::ServerLoad;
 use fastrand::Rng;
 use std::rc::Rc;
 
--- a/crates/distribution/tests/roster.rs
+++ b/crates/serving/load-distribution/tests/roster.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::gateway;
-use dunespur_distribution::{Gateway, Roster};
+use dunespur_load_distribution::{Gateway, Roster};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
--- a/crates/link/tests/calls.rs
+++ b/crates/serving/rpc/tests/calls.rs
@@ -1,7 +1,7 @@
 //! Calls over loopback: answers, messages without, ended connections, bytes that are no frames.
 
 use bytes::Bytes;
-use dunespur_link::{serve, CallError, Client, Service};
+use dunespur_rpc::{serve, CallError, Client, Service};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
@@ -71,7 +71,7 @@
         let client = Client::new(address);
         let large = Bytes::from(vec![7; 3 * 1024 * 1024]);
         assert_eq!(client.call(large.clone(), LIMIT).await.unwrap(), large);
-        let too_large = Bytes::from(vec![7; dunespur_link::MOST_FRAME]);
+        let too_large = Bytes::from(vec![7; dunespur_rpc::MOST_FRAME]);
         assert_eq!(client.call(too_large, LIMIT).await, Err(CallError::Full));
         assert_eq!(service.seen.borrow().len(), 1);
     });
--- a/crates/link/tests/late_answers.rs
+++ b/crates/serving/rpc/tests/late_answers.rs
@@ -1,7 +1,7 @@
 //! Late, second and stray answers: none is taken for the answer to another call. A call is sent once.
 
 use bytes::{Buf, Bytes};
-use dunespur_link::{CallError, Client};
+use dunespur_rpc::{CallError, Client};
 use fastrand::Rng;
 use std::future::Future;
 use std::rc::Rc;
--- a/crates/storage/src/core.rs
+++ b/crates/serving/storage/src/core.rs
@@ -1,4 +1,4 @@
-//! The disk of a core member: the log, the snapshot, views and votes of [`dunespur_chain`], in one redb file.
+//! The disk of a core member: the log, the snapshot, views and votes of [`dunespur_chain_replication`], in one redb file.
 //!
 //! All calls block; the caller has a thread for them. What [`CoreDisk::write`] has returned from is on the disk,
 //! whole; of a call that was cut off by a loss of power, all or nothing is there.
@@ -6,7 +6,7 @@
 use crate::file;
 use crate::recovery::{open_checked, open_or_set_aside, sync_folder, without_panic, UnknownFormat};
 use anyhow::{bail, Context, Result};
-use dunespur_chain::{Entry, Position, Saved, SavedSnapshot, Write};
+use dunespur_chain_replication::{Entry, Position, Saved, SavedSnapshot, Write};
 use redb::{
     Builder, Database, DatabaseError, Durability, ReadableTable, StorageBackend, Table,
     TableDefinition, WriteTransaction,
--- a/crates/storage/src/turns.rs
+++ b/crates/serving/storage/src/turns.rs
@@ -11,9 +11,9 @@
 use crate::recovery::{open_checked, open_or_set_aside, without_panic, UnknownFormat};
 use anyhow::{bail, Context};
 use bytes::Bytes;
-use dunespur_turns::index::IndexEntry;
-use dunespur_turns::node::{DiskOutcome, DiskWork};
-use dunespur_turns::turn::{size_of, Turn};
+use dunespur_turn_replication::index::IndexEntry;
+use dunespur_turn_replication::node::{DiskOutcome, DiskWork};
+use dunespur_turn_replication::turn::{size_of, Turn};
 use redb::{
     Builder, Database, DatabaseError, Durability, ReadableTable, StorageBackend, TableDefinition,
     WriteTransaction,
--- a/crates/storage/tests/core.rs
+++ b/crates/serving/storage/tests/core.rs
@@ -1,6 +1,6 @@
 //! The core member's file holds what [`Saved::apply`] says, over restarts, and keeps its identity.
 
-use dunespur_chain::{
+use dunespur_chain_replication::{
     AcceptedView, Ballot, DecidedView, Entry, MemberId, Origin, Payload, Peer, Position, Saved,
     SavedSnapshot, View, Write,
 };
--- a/crates/storage/tests/core_growth.rs
+++ b/crates/serving/storage/tests/core_growth.rs
@@ -1,8 +1,8 @@
 //! How large a core member's file gets with the largest control state, over many snapshots while changes go on: it has
 //! to stay within the disks of core machines.
 
-use dunespur_chain::timing::{COMPACT_BYTES, MOST_COMPACT_BYTES};
-use dunespur_chain::{Entry, Origin, Payload, Position, SavedSnapshot, Write};
+use dunespur_chain_replication::timing::{COMPACT_BYTES, MOST_COMPACT_BYTES};
+use dunespur_chain_replication::{Entry, Origin, Payload, Position, SavedSnapshot, Write};
 use dunespur_storage::core::CoreDisk;
 
 /// The disks of core machines, less what may be set aside of a file that can't be read.
--- a/crates/storage/tests/full/core.rs
+++ b/crates/serving/storage/tests/full/core.rs
@@ -1,7 +1,7 @@
 //! A core member's disk that was full takes writes again, and holds of each write all or nothing.
 
 use crate::support::Storage;
-use dunespur_chain::{Entry, Origin, Payload, Position, Saved, Write};
+use dunespur_chain_replication::{Entry, Origin, Payload, Position, Saved, Write};
 use dunespur_storage::core::CoreDisk;
 
 const ENTRY_BYTES: usize = 20_000;
--- a/crates/storage/tests/full/turns.rs
+++ b/crates/serving/storage/tests/full/turns.rs
@@ -3,8 +3,8 @@
 use crate::support::Storage;
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
-use dunespur_turns::index::IndexEntry;
-use dunespur_turns::turn::Turn;
+use dunespur_turn_replication::index::IndexEntry;
+use dunespur_turn_replication::turn::Turn;
 
 fn open(storage: &Storage) -> (TurnDisk, Vec<IndexEntry>) {
     let storage = storage.clone();
--- a/crates/storage/tests/growth.rs
+++ b/crates/serving/storage/tests/growth.rs
@@ -1,8 +1,8 @@
 //! How much room the turns' file takes for the bodies in it. The share of a disk that a store fills rests on it
-//! (`DISK_PERCENT` in crates/node/src/store.rs): the library doubles the file when it needs more.
+//! (`DISK_PERCENT` in crates/serving/dunespur/src/store.rs): the library doubles the file when it needs more.
 
 use dunespur_storage::turns::TurnDisk;
-use dunespur_turns::turn::Turn;
+use dunespur_turn_replication::turn::Turn;
 
 /// The file is at most this many times the bodies, once there are some megabytes of them.
 const MOST_TIMES: u64 = 4;
--- a/crates/storage/tests/power/turns.rs
+++ b/crates/serving/storage/tests/power/turns.rs
@@ -3,8 +3,8 @@
 use crate::support::{Disk, Random, Syncs};
 use bytes::Bytes;
 use dunespur_storage::turns::{DiskIdentity, TurnDisk};
-use dunespur_turns::index::IndexEntry;
-use dunespur_turns::turn::Turn;
+use dunespur_turn_replication::index::IndexEntry;
+use dunespur_turn_replication::turn::Turn;
 use std::collections::BTreeMap;
 use std::panic::catch_unwind;
 
--- a/crates/storage/tests/turns.rs
+++ b/crates/serving/storage/tests/turns.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
-use dunespur_turns::node::{DiskOutcome, DiskWork};
-use dunespur_turns::turn::Turn;
+use dunespur_turn_replication::node::{DiskOutcome, DiskWork};
+use dunespur_turn_replication::turn::Turn;
 use std::fs;
 use std::path::PathBuf;
 
--- a/crates/storage/tests/unreadable.rs
+++ b/crates/serving/storage/tests/unreadable.rs
@@ -2,11 +2,11 @@
 //! were empty, or finds all that was written. Never an error at each start, and never a member that goes on under its
 //! identity with less than it had acknowledged.
 
-use dunespur_chain::{Entry, Origin, Payload, Position, Saved, SavedSnapshot, Write};
+use dunespur_chain_replication::{Entry, Origin, Payload, Position, Saved, SavedSnapshot, Write};
 use dunespur_storage::core::CoreDisk;
 use dunespur_storage::recovery::{aside_bytes, MOST_ASIDE_BYTES};
 use dunespur_storage::turns::TurnDisk;
-use dunespur_turns::turn::Turn;
+use dunespur_turn_replication::turn::Turn;
 use std::fs;
 use std::path::{Path, PathBuf};
 
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/serving/turn-replication/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use bytes::Bytes;
-use dunespur_turns::roster::Store;
-use dunespur_turns::turn::Turn;
+use dunespur_turn_replication::roster::Store;
+use dunespur_turn_replication::turn::Turn;
 
 pub const PROGRAM: &str = "3fa81c";
 
@@ -46,7 +46,7 @@
 
 /// The names of stores in the order of a program.
 pub fn order(program: &str, stores: &[Store]) -> Vec<String> {
-    dunespur_turns::placement::order(program, stores)
+    dunespur_turn_replication::placement::order(program, stores)
         .into_iter()
         .map(|store| store.name.clone())
         .collect()
--- a/crates/turns/tests/faults.rs
+++ b/crates/serving/turn-replication/tests/faults.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use dunespur_turns::guards::Guards;
+use dunespur_turn_replication::guards::Guards;
 use world::{Absence, FaultKind, Plan, Seen, World, CATCH_UP_MS, LONGEST_TROUBLE_MS};
 
 const ALL: [FaultKind; 9] = [
@@ -31,7 +31,7 @@
         final_fault: seed.is_multiple_of(3),
         absence: Absence::default(),
         guards: Guards::default(),
-        core_guards: dunespur_control::Guards::default(),
+        core_guards: dunespur_control_state::Guards::default(),
     }
 }
 
--- a/crates/turns/tests/index.rs
+++ b/crates/serving/turn-replication/tests/index.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{stores, turn, PROGRAM};
-use dunespur_turns::index::{Index, CLOCK_STEP_BOUND_MS, LEAST_TERM_AFTER_START_MS};
-use dunespur_turns::message::PAGE_IDS;
-use dunespur_turns::placement;
-use dunespur_turns::roster::Candidate;
-use dunespur_turns::turn::{TurnHeader, RETENTION_MARGIN_MS};
+use dunespur_turn_replication::index::{Index, CLOCK_STEP_BOUND_MS, LEAST_TERM_AFTER_START_MS};
+use dunespur_turn_replication::message::PAGE_IDS;
+use dunespur_turn_replication::placement;
+use dunespur_turn_replication::roster::Candidate;
+use dunespur_turn_replication::turn::{TurnHeader, RETENTION_MARGIN_MS};
 
 const RETENTION_MS: u64 = 20_000;
 
--- a/crates/turns/tests/node.rs
+++ b/crates/serving/turn-replication/tests/node.rs
@@ -7,15 +7,15 @@
 
 use bytes::Bytes;
 use common::{order, store, stores, turn, PROGRAM};
-use dunespur_turns::guards::Guards;
-use dunespur_turns::message::{Refusal, StoreReply, StoreRequest};
-use dunespur_turns::node::{
+use dunespur_turn_replication::guards::Guards;
+use dunespur_turn_replication::message::{Refusal, StoreReply, StoreRequest};
+use dunespur_turn_replication::node::{
     Declaration, DiskOutcome, DiskState, DiskWork, Effect, Settings, StoreNode, EXPIRY_SWEEP_MS,
     SETTLE_MS,
 };
-use dunespur_turns::roster::Store;
-use dunespur_turns::turn::{HeldTurn, Turn, RETENTION_MARGIN_MS};
-use dunespur_turns::write::WRITE_DEADLINE_MS;
+use dunespur_turn_replication::roster::Store;
+use dunespur_turn_replication::turn::{HeldTurn, Turn, RETENTION_MARGIN_MS};
+use dunespur_turn_replication::write::WRITE_DEADLINE_MS;
 
 const WALL_MS: u64 = 1_000_000;
 const RETENTION_MS: u64 = 20_000;
@@ -406,7 +406,7 @@
     let turns = chain();
     let mut bench = Bench::new("storage-0", true, &[]);
     bench.list(&stores(2));
-    let listed = |turn: &Turn| dunespur_turns::message::ListedTurn {
+    let listed = |turn: &Turn| dunespur_turn_replication::message::ListedTurn {
         id: turn.id.clone(),
         size: turn.size(),
     };
--- a/crates/turns/tests/placement.rs
+++ b/crates/serving/turn-replication/tests/placement.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::{order, store, stores};
-use dunespur_turns::placement::{homes, is_home};
-use dunespur_turns::roster::Candidate;
+use dunespur_turn_replication::placement::{homes, is_home};
+use dunespur_turn_replication::roster::Candidate;
 use quickcheck::quickcheck;
 
 #[test]
--- a/crates/turns/tests/reading.rs
+++ b/crates/serving/turn-replication/tests/reading.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::{order, stores, turn, PROGRAM};
-use dunespur_turns::message::StoreReply;
-use dunespur_turns::read::{
+use dunespur_turn_replication::message::StoreReply;
+use dunespur_turn_replication::read::{
     Ask, Bounds, Outcome, Reading, ABSENT_WAIT_MS, HEDGE_MS, READ_DEADLINE_MS, RETRY_MS,
 };
-use dunespur_turns::roster::Store;
-use dunespur_turns::turn::Turn;
+use dunespur_turn_replication::roster::Store;
+use dunespur_turn_replication::turn::Turn;
 
 fn begin(stores: &[Store]) -> Reading {
     Reading::new("c", PROGRAM, stores, 2, 0)
--- a/crates/turns/tests/windows.rs
+++ b/crates/serving/turn-replication/tests/windows.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code, unused_imports)] // Each test file uses a part of it.
 mod world;
 
-use dunespur_turns::guards::Guards;
+use dunespur_turn_replication::guards::Guards;
 use world::{Absence, FaultKind, Plan, World};
 
 /// Played unless the environment says otherwise.
@@ -43,7 +43,7 @@
             repair_ms: ABSENT_REPAIR_MS,
         },
         guards: Guards::default(),
-        core_guards: dunespur_control::Guards::default(),
+        core_guards: dunespur_control_state::Guards::default(),
     }
 }
 
--- a/crates/turns/tests/world/core.rs
+++ b/crates/serving/turn-replication/tests/world/core.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-use dunespur_control::{
+use dunespur_control_state::{
     ControlState, NodeKind, NodeReport, Operation, Outcome, RetireOutcome, RetireState, StoreEntry,
 };
-use dunespur_turns::roster::Store;
+use dunespur_turn_replication::roster::Store;
 
 use super::{Event, World};
 
--- a/crates/turns/tests/world/faults.rs
+++ b/crates/serving/turn-replication/tests/world/faults.rs
@@ -1,6 +1,6 @@
 //! Trouble, never more at one time than is tolerated, each followed by the time to catch up.
 
-use dunespur_control::RetireOutcome;
+use dunespur_control_state::RetireOutcome;
 
 use super::machine::Trouble;
 use super::{Event, World, CATCH_UP_MS};
--- a/crates/turns/tests/world/machine.rs
+++ b/crates/serving/turn-replication/tests/world/machine.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use dunespur_turns::message::{StoreReply, StoreRequest};
-use dunespur_turns::node::{
+use dunespur_turn_replication::message::{StoreReply, StoreRequest};
+use dunespur_turn_replication::node::{
     Declaration, DiskOutcome, DiskState, DiskWork, Effect, JobId, Settings, StoreNode,
 };
-use dunespur_turns::roster::Store;
-use dunespur_turns::turn::Turn;
+use dunespur_turn_replication::roster::Store;
+use dunespur_turn_replication::turn::Turn;
 
 use super::{Asker, Event, World, BYTES_A_MS};
 
--- a/crates/turns/tests/world/mod.rs
+++ b/crates/serving/turn-replication/tests/world/mod.rs
@@ -11,11 +11,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use dunespur_control::{ControlState, Operation as CoreOperation};
-use dunespur_turns::guards::Guards;
-use dunespur_turns::message::{StoreReply, StoreRequest};
-use dunespur_turns::node::{AskId, DiskOutcome, JobId};
-use dunespur_turns::roster::Store;
+use dunespur_control_state::{ControlState, Operation as CoreOperation};
+use dunespur_turn_replication::guards::Guards;
+use dunespur_turn_replication::message::{StoreReply, StoreRequest};
+use dunespur_turn_replication::node::{AskId, DiskOutcome, JobId};
+use dunespur_turn_replication::roster::Store;
 use fastrand::Rng;
 
 pub use faults::{FaultKind, LONGEST_TROUBLE_MS};
@@ -70,7 +70,7 @@
     /// Those that stand at the stores.
     pub guards: Guards,
     /// Those that stand in the control state.
-    pub core_guards: dunespur_control::Guards,
+    pub core_guards: dunespur_control_state::Guards,
 }
 
 /// What was seen.
--- a/crates/turns/tests/world/programs.rs
+++ b/crates/serving/turn-replication/tests/world/programs.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::Bytes;
-use dunespur_turns::message::{StoreReply, StoreRequest};
-use dunespur_turns::read::{Outcome, Reading};
-use dunespur_turns::turn::Turn;
-use dunespur_turns::write::{Verdict, Writing};
+use dunespur_turn_replication::message::{StoreReply, StoreRequest};
+use dunespur_turn_replication::read::{Outcome, Reading};
+use dunespur_turn_replication::turn::Turn;
+use dunespur_turn_replication::write::{Verdict, Writing};
 
 use super::machine::{wall, Machine};
 use super::{Asker, Event, World, CATCH_UP_MS, RETENTION_MS};
--- a/crates/turns/tests/writing.rs
+++ b/crates/serving/turn-replication/tests/writing.rs
@@ -3,8 +3,10 @@
 mod common;
 
 use common::{order, stores, turn, PROGRAM};
-use dunespur_turns::roster::Store;
-use dunespur_turns::write::{Put, Verdict, Writing, HEDGE_MS, RETRY_MS, WRITE_DEADLINE_MS};
+use dunespur_turn_replication::roster::Store;
+use dunespur_turn_replication::write::{
+    Put, Verdict, Writing, HEDGE_MS, RETRY_MS, WRITE_DEADLINE_MS,
+};
 
 fn begin(stores: &[Store], copies: usize) -> Writing {
     Writing::new(&turn("t", None).header(), stores, copies, 0)
--- a/crates/emulator/examples/chain_throughput.rs
+++ b/crates/testing/emulator/examples/chain_throughput.rs
@@ -6,8 +6,8 @@
 //! `cargo run --release -p dunespur-emulator --example chain_throughput -- PROGRAMS ADDS UNDER_WAY [gateways]`
 
 use dunespur_budget::{CounterChange, CounterRequest, LimiterId};
-use dunespur_chain::{Input, Member, MemberId, Message, Output, Peer, View, Write};
-use dunespur_control::{ControlState, Operation};
+use dunespur_chain_replication::{Input, Member, MemberId, Message, Output, Peer, View, Write};
+use dunespur_control_state::{ControlState, Operation};
 use dunespur_storage::core::CoreDisk;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/emulator/examples/hollow.rs
+++ b/crates/testing/emulator/examples/hollow.rs
@@ -6,14 +6,14 @@
 //!
 //! `cargo run --release -p dunespur-emulator --example hollow -- PROGRAM SECONDS SERVERS FOLLOWERS...`
 
-#[path = "../../node/src/messages.rs"]
+#[path = "../../../serving/dunespur/src/messages.rs"]
 #[allow(dead_code)]
 mod messages;
 
 use anyhow::Context;
-use dunespur_control::{Operation, ServerReport, ServerState};
+use dunespur_control_state::{Operation, ServerReport, ServerState};
 use dunespur_emulator::system::{MachinePlan, Role, System, SystemPlan, Usage};
-use dunespur_link::Client;
+use dunespur_rpc::Client;
 use messages::{decode, encode, Heard, NodeLease, Reply, Request, WatchRequest};
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/lab/src/measure.rs
+++ b/crates/testing/fleet-simulation/src/measure.rs
@@ -4,7 +4,7 @@
 use crate::history::Line;
 use crate::trial::{Disk, Fault, Fleet, Kind, Load, Net, Quota, Trial, Way};
 use crate::world::World;
-use dunespur_duties::Duty;
+use dunespur_singleton_roles::Duty;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::BTreeMap;
--- a/crates/lab/src/processes.rs
+++ b/crates/testing/fleet-simulation/src/processes.rs
@@ -6,10 +6,10 @@
 use crate::history::Line;
 use crate::trial::{Active, Disk, Fault, Kind, Quota, Trial, MOST_PROCESSES, SERVERS};
 use bytes::Bytes;
-use dunespur_duties::fence::Fence;
 use dunespur_gateway::{clock, Work};
-use dunespur_peer::Frame;
-use dunespur_standins::{list, Counter, Discovery, Server};
+use dunespur_peer_transport::Frame;
+use dunespur_singleton_roles::fence::Fence;
+use dunespur_test_servers::{list, Counter, Discovery, Server};
 use http_body_util::{BodyExt, Empty};
 use hyper_util::rt::TokioIo;
 use rand::{RngExt, SeedableRng};
@@ -332,7 +332,7 @@
             running: RefCell::default(),
             twin: RefCell::default(),
             wall: Cell::new(0.0),
-            version: Cell::new(dunespur_peer::VERSION),
+            version: Cell::new(dunespur_peer_transport::VERSION),
             stalled: Cell::new(None),
             excused: Cell::new(f64::NEG_INFINITY),
             read: Cell::new(0),
--- a/crates/lab/src/service.rs
+++ b/crates/testing/fleet-simulation/src/service.rs
@@ -6,12 +6,12 @@
 
 use crate::quotas::Bucket;
 use crate::trial::Quota;
-use dunespur::rules::Limiter;
-use dunespur::types::{
+use dunespur_decisions::rules::Limiter;
+use dunespur_decisions::types::{
     self as types, Action, Answer, Counted, Effect, Ending, Invocation, Outcome, Readiness,
 };
-use dunespur_duties::Slot;
-use dunespur_shared_state::lend::{self, Anew, Ask, Borrower, Broker, Way};
+use dunespur_quota_sharing::lend::{self, Anew, Ask, Borrower, Broker, Way};
+use dunespur_singleton_roles::Slot;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/lab/src/trial.rs
+++ b/crates/testing/fleet-simulation/src/trial.rs
@@ -2,7 +2,7 @@
 //! length and target. Reads and checks it; a file that can't be used gets one line that names place and
 //! remedy. docs/trials.md is its page.
 
-use dunespur_duties::{Duty, Settings as Duties};
+use dunespur_singleton_roles::{Duty, Settings as Duties};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/lab/tests/trials.rs
+++ b/crates/testing/fleet-simulation/tests/trials.rs
@@ -6,7 +6,7 @@
 use std::thread;
 
 fn root() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../..")
 }
 
 fn lab(args: &[&str]) -> Output {
--- a/crates/drill/src/host.rs
+++ b/crates/testing/simulator-adapter/src/host.rs
@@ -1,7 +1,7 @@
 //! One process's side of the wire: the instances it hosts, their invocations and timers.
 
-use dunespur::rules::Limiter;
-use dunespur::types::*;
+use dunespur_decisions::rules::Limiter;
+use dunespur_decisions::types::*;
 use dunespur_settings::{parse, Read};
 use std::collections::HashMap;
 use std::io::Write;
