--- a/crates/node/src/core/changes.rs
+++ b/crates/serving/dunespur/src/core/changes.rs
@@ -1,6 +1,6 @@
 //! The newest changes of the control state by their index, for those who follow it.
 
-use dunespur_control::Change;
+use dunespur_control_state::Change;
 use std::collections::VecDeque;
 
 /// Indices with changes that are kept; who is further behind gets the whole state.
@@ -52,6 +52,11 @@
             return None;
         }
         let start = self.kept.partition_point(|(at, _)| *at <= index);
-        Some(self.kept.range(start..).flat_map(|(_, changes)| changes.iter().cloned()).collect())
+        Some(
+            self.kept
+                .range(start..)
+                .flat_map(|(_, changes)| changes.iter().cloned())
+                .collect(),
+        )
     }
 }
--- a/crates/node/src/main.rs
+++ b/crates/serving/dunespur/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    dunespur_node::run()
+    dunespur::run()
 }
--- a/crates/node/src/store.rs
+++ b/crates/serving/dunespur/src/store.rs
@@ -11,14 +11,14 @@
 use crate::trace::{self, Stopwatch, StoreSubject};
 use anyhow::Context;
 use bytes::Bytes;
-use dunespur_control::{NodeKind, NodeReport, Operation};
-use dunespur_link::Service;
+use dunespur_control_state::{NodeKind, NodeReport, Operation};
+use dunespur_rpc::Service;
 use dunespur_storage::recovery::aside_bytes;
 use dunespur_storage::turns::TurnDisk;
-use dunespur_turns::message::{StoreReply, StoreRequest};
-use dunespur_turns::node::{
-    Declaration, DiskOutcome, DiskState, DiskWork, Effect, JobId, Settings as NodeSettings, StoreNode,
-    ASK_TIMEOUT_MS,
+use dunespur_turn_replication::message::{StoreReply, StoreRequest};
+use dunespur_turn_replication::node::{
+    Declaration, DiskOutcome, DiskState, DiskWork, Effect, JobId, Settings as NodeSettings,
+    StoreNode, ASK_TIMEOUT_MS,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -36,7 +36,7 @@
 /// Stack of the disk's thread in bytes.
 const STACK_SIZE: usize = 512 * 1024;
 /// Share of the disk, in hundredths, that bodies may take. The library doubles the file when it needs more, so that it
-/// takes up to four times the bodies in it (crates/storage/tests/growth.rs).
+/// takes up to four times the bodies in it (crates/serving/storage/tests/growth.rs).
 const DISK_PERCENT: u64 = 25;
 /// Of a disk of unknown size, in megabytes.
 const UNKNOWN_DISK_MB: u64 = 256;
@@ -77,7 +77,7 @@
     let directory = Directory::new(clock, settings.seed_addresses());
     let (process, done) = StoreProcess::open(&settings, directory.clone(), clock)?;
     let listener = listen(settings.internal_address()).await?;
-    spawn_local(dunespur_link::serve(listener, process.clone()));
+    spawn_local(dunespur_rpc::serve(listener, process.clone()));
     let weak = Rc::downgrade(&process);
     directory.when_changed(Box::new(move |touched| {
         if let Some(process) = weak.upgrade().filter(|_| touched.stores) {
@@ -103,7 +103,10 @@
         directory: Rc<Directory>,
         clock: Clock,
     ) -> anyhow::Result<(Rc<StoreProcess>, Done)> {
-        let data = settings.data_dir.as_deref().context("data_dir: a store needs a disk")?;
+        let data = settings
+            .data_dir
+            .as_deref()
+            .context("data_dir: a store needs a disk")?;
         std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
         let file = data.join(DISK_FILE);
         let (disk, identity, entries) = TurnDisk::open(&file)?;
@@ -130,7 +133,11 @@
             capacity_turns,
             absent_repair_ms: ABSENT_REPAIR_MS,
         };
-        let state = DiskState { disk: identity.disk, fresh: identity.fresh, entries };
+        let state = DiskState {
+            disk: identity.disk,
+            fresh: identity.fresh,
+            entries,
+        };
         let node = StoreNode::new(node_settings, state, wall_clock_ms(), clock.now());
         let (completions, done) = mpsc::unbounded_channel();
         let process = Rc::new_cyclic(|this| StoreProcess {
@@ -190,7 +197,11 @@
                     let _ = sender.send(reply);
                 }
             }
-            Effect::Ask { ask, store, request } => self.ask(ask, &store, request),
+            Effect::Ask {
+                ask,
+                store,
+                request,
+            } => self.ask(ask, &store, request),
             Effect::Disk { job, work } => {
                 self.count(|disk| disk.waiting += 1);
                 let _ = self.jobs.send((job, work));
@@ -221,11 +232,16 @@
             waiting: self.callers.borrow().len(),
             disk: self.disk.get(),
         };
-        Status { turns: Some(turns), ..basics(&self.settings, Role::Store, &self.directory) }
+        Status {
+            turns: Some(turns),
+            ..basics(&self.settings, Role::Store, &self.directory)
+        }
     }
 
     fn ask(&self, ask: u64, store: &str, request: StoreRequest) {
-        let Some(process) = self.this.upgrade() else { return };
+        let Some(process) = self.this.upgrade() else {
+            return;
+        };
         let stores: Vec<_> = self.directory.known().stores.values().cloned().collect();
         let address = address_of(&stores, store);
         spawn_local(async move {
@@ -252,12 +268,22 @@
             self.node.borrow_mut().set_incarnation(report.incarnation);
             self.directory.hold_lease(NodeLease::of(&report));
         }
-        let told = held.disk == report.disk && held.whole == report.whole && held.address == report.address;
+        let told = held.disk == report.disk
+            && held.whole == report.whole
+            && held.address == report.address;
         if !told || !held.present || held.incarnation != report.incarnation {
             return Some(Operation::Node(report.clone()));
         }
-        let round = self.node.borrow().emptied_in().filter(|round| held.retiring && held.round == *round)?;
-        Some(Operation::RetireDone { node: report.name.clone(), incarnation: report.incarnation, round })
+        let round = self
+            .node
+            .borrow()
+            .emptied_in()
+            .filter(|round| held.retiring && held.round == *round)?;
+        Some(Operation::RetireDone {
+            node: report.name.clone(),
+            incarnation: report.incarnation,
+            round,
+        })
     }
 }
 
@@ -294,7 +320,11 @@
             }
         }
     };
-    if let Err(error) = thread::Builder::new().name("turns".to_owned()).stack_size(STACK_SIZE).spawn(work) {
+    if let Err(error) = thread::Builder::new()
+        .name("turns".to_owned())
+        .stack_size(STACK_SIZE)
+        .spawn(work)
+    {
         log::error!("no thread for the disk: {error}");
     }
     jobs
--- a/crates/node/tests/upgrading.rs
+++ b/crates/serving/dunespur/tests/upgrading.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use support::disk::{fail_as_late, with_standstills_apart};
 use support::{
-    add_route, expect_no_violation, generation, go_on_within, line_of, program, programs_for, stage_of,
-    Stage, CATCH_UP, LATER, ORDER_LIMIT, RECOVERY,
+    add_route, expect_no_violation, generation, go_on_within, line_of, program, programs_for,
+    stage_of, Stage, CATCH_UP, LATER, ORDER_LIMIT, RECOVERY,
 };
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
@@ -101,7 +101,11 @@
 fn expect_finished(ends: &[End]) {
     assert!(!ends.is_empty());
     for end in ends {
-        if *end == (End::Failed { status: Some(LATER) }) {
+        if *end
+            == (End::Failed {
+                status: Some(LATER),
+            })
+        {
             fail_as_late(format!("{ends:?}"));
         }
         assert_eq!(*end, End::Finished, "{ends:?}");
@@ -116,7 +120,13 @@
         for machine in 0..scene.system.machines().len() {
             replace_program(&mut scene, machine).await;
             for line in &mut lines {
-                go_on_within(&scene, line, &format!("after machine {machine}"), ORDER_LIMIT).await;
+                go_on_within(
+                    &scene,
+                    line,
+                    &format!("after machine {machine}"),
+                    ORDER_LIMIT,
+                )
+                .await;
             }
             programs_for(&scene, CATCH_UP).await;
         }
