--- a/crates/serving/dunespur/src/core/applied.rs
+++ b/crates/serving/dunespur/src/core/applied_state.rs
@@ -1,6 +1,6 @@
-//! The control state as this member has applied it, with the changes for those who follow it.
+//! The control state as this member has applied it, with the changes for those who watch it.
 
-use super::changes::ChangeLog;
+use super::change_log::ChangeLog;
 use dunespur_control_state::{ControlState, Operation, Outcome};
 
 /// The control state after the operations committed so far.
@@ -18,7 +18,7 @@
         &self.state
     }
 
-    /// What has changed lately.
+    /// The recent changes.
     pub fn changes(&self) -> &ChangeLog {
         &self.changes
     }
@@ -35,7 +35,7 @@
         let outcome = match postcard::from_bytes::<Operation>(payload) {
             Ok(operation) => Some(self.state.apply(&operation, &mut changes)),
             Err(error) => {
-                self.lose_track(index, &format!("the operation can't be read: {error}"));
+                self.fall_behind(index, &format!("the operation can't be read: {error}"));
                 None
             }
         };
@@ -50,13 +50,13 @@
                 self.state = state;
                 self.unreadable_since = None;
             }
-            Err(error) => self.lose_track(index, &format!("the snapshot can't be read: {error}")),
+            Err(error) => self.fall_behind(index, &format!("the snapshot can't be read: {error}")),
         }
         self.changes.reset(index);
     }
 
-    /// The state falls behind from this index on; said once.
-    fn lose_track(&mut self, index: u64, reason: &str) {
+    /// The state falls behind from this index on; logged once.
+    fn fall_behind(&mut self, index: u64, reason: &str) {
         if self.unreadable_since.is_none() {
             log::error!(
                 "control state at index {index}: {reason}; this member answers nothing from now on"
@@ -67,5 +67,5 @@
 }
 
 #[cfg(test)]
-#[path = "applied/tests.rs"]
+#[path = "applied_state/tests.rs"]
 mod tests;
--- a/crates/serving/dunespur/src/core/applied/tests.rs
+++ b/crates/serving/dunespur/src/core/applied_state/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn changes_are_kept_by_their_index() {
+fn changes_are_retained_by_their_index() {
     let mut state = AppliedState::default();
     configured(&mut state, 1, 1);
     configured(&mut state, 2, 2);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_state_that_lacks_an_operation_is_known_to() {
+fn a_state_that_misses_an_operation_is_not_readable() {
     let mut state = AppliedState::default();
     configured(&mut state, 1, 1);
     assert_eq!(state.commit(2, &[0xff; 4]), None);
--- a/crates/serving/dunespur/src/core/changes.rs
+++ b/crates/serving/dunespur/src/core/change_log.rs
@@ -1,19 +1,19 @@
-//! The newest changes of the control state by their index, for those who follow it.
+//! The newest changes of the control state by their index, for those who watch it.
 
 use dunespur_control_state::Change;
 use std::collections::VecDeque;
 
-/// Indices with changes that are kept; who is further behind gets the whole state.
-const MOST_KEPT: usize = 1024;
+/// Indices with changes that are retained; a watch that is further behind gets the complete state.
+const MAX_RETAINED: usize = 1024;
 
 /// A bounded log of changes.
 #[derive(Default)]
 pub struct ChangeLog {
-    /// Changes after this index are kept.
+    /// Changes after this index are retained.
     floor: u64,
     /// The newest index, with or without changes.
     newest: u64,
-    kept: VecDeque<(u64, Vec<Change>)>,
+    retained: VecDeque<(u64, Vec<Change>)>,
 }
 
 impl ChangeLog {
@@ -23,9 +23,12 @@
         if changes.is_empty() {
             return;
         }
-        self.kept.push_back((index, changes));
-        if self.kept.len() > MOST_KEPT {
-            self.floor = self.kept.pop_front().map_or(self.floor, |(index, _)| index);
+        self.retained.push_back((index, changes));
+        if self.retained.len() > MAX_RETAINED {
+            self.floor = self
+                .retained
+                .pop_front()
+                .map_or(self.floor, |(index, _)| index);
         }
     }
 
@@ -33,7 +36,7 @@
     pub fn reset(&mut self, index: u64) {
         self.floor = index;
         self.newest = index;
-        self.kept.clear();
+        self.retained.clear();
     }
 
     /// The newest index.
@@ -43,17 +46,21 @@
 
     /// Whether there are changes after `index`.
     pub fn has_after(&self, index: u64) -> bool {
-        index < self.floor || self.kept.back().is_some_and(|(newest, _)| *newest > index)
+        index < self.floor
+            || self
+                .retained
+                .back()
+                .is_some_and(|(newest, _)| *newest > index)
     }
 
-    /// The changes after `index`; `None` if some of them are no longer kept.
+    /// The changes after `index`; `None` if some of them are no longer retained.
     pub fn after(&self, index: u64) -> Option<Vec<Change>> {
         if index < self.floor {
             return None;
         }
-        let start = self.kept.partition_point(|(at, _)| *at <= index);
+        let start = self.retained.partition_point(|(at, _)| *at <= index);
         Some(
-            self.kept
+            self.retained
                 .range(start..)
                 .flat_map(|(_, changes)| changes.iter().cloned())
                 .collect(),
--- /dev/null
+++ b/crates/serving/dunespur/src/core/coordinator/lease_rounds.rs
@@ -0,0 +1,54 @@
+//! Leases of servers and nodes: gossip of renewals between core members, and the expiry of those that lapsed.
+
+use super::Coordinator;
+use crate::messages::{encode, Heard, Request};
+use std::net::SocketAddr;
+
+impl Coordinator {
+    /// Leases that another member reports as renewed.
+    pub fn receive_renewals(&self, renewals: &Heard) {
+        self.leases
+            .borrow_mut()
+            .renew_from_member(renewals, self.clock.now());
+    }
+
+    /// Processes that may have lost the core: those that seeds name or that are remembered, and did not renew their
+    /// lease lately. A machine without a disk that restarts knows only its seeds, and these may have restarted too.
+    /// Empty unless this member follows the chain; remembered ones only at its head, which learns of all renewals.
+    pub fn unreached(&self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
+        let now = self.clock.now();
+        let replica = self.replica.borrow();
+        if !replica.serves_reads(now) {
+            return Vec::new();
+        }
+        self.leases
+            .borrow()
+            .unreached(&replica, &self.own.id, seeds, now)
+    }
+
+    /// Tells the other members which leases were renewed here; the head of the chain proposes the expiry of lapsed
+    /// ones.
+    pub(super) fn run_lease_round(&self, now: u64) {
+        self.leases.borrow_mut().schedule_next_round(now);
+        self.gossip_renewals();
+        let operations =
+            self.leases
+                .borrow_mut()
+                .expired(&self.replica.borrow(), &self.own.id, now);
+        for operation in operations {
+            log::info!("lapsed: {operation:?}");
+            drop(self.propose(&operation));
+        }
+    }
+
+    fn gossip_renewals(&self) {
+        let renewals = self.leases.borrow_mut().take_unreported();
+        if renewals == Heard::default() {
+            return;
+        }
+        let payload = encode(&Request::Heard(renewals));
+        for address in self.replica.borrow().other_members(&self.own.id) {
+            self.links.send(address, payload.clone());
+        }
+    }
+}
--- /dev/null
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -0,0 +1,297 @@
+//! The owner of a core member: feeds inputs to the state machine and performs every output that it asks for.
+
+mod lease_rounds;
+mod requests;
+mod status;
+mod watches;
+
+use super::disk_writer::{Batch, DiskWriter};
+use super::lease_expiry::LeaseExpiry;
+use super::peer_links::PeerLinks;
+use super::pending_operations::PendingOperations;
+use super::pending_reads::PendingReads;
+use super::replica::Replica;
+use crate::clock::Clock;
+use crate::messages::{encode, Request};
+use anyhow::Context;
+use dunespur_chain_replication::{Input, Member, MemberId, Message, Output, Peer, View};
+use dunespur_storage::core::CoreDisk;
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::{Rc, Weak};
+use tokio::sync::{mpsc, Notify};
+use tokio::task::spawn_local;
+use tokio::time::sleep_until;
+
+/// The file of a core member in its data folder.
+const DISK_FILE: &str = "core.redb";
+
+/// Which member of the core this process is.
+#[derive(Clone, Debug)]
+pub struct CoreIdentity {
+    /// The machine's name.
+    pub node: String,
+    /// Where other processes of the system reach it.
+    pub address: SocketAddr,
+    /// Whether it may take part in a first view.
+    pub bootstrap: bool,
+    /// Pause between heartbeats of a server, in milliseconds.
+    pub heartbeat_ms: u64,
+}
+
+/// Whether those who watch the control state have to look at it again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WatchEffect {
+    Unchanged,
+    Changed,
+}
+
+/// A core member with its disk and links.
+pub struct Coordinator {
+    own: Peer,
+    clock: Clock,
+    replica: RefCell<Replica>,
+    leases: RefCell<LeaseExpiry>,
+    disk: DiskWriter,
+    links: PeerLinks,
+    operations: RefCell<PendingOperations>,
+    reads: RefCell<PendingReads>,
+    last_ticket: Cell<u64>,
+    /// Notified when there are changes or another view.
+    state_changed: Notify,
+    /// Notified when the time of the next tick has changed.
+    rescheduled: Notify,
+}
+
+impl Coordinator {
+    /// Opens the disk and starts the member's tasks.
+    ///
+    /// # Errors
+    ///
+    /// If the data folder can't be made, its file can't be opened, or the disk's thread can't be started.
+    pub fn start(
+        identity: CoreIdentity,
+        data: &Path,
+        clock: Clock,
+    ) -> anyhow::Result<Rc<Coordinator>> {
+        std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
+        let (disk, disk_identity, saved) = CoreDisk::open(&data.join(DISK_FILE))?;
+        let id = MemberId {
+            node: identity.node.clone(),
+            disk: disk_identity.disk,
+        };
+        let now = clock.now();
+        let seed = fastrand::u64(..);
+        let member = Member::new(
+            id.clone(),
+            identity.address,
+            identity.bootstrap,
+            saved,
+            seed,
+            now,
+        );
+        let (persisted, synced) = mpsc::unbounded_channel();
+        let disk = DiskWriter::start(disk, persisted)?;
+        let coordinator = Rc::new_cyclic(|this: &Weak<Coordinator>| {
+            let owner = this.clone();
+            Coordinator {
+                own: Peer {
+                    id,
+                    address: identity.address,
+                },
+                clock,
+                replica: RefCell::new(Replica::new(member)),
+                leases: RefCell::new(LeaseExpiry::new(identity.heartbeat_ms, now)),
+                disk,
+                links: PeerLinks::new(Rc::new(move |address| report_disconnected(&owner, address))),
+                operations: RefCell::default(),
+                reads: RefCell::default(),
+                last_ticket: Cell::new(1),
+                state_changed: Notify::new(),
+                rescheduled: Notify::new(),
+            }
+        });
+        spawn_local(report_persisted(coordinator.clone(), synced));
+        spawn_local(keep_ticking(coordinator.clone()));
+        Ok(coordinator)
+    }
+
+    /// This member as others know it.
+    pub fn peer(&self) -> Peer {
+        self.own.clone()
+    }
+
+    /// The newest view that this member knows.
+    pub fn view(&self) -> Option<View> {
+        self.replica.borrow().view().cloned()
+    }
+
+    /// Takes part in the first view of the system.
+    pub fn found(&self, view: View) {
+        self.step(Input::Found { view });
+    }
+
+    /// Asks the members at these addresses to take this one in.
+    pub fn join(&self, contacts: Vec<SocketAddr>) {
+        self.step(Input::Join { contacts });
+    }
+
+    /// Asks to be put out of the chain, before a planned end.
+    pub fn leave(&self) {
+        self.step(Input::Leave);
+    }
+
+    /// Receives a message of another member.
+    pub fn receive(&self, from: MemberId, message: Message) {
+        self.step(Input::Received { from, message });
+    }
+
+    /// Gives the state machine an input and performs what it asks for.
+    fn step(&self, input: Input) {
+        let mut inputs = VecDeque::from([input]);
+        let mut outputs = Vec::new();
+        let mut effect = WatchEffect::Unchanged;
+        while let Some(input) = inputs.pop_front() {
+            self.replica
+                .borrow_mut()
+                .step(input, self.clock.now(), &mut outputs);
+            for output in outputs.drain(..) {
+                if self.perform(output, &mut inputs) == WatchEffect::Changed {
+                    effect = WatchEffect::Changed;
+                }
+            }
+        }
+        if effect == WatchEffect::Changed {
+            self.state_changed.notify_waiters();
+        }
+        self.rescheduled.notify_one();
+    }
+
+    /// Performs one output; further inputs go to `inputs`.
+    fn perform(&self, output: Output, inputs: &mut VecDeque<Input>) -> WatchEffect {
+        match output {
+            Output::Send { to, message } => self.replicate(to.address, message),
+            Output::SendTo { address, message } => self.replicate(address, message),
+            Output::Persist { batch, writes } => self.disk.write(Batch {
+                number: batch,
+                writes,
+            }),
+            Output::Commit {
+                index,
+                payload,
+                ticket,
+            } => return self.commit(index, &payload, ticket),
+            Output::ReadReady { ticket } => self.reads.borrow_mut().complete(ticket),
+            Output::Dropped { ticket } => self.drop_ticket(ticket),
+            Output::WantSnapshot => inputs.extend(self.replica.borrow().snapshot()),
+            Output::Install { index, bytes } => {
+                self.replica
+                    .borrow_mut()
+                    .applied_mut()
+                    .install(index, &bytes);
+                return WatchEffect::Changed;
+            }
+            Output::ViewChanged { view, current } => {
+                log::info!(
+                    "view {}: chain {:?}, current {current}",
+                    view.number,
+                    chain_nodes(&view)
+                );
+                return WatchEffect::Changed;
+            }
+        }
+        WatchEffect::Unchanged
+    }
+
+    /// Sends a message of the state machine to the member at an address.
+    fn replicate(&self, address: SocketAddr, message: Message) {
+        let request = Request::Chain {
+            from: self.own.id.clone(),
+            message,
+        };
+        self.links.send(address, encode(&request));
+    }
+
+    /// Applies a committed operation and answers whoever waits for it.
+    fn commit(&self, index: u64, payload: &[u8], ticket: Option<u64>) -> WatchEffect {
+        let mut replica = self.replica.borrow_mut();
+        let outcome = replica.applied_mut().commit(index, payload);
+        if let Some(ticket) = ticket {
+            self.operations.borrow_mut().complete(ticket, outcome);
+        }
+        if replica.applied().changes().has_after(index - 1) {
+            WatchEffect::Changed
+        } else {
+            WatchEffect::Unchanged
+        }
+    }
+
+    /// The state machine has given up an operation or a read.
+    fn drop_ticket(&self, ticket: u64) {
+        self.reads.borrow_mut().drop_ticket(ticket);
+        self.operations.borrow_mut().complete(ticket, None);
+    }
+
+    /// A number that names an operation or a read of this process.
+    fn take_ticket(&self) -> u64 {
+        let ticket = self.last_ticket.get() + 1;
+        self.last_ticket.set(ticket);
+        ticket
+    }
+
+    fn disconnected(&self, address: SocketAddr) {
+        let peer = self.replica.borrow().member_at(address);
+        if let Some(peer) = peer {
+            self.step(Input::Disconnected { peer });
+        }
+    }
+
+    /// When the next tick is due, in steady milliseconds.
+    fn next_tick(&self) -> u64 {
+        self.replica
+            .borrow()
+            .next_tick()
+            .min(self.leases.borrow().next_round())
+    }
+
+    fn tick(&self) {
+        let now = self.clock.now();
+        if now >= self.leases.borrow().next_round() {
+            self.run_lease_round(now);
+        }
+        if now >= self.replica.borrow().next_tick() {
+            self.step(Input::Tick);
+        }
+    }
+}
+
+fn chain_nodes(view: &View) -> Vec<&str> {
+    view.chain.iter().map(|id| id.node.as_str()).collect()
+}
+
+/// Reports a lost connection to the state machine. A link may be lost within [`Coordinator::step`]: the state machine
+/// learns of it afterwards.
+fn report_disconnected(owner: &Weak<Coordinator>, address: SocketAddr) {
+    let Some(coordinator) = owner.upgrade() else {
+        return;
+    };
+    spawn_local(async move { coordinator.disconnected(address) });
+}
+
+async fn report_persisted(coordinator: Rc<Coordinator>, mut synced: mpsc::UnboundedReceiver<u64>) {
+    while let Some(batch) = synced.recv().await {
+        coordinator.step(Input::Persisted { batch });
+    }
+}
+
+async fn keep_ticking(coordinator: Rc<Coordinator>) {
+    loop {
+        let due = coordinator.clock.instant(coordinator.next_tick());
+        tokio::select! {
+            () = sleep_until(due.into()) => coordinator.tick(),
+            () = coordinator.rescheduled.notified() => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/serving/dunespur/src/core/coordinator/status.rs
@@ -0,0 +1,41 @@
+//! What a core member says of itself.
+
+use super::Coordinator;
+use crate::status::CoreStatus;
+
+/// What the counter of this member says of one program.
+#[derive(Clone, Copy, Debug)]
+pub struct CountedBudget {
+    /// Tokens that were reported as used.
+    pub used: u64,
+    /// Tokens that limiters hold in leases.
+    pub leased: u64,
+}
+
+impl Coordinator {
+    /// The status of this member, with so many leases at most.
+    pub fn status(&self, max_leases: usize) -> CoreStatus {
+        let now = self.clock.now();
+        let replica = self.replica.borrow();
+        CoreStatus {
+            current: replica.is_current(now),
+            follows: replica.serves_reads(now),
+            committed: replica.committed(),
+            waiting: self.operations.borrow().len(),
+            refused_snapshots: replica.rejected_snapshots(),
+            programs: replica.state().counters().programs(),
+            disk: self.disk.status(),
+            leases: self.leases.borrow().status(max_leases, now),
+        }
+    }
+
+    /// A program's budget by the counter of this member.
+    pub fn budget_of(&self, program: &str) -> CountedBudget {
+        let replica = self.replica.borrow();
+        let counters = replica.state().counters();
+        CountedBudget {
+            used: counters.used(program),
+            leased: counters.held(program),
+        }
+    }
+}
--- a/crates/serving/dunespur/src/core/disk.rs
+++ b/crates/serving/dunespur/src/core/disk_writer.rs
@@ -10,14 +10,16 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Pause before a write that failed (a full disk, say) is tried again; nothing is acknowledged meanwhile.
+/// Pause before a write that failed (a full disk, say) is retried; nothing is acknowledged meanwhile.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Stack of the thread in bytes.
 const STACK_SIZE: usize = 256 * 1024;
 
-/// One sync.
+/// Writes that are synced together.
 pub struct Batch {
+    /// By which the state machine knows it.
     pub number: u64,
+    /// In the order in which they are applied.
     pub writes: Vec<Write>,
 }
 
@@ -28,7 +30,7 @@
     progress: Arc<Progress>,
 }
 
-/// What the thread has come to.
+/// What the thread has done so far.
 #[derive(Default)]
 struct Progress {
     done: AtomicU64,
@@ -41,14 +43,14 @@
     pub fn start(disk: CoreDisk, persisted: UnboundedSender<u64>) -> std::io::Result<DiskWriter> {
         let (batches, queue) = mpsc::channel::<Batch>();
         let progress = Arc::new(Progress::default());
-        let counted = progress.clone();
+        let thread_progress = progress.clone();
         thread::Builder::new()
             .name("core-disk".to_owned())
             .stack_size(STACK_SIZE)
             .spawn(move || {
                 while let Ok(batch) = queue.recv() {
-                    write(&disk, &batch, &counted.failed);
-                    counted.done.fetch_add(1, Ordering::Relaxed);
+                    write(&disk, &batch, &thread_progress.failed);
+                    thread_progress.done.fetch_add(1, Ordering::Relaxed);
                     if persisted.send(batch.number).is_err() {
                         return;
                     }
@@ -67,7 +69,7 @@
         let _ = self.batches.send(batch);
     }
 
-    /// How the disk gets on.
+    /// Batches queued, done and failed.
     pub fn status(&self) -> DiskStatus {
         let done = self.progress.done.load(Ordering::Relaxed);
         DiskStatus {
@@ -82,7 +84,7 @@
     while let Err(error) = disk.write(&batch.writes) {
         failed.fetch_add(1, Ordering::Relaxed);
         log::error!(
-            "the core's disk does not take batch {}: {error:#}",
+            "the core's disk failed to write batch {}: {error:#}",
             batch.number
         );
         thread::sleep(RETRY_PAUSE);
--- /dev/null
+++ b/crates/serving/dunespur/src/core/lease_expiry.rs
@@ -0,0 +1,172 @@
+//! Which leases have lapsed, and the operations that say so. The head of the chain decides on that, in rounds.
+
+use super::lease_table::LeaseTable;
+use super::replica::Replica;
+use crate::messages::{Heard, NodeLease};
+use crate::status::LeaseStatus;
+use dunespur_chain_replication::MemberId;
+use dunespur_control_state::{ControlState, Operation};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// How often renewals are gossiped to the other members and lapsed leases looked for, in milliseconds.
+const LEASE_ROUND_MS: u64 = 500;
+
+/// The leases of one core member, and its part in their expiry.
+pub struct LeaseExpiry {
+    table: LeaseTable,
+    next_round: u64,
+    /// Whether this member decided on leases at the last round.
+    decided_last_round: bool,
+}
+
+impl LeaseExpiry {
+    /// No leases yet; the first round is due a round's time after `now`.
+    pub fn new(heartbeat_ms: u64, now: u64) -> LeaseExpiry {
+        LeaseExpiry {
+            table: LeaseTable::new(heartbeat_ms),
+            next_round: now + LEASE_ROUND_MS,
+            decided_last_round: false,
+        }
+    }
+
+    /// When the next round is due, in steady milliseconds.
+    pub fn next_round(&self) -> u64 {
+        self.next_round
+    }
+
+    /// A round takes place now.
+    pub fn schedule_next_round(&mut self, now: u64) {
+        self.next_round = now + LEASE_ROUND_MS;
+    }
+
+    /// Renewals that a gateway or store brought with its watch; the other members are told of them.
+    pub fn renew_from_watch(&mut self, renewals: &Heard, now: u64) {
+        self.table.renew_and_report(renewals, now);
+    }
+
+    /// Renewals that another member has told of.
+    pub fn renew_from_member(&mut self, renewals: &Heard, now: u64) {
+        self.table.renew(renewals, now);
+    }
+
+    /// Renewals that the other members have to be told of.
+    pub fn take_unreported(&mut self) -> Heard {
+        self.table.take_unreported()
+    }
+
+    /// The leases, so many at most.
+    pub fn status(&self, max_leases: usize, now: u64) -> Vec<LeaseStatus> {
+        self.table.status(max_leases, now)
+    }
+
+    /// Operations for what has lapsed, if this member decides on that: it is the head of the chain, and was at the
+    /// last round.
+    pub fn expired(&mut self, replica: &Replica, own: &MemberId, now: u64) -> Vec<Operation> {
+        let decides =
+            replica.is_head(own) && replica.is_current(now) && replica.applied().is_readable();
+        if !decides || !self.decided_last_round {
+            self.table.renew_all(now);
+            self.decided_last_round = decides;
+            return Vec::new();
+        }
+        let state = replica.state();
+        self.retain_known(state, now);
+        let mut operations = self.expired_servers(state, now);
+        operations.extend(self.expired_nodes(state, now));
+        operations
+    }
+
+    /// Forgets the leases of what the control state does not know any more, and starts those of what is new to it.
+    fn retain_known(&mut self, state: &ControlState, now: u64) {
+        self.table
+            .retain_servers(state.servers().map(|server| server.id.as_str()), now);
+        self.table
+            .retain_nodes(store_leases(state).chain(gateway_leases(state)), now);
+        let names: Vec<String> = remembered(state)
+            .into_iter()
+            .map(|node| node.name)
+            .collect();
+        self.table
+            .retain_last_renewals(names.iter().map(String::as_str));
+    }
+
+    fn expired_servers(&self, state: &ControlState, now: u64) -> Vec<Operation> {
+        let expired = self.table.lapsed_servers(now).into_iter().filter_map(|id| {
+            let last_sequence = state.server(&id)?.sequence;
+            Some(Operation::ServerExpired { id, last_sequence })
+        });
+        expired.collect()
+    }
+
+    fn expired_nodes(&self, state: &ControlState, now: u64) -> Vec<Operation> {
+        let mut nodes = self.table.lapsed_nodes(store_leases(state), now);
+        nodes.extend(self.table.lapsed_nodes(gateway_leases(state), now));
+        let expired = nodes.into_iter();
+        expired
+            .map(|node| Operation::NodeGone {
+                name: node.name,
+                incarnation: node.incarnation,
+            })
+            .collect()
+    }
+
+    /// Seeds, and at the head of the chain gateways and stores that may come back, that are no members and did not
+    /// renew their lease lately.
+    pub fn unreached(
+        &self,
+        replica: &Replica,
+        own: &MemberId,
+        seeds: &[SocketAddr],
+        now: u64,
+    ) -> Vec<SocketAddr> {
+        let mut reached: BTreeSet<SocketAddr> = replica.member_addresses().collect();
+        let mut wanted: BTreeSet<SocketAddr> = seeds.iter().copied().collect();
+        for node in remembered(replica.state()) {
+            if self.table.renewed_lately(&node.name, now) {
+                reached.insert(node.address);
+            } else if replica.is_head(own) {
+                wanted.insert(node.address);
+            }
+        }
+        wanted.difference(&reached).copied().collect()
+    }
+}
+
+/// A gateway or store that may come back.
+struct RememberedNode {
+    name: String,
+    address: SocketAddr,
+}
+
+/// All gateways and stores that may come back.
+fn remembered(state: &ControlState) -> Vec<RememberedNode> {
+    let gateways = state.remembered_gateways().map(|gateway| RememberedNode {
+        name: gateway.name.clone(),
+        address: gateway.address,
+    });
+    let stores = state.stores().filter(|store| !store.retired);
+    let stores = stores.map(|store| RememberedNode {
+        name: store.name,
+        address: store.address,
+    });
+    gateways.chain(stores).collect()
+}
+
+/// The leases of the stores that are there.
+fn store_leases(state: &ControlState) -> impl Iterator<Item = NodeLease> + '_ {
+    let present = state.stores().filter(|store| store.present);
+    present.map(|store| NodeLease {
+        name: store.name,
+        incarnation: store.incarnation,
+    })
+}
+
+/// The leases of the gateways that are there.
+fn gateway_leases(state: &ControlState) -> impl Iterator<Item = NodeLease> + '_ {
+    let present = state.gateways();
+    present.map(|gateway| NodeLease {
+        name: gateway.name.clone(),
+        incarnation: gateway.incarnation,
+    })
+}
--- a/crates/serving/dunespur/src/core/mod.rs
+++ b/crates/serving/dunespur/src/core/mod.rs
@@ -1,11 +1,20 @@
-//! A member of the core: runs the chain's state machine with its disk and its links, applies what is committed
-//! to the control state, and answers gateways and stores.
+//! A member of the core: runs the replica's state machine with its disk and its links, applies what is committed to
+//! the control state, and answers gateways and stores.
+//!
+//! The way of a change, step by step: [`coordinator`] *receives* an operation (`coordinator/requests.rs`), *proposes*
+//! it to the state machine, *replicates* what that sends over its links ([`peer_links`]), *persists* what it writes
+//! ([`disk_writer`]), *commits* and *applies* what the chain has acknowledged ([`applied_state`]), and *notifies*
+//! callers ([`pending_operations`]) and watches (`coordinator/watches.rs`).
 
-mod applied;
-mod changes;
+mod applied_state;
+mod change_log;
 mod coordinator;
-mod disk;
-mod executing;
-mod expiry;
+mod disk_writer;
+mod lease_expiry;
+mod lease_table;
+mod peer_links;
+mod pending_operations;
+mod pending_reads;
+mod replica;
 
 pub use coordinator::{Coordinator, CoreIdentity};
--- a/crates/serving/dunespur/src/joining.rs
+++ b/crates/serving/dunespur/src/joining.rs
@@ -50,12 +50,12 @@
 
 /// Tells the view to processes that are not heard of, some at a time.
 fn announce(coordinator: &Coordinator, directory: &Directory, next: &mut usize) {
-    let unheard = coordinator.unheard(&directory.seeds());
-    let turns = unheard.len().min(MOST_ANNOUNCED);
-    for address in unheard
+    let unreached = coordinator.unreached(&directory.seeds());
+    let turns = unreached.len().min(MOST_ANNOUNCED);
+    for address in unreached
         .iter()
         .cycle()
-        .skip(*next % unheard.len().max(1))
+        .skip(*next % unreached.len().max(1))
         .take(turns)
     {
         directory.announce(*address);
--- a/crates/serving/dunespur/src/service.rs
+++ b/crates/serving/dunespur/src/service.rs
@@ -75,7 +75,7 @@
 async fn core_answer(coordinator: &Coordinator, request: Request) -> Reply {
     match request {
         Request::Chain { from, message } => {
-            coordinator.received(from, message);
+            coordinator.receive(from, message);
             Reply::View(None)
         }
         Request::Execute(operation) => coordinator.execute(&operation).await,
@@ -83,7 +83,7 @@
         Request::ReadRetirement { node } => coordinator.read_retirement(&node).await,
         Request::Watch(request) => coordinator.watch(request).await,
         Request::Heard(heard) => {
-            coordinator.told(&heard);
+            coordinator.receive_renewals(&heard);
             Reply::View(None)
         }
         Request::Hello
--- a/crates/serving/dunespur/src/status/gather.rs
+++ b/crates/serving/dunespur/src/status/gather.rs
@@ -103,7 +103,7 @@
             name: name.to_owned(),
             held_here: Some(self.budgets.held(name)),
             used: counted.map(|budget| budget.used),
-            held: counted.map(|budget| budget.held),
+            held: counted.map(|budget| budget.leased),
         }
     }
 }
