--- /dev/null
+++ b/crates/chain/tests/digests.rs
@@ -0,0 +1,141 @@
+//! The worlds of many seeds go exactly as they went when their digests were written down: see [`world::digest`].
+//!
+//! A change that is meant to alter the protocol's behaviour writes the digests anew, with `RECORD_FIXTURES=1`, and says
+//! in its commit which kinds of world changed and why.
+
+mod world;
+
+use dunespur_chain::Guards;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Mutex;
+use world::trouble::{play_in, schedule, storm, Schedule};
+use world::windows::{self, window_in, Change};
+use world::{Setup, World};
+
+const SEEDS: u64 = 100;
+/// For worlds in which a safeguard is out.
+const SEEDS_WITHOUT_GUARD: u64 = 12;
+const WORKERS: usize = 4;
+const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/digests.txt");
+
+/// One kind of world; its name stands in the fixture.
+struct Kind {
+    name: &'static str,
+    seeds: u64,
+    digest: Box<dyn Fn(u64) -> u64 + Sync>,
+}
+
+impl Kind {
+    fn new(name: &'static str, seeds: u64, digest: impl Fn(u64) -> u64 + Sync + 'static) -> Kind {
+        Kind { name, seeds, digest: Box::new(digest) }
+    }
+}
+
+/// Sizes of three to six.
+fn machines(seed: u64) -> usize {
+    3 + (seed % 4) as usize
+}
+
+fn usual(seed: u64) -> Setup {
+    Setup::new(seed, machines(seed))
+}
+
+fn spoilt(seed: u64) -> Setup {
+    Setup { snapshot_padding: 300_000, padding: 12_000, spoils_parts: true, ..usual(seed) }
+}
+
+fn slow_links(seed: u64) -> Setup {
+    Setup { snapshot_padding: 600_000, padding: 12_000, link_bytes_per_ms: 12_500, ..usual(seed) }
+}
+
+/// The digest of a world, also of one that broke a promise: it ends there.
+fn played(setup: Setup, plan: Schedule) -> u64 {
+    let mut world = World::new(setup);
+    world.begin_record();
+    let _ = play_in(&mut world, plan);
+    world.digest()
+}
+
+fn window_digest(change: Change, seed: u64) -> u64 {
+    let mut world = World::new(windows::setup(machines(seed), seed));
+    world.begin_record();
+    let _ = window_in(&mut world, change);
+    world.digest()
+}
+
+/// All kinds of world that the tests of this package play.
+fn kinds() -> Vec<Kind> {
+    let mut kinds = vec![
+        Kind::new("faults", SEEDS, |seed| played(usual(seed), schedule(&usual(seed), 2))),
+        Kind::new("storm", SEEDS, |seed| played(usual(seed), storm(&usual(seed)))),
+        Kind::new("spoilt-snapshots", SEEDS, |seed| played(spoilt(seed), schedule(&spoilt(seed), 1))),
+        Kind::new("slow-links", SEEDS, |seed| played(slow_links(seed), schedule(&slow_links(seed), 1))),
+        Kind::new("window", SEEDS, |seed| {
+            window_digest(Change::ALL[seed as usize % Change::ALL.len()], seed)
+        }),
+    ];
+    kinds.extend(guard_kinds());
+    kinds
+}
+
+/// Worlds in which one guard is out.
+fn guard_kinds() -> Vec<Kind> {
+    let all = Guards::default();
+    let named = [
+        ("without-guard-1", Guards { views_checked: false, ..all }),
+        ("without-guard-2", Guards { synced_before_passed_on: false, ..all }),
+        ("without-guard-3", Guards { reads_confirmed: false, ..all }),
+        ("without-guard-4", Guards { currency_by_sending: false, ..all }),
+        ("without-guard-5", Guards { commits_awaited: false, ..all }),
+        ("without-guard-6", Guards { decided_once: false, ..all }),
+        ("without-guard-7", Guards { whole_before_synced: false, ..all }),
+        ("without-guard-8", Guards { snapshots_checked: false, ..all }),
+    ];
+    let kind = |(name, guards)| {
+        Kind::new(name, SEEDS_WITHOUT_GUARD, move |seed| {
+            let setup = Setup { guards, ..spoilt(seed) };
+            played(setup, schedule(&setup, 2))
+        })
+    };
+    let mut kinds: Vec<Kind> = named.into_iter().map(kind).collect();
+    kinds.push(Kind::new("wiped-keeps-identity", SEEDS_WITHOUT_GUARD, |seed| {
+        let setup = Setup { wiped_keep_identity: true, ..usual(seed) };
+        played(setup, schedule(&setup, 2))
+    }));
+    kinds
+}
+
+/// One line for each world: kind, seed, digest.
+fn digests() -> Vec<String> {
+    let kinds = kinds();
+    let worlds: Vec<(&Kind, u64)> =
+        kinds.iter().flat_map(|kind| (0..kind.seeds).map(move |seed| (kind, seed))).collect();
+    let lines = Mutex::new(vec![String::new(); worlds.len()]);
+    let next = AtomicUsize::new(0);
+    let workers = std::thread::available_parallelism().map_or(2, |count| count.get()).min(WORKERS);
+    std::thread::scope(|scope| {
+        for _ in 0..workers {
+            scope.spawn(|| loop {
+                let number = next.fetch_add(1, Ordering::Relaxed);
+                let Some((kind, seed)) = worlds.get(number) else { return };
+                let line = format!("{} {seed} {:016x}", kind.name, (kind.digest)(*seed));
+                lines.lock().expect("no worker panics")[number] = line;
+            });
+        }
+    });
+    lines.into_inner().expect("no worker panics")
+}
+
+#[test]
+fn worlds_go_as_they_went() {
+    let found = digests();
+    if std::env::var_os("RECORD_FIXTURES").is_some() {
+        std::fs::write(FIXTURE, found.join("\n") + "\n").expect("the fixture can be written");
+    }
+    let fixture = std::fs::read_to_string(FIXTURE).expect("the fixture is there");
+    let expected: Vec<&str> = fixture.lines().collect();
+    assert_eq!(found.len(), expected.len(), "worlds");
+    let pairs = found.iter().zip(&expected).filter(|(found, expected)| found != *expected);
+    let differ: Vec<String> = pairs.map(|(found, expected)| format!("{expected} is now {found}")).collect();
+    assert!(differ.is_empty(), "{} worlds differ: {:#?}", differ.len(), &differ[..differ.len().min(12)]);
+}
--- /dev/null
+++ b/crates/chain/tests/encodings.rs
@@ -0,0 +1,276 @@
+//! Messages between members and records on disk keep their bytes: members of two versions talk with each other, and a
+//! member reads what an earlier version wrote.
+//!
+//! Postcard goes by position and order, so a field or variant that changes places shows here and nowhere else. Each
+//! value has another number in each field. The fixtures were written by the text of 2026-12-02; a new variant gets a
+//! new fixture, with `RECORD_FIXTURES=1`, and those that are there stay.
+
+use dunespur_chain::member::transfer::{SnapshotLabel, SnapshotPart, SnapshotProgress};
+use dunespur_chain::message::{Append, Attach, Ping, Probe, Promise};
+use dunespur_chain::{
+    AcceptedView, Ballot, DecidedView, Entry, MemberId, Message, Origin, Payload, Peer, Position, Saved,
+    SavedSnapshot, View, Write,
+};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::collections::BTreeSet;
+use std::fmt::Debug;
+use std::path::PathBuf;
+
+fn fixtures() -> PathBuf {
+    PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/encodings"))
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let digits = text.trim();
+    let pairs = (0..digits.len()).step_by(2).map(|at| &digits[at..at + 2]);
+    pairs.map(|pair| u8::from_str_radix(pair, 16).expect("a fixture is hexadecimal")).collect()
+}
+
+/// Writing gives the fixture's bytes, and reading them gives the value.
+fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+    let path = fixtures().join(format!("{name}.hex"));
+    let written = postcard::to_stdvec(value).expect("the value can be written");
+    if std::env::var_os("RECORD_FIXTURES").is_some() && !path.exists() {
+        std::fs::write(&path, hex(&written) + "\n").expect("the fixture can be written");
+    }
+    let text = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
+    assert_eq!(hex(&written), text.trim(), "{name}: other bytes are written");
+    let read: T = postcard::from_bytes(&from_hex(&text)).unwrap_or_else(|error| panic!("{name}: {error}"));
+    assert_eq!(read, *value, "{name}: another value is read");
+}
+
+fn id(node: &str, disk: u64) -> MemberId {
+    MemberId { node: node.into(), disk }
+}
+
+fn peer(node: &str, disk: u64, address: &str) -> Peer {
+    Peer { id: id(node, disk), address: address.parse().expect("an address") }
+}
+
+fn view() -> View {
+    View {
+        number: 1_001,
+        members: vec![
+            peer("core-a", 1_002, "10.1.2.3:7380"),
+            peer("core-b", 1_003, "10.1.2.4:7381"),
+            peer("core-c", 1_004, "[fd00::5]:7382"),
+        ],
+        chain: vec![id("core-c", 1_004), id("core-a", 1_002)],
+    }
+}
+
+fn decided() -> DecidedView {
+    DecidedView { view: view(), base: 1_005 }
+}
+
+fn ballot() -> Ballot {
+    Ballot { round: 1_006, proposer: id("core-d", 1_007), session: 1_008 }
+}
+
+fn accepted_view() -> AcceptedView {
+    AcceptedView { ballot: ballot(), proposal: decided() }
+}
+
+fn position() -> Position {
+    Position { index: 1_009, view: 1_010 }
+}
+
+fn origin() -> Origin {
+    Origin { session: 1_011, ticket: 1_012 }
+}
+
+fn payload() -> Payload {
+    Payload::from(vec![1, 2, 255, 0, 128])
+}
+
+fn entry() -> Entry {
+    Entry { position: position(), origin: origin(), payload: payload() }
+}
+
+fn append() -> Append {
+    let second = Entry {
+        position: Position { index: 1_013, view: 1_014 },
+        origin: Origin { session: 1_015, ticket: 1_016 },
+        payload: Payload::from(Vec::new()),
+    };
+    let previous = Position { index: 1_017, view: 1_018 };
+    Append { view: 1_019, previous, entries: vec![entry(), second], last: 1_020 }
+}
+
+fn attach() -> Attach {
+    Attach { view: 1_021, last: position(), committed: 1_022 }
+}
+
+fn ping() -> Ping {
+    Ping {
+        address: "10.1.2.5:7383".parse().expect("an address"),
+        view: 1_023,
+        stamp: 1_024,
+        echo: Some(1_025),
+        connected: 0b1_0110,
+        synced: true,
+        stalled: false,
+        leaving: true,
+        committed: 1_026,
+        answer: false,
+    }
+}
+
+fn promise() -> Promise {
+    Promise {
+        number: 1_027,
+        ballot: ballot(),
+        accepted: Some(accepted_view()),
+        synced_view: 1_028,
+        last: position(),
+    }
+}
+
+fn label() -> SnapshotLabel {
+    SnapshotLabel { position: position(), length: 1_029, checksum: 1_030 }
+}
+
+fn messages() -> Vec<Message> {
+    let part = SnapshotPart { label: label(), offset: 1_033, bytes: payload() };
+    let progress = SnapshotProgress { label: label(), held: 1_034, refused: true };
+    vec![
+        Message::Found { view: view() },
+        Message::Join { newcomer: peer("core-e", 1_031, "10.1.2.6:7384") },
+        Message::Decided { decided: decided() },
+        Message::Ping(ping()),
+        Message::Prepare { ballot: ballot(), decided: decided() },
+        Message::Promise(promise()),
+        Message::Refuse { number: 1_032, promised: ballot() },
+        Message::Accept { ballot: ballot(), proposal: decided() },
+        Message::Accepted { number: 1_035, ballot: ballot() },
+        Message::Append(append()),
+        Message::Attach(attach()),
+        Message::Follow(attach()),
+        Message::Followed(append()),
+        Message::Snapshot { view: 1_036, position: position(), bytes: payload() },
+        Message::Committed { view: 1_037, index: 1_038 },
+        Message::Submit { view: 1_039, origin: origin(), payload: payload() },
+        Message::Overloaded { origin: origin() },
+        Message::Probe(Probe { view: 1_040, reader: id("core-f", 1_041), round: 1_042 }),
+        Message::ProbeAnswer { round: 1_043, index: 1_044 },
+        Message::SnapshotPart { view: 1_045, part },
+        Message::SnapshotProgress { view: 1_046, progress },
+    ]
+}
+
+/// The fixture of each variant; a new variant must be given one, and a value above.
+fn fixture_of_message(message: &Message) -> &'static str {
+    match message {
+        Message::Found { .. } => "message-00-found",
+        Message::Join { .. } => "message-01-join",
+        Message::Decided { .. } => "message-02-decided",
+        Message::Ping(_) => "message-03-ping",
+        Message::Prepare { .. } => "message-04-prepare",
+        Message::Promise(_) => "message-05-promise",
+        Message::Refuse { .. } => "message-06-refuse",
+        Message::Accept { .. } => "message-07-accept",
+        Message::Accepted { .. } => "message-08-accepted",
+        Message::Append(_) => "message-09-append",
+        Message::Attach(_) => "message-10-attach",
+        Message::Follow(_) => "message-11-follow",
+        Message::Followed(_) => "message-12-followed",
+        Message::Snapshot { .. } => "message-13-snapshot",
+        Message::Committed { .. } => "message-14-committed",
+        Message::Submit { .. } => "message-15-submit",
+        Message::Overloaded { .. } => "message-16-overloaded",
+        Message::Probe(_) => "message-17-probe",
+        Message::ProbeAnswer { .. } => "message-18-probe-answer",
+        Message::SnapshotPart { .. } => "message-19-snapshot-part",
+        Message::SnapshotProgress { .. } => "message-20-snapshot-progress",
+    }
+}
+
+fn snapshot() -> SavedSnapshot {
+    SavedSnapshot { position: position(), bytes: payload() }
+}
+
+fn writes() -> Vec<Write> {
+    vec![
+        Write::Promise { ballot: ballot() },
+        Write::Accept { accepted: accepted_view() },
+        Write::Install { decided: decided() },
+        Write::Synced { view: 1_047 },
+        Write::Entry { entry: entry() },
+        Write::Truncate { index: 1_048 },
+        Write::Snapshot { snapshot: snapshot() },
+    ]
+}
+
+fn fixture_of_write(write: &Write) -> &'static str {
+    match write {
+        Write::Promise { .. } => "write-0-promise",
+        Write::Accept { .. } => "write-1-accept",
+        Write::Install { .. } => "write-2-install",
+        Write::Synced { .. } => "write-3-synced",
+        Write::Entry { .. } => "write-4-entry",
+        Write::Truncate { .. } => "write-5-truncate",
+        Write::Snapshot { .. } => "write-6-snapshot",
+    }
+}
+
+#[test]
+fn each_message_keeps_its_bytes() {
+    let messages = messages();
+    messages.iter().for_each(|message| check(fixture_of_message(message), message));
+    let fixtures: BTreeSet<&str> = messages.iter().map(fixture_of_message).collect();
+    assert_eq!(fixtures.len(), 21, "one value of each variant");
+}
+
+#[test]
+fn each_write_keeps_its_bytes() {
+    let writes = writes();
+    writes.iter().for_each(|write| check(fixture_of_write(write), write));
+    let fixtures: BTreeSet<&str> = writes.iter().map(fixture_of_write).collect();
+    assert_eq!(fixtures.len(), 7, "one value of each variant");
+}
+
+#[test]
+fn what_is_found_on_disk_keeps_its_bytes() {
+    let saved = Saved {
+        decided: Some(decided()),
+        promised: Some(ballot()),
+        accepted: Some(accepted_view()),
+        synced_view: 1_049,
+        snapshot: Some(snapshot()),
+        entries: append().entries,
+    };
+    check("saved", &saved);
+    check("saved-empty-disk", &Saved::default());
+}
+
+/// The other value of each option and flag.
+#[test]
+fn messages_with_other_flags_keep_their_bytes() {
+    let ping = Ping { echo: None, synced: false, stalled: true, leaving: false, answer: true, ..ping() };
+    check("message-03-ping-other-flags", &Message::Ping(ping));
+    let promise = Promise { accepted: None, ..promise() };
+    check("message-05-promise-nothing-accepted", &Message::Promise(promise));
+    let progress = SnapshotProgress { label: label(), held: 1_034, refused: false };
+    check("message-20-snapshot-progress-taken", &Message::SnapshotProgress { view: 1_046, progress });
+}
+
+/// Parts that other packages store or send by themselves.
+#[test]
+fn single_parts_keep_their_bytes() {
+    check("part-member-id", &id("core-a", 1_002));
+    check("part-peer", &peer("core-c", 1_004, "[fd00::5]:7382"));
+    check("part-view", &view());
+    check("part-decided-view", &decided());
+    check("part-accepted-view", &accepted_view());
+    check("part-ballot", &ballot());
+    check("part-position", &position());
+    check("part-origin", &origin());
+    check("part-payload", &payload());
+    check("part-entry", &entry());
+    check("part-saved-snapshot", &snapshot());
+}
--- a/crates/chain/tests/world/mod.rs
+++ b/crates/chain/tests/world/mod.rs
@@ -4,6 +4,7 @@
 //! acknowledged, no two views bear one number, and reads see what was committed before they began.
 #![allow(dead_code)]
 
+pub mod digest;
 pub mod trouble;
 pub mod windows;
 
@@ -208,6 +209,8 @@
     pub reads_done: u64,
     broken: Option<String>,
     trace: bool,
+    /// Takes note of all that members do, once a test has asked for it.
+    record: Option<digest::Record>,
 }
 
 fn digest(before: u64, payload: u64) -> u64 {
@@ -243,6 +246,7 @@
             reads_done: 0,
             broken: None,
             trace: std::env::var_os("CHAIN_TRACE").is_some(),
+            record: None,
         };
         for _ in 0..setup.machines {
             let machine = world.add_machine(true);
@@ -608,6 +612,9 @@
         process.member.step(input, now - process.clock_zero + FIRST_MOMENT, &mut out);
         let next = process.member.next_tick().saturating_sub(FIRST_MOMENT).saturating_add(process.clock_zero);
         let due = next.max(now + 1);
+        if let Some(record) = &mut self.record {
+            record.stepped(now, index, due, &out);
+        }
         if due < process.tick_at {
             process.tick_at = due;
             let run = self.machines[index].run;
--- a/crates/chain/tests/world/trouble.rs
+++ b/crates/chain/tests/world/trouble.rs
@@ -346,7 +346,11 @@
 
 /// Plays a schedule and checks that the core is writable and whole in the end.
 pub fn play(setup: Setup, plan: Schedule) -> Result<Played, String> {
-    let mut world = World::new(setup);
+    play_in(&mut World::new(setup), plan)
+}
+
+/// As [`play`], in a world that was just made.
+pub fn play_in(world: &mut World, plan: Schedule) -> Result<Played, String> {
     for (at, trouble) in plan.troubles {
         world.trouble_at(at, trouble);
     }
--- a/crates/chain/tests/world/windows.rs
+++ b/crates/chain/tests/world/windows.rs
@@ -167,15 +167,23 @@
 /// The time from the end of the event until every set of the further losses that have to be borne leaves a majority
 /// and a copy of all that was acknowledged, from then on for as long as is watched.
 pub fn window(change: Change, machines: usize, seed: u64) -> Result<Millis, String> {
-    let mut setup = Setup::new(seed, machines);
-    setup.write_every = 25;
-    let mut world = World::new(setup);
+    window_in(&mut World::new(setup(machines, seed)), change)
+}
+
+/// How the world of a window is set up.
+pub fn setup(machines: usize, seed: u64) -> Setup {
+    Setup { write_every: 25, ..Setup::new(seed, machines) }
+}
+
+/// As [`window`], in a world that was just made.
+pub fn window_in(world: &mut World, change: Change) -> Result<Millis, String> {
+    let machines = world.setup.machines;
     world.play_to(CALM)?;
     let all = &[];
     if !world.bears(tolerated(machines), all) {
         return Err(world.told("too few losses are borne before the change".into()));
     }
-    let script = Script::drawn(change, &mut world);
+    let script = Script::drawn(change, world);
     let further = change.further_losses(machines);
     let end = script.watched_until();
     let mut leaving: Vec<usize> = Vec::new();
