--- a/crates/serving/chain-replication/tests/digests.rs
+++ b/crates/serving/chain-replication/tests/digests.rs
@@ -5,7 +5,7 @@
 
 mod world;
 
-use dunespur_chain::Guards;
+use dunespur_chain_replication::Guards;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 use world::trouble::{play_in, schedule, storm, Schedule};
@@ -27,7 +27,11 @@
 
 impl Kind {
     fn new(name: &'static str, seeds: u64, digest: impl Fn(u64) -> u64 + Sync + 'static) -> Kind {
-        Kind { name, seeds, digest: Box::new(digest) }
+        Kind {
+            name,
+            seeds,
+            digest: Box::new(digest),
+        }
     }
 }
 
@@ -41,11 +45,21 @@
 }
 
 fn spoilt(seed: u64) -> Setup {
-    Setup { snapshot_padding: 300_000, padding: 12_000, spoils_parts: true, ..usual(seed) }
+    Setup {
+        snapshot_padding: 300_000,
+        padding: 12_000,
+        spoils_parts: true,
+        ..usual(seed)
+    }
 }
 
 fn slow_links(seed: u64) -> Setup {
-    Setup { snapshot_padding: 600_000, padding: 12_000, link_bytes_per_ms: 12_500, ..usual(seed) }
+    Setup {
+        snapshot_padding: 600_000,
+        padding: 12_000,
+        link_bytes_per_ms: 12_500,
+        ..usual(seed)
+    }
 }
 
 /// The digest of a world, also of one that broke a promise: it ends there.
@@ -66,10 +80,18 @@
 /// All kinds of world that the tests of this package play.
 fn kinds() -> Vec<Kind> {
     let mut kinds = vec![
-        Kind::new("faults", SEEDS, |seed| played(usual(seed), schedule(&usual(seed), 2))),
-        Kind::new("storm", SEEDS, |seed| played(usual(seed), storm(&usual(seed)))),
-        Kind::new("spoilt-snapshots", SEEDS, |seed| played(spoilt(seed), schedule(&spoilt(seed), 1))),
-        Kind::new("slow-links", SEEDS, |seed| played(slow_links(seed), schedule(&slow_links(seed), 1))),
+        Kind::new("faults", SEEDS, |seed| {
+            played(usual(seed), schedule(&usual(seed), 2))
+        }),
+        Kind::new("storm", SEEDS, |seed| {
+            played(usual(seed), storm(&usual(seed)))
+        }),
+        Kind::new("spoilt-snapshots", SEEDS, |seed| {
+            played(spoilt(seed), schedule(&spoilt(seed), 1))
+        }),
+        Kind::new("slow-links", SEEDS, |seed| {
+            played(slow_links(seed), schedule(&slow_links(seed), 1))
+        }),
         Kind::new("window", SEEDS, |seed| {
             window_digest(Change::ALL[seed as usize % Change::ALL.len()], seed)
         }),
@@ -82,42 +104,106 @@
 fn guard_kinds() -> Vec<Kind> {
     let all = Guards::default();
     let named = [
-        ("without-guard-1", Guards { views_checked: false, ..all }),
-        ("without-guard-2", Guards { synced_before_passed_on: false, ..all }),
-        ("without-guard-3", Guards { reads_confirmed: false, ..all }),
-        ("without-guard-4", Guards { currency_by_sending: false, ..all }),
-        ("without-guard-5", Guards { commits_awaited: false, ..all }),
-        ("without-guard-6", Guards { decided_once: false, ..all }),
-        ("without-guard-7", Guards { whole_before_synced: false, ..all }),
-        ("without-guard-8", Guards { snapshots_checked: false, ..all }),
+        (
+            "without-guard-1",
+            Guards {
+                views_checked: false,
+                ..all
+            },
+        ),
+        (
+            "without-guard-2",
+            Guards {
+                synced_before_passed_on: false,
+                ..all
+            },
+        ),
+        (
+            "without-guard-3",
+            Guards {
+                reads_confirmed: false,
+                ..all
+            },
+        ),
+        (
+            "without-guard-4",
+            Guards {
+                currency_by_sending: false,
+                ..all
+            },
+        ),
+        (
+            "without-guard-5",
+            Guards {
+                commits_awaited: false,
+                ..all
+            },
+        ),
+        (
+            "without-guard-6",
+            Guards {
+                decided_once: false,
+                ..all
+            },
+        ),
+        (
+            "without-guard-7",
+            Guards {
+                whole_before_synced: false,
+                ..all
+            },
+        ),
+        (
+            "without-guard-8",
+            Guards {
+                snapshots_checked: false,
+                ..all
+            },
+        ),
     ];
     let kind = |(name, guards)| {
         Kind::new(name, SEEDS_WITHOUT_GUARD, move |seed| {
-            let setup = Setup { guards, ..spoilt(seed) };
+            let setup = Setup {
+                guards,
+                ..spoilt(seed)
+            };
             played(setup, schedule(&setup, 2))
         })
     };
     let mut kinds: Vec<Kind> = named.into_iter().map(kind).collect();
-    kinds.push(Kind::new("wiped-keeps-identity", SEEDS_WITHOUT_GUARD, |seed| {
-        let setup = Setup { wiped_keep_identity: true, ..usual(seed) };
-        played(setup, schedule(&setup, 2))
-    }));
+    kinds.push(Kind::new(
+        "wiped-keeps-identity",
+        SEEDS_WITHOUT_GUARD,
+        |seed| {
+            let setup = Setup {
+                wiped_keep_identity: true,
+                ..usual(seed)
+            };
+            played(setup, schedule(&setup, 2))
+        },
+    ));
     kinds
 }
 
 /// One line for each world: kind, seed, digest.
 fn digests() -> Vec<String> {
     let kinds = kinds();
-    let worlds: Vec<(&Kind, u64)> =
-        kinds.iter().flat_map(|kind| (0..kind.seeds).map(move |seed| (kind, seed))).collect();
+    let worlds: Vec<(&Kind, u64)> = kinds
+        .iter()
+        .flat_map(|kind| (0..kind.seeds).map(move |seed| (kind, seed)))
+        .collect();
     let lines = Mutex::new(vec![String::new(); worlds.len()]);
     let next = AtomicUsize::new(0);
-    let workers = std::thread::available_parallelism().map_or(2, |count| count.get()).min(WORKERS);
+    let workers = std::thread::available_parallelism()
+        .map_or(2, |count| count.get())
+        .min(WORKERS);
     std::thread::scope(|scope| {
         for _ in 0..workers {
             scope.spawn(|| loop {
                 let number = next.fetch_add(1, Ordering::Relaxed);
-                let Some((kind, seed)) = worlds.get(number) else { return };
+                let Some((kind, seed)) = worlds.get(number) else {
+                    return;
+                };
                 let line = format!("{} {seed} {:016x}", kind.name, (kind.digest)(*seed));
                 lines.lock().expect("no worker panics")[number] = line;
             });
@@ -135,7 +221,17 @@
     let fixture = std::fs::read_to_string(FIXTURE).expect("the fixture is there");
     let expected: Vec<&str> = fixture.lines().collect();
     assert_eq!(found.len(), expected.len(), "worlds");
-    let pairs = found.iter().zip(&expected).filter(|(found, expected)| found != *expected);
-    let differ: Vec<String> = pairs.map(|(found, expected)| format!("{expected} is now {found}")).collect();
-    assert!(differ.is_empty(), "{} worlds differ: {:#?}", differ.len(), &differ[..differ.len().min(12)]);
+    let pairs = found
+        .iter()
+        .zip(&expected)
+        .filter(|(found, expected)| found != *expected);
+    let differ: Vec<String> = pairs
+        .map(|(found, expected)| format!("{expected} is now {found}"))
+        .collect();
+    assert!(
+        differ.is_empty(),
+        "{} worlds differ: {:#?}",
+        differ.len(),
+        &differ[..differ.len().min(12)]
+    );
 }
--- a/crates/serving/chain-replication/tests/encodings.rs
+++ b/crates/serving/chain-replication/tests/encodings.rs
@@ -5,11 +5,11 @@
 //! value has another number in each field. The fixtures were written by the text of 2026-12-02; a new variant gets a
 //! new fixture, with `RECORD_FIXTURES=1`, and those that are there stay.
 
-use dunespur_chain::member::transfer::{SnapshotLabel, SnapshotPart, SnapshotProgress};
-use dunespur_chain::message::{Append, Attach, Ping, Probe, Promise};
-use dunespur_chain::{
-    AcceptedView, Ballot, DecidedView, Entry, MemberId, Message, Origin, Payload, Peer, Position, Saved,
-    SavedSnapshot, View, Write,
+use dunespur_chain_replication::member::transfer::{SnapshotLabel, SnapshotPart, SnapshotProgress};
+use dunespur_chain_replication::message::{Append, Attach, Ping, Probe, Promise};
+use dunespur_chain_replication::{
+    AcceptedView, Ballot, DecidedView, Entry, MemberId, Message, Origin, Payload, Peer, Position,
+    Saved, SavedSnapshot, View, Write,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -28,7 +28,9 @@
 fn from_hex(text: &str) -> Vec<u8> {
     let digits = text.trim();
     let pairs = (0..digits.len()).step_by(2).map(|at| &digits[at..at + 2]);
-    pairs.map(|pair| u8::from_str_radix(pair, 16).expect("a fixture is hexadecimal")).collect()
+    pairs
+        .map(|pair| u8::from_str_radix(pair, 16).expect("a fixture is hexadecimal"))
+        .collect()
 }
 
 /// Writing gives the fixture's bytes, and reading them gives the value.
@@ -39,17 +41,28 @@
         std::fs::write(&path, hex(&written) + "\n").expect("the fixture can be written");
     }
     let text = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
-    assert_eq!(hex(&written), text.trim(), "{name}: other bytes are written");
-    let read: T = postcard::from_bytes(&from_hex(&text)).unwrap_or_else(|error| panic!("{name}: {error}"));
+    assert_eq!(
+        hex(&written),
+        text.trim(),
+        "{name}: other bytes are written"
+    );
+    let read: T =
+        postcard::from_bytes(&from_hex(&text)).unwrap_or_else(|error| panic!("{name}: {error}"));
     assert_eq!(read, *value, "{name}: another value is read");
 }
 
 fn id(node: &str, disk: u64) -> MemberId {
-    MemberId { node: node.into(), disk }
+    MemberId {
+        node: node.into(),
+        disk,
+    }
 }
 
 fn peer(node: &str, disk: u64, address: &str) -> Peer {
-    Peer { id: id(node, disk), address: address.parse().expect("an address") }
+    Peer {
+        id: id(node, disk),
+        address: address.parse().expect("an address"),
+    }
 }
 
 fn view() -> View {
@@ -65,23 +78,39 @@
 }
 
 fn decided() -> DecidedView {
-    DecidedView { view: view(), base: 1_005 }
+    DecidedView {
+        view: view(),
+        base: 1_005,
+    }
 }
 
 fn ballot() -> Ballot {
-    Ballot { round: 1_006, proposer: id("core-d", 1_007), session: 1_008 }
+    Ballot {
+        round: 1_006,
+        proposer: id("core-d", 1_007),
+        session: 1_008,
+    }
 }
 
 fn accepted_view() -> AcceptedView {
-    AcceptedView { ballot: ballot(), proposal: decided() }
+    AcceptedView {
+        ballot: ballot(),
+        proposal: decided(),
+    }
 }
 
 fn position() -> Position {
-    Position { index: 1_009, view: 1_010 }
+    Position {
+        index: 1_009,
+        view: 1_010,
+    }
 }
 
 fn origin() -> Origin {
-    Origin { session: 1_011, ticket: 1_012 }
+    Origin {
+        session: 1_011,
+        ticket: 1_012,
+    }
 }
 
 fn payload() -> Payload {
@@ -89,21 +118,43 @@
 }
 
 fn entry() -> Entry {
-    Entry { position: position(), origin: origin(), payload: payload() }
+    Entry {
+        position: position(),
+        origin: origin(),
+        payload: payload(),
+    }
 }
 
 fn append() -> Append {
     let second = Entry {
-        position: Position { index: 1_013, view: 1_014 },
-        origin: Origin { session: 1_015, ticket: 1_016 },
+        position: Position {
+            index: 1_013,
+            view: 1_014,
+        },
+        origin: Origin {
+            session: 1_015,
+            ticket: 1_016,
+        },
         payload: Payload::from(Vec::new()),
     };
-    let previous = Position { index: 1_017, view: 1_018 };
-    Append { view: 1_019, previous, entries: vec![entry(), second], last: 1_020 }
+    let previous = Position {
+        index: 1_017,
+        view: 1_018,
+    };
+    Append {
+        view: 1_019,
+        previous,
+        entries: vec![entry(), second],
+        last: 1_020,
+    }
 }
 
 fn attach() -> Attach {
-    Attach { view: 1_021, last: position(), committed: 1_022 }
+    Attach {
+        view: 1_021,
+        last: position(),
+        committed: 1_022,
+    }
 }
 
 fn ping() -> Ping {
@@ -132,34 +183,81 @@
 }
 
 fn label() -> SnapshotLabel {
-    SnapshotLabel { position: position(), length: 1_029, checksum: 1_030 }
+    SnapshotLabel {
+        position: position(),
+        length: 1_029,
+        checksum: 1_030,
+    }
 }
 
 fn messages() -> Vec<Message> {
-    let part = SnapshotPart { label: label(), offset: 1_033, bytes: payload() };
-    let progress = SnapshotProgress { label: label(), held: 1_034, refused: true };
+    let part = SnapshotPart {
+        label: label(),
+        offset: 1_033,
+        bytes: payload(),
+    };
+    let progress = SnapshotProgress {
+        label: label(),
+        held: 1_034,
+        refused: true,
+    };
     vec![
         Message::Found { view: view() },
-        Message::Join { newcomer: peer("core-e", 1_031, "10.1.2.6:7384") },
+        Message::Join {
+            newcomer: peer("core-e", 1_031, "10.1.2.6:7384"),
+        },
         Message::Decided { decided: decided() },
         Message::Ping(ping()),
-        Message::Prepare { ballot: ballot(), decided: decided() },
+        Message::Prepare {
+            ballot: ballot(),
+            decided: decided(),
+        },
         Message::Promise(promise()),
-        Message::Refuse { number: 1_032, promised: ballot() },
-        Message::Accept { ballot: ballot(), proposal: decided() },
-        Message::Accepted { number: 1_035, ballot: ballot() },
+        Message::Refuse {
+            number: 1_032,
+            promised: ballot(),
+        },
+        Message::Accept {
+            ballot: ballot(),
+            proposal: decided(),
+        },
+        Message::Accepted {
+            number: 1_035,
+            ballot: ballot(),
+        },
         Message::Append(append()),
         Message::Attach(attach()),
         Message::Follow(attach()),
         Message::Followed(append()),
-        Message::Snapshot { view: 1_036, position: position(), bytes: payload() },
-        Message::Committed { view: 1_037, index: 1_038 },
-        Message::Submit { view: 1_039, origin: origin(), payload: payload() },
+        Message::Snapshot {
+            view: 1_036,
+            position: position(),
+            bytes: payload(),
+        },
+        Message::Committed {
+            view: 1_037,
+            index: 1_038,
+        },
+        Message::Submit {
+            view: 1_039,
+            origin: origin(),
+            payload: payload(),
+        },
         Message::Overloaded { origin: origin() },
-        Message::Probe(Probe { view: 1_040, reader: id("core-f", 1_041), round: 1_042 }),
-        Message::ProbeAnswer { round: 1_043, index: 1_044 },
+        Message::Probe(Probe {
+            view: 1_040,
+            reader: id("core-f", 1_041),
+            round: 1_042,
+        }),
+        Message::ProbeAnswer {
+            round: 1_043,
+            index: 1_044,
+        },
         Message::SnapshotPart { view: 1_045, part },
-        Message::SnapshotProgress { view: 1_046, progress },
+        Message::SnapshotProgress {
+            view: 1_046,
+            progress,
+        },
     ]
 }
 
@@ -191,18 +289,25 @@
 }
 
 fn snapshot() -> SavedSnapshot {
-    SavedSnapshot { position: position(), bytes: payload() }
+    SavedSnapshot {
+        position: position(),
+        bytes: payload(),
+    }
 }
 
 fn writes() -> Vec<Write> {
     vec![
         Write::Promise { ballot: ballot() },
-        Write::Accept { accepted: accepted_view() },
+        Write::Accept {
+            accepted: accepted_view(),
+        },
         Write::Install { decided: decided() },
         Write::Synced { view: 1_047 },
         Write::Entry { entry: entry() },
         Write::Truncate { index: 1_048 },
-        Write::Snapshot { snapshot: snapshot() },
+        Write::Snapshot {
+            snapshot: snapshot(),
+        },
     ]
 }
 
@@ -221,7 +326,9 @@
 #[test]
 fn each_message_keeps_its_bytes() {
     let messages = messages();
-    messages.iter().for_each(|message| check(fixture_of_message(message), message));
+    messages
+        .iter()
+        .for_each(|message| check(fixture_of_message(message), message));
     let fixtures: BTreeSet<&str> = messages.iter().map(fixture_of_message).collect();
     assert_eq!(fixtures.len(), 21, "one value of each variant");
 }
@@ -229,7 +336,9 @@
 #[test]
 fn each_write_keeps_its_bytes() {
     let writes = writes();
-    writes.iter().for_each(|write| check(fixture_of_write(write), write));
+    writes
+        .iter()
+        .for_each(|write| check(fixture_of_write(write), write));
     let fixtures: BTreeSet<&str> = writes.iter().map(fixture_of_write).collect();
     assert_eq!(fixtures.len(), 7, "one value of each variant");
 }
@@ -251,12 +360,35 @@
 /// The other value of each option and flag.
 #[test]
 fn messages_with_other_flags_keep_their_bytes() {
-    let ping = Ping { echo: None, synced: false, stalled: true, leaving: false, answer: true, ..ping() };
+    let ping = Ping {
+        echo: None,
+        synced: false,
+        stalled: true,
+        leaving: false,
+        answer: true,
+        ..ping()
+    };
     check("message-03-ping-other-flags", &Message::Ping(ping));
-    let promise = Promise { accepted: None, ..promise() };
-    check("message-05-promise-nothing-accepted", &Message::Promise(promise));
-    let progress = SnapshotProgress { label: label(), held: 1_034, refused: false };
-    check("message-20-snapshot-progress-taken", &Message::SnapshotProgress { view: 1_046, progress });
+    let promise = Promise {
+        accepted: None,
+        ..promise()
+    };
+    check(
+        "message-05-promise-nothing-accepted",
+        &Message::Promise(promise),
+    );
+    let progress = SnapshotProgress {
+        label: label(),
+        held: 1_034,
+        refused: false,
+    };
+    check(
+        "message-20-snapshot-progress-taken",
+        &Message::SnapshotProgress {
+            view: 1_046,
+            progress,
+        },
+    );
 }
 
 /// Parts that other packages store or send by themselves.
--- a/crates/serving/chain-replication/tests/world/digest.rs
+++ b/crates/serving/chain-replication/tests/world/digest.rs
@@ -4,7 +4,7 @@
 //! rearranged. Another digest means another behaviour: other bytes, times, decisions or draws.
 
 use super::World;
-use dunespur_chain::{Millis, Output};
+use dunespur_chain_replication::{Millis, Output};
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -16,7 +16,13 @@
 
 impl Record {
     /// A member has taken an input: what it gave out, and when it wants its next tick.
-    pub(super) fn stepped(&mut self, now: Millis, machine: usize, next_tick: Millis, outputs: &[Output]) {
+    pub(super) fn stepped(
+        &mut self,
+        now: Millis,
+        machine: usize,
+        next_tick: Millis,
+        outputs: &[Output],
+    ) {
         self.add(0, &(now, machine, next_tick, outputs.len()));
         outputs.iter().for_each(|output| self.add_output(output));
     }
@@ -26,7 +32,11 @@
             Output::Send { to, message } => self.add(1, &(to, message)),
             Output::SendTo { address, message } => self.add(2, &(address, message)),
             Output::Persist { batch, writes } => self.add(3, &(batch, writes)),
-            Output::Commit { index, payload, ticket } => self.add(4, &(index, payload, ticket)),
+            Output::Commit {
+                index,
+                payload,
+                ticket,
+            } => self.add(4, &(index, payload, ticket)),
             Output::ReadReady { ticket } => self.add(5, ticket),
             Output::Dropped { ticket } => self.add(6, ticket),
             Output::WantSnapshot => self.add(7, &()),
@@ -52,7 +62,10 @@
     /// The digest of what was recorded, of the commits, and of how far the world's own draws have come.
     pub fn digest(&mut self) -> u64 {
         let mut record = self.record.take().expect("the record was begun");
-        record.add(10, &(self.now, self.steps, self.acknowledged, self.reads_done));
+        record.add(
+            10,
+            &(self.now, self.steps, self.acknowledged, self.reads_done),
+        );
         record.add(11, &(&self.sequence, &self.commit_times));
         record.add(12, &self.rng.u64(..));
         record.hash.digest()
--- a/crates/serving/chain-replication/tests/world/windows.rs
+++ b/crates/serving/chain-replication/tests/world/windows.rs
@@ -210,7 +210,10 @@
 
 /// How the world of a window is set up.
 pub fn setup(machines: usize, seed: u64) -> Setup {
-    Setup { write_every: 25, ..Setup::new(seed, machines) }
+    Setup {
+        write_every: 25,
+        ..Setup::new(seed, machines)
+    }
 }
 
 /// As [`window`], in a world that was just made.
