--- a/crates/serving/dunespur/src/api.rs
+++ b/crates/serving/dunespur/src/api.rs
@@ -2,8 +2,8 @@
 //! JSON bodies.
 
 use crate::directory::{Directory, Unavailable};
-use crate::homes::Homes;
-use crate::registry::{self, Heartbeat};
+use crate::heartbeat::{self, Heartbeat};
+use crate::load_exchange::LoadExchange;
 use bytes::Bytes;
 use dunespur_control_state::{
     Operation, Order, OrderKind, Outcome, RetireOutcome, RetireState, ServerReport,
@@ -26,11 +26,11 @@
 use tokio::time::{sleep, Instant};
 
 /// Bytes of a configuration or heartbeat.
-const MOST_BODY: usize = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 /// The caller goes on to another limiter after a second of silence; we answer before that.
-const ORDER_LIMIT: Duration = Duration::from_millis(850);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(850);
 /// An order with a large body is given longer by its caller.
-const LARGE_ORDER_LIMIT: Duration = Duration::from_millis(1500);
+const LARGE_ORDER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Bytes from which a body is large.
 const LARGE_BODY: usize = 64 * 1024;
 /// A caller that sends its head slower than this is cut.
@@ -40,12 +40,12 @@
 /// The header with the version that an order builds on.
 const BASE_VERSION: &str = "x-dunespur-base-version";
 /// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What the interface needs to know and to ask.
 pub struct ControlApi {
     pub directory: Rc<Directory>,
-    pub homes: Rc<Homes>,
+    pub load_exchange: Rc<LoadExchange>,
     /// The port of this interface, the same on all machines.
     pub control_port: u16,
     /// Machines that may be lost at once.
@@ -63,7 +63,7 @@
             }
             Err(error) => {
                 log::warn!("control: accept failed: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -124,7 +124,10 @@
     async fn answer(&self, request: Request<Incoming>) -> Answer {
         let target = target(request.method(), request.uri().path());
         let base = base_version(&request);
-        let Ok(body) = Limited::new(request.into_body(), MOST_BODY).collect().await else {
+        let Ok(body) = Limited::new(request.into_body(), MAX_BODY_BYTES)
+            .collect()
+            .await
+        else {
             return plain(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "the body is too large or broke off",
@@ -149,34 +152,36 @@
             Err(error) => return plain(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         let report = heartbeat.report(id);
-        if self.directory.has_lost_touch() {
+        if self.directory.has_lost_contact() {
             // Told here it would reach nobody, and the server's lease would lapse: it is to call another one.
             return unavailable();
         }
-        let beat_address = self.beat_address(&report);
-        self.directory.heard(&report.id);
-        if registry::is_known(&self.directory.known(), &report) {
-            return heard(beat_address);
+        let heartbeat_address = self.heartbeat_address(&report);
+        self.directory.renew_server_lease(&report.id);
+        if heartbeat::is_known(&self.directory.known(), &report) {
+            return heard(heartbeat_address);
         }
         match self
             .directory
-            .execute(&Operation::Server(report), ORDER_LIMIT)
+            .execute(&Operation::Server(report), ORDER_TIMEOUT)
             .await
         {
-            Ok(_) => heard(beat_address),
+            Ok(_) => heard(heartbeat_address),
             Err(Unavailable) => unavailable(),
         }
     }
 
     /// Where a server's later heartbeats are wanted: at the home of its service in its zone.
-    fn beat_address(&self, report: &ServerReport) -> Option<SocketAddr> {
-        let home = self.homes.home_address(&report.backend, &report.zone)?;
+    fn heartbeat_address(&self, report: &ServerReport) -> Option<SocketAddr> {
+        let home = self
+            .load_exchange
+            .aggregator_address(&report.backend, &report.zone)?;
         Some(SocketAddr::new(home.ip(), self.control_port))
     }
 
     /// Carries out an operation that can only succeed.
     async fn acknowledged(&self, operation: &Operation) -> Answer {
-        match self.directory.execute(operation, ORDER_LIMIT).await {
+        match self.directory.execute(operation, ORDER_TIMEOUT).await {
             Ok(_) => accepted(),
             Err(Unavailable) => unavailable(),
         }
@@ -207,9 +212,9 @@
             );
         };
         let limit = if body.len() >= LARGE_BODY {
-            LARGE_ORDER_LIMIT
+            LARGE_ORDER_TIMEOUT
         } else {
-            ORDER_LIMIT
+            ORDER_TIMEOUT
         };
         let order = |fence| {
             Operation::Configure(Order {
@@ -240,7 +245,7 @@
     }
 
     async fn configuration(&self) -> Answer {
-        match self.directory.read_configuration(ORDER_LIMIT).await {
+        match self.directory.read_configuration(ORDER_TIMEOUT).await {
             Ok(Some(json)) => json_answer(StatusCode::OK, json),
             Ok(None) => plain(StatusCode::NOT_FOUND, "no configuration yet"),
             Err(Unavailable) => unavailable(),
@@ -257,7 +262,7 @@
             tolerated_losses,
             fence,
         };
-        match self.decide(order, ORDER_LIMIT).await {
+        match self.decide(order, ORDER_TIMEOUT).await {
             Ok(Outcome::Retire(RetireOutcome::Taken)) => accepted(),
             Ok(Outcome::Retire(RetireOutcome::UnknownNode)) => {
                 plain(StatusCode::NOT_FOUND, "no such store machine")
@@ -270,7 +275,7 @@
     }
 
     async fn retirement(&self, node: &str) -> Answer {
-        match self.directory.read_retirement(node, ORDER_LIMIT).await {
+        match self.directory.read_retirement(node, ORDER_TIMEOUT).await {
             Ok(Some(RetireState::Running)) => {
                 json_answer(StatusCode::OK, json!({ "state": "running" }).to_string())
             }
@@ -299,8 +304,8 @@
 }
 
 /// A heartbeat was taken; later ones go to the address, if there is one.
-fn heard(beat_address: Option<SocketAddr>) -> Answer {
-    match beat_address {
+fn heard(heartbeat_address: Option<SocketAddr>) -> Answer {
+    match heartbeat_address {
         Some(address) => json_answer(
             StatusCode::OK,
             json!({ "beat_addr": address.to_string() }).to_string(),
--- a/crates/serving/dunespur/src/budgets.rs
+++ b/crates/serving/dunespur/src/budgets.rs
@@ -3,8 +3,8 @@
 
 use crate::clock::Clock;
 use crate::directory::Directory;
+use crate::request_events::{self, Stopwatch};
 use crate::status::BudgetStatus;
-use crate::trace::{self, Stopwatch};
 use dunespur_budget::{Admission, CounterRequest, LeaseBook, LimiterId, Refusal, TurnOutcome};
 use dunespur_control_state::{Operation, Outcome};
 use dunespur_proxy::{Reserve, TurnAsk, TurnKey};
@@ -17,7 +17,7 @@
 use tokio::time::sleep_until;
 
 /// The core gets so long for one request; the book sends it again.
-const COUNTER_LIMIT: Duration = Duration::from_millis(900);
+const COUNTER_TIMEOUT: Duration = Duration::from_millis(900);
 /// When a turn may come back that could not be decided on, in milliseconds.
 const SILENT_RETRY_MS: u64 = 300;
 
@@ -25,7 +25,7 @@
 pub struct Budgets {
     clock: Clock,
     directory: Rc<Directory>,
-    book: RefCell<LeaseBook>,
+    leases: RefCell<LeaseBook>,
     /// Turns that wait for a verdict.
     waiting: RefCell<HashMap<u64, oneshot::Sender<Admission>>>,
     next_turn: Cell<u64>,
@@ -39,13 +39,13 @@
         let budgets = Rc::new_cyclic(|this| Budgets {
             clock,
             directory,
-            book: RefCell::new(LeaseBook::new(limiter)),
+            leases: RefCell::new(LeaseBook::new(limiter)),
             waiting: RefCell::default(),
             next_turn: Cell::new(1),
             rescheduled: Notify::new(),
             this: this.clone(),
         });
-        spawn_local(keep_due(budgets.clone()));
+        spawn_local(drive_timers(budgets.clone()));
         budgets
     }
 
@@ -53,10 +53,10 @@
     pub async fn reserve(&self, ask: TurnAsk<'_>) -> Reserve {
         let turn = self.next_turn.replace(self.next_turn.get() + 1);
         let now = self.clock.now();
-        let admission = self
-            .book
-            .borrow_mut()
-            .admit(ask.program, ask.budget, ask.most, turn, now);
+        let admission =
+            self.leases
+                .borrow_mut()
+                .admit(ask.program, ask.budget, ask.most, turn, now);
         self.rescheduled.notify_one();
         let admission = match admission {
             Admission::Ask(request) => {
@@ -83,7 +83,7 @@
     fn await_verdict(&self, turn: u64) -> impl std::future::Future<Output = Admission> + '_ {
         let (sender, verdict) = oneshot::channel();
         self.waiting.borrow_mut().insert(turn, sender);
-        let left = LeftWaiting {
+        let left = WaitingTurn {
             budgets: self,
             turn,
             decided: false,
@@ -99,19 +99,19 @@
     /// How many programs and turns there are.
     pub fn status(&self) -> BudgetStatus {
         BudgetStatus {
-            programs: self.book.borrow().programs(),
+            programs: self.leases.borrow().programs(),
             waiting: self.waiting.borrow().len(),
         }
     }
 
     /// Tokens of a program that are held here.
     pub fn held(&self, program: &str) -> u64 {
-        self.book.borrow().held(program)
+        self.leases.borrow().held(program)
     }
 
     /// Tokens of a turn that are about to be handed to its client.
     pub fn used(&self, turn: TurnKey, tokens: u64) {
-        self.book.borrow_mut().used(turn.0, tokens);
+        self.leases.borrow_mut().used(turn.0, tokens);
     }
 
     /// A turn is over.
@@ -121,22 +121,22 @@
 
     fn finish(&self, turn: u64) {
         let outcomes = {
-            let mut book = self.book.borrow_mut();
-            book.finish(turn, self.clock.now());
-            book.outcomes()
+            let mut leases = self.leases.borrow_mut();
+            leases.finish(turn, self.clock.now());
+            leases.outcomes()
         };
-        self.tell(outcomes);
+        self.notify(outcomes);
         self.rescheduled.notify_one();
     }
 
     /// Gives back what is held, before the end of the process.
     pub async fn close(&self) {
-        let requests = self.book.borrow_mut().close(self.clock.now());
-        let sent: Vec<_> = requests
+        let requests = self.leases.borrow_mut().close(self.clock.now());
+        let exchanges: Vec<_> = requests
             .into_iter()
             .filter_map(|request| self.exchange(request))
             .collect();
-        for exchange in sent {
+        for exchange in exchanges {
             let _ = exchange.await;
         }
     }
@@ -147,25 +147,26 @@
         Some(spawn_local(async move {
             let stopwatch = Stopwatch::start(budgets.clock);
             let operation = Operation::Budget(request.clone());
-            let outcome = budgets.directory.execute(&operation, COUNTER_LIMIT).await;
+            let outcome = budgets.directory.execute(&operation, COUNTER_TIMEOUT).await;
             let reply = match &outcome {
                 Ok(Outcome::Budget(reply)) => Some(reply),
                 _ => None,
             };
             if let Some(took_ms) = stopwatch.took_ms() {
-                trace::counter(&request, reply, took_ms);
+                request_events::counter(&request, reply, took_ms);
             }
-            let outcomes = budgets
-                .book
-                .borrow_mut()
-                .replied(&request, reply, budgets.clock.now());
-            budgets.tell(outcomes);
+            let outcomes =
+                budgets
+                    .leases
+                    .borrow_mut()
+                    .replied(&request, reply, budgets.clock.now());
+            budgets.notify(outcomes);
             budgets.rescheduled.notify_one();
         }))
     }
 
     /// Hands verdicts to the turns that wait for them.
-    fn tell(&self, outcomes: Vec<TurnOutcome>) {
+    fn notify(&self, outcomes: Vec<TurnOutcome>) {
         for TurnOutcome { turn, admission } in outcomes {
             match admission {
                 Admission::Ask(request) => drop(self.exchange(request)),
@@ -185,25 +186,25 @@
 
     fn due(&self) {
         let (requests, outcomes) = {
-            let mut book = self.book.borrow_mut();
-            let requests = book.due(self.clock.now());
-            (requests, book.outcomes())
+            let mut leases = self.leases.borrow_mut();
+            let requests = leases.due(self.clock.now());
+            (requests, leases.outcomes())
         };
         requests
             .into_iter()
             .for_each(|request| drop(self.exchange(request)));
-        self.tell(outcomes);
+        self.notify(outcomes);
     }
 }
 
 /// Takes a turn out whose client left while it waited.
-struct LeftWaiting<'a> {
+struct WaitingTurn<'a> {
     budgets: &'a Budgets,
     turn: u64,
     decided: bool,
 }
 
-impl Drop for LeftWaiting<'_> {
+impl Drop for WaitingTurn<'_> {
     fn drop(&mut self) {
         if !self.decided {
             self.budgets.waiting.borrow_mut().remove(&self.turn);
@@ -212,9 +213,9 @@
     }
 }
 
-async fn keep_due(budgets: Rc<Budgets>) {
+async fn drive_timers(budgets: Rc<Budgets>) {
     loop {
-        let due = budgets.book.borrow().next_due();
+        let due = budgets.leases.borrow().next_due();
         match due {
             Some(due) => {
                 tokio::select! {
--- a/crates/serving/dunespur/src/command.rs
+++ b/crates/serving/dunespur/src/command.rs
@@ -4,7 +4,7 @@
 use crate::explain::Explain;
 use crate::logging::LogFormat;
 use crate::settings::Role;
-use crate::status::AskStatus;
+use crate::status::StatusQuery;
 use bpaf::Bpaf;
 use simplelog::LevelFilter;
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     /// View and chain of the core, currency, services with their servers, stores, leases, counters, memory and
     /// processor time. Ends with 1 if there is no answer.
     #[bpaf(command)]
-    Status(#[bpaf(external(ask_status))] AskStatus),
+    Status(#[bpaf(external(status_query))] StatusQuery),
     /// Tells why a request went where it did
     ///
     ///
@@ -101,7 +101,7 @@
     construct!(Explain { request, files })
 }
 
-fn ask_status() -> impl bpaf::Parser<AskStatus> {
+fn status_query() -> impl bpaf::Parser<StatusQuery> {
     use bpaf::{construct, long, positional, Parser};
     let json = long("json").help("Print JSON instead of tables").switch();
     let program = long("program")
@@ -110,7 +110,7 @@
         .optional();
     let address = positional::<SocketAddr>("ADDRESS")
         .help("Where the process listens for the others: its address and the first port of its port_range");
-    construct!(AskStatus {
+    construct!(StatusQuery {
         json,
         program,
         address
--- a/crates/serving/dunespur/src/core/coordinator/lease_rounds.rs
+++ b/crates/serving/dunespur/src/core/coordinator/lease_rounds.rs
@@ -1,12 +1,12 @@
 //! Leases of servers and nodes: gossip of renewals between core members, and the expiry of those that lapsed.
 
 use super::Coordinator;
-use crate::messages::{encode, Heard, Request};
+use crate::messages::{encode, LeaseRenewals, Request};
 use std::net::SocketAddr;
 
 impl Coordinator {
     /// Leases that another member reports as renewed.
-    pub fn receive_renewals(&self, renewals: &Heard) {
+    pub fn receive_renewals(&self, renewals: &LeaseRenewals) {
         self.leases
             .borrow_mut()
             .renew_from_member(renewals, self.clock.now());
@@ -43,10 +43,10 @@
 
     fn gossip_renewals(&self) {
         let renewals = self.leases.borrow_mut().take_unreported();
-        if renewals == Heard::default() {
+        if renewals == LeaseRenewals::default() {
             return;
         }
-        let payload = encode(&Request::Heard(renewals));
+        let payload = encode(&Request::LeaseRenewals(renewals));
         for address in self.replica.borrow().other_members(&self.own.id) {
             self.links.send(address, payload.clone());
         }
--- a/crates/serving/dunespur/src/core/coordinator/mod.rs
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -114,7 +114,7 @@
             }
         });
         spawn_local(report_persisted(coordinator.clone(), synced));
-        spawn_local(keep_ticking(coordinator.clone()));
+        spawn_local(drive_timers(coordinator.clone()));
         Ok(coordinator)
     }
 
@@ -286,7 +286,7 @@
     }
 }
 
-async fn keep_ticking(coordinator: Rc<Coordinator>) {
+async fn drive_timers(coordinator: Rc<Coordinator>) {
     loop {
         let due = coordinator.clock.instant(coordinator.next_tick());
         tokio::select! {
--- a/crates/serving/dunespur/src/core/coordinator/watches.rs
+++ b/crates/serving/dunespur/src/core/coordinator/watches.rs
@@ -16,7 +16,7 @@
             // A process that was frozen finds renewals of long ago in its sockets.
             self.leases
                 .borrow_mut()
-                .renew_from_watch(&request.heard, now);
+                .renew_from_watch(&request.renewals, now);
         }
         if !self.replica.borrow().serves_reads(now) {
             return Reply::Unavailable;
@@ -31,6 +31,6 @@
         if !replica.serves_reads(self.clock.now()) {
             return Reply::Unavailable;
         }
-        Reply::Watched(replica.updates_for(&request))
+        Reply::StateUpdate(replica.updates_for(&request))
     }
 }
--- a/crates/serving/dunespur/src/core/disk_writer.rs
+++ b/crates/serving/dunespur/src/core/disk_writer.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// Pause before a write that failed (a full disk, say) is retried; nothing is acknowledged meanwhile.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Stack of the thread in bytes.
 const STACK_SIZE: usize = 256 * 1024;
 
@@ -87,6 +87,6 @@
             "the core's disk failed to write batch {}: {error:#}",
             batch.number
         );
-        thread::sleep(RETRY_PAUSE);
+        thread::sleep(RETRY_DELAY);
     }
 }
--- a/crates/serving/dunespur/src/core/lease_expiry.rs
+++ b/crates/serving/dunespur/src/core/lease_expiry.rs
@@ -2,7 +2,7 @@
 
 use super::lease_table::LeaseTable;
 use super::replica::Replica;
-use crate::messages::{Heard, NodeLease};
+use crate::messages::{LeaseRenewals, NodeLease};
 use crate::status::LeaseStatus;
 use dunespur_chain_replication::MemberId;
 use dunespur_control_state::{ControlState, Operation};
@@ -41,17 +41,17 @@
     }
 
     /// Renewals that a gateway or store brought with its watch; the other members are told of them.
-    pub fn renew_from_watch(&mut self, renewals: &Heard, now: u64) {
+    pub fn renew_from_watch(&mut self, renewals: &LeaseRenewals, now: u64) {
         self.table.renew_and_report(renewals, now);
     }
 
     /// Renewals that another member has told of.
-    pub fn renew_from_member(&mut self, renewals: &Heard, now: u64) {
+    pub fn renew_from_member(&mut self, renewals: &LeaseRenewals, now: u64) {
         self.table.renew(renewals, now);
     }
 
     /// Renewals that the other members have to be told of.
-    pub fn take_unreported(&mut self) -> Heard {
+    pub fn take_unreported(&mut self) -> LeaseRenewals {
         self.table.take_unreported()
     }
 
--- a/crates/serving/dunespur/src/core/lease_table.rs
+++ b/crates/serving/dunespur/src/core/lease_table.rs
@@ -1,6 +1,6 @@
 //! When the leases of servers and nodes were renewed last, as core members learn of it; which have lapsed.
 
-use crate::messages::{Heard, NodeLease};
+use crate::messages::{LeaseRenewals, NodeLease};
 use crate::status::LeaseStatus;
 use std::collections::{BTreeSet, HashMap};
 
@@ -42,7 +42,7 @@
     }
 
     /// Renews leases, and remembers that the other members have to be told.
-    pub fn renew_and_report(&mut self, renewals: &Heard, now: u64) {
+    pub fn renew_and_report(&mut self, renewals: &LeaseRenewals, now: u64) {
         self.renew(renewals, now);
         if self.unreported_servers.len() < MAX_UNREPORTED {
             self.unreported_servers
@@ -54,7 +54,7 @@
     }
 
     /// Renews leases.
-    pub fn renew(&mut self, renewals: &Heard, now: u64) {
+    pub fn renew(&mut self, renewals: &LeaseRenewals, now: u64) {
         for id in &renewals.servers {
             renew_one(&mut self.servers, id, now);
         }
@@ -79,8 +79,8 @@
     }
 
     /// Renewals that the other members have to be told of.
-    pub fn take_unreported(&mut self) -> Heard {
-        Heard {
+    pub fn take_unreported(&mut self) -> LeaseRenewals {
+        LeaseRenewals {
             servers: std::mem::take(&mut self.unreported_servers)
                 .into_iter()
                 .collect(),
--- a/crates/serving/dunespur/src/core/replica.rs
+++ b/crates/serving/dunespur/src/core/replica.rs
@@ -1,7 +1,7 @@
 //! The replicated part of a core member: the state machine of the chain, and the control state that it has committed.
 
 use super::applied_state::AppliedState;
-use crate::messages::{WatchRequest, Watched};
+use crate::messages::{StateUpdate, WatchRequest};
 use dunespur_chain_replication::{Input, Member, MemberId, Output, Peer, SnapshotRefusals, View};
 use dunespur_control_state::ControlState;
 use std::net::SocketAddr;
@@ -144,7 +144,7 @@
     }
 
     /// The answer to a watch: the changes after its index, or the complete state where they are no longer retained.
-    pub fn updates_for(&self, request: &WatchRequest) -> Watched {
+    pub fn updates_for(&self, request: &WatchRequest) -> StateUpdate {
         let view = self
             .view()
             .filter(|view| view.number > request.view)
@@ -160,9 +160,9 @@
         } else {
             newest.max(request.after.unwrap_or(0))
         };
-        Watched {
+        StateUpdate {
             index,
-            whole: complete,
+            complete,
             changes,
             view,
         }
--- a/crates/serving/dunespur/src/joining.rs
+++ b/crates/serving/dunespur/src/core_membership.rs
@@ -11,16 +11,16 @@
 use tokio::time::sleep;
 
 /// Pause between two tries while this machine is in no view.
-const TRY_PAUSE: Duration = Duration::from_millis(100);
+const JOIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How often a member looks whether it still is one.
-const CHECK_PAUSE: Duration = Duration::from_millis(500);
+const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Processes that are told the view at one look; with more, the others have their turn at the next.
-const MOST_ANNOUNCED: usize = 16;
+const MAX_ANNOUNCED: usize = 16;
 /// The founder answers a candidate within this time.
 const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Keeps this machine in the core for as long as the task lives.
-pub async fn keep_joined(
+pub async fn maintain_core_membership(
     coordinator: Rc<Coordinator>,
     directory: Rc<Directory>,
     settings: Settings,
@@ -33,15 +33,15 @@
         let pause = match standing(&coordinator, &directory) {
             Standing::Member => {
                 announce(&coordinator, &directory, &mut next_announced);
-                CHECK_PAUSE
+                MEMBERSHIP_CHECK_INTERVAL
             }
             Standing::Outside(contacts) => {
                 coordinator.join(contacts);
-                CHECK_PAUSE
+                MEMBERSHIP_CHECK_INTERVAL
             }
             Standing::Alone => {
                 look_round(&coordinator, &directory, &settings).await;
-                TRY_PAUSE
+                JOIN_RETRY_DELAY
             }
         };
         sleep(pause).await;
@@ -51,7 +51,7 @@
 /// Tells the view to processes that are not heard of, some at a time.
 fn announce(coordinator: &Coordinator, directory: &Directory, next: &mut usize) {
     let unreached = coordinator.unreached(&directory.seeds());
-    let turns = unreached.len().min(MOST_ANNOUNCED);
+    let turns = unreached.len().min(MAX_ANNOUNCED);
     for address in unreached
         .iter()
         .cycle()
@@ -88,7 +88,7 @@
     let own = settings.internal_address();
     let seeds = settings.seed_addresses();
     for seed in seeds.iter().filter(|seed| **seed != own) {
-        if let Some(view) = directory.hello(*seed).await {
+        if let Some(view) = directory.query_view(*seed).await {
             directory.learn_view(view);
             return;
         }
--- a/crates/serving/dunespur/src/plane.rs
+++ b/crates/serving/dunespur/src/data_plane.rs
@@ -2,10 +2,10 @@
 
 use crate::budgets::Budgets;
 use crate::clock::Clock;
-use crate::directory::{Directory, Touched};
-use crate::homes::Homes;
-use crate::keeping::Keeping;
-use crate::trace::{self, Stopwatch};
+use crate::directory::{ChangedParts, Directory};
+use crate::load_exchange::LoadExchange;
+use crate::request_events::{self, Stopwatch};
+use crate::store_client::StoreClient;
 use dunespur_configuration::Table;
 use dunespur_control_state::{ServerReport, ServerState};
 use dunespur_load_distribution::Identity;
@@ -15,45 +15,45 @@
 use std::rc::Rc;
 
 /// One gateway's data plane.
-pub struct Plane {
+pub struct DataPlane {
     clock: Clock,
     directory: Rc<Directory>,
     chooser: Rc<RefCell<Chooser>>,
-    homes: Rc<Homes>,
+    load_exchange: Rc<LoadExchange>,
     budgets: Rc<Budgets>,
-    keeping: Keeping,
+    store_client: StoreClient,
     leaving: Cell<bool>,
 }
 
-impl Plane {
+impl DataPlane {
     pub fn new(
         directory: Rc<Directory>,
         own: Identity,
         budgets: Rc<Budgets>,
-        copies: usize,
+        required_replicas: usize,
         clock: Clock,
-    ) -> Rc<Plane> {
+    ) -> Rc<DataPlane> {
         let chooser = Rc::new(RefCell::new(Chooser::new(
             own.zone.clone(),
             fastrand::u64(..),
         )));
-        let homes = Homes::start(own, directory.clone(), chooser.clone(), clock);
-        let plane = Rc::new(Plane {
+        let load_exchange = LoadExchange::start(own, directory.clone(), chooser.clone(), clock);
+        let data_plane = Rc::new(DataPlane {
             clock,
             chooser,
-            homes,
+            load_exchange,
             budgets,
-            keeping: Keeping::new(directory.clone(), copies),
+            store_client: StoreClient::new(directory.clone(), required_replicas),
             directory: directory.clone(),
             leaving: Cell::new(false),
         });
-        let weak = Rc::downgrade(&plane);
-        directory.when_changed(Box::new(move |touched| {
-            if let Some(plane) = weak.upgrade() {
-                plane.changed(touched);
+        let weak = Rc::downgrade(&data_plane);
+        directory.on_change(Box::new(move |changed_parts| {
+            if let Some(data_plane) = weak.upgrade() {
+                data_plane.changed(changed_parts);
             }
         }));
-        plane
+        data_plane
     }
 
     /// No new clients are wanted from now on.
@@ -62,8 +62,8 @@
     }
 
     /// This gateway's part in the homes of services.
-    pub fn homes(&self) -> Rc<Homes> {
-        self.homes.clone()
+    pub fn load_exchange(&self) -> Rc<LoadExchange> {
+        self.load_exchange.clone()
     }
 
     /// What this gateway has in flight at servers; those without any are left out.
@@ -71,11 +71,11 @@
         self.chooser.borrow().load_reports()
     }
 
-    fn changed(&self, touched: Touched) {
-        if touched.gateways {
-            self.homes.gateways_changed();
+    fn changed(&self, changed_parts: ChangedParts) {
+        if changed_parts.gateways {
+            self.load_exchange.gateways_changed();
         }
-        if !touched.servers && !touched.configuration {
+        if !changed_parts.servers && !changed_parts.configuration {
             return;
         }
         let known = self.directory.known();
@@ -114,13 +114,13 @@
     }
 }
 
-impl Node for Plane {
+impl Node for DataPlane {
     fn table(&self) -> Option<Rc<Table>> {
         self.directory.known().table.clone()
     }
 
     fn is_out_of_touch(&self) -> bool {
-        self.directory.has_lost_touch()
+        self.directory.has_lost_contact()
     }
 
     async fn next_change(&self) {
@@ -133,27 +133,27 @@
     }
 
     fn choose(&self, ask: &Ask) -> Choice {
-        self.homes.note_activity();
-        let loads = if trace::enabled() {
+        self.load_exchange.report_activity();
+        let loads = if request_events::enabled() {
             self.loads()
         } else {
             Vec::new()
         };
         let choice = self.chooser.borrow_mut().choose(ask, self.clock.now());
-        if trace::enabled() {
-            trace::choice(ask, &choice, &loads);
+        if request_events::enabled() {
+            request_events::choice(ask, &choice, &loads);
         }
         choice
     }
 
     fn first_event(&self, key: u64) {
-        trace::first_event(key);
+        request_events::first_event(key);
         self.chooser.borrow_mut().first_event(key, self.clock.now());
     }
 
     fn finished(&self, key: u64, outcome: Outcome) {
-        self.homes.note_activity();
-        trace::outcome(key, outcome);
+        self.load_exchange.report_activity();
+        request_events::outcome(key, outcome);
         self.chooser
             .borrow_mut()
             .finished(key, outcome, self.clock.now());
@@ -163,7 +163,7 @@
         let stopwatch = Stopwatch::start(self.clock);
         let verdict = self.budgets.reserve(turn).await;
         if let Some(waited_ms) = stopwatch.took_ms() {
-            trace::budget(&turn, &verdict, self.budgets.held(turn.program), waited_ms);
+            request_events::budget(&turn, &verdict, self.budgets.held(turn.program), waited_ms);
         }
         verdict
     }
@@ -173,20 +173,20 @@
     }
 
     fn release(&self, turn: TurnKey) {
-        trace::release(turn.0);
+        request_events::release(turn.0);
         self.budgets.release(turn);
     }
 
     async fn history(&self, program: &str, previous: &str) -> History {
         let stopwatch = Stopwatch::start(self.clock);
-        let found = self.keeping.history(program, previous).await;
+        let found = self.store_client.history(program, previous).await;
         if let Some(took_ms) = stopwatch.took_ms() {
-            trace::history(program, previous, &found, took_ms);
+            request_events::history(program, previous, &found, took_ms);
         }
         found
     }
 
     async fn keep(&self, turn: KeptTurn) -> bool {
-        self.keeping.keep(turn).await
+        self.store_client.keep(turn).await
     }
 }
--- a/crates/serving/dunespur/src/explain/line/tests.rs
+++ b/crates/serving/dunespur/src/explain/line/tests.rs
@@ -1,5 +1,5 @@
 use super::{Event, Field, Line};
-use crate::trace::Value;
+use crate::request_events::Value;
 
 fn fields(pairs: &[(&str, &str)]) -> Vec<Field> {
     pairs
--- a/crates/serving/dunespur/src/founding.rs
+++ b/crates/serving/dunespur/src/founding.rs
@@ -11,13 +11,13 @@
 /// process needs some time to come up.
 const COLLECT_MS: u64 = 1_500;
 /// Fewer candidates found no system: guards against a founder that was restarted and hears of a late one only.
-const LEAST_CANDIDATES: usize = 2;
+const MIN_CANDIDATES: usize = 2;
 /// After this time, in milliseconds, one candidate is enough: a system of one machine.
 const ALONE_MS: u64 = 6_000;
 /// Number of the first view.
 const FIRST_VIEW: u64 = 1;
 /// Members of the first view.
-const MOST_MEMBERS: usize = 7;
+const MAX_MEMBERS: usize = 7;
 
 /// What the founder knows. It tells the first view to the chain's head alone, which tells the others once the view is
 /// on its disk: a founder that restarts and forgets can't give two of them different first views.
@@ -65,9 +65,9 @@
         };
         candidates.insert(peer.address, peer.clone());
         let waited = now.saturating_sub(*since);
-        let enough = candidates.len() >= LEAST_CANDIDATES && waited >= COLLECT_MS;
+        let enough = candidates.len() >= MIN_CANDIDATES && waited >= COLLECT_MS;
         if enough || waited >= ALONE_MS {
-            let members: Vec<Peer> = candidates.values().take(MOST_MEMBERS).cloned().collect();
+            let members: Vec<Peer> = candidates.values().take(MAX_MEMBERS).cloned().collect();
             let chain = members.iter().map(|member| member.id.clone()).collect();
             *self = Founding::Founded(View {
                 number: FIRST_VIEW,
--- a/crates/serving/dunespur/src/gateway.rs
+++ b/crates/serving/dunespur/src/gateway.rs
@@ -4,12 +4,12 @@
 use crate::budgets::Budgets;
 use crate::clock::{wall_clock_ms, Clock};
 use crate::core::{Coordinator, CoreIdentity};
+use crate::core_membership::maintain_core_membership;
+use crate::data_plane::DataPlane;
 use crate::directory::Directory;
 use crate::founding::Founding;
-use crate::homes::Homes;
-use crate::joining::keep_joined;
-use crate::membership::Membership;
-use crate::plane::Plane;
+use crate::load_exchange::LoadExchange;
+use crate::registration::GatewayRegistration;
 use crate::service::GatewayService;
 use crate::settings::{Role, Settings};
 use crate::signals;
@@ -30,9 +30,9 @@
 /// Descriptors kept for files, internal connections and the control interface.
 const SPARE_DESCRIPTORS: u64 = 500;
 /// A leaving process ends after this time at the latest; the platform kills it a little later.
-const LEAVE_LIMIT: Duration = Duration::from_millis(7_000);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(7_000);
 /// Units of programs' budgets are given back within this time.
-const RETURN_LIMIT: Duration = Duration::from_millis(500);
+const BUDGET_RETURN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Runs the process until it is asked to leave and has left.
 pub async fn run(settings: Settings, path: PathBuf) -> anyhow::Result<()> {
@@ -50,59 +50,62 @@
         zone: settings.zone.as_str().into(),
         life: incarnation,
     };
-    let plane = Plane::new(
+    let data_plane = DataPlane::new(
         directory.clone(),
         own,
         budgets.clone(),
-        settings.copies(),
+        settings.required_replicas(),
         clock,
     );
-    let front = Front::new(plane.clone(), front_settings(&settings));
+    let front = Front::new(data_plane.clone(), front_settings(&settings));
 
     let status = GatewayStatus {
         settings: settings.clone(),
         directory: directory.clone(),
         coordinator: coordinator.clone(),
-        plane: plane.clone(),
+        data_plane: data_plane.clone(),
         budgets: budgets.clone(),
         front: front.clone(),
     };
     start_internal(&settings, clock, status).await?;
-    start_control(&settings, &directory, plane.homes()).await?;
+    start_control(&settings, &directory, data_plane.load_exchange()).await?;
     if let Some(ready) = settings.listen.ready {
-        spawn_local(serve_ready(plane.clone(), listen(ready).await?));
+        spawn_local(serve_ready(data_plane.clone(), listen(ready).await?));
     }
     if let Some(address) = settings.listen.front {
         spawn_local(front.clone().serve(listen(address).await?));
     }
     if let Some(coordinator) = &coordinator {
-        spawn_local(keep_joined(
+        spawn_local(maintain_core_membership(
             coordinator.clone(),
             directory.clone(),
             settings.clone(),
         ));
     }
-    let membership = Membership::start(&settings, incarnation, directory.clone());
+    let registration = GatewayRegistration::start(&settings, incarnation, directory.clone());
     spawn_local(directory.clone().follow());
     spawn_local(signals::follow_settings(path, Role::Gateway, directory));
     log::info!("{} serves", settings.node);
 
-    signals::asked_to_leave().await?;
+    signals::termination_requested().await?;
     log::info!("{} leaves", settings.node);
-    plane.leave();
-    membership.leave();
+    data_plane.leave();
+    registration.leave();
     front.drain();
     if let Some(coordinator) = &coordinator {
         coordinator.leave();
     }
-    if timeout(LEAVE_LIMIT, front.drained()).await.is_err() {
+    if timeout(DRAIN_TIMEOUT, front.drained()).await.is_err() {
         log::warn!(
             "{} ends with requests in hand: {:?}",
             settings.node,
             front.counters()
         );
     }
-    if timeout(RETURN_LIMIT, budgets.close()).await.is_err() {
+    if timeout(BUDGET_RETURN_TIMEOUT, budgets.close())
+        .await
+        .is_err()
+    {
         log::warn!("{} ends without having given all units back", settings.node);
     }
     Ok(())
@@ -131,12 +134,12 @@
     let founding = founds.then(|| RefCell::new(Founding::new(clock.now())));
     let directory = status.directory.clone();
     let coordinator = status.coordinator.clone();
-    let homes = status.plane.homes();
+    let load_exchange = status.data_plane.load_exchange();
     let service = GatewayService {
         clock,
         directory,
         coordinator,
-        homes,
+        load_exchange,
         founding,
         status,
     };
@@ -150,14 +153,14 @@
 async fn start_control(
     settings: &Settings,
     directory: &Rc<Directory>,
-    homes: Rc<Homes>,
+    load_exchange: Rc<LoadExchange>,
 ) -> anyhow::Result<()> {
     let Some(address) = settings.listen.control else {
         return Ok(());
     };
     let api = ControlApi {
         directory: directory.clone(),
-        homes,
+        load_exchange,
         control_port: address.port(),
         tolerated_losses: settings.fault_tolerance.machines,
     };
--- a/crates/serving/dunespur/src/registry.rs
+++ b/crates/serving/dunespur/src/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of servers. One that says nothing new only renews the server's lease; anything else is an operation
 //! for the core, and is acknowledged once it is committed.
 
-use crate::directory::Known;
+use crate::directory::KnownState;
 use dunespur_control_state::{ServerReport, ServerState};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
 
 /// Whether the control state says the same of this server already. A server that was said to be draining stays so,
 /// whatever an overtaken heartbeat says.
-pub fn is_known(known: &Known, report: &ServerReport) -> bool {
+pub fn is_known(known: &KnownState, report: &ServerReport) -> bool {
     let Some(held) = known.servers.get(&report.id) else {
         return false;
     };
--- a/crates/serving/dunespur/src/homes.rs
+++ b/crates/serving/dunespur/src/load_exchange.rs
@@ -24,7 +24,7 @@
 const LOOK_PERIOD_MS: u64 = 250;
 
 /// This gateway's part in the distribution of services' soft state.
-pub struct Homes {
+pub struct LoadExchange {
     clock: Clock,
     directory: Rc<Directory>,
     chooser: Rc<RefCell<Chooser>>,
@@ -35,15 +35,15 @@
     rescheduled: Notify,
 }
 
-impl Homes {
+impl LoadExchange {
     /// Takes part from now on.
     pub fn start(
         own: Identity,
         directory: Rc<Directory>,
         chooser: Rc<RefCell<Chooser>>,
         clock: Clock,
-    ) -> Rc<Homes> {
-        let homes = Rc::new(Homes {
+    ) -> Rc<LoadExchange> {
+        let load_exchange = Rc::new(LoadExchange {
             clock,
             directory,
             chooser,
@@ -51,12 +51,12 @@
             active: Notify::new(),
             rescheduled: Notify::new(),
         });
-        spawn_local(keep_telling(homes.clone()));
-        homes
+        spawn_local(drive_exchange(load_exchange.clone()));
+        load_exchange
     }
 
     /// A request has begun or ended here.
-    pub fn note_activity(&self) {
+    pub fn report_activity(&self) {
         self.active.notify_one();
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Where the home of a service in a zone listens for other gateways.
-    pub fn home_address(&self, service: &str, zone: &str) -> Option<SocketAddr> {
+    pub fn aggregator_address(&self, service: &str, zone: &str) -> Option<SocketAddr> {
         self.distribution
             .borrow()
             .roster()
@@ -102,7 +102,7 @@
             let Some(call) = call else { break };
             spawn_local(self.clone().call(call));
         }
-        self.bring_news();
+        self.apply_updates();
     }
 
     /// What this gateway has in flight, by service; services that were busy before are listed as well.
@@ -162,15 +162,15 @@
             }
             _ => self.distribution.borrow_mut().failed(call.number, now),
         }
-        self.bring_news();
+        self.apply_updates();
         self.rescheduled.notify_one();
     }
 
     /// Tells the choice of servers what the other gateways have in flight.
-    fn bring_news(&self) {
+    fn apply_updates(&self) {
         let news = self.distribution.borrow_mut().take_news();
         for news in news {
-            self.bring_hints(&news);
+            self.apply_fault_hints(&news);
             let reports: Vec<LoadReport> = news.others.into_iter().map(load_report).collect();
             self.chooser
                 .borrow_mut()
@@ -179,7 +179,7 @@
     }
 
     /// Tells the choice of servers which of them other gateways find in trouble.
-    fn bring_hints(&self, news: &News) {
+    fn apply_fault_hints(&self, news: &News) {
         let known = self.directory.known();
         let servers = known
             .servers
@@ -220,21 +220,21 @@
     }
 }
 
-async fn keep_telling(homes: Rc<Homes>) {
+async fn drive_exchange(load_exchange: Rc<LoadExchange>) {
     loop {
-        homes.look();
-        let next_look = homes.clock.now() + LOOK_PERIOD_MS;
-        let due = homes.distribution.borrow().next_due();
+        load_exchange.look();
+        let next_look = load_exchange.clock.now() + LOOK_PERIOD_MS;
+        let due = load_exchange.distribution.borrow().next_due();
         let due = async {
             match due {
-                Some(at) => sleep_until(homes.clock.instant(at).into()).await,
+                Some(at) => sleep_until(load_exchange.clock.instant(at).into()).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             () = due => {}
-            () = homes.rescheduled.notified() => {}
-            () = homes.active.notified() => sleep_until(homes.clock.instant(next_look).into()).await,
+            () = load_exchange.rescheduled.notified() => {}
+            () = load_exchange.active.notified() => sleep_until(load_exchange.clock.instant(next_look).into()).await,
         }
     }
 }
--- a/crates/serving/dunespur/src/logging.rs
+++ b/crates/serving/dunespur/src/logging.rs
@@ -74,7 +74,7 @@
         config,
         TextLines {
             prefix,
-            begun: Vec::new(),
+            buffer: Vec::new(),
         },
     );
 }
@@ -88,30 +88,30 @@
 /// Puts time, machine and role before each line, which comes in pieces.
 struct TextLines {
     prefix: String,
-    begun: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl TextLines {
     fn end_line(&mut self) -> io::Result<()> {
-        let written = io::stderr().write_all(&self.begun);
-        self.begun.clear();
-        self.begun.shrink_to(KEEP_CAPACITY);
+        let written = io::stderr().write_all(&self.buffer);
+        self.buffer.clear();
+        self.buffer.shrink_to(KEEP_CAPACITY);
         written
     }
 }
 
 impl Write for TextLines {
-    fn write(&mut self, piece: &[u8]) -> io::Result<usize> {
-        for part in piece.split_inclusive(|byte| *byte == b'\n') {
-            if self.begun.is_empty() {
-                write!(self.begun, "{} {} ", Utc(wall_clock_ms()), self.prefix)?;
+    fn write(&mut self, chunk: &[u8]) -> io::Result<usize> {
+        for line_part in chunk.split_inclusive(|byte| *byte == b'\n') {
+            if self.buffer.is_empty() {
+                write!(self.buffer, "{} {} ", Utc(wall_clock_ms()), self.prefix)?;
             }
-            self.begun.extend_from_slice(part);
-            if part.ends_with(b"\n") {
+            self.buffer.extend_from_slice(line_part);
+            if line_part.ends_with(b"\n") {
                 self.end_line()?;
             }
         }
-        Ok(piece.len())
+        Ok(chunk.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -26,7 +26,7 @@
     /// Changes of the control state after an index; waits for some, a bounded time.
     Watch(WatchRequest),
     /// Leases that other core members were told of.
-    Heard(Heard),
+    LeaseRenewals(LeaseRenewals),
     /// To a store.
     Store(StoreRequest),
     /// A core member tells the view to a process that may know none; not answered.
@@ -44,12 +44,12 @@
     pub after: Option<u64>,
     /// Number of the newest view that the caller knows.
     pub view: u64,
-    pub heard: Heard,
+    pub renewals: LeaseRenewals,
 }
 
 /// Servers and nodes that were heard of lately.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct LeaseRenewals {
     /// Ids of servers.
     pub servers: Vec<String>,
     pub nodes: Vec<NodeLease>,
@@ -82,7 +82,7 @@
     Executed(Outcome),
     Configuration(Option<String>),
     Retirement(Option<RetireState>),
-    Watched(Watched),
+    StateUpdate(StateUpdate),
     Store(StoreReply),
     /// A [`Status`](crate::status::Status) as JSON.
     Status(String),
@@ -102,11 +102,11 @@
 
 /// Changes after the index that was asked for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Watched {
+pub struct StateUpdate {
     /// The index up to which these changes go.
     pub index: u64,
     /// The list holds the whole state, and replaces what the caller has.
-    pub whole: bool,
+    pub complete: bool,
     pub changes: Vec<Change>,
     /// The view, if it is newer than the caller's.
     pub view: Option<View>,
--- a/crates/serving/dunespur/src/membership.rs
+++ b/crates/serving/dunespur/src/registration.rs
@@ -1,7 +1,7 @@
 //! A gateway's membership: it reports itself to the core once per life, renews its lease with each watch, and says
 //! when it leaves.
 
-use crate::directory::{Directory, Known};
+use crate::directory::{Directory, KnownState};
 use crate::messages::NodeLease;
 use crate::settings::Settings;
 use dunespur_control_state::{NodeKind, NodeReport, Operation};
@@ -12,9 +12,9 @@
 use tokio::time::sleep;
 
 /// Pause before the core is told again what it did not take.
-const REPORT_PAUSE: Duration = Duration::from_millis(200);
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The core gets so long for a report.
-const REPORT_LIMIT: Duration = Duration::from_millis(1_000);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Where a gateway stands towards the list of gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,19 +26,19 @@
 }
 
 /// One gateway's place in the core's list of gateways.
-pub struct Membership {
+pub struct GatewayRegistration {
     directory: Rc<Directory>,
     report: RefCell<NodeReport>,
     standing: Cell<Standing>,
 }
 
-impl Membership {
+impl GatewayRegistration {
     /// Keeps this life of the process in the list from now on.
     pub fn start(
         settings: &Settings,
         incarnation: u64,
         directory: Rc<Directory>,
-    ) -> Rc<Membership> {
+    ) -> Rc<GatewayRegistration> {
         let report = NodeReport {
             name: settings.node.clone(),
             kind: NodeKind::Gateway,
@@ -48,34 +48,34 @@
             disk: 0,
             whole: false,
         };
-        directory.hold_lease(NodeLease::of(&report));
+        directory.set_own_lease(NodeLease::of(&report));
         let report = RefCell::new(report);
-        let membership = Rc::new(Membership {
+        let registration = Rc::new(GatewayRegistration {
             directory,
             report,
             standing: Cell::new(Standing::Member),
         });
-        spawn_local(keep_told(membership.clone()));
-        membership
+        spawn_local(maintain_registration(registration.clone()));
+        registration
     }
 
     /// The process is about to end: others are not to count on it any more.
     pub fn leave(self: &Rc<Self>) {
         self.standing.set(Standing::Leaving);
-        spawn_local(keep_told(self.clone()));
+        spawn_local(maintain_registration(self.clone()));
     }
 
     /// What the core still has to be told.
-    fn untold(&self) -> Option<Operation> {
+    fn unreported(&self) -> Option<Operation> {
         let known = self.directory.known();
         known.index?;
         match self.standing.get() {
-            Standing::Member => self.untold_presence(&known),
-            Standing::Leaving => self.untold_absence(&known),
+            Standing::Member => self.missing_registration(&known),
+            Standing::Leaving => self.missing_deregistration(&known),
         }
     }
 
-    fn untold_presence(&self, known: &Known) -> Option<Operation> {
+    fn missing_registration(&self, known: &KnownState) -> Option<Operation> {
         let mut report = self.report.borrow_mut();
         let Some(held) = known.gateways.get(&report.name) else {
             return Some(Operation::Node(report.clone()));
@@ -83,13 +83,13 @@
         if held.incarnation > report.incarnation {
             // The clock went back between two lives of this process: the present life is the newer one.
             report.incarnation = held.incarnation + 1;
-            self.directory.hold_lease(NodeLease::of(&report));
+            self.directory.set_own_lease(NodeLease::of(&report));
         }
         let told = held.incarnation == report.incarnation && held.address == report.address;
         (!told).then(|| Operation::Node(report.clone()))
     }
 
-    fn untold_absence(&self, known: &Known) -> Option<Operation> {
+    fn missing_deregistration(&self, known: &KnownState) -> Option<Operation> {
         let report = self.report.borrow();
         let held = known.gateways.get(&report.name)?;
         let ours = held.incarnation <= report.incarnation;
@@ -101,15 +101,18 @@
 }
 
 /// Tells the core what it does not know of this gateway yet, for as long as its standing stays what it is.
-async fn keep_told(membership: Rc<Membership>) {
-    let standing = membership.standing.get();
-    while membership.standing.get() == standing {
-        match membership.untold() {
+async fn maintain_registration(registration: Rc<GatewayRegistration>) {
+    let standing = registration.standing.get();
+    while registration.standing.get() == standing {
+        match registration.unreported() {
             Some(operation) => {
-                let _ = membership.directory.execute(&operation, REPORT_LIMIT).await;
-                sleep(REPORT_PAUSE).await;
+                let _ = registration
+                    .directory
+                    .execute(&operation, REPORT_TIMEOUT)
+                    .await;
+                sleep(REPORT_RETRY_DELAY).await;
             }
-            None => membership.directory.next_change().await,
+            None => registration.directory.next_change().await,
         }
     }
 }
--- a/crates/serving/dunespur/src/trace.rs
+++ b/crates/serving/dunespur/src/request_events.rs
@@ -12,7 +12,7 @@
 use std::fmt;
 
 /// Servers whose load is told with a choice; guards against lines of hundreds of servers.
-const MOST_LOADS: usize = 32;
+const MAX_LOADS: usize = 32;
 
 /// Whether these lines are written.
 pub fn enabled() -> bool {
@@ -93,7 +93,7 @@
 fn loads_text(loads: &[LoadReport]) -> String {
     let texts = loads
         .iter()
-        .take(MOST_LOADS)
+        .take(MAX_LOADS)
         .map(|load| format!("{}:{}", load.server, load.in_flight));
     texts.collect::<Vec<_>>().join(",")
 }
--- a/crates/serving/dunespur/src/service.rs
+++ b/crates/serving/dunespur/src/service.rs
@@ -4,7 +4,7 @@
 use crate::core::Coordinator;
 use crate::directory::Directory;
 use crate::founding::Founding;
-use crate::homes::Homes;
+use crate::load_exchange::LoadExchange;
 use crate::messages::{decode, encode, Reply, Request};
 use crate::status::GatewayStatus;
 use bytes::Bytes;
@@ -18,7 +18,7 @@
     pub clock: Clock,
     pub directory: Rc<Directory>,
     pub coordinator: Option<Rc<Coordinator>>,
-    pub homes: Rc<Homes>,
+    pub load_exchange: Rc<LoadExchange>,
     /// Only at the process that founds the system.
     pub founding: Option<RefCell<Founding>>,
     pub status: GatewayStatus,
@@ -40,7 +40,7 @@
                 Reply::View(None)
             }
             Request::Candidate { peer } => self.candidate(peer),
-            Request::Home(ask) => Reply::Home(self.homes.asked(&ask)),
+            Request::Home(ask) => Reply::Home(self.load_exchange.asked(&ask)),
             Request::Status { program } => {
                 Reply::Status(self.status.status(program.as_deref()).to_json())
             }
@@ -82,7 +82,7 @@
         Request::ReadConfiguration => coordinator.read_configuration().await,
         Request::ReadRetirement { node } => coordinator.read_retirement(&node).await,
         Request::Watch(request) => coordinator.watch(request).await,
-        Request::Heard(heard) => {
+        Request::LeaseRenewals(heard) => {
             coordinator.receive_renewals(&heard);
             Reply::View(None)
         }
--- a/crates/serving/dunespur/src/settings.rs
+++ b/crates/serving/dunespur/src/settings.rs
@@ -165,7 +165,7 @@
     }
 
     /// Machines that have to hold what is acknowledged.
-    pub fn copies(&self) -> usize {
+    pub fn required_replicas(&self) -> usize {
         self.fault_tolerance.machines as usize + 1
     }
 }
--- a/crates/serving/dunespur/src/settings/fields.rs
+++ b/crates/serving/dunespur/src/settings/fields.rs
@@ -34,23 +34,23 @@
         let value = self.value(name);
         let object = value.and_then(Value::as_object);
         if value.is_some() && object.is_none() {
-            findings.add(self.place(name), "is not an object");
+            findings.add(self.path_of(name), "is not an object");
         }
         Fields {
             object,
-            prefix: format!("{}.", self.place(name)),
+            prefix: format!("{}.", self.path_of(name)),
         }
     }
 
     /// The place of a field.
-    pub fn place(&self, name: &str) -> String {
+    pub fn path_of(&self, name: &str) -> String {
         format!("{}{name}", self.prefix)
     }
 
     /// Adds a finding if the field is absent. Without its object, that is the finding.
     pub fn need(&self, name: &str, problem: &str, findings: &mut Findings) {
         if self.object.is_some() && self.value(name).is_none() {
-            findings.add(self.place(name), problem);
+            findings.add(self.path_of(name), problem);
         }
     }
 
@@ -58,7 +58,7 @@
         let value = self.value(name)?;
         let text = value.as_str();
         if text.is_none() {
-            findings.add(self.place(name), format!("is {value}, not a text"));
+            findings.add(self.path_of(name), format!("is {value}, not a text"));
         }
         text
     }
@@ -66,33 +66,33 @@
     /// A text that stands for something, such as an address.
     pub fn parsed<T: FromStr>(&self, name: &str, what: &str, findings: &mut Findings) -> Option<T> {
         let text = self.text(name, findings)?;
-        parse(text, self.place(name), what, findings)
+        parse(text, self.path_of(name), what, findings)
     }
 
     /// A list of such texts; what can't be used is left out of it.
-    pub fn parsed_list<T: FromStr>(
+    pub fn parsed_array<T: FromStr>(
         &self,
         name: &str,
         what: &str,
         findings: &mut Findings,
     ) -> Vec<T> {
-        let mut list = Vec::new();
-        for (index, item) in self.list(name, findings).iter().enumerate() {
-            let place = format!("{}[{index}]", self.place(name));
+        let mut array = Vec::new();
+        for (index, item) in self.array(name, findings).iter().enumerate() {
+            let item_path = format!("{}[{index}]", self.path_of(name));
             match item.as_str() {
-                Some(text) => list.extend(parse::<T>(text, place, what, findings)),
-                None => findings.add(place, format!("is {item}, not a text")),
+                Some(text) => array.extend(parse::<T>(text, item_path, what, findings)),
+                None => findings.add(item_path, format!("is {item}, not a text")),
             }
         }
-        list
+        array
     }
 
-    pub fn list(&self, name: &str, findings: &mut Findings) -> &'a [Value] {
+    pub fn array(&self, name: &str, findings: &mut Findings) -> &'a [Value] {
         match self.value(name) {
             None => &[],
             Some(Value::Array(items)) => items,
             Some(value) => {
-                findings.add(self.place(name), format!("is {value}, not a list"));
+                findings.add(self.path_of(name), format!("is {value}, not a list"));
                 &[]
             }
         }
@@ -105,7 +105,7 @@
         let flag = value.as_bool();
         if flag.is_none() {
             findings.add(
-                self.place(name),
+                self.path_of(name),
                 format!("is {value}, neither true nor false"),
             );
         }
@@ -113,12 +113,12 @@
     }
 
     /// A number from 0 up; a fraction is cut off.
-    pub fn whole(&self, name: &str, findings: &mut Findings) -> Option<u64> {
+    pub fn unsigned(&self, name: &str, findings: &mut Findings) -> Option<u64> {
         let value = self.value(name)?;
-        let number = value.as_u64().or_else(|| value.as_f64().and_then(cut_off));
+        let number = value.as_u64().or_else(|| value.as_f64().and_then(truncate));
         if number.is_none() {
             findings.add(
-                self.place(name),
+                self.path_of(name),
                 format!("is {value}, not a number from 0 up"),
             );
         }
@@ -132,19 +132,19 @@
     }
 }
 
-fn cut_off(number: f64) -> Option<u64> {
+fn truncate(number: f64) -> Option<u64> {
     (number >= 0.0).then_some(number as u64)
 }
 
 fn parse<T: FromStr>(
     text: &str,
-    place: impl Display,
+    path: impl Display,
     what: &str,
     findings: &mut Findings,
 ) -> Option<T> {
     let parsed = text.parse().ok();
     if parsed.is_none() {
-        findings.add(place, format!("is {text:?}, not {what}"));
+        findings.add(path, format!("is {text:?}, not {what}"));
     }
     parsed
 }
--- a/crates/serving/dunespur/src/settings/read.rs
+++ b/crates/serving/dunespur/src/settings/read.rs
@@ -44,7 +44,7 @@
     let zone = fields.text("zone", findings).unwrap_or_default();
     let port_range = port_range(fields, findings);
     let listen = listen(&fields.object("listen", findings), findings);
-    let seeds = fields.parsed_list("seeds", ADDRESS, findings);
+    let seeds = fields.parsed_array("seeds", ADDRESS, findings);
     let bootstrap = fields.flag("bootstrap", findings);
     let counts_for_quorum = fields.flag("counts_for_quorum", findings);
     let limits = limits(&fields.object("limits", findings), findings);
@@ -68,14 +68,14 @@
 }
 
 fn port_range(fields: &Fields, findings: &mut Findings) -> Option<(u16, u16)> {
-    let ports = fields.list("port_range", findings);
+    let ports = fields.array("port_range", findings);
     if ports.is_empty() {
         return None;
     }
-    let place = fields.place("port_range");
+    let path = fields.path_of("port_range");
     let [first, last] = ports else {
         findings.add(
-            place,
+            path,
             format!(
                 "has {} items instead of the first and the last port",
                 ports.len()
@@ -83,26 +83,26 @@
         );
         return None;
     };
-    let first = port(first, &place, 0, findings);
-    let last = port(last, &place, 1, findings);
+    let first = port(first, &path, 0, findings);
+    let last = port(last, &path, 1, findings);
     let (first, last) = (first?, last?);
     if first > last {
         findings.add(
-            place,
+            path,
             format!("the first port, {first}, is above the last, {last}"),
         );
     }
     Some((first, last))
 }
 
-fn port(value: &Value, place: &str, index: usize, findings: &mut Findings) -> Option<u16> {
+fn port(value: &Value, path: &str, index: usize, findings: &mut Findings) -> Option<u16> {
     let port = value
         .as_u64()
         .and_then(|port| u16::try_from(port).ok())
         .filter(|port| *port > 0);
     if port.is_none() {
         findings.add(
-            format!("{place}[{index}]"),
+            format!("{path}[{index}]"),
             format!("is {value}, not a port from 1 to 65535"),
         );
     }
@@ -120,27 +120,27 @@
 fn limits(fields: &Fields, findings: &mut Findings) -> ProcessLimits {
     ProcessLimits {
         memory_mb: fields
-            .whole("memory_mb", findings)
+            .unsigned("memory_mb", findings)
             .unwrap_or(DEFAULT_MEMORY_MB),
         max_fds: fields
-            .whole("max_fds", findings)
+            .unsigned("max_fds", findings)
             .unwrap_or(DEFAULT_DESCRIPTORS),
-        disk_mb: fields.whole("disk_mb", findings),
+        disk_mb: fields.unsigned("disk_mb", findings),
     }
 }
 
 fn heartbeat(fields: &Fields, findings: &mut Findings) -> u64 {
     let heartbeat_ms = fields
-        .whole("heartbeat_ms", findings)
+        .unsigned("heartbeat_ms", findings)
         .unwrap_or(DEFAULT_HEARTBEAT_MS);
     if heartbeat_ms == 0 {
-        findings.add(fields.place("heartbeat_ms"), "is 0");
+        findings.add(fields.path_of("heartbeat_ms"), "is 0");
     }
     heartbeat_ms
 }
 
 fn fault_tolerance(fields: &Fields, findings: &mut Findings) -> FaultTolerance {
-    let machines = fields.whole("machines", findings).unwrap_or(0);
+    let machines = fields.unsigned("machines", findings).unwrap_or(0);
     FaultTolerance {
         machines: u32::try_from(machines).unwrap_or(u32::MAX),
     }
@@ -162,11 +162,11 @@
         ("listen.control", listen.control),
     ];
     let mut taken: Vec<(&str, SocketAddr)> = vec![("port_range[0]", settings.internal_address())];
-    for (place, address) in named {
+    for (path, address) in named {
         let Some(address) = address else { continue };
         if let Some((other, _)) = taken.iter().find(|(_, other)| *other == address) {
-            findings.add(place, format!("is {address}, the address of {other} too"));
+            findings.add(path, format!("is {address}, the address of {other} too"));
         }
-        taken.push((place, address));
+        taken.push((path, address));
     }
 }
--- a/crates/serving/dunespur/src/signals.rs
+++ b/crates/serving/dunespur/src/signals.rs
@@ -10,10 +10,10 @@
 use tokio::time::sleep;
 
 /// The settings file may change without a signal; a process that has lost the core looks this often.
-const LOOK_PAUSE: Duration = Duration::from_secs(2);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Waits for SIGTERM or SIGINT.
-pub async fn asked_to_leave() -> anyhow::Result<()> {
+pub async fn termination_requested() -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
     tokio::select! {
@@ -32,9 +32,9 @@
     loop {
         let asked = tokio::select! {
             signal = hangup.recv() => signal.is_some(),
-            () = sleep(LOOK_PAUSE) => false,
+            () = sleep(SETTINGS_POLL_INTERVAL) => false,
         };
-        if !asked && directory.in_touch() {
+        if !asked && directory.has_contact() {
             continue;
         }
         match Settings::read(&path, role) {
--- a/crates/serving/dunespur/src/status.rs
+++ b/crates/serving/dunespur/src/status.rs
@@ -8,7 +8,7 @@
 pub mod report;
 mod table;
 
-pub use ask::{run, AskStatus};
+pub use ask::{run, StatusQuery};
 pub use gather::{basics, GatewayStatus};
 pub use report::{
     BudgetStatus, CoreStatus, DiskStatus, LeaseStatus, LinkStatus, Status, TurnsStatus,
--- a/crates/serving/dunespur/src/status/ask.rs
+++ b/crates/serving/dunespur/src/status/ask.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 /// A process that has not answered by then is reported as silent.
-const ANSWER_LIMIT: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What is to be asked, and how it is to be shown.
 #[derive(Clone, Debug)]
-pub struct AskStatus {
+pub struct StatusQuery {
     /// Prints JSON instead of tables.
     pub json: bool,
     /// A program whose budget is to be told as well.
@@ -23,7 +23,7 @@
 }
 
 /// Asks, and prints the answer on standard output.
-pub async fn run(asked: AskStatus) -> anyhow::Result<()> {
+pub async fn run(asked: StatusQuery) -> anyhow::Result<()> {
     let text = answer(&asked)
         .await
         .with_context(|| asked.address.to_string())?;
@@ -36,12 +36,12 @@
     Ok(())
 }
 
-async fn answer(asked: &AskStatus) -> anyhow::Result<String> {
+async fn answer(asked: &StatusQuery) -> anyhow::Result<String> {
     let request = encode(&Request::Status {
         program: asked.program.clone(),
     });
     let answer = Client::new(asked.address)
-        .call(request, ANSWER_LIMIT)
+        .call(request, ANSWER_TIMEOUT)
         .await?;
     match decode(&answer) {
         Some(Reply::Status(json)) => Ok(json),
--- a/crates/serving/dunespur/src/status/gather.rs
+++ b/crates/serving/dunespur/src/status/gather.rs
@@ -7,8 +7,8 @@
 };
 use crate::budgets::Budgets;
 use crate::core::Coordinator;
+use crate::data_plane::DataPlane;
 use crate::directory::Directory;
-use crate::plane::Plane;
 use crate::settings::{Role, Settings};
 use dunespur_chain_replication::View;
 use dunespur_control_state::{ServerReport, ServerState};
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 
 /// Items of each list; guards against an answer that takes more memory than the rest of the process.
-const MOST_LISTED: usize = 4_096;
+const MAX_LISTED: usize = 4_096;
 
 /// What processes of all roles say.
 pub fn basics(settings: &Settings, role: Role, directory: &Directory) -> Status {
@@ -42,9 +42,9 @@
     pub settings: Settings,
     pub directory: Rc<Directory>,
     pub coordinator: Option<Rc<Coordinator>>,
-    pub plane: Rc<Plane>,
+    pub data_plane: Rc<DataPlane>,
     pub budgets: Rc<Budgets>,
-    pub front: Rc<Front<Plane>>,
+    pub front: Rc<Front<DataPlane>>,
 }
 
 impl GatewayStatus {
@@ -61,9 +61,9 @@
         status.core = self
             .coordinator
             .as_ref()
-            .map(|coordinator| coordinator.status(MOST_LISTED));
+            .map(|coordinator| coordinator.status(MAX_LISTED));
         status.services = self.services();
-        status.front = Some(front(self.front.counters(), self.plane.ready()));
+        status.front = Some(front(self.front.counters(), self.data_plane.ready()));
         status.budgets = Some(self.budgets.status());
         status.program = program.map(|name| self.program(name));
         status
@@ -71,14 +71,14 @@
 
     fn services(&self) -> Vec<ServiceStatus> {
         let loads: HashMap<String, u32> = self
-            .plane
+            .data_plane
             .loads()
             .into_iter()
             .map(|load| (load.server.to_string(), load.in_flight))
             .collect();
         let known = self.directory.known();
         let mut services: BTreeMap<&str, Vec<ServerStatus>> = BTreeMap::new();
-        for report in known.servers.values().take(MOST_LISTED) {
+        for report in known.servers.values().take(MAX_LISTED) {
             let in_flight = loads.get(&report.id).copied().unwrap_or(0);
             services
                 .entry(&report.backend)
@@ -113,9 +113,9 @@
     ControlStatus {
         index: known.index,
         generation: known.table.as_ref().map(|table| table.generation()),
-        in_touch: directory.in_touch(),
+        in_touch: directory.has_contact(),
         silent_ms: directory.silent_ms(),
-        follows: directory.attached(),
+        follows: directory.followed_member(),
     }
 }
 
@@ -134,7 +134,7 @@
 
 fn gateways(directory: &Directory) -> Vec<GatewayEntryStatus> {
     let known = directory.known();
-    let gateways = known.gateways.values().take(MOST_LISTED);
+    let gateways = known.gateways.values().take(MAX_LISTED);
     gateways
         .map(|gateway| GatewayEntryStatus {
             name: gateway.name.clone(),
@@ -146,7 +146,7 @@
 
 fn stores(directory: &Directory) -> Vec<StoreStatus> {
     let known = directory.known();
-    let stores = known.stores.values().take(MOST_LISTED);
+    let stores = known.stores.values().take(MAX_LISTED);
     stores
         .map(|store| StoreStatus {
             name: store.name.clone(),
--- /dev/null
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -0,0 +1,266 @@
+//! One store process: carries requests to the state machine, and performs the effects that it asks for.
+
+use super::capacity::Capacity;
+use super::disk_thread::{self, DiskCompletion, DiskJob};
+use crate::clock::{wall_clock_ms, Clock};
+use crate::directory::Directory;
+use crate::messages::{decode, encode, NodeLease, Reply, Request};
+use crate::request_events::{self, Stopwatch, StoreSubject};
+use crate::settings::{Role, Settings};
+use crate::status::{basics, DiskStatus, Status, TurnsStatus};
+use crate::store_client::{address_of, call_store};
+use anyhow::Context;
+use bytes::Bytes;
+use dunespur_control_state::{NodeKind, NodeReport};
+use dunespur_rpc::Service;
+use dunespur_storage::recovery::aside_bytes;
+use dunespur_storage::turns::TurnDisk;
+use dunespur_turn_replication::message::{StoreReply, StoreRequest};
+use dunespur_turn_replication::node::{
+    Declaration, DiskOutcome, DiskState, Effect, Settings as NodeSettings, StoreNode,
+    ASK_TIMEOUT_MS,
+};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::{Rc, Weak};
+use std::sync::mpsc as thread_queue;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, Notify};
+use tokio::task::spawn_local;
+use tokio::time::sleep_until;
+
+/// The file of a store in its data folder.
+const DISK_FILE: &str = "turns.redb";
+/// A store whose lease has lapsed for this long has its turns replicated elsewhere, in milliseconds. A machine that is
+/// lost for good may have a successor a second later, and stops counting as lost once that had its time to catch up
+/// (some four seconds); by then there have to be enough replicas again.
+const ABSENT_REPAIR_MS: u64 = 300;
+
+/// Jobs that the disk's thread has completed.
+pub type Completions = mpsc::UnboundedReceiver<DiskCompletion>;
+
+/// One store process.
+pub struct StoreProcess {
+    clock: Clock,
+    pub(super) directory: Rc<Directory>,
+    pub(super) node: RefCell<StoreNode>,
+    callers: RefCell<HashMap<u64, oneshot::Sender<StoreReply>>>,
+    next_caller: Cell<u64>,
+    jobs: thread_queue::Sender<DiskJob>,
+    /// What the core has to know of this store.
+    pub(super) report: RefCell<NodeReport>,
+    settings: Settings,
+    capacity: Capacity,
+    disk: Cell<DiskStatus>,
+    /// Notified when the time of the next tick has changed.
+    rescheduled: Notify,
+    /// Notified when the core may have to be told something.
+    pub(super) report_changed: Notify,
+    this: Weak<StoreProcess>,
+}
+
+impl StoreProcess {
+    /// Opens the disk and starts its thread.
+    ///
+    /// # Errors
+    ///
+    /// If the settings name no data folder, or its file can't be opened.
+    pub fn open(
+        settings: &Settings,
+        directory: Rc<Directory>,
+        clock: Clock,
+    ) -> anyhow::Result<(Rc<StoreProcess>, Completions)> {
+        let data = settings
+            .data_dir
+            .as_deref()
+            .context("data_dir: a store needs a disk")?;
+        std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
+        let file = data.join(DISK_FILE);
+        let (disk, identity, entries) = TurnDisk::open(&file)?;
+        let report = NodeReport {
+            name: settings.node.clone(),
+            kind: NodeKind::Store,
+            zone: settings.zone.clone(),
+            address: settings.internal_address(),
+            incarnation: wall_clock_ms(),
+            disk: identity.disk,
+            whole: !identity.fresh,
+        };
+        directory.set_own_lease(NodeLease::of(&report));
+        let capacity = Capacity::of(settings, aside_bytes(&file));
+        let state = DiskState {
+            disk: identity.disk,
+            fresh: identity.fresh,
+            entries,
+        };
+        let node_settings = node_settings(settings, report.incarnation, capacity);
+        let node = StoreNode::new(node_settings, state, wall_clock_ms(), clock.now());
+        let (completed, completions) = mpsc::unbounded_channel();
+        let process = Rc::new_cyclic(|this| StoreProcess {
+            clock,
+            directory,
+            node: RefCell::new(node),
+            callers: RefCell::default(),
+            next_caller: Cell::new(1),
+            jobs: disk_thread::start(disk, completed),
+            report: RefCell::new(report),
+            settings: settings.clone(),
+            capacity,
+            disk: Cell::default(),
+            rescheduled: Notify::new(),
+            report_changed: Notify::new(),
+            this: this.clone(),
+        });
+        Ok((process, completions))
+    }
+
+    /// The core knows other stores than before.
+    pub fn stores_changed(&self) {
+        let stores = self.directory.known().stores.values().cloned().collect();
+        self.with_node(|node, now| node.list_changed(stores, now));
+        self.report_changed.notify_one();
+    }
+
+    /// Answers a request; the state machine may take its time with the disk.
+    async fn store_request(&self, request: StoreRequest) -> Option<StoreReply> {
+        let caller = self.next_caller.replace(self.next_caller.get() + 1);
+        let (sender, reply) = oneshot::channel();
+        self.callers.borrow_mut().insert(caller, sender);
+        let subject = StoreSubject::of(&request);
+        let stopwatch = Stopwatch::start(self.clock);
+        self.with_node(|node, now| node.request(caller, request, now));
+        let reply = reply.await.ok();
+        if let (Some(subject), Some(took_ms)) = (subject, stopwatch.took_ms()) {
+            request_events::store_answered(&subject, reply.as_ref(), took_ms);
+        }
+        reply
+    }
+
+    /// Lets the state machine act, and performs what it asks for.
+    fn with_node(&self, act: impl FnOnce(&mut StoreNode, u64)) {
+        act(&mut self.node.borrow_mut(), self.clock.now());
+        loop {
+            let effect = self.node.borrow_mut().poll();
+            let Some(effect) = effect else { break };
+            self.perform(effect);
+        }
+        self.rescheduled.notify_one();
+    }
+
+    fn perform(&self, effect: Effect) {
+        match effect {
+            Effect::Reply { caller, reply } => {
+                if let Some(sender) = self.callers.borrow_mut().remove(&caller) {
+                    let _ = sender.send(reply);
+                }
+            }
+            Effect::Ask {
+                ask,
+                store,
+                request,
+            } => self.call_peer(ask, &store, request),
+            Effect::Disk { job, work } => {
+                self.count(|disk| disk.waiting += 1);
+                let _ = self.jobs.send(DiskJob { id: job, work });
+            }
+            Effect::Declare(Declaration::Whole) => {
+                self.report.borrow_mut().whole = true;
+                self.report_changed.notify_one();
+            }
+            Effect::Declare(Declaration::Emptied { .. }) => self.report_changed.notify_one(),
+        }
+    }
+
+    /// Calls another store for the state machine, which knows the call by its number.
+    fn call_peer(&self, number: u64, store: &str, request: StoreRequest) {
+        let Some(process) = self.this.upgrade() else {
+            return;
+        };
+        let stores: Vec<_> = self.directory.known().stores.values().cloned().collect();
+        let address = address_of(&stores, store);
+        spawn_local(async move {
+            let timeout = Duration::from_millis(ASK_TIMEOUT_MS);
+            let reply = match address {
+                Some(address) => call_store(&process.directory, address, request, timeout).await,
+                None => None,
+            };
+            process.with_node(|node, now| node.peer_answered(number, reply, now));
+        });
+    }
+
+    fn count(&self, change: impl FnOnce(&mut DiskStatus)) {
+        let mut disk = self.disk.get();
+        change(&mut disk);
+        self.disk.set(disk);
+    }
+
+    fn status(&self) -> Status {
+        let node = self.node.borrow();
+        let turns = TurnsStatus {
+            turns: node.index().len(),
+            bytes: node.index().bytes(),
+            capacity_bytes: self.capacity.bytes,
+            whole: node.is_whole(),
+            emptied: node.is_emptied(),
+            incomplete: node.index().has_dangling(),
+            waiting: self.callers.borrow().len(),
+            disk: self.disk.get(),
+        };
+        Status {
+            turns: Some(turns),
+            ..basics(&self.settings, Role::Store, &self.directory)
+        }
+    }
+}
+
+fn node_settings(settings: &Settings, incarnation: u64, capacity: Capacity) -> NodeSettings {
+    NodeSettings {
+        name: settings.node.clone(),
+        incarnation,
+        copies: settings.required_replicas(),
+        capacity_bytes: capacity.bytes,
+        capacity_turns: capacity.turns,
+        absent_repair_ms: ABSENT_REPAIR_MS,
+    }
+}
+
+impl Service for StoreProcess {
+    async fn call(self: Rc<Self>, payload: Bytes) -> Option<Bytes> {
+        let reply = match decode::<Request>(&payload)? {
+            Request::Store(request) => Reply::Store(self.store_request(request).await?),
+            Request::Hello => Reply::View(self.directory.view()),
+            Request::Announce(view) => {
+                self.directory.learn_view(view);
+                Reply::View(None)
+            }
+            Request::Status { .. } => Reply::Status(self.status().to_json()),
+            _ => Reply::Unavailable,
+        };
+        Some(encode(&reply))
+    }
+}
+
+/// Hands completed disk jobs to the state machine.
+pub async fn report_completions(process: Rc<StoreProcess>, mut completions: Completions) {
+    while let Some(DiskCompletion { id, outcome }) = completions.recv().await {
+        process.count(|disk| {
+            disk.waiting = disk.waiting.saturating_sub(1);
+            disk.done += 1;
+            disk.failed += u64::from(outcome == DiskOutcome::Failed);
+        });
+        process.with_node(|node, now| node.disk_done(id, outcome, now));
+    }
+}
+
+/// Ticks the state machine whenever it wants to be.
+pub async fn drive_timers(process: Rc<StoreProcess>) {
+    loop {
+        let due = process.node.borrow().next_due();
+        tokio::select! {
+            () = sleep_until(process.clock.instant(due).into()) => {
+                process.with_node(|node, now| node.tick(now));
+            }
+            () = process.rescheduled.notified() => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/serving/dunespur/src/store/registration.rs
@@ -0,0 +1,63 @@
+//! Tells the core what it does not know of this store yet: its incarnation, its disk, whether it is complete, and
+//! whether it has been emptied.
+
+use super::process::StoreProcess;
+use crate::messages::NodeLease;
+use dunespur_control_state::Operation;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Pause before a report is repeated that the core did not acknowledge.
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The core gets so long for a report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
+
+/// Keeps the core's entry of this store up to date for as long as the task lives.
+pub async fn maintain_registration(store: Rc<StoreProcess>) {
+    loop {
+        match store.missing_report() {
+            Some(operation) => {
+                let _ = store.directory.execute(&operation, REPORT_TIMEOUT).await;
+                sleep(REPORT_RETRY_DELAY).await;
+            }
+            None => {
+                tokio::select! {
+                    () = store.report_changed.notified() => {}
+                    () = store.directory.next_change() => {}
+                }
+            }
+        }
+    }
+}
+
+impl StoreProcess {
+    /// The operation that the core still has to execute.
+    fn missing_report(&self) -> Option<Operation> {
+        let known = self.directory.known();
+        known.index?;
+        let mut report = self.report.borrow_mut();
+        let Some(entry) = known.stores.get(&report.name) else {
+            return Some(Operation::Node(report.clone()));
+        };
+        if entry.incarnation > report.incarnation {
+            // The clock went back between two incarnations of this process: the present one is the newer one.
+            report.incarnation = entry.incarnation + 1;
+            self.node.borrow_mut().set_incarnation(report.incarnation);
+            self.directory.set_own_lease(NodeLease::of(&report));
+        }
+        let is_reported = entry.disk == report.disk
+            && entry.whole == report.whole
+            && entry.address == report.address;
+        if !is_reported || !entry.present || entry.incarnation != report.incarnation {
+            return Some(Operation::Node(report.clone()));
+        }
+        let emptied_in = self.node.borrow().emptied_in();
+        let round = emptied_in.filter(|round| entry.retiring && entry.round == *round)?;
+        Some(Operation::RetireDone {
+            node: report.name.clone(),
+            incarnation: report.incarnation,
+            round,
+        })
+    }
+}
--- a/crates/serving/dunespur/src/keeping.rs
+++ b/crates/serving/dunespur/src/store_client.rs
@@ -3,7 +3,7 @@
 use crate::clock::wall_clock_ms;
 use crate::directory::Directory;
 use crate::messages::{encode, Reply, Request};
-use crate::trace;
+use crate::request_events;
 use dunespur_proxy::{History, KeptTurn};
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use dunespur_turn_replication::read::{Outcome, Reading};
@@ -31,15 +31,18 @@
 }
 
 /// Reaches the stores for one gateway.
-pub struct Keeping {
+pub struct StoreClient {
     directory: Rc<Directory>,
-    copies: usize,
+    required_replicas: usize,
 }
 
-impl Keeping {
+impl StoreClient {
     /// `copies`: how many stores have to hold a turn.
-    pub fn new(directory: Rc<Directory>, copies: usize) -> Keeping {
-        Keeping { directory, copies }
+    pub fn new(directory: Rc<Directory>, required_replicas: usize) -> StoreClient {
+        StoreClient {
+            directory,
+            required_replicas,
+        }
     }
 
     /// What a turn goes on from.
@@ -51,11 +54,17 @@
             };
         }
         let clock = self.directory.clock();
-        let mut reading = Reading::new(previous, program, &stores, self.copies, clock.now());
+        let mut reading = Reading::new(
+            previous,
+            program,
+            &stores,
+            self.required_replicas,
+            clock.now(),
+        );
         let (answers, mut queue) = mpsc::unbounded_channel();
         loop {
             while let Some(ask) = reading.poll() {
-                trace::chain_asked(previous, &ask.id, &ask.store);
+                request_events::chain_asked(previous, &ask.id, &ask.store);
                 let request = StoreRequest::Chain { id: ask.id.clone() };
                 self.ask(&stores, ask.store, ask.id, request, &answers);
             }
@@ -73,8 +82,8 @@
             tokio::select! {
                 Some(answer) = queue.recv() => {
                     let now = clock.now();
-                    if trace::enabled() {
-                        trace::chain_answered(previous, &answer.store, answer.reply.as_ref());
+                    if request_events::enabled() {
+                        request_events::chain_answered(previous, &answer.store, answer.reply.as_ref());
                     }
                     match answer.reply {
                         Some(reply) => reading.answered(&answer.store, &answer.id, reply, now),
@@ -100,11 +109,11 @@
             retention_ms: kept.retention_ms,
         };
         let began_at = clock.now();
-        let mut writing = Writing::new(&turn.header(), &stores, self.copies, began_at);
+        let mut writing = Writing::new(&turn.header(), &stores, self.required_replicas, began_at);
         let (answers, mut queue) = mpsc::unbounded_channel();
         loop {
             while let Some(put) = writing.poll() {
-                trace::put(&turn.id, &put.store, put.hint.as_deref());
+                request_events::put(&turn.id, &put.store, put.hint.as_deref());
                 let request = StoreRequest::Put {
                     turn: turn.clone(),
                     hint: put.hint,
@@ -114,7 +123,7 @@
             if let Some(verdict) = writing.verdict() {
                 let kept = verdict == Verdict::Kept;
                 let took_ms = clock.now() - began_at;
-                trace::kept(
+                request_events::kept(
                     &turn.id,
                     turn.previous.as_deref(),
                     &turn.program,
@@ -127,8 +136,8 @@
             tokio::select! {
                 Some(answer) = queue.recv() => {
                     let now = clock.now();
-                    if trace::enabled() {
-                        trace::put_answered(&turn.id, &answer.store, answer.reply.as_ref());
+                    if request_events::enabled() {
+                        request_events::put_answered(&turn.id, &answer.store, answer.reply.as_ref());
                     }
                     match answer.reply {
                         Some(StoreReply::Kept) => writing.acknowledged(&answer.store, now),
@@ -164,14 +173,14 @@
         };
         let directory = self.directory.clone();
         spawn_local(async move {
-            let reply = ask_store(&directory, address, request, STORE_TIMEOUT).await;
+            let reply = call_store(&directory, address, request, STORE_TIMEOUT).await;
             let _ = answers.send(StoreAnswer { store, id, reply });
         });
     }
 }
 
 /// Asks the store at an address; `None` without an answer.
-pub async fn ask_store(
+pub async fn call_store(
     directory: &Directory,
     address: SocketAddr,
     request: StoreRequest,
--- a/crates/serving/dunespur/tests/bytes.rs
+++ b/crates/serving/dunespur/tests/bytes.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use dunespur::messages::{
-    decode, encode, Candidacy, Heard, NodeLease, Reply, Request, WatchRequest, Watched,
+    decode, encode, Candidacy, LeaseRenewals, NodeLease, Reply, Request, StateUpdate, WatchRequest,
 };
 use dunespur::status::report::{
     BudgetStatus, ControlStatus, CoreStatus, DiskStatus, FrontStatus, GatewayEntryStatus,
@@ -58,8 +58,8 @@
     }
 }
 
-fn heard() -> Heard {
-    Heard {
+fn heard() -> LeaseRenewals {
+    LeaseRenewals {
         servers: vec!["server-1".to_owned(), "server-2".to_owned()],
         nodes: vec![NodeLease {
             name: "front-7".to_owned(),
@@ -239,14 +239,14 @@
             Request::Watch(WatchRequest {
                 after: Some(41),
                 view: 42,
-                heard: heard(),
+                renewals: heard(),
             }),
         ),
         (
             "watch from the start",
             Request::Watch(WatchRequest::default()),
         ),
-        ("heard", Request::Heard(heard())),
+        ("heard", Request::LeaseRenewals(heard())),
         (
             "store",
             Request::Store(StoreRequest::Put {
@@ -394,9 +394,9 @@
         ),
         (
             "watched",
-            Reply::Watched(Watched {
+            Reply::StateUpdate(StateUpdate {
                 index: 71,
-                whole: true,
+                complete: true,
                 changes,
                 view: Some(view(72)),
             }),
