--- /dev/null
+++ b/crates/proxy/tests/support/fixtures.rs
@@ -0,0 +1,29 @@
+//! Files that hold what the data plane puts out, byte by byte.
+//!
+//! `WRITE_FIXTURES=1` in the environment writes those that are missing; one that exists is never changed.
+
+use std::path::PathBuf;
+
+/// Compares these bytes with the file of this name.
+pub fn assert_fixture(name: &str, bytes: &[u8]) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    if !path.exists() && std::env::var_os("WRITE_FIXTURES").is_some() {
+        std::fs::write(&path, bytes).unwrap();
+    }
+    let expected = std::fs::read(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
+    assert_eq!(bytes.escape_ascii().to_string(), expected.escape_ascii().to_string(), "{name}");
+}
+
+/// The text with the digits behind each of these marks replaced by `N`: times differ from run to run.
+pub fn without_times(text: &str, marks: &[&str]) -> String {
+    marks.iter().fold(text.to_owned(), |text, mark| {
+        let mut parts = text.split(mark);
+        let mut output = parts.next().unwrap_or_default().to_owned();
+        for part in parts {
+            output.push_str(mark);
+            output.push('N');
+            output.push_str(part.trim_start_matches(|c: char| c.is_ascii_digit()));
+        }
+        output
+    })
+}
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -2,6 +2,8 @@
 //! driven byte by byte. All of it waits for what happens, nothing for time to pass.
 #![allow(dead_code)]
 
+pub mod fixtures;
+
 use bytes::Bytes;
 use dunespur_configuration::{Document, Table};
 use dunespur_proxy::{Front, FrontSettings, Guards, History, KeptTurn, Node, Reserve, TurnAsk, TurnKey};
@@ -571,6 +573,23 @@
         }
     }
 
+    /// The bytes of the next message, from its first line to the end of its body.
+    pub async fn raw_message(&mut self) -> Vec<u8> {
+        let mut bytes = self.until("\r\n\r\n").await;
+        let head = String::from_utf8(bytes.clone()).unwrap().to_ascii_lowercase();
+        if head.contains("\r\ntransfer-encoding: chunked\r\n") {
+            bytes.extend(self.until("0\r\n\r\n").await);
+            return bytes;
+        }
+        let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+        let length: usize = length.map_or(0, |length| length.parse().unwrap());
+        while self.buffer.len() < length {
+            assert!(self.more().await, "the message ends before its length");
+        }
+        bytes.extend(self.buffer.drain(..length));
+        bytes
+    }
+
     /// Ends the connection in order towards the other side, and goes on reading.
     pub async fn end_in_order(&mut self) {
         let _ = self.stream.shutdown().await;
--- /dev/null
+++ b/crates/proxy/tests/wire.rs
@@ -0,0 +1,345 @@
+//! The bytes on the wire, held by files in `fixtures/wire`: each refusal's answer, requests as servers get them,
+//! answers and event streams as clients get them.
+
+mod support;
+
+use dunespur_proxy::{serve_ready, FrontSettings, History, Reserve};
+use support::fixtures::{assert_fixture, without_times};
+use support::*;
+use tokio::net::{TcpListener, TcpStream};
+
+const TURN: &str = "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
+
+/// What becomes of the client's connection after the answer.
+#[derive(Clone, Copy, PartialEq)]
+enum Then {
+    StaysOpen,
+    Closes,
+}
+
+/// A request that no server's answer is had for.
+struct Refused {
+    name: &'static str,
+    request: String,
+    prepare: fn(&TestNode),
+    then: Then,
+}
+
+fn refused(name: &'static str, request: impl Into<String>, then: Then) -> Refused {
+    Refused { name, request: request.into(), prepare: |_| {}, then }
+}
+
+fn prepared(name: &'static str, request: impl Into<String>, prepare: fn(&TestNode)) -> Refused {
+    Refused { name, request: request.into(), prepare, then: Then::StaysOpen }
+}
+
+fn configure(node: &TestNode, from: &str, to: &str) {
+    assert!(CONFIGURATION.contains(from));
+    *node.table.borrow_mut() = Some(table(&CONFIGURATION.replace(from, to)));
+}
+
+fn short_streams(node: &TestNode) {
+    configure(node, r#""timeout_ms":20000,"target_ms":200"#, r#""timeout_ms":50,"target_ms":200"#);
+}
+
+fn malformed() -> Vec<Refused> {
+    let head = "POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n";
+    vec![
+        refused("no_host", "GET /read/ HTTP/1.1\r\nX-Dunespur-Request-Id: r1\r\n\r\n", Then::Closes),
+        refused("bad_deadline", get("/read/", "r1").replace("Ms: 15000", "Ms: soon"), Then::Closes),
+        refused("bad_budget", post("/stream/", "r1", "Budget: much\r\n", ""), Then::Closes),
+        refused("no_id", "GET /read/ HTTP/1.1\r\nHost: h.example\r\n\r\n", Then::StaysOpen),
+        refused("bad_request_line", "BAD\r\n\r\n", Then::Closes),
+        refused(
+            "two_lengths",
+            format!("{head}Content-Length: 1\r\nContent-Length: 2\r\n\r\nab"),
+            Then::Closes,
+        ),
+        refused("bad_chunk", format!("{head}Transfer-Encoding: chunked\r\n\r\nzz\r\n"), Then::Closes),
+        refused("old_version", get("/read/", "r1").replace("HTTP/1.1", "HTTP/1.0"), Then::Closes),
+        refused("long_head", get(&format!("/read/{}", "y".repeat(30_000)), "r1"), Then::Closes),
+        refused("too_large", format!("{head}Content-Length: 100001\r\n\r\n"), Then::Closes),
+        Refused {
+            name: "slow_body",
+            request: format!("{head}Content-Length: 10\r\n\r\nhalf").replace("/write/", "/short/"),
+            prepare: |_| {},
+            then: Then::Closes,
+        },
+        Refused {
+            name: "slow_head",
+            request: "GET /read/ HTTP/1.1\r\nHost".to_owned(),
+            prepare: |node| configure(node, r#""header_timeout_ms":3000"#, r#""header_timeout_ms":1"#),
+            then: Then::Closes,
+        },
+    ]
+}
+
+fn not_admitted() -> Vec<Refused> {
+    let turn = |more: &str| post("/turn/", "r1", &format!("{TURN}{more}"), "x");
+    vec![
+        refused("no_route", get("/nowhere/", "r1"), Then::StaysOpen),
+        refused(
+            "no_route_unread",
+            post("/nowhere/", "r1", "", "").replace("Length: 0", "Length: 9"),
+            Then::Closes,
+        ),
+        prepared("no_route_out_of_touch", get("/nowhere/", "r1"), |node| node.out_of_touch.set(true)),
+        prepared("no_configuration", get("/read/", "r1"), |node| *node.table.borrow_mut() = None),
+        prepared("budget_spent", turn(""), |node| node.reserve.set(Reserve::Spent)),
+        prepared("budget_unknown", turn(""), |node| node.reserve.set(Reserve::Wait { retry_after_ms: 80 })),
+        prepared("admission_late", post("/stream/", "r1", TURN, "x"), |node| {
+            short_streams(node);
+            node.admissions.forget_permits(1000);
+        }),
+        prepared("previous_unknown", turn("Previous: r0\r\n"), |node| {
+            *node.history.borrow_mut() = History::Unknown;
+        }),
+        prepared("previous_unsure", turn("Previous: r0\r\n"), |node| {
+            *node.history.borrow_mut() = History::Unsure { retry_after_ms: 12_345 };
+        }),
+        refused("persisted_turn_resumed", turn("Last-Event-Id: 3\r\n"), Then::StaysOpen),
+        prepared("no_endpoint", get("/read/", "r1"), |node| node.servers.borrow_mut().clear()),
+        prepared("overloaded", get("/read/", "r1"), |node| node.refuse.set(Some(1250))),
+        refused("no_memory", post("/write/", "r1", "", &"x".repeat(2000)), Then::StaysOpen),
+        refused("head_of_no_route", get("/nowhere/", "r1").replace("GET", "HEAD"), Then::StaysOpen),
+    ]
+}
+
+#[test]
+fn refusals_before_any_server_is_asked() {
+    for case in malformed().into_iter().chain(not_admitted()) {
+        play(async move {
+            let server = StandIn::start("i-1").await;
+            let settings = FrontSettings { memory_bytes: 1000, ..FrontSettings::default() };
+            let gateway = Gateway::with(&[&server], settings).await;
+            (case.prepare)(&gateway.node);
+            let mut client = gateway.ask(&case.request).await;
+            let answer = if case.request.starts_with("HEAD") {
+                client.until("\r\n\r\n").await
+            } else {
+                client.raw_message().await
+            };
+            assert_fixture(&format!("wire/refused_{}.answer", case.name), &answer);
+            match case.then {
+                Then::Closes => assert!(client.is_closed().await, "{}", case.name),
+                Then::StaysOpen => assert!(client.is_silent().await, "{}", case.name),
+            }
+            assert!(server.is_untouched().await, "{}", case.name);
+        });
+    }
+}
+
+/// How a server ends its connection.
+#[derive(Clone, Copy)]
+enum End {
+    Stays,
+    InOrder,
+    Reset,
+}
+
+/// A request that a server gets, and what comes of its answer.
+struct Forwarded {
+    name: &'static str,
+    request: String,
+    answer: String,
+    end: End,
+}
+
+fn forwarded(name: &'static str, request: String, answer: impl Into<String>) -> Forwarded {
+    Forwarded { name, request, answer: answer.into(), end: End::Stays }
+}
+
+/// The head of a server's answer without its end.
+fn head(status: &str) -> String {
+    format!("HTTP/1.1 {status}\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s.r1\r\n")
+}
+
+fn answers_of_servers() -> Vec<Forwarded> {
+    let ok = || format!("{}Content-Length: 2\r\n\r\nok", head("200 OK"));
+    let hop = "X-Other: kept\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nUpgrade: x\r\n\
+               Priority: 0\r\nX-Dunespur-Expect-Instance: i-9\r\nExpect-Version: 3\r\nKeep-Alive: timeout=9\r\n\
+               Proxy-Connection: x\r\n";
+    let chunked = get("/write/", "r1")
+        .replace("GET", "PUT")
+        .replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n");
+    vec![
+        forwarded("post", post("/write/a%20b?c=d&e", "r1", hop, "body"), ok()),
+        forwarded("get", get("/read/", "r1"), ok()),
+        forwarded("empty_post", post("/write/", "r1", "", ""), ok()),
+        forwarded("chunked_put", format!("{chunked}3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"), ok()),
+        forwarded("absolute_target", get("/write/a?b=c", "r1").replace("GET ", "GET http://h.example:80"), ok()),
+        forwarded(
+            "turn_of_an_agent",
+            post("/resume/", "r1", &format!("{TURN}X-Dunespur-Prompt-Prefix: 5c1e07a2:800\r\nLast-Event-Id: 4\r\n"), "x"),
+            format!("{}Content-Type: text/event-stream\r\nContent-Length: 18\r\n\r\nid: 5\ndata: word\n\n", head("200 OK")),
+        ),
+        forwarded(
+            "hop_headers_of_the_answer",
+            get("/read/", "r1"),
+            format!("{}Keep-Alive: timeout=5\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-More: yes\r\nContent-Length: 2\r\n\r\nok", head("201 Made")),
+        ),
+        forwarded("chunked_answer", get("/read/", "r1"), format!("{}Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", head("200 OK"))),
+        forwarded("no_content", get("/read/", "r1"), format!("{}\r\n", head("204 No Content"))),
+        forwarded("failure", post("/write/", "r1", "", "x"), format!("{}Content-Length: 6\r\n\r\nfailed", head("500 X"))),
+        forwarded("final_refusal", post("/write/", "r1", "", "x"), format!("{}Content-Length: 0\r\n\r\n", head("409 Conflict"))),
+        Forwarded { end: End::InOrder, ..forwarded("until_close", get("/read/", "r1"), format!("{}\r\nok", head("200 OK"))) },
+    ]
+}
+
+fn answers_that_can_not_be_used() -> Vec<Forwarded> {
+    let write = || post("/write/", "r1", "", "x");
+    let turned_away = format!("{}X-Dunespur-Not-Executed: full\r\nContent-Length: 0\r\n\r\n", head("503 X"));
+    vec![
+        forwarded("turned_away", write(), turned_away),
+        forwarded("misdirected", write(), format!("{}Content-Length: 0\r\n\r\n", head("421 X"))),
+        forwarded("unbacked_promise", write(), format!("{}Content-Length: 0\r\n\r\n", head("503 X"))),
+        forwarded(
+            "other_id",
+            write(),
+            format!("{}Content-Length: 0\r\n\r\n", head("200 OK").replace("r1\r\n", "r2\r\n")),
+        ),
+        forwarded("no_http", write(), "\x01\x02garbage\r\n\r\n"),
+        Forwarded {
+            end: End::InOrder,
+            ..forwarded("half_an_answer", write(), format!("{}Content-Length: 9\r\n\r\nhalf", head("200 OK")))
+        },
+        Forwarded { end: End::Reset, ..forwarded("reset", write(), "") },
+        forwarded("silence", post("/short/", "r1", "", "x"), ""),
+        forwarded(
+            "persisted_turn_without_events",
+            post("/turn/", "r1", TURN, "x"),
+            format!("{}Content-Type: text/plain\r\nContent-Length: 2\r\n\r\nok", head("200 OK")),
+        ),
+    ]
+}
+
+#[test]
+fn requests_as_servers_get_them_and_answers_as_clients_do() {
+    for case in answers_of_servers().into_iter().chain(answers_that_can_not_be_used()) {
+        play(async move {
+            let server = StandIn::start("i-1").await;
+            let gateway = Gateway::start(&[&server]).await;
+            gateway.node.engine_priority.set(Some(2));
+            let mut client = gateway.ask(&case.request).await;
+            let mut connection = server.accept().await;
+            let message = String::from_utf8(connection.raw_message().await).unwrap();
+            let message = without_times(&message, &["x-dunespur-deadline-ms: "]);
+            assert_fixture(&format!("wire/{}.request", case.name), message.as_bytes());
+            connection.send(case.answer.as_bytes()).await;
+            match case.end {
+                End::Stays => {}
+                End::InOrder => connection.end_in_order().await,
+                End::Reset => connection.reset(),
+            }
+            assert_fixture(&format!("wire/{}.answer", case.name), &client.raw_message().await);
+            assert!(client.is_silent().await, "{}", case.name);
+        });
+    }
+}
+
+#[test]
+fn an_expected_continue_is_sent() {
+    play(async {
+        let server = StandIn::start("i-1").await;
+        let gateway = Gateway::start(&[&server]).await;
+        let request = post("/write/", "r1", "Expect: 100-continue\r\n", "body");
+        let (head, body) = request.split_at(request.len() - 4);
+        let mut client = gateway.ask(head).await;
+        assert_fixture("wire/expect_continue.interim", &client.until("\r\n\r\n").await);
+        client.send(body.as_bytes()).await;
+        let (mut connection, message) = server.take().await;
+        assert_eq!(message.text(), "body");
+        connection.answer(200, "r1", "", "ok").await;
+        assert_fixture("wire/expect_continue.answer", &client.raw_message().await);
+    });
+}
+
+/// Sends three events one by one, each once the one before has arrived, and ends so.
+async fn stream_of_events(path: &str, end: End) -> Vec<u8> {
+    let server = StandIn::start("i-1").await;
+    let gateway = Gateway::start(&[&server]).await;
+    let mut client = gateway.ask(&post(path, "r1", TURN, "x")).await;
+    let (mut connection, _) = server.take().await;
+    connection.stream_head("r1", "X-Versions: 1\r\n").await;
+    let mut answer = Vec::new();
+    for id in 1..=3 {
+        connection.chunk(&event(id)).await;
+        answer.extend(client.until("\n\n\r\n").await);
+    }
+    match end {
+        End::Stays => connection.last_chunk().await,
+        End::InOrder => drop(connection),
+        End::Reset => connection.reset(),
+    }
+    if matches!(end, End::Stays) {
+        answer.extend(client.until("0\r\n\r\n").await);
+        assert!(client.is_silent().await);
+    } else {
+        answer.extend(client.rest().await);
+    }
+    answer
+}
+
+#[test]
+fn streams_of_events_as_clients_get_them() {
+    for (name, path, end) in [
+        ("whole", "/stream/", End::Stays),
+        ("persisted", "/turn/", End::Stays),
+        ("closed", "/stream/", End::InOrder),
+        ("reset", "/stream/", End::Reset),
+    ] {
+        play(async move {
+            assert_fixture(&format!("wire/events_{name}.answer"), &stream_of_events(path, end).await);
+        });
+    }
+}
+
+#[test]
+fn a_long_answer_cut_short_ends_without_its_last_chunk() {
+    play(async {
+        let server = StandIn::start("i-1").await;
+        let gateway = Gateway::start(&[&server]).await;
+        let mut client = gateway.ask(&get("/write/", "r1")).await;
+        let (mut connection, _) = server.take().await;
+        connection.send(format!("{}Transfer-Encoding: chunked\r\n\r\n", head("200 OK")).as_bytes()).await;
+        connection.chunk(&"x".repeat(80_000)).await;
+        assert_fixture("wire/cut_chunked.head", &client.until("\r\n\r\n").await);
+        drop(connection);
+        assert!(client.rest().await.ends_with(b"x\r\n"));
+    });
+}
+
+#[test]
+fn answers_while_it_drains_end_their_connections() {
+    play(async {
+        let server = StandIn::start("i-1").await;
+        let gateway = Gateway::start(&[&server]).await;
+        gateway.front.drain();
+        let mut client = gateway.ask(&get("/read/", "r1")).await;
+        let (mut connection, _) = server.take().await;
+        connection.answer(200, "r1", "", "ok").await;
+        assert_fixture("wire/draining.answer", &client.raw_message().await);
+        assert!(client.is_closed().await);
+        let mut client = gateway.ask(&get("/nowhere/", "r2")).await;
+        assert_fixture("wire/draining_refused.answer", &client.raw_message().await);
+        assert!(client.is_closed().await);
+    });
+}
+
+#[test]
+fn answers_of_the_ready_address() {
+    play(async {
+        let node = TestNode::new(Vec::new());
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = listener.local_addr().unwrap();
+        tokio::task::spawn_local(serve_ready(node.clone(), listener));
+        let mut caller = Peer::new(TcpStream::connect(address).await.unwrap());
+        for (name, ready, path) in
+            [("yes", true, "/api/readyz"), ("no", false, "/api/readyz"), ("elsewhere", true, "/else")]
+        {
+            node.ready.set(ready);
+            caller.send(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).await;
+            assert_fixture(&format!("wire/ready_{name}.answer"), &caller.raw_message().await);
+        }
+    });
+}
