--- a/crates/serving/proxy/tests/log_lines.rs
+++ b/crates/serving/proxy/tests/log_lines.rs
@@ -6,7 +6,8 @@
 use support::fixtures::{assert_fixture, without_times};
 use support::*;
 
-const TURN: &str = "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
+const TURN: &str =
+    "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
 
 thread_local! {
     static LINES: RefCell<String> = const { RefCell::new(String::new()) };
@@ -48,7 +49,9 @@
         let gateway = Gateway::start(&[&server]).await;
         let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = server.take().await;
-        connection.answer(200, "r1", "Keep-Alive: timeout=5\r\n", "ok").await;
+        connection
+            .answer(200, "r1", "Keep-Alive: timeout=5\r\n", "ok")
+            .await;
         client.message().await;
         let mut client = gateway.ask(&get("/read/", "r2")).await;
         connection.message().await;
@@ -65,7 +68,9 @@
         let gateway = Gateway::start(&[&dead, &full, &good]).await;
         let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = full.take().await;
-        connection.answer(503, "r1", "X-Dunespur-Not-Executed: full\r\n", "full").await;
+        connection
+            .answer(503, "r1", "X-Dunespur-Not-Executed: full\r\n", "full")
+            .await;
         let (connection, _) = good.take().await;
         connection.reset();
         client.message().await;
@@ -77,7 +82,14 @@
     play_lines("turn", async {
         let server = StandIn::start("i-1").await;
         let gateway = Gateway::start(&[&server]).await;
-        let mut client = gateway.ask(&post("/turn/", "r 1", &format!("{TURN}Previous: r0\r\n"), "x")).await;
+        let mut client = gateway
+            .ask(&post(
+                "/turn/",
+                "r 1",
+                &format!("{TURN}Previous: r0\r\n"),
+                "x",
+            ))
+            .await;
         let (mut connection, _) = server.take().await;
         connection.stream_head("r 1", "").await;
         connection.chunk(&event(1)).await;
--- a/crates/serving/proxy/tests/support/fixtures.rs
+++ b/crates/serving/proxy/tests/support/fixtures.rs
@@ -6,12 +6,18 @@
 
 /// Compares these bytes with the file of this name.
 pub fn assert_fixture(name: &str, bytes: &[u8]) {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name);
     if !path.exists() && std::env::var_os("WRITE_FIXTURES").is_some() {
         std::fs::write(&path, bytes).unwrap();
     }
     let expected = std::fs::read(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
-    assert_eq!(bytes.escape_ascii().to_string(), expected.escape_ascii().to_string(), "{name}");
+    assert_eq!(
+        bytes.escape_ascii().to_string(),
+        expected.escape_ascii().to_string(),
+        "{name}"
+    );
 }
 
 /// The text with the digits behind each of these marks replaced by `N`: times differ from run to run.
--- a/crates/serving/proxy/tests/support/mod.rs
+++ b/crates/serving/proxy/tests/support/mod.rs
@@ -673,12 +673,16 @@
     /// The bytes of the next message, from its first line to the end of its body.
     pub async fn raw_message(&mut self) -> Vec<u8> {
         let mut bytes = self.until("\r\n\r\n").await;
-        let head = String::from_utf8(bytes.clone()).unwrap().to_ascii_lowercase();
+        let head = String::from_utf8(bytes.clone())
+            .unwrap()
+            .to_ascii_lowercase();
         if head.contains("\r\ntransfer-encoding: chunked\r\n") {
             bytes.extend(self.until("0\r\n\r\n").await);
             return bytes;
         }
-        let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+        let length = head
+            .lines()
+            .find_map(|line| line.strip_prefix("content-length: "));
         let length: usize = length.map_or(0, |length| length.parse().unwrap());
         while self.buffer.len() < length {
             assert!(self.more().await, "the message ends before its length");
--- a/crates/serving/proxy/tests/wire.rs
+++ b/crates/serving/proxy/tests/wire.rs
@@ -8,7 +8,8 @@
 use support::*;
 use tokio::net::{TcpListener, TcpStream};
 
-const TURN: &str = "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
+const TURN: &str =
+    "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
 
 /// What becomes of the client's connection after the answer.
 #[derive(Clone, Copy, PartialEq)]
@@ -26,11 +27,21 @@
 }
 
 fn refused(name: &'static str, request: impl Into<String>, then: Then) -> Refused {
-    Refused { name, request: request.into(), prepare: |_| {}, then }
+    Refused {
+        name,
+        request: request.into(),
+        prepare: |_| {},
+        then,
+    }
 }
 
 fn prepared(name: &'static str, request: impl Into<String>, prepare: fn(&TestNode)) -> Refused {
-    Refused { name, request: request.into(), prepare, then: Then::StaysOpen }
+    Refused {
+        name,
+        request: request.into(),
+        prepare,
+        then: Then::StaysOpen,
+    }
 }
 
 fn configure(node: &TestNode, from: &str, to: &str) {
@@ -39,26 +50,62 @@
 }
 
 fn short_streams(node: &TestNode) {
-    configure(node, r#""timeout_ms":20000,"target_ms":200"#, r#""timeout_ms":50,"target_ms":200"#);
+    configure(
+        node,
+        r#""timeout_ms":20000,"target_ms":200"#,
+        r#""timeout_ms":50,"target_ms":200"#,
+    );
 }
 
 fn malformed() -> Vec<Refused> {
     let head = "POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n";
     vec![
-        refused("no_host", "GET /read/ HTTP/1.1\r\nX-Dunespur-Request-Id: r1\r\n\r\n", Then::Closes),
-        refused("bad_deadline", get("/read/", "r1").replace("Ms: 15000", "Ms: soon"), Then::Closes),
-        refused("bad_budget", post("/stream/", "r1", "Budget: much\r\n", ""), Then::Closes),
-        refused("no_id", "GET /read/ HTTP/1.1\r\nHost: h.example\r\n\r\n", Then::StaysOpen),
+        refused(
+            "no_host",
+            "GET /read/ HTTP/1.1\r\nX-Dunespur-Request-Id: r1\r\n\r\n",
+            Then::Closes,
+        ),
+        refused(
+            "bad_deadline",
+            get("/read/", "r1").replace("Ms: 15000", "Ms: soon"),
+            Then::Closes,
+        ),
+        refused(
+            "bad_budget",
+            post("/stream/", "r1", "Budget: much\r\n", ""),
+            Then::Closes,
+        ),
+        refused(
+            "no_id",
+            "GET /read/ HTTP/1.1\r\nHost: h.example\r\n\r\n",
+            Then::StaysOpen,
+        ),
         refused("bad_request_line", "BAD\r\n\r\n", Then::Closes),
         refused(
             "two_lengths",
             format!("{head}Content-Length: 1\r\nContent-Length: 2\r\n\r\nab"),
             Then::Closes,
         ),
-        refused("bad_chunk", format!("{head}Transfer-Encoding: chunked\r\n\r\nzz\r\n"), Then::Closes),
-        refused("old_version", get("/read/", "r1").replace("HTTP/1.1", "HTTP/1.0"), Then::Closes),
-        refused("long_head", get(&format!("/read/{}", "y".repeat(30_000)), "r1"), Then::Closes),
-        refused("too_large", format!("{head}Content-Length: 100001\r\n\r\n"), Then::Closes),
+        refused(
+            "bad_chunk",
+            format!("{head}Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
+            Then::Closes,
+        ),
+        refused(
+            "old_version",
+            get("/read/", "r1").replace("HTTP/1.1", "HTTP/1.0"),
+            Then::Closes,
+        ),
+        refused(
+            "long_head",
+            get(&format!("/read/{}", "y".repeat(30_000)), "r1"),
+            Then::Closes,
+        ),
+        refused(
+            "too_large",
+            format!("{head}Content-Length: 100001\r\n\r\n"),
+            Then::Closes,
+        ),
         Refused {
             name: "slow_body",
             request: format!("{head}Content-Length: 10\r\n\r\nhalf").replace("/write/", "/short/"),
@@ -68,7 +115,13 @@
         Refused {
             name: "slow_head",
             request: "GET /read/ HTTP/1.1\r\nHost".to_owned(),
-            prepare: |node| configure(node, r#""header_timeout_ms":3000"#, r#""header_timeout_ms":1"#),
+            prepare: |node| {
+                configure(
+                    node,
+                    r#""header_timeout_ms":3000"#,
+                    r#""header_timeout_ms":1"#,
+                )
+            },
             then: Then::Closes,
         },
     ]
@@ -83,25 +136,55 @@
             post("/nowhere/", "r1", "", "").replace("Length: 0", "Length: 9"),
             Then::Closes,
         ),
-        prepared("no_route_out_of_touch", get("/nowhere/", "r1"), |node| node.out_of_touch.set(true)),
-        prepared("no_configuration", get("/read/", "r1"), |node| *node.table.borrow_mut() = None),
-        prepared("budget_spent", turn(""), |node| node.reserve.set(Reserve::Spent)),
-        prepared("budget_unknown", turn(""), |node| node.reserve.set(Reserve::Wait { retry_after_ms: 80 })),
-        prepared("admission_late", post("/stream/", "r1", TURN, "x"), |node| {
-            short_streams(node);
-            node.admissions.forget_permits(1000);
+        prepared("no_route_out_of_touch", get("/nowhere/", "r1"), |node| {
+            node.out_of_touch.set(true)
+        }),
+        prepared("no_configuration", get("/read/", "r1"), |node| {
+            *node.table.borrow_mut() = None
+        }),
+        prepared("budget_spent", turn(""), |node| {
+            node.reserve.set(Reserve::Spent)
         }),
+        prepared("budget_unknown", turn(""), |node| {
+            node.reserve.set(Reserve::Wait { retry_after_ms: 80 })
+        }),
+        prepared(
+            "admission_late",
+            post("/stream/", "r1", TURN, "x"),
+            |node| {
+                short_streams(node);
+                node.admissions.forget_permits(1000);
+            },
+        ),
         prepared("previous_unknown", turn("Previous: r0\r\n"), |node| {
             *node.history.borrow_mut() = History::Unknown;
         }),
         prepared("previous_unsure", turn("Previous: r0\r\n"), |node| {
-            *node.history.borrow_mut() = History::Unsure { retry_after_ms: 12_345 };
+            *node.history.borrow_mut() = History::Unsure {
+                retry_after_ms: 12_345,
+            };
         }),
-        refused("persisted_turn_resumed", turn("Last-Event-Id: 3\r\n"), Then::StaysOpen),
-        prepared("no_endpoint", get("/read/", "r1"), |node| node.servers.borrow_mut().clear()),
-        prepared("overloaded", get("/read/", "r1"), |node| node.refuse.set(Some(1250))),
-        refused("no_memory", post("/write/", "r1", "", &"x".repeat(2000)), Then::StaysOpen),
-        refused("head_of_no_route", get("/nowhere/", "r1").replace("GET", "HEAD"), Then::StaysOpen),
+        refused(
+            "persisted_turn_resumed",
+            turn("Last-Event-Id: 3\r\n"),
+            Then::StaysOpen,
+        ),
+        prepared("no_endpoint", get("/read/", "r1"), |node| {
+            node.servers.borrow_mut().clear()
+        }),
+        prepared("overloaded", get("/read/", "r1"), |node| {
+            node.refuse.set(Some(1250))
+        }),
+        refused(
+            "no_memory",
+            post("/write/", "r1", "", &"x".repeat(2000)),
+            Then::StaysOpen,
+        ),
+        refused(
+            "head_of_no_route",
+            get("/nowhere/", "r1").replace("GET", "HEAD"),
+            Then::StaysOpen,
+        ),
     ]
 }
 
@@ -110,7 +193,10 @@
     for case in malformed().into_iter().chain(not_admitted()) {
         play(async move {
             let server = StandIn::start("i-1").await;
-            let settings = FrontSettings { memory_bytes: 1000, ..FrontSettings::default() };
+            let settings = FrontSettings {
+                memory_bytes: 1000,
+                ..FrontSettings::default()
+            };
             let gateway = Gateway::with(&[&server], settings).await;
             (case.prepare)(&gateway.node);
             let mut client = gateway.ask(&case.request).await;
@@ -146,7 +232,12 @@
 }
 
 fn forwarded(name: &'static str, request: String, answer: impl Into<String>) -> Forwarded {
-    Forwarded { name, request, answer: answer.into(), end: End::Stays }
+    Forwarded {
+        name,
+        request,
+        answer: answer.into(),
+        end: End::Stays,
+    }
 }
 
 /// The head of a server's answer without its end.
@@ -188,34 +279,61 @@
 
 fn answers_that_can_not_be_used() -> Vec<Forwarded> {
     let write = || post("/write/", "r1", "", "x");
-    let turned_away = format!("{}X-Dunespur-Not-Executed: full\r\nContent-Length: 0\r\n\r\n", head("503 X"));
+    let turned_away = format!(
+        "{}X-Dunespur-Not-Executed: full\r\nContent-Length: 0\r\n\r\n",
+        head("503 X")
+    );
     vec![
         forwarded("turned_away", write(), turned_away),
-        forwarded("misdirected", write(), format!("{}Content-Length: 0\r\n\r\n", head("421 X"))),
-        forwarded("unbacked_promise", write(), format!("{}Content-Length: 0\r\n\r\n", head("503 X"))),
+        forwarded(
+            "misdirected",
+            write(),
+            format!("{}Content-Length: 0\r\n\r\n", head("421 X")),
+        ),
+        forwarded(
+            "unbacked_promise",
+            write(),
+            format!("{}Content-Length: 0\r\n\r\n", head("503 X")),
+        ),
         forwarded(
             "other_id",
             write(),
-            format!("{}Content-Length: 0\r\n\r\n", head("200 OK").replace("r1\r\n", "r2\r\n")),
+            format!(
+                "{}Content-Length: 0\r\n\r\n",
+                head("200 OK").replace("r1\r\n", "r2\r\n")
+            ),
         ),
         forwarded("no_http", write(), "\x01\x02garbage\r\n\r\n"),
         Forwarded {
             end: End::InOrder,
-            ..forwarded("half_an_answer", write(), format!("{}Content-Length: 9\r\n\r\nhalf", head("200 OK")))
+            ..forwarded(
+                "half_an_answer",
+                write(),
+                format!("{}Content-Length: 9\r\n\r\nhalf", head("200 OK")),
+            )
+        },
+        Forwarded {
+            end: End::Reset,
+            ..forwarded("reset", write(), "")
         },
-        Forwarded { end: End::Reset, ..forwarded("reset", write(), "") },
         forwarded("silence", post("/short/", "r1", "", "x"), ""),
         forwarded(
             "persisted_turn_without_events",
             post("/turn/", "r1", TURN, "x"),
-            format!("{}Content-Type: text/plain\r\nContent-Length: 2\r\n\r\nok", head("200 OK")),
+            format!(
+                "{}Content-Type: text/plain\r\nContent-Length: 2\r\n\r\nok",
+                head("200 OK")
+            ),
         ),
     ]
 }
 
 #[test]
 fn requests_as_servers_get_them_and_answers_as_clients_do() {
-    for case in answers_of_servers().into_iter().chain(answers_that_can_not_be_used()) {
+    for case in answers_of_servers()
+        .into_iter()
+        .chain(answers_that_can_not_be_used())
+    {
         play(async move {
             let server = StandIn::start("i-1").await;
             let gateway = Gateway::start(&[&server]).await;
@@ -231,7 +349,10 @@
                 End::InOrder => connection.end_in_order().await,
                 End::Reset => connection.reset(),
             }
-            assert_fixture(&format!("wire/{}.answer", case.name), &client.raw_message().await);
+            assert_fixture(
+                &format!("wire/{}.answer", case.name),
+                &client.raw_message().await,
+            );
             assert!(client.is_silent().await, "{}", case.name);
         });
     }
@@ -245,7 +366,10 @@
         let request = post("/write/", "r1", "Expect: 100-continue\r\n", "body");
         let (head, body) = request.split_at(request.len() - 4);
         let mut client = gateway.ask(head).await;
-        assert_fixture("wire/expect_continue.interim", &client.until("\r\n\r\n").await);
+        assert_fixture(
+            "wire/expect_continue.interim",
+            &client.until("\r\n\r\n").await,
+        );
         client.send(body.as_bytes()).await;
         let (mut connection, message) = server.take().await;
         assert_eq!(message.text(), "body");
@@ -289,7 +413,10 @@
         ("reset", "/stream/", End::Reset),
     ] {
         play(async move {
-            assert_fixture(&format!("wire/events_{name}.answer"), &stream_of_events(path, end).await);
+            assert_fixture(
+                &format!("wire/events_{name}.answer"),
+                &stream_of_events(path, end).await,
+            );
         });
     }
 }
@@ -301,7 +428,9 @@
         let gateway = Gateway::start(&[&server]).await;
         let mut client = gateway.ask(&get("/write/", "r1")).await;
         let (mut connection, _) = server.take().await;
-        connection.send(format!("{}Transfer-Encoding: chunked\r\n\r\n", head("200 OK")).as_bytes()).await;
+        connection
+            .send(format!("{}Transfer-Encoding: chunked\r\n\r\n", head("200 OK")).as_bytes())
+            .await;
         connection.chunk(&"x".repeat(80_000)).await;
         assert_fixture("wire/cut_chunked.head", &client.until("\r\n\r\n").await);
         drop(connection);
@@ -334,12 +463,19 @@
         let address = listener.local_addr().unwrap();
         tokio::task::spawn_local(serve_ready(node.clone(), listener));
         let mut caller = Peer::new(TcpStream::connect(address).await.unwrap());
-        for (name, ready, path) in
-            [("yes", true, "/api/readyz"), ("no", false, "/api/readyz"), ("elsewhere", true, "/else")]
-        {
+        for (name, ready, path) in [
+            ("yes", true, "/api/readyz"),
+            ("no", false, "/api/readyz"),
+            ("elsewhere", true, "/else"),
+        ] {
             node.ready.set(ready);
-            caller.send(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).await;
-            assert_fixture(&format!("wire/ready_{name}.answer"), &caller.raw_message().await);
+            caller
+                .send(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
+                .await;
+            assert_fixture(
+                &format!("wire/ready_{name}.answer"),
+                &caller.raw_message().await,
+            );
         }
     });
 }
