--- a/crates/serving/dunespur/src/budgets.rs
+++ b/crates/serving/dunespur/src/budgets.rs
@@ -7,7 +7,7 @@
 use crate::trace::{self, Stopwatch};
 use dunespur_budget::{Admission, CounterRequest, LeaseBook, LimiterId, Refusal, TurnOutcome};
 use dunespur_control_state::{Operation, Outcome};
-use dunespur_proxy::{Reserve, TurnAsk, TurnKey};
+use dunespur_proxy::{AdmissionDecision, AdmissionRequest, TurnKey};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::{Rc, Weak};
@@ -50,13 +50,13 @@
     }
 
     /// Sets aside the most that a turn may generate.
-    pub async fn reserve(&self, ask: TurnAsk<'_>) -> Reserve {
+    pub async fn reserve(&self, ask: AdmissionRequest<'_>) -> AdmissionDecision {
         let turn = self.next_turn.replace(self.next_turn.get() + 1);
         let now = self.clock.now();
-        let admission = self
-            .book
-            .borrow_mut()
-            .admit(ask.program, ask.budget, ask.most, turn, now);
+        let admission =
+            self.book
+                .borrow_mut()
+                .admit(ask.program, ask.budget, ask.max_tokens, turn, now);
         self.rescheduled.notify_one();
         let admission = match admission {
             Admission::Ask(request) => {
@@ -68,12 +68,12 @@
             decided => decided,
         };
         match admission {
-            Admission::Admitted => Reserve::Admitted(TurnKey(turn)),
-            Admission::Refused(Refusal::Spent) => Reserve::Spent,
+            Admission::Admitted => AdmissionDecision::Admitted(TurnKey(turn)),
+            Admission::Refused(Refusal::Spent) => AdmissionDecision::BudgetSpent,
             Admission::Refused(Refusal::Elsewhere { retry_after_ms }) => {
-                Reserve::Wait { retry_after_ms }
+                AdmissionDecision::RetryLater { retry_after_ms }
             }
-            _ => Reserve::Wait {
+            _ => AdmissionDecision::RetryLater {
                 retry_after_ms: SILENT_RETRY_MS,
             },
         }
--- a/crates/serving/dunespur/src/explain/tell.rs
+++ b/crates/serving/dunespur/src/explain/tell.rs
@@ -127,23 +127,23 @@
         ),
         "choice" => return Some(choice_words(event)),
         "why" => return Some(reason_words(event)),
-        "try" => (
+        "attempt" => (
             format!(
                 "sent to {} over a {} connection",
                 get("server"),
-                get("over")
+                get("connection")
             ),
-            vec!["server", "over"],
+            vec!["server", "connection"],
         ),
         "first_event" => ("the answer begins".to_owned(), vec![]),
-        "verdict" => (
+        "response" => (
             format!(
-                "{} answered {}: {}",
+                "{} responded {}: {}",
                 get("server"),
                 get("status"),
-                get("verdict")
+                get("kind")
             ),
-            vec!["server", "status", "verdict"],
+            vec!["server", "status", "kind"],
         ),
         "fault" => (
             format!("{}: {}", get("server"), get("fault")),
@@ -179,12 +179,12 @@
             "what the turn has not used of its budget is free".to_owned(),
             vec![],
         ),
-        "answered" => (
-            format!("answer to the client: {}", get("status")),
+        "responded" => (
+            format!("response to the client: {}", get("status")),
             vec!["status"],
         ),
-        "refused" => (
-            format!("refused with {}: {}", get("status"), get("reason")),
+        "rejected" => (
+            format!("rejected with {}: {}", get("status"), get("reason")),
             vec!["status", "reason"],
         ),
         "ended" => (format!("answer ended: {}", get("end")), vec!["end"]),
--- a/crates/serving/dunespur/src/gateway.rs
+++ b/crates/serving/dunespur/src/gateway.rs
@@ -17,7 +17,7 @@
 use anyhow::Context;
 use dunespur_budget::LimiterId;
 use dunespur_load_distribution::Identity;
-use dunespur_proxy::{serve_ready, Front, FrontSettings};
+use dunespur_proxy::{serve_readiness, ProxyServer, ProxySettings};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -57,7 +57,7 @@
         settings.copies(),
         clock,
     );
-    let front = Front::new(plane.clone(), front_settings(&settings));
+    let front = ProxyServer::new(plane.clone(), front_settings(&settings));
 
     let status = GatewayStatus {
         settings: settings.clone(),
@@ -70,7 +70,7 @@
     start_internal(&settings, clock, status).await?;
     start_control(&settings, &directory, plane.homes()).await?;
     if let Some(ready) = settings.listen.ready {
-        spawn_local(serve_ready(plane.clone(), listen(ready).await?));
+        spawn_local(serve_readiness(plane.clone(), listen(ready).await?));
     }
     if let Some(address) = settings.listen.front {
         spawn_local(front.clone().serve(listen(address).await?));
@@ -165,18 +165,18 @@
     Ok(())
 }
 
-fn front_settings(settings: &Settings) -> FrontSettings {
+fn front_settings(settings: &Settings) -> ProxySettings {
     let sockets = settings
         .limits
         .max_fds
         .saturating_sub(SPARE_DESCRIPTORS)
         .max(64) as usize;
     let memory = (settings.limits.memory_mb as usize) << 20;
-    FrontSettings {
+    ProxySettings {
         max_connections: sockets / 2,
-        max_server_connections: sockets / 2,
-        memory_bytes: memory / 4,
-        ..FrontSettings::default()
+        max_endpoint_connections: sockets / 2,
+        body_memory_bytes: memory / 4,
+        ..ProxySettings::default()
     }
 }
 
--- a/crates/serving/dunespur/src/keeping.rs
+++ b/crates/serving/dunespur/src/keeping.rs
@@ -4,7 +4,7 @@
 use crate::directory::Directory;
 use crate::messages::{encode, Reply, Request};
 use crate::trace;
-use dunespur_proxy::{History, KeptTurn};
+use dunespur_proxy::{CompletedTurn, History};
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use dunespur_turn_replication::read::{Outcome, Reading};
 use dunespur_turn_replication::roster::Store;
@@ -46,7 +46,7 @@
     pub async fn history(&self, program: &str, previous: &str) -> History {
         let stores = self.stores();
         if stores.is_empty() {
-            return History::Unsure {
+            return History::Unavailable {
                 retry_after_ms: UNSURE_RETRY_MS,
             };
         }
@@ -63,7 +63,7 @@
                 Some(Outcome::Chain(turns)) => return History::Found(pieces(turns)),
                 Some(Outcome::Unknown) => return History::Unknown,
                 Some(Outcome::Unsure | Outcome::TooLong) => {
-                    return History::Unsure {
+                    return History::Unavailable {
                         retry_after_ms: UNSURE_RETRY_MS,
                     };
                 }
@@ -87,7 +87,7 @@
     }
 
     /// Keeps a turn; true once enough stores have it on their disks.
-    pub async fn keep(&self, kept: KeptTurn) -> bool {
+    pub async fn keep(&self, kept: CompletedTurn) -> bool {
         let stores = self.stores();
         let clock = self.directory.clock();
         let turn = Turn {
--- a/crates/serving/dunespur/src/plane.rs
+++ b/crates/serving/dunespur/src/plane.rs
@@ -1,4 +1,4 @@
-//! The data plane's side of a gateway: answers what a [`Front`](dunespur_proxy::Front) asks of its node.
+//! The data plane's side of a gateway: answers what a [`ProxyServer`](dunespur_proxy::ProxyServer) asks of its node.
 
 use crate::budgets::Budgets;
 use crate::clock::Clock;
@@ -9,7 +9,7 @@
 use dunespur_configuration::Table;
 use dunespur_control_state::{ServerReport, ServerState};
 use dunespur_load_distribution::Identity;
-use dunespur_proxy::{History, KeptTurn, Node, Reserve, TurnAsk, TurnKey};
+use dunespur_proxy::{AdmissionDecision, AdmissionRequest, CompletedTurn, History, Node, TurnKey};
 use dunespur_routing::{Ask, Choice, Chooser, EngineShape, LoadReport, Outcome, Server};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -115,11 +115,11 @@
 }
 
 impl Node for Plane {
-    fn table(&self) -> Option<Rc<Table>> {
+    fn route_table(&self) -> Option<Rc<Table>> {
         self.directory.known().table.clone()
     }
 
-    fn is_out_of_touch(&self) -> bool {
+    fn is_configuration_stale(&self) -> bool {
         self.directory.has_lost_touch()
     }
 
@@ -127,7 +127,7 @@
         self.directory.next_change().await;
     }
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         let known = self.directory.known();
         !self.leaving.get() && known.table.is_some() && !known.servers.is_empty()
     }
@@ -159,7 +159,7 @@
             .finished(key, outcome, self.clock.now());
     }
 
-    async fn reserve(&self, turn: TurnAsk<'_>) -> Reserve {
+    async fn admit(&self, turn: AdmissionRequest<'_>) -> AdmissionDecision {
         let stopwatch = Stopwatch::start(self.clock);
         let verdict = self.budgets.reserve(turn).await;
         if let Some(waited_ms) = stopwatch.took_ms() {
@@ -168,7 +168,7 @@
         verdict
     }
 
-    fn used(&self, turn: TurnKey, tokens: u64) {
+    fn record_tokens(&self, turn: TurnKey, tokens: u64) {
         self.budgets.used(turn, tokens);
     }
 
@@ -186,7 +186,7 @@
         found
     }
 
-    async fn keep(&self, turn: KeptTurn) -> bool {
+    async fn persist(&self, turn: CompletedTurn) -> bool {
         self.keeping.keep(turn).await
     }
 }
--- a/crates/serving/dunespur/src/status/gather.rs
+++ b/crates/serving/dunespur/src/status/gather.rs
@@ -12,7 +12,7 @@
 use crate::settings::{Role, Settings};
 use dunespur_chain_replication::View;
 use dunespur_control_state::{ServerReport, ServerState};
-use dunespur_proxy::{Counters, Front, Node};
+use dunespur_proxy::{Counters, Node, ProxyServer};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
@@ -44,7 +44,7 @@
     pub coordinator: Option<Rc<Coordinator>>,
     pub plane: Rc<Plane>,
     pub budgets: Rc<Budgets>,
-    pub front: Rc<Front<Plane>>,
+    pub front: Rc<ProxyServer<Plane>>,
 }
 
 impl GatewayStatus {
@@ -63,7 +63,7 @@
             .as_ref()
             .map(|coordinator| coordinator.status(MOST_LISTED));
         status.services = self.services();
-        status.front = Some(front(self.front.counters(), self.plane.ready()));
+        status.front = Some(front(self.front.counters(), self.plane.is_ready()));
         status.budgets = Some(self.budgets.status());
         status.program = program.map(|name| self.program(name));
         status
@@ -177,10 +177,10 @@
         connections: counters.connections,
         accepted: counters.accepted,
         requests: counters.requests,
-        refused: counters.refused,
+        refused: counters.rejected,
         failed: counters.failed,
-        server_connections: counters.server_connections,
-        server_connections_opened: counters.server_connections_opened,
+        server_connections: counters.endpoint_connections,
+        server_connections_opened: counters.endpoint_connections_opened,
         body_bytes: counters.body_bytes,
     }
 }
--- a/crates/serving/dunespur/src/trace.rs
+++ b/crates/serving/dunespur/src/trace.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Clock;
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest};
-use dunespur_proxy::{History, Reserve, TurnAsk};
+use dunespur_proxy::{AdmissionDecision, AdmissionRequest, History};
 use dunespur_routing::{Ask, Choice, LoadReport, Outcome};
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use std::fmt;
@@ -125,17 +125,19 @@
 }
 
 /// A turn was admitted or not; `waited_ms` is how long the verdict took.
-pub fn budget(ask: &TurnAsk, verdict: &Reserve, held: u64, waited_ms: u64) {
+pub fn budget(ask: &AdmissionRequest, verdict: &AdmissionDecision, held: u64, waited_ms: u64) {
     let verdict = match verdict {
-        Reserve::Admitted(turn) => format!("verdict=admitted turn={}", turn.0),
-        Reserve::Spent => "verdict=spent".to_owned(),
-        Reserve::Wait { retry_after_ms } => format!("verdict=wait retry_after_ms={retry_after_ms}"),
+        AdmissionDecision::Admitted(turn) => format!("verdict=admitted turn={}", turn.0),
+        AdmissionDecision::BudgetSpent => "verdict=spent".to_owned(),
+        AdmissionDecision::RetryLater { retry_after_ms } => {
+            format!("verdict=wait retry_after_ms={retry_after_ms}")
+        }
     };
     log::debug!(
         "event=budget program={} budget={} most={} {verdict} held={held} waited_ms={waited_ms}",
         Value(ask.program),
         ask.budget,
-        ask.most,
+        ask.max_tokens,
     );
 }
 
@@ -182,7 +184,7 @@
             format!("outcome=found pieces={} bytes={bytes}", pieces.len())
         }
         History::Unknown => "outcome=unknown".to_owned(),
-        History::Unsure { retry_after_ms } => {
+        History::Unavailable { retry_after_ms } => {
             format!("outcome=unsure retry_after_ms={retry_after_ms}")
         }
     };
--- a/crates/serving/dunespur/tests/explain.rs
+++ b/crates/serving/dunespur/tests/explain.rs
@@ -153,7 +153,7 @@
         "choice for service tools",
         "goes to",
         "sent to",
-        "answered 200",
+        "responded 200",
         "client: 200",
     ] {
         assert!(story(&told).contains(words), "{words}: {}", story(&told));
@@ -162,7 +162,7 @@
         .output()
         .unwrap();
     assert!(
-        story(&told).contains("refused with 404: no route"),
+        story(&told).contains("rejected with 404: no route"),
         "{}",
         story(&told)
     );
--- /dev/null
+++ b/crates/serving/proxy/src/admission.rs
@@ -0,0 +1,113 @@
+//! Admits a request: what its turn continues is looked up, what it may generate is reserved from its budget.
+
+use crate::admitted_turn::AdmittedTurn;
+use crate::body_memory::MemoryReservation;
+use crate::deadline::RequestDeadline;
+use crate::event_relay::PendingTurn;
+use crate::node::{AdmissionDecision, AdmissionRequest, CompletedTurn, History, Node};
+use crate::parsed_request::{text, ParsedRequest};
+use crate::rejection::Rejection;
+use crate::shared::Shared;
+use crate::trace;
+use bytes::{Bytes, BytesMut};
+use dunespur_configuration::{Kind, Route};
+use smallvec::SmallVec;
+
+/// When a client may retry whose turn waited for its admission until its deadline.
+const NOT_ADMITTED_RETRY_MS: u64 = 300;
+
+/// The body for the endpoint: the turns that this one continues, then its input.
+pub(crate) async fn prompt<N: Node>(
+    shared: &Shared<N>,
+    route: &Route,
+    parsed: &ParsedRequest,
+    input: &Bytes,
+    deadline: &mut RequestDeadline,
+    memory: &mut MemoryReservation,
+) -> Result<SmallVec<[Bytes; 1]>, Rejection> {
+    let mut chunks = SmallVec::new();
+    if route.persisted && parsed.last_event_id.is_some() {
+        // Only the rest of the response would come, and stored as all of it, it would be another one.
+        return Err(Rejection::RetryLater {
+            retry_after_ms: NOT_ADMITTED_RETRY_MS,
+        });
+    }
+    let previous = text(parsed.previous.as_ref()).filter(|_| route.persisted);
+    if let Some(previous) = previous {
+        let program = text(parsed.program.as_ref()).unwrap_or_default();
+        match deadline.bound(shared.node.history(program, previous)).await {
+            Some(History::Found(found)) => {
+                memory.grow(found.iter().map(Bytes::len).sum())?;
+                chunks.extend(found);
+            }
+            Some(History::Unknown) => return Err(Rejection::UnknownTurn),
+            Some(History::Unavailable { retry_after_ms }) => {
+                return Err(Rejection::RetryLater { retry_after_ms });
+            }
+            None => {
+                return Err(Rejection::RetryLater {
+                    retry_after_ms: NOT_ADMITTED_RETRY_MS,
+                })
+            }
+        }
+    }
+    chunks.push(input.clone());
+    Ok(chunks)
+}
+
+/// Reserves what a turn may generate. Requests that state no budget are no turns.
+pub(crate) async fn admit<N: Node>(
+    shared: &Shared<N>,
+    route: &Route,
+    parsed: &ParsedRequest,
+    deadline: &mut RequestDeadline,
+) -> Result<Option<AdmittedTurn<N>>, Rejection> {
+    let (Some(budget), Some(program)) = (parsed.budget, text(parsed.program.as_ref())) else {
+        return Ok(None);
+    };
+    if route.kind != Kind::Streaming {
+        return Ok(None);
+    }
+    let turn = AdmissionRequest {
+        program,
+        budget,
+        max_tokens: parsed.max_turn_tokens(),
+    };
+    match deadline.bound(shared.node.admit(turn)).await {
+        Some(AdmissionDecision::Admitted(key)) => {
+            trace::admitted(parsed, key.0);
+            Ok(Some(AdmittedTurn::new(&shared.node, key)))
+        }
+        Some(AdmissionDecision::BudgetSpent) => Err(Rejection::BudgetSpent),
+        Some(AdmissionDecision::RetryLater { retry_after_ms }) => {
+            Err(Rejection::RetryLater { retry_after_ms })
+        }
+        None => Err(Rejection::RetryLater {
+            retry_after_ms: NOT_ADMITTED_RETRY_MS,
+        }),
+    }
+}
+
+/// What is stored of the turn once its response is complete; None where its route does not persist turns.
+pub(crate) fn pending_turn<N: Node>(
+    shared: &Shared<N>,
+    route: &Route,
+    parsed: &ParsedRequest,
+    input: Bytes,
+) -> Option<PendingTurn> {
+    let turn = CompletedTurn {
+        id: parsed.id.to_str().ok()?.to_owned(),
+        previous: text(parsed.previous.as_ref()).map(str::to_owned),
+        program: text(parsed.program.as_ref()).unwrap_or_default().to_owned(),
+        input,
+        output: Bytes::new(),
+        retention_ms: route.retention_ms,
+    };
+    let is_persisted = route.persisted && route.kind == Kind::Streaming;
+    let memory = shared.body_memory.empty_reservation();
+    is_persisted.then(|| PendingTurn {
+        turn,
+        memory,
+        output: BytesMut::new(),
+    })
+}
--- a/crates/serving/proxy/src/attempt.rs
+++ b/crates/serving/proxy/src/attempt.rs
@@ -1,145 +1,114 @@
-//! One attempt to have a request answered: one connection, one send, the head of one answer.
+//! One attempt to get a response: one connection, one send, the head of one response.
 
-use crate::answer_head::{framing_of, kind_of};
-use crate::disposition::{AnswerKind, Attempt, EndedBy, Execution, Framing, Received, Repeat};
-use crate::http_headers;
-use crate::link::{ConnectError, Link};
+use crate::active_request::{ActiveRequest, ConnectionChoice};
+use crate::attempt_error::AttemptError;
+use crate::classification::{
+    Attempt, EndedBy, Execution, Framing, Idempotency, ResponseKind, ResponseProgress, RetryRule,
+};
+use crate::connection_pool::KeepAliveTerms;
+use crate::endpoint_connection::{ConnectError, EndpointConnection};
+use crate::endpoint_response::EndpointBody;
 use crate::node::Node;
-use crate::reply::{outcome_of_broken, ReplyBody};
-use crate::sending::{Sending, PATIENCE_AIMS};
-use crate::servers::KeepTerms;
-use crate::trace;
-use dunespur_routing::{Outcome, Ticket};
+use crate::response_head::{response_framing, response_kind};
+use crate::trace::{self, ConnectionOrigin};
+use dunespur_routing::Ticket;
 use http::response::Parts;
-use http::{HeaderValue, Request};
 use hyper::body::Incoming;
 use tokio::time::Duration;
 
-/// Which connections may carry a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Over {
-    KeptOrNew,
-    /// Only one that carries it alone. Guards against a second copy of an earlier attempt's answer: it carries the
-    /// same id, so that nothing would tell it from the answer to the next attempt.
-    New,
-}
-
-/// Why an attempt brought no answer that can be used.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AttemptError {
-    /// It had no connection.
-    Connect(ConnectError),
-    /// It ended so.
-    Ended(Attempt),
-}
-
-impl AttemptError {
-    pub(crate) fn execution(self) -> Execution {
-        match self {
-            AttemptError::Connect(_) => Execution::NotRun,
-            AttemptError::Ended(attempt) => attempt.disposition().execution,
-        }
-    }
-
-    pub(crate) fn repeat(self) -> Repeat {
-        match self {
-            AttemptError::Connect(_) => Repeat::Allowed,
-            AttemptError::Ended(attempt) => attempt.disposition().repeat,
-        }
-    }
-
-    /// What it says of its server.
-    pub(crate) fn outcome(self) -> Outcome {
-        match self {
-            AttemptError::Connect(ConnectError::Unreachable) => Outcome::Unreachable,
-            // The server is not to blame.
-            AttemptError::Connect(ConnectError::NoConnectionLeft) => Outcome::Abandoned,
-            AttemptError::Connect(ConnectError::TurnedAway) => Outcome::Shed,
-            AttemptError::Connect(ConnectError::TimeUp) => Outcome::Failed,
-            AttemptError::Ended(_) if self.execution() == Execution::NotRun => Outcome::Failed,
-            AttemptError::Ended(attempt) => outcome_of_broken(attempt.ended_by),
-        }
-    }
-}
-
-/// An answer of the server that was asked, with what its head says.
-pub(crate) struct Answered {
-    link: Link,
+/// A response whose head answers the request, with what the head says.
+pub(crate) struct ReceivedHead {
+    connection: EndpointConnection,
     pub(crate) head: Parts,
     incoming: Incoming,
-    pub(crate) kind: AnswerKind,
+    pub(crate) kind: ResponseKind,
     framing: Framing,
 }
 
-impl Answered {
-    /// What the head of the answer allows.
-    pub(crate) fn repeat(&self) -> Repeat {
-        self.so_far(EndedBy::Nobody).disposition().repeat
+impl ReceivedHead {
+    /// What the head of the response allows.
+    pub(crate) fn retry(&self) -> RetryRule {
+        self.attempt_so_far(EndedBy::Nobody).classify().retry
     }
 
-    pub(crate) fn split(self) -> (Parts, ReplyBody) {
-        let terms = KeepTerms::read(&self.head.headers);
-        (
-            self.head,
-            ReplyBody::new(self.incoming, self.link, self.kind, self.framing, terms),
-        )
+    /// The body, as it will arrive.
+    pub(crate) fn into_head_and_body(self) -> (Parts, EndpointBody) {
+        let terms = KeepAliveTerms::parse(&self.head.headers);
+        let body = EndpointBody::new(
+            self.incoming,
+            self.connection,
+            self.kind,
+            self.framing,
+            terms,
+        );
+        (self.head, body)
     }
 
-    fn so_far(&self, ended_by: EndedBy) -> Attempt {
-        let received = Received::PartOfAnswer {
+    fn attempt_so_far(&self, ended_by: EndedBy) -> Attempt {
+        let response = ResponseProgress::Partial {
             kind: self.kind,
             framing: self.framing,
-            passed_on: false,
+            forwarded: false,
         };
         Attempt {
-            sent: self.link.sent(),
-            received,
+            request: self.connection.send_progress(),
+            response,
             ended_by,
         }
     }
 }
 
-impl<N: Node> Sending<N> {
-    /// Sends the request to one server and waits for the head of its answer.
+impl<N: Node> ActiveRequest<N> {
+    /// Sends the request to one endpoint and waits for the head of its response.
     pub(crate) async fn attempt(
         &mut self,
         ticket: &Ticket,
-        over: Over,
-    ) -> Result<Answered, AttemptError> {
-        self.limit.wait_out();
-        let idempotent = self.route.idempotent();
-        let kept = || {
-            self.front
-                .servers
-                .kept(&ticket.server, idempotent, &self.front.clock)
-        };
-        if let Some(link) = (over == Over::KeptOrNew).then(kept).flatten() {
-            trace::sent(&self.asked, ticket, trace::Over::Kept);
-            match self.exchange(link, ticket).await {
-                // The connection ended as it was used again: the server is as well reached over a new one.
+        choice: ConnectionChoice,
+    ) -> Result<ReceivedHead, AttemptError> {
+        self.deadline.clear_response_timeout();
+        if let Some(connection) = self.pooled_connection(ticket, choice) {
+            trace::attempt(&self.parsed, ticket, ConnectionOrigin::Pooled);
+            match self.exchange(connection, ticket).await {
+                // The connection ended as it was used again: the endpoint is as well reached over a new one.
                 Err(AttemptError::Ended(attempt)) if self.may_reconnect(attempt) => {
                     self.record
-                        .note(&ticket.server.id, attempt.disposition().execution);
+                        .record(&ticket.server.id, attempt.classify().execution);
                 }
                 result => return result,
             }
         }
-        let front = self.front.clone();
-        let connecting = front.servers.connect(&ticket.server, self.route.target_ms);
-        let connected = self.limit.bound(connecting).await;
-        let link = connected
+        let shared = self.shared.clone();
+        let connecting = shared.pool.connect(&ticket.server, self.route.target_ms);
+        let connected = self.deadline.bound(connecting).await;
+        let connection = connected
             .unwrap_or(Err(ConnectError::TimeUp))
             .map_err(AttemptError::Connect)?;
-        trace::sent(&self.asked, ticket, trace::Over::New);
-        self.exchange(link, ticket).await
+        trace::attempt(&self.parsed, ticket, ConnectionOrigin::New);
+        self.exchange(connection, ticket).await
+    }
+
+    fn pooled_connection(
+        &self,
+        ticket: &Ticket,
+        choice: ConnectionChoice,
+    ) -> Option<EndpointConnection> {
+        match choice {
+            ConnectionChoice::PooledOrNew => {
+                self.shared
+                    .pool
+                    .check_out(&ticket.server, self.idempotency(), &self.shared.clock)
+            }
+            ConnectionChoice::New => None,
+        }
     }
 
-    /// Whether the same server is asked over a new connection, after an attempt over a kept one.
+    /// Whether the same endpoint is asked over a new connection, after an attempt over a pooled one.
     fn may_reconnect(&self, attempt: Attempt) -> bool {
-        match attempt.disposition().execution {
+        match attempt.classify().execution {
             Execution::NotRun => true,
             Execution::MayHaveRun => {
-                self.route.idempotent() && attempt.received == Received::Nothing
+                self.idempotency() == Idempotency::Idempotent
+                    && attempt.response == ResponseProgress::Nothing
             }
             Execution::MayBeRunning => false,
         }
@@ -147,60 +116,36 @@
 
     async fn exchange(
         &mut self,
-        mut link: Link,
+        mut connection: EndpointConnection,
         ticket: &Ticket,
-    ) -> Result<Answered, AttemptError> {
-        let head = self.head(ticket);
-        if self.record.may_leave() {
-            self.limit
-                .expect_within(PATIENCE_AIMS * self.route.target_ms);
-        }
-        let time_left = Duration::from_millis(self.limit.left_ms());
-        let exchange = link.exchange(head, self.message.pieces.clone(), time_left);
-        let (head, incoming) = match self.wait(exchange).await {
-            Some(answered) => answered.map_err(AttemptError::Ended)?.into_parts(),
+    ) -> Result<ReceivedHead, AttemptError> {
+        let head = self.outbound.head_for(ticket, self.deadline.remaining_ms());
+        self.start_response_timeout();
+        let remaining = Duration::from_millis(self.deadline.remaining_ms());
+        let exchange = connection.exchange(head, self.outbound.body_chunks.clone(), remaining);
+        let (head, incoming) = match self.wait_for(exchange).await {
+            Some(result) => result.map_err(AttemptError::Ended)?.into_parts(),
             None => {
-                return Err(AttemptError::Ended(Attempt::unanswered(
-                    link.sent(),
-                    EndedBy::Timeout,
-                )));
+                let attempt = Attempt::unanswered(connection.send_progress(), EndedBy::Timeout);
+                return Err(AttemptError::Ended(attempt));
             }
         };
-        let kind = kind_of(&head, &self.asked.id, self.front.guards);
-        let framing = framing_of(&head, &self.message.method);
-        trace::answer_kind(&self.asked, ticket, head.status, kind);
-        let answered = Answered {
-            link,
+        let kind = response_kind(&head, &self.parsed.id, self.shared.safeguards);
+        let framing = response_framing(&head, &self.outbound.method);
+        trace::response(&self.parsed, ticket, head.status, kind);
+        let received = ReceivedHead {
+            connection,
             head,
             incoming,
             kind,
             framing,
         };
-        if matches!(kind, AnswerKind::NotOurs | AnswerKind::UnbackedPromise) {
-            return Err(AttemptError::Ended(answered.so_far(EndedBy::Proxy)));
-        }
-        Ok(answered)
-    }
-
-    fn head(&self, ticket: &Ticket) -> Request<()> {
-        let mut head = Request::new(());
-        *head.method_mut() = self.message.method.clone();
-        *head.uri_mut() = self.message.uri.clone();
-        let mut headers = self.message.headers.clone();
-        headers.insert(
-            http_headers::DEADLINE,
-            http_headers::number(self.limit.left_ms().max(1)),
-        );
-        if let Ok(id) = HeaderValue::from_str(&ticket.server.id) {
-            headers.insert(http_headers::EXPECT_INSTANCE, id);
-        }
-        if let Some(priority) = ticket.engine_priority {
-            headers.insert(
-                http_headers::PRIORITY,
-                http_headers::number(u64::from(priority)),
-            );
+        if matches!(
+            kind,
+            ResponseKind::Unrelated | ResponseKind::UnconfirmedRejection
+        ) {
+            return Err(AttemptError::Ended(received.attempt_so_far(EndedBy::Proxy)));
         }
-        *head.headers_mut() = headers;
-        head
+        Ok(received)
     }
 }
--- a/crates/serving/proxy/src/clock.rs
+++ b/crates/serving/proxy/src/clock.rs
@@ -1,8 +1,8 @@
-//! The steady clock of the data plane, in milliseconds since its start.
+//! The monotonic clock of the data plane, in milliseconds since its start.
 
 use tokio::time::{Duration, Instant};
 
-/// Counts from its making.
+/// Counts milliseconds from its creation.
 pub(crate) struct Clock {
     origin: Instant,
 }
@@ -15,7 +15,7 @@
     }
 
     pub(crate) fn now_ms(&self) -> u64 {
-        self.origin.elapsed().as_millis() as u64
+        u64::try_from(self.origin.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
     /// The moment at which this clock shows `at_ms`.
--- a/crates/serving/proxy/src/http_headers.rs
+++ b/crates/serving/proxy/src/http_headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern only one connection, and those of the system's own.
+//! The protocol's own headers, and those that concern only one connection (hop-by-hop, RFC 9110 section 7.6.1).
 
 use http::header::{
     HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, EXPECT, TE, TRAILER,
@@ -14,8 +14,8 @@
     HeaderName::from_static("x-dunespur-expect-instance");
 pub(crate) const TOKEN_COUNT: HeaderName = HeaderName::from_static("x-dunespur-token-count");
 pub(crate) const PROMPT_PREFIX: HeaderName = HeaderName::from_static("x-dunespur-prompt-prefix");
-/// Set by the system alone, which does not set it so far. Guards against a client that has servers answer 421, and so
-/// taken for gone, by a version that none has.
+/// Set by the proxy alone, which does not set it so far. Protects against a client that has endpoints respond with 421,
+/// and so taken for departed, by a version that none has.
 const EXPECT_VERSION: HeaderName = HeaderName::from_static("expect-version");
 pub(crate) const PRIORITY: HeaderName = HeaderName::from_static("priority");
 pub(crate) const PROGRAM: HeaderName = HeaderName::from_static("program");
@@ -26,8 +26,8 @@
 pub(crate) const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Always of one connection only.
-const OF_ONE_CONNECTION: [HeaderName; 6] = [
+/// Headers that never concern more than one connection.
+const HOP_BY_HOP: [HeaderName; 6] = [
     CONNECTION,
     KEEP_ALIVE,
     PROXY_CONNECTION,
@@ -36,18 +36,18 @@
     TRANSFER_ENCODING,
 ];
 
-/// Takes out what concerns only the connection that the message came over.
-pub(crate) fn strip(headers: &mut HeaderMap) {
+/// Removes the headers that concern only the connection that the message came over.
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     if headers.contains_key(CONNECTION) {
         strip_named(headers);
     }
-    for name in OF_ONE_CONNECTION {
+    for name in HOP_BY_HOP {
         headers.remove(name);
     }
     headers.remove(UPGRADE);
 }
 
-/// Takes out what a client's `Connection` names.
+/// Removes the headers that `Connection` names.
 fn strip_named(headers: &mut HeaderMap) {
     let values = headers
         .get_all(CONNECTION)
@@ -62,10 +62,10 @@
     }
 }
 
-/// Makes the headers of a client's request into those for a server: those that the system sets itself are taken
-/// out, so that no client sets them.
+/// Turns the headers of a client's request into those for an endpoint: those that the proxy sets itself are removed,
+/// so that no client sets them.
 pub(crate) fn prepare_request(headers: &mut HeaderMap) {
-    strip(headers);
+    strip_hop_by_hop(headers);
     headers.remove(CONTENT_LENGTH);
     headers.remove(EXPECT);
     headers.remove(EXPECT_INSTANCE);
@@ -73,7 +73,7 @@
     headers.remove(PRIORITY);
 }
 
-/// Whether the other side ends the connection after this message.
+/// Whether the other side closes the connection after this message.
 pub(crate) fn says_close(headers: &HeaderMap) -> bool {
     let mut values = headers
         .get_all(CONNECTION)
@@ -91,11 +91,11 @@
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value
         .split(',')
-        .find_map(|part| part.trim().strip_prefix("timeout="))?;
+        .find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
     Some(seconds.trim().parse::<u64>().ok()?.saturating_mul(1000))
 }
 
-/// A number as the value of a header.
+/// A number as a header value.
 pub(crate) fn number(value: u64) -> HeaderValue {
     HeaderValue::from(value)
 }
--- a/crates/serving/proxy/src/node.rs
+++ b/crates/serving/proxy/src/node.rs
@@ -6,55 +6,55 @@
 use std::future::Future;
 use std::rc::Rc;
 
-/// The node that a [`crate::Front`] belongs to.
+/// The node that a [`crate::ProxyServer`] belongs to.
 pub trait Node: 'static {
-    /// The configuration in force; none before the first has come.
-    fn table(&self) -> Option<Rc<Table>>;
+    /// The routes of the configuration in force; none before the first has come.
+    fn route_table(&self) -> Option<Rc<Table>>;
 
-    /// Whether the configuration may be another one by now, as nothing was heard of it for too long.
-    fn is_out_of_touch(&self) -> bool;
+    /// Whether the configuration may be another one by now, as no update has arrived for too long.
+    fn is_configuration_stale(&self) -> bool;
 
     /// Ready once what the node knows has changed, the configuration or anything else.
     fn next_change(&self) -> impl Future<Output = ()>;
 
-    /// Whether new connections of clients are wanted.
-    fn ready(&self) -> bool;
+    /// Whether new client connections are wanted.
+    fn is_ready(&self) -> bool;
 
-    /// The server for a request. With [`Choice::Send`] the request counts as in flight there until `finished`.
+    /// The endpoint for a request. With [`Choice::Send`] the request counts as in flight there until `finished`.
     fn choose(&self, ask: &Ask) -> Choice;
 
-    /// The first event of a stream, or the head of a plain answer, has come.
+    /// The first event of a stream, or the head of a plain response, has come.
     fn first_event(&self, key: u64);
 
-    /// What became of a request that was sent. Called once for each ticket, whatever happens.
+    /// The outcome of a request that was sent. Called once for each ticket, whatever happens.
     fn finished(&self, key: u64, outcome: Outcome);
 
-    /// Sets aside the most that a turn may generate. A future that is dropped before it is ready leaves nothing
-    /// set aside.
-    fn reserve(&self, turn: TurnAsk<'_>) -> impl Future<Output = Reserve>;
+    /// Reserves the most tokens that a turn may generate. A future that is dropped before it is ready leaves nothing
+    /// reserved.
+    fn admit(&self, turn: AdmissionRequest<'_>) -> impl Future<Output = AdmissionDecision>;
 
-    /// Tokens of a turn that are about to be handed to its client.
-    fn used(&self, turn: TurnKey, tokens: u64);
+    /// Tokens of a turn that are about to be forwarded to its client.
+    fn record_tokens(&self, turn: TurnKey, tokens: u64);
 
-    /// A turn is over: what it has not used is free. Called once for each admitted turn, whatever happens.
+    /// A turn has ended: what it has not used is free. Called once for each admitted turn, whatever happens.
     fn release(&self, turn: TurnKey);
 
-    /// What a turn goes on from.
+    /// The turns that a turn continues.
     fn history(&self, program: &str, previous: &str) -> impl Future<Output = History>;
 
-    /// Keeps a turn; true once it is safe. Only then does its client get the last byte.
-    fn keep(&self, turn: KeptTurn) -> impl Future<Output = bool>;
+    /// Stores a turn; true once it is durable. Only then does its client get the last byte.
+    fn persist(&self, turn: CompletedTurn) -> impl Future<Output = bool>;
 }
 
-/// A turn that asks to be admitted.
+/// A turn to be admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TurnAsk<'a> {
+pub struct AdmissionRequest<'a> {
     /// The agent program.
     pub program: &'a str,
     /// Tokens that all turns of the program may generate.
     pub budget: u64,
-    /// The most that this turn generates.
-    pub most: u64,
+    /// The most tokens that this turn generates.
+    pub max_tokens: u64,
 }
 
 /// Names an admitted turn until it is released.
@@ -63,38 +63,38 @@
 
 /// Whether a turn may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reserve {
+pub enum AdmissionDecision {
     /// It may.
     Admitted(TurnKey),
     /// The budget is spent: it never runs.
-    Spent,
+    BudgetSpent,
     /// Not now: it isn't known whether the budget allows it.
-    Wait {
-        /// When the client may ask again.
+    RetryLater {
+        /// When the client may retry.
         retry_after_ms: u64,
     },
 }
 
-/// The kept turns that a turn goes on from.
+/// The stored turns that a turn continues.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum History {
     /// The inputs and outputs of the chain, from the oldest on.
     Found(Vec<Bytes>),
     /// There is no such turn.
     Unknown,
-    /// Not all that may hold it could be asked.
-    Unsure {
-        /// When the client may ask again.
+    /// Not all stores that may have it could be asked.
+    Unavailable {
+        /// When the client may retry.
         retry_after_ms: u64,
     },
 }
 
-/// A turn that was answered whole.
+/// A turn with a complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptTurn {
+pub struct CompletedTurn {
     /// Its `X-Dunespur-Request-Id`.
     pub id: String,
-    /// The turn that it went on from.
+    /// The turn that it continued.
     pub previous: Option<String>,
     /// The agent program; empty where the client named none.
     pub program: String,
@@ -102,6 +102,6 @@
     pub input: Bytes,
     /// The data of each event, followed by a line feed.
     pub output: Bytes,
-    /// How long it is to be kept from now on.
+    /// How long it is to be retained from now on.
     pub retention_ms: u64,
 }
--- a/crates/serving/proxy/src/ready.rs
+++ b/crates/serving/proxy/src/readiness.rs
@@ -1,5 +1,6 @@
-//! The address at which the platform asks whether clients may come.
+//! The address at which the platform checks whether clients may come.
 
+use crate::connection_permit::ConnectionPermit;
 use crate::node::Node;
 use http::{Response, StatusCode};
 use hyper::server::conn::http1;
@@ -11,52 +12,37 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Duration};
 
-/// Where it asks.
+/// The path of the check.
 const READY_PATH: &str = "/api/readyz";
 /// A connection may stay open for so long.
-const CONNECTION_TIME: Duration = Duration::from_secs(60);
-/// Connections at once. Guards against callers that never leave.
-const MOST_CONNECTIONS: usize = 64;
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Connections at once. Protects against callers that never close theirs.
+const MAX_CONNECTIONS: usize = 64;
 /// After a failure to accept, so long passes until the next attempt.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Answers `GET /api/readyz` at `listener` by what the node says. Runs within a `LocalSet`, without an end.
-pub async fn serve_ready<N: Node>(node: Rc<N>, listener: TcpListener) {
+pub async fn serve_readiness<N: Node>(node: Rc<N>, listener: TcpListener) {
     let open = Rc::new(Cell::new(0));
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if open.get() < MOST_CONNECTIONS => {
-                let place = Place::new(&open);
-                tokio::task::spawn_local(connection(node.clone(), stream, place));
+            Ok((stream, _)) if open.get() < MAX_CONNECTIONS => {
+                let permit = ConnectionPermit::new(&open);
+                tokio::task::spawn_local(serve_connection(node.clone(), stream, permit));
             }
             Ok(_) => {}
             Err(error) => {
                 log::warn!("accept: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-struct Place(Rc<Cell<usize>>);
-
-impl Place {
-    fn new(open: &Rc<Cell<usize>>) -> Place {
-        open.set(open.get() + 1);
-        Place(open.clone())
-    }
-}
-
-impl Drop for Place {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
-    }
-}
-
-async fn connection<N: Node>(node: Rc<N>, stream: TcpStream, _place: Place) {
+async fn serve_connection<N: Node>(node: Rc<N>, stream: TcpStream, _permit: ConnectionPermit) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request: http::Request<hyper::body::Incoming>| {
-        let status = match (request.uri().path(), node.ready()) {
+        let status = match (request.uri().path(), node.is_ready()) {
             (READY_PATH, true) => StatusCode::OK,
             (READY_PATH, false) => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::NOT_FOUND,
@@ -67,9 +53,6 @@
     });
     let mut builder = http1::Builder::new();
     builder.auto_date_header(false).header_read_timeout(None);
-    let _ = timeout(
-        CONNECTION_TIME,
-        builder.serve_connection(TokioIo::new(stream), service),
-    )
-    .await;
+    let connection = builder.serve_connection(TokioIo::new(stream), service);
+    let _ = timeout(CONNECTION_TIMEOUT, connection).await;
 }
--- a/crates/serving/proxy/src/progress.rs
+++ b/crates/serving/proxy/src/send_tracker.rs
@@ -1,33 +1,33 @@
-//! How far a request has gone out. No I/O.
+//! Tracks how much of a request has been written. No I/O.
 
-use crate::disposition::Sent;
+use crate::classification::SendProgress;
 
 /// The bytes that end a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// How far the present request of a connection has gone out.
+/// How much of a connection's present request has been written.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Progress {
+pub(crate) struct SendTracker {
     any_written: bool,
-    /// Bytes of [`HEAD_END`] that the last ones written agree with; all of them once the head is out.
+    /// Bytes of [`HEAD_END`] that the last ones written agree with; all of them once the head is written.
     head_end_matched: usize,
     body_taken: bool,
-    whole: bool,
+    is_complete: bool,
 }
 
-impl Progress {
-    /// Of a request of which nothing has gone out.
-    pub(crate) fn of_request(body_bytes: u64) -> Progress {
-        Progress {
+impl SendTracker {
+    /// Of a request of which nothing has been written.
+    pub(crate) fn of_request(body_bytes: u64) -> SendTracker {
+        SendTracker {
             any_written: false,
             head_end_matched: 0,
             body_taken: body_bytes == 0,
-            whole: false,
+            is_complete: false,
         }
     }
 
     /// These bytes were written to the socket.
-    pub(crate) fn note_written(&mut self, written: &[u8]) {
+    pub(crate) fn record_written(&mut self, written: &[u8]) {
         self.any_written |= !written.is_empty();
         for byte in written {
             if self.is_head_written() {
@@ -41,25 +41,25 @@
         }
     }
 
-    /// The last piece of the body was taken, to be written.
-    pub(crate) fn note_body_taken(&mut self) {
+    /// The last chunk of the body was taken, to be written.
+    pub(crate) fn record_body_taken(&mut self) {
         self.body_taken = true;
     }
 
     /// All that was taken has been written.
-    pub(crate) fn note_flushed(&mut self) {
-        self.whole |= self.any_written && self.body_taken;
+    pub(crate) fn record_flushed(&mut self) {
+        self.is_complete |= self.any_written && self.body_taken;
     }
 
-    pub(crate) fn sent(self) -> Sent {
-        if self.whole {
-            Sent::Whole
+    pub(crate) fn progress(self) -> SendProgress {
+        if self.is_complete {
+            SendProgress::Complete
         } else if self.is_head_written() {
-            Sent::PartOfBody
+            SendProgress::PartialBody
         } else if self.any_written {
-            Sent::PartOfHead
+            SendProgress::PartialHead
         } else {
-            Sent::Nothing
+            SendProgress::Nothing
         }
     }
 
--- a/crates/serving/proxy/src/trace.rs
+++ b/crates/serving/proxy/src/trace.rs
@@ -1,10 +1,10 @@
-//! Lines at debug level that tell what was decided on a request: `event=NAME request=ID key=value ...`, as
+//! Lines at debug level that say what was decided on a request: `event=NAME request=ID key=value ...`, as
 //! `dunespur explain` reads them. Nothing of this is formatted, let alone written, above debug.
 
-use crate::asked::{text, Asked};
-use crate::attempt::AttemptError;
-use crate::disposition::AnswerKind;
-use crate::refusal::Refusal;
+use crate::attempt_error::AttemptError;
+use crate::classification::ResponseKind;
+use crate::parsed_request::{text, ParsedRequest};
+use crate::rejection::Rejection;
 use dunespur_configuration::Route;
 use dunespur_routing::{Choice, Ticket};
 use http::request::Parts;
@@ -16,37 +16,37 @@
     log::log_enabled!(log::Level::Debug)
 }
 
-/// The id of a request whose lines are written.
-pub(crate) struct Told(Option<HeaderValue>);
+/// The id of a request whose lines are written; none above debug level.
+pub(crate) struct LoggedId(Option<HeaderValue>);
 
-impl Told {
-    pub(crate) fn of<B>(request: &Request<B>) -> Told {
+impl LoggedId {
+    pub(crate) fn of<B>(request: &Request<B>) -> LoggedId {
         let id = || {
             request
                 .headers()
                 .get(crate::http_headers::REQUEST_ID)
                 .cloned()
         };
-        Told(enabled().then(id).flatten())
+        LoggedId(enabled().then(id).flatten())
     }
 
-    /// The head of an answer goes to the client.
-    pub(crate) fn answered(&self, status: StatusCode) {
+    /// The head of a response goes to the client.
+    pub(crate) fn responded(&self, status: StatusCode) {
         if let Some(id) = &self.0 {
             log::debug!(
-                "event=answered request={} status={}",
+                "event=responded request={} status={}",
                 Value::of(id),
                 status.as_u16()
             );
         }
     }
 
-    /// The data plane answers itself.
-    pub(crate) fn refused(&self, refusal: Refusal) {
+    /// The proxy responds itself.
+    pub(crate) fn rejected(&self, rejection: Rejection) {
         let Some(id) = &self.0 else { return };
-        let (status, reason) = (refusal.status().as_u16(), refusal.reason().trim_end());
+        let (status, reason) = (rejection.status().as_u16(), rejection.reason().trim_end());
         log::debug!(
-            "event=refused request={} status={status} reason={}",
+            "event=rejected request={} status={status} reason={}",
             Value::of(id),
             Value(reason)
         );
@@ -54,34 +54,34 @@
 }
 
 /// A request has a route.
-pub(crate) fn arrived(head: &Parts, route: &Route, asked: &Asked, left_ms: u64) {
+pub(crate) fn arrived(head: &Parts, route: &Route, parsed: &ParsedRequest, remaining_ms: u64) {
     log::debug!(
-        "event=arrived request={} method={} path={} route={} kind={:?} left_ms={left_ms} program={} session={} \
-         previous={} budget={} most={}",
-        Value::of(&asked.id),
+        "event=arrived request={} method={} path={} route={} kind={:?} remaining_ms={remaining_ms} program={} \
+         session={} previous={} budget={} max_tokens={}",
+        Value::of(&parsed.id),
         head.method,
         Value(head.uri.path()),
         Value(&route.name),
         route.kind,
-        Value(text(&asked.program).unwrap_or_default()),
-        Value(text(&asked.session).unwrap_or_default()),
-        Value(text(&asked.previous).unwrap_or_default()),
-        asked.budget.unwrap_or(0),
-        asked.most_tokens,
+        Value(text(parsed.program.as_ref()).unwrap_or_default()),
+        Value(text(parsed.session.as_ref()).unwrap_or_default()),
+        Value(text(parsed.previous.as_ref()).unwrap_or_default()),
+        parsed.budget.unwrap_or(0),
+        parsed.max_tokens,
     );
 }
 
 /// A turn's budget is reserved under this key.
-pub(crate) fn admitted(asked: &Asked, turn: u64) {
+pub(crate) fn admitted(parsed: &ParsedRequest, turn: u64) {
     log::debug!(
         "event=admitted request={} turn={turn}",
-        Value::of(&asked.id)
+        Value::of(&parsed.id)
     );
 }
 
-/// A server was chosen, or none.
-pub(crate) fn choice(asked: &Asked, backend: &str, choice: &Choice) {
-    let id = Value::of(&asked.id);
+/// An endpoint was chosen, or none.
+pub(crate) fn choice(parsed: &ParsedRequest, backend: &str, choice: &Choice) {
+    let id = Value::of(&parsed.id);
     let backend = Value(backend);
     match choice {
         Choice::Send(ticket) => {
@@ -97,44 +97,48 @@
             );
         }
         Choice::NoServer => {
-            log::debug!("event=choice request={id} backend={backend} verdict=no_server")
+            log::debug!("event=choice request={id} backend={backend} verdict=no_server");
         }
     }
 }
 
 /// Which connection carries a request.
 #[derive(Clone, Copy)]
-pub(crate) enum Over {
-    Kept,
+pub(crate) enum ConnectionOrigin {
+    Pooled,
     New,
 }
 
-/// The request is sent to a server.
-pub(crate) fn sent(asked: &Asked, ticket: &Ticket, over: Over) {
-    let over = match over {
-        Over::Kept => "kept",
-        Over::New => "new",
+/// The request is sent to an endpoint.
+pub(crate) fn attempt(parsed: &ParsedRequest, ticket: &Ticket, origin: ConnectionOrigin) {
+    let connection = match origin {
+        ConnectionOrigin::Pooled => "pooled",
+        ConnectionOrigin::New => "new",
     };
-    let (id, server) = (Value::of(&asked.id), Value(&ticket.server.id));
+    let (id, server) = (Value::of(&parsed.id), Value(&ticket.server.id));
     log::debug!(
-        "event=try request={id} ticket={} server={server} over={over}",
+        "event=attempt request={id} ticket={} server={server} connection={connection}",
         ticket.key
     );
 }
 
-/// The head of an answer has come. The key `verdict` is what `dunespur explain` reads.
-pub(crate) fn answer_kind(asked: &Asked, ticket: &Ticket, status: StatusCode, kind: AnswerKind) {
-    let (id, server) = (Value::of(&asked.id), Value(&ticket.server.id));
-    let status = status.as_u16();
+/// The head of a response has come.
+pub(crate) fn response(
+    parsed: &ParsedRequest,
+    ticket: &Ticket,
+    status: StatusCode,
+    kind: ResponseKind,
+) {
+    let (id, server) = (Value::of(&parsed.id), Value(&ticket.server.id));
+    let (key, status) = (ticket.key, status.as_u16());
     log::debug!(
-        "event=verdict request={id} ticket={} server={server} status={status} verdict={kind:?}",
-        ticket.key
+        "event=response request={id} ticket={key} server={server} status={status} kind={kind:?}"
     );
 }
 
-/// An attempt brought no answer that can be used.
-pub(crate) fn attempt_failed(asked: &Asked, ticket: &Ticket, error: AttemptError) {
-    let (id, server) = (Value::of(&asked.id), Value(&ticket.server.id));
+/// An attempt brought no response that can be used.
+pub(crate) fn attempt_failed(parsed: &ParsedRequest, ticket: &Ticket, error: AttemptError) {
+    let (id, server) = (Value::of(&parsed.id), Value(&ticket.server.id));
     log::debug!(
         "event=fault request={id} ticket={} server={server} fault={}",
         ticket.key,
@@ -150,11 +154,11 @@
         match self.0 {
             AttemptError::Connect(error) => write!(f, "{error:?}"),
             AttemptError::Ended(attempt) => {
-                let execution = attempt.disposition().execution;
+                let execution = attempt.classify().execution;
                 write!(
                     f,
-                    "{execution:?},sent:{:?},ended_by:{:?}",
-                    attempt.sent, attempt.ended_by
+                    "{execution:?},request:{:?},ended_by:{:?}",
+                    attempt.request, attempt.ended_by
                 )
             }
         }
--- a/crates/serving/proxy/tests/dispositions.rs
+++ b/crates/serving/proxy/tests/classification.rs
@@ -7,9 +7,9 @@
 
 mod support;
 
-use dunespur_proxy::disposition::{
-    AnswerKind, Attempt, ClientAnswer, ConnectionUse, Disposition, EndedBy, Framing, Received,
-    Repeat, Sent,
+use dunespur_proxy::classification::{
+    Attempt, Classification, ClientResponse, ConnectionReuse, EndedBy, Framing, ResponseKind,
+    ResponseProgress, RetryRule, SendProgress,
 };
 use support::*;
 use tokio::time::Duration;
@@ -27,33 +27,35 @@
 }
 
 /// The head of an answer of this kind, but for what tells its end.
-fn head_of(kind: AnswerKind) -> String {
+fn head_of(kind: ResponseKind) -> String {
     let (status, id, more) = match kind {
-        AnswerKind::Final => (200, "r1", ""),
-        AnswerKind::Failure => (500, "r1", ""),
-        AnswerKind::NotExecuted => (503, "r1", "X-Dunespur-Not-Executed: full\r\n"),
-        AnswerKind::OtherInstance => (421, "r1", ""),
-        AnswerKind::UnbackedPromise => (503, "r1", ""),
-        AnswerKind::NotOurs => (200, "another", ""),
+        ResponseKind::Final => (200, "r1", ""),
+        ResponseKind::Failure => (500, "r1", ""),
+        ResponseKind::NotExecuted => (503, "r1", "X-Dunespur-Not-Executed: full\r\n"),
+        ResponseKind::OtherInstance => (421, "r1", ""),
+        ResponseKind::UnconfirmedRejection => (503, "r1", ""),
+        ResponseKind::Unrelated => (200, "another", ""),
     };
     format!("HTTP/1.1 {status} X\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s\r\n{more}")
 }
 
 /// What the server sends so that this is received.
-fn bytes_of(received: Received) -> String {
+fn bytes_of(received: ResponseProgress) -> String {
     let (kind, framing, length, part) = match received {
-        Received::Nothing => return String::new(),
-        Received::Interim => return "HTTP/1.1 103 Early Hints\r\nX-Any: 1\r\n\r\n".to_owned(),
-        Received::WholeAnswer { kind, framing } => (kind, framing, 4, 4),
-        Received::PartOfAnswer {
+        ResponseProgress::Nothing => return String::new(),
+        ResponseProgress::Interim => {
+            return "HTTP/1.1 103 Early Hints\r\nX-Any: 1\r\n\r\n".to_owned()
+        }
+        ResponseProgress::Complete { kind, framing } => (kind, framing, 4, 4),
+        ResponseProgress::Partial {
             kind,
             framing,
-            passed_on: false,
+            forwarded: false,
         } => (kind, framing, 10, 4),
-        Received::PartOfAnswer {
+        ResponseProgress::Partial {
             kind,
             framing,
-            passed_on: true,
+            forwarded: true,
         } => (kind, framing, WHOLE, PART),
     };
     let end_of_head = match framing {
@@ -66,31 +68,31 @@
 /// What a row came to over loopback.
 #[derive(Debug, PartialEq, Eq)]
 struct Seen {
-    sent_again: bool,
-    client: ClientAnswer,
+    resent: bool,
+    client: ClientResponse,
 }
 
 struct Row {
     attempt: Attempt,
     idempotent: bool,
     /// Whether there is a further server.
-    further: bool,
+    has_alternative: bool,
 }
 
 impl Row {
     fn expected(&self) -> Seen {
-        let Disposition { repeat, client, .. } = self.attempt.disposition();
+        let Classification { retry, client, .. } = self.attempt.classify();
         let has_time = self.attempt.ended_by != EndedBy::Timeout;
-        let may = match repeat {
-            Repeat::Allowed => true,
-            Repeat::IfIdempotent => self.idempotent,
-            Repeat::IfResumable | Repeat::No => false,
+        let may = match retry {
+            RetryRule::Allowed => true,
+            RetryRule::IfIdempotent => self.idempotent,
+            RetryRule::IfResumable | RetryRule::Never => false,
         };
-        let sent_again = may && has_time && self.further;
+        let resent = may && has_time && self.has_alternative;
         Seen {
-            sent_again,
-            client: if sent_again {
-                ClientAnswer::Servers
+            resent,
+            client: if resent {
+                ClientResponse::Forwarded
             } else {
                 client
             },
@@ -99,19 +101,22 @@
 
     async fn drive(&self) {
         let Attempt {
-            sent,
-            received,
+            request: sent,
+            response: received,
             ended_by,
         } = self.attempt;
-        let (first, second) = (StandIn::narrow("i-1").await, StandIn::start("i-2").await);
-        let servers = if self.further {
+        let (first, second) = (
+            TestEndpoint::narrow("i-1").await,
+            TestEndpoint::start("i-2").await,
+        );
+        let endpoints = if self.has_alternative {
             vec![&first, &second]
         } else {
             vec![&first]
         };
-        let gateway = Gateway::start(&servers).await;
-        *gateway.node.table.borrow_mut() = Some(roomy_table());
-        let body = if sent == Sent::Whole {
+        let proxy = TestProxy::start(&endpoints).await;
+        *proxy.node.table.borrow_mut() = Some(roomy_table());
+        let body = if sent == SendProgress::Complete {
             "x".to_owned()
         } else {
             "x".repeat(LONG_BODY)
@@ -121,20 +126,20 @@
         } else {
             "/write/"
         };
-        let mut client = Some(gateway.client().await);
+        let mut client = Some(proxy.client().await);
         let request = post(path, "r1", "", &body);
         client.as_mut().unwrap().send(request.as_bytes()).await;
 
         let mut connection = first.accept().await;
         let head = connection.head().await;
-        if sent == Sent::Whole {
+        if sent == SendProgress::Complete {
             connection.body_of(&head).await.unwrap();
         }
         connection.send(bytes_of(received).as_bytes()).await;
         if matches!(
             received,
-            Received::PartOfAnswer {
-                passed_on: true,
+            ResponseProgress::Partial {
+                forwarded: true,
                 ..
             }
         ) {
@@ -143,7 +148,7 @@
         let mut connection = Some(connection);
         match ended_by {
             EndedBy::Nobody | EndedBy::Proxy => {}
-            EndedBy::Server => connection.as_mut().unwrap().end_in_order().await,
+            EndedBy::Endpoint => connection.as_mut().unwrap().end_in_order().await,
             EndedBy::Reset => connection.take().unwrap().reset(),
             EndedBy::Timeout => {
                 // The data plane has seen what was sent before the time passes.
@@ -158,87 +163,90 @@
         let seen = self.observe(client, &second).await;
         assert_eq!(seen, self.expected(), "{:?}", self.attempt);
         if let Some(connection) = connection {
-            self.check_connection(&gateway, connection).await;
+            self.check_connection(&proxy, connection).await;
         }
     }
 
-    async fn observe(&self, client: Option<Peer>, second: &StandIn) -> Seen {
+    async fn observe(&self, client: Option<Peer>, second: &TestEndpoint) -> Seen {
         let Some(mut client) = client else {
             return Seen {
-                sent_again: false,
-                client: ClientAnswer::Nothing,
+                resent: false,
+                client: ClientResponse::Nothing,
             };
         };
         let expected = self.expected();
-        if expected.sent_again {
-            let (mut connection, message) = second.take().await;
+        if expected.resent {
+            let (mut connection, message) = second.next_request().await;
             assert_eq!(message.id(), "r1");
-            connection.answer(200, "r1", "", "second").await;
+            connection.respond(200, "r1", "", "second").await;
             assert_eq!(client.message().await.text(), "second");
             return Seen {
-                sent_again: true,
-                client: ClientAnswer::Servers,
+                resent: true,
+                client: ClientResponse::Forwarded,
             };
         }
-        let answer = if expected.client == ClientAnswer::Broken {
+        let response = if expected.client == ClientResponse::Truncated {
             client.rest().await;
-            ClientAnswer::Broken
+            ClientResponse::Truncated
         } else {
-            let answer = client.message().await;
-            match (answer.header("x-dunespur-response-stamp"), answer.status()) {
-                (Some("s"), 200 | 500) if answer.text() == "xxxx" => ClientAnswer::Servers,
-                (None, 502) => ClientAnswer::MayHaveRun,
-                (None, 503) => ClientAnswer::Refused,
-                (None, 504) => ClientAnswer::TimeUp,
+            let response = client.message().await;
+            match (
+                response.header("x-dunespur-response-stamp"),
+                response.status(),
+            ) {
+                (Some("s"), 200 | 500) if response.text() == "xxxx" => ClientResponse::Forwarded,
+                (None, 502) => ClientResponse::BadGateway,
+                (None, 503) => ClientResponse::Rejected,
+                (None, 504) => ClientResponse::GatewayTimeout,
                 other => panic!("{other:?}"),
             }
         };
         Seen {
-            sent_again: !second.is_untouched().await,
-            client: answer,
+            resent: !second.has_no_connection().await,
+            client: response,
         }
     }
 
     /// A connection that may be used again carries the next request, another one ends.
-    async fn check_connection(&self, gateway: &Gateway, mut connection: Peer) {
-        match self.attempt.disposition().connection {
-            ConnectionUse::Ended => {
+    async fn check_connection(&self, proxy: &TestProxy, mut connection: Peer) {
+        match self.attempt.classify().connection {
+            ConnectionReuse::Closes => {
                 connection.rest().await;
             }
-            ConnectionUse::Kept => {
-                let _client = gateway.ask(&get("/read/", "next")).await;
+            ConnectionReuse::Reusable => {
+                let _client = proxy.request(&get("/read/", "next")).await;
                 assert_eq!(connection.message().await.id(), "next");
             }
         }
     }
 }
 
-fn drive(sent: Sent, received: Received, ended_by: EndedBy) {
+fn drive(sent: SendProgress, received: ResponseProgress, ended_by: EndedBy) {
     let attempt = Attempt {
-        sent,
-        received,
+        request: sent,
+        response: received,
         ended_by,
     };
     for idempotent in [false, true] {
-        for further in [false, true] {
+        for has_alternative in [false, true] {
             let row = Row {
                 attempt,
                 idempotent,
-                further,
+                has_alternative,
             };
-            play(async move { row.drive().await });
+            run_test(async move { row.drive().await });
         }
     }
 }
 
-const SENT: [Sent; 2] = [Sent::PartOfBody, Sent::Whole];
+const SENT: [SendProgress; 2] = [SendProgress::PartialBody, SendProgress::Complete];
 
 #[test]
 fn nothing_came_or_interim_answers_alone() {
     for sent in SENT {
-        for received in [Received::Nothing, Received::Interim] {
+        for received in [ResponseProgress::Nothing, ResponseProgress::Interim] {
             for ended_by in [
-                EndedBy::Server,
+                EndedBy::Endpoint,
                 EndedBy::Reset,
                 EndedBy::Timeout,
                 EndedBy::Client,
@@ -252,28 +260,28 @@
 #[test]
 fn a_part_came_that_the_client_has_not() {
     for sent in SENT {
-        for kind in [AnswerKind::Final, AnswerKind::Failure] {
-            let received = Received::PartOfAnswer {
+        for kind in [ResponseKind::Final, ResponseKind::Failure] {
+            let received = ResponseProgress::Partial {
                 kind,
                 framing: Framing::Delimited,
-                passed_on: false,
+                forwarded: false,
             };
             for ended_by in [
-                EndedBy::Server,
+                EndedBy::Endpoint,
                 EndedBy::Reset,
                 EndedBy::Timeout,
                 EndedBy::Client,
             ] {
                 // A failure of one server is not waited for where another one may be asked.
-                if kind == AnswerKind::Final || ended_by != EndedBy::Timeout {
+                if kind == ResponseKind::Final || ended_by != EndedBy::Timeout {
                     drive(sent, received, ended_by);
                 }
             }
             // The end in order of a body without a length is its whole.
-            let received = Received::PartOfAnswer {
+            let received = ResponseProgress::Partial {
                 kind,
                 framing: Framing::UntilClose,
-                passed_on: false,
+                forwarded: false,
             };
             drive(sent, received, EndedBy::Reset);
         }
@@ -283,25 +291,25 @@
 #[test]
 fn a_part_came_that_the_client_has() {
     for sent in SENT {
-        let kind = AnswerKind::Final;
+        let kind = ResponseKind::Final;
         for ended_by in [
-            EndedBy::Server,
+            EndedBy::Endpoint,
             EndedBy::Reset,
             EndedBy::Timeout,
             EndedBy::Client,
         ] {
-            let received = Received::PartOfAnswer {
+            let received = ResponseProgress::Partial {
                 kind,
                 framing: Framing::Delimited,
-                passed_on: true,
+                forwarded: true,
             };
             drive(sent, received, ended_by);
         }
         for ended_by in [EndedBy::Reset, EndedBy::Timeout, EndedBy::Client] {
-            let received = Received::PartOfAnswer {
+            let received = ResponseProgress::Partial {
                 kind,
                 framing: Framing::UntilClose,
-                passed_on: true,
+                forwarded: true,
             };
             drive(sent, received, ended_by);
         }
@@ -312,13 +320,13 @@
 fn all_came() {
     for sent in SENT {
         for kind in [
-            AnswerKind::Final,
-            AnswerKind::Failure,
-            AnswerKind::NotExecuted,
+            ResponseKind::Final,
+            ResponseKind::Failure,
+            ResponseKind::NotExecuted,
         ] {
             drive(
                 sent,
-                Received::WholeAnswer {
+                ResponseProgress::Complete {
                     kind,
                     framing: Framing::Delimited,
                 },
@@ -326,21 +334,21 @@
             );
         }
         for kind in [
-            AnswerKind::Final,
-            AnswerKind::Failure,
-            AnswerKind::NotExecuted,
+            ResponseKind::Final,
+            ResponseKind::Failure,
+            ResponseKind::NotExecuted,
         ] {
             drive(
                 sent,
-                Received::WholeAnswer {
+                ResponseProgress::Complete {
                     kind,
                     framing: Framing::UntilClose,
                 },
-                EndedBy::Server,
+                EndedBy::Endpoint,
             );
         }
-        let received = Received::WholeAnswer {
-            kind: AnswerKind::OtherInstance,
+        let received = ResponseProgress::Complete {
+            kind: ResponseKind::OtherInstance,
             framing: Framing::Delimited,
         };
         drive(sent, received, EndedBy::Nobody);
@@ -350,20 +358,20 @@
 #[test]
 fn what_came_can_not_be_used() {
     for sent in SENT {
-        for kind in [AnswerKind::UnbackedPromise, AnswerKind::NotOurs] {
+        for kind in [ResponseKind::UnconfirmedRejection, ResponseKind::Unrelated] {
             for framing in [Framing::Delimited, Framing::UntilClose] {
                 drive(
                     sent,
-                    Received::PartOfAnswer {
+                    ResponseProgress::Partial {
                         kind,
                         framing,
-                        passed_on: false,
+                        forwarded: false,
                     },
                     EndedBy::Proxy,
                 );
                 drive(
                     sent,
-                    Received::WholeAnswer { kind, framing },
+                    ResponseProgress::Complete { kind, framing },
                     EndedBy::Proxy,
                 );
             }
--- a/crates/serving/proxy/tests/deadlines.rs
+++ b/crates/serving/proxy/tests/deadlines.rs
@@ -26,56 +26,62 @@
 }
 
 /// A gateway that holds streams for 50 ms.
-async fn with_short_streams(server: &StandIn) -> Gateway {
-    let gateway = Gateway::start(&[server]).await;
+async fn with_short_streams(endpoint: &TestEndpoint) -> TestProxy {
+    let proxy = TestProxy::start(&[endpoint]).await;
     configure(
-        &gateway.node,
+        &proxy.node,
         r#""timeout_ms":20000,"target_ms":200"#,
         r#""timeout_ms":50,"target_ms":200"#,
     );
-    gateway
+    proxy
 }
 
 #[test]
 fn a_request_without_a_deadline_is_sent_on_with_the_time_of_its_route() {
-    play(async {
-        let server = StandIn::start("i-1").await;
-        let gateway = Gateway::start(&[&server]).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
         let request = "GET /read/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n\r\n";
-        let mut client = gateway.ask(request).await;
-        let (mut connection, message) = server.take().await;
+        let mut client = proxy.request(request).await;
+        let (mut connection, message) = endpoint.next_request().await;
         assert!((1..=20_000).contains(&handed_down(&message)));
-        connection.answer(200, "r1", "", "answer").await;
+        connection.respond(200, "r1", "", "answer").await;
         assert_eq!(client.message().await.status(), 200);
     });
 }
 
 #[test]
 fn a_request_that_leaves_a_silent_server_tells_the_next_one_what_is_left() {
-    play(async {
-        let (silent, second) = (StandIn::start("i-1").await, StandIn::start("i-2").await);
-        let gateway = Gateway::start(&[&silent, &second]).await;
-        configure(&gateway.node, r#""target_ms":150"#, r#""target_ms":20"#);
-        let mut client = gateway.ask(&get("/read2/", "r1")).await;
-        let (_held, first) = silent.take().await;
-        let (mut connection, message) = second.take().await;
+    run_test(async {
+        let (silent, second) = (
+            TestEndpoint::start("i-1").await,
+            TestEndpoint::start("i-2").await,
+        );
+        let proxy = TestProxy::start(&[&silent, &second]).await;
+        configure(&proxy.node, r#""target_ms":150"#, r#""target_ms":20"#);
+        let mut client = proxy.request(&get("/read2/", "r1")).await;
+        let (_held, first) = silent.next_request().await;
+        let (mut connection, message) = second.next_request().await;
         assert!(handed_down(&message) + PATIENCE_AIMS * 20 <= handed_down(&first));
-        connection.answer(200, "r1", "", "answer").await;
+        connection.respond(200, "r1", "", "answer").await;
         assert_eq!(client.message().await.status(), 200);
     });
 }
 
 #[test]
 fn a_stream_that_is_taken_up_elsewhere_tells_what_is_left() {
-    play(async {
-        let (silent, second) = (StandIn::start("i-1").await, StandIn::start("i-2").await);
-        let gateway = Gateway::start(&[&silent, &second]).await;
-        configure(&gateway.node, r#""gap_aim_ms":300"#, r#""gap_aim_ms":10"#);
-        let mut client = gateway.ask(&post("/resume2/", "r1", TURN, "x")).await;
-        let (mut held, first) = silent.take().await;
+    run_test(async {
+        let (silent, second) = (
+            TestEndpoint::start("i-1").await,
+            TestEndpoint::start("i-2").await,
+        );
+        let proxy = TestProxy::start(&[&silent, &second]).await;
+        configure(&proxy.node, r#""gap_aim_ms":300"#, r#""gap_aim_ms":10"#);
+        let mut client = proxy.request(&post("/resume2/", "r1", TURN, "x")).await;
+        let (mut held, first) = silent.next_request().await;
         held.stream_head("r1", "").await;
         held.chunk(&event(1)).await;
-        let (mut connection, message) = second.take().await;
+        let (mut connection, message) = second.next_request().await;
         assert_eq!(message.header("last-event-id"), Some("1"));
         assert!(handed_down(&message) + PATIENCE_AIMS * 10 <= handed_down(&first));
         connection.stream_head("r1", "").await;
@@ -87,32 +93,35 @@
 
 #[test]
 fn what_was_turned_away_and_can_not_be_repeated_tells_the_next_server_what_is_left() {
-    play(async {
-        let (full, second) = (StandIn::start("i-1").await, StandIn::start("i-2").await);
-        let gateway = Gateway::start(&[&full, &second]).await;
-        let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
-        let (mut connection, first) = full.take().await;
+    run_test(async {
+        let (full, second) = (
+            TestEndpoint::start("i-1").await,
+            TestEndpoint::start("i-2").await,
+        );
+        let proxy = TestProxy::start(&[&full, &second]).await;
+        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let (mut connection, first) = full.next_request().await;
         // Time passes meanwhile: as much as another request has on its route.
-        let mut other = gateway.ask(&post("/short/", "r2", "", "x")).await;
-        let (_silent, short) = full.take().await;
+        let mut other = proxy.request(&post("/short/", "r2", "", "x")).await;
+        let (_silent, short) = full.next_request().await;
         assert_eq!(other.message().await.status(), 504);
         connection
-            .answer(503, "r1", "X-Dunespur-Not-Executed: 1\r\n", "")
+            .respond(503, "r1", "X-Dunespur-Not-Executed: 1\r\n", "")
             .await;
-        let (mut connection, message) = second.take().await;
+        let (mut connection, message) = second.next_request().await;
         assert!(handed_down(&message) + handed_down(&short) <= handed_down(&first));
-        connection.answer(200, "r1", "", "done").await;
+        connection.respond(200, "r1", "", "done").await;
         assert_eq!(client.message().await.status(), 200);
     });
 }
 
 #[test]
 fn a_stream_ends_with_the_time_of_its_route_though_its_client_would_wait() {
-    play(async {
-        let server = StandIn::start("i-1").await;
-        let gateway = with_short_streams(&server).await;
-        let mut client = gateway.ask(&post("/stream/", "r1", TURN, "x")).await;
-        let (mut connection, message) = server.take().await;
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = with_short_streams(&endpoint).await;
+        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
+        let (mut connection, message) = endpoint.next_request().await;
         assert!(handed_down(&message) <= 50);
         connection.stream_head("r1", "").await;
         connection.chunk(&event(1)).await;
@@ -120,17 +129,17 @@
         assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
         assert_eq!(client.next_chunk().await, None, "cut short, not whole");
         assert!(connection.is_closed().await);
-        assert_eq!(gateway.node.outcomes(), [Outcome::Silent]);
+        assert_eq!(proxy.node.outcomes(), [Outcome::Silent]);
     });
 }
 
 #[test]
 fn a_stream_without_an_event_in_time_is_answered_all_the_same() {
-    play(async {
-        let server = StandIn::start("i-1").await;
-        let gateway = with_short_streams(&server).await;
-        let mut client = gateway.ask(&post("/stream/", "r1", TURN, "x")).await;
-        let (mut connection, _) = server.take().await;
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = with_short_streams(&endpoint).await;
+        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
+        let (mut connection, _) = endpoint.next_request().await;
         connection.stream_head("r1", "").await;
         assert_eq!(client.message().await.status(), 504);
         assert!(connection.is_closed().await);
@@ -139,12 +148,12 @@
 
 #[test]
 fn a_turn_that_is_not_admitted_in_the_time_of_its_route_is_refused_unsent() {
-    play(async {
-        let server = StandIn::start("i-1").await;
-        let gateway = with_short_streams(&server).await;
-        gateway.node.admissions.forget_permits(1000);
-        let mut client = gateway.ask(&post("/stream/", "r1", TURN, "x")).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = with_short_streams(&endpoint).await;
+        proxy.node.admission_permits.forget_permits(1000);
+        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
         assert_eq!(client.message().await.status(), 503);
-        assert!(server.is_untouched().await);
+        assert!(endpoint.has_no_connection().await);
     });
 }
--- a/crates/serving/proxy/tests/events.rs
+++ b/crates/serving/proxy/tests/events.rs
@@ -1,7 +1,7 @@
 //! Events split at any place, and read.
 
 use bytes::{Bytes, BytesMut};
-use dunespur_proxy::{Event, Splitter};
+use dunespur_proxy::{Event, EventSplitter};
 
 const STREAM: &str = "id: 1\ndata: a\n\nversions: 2\nid: 2\ndata:b\ndata: c\n\n: comment\n\nid: 3\r\ndata: d\r\n\r\nid: 10\ndata\n\n";
 
@@ -37,7 +37,7 @@
     let all = read(&bytes);
     for first in 0..=bytes.len() {
         for second in first..=bytes.len() {
-            let mut splitter = Splitter::default();
+            let mut splitter = EventSplitter::default();
             let mut came = Vec::new();
             let mut passed = Vec::new();
             for part in [
@@ -58,12 +58,12 @@
 
 #[test]
 fn a_partial_event_is_held_back() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let whole = splitter
         .push(Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\ndata: b\n"))
         .unwrap();
     assert_eq!(whole, "id: 1\ndata: a\n\n");
-    assert_eq!(splitter.held(), "id: 2\ndata: b\n".len());
+    assert_eq!(splitter.partial_bytes(), "id: 2\ndata: b\n".len());
     splitter.clear();
     assert!(splitter.is_empty());
 }
@@ -71,13 +71,13 @@
 #[test]
 fn whole_events_are_not_copied() {
     let bytes = Bytes::from_static(b"id: 1\ndata: a\n\n");
-    let whole = Splitter::default().push(bytes.clone()).unwrap();
+    let whole = EventSplitter::default().push(bytes.clone()).unwrap();
     assert_eq!(whole.as_ptr(), bytes.as_ptr());
 }
 
 #[test]
 fn an_event_without_end_is_refused() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let part = Bytes::from(vec![b'x'; 600 * 1024]);
     assert!(splitter.push(part.clone()).is_ok());
     assert!(splitter.push(part).is_err());
--- a/crates/serving/proxy/tests/exchanges.rs
+++ b/crates/serving/proxy/tests/generated_exchanges.rs
@@ -8,7 +8,7 @@
 mod generated;
 mod support;
 
-use dunespur_proxy::Guards;
+use dunespur_proxy::Safeguards;
 use generated::{play_cases, Violation};
 
 /// Cases that are played unless the environment says otherwise.
@@ -25,14 +25,14 @@
 
 #[test]
 fn generated_exchanges_keep_the_rules() {
-    let played = play_cases(cases(), Guards::default());
+    let played = play_cases(cases(), Safeguards::default());
     eprintln!("{played}");
     assert_eq!(played.violations, []);
     assert!(played.has_seen_everything(), "{played}");
 }
 
-fn counterexample(guards: Guards, is_wanted: impl Fn(&Violation) -> bool) {
-    let played = play_cases(COUNTEREXAMPLE_CASES, guards);
+fn counterexample(safeguards: Safeguards, is_wanted: impl Fn(&Violation) -> bool) {
+    let played = play_cases(COUNTEREXAMPLE_CASES, safeguards);
     let found = played
         .violations
         .iter()
@@ -47,33 +47,33 @@
 
 #[test]
 fn without_one_send_a_request_runs_twice() {
-    let guards = Guards {
-        unrepeatable_sent_once: false,
-        ..Guards::default()
+    let safeguards = Safeguards {
+        only_idempotent_retried: false,
+        ..Safeguards::default()
     };
-    counterexample(guards, |violation| {
+    counterexample(safeguards, |violation| {
         matches!(violation, Violation::RunTwice { .. })
     });
 }
 
 #[test]
 fn without_ids_a_client_gets_another_answer() {
-    let guards = Guards {
-        answer_ids_compared: false,
-        ..Guards::default()
+    let safeguards = Safeguards {
+        response_ids_compared: false,
+        ..Safeguards::default()
     };
-    counterexample(guards, |violation| {
+    counterexample(safeguards, |violation| {
         matches!(violation, Violation::WrongAnswer { .. })
     });
 }
 
 #[test]
 fn without_a_reset_that_is_no_end_a_part_looks_whole() {
-    let guards = Guards {
-        reset_is_no_end: false,
-        ..Guards::default()
+    let safeguards = Safeguards {
+        reset_truncates_body: false,
+        ..Safeguards::default()
     };
-    counterexample(guards, |violation| {
+    counterexample(safeguards, |violation| {
         matches!(violation, Violation::WrongAnswer { .. })
     });
 }
--- a/crates/serving/proxy/tests/log_lines.rs
+++ b/crates/serving/proxy/tests/log_lines.rs
@@ -37,25 +37,25 @@
     let _ = log::set_logger(&Lines);
     log::set_max_level(log::LevelFilter::Debug);
     LINES.take();
-    play(test);
-    let lines = without_times(&LINES.take(), &["left_ms="]);
+    run_test(test);
+    let lines = without_times(&LINES.take(), &["remaining_ms="]);
     assert_fixture(&format!("log_lines/{name}.log"), lines.as_bytes());
 }
 
 #[test]
 fn of_a_request_that_is_served() {
     play_lines("served", async {
-        let server = StandIn::start("i-1").await;
-        let gateway = Gateway::start(&[&server]).await;
-        let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
-        let (mut connection, _) = server.take().await;
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let (mut connection, _) = endpoint.next_request().await;
         connection
-            .answer(200, "r1", "Keep-Alive: timeout=5\r\n", "ok")
+            .respond(200, "r1", "Keep-Alive: timeout=5\r\n", "ok")
             .await;
         client.message().await;
-        let mut client = gateway.ask(&get("/read/", "r2")).await;
+        let mut client = proxy.request(&get("/read/", "r2")).await;
         connection.message().await;
-        connection.answer(200, "r2", "", "ok").await;
+        connection.respond(200, "r2", "", "ok").await;
         client.message().await;
     });
 }
@@ -63,15 +63,18 @@
 #[test]
 fn of_a_request_that_goes_from_server_to_server() {
     play_lines("next_server", async {
-        let dead = StandIn::dead("i-dead").await;
-        let (full, good) = (StandIn::start("i-1").await, StandIn::start("i-2").await);
-        let gateway = Gateway::start(&[&dead, &full, &good]).await;
-        let mut client = gateway.ask(&post("/write/", "r1", "", "x")).await;
-        let (mut connection, _) = full.take().await;
+        let dead = TestEndpoint::dead("i-dead").await;
+        let (full, good) = (
+            TestEndpoint::start("i-1").await,
+            TestEndpoint::start("i-2").await,
+        );
+        let proxy = TestProxy::start(&[&dead, &full, &good]).await;
+        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let (mut connection, _) = full.next_request().await;
         connection
-            .answer(503, "r1", "X-Dunespur-Not-Executed: full\r\n", "full")
+            .respond(503, "r1", "X-Dunespur-Not-Executed: full\r\n", "full")
             .await;
-        let (connection, _) = good.take().await;
+        let (connection, _) = good.next_request().await;
         connection.reset();
         client.message().await;
     });
@@ -80,17 +83,17 @@
 #[test]
 fn of_a_turn() {
     play_lines("turn", async {
-        let server = StandIn::start("i-1").await;
-        let gateway = Gateway::start(&[&server]).await;
-        let mut client = gateway
-            .ask(&post(
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        let mut client = proxy
+            .request(&post(
                 "/turn/",
                 "r 1",
                 &format!("{TURN}Previous: r0\r\n"),
                 "x",
             ))
             .await;
-        let (mut connection, _) = server.take().await;
+        let (mut connection, _) = endpoint.next_request().await;
         connection.stream_head("r 1", "").await;
         connection.chunk(&event(1)).await;
         connection.last_chunk().await;
@@ -101,21 +104,21 @@
 #[test]
 fn of_requests_that_are_refused() {
     play_lines("refused", async {
-        let gateway = Gateway::start(&[]).await;
-        gateway.ask(&get("/nowhere/", "r1")).await.message().await;
-        gateway.ask(&get("/read/", "r2")).await.message().await;
-        gateway.node.refuse.set(Some(1250));
-        gateway.ask(&get("/read/", "r3")).await.message().await;
+        let proxy = TestProxy::start(&[]).await;
+        proxy.request(&get("/nowhere/", "r1")).await.message().await;
+        proxy.request(&get("/read/", "r2")).await.message().await;
+        proxy.node.refuse.set(Some(1250));
+        proxy.request(&get("/read/", "r3")).await.message().await;
     });
 }
 
 #[test]
 fn of_a_server_that_is_silent() {
     play_lines("silent", async {
-        let server = StandIn::start("i-1").await;
-        let gateway = Gateway::start(&[&server]).await;
-        let mut client = gateway.ask(&post("/short/", "r1", "", "x")).await;
-        let (_connection, _) = server.take().await;
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        let mut client = proxy.request(&post("/short/", "r1", "", "x")).await;
+        let (_connection, _) = endpoint.next_request().await;
         client.message().await;
     });
 }
--- a/crates/serving/proxy/tests/storm.rs
+++ b/crates/serving/proxy/tests/random_load.rs
@@ -19,16 +19,16 @@
 type Runs = Rc<RefCell<HashMap<String, Vec<String>>>>;
 
 /// A server that draws what it does with each request. Ends with the test.
-fn storm_server(mut rng: Rng, server: StandIn, runs: Runs) {
+fn storm_server(mut rng: Rng, endpoint: TestEndpoint, runs: Runs) {
     spawn_local(async move {
         loop {
-            let peer = server.accept().await;
-            spawn_local(serve(rng.fork(), peer, server.id.clone(), runs.clone()));
+            let peer = endpoint.accept().await;
+            spawn_local(serve(rng.fork(), peer, endpoint.id.clone(), runs.clone()));
         }
     });
 }
 
-async fn serve(mut rng: Rng, mut peer: Peer, server: String, runs: Runs) {
+async fn serve(mut rng: Rng, mut peer: Peer, endpoint: String, runs: Runs) {
     loop {
         let Some(request) = peer.next_message().await else {
             return;
@@ -39,45 +39,45 @@
         let draw = rng.u32(0..14);
         match draw {
             0 => {
-                peer.answer(503, &id, "X-Dunespur-Not-Executed: full\r\n", "")
+                peer.respond(503, &id, "X-Dunespur-Not-Executed: full\r\n", "")
                     .await;
                 continue;
             }
             // Another instance says so, and that one has not run it before.
-            1 if !has_run(&runs, &id, &server) => {
-                peer.answer(421, &id, "", "").await;
+            1 if !has_run(&runs, &id, &endpoint) => {
+                peer.respond(421, &id, "", "").await;
                 continue;
             }
             _ => runs
                 .borrow_mut()
                 .entry(id.clone())
                 .or_default()
-                .push(server.clone()),
+                .push(endpoint.clone()),
         }
         match draw {
             2 => return peer.reset(),
             3 => return,
-            4 => peer.answer(500, &id, "", "failed").await,
-            5 => peer.answer(503, &id, "", "an empty promise").await,
-            6 => peer.answer(200, "another", "", "another's").await,
+            4 => peer.respond(500, &id, "", "failed").await,
+            5 => peer.respond(503, &id, "", "an empty promise").await,
+            6 => peer.respond(200, "another", "", "another's").await,
             7 => return peer.send(b"\x00garbage\r\n\r\n").await,
             8 => return peer.send(format!("HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 20\r\n\r\nhalf").as_bytes()).await,
             9 if streams => return broken_stream(&mut rng, &mut peer, &request).await,
             _ if streams => stream(&mut peer, &request, EVENTS).await,
             9 => {
-                peer.answer(200, &id, "Keep-Alive: timeout=5\r\n", &id).await;
-                peer.answer(200, &id, "Keep-Alive: timeout=5\r\n", &id).await;
+                peer.respond(200, &id, "Keep-Alive: timeout=5\r\n", &id).await;
+                peer.respond(200, &id, "Keep-Alive: timeout=5\r\n", &id).await;
             }
-            10 => peer.answer(200, &id, "Connection: close\r\n", &id).await,
-            _ => peer.answer(200, &id, "Keep-Alive: timeout=5\r\n", &id).await,
+            10 => peer.respond(200, &id, "Connection: close\r\n", &id).await,
+            _ => peer.respond(200, &id, "Keep-Alive: timeout=5\r\n", &id).await,
         }
     }
 }
 
-fn has_run(runs: &Runs, id: &str, server: &str) -> bool {
+fn has_run(runs: &Runs, id: &str, endpoint: &str) -> bool {
     runs.borrow()
         .get(id)
-        .is_some_and(|servers| servers.iter().any(|ran| ran == server))
+        .is_some_and(|endpoints| endpoints.iter().any(|ran| ran == endpoint))
 }
 
 fn first_event(request: &Message) -> u64 {
@@ -119,9 +119,9 @@
     body: Result<Vec<u8>, Vec<u8>>,
 }
 
-async fn storm_client(mut rng: Rng, gateway: Rc<Gateway>, number: u64) -> Vec<Got> {
+async fn storm_client(mut rng: Rng, proxy: Rc<TestProxy>, number: u64) -> Vec<Got> {
     let mut got = Vec::new();
-    let mut client = gateway.client().await;
+    let mut client = proxy.client().await;
     for request in 0..REQUESTS_PER_CLIENT {
         let id = format!("c{number}r{request}");
         let kind = [
@@ -136,13 +136,13 @@
         client.send(post(kind, &id, more, &id).as_bytes()).await;
         if rng.u32(0..10) == 0 {
             // It leaves without its answer.
-            client = gateway.client().await;
+            client = proxy.client().await;
             continue;
         }
         let head = client.head().await;
         let body = client.body_of(&head).await;
         if body.is_err() || head.header("connection") == Some("close") {
-            client = gateway.client().await;
+            client = proxy.client().await;
         }
         let stamped = head.header("x-dunespur-response-stamp").is_some();
         got.push(Got {
@@ -183,9 +183,12 @@
         !runs.is_empty() || *status == 503,
         "{id}: answered by nobody"
     );
-    let servers: HashSet<_> = runs.iter().collect();
+    let endpoints: HashSet<_> = runs.iter().collect();
     let most_servers = if kind.ends_with("2/") { 2 } else { 1 };
-    assert!(servers.len() <= most_servers, "{id}: run at {servers:?}");
+    assert!(
+        endpoints.len() <= most_servers,
+        "{id}: run at {endpoints:?}"
+    );
     let once = matches!(*kind, "/write/" | "/stream/");
     assert!(!once || runs.len() <= 1, "{id}: run at {runs:?}");
 }
@@ -193,45 +196,45 @@
 #[test]
 fn promises_hold_in_a_storm() {
     for seed in 0..SEEDS {
-        play(storm(seed));
+        run_test(storm(seed));
     }
 }
 
 async fn storm(seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let runs = Runs::default();
-    let mut servers = Vec::new();
+    let mut endpoints = Vec::new();
     for number in 0..4 {
-        servers.push(StandIn::start(&format!("i-{number}")).await);
+        endpoints.push(TestEndpoint::start(&format!("i-{number}")).await);
     }
-    let gateway = Rc::new(Gateway::start(&servers.iter().collect::<Vec<_>>()).await);
-    for server in servers {
-        storm_server(rng.fork(), server, runs.clone());
+    let proxy = Rc::new(TestProxy::start(&endpoints.iter().collect::<Vec<_>>()).await);
+    for endpoint in endpoints {
+        storm_server(rng.fork(), endpoint, runs.clone());
     }
     let clients: Vec<_> = (0..CLIENTS)
-        .map(|number| spawn_local(storm_client(rng.fork(), gateway.clone(), number)))
+        .map(|number| spawn_local(storm_client(rng.fork(), proxy.clone(), number)))
         .collect();
     let mut all = Vec::new();
     for client in clients {
         all.extend(client.await.unwrap());
     }
     // What was left by its client ends as well.
-    while gateway.front.counters().connections > 0 {
+    while proxy.server.counters().connections > 0 {
         tokio::task::yield_now().await;
     }
     let runs = runs.borrow();
     for got in &all {
         check(got, runs.get(&got.id).map_or(&[], Vec::as_slice));
     }
-    let told = gateway.node.told();
-    let count = |wanted: fn(&Told) -> bool| told.iter().filter(|told| wanted(told)).count();
+    let calls = proxy.node.calls();
+    let count = |wanted: fn(&NodeCall) -> bool| calls.iter().filter(|calls| wanted(calls)).count();
     assert_eq!(
-        count(|told| matches!(told, Told::Finished(_))),
-        gateway.node.sends()
+        count(|calls| matches!(calls, NodeCall::Finished(_))),
+        proxy.node.sends()
     );
     assert_eq!(
-        count(|told| matches!(told, Told::Reserve { .. })),
-        count(|told| *told == Told::Release)
+        count(|calls| matches!(calls, NodeCall::Admit { .. })),
+        count(|calls| *calls == NodeCall::Release)
     );
-    assert_eq!(gateway.front.counters().body_bytes, 0);
+    assert_eq!(proxy.server.counters().body_bytes, 0);
 }
--- /dev/null
+++ b/crates/serving/proxy/tests/stale_responses.rs
@@ -0,0 +1,466 @@
+//! Answers and bytes that belong to no request, or to another one than is waited for: none reaches another caller.
+//! And what each guard against them is for, shown with the guard taken out.
+
+mod support;
+
+use dunespur_proxy::{ProxySettings, Safeguards};
+use std::io::Write;
+use support::*;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::time::Duration;
+
+const HEAD: &str =
+    "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n";
+/// More than the sockets hold of a request that its server does not read.
+const LONG_BODY: usize = 6 * 1024 * 1024;
+
+async fn proxy_without(endpoints: &[&TestEndpoint], safeguards: Safeguards) -> TestProxy {
+    TestProxy::with_safeguards(endpoints, ProxySettings::default(), safeguards).await
+}
+
+fn take_long_bodies(proxy: &TestProxy) {
+    let roomy = CONFIGURATION.replace(r#""max_body_bytes":100000"#, r#""max_body_bytes":20000000"#);
+    *proxy.node.table.borrow_mut() = Some(table(&roomy));
+}
+
+/// Bytes in which each place tells itself.
+fn numbered_body(bytes: usize) -> String {
+    (0..)
+        .flat_map(|number: u32| format!("{number},").into_bytes())
+        .map(char::from)
+        .take(bytes)
+        .collect()
+}
+
+/// Serves one request over a connection that is kept and has rested, so that anything may go over it next.
+async fn rested_connection(proxy: &TestProxy, endpoint: &TestEndpoint) -> Peer {
+    let mut client = proxy.request(&get("/read/", "first")).await;
+    let (mut connection, _) = endpoint.next_request().await;
+    connection
+        .respond(200, "first", "Keep-Alive: timeout=5\r\n", "ok")
+        .await;
+    assert_eq!(client.message().await.text(), "ok");
+    pass_time(Duration::from_millis(20)).await;
+    connection
+}
+
+#[test]
+fn an_early_answer_ends_the_connection_and_the_server_reads_nothing_but_its_body() {
+    run_test(async {
+        let endpoint = TestEndpoint::narrow("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        take_long_bodies(&proxy);
+        let body = numbered_body(LONG_BODY);
+        let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
+        let mut connection = endpoint.accept().await;
+        connection.head().await;
+        connection
+            .respond(200, "r1", "Keep-Alive: timeout=5\r\n", "early")
+            .await;
+        assert_eq!(client.message().await.text(), "early");
+
+        let _other = proxy.request(&post("/write/", "r2", "", "other")).await;
+        let (_, message) = endpoint.next_request().await;
+        assert_eq!(message.id(), "r2", "over another connection");
+        let read = connection.rest().await;
+        assert!(read.len() < body.len() && body.as_bytes().starts_with(&read));
+    });
+}
+
+#[test]
+fn a_server_that_reads_on_while_it_answers_gets_the_whole_body_and_keeps_its_connection() {
+    run_test(async {
+        let endpoint = TestEndpoint::narrow("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        take_long_bodies(&proxy);
+        let body = numbered_body(LONG_BODY);
+        let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
+        let mut connection = endpoint.accept().await;
+        let head = connection.head().await;
+        connection
+            .send(
+                format!("{HEAD}Keep-Alive: timeout=5\r\nTransfer-Encoding: chunked\r\n\r\n")
+                    .as_bytes(),
+            )
+            .await;
+        connection.chunk("early").await;
+        assert!(connection.body_of(&head).await.unwrap() == body.as_bytes());
+        connection.last_chunk().await;
+        assert_eq!(client.message().await.text(), "early");
+
+        let _other = proxy.request(&get("/read/", "r2")).await;
+        assert_eq!(connection.message().await.id(), "r2");
+    });
+}
+
+#[test]
+fn a_server_that_has_read_no_more_than_the_head_may_have_run_the_request() {
+    run_test(async {
+        let (first, second) = (
+            TestEndpoint::narrow("i-1").await,
+            TestEndpoint::start("i-2").await,
+        );
+        let proxy = TestProxy::start(&[&first, &second]).await;
+        take_long_bodies(&proxy);
+        let body = numbered_body(LONG_BODY);
+        let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
+        let mut connection = first.accept().await;
+        connection.head().await;
+        connection.reset();
+        assert_eq!(client.message().await.status(), 502, "not sent again");
+
+        let mut client = proxy.request(&post("/write/", "r2", "", &body)).await;
+        let mut connection = first.accept().await;
+        connection.head().await;
+        pass_time(Duration::from_millis(15_200)).await;
+        assert_eq!(
+            client.message().await.status(),
+            504,
+            "no promise that it has not run"
+        );
+        assert!(second.has_no_connection().await);
+    });
+}
+
+/// Returns once this machine has given up a connection whose other side leaves bytes unread, after `peer_timeout`.
+async fn unread_bytes_are_given_up(peer_timeout: Duration) {
+    let unread = TestEndpoint::narrow("unread").await;
+    let mut stream = TcpStream::connect(unread.address).await.unwrap();
+    socket2::SockRef::from(&stream)
+        .set_tcp_user_timeout(Some(peer_timeout))
+        .unwrap();
+    let written = stream.write_all(&vec![0; LONG_BODY]).await;
+    assert_eq!(written.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
+}
+
+#[test]
+fn a_server_that_reads_a_long_body_late_gets_it() {
+    run_test(async {
+        let endpoint = TestEndpoint::narrow("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        take_long_bodies(&proxy);
+        let body = numbered_body(LONG_BODY);
+        let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
+        let mut connection = endpoint.accept().await;
+        let head = connection.head().await;
+        unread_bytes_are_given_up(Duration::from_millis(1500)).await;
+        let read = connection.body_of(&head).await;
+        assert!(
+            read.is_ok_and(|read| read == body.as_bytes()),
+            "all of the body"
+        );
+        connection.respond(200, "r1", "", "late").await;
+        assert_eq!(client.message().await.text(), "late");
+    });
+}
+
+#[test]
+fn answers_on_different_connections_may_pass_each_other() {
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        let mut first = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let (mut first_connection, _) = endpoint.next_request().await;
+        let mut second = proxy.request(&post("/write/", "r2", "", "x")).await;
+        let (mut second_connection, _) = endpoint.next_request().await;
+        second_connection.respond(200, "r2", "", "two").await;
+        assert_eq!(second.message().await.text(), "two");
+        first_connection.respond(200, "r1", "", "one").await;
+        assert_eq!(first.message().await.text(), "one");
+    });
+}
+
+#[test]
+fn an_answer_that_comes_over_the_connection_of_another_request_is_nobodys() {
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        let mut first = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let (mut first_connection, _) = endpoint.next_request().await;
+        let mut second = proxy.request(&post("/write/", "r2", "", "x")).await;
+        let (mut second_connection, _) = endpoint.next_request().await;
+        first_connection.respond(200, "r2", "", "two").await;
+        second_connection.respond(200, "r1", "", "one").await;
+        assert_eq!(first.message().await.status(), 502);
+        assert_eq!(second.message().await.status(), 502);
+    });
+}
+
+#[test]
+fn the_answer_to_a_client_that_has_left_is_nobodys() {
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        let mut connection = rested_connection(&proxy, &endpoint).await;
+        let left = proxy.request(&post("/write/", "r1", "", "x")).await;
+        assert_eq!(connection.message().await.id(), "r1");
+        drop(left);
+        // No time passes: the end of the client's connection is that of the server's.
+        assert!(connection.is_closed().await);
+        connection
+            .respond(200, "r1", "", "for one that has left")
+            .await;
+        let mut client = proxy.request(&post("/write/", "r2", "", "x")).await;
+        let (mut connection, message) = endpoint.next_request().await;
+        assert_eq!(message.id(), "r2");
+        connection.respond(200, "r2", "", "mine").await;
+        assert_eq!(client.message().await.text(), "mine");
+    });
+}
+
+/// A second copy of an answer has the id of the request that is sent again.
+#[test]
+fn a_request_that_was_turned_away_does_not_go_over_the_same_connection_again() {
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        proxy.node.offers_tried_again.set(true);
+        let mut client = proxy.request(&get("/read/", "r1")).await;
+        let (mut connection, _) = endpoint.next_request().await;
+        let full = "X-Dunespur-Not-Executed: full\r\nKeep-Alive: timeout=5\r\n";
+        connection.respond(503, "r1", full, "").await;
+        let (mut again, message) = endpoint.next_request().await;
+        assert_eq!(message.id(), "r1");
+        connection.respond(503, "r1", full, "").await;
+        again.respond(200, "r1", "", "ok").await;
+        assert_eq!(client.message().await.text(), "ok");
+    });
+}
+
+#[test]
+fn interim_answers_are_no_answer() {
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let (mut connection, _) = endpoint.next_request().await;
+        connection
+            .send(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nX-Any: 1\r\n\r\n")
+            .await;
+        connection.respond(200, "r1", "", "ok").await;
+        let response = client.message().await;
+        assert_eq!((response.status(), response.text()), (200, "ok"));
+    });
+}
+
+// What each guard is against.
+
+/// Whether a request that can't be repeated reaches a second server after it may have run at the first.
+async fn runs_twice(safeguards: Safeguards) -> bool {
+    let (first, second) = (
+        TestEndpoint::start("i-1").await,
+        TestEndpoint::start("i-2").await,
+    );
+    let proxy = proxy_without(&[&first, &second], safeguards).await;
+    let more = CONFIGURATION.replace(
+        r#""target_ms":500,"priority":1,"backend":"plain","retries":1"#,
+        r#""target_ms":500,"priority":1,"backend":"plain","retries":2"#,
+    );
+    *proxy.node.table.borrow_mut() = Some(table(&more));
+    let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+    first.next_request().await.0.reset();
+    tokio::select! {
+        (mut connection, _) = second.next_request() => {
+            connection.respond(200, "r1", "", "a second time").await;
+            client.message().await.status() == 200
+        }
+        response = client.message() => {
+            assert_eq!(response.status(), 502);
+            false
+        }
+    }
+}
+
+#[test]
+fn what_can_not_be_repeated_must_be_sent_once() {
+    run_test(async {
+        assert!(!runs_twice(Safeguards::default()).await);
+        assert!(
+            runs_twice(Safeguards {
+                only_idempotent_retried: false,
+                ..Safeguards::default()
+            })
+            .await
+        );
+    });
+}
+
+/// What a client gets where the answer to an earlier request comes in the place of its own.
+async fn answer_behind_a_late_one(safeguards: Safeguards) -> String {
+    let endpoint = TestEndpoint::start("i-1").await;
+    let proxy = proxy_without(&[&endpoint], safeguards).await;
+    let mut connection = rested_connection(&proxy, &endpoint).await;
+    let mut client = proxy.request(&get("/read/", "r2")).await;
+    connection.message().await;
+    connection.respond(200, "first", "", "another's").await;
+    tokio::select! {
+        response = client.message() => response.text().to_owned(),
+        (mut connection, _) = endpoint.next_request() => {
+            connection.respond(200, "r2", "", "its own").await;
+            client.message().await.text().to_owned()
+        }
+    }
+}
+
+#[test]
+fn the_ids_of_answers_must_be_compared() {
+    run_test(async {
+        assert_eq!(
+            answer_behind_a_late_one(Safeguards::default()).await,
+            "its own"
+        );
+        let safeguards = Safeguards {
+            response_ids_compared: false,
+            ..Safeguards::default()
+        };
+        assert_eq!(answer_behind_a_late_one(safeguards).await, "another's");
+    });
+}
+
+/// Whether a request reaches a connection on which surplus bytes have come in the last moment before it was sent, so
+/// that no event loop has seen them.
+async fn goes_behind_surplus_bytes(safeguards: Safeguards) -> bool {
+    let endpoint = TestEndpoint::start("i-1").await;
+    let proxy = proxy_without(&[&endpoint], safeguards).await;
+    let mut connection = rested_connection(&proxy, &endpoint).await;
+    let mut writer = connection.writer();
+    let surplus = format!(
+        "{}Content-Length: 4\r\n\r\nlate",
+        HEAD.replace("r1", "first")
+    );
+    *proxy.node.on_next_choice.borrow_mut() = Some(Box::new(move || {
+        writer.write_all(surplus.as_bytes()).unwrap()
+    }));
+    let mut client = proxy.request(&post("/write/", "r2", "", "x")).await;
+    tokio::select! {
+        response = client.message() => {
+            assert_eq!((response.status(), connection.message().await.id()), (502, "r2"));
+            true
+        }
+        (mut connection, _) = endpoint.next_request() => {
+            connection.respond(200, "r2", "", "ok").await;
+            assert_eq!(client.message().await.text(), "ok");
+            false
+        }
+    }
+}
+
+#[test]
+fn surplus_bytes_must_end_their_connection() {
+    run_test(async {
+        assert!(!goes_behind_surplus_bytes(Safeguards::default()).await);
+        let safeguards = Safeguards {
+            surplus_bytes_close_connection: false,
+            ..Safeguards::default()
+        };
+        assert!(goes_behind_surplus_bytes(safeguards).await);
+    });
+}
+
+/// Status and body that a client gets of an answer without a length that is reset on its way.
+async fn answer_that_is_reset(safeguards: Safeguards) -> (u16, String) {
+    let endpoint = TestEndpoint::start("i-1").await;
+    let proxy = proxy_without(&[&endpoint], safeguards).await;
+    let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+    let (mut connection, _) = endpoint.next_request().await;
+    connection.send(format!("{HEAD}\r\nhalf").as_bytes()).await;
+    connection.reset();
+    let response = client.message().await;
+    (response.status(), response.text().to_owned())
+}
+
+#[test]
+fn a_reset_must_be_no_end() {
+    run_test(async {
+        assert_eq!(answer_that_is_reset(Safeguards::default()).await.0, 502);
+        let safeguards = Safeguards {
+            reset_truncates_body: false,
+            ..Safeguards::default()
+        };
+        assert_eq!(
+            answer_that_is_reset(safeguards).await,
+            (200, "half".to_owned())
+        );
+    });
+}
+
+// Time.
+
+#[test]
+fn servers_are_handed_the_time_that_is_left_on_every_send() {
+    run_test(async {
+        let (first, second) = (
+            TestEndpoint::start("i-1").await,
+            TestEndpoint::start("i-2").await,
+        );
+        let proxy = TestProxy::start(&[&first, &second]).await;
+        let deadline = |message: &Message| -> u64 {
+            message
+                .header("x-dunespur-deadline-ms")
+                .unwrap()
+                .parse()
+                .unwrap()
+        };
+        let _client = proxy.request(&get("/read2/", "r1")).await;
+        let (connection, message) = first.next_request().await;
+        let first_ms = deadline(&message);
+        assert!(first_ms <= 15_000 && first_ms > 10_000, "{first_ms}");
+        pass_time(Duration::from_millis(700)).await;
+        connection.reset();
+        let second_ms = deadline(&second.next_request().await.1);
+        assert!(second_ms <= first_ms - 700, "{second_ms} after {first_ms}");
+    });
+}
+
+#[test]
+fn a_request_without_a_time_of_its_own_has_that_of_its_route() {
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        let request = get("/read/", "r1").replace("X-Dunespur-Deadline-Ms: 15000\r\n", "");
+        let _client = proxy.request(&request).await;
+        let (_, message) = endpoint.next_request().await;
+        let deadline: u64 = message
+            .header("x-dunespur-deadline-ms")
+            .unwrap()
+            .parse()
+            .unwrap();
+        assert!(deadline <= 20_000 && deadline > 15_000, "{deadline}");
+    });
+}
+
+#[test]
+fn an_answer_comes_at_the_time_of_the_route() {
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        let patient = post("/write/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000");
+        let mut client = proxy.request(&patient).await;
+        let (mut connection, _) = endpoint.next_request().await;
+        pass_time(Duration::from_millis(19_000)).await;
+        assert!(client.is_silent().await, "not before its time");
+        pass_time(Duration::from_millis(1_300)).await;
+        assert_eq!(client.message().await.status(), 504);
+        assert!(connection.is_closed().await);
+    });
+}
+
+#[test]
+fn a_stream_under_way_ends_broken_at_the_time_of_the_route() {
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        let mut client = proxy
+            .request(&post("/stream/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000"))
+            .await;
+        let (mut connection, _) = endpoint.next_request().await;
+        connection.stream_head("r1", "").await;
+        connection.chunk(&event(1)).await;
+        client.head().await;
+        assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
+        pass_time(Duration::from_millis(20_300)).await;
+        assert_eq!(client.next_chunk().await, None);
+        assert!(connection.is_closed().await);
+    });
+}
--- a/crates/serving/proxy/tests/support/mod.rs
+++ b/crates/serving/proxy/tests/support/mod.rs
@@ -7,7 +7,8 @@
 use bytes::Bytes;
 use dunespur_configuration::{Document, Table};
 use dunespur_proxy::{
-    Front, FrontSettings, Guards, History, KeptTurn, Node, Reserve, TurnAsk, TurnKey,
+    AdmissionDecision, AdmissionRequest, CompletedTurn, History, Node, ProxyServer, ProxySettings,
+    Safeguards, TurnKey,
 };
 use dunespur_routing::{Ask, Choice, Outcome, Server, Ticket};
 use std::cell::{Cell, RefCell};
@@ -29,7 +30,7 @@
 const NARROW_BYTES: u32 = 16 * 1024;
 
 /// Runs a test on one thread.
-pub fn play(test: impl Future<Output = ()>) {
+pub fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -75,55 +76,55 @@
 /// What a test says the node answers, and what it was told.
 pub struct TestNode {
     pub table: RefCell<Option<Rc<Table>>>,
-    pub ready: Cell<bool>,
-    pub out_of_touch: Cell<bool>,
+    pub is_ready: Cell<bool>,
+    pub configuration_stale: Cell<bool>,
     /// Chosen in this order, the tried ones left out.
-    pub servers: RefCell<Vec<Rc<Server>>>,
+    pub endpoints: RefCell<Vec<Rc<Server>>>,
     /// Services that have none of them.
-    pub without_servers: RefCell<Vec<String>>,
+    pub services_without_endpoints: RefCell<Vec<String>>,
     pub refuse: Cell<Option<u64>>,
     pub engine_priority: Cell<Option<u8>>,
     /// Whether a server that was tried is offered again once there is no other.
-    pub offers_tried: Cell<bool>,
+    pub offers_tried_again: Cell<bool>,
     /// Done once, in the very moment in which a server is chosen next.
-    pub at_next_choice: RefCell<Option<Box<dyn FnOnce()>>>,
-    pub reserve: Cell<Reserve>,
+    pub on_next_choice: RefCell<Option<Box<dyn FnOnce()>>>,
+    pub reserve: Cell<AdmissionDecision>,
     /// Permits of turns that may be admitted; none waits unless a test takes them away.
-    pub admissions: Semaphore,
+    pub admission_permits: Semaphore,
     pub history: RefCell<History>,
-    pub keeps: Cell<bool>,
+    pub persists: Cell<bool>,
     /// Permits of turns that may be kept.
-    pub keepings: Semaphore,
-    pub log: RefCell<Vec<Told>>,
-    asks: RefCell<Vec<AskCopy>>,
+    pub persist_permits: Semaphore,
+    pub log: RefCell<Vec<NodeCall>>,
+    choices: RefCell<Vec<RecordedChoice>>,
     last_key: Cell<u64>,
     changed: Notify,
-    known_changed: Notify,
+    configuration_changed: Notify,
 }
 
 /// What the node was told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    AwaitsChange,
+pub enum NodeCall {
+    AwaitChange,
     FirstEvent,
     Finished(Outcome),
-    Reserve {
+    Admit {
         program: String,
         budget: u64,
-        most: u64,
+        max_tokens: u64,
     },
-    Used(u64),
+    RecordTokens(u64),
     Release,
     History {
         program: String,
         previous: String,
     },
-    Keep(KeptTurn),
+    Persist(CompletedTurn),
 }
 
 /// A question for a server.
 #[derive(Clone, Debug)]
-pub struct AskCopy {
+pub struct RecordedChoice {
     pub backend: String,
     pub program: Option<String>,
     pub session: Option<String>,
@@ -136,38 +137,38 @@
 }
 
 impl TestNode {
-    pub fn new(servers: Vec<Rc<Server>>) -> Rc<TestNode> {
+    pub fn new(endpoints: Vec<Rc<Server>>) -> Rc<TestNode> {
         Rc::new(TestNode {
             table: RefCell::new(Some(table(CONFIGURATION))),
-            ready: Cell::new(true),
-            out_of_touch: Cell::new(false),
-            servers: RefCell::new(servers),
-            without_servers: RefCell::default(),
+            is_ready: Cell::new(true),
+            configuration_stale: Cell::new(false),
+            endpoints: RefCell::new(endpoints),
+            services_without_endpoints: RefCell::default(),
             refuse: Cell::new(None),
             engine_priority: Cell::new(None),
-            offers_tried: Cell::new(false),
-            at_next_choice: RefCell::default(),
-            reserve: Cell::new(Reserve::Admitted(TurnKey(7))),
-            admissions: Semaphore::new(1000),
+            offers_tried_again: Cell::new(false),
+            on_next_choice: RefCell::default(),
+            reserve: Cell::new(AdmissionDecision::Admitted(TurnKey(7))),
+            admission_permits: Semaphore::new(1000),
             history: RefCell::new(History::Found(Vec::new())),
-            keeps: Cell::new(true),
-            keepings: Semaphore::new(1000),
+            persists: Cell::new(true),
+            persist_permits: Semaphore::new(1000),
             log: RefCell::default(),
-            asks: RefCell::default(),
+            choices: RefCell::default(),
             last_key: Cell::new(0),
             changed: Notify::new(),
-            known_changed: Notify::new(),
+            configuration_changed: Notify::new(),
         })
     }
 
     /// Another table comes into force, or none.
-    pub fn learn(&self, table: Option<Rc<Table>>) {
+    pub fn set_table(&self, table: Option<Rc<Table>>) {
         *self.table.borrow_mut() = table;
-        self.known_changed.notify_waiters();
+        self.configuration_changed.notify_waiters();
     }
 
-    pub fn asks(&self) -> Vec<AskCopy> {
-        self.asks.borrow().clone()
+    pub fn choices(&self) -> Vec<RecordedChoice> {
+        self.choices.borrow().clone()
     }
 
     /// How many sends it has allowed.
@@ -175,7 +176,7 @@
         self.last_key.get() as usize
     }
 
-    pub fn told(&self) -> Vec<Told> {
+    pub fn calls(&self) -> Vec<NodeCall> {
         self.log.borrow().clone()
     }
 
@@ -183,8 +184,8 @@
     pub fn outcomes(&self) -> Vec<Outcome> {
         let log = self.log.borrow();
         log.iter()
-            .filter_map(|told| {
-                if let Told::Finished(outcome) = told {
+            .filter_map(|calls| {
+                if let NodeCall::Finished(outcome) = calls {
                     Some(*outcome)
                 } else {
                     None
@@ -198,8 +199,8 @@
         self.log
             .borrow()
             .iter()
-            .map(|told| {
-                if let Told::Used(tokens) = told {
+            .map(|calls| {
+                if let NodeCall::RecordTokens(tokens) = calls {
                     *tokens
                 } else {
                     0
@@ -208,13 +209,13 @@
             .sum()
     }
 
-    fn note(&self, told: Told) {
-        self.log.borrow_mut().push(told);
+    fn note(&self, calls: NodeCall) {
+        self.log.borrow_mut().push(calls);
         self.changed.notify_waiters();
     }
 
     /// Waits until it has been told this.
-    pub async fn hears(&self, wanted: &Told) {
+    pub async fn called_with(&self, wanted: &NodeCall) {
         loop {
             let mut changed = std::pin::pin!(self.changed.notified());
             changed.as_mut().enable();
@@ -227,25 +228,25 @@
 }
 
 impl Node for TestNode {
-    fn table(&self) -> Option<Rc<Table>> {
+    fn route_table(&self) -> Option<Rc<Table>> {
         self.table.borrow().clone()
     }
 
-    fn is_out_of_touch(&self) -> bool {
-        self.out_of_touch.get()
+    fn is_configuration_stale(&self) -> bool {
+        self.configuration_stale.get()
     }
 
     async fn next_change(&self) {
-        self.note(Told::AwaitsChange);
-        self.known_changed.notified().await;
+        self.note(NodeCall::AwaitChange);
+        self.configuration_changed.notified().await;
     }
 
-    fn ready(&self) -> bool {
-        self.ready.get()
+    fn is_ready(&self) -> bool {
+        self.is_ready.get()
     }
 
     fn choose(&self, ask: &Ask) -> Choice {
-        self.asks.borrow_mut().push(AskCopy {
+        self.choices.borrow_mut().push(RecordedChoice {
             backend: ask.backend.to_owned(),
             program: ask.program.map(str::to_owned),
             session: ask.session.map(str::to_owned),
@@ -260,30 +261,30 @@
             time_left_ms: ask.time_left_ms,
             tried: ask.tried.iter().map(|id| id.to_string()).collect(),
         });
-        if let Some(act) = self.at_next_choice.borrow_mut().take() {
+        if let Some(act) = self.on_next_choice.borrow_mut().take() {
             act();
         }
         if let Some(retry_after_ms) = self.refuse.get() {
             return Choice::Refuse { retry_after_ms };
         }
         if self
-            .without_servers
+            .services_without_endpoints
             .borrow()
             .iter()
             .any(|service| service == ask.backend)
         {
             return Choice::NoServer;
         }
-        let servers = self.servers.borrow();
-        let untried = servers
+        let endpoints = self.endpoints.borrow();
+        let untried = endpoints
             .iter()
-            .find(|server| !ask.tried.contains(&server.id));
-        match untried.or(servers.first().filter(|_| self.offers_tried.get())) {
-            Some(server) => {
+            .find(|endpoint| !ask.tried.contains(&endpoint.id));
+        match untried.or(endpoints.first().filter(|_| self.offers_tried_again.get())) {
+            Some(endpoint) => {
                 self.last_key.set(self.last_key.get() + 1);
                 let engine_priority = self.engine_priority.get();
                 Choice::Send(Ticket {
-                    server: server.clone(),
+                    server: endpoint.clone(),
                     key: self.last_key.get(),
                     engine_priority,
                 })
@@ -293,72 +294,81 @@
     }
 
     fn first_event(&self, _key: u64) {
-        self.note(Told::FirstEvent);
+        self.note(NodeCall::FirstEvent);
     }
 
     fn finished(&self, _key: u64, outcome: Outcome) {
-        self.note(Told::Finished(outcome));
+        self.note(NodeCall::Finished(outcome));
     }
 
-    async fn reserve(&self, turn: TurnAsk<'_>) -> Reserve {
-        self.note(Told::Reserve {
+    async fn admit(&self, turn: AdmissionRequest<'_>) -> AdmissionDecision {
+        self.note(NodeCall::Admit {
             program: turn.program.to_owned(),
             budget: turn.budget,
-            most: turn.most,
+            max_tokens: turn.max_tokens,
         });
-        self.admissions.acquire().await.unwrap().forget();
+        self.admission_permits.acquire().await.unwrap().forget();
         self.reserve.get()
     }
 
-    fn used(&self, _turn: TurnKey, tokens: u64) {
-        self.note(Told::Used(tokens));
+    fn record_tokens(&self, _turn: TurnKey, tokens: u64) {
+        self.note(NodeCall::RecordTokens(tokens));
     }
 
     fn release(&self, _turn: TurnKey) {
-        self.note(Told::Release);
+        self.note(NodeCall::Release);
     }
 
     async fn history(&self, program: &str, previous: &str) -> History {
-        self.note(Told::History {
+        self.note(NodeCall::History {
             program: program.to_owned(),
             previous: previous.to_owned(),
         });
         self.history.borrow().clone()
     }
 
-    async fn keep(&self, turn: KeptTurn) -> bool {
-        self.note(Told::Keep(turn));
-        self.keepings.acquire().await.unwrap().forget();
-        self.keeps.get()
+    async fn persist(&self, turn: CompletedTurn) -> bool {
+        self.note(NodeCall::Persist(turn));
+        self.persist_permits.acquire().await.unwrap().forget();
+        self.persists.get()
     }
 }
 
 /// A front on a socket of its own.
-pub struct Gateway {
+pub struct TestProxy {
     pub node: Rc<TestNode>,
-    pub front: Rc<Front<TestNode>>,
+    pub server: Rc<ProxyServer<TestNode>>,
     pub address: SocketAddr,
 }
 
-impl Gateway {
-    pub async fn start(servers: &[&StandIn]) -> Gateway {
-        Gateway::with(servers, FrontSettings::default()).await
+impl TestProxy {
+    pub async fn start(endpoints: &[&TestEndpoint]) -> TestProxy {
+        TestProxy::with(endpoints, ProxySettings::default()).await
     }
 
-    pub async fn with(servers: &[&StandIn], settings: FrontSettings) -> Gateway {
-        Gateway::guarded(servers, settings, Guards::default()).await
+    pub async fn with(endpoints: &[&TestEndpoint], settings: ProxySettings) -> TestProxy {
+        TestProxy::with_safeguards(endpoints, settings, Safeguards::default()).await
     }
 
     /// One whose guards may be taken out.
-    pub async fn guarded(servers: &[&StandIn], settings: FrontSettings, guards: Guards) -> Gateway {
-        let node = TestNode::new(servers.iter().map(|server| server.server()).collect());
-        let front = Front::with_guards(node.clone(), settings, guards);
+    pub async fn with_safeguards(
+        endpoints: &[&TestEndpoint],
+        settings: ProxySettings,
+        safeguards: Safeguards,
+    ) -> TestProxy {
+        let node = TestNode::new(
+            endpoints
+                .iter()
+                .map(|endpoint| endpoint.endpoint())
+                .collect(),
+        );
+        let server = ProxyServer::with_safeguards(node.clone(), settings, safeguards);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        tokio::task::spawn_local(front.clone().serve(listener));
-        Gateway {
+        tokio::task::spawn_local(server.clone().serve(listener));
+        TestProxy {
             node,
-            front,
+            server,
             address,
         }
     }
@@ -368,7 +378,7 @@
     }
 
     /// A new client that has sent this.
-    pub async fn ask(&self, request: &str) -> Peer {
+    pub async fn request(&self, request: &str) -> Peer {
         let mut client = self.client().await;
         client.send(request.as_bytes()).await;
         client
@@ -376,16 +386,16 @@
 }
 
 /// A server whose connections a test drives.
-pub struct StandIn {
+pub struct TestEndpoint {
     pub id: String,
     pub address: SocketAddr,
     listener: Option<TcpListener>,
 }
 
-impl StandIn {
-    pub async fn start(id: &str) -> StandIn {
+impl TestEndpoint {
+    pub async fn start(id: &str) -> TestEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        StandIn {
+        TestEndpoint {
             id: id.to_owned(),
             address: listener.local_addr().unwrap(),
             listener: Some(listener),
@@ -393,12 +403,12 @@
     }
 
     /// One whose connections hold little that it has not read, so that a long request stays with its sender.
-    pub async fn narrow(id: &str) -> StandIn {
+    pub async fn narrow(id: &str) -> TestEndpoint {
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(NARROW_BYTES).unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let listener = socket.listen(64).unwrap();
-        StandIn {
+        TestEndpoint {
             id: id.to_owned(),
             address: listener.local_addr().unwrap(),
             listener: Some(listener),
@@ -406,8 +416,8 @@
     }
 
     /// One whose port nobody listens at.
-    pub async fn dead(id: &str) -> StandIn {
-        let mut dead = StandIn::start(id).await;
+    pub async fn dead(id: &str) -> TestEndpoint {
+        let mut dead = TestEndpoint::start(id).await;
         dead.die();
         dead
     }
@@ -417,7 +427,7 @@
         self.listener = None;
     }
 
-    pub fn server(&self) -> Rc<Server> {
+    pub fn endpoint(&self) -> Rc<Server> {
         Rc::new(Server {
             id: self.id.as_str().into(),
             backend: "plain".into(),
@@ -444,14 +454,14 @@
     }
 
     /// The next connection with the first request on it.
-    pub async fn take(&self) -> (Peer, Message) {
+    pub async fn next_request(&self) -> (Peer, Message) {
         let mut peer = self.accept().await;
         let message = peer.message().await;
         (peer, message)
     }
 
     /// Whether nobody has connected by now.
-    pub async fn is_untouched(&self) -> bool {
+    pub async fn has_no_connection(&self) -> bool {
         let mut accept = std::pin::pin!(self.listener.as_ref().expect("it listens").accept());
         std::future::poll_fn(|cx| std::task::Poll::Ready(accept.as_mut().poll(cx).is_pending()))
             .await
@@ -514,7 +524,7 @@
     }
 
     /// An answer with a length to the request with this id.
-    pub async fn answer(&mut self, status: u16, id: &str, more: &str, body: &str) {
+    pub async fn respond(&mut self, status: u16, id: &str, more: &str, body: &str) {
         let text = format!(
             "HTTP/1.1 {status} X\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s.{id}\r\n{more}Content-Length: {}\r\n\r\n{body}",
             body.len()
--- a/crates/serving/proxy/tests/wire.rs
+++ b/crates/serving/proxy/tests/wire.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use dunespur_proxy::{serve_ready, FrontSettings, History, Reserve};
+use dunespur_proxy::{serve_readiness, AdmissionDecision, History, ProxySettings};
 use support::fixtures::{assert_fixture, without_times};
 use support::*;
 use tokio::net::{TcpListener, TcpStream};
@@ -137,30 +137,31 @@
             Then::Closes,
         ),
         prepared("no_route_out_of_touch", get("/nowhere/", "r1"), |node| {
-            node.out_of_touch.set(true)
+            node.configuration_stale.set(true)
         }),
         prepared("no_configuration", get("/read/", "r1"), |node| {
             *node.table.borrow_mut() = None
         }),
         prepared("budget_spent", turn(""), |node| {
-            node.reserve.set(Reserve::Spent)
+            node.reserve.set(AdmissionDecision::BudgetSpent)
         }),
         prepared("budget_unknown", turn(""), |node| {
-            node.reserve.set(Reserve::Wait { retry_after_ms: 80 })
+            node.reserve
+                .set(AdmissionDecision::RetryLater { retry_after_ms: 80 })
         }),
         prepared(
             "admission_late",
             post("/stream/", "r1", TURN, "x"),
             |node| {
                 short_streams(node);
-                node.admissions.forget_permits(1000);
+                node.admission_permits.forget_permits(1000);
             },
         ),
         prepared("previous_unknown", turn("Previous: r0\r\n"), |node| {
             *node.history.borrow_mut() = History::Unknown;
         }),
         prepared("previous_unsure", turn("Previous: r0\r\n"), |node| {
-            *node.history.borrow_mut() = History::Unsure {
+            *node.history.borrow_mut() = History::Unavailable {
                 retry_after_ms: 12_345,
             };
         }),
@@ -170,7 +171,7 @@
             Then::StaysOpen,
         ),
         prepared("no_endpoint", get("/read/", "r1"), |node| {
-            node.servers.borrow_mut().clear()
+            node.endpoints.borrow_mut().clear()
         }),
         prepared("overloaded", get("/read/", "r1"), |node| {
             node.refuse.set(Some(1250))
@@ -191,26 +192,26 @@
 #[test]
 fn refusals_before_any_server_is_asked() {
     for case in malformed().into_iter().chain(not_admitted()) {
-        play(async move {
-            let server = StandIn::start("i-1").await;
-            let settings = FrontSettings {
-                memory_bytes: 1000,
-                ..FrontSettings::default()
+        run_test(async move {
+            let endpoint = TestEndpoint::start("i-1").await;
+            let settings = ProxySettings {
+                body_memory_bytes: 1000,
+                ..ProxySettings::default()
             };
-            let gateway = Gateway::with(&[&server], settings).await;
-            (case.prepare)(&gateway.node);
-            let mut client = gateway.ask(&case.request).await;
-            let answer = if case.request.starts_with("HEAD") {
+            let proxy = TestProxy::with(&[&endpoint], settings).await;
+            (case.prepare)(&proxy.node);
+            let mut client = proxy.request(&case.request).await;
+            let response = if case.request.starts_with("HEAD") {
                 client.until("\r\n\r\n").await
             } else {
                 client.raw_message().await
             };
-            assert_fixture(&format!("wire/refused_{}.answer", case.name), &answer);
+            assert_fixture(&format!("wire/refused_{}.answer", case.name), &response);
             match case.then {
                 Then::Closes => assert!(client.is_closed().await, "{}", case.name),
                 Then::StaysOpen => assert!(client.is_silent().await, "{}", case.name),
             }
-            assert!(server.is_untouched().await, "{}", case.name);
+            assert!(endpoint.has_no_connection().await, "{}", case.name);
         });
     }
 }
@@ -227,15 +228,15 @@
 struct Forwarded {
     name: &'static str,
     request: String,
-    answer: String,
+    response: String,
     end: End,
 }
 
-fn forwarded(name: &'static str, request: String, answer: impl Into<String>) -> Forwarded {
+fn forwarded(name: &'static str, request: String, response: impl Into<String>) -> Forwarded {
     Forwarded {
         name,
         request,
-        answer: answer.into(),
+        response: response.into(),
         end: End::Stays,
     }
 }
@@ -334,16 +335,16 @@
         .into_iter()
         .chain(answers_that_can_not_be_used())
     {
-        play(async move {
-            let server = StandIn::start("i-1").await;
-            let gateway = Gateway::start(&[&server]).await;
-            gateway.node.engine_priority.set(Some(2));
-            let mut client = gateway.ask(&case.request).await;
-            let mut connection = server.accept().await;
+        run_test(async move {
+            let endpoint = TestEndpoint::start("i-1").await;
+            let proxy = TestProxy::start(&[&endpoint]).await;
+            proxy.node.engine_priority.set(Some(2));
+            let mut client = proxy.request(&case.request).await;
+            let mut connection = endpoint.accept().await;
             let message = String::from_utf8(connection.raw_message().await).unwrap();
             let message = without_times(&message, &["x-dunespur-deadline-ms: "]);
             assert_fixture(&format!("wire/{}.request", case.name), message.as_bytes());
-            connection.send(case.answer.as_bytes()).await;
+            connection.send(case.response.as_bytes()).await;
             match case.end {
                 End::Stays => {}
                 End::InOrder => connection.end_in_order().await,
@@ -360,35 +361,35 @@
 
 #[test]
 fn an_expected_continue_is_sent() {
-    play(async {
-        let server = StandIn::start("i-1").await;
-        let gateway = Gateway::start(&[&server]).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
         let request = post("/write/", "r1", "Expect: 100-continue\r\n", "body");
         let (head, body) = request.split_at(request.len() - 4);
-        let mut client = gateway.ask(head).await;
+        let mut client = proxy.request(head).await;
         assert_fixture(
             "wire/expect_continue.interim",
             &client.until("\r\n\r\n").await,
         );
         client.send(body.as_bytes()).await;
-        let (mut connection, message) = server.take().await;
+        let (mut connection, message) = endpoint.next_request().await;
         assert_eq!(message.text(), "body");
-        connection.answer(200, "r1", "", "ok").await;
+        connection.respond(200, "r1", "", "ok").await;
         assert_fixture("wire/expect_continue.answer", &client.raw_message().await);
     });
 }
 
 /// Sends three events one by one, each once the one before has arrived, and ends so.
 async fn stream_of_events(path: &str, end: End) -> Vec<u8> {
-    let server = StandIn::start("i-1").await;
-    let gateway = Gateway::start(&[&server]).await;
-    let mut client = gateway.ask(&post(path, "r1", TURN, "x")).await;
-    let (mut connection, _) = server.take().await;
+    let endpoint = TestEndpoint::start("i-1").await;
+    let proxy = TestProxy::start(&[&endpoint]).await;
+    let mut client = proxy.request(&post(path, "r1", TURN, "x")).await;
+    let (mut connection, _) = endpoint.next_request().await;
     connection.stream_head("r1", "X-Versions: 1\r\n").await;
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     for id in 1..=3 {
         connection.chunk(&event(id)).await;
-        answer.extend(client.until("\n\n\r\n").await);
+        response.extend(client.until("\n\n\r\n").await);
     }
     match end {
         End::Stays => connection.last_chunk().await,
@@ -396,12 +397,12 @@
         End::Reset => connection.reset(),
     }
     if matches!(end, End::Stays) {
-        answer.extend(client.until("0\r\n\r\n").await);
+        response.extend(client.until("0\r\n\r\n").await);
         assert!(client.is_silent().await);
     } else {
-        answer.extend(client.rest().await);
+        response.extend(client.rest().await);
     }
-    answer
+    response
 }
 
 #[test]
@@ -412,7 +413,7 @@
         ("closed", "/stream/", End::InOrder),
         ("reset", "/stream/", End::Reset),
     ] {
-        play(async move {
+        run_test(async move {
             assert_fixture(
                 &format!("wire/events_{name}.answer"),
                 &stream_of_events(path, end).await,
@@ -423,11 +424,11 @@
 
 #[test]
 fn a_long_answer_cut_short_ends_without_its_last_chunk() {
-    play(async {
-        let server = StandIn::start("i-1").await;
-        let gateway = Gateway::start(&[&server]).await;
-        let mut client = gateway.ask(&get("/write/", "r1")).await;
-        let (mut connection, _) = server.take().await;
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        let mut client = proxy.request(&get("/write/", "r1")).await;
+        let (mut connection, _) = endpoint.next_request().await;
         connection
             .send(format!("{}Transfer-Encoding: chunked\r\n\r\n", head("200 OK")).as_bytes())
             .await;
@@ -440,16 +441,16 @@
 
 #[test]
 fn answers_while_it_drains_end_their_connections() {
-    play(async {
-        let server = StandIn::start("i-1").await;
-        let gateway = Gateway::start(&[&server]).await;
-        gateway.front.drain();
-        let mut client = gateway.ask(&get("/read/", "r1")).await;
-        let (mut connection, _) = server.take().await;
-        connection.answer(200, "r1", "", "ok").await;
+    run_test(async {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        proxy.server.drain();
+        let mut client = proxy.request(&get("/read/", "r1")).await;
+        let (mut connection, _) = endpoint.next_request().await;
+        connection.respond(200, "r1", "", "ok").await;
         assert_fixture("wire/draining.answer", &client.raw_message().await);
         assert!(client.is_closed().await);
-        let mut client = gateway.ask(&get("/nowhere/", "r2")).await;
+        let mut client = proxy.request(&get("/nowhere/", "r2")).await;
         assert_fixture("wire/draining_refused.answer", &client.raw_message().await);
         assert!(client.is_closed().await);
     });
@@ -457,18 +458,18 @@
 
 #[test]
 fn answers_of_the_ready_address() {
-    play(async {
+    run_test(async {
         let node = TestNode::new(Vec::new());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        tokio::task::spawn_local(serve_ready(node.clone(), listener));
+        tokio::task::spawn_local(serve_readiness(node.clone(), listener));
         let mut caller = Peer::new(TcpStream::connect(address).await.unwrap());
         for (name, ready, path) in [
             ("yes", true, "/api/readyz"),
             ("no", false, "/api/readyz"),
             ("elsewhere", true, "/else"),
         ] {
-            node.ready.set(ready);
+            node.is_ready.set(ready);
             caller
                 .send(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
                 .await;
