--- /dev/null
+++ b/crates/link/tests/frames.rs
@@ -0,0 +1,107 @@
+//! Frames on the connection have the bytes of revision 52a1591, which wrote the files under `tests/fixtures`.
+
+use bytes::Bytes;
+use dunespur_link::{serve, Client, Service};
+use std::future::Future;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::{spawn_local, LocalSet};
+
+const LIMIT: Duration = Duration::from_secs(10);
+/// With this variable in the environment the fixtures are written instead of read (with `--test-threads=1`).
+const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
+
+fn fixture_path(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn assert_is_fixture(name: &str, bytes: &[u8]) {
+    if std::env::var_os(WRITE_FIXTURES).is_some() {
+        let text: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        std::fs::write(fixture_path(name), text + "\n").expect("the fixture is written");
+    }
+    assert_eq!(bytes, fixture(name), "bytes on the connection differ from {name}");
+}
+
+/// A fixture's bytes, which stand there in hexadecimal.
+fn fixture(name: &str) -> Vec<u8> {
+    let text = std::fs::read_to_string(fixture_path(name)).expect("the fixture is there");
+    let digits = text.trim().as_bytes().chunks(2);
+    digits
+        .map(|digits| std::str::from_utf8(digits).expect("digits"))
+        .map(|digits| u8::from_str_radix(digits, 16).expect("hexadecimal"))
+        .collect()
+}
+
+/// Answers a call with `<payload>.`.
+struct Dot;
+
+impl Service for Dot {
+    async fn call(self: Rc<Self>, payload: Bytes) -> Option<Bytes> {
+        Some([&payload[..], b"."].concat().into())
+    }
+}
+
+fn run(test: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    LocalSet::new().block_on(&runtime, test);
+}
+
+async fn read(stream: &mut TcpStream, length: usize) -> Vec<u8> {
+    let mut bytes = vec![0; length];
+    stream.read_exact(&mut bytes).await.unwrap();
+    bytes
+}
+
+/// Length, checksum, number and payload by hand.
+fn frame(number: u64, payload: &[u8]) -> Vec<u8> {
+    let rest = [&number.to_le_bytes()[..], payload].concat();
+    [&(rest.len() as u32).to_le_bytes()[..], &crc32fast::hash(&rest).to_le_bytes()[..], &rest[..]].concat()
+}
+
+#[test]
+fn a_client_writes_the_frames_of_the_earlier_revision() {
+    run(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let client = Client::new(listener.local_addr().unwrap());
+        let message = Bytes::from_static(b"a message");
+        client.notify(message).unwrap();
+        let mut calls = Vec::new();
+        for payload in [&b"first call"[..], b"", b"third"] {
+            let client = client.clone();
+            calls.push(spawn_local(async move { client.call(Bytes::from_static(payload), LIMIT).await }));
+        }
+        let expected =
+            [frame(0, b"a message"), frame(1, b"first call"), frame(2, b""), frame(3, b"third")].concat();
+        let mut stream = listener.accept().await.unwrap().0;
+        let written = read(&mut stream, expected.len()).await;
+        assert_eq!(written, expected);
+        assert_is_fixture("client.hex", &written);
+        for (number, payload) in [(2, &b"two"[..]), (1, b""), (3, b"three")] {
+            stream.write_all(&frame(number, payload)).await.unwrap();
+        }
+        let mut answers = Vec::new();
+        for call in calls {
+            answers.push(call.await.unwrap().unwrap());
+        }
+        assert_eq!(answers, ["", "two", "three"]);
+    });
+}
+
+#[test]
+fn a_server_reads_and_writes_the_frames_of_the_earlier_revision() {
+    run(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let mut stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+        spawn_local(serve(listener, Rc::new(Dot)));
+        let requests = fixture("client.hex");
+        stream.write_all(&requests).await.unwrap();
+        let expected = [frame(1, b"first call."), frame(2, b"."), frame(3, b"third.")].concat();
+        let written = read(&mut stream, expected.len()).await;
+        assert_eq!(written, expected, "the message has no answer");
+        assert_is_fixture("server.hex", &written);
+    });
+}
--- /dev/null
+++ b/crates/settings/tests/document.rs
@@ -0,0 +1,154 @@
+//! Each key of the settings document is read to its own field; what can't be read is named.
+
+use dunespur::types::{Effect, Group};
+use dunespur_settings::{parse, Read};
+use serde_json::{json, Value};
+
+/// A whole document, each number another one.
+fn document() -> Value {
+    json!({
+        "failureDomains": ["zone-a", "zone-b", "zone-c"],
+        "zone": "zone-b",
+        "slotNo": 11,
+        "fleetSize": 12,
+        "discovery": "on_request",
+        "domain": {
+            "sharedCounter": true, "countWaitS": 1.5, "callPrice": 2.5, "settles": true, "largest": 3.5
+        },
+        "limits": {
+            "retryAfter": true, "maxRetryAfterS": 4.5, "tryLimit": 13, "dialTimeoutS": 5.5, "keepaliveS": 6.5
+        },
+        "rules": { "coldFrom": 7.5, "coldS": 8.5, "fallMultiple": 9.5, "answerSlackS": 10.5 },
+        "classes": [
+            operation("get", "free", Value::Null, 20.0),
+            operation("post", "single_shot", Value::Null, 30.0),
+            operation("put-all", "guarded", json!("all"), 40.0),
+            operation("put-zone", "guarded", json!("zone"), 50.0),
+            operation("put-cell", "guarded", json!("cell"), 60.0)
+        ],
+        "contracts": [
+            {
+                "name": "plan-1", "rate": 70.5, "burst": 71.5, "concurrency": 72.5, "hardRate": 73.5,
+                "hardBurst": 74.5, "overWorth": 75.5, "beyondCosts": 76.5, "worthFactor": 77.5
+            },
+            { "name": "plan-2" }
+        ],
+        "a key that is not known": {}
+    })
+}
+
+fn operation(name: &str, effect: &str, group: Value, first: f64) -> Value {
+    json!({
+        "name": name, "effect": effect, "group": group, "windowS": first, "goalTimeS": first + 1.0,
+        "deadlineS": first + 2.0, "importance": first + 3.0, "lateShare": first + 4.0
+    })
+}
+
+fn read(document: &Value) -> Read {
+    parse(&document.to_string(), 99).unwrap_or_else(|error| panic!("{error}"))
+}
+
+fn error(document: &Value) -> String {
+    parse(&document.to_string(), 99).err().expect("it can't be read").to_string()
+}
+
+#[test]
+fn each_key_is_read_to_its_own_field() {
+    let read = read(&document());
+    assert_eq!(read.plans, ["plan-1", "plan-2"]);
+    assert_eq!(read.operations, ["get", "post", "put-all", "put-zone", "put-cell"]);
+    assert_eq!(read.zones, ["zone-a", "zone-b", "zone-c"]);
+    assert!(read.settles);
+    assert_eq!((read.most_units, read.dial_timeout, read.idle_time), (3.5, 5.5, 6.5));
+    let settings = &read.settings;
+    assert_eq!((settings.seed, settings.slot, settings.fleet, settings.zone), (99, 11, 12, 1));
+    assert!(settings.counter && settings.watch_on_request);
+    assert_eq!((settings.count_wait, settings.call_price), (1.5, 2.5));
+    assert_eq!((settings.max_pause, settings.most_deliveries), (4.5, 13));
+    assert_eq!((settings.cold_from, settings.cold_for), (7.5, 8.5));
+    assert_eq!((settings.fall_multiple, settings.answer_slack), (9.5, 10.5));
+}
+
+#[test]
+fn each_key_of_a_class_is_read_to_its_own_field() {
+    let read = read(&document());
+    let effects: Vec<Effect> = read.settings.operations.iter().map(|operation| operation.effect).collect();
+    let expected = [
+        Effect::Idempotent,
+        Effect::NonIdempotent,
+        Effect::Tokened { group: Group::All, window: 40.0 },
+        Effect::Tokened { group: Group::Zone, window: 50.0 },
+        Effect::Tokened { group: Group::Cell, window: 60.0 },
+    ];
+    assert_eq!(effects, expected);
+    let put = &read.settings.operations[2];
+    assert_eq!((put.objective, put.integration_timeout, put.billed_value, put.late_share), (41.0, 42.0, 43.0, 44.0));
+}
+
+#[test]
+fn each_key_of_a_contract_is_read_to_its_own_field() {
+    let read = read(&document());
+    let plan = &read.settings.plans[0];
+    assert_eq!((plan.rate, plan.burst, plan.open), (70.5, 71.5, 72.5));
+    assert_eq!((plan.hard_rate, plan.hard_burst), (73.5, 74.5));
+    assert_eq!((plan.over_worth, plan.beyond_costs, plan.price), (75.5, 76.5, 77.5));
+    let absent = &read.settings.plans[1];
+    assert_eq!((absent.rate, absent.burst, absent.open, absent.over_worth, absent.price), (0.0, 0.0, 0.0, 0.0, 1.0));
+}
+
+#[test]
+fn absent_optional_keys_have_their_meaning() {
+    let mut document = document();
+    for (section, keys) in [
+        ("domain", vec!["sharedCounter", "countWaitS", "callPrice", "settles", "largest"]),
+        ("limits", vec!["retryAfter", "dialTimeoutS", "keepaliveS"]),
+        ("rules", vec!["coldFrom", "coldS", "fallMultiple", "answerSlackS"]),
+    ] {
+        let section = document[section].as_object_mut().expect("a section");
+        keys.into_iter().for_each(|key| drop(section.remove(key).expect("the key")));
+    }
+    let top = document.as_object_mut().expect("an object");
+    drop((top.remove("discovery"), top.remove("slotNo")));
+    let read = read(&document);
+    let settings = &read.settings;
+    assert!(!read.settles && !settings.counter && !settings.watch_on_request);
+    assert_eq!((read.most_units, read.dial_timeout, read.idle_time), (0.0, 0.0, 0.0));
+    assert_eq!((settings.slot, settings.count_wait, settings.call_price, settings.max_pause), (0, 0.0, 0.0, 0.0));
+    assert_eq!((settings.cold_from, settings.cold_for, settings.fall_multiple), (0.0, 0.0, 0.0));
+    assert_eq!(settings.answer_slack, 0.0);
+}
+
+#[test]
+fn what_can_not_be_read_is_named() {
+    let cases = [
+        ("/fleetSize", json!(0), "settings: fleetSize is missing or 0"),
+        ("/fleetSize", Value::Null, "settings: fleetSize is missing or 0"),
+        ("/fleetSize", json!("12"), "settings: fleetSize is not a number from 0 up"),
+        ("/slotNo", json!(-1), "settings: slotNo is not a number from 0 up"),
+        ("/zone", json!(7), "settings: zone is not a text"),
+        ("/zone", json!("zone-d"), "settings: zone is not listed"),
+        ("/failureDomains", Value::Null, "settings: failureDomains is not a list"),
+        ("/failureDomains/1", json!(1), "settings: failureDomains holds no texts"),
+        ("/classes", json!({}), "settings: classes is not a list"),
+        ("/classes/1/effect", json!("unheard of"), "settings: effect unheard of is unknown"),
+        ("/classes/1/effect", Value::Null, "settings: effect is not a text"),
+        ("/classes/2/group", json!("row"), "settings: group row is unknown"),
+        ("/classes/2/group", Value::Null, "settings: group is not a text"),
+        ("/classes/2/windowS", json!([]), "settings: windowS is not a number from 0 up"),
+        ("/classes/0/goalTimeS", json!(0.0), "settings: goalTimeS is missing or 0"),
+        ("/classes/0/deadlineS", Value::Null, "settings: deadlineS is missing or 0"),
+        ("/classes/0/name", Value::Null, "settings: name is not a text"),
+        ("/contracts/0/name", json!(3), "settings: name is not a text"),
+        ("/contracts/0/worthFactor", json!("much"), "settings: worthFactor is not a number from 0 up"),
+        ("/contracts", Value::Null, "settings: contracts is not a list"),
+        ("/limits/tryLimit", Value::Null, "settings: tryLimit is missing or 0"),
+        ("/limits/maxRetryAfterS", json!(true), "settings: maxRetryAfterS is not a number from 0 up"),
+    ];
+    for (pointer, value, expected) in cases {
+        let mut document = document();
+        *document.pointer_mut(pointer).expect(pointer) = value;
+        assert_eq!(error(&document), expected, "{pointer}");
+    }
+    let error = parse("{", 1).err().expect("it can't be read").to_string();
+    assert_eq!(error, "settings: EOF while parsing an object at line 1 column 1");
+}
--- /dev/null
+++ b/crates/store/tests/compatibility.rs
@@ -0,0 +1,201 @@
+//! A voter's file stays readable: its records have the bytes that revision 52a1591 wrote, and a file of that revision
+//! opens with everything in it found by value. That revision wrote the files under `tests/fixtures`.
+
+use dunespur_duties::log::{Batch, Conf, Entry, Hard, Meta, Saved, Seen, Snap};
+use dunespur_store::Store;
+use redb::{Database, Key, ReadableTable, TableDefinition, Value};
+use std::collections::BTreeMap;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+const HEAD: TableDefinition<&str, &[u8]> = TableDefinition::new("head");
+const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+/// With this variable in the environment the fixtures are written instead of read (with `--test-threads=1`).
+const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
+/// Length of the blocks by which a packed fixture has its file.
+const BLOCK_BYTES: usize = 512;
+const FLEET: &str = "fleet-1";
+const NAME: &str = "limiter-2";
+
+/// A folder of one test, removed at its end.
+struct TemporaryFolder(PathBuf);
+
+impl TemporaryFolder {
+    fn new(name: &str) -> TemporaryFolder {
+        let path = std::env::temp_dir().join(format!("dunespur-voter-{}-{name}", std::process::id()));
+        let _ = fs::remove_dir_all(&path);
+        fs::create_dir_all(&path).expect("a folder for the test");
+        TemporaryFolder(path)
+    }
+
+    fn file(&self) -> PathBuf {
+        self.0.join("voter.redb")
+    }
+}
+
+impl Drop for TemporaryFolder {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+fn fixture_path(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+/// Each run of equal blocks as one of them behind their number, which is little-endian.
+fn packed(file: &[u8]) -> Vec<u8> {
+    let blocks: Vec<&[u8]> = file.chunks(BLOCK_BYTES).collect();
+    let runs = blocks.chunk_by(|one, next| one == next);
+    runs.flat_map(|run| [&(run.len() as u32).to_le_bytes()[..], run[0]].concat()).collect()
+}
+
+fn unpacked(packed: &[u8]) -> Vec<u8> {
+    let mut file = Vec::new();
+    for run in packed.chunks(4 + BLOCK_BYTES) {
+        let (count, block) = run.split_first_chunk::<4>().expect("a run's number of blocks");
+        file.extend(block.repeat(u32::from_le_bytes(*count) as usize));
+    }
+    file
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn dump<K: Key + 'static, V: Value + 'static>(
+    database: &Database,
+    table: TableDefinition<K, V>,
+    show: impl Fn(K::SelfType<'_>, V::SelfType<'_>) -> String,
+) -> String {
+    let transaction = database.begin_read().expect("a transaction");
+    let table = transaction.open_table(table).expect("the table");
+    let rows = table.iter().expect("its rows").map(|row| row.expect("a row"));
+    rows.map(|(key, value)| show(key.value(), value.value())).collect()
+}
+
+fn records(path: &Path) -> String {
+    let database = Database::open(path).expect("the library opens it");
+    let head = dump(&database, HEAD, |key, value| format!("head {key}: {}\n", hex(value)));
+    let log = dump(&database, LOG, |index, entry| format!("log {index}: {}\n", hex(entry)));
+    head + &log
+}
+
+fn entry(kind: u8, index: u64) -> Entry {
+    Entry { kind, term: 300 + index, index, data: vec![kind; index as usize], context: vec![9, index as u8] }
+}
+
+/// All that the fixture holds, each field with a value of its own.
+fn batches() -> Vec<Batch> {
+    let seen = |number: u64| Seen { starts: number + 1, nonce: number + 2, term: number + 3, last: number + 4 };
+    let meta = Meta {
+        disk: 1_001,
+        starts: 1_002,
+        group: Some(vec![(1_003, "limiter-2".to_owned()), (1_004, "limiter-3".to_owned())]),
+        seen: BTreeMap::from([(1_005, seen(2_000)), (1_006, seen(3_000))]),
+    };
+    let conf = Conf {
+        voters: vec![1_011, 1_012],
+        outgoing: vec![1_013],
+        learners: vec![1_014],
+        learners_next: vec![1_015],
+        auto_leave: true,
+    };
+    let snap = Snap { index: 2, term: 1_021, conf, data: vec![21, 22, 23] };
+    let hard = Hard { term: 1_031, vote: 1_032, commit: 1_033 };
+    vec![
+        Batch { number: 1, meta: Some(Meta { disk: 1, ..Meta::default() }), ..Batch::default() },
+        Batch { number: 2, wipe: true, meta: Some(meta), ..Batch::default() },
+        Batch { number: 3, entries: (1..=4).map(|index| entry(0, index)).collect(), ..Batch::default() },
+        Batch { number: 4, hard: Some(hard), snap: Some(snap), ..Batch::default() },
+        Batch { number: 5, entries: vec![entry(2, 4), entry(0, 5)], ..Batch::default() },
+    ]
+}
+
+fn write(path: &Path) {
+    let (store, saved) = Store::open(path, FLEET, NAME).expect("a new file");
+    assert_eq!(saved, Saved::default());
+    batches().iter().for_each(|batch| store.write(batch).expect("the disk takes it"));
+}
+
+#[test]
+fn records_have_the_bytes_of_the_earlier_revision() {
+    let folder = TemporaryFolder::new("records");
+    write(&folder.file());
+    let records = records(&folder.file());
+    if std::env::var_os(WRITE_FIXTURES).is_some() {
+        fs::write(fixture_path("records.txt"), &records).expect("the fixture is written");
+    }
+    assert_eq!(records, fs::read_to_string(fixture_path("records.txt")).expect("the fixture is there"));
+}
+
+#[test]
+fn a_file_of_the_earlier_revision_opens_with_all_that_it_holds() {
+    let folder = TemporaryFolder::new("file");
+    let path = folder.file();
+    if std::env::var_os(WRITE_FIXTURES).is_some() {
+        write(&path);
+        let file = fs::read(&path).expect("the file");
+        fs::write(fixture_path("voter.redb.packed"), packed(&file)).expect("the fixture is written");
+    }
+    let fixture = fs::read(fixture_path("voter.redb.packed")).expect("the fixture is there");
+    fs::write(&path, unpacked(&fixture)).expect("a copy of the fixture");
+    assert_eq!(records(&path), fs::read_to_string(fixture_path("records.txt")).expect("the fixture is there"));
+
+    let (_, saved) = Store::open(&path, FLEET, NAME).expect("the earlier revision's file opens");
+    let mut expected = Saved::default();
+    batches().iter().for_each(|batch| expected.take(batch));
+    assert_eq!(saved, expected);
+    assert_eq!(saved.meta.group, Some(vec![(1_003, "limiter-2".to_owned()), (1_004, "limiter-3".to_owned())]));
+    assert_eq!(saved.meta.seen[&1_006], Seen { starts: 3_001, nonce: 3_002, term: 3_003, last: 3_004 });
+    assert_eq!(saved.hard, Hard { term: 1_031, vote: 1_032, commit: 1_033 });
+    assert_eq!((saved.snap.index, saved.snap.term, saved.snap.conf.learners_next), (2, 1_021, vec![1_015]));
+    assert_eq!(saved.entries, [entry(0, 3), entry(2, 4), entry(0, 5)]);
+}
+
+#[test]
+fn errors_name_the_file_the_cause_and_the_remedy() {
+    let folder = TemporaryFolder::new("errors");
+    let path = folder.file();
+    let error = |fleet: &str, name: &str| {
+        let error = Store::open(&path, fleet, name).err().expect("it does not open").to_string();
+        let place = format!("{}: ", path.display());
+        error.strip_prefix(&place).unwrap_or_else(|| panic!("{error} does not begin with {place}")).to_owned()
+    };
+    write(&path);
+    assert_eq!(error("g", NAME), "is the store of limiter-2 in fleet fleet-1, not of limiter-2 in g");
+    assert_eq!(error(FLEET, "n"), "is the store of limiter-2 in fleet fleet-1, not of n in fleet-1");
+    let overwrite = |key: &str, value: &[u8]| {
+        let database = Database::open(&path).expect("the library opens it");
+        let transaction = database.begin_write().expect("a transaction");
+        transaction.open_table(HEAD).expect("the table").insert(key, value).expect("a row");
+        transaction.commit().expect("a commit");
+    };
+    overwrite("meta", &[255]);
+    assert!(error(FLEET, NAME).starts_with("its head can't be read ("));
+    assert!(error(FLEET, NAME).ends_with("); move the file away"));
+    overwrite("owner", &[2, 1, b'f', 1, b'n']);
+    assert_eq!(error("f", "n"), "of format 2, this program knows 1; use the newer one");
+    overwrite("owner", &[]);
+    assert!(error(FLEET, NAME).starts_with("its owner can't be read ("));
+    fs::write(&path, b"something else").expect("a file");
+    assert!(!error(FLEET, NAME).is_empty());
+}
+
+#[test]
+fn an_entry_at_anothers_index_is_an_error() {
+    let folder = TemporaryFolder::new("index");
+    let path = folder.file();
+    write(&path);
+    let database = Database::open(&path).expect("the library opens it");
+    let transaction = database.begin_write().expect("a transaction");
+    {
+        let mut log = transaction.open_table(LOG).expect("the table");
+        let moved = log.remove(5).expect("a row").expect("entry 5").value().to_vec();
+        log.insert(7, moved.as_slice()).expect("a row");
+    }
+    transaction.commit().expect("a commit");
+    drop(database);
+    let error = Store::open(&path, FLEET, NAME).err().expect("it does not open").to_string();
+    assert_eq!(error, format!("{}: entry 5 stands at 7; move the file away", path.display()));
+}
