--- a/crates/members/tests/behaviour.rs
+++ b/crates/gateway/gossip-membership/tests/behaviour.rs
@@ -2,7 +2,7 @@
 //! reports, in worlds with losses, partitions, standstills, restarts and departures. That revision wrote the files
 //! under `tests/fixtures`.
 
-use dunespur_members::{Member, Members, Output, Settings};
+use dunespur_gossip_membership::{Member, Members, Output, Settings};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::net::SocketAddrV4;
@@ -17,7 +17,9 @@
 const STEPS: usize = 3_000;
 
 fn fixture_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 fn assert_is_fixture(name: &str, text: &str) {
@@ -67,7 +69,10 @@
 
 impl Random {
     fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % bound
     }
 }
@@ -124,7 +129,10 @@
     }
 
     fn start(&mut self, port: u16, run: u64) {
-        self.nodes.insert(port, Members::new(settings(), member(port, run), run, self.now));
+        self.nodes.insert(
+            port,
+            Members::new(settings(), member(port, run), run, self.now),
+        );
     }
 
     fn is_lost(&mut self, from: u16, to: u16) -> bool {
@@ -170,7 +178,9 @@
             let mut caused = Vec::new();
             for (from, output) in outputs {
                 self.record(from, &output);
-                let Output::Datagram { to, bytes } = output else { continue };
+                let Output::Datagram { to, bytes } = output else {
+                    continue;
+                };
                 if self.is_lost(from, to.port()) {
                     continue;
                 }
@@ -189,7 +199,11 @@
         let now = self.now;
         self.stopped.retain(|_, until| now < *until);
         let mut outputs = Vec::new();
-        for (port, node) in self.nodes.iter_mut().filter(|(port, _)| !self.stopped.contains_key(*port)) {
+        for (port, node) in self
+            .nodes
+            .iter_mut()
+            .filter(|(port, _)| !self.stopped.contains_key(*port))
+        {
             let mut out = Vec::new();
             node.tick(now, &mut out);
             outputs.extend(out.into_iter().map(|output| (*port, output)));
@@ -210,7 +224,9 @@
     }
 
     fn leave(&mut self, port: u16) {
-        let Some(mut node) = self.nodes.remove(&port) else { return };
+        let Some(mut node) = self.nodes.remove(&port) else {
+            return;
+        };
         let mut out = Vec::new();
         node.leave(self.now, &mut out);
         self.deliver(out.into_iter().map(|output| (port, output)).collect());
@@ -220,7 +236,8 @@
     /// All that each node sees at the end.
     fn add_views(&mut self) {
         for node in self.nodes.values() {
-            node.living().for_each(|member| self.digest.add_member(member));
+            node.living()
+                .for_each(|member| self.digest.add_member(member));
             let (count, refused) = (node.count() as u64, node.refused);
             self.digest.add(&count.to_le_bytes());
             self.digest.add(&refused.to_le_bytes());
@@ -243,17 +260,39 @@
         }
         world.add_views();
         writeln!(text, "{seed} {:016x} {:?}", world.digest.0, world.counts).expect("a text grows");
-        total.iter_mut().zip(world.counts).for_each(|(total, count)| *total += count);
+        total
+            .iter_mut()
+            .zip(world.counts)
+            .for_each(|(total, count)| *total += count);
     }
-    assert!(total.iter().all(|count| *count > 0), "each kind of output occurs: {total:?}");
+    assert!(
+        total.iter().all(|count| *count > 0),
+        "each kind of output occurs: {total:?}"
+    );
     assert_is_fixture("digests.txt", &text);
 }
 
 #[test]
 fn the_first_datagrams_have_the_bytes_of_the_earlier_revision() {
     let seeds = vec![address(1)];
-    let mut first = Members::new(Settings { seeds: seeds.clone(), ..settings() }, member(1, 301), 7, 0.0);
-    let mut second = Members::new(Settings { seeds, ..settings() }, member(2, 302), 8, 0.0);
+    let mut first = Members::new(
+        Settings {
+            seeds: seeds.clone(),
+            ..settings()
+        },
+        member(1, 301),
+        7,
+        0.0,
+    );
+    let mut second = Members::new(
+        Settings {
+            seeds,
+            ..settings()
+        },
+        member(2, 302),
+        8,
+        0.0,
+    );
     let mut text = String::new();
     for step in 0..60 {
         let now = f64::from(step) * 0.1;
@@ -264,8 +303,12 @@
             let to_second = show("1", &from_first, &mut text);
             let to_first = show("2", &from_second, &mut text);
             (from_first, from_second) = (Vec::new(), Vec::new());
-            to_first.iter().for_each(|bytes| first.datagram(bytes, now, &mut from_first));
-            to_second.iter().for_each(|bytes| second.datagram(bytes, now, &mut from_second));
+            to_first
+                .iter()
+                .for_each(|bytes| first.datagram(bytes, now, &mut from_first));
+            to_second
+                .iter()
+                .for_each(|bytes| second.datagram(bytes, now, &mut from_second));
         }
         assert!(from_first.is_empty() && from_second.is_empty());
     }
@@ -288,23 +331,67 @@
 
 #[test]
 fn settings_out_of_range_are_named_with_their_remedy() {
-    let error = |settings: Settings| settings.check().expect_err("it is out of range").to_string();
+    let error = |settings: Settings| {
+        settings
+            .check()
+            .expect_err("it is out of range")
+            .to_string()
+    };
     assert!(settings().check().is_ok());
-    let probe = Settings { probe: 0.0, ..settings() };
-    assert_eq!(error(probe), "fleet.members.probe: 0; give seconds over 0 and under a day");
-    let answer = Settings { answer: 86_400.0, ..settings() };
-    assert_eq!(error(answer), "fleet.members.answer: 86400; give seconds over 0 and under a day");
-    let suspect = Settings { suspect: f64::NAN, ..settings() };
-    assert_eq!(error(suspect), "fleet.members.suspect: NaN; give seconds over 0 and under a day");
-    let gossip = Settings { gossip: -1.5, ..settings() };
-    assert_eq!(error(gossip), "fleet.members.gossip: -1.5; give seconds over 0 and under a day");
-    let again = Settings { again: f64::INFINITY, ..settings() };
-    assert_eq!(error(again), "fleet.members.again: inf; give seconds over 0 and under a day");
-    let late = Settings { answer: 0.6, ..settings() };
+    let probe = Settings {
+        probe: 0.0,
+        ..settings()
+    };
+    assert_eq!(
+        error(probe),
+        "fleet.members.probe: 0; give seconds over 0 and under a day"
+    );
+    let answer = Settings {
+        answer: 86_400.0,
+        ..settings()
+    };
+    assert_eq!(
+        error(answer),
+        "fleet.members.answer: 86400; give seconds over 0 and under a day"
+    );
+    let suspect = Settings {
+        suspect: f64::NAN,
+        ..settings()
+    };
+    assert_eq!(
+        error(suspect),
+        "fleet.members.suspect: NaN; give seconds over 0 and under a day"
+    );
+    let gossip = Settings {
+        gossip: -1.5,
+        ..settings()
+    };
+    assert_eq!(
+        error(gossip),
+        "fleet.members.gossip: -1.5; give seconds over 0 and under a day"
+    );
+    let again = Settings {
+        again: f64::INFINITY,
+        ..settings()
+    };
+    assert_eq!(
+        error(again),
+        "fleet.members.again: inf; give seconds over 0 and under a day"
+    );
+    let late = Settings {
+        answer: 0.6,
+        ..settings()
+    };
     let text = "fleet.members.answer: 0.6 leaves no time for asking through others in a probe of 1";
     assert_eq!(error(late), text);
     for datagram in [511, 65_001] {
         let text = format!("fleet.members.datagram: {datagram}; give 512 to 65000 bytes");
-        assert_eq!(error(Settings { datagram, ..settings() }), text);
+        assert_eq!(
+            error(Settings {
+                datagram,
+                ..settings()
+            }),
+            text
+        );
     }
 }
--- a/crates/peer/tests/frames.rs
+++ b/crates/gateway/peer-transport/tests/frames.rs
@@ -1,14 +1,18 @@
 //! Frames between limiters have the bytes of revision 52a1591, which wrote the files under `tests/fixtures`.
 
-use dunespur_peer::frame::{Refused, HEAD};
-use dunespur_peer::{Frame, Kind};
+use dunespur_peer_transport::frame::{Refused, HEAD};
+use dunespur_peer_transport::{Frame, Kind};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
 /// With this variable in the environment the fixtures are written instead of read (with `--test-threads=1`).
 const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
-const KINDS: [(Kind, u16, &str); 4] =
-    [(Kind::Gossip, 1, "gossip"), (Kind::Duties, 2, "duties"), (Kind::Watch, 3, "watch"), (Kind::Work, 4, "work")];
+const KINDS: [(Kind, u16, &str); 4] = [
+    (Kind::Gossip, 1, "gossip"),
+    (Kind::Duties, 2, "duties"),
+    (Kind::Watch, 3, "watch"),
+    (Kind::Work, 4, "work"),
+];
 
 fn frame(kind: u16) -> Frame {
     Frame {
@@ -22,7 +26,9 @@
 }
 
 fn fixture_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 fn assert_is_fixture(name: &str, bytes: &[u8]) {
--- a/crates/link/tests/frames.rs
+++ b/crates/serving/rpc/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Frames on the connection have the bytes of revision 52a1591, which wrote the files under `tests/fixtures`.
 
 use bytes::Bytes;
-use dunespur_link::{serve, Client, Service};
+use dunespur_rpc::{serve, Client, Service};
 use std::future::Future;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -15,7 +15,9 @@
 const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
 
 fn fixture_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 fn assert_is_fixture(name: &str, bytes: &[u8]) {
@@ -23,7 +25,11 @@
         let text: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         std::fs::write(fixture_path(name), text + "\n").expect("the fixture is written");
     }
-    assert_eq!(bytes, fixture(name), "bytes on the connection differ from {name}");
+    assert_eq!(
+        bytes,
+        fixture(name),
+        "bytes on the connection differ from {name}"
+    );
 }
 
 /// A fixture's bytes, which stand there in hexadecimal.
@@ -46,7 +52,10 @@
 }
 
 fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
 
@@ -59,7 +68,12 @@
 /// Length, checksum, number and payload by hand.
 fn frame(number: u64, payload: &[u8]) -> Vec<u8> {
     let rest = [&number.to_le_bytes()[..], payload].concat();
-    [&(rest.len() as u32).to_le_bytes()[..], &crc32fast::hash(&rest).to_le_bytes()[..], &rest[..]].concat()
+    [
+        &(rest.len() as u32).to_le_bytes()[..],
+        &crc32fast::hash(&rest).to_le_bytes()[..],
+        &rest[..],
+    ]
+    .concat()
 }
 
 #[test]
@@ -72,10 +86,17 @@
         let mut calls = Vec::new();
         for payload in [&b"first call"[..], b"", b"third"] {
             let client = client.clone();
-            calls.push(spawn_local(async move { client.call(Bytes::from_static(payload), LIMIT).await }));
+            calls.push(spawn_local(async move {
+                client.call(Bytes::from_static(payload), LIMIT).await
+            }));
         }
-        let expected =
-            [frame(0, b"a message"), frame(1, b"first call"), frame(2, b""), frame(3, b"third")].concat();
+        let expected = [
+            frame(0, b"a message"),
+            frame(1, b"first call"),
+            frame(2, b""),
+            frame(3, b"third"),
+        ]
+        .concat();
         let mut stream = listener.accept().await.unwrap().0;
         let written = read(&mut stream, expected.len()).await;
         assert_eq!(written, expected);
@@ -95,11 +116,18 @@
 fn a_server_reads_and_writes_the_frames_of_the_earlier_revision() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let mut stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+        let mut stream = TcpStream::connect(listener.local_addr().unwrap())
+            .await
+            .unwrap();
         spawn_local(serve(listener, Rc::new(Dot)));
         let requests = fixture("client.hex");
         stream.write_all(&requests).await.unwrap();
-        let expected = [frame(1, b"first call."), frame(2, b"."), frame(3, b"third.")].concat();
+        let expected = [
+            frame(1, b"first call."),
+            frame(2, b"."),
+            frame(3, b"third."),
+        ]
+        .concat();
         let written = read(&mut stream, expected.len()).await;
         assert_eq!(written, expected, "the message has no answer");
         assert_is_fixture("server.hex", &written);
--- a/crates/storage/tests/compatibility/core.rs
+++ b/crates/serving/storage/tests/compatibility/core.rs
@@ -1,13 +1,16 @@
 //! Files of core members.
 
-use crate::support::{assert_is_fixture, copy_fixture, dump, hex, keep_as_fixture, TemporaryFolder};
+use crate::support::{
+    assert_is_fixture, copy_fixture, dump, hex, keep_as_fixture, TemporaryFolder,
+};
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest, LimiterId};
-use dunespur_chain::{
+use dunespur_chain_replication::{
     AcceptedView, Ballot, DecidedView, Entry, MemberId, Origin, Payload, Peer, Position, Saved,
     SavedSnapshot, View, Write,
 };
-use dunespur_control::{
-    ControlState, NodeKind, NodeReport, Operation, Order, OrderKind, Outcome, ServerReport, ServerState,
+use dunespur_control_state::{
+    ControlState, NodeKind, NodeReport, Operation, Order, OrderKind, Outcome, ServerReport,
+    ServerState,
 };
 use dunespur_storage::core::{CoreDisk, DiskIdentity};
 use redb::{Database, TableDefinition};
@@ -27,7 +30,10 @@
 );
 
 fn member(number: u64) -> MemberId {
-    MemberId { node: format!("core-{number}"), disk: 1_000 + number }
+    MemberId {
+        node: format!("core-{number}"),
+        disk: 1_000 + number,
+    }
 }
 
 fn address(last: u8, port: u16) -> SocketAddr {
@@ -35,34 +41,75 @@
 }
 
 fn view(number: u64) -> DecidedView {
-    let members = (1..=3).map(|index| Peer { id: member(index), address: address(index as u8, 7_380) }).collect();
-    DecidedView { view: View { number, members, chain: vec![member(3), member(1)] }, base: number - 2 }
+    let members = (1..=3)
+        .map(|index| Peer {
+            id: member(index),
+            address: address(index as u8, 7_380),
+        })
+        .collect();
+    DecidedView {
+        view: View {
+            number,
+            members,
+            chain: vec![member(3), member(1)],
+        },
+        base: number - 2,
+    }
 }
 
 fn ballot(round: u64, proposer: u64, session: u64) -> Ballot {
-    Ballot { round, proposer: member(proposer), session }
+    Ballot {
+        round,
+        proposer: member(proposer),
+        session,
+    }
 }
 
 fn entry(index: u64, payload: Vec<u8>) -> Entry {
-    let origin = Origin { session: 500 + index, ticket: 900 + index };
-    Entry { position: Position { index, view: 6 }, origin, payload: Payload::from(payload) }
+    let origin = Origin {
+        session: 500 + index,
+        ticket: 900 + index,
+    };
+    Entry {
+        position: Position { index, view: 6 },
+        origin,
+        payload: Payload::from(payload),
+    }
 }
 
 /// One write of each kind, each field with a value of its own. The snapshot needs three rows.
 fn one_of_each() -> Vec<Write> {
-    let accepted = AcceptedView { ballot: ballot(21, 2, 22), proposal: view(8) };
+    let accepted = AcceptedView {
+        ballot: ballot(21, 2, 22),
+        proposal: view(8),
+    };
     let bytes: Vec<u8> = (0..35_000u32).map(|index| (index % 251) as u8).collect();
-    let snapshot = SavedSnapshot { position: Position { index: 2, view: 5 }, bytes: bytes.into() };
+    let snapshot = SavedSnapshot {
+        position: Position { index: 2, view: 5 },
+        bytes: bytes.into(),
+    };
     vec![
         Write::Install { decided: view(7) },
-        Write::Promise { ballot: ballot(31, 3, 32) },
+        Write::Promise {
+            ballot: ballot(31, 3, 32),
+        },
         Write::Accept { accepted },
         Write::Synced { view: 6 },
-        Write::Entry { entry: entry(1, b"first".to_vec()) },
-        Write::Entry { entry: entry(2, b"second".to_vec()) },
-        Write::Entry { entry: entry(3, b"third".to_vec()) },
-        Write::Entry { entry: entry(4, Vec::new()) },
-        Write::Entry { entry: entry(5, b"truncated".to_vec()) },
+        Write::Entry {
+            entry: entry(1, b"first".to_vec()),
+        },
+        Write::Entry {
+            entry: entry(2, b"second".to_vec()),
+        },
+        Write::Entry {
+            entry: entry(3, b"third".to_vec()),
+        },
+        Write::Entry {
+            entry: entry(4, Vec::new()),
+        },
+        Write::Entry {
+            entry: entry(5, b"truncated".to_vec()),
+        },
         Write::Truncate { index: 4 },
         Write::Snapshot { snapshot },
     ]
@@ -75,8 +122,12 @@
         "disk" => (key.to_owned(), "drawn at random".to_owned()),
         _ => (key.to_owned(), hex(value)),
     });
-    let parts = dump(&database, SNAPSHOT_PARTS, |number, part| (number.to_string(), hex(part)));
-    let entries = dump(&database, ENTRIES, |index, entry| (index.to_string(), hex(entry)));
+    let parts = dump(&database, SNAPSHOT_PARTS, |number, part| {
+        (number.to_string(), hex(part))
+    });
+    let entries = dump(&database, ENTRIES, |index, entry| {
+        (index.to_string(), hex(entry))
+    });
     values + &parts + &entries
 }
 
@@ -86,7 +137,10 @@
     let path = folder.file("core.redb");
     let (disk, _, _) = CoreDisk::open(&path).expect("a new file");
     // The entries that the snapshot covers go with the next commit; here they stay for the comparison.
-    let (snapshot, others) = one_of_each().split_last().map(|(last, rest)| (last.clone(), rest.to_vec())).expect("some");
+    let (snapshot, others) = one_of_each()
+        .split_last()
+        .map(|(last, rest)| (last.clone(), rest.to_vec()))
+        .expect("some");
     disk.write(&others).expect("the disk takes it");
     drop(disk);
     assert_is_fixture("core-before-snapshot.txt", &records(&path));
@@ -122,50 +176,112 @@
 }
 
 fn budget(sequence: u64, used: u64, change: CounterChange) -> Operation {
-    let limiter = LimiterId { node: "gateway-1".to_owned(), incarnation: 71 };
+    let limiter = LimiterId {
+        node: "gateway-1".to_owned(),
+        incarnation: 71,
+    };
     let program = "program-1".to_owned();
-    Operation::Budget(CounterRequest { program, budget: 9_000, limiter, sequence, used, change, at_ms: 88_000 })
+    Operation::Budget(CounterRequest {
+        program,
+        budget: 9_000,
+        limiter,
+        sequence,
+        used,
+        change,
+        at_ms: 88_000,
+    })
 }
 
 /// What the fixture's snapshot holds.
 fn operations_before_snapshot() -> Vec<Operation> {
     let body = CONFIGURATION.as_bytes().to_vec();
     vec![
-        Operation::Configure(Order { kind: OrderKind::Replace, base: 0, body, fence: 0 }),
+        Operation::Configure(Order {
+            kind: OrderKind::Replace,
+            base: 0,
+            body,
+            fence: 0,
+        }),
         Operation::Server(server("server-1", 8_001, ServerState::Ready)),
         Operation::Server(server("server-2", 8_002, ServerState::Draining)),
         Operation::Node(node("gateway-1", NodeKind::Gateway, 7_001)),
         Operation::Node(node("store-1", NodeKind::Store, 7_002)),
-        budget(1, 0, CounterChange::Lease { needed: 300, wanted: 700, returned: 0 }),
+        budget(
+            1,
+            0,
+            CounterChange::Lease {
+                needed: 300,
+                wanted: 700,
+                returned: 0,
+            },
+        ),
     ]
 }
 
 /// What the fixture's log has behind the snapshot.
 fn operations_after_snapshot() -> Vec<Operation> {
-    vec![budget(2, 250, CounterChange::Return { units: 20 }), Operation::ServerLeft { id: "server-1".to_owned() }]
+    vec![
+        budget(2, 250, CounterChange::Return { units: 20 }),
+        Operation::ServerLeft {
+            id: "server-1".to_owned(),
+        },
+    ]
 }
 
 fn entries(first: u64, operations: &[Operation]) -> Vec<Entry> {
-    let encoded = operations.iter().map(|operation| postcard::to_stdvec(operation).expect("an operation's bytes"));
-    (first..).zip(encoded).map(|(index, payload)| entry(index, payload)).collect()
+    let encoded = operations
+        .iter()
+        .map(|operation| postcard::to_stdvec(operation).expect("an operation's bytes"));
+    (first..)
+        .zip(encoded)
+        .map(|(index, payload)| entry(index, payload))
+        .collect()
 }
 
 /// The batches that wrote the fixture.
 fn batches() -> Vec<Vec<Write>> {
     let before = operations_before_snapshot();
     let mut state = ControlState::default();
-    let outcomes: Vec<Outcome> = before.iter().map(|operation| state.apply(operation, &mut Vec::new())).collect();
+    let outcomes: Vec<Outcome> = before
+        .iter()
+        .map(|operation| state.apply(operation, &mut Vec::new()))
+        .collect();
     assert_eq!(outcomes[0], Outcome::Accepted);
-    assert_eq!(outcomes[5], Outcome::Budget(CounterReply::Granted { units: 300, left: 8_700 }));
+    assert_eq!(
+        outcomes[5],
+        Outcome::Budget(CounterReply::Granted {
+            units: 300,
+            left: 8_700
+        })
+    );
     let index = before.len() as u64;
-    let snapshot = SavedSnapshot { position: Position { index, view: 6 }, bytes: state.snapshot().into() };
-    let accepted = AcceptedView { ballot: ballot(21, 2, 22), proposal: view(8) };
-    let log = |entries: Vec<Entry>| entries.into_iter().map(|entry| Write::Entry { entry }).collect::<Vec<_>>();
+    let snapshot = SavedSnapshot {
+        position: Position { index, view: 6 },
+        bytes: state.snapshot().into(),
+    };
+    let accepted = AcceptedView {
+        ballot: ballot(21, 2, 22),
+        proposal: view(8),
+    };
+    let log = |entries: Vec<Entry>| {
+        entries
+            .into_iter()
+            .map(|entry| Write::Entry { entry })
+            .collect::<Vec<_>>()
+    };
     vec![
-        vec![Write::Install { decided: view(7) }, Write::Synced { view: 6 }],
+        vec![
+            Write::Install { decided: view(7) },
+            Write::Synced { view: 6 },
+        ],
         log(entries(1, &before)),
         vec![Write::Snapshot { snapshot }],
-        vec![Write::Promise { ballot: ballot(31, 3, 32) }, Write::Accept { accepted }],
+        vec![
+            Write::Promise {
+                ballot: ballot(31, 3, 32),
+            },
+            Write::Accept { accepted },
+        ],
         log(entries(index + 1, &operations_after_snapshot())),
     ]
 }
@@ -175,7 +291,9 @@
     let folder = TemporaryFolder::new("core-file");
     let path = folder.file("core.redb");
     let (disk, _, _) = CoreDisk::open(&path).expect("a new file");
-    batches().iter().for_each(|batch| disk.write(batch).expect("the disk takes it"));
+    batches()
+        .iter()
+        .for_each(|batch| disk.write(batch).expect("the disk takes it"));
     drop(disk);
     keep_as_fixture("core.redb.packed", &path);
     let written_now = records(&path);
@@ -183,13 +301,28 @@
     copy_fixture("core.redb.packed", &path);
     assert_eq!(records(&path), written_now);
     let (_, identity, saved) = CoreDisk::open(&path).expect("the earlier revision's file opens");
-    assert_eq!(identity, DiskIdentity { disk: FIXTURE_DISK, fresh: false });
+    assert_eq!(
+        identity,
+        DiskIdentity {
+            disk: FIXTURE_DISK,
+            fresh: false
+        }
+    );
     let mut expected = Saved::default();
-    batches().iter().flatten().for_each(|write| expected.apply(write));
+    batches()
+        .iter()
+        .flatten()
+        .for_each(|write| expected.apply(write));
     assert_eq!(saved, expected);
     assert_eq!(saved.decided, Some(view(7)));
     assert_eq!(saved.promised, Some(ballot(31, 3, 32)));
-    assert_eq!(saved.accepted, Some(AcceptedView { ballot: ballot(21, 2, 22), proposal: view(8) }));
+    assert_eq!(
+        saved.accepted,
+        Some(AcceptedView {
+            ballot: ballot(21, 2, 22),
+            proposal: view(8)
+        })
+    );
     assert_eq!(saved.synced_view, 6);
     assert_eq!(saved.entries, entries(7, &operations_after_snapshot()));
 }
@@ -205,21 +338,47 @@
     let mut state = ControlState::restore(snapshot.bytes.bytes()).expect("the snapshot is read");
 
     let document = state.configuration().expect("a configuration");
-    assert_eq!((document.generation(), document.to_json().as_str()), (11, CONFIGURATION));
+    assert_eq!(
+        (document.generation(), document.to_json().as_str()),
+        (11, CONFIGURATION)
+    );
     let servers: Vec<ServerReport> = state.servers().cloned().collect();
     let ready = server("server-1", 8_001, ServerState::Ready);
-    assert_eq!(servers, [ready, server("server-2", 8_002, ServerState::Draining)]);
+    assert_eq!(
+        servers,
+        [ready, server("server-2", 8_002, ServerState::Draining)]
+    );
     let gateways: Vec<NodeReport> = state.gateways().cloned().collect();
     assert_eq!(gateways, [node("gateway-1", NodeKind::Gateway, 7_001)]);
-    let stores: Vec<(String, SocketAddr, u64, u64)> =
-        state.stores().map(|store| (store.name, store.address, store.incarnation, store.disk)).collect();
+    let stores: Vec<(String, SocketAddr, u64, u64)> = state
+        .stores()
+        .map(|store| (store.name, store.address, store.incarnation, store.disk))
+        .collect();
     assert_eq!(stores, [("store-1".to_owned(), address(50, 7_002), 71, 72)]);
-    assert_eq!((state.counters().used("program-1"), state.counters().held("program-1")), (0, 300));
+    assert_eq!(
+        (
+            state.counters().used("program-1"),
+            state.counters().held("program-1")
+        ),
+        (0, 300)
+    );
 
     for entry in &saved.entries {
         let operation = postcard::from_bytes(entry.payload.bytes()).expect("an operation");
         state.apply(&operation, &mut Vec::new());
     }
-    assert_eq!(state.servers().map(|server| server.id.as_str()).collect::<Vec<_>>(), ["server-2"]);
-    assert_eq!((state.counters().used("program-1"), state.counters().held("program-1")), (250, 30));
+    assert_eq!(
+        state
+            .servers()
+            .map(|server| server.id.as_str())
+            .collect::<Vec<_>>(),
+        ["server-2"]
+    );
+    assert_eq!(
+        (
+            state.counters().used("program-1"),
+            state.counters().held("program-1")
+        ),
+        (250, 30)
+    );
 }
--- a/crates/storage/tests/compatibility/support.rs
+++ b/crates/serving/storage/tests/compatibility/support.rs
@@ -17,7 +17,10 @@
 
 impl TemporaryFolder {
     pub fn new(name: &str) -> TemporaryFolder {
-        let path = std::env::temp_dir().join(format!("dunespur-compatibility-{}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "dunespur-compatibility-{}-{name}",
+            std::process::id()
+        ));
         let _ = fs::remove_dir_all(&path);
         fs::create_dir_all(&path).expect("a folder for the test");
         TemporaryFolder(path)
@@ -35,7 +38,9 @@
 }
 
 fn fixture_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 /// Compares a text with its fixture.
@@ -65,13 +70,16 @@
 fn packed(file: &[u8]) -> Vec<u8> {
     let blocks: Vec<&[u8]> = file.chunks(BLOCK_BYTES).collect();
     let runs = blocks.chunk_by(|one, next| one == next);
-    runs.flat_map(|run| [&(run.len() as u32).to_le_bytes()[..], run[0]].concat()).collect()
+    runs.flat_map(|run| [&(run.len() as u32).to_le_bytes()[..], run[0]].concat())
+        .collect()
 }
 
 fn unpacked(packed: &[u8]) -> Vec<u8> {
     let mut file = Vec::new();
     for run in packed.chunks(4 + BLOCK_BYTES) {
-        let (count, block) = run.split_first_chunk::<4>().expect("a run's number of blocks");
+        let (count, block) = run
+            .split_first_chunk::<4>()
+            .expect("a run's number of blocks");
         file.extend(block.repeat(u32::from_le_bytes(*count) as usize));
     }
     file
@@ -85,7 +93,12 @@
 ) -> String {
     let mut text = format!("{table}\n");
     let transaction = database.begin_read().expect("a transaction");
-    for row in transaction.open_table(table).expect("the table").iter().expect("its rows") {
+    for row in transaction
+        .open_table(table)
+        .expect("the table")
+        .iter()
+        .expect("its rows")
+    {
         let (key, value) = row.expect("a row");
         let (key, value) = show(key.value(), value.value());
         writeln!(text, "  {key}: {value}").expect("a text grows");
@@ -98,7 +111,13 @@
     let shown = &bytes[..bytes.len().min(MAX_SHOWN_BYTES)];
     let mut text: String = shown.iter().map(|byte| format!("{byte:02x}")).collect();
     if shown.len() < bytes.len() {
-        write!(text, "... {} bytes, crc32 {:08x}", bytes.len(), crc32fast::hash(bytes)).expect("a text grows");
+        write!(
+            text,
+            "... {} bytes, crc32 {:08x}",
+            bytes.len(),
+            crc32fast::hash(bytes)
+        )
+        .expect("a text grows");
     }
     text
 }
