--- a/crates/turns/tests/world/machine.rs
+++ b/crates/turns/tests/world/machine.rs
@@ -325,6 +325,7 @@
                 }
             }
             Effect::Disk { job, work } => {
+                self.digest.disk_work(&work);
                 let takes_ms = 1 + self.rng.u64(0..4) + work_bytes(&work) / BYTES_A_MS;
                 let machine = &mut self.machines[number];
                 machine.disk_busy_until_ms = machine.disk_busy_until_ms.max(self.now_ms) + takes_ms;
@@ -338,6 +339,7 @@
     }
 
     fn declared(&mut self, number: usize, declaration: Declaration) {
+        self.digest.declaration(declaration);
         match declaration {
             Declaration::Whole => {
                 let machine = &mut self.machines[number];
--- a/crates/turns/tests/world/mod.rs
+++ b/crates/turns/tests/world/mod.rs
@@ -3,6 +3,7 @@
 //! events, the same for the same seed.
 
 mod core;
+mod digest;
 mod faults;
 mod machine;
 mod programs;
@@ -18,6 +19,7 @@
 use dunespur_turns::roster::Store;
 use fastrand::Rng;
 
+use digest::Digest;
 pub use faults::{FaultKind, LONGEST_TROUBLE_MS};
 use machine::Machine;
 use programs::{Operation, Program, Truth};
@@ -93,6 +95,8 @@
     pub largest_message: u64,
     /// The most turns that one store held.
     pub most_held: usize,
+    /// Of all that happened, see [`Digest`].
+    pub digest: u64,
 }
 
 /// Who waits for the answer of a store.
@@ -156,23 +160,41 @@
     /// No trouble from then on.
     calm_since_ms: Option<u64>,
     seen: Seen,
+    digest: Digest,
 }
 
 impl World {
     /// Plays a plan to its end; panics with the seed if a rule is broken.
     pub fn play(plan: Plan) -> Seen {
         let mut world = World::new(plan);
-        let end_ms = world.plan.faults_until_ms + 45_000;
-        while let Some(Reverse((at_ms, number))) = world.queue.pop() {
+        world.play_until(world.plan.faults_until_ms + 45_000);
+        world.check_end();
+        world.finish()
+    }
+
+    /// Plays a plan up to some time, with all its trouble; nothing is checked at the end.
+    pub fn play_part(plan: Plan, end_ms: u64) -> Seen {
+        let mut world = World::new(plan);
+        world.play_until(end_ms);
+        world.finish()
+    }
+
+    fn play_until(&mut self, end_ms: u64) {
+        while let Some(Reverse((at_ms, number))) = self.queue.pop() {
             if at_ms > end_ms {
                 break;
             }
-            world.now_ms = at_ms;
-            let event = world.events.remove(&number).expect("each queued event is there");
-            world.handle(event);
+            self.now_ms = at_ms;
+            let event = self.events.remove(&number).expect("each queued event is there");
+            self.digest.event(at_ms, &event);
+            self.handle(event);
         }
-        world.check_end();
-        world.seen
+    }
+
+    fn finish(mut self) -> Seen {
+        self.digest.counts(&self.seen);
+        self.seen.digest = self.digest.finish();
+        self.seen
     }
 
     fn new(plan: Plan) -> Self {
@@ -194,6 +216,7 @@
             without_spare: None,
             calm_since_ms: None,
             seen: Seen::default(),
+            digest: Digest::default(),
             plan,
         };
         world.set_up();
--- a/crates/turns/tests/world/programs.rs
+++ b/crates/turns/tests/world/programs.rs
@@ -249,6 +249,7 @@
         gateway: usize,
         began_at_ms: u64,
     ) {
+        self.digest.read(&outcome);
         self.check_read(&outcome, id, began_at_ms);
         let Some(program) = for_program else {
             return;
@@ -292,6 +293,7 @@
     }
 
     fn write_ended(&mut self, verdict: Verdict, turn: &Turn, program: usize, began_at_ms: u64) {
+        self.digest.written(verdict);
         match verdict {
             Verdict::Kept => {
                 self.seen.kept += 1;
