--- a/crates/turns/tests/digests.rs
+++ b/crates/serving/turn-replication/tests/digests.rs
@@ -9,7 +9,7 @@
 use std::fmt::Write;
 use std::thread;
 
-use dunespur_turns::guards::Guards;
+use dunespur_turn_replication::guards::Guards;
 use world::{Absence, FaultKind, Plan, World};
 
 const FIXTURE: &str = include_str!("fixtures/world-digests.txt");
@@ -45,7 +45,7 @@
         final_fault: false,
         absence: Absence::default(),
         guards: Guards::default(),
-        core_guards: dunespur_control::Guards::default(),
+        core_guards: dunespur_control_state::Guards::default(),
     }
 }
 
@@ -62,18 +62,43 @@
 }
 
 fn two_lost_at_once(seed: u64) -> Plan {
-    Plan { stores: 6, tolerated: 2, ..plan(seed, &ALL) }
+    Plan {
+        stores: 6,
+        tolerated: 2,
+        ..plan(seed, &ALL)
+    }
 }
 
 fn many_programs(seed: u64) -> Plan {
-    let faults = [FaultKind::Wipe, FaultKind::Replace, FaultKind::Retire, FaultKind::Add];
-    Plan { programs: 8, most_input_bytes: 6_000, ..plan(seed, &faults) }
+    let faults = [
+        FaultKind::Wipe,
+        FaultKind::Replace,
+        FaultKind::Retire,
+        FaultKind::Add,
+    ];
+    Plan {
+        programs: 8,
+        most_input_bytes: 6_000,
+        ..plan(seed, &faults)
+    }
 }
 
 fn long_lease(seed: u64) -> Plan {
-    let faults = [FaultKind::Wipe, FaultKind::Replace, FaultKind::Add, FaultKind::Retire];
-    let absence = Absence { lease_ms: 3_000, repair_ms: 300 };
-    Plan { absence, stores: 3 + (seed % 3) as usize, ..plan(seed, &faults) }
+    let faults = [
+        FaultKind::Wipe,
+        FaultKind::Replace,
+        FaultKind::Add,
+        FaultKind::Retire,
+    ];
+    let absence = Absence {
+        lease_ms: 3_000,
+        repair_ms: 300,
+    };
+    Plan {
+        absence,
+        stores: 3 + (seed % 3) as usize,
+        ..plan(seed, &faults)
+    }
 }
 
 type Kind = (&'static str, fn(u64) -> Plan);
@@ -96,13 +121,17 @@
             thread::spawn(move || seeds.map(|seed| (seed, play(seed))).collect::<Vec<_>>())
         })
         .collect();
-    let mut digests: Vec<(u64, u64)> =
-        threads.into_iter().flat_map(|thread| thread.join().expect("the worlds hold")).collect();
+    let mut digests: Vec<(u64, u64)> = threads
+        .into_iter()
+        .flat_map(|thread| thread.join().expect("the worlds hold"))
+        .collect();
     digests.sort_unstable();
-    digests.into_iter().fold(String::new(), |mut lines, (seed, digest)| {
-        writeln!(lines, "{name} {seed} {digest:016x}").expect("a string takes it");
-        lines
-    })
+    digests
+        .into_iter()
+        .fold(String::new(), |mut lines, (seed, digest)| {
+            writeln!(lines, "{name} {seed} {digest:016x}").expect("a string takes it");
+            lines
+        })
 }
 
 #[test]
@@ -110,8 +139,16 @@
     let played: String = KINDS.into_iter().map(digests).collect();
     let left_at = concat!(env!("CARGO_TARGET_TMPDIR"), "/world-digests.txt");
     std::fs::write(left_at, &played).expect("the target folder is writable");
-    let differing: Vec<_> =
-        played.lines().zip(FIXTURE.lines()).filter(|(played, recorded)| played != recorded).collect();
-    assert!(differing.is_empty(), "{} worlds differ, first {:?}", differing.len(), differing[0]);
+    let differing: Vec<_> = played
+        .lines()
+        .zip(FIXTURE.lines())
+        .filter(|(played, recorded)| played != recorded)
+        .collect();
+    assert!(
+        differing.is_empty(),
+        "{} worlds differ, first {:?}",
+        differing.len(),
+        differing[0]
+    );
     assert_eq!(played.lines().count(), FIXTURE.lines().count());
 }
--- a/crates/turns/tests/world/digest.rs
+++ b/crates/serving/turn-replication/tests/world/digest.rs
@@ -3,9 +3,9 @@
 
 use std::fmt;
 
-use dunespur_turns::node::{Declaration, DiskWork};
-use dunespur_turns::read::Outcome;
-use dunespur_turns::write::Verdict;
+use dunespur_turn_replication::node::{Declaration, DiskWork};
+use dunespur_turn_replication::read::Outcome;
+use dunespur_turn_replication::write::Verdict;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -19,7 +19,10 @@
 
 impl fmt::Debug for Digest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.debug_tuple("Digest").field(&self.finish()).finish()
+        formatter
+            .debug_tuple("Digest")
+            .field(&self.finish())
+            .finish()
     }
 }
 
@@ -56,14 +59,25 @@
                 self.asker(asker);
                 self.encoded(reply);
             }
-            Event::DiskDone { machine, life, job, .. } => self.numbers(&[2, *machine as u64, *life, *job]),
+            Event::DiskDone {
+                machine, life, job, ..
+            } => self.numbers(&[2, *machine as u64, *life, *job]),
             Event::Tick { machine, life } => self.numbers(&[3, *machine as u64, *life]),
             Event::Heartbeats => self.number(4),
-            Event::ListToMachine { machine, life, version, list } => {
+            Event::ListToMachine {
+                machine,
+                life,
+                version,
+                list,
+            } => {
                 self.numbers(&[5, *machine as u64, *life, *version]);
                 self.encoded(list);
             }
-            Event::ListToGateway { gateway, version, list } => {
+            Event::ListToGateway {
+                gateway,
+                version,
+                list,
+            } => {
                 self.numbers(&[6, *gateway as u64, *version]);
                 self.encoded(list);
             }
@@ -87,8 +101,14 @@
 
     fn asker(&mut self, asker: &Asker) {
         match asker {
-            Asker::Machine { machine, life, ask } => self.numbers(&[0, *machine as u64, *life, *ask]),
-            Asker::Gateway { operation, store, id } => {
+            Asker::Machine { machine, life, ask } => {
+                self.numbers(&[0, *machine as u64, *life, *ask])
+            }
+            Asker::Gateway {
+                operation,
+                store,
+                id,
+            } => {
                 self.numbers(&[1, *operation]);
                 self.encoded(store);
                 self.encoded(id);
@@ -146,8 +166,19 @@
 
     /// The counts at the end.
     pub fn counts(&mut self, seen: &Seen) {
-        self.numbers(&[seen.kept, seen.unsure_writes, seen.needless_unsure_writes, seen.chains]);
-        self.numbers(&[seen.unsure_reads, seen.unknown, seen.faults, seen.retired, seen.too_few]);
+        self.numbers(&[
+            seen.kept,
+            seen.unsure_writes,
+            seen.needless_unsure_writes,
+            seen.chains,
+        ]);
+        self.numbers(&[
+            seen.unsure_reads,
+            seen.unknown,
+            seen.faults,
+            seen.retired,
+            seen.too_few,
+        ]);
         self.numbers(&[seen.slowest_whole_ms, seen.slowest_retire_ms]);
         self.numbers(&[seen.largest_message, seen.most_held as u64]);
         for window in &seen.windows {
