--- a/crates/serving/dunespur/src/status/gather.rs
+++ b/crates/serving/dunespur/src/status/gather.rs
@@ -12,7 +12,7 @@
 use crate::settings::{Role, Settings};
 use dunespur_chain_replication::View;
 use dunespur_control_state::{ServerReport, ServerState};
-use dunespur_proxy::{Counters, Front, Node};
+use dunespur_proxy::{Counters, Node, ProxyServer};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
@@ -44,7 +44,7 @@
     pub coordinator: Option<Rc<Coordinator>>,
     pub data_plane: Rc<DataPlane>,
     pub budgets: Rc<Budgets>,
-    pub front: Rc<Front<DataPlane>>,
+    pub front: Rc<ProxyServer<DataPlane>>,
 }
 
 impl GatewayStatus {
@@ -63,7 +63,7 @@
             .as_ref()
             .map(|coordinator| coordinator.status(MAX_LISTED));
         status.services = self.services();
-        status.front = Some(front(self.front.counters(), self.data_plane.ready()));
+        status.front = Some(front(self.front.counters(), self.data_plane.is_ready()));
         status.budgets = Some(self.budgets.status());
         status.program = program.map(|name| self.program(name));
         status
@@ -177,10 +177,10 @@
         connections: counters.connections,
         accepted: counters.accepted,
         requests: counters.requests,
-        refused: counters.refused,
+        refused: counters.rejected,
         failed: counters.failed,
-        server_connections: counters.server_connections,
-        server_connections_opened: counters.server_connections_opened,
+        server_connections: counters.endpoint_connections,
+        server_connections_opened: counters.endpoint_connections_opened,
         body_bytes: counters.body_bytes,
     }
 }
