--- a/crates/budget/tests/common/mod.rs
+++ b/crates/budget/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! What the tests share: short ways to build requests and to play a limiter against a counter.
 #![allow(dead_code)]
 
+pub mod digest;
 pub mod world;
 
 use dunespur_budget::{
--- a/crates/budget/tests/common/world.rs
+++ b/crates/budget/tests/common/world.rs
@@ -4,6 +4,7 @@
 //! The world keeps books of its own, out of what it sees applied and what clients receive, and checks the
 //! promises against them at every step.
 
+use super::digest::Digest;
 use dunespur_budget::{
     Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseBook, LimiterId, Refusal,
     TurnOutcome,
@@ -96,6 +97,7 @@
     ledgers: BTreeMap<(String, LimiterId), Ledger>,
     applied: BTreeSet<(LimiterId, u64)>,
     pub tally: Tally,
+    digest: Digest,
 }
 
 /// A counter that is silent for a turn's wait plus this has let the turn wait too long.
@@ -119,6 +121,7 @@
             ledgers: BTreeMap::new(),
             applied: BTreeSet::new(),
             tally: Tally::default(),
+            digest: Digest::default(),
         };
         world.lay_out();
         world
@@ -156,6 +159,14 @@
         &self.counters
     }
 
+    /// The digest of the world up to now, with the counters' state and the tally.
+    pub fn digest(&mut self) -> u64 {
+        self.digest.encoded(&self.counters);
+        let Tally { admitted, spent, elsewhere, silent, given_up, requests } = self.tally;
+        self.digest.encoded(&(admitted, spent, elsewhere, silent, given_up, requests, self.now));
+        self.digest.finish()
+    }
+
     /// Starts one more turn of a program, with all messages arriving from now on.
     pub fn calm_turn(&mut self, program: &str) {
         self.plan.lost = 0.0;
@@ -225,6 +236,7 @@
 
     fn judge(&mut self, limiter: usize, outcome: TurnOutcome) {
         let key = outcome.turn;
+        self.digest.verdict(self.now, limiter, &outcome);
         self.note_wait(key, &outcome.admission);
         match outcome.admission {
             Admission::Admitted => {
@@ -325,6 +337,7 @@
 
     fn send(&mut self, request: CounterRequest) {
         self.tally.requests += 1;
+        self.digest.encoded(&(self.now, &request));
         self.carry(Event::ToCounter(request));
     }
 
@@ -351,6 +364,7 @@
         let again = self.applied.contains(&(request.limiter.clone(), request.sequence));
         let before = again.then(|| self.counters.clone());
         let reply = self.counters.apply(&request, self.plan.limiters as u32);
+        self.digest.encoded(&(self.now, &request, &reply));
         if let Some(before) = before {
             assert_eq!(before, self.counters, "a request that comes again changes nothing");
         } else {
--- a/crates/budget/tests/world.rs
+++ b/crates/budget/tests/world.rs
@@ -3,8 +3,11 @@
 mod common;
 
 use common::world::{Plan, Tally, World};
+use std::fmt::Write;
 
 const SEEDS: u64 = 150;
+/// Seeds whose digests are on file.
+const RECORDED_SEEDS: u64 = 100;
 
 fn calm() -> Plan {
     Plan {
@@ -107,6 +110,18 @@
     }
 }
 
+/// Worlds with every kind of trouble go as they went when the file was written: same messages, times and verdicts.
+#[test]
+fn worlds_go_as_recorded() {
+    let mut digests = String::new();
+    for seed in 0..RECORDED_SEEDS {
+        let mut world = World::new(deadly(), seed);
+        world.play();
+        writeln!(digests, "{seed} {:016x}", world.digest()).expect("a string takes text");
+    }
+    assert_eq!(digests, include_str!("common/digests.txt"));
+}
+
 #[test]
 fn the_same_seed_plays_the_same_world() {
     let tallies = || -> Vec<Tally> { play_all(&deadly()).into_iter().map(|world| world.tally).collect() };
--- a/crates/control/tests/world/callers.rs
+++ b/crates/control/tests/world/callers.rs
@@ -220,6 +220,7 @@
                 self.schedule(self.now, Event::Trouble(trouble.at(machine)));
             }
         }
+        self.digest.answer(self.now, machine, call, &answer);
         let CallId { caller, number } = call;
         let lost = self.rng.u32(0..100) < LOST_PERCENT;
         if lost || self.lines.is_cut(Place::Machine(machine), Place::Caller(caller)) {
--- a/crates/control/tests/world/machines.rs
+++ b/crates/control/tests/world/machines.rs
@@ -267,6 +267,7 @@
                 let guards = self.setup.guards.control;
                 let state = ControlState::restore(&bytes).expect("a snapshot").guarded_by(guards);
                 self.snapshots_installed += 1;
+                self.digest.event(22, [self.now, index as u64, at], &bytes);
                 let process = self.process(index);
                 process.applied = at;
                 process.state = state;
@@ -292,9 +293,11 @@
         let process = self.process(index);
         process.applied = at;
         let begins = retired_before(&process.state, &operation);
-        let outcome = process.state.apply(&operation, &mut Vec::new());
+        let mut changes = Vec::new();
+        let outcome = process.state.apply(&operation, &mut changes);
         let begins = begins.filter(|node| first && process.state.retirement(node).is_some());
         let call = ticket.and_then(|ticket| process.tickets.remove(&ticket));
+        self.digest.event(21, [self.now, index as u64, at], &(payload, &outcome, &changes));
         if let Some(node) = begins {
             self.retirement_begins(&node);
         }
--- a/crates/control/tests/world/mod.rs
+++ b/crates/control/tests/world/mod.rs
@@ -6,6 +6,7 @@
 #![allow(dead_code)]
 
 pub mod callers;
+pub mod digest;
 pub mod history;
 pub mod keeper;
 pub mod lines;
@@ -155,6 +156,7 @@
     pub snapshots_installed: u64,
     broken: Option<String>,
     trace: bool,
+    pub digest: digest::Digest,
 }
 
 impl World {
@@ -179,6 +181,7 @@
             snapshots_installed: 0,
             broken: None,
             trace: std::env::var_os("WORLD_TRACE").is_some(),
+            digest: digest::Digest::default(),
         };
         for _ in 0..setup.machines {
             let machine = world.add_machine();
--- a/crates/control/tests/world/trouble.rs
+++ b/crates/control/tests/world/trouble.rs
@@ -285,7 +285,18 @@
 
 /// Plays a world through a plan of troubles and judges what its operators saw.
 pub fn play(setup: Setup, rounds: usize) -> Result<Tally, String> {
+    play_in(&mut World::new(setup), rounds)
+}
+
+/// Plays a world through a plan of troubles: the digest of all that happened in it.
+pub fn digest(setup: Setup, rounds: usize) -> u64 {
     let mut world = World::new(setup);
+    let verdict = play_in(&mut world, rounds);
+    world.finish_digest(verdict)
+}
+
+fn play_in(world: &mut World, rounds: usize) -> Result<Tally, String> {
+    let setup = world.setup;
     let (troubles, over_at) = schedule(&setup, world.callers.len(), rounds);
     for (at, trouble) in troubles {
         world.schedule(at, super::Event::Trouble(trouble));
