--- a/crates/serving/budget/tests/common/world.rs
+++ b/crates/serving/budget/tests/common/world.rs
@@ -175,8 +175,17 @@
     /// The digest of the world up to now, with the counters' state and the tally.
     pub fn digest(&mut self) -> u64 {
         self.digest.encoded(&self.counters);
-        let Tally { admitted, spent, elsewhere, silent, given_up, requests } = self.tally;
-        self.digest.encoded(&(admitted, spent, elsewhere, silent, given_up, requests, self.now));
+        let Tally {
+            admitted,
+            spent,
+            elsewhere,
+            silent,
+            given_up,
+            requests,
+        } = self.tally;
+        self.digest.encoded(&(
+            admitted, spent, elsewhere, silent, given_up, requests, self.now,
+        ));
         self.digest.finish()
     }
 
--- a/crates/serving/budget/tests/encoding.rs
+++ b/crates/serving/budget/tests/encoding.rs
@@ -40,7 +40,10 @@
     CounterRequest {
         program: "program-1".to_owned(),
         budget: 2_000,
-        limiter: LimiterId { node: "node-3".to_owned(), incarnation: 400 },
+        limiter: LimiterId {
+            node: "node-3".to_owned(),
+            incarnation: 400,
+        },
         sequence: 5,
         used: 60,
         change,
@@ -50,7 +53,11 @@
 
 #[test]
 fn requests_keep_their_bytes() {
-    let change = CounterChange::Lease { needed: 81, wanted: 182, returned: 83 };
+    let change = CounterChange::Lease {
+        needed: 81,
+        wanted: 182,
+        returned: 83,
+    };
     let cases = [
         ("lease", full_request(change)),
         ("return", full_request(CounterChange::Return { units: 84 })),
@@ -61,7 +68,13 @@
 #[test]
 fn replies_keep_their_bytes() {
     let cases = [
-        ("granted", CounterReply::Granted { units: 500, left: 6 }),
+        (
+            "granted",
+            CounterReply::Granted {
+                units: 500,
+                left: 6,
+            },
+        ),
         ("spent", CounterReply::Spent),
         ("elsewhere", CounterReply::Elsewhere { held: 700 }),
         ("returned", CounterReply::Returned),
@@ -77,11 +90,27 @@
     let requests = [
         request(&one, 1, BUDGET, lease(40, 90)),
         request(&other, 2, BUDGET, lease(50, 70)),
-        CounterRequest { used: 7, at_ms: 900, ..request(&one, 3, BUDGET, lease(60, 80)) },
-        CounterRequest { at_ms: 800, ..request(&newer, 4, BUDGET, lease(900, 950)) },
-        CounterRequest { used: 5, ..request(&newer, 5, BUDGET, CounterChange::Return { units: 0 }) },
-        CounterRequest { program: "second".to_owned(), ..request(&one, 6, BUDGET, lease(11, 12)) },
-        CounterRequest { program: "third".to_owned(), ..request(&one, 7, 10, lease(11, 12)) },
+        CounterRequest {
+            used: 7,
+            at_ms: 900,
+            ..request(&one, 3, BUDGET, lease(60, 80))
+        },
+        CounterRequest {
+            at_ms: 800,
+            ..request(&newer, 4, BUDGET, lease(900, 950))
+        },
+        CounterRequest {
+            used: 5,
+            ..request(&newer, 5, BUDGET, CounterChange::Return { units: 0 })
+        },
+        CounterRequest {
+            program: "second".to_owned(),
+            ..request(&one, 6, BUDGET, lease(11, 12))
+        },
+        CounterRequest {
+            program: "third".to_owned(),
+            ..request(&one, 7, 10, lease(11, 12))
+        },
     ];
     for request in requests {
         counters.apply(&request, 2);
@@ -91,5 +120,8 @@
 
 #[test]
 fn counters_keep_their_bytes() {
-    assert_encoded(include_str!("encoding/counters.txt"), &[("populated", populated_counters())]);
+    assert_encoded(
+        include_str!("encoding/counters.txt"),
+        &[("populated", populated_counters())],
+    );
 }
--- a/crates/serving/configuration/tests/encoding.rs
+++ b/crates/serving/configuration/tests/encoding.rs
@@ -30,7 +30,10 @@
         place: format!("place-{number}"),
         problem: format!("problem of {number}"),
     };
-    assert_encoded(include_str!("encoding/findings.txt"), &Findings(vec![finding(1), finding(2)]));
+    assert_encoded(
+        include_str!("encoding/findings.txt"),
+        &Findings(vec![finding(1), finding(2)]),
+    );
 }
 
 #[test]
--- a/crates/serving/control-state/tests/encoding.rs
+++ b/crates/serving/control-state/tests/encoding.rs
@@ -7,7 +7,7 @@
 use common::{draining, gateway, patch, replace, replace_with, retire, server, store};
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest, LimiterId};
 use dunespur_configuration::{Finding, Findings};
-use dunespur_control::{
+use dunespur_control_state::{
     Change, ControlState, GatewayEntry, NodeKind, NodeReport, Operation, Order, OrderKind, Outcome,
     RetireOutcome, RetireState, ServerReport, ServerState, StoreEntry,
 };
@@ -72,14 +72,22 @@
 }
 
 fn order(kind: OrderKind) -> Order {
-    Order { kind, base: 11, body: b"body-12".to_vec(), fence: 1_300 }
+    Order {
+        kind,
+        base: 11,
+        body: b"body-12".to_vec(),
+        fence: 1_300,
+    }
 }
 
 fn counter_request(change: CounterChange) -> CounterRequest {
     CounterRequest {
         program: "program-1".to_owned(),
         budget: 2_000,
-        limiter: LimiterId { node: "node-3".to_owned(), incarnation: 400 },
+        limiter: LimiterId {
+            node: "node-3".to_owned(),
+            incarnation: 400,
+        },
         sequence: 5,
         used: 60,
         change,
@@ -89,31 +97,84 @@
 
 #[test]
 fn operations_keep_their_bytes() {
-    let lease = CounterChange::Lease { needed: 81, wanted: 182, returned: 83 };
+    let lease = CounterChange::Lease {
+        needed: 81,
+        wanted: 182,
+        returned: 83,
+    };
     let cases = [
-        ("configure-replace", Operation::Configure(order(OrderKind::Replace))),
-        ("configure-patch", Operation::Configure(order(OrderKind::Patch))),
-        ("server-ready", Operation::Server(server_report(ServerState::Ready))),
-        ("server-draining", Operation::Server(server_report(ServerState::Draining))),
-        ("server-left", Operation::ServerLeft { id: "id-1".to_owned() }),
-        ("server-expired", Operation::ServerExpired { id: "id-1".to_owned(), last_sequence: 300 }),
-        ("node-gateway", Operation::Node(node_report(NodeKind::Gateway))),
+        (
+            "configure-replace",
+            Operation::Configure(order(OrderKind::Replace)),
+        ),
+        (
+            "configure-patch",
+            Operation::Configure(order(OrderKind::Patch)),
+        ),
+        (
+            "server-ready",
+            Operation::Server(server_report(ServerState::Ready)),
+        ),
+        (
+            "server-draining",
+            Operation::Server(server_report(ServerState::Draining)),
+        ),
+        (
+            "server-left",
+            Operation::ServerLeft {
+                id: "id-1".to_owned(),
+            },
+        ),
+        (
+            "server-expired",
+            Operation::ServerExpired {
+                id: "id-1".to_owned(),
+                last_sequence: 300,
+            },
+        ),
+        (
+            "node-gateway",
+            Operation::Node(node_report(NodeKind::Gateway)),
+        ),
         ("node-store", Operation::Node(node_report(NodeKind::Store))),
-        ("node-expired", Operation::NodeGone { name: "name-1".to_owned(), incarnation: 300 }),
+        (
+            "node-expired",
+            Operation::NodeGone {
+                name: "name-1".to_owned(),
+                incarnation: 300,
+            },
+        ),
         (
             "retire-start",
-            Operation::RetireStart { node: "node-1".to_owned(), tolerated_losses: 2, fence: 300 },
+            Operation::RetireStart {
+                node: "node-1".to_owned(),
+                tolerated_losses: 2,
+                fence: 300,
+            },
+        ),
+        (
+            "retire-done",
+            Operation::RetireDone {
+                node: "node-1".to_owned(),
+                incarnation: 200,
+                round: 3,
+            },
         ),
-        ("retire-done", Operation::RetireDone { node: "node-1".to_owned(), incarnation: 200, round: 3 }),
         ("budget-lease", Operation::Budget(counter_request(lease))),
-        ("budget-return", Operation::Budget(counter_request(CounterChange::Return { units: 84 }))),
+        (
+            "budget-return",
+            Operation::Budget(counter_request(CounterChange::Return { units: 84 })),
+        ),
     ];
     assert_encoded(include_str!("encoding/operations.txt"), &cases);
 }
 
 #[test]
 fn outcomes_keep_their_bytes() {
-    let finding = Finding { place: "place-1".to_owned(), problem: "problem-2".to_owned() };
+    let finding = Finding {
+        place: "place-1".to_owned(),
+        problem: "problem-2".to_owned(),
+    };
     let cases = [
         ("accepted", Outcome::Accepted),
         ("current", Outcome::Current { generation: 300 }),
@@ -121,11 +182,23 @@
         ("forgotten", Outcome::Forgotten),
         ("fenced", Outcome::Fenced { fence: 400 }),
         ("retire-taken", Outcome::Retire(RetireOutcome::Taken)),
-        ("retire-unknown-node", Outcome::Retire(RetireOutcome::UnknownNode)),
+        (
+            "retire-unknown-node",
+            Outcome::Retire(RetireOutcome::UnknownNode),
+        ),
         ("retire-too-few", Outcome::Retire(RetireOutcome::TooFew)),
-        ("budget-granted", Outcome::Budget(CounterReply::Granted { units: 500, left: 6 })),
+        (
+            "budget-granted",
+            Outcome::Budget(CounterReply::Granted {
+                units: 500,
+                left: 6,
+            }),
+        ),
         ("budget-spent", Outcome::Budget(CounterReply::Spent)),
-        ("budget-elsewhere", Outcome::Budget(CounterReply::Elsewhere { held: 700 })),
+        (
+            "budget-elsewhere",
+            Outcome::Budget(CounterReply::Elsewhere { held: 700 }),
+        ),
         ("budget-returned", Outcome::Budget(CounterReply::Returned)),
         ("budget-stale", Outcome::Budget(CounterReply::Stale)),
         ("done", Outcome::Done),
@@ -136,7 +209,10 @@
 /// The parts of outcomes that other messages carry alone.
 #[test]
 fn retirement_states_keep_their_bytes() {
-    let states = [("running", RetireState::Running), ("done", RetireState::Done)];
+    let states = [
+        ("running", RetireState::Running),
+        ("done", RetireState::Done),
+    ];
     assert_encoded(include_str!("encoding/retirement-states.txt"), &states);
 }
 
@@ -164,17 +240,65 @@
         incarnation: 400,
     };
     let cases = [
-        ("configuration", Change::Configuration { generation: 300, json: "json-2".into() }),
-        ("server", Change::Server(server_report(ServerState::Draining))),
-        ("server-removed", Change::ServerGone { id: "id-1".to_owned() }),
+        (
+            "configuration",
+            Change::Configuration {
+                generation: 300,
+                json: "json-2".into(),
+            },
+        ),
+        (
+            "server",
+            Change::Server(server_report(ServerState::Draining)),
+        ),
+        (
+            "server-removed",
+            Change::ServerGone {
+                id: "id-1".to_owned(),
+            },
+        ),
         // One flag at a time: else two flags could change places unseen.
-        ("store-first-flag", Change::Store(StoreEntry { whole: true, ..store_entry() })),
-        ("store-second-flag", Change::Store(StoreEntry { present: true, ..store_entry() })),
-        ("store-third-flag", Change::Store(StoreEntry { retiring: true, ..store_entry() })),
-        ("store-fourth-flag", Change::Store(StoreEntry { retired: true, ..store_entry() })),
-        ("store-removed", Change::StoreGone { name: "name-1".to_owned() }),
+        (
+            "store-first-flag",
+            Change::Store(StoreEntry {
+                whole: true,
+                ..store_entry()
+            }),
+        ),
+        (
+            "store-second-flag",
+            Change::Store(StoreEntry {
+                present: true,
+                ..store_entry()
+            }),
+        ),
+        (
+            "store-third-flag",
+            Change::Store(StoreEntry {
+                retiring: true,
+                ..store_entry()
+            }),
+        ),
+        (
+            "store-fourth-flag",
+            Change::Store(StoreEntry {
+                retired: true,
+                ..store_entry()
+            }),
+        ),
+        (
+            "store-removed",
+            Change::StoreGone {
+                name: "name-1".to_owned(),
+            },
+        ),
         ("gateway", Change::Gateway(gateway)),
-        ("gateway-removed", Change::GatewayGone { name: "name-2".to_owned() }),
+        (
+            "gateway-removed",
+            Change::GatewayGone {
+                name: "name-2".to_owned(),
+            },
+        ),
     ];
     assert_encoded(include_str!("encoding/changes.txt"), &cases);
     let list: Vec<Change> = cases.into_iter().map(|(_, change)| change).collect();
@@ -185,7 +309,10 @@
     Operation::Budget(CounterRequest {
         program: format!("program-of-{node}"),
         budget: 1_000,
-        limiter: LimiterId { node: node.to_owned(), incarnation },
+        limiter: LimiterId {
+            node: node.to_owned(),
+            incarnation,
+        },
         sequence,
         used: 3,
         change,
@@ -201,21 +328,42 @@
         .chain([replace(40, 41), replace(50, 51)])
         .map(Operation::Configure)
         .collect();
-    let servers = [server("a", 1, 21), draining("b", 2, 22), server("c", 3, 23), server("d", 4, 24)];
+    let servers = [
+        server("a", 1, 21),
+        draining("b", 2, 22),
+        server("c", 3, 23),
+        server("d", 4, 24),
+    ];
     operations.extend(servers.map(Operation::Server));
     operations.push(Operation::Server(draining("e", 5, 25)));
     operations.push(Operation::ServerLeft { id: "c".to_owned() });
-    operations.push(Operation::ServerExpired { id: "d".to_owned(), last_sequence: 24 });
-    operations.push(Operation::ServerExpired { id: "e".to_owned(), last_sequence: 25 });
+    operations.push(Operation::ServerExpired {
+        id: "d".to_owned(),
+        last_sequence: 24,
+    });
+    operations.push(Operation::ServerExpired {
+        id: "e".to_owned(),
+        last_sequence: 25,
+    });
     operations.extend([gateway("g", 31), gateway("h", 32)].map(Operation::Node));
-    operations.push(Operation::NodeGone { name: "h".to_owned(), incarnation: 32 });
+    operations.push(Operation::NodeGone {
+        name: "h".to_owned(),
+        incarnation: 32,
+    });
     let stores = ["s", "t", "u", "v", "w"].map(|name| store(name, 41));
     operations.extend(stores.map(Operation::Node));
-    operations.push(Operation::NodeGone { name: "w".to_owned(), incarnation: 41 });
+    operations.push(Operation::NodeGone {
+        name: "w".to_owned(),
+        incarnation: 41,
+    });
     operations.push(retire("s", 1, 1));
     operations.push(retire("t", 1, 2));
     operations.push(retire("nobody", 1, 3));
-    let lease = CounterChange::Lease { needed: 40, wanted: 90, returned: 2 };
+    let lease = CounterChange::Lease {
+        needed: 40,
+        wanted: 90,
+        returned: 2,
+    };
     operations.push(budget("g", 31, 1, lease.clone()));
     operations.push(budget("h", 32, 2, lease.clone()));
     operations.push(budget("h", 33, 3, lease));
@@ -225,7 +373,11 @@
         state.apply(&operation, &mut Vec::new());
     }
     let round = state.stores().map(|store| store.round).max().unwrap_or(0);
-    let done = Operation::RetireDone { node: "t".to_owned(), incarnation: 41, round };
+    let done = Operation::RetireDone {
+        node: "t".to_owned(),
+        incarnation: 41,
+        round,
+    };
     state.apply(&done, &mut Vec::new());
     assert_eq!(state.retirement("s"), Some(RetireState::Running));
     assert_eq!(state.retirement("t"), Some(RetireState::Done));
--- a/crates/serving/control-state/tests/world/digest.rs
+++ b/crates/serving/control-state/tests/world/digest.rs
@@ -50,7 +50,13 @@
     }
 
     fn tally(&mut self, tally: &Tally) {
-        self.numbers([tally.calls, tally.taken, tally.refused, tally.reads, tally.unclear]);
+        self.numbers([
+            tally.calls,
+            tally.taken,
+            tally.refused,
+            tally.reads,
+            tally.unclear,
+        ]);
         self.numbers([tally.snapshots, tally.emptied, tally.kept, tally.most_stale]);
     }
 }
@@ -63,7 +69,9 @@
             self.digest.tally(tally);
         }
         for machine in &self.machines {
-            let Some(process) = &machine.process else { continue };
+            let Some(process) = &machine.process else {
+                continue;
+            };
             self.digest.bytes(&process.state.snapshot());
         }
         self.digest.0.digest()
--- a/crates/serving/control-state/tests/world/lines.rs
+++ b/crates/serving/control-state/tests/world/lines.rs
@@ -106,7 +106,8 @@
         let sender = self.id(from);
         let delay = self.rng.u64(1..4);
         let now = self.now;
-        self.digest.event(20, [now, from as u64, to as u64], &message);
+        self.digest
+            .event(20, [now, from as u64, to as u64], &message);
         if self.doubling && self.rng.u32(0..50) == 0 {
             let at = now + self.rng.u64(10..2_000);
             let input = Input::Received {
--- a/crates/serving/control-state/tests/world/machines.rs
+++ b/crates/serving/control-state/tests/world/machines.rs
@@ -385,7 +385,11 @@
         let outcome = process.state.apply(&operation, &mut changes);
         let begins = begins.filter(|node| first && process.state.retirement(node).is_some());
         let call = ticket.and_then(|ticket| process.tickets.remove(&ticket));
-        self.digest.event(21, [self.now, index as u64, at], &(payload, &outcome, &changes));
+        self.digest.event(
+            21,
+            [self.now, index as u64, at],
+            &(payload, &outcome, &changes),
+        );
         if let Some(node) = begins {
             self.retirement_begins(&node);
         }
--- a/crates/serving/control-state/tests/world_digests.rs
+++ b/crates/serving/control-state/tests/world_digests.rs
@@ -18,7 +18,10 @@
     for seed in 0..SEEDS {
         let large = seed % LARGE_PAYLOADS_EVERY == 1;
         let filling = if large { LARGE_PAYLOAD_BYTES } else { 0 };
-        let setup = Setup { filling, ..Setup::new(seed, 3 + seed as usize % 4) };
+        let setup = Setup {
+            filling,
+            ..Setup::new(seed, 3 + seed as usize % 4)
+        };
         writeln!(digests, "{seed} {:016x}", digest(setup, ROUNDS)).expect("a string takes text");
     }
     assert_eq!(digests, include_str!("world/digests.txt"));
