--- a/crates/serving/turn-replication/tests/faults.rs
+++ b/crates/serving/turn-replication/tests/faults.rs
@@ -1,6 +1,7 @@
 //! Turns under kills, lost disks, cuts, freezes, retirements and new machines: what was answered whole is found
 //! whole or not sure, never unknown; and found once the last trouble is over.
 
+#[allow(dead_code, unused_imports)] // Each test file uses a part of it.
 mod world;
 
 use dunespur_turn_replication::guards::Guards;
