--- /dev/null
+++ b/crates/serving/dunespur/src/control_api/handlers.rs
@@ -0,0 +1,197 @@
+//! What the control interface does with a request: heartbeats, configurations and retirements.
+
+use super::heartbeat::{self, Heartbeat};
+use super::request::{base_version, RetireBody, Target};
+use super::responses::{self, HttpResponse};
+use super::ControlApi;
+use crate::directory::Unavailable;
+use bytes::Bytes;
+use dunespur_control_state::{
+    Operation, Order, OrderKind, Outcome, RetireOutcome, RetireState, ServerReport,
+};
+use http_body_util::{BodyExt, Limited};
+use hyper::body::Incoming;
+use hyper::{Request, StatusCode};
+use serde_json::json;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Bytes of a configuration or heartbeat.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
+/// The caller goes on to another gateway after a second without a response; this one responds before that.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(850);
+/// An order with a large body is given longer by its caller.
+const LARGE_ORDER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Bytes from which a body is large.
+const LARGE_BODY: usize = 64 * 1024;
+
+impl ControlApi {
+    pub(super) async fn respond(&self, request: Request<Incoming>) -> HttpResponse {
+        let target = Target::of(request.method(), request.uri().path());
+        let base = base_version(&request);
+        let Ok(body) = Limited::new(request.into_body(), MAX_BODY_BYTES)
+            .collect()
+            .await
+        else {
+            return responses::error(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                "the body is too large or broke off",
+            );
+        };
+        let body = body.to_bytes();
+        match target {
+            Target::Heartbeat(id) => self.heartbeat(id, &body).await,
+            Target::Leave(id) => self.execute(&Operation::ServerLeft { id }).await,
+            Target::Replace => self.configure(OrderKind::Replace, base, body).await,
+            Target::Patch => self.configure(OrderKind::Patch, base, body).await,
+            Target::GetConfiguration => self.configuration().await,
+            Target::RetireStart(node) => self.retire(node, &body).await,
+            Target::RetireState(node) => self.retirement(&node).await,
+            Target::Unknown => responses::error(StatusCode::NOT_FOUND, "no such interface"),
+        }
+    }
+
+    async fn heartbeat(&self, id: String, body: &[u8]) -> HttpResponse {
+        let heartbeat: Heartbeat = match serde_json::from_slice(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => return responses::error(StatusCode::BAD_REQUEST, &error.to_string()),
+        };
+        let report = heartbeat.report(id);
+        if self.directory.has_lost_contact() {
+            // Renewed here the lease would lapse all the same, as no core member learns of it: the server is to call another
+            // gateway.
+            return responses::unavailable();
+        }
+        let heartbeat_address = self.heartbeat_address(&report);
+        self.directory.renew_server_lease(&report.id);
+        if heartbeat::is_known(&self.directory.known(), &report) {
+            return responses::heartbeat_acknowledged(heartbeat_address);
+        }
+        match self
+            .directory
+            .execute(&Operation::Server(report), ORDER_TIMEOUT)
+            .await
+        {
+            Ok(_) => responses::heartbeat_acknowledged(heartbeat_address),
+            Err(Unavailable) => responses::unavailable(),
+        }
+    }
+
+    /// Where a server's later heartbeats are wanted: at the load aggregator of its service in its zone.
+    fn heartbeat_address(&self, report: &ServerReport) -> Option<SocketAddr> {
+        let aggregator = self
+            .load_exchange
+            .aggregator_address(&report.backend, &report.zone)?;
+        Some(SocketAddr::new(aggregator.ip(), self.control_port))
+    }
+
+    /// Executes an operation that can only succeed.
+    async fn execute(&self, operation: &Operation) -> HttpResponse {
+        match self.directory.execute(operation, ORDER_TIMEOUT).await {
+            Ok(_) => responses::accepted(),
+            Err(Unavailable) => responses::unavailable(),
+        }
+    }
+
+    /// Has an order decided on. If others were rejected before, it counts only with the fencing token that this call is
+    /// given.
+    async fn decide(
+        &self,
+        order: impl Fn(u64) -> Operation,
+        timeout: Duration,
+    ) -> Result<Outcome, Unavailable> {
+        let end = Instant::now() + timeout;
+        let mut fence = 0;
+        loop {
+            let left = end.saturating_duration_since(Instant::now());
+            match self.directory.execute(&order(fence), left).await? {
+                Outcome::Fenced { fence: newer } if newer > fence => fence = newer,
+                outcome => return Ok(outcome),
+            }
+        }
+    }
+
+    async fn configure(&self, kind: OrderKind, base: Option<u64>, body: Bytes) -> HttpResponse {
+        let Some(base) = base else {
+            return responses::error(
+                StatusCode::BAD_REQUEST,
+                "X-Dunespur-Base-Version: is missing or no number",
+            );
+        };
+        let timeout = if body.len() >= LARGE_BODY {
+            LARGE_ORDER_TIMEOUT
+        } else {
+            ORDER_TIMEOUT
+        };
+        let order = |fence| {
+            Operation::Configure(Order {
+                kind,
+                base,
+                body: body.to_vec(),
+                fence,
+            })
+        };
+        match self.decide(order, timeout).await {
+            Ok(Outcome::Accepted) => responses::accepted(),
+            Ok(Outcome::Current { generation }) => {
+                let text =
+                    json!({ "error": "another version is current", "generation": generation });
+                responses::json(StatusCode::PRECONDITION_FAILED, text.to_string())
+            }
+            Ok(Outcome::Invalid(findings)) => {
+                let findings: Vec<_> = findings
+                    .0
+                    .iter()
+                    .map(|finding| json!({ "place": finding.place, "problem": finding.problem }))
+                    .collect();
+                let text = json!({ "error": "the configuration is invalid", "findings": findings });
+                responses::json(StatusCode::BAD_REQUEST, text.to_string())
+            }
+            _ => responses::unavailable(),
+        }
+    }
+
+    async fn configuration(&self) -> HttpResponse {
+        match self.directory.read_configuration(ORDER_TIMEOUT).await {
+            Ok(Some(json)) => responses::json(StatusCode::OK, json),
+            Ok(None) => responses::error(StatusCode::NOT_FOUND, "no configuration yet"),
+            Err(Unavailable) => responses::unavailable(),
+        }
+    }
+
+    async fn retire(&self, node: String, body: &[u8]) -> HttpResponse {
+        if let Err(error) = serde_json::from_slice::<RetireBody>(body) {
+            return responses::error(StatusCode::BAD_REQUEST, &error.to_string());
+        }
+        let tolerated_losses = self.tolerated_losses;
+        let order = |fence| Operation::RetireStart {
+            node: node.clone(),
+            tolerated_losses,
+            fence,
+        };
+        match self.decide(order, ORDER_TIMEOUT).await {
+            Ok(Outcome::Retire(RetireOutcome::Taken)) => responses::accepted(),
+            Ok(Outcome::Retire(RetireOutcome::UnknownNode)) => {
+                responses::error(StatusCode::NOT_FOUND, "no such store machine")
+            }
+            Ok(Outcome::Retire(RetireOutcome::TooFew)) => {
+                responses::error(StatusCode::CONFLICT, "too few store machines would be left")
+            }
+            _ => responses::unavailable(),
+        }
+    }
+
+    async fn retirement(&self, node: &str) -> HttpResponse {
+        match self.directory.read_retirement(node, ORDER_TIMEOUT).await {
+            Ok(Some(RetireState::Running)) => {
+                responses::json(StatusCode::OK, json!({ "state": "running" }).to_string())
+            }
+            Ok(Some(RetireState::Done)) => {
+                responses::json(StatusCode::OK, json!({ "state": "done" }).to_string())
+            }
+            Ok(None) => responses::error(StatusCode::NOT_FOUND, "no retirement of such a machine"),
+            Err(Unavailable) => responses::unavailable(),
+        }
+    }
+}
--- a/crates/serving/dunespur/src/heartbeat.rs
+++ b/crates/serving/dunespur/src/control_api/heartbeat.rs
@@ -29,7 +29,7 @@
 }
 
 impl Heartbeat {
-    /// The report that the core takes; `id` stood in the path.
+    /// The report for the core; `id` stood in the path.
     pub fn report(self, id: String) -> ServerReport {
         let state = match self.state {
             State::Ready => ServerState::Ready,
@@ -48,14 +48,14 @@
     }
 }
 
-/// Whether the control state says the same of this server already. A server that was said to be draining stays so,
+/// Whether the control state says the same of this server already. A server that has reported to be draining stays so,
 /// whatever an overtaken heartbeat says.
 pub fn is_known(known: &KnownState, report: &ServerReport) -> bool {
-    let Some(held) = known.servers.get(&report.id) else {
+    let Some(entry) = known.servers.get(&report.id) else {
         return false;
     };
-    let same_place = held.backend == report.backend && held.address == report.address;
-    let same_kind = held.zone == report.zone && held.generation == report.generation;
-    let nothing_new = held.state == report.state || held.state == ServerState::Draining;
-    same_place && same_kind && held.slots == report.slots && nothing_new
+    let same_address = entry.backend == report.backend && entry.address == report.address;
+    let same_kind = entry.zone == report.zone && entry.generation == report.generation;
+    let same_state = entry.state == report.state || entry.state == ServerState::Draining;
+    same_address && same_kind && entry.slots == report.slots && same_state
 }
--- a/crates/serving/dunespur/src/explain.rs
+++ b/crates/serving/dunespur/src/explain.rs
@@ -1,21 +1,21 @@
-//! `dunespur explain`: the story of one request, out of log lines at debug level of any number of processes.
+//! `dunespur explain`: the trace of one request, out of log lines at debug level of any number of processes.
 
-mod line;
+mod record;
+mod render;
 mod source;
-mod story;
-mod tell;
+mod trace;
 
 use source::Source;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use story::Story;
+use trace::RequestTrace;
 
-/// No line tells of the request.
+/// No line names the request.
 const UNKNOWN_REQUEST: u8 = 1;
 /// A file can't be read.
 const UNREADABLE: u8 = 2;
 
-/// What is to be explained.
+/// Which request is explained, and from which logs.
 #[derive(Clone, Debug)]
 pub struct Explain {
     /// The request's `X-Dunespur-Request-Id`.
@@ -24,20 +24,20 @@
     pub files: Vec<PathBuf>,
 }
 
-/// Prints the request's story on standard output.
+/// Prints the request's trace on standard output.
 pub fn run(explain: Explain) -> ExitCode {
-    let story =
-        Source::open(explain.files).and_then(|source| Story::read(&explain.request, &source));
-    match story {
-        Ok(story) if story.is_empty() => {
+    let trace = Source::open(explain.files)
+        .and_then(|source| RequestTrace::read(&explain.request, &source));
+    match trace {
+        Ok(trace) if trace.is_empty() => {
             eprintln!(
-                "{}: no line tells of it; logs at debug level do",
+                "{}: no line names it; logs at debug level do",
                 explain.request
             );
             ExitCode::from(UNKNOWN_REQUEST)
         }
-        Ok(story) => {
-            print!("{}", tell::of(&story));
+        Ok(trace) => {
+            print!("{}", render::of(&trace));
             ExitCode::SUCCESS
         }
         Err(error) => {
--- a/crates/serving/dunespur/src/explain/line.rs
+++ b/crates/serving/dunespur/src/explain/record.rs
@@ -9,7 +9,7 @@
 
 /// An event with when and where it was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct LogRecord {
     pub time: String,
     pub node: String,
     pub role: String,
@@ -32,44 +32,44 @@
 
 /// A line of `--log-format json`.
 #[derive(Deserialize)]
-struct JsonLine {
+struct JsonRecord {
     time: String,
     node: String,
     role: String,
     text: String,
 }
 
-impl Line {
+impl LogRecord {
     /// The event of a log line; none if it has none.
-    pub fn read(text: &str) -> Option<Line> {
+    pub fn read(text: &str) -> Option<LogRecord> {
         let text = text.trim();
         if text.starts_with('{') {
-            let JsonLine {
+            let JsonRecord {
                 time,
                 node,
                 role,
                 text,
             } = serde_json::from_str(text).ok()?;
-            return Some(Line {
+            return Some(LogRecord {
                 time,
                 node,
                 role,
                 event: Event::read(&text)?,
             });
         }
-        Line::read_text(text)
+        LogRecord::read_text(text)
     }
 
     /// `TIME NODE ROLE [LEVEL] event=...`, whatever a collector of logs has put before.
-    fn read_text(text: &str) -> Option<Line> {
+    fn read_text(text: &str) -> Option<LogRecord> {
         let behind_head = text.find(BEHIND_HEAD)?;
         let event = Event::read(text[behind_head..].trim_start_matches("] "))?;
-        let mut words = text[..behind_head].rsplit(' ');
-        let _level = words.next().filter(|word| word.starts_with('['))?;
-        let role = words.next()?.to_owned();
-        let node = words.next()?.to_owned();
-        let time = words.next()?.to_owned();
-        Some(Line {
+        let mut known_sentence = text[..behind_head].rsplit(' ');
+        let _level = known_sentence.next().filter(|word| word.starts_with('['))?;
+        let role = known_sentence.next()?.to_owned();
+        let node = known_sentence.next()?.to_owned();
+        let time = known_sentence.next()?.to_owned();
+        Some(LogRecord {
             time,
             node,
             role,
--- a/crates/serving/dunespur/src/explain/line/tests.rs
+++ b/crates/serving/dunespur/src/explain/record/tests.rs
@@ -1,4 +1,4 @@
-use super::{Event, Field, Line};
+use super::{Event, Field, LogRecord};
 use crate::request_events::Value;
 
 fn fields(pairs: &[(&str, &str)]) -> Vec<Field> {
@@ -11,8 +11,8 @@
         .collect()
 }
 
-fn line(event: Event) -> Line {
-    Line {
+fn record(event: Event) -> LogRecord {
+    LogRecord {
         time: "2026-12-02T05:15:03.123Z".to_owned(),
         node: "front-1".to_owned(),
         role: "gateway".to_owned(),
@@ -27,10 +27,10 @@
         name: "put".to_owned(),
         fields: fields(&[("request", "a"), ("store", "s-1")]),
     };
-    assert_eq!(Line::read(text), Some(line(event.clone())));
+    assert_eq!(LogRecord::read(text), Some(record(event.clone())));
     assert_eq!(
-        Line::read(&format!("Dec 02 05:15:03 m1 dunespur[7]: {text}")),
-        Some(line(event))
+        LogRecord::read(&format!("Dec 02 05:15:03 m1 dunespur[7]: {text}")),
+        Some(record(event))
     );
 }
 
@@ -41,7 +41,7 @@
         name: "release".to_owned(),
         fields: fields(&[("turn", "7")]),
     };
-    assert_eq!(Line::read(text), Some(line(event)));
+    assert_eq!(LogRecord::read(text), Some(record(event)));
 }
 
 #[test]
@@ -56,7 +56,7 @@
         r#"{"time":"t","node":"n","role":"r","text":"front-1 serves"}"#,
     ];
     for text in none {
-        assert_eq!(Line::read(text), None, "{text}");
+        assert_eq!(LogRecord::read(text), None, "{text}");
     }
 }
 
@@ -82,7 +82,7 @@
             Value(value)
         );
         assert_eq!(text.lines().count(), 1, "{value:?}");
-        let read = Line::read(&text).unwrap_or_else(|| panic!("{text}"));
+        let read = LogRecord::read(&text).unwrap_or_else(|| panic!("{text}"));
         assert_eq!(read.event.get("request"), Some(value));
         assert_eq!(read.event.get("store"), Some("s"), "{text}");
     }
--- a/crates/serving/dunespur/src/explain/source.rs
+++ b/crates/serving/dunespur/src/explain/source.rs
@@ -1,6 +1,6 @@
 //! Where log lines come from. They are read twice: what belongs to a request is known only at the end of its lines.
 
-use super::line::Line;
+use super::record::LogRecord;
 use anyhow::Context;
 use std::fs::File;
 use std::io::{stdin, BufRead, BufReader};
@@ -10,7 +10,7 @@
 pub enum Source {
     Files(Vec<PathBuf>),
     /// What standard input held of events.
-    Lines(Vec<Line>),
+    Lines(Vec<LogRecord>),
 }
 
 impl Source {
@@ -19,15 +19,15 @@
         if !files.is_empty() {
             return Ok(Source::Files(files));
         }
-        let mut lines = Vec::new();
-        read(stdin().lock(), &mut |line| lines.push(line)).context("standard input")?;
-        Ok(Source::Lines(lines))
+        let mut records = Vec::new();
+        read(stdin().lock(), &mut |record| records.push(record)).context("standard input")?;
+        Ok(Source::Lines(records))
     }
 
     /// Calls `take` with every event, file by file.
-    pub fn each(&self, mut take: impl FnMut(Line)) -> anyhow::Result<()> {
+    pub fn each(&self, mut take: impl FnMut(LogRecord)) -> anyhow::Result<()> {
         match self {
-            Source::Lines(lines) => lines.iter().cloned().for_each(take),
+            Source::Lines(records) => records.iter().cloned().for_each(take),
             Source::Files(files) => {
                 for path in files {
                     let name = || path.display().to_string();
@@ -41,11 +41,11 @@
 }
 
 /// Lines that are no events are passed over; bytes that are no text as well.
-fn read(mut input: impl BufRead, take: &mut impl FnMut(Line)) -> std::io::Result<()> {
+fn read(mut input: impl BufRead, take: &mut impl FnMut(LogRecord)) -> std::io::Result<()> {
     let mut bytes = Vec::new();
     while input.read_until(b'\n', &mut bytes)? > 0 {
-        if let Some(line) = Line::read(&String::from_utf8_lossy(&bytes)) {
-            take(line);
+        if let Some(record) = LogRecord::read(&String::from_utf8_lossy(&bytes)) {
+            take(record);
         }
         bytes.clear();
     }
--- a/crates/serving/dunespur/src/gateway.rs
+++ b/crates/serving/dunespur/src/gateway.rs
@@ -1,8 +1,8 @@
 //! The `gateway` process: data plane, control interface, and the core's part on machines with a disk.
 
-use crate::api::{self, ControlApi};
 use crate::budgets::Budgets;
 use crate::clock::{wall_clock_ms, Clock};
+use crate::control_api::{self, ControlApi};
 use crate::core::{Coordinator, CoreIdentity};
 use crate::core_membership::maintain_core_membership;
 use crate::data_plane::DataPlane;
@@ -164,7 +164,7 @@
         control_port: address.port(),
         tolerated_losses: settings.fault_tolerance.machines,
     };
-    spawn_local(api::serve(Rc::new(api), listen(address).await?));
+    spawn_local(control_api::serve(Rc::new(api), listen(address).await?));
     Ok(())
 }
 
--- a/crates/serving/dunespur/src/lib.rs
+++ b/crates/serving/dunespur/src/lib.rs
@@ -1,11 +1,11 @@
 //! `dunespur`: the processes of the serving tier, each a role, and the tools of those who run it.
 
 mod allocator;
-mod api;
 mod budgets;
 mod check;
 mod clock;
 mod command;
+mod control_api;
 mod core;
 mod core_membership;
 mod data_plane;
@@ -14,7 +14,6 @@
 mod explain;
 mod founding;
 mod gateway;
-mod heartbeat;
 mod load_exchange;
 mod logging;
 pub mod messages;
--- a/crates/serving/dunespur/src/request_events.rs
+++ b/crates/serving/dunespur/src/request_events.rs
@@ -64,8 +64,8 @@
 pub fn choice(ask: &Ask, choice: &Choice, loads: &[LoadReport]) {
     let program = Field("program", ask.program);
     let session = Field("session", ask.session);
-    let about = format!(
-        "backend={} left_ms={} prompt={} most={} tried={}{program}{session}",
+    let attempt = format!(
+        "backend={} left_ms={} prompt={} max_tokens={} tried={}{program}{session}",
         Value(ask.backend),
         ask.time_left_ms,
         ask.prompt_tokens,
@@ -74,7 +74,7 @@
     );
     match choice {
         Choice::Send(ticket) => log::debug!(
-            "event=why ticket={} server={} address={} zone={} loads={} {about}",
+            "event=choice_reason ticket={} server={} address={} zone={} loads={} {attempt}",
             ticket.key,
             Value(&ticket.server.id),
             ticket.server.address,
@@ -82,10 +82,10 @@
             Value(&loads_text(loads)),
         ),
         Choice::Refuse { retry_after_ms } => log::debug!(
-            "event=why verdict=refuse retry_after_ms={retry_after_ms} loads={} {about}",
+            "event=choice_reason verdict=refuse retry_after_ms={retry_after_ms} loads={} {attempt}",
             Value(&loads_text(loads))
         ),
-        Choice::NoServer => log::debug!("event=why verdict=no_server {about}"),
+        Choice::NoServer => log::debug!("event=choice_reason verdict=no_server {attempt}"),
     }
 }
 
@@ -125,7 +125,7 @@
 }
 
 /// A turn was admitted or not; `waited_ms` is how long the verdict took.
-pub fn budget(ask: &AdmissionRequest, verdict: &AdmissionDecision, held: u64, waited_ms: u64) {
+pub fn budget(ask: &AdmissionRequest, verdict: &AdmissionDecision, leased: u64, waited_ms: u64) {
     let verdict = match verdict {
         AdmissionDecision::Admitted(turn) => format!("verdict=admitted turn={}", turn.0),
         AdmissionDecision::BudgetSpent => "verdict=spent".to_owned(),
@@ -134,7 +134,7 @@
         }
     };
     log::debug!(
-        "event=budget program={} budget={} most={} {verdict} held={held} waited_ms={waited_ms}",
+        "event=budget program={} budget={} max_tokens={} {verdict} leased={leased} waited_ms={waited_ms}",
         Value(ask.program),
         ask.budget,
         ask.max_tokens,
@@ -148,7 +148,7 @@
 
 /// The core's counter has answered a request of this limiter, or has not.
 pub fn counter(request: &CounterRequest, reply: Option<&CounterReply>, took_ms: u64) {
-    let asked = match request.change {
+    let change = match request.change {
         CounterChange::Lease {
             needed,
             wanted,
@@ -163,13 +163,13 @@
             format!("reply=granted units={units} left={left}")
         }
         Some(CounterReply::Spent) => "reply=spent".to_owned(),
-        Some(CounterReply::Elsewhere { held }) => format!("reply=elsewhere held={held}"),
+        Some(CounterReply::Elsewhere { held }) => format!("reply=elsewhere leased={held}"),
         Some(CounterReply::Returned) => "reply=returned".to_owned(),
         Some(CounterReply::Stale) => "reply=stale".to_owned(),
         None => "reply=none".to_owned(),
     };
     log::debug!(
-        "event=counter program={} sequence={} used={} {asked} {reply} took_ms={took_ms}",
+        "event=counter program={} sequence={} used={} {change} {reply} took_ms={took_ms}",
         Value(&request.program),
         request.sequence,
         request.used,
@@ -179,13 +179,13 @@
 /// What a turn goes on from was looked up.
 pub fn history(program: &str, previous: &str, found: &History, took_ms: u64) {
     let outcome = match found {
-        History::Found(pieces) => {
-            let bytes: usize = pieces.iter().map(bytes::Bytes::len).sum();
-            format!("outcome=found pieces={} bytes={bytes}", pieces.len())
+        History::Found(messages) => {
+            let bytes: usize = messages.iter().map(bytes::Bytes::len).sum();
+            format!("outcome=found messages={} bytes={bytes}", messages.len())
         }
         History::Unknown => "outcome=unknown".to_owned(),
         History::Unavailable { retry_after_ms } => {
-            format!("outcome=unsure retry_after_ms={retry_after_ms}")
+            format!("outcome=unavailable retry_after_ms={retry_after_ms}")
         }
     };
     log::debug!(
@@ -196,9 +196,9 @@
 }
 
 /// A store was asked for the chain that ends in a turn.
-pub fn chain_asked(previous: &str, turn: &str, store: &str) {
+pub fn chain_request(previous: &str, turn: &str, store: &str) {
     log::debug!(
-        "event=chain_asked previous={} of={} store={}",
+        "event=chain_request previous={} of={} store={}",
         Value(previous),
         Value(turn),
         Value(store)
@@ -206,9 +206,9 @@
 }
 
 /// It answered, or could not be reached.
-pub fn chain_answered(previous: &str, store: &str, reply: Option<&StoreReply>) {
+pub fn chain_reply(previous: &str, store: &str, reply: Option<&StoreReply>) {
     log::debug!(
-        "event=chain_answered previous={} store={} reply={}",
+        "event=chain_reply previous={} store={} reply={}",
         Value(previous),
         Value(store),
         reply_name(reply)
@@ -226,9 +226,9 @@
 }
 
 /// The store answered, or could not be reached.
-pub fn put_answered(request: &str, store: &str, reply: Option<&StoreReply>) {
+pub fn put_reply(request: &str, store: &str, reply: Option<&StoreReply>) {
     log::debug!(
-        "event=put_answered request={} store={} reply={}",
+        "event=put_reply request={} store={} reply={}",
         Value(request),
         Value(store),
         reply_name(reply)
@@ -236,13 +236,19 @@
 }
 
 /// Whether enough stores hold a turn.
-pub fn kept(request: &str, previous: Option<&str>, program: &str, kept: bool, took_ms: u64) {
+pub fn persisted(
+    request: &str,
+    previous: Option<&str>,
+    program: &str,
+    persisted: bool,
+    took_ms: u64,
+) {
     log::debug!(
-        "event=kept request={}{} program={} verdict={} took_ms={took_ms}",
+        "event=persisted request={}{} program={} verdict={} took_ms={took_ms}",
         Value(request),
         Field("previous", previous),
         Value(program),
-        if kept { "kept" } else { "unsure" },
+        if persisted { "persisted" } else { "uncertain" },
     );
 }
 
@@ -289,10 +295,10 @@
 
 fn reply_name(reply: Option<&StoreReply>) -> String {
     match reply {
-        Some(StoreReply::Kept) => "kept".to_owned(),
-        Some(StoreReply::Refused(refusal)) => format!("refused_{refusal:?}").to_lowercase(),
+        Some(StoreReply::Kept) => "stored".to_owned(),
+        Some(StoreReply::Refused(refusal)) => format!("rejected_{refusal:?}").to_lowercase(),
         Some(StoreReply::Found { turns, missing, .. }) => {
-            format!("found turns={} whole={}", turns.len(), missing.is_none())
+            format!("found turns={} complete={}", turns.len(), missing.is_none())
         }
         Some(StoreReply::Unknown { .. }) => "unknown".to_owned(),
         Some(_) => "other".to_owned(),
--- a/crates/serving/dunespur/src/status.rs
+++ b/crates/serving/dunespur/src/status.rs
@@ -2,14 +2,15 @@
 //!
 //! The answer is JSON: a newer `dunespur status` reads what an older process says, and the other way round.
 
-mod ask;
 mod gather;
-mod own;
+mod process;
+mod query;
+
 pub mod report;
 mod table;
 
-pub use ask::{run, StatusQuery};
 pub use gather::{basics, GatewayStatus};
+pub use query::{run, StatusQuery};
 pub use report::{
     BudgetStatus, CoreStatus, DiskStatus, LeaseStatus, LinkStatus, Status, TurnsStatus,
 };
--- a/crates/serving/dunespur/src/status/gather.rs
+++ b/crates/serving/dunespur/src/status/gather.rs
@@ -1,6 +1,6 @@
 //! Collects the status of a process from its parts.
 
-use super::own;
+use super::process;
 use super::report::{
     ControlStatus, FrontStatus, GatewayEntryStatus, MemberStatus, ProgramStatus, ServerStatus,
     ServiceStatus, Status, StoreStatus, ViewStatus,
@@ -27,7 +27,7 @@
         version: env!("CARGO_PKG_VERSION").to_owned(),
         zone: settings.zone.clone(),
         up_ms: directory.clock().now(),
-        process: own::process(),
+        process: process::usage(),
         link: directory.link_counters(),
         control: control(directory),
         view: directory.view().as_ref().map(view),
@@ -101,9 +101,9 @@
             .map(|coordinator| coordinator.budget_of(name));
         ProgramStatus {
             name: name.to_owned(),
-            held_here: Some(self.budgets.held(name)),
+            leased_here: Some(self.budgets.held(name)),
             used: counted.map(|budget| budget.used),
-            held: counted.map(|budget| budget.leased),
+            leased: counted.map(|budget| budget.leased),
         }
     }
 }
@@ -124,7 +124,7 @@
     let members = view.members.iter().map(|peer| MemberStatus {
         node: peer.id.node.clone(),
         address: peer.address,
-        place: place(peer.id.clone()),
+        chain_position: place(peer.id.clone()),
     });
     ViewStatus {
         number: view.number,
@@ -153,7 +153,7 @@
             address: store.address,
             zone: store.zone.clone(),
             present: store.present,
-            whole: store.whole,
+            complete: store.whole,
             retiring: store.retiring,
             retired: store.retired,
         })
--- a/crates/serving/dunespur/src/status/own.rs
+++ b/crates/serving/dunespur/src/status/process.rs
@@ -10,7 +10,7 @@
 const SYSTEM_TIME_FIELD: usize = 12;
 
 /// Zeros where the kernel tells nothing.
-pub fn process() -> ProcessStatus {
+pub fn usage() -> ProcessStatus {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let descriptors = fs::read_dir("/proc/self/fd").map_or(0, |entries| entries.count() as u64);
--- a/crates/serving/dunespur/src/status/ask.rs
+++ b/crates/serving/dunespur/src/status/query.rs
@@ -8,26 +8,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A process that has not answered by then is reported as silent.
+/// A process that has not answered by then is reported as not answering.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What is to be asked, and how it is to be shown.
+/// Which process is queried, and how its answer is shown.
 #[derive(Clone, Debug)]
 pub struct StatusQuery {
     /// Prints JSON instead of tables.
     pub json: bool,
-    /// A program whose budget is to be told as well.
+    /// A program whose budget is shown as well.
     pub program: Option<String>,
     /// Where the process listens for the others of the system.
     pub address: SocketAddr,
 }
 
-/// Asks, and prints the answer on standard output.
-pub async fn run(asked: StatusQuery) -> anyhow::Result<()> {
-    let text = answer(&asked)
+/// Queries the process, and prints its answer on standard output.
+///
+/// # Errors
+///
+/// If there is no answer, or one that is no status.
+pub async fn run(query: StatusQuery) -> anyhow::Result<()> {
+    let text = answer(&query)
         .await
-        .with_context(|| asked.address.to_string())?;
-    if asked.json {
+        .with_context(|| query.address.to_string())?;
+    if query.json {
         println!("{text}");
         return Ok(());
     }
@@ -36,11 +40,11 @@
     Ok(())
 }
 
-async fn answer(asked: &StatusQuery) -> anyhow::Result<String> {
+async fn answer(query: &StatusQuery) -> anyhow::Result<String> {
     let request = encode(&Request::Status {
-        program: asked.program.clone(),
+        program: query.program.clone(),
     });
-    let answer = Client::new(asked.address)
+    let answer = Client::new(query.address)
         .call(request, ANSWER_TIMEOUT)
         .await?;
     match decode(&answer) {
--- a/crates/serving/dunespur/src/status/report.rs
+++ b/crates/serving/dunespur/src/status/report.rs
@@ -30,7 +30,7 @@
     pub budgets: Option<BudgetStatus>,
     /// Of a store.
     pub turns: Option<TurnsStatus>,
-    /// Of the program that was asked for.
+    /// Of the program that was queried.
     pub program: Option<ProgramStatus>,
 }
 
@@ -58,7 +58,7 @@
     pub calls: u64,
     /// Calls without an answer.
     pub failed: u64,
-    /// Times that it went to another core member, or asked the same one again, for want of an answer.
+    /// Watches that were not answered: the next one went to another core member, or to the same one again.
     pub watches_lost: u64,
 }
 
@@ -90,8 +90,9 @@
 pub struct MemberStatus {
     pub node: String,
     pub address: SocketAddr,
-    /// Its place in the chain, the head's is 0; none for a voter that is out of the chain.
-    pub place: Option<usize>,
+    /// Its position in the chain, the head's is 0; none for a voter that is out of the chain.
+    #[serde(rename = "place")]
+    pub chain_position: Option<usize>,
 }
 
 /// What a core member says of its part.
@@ -106,7 +107,7 @@
     pub committed: u64,
     /// Operations that wait here for their commit.
     pub waiting: usize,
-    /// Snapshots of others, and parts of them, that were not taken.
+    /// Snapshots of others, and chunks of them, that were rejected.
     pub refused_snapshots: u64,
     /// Programs with a counter.
     pub programs: usize,
@@ -114,7 +115,7 @@
     pub leases: Vec<LeaseStatus>,
 }
 
-/// How a disk gets on.
+/// The work of a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DiskStatus {
@@ -169,8 +170,9 @@
     pub address: SocketAddr,
     pub zone: String,
     pub present: bool,
-    /// All that it should hold is there.
-    pub whole: bool,
+    /// All that it should store is there.
+    #[serde(rename = "whole")]
+    pub complete: bool,
     pub retiring: bool,
     pub retired: bool,
 }
@@ -207,9 +209,10 @@
     pub turns: usize,
     pub bytes: u64,
     pub capacity_bytes: u64,
-    /// All that it should hold is there.
-    pub whole: bool,
-    /// All that it held is kept elsewhere.
+    /// All that it should store is there.
+    #[serde(rename = "whole")]
+    pub complete: bool,
+    /// All that it stored is replicated elsewhere.
     pub emptied: bool,
     /// Some turns go on from others that are not here yet.
     pub incomplete: bool,
@@ -223,10 +226,12 @@
 #[serde(default)]
 pub struct ProgramStatus {
     pub name: String,
-    /// Tokens held by this gateway.
-    pub held_here: Option<u64>,
+    /// Tokens that this gateway leases.
+    #[serde(rename = "held_here")]
+    pub leased_here: Option<u64>,
     /// Tokens that were reported as used, by this core member's counter.
     pub used: Option<u64>,
-    /// Tokens that limiters hold, by this core member's counter.
-    pub held: Option<u64>,
+    /// Tokens that limiters lease, by this core member's counter.
+    #[serde(rename = "held")]
+    pub leased: Option<u64>,
 }
--- a/crates/serving/dunespur/src/status/table.rs
+++ b/crates/serving/dunespur/src/status/table.rs
@@ -12,7 +12,7 @@
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// The whole text.
+/// The complete text.
 pub fn of(status: &Status) -> String {
     let mut text = String::new();
     push(&mut text, head(status));
@@ -44,11 +44,11 @@
             ),
         );
     }
-    if let Some(asked) = &status.program {
-        push(&mut text, program(asked));
+    if let Some(budget) = &status.program {
+        push(&mut text, program(budget));
     }
-    if let Some(held) = status.turns {
-        push(&mut text, turns(held));
+    if let Some(stored) = status.turns {
+        push(&mut text, turns(stored));
     }
     push_table(&mut text, gateways(&status.gateways));
     push_table(&mut text, services(&status.services));
@@ -72,13 +72,13 @@
         zone,
         ..
     } = status;
-    let place = if zone.is_empty() {
+    let location = if zone.is_empty() {
         String::new()
     } else {
         format!(" in {zone}")
     };
     format!(
-        "{node}: {role} {version}{place}, up {}",
+        "{node}: {role} {version}{location}, up {}",
         seconds(status.up_ms)
     )
 }
@@ -102,28 +102,31 @@
         .map_or("no configuration".to_owned(), |number| {
             format!("configuration {number}")
         });
-    let heard = match (control.follows, control.silent_ms) {
+    let last_answer = match (control.follows, control.silent_ms) {
         (Some(member), Some(silent)) => format!("{member} answered {} ago", seconds(silent)),
         _ => "no core member has answered".to_owned(),
     };
-    let touch = if control.in_touch {
-        "in touch"
+    let contact = if control.in_touch {
+        "in contact"
     } else {
-        "OUT OF TOUCH"
+        "OUT OF CONTACT"
     };
-    format!("control state: {index}, {generation}; {touch}, {heard}")
+    format!("control state: {index}, {generation}; {contact}, {last_answer}")
 }
 
 fn view(view: &ViewStatus) -> String {
     let mut chain: Vec<_> = view
         .members
         .iter()
-        .filter(|member| member.place.is_some())
+        .filter(|member| member.chain_position.is_some())
         .collect();
-    chain.sort_by_key(|member| member.place);
+    chain.sort_by_key(|member| member.chain_position);
     let chain: Vec<&str> = chain.iter().map(|member| member.node.as_str()).collect();
     let mut text = format!("view {}: chain {}", view.number, chain.join(" > "));
-    let out = view.members.iter().filter(|member| member.place.is_none());
+    let out = view
+        .members
+        .iter()
+        .filter(|member| member.chain_position.is_none());
     let out: Vec<&str> = out.map(|member| member.node.as_str()).collect();
     if !out.is_empty() {
         let _ = write!(text, "; OUT OF THE CHAIN {}", out.join(", "));
@@ -173,16 +176,20 @@
     let number =
         |value: Option<u64>| value.map_or("unknown here".to_owned(), |value| value.to_string());
     format!(
-        "program {}: held here {}, used {}, held by all limiters {}",
+        "program {}: leased here {}, used {}, leased by all limiters {}",
         program.name,
-        number(program.held_here),
+        number(program.leased_here),
         number(program.used),
-        number(program.held),
+        number(program.leased),
     )
 }
 
 fn turns(turns: TurnsStatus) -> String {
-    let mut state = vec![if turns.whole { "whole" } else { "NOT WHOLE" }];
+    let mut state = vec![if turns.complete {
+        "complete"
+    } else {
+        "INCOMPLETE"
+    }];
     if turns.emptied {
         state.push("emptied");
     }
@@ -190,7 +197,7 @@
         state.push("some chains incomplete");
     }
     format!(
-        "turns: {} of {:.1} MB, room for {:.1} MB; {}; requests waiting {}; {}",
+        "turns: {} of {:.1} MB, capacity {:.1} MB; {}; requests waiting {}; {}",
         turns.turns,
         turns.bytes as f64 / BYTES_PER_MB,
         turns.capacity_bytes as f64 / BYTES_PER_MB,
@@ -256,8 +263,8 @@
 
 fn store_state(store: &StoreStatus) -> String {
     let mut state = vec![if store.present { "present" } else { "ABSENT" }];
-    if !store.whole {
-        state.push("not whole");
+    if !store.complete {
+        state.push("incomplete");
     }
     if store.retired {
         state.push("retired");
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -200,7 +200,7 @@
             turns: node.index().len(),
             bytes: node.index().bytes(),
             capacity_bytes: self.capacity.bytes,
-            whole: node.is_whole(),
+            complete: node.is_whole(),
             emptied: node.is_emptied(),
             incomplete: node.index().has_dangling(),
             waiting: self.callers.borrow().len(),
--- a/crates/serving/dunespur/src/store_client.rs
+++ b/crates/serving/dunespur/src/store_client.rs
@@ -64,7 +64,7 @@
         let (answers, mut queue) = mpsc::unbounded_channel();
         loop {
             while let Some(ask) = reading.poll() {
-                request_events::chain_asked(previous, &ask.id, &ask.store);
+                request_events::chain_request(previous, &ask.id, &ask.store);
                 let request = StoreRequest::Chain { id: ask.id.clone() };
                 self.ask(&stores, ask.store, ask.id, request, &answers);
             }
@@ -83,7 +83,7 @@
                 Some(answer) = queue.recv() => {
                     let now = clock.now();
                     if request_events::enabled() {
-                        request_events::chain_answered(previous, &answer.store, answer.reply.as_ref());
+                        request_events::chain_reply(previous, &answer.store, answer.reply.as_ref());
                     }
                     match answer.reply {
                         Some(reply) => reading.answered(&answer.store, &answer.id, reply, now),
@@ -123,7 +123,7 @@
             if let Some(verdict) = writing.verdict() {
                 let kept = verdict == Verdict::Kept;
                 let took_ms = clock.now() - began_at;
-                request_events::kept(
+                request_events::persisted(
                     &turn.id,
                     turn.previous.as_deref(),
                     &turn.program,
@@ -137,7 +137,7 @@
                 Some(answer) = queue.recv() => {
                     let now = clock.now();
                     if request_events::enabled() {
-                        request_events::put_answered(&turn.id, &answer.store, answer.reply.as_ref());
+                        request_events::put_reply(&turn.id, &answer.store, answer.reply.as_ref());
                     }
                     match answer.reply {
                         Some(StoreReply::Kept) => writing.acknowledged(&answer.store, now),
--- a/crates/serving/dunespur/tests/bytes.rs
+++ b/crates/serving/dunespur/tests/bytes.rs
@@ -448,12 +448,12 @@
                 MemberStatus {
                     node: "core-1".to_owned(),
                     address: address(1, 7100),
-                    place: Some(113),
+                    chain_position: Some(113),
                 },
                 MemberStatus {
                     node: "core-2".to_owned(),
                     address: address(2, 7100),
-                    place: None,
+                    chain_position: None,
                 },
             ],
         }),
@@ -492,7 +492,7 @@
             address: address(4, 7101),
             zone: "zone-b".to_owned(),
             present: true,
-            whole: false,
+            complete: false,
             retiring: true,
             retired: false,
         }],
@@ -515,7 +515,7 @@
             turns: 132,
             bytes: 133,
             capacity_bytes: 134,
-            whole: true,
+            complete: true,
             emptied: false,
             incomplete: true,
             waiting: 135,
@@ -527,9 +527,9 @@
         }),
         program: Some(ProgramStatus {
             name: "program-5".to_owned(),
-            held_here: Some(136),
+            leased_here: Some(136),
             used: Some(137),
-            held: Some(138),
+            leased: Some(138),
         }),
     }
 }
--- a/crates/serving/dunespur/tests/explain.rs
+++ b/crates/serving/dunespur/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `dunespur explain`: the story of a request out of logs that were written down, and out of those of processes.
+//! `dunespur explain`: the trace of a request out of logs that were written down, and out of those of processes.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use std::process::{Command, Output, Stdio};
 use support::{go_on, line_of, lookup, program};
 
-const TOLD: i32 = 0;
+const EXPLAINED: i32 = 0;
 const UNKNOWN_REQUEST: i32 = 1;
 const UNREADABLE: i32 = 2;
 
@@ -26,10 +26,10 @@
     command
 }
 
-fn story(output: &Output) -> &str {
+fn trace(output: &Output) -> &str {
     assert_eq!(
         output.status.code(),
-        Some(TOLD),
+        Some(EXPLAINED),
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
@@ -50,12 +50,15 @@
 
 #[test]
 fn a_request_is_followed_over_processes_without_the_lines_of_others() {
-    let told = explain("r-2", &logs()).output().unwrap();
-    assert_eq!(story(&told), fs::read_to_string(data("story.txt")).unwrap());
+    let explained = explain("r-2", &logs()).output().unwrap();
+    assert_eq!(
+        trace(&explained),
+        fs::read_to_string(data("trace.txt")).unwrap()
+    );
 }
 
 #[test]
-fn standard_input_tells_the_same_as_files() {
+fn standard_input_gives_the_same_trace_as_files() {
     let folder = TemporaryFolder::new("dunespur-explain").unwrap();
     let all = folder.path().join("all.log");
     let texts = logs()
@@ -67,15 +70,18 @@
         format!("a line of another program\n\u{fffd}\n{texts}"),
     )
     .unwrap();
-    let told = explain("r-2", &[])
+    let explained = explain("r-2", &[])
         .stdin(File::open(&all).unwrap())
         .output()
         .unwrap();
-    assert_eq!(story(&told), fs::read_to_string(data("story.txt")).unwrap());
+    assert_eq!(
+        trace(&explained),
+        fs::read_to_string(data("trace.txt")).unwrap()
+    );
 }
 
 #[test]
-fn what_no_line_tells_of_is_1_and_what_cannot_be_read_2() {
+fn what_no_line_names_is_1_and_what_cannot_be_read_2() {
     let unknown = explain("r-404", &logs()).output().unwrap();
     assert_eq!(unknown.status.code(), Some(UNKNOWN_REQUEST));
     assert!(unknown.stdout.is_empty() && !unknown.stderr.is_empty());
@@ -85,7 +91,7 @@
 }
 
 /// A program that logs at debug level, whatever it is started with.
-fn talkative(folder: &Path, format: &str) -> PathBuf {
+fn program_that_logs_at_debug(folder: &Path, format: &str) -> PathBuf {
     let script = folder.join("dunespur");
     let text = format!(
         "#!/bin/sh\nexec {} \"$@\" --log debug --log-format {format}\n",
@@ -109,33 +115,33 @@
 }
 
 #[tokio::test]
-async fn processes_tell_where_a_turn_was_kept_and_looked_up() {
+async fn processes_log_where_a_turn_was_stored_and_looked_up() {
     let folder = TemporaryFolder::new("dunespur-explain").unwrap();
     for format in ["text", "json"] {
-        let program = talkative(folder.path(), format);
+        let program = program_that_logs_at_debug(folder.path(), format);
         let scene = Scene::start(&program, ScenePlan::default()).await.unwrap();
         let mut line = line_of(&scene, 1).await;
         let first = line.previous().unwrap().to_string();
         go_on(&scene, &mut line, "second").await;
         let second = line.previous().unwrap().to_string();
-        let told = explain(&second, &written(&scene, folder.path()))
+        let explained = explain(&second, &written(&scene, folder.path()))
             .output()
             .unwrap();
-        let story = story(&told);
-        let copies = scene.plan.tolerated_losses as usize + 1;
+        let trace = trace(&explained);
+        let required_replicas = scene.plan.tolerated_losses as usize + 1;
         assert!(
-            story.matches("asked to keep it, says kept").count() >= copies,
-            "{story}"
+            trace.matches("asked to store it, replied: stored").count() >= required_replicas,
+            "{trace}"
         );
-        assert!(story.contains("turn kept"), "{story}");
-        assert!(story.contains(&first), "{story}");
+        assert!(trace.contains("turn persisted"), "{trace}");
+        assert!(trace.contains(&first), "{trace}");
     }
 }
 
 #[tokio::test]
-async fn the_data_plane_tells_where_a_request_went_and_why_it_was_refused() {
+async fn the_data_plane_logs_where_a_request_went_and_why_it_was_rejected() {
     let folder = TemporaryFolder::new("dunespur-explain").unwrap();
-    let program = talkative(folder.path(), "text");
+    let program = program_that_logs_at_debug(folder.path(), "text");
     let scene = Scene::start(&program, ScenePlan::default()).await.unwrap();
     let served = scene.client.send(&lookup()).await;
     assert!(served.succeeded(), "{served:?}");
@@ -145,7 +151,7 @@
     let turn = line.previous().unwrap().to_string();
     let files = written(&scene, folder.path());
 
-    let told = explain(&served.request.to_string(), &files)
+    let explained = explain(&served.request.to_string(), &files)
         .output()
         .unwrap();
     for words in [
@@ -156,25 +162,33 @@
         "responded 200",
         "client: 200",
     ] {
-        assert!(story(&told).contains(words), "{words}: {}", story(&told));
+        assert!(
+            trace(&explained).contains(words),
+            "{words}: {}",
+            trace(&explained)
+        );
     }
-    let told = explain(&refused.request.to_string(), &files)
+    let explained = explain(&refused.request.to_string(), &files)
         .output()
         .unwrap();
     assert!(
-        story(&told).contains("rejected with 404: no route"),
+        trace(&explained).contains("rejected with 404: no route"),
         "{}",
-        story(&told)
+        trace(&explained)
     );
-    let told = explain(&turn, &files).output().unwrap();
+    let explained = explain(&turn, &files).output().unwrap();
     for words in [
         "route kept",
         "admitted",
         "the core's counter",
-        "the answer begins",
-        "turn kept",
-        "is free",
+        "the response begins",
+        "turn persisted",
+        "released",
     ] {
-        assert!(story(&told).contains(words), "{words}: {}", story(&told));
+        assert!(
+            trace(&explained).contains(words),
+            "{words}: {}",
+            trace(&explained)
+        );
     }
 }
--- a/crates/serving/dunespur/tests/status.rs
+++ b/crates/serving/dunespur/tests/status.rs
@@ -185,7 +185,7 @@
     let scene = stage(ScenePlan::default()).await;
     let core = places(&scene, Role::Core)[0];
     let mut wanted = vec![
-        "in touch",
+        "in contact",
         "front: ready",
         "core member: follows",
         "configuration 1",
@@ -199,7 +199,7 @@
     );
     table_with(internal(&scene, core), &wanted).await;
     let store = places(&scene, Role::Store)[0];
-    table_with(internal(&scene, store), &["turns: ", "in touch"]).await;
+    table_with(internal(&scene, store), &["turns: ", "in contact"]).await;
 }
 
 #[tokio::test]
@@ -238,7 +238,7 @@
     assert!(alone.line().contains("serves"));
     let table = table_of(SocketAddr::new(ip, port)).await;
     assert!(
-        table.contains("OUT OF TOUCH") && table.contains("NOT READY"),
+        table.contains("OUT OF CONTACT") && table.contains("NOT READY"),
         "{table}"
     );
 }
