--- /dev/null
+++ b/crates/gateway/decisions/src/limiter/admission.rs
@@ -0,0 +1,246 @@
+//! Admission: whether an invocation may be sent, now, later or never.
+
+use super::counter_stake::WithoutCounter;
+use super::queue::Entry;
+use super::tuning::{EWMA_WEIGHT, MAX_QUEUE_TIME, OVERLOAD};
+use super::Limiter;
+use crate::types::{Answer, Cause, Effect, Group, Invocation, Stage};
+
+/// Rounding that a lease allows for, in units.
+const LEASE_ROUNDING: f64 = 1e-6;
+
+/// Whether units for an invocation could be had.
+enum Units {
+    Taken,
+    /// The answer to give instead.
+    Not(Answer),
+}
+
+impl Limiter {
+    /// Where to send this invocation: the ordinary path, top to bottom.
+    pub fn place(&mut self, invocation: &mut Invocation, now: f64) -> Answer {
+        match invocation.stage {
+            Stage::Out => return Answer::Hold,
+            Stage::Done => return Answer::Done,
+            Stage::New | Stage::Quota | Stage::Queued => {}
+        }
+        let index = self.account_of(invocation, now);
+        if invocation.stage == Stage::New {
+            self.note_demand(index, invocation, now);
+        }
+        if now >= self.latest_start(invocation) {
+            return self.throttle(invocation, Cause::Waited, self.latency_target, now);
+        }
+        // A queue too long to clear in time is refused at once, before it costs quota.
+        if invocation.stage == Stage::New {
+            let ahead = self.queue_position(invocation, Entry::First) as f64;
+            let clears = ahead * self.fleet_latency / self.total_concurrency.max(1.0);
+            if clears > MAX_QUEUE_TIME {
+                let pause = clears * self.operations[invocation.operation].latency_target;
+                return self.throttle(invocation, Cause::Queue, pause, now);
+            }
+        }
+        // Over the rate limit nothing else matters: no lease, no server.
+        let over_limit = self.rate_limit_wait(index, invocation, now);
+        if let (Some(pause), false) = (over_limit, self.accounts[index].short_windows) {
+            return self.throttle(invocation, Cause::Ceiling, pause, now);
+        }
+        if !invocation.paid && !invocation.beyond {
+            if let Units::Not(answer) = self.take_units(index, invocation, now) {
+                return answer;
+            }
+            invocation.paid = true;
+        }
+        if invocation.stage != Stage::Queued {
+            invocation.stage = Stage::Queued;
+            if self.enqueue(invocation, Entry::First) > 0 {
+                return Answer::Hold;
+            }
+        }
+        match self.choose_server(invocation, now) {
+            Some(server) => self.send(invocation, server, now),
+            None => Answer::Hold,
+        }
+    }
+
+    fn note_demand(&mut self, index: usize, invocation: &Invocation, now: f64) {
+        let account = &mut self.accounts[index];
+        let span = self.plans[invocation.plan].span;
+        let decay = (-(now - account.demand_at) / span).exp();
+        account.demand = account.demand * decay + invocation.units;
+        account.demand_at = now;
+    }
+
+    /// Admits from the lease while its units cover the invocation; renews it when they do not.
+    fn take_units(&mut self, index: usize, invocation: &mut Invocation, now: f64) -> Units {
+        let account = &self.accounts[index];
+        let plan = &self.plans[invocation.plan];
+        // A plan limited by attempts in flight gets an even whole share of the limit, at least one.
+        let max_in_flight = (plan.max_in_flight / account.gateways).floor().max(1.0);
+        if plan.max_in_flight > 0.0 && account.in_flight >= max_in_flight {
+            let target = self.latency_target;
+            return Units::Not(self.beyond_quota(invocation, Cause::Open, target, now));
+        }
+        if plan.rate <= 0.0 {
+            return Units::Taken;
+        }
+        let covered =
+            now < account.lease_expires_at && account.lease + LEASE_ROUNDING >= invocation.units;
+        if covered {
+            // What was leased in a short window lies under the rate limit by itself.
+            invocation.drawn = account.short_windows;
+        } else if let Units::Not(answer) = self.renew_lease(index, invocation, now) {
+            return Units::Not(answer);
+        }
+        self.accounts[index].lease -= invocation.units;
+        Units::Taken
+    }
+
+    /// Asks the counter for a lease, or decides without it: the local share, or no room.
+    fn renew_lease(&mut self, index: usize, invocation: &mut Invocation, now: f64) -> Units {
+        let account = &mut self.accounts[index];
+        let plan = &self.plans[invocation.plan];
+        if account.add_pending {
+            if !account.waiting.contains(&invocation.num) {
+                account.waiting.push(invocation.num);
+            }
+            invocation.stage = Stage::Quota;
+            return Units::Not(Answer::Hold);
+        }
+        let room = plan.burst - account.backlog_now(plan, now);
+        if account.backlog_at > 0.0 && room < invocation.units {
+            let pause = (invocation.units - room) / plan.rate;
+            return Units::Not(self.beyond_quota(invocation, Cause::Quota, pause, now));
+        }
+        // A crowded counter is asked first where a wrong guess costs most.
+        let over_limit = self.accounts[index].short_windows
+            && self.rate_limit_wait(index, invocation, now).is_some();
+        let without_counter = if !over_limit && self.local_share_covers(index, invocation, now) {
+            WithoutCounter::Admit
+        } else {
+            WithoutCounter::Reject
+        };
+        let stake = self.stake(index, invocation, without_counter, now);
+        // Who waited for a call that failed decides without: asking again adds to the crowd.
+        let lately_failed = now - self.accounts[index].add_failed_at < self.counter_timeout;
+        if !lately_failed
+            && self.has_counter
+            && self.counter_price.admits(stake, self.rng.f64(), now)
+        {
+            self.request_lease(index, invocation, now);
+            self.accounts[index].waiting.push(invocation.num);
+            invocation.stage = Stage::Quota;
+            return Units::Not(Answer::Hold);
+        }
+        match without_counter {
+            WithoutCounter::Admit => {
+                self.admit_without_counter(index, invocation.units, now);
+                Units::Taken
+            }
+            WithoutCounter::Reject => {
+                let pause = self.max_retry_after;
+                Units::Not(self.beyond_quota(invocation, Cause::Unasked, pause, now))
+            }
+        }
+    }
+
+    /// Beyond the quota: throttled at once, unless the plan says that an excess pays and servers idle.
+    fn beyond_quota(
+        &mut self,
+        invocation: &mut Invocation,
+        cause: Cause,
+        pause: f64,
+        now: f64,
+    ) -> Answer {
+        let servers_idle = self.queue.is_empty() && self.overload < OVERLOAD / 2.0;
+        if self.plans[invocation.plan].beyond_pays && servers_idle {
+            invocation.beyond = true;
+            if let Some(server) = self.choose_server(invocation, now) {
+                return self.send(invocation, server, now);
+            }
+        }
+        self.throttle(invocation, cause, pause, now)
+    }
+
+    /// Ends an invocation without a response of a server: throttled where a repeat does no harm, else an error.
+    pub(super) fn throttle(
+        &mut self,
+        invocation: &mut Invocation,
+        cause: Cause,
+        pause: f64,
+        now: f64,
+    ) -> Answer {
+        let unsent = invocation.paid && invocation.sent.is_empty();
+        if cause == Cause::Queue || (unsent && invocation.stage == Stage::Queued) {
+            self.crowding += EWMA_WEIGHT * (1.0 - self.crowding);
+        }
+        if unsent {
+            self.return_units(invocation, now);
+        }
+        let never_ran = invocation.may_have_run.is_none() && invocation.out == 0;
+        let answer = if never_ran || self.repeat_is_harmless(invocation) {
+            Answer::Throttle {
+                pause: pause.max(0.0).min(self.max_retry_after),
+                cause,
+            }
+        } else {
+            Answer::Error
+        };
+        self.finish(invocation, answer)
+    }
+
+    /// Units leased for an invocation that was never sent go back to the lease, but not into another short window.
+    fn return_units(&mut self, invocation: &Invocation, now: f64) {
+        let Some(&index) = self.by_customer.get(&invocation.customer) else {
+            return;
+        };
+        let account = &mut self.accounts[index];
+        let window_starts = account.lease_expires_at - account.window_length;
+        let same_window = invocation.drawn && invocation.came >= window_starts;
+        let lease_lasts = now < account.lease_expires_at && (same_window || !account.short_windows);
+        if lease_lasts {
+            account.lease += invocation.units;
+        } else {
+            account.local_units += invocation.units;
+        }
+    }
+
+    fn repeat_is_harmless(&self, invocation: &Invocation) -> bool {
+        matches!(
+            self.operations[invocation.operation].effect,
+            Effect::Idempotent
+                | Effect::Tokened {
+                    group: Group::All,
+                    ..
+                }
+        )
+    }
+
+    /// Ends an invocation with this answer, or its time in the queue.
+    pub(super) fn finish(&mut self, invocation: &mut Invocation, answer: Answer) -> Answer {
+        if invocation.stage == Stage::Queued {
+            // Guards against a queue that stands with nothing in flight: whoever leaves it wakes its head.
+            self.queue.retain(|&(_, num)| num != invocation.num);
+            self.reconsider_head();
+        }
+        invocation.stage = Stage::Done;
+        answer
+    }
+
+    /// The client disconnected, or the owner lost the invocation.
+    pub fn disconnected(&mut self, invocation: &mut Invocation) {
+        self.finish(invocation, Answer::Done);
+    }
+
+    /// Seconds to wait: for an attempt until it is abandoned, for a held invocation until it is placed again.
+    #[must_use]
+    pub fn wait(&self, invocation: &Invocation, now: f64) -> f64 {
+        match invocation.stage {
+            Stage::Out => (invocation.limit - now).max(0.0),
+            _ => {
+                let left = (self.latest_start(invocation) - now).max(0.0);
+                (self.latency_target * EWMA_WEIGHT).min(left)
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/decisions/src/limiter/endpoints.rs
@@ -0,0 +1,71 @@
+//! The list of servers, as discovery reports it.
+
+use super::tuning::{HEALTHY_LATENCY, INITIAL_CONCURRENCY};
+use super::Limiter;
+use crate::types::{Action, Readiness, Server};
+
+/// Longest time between two requests for the endpoints, seconds, before it is spread out.
+const MAX_WATCH_PAUSE: f64 = 0.5;
+
+impl Limiter {
+    /// The endpoints: changed entries, or the complete list.
+    pub fn endpoints(&mut self, entries: &[Server], complete: bool, now: f64) {
+        if complete {
+            self.servers.is_live.fill(false);
+        }
+        for entry in entries {
+            self.take_entry(entry, now);
+        }
+        self.reconsider_head();
+    }
+
+    fn take_entry(&mut self, entry: &Server, now: f64) {
+        let index = entry.tgt;
+        self.servers.grow_to(
+            index,
+            INITIAL_CONCURRENCY / f64::from(self.fleet_size),
+            HEALTHY_LATENCY / 2.0,
+        );
+        if entry.came_up > self.servers.started_at[index] {
+            self.forget_server(index, entry.came_up);
+            // Hundreds of limiters that each send one at once push it over: first sends are spread out.
+            if now < entry.came_up + self.warm_up_time {
+                let interval = self.slow_start(index, now).interval;
+                let first = interval.max(self.latency_target);
+                self.servers.paced_until[index] = now + first * self.rng.f64();
+            }
+        }
+        let servers = &mut self.servers;
+        servers.started_at[index] = entry.came_up;
+        servers.is_live[index] = entry.readiness == Readiness::Live;
+        servers.zone[index] = entry.zone;
+        servers.cell[index] = entry.cell;
+    }
+
+    /// A new start: warming up, and nothing learned of the old process holds.
+    fn forget_server(&mut self, index: usize, started_at: f64) {
+        let servers = &mut self.servers;
+        servers.warming_since[index] = servers.warming_since[index].max(started_at);
+        servers.concurrency[index] = INITIAL_CONCURRENCY / f64::from(self.fleet_size);
+        servers.shrunk_at[index] = f64::NEG_INFINITY;
+        servers.latency[index] = self.fleet_latency;
+        servers.failures[index] = 0.0;
+        servers.ejected_until[index] = 0.0;
+        servers.ejection_time[index] = 0.0;
+        servers.on_probation[index] = false;
+    }
+
+    /// The watch broke; it is asked for again soon, however long latency targets are.
+    pub fn watch_lost(&mut self) {
+        let pause = self.latency_target.min(MAX_WATCH_PAUSE) * (1.0 + self.rng.f64());
+        let again = Action::Tick(pause);
+        self.actions
+            .extend(self.endpoints_on_request.then_some(again));
+    }
+
+    /// The time that an [`Action::Tick`] asked for is over.
+    pub fn tick(&mut self) {
+        self.actions
+            .extend(self.endpoints_on_request.then_some(Action::WatchEndpoints));
+    }
+}
--- /dev/null
+++ b/crates/gateway/decisions/src/limiter/local_share.rs
@@ -0,0 +1,59 @@
+//! The local share of a quota, which stands in for a counter that is silent or too dear to ask.
+
+use super::tuning::LEASE_SPANS;
+use super::Limiter;
+use crate::types::Invocation;
+
+/// Rounding that a comparison of units allows for.
+const ROUNDING: f64 = 1e-9;
+
+impl Limiter {
+    /// Without the counter each limiter admits its share of the quota, opened as far as the plan's price of an excess
+    /// allows. Guards against sets so long that no share covers one invocation: where it earns more than it risks, one
+    /// is admitted for each span. What is admitted is owed to the counter.
+    pub(super) fn local_share_covers(
+        &mut self,
+        index: usize,
+        invocation: &Invocation,
+        now: f64,
+    ) -> bool {
+        let expected = self.expected_earnings(invocation, now);
+        let account = &mut self.accounts[index];
+        let plan = &self.plans[account.plan];
+        // A customer that was heard to use less than its rate may come unevenly: here it gets the whole.
+        let share = if account.below_rate {
+            1.0
+        } else {
+            (plan.local_share_factor / account.gateways).min(1.0)
+        };
+        let since = now - account.local_units_at;
+        if since > plan.span {
+            let room = plan.burst - account.backlog_now(plan, now);
+            let likelihood = account.likelihood_of_room(plan, invocation.repeat);
+            // Where servers are short, an invocation admitted costs what it keeps out.
+            let gains = expected * (likelihood - (1.0 - likelihood) * plan.excess_cost);
+            let pays = gains > self.crowding * self.counter_price.mean_earnings();
+            let least = if pays {
+                invocation.units.min(room)
+            } else {
+                0.0
+            };
+            account.local_units = (room * share).max(least);
+        } else {
+            let most = (plan.burst * share).max(invocation.units);
+            account.local_units = (account.local_units + since * plan.rate * share).min(most);
+        }
+        account.local_units_at = now;
+        account.local_units + ROUNDING >= invocation.units
+    }
+
+    /// Takes units from the local share, as a lease that the counter has yet to hear of.
+    pub(super) fn admit_without_counter(&mut self, index: usize, units: f64, now: f64) {
+        let account = &mut self.accounts[index];
+        let plan = &self.plans[account.plan];
+        account.local_units -= units;
+        account.unreported = (account.take_unreported(plan, now) + units).min(plan.burst);
+        account.lease = units;
+        account.lease_expires_at = now + LEASE_SPANS * plan.span;
+    }
+}
--- /dev/null
+++ b/crates/gateway/decisions/src/limiter/retry.rs
@@ -0,0 +1,111 @@
+//! What to do after an attempt: done, a retry, or giving up.
+
+use super::queue::Entry;
+use super::tuning::{EVEN_CHANCE, HEALTHY_LATENCY, MAX_QUEUE_TIME, MAX_RETRIES, OVERLOAD};
+use super::Limiter;
+use crate::types::{Answer, Cause, Effect, Ending, Invocation, Outcome, Stage};
+
+impl Limiter {
+    /// What to do after this outcome.
+    pub fn after(&mut self, invocation: &mut Invocation, outcome: &Outcome, now: f64) -> Answer {
+        let Some(&(server, sent_at)) = invocation.sent.get(outcome.n) else {
+            return Answer::Done;
+        };
+        invocation.out = invocation.out.saturating_sub(1);
+        self.record_outcome(server, invocation, outcome, sent_at, now);
+        self.reconsider_head();
+        let first_that_ran = invocation
+            .may_have_run
+            .is_none_or(|first| outcome.n < first);
+        if !outcome.ending.never_ran() && first_that_ran {
+            invocation.may_have_run = Some(outcome.n);
+        }
+        self.settle_account(invocation, outcome);
+        if outcome.done || invocation.stage == Stage::Done {
+            return self.finish(invocation, Answer::Done);
+        }
+        if invocation.out > 0 {
+            return Answer::Hold;
+        }
+        if outcome.ending != Ending::Moot && self.may_retry(invocation, now) {
+            return self.retry(invocation, now);
+        }
+        if invocation.may_have_run.is_none() {
+            return self.throttle(invocation, Cause::Undelivered, self.latency_target, now);
+        }
+        self.finish(invocation, Answer::Error)
+    }
+
+    /// Takes what the outcome tells of the customer's use into its account.
+    fn settle_account(&mut self, invocation: &Invocation, outcome: &Outcome) {
+        let Some(&index) = self.by_customer.get(&invocation.customer) else {
+            return;
+        };
+        let account = &mut self.accounts[index];
+        account.in_flight = (account.in_flight - 1.0).max(0.0);
+        let rate = self.plans[invocation.plan].rate;
+        let over_rate = outcome
+            .used
+            .is_some_and(|used| used * rate > rate + invocation.units);
+        // A meter well over the rate tells without the counter that the limiters admit too much.
+        if over_rate {
+            account.local_units = 0.0;
+            account.below_rate = false;
+            account.room_likelihood *= EVEN_CHANCE;
+        }
+        if let (Some(units), true) = (outcome.settled, invocation.paid) {
+            account.unreported += units - invocation.units;
+        }
+    }
+
+    /// A retry goes out only where it is allowed, can still earn, and adds nothing to an overload.
+    fn may_retry(&self, invocation: &Invocation, now: f64) -> bool {
+        invocation.sent.len() < self.max_attempts.min(MAX_RETRIES + 1)
+            && self.overload < OVERLOAD
+            && now < self.latest_start(invocation)
+            && self.resendable(invocation, now)
+    }
+
+    fn retry(&mut self, invocation: &mut Invocation, now: f64) -> Answer {
+        invocation.stage = Stage::Queued;
+        if let Some(server) = self.choose_server(invocation, now) {
+            return self.send(invocation, server, now);
+        }
+        self.enqueue(invocation, Entry::Again);
+        Answer::Hold
+    }
+
+    /// No effect twice: whether another attempt is allowed now.
+    #[must_use]
+    pub fn resendable(&self, invocation: &Invocation, now: f64) -> bool {
+        let Some(first_that_ran) = invocation.may_have_run else {
+            return true;
+        };
+        match self.operations[invocation.operation].effect {
+            Effect::Idempotent => true,
+            Effect::Tokened { window, .. } => {
+                let sent_at = invocation.sent[first_that_ran].1;
+                now < sent_at + window - self.response_slack
+            }
+            Effect::NonIdempotent => false,
+        }
+    }
+
+    /// When an unsent invocation, or one between attempts, can no longer be answered in time.
+    pub(super) fn latest_start(&self, invocation: &Invocation) -> f64 {
+        let operation = &self.operations[invocation.operation];
+        let target_ends = if operation.pays_late {
+            f64::INFINITY
+        } else {
+            invocation.came + operation.latency_target
+        };
+        let work = self.fleet_latency.min(HEALTHY_LATENCY) * operation.latency_target / 2.0;
+        let latest = invocation.until.min(target_ends) - work;
+        if !invocation.sent.is_empty() {
+            return latest;
+        }
+        // Guards against a counter that is slow beside short targets: its time-out is waited out.
+        let max_wait = (MAX_QUEUE_TIME * operation.latency_target).max(self.counter_timeout);
+        latest.min(invocation.came + max_wait)
+    }
+}
--- /dev/null
+++ b/crates/gateway/decisions/src/limiter/server_choice.rs
@@ -0,0 +1,208 @@
+//! The choice of a server, and sending to it.
+
+use super::tuning::{EWMA_WEIGHT, HEALTHY_LATENCY, MAX_RETRIES, OVERLOAD, TIMEOUT_MEANS};
+use super::Limiter;
+use crate::types::{Answer, Cause, Effect, Group, Invocation, Stage};
+
+/// What a response from another zone costs, as a multiple of one from the own zone.
+const OTHER_ZONE_COST: f64 = 1.05;
+/// Least success rate and latency that a server's cost is worked out with.
+const MIN_SUCCESS: f64 = 0.05;
+const MIN_LATENCY: f64 = 0.02;
+/// Random part of a server's cost, so that gateways do not all choose the same.
+const JITTER: f64 = 0.1;
+/// One in so many servers stays in use, however many are ejected.
+const ALWAYS_IN_USE: usize = 4;
+
+/// The pace of sends to a server in slow start.
+pub(super) struct SlowStart {
+    /// Seconds between two sends.
+    pub interval: f64,
+    /// No server of the fleet is warm.
+    pub none_warm: bool,
+}
+
+impl Limiter {
+    /// The server with capacity that should answer soonest; one that was not tried before goes first.
+    pub(super) fn choose_server(&mut self, invocation: &Invocation, now: f64) -> Option<usize> {
+        self.fade(now);
+        let in_use = self.servers_in_use(now);
+        let servers = &self.servers;
+        // A server's concurrency may be under one where many limiters share it: then not all are in use at once.
+        self.total_concurrency = in_use.iter().map(|&index| servers.concurrency[index]).sum();
+        let in_flight: f64 = in_use.iter().map(|&index| servers.in_flight[index]).sum();
+        if in_flight + 1.0 > self.total_concurrency.max(1.0) {
+            return None;
+        }
+        let mut best: Option<((bool, f64), usize)> = None;
+        for index in in_use {
+            if !self.has_capacity(index, now) || !self.recognises_repeat(invocation, index) {
+                continue;
+            }
+            let tried_before = invocation.sent.iter().any(|&(sent_to, _)| sent_to == index);
+            let cost = (tried_before, self.cost(index));
+            if best.is_none_or(|(least, _)| cost < least) {
+                best = Some((cost, index));
+            }
+        }
+        best.map(|(_, index)| index)
+    }
+
+    /// Live servers that are not ejected. Guards against a signal that condemns the whole fleet: if more than three in
+    /// four are ejected, all are in use.
+    fn servers_in_use(&self, now: f64) -> Vec<usize> {
+        let servers = &self.servers;
+        let mut in_use: Vec<usize> = (0..servers.is_live.len())
+            .filter(|&index| servers.is_live[index])
+            .collect();
+        let ejected = in_use
+            .iter()
+            .filter(|&&index| servers.ejected_until[index] > now)
+            .count();
+        if (in_use.len() - ejected) * ALWAYS_IN_USE >= in_use.len() {
+            in_use.retain(|&index| servers.ejected_until[index] <= now);
+        }
+        in_use
+    }
+
+    /// Expected time of a response. A server whose ejection is over gets its probe at once, with one attempt.
+    fn cost(&mut self, index: usize) -> f64 {
+        let servers = &self.servers;
+        if servers.on_probation[index] {
+            return 0.0;
+        }
+        let distance = if servers.zone[index] == self.zone {
+            1.0
+        } else {
+            OTHER_ZONE_COST
+        };
+        let success = (1.0 - servers.failures[index]).max(MIN_SUCCESS);
+        let latency = servers.latency[index].max(MIN_LATENCY);
+        let cost = (servers.in_flight[index] + 1.0) * latency * distance / (success * success);
+        cost * (1.0 + JITTER * self.rng.f64())
+    }
+
+    fn has_capacity(&self, index: usize, now: f64) -> bool {
+        let servers = &self.servers;
+        let in_flight = servers.in_flight[index];
+        let limit = if servers.on_probation[index] {
+            1.0
+        } else {
+            servers.concurrency[index].max(1.0).ceil()
+        };
+        if in_flight + 1.0 > limit || servers.paced_until[index] > now {
+            return false;
+        }
+        // Guards against servers that take work and answer nothing, before any time-out tells: with attempts in flight
+        // and no response for half a target, each further one waits another half for each in flight. So one that loses
+        // a part of what it takes stays in use, a hung one hardly.
+        let half_target = HEALTHY_LATENCY * self.latency_target;
+        let silent_for = now - servers.silent_since[index];
+        let sent_ago = now - servers.sent_at[index];
+        in_flight <= 0.0
+            || silent_for <= half_target
+            || silent_for.min(sent_ago) > half_target * in_flight
+    }
+
+    /// Whether this server would recognise a repeat of what may have run elsewhere.
+    fn recognises_repeat(&self, invocation: &Invocation, index: usize) -> bool {
+        let Some(first_that_ran) = invocation.may_have_run else {
+            return true;
+        };
+        let ran_at = invocation.sent[first_that_ran].0;
+        let Effect::Tokened { group, .. } = self.operations[invocation.operation].effect else {
+            return true;
+        };
+        match group {
+            Group::Zone => self.servers.zone[index] == self.servers.zone[ran_at],
+            Group::Cell => self.servers.cell[index] == self.servers.cell[ran_at],
+            Group::All => true,
+        }
+    }
+
+    /// Sends an invocation to this server, if a repeat and the rate limit allow it.
+    pub(super) fn send(&mut self, invocation: &mut Invocation, server: usize, now: f64) -> Answer {
+        if !self.resendable(invocation, now) {
+            return self.finish(invocation, Answer::Error);
+        }
+        let account = self.account_of(invocation, now);
+        if let Some(pause) = self.rate_limit_wait(account, invocation, now) {
+            return self.throttle(invocation, Cause::Ceiling, pause, now);
+        }
+        self.draw_rate_limit(account, invocation);
+        self.accounts[account].in_flight += 1.0;
+        if invocation.sent.is_empty() {
+            self.crowding -= EWMA_WEIGHT * self.crowding;
+        }
+        self.finish(invocation, Answer::Done);
+        invocation.limit = self.attempt_deadline(invocation, now);
+        self.note_send(server, now);
+        invocation.stage = Stage::Out;
+        invocation.out += 1;
+        invocation.sent.push((server, now));
+        Answer::Send(server)
+    }
+
+    /// When an attempt that starts now is abandoned. Leaves time for a retry where one could follow; else the attempt
+    /// has until the end.
+    fn attempt_deadline(&self, invocation: &Invocation, now: f64) -> f64 {
+        let operation = &self.operations[invocation.operation];
+        let may_retry = self.overload < OVERLOAD
+            && invocation.sent.len() < MAX_RETRIES
+            && invocation.sent.len() + 1 < self.max_attempts
+            && operation.effect != Effect::NonIdempotent;
+        let target_ends = invocation.came + operation.latency_target;
+        let means = if self.unanswered > HEALTHY_LATENCY {
+            TIMEOUT_MEANS / 2.0
+        } else {
+            TIMEOUT_MEANS
+        };
+        let half_the_rest = (target_ends - now) * HEALTHY_LATENCY;
+        let timeout = half_the_rest.max(means * self.fleet_latency * operation.latency_target);
+        if may_retry && now + timeout < target_ends {
+            now + timeout
+        } else {
+            invocation.until
+        }
+    }
+
+    /// Takes a send into the figures of its server and of the fleet.
+    fn note_send(&mut self, server: usize, now: f64) {
+        let decay = (-(now - self.recent_sends_at) / (2.0 * self.latency_target)).exp();
+        self.recent_sends *= decay;
+        self.recent_sends_at = now;
+        let servers = &mut self.servers;
+        if servers.in_flight[server] <= 0.0 {
+            servers.silent_since[server] = now;
+        }
+        servers.sent_at[server] = now;
+        servers.in_flight[server] += 1.0;
+        let is_warming = now - servers.warming_since[server] < self.warm_up_time;
+        let slow_start = self.slow_start(server, now);
+        if is_warming {
+            self.servers.paced_until[server] = now + slow_start.interval;
+        }
+        if !is_warming || slow_start.none_warm {
+            self.recent_sends += 1.0;
+        }
+    }
+
+    /// Time between sends to a server in slow start: it gets its present part of what a warm one gets and a lead on it,
+    /// half of what pushes it over when the warm ones are full, if the other limiters do alike.
+    pub(super) fn slow_start(&self, server: usize, now: f64) -> SlowStart {
+        let servers = &self.servers;
+        let warm = (0..servers.is_live.len())
+            .filter(|&index| servers.is_live[index])
+            .filter(|&index| now - servers.warming_since[index] >= self.warm_up_time)
+            .count();
+        let warm_for = now - servers.warming_since[server];
+        let part = self.warm_up_from + (1.0 - self.warm_up_from) * warm_for / self.warm_up_time;
+        let sends_to_each = self.recent_sends / 2.0 / warm.max(1) as f64;
+        let least = 1.0 / f64::from(self.fleet_size);
+        let rate = sends_to_each.max(least) / self.latency_target;
+        SlowStart {
+            interval: 1.0 / (rate * part * self.slow_start_lead),
+            none_warm: warm == 0,
+        }
+    }
+}
--- a/crates/gateway/decisions/tests/front/mod.rs
+++ b/crates/gateway/decisions/tests/front/mod.rs
@@ -1,8 +1,8 @@
 //! A front for the tests: several limiters, a counter and servers that answer only when told to.
 #![allow(dead_code)]
 
-use dunespur_decisions::rules::Limiter;
 use dunespur_decisions::types::*;
+use dunespur_decisions::Limiter;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -349,7 +349,7 @@
             return;
         };
         let gate = *gate;
-        self.gates[gate].gone(inv);
+        self.gates[gate].disconnected(inv);
         self.see(Seen::Left { gate, num });
         self.answer(num, Answer::Done);
         self.carry_out(gate);
--- a/crates/gateway/gateway/src/reducer.rs
+++ b/crates/gateway/gateway/src/reducer.rs
@@ -4,8 +4,8 @@
 
 use crate::message::{Answered, Asked, Names, News, Reply};
 use crate::stats::Stats;
-use dunespur_decisions::rules::Limiter;
 use dunespur_decisions::types::*;
+use dunespur_decisions::Limiter;
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -207,7 +207,7 @@
                     .iter()
                     .position(|k| k.live && k.address == address)
                 {
-                    self.limiter.told(tgt, bad, pause, now);
+                    self.limiter.fleet_verdict(tgt, bad, pause, now);
                 }
             }
             Event::ClientConnected => self.stats.client_connections += 1,
@@ -341,7 +341,7 @@
             return;
         };
         self.stats.clients_gone += 1;
-        self.limiter.gone(&mut held.inv);
+        self.limiter.disconnected(&mut held.inv);
         for n in (0..held.inv.sent.len()).filter(|n| held.open & (1 << n) != 0) {
             out.push(Effect::Abandon {
                 num,
--- a/crates/gateway/quota-sharing/tests/thin.rs
+++ b/crates/gateway/quota-sharing/tests/thin.rs
@@ -1,11 +1,11 @@
 //! A busy limiter and a thin one of the same customer, over its quota: the module with the counter alone, and
 //! the same module with a broker in the counter's place.
 
-use dunespur_decisions::rules::Limiter;
 use dunespur_decisions::types::{
     About, Action, Counted, Effect, Ending, Invocation, OperationSettings, Outcome, PlanSettings,
 };
 use dunespur_decisions::types::{Readiness, Server, Settings};
+use dunespur_decisions::Limiter;
 use dunespur_quota_sharing::lend::{self, Anew, Answer, Ask, Broker, Output};
 use std::collections::BTreeMap;
 
--- a/crates/testing/fleet-simulation/src/service.rs
+++ b/crates/testing/fleet-simulation/src/service.rs
@@ -6,10 +6,10 @@
 
 use crate::quotas::Bucket;
 use crate::trial::Quota;
-use dunespur_decisions::rules::Limiter;
 use dunespur_decisions::types::{
     self as types, Action, Answer, Counted, Effect, Ending, Invocation, Outcome, Readiness,
 };
+use dunespur_decisions::Limiter;
 use dunespur_quota_sharing::lend::{self, Anew, Ask, Borrower, Broker, Way};
 use dunespur_singleton_roles::Slot;
 use rand::{RngExt, SeedableRng};
--- a/crates/testing/simulator-adapter/src/host.rs
+++ b/crates/testing/simulator-adapter/src/host.rs
@@ -1,7 +1,7 @@
 //! One process's side of the wire: the instances it hosts, their invocations and timers.
 
-use dunespur_decisions::rules::Limiter;
 use dunespur_decisions::types::*;
+use dunespur_decisions::Limiter;
 use dunespur_settings::{parse, Read};
 use std::collections::HashMap;
 use std::io::Write;
@@ -371,7 +371,7 @@
                 let Some((_, inv)) = host.held.get_mut(&num) else {
                     return Ok(());
                 };
-                host.limiter.gone(inv);
+                host.limiter.disconnected(inv);
                 host.answer(name, num, Answer::Done, now, out).map_err(io)
             }
             "TICK_DUE" => match parts.whole("cookie")? {
