--- a/crates/node/src/core/applied.rs
+++ b/crates/serving/dunespur/src/core/applied.rs
@@ -1,7 +1,7 @@
 //! The control state as this member has applied it, with the changes for those who follow it.
 
 use super::changes::ChangeLog;
-use dunespur_control::{ControlState, Operation, Outcome};
+use dunespur_control_state::{ControlState, Operation, Outcome};
 
 /// The control state after the operations committed so far.
 #[derive(Default)]
@@ -58,7 +58,9 @@
     /// The state falls behind from this index on; said once.
     fn lose_track(&mut self, index: u64, reason: &str) {
         if self.unreadable_since.is_none() {
-            log::error!("control state at index {index}: {reason}; this member answers nothing from now on");
+            log::error!(
+                "control state at index {index}: {reason}; this member answers nothing from now on"
+            );
             self.unreadable_since = Some(index);
         }
     }
--- a/crates/node/src/core/executing.rs
+++ b/crates/serving/dunespur/src/core/executing.rs
@@ -1,6 +1,6 @@
 //! Operations that were handed to the chain here and are not committed yet, and who waits for them.
 
-use dunespur_control::{Operation, Outcome};
+use dunespur_control_state::{Operation, Outcome};
 use std::collections::HashMap;
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -54,13 +54,21 @@
         if let Some(payload) = &payload {
             self.repeatable.insert(payload.clone(), ticket);
         }
-        self.waiting.insert(ticket, Waiting { callers: vec![sender], payload });
+        self.waiting.insert(
+            ticket,
+            Waiting {
+                callers: vec![sender],
+                payload,
+            },
+        );
         Taken::New(answer)
     }
 
     /// The operation was committed, or dropped.
     pub fn ended(&mut self, ticket: u64, outcome: Option<Outcome>) {
-        let Some(waiting) = self.waiting.remove(&ticket) else { return };
+        let Some(waiting) = self.waiting.remove(&ticket) else {
+            return;
+        };
         if let Some(payload) = waiting.payload {
             self.repeatable.remove(&payload);
         }
--- a/crates/node/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -1,10 +1,10 @@
 //! What processes of the system say to each other, as postcard payloads of `dunespur-link` frames.
 
 use bytes::Bytes;
-use dunespur_chain::{MemberId, Message, Peer, View};
-use dunespur_control::{Change, NodeReport, Operation, Outcome, RetireState};
-use dunespur_distribution::{Answer, Ask};
-use dunespur_turns::message::{StoreReply, StoreRequest};
+use dunespur_chain_replication::{MemberId, Message, Peer, View};
+use dunespur_control_state::{Change, NodeReport, Operation, Outcome, RetireState};
+use dunespur_load_distribution::{Answer, Ask};
+use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -65,7 +65,10 @@
 impl NodeLease {
     /// The lease of a node that reports itself so.
     pub fn of(report: &NodeReport) -> NodeLease {
-        NodeLease { name: report.name.clone(), incarnation: report.incarnation }
+        NodeLease {
+            name: report.name.clone(),
+            incarnation: report.incarnation,
+        }
     }
 }
 
@@ -111,7 +114,9 @@
 
 /// The payload of a message.
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
-    postcard::to_stdvec(message).map(Bytes::from).unwrap_or_default()
+    postcard::to_stdvec(message)
+        .map(Bytes::from)
+        .unwrap_or_default()
 }
 
 /// The message of a payload, if it is one.
--- a/crates/distribution/tests/wire_format.rs
+++ b/crates/serving/load-distribution/tests/wire_format.rs
@@ -3,7 +3,7 @@
 //!
 //! `tests/fixtures/*.hex` hold the bytes as they were first released; a fixture is never changed.
 
-use dunespur_distribution::{Answer, Ask, Known, ServerLoad, Speaker, Statement};
+use dunespur_load_distribution::{Answer, Ask, Known, ServerLoad, Speaker, Statement};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::{Debug, Write};
@@ -19,7 +19,9 @@
     let digits = text.trim();
     assert_eq!(digits.len() % 2, 0, "two digits a byte");
     let starts = (0..digits.len()).step_by(2);
-    starts.map(|start| u8::from_str_radix(&digits[start..start + 2], 16).expect("hex digits")).collect()
+    starts
+        .map(|start| u8::from_str_radix(&digits[start..start + 2], 16).expect("hex digits"))
+        .collect()
 }
 
 /// The value is written as the fixture's bytes, and the bytes are read as the value.
@@ -45,11 +47,19 @@
 fn a_subscribers_report_with_its_table_keeps_its_bytes() {
     let report = Ask {
         service: "pool".into(),
-        speaker: Speaker::Subscriber { gateway: "north-1".into() },
+        speaker: Speaker::Subscriber {
+            gateway: "north-1".into(),
+        },
         life: 1_764_659_000_001,
         version: 5_002,
-        statement: Some(Statement { version: 5_003, loads: vec![load_of("s1", 11), load_of("s2", 300)] }),
-        known: Known { life: 1_764_659_000_004, version: 6_005 },
+        statement: Some(Statement {
+            version: 5_003,
+            loads: vec![load_of("s1", 11), load_of("s2", 300)],
+        }),
+        known: Known {
+            life: 1_764_659_000_004,
+            version: 6_005,
+        },
     };
     assert_wire(&report, include_str!("fixtures/report_of_subscriber.hex"));
 }
@@ -58,11 +68,17 @@
 fn an_aggregators_report_without_a_table_keeps_its_bytes() {
     let report = Ask {
         service: "apps".into(),
-        speaker: Speaker::Home { zone: "north".into(), gateway: "north-2".into() },
+        speaker: Speaker::Home {
+            zone: "north".into(),
+            gateway: "north-2".into(),
+        },
         life: 21,
         version: 22,
         statement: None,
-        known: Known { life: 23, version: 24 },
+        known: Known {
+            life: 23,
+            version: 24,
+        },
     };
     assert_wire(&report, include_str!("fixtures/report_of_aggregator.hex"));
 }
@@ -81,30 +97,59 @@
 
 #[test]
 fn an_incremental_update_that_wants_the_table_keeps_its_bytes() {
-    let update = Answer { life: 41, version: 4_200, whole: false, loads: vec![], wants_statement: true };
+    let update = Answer {
+        life: 41,
+        version: 4_200,
+        whole: false,
+        loads: vec![],
+        wants_statement: true,
+    };
     assert_wire(&update, include_str!("fixtures/update_incremental.hex"));
 }
 
 #[test]
 fn a_servers_load_keeps_its_bytes() {
-    assert_wire(&load_of("s5", 128), include_str!("fixtures/server_load.hex"));
+    assert_wire(
+        &load_of("s5", 128),
+        include_str!("fixtures/server_load.hex"),
+    );
 }
 
 #[test]
 fn a_table_of_loads_keeps_its_bytes() {
-    let table = Statement { version: 52, loads: vec![load_of("s6", 53)] };
+    let table = Statement {
+        version: 52,
+        loads: vec![load_of("s6", 53)],
+    };
     assert_wire(&table, include_str!("fixtures/load_table.hex"));
 }
 
 #[test]
 fn a_known_version_keeps_its_bytes() {
-    assert_wire(&Known { life: 61, version: 62 }, include_str!("fixtures/known_version.hex"));
+    assert_wire(
+        &Known {
+            life: 61,
+            version: 62,
+        },
+        include_str!("fixtures/known_version.hex"),
+    );
 }
 
 #[test]
 fn the_variants_of_a_reporter_keep_their_bytes() {
-    let subscriber = Speaker::Subscriber { gateway: "west-1".into() };
-    assert_wire(&subscriber, include_str!("fixtures/reporter_subscriber.hex"));
-    let aggregator = Speaker::Home { zone: "west".into(), gateway: "west-2".into() };
-    assert_wire(&aggregator, include_str!("fixtures/reporter_aggregator.hex"));
+    let subscriber = Speaker::Subscriber {
+        gateway: "west-1".into(),
+    };
+    assert_wire(
+        &subscriber,
+        include_str!("fixtures/reporter_subscriber.hex"),
+    );
+    let aggregator = Speaker::Home {
+        zone: "west".into(),
+        gateway: "west-2".into(),
+    };
+    assert_wire(
+        &aggregator,
+        include_str!("fixtures/reporter_aggregator.hex"),
+    );
 }
--- a/crates/routing/tests/common/digest.rs
+++ b/crates/serving/routing/tests/common/digest.rs
@@ -43,7 +43,18 @@
 
 /// Each seed's digest is that of the fixture, which has a line for each seed.
 pub fn assert_digests(digest_of: impl Fn(u64) -> u64, fixture: &str) {
-    let digests: String = (0..SEEDS).map(|seed| format!("{seed} {:016x}\n", digest_of(seed))).collect();
-    let differing: Vec<_> = digests.lines().zip(fixture.lines()).filter(|(now, then)| now != then).collect();
-    assert!(digests == fixture, "{} differ, first {:?}; now:\n{digests}", differing.len(), differing.first());
+    let digests: String = (0..SEEDS)
+        .map(|seed| format!("{seed} {:016x}\n", digest_of(seed)))
+        .collect();
+    let differing: Vec<_> = digests
+        .lines()
+        .zip(fixture.lines())
+        .filter(|(now, then)| now != then)
+        .collect();
+    assert!(
+        digests == fixture,
+        "{} differ, first {:?}; now:\n{digests}",
+        differing.len(),
+        differing.first()
+    );
 }
--- a/crates/routing/tests/simulation.rs
+++ b/crates/serving/routing/tests/simulation.rs
@@ -49,12 +49,18 @@
 
 /// A program's turns come through any gateway of its zone.
 fn roaming_day(seed: u64) -> Day {
-    Day { keeps_gateway: false, ..quiet_day(seed) }
+    Day {
+        keeps_gateway: false,
+        ..quiet_day(seed)
+    }
 }
 
 /// Close to what the engines can do if little is read anew.
 fn busy_day(seed: u64) -> Day {
-    Day { programs_per_s: 40.0, ..roaming_day(seed) }
+    Day {
+        programs_per_s: 40.0,
+        ..roaming_day(seed)
+    }
 }
 
 /// What the four ways made of the same days.
@@ -76,7 +82,11 @@
     }
 
     fn others(&self) -> [(&'static str, &Outturn); 3] {
-        [("random", &self.random), ("least loaded", &self.least_loaded), ("prefix only", &self.prefix_only)]
+        [
+            ("random", &self.random),
+            ("least loaded", &self.least_loaded),
+            ("prefix only", &self.prefix_only),
+        ]
     }
 
     /// Ours is at most `factor` times every other's in `measure`.
@@ -125,7 +135,12 @@
     days.assert_at_most(1.0, "turn", Outturn::mean_turn_ms);
     assert!(read_again(&days.ours) <= 0.4 * read_again(&days.random));
     assert!(read_again(&days.ours) <= 0.4 * read_again(&days.least_loaded));
-    assert_eq!(days.ours.failed + days.ours.shed + days.ours.refused, 0, "{}", days.ours);
+    assert_eq!(
+        days.ours.failed + days.ours.shed + days.ours.refused,
+        0,
+        "{}",
+        days.ours
+    );
 }
 
 #[test]
@@ -139,7 +154,10 @@
 
 #[test]
 fn prompts_whose_turns_are_parts_of_their_own_are_followed_too() {
-    let days = Comparison::over(|seed| Day { growth: Growth::NewParts, ..roaming_day(seed) });
+    let days = Comparison::over(|seed| Day {
+        growth: Growth::NewParts,
+        ..roaming_day(seed)
+    });
     days.assert_at_most(AS_GOOD, "first token", Outturn::mean_first_ms);
     days.assert_at_most(1.0, "turn", Outturn::mean_turn_ms);
     assert!(read_again(&days.ours) <= 0.4 * read_again(&days.least_loaded));
@@ -157,14 +175,20 @@
 
 #[test]
 fn one_subject_for_all_does_not_crowd_one_engine() {
-    let days = Comparison::over(|seed| Day { subjects: 1, ..roaming_day(seed) });
+    let days = Comparison::over(|seed| Day {
+        subjects: 1,
+        ..roaming_day(seed)
+    });
     days.assert_at_most(0.7, "first token", Outturn::mean_first_ms);
     days.assert_at_most(0.6, "read again", read_again);
 }
 
 #[test]
 fn slow_engines_get_less() {
-    let slow_day = |seed| Day { slow: vec![(0, 2.5), (4, 2.0)], ..roaming_day(seed) };
+    let slow_day = |seed| Day {
+        slow: vec![(0, 2.5), (4, 2.0)],
+        ..roaming_day(seed)
+    };
     let days = Comparison::over(slow_day);
     days.assert_at_most(0.95, "first token", Outturn::mean_first_ms);
     days.assert_at_most(0.8, "turn", Outturn::mean_turn_ms);
@@ -173,32 +197,54 @@
 
 #[test]
 fn beyond_what_the_engines_can_do_hardly_more_is_lost_than_with_any_other_way() {
-    let days = Comparison::over(|seed| Day { programs_per_s: 72.0, ..roaming_day(seed) });
+    let days = Comparison::over(|seed| Day {
+        programs_per_s: 72.0,
+        ..roaming_day(seed)
+    });
     days.assert_at_most(1.1, "not served", not_served);
     let (ours, random) = (&days.ours, &days.random);
-    assert!(ours.mean_first_ms() <= 0.8 * random.mean_first_ms(), "ours: {ours}\nrandom: {random}");
-    assert!(read_again(ours) <= 0.8 * read_again(random), "ours: {ours}\nrandom: {random}");
+    assert!(
+        ours.mean_first_ms() <= 0.8 * random.mean_first_ms(),
+        "ours: {ours}\nrandom: {random}"
+    );
+    assert!(
+        read_again(ours) <= 0.8 * read_again(random),
+        "ours: {ours}\nrandom: {random}"
+    );
 }
 
 #[test]
 fn an_engine_that_stands_still_is_left_early() {
-    let days = Comparison::over(|seed| Day { frozen: Some((3, 6_000.0..14_000.0)), ..roaming_day(seed) });
+    let days = Comparison::over(|seed| Day {
+        frozen: Some((3, 6_000.0..14_000.0)),
+        ..roaming_day(seed)
+    });
     days.assert_at_most(0.7, "silent", |outturn| outturn.silent as f64);
-    days.assert_at_most(0.7, "slowest first tokens", |outturn| outturn.first_ms_at(0.99));
+    days.assert_at_most(0.7, "slowest first tokens", |outturn| {
+        outturn.first_ms_at(0.99)
+    });
     days.assert_at_most(1.0, "late", Outturn::late_share);
     assert_eq!(days.ours.failed, 0, "{}", days.ours);
 }
 
 /// Short days of all kinds: by the seed the load, the growth of prompts, and engines that are slow or stand still.
 fn varied_day(seed: u64) -> Day {
-    let growth = if seed % 2 == 0 { Growth::LastPart } else { Growth::NewParts };
+    let growth = if seed % 2 == 0 {
+        Growth::LastPart
+    } else {
+        Growth::NewParts
+    };
     Day {
         engines: 6,
         programs_per_s: [10.0, 20.0, 36.0, 48.0][seed as usize / 2 % 4],
         length_ms: 4_000.0,
         subjects: [1, 40, 10][seed as usize % 3],
         keeps_gateway: seed % 5 == 0,
-        slow: if seed % 3 == 1 { vec![(1, 2.5)] } else { vec![] },
+        slow: if seed % 3 == 1 {
+            vec![(1, 2.5)]
+        } else {
+            vec![]
+        },
         frozen: (seed % 4 == 3).then_some((2, 1_000.0..3_500.0)),
         growth,
         ..quiet_day(seed)
@@ -208,5 +254,8 @@
 /// A seed gives the same day in every version.
 #[test]
 fn days_keep_their_digests() {
-    assert_digests(|seed| fleet::digest(&varied_day(seed)), include_str!("fixtures/engine_day_digests.txt"));
+    assert_digests(
+        |seed| fleet::digest(&varied_day(seed)),
+        include_str!("fixtures/engine_day_digests.txt"),
+    );
 }
