--- a/crates/serving/dunespur/src/homes.rs
+++ b/crates/serving/dunespur/src/homes.rs
@@ -10,7 +10,7 @@
 use dunespur_load_distribution::{
     Answer, Ask, Call, Distribution, Gateway, Identity, News, ServerLoad, ASK_TIMEOUT_MS,
 };
-use dunespur_routing::{Chooser, LoadReport};
+use dunespur_routing::{Balancer, LoadReport};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 pub struct Homes {
     clock: Clock,
     directory: Rc<Directory>,
-    chooser: Rc<RefCell<Chooser>>,
+    balancer: Rc<RefCell<Balancer>>,
     distribution: RefCell<Distribution>,
     /// Told when a request has begun or ended, or another gateway has asked.
     active: Notify,
@@ -40,13 +40,13 @@
     pub fn start(
         own: Identity,
         directory: Rc<Directory>,
-        chooser: Rc<RefCell<Chooser>>,
+        balancer: Rc<RefCell<Balancer>>,
         clock: Clock,
     ) -> Rc<Homes> {
         let homes = Rc::new(Homes {
             clock,
             directory,
-            chooser,
+            balancer,
             distribution: RefCell::new(Distribution::new(own)),
             active: Notify::new(),
             rescheduled: Notify::new(),
@@ -129,13 +129,13 @@
 
     /// Servers on which this gateway has anything in flight, or which it finds in trouble.
     fn loads(&self) -> Vec<ServerLoad> {
-        let chooser = self.chooser.borrow();
-        let mut loads: Vec<ServerLoad> = chooser
+        let balancer = self.balancer.borrow();
+        let mut loads: Vec<ServerLoad> = balancer
             .load_reports()
             .into_iter()
             .map(server_load)
             .collect();
-        for server in chooser.in_trouble(self.clock.now()) {
+        for server in balancer.ejected_for_faults(self.clock.now()) {
             match loads.iter_mut().find(|load| load.server == server) {
                 Some(load) => load.in_trouble = 1,
                 None => loads.push(ServerLoad {
@@ -172,9 +172,9 @@
         for news in news {
             self.bring_hints(&news);
             let reports: Vec<LoadReport> = news.others.into_iter().map(load_report).collect();
-            self.chooser
+            self.balancer
                 .borrow_mut()
-                .other_load(&reports, &news.service, self.clock.now());
+                .apply_peer_load(&reports, &news.service, self.clock.now());
         }
     }
 
@@ -187,9 +187,9 @@
             .filter(|server| *server.backend == *news.service)
             .count();
         for server in news.in_trouble(servers) {
-            self.chooser
+            self.balancer
                 .borrow_mut()
-                .hint_trouble(&server, self.clock.now());
+                .hint_fault(&server, self.clock.now());
         }
     }
 }
@@ -207,7 +207,7 @@
     ServerLoad {
         server: report.server,
         in_flight: report.in_flight,
-        waiting_tokens: report.waiting_tokens,
+        waiting_tokens: report.prefill_tokens,
         in_trouble: 0,
     }
 }
@@ -216,7 +216,7 @@
     LoadReport {
         server: load.server,
         in_flight: load.in_flight,
-        waiting_tokens: load.waiting_tokens,
+        prefill_tokens: load.waiting_tokens,
     }
 }
 
--- a/crates/serving/dunespur/src/plane.rs
+++ b/crates/serving/dunespur/src/plane.rs
@@ -10,7 +10,9 @@
 use dunespur_control_state::{ServerReport, ServerState};
 use dunespur_load_distribution::Identity;
 use dunespur_proxy::{History, KeptTurn, Node, Reserve, TurnAsk, TurnKey};
-use dunespur_routing::{Ask, Choice, Chooser, EngineShape, LoadReport, Outcome, Server};
+use dunespur_routing::{
+    Balancer, Choice, EngineShape, LoadReport, Outcome, RoutingRequest, Server,
+};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
@@ -18,7 +20,7 @@
 pub struct Plane {
     clock: Clock,
     directory: Rc<Directory>,
-    chooser: Rc<RefCell<Chooser>>,
+    balancer: Rc<RefCell<Balancer>>,
     homes: Rc<Homes>,
     budgets: Rc<Budgets>,
     keeping: Keeping,
@@ -33,14 +35,14 @@
         copies: usize,
         clock: Clock,
     ) -> Rc<Plane> {
-        let chooser = Rc::new(RefCell::new(Chooser::new(
+        let balancer = Rc::new(RefCell::new(Balancer::new(
             own.zone.clone(),
             fastrand::u64(..),
         )));
-        let homes = Homes::start(own, directory.clone(), chooser.clone(), clock);
+        let homes = Homes::start(own, directory.clone(), balancer.clone(), clock);
         let plane = Rc::new(Plane {
             clock,
-            chooser,
+            balancer,
             homes,
             budgets,
             keeping: Keeping::new(directory.clone(), copies),
@@ -68,7 +70,7 @@
 
     /// What this gateway has in flight at servers; those without any are left out.
     pub fn loads(&self) -> Vec<LoadReport> {
-        self.chooser.borrow().load_reports()
+        self.balancer.borrow().load_reports()
     }
 
     fn changed(&self, touched: Touched) {
@@ -85,7 +87,7 @@
             .values()
             .map(|report| server(report, table))
             .collect();
-        self.chooser
+        self.balancer
             .borrow_mut()
             .set_servers(servers, self.clock.now());
     }
@@ -108,7 +110,7 @@
         zone: report.zone.as_str().into(),
         slots: report.slots,
         draining: report.state == ServerState::Draining,
-        cold_left_ms: 0,
+        warmup_left_ms: 0,
         engine,
         max_conns: service.map_or(0, |service| service.max_conns),
     }
@@ -132,14 +134,14 @@
         !self.leaving.get() && known.table.is_some() && !known.servers.is_empty()
     }
 
-    fn choose(&self, ask: &Ask) -> Choice {
+    fn choose(&self, ask: &RoutingRequest) -> Choice {
         self.homes.note_activity();
         let loads = if trace::enabled() {
             self.loads()
         } else {
             Vec::new()
         };
-        let choice = self.chooser.borrow_mut().choose(ask, self.clock.now());
+        let choice = self.balancer.borrow_mut().choose(ask, self.clock.now());
         if trace::enabled() {
             trace::choice(ask, &choice, &loads);
         }
@@ -148,13 +150,15 @@
 
     fn first_event(&self, key: u64) {
         trace::first_event(key);
-        self.chooser.borrow_mut().first_event(key, self.clock.now());
+        self.balancer
+            .borrow_mut()
+            .first_event(key, self.clock.now());
     }
 
     fn finished(&self, key: u64, outcome: Outcome) {
         self.homes.note_activity();
         trace::outcome(key, outcome);
-        self.chooser
+        self.balancer
             .borrow_mut()
             .finished(key, outcome, self.clock.now());
     }
--- a/crates/serving/dunespur/src/trace.rs
+++ b/crates/serving/dunespur/src/trace.rs
@@ -7,7 +7,7 @@
 use crate::clock::Clock;
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest};
 use dunespur_proxy::{History, Reserve, TurnAsk};
-use dunespur_routing::{Ask, Choice, LoadReport, Outcome};
+use dunespur_routing::{Choice, LoadReport, Outcome, RoutingRequest};
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use std::fmt;
 
@@ -61,7 +61,7 @@
 }
 
 /// A server was chosen, or none; `loads` is what this gateway had in flight at servers before.
-pub fn choice(ask: &Ask, choice: &Choice, loads: &[LoadReport]) {
+pub fn choice(ask: &RoutingRequest, choice: &Choice, loads: &[LoadReport]) {
     let program = Field("program", ask.program);
     let session = Field("session", ask.session);
     let about = format!(
@@ -69,7 +69,7 @@
         Value(ask.backend),
         ask.time_left_ms,
         ask.prompt_tokens,
-        ask.most_tokens,
+        ask.max_tokens,
         ask.tried.len(),
     );
     match choice {
@@ -81,7 +81,7 @@
             Value(&ticket.server.zone),
             Value(&loads_text(loads)),
         ),
-        Choice::Refuse { retry_after_ms } => log::debug!(
+        Choice::Reject { retry_after_ms } => log::debug!(
             "event=why verdict=refuse retry_after_ms={retry_after_ms} loads={} {about}",
             Value(&loads_text(loads))
         ),
@@ -113,11 +113,11 @@
             let name = match other {
                 Outcome::Served { .. } => "served",
                 Outcome::Failed => "failed",
-                Outcome::Silent => "silent",
-                Outcome::Shed => "shed",
-                Outcome::Moved => "moved",
+                Outcome::TimedOut => "silent",
+                Outcome::Rejected => "shed",
+                Outcome::Misdirected => "moved",
                 Outcome::Unreachable => "unreachable",
-                Outcome::Abandoned => "abandoned",
+                Outcome::Cancelled => "abandoned",
             };
             log::debug!("event=outcome ticket={ticket} outcome={name}");
         }
--- a/crates/serving/proxy/src/asked.rs
+++ b/crates/serving/proxy/src/asked.rs
@@ -2,7 +2,7 @@
 
 use crate::http_headers;
 use crate::refusal::Refusal;
-use dunespur_routing::Part;
+use dunespur_routing::PromptSegment;
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use smallvec::SmallVec;
 
@@ -20,7 +20,7 @@
     pub(crate) budget: Option<u64>,
     pub(crate) previous: Option<HeaderValue>,
     pub(crate) last_event_id: Option<HeaderValue>,
-    pub(crate) prefix: SmallVec<[Part; 8]>,
+    pub(crate) prefix: SmallVec<[PromptSegment; 8]>,
     pub(crate) prompt_tokens: u32,
     pub(crate) most_tokens: u32,
 }
@@ -81,7 +81,7 @@
 }
 
 /// The parts that the prompt consists of, in order.
-fn prefix(headers: &HeaderMap) -> SmallVec<[Part; 8]> {
+fn prefix(headers: &HeaderMap) -> SmallVec<[PromptSegment; 8]> {
     let value = headers
         .get(http_headers::PROMPT_PREFIX)
         .and_then(|value| value.to_str().ok())
@@ -89,9 +89,9 @@
     value.split(',').map_while(part).take(MOST_PARTS).collect()
 }
 
-fn part(text: &str) -> Option<Part> {
+fn part(text: &str) -> Option<PromptSegment> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(Part {
+    Some(PromptSegment {
         id: part_id(id)?,
         tokens: tokens.parse().ok()?,
     })
--- a/crates/serving/proxy/src/attempt.rs
+++ b/crates/serving/proxy/src/attempt.rs
@@ -53,8 +53,8 @@
         match self {
             AttemptError::Connect(ConnectError::Unreachable) => Outcome::Unreachable,
             // The server is not to blame.
-            AttemptError::Connect(ConnectError::NoConnectionLeft) => Outcome::Abandoned,
-            AttemptError::Connect(ConnectError::TurnedAway) => Outcome::Shed,
+            AttemptError::Connect(ConnectError::NoConnectionLeft) => Outcome::Cancelled,
+            AttemptError::Connect(ConnectError::TurnedAway) => Outcome::Rejected,
             AttemptError::Connect(ConnectError::TimeUp) => Outcome::Failed,
             AttemptError::Ended(_) if self.execution() == Execution::NotRun => Outcome::Failed,
             AttemptError::Ended(attempt) => outcome_of_broken(attempt.ended_by),
--- a/crates/serving/proxy/src/flight.rs
+++ b/crates/serving/proxy/src/flight.rs
@@ -64,9 +64,9 @@
     fn drop(&mut self) {
         if self.open {
             self.tell(if self.is_for_silence() {
-                Outcome::Silent
+                Outcome::TimedOut
             } else {
-                Outcome::Abandoned
+                Outcome::Cancelled
             });
         }
     }
--- a/crates/serving/proxy/src/node.rs
+++ b/crates/serving/proxy/src/node.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use dunespur_configuration::Table;
-use dunespur_routing::{Ask, Choice, Outcome};
+use dunespur_routing::{Choice, Outcome, RoutingRequest};
 use std::future::Future;
 use std::rc::Rc;
 
@@ -21,7 +21,7 @@
     fn ready(&self) -> bool;
 
     /// The server for a request. With [`Choice::Send`] the request counts as in flight there until `finished`.
-    fn choose(&self, ask: &Ask) -> Choice;
+    fn choose(&self, ask: &RoutingRequest) -> Choice;
 
     /// The first event of a stream, or the head of a plain answer, has come.
     fn first_event(&self, key: u64);
--- a/crates/serving/proxy/src/reply.rs
+++ b/crates/serving/proxy/src/reply.rs
@@ -146,7 +146,7 @@
 /// What an answer that was broken off says of its server.
 pub(crate) fn outcome_of_broken(ended_by: EndedBy) -> Outcome {
     match ended_by {
-        EndedBy::Timeout => Outcome::Silent,
+        EndedBy::Timeout => Outcome::TimedOut,
         _ => Outcome::Failed,
     }
 }
--- a/crates/serving/proxy/src/sending.rs
+++ b/crates/serving/proxy/src/sending.rs
@@ -15,7 +15,7 @@
 use crate::trace;
 use bytes::Bytes;
 use dunespur_configuration::{Route, Service, Table};
-use dunespur_routing::{Ask, Choice, Outcome, Server, ServerId, Ticket};
+use dunespur_routing::{Choice, Outcome, RoutingRequest, Server, ServerId, Ticket};
 use http::{HeaderMap, Method, Uri};
 use smallvec::SmallVec;
 use std::future::{poll_fn, Future};
@@ -215,10 +215,10 @@
                 let flight = self.flight(&ticket);
                 Ok(self.note_sent(ticket, flight))
             }
-            Choice::Refuse { retry_after_ms } if self.record.is_unrun() => {
+            Choice::Reject { retry_after_ms } if self.record.is_unrun() => {
                 Err(Refusal::Later { retry_after_ms })
             }
-            Choice::Refuse { .. } | Choice::NoServer => Err(self.record.refusal()),
+            Choice::Reject { .. } | Choice::NoServer => Err(self.record.refusal()),
         }
     }
 
@@ -262,7 +262,7 @@
                 });
                 return true;
             }
-            flight.finish(Outcome::Abandoned);
+            flight.finish(Outcome::Cancelled);
         }
         self.backend = backend;
         false
@@ -294,13 +294,13 @@
     }
 
     fn choose_of(&self, backend: &str) -> Choice {
-        let choice = self.front.node.choose(&Ask {
+        let choice = self.front.node.choose(&RoutingRequest {
             backend,
             program: text(&self.asked.program),
             session: text(&self.asked.session),
             prefix: &self.asked.prefix,
             prompt_tokens: self.asked.prompt_tokens,
-            most_tokens: self.asked.most_tokens,
+            max_tokens: self.asked.most_tokens,
             idempotent: self.route.idempotent(),
             priority: self.route.priority,
             time_left_ms: self.limit.left_ms(),
@@ -322,11 +322,11 @@
         let (head, mut body) = answered.split();
         match kind {
             AnswerKind::NotExecuted => {
-                flight.finish(Outcome::Shed);
+                flight.finish(Outcome::Rejected);
                 body.give_back_if_over(&self.front);
             }
             AnswerKind::OtherInstance => {
-                flight.finish(Outcome::Moved);
+                flight.finish(Outcome::Misdirected);
                 self.record.note_gone(&ticket.server.id);
             }
             AnswerKind::Failure if self.asks_another(&ticket.server, repeat) => {
--- a/crates/serving/proxy/src/trace.rs
+++ b/crates/serving/proxy/src/trace.rs
@@ -91,7 +91,7 @@
                 ticket.key
             );
         }
-        Choice::Refuse { retry_after_ms } => {
+        Choice::Reject { retry_after_ms } => {
             log::debug!(
                 "event=choice request={id} backend={backend} verdict=refuse retry_after_ms={retry_after_ms}"
             );
--- a/crates/serving/proxy/tests/connections.rs
+++ b/crates/serving/proxy/tests/connections.rs
@@ -617,7 +617,7 @@
         assert_eq!(client.message().await.text(), "ok");
         assert_eq!(
             gateway.node.outcomes(),
-            [Outcome::Shed, Outcome::Served { tokens_out: 0 }]
+            [Outcome::Rejected, Outcome::Served { tokens_out: 0 }]
         );
     });
 }
--- a/crates/serving/proxy/tests/deadlines.rs
+++ b/crates/serving/proxy/tests/deadlines.rs
@@ -120,7 +120,7 @@
         assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
         assert_eq!(client.next_chunk().await, None, "cut short, not whole");
         assert!(connection.is_closed().await);
-        assert_eq!(gateway.node.outcomes(), [Outcome::Silent]);
+        assert_eq!(gateway.node.outcomes(), [Outcome::TimedOut]);
     });
 }
 
--- a/crates/serving/proxy/tests/requests.rs
+++ b/crates/serving/proxy/tests/requests.rs
@@ -216,7 +216,12 @@
         assert_eq!((answer.status(), answer.text()), (200, "ok"));
         assert_eq!(
             gateway.node.outcomes(),
-            [Outcome::Unreachable, Outcome::Shed, Outcome::Moved, SERVED]
+            [
+                Outcome::Unreachable,
+                Outcome::Rejected,
+                Outcome::Misdirected,
+                SERVED
+            ]
         );
         let tried: Vec<_> = gateway
             .node
@@ -435,7 +440,7 @@
         assert!(deadline <= 50);
         assert_eq!(client.message().await.status(), 504);
         assert!(connection.is_closed().await);
-        assert_eq!(gateway.node.outcomes(), [Outcome::Silent]);
+        assert_eq!(gateway.node.outcomes(), [Outcome::TimedOut]);
     });
 }
 
@@ -448,7 +453,7 @@
         let (mut connection, _) = server.take().await;
         drop(client);
         assert!(connection.is_closed().await);
-        assert_eq!(gateway.node.outcomes(), [Outcome::Abandoned]);
+        assert_eq!(gateway.node.outcomes(), [Outcome::Cancelled]);
     });
 }
 
@@ -464,7 +469,7 @@
         client.head().await;
         drop(client);
         assert!(connection.is_closed().await);
-        assert_eq!(gateway.node.outcomes(), [Outcome::Abandoned]);
+        assert_eq!(gateway.node.outcomes(), [Outcome::Cancelled]);
     });
 }
 
@@ -571,7 +576,7 @@
         let client = gateway.ask(&post("/short/", "r1", "", "x")).await;
         server.take().await;
         drop(client);
-        gateway.node.hears(&Told::Finished(Outcome::Silent)).await;
+        gateway.node.hears(&Told::Finished(Outcome::TimedOut)).await;
     });
 }
 
--- a/crates/serving/proxy/tests/streams.rs
+++ b/crates/serving/proxy/tests/streams.rs
@@ -277,7 +277,7 @@
         connection.last_chunk().await;
         assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
         assert_eq!(client.next_chunk().await.unwrap(), b"");
-        assert_eq!(gateway.node.outcomes(), [Outcome::Moved, served(3)]);
+        assert_eq!(gateway.node.outcomes(), [Outcome::Misdirected, served(3)]);
     });
 }
 
@@ -343,7 +343,7 @@
         drop(client);
         assert!(connection.is_closed().await);
         gateway.node.hears(&Told::Release).await;
-        assert_eq!(gateway.node.outcomes(), [Outcome::Abandoned]);
+        assert_eq!(gateway.node.outcomes(), [Outcome::Cancelled]);
         assert_eq!(gateway.front.counters().body_bytes, 0);
         let kept = gateway
             .node
@@ -604,7 +604,7 @@
         connection.chunk(&event(2)).await;
         connection.last_chunk().await;
         assert_eq!(client.message().await.text(), events(1..=2));
-        assert_eq!(gateway.node.outcomes(), [Outcome::Silent, served(6)]);
+        assert_eq!(gateway.node.outcomes(), [Outcome::TimedOut, served(6)]);
     });
 }
 
--- a/crates/serving/proxy/tests/support/mod.rs
+++ b/crates/serving/proxy/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use dunespur_proxy::{
     Front, FrontSettings, Guards, History, KeptTurn, Node, Reserve, TurnAsk, TurnKey,
 };
-use dunespur_routing::{Ask, Choice, Outcome, Server, Ticket};
+use dunespur_routing::{Choice, Outcome, RoutingRequest, Server, Ticket};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -242,7 +242,7 @@
         self.ready.get()
     }
 
-    fn choose(&self, ask: &Ask) -> Choice {
+    fn choose(&self, ask: &RoutingRequest) -> Choice {
         self.asks.borrow_mut().push(AskCopy {
             backend: ask.backend.to_owned(),
             program: ask.program.map(str::to_owned),
@@ -253,7 +253,7 @@
                 .map(|part| (part.id, part.tokens))
                 .collect(),
             prompt_tokens: ask.prompt_tokens,
-            most_tokens: ask.most_tokens,
+            most_tokens: ask.max_tokens,
             idempotent: ask.idempotent,
             time_left_ms: ask.time_left_ms,
             tried: ask.tried.iter().map(|id| id.to_string()).collect(),
@@ -262,7 +262,7 @@
             act();
         }
         if let Some(retry_after_ms) = self.refuse.get() {
-            return Choice::Refuse { retry_after_ms };
+            return Choice::Reject { retry_after_ms };
         }
         if self
             .without_servers
@@ -423,7 +423,7 @@
             zone: "z".into(),
             slots: 8,
             draining: false,
-            cold_left_ms: 0,
+            warmup_left_ms: 0,
             engine: None,
             max_conns: 100,
         })
