--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -988,3 +988,6 @@
         datagram: 1400,
     }
 }
+
+#[cfg(test)]
+mod tests;
