--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -29,6 +29,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
 use std::net::{SocketAddr, SocketAddrV4};
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -199,6 +200,78 @@
     relayed: u64,
 }
 
+/// A voter's state machine, and the way of its writes to the disk.
+type OpenVoter = (Voter, std::sync::mpsc::Sender<Batch>);
+
+/// The voter that this limiter is, if it is one; a thread of its own does the writes.
+fn open_voter(
+    plan: &Plan,
+    name: &str,
+    seed: u64,
+    now: f64,
+    saved: mpsc::UnboundedSender<Disk>,
+    out: &mut Vec<Output>,
+) -> Result<Option<OpenVoter>, Fault> {
+    let votes = plan.voters.iter().any(|v| v.0 == name);
+    let Some(path) = plan.disk.as_ref().filter(|_| votes) else { return Ok(None) };
+    let (store, head) = Store::open(path, &plan.duties.fleet, name).map_err(Fault::Config)?;
+    let voter = Voter::new(plan.duties.clone(), name.to_owned(), head, seed, now, out);
+    let voter = voter.map_err(Fault::Config)?;
+    let (tx, rx) = std::sync::mpsc::channel::<Batch>();
+    let slow = plan.trial.slow_disk.clone();
+    std::thread::spawn(move || write_batches(store, rx, slow, saved));
+    Ok(Some((voter, tx)))
+}
+
+/// Writes what comes, in order, and says so; the first write that fails is the last.
+fn write_batches(
+    store: Store,
+    batches: std::sync::mpsc::Receiver<Batch>,
+    slow: Option<PathBuf>,
+    saved: mpsc::UnboundedSender<Disk>,
+) {
+    for batch in batches {
+        let by = slow.as_ref().and_then(|p| std::fs::read_to_string(p).ok());
+        let by = by.and_then(|t| t.trim().parse::<f64>().ok()).unwrap_or(0.0);
+        std::thread::sleep(Duration::try_from_secs_f64(by).unwrap_or_default());
+        let said = match store.write(&batch) {
+            Ok(()) => Disk::Saved(batch.number),
+            Err(e) => Disk::Failed(e),
+        };
+        let failed = matches!(said, Disk::Failed(_));
+        if saved.send(said).is_err() || failed {
+            return;
+        }
+    }
+}
+
+async fn open_links(plan: &Plan, name: &str, inbox: mpsc::Sender<Came>) -> Result<Rc<Links>, Fault> {
+    let links = Links::open(
+        plan.duties.fleet.clone(),
+        name.to_owned(),
+        plan.listen,
+        plan.bounds.clone(),
+        plan.via.clone(),
+        inbox,
+    );
+    links.await.map_err(|e| Fault::Config(format!("fleet.listen: {}: {e}", plan.listen)))
+}
+
+fn open_history(plan: &Plan) -> Result<Option<std::io::BufWriter<std::fs::File>>, Fault> {
+    let Some(path) = &plan.trial.history else { return Ok(None) };
+    let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
+    let file = file.map_err(|e| Fault::Config(format!("{}: {e}", path.display())))?;
+    Ok(Some(std::io::BufWriter::new(file)))
+}
+
+/// The relay of discovery's list within the zone, and the slot it goes by.
+fn open_relay(plan: &Plan, now: f64) -> Option<(Relay, Slot)> {
+    let zone = plan.duties.zones.iter().position(|z| *z == plan.zone).unwrap_or(0) as u32;
+    let slot = plan.duties.range("watch").filter(|r| zone < r.1).map(|r| r.0 + zone);
+    let part = fastrand::f64();
+    slot.map(|slot| (Relay::new(plan.watch.clone(), slot, 0, part, now), slot))
+}
+
 impl Fleet {
     /// Opens store and sockets; the error says what can't be used.
     async fn open(
@@ -209,69 +282,28 @@
         tell: mpsc::UnboundedSender<Told>,
     ) -> Result<(Self, mpsc::UnboundedReceiver<Disk>), Fault> {
         let now = clock();
-        let fail = |e: String| Fault::Config(e);
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let wall = ((wall.as_secs_f64() + plan.trial.wall).max(0.0) * 1e3) as u64;
         let run = seed ^ (wall << 20) ^ u64::from(std::process::id());
         let me = Me { name: name.clone(), run, zone: plan.zone.clone(), machine: plan.machine.clone() };
         let (saved_tx, saved_rx) = mpsc::unbounded_channel();
-        let votes = plan.voters.iter().any(|v| v.0 == name);
-        let (mut voter, mut disk, mut out) = (None, None, Vec::new());
-        if let Some(path) = plan.disk.as_ref().filter(|_| votes) {
-            let (store, saved) = Store::open(path, &plan.duties.fleet, &name).map_err(fail)?;
-            let made = Voter::new(plan.duties.clone(), name.clone(), saved, seed, now, &mut out);
-            voter = Some(made.map_err(fail)?);
-            let (tx, rx) = std::sync::mpsc::channel::<Batch>();
-            let slow = plan.trial.slow_disk.clone();
-            std::thread::spawn(move || {
-                for batch in rx {
-                    let by = slow.as_ref().and_then(|p| std::fs::read_to_string(p).ok());
-                    let by = by.and_then(|t| t.trim().parse::<f64>().ok()).unwrap_or(0.0);
-                    std::thread::sleep(Duration::try_from_secs_f64(by).unwrap_or_default());
-                    let said = match store.write(&batch) {
-                        Ok(()) => Disk::Saved(batch.number),
-                        Err(e) => Disk::Failed(e),
-                    };
-                    let failed = matches!(said, Disk::Failed(_));
-                    if saved_tx.send(said).is_err() || failed {
-                        return;
-                    }
-                }
-            });
-            disk = Some(tx);
-        }
-        let listen = Links::open(
-            plan.duties.fleet.clone(),
-            name.clone(),
-            plan.listen,
-            plan.bounds.clone(),
-            plan.via.clone(),
-            inbox,
-        );
-        let links = listen.await.map_err(|e| fail(format!("fleet.listen: {}: {e}", plan.listen)))?;
+        let mut out = Vec::new();
+        let (voter, disk) = open_voter(&plan, &name, seed, now, saved_tx, &mut out)?.unzip();
+        let links = open_links(&plan, &name, inbox).await?;
         let version = plan.trial.version.unwrap_or(dunespur_peer::VERSION);
         links.version.set(version);
         let member = members::Member {
-            name: name.clone(),
-            run,
             turn: wall,
             address: plan.listen,
+            version,
+            voter: plan.voters.iter().any(|v| v.0 == name),
+            name,
+            run,
             zone: plan.zone.clone(),
             machine: plan.machine.clone(),
-            version,
-            voter: votes,
-        };
-        let history = match &plan.trial.history {
-            None => None,
-            Some(path) => {
-                let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
-                Some(std::io::BufWriter::new(file.map_err(|e| fail(format!("{}: {e}", path.display())))?))
-            }
         };
-        let zone = plan.duties.zones.iter().position(|z| *z == plan.zone).unwrap_or(0) as u32;
-        let slot = plan.duties.range("watch").filter(|r| zone < r.1).map(|r| r.0 + zone);
-        let part = fastrand::f64();
-        let relay = slot.map(|slot| (Relay::new(plan.watch.clone(), slot, 0, part, now), slot));
+        let history = open_history(&plan)?;
+        let relay = open_relay(&plan, now);
         let broker = Broker::new(plan.lend.clone(), BROKER);
         let lends = plan.duties.range("lend").map(|r| (r.0, r.1.min(MOST_SHARDS))).filter(|r| r.1 > 0);
         let lending = lends.map(|range| Lending::new(&plan.lend, range, tell.clone()));
@@ -279,6 +311,8 @@
             members: Members::new(plan.members.clone(), member, seed, now),
             holder: Holder::new(plan.duties.clone(), me.clone(), now),
             fence: Fence::new(plan.duties.slots()),
+            probes: plan.duties.range("probe").filter(|r| r.1 > 0),
+            audits: plan.duties.range("audit").filter(|r| r.1 > 0),
             plan,
             me,
             links,
@@ -288,8 +322,6 @@
             list: BTreeMap::new(),
             places: BTreeMap::new(),
             history,
-            probes: None,
-            audits: None,
             complaints: Complaints::default(),
             prober: Prober::default(),
             tally: Tally::default(),
@@ -307,8 +339,6 @@
             ended: 0,
             relayed: 0,
         };
-        fleet.probes = fleet.plan.duties.range("probe").filter(|r| r.1 > 0);
-        fleet.audits = fleet.plan.duties.range("audit").filter(|r| r.1 > 0);
         let few =
             |r: Option<(Slot, u32)>| r.into_iter().flat_map(|(first, n)| first..first + n.min(MOST_SHARDS));
         fleet.holder.who = few(fleet.probes).chain(few(fleet.audits)).chain(few(lends)).collect();
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -264,108 +264,33 @@
     zone: usize,
     count_wait: f64,
 ) -> Result<Option<Plan>, String> {
-    let file: File = toml::from_str(text).map_err(|e| {
-        let line = e.span().map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1);
-        format!("line {}: {}", line.unwrap_or(1), e.message().replace('\n', " "))
-    })?;
-    let Some(f) = file.fleet else { return Ok(None) };
-    let voters = f.voters.iter().map(|v| Ok((v.name.clone(), address("fleet.voter.address", &v.address)?)));
-    let voters = voters.collect::<Result<Vec<_>, String>>()?;
-    let zones = f.zones.unwrap_or_else(|| zones.to_vec());
-    let zone = f.zone.unwrap_or_else(|| zones.get(zone).cloned().unwrap_or_default());
+    let Some(fleet) = parse(text)?.fleet else { return Ok(None) };
+    let voters = fleet.voter_addresses()?;
+    let zones = fleet.zones.clone().unwrap_or_else(|| zones.to_vec());
+    let zone = fleet.zone.clone().unwrap_or_else(|| zones.get(zone).cloned().unwrap_or_default());
     if !zones.contains(&zone) {
         return Err(format!("fleet.zone: {zone} is not among the zones {}", zones.join(", ")));
     }
-    let duties = Duties {
-        fleet: f.name,
-        voters: voters.iter().map(|v| v.0.clone()).collect(),
-        zones,
-        duties: f.duties,
-        lease: f.lease,
-        drift: f.drift,
-        renew: f.renew,
-        stall: f.stall,
-        tick: f.tick,
-        moves: f.moves,
-        disk_wait: f.disk_wait,
-    };
-    duties.check()?;
-    let listen = address("fleet.listen", &f.listen)?;
-    let votes = voters.iter().find(|v| v.0 == name);
-    if votes.is_some() && f.disk.is_none() {
-        return Err(format!("fleet.disk: {name} is a voter and needs a file on a disk that persists"));
-    }
-    if let Some((_, at)) = votes.filter(|v| v.1 != listen) {
-        return Err(format!("fleet.listen: {listen}, but the voters' list has {name} at {at}"));
-    }
-    let m = f.members;
+    let duties = fleet.duty_settings(&voters, zones)?;
+    let listen = fleet.listen_address(&voters, name)?;
     let seeds = voters.iter().map(|v| v.1).collect();
-    let members = Members {
-        size: f.size,
-        seeds,
-        probe: m.probe,
-        answer: m.answer,
-        suspect: m.suspect,
-        gossip: m.gossip,
-        again: m.again,
-        datagram: m.datagram,
-    };
-    members.check()?;
-    let l = f.links;
-    if l.peers < voters.len() || l.queue == 0 || l.frame < 4096 || !(l.dial > 0.0 && l.idle > 0.0) {
-        return Err(format!(
-            "fleet.links: peers {} (no fewer than voters), queue {} (1 or more), frame {} (4096 or more), dial {} \
-             and idle {} (over 0)",
-            l.peers, l.queue, l.frame, l.dial, l.idle
-        ));
-    }
-    let bounds = Bounds { peers: l.peers, queue: l.queue, frame: l.frame, dial: l.dial, idle: l.idle };
-    let w = f.watch;
-    let watch = watch::Settings { beat: w.beat, stale: w.stale, spread: w.spread, trust: w.trust };
-    watch.check()?;
-    let p = f.probe;
-    let probe = probe::Settings {
-        unanswered: p.unanswered,
-        many: p.many,
-        window: p.window,
-        again: p.again,
-        servers: p.servers,
-    };
-    probe.check()?;
-    let a = f.audit;
-    let audit = audit::Settings { quiet: a.quiet, names: a.names, units: a.units };
-    audit.check()?;
-    let l = f.lend;
-    let lend = lend::Settings {
-        ahead: l.ahead,
-        span: l.span,
-        // A borrower has to hear of it before its own time is up.
-        wait: if l.wait > 0.0 { l.wait } else { count_wait * 0.7 },
-        again: l.again,
-        pace: l.pace,
-        pause: l.pause,
-        names: l.names,
-        waiting: l.waiting,
-        borrowers: l.borrowers,
-    };
-    lend.check()?;
-    if lend.wait >= count_wait {
-        return Err(format!(
-            "fleet.lend.wait: {} is no less than the counter's time-out of {count_wait}; a borrower would \
-             never hear of it",
-            lend.wait
-        ));
-    }
-    let trial = f.trial.unwrap_or_default();
+    let members = fleet.members.settings(fleet.size, seeds)?;
+    let bounds = fleet.links.bounds(voters.len())?;
+    let watch = fleet.watch.settings()?;
+    let probe = fleet.probe.settings()?;
+    let audit = fleet.audit.settings()?;
+    let lend = fleet.lend.settings(count_wait)?;
+    let trial = fleet.trial.unwrap_or_default();
     let via = trial.via.iter().map(|(a, b)| Ok((address("via", a)?, address("via", b)?)));
     let via = via.collect::<Result<_, String>>()?;
-    let machine = f.machine.unwrap_or_else(|| name.to_owned());
+    let machine = fleet.machine.unwrap_or_else(|| name.to_owned());
+    let disk = fleet.disk;
     Ok(Some(Plan {
         listen,
         zone,
         machine,
         voters,
-        disk: f.disk,
+        disk,
         duties,
         members,
         bounds,
@@ -378,6 +303,139 @@
     }))
 }
 
+fn parse(text: &str) -> Result<File, String> {
+    toml::from_str(text).map_err(|e| {
+        let line = e.span().map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1);
+        format!("line {}: {}", line.unwrap_or(1), e.message().replace('\n', " "))
+    })
+}
+
+impl Fleet {
+    fn voter_addresses(&self) -> Result<Vec<(String, SocketAddrV4)>, String> {
+        let voters = self.voters.iter();
+        voters.map(|v| Ok((v.name.clone(), address("fleet.voter.address", &v.address)?))).collect()
+    }
+
+    fn duty_settings(
+        &self,
+        voters: &[(String, SocketAddrV4)],
+        zones: Vec<String>,
+    ) -> Result<Duties, String> {
+        let duties = Duties {
+            fleet: self.name.clone(),
+            voters: voters.iter().map(|v| v.0.clone()).collect(),
+            zones,
+            duties: self.duties.clone(),
+            lease: self.lease,
+            drift: self.drift,
+            renew: self.renew,
+            stall: self.stall,
+            tick: self.tick,
+            moves: self.moves,
+            disk_wait: self.disk_wait,
+        };
+        duties.check()?;
+        Ok(duties)
+    }
+
+    /// Where it listens; a voter's has to be the address that the voters' list has, and it needs a disk.
+    fn listen_address(&self, voters: &[(String, SocketAddrV4)], name: &str) -> Result<SocketAddrV4, String> {
+        let listen = address("fleet.listen", &self.listen)?;
+        let votes = voters.iter().find(|v| v.0 == name);
+        if votes.is_some() && self.disk.is_none() {
+            return Err(format!("fleet.disk: {name} is a voter and needs a file on a disk that persists"));
+        }
+        if let Some((_, at)) = votes.filter(|v| v.1 != listen) {
+            return Err(format!("fleet.listen: {listen}, but the voters' list has {name} at {at}"));
+        }
+        Ok(listen)
+    }
+}
+
+impl MembersPart {
+    fn settings(&self, size: u32, seeds: Vec<SocketAddrV4>) -> Result<Members, String> {
+        let members = Members {
+            size,
+            seeds,
+            probe: self.probe,
+            answer: self.answer,
+            suspect: self.suspect,
+            gossip: self.gossip,
+            again: self.again,
+            datagram: self.datagram,
+        };
+        members.check()?;
+        Ok(members)
+    }
+}
+
+impl LinksPart {
+    fn bounds(&self, voters: usize) -> Result<Bounds, String> {
+        let LinksPart { peers, queue, frame, dial, idle } = *self;
+        if peers < voters || queue == 0 || frame < 4096 || !(dial > 0.0 && idle > 0.0) {
+            return Err(format!(
+                "fleet.links: peers {peers} (no fewer than voters), queue {queue} (1 or more), frame {frame} (4096 \
+                 or more), dial {dial} and idle {idle} (over 0)"
+            ));
+        }
+        Ok(Bounds { peers, queue, frame, dial, idle })
+    }
+}
+
+impl WatchPart {
+    fn settings(&self) -> Result<watch::Settings, String> {
+        let WatchPart { beat, stale, spread, trust } = *self;
+        let watch = watch::Settings { beat, stale, spread, trust };
+        watch.check()?;
+        Ok(watch)
+    }
+}
+
+impl ProbePart {
+    fn settings(&self) -> Result<probe::Settings, String> {
+        let ProbePart { unanswered, many, window, again, servers } = *self;
+        let probe = probe::Settings { unanswered, many, window, again, servers };
+        probe.check()?;
+        Ok(probe)
+    }
+}
+
+impl AuditPart {
+    fn settings(&self) -> Result<audit::Settings, String> {
+        let AuditPart { quiet, names, units } = *self;
+        let audit = audit::Settings { quiet, names, units };
+        audit.check()?;
+        Ok(audit)
+    }
+}
+
+impl LendPart {
+    /// `count_wait` is how long the counter's answer is awaited, in seconds.
+    fn settings(&self, count_wait: f64) -> Result<lend::Settings, String> {
+        let lend = lend::Settings {
+            ahead: self.ahead,
+            span: self.span,
+            // A borrower has to hear of it before its own time is up.
+            wait: if self.wait > 0.0 { self.wait } else { count_wait * 0.7 },
+            again: self.again,
+            pace: self.pace,
+            pause: self.pause,
+            names: self.names,
+            waiting: self.waiting,
+            borrowers: self.borrowers,
+        };
+        lend.check()?;
+        if lend.wait >= count_wait {
+            return Err(format!(
+                "fleet.lend.wait: {} is no less than the counter's time-out of {count_wait}; a borrower would \
+                 never hear of it",
+                lend.wait
+            ));
+        }
+        Ok(lend)
+    }
+}
+
 /// The plan that the environment names; none where it names no file.
 pub fn plan(name: &str, zones: &[String], zone: usize, count_wait: f64) -> Result<Option<Plan>, Fault> {
     let Ok(path) = std::env::var(VARIABLE) else { return Ok(None) };
--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -130,90 +130,149 @@
 /// All that the trial broke.
 pub fn check(trial: &Trial, lines: &[Line]) -> Vec<String> {
     let mut broken = Broken(BTreeMap::new());
+    let mut holds = check_tokens(trial, lines, &mut broken);
+    check_alone(trial, &mut holds, &mut broken);
+    check_handovers(trial, lines, &mut broken);
+    check_log_order(lines, &mut broken);
+    check_answers(lines, &mut broken);
+    check_quotas(trial, lines, &mut broken);
+    broken.0.into_values().flatten().collect()
+}
+
+fn slot_name(trial: &Trial, slot: u32) -> String {
     let duties = trial.duties();
-    let name = |slot: u32| {
-        let (duty, shard, _) = duties.slot(slot);
-        format!("{duty} {shard}")
-    };
+    let (duty, shard, _) = duties.slot(slot);
+    format!("{duty} {shard}")
+}
+
+/// A time during which one limiter held a slot under one token.
+struct Hold<'a> {
+    from: f64,
+    until: f64,
+    token: u64,
+    who: &'a str,
+}
 
-    // Tokens at each receiver never run back.
-    let mut seen: BTreeMap<(&str, u32), u64> = BTreeMap::new();
-    // A token belongs to one holder.
-    let mut owner: BTreeMap<(u32, u64), (&str, u64)> = BTreeMap::new();
-    let mut top: BTreeMap<u32, u64> = BTreeMap::new();
-    // Who holds now, since when and under what; and who held until when.
-    let mut holds: BTreeMap<(u32, &str, u64), (f64, u64)> = BTreeMap::new();
-    let mut held: BTreeMap<u32, Vec<(f64, f64, u64, &str)>> = BTreeMap::new();
+type HoldsBySlot<'a> = BTreeMap<u32, Vec<Hold<'a>>>;
+
+/// What the tokens were seen to do, line by line.
+struct TokenChecks<'a> {
+    trial: &'a Trial,
+    /// The greatest token that each receiver took, by slot.
+    accepted: BTreeMap<(&'a str, u32), u64>,
+    owner: BTreeMap<(u32, u64), (&'a str, u64)>,
+    greatest: BTreeMap<u32, u64>,
+    /// Who holds now, since when and under what.
+    current: BTreeMap<(u32, &'a str, u64), (f64, u64)>,
+    past: HoldsBySlot<'a>,
+}
+
+/// Tokens at each receiver never run back, and each belongs to one holder. Returns who held what and when.
+fn check_tokens<'a>(trial: &'a Trial, lines: &'a [Line], broken: &mut Broken) -> HoldsBySlot<'a> {
+    let mut checks = TokenChecks {
+        trial,
+        accepted: BTreeMap::new(),
+        owner: BTreeMap::new(),
+        greatest: BTreeMap::new(),
+        current: BTreeMap::new(),
+        past: BTreeMap::new(),
+    };
     for line in lines {
         match line {
             Line::Accepted { t, at, who, slot, token } => {
-                let last = seen.entry((at, *slot)).or_insert(0);
-                if token < last {
-                    let last = *last;
-                    broken.add("token", || {
-                        format!("{at} took {} under {token} from {who} at {t:.3}, after {last}", name(*slot))
-                    });
-                }
-                *last = (*last).max(*token);
-            }
-            Line::Began { t, who, run, slot, token } => {
-                if owner.insert((*slot, *token), (who, *run)).is_some_and(|o| o != (who.as_str(), *run)) {
-                    broken.add("owner", || {
-                        format!("token {token} of {} has two holders at {t:.3}", name(*slot))
-                    });
-                }
-                let greatest = top.entry(*slot).or_insert(0);
-                if *token < *greatest {
-                    broken.add("order", || {
-                        format!("{who} began {} under an old {token} at {t:.3}", name(*slot))
-                    });
-                }
-                *greatest = (*greatest).max(*token);
-                holds.insert((*slot, who, *run), (*t, *token));
-            }
-            Line::Ended { t, who, run, slot, until, .. } => {
-                if let Some((from, token)) = holds.remove(&(*slot, who.as_str(), *run)) {
-                    held.entry(*slot).or_default().push((from, t.min(*until), token, who));
-                }
-            }
-            Line::Died { t, who, run, until } => {
-                let of: Vec<_> = holds.keys().filter(|k| k.1 == who && k.2 == *run).copied().collect();
-                for key in of {
-                    if let Some((from, token)) = holds.remove(&key) {
-                        held.entry(key.0).or_default().push((from, t.min(*until), token, who));
-                    }
-                }
+                checks.accepted(*t, at, who, *slot, *token, broken);
             }
+            Line::Began { t, who, run, slot, token } => checks.began(*t, (who, *run), *slot, *token, broken),
+            Line::Ended { t, who, run, slot, until, .. } => checks.ended((*slot, who, *run), t.min(*until)),
+            Line::Died { t, who, run, until } => checks.died(who, *run, t.min(*until)),
             _ => {}
         }
     }
-    for ((slot, who, _), (from, token)) in &holds {
-        held.entry(*slot).or_default().push((*from, f64::INFINITY, *token, who));
+    checks.finish()
+}
+
+impl<'a> TokenChecks<'a> {
+    fn accepted(&mut self, t: f64, at: &'a str, who: &str, slot: u32, token: u64, broken: &mut Broken) {
+        let last = self.accepted.entry((at, slot)).or_insert(0);
+        if token < *last {
+            let (trial, last) = (self.trial, *last);
+            broken.add("token", || {
+                let slot = slot_name(trial, slot);
+                format!("{at} took {slot} under {token} from {who} at {t:.3}, after {last}")
+            });
+        }
+        *last = (*last).max(token);
     }
-    // One at a time: whoever begins does so when the one before holds no more, stopped or not.
-    for (slot, of) in &mut held {
-        of.sort_by(|a, b| a.0.total_cmp(&b.0));
+
+    fn began(&mut self, t: f64, holder: (&'a str, u64), slot: u32, token: u64, broken: &mut Broken) {
+        let trial = self.trial;
+        if self.owner.insert((slot, token), holder).is_some_and(|other| other != holder) {
+            broken.add("owner", || {
+                format!("token {token} of {} has two holders at {t:.3}", slot_name(trial, slot))
+            });
+        }
+        let (who, run) = holder;
+        let greatest = self.greatest.entry(slot).or_insert(0);
+        if token < *greatest {
+            broken.add("order", || {
+                format!("{who} began {} under an old {token} at {t:.3}", slot_name(trial, slot))
+            });
+        }
+        *greatest = (*greatest).max(token);
+        self.current.insert((slot, who, run), (t, token));
+    }
+
+    fn ended(&mut self, key: (u32, &'a str, u64), until: f64) {
+        let (slot, who, _) = key;
+        if let Some((from, token)) = self.current.remove(&key) {
+            self.past.entry(slot).or_default().push(Hold { from, until, token, who });
+        }
+    }
+
+    fn died(&mut self, who: &'a str, run: u64, until: f64) {
+        let of: Vec<_> = self.current.keys().filter(|k| k.1 == who && k.2 == run).copied().collect();
+        of.into_iter().for_each(|key| self.ended(key, until));
+    }
+
+    fn finish(mut self) -> HoldsBySlot<'a> {
+        let open: Vec<_> = self.current.keys().copied().collect();
+        open.into_iter().for_each(|key| self.ended(key, f64::INFINITY));
+        self.past
+    }
+}
+
+/// One at a time: whoever begins does so when the one before holds no more, stopped or not.
+fn check_alone(trial: &Trial, holds: &mut HoldsBySlot, broken: &mut Broken) {
+    for (slot, of) in holds {
+        of.sort_by(|a, b| a.from.total_cmp(&b.from));
         for (n, a) in of.iter().enumerate() {
-            if let Some(b) = of[n + 1..].iter().find(|b| b.0 < a.1 && b.2 != a.2) {
+            if let Some(b) = of[n + 1..].iter().find(|b| b.from < a.until && b.token != a.token) {
                 broken.add("alone", || {
-                    format!("{} held {} until {:.3}, {} from {:.3}", a.3, name(*slot), a.1, b.3, b.0)
+                    let slot = slot_name(trial, *slot);
+                    format!("{} held {slot} until {:.3}, {} from {:.3}", a.who, a.until, b.who, b.from)
                 });
             }
         }
     }
+}
 
-    // Every duty is held again in time.
+/// Every duty is held again in time.
+fn check_handovers(trial: &Trial, lines: &[Line], broken: &mut Broken) {
     let calm = trial.calm_from() + trial.settle;
     // Where messages are lost all the time, a lease may be too.
-    let handover = HANDOVER + if trial.net.lose > 0.0 { duties.wait() } else { 0.0 };
+    let handover = HANDOVER + if trial.net.lose > 0.0 { trial.duties().wait() } else { 0.0 };
     for gap in gaps(trial, lines).into_iter().filter(|g| g.to > calm) {
         if gap.from < calm || gap.to - gap.from > handover {
             let (from, to) = (gap.from, gap.to);
-            broken.add("held", || format!("nobody held {} from {from:.3} to {to:.3}", name(gap.slot)));
+            broken.add("held", || {
+                format!("nobody held {} from {from:.3} to {to:.3}", slot_name(trial, gap.slot))
+            });
         }
     }
+}
 
-    // The log as asks see it never runs back.
+/// The log as asks see it never runs back.
+fn check_log_order(lines: &[Line], broken: &mut Broken) {
     let mut told: Vec<(f64, f64, u64)> = lines
         .iter()
         .filter_map(|l| match l {
@@ -229,8 +288,10 @@
             });
         }
     }
+}
 
-    // Invocations: one final answer each.
+/// Invocations get one final answer each.
+fn check_answers(lines: &[Line], broken: &mut Broken) {
     for line in lines {
         if let Line::Answer { sent, answers, status, in_time, .. } = line {
             if *answers != 1 {
@@ -242,23 +303,23 @@
             }
         }
     }
+}
 
-    // Quotas stay within the bound that is written down, ceilings within themselves.
-    if let Some(quota) = &trial.quota {
-        let seen = quotas::judge(trial, quota, lines);
-        if seen.overshoot > seen.bound {
-            broken.add("quota", || {
-                format!("{:.1} over the quota; the bound is {:.1}", seen.overshoot, seen.bound)
-            });
-        }
-        if seen.over_ceiling > quotas::JITTER {
-            broken.add("ceiling", || format!("{:.1} over the hard ceiling", seen.over_ceiling));
-        }
-        if let Some(served) = seen.served.filter(|s| *s < SERVED) {
-            broken.add("served", || format!("after all faults {served:.2} of what the quotas hold"));
-        }
+/// Quotas stay within the bound that is written down, ceilings within themselves.
+fn check_quotas(trial: &Trial, lines: &[Line], broken: &mut Broken) {
+    let Some(quota) = &trial.quota else { return };
+    let seen = quotas::judge(trial, quota, lines);
+    if seen.overshoot > seen.bound {
+        broken.add("quota", || {
+            format!("{:.1} over the quota; the bound is {:.1}", seen.overshoot, seen.bound)
+        });
+    }
+    if seen.over_ceiling > quotas::JITTER {
+        broken.add("ceiling", || format!("{:.1} over the hard ceiling", seen.over_ceiling));
+    }
+    if let Some(served) = seen.served.filter(|s| *s < SERVED) {
+        broken.add("served", || format!("after all faults {served:.2} of what the quotas hold"));
     }
-    broken.0.into_values().flatten().collect()
 }
 
 /// Least share of what the quotas hold that is served when all is well again; the load is over it.
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -85,3 +85,22 @@
         value: f64,
     },
 }
+
+impl Line {
+    /// When it was seen.
+    pub fn time(&self) -> f64 {
+        match self {
+            Line::Began { t, .. }
+            | Line::Ended { t, .. }
+            | Line::Died { t, .. }
+            | Line::Started { t, .. }
+            | Line::Accepted { t, .. }
+            | Line::Refused { t, .. }
+            | Line::Told { t, .. }
+            | Line::Fault { t, .. }
+            | Line::Report { t, .. }
+            | Line::Answer { t, .. }
+            | Line::Counted { t, .. } => *t,
+        }
+    }
+}
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -14,24 +14,11 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Draws a trial: a small fleet and this many faults of every kind, many at once.
+/// Draws a trial: a small fleet and this many faults of every kind, many at once. The order of the draws is
+/// what a seed stands for: it stays.
 pub fn draw(seed: u64, faults: usize) -> Trial {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let voters = if rng.random_bool(0.7) { 3 } else { 5 };
-    let limiters = rng.random_range(voters..voters + 6);
-    let duty = |name: &str, shards, by_zone| Duty { name: name.into(), shards, by_zone };
-    let stall = if rng.random_bool(0.3) { 4.0 } else { 0.0 };
-    let fleet = Fleet {
-        limiters,
-        voters,
-        stall,
-        duties: vec![
-            duty("watch", 1, true),
-            duty("probe", 3, false),
-            duty("audit", rng.random_range(1..8), false),
-        ],
-        ..Fleet::default()
-    };
+    let fleet = draw_fleet(&mut rng);
     let mut trial = Trial {
         name: format!("drawn-{seed}"),
         seconds: 0.0,
@@ -44,88 +31,121 @@
     };
     let mut spoilt = false;
     for _ in 0..faults {
-        use Kind::*;
-        let kinds = [
-            Kill, Kill, Stall, Stall, Term, Upgrade, Twin, Cut, Cut, Cut, Lose, Delay, Reorder, Double, Slow,
-            SlowDisk, Idle,
-        ];
-        let kind = kinds[rng.random_range(0..kinds.len())];
-        let mut target = match rng.random_range(0..8) {
-            0 | 1 => "leader".into(),
-            2 => "holder:audit:0".to_string(),
-            3 => format!("holder:watch:{}", rng.random_range(0..3)),
-            4 => format!("voter:{}", rng.random_range(0..voters)),
-            5 => format!("zone:{}", ["a", "b", "c"][rng.random_range(0..3)]),
-            6 => format!("limiter:{}", rng.random_range(0..limiters)),
-            _ => ["half", "voters", "all"][rng.random_range(0..3)].to_owned(),
-        };
-        if kind == Twin && !target.starts_with("holder") {
-            target = format!("limiter:{}", rng.random_range(0..limiters));
-        }
-        let peers = [None, Some("voters"), Some("leader"), Some("half"), Some("receivers"), Some("voter:0")];
-        let link = matches!(kind, Cut | Lose | Delay | Reorder | Double);
-        let peer = peers[if link { rng.random_range(0..peers.len()) } else { 0 }].map(str::to_owned);
-        let amount = match kind {
-            Lose => rng.random_range(0.05..0.6),
-            Delay => rng.random_range(0.01..1.5),
-            Reorder => rng.random_range(0.05..2.5),
-            Slow => rng.random_range(0.001..0.05),
-            Upgrade => rng.random_range(1..4) as f64,
-            SlowDisk => rng.random_range(0.1..2.0),
-            _ => 0.0,
-        };
-        let mut disk = Disk::Kept;
-        if kind == Kill
-            && !spoilt
-            && target != "all"
-            && target != "voters"
-            && target != "half"
-            && rng.random_bool(0.4)
-        {
-            // One voter's disk in a trial: with a majority's disks gone nothing can come back by itself.
-            target = format!("voter:{}", rng.random_range(0..voters));
-            disk = if rng.random_bool(0.5) { Disk::Lost } else { Disk::Older };
-            spoilt = true;
-        }
-        trial.faults.push(Fault {
-            kind,
-            at: rng.random_range(3.0..16.0),
-            length: rng.random_range(0.3..7.0),
-            target,
-            peer,
-            way: [Way::Both, Way::Both, Way::From, Way::To][rng.random_range(0..4)],
-            amount,
-            disk,
-            older: rng.random_range(0.5..4.0),
-            every: if link && rng.random_bool(0.2) { 0.7 } else { 0.0 },
-        });
+        let fault = draw_fault(&mut rng, &trial.fleet, &mut spoilt);
+        trial.faults.push(fault);
     }
     trial.seconds = trial.calm_from() + trial.settle + 3.0;
     // In one of three, customers over their quotas, brokers between them and the counter, and its faults.
     if rng.random_range(0..3) == 0 {
         trial.fleet.duties.push(duty("lend", rng.random_range(1..6), false));
-        let hard = rng.random_bool(0.5);
-        trial.quota = Some(Quota {
-            customers: rng.random_range(1..6),
-            rate: rng.random_range(2.0..8.0),
-            burst: rng.random_range(4..30) as f64,
-            hard_rate: if hard { 12.0 } else { 0.0 },
-            hard_burst: if hard { 40.0 } else { 0.0 },
-            times: rng.random_range(0.5..4.0),
-            thin: rng.random_bool(0.3),
-            counter: [30.0, 100.0, 10_000.0][rng.random_range(0..3)],
-            ..Quota::default()
-        });
+        trial.quota = Some(draw_quota(&mut rng));
         if rng.random_bool(0.6) {
-            let kind = if rng.random_bool(0.7) { Kind::Silence } else { Kind::Forget };
-            let (at, length) = (rng.random_range(3.0..16.0), rng.random_range(0.3..7.0));
-            trial.faults.push(Fault::new(kind, at, length, "counter"));
+            trial.faults.push(draw_counter_fault(&mut rng));
             trial.seconds = trial.calm_from() + trial.settle + 3.0;
         }
     }
     trial
 }
 
+fn duty(name: &str, shards: u32, by_zone: bool) -> Duty {
+    Duty { name: name.into(), shards, by_zone }
+}
+
+fn draw_fleet(rng: &mut Xoshiro256PlusPlus) -> Fleet {
+    let voters = if rng.random_bool(0.7) { 3 } else { 5 };
+    let limiters = rng.random_range(voters..voters + 6);
+    let stall = if rng.random_bool(0.3) { 4.0 } else { 0.0 };
+    let duties = vec![
+        duty("watch", 1, true),
+        duty("probe", 3, false),
+        duty("audit", rng.random_range(1..8), false),
+    ];
+    Fleet { limiters, voters, stall, duties, ..Fleet::default() }
+}
+
+/// `spoilt` says whether a voter's disk was lost or put back already.
+fn draw_fault(rng: &mut Xoshiro256PlusPlus, fleet: &Fleet, spoilt: &mut bool) -> Fault {
+    use Kind::*;
+    let kinds = [
+        Kill, Kill, Stall, Stall, Term, Upgrade, Twin, Cut, Cut, Cut, Lose, Delay, Reorder, Double, Slow,
+        SlowDisk, Idle,
+    ];
+    let kind = kinds[rng.random_range(0..kinds.len())];
+    let mut target = draw_target(rng, fleet);
+    if kind == Twin && !target.starts_with("holder") {
+        target = format!("limiter:{}", rng.random_range(0..fleet.limiters));
+    }
+    let peers = [None, Some("voters"), Some("leader"), Some("half"), Some("receivers"), Some("voter:0")];
+    let link = matches!(kind, Cut | Lose | Delay | Reorder | Double);
+    let peer = peers[if link { rng.random_range(0..peers.len()) } else { 0 }].map(str::to_owned);
+    let amount = draw_amount(rng, kind);
+    let mut disk = Disk::Kept;
+    let several = ["all", "voters", "half"].contains(&target.as_str());
+    if kind == Kill && !*spoilt && !several && rng.random_bool(0.4) {
+        // One voter's disk in a trial: with a majority's disks gone nothing can come back by itself.
+        target = format!("voter:{}", rng.random_range(0..fleet.voters));
+        disk = if rng.random_bool(0.5) { Disk::Lost } else { Disk::Older };
+        *spoilt = true;
+    }
+    Fault {
+        kind,
+        at: rng.random_range(3.0..16.0),
+        length: rng.random_range(0.3..7.0),
+        target,
+        peer,
+        way: [Way::Both, Way::Both, Way::From, Way::To][rng.random_range(0..4)],
+        amount,
+        disk,
+        older: rng.random_range(0.5..4.0),
+        every: if link && rng.random_bool(0.2) { 0.7 } else { 0.0 },
+    }
+}
+
+fn draw_target(rng: &mut Xoshiro256PlusPlus, fleet: &Fleet) -> String {
+    match rng.random_range(0..8) {
+        0 | 1 => "leader".into(),
+        2 => "holder:audit:0".to_string(),
+        3 => format!("holder:watch:{}", rng.random_range(0..3)),
+        4 => format!("voter:{}", rng.random_range(0..fleet.voters)),
+        5 => format!("zone:{}", ["a", "b", "c"][rng.random_range(0..3)]),
+        6 => format!("limiter:{}", rng.random_range(0..fleet.limiters)),
+        _ => ["half", "voters", "all"][rng.random_range(0..3)].to_owned(),
+    }
+}
+
+fn draw_amount(rng: &mut Xoshiro256PlusPlus, kind: Kind) -> f64 {
+    match kind {
+        Kind::Lose => rng.random_range(0.05..0.6),
+        Kind::Delay => rng.random_range(0.01..1.5),
+        Kind::Reorder => rng.random_range(0.05..2.5),
+        Kind::Slow => rng.random_range(0.001..0.05),
+        Kind::Upgrade => rng.random_range(1..4) as f64,
+        Kind::SlowDisk => rng.random_range(0.1..2.0),
+        _ => 0.0,
+    }
+}
+
+fn draw_quota(rng: &mut Xoshiro256PlusPlus) -> Quota {
+    let hard = rng.random_bool(0.5);
+    Quota {
+        customers: rng.random_range(1..6),
+        rate: rng.random_range(2.0..8.0),
+        burst: rng.random_range(4..30) as f64,
+        hard_rate: if hard { 12.0 } else { 0.0 },
+        hard_burst: if hard { 40.0 } else { 0.0 },
+        times: rng.random_range(0.5..4.0),
+        thin: rng.random_bool(0.3),
+        counter: [30.0, 100.0, 10_000.0][rng.random_range(0..3)],
+        ..Quota::default()
+    }
+}
+
+fn draw_counter_fault(rng: &mut Xoshiro256PlusPlus) -> Fault {
+    let kind = if rng.random_bool(0.7) { Kind::Silence } else { Kind::Forget };
+    let (at, length) = (rng.random_range(3.0..16.0), rng.random_range(0.3..7.0));
+    Fault::new(kind, at, length, "counter")
+}
+
 /// Plays drawn trials on all cores; says what broke and keeps those trials.
 pub fn sweep(seed: u64, count: u64, faults: usize, keep: Option<PathBuf>) -> ExitCode {
     if let Some(dir) = &keep {
--- a/crates/lab/src/processes.rs
+++ b/crates/lab/src/processes.rs
@@ -292,15 +292,44 @@
         servers.push((format!("s-{n}"), server.address, zone, "Ready"));
     }
     let discovery = Discovery::start(1, list(1, &servers)).await.map_err(fail)?;
-    let mut limiters = Vec::new();
-    for n in 0..trial.fleet.limiters {
+    let limiters = (0..trial.fleet.limiters).map(|n| Limiter::new(trial, n, &dir));
+    let limiters = limiters.collect::<std::io::Result<Vec<_>>>().map_err(fail)?;
+    let via = proxy_all(&rules, &limiters).await.map_err(fail)?;
+    let lines = Rc::new(RefCell::new(Vec::new()));
+    let mut receivers = Vec::new();
+    for n in 0..trial.fleet.receivers {
+        let udp = UdpSocket::bind("127.0.0.1:0").await.map_err(fail)?;
+        let SocketAddr::V4(at) = udp.local_addr().map_err(fail)? else { continue };
+        receivers.push(at);
+        let fence = Fence::kept(vec![0; trial.duties().slots() as usize]);
+        tokio::task::spawn_local(receive(udp, n, fence, lines.clone(), rules.clone()));
+    }
+    let world = World {
+        trial,
+        dir,
+        program,
+        rules,
+        limiters: Rc::new(limiters),
+        via,
+        receivers,
+        lines,
+        discovery,
+        counter,
+        servers: stands,
+        runs: Cell::new(seed),
+    };
+    world.play().await
+}
+
+impl Limiter {
+    fn new(trial: &Trial, n: usize, dir: &Path) -> std::io::Result<Self> {
         let own = dir.join(trial.limiter(n));
-        std::fs::create_dir_all(&own).map_err(fail)?;
-        limiters.push(Limiter {
+        std::fs::create_dir_all(&own)?;
+        Ok(Limiter {
             name: trial.limiter(n),
             number: n,
-            peer: free().map_err(fail)?,
-            client: SocketAddr::V4(free().map_err(fail)?),
+            peer: free()?,
+            client: SocketAddr::V4(free()?),
             dir: own,
             running: RefCell::default(),
             twin: RefCell::default(),
@@ -310,56 +339,46 @@
             excused: Cell::new(f64::NEG_INFINITY),
             read: Cell::new(0),
             copies: RefCell::default(),
-        });
+        })
     }
+}
+
+/// A proxy between each two limiters, by which faults reach their links: where each reaches the others.
+async fn proxy_all(
+    rules: &Rc<Rules>,
+    limiters: &[Limiter],
+) -> std::io::Result<Vec<BTreeMap<SocketAddrV4, SocketAddrV4>>> {
     let mut via = Vec::new();
     for from in 0..limiters.len() {
         let mut of = BTreeMap::new();
         for to in (0..limiters.len()).filter(|to| *to != from) {
-            let at = proxy(rules.clone(), from, to, limiters[to].peer).await.map_err(fail)?;
+            let at = proxy(rules.clone(), from, to, limiters[to].peer).await?;
             of.insert(limiters[to].peer, at);
         }
         via.push(of);
     }
-    let lines = Rc::new(RefCell::new(Vec::new()));
-    let mut receivers = Vec::new();
-    for n in 0..trial.fleet.receivers {
-        let udp = UdpSocket::bind("127.0.0.1:0").await.map_err(fail)?;
-        let SocketAddr::V4(at) = udp.local_addr().map_err(fail)? else { continue };
-        receivers.push(at);
-        let mut fence = Fence::kept(vec![0; trial.duties().slots() as usize]);
-        let (lines, rules) = (lines.clone(), rules.clone());
-        tokio::task::spawn_local(async move {
-            let mut buffer = vec![0; 2048];
-            loop {
-                let Ok((len, _)) = udp.recv_from(&mut buffer).await else { continue };
-                let Ok(frame) = Frame::from_datagram(&buffer[..len], "trial") else { continue };
-                let Ok(Work::Effect { slot, token }) = postcard::from_bytes::<Work>(&frame.body) else {
-                    continue;
-                };
-                let (t, at, who) = (clock() - rules.start.get(), format!("r{n}"), frame.from);
-                lines.borrow_mut().push(match fence.accept(slot, token) {
-                    true => Line::Accepted { t, at, who, slot, token },
-                    false => Line::Refused { t, at, who, slot, token },
-                });
-            }
+    Ok(via)
+}
+
+/// A receiver of effects that is no limiter: it refuses old tokens.
+async fn receive(
+    udp: UdpSocket,
+    n: usize,
+    mut fence: Fence,
+    lines: Rc<RefCell<Vec<Line>>>,
+    rules: Rc<Rules>,
+) {
+    let mut buffer = vec![0; 2048];
+    loop {
+        let Ok((len, _)) = udp.recv_from(&mut buffer).await else { continue };
+        let Ok(frame) = Frame::from_datagram(&buffer[..len], "trial") else { continue };
+        let Ok(Work::Effect { slot, token }) = postcard::from_bytes::<Work>(&frame.body) else { continue };
+        let (t, at, who) = (clock() - rules.start.get(), format!("r{n}"), frame.from);
+        lines.borrow_mut().push(match fence.accept(slot, token) {
+            true => Line::Accepted { t, at, who, slot, token },
+            false => Line::Refused { t, at, who, slot, token },
         });
     }
-    let world = World {
-        trial,
-        dir,
-        program,
-        rules,
-        limiters: Rc::new(limiters),
-        via,
-        receivers,
-        lines,
-        discovery,
-        counter,
-        servers: stands,
-        runs: Cell::new(seed),
-    };
-    world.play().await
 }
 
 const SETTINGS: &str = r#"{"classes":[
@@ -370,6 +389,39 @@
  "limits":{"maxRetryAfterS":0.5,"retryAfter":true,"tryLimit":6,"dialTimeoutS":0.25,"keepaliveS":5.0},
  "rules":{"coldFrom":0.2,"coldS":10,"fallMultiple":4,"answerSlackS":0.016}}"#;
 
+/// When a fault begins or ends.
+struct Moment {
+    at: f64,
+    /// Its number in the trial.
+    fault: usize,
+    on: bool,
+}
+
+/// Each fault's two moments, in order.
+fn fault_moments(faults: &[Fault]) -> Vec<Moment> {
+    let mut moments = Vec::new();
+    for (n, f) in faults.iter().enumerate() {
+        moments.push(Moment { at: f.at, fault: n, on: true });
+        moments.push(Moment { at: f.at + f.length, fault: n, on: false });
+    }
+    moments.sort_by(|a, b| a.at.total_cmp(&b.at));
+    moments
+}
+
+async fn wait_until_ready(l: &Limiter) -> Result<(), String> {
+    let begun = clock();
+    while ask(l.client, "/-/ready", &[], 1.0).await != Some(200) {
+        let ended =
+            l.running.borrow_mut().as_mut().is_some_and(|r| matches!(r.child.try_wait(), Ok(Some(_))));
+        if ended || clock() > begun + 20.0 {
+            let log = std::fs::read_to_string(l.dir.join("log")).unwrap_or_default();
+            return Err(format!("{} did not start: {}", l.name, log.lines().last().unwrap_or("no word")));
+        }
+        sleep(Duration::from_millis(20)).await;
+    }
+    Ok(())
+}
+
 impl World<'_> {
     /// Writes what a limiter is started with, and starts it.
     fn start(&self, n: usize, twin: bool) -> Result<Running, String> {
@@ -684,23 +736,7 @@
         }
         // Ready when all serve; the trial's time begins then.
         for l in self.limiters.iter() {
-            let begun = clock();
-            while ask(l.client, "/-/ready", &[], 1.0).await != Some(200) {
-                let ended = l
-                    .running
-                    .borrow_mut()
-                    .as_mut()
-                    .is_some_and(|r| matches!(r.child.try_wait(), Ok(Some(_))));
-                if ended || clock() > begun + 20.0 {
-                    let log = std::fs::read_to_string(l.dir.join("log")).unwrap_or_default();
-                    return Err(format!(
-                        "{} did not start: {}",
-                        l.name,
-                        log.lines().last().unwrap_or("no word")
-                    ));
-                }
-                sleep(Duration::from_millis(20)).await;
-            }
+            wait_until_ready(l).await?;
         }
         self.rules.start.set(clock());
         let load = tokio::task::spawn_local(load(
@@ -710,47 +746,32 @@
             self.trial.load.rate,
             self.trial.quota.clone(),
         ));
-        // Each fault's two moments, in order.
-        let mut moments: Vec<(f64, usize, bool)> = Vec::new();
-        for (n, f) in self.trial.faults.iter().enumerate() {
-            moments.push((f.at, n, true));
-            moments.push((f.at + f.length, n, false));
+        self.play_faults().await?;
+        load.abort();
+        self.count_time();
+        for l in self.limiters.iter() {
+            drop(l.twin.borrow_mut().take());
         }
-        moments.sort_by(|a, b| a.0.total_cmp(&b.0));
+        self.read();
+        self.keep_logs();
+        let mut lines = std::mem::take(&mut *self.lines.borrow_mut());
+        // Each limiter's own lines keep their order.
+        lines.sort_by(|a, b| a.time().total_cmp(&b.time()));
+        Ok(lines)
+    }
+
+    /// Begins and ends each fault at its moment, until the trial's time is over.
+    async fn play_faults(&self) -> Result<(), String> {
+        let moments = fault_moments(&self.trial.faults);
         let mut hit: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         let copies = self.trial.faults.iter().any(|f| f.disk == Disk::Older);
         let mut next = 0;
         let mut count = 0u64;
         while self.now() < self.trial.seconds {
-            while next < moments.len() && self.now() >= moments[next].0 {
-                let (_, n, on) = moments[next];
+            while next < moments.len() && self.now() >= moments[next].at {
+                let Moment { fault, on, .. } = moments[next];
                 next += 1;
-                let fault = &self.trial.faults[n];
-                let what = serde_json::to_string(fault).unwrap_or_default();
-                self.lines.borrow_mut().push(Line::Fault { t: self.now(), what, on });
-                let server = fault.target.strip_prefix("server:").and_then(|n| n.parse::<usize>().ok());
-                if let (Kind::Hang, Some(server)) = (fault.kind, server) {
-                    self.servers[server].hangs.set(on);
-                }
-                match fault.kind {
-                    Kind::Forget if on => self.counter.empty(),
-                    Kind::Silence => self.counter.silent.set(on),
-                    _ => {}
-                }
-                if on {
-                    let from = self.target(&fault.target);
-                    let to = fault.peer.as_ref().map(|p| self.target(p));
-                    self.rules.active.borrow_mut().push(Active { n, from: from.clone(), to });
-                    for node in &from {
-                        self.hit(*node, fault).await?;
-                    }
-                    hit.insert(n, from);
-                } else {
-                    self.rules.active.borrow_mut().retain(|a| a.n != n);
-                    for node in hit.remove(&n).unwrap_or_default() {
-                        self.heal(node, fault)?;
-                    }
-                }
+                self.fault(fault, on, &mut hit).await?;
             }
             count += 1;
             self.throttle(count);
@@ -759,35 +780,51 @@
             }
             sleep(Duration::from_millis(10)).await;
         }
-        load.abort();
-        self.count_time();
-        for l in self.limiters.iter() {
-            drop(l.twin.borrow_mut().take());
-        }
-        self.read();
-        let keep = std::env::var_os("DUNESPUR_KEEP_LOGS");
-        if let Some(to) = keep {
-            for l in self.limiters.iter() {
-                let _ = std::fs::copy(l.dir.join("log"), Path::new(&to).join(format!("{}.log", l.name)));
+        Ok(())
+    }
+
+    /// A fault begins or ends; `hit` has the limiters that each active fault lies on.
+    async fn fault(&self, n: usize, on: bool, hit: &mut BTreeMap<usize, Vec<usize>>) -> Result<(), String> {
+        let fault = &self.trial.faults[n];
+        let what = serde_json::to_string(fault).unwrap_or_default();
+        self.lines.borrow_mut().push(Line::Fault { t: self.now(), what, on });
+        self.fault_outside(fault, on);
+        if on {
+            let from = self.target(&fault.target);
+            let to = fault.peer.as_ref().map(|p| self.target(p));
+            self.rules.active.borrow_mut().push(Active { n, from: from.clone(), to });
+            for node in &from {
+                self.hit(*node, fault).await?;
+            }
+            hit.insert(n, from);
+        } else {
+            self.rules.active.borrow_mut().retain(|a| a.n != n);
+            for node in hit.remove(&n).unwrap_or_default() {
+                self.heal(node, fault)?;
             }
         }
-        let mut lines = std::mem::take(&mut *self.lines.borrow_mut());
-        let of = |l: &Line| match l {
-            Line::Began { t, .. }
-            | Line::Ended { t, .. }
-            | Line::Died { t, .. }
-            | Line::Started { t, .. }
-            | Line::Accepted { t, .. }
-            | Line::Refused { t, .. }
-            | Line::Told { t, .. }
-            | Line::Fault { t, .. }
-            | Line::Report { t, .. }
-            | Line::Answer { t, .. }
-            | Line::Counted { t, .. } => *t,
-        };
-        // Each limiter's own lines keep their order.
-        lines.sort_by(|a, b| of(a).total_cmp(&of(b)));
-        Ok(lines)
+        Ok(())
+    }
+
+    /// What a fault does to the servers and the counter.
+    fn fault_outside(&self, fault: &Fault, on: bool) {
+        let server = fault.target.strip_prefix("server:").and_then(|n| n.parse::<usize>().ok());
+        if let (Kind::Hang, Some(server)) = (fault.kind, server) {
+            self.servers[server].hangs.set(on);
+        }
+        match fault.kind {
+            Kind::Forget if on => self.counter.empty(),
+            Kind::Silence => self.counter.silent.set(on),
+            _ => {}
+        }
+    }
+
+    /// Copies the limiters' logs to where the environment wants them.
+    fn keep_logs(&self) {
+        let Some(to) = std::env::var_os("DUNESPUR_KEEP_LOGS") else { return };
+        for l in self.limiters.iter() {
+            let _ = std::fs::copy(l.dir.join("log"), Path::new(&to).join(format!("{}.log", l.name)));
+        }
     }
 
     /// Processor seconds that each limiter has used since its start.
