--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/gateway/src/operators.rs
@@ -2,10 +2,10 @@
 //! its checks. It must never be needed: without it, or without its `fleet` section, nothing of it runs.
 
 use crate::fault::Fault;
-use dunespur_duties::{audit, probe, watch, Duty, Settings as Duties};
-use dunespur_members::Settings as Members;
-use dunespur_peer::Bounds;
-use dunespur_shared_state::lend;
+use dunespur_gossip_membership::Settings as Members;
+use dunespur_peer_transport::Bounds;
+use dunespur_quota_sharing::lend;
+use dunespur_singleton_roles::{audit, probe, watch, Duty, Settings as Duties};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -92,7 +92,14 @@
 
 impl Default for MembersPart {
     fn default() -> Self {
-        MembersPart { probe: 1.0, answer: 0.3, suspect: 4.0, gossip: 0.2, again: 5.0, datagram: 1400 }
+        MembersPart {
+            probe: 1.0,
+            answer: 0.3,
+            suspect: 4.0,
+            gossip: 0.2,
+            again: 5.0,
+            datagram: 1400,
+        }
     }
 }
 
@@ -108,7 +115,13 @@
 
 impl Default for LinksPart {
     fn default() -> Self {
-        LinksPart { peers: 64, queue: 256, frame: 1 << 20, dial: 0.5, idle: 30.0 }
+        LinksPart {
+            peers: 64,
+            queue: 256,
+            frame: 1 << 20,
+            dial: 0.5,
+            idle: 30.0,
+        }
     }
 }
 
@@ -123,7 +136,12 @@
 
 impl Default for WatchPart {
     fn default() -> Self {
-        WatchPart { beat: 0.5, stale: 1.6, spread: 0.5, trust: 5.0 }
+        WatchPart {
+            beat: 0.5,
+            stale: 1.6,
+            spread: 0.5,
+            trust: 5.0,
+        }
     }
 }
 
@@ -139,7 +157,13 @@
 
 impl Default for ProbePart {
     fn default() -> Self {
-        ProbePart { unanswered: 1, many: 2, window: 5.0, again: 2.0, servers: 256 }
+        ProbePart {
+            unanswered: 1,
+            many: 2,
+            window: 5.0,
+            again: 2.0,
+            servers: 256,
+        }
     }
 }
 
@@ -153,7 +177,11 @@
 
 impl Default for AuditPart {
     fn default() -> Self {
-        AuditPart { quiet: 2.0, names: 10_000, units: 0.01 }
+        AuditPart {
+            quiet: 2.0,
+            names: 10_000,
+            units: 0.01,
+        }
     }
 }
 
@@ -229,8 +257,16 @@
     64
 }
 fn duties() -> Vec<Duty> {
-    let duty = |name: &str, by_zone| Duty { name: name.into(), shards: 1, by_zone };
-    vec![duty("watch", true), duty("probe", false), duty("audit", false)]
+    let duty = |name: &str, by_zone| Duty {
+        name: name.into(),
+        shards: 1,
+        by_zone,
+    };
+    vec![
+        duty("watch", true),
+        duty("probe", false),
+        duty("audit", false),
+    ]
 }
 
 /// What the fleet's part of the process is made from.
@@ -252,7 +288,8 @@
 }
 
 fn address(key: &str, text: &str) -> Result<SocketAddrV4, String> {
-    let wrong = || format!("{key}: {text} is no IPv4 address with a port; write it like 10.0.0.4:7100");
+    let wrong =
+        || format!("{key}: {text} is no IPv4 address with a port; write it like 10.0.0.4:7100");
     text.parse().map_err(|_| wrong())
 }
 
@@ -264,12 +301,20 @@
     zone: usize,
     count_wait: f64,
 ) -> Result<Option<Plan>, String> {
-    let Some(fleet) = parse(text)?.fleet else { return Ok(None) };
+    let Some(fleet) = parse(text)?.fleet else {
+        return Ok(None);
+    };
     let voters = fleet.voter_addresses()?;
     let zones = fleet.zones.clone().unwrap_or_else(|| zones.to_vec());
-    let zone = fleet.zone.clone().unwrap_or_else(|| zones.get(zone).cloned().unwrap_or_default());
+    let zone = fleet
+        .zone
+        .clone()
+        .unwrap_or_else(|| zones.get(zone).cloned().unwrap_or_default());
     if !zones.contains(&zone) {
-        return Err(format!("fleet.zone: {zone} is not among the zones {}", zones.join(", ")));
+        return Err(format!(
+            "fleet.zone: {zone} is not among the zones {}",
+            zones.join(", ")
+        ));
     }
     let duties = fleet.duty_settings(&voters, zones)?;
     let listen = fleet.listen_address(&voters, name)?;
@@ -281,7 +326,10 @@
     let audit = fleet.audit.settings()?;
     let lend = fleet.lend.settings(count_wait)?;
     let trial = fleet.trial.unwrap_or_default();
-    let via = trial.via.iter().map(|(a, b)| Ok((address("via", a)?, address("via", b)?)));
+    let via = trial
+        .via
+        .iter()
+        .map(|(a, b)| Ok((address("via", a)?, address("via", b)?)));
     let via = via.collect::<Result<_, String>>()?;
     let machine = fleet.machine.unwrap_or_else(|| name.to_owned());
     let disk = fleet.disk;
@@ -305,15 +353,23 @@
 
 fn parse(text: &str) -> Result<File, String> {
     toml::from_str(text).map_err(|e| {
-        let line = e.span().map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1);
-        format!("line {}: {}", line.unwrap_or(1), e.message().replace('\n', " "))
+        let line = e
+            .span()
+            .map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1);
+        format!(
+            "line {}: {}",
+            line.unwrap_or(1),
+            e.message().replace('\n', " ")
+        )
     })
 }
 
 impl Fleet {
     fn voter_addresses(&self) -> Result<Vec<(String, SocketAddrV4)>, String> {
         let voters = self.voters.iter();
-        voters.map(|v| Ok((v.name.clone(), address("fleet.voter.address", &v.address)?))).collect()
+        voters
+            .map(|v| Ok((v.name.clone(), address("fleet.voter.address", &v.address)?)))
+            .collect()
     }
 
     fn duty_settings(
@@ -339,14 +395,22 @@
     }
 
     /// Where it listens; a voter's has to be the address that the voters' list has, and it needs a disk.
-    fn listen_address(&self, voters: &[(String, SocketAddrV4)], name: &str) -> Result<SocketAddrV4, String> {
+    fn listen_address(
+        &self,
+        voters: &[(String, SocketAddrV4)],
+        name: &str,
+    ) -> Result<SocketAddrV4, String> {
         let listen = address("fleet.listen", &self.listen)?;
         let votes = voters.iter().find(|v| v.0 == name);
         if votes.is_some() && self.disk.is_none() {
-            return Err(format!("fleet.disk: {name} is a voter and needs a file on a disk that persists"));
+            return Err(format!(
+                "fleet.disk: {name} is a voter and needs a file on a disk that persists"
+            ));
         }
         if let Some((_, at)) = votes.filter(|v| v.1 != listen) {
-            return Err(format!("fleet.listen: {listen}, but the voters' list has {name} at {at}"));
+            return Err(format!(
+                "fleet.listen: {listen}, but the voters' list has {name} at {at}"
+            ));
         }
         Ok(listen)
     }
@@ -371,21 +435,43 @@
 
 impl LinksPart {
     fn bounds(&self, voters: usize) -> Result<Bounds, String> {
-        let LinksPart { peers, queue, frame, dial, idle } = *self;
+        let LinksPart {
+            peers,
+            queue,
+            frame,
+            dial,
+            idle,
+        } = *self;
         if peers < voters || queue == 0 || frame < 4096 || !(dial > 0.0 && idle > 0.0) {
             return Err(format!(
                 "fleet.links: peers {peers} (no fewer than voters), queue {queue} (1 or more), frame {frame} (4096 \
                  or more), dial {dial} and idle {idle} (over 0)"
             ));
         }
-        Ok(Bounds { peers, queue, frame, dial, idle })
+        Ok(Bounds {
+            peers,
+            queue,
+            frame,
+            dial,
+            idle,
+        })
     }
 }
 
 impl WatchPart {
     fn settings(&self) -> Result<watch::Settings, String> {
-        let WatchPart { beat, stale, spread, trust } = *self;
-        let watch = watch::Settings { beat, stale, spread, trust };
+        let WatchPart {
+            beat,
+            stale,
+            spread,
+            trust,
+        } = *self;
+        let watch = watch::Settings {
+            beat,
+            stale,
+            spread,
+            trust,
+        };
         watch.check()?;
         Ok(watch)
     }
@@ -393,8 +479,20 @@
 
 impl ProbePart {
     fn settings(&self) -> Result<probe::Settings, String> {
-        let ProbePart { unanswered, many, window, again, servers } = *self;
-        let probe = probe::Settings { unanswered, many, window, again, servers };
+        let ProbePart {
+            unanswered,
+            many,
+            window,
+            again,
+            servers,
+        } = *self;
+        let probe = probe::Settings {
+            unanswered,
+            many,
+            window,
+            again,
+            servers,
+        };
         probe.check()?;
         Ok(probe)
     }
@@ -402,8 +500,16 @@
 
 impl AuditPart {
     fn settings(&self) -> Result<audit::Settings, String> {
-        let AuditPart { quiet, names, units } = *self;
-        let audit = audit::Settings { quiet, names, units };
+        let AuditPart {
+            quiet,
+            names,
+            units,
+        } = *self;
+        let audit = audit::Settings {
+            quiet,
+            names,
+            units,
+        };
         audit.check()?;
         Ok(audit)
     }
@@ -416,7 +522,11 @@
             ahead: self.ahead,
             span: self.span,
             // A borrower has to hear of it before its own time is up.
-            wait: if self.wait > 0.0 { self.wait } else { count_wait * 0.7 },
+            wait: if self.wait > 0.0 {
+                self.wait
+            } else {
+                count_wait * 0.7
+            },
             again: self.again,
             pace: self.pace,
             pause: self.pause,
@@ -437,8 +547,15 @@
 }
 
 /// The plan that the environment names; none where it names no file.
-pub fn plan(name: &str, zones: &[String], zone: usize, count_wait: f64) -> Result<Option<Plan>, Fault> {
-    let Ok(path) = std::env::var(VARIABLE) else { return Ok(None) };
+pub fn plan(
+    name: &str,
+    zones: &[String],
+    zone: usize,
+    count_wait: f64,
+) -> Result<Option<Plan>, Fault> {
+    let Ok(path) = std::env::var(VARIABLE) else {
+        return Ok(None);
+    };
     let fail = |e: String| Fault::Config(format!("{path}: {e}"));
     let text = std::fs::read_to_string(&path).map_err(|e| fail(e.to_string()))?;
     read(&text, name, zones, zone, count_wait).map_err(fail)
@@ -461,13 +578,24 @@
 "#;
 
     fn refused(text: &str, name: &str) -> String {
-        read(text, name, &["a".into(), "b".into()], 1, 0.05).err().unwrap()
+        read(text, name, &["a".into(), "b".into()], 1, 0.05)
+            .err()
+            .unwrap()
     }
 
     #[test]
     fn a_file_that_can_be_used_is_read_and_nothing_runs_without_its_section() {
-        let plan = read(GOOD, "n1", &["a".into(), "b".into()], 1, 0.05).unwrap().unwrap();
-        assert_eq!((plan.zone.as_str(), plan.machine.as_str(), plan.duties.slots()), ("b", "n1", 4));
+        let plan = read(GOOD, "n1", &["a".into(), "b".into()], 1, 0.05)
+            .unwrap()
+            .unwrap();
+        assert_eq!(
+            (
+                plan.zone.as_str(),
+                plan.machine.as_str(),
+                plan.duties.slots()
+            ),
+            ("b", "n1", 4)
+        );
         assert!(read("", "n1", &["a".into()], 0, 0.05).unwrap().is_none());
     }
 
@@ -475,17 +603,35 @@
     fn what_can_not_be_used_is_named_with_its_remedy() {
         let with = |from: &str, to: &str| GOOD.replace(from, to);
         let cases = [
-            (with("    { name = \"n3\", address = \"127.0.0.1:7003\" },\n", ""), "3, 5 or 7"),
+            (
+                with("    { name = \"n3\", address = \"127.0.0.1:7003\" },\n", ""),
+                "3, 5 or 7",
+            ),
             (with("\"n3\"", "\"n2\""), "stands there twice"),
-            (with("disk = \"voter.redb\"", "lease = 1.0\ndisk = \"v\""), "shorter than three renewals"),
+            (
+                with("disk = \"voter.redb\"", "lease = 1.0\ndisk = \"v\""),
+                "shorter than three renewals",
+            ),
             (with("127.0.0.1:7003", "[::1]:7003"), "no IPv4 address"),
             (with("disk = \"voter.redb\"\n", ""), "needs a file"),
-            (with("listen = \"127.0.0.1:7001\"", "listen = \"127.0.0.1:7009\""), "the voters' list has n1"),
+            (
+                with("listen = \"127.0.0.1:7001\"", "listen = \"127.0.0.1:7009\""),
+                "the voters' list has n1",
+            ),
             (with("disk =", "dusk ="), "line 5: unknown field `dusk`"),
-            (with("disk =", "zone = \"x\"\ndisk ="), "x is not among the zones a, b"),
+            (
+                with("disk =", "zone = \"x\"\ndisk ="),
+                "x is not among the zones a, b",
+            ),
             (with("disk =", "drift = 0.7\ndisk ="), "a share from 0"),
-            (format!("{GOOD}[fleet.lend]\nspan = -1.0\n"), "fleet.lend.span: -1; give seconds over 0"),
-            (format!("{GOOD}[fleet.lend]\nwait = 0.05\n"), "no less than the counter's time-out of 0.05"),
+            (
+                format!("{GOOD}[fleet.lend]\nspan = -1.0\n"),
+                "fleet.lend.span: -1; give seconds over 0",
+            ),
+            (
+                format!("{GOOD}[fleet.lend]\nwait = 0.05\n"),
+                "no less than the counter's time-out of 0.05",
+            ),
         ];
         for (text, says) in cases {
             let said = refused(&text, "n1");
--- a/crates/node/src/core/applied/tests.rs
+++ b/crates/serving/dunespur/src/core/applied_state/tests.rs
@@ -1,15 +1,23 @@
 use super::AppliedState;
-use dunespur_control::{ControlState, Operation, Order, OrderKind};
+use dunespur_control_state::{ControlState, Operation, Order, OrderKind};
 
 fn configured(state: &mut AppliedState, index: u64, generation: u64) {
     let body = format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#);
-    let order = Order { kind: OrderKind::Replace, base: generation - 1, body: body.into_bytes(), fence: 0 };
-    let payload = postcard::to_stdvec(&Operation::Configure(order)).expect("an operation can be written");
-    state.commit(index, &payload).expect("an operation that was written can be read");
+    let order = Order {
+        kind: OrderKind::Replace,
+        base: generation - 1,
+        body: body.into_bytes(),
+        fence: 0,
+    };
+    let payload =
+        postcard::to_stdvec(&Operation::Configure(order)).expect("an operation can be written");
+    state
+        .commit(index, &payload)
+        .expect("an operation that was written can be read");
 }
 
 #[test]
-fn changes_are_kept_by_their_index() {
+fn changes_are_retained_by_their_index() {
     let mut state = AppliedState::default();
     configured(&mut state, 1, 1);
     configured(&mut state, 2, 2);
@@ -20,7 +28,7 @@
 }
 
 #[test]
-fn a_state_that_lacks_an_operation_is_known_to() {
+fn a_state_that_misses_an_operation_is_not_readable() {
     let mut state = AppliedState::default();
     configured(&mut state, 1, 1);
     assert_eq!(state.commit(2, &[0xff; 4]), None);
--- a/crates/node/src/main.rs
+++ b/crates/serving/dunespur/src/lib.rs
@@ -17,13 +17,13 @@
 mod keeping;
 mod logging;
 mod membership;
-mod messages;
+pub mod messages;
 mod plane;
 mod registry;
 mod service;
 mod settings;
 mod signals;
-mod status;
+pub mod status;
 mod store;
 mod trace;
 mod utc;
@@ -39,7 +39,8 @@
 /// Settings that can't be used.
 const UNUSABLE_SETTINGS: u8 = 2;
 
-fn main() -> ExitCode {
+/// Runs the command line of this process; the program's exit code.
+pub fn run() -> ExitCode {
     let command = match command::asked() {
         Ok(command) => command,
         Err(code) => return code,
@@ -71,7 +72,14 @@
         }
     };
     allocator::keep_little();
-    logging::start(logging.level, logging.format, Origin { node: settings.node.clone(), role });
+    logging::start(
+        logging.level,
+        logging.format,
+        Origin {
+            node: settings.node.clone(),
+            role,
+        },
+    );
     ended(block_on(run(settings, path)))
 }
 
@@ -87,6 +95,8 @@
 }
 
 fn block_on(role: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, role)
 }
--- /dev/null
+++ b/crates/serving/dunespur/src/main.rs
@@ -0,0 +1,7 @@
+//! The program `dunespur`.
+
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    dunespur::run()
+}
--- a/crates/node/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -1,15 +1,15 @@
 //! What processes of the system say to each other, as postcard payloads of `dunespur-link` frames.
 
 use bytes::Bytes;
-use dunespur_chain::{MemberId, Message, Peer, View};
-use dunespur_control::{Change, NodeReport, Operation, Outcome, RetireState};
-use dunespur_distribution::{Answer, Ask};
-use dunespur_turns::message::{StoreReply, StoreRequest};
+use dunespur_chain_replication::{MemberId, Message, Peer, View};
+use dunespur_control_state::{Change, NodeReport, Operation, Outcome, RetireState};
+use dunespur_load_distribution::{Answer, Ask};
+use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
 /// A call or message to a process.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
     /// From one core member to another; not answered.
     Chain { from: MemberId, message: Message },
@@ -65,12 +65,15 @@
 impl NodeLease {
     /// The lease of a node that reports itself so.
     pub fn of(report: &NodeReport) -> NodeLease {
-        NodeLease { name: report.name.clone(), incarnation: report.incarnation }
+        NodeLease {
+            name: report.name.clone(),
+            incarnation: report.incarnation,
+        }
     }
 }
 
 /// Answers.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// The process can't answer this now; another one may.
     Unavailable,
@@ -87,7 +90,7 @@
 }
 
 /// What a candidate for the first view is told.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Candidacy {
     /// Ask again soon.
     Wait,
@@ -98,7 +101,7 @@
 }
 
 /// Changes after the index that was asked for.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Watched {
     /// The index up to which these changes go.
     pub index: u64,
@@ -111,7 +114,9 @@
 
 /// The payload of a message.
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
-    postcard::to_stdvec(message).map(Bytes::from).unwrap_or_default()
+    postcard::to_stdvec(message)
+        .map(Bytes::from)
+        .unwrap_or_default()
 }
 
 /// The message of a payload, if it is one.
--- a/crates/node/src/status.rs
+++ b/crates/serving/dunespur/src/status.rs
@@ -5,9 +5,11 @@
 mod ask;
 mod gather;
 mod own;
-mod report;
+pub mod report;
 mod table;
 
 pub use ask::{run, AskStatus};
 pub use gather::{basics, GatewayStatus};
-pub use report::{BudgetStatus, CoreStatus, DiskStatus, LeaseStatus, LinkStatus, Status, TurnsStatus};
+pub use report::{
+    BudgetStatus, CoreStatus, DiskStatus, LeaseStatus, LinkStatus, Status, TurnsStatus,
+};
--- a/crates/lab/src/check.rs
+++ b/crates/testing/fleet-simulation/src/check.rs
@@ -62,23 +62,42 @@
     let mut gaps = Vec::new();
     for line in lines {
         match line {
-            Line::Began { t, who, run, slot, .. } => {
+            Line::Began {
+                t, who, run, slot, ..
+            } => {
                 let s = *slot as usize;
                 if holder[s].is_none() {
-                    gaps.push(Gap { slot: *slot, from: empty[s], to: *t });
+                    gaps.push(Gap {
+                        slot: *slot,
+                        from: empty[s],
+                        to: *t,
+                    });
                 }
                 holder[s] = Some((who.clone(), *run));
             }
-            Line::Ended { t, who, run, slot, until, .. } => {
+            Line::Ended {
+                t,
+                who,
+                run,
+                slot,
+                until,
+                ..
+            } => {
                 let s = *slot as usize;
-                if holder[s].as_ref().is_some_and(|h| h.0 == *who && h.1 == *run) {
+                if holder[s]
+                    .as_ref()
+                    .is_some_and(|h| h.0 == *who && h.1 == *run)
+                {
                     holder[s] = None;
                     empty[s] = t.min(*until);
                 }
             }
             Line::Died { t, who, run, .. } => {
                 for s in 0..slots {
-                    if holder[s].as_ref().is_some_and(|h| h.0 == *who && h.1 == *run) {
+                    if holder[s]
+                        .as_ref()
+                        .is_some_and(|h| h.0 == *who && h.1 == *run)
+                    {
                         holder[s] = None;
                         empty[s] = *t;
                     }
@@ -89,7 +108,11 @@
     }
     for s in 0..slots {
         if holder[s].is_none() {
-            gaps.push(Gap { slot: s as u32, from: empty[s], to: f64::INFINITY });
+            gaps.push(Gap {
+                slot: s as u32,
+                from: empty[s],
+                to: f64::INFINITY,
+            });
         }
     }
     gaps
@@ -101,7 +124,11 @@
     let mut holder: BTreeMap<u32, &str> = BTreeMap::new();
     let mut open: Vec<(f64, f64, BTreeMap<u32, &str>)> = Vec::new();
     let mut took = Vec::new();
-    let mut faults = trial.faults.iter().map(|f| (f.at, f.at + f.length)).collect::<Vec<_>>();
+    let mut faults = trial
+        .faults
+        .iter()
+        .map(|f| (f.at, f.at + f.length))
+        .collect::<Vec<_>>();
     faults.sort_by(|a, b| b.0.total_cmp(&a.0));
     for line in lines {
         match line {
@@ -179,11 +206,30 @@
     };
     for line in lines {
         match line {
-            Line::Accepted { t, at, who, slot, token } => {
+            Line::Accepted {
+                t,
+                at,
+                who,
+                slot,
+                token,
+            } => {
                 checks.accepted(*t, at, who, *slot, *token, broken);
             }
-            Line::Began { t, who, run, slot, token } => checks.began(*t, (who, *run), *slot, *token, broken),
-            Line::Ended { t, who, run, slot, until, .. } => checks.ended((*slot, who, *run), t.min(*until)),
+            Line::Began {
+                t,
+                who,
+                run,
+                slot,
+                token,
+            } => checks.began(*t, (who, *run), *slot, *token, broken),
+            Line::Ended {
+                t,
+                who,
+                run,
+                slot,
+                until,
+                ..
+            } => checks.ended((*slot, who, *run), t.min(*until)),
             Line::Died { t, who, run, until } => checks.died(who, *run, t.min(*until)),
             _ => {}
         }
@@ -192,7 +238,15 @@
 }
 
 impl<'a> TokenChecks<'a> {
-    fn accepted(&mut self, t: f64, at: &'a str, who: &str, slot: u32, token: u64, broken: &mut Broken) {
+    fn accepted(
+        &mut self,
+        t: f64,
+        at: &'a str,
+        who: &str,
+        slot: u32,
+        token: u64,
+        broken: &mut Broken,
+    ) {
         let last = self.accepted.entry((at, slot)).or_insert(0);
         if token < *last {
             let (trial, last) = (self.trial, *last);
@@ -204,18 +258,35 @@
         *last = (*last).max(token);
     }
 
-    fn began(&mut self, t: f64, holder: (&'a str, u64), slot: u32, token: u64, broken: &mut Broken) {
+    fn began(
+        &mut self,
+        t: f64,
+        holder: (&'a str, u64),
+        slot: u32,
+        token: u64,
+        broken: &mut Broken,
+    ) {
         let trial = self.trial;
-        if self.owner.insert((slot, token), holder).is_some_and(|other| other != holder) {
+        if self
+            .owner
+            .insert((slot, token), holder)
+            .is_some_and(|other| other != holder)
+        {
             broken.add("owner", || {
-                format!("token {token} of {} has two holders at {t:.3}", slot_name(trial, slot))
+                format!(
+                    "token {token} of {} has two holders at {t:.3}",
+                    slot_name(trial, slot)
+                )
             });
         }
         let (who, run) = holder;
         let greatest = self.greatest.entry(slot).or_insert(0);
         if token < *greatest {
             broken.add("order", || {
-                format!("{who} began {} under an old {token} at {t:.3}", slot_name(trial, slot))
+                format!(
+                    "{who} began {} under an old {token} at {t:.3}",
+                    slot_name(trial, slot)
+                )
             });
         }
         *greatest = (*greatest).max(token);
@@ -225,18 +296,29 @@
     fn ended(&mut self, key: (u32, &'a str, u64), until: f64) {
         let (slot, who, _) = key;
         if let Some((from, token)) = self.current.remove(&key) {
-            self.past.entry(slot).or_default().push(Hold { from, until, token, who });
+            self.past.entry(slot).or_default().push(Hold {
+                from,
+                until,
+                token,
+                who,
+            });
         }
     }
 
     fn died(&mut self, who: &'a str, run: u64, until: f64) {
-        let of: Vec<_> = self.current.keys().filter(|k| k.1 == who && k.2 == run).copied().collect();
+        let of: Vec<_> = self
+            .current
+            .keys()
+            .filter(|k| k.1 == who && k.2 == run)
+            .copied()
+            .collect();
         of.into_iter().for_each(|key| self.ended(key, until));
     }
 
     fn finish(mut self) -> HoldsBySlot<'a> {
         let open: Vec<_> = self.current.keys().copied().collect();
-        open.into_iter().for_each(|key| self.ended(key, f64::INFINITY));
+        open.into_iter()
+            .for_each(|key| self.ended(key, f64::INFINITY));
         self.past
     }
 }
@@ -246,10 +328,16 @@
     for (slot, of) in holds {
         of.sort_by(|a, b| a.from.total_cmp(&b.from));
         for (n, a) in of.iter().enumerate() {
-            if let Some(b) = of[n + 1..].iter().find(|b| b.from < a.until && b.token != a.token) {
+            if let Some(b) = of[n + 1..]
+                .iter()
+                .find(|b| b.from < a.until && b.token != a.token)
+            {
                 broken.add("alone", || {
                     let slot = slot_name(trial, *slot);
-                    format!("{} held {slot} until {:.3}, {} from {:.3}", a.who, a.until, b.who, b.from)
+                    format!(
+                        "{} held {slot} until {:.3}, {} from {:.3}",
+                        a.who, a.until, b.who, b.from
+                    )
                 });
             }
         }
@@ -260,12 +348,20 @@
 fn check_handovers(trial: &Trial, lines: &[Line], broken: &mut Broken) {
     let calm = trial.calm_from() + trial.settle;
     // Where messages are lost all the time, a lease may be too.
-    let handover = HANDOVER + if trial.net.lose > 0.0 { trial.duties().wait() } else { 0.0 };
+    let handover = HANDOVER
+        + if trial.net.lose > 0.0 {
+            trial.duties().wait()
+        } else {
+            0.0
+        };
     for gap in gaps(trial, lines).into_iter().filter(|g| g.to > calm) {
         if gap.from < calm || gap.to - gap.from > handover {
             let (from, to) = (gap.from, gap.to);
             broken.add("held", || {
-                format!("nobody held {} from {from:.3} to {to:.3}", slot_name(trial, gap.slot))
+                format!(
+                    "nobody held {} from {from:.3} to {to:.3}",
+                    slot_name(trial, gap.slot)
+                )
             });
         }
     }
@@ -276,7 +372,9 @@
     let mut told: Vec<(f64, f64, u64)> = lines
         .iter()
         .filter_map(|l| match l {
-            Line::Told { asked, t, index, .. } => Some((*asked, *t, *index)),
+            Line::Told {
+                asked, t, index, ..
+            } => Some((*asked, *t, *index)),
             _ => None,
         })
         .collect();
@@ -284,7 +382,11 @@
     for some in told.chunks(AT_ONCE) {
         if !linear(some) {
             broken.add("log", || {
-                format!("asks between {:.3} and {:.3} see it run back", some[0].0, some[some.len() - 1].1)
+                format!(
+                    "asks between {:.3} and {:.3} see it run back",
+                    some[0].0,
+                    some[some.len() - 1].1
+                )
             });
         }
     }
@@ -293,13 +395,22 @@
 /// Invocations get one final answer each.
 fn check_answers(lines: &[Line], broken: &mut Broken) {
     for line in lines {
-        if let Line::Answer { sent, answers, status, in_time, .. } = line {
+        if let Line::Answer {
+            sent,
+            answers,
+            status,
+            in_time,
+            ..
+        } = line
+        {
             if *answers != 1 {
                 broken.add("answer", || {
                     format!("the invocation sent at {sent:.3} got {answers} answers ({status})")
                 });
             } else if !in_time {
-                broken.add("late", || format!("the invocation sent at {sent:.3} got its answer too late"));
+                broken.add("late", || {
+                    format!("the invocation sent at {sent:.3} got its answer too late")
+                });
             }
         }
     }
@@ -311,14 +422,21 @@
     let seen = quotas::judge(trial, quota, lines);
     if seen.overshoot > seen.bound {
         broken.add("quota", || {
-            format!("{:.1} over the quota; the bound is {:.1}", seen.overshoot, seen.bound)
+            format!(
+                "{:.1} over the quota; the bound is {:.1}",
+                seen.overshoot, seen.bound
+            )
         });
     }
     if seen.over_ceiling > quotas::JITTER {
-        broken.add("ceiling", || format!("{:.1} over the hard ceiling", seen.over_ceiling));
+        broken.add("ceiling", || {
+            format!("{:.1} over the hard ceiling", seen.over_ceiling)
+        });
     }
     if let Some(served) = seen.served.filter(|s| *s < SERVED) {
-        broken.add("served", || format!("after all faults {served:.2} of what the quotas hold"));
+        broken.add("served", || {
+            format!("after all faults {served:.2} of what the quotas hold")
+        });
     }
 }
 
@@ -368,34 +486,83 @@
     }
 
     fn began(t: f64, who: &str, token: u64) -> Line {
-        Line::Began { t, who: who.into(), run: 1, slot: 0, token }
+        Line::Began {
+            t,
+            who: who.into(),
+            run: 1,
+            slot: 0,
+            token,
+        }
     }
 
     fn ended(t: f64, who: &str, token: u64, until: f64) -> Line {
-        Line::Ended { t, who: who.into(), run: 1, slot: 0, token, until }
+        Line::Ended {
+            t,
+            who: who.into(),
+            run: 1,
+            slot: 0,
+            token,
+            until,
+        }
     }
 
     fn accepted(t: f64, token: u64) -> Line {
-        Line::Accepted { t, at: "r".into(), who: "x".into(), slot: 0, token }
+        Line::Accepted {
+            t,
+            at: "r".into(),
+            who: "x".into(),
+            slot: 0,
+            token,
+        }
     }
 
     #[test]
     fn each_checker_finds_what_it_is_for() {
         let t = trial();
-        let good = vec![began(1.0, "a", 5), accepted(2.0, 5), ended(4.0, "a", 5, 6.0), began(4.2, "b", 9)];
+        let good = vec![
+            began(1.0, "a", 5),
+            accepted(2.0, 5),
+            ended(4.0, "a", 5, 6.0),
+            began(4.2, "b", 9),
+        ];
         assert_eq!(check(&t, &good), Vec::<String>::new());
         let kinds = |lines: &[Line]| -> Vec<String> {
-            check(&t, lines).iter().map(|b| b.split(':').next().unwrap().to_owned()).collect()
+            check(&t, lines)
+                .iter()
+                .map(|b| b.split(':').next().unwrap().to_owned())
+                .collect()
         };
         let mut old = good.clone();
         old.extend([accepted(5.0, 9), accepted(5.1, 5)]);
         assert_eq!(kinds(&old), ["token"]);
-        assert_eq!(kinds(&[began(1.0, "a", 5), began(2.0, "b", 9), ended(3.0, "a", 5, 9.0)]), ["alone"]);
-        assert_eq!(kinds(&[began(1.0, "a", 5), began(2.0, "b", 9), ended(9.0, "a", 5, 1.9)]), [""; 0]);
+        assert_eq!(
+            kinds(&[
+                began(1.0, "a", 5),
+                began(2.0, "b", 9),
+                ended(3.0, "a", 5, 9.0)
+            ]),
+            ["alone"]
+        );
+        assert_eq!(
+            kinds(&[
+                began(1.0, "a", 5),
+                began(2.0, "b", 9),
+                ended(9.0, "a", 5, 1.9)
+            ]),
+            [""; 0]
+        );
         assert_eq!(kinds(&[began(1.0, "a", 5), began(2.0, "b", 9)]), ["alone"]);
-        assert_eq!(kinds(&[began(1.0, "a", 5), ended(20.0, "a", 5, 21.0)]), ["held"]);
+        assert_eq!(
+            kinds(&[began(1.0, "a", 5), ended(20.0, "a", 5, 21.0)]),
+            ["held"]
+        );
         assert_eq!(kinds(&[]), ["held"]);
-        let told = |asked, t, index| Line::Told { asked, t, who: "a".into(), index };
+        let told = |asked, t, index| Line::Told {
+            asked,
+            t,
+            who: "a".into(),
+            index,
+        };
         let mut back = good.clone();
         back.extend([told(1.0, 2.0, 8), told(3.0, 4.0, 7)]);
         assert_eq!(kinds(&back), ["log"]);
--- a/crates/lab/src/world/tests.rs
+++ b/crates/testing/fleet-simulation/src/world/tests.rs
@@ -70,7 +70,11 @@
             Ev::Disk { node, number, .. } => {
                 self.number(13);
                 self.number(*node as u64);
-                for batch in world.nodes[*node].writing.iter().filter(|batch| batch.number <= *number) {
+                for batch in world.nodes[*node]
+                    .writing
+                    .iter()
+                    .filter(|batch| batch.number <= *number)
+                {
                     self.bytes(&postcard::to_stdvec(batch).unwrap());
                 }
             }
@@ -78,7 +82,13 @@
                 self.number(14);
                 self.number(*node as u64);
             }
-            Ev::Finish { node, slot, token, to, .. } => {
+            Ev::Finish {
+                node,
+                slot,
+                token,
+                to,
+                ..
+            } => {
                 self.number(15);
                 self.number(*node as u64);
                 self.number(u64::from(*slot));
@@ -100,9 +110,12 @@
     /// A line of the history. The wording of reports is free.
     fn line(&mut self, line: &Line) {
         let line = match line {
-            Line::Report { t, who, loud, .. } => {
-                Line::Report { t: *t, who: who.clone(), loud: *loud, text: String::new() }
-            }
+            Line::Report { t, who, loud, .. } => Line::Report {
+                t: *t,
+                who: who.clone(),
+                loud: *loud,
+                text: String::new(),
+            },
             other => other.clone(),
         };
         self.text(&serde_json::to_string(&line).unwrap());
@@ -122,7 +135,11 @@
         world.now = t;
         world.step(event);
     }
-    assert!(world.lines.len() > 100, "{} lines: nothing was played", world.lines.len());
+    assert!(
+        world.lines.len() > 100,
+        "{} lines: nothing was played",
+        world.lines.len()
+    );
     world.lines.iter().for_each(|line| digest.line(line));
     digest.0.digest()
 }
@@ -154,8 +171,18 @@
     for (seed, (drawn, played)) in digests.into_inner().unwrap() {
         writeln!(text, "{seed} {drawn:016x} {played:016x}").unwrap();
     }
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/world-digests.txt");
+    let path = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/tests/fixtures/world-digests.txt"
+    );
     let committed = std::fs::read_to_string(path).unwrap();
-    let changed = text.lines().zip(committed.lines()).filter(|(now, before)| now != before).count();
-    assert!(text == committed, "{changed} of {SEEDS} changed; now:\n{text}");
+    let changed = text
+        .lines()
+        .zip(committed.lines())
+        .filter(|(now, before)| now != before)
+        .count();
+    assert!(
+        text == committed,
+        "{changed} of {SEEDS} changed; now:\n{text}"
+    );
 }
