--- a/crates/serving/dunespur/src/homes.rs
+++ b/crates/serving/dunespur/src/load_exchange.rs
@@ -10,7 +10,7 @@
 use dunespur_load_distribution::{
     Answer, Ask, Call, Distribution, Gateway, Identity, News, ServerLoad, ASK_TIMEOUT_MS,
 };
-use dunespur_routing::{Chooser, LoadReport};
+use dunespur_routing::{Balancer, LoadReport};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,10 +24,10 @@
 const LOOK_PERIOD_MS: u64 = 250;
 
 /// This gateway's part in the distribution of services' soft state.
-pub struct Homes {
+pub struct LoadExchange {
     clock: Clock,
     directory: Rc<Directory>,
-    chooser: Rc<RefCell<Chooser>>,
+    balancer: Rc<RefCell<Balancer>>,
     distribution: RefCell<Distribution>,
     /// Told when a request has begun or ended, or another gateway has asked.
     active: Notify,
@@ -35,28 +35,28 @@
     rescheduled: Notify,
 }
 
-impl Homes {
+impl LoadExchange {
     /// Takes part from now on.
     pub fn start(
         own: Identity,
         directory: Rc<Directory>,
-        chooser: Rc<RefCell<Chooser>>,
+        balancer: Rc<RefCell<Balancer>>,
         clock: Clock,
-    ) -> Rc<Homes> {
-        let homes = Rc::new(Homes {
+    ) -> Rc<LoadExchange> {
+        let load_exchange = Rc::new(LoadExchange {
             clock,
             directory,
-            chooser,
+            balancer,
             distribution: RefCell::new(Distribution::new(own)),
             active: Notify::new(),
             rescheduled: Notify::new(),
         });
-        spawn_local(keep_telling(homes.clone()));
-        homes
+        spawn_local(drive_exchange(load_exchange.clone()));
+        load_exchange
     }
 
     /// A request has begun or ended here.
-    pub fn note_activity(&self) {
+    pub fn report_activity(&self) {
         self.active.notify_one();
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Where the home of a service in a zone listens for other gateways.
-    pub fn home_address(&self, service: &str, zone: &str) -> Option<SocketAddr> {
+    pub fn aggregator_address(&self, service: &str, zone: &str) -> Option<SocketAddr> {
         self.distribution
             .borrow()
             .roster()
@@ -102,7 +102,7 @@
             let Some(call) = call else { break };
             spawn_local(self.clone().call(call));
         }
-        self.bring_news();
+        self.apply_updates();
     }
 
     /// What this gateway has in flight, by service; services that were busy before are listed as well.
@@ -129,13 +129,13 @@
 
     /// Servers on which this gateway has anything in flight, or which it finds in trouble.
     fn loads(&self) -> Vec<ServerLoad> {
-        let chooser = self.chooser.borrow();
-        let mut loads: Vec<ServerLoad> = chooser
+        let balancer = self.balancer.borrow();
+        let mut loads: Vec<ServerLoad> = balancer
             .load_reports()
             .into_iter()
             .map(server_load)
             .collect();
-        for server in chooser.in_trouble(self.clock.now()) {
+        for server in balancer.ejected_for_faults(self.clock.now()) {
             match loads.iter_mut().find(|load| load.server == server) {
                 Some(load) => load.in_trouble = 1,
                 None => loads.push(ServerLoad {
@@ -162,24 +162,24 @@
             }
             _ => self.distribution.borrow_mut().failed(call.number, now),
         }
-        self.bring_news();
+        self.apply_updates();
         self.rescheduled.notify_one();
     }
 
     /// Tells the choice of servers what the other gateways have in flight.
-    fn bring_news(&self) {
+    fn apply_updates(&self) {
         let news = self.distribution.borrow_mut().take_news();
         for news in news {
-            self.bring_hints(&news);
+            self.apply_fault_hints(&news);
             let reports: Vec<LoadReport> = news.others.into_iter().map(load_report).collect();
-            self.chooser
+            self.balancer
                 .borrow_mut()
-                .other_load(&reports, &news.service, self.clock.now());
+                .apply_peer_load(&reports, &news.service, self.clock.now());
         }
     }
 
     /// Tells the choice of servers which of them other gateways find in trouble.
-    fn bring_hints(&self, news: &News) {
+    fn apply_fault_hints(&self, news: &News) {
         let known = self.directory.known();
         let servers = known
             .servers
@@ -187,9 +187,9 @@
             .filter(|server| *server.backend == *news.service)
             .count();
         for server in news.in_trouble(servers) {
-            self.chooser
+            self.balancer
                 .borrow_mut()
-                .hint_trouble(&server, self.clock.now());
+                .hint_fault(&server, self.clock.now());
         }
     }
 }
@@ -207,7 +207,7 @@
     ServerLoad {
         server: report.server,
         in_flight: report.in_flight,
-        waiting_tokens: report.waiting_tokens,
+        waiting_tokens: report.prefill_tokens,
         in_trouble: 0,
     }
 }
@@ -216,25 +216,25 @@
     LoadReport {
         server: load.server,
         in_flight: load.in_flight,
-        waiting_tokens: load.waiting_tokens,
+        prefill_tokens: load.waiting_tokens,
     }
 }
 
-async fn keep_telling(homes: Rc<Homes>) {
+async fn drive_exchange(load_exchange: Rc<LoadExchange>) {
     loop {
-        homes.look();
-        let next_look = homes.clock.now() + LOOK_PERIOD_MS;
-        let due = homes.distribution.borrow().next_due();
+        load_exchange.look();
+        let next_look = load_exchange.clock.now() + LOOK_PERIOD_MS;
+        let due = load_exchange.distribution.borrow().next_due();
         let due = async {
             match due {
-                Some(at) => sleep_until(homes.clock.instant(at).into()).await,
+                Some(at) => sleep_until(load_exchange.clock.instant(at).into()).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             () = due => {}
-            () = homes.rescheduled.notified() => {}
-            () = homes.active.notified() => sleep_until(homes.clock.instant(next_look).into()).await,
+            () = load_exchange.rescheduled.notified() => {}
+            () = load_exchange.active.notified() => sleep_until(load_exchange.clock.instant(next_look).into()).await,
         }
     }
 }
--- a/crates/serving/proxy/src/active_request.rs
+++ b/crates/serving/proxy/src/active_request.rs
@@ -12,7 +12,7 @@
 use crate::shared::Shared;
 use crate::trace;
 use dunespur_configuration::{Route, Service, Table};
-use dunespur_routing::{Ask, Choice, Outcome, ServerId, Ticket};
+use dunespur_routing::{Choice, Outcome, RoutingRequest, ServerId, Ticket};
 use smallvec::SmallVec;
 use std::future::{poll_fn, Future};
 use std::pin::pin;
@@ -142,10 +142,10 @@
                 let in_flight = self.in_flight(&ticket);
                 Ok(self.count_send(ticket, in_flight))
             }
-            Choice::Refuse { retry_after_ms } if self.record.has_not_run() => {
+            Choice::Reject { retry_after_ms } if self.record.has_not_run() => {
                 Err(Rejection::RetryLater { retry_after_ms })
             }
-            Choice::Refuse { .. } | Choice::NoServer => Err(self.record.rejection()),
+            Choice::Reject { .. } | Choice::NoServer => Err(self.record.rejection()),
         }
     }
 
@@ -164,7 +164,7 @@
                 });
                 return true;
             }
-            in_flight.finish(Outcome::Abandoned);
+            in_flight.finish(Outcome::Cancelled);
         }
         self.backend = backend;
         false
@@ -215,13 +215,13 @@
     }
 
     fn choose_of(&self, backend: &str) -> Choice {
-        let choice = self.shared.node.choose(&Ask {
+        let choice = self.shared.node.choose(&RoutingRequest {
             backend,
             program: text(self.parsed.program.as_ref()),
             session: text(self.parsed.session.as_ref()),
             prefix: &self.parsed.prefix,
             prompt_tokens: self.parsed.prompt_tokens,
-            most_tokens: self.parsed.max_tokens,
+            max_tokens: self.parsed.max_tokens,
             idempotent: self.route.idempotent(),
             priority: self.route.priority,
             time_left_ms: self.deadline.remaining_ms(),
--- a/crates/serving/proxy/src/in_flight.rs
+++ b/crates/serving/proxy/src/in_flight.rs
@@ -65,9 +65,9 @@
     fn drop(&mut self) {
         if !self.is_reported {
             self.report(if self.was_unresponsive() {
-                Outcome::Silent
+                Outcome::TimedOut
             } else {
-                Outcome::Abandoned
+                Outcome::Cancelled
             });
         }
     }
--- a/crates/serving/proxy/src/parsed_request.rs
+++ b/crates/serving/proxy/src/parsed_request.rs
@@ -2,7 +2,7 @@
 
 use crate::http_headers;
 use crate::rejection::Rejection;
-use dunespur_routing::Part;
+use dunespur_routing::PromptSegment;
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use smallvec::SmallVec;
 
@@ -20,7 +20,7 @@
     pub(crate) budget: Option<u64>,
     pub(crate) previous: Option<HeaderValue>,
     pub(crate) last_event_id: Option<HeaderValue>,
-    pub(crate) prefix: SmallVec<[Part; 8]>,
+    pub(crate) prefix: SmallVec<[PromptSegment; 8]>,
     pub(crate) prompt_tokens: u32,
     pub(crate) max_tokens: u32,
 }
@@ -108,7 +108,7 @@
 }
 
 /// The parts that the prompt consists of, in order.
-fn prefix(headers: &HeaderMap) -> SmallVec<[Part; 8]> {
+fn prefix(headers: &HeaderMap) -> SmallVec<[PromptSegment; 8]> {
     let value = text(headers.get(http_headers::PROMPT_PREFIX)).unwrap_or_default();
     value
         .split(',')
@@ -117,9 +117,9 @@
         .collect()
 }
 
-fn prefix_part(text: &str) -> Option<Part> {
+fn prefix_part(text: &str) -> Option<PromptSegment> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(Part {
+    Some(PromptSegment {
         id: prefix_part_id(id)?,
         tokens: tokens.parse().ok()?,
     })
--- a/crates/serving/proxy/tests/requests.rs
+++ b/crates/serving/proxy/tests/requests.rs
@@ -216,7 +216,12 @@
         assert_eq!((response.status(), response.text()), (200, "ok"));
         assert_eq!(
             proxy.node.outcomes(),
-            [Outcome::Unreachable, Outcome::Shed, Outcome::Moved, SERVED]
+            [
+                Outcome::Unreachable,
+                Outcome::Rejected,
+                Outcome::Misdirected,
+                SERVED
+            ]
         );
         let tried: Vec<_> = proxy
             .node
@@ -439,7 +444,7 @@
         assert!(deadline <= 50);
         assert_eq!(client.message().await.status(), 504);
         assert!(connection.is_closed().await);
-        assert_eq!(proxy.node.outcomes(), [Outcome::Silent]);
+        assert_eq!(proxy.node.outcomes(), [Outcome::TimedOut]);
     });
 }
 
@@ -452,7 +457,7 @@
         let (mut connection, _) = endpoint.next_request().await;
         drop(client);
         assert!(connection.is_closed().await);
-        assert_eq!(proxy.node.outcomes(), [Outcome::Abandoned]);
+        assert_eq!(proxy.node.outcomes(), [Outcome::Cancelled]);
     });
 }
 
@@ -468,7 +473,7 @@
         client.head().await;
         drop(client);
         assert!(connection.is_closed().await);
-        assert_eq!(proxy.node.outcomes(), [Outcome::Abandoned]);
+        assert_eq!(proxy.node.outcomes(), [Outcome::Cancelled]);
     });
 }
 
@@ -583,7 +588,7 @@
         drop(client);
         proxy
             .node
-            .called_with(&NodeCall::Finished(Outcome::Silent))
+            .called_with(&NodeCall::Finished(Outcome::TimedOut))
             .await;
     });
 }
