--- a/crates/testing/emulator/examples/hollow.rs
+++ b/crates/testing/emulator/examples/control_followers.rs
@@ -1,20 +1,16 @@
-//! What following the control state costs a core member: a real system of three core members, and many hollow
+//! What following the control state costs a core member: a real system of three core members, and many simulated
 //! gateways in this process that follow one of them by the watch of real ones, and renew a lease each.
 //!
 //! Each number of followers is measured while they pass on heartbeats of the known servers, and while servers come and
 //! go besides, each of which every follower is told of.
 //!
-//! `cargo run --release -p dunespur-emulator --example hollow -- PROGRAM SECONDS SERVERS FOLLOWERS...`
-
-#[path = "../../../serving/dunespur/src/messages.rs"]
-#[allow(dead_code)]
-mod messages;
+//! `cargo run --release -p dunespur-emulator --example control_followers -- PROGRAM SECONDS SERVERS FOLLOWERS...`
 
 use anyhow::Context;
+use dunespur::messages::{decode, encode, LeaseRenewals, NodeLease, Reply, Request, WatchRequest};
 use dunespur_control_state::{Operation, ServerReport, ServerState};
 use dunespur_emulator::system::{MachinePlan, Role, System, SystemPlan, Usage};
 use dunespur_rpc::Client;
-use messages::{decode, encode, Heard, NodeLease, Reply, Request, WatchRequest};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -220,7 +216,7 @@
 async fn follow(member: SocketAddr, which: usize, load: Load, counted: Rc<Counted>) {
     let client = Client::new(member);
     let lease = NodeLease {
-        name: format!("hollow-{which}"),
+        name: format!("simulated-{which}"),
         incarnation: 1,
     };
     let (mut after, mut view) = (None, 0);
@@ -233,18 +229,22 @@
     let mut parts = std::iter::once(share.as_slice()).chain(share.chunks(third).cycle());
     loop {
         let beating = parts.next().unwrap_or_default();
-        let heard = Heard {
+        let renewals = LeaseRenewals {
             servers: beating.to_vec(),
             nodes: vec![lease.clone()],
         };
-        let request = encode(&Request::Watch(WatchRequest { after, view, heard }));
+        let request = encode(&Request::Watch(WatchRequest {
+            after,
+            view,
+            renewals,
+        }));
         let asked = request.len();
         let Ok(bytes) = client.call(request, CALL_LIMIT).await else {
             counted.failures.set(counted.failures.get() + 1);
             sleep(CHURN_PAUSE).await;
             continue;
         };
-        let Some(Reply::Watched(watched)) = decode::<Reply>(&bytes) else {
+        let Some(Reply::StateUpdate(update)) = decode::<Reply>(&bytes) else {
             counted.failures.set(counted.failures.get() + 1);
             sleep(CHURN_PAUSE).await;
             continue;
@@ -252,12 +252,12 @@
         counted.answers.set(counted.answers.get() + 1);
         counted
             .changes
-            .set(counted.changes.get() + watched.changes.len() as u64);
+            .set(counted.changes.get() + update.changes.len() as u64);
         counted
             .bytes
             .set(counted.bytes.get() + (asked + bytes.len()) as u64);
-        after = Some(watched.index);
-        view = watched.view.map_or(view, |newer| newer.number);
+        after = Some(update.index);
+        view = update.view.map_or(view, |newer| newer.number);
     }
 }
 
