--- a/crates/serving/proxy/src/endpoint_response.rs
+++ b/crates/serving/proxy/src/endpoint_response.rs
@@ -164,7 +164,7 @@
 /// What a truncated response says about its endpoint.
 pub(crate) fn outcome_of_truncated(ended_by: EndedBy) -> Outcome {
     match ended_by {
-        EndedBy::Timeout => Outcome::Silent,
+        EndedBy::Timeout => Outcome::TimedOut,
         _ => Outcome::Failed,
     }
 }
--- a/crates/serving/proxy/tests/support/mod.rs
+++ b/crates/serving/proxy/tests/support/mod.rs
@@ -10,7 +10,7 @@
     AdmissionDecision, AdmissionRequest, CompletedTurn, History, Node, ProxyServer, ProxySettings,
     Safeguards, TurnKey,
 };
-use dunespur_routing::{Ask, Choice, Outcome, Server, Ticket};
+use dunespur_routing::{Choice, Outcome, RoutingRequest, Server, Ticket};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -245,7 +245,7 @@
         self.is_ready.get()
     }
 
-    fn choose(&self, ask: &Ask) -> Choice {
+    fn choose(&self, ask: &RoutingRequest) -> Choice {
         self.choices.borrow_mut().push(RecordedChoice {
             backend: ask.backend.to_owned(),
             program: ask.program.map(str::to_owned),
@@ -256,7 +256,7 @@
                 .map(|part| (part.id, part.tokens))
                 .collect(),
             prompt_tokens: ask.prompt_tokens,
-            most_tokens: ask.most_tokens,
+            most_tokens: ask.max_tokens,
             idempotent: ask.idempotent,
             time_left_ms: ask.time_left_ms,
             tried: ask.tried.iter().map(|id| id.to_string()).collect(),
@@ -265,7 +265,7 @@
             act();
         }
         if let Some(retry_after_ms) = self.refuse.get() {
-            return Choice::Refuse { retry_after_ms };
+            return Choice::Reject { retry_after_ms };
         }
         if self
             .services_without_endpoints
@@ -435,7 +435,7 @@
             zone: "z".into(),
             slots: 8,
             draining: false,
-            cold_left_ms: 0,
+            warmup_left_ms: 0,
             engine: None,
             max_conns: 100,
         })
