--- a/crates/serving/routing/src/admission.rs
+++ b/crates/serving/routing/src/admission.rs
@@ -1,5 +1,5 @@
 //! Load shedding: a request is rejected at once only if every slot is taken and it surely can't be done in time. Then
-//! an early rejection with a time to retry is worth more than an answer that comes too late.
+//! an early rejection with a time to retry is better than an answer that comes too late.
 
 use crate::types::RoutingRequest;
 
@@ -13,7 +13,7 @@
 const OVERESTIMATE_STEP: f64 = 0.25;
 /// The factor never falls below this.
 const MIN_OVERESTIMATE: f64 = 1.0;
-/// The shortest time after which a client is told to retry.
+/// The shortest time after which a client may retry.
 const MIN_RETRY_AFTER_MS: u64 = 50;
 /// Clients honour a time up to their remaining time divided by this.
 const MAX_RETRY_AFTER_DIVISOR: u64 = 3;
--- a/crates/serving/routing/src/admission/tests.rs
+++ b/crates/serving/routing/src/admission/tests.rs
@@ -1,3 +1,5 @@
+//! When requests are rejected, and when they may be retried.
+
 use super::*;
 
 fn request(priority: u8, time_left_ms: u64) -> RoutingRequest<'static> {
--- a/crates/serving/routing/src/balancer.rs
+++ b/crates/serving/routing/src/balancer.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes the complete list of servers. What is known of those that stay is retained.
+    /// Replaces all servers. What is known of those that stay is retained.
     pub fn set_servers(&mut self, servers: Vec<Server>, now: Millis) {
         let mut by_backend: BTreeMap<Rc<str>, Vec<Server>> = BTreeMap::new();
         for server in servers {
--- a/crates/serving/routing/src/endpoint.rs
+++ b/crates/serving/routing/src/endpoint.rs
@@ -15,7 +15,7 @@
 const SLOWNESS_GAIN: f64 = 0.05;
 /// An observed slowness is taken as at most this, and at least its inverse.
 const MAX_SLOWNESS: f64 = 4.0;
-/// An observed slowness decays over this time without a request: the server may have recovered, and only a request
+/// An observed slowness decays within this time without a request: the server may have recovered, and only a request
 /// can tell.
 const SLOWNESS_TTL_MS: f64 = 20_000.0;
 
--- a/crates/serving/routing/src/engine_selection.rs
+++ b/crates/serving/routing/src/engine_selection.rs
@@ -2,7 +2,7 @@
 //!
 //! A program has a preferred engine: of the engines that its shared prefix is assigned to, the first in rendezvous
 //! order. Every gateway finds the same one, so a program's context and shared prefixes gather in few KV caches. The
-//! preferred engine is left where the estimate says that another is quicker by more than the cached prefix is worth.
+//! preferred engine is left where the estimate says that another is quicker by more than the cached prefix saves.
 
 use crate::endpoint::Endpoint;
 use crate::pool::Pool;
--- a/crates/serving/routing/src/fault_hint/tests.rs
+++ b/crates/serving/routing/src/fault_hint/tests.rs
@@ -1,3 +1,5 @@
+//! How hints are recorded, refuted and tried.
+
 use super::*;
 
 #[test]
@@ -16,7 +18,7 @@
     let mut hint = FaultHint::default();
     hint.record(100);
     hint.refute(99, 150);
-    assert_eq!(hint.slowness(150), HINTED_SLOWNESS, "sent before");
+    assert_eq!(hint.slowness(150), HINTED_SLOWNESS, "dispatched before");
     hint.refute(100, 200);
     assert_eq!(hint.slowness(200), 1.0);
     for repeat in 1..20 {
--- a/crates/serving/routing/src/lib.rs
+++ b/crates/serving/routing/src/lib.rs
@@ -1,7 +1,7 @@
 //! Load balancing: chooses a server for each request, model engines by estimated time and cached prefix, other
 //! servers by load.
 //!
-//! One [`Balancer`] lives in each gateway process. It opens no socket and reads no clock: the caller says when
+//! There is one [`Balancer`] in each gateway process. It opens no socket and reads no clock: the caller says when
 //! something happened, in milliseconds of a steady clock, and dispatches the request where a [`Ticket`] points.
 //!
 //! - [`types`]: what goes in and comes out;
@@ -12,7 +12,7 @@
 //! - `admission`: when a request is rejected at once;
 //! - `priority`: the rank of a request in an engine's queue;
 //! - `timing_model`, `observation`, `linear_fit`, `ewma`: what a request would take, learned from observed times;
-//! - `prefix_cache`, `prefix_statistics`, `rendezvous`: which engine holds the beginning of a prompt in its KV cache;
+//! - `prefix_cache`, `prefix_statistics`, `rendezvous`: which engine caches the beginning of a prompt;
 //! - `outlier`, `fault_hint`, `load`: ejection of faulty endpoints, hints of other gateways, load of all gateways.
 
 mod admission;
--- a/crates/serving/routing/src/linear_fit.rs
+++ b/crates/serving/routing/src/linear_fit.rs
@@ -1,6 +1,6 @@
-//! Least squares over noisy observations, older ones decaying.
+//! Least squares of noisy observations, older ones decaying.
 
-/// Share of its weight that an observation keeps with each later one.
+/// Ratio of its weight that an observation keeps with each later one.
 const DECAY: f64 = 0.985;
 /// An observation is taken as at most this many times the expected value, and at least its inverse, so that one
 /// outlier does not bend the line.
--- a/crates/serving/routing/src/load.rs
+++ b/crates/serving/routing/src/load.rs
@@ -96,12 +96,12 @@
 
     /// Requests of all gateways, by the last reports.
     pub(crate) fn in_flight(&self, now: Millis) -> f64 {
-        f64::from(self.in_flight) + self.sum_over_peers(now, |report| f64::from(report.in_flight))
+        f64::from(self.in_flight) + self.sum_of_peers(now, |report| f64::from(report.in_flight))
     }
 
     /// Requests of the peers, smoothed.
     pub(crate) fn peers_smoothed_in_flight(&self, now: Millis) -> f64 {
-        self.sum_over_peers(now, |report| report.smoothed_in_flight)
+        self.sum_of_peers(now, |report| report.smoothed_in_flight)
     }
 
     /// This gateway's requests and the smoothed figure of its peers.
@@ -111,8 +111,7 @@
 
     /// Tokens to be prefilled for this gateway, and the smoothed figure of its peers.
     pub(crate) fn smoothed_prefill_tokens(&self, now: Millis) -> f64 {
-        self.prefill_tokens as f64
-            + self.sum_over_peers(now, |report| report.smoothed_prefill_tokens)
+        self.prefill_tokens as f64 + self.sum_of_peers(now, |report| report.smoothed_prefill_tokens)
     }
 
     /// Takes a gateway's report in exchange for its last one.
@@ -146,7 +145,7 @@
         }
     }
 
-    fn sum_over_peers(&self, now: Millis, figure: impl Fn(&PeerReport) -> f64) -> f64 {
+    fn sum_of_peers(&self, now: Millis, figure: impl Fn(&PeerReport) -> f64) -> f64 {
         self.peers
             .iter()
             .map(|report| report.weight(now) * figure(report))
--- a/crates/serving/routing/src/load/tests.rs
+++ b/crates/serving/routing/src/load/tests.rs
@@ -1,3 +1,5 @@
+//! Sums of own requests and of reports, and how reports expire.
+
 use super::*;
 
 #[test]
--- a/crates/serving/routing/src/outlier/tests.rs
+++ b/crates/serving/routing/src/outlier/tests.rs
@@ -1,3 +1,5 @@
+//! When endpoints are ejected, for how long, and how they return.
+
 use super::*;
 
 #[test]
@@ -24,14 +26,14 @@
     let mut health = OutlierDetector::for_server();
     let mut now = 0;
     let mut before = 0;
-    for round in 0..8 {
+    for relapse in 0..8 {
         health.record(HealthSignal::Unreachable, now);
         let duration_ms = health.remaining_ejection_ms(now);
         assert!(duration_ms >= before);
         assert!(duration_ms <= UNREACHABLE_EJECTION_MS << MAX_DOUBLINGS);
         assert_eq!(
             duration_ms,
-            UNREACHABLE_EJECTION_MS << round.min(MAX_DOUBLINGS)
+            UNREACHABLE_EJECTION_MS << relapse.min(MAX_DOUBLINGS)
         );
         before = duration_ms;
         now += duration_ms;
--- a/crates/serving/routing/src/pool.rs
+++ b/crates/serving/routing/src/pool.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Takes the complete list of the service's servers. `last_number` is the last number given to an endpoint; each
+    /// Replaces all servers of the service. `last_number` is the last number given to an endpoint; each
     /// new one gets the next.
     pub(crate) fn set_servers(
         &mut self,
--- a/crates/serving/routing/src/prefix_cache.rs
+++ b/crates/serving/routing/src/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! Which segments of prompts an engine is likely to hold in its KV cache, judged by what this gateway dispatched there:
+//! Which segments of prompts an engine is likely to have in its KV cache, judged by what this gateway dispatched there:
 //! a least-recently-used cache that mirrors the engine's.
 
 use crate::rendezvous::IdMap;
--- a/crates/serving/routing/src/prefix_cache/tests.rs
+++ b/crates/serving/routing/src/prefix_cache/tests.rs
@@ -1,3 +1,5 @@
+//! What is presumed to be cached, and the bound of its memory.
+
 use super::*;
 
 const ROOMY: u64 = 1_000_000;
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn memory_is_bounded_however_many_parts_are_named() {
+fn memory_is_bounded_however_many_segments_are_named() {
     let mut cache = PrefixCache::new();
     for id in 0..10_000 {
         cache.record_dispatch(&[segment(id, 1)], ROOMY);
--- a/crates/serving/routing/src/prefix_statistics.rs
+++ b/crates/serving/routing/src/prefix_statistics.rs
@@ -11,7 +11,7 @@
 const HALVING_REQUESTS: u32 = 1024;
 /// Segments that are watched at once. Bounds memory against callers that name ever new segments.
 const MAX_SEGMENTS: usize = 2048;
-/// Lengths of prompts, in segments, that are told apart.
+/// Lengths of prompts, in segments, that are distinguished.
 const MAX_LENGTHS: usize = 16;
 /// Prompts up to the length of this quantile count as first turns.
 const FIRST_TURN_QUANTILE: f64 = 0.1;
--- a/crates/serving/routing/src/prefix_statistics/tests.rs
+++ b/crates/serving/routing/src/prefix_statistics/tests.rs
@@ -1,3 +1,5 @@
+//! Which prefixes are found to be shared.
+
 use super::*;
 
 fn segment(id: u64, tokens: u32) -> PromptSegment {
@@ -61,7 +63,7 @@
 }
 
 #[test]
-fn popularity_is_the_share_of_the_requests() {
+fn popularity_is_the_ratio_of_the_requests() {
     let mut statistics = PrefixStatistics::default();
     for program in 0..400 {
         statistics.observe(
--- a/crates/serving/routing/src/priority.rs
+++ b/crates/serving/routing/src/priority.rs
@@ -5,7 +5,7 @@
 
 /// The priority of an ordinary request of the most urgent route.
 const DEFAULT_PRIORITY: u8 = 5;
-/// Priorities of routes beyond this are not told apart at an engine.
+/// Priorities of routes beyond this are not distinguished at an engine.
 const MAX_ROUTE_PRIORITY: u8 = 3;
 /// A continued program is ahead of a new one by this much: work already done would be lost with it.
 const CONTINUATION_STEP: u8 = 2;
--- a/crates/serving/routing/tests/choice.rs
+++ b/crates/serving/routing/tests/choice.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::*;
+use common::{engine_request, engine_server, plain_request, plain_server};
 use dunespur_routing::{Balancer, Choice, LoadReport, Outcome, PromptSegment, Ticket};
 
 fn dispatched(choice: Choice) -> Ticket {
@@ -335,7 +335,7 @@
     balancer.apply_peer_load(&[crowd(0, 400), crowd(1, 400)], "gateway-2", 2);
     match balancer.choose(&engine_request("program", &prefix), 3) {
         Choice::Reject { retry_after_ms } => assert!((50..=1_667).contains(&retry_after_ms)),
-        other => panic!("expected a refusal, got {other:?}"),
+        other => panic!("expected a rejection, got {other:?}"),
     }
 }
 
--- a/crates/serving/routing/tests/common/digest.rs
+++ b/crates/serving/routing/tests/common/digest.rs
@@ -1,4 +1,4 @@
-//! Hashes over what a simulated day did, compared with those of the first released text.
+//! Hashes of what a simulated day did, compared with those of an earlier version's code.
 
 use dunespur_routing::LoadReport;
 use xxhash_rust::xxh3::Xxh3;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Each seed's digest is that of the fixture, which has a line for each seed.
+/// Each seed's digest is that of the fixture, one row per seed.
 pub fn assert_digests(digest_of: impl Fn(u64) -> u64, fixture: &str) {
     let digests: String = (0..SEEDS)
         .map(|seed| format!("{seed} {:016x}\n", digest_of(seed)))
--- a/crates/serving/routing/tests/fleet/engine.rs
+++ b/crates/serving/routing/tests/fleet/engine.rs
@@ -1,22 +1,22 @@
-//! A small model of an engine: requests run in a batch, prompts are read in pieces between tokens, parts of
-//! prompts are kept while there is memory, and the newest request is read anew once there is none.
+//! A small model of an engine: requests run in a batch, prompts are prefilled in chunks between decode steps, segments
+//! of prompts are cached while there is memory, and the newest request is preempted once there is none.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use dunespur_routing::PromptSegment;
 
-/// How an engine of the model behaves.
+/// The parameters of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineModel {
     pub slots: usize,
     pub queue: usize,
     pub kv_capacity: u64,
-    /// A step without any prompt.
+    /// Duration of a step without prefill.
     pub step_ms: f64,
     /// What each running request adds to a step.
     pub step_per_request_ms: f64,
-    pub read_tokens_per_ms: f64,
-    /// Prompt tokens read in one step.
+    pub prefill_tokens_per_ms: f64,
+    /// Prompt tokens prefilled in one step.
     pub prefill_budget: u64,
     pub chunk_tokens: u32,
     /// 1 for an engine like the others, more for a slow one.
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 struct Running {
     job: Job,
-    unread: u64,
+    unprefilled: u64,
     answered: u32,
     first_reported: bool,
     started: u64,
@@ -62,7 +62,7 @@
     by_use: BTreeMap<u64, u64>,
     cached_tokens: u64,
     uses: u64,
-    pub tokens_read: u64,
+    pub prefilled_tokens: u64,
     pub preempted: u64,
 }
 
@@ -76,7 +76,7 @@
             by_use: BTreeMap::new(),
             cached_tokens: 0,
             uses: 0,
-            tokens_read: 0,
+            prefilled_tokens: 0,
             preempted: 0,
         }
     }
@@ -85,7 +85,7 @@
         self.running.is_empty() && self.waiting.is_empty()
     }
 
-    /// Takes a job; false if it is full.
+    /// Accepts a job; false if the engine is full.
     pub fn offer(&mut self, job: Job) -> bool {
         let full = self.running.len() + self.waiting.len() >= self.model.slots + self.model.queue;
         if full || job.prompt_tokens + u64::from(job.output_tokens) > self.model.kv_capacity {
@@ -95,21 +95,21 @@
         true
     }
 
-    /// Makes a step: how long it takes and what comes of it at its end.
+    /// Runs one step: its duration, and the events at its end.
     pub fn step(&mut self, events: &mut Vec<Event>) -> f64 {
         self.admit();
         let mut budget = self.model.prefill_budget;
-        let mut read = 0;
+        let mut prefilled_now = 0;
         for request in &mut self.running {
-            let prefilled = request.unread.min(budget);
-            request.unread -= prefilled;
+            let prefilled = request.unprefilled.min(budget);
+            request.unprefilled -= prefilled;
             budget -= prefilled;
-            read += prefilled;
+            prefilled_now += prefilled;
         }
-        self.tokens_read += read;
+        self.prefilled_tokens += prefilled_now;
         let chunk = self.model.chunk_tokens;
         for request in &mut self.running {
-            if request.unread > 0 {
+            if request.unprefilled > 0 {
                 continue;
             }
             request.answered += 1;
@@ -128,7 +128,7 @@
         self.evict();
         let step_ms = self.model.step_ms
             + self.model.step_per_request_ms * batch
-            + read as f64 / self.model.read_tokens_per_ms;
+            + prefilled_now as f64 / self.model.prefill_tokens_per_ms;
         step_ms * self.model.slowness
     }
 
@@ -150,13 +150,13 @@
             let Some(job) = self.waiting.remove(index) else {
                 return;
             };
-            let unread = job.prompt_tokens - self.cached_tokens_of(&job.prefix);
+            let unprefilled = job.prompt_tokens - self.cached_tokens_of(&job.prefix);
             self.cache_prefix(&job.prefix);
             self.uses += 1;
             let started = self.uses;
             self.running.push(Running {
                 job,
-                unread,
+                unprefilled,
                 answered: 0,
                 first_reported: false,
                 started,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Kept parts give way first, then the newest of the least urgent requests.
+    /// Preempts the newest of the least urgent requests, and evicts the least recently used segments.
     fn evict(&mut self) {
         while self.running_tokens() > self.model.kv_capacity && self.running.len() > 1 {
             let newest = self
--- a/crates/serving/routing/tests/fleet/mod.rs
+++ b/crates/serving/routing/tests/fleet/mod.rs
@@ -21,19 +21,19 @@
 const GATEWAY_DELAY_MS: f64 = 1.0;
 const TARGET_MS: u64 = 200;
 const MAX_ATTEMPTS: usize = 3;
-/// A gateway waits so long for a first event.
+/// How long a gateway waits for a first event.
 const FIRST_EVENT_TIMEOUT_MS: f64 = 2_000.0;
 
-/// How the prompt of a line's later turn is put together.
+/// How the prompt of a conversation's later turn is put together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Growth {
-    /// The line's last part grows.
-    LastPart,
-    /// Each turn adds a part.
-    NewParts,
+    /// The conversation's last segment grows.
+    LastSegment,
+    /// Each turn adds a segment.
+    NewSegments,
 }
 
-/// A day to be played.
+/// The parameters of a simulated day.
 #[derive(Debug, Clone)]
 pub struct Day {
     pub seed: u64,
@@ -43,7 +43,7 @@
     pub model: EngineModel,
     /// Slowness of single engines.
     pub slow: Vec<(usize, f64)>,
-    /// An engine that stands still, and when.
+    /// An engine that is frozen, and when.
     pub frozen: Option<(usize, std::ops::Range<f64>)>,
     pub programs_per_s: f64,
     pub length_ms: f64,
@@ -67,7 +67,7 @@
     Baseline(BaselinePolicy),
 }
 
-/// What came of a day.
+/// The figures of a day.
 #[derive(Debug, Clone, Default)]
 pub struct DayResult {
     pub turns: usize,
@@ -78,8 +78,8 @@
     pub preempted: u64,
     pub first_ms: Vec<f64>,
     pub turn_ms: Vec<f64>,
-    pub tokens_read: u64,
-    pub tokens_new: u64,
+    pub prefilled_tokens: u64,
+    pub new_tokens: u64,
     pub other_zone: usize,
     pub migrated: usize,
 }
@@ -95,8 +95,8 @@
         self.preempted += day.preempted;
         self.first_ms.extend(day.first_ms);
         self.turn_ms.extend(day.turn_ms);
-        self.tokens_read += day.tokens_read;
-        self.tokens_new += day.tokens_new;
+        self.prefilled_tokens += day.prefilled_tokens;
+        self.new_tokens += day.new_tokens;
         self.other_zone += day.other_zone;
         self.migrated += day.migrated;
     }
@@ -105,22 +105,22 @@
         self.first_ms.iter().sum::<f64>() / self.first_ms.len().max(1) as f64
     }
 
-    pub fn first_ms_at(&self, share: f64) -> f64 {
+    pub fn first_ms_at(&self, quantile: f64) -> f64 {
         let mut sorted = self.first_ms.clone();
         sorted.sort_by(f64::total_cmp);
-        sorted[((sorted.len() - 1) as f64 * share) as usize]
+        sorted[((sorted.len() - 1) as f64 * quantile) as usize]
     }
 
     pub fn mean_turn_ms(&self) -> f64 {
         self.turn_ms.iter().sum::<f64>() / self.turn_ms.len().max(1) as f64
     }
 
-    /// Tokens read though some engine had read them before.
-    pub fn tokens_again(&self) -> u64 {
-        self.tokens_read.saturating_sub(self.tokens_new)
+    /// Tokens prefilled though some engine had prefilled them before.
+    pub fn recomputed_tokens(&self) -> u64 {
+        self.prefilled_tokens.saturating_sub(self.new_tokens)
     }
 
-    pub fn late_share(&self) -> f64 {
+    pub fn late_ratio(&self) -> f64 {
         let late = self
             .first_ms
             .iter()
@@ -135,8 +135,8 @@
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             out,
-            "turns {} failed {} shed {} refused {} silent {} preempted {}; first token mean {:.1} p95 {:.1} p99 {:.1} ms; \
-             turn {:.1} ms; late {:.2} %; read again {} k of {} k; other zone {:.0} %, moved {:.0} %",
+            "turns {} failed {} rejected {} deferred {} timed out {} preempted {}; first token mean {:.1} p95 {:.1} p99 {:.1} ms; \
+             turn {:.1} ms; late {:.2} %; recomputed {} k of {} k; other zone {:.0} %, migrated {:.0} %",
             self.turns,
             self.failed,
             self.rejected,
@@ -147,16 +147,16 @@
             self.first_ms_at(0.95),
             self.first_ms_at(0.99),
             self.mean_turn_ms(),
-            100.0 * self.late_share(),
-            self.tokens_again() / 1000,
-            self.tokens_read / 1000,
+            100.0 * self.late_ratio(),
+            self.recomputed_tokens() / 1000,
+            self.prefilled_tokens / 1000,
             100.0 * self.other_zone as f64 / self.turns.max(1) as f64,
             100.0 * self.migrated as f64 / self.turns.max(1) as f64,
         )
     }
 }
 
-/// A line of turns of a program.
+/// A sequence of turns of a program.
 #[derive(Debug, Clone)]
 struct Conversation {
     program: Rc<str>,
@@ -167,7 +167,7 @@
     turns_left: usize,
     is_main: bool,
     last_engine: Option<usize>,
-    /// The line's own chance: what it asks is the same whichever way engines are chosen.
+    /// The conversation's own random numbers: its requests are the same whichever way engines are chosen.
     random: fastrand::Rng,
 }
 
@@ -234,12 +234,12 @@
     }
 }
 
-/// Plays a day with a way to choose engines.
+/// Simulates a day with a policy of choosing engines.
 pub fn play(day: &Day, policy: Policy) -> DayResult {
     Fleet::new(day.clone(), policy).play().result
 }
 
-/// A hash over all choices, their times and the reports of a day with our choice.
+/// A hash over all choices, their times and the reports of a day with the balancer.
 pub fn digest(day: &Day) -> u64 {
     let Fleet {
         mut digest, result, ..
@@ -257,7 +257,7 @@
     for ms in result.first_ms.iter().chain(&result.turn_ms) {
         digest.float(*ms);
     }
-    digest.number(result.tokens_read);
+    digest.number(result.prefilled_tokens);
     digest.number(result.preempted);
     digest.value()
 }
@@ -328,7 +328,11 @@
             }
             self.handle(at.time, at.event);
         }
-        self.result.tokens_read = self.engines.iter().map(|engine| engine.tokens_read).sum();
+        self.result.prefilled_tokens = self
+            .engines
+            .iter()
+            .map(|engine| engine.prefilled_tokens)
+            .sum();
         self.result.preempted = self.engines.iter().map(|engine| engine.preempted).sum();
         self
     }
@@ -402,13 +406,13 @@
             .random
             .u32(self.day.turn_tokens / 2..=self.day.turn_tokens * 3 / 2);
         let own = conversation.prefix.len() > 2
-            && self.day.growth == Growth::LastPart
+            && self.day.growth == Growth::LastSegment
             && !conversation.is_fresh();
         if own {
             let last = conversation
                 .prefix
                 .last_mut()
-                .expect("a line has its own part");
+                .expect("a conversation has its own segment");
             last.tokens += extra;
         } else {
             let id = conversation.random.u64(1_000_000..);
@@ -416,7 +420,7 @@
                 .prefix
                 .push(PromptSegment { id, tokens: extra });
         }
-        conversation.mark_used();
+        conversation.clear_fresh();
         let gateway = if self.day.keeps_gateway {
             conversation.gateway
         } else {
@@ -448,25 +452,7 @@
             return;
         }
         turn.attempts += 1;
-        let prompt_tokens = turn
-            .conversation
-            .prefix
-            .iter()
-            .map(|segment| segment.tokens)
-            .sum();
-        let request = RoutingRequest {
-            backend: ENGINES,
-            program: Some(&turn.conversation.program),
-            session: Some(&turn.conversation.session),
-            prefix: &turn.conversation.prefix,
-            prompt_tokens,
-            max_tokens: self.day.output_tokens * 3 / 2,
-            idempotent: false,
-            priority: 0,
-            time_left_ms: time_left as u64,
-            target_ms: TARGET_MS,
-            tried: &turn.tried,
-        };
+        let request = turn.request(self.day.output_tokens * 3 / 2, time_left as u64);
         self.digest.float(now);
         match self.routers[turn.gateway].choose(&request, now as Millis) {
             RoutingAnswer::Dispatched(dispatched) => {
@@ -544,19 +530,19 @@
             self.result.migrated += 1;
         }
         turn.conversation.last_engine = Some(engine);
-        self.note_new_tokens(number);
+        self.count_new_tokens(number);
         if !self.stepping[engine] {
             self.stepping[engine] = true;
             self.schedule(now, SimEvent::Step(engine));
         }
     }
 
-    /// Tokens that no engine had read before.
-    fn note_new_tokens(&mut self, number: usize) {
+    /// Tokens that no engine had prefilled before.
+    fn count_new_tokens(&mut self, number: usize) {
         let prefix = self.turns[&number].conversation.prefix.clone();
         for segment in prefix {
             let longest = self.longest.entry(segment.id).or_insert(0);
-            self.result.tokens_new += u64::from(segment.tokens.saturating_sub(*longest));
+            self.result.new_tokens += u64::from(segment.tokens.saturating_sub(*longest));
             *longest = segment.tokens.max(*longest);
         }
     }
@@ -585,7 +571,7 @@
         self.schedule(now + took, SimEvent::Step(engine));
     }
 
-    /// What an engine says of a send; a send that was given up counts for nothing.
+    /// An event of an attempt; one that was given up counts for nothing.
     fn engine_reply(&mut self, number: usize, key: u64, event: Event, now: f64) {
         let Some(turn) = self.turns.get_mut(&number).filter(|turn| turn.key == key) else {
             return;
@@ -608,7 +594,7 @@
         }
     }
 
-    /// The gateway gives a send up that has had no first event.
+    /// The gateway gives up an attempt that has had no first event.
     fn timeout(&mut self, number: usize, key: u64, now: f64) {
         let waits = |turn: &&mut Turn| turn.key == key && turn.first_event_at.is_none();
         let Some(turn) = self.turns.get_mut(&number).filter(waits) else {
@@ -634,13 +620,13 @@
                 .into();
                 child.turns_left = 2;
                 child.is_main = false;
-                child.mark_fresh();
+                child.set_fresh();
                 child.random = fastrand::Rng::with_seed(conversation.random.u64(..));
                 self.next_turn(child, now);
             }
         }
-        let pause = self.day.think_time_ms * (0.5 + conversation.random.f64());
-        self.next_turn(conversation, now + pause);
+        let think_time_ms = self.day.think_time_ms * (0.5 + conversation.random.f64());
+        self.next_turn(conversation, now + think_time_ms);
     }
 
     fn send_report(&mut self, gateway: usize, now: f64) {
@@ -669,17 +655,36 @@
     }
 }
 
+impl Turn {
+    fn request(&self, max_tokens: u32, time_left_ms: u64) -> RoutingRequest<'_> {
+        let prefix = &self.conversation.prefix;
+        RoutingRequest {
+            backend: ENGINES,
+            program: Some(&self.conversation.program),
+            session: Some(&self.conversation.session),
+            prefix,
+            prompt_tokens: prefix.iter().map(|segment| segment.tokens).sum(),
+            max_tokens,
+            idempotent: false,
+            priority: 0,
+            time_left_ms,
+            target_ms: TARGET_MS,
+            tried: &self.tried,
+        }
+    }
+}
+
 impl Conversation {
-    /// A sub-agent's first turn adds a part of its own behind its parent's.
+    /// A sub-agent's first turn adds a segment of its own behind its parent's.
     fn is_fresh(&self) -> bool {
         self.session.ends_with('*')
     }
 
-    fn mark_fresh(&mut self) {
+    fn set_fresh(&mut self) {
         self.session = format!("{}*", self.session).into();
     }
 
-    fn mark_used(&mut self) {
+    fn clear_fresh(&mut self) {
         if let Some(name) = self.session.strip_suffix('*') {
             self.session = name.into();
         }
--- a/crates/serving/routing/tests/fleet/router.rs
+++ b/crates/serving/routing/tests/fleet/router.rs
@@ -1,11 +1,11 @@
-//! Ways to choose an engine, ours and the plain ones that it is compared with.
+//! Policies of choosing an engine: the balancer, and the baselines that it is compared with.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
 use dunespur_routing::{Balancer, Choice, LoadReport, Millis, Outcome, RoutingRequest, Server};
 
-/// Where a request goes.
+/// Where a request is dispatched to.
 #[derive(Debug, Clone)]
 pub struct Dispatched {
     pub server: Rc<str>,
@@ -13,7 +13,7 @@
     pub priority: u8,
 }
 
-/// What a router says to a request.
+/// A router's decision on a request.
 #[derive(Debug, Clone)]
 pub enum RoutingAnswer {
     Dispatched(Dispatched),
@@ -29,7 +29,7 @@
     fn apply_peer_load(&mut self, reports: &[LoadReport], from: &str, now: Millis);
 }
 
-/// How a router that is compared with ours chooses.
+/// How a baseline router chooses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BaselinePolicy {
     Random,
@@ -37,7 +37,7 @@
     PrefixOnly,
 }
 
-/// The crate's chooser.
+/// The router under test.
 pub struct Balanced(pub Balancer);
 
 impl Router for Balanced {
@@ -70,7 +70,7 @@
     }
 }
 
-/// A router that goes by one thing only.
+/// A router that goes by one criterion only.
 pub struct Baseline {
     policy: BaselinePolicy,
     servers: Vec<Rc<str>>,
--- a/crates/serving/routing/tests/hints.rs
+++ b/crates/serving/routing/tests/hints.rs
@@ -1,14 +1,14 @@
-//! Hints of other gateways that a server is in trouble, as callers see them.
+//! Hints of other gateways that a server is faulty, as callers see them.
 
 mod common;
 
-use common::*;
+use common::{plain_request, plain_server};
 use dunespur_routing::{Balancer, Choice, Outcome, Server, ServerId, Ticket};
 
 const SERVERS: usize = 4;
-/// Pause between two requests.
+/// Interval between two requests.
 const STEP_MS: u64 = 20;
-/// News of the other gateways come this often.
+/// Interval between two hints.
 const HINT_INTERVAL_MS: u64 = 250;
 
 fn dispatched(choice: Choice) -> Ticket {
@@ -24,7 +24,7 @@
         .collect()
 }
 
-/// Requests one after the other while others say that the first server is in trouble: how many went there.
+/// Sequential requests while other gateways hint that the first server is faulty: how many went there.
 fn requests_to_hinted(
     balancer: &mut Balancer,
     hinted: &ServerId,
@@ -119,7 +119,7 @@
     }
     assert!(
         balancer.ejected_for_faults(10_000).is_empty(),
-        "the time is over"
+        "the ejection has ended"
     );
 }
 
--- a/crates/serving/routing/tests/plain_simulation.rs
+++ b/crates/serving/routing/tests/plain_simulation.rs
@@ -1,4 +1,5 @@
-//! Seeded days of plain requests on modelled servers: our choice against simple ones, and servers that fail.
+//! Seeded days of requests on modelled servers without an engine: the balancer against baselines, and servers that
+//! fail.
 
 mod common;
 
@@ -18,9 +19,9 @@
 const LENGTH_US: u64 = 20_000_000;
 const DIGEST_LENGTH_US: u64 = 4_000_000;
 const MAX_ATTEMPTS: usize = 3;
-/// Work of the kinds of requests with their objectives, in milliseconds.
+/// Work of the kinds of requests with their latency targets, in milliseconds.
 const KINDS: [(f64, u64); 3] = [(26.0, 150), (104.0, 500), (69.0, 300)];
-/// From this share of its places on, a server slows down.
+/// From this ratio of its slots on, a server slows down.
 const NEARLY_FULL: f64 = 0.8;
 const NEARLY_FULL_SLOWNESS: f64 = 1.3;
 
@@ -51,7 +52,7 @@
     served: usize,
     other_zone: usize,
     failed_dispatches: usize,
-    /// Sends to the failing server after its trouble.
+    /// Dispatches to the failing server after its fault.
     dispatches_after: usize,
 }
 
@@ -365,74 +366,77 @@
     }
 }
 
-/// What ours and the simple ways made of the same days.
+/// The figures of the balancer and of the baselines on the same days.
 fn compare(rate: f64) -> [DayResult; 3] {
     [Policy::Balanced, Policy::Random, Policy::OwnLeast]
         .map(|policy| sum(|seed| day(seed, rate), policy))
 }
 
 #[test]
-fn answers_come_sooner_than_with_simple_ways_and_fewer_cross_zones() {
+fn responses_come_sooner_than_with_baselines_and_fewer_cross_zones() {
     for rate in [50.0, 150.0, 250.0, 350.0] {
-        let [ours, random, own_least] = compare(rate);
+        let [balanced, random, own_least] = compare(rate);
         assert!(
-            ours.mean_ms() <= random.mean_ms(),
-            "{rate}: {ours:?} {random:?}"
+            balanced.mean_ms() <= random.mean_ms(),
+            "{rate}: {balanced:?} {random:?}"
         );
         assert!(
-            ours.mean_ms() <= own_least.mean_ms(),
-            "{rate}: {ours:?} {own_least:?}"
+            balanced.mean_ms() <= own_least.mean_ms(),
+            "{rate}: {balanced:?} {own_least:?}"
         );
         assert!(
-            ours.other_zone * 2 <= own_least.other_zone,
-            "{rate}: {ours:?} {own_least:?}"
+            balanced.other_zone * 2 <= own_least.other_zone,
+            "{rate}: {balanced:?} {own_least:?}"
         );
         assert!(
-            ours.not_served <= own_least.not_served + ours.requests / 2_000,
-            "{rate}: {ours:?} {own_least:?}"
+            balanced.not_served <= own_least.not_served + balanced.requests / 2_000,
+            "{rate}: {balanced:?} {own_least:?}"
         );
     }
 }
 
 #[test]
 fn a_random_choice_is_far_behind_where_servers_are_half_full() {
-    let [ours, random, _] = compare(250.0);
+    let [balanced, random, _] = compare(250.0);
     assert!(
-        ours.mean_ms() <= 0.85 * random.mean_ms(),
-        "{ours:?} {random:?}"
+        balanced.mean_ms() <= 0.85 * random.mean_ms(),
+        "{balanced:?} {random:?}"
     );
-    assert!(ours.late * 10 <= random.late, "{ours:?} {random:?}");
+    assert!(balanced.late * 10 <= random.late, "{balanced:?} {random:?}");
 }
 
 #[test]
 fn near_and_beyond_what_servers_can_do_hardly_more_is_lost() {
     for rate in [450.0, 600.0] {
-        let [ours, random, own_least] = compare(rate);
+        let [balanced, random, own_least] = compare(rate);
         for other in [random, own_least] {
             let bound = other.not_served + other.requests / 50;
-            assert!(ours.not_served <= bound, "{rate}: {ours:?} {other:?}");
+            assert!(
+                balanced.not_served <= bound,
+                "{rate}: {balanced:?} {other:?}"
+            );
         }
     }
 }
 
 #[test]
-fn a_failing_server_is_avoided_and_used_again_when_it_is_well() {
+fn a_failing_server_is_ejected_and_used_again_when_it_has_recovered() {
     for rate in [50.0, 250.0] {
         let failing = |seed| Day {
             failing: Some((1, 5_000_000..10_000_000)),
             ..day(seed, rate)
         };
-        let [ours, own_least] =
+        let [balanced, own_least] =
             [Policy::Balanced, Policy::OwnLeast].map(|policy| sum(failing, policy));
         assert!(
-            ours.failed_dispatches * 2 <= own_least.failed_dispatches + 10,
-            "{ours:?} {own_least:?}"
+            balanced.failed_dispatches * 2 <= own_least.failed_dispatches + 10,
+            "{balanced:?} {own_least:?}"
         );
         assert!(
-            ours.dispatches_after * 3 >= own_least.dispatches_after,
-            "{ours:?} {own_least:?}"
+            balanced.dispatches_after * 3 >= own_least.dispatches_after,
+            "{balanced:?} {own_least:?}"
         );
-        assert_eq!(ours.not_served, 0, "{ours:?}");
+        assert_eq!(balanced.not_served, 0, "{balanced:?}");
     }
 }
 
--- a/crates/serving/routing/tests/properties.rs
+++ b/crates/serving/routing/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds after any row of calls.
+//! Invariants after any sequence of calls.
 
 mod common;
 
@@ -23,7 +23,7 @@
     Outcome::Cancelled,
 ];
 
-/// The chooser beside a plain record of what was sent.
+/// The balancer beside a plain record of what was dispatched.
 struct Record {
     balancer: Balancer,
     random: fastrand::Rng,
@@ -157,7 +157,7 @@
             .filter(may_take)
             .map(|server| server.id.clone())
             .collect();
-        self.note_choice(&choice);
+        self.hash_choice(&choice);
         match choice {
             Choice::Send(ticket) => {
                 if !allowed.contains(&ticket.server.id) {
@@ -175,7 +175,7 @@
                 self.in_flight.insert(ticket.key, ticket.server.id.clone());
             }
             Choice::Reject { retry_after_ms: 0 } => {
-                return Err("a refusal names a time".to_string());
+                return Err("a rejection names a time".to_string());
             }
             Choice::Reject { .. } => {}
             Choice::NoServer if !allowed.is_empty() => {
@@ -186,7 +186,7 @@
         Ok(())
     }
 
-    fn note_choice(&mut self, choice: &Choice) {
+    fn hash_choice(&mut self, choice: &Choice) {
         self.digest.number(self.now);
         match choice {
             Choice::Send(ticket) => {
@@ -239,7 +239,7 @@
         }
     }
 
-    /// What is reported is what is open.
+    /// What is reported is what is in flight.
     fn check_reports(&self) -> Result<(), String> {
         let mut in_flight: HashMap<ServerId, u32> = HashMap::new();
         for id in self.in_flight.values() {
@@ -253,7 +253,7 @@
         if in_flight == reported {
             return Ok(());
         }
-        Err(format!("open {in_flight:?}, reported {reported:?}"))
+        Err(format!("in flight {in_flight:?}, reported {reported:?}"))
     }
 }
 
@@ -274,7 +274,7 @@
         .all(|call| first.call(call) == second.call(call) && first.in_flight == second.in_flight)
 }
 
-/// Rows of calls from a fixed seed: the same ones in every run.
+/// Sequences of calls from a fixed seed: the same ones in every run.
 fn call_sequences() -> QuickCheck {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(MAX_CALLS, SEED))
@@ -291,7 +291,8 @@
     call_sequences().quickcheck(gives_the_same_choices_again as fn(u64, Vec<u8>) -> bool);
 }
 
-/// Random calls with hints, servers that warm up and few connections, hashed over choices, reports and ejections.
+/// Random calls with hints, servers that warm up and few connections, hashed with their choices, reports and
+/// ejections.
 fn digest_of_calls(seed: u64) -> u64 {
     let mut record = Record::new(seed);
     for _ in 0..600 {
--- a/crates/serving/routing/tests/simulation.rs
+++ b/crates/serving/routing/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Seeded days of agent programs on modelled engines: our choice against simple ones.
+//! Seeded days of agent programs on modelled engines: the balancer against baselines.
 
 mod common;
 mod fleet;
@@ -9,7 +9,7 @@
 use fleet::{play, Day, DayResult, Growth, Policy};
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
-/// A difference of chance between two ways that are as good.
+/// A random difference between two policies that are equally good.
 const AS_GOOD: f64 = 1.06;
 
 /// Far below what the engines can do.
@@ -25,7 +25,7 @@
             kv_capacity: 220_000,
             step_ms: 5.5,
             step_per_request_ms: 0.25,
-            read_tokens_per_ms: 39.0,
+            prefill_tokens_per_ms: 39.0,
             prefill_budget: 512,
             chunk_tokens: 3,
             slowness: 1.0,
@@ -43,7 +43,7 @@
         output_tokens: 33,
         think_time_ms: 250.0,
         keeps_gateway: true,
-        growth: Growth::LastPart,
+        growth: Growth::LastSegment,
     }
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Close to what the engines can do if little is read anew.
+/// Close to what the engines can do if little is prefilled twice.
 fn busy_day(seed: u64) -> Day {
     Day {
         programs_per_s: 40.0,
@@ -63,18 +63,18 @@
     }
 }
 
-/// What the four ways made of the same days.
+/// The figures of the four policies on the same days.
 struct Comparison {
-    ours: DayResult,
+    balanced: DayResult,
     random: DayResult,
     least_loaded: DayResult,
     prefix_only: DayResult,
 }
 
 impl Comparison {
-    fn over(day: impl Fn(u64) -> Day) -> Self {
+    fn of(day: impl Fn(u64) -> Day) -> Self {
         Self {
-            ours: sum(&day, Policy::Balanced),
+            balanced: sum(&day, Policy::Balanced),
             random: sum(&day, Policy::Baseline(BaselinePolicy::Random)),
             least_loaded: sum(&day, Policy::Baseline(BaselinePolicy::LeastLoaded)),
             prefix_only: sum(&day, Policy::Baseline(BaselinePolicy::PrefixOnly)),
@@ -89,14 +89,14 @@
         ]
     }
 
-    /// Ours is at most `factor` times every other's in `measure`.
+    /// The balancer's `measure` is at most `factor` times every baseline's.
     fn assert_at_most(&self, factor: f64, what: &str, measure: impl Fn(&DayResult) -> f64) {
         for (name, other) in self.others() {
-            let (ours, theirs) = (measure(&self.ours), measure(other));
+            let (balanced, theirs) = (measure(&self.balanced), measure(other));
             assert!(
-                ours <= factor * theirs,
-                "{what}: ours {ours:.1}, {name} {theirs:.1}\nours: {}\n{name}: {other}",
-                self.ours
+                balanced <= factor * theirs,
+                "{what}: balanced {balanced:.1}, {name} {theirs:.1}\nours: {}\n{name}: {other}",
+                self.balanced
             );
         }
     }
@@ -110,8 +110,8 @@
     sum
 }
 
-fn read_again(result: &DayResult) -> f64 {
-    result.tokens_again() as f64
+fn recomputed(result: &DayResult) -> f64 {
+    result.recomputed_tokens() as f64
 }
 
 fn not_served(result: &DayResult) -> f64 {
@@ -132,58 +132,58 @@
 }
 
 #[test]
-fn on_a_quiet_day_first_tokens_come_as_soon_as_with_any_other_way_and_turns_end_sooner() {
-    let days = Comparison::over(quiet_day);
+fn on_a_quiet_day_first_tokens_come_as_soon_as_with_any_baseline_and_turns_end_sooner() {
+    let days = Comparison::of(quiet_day);
     days.assert_at_most(AS_GOOD, "first token", DayResult::mean_first_ms);
     days.assert_at_most(1.0, "turn", DayResult::mean_turn_ms);
-    assert!(read_again(&days.ours) <= 0.4 * read_again(&days.random));
-    assert!(read_again(&days.ours) <= 0.4 * read_again(&days.least_loaded));
+    assert!(recomputed(&days.balanced) <= 0.4 * recomputed(&days.random));
+    assert!(recomputed(&days.balanced) <= 0.4 * recomputed(&days.least_loaded));
     assert_eq!(
-        days.ours.failed + days.ours.rejected + days.ours.deferred,
+        days.balanced.failed + days.balanced.rejected + days.balanced.deferred,
         0,
         "{}",
-        days.ours
+        days.balanced
     );
 }
 
 #[test]
 fn programs_that_come_through_any_gateway_still_find_their_context() {
-    let days = Comparison::over(roaming_day);
+    let days = Comparison::of(roaming_day);
     days.assert_at_most(AS_GOOD, "first token", DayResult::mean_first_ms);
     days.assert_at_most(1.0, "turn", DayResult::mean_turn_ms);
-    assert!(read_again(&days.ours) <= 0.4 * read_again(&days.random));
-    assert!(read_again(&days.ours) <= 0.4 * read_again(&days.least_loaded));
+    assert!(recomputed(&days.balanced) <= 0.4 * recomputed(&days.random));
+    assert!(recomputed(&days.balanced) <= 0.4 * recomputed(&days.least_loaded));
 }
 
 #[test]
-fn prompts_whose_turns_are_parts_of_their_own_are_followed_too() {
-    let days = Comparison::over(|seed| Day {
-        growth: Growth::NewParts,
+fn prompts_whose_turns_are_segments_of_their_own_are_cached_too() {
+    let days = Comparison::of(|seed| Day {
+        growth: Growth::NewSegments,
         ..roaming_day(seed)
     });
     days.assert_at_most(AS_GOOD, "first token", DayResult::mean_first_ms);
     days.assert_at_most(1.0, "turn", DayResult::mean_turn_ms);
-    assert!(read_again(&days.ours) <= 0.4 * read_again(&days.least_loaded));
+    assert!(recomputed(&days.balanced) <= 0.4 * recomputed(&days.least_loaded));
 }
 
 #[test]
-fn on_a_busy_day_ours_is_far_ahead() {
-    let days = Comparison::over(busy_day);
+fn on_a_busy_day_the_balancer_is_far_ahead() {
+    let days = Comparison::of(busy_day);
     days.assert_at_most(0.6, "first token", DayResult::mean_first_ms);
     days.assert_at_most(0.75, "turn", DayResult::mean_turn_ms);
-    days.assert_at_most(0.6, "late", DayResult::late_share);
-    days.assert_at_most(1.1, "read again", read_again);
-    assert_eq!(days.ours.failed, 0, "{}", days.ours);
+    days.assert_at_most(0.6, "late", DayResult::late_ratio);
+    days.assert_at_most(1.1, "recomputed", recomputed);
+    assert_eq!(days.balanced.failed, 0, "{}", days.balanced);
 }
 
 #[test]
-fn one_subject_for_all_does_not_crowd_one_engine() {
-    let days = Comparison::over(|seed| Day {
+fn one_shared_prefix_for_all_does_not_crowd_one_engine() {
+    let days = Comparison::of(|seed| Day {
         subjects: 1,
         ..roaming_day(seed)
     });
     days.assert_at_most(0.7, "first token", DayResult::mean_first_ms);
-    days.assert_at_most(0.6, "read again", read_again);
+    days.assert_at_most(0.6, "recomputed", recomputed);
 }
 
 #[test]
@@ -192,33 +192,33 @@
         slow: vec![(0, 2.5), (4, 2.0)],
         ..roaming_day(seed)
     };
-    let days = Comparison::over(slow_day);
+    let days = Comparison::of(slow_day);
     days.assert_at_most(0.95, "first token", DayResult::mean_first_ms);
     days.assert_at_most(0.8, "turn", DayResult::mean_turn_ms);
-    days.assert_at_most(0.8, "late", DayResult::late_share);
+    days.assert_at_most(0.8, "late", DayResult::late_ratio);
 }
 
 #[test]
-fn beyond_what_the_engines_can_do_hardly_more_is_lost_than_with_any_other_way() {
-    let days = Comparison::over(|seed| Day {
+fn beyond_the_engines_capacity_hardly_more_is_lost_than_with_any_baseline() {
+    let days = Comparison::of(|seed| Day {
         programs_per_s: 72.0,
         ..roaming_day(seed)
     });
     days.assert_at_most(1.1, "not served", not_served);
-    let (ours, random) = (&days.ours, &days.random);
+    let (balanced, random) = (&days.balanced, &days.random);
     assert!(
-        ours.mean_first_ms() <= 0.8 * random.mean_first_ms(),
-        "ours: {ours}\nrandom: {random}"
+        balanced.mean_first_ms() <= 0.8 * random.mean_first_ms(),
+        "balanced: {balanced}\nrandom: {random}"
     );
     assert!(
-        read_again(ours) <= 0.8 * read_again(random),
-        "ours: {ours}\nrandom: {random}"
+        recomputed(balanced) <= 0.8 * recomputed(random),
+        "balanced: {balanced}\nrandom: {random}"
     );
 }
 
 #[test]
-fn an_engine_that_stands_still_is_left_early() {
-    let days = Comparison::over(|seed| Day {
+fn a_frozen_engine_is_left_early() {
+    let days = Comparison::of(|seed| Day {
         frozen: Some((3, 6_000.0..14_000.0)),
         ..roaming_day(seed)
     });
@@ -226,23 +226,23 @@
     days.assert_at_most(0.7, "slowest first tokens", |result| {
         result.first_ms_at(0.99)
     });
-    days.assert_at_most(1.0, "late", DayResult::late_share);
-    assert_eq!(days.ours.failed, 0, "{}", days.ours);
+    days.assert_at_most(1.0, "late", DayResult::late_ratio);
+    assert_eq!(days.balanced.failed, 0, "{}", days.balanced);
 }
 
-/// Short days of all kinds: by the seed the load, the growth of prompts, and engines that are slow or stand still.
+/// Short days of all kinds: by the seed the load, the growth of prompts, and engines that are slow or frozen.
 fn varied_day(seed: u64) -> Day {
-    let growth = if seed % 2 == 0 {
-        Growth::LastPart
+    let growth = if seed.is_multiple_of(2) {
+        Growth::LastSegment
     } else {
-        Growth::NewParts
+        Growth::NewSegments
     };
     Day {
         engines: 6,
         programs_per_s: [10.0, 20.0, 36.0, 48.0][seed as usize / 2 % 4],
         length_ms: 4_000.0,
         subjects: [1, 40, 10][seed as usize % 3],
-        keeps_gateway: seed % 5 == 0,
+        keeps_gateway: seed.is_multiple_of(5),
         slow: if seed % 3 == 1 {
             vec![(1, 2.5)]
         } else {
