--- a/crates/serving/dunespur/src/allocator.rs
+++ b/crates/serving/dunespur/src/allocator.rs
@@ -1,4 +1,4 @@
-//! How the allocator of the C library holds memory. Memory is paid for all the time, and peaks are short.
+//! How much free memory the allocator of the C library retains. Memory is paid for all the time, and peaks are short.
 
 #[cfg(target_env = "gnu")]
 use libc::{mallopt, M_ARENA_MAX, M_MMAP_THRESHOLD, M_TOP_PAD, M_TRIM_THRESHOLD};
--- a/crates/serving/dunespur/src/budgets.rs
+++ b/crates/serving/dunespur/src/budgets.rs
@@ -1,4 +1,4 @@
-//! Leases on the budgets of programs: carries the requests of a [`LeaseBook`] to the core and its verdicts to the
+//! Leases on the budgets of programs: carries the requests of a [`LeaseBook`] to the core and its decisions to the
 //! turns that wait.
 
 use crate::clock::Clock;
@@ -16,7 +16,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep_until;
 
-/// The core gets so long for one request; the book sends it again.
+/// The core gets so long for one request; the lease table sends it again.
 const COUNTER_TIMEOUT: Duration = Duration::from_millis(900);
 /// When a turn may come back that could not be decided on, in milliseconds.
 const SILENT_RETRY_MS: u64 = 300;
@@ -26,10 +26,10 @@
     clock: Clock,
     directory: Rc<Directory>,
     leases: RefCell<LeaseBook>,
-    /// Turns that wait for a verdict.
+    /// Turns that wait for a decision.
     waiting: RefCell<HashMap<u64, oneshot::Sender<Admission>>>,
     next_turn: Cell<u64>,
-    /// Told when the next due time may have changed.
+    /// Notified when the next due time may have changed.
     rescheduled: Notify,
     this: Weak<Budgets>,
 }
@@ -49,14 +49,17 @@
         budgets
     }
 
-    /// Sets aside the most that a turn may generate.
-    pub async fn reserve(&self, ask: AdmissionRequest<'_>) -> AdmissionDecision {
+    /// Reserves the most tokens that a turn may generate.
+    pub async fn reserve(&self, request: AdmissionRequest<'_>) -> AdmissionDecision {
         let turn = self.next_turn.replace(self.next_turn.get() + 1);
         let now = self.clock.now();
-        let admission =
-            self.leases
-                .borrow_mut()
-                .admit(ask.program, ask.budget, ask.max_tokens, turn, now);
+        let admission = self.leases.borrow_mut().admit(
+            request.program,
+            request.budget,
+            request.max_tokens,
+            turn,
+            now,
+        );
         self.rescheduled.notify_one();
         let admission = match admission {
             Admission::Ask(request) => {
@@ -79,7 +82,7 @@
         }
     }
 
-    /// The verdict on a turn that waits. A future that is dropped before it is ready takes the turn out.
+    /// The decision on a turn that waits. A future that is dropped before it is ready takes the turn out.
     fn await_verdict(&self, turn: u64) -> impl std::future::Future<Output = Admission> + '_ {
         let (sender, verdict) = oneshot::channel();
         self.waiting.borrow_mut().insert(turn, sender);
@@ -104,17 +107,17 @@
         }
     }
 
-    /// Tokens of a program that are held here.
-    pub fn held(&self, program: &str) -> u64 {
+    /// Tokens of a program that are leased here.
+    pub fn leased(&self, program: &str) -> u64 {
         self.leases.borrow().held(program)
     }
 
-    /// Tokens of a turn that are about to be handed to its client.
+    /// Tokens of a turn that are about to be sent to its client.
     pub fn used(&self, turn: TurnKey, tokens: u64) {
         self.leases.borrow_mut().used(turn.0, tokens);
     }
 
-    /// A turn is over.
+    /// A turn has ended.
     pub fn release(&self, turn: TurnKey) {
         self.finish(turn.0);
     }
@@ -129,7 +132,7 @@
         self.rescheduled.notify_one();
     }
 
-    /// Gives back what is held, before the end of the process.
+    /// Gives back what is leased, before the end of the process.
     pub async fn close(&self) {
         let requests = self.leases.borrow_mut().close(self.clock.now());
         let exchanges: Vec<_> = requests
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Brings a request to the core and its answer to the book.
+    /// Brings a request to the core and its answer to the lease table.
     fn exchange(&self, request: CounterRequest) -> Option<JoinHandle<()>> {
         let budgets = self.this.upgrade()?;
         Some(spawn_local(async move {
@@ -165,7 +168,7 @@
         }))
     }
 
-    /// Hands verdicts to the turns that wait for them.
+    /// Sends decisions to the turns that wait for them.
     fn notify(&self, outcomes: Vec<TurnOutcome>) {
         for TurnOutcome { turn, admission } in outcomes {
             match admission {
@@ -197,7 +200,7 @@
     }
 }
 
-/// Takes a turn out whose client left while it waited.
+/// Takes a turn out whose client disconnected while it waited.
 struct WaitingTurn<'a> {
     budgets: &'a Budgets,
     turn: u64,
--- a/crates/serving/dunespur/src/check.rs
+++ b/crates/serving/dunespur/src/check.rs
@@ -16,7 +16,7 @@
 /// The file name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// What a file holds.
+/// What a file contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Settings,
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct Check {
     pub file: PathBuf,
-    /// Guessed from the content where it is not said.
+    /// Guessed from the content where it is not given.
     pub kind: Option<Kind>,
     /// Of settings: the role whose needs are checked as well.
     pub role: Option<Role>,
@@ -96,7 +96,7 @@
         .then_some(Kind::Settings)
 }
 
-/// What is said of a file that can be used.
+/// The summary of a file that can be used.
 fn judge(bytes: &[u8], kind: Kind, role: Option<Role>) -> Result<String, Findings> {
     let what = match kind {
         Kind::Settings => format!("{} of {}", kind.name(), Settings::parse(bytes, role)?.node),
--- a/crates/serving/dunespur/src/command.rs
+++ b/crates/serving/dunespur/src/command.rs
@@ -16,8 +16,12 @@
 /// A command line that can't be understood.
 const WRONG_USAGE: u8 = 2;
 
-/// What the command line asks for; `Err` where it is answered already, by help or by what is wrong with it.
-pub fn asked() -> Result<Command, ExitCode> {
+/// The parsed command line; `Err` where it is answered already, by help or by what is wrong with it.
+///
+/// # Errors
+///
+/// The exit code, after help or a message was printed.
+pub fn parse() -> Result<Command, ExitCode> {
     command()
         .run_inner(bpaf::Args::current_args())
         .map_err(|failure| {
--- a/crates/serving/dunespur/src/core/coordinator/lease_rounds.rs
+++ b/crates/serving/dunespur/src/core/coordinator/lease_sweeps.rs
@@ -28,8 +28,8 @@
 
     /// Tells the other members which leases were renewed here; the head of the chain proposes the expiry of lapsed
     /// ones.
-    pub(super) fn run_lease_round(&self, now: u64) {
-        self.leases.borrow_mut().schedule_next_round(now);
+    pub(super) fn run_lease_sweep(&self, now: u64) {
+        self.leases.borrow_mut().schedule_next_sweep(now);
         self.gossip_renewals();
         let operations =
             self.leases
--- a/crates/serving/dunespur/src/core/coordinator/mod.rs
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -1,6 +1,6 @@
 //! The owner of a core member: feeds inputs to the state machine and performs every output that it asks for.
 
-mod lease_rounds;
+mod lease_sweeps;
 mod requests;
 mod status;
 mod watches;
@@ -138,7 +138,7 @@
         self.step(Input::Join { contacts });
     }
 
-    /// Asks to be put out of the chain, before a planned end.
+    /// Asks to be removed from the chain, before a planned end.
     pub fn leave(&self) {
         self.step(Input::Leave);
     }
@@ -253,13 +253,13 @@
         self.replica
             .borrow()
             .next_tick()
-            .min(self.leases.borrow().next_round())
+            .min(self.leases.borrow().next_sweep())
     }
 
     fn tick(&self) {
         let now = self.clock.now();
-        if now >= self.leases.borrow().next_round() {
-            self.run_lease_round(now);
+        if now >= self.leases.borrow().next_sweep() {
+            self.run_lease_sweep(now);
         }
         if now >= self.replica.borrow().next_tick() {
             self.step(Input::Tick);
--- a/crates/serving/dunespur/src/core/coordinator/requests.rs
+++ b/crates/serving/dunespur/src/core/coordinator/requests.rs
@@ -29,8 +29,8 @@
     /// Hands an operation to the state machine, unless the same one is pending; `None` if it is rejected.
     pub(super) fn propose(&self, operation: &Operation) -> Option<OperationAnswer> {
         let payload = postcard::to_stdvec(operation).ok()?;
-        let has_room = self.operations.borrow().len() < MAX_PENDING_OPERATIONS;
-        if !has_room || !self.replica.borrow().accepts_operations(self.clock.now()) {
+        let has_capacity = self.operations.borrow().len() < MAX_PENDING_OPERATIONS;
+        if !has_capacity || !self.replica.borrow().accepts_operations(self.clock.now()) {
             return None;
         }
         let ticket = self.take_ticket();
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The newest configuration, confirmed by the whole chain.
+    /// The newest configuration, confirmed by the complete chain.
     pub async fn read_configuration(&self) -> Reply {
         if !self.confirm_read().await {
             return Reply::Unavailable;
@@ -61,7 +61,7 @@
         )
     }
 
-    /// How far a retirement is, confirmed by the whole chain.
+    /// How far a retirement is, confirmed by the complete chain.
     pub async fn read_retirement(&self, node: &str) -> Reply {
         if !self.confirm_read().await {
             return Reply::Unavailable;
--- a/crates/serving/dunespur/src/core/coordinator/watches.rs
+++ b/crates/serving/dunespur/src/core/coordinator/watches.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A watch without changes is answered after this time: the caller sees that this member lives.
+/// A watch without changes is answered after this time: the caller sees that this member runs.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl Coordinator {
--- a/crates/serving/dunespur/src/core/lease_expiry.rs
+++ b/crates/serving/dunespur/src/core/lease_expiry.rs
@@ -1,4 +1,4 @@
-//! Which leases have lapsed, and the operations that say so. The head of the chain decides on that, in rounds.
+//! Which leases have lapsed, and the operations that say so. The head of the chain decides on that, in sweeps at a fixed interval.
 
 use super::lease_table::LeaseTable;
 use super::replica::Replica;
@@ -10,34 +10,34 @@
 use std::net::SocketAddr;
 
 /// How often renewals are gossiped to the other members and lapsed leases looked for, in milliseconds.
-const LEASE_ROUND_MS: u64 = 500;
+const LEASE_SWEEP_INTERVAL_MS: u64 = 500;
 
 /// The leases of one core member, and its part in their expiry.
 pub struct LeaseExpiry {
     table: LeaseTable,
-    next_round: u64,
-    /// Whether this member decided on leases at the last round.
-    decided_last_round: bool,
+    next_sweep: u64,
+    /// Whether this member decided on leases at the last sweep.
+    decided_last_sweep: bool,
 }
 
 impl LeaseExpiry {
-    /// No leases yet; the first round is due a round's time after `now`.
+    /// No leases yet; the first sweep is due an interval after `now`.
     pub fn new(heartbeat_ms: u64, now: u64) -> LeaseExpiry {
         LeaseExpiry {
             table: LeaseTable::new(heartbeat_ms),
-            next_round: now + LEASE_ROUND_MS,
-            decided_last_round: false,
+            next_sweep: now + LEASE_SWEEP_INTERVAL_MS,
+            decided_last_sweep: false,
         }
     }
 
-    /// When the next round is due, in steady milliseconds.
-    pub fn next_round(&self) -> u64 {
-        self.next_round
+    /// When the next sweep is due, in steady milliseconds.
+    pub fn next_sweep(&self) -> u64 {
+        self.next_sweep
     }
 
-    /// A round takes place now.
-    pub fn schedule_next_round(&mut self, now: u64) {
-        self.next_round = now + LEASE_ROUND_MS;
+    /// A sweep takes place now.
+    pub fn schedule_next_sweep(&mut self, now: u64) {
+        self.next_sweep = now + LEASE_SWEEP_INTERVAL_MS;
     }
 
     /// Renewals that a gateway or store brought with its watch; the other members are told of them.
@@ -61,13 +61,13 @@
     }
 
     /// Operations for what has lapsed, if this member decides on that: it is the head of the chain, and was at the
-    /// last round.
+    /// last sweep.
     pub fn expired(&mut self, replica: &Replica, own: &MemberId, now: u64) -> Vec<Operation> {
         let decides =
             replica.is_head(own) && replica.is_current(now) && replica.applied().is_readable();
-        if !decides || !self.decided_last_round {
+        if !decides || !self.decided_last_sweep {
             self.table.renew_all(now);
-            self.decided_last_round = decides;
+            self.decided_last_sweep = decides;
             return Vec::new();
         }
         let state = replica.state();
--- a/crates/serving/dunespur/src/core/replica.rs
+++ b/crates/serving/dunespur/src/core/replica.rs
@@ -30,7 +30,7 @@
         self.log_new_rejections();
     }
 
-    /// Each reason is logged once in the life of the process; all are counted.
+    /// Each reason is logged once in a process; all are counted.
     fn log_new_rejections(&mut self) {
         let rejections = self.member.snapshot_refusals();
         if rejections == self.logged_rejections {
@@ -82,7 +82,7 @@
         self.view().is_some_and(|view| view.is_head(own))
     }
 
-    /// Whether it has heard a majority of the view lately.
+    /// Whether it is connected with a majority of the view.
     pub fn is_current(&self, now: u64) -> bool {
         self.member.current(now)
     }
@@ -134,7 +134,7 @@
         })
     }
 
-    /// Whether a watch has anything to be told.
+    /// Whether there is any update for a watch.
     pub fn has_updates_for(&self, request: &WatchRequest) -> bool {
         let newer_view = self.view().is_some_and(|view| view.number > request.view);
         newer_view
--- a/crates/serving/dunespur/src/core_membership.rs
+++ b/crates/serving/dunespur/src/core_membership.rs
@@ -10,16 +10,16 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Pause between two tries while this machine is in no view.
+/// Pause between two attempts while this machine is in no view.
 const JOIN_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How often a member looks whether it still is one.
+/// How often a member checks whether it still is one.
 const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Processes that are told the view at one look; with more, the others have their turn at the next.
+/// Processes that the view is announced to at one check; with more, the others follow at the next.
 const MAX_ANNOUNCED: usize = 16;
 /// The founder answers a candidate within this time.
 const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Keeps this machine in the core for as long as the task lives.
+/// Makes this machine a member of the core, and keeps it one, for as long as the task lives.
 pub async fn maintain_core_membership(
     coordinator: Rc<Coordinator>,
     directory: Rc<Directory>,
@@ -30,7 +30,7 @@
         if let Some(view) = coordinator.view() {
             directory.learn_view(view);
         }
-        let pause = match standing(&coordinator, &directory) {
+        let interval = match standing(&coordinator, &directory) {
             Standing::Member => {
                 announce(&coordinator, &directory, &mut next_announced);
                 MEMBERSHIP_CHECK_INTERVAL
@@ -40,27 +40,27 @@
                 MEMBERSHIP_CHECK_INTERVAL
             }
             Standing::Alone => {
-                look_round(&coordinator, &directory, &settings).await;
+                find_view(&coordinator, &directory, &settings).await;
                 JOIN_RETRY_DELAY
             }
         };
-        sleep(pause).await;
+        sleep(interval).await;
     }
 }
 
-/// Tells the view to processes that are not heard of, some at a time.
+/// Announces the view to processes that did not renew their lease lately, some at a time.
 fn announce(coordinator: &Coordinator, directory: &Directory, next: &mut usize) {
     let unreached = coordinator.unreached(&directory.seeds());
-    let turns = unreached.len().min(MAX_ANNOUNCED);
+    let count = unreached.len().min(MAX_ANNOUNCED);
     for address in unreached
         .iter()
         .cycle()
         .skip(*next % unreached.len().max(1))
-        .take(turns)
+        .take(count)
     {
         directory.announce(*address);
     }
-    *next = next.wrapping_add(turns);
+    *next = next.wrapping_add(count);
 }
 
 /// Where this machine stands to the newest view it knows of.
@@ -83,8 +83,9 @@
     Standing::Outside(view.members.iter().map(|peer| peer.address).collect())
 }
 
-/// Asks the seeds for a view; at the first start of the system also the founder for a place in the first one.
-async fn look_round(coordinator: &Coordinator, directory: &Directory, settings: &Settings) {
+/// Queries the seeds for a view; at the first start of the system also applies to the founder as a member of the first
+/// one.
+async fn find_view(coordinator: &Coordinator, directory: &Directory, settings: &Settings) {
     let own = settings.internal_address();
     let seeds = settings.seed_addresses();
     for seed in seeds.iter().filter(|seed| **seed != own) {
--- a/crates/serving/dunespur/src/data_plane.rs
+++ b/crates/serving/dunespur/src/data_plane.rs
@@ -2,7 +2,7 @@
 
 use crate::budgets::Budgets;
 use crate::clock::Clock;
-use crate::directory::{ChangedParts, Directory};
+use crate::directory::{Directory, StateChanges};
 use crate::load_exchange::LoadExchange;
 use crate::request_events::{self, Stopwatch};
 use crate::store_client::StoreClient;
@@ -50,9 +50,9 @@
             leaving: Cell::new(false),
         });
         let weak = Rc::downgrade(&data_plane);
-        directory.on_change(Box::new(move |changed_parts| {
+        directory.on_change(Box::new(move |changed| {
             if let Some(data_plane) = weak.upgrade() {
-                data_plane.changed(changed_parts);
+                data_plane.changed(changed);
             }
         }));
         data_plane
@@ -63,7 +63,7 @@
         self.leaving.set(true);
     }
 
-    /// This gateway's part in the homes of services.
+    /// This gateway's part in the exchange of loads.
     pub fn load_exchange(&self) -> Rc<LoadExchange> {
         self.load_exchange.clone()
     }
@@ -73,11 +73,11 @@
         self.balancer.borrow().load_reports()
     }
 
-    fn changed(&self, changed_parts: ChangedParts) {
-        if changed_parts.gateways {
+    fn changed(&self, changed: StateChanges) {
+        if changed.gateways {
             self.load_exchange.gateways_changed();
         }
-        if !changed_parts.servers && !changed_parts.configuration {
+        if !changed.servers && !changed.configuration {
             return;
         }
         let known = self.directory.known();
@@ -134,16 +134,16 @@
         !self.leaving.get() && known.table.is_some() && !known.servers.is_empty()
     }
 
-    fn choose(&self, ask: &RoutingRequest) -> Choice {
+    fn choose(&self, request: &RoutingRequest) -> Choice {
         self.load_exchange.report_activity();
         let loads = if request_events::enabled() {
             self.loads()
         } else {
             Vec::new()
         };
-        let choice = self.balancer.borrow_mut().choose(ask, self.clock.now());
+        let choice = self.balancer.borrow_mut().choose(request, self.clock.now());
         if request_events::enabled() {
-            request_events::choice(ask, &choice, &loads);
+            request_events::choice(request, &choice, &loads);
         }
         choice
     }
@@ -167,7 +167,12 @@
         let stopwatch = Stopwatch::start(self.clock);
         let verdict = self.budgets.reserve(turn).await;
         if let Some(waited_ms) = stopwatch.took_ms() {
-            request_events::budget(&turn, &verdict, self.budgets.held(turn.program), waited_ms);
+            request_events::budget(
+                &turn,
+                &verdict,
+                self.budgets.leased(turn.program),
+                waited_ms,
+            );
         }
         verdict
     }
@@ -191,6 +196,6 @@
     }
 
     async fn persist(&self, turn: CompletedTurn) -> bool {
-        self.store_client.keep(turn).await
+        self.store_client.persist(turn).await
     }
 }
--- a/crates/serving/dunespur/src/directory/contact.rs
+++ b/crates/serving/dunespur/src/directory/contact.rs
@@ -19,8 +19,9 @@
 
 impl Contact {
     /// A watch that was sent then has been answered.
-    pub(super) fn confirm(&self, sent_at: u64) {
-        self.confirmed_at.set(self.confirmed_at.get().max(sent_at));
+    pub(super) fn confirm(&self, started_at: u64) {
+        self.confirmed_at
+            .set(self.confirmed_at.get().max(started_at));
     }
 
     /// Time since the newest watch was sent that was answered; none until the first.
--- a/crates/serving/dunespur/src/directory/contact/tests.rs
+++ b/crates/serving/dunespur/src/directory/contact/tests.rs
@@ -1,25 +1,25 @@
 use super::{Contact, CONTACT_TIMEOUT_MS};
 
-const WATCH_SENT_AT: u64 = 5_000;
+const WATCH_STARTED_AT: u64 = 5_000;
 
 #[test]
 fn before_the_first_answer_contact_is_neither_present_nor_lost() {
     let contact = Contact::default();
-    assert!(!contact.is_present(WATCH_SENT_AT) && !contact.is_lost(WATCH_SENT_AT));
-    assert_eq!(contact.silent_ms(WATCH_SENT_AT), None);
+    assert!(!contact.is_present(WATCH_STARTED_AT) && !contact.is_lost(WATCH_STARTED_AT));
+    assert_eq!(contact.silent_ms(WATCH_STARTED_AT), None);
 }
 
 #[test]
 fn contact_lasts_from_the_sending_of_a_watch_not_from_its_answer() {
     let contact = Contact::default();
-    contact.confirm(WATCH_SENT_AT);
-    assert!(contact.is_present(WATCH_SENT_AT + CONTACT_TIMEOUT_MS - 1));
-    assert!(contact.is_lost(WATCH_SENT_AT + CONTACT_TIMEOUT_MS));
-    let thawed = WATCH_SENT_AT + 20_000;
-    contact.confirm(WATCH_SENT_AT);
+    contact.confirm(WATCH_STARTED_AT);
+    assert!(contact.is_present(WATCH_STARTED_AT + CONTACT_TIMEOUT_MS - 1));
+    assert!(contact.is_lost(WATCH_STARTED_AT + CONTACT_TIMEOUT_MS));
+    let thawed = WATCH_STARTED_AT + 20_000;
+    contact.confirm(WATCH_STARTED_AT);
     assert!(contact.is_lost(thawed), "the answer lay in the socket");
     contact.confirm(thawed);
-    contact.confirm(WATCH_SENT_AT + 400);
+    contact.confirm(WATCH_STARTED_AT + 400);
     assert!(
         contact.is_present(thawed + 1),
         "a late answer takes nothing back"
--- a/crates/serving/dunespur/src/directory/core_calls.rs
+++ b/crates/serving/dunespur/src/directory/core_calls.rs
@@ -83,7 +83,7 @@
         let end = Instant::now() + timeout;
         let reply = within(timeout, async {
             loop {
-                if let Some(reply) = self.try_members(&payload, end).await {
+                if let Some(reply) = self.call_members(&payload, end).await {
                     return reply;
                 }
                 sleep(CORE_RETRY_DELAY).await;
@@ -93,7 +93,7 @@
     }
 
     /// The answer of the first member that has one.
-    async fn try_members(&self, payload: &Bytes, end: Instant) -> Option<Reply> {
+    async fn call_members(&self, payload: &Bytes, end: Instant) -> Option<Reply> {
         for address in self.members() {
             let left = end.saturating_duration_since(Instant::now());
             let timeout = ATTEMPT_TIMEOUT.min(left);
--- a/crates/serving/dunespur/src/directory/known_state.rs
+++ b/crates/serving/dunespur/src/directory/known_state.rs
@@ -1,4 +1,4 @@
-//! The parts of the control state that a process holds, and how a change of it is applied.
+//! The control state as far as a process knows it, and how a change of it is applied.
 
 use crate::messages::StateUpdate;
 use dunespur_configuration::{Document, Table};
@@ -24,7 +24,7 @@
 
 /// Which parts of the control state an update has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ChangedParts {
+pub struct StateChanges {
     /// Another configuration.
     pub configuration: bool,
     /// Any server.
@@ -35,19 +35,19 @@
     pub gateways: bool,
 }
 
-impl ChangedParts {
+impl StateChanges {
     /// Whether anything has changed.
     pub fn any(self) -> bool {
-        self != ChangedParts::default()
+        self != StateChanges::default()
     }
 }
 
 impl KnownState {
     /// Applies what a watch has brought. The index never goes back: an update from a member that is behind says
     /// nothing.
-    pub(super) fn update(&mut self, update: StateUpdate) -> ChangedParts {
+    pub(super) fn update(&mut self, update: StateUpdate) -> StateChanges {
         if self.index.is_some_and(|index| update.index <= index) {
-            return ChangedParts::default();
+            return StateChanges::default();
         }
         let complete = update.complete;
         if complete {
@@ -55,7 +55,7 @@
             self.stores.clear();
             self.gateways.clear();
         }
-        let mut changed = ChangedParts {
+        let mut changed = StateChanges {
             configuration: false,
             servers: complete,
             stores: complete,
@@ -68,7 +68,7 @@
         changed
     }
 
-    fn apply(&mut self, change: Change, changed: &mut ChangedParts) {
+    fn apply(&mut self, change: Change, changed: &mut StateChanges) {
         match change {
             Change::Configuration { generation, json } => {
                 changed.configuration |= self.apply_configuration(generation, &json);
--- a/crates/serving/dunespur/src/directory/mod.rs
+++ b/crates/serving/dunespur/src/directory/mod.rs
@@ -8,7 +8,7 @@
 mod watching;
 
 pub use core_calls::Unavailable;
-pub use known_state::{ChangedParts, KnownState};
+pub use known_state::{KnownState, StateChanges};
 
 use crate::clock::Clock;
 use crate::messages::NodeLease;
@@ -23,7 +23,7 @@
 use tokio::sync::Notify;
 
 /// Called after a change of the state.
-type ChangeHandler = Box<dyn Fn(ChangedParts)>;
+type ChangeHandler = Box<dyn Fn(StateChanges)>;
 
 /// Follows the control state.
 pub struct Directory {
--- a/crates/serving/dunespur/src/directory/watching.rs
+++ b/crates/serving/dunespur/src/directory/watching.rs
@@ -39,11 +39,11 @@
     async fn watch_once(&self, address: SocketAddr) -> WatchOutcome {
         let servers = std::mem::take(&mut *self.renewed_servers.borrow_mut());
         let payload = encode(&Request::Watch(self.watch_request(&servers)));
-        let sent_at = self.clock.now();
+        let started_at = self.clock.now();
         match self.call(address, payload, WATCH_TIMEOUT).await {
             Ok(Reply::StateUpdate(update)) => {
                 self.followed_member.set(Some(address));
-                self.contact.confirm(sent_at);
+                self.contact.confirm(started_at);
                 self.apply_update(update);
                 return WatchOutcome::Answered;
             }
--- a/crates/serving/dunespur/src/explain/source.rs
+++ b/crates/serving/dunespur/src/explain/source.rs
@@ -9,7 +9,7 @@
 /// Logs that can be read again and again.
 pub enum Source {
     Files(Vec<PathBuf>),
-    /// What standard input held of events.
+    /// The events of standard input.
     Lines(Vec<LogRecord>),
 }
 
--- a/crates/serving/dunespur/src/founding.rs
+++ b/crates/serving/dunespur/src/founding.rs
@@ -10,7 +10,7 @@
 /// How long candidates are collected, in milliseconds: all machines start within 0.3 s of each other, and a
 /// process needs some time to come up.
 const COLLECT_MS: u64 = 1_500;
-/// Fewer candidates found no system: guards against a founder that was restarted and hears of a late one only.
+/// Fewer candidates don't make a first view: a founder that was restarted may get calls of a late one only.
 const MIN_CANDIDATES: usize = 2;
 /// After this time, in milliseconds, one candidate is enough: a system of one machine.
 const ALONE_MS: u64 = 6_000;
@@ -19,7 +19,7 @@
 /// Members of the first view.
 const MAX_MEMBERS: usize = 7;
 
-/// What the founder knows. It tells the first view to the chain's head alone, which tells the others once the view is
+/// What the founder knows. It sends the first view to the chain's head alone, which tells the others once the view is
 /// on its disk: a founder that restarts and forgets can't give two of them different first views.
 pub enum Founding {
     Collecting {
@@ -37,8 +37,8 @@
         }
     }
 
-    /// A candidate has asked; `standing` is a view that this process knows of.
-    pub fn asked(&mut self, peer: Peer, standing: Option<&View>, now: u64) -> Candidacy {
+    /// Answers a candidate; `standing` is a view that this process knows of.
+    pub fn answer(&mut self, peer: Peer, standing: Option<&View>, now: u64) -> Candidacy {
         if let Some(view) = standing {
             *self = Founding::Founded(view.clone());
         }
--- a/crates/serving/dunespur/src/gateway.rs
+++ b/crates/serving/dunespur/src/gateway.rs
@@ -27,14 +27,18 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Descriptors kept for files, internal connections and the control interface.
+/// Descriptors reserved for files, internal connections and the control interface.
 const SPARE_DESCRIPTORS: u64 = 500;
 /// A leaving process ends after this time at the latest; the platform kills it a little later.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(7_000);
 /// Units of programs' budgets are given back within this time.
 const BUDGET_RETURN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs the process until it is asked to leave and has left.
+/// Runs the process until it is asked to end and has drained.
+///
+/// # Errors
+///
+/// If its data folder can't be opened, or one of its addresses can't be listened on.
 pub async fn run(settings: Settings, path: PathBuf) -> anyhow::Result<()> {
     let clock = Clock::start();
     let directory = Directory::new(clock, settings.seed_addresses());
--- a/crates/serving/dunespur/src/lib.rs
+++ b/crates/serving/dunespur/src/lib.rs
@@ -40,7 +40,7 @@
 
 /// Runs the command line of this process; the program's exit code.
 pub fn run() -> ExitCode {
-    let command = match command::asked() {
+    let command = match command::parse() {
         Ok(command) => command,
         Err(code) => return code,
     };
@@ -48,8 +48,8 @@
         Command::Gateway(logging) => play(Role::Gateway, &logging, gateway::run),
         Command::Store(logging) => play(Role::Store, &logging, store::run),
         Command::Check(check) => check::run(&check),
-        Command::Explain(asked) => explain::run(asked),
-        Command::Status(asked) => ended(block_on(status::run(asked))),
+        Command::Explain(explain) => explain::run(explain),
+        Command::Status(query) => ended(block_on(status::run(query))),
     }
 }
 
@@ -82,7 +82,7 @@
     ended(block_on(run(settings, path)))
 }
 
-/// How the program ends; an error is told on standard error.
+/// How the program ends; an error is written to standard error.
 fn ended(result: anyhow::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/serving/dunespur/src/load_exchange.rs
+++ b/crates/serving/dunespur/src/load_exchange.rs
@@ -1,7 +1,7 @@
-//! Homes of services: carries what [`Distribution`] wants to other gateways, and brings the loads of the others to the
+//! Exchange of service loads: carries the reports of [`Distribution`] to other gateways, and brings the loads of the others to the
 //! choice of servers.
 //!
-//! Nothing is done while no request is under way here and no other gateway asks.
+//! Nothing is done while no request is in flight here and no other gateway reports.
 
 use crate::clock::Clock;
 use crate::directory::Directory;
@@ -20,18 +20,18 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// This gateway's loads are looked at this often at most, in milliseconds.
-const LOOK_PERIOD_MS: u64 = 250;
+/// This gateway's loads are read this often at most, in milliseconds.
+const EXCHANGE_INTERVAL_MS: u64 = 250;
 
-/// This gateway's part in the distribution of services' soft state.
+/// This gateway's part in the exchange of service loads, which are soft state.
 pub struct LoadExchange {
     clock: Clock,
     directory: Rc<Directory>,
     balancer: Rc<RefCell<Balancer>>,
     distribution: RefCell<Distribution>,
-    /// Told when a request has begun or ended, or another gateway has asked.
+    /// Notified when a request has begun or ended, or another gateway has reported.
     active: Notify,
-    /// Told when the time of the next call has changed.
+    /// Notified when the time of the next call has changed.
     rescheduled: Notify,
 }
 
@@ -73,7 +73,7 @@
         self.rescheduled.notify_one();
     }
 
-    /// Where the home of a service in a zone listens for other gateways.
+    /// Where the load aggregator of a service in a zone listens for other gateways.
     pub fn aggregator_address(&self, service: &str, zone: &str) -> Option<SocketAddr> {
         self.distribution
             .borrow()
@@ -82,15 +82,18 @@
             .map(|home| home.address)
     }
 
-    /// Another gateway asks.
-    pub fn asked(&self, ask: &Ask) -> Answer {
-        let answer = self.distribution.borrow_mut().asked(ask, self.clock.now());
+    /// Answers the report of another gateway.
+    pub fn receive_report(&self, report: &Ask) -> Answer {
+        let answer = self
+            .distribution
+            .borrow_mut()
+            .asked(report, self.clock.now());
         self.active.notify_one();
         answer
     }
 
-    /// Looks at this gateway's loads, and makes the calls that are due.
-    fn look(self: &Rc<Self>) {
+    /// Reports this gateway's loads, and makes the calls that are due.
+    fn exchange(self: &Rc<Self>) {
         let now = self.clock.now();
         for (service, loads) in self.own_loads() {
             self.distribution
@@ -127,7 +130,7 @@
         services
     }
 
-    /// Servers on which this gateway has anything in flight, or which it finds in trouble.
+    /// Servers on which this gateway has anything in flight, or at which it sees faults.
     fn loads(&self) -> Vec<ServerLoad> {
         let balancer = self.balancer.borrow();
         let mut loads: Vec<ServerLoad> = balancer
@@ -166,7 +169,7 @@
         self.rescheduled.notify_one();
     }
 
-    /// Tells the choice of servers what the other gateways have in flight.
+    /// Passes on to the choice of servers what the other gateways have in flight.
     fn apply_updates(&self) {
         let news = self.distribution.borrow_mut().take_news();
         for news in news {
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Tells the choice of servers which of them other gateways find in trouble.
+    /// Passes on to the choice of servers at which of them other gateways see faults.
     fn apply_fault_hints(&self, news: &News) {
         let known = self.directory.known();
         let servers = known
@@ -222,8 +225,8 @@
 
 async fn drive_exchange(load_exchange: Rc<LoadExchange>) {
     loop {
-        load_exchange.look();
-        let next_look = load_exchange.clock.now() + LOOK_PERIOD_MS;
+        load_exchange.exchange();
+        let next_exchange = load_exchange.clock.now() + EXCHANGE_INTERVAL_MS;
         let due = load_exchange.distribution.borrow().next_due();
         let due = async {
             match due {
@@ -234,7 +237,7 @@
         tokio::select! {
             () = due => {}
             () = load_exchange.rescheduled.notified() => {}
-            () = load_exchange.active.notified() => sleep_until(load_exchange.clock.instant(next_look).into()).await,
+            () = load_exchange.active.notified() => sleep_until(load_exchange.clock.instant(next_exchange).into()).await,
         }
     }
 }
--- a/crates/serving/dunespur/src/logging.rs
+++ b/crates/serving/dunespur/src/logging.rs
@@ -72,7 +72,7 @@
     let _ = WriteLogger::init(
         level,
         config,
-        TextLines {
+        TextWriter {
             prefix,
             buffer: Vec::new(),
         },
@@ -80,19 +80,19 @@
 }
 
 fn start_json(level: LevelFilter, origin: Origin) {
-    if log::set_boxed_logger(Box::new(JsonLines { level, origin })).is_ok() {
+    if log::set_boxed_logger(Box::new(JsonLogger { level, origin })).is_ok() {
         log::set_max_level(level);
     }
 }
 
-/// Puts time, machine and role before each line, which comes in pieces.
-struct TextLines {
+/// Puts time, machine and role before each line, which is written in chunks.
+struct TextWriter {
     prefix: String,
     buffer: Vec<u8>,
 }
 
-impl TextLines {
-    fn end_line(&mut self) -> io::Result<()> {
+impl TextWriter {
+    fn flush_line(&mut self) -> io::Result<()> {
         let written = io::stderr().write_all(&self.buffer);
         self.buffer.clear();
         self.buffer.shrink_to(KEEP_CAPACITY);
@@ -100,7 +100,7 @@
     }
 }
 
-impl Write for TextLines {
+impl Write for TextWriter {
     fn write(&mut self, chunk: &[u8]) -> io::Result<usize> {
         for line_part in chunk.split_inclusive(|byte| *byte == b'\n') {
             if self.buffer.is_empty() {
@@ -108,7 +108,7 @@
             }
             self.buffer.extend_from_slice(line_part);
             if line_part.ends_with(b"\n") {
-                self.end_line()?;
+                self.flush_line()?;
             }
         }
         Ok(chunk.len())
@@ -120,14 +120,14 @@
 }
 
 /// Writes each record as one JSON object.
-struct JsonLines {
+struct JsonLogger {
     level: LevelFilter,
     origin: Origin,
 }
 
 /// One line. `explain` reads it back.
 #[derive(Serialize)]
-struct JsonLine<'a> {
+struct JsonRecord<'a> {
     time: String,
     node: &'a str,
     role: &'a str,
@@ -135,7 +135,7 @@
     text: String,
 }
 
-impl Log for JsonLines {
+impl Log for JsonLogger {
     fn enabled(&self, metadata: &Metadata) -> bool {
         metadata.level() <= self.level
     }
@@ -144,7 +144,7 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let line = JsonLine {
+        let line = JsonRecord {
             time: Utc(wall_clock_ms()).to_string(),
             node: &self.origin.node,
             role: self.origin.role.name(),
--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -1,4 +1,7 @@
-//! What processes of the system say to each other, as postcard payloads of `dunespur-link` frames.
+//! Messages between the processes of the system, as postcard payloads of `dunespur-rpc` frames.
+//!
+//! Postcard goes by position and order: a field or variant that moves is another message. `tests/bytes.rs` has the bytes
+//! of every variant.
 
 use bytes::Bytes;
 use dunespur_chain_replication::{MemberId, Message, Peer, View};
@@ -13,41 +16,41 @@
 pub enum Request {
     /// From one core member to another; not answered.
     Chain { from: MemberId, message: Message },
-    /// Which view do you know of?
+    /// Queries the newest view that the process knows of.
     Hello,
-    /// A machine with an empty disk at the first start of the system asks to be part of the first view.
+    /// A machine with an empty disk at the first start of the system applies for membership of the first view.
     Candidate { peer: Peer },
-    /// Carry out an operation; answered once it is committed.
+    /// Executes an operation; answered once it is committed.
     Execute(Operation),
-    /// The newest configuration, confirmed by the whole chain.
+    /// The newest configuration, confirmed by the complete chain.
     ReadConfiguration,
-    /// How far a retirement is, confirmed by the whole chain.
+    /// How far a retirement is, confirmed by the complete chain.
     ReadRetirement { node: String },
     /// Changes of the control state after an index; waits for some, a bounded time.
     Watch(WatchRequest),
-    /// Leases that other core members were told of.
+    /// Leases whose renewals reached another core member.
     LeaseRenewals(LeaseRenewals),
     /// To a store.
     Store(StoreRequest),
     /// A core member tells the view to a process that may know none; not answered.
     Announce(View),
-    /// How are you, and how is the budget of this program?
+    /// Queries the status of the process, and of the budget of a program.
     Status { program: Option<String> },
-    /// From one gateway to another as the home of a service.
+    /// From one gateway to another as the load aggregator of a service.
     Home(Ask),
 }
 
-/// Asks for changes, and renews leases on the way.
+/// Requests changes, and renews leases on the way.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// The newest index that the caller holds; `None` asks for everything.
+    /// The newest index that the caller knows; `None` requests everything.
     pub after: Option<u64>,
     /// Number of the newest view that the caller knows.
     pub view: u64,
     pub renewals: LeaseRenewals,
 }
 
-/// Servers and nodes that were heard of lately.
+/// Servers and nodes that renewed their leases.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRenewals {
     /// Ids of servers.
@@ -55,7 +58,7 @@
     pub nodes: Vec<NodeLease>,
 }
 
-/// One life of a process that renews its membership.
+/// The lease of one incarnation of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct NodeLease {
     pub name: String,
@@ -89,7 +92,7 @@
     Home(Answer),
 }
 
-/// What a candidate for the first view is told.
+/// The answer to a candidate for the first view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Candidacy {
     /// Ask again soon.
@@ -100,12 +103,12 @@
     Join(View),
 }
 
-/// Changes after the index that was asked for.
+/// Changes after the index of a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StateUpdate {
     /// The index up to which these changes go.
     pub index: u64,
-    /// The list holds the whole state, and replaces what the caller has.
+    /// The changes are the complete state, and replace what the caller has.
     pub complete: bool,
     pub changes: Vec<Change>,
     /// The view, if it is newer than the caller's.
--- a/crates/serving/dunespur/src/registration.rs
+++ b/crates/serving/dunespur/src/registration.rs
@@ -1,5 +1,5 @@
-//! A gateway's membership: it reports itself to the core once per life, renews its lease with each watch, and says
-//! when it leaves.
+//! A gateway's registration: it reports itself to the core once per incarnation, renews its lease with each watch, and
+//! reports when it leaves.
 
 use crate::directory::{Directory, KnownState};
 use crate::messages::NodeLease;
@@ -11,29 +11,29 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Pause before the core is told again what it did not take.
+/// Pause before a report is repeated that the core did not acknowledge.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The core gets so long for a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Where a gateway stands towards the list of gateways.
+/// What a gateway wants its registration to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
-    /// It wants to be in the list.
-    Member,
-    /// It wants to be out of it, as its process is about to end.
+enum DesiredState {
+    /// Among the gateways that the core knows.
+    Registered,
+    /// Removed, as its process is about to end.
     Leaving,
 }
 
-/// One gateway's place in the core's list of gateways.
+/// One gateway's entry among the gateways that the core knows.
 pub struct GatewayRegistration {
     directory: Rc<Directory>,
     report: RefCell<NodeReport>,
-    standing: Cell<Standing>,
+    desired_state: Cell<DesiredState>,
 }
 
 impl GatewayRegistration {
-    /// Keeps this life of the process in the list from now on.
+    /// Keeps this incarnation of the process registered from now on.
     pub fn start(
         settings: &Settings,
         incarnation: u64,
@@ -53,46 +53,47 @@
         let registration = Rc::new(GatewayRegistration {
             directory,
             report,
-            standing: Cell::new(Standing::Member),
+            desired_state: Cell::new(DesiredState::Registered),
         });
         spawn_local(maintain_registration(registration.clone()));
         registration
     }
 
-    /// The process is about to end: others are not to count on it any more.
+    /// The process is about to end: others must not count on it any more.
     pub fn leave(self: &Rc<Self>) {
-        self.standing.set(Standing::Leaving);
+        self.desired_state.set(DesiredState::Leaving);
         spawn_local(maintain_registration(self.clone()));
     }
 
-    /// What the core still has to be told.
+    /// The operation that the core still has to execute.
     fn unreported(&self) -> Option<Operation> {
         let known = self.directory.known();
         known.index?;
-        match self.standing.get() {
-            Standing::Member => self.missing_registration(&known),
-            Standing::Leaving => self.missing_deregistration(&known),
+        match self.desired_state.get() {
+            DesiredState::Registered => self.missing_registration(&known),
+            DesiredState::Leaving => self.missing_deregistration(&known),
         }
     }
 
     fn missing_registration(&self, known: &KnownState) -> Option<Operation> {
         let mut report = self.report.borrow_mut();
-        let Some(held) = known.gateways.get(&report.name) else {
+        let Some(entry) = known.gateways.get(&report.name) else {
             return Some(Operation::Node(report.clone()));
         };
-        if held.incarnation > report.incarnation {
-            // The clock went back between two lives of this process: the present life is the newer one.
-            report.incarnation = held.incarnation + 1;
+        if entry.incarnation > report.incarnation {
+            // The clock went back between two incarnations of this process: the present one is the newer one.
+            report.incarnation = entry.incarnation + 1;
             self.directory.set_own_lease(NodeLease::of(&report));
         }
-        let told = held.incarnation == report.incarnation && held.address == report.address;
-        (!told).then(|| Operation::Node(report.clone()))
+        let is_registered =
+            entry.incarnation == report.incarnation && entry.address == report.address;
+        (!is_registered).then(|| Operation::Node(report.clone()))
     }
 
     fn missing_deregistration(&self, known: &KnownState) -> Option<Operation> {
         let report = self.report.borrow();
-        let held = known.gateways.get(&report.name)?;
-        let ours = held.incarnation <= report.incarnation;
+        let entry = known.gateways.get(&report.name)?;
+        let ours = entry.incarnation <= report.incarnation;
         ours.then(|| Operation::NodeGone {
             name: report.name.clone(),
             incarnation: report.incarnation,
@@ -100,10 +101,10 @@
     }
 }
 
-/// Tells the core what it does not know of this gateway yet, for as long as its standing stays what it is.
+/// Reports to the core what it does not know of this gateway yet, for as long as its desired state stays the same.
 async fn maintain_registration(registration: Rc<GatewayRegistration>) {
-    let standing = registration.standing.get();
-    while registration.standing.get() == standing {
+    let desired_state = registration.desired_state.get();
+    while registration.desired_state.get() == desired_state {
         match registration.unreported() {
             Some(operation) => {
                 let _ = registration
--- a/crates/serving/dunespur/src/request_events.rs
+++ b/crates/serving/dunespur/src/request_events.rs
@@ -1,4 +1,4 @@
-//! Lines at debug level that tell what was decided on a request and why, for `dunespur explain`.
+//! Lines at debug level that say what was decided on a request and why, for `dunespur explain`.
 //!
 //! Each is `event=NAME key=value ...`. Keys join the lines of one request, over processes: `request` is the id that
 //! the client gave, `ticket` names a send and `turn` an admission within one process, `previous` the turn that a
@@ -11,7 +11,7 @@
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use std::fmt;
 
-/// Servers whose load is told with a choice; guards against lines of hundreds of servers.
+/// Servers whose load is written with a choice; guards against lines of hundreds of servers.
 const MAX_LOADS: usize = 32;
 
 /// Whether these lines are written.
@@ -61,16 +61,16 @@
 }
 
 /// A server was chosen, or none; `loads` is what this gateway had in flight at servers before.
-pub fn choice(ask: &RoutingRequest, choice: &Choice, loads: &[LoadReport]) {
-    let program = Field("program", ask.program);
-    let session = Field("session", ask.session);
+pub fn choice(request: &RoutingRequest, choice: &Choice, loads: &[LoadReport]) {
+    let program = Field("program", request.program);
+    let session = Field("session", request.session);
     let attempt = format!(
         "backend={} left_ms={} prompt={} max_tokens={} tried={}{program}{session}",
-        Value(ask.backend),
-        ask.time_left_ms,
-        ask.prompt_tokens,
-        ask.max_tokens,
-        ask.tried.len(),
+        Value(request.backend),
+        request.time_left_ms,
+        request.prompt_tokens,
+        request.max_tokens,
+        request.tried.len(),
     );
     match choice {
         Choice::Send(ticket) => log::debug!(
@@ -103,7 +103,7 @@
     log::debug!("event=first_event ticket={ticket}");
 }
 
-/// A send is over.
+/// An attempt has ended.
 pub fn outcome(ticket: u64, outcome: Outcome) {
     match outcome {
         Outcome::Served { tokens_out } => {
@@ -124,8 +124,13 @@
     }
 }
 
-/// A turn was admitted or not; `waited_ms` is how long the verdict took.
-pub fn budget(ask: &AdmissionRequest, verdict: &AdmissionDecision, leased: u64, waited_ms: u64) {
+/// A turn was admitted or not; `waited_ms` is how long the decision took.
+pub fn budget(
+    request: &AdmissionRequest,
+    verdict: &AdmissionDecision,
+    leased: u64,
+    waited_ms: u64,
+) {
     let verdict = match verdict {
         AdmissionDecision::Admitted(turn) => format!("verdict=admitted turn={}", turn.0),
         AdmissionDecision::BudgetSpent => "verdict=spent".to_owned(),
@@ -135,13 +140,13 @@
     };
     log::debug!(
         "event=budget program={} budget={} max_tokens={} {verdict} leased={leased} waited_ms={waited_ms}",
-        Value(ask.program),
-        ask.budget,
-        ask.max_tokens,
+        Value(request.program),
+        request.budget,
+        request.max_tokens,
     );
 }
 
-/// A turn is over.
+/// A turn has ended.
 pub fn release(turn: u64) {
     log::debug!("event=release turn={turn}");
 }
@@ -176,7 +181,7 @@
     );
 }
 
-/// What a turn goes on from was looked up.
+/// The turn that another one continues was looked up.
 pub fn history(program: &str, previous: &str, found: &History, took_ms: u64) {
     let outcome = match found {
         History::Found(messages) => {
@@ -195,7 +200,7 @@
     );
 }
 
-/// A store was asked for the chain that ends in a turn.
+/// A store was called for the chain that ends in a turn.
 pub fn chain_request(previous: &str, turn: &str, store: &str) {
     log::debug!(
         "event=chain_request previous={} of={} store={}",
@@ -235,7 +240,7 @@
     );
 }
 
-/// Whether enough stores hold a turn.
+/// Whether enough stores have a turn on their disks.
 pub fn persisted(
     request: &str,
     previous: Option<&str>,
--- a/crates/serving/dunespur/src/service.rs
+++ b/crates/serving/dunespur/src/service.rs
@@ -40,7 +40,7 @@
                 Reply::View(None)
             }
             Request::Candidate { peer } => self.candidate(peer),
-            Request::Home(ask) => Reply::Home(self.load_exchange.asked(&ask)),
+            Request::Home(ask) => Reply::Home(self.load_exchange.receive_report(&ask)),
             Request::Status { program } => {
                 Reply::Status(self.status.status(program.as_deref()).to_json())
             }
@@ -67,7 +67,7 @@
         };
         let candidacy = founding
             .borrow_mut()
-            .asked(peer, self.view().as_ref(), self.clock.now());
+            .answer(peer, self.view().as_ref(), self.clock.now());
         Reply::Candidacy(candidacy)
     }
 }
--- a/crates/serving/dunespur/src/settings.rs
+++ b/crates/serving/dunespur/src/settings.rs
@@ -1,5 +1,5 @@
 //! The settings file of a process (JSON), named by [`SETTINGS_VARIABLE`]. Unknown fields are ignored: newer
-//! platforms add some. All that can't be used is told at once, each finding with its place.
+//! platforms add some. All findings are reported at once, each with its place in the file.
 
 mod fields;
 mod read;
@@ -58,7 +58,7 @@
     pub port_range: (u16, u16),
     /// Addresses of `control` of some machines, as the operator's list had them when the file was written.
     pub seeds: Vec<SocketAddr>,
-    /// True at the first start of the whole system.
+    /// True at the first start of the complete system.
     pub bootstrap: bool,
     /// Whether the loss of this machine counts against `fault_tolerance`.
     pub counts_for_quorum: bool,
--- a/crates/serving/dunespur/src/settings/fields.rs
+++ b/crates/serving/dunespur/src/settings/fields.rs
@@ -5,7 +5,7 @@
 use std::fmt::Display;
 use std::str::FromStr;
 
-/// Where findings about the whole file stand.
+/// The place of findings about the complete file.
 const TOP: &str = "settings";
 
 /// The fields of an object. One that is null, or an empty text, counts as absent: the platform leaves fields
@@ -17,7 +17,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of the whole file.
+    /// The fields of the complete file.
     pub fn top(value: &'a Value, findings: &mut Findings) -> Fields<'a> {
         let object = value.as_object();
         if object.is_none() {
@@ -112,7 +112,7 @@
         flag.unwrap_or(false)
     }
 
-    /// A number from 0 up; a fraction is cut off.
+    /// A number from 0 up; a fraction is truncated.
     pub fn unsigned(&self, name: &str, findings: &mut Findings) -> Option<u64> {
         let value = self.value(name)?;
         let number = value.as_u64().or_else(|| value.as_f64().and_then(truncate));
--- a/crates/serving/dunespur/src/signals.rs
+++ b/crates/serving/dunespur/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of the platform: SIGTERM asks to leave, SIGHUP says that the settings file has changed.
+//! Signals of the platform: SIGTERM requests a graceful shutdown, SIGHUP a reload of the settings file.
 
 use crate::directory::Directory;
 use crate::settings::{Role, Settings};
@@ -9,7 +9,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::sleep;
 
-/// The settings file may change without a signal; a process that has lost the core looks this often.
+/// The settings file may change without a signal; a process that has lost contact with the core reads it this often.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Waits for SIGTERM or SIGINT.
@@ -24,17 +24,17 @@
 }
 
 /// Reads the settings anew on SIGHUP, and from time to time while no core member answers. Only the seeds are taken:
-/// addresses and the disk of a process don't change while it lives.
+/// addresses and the disk of a process don't change while it runs.
 pub async fn follow_settings(path: PathBuf, role: Role, directory: Rc<Directory>) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
     loop {
-        let asked = tokio::select! {
+        let is_requested = tokio::select! {
             signal = hangup.recv() => signal.is_some(),
             () = sleep(SETTINGS_POLL_INTERVAL) => false,
         };
-        if !asked && directory.has_contact() {
+        if !is_requested && directory.has_contact() {
             continue;
         }
         match Settings::read(&path, role) {
--- a/crates/serving/dunespur/src/status.rs
+++ b/crates/serving/dunespur/src/status.rs
@@ -1,6 +1,6 @@
-//! What a process says of itself when it is asked over the internal link, and `dunespur status`, which asks.
+//! What a process reports of itself over the internal link, and `dunespur status`, which queries it.
 //!
-//! The answer is JSON: a newer `dunespur status` reads what an older process says, and the other way round.
+//! The answer is JSON: a newer `dunespur status` reads the answer of an older process, and the other way round.
 
 mod gather;
 mod process;
--- a/crates/serving/dunespur/src/status/gather.rs
+++ b/crates/serving/dunespur/src/status/gather.rs
@@ -48,7 +48,7 @@
 }
 
 impl GatewayStatus {
-    /// The status; of one program as well, if it is asked for.
+    /// The status; that of one program's budget as well, if it is named.
     pub fn status(&self, program: Option<&str>) -> Status {
         let mut status = basics(&self.settings, Role::Gateway, &self.directory);
         if let Some(own) = self
@@ -101,7 +101,7 @@
             .map(|coordinator| coordinator.budget_of(name));
         ProgramStatus {
             name: name.to_owned(),
-            leased_here: Some(self.budgets.held(name)),
+            leased_here: Some(self.budgets.leased(name)),
             used: counted.map(|budget| budget.used),
             leased: counted.map(|budget| budget.leased),
         }
@@ -120,11 +120,11 @@
 }
 
 fn view(view: &View) -> ViewStatus {
-    let place = |node| view.chain.iter().position(|id| *id == node);
+    let chain_position = |node| view.chain.iter().position(|id| *id == node);
     let members = view.members.iter().map(|peer| MemberStatus {
         node: peer.id.node.clone(),
         address: peer.address,
-        chain_position: place(peer.id.clone()),
+        chain_position: chain_position(peer.id.clone()),
     });
     ViewStatus {
         number: view.number,
--- a/crates/serving/dunespur/src/status/report.rs
+++ b/crates/serving/dunespur/src/status/report.rs
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CoreStatus {
-    /// It has heard a majority of the view lately.
+    /// It is connected with a majority of the view.
     pub current: bool,
     /// Commits come in here as they are made.
     pub follows: bool,
@@ -119,10 +119,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DiskStatus {
-    /// Pieces of work that are handed to it and not done.
+    /// Jobs that are queued and not done.
     pub waiting: u64,
     pub done: u64,
-    /// Times that it did not take one.
+    /// Attempts at a job that failed.
     pub failed: u64,
 }
 
--- a/crates/serving/dunespur/src/store_client.rs
+++ b/crates/serving/dunespur/src/store_client.rs
@@ -1,4 +1,4 @@
-//! Turns kept and looked up: carries out what the state machines of `dunespur-turns` want at the stores.
+//! Turns stored and looked up: performs at the stores what the state machines of `dunespur-turn-replication` ask for.
 
 use crate::clock::wall_clock_ms;
 use crate::directory::Directory;
@@ -22,10 +22,10 @@
 /// When a client may come back whose history could not be read, in milliseconds.
 const UNSURE_RETRY_MS: u64 = 300;
 
-/// A store's answer to one question.
+/// A store's answer to one request.
 struct StoreAnswer {
     store: String,
-    /// The turn that was asked for, or kept.
+    /// The turn that was requested, or stored.
     id: String,
     reply: Option<StoreReply>,
 }
@@ -37,7 +37,7 @@
 }
 
 impl StoreClient {
-    /// `copies`: how many stores have to hold a turn.
+    /// `required_replicas`: how many stores must have a turn on their disks.
     pub fn new(directory: Rc<Directory>, required_replicas: usize) -> StoreClient {
         StoreClient {
             directory,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What a turn goes on from.
+    /// The messages of the turns that a turn continues, oldest first.
     pub async fn history(&self, program: &str, previous: &str) -> History {
         let stores = self.stores();
         if stores.is_empty() {
@@ -66,10 +66,10 @@
             while let Some(ask) = reading.poll() {
                 request_events::chain_request(previous, &ask.id, &ask.store);
                 let request = StoreRequest::Chain { id: ask.id.clone() };
-                self.ask(&stores, ask.store, ask.id, request, &answers);
+                self.call(&stores, ask.store, ask.id, request, &answers);
             }
             match reading.take_outcome() {
-                Some(Outcome::Chain(turns)) => return History::Found(pieces(turns)),
+                Some(Outcome::Chain(turns)) => return History::Found(messages(turns)),
                 Some(Outcome::Unknown) => return History::Unknown,
                 Some(Outcome::Unsure | Outcome::TooLong) => {
                     return History::Unavailable {
@@ -95,18 +95,18 @@
         }
     }
 
-    /// Keeps a turn; true once enough stores have it on their disks.
-    pub async fn keep(&self, kept: CompletedTurn) -> bool {
+    /// Stores a turn; true once enough stores have it on their disks.
+    pub async fn persist(&self, completed: CompletedTurn) -> bool {
         let stores = self.stores();
         let clock = self.directory.clock();
         let turn = Turn {
-            id: kept.id,
-            previous: kept.previous,
-            program: kept.program,
-            input: kept.input,
-            output: kept.output,
+            id: completed.id,
+            previous: completed.previous,
+            program: completed.program,
+            input: completed.input,
+            output: completed.output,
             ended_at_ms: wall_clock_ms(),
-            retention_ms: kept.retention_ms,
+            retention_ms: completed.retention_ms,
         };
         let began_at = clock.now();
         let mut writing = Writing::new(&turn.header(), &stores, self.required_replicas, began_at);
@@ -118,19 +118,19 @@
                     turn: turn.clone(),
                     hint: put.hint,
                 };
-                self.ask(&stores, put.store, turn.id.clone(), request, &answers);
+                self.call(&stores, put.store, turn.id.clone(), request, &answers);
             }
             if let Some(verdict) = writing.verdict() {
-                let kept = verdict == Verdict::Kept;
+                let persisted = verdict == Verdict::Kept;
                 let took_ms = clock.now() - began_at;
                 request_events::persisted(
                     &turn.id,
                     turn.previous.as_deref(),
                     &turn.program,
-                    kept,
+                    persisted,
                     took_ms,
                 );
-                return kept;
+                return persisted;
             }
             let due = clock.instant(writing.next_due().unwrap_or(clock.now()));
             tokio::select! {
@@ -153,8 +153,8 @@
         self.directory.known().stores.values().cloned().collect()
     }
 
-    /// Asks one store; its answer goes to `answers`, if anybody still listens.
-    fn ask(
+    /// Calls one store; its answer goes to `answers`, if anybody still waits for it.
+    fn call(
         &self,
         stores: &[Store],
         store: String,
@@ -179,7 +179,7 @@
     }
 }
 
-/// Asks the store at an address; `None` without an answer.
+/// Calls the store at an address; `None` without an answer.
 pub async fn call_store(
     directory: &Directory,
     address: SocketAddr,
@@ -195,7 +195,7 @@
     }
 }
 
-/// Where a store of the list listens.
+/// Where one of these stores listens.
 pub fn address_of(stores: &[Store], name: &str) -> Option<SocketAddr> {
     stores
         .iter()
@@ -203,7 +203,7 @@
         .map(|store| store.address)
 }
 
-fn pieces(turns: Vec<Turn>) -> Vec<bytes::Bytes> {
+fn messages(turns: Vec<Turn>) -> Vec<bytes::Bytes> {
     turns
         .into_iter()
         .flat_map(|turn| [turn.input, turn.output])
--- a/crates/serving/dunespur/src/utc/tests.rs
+++ b/crates/serving/dunespur/src/utc/tests.rs
@@ -1,8 +1,8 @@
 use super::Utc;
 
 #[test]
-fn moments_are_told_as_others_tell_them() {
-    let told = [
+fn moments_are_written_as_in_rfc_3339() {
+    let expected = [
         (0, "1970-01-01T00:00:00.000Z"),
         (951_782_400_000, "2000-02-29T00:00:00.000Z"),
         (951_868_799_999, "2000-02-29T23:59:59.999Z"),
@@ -12,7 +12,7 @@
         (1_735_689_600_000, "2025-01-01T00:00:00.000Z"),
         (4_107_542_400_000, "2100-03-01T00:00:00.000Z"),
     ];
-    for (ms, text) in told {
+    for (ms, text) in expected {
         assert_eq!(Utc(ms).to_string(), text);
     }
 }
