--- a/crates/serving/dunespur/src/core/coordinator/mod.rs
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -16,6 +16,7 @@
 use anyhow::Context;
 use dunespur_chain_replication::{Input, Member, MemberId, Message, Output, Peer, View};
 use dunespur_storage::core::CoreDisk;
+use dunespur_storage::Opened;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -77,7 +78,11 @@
         clock: Clock,
     ) -> anyhow::Result<Rc<Coordinator>> {
         std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
-        let (disk, disk_identity, saved) = CoreDisk::open(&data.join(DISK_FILE))?;
+        let Opened {
+            disk,
+            identity: disk_identity,
+            contents: saved,
+        } = CoreDisk::open(&data.join(DISK_FILE))?;
         let id = MemberId {
             node: identity.node.clone(),
             disk: disk_identity.disk,
--- a/crates/serving/dunespur/src/core/disk_writer.rs
+++ b/crates/serving/dunespur/src/core/disk_writer.rs
@@ -84,8 +84,9 @@
     while let Err(error) = disk.write(&batch.writes) {
         failed.fetch_add(1, Ordering::Relaxed);
         log::error!(
-            "the core's disk failed to write batch {}: {error:#}",
-            batch.number
+            "the core's disk failed to write batch {}: {}",
+            batch.number,
+            error.with_causes()
         );
         thread::sleep(RETRY_PAUSE);
     }
--- a/crates/serving/dunespur/src/store.rs
+++ b/crates/serving/dunespur/src/store.rs
@@ -13,8 +13,9 @@
 use bytes::Bytes;
 use dunespur_control_state::{NodeKind, NodeReport, Operation};
 use dunespur_rpc::Service;
-use dunespur_storage::recovery::aside_bytes;
+use dunespur_storage::recovery::set_aside_bytes;
 use dunespur_storage::turns::TurnDisk;
+use dunespur_storage::Opened;
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use dunespur_turn_replication::node::{
     Declaration, DiskOutcome, DiskState, DiskWork, Effect, JobId, Settings as NodeSettings,
@@ -109,7 +110,11 @@
             .context("data_dir: a store needs a disk")?;
         std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
         let file = data.join(DISK_FILE);
-        let (disk, identity, entries) = TurnDisk::open(&file)?;
+        let Opened {
+            disk,
+            identity,
+            contents: entries,
+        } = TurnDisk::open(&file)?;
         let report = NodeReport {
             name: settings.node.clone(),
             kind: NodeKind::Store,
@@ -121,7 +126,7 @@
         };
         directory.hold_lease(NodeLease::of(&report));
         let disk_bytes = settings.limits.disk_mb.unwrap_or(UNKNOWN_DISK_MB) << 20;
-        let disk_bytes = disk_bytes.saturating_sub(aside_bytes(&file));
+        let disk_bytes = disk_bytes.saturating_sub(set_aside_bytes(&file));
         let capacity_bytes = disk_bytes * DISK_PERCENT / 100;
         let index_bytes = (settings.limits.memory_mb << 20) / MEMORY_DIVISOR;
         let capacity_turns = (index_bytes / TURN_MEMORY_BYTES) as usize;
@@ -312,7 +317,10 @@
     let work = move || {
         while let Ok((job, work)) = queue.recv() {
             let outcome = disk.perform(&work).unwrap_or_else(|error| {
-                log::error!("the disk does not take a piece of work: {error:#}");
+                log::error!(
+                    "the disk does not take a piece of work: {}",
+                    error.with_causes()
+                );
                 DiskOutcome::Failed
             });
             if completions.send((job, outcome)).is_err() {
--- a/crates/serving/storage/src/file.rs
+++ b/crates/serving/storage/src/bounded_file.rs
@@ -1,4 +1,4 @@
-//! A file as the library's storage.
+//! A file as the database's storage backend, with reads bounded by its length.
 
 use redb::backends::FileBackend;
 use redb::{Builder, Database, DatabaseError, StorageBackend};
@@ -6,8 +6,8 @@
 use std::io::{Error, ErrorKind, Result};
 use std::path::Path;
 
-/// A file of which nothing is read beyond its end. Against a spoilt length: the library asks for room of that size
-/// before it reads, and a process that doesn't get it is ended by the allocator, without unwinding.
+/// A file of which nothing is read beyond its end. Against a corrupt length: the library allocates that many bytes
+/// before it reads, and a process that doesn't get them is ended by the allocator, without unwinding.
 #[derive(Debug)]
 struct BoundedFile(FileBackend);
 
@@ -18,7 +18,7 @@
 
     fn read(&self, offset: u64, len: usize) -> Result<Vec<u8>> {
         let end = offset.checked_add(len as u64);
-        if end.is_none_or(|end| self.0.len().is_ok_and(|most| end > most)) {
+        if end.is_none_or(|end| self.0.len().is_ok_and(|file_length| end > file_length)) {
             return Err(Error::from(ErrorKind::UnexpectedEof));
         }
         self.0.read(offset, len)
@@ -37,7 +37,7 @@
     }
 }
 
-/// Opens a file that is there. An empty one is no database.
+/// Opens a file that exists. An empty one is no database.
 pub fn open(builder: &Builder, path: &Path) -> std::result::Result<Database, DatabaseError> {
     let file = OpenOptions::new().read(true).write(true).open(path)?;
     if file.metadata()?.len() == 0 {
--- /dev/null
+++ b/crates/serving/storage/src/core/mod.rs
@@ -0,0 +1,118 @@
+//! The disk of a core member: the log, the snapshot, views and votes of [`dunespur_chain_replication`], in one database.
+//!
+//! What [`CoreDisk::write`] has returned from is on the disk; of a call that a loss of power interrupted, either all or
+//! nothing is there.
+
+mod reader;
+mod tables;
+mod writer;
+
+use crate::database::{begin_synced_write, builder, ReopeningDatabase};
+use crate::error::{Result, StorageError};
+use crate::identity::{DiskIdentity, Opened};
+use crate::integrity::open_checked;
+use crate::recovery::{open_or_set_aside, sync_folder};
+use dunespur_chain_replication::{Saved, Write};
+use redb::StorageBackend;
+use std::cell::Cell;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// The open database of a core member.
+#[derive(Debug)]
+pub struct CoreDisk {
+    database: ReopeningDatabase,
+    /// Index of the last entry that the newest snapshot covers.
+    snapshot_index: Cell<u64>,
+}
+
+impl CoreDisk {
+    /// Opens the file, or makes it with a new identity if there is none. One that can't be read is set aside, and
+    /// counts as none: the member that wrote it is no more, and its votes don't count.
+    ///
+    /// # Errors
+    /// The file can't be made or opened, for a reason that says nothing of its contents; it stays as it is.
+    pub fn open(path: &Path) -> Result<Opened<CoreDisk, Saved>> {
+        open_or_set_aside(path, || Self::open_file(path))
+    }
+
+    fn open_file(path: &Path) -> Result<Opened<CoreDisk, Saved>> {
+        let fresh = !path.exists();
+        if fresh {
+            create(path).map_err(StorageError::operation("making", path))?;
+        }
+        let database = open_checked(path).map_err(StorageError::operation("opening", path))?;
+        let database = ReopeningDatabase::of_file(database, path);
+        Self::load(database, fresh).map_err(StorageError::operation("reading", path))
+    }
+
+    /// Opens another backend than a file; an empty one is given an identity. `backend` gives access to it, again after
+    /// each error.
+    ///
+    /// # Errors
+    /// The backend can't be opened or read.
+    pub fn open_backend<B: StorageBackend>(
+        backend: impl Fn() -> B + Send + 'static,
+    ) -> Result<Opened<CoreDisk, Saved>> {
+        let database = ReopeningDatabase::open_backend(backend)?;
+        let fresh = database.with(|database| {
+            let empty = database.begin_read()?.list_tables()?.next().is_none();
+            if empty {
+                tables::create(database)?;
+            }
+            Ok(empty)
+        })?;
+        Self::load(database, fresh)
+    }
+
+    fn load(database: ReopeningDatabase, fresh: bool) -> Result<Opened<CoreDisk, Saved>> {
+        let (number, saved) = database
+            .with(|database| Ok((reader::disk_number(database)?, reader::saved(database)?)))?;
+        let snapshot = saved.snapshot.as_ref();
+        let snapshot_index = snapshot.map_or(0, |snapshot| snapshot.position.index);
+        Ok(Opened {
+            disk: CoreDisk {
+                database,
+                snapshot_index: Cell::new(snapshot_index),
+            },
+            identity: DiskIdentity {
+                disk: number,
+                fresh,
+            },
+            contents: saved,
+        })
+    }
+
+    /// Brings all writes to the disk with one sync, all or none of them.
+    ///
+    /// # Errors
+    /// Nothing of it is on the disk, or it is not known to be. The same call may be made again.
+    pub fn write(&self, writes: &[Write]) -> Result<()> {
+        self.database.with(|database| {
+            let transaction = begin_synced_write(database)?;
+            let snapshot_index = writer::apply(&transaction, writes, self.snapshot_index.get())?;
+            transaction.commit()?;
+            self.snapshot_index.set(snapshot_index);
+            Ok(())
+        })
+    }
+}
+
+/// Makes the file under another name first: what bears the right name is complete, whenever power is lost.
+fn create(path: &Path) -> Result<()> {
+    let unfinished = unfinished_path(path);
+    if unfinished.exists() {
+        fs::remove_file(&unfinished).map_err(StorageError::file("removing", &unfinished))?;
+    }
+    let database = builder().create(&unfinished)?;
+    tables::create(&database)?;
+    drop(database);
+    fs::rename(&unfinished, path).map_err(StorageError::file("renaming", &unfinished))?;
+    sync_folder(path)
+}
+
+fn unfinished_path(path: &Path) -> PathBuf {
+    let mut name = path.as_os_str().to_owned();
+    name.push(".unfinished");
+    PathBuf::from(name)
+}
--- a/crates/serving/storage/tests/compatibility/core.rs
+++ b/crates/serving/storage/tests/compatibility/core.rs
@@ -1,8 +1,7 @@
 //! Files of core members.
 
-use crate::support::{
-    assert_is_fixture, copy_fixture, dump, hex, keep_as_fixture, TemporaryFolder,
-};
+use crate::common::TemporaryFolder;
+use crate::support::{assert_is_fixture, copy_fixture, dump, hex, keep_as_fixture};
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest, LimiterId};
 use dunespur_chain_replication::{
     AcceptedView, Ballot, DecidedView, Entry, MemberId, Origin, Payload, Peer, Position, Saved,
@@ -12,13 +11,14 @@
     ControlState, NodeKind, NodeReport, Operation, Order, OrderKind, Outcome, ServerReport,
     ServerState,
 };
-use dunespur_storage::core::{CoreDisk, DiskIdentity};
+use dunespur_storage::core::CoreDisk;
+use dunespur_storage::{DiskIdentity, Opened};
 use redb::{Database, TableDefinition};
 use std::net::SocketAddr;
 use std::path::Path;
 
 const VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("values");
-const SNAPSHOT_PARTS: TableDefinition<u32, &[u8]> = TableDefinition::new("snapshot_parts");
+const SNAPSHOT_CHUNKS: TableDefinition<u32, &[u8]> = TableDefinition::new("snapshot_parts");
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 
 /// The identity that the fixture's disk was given.
@@ -122,30 +122,30 @@
         "disk" => (key.to_owned(), "drawn at random".to_owned()),
         _ => (key.to_owned(), hex(value)),
     });
-    let parts = dump(&database, SNAPSHOT_PARTS, |number, part| {
-        (number.to_string(), hex(part))
+    let chunks = dump(&database, SNAPSHOT_CHUNKS, |number, chunk| {
+        (number.to_string(), hex(chunk))
     });
     let entries = dump(&database, ENTRIES, |index, entry| {
         (index.to_string(), hex(entry))
     });
-    values + &parts + &entries
+    values + &chunks + &entries
 }
 
 #[test]
 fn records_of_a_core_member_have_the_bytes_of_the_earlier_revision() {
     let folder = TemporaryFolder::new("core-records");
     let path = folder.file("core.redb");
-    let (disk, _, _) = CoreDisk::open(&path).expect("a new file");
+    let Opened { disk, .. } = CoreDisk::open(&path).expect("a new file");
     // The entries that the snapshot covers go with the next commit; here they stay for the comparison.
     let (snapshot, others) = one_of_each()
         .split_last()
         .map(|(last, rest)| (last.clone(), rest.to_vec()))
         .expect("some");
-    disk.write(&others).expect("the disk takes it");
+    disk.write(&others).expect("the disk accepts it");
     drop(disk);
     assert_is_fixture("core-before-snapshot.txt", &records(&path));
-    let (disk, _, _) = CoreDisk::open(&path).expect("it opens again");
-    disk.write(&[snapshot]).expect("the disk takes it");
+    let Opened { disk, .. } = CoreDisk::open(&path).expect("it opens again");
+    disk.write(&[snapshot]).expect("the disk accepts it");
     drop(disk);
     assert_is_fixture("core-after-snapshot.txt", &records(&path));
 }
@@ -192,7 +192,7 @@
     })
 }
 
-/// What the fixture's snapshot holds.
+/// What the fixture's snapshot contains.
 fn operations_before_snapshot() -> Vec<Operation> {
     let body = CONFIGURATION.as_bytes().to_vec();
     vec![
@@ -287,20 +287,24 @@
 }
 
 #[test]
-fn a_core_members_file_of_the_earlier_revision_opens_with_all_that_it_holds() {
+fn a_core_members_file_of_the_earlier_revision_opens_with_all_that_it_contains() {
     let folder = TemporaryFolder::new("core-file");
     let path = folder.file("core.redb");
-    let (disk, _, _) = CoreDisk::open(&path).expect("a new file");
+    let Opened { disk, .. } = CoreDisk::open(&path).expect("a new file");
     batches()
         .iter()
-        .for_each(|batch| disk.write(batch).expect("the disk takes it"));
+        .for_each(|batch| disk.write(batch).expect("the disk accepts it"));
     drop(disk);
     keep_as_fixture("core.redb.packed", &path);
     let written_now = records(&path);
 
     copy_fixture("core.redb.packed", &path);
     assert_eq!(records(&path), written_now);
-    let (_, identity, saved) = CoreDisk::open(&path).expect("the earlier revision's file opens");
+    let Opened {
+        identity,
+        contents: saved,
+        ..
+    } = CoreDisk::open(&path).expect("the earlier revision's file opens");
     assert_eq!(
         identity,
         DiskIdentity {
@@ -332,7 +336,9 @@
     let folder = TemporaryFolder::new("core-state");
     let path = folder.file("core.redb");
     copy_fixture("core.redb.packed", &path);
-    let (_, _, saved) = CoreDisk::open(&path).expect("the earlier revision's file opens");
+    let Opened {
+        contents: saved, ..
+    } = CoreDisk::open(&path).expect("the earlier revision's file opens");
     let snapshot = saved.snapshot.expect("it has a snapshot");
     assert_eq!(snapshot.position, Position { index: 6, view: 6 });
     let mut state = ControlState::restore(snapshot.bytes.bytes()).expect("the snapshot is read");
--- a/crates/serving/storage/tests/compatibility/main.rs
+++ b/crates/serving/storage/tests/compatibility/main.rs
@@ -2,8 +2,10 @@
 //! with everything in them found by value.
 //!
 //! The files under `tests/fixtures` were written by that revision, by these same tests with [`support::WRITE_FIXTURES`]
-//! in the environment. They are never written again, unless a new format of the files takes the place of this one.
+//! in the environment. They are never written again, unless a new format of the files replaces this one.
 
+#[path = "../common/mod.rs"]
+mod common;
 mod core;
 mod support;
 mod turns;
--- a/crates/serving/storage/tests/compatibility/support.rs
+++ b/crates/serving/storage/tests/compatibility/support.rs
@@ -12,31 +12,6 @@
 /// Values that are longer are shown by their beginning, length and checksum.
 const MAX_SHOWN_BYTES: usize = 400;
 
-/// A folder of one test, removed at its end.
-pub struct TemporaryFolder(PathBuf);
-
-impl TemporaryFolder {
-    pub fn new(name: &str) -> TemporaryFolder {
-        let path = std::env::temp_dir().join(format!(
-            "dunespur-compatibility-{}-{name}",
-            std::process::id()
-        ));
-        let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).expect("a folder for the test");
-        TemporaryFolder(path)
-    }
-
-    pub fn file(&self, name: &str) -> PathBuf {
-        self.0.join(name)
-    }
-}
-
-impl Drop for TemporaryFolder {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
-}
-
 fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
@@ -60,7 +35,7 @@
     }
 }
 
-/// Puts the file that a fixture stands for to a place where it can be opened.
+/// Unpacks a fixture into a file that can be opened.
 pub fn copy_fixture(name: &str, to: &Path) {
     let packed = fs::read(fixture_path(name)).expect("the fixture is there");
     fs::write(to, unpacked(&packed)).expect("a copy of the fixture");
--- a/crates/serving/storage/tests/compatibility/turns.rs
+++ b/crates/serving/storage/tests/compatibility/turns.rs
@@ -1,10 +1,10 @@
 //! Files of turn stores.
 
-use crate::support::{
-    assert_is_fixture, copy_fixture, dump, hex, keep_as_fixture, TemporaryFolder,
-};
+use crate::common::TemporaryFolder;
+use crate::support::{assert_is_fixture, copy_fixture, dump, hex, keep_as_fixture};
 use bytes::Bytes;
-use dunespur_storage::turns::{DiskIdentity, TurnDisk};
+use dunespur_storage::turns::TurnDisk;
+use dunespur_storage::{DiskIdentity, Opened};
 use dunespur_turn_replication::turn::{Turn, TurnHeader};
 use redb::{Database, TableDefinition};
 use std::path::Path;
@@ -77,13 +77,13 @@
     meta + &headers + &bodies
 }
 
-/// Writes what the fixture holds.
+/// Writes what the fixture contains.
 fn write(path: &Path) {
-    let (disk, _, _) = TurnDisk::open(path).expect("a new file");
+    let Opened { disk, .. } = TurnDisk::open(path).expect("a new file");
     disk.put(&turns()).expect("it puts");
     disk.put(&[removed_turn()]).expect("it puts");
     disk.remove(&[removed_turn().id]).expect("it removes");
-    disk.mark_whole().expect("it marks");
+    disk.mark_complete().expect("it marks");
 }
 
 #[test]
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_turn_stores_file_of_the_earlier_revision_opens_with_all_that_it_holds() {
+fn a_turn_stores_file_of_the_earlier_revision_opens_with_all_that_it_contains() {
     let folder = TemporaryFolder::new("turn-file");
     let path = folder.file("turns.redb");
     write(&path);
@@ -104,8 +104,11 @@
 
     copy_fixture("turns.redb.packed", &path);
     assert_eq!(records(&path), written_now);
-    let (disk, identity, headers) =
-        TurnDisk::open(&path).expect("the earlier revision's file opens");
+    let Opened {
+        disk,
+        identity,
+        contents: headers,
+    } = TurnDisk::open(&path).expect("the earlier revision's file opens");
     assert_eq!(
         identity,
         DiskIdentity {
--- a/crates/serving/storage/tests/core.rs
+++ b/crates/serving/storage/tests/core.rs
@@ -1,38 +1,23 @@
-//! The core member's file holds what [`Saved::apply`] says, over restarts, and keeps its identity.
+//! The core member's file contains what [`Saved::apply`] says, over restarts, and its identity stays.
 
+mod common;
+
+use common::TemporaryFolder;
 use dunespur_chain_replication::{
     AcceptedView, Ballot, DecidedView, Entry, MemberId, Origin, Payload, Peer, Position, Saved,
     SavedSnapshot, View, Write,
 };
 use dunespur_storage::core::CoreDisk;
+use dunespur_storage::Opened;
 use std::fs;
-use std::path::{Path, PathBuf};
-
-/// A folder of one test, removed at its end.
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path =
-            std::env::temp_dir().join(format!("dunespur-core-{}-{name}", std::process::id()));
-        let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).expect("a folder for the test");
-        Folder(path)
-    }
-
-    fn file(&self) -> PathBuf {
-        self.0.join("core.redb")
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
-}
+use std::path::Path;
 
 fn reopened(path: &Path) -> Saved {
-    let (_, identity, saved) = CoreDisk::open(path).expect("the file opens again");
+    let Opened {
+        identity,
+        contents: saved,
+        ..
+    } = CoreDisk::open(path).expect("the file opens again");
     assert!(!identity.fresh);
     saved
 }
@@ -149,7 +134,7 @@
 #[test]
 fn what_was_written_is_found_again() {
     for seed in 0..6 {
-        let folder = Folder::new(&format!("writes-{seed}"));
+        let folder = TemporaryFolder::new(&format!("writes-{seed}"));
         let mut writer = Writer {
             state: seed,
             last: 0,
@@ -158,66 +143,90 @@
         };
         let mut expected = Saved::default();
         for _ in 0..6 {
-            let (disk, _, found) = CoreDisk::open(&folder.file()).expect("the file opens");
+            let Opened {
+                disk,
+                contents: found,
+                ..
+            } = CoreDisk::open(&folder.file("core.redb")).expect("the file opens");
             assert_eq!(found, expected);
             for _ in 0..8 {
                 let writes: Vec<Write> = (0..writer.below(12)).map(|_| writer.next()).collect();
-                disk.write(&writes).expect("the disk takes it");
+                disk.write(&writes).expect("the disk accepts it");
                 writes.iter().for_each(|write| expected.apply(write));
             }
         }
-        assert_eq!(reopened(&folder.file()), expected);
+        assert_eq!(reopened(&folder.file("core.redb")), expected);
     }
 }
 
 #[test]
 fn the_identity_lasts_as_long_as_the_file() {
-    let folder = Folder::new("identity");
-    let (disk, first, saved) = CoreDisk::open(&folder.file()).expect("the file is made");
+    let folder = TemporaryFolder::new("identity");
+    let Opened {
+        disk,
+        identity: first,
+        contents: saved,
+    } = CoreDisk::open(&folder.file("core.redb")).expect("the file is made");
     assert!(first.fresh && saved.is_empty());
     drop(disk);
-    let (disk, second, _) = CoreDisk::open(&folder.file()).expect("the file opens");
+    let Opened {
+        disk,
+        identity: second,
+        ..
+    } = CoreDisk::open(&folder.file("core.redb")).expect("the file opens");
     assert!(!second.fresh);
     assert_eq!(first.disk, second.disk);
     drop(disk);
-    fs::remove_file(folder.file()).expect("the file goes");
-    let (_, third, saved) = CoreDisk::open(&folder.file()).expect("the file is made anew");
+    fs::remove_file(folder.file("core.redb")).expect("the file goes");
+    let Opened {
+        identity: third,
+        contents: saved,
+        ..
+    } = CoreDisk::open(&folder.file("core.redb")).expect("the file is made anew");
     assert!(third.fresh && saved.is_empty());
     assert_ne!(first.disk, third.disk);
 }
 
 #[test]
 fn a_file_that_was_never_finished_is_made_anew() {
-    let folder = Folder::new("unfinished");
-    fs::write(folder.0.join("core.redb.unfinished"), b"half a file").expect("a torn file");
-    let (_, identity, saved) = CoreDisk::open(&folder.file()).expect("the file is made");
+    let folder = TemporaryFolder::new("unfinished");
+    fs::write(folder.file("core.redb.unfinished"), b"half a file").expect("a torn file");
+    let Opened {
+        identity,
+        contents: saved,
+        ..
+    } = CoreDisk::open(&folder.file("core.redb")).expect("the file is made");
     assert!(identity.fresh && saved.is_empty());
 }
 
-/// See unreadable.rs for files that were spoilt, and for those that stay as they are.
+/// See unreadable.rs for files that were corrupted, and for those that stay as they are.
 #[test]
 fn what_is_no_file_of_ours_is_set_aside() {
-    let folder = Folder::new("foreign");
-    fs::write(folder.file(), b"not a database").expect("some file");
-    let (_, identity, saved) = CoreDisk::open(&folder.file()).expect("the file is made anew");
+    let folder = TemporaryFolder::new("foreign");
+    fs::write(folder.file("core.redb"), b"not a database").expect("some file");
+    let Opened {
+        identity,
+        contents: saved,
+        ..
+    } = CoreDisk::open(&folder.file("core.redb")).expect("the file is made anew");
     assert!(identity.fresh && saved.is_empty());
-    let aside = fs::read(folder.file().with_extension("unreadable")).expect("it is kept");
+    let aside = fs::read(folder.file("core.redb").with_extension("unreadable")).expect("it stays");
     assert_eq!(aside, b"not a database");
 }
 
-/// Entries between two snapshots, as the chain asks for them.
+/// Entries between two snapshots, as the chain requests them.
 const ENTRIES_PER_SNAPSHOT: u64 = 2_000;
 /// Bytes of a snapshot.
 const SNAPSHOT_BYTES: usize = 400_000;
 /// What the file may grow to with some 400 kB of snapshot and 500 kB of entries; disks of core machines have 64 MB.
-const MOST_FILE_BYTES: u64 = 12 << 20;
+const MAX_FILE_BYTES: u64 = 12 << 20;
 
 /// Guards against what filled the disks of a grown deployment's core: each snapshot removed thousands of entries in
-/// one commit and laid itself down in one piece, and the file grew by tens of megabytes.
+/// one commit and wrote itself as one value, and the file grew by tens of megabytes.
 #[test]
 fn the_file_stays_small_over_many_snapshots() {
-    let folder = Folder::new("small");
-    let (disk, _, _) = CoreDisk::open(&folder.file()).expect("a new file");
+    let folder = TemporaryFolder::new("small");
+    let Opened { disk, .. } = CoreDisk::open(&folder.file("core.redb")).expect("a new file");
     let mut index = 0;
     for _ in 0..4 {
         for _ in 0..ENTRIES_PER_SNAPSHOT / 4 {
@@ -227,7 +236,7 @@
                 })
                 .collect();
             index += 4;
-            disk.write(&writes).expect("the disk takes it");
+            disk.write(&writes).expect("the disk accepts it");
         }
         let position = Position {
             index: index - 10,
@@ -238,14 +247,14 @@
             bytes: vec![7; SNAPSHOT_BYTES].into(),
         };
         disk.write(&[Write::Snapshot { snapshot }])
-            .expect("the disk takes it");
+            .expect("the disk accepts it");
     }
     drop(disk);
-    let size = fs::metadata(folder.file())
+    let size = fs::metadata(folder.file("core.redb"))
         .expect("the file is there")
         .len();
-    assert!(size < MOST_FILE_BYTES, "{size} bytes");
-    let saved = reopened(&folder.file());
+    assert!(size < MAX_FILE_BYTES, "{size} bytes");
+    let saved = reopened(&folder.file("core.redb"));
     let snapshot = saved.snapshot.expect("a snapshot");
     assert_eq!(snapshot.position.index, index - 10);
     assert_eq!(snapshot.bytes.len(), SNAPSHOT_BYTES);
--- a/crates/serving/storage/tests/core_growth.rs
+++ b/crates/serving/storage/tests/core_growth.rs
@@ -4,11 +4,12 @@
 use dunespur_chain_replication::timing::{COMPACT_BYTES, MOST_COMPACT_BYTES};
 use dunespur_chain_replication::{Entry, Origin, Payload, Position, SavedSnapshot, Write};
 use dunespur_storage::core::CoreDisk;
+use dunespur_storage::Opened;
 
 /// The disks of core machines, less what may be set aside of a file that can't be read.
-const DISK_BYTES: u64 = (64 << 20) - dunespur_storage::recovery::MOST_ASIDE_BYTES;
+const DISK_BYTES: u64 = (64 << 20) - dunespur_storage::recovery::MAX_SET_ASIDE_BYTES;
 /// 60,000 programs of 154 bytes, 1,000 servers and a configuration of 400 kB come to this.
-const LARGEST_STATE: usize = 12 << 20;
+const LARGEST_STATE_BYTES: usize = 12 << 20;
 const SNAPSHOTS: usize = 8;
 
 struct Writer {
@@ -20,7 +21,7 @@
 
 impl Writer {
     fn write(&mut self, writes: &[Write]) {
-        self.disk.write(writes).expect("the disk takes it");
+        self.disk.write(writes).expect("the disk accepts it");
         self.worst = self
             .worst
             .max(std::fs::metadata(&self.path).expect("the file").len());
@@ -77,7 +78,7 @@
     ));
     std::fs::create_dir_all(&folder).expect("a folder for the test");
     let path = folder.join("core.redb");
-    let (disk, _, _) = CoreDisk::open(&path).expect("a new file");
+    let Opened { disk, .. } = CoreDisk::open(&path).expect("a new file");
     let mut writer = Writer {
         disk,
         index: 0,
@@ -97,7 +98,7 @@
 #[test]
 fn the_file_of_the_largest_state_fits_the_disk() {
     for (entry, batch) in [(60, 200), (130, 200), (300, 200), (5_000, 8), (400_000, 1)] {
-        let worst = worst_file(LARGEST_STATE, entry, batch);
+        let worst = worst_file(LARGEST_STATE_BYTES, entry, batch);
         eprintln!("entries of {entry} bytes: {worst} bytes at worst");
         assert!(
             worst <= DISK_BYTES,
--- a/crates/serving/storage/tests/full/core.rs
+++ b/crates/serving/storage/tests/full/core.rs
@@ -1,15 +1,19 @@
-//! A core member's disk that was full takes writes again, and holds of each write all or nothing.
+//! A core member's disk that was full accepts writes again, and has of each write all or nothing.
 
 use crate::support::Storage;
 use dunespur_chain_replication::{Entry, Origin, Payload, Position, Saved, Write};
 use dunespur_storage::core::CoreDisk;
+use dunespur_storage::Opened;
 
 const ENTRY_BYTES: usize = 20_000;
 
 fn open(storage: &Storage) -> (CoreDisk, Saved) {
     let storage = storage.clone();
-    let (disk, _, saved) =
-        CoreDisk::open_backend(move || storage.clone()).expect("the storage opens");
+    let Opened {
+        disk,
+        contents: saved,
+        ..
+    } = CoreDisk::open_backend(move || storage.clone()).expect("the storage opens");
     (disk, saved)
 }
 
@@ -34,20 +38,23 @@
 
 #[test]
 fn a_disk_that_was_full_takes_the_same_write_again() {
-    for takes in 0..60 {
+    for writes_left in 0..60 {
         let storage = Storage::default();
         let (disk, _) = open(&storage);
-        disk.write(&[entry(1)]).expect("there is room");
-        storage.full_after(takes);
-        let mut tries = 0;
+        disk.write(&[entry(1)]).expect("there is space");
+        storage.full_after(writes_left);
+        let mut attempts = 0;
         while disk.write(&[entry(2), entry(3)]).is_err() {
-            tries += 1;
-            if tries == 5 {
-                storage.has_room();
+            attempts += 1;
+            if attempts == 5 {
+                storage.has_space();
             }
-            assert!(tries < 6, "refused with room again, after {takes} writes");
+            assert!(
+                attempts < 6,
+                "refused with space again, after {writes_left} writes"
+            );
         }
-        storage.has_room();
+        storage.has_space();
         disk.write(&[entry(4)]).expect("it goes on");
         drop(disk);
         assert_eq!(indexes(&open(&storage).1), [1, 2, 3, 4]);
@@ -56,18 +63,18 @@
 
 #[test]
 fn a_process_that_ends_while_the_disk_is_full_finds_all_or_nothing() {
-    for takes in 0..60 {
+    for writes_left in 0..60 {
         let storage = Storage::default();
         let (disk, _) = open(&storage);
-        disk.write(&[entry(1)]).expect("there is room");
-        storage.full_after(takes);
+        disk.write(&[entry(1)]).expect("there is space");
+        storage.full_after(writes_left);
         let taken = disk.write(&[entry(2), entry(3)]).is_ok();
         drop(disk);
-        storage.has_room();
+        storage.has_space();
         let found = indexes(&open(&storage).1);
         assert!(
             found == [1, 2, 3] || (!taken && found == [1]),
-            "{found:?} after {takes} writes"
+            "{found:?} after {writes_left} writes"
         );
     }
 }
@@ -76,14 +83,19 @@
 fn an_identity_outlives_a_full_disk() {
     let storage = Storage::default();
     let named = storage.clone();
-    let (disk, first, _) =
-        CoreDisk::open_backend(move || named.clone()).expect("the storage opens");
+    let Opened {
+        disk,
+        identity: first,
+        ..
+    } = CoreDisk::open_backend(move || named.clone()).expect("the storage opens");
     assert!(first.fresh);
     storage.full_after(0);
-    disk.write(&[entry(1)]).expect_err("there is no room");
+    disk.write(&[entry(1)]).expect_err("there is no space");
     drop(disk);
-    storage.has_room();
+    storage.has_space();
     let named = storage.clone();
-    let (_, second, _) = CoreDisk::open_backend(move || named.clone()).expect("the storage opens");
+    let Opened {
+        identity: second, ..
+    } = CoreDisk::open_backend(move || named.clone()).expect("the storage opens");
     assert_eq!((second.disk, second.fresh), (first.disk, false));
 }
--- a/crates/serving/storage/tests/full/support.rs
+++ b/crates/serving/storage/tests/full/support.rs
@@ -11,27 +11,27 @@
 #[derive(Debug)]
 struct State {
     bytes: Vec<u8>,
-    /// Writes that it takes before it is full.
-    takes: u64,
+    /// Writes that it accepts before it is full.
+    writes_left: u64,
 }
 
 impl Default for State {
     fn default() -> State {
         State {
             bytes: Vec::new(),
-            takes: u64::MAX,
+            writes_left: u64::MAX,
         }
     }
 }
 
 impl Storage {
-    /// From now on it takes so many writes more.
-    pub fn full_after(&self, takes: u64) {
-        self.state().takes = takes;
+    /// From now on it accepts so many writes more.
+    pub fn full_after(&self, writes_left: u64) {
+        self.state().writes_left = writes_left;
     }
 
-    /// It has room again.
-    pub fn has_room(&self) {
+    /// It has space again.
+    pub fn has_space(&self) {
         self.full_after(u64::MAX);
     }
 
@@ -47,9 +47,9 @@
 
 impl State {
     fn take_one(&mut self) -> Result<()> {
-        match self.takes.checked_sub(1) {
+        match self.writes_left.checked_sub(1) {
             Some(left) => {
-                self.takes = left;
+                self.writes_left = left;
                 Ok(())
             }
             None => Err(Error::from(ErrorKind::StorageFull)),
--- a/crates/serving/storage/tests/full/turns.rs
+++ b/crates/serving/storage/tests/full/turns.rs
@@ -1,15 +1,19 @@
-//! A store's disk that was full takes turns again; its file does not grow with what has been there.
+//! A store's disk that was full accepts turns again; its file does not grow with what was there before.
 
 use crate::support::Storage;
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
+use dunespur_storage::Opened;
 use dunespur_turn_replication::index::IndexEntry;
 use dunespur_turn_replication::turn::Turn;
 
 fn open(storage: &Storage) -> (TurnDisk, Vec<IndexEntry>) {
     let storage = storage.clone();
-    let (disk, _, entries) =
-        TurnDisk::open_backend(move || storage.clone()).expect("the storage opens");
+    let Opened {
+        disk,
+        contents: entries,
+        ..
+    } = TurnDisk::open_backend(move || storage.clone()).expect("the storage opens");
     (disk, entries)
 }
 
@@ -31,92 +35,95 @@
 
 #[test]
 fn a_disk_that_was_full_takes_turns_again() {
-    for takes in 0..60 {
+    for writes_left in 0..60 {
         let storage = Storage::default();
         let (disk, _) = open(&storage);
         let turns: Vec<Turn> = (0..4).map(|number| turn(number, 20_000)).collect();
-        disk.put(&turns[..1]).expect("there is room");
-        storage.full_after(takes);
-        let mut tries = 0;
+        disk.put(&turns[..1]).expect("there is space");
+        storage.full_after(writes_left);
+        let mut attempts = 0;
         while disk.put(&turns[1..3]).is_err() {
-            tries += 1;
-            if tries == 5 {
-                storage.has_room();
+            attempts += 1;
+            if attempts == 5 {
+                storage.has_space();
             }
-            assert!(tries < 6, "refused with room again, after {takes} writes");
+            assert!(
+                attempts < 6,
+                "refused with space again, after {writes_left} writes"
+            );
         }
-        storage.has_room();
+        storage.has_space();
         disk.put(&turns[3..]).expect("it goes on");
-        let asked: Vec<&str> = turns.iter().map(|turn| turn.id.as_str()).collect();
-        assert_eq!(disk.get_many(&asked).expect("it reads"), turns);
+        let ids_in_order: Vec<&str> = turns.iter().map(|turn| turn.id.as_str()).collect();
+        assert_eq!(disk.get_many(&ids_in_order).expect("it reads"), turns);
         drop(disk);
-        assert_eq!(ids(&open(&storage).1), asked);
+        assert_eq!(ids(&open(&storage).1), ids_in_order);
     }
 }
 
 #[test]
-fn what_is_there_can_be_read_once_there_is_room_again_without_a_write() {
-    for takes in 0..60 {
+fn what_is_there_can_be_read_once_there_is_space_again_without_a_write() {
+    for writes_left in 0..60 {
         let storage = Storage::default();
         let (disk, _) = open(&storage);
-        let kept = turn(0, 20_000);
-        disk.put(std::slice::from_ref(&kept))
-            .expect("there is room");
-        storage.full_after(takes);
+        let stored = turn(0, 20_000);
+        disk.put(std::slice::from_ref(&stored))
+            .expect("there is space");
+        storage.full_after(writes_left);
         let _ = disk.put(&[turn(1, 20_000)]);
-        storage.has_room();
-        // The first call may find what the library holds of the error.
-        let _ = disk.get(&kept.id);
-        assert_eq!(disk.get(&kept.id).expect("it reads"), Some(kept));
+        storage.has_space();
+        // The first call may find what the library remembers of the error.
+        let _ = disk.get(&stored.id);
+        assert_eq!(disk.get(&stored.id).expect("it reads"), Some(stored));
     }
 }
 
 #[test]
 fn a_process_that_ends_while_the_disk_is_full_finds_all_or_nothing() {
-    for takes in 0..60 {
+    for writes_left in 0..60 {
         let storage = Storage::default();
         let (disk, _) = open(&storage);
-        disk.put(&[turn(0, 20_000)]).expect("there is room");
-        storage.full_after(takes);
+        disk.put(&[turn(0, 20_000)]).expect("there is space");
+        storage.full_after(writes_left);
         let taken = disk.put(&[turn(1, 20_000), turn(2, 20_000)]).is_ok();
         drop(disk);
-        storage.has_room();
+        storage.has_space();
         let (_, entries) = open(&storage);
         let found = ids(&entries);
         let all = ["turn-000000", "turn-000001", "turn-000002"];
         assert!(
             found == all || (!taken && found == all[..1]),
-            "{found:?} after {takes} writes"
+            "{found:?} after {writes_left} writes"
         );
     }
 }
 
 #[test]
-fn turns_are_removed_while_others_find_no_room() {
+fn turns_are_removed_while_others_find_no_space() {
     let storage = Storage::default();
     let (disk, _) = open(&storage);
     disk.put(&[turn(0, 20_000), turn(1, 20_000)])
-        .expect("there is room");
+        .expect("there is space");
     storage.full_after(0);
-    disk.put(&[turn(2, 20_000)]).expect_err("there is no room");
+    disk.put(&[turn(2, 20_000)]).expect_err("there is no space");
     disk.remove(&["turn-000000"]).expect_err("nor for that");
-    storage.has_room();
-    disk.remove(&["turn-000000"]).expect("it takes it now");
+    storage.has_space();
+    disk.remove(&["turn-000000"]).expect("it is removed now");
     drop(disk);
     assert_eq!(ids(&open(&storage).1), ["turn-000001"]);
 }
 
 /// How long the file gets when `live` turns of drawn sizes are there at a time and all others are removed.
-fn length_after(rounds: usize, live: usize) -> usize {
+fn length_after(turns_written: usize, live: usize) -> usize {
     let storage = Storage::default();
     let (disk, _) = open(&storage);
     let mut state: u64 = 7;
-    for number in 0..rounds {
+    for number in 0..turns_written {
         state = state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
         let bytes = 100 + (state >> 33) as usize % 40_000;
-        disk.put(&[turn(number, bytes)]).expect("there is room");
+        disk.put(&[turn(number, bytes)]).expect("there is space");
         if number >= live {
             disk.remove(&[turn(number - live, 0).id])
                 .expect("it is removed");
--- a/crates/serving/storage/tests/growth.rs
+++ b/crates/serving/storage/tests/growth.rs
@@ -1,11 +1,12 @@
-//! How much room the turns' file takes for the bodies in it. The share of a disk that a store fills rests on it
+//! How much space the turns' file takes for the bodies in it. The share of a disk that a store fills rests on it
 //! (`DISK_PERCENT` in crates/serving/dunespur/src/store.rs): the library doubles the file when it needs more.
 
 use dunespur_storage::turns::TurnDisk;
+use dunespur_storage::Opened;
 use dunespur_turn_replication::turn::Turn;
 
 /// The file is at most this many times the bodies, once there are some megabytes of them.
-const MOST_TIMES: u64 = 4;
+const MAX_FILE_TO_BODIES: u64 = 4;
 /// Bodies written.
 const BODIES: u64 = 12 << 20;
 /// Below this the file's least size counts for more than what is in it.
@@ -31,7 +32,7 @@
             std::env::temp_dir().join(format!("dunespur-growth-{}-{input}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder for the test");
         let path = folder.join("turns.redb");
-        let (disk, _, _) = TurnDisk::open(&path).expect("a new file");
+        let Opened { disk, .. } = TurnDisk::open(&path).expect("a new file");
         let (mut bodies, mut number, mut worst) = (0, 0, (0, 0));
         while bodies < BODIES {
             let turns: Vec<Turn> = (number..number + BATCH)
@@ -39,9 +40,9 @@
                 .collect();
             number += BATCH;
             bodies += turns.iter().map(Turn::size).sum::<u64>();
-            disk.put(&turns).expect("the disk takes them");
+            disk.put(&turns).expect("the disk accepts them");
             let file = std::fs::metadata(&path).expect("the file is there").len();
-            if bodies >= ENOUGH && file > bodies * MOST_TIMES {
+            if bodies >= ENOUGH && file > bodies * MAX_FILE_TO_BODIES {
                 worst = (file, bodies);
             }
         }
--- a/crates/serving/storage/tests/power/support.rs
+++ b/crates/serving/storage/tests/power/support.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// Whether the disk does what a sync asks for.
+/// Whether the disk does what a sync requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Syncs {
     Honest,
@@ -44,10 +44,10 @@
     durable: Vec<u8>,
     /// Changes since, in their order.
     unsynced: Vec<Change>,
-    /// Handles of an earlier life do nothing any more.
-    life: u64,
-    /// Changes that it still takes before the power goes.
-    takes: u64,
+    /// Handles of an earlier incarnation do nothing any more.
+    incarnation: u64,
+    /// Changes that it still accepts before the power is lost.
+    changes_left: u64,
     syncs: Syncs,
 }
 
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub struct Handle {
     disk: Disk,
-    life: u64,
+    incarnation: u64,
 }
 
 impl Disk {
@@ -69,8 +69,8 @@
             seen,
             durable,
             unsynced,
-            life: 0,
-            takes: u64::MAX,
+            incarnation: 0,
+            changes_left: u64::MAX,
             syncs,
         })))
     }
@@ -78,29 +78,29 @@
     pub fn handle(&self) -> Handle {
         Handle {
             disk: self.clone(),
-            life: self.state().life,
+            incarnation: self.state().incarnation,
         }
     }
 
     /// After so many changes more nothing reaches the disk.
-    pub fn loses_power_after(&self, takes: u64) {
-        self.state().takes = takes;
+    pub fn loses_power_after(&self, changes_left: u64) {
+        self.state().changes_left = changes_left;
     }
 
-    /// The power goes and comes back: all handles are dead, the file is what was kept of it.
+    /// The power goes and comes back: all handles are dead, the file is what survived of it.
     pub fn lose_power(&self, random: &mut Random) {
         let mut state = self.state();
-        let all_gone = random.below(4) == 0;
+        let nothing_survives = random.below(4) == 0;
         let mut file = std::mem::take(&mut state.durable);
         for change in std::mem::take(&mut state.unsynced) {
-            if !all_gone {
-                keep_some(&mut file, change, random);
+            if !nothing_survives {
+                apply_partly(&mut file, change, random);
             }
         }
         state.durable.clone_from(&file);
         state.seen = file;
-        state.life += 1;
-        state.takes = u64::MAX;
+        state.incarnation += 1;
+        state.changes_left = u64::MAX;
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -109,7 +109,7 @@
 }
 
 /// A change is there, missing or torn at a sector.
-fn keep_some(file: &mut Vec<u8>, change: Change, random: &mut Random) {
+fn apply_partly(file: &mut Vec<u8>, change: Change, random: &mut Random) {
     const SECTOR: usize = 512;
     match (change, random.below(3)) {
         (_, 0) => {}
@@ -136,7 +136,7 @@
 impl Handle {
     fn state(&self) -> Result<MutexGuard<'_, State>> {
         let state = self.disk.state();
-        if state.life != self.life {
+        if state.incarnation != self.incarnation {
             return Err(Error::from(ErrorKind::BrokenPipe));
         }
         Ok(state)
@@ -144,8 +144,8 @@
 
     fn change(&self, change: Change) -> Result<()> {
         let mut state = self.state()?;
-        state.takes = state
-            .takes
+        state.changes_left = state
+            .changes_left
             .checked_sub(1)
             .ok_or(Error::from(ErrorKind::BrokenPipe))?;
         match &change {
@@ -178,8 +178,8 @@
 
     fn sync_data(&self, _eventual: bool) -> Result<()> {
         let mut state = self.state()?;
-        state.takes = state
-            .takes
+        state.changes_left = state
+            .changes_left
             .checked_sub(1)
             .ok_or(Error::from(ErrorKind::BrokenPipe))?;
         if state.syncs == Syncs::Honest {
--- a/crates/serving/storage/tests/power/turns.rs
+++ b/crates/serving/storage/tests/power/turns.rs
@@ -2,16 +2,19 @@
 
 use crate::support::{Disk, Random, Syncs};
 use bytes::Bytes;
-use dunespur_storage::turns::{DiskIdentity, TurnDisk};
+use dunespur_storage::turns::TurnDisk;
+use dunespur_storage::{DiskIdentity, Opened, StorageError};
 use dunespur_turn_replication::index::IndexEntry;
 use dunespur_turn_replication::turn::Turn;
 use std::collections::BTreeMap;
 use std::panic::catch_unwind;
 
 /// Losses of power over one disk.
-const LIVES: u64 = 6;
+const POWER_LOSSES: u64 = 6;
 
-fn open(disk: &Disk) -> anyhow::Result<(TurnDisk, DiskIdentity, Vec<IndexEntry>)> {
+type OpenedTurns = Result<Opened<TurnDisk, Vec<IndexEntry>>, StorageError>;
+
+fn open(disk: &Disk) -> OpenedTurns {
     let handle = disk.handle();
     TurnDisk::open_backend(move || handle.clone())
 }
@@ -30,69 +33,74 @@
     }
 }
 
-/// What a caller was told.
+/// What a caller got acknowledged.
 #[derive(Default)]
-struct Told {
-    acknowledged: BTreeMap<String, Turn>,
-    number: u64,
-    whole: bool,
+struct Acknowledged {
+    turns: BTreeMap<String, Turn>,
+    last_number: u64,
+    complete: bool,
 }
 
 /// Puts and removes until the power goes.
-fn work(turns: &TurnDisk, told: &mut Told, random: &mut Random) {
+fn work(turns: &TurnDisk, acknowledged: &mut Acknowledged, random: &mut Random) {
     for _ in 0..40 {
         let batch: Vec<Turn> = (0..1 + random.below(5))
             .map(|_| {
-                told.number += 1;
-                turn(told.number, random)
+                acknowledged.last_number += 1;
+                turn(acknowledged.last_number, random)
             })
             .collect();
         if turns.put(&batch).is_err() {
             return;
         }
-        told.acknowledged
+        acknowledged
+            .turns
             .extend(batch.into_iter().map(|turn| (turn.id.clone(), turn)));
         if random.below(4) == 0 {
-            remove_one(turns, told, random);
+            remove_one(turns, acknowledged, random);
         }
         if random.below(30) == 0 {
-            told.whole |= turns.mark_whole().is_ok();
+            acknowledged.complete |= turns.mark_complete().is_ok();
         }
     }
 }
 
-fn remove_one(turns: &TurnDisk, told: &mut Told, random: &mut Random) {
-    let position = random.below(told.acknowledged.len() as u64) as usize;
-    let Some(id) = told.acknowledged.keys().nth(position).cloned() else {
+fn remove_one(turns: &TurnDisk, acknowledged: &mut Acknowledged, random: &mut Random) {
+    let position = random.below(acknowledged.turns.len() as u64) as usize;
+    let Some(id) = acknowledged.turns.keys().nth(position).cloned() else {
         return;
     };
-    told.acknowledged.remove(&id);
+    acknowledged.turns.remove(&id);
     // It may come back or not.
     let _ = turns.remove(&[id]);
 }
 
-/// What is wrong after a loss of power, if anything.
-fn wrong(
-    opened: &anyhow::Result<(TurnDisk, DiskIdentity, Vec<IndexEntry>)>,
+/// The first fault after a loss of power, if anything.
+fn first_fault(
+    opened: &OpenedTurns,
     identity: DiskIdentity,
-    told: &Told,
+    acknowledged: &Acknowledged,
 ) -> Option<String> {
-    let (turns, now, entries) = match opened {
-        Ok(opened) => (&opened.0, opened.1, &opened.2),
-        Err(error) => return Some(format!("it does not open: {error:#}")),
+    let Opened {
+        disk: turns,
+        identity: now,
+        contents: entries,
+    } = match opened {
+        Ok(opened) => opened,
+        Err(error) => return Some(format!("it does not open: {}", error.with_causes())),
     };
     if now.disk != identity.disk {
         return Some("it is another disk".to_owned());
     }
-    if told.whole && now.fresh {
-        return Some("it has forgotten that it was whole".to_owned());
+    if acknowledged.complete && now.fresh {
+        return Some("it has lost that it was complete".to_owned());
     }
-    for (id, acknowledged) in &told.acknowledged {
+    for (id, turn) in &acknowledged.turns {
         if !entries.iter().any(|entry| entry.id == *id) {
             return Some(format!("{id} is not listed"));
         }
         match turns.get(id) {
-            Ok(Some(found)) if found == *acknowledged => {}
+            Ok(Some(found)) if found == *turn => {}
             other => return Some(format!("{id} is read as {other:?}")),
         }
     }
@@ -102,23 +110,27 @@
     unreadable.map(|entry| format!("{} is listed and can't be read", entry.id))
 }
 
-/// Several losses of power on one disk; what was wrong first.
+/// Several losses of power on one disk; the first fault.
 fn play(seed: u64, syncs: Syncs) -> Option<String> {
     let mut random = Random::new(seed);
     let disk = Disk::new(syncs);
-    let mut told = Told::default();
-    let (mut turns, identity, _) = open(&disk).expect("a new disk opens");
-    for _ in 0..LIVES {
+    let mut acknowledged = Acknowledged::default();
+    let Opened {
+        disk: mut turns,
+        identity,
+        ..
+    } = open(&disk).expect("a new disk opens");
+    for _ in 0..POWER_LOSSES {
         disk.loses_power_after(random.below(600));
-        work(&turns, &mut told, &mut random);
+        work(&turns, &mut acknowledged, &mut random);
         disk.lose_power(&mut random);
         // What the old process still does on its end reaches nothing.
         drop(turns);
         let opened = open(&disk);
-        if let Some(wrong) = wrong(&opened, identity, &told) {
-            return Some(format!("seed {seed}: {wrong}"));
+        if let Some(fault) = first_fault(&opened, identity, &acknowledged) {
+            return Some(format!("seed {seed}: {fault}"));
         }
-        turns = opened.ok()?.0;
+        turns = opened.ok()?.disk;
     }
     None
 }
--- a/crates/serving/storage/tests/unreadable.rs
+++ b/crates/serving/storage/tests/unreadable.rs
@@ -1,11 +1,15 @@
-//! Files that were cut short, or have bytes that nobody wrote: the start sets them aside and goes on as if the disk
+//! Files that were truncated, or have bytes that nobody wrote: the start sets them aside and goes on as if the disk
 //! were empty, or finds all that was written. Never an error at each start, and never a member that goes on under its
 //! identity with less than it had acknowledged.
 
+mod common;
+
+use common::TemporaryFolder;
 use dunespur_chain_replication::{Entry, Origin, Payload, Position, Saved, SavedSnapshot, Write};
 use dunespur_storage::core::CoreDisk;
-use dunespur_storage::recovery::{aside_bytes, MOST_ASIDE_BYTES};
+use dunespur_storage::recovery::{set_aside_bytes, MAX_SET_ASIDE_BYTES};
 use dunespur_storage::turns::TurnDisk;
+use dunespur_storage::Opened;
 use dunespur_turn_replication::turn::Turn;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -14,51 +18,29 @@
 /// The library's header, and where its two roots begin in it.
 const HEADER: usize = 320;
 const ROOTS: usize = 64;
-/// Bytes of a file that are spoilt besides its header.
-const SPOILT_PLACES: usize = 48;
-/// With this variable in the environment each byte of the header is spoilt, and ten times as many of the pages.
-const ALL_PLACES: &str = "UNREADABLE_ALL";
-
-/// A folder of one test, removed at its end.
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path =
-            std::env::temp_dir().join(format!("dunespur-unreadable-{}-{name}", std::process::id()));
-        let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).expect("a folder for the test");
-        Folder(path)
-    }
-
-    fn file(&self, name: &str) -> PathBuf {
-        self.0.join(name)
-    }
-
-    /// Puts a file there and nothing beside it.
-    fn put(&self, name: &str, bytes: &[u8]) -> PathBuf {
-        for entry in fs::read_dir(&self.0).expect("the folder").flatten() {
-            fs::remove_file(entry.path()).expect("an old file goes");
-        }
-        let path = self.file(name);
-        fs::write(&path, bytes).expect("a file");
-        path
-    }
+/// Bytes of a file that are corrupted besides its header.
+const CORRUPTED_OFFSETS: usize = 48;
+/// With this variable in the environment each byte of the header is corrupted, and ten times as many of the pages.
+const ALL_OFFSETS: &str = "UNREADABLE_ALL";
 
-    fn names(&self) -> Vec<String> {
-        let entries = fs::read_dir(&self.0).expect("the folder").flatten();
-        let mut names: Vec<String> = entries
-            .map(|entry| entry.file_name().to_string_lossy().into_owned())
-            .collect();
-        names.sort();
-        names
+/// Puts a file into a folder and nothing beside it.
+fn put_alone(folder: &TemporaryFolder, name: &str, bytes: &[u8]) -> PathBuf {
+    for entry in fs::read_dir(folder.path()).expect("the folder").flatten() {
+        fs::remove_file(entry.path()).expect("an old file is removed");
     }
+    let path = folder.file(name);
+    fs::write(&path, bytes).expect("a file");
+    path
 }
 
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
+/// Names of the files in a folder.
+fn names(folder: &TemporaryFolder) -> Vec<String> {
+    let entries = fs::read_dir(folder.path()).expect("the folder").flatten();
+    let mut names: Vec<String> = entries
+        .map(|entry| entry.file_name().to_string_lossy().into_owned())
+        .collect();
+    names.sort();
+    names
 }
 
 fn entry(index: u64) -> Entry {
@@ -93,9 +75,13 @@
     closed: Vec<u8>,
 }
 
-fn core_file(folder: &Folder) -> CoreFile {
+fn core_file(folder: &TemporaryFolder) -> CoreFile {
     let path = folder.file("core.redb");
-    let (disk, identity, mut saved) = CoreDisk::open(&path).expect("a new file");
+    let Opened {
+        disk,
+        identity,
+        contents: mut saved,
+    } = CoreDisk::open(&path).expect("a new file");
     let mut index = 0;
     let mut before_last = Saved::default();
     for batch in 0..40 {
@@ -110,7 +96,7 @@
             writes.push(snapshot(index - 3));
         }
         before_last = saved.clone();
-        disk.write(&writes).expect("the disk takes it");
+        disk.write(&writes).expect("the disk accepts it");
         writes.iter().for_each(|write| saved.apply(write));
     }
     let killed = fs::read(&path).expect("the file");
@@ -125,7 +111,7 @@
     }
 }
 
-/// What a start made of a spoilt file.
+/// What a start made of a corrupt file.
 #[derive(Debug, PartialEq, Eq)]
 enum Found {
     SetAside,
@@ -134,43 +120,52 @@
     AllButLast,
 }
 
-fn open_core(folder: &Folder, path: &Path, written: &CoreFile, what: &str) -> Found {
-    let (disk, identity, saved) =
-        CoreDisk::open(path).unwrap_or_else(|error| panic!("{what}: {error:#}"));
+fn open_core(folder: &TemporaryFolder, path: &Path, written: &CoreFile, context: &str) -> Found {
+    let Opened {
+        disk,
+        identity,
+        contents: saved,
+    } = CoreDisk::open(path).unwrap_or_else(|error| panic!("{context}: {}", error.with_causes()));
     disk.write(&[Write::Synced { view: 99 }])
-        .unwrap_or_else(|error| panic!("{what}: {error:#}"));
+        .unwrap_or_else(|error| panic!("{context}: {}", error.with_causes()));
     drop(disk);
     if identity.fresh {
-        assert_ne!(identity.disk, written.disk, "{what}: another identity");
-        assert!(saved.is_empty(), "{what}: nothing is taken over");
-        assert_eq!(folder.names(), ["core.redb", "core.unreadable"], "{what}");
-        let (_, again, _) = CoreDisk::open(path).expect("the new file opens");
-        assert_eq!((again.disk, again.fresh), (identity.disk, false), "{what}");
+        assert_ne!(identity.disk, written.disk, "{context}: another identity");
+        assert!(saved.is_empty(), "{context}: nothing is taken over");
+        assert_eq!(names(folder), ["core.redb", "core.unreadable"], "{context}");
+        let Opened {
+            identity: again, ..
+        } = CoreDisk::open(path).expect("the new file opens");
+        assert_eq!(
+            (again.disk, again.fresh),
+            (identity.disk, false),
+            "{context}"
+        );
         return Found::SetAside;
     }
-    assert_eq!(identity.disk, written.disk, "{what}");
-    assert_eq!(folder.names(), ["core.redb"], "{what}");
+    assert_eq!(identity.disk, written.disk, "{context}");
+    assert_eq!(names(folder), ["core.redb"], "{context}");
     if saved == written.last {
         return Found::All;
     }
     assert_eq!(
         saved, written.before_last,
-        "{what}: neither all nor all but the last batch"
+        "{context}: neither all nor all but the last batch"
     );
     Found::AllButLast
 }
 
-/// Lengths at which a file of so many bytes is cut: all that the header has fields at, and beginnings and ends of pages.
-fn lengths(whole: usize) -> Vec<usize> {
+/// Lengths at which a file of so many bytes is truncated: all that the header has fields at, and beginnings and ends of pages.
+fn lengths(complete: usize) -> Vec<usize> {
     let header = (0..HEADER).step_by(32).chain([1, 9, 10, HEADER - 1]);
-    let pages = (0..whole)
+    let pages = (0..complete)
         .step_by(PAGE)
         .filter(|page| (page / PAGE).is_multiple_of(60) || *page < 4 * PAGE);
     let around = pages.flat_map(|page| [page + 1, page + PAGE / 2, page + PAGE]);
     let mut lengths: Vec<usize> = header
         .chain(around)
-        .chain([whole - 1])
-        .filter(|at| *at < whole)
+        .chain([complete - 1])
+        .filter(|at| *at < complete)
         .collect();
     lengths.sort_unstable();
     lengths.dedup();
@@ -178,21 +173,26 @@
 }
 
 #[test]
-fn a_core_file_that_was_cut_short_makes_a_newcomer() {
-    let folder = Folder::new("core-cut");
+fn a_truncated_core_file_makes_a_new_member() {
+    let folder = TemporaryFolder::new("core-truncated");
     let written = core_file(&folder);
-    for whole in [&written.killed, &written.closed] {
-        for length in lengths(whole.len()) {
-            let path = folder.put("core.redb", &whole[..length]);
-            let found = open_core(&folder, &path, &written, &format!("cut to {length}"));
-            assert_eq!(found, Found::SetAside, "cut to {length} of {}", whole.len());
+    for complete in [&written.killed, &written.closed] {
+        for length in lengths(complete.len()) {
+            let path = put_alone(&folder, "core.redb", &complete[..length]);
+            let found = open_core(&folder, &path, &written, &format!("truncated to {length}"));
+            assert_eq!(
+                found,
+                Found::SetAside,
+                "truncated to {length} of {}",
+                complete.len()
+            );
         }
     }
 }
 
-/// Places that matter: the header whole, and of the pages that aren't empty the beginning and some bytes within.
-fn places(bytes: &[u8], mask: u8) -> Vec<usize> {
-    let all = std::env::var_os(ALL_PLACES).is_some();
+/// Offsets that matter: the complete header, and of the pages that aren't empty the beginning and some bytes within.
+fn offsets(bytes: &[u8], mask: u8) -> Vec<usize> {
+    let all = std::env::var_os(ALL_OFFSETS).is_some();
     let used = bytes
         .chunks(PAGE)
         .enumerate()
@@ -204,9 +204,9 @@
         .collect();
     let step = (within.len()
         / if all {
-            10 * SPOILT_PLACES
+            10 * CORRUPTED_OFFSETS
         } else {
-            SPOILT_PLACES
+            CORRUPTED_OFFSETS
         })
     .max(1);
     let (first_root, root_step) = if all {
@@ -222,51 +222,59 @@
         .collect()
 }
 
-fn spoilt(bytes: &[u8], place: usize, mask: u8) -> Vec<u8> {
-    let mut spoilt = bytes.to_vec();
-    spoilt[place] ^= mask;
-    spoilt
+fn corrupted(bytes: &[u8], offset: usize, mask: u8) -> Vec<u8> {
+    let mut corrupted = bytes.to_vec();
+    corrupted[offset] ^= mask;
+    corrupted
 }
 
 #[test]
-fn a_closed_core_file_with_spoilt_bytes_is_whole_or_set_aside() {
-    let folder = Folder::new("core-closed");
+fn a_closed_core_file_with_corrupt_bytes_is_complete_or_set_aside() {
+    let folder = TemporaryFolder::new("core-closed");
     let written = core_file(&folder);
     let mut set_aside = 0;
     for mask in [0x01, 0xff] {
-        for place in places(&written.closed, mask) {
-            let path = folder.put("core.redb", &spoilt(&written.closed, place, mask));
+        for offset in offsets(&written.closed, mask) {
+            let path = put_alone(
+                &folder,
+                "core.redb",
+                &corrupted(&written.closed, offset, mask),
+            );
             let found = open_core(
                 &folder,
                 &path,
                 &written,
-                &format!("byte {place} ^ {mask:#x}"),
+                &format!("byte {offset} ^ {mask:#x}"),
             );
-            assert_ne!(found, Found::AllButLast, "byte {place} ^ {mask:#x}");
+            assert_ne!(found, Found::AllButLast, "byte {offset} ^ {mask:#x}");
             set_aside += usize::from(found == Found::SetAside);
         }
     }
     assert!(
         set_aside > 60,
-        "only {set_aside} were set aside: the places say nothing"
+        "only {set_aside} were set aside: the offsets say nothing"
     );
 }
 
 /// A process that was killed leaves the last commit as a loss of power within it might: a byte of that commit alone
-/// which was spoilt can't be told from a commit that never ended. Nothing before it may be lost.
+/// which was corrupted can't be told from a commit that never ended. Nothing before it may be lost.
 #[test]
 fn a_core_file_of_a_killed_process_loses_nothing_before_its_last_batch() {
-    let folder = Folder::new("core-killed");
+    let folder = TemporaryFolder::new("core-killed");
     let written = core_file(&folder);
     let mut set_aside = 0;
-    for place in places(&written.killed, 0xff) {
-        let path = folder.put("core.redb", &spoilt(&written.killed, place, 0xff));
-        let found = open_core(&folder, &path, &written, &format!("byte {place}"));
+    for offset in offsets(&written.killed, 0xff) {
+        let path = put_alone(
+            &folder,
+            "core.redb",
+            &corrupted(&written.killed, offset, 0xff),
+        );
+        let found = open_core(&folder, &path, &written, &format!("byte {offset}"));
         set_aside += usize::from(found == Found::SetAside);
     }
     assert!(
         set_aside > 10,
-        "only {set_aside} were set aside: the places say nothing"
+        "only {set_aside} were set aside: the offsets say nothing"
     );
 }
 
@@ -283,36 +291,43 @@
 }
 
 /// A store's file, closed, and as a killed process leaves it.
-fn turns_files(folder: &Folder) -> (u64, Vec<Vec<u8>>) {
+fn turns_files(folder: &TemporaryFolder) -> (u64, Vec<Vec<u8>>) {
     let path = folder.file("turns.redb");
-    let (disk, identity, _) = TurnDisk::open(&path).expect("a new file");
+    let Opened { disk, identity, .. } = TurnDisk::open(&path).expect("a new file");
     for number in 0..60 {
         disk.put(&[turn(number, 5_000)]).expect("it puts");
     }
-    disk.mark_whole().expect("it marks");
+    disk.mark_complete().expect("it marks");
     let killed = fs::read(&path).expect("the file");
     drop(disk);
     let closed = fs::read(&path).expect("the file");
     (identity.disk, vec![killed, closed])
 }
 
-fn open_turns(folder: &Folder, path: &Path, disk: u64, what: &str) -> Found {
-    let (turns, identity, entries) =
-        TurnDisk::open(path).unwrap_or_else(|error| panic!("{what}: {error:#}"));
+fn open_turns(folder: &TemporaryFolder, path: &Path, disk: u64, context: &str) -> Found {
+    let Opened {
+        disk: turns,
+        identity,
+        contents: entries,
+    } = TurnDisk::open(path).unwrap_or_else(|error| panic!("{context}: {}", error.with_causes()));
     turns
         .put(&[turn(99, 10)])
-        .unwrap_or_else(|error| panic!("{what}: {error:#}"));
+        .unwrap_or_else(|error| panic!("{context}: {}", error.with_causes()));
     if identity.disk != disk {
-        assert!(identity.fresh && entries.is_empty(), "{what}");
-        assert_eq!(folder.names(), ["turns.redb", "turns.unreadable"], "{what}");
+        assert!(identity.fresh && entries.is_empty(), "{context}");
+        assert_eq!(
+            names(folder),
+            ["turns.redb", "turns.unreadable"],
+            "{context}"
+        );
         return Found::SetAside;
     }
-    assert_eq!(entries.len(), 60, "{what}");
+    assert_eq!(entries.len(), 60, "{context}");
     for number in 0..60 {
         let found = turns
             .get(&format!("turn-{number}"))
-            .unwrap_or_else(|error| panic!("{what}: {error:#}"));
-        assert_eq!(found, Some(turn(number, 5_000)), "{what}");
+            .unwrap_or_else(|error| panic!("{context}: {}", error.with_causes()));
+        assert_eq!(found, Some(turn(number, 5_000)), "{context}");
     }
     // The last commit was the mark alone.
     if identity.fresh {
@@ -323,78 +338,87 @@
 }
 
 #[test]
-fn a_file_of_turns_that_was_cut_short_is_a_new_disk() {
-    let folder = Folder::new("turns-cut");
+fn a_truncated_file_of_turns_is_a_new_disk() {
+    let folder = TemporaryFolder::new("turns-truncated");
     let (disk, files) = turns_files(&folder);
-    for whole in files {
-        for length in lengths(whole.len()) {
-            let path = folder.put("turns.redb", &whole[..length]);
-            let found = open_turns(&folder, &path, disk, &format!("cut to {length}"));
-            assert_eq!(found, Found::SetAside, "cut to {length} of {}", whole.len());
+    for complete in files {
+        for length in lengths(complete.len()) {
+            let path = put_alone(&folder, "turns.redb", &complete[..length]);
+            let found = open_turns(&folder, &path, disk, &format!("truncated to {length}"));
+            assert_eq!(
+                found,
+                Found::SetAside,
+                "truncated to {length} of {}",
+                complete.len()
+            );
         }
     }
 }
 
 #[test]
-fn a_file_of_turns_with_spoilt_bytes_is_whole_or_set_aside() {
-    let folder = Folder::new("turns-spoilt");
+fn a_file_of_turns_with_corrupt_bytes_is_complete_or_set_aside() {
+    let folder = TemporaryFolder::new("turns-corrupt");
     let (disk, files) = turns_files(&folder);
     let mut set_aside = 0;
-    for whole in files {
-        for place in places(&whole, 0xff) {
-            let path = folder.put("turns.redb", &spoilt(&whole, place, 0xff));
-            let found = open_turns(&folder, &path, disk, &format!("byte {place}"));
+    for complete in files {
+        for offset in offsets(&complete, 0xff) {
+            let path = put_alone(&folder, "turns.redb", &corrupted(&complete, offset, 0xff));
+            let found = open_turns(&folder, &path, disk, &format!("byte {offset}"));
             set_aside += usize::from(found == Found::SetAside);
         }
     }
     assert!(
         set_aside > 40,
-        "only {set_aside} were set aside: the places say nothing"
+        "only {set_aside} were set aside: the offsets say nothing"
     );
 }
 
 #[test]
-fn one_file_set_aside_is_kept_and_no_more_of_it_than_the_bound() {
-    let folder = Folder::new("bound");
-    let path = folder.put("core.redb", b"the first");
-    let (_, first, _) = CoreDisk::open(&path).expect("it is made anew");
+fn one_file_set_aside_stays_and_no_more_of_it_than_the_bound() {
+    let folder = TemporaryFolder::new("bound");
+    let path = put_alone(&folder, "core.redb", b"the first");
+    let Opened {
+        identity: first, ..
+    } = CoreDisk::open(&path).expect("it is made anew");
     assert_eq!(
-        fs::read(folder.file("core.unreadable")).expect("it is kept"),
+        fs::read(folder.file("core.unreadable")).expect("it stays"),
         b"the first"
     );
-    fs::write(&path, vec![9; MOST_ASIDE_BYTES as usize * 3]).expect("a large file");
-    let (_, second, _) = CoreDisk::open(&path).expect("it is made anew");
+    fs::write(&path, vec![9; MAX_SET_ASIDE_BYTES as usize * 3]).expect("a large file");
+    let Opened {
+        identity: second, ..
+    } = CoreDisk::open(&path).expect("it is made anew");
     assert!(second.fresh && second.disk != first.disk);
-    assert_eq!(folder.names(), ["core.redb", "core.unreadable"]);
-    assert_eq!(aside_bytes(&path), MOST_ASIDE_BYTES);
+    assert_eq!(names(&folder), ["core.redb", "core.unreadable"]);
+    assert_eq!(set_aside_bytes(&path), MAX_SET_ASIDE_BYTES);
 }
 
 /// Errors that say nothing of the contents lose none.
 #[test]
 fn a_file_that_another_process_has_open_stays() {
-    let folder = Folder::new("held");
+    let folder = TemporaryFolder::new("locked");
     let written = core_file(&folder);
-    let path = folder.put("core.redb", &written.closed);
-    let (held, _, _) = CoreDisk::open(&path).expect("it opens");
+    let path = put_alone(&folder, "core.redb", &written.closed);
+    let Opened { disk: first, .. } = CoreDisk::open(&path).expect("it opens");
     assert!(CoreDisk::open(&path).is_err(), "two have it open");
-    drop(held);
+    drop(first);
     assert_eq!(open_core(&folder, &path, &written, "later"), Found::All);
 }
 
 #[test]
-fn a_folder_in_the_place_of_the_file_is_an_error_and_stays() {
-    let folder = Folder::new("folder");
+fn a_folder_instead_of_the_file_is_an_error_and_stays() {
+    let folder = TemporaryFolder::new("folder");
     let path = folder.file("turns.redb");
     fs::create_dir_all(&path).expect("a folder");
     assert!(TurnDisk::open(&path).is_err());
-    assert_eq!(folder.names(), ["turns.redb"]);
+    assert_eq!(names(&folder), ["turns.redb"]);
 }
 
-/// Another version's file may be whole.
+/// Another version's file may be complete.
 #[test]
 fn a_file_of_another_format_is_refused_and_stays() {
     use redb::{Database, TableDefinition};
-    let folder = Folder::new("format");
+    let folder = TemporaryFolder::new("format");
     let path = folder.file("core.redb");
     drop(CoreDisk::open(&path).expect("a new file"));
     let database = Database::open(&path).expect("it opens");
@@ -411,9 +435,7 @@
     let Err(error) = CoreDisk::open(&path) else {
         panic!("it opens")
     };
-    assert!(
-        format!("{error:#}").contains("format Some(77) is not 2"),
-        "{error:#}"
-    );
-    assert_eq!(folder.names(), ["core.redb"]);
+    let text = error.with_causes();
+    assert!(text.contains("format Some(77) is not 2"), "{text}");
+    assert_eq!(names(&folder), ["core.redb"]);
 }
--- a/crates/testing/emulator/examples/chain_throughput.rs
+++ b/crates/testing/emulator/examples/chain_throughput.rs
@@ -298,7 +298,8 @@
     let threads: Vec<_> = queues
         .zip(disks)
         .enumerate()
-        .map(|(number, (queue, (disk, _, saved)))| {
+        .map(|(number, (queue, opened))| {
+            let (disk, saved) = (opened.disk, opened.contents);
             let id = peers[number].id.clone();
             let member = Member::new(id, peers[number].address, true, saved, number as u64 + 7, 1);
             let (batches, batch_queue) = channel();
