--- a/crates/serving/dunespur/src/core/peer_links.rs
+++ b/crates/serving/dunespur/src/core/peer_links.rs
@@ -34,7 +34,7 @@
         let mut clients = self.clients.borrow_mut();
         let client = clients.entry(address).or_insert_with(|| {
             let on_disconnect = self.on_disconnect.clone();
-            Client::with_notice(address, Box::new(move || on_disconnect(address)))
+            Client::with_close_observer(address, Box::new(move || on_disconnect(address)))
         });
         client.clone()
     }
--- a/crates/serving/rpc/src/client.rs
+++ b/crates/serving/rpc/src/client.rs
@@ -1,133 +1,131 @@
-//! The side that calls: one kept connection to one address, opened when it is needed.
+//! The side that calls: one persistent connection to one address, opened when it is needed.
 
-use crate::frame::{encode, FrameReader, MOST_FRAME};
-use crate::{prepare, CONNECT_TIMEOUT, FURTHER_ATTEMPT, MOST_QUEUED};
-use bytes::{Bytes, BytesMut};
+use crate::connection::{connect, MAX_QUEUED_FRAMES};
+use crate::frame::{write_frames, CallId, Frame, FrameReader, MAX_FRAME_BYTES};
+use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::fmt;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
-use tokio::io::AsyncWriteExt;
-use tokio::net::tcp::OwnedWriteHalf;
-use tokio::net::TcpStream;
+use thiserror::Error;
+use tokio::io::AsyncRead;
 use tokio::sync::{mpsc, oneshot};
-use tokio::task::{spawn_local, AbortHandle, JoinSet};
+use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// Why a call has no answer. Whether it was carried out is not known, unless nothing was sent. A call is sent once: it
-/// is never sent again over another connection, so that its caller alone decides on what is repeated.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// What a frame takes besides its payload, generously.
+const FRAME_OVERHEAD_BYTES: usize = 64;
+
+/// Why a call has no response. Whether it was carried out is not known, unless nothing was sent. A call is sent once:
+/// it is never sent again over another connection, so that its caller alone decides on retries.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// No connection came up: nothing was sent.
+    /// No connection could be opened: nothing was sent.
+    #[error("no connection came up")]
     Unreachable,
-    /// The connection ended before the answer.
+    /// The connection ended before the response.
+    #[error("the connection ended before the answer")]
     Closed,
-    /// No answer within the caller's time.
+    /// No response within the caller's time.
+    #[error("no answer in time")]
     TimedOut,
-    /// Too many frames wait already, or this one is too large: nothing was sent.
+    /// Too many frames are queued already, or this one is too large: nothing was sent.
+    #[error("too much waits for this connection")]
     Full,
 }
 
-impl fmt::Display for CallError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let text = match self {
-            CallError::Unreachable => "no connection came up",
-            CallError::Closed => "the connection ended before the answer",
-            CallError::TimedOut => "no answer in time",
-            CallError::Full => "too much waits for this connection",
-        };
-        f.write_str(text)
-    }
-}
-
-impl std::error::Error for CallError {}
-
-/// A connection that is up or coming up.
+/// A connection that is established or being opened.
 struct Connection {
-    queue: mpsc::Sender<(u64, Bytes)>,
+    queue: mpsc::Sender<Frame>,
     task: AbortHandle,
 }
 
-type Waiting = HashMap<u64, oneshot::Sender<Result<Bytes, CallError>>>;
+type PendingCalls = HashMap<CallId, oneshot::Sender<Result<Bytes, CallError>>>;
 
 /// Calls one address. Dropping it ends the connection.
 pub struct Client {
     address: SocketAddr,
     connection: RefCell<Option<Connection>>,
-    /// Calls without an answer. An answer to any other number is dropped.
-    waiting: RefCell<Waiting>,
-    /// Never used twice, over however many connections. Guards against a late or second answer to an earlier call: it
-    /// would be taken for that to a later one.
-    next_number: Cell<u64>,
-    /// Told whenever a connection ends or does not come up.
+    /// Calls without a response. A response to any other id is dropped.
+    pending: RefCell<PendingCalls>,
+    /// Never used twice, over however many connections. Against a late or second response to an earlier call: it would
+    /// be taken for that to a later one.
+    next_call: Cell<u64>,
+    /// Called whenever a connection ends or can't be opened.
     on_closed: Option<Box<dyn Fn()>>,
 }
 
 impl Client {
     /// A client of `address`; it connects with the first call.
-    pub fn new(address: SocketAddr) -> Rc<Self> {
+    #[must_use]
+    pub fn new(address: SocketAddr) -> Rc<Client> {
         Client::build(address, None)
     }
 
-    /// The same; `on_closed` is called whenever a connection ends or does not come up.
-    pub fn with_notice(address: SocketAddr, on_closed: Box<dyn Fn()>) -> Rc<Self> {
+    /// The same; `on_closed` is called whenever a connection ends or can't be opened.
+    #[must_use]
+    pub fn with_close_observer(address: SocketAddr, on_closed: Box<dyn Fn()>) -> Rc<Client> {
         Client::build(address, Some(on_closed))
     }
 
-    fn build(address: SocketAddr, on_closed: Option<Box<dyn Fn()>>) -> Rc<Self> {
+    fn build(address: SocketAddr, on_closed: Option<Box<dyn Fn()>>) -> Rc<Client> {
         Rc::new(Client {
             address,
             connection: RefCell::default(),
-            waiting: RefCell::default(),
-            next_number: Cell::new(1),
+            pending: RefCell::default(),
+            next_call: Cell::new(1),
             on_closed,
         })
     }
 
-    /// Where it calls.
+    /// The address that it calls.
+    #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Calls and waits for the answer, `limit` at most.
+    /// Calls and waits for the response, `time_limit` at most.
+    ///
+    /// # Errors
+    /// See [`CallError`]: each tells whether the call may have been carried out.
     pub async fn call(
         self: &Rc<Self>,
         payload: Bytes,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<Bytes, CallError> {
-        let number = self.next_number.replace(self.next_number.get() + 1);
-        let (sender, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, sender);
-        let _forget = Forget {
-            client: self,
-            number,
-        };
-        self.enqueue(number, payload)?;
-        match timeout(limit, answer).await {
+        let call = CallId(self.next_call.replace(self.next_call.get() + 1));
+        let (sender, response) = oneshot::channel();
+        self.pending.borrow_mut().insert(call, sender);
+        let _pending = PendingGuard { client: self, call };
+        self.enqueue(Frame { call, payload })?;
+        match timeout(time_limit, response).await {
             Ok(Ok(result)) => result,
             Ok(Err(_)) => Err(CallError::Closed),
             Err(_) => Err(CallError::TimedOut),
         }
     }
 
-    /// Sends a message that has no answer. Messages of one connection arrive in order; they are lost with it.
+    /// Sends a one-way message. Messages of one connection arrive in order; they are lost with it.
+    ///
+    /// # Errors
+    /// [`CallError::Full`]: this message was not sent.
     pub fn notify(self: &Rc<Self>, payload: Bytes) -> Result<(), CallError> {
-        self.enqueue(0, payload)
+        let call = CallId::ONE_WAY;
+        self.enqueue(Frame { call, payload })
     }
 
-    fn enqueue(self: &Rc<Self>, number: u64, payload: Bytes) -> Result<(), CallError> {
-        if payload.len() + 64 > MOST_FRAME {
+    fn enqueue(self: &Rc<Self>, frame: Frame) -> Result<(), CallError> {
+        if frame.payload.len() + FRAME_OVERHEAD_BYTES > MAX_FRAME_BYTES {
             return Err(CallError::Full);
         }
         let mut connection = self.connection.borrow_mut();
-        let open = connection.get_or_insert_with(|| self.connect());
-        if open.queue.try_send((number, payload)).is_ok() {
+        let open = connection.get_or_insert_with(|| self.open());
+        if open.queue.try_send(frame).is_ok() {
             return Ok(());
         }
         drop(connection);
-        // What waits already may have been sent: only this frame was not.
+        // Calls that are queued already may have been sent: only this frame was not.
         self.close(CallError::Closed);
         Err(CallError::Full)
     }
@@ -137,12 +135,12 @@
         self.close(CallError::Closed);
     }
 
-    fn connect(self: &Rc<Self>) -> Connection {
-        let (queue, frames) = mpsc::channel(MOST_QUEUED);
+    fn open(self: &Rc<Self>) -> Connection {
+        let (queue, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
         let client = Rc::downgrade(self);
         let address = self.address;
         let task = spawn_local(async move {
-            let error = run(address, frames, client.clone()).await;
+            let error = run_connection(address, frames, client.clone()).await;
             if let Some(client) = client.upgrade() {
                 client.close(error);
             }
@@ -157,19 +155,19 @@
         let Some(connection) = self.connection.borrow_mut().take() else {
             return;
         };
-        let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
-        for sender in waiting.into_values() {
+        let pending = std::mem::take(&mut *self.pending.borrow_mut());
+        for sender in pending.into_values() {
             let _ = sender.send(Err(error));
         }
-        if let Some(notice) = &self.on_closed {
-            notice();
+        if let Some(on_closed) = &self.on_closed {
+            on_closed();
         }
         connection.task.abort();
     }
 
-    fn answered(&self, number: u64, payload: Bytes) {
-        if let Some(sender) = self.waiting.borrow_mut().remove(&number) {
-            let _ = sender.send(Ok(payload));
+    fn complete(&self, response: Frame) {
+        if let Some(sender) = self.pending.borrow_mut().remove(&response.call) {
+            let _ = sender.send(Ok(response.payload));
         }
     }
 }
@@ -182,74 +180,39 @@
     }
 }
 
-/// Takes a call off the waiting ones however its future ends.
-struct Forget<'a> {
+/// Removes a call from the pending ones however its future ends.
+struct PendingGuard<'a> {
     client: &'a Client,
-    number: u64,
+    call: CallId,
 }
 
-impl Drop for Forget<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        self.client.waiting.borrow_mut().remove(&self.number);
+        self.client.pending.borrow_mut().remove(&self.call);
     }
 }
 
-/// One connection from its opening to its end; says what calls without an answer get.
-async fn run(
+/// One connection from its opening to its end; gives what calls without a response get.
+async fn run_connection(
     address: SocketAddr,
-    frames: mpsc::Receiver<(u64, Bytes)>,
+    frames: mpsc::Receiver<Frame>,
     client: Weak<Client>,
 ) -> CallError {
-    let Ok(Some(stream)) = timeout(CONNECT_TIMEOUT, open(address)).await else {
+    let Some(stream) = connect(address).await else {
         return CallError::Unreachable;
     };
-    if prepare(&stream).is_err() {
-        return CallError::Unreachable;
-    }
     let (input, output) = stream.into_split();
     tokio::select! {
         () = write_frames(output, frames) => CallError::Closed,
-        () = read_answers(FrameReader::new(input), client) => CallError::Closed,
-    }
-}
-
-/// Opens a connection. An attempt without an answer is joined by a further one after a short time. Guards against a
-/// machine that was dark when the first packet came: that is sent again only after a second, while the machine
-/// may be back long before.
-async fn open(address: SocketAddr) -> Option<TcpStream> {
-    let mut attempts = JoinSet::new();
-    loop {
-        attempts.spawn_local(TcpStream::connect(address));
-        match timeout(FURTHER_ATTEMPT, attempts.join_next()).await {
-            Ok(Some(Ok(connected))) => return connected.ok(),
-            Ok(_) => return None,
-            Err(_) => {}
-        }
-    }
-}
-
-async fn write_frames(mut output: OwnedWriteHalf, mut frames: mpsc::Receiver<(u64, Bytes)>) {
-    let mut buffer = BytesMut::new();
-    while let Some((number, payload)) = frames.recv().await {
-        encode(number, &payload, &mut buffer);
-        while let Ok((number, payload)) = frames.try_recv() {
-            encode(number, &payload, &mut buffer);
-        }
-        if output.write_all(&buffer).await.is_err() {
-            return;
-        }
-        buffer = BytesMut::new();
+        () = read_responses(FrameReader::new(input), client) => CallError::Closed,
     }
 }
 
-async fn read_answers<R: tokio::io::AsyncRead + Unpin>(
-    mut reader: FrameReader<R>,
-    client: Weak<Client>,
-) {
-    while let Ok(frame) = reader.next().await {
+async fn read_responses(mut reader: FrameReader<impl AsyncRead + Unpin>, client: Weak<Client>) {
+    while let Ok(response) = reader.next().await {
         let Some(client) = client.upgrade() else {
             return;
         };
-        client.answered(frame.number, frame.payload);
+        client.complete(response);
     }
 }
--- a/crates/serving/rpc/src/frame.rs
+++ b/crates/serving/rpc/src/frame.rs
@@ -1,83 +1,97 @@
-//! The form of a frame: length of the rest, checksum of the rest, number of the call (zero for messages without
-//! an answer), payload. All numbers are little-endian.
+//! The form of a frame: length of the rest, checksum of the rest, id of the call (zero for one-way messages), payload.
+//! All numbers are little-endian.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use tokio::io::{AsyncRead, AsyncReadExt};
+use thiserror::Error;
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
+use tokio::sync::mpsc;
 
-/// Bytes that one frame may have; a larger length is taken for a stream that is not ours.
-pub const MOST_FRAME: usize = 8 * 1024 * 1024;
+/// Bytes that one frame may have, without length and checksum. A larger length is taken for a stream of another
+/// protocol.
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// Length and checksum.
-const HEAD: usize = 8;
-/// The call's number in front of the payload.
-const NUMBER: usize = 8;
-/// What one read of the socket asks for.
-const READ_SIZE: usize = 4096;
-/// A buffer that a large frame has grown beyond this is given back once it is empty.
-const KEEP_CAPACITY: usize = 64 * 1024;
+const HEADER_BYTES: usize = 8;
+/// The call's id in front of the payload.
+const CALL_ID_BYTES: usize = 8;
+/// What one read of the socket requests.
+const READ_BYTES: usize = 4096;
+/// A buffer that a large frame has grown beyond this is freed once it is empty.
+const MAX_IDLE_CAPACITY: usize = 64 * 1024;
 
 /// Why bytes are no frame.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The length is beyond [`MOST_FRAME`] or below the least.
+    /// The length is beyond [`MAX_FRAME_BYTES`] or below the least.
+    #[error("the length is out of range")]
     Length,
     /// The checksum does not fit the bytes.
+    #[error("the checksum does not fit")]
     Checksum,
     /// The connection ended, or failed.
+    #[error("the connection is closed")]
     Closed,
 }
 
-/// One frame as it was read.
-pub(crate) struct Frame {
-    pub number: u64,
+/// Which call a frame belongs to: unique for a client, over all of its connections.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct CallId(pub u64);
+
+impl CallId {
+    /// That of messages without a response.
+    pub const ONE_WAY: CallId = CallId(0);
+}
+
+/// One request, response or one-way message.
+pub struct Frame {
+    pub call: CallId,
     pub payload: Bytes,
 }
 
-/// Appends a frame to `out`.
-pub(crate) fn encode(number: u64, payload: &[u8], out: &mut BytesMut) {
+/// Appends a frame to `buffer`.
+fn encode(frame: &Frame, buffer: &mut BytesMut) {
+    let call = frame.call.0.to_le_bytes();
     let mut checksum = crc32fast::Hasher::new();
-    checksum.update(&number.to_le_bytes());
-    checksum.update(payload);
-    out.reserve(HEAD + NUMBER + payload.len());
-    out.put_u32_le((NUMBER + payload.len()) as u32);
-    out.put_u32_le(checksum.finalize());
-    out.put_u64_le(number);
-    out.put_slice(payload);
+    checksum.update(&call);
+    checksum.update(&frame.payload);
+    buffer.reserve(HEADER_BYTES + CALL_ID_BYTES + frame.payload.len());
+    buffer.put_u32_le((CALL_ID_BYTES + frame.payload.len()) as u32);
+    buffer.put_u32_le(checksum.finalize());
+    buffer.put_slice(&call);
+    buffer.put_slice(&frame.payload);
 }
 
-/// Takes the next whole frame out of `buffer`, if there is one.
-pub(crate) fn decode(buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
-    if buffer.len() < HEAD {
+/// Takes the next complete frame out of `buffer`, if there is one.
+fn decode(buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
+    if buffer.len() < HEADER_BYTES {
         return Ok(None);
     }
     let length = u32::from_le_bytes([buffer[0], buffer[1], buffer[2], buffer[3]]) as usize;
-    if !(NUMBER..=MOST_FRAME).contains(&length) {
+    if !(CALL_ID_BYTES..=MAX_FRAME_BYTES).contains(&length) {
         return Err(FrameError::Length);
     }
-    if buffer.len() < HEAD + length {
+    if buffer.len() < HEADER_BYTES + length {
         return Ok(None);
     }
-    let mut rest = buffer.split_to(HEAD + length);
+    let mut rest = buffer.split_to(HEADER_BYTES + length);
     rest.advance(4);
     let checksum = rest.get_u32_le();
     if crc32fast::hash(&rest) != checksum {
         return Err(FrameError::Checksum);
     }
-    let number = rest.get_u64_le();
-    Ok(Some(Frame {
-        number,
-        payload: rest.freeze(),
-    }))
+    let call = CallId(rest.get_u64_le());
+    let payload = rest.freeze();
+    Ok(Some(Frame { call, payload }))
 }
 
 /// Reads frames off one connection.
-pub(crate) struct FrameReader<R> {
+pub struct FrameReader<R> {
     input: R,
     buffer: BytesMut,
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    pub fn new(input: R) -> Self {
+    pub fn new(input: R) -> FrameReader<R> {
         FrameReader {
             input,
             buffer: BytesMut::new(),
@@ -90,10 +104,10 @@
             if let Some(frame) = decode(&mut self.buffer)? {
                 return Ok(frame);
             }
-            if self.buffer.is_empty() && self.buffer.capacity() > KEEP_CAPACITY {
+            if self.buffer.is_empty() && self.buffer.capacity() > MAX_IDLE_CAPACITY {
                 self.buffer = BytesMut::new();
             }
-            self.buffer.reserve(READ_SIZE);
+            self.buffer.reserve(READ_BYTES);
             match self.input.read_buf(&mut self.buffer).await {
                 Ok(0) | Err(_) => return Err(FrameError::Closed),
                 Ok(_) => {}
@@ -101,3 +115,17 @@
         }
     }
 }
+
+/// Writes the frames of a queue, all that wait at a time with one write, until the queue or the connection ends.
+pub async fn write_frames(mut output: impl AsyncWrite + Unpin, mut queue: mpsc::Receiver<Frame>) {
+    while let Some(frame) = queue.recv().await {
+        let mut buffer = BytesMut::new();
+        encode(&frame, &mut buffer);
+        while let Ok(frame) = queue.try_recv() {
+            encode(&frame, &mut buffer);
+        }
+        if output.write_all(&buffer).await.is_err() {
+            return;
+        }
+    }
+}
--- a/crates/serving/rpc/tests/calls.rs
+++ b/crates/serving/rpc/tests/calls.rs
@@ -1,19 +1,21 @@
-//! Calls over loopback: answers, messages without, ended connections, bytes that are no frames.
+//! Calls over loopback: responses, one-way messages, ended connections, bytes that are no frames.
+
+mod common;
 
 use bytes::Bytes;
+use common::run;
 use dunespur_rpc::{serve, CallError, Client, Service};
 use std::cell::{Cell, RefCell};
-use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::Notify;
-use tokio::task::{spawn_local, yield_now, LocalSet};
+use tokio::task::{spawn_local, yield_now};
 
-const LIMIT: Duration = Duration::from_secs(10);
+const TIME_LIMIT: Duration = Duration::from_secs(10);
 
-/// Answers with the payload turned round; `end` ends the connection, `never` is not answered.
+/// Responds with the payload reversed; `end` ends the connection, `never` gets no response.
 #[derive(Default)]
 struct Echo {
     seen: RefCell<Vec<Bytes>>,
@@ -42,22 +44,14 @@
     (service, address)
 }
 
-fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .unwrap();
-    LocalSet::new().block_on(&runtime, test);
-}
-
 #[test]
-fn calls_are_answered_each_with_its_own() {
+fn calls_get_each_its_own_response() {
     run(async {
         let (_, address) = started().await;
         let client = Client::new(address);
         let (a, b) = tokio::join!(
-            client.call(Bytes::from_static(b"abc"), LIMIT),
-            client.call(Bytes::from_static(b"xyz"), LIMIT)
+            client.call(Bytes::from_static(b"abc"), TIME_LIMIT),
+            client.call(Bytes::from_static(b"xyz"), TIME_LIMIT)
         );
         assert_eq!(a.unwrap(), "cba");
         assert_eq!(b.unwrap(), "zyx");
@@ -70,9 +64,12 @@
         let (service, address) = started().await;
         let client = Client::new(address);
         let large = Bytes::from(vec![7; 3 * 1024 * 1024]);
-        assert_eq!(client.call(large.clone(), LIMIT).await.unwrap(), large);
-        let too_large = Bytes::from(vec![7; dunespur_rpc::MOST_FRAME]);
-        assert_eq!(client.call(too_large, LIMIT).await, Err(CallError::Full));
+        assert_eq!(client.call(large.clone(), TIME_LIMIT).await.unwrap(), large);
+        let too_large = Bytes::from(vec![7; dunespur_rpc::MAX_FRAME_BYTES]);
+        assert_eq!(
+            client.call(too_large, TIME_LIMIT).await,
+            Err(CallError::Full)
+        );
         assert_eq!(service.seen.borrow().len(), 1);
     });
 }
@@ -86,7 +83,7 @@
             client.notify(Bytes::from_static(text.as_bytes())).unwrap();
         }
         client
-            .call(Bytes::from_static(b"last"), LIMIT)
+            .call(Bytes::from_static(b"last"), TIME_LIMIT)
             .await
             .unwrap();
         assert_eq!(*service.seen.borrow(), ["one", "two", "three", "last"]);
@@ -94,24 +91,25 @@
 }
 
 #[test]
-fn a_closed_port_is_unreachable_and_noticed() {
+fn a_closed_port_is_unreachable_and_the_observer_is_called() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         drop(listener);
         let notices = Rc::new(Cell::new(0));
         let counted = notices.clone();
-        let client = Client::with_notice(address, Box::new(move || counted.set(counted.get() + 1)));
+        let client =
+            Client::with_close_observer(address, Box::new(move || counted.set(counted.get() + 1)));
         assert_eq!(
-            client.call(Bytes::new(), LIMIT).await,
+            client.call(Bytes::new(), TIME_LIMIT).await,
             Err(CallError::Unreachable)
         );
         assert_eq!(notices.get(), 1);
     });
 }
 
-/// Takes all places of a listener for connections that nobody has accepted, so that it ignores further ones, as a
-/// dark machine does.
+/// Fills the backlog of a listener with connections that nobody has accepted, so that it ignores further ones, as an
+/// unreachable machine does.
 async fn ignoring_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -129,7 +127,8 @@
     run(async {
         let (listener, taken) = ignoring_listener().await;
         let client = Client::new(listener.local_addr().unwrap());
-        let call = spawn_local(async move { client.call(Bytes::from_static(b"abc"), LIMIT).await });
+        let call =
+            spawn_local(async move { client.call(Bytes::from_static(b"abc"), TIME_LIMIT).await });
         // The first attempt goes out, and is ignored.
         for _ in 0..10 {
             yield_now().await;
@@ -146,13 +145,16 @@
         let (_, address) = started().await;
         let client = Client::new(address);
         let (hanging, ending) = tokio::join!(
-            client.call(Bytes::from_static(b"never"), LIMIT),
-            client.call(Bytes::from_static(b"end"), LIMIT)
+            client.call(Bytes::from_static(b"never"), TIME_LIMIT),
+            client.call(Bytes::from_static(b"end"), TIME_LIMIT)
         );
         assert_eq!(hanging, Err(CallError::Closed));
         assert_eq!(ending, Err(CallError::Closed));
         assert_eq!(
-            client.call(Bytes::from_static(b"ab"), LIMIT).await.unwrap(),
+            client
+                .call(Bytes::from_static(b"ab"), TIME_LIMIT)
+                .await
+                .unwrap(),
             "ba"
         );
     });
@@ -163,19 +165,25 @@
     run(async {
         let (service, address) = started().await;
         let client = Client::new(address);
-        client.call(Bytes::from_static(b"ab"), LIMIT).await.unwrap();
-        for spoilt in [
+        client
+            .call(Bytes::from_static(b"ab"), TIME_LIMIT)
+            .await
+            .unwrap();
+        for malformed in [
             &b"GET / HTTP/1.1\r\n\r\n"[..],
             &[9, 0, 0, 0, 1, 2, 3, 4, 0, 0, 0, 0, 0, 0, 0, 0, 65],
         ] {
             let mut stranger = TcpStream::connect(address).await.unwrap();
-            stranger.write_all(spoilt).await.unwrap();
+            stranger.write_all(malformed).await.unwrap();
             let mut rest = Vec::new();
             let _ = stranger.read_to_end(&mut rest).await;
             assert!(rest.is_empty());
         }
         assert_eq!(
-            client.call(Bytes::from_static(b"cd"), LIMIT).await.unwrap(),
+            client
+                .call(Bytes::from_static(b"cd"), TIME_LIMIT)
+                .await
+                .unwrap(),
             "dc"
         );
         assert_eq!(service.seen.borrow().len(), 2);
--- a/crates/serving/rpc/tests/frames.rs
+++ b/crates/serving/rpc/tests/frames.rs
@@ -1,16 +1,18 @@
 //! Frames on the connection have the bytes of revision 52a1591, which wrote the files under `tests/fixtures`.
 
+mod common;
+
 use bytes::Bytes;
+use common::run;
 use dunespur_rpc::{serve, Client, Service};
-use std::future::Future;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::task::{spawn_local, LocalSet};
+use tokio::task::spawn_local;
 
-const LIMIT: Duration = Duration::from_secs(10);
+const TIME_LIMIT: Duration = Duration::from_secs(10);
 /// With this variable in the environment the fixtures are written instead of read (with `--test-threads=1`).
 const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
 
@@ -42,7 +44,7 @@
         .collect()
 }
 
-/// Answers a call with `<payload>.`.
+/// Responds to a call with `<payload>.`.
 struct Dot;
 
 impl Service for Dot {
@@ -51,21 +53,13 @@
     }
 }
 
-fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .unwrap();
-    LocalSet::new().block_on(&runtime, test);
-}
-
 async fn read(stream: &mut TcpStream, length: usize) -> Vec<u8> {
     let mut bytes = vec![0; length];
     stream.read_exact(&mut bytes).await.unwrap();
     bytes
 }
 
-/// Length, checksum, number and payload by hand.
+/// Length, checksum, call id and payload by hand.
 fn frame(number: u64, payload: &[u8]) -> Vec<u8> {
     let rest = [&number.to_le_bytes()[..], payload].concat();
     [
@@ -87,7 +81,7 @@
         for payload in [&b"first call"[..], b"", b"third"] {
             let client = client.clone();
             calls.push(spawn_local(async move {
-                client.call(Bytes::from_static(payload), LIMIT).await
+                client.call(Bytes::from_static(payload), TIME_LIMIT).await
             }));
         }
         let expected = [
@@ -104,11 +98,11 @@
         for (number, payload) in [(2, &b"two"[..]), (1, b""), (3, b"three")] {
             stream.write_all(&frame(number, payload)).await.unwrap();
         }
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for call in calls {
-            answers.push(call.await.unwrap().unwrap());
+            responses.push(call.await.unwrap().unwrap());
         }
-        assert_eq!(answers, ["", "two", "three"]);
+        assert_eq!(responses, ["", "two", "three"]);
     });
 }
 
@@ -129,7 +123,7 @@
         ]
         .concat();
         let written = read(&mut stream, expected.len()).await;
-        assert_eq!(written, expected, "the message has no answer");
+        assert_eq!(written, expected, "the message has no response");
         assert_is_fixture("server.hex", &written);
     });
 }
