--- a/crates/gateway/gateway/src/fleet.rs
+++ b/crates/gateway/gateway/src/fleet.rs
@@ -22,7 +22,7 @@
 use dunespur_singleton_roles::voter::Voter;
 use dunespur_singleton_roles::watch::{self, Act, Relay};
 use dunespur_singleton_roles::{Me, Msg, Output, Slot};
-use dunespur_voter_storage::Store;
+use dunespur_voter_storage::{OpenedVoter, VoterStorage};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -243,18 +243,22 @@
     let Some(path) = plan.disk.as_ref().filter(|_| votes) else {
         return Ok(None);
     };
-    let (store, head) = Store::open(path, &plan.duties.fleet, name).map_err(Fault::Config)?;
+    let opened = VoterStorage::open(path, &plan.duties.fleet, name);
+    let OpenedVoter {
+        storage,
+        saved: head,
+    } = opened.map_err(|error| Fault::Config(error.to_string()))?;
     let voter = Voter::new(plan.duties.clone(), name.to_owned(), head, seed, now, out);
     let voter = voter.map_err(Fault::Config)?;
     let (tx, rx) = std::sync::mpsc::channel::<Batch>();
     let slow = plan.trial.slow_disk.clone();
-    std::thread::spawn(move || write_batches(store, rx, slow, saved));
+    std::thread::spawn(move || write_batches(storage, rx, slow, saved));
     Ok(Some((voter, tx)))
 }
 
 /// Writes what comes, in order, and says so; the first write that fails is the last.
 fn write_batches(
-    store: Store,
+    storage: VoterStorage,
     batches: std::sync::mpsc::Receiver<Batch>,
     slow: Option<PathBuf>,
     saved: mpsc::UnboundedSender<Disk>,
@@ -263,9 +267,9 @@
         let by = slow.as_ref().and_then(|p| std::fs::read_to_string(p).ok());
         let by = by.and_then(|t| t.trim().parse::<f64>().ok()).unwrap_or(0.0);
         std::thread::sleep(Duration::try_from_secs_f64(by).unwrap_or_default());
-        let said = match store.write(&batch) {
+        let said = match storage.write(&batch) {
             Ok(()) => Disk::Saved(batch.number),
-            Err(e) => Disk::Failed(e),
+            Err(e) => Disk::Failed(e.to_string()),
         };
         let failed = matches!(said, Disk::Failed(_));
         if saved.send(said).is_err() || failed {
--- a/crates/gateway/voter-storage/tests/compatibility.rs
+++ b/crates/gateway/voter-storage/tests/compatibility.rs
@@ -1,8 +1,11 @@
 //! A voter's file stays readable: its records have the bytes that revision 52a1591 wrote, and a file of that revision
 //! opens with everything in it found by value. That revision wrote the files under `tests/fixtures`.
 
+mod common;
+
+use common::TemporaryFolder;
 use dunespur_singleton_roles::log::{Batch, Conf, Entry, Hard, Meta, Saved, Seen, Snap};
-use dunespur_voter_storage::Store;
+use dunespur_voter_storage::{OpenedVoter, VoterStorage};
 use redb::{Database, Key, ReadableTable, TableDefinition, Value};
 use std::collections::BTreeMap;
 use std::fs;
@@ -17,29 +20,6 @@
 const FLEET: &str = "fleet-1";
 const NAME: &str = "limiter-2";
 
-/// A folder of one test, removed at its end.
-struct TemporaryFolder(PathBuf);
-
-impl TemporaryFolder {
-    fn new(name: &str) -> TemporaryFolder {
-        let path =
-            std::env::temp_dir().join(format!("dunespur-voter-{}-{name}", std::process::id()));
-        let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).expect("a folder for the test");
-        TemporaryFolder(path)
-    }
-
-    fn file(&self) -> PathBuf {
-        self.0.join("voter.redb")
-    }
-}
-
-impl Drop for TemporaryFolder {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
-}
-
 fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
@@ -105,7 +85,7 @@
     }
 }
 
-/// All that the fixture holds, each field with a value of its own.
+/// All that the fixture contains, each field with a value of its own.
 fn batches() -> Vec<Batch> {
     let seen = |number: u64| Seen {
         starts: number + 1,
@@ -175,11 +155,11 @@
 }
 
 fn write(path: &Path) {
-    let (store, saved) = Store::open(path, FLEET, NAME).expect("a new file");
+    let OpenedVoter { storage, saved } = VoterStorage::open(path, FLEET, NAME).expect("a new file");
     assert_eq!(saved, Saved::default());
     batches()
         .iter()
-        .for_each(|batch| store.write(batch).expect("the disk takes it"));
+        .for_each(|batch| storage.write(batch).expect("the disk takes it"));
 }
 
 #[test]
@@ -197,7 +177,7 @@
 }
 
 #[test]
-fn a_file_of_the_earlier_revision_opens_with_all_that_it_holds() {
+fn a_file_of_the_earlier_revision_opens_with_all_that_it_contains() {
     let folder = TemporaryFolder::new("file");
     let path = folder.file();
     if std::env::var_os(WRITE_FIXTURES).is_some() {
@@ -213,7 +193,8 @@
         fs::read_to_string(fixture_path("records.txt")).expect("the fixture is there")
     );
 
-    let (_, saved) = Store::open(&path, FLEET, NAME).expect("the earlier revision's file opens");
+    let OpenedVoter { saved, .. } =
+        VoterStorage::open(&path, FLEET, NAME).expect("the earlier revision's file opens");
     let mut expected = Saved::default();
     batches().iter().for_each(|batch| expected.take(batch));
     assert_eq!(saved, expected);
@@ -257,14 +238,13 @@
     let folder = TemporaryFolder::new("errors");
     let path = folder.file();
     let error = |fleet: &str, name: &str| {
-        let error = Store::open(&path, fleet, name)
-            .err()
-            .expect("it does not open")
+        let error = VoterStorage::open(&path, fleet, name)
+            .expect_err("it does not open")
             .to_string();
-        let place = format!("{}: ", path.display());
+        let prefix = format!("{}: ", path.display());
         error
-            .strip_prefix(&place)
-            .unwrap_or_else(|| panic!("{error} does not begin with {place}"))
+            .strip_prefix(&prefix)
+            .unwrap_or_else(|| panic!("{error} does not begin with {prefix}"))
             .to_owned()
     };
     write(&path);
@@ -319,9 +299,8 @@
     }
     transaction.commit().expect("a commit");
     drop(database);
-    let error = Store::open(&path, FLEET, NAME)
-        .err()
-        .expect("it does not open")
+    let error = VoterStorage::open(&path, FLEET, NAME)
+        .expect_err("it does not open")
         .to_string();
     assert_eq!(
         error,
