--- a/crates/gateway/decisions/tests/front/mod.rs
+++ b/crates/gateway/decisions/tests/front/mod.rs
@@ -205,10 +205,17 @@
     ) -> u64 {
         self.last += 1;
         let until = self.now + self.settings.operations[operation].integration_timeout;
-        let gateways = (0, self.settings.fleet);
-        let inv = Invocation::new(
-            self.last, customer, plan, operation, units, gateways, self.now, until,
-        );
+        let inv = Invocation::from(Arrival {
+            num: self.last,
+            customer,
+            plan,
+            operation,
+            units,
+            first_gateway: 0,
+            gateways: self.settings.fleet,
+            came: self.now,
+            until,
+        });
         self.see(Seen::Took {
             gate,
             inv: inv.clone(),
--- a/crates/gateway/gateway/src/reducer.rs
+++ b/crates/gateway/gateway/src/reducer.rs
@@ -221,18 +221,18 @@
         self.stats.taken += 1;
         // The answer has to be with the client before its time is up.
         let until = now + (asked.wait - self.answer_slack).max(0.0);
-        let (a, gateways) = (&asked, (asked.first_gateway, asked.gateways));
-        let mut inv = Invocation::new(
+        let mut inv = Invocation::from(Arrival {
             num,
-            a.customer,
-            a.plan,
-            a.operation,
-            a.units,
-            gateways,
-            now,
+            customer: asked.customer,
+            plan: asked.plan,
+            operation: asked.operation,
+            units: asked.units,
+            first_gateway: asked.first_gateway,
+            gateways: asked.gateways,
+            came: now,
             until,
-        );
-        inv.repeat = a.repeat;
+        });
+        inv.repeat = asked.repeat;
         self.held.insert(
             num,
             Held {
--- a/crates/gateway/quota-sharing/tests/thin.rs
+++ b/crates/gateway/quota-sharing/tests/thin.rs
@@ -2,7 +2,8 @@
 //! the same module with a broker in the counter's place.
 
 use dunespur_decisions::types::{
-    About, Action, Counted, Effect, Ending, Invocation, OperationSettings, Outcome, PlanSettings,
+    About, Action, Arrival, Counted, Effect, Ending, Invocation, OperationSettings, Outcome,
+    PlanSettings,
 };
 use dunespur_decisions::types::{Readiness, Server, Settings};
 use dunespur_decisions::Limiter;
@@ -191,7 +192,17 @@
                 if step % every == 0 {
                     num += 1;
                     let until = self.now + 2.0;
-                    let inv = Invocation::new(num, 9, 0, 0, 1.0, (0, 2), self.now, until);
+                    let inv = Invocation::from(Arrival {
+                        num,
+                        customer: 9,
+                        plan: 0,
+                        operation: 0,
+                        units: 1.0,
+                        first_gateway: 0,
+                        gateways: 2,
+                        came: self.now,
+                        until,
+                    });
                     self.held.insert(num, (gate, inv));
                     self.place(num);
                 }
--- a/crates/testing/fleet-simulation/src/service.rs
+++ b/crates/testing/fleet-simulation/src/service.rs
@@ -7,7 +7,7 @@
 use crate::quotas::Bucket;
 use crate::trial::Quota;
 use dunespur_decisions::types::{
-    self as types, Action, Answer, Counted, Effect, Ending, Invocation, Outcome, Readiness,
+    self as types, Action, Answer, Arrival, Counted, Effect, Ending, Invocation, Outcome, Readiness,
 };
 use dunespur_decisions::Limiter;
 use dunespur_quota_sharing::lend::{self, Anew, Ask, Borrower, Broker, Way};
@@ -401,9 +401,17 @@
         }
         self.last += 1;
         let num = self.last;
-        let gateways = (first as u32, gateways as u32);
-        let id = customer as u64 * 0x9E37_79B9 + 11;
-        let inv = Invocation::new(num, id, 0, 0, 1.0, gateways, now, now + PATIENCE);
+        let inv = Invocation::from(Arrival {
+            num,
+            customer: customer as u64 * 0x9E37_79B9 + 11,
+            plan: 0,
+            operation: 0,
+            units: 1.0,
+            first_gateway: first as u32,
+            gateways: gateways as u32,
+            came: now,
+            until: now + PATIENCE,
+        });
         self.gates[gate].held.insert(
             num,
             Held {
--- a/crates/testing/simulator-adapter/src/host.rs
+++ b/crates/testing/simulator-adapter/src/host.rs
@@ -302,23 +302,24 @@
                 let plan = position(&host.read.plans, parts.text("tariff")?, "tariff")?;
                 let operation =
                     position(&host.read.operations, parts.text("tierClass")?, "tierClass")?;
-                let first = parts.whole("firstDoor")? as u32;
+                let first_gateway = parts.whole("firstDoor")? as u32;
                 let gateways = parts.whole("setSize")? as u32;
                 let customer = parts.whole("holder")?;
                 let repeat = parts.whole("bitmap")? & REPEAT != 0;
                 let until = parts.number("validUntilS")?;
                 host.last += 1;
                 let num = host.last;
-                let mut inv = Invocation::new(
+                let mut inv = Invocation::from(Arrival {
                     num,
                     customer,
                     plan,
                     operation,
                     units,
-                    (first, gateways),
-                    now,
+                    first_gateway,
+                    gateways,
+                    came: now,
                     until,
-                );
+                });
                 inv.repeat = repeat;
                 host.by_id.insert(id.clone(), num);
                 host.held.insert(num, (id, inv));
