--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -258,7 +258,7 @@
                     let _ = fleet.send(fleet::Told::Report);
                 }
             }
-            () = async { leaving.as_mut().as_pin_mut().unwrap().await }, if leaving.is_some() => break,
+            () = async { leaving.as_mut().as_pin_mut().expect("polled only while leaving").await }, if leaving.is_some() => break,
         }
     }
     ::log::info!("{}", hub.reducer.borrow().stats);
--- a/crates/serving/storage/src/recovery.rs
+++ b/crates/serving/storage/src/recovery.rs
@@ -1,7 +1,7 @@
 //! Files that can't be read: they are set aside, so that the process starts as if its disk were empty.
 //!
 //! The library panics on some broken files, where it gives an error on others. Everything that is done with a file
-//! before it is known to be sound passes through [`open_or_set_aside`], which takes both for the same. That rests on
+//! before it is known to be sound passes through `open_or_set_aside`, which takes both for the same. That rests on
 //! unwinding.
 
 use crate::error::{Result, StorageError};
