--- a/crates/serving/proxy/src/classification/tests.rs
+++ b/crates/serving/proxy/src/classification/tests.rs
@@ -1,6 +1,10 @@
 //! Properties of the whole table: each holds in every row.
 
-use super::*;
+use super::{
+    close_completes_body, Attempt, Classification, ClientResponse, ConnectionReuse, EndedBy,
+    Execution, Framing, ResponseKind, ResponseProgress, RetryRule, SendProgress,
+};
+use crate::safeguards::Safeguards;
 
 fn kinds_and_framings() -> impl Iterator<Item = (ResponseKind, Framing)> {
     let framings = [Framing::Delimited, Framing::UntilClose];
--- a/crates/serving/proxy/tests/classification.rs
+++ b/crates/serving/proxy/tests/classification.rs
@@ -1,8 +1,8 @@
-//! The table of dispositions, each of its rows that a server or a client can bring about driven over loopback. What
+//! The classification of attempts, each of its rows that an endpoint or a client can cause driven over loopback. What
 //! is expected stands in the table itself, not here a second time.
 //!
-//! Not driven: a head that was written in part (it fits the socket's buffer, so that it goes out whole or not at all;
-//! `progress` has its tests), and what came without any byte sent, but for kept connections that have ended
+//! Not driven: a head that was written in part (it fits the socket's buffer, so that it is sent completely or not at
+//! all; `send_tracker` has its tests), and what came without any byte sent, but for pooled connections that have ended
 //! (`connections.rs`).
 
 mod support;
@@ -11,22 +11,18 @@
     Attempt, Classification, ClientResponse, ConnectionReuse, EndedBy, Framing, ResponseKind,
     ResponseProgress, RetryRule, SendProgress,
 };
-use support::*;
+use support::{get, pass_time, post, run_test, Peer, TestEndpoint, TestProxy};
 use tokio::time::Duration;
 
-/// A body that no socket's buffers hold: a sender's are 4 MB at most.
+/// A body longer than the sockets' buffers: a sender's are 4 MB at most.
 const LONG_BODY: usize = 6 * 1024 * 1024;
-/// A part of an answer that is passed on at once, and the whole.
-const PART: usize = 80_000;
-const WHOLE: usize = 200_000;
-/// Beyond the time of every request of these tests.
-const ALL_TIME: Duration = Duration::from_millis(15_200);
+/// A part of a response that is forwarded at once, and the length of all of it.
+const FORWARDED_BYTES: usize = 80_000;
+const RESPONSE_BYTES: usize = 200_000;
+/// Beyond the deadline of every request of these tests.
+const PAST_ALL_DEADLINES: Duration = Duration::from_millis(15_200);
 
-fn roomy_table() -> std::rc::Rc<dunespur_configuration::Table> {
-    table(&CONFIGURATION.replace(r#""max_body_bytes":100000"#, r#""max_body_bytes":20000000"#))
-}
-
-/// The head of an answer of this kind, but for what tells its end.
+/// The head of a response of this kind, but for what marks its end.
 fn head_of(kind: ResponseKind) -> String {
     let (status, id, more) = match kind {
         ResponseKind::Final => (200, "r1", ""),
@@ -39,7 +35,7 @@
     format!("HTTP/1.1 {status} X\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s\r\n{more}")
 }
 
-/// What the server sends so that this is received.
+/// What the endpoint sends so that this is received.
 fn bytes_of(received: ResponseProgress) -> String {
     let (kind, framing, length, part) = match received {
         ResponseProgress::Nothing => return String::new(),
@@ -56,7 +52,7 @@
             kind,
             framing,
             forwarded: true,
-        } => (kind, framing, WHOLE, PART),
+        } => (kind, framing, RESPONSE_BYTES, FORWARDED_BYTES),
     };
     let end_of_head = match framing {
         Framing::Delimited => format!("Content-Length: {length}\r\n\r\n"),
@@ -75,7 +71,7 @@
 struct Row {
     attempt: Attempt,
     idempotent: bool,
-    /// Whether there is a further server.
+    /// Whether there is another endpoint.
     has_alternative: bool,
 }
 
@@ -115,7 +111,9 @@
             vec![&first]
         };
         let proxy = TestProxy::start(&endpoints).await;
-        *proxy.node.table.borrow_mut() = Some(roomy_table());
+        proxy
+            .node
+            .edit_configuration(&[(r#""max_body_bytes":100000"#, r#""max_body_bytes":20000000"#)]);
         let body = if sent == SendProgress::Complete {
             "x".to_owned()
         } else {
@@ -155,7 +153,7 @@
                 for _ in 0..50 {
                     tokio::task::yield_now().await;
                 }
-                pass_time(ALL_TIME).await;
+                pass_time(PAST_ALL_DEADLINES).await;
             }
             EndedBy::Client => drop(client.take()),
         }
@@ -242,7 +240,7 @@
 const SENT: [SendProgress; 2] = [SendProgress::PartialBody, SendProgress::Complete];
 
 #[test]
-fn nothing_came_or_interim_answers_alone() {
+fn no_response_or_interim_ones_alone() {
     for sent in SENT {
         for received in [ResponseProgress::Nothing, ResponseProgress::Interim] {
             for ended_by in [
@@ -258,7 +256,7 @@
 }
 
 #[test]
-fn a_part_came_that_the_client_has_not() {
+fn a_partial_response_that_was_not_forwarded() {
     for sent in SENT {
         for kind in [ResponseKind::Final, ResponseKind::Failure] {
             let received = ResponseProgress::Partial {
@@ -272,12 +270,12 @@
                 EndedBy::Timeout,
                 EndedBy::Client,
             ] {
-                // A failure of one server is not waited for where another one may be asked.
+                // A failure of one endpoint is not waited for where another one may be asked.
                 if kind == ResponseKind::Final || ended_by != EndedBy::Timeout {
                     drive(sent, received, ended_by);
                 }
             }
-            // The end in order of a body without a length is its whole.
+            // Closed in order, a body without a length is complete.
             let received = ResponseProgress::Partial {
                 kind,
                 framing: Framing::UntilClose,
@@ -289,7 +287,7 @@
 }
 
 #[test]
-fn a_part_came_that_the_client_has() {
+fn a_partial_response_that_was_forwarded() {
     for sent in SENT {
         let kind = ResponseKind::Final;
         for ended_by in [
@@ -317,7 +315,7 @@
 }
 
 #[test]
-fn all_came() {
+fn a_complete_response() {
     for sent in SENT {
         for kind in [
             ResponseKind::Final,
@@ -356,7 +354,7 @@
 }
 
 #[test]
-fn what_came_can_not_be_used() {
+fn an_unusable_response() {
     for sent in SENT {
         for kind in [ResponseKind::UnconfirmedRejection, ResponseKind::Unrelated] {
             for framing in [Framing::Delimited, Framing::UntilClose] {
--- a/crates/serving/proxy/tests/connections.rs
+++ b/crates/serving/proxy/tests/connections.rs
@@ -1,15 +1,15 @@
-//! Connections of clients and to servers: kept, closed, bounded, drained; and what the HTTP library does with
-//! what is no proper message.
+//! Client and endpoint connections: pooled, closed, bounded, drained; and what the HTTP library does with malformed
+//! messages.
 
 mod support;
 
 use dunespur_proxy::{serve_readiness, ProxyServer, ProxySettings};
 use dunespur_routing::Outcome;
 use std::rc::Rc;
-use support::*;
+use support::{event, get, post, run_test, Peer, TestEndpoint, TestNode, TestProxy};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Serves one request of this client over a new connection to `server`, which it gives back.
+/// Serves one request over a new connection to `endpoint`, which it returns.
 async fn serve_first(proxy: &TestProxy, endpoint: &TestEndpoint, more: &str) -> Peer {
     let mut client = proxy.request(&get("/read/", "first")).await;
     let (mut connection, _) = endpoint.next_request().await;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_clients_connection_carries_one_request_after_another() {
+fn a_client_connection_carries_one_request_after_another() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -36,7 +36,7 @@
             assert_eq!(
                 response.header("connection"),
                 None,
-                "the server's close is not the client's"
+                "the endpoint's close is not the client's"
             );
         }
         assert_eq!(proxy.server.counters().accepted, 1);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_request_behind_another_is_answered_after_it() {
+fn a_pipelined_request_is_answered_after_the_one_before() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_client_that_wants_the_connection_closed_has_it_closed() {
+fn a_client_that_asks_for_a_close_gets_it() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_servers_connection_is_kept_for_the_next_request() {
+fn an_endpoint_connection_is_pooled_for_the_next_request() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn one_that_the_server_closes_is_not_used_again() {
+fn a_connection_that_the_endpoint_closes_is_not_reused() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn bytes_behind_an_answer_end_its_connection() {
+fn bytes_behind_a_response_close_its_connection() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_surplus_answer_on_a_kept_connection_is_nobodys() {
+fn a_stale_response_on_a_pooled_connection_is_discarded() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn what_can_not_be_repeated_goes_over_no_connection_that_has_ended() {
+fn a_request_that_is_not_idempotent_goes_over_no_closed_connection() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_breaks_as_it_is_used_costs_nothing_that_can_be_repeated() {
+fn an_idempotent_request_survives_a_pooled_connection_that_breaks_as_it_is_used() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn connections_to_servers_are_bounded() {
+fn endpoint_connections_are_bounded() {
     run_test(async {
         let (first, second) = (
             TestEndpoint::start("i-1").await,
@@ -182,17 +182,13 @@
         };
         let proxy = TestProxy::with(&[&first], settings).await;
         let mut idle = serve_first(&proxy, &first, "Keep-Alive: timeout=5\r\n").await;
-        // An idle one gives its place.
+        // An idle one is closed for another.
         *proxy.node.endpoints.borrow_mut() = vec![second.endpoint()];
         let mut client = proxy.request(&post("/write/", "r2", "", "x")).await;
         let (mut connection, _) = second.next_request().await;
         assert!(idle.is_closed().await);
-        // One in use does not.
-        let response = proxy
-            .request(&post("/write/", "r3", "", "x"))
-            .await
-            .message()
-            .await;
+        // One in use is not.
+        let response = proxy.response(&post("/write/", "r3", "", "x")).await;
         assert_eq!(response.status(), 503);
         connection.respond(200, "r2", "", "ok").await;
         assert_eq!(client.message().await.text(), "ok");
@@ -200,7 +196,7 @@
 }
 
 #[test]
-fn clients_beyond_the_bound_take_the_place_of_the_one_that_has_rested_longest() {
+fn clients_beyond_the_limit_replace_the_one_that_was_idle_longest() {
     run_test(async {
         let settings = ProxySettings {
             max_connections: 2,
@@ -211,15 +207,7 @@
         longest.message().await;
         let mut other = proxy.request(&get("/nowhere/", "r2")).await;
         other.message().await;
-        assert_eq!(
-            proxy
-                .request(&get("/nowhere/", "r3"))
-                .await
-                .message()
-                .await
-                .status(),
-            404
-        );
+        assert_eq!(proxy.response(&get("/nowhere/", "r3")).await.status(), 404);
         assert!(longest.is_closed().await);
     });
 }
@@ -251,7 +239,7 @@
 }
 
 #[test]
-fn a_body_over_the_limit_is_refused_unread() {
+fn a_body_over_the_limit_is_rejected_unread() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -303,13 +291,11 @@
             .request(&post("/write/", "r1", "", &"x".repeat(600)))
             .await;
         let (mut connection, _) = endpoint.next_request().await;
-        let refused = proxy
-            .request(&post("/write/", "r2", "", &"x".repeat(600)))
-            .await
-            .message()
+        let rejected = proxy
+            .response(&post("/write/", "r2", "", &"x".repeat(600)))
             .await;
-        assert_eq!(refused.status(), 503);
-        assert!(refused.header("retry-after").is_some());
+        assert_eq!(rejected.status(), 503);
+        assert!(rejected.header("retry-after").is_some());
         connection
             .respond(200, "r1", "Connection: close\r\n", "ok")
             .await;
@@ -322,7 +308,7 @@
 }
 
 #[test]
-fn heads_up_to_the_limit_are_served_and_longer_ones_refused() {
+fn heads_up_to_the_limit_are_served_and_longer_ones_rejected() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -374,12 +360,12 @@
 }
 
 #[test]
-fn two_different_lengths_are_no_request() {
+fn two_different_lengths_are_malformed() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         let request = "POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab";
-        assert_eq!(proxy.request(request).await.message().await.status(), 400);
+        assert_eq!(proxy.response(request).await.status(), 400);
         assert!(endpoint.has_no_connection().await);
     });
 }
@@ -412,7 +398,7 @@
 }
 
 #[test]
-fn a_body_that_never_comes_whole_reaches_no_server() {
+fn an_incomplete_body_reaches_no_endpoint() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -434,12 +420,12 @@
 }
 
 #[test]
-fn a_slow_head_is_told_so() {
+fn a_slow_head_is_rejected() {
     run_test(async {
         let proxy = TestProxy::start(&[]).await;
-        let hurried =
-            CONFIGURATION.replace(r#""header_timeout_ms":3000"#, r#""header_timeout_ms":1"#);
-        *proxy.node.table.borrow_mut() = Some(table(&hurried));
+        proxy
+            .node
+            .edit_configuration(&[(r#""header_timeout_ms":3000"#, r#""header_timeout_ms":1"#)]);
         let mut client = proxy.request("GET /read/ HTTP/1.1\r\nHost").await;
         assert_eq!(client.message().await.status(), 408);
         assert!(client.is_closed().await);
@@ -447,7 +433,7 @@
 }
 
 #[test]
-fn a_slow_body_is_told_so() {
+fn a_slow_body_is_rejected() {
     run_test(async {
         let proxy = TestProxy::start(&[]).await;
         let request = "POST /short/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\nContent-Length: 10\r\n\r\nhalf";
@@ -461,11 +447,12 @@
 }
 
 #[test]
-fn a_connection_that_rests_too_long_is_closed() {
+fn a_connection_that_is_idle_too_long_is_closed() {
     run_test(async {
         let proxy = TestProxy::start(&[]).await;
-        let hurried = CONFIGURATION.replace(r#""idle_timeout_ms":15000"#, r#""idle_timeout_ms":1"#);
-        *proxy.node.table.borrow_mut() = Some(table(&hurried));
+        proxy
+            .node
+            .edit_configuration(&[(r#""idle_timeout_ms":15000"#, r#""idle_timeout_ms":1"#)]);
         let mut silent = proxy.client().await;
         let mut used = proxy.request(&get("/nowhere/", "r1")).await;
         assert_eq!(used.message().await.status(), 404);
@@ -490,7 +477,7 @@
 }
 
 #[test]
-fn a_drain_answers_what_is_in_hand_and_ends_every_connection() {
+fn a_drain_completes_requests_in_flight_and_closes_every_connection() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let settings = ProxySettings {
@@ -508,7 +495,7 @@
 
         proxy.server.drain();
         assert!(resting.is_closed().await);
-        // Nothing listens any more, and the stream goes on.
+        // Nothing listens any more, and the stream is still forwarded.
         while TcpStream::connect(proxy.address).await.is_ok() {
             tokio::task::yield_now().await;
         }
@@ -523,7 +510,7 @@
 }
 
 #[test]
-fn while_it_leaves_it_serves_and_ends_each_connection_with_its_answer() {
+fn while_draining_each_response_closes_its_connection() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -545,7 +532,7 @@
 }
 
 #[test]
-fn the_ready_address_says_what_the_node_says() {
+fn the_readiness_address_says_what_the_node_says() {
     run_test(async {
         let node = TestNode::new(Vec::new());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -565,7 +552,7 @@
 }
 
 #[test]
-fn a_front_that_was_never_used_drains() {
+fn a_server_that_was_never_used_drains() {
     run_test(async {
         let server = ProxyServer::new(
             TestNode::new(Vec::new()),
@@ -584,7 +571,7 @@
 }
 
 #[test]
-fn a_request_that_is_refused_with_its_body_under_way_ends_nothing() {
+fn a_rejection_with_its_body_under_way_keeps_the_connection() {
     run_test(async {
         let proxy = TestProxy::start(&[]).await;
         let mut client = proxy.client().await;
@@ -608,7 +595,7 @@
 }
 
 #[test]
-fn a_server_that_resets_a_new_connection_has_not_run_what_was_to_come_over_it() {
+fn an_endpoint_that_resets_a_new_connection_has_not_run_its_request() {
     run_test(async {
         let (full, endpoint) = (
             TestEndpoint::start("i-1").await,
--- a/crates/serving/proxy/tests/events.rs
+++ b/crates/serving/proxy/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events split at any place, and read.
+//! Streams of events, split at any byte, and read.
 
 use bytes::{Bytes, BytesMut};
 use dunespur_proxy::{Event, EventSplitter};
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn wherever_it_is_cut_the_same_events_come_once() {
+fn wherever_bytes_are_split_the_same_events_come_once() {
     let bytes = Bytes::from_static(STREAM.as_bytes());
     let all = read(&bytes);
     for first in 0..=bytes.len() {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_partial_event_is_held_back() {
+fn a_partial_event_is_buffered() {
     let mut splitter = EventSplitter::default();
     let whole = splitter
         .push(Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\ndata: b\n"))
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn whole_events_are_not_copied() {
+fn complete_events_are_not_copied() {
     let bytes = Bytes::from_static(b"id: 1\ndata: a\n\n");
     let whole = EventSplitter::default().push(bytes.clone()).unwrap();
     assert_eq!(whole.as_ptr(), bytes.as_ptr());
 }
 
 #[test]
-fn an_event_without_end_is_refused() {
+fn an_event_without_end_is_an_error() {
     let mut splitter = EventSplitter::default();
     let part = Bytes::from(vec![b'x'; 600 * 1024]);
     assert!(splitter.push(part.clone()).is_ok());
--- a/crates/serving/proxy/tests/generated_exchanges.rs
+++ b/crates/serving/proxy/tests/generated_exchanges.rs
@@ -1,19 +1,19 @@
-//! Generated exchanges over the real stack: clients that send in pieces and leave anywhere, servers that read no more
-//! than a head, answer in pieces of any bytes, break off at any byte, send surplus answers at once or late, fall
-//! silent, close or reset. What comes of each is held against the rules of the table of dispositions.
+//! Generated exchanges over the real stack: clients that send in chunks and disconnect anywhere, endpoints that read no
+//! more than a head, respond in chunks of any bytes, truncate at any byte, send duplicates at once or late, become
+//! unresponsive, close or reset. What comes of each is checked by the rules of the classification.
 //!
-//! A case is one request with all its attempts. CI plays [`CASES`]; `EXCHANGE_CASES=100000` in the environment of a
-//! release build plays that many.
+//! A case is one request with all its attempts. CI runs [`CASES`]; `EXCHANGE_CASES=100000` in the environment of a
+//! release build runs that many.
 
 mod generated;
 mod support;
 
 use dunespur_proxy::Safeguards;
-use generated::{play_cases, Violation};
+use generated::{run_cases, Violation};
 
-/// Cases that are played unless the environment says otherwise.
+/// Cases that are run unless the environment says otherwise.
 const CASES: u64 = 4_000;
-/// The most that are played for a counterexample.
+/// The most that are run for a counterexample.
 const COUNTEREXAMPLE_CASES: u64 = 8_000;
 
 fn cases() -> u64 {
@@ -25,28 +25,28 @@
 
 #[test]
 fn generated_exchanges_keep_the_rules() {
-    let played = play_cases(cases(), Safeguards::default());
-    eprintln!("{played}");
-    assert_eq!(played.violations, []);
-    assert!(played.has_seen_everything(), "{played}");
+    let summary = run_cases(cases(), Safeguards::default());
+    eprintln!("{summary}");
+    assert_eq!(summary.violations, []);
+    assert!(summary.covers_every_end(), "{summary}");
 }
 
 fn counterexample(safeguards: Safeguards, is_wanted: impl Fn(&Violation) -> bool) {
-    let played = play_cases(COUNTEREXAMPLE_CASES, safeguards);
-    let found = played
+    let summary = run_cases(COUNTEREXAMPLE_CASES, safeguards);
+    let found = summary
         .violations
         .iter()
         .find(|violation| is_wanted(violation));
     eprintln!("{found:?}");
     assert!(
         found.is_some(),
-        "none of the wanted kind in {played}: {:?}",
-        played.violations
+        "none of the wanted kind in {summary}: {:?}",
+        summary.violations
     );
 }
 
 #[test]
-fn without_one_send_a_request_runs_twice() {
+fn without_the_retry_check_a_request_runs_twice() {
     let safeguards = Safeguards {
         only_idempotent_retried: false,
         ..Safeguards::default()
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn without_ids_a_client_gets_another_answer() {
+fn without_the_id_check_a_client_gets_another_response() {
     let safeguards = Safeguards {
         response_ids_compared: false,
         ..Safeguards::default()
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn without_a_reset_that_is_no_end_a_part_looks_whole() {
+fn without_the_reset_check_a_partial_body_looks_complete() {
     let safeguards = Safeguards {
         reset_truncates_body: false,
         ..Safeguards::default()
--- a/crates/serving/proxy/tests/log_lines.rs
+++ b/crates/serving/proxy/tests/log_lines.rs
@@ -1,19 +1,16 @@
-//! The lines at debug level that `dunespur explain` reads, held by files in `fixtures/log_lines`.
+//! The lines at debug level that `dunespur explain` reads, compared with files in `fixtures/log_lines`.
 
 mod support;
 
 use std::cell::RefCell;
 use support::fixtures::{assert_fixture, without_times};
-use support::*;
-
-const TURN: &str =
-    "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
+use support::{event, get, post, run_test, TestEndpoint, TestProxy, TURN};
 
 thread_local! {
     static LINES: RefCell<String> = const { RefCell::new(String::new()) };
 }
 
-/// Keeps the lines of each test's thread.
+/// Collects the lines of each test's thread.
 struct Lines;
 
 impl log::Log for Lines {
@@ -31,9 +28,9 @@
     fn flush(&self) {}
 }
 
-/// Plays a test and compares the lines that it left.
-fn play_lines(name: &str, test: impl std::future::Future<Output = ()>) {
-    // The second test of the binary finds it set.
+/// Runs a test and compares the lines that it wrote.
+fn run_logged(name: &str, test: impl std::future::Future<Output = ()>) {
+    // Only the first test of the binary sets it.
     let _ = log::set_logger(&Lines);
     log::set_max_level(log::LevelFilter::Debug);
     LINES.take();
@@ -44,7 +41,7 @@
 
 #[test]
 fn of_a_request_that_is_served() {
-    play_lines("served", async {
+    run_logged("served", async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
@@ -61,8 +58,8 @@
 }
 
 #[test]
-fn of_a_request_that_goes_from_server_to_server() {
-    play_lines("next_server", async {
+fn of_a_request_that_is_retried() {
+    run_logged("next_server", async {
         let dead = TestEndpoint::dead("i-dead").await;
         let (full, good) = (
             TestEndpoint::start("i-1").await,
@@ -82,7 +79,7 @@
 
 #[test]
 fn of_a_turn() {
-    play_lines("turn", async {
+    run_logged("turn", async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         let mut client = proxy
@@ -102,19 +99,19 @@
 }
 
 #[test]
-fn of_requests_that_are_refused() {
-    play_lines("refused", async {
+fn of_rejected_requests() {
+    run_logged("rejected", async {
         let proxy = TestProxy::start(&[]).await;
-        proxy.request(&get("/nowhere/", "r1")).await.message().await;
-        proxy.request(&get("/read/", "r2")).await.message().await;
-        proxy.node.refuse.set(Some(1250));
-        proxy.request(&get("/read/", "r3")).await.message().await;
+        proxy.response(&get("/nowhere/", "r1")).await;
+        proxy.response(&get("/read/", "r2")).await;
+        proxy.node.reject_after_ms.set(Some(1250));
+        proxy.response(&get("/read/", "r3")).await;
     });
 }
 
 #[test]
-fn of_a_server_that_is_silent() {
-    play_lines("silent", async {
+fn of_an_unresponsive_endpoint() {
+    run_logged("unresponsive", async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         let mut client = proxy.request(&post("/short/", "r1", "", "x")).await;
--- a/crates/serving/proxy/tests/random_load.rs
+++ b/crates/serving/proxy/tests/random_load.rs
@@ -1,5 +1,5 @@
-//! Many clients at once, and servers that do all that servers may do. Whatever happens, and in whichever order, the
-//! promises hold.
+//! Many clients at once, and endpoints that do all that endpoints may do. Whatever happens, and in whichever order, the
+//! rules of the data plane hold.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
-use support::*;
+use support::{event, events, post, run_test, Message, NodeCall, Peer, TestEndpoint, TestProxy};
 use tokio::task::spawn_local;
 
 const CLIENTS: u64 = 8;
@@ -15,11 +15,11 @@
 const EVENTS: u64 = 6;
 const SEEDS: u64 = 6;
 
-/// Which servers ran each request, one entry a run.
+/// Which endpoints ran each request, one entry a run.
 type Runs = Rc<RefCell<HashMap<String, Vec<String>>>>;
 
-/// A server that draws what it does with each request. Ends with the test.
-fn storm_server(mut rng: Rng, endpoint: TestEndpoint, runs: Runs) {
+/// An endpoint that draws what it does with each request, until the test ends.
+fn random_endpoint(mut rng: Rng, endpoint: TestEndpoint, runs: Runs) {
     spawn_local(async move {
         loop {
             let peer = endpoint.accept().await;
@@ -58,7 +58,7 @@
             2 => return peer.reset(),
             3 => return,
             4 => peer.respond(500, &id, "", "failed").await,
-            5 => peer.respond(503, &id, "", "an empty promise").await,
+            5 => peer.respond(503, &id, "", "an unconfirmed rejection").await,
             6 => peer.respond(200, "another", "", "another's").await,
             7 => return peer.send(b"\x00garbage\r\n\r\n").await,
             8 => return peer.send(format!("HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 20\r\n\r\nhalf").as_bytes()).await,
@@ -95,7 +95,7 @@
     peer.last_chunk().await;
 }
 
-/// One that is cut within an event, or says one twice.
+/// One that is truncated within an event, or sends one twice.
 async fn broken_stream(rng: &mut Rng, peer: &mut Peer, request: &Message) {
     let first = first_event(request);
     peer.stream_head(request.id(), "").await;
@@ -119,7 +119,7 @@
     body: Result<Vec<u8>, Vec<u8>>,
 }
 
-async fn storm_client(mut rng: Rng, proxy: Rc<TestProxy>, number: u64) -> Vec<Got> {
+async fn load_client(mut rng: Rng, proxy: Rc<TestProxy>, number: u64) -> Vec<Got> {
     let mut got = Vec::new();
     let mut client = proxy.client().await;
     for request in 0..REQUESTS_PER_CLIENT {
@@ -135,7 +135,7 @@
         let more = "Program: p\r\nBudget: 100000\r\nX-Dunespur-Token-Count: 10,100\r\n";
         client.send(post(kind, &id, more, &id).as_bytes()).await;
         if rng.u32(0..10) == 0 {
-            // It leaves without its answer.
+            // It disconnects without its response.
             client = proxy.client().await;
             continue;
         }
@@ -169,12 +169,12 @@
         (200, Ok(body)) if streams => assert_eq!(body, events(1..=EVENTS).as_bytes(), "{id}"),
         (200, Ok(body)) => assert_eq!(body, id.as_bytes(), "{id}"),
         (200, Err(part)) => {
-            assert!(streams, "{id}: a short answer is whole or none");
+            assert!(streams, "{id}: a short response is complete or absent");
             assert!(events(1..=EVENTS).as_bytes().starts_with(part), "{id}");
             assert!(part.is_empty() || part.ends_with(b"\n\n"), "{id}");
         }
         (500, Ok(body)) => assert_eq!(body, b"failed", "{id}"),
-        (503, Ok(_)) => assert!(runs.is_empty(), "{id}: promised not to run"),
+        (503, Ok(_)) => assert!(runs.is_empty(), "{id}: said not to have run"),
         (502, Ok(_)) => assert!(!runs.is_empty(), "{id}: never sent"),
         other => panic!("{id}: {other:?}"),
     }
@@ -194,13 +194,13 @@
 }
 
 #[test]
-fn promises_hold_in_a_storm() {
+fn promises_hold_under_random_load() {
     for seed in 0..SEEDS {
-        run_test(storm(seed));
+        run_test(random_load(seed));
     }
 }
 
-async fn storm(seed: u64) {
+async fn random_load(seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let runs = Runs::default();
     let mut endpoints = Vec::new();
@@ -209,16 +209,16 @@
     }
     let proxy = Rc::new(TestProxy::start(&endpoints.iter().collect::<Vec<_>>()).await);
     for endpoint in endpoints {
-        storm_server(rng.fork(), endpoint, runs.clone());
+        random_endpoint(rng.fork(), endpoint, runs.clone());
     }
     let clients: Vec<_> = (0..CLIENTS)
-        .map(|number| spawn_local(storm_client(rng.fork(), proxy.clone(), number)))
+        .map(|number| spawn_local(load_client(rng.fork(), proxy.clone(), number)))
         .collect();
     let mut all = Vec::new();
     for client in clients {
         all.extend(client.await.unwrap());
     }
-    // What was left by its client ends as well.
+    // Requests of disconnected clients end as well.
     while proxy.server.counters().connections > 0 {
         tokio::task::yield_now().await;
     }
--- a/crates/serving/proxy/tests/requests.rs
+++ b/crates/serving/proxy/tests/requests.rs
@@ -1,14 +1,14 @@
-//! Requests and plain answers: what is passed on, what is refused, what is sent again.
+//! Requests and plain responses: what is forwarded, what is rejected, what is retried.
 
 mod support;
 
 use dunespur_routing::Outcome;
-use support::*;
+use support::{get, post, run_test, table, NodeCall, TestEndpoint, TestProxy, CONFIGURATION};
 
 const SERVED: Outcome = Outcome::Served { tokens_out: 0 };
 
 #[test]
-fn a_request_and_its_answer_are_passed_on_unchanged() {
+fn a_request_and_its_response_are_forwarded_unchanged() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_the_system_says_to_servers_no_client_says() {
+fn clients_can_not_set_the_proxys_own_headers() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_can_not_be_served_is_refused() {
+fn requests_that_can_not_be_served_are_rejected() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -108,7 +108,7 @@
             ("BAD\r\n\r\n".to_owned(), 400),
         ];
         for (request, status) in cases {
-            let response = proxy.request(&request).await.message().await;
+            let response = proxy.response(&request).await;
             assert_eq!(response.status(), status, "{request}");
             assert_eq!(response.header("x-dunespur-response-stamp"), None);
         }
@@ -117,12 +117,12 @@
 }
 
 #[test]
-fn out_of_touch_a_route_that_is_not_known_may_be_there() {
+fn with_a_stale_configuration_an_unknown_route_may_exist() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         proxy.node.configuration_stale.set(true);
-        let response = proxy.request(&get("/nowhere/", "r1")).await.message().await;
+        let response = proxy.response(&get("/nowhere/", "r1")).await;
         assert_eq!(response.status(), 503);
         assert!(response.header("retry-after").is_some());
         let _client = proxy.request(&get("/read/", "r2")).await;
@@ -131,18 +131,18 @@
 }
 
 #[test]
-fn before_the_first_configuration_nothing_is_unknown() {
+fn before_the_first_configuration_no_route_is_unknown() {
     run_test(async {
         let proxy = TestProxy::start(&[]).await;
         *proxy.node.table.borrow_mut() = None;
-        let response = proxy.request(&get("/nowhere/", "r1")).await.message().await;
+        let response = proxy.response(&get("/nowhere/", "r1")).await;
         assert_eq!(response.status(), 503);
         assert!(response.header("retry-after").is_some());
     });
 }
 
 #[test]
-fn a_request_that_comes_first_is_served_once_the_first_configuration_is_there() {
+fn a_request_before_the_first_configuration_is_served_once_it_has_arrived() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -150,7 +150,7 @@
         let mut client = proxy.request(&post("/write/", "r1", "", "body")).await;
         proxy.node.called_with(&NodeCall::AwaitChange).await;
 
-        // Something else has changed: it goes on waiting.
+        // Something else has changed: the request still waits.
         proxy.node.log.borrow_mut().clear();
         proxy.node.set_table(None);
         proxy.node.called_with(&NodeCall::AwaitChange).await;
@@ -170,29 +170,29 @@
         *proxy.node.table.borrow_mut() = None;
         let hurried = "GET /read/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n\
                        X-Dunespur-Deadline-Ms: 3\r\n\r\n";
-        let response = proxy.request(hurried).await.message().await;
+        let response = proxy.response(hurried).await;
         assert_eq!(response.status(), 503);
         assert_eq!(proxy.node.calls(), []);
     });
 }
 
 #[test]
-fn a_request_without_a_server_may_come_back() {
+fn a_request_without_an_endpoint_may_be_retried_by_its_client() {
     run_test(async {
         let proxy = TestProxy::start(&[]).await;
-        let response = proxy.request(&get("/read/", "r1")).await.message().await;
+        let response = proxy.response(&get("/read/", "r1")).await;
         assert_eq!(response.status(), 503);
         assert!(response.header("retry-after").is_some());
 
-        proxy.node.refuse.set(Some(1250));
-        let response = proxy.request(&get("/read/", "r2")).await.message().await;
+        proxy.node.reject_after_ms.set(Some(1250));
+        let response = proxy.response(&get("/read/", "r2")).await;
         assert_eq!(response.status(), 503);
         assert_eq!(response.header("retry-after"), Some("1.250"));
     });
 }
 
 #[test]
-fn a_request_that_was_not_run_goes_to_the_next_server() {
+fn a_request_that_was_not_run_is_retried_at_the_next_endpoint() {
     run_test(async {
         let dead = TestEndpoint::dead("i-dead").await;
         let (full, moved, good) = (
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn turned_away_by_all_it_may_come_back() {
+fn a_request_rejected_by_all_endpoints_may_be_retried_by_its_client() {
     run_test(async {
         let full = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&full]).await;
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn what_may_have_run_and_can_not_be_repeated_is_sent_once() {
+fn a_request_that_may_have_run_and_is_not_idempotent_is_not_retried() {
     run_test(async {
         let (first, second) = (
             TestEndpoint::start("i-1").await,
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_promise_that_nothing_backs_is_not_passed_on() {
+fn an_unconfirmed_rejection_is_not_forwarded() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_servers_own_failure_is_passed_on() {
+fn an_endpoints_own_failure_is_forwarded() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn an_answer_that_is_not_the_servers_is_not_passed_on() {
+fn an_unrelated_response_is_not_forwarded() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn a_short_answer_that_breaks_off_becomes_a_failure() {
+fn a_short_response_that_is_truncated_becomes_a_502() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -386,7 +386,7 @@
 }
 
 #[test]
-fn a_long_answer_that_breaks_off_looks_broken() {
+fn a_long_response_that_is_truncated_looks_truncated() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -403,14 +403,14 @@
                 .send(format!("{head}{framing}{part}").as_bytes())
                 .await;
             drop(connection);
-            assert!(client.try_message().await.is_err(), "{framing}");
+            assert!(client.message_or_truncated().await.is_err(), "{framing}");
         }
         assert_eq!(proxy.node.outcomes(), [Outcome::Failed; 2]);
     });
 }
 
 #[test]
-fn a_long_answer_comes_whole() {
+fn a_long_response_comes_completely() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn silence_ends_at_the_time_of_the_route() {
+fn an_unresponsive_endpoint_is_given_up_at_the_timeout_of_the_route() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -444,7 +444,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_frees_its_place_at_once() {
+fn a_client_that_disconnects_ends_its_request_at_once() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -457,7 +457,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_a_long_answer_comes_frees_its_place() {
+fn a_client_that_disconnects_during_a_long_response_ends_its_request() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -473,7 +473,7 @@
 }
 
 #[test]
-fn what_a_request_says_of_itself_is_asked_with() {
+fn the_choice_gets_what_the_request_states() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -495,7 +495,7 @@
 }
 
 #[test]
-fn an_idempotent_request_is_sent_to_its_server_again_where_no_further_one_may_run_it() {
+fn an_idempotent_request_is_resent_to_its_endpoint_where_no_other_may_run_it() {
     run_test(async {
         let (endpoint, other) = (
             TestEndpoint::start("i-1").await,
@@ -516,7 +516,7 @@
 }
 
 #[test]
-fn a_server_that_breaks_every_answer_off_is_not_asked_for_ever() {
+fn an_endpoint_that_truncates_every_response_is_not_tried_for_ever() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -532,7 +532,7 @@
 }
 
 #[test]
-fn a_server_that_crashed_counts_no_longer_for_an_idempotent_request() {
+fn a_crashed_endpoint_no_longer_counts_for_an_idempotent_request() {
     run_test(async {
         let (mut endpoint, other) = (
             TestEndpoint::start("i-1").await,
@@ -551,15 +551,11 @@
 }
 
 #[test]
-fn a_service_without_servers_is_stood_in_for_by_another_one_of_the_route() {
+fn a_service_without_endpoints_is_replaced_by_another_of_its_route() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        let split = CONFIGURATION.replace(
-            r#""timeout_ms":20000,"target_ms":500,"priority":1,"backend":"plain""#,
-            r#""timeout_ms":20000,"target_ms":500,"priority":1,"backends":[{"backend":"engine","weight":100},{"backend":"plain","weight":1}]"#,
-        );
-        *proxy.node.table.borrow_mut() = Some(table(&split));
+        proxy.node.edit_configuration(&[(r#""timeout_ms":20000,"target_ms":500,"priority":1,"backend":"plain""#, r#""timeout_ms":20000,"target_ms":500,"priority":1,"backends":[{"backend":"engine","weight":100},{"backend":"plain","weight":1}]"#)]);
         proxy
             .node
             .services_without_endpoints
@@ -574,7 +570,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_at_the_end_of_its_time_leaves_for_the_servers_silence() {
+fn a_client_that_disconnects_at_its_deadline_counts_against_the_endpoint() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -589,7 +585,7 @@
 }
 
 #[test]
-fn answers_without_a_body_are_passed_on() {
+fn responses_without_a_body_are_forwarded() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -641,7 +637,7 @@
 }
 
 #[test]
-fn a_target_with_its_host_is_one_of_that_host() {
+fn an_absolute_target_names_its_host() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -652,16 +648,14 @@
             "GET /write/a?b=c HTTP/1.1"
         );
         let response = proxy
-            .request(&get("*", "r1").replace("GET", "OPTIONS"))
-            .await
-            .message()
+            .response(&get("*", "r1").replace("GET", "OPTIONS"))
             .await;
         assert_eq!(response.status(), 404);
     });
 }
 
 #[test]
-fn paths_and_queries_stay_as_they_came() {
+fn paths_and_queries_stay_unchanged() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -682,7 +676,7 @@
 }
 
 #[test]
-fn a_body_without_a_length_is_whole_once_the_server_has_ended_the_connection_in_order() {
+fn a_body_without_a_length_is_complete_once_the_endpoint_has_closed_the_connection() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -704,7 +698,7 @@
 }
 
 #[test]
-fn a_body_without_a_length_is_not_whole_while_its_connection_stands() {
+fn a_body_without_a_length_is_incomplete_while_its_connection_is_open() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -726,7 +720,7 @@
 }
 
 #[test]
-fn a_body_without_a_length_that_is_reset_is_not_whole() {
+fn a_body_without_a_length_that_is_reset_is_incomplete() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
--- a/crates/serving/proxy/tests/stale_responses.rs
+++ b/crates/serving/proxy/tests/stale_responses.rs
@@ -1,30 +1,31 @@
-//! Answers and bytes that belong to no request, or to another one than is waited for: none reaches another caller.
-//! And what each guard against them is for, shown with the guard taken out.
+//! Responses and bytes that belong to no request, or to another one than is waited for: none reaches another client.
+//! And what each safeguard protects against, shown with the safeguard taken out.
 
 mod support;
 
 use dunespur_proxy::{ProxySettings, Safeguards};
 use std::io::Write;
-use support::*;
+use support::{event, get, pass_time, post, run_test, Message, Peer, TestEndpoint, TestProxy};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::Duration;
 
 const HEAD: &str =
     "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n";
-/// More than the sockets hold of a request that its server does not read.
+/// More than the sockets' buffers hold of a request that its endpoint does not read.
 const LONG_BODY: usize = 6 * 1024 * 1024;
 
 async fn proxy_without(endpoints: &[&TestEndpoint], safeguards: Safeguards) -> TestProxy {
     TestProxy::with_safeguards(endpoints, ProxySettings::default(), safeguards).await
 }
 
-fn take_long_bodies(proxy: &TestProxy) {
-    let roomy = CONFIGURATION.replace(r#""max_body_bytes":100000"#, r#""max_body_bytes":20000000"#);
-    *proxy.node.table.borrow_mut() = Some(table(&roomy));
+fn allow_long_bodies(proxy: &TestProxy) {
+    proxy
+        .node
+        .edit_configuration(&[(r#""max_body_bytes":100000"#, r#""max_body_bytes":20000000"#)]);
 }
 
-/// Bytes in which each place tells itself.
+/// Bytes that differ at every offset.
 fn numbered_body(bytes: usize) -> String {
     (0..)
         .flat_map(|number: u32| format!("{number},").into_bytes())
@@ -33,8 +34,8 @@
         .collect()
 }
 
-/// Serves one request over a connection that is kept and has rested, so that anything may go over it next.
-async fn rested_connection(proxy: &TestProxy, endpoint: &TestEndpoint) -> Peer {
+/// Serves one request over a connection that is pooled and has cooled down, so that any request may go over it next.
+async fn cooled_down_connection(proxy: &TestProxy, endpoint: &TestEndpoint) -> Peer {
     let mut client = proxy.request(&get("/read/", "first")).await;
     let (mut connection, _) = endpoint.next_request().await;
     connection
@@ -46,11 +47,11 @@
 }
 
 #[test]
-fn an_early_answer_ends_the_connection_and_the_server_reads_nothing_but_its_body() {
+fn an_early_response_closes_the_connection_and_the_endpoint_reads_only_its_body() {
     run_test(async {
         let endpoint = TestEndpoint::narrow("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        take_long_bodies(&proxy);
+        allow_long_bodies(&proxy);
         let body = numbered_body(LONG_BODY);
         let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
         let mut connection = endpoint.accept().await;
@@ -69,11 +70,11 @@
 }
 
 #[test]
-fn a_server_that_reads_on_while_it_answers_gets_the_whole_body_and_keeps_its_connection() {
+fn an_endpoint_that_reads_on_while_it_responds_gets_the_complete_body() {
     run_test(async {
         let endpoint = TestEndpoint::narrow("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        take_long_bodies(&proxy);
+        allow_long_bodies(&proxy);
         let body = numbered_body(LONG_BODY);
         let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
         let mut connection = endpoint.accept().await;
@@ -95,14 +96,14 @@
 }
 
 #[test]
-fn a_server_that_has_read_no_more_than_the_head_may_have_run_the_request() {
+fn an_endpoint_that_has_read_only_the_head_may_have_run_the_request() {
     run_test(async {
         let (first, second) = (
             TestEndpoint::narrow("i-1").await,
             TestEndpoint::start("i-2").await,
         );
         let proxy = TestProxy::start(&[&first, &second]).await;
-        take_long_bodies(&proxy);
+        allow_long_bodies(&proxy);
         let body = numbered_body(LONG_BODY);
         let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
         let mut connection = first.accept().await;
@@ -117,14 +118,14 @@
         assert_eq!(
             client.message().await.status(),
             504,
-            "no promise that it has not run"
+            "not said not to have run"
         );
         assert!(second.has_no_connection().await);
     });
 }
 
 /// Returns once this machine has given up a connection whose other side leaves bytes unread, after `peer_timeout`.
-async fn unread_bytes_are_given_up(peer_timeout: Duration) {
+async fn wait_for_user_timeout(peer_timeout: Duration) {
     let unread = TestEndpoint::narrow("unread").await;
     let mut stream = TcpStream::connect(unread.address).await.unwrap();
     socket2::SockRef::from(&stream)
@@ -135,16 +136,16 @@
 }
 
 #[test]
-fn a_server_that_reads_a_long_body_late_gets_it() {
+fn an_endpoint_that_reads_a_long_body_late_gets_it() {
     run_test(async {
         let endpoint = TestEndpoint::narrow("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        take_long_bodies(&proxy);
+        allow_long_bodies(&proxy);
         let body = numbered_body(LONG_BODY);
         let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
         let mut connection = endpoint.accept().await;
         let head = connection.head().await;
-        unread_bytes_are_given_up(Duration::from_millis(1500)).await;
+        wait_for_user_timeout(Duration::from_millis(1500)).await;
         let read = connection.body_of(&head).await;
         assert!(
             read.is_ok_and(|read| read == body.as_bytes()),
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn answers_on_different_connections_may_pass_each_other() {
+fn responses_on_different_connections_may_overtake_each_other() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -172,7 +173,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_over_the_connection_of_another_request_is_nobodys() {
+fn a_response_over_the_connection_of_another_request_is_discarded() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -188,15 +189,15 @@
 }
 
 #[test]
-fn the_answer_to_a_client_that_has_left_is_nobodys() {
+fn the_response_to_a_disconnected_client_is_discarded() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut connection = rested_connection(&proxy, &endpoint).await;
+        let mut connection = cooled_down_connection(&proxy, &endpoint).await;
         let left = proxy.request(&post("/write/", "r1", "", "x")).await;
         assert_eq!(connection.message().await.id(), "r1");
         drop(left);
-        // No time passes: the end of the client's connection is that of the server's.
+        // No time passes: the end of the client's connection closes the endpoint's.
         assert!(connection.is_closed().await);
         connection
             .respond(200, "r1", "", "for one that has left")
@@ -209,9 +210,9 @@
     });
 }
 
-/// A second copy of an answer has the id of the request that is sent again.
+/// A duplicate of a response has the id of the request that is sent again.
 #[test]
-fn a_request_that_was_turned_away_does_not_go_over_the_same_connection_again() {
+fn a_rejected_request_is_not_sent_over_the_same_connection_again() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -229,7 +230,7 @@
 }
 
 #[test]
-fn interim_answers_are_no_answer() {
+fn interim_responses_are_no_response() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -244,20 +245,19 @@
     });
 }
 
-// What each guard is against.
+// What each safeguard protects against.
 
-/// Whether a request that can't be repeated reaches a second server after it may have run at the first.
+/// Whether a request that is not idempotent reaches a second endpoint after it may have run at the first.
 async fn runs_twice(safeguards: Safeguards) -> bool {
     let (first, second) = (
         TestEndpoint::start("i-1").await,
         TestEndpoint::start("i-2").await,
     );
     let proxy = proxy_without(&[&first, &second], safeguards).await;
-    let more = CONFIGURATION.replace(
+    proxy.node.edit_configuration(&[(
         r#""target_ms":500,"priority":1,"backend":"plain","retries":1"#,
         r#""target_ms":500,"priority":1,"backend":"plain","retries":2"#,
-    );
-    *proxy.node.table.borrow_mut() = Some(table(&more));
+    )]);
     let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
     first.next_request().await.0.reset();
     tokio::select! {
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn what_can_not_be_repeated_must_be_sent_once() {
+fn a_request_that_is_not_idempotent_must_run_once() {
     run_test(async {
         assert!(!runs_twice(Safeguards::default()).await);
         assert!(
@@ -286,11 +286,11 @@
     });
 }
 
-/// What a client gets where the answer to an earlier request comes in the place of its own.
-async fn answer_behind_a_late_one(safeguards: Safeguards) -> String {
+/// What a client gets where the response to an earlier request comes instead of its own.
+async fn response_behind_a_stale_one(safeguards: Safeguards) -> String {
     let endpoint = TestEndpoint::start("i-1").await;
     let proxy = proxy_without(&[&endpoint], safeguards).await;
-    let mut connection = rested_connection(&proxy, &endpoint).await;
+    let mut connection = cooled_down_connection(&proxy, &endpoint).await;
     let mut client = proxy.request(&get("/read/", "r2")).await;
     connection.message().await;
     connection.respond(200, "first", "", "another's").await;
@@ -304,26 +304,26 @@
 }
 
 #[test]
-fn the_ids_of_answers_must_be_compared() {
+fn the_ids_of_responses_must_be_compared() {
     run_test(async {
         assert_eq!(
-            answer_behind_a_late_one(Safeguards::default()).await,
+            response_behind_a_stale_one(Safeguards::default()).await,
             "its own"
         );
         let safeguards = Safeguards {
             response_ids_compared: false,
             ..Safeguards::default()
         };
-        assert_eq!(answer_behind_a_late_one(safeguards).await, "another's");
+        assert_eq!(response_behind_a_stale_one(safeguards).await, "another's");
     });
 }
 
-/// Whether a request reaches a connection on which surplus bytes have come in the last moment before it was sent, so
+/// Whether a request goes over a connection on which surplus bytes arrived in the last moment before it was sent, so
 /// that no event loop has seen them.
-async fn goes_behind_surplus_bytes(safeguards: Safeguards) -> bool {
+async fn is_sent_behind_surplus_bytes(safeguards: Safeguards) -> bool {
     let endpoint = TestEndpoint::start("i-1").await;
     let proxy = proxy_without(&[&endpoint], safeguards).await;
-    let mut connection = rested_connection(&proxy, &endpoint).await;
+    let mut connection = cooled_down_connection(&proxy, &endpoint).await;
     let mut writer = connection.writer();
     let surplus = format!(
         "{}Content-Length: 4\r\n\r\nlate",
@@ -347,19 +347,19 @@
 }
 
 #[test]
-fn surplus_bytes_must_end_their_connection() {
+fn surplus_bytes_must_close_their_connection() {
     run_test(async {
-        assert!(!goes_behind_surplus_bytes(Safeguards::default()).await);
+        assert!(!is_sent_behind_surplus_bytes(Safeguards::default()).await);
         let safeguards = Safeguards {
             surplus_bytes_close_connection: false,
             ..Safeguards::default()
         };
-        assert!(goes_behind_surplus_bytes(safeguards).await);
+        assert!(is_sent_behind_surplus_bytes(safeguards).await);
     });
 }
 
-/// Status and body that a client gets of an answer without a length that is reset on its way.
-async fn answer_that_is_reset(safeguards: Safeguards) -> (u16, String) {
+/// The response that a client gets where the endpoint resets one without a length.
+async fn reset_response(safeguards: Safeguards) -> (u16, String) {
     let endpoint = TestEndpoint::start("i-1").await;
     let proxy = proxy_without(&[&endpoint], safeguards).await;
     let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
@@ -371,24 +371,21 @@
 }
 
 #[test]
-fn a_reset_must_be_no_end() {
+fn a_reset_must_truncate_a_body() {
     run_test(async {
-        assert_eq!(answer_that_is_reset(Safeguards::default()).await.0, 502);
+        assert_eq!(reset_response(Safeguards::default()).await.0, 502);
         let safeguards = Safeguards {
             reset_truncates_body: false,
             ..Safeguards::default()
         };
-        assert_eq!(
-            answer_that_is_reset(safeguards).await,
-            (200, "half".to_owned())
-        );
+        assert_eq!(reset_response(safeguards).await, (200, "half".to_owned()));
     });
 }
 
-// Time.
+// Deadlines.
 
 #[test]
-fn servers_are_handed_the_time_that_is_left_on_every_send() {
+fn every_send_states_the_remaining_time() {
     run_test(async {
         let (first, second) = (
             TestEndpoint::start("i-1").await,
@@ -414,7 +411,7 @@
 }
 
 #[test]
-fn a_request_without_a_time_of_its_own_has_that_of_its_route() {
+fn a_request_without_a_deadline_has_the_timeout_of_its_route() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -431,7 +428,7 @@
 }
 
 #[test]
-fn an_answer_comes_at_the_time_of_the_route() {
+fn a_response_comes_at_the_timeout_of_the_route() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -447,7 +444,7 @@
 }
 
 #[test]
-fn a_stream_under_way_ends_broken_at_the_time_of_the_route() {
+fn a_stream_under_way_ends_truncated_at_the_timeout_of_its_route() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
--- a/crates/serving/proxy/tests/streams.rs
+++ b/crates/serving/proxy/tests/streams.rs
@@ -1,49 +1,130 @@
-//! Streams of events: passed on as they come, counted, kept, cut, taken up elsewhere.
+//! Streams of events: forwarded as they arrive, counted, stored, truncated, resumed at another endpoint.
 
 mod support;
 
 use dunespur_proxy::{AdmissionDecision, CompletedTurn, History, ProxySettings, TurnKey};
 use dunespur_routing::Outcome;
-use support::*;
-
-const TURN: &str =
-    "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
+use support::{
+    bytes, event, events, post, run_test, Message, NodeCall, Peer, TestEndpoint, TestNode,
+    TestProxy, TURN,
+};
 
 fn served(tokens_out: u32) -> Outcome {
     Outcome::Served { tokens_out }
 }
 
+/// The call by which a node admits the turns of these tests.
+fn admission() -> NodeCall {
+    NodeCall::Admit {
+        program: "p1".to_owned(),
+        budget: 1000,
+        max_tokens: 8,
+    }
+}
+
+/// A client's turn at the first endpoint, which drives the endpoint's connection and reads what the client gets.
+struct Stream {
+    proxy: TestProxy,
+    client: Peer,
+    connection: Peer,
+    request: Message,
+}
+
+impl Stream {
+    /// A turn that its endpoint has received.
+    async fn request(proxy: TestProxy, endpoint: &TestEndpoint, path: &str, more: &str) -> Stream {
+        let client = proxy.request(&post(path, "r1", more, "x")).await;
+        let (connection, request) = endpoint.next_request().await;
+        Stream {
+            proxy,
+            client,
+            connection,
+            request,
+        }
+    }
+
+    /// A turn whose endpoint, the first of these, has begun a stream of events.
+    async fn start(endpoints: &[&TestEndpoint], path: &str) -> Stream {
+        let proxy = TestProxy::start(endpoints).await;
+        let mut stream = Stream::request(proxy, endpoints[0], path, TURN).await;
+        stream.connection.stream_head("r1", "").await;
+        stream
+    }
+
+    /// The same with these first events on their way to the client, which has read the head.
+    async fn start_with(endpoints: &[&TestEndpoint], path: &str, first: &str) -> Stream {
+        let mut stream = Stream::start(endpoints, path).await;
+        stream.connection.chunk(first).await;
+        stream.client.head().await;
+        stream
+    }
+
+    /// The next chunk that the client gets; empty at the end of the response.
+    async fn next_chunk(&mut self) -> String {
+        let chunk = self.client.next_chunk().await.expect("a chunk");
+        String::from_utf8(chunk).unwrap()
+    }
+
+    /// Whether the client's connection ends instead of a further chunk.
+    async fn is_truncated(&mut self) -> bool {
+        self.client.next_chunk().await.is_none()
+    }
+
+    /// The endpoint sends these events and the end of its response.
+    async fn finish_with(&mut self, events: &str) {
+        self.connection.chunk(events).await;
+        self.connection.last_chunk().await;
+    }
+
+    fn outcomes(&self) -> Vec<Outcome> {
+        self.proxy.node.outcomes()
+    }
+}
+
+/// The request at the endpoint that gets it next, which begins a stream of its own.
+async fn resume_at(endpoint: &TestEndpoint) -> (Peer, Message) {
+    let (mut connection, request) = endpoint.next_request().await;
+    connection.stream_head("r1", "").await;
+    (connection, request)
+}
+
+/// Two endpoints with the ids `i-1` and `i-2`.
+async fn two_endpoints() -> (TestEndpoint, TestEndpoint) {
+    (
+        TestEndpoint::start("i-1").await,
+        TestEndpoint::start("i-2").await,
+    )
+}
+
 #[test]
-fn events_are_passed_on_as_they_come() {
+fn events_are_forwarded_as_they_arrive() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "X-Versions: 1\r\n").await;
-        connection.chunk(&event(1)).await;
-        let head = client.head().await;
+        let mut stream = Stream::request(proxy, &endpoint, "/stream/", TURN).await;
+        stream
+            .connection
+            .stream_head("r1", "X-Versions: 1\r\n")
+            .await;
+        stream.connection.chunk(&event(1)).await;
+        let head = stream.client.head().await;
         assert_eq!(head.status(), 200);
         assert_eq!(head.header("x-dunespur-response-stamp"), Some("s.r1"));
         assert_eq!(head.header("x-versions"), Some("1"));
-        assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
-        // The next is made only once the one before has arrived.
+        assert_eq!(stream.next_chunk().await, event(1));
+        // The next is sent only once the one before has arrived.
         for id in 2..=3 {
-            connection.chunk(&event(id)).await;
-            assert_eq!(client.next_chunk().await.unwrap(), event(id).as_bytes());
+            stream.connection.chunk(&event(id)).await;
+            assert_eq!(stream.next_chunk().await, event(id));
         }
-        connection.last_chunk().await;
-        assert_eq!(client.next_chunk().await.unwrap(), b"");
-        proxy.node.called_with(&NodeCall::Release).await;
-        let reserve = NodeCall::Admit {
-            program: "p1".to_owned(),
-            budget: 1000,
-            max_tokens: 8,
-        };
+        stream.connection.last_chunk().await;
+        assert_eq!(stream.next_chunk().await, "");
+        let node = &stream.proxy.node;
+        node.called_with(&NodeCall::Release).await;
         assert_eq!(
-            proxy.node.calls(),
+            node.calls(),
             [
-                reserve,
+                admission(),
                 NodeCall::RecordTokens(3),
                 NodeCall::FirstEvent,
                 NodeCall::RecordTokens(3),
@@ -56,675 +137,514 @@
 }
 
 #[test]
-fn a_part_of_an_event_waits_for_the_rest() {
+fn a_partial_event_waits_for_its_rest() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        client.head().await;
-        assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
-        connection.chunk("id: 2\nda").await;
-        connection
-            .chunk(&format!("ta: word2\n\n{}id: 4", event(3)))
-            .await;
-        assert_eq!(client.next_chunk().await.unwrap(), events(2..=3).as_bytes());
-        drop(connection);
-        assert_eq!(
-            client.next_chunk().await,
-            None,
-            "neither a partial event nor a clean end"
-        );
-        proxy
-            .node
-            .called_with(&NodeCall::Finished(Outcome::Failed))
-            .await;
-        assert_eq!(proxy.node.used(), 8);
+        let mut stream = Stream::start_with(&[&endpoint], "/stream/", &event(1)).await;
+        assert_eq!(stream.next_chunk().await, event(1));
+        stream.connection.chunk("id: 2\nda").await;
+        let rest = format!("ta: word2\n\n{}id: 4", event(3));
+        stream.connection.chunk(&rest).await;
+        assert_eq!(stream.next_chunk().await, events(2..=3));
+        drop(stream.connection);
+        let truncated = stream.client.next_chunk().await;
+        assert_eq!(truncated, None, "neither a partial event nor a clean end");
+        let node = stream.proxy.node;
+        node.called_with(&NodeCall::Finished(Outcome::Failed)).await;
+        assert_eq!(node.recorded_tokens(), 8);
     });
 }
 
 #[test]
-fn a_stream_that_ends_within_an_event_is_no_whole_one() {
+fn a_stream_that_ends_within_an_event_is_incomplete() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection
-            .chunk(&format!("{}id: 2\ndata: wo", event(1)))
-            .await;
-        connection.last_chunk().await;
-        client.head().await;
-        assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
-        assert_eq!(client.next_chunk().await, None);
+        let partial = format!("{}id: 2\ndata: wo", event(1));
+        let mut stream = Stream::start_with(&[&endpoint], "/stream/", &partial).await;
+        stream.connection.last_chunk().await;
+        assert_eq!(stream.next_chunk().await, event(1));
+        assert!(stream.is_truncated().await);
     });
 }
 
 #[test]
-fn a_piece_that_comes_twice_is_not_passed_on() {
+fn an_event_that_comes_twice_is_not_forwarded() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&events(1..=2)).await;
-        client.head().await;
-        assert_eq!(client.next_chunk().await.unwrap(), events(1..=2).as_bytes());
-        connection.chunk(&event(2)).await;
-        assert_eq!(client.next_chunk().await, None);
-        assert!(connection.is_closed().await);
+        let mut stream = Stream::start_with(&[&endpoint], "/stream/", &events(1..=2)).await;
+        assert_eq!(stream.next_chunk().await, events(1..=2));
+        stream.connection.chunk(&event(2)).await;
+        assert!(stream.is_truncated().await);
+        assert!(stream.connection.is_closed().await);
     });
 }
 
 #[test]
-fn before_the_first_event_a_failure_can_still_be_told() {
+fn before_the_first_event_a_failure_becomes_a_502() {
     run_test(async {
-        let (first, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
-        let proxy = TestProxy::start(&[&first, &second]).await;
-        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
-        let (mut connection, _) = first.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk("id: 1\nda").await;
-        drop(connection);
-        let response = client.message().await;
+        let (first, second) = two_endpoints().await;
+        let mut stream = Stream::start(&[&first, &second], "/stream/").await;
+        stream.connection.chunk("id: 1\nda").await;
+        drop(stream.connection);
+        let response = stream.client.message().await;
         assert_eq!(response.status(), 502);
         assert_eq!(response.header("x-dunespur-response-stamp"), None);
         assert!(second.has_no_connection().await);
-        assert_eq!(proxy.node.used(), 0);
+        assert_eq!(stream.proxy.node.recorded_tokens(), 0);
     });
 }
 
 #[test]
 fn before_the_first_event_a_resumable_stream_starts_anew() {
     run_test(async {
-        let (first, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
-        let proxy = TestProxy::start(&[&first, &second]).await;
-        let mut client = proxy.request(&post("/resume2/", "r1", TURN, "x")).await;
-        let (mut connection, _) = first.next_request().await;
-        connection.stream_head("r1", "X-From: first\r\n").await;
-        drop(connection);
-        let (mut connection, message) = second.next_request().await;
-        assert_eq!(message.header("last-event-id"), None);
-        assert_eq!(message.text(), "x");
-        connection.stream_head("r1", "X-From: second\r\n").await;
-        connection.chunk(&events(1..=2)).await;
-        connection.last_chunk().await;
-        let response = client.message().await;
+        let (first, second) = two_endpoints().await;
+        let mut stream = Stream::start(&[&first, &second], "/resume2/").await;
+        drop(stream.connection);
+        (stream.connection, stream.request) = second.next_request().await;
+        assert_eq!(stream.request.header("last-event-id"), None);
+        assert_eq!(stream.request.text(), "x");
+        let head = "X-From: second\r\n";
+        stream.connection.stream_head("r1", head).await;
+        stream.finish_with(&events(1..=2)).await;
+        let response = stream.client.message().await;
         assert_eq!(response.header("x-from"), Some("second"));
         assert_eq!(response.text(), events(1..=2));
-        assert_eq!(proxy.node.outcomes(), [Outcome::Failed, served(6)]);
+        assert_eq!(stream.outcomes(), [Outcome::Failed, served(6)]);
     });
 }
 
 #[test]
-fn a_cut_stream_is_taken_up_at_another_server() {
+fn a_truncated_stream_is_resumed_at_another_endpoint() {
     run_test(async {
-        let (first, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
+        let (first, second) = two_endpoints().await;
         let proxy = TestProxy::start(&[&first, &second]).await;
-        let mut client = proxy.request(&post("/resume2/", "r1", TURN, "x")).await;
-        let (mut connection, _) = first.next_request().await;
-        connection.stream_head("r1", "X-From: first\r\n").await;
-        connection
-            .chunk(&format!("{}id: 3\nda", events(1..=2)))
-            .await;
-        let head = client.head().await;
-        assert_eq!(client.next_chunk().await.unwrap(), events(1..=2).as_bytes());
-        connection.reset();
-        let (mut connection, message) = second.next_request().await;
-        assert_eq!(message.header("last-event-id"), Some("2"));
-        assert_eq!(message.id(), "r1");
-        connection.stream_head("r1", "X-From: second\r\n").await;
-        connection.chunk(&event(3)).await;
-        assert_eq!(client.next_chunk().await.unwrap(), event(3).as_bytes());
-        connection.last_chunk().await;
-        assert_eq!(client.next_chunk().await.unwrap(), b"");
+        let mut stream = Stream::request(proxy, &first, "/resume2/", TURN).await;
+        let head = "X-From: first\r\n";
+        stream.connection.stream_head("r1", head).await;
+        let begun = format!("{}id: 3\nda", events(1..=2));
+        stream.connection.chunk(&begun).await;
+        let head = stream.client.head().await;
+        assert_eq!(stream.next_chunk().await, events(1..=2));
+        stream.connection.reset();
+        (stream.connection, stream.request) = second.next_request().await;
+        assert_eq!(stream.request.header("last-event-id"), Some("2"));
+        assert_eq!(stream.request.id(), "r1");
+        let second_head = "X-From: second\r\n";
+        stream.connection.stream_head("r1", second_head).await;
+        stream.connection.chunk(&event(3)).await;
+        assert_eq!(stream.next_chunk().await, event(3));
+        stream.connection.last_chunk().await;
+        assert_eq!(stream.next_chunk().await, "");
         assert_eq!(head.header("x-from"), Some("first"));
-        assert_eq!(proxy.node.outcomes(), [Outcome::Failed, served(8)]);
-        assert_eq!(proxy.node.used(), 8);
+        assert_eq!(stream.outcomes(), [Outcome::Failed, served(8)]);
+        assert_eq!(stream.proxy.node.recorded_tokens(), 8);
     });
 }
 
 #[test]
-fn a_server_that_starts_over_does_not_go_on_with_a_stream() {
+fn an_endpoint_that_starts_a_stream_anew_does_not_resume_it() {
     run_test(async {
-        let (first, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
-        let proxy = TestProxy::start(&[&first, &second]).await;
-        let mut client = proxy.request(&post("/resume2/", "r1", TURN, "x")).await;
-        let (mut connection, _) = first.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&events(1..=2)).await;
-        client.head().await;
-        assert_eq!(client.next_chunk().await.unwrap(), events(1..=2).as_bytes());
-        drop(connection);
+        let (first, second) = two_endpoints().await;
+        let endpoints = [&first, &second];
+        let mut stream = Stream::start_with(&endpoints, "/resume2/", &events(1..=2)).await;
+        assert_eq!(stream.next_chunk().await, events(1..=2));
+        drop(stream.connection);
         for _ in 0..3 {
-            let (mut connection, message) = second.next_request().await;
-            assert_eq!(message.header("last-event-id"), Some("2"));
+            let (mut connection, request) = second.next_request().await;
+            assert_eq!(request.header("last-event-id"), Some("2"));
             connection.stream_head("r1", "").await;
             connection.chunk(&events(1..=3)).await;
             assert!(connection.is_closed().await);
         }
-        assert_eq!(client.next_chunk().await, None);
+        assert_eq!(stream.client.next_chunk().await, None);
         assert!(second.has_no_connection().await);
     });
 }
 
 #[test]
-fn a_cut_stream_is_taken_up_at_its_server_where_no_further_one_may_run_it() {
+fn a_truncated_stream_is_resumed_at_its_endpoint_where_no_other_may_run_it() {
     run_test(async {
-        let (endpoint, other) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
-        let proxy = TestProxy::start(&[&endpoint, &other]).await;
-        let mut client = proxy.request(&post("/resume/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        client.head().await;
-        assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
-        connection.reset();
-        let (mut connection, message) = endpoint.next_request().await;
-        assert_eq!(message.header("last-event-id"), Some("1"));
-        assert_eq!(message.header("x-dunespur-expect-instance"), Some("i-1"));
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(2)).await;
-        connection.last_chunk().await;
-        assert_eq!(client.next_chunk().await.unwrap(), event(2).as_bytes());
-        assert_eq!(client.next_chunk().await.unwrap(), b"");
+        let (endpoint, other) = two_endpoints().await;
+        let endpoints = [&endpoint, &other];
+        let mut stream = Stream::start_with(&endpoints, "/resume/", &event(1)).await;
+        assert_eq!(stream.next_chunk().await, event(1));
+        stream.connection.reset();
+        (stream.connection, stream.request) = resume_at(&endpoint).await;
+        let expected = stream.request.header("x-dunespur-expect-instance");
+        assert_eq!(stream.request.header("last-event-id"), Some("1"));
+        assert_eq!(expected, Some("i-1"));
+        stream.finish_with(&event(2)).await;
+        assert_eq!(stream.next_chunk().await, event(2));
+        assert_eq!(stream.next_chunk().await, "");
         assert!(other.has_no_connection().await);
-        assert_eq!(proxy.node.outcomes(), [served(6)]);
+        assert_eq!(stream.outcomes(), [served(6)]);
     });
 }
 
 #[test]
-fn a_server_that_crashed_midway_no_longer_counts() {
+fn an_endpoint_that_crashed_during_a_stream_no_longer_counts() {
     run_test(async {
-        let (mut endpoint, other) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
-        let proxy = TestProxy::start(&[&endpoint, &other]).await;
-        let mut client = proxy.request(&post("/resume/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        client.head().await;
-        assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
+        let (mut endpoint, other) = two_endpoints().await;
+        let endpoints = [&endpoint, &other];
+        let mut stream = Stream::start_with(&endpoints, "/resume/", &event(1)).await;
+        assert_eq!(stream.next_chunk().await, event(1));
         endpoint.die();
-        connection.reset();
-        let (mut connection, message) = other.next_request().await;
-        assert_eq!(message.header("last-event-id"), Some("1"));
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(2)).await;
-        connection.last_chunk().await;
-        assert_eq!(client.next_chunk().await.unwrap(), event(2).as_bytes());
-        assert_eq!(client.next_chunk().await.unwrap(), b"");
-        assert_eq!(proxy.node.outcomes(), [Outcome::Unreachable, served(6)]);
+        stream.connection.reset();
+        (stream.connection, stream.request) = resume_at(&other).await;
+        assert_eq!(stream.request.header("last-event-id"), Some("1"));
+        stream.finish_with(&event(2)).await;
+        assert_eq!(stream.next_chunk().await, event(2));
+        assert_eq!(stream.next_chunk().await, "");
+        assert_eq!(stream.outcomes(), [Outcome::Unreachable, served(6)]);
     });
 }
 
 #[test]
-fn another_instance_at_the_address_says_that_the_server_crashed() {
+fn another_instance_at_the_address_shows_that_the_endpoint_crashed() {
     run_test(async {
-        let (endpoint, other) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
-        let proxy = TestProxy::start(&[&endpoint, &other]).await;
-        let mut client = proxy.request(&post("/resume/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        client.head().await;
-        connection.reset();
+        let (endpoint, other) = two_endpoints().await;
+        let endpoints = [&endpoint, &other];
+        let mut stream = Stream::start_with(&endpoints, "/resume/", &event(1)).await;
+        stream.connection.reset();
         let (mut connection, _) = endpoint.next_request().await;
         connection.respond(421, "r1", "", "").await;
-        let (mut connection, message) = other.next_request().await;
-        assert_eq!(message.header("last-event-id"), Some("1"));
-        connection.stream_head("r1", "").await;
-        connection.last_chunk().await;
-        assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
-        assert_eq!(client.next_chunk().await.unwrap(), b"");
-        assert_eq!(proxy.node.outcomes(), [Outcome::Moved, served(3)]);
+        (stream.connection, stream.request) = resume_at(&other).await;
+        assert_eq!(stream.request.header("last-event-id"), Some("1"));
+        stream.connection.last_chunk().await;
+        assert_eq!(stream.next_chunk().await, event(1));
+        assert_eq!(stream.next_chunk().await, "");
+        assert_eq!(stream.outcomes(), [Outcome::Moved, served(3)]);
     });
 }
 
 #[test]
-fn a_stream_that_can_not_be_resumed_ends_where_it_is_cut() {
+fn a_stream_that_can_not_be_resumed_ends_where_it_is_truncated() {
     run_test(async {
-        let (endpoint, other) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
-        let proxy = TestProxy::start(&[&endpoint, &other]).await;
-        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        client.head().await;
-        connection.reset();
-        assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
-        assert_eq!(client.next_chunk().await, None);
+        let (endpoint, other) = two_endpoints().await;
+        let endpoints = [&endpoint, &other];
+        let mut stream = Stream::start_with(&endpoints, "/stream/", &event(1)).await;
+        stream.connection.reset();
+        let chunk = stream.client.next_chunk().await.unwrap();
+        assert_eq!(chunk, event(1).as_bytes());
+        assert_eq!(stream.client.next_chunk().await, None);
         assert!(endpoint.has_no_connection().await && other.has_no_connection().await);
-        assert_eq!(proxy.node.outcomes(), [Outcome::Failed]);
+        assert_eq!(stream.proxy.node.outcomes(), [Outcome::Failed]);
     });
 }
 
 #[test]
-fn a_client_that_takes_a_stream_up_gets_what_comes_behind() {
+fn a_client_that_resumes_a_stream_gets_the_events_behind_its_last() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut client = proxy
-            .request(&post("/resume/", "r2", "Last-Event-Id: 4\r\n", "x"))
-            .await;
-        let (mut connection, message) = endpoint.next_request().await;
-        assert_eq!(message.header("last-event-id"), Some("4"));
-        connection.stream_head("r2", "").await;
-        connection.chunk(&events(5..=6)).await;
-        connection.last_chunk().await;
-        assert_eq!(client.message().await.text(), events(5..=6));
+        let more = "Last-Event-Id: 4\r\n";
+        let mut stream = Stream::request(proxy, &endpoint, "/resume/", more).await;
+        assert_eq!(stream.request.header("last-event-id"), Some("4"));
+        stream.connection.stream_head("r1", "").await;
+        stream.finish_with(&events(5..=6)).await;
+        assert_eq!(stream.client.message().await.text(), events(5..=6));
     });
 }
 
 #[test]
-fn a_failure_instead_of_a_stream_is_passed_on() {
+fn a_failure_instead_of_a_stream_is_forwarded() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.respond(500, "r1", "", "broken").await;
-        let response = client.message().await;
+        let mut stream = Stream::request(proxy, &endpoint, "/stream/", TURN).await;
+        stream.connection.respond(500, "r1", "", "broken").await;
+        let response = stream.client.message().await;
         assert_eq!((response.status(), response.text()), (500, "broken"));
-        assert_eq!(proxy.node.calls().last(), Some(&NodeCall::Release));
+        let calls = stream.proxy.node.calls();
+        assert_eq!(calls.last(), Some(&NodeCall::Release));
     });
 }
 
 #[test]
-fn a_client_that_leaves_a_stream_frees_everything() {
+fn a_client_that_disconnects_from_a_stream_frees_everything() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut client = proxy.request(&post("/turn/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        client.until("\n\n").await;
-        drop(client);
-        assert!(connection.is_closed().await);
+        let mut stream = Stream::start(&[&endpoint], "/turn/").await;
+        stream.connection.chunk(&event(1)).await;
+        stream.client.until("\n\n").await;
+        drop(stream.client);
+        assert!(stream.connection.is_closed().await);
+        let proxy = stream.proxy;
         proxy.node.called_with(&NodeCall::Release).await;
         assert_eq!(proxy.node.outcomes(), [Outcome::Abandoned]);
         assert_eq!(proxy.server.counters().body_bytes, 0);
-        let kept = proxy
-            .node
-            .calls()
+        let calls = proxy.node.calls();
+        let mut stored = calls
             .iter()
-            .any(|calls| matches!(calls, NodeCall::Persist(_)));
-        assert!(!kept);
+            .filter(|call| matches!(call, NodeCall::Persist(_)));
+        assert!(stored.next().is_none());
     });
 }
 
 #[test]
-fn a_turn_without_budget_left_reaches_no_server() {
+fn a_turn_without_budget_reaches_no_endpoint() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        proxy.node.reserve.set(AdmissionDecision::BudgetSpent);
-        assert_eq!(
-            proxy
-                .request(&post("/stream/", "r1", TURN, "x"))
-                .await
-                .message()
-                .await
-                .status(),
-            402
-        );
-        proxy
-            .node
-            .reserve
-            .set(AdmissionDecision::RetryLater { retry_after_ms: 80 });
-        let response = proxy
-            .request(&post("/stream/", "r2", TURN, "x"))
-            .await
-            .message()
-            .await;
-        assert_eq!(
-            (response.status(), response.header("retry-after")),
-            (503, Some("0.080"))
-        );
+        let admission = &proxy.node.admission;
+        admission.set(AdmissionDecision::BudgetSpent);
+        let response = proxy.response(&post("/stream/", "r1", TURN, "x")).await;
+        assert_eq!(response.status(), 402);
+        admission.set(AdmissionDecision::RetryLater { retry_after_ms: 80 });
+        let response = proxy.response(&post("/stream/", "r2", TURN, "x")).await;
+        let retry_after = response.header("retry-after");
+        assert_eq!((response.status(), retry_after), (503, Some("0.080")));
         assert!(endpoint.has_no_connection().await);
         assert!(!proxy.node.calls().contains(&NodeCall::Release));
     });
 }
 
 #[test]
-fn a_turn_that_finds_no_server_gives_its_tokens_back() {
+fn a_turn_without_an_endpoint_releases_its_budget() {
     run_test(async {
         let proxy = TestProxy::start(&[]).await;
-        assert_eq!(
-            proxy
-                .request(&post("/stream/", "r1", TURN, "x"))
-                .await
-                .message()
-                .await
-                .status(),
-            503
-        );
+        let response = proxy.response(&post("/stream/", "r1", TURN, "x")).await;
+        assert_eq!(response.status(), 503);
         assert_eq!(proxy.node.calls().last(), Some(&NodeCall::Release));
     });
 }
 
 #[test]
-fn calls_of_tools_carry_no_budget() {
+fn tool_calls_reserve_no_budget() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut client = proxy
-            .request(&post(
-                "/write/",
-                "r1",
-                "Program: p1\r\nSession: s1\r\nBudget: 5\r\n",
-                "x",
-            ))
-            .await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.respond(200, "r1", "", "ok").await;
-        assert_eq!(client.message().await.status(), 200);
+        let more = "Program: p1\r\nSession: s1\r\nBudget: 5\r\n";
+        let mut stream = Stream::request(proxy, &endpoint, "/write/", more).await;
+        stream.connection.respond(200, "r1", "", "ok").await;
+        assert_eq!(stream.client.message().await.status(), 200);
         assert_eq!(
-            proxy.node.calls(),
+            stream.proxy.node.calls(),
             [NodeCall::FirstEvent, NodeCall::Finished(served(0))]
         );
     });
 }
 
 #[test]
-fn a_kept_turn_ends_only_once_it_is_kept() {
+fn a_persisted_turn_ends_only_once_it_is_stored() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
+        let node = proxy.node.clone();
+        let history = vec![bytes("first "), bytes("answer\n")];
+        *node.history.borrow_mut() = History::Found(history);
+        node.persist_permits.forget_permits(1000);
         let more = format!("{TURN}Previous: r0\r\n");
-        *proxy.node.history.borrow_mut() = History::Found(vec![bytes("first "), bytes("answer\n")]);
-        proxy.node.persist_permits.forget_permits(1000);
-        let mut client = proxy.request(&post("/turn/", "r1", &more, "second")).await;
-        let (mut connection, message) = endpoint.next_request().await;
-        assert_eq!(message.text(), "first answer\nsecond");
-        assert_eq!(message.header("previous"), Some("r0"));
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        connection
-            .chunk("versions: 2\nid: 2\ndata: a\ndata: b\n\n")
-            .await;
-        connection.last_chunk().await;
-        let kept = NodeCall::Persist(CompletedTurn {
+        let mut stream = Stream::request(proxy, &endpoint, "/turn/", &more).await;
+        assert_eq!(stream.request.text(), "first answer\nx");
+        assert_eq!(stream.request.header("previous"), Some("r0"));
+        stream.connection.stream_head("r1", "").await;
+        stream.connection.chunk(&event(1)).await;
+        let second = "versions: 2\nid: 2\ndata: a\ndata: b\n\n";
+        stream.finish_with(second).await;
+        let stored = NodeCall::Persist(CompletedTurn {
             id: "r1".to_owned(),
             previous: Some("r0".to_owned()),
             program: "p1".to_owned(),
-            input: bytes("second"),
+            input: bytes("x"),
             output: bytes("word1\na\nb\n"),
             retention_ms: 60_000,
         });
-        proxy.node.called_with(&kept).await;
-        client.until("data: b\n\n\r\n").await;
-        assert_eq!(client.unread(), b"", "all events, and not the end");
-        proxy.node.persist_permits.add_permits(1);
-        assert_eq!(client.next_chunk().await.unwrap(), b"");
-        proxy.node.called_with(&NodeCall::Release).await;
+        node.called_with(&stored).await;
+        stream.client.until("data: b\n\n\r\n").await;
+        assert_eq!(stream.client.unread(), b"", "all events, and not the end");
+        node.persist_permits.add_permits(1);
+        assert_eq!(stream.next_chunk().await, "");
+        node.called_with(&NodeCall::Release).await;
     });
 }
 
 #[test]
-fn a_turn_that_is_not_kept_does_not_end_whole() {
+fn a_turn_that_is_not_stored_ends_truncated() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
-        proxy.node.persists.set(false);
-        let mut client = proxy.request(&post("/turn/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        connection.last_chunk().await;
-        assert_eq!(
-            client.try_message().await.unwrap_err().body,
-            event(1).as_bytes()
-        );
+        let mut stream = Stream::start(&[&endpoint], "/turn/").await;
+        stream.proxy.node.persists.set(false);
+        stream.finish_with(&event(1)).await;
+        let truncated = stream.client.message_or_truncated().await.unwrap_err();
+        assert_eq!(truncated.body, event(1).as_bytes());
     });
 }
 
 #[test]
-fn a_turn_with_a_stated_length_is_held_back_as_well() {
+fn a_turn_with_a_stated_length_waits_for_its_store_as_well() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         proxy.node.persists.set(false);
-        let mut client = proxy.request(&post("/turn/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection
-            .respond(200, "r1", "Content-Type: text/event-stream\r\n", &event(1))
-            .await;
-        assert_eq!(
-            client.try_message().await.unwrap_err().body,
-            event(1).as_bytes()
-        );
+        let mut stream = Stream::request(proxy, &endpoint, "/turn/", TURN).await;
+        let event_type = "Content-Type: text/event-stream\r\n";
+        let connection = &mut stream.connection;
+        connection.respond(200, "r1", event_type, &event(1)).await;
+        let truncated = stream.client.message_or_truncated().await.unwrap_err();
+        assert_eq!(truncated.body, event(1).as_bytes());
     });
 }
 
 #[test]
-fn a_turn_goes_on_only_from_one_that_is_known() {
+fn a_turn_continues_only_a_known_one() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
+        let history = &proxy.node.history;
         let more = format!("{TURN}Previous: r0\r\n");
-        *proxy.node.history.borrow_mut() = History::Unknown;
-        assert_eq!(
-            proxy
-                .request(&post("/turn/", "r1", &more, "x"))
-                .await
-                .message()
-                .await
-                .status(),
-            404
-        );
-        *proxy.node.history.borrow_mut() = History::Unavailable {
+        *history.borrow_mut() = History::Unknown;
+        let response = proxy.response(&post("/turn/", "r1", &more, "x")).await;
+        assert_eq!(response.status(), 404);
+        *history.borrow_mut() = History::Unavailable {
             retry_after_ms: 300,
         };
-        let response = proxy
-            .request(&post("/turn/", "r2", &more, "x"))
-            .await
-            .message()
-            .await;
-        assert_eq!(
-            (response.status(), response.header("retry-after")),
-            (503, Some("0.300"))
-        );
+        let response = proxy.response(&post("/turn/", "r2", &more, "x")).await;
+        let retry_after = response.header("retry-after");
+        assert_eq!((response.status(), retry_after), (503, Some("0.300")));
         assert!(endpoint.has_no_connection().await);
     });
 }
 
 #[test]
-fn turns_are_not_kept_where_the_route_does_not_say_so() {
+fn turns_are_persisted_only_where_the_route_says_so() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         let more = format!("{TURN}Previous: r0\r\n");
-        let mut client = proxy.request(&post("/stream/", "r1", &more, "x")).await;
-        let (mut connection, message) = endpoint.next_request().await;
-        assert_eq!(
-            (message.header("previous"), message.text()),
-            (Some("r0"), "x")
-        );
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        connection.last_chunk().await;
-        assert_eq!(client.message().await.text(), event(1));
-        let calls = proxy.node.calls();
-        assert!(!calls
-            .iter()
-            .any(|calls| matches!(calls, NodeCall::Persist(_) | NodeCall::History { .. })));
+        let mut stream = Stream::request(proxy, &endpoint, "/stream/", &more).await;
+        let previous = stream.request.header("previous");
+        assert_eq!((previous, stream.request.text()), (Some("r0"), "x"));
+        stream.connection.stream_head("r1", "").await;
+        stream.finish_with(&event(1)).await;
+        assert_eq!(stream.client.message().await.text(), event(1));
+        let calls = stream.proxy.node.calls();
+        let is_of_persisted =
+            |call: &NodeCall| matches!(call, NodeCall::Persist(_) | NodeCall::History { .. });
+        assert!(!calls.iter().any(is_of_persisted));
     });
 }
 
 #[test]
-fn a_client_that_leaves_before_its_turn_is_admitted_sends_nothing() {
+fn a_client_that_disconnects_before_its_admission_sends_nothing() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        proxy.node.admission_permits.forget_permits(1000);
-        let reserve = NodeCall::Admit {
-            program: "p1".to_owned(),
-            budget: 1000,
-            max_tokens: 8,
-        };
+        let node = &proxy.node;
+        node.admission_permits.forget_permits(1000);
         let client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
-        proxy.node.called_with(&reserve).await;
+        node.called_with(&admission()).await;
         drop(client);
-        // The place of the connection is free once the request is dropped.
+        // The connection is closed once the request is dropped.
         while proxy.server.counters().connections > 0 {
             tokio::task::yield_now().await;
         }
-        proxy.node.admission_permits.add_permits(1);
+        node.admission_permits.add_permits(1);
         assert!(endpoint.has_no_connection().await);
-        assert_eq!(proxy.node.calls(), [reserve]);
-        assert_eq!(
-            proxy.node.reserve.get(),
-            AdmissionDecision::Admitted(TurnKey(7))
-        );
+        assert_eq!(node.calls(), [admission()]);
+        let decision = AdmissionDecision::Admitted(TurnKey(7));
+        assert_eq!(node.admission.get(), decision);
     });
 }
 
-/// Routes of much patience before the first event, and of little after it.
-fn impatient(node: &TestNode) {
-    let impatient = CONFIGURATION
-        .replace(r#""target_ms":200"#, r#""target_ms":20000"#)
-        .replace(r#""gap_aim_ms":300"#, r#""gap_aim_ms":5"#);
-    *node.table.borrow_mut() = Some(table(&impatient));
+/// Long timeouts before the first event, and short ones between events.
+fn set_short_gap_timeouts(node: &TestNode) {
+    node.edit_configuration(&[
+        (r#""target_ms":200"#, r#""target_ms":20000"#),
+        (r#""gap_aim_ms":300"#, r#""gap_aim_ms":5"#),
+    ]);
+}
+
+/// A turn with short timeouts between events, at the first of these endpoints, which has sent one event.
+async fn start_with_short_gap_timeouts(endpoints: &[&TestEndpoint], path: &str) -> Stream {
+    let proxy = TestProxy::start(endpoints).await;
+    set_short_gap_timeouts(&proxy.node);
+    let mut stream = Stream::request(proxy, endpoints[0], path, TURN).await;
+    stream.connection.stream_head("r1", "").await;
+    stream.connection.chunk(&event(1)).await;
+    stream
 }
 
 #[test]
-fn a_stream_leaves_a_server_that_falls_silent() {
+fn a_stream_fails_over_from_an_unresponsive_endpoint() {
     run_test(async {
-        let (first, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
-        let proxy = TestProxy::start(&[&first, &second]).await;
-        impatient(&proxy.node);
-        let mut client = proxy.request(&post("/resume2/", "r1", TURN, "x")).await;
-        let (mut silent, _) = first.next_request().await;
-        silent.stream_head("r1", "").await;
-        silent.chunk(&event(1)).await;
-        let (mut connection, message) = second.next_request().await;
+        let (first, second) = two_endpoints().await;
+        let endpoints = [&first, &second];
+        let mut stream = start_with_short_gap_timeouts(&endpoints, "/resume2/").await;
+        let (connection, message) = second.next_request().await;
         assert_eq!(message.header("last-event-id"), Some("1"));
-        assert!(silent.is_closed().await);
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(2)).await;
-        connection.last_chunk().await;
-        assert_eq!(client.message().await.text(), events(1..=2));
-        assert_eq!(proxy.node.outcomes(), [Outcome::Silent, served(6)]);
+        assert!(stream.connection.is_closed().await);
+        stream.connection = connection;
+        stream.connection.stream_head("r1", "").await;
+        stream.finish_with(&event(2)).await;
+        assert_eq!(stream.client.message().await.text(), events(1..=2));
+        assert_eq!(stream.outcomes(), [Outcome::Silent, served(6)]);
     });
 }
 
 #[test]
-fn a_silent_server_is_waited_for_where_there_is_no_other() {
+fn an_unresponsive_endpoint_is_waited_for_where_there_is_no_other() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
-        impatient(&proxy.node);
-        let mut client = proxy.request(&post("/resume2/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        // Asked for a server when the request came, and again when the first was silent.
-        while proxy.node.choices().len() < 2 {
+        let mut stream = start_with_short_gap_timeouts(&[&endpoint], "/resume2/").await;
+        // An endpoint is chosen when the request comes, and again when the first is unresponsive.
+        while stream.proxy.node.choices().len() < 2 {
             tokio::task::yield_now().await;
         }
-        connection.chunk(&event(2)).await;
-        connection.last_chunk().await;
-        assert_eq!(client.message().await.text(), events(1..=2));
-        assert_eq!(proxy.node.outcomes(), [served(6)]);
+        stream.finish_with(&event(2)).await;
+        assert_eq!(stream.client.message().await.text(), events(1..=2));
+        assert_eq!(stream.outcomes(), [served(6)]);
     });
 }
 
 #[test]
-fn what_can_not_be_repeated_waits_for_a_silent_server() {
+fn a_request_that_is_not_idempotent_waits_for_an_unresponsive_endpoint() {
     run_test(async {
-        let (first, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
-        let proxy = TestProxy::start(&[&first, &second]).await;
-        impatient(&proxy.node);
-        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
-        let (mut connection, _) = first.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        // Another one, which can be repeated, loses its patience meanwhile.
-        let mut other = proxy.request(&post("/resume2/", "r2", TURN, "x")).await;
-        let (mut silent, _) = first.next_request().await;
-        silent.stream_head("r2", "").await;
-        silent.chunk(&event(1)).await;
-        let (mut taken, message) = second.next_request().await;
+        let (first, second) = two_endpoints().await;
+        let endpoints = [&first, &second];
+        let mut stream = start_with_short_gap_timeouts(&endpoints, "/stream/").await;
+        // Another one, which is idempotent, fails over meanwhile.
+        let request = post("/resume2/", "r2", TURN, "x");
+        let mut other = stream.proxy.request(&request).await;
+        let (mut unresponsive, _) = first.next_request().await;
+        unresponsive.stream_head("r2", "").await;
+        unresponsive.chunk(&event(1)).await;
+        let (mut resumed, message) = second.next_request().await;
         assert_eq!(message.id(), "r2");
-        taken.stream_head("r2", "").await;
-        taken.last_chunk().await;
+        resumed.stream_head("r2", "").await;
+        resumed.last_chunk().await;
         assert_eq!(other.message().await.text(), event(1));
-        connection.chunk(&event(2)).await;
-        connection.last_chunk().await;
-        assert_eq!(client.message().await.text(), events(1..=2));
+        stream.finish_with(&event(2)).await;
+        assert_eq!(stream.client.message().await.text(), events(1..=2));
     });
 }
 
 #[test]
-fn a_kept_turn_has_a_stream_for_an_answer() {
+fn a_persisted_turn_needs_an_event_stream_for_a_response() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut client = proxy.request(&post("/turn/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection
-            .respond(200, "r1", "Content-Type: application/json\r\n", "{}")
-            .await;
-        assert_eq!(client.message().await.status(), 502);
+        let mut stream = Stream::request(proxy, &endpoint, "/turn/", TURN).await;
+        let json = "Content-Type: application/json\r\n";
+        stream.connection.respond(200, "r1", json, "{}").await;
+        assert_eq!(stream.client.message().await.status(), 502);
     });
 }
 
 #[test]
-fn a_kept_turn_is_not_taken_up_in_its_middle() {
+fn a_persisted_turn_can_not_be_resumed() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         let more = format!("{TURN}Last-Event-Id: 3\r\n");
-        assert_eq!(
-            proxy
-                .request(&post("/turn/", "r1", &more, "x"))
-                .await
-                .message()
-                .await
-                .status(),
-            503
-        );
+        let response = proxy.response(&post("/turn/", "r1", &more, "x")).await;
+        assert_eq!(response.status(), 503);
         assert!(endpoint.has_no_connection().await);
     });
 }
 
 #[test]
-fn an_output_too_long_to_be_kept_ends_broken() {
+fn an_output_too_long_to_be_stored_ends_truncated() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let settings = ProxySettings {
@@ -732,17 +652,13 @@
             ..ProxySettings::default()
         };
         let proxy = TestProxy::with(&[&endpoint], settings).await;
-        let mut client = proxy.request(&post("/turn/", "r1", TURN, "x")).await;
-        let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
-        connection
-            .chunk(&format!("id: 2\ndata: {}\n\n", "x".repeat(2000)))
-            .await;
-        assert_eq!(
-            client.try_message().await.unwrap_err().body,
-            event(1).as_bytes()
-        );
-        assert!(connection.is_closed().await);
+        let mut stream = Stream::request(proxy, &endpoint, "/turn/", TURN).await;
+        stream.connection.stream_head("r1", "").await;
+        stream.connection.chunk(&event(1)).await;
+        let long = format!("id: 2\ndata: {}\n\n", "x".repeat(2000));
+        stream.connection.chunk(&long).await;
+        let truncated = stream.client.message_or_truncated().await.unwrap_err();
+        assert_eq!(truncated.body, event(1).as_bytes());
+        assert!(stream.connection.is_closed().await);
     });
 }
--- a/crates/serving/proxy/tests/support/fixtures.rs
+++ b/crates/serving/proxy/tests/support/fixtures.rs
@@ -1,4 +1,4 @@
-//! Files that hold what the data plane puts out, byte by byte.
+//! Files with the expected output of the data plane, byte by byte.
 //!
 //! `WRITE_FIXTURES=1` in the environment writes those that are missing; one that exists is never changed.
 
@@ -20,7 +20,7 @@
     );
 }
 
-/// The text with the digits behind each of these marks replaced by `N`: times differ from run to run.
+/// The text with the digits behind each of these labels replaced by `N`: times differ from run to run.
 pub fn without_times(text: &str, marks: &[&str]) -> String {
     marks.iter().fold(text.to_owned(), |text, mark| {
         let mut parts = text.split(mark);
--- /dev/null
+++ b/crates/serving/proxy/tests/support/test_proxy.rs
@@ -0,0 +1,63 @@
+//! The data plane under test.
+
+use super::{Message, Peer, TestEndpoint, TestNode};
+use dunespur_proxy::{ProxyServer, ProxySettings, Safeguards};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::{TcpListener, TcpStream};
+
+/// A proxy on a socket of its own.
+pub struct TestProxy {
+    pub node: Rc<TestNode>,
+    pub server: Rc<ProxyServer<TestNode>>,
+    pub address: SocketAddr,
+}
+
+impl TestProxy {
+    pub async fn start(endpoints: &[&TestEndpoint]) -> TestProxy {
+        TestProxy::with(endpoints, ProxySettings::default()).await
+    }
+
+    pub async fn with(endpoints: &[&TestEndpoint], settings: ProxySettings) -> TestProxy {
+        TestProxy::with_safeguards(endpoints, settings, Safeguards::default()).await
+    }
+
+    /// One with single safeguards taken out.
+    pub async fn with_safeguards(
+        endpoints: &[&TestEndpoint],
+        settings: ProxySettings,
+        safeguards: Safeguards,
+    ) -> TestProxy {
+        let node = TestNode::new(
+            endpoints
+                .iter()
+                .map(|endpoint| endpoint.endpoint())
+                .collect(),
+        );
+        let server = ProxyServer::with_safeguards(node.clone(), settings, safeguards);
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = listener.local_addr().unwrap();
+        tokio::task::spawn_local(server.clone().serve(listener));
+        TestProxy {
+            node,
+            server,
+            address,
+        }
+    }
+
+    pub async fn client(&self) -> Peer {
+        Peer::new(TcpStream::connect(self.address).await.unwrap())
+    }
+
+    /// The response to this request, sent by a new client.
+    pub async fn response(&self, request: &str) -> Message {
+        self.request(request).await.message().await
+    }
+
+    /// A new client that has sent this.
+    pub async fn request(&self, request: &str) -> Peer {
+        let mut client = self.client().await;
+        client.send(request.as_bytes()).await;
+        client
+    }
+}
--- a/crates/serving/proxy/tests/wire.rs
+++ b/crates/serving/proxy/tests/wire.rs
@@ -1,33 +1,30 @@
-//! The bytes on the wire, held by files in `fixtures/wire`: each refusal's answer, requests as servers get them,
-//! answers and event streams as clients get them.
+//! The bytes on the wire, compared with files in `fixtures/wire`: each rejection, requests as endpoints get them,
+//! responses and event streams as clients get them.
 
 mod support;
 
 use dunespur_proxy::{serve_readiness, AdmissionDecision, History, ProxySettings};
 use support::fixtures::{assert_fixture, without_times};
-use support::*;
+use support::{event, get, post, run_test, Peer, TestEndpoint, TestNode, TestProxy, TURN};
 use tokio::net::{TcpListener, TcpStream};
 
-const TURN: &str =
-    "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
-
-/// What becomes of the client's connection after the answer.
+/// What becomes of the client's connection after the response.
 #[derive(Clone, Copy, PartialEq)]
 enum Then {
     StaysOpen,
     Closes,
 }
 
-/// A request that no server's answer is had for.
-struct Refused {
+/// A request that no endpoint gets.
+struct RejectedRequest {
     name: &'static str,
     request: String,
     prepare: fn(&TestNode),
     then: Then,
 }
 
-fn refused(name: &'static str, request: impl Into<String>, then: Then) -> Refused {
-    Refused {
+fn rejected(name: &'static str, request: impl Into<String>, then: Then) -> RejectedRequest {
+    RejectedRequest {
         name,
         request: request.into(),
         prepare: |_| {},
@@ -35,8 +32,12 @@
     }
 }
 
-fn prepared(name: &'static str, request: impl Into<String>, prepare: fn(&TestNode)) -> Refused {
-    Refused {
+fn prepared(
+    name: &'static str,
+    request: impl Into<String>,
+    prepare: fn(&TestNode),
+) -> RejectedRequest {
+    RejectedRequest {
         name,
         request: request.into(),
         prepare,
@@ -44,109 +45,104 @@
     }
 }
 
-fn configure(node: &TestNode, from: &str, to: &str) {
-    assert!(CONFIGURATION.contains(from));
-    *node.table.borrow_mut() = Some(table(&CONFIGURATION.replace(from, to)));
-}
-
 fn short_streams(node: &TestNode) {
-    configure(
-        node,
+    node.edit_configuration(&[(
         r#""timeout_ms":20000,"target_ms":200"#,
         r#""timeout_ms":50,"target_ms":200"#,
-    );
+    )]);
 }
 
-fn malformed() -> Vec<Refused> {
+fn malformed() -> Vec<RejectedRequest> {
     let head = "POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n";
     vec![
-        refused(
+        rejected(
             "no_host",
             "GET /read/ HTTP/1.1\r\nX-Dunespur-Request-Id: r1\r\n\r\n",
             Then::Closes,
         ),
-        refused(
+        rejected(
             "bad_deadline",
             get("/read/", "r1").replace("Ms: 15000", "Ms: soon"),
             Then::Closes,
         ),
-        refused(
+        rejected(
             "bad_budget",
             post("/stream/", "r1", "Budget: much\r\n", ""),
             Then::Closes,
         ),
-        refused(
+        rejected(
             "no_id",
             "GET /read/ HTTP/1.1\r\nHost: h.example\r\n\r\n",
             Then::StaysOpen,
         ),
-        refused("bad_request_line", "BAD\r\n\r\n", Then::Closes),
-        refused(
+        rejected("bad_request_line", "BAD\r\n\r\n", Then::Closes),
+        rejected(
             "two_lengths",
             format!("{head}Content-Length: 1\r\nContent-Length: 2\r\n\r\nab"),
             Then::Closes,
         ),
-        refused(
+        rejected(
             "bad_chunk",
             format!("{head}Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
             Then::Closes,
         ),
-        refused(
+        rejected(
             "old_version",
             get("/read/", "r1").replace("HTTP/1.1", "HTTP/1.0"),
             Then::Closes,
         ),
-        refused(
+        rejected(
             "long_head",
             get(&format!("/read/{}", "y".repeat(30_000)), "r1"),
             Then::Closes,
         ),
-        refused(
+        rejected(
             "too_large",
             format!("{head}Content-Length: 100001\r\n\r\n"),
             Then::Closes,
         ),
-        Refused {
+        RejectedRequest {
             name: "slow_body",
             request: format!("{head}Content-Length: 10\r\n\r\nhalf").replace("/write/", "/short/"),
             prepare: |_| {},
             then: Then::Closes,
         },
-        Refused {
+        RejectedRequest {
             name: "slow_head",
             request: "GET /read/ HTTP/1.1\r\nHost".to_owned(),
             prepare: |node| {
-                configure(
-                    node,
+                node.edit_configuration(&[(
                     r#""header_timeout_ms":3000"#,
                     r#""header_timeout_ms":1"#,
-                )
+                )])
             },
             then: Then::Closes,
         },
     ]
 }
 
-fn not_admitted() -> Vec<Refused> {
+fn rejections_before_dispatch() -> Vec<RejectedRequest> {
     let turn = |more: &str| post("/turn/", "r1", &format!("{TURN}{more}"), "x");
     vec![
-        refused("no_route", get("/nowhere/", "r1"), Then::StaysOpen),
-        refused(
+        rejected("no_route", get("/nowhere/", "r1"), Then::StaysOpen),
+        rejected(
             "no_route_unread",
             post("/nowhere/", "r1", "", "").replace("Length: 0", "Length: 9"),
             Then::Closes,
         ),
-        prepared("no_route_out_of_touch", get("/nowhere/", "r1"), |node| {
-            node.configuration_stale.set(true)
-        }),
+        prepared(
+            "no_route_stale_configuration",
+            get("/nowhere/", "r1"),
+            |node| node.configuration_stale.set(true),
+        ),
         prepared("no_configuration", get("/read/", "r1"), |node| {
             *node.table.borrow_mut() = None
         }),
         prepared("budget_spent", turn(""), |node| {
-            node.reserve.set(AdmissionDecision::BudgetSpent)
+            node.admission.set(AdmissionDecision::BudgetSpent)
         }),
         prepared("budget_unknown", turn(""), |node| {
-            node.reserve
+            node.admission
                 .set(AdmissionDecision::RetryLater { retry_after_ms: 80 })
         }),
         prepared(
@@ -160,12 +156,12 @@
         prepared("previous_unknown", turn("Previous: r0\r\n"), |node| {
             *node.history.borrow_mut() = History::Unknown;
         }),
-        prepared("previous_unsure", turn("Previous: r0\r\n"), |node| {
+        prepared("previous_unavailable", turn("Previous: r0\r\n"), |node| {
             *node.history.borrow_mut() = History::Unavailable {
                 retry_after_ms: 12_345,
             };
         }),
-        refused(
+        rejected(
             "persisted_turn_resumed",
             turn("Last-Event-Id: 3\r\n"),
             Then::StaysOpen,
@@ -174,14 +170,14 @@
             node.endpoints.borrow_mut().clear()
         }),
         prepared("overloaded", get("/read/", "r1"), |node| {
-            node.refuse.set(Some(1250))
+            node.reject_after_ms.set(Some(1250))
         }),
-        refused(
+        rejected(
             "no_memory",
             post("/write/", "r1", "", &"x".repeat(2000)),
             Then::StaysOpen,
         ),
-        refused(
+        rejected(
             "head_of_no_route",
             get("/nowhere/", "r1").replace("GET", "HEAD"),
             Then::StaysOpen,
@@ -190,8 +186,8 @@
 }
 
 #[test]
-fn refusals_before_any_server_is_asked() {
-    for case in malformed().into_iter().chain(not_admitted()) {
+fn rejections_before_an_endpoint_is_chosen() {
+    for case in malformed().into_iter().chain(rejections_before_dispatch()) {
         run_test(async move {
             let endpoint = TestEndpoint::start("i-1").await;
             let settings = ProxySettings {
@@ -206,7 +202,7 @@
             } else {
                 client.raw_message().await
             };
-            assert_fixture(&format!("wire/refused_{}.answer", case.name), &response);
+            assert_fixture(&format!("wire/rejected_{}.response", case.name), &response);
             match case.then {
                 Then::Closes => assert!(client.is_closed().await, "{}", case.name),
                 Then::StaysOpen => assert!(client.is_silent().await, "{}", case.name),
@@ -216,7 +212,7 @@
     }
 }
 
-/// How a server ends its connection.
+/// How an endpoint ends its connection.
 #[derive(Clone, Copy)]
 enum End {
     Stays,
@@ -224,7 +220,7 @@
     Reset,
 }
 
-/// A request that a server gets, and what comes of its answer.
+/// A request that an endpoint gets, and what becomes of its response.
 struct Forwarded {
     name: &'static str,
     request: String,
@@ -241,12 +237,12 @@
     }
 }
 
-/// The head of a server's answer without its end.
+/// The head of an endpoint's response without its end.
 fn head(status: &str) -> String {
     format!("HTTP/1.1 {status}\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s.r1\r\n")
 }
 
-fn answers_of_servers() -> Vec<Forwarded> {
+fn endpoint_responses() -> Vec<Forwarded> {
     let ok = || format!("{}Content-Length: 2\r\n\r\nok", head("200 OK"));
     let hop = "X-Other: kept\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nUpgrade: x\r\n\
                Priority: 0\r\nX-Dunespur-Expect-Instance: i-9\r\nExpect-Version: 3\r\nKeep-Alive: timeout=9\r\n\
@@ -266,33 +262,33 @@
             format!("{}Content-Type: text/event-stream\r\nContent-Length: 18\r\n\r\nid: 5\ndata: word\n\n", head("200 OK")),
         ),
         forwarded(
-            "hop_headers_of_the_answer",
+            "hop_by_hop_headers_of_the_response",
             get("/read/", "r1"),
             format!("{}Keep-Alive: timeout=5\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-More: yes\r\nContent-Length: 2\r\n\r\nok", head("201 Made")),
         ),
-        forwarded("chunked_answer", get("/read/", "r1"), format!("{}Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", head("200 OK"))),
+        forwarded("chunked_response", get("/read/", "r1"), format!("{}Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", head("200 OK"))),
         forwarded("no_content", get("/read/", "r1"), format!("{}\r\n", head("204 No Content"))),
         forwarded("failure", post("/write/", "r1", "", "x"), format!("{}Content-Length: 6\r\n\r\nfailed", head("500 X"))),
-        forwarded("final_refusal", post("/write/", "r1", "", "x"), format!("{}Content-Length: 0\r\n\r\n", head("409 Conflict"))),
+        forwarded("final_client_error", post("/write/", "r1", "", "x"), format!("{}Content-Length: 0\r\n\r\n", head("409 Conflict"))),
         Forwarded { end: End::InOrder, ..forwarded("until_close", get("/read/", "r1"), format!("{}\r\nok", head("200 OK"))) },
     ]
 }
 
-fn answers_that_can_not_be_used() -> Vec<Forwarded> {
+fn unusable_responses() -> Vec<Forwarded> {
     let write = || post("/write/", "r1", "", "x");
     let turned_away = format!(
         "{}X-Dunespur-Not-Executed: full\r\nContent-Length: 0\r\n\r\n",
         head("503 X")
     );
     vec![
-        forwarded("turned_away", write(), turned_away),
+        forwarded("endpoint_rejection", write(), turned_away),
         forwarded(
             "misdirected",
             write(),
             format!("{}Content-Length: 0\r\n\r\n", head("421 X")),
         ),
         forwarded(
-            "unbacked_promise",
+            "unconfirmed_rejection",
             write(),
             format!("{}Content-Length: 0\r\n\r\n", head("503 X")),
         ),
@@ -308,7 +304,7 @@
         Forwarded {
             end: End::InOrder,
             ..forwarded(
-                "half_an_answer",
+                "half_a_response",
                 write(),
                 format!("{}Content-Length: 9\r\n\r\nhalf", head("200 OK")),
             )
@@ -317,7 +313,7 @@
             end: End::Reset,
             ..forwarded("reset", write(), "")
         },
-        forwarded("silence", post("/short/", "r1", "", "x"), ""),
+        forwarded("unresponsive", post("/short/", "r1", "", "x"), ""),
         forwarded(
             "persisted_turn_without_events",
             post("/turn/", "r1", TURN, "x"),
@@ -331,10 +327,7 @@
 
 #[test]
 fn requests_as_servers_get_them_and_answers_as_clients_do() {
-    for case in answers_of_servers()
-        .into_iter()
-        .chain(answers_that_can_not_be_used())
-    {
+    for case in endpoint_responses().into_iter().chain(unusable_responses()) {
         run_test(async move {
             let endpoint = TestEndpoint::start("i-1").await;
             let proxy = TestProxy::start(&[&endpoint]).await;
@@ -351,7 +344,7 @@
                 End::Reset => connection.reset(),
             }
             assert_fixture(
-                &format!("wire/{}.answer", case.name),
+                &format!("wire/{}.response", case.name),
                 &client.raw_message().await,
             );
             assert!(client.is_silent().await, "{}", case.name);
@@ -360,7 +353,7 @@
 }
 
 #[test]
-fn an_expected_continue_is_sent() {
+fn an_expected_continue_comes() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -375,7 +368,7 @@
         let (mut connection, message) = endpoint.next_request().await;
         assert_eq!(message.text(), "body");
         connection.respond(200, "r1", "", "ok").await;
-        assert_fixture("wire/expect_continue.answer", &client.raw_message().await);
+        assert_fixture("wire/expect_continue.response", &client.raw_message().await);
     });
 }
 
@@ -408,14 +401,14 @@
 #[test]
 fn streams_of_events_as_clients_get_them() {
     for (name, path, end) in [
-        ("whole", "/stream/", End::Stays),
+        ("complete", "/stream/", End::Stays),
         ("persisted", "/turn/", End::Stays),
         ("closed", "/stream/", End::InOrder),
         ("reset", "/stream/", End::Reset),
     ] {
         run_test(async move {
             assert_fixture(
-                &format!("wire/events_{name}.answer"),
+                &format!("wire/events_{name}.response"),
                 &stream_of_events(path, end).await,
             );
         });
@@ -423,7 +416,7 @@
 }
 
 #[test]
-fn a_long_answer_cut_short_ends_without_its_last_chunk() {
+fn a_long_response_that_is_truncated_ends_without_its_last_chunk() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -440,7 +433,7 @@
 }
 
 #[test]
-fn answers_while_it_drains_end_their_connections() {
+fn responses_while_draining_close_their_connections() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
@@ -448,16 +441,19 @@
         let mut client = proxy.request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection.respond(200, "r1", "", "ok").await;
-        assert_fixture("wire/draining.answer", &client.raw_message().await);
+        assert_fixture("wire/draining.response", &client.raw_message().await);
         assert!(client.is_closed().await);
         let mut client = proxy.request(&get("/nowhere/", "r2")).await;
-        assert_fixture("wire/draining_refused.answer", &client.raw_message().await);
+        assert_fixture(
+            "wire/draining_rejected.response",
+            &client.raw_message().await,
+        );
         assert!(client.is_closed().await);
     });
 }
 
 #[test]
-fn answers_of_the_ready_address() {
+fn responses_of_the_readiness_address() {
     run_test(async {
         let node = TestNode::new(Vec::new());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -474,7 +470,7 @@
                 .send(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
                 .await;
             assert_fixture(
-                &format!("wire/ready_{name}.answer"),
+                &format!("wire/ready_{name}.response"),
                 &caller.raw_message().await,
             );
         }
