--- a/crates/serving/proxy/src/attempt_error.rs
+++ b/crates/serving/proxy/src/attempt_error.rs
@@ -37,8 +37,8 @@
         match self {
             AttemptError::Connect(ConnectError::Unreachable) => Outcome::Unreachable,
             // The endpoint is not to blame.
-            AttemptError::Connect(ConnectError::NoConnectionLeft) => Outcome::Abandoned,
-            AttemptError::Connect(ConnectError::TurnedAway) => Outcome::Shed,
+            AttemptError::Connect(ConnectError::NoConnectionLeft) => Outcome::Cancelled,
+            AttemptError::Connect(ConnectError::TurnedAway) => Outcome::Rejected,
             AttemptError::Connect(ConnectError::TimeUp) => Outcome::Failed,
             AttemptError::Ended(_) if self.execution() == Execution::NotRun => Outcome::Failed,
             AttemptError::Ended(attempt) => outcome_of_truncated(attempt.ended_by),
--- a/crates/serving/proxy/src/dispatch.rs
+++ b/crates/serving/proxy/src/dispatch.rs
@@ -92,11 +92,11 @@
         let (head, mut body) = received.into_head_and_body();
         match kind {
             ResponseKind::NotExecuted => {
-                in_flight.finish(Outcome::Shed);
+                in_flight.finish(Outcome::Rejected);
                 body.return_connection_if_complete(&self.shared);
             }
             ResponseKind::OtherInstance => {
-                in_flight.finish(Outcome::Moved);
+                in_flight.finish(Outcome::Misdirected);
                 self.record.record_departed(&ticket.server.id);
             }
             ResponseKind::Failure if self.reserves_alternative(&ticket.server, retry) => {
--- a/crates/serving/proxy/tests/connections.rs
+++ b/crates/serving/proxy/tests/connections.rs
@@ -613,7 +613,7 @@
         assert_eq!(client.message().await.text(), "ok");
         assert_eq!(
             proxy.node.outcomes(),
-            [Outcome::Shed, Outcome::Served { tokens_out: 0 }]
+            [Outcome::Rejected, Outcome::Served { tokens_out: 0 }]
         );
     });
 }
--- a/crates/serving/proxy/tests/deadlines.rs
+++ b/crates/serving/proxy/tests/deadlines.rs
@@ -133,7 +133,7 @@
         assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
         assert_eq!(client.next_chunk().await, None, "truncated, not complete");
         assert!(connection.is_closed().await);
-        assert_eq!(proxy.node.outcomes(), [Outcome::Silent]);
+        assert_eq!(proxy.node.outcomes(), [Outcome::TimedOut]);
     });
 }
 
--- a/crates/serving/proxy/tests/requests.rs
+++ b/crates/serving/proxy/tests/requests.rs
@@ -216,13 +216,18 @@
         assert_eq!((response.status(), response.text()), (200, "ok"));
         assert_eq!(
             proxy.node.outcomes(),
-            [Outcome::Unreachable, Outcome::Shed, Outcome::Moved, SERVED]
+            [
+                Outcome::Unreachable,
+                Outcome::Rejected,
+                Outcome::Misdirected,
+                SERVED
+            ]
         );
         let tried: Vec<_> = proxy
             .node
             .choices()
             .into_iter()
-            .map(|ask| ask.tried.len())
+            .map(|request| request.tried.len())
             .collect();
         assert_eq!(tried, [0, 1, 2, 3]);
     });
@@ -439,7 +444,7 @@
         assert!(deadline <= 50);
         assert_eq!(client.message().await.status(), 504);
         assert!(connection.is_closed().await);
-        assert_eq!(proxy.node.outcomes(), [Outcome::Silent]);
+        assert_eq!(proxy.node.outcomes(), [Outcome::TimedOut]);
     });
 }
 
@@ -452,7 +457,7 @@
         let (mut connection, _) = endpoint.next_request().await;
         drop(client);
         assert!(connection.is_closed().await);
-        assert_eq!(proxy.node.outcomes(), [Outcome::Abandoned]);
+        assert_eq!(proxy.node.outcomes(), [Outcome::Cancelled]);
     });
 }
 
@@ -468,7 +473,7 @@
         client.head().await;
         drop(client);
         assert!(connection.is_closed().await);
-        assert_eq!(proxy.node.outcomes(), [Outcome::Abandoned]);
+        assert_eq!(proxy.node.outcomes(), [Outcome::Cancelled]);
     });
 }
 
@@ -481,16 +486,16 @@
         let _client = proxy.request(&post("/resume/", "r1", more, "x")).await;
         endpoint.next_request().await;
         let choices = proxy.node.choices();
-        let ask = &choices[0];
-        assert_eq!(ask.backend, "engine");
+        let request = &choices[0];
+        assert_eq!(request.backend, "engine");
         assert_eq!(
-            (ask.program.as_deref(), ask.session.as_deref()),
+            (request.program.as_deref(), request.session.as_deref()),
             (Some("p1"), Some("s1"))
         );
-        assert_eq!(ask.prefix, [(0x5c1e07a2, 800), (0x91bd3f06, 410)]);
-        assert_eq!((ask.prompt_tokens, ask.most_tokens), (1460, 80));
-        assert!(ask.idempotent);
-        assert!(ask.time_left_ms <= 15_000);
+        assert_eq!(request.prefix, [(0x5c1e07a2, 800), (0x91bd3f06, 410)]);
+        assert_eq!((request.prompt_tokens, request.max_tokens), (1460, 80));
+        assert!(request.idempotent);
+        assert!(request.time_left_ms <= 15_000);
     });
 }
 
@@ -579,7 +584,7 @@
         drop(client);
         proxy
             .node
-            .called_with(&NodeCall::Finished(Outcome::Silent))
+            .called_with(&NodeCall::Finished(Outcome::TimedOut))
             .await;
     });
 }
--- a/crates/serving/proxy/tests/streams.rs
+++ b/crates/serving/proxy/tests/streams.rs
@@ -313,7 +313,7 @@
         stream.connection.last_chunk().await;
         assert_eq!(stream.next_chunk().await, event(1));
         assert_eq!(stream.next_chunk().await, "");
-        assert_eq!(stream.outcomes(), [Outcome::Moved, served(3)]);
+        assert_eq!(stream.outcomes(), [Outcome::Misdirected, served(3)]);
     });
 }
 
@@ -371,7 +371,7 @@
         assert!(stream.connection.is_closed().await);
         let proxy = stream.proxy;
         proxy.node.called_with(&NodeCall::Release).await;
-        assert_eq!(proxy.node.outcomes(), [Outcome::Abandoned]);
+        assert_eq!(proxy.node.outcomes(), [Outcome::Cancelled]);
         assert_eq!(proxy.server.counters().body_bytes, 0);
         let calls = proxy.node.calls();
         let mut stored = calls
@@ -578,7 +578,7 @@
         stream.connection.stream_head("r1", "").await;
         stream.finish_with(&event(2)).await;
         assert_eq!(stream.client.message().await.text(), events(1..=2));
-        assert_eq!(stream.outcomes(), [Outcome::Silent, served(6)]);
+        assert_eq!(stream.outcomes(), [Outcome::TimedOut, served(6)]);
     });
 }
 
--- a/crates/serving/proxy/tests/support/test_endpoint.rs
+++ b/crates/serving/proxy/tests/support/test_endpoint.rs
@@ -60,7 +60,7 @@
             zone: "z".into(),
             slots: 8,
             draining: false,
-            cold_left_ms: 0,
+            warmup_left_ms: 0,
             engine: None,
             max_conns: 100,
         })
--- a/crates/serving/proxy/tests/support/test_node.rs
+++ b/crates/serving/proxy/tests/support/test_node.rs
@@ -3,7 +3,7 @@
 use super::{table, CONFIGURATION};
 use dunespur_configuration::Table;
 use dunespur_proxy::{AdmissionDecision, AdmissionRequest, CompletedTurn, History, Node, TurnKey};
-use dunespur_routing::{Ask, Choice, Outcome, Server, Ticket};
+use dunespur_routing::{Choice, Outcome, RoutingRequest, Server, Ticket};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::{Notify, Semaphore};
@@ -66,7 +66,7 @@
     pub session: Option<String>,
     pub prefix: Vec<(u64, u32)>,
     pub prompt_tokens: u32,
-    pub most_tokens: u32,
+    pub max_tokens: u32,
     pub idempotent: bool,
     pub time_left_ms: u64,
     pub tried: Vec<String>,
@@ -191,40 +191,40 @@
         self.is_ready.get()
     }
 
-    fn choose(&self, ask: &Ask) -> Choice {
+    fn choose(&self, request: &RoutingRequest) -> Choice {
         self.choices.borrow_mut().push(RecordedChoice {
-            backend: ask.backend.to_owned(),
-            program: ask.program.map(str::to_owned),
-            session: ask.session.map(str::to_owned),
-            prefix: ask
+            backend: request.backend.to_owned(),
+            program: request.program.map(str::to_owned),
+            session: request.session.map(str::to_owned),
+            prefix: request
                 .prefix
                 .iter()
                 .map(|part| (part.id, part.tokens))
                 .collect(),
-            prompt_tokens: ask.prompt_tokens,
-            most_tokens: ask.most_tokens,
-            idempotent: ask.idempotent,
-            time_left_ms: ask.time_left_ms,
-            tried: ask.tried.iter().map(|id| id.to_string()).collect(),
+            prompt_tokens: request.prompt_tokens,
+            max_tokens: request.max_tokens,
+            idempotent: request.idempotent,
+            time_left_ms: request.time_left_ms,
+            tried: request.tried.iter().map(|id| id.to_string()).collect(),
         });
         if let Some(act) = self.on_next_choice.borrow_mut().take() {
             act();
         }
         if let Some(retry_after_ms) = self.reject_after_ms.get() {
-            return Choice::Refuse { retry_after_ms };
+            return Choice::Reject { retry_after_ms };
         }
         if self
             .services_without_endpoints
             .borrow()
             .iter()
-            .any(|service| service == ask.backend)
+            .any(|service| service == request.backend)
         {
             return Choice::NoServer;
         }
         let endpoints = self.endpoints.borrow();
         let untried = endpoints
             .iter()
-            .find(|endpoint| !ask.tried.contains(&endpoint.id));
+            .find(|endpoint| !request.tried.contains(&endpoint.id));
         match untried.or(endpoints.first().filter(|_| self.offers_tried_again.get())) {
             Some(endpoint) => {
                 self.last_key.set(self.last_key.get() + 1);
