--- a/crates/serving/proxy/src/node.rs
+++ b/crates/serving/proxy/src/node.rs
@@ -21,7 +21,7 @@
     fn is_ready(&self) -> bool;
 
     /// The endpoint for a request. With [`Choice::Send`] the request counts as in flight there until `finished`.
-    fn choose(&self, ask: &RoutingRequest) -> Choice;
+    fn choose(&self, request: &RoutingRequest) -> Choice;
 
     /// The first event of a stream, or the head of a plain response, has come.
     fn first_event(&self, key: u64);
