--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -15,17 +15,28 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
     /// From one core member to another; not answered.
-    Chain { from: MemberId, message: Message },
+    Chain {
+        /// The sender.
+        from: MemberId,
+        /// For its state machine.
+        message: Message,
+    },
     /// Queries the newest view that the process knows of.
     Hello,
     /// A machine with an empty disk at the first start of the system applies for membership of the first view.
-    Candidate { peer: Peer },
+    Candidate {
+        /// The machine.
+        peer: Peer,
+    },
     /// Executes an operation; answered once it is committed.
     Execute(Operation),
     /// The newest configuration, confirmed by the complete chain.
     ReadConfiguration,
     /// How far a retirement is, confirmed by the complete chain.
-    ReadRetirement { node: String },
+    ReadRetirement {
+        /// The store's name.
+        node: String,
+    },
     /// Changes of the control state after an index; waits for some, a bounded time.
     Watch(WatchRequest),
     /// Leases whose renewals reached another core member.
@@ -35,7 +46,10 @@
     /// A core member tells the view to a process that may know none; not answered.
     Announce(View),
     /// Queries the status of the process, and of the budget of a program.
-    Status { program: Option<String> },
+    Status {
+        /// The program's name; none leaves its budget out.
+        program: Option<String>,
+    },
     /// From one gateway to another as the load aggregator of a service.
     Home(Ask),
 }
@@ -47,6 +61,7 @@
     pub after: Option<u64>,
     /// Number of the newest view that the caller knows.
     pub view: u64,
+    /// Leases renewed at the caller since its watch before.
     pub renewals: LeaseRenewals,
 }
 
@@ -55,18 +70,22 @@
 pub struct LeaseRenewals {
     /// Ids of servers.
     pub servers: Vec<String>,
+    /// Gateways and stores.
     pub nodes: Vec<NodeLease>,
 }
 
 /// The lease of one incarnation of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct NodeLease {
+    /// The machine's name.
     pub name: String,
+    /// Rises with each start of its process.
     pub incarnation: u64,
 }
 
 impl NodeLease {
     /// The lease of a node that reports itself so.
+    #[must_use]
     pub fn of(report: &NodeReport) -> NodeLease {
         NodeLease {
             name: report.name.clone(),
@@ -80,15 +99,23 @@
 pub enum Reply {
     /// The process can't answer this now; another one may.
     Unavailable,
+    /// The newest view that the process knows of; also acknowledges messages that have no other answer.
     View(Option<View>),
+    /// To a candidate for the first view.
     Candidacy(Candidacy),
+    /// What the operation came to.
     Executed(Outcome),
+    /// The newest configuration as JSON; `None` where there is none yet.
     Configuration(Option<String>),
+    /// How far the retirement is; `None` where there is none.
     Retirement(Option<RetireState>),
+    /// To a watch.
     StateUpdate(StateUpdate),
+    /// Of a store.
     Store(StoreReply),
     /// A [`Status`](crate::status::Status) as JSON.
     Status(String),
+    /// Of a load aggregator.
     Home(Answer),
 }
 
@@ -110,6 +137,7 @@
     pub index: u64,
     /// The changes are the complete state, and replace what the caller has.
     pub complete: bool,
+    /// The changes, in their order.
     pub changes: Vec<Change>,
     /// The view, if it is newer than the caller's.
     pub view: Option<View>,
@@ -123,6 +151,7 @@
 }
 
 /// The message of a payload, if it is one.
+#[must_use]
 pub fn decode<T: DeserializeOwned>(payload: &[u8]) -> Option<T> {
     postcard::from_bytes(payload).ok()
 }
--- a/crates/serving/dunespur/src/status/gather.rs
+++ b/crates/serving/dunespur/src/status/gather.rs
@@ -39,16 +39,23 @@
 
 /// The parts of a gateway that its status tells of.
 pub struct GatewayStatus {
+    /// The settings of the process.
     pub settings: Settings,
+    /// What it knows of the control state.
     pub directory: Rc<Directory>,
+    /// Its core member, on a machine with a disk.
     pub coordinator: Option<Rc<Coordinator>>,
+    /// Its data plane.
     pub data_plane: Rc<DataPlane>,
+    /// Its leases on programs' budgets.
     pub budgets: Rc<Budgets>,
+    /// Its listener for clients.
     pub front: Rc<ProxyServer<DataPlane>>,
 }
 
 impl GatewayStatus {
     /// The status; that of one program's budget as well, if it is named.
+    #[must_use]
     pub fn status(&self, program: Option<&str>) -> Status {
         let mut status = basics(&self.settings, Role::Gateway, &self.directory);
         if let Some(own) = self
--- a/crates/serving/dunespur/src/status/report.rs
+++ b/crates/serving/dunespur/src/status/report.rs
@@ -7,22 +7,31 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
+    /// The machine's name.
     pub node: String,
+    /// Its role: `gateway` or `store`.
     pub role: String,
     /// Of its program.
     pub version: String,
+    /// The zone of the machine.
     pub zone: String,
     /// Time since its start.
     pub up_ms: u64,
+    /// What the process takes of its machine.
     pub process: ProcessStatus,
+    /// Calls to other processes.
     pub link: LinkStatus,
+    /// What it knows of the control state.
     pub control: ControlStatus,
     /// The newest view that it knows of.
     pub view: Option<ViewStatus>,
     /// Of a core member.
     pub core: Option<CoreStatus>,
+    /// The gateways that the core knows.
     pub gateways: Vec<GatewayEntryStatus>,
+    /// Services with their servers.
     pub services: Vec<ServiceStatus>,
+    /// The stores that the core knows.
     pub stores: Vec<StoreStatus>,
     /// Of a gateway.
     pub front: Option<FrontStatus>,
@@ -35,6 +44,12 @@
 }
 
 impl Status {
+    /// The status as JSON text.
+    ///
+    /// # Panics
+    ///
+    /// Never: a status holds nothing that JSON can't.
+    #[must_use]
     pub fn to_json(&self) -> String {
         // Only a map with keys that are no texts, or a writer that fails, makes this fail; neither is there.
         serde_json::to_string_pretty(self).expect("a status can be written")
@@ -45,9 +60,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ProcessStatus {
+    /// Resident memory in kilobytes.
     pub memory_kb: u64,
+    /// The most of it so far.
     pub peak_memory_kb: u64,
+    /// Processor time in milliseconds, user and system together.
     pub processor_ms: u64,
+    /// Open descriptors.
     pub descriptors: u64,
 }
 
@@ -55,6 +74,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LinkStatus {
+    /// Calls made so far.
     pub calls: u64,
     /// Calls without an answer.
     pub failed: u64,
@@ -82,13 +102,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ViewStatus {
+    /// The view's number.
     pub number: u64,
+    /// Its members.
     pub members: Vec<MemberStatus>,
 }
 
+/// A member of the core.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
+    /// The machine's name.
     pub node: String,
+    /// Where other processes of the system reach it.
     pub address: SocketAddr,
     /// Its position in the chain, the head's is 0; none for a voter that is out of the chain.
     #[serde(rename = "place")]
@@ -111,7 +136,9 @@
     pub refused_snapshots: u64,
     /// Programs with a counter.
     pub programs: usize,
+    /// Its disk.
     pub disk: DiskStatus,
+    /// The leases that it knows, those of nodes first.
     pub leases: Vec<LeaseStatus>,
 }
 
@@ -121,6 +148,7 @@
 pub struct DiskStatus {
     /// Jobs that are queued and not done.
     pub waiting: u64,
+    /// Jobs done so far.
     pub done: u64,
     /// Attempts at a job that failed.
     pub failed: u64,
@@ -141,16 +169,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceStatus {
+    /// The service's name.
     pub name: String,
+    /// Its servers.
     pub servers: Vec<ServerStatus>,
 }
 
+/// A server of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerStatus {
+    /// Names one start of the server.
     pub id: String,
+    /// Where it takes requests.
     pub address: SocketAddr,
+    /// Its zone.
     pub zone: String,
+    /// Requests that it handles at once.
     pub slots: u32,
+    /// It takes no new requests.
     pub draining: bool,
     /// Requests of this gateway that it is at work on.
     pub in_flight: u32,
@@ -159,21 +195,31 @@
 /// A gateway in the core's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayEntryStatus {
+    /// The machine's name.
     pub name: String,
+    /// Where other processes of the system reach it.
     pub address: SocketAddr,
+    /// Its zone.
     pub zone: String,
 }
 
+/// A store as the core knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStatus {
+    /// The machine's name.
     pub name: String,
+    /// Where other processes of the system reach it.
     pub address: SocketAddr,
+    /// Its zone.
     pub zone: String,
+    /// Its lease has not lapsed.
     pub present: bool,
     /// All that it should store is there.
     #[serde(rename = "whole")]
     pub complete: bool,
+    /// It is being emptied.
     pub retiring: bool,
+    /// It has been emptied and taken away.
     pub retired: bool,
 }
 
@@ -181,14 +227,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FrontStatus {
+    /// Clients are wanted: a configuration and servers are known, and the process does not end.
     pub ready: bool,
+    /// Open connections of clients.
     pub connections: usize,
+    /// Connections of clients accepted so far.
     pub accepted: u64,
+    /// Requests so far.
     pub requests: u64,
+    /// Requests rejected by this gateway.
     pub refused: u64,
+    /// Requests that were answered with 502 or 504.
     pub failed: u64,
+    /// Open connections to servers.
     pub server_connections: usize,
+    /// Connections to servers opened so far.
     pub server_connections_opened: u64,
+    /// Bytes of bodies in memory.
     pub body_bytes: usize,
 }
 
@@ -206,8 +261,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TurnsStatus {
+    /// Turns stored.
     pub turns: usize,
+    /// Bytes of their bodies.
     pub bytes: u64,
+    /// The most bytes of bodies that it stores.
     pub capacity_bytes: u64,
     /// All that it should store is there.
     #[serde(rename = "whole")]
@@ -218,6 +276,7 @@
     pub incomplete: bool,
     /// Requests that wait for their answer.
     pub waiting: usize,
+    /// Its disk.
     pub disk: DiskStatus,
 }
 
@@ -225,6 +284,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ProgramStatus {
+    /// The program's name.
     pub name: String,
     /// Tokens that this gateway leases.
     #[serde(rename = "held_here")]
