--- a/crates/gateway/gateway/src/fleet.rs
+++ b/crates/gateway/gateway/src/fleet.rs
@@ -12,7 +12,7 @@
 use bytes::BytesMut;
 use dunespur_decisions::types::{Counted, Ending};
 use dunespur_gossip_membership::{self as members, Members};
-use dunespur_peer_transport::{Came, Kind, Links};
+use dunespur_peer_transport::{FrameError, Kind, Received, Transport};
 use dunespur_quota_sharing::lend::{self, Answer, Ask, Broker};
 use dunespur_singleton_roles::audit::{self, Auditor, Tally};
 use dunespur_singleton_roles::fence::Fence;
@@ -192,7 +192,7 @@
 pub struct Fleet {
     plan: Plan,
     me: Me,
-    links: Rc<Links>,
+    links: Rc<Transport>,
     members: Members,
     holder: Holder,
     voter: Option<Voter>,
@@ -281,9 +281,9 @@
 async fn open_links(
     plan: &Plan,
     name: &str,
-    inbox: mpsc::Sender<Came>,
-) -> Result<Rc<Links>, Fault> {
-    let links = Links::open(
+    inbox: mpsc::Sender<Received>,
+) -> Result<Rc<Transport>, Fault> {
+    let links = Transport::open(
         plan.duties.fleet.clone(),
         name.to_owned(),
         plan.listen,
@@ -331,7 +331,7 @@
         plan: Plan,
         name: String,
         seed: u64,
-        inbox: mpsc::Sender<Came>,
+        inbox: mpsc::Sender<Received>,
         tell: mpsc::UnboundedSender<Told>,
     ) -> Result<(Self, mpsc::UnboundedReceiver<Disk>), Fault> {
         let now = clock();
@@ -354,7 +354,7 @@
             .trial
             .version
             .unwrap_or(dunespur_peer_transport::VERSION);
-        links.version.set(version);
+        links.set_version(version);
         let member = members::Member {
             turn: wall,
             address: plan.listen,
@@ -465,7 +465,7 @@
                 Output::Send { to, msg } => {
                     let body = postcard::to_stdvec(&msg).unwrap_or_default();
                     for at in self.places(&to) {
-                        self.links.send(at, Kind::Duties, body.clone());
+                        self.links.send(at, Kind::SingletonRoles, body.clone());
                     }
                 }
                 Output::Save(batch) => {
@@ -546,7 +546,7 @@
         for o in out {
             match o {
                 members::Output::Datagram { to, bytes } => {
-                    self.links.datagram(to, Kind::Gossip, bytes)
+                    self.links.send_datagram(to, Kind::Gossip, bytes)
                 }
                 members::Output::Up(m) => ::log::info!("fleet: {} is up at {}", m.name, m.address),
                 members::Output::Down(m) => {
@@ -567,26 +567,26 @@
         }
     }
 
-    fn came(&mut self, hub: &Rc<Hub>, came: Came, now: f64) {
-        let Came { kind, frame } = came;
-        self.heard(&frame.from, frame.at, now);
-        let spoilt = |links: &Links| links.refuse(dunespur_peer_transport::frame::Refused::Unknown);
+    fn came(&mut self, hub: &Rc<Hub>, came: Received, now: f64) {
+        let Received { kind, frame } = came;
+        self.heard(&frame.sender, frame.sender_address, now);
+        let spoilt = |links: &Transport| links.reject(FrameError::UnknownKind);
         match kind {
             Kind::Gossip => {
                 let mut out = Vec::new();
                 self.members.datagram(&frame.body, now, &mut out);
                 self.take_members(out, now);
             }
-            Kind::Duties => match postcard::from_bytes(&frame.body) {
-                Ok(msg) => self.duty(frame.from, msg, now),
+            Kind::SingletonRoles => match postcard::from_bytes(&frame.body) {
+                Ok(msg) => self.duty(frame.sender, msg, now),
                 Err(_) => spoilt(&self.links),
             },
             Kind::Watch => match postcard::from_bytes(&frame.body) {
-                Ok(msg) => self.watch(hub, frame.from, msg, now),
+                Ok(msg) => self.watch(hub, frame.sender, msg, now),
                 Err(_) => spoilt(&self.links),
             },
             Kind::Work => match postcard::from_bytes::<Work>(&frame.body) {
-                Ok(work) => self.work(hub, &frame.from, work, now),
+                Ok(work) => self.work(hub, &frame.sender, work, now),
                 Err(_) => spoilt(&self.links),
             },
         }
@@ -825,7 +825,7 @@
         let body = postcard::to_stdvec(&work).unwrap_or_default();
         let to: Vec<_> = self.members.living().map(|m| m.address).collect();
         to.into_iter()
-            .for_each(|at| self.links.datagram(at, Kind::Work, body.clone()));
+            .for_each(|at| self.links.send_datagram(at, Kind::Work, body.clone()));
     }
 
     /// What a probe saw goes to the module, as far as this limiter's own experience lets it.
@@ -1121,8 +1121,10 @@
         self.next_effect = now + (0.5 + fastrand::f64()) / self.plan.trial.effects;
         let held: Vec<(Slot, u64)> = self.holder.held(now).collect();
         let members: Vec<SocketAddrV4> = self.members.living().map(|m| m.address).collect();
-        if self.links.version.get() > dunespur_peer_transport::VERSION {
-            members.iter().for_each(|at| self.links.strange(*at));
+        if self.links.version() > dunespur_peer_transport::VERSION {
+            members
+                .iter()
+                .for_each(|at| self.links.send_unknown_kind(*at));
         }
         for (slot, token) in held {
             self.holder.progress(slot, now);
@@ -1134,13 +1136,13 @@
             }
             if !self.plan.trial.receivers.is_empty() {
                 let at = self.plan.trial.receivers[self.turn % self.plan.trial.receivers.len()];
-                self.links.datagram(at, Kind::Work, body);
+                self.links.send_datagram(at, Kind::Work, body);
             }
         }
     }
 
     fn report(&self) {
-        let c = self.links.counts.borrow();
+        let c = self.links.statistics();
         let lent = self.lending.as_ref().map_or((0, 0, 0), |l| l.counts());
         let (leads, votes) = self
             .voter
@@ -1169,9 +1171,9 @@
             self.links.connections(),
             c.sent,
             c.sent_bytes,
-            c.came,
-            c.checksum + c.malformed + c.too_large + c.other_fleet + c.unknown + self.members.refused,
-            c.queue_full + c.peers_full + c.inbox_full,
+            c.received,
+            c.rejected() + self.members.refused,
+            c.dropped(),
         );
     }
 }
--- a/crates/gateway/gateway/src/operators.rs
+++ b/crates/gateway/gateway/src/operators.rs
@@ -3,7 +3,7 @@
 
 use crate::fault::Fault;
 use dunespur_gossip_membership::Settings as Members;
-use dunespur_peer_transport::Bounds;
+use dunespur_peer_transport::Limits;
 use dunespur_quota_sharing::lend;
 use dunespur_singleton_roles::{audit, probe, watch, Duty, Settings as Duties};
 use serde::Deserialize;
@@ -278,7 +278,7 @@
     pub disk: Option<PathBuf>,
     pub duties: Duties,
     pub members: Members,
-    pub bounds: Bounds,
+    pub bounds: Limits,
     pub watch: watch::Settings,
     pub probe: probe::Settings,
     pub audit: audit::Settings,
@@ -434,7 +434,7 @@
 }
 
 impl LinksPart {
-    fn bounds(&self, voters: usize) -> Result<Bounds, String> {
+    fn bounds(&self, voters: usize) -> Result<Limits, String> {
         let LinksPart {
             peers,
             queue,
@@ -448,12 +448,12 @@
                  or more), dial {dial} and idle {idle} (over 0)"
             ));
         }
-        Ok(Bounds {
+        Ok(Limits {
             peers,
-            queue,
-            frame,
-            dial,
-            idle,
+            queued_frames: queue,
+            frame_bytes: frame,
+            connect_timeout_s: dial,
+            idle_timeout_s: idle,
         })
     }
 }
--- a/crates/gateway/peer-transport/src/lib.rs
+++ b/crates/gateway/peer-transport/src/lib.rs
@@ -1,10 +1,18 @@
-//! Links between the limiters of a fleet: UDP for gossip, TCP for all else, IPv4. Frames are checked and
-//! decoded once. It must never hold more than its bounds, never end a process for what comes in, and never
-//! keep a caller waiting: what does not fit is dropped and counted. Nothing is encrypted and nobody signs in:
-//! whoever reaches the address is believed.
+//! Transport between the limiters of a fleet: UDP for gossip, TCP for all else, IPv4.
+//!
+//! Frames are checked and decoded once. The transport never has more pending than its [`Limits`], never ends the
+//! process on account of what it receives, and never lets a caller wait: what does not fit is dropped and counted.
+//! Nothing is encrypted and nobody is authenticated: whoever reaches the address is believed.
 
 pub mod frame;
-pub mod links;
+mod incoming;
+mod limits;
+mod outgoing;
+mod statistics;
+mod transport;
 
-pub use frame::{Frame, Kind, VERSION};
-pub use links::{Bounds, Came, Counts, Links};
+pub use frame::{Frame, FrameError, Kind, VERSION};
+pub use incoming::Received;
+pub use limits::Limits;
+pub use statistics::Statistics;
+pub use transport::Transport;
--- a/crates/gateway/peer-transport/tests/frames.rs
+++ b/crates/gateway/peer-transport/tests/frames.rs
@@ -1,7 +1,7 @@
-//! Frames between limiters have the bytes of revision 52a1591, which wrote the files under `tests/fixtures`.
+//! Frames between limiters are checked and read back, and have the bytes of revision 52a1591, which wrote the files under `tests/fixtures`.
 
-use dunespur_peer_transport::frame::{Refused, HEAD};
-use dunespur_peer_transport::{Frame, Kind};
+use dunespur_peer_transport::frame::{StreamHeader, HEADER_BYTES};
+use dunespur_peer_transport::{Frame, FrameError, Kind};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
@@ -9,7 +9,7 @@
 const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
 const KINDS: [(Kind, u16, &str); 4] = [
     (Kind::Gossip, 1, "gossip"),
-    (Kind::Duties, 2, "duties"),
+    (Kind::SingletonRoles, 2, "duties"),
     (Kind::Watch, 3, "watch"),
     (Kind::Work, 4, "work"),
 ];
@@ -18,8 +18,8 @@
     Frame {
         version: 300,
         fleet: "fleet-1".to_owned(),
-        from: "limiter-2".to_owned(),
-        at: SocketAddrV4::new([10, 20, 30, 40].into(), 5_060),
+        sender: "limiter-2".to_owned(),
+        sender_address: SocketAddrV4::new([10, 20, 30, 40].into(), 5_060),
         kind,
         body: vec![7, 8, 9, 255],
     }
@@ -52,9 +52,12 @@
 #[test]
 fn datagrams_have_the_bytes_of_the_earlier_revision() {
     for (kind, number, name) in KINDS {
-        assert_eq!((kind.number(), Kind::of(number)), (number, Some(kind)));
+        assert_eq!(
+            (kind.number(), Kind::from_number(number)),
+            (number, Some(kind))
+        );
         let name = format!("datagram-{name}.hex");
-        assert_is_fixture(&name, &frame(number).datagram());
+        assert_is_fixture(&name, &frame(number).to_datagram());
         let read = Frame::from_datagram(&fixture(&name), "fleet-1").unwrap();
         assert_eq!((read.kind(), read), (Ok(kind), frame(number)));
     }
@@ -64,12 +67,12 @@
 fn frames_of_a_stream_have_the_bytes_of_the_earlier_revision() {
     for (kind, number, name) in KINDS {
         let name = format!("stream-{name}.hex");
-        assert_is_fixture(&name, &frame(number).stream());
+        assert_is_fixture(&name, &frame(number).to_stream());
         let bytes = fixture(&name);
-        let (head, body) = bytes.split_first_chunk::<HEAD>().unwrap();
-        let (length, checksum) = Frame::head(head, 1_000).unwrap();
-        assert_eq!(length, body.len());
-        let read = Frame::checked(checksum, body, "fleet-1").unwrap();
+        let (header, body) = bytes.split_first_chunk::<HEADER_BYTES>().unwrap();
+        let header = StreamHeader::decode(header, 1_000).unwrap();
+        assert_eq!(header.length, body.len());
+        let read = Frame::decode(header.checksum, body, "fleet-1").unwrap();
         assert_eq!((read.kind(), read), (Ok(kind), frame(number)));
     }
 }
@@ -77,7 +80,42 @@
 #[test]
 fn numbers_of_no_kind_are_unknown() {
     for number in [0, 5, 999, u16::MAX] {
-        assert_eq!(Kind::of(number), None);
-        assert_eq!(frame(number).kind(), Err(Refused::Unknown));
+        assert_eq!(Kind::from_number(number), None);
+        assert_eq!(frame(number).kind(), Err(FrameError::UnknownKind));
     }
 }
+
+#[test]
+fn a_frame_comes_back_and_any_flipped_bit_is_detected() {
+    let newer = frame(Kind::SingletonRoles.number());
+    let bytes = newer.to_datagram();
+    let read = Frame::from_datagram(&bytes, "fleet-1");
+    assert_eq!(read, Ok(newer), "a newer version's envelope is read");
+    let other = Frame::from_datagram(&bytes, "fleet-2");
+    assert_eq!(other, Err(FrameError::OtherFleet));
+    for bit in 0..bytes.len() * 8 {
+        let mut flipped = bytes.clone();
+        flipped[bit / 8] ^= 1 << (bit % 8);
+        let read = Frame::from_datagram(&flipped, "fleet-1");
+        assert!(read.is_err(), "bit {bit}");
+    }
+    for length in 0..bytes.len() {
+        assert!(Frame::from_datagram(&bytes[..length], "fleet-1").is_err());
+    }
+}
+
+#[test]
+fn a_newer_kind_is_distinguished_from_a_corrupt_frame() {
+    let newer = frame(999);
+    let read = Frame::from_datagram(&newer.to_datagram(), "fleet-1").unwrap();
+    assert_eq!(read.kind(), Err(FrameError::UnknownKind));
+    let known = frame(Kind::SingletonRoles.number());
+    let stream = known.to_stream();
+    let header: [u8; HEADER_BYTES] = stream[..HEADER_BYTES].try_into().unwrap();
+    let too_large = StreamHeader::decode(&header, 4);
+    assert_eq!(too_large, Err(FrameError::TooLarge));
+    let header = StreamHeader::decode(&header, 1000).unwrap();
+    assert_eq!(header.length, stream.len() - HEADER_BYTES);
+    let read = Frame::decode(header.checksum, &stream[HEADER_BYTES..], "fleet-1");
+    assert_eq!(read, Ok(known));
+}
--- a/crates/testing/fleet-simulation/src/processes.rs
+++ b/crates/testing/fleet-simulation/src/processes.rs
@@ -410,7 +410,7 @@
         let Ok(Work::Effect { slot, token }) = postcard::from_bytes::<Work>(&frame.body) else {
             continue;
         };
-        let (t, at, who) = (clock() - rules.start.get(), format!("r{n}"), frame.from);
+        let (t, at, who) = (clock() - rules.start.get(), format!("r{n}"), frame.sender);
         lines.borrow_mut().push(match fence.accept(slot, token) {
             true => Line::Accepted {
                 t,
