--- a/crates/serving/proxy/src/active_request.rs
+++ b/crates/serving/proxy/src/active_request.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The endpoint may send nothing for a multiple of the latency target, where another one could be asked.
+    /// The endpoint may send nothing for a multiple of the latency target, where another one could be tried.
     pub(crate) fn start_response_timeout(&mut self) {
         if self.record.may_fail_over() {
             let timeout_ms = RESPONSE_TIMEOUT_TARGETS * self.route.target_ms;
--- a/crates/serving/proxy/src/attempt.rs
+++ b/crates/serving/proxy/src/attempt.rs
@@ -69,7 +69,7 @@
         if let Some(connection) = self.pooled_connection(ticket, choice) {
             trace::attempt(&self.parsed, ticket, ConnectionOrigin::Pooled);
             match self.exchange(connection, ticket).await {
-                // The connection ended as it was used again: the endpoint is as well reached over a new one.
+                // The connection ended as it was reused: that says nothing about the endpoint, which is tried over a new one.
                 Err(AttemptError::Ended(attempt)) if self.may_reconnect(attempt) => {
                     self.record
                         .record(&ticket.server.id, attempt.classify().execution);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Whether the same endpoint is asked over a new connection, after an attempt over a pooled one.
+    /// Whether the same endpoint is tried over a new connection, after an attempt over a pooled one.
     fn may_reconnect(&self, attempt: Attempt) -> bool {
         match attempt.classify().execution {
             Execution::NotRun => true,
--- a/crates/serving/proxy/src/classification.rs
+++ b/crates/serving/proxy/src/classification.rs
@@ -63,7 +63,7 @@
     NotExecuted,
     /// Another instance has the address; it has not run the request.
     OtherInstance,
-    /// The status promises that the request has not run, and nothing else says so: it may have.
+    /// The status means that the request has not run, and no header confirms it: it may have.
     UnconfirmedRejection,
     /// It does not answer this request: a stale response to another one, bytes that form none, or one that no endpoint
     /// vouches for.
@@ -198,7 +198,7 @@
     Never,
 }
 
-/// Whether a connection may carry a further request.
+/// Whether a connection may carry another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionReuse {
     /// It may, unless the endpoint closes it or surplus bytes come.
--- a/crates/serving/proxy/src/classification/tests.rs
+++ b/crates/serving/proxy/src/classification/tests.rs
@@ -1,4 +1,4 @@
-//! Properties of the whole table: each holds in every row.
+//! Properties of the table: each is checked in every row.
 
 use super::{
     close_completes_body, Attempt, Classification, ClientResponse, ConnectionReuse, EndedBy,
--- a/crates/serving/proxy/src/connection_pool.rs
+++ b/crates/serving/proxy/src/connection_pool.rs
@@ -119,7 +119,7 @@
         let stream = dial(endpoint, target_ms).await?;
         let mut connection = EndpointConnection::new(endpoint.id.clone(), stream, permit).await?;
         // Protects against an endpoint that has too many connections and resets a new one: a request written to it by
-        // then might have run, for all that could be told.
+        // then might have run, as far as anyone could tell.
         if connection.stays_open_for(self.watch).await {
             Ok(connection)
         } else {
--- a/crates/serving/proxy/src/dispatch.rs
+++ b/crates/serving/proxy/src/dispatch.rs
@@ -21,7 +21,7 @@
                 in_flight,
                 connection,
             } = self.next_endpoint()?;
-            if let Some(response) = self.try_endpoint(ticket, in_flight, connection).await? {
+            if let Some(response) = self.attempt_at(ticket, in_flight, connection).await? {
                 return Ok(response);
             }
         }
@@ -47,7 +47,7 @@
             .record(&ticket.server.id, classification.execution);
         if self.takes_resend(classification.execution) {
             let connection = ConnectionChoice::New;
-            if let Some(response) = self.try_endpoint(ticket, in_flight, connection).await? {
+            if let Some(response) = self.attempt_at(ticket, in_flight, connection).await? {
                 return Ok(response);
             }
         } else {
@@ -58,7 +58,7 @@
     }
 
     /// Sends the request to one endpoint; None where it goes to another one.
-    async fn try_endpoint(
+    async fn attempt_at(
         &mut self,
         ticket: Ticket,
         in_flight: InFlight<N>,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Whether another endpoint is asked instead of forwarding a failure of this one. It is chosen at once: where
+    /// Whether another endpoint is tried instead of forwarding a failure of this one. It is chosen at once: where
     /// there is none, the client gets the failure.
     fn reserves_alternative(&mut self, endpoint: &Server, rule: RetryRule) -> bool {
         self.record.record_run(&endpoint.id);
--- a/crates/serving/proxy/src/endpoint_connection.rs
+++ b/crates/serving/proxy/src/endpoint_connection.rs
@@ -26,8 +26,8 @@
 /// power or behind a network partition, which sends nothing.
 pub(crate) const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The body of a request up to this length fits into the sockets' buffers whether the endpoint reads it or not. Of a
-/// longer one a part waits here until the endpoint reads on, and the operating system takes one that leaves it unread
-/// for one that is dead: it has as long as the request.
+/// longer one the rest waits here until the endpoint reads on, and the operating system would take an endpoint that
+/// leaves it unread for dead: it has as long as the request.
 const MAX_BUFFERED_BODY_BYTES: u64 = 32 * 1024;
 /// Headers of a response.
 const MAX_HEADERS: usize = 160;
--- a/crates/serving/proxy/src/endpoint_io.rs
+++ b/crates/serving/proxy/src/endpoint_io.rs
@@ -62,7 +62,7 @@
         self.stream.borrow().inner().ended_by()
     }
 
-    /// Whether the operating system holds neither bytes nor an end of the connection to be read.
+    /// Whether the operating system has neither bytes nor an end of the connection to be read.
     pub(crate) fn is_quiet(&self) -> bool {
         let stream = self.stream.borrow();
         let peeked = SockRef::from(stream.inner().socket()).peek(&mut [MaybeUninit::uninit()]);
--- a/crates/serving/proxy/src/event_relay.rs
+++ b/crates/serving/proxy/src/event_relay.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// What a stream has come to so far, over all its endpoints.
+/// The state of a stream, over all the endpoints that it came from.
 pub(crate) struct EventRelay<N: Node> {
     splitter: EventSplitter,
     /// The event that the client had already.
@@ -136,7 +136,7 @@
         client: &Rc<ClientConnection>,
     ) -> Response<ClientBody> {
         let EndpointResponse { mut head, source } = response;
-        // Without a length its end is a chunk of its own, held back until the turn is stored.
+        // Without a length its end is a chunk of its own, which waits until the turn is stored.
         head.headers.remove(CONTENT_LENGTH);
         let slot = ChunkSlot::default();
         let producer = self.run(request, source, begun, slot.clone());
--- a/crates/serving/proxy/src/event_stream.rs
+++ b/crates/serving/proxy/src/event_stream.rs
@@ -13,14 +13,14 @@
 #[error("an event of more than {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
-/// Holds back the part of an event that has not arrived completely.
+/// Buffers the part of an event that has not arrived completely.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes what arrived; gives the complete events so far, unchanged and in one piece.
+    /// Takes what arrived; gives the complete events so far, unchanged and contiguous.
     ///
     /// # Errors
     ///
@@ -34,13 +34,13 @@
         self.split(joined)
     }
 
-    /// Whether nothing is held back.
+    /// Whether nothing is buffered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// How many bytes are held back.
+    /// How many bytes are buffered.
     #[must_use]
     pub fn partial_bytes(&self) -> usize {
         self.partial.len()
--- a/crates/serving/proxy/src/execution_record.rs
+++ b/crates/serving/proxy/src/execution_record.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may have run a request, and whether it may be sent to a further one. No clock, no I/O.
+//! Which endpoints may have run a request, and whether it may be sent to another one. No clock, no I/O.
 
 use crate::classification::{ClientResponse, Execution, Idempotency, RetryRule};
 use crate::rejection::Rejection;
@@ -84,7 +84,7 @@
         self.is_repeatable() && self.endpoints.len() + 1 < self.max_endpoints
     }
 
-    /// Whether the request is sent to the same endpoint again, which is counted: it may be sent to no further one,
+    /// Whether the request is sent to the same endpoint again, which is counted: it may be sent to no other,
     /// and is idempotent. Should the endpoint turn out to have crashed, it no longer counts.
     pub(crate) fn take_resend(&mut self) -> bool {
         let may_resend =
--- a/crates/serving/proxy/src/idle_age.rs
+++ b/crates/serving/proxy/src/idle_age.rs
@@ -1,4 +1,4 @@
-//! Which idle connections may carry a further request. No clock, no I/O.
+//! Which idle connections may carry another request. No clock, no I/O.
 
 use crate::classification::Idempotency;
 
--- a/crates/serving/proxy/src/outbound_request.rs
+++ b/crates/serving/proxy/src/outbound_request.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// From now on the endpoint is asked for the events behind this one.
+    /// From now on only the events behind this one are requested.
     pub(crate) fn resume_after(&mut self, last_event_id: u64) {
         self.headers.insert(
             http_headers::LAST_EVENT_ID,
--- a/crates/serving/proxy/src/parsed_request.rs
+++ b/crates/serving/proxy/src/parsed_request.rs
@@ -6,9 +6,9 @@
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use smallvec::SmallVec;
 
-/// Parts of a prompt's prefix that are read; the rest plays no part in the choice of an endpoint. Protects against a
+/// Segments of a prompt's prefix that are read; the rest does not affect the choice of an endpoint. Protects against a
 /// header that lists thousands.
-const MAX_PREFIX_PARTS: usize = 64;
+const MAX_PREFIX_SEGMENTS: usize = 64;
 
 /// The headers that the data plane itself reads.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
         })
     }
 
-    /// The most tokens that a turn generates; one that does not say may use its whole budget.
+    /// The most tokens that a turn generates; one that states none may use all of its budget.
     pub(crate) fn max_turn_tokens(&self) -> u64 {
         match self.max_tokens {
             0 => self.budget.unwrap_or(0),
@@ -107,26 +107,26 @@
     }
 }
 
-/// The parts that the prompt consists of, in order.
+/// The segments that the prompt consists of, in order.
 fn prefix(headers: &HeaderMap) -> SmallVec<[PromptSegment; 8]> {
     let value = text(headers.get(http_headers::PROMPT_PREFIX)).unwrap_or_default();
     value
         .split(',')
-        .map_while(prefix_part)
-        .take(MAX_PREFIX_PARTS)
+        .map_while(prefix_segment)
+        .take(MAX_PREFIX_SEGMENTS)
         .collect()
 }
 
-fn prefix_part(text: &str) -> Option<PromptSegment> {
+fn prefix_segment(text: &str) -> Option<PromptSegment> {
     let (id, tokens) = text.trim().split_once(':')?;
     Some(PromptSegment {
-        id: prefix_part_id(id)?,
+        id: prefix_segment_id(id)?,
         tokens: tokens.parse().ok()?,
     })
 }
 
 /// The last 16 hex digits of an id.
-fn prefix_part_id(hex: &str) -> Option<u64> {
+fn prefix_segment_id(hex: &str) -> Option<u64> {
     let start = hex.len().saturating_sub(16);
     u64::from_str_radix(hex.get(start..)?, 16).ok()
 }
--- a/crates/serving/proxy/src/safeguards.rs
+++ b/crates/serving/proxy/src/safeguards.rs
@@ -20,7 +20,7 @@
     #[cfg(feature = "removable-safeguards")]
     pub surplus_bytes_close_connection: bool,
     /// A body that ends with its connection is complete only if the endpoint closed the connection in order. Protects
-    /// against forwarding a part as the whole.
+    /// against forwarding a partial body as a complete one.
     #[cfg(feature = "removable-safeguards")]
     pub reset_truncates_body: bool,
 }
--- a/crates/serving/proxy/src/server.rs
+++ b/crates/serving/proxy/src/server.rs
@@ -193,7 +193,7 @@
             .map_or(Limits::DEFAULT, |table| table.limits())
     }
 
-    /// Whether one more client may connect; else the one that has been idle longest is told to close.
+    /// Whether one more client may connect; else the one that has been idle longest is commanded to close.
     fn make_capacity(&self) -> bool {
         let clients = self.clients.borrow();
         if clients.len() < self.settings.max_connections {
--- a/crates/serving/proxy/tests/classification.rs
+++ b/crates/serving/proxy/tests/classification.rs
@@ -36,8 +36,8 @@
 }
 
 /// What the endpoint sends so that this is received.
-fn bytes_of(received: ResponseProgress) -> String {
-    let (kind, framing, length, part) = match received {
+fn bytes_of(response: ResponseProgress) -> String {
+    let (kind, framing, length, part) = match response {
         ResponseProgress::Nothing => return String::new(),
         ResponseProgress::Interim => {
             return "HTTP/1.1 103 Early Hints\r\nX-Any: 1\r\n\r\n".to_owned()
@@ -97,8 +97,8 @@
 
     async fn drive(&self) {
         let Attempt {
-            request: sent,
-            response: received,
+            request,
+            response,
             ended_by,
         } = self.attempt;
         let (first, second) = (
@@ -114,7 +114,7 @@
         proxy
             .node
             .edit_configuration(&[(r#""max_body_bytes":100000"#, r#""max_body_bytes":20000000"#)]);
-        let body = if sent == SendProgress::Complete {
+        let body = if request == SendProgress::Complete {
             "x".to_owned()
         } else {
             "x".repeat(LONG_BODY)
@@ -125,17 +125,17 @@
             "/write/"
         };
         let mut client = Some(proxy.client().await);
-        let request = post(path, "r1", "", &body);
-        client.as_mut().unwrap().send(request.as_bytes()).await;
+        let bytes = post(path, "r1", "", &body);
+        client.as_mut().unwrap().send(bytes.as_bytes()).await;
 
         let mut connection = first.accept().await;
         let head = connection.head().await;
-        if sent == SendProgress::Complete {
+        if request == SendProgress::Complete {
             connection.body_of(&head).await.unwrap();
         }
-        connection.send(bytes_of(received).as_bytes()).await;
+        connection.send(bytes_of(response).as_bytes()).await;
         if matches!(
-            received,
+            response,
             ResponseProgress::Partial {
                 forwarded: true,
                 ..
@@ -219,10 +219,10 @@
     }
 }
 
-fn drive(sent: SendProgress, received: ResponseProgress, ended_by: EndedBy) {
+fn drive(request: SendProgress, response: ResponseProgress, ended_by: EndedBy) {
     let attempt = Attempt {
-        request: sent,
-        response: received,
+        request,
+        response,
         ended_by,
     };
     for idempotent in [false, true] {
@@ -237,19 +237,19 @@
     }
 }
 
-const SENT: [SendProgress; 2] = [SendProgress::PartialBody, SendProgress::Complete];
+const SEND_STATES: [SendProgress; 2] = [SendProgress::PartialBody, SendProgress::Complete];
 
 #[test]
 fn no_response_or_interim_ones_alone() {
-    for sent in SENT {
-        for received in [ResponseProgress::Nothing, ResponseProgress::Interim] {
+    for request in SEND_STATES {
+        for response in [ResponseProgress::Nothing, ResponseProgress::Interim] {
             for ended_by in [
                 EndedBy::Endpoint,
                 EndedBy::Reset,
                 EndedBy::Timeout,
                 EndedBy::Client,
             ] {
-                drive(sent, received, ended_by);
+                drive(request, response, ended_by);
             }
         }
     }
@@ -257,9 +257,9 @@
 
 #[test]
 fn a_partial_response_that_was_not_forwarded() {
-    for sent in SENT {
+    for request in SEND_STATES {
         for kind in [ResponseKind::Final, ResponseKind::Failure] {
-            let received = ResponseProgress::Partial {
+            let response = ResponseProgress::Partial {
                 kind,
                 framing: Framing::Delimited,
                 forwarded: false,
@@ -272,23 +272,23 @@
             ] {
                 // A failure of one endpoint is not waited for where another one may be asked.
                 if kind == ResponseKind::Final || ended_by != EndedBy::Timeout {
-                    drive(sent, received, ended_by);
+                    drive(request, response, ended_by);
                 }
             }
             // Closed in order, a body without a length is complete.
-            let received = ResponseProgress::Partial {
+            let response = ResponseProgress::Partial {
                 kind,
                 framing: Framing::UntilClose,
                 forwarded: false,
             };
-            drive(sent, received, EndedBy::Reset);
+            drive(request, response, EndedBy::Reset);
         }
     }
 }
 
 #[test]
 fn a_partial_response_that_was_forwarded() {
-    for sent in SENT {
+    for request in SEND_STATES {
         let kind = ResponseKind::Final;
         for ended_by in [
             EndedBy::Endpoint,
@@ -296,34 +296,34 @@
             EndedBy::Timeout,
             EndedBy::Client,
         ] {
-            let received = ResponseProgress::Partial {
+            let response = ResponseProgress::Partial {
                 kind,
                 framing: Framing::Delimited,
                 forwarded: true,
             };
-            drive(sent, received, ended_by);
+            drive(request, response, ended_by);
         }
         for ended_by in [EndedBy::Reset, EndedBy::Timeout, EndedBy::Client] {
-            let received = ResponseProgress::Partial {
+            let response = ResponseProgress::Partial {
                 kind,
                 framing: Framing::UntilClose,
                 forwarded: true,
             };
-            drive(sent, received, ended_by);
+            drive(request, response, ended_by);
         }
     }
 }
 
 #[test]
 fn a_complete_response() {
-    for sent in SENT {
+    for request in SEND_STATES {
         for kind in [
             ResponseKind::Final,
             ResponseKind::Failure,
             ResponseKind::NotExecuted,
         ] {
             drive(
-                sent,
+                request,
                 ResponseProgress::Complete {
                     kind,
                     framing: Framing::Delimited,
@@ -337,7 +337,7 @@
             ResponseKind::NotExecuted,
         ] {
             drive(
-                sent,
+                request,
                 ResponseProgress::Complete {
                     kind,
                     framing: Framing::UntilClose,
@@ -345,21 +345,21 @@
                 EndedBy::Endpoint,
             );
         }
-        let received = ResponseProgress::Complete {
+        let response = ResponseProgress::Complete {
             kind: ResponseKind::OtherInstance,
             framing: Framing::Delimited,
         };
-        drive(sent, received, EndedBy::Nobody);
+        drive(request, response, EndedBy::Nobody);
     }
 }
 
 #[test]
 fn an_unusable_response() {
-    for sent in SENT {
+    for request in SEND_STATES {
         for kind in [ResponseKind::UnconfirmedRejection, ResponseKind::Unrelated] {
             for framing in [Framing::Delimited, Framing::UntilClose] {
                 drive(
-                    sent,
+                    request,
                     ResponseProgress::Partial {
                         kind,
                         framing,
@@ -368,7 +368,7 @@
                     EndedBy::Proxy,
                 );
                 drive(
-                    sent,
+                    request,
                     ResponseProgress::Complete { kind, framing },
                     EndedBy::Proxy,
                 );
--- a/crates/serving/proxy/tests/connections.rs
+++ b/crates/serving/proxy/tests/connections.rs
@@ -6,7 +6,7 @@
 use dunespur_proxy::{serve_readiness, ProxyServer, ProxySettings};
 use dunespur_routing::Outcome;
 use std::rc::Rc;
-use support::{event, get, post, run_test, Peer, TestEndpoint, TestNode, TestProxy};
+use support::{event, get, post, run_test, two_endpoints, Peer, TestEndpoint, TestNode, TestProxy};
 use tokio::net::{TcpListener, TcpStream};
 
 /// Serves one request over a new connection to `endpoint`, which it returns.
@@ -21,8 +21,7 @@
 #[test]
 fn a_client_connection_carries_one_request_after_another() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.client().await;
         for id in ["r1", "r2"] {
             client.send(get("/read/", id).as_bytes()).await;
@@ -46,8 +45,7 @@
 #[test]
 fn a_pipelined_request_is_answered_after_the_one_before() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let both = get("/read/", "r1") + &get("/read/", "r2");
         let mut client = proxy.request(&both).await;
         for id in ["r1", "r2"] {
@@ -65,8 +63,7 @@
 #[test]
 fn a_client_that_asks_for_a_close_gets_it() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = get("/read/", "r1").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
         let mut client = proxy.request(&request).await;
         let (mut connection, message) = endpoint.next_request().await;
@@ -80,8 +77,7 @@
 #[test]
 fn an_endpoint_connection_is_pooled_for_the_next_request() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut connection = serve_first(&proxy, &endpoint, "Keep-Alive: timeout=5\r\n").await;
         let mut client = proxy.request(&get("/read/", "r2")).await;
         assert_eq!(connection.message().await.id(), "r2");
@@ -94,10 +90,9 @@
 #[test]
 fn a_connection_that_the_endpoint_closes_is_not_reused() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut said = serve_first(&proxy, &endpoint, "Connection: close\r\n").await;
-        assert!(said.is_closed().await);
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
+        let mut closing = serve_first(&proxy, &endpoint, "Connection: close\r\n").await;
+        assert!(closing.is_closed().await);
         drop(serve_first(&proxy, &endpoint, "Keep-Alive: timeout=5\r\n").await);
         serve_first(&proxy, &endpoint, "Keep-Alive: timeout=0\r\n").await;
         serve_first(&proxy, &endpoint, "").await;
@@ -107,8 +102,7 @@
 #[test]
 fn bytes_behind_a_response_close_its_connection() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
         let twice = "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 2\r\n\r\nok".repeat(2);
@@ -122,8 +116,7 @@
 #[test]
 fn a_stale_response_on_a_pooled_connection_is_discarded() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut connection = serve_first(&proxy, &endpoint, "Keep-Alive: timeout=5\r\n").await;
         let mut client = proxy.request(&get("/read/", "r2")).await;
         connection.message().await;
@@ -138,8 +131,7 @@
 #[test]
 fn a_request_that_is_not_idempotent_goes_over_no_closed_connection() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         drop(serve_first(&proxy, &endpoint, "Keep-Alive: timeout=5\r\n").await);
         let mut client = proxy.request(&post("/write/", "r2", "", "x")).await;
         let (mut connection, message) = endpoint.next_request().await;
@@ -152,8 +144,7 @@
 #[test]
 fn an_idempotent_request_survives_a_pooled_connection_that_breaks_as_it_is_used() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut connection = serve_first(&proxy, &endpoint, "Keep-Alive: timeout=5\r\n").await;
         let mut client = proxy.request(&get("/read/", "r2")).await;
         connection.message().await;
@@ -172,10 +163,7 @@
 #[test]
 fn endpoint_connections_are_bounded() {
     run_test(async {
-        let (first, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
+        let (first, second) = two_endpoints().await;
         let settings = ProxySettings {
             max_endpoint_connections: 1,
             ..ProxySettings::default()
@@ -215,8 +203,7 @@
 #[test]
 fn bodies_come_with_a_length_or_in_chunks() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy
             .request("POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
             .await;
@@ -241,8 +228,7 @@
 #[test]
 fn a_body_over_the_limit_is_rejected_unread() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head = "POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n";
         let mut client = proxy
             .request(&format!("{head}Content-Length: 100001\r\n\r\n"))
@@ -267,8 +253,7 @@
 #[test]
 fn a_body_at_the_limit_is_served() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let body = "x".repeat(100_000);
         let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
         let (mut connection, message) = endpoint.next_request().await;
@@ -310,8 +295,7 @@
 #[test]
 fn heads_up_to_the_limit_are_served_and_longer_ones_rejected() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         for length in [9_000, 16_000] {
             let mut client = proxy
                 .request(&post(
@@ -346,8 +330,7 @@
 #[test]
 fn a_hundred_and_fifty_headers_pass_both_ways() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let many: String = (0..150)
             .map(|number| format!("X-H{number}: {number}\r\n"))
             .collect();
@@ -362,8 +345,7 @@
 #[test]
 fn two_different_lengths_are_malformed() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = "POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab";
         assert_eq!(proxy.response(request).await.status(), 400);
         assert!(endpoint.has_no_connection().await);
@@ -373,8 +355,7 @@
 #[test]
 fn a_length_beside_chunks_smuggles_nothing() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         for lengths in [
             "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
             "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n",
@@ -400,8 +381,7 @@
 #[test]
 fn an_incomplete_body_reaches_no_endpoint() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head = "POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n";
         for rest in [
             "Content-Length: 10\r\n\r\nhalf",
@@ -464,8 +444,7 @@
 #[test]
 fn errors_of_one_connection_harm_no_other() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
         proxy.request("\x00\x00").await.reset();
@@ -512,20 +491,19 @@
 #[test]
 fn while_draining_each_response_closes_its_connection() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut kept = proxy.request(&get("/nowhere/", "r0")).await;
-        kept.message().await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
+        let mut client = proxy.request(&get("/nowhere/", "r0")).await;
+        client.message().await;
         proxy.server.drain();
-        kept.send(get("/read/", "r1").as_bytes()).await;
+        client.send(get("/read/", "r1").as_bytes()).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection.respond(200, "r1", "", "ok").await;
-        let response = kept.message().await;
+        let response = client.message().await;
         assert_eq!(
             (response.text(), response.header("connection")),
             ("ok", Some("close"))
         );
-        assert!(kept.is_closed().await);
+        assert!(client.is_closed().await);
         let mut new = proxy.request(&get("/nowhere/", "r2")).await;
         assert_eq!(new.message().await.header("connection"), Some("close"));
     });
@@ -597,10 +575,7 @@
 #[test]
 fn an_endpoint_that_resets_a_new_connection_has_not_run_its_request() {
     run_test(async {
-        let (full, endpoint) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
+        let (full, endpoint) = two_endpoints().await;
         let settings = ProxySettings {
             connection_watch_ms: 300,
             ..ProxySettings::default()
--- a/crates/serving/proxy/tests/deadlines.rs
+++ b/crates/serving/proxy/tests/deadlines.rs
@@ -3,7 +3,9 @@
 mod support;
 
 use dunespur_routing::Outcome;
-use support::{event, events, get, post, run_test, Message, TestEndpoint, TestProxy, TURN};
+use support::{
+    event, events, get, post, run_test, two_endpoints, Message, TestEndpoint, TestProxy, TURN,
+};
 
 /// For how many times the latency target of its route an endpoint may be silent before an idempotent request fails
 /// over.
@@ -31,8 +33,7 @@
 #[test]
 fn a_request_without_a_deadline_is_forwarded_with_the_timeout_of_its_route() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = "GET /read/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n\r\n";
         let mut client = proxy.request(request).await;
         let (mut connection, message) = endpoint.next_request().await;
@@ -45,10 +46,7 @@
 #[test]
 fn a_request_that_fails_over_states_its_remaining_time() {
     run_test(async {
-        let (silent, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
+        let (silent, second) = two_endpoints().await;
         let proxy = TestProxy::start(&[&silent, &second]).await;
         proxy
             .node
@@ -68,10 +66,7 @@
 #[test]
 fn a_stream_that_is_resumed_states_its_remaining_time() {
     run_test(async {
-        let (silent, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
+        let (silent, second) = two_endpoints().await;
         let proxy = TestProxy::start(&[&silent, &second]).await;
         proxy
             .node
@@ -96,10 +91,7 @@
 #[test]
 fn a_rejected_request_that_is_not_idempotent_states_its_remaining_time() {
     run_test(async {
-        let (full, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
+        let (full, second) = two_endpoints().await;
         let proxy = TestProxy::start(&[&full, &second]).await;
         let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, first) = full.next_request().await;
--- a/crates/serving/proxy/tests/events.rs
+++ b/crates/serving/proxy/tests/events.rs
@@ -5,13 +5,13 @@
 
 const STREAM: &str = "id: 1\ndata: a\n\nversions: 2\nid: 2\ndata:b\ndata: c\n\n: comment\n\nid: 3\r\ndata: d\r\n\r\nid: 10\ndata\n\n";
 
-fn read(whole: &[u8]) -> Vec<(Option<u64>, String)> {
+fn read(complete: &[u8]) -> Vec<(Option<u64>, String)> {
     let data = |event: Event| {
         let mut output = BytesMut::new();
         event.append_data(&mut output);
         String::from_utf8(output.to_vec()).unwrap()
     };
-    Event::all(whole)
+    Event::all(complete)
         .map(|event| (event.id, data(event)))
         .collect()
 }
@@ -40,14 +40,14 @@
             let mut splitter = EventSplitter::default();
             let mut came = Vec::new();
             let mut passed = Vec::new();
-            for part in [
+            for chunk in [
                 bytes.slice(..first),
                 bytes.slice(first..second),
                 bytes.slice(second..),
             ] {
-                let whole = splitter.push(part).unwrap();
-                came.extend(read(&whole));
-                passed.extend_from_slice(&whole);
+                let complete = splitter.push(chunk).unwrap();
+                came.extend(read(&complete));
+                passed.extend_from_slice(&complete);
             }
             assert_eq!(passed, bytes, "cut at {first} and {second}");
             assert_eq!(came, all, "cut at {first} and {second}");
@@ -59,10 +59,10 @@
 #[test]
 fn a_partial_event_is_buffered() {
     let mut splitter = EventSplitter::default();
-    let whole = splitter
+    let complete = splitter
         .push(Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\ndata: b\n"))
         .unwrap();
-    assert_eq!(whole, "id: 1\ndata: a\n\n");
+    assert_eq!(complete, "id: 1\ndata: a\n\n");
     assert_eq!(splitter.partial_bytes(), "id: 2\ndata: b\n".len());
     splitter.clear();
     assert!(splitter.is_empty());
@@ -71,14 +71,14 @@
 #[test]
 fn complete_events_are_not_copied() {
     let bytes = Bytes::from_static(b"id: 1\ndata: a\n\n");
-    let whole = EventSplitter::default().push(bytes.clone()).unwrap();
-    assert_eq!(whole.as_ptr(), bytes.as_ptr());
+    let complete = EventSplitter::default().push(bytes.clone()).unwrap();
+    assert_eq!(complete.as_ptr(), bytes.as_ptr());
 }
 
 #[test]
 fn an_event_without_end_is_an_error() {
     let mut splitter = EventSplitter::default();
-    let part = Bytes::from(vec![b'x'; 600 * 1024]);
-    assert!(splitter.push(part.clone()).is_ok());
-    assert!(splitter.push(part).is_err());
+    let chunk = Bytes::from(vec![b'x'; 600 * 1024]);
+    assert!(splitter.push(chunk.clone()).is_ok());
+    assert!(splitter.push(chunk).is_err());
 }
--- a/crates/serving/proxy/tests/log_lines.rs
+++ b/crates/serving/proxy/tests/log_lines.rs
@@ -4,7 +4,7 @@
 
 use std::cell::RefCell;
 use support::fixtures::{assert_fixture, without_times};
-use support::{event, get, post, run_test, TestEndpoint, TestProxy, TURN};
+use support::{event, get, post, run_test, two_endpoints, TestEndpoint, TestProxy, TURN};
 
 thread_local! {
     static LINES: RefCell<String> = const { RefCell::new(String::new()) };
@@ -42,8 +42,7 @@
 #[test]
 fn of_a_request_that_is_served() {
     run_logged("served", async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection
@@ -61,10 +60,7 @@
 fn of_a_request_that_is_retried() {
     run_logged("next_server", async {
         let dead = TestEndpoint::dead("i-dead").await;
-        let (full, good) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
+        let (full, good) = two_endpoints().await;
         let proxy = TestProxy::start(&[&dead, &full, &good]).await;
         let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = full.next_request().await;
@@ -80,8 +76,7 @@
 #[test]
 fn of_a_turn() {
     run_logged("turn", async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy
             .request(&post(
                 "/turn/",
@@ -112,8 +107,7 @@
 #[test]
 fn of_an_unresponsive_endpoint() {
     run_logged("unresponsive", async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.request(&post("/short/", "r1", "", "x")).await;
         let (_connection, _) = endpoint.next_request().await;
         client.message().await;
--- a/crates/serving/proxy/tests/requests.rs
+++ b/crates/serving/proxy/tests/requests.rs
@@ -3,15 +3,16 @@
 mod support;
 
 use dunespur_routing::Outcome;
-use support::{get, post, run_test, table, NodeCall, TestEndpoint, TestProxy, CONFIGURATION};
+use support::{
+    get, post, run_test, table, two_endpoints, NodeCall, TestEndpoint, TestProxy, CONFIGURATION,
+};
 
 const SERVED: Outcome = Outcome::Served { tokens_out: 0 };
 
 #[test]
 fn a_request_and_its_response_are_forwarded_unchanged() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = post(
             "/write/a%20b?c=d&e",
             "r1",
@@ -60,8 +61,7 @@
 #[test]
 fn clients_can_not_set_the_proxys_own_headers() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.node.engine_priority.set(Some(2));
         let _client = proxy
             .request(&post(
@@ -87,8 +87,7 @@
 #[test]
 fn requests_that_can_not_be_served_are_rejected() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let cases = [
             (get("/nowhere/", "r1"), 404),
             (get("/read", "r1"), 404),
@@ -119,8 +118,7 @@
 #[test]
 fn with_a_stale_configuration_an_unknown_route_may_exist() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.node.configuration_stale.set(true);
         let response = proxy.response(&get("/nowhere/", "r1")).await;
         assert_eq!(response.status(), 503);
@@ -144,8 +142,7 @@
 #[test]
 fn a_request_before_the_first_configuration_is_served_once_it_has_arrived() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         *proxy.node.table.borrow_mut() = None;
         let mut client = proxy.request(&post("/write/", "r1", "", "body")).await;
         proxy.node.called_with(&NodeCall::AwaitChange).await;
@@ -253,10 +250,7 @@
 #[test]
 fn a_request_that_may_have_run_and_is_not_idempotent_is_not_retried() {
     run_test(async {
-        let (first, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
+        let (first, second) = two_endpoints().await;
         let proxy = TestProxy::start(&[&first, &second]).await;
         let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
         let (connection, _) = first.next_request().await;
@@ -272,8 +266,7 @@
 #[test]
 fn an_unconfirmed_rejection_is_not_forwarded() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         for (status, id) in [(503, "r1"), (429, "r2"), (408, "r3")] {
             let mut client = proxy.request(&post("/write/", id, "", "x")).await;
             let (mut connection, _) = endpoint.next_request().await;
@@ -290,8 +283,7 @@
 #[test]
 fn an_endpoints_own_failure_is_forwarded() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         for (status, id, path) in [
             (500, "r1", "/write/"),
             (504, "r2", "/write/"),
@@ -346,8 +338,7 @@
 #[test]
 fn an_unrelated_response_is_not_forwarded() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let spoilt = [
             ("another request's", "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: other\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 2\r\n\r\nok"),
             ("without an id", "HTTP/1.1 200 OK\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 2\r\n\r\nok"),
@@ -372,8 +363,7 @@
 #[test]
 fn a_short_response_that_is_truncated_becomes_a_502() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head =
             "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n";
         for rest in [
@@ -393,8 +383,7 @@
 #[test]
 fn a_long_response_that_is_truncated_looks_truncated() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head =
             "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n";
         let part = "x".repeat(80_000);
@@ -417,8 +406,7 @@
 #[test]
 fn a_long_response_comes_completely() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let body = "0123456789".repeat(30_000);
         let mut client = proxy.request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
@@ -432,8 +420,7 @@
 #[test]
 fn an_unresponsive_endpoint_is_given_up_at_the_timeout_of_the_route() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.request(&post("/short/", "r1", "", "x")).await;
         let (mut connection, message) = endpoint.next_request().await;
         let deadline: u64 = message
@@ -451,8 +438,7 @@
 #[test]
 fn a_client_that_disconnects_ends_its_request_at_once() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let client = proxy.request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         drop(client);
@@ -464,8 +450,7 @@
 #[test]
 fn a_client_that_disconnects_during_a_long_response_ends_its_request() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection.send(b"HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\nTransfer-Encoding: chunked\r\n\r\n").await;
@@ -480,8 +465,7 @@
 #[test]
 fn the_choice_gets_what_the_request_states() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let more = "Program: p1\r\nSession: s1\r\nX-Dunespur-Token-Count: 1460,80\r\nX-Dunespur-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410\r\n";
         let _client = proxy.request(&post("/resume/", "r1", more, "x")).await;
         endpoint.next_request().await;
@@ -502,10 +486,7 @@
 #[test]
 fn an_idempotent_request_is_resent_to_its_endpoint_where_no_other_may_run_it() {
     run_test(async {
-        let (endpoint, other) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
+        let (endpoint, other) = two_endpoints().await;
         let proxy = TestProxy::start(&[&endpoint, &other]).await;
         let mut client = proxy.request(&get("/read/", "r1")).await;
         let (connection, _) = endpoint.next_request().await;
@@ -523,8 +504,7 @@
 #[test]
 fn an_endpoint_that_truncates_every_response_is_not_tried_for_ever() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.request(&get("/read/", "r1")).await;
         for _ in 0..3 {
             let (connection, _) = endpoint.next_request().await;
@@ -558,8 +538,7 @@
 #[test]
 fn a_service_without_endpoints_is_replaced_by_another_of_its_route() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.node.edit_configuration(&[(r#""timeout_ms":20000,"target_ms":500,"priority":1,"backend":"plain""#, r#""timeout_ms":20000,"target_ms":500,"priority":1,"backends":[{"backend":"engine","weight":100},{"backend":"plain","weight":1}]"#)]);
         proxy
             .node
@@ -577,8 +556,7 @@
 #[test]
 fn a_client_that_disconnects_at_its_deadline_counts_against_the_endpoint() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let client = proxy.request(&post("/short/", "r1", "", "x")).await;
         endpoint.next_request().await;
         drop(client);
@@ -592,8 +570,7 @@
 #[test]
 fn responses_without_a_body_are_forwarded() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head =
             "X-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\nConnection: close\r\n";
         for (method, response, length) in [
@@ -644,8 +621,7 @@
 #[test]
 fn an_absolute_target_names_its_host() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = get("/write/a?b=c", "r1").replace("GET ", "GET http://h.example:80");
         let _client = proxy.request(&request).await;
         assert_eq!(
@@ -662,8 +638,7 @@
 #[test]
 fn paths_and_queries_stay_unchanged() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         for target in [
             "/write//x/../y",
             "/write/%2e%2E/%00",
@@ -683,8 +658,7 @@
 #[test]
 fn a_body_without_a_length_is_complete_once_the_endpoint_has_closed_the_connection() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head =
             "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n\r\n";
         for body in ["".to_owned(), "ok".to_owned(), "x".repeat(200_000)] {
@@ -705,8 +679,7 @@
 #[test]
 fn a_body_without_a_length_is_incomplete_while_its_connection_is_open() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.request(&post("/short/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection
@@ -727,8 +700,7 @@
 #[test]
 fn a_body_without_a_length_that_is_reset_is_incomplete() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head =
             "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n\r\n";
         let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
--- a/crates/serving/proxy/tests/stale_responses.rs
+++ b/crates/serving/proxy/tests/stale_responses.rs
@@ -5,7 +5,9 @@
 
 use dunespur_proxy::{ProxySettings, Safeguards};
 use std::io::Write;
-use support::{event, get, pass_time, post, run_test, Message, Peer, TestEndpoint, TestProxy};
+use support::{
+    event, get, pass_time, post, run_test, two_endpoints, Message, Peer, TestEndpoint, TestProxy,
+};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::Duration;
@@ -159,8 +161,7 @@
 #[test]
 fn responses_on_different_connections_may_overtake_each_other() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut first = proxy.request(&post("/write/", "r1", "", "x")).await;
         let (mut first_connection, _) = endpoint.next_request().await;
         let mut second = proxy.request(&post("/write/", "r2", "", "x")).await;
@@ -175,8 +176,7 @@
 #[test]
 fn a_response_over_the_connection_of_another_request_is_discarded() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut first = proxy.request(&post("/write/", "r1", "", "x")).await;
         let (mut first_connection, _) = endpoint.next_request().await;
         let mut second = proxy.request(&post("/write/", "r2", "", "x")).await;
@@ -191,8 +191,7 @@
 #[test]
 fn the_response_to_a_disconnected_client_is_discarded() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut connection = cooled_down_connection(&proxy, &endpoint).await;
         let left = proxy.request(&post("/write/", "r1", "", "x")).await;
         assert_eq!(connection.message().await.id(), "r1");
@@ -214,8 +213,7 @@
 #[test]
 fn a_rejected_request_is_not_sent_over_the_same_connection_again() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.node.offers_tried_again.set(true);
         let mut client = proxy.request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
@@ -232,8 +230,7 @@
 #[test]
 fn interim_responses_are_no_response() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection
@@ -249,10 +246,7 @@
 
 /// Whether a request that is not idempotent reaches a second endpoint after it may have run at the first.
 async fn runs_twice(safeguards: Safeguards) -> bool {
-    let (first, second) = (
-        TestEndpoint::start("i-1").await,
-        TestEndpoint::start("i-2").await,
-    );
+    let (first, second) = two_endpoints().await;
     let proxy = proxy_without(&[&first, &second], safeguards).await;
     proxy.node.edit_configuration(&[(
         r#""target_ms":500,"priority":1,"backend":"plain","retries":1"#,
@@ -387,10 +381,7 @@
 #[test]
 fn every_send_states_the_remaining_time() {
     run_test(async {
-        let (first, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
+        let (first, second) = two_endpoints().await;
         let proxy = TestProxy::start(&[&first, &second]).await;
         let deadline = |message: &Message| -> u64 {
             message
@@ -413,8 +404,7 @@
 #[test]
 fn a_request_without_a_deadline_has_the_timeout_of_its_route() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = get("/read/", "r1").replace("X-Dunespur-Deadline-Ms: 15000\r\n", "");
         let _client = proxy.request(&request).await;
         let (_, message) = endpoint.next_request().await;
@@ -430,8 +420,7 @@
 #[test]
 fn a_response_comes_at_the_timeout_of_the_route() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let patient = post("/write/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000");
         let mut client = proxy.request(&patient).await;
         let (mut connection, _) = endpoint.next_request().await;
@@ -446,8 +435,7 @@
 #[test]
 fn a_stream_under_way_ends_truncated_at_the_timeout_of_its_route() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy
             .request(&post("/stream/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000"))
             .await;
--- a/crates/serving/proxy/tests/streams.rs
+++ b/crates/serving/proxy/tests/streams.rs
@@ -5,8 +5,8 @@
 use dunespur_proxy::{AdmissionDecision, CompletedTurn, History, ProxySettings, TurnKey};
 use dunespur_routing::Outcome;
 use support::{
-    bytes, event, events, post, run_test, Message, NodeCall, Peer, TestEndpoint, TestNode,
-    TestProxy, TURN,
+    bytes, event, events, post, run_test, two_endpoints, Message, NodeCall, Peer, TestEndpoint,
+    TestNode, TestProxy, TURN,
 };
 
 fn served(tokens_out: u32) -> Outcome {
@@ -88,19 +88,10 @@
     (connection, request)
 }
 
-/// Two endpoints with the ids `i-1` and `i-2`.
-async fn two_endpoints() -> (TestEndpoint, TestEndpoint) {
-    (
-        TestEndpoint::start("i-1").await,
-        TestEndpoint::start("i-2").await,
-    )
-}
-
 #[test]
 fn events_are_forwarded_as_they_arrive() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut stream = Stream::request(proxy, &endpoint, "/stream/", TURN).await;
         stream
             .connection
@@ -335,8 +326,7 @@
 #[test]
 fn a_client_that_resumes_a_stream_gets_the_events_behind_its_last() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let more = "Last-Event-Id: 4\r\n";
         let mut stream = Stream::request(proxy, &endpoint, "/resume/", more).await;
         assert_eq!(stream.request.header("last-event-id"), Some("4"));
@@ -349,8 +339,7 @@
 #[test]
 fn a_failure_instead_of_a_stream_is_forwarded() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut stream = Stream::request(proxy, &endpoint, "/stream/", TURN).await;
         stream.connection.respond(500, "r1", "", "broken").await;
         let response = stream.client.message().await;
@@ -384,8 +373,7 @@
 #[test]
 fn a_turn_without_budget_reaches_no_endpoint() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let admission = &proxy.node.admission;
         admission.set(AdmissionDecision::BudgetSpent);
         let response = proxy.response(&post("/stream/", "r1", TURN, "x")).await;
@@ -412,8 +400,7 @@
 #[test]
 fn tool_calls_reserve_no_budget() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let more = "Program: p1\r\nSession: s1\r\nBudget: 5\r\n";
         let mut stream = Stream::request(proxy, &endpoint, "/write/", more).await;
         stream.connection.respond(200, "r1", "", "ok").await;
@@ -428,8 +415,7 @@
 #[test]
 fn a_persisted_turn_ends_only_once_it_is_stored() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let node = proxy.node.clone();
         let history = vec![bytes("first "), bytes("answer\n")];
         *node.history.borrow_mut() = History::Found(history);
@@ -474,8 +460,7 @@
 #[test]
 fn a_turn_with_a_stated_length_waits_for_its_store_as_well() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.node.persists.set(false);
         let mut stream = Stream::request(proxy, &endpoint, "/turn/", TURN).await;
         let event_type = "Content-Type: text/event-stream\r\n";
@@ -489,8 +474,7 @@
 #[test]
 fn a_turn_continues_only_a_known_one() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let history = &proxy.node.history;
         let more = format!("{TURN}Previous: r0\r\n");
         *history.borrow_mut() = History::Unknown;
@@ -509,8 +493,7 @@
 #[test]
 fn turns_are_persisted_only_where_the_route_says_so() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let more = format!("{TURN}Previous: r0\r\n");
         let mut stream = Stream::request(proxy, &endpoint, "/stream/", &more).await;
         let previous = stream.request.header("previous");
@@ -528,8 +511,7 @@
 #[test]
 fn a_client_that_disconnects_before_its_admission_sends_nothing() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let node = &proxy.node;
         node.admission_permits.forget_permits(1000);
         let client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
@@ -622,8 +604,7 @@
 #[test]
 fn a_persisted_turn_needs_an_event_stream_for_a_response() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut stream = Stream::request(proxy, &endpoint, "/turn/", TURN).await;
         let json = "Content-Type: application/json\r\n";
         stream.connection.respond(200, "r1", json, "{}").await;
@@ -634,8 +615,7 @@
 #[test]
 fn a_persisted_turn_can_not_be_resumed() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let more = format!("{TURN}Last-Event-Id: 3\r\n");
         let response = proxy.response(&post("/turn/", "r1", &more, "x")).await;
         assert_eq!(response.status(), 503);
--- a/crates/serving/proxy/tests/support/fixtures.rs
+++ b/crates/serving/proxy/tests/support/fixtures.rs
@@ -21,14 +21,14 @@
 }
 
 /// The text with the digits behind each of these labels replaced by `N`: times differ from run to run.
-pub fn without_times(text: &str, marks: &[&str]) -> String {
-    marks.iter().fold(text.to_owned(), |text, mark| {
-        let mut parts = text.split(mark);
-        let mut output = parts.next().unwrap_or_default().to_owned();
-        for part in parts {
-            output.push_str(mark);
+pub fn without_times(text: &str, labels: &[&str]) -> String {
+    labels.iter().fold(text.to_owned(), |text, label| {
+        let mut sections = text.split(label);
+        let mut output = sections.next().unwrap_or_default().to_owned();
+        for section in sections {
+            output.push_str(label);
             output.push('N');
-            output.push_str(part.trim_start_matches(|c: char| c.is_ascii_digit()));
+            output.push_str(section.trim_start_matches(|c: char| c.is_ascii_digit()));
         }
         output
     })
--- a/crates/serving/proxy/tests/support/mod.rs
+++ b/crates/serving/proxy/tests/support/mod.rs
@@ -10,7 +10,8 @@
 
 #[allow(unused_imports)] // Each test binary uses a part of it.
 pub use peer::{Message, Peer, TruncatedMessage};
-pub use test_endpoint::TestEndpoint;
+#[allow(unused_imports)] // As above.
+pub use test_endpoint::{two_endpoints, TestEndpoint};
 #[allow(unused_imports)] // As above.
 pub use test_node::{NodeCall, TestNode};
 pub use test_proxy::TestProxy;
--- a/crates/serving/proxy/tests/support/test_endpoint.rs
+++ b/crates/serving/proxy/tests/support/test_endpoint.rs
@@ -92,3 +92,11 @@
             .await
     }
 }
+
+/// Two endpoints with the ids `i-1` and `i-2`.
+pub async fn two_endpoints() -> (TestEndpoint, TestEndpoint) {
+    (
+        TestEndpoint::start("i-1").await,
+        TestEndpoint::start("i-2").await,
+    )
+}
--- a/crates/serving/proxy/tests/support/test_proxy.rs
+++ b/crates/serving/proxy/tests/support/test_proxy.rs
@@ -18,6 +18,13 @@
         TestProxy::with(endpoints, ProxySettings::default()).await
     }
 
+    /// One with a single endpoint, `i-1`.
+    pub async fn with_endpoint() -> (TestProxy, TestEndpoint) {
+        let endpoint = TestEndpoint::start("i-1").await;
+        let proxy = TestProxy::start(&[&endpoint]).await;
+        (proxy, endpoint)
+    }
+
     pub async fn with(endpoints: &[&TestEndpoint], settings: ProxySettings) -> TestProxy {
         TestProxy::with_safeguards(endpoints, settings, Safeguards::default()).await
     }
--- a/crates/serving/proxy/tests/wire.rs
+++ b/crates/serving/proxy/tests/wire.rs
@@ -276,12 +276,12 @@
 
 fn unusable_responses() -> Vec<Forwarded> {
     let write = || post("/write/", "r1", "", "x");
-    let turned_away = format!(
+    let rejection = format!(
         "{}X-Dunespur-Not-Executed: full\r\nContent-Length: 0\r\n\r\n",
         head("503 X")
     );
     vec![
-        forwarded("endpoint_rejection", write(), turned_away),
+        forwarded("endpoint_rejection", write(), rejection),
         forwarded(
             "misdirected",
             write(),
@@ -329,8 +329,7 @@
 fn requests_as_servers_get_them_and_answers_as_clients_do() {
     for case in endpoint_responses().into_iter().chain(unusable_responses()) {
         run_test(async move {
-            let endpoint = TestEndpoint::start("i-1").await;
-            let proxy = TestProxy::start(&[&endpoint]).await;
+            let (proxy, endpoint) = TestProxy::with_endpoint().await;
             proxy.node.engine_priority.set(Some(2));
             let mut client = proxy.request(&case.request).await;
             let mut connection = endpoint.accept().await;
@@ -355,8 +354,7 @@
 #[test]
 fn an_expected_continue_comes() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = post("/write/", "r1", "Expect: 100-continue\r\n", "body");
         let (head, body) = request.split_at(request.len() - 4);
         let mut client = proxy.request(head).await;
@@ -374,8 +372,7 @@
 
 /// Sends three events one by one, each once the one before has arrived, and ends so.
 async fn stream_of_events(path: &str, end: End) -> Vec<u8> {
-    let endpoint = TestEndpoint::start("i-1").await;
-    let proxy = TestProxy::start(&[&endpoint]).await;
+    let (proxy, endpoint) = TestProxy::with_endpoint().await;
     let mut client = proxy.request(&post(path, "r1", TURN, "x")).await;
     let (mut connection, _) = endpoint.next_request().await;
     connection.stream_head("r1", "X-Versions: 1\r\n").await;
@@ -418,8 +415,7 @@
 #[test]
 fn a_long_response_that_is_truncated_ends_without_its_last_chunk() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.request(&get("/write/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection
@@ -435,8 +431,7 @@
 #[test]
 fn responses_while_draining_close_their_connections() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.server.drain();
         let mut client = proxy.request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
