--- a/crates/serving/dunespur/src/gateway.rs
+++ b/crates/serving/dunespur/src/gateway.rs
@@ -48,7 +48,7 @@
     let own = Identity {
         name: settings.node.as_str().into(),
         zone: settings.zone.as_str().into(),
-        life: incarnation,
+        incarnation,
     };
     let data_plane = DataPlane::new(
         directory.clone(),
--- a/crates/serving/dunespur/src/load_exchange.rs
+++ b/crates/serving/dunespur/src/load_exchange.rs
@@ -1,4 +1,4 @@
-//! Homes of services: carries what [`Distribution`] wants to other gateways, and brings the loads of the others to the
+//! Homes of services: carries what [`LoadDistribution`] wants to other gateways, and brings the loads of the others to the
 //! choice of servers.
 //!
 //! Nothing is done while no request is under way here and no other gateway asks.
@@ -8,7 +8,8 @@
 use crate::messages::{encode, Reply, Request};
 use dunespur_control_state::GatewayEntry;
 use dunespur_load_distribution::{
-    Answer, Ask, Call, Distribution, Gateway, Identity, News, ServerLoad, ASK_TIMEOUT_MS,
+    Call, Gateway, Identity, LoadDistribution, RemoteLoads, Report, ServerLoad, Update,
+    REPORT_TIMEOUT_MS,
 };
 use dunespur_routing::{Balancer, LoadReport};
 use std::cell::RefCell;
@@ -28,7 +29,7 @@
     clock: Clock,
     directory: Rc<Directory>,
     balancer: Rc<RefCell<Balancer>>,
-    distribution: RefCell<Distribution>,
+    distribution: RefCell<LoadDistribution>,
     /// Told when a request has begun or ended, or another gateway has asked.
     active: Notify,
     /// Told when the time of the next call has changed.
@@ -47,7 +48,7 @@
             clock,
             directory,
             balancer,
-            distribution: RefCell::new(Distribution::new(own)),
+            distribution: RefCell::new(LoadDistribution::new(own)),
             active: Notify::new(),
             rescheduled: Notify::new(),
         });
@@ -77,16 +78,19 @@
     pub fn aggregator_address(&self, service: &str, zone: &str) -> Option<SocketAddr> {
         self.distribution
             .borrow()
-            .roster()
-            .home(service, zone)
-            .map(|home| home.address)
+            .membership()
+            .aggregator(service, zone)
+            .map(|aggregator| aggregator.address)
     }
 
     /// Another gateway asks.
-    pub fn asked(&self, ask: &Ask) -> Answer {
-        let answer = self.distribution.borrow_mut().asked(ask, self.clock.now());
+    pub fn asked(&self, report: &Report) -> Update {
+        let update = self
+            .distribution
+            .borrow_mut()
+            .handle_report(report, self.clock.now());
         self.active.notify_one();
-        answer
+        update
     }
 
     /// Looks at this gateway's loads, and makes the calls that are due.
@@ -95,7 +99,7 @@
         for (service, loads) in self.own_loads() {
             self.distribution
                 .borrow_mut()
-                .set_own(&service, &loads, now);
+                .set_own_loads(&service, &loads, now);
         }
         loop {
             let call = self.distribution.borrow_mut().poll(now);
@@ -107,7 +111,7 @@
 
     /// What this gateway has in flight, by service; services that were busy before are listed as well.
     fn own_loads(&self) -> BTreeMap<Rc<str>, Vec<ServerLoad>> {
-        let busy_before = self.distribution.borrow().busy();
+        let busy_before = self.distribution.borrow().busy_services();
         let mut services: BTreeMap<Rc<str>, Vec<ServerLoad>> = busy_before
             .into_iter()
             .map(|service| (service, Vec::new()))
@@ -137,12 +141,12 @@
             .collect();
         for server in balancer.ejected_for_faults(self.clock.now()) {
             match loads.iter_mut().find(|load| load.server == server) {
-                Some(load) => load.in_trouble = 1,
+                Some(load) => load.ejected_by = 1,
                 None => loads.push(ServerLoad {
                     server,
                     in_flight: 0,
-                    waiting_tokens: 0,
-                    in_trouble: 1,
+                    prefill_tokens: 0,
+                    ejected_by: 1,
                 }),
             }
         }
@@ -150,17 +154,20 @@
     }
 
     async fn call(self: Rc<Self>, call: Call) {
-        let payload = encode(&Request::Home(call.ask));
-        let limit = Duration::from_millis(ASK_TIMEOUT_MS);
+        let payload = encode(&Request::Home(call.report));
+        let limit = Duration::from_millis(REPORT_TIMEOUT_MS);
         let reply = self.directory.call(call.address, payload, limit).await;
         let now = self.clock.now();
         match reply {
-            Ok(Reply::Home(answer)) => {
+            Ok(Reply::Home(update)) => {
                 self.distribution
                     .borrow_mut()
-                    .answered(call.number, &answer, now)
+                    .handle_update(call.number, &update, now)
             }
-            _ => self.distribution.borrow_mut().failed(call.number, now),
+            _ => self
+                .distribution
+                .borrow_mut()
+                .handle_failure(call.number, now),
         }
         self.apply_updates();
         self.rescheduled.notify_one();
@@ -168,25 +175,25 @@
 
     /// Tells the choice of servers what the other gateways have in flight.
     fn apply_updates(&self) {
-        let news = self.distribution.borrow_mut().take_news();
-        for news in news {
-            self.apply_fault_hints(&news);
-            let reports: Vec<LoadReport> = news.others.into_iter().map(load_report).collect();
+        let remote = self.distribution.borrow_mut().take_remote_loads();
+        for remote in remote {
+            self.apply_fault_hints(&remote);
+            let reports: Vec<LoadReport> = remote.loads.into_iter().map(load_report).collect();
             self.balancer
                 .borrow_mut()
-                .apply_peer_load(&reports, &news.service, self.clock.now());
+                .apply_peer_load(&reports, &remote.service, self.clock.now());
         }
     }
 
     /// Tells the choice of servers which of them other gateways find in trouble.
-    fn apply_fault_hints(&self, news: &News) {
+    fn apply_fault_hints(&self, remote: &RemoteLoads) {
         let known = self.directory.known();
         let servers = known
             .servers
             .values()
-            .filter(|server| *server.backend == *news.service)
+            .filter(|server| *server.backend == *remote.service)
             .count();
-        for server in news.in_trouble(servers) {
+        for server in remote.ejected(servers) {
             self.balancer
                 .borrow_mut()
                 .hint_fault(&server, self.clock.now());
@@ -199,7 +206,7 @@
         name: entry.name.as_str().into(),
         zone: entry.zone.as_str().into(),
         address: entry.address,
-        life: entry.incarnation,
+        incarnation: entry.incarnation,
     }
 }
 
@@ -207,8 +214,8 @@
     ServerLoad {
         server: report.server,
         in_flight: report.in_flight,
-        waiting_tokens: report.prefill_tokens,
-        in_trouble: 0,
+        prefill_tokens: report.prefill_tokens,
+        ejected_by: 0,
     }
 }
 
@@ -216,7 +223,7 @@
     LoadReport {
         server: load.server,
         in_flight: load.in_flight,
-        prefill_tokens: load.waiting_tokens,
+        prefill_tokens: load.prefill_tokens,
     }
 }
 
--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use dunespur_chain_replication::{MemberId, Message, Peer, View};
 use dunespur_control_state::{Change, NodeReport, Operation, Outcome, RetireState};
-use dunespur_load_distribution::{Answer, Ask};
+use dunespur_load_distribution::{Report, Update};
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -34,7 +34,7 @@
     /// How are you, and how is the budget of this program?
     Status { program: Option<String> },
     /// From one gateway to another as the home of a service.
-    Home(Ask),
+    Home(Report),
 }
 
 /// Asks for changes, and renews leases on the way.
@@ -86,7 +86,7 @@
     Store(StoreReply),
     /// A [`Status`](crate::status::Status) as JSON.
     Status(String),
-    Home(Answer),
+    Home(Update),
 }
 
 /// What a candidate for the first view is told.
--- a/crates/serving/dunespur/tests/bytes.rs
+++ b/crates/serving/dunespur/tests/bytes.rs
@@ -19,7 +19,7 @@
     Change, GatewayEntry, NodeKind, NodeReport, Operation, Order, OrderKind, Outcome,
     RetireOutcome, RetireState, ServerReport, ServerState, StoreEntry,
 };
-use dunespur_load_distribution::{Answer, Ask, Known, ServerLoad, Speaker, Statement};
+use dunespur_load_distribution::{KnownVersion, LoadTable, Report, Reporter, ServerLoad, Update};
 use dunespur_turn_replication::message::{Refusal, StoreReply, StoreRequest};
 use dunespur_turn_replication::turn::Turn;
 use serde::de::DeserializeOwned;
@@ -84,8 +84,8 @@
     vec![ServerLoad {
         server: "server-1".into(),
         in_flight: 3,
-        waiting_tokens: 4_000,
-        in_trouble: 2,
+        prefill_tokens: 4_000,
+        ejected_by: 2,
     }]
 }
 
@@ -147,20 +147,20 @@
         },
         payload: vec![1, 2, 250].into(),
     };
-    let ask = Ask {
+    let load_report = Report {
         service: "models".into(),
-        speaker: Speaker::Home {
+        reporter: Reporter::Aggregator {
             zone: "zone-a".into(),
             gateway: "front-7".into(),
         },
-        life: 23,
+        incarnation: 23,
         version: 24,
-        statement: Some(Statement {
+        table: Some(LoadTable {
             version: 24,
             loads: loads(),
         }),
-        known: Known {
-            life: 25,
+        known: KnownVersion {
+            incarnation: 25,
             version: 26,
         },
     };
@@ -261,7 +261,7 @@
                 program: Some("program-5".to_owned()),
             },
         ),
-        ("home", Request::Home(ask)),
+        ("home", Request::Home(load_report)),
     ]
 }
 
@@ -303,12 +303,12 @@
             name: "front-8".to_owned(),
         },
     ];
-    let answer = Answer {
-        life: 61,
+    let update = Update {
+        incarnation: 61,
         version: 62,
-        whole: true,
+        complete: true,
         loads: loads(),
-        wants_statement: false,
+        wants_table: false,
     };
     let found = StoreReply::Found {
         turns: vec![turn()],
@@ -407,7 +407,7 @@
             Reply::Store(StoreReply::Refused(Refusal::Busy)),
         ),
         ("status", Reply::Status("{\"node\":\"front-7\"}".to_owned())),
-        ("home", Reply::Home(answer)),
+        ("home", Reply::Home(update)),
     ]
 }
 
--- a/crates/serving/load-distribution/src/distribution.rs
+++ b/crates/serving/load-distribution/src/distribution.rs
@@ -1,69 +1,74 @@
-//! One gateway's part in the distribution of all services' soft state.
+//! One gateway's part in the distribution of all services' loads: it reports its own, and sums those of its zone for
+//! the services whose aggregator it is.
 
-use crate::home::Home;
-use crate::loads::{by_server, ByServer};
-use crate::message::{Answer, Ask, ServerLoad, Speaker};
-use crate::roster::{Gateway, Roster};
-use crate::subscription::{Outgoing, Subject, Subscription};
+use crate::aggregator::Aggregator;
+use crate::loads::{by_server, LoadsByServer};
+use crate::membership::{Gateway, Membership};
+use crate::message::{Report, Reporter, ServerLoad, Update};
+use crate::subscription::{OutgoingReport, Subscription, SubscriptionSettings};
 use crate::Millis;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A subscriber asks its home at most this often.
-const SUBSCRIBER_PERIOD_MS: u64 = 250;
-/// Homes of one service ask each other at most this often.
-const HOME_PERIOD_MS: u64 = 500;
-/// Of two homes the one whose zone has the higher name waits so much longer, and so is mostly told before it asks.
-const HOME_STAGGER_MS: u64 = 60;
-/// A home sums its subscribers' loads up at most this often.
-const SUM_PERIOD_MS: u64 = 250;
-/// Trouble is believed of this share of a service's servers at most, in hundredths.
-const MOST_IN_TROUBLE_PERCENT: usize = 34;
-/// Services that are told of. Bounds memory against names without end.
-const MOST_SERVICES: usize = 256;
+/// A subscriber reports to its aggregator at most this often.
+const SUBSCRIBER_INTERVAL_MS: u64 = 250;
+/// Aggregators of one service report to each other at most this often.
+const AGGREGATOR_INTERVAL_MS: u64 = 500;
+/// Of two aggregators the one whose zone has the higher name waits so much longer, and so mostly gets a report, which
+/// makes its own one unnecessary.
+const AGGREGATOR_STAGGER_MS: u64 = 60;
+/// An aggregator publishes its subscribers' sum at most this often.
+const PUBLISH_INTERVAL_MS: u64 = 250;
+/// Faults are believed of this percentage of a service's servers at most.
+const MAX_EJECTED_PERCENT: usize = 34;
+/// Services that have a state here. Bounds memory against names without end.
+const MAX_SERVICES: usize = 256;
 
-/// Who this gateway is.
+/// This gateway.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// The machine's name.
     pub name: Rc<str>,
-    /// Where it stands.
+    /// Its failure domain.
     pub zone: Rc<str>,
-    /// The life of its process.
-    pub life: u64,
+    /// The incarnation of its process.
+    pub incarnation: u64,
 }
 
-/// An ask for another gateway. Its answer goes to [`Distribution::answered`]; without one within
-/// [`crate::ASK_TIMEOUT_MS`], [`Distribution::failed`] is to be told.
+/// A report for another gateway. Its update goes to [`LoadDistribution::handle_update`]; without one within
+/// [`crate::REPORT_TIMEOUT_MS`], [`LoadDistribution::handle_failure`] is to be called.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Names the call.
+    /// Identifies the call.
     pub number: u64,
     /// Where the gateway is reached.
     pub address: SocketAddr,
-    /// What it is asked.
-    pub ask: Ask,
+    /// What is reported.
+    pub report: Report,
 }
 
 /// What the other gateways have on a service's servers; it replaces what was known before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct RemoteLoads {
     /// The service.
     pub service: Rc<str>,
     /// Servers on which they have nothing are left out.
-    pub others: Vec<ServerLoad>,
+    pub loads: Vec<ServerLoad>,
 }
 
-impl News {
-    /// Which of the service's `servers` other gateways find in trouble. Where that is said of many, it says more of
-    /// those who say it, and none is named: against a gateway that is cut off from servers that the others reach.
-    pub fn in_trouble(&self, servers: usize) -> Vec<Rc<str>> {
-        let named = self.others.iter().filter(|load| load.in_trouble > 0);
-        let named: Vec<Rc<str>> = named.map(|load| load.server.clone()).collect();
-        match named.len() * 100 > servers * MOST_IN_TROUBLE_PERCENT {
-            true => Vec::new(),
-            false => named,
+impl RemoteLoads {
+    /// Which of the service's `servers` other gateways have ejected for faults. Where that is reported of many, the
+    /// reporters are more likely at fault, and none is named: against a gateway that is partitioned from servers that
+    /// the others reach.
+    #[must_use]
+    pub fn ejected(&self, servers: usize) -> Vec<Rc<str>> {
+        let ejected = self.loads.iter().filter(|load| load.ejected_by > 0);
+        let ejected: Vec<Rc<str>> = ejected.map(|load| load.server.clone()).collect();
+        if ejected.len() * 100 > servers * MAX_EJECTED_PERCENT {
+            Vec::new()
+        } else {
+            ejected
         }
     }
 }
@@ -72,73 +77,75 @@
 #[derive(Debug)]
 struct Service {
     subscription: Subscription,
-    /// The table that this gateway gathers if it is asked as the home.
-    home: Home,
-    /// What it tells the homes in other zones as a home, by zone.
-    neighbours: BTreeMap<Rc<str>, Subscription>,
-    /// The home's version up to which they are told.
-    summed_version: u64,
-    summed_at: Millis,
+    /// The table that this gateway sums if it gets reports as the aggregator.
+    aggregator: Aggregator,
+    /// What it reports to the aggregators in other zones as an aggregator, by zone.
+    peers: BTreeMap<Rc<str>, Subscription>,
+    /// The aggregator's version up to which the sum is published to the peers.
+    published_version: u64,
+    published_at: Millis,
 }
 
-/// A call under way.
+/// A call whose update is awaited.
 #[derive(Debug)]
-struct UnderWay {
+struct PendingCall {
     service: Rc<str>,
-    /// The other zone whose home is asked; none for the own home.
-    neighbour: Option<Rc<str>>,
+    /// The other zone whose aggregator was called; none for the own zone's.
+    peer_zone: Option<Rc<str>>,
     gateway: Rc<str>,
+    /// The version of the reported table.
     version: u64,
 }
 
-/// The whole of it.
+/// One gateway's part in the distribution of all services' loads.
 #[derive(Debug)]
-pub struct Distribution {
+pub struct LoadDistribution {
     own: Identity,
-    roster: Roster,
+    membership: Membership,
     services: BTreeMap<Rc<str>, Service>,
-    calls: BTreeMap<u64, UnderWay>,
+    calls: BTreeMap<u64, PendingCall>,
     last_number: u64,
     last_version: u64,
-    news: Vec<News>,
+    remote_loads: Vec<RemoteLoads>,
 }
 
-impl Distribution {
+impl LoadDistribution {
     /// A gateway that knows of no other.
-    pub fn new(own: Identity) -> Distribution {
-        Distribution {
+    #[must_use]
+    pub fn new(own: Identity) -> LoadDistribution {
+        LoadDistribution {
             own,
-            roster: Roster::default(),
+            membership: Membership::default(),
             services: BTreeMap::new(),
             calls: BTreeMap::new(),
             last_number: 0,
             last_version: 0,
-            news: Vec::new(),
+            remote_loads: Vec::new(),
         }
     }
 
-    /// The gateways that are there.
-    pub fn roster(&self) -> &Roster {
-        &self.roster
+    /// The gateways that are present.
+    #[must_use]
+    pub fn membership(&self) -> &Membership {
+        &self.membership
     }
 
-    /// Takes the whole list of gateways.
+    /// Replaces the membership.
     pub fn set_gateways(&mut self, gateways: Vec<Gateway>) {
-        self.roster = Roster::new(gateways);
-        let zones = self.roster.zones();
+        self.membership = Membership::new(gateways);
+        let zones = self.membership.zones();
         for service in self.services.values_mut() {
-            service.home.keep(&self.roster);
-            service.subscription.keep(&self.roster);
-            service.neighbours.retain(|zone, _| zones.contains(zone));
-            service
-                .neighbours
-                .values_mut()
-                .for_each(|neighbour| neighbour.keep(&self.roster));
+            service.aggregator.retain_members(&self.membership);
+            service.subscription.retain_members(&self.membership);
+            service.peers.retain(|zone, _| zones.contains(zone));
+            for peer in service.peers.values_mut() {
+                peer.retain_members(&self.membership);
+            }
         }
     }
 
-    /// Takes what this gateway has in flight on the servers of a service.
-    pub fn set_own(&mut self, service: &Rc<str>, loads: &[ServerLoad], now: Millis) {
+    /// Replaces what this gateway has in flight on the servers of a service.
+    pub fn set_own_loads(&mut self, service: &Rc<str>, loads: &[ServerLoad], now: Millis) {
         let loads = by_server(loads);
         let unknown = !self.services.contains_key(service);
         if unknown && loads.is_empty() {
@@ -154,8 +161,9 @@
         }
     }
 
-    /// Services of which something in flight was stated.
-    pub fn busy(&self) -> Vec<Rc<str>> {
+    /// Services on whose servers this gateway has anything in flight.
+    #[must_use]
+    pub fn busy_services(&self) -> Vec<Rc<str>> {
         let busy = self
             .services
             .iter()
@@ -163,38 +171,31 @@
         busy.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Another gateway asks.
-    pub fn asked(&mut self, ask: &Ask, now: Millis) -> Answer {
-        let life = self.own.life;
-        let Some(service) = self.service(&ask.service) else {
-            let wants_statement = false;
-            return Answer {
-                life,
+    /// Takes another gateway's report and answers it.
+    pub fn handle_report(&mut self, report: &Report, now: Millis) -> Update {
+        let incarnation = self.own.incarnation;
+        let Some(service) = self.service(&report.service) else {
+            return Update {
+                incarnation,
                 version: 0,
-                whole: true,
+                complete: true,
                 loads: Vec::new(),
-                wants_statement,
+                wants_table: false,
             };
         };
-        let answer = service.home.asked(ask, now);
-        if let Speaker::Home { zone, gateway } = &ask.speaker {
-            self.answered_neighbour(&ask.service, zone, gateway, now);
+        let update = service.aggregator.handle_report(report, now);
+        if let Reporter::Aggregator { zone, gateway } = &report.reporter {
+            self.peer_updated(&report.service, zone, gateway, now);
         }
-        answer
+        update
     }
 
-    /// A home of another zone was answered, and so told what this zone's subscribers have.
-    fn answered_neighbour(
-        &mut self,
-        name: &Rc<str>,
-        zone: &Rc<str>,
-        gateway: &Rc<str>,
-        now: Millis,
-    ) {
-        self.sum_up(name, now);
-        let service = self.services.get_mut(name);
-        if let Some(neighbour) = service.and_then(|service| service.neighbours.get_mut(zone)) {
-            neighbour.was_told(gateway, now);
+    /// An aggregator of another zone got an update, and so knows what this zone's subscribers have.
+    fn peer_updated(&mut self, service: &Rc<str>, zone: &Rc<str>, gateway: &Rc<str>, now: Millis) {
+        self.publish_sum(service, now);
+        let service = self.services.get_mut(service);
+        if let Some(peer) = service.and_then(|service| service.peers.get_mut(zone)) {
+            peer.acknowledge(gateway, now);
         }
     }
 
@@ -206,68 +207,64 @@
             .find_map(|name| self.poll_service(&name, now))
     }
 
-    /// A call was answered.
-    pub fn answered(&mut self, number: u64, answer: &Answer, now: Millis) {
+    /// Takes the update of a call.
+    pub fn handle_update(&mut self, number: u64, update: &Update, now: Millis) {
         let Some(call) = self.calls.remove(&number) else {
             return;
         };
         let Some(service) = self.services.get_mut(&call.service) else {
             return;
         };
-        let Some(zone) = call.neighbour else {
-            if service
-                .subscription
-                .answered(number, call.version, answer, now)
-            {
-                let others = service.subscription.others();
-                self.news.push(News {
+        let Some(zone) = call.peer_zone else {
+            let subscription = &mut service.subscription;
+            if subscription.handle_update(number, call.version, update, now) {
+                let loads = subscription.remote_loads();
+                self.remote_loads.push(RemoteLoads {
                     service: call.service,
-                    others,
+                    loads,
                 });
             }
             return;
         };
-        let Some(neighbour) = service.neighbours.get_mut(&zone) else {
+        let Some(peer) = service.peers.get_mut(&zone) else {
             return;
         };
-        if neighbour.answered(number, call.version, answer, now) {
-            service.home.told(
-                Speaker::Home {
-                    zone,
-                    gateway: call.gateway,
-                },
-                answer,
-                now,
-            );
+        if peer.handle_update(number, call.version, update, now) {
+            let reporter = Reporter::Aggregator {
+                zone,
+                gateway: call.gateway,
+            };
+            service.aggregator.apply_peer_update(reporter, update, now);
         }
     }
 
-    /// A call got no answer.
-    pub fn failed(&mut self, number: u64, now: Millis) {
+    /// A call got no update.
+    pub fn handle_failure(&mut self, number: u64, now: Millis) {
         let Some(call) = self.calls.remove(&number) else {
             return;
         };
         let Some(service) = self.services.get_mut(&call.service) else {
             return;
         };
-        match &call.neighbour {
-            None => service.subscription.failed(number, now),
+        match &call.peer_zone {
+            None => service.subscription.handle_failure(number, now),
             Some(zone) => {
-                if let Some(neighbour) = service.neighbours.get_mut(zone) {
-                    neighbour.failed(number, now);
+                if let Some(peer) = service.peers.get_mut(zone) {
+                    peer.handle_failure(number, now);
                 }
             }
         }
     }
 
-    /// When [`Distribution::poll`] is to be asked again at the latest.
+    /// When [`LoadDistribution::poll`] is to be called again at the latest.
+    #[must_use]
     pub fn next_due(&self) -> Option<Millis> {
         self.services.values().filter_map(Service::next_due).min()
     }
 
-    /// What is new of the other gateways' loads.
-    pub fn take_news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+    /// Takes what is new of the other gateways' loads.
+    pub fn take_remote_loads(&mut self) -> Vec<RemoteLoads> {
+        std::mem::take(&mut self.remote_loads)
     }
 
     fn poll_service(&mut self, name: &Rc<str>, now: Millis) -> Option<Call> {
@@ -275,17 +272,11 @@
             return Some(call);
         }
         let service = self.services.get_mut(name)?;
-        service.home.age(now);
-        if service.sum_due().is_some_and(|at| at <= now) {
-            self.sum_up(name, now);
+        service.aggregator.expire(now);
+        if service.publish_due().is_some_and(|at| at <= now) {
+            self.publish_sum(name, now);
         }
-        let zones: Vec<Rc<str>> = self
-            .services
-            .get(name)?
-            .neighbours
-            .keys()
-            .cloned()
-            .collect();
+        let zones: Vec<Rc<str>> = self.services.get(name)?.peers.keys().cloned().collect();
         zones
             .into_iter()
             .find_map(|zone| self.poll_subscription(name, Some(zone), now))
@@ -294,67 +285,63 @@
     fn poll_subscription(
         &mut self,
         name: &Rc<str>,
-        zone: Option<Rc<str>>,
+        peer_zone: Option<Rc<str>>,
         now: Millis,
     ) -> Option<Call> {
         let number = self.last_number + 1;
         let service = self.services.get_mut(name)?;
-        let subscription = match &zone {
+        let subscription = match &peer_zone {
             None => &mut service.subscription,
-            Some(zone) => service.neighbours.get_mut(zone)?,
+            Some(zone) => service.peers.get_mut(zone)?,
         };
-        let Outgoing { to, ask } = subscription.poll(number, &self.roster, now)?;
+        let OutgoingReport { to, report } = subscription.poll(number, &self.membership, now)?;
         self.last_number = number;
         let is_own = to.name == self.own.name;
-        let call = UnderWay {
+        let call = PendingCall {
             service: name.clone(),
-            neighbour: zone,
+            peer_zone,
             gateway: to.name,
-            version: ask.version,
+            version: report.version,
         };
         self.calls.insert(number, call);
         if is_own {
-            let answer = self.asked(&ask, now);
-            self.answered(number, &answer, now);
+            let update = self.handle_report(&report, now);
+            self.handle_update(number, &update, now);
             return None;
         }
         Some(Call {
             number,
             address: to.address,
-            ask,
+            report,
         })
     }
 
-    /// As a home: what this zone's subscribers have together is to be told to the other zones' homes.
-    fn sum_up(&mut self, name: &Rc<str>, now: Millis) {
+    /// As an aggregator: what this zone's subscribers have together is to be reported to the other zones' aggregators.
+    fn publish_sum(&mut self, name: &Rc<str>, now: Millis) {
         let Some(service) = self.services.get_mut(name) else {
             return;
         };
-        service.summed_version = service.home.version();
-        service.summed_at = now;
-        if service.neighbours.is_empty() && !service.home.serves() {
+        service.published_version = service.aggregator.version();
+        service.published_at = now;
+        if service.peers.is_empty() && !service.aggregator.has_subscriber_load() {
             return;
         }
-        let sum: ByServer = by_server(&service.home.of_subscribers());
-        for zone in self
-            .roster
-            .zones()
-            .into_iter()
-            .filter(|zone| *zone != self.own.zone)
-        {
-            let subject = neighbour_subject(&self.own, name, &zone);
-            let neighbour = service
-                .neighbours
+        let sum: LoadsByServer = by_server(&service.aggregator.subscriber_loads());
+        let zones = self.membership.zones();
+        for zone in zones.into_iter().filter(|zone| *zone != self.own.zone) {
+            let settings = peer_settings(&self.own, name, &zone);
+            let peer = service
+                .peers
                 .entry(zone)
-                .or_insert_with(|| Subscription::new(subject));
-            if *neighbour.loads() != sum {
-                neighbour.set(sum.clone(), service.summed_version, now);
+                .or_insert_with(|| Subscription::new(settings));
+            if *peer.loads() != sum {
+                peer.set(sum.clone(), service.published_version, now);
             }
         }
     }
 
     fn service(&mut self, name: &Rc<str>) -> Option<&mut Service> {
-        if self.services.len() >= MOST_SERVICES && !self.services.contains_key(name) {
+        if self.services.len() >= MAX_SERVICES && !self.services.contains_key(name) {
             return None;
         }
         let own = &self.own;
@@ -362,11 +349,11 @@
             .services
             .entry(name.clone())
             .or_insert_with(|| Service {
-                subscription: Subscription::new(subscriber_subject(own, name)),
-                home: Home::new(own.life),
-                neighbours: BTreeMap::new(),
-                summed_version: 0,
-                summed_at: 0,
+                subscription: Subscription::new(subscriber_settings(own, name)),
+                aggregator: Aggregator::new(own.incarnation),
+                peers: BTreeMap::new(),
+                published_version: 0,
+                published_at: 0,
             });
         Some(service)
     }
@@ -375,44 +362,48 @@
 impl Service {
     /// When this gateway has something to do for the service.
     fn next_due(&self) -> Option<Millis> {
-        let neighbours = self.neighbours.values().filter_map(Subscription::next_due);
+        let peers = self.peers.values().filter_map(Subscription::next_due);
         self.subscription
             .next_due()
             .into_iter()
-            .chain(self.sum_due())
-            .chain(neighbours)
+            .chain(self.publish_due())
+            .chain(peers)
             .min()
     }
 
-    /// When the neighbours are to be told of a changed table.
-    fn sum_due(&self) -> Option<Millis> {
-        let changed = self.home.version() != self.summed_version;
-        changed.then_some(self.summed_at + SUM_PERIOD_MS)
+    /// When a changed sum is to be published to the peers.
+    fn publish_due(&self) -> Option<Millis> {
+        let changed = self.aggregator.version() != self.published_version;
+        changed.then_some(self.published_at + PUBLISH_INTERVAL_MS)
     }
 }
 
-fn subscriber_subject(own: &Identity, service: &Rc<str>) -> Subject {
-    Subject {
+fn subscriber_settings(own: &Identity, service: &Rc<str>) -> SubscriptionSettings {
+    SubscriptionSettings {
         service: service.clone(),
         zone: own.zone.clone(),
-        speaker: Speaker::Subscriber {
+        reporter: Reporter::Subscriber {
             gateway: own.name.clone(),
         },
-        life: own.life,
-        period_ms: SUBSCRIBER_PERIOD_MS,
+        incarnation: own.incarnation,
+        min_interval_ms: SUBSCRIBER_INTERVAL_MS,
     }
 }
 
-fn neighbour_subject(own: &Identity, service: &Rc<str>, zone: &Rc<str>) -> Subject {
-    let stagger = if own.zone > *zone { HOME_STAGGER_MS } else { 0 };
-    Subject {
+fn peer_settings(own: &Identity, service: &Rc<str>, zone: &Rc<str>) -> SubscriptionSettings {
+    let stagger_ms = if own.zone > *zone {
+        AGGREGATOR_STAGGER_MS
+    } else {
+        0
+    };
+    SubscriptionSettings {
         service: service.clone(),
         zone: zone.clone(),
-        speaker: Speaker::Home {
+        reporter: Reporter::Aggregator {
             zone: own.zone.clone(),
             gateway: own.name.clone(),
         },
-        life: own.life,
-        period_ms: HOME_PERIOD_MS + stagger,
+        incarnation: own.incarnation,
+        min_interval_ms: AGGREGATOR_INTERVAL_MS + stagger_ms,
     }
 }
--- a/crates/serving/load-distribution/src/failover.rs
+++ b/crates/serving/load-distribution/src/failover.rs
@@ -1,78 +1,81 @@
-//! Which gateway is asked while the home is silent: the next in rendezvous order, for a bounded time.
+//! Which gateway gets reports while the aggregator is unresponsive: the next in rendezvous order, for a bounded time.
 
-use crate::roster::{Gateway, Roster};
+use crate::membership::{Gateway, Membership};
 use crate::Millis;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The first time that a gateway without an answer is left alone.
-const FIRST_PAUSE_MS: u64 = 1_000;
-/// Doublings of that time at most.
-const MOST_DOUBLINGS: u32 = 3;
-/// A gateway without a failure for this long is as good as any. Guards against going back and forth between a home
-/// that answers now and then and the one that stands in for it.
-const FORGIVEN_AFTER_MS: u64 = 20_000;
+/// The first time that an unresponsive gateway gets no reports.
+const INITIAL_BACKOFF_MS: u64 = 1_000;
+/// Upper bound of the doublings of that time.
+const MAX_DOUBLINGS: u32 = 3;
+/// A gateway without a failure for this long is as good as any. Guards against flapping between an aggregator that
+/// responds now and then and the one that takes over from it.
+const FAILURE_TTL_MS: u64 = 20_000;
 
-/// A gateway that gave no answer.
+/// A gateway that did not respond.
 #[derive(Clone, Copy, Debug)]
-struct Silence {
-    life: u64,
+struct Backoff {
+    incarnation: u64,
     until: Millis,
     failed_at: Millis,
     failures: u32,
 }
 
-/// Gateways that gave no answer lately.
+/// Gateways that did not respond lately.
 #[derive(Debug, Default)]
 pub(crate) struct Failover {
-    silent: BTreeMap<Rc<str>, Silence>,
+    unresponsive: BTreeMap<Rc<str>, Backoff>,
 }
 
 impl Failover {
-    /// The first of the ranked gateways that may be asked.
+    /// The first of the ranked gateways that may get a report.
     pub(crate) fn choose<'a>(&self, ranked: &[&'a Gateway], now: Millis) -> Option<&'a Gateway> {
         ranked
             .iter()
             .copied()
-            .find(|gateway| !self.is_silent(gateway, now))
+            .find(|gateway| !self.is_unresponsive(gateway, now))
     }
 
-    /// When the first of them may be asked again.
-    pub(crate) fn next_chance(&self, ranked: &[&Gateway]) -> Option<Millis> {
+    /// When the first of them may get a report again.
+    pub(crate) fn next_retry(&self, ranked: &[&Gateway]) -> Option<Millis> {
         ranked
             .iter()
-            .filter_map(|gateway| self.silent.get(&gateway.name))
-            .map(|silence| silence.until)
+            .filter_map(|gateway| self.unresponsive.get(&gateway.name))
+            .map(|backoff| backoff.until)
             .min()
     }
 
-    /// A gateway gave no answer.
-    pub(crate) fn failed(&mut self, name: &Rc<str>, life: u64, now: Millis) {
-        let before = self.silent.get(name).filter(|silence| silence.life == life);
-        let lately =
-            before.filter(|silence| now.saturating_sub(silence.failed_at) < FORGIVEN_AFTER_MS);
-        let failures = lately.map_or(0, |silence| silence.failures);
-        let pause = FIRST_PAUSE_MS << failures.min(MOST_DOUBLINGS);
-        let silence = Silence {
-            life,
-            until: now + pause,
+    /// A gateway did not respond.
+    pub(crate) fn record_failure(&mut self, name: &Rc<str>, incarnation: u64, now: Millis) {
+        let before = self
+            .unresponsive
+            .get(name)
+            .filter(|backoff| backoff.incarnation == incarnation);
+        let recent =
+            before.filter(|backoff| now.saturating_sub(backoff.failed_at) < FAILURE_TTL_MS);
+        let failures = recent.map_or(0, |backoff| backoff.failures);
+        let backoff = Backoff {
+            incarnation,
+            until: now + (INITIAL_BACKOFF_MS << failures.min(MAX_DOUBLINGS)),
             failed_at: now,
             failures: failures + 1,
         };
-        self.silent.insert(name.clone(), silence);
+        self.unresponsive.insert(name.clone(), backoff);
     }
 
-    /// Forgets gateways that are gone or live anew.
-    pub(crate) fn keep(&mut self, roster: &Roster) {
-        self.silent.retain(|name, silence| {
-            roster
+    /// Removes gateways that have departed or have a new incarnation.
+    pub(crate) fn retain_members(&mut self, membership: &Membership) {
+        self.unresponsive.retain(|name, backoff| {
+            membership
                 .find(name)
-                .is_some_and(|gateway| gateway.life == silence.life)
+                .is_some_and(|gateway| gateway.incarnation == backoff.incarnation)
         });
     }
 
-    fn is_silent(&self, gateway: &Gateway, now: Millis) -> bool {
-        let silence = self.silent.get(&gateway.name);
-        silence.is_some_and(|silence| silence.life == gateway.life && now < silence.until)
+    fn is_unresponsive(&self, gateway: &Gateway, now: Millis) -> bool {
+        self.unresponsive.get(&gateway.name).is_some_and(|backoff| {
+            backoff.incarnation == gateway.incarnation && now < backoff.until
+        })
     }
 }
--- a/crates/serving/load-distribution/src/loads.rs
+++ b/crates/serving/load-distribution/src/loads.rs
@@ -4,67 +4,70 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What is on one server.
+/// What is on one server; sums saturate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Figures {
+pub(crate) struct Load {
     pub(crate) in_flight: u32,
-    pub(crate) waiting_tokens: u64,
-    pub(crate) in_trouble: u32,
+    pub(crate) prefill_tokens: u64,
+    pub(crate) ejected_by: u32,
 }
 
-impl Figures {
-    pub(crate) fn of(load: &ServerLoad) -> Figures {
-        Figures {
-            in_flight: load.in_flight,
-            waiting_tokens: load.waiting_tokens,
-            in_trouble: load.in_trouble,
-        }
+impl Load {
+    pub(crate) fn is_zero(&self) -> bool {
+        *self == Load::default()
     }
 
-    pub(crate) fn is_nothing(&self) -> bool {
-        *self == Figures::default()
-    }
-
-    pub(crate) fn plus(self, other: Figures) -> Figures {
-        Figures {
+    pub(crate) fn plus(self, other: Load) -> Load {
+        Load {
             in_flight: self.in_flight.saturating_add(other.in_flight),
-            waiting_tokens: self.waiting_tokens.saturating_add(other.waiting_tokens),
-            in_trouble: self.in_trouble.saturating_add(other.in_trouble),
+            prefill_tokens: self.prefill_tokens.saturating_add(other.prefill_tokens),
+            ejected_by: self.ejected_by.saturating_add(other.ejected_by),
         }
     }
 
-    pub(crate) fn minus(self, other: Figures) -> Figures {
-        Figures {
+    pub(crate) fn minus(self, other: Load) -> Load {
+        Load {
             in_flight: self.in_flight.saturating_sub(other.in_flight),
-            waiting_tokens: self.waiting_tokens.saturating_sub(other.waiting_tokens),
-            in_trouble: self.in_trouble.saturating_sub(other.in_trouble),
+            prefill_tokens: self.prefill_tokens.saturating_sub(other.prefill_tokens),
+            ejected_by: self.ejected_by.saturating_sub(other.ejected_by),
         }
     }
 
-    pub(crate) fn at(self, server: Rc<str>) -> ServerLoad {
+    /// The load as it is sent for a server.
+    pub(crate) fn on_server(self, server: Rc<str>) -> ServerLoad {
         ServerLoad {
             server,
             in_flight: self.in_flight,
-            waiting_tokens: self.waiting_tokens,
-            in_trouble: self.in_trouble,
+            prefill_tokens: self.prefill_tokens,
+            ejected_by: self.ejected_by,
+        }
+    }
+}
+
+impl From<&ServerLoad> for Load {
+    fn from(load: &ServerLoad) -> Load {
+        Load {
+            in_flight: load.in_flight,
+            prefill_tokens: load.prefill_tokens,
+            ejected_by: load.ejected_by,
         }
     }
 }
 
 /// Loads by server.
-pub(crate) type ByServer = BTreeMap<Rc<str>, Figures>;
+pub(crate) type LoadsByServer = BTreeMap<Rc<str>, Load>;
 
 /// The loads by server. Of two that name one server the last one counts.
-pub(crate) fn by_server(loads: &[ServerLoad]) -> ByServer {
+pub(crate) fn by_server(loads: &[ServerLoad]) -> LoadsByServer {
     loads
         .iter()
-        .map(|load| (load.server.clone(), Figures::of(load)))
+        .map(|load| (load.server.clone(), Load::from(load)))
         .collect()
 }
 
-/// The loads as they are told.
-pub(crate) fn listed(loads: &ByServer) -> Vec<ServerLoad> {
-    let busy = loads.iter().filter(|(_, figures)| !figures.is_nothing());
-    busy.map(|(server, figures)| figures.at(server.clone()))
+/// The loads as they are sent: servers without any are left out.
+pub(crate) fn to_server_loads(loads: &LoadsByServer) -> Vec<ServerLoad> {
+    let busy = loads.iter().filter(|(_, load)| !load.is_zero());
+    busy.map(|(server, load)| load.on_server(server.clone()))
         .collect()
 }
--- a/crates/serving/load-distribution/src/roster.rs
+++ b/crates/serving/load-distribution/src/membership.rs
@@ -1,51 +1,56 @@
-//! The gateways that are there, and which of them is the home of a service in a zone.
+//! The gateways that are present, and which of them is the load aggregator of a service in a zone.
 //!
-//! Homes are found by highest-random-weight hashing over the gateways present: everybody who knows the same list
-//! finds the same home without talk, and a gateway that comes or goes moves only its own services.
+//! Aggregators are found by rendezvous (highest-random-weight) hashing over the gateways present: all who know the same
+//! membership find the same aggregator without communication, and a gateway that joins or departs moves only its own
+//! services.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// One gateway that is there.
+/// One gateway that is present.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gateway {
     /// The machine's name.
     pub name: Rc<str>,
-    /// Where it stands.
+    /// Its failure domain.
     pub zone: Rc<str>,
     /// Where the other gateways reach it.
     pub address: SocketAddr,
-    /// Rises with each life of its process.
-    pub life: u64,
+    /// Increases with each start of its process.
+    pub incarnation: u64,
 }
 
-/// All gateways that are there.
+/// All gateways that are present.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct Membership {
     gateways: Vec<Gateway>,
 }
 
-impl Roster {
-    /// A list of gateways.
-    pub fn new(gateways: Vec<Gateway>) -> Roster {
-        Roster { gateways }
+impl Membership {
+    /// A membership of these gateways.
+    #[must_use]
+    pub fn new(gateways: Vec<Gateway>) -> Membership {
+        Membership { gateways }
     }
 
     /// The gateway of that name.
+    #[must_use]
     pub fn find(&self, name: &str) -> Option<&Gateway> {
         self.gateways.iter().find(|gateway| *gateway.name == *name)
     }
 
-    /// The home of a service in a zone.
-    pub fn home(&self, service: &str, zone: &str) -> Option<&Gateway> {
+    /// The load aggregator of a service in a zone.
+    #[must_use]
+    pub fn aggregator(&self, service: &str, zone: &str) -> Option<&Gateway> {
         let key = key(service, zone);
         self.candidates(zone)
             .into_iter()
             .max_by_key(|gateway| rank(key, gateway))
     }
 
-    /// The home and who stands in for it, in this order.
+    /// The load aggregator and those that take over from it, in this order.
+    #[must_use]
     pub fn ranked(&self, service: &str, zone: &str) -> Vec<&Gateway> {
         let key = key(service, zone);
         let mut ranked = self.candidates(zone);
@@ -54,6 +59,7 @@
     }
 
     /// Zones with gateways, in the order of their names.
+    #[must_use]
     pub fn zones(&self) -> Vec<Rc<str>> {
         let mut zones: Vec<Rc<str>> = self
             .gateways
@@ -72,9 +78,10 @@
             .iter()
             .filter(|gateway| *gateway.zone == *zone)
             .collect();
-        match local.is_empty() {
-            true => self.gateways.iter().collect(),
-            false => local,
+        if local.is_empty() {
+            self.gateways.iter().collect()
+        } else {
+            local
         }
     }
 }
--- a/crates/serving/load-distribution/src/message.rs
+++ b/crates/serving/load-distribution/src/message.rs
@@ -1,4 +1,6 @@
-//! What gateways say to each other about a service.
+//! What gateways send each other about a service.
+//!
+//! The messages travel as postcard, which goes by the position of a field and the order of variants: both stay.
 
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
@@ -8,87 +10,88 @@
 pub struct ServerLoad {
     /// The server's id.
     pub server: Rc<str>,
-    /// Requests sent there that are not finished.
+    /// Requests in flight there.
     pub in_flight: u32,
-    /// Prompt tokens that it is still to read.
-    pub waiting_tokens: u64,
-    /// How many gateways find the server in trouble.
-    pub in_trouble: u32,
+    /// Prompt tokens that it has yet to prefill.
+    pub prefill_tokens: u64,
+    /// How many gateways have ejected the server for faults.
+    pub ejected_by: u32,
 }
 
-/// Everything that a speaker has; a later one replaces it.
+/// All loads of a reporter; a later table replaces it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Statement {
-    /// Rises with each statement in one life of the speaker.
+pub struct LoadTable {
+    /// Increases with each table in one incarnation of the reporter.
     pub version: u64,
-    /// Servers on which it has nothing are left out.
+    /// Servers without any load are left out.
     pub loads: Vec<ServerLoad>,
 }
 
-/// Who speaks.
+/// The sender of a report.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Speaker {
+pub enum Reporter {
     /// A gateway of the zone, for itself.
     Subscriber {
         /// The machine's name.
         gateway: Rc<str>,
     },
-    /// The home in another zone, for its subscribers.
-    Home {
+    /// The aggregator in another zone, for its subscribers.
+    Aggregator {
         /// Its zone.
         zone: Rc<str>,
-        /// The machine's name: more than one may take itself for the home.
+        /// The machine's name: more than one may take itself for the aggregator.
         gateway: Rc<str>,
     },
 }
 
-impl Speaker {
-    /// The machine that speaks.
+impl Reporter {
+    /// The machine that reports.
+    #[must_use]
     pub fn gateway(&self) -> &Rc<str> {
         match self {
-            Speaker::Subscriber { gateway } | Speaker::Home { gateway, .. } => gateway,
+            Reporter::Subscriber { gateway } | Reporter::Aggregator { gateway, .. } => gateway,
         }
     }
 }
 
-/// Which of the asked one's statements the asker holds.
+/// Up to where the reporter knows the aggregator's table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
-    /// The life of the asked one that told it; 0 for none.
-    pub life: u64,
+pub struct KnownVersion {
+    /// The incarnation of the aggregator that sent it; 0 for none.
+    pub incarnation: u64,
     /// Its version.
     pub version: u64,
 }
 
-/// Tells a home what the speaker has, and asks it for what is new there.
+/// Tells an aggregator what the reporter has, and requests what is new there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Report {
     /// The service.
     pub service: Rc<str>,
-    /// Who speaks.
-    pub speaker: Speaker,
-    /// The life of the speaker's process.
-    pub life: u64,
-    /// The version of its newest statement.
+    /// The sender.
+    pub reporter: Reporter,
+    /// The incarnation of the sender's process.
+    pub incarnation: u64,
+    /// The version of its newest table.
     pub version: u64,
-    /// That statement, unless this home has it.
-    pub statement: Option<Statement>,
-    /// What the speaker holds of this home.
-    pub known: Known,
+    /// That table, unless this aggregator has acknowledged it.
+    pub table: Option<LoadTable>,
+    /// What the sender knows of this aggregator.
+    pub known: KnownVersion,
 }
 
-/// A home's answer.
+/// An aggregator's answer to a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
-    /// The life of its process.
-    pub life: u64,
+pub struct Update {
+    /// The incarnation of its process.
+    pub incarnation: u64,
     /// The version up to which the loads go.
     pub version: u64,
-    /// The loads replace all that the speaker holds; else only those of the servers that they name.
-    pub whole: bool,
-    /// To a subscriber: what all gateways have together, its own included. To another zone's home: what this zone's
-    /// subscribers have together.
+    /// The loads replace all that the reporter knows; else only those of the servers that they name.
+    pub complete: bool,
+    /// To a subscriber: what all gateways have together, its own included. To another zone's aggregator: what this
+    /// zone's subscribers have together.
     pub loads: Vec<ServerLoad>,
-    /// The newest statement is not held here: it has to be told.
-    pub wants_statement: bool,
+    /// The newest table is not stored here: it has to be reported.
+    pub wants_table: bool,
 }
--- a/crates/serving/load-distribution/src/subscription.rs
+++ b/crates/serving/load-distribution/src/subscription.rs
@@ -1,199 +1,206 @@
-//! The side that tells a home what it has, and asks it for what is new there.
+//! The side that reports to an aggregator, and gets what is new there.
 //!
-//! Nothing is sent while there is nothing to tell: who has nothing in flight needs nobody's load.
+//! Nothing is sent while there is nothing to report: a gateway with nothing in flight needs no loads of others.
 
 use crate::failover::Failover;
-use crate::loads::{by_server, listed, ByServer};
-use crate::message::{Answer, Ask, Known, ServerLoad, Speaker, Statement};
-use crate::roster::{Gateway, Roster};
+use crate::loads::{by_server, to_server_loads, LoadsByServer};
+use crate::membership::{Gateway, Membership};
+use crate::message::{KnownVersion, LoadTable, Report, Reporter, ServerLoad, Update};
 use crate::Millis;
 use std::rc::Rc;
 
-/// What has not changed is told again after this time, so that it goes on counting.
-const RENEW_AFTER_MS: u64 = 1_000;
+/// What has not changed is reported again after this time, so that it goes on counting.
+const RENEWAL_INTERVAL_MS: u64 = 1_000;
 
-/// Whom a subscription asks about what, and how often at most.
+/// What a subscription reports on, as whom, to which zone, and how often at most.
 #[derive(Clone, Debug)]
-pub(crate) struct Subject {
+pub(crate) struct SubscriptionSettings {
     pub(crate) service: Rc<str>,
-    /// The zone whose home is asked.
+    /// The zone whose aggregator gets the reports.
     pub(crate) zone: Rc<str>,
-    pub(crate) speaker: Speaker,
-    /// The life of the speaker's process.
-    pub(crate) life: u64,
-    pub(crate) period_ms: u64,
+    pub(crate) reporter: Reporter,
+    /// The incarnation of the reporter's process.
+    pub(crate) incarnation: u64,
+    pub(crate) min_interval_ms: u64,
 }
 
 /// What a subscription waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// Something to tell.
-    Resting,
-    /// The time of the next ask.
+    /// Something to report.
+    Idle,
+    /// The time of the next report.
     Due { at: Millis },
-    /// An answer.
-    Asking {
+    /// An update.
+    AwaitingUpdate {
         number: u64,
-        home: Rc<str>,
-        home_life: u64,
+        aggregator: Rc<str>,
+        aggregator_incarnation: u64,
     },
 }
 
-/// A statement, or the part of a table, that one home is known to hold.
+/// A version that was exchanged with one aggregator.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct At<T> {
-    home: Option<Rc<str>>,
-    what: T,
+struct AtAggregator<T> {
+    aggregator: Option<Rc<str>>,
+    version: T,
 }
 
-/// What is to be asked of a gateway.
+/// A report for a gateway.
 #[derive(Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingReport {
     pub(crate) to: Gateway,
-    pub(crate) ask: Ask,
+    pub(crate) report: Report,
 }
 
 /// One subscription.
 #[derive(Debug)]
 pub(crate) struct Subscription {
-    subject: Subject,
+    settings: SubscriptionSettings,
     state: State,
     failover: Failover,
-    asked_at: Option<Millis>,
+    reported_at: Option<Millis>,
     version: u64,
-    loads: ByServer,
-    /// The version of the newest statement that a home holds.
-    told: At<u64>,
-    /// What was told last.
-    told_loads: ByServer,
-    /// Up to where the home's table is known.
-    known: At<Known>,
-    totals: ByServer,
+    loads: LoadsByServer,
+    /// The version of the newest table that an aggregator has acknowledged.
+    acknowledged: AtAggregator<u64>,
+    /// The loads of the last report.
+    reported_loads: LoadsByServer,
+    /// Up to where the aggregator's table is known.
+    known: AtAggregator<KnownVersion>,
+    /// The aggregator's table.
+    totals: LoadsByServer,
 }
 
 impl Subscription {
-    pub(crate) fn new(subject: Subject) -> Subscription {
+    pub(crate) fn new(settings: SubscriptionSettings) -> Subscription {
         Subscription {
-            subject,
-            state: State::Resting,
+            settings,
+            state: State::Idle,
             failover: Failover::default(),
-            asked_at: None,
+            reported_at: None,
             version: 0,
-            loads: ByServer::new(),
-            told: At::default(),
-            told_loads: ByServer::new(),
-            known: At::default(),
-            totals: ByServer::new(),
+            loads: LoadsByServer::new(),
+            acknowledged: AtAggregator::default(),
+            reported_loads: LoadsByServer::new(),
+            known: AtAggregator::default(),
+            totals: LoadsByServer::new(),
         }
     }
 
-    /// The speaker has this now; `version` rises with each change.
-    pub(crate) fn set(&mut self, loads: ByServer, version: u64, now: Millis) {
+    /// The reporter has these loads now; `version` increases with each change.
+    pub(crate) fn set(&mut self, loads: LoadsByServer, version: u64, now: Millis) {
         self.loads = loads;
         self.version = version;
-        self.settle(now);
+        self.reschedule(now);
     }
 
-    /// What the speaker has.
-    pub(crate) fn loads(&self) -> &ByServer {
+    /// What the reporter has.
+    pub(crate) fn loads(&self) -> &LoadsByServer {
         &self.loads
     }
 
-    /// Whether the speaker has nothing.
+    /// Whether the reporter has nothing.
     pub(crate) fn is_empty(&self) -> bool {
         self.loads.is_empty()
     }
 
-    /// When the next ask is due; an ask under way ends by itself.
+    /// When the next report is due; none while an update is awaited, as that ends by itself.
     pub(crate) fn next_due(&self) -> Option<Millis> {
         match self.state {
             State::Due { at } => Some(at),
-            State::Resting | State::Asking { .. } => None,
+            State::Idle | State::AwaitingUpdate { .. } => None,
         }
     }
 
-    /// The next ask, if it is due; `number` names it until it is answered or has failed.
-    pub(crate) fn poll(&mut self, number: u64, roster: &Roster, now: Millis) -> Option<Outgoing> {
+    /// The next report, if it is due; `number` identifies it until its update comes or it has failed.
+    pub(crate) fn poll(
+        &mut self,
+        number: u64,
+        membership: &Membership,
+        now: Millis,
+    ) -> Option<OutgoingReport> {
         let due = self.next_due().is_some_and(|at| at <= now);
         if !due {
             return None;
         }
-        let ranked = roster.ranked(&self.subject.service, &self.subject.zone);
-        let Some(home) = self.failover.choose(&ranked, now) else {
-            let at = self
-                .failover
-                .next_chance(&ranked)
-                .unwrap_or(now + RENEW_AFTER_MS);
+        let ranked = membership.ranked(&self.settings.service, &self.settings.zone);
+        let Some(aggregator) = self.failover.choose(&ranked, now) else {
+            let retry_at = self.failover.next_retry(&ranked);
+            let at = retry_at.unwrap_or(now + RENEWAL_INTERVAL_MS);
             self.enter(State::Due {
                 at: at.max(now + 1),
             });
             return None;
         };
-        let outgoing = Outgoing {
-            to: home.clone(),
-            ask: self.ask(&home.name),
+        let outgoing = OutgoingReport {
+            to: aggregator.clone(),
+            report: self.report(&aggregator.name),
         };
-        self.asked_at = Some(now);
-        self.told_loads.clone_from(&self.loads);
-        self.enter(State::Asking {
+        self.reported_at = Some(now);
+        self.reported_loads.clone_from(&self.loads);
+        self.enter(State::AwaitingUpdate {
             number,
-            home: home.name.clone(),
-            home_life: home.life,
+            aggregator: aggregator.name.clone(),
+            aggregator_incarnation: aggregator.incarnation,
         });
         Some(outgoing)
     }
 
-    /// An answer; false for a late one, which says nothing.
-    pub(crate) fn answered(
+    /// Takes the update for the report of this number, which had the table of `reported_version`. False for a late one,
+    /// which is ignored.
+    #[must_use]
+    pub(crate) fn handle_update(
         &mut self,
         number: u64,
-        asked_version: u64,
-        answer: &Answer,
+        reported_version: u64,
+        update: &Update,
         now: Millis,
     ) -> bool {
-        let home = match &self.state {
-            State::Asking {
+        let aggregator = match &self.state {
+            State::AwaitingUpdate {
                 number: awaited,
-                home,
+                aggregator,
                 ..
-            } if *awaited == number => home.clone(),
+            } if *awaited == number => aggregator.clone(),
             _ => return false,
         };
-        self.told = match answer.wants_statement {
-            true => At::default(),
-            false => At {
-                home: Some(home.clone()),
-                what: asked_version,
-            },
-        };
-        let known = Known {
-            life: answer.life,
-            version: answer.version,
+        self.acknowledged = if update.wants_table {
+            AtAggregator::default()
+        } else {
+            AtAggregator {
+                aggregator: Some(aggregator.clone()),
+                version: reported_version,
+            }
         };
-        self.known = At {
-            home: Some(home),
-            what: known,
+        self.known = AtAggregator {
+            aggregator: Some(aggregator),
+            version: KnownVersion {
+                incarnation: update.incarnation,
+                version: update.version,
+            },
         };
-        let loads = by_server(&answer.loads);
-        match answer.whole {
-            true => self.totals = loads,
-            false => self.totals.extend(loads),
+        let loads = by_server(&update.loads);
+        if update.complete {
+            self.totals = loads;
+        } else {
+            self.totals.extend(loads);
         }
-        self.totals.retain(|_, figures| !figures.is_nothing());
-        if answer.wants_statement {
-            self.asked_at = None;
+        self.totals.retain(|_, load| !load.is_zero());
+        if update.wants_table {
+            self.reported_at = None;
         }
-        self.enter(State::Resting);
-        self.settle(now);
+        self.enter(State::Idle);
+        self.reschedule(now);
         true
     }
 
-    /// The ask of this number got no answer: the next gateway is asked, at once.
-    pub(crate) fn failed(&mut self, number: u64, now: Millis) {
-        let State::Asking {
+    /// The report of this number got no update: the next gateway gets one, at once.
+    pub(crate) fn handle_failure(&mut self, number: u64, now: Millis) {
+        let State::AwaitingUpdate {
             number: awaited,
-            home,
-            home_life,
+            aggregator,
+            aggregator_incarnation,
         } = self.state.clone()
         else {
             return;
@@ -201,92 +208,100 @@
         if awaited != number {
             return;
         }
-        self.failover.failed(&home, home_life, now);
-        self.told = At::default();
-        self.asked_at = None;
-        self.enter(State::Resting);
-        self.settle(now);
+        self.failover
+            .record_failure(&aggregator, aggregator_incarnation, now);
+        self.acknowledged = AtAggregator::default();
+        self.reported_at = None;
+        self.enter(State::Idle);
+        self.reschedule(now);
     }
 
-    /// The other side's home has asked this gateway, and was answered with what the speaker has: there is no need to
-    /// tell it the same.
-    pub(crate) fn was_told(&mut self, home: &Rc<str>, now: Millis) {
-        let another = self.told.home.as_ref().is_some_and(|told| told != home);
-        if another || matches!(self.state, State::Asking { .. }) {
+    /// The other side's aggregator has reported to this gateway, and its update had what the reporter has: there is no
+    /// need to report the same.
+    pub(crate) fn acknowledge(&mut self, aggregator: &Rc<str>, now: Millis) {
+        let at_another = self
+            .acknowledged
+            .aggregator
+            .as_ref()
+            .is_some_and(|acknowledged| acknowledged != aggregator);
+        if at_another || matches!(self.state, State::AwaitingUpdate { .. }) {
             return;
         }
-        self.told = At {
-            home: Some(home.clone()),
-            what: self.version,
+        self.acknowledged = AtAggregator {
+            aggregator: Some(aggregator.clone()),
+            version: self.version,
         };
-        self.asked_at = Some(now);
-        self.settle(now);
+        self.reported_at = Some(now);
+        self.reschedule(now);
     }
 
-    /// Another list of gateways.
-    pub(crate) fn keep(&mut self, roster: &Roster) {
-        self.failover.keep(roster);
+    /// The membership has changed.
+    pub(crate) fn retain_members(&mut self, membership: &Membership) {
+        self.failover.retain_members(membership);
     }
 
-    /// What the home told, without the speaker's own part.
-    pub(crate) fn others(&self) -> Vec<ServerLoad> {
-        let mut others = self.totals.clone();
-        for (server, own) in &self.told_loads {
-            if let Some(figures) = others.get_mut(server) {
-                *figures = figures.minus(*own);
+    /// The aggregator's table without the reporter's own loads.
+    pub(crate) fn remote_loads(&self) -> Vec<ServerLoad> {
+        let mut remote = self.totals.clone();
+        for (server, own) in &self.reported_loads {
+            if let Some(load) = remote.get_mut(server) {
+                *load = load.minus(*own);
             }
         }
-        listed(&others)
+        to_server_loads(&remote)
     }
 
-    fn ask(&self, home: &Rc<str>) -> Ask {
-        let is_held = self.told
-            == At {
-                home: Some(home.clone()),
-                what: self.version,
-            };
-        let statement = Statement {
+    fn report(&self, aggregator: &Rc<str>) -> Report {
+        let current = AtAggregator {
+            aggregator: Some(aggregator.clone()),
             version: self.version,
-            loads: listed(&self.loads),
         };
-        let known = if self.known.home.as_ref() == Some(home) {
-            self.known.what
+        let table = (self.acknowledged != current).then(|| LoadTable {
+            version: self.version,
+            loads: to_server_loads(&self.loads),
+        });
+        let known = if self.known.aggregator.as_ref() == Some(aggregator) {
+            self.known.version
         } else {
-            Known::default()
+            KnownVersion::default()
         };
-        Ask {
-            service: self.subject.service.clone(),
-            speaker: self.subject.speaker.clone(),
-            life: self.subject.life,
+        Report {
+            service: self.settings.service.clone(),
+            reporter: self.settings.reporter.clone(),
+            incarnation: self.settings.incarnation,
             version: self.version,
-            statement: (!is_held).then_some(statement),
+            table,
             known,
         }
     }
 
-    /// Whether a home has to be told something.
-    fn untold(&self) -> bool {
-        match self.told.home {
-            Some(_) => self.told.what != self.version,
+    /// Whether there is something that no aggregator has acknowledged.
+    fn has_unacknowledged(&self) -> bool {
+        match self.acknowledged.aggregator {
+            Some(_) => self.acknowledged.version != self.version,
             None => !self.loads.is_empty(),
         }
     }
 
-    /// Finds the time of the next ask while none is under way.
-    fn settle(&mut self, now: Millis) {
-        if matches!(self.state, State::Asking { .. }) {
+    /// Finds the time of the next report while no update is awaited.
+    fn reschedule(&mut self, now: Millis) {
+        if matches!(self.state, State::AwaitingUpdate { .. }) {
             return;
         }
-        let pause = match (self.untold(), self.loads.is_empty()) {
-            (true, _) => self.subject.period_ms,
-            (false, false) => RENEW_AFTER_MS,
-            (false, true) => return self.enter(State::Resting),
+        let interval_ms = if self.has_unacknowledged() {
+            self.settings.min_interval_ms
+        } else if !self.loads.is_empty() {
+            RENEWAL_INTERVAL_MS
+        } else {
+            return self.enter(State::Idle);
         };
-        let at = self.asked_at.map_or(now, |asked_at| asked_at + pause);
+        let at = self
+            .reported_at
+            .map_or(now, |reported_at| reported_at + interval_ms);
         self.enter(State::Due { at });
     }
 
-    /// The one place where the state changes.
+    /// The one function that changes the state.
     fn enter(&mut self, state: State) {
         self.state = state;
     }
--- a/crates/serving/load-distribution/tests/common/mod.rs
+++ b/crates/serving/load-distribution/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use dunespur_load_distribution::{
-    Answer, Call, Distribution, Gateway, Identity, Millis, ServerLoad, ASK_TIMEOUT_MS,
+    Call, Gateway, Identity, LoadDistribution, Millis, ServerLoad, Update, REPORT_TIMEOUT_MS,
 };
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,74 +11,74 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// How long a message takes.
-const WAY_MS: u64 = 2;
+const LATENCY_MS: u64 = 2;
 
 /// A load without trouble.
 pub fn load(server: &str, in_flight: u32) -> ServerLoad {
-    let waiting_tokens = u64::from(in_flight) * 100;
+    let prefill_tokens = u64::from(in_flight) * 100;
     ServerLoad {
         server: server.into(),
         in_flight,
-        waiting_tokens,
-        in_trouble: 0,
+        prefill_tokens,
+        ejected_by: 0,
     }
 }
 
 /// A gateway `name` in `zone`, whose address ends in `number`.
-pub fn gateway(name: &str, zone: &str, number: u8, life: u64) -> Gateway {
+pub fn gateway(name: &str, zone: &str, number: u8, incarnation: u64) -> Gateway {
     let address = SocketAddr::from(([10, 0, 0, number], 7_000));
     Gateway {
         name: name.into(),
         zone: zone.into(),
         address,
-        life,
+        incarnation,
     }
 }
 
 /// A message on its way.
 #[derive(Clone, Debug)]
 enum Message {
-    Ask {
+    Report {
         from: Rc<str>,
         call: Call,
     },
-    Answer {
+    Update {
         to: Rc<str>,
-        to_life: u64,
+        to_incarnation: u64,
         number: u64,
-        answer: Answer,
+        update: Update,
     },
     Failed {
         to: Rc<str>,
-        to_life: u64,
+        to_incarnation: u64,
         number: u64,
     },
 }
 
 /// What the network does to messages.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Weather {
+pub struct NetworkFaults {
     /// Of a hundred messages so many are lost.
     pub lost: u32,
     /// Of a hundred so many come twice.
-    pub doubled: u32,
+    pub duplicated: u32,
     /// Of a hundred so many are late by up to two seconds.
-    pub late: u32,
+    pub delayed: u32,
 }
 
 /// One gateway.
 pub struct Node {
     pub identity: Identity,
-    pub distribution: Distribution,
+    pub distribution: LoadDistribution,
     pub address: SocketAddr,
     /// What it has in flight.
     pub own: BTreeMap<Rc<str>, Vec<ServerLoad>>,
     /// What it was last told of the others.
-    pub others: BTreeMap<Rc<str>, Vec<ServerLoad>>,
+    pub remote_loads: BTreeMap<Rc<str>, Vec<ServerLoad>>,
     /// Calls that it made.
     pub calls: u64,
     /// Asks that it answered.
-    pub answers: u64,
+    pub updates: u64,
     /// It neither acts nor answers.
     pub down: bool,
     /// Over what it was told.
@@ -88,14 +88,14 @@
 /// All of them.
 pub struct World {
     pub now: Millis,
-    pub weather: Weather,
+    pub network: NetworkFaults,
     pub nodes: BTreeMap<Rc<str>, Node>,
     /// Pairs of gateways between which nothing passes.
-    pub cut: BTreeSet<(Rc<str>, Rc<str>)>,
+    pub partitions: BTreeSet<(Rc<str>, Rc<str>)>,
     random: Rng,
     messages: BTreeMap<(Millis, u64), Message>,
     last_message: u64,
-    next_life: u64,
+    next_incarnation: u64,
     digest: Xxh3,
 }
 
@@ -104,13 +104,13 @@
     pub fn new(seed: u64, zones: &[&str], in_each: usize) -> World {
         let mut world = World {
             now: 1_000,
-            weather: Weather::default(),
+            network: NetworkFaults::default(),
             nodes: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             random: Rng::with_seed(seed),
             messages: BTreeMap::new(),
             last_message: 0,
-            next_life: 1,
+            next_incarnation: 1,
             digest: Xxh3::new(),
         };
         for zone in zones {
@@ -118,13 +118,13 @@
                 world.start(&format!("{zone}-{number}"), zone);
             }
         }
-        world.tell_all();
+        world.announce_members();
         world
     }
 
     /// Starts a gateway's process, anew if there was one; the others are not told.
     pub fn start(&mut self, name: &str, zone: &str) {
-        self.next_life += 1;
+        self.next_incarnation += 1;
         let number = self
             .nodes
             .get(name)
@@ -132,16 +132,16 @@
         let identity = Identity {
             name: name.into(),
             zone: zone.into(),
-            life: self.next_life,
+            incarnation: self.next_incarnation,
         };
         let node = Node {
-            distribution: Distribution::new(identity.clone()),
+            distribution: LoadDistribution::new(identity.clone()),
             identity,
             address: SocketAddr::from(([10, 0, 0, number], 7_000)),
             own: BTreeMap::new(),
-            others: BTreeMap::new(),
+            remote_loads: BTreeMap::new(),
             calls: 0,
-            answers: 0,
+            updates: 0,
             down: false,
             digest: Xxh3::new(),
         };
@@ -149,7 +149,7 @@
     }
 
     /// The list of gateways that are up.
-    pub fn list(&self) -> Vec<Gateway> {
+    pub fn members(&self) -> Vec<Gateway> {
         let up = self.nodes.values().filter(|node| !node.down);
         up.map(|node| {
             let identity = &node.identity;
@@ -157,17 +157,17 @@
                 &identity.name,
                 &identity.zone,
                 last_byte(node.address),
-                identity.life,
+                identity.incarnation,
             )
         })
         .collect()
     }
 
     /// Everybody learns who is up.
-    pub fn tell_all(&mut self) {
-        let list = self.list();
+    pub fn announce_members(&mut self) {
+        let members = self.members();
         for node in self.nodes.values_mut() {
-            node.distribution.set_gateways(list.clone());
+            node.distribution.set_gateways(members.clone());
         }
     }
 
@@ -180,24 +180,28 @@
         let now = self.now;
         let node = self.nodes.get_mut(name).expect("a known gateway");
         node.own.insert(service.into(), loads.to_vec());
-        node.distribution.set_own(&service.into(), loads, now);
+        node.distribution.set_own_loads(&service.into(), loads, now);
     }
 
     /// Nothing passes between the two from now on, or everything again.
-    pub fn set_cut(&mut self, one: &str, other: &str, cut: bool) {
+    pub fn set_partitioned(&mut self, one: &str, other: &str, partitioned: bool) {
         for pair in [(one, other), (other, one)] {
             let pair = (pair.0.into(), pair.1.into());
-            match cut {
-                true => self.cut.insert(pair),
-                false => self.cut.remove(&pair),
+            match partitioned {
+                true => self.partitions.insert(pair),
+                false => self.partitions.remove(&pair),
             };
         }
     }
 
     /// The home of a service in a zone, as the gateway `by` sees it.
-    pub fn home(&self, by: &str, service: &str, zone: &str) -> Rc<str> {
-        let home = self.node(by).distribution.roster().home(service, zone);
-        home.expect("a home").name.clone()
+    pub fn aggregator(&self, by: &str, service: &str, zone: &str) -> Rc<str> {
+        let aggregator = self
+            .node(by)
+            .distribution
+            .membership()
+            .aggregator(service, zone);
+        aggregator.expect("a home").name.clone()
     }
 
     /// What the others have, in truth, by server.
@@ -215,7 +219,12 @@
 
     /// What it was told that the others have, by server.
     pub fn belief(&self, name: &str, service: &str) -> BTreeMap<Rc<str>, u32> {
-        let told = self.node(name).others.get(service).into_iter().flatten();
+        let told = self
+            .node(name)
+            .remote_loads
+            .get(service)
+            .into_iter()
+            .flatten();
         told.map(|load| (load.server.clone(), load.in_flight))
             .collect()
     }
@@ -231,7 +240,7 @@
         for (name, node) in &self.nodes {
             digest.update(name.as_bytes());
             digest.update(&node.calls.to_le_bytes());
-            digest.update(&node.answers.to_le_bytes());
+            digest.update(&node.updates.to_le_bytes());
             digest.update(&node.digest.digest().to_le_bytes());
             digest.update(
                 &node
@@ -245,7 +254,7 @@
     }
 
     /// Lets so much time pass, a millisecond a step.
-    pub fn pass(&mut self, time: Millis) {
+    pub fn advance(&mut self, time: Millis) {
         for _ in 0..time {
             self.now += 1;
             self.deliver();
@@ -259,14 +268,14 @@
             while let Some(call) = self.next_call(&name) {
                 let failed = Message::Failed {
                     to: name.clone(),
-                    to_life: self.node(&name).identity.life,
+                    to_incarnation: self.node(&name).identity.incarnation,
                     number: call.number,
                 };
-                self.send_at(self.now + ASK_TIMEOUT_MS, failed);
+                self.send_at(self.now + REPORT_TIMEOUT_MS, failed);
                 self.send(
                     &name.clone(),
                     call.address,
-                    Message::Ask {
+                    Message::Report {
                         from: name.clone(),
                         call,
                     },
@@ -284,7 +293,7 @@
         } else {
             None
         };
-        node.take_news();
+        node.take_remote_loads();
         node.calls += u64::from(call.is_some());
         call
     }
@@ -302,21 +311,21 @@
     fn arrive(&mut self, message: Message) {
         let now = self.now;
         match message {
-            Message::Ask { from, call } => self.arrive_ask(&from, &call),
-            Message::Answer {
+            Message::Report { from, call } => self.arrive_report(&from, &call),
+            Message::Update {
                 to,
-                to_life,
+                to_incarnation,
                 number,
-                answer,
+                update,
             } => {
-                if let Some(node) = self.alive(&to, to_life) {
-                    node.distribution.answered(number, &answer, now);
-                    node.take_news();
+                if let Some(node) = self.alive(&to, to_incarnation) {
+                    node.distribution.handle_update(number, &update, now);
+                    node.take_remote_loads();
                 }
             }
             Message::Failed {
                 to,
-                to_life,
+                to_incarnation,
                 number,
             } => {
                 if self.nodes[&to].down {
@@ -325,43 +334,43 @@
                         now + 1,
                         Message::Failed {
                             to,
-                            to_life,
+                            to_incarnation,
                             number,
                         },
                     );
                 }
-                if let Some(node) = self.alive(&to, to_life) {
-                    node.distribution.failed(number, now);
+                if let Some(node) = self.alive(&to, to_incarnation) {
+                    node.distribution.handle_failure(number, now);
                 }
             }
         }
     }
 
-    fn arrive_ask(&mut self, from: &Rc<str>, call: &Call) {
+    fn arrive_report(&mut self, from: &Rc<str>, call: &Call) {
         let now = self.now;
         let to = self
             .nodes
             .values_mut()
             .find(|node| node.address == call.address && !node.down);
         let Some(node) = to else { return };
-        node.answers += 1;
-        let answer = node.distribution.asked(&call.ask, now);
+        node.updates += 1;
+        let update = node.distribution.handle_report(&call.report, now);
         let address = self.nodes[from].address;
         let by = self.name_at(call.address);
-        let to_life = call.ask.life;
-        let answer = Message::Answer {
+        let to_incarnation = call.report.incarnation;
+        let update = Message::Update {
             to: from.clone(),
-            to_life,
+            to_incarnation,
             number: call.number,
-            answer,
+            update,
         };
-        self.send(&by, address, answer);
+        self.send(&by, address, update);
     }
 
-    fn alive(&mut self, name: &Rc<str>, life: u64) -> Option<&mut Node> {
+    fn alive(&mut self, name: &Rc<str>, incarnation: u64) -> Option<&mut Node> {
         self.nodes
             .get_mut(name)
-            .filter(|node| !node.down && node.identity.life == life)
+            .filter(|node| !node.down && node.identity.incarnation == incarnation)
     }
 
     fn name_at(&self, address: SocketAddr) -> Rc<str> {
@@ -374,29 +383,29 @@
 
     fn send(&mut self, from: &Rc<str>, to: SocketAddr, message: Message) {
         let pair = (from.clone(), self.name_at(to));
-        self.note_message(&pair.0, &pair.1, &message);
-        if self.cut.contains(&pair) || self.happens(self.weather.lost) {
+        self.hash_message(&pair.0, &pair.1, &message);
+        if self.partitions.contains(&pair) || self.happens(self.network.lost) {
             return;
         }
-        let copies = if self.happens(self.weather.doubled) {
+        let deliveries = if self.happens(self.network.duplicated) {
             2
         } else {
             1
         };
-        for _ in 0..copies {
-            let late = if self.happens(self.weather.late) {
+        for _ in 0..deliveries {
+            let delayed = if self.happens(self.network.delayed) {
                 self.random.u64(0..2_000)
             } else {
                 0
             };
-            self.send_at(self.now + WAY_MS + late, message.clone());
+            self.send_at(self.now + LATENCY_MS + delayed, message.clone());
         }
     }
 
-    fn note_message(&mut self, from: &str, to: &str, message: &Message) {
+    fn hash_message(&mut self, from: &str, to: &str, message: &Message) {
         let (kind, number, bytes) = match message {
-            Message::Ask { call, .. } => (0, call.number, postcard::to_stdvec(&call.ask)),
-            Message::Answer { number, answer, .. } => (1, *number, postcard::to_stdvec(answer)),
+            Message::Report { call, .. } => (0, call.number, postcard::to_stdvec(&call.report)),
+            Message::Update { number, update, .. } => (1, *number, postcard::to_stdvec(update)),
             Message::Failed { number, .. } => (2, *number, Ok(Vec::new())),
         };
         self.digest.update(&self.now.to_le_bytes());
@@ -419,12 +428,12 @@
 }
 
 impl Node {
-    fn take_news(&mut self) {
-        for news in self.distribution.take_news() {
-            self.digest.update(news.service.as_bytes());
+    fn take_remote_loads(&mut self) {
+        for remote in self.distribution.take_remote_loads() {
+            self.digest.update(remote.service.as_bytes());
             self.digest
-                .update(&postcard::to_stdvec(&news.others).expect("loads can be written"));
-            self.others.insert(news.service, news.others);
+                .update(&postcard::to_stdvec(&remote.loads).expect("loads can be written"));
+            self.remote_loads.insert(remote.service, remote.loads);
         }
     }
 }
--- a/crates/serving/load-distribution/tests/exchange.rs
+++ b/crates/serving/load-distribution/tests/exchange.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{load, World};
-use dunespur_load_distribution::{Answer, Ask, Known, News, ServerLoad, Speaker, Statement};
+use dunespur_load_distribution::{
+    KnownVersion, LoadTable, RemoteLoads, Report, Reporter, ServerLoad, Update,
+};
 
 const SERVICE: &str = "pool";
 /// A load that stays is renewed within this time, the way included.
@@ -16,7 +18,7 @@
     world.set("north-1", SERVICE, &[load("s1", 2), load("s2", 1)]);
     world.set("north-2", SERVICE, &[load("s1", 5)]);
     world.set("north-3", SERVICE, &[load("s3", 1)]);
-    world.pass(RENEWED_MS);
+    world.advance(RENEWED_MS);
     for name in ["north-1", "north-2", "north-3"] {
         assert_eq!(
             world.belief(name, SERVICE),
@@ -27,16 +29,16 @@
 }
 
 #[test]
-fn a_load_that_changes_is_told_within_two_periods_and_the_way() {
+fn a_load_that_changes_is_reported_within_two_intervals_and_the_latency() {
     let mut world = World::new(2, &["north"], 2);
     world.set("north-1", SERVICE, &[load("s1", 2)]);
     world.set("north-2", SERVICE, &[load("s1", 5)]);
-    world.pass(1_000);
+    world.advance(1_000);
     world.set("north-1", SERVICE, &[load("s2", 3)]);
     world.set("north-2", SERVICE, &[load("s1", 4)]);
-    world.pass(260);
+    world.advance(260);
     world.set("north-2", SERVICE, &[load("s1", 3)]);
-    world.pass(260);
+    world.advance(260);
     assert_eq!(
         world.belief("north-2", SERVICE),
         world.truth("north-2", SERVICE)
@@ -44,9 +46,9 @@
 }
 
 #[test]
-fn homes_tell_each_other_their_zones_sums() {
+fn aggregators_report_their_zones_sums_to_each_other() {
     let mut world = World::new(3, &ZONES, 3);
-    for (place, name) in world
+    for (index, name) in world
         .nodes
         .keys()
         .cloned()
@@ -57,10 +59,10 @@
         world.set(
             name,
             SERVICE,
-            &[load("s1", place as u32 + 1), load(&format!("t{place}"), 1)],
+            &[load("s1", index as u32 + 1), load(&format!("t{index}"), 1)],
         );
     }
-    world.pass(4_000);
+    world.advance(4_000);
     for name in world.nodes.keys() {
         assert_eq!(
             world.belief(name, SERVICE),
@@ -71,16 +73,16 @@
 }
 
 #[test]
-fn nothing_is_sent_while_nothing_is_in_flight() {
+fn there_are_no_calls_while_nothing_is_in_flight() {
     let mut world = World::new(4, &ZONES, 3);
-    world.pass(2_000);
+    world.advance(2_000);
     assert_eq!(world.calls(), 0);
     world.set("north-1", SERVICE, &[load("s1", 2)]);
-    world.pass(1_000);
+    world.advance(1_000);
     world.set("north-1", SERVICE, &[]);
-    world.pass(2_000);
+    world.advance(2_000);
     let ended = world.calls();
-    world.pass(20_000);
+    world.advance(20_000);
     assert_eq!(world.calls(), ended);
     for node in world.nodes.values() {
         assert_eq!(node.distribution.next_due(), None, "no timer is left");
@@ -88,54 +90,54 @@
 }
 
 #[test]
-fn a_subscriber_asks_four_times_a_second_at_most_however_often_its_load_changes() {
+fn a_subscriber_reports_four_times_a_second_at_most_however_often_its_load_changes() {
     let mut world = World::new(5, &["north"], 2);
-    let home = world.home("north-1", SERVICE, "north");
-    let subscriber = if &*home == "north-1" {
+    let aggregator = world.aggregator("north-1", SERVICE, "north");
+    let subscriber = if &*aggregator == "north-1" {
         "north-2"
     } else {
         "north-1"
     };
     for step in 0..1_000 {
         world.set(subscriber, SERVICE, &[load("s1", step % 7 + 1)]);
-        world.pass(10);
+        world.advance(10);
     }
     let calls = world.node(subscriber).calls;
     assert!((36..=41).contains(&calls), "{calls} in ten seconds");
 }
 
 #[test]
-fn a_load_that_stays_is_renewed_once_a_second_without_its_statement() {
+fn a_load_that_stays_is_renewed_once_a_second_without_its_table() {
     let mut world = World::new(6, &["north"], 2);
-    let home = world.home("north-1", SERVICE, "north");
-    let subscriber = if &*home == "north-1" {
+    let aggregator = world.aggregator("north-1", SERVICE, "north");
+    let subscriber = if &*aggregator == "north-1" {
         "north-2"
     } else {
         "north-1"
     };
     world.set(subscriber, SERVICE, &[load("s1", 1)]);
-    world.pass(10_000);
+    world.advance(10_000);
     let calls = world.node(subscriber).calls;
     assert!((10..=11).contains(&calls), "{calls} in ten seconds");
-    world.set(&home.clone(), SERVICE, &[load("s1", 1)]);
-    world.pass(300);
+    world.set(&aggregator.clone(), SERVICE, &[load("s1", 1)]);
+    world.advance(300);
     assert_eq!(
-        world.belief(&home, SERVICE),
-        world.truth(&home, SERVICE),
+        world.belief(&aggregator, SERVICE),
+        world.truth(&aggregator, SERVICE),
         "it still counts"
     );
 }
 
 #[test]
-fn two_homes_ask_each_other_once_in_a_period_not_twice() {
+fn two_aggregators_report_once_in_an_interval_not_twice() {
     let mut world = World::new(7, &["north", "west"], 1);
     for step in 0..1_000 {
         world.set("north-1", SERVICE, &[load("s1", step % 7 + 1)]);
         world.set("west-1", SERVICE, &[load("s1", step % 5 + 1)]);
-        world.pass(10);
+        world.advance(10);
     }
     assert!(world.calls() <= 22, "{} in ten seconds", world.calls());
-    world.pass(1_200);
+    world.advance(1_200);
     for name in ["north-1", "west-1"] {
         assert_eq!(
             world.belief(name, SERVICE),
@@ -152,83 +154,83 @@
         world.set(name, "one", &[load("s1", 1)]);
         world.set(name, "other", &[load("s2", 2)]);
     }
-    world.pass(600);
+    world.advance(600);
     assert_eq!(world.belief("north-1", "one"), [("s1".into(), 1)].into());
     assert_eq!(world.belief("north-1", "other"), [("s2".into(), 2)].into());
 }
 
 #[test]
-fn trouble_is_counted_by_gateways() {
+fn ejections_are_counted_by_gateways() {
     let mut world = World::new(9, &["north"], 3);
     for name in ["north-1", "north-2", "north-3"] {
-        let in_trouble = u32::from(name != "north-1");
+        let ejected_by = u32::from(name != "north-1");
         world.set(
             name,
             SERVICE,
             &[ServerLoad {
-                in_trouble,
+                ejected_by,
                 ..load("s1", 1)
             }],
         );
     }
-    world.pass(RENEWED_MS);
-    assert_eq!(world.node("north-1").others[SERVICE][0].in_trouble, 2);
-    assert_eq!(world.node("north-2").others[SERVICE][0].in_trouble, 1);
+    world.advance(RENEWED_MS);
+    assert_eq!(world.node("north-1").remote_loads[SERVICE][0].ejected_by, 2);
+    assert_eq!(world.node("north-2").remote_loads[SERVICE][0].ejected_by, 1);
 }
 
 #[test]
-fn an_ask_and_its_answer_are_some_hundred_bytes() {
+fn a_report_and_its_update_are_some_hundred_bytes() {
     let loads: Vec<_> = (0..5)
         .map(|number| load(&format!("i-7f3a91c{number}"), 3))
         .collect();
-    let ask = Ask {
+    let report = Report {
         service: "huvo11a".into(),
-        speaker: Speaker::Subscriber {
+        reporter: Reporter::Subscriber {
             gateway: "front-queretaro-a-1".into(),
         },
-        life: 1_764_659_000_000,
+        incarnation: 1_764_659_000_000,
         version: 5_000,
-        statement: Some(Statement {
+        table: Some(LoadTable {
             version: 5_000,
             loads: loads.clone(),
         }),
-        known: Known {
-            life: 1_764_659_000_000,
+        known: KnownVersion {
+            incarnation: 1_764_659_000_000,
             version: 5_000,
         },
     };
-    let answer = Answer {
-        life: 1_764_659_000_000,
+    let update = Update {
+        incarnation: 1_764_659_000_000,
         version: 5_001,
-        whole: false,
+        complete: false,
         loads,
-        wants_statement: false,
+        wants_table: false,
     };
     let sizes = [
-        postcard::to_stdvec(&ask).unwrap().len(),
-        postcard::to_stdvec(&answer).unwrap().len(),
+        postcard::to_stdvec(&report).unwrap().len(),
+        postcard::to_stdvec(&update).unwrap().len(),
     ];
     assert!(sizes[0] <= 140 && sizes[1] <= 90, "{sizes:?}");
 }
 
 #[test]
-fn trouble_is_believed_of_a_third_of_the_servers_at_most() {
-    let in_trouble = |servers: usize| -> Vec<ServerLoad> {
+fn ejections_are_believed_of_a_third_of_the_servers_at_most() {
+    let ejected_by = |servers: usize| -> Vec<ServerLoad> {
         let named = (0..servers).map(|number| load(&format!("s{number}"), 0));
         named
             .map(|load| ServerLoad {
-                in_trouble: 1,
+                ejected_by: 1,
                 ..load
             })
             .collect()
     };
-    let mut others = in_trouble(4);
-    others.push(load("well", 3));
-    let news = News {
+    let mut loads = ejected_by(4);
+    loads.push(load("well", 3));
+    let remote = RemoteLoads {
         service: SERVICE.into(),
-        others,
+        loads,
     };
-    assert_eq!(news.in_trouble(12).len(), 4);
-    assert!(news.in_trouble(11).is_empty(), "it is the one who says it");
-    assert!(news.in_trouble(0).is_empty());
+    assert_eq!(remote.ejected(12).len(), 4);
+    assert!(remote.ejected(11).is_empty(), "it is the one who says it");
+    assert!(remote.ejected(0).is_empty());
 }
--- a/crates/serving/load-distribution/tests/faults.rs
+++ b/crates/serving/load-distribution/tests/faults.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{load, Weather, World};
+use common::{load, NetworkFaults, World};
 use dunespur_load_distribution::ServerLoad;
 use fastrand::Rng;
 use std::rc::Rc;
@@ -12,18 +12,18 @@
 const DIGEST_SEEDS: u64 = 100;
 const SERVICES: [&str; 2] = ["pool", "apps"];
 /// Statements go stale, silences are forgiven and sums travel within this time.
-const CALM_MS: u64 = 14_000;
+const SETTLING_MS: u64 = 14_000;
 /// What a fault lasts at most.
 const FAULT_MS: u64 = 3_000;
 
-fn some_loads(random: &mut Rng) -> Vec<ServerLoad> {
+fn random_loads(random: &mut Rng) -> Vec<ServerLoad> {
     let busy: Vec<u32> = (0..6).filter(|_| random.bool()).collect();
     busy.into_iter()
         .map(|server| load(&format!("s{server}"), random.u32(1..9)))
         .collect()
 }
 
-fn one_fault(world: &mut World, random: &mut Rng) {
+fn inject_fault(world: &mut World, random: &mut Rng) {
     let names: Vec<Rc<str>> = world.nodes.keys().cloned().collect();
     let name = names[random.usize(..names.len())].clone();
     match random.u32(0..6) {
@@ -31,22 +31,22 @@
             let zone = world.node(&name).identity.zone.clone();
             world.start(&name, &zone);
             if random.bool() {
-                world.tell_all();
+                world.announce_members();
             }
         }
         1 => world.nodes.get_mut(&name).unwrap().down = true,
         2 => world.nodes.get_mut(&name).unwrap().down = false,
-        3 => world.tell_all(),
+        3 => world.announce_members(),
         4 => {
             let other = names[random.usize(..names.len())].clone();
             if other != name {
-                let cut = random.bool();
-                world.set_cut(&name, &other, cut);
+                let partitioned = random.bool();
+                world.set_partitioned(&name, &other, partitioned);
             }
         }
         _ => {
-            let list: Vec<_> = world
-                .list()
+            let members: Vec<_> = world
+                .members()
                 .into_iter()
                 .filter(|_| random.u32(0..5) > 0)
                 .collect();
@@ -55,7 +55,7 @@
                 .get_mut(&name)
                 .unwrap()
                 .distribution
-                .set_gateways(list);
+                .set_gateways(members);
         }
     }
 }
@@ -65,54 +65,54 @@
     for name in names {
         for service in SERVICES {
             if random.u32(0..3) == 0 && !world.node(&name).down {
-                let loads = some_loads(random);
+                let loads = random_loads(random);
                 world.set(&name, service, &loads);
             }
         }
     }
 }
 
-fn troubled_world(seed: u64) -> World {
+fn faulty_world(seed: u64) -> World {
     let mut random = Rng::with_seed(seed);
     let mut world = World::new(seed, &["east", "north", "west"], random.usize(1..4));
-    world.weather = Weather {
+    world.network = NetworkFaults {
         lost: random.u32(0..30),
-        doubled: random.u32(0..20),
-        late: random.u32(0..20),
+        duplicated: random.u32(0..20),
+        delayed: random.u32(0..20),
     };
     for _ in 0..12 {
-        one_fault(&mut world, &mut random);
+        inject_fault(&mut world, &mut random);
         change_loads(&mut world, &mut random);
-        world.pass(random.u64(1..FAULT_MS) / 4);
+        world.advance(random.u64(1..FAULT_MS) / 4);
     }
     world
 }
 
-fn calm_down(world: &mut World) {
-    world.weather = Weather::default();
-    world.cut.clear();
+fn heal(world: &mut World) {
+    world.network = NetworkFaults::default();
+    world.partitions.clear();
     for node in world.nodes.values_mut() {
         node.down = false;
     }
-    world.tell_all();
+    world.announce_members();
 }
 
 #[test]
-fn once_it_is_calm_all_know_what_the_others_have() {
+fn once_faults_end_all_know_what_the_others_have() {
     for seed in 0..SEEDS {
-        let mut world = troubled_world(seed);
-        calm_down(&mut world);
+        let mut world = faulty_world(seed);
+        heal(&mut world);
         let names: Vec<Rc<str>> = world.nodes.keys().cloned().collect();
-        for (place, name) in names.iter().enumerate() {
+        for (index, name) in names.iter().enumerate() {
             for service in SERVICES {
                 world.set(
                     name,
                     service,
-                    &[load("s1", place as u32 + 1), load("last", 1)],
+                    &[load("s1", index as u32 + 1), load("last", 1)],
                 );
             }
         }
-        world.pass(CALM_MS);
+        world.advance(SETTLING_MS);
         for name in &names {
             for service in SERVICES {
                 let (belief, truth) = (world.belief(name, service), world.truth(name, service));
@@ -123,32 +123,32 @@
 }
 
 #[test]
-fn once_nothing_is_in_flight_nothing_is_said() {
+fn once_nothing_is_in_flight_nothing_is_reported() {
     for seed in 0..SEEDS {
-        let mut world = troubled_world(seed);
-        calm_down(&mut world);
+        let mut world = faulty_world(seed);
+        heal(&mut world);
         let names: Vec<Rc<str>> = world.nodes.keys().cloned().collect();
         for name in &names {
             for service in SERVICES {
                 world.set(name, service, &[]);
             }
         }
-        world.pass(CALM_MS);
+        world.advance(SETTLING_MS);
         let calls = world.calls();
-        world.pass(5_000);
+        world.advance(5_000);
         assert_eq!(world.calls(), calls, "seed {seed}");
     }
 }
 
 #[test]
-fn at_no_time_is_more_asked_than_a_bound() {
+fn at_no_time_are_there_more_calls_than_a_bound() {
     for seed in 0..SEEDS {
-        let mut world = troubled_world(seed);
+        let mut world = faulty_world(seed);
         let mut random = Rng::with_seed(seed);
         let before = world.calls();
         for _ in 0..100 {
             change_loads(&mut world, &mut random);
-            world.pass(50);
+            world.advance(50);
         }
         // Each gateway: four asks a second for each service to its home, two to each of two other zones as a home,
         // and as many again for failures.
@@ -166,9 +166,9 @@
 fn worlds_keep_their_digests() {
     let mut digests = String::new();
     for seed in 0..DIGEST_SEEDS {
-        let mut world = troubled_world(seed);
-        calm_down(&mut world);
-        world.pass(1_000);
+        let mut world = faulty_world(seed);
+        heal(&mut world);
+        world.advance(1_000);
         digests += &format!("{seed} {:016x}\n", world.digest());
     }
     let expected = include_str!("fixtures/world_digests.txt");
--- a/crates/serving/load-distribution/tests/wire_format.rs
+++ b/crates/serving/load-distribution/tests/wire_format.rs
@@ -3,7 +3,7 @@
 //!
 //! `tests/fixtures/*.hex` hold the bytes as they were first released; a fixture is never changed.
 
-use dunespur_load_distribution::{Answer, Ask, Known, ServerLoad, Speaker, Statement};
+use dunespur_load_distribution::{KnownVersion, LoadTable, Report, Reporter, ServerLoad, Update};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::{Debug, Write};
@@ -38,26 +38,26 @@
     ServerLoad {
         server: server.into(),
         in_flight: first,
-        waiting_tokens: u64::from(first) + 70_000,
-        in_trouble: first + 2,
+        prefill_tokens: u64::from(first) + 70_000,
+        ejected_by: first + 2,
     }
 }
 
 #[test]
 fn a_subscribers_report_with_its_table_keeps_its_bytes() {
-    let report = Ask {
+    let report = Report {
         service: "pool".into(),
-        speaker: Speaker::Subscriber {
+        reporter: Reporter::Subscriber {
             gateway: "north-1".into(),
         },
-        life: 1_764_659_000_001,
+        incarnation: 1_764_659_000_001,
         version: 5_002,
-        statement: Some(Statement {
+        table: Some(LoadTable {
             version: 5_003,
             loads: vec![load_of("s1", 11), load_of("s2", 300)],
         }),
-        known: Known {
-            life: 1_764_659_000_004,
+        known: KnownVersion {
+            incarnation: 1_764_659_000_004,
             version: 6_005,
         },
     };
@@ -66,17 +66,17 @@
 
 #[test]
 fn an_aggregators_report_without_a_table_keeps_its_bytes() {
-    let report = Ask {
+    let report = Report {
         service: "apps".into(),
-        speaker: Speaker::Home {
+        reporter: Reporter::Aggregator {
             zone: "north".into(),
             gateway: "north-2".into(),
         },
-        life: 21,
+        incarnation: 21,
         version: 22,
-        statement: None,
-        known: Known {
-            life: 23,
+        table: None,
+        known: KnownVersion {
+            incarnation: 23,
             version: 24,
         },
     };
@@ -85,24 +85,24 @@
 
 #[test]
 fn a_complete_update_keeps_its_bytes() {
-    let update = Answer {
-        life: 1_764_659_000_031,
+    let update = Update {
+        incarnation: 1_764_659_000_031,
         version: 32,
-        whole: true,
+        complete: true,
         loads: vec![load_of("s3", 33), load_of("s4", 44)],
-        wants_statement: false,
+        wants_table: false,
     };
     assert_wire(&update, include_str!("fixtures/update_complete.hex"));
 }
 
 #[test]
 fn an_incremental_update_that_wants_the_table_keeps_its_bytes() {
-    let update = Answer {
-        life: 41,
+    let update = Update {
+        incarnation: 41,
         version: 4_200,
-        whole: false,
+        complete: false,
         loads: vec![],
-        wants_statement: true,
+        wants_table: true,
     };
     assert_wire(&update, include_str!("fixtures/update_incremental.hex"));
 }
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_table_of_loads_keeps_its_bytes() {
-    let table = Statement {
+    let table = LoadTable {
         version: 52,
         loads: vec![load_of("s6", 53)],
     };
@@ -127,8 +127,8 @@
 #[test]
 fn a_known_version_keeps_its_bytes() {
     assert_wire(
-        &Known {
-            life: 61,
+        &KnownVersion {
+            incarnation: 61,
             version: 62,
         },
         include_str!("fixtures/known_version.hex"),
@@ -137,14 +137,14 @@
 
 #[test]
 fn the_variants_of_a_reporter_keep_their_bytes() {
-    let subscriber = Speaker::Subscriber {
+    let subscriber = Reporter::Subscriber {
         gateway: "west-1".into(),
     };
     assert_wire(
         &subscriber,
         include_str!("fixtures/reporter_subscriber.hex"),
     );
-    let aggregator = Speaker::Home {
+    let aggregator = Reporter::Aggregator {
         zone: "west".into(),
         gateway: "west-2".into(),
     };
