--- a/crates/serving/dunespur/src/store/disk_thread.rs
+++ b/crates/serving/dunespur/src/store/disk_thread.rs
@@ -30,7 +30,7 @@
     let run = move || {
         while let Ok(DiskJob { id, work }) = queue.recv() {
             let outcome = disk.perform(&work).unwrap_or_else(|error| {
-                log::error!("the disk failed a job: {error:#}");
+                log::error!("the disk failed a job: {}", error.with_causes());
                 DiskOutcome::Failed
             });
             if completions.send(DiskCompletion { id, outcome }).is_err() {
