--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use dunespur_chain_replication::{MemberId, Message, Peer, View};
 use dunespur_control_state::{Change, NodeReport, Operation, Outcome, RetireState};
-use dunespur_load_distribution::{Answer, Ask};
+use dunespur_load_distribution::{Report, Update};
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -37,7 +37,7 @@
     /// Queries the status of the process, and of the budget of a program.
     Status { program: Option<String> },
     /// From one gateway to another as the load aggregator of a service.
-    Home(Ask),
+    Home(Report),
 }
 
 /// Requests changes, and renews leases on the way.
@@ -89,7 +89,7 @@
     Store(StoreReply),
     /// A [`Status`](crate::status::Status) as JSON.
     Status(String),
-    Home(Answer),
+    Home(Update),
 }
 
 /// The answer to a candidate for the first view.
