--- /dev/null
+++ b/crates/serving/control-state/src/accepted_requests.rs
@@ -0,0 +1,83 @@
+//! The configuration requests that were accepted, so that one that is repeated is acknowledged again.
+
+use crate::{ConfigurationRequest, ConfigurationRequestKind};
+use serde::{Deserialize, Serialize};
+use std::collections::VecDeque;
+use xxhash_rust::xxh3::Xxh3;
+
+/// How many accepted requests are recorded: those of twelve days of 5,200 changes each.
+const MAX_ACCEPTED: usize = 65_536;
+
+/// The accepted requests, by the generation that each builds on. Generations only rise, so at most one request was
+/// ever accepted on each.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub(crate) struct AcceptedRequests {
+    /// In the order of acceptance, which is that of their generations.
+    requests: VecDeque<AcceptedRequest>,
+    /// The newest base generation whose request was evicted.
+    newest_evicted: Option<u64>,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+struct AcceptedRequest {
+    base: u64,
+    content: ContentHash,
+}
+
+/// What is recorded of a request.
+pub(crate) enum PriorDecision {
+    /// This very request was accepted.
+    Accepted,
+    /// It was not accepted.
+    NotAccepted,
+    /// It builds on a generation whose record was evicted.
+    Unknown,
+}
+
+impl AcceptedRequests {
+    /// What is recorded of a request.
+    pub(crate) fn prior_decision(&self, request: &ConfigurationRequest) -> PriorDecision {
+        let found = self
+            .requests
+            .binary_search_by_key(&request.base, |accepted| accepted.base);
+        match found {
+            Ok(index) if self.requests[index].content == ContentHash::of(request) => {
+                PriorDecision::Accepted
+            }
+            Ok(_) => PriorDecision::NotAccepted,
+            Err(_) if self.was_evicted(request.base) => PriorDecision::Unknown,
+            Err(_) => PriorDecision::NotAccepted,
+        }
+    }
+
+    /// Records a request that was just accepted.
+    pub(crate) fn record(&mut self, request: &ConfigurationRequest) {
+        self.requests.push_back(AcceptedRequest {
+            base: request.base,
+            content: ContentHash::of(request),
+        });
+        if self.requests.len() > MAX_ACCEPTED {
+            self.newest_evicted = self.requests.pop_front().map(|oldest| oldest.base);
+        }
+    }
+
+    fn was_evicted(&self, base: u64) -> bool {
+        self.newest_evicted.is_some_and(|newest| base <= newest)
+    }
+}
+
+/// Identifies the kind and body of a request. Not cryptographic: operators don't craft collisions against themselves.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+struct ContentHash(u64);
+
+impl ContentHash {
+    fn of(request: &ConfigurationRequest) -> ContentHash {
+        let mut hash = Xxh3::new();
+        hash.update(&[match request.kind {
+            ConfigurationRequestKind::Replace => 0,
+            ConfigurationRequestKind::Patch => 1,
+        }]);
+        hash.update(&request.body);
+        ContentHash(hash.digest())
+    }
+}
--- a/crates/serving/control-state/src/change.rs
+++ b/crates/serving/control-state/src/change.rs
@@ -1,76 +1,78 @@
-//! What subscribers are told of the control state.
+//! Changes of the control state, as subscribers receive them.
+//!
+//! They are encoded by position and variant order: neither may change.
 
 use crate::ServerReport;
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, sync::Arc};
 
-/// One change of the control state. Each replaces what was told of the same thing before.
+/// One change of the control state. Each replaces an earlier one of the same item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// Another configuration is current.
     Configuration {
-        /// Its number.
+        /// Its generation.
         generation: u64,
-        /// The whole of it.
+        /// The complete document.
         json: Arc<str>,
     },
-    /// A server is new, or something about it is.
+    /// A server was registered, or its registration changed.
     Server(ServerReport),
-    /// A server is over, or nothing is heard of it.
-    ServerGone {
+    /// A server deregistered, expired or was replaced at its address.
+    ServerRemoved {
         /// Its id.
         id: String,
     },
-    /// A store is new, or something about it is.
+    /// A store was registered, or its state changed.
     Store(StoreEntry),
-    /// A retired store was taken away.
-    StoreGone {
+    /// A retired store was decommissioned, or an absent one was evicted.
+    StoreRemoved {
         /// Its name.
         name: String,
     },
-    /// A gateway is there, or something about it has changed.
+    /// A gateway is present, or its registration changed.
     Gateway(GatewayEntry),
-    /// A gateway is no longer there.
-    GatewayGone {
+    /// A gateway is no longer present.
+    GatewayRemoved {
         /// Its name.
         name: String,
     },
 }
 
-/// A gateway that is there, as the core knows it.
+/// A gateway that is present, as subscribers see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayEntry {
     /// The machine's name.
     pub name: String,
-    /// Where it stands.
+    /// Its failure domain.
     pub zone: String,
     /// Where other processes of the system reach it.
     pub address: SocketAddr,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: u64,
 }
 
-/// A store as the core knows it.
+/// A store, as subscribers see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreEntry {
     /// The machine's name.
     pub name: String,
-    /// Where it stands.
+    /// Its failure domain.
     pub zone: String,
     /// Where other processes of the system reach it.
     pub address: SocketAddr,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: u64,
-    /// Names this life of its disk; another number means that the earlier contents are lost.
+    /// Identifies the content of its disk; another number means that earlier content is lost.
     pub disk: u64,
-    /// All that it should hold is there.
-    pub whole: bool,
-    /// The core hears of it.
+    /// It holds a replica of everything that it should hold.
+    pub complete: bool,
+    /// Its lease is valid.
     pub present: bool,
-    /// It is being emptied: it is no home of turns, and takes them only while others fail.
+    /// It is being emptied: no turns are placed on it, and it accepts them only where other stores fail.
     pub retiring: bool,
     /// It is empty, and stays so.
     pub retired: bool,
-    /// While it is being emptied: the round, which changes whenever the standing of any store does.
-    pub round: u64,
+    /// While it is being emptied: the epoch, which changes whenever the membership state of any store does; else 0.
+    pub epoch: u64,
 }
--- a/crates/serving/control-state/src/configuration.rs
+++ b/crates/serving/control-state/src/configuration.rs
@@ -1,24 +1,25 @@
-//! The operator's configuration and the orders that made it.
+//! The operator's configuration and the requests that made it.
 
 use crate::{
-    orders::{Memory, RefusedAhead, TakenOrders},
-    Change, Guards, Order, OrderKind, Outcome,
+    accepted_requests::{AcceptedRequests, PriorDecision},
+    fenced_generations::{FencedGenerations, Recording},
+    safeguards::{Safeguard, Safeguards},
+    Change, ConfigurationRequest, ConfigurationRequestKind, Outcome,
 };
 use dunespur_configuration::{Document, Findings};
 use serde::{Deserialize, Serialize};
 
 /// The current configuration.
 ///
-/// Of two orders on one generation the first wins, and the other is told that another one is current. An
-/// order that was taken is accepted whenever it comes again, also when others were taken since: its first
-/// acknowledgement may be lost. An order that was refused is taken later only by a call made since: orders on a
-/// generation that is over, or found invalid on the current one, can never be taken anyhow, and those on a
-/// generation that is not reached yet are fenced.
+/// Of two requests on one generation the first wins, and the other conflicts. An accepted request is acknowledged
+/// whenever it is repeated, also when others were accepted since: its first acknowledgement may be lost. A rejected
+/// request is accepted later only by a call made since: requests on an earlier generation, or invalid on the current
+/// one, can never be accepted anyhow, and those on a generation that is not reached yet are fenced.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Configuration {
     current: Option<Document>,
-    taken: TakenOrders,
-    refused: RefusedAhead,
+    accepted: AcceptedRequests,
+    fenced: FencedGenerations,
 }
 
 impl Configuration {
@@ -27,44 +28,36 @@
         self.current.as_ref()
     }
 
-    /// Carries out an order, if it may be.
+    /// Applies a request, if it may be accepted.
     pub(crate) fn apply(
         &mut self,
-        order: &Order,
-        guards: Guards,
+        request: &ConfigurationRequest,
+        safeguards: Safeguards,
         changes: &mut Vec<Change>,
     ) -> Outcome {
-        match self.taken.recall(order) {
-            Memory::Taken => return Outcome::Accepted,
-            Memory::Forgotten => return Outcome::Forgotten,
-            Memory::NotTaken => {}
+        match self.accepted.prior_decision(request) {
+            PriorDecision::Accepted => return Outcome::Accepted,
+            PriorDecision::Unknown => return Outcome::Undetermined,
+            PriorDecision::NotAccepted => {}
         }
         let current = self.generation();
-        if order.base > current {
-            return self.refuse_ahead(order.base);
+        if request.base > current {
+            return self.reject_future(request.base);
         }
-        if order.base < current && guards.first_writer_wins {
-            return Outcome::Current {
-                generation: current,
-            };
+        if request.base < current && safeguards.has(Safeguard::FirstWriterWins) {
+            return Outcome::GenerationConflict { current };
         }
-        if let Some(fence) = self
-            .refused
-            .fence(order.base)
-            .filter(|_| guards.refusals_fenced)
-        {
-            if order.fence < fence {
-                return Outcome::Fenced { fence };
-            }
+        if let Some(fencing_token) = self.missing_token(request, safeguards) {
+            return Outcome::Fenced { fencing_token };
         }
-        match self.result(order) {
-            Ok(document) => self.take(order, document, changes),
+        match self.result(request) {
+            Ok(document) => self.accept(request, document, changes),
             Err(findings) => Outcome::Invalid(findings),
         }
     }
 
-    /// What a subscriber has to know.
-    pub(crate) fn image(&self) -> Option<Change> {
+    /// The changes that a new subscriber needs.
+    pub(crate) fn initial_changes(&self) -> Option<Change> {
         let document = self.current.as_ref()?;
         Some(Change::Configuration {
             generation: document.generation(),
@@ -72,31 +65,39 @@
         })
     }
 
-    /// Only for the guard that is against this.
-    pub(crate) fn forget_taken_orders(&mut self) {
-        self.taken = TakenOrders::default();
+    /// Removes the record of accepted requests: what [`Safeguard::AcceptedRequestsInSnapshot`] prevents.
+    pub(crate) fn discard_accepted_requests(&mut self) {
+        self.accepted = AcceptedRequests::default();
     }
 
     fn generation(&self) -> u64 {
         self.current.as_ref().map_or(0, Document::generation)
     }
 
-    /// An order on a generation that is not reached yet.
-    fn refuse_ahead(&mut self, base: u64) -> Outcome {
-        match self.refused.note(base) {
-            true => Outcome::Current {
-                generation: self.generation(),
+    /// Rejects a request on a generation that is not reached yet.
+    fn reject_future(&mut self, base: u64) -> Outcome {
+        match self.fenced.record_rejection(base) {
+            Recording::Recorded => Outcome::GenerationConflict {
+                current: self.generation(),
             },
-            false => Outcome::Forgotten,
+            Recording::AtCapacity => Outcome::Undetermined,
         }
     }
 
-    /// The configuration that an order on the current one makes.
-    fn result(&self, order: &Order) -> Result<Document, Findings> {
-        let document = match (order.kind, &self.current) {
-            (OrderKind::Replace, _) => Document::replace(&order.body)?,
-            (OrderKind::Patch, Some(current)) => current.patch(&order.body)?,
-            (OrderKind::Patch, None) => Document::empty().patch(&order.body)?,
+    /// The token that a request would have to carry and does not.
+    fn missing_token(&self, request: &ConfigurationRequest, safeguards: Safeguards) -> Option<u64> {
+        self.fenced
+            .token(request.base)
+            .filter(|_| safeguards.has(Safeguard::RejectionsFenced))
+            .filter(|token| request.fencing_token < *token)
+    }
+
+    /// The configuration that a request on the current one makes.
+    fn result(&self, request: &ConfigurationRequest) -> Result<Document, Findings> {
+        let document = match (request.kind, &self.current) {
+            (ConfigurationRequestKind::Replace, _) => Document::replace(&request.body)?,
+            (ConfigurationRequestKind::Patch, Some(current)) => current.patch(&request.body)?,
+            (ConfigurationRequestKind::Patch, None) => Document::empty().patch(&request.body)?,
         };
         if document.generation() <= self.generation() {
             let problem = format!("is not above the current one, {}", self.generation());
@@ -105,11 +106,16 @@
         Ok(document)
     }
 
-    fn take(&mut self, order: &Order, document: Document, changes: &mut Vec<Change>) -> Outcome {
-        self.taken.remember(order);
-        self.refused.reached(document.generation());
+    fn accept(
+        &mut self,
+        request: &ConfigurationRequest,
+        document: Document,
+        changes: &mut Vec<Change>,
+    ) -> Outcome {
+        self.accepted.record(request);
+        self.fenced.discard_below(document.generation());
         self.current = Some(document);
-        changes.extend(self.image());
+        changes.extend(self.initial_changes());
         Outcome::Accepted
     }
 }
--- a/crates/serving/control-state/src/gateways.rs
+++ b/crates/serving/control-state/src/gateways.rs
@@ -1,14 +1,12 @@
-//! The gateways: which are there, for one another, and how many, for the counters of budgets.
+//! The gateways: which are present, for one another, and how many, for the counters of budgets.
 //!
-//! Each life of a gateway's process has a higher incarnation than the one before, which orders what is said
-//! of it.
+//! Each start of a gateway's process has a higher incarnation than the one before, which orders its reports.
 
 use crate::{Change, GatewayEntry, NodeReport};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How many gateways are kept that are no longer there. Against machines that are added and removed without
-/// end.
+/// How many absent gateways are recorded. Bounds memory against machines that are added and removed without end.
 const MAX_ABSENT: usize = 1_024;
 
 /// All gateways, by name.
@@ -24,7 +22,7 @@
 }
 
 impl Gateway {
-    /// What others see of it: nothing while it is not there.
+    /// What subscribers see of it: nothing while it is absent.
     fn entry(&self) -> Option<GatewayEntry> {
         self.present.then(|| GatewayEntry {
             name: self.report.name.clone(),
@@ -36,65 +34,60 @@
 }
 
 impl Gateways {
-    /// The gateways that are there, by name.
-    pub(crate) fn all(&self) -> impl Iterator<Item = &NodeReport> {
+    /// The present gateways, by name.
+    pub(crate) fn present(&self) -> impl Iterator<Item = &NodeReport> {
         self.gateways
             .values()
             .filter(|gateway| gateway.present)
             .map(|gateway| &gateway.report)
     }
 
-    /// All gateways that are remembered, those included that are no longer there.
-    pub(crate) fn remembered(&self) -> impl Iterator<Item = &NodeReport> {
+    /// All recorded gateways, absent ones included.
+    pub(crate) fn recorded(&self) -> impl Iterator<Item = &NodeReport> {
         self.gateways.values().map(|gateway| &gateway.report)
     }
 
-    /// How many gateways are there.
+    /// How many gateways are present.
     pub(crate) fn count(&self) -> u32 {
-        u32::try_from(self.all().count()).unwrap_or(u32::MAX)
+        u32::try_from(self.present().count()).unwrap_or(u32::MAX)
     }
 
-    /// Takes a report.
+    /// Applies a report, unless it is of an earlier incarnation.
     pub(crate) fn report(&mut self, report: &NodeReport, changes: &mut Vec<Change>) {
         let known = self.gateways.get(&report.name);
         if known.is_none_or(|known| known.report.incarnation <= report.incarnation) {
-            self.set(
-                Gateway {
-                    report: report.clone(),
-                    present: true,
-                },
-                changes,
-            );
+            let next = Gateway {
+                report: report.clone(),
+                present: true,
+            };
+            self.replace(next, changes);
         }
     }
 
-    /// Nothing is heard of a life of a gateway any more.
-    pub(crate) fn gone(&mut self, name: &str, incarnation: u64, changes: &mut Vec<Change>) {
+    /// The lease of an incarnation of a gateway expired.
+    pub(crate) fn expire(&mut self, name: &str, incarnation: u64, changes: &mut Vec<Change>) {
         let Some(known) = self.gateways.get(name) else {
             return;
         };
         if known.report.incarnation <= incarnation {
-            let report = known.report.clone();
-            self.set(
-                Gateway {
-                    report,
-                    present: false,
-                },
-                changes,
-            );
+            let next = Gateway {
+                report: known.report.clone(),
+                present: false,
+            };
+            self.replace(next, changes);
         }
     }
 
-    /// What a subscriber has to know.
-    pub(crate) fn image(&self) -> impl Iterator<Item = Change> + '_ {
+    /// The changes that a new subscriber needs.
+    pub(crate) fn initial_changes(&self) -> impl Iterator<Item = Change> + '_ {
         self.gateways
             .values()
             .filter_map(Gateway::entry)
             .map(Change::Gateway)
     }
 
-    /// The one change of a gateway's state.
-    fn set(&mut self, gateway: Gateway, changes: &mut Vec<Change>) {
+    /// The only transition of a gateway.
+    fn replace(&mut self, gateway: Gateway, changes: &mut Vec<Change>) {
         let name = gateway.report.name.clone();
         let after = gateway.entry();
         let before = self
@@ -103,15 +96,15 @@
             .and_then(|known| known.entry());
         match (before, after) {
             (before, Some(after)) if before.as_ref() != Some(&after) => {
-                changes.push(Change::Gateway(after))
+                changes.push(Change::Gateway(after));
             }
-            (Some(_), None) => changes.push(Change::GatewayGone { name }),
+            (Some(_), None) => changes.push(Change::GatewayRemoved { name }),
             _ => {}
         }
-        self.bound();
+        self.evict_oldest_absent();
     }
 
-    fn bound(&mut self) {
+    fn evict_oldest_absent(&mut self) {
         let absent = || self.gateways.iter().filter(|(_, gateway)| !gateway.present);
         if absent().count() <= MAX_ABSENT {
             return;
--- a/crates/serving/control-state/src/lib.rs
+++ b/crates/serving/control-state/src/lib.rs
@@ -1,30 +1,34 @@
-//! The control state that the core agrees on: configuration, servers, gateways, stores, budgets.
+//! The replicated state machine of the core: configuration, servers, gateways, stores and token budgets.
 //!
-//! Every core member applies the same committed [`Operation`]s in the same order to its [`ControlState`] and
-//! so comes to the same state. What an operation comes to is its [`Outcome`]; what it changes for the data
-//! plane is a list of [`Change`]s, which subscribers are sent. There is no clock and no I/O: an operation
-//! that needs a time carries it.
+//! Every core member applies the same committed [`Operation`]s in the same order to its [`ControlState`] and so
+//! reaches the same state. The result of an operation is its [`Outcome`]; what it changes for the data plane is a
+//! list of [`Change`]s for subscribers. There is no clock and no I/O: an operation that needs a time carries it.
 //!
-//! Operations may be doubled, overtaken and late, since whoever sends one and hears nothing sends it again.
-//! Each part of the state says how it stands up to that.
+//! Delivery is at least once and unordered, as a sender repeats an operation until it is acknowledged. So each part
+//! of the state documents how it treats operations that are duplicated, reordered or late.
 
+mod accepted_requests;
 mod change;
 mod configuration;
 mod departed;
+mod fenced_generations;
 mod gateways;
-mod guards;
 mod operation;
-mod orders;
 mod outcome;
-mod retirement;
+mod retirement_fencing;
+mod safeguards;
 mod servers;
 mod snapshot;
 mod state;
+mod store;
 mod stores;
 
 pub use change::{Change, GatewayEntry, StoreEntry};
-pub use guards::Guards;
-pub use operation::{NodeKind, NodeReport, Operation, Order, OrderKind, ServerReport, ServerState};
-pub use outcome::{Outcome, RetireOutcome, RetireState};
+pub use operation::{
+    ConfigurationRequest, ConfigurationRequestKind, NodeKind, NodeReport, Operation, ServerReport,
+    ServerState,
+};
+pub use outcome::{Outcome, RetirementOutcome, RetirementState};
+pub use safeguards::{Safeguard, Safeguards};
 pub use snapshot::SnapshotError;
 pub use state::ControlState;
--- a/crates/serving/control-state/src/operation.rs
+++ b/crates/serving/control-state/src/operation.rs
@@ -1,4 +1,6 @@
-//! What the core is asked to agree on.
+//! Operations: the commands of the replicated state machine.
+//!
+//! They are encoded by position and variant order, in messages and in the log: neither may change.
 
 use dunespur_budget::CounterRequest;
 use serde::{Deserialize, Serialize};
@@ -8,129 +10,129 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Operation {
     /// The operator changes the configuration.
-    Configure(Order),
-    /// A server says how it is.
+    Configure(ConfigurationRequest),
+    /// A server registers or renews its registration.
     Server(ServerReport),
-    /// A server says that it ends.
+    /// A server deregisters: it is about to end.
     ServerLeft {
         /// Its id.
         id: String,
     },
-    /// The core has heard nothing of a server for too long.
+    /// A server's registration was not renewed in time.
     ServerExpired {
         /// Its id.
         id: String,
-        /// The number of its last report that was heard.
+        /// The sequence number of its last report that the core received.
         last_sequence: u64,
     },
-    /// A gateway or store says how it is.
+    /// A gateway or store registers or changes its registration.
     Node(NodeReport),
-    /// The core has heard nothing of a gateway or store for too long.
-    NodeGone {
+    /// The lease of a gateway or store was not renewed in time.
+    NodeExpired {
         /// Its name.
         name: String,
-        /// The life of its process that is over.
+        /// The incarnation of its process whose lease expired.
         incarnation: u64,
     },
-    /// The operator wants a store emptied and taken away.
+    /// The operator requests that a store is emptied, so that it can be decommissioned.
     RetireStart {
-        /// Its name.
+        /// The store's name.
         node: String,
         /// How many stores may be lost at once; more than that have to remain.
         tolerated_losses: u32,
-        /// What an earlier call was told with [`Outcome::Fenced`](crate::Outcome::Fenced), else 0.
-        fence: u64,
+        /// The token of an earlier [`Outcome::Fenced`](crate::Outcome::Fenced), else 0.
+        fencing_token: u64,
     },
-    /// All that a store held is kept elsewhere.
+    /// A store found that everything it holds is replicated elsewhere.
     RetireDone {
-        /// Its name.
+        /// The store's name.
         node: String,
-        /// The life of its process that was emptied.
+        /// The incarnation of its process that found so.
         incarnation: u64,
-        /// The round in which it found so.
-        round: u64,
+        /// The epoch in which it found so.
+        epoch: u64,
     },
-    /// A limiter asks a program's counter.
+    /// A limiter's request to the counter of a program's budget.
     Budget(CounterRequest),
 }
 
-/// An order of the operator, as it was sent.
+/// An operator's request to change the configuration, as it was received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
-    /// What it does with the body.
-    pub kind: OrderKind,
+pub struct ConfigurationRequest {
+    /// How the body is to be applied.
+    pub kind: ConfigurationRequestKind,
     /// The generation that it builds on, 0 for none.
     pub base: u64,
     /// Its body, byte for byte.
     pub body: Vec<u8>,
-    /// What an earlier call was told with [`Outcome::Fenced`](crate::Outcome::Fenced), else 0. No part of what the
-    /// order says.
-    pub fence: u64,
+    /// The token of an earlier [`Outcome::Fenced`](crate::Outcome::Fenced), else 0. Not part of the request's
+    /// identity.
+    pub fencing_token: u64,
 }
 
-/// What an order does with its body.
+/// How the body of a configuration request is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderKind {
-    /// The body is a whole configuration.
+pub enum ConfigurationRequestKind {
+    /// The body is a complete configuration.
     Replace,
-    /// The body changes named items.
+    /// The body changes named items of the current configuration.
     Patch,
 }
 
-/// What a server says of itself.
+/// A server's registration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerReport {
-    /// Names this start of the server; every start has another.
+    /// Identifies this start of the server; every start has another.
     pub id: String,
     /// The service that it belongs to.
     pub backend: String,
-    /// Where it takes requests.
+    /// Where it accepts requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its failure domain.
     pub zone: String,
     /// Of its software.
     pub generation: String,
-    /// How many requests it handles at once.
+    /// How many requests it runs at once.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: ServerState,
     /// Rises with each report of one id.
     pub sequence: u64,
 }
 
-/// Whether a server takes requests.
+/// Whether a server accepts requests. The order matters: of two states the greater one is final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It is about to end and is to get no more. There is no way back.
+    /// It completes its requests in flight and accepts no new ones. It never becomes ready again.
     Draining,
 }
 
-/// What a gateway or store says of itself.
+/// The registration of a gateway or store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeReport {
     /// The machine's name.
     pub name: String,
-    /// What it is.
+    /// Gateway or store.
     pub kind: NodeKind,
-    /// Where it stands.
+    /// Its failure domain.
     pub zone: String,
     /// Where other processes of the system reach it.
     pub address: SocketAddr,
-    /// Rises with each life of its process.
+    /// The incarnation of its process; rises with each start.
     pub incarnation: u64,
-    /// Of a store: names this life of its disk; another number means that the earlier contents are lost.
+    /// Of a store: identifies the content of its disk; another number means that earlier content is lost.
     pub disk: u64,
-    /// Of a store: all that it should hold is there.
-    pub whole: bool,
+    /// Of a store: it holds a replica of everything that it should hold.
+    pub complete: bool,
 }
 
-/// What a node is.
+/// What a node does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeKind {
-    /// It carries the traffic.
+    /// It forwards requests to servers.
     Gateway,
-    /// It keeps turns.
+    /// It stores turns.
     Store,
 }
--- a/crates/serving/control-state/src/outcome.rs
+++ b/crates/serving/control-state/src/outcome.rs
@@ -1,54 +1,56 @@
-//! What an operation comes to.
+//! The results of operations.
+//!
+//! They are encoded by position and variant order: neither may change.
 
 use dunespur_budget::CounterReply;
 use dunespur_configuration::Findings;
 use serde::{Deserialize, Serialize};
 
-/// What an operation came to.
+/// The result of an operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The order is taken, now or before.
+    /// The configuration request is accepted, now or by an earlier call.
     Accepted,
-    /// The order builds on a configuration that is not the current one.
-    Current {
-        /// The current one, 0 for none.
-        generation: u64,
+    /// The configuration request builds on a generation that is not the current one.
+    GenerationConflict {
+        /// The current generation, 0 for none.
+        current: u64,
     },
-    /// The order would make an invalid configuration.
+    /// The configuration request would make an invalid configuration.
     Invalid(Findings),
-    /// The order builds on a configuration so old that nobody knows any more whether it was taken. It gets no
-    /// clear answer, since one that was taken must not be refused.
-    Forgotten,
-    /// The order was not looked at: this call may have been made before an earlier one was refused. Whoever still
-    /// wants it calls again with this fence.
+    /// Whether the configuration request was accepted is no longer recorded: it builds on too old a generation. The
+    /// caller gets no definite answer, since an accepted request must never be rejected.
+    Undetermined,
+    /// The request was not considered: this call may have been made before an earlier one was rejected. A caller that
+    /// still wants it calls again with this token.
     Fenced {
-        /// What to call with.
-        fence: u64,
+        /// The token that a call has to carry.
+        fencing_token: u64,
     },
-    /// What became of the wish to take a store away.
-    Retire(RetireOutcome),
-    /// What the counter answers.
+    /// The result of a request to retire a store.
+    Retire(RetirementOutcome),
+    /// The counter's reply.
     Budget(CounterReply),
-    /// Any other operation: it is applied, or is overtaken and changes nothing.
+    /// Any other operation: it was applied, or was superseded and changed nothing.
     Done,
 }
 
-/// What became of the wish to take a store away.
+/// The result of a request to retire a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RetireOutcome {
-    /// It is being emptied, or is empty already.
-    Taken,
+pub enum RetirementOutcome {
+    /// The store is being emptied, or is empty already.
+    Accepted,
     /// There is no such store.
     UnknownNode,
-    /// Too few stores would be left.
+    /// Too few stores would remain.
     TooFew,
 }
 
-/// How far a store is on its way out.
+/// How far the retirement of a store is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RetireState {
-    /// It is being emptied.
+pub enum RetirementState {
+    /// The store is being emptied.
     Running,
-    /// It is empty and can be taken away.
+    /// The store is empty and can be decommissioned.
     Done,
 }
--- a/crates/serving/control-state/src/servers.rs
+++ b/crates/serving/control-state/src/servers.rs
@@ -1,7 +1,7 @@
-//! The servers of all services.
+//! The registered servers of all services.
 //!
-//! Reports come by many ways and overtake each other: `sequence` orders those of one id. What can't be undone
-//! at a server, draining and leaving, can't be undone here by anything that is late.
+//! Reports arrive on several paths and overtake each other: `sequence` orders those of one id. What is final at a
+//! server, draining and leaving, is not undone here by a late report.
 
 use crate::{
     departed::{Departed, Departure},
@@ -10,10 +10,11 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// The most servers that are kept. Against callers that make up ids: what goes beyond is not taken in.
+/// The maximum number of registered servers. Bounds memory against callers that invent ids: further ones are not
+/// registered.
 const MAX_SERVERS: usize = 8_192;
 
-/// The servers that are there, and those that are remembered.
+/// The present servers, and the recorded departures of others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Servers {
     present: BTreeMap<String, ServerReport>,
@@ -21,59 +22,59 @@
 }
 
 impl Servers {
-    /// The servers that are there, by id.
-    pub(crate) fn all(&self) -> impl Iterator<Item = &ServerReport> {
+    /// The present servers, by id.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &ServerReport> {
         self.present.values()
     }
 
-    /// A server that is there.
+    /// A present server.
     pub(crate) fn get(&self, id: &str) -> Option<&ServerReport> {
         self.present.get(id)
     }
 
-    /// Takes a report.
+    /// Applies a report.
     pub(crate) fn report(&mut self, report: &ServerReport, changes: &mut Vec<Change>) {
         if let Some(known) = self.present.get(&report.id) {
             let next = merged(known, report);
-            return self.enter(next, changes);
+            return self.insert(next, changes);
         }
         match self.departed.get(&report.id) {
-            None if self.present.len() < MAX_SERVERS => self.enter(report.clone(), changes),
+            None if self.present.len() < MAX_SERVERS => self.insert(report.clone(), changes),
             None | Some(Departure::Left) => {}
-            Some(&Departure::Away { sequence, state }) => {
-                self.report_of_away(report, sequence, state, changes)
+            Some(&Departure::Inactive { sequence, state }) => {
+                self.report_of_inactive(report, sequence, state, changes);
             }
         }
     }
 
-    /// A server has said that it ends.
-    pub(crate) fn left(&mut self, id: &str, changes: &mut Vec<Change>) {
-        self.depart(id, Departure::Left, changes);
+    /// A server deregistered.
+    pub(crate) fn leave(&mut self, id: &str, changes: &mut Vec<Change>) {
+        self.remove(id, Departure::Left, changes);
     }
 
-    /// Nothing was heard of a server since its report `last_sequence`. If one with a higher number has come
-    /// since that was found, it means nothing.
-    pub(crate) fn expired(&mut self, id: &str, last_sequence: u64, changes: &mut Vec<Change>) {
+    /// A server's registration expired after its report `last_sequence`. A newer report that was applied meanwhile
+    /// renewed it.
+    pub(crate) fn expire(&mut self, id: &str, last_sequence: u64, changes: &mut Vec<Change>) {
         let Some(known) = self.present.get(id) else {
             return;
         };
         if known.sequence <= last_sequence {
-            let departure = Departure::Away {
+            let departure = Departure::Inactive {
                 sequence: last_sequence,
                 state: known.state,
             };
-            self.depart(id, departure, changes);
+            self.remove(id, departure, changes);
         }
     }
 
-    /// What a subscriber has to know.
-    pub(crate) fn image(&self) -> impl Iterator<Item = Change> + '_ {
+    /// The changes that a new subscriber needs.
+    pub(crate) fn initial_changes(&self) -> impl Iterator<Item = Change> + '_ {
         self.present.values().cloned().map(Change::Server)
     }
 
-    /// A report of a server that is away: a newer one brings it back, and an older one may still tell that it
-    /// was draining.
-    fn report_of_away(
+    /// A report of an inactive server: a newer one brings it back, and an older one may still say that it was
+    /// draining.
+    fn report_of_inactive(
         &mut self,
         report: &ServerReport,
         sequence: u64,
@@ -82,58 +83,56 @@
     ) {
         let state = state.max(report.state);
         if report.sequence > sequence && self.present.len() < MAX_SERVERS {
-            return self.enter(
-                ServerReport {
-                    state,
-                    ..report.clone()
-                },
-                changes,
-            );
+            let next = ServerReport {
+                state,
+                ..report.clone()
+            };
+            return self.insert(next, changes);
         }
         self.departed
-            .amend(&report.id, Departure::Away { sequence, state });
+            .amend(&report.id, Departure::Inactive { sequence, state });
     }
 
-    /// A server is there as `next` says, and whichever other one had its address isn't any more.
-    fn enter(&mut self, next: ServerReport, changes: &mut Vec<Change>) {
+    /// Makes a server present, and removes another one that had its address.
+    fn insert(&mut self, next: ServerReport, changes: &mut Vec<Change>) {
         let known = self.present.get(&next.id);
         if known.is_none_or(|known| known.address != next.address) {
-            self.displace(next.address, changes);
+            self.remove_at(next.address, changes);
         }
         let known = self.present.get(&next.id);
         if known.is_none_or(|known| differs(known, &next)) {
             changes.push(Change::Server(next.clone()));
         }
-        self.departed.forget(&next.id);
+        self.departed.remove(&next.id);
         self.present.insert(next.id.clone(), next);
     }
 
-    /// A server isn't there any more.
-    fn depart(&mut self, id: &str, departure: Departure, changes: &mut Vec<Change>) {
+    /// Makes a server absent.
+    fn remove(&mut self, id: &str, departure: Departure, changes: &mut Vec<Change>) {
         if self.present.remove(id).is_some() {
-            changes.push(Change::ServerGone { id: id.to_owned() });
+            changes.push(Change::ServerRemoved { id: id.to_owned() });
         }
-        self.departed.remember(id, departure);
+        self.departed.record(id, departure);
     }
 
-    /// Another server has come up at an address: the one that was there is over. Should its report have been
-    /// the older one after all, its next one takes the address back.
-    fn displace(&mut self, address: SocketAddr, changes: &mut Vec<Change>) {
+    /// Removes the server at an address where another one has started. Should the other's report have been the older
+    /// one after all, the next report of the removed one takes the address back.
+    fn remove_at(&mut self, address: SocketAddr, changes: &mut Vec<Change>) {
         let older = self
             .present
             .values()
             .find(|server| server.address == address);
         let Some(older) = older else { return };
-        let departure = Departure::Away {
+        let departure = Departure::Inactive {
             sequence: older.sequence,
             state: older.state,
         };
         let id = older.id.clone();
-        self.depart(&id, departure, changes);
+        self.remove(&id, departure, changes);
     }
 }
 
-/// What is known of a server after another report of it. Draining counts however late it comes.
+/// A server after another report of it. Draining is final however late its report comes.
 fn merged(known: &ServerReport, report: &ServerReport) -> ServerReport {
     let newest = if report.sequence > known.sequence {
         report
@@ -146,7 +145,7 @@
     }
 }
 
-/// Whether two reports of a server say different things.
+/// Whether two reports of a server differ in more than their sequence number.
 fn differs(one: &ServerReport, other: &ServerReport) -> bool {
     ServerReport {
         sequence: one.sequence,
--- a/crates/serving/control-state/src/snapshot.rs
+++ b/crates/serving/control-state/src/snapshot.rs
@@ -1,21 +1,23 @@
-//! The control state as bytes, for a member that joins or starts again.
+//! Snapshots: the control state as bytes, for a member that joins or restarts.
 //!
-//! The first byte names the format, so that one that isn't known is told apart from one that is damaged.
+//! The first byte names the format, so that an unknown format is not mistaken for a damaged snapshot.
 
 use crate::ControlState;
-use std::fmt;
 
 /// The format that is written.
 const FORMAT: u8 = 2;
 
-/// Why bytes are no snapshot.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why bytes are not a snapshot.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// They are in a format that isn't known here.
+    /// They are in a format that this version does not know.
+    #[error("a snapshot of the unknown format {0}")]
     Format(u8),
-    /// They are cut off, or are no control state.
-    Damaged(postcard::Error),
-    /// They go on behind the control state.
+    /// They are truncated, or encode no control state.
+    #[error("a damaged snapshot: {0}")]
+    Damaged(#[source] postcard::Error),
+    /// Bytes follow the control state.
+    #[error("{bytes} bytes behind the end of a snapshot")]
     TooLong {
         /// How many bytes are left over.
         bytes: usize,
@@ -23,17 +25,25 @@
 }
 
 impl ControlState {
-    /// The whole state as bytes.
+    /// The complete state as bytes.
+    ///
+    /// # Panics
+    ///
+    /// Never: encoding fails only for a failing writer or a sequence of unknown length, and there is neither.
+    #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
-        // Only a writer that fails, or a sequence without a length, makes this fail; neither is there.
-        postcard::to_extend(&*self.to_be_saved(), vec![FORMAT])
-            .expect("a control state can be written")
+        postcard::to_extend(&*self.for_snapshot(), vec![FORMAT])
+            .expect("a control state is always encodable")
     }
 
-    /// The state that a snapshot holds.
+    /// The state that a snapshot encodes.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are of an unknown format, damaged or too long.
     pub fn restore(bytes: &[u8]) -> Result<ControlState, SnapshotError> {
-        let cut_off = SnapshotError::Damaged(postcard::Error::DeserializeUnexpectedEnd);
-        let (format, content) = bytes.split_first().ok_or(cut_off)?;
+        let truncated = SnapshotError::Damaged(postcard::Error::DeserializeUnexpectedEnd);
+        let (format, content) = bytes.split_first().ok_or(truncated)?;
         if *format != FORMAT {
             return Err(SnapshotError::Format(*format));
         }
@@ -44,17 +54,3 @@
         }
     }
 }
-
-impl fmt::Display for SnapshotError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            SnapshotError::Format(format) => write!(f, "a snapshot of the unknown format {format}"),
-            SnapshotError::Damaged(error) => write!(f, "a damaged snapshot: {error}"),
-            SnapshotError::TooLong { bytes } => {
-                write!(f, "{bytes} bytes behind the end of a snapshot")
-            }
-        }
-    }
-}
-
-impl std::error::Error for SnapshotError {}
--- a/crates/serving/control-state/src/state.rs
+++ b/crates/serving/control-state/src/state.rs
@@ -1,87 +1,86 @@
-//! The whole control state.
+//! The complete control state and the application of operations to it.
 
 use crate::{
-    configuration::Configuration, gateways::Gateways, retirement::RetireFence, servers::Servers,
-    stores::Stores, Change, Guards, NodeKind, NodeReport, Operation, Outcome, RetireState,
-    ServerReport, StoreEntry,
+    configuration::Configuration,
+    gateways::Gateways,
+    retirement_fencing::RetirementFencing,
+    safeguards::{Safeguard, Safeguards},
+    servers::Servers,
+    stores::Stores,
+    Change, NodeKind, NodeReport, Operation, Outcome, RetirementState, ServerReport, StoreEntry,
 };
 use dunespur_budget::Counters;
 use dunespur_configuration::Document;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// All that the core agrees on. Two states to which the same operations were applied in the same order are
-/// equal, also in their snapshots.
+/// The replicated state of the core. Two replicas that applied the same operations in the same order are equal, also
+/// in their snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControlState {
     configuration: Configuration,
     servers: Servers,
     gateways: Gateways,
     stores: Stores,
-    retire_fence: RetireFence,
+    retirement_fencing: RetirementFencing,
     counters: Counters,
     #[serde(skip)]
-    guards: Guards,
+    safeguards: Safeguards,
 }
 
+#[cfg(feature = "removable-safeguards")]
 impl ControlState {
-    /// An empty state without some of the guards.
-    #[doc(hidden)]
-    pub fn with_guards(guards: Guards) -> ControlState {
-        ControlState::default().guarded_by(guards)
-    }
-
-    /// The same state without some of the guards: a snapshot does not say which stand.
-    #[doc(hidden)]
-    pub fn guarded_by(mut self, guards: Guards) -> ControlState {
-        self.guards = guards;
-        self.stores.set_guards(guards);
+    /// The same state under these safeguards, which no snapshot contains. For tests only.
+    #[must_use]
+    pub fn with_safeguards(mut self, safeguards: Safeguards) -> ControlState {
+        self.safeguards = safeguards;
+        self.stores.set_safeguards(safeguards);
         self
     }
+}
 
+impl ControlState {
     /// What goes into a snapshot.
-    pub(crate) fn to_be_saved(&self) -> Cow<'_, ControlState> {
-        if self.guards.taken_orders_in_snapshot {
+    pub(crate) fn for_snapshot(&self) -> Cow<'_, ControlState> {
+        if self.safeguards.has(Safeguard::AcceptedRequestsInSnapshot) {
             return Cow::Borrowed(self);
         }
-        let mut saved = self.clone();
-        saved.configuration.forget_taken_orders();
-        Cow::Owned(saved)
+        let mut reduced = self.clone();
+        reduced.configuration.discard_accepted_requests();
+        Cow::Owned(reduced)
     }
 
-    /// Applies a committed operation. What it changes for subscribers is added to `changes`.
+    /// Applies a committed operation. The changes that subscribers see are added to `changes`.
     pub fn apply(&mut self, operation: &Operation, changes: &mut Vec<Change>) -> Outcome {
         match operation {
-            Operation::Configure(order) => {
-                return self.configuration.apply(order, self.guards, changes)
+            Operation::Configure(request) => {
+                return self.configuration.apply(request, self.safeguards, changes)
             }
             Operation::Server(report) => self.servers.report(report, changes),
-            Operation::ServerLeft { id } => self.servers.left(id, changes),
+            Operation::ServerLeft { id } => self.servers.leave(id, changes),
             Operation::ServerExpired { id, last_sequence } => {
-                self.servers.expired(id, *last_sequence, changes);
+                self.servers.expire(id, *last_sequence, changes);
             }
             Operation::Node(report) => match report.kind {
                 NodeKind::Gateway => self.gateways.report(report, changes),
                 NodeKind::Store => self.stores.report(report, changes),
             },
-            Operation::NodeGone { name, incarnation } => {
-                self.gateways.gone(name, *incarnation, changes);
-                self.stores.gone(name, *incarnation, changes);
+            Operation::NodeExpired { name, incarnation } => {
+                self.gateways.expire(name, *incarnation, changes);
+                self.stores.expire(name, *incarnation, changes);
             }
             Operation::RetireStart {
                 node,
                 tolerated_losses,
-                fence,
-            } => {
-                return self.retire(node, *tolerated_losses, *fence, changes);
-            }
+                fencing_token,
+            } => return self.retire(node, *tolerated_losses, *fencing_token, changes),
             Operation::RetireDone {
                 node,
                 incarnation,
-                round,
-            } => {
-                self.stores.emptied(node, *incarnation, *round, changes);
-            }
+                epoch,
+            } => self
+                .stores
+                .complete_retirement(node, *incarnation, *epoch, changes),
             Operation::Budget(request) => {
                 return Outcome::Budget(self.counters.apply(request, self.gateways.count()));
             }
@@ -89,72 +88,77 @@
         Outcome::Done
     }
 
-    /// The operator wants a store emptied. One that is on its way out already needs no fence: nothing changes.
+    /// The operator requests that a store is emptied. A store that retires already needs no token, as nothing changes.
     fn retire(
         &mut self,
         node: &str,
         tolerated_losses: u32,
-        fence: u64,
+        fencing_token: u64,
         changes: &mut Vec<Change>,
     ) -> Outcome {
-        let runs = self.stores.retirement(node).is_some();
-        if !runs && self.guards.refusals_fenced && !self.retire_fence.lets_pass(fence) {
-            return Outcome::Fenced {
-                fence: self.retire_fence.current(),
-            };
-        }
-        if !runs {
-            self.retire_fence.decided();
+        if self.stores.retirement(node).is_none() {
+            let fenced = self.safeguards.has(Safeguard::RejectionsFenced);
+            if fenced && !self.retirement_fencing.admits(fencing_token) {
+                return Outcome::Fenced {
+                    fencing_token: self.retirement_fencing.current_token(),
+                };
+            }
+            self.retirement_fencing.advance();
         }
         Outcome::Retire(self.stores.retire(node, tolerated_losses, changes))
     }
 
-    /// All that a new subscriber needs.
-    pub fn image(&self) -> Vec<Change> {
+    /// The changes that a new subscriber needs to reach this state.
+    #[must_use]
+    pub fn initial_changes(&self) -> Vec<Change> {
         let mut changes = Vec::new();
-        changes.extend(self.configuration.image());
-        changes.extend(self.gateways.image());
-        changes.extend(self.stores.image());
-        changes.extend(self.servers.image());
+        changes.extend(self.configuration.initial_changes());
+        changes.extend(self.gateways.initial_changes());
+        changes.extend(self.stores.initial_changes());
+        changes.extend(self.servers.initial_changes());
         changes
     }
 
     /// The current configuration, if there is one.
+    #[must_use]
     pub fn configuration(&self) -> Option<&Document> {
         self.configuration.current()
     }
 
-    /// The servers that are there, by id.
+    /// The present servers, by id.
     pub fn servers(&self) -> impl Iterator<Item = &ServerReport> {
-        self.servers.all()
+        self.servers.iter()
     }
 
-    /// A server that is there.
+    /// A present server.
+    #[must_use]
     pub fn server(&self, id: &str) -> Option<&ServerReport> {
         self.servers.get(id)
     }
 
-    /// The gateways that are there, by name.
+    /// The present gateways, by name.
     pub fn gateways(&self) -> impl Iterator<Item = &NodeReport> {
-        self.gateways.all()
+        self.gateways.present()
     }
 
-    /// All gateways that are remembered, those included that are no longer there and may come back.
-    pub fn remembered_gateways(&self) -> impl Iterator<Item = &NodeReport> {
-        self.gateways.remembered()
+    /// All recorded gateways, absent ones that may come back included.
+    pub fn recorded_gateways(&self) -> impl Iterator<Item = &NodeReport> {
+        self.gateways.recorded()
     }
 
-    /// The stores that are there, or may come back, by name.
+    /// The stores that are present or may come back, by name.
     pub fn stores(&self) -> impl Iterator<Item = StoreEntry> + '_ {
-        self.stores.all()
+        self.stores.entries()
     }
 
-    /// How far a store is on its way out, if it is.
-    pub fn retirement(&self, node: &str) -> Option<RetireState> {
+    /// How far the retirement of a store is, if it was requested.
+    #[must_use]
+    pub fn retirement(&self, node: &str) -> Option<RetirementState> {
         self.stores.retirement(node)
     }
 
     /// The counters of all programs.
+    #[must_use]
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
--- a/crates/serving/control-state/src/stores.rs
+++ b/crates/serving/control-state/src/stores.rs
@@ -1,141 +1,72 @@
-//! The stores: which there are, which of them are on their way out.
+//! The stores: which are registered, and which of them retire.
 //!
-//! Each life of a store's process has a higher incarnation than the one before, which orders what is said of
-//! it. A store that isn't heard of stays known as absent: its machine, and what it holds, may come back.
+//! Each start of a store's process has a higher incarnation than the one before, which orders its reports. A store
+//! whose lease expired stays recorded as absent: its machine, and what it holds, may come back.
 //!
-//! **Retirement.** A store *remains* if it is present, whole and not on its way out. An order to retire is taken
-//! only if more stores remain than may be lost at once. That can change later: then the retirement *stands still*,
-//! and the store is used like any other until enough remain again.
+//! **Retirement.** A store *remains* if it is present, complete and not retired or retiring. A request to retire a
+//! store is accepted only if more others remain than may be lost at once. That can change later: then the retirement
+//! is *paused*, and the store is used like any other until enough remain again.
 //!
-//! **Rounds.** Each change of a store's standing begins another round, which the stores that are being emptied are
-//! told. One that says that it is empty names the round in which it found that out, and is believed in that round
-//! only: what it says rests on all the others as they stand in it.
-
-use crate::{Change, Guards, NodeReport, RetireOutcome, RetireState, StoreEntry};
+//! **Epochs.** Each change of a store's [`MembershipState`](crate::store::MembershipState) begins another epoch, which
+//! the retiring stores learn. One that finds itself empty names the epoch in which it found that out, and its
+//! statement counts in that epoch only: it relies on all the other stores as they are in it.
+
+use crate::{
+    safeguards::{Safeguard, Safeguards},
+    store::{Retirement, Store},
+    Change, NodeReport, RetirementOutcome, RetirementState, StoreEntry,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How many stores are kept that are no longer there. Against machines that are added and removed without
-/// end: those that were taken away as planned are forgotten first.
+/// How many absent stores are recorded. Bounds memory against machines that are added and removed without end:
+/// decommissioned ones are evicted first.
 const MAX_ABSENT: usize = 1_024;
 
 /// All stores, by name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Stores {
     stores: BTreeMap<String, Store>,
-    /// Rises with each change of a store's standing.
-    round: u64,
+    /// Rises with each change of a store's membership state.
+    epoch: u64,
     #[serde(skip)]
-    guards: Guards,
-}
-
-/// Where a store is on its way out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum Retirement {
-    /// It is being emptied.
-    Running {
-        /// How many stores may be lost at once, by the order.
-        tolerated_losses: u32,
-    },
-    /// It is empty.
-    Done,
-}
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Store {
-    report: NodeReport,
-    present: bool,
-    retirement: Option<Retirement>,
-}
-
-/// What the others count on in a store. If it changes, another round begins.
-#[derive(PartialEq)]
-struct Standing {
-    present: bool,
-    whole: bool,
-    disk: u64,
-    zone: String,
-    retirement: Option<Retirement>,
-}
-
-impl Store {
-    fn standing(&self) -> Standing {
-        Standing {
-            present: self.present,
-            whole: self.report.whole,
-            disk: self.report.disk,
-            zone: self.report.zone.clone(),
-            retirement: self.retirement,
-        }
-    }
-
-    /// It was emptied and taken away.
-    fn is_taken_away(&self) -> bool {
-        self.retirement == Some(Retirement::Done) && !self.present
-    }
-
-    /// The losses that its retirement has to leave room for, while it runs.
-    fn running(&self) -> Option<u32> {
-        match self.retirement {
-            Some(Retirement::Running { tolerated_losses }) => Some(tolerated_losses),
-            Some(Retirement::Done) | None => None,
-        }
-    }
-
-    /// The store after another report of it.
-    fn reported(&self, report: &NodeReport) -> Store {
-        let emptied = self.retirement == Some(Retirement::Done);
-        // A machine of that name with another disk is not the one that was taken away.
-        let another = emptied && report.disk != self.report.disk;
-        let retirement = if another { None } else { self.retirement };
-        Store {
-            report: report.clone(),
-            present: true,
-            retirement,
-        }
-    }
+    safeguards: Safeguards,
 }
 
 impl Stores {
-    /// Takes guards out, for tests.
-    pub(crate) fn set_guards(&mut self, guards: Guards) {
-        self.guards = guards;
+    /// Replaces the safeguards, which no snapshot contains.
+    #[cfg(feature = "removable-safeguards")]
+    pub(crate) fn set_safeguards(&mut self, safeguards: Safeguards) {
+        self.safeguards = safeguards;
     }
 
-    /// The stores that are there, or may come back, by name.
-    pub(crate) fn all(&self) -> impl Iterator<Item = StoreEntry> + '_ {
+    /// The stores that are present or may come back, by name.
+    pub(crate) fn entries(&self) -> impl Iterator<Item = StoreEntry> + '_ {
         self.stores.values().filter_map(|store| self.entry(store))
     }
 
-    /// How far a store is on its way out, if it is.
-    pub(crate) fn retirement(&self, name: &str) -> Option<RetireState> {
+    /// How far the retirement of a store is, if it was requested.
+    pub(crate) fn retirement(&self, name: &str) -> Option<RetirementState> {
         match self.stores.get(name)?.retirement? {
-            Retirement::Running { .. } => Some(RetireState::Running),
-            Retirement::Done => Some(RetireState::Done),
+            Retirement::Running { .. } => Some(RetirementState::Running),
+            Retirement::Done => Some(RetirementState::Done),
         }
     }
 
-    /// Takes a report.
+    /// Applies a report, unless it is of an earlier incarnation.
     pub(crate) fn report(&mut self, report: &NodeReport, changes: &mut Vec<Change>) {
         match self.stores.get(&report.name) {
-            None => self.set(
-                Store {
-                    report: report.clone(),
-                    present: true,
-                    retirement: None,
-                },
-                changes,
-            ),
+            None => self.replace(Store::registered(report), changes),
             Some(known) if known.report.incarnation <= report.incarnation => {
                 let next = known.reported(report);
-                self.set(next, changes);
+                self.replace(next, changes);
             }
             Some(_) => {}
         }
     }
 
-    /// Nothing is heard of a life of a store any more.
-    pub(crate) fn gone(&mut self, name: &str, incarnation: u64, changes: &mut Vec<Change>) {
+    /// The lease of an incarnation of a store expired.
+    pub(crate) fn expire(&mut self, name: &str, incarnation: u64, changes: &mut Vec<Change>) {
         let Some(known) = self.stores.get(name) else {
             return;
         };
@@ -144,85 +75,86 @@
                 present: false,
                 ..known.clone()
             };
-            self.set(next, changes);
+            self.replace(next, changes);
         }
     }
 
-    /// The operator wants a store emptied. Said again, it is taken again.
+    /// The operator requests that a store is emptied. Idempotent.
     pub(crate) fn retire(
         &mut self,
         name: &str,
         tolerated_losses: u32,
         changes: &mut Vec<Change>,
-    ) -> RetireOutcome {
+    ) -> RetirementOutcome {
         let Some(known) = self.stores.get(name) else {
-            return RetireOutcome::UnknownNode;
+            return RetirementOutcome::UnknownNode;
         };
         if known.retirement.is_some() {
-            return RetireOutcome::Taken;
+            return RetirementOutcome::Accepted;
         }
         if !self.enough_remain_without(name, tolerated_losses) {
-            return RetireOutcome::TooFew;
+            return RetirementOutcome::TooFew;
         }
         let next = Store {
             retirement: Some(Retirement::Running { tolerated_losses }),
             ..known.clone()
         };
-        self.set(next, changes);
-        RetireOutcome::Taken
+        self.replace(next, changes);
+        RetirementOutcome::Accepted
     }
 
-    /// A store has found in a round that it is empty. That of an earlier life of it means nothing, nor of an
-    /// earlier round, nor while too few others remain.
-    pub(crate) fn emptied(
+    /// A store found in an epoch that it is empty. That has no effect from an earlier incarnation of it or an earlier
+    /// epoch, nor while too few others remain.
+    pub(crate) fn complete_retirement(
         &mut self,
         name: &str,
         incarnation: u64,
-        round: u64,
+        epoch: u64,
         changes: &mut Vec<Change>,
     ) {
         let Some(known) = self.stores.get(name) else {
             return;
         };
-        let rests_on_the_present = round == self.round || !self.guards.rounds_checked;
-        let believed = known.report.incarnation == incarnation && rests_on_the_present;
-        if believed && self.is_being_emptied(known) {
+        let in_current_epoch =
+            epoch == self.epoch || !self.safeguards.has(Safeguard::EpochsChecked);
+        let counts = known.report.incarnation == incarnation && in_current_epoch;
+        if counts && self.is_retiring(known) {
             let next = Store {
                 retirement: Some(Retirement::Done),
                 ..known.clone()
             };
-            self.set(next, changes);
+            self.replace(next, changes);
         }
     }
 
-    /// What a subscriber has to know.
-    pub(crate) fn image(&self) -> impl Iterator<Item = Change> + '_ {
-        self.all().map(Change::Store)
+    /// The changes that a new subscriber needs.
+    pub(crate) fn initial_changes(&self) -> impl Iterator<Item = Change> + '_ {
+        self.entries().map(Change::Store)
     }
 
-    /// What the data plane sees of a store: nothing once it was emptied and taken away.
+    /// What subscribers see of a store: nothing once it is decommissioned.
     fn entry(&self, store: &Store) -> Option<StoreEntry> {
-        let retiring = self.is_being_emptied(store);
-        (!store.is_taken_away()).then(|| StoreEntry {
+        let retiring = self.is_retiring(store);
+        (!store.is_decommissioned()).then(|| StoreEntry {
             name: store.report.name.clone(),
             zone: store.report.zone.clone(),
             address: store.report.address,
             incarnation: store.report.incarnation,
             disk: store.report.disk,
-            whole: store.report.whole,
+            complete: store.report.complete,
             present: store.present,
             retiring,
             retired: store.retirement == Some(Retirement::Done),
-            round: if retiring { self.round } else { 0 },
+            epoch: if retiring { self.epoch } else { 0 },
         })
     }
 
-    /// Its retirement runs and does not stand still.
-    fn is_being_emptied(&self, store: &Store) -> bool {
+    /// Whether its retirement runs and is not paused.
+    fn is_retiring(&self, store: &Store) -> bool {
         let enough = |tolerated| self.enough_remain_without(&store.report.name, tolerated);
-        store
-            .running()
-            .is_some_and(|tolerated| enough(tolerated) || !self.guards.stands_still)
+        store.running_retirement().is_some_and(|tolerated| {
+            enough(tolerated) || !self.safeguards.has(Safeguard::RetirementPaused)
+        })
     }
 
     /// Whether more stores remain without this one than may be lost at once.
@@ -235,39 +167,46 @@
     }
 
     fn remains(&self, store: &Store) -> bool {
-        let sound = store.present && store.report.whole;
-        store.retirement.is_none() && (sound || !self.guards.remaining_present_and_whole)
+        let usable = store.present && store.report.complete;
+        store.retirement.is_none()
+            && (usable || !self.safeguards.has(Safeguard::RemainingPresentAndComplete))
     }
 
-    /// The one change of a store's state.
-    fn set(&mut self, store: Store, changes: &mut Vec<Change>) {
+    /// The only transition of a store.
+    fn replace(&mut self, store: Store, changes: &mut Vec<Change>) {
         let name = store.report.name.clone();
-        let before = self.told_with(&name);
-        let standing = store.standing();
+        let before = self.affected_entries(&name);
+        let membership_state = store.membership_state();
         let known = self.stores.insert(name.clone(), store);
-        if known.is_none_or(|known| known.standing() != standing) {
-            self.round += 1;
+        if known.is_none_or(|known| known.membership_state() != membership_state) {
+            self.epoch += 1;
         }
-        self.tell(&name, &before, changes);
-        self.bound(changes);
+        self.publish(&name, &before, changes);
+        self.evict_oldest_absent(changes);
     }
 
-    /// What subscribers see of a store and of all on their way out, which a change of it may concern.
-    fn told_with(&self, name: &str) -> BTreeMap<String, StoreEntry> {
-        let concerned = |store: &&Store| store.report.name == name || store.running().is_some();
+    /// What subscribers see of a store and of all retiring ones, which a change of it may affect.
+    fn affected_entries(&self, name: &str) -> BTreeMap<String, StoreEntry> {
+        let affected =
+            |store: &&Store| store.report.name == name || store.running_retirement().is_some();
         let entries = self
             .stores
             .values()
-            .filter(concerned)
+            .filter(affected)
             .filter_map(|store| self.entry(store));
         entries.map(|entry| (entry.name.clone(), entry)).collect()
     }
 
-    /// Tells what a change of the named store has changed.
-    fn tell(&self, name: &str, before: &BTreeMap<String, StoreEntry>, changes: &mut Vec<Change>) {
-        let after = self.told_with(name);
+    /// Adds the changes that subscribers see after a transition of the named store.
+    fn publish(
+        &self,
+        name: &str,
+        before: &BTreeMap<String, StoreEntry>,
+        changes: &mut Vec<Change>,
+    ) {
+        let after = self.affected_entries(name);
         if before.contains_key(name) && !after.contains_key(name) {
-            changes.push(Change::StoreGone {
+            changes.push(Change::StoreRemoved {
                 name: name.to_owned(),
             });
         }
@@ -277,19 +216,19 @@
         changes.extend(changed.map(Change::Store));
     }
 
-    fn bound(&mut self, changes: &mut Vec<Change>) {
+    fn evict_oldest_absent(&mut self, changes: &mut Vec<Change>) {
         let absent = || self.stores.values().filter(|store| !store.present);
         if absent().count() <= MAX_ABSENT {
             return;
         }
         let oldest =
-            absent().min_by_key(|store| (!store.is_taken_away(), store.report.incarnation));
+            absent().min_by_key(|store| (!store.is_decommissioned(), store.report.incarnation));
         let Some(name) = oldest.map(|store| store.report.name.clone()) else {
             return;
         };
-        let forgotten = self.stores.remove(&name);
-        if forgotten.is_some_and(|store| !store.is_taken_away()) {
-            changes.push(Change::StoreGone { name });
+        let evicted = self.stores.remove(&name);
+        if evicted.is_some_and(|store| !store.is_decommissioned()) {
+            changes.push(Change::StoreRemoved { name });
         }
     }
 }
--- a/crates/serving/control-state/tests/budgets.rs
+++ b/crates/serving/control-state/tests/budgets.rs
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn the_counters_are_told_how_many_gateways_there_are() {
+fn the_counters_know_how_many_gateways_are_present() {
     let mut trial = Trial::default();
     for number in 0..GATEWAYS {
         trial.node(gateway(&format!("g{number}"), 1));
     }
     trial.node(gateway("gone", 1));
-    trial.changes(&Operation::NodeGone {
+    trial.changes(&Operation::NodeExpired {
         name: "gone".to_owned(),
         incarnation: 1,
     });
--- a/crates/serving/control-state/tests/common/mod.rs
+++ b/crates/serving/control-state/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use dunespur_control_state::{
-    Change, ControlState, NodeKind, NodeReport, Operation, Order, OrderKind, Outcome, ServerReport,
-    ServerState,
+    Change, ConfigurationRequest, ConfigurationRequestKind, ControlState, NodeKind, NodeReport,
+    Operation, Outcome, ServerReport, ServerState,
 };
 use std::net::SocketAddr;
 
@@ -43,7 +43,7 @@
         address: address(7_000),
         incarnation,
         disk: 0,
-        whole: false,
+        complete: false,
     }
 }
 
@@ -52,13 +52,13 @@
     NodeReport {
         kind: NodeKind::Store,
         disk: 1,
-        whole: true,
+        complete: true,
         ..gateway(name, incarnation)
     }
 }
 
 /// A whole configuration without routes.
-pub fn replace(base: u64, generation: u64) -> Order {
+pub fn replace(base: u64, generation: u64) -> ConfigurationRequest {
     replace_with(
         base,
         &format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#),
@@ -66,31 +66,31 @@
 }
 
 /// A whole configuration.
-pub fn replace_with(base: u64, body: &str) -> Order {
-    Order {
-        kind: OrderKind::Replace,
+pub fn replace_with(base: u64, body: &str) -> ConfigurationRequest {
+    ConfigurationRequest {
+        kind: ConfigurationRequestKind::Replace,
         base,
         body: body.as_bytes().to_vec(),
-        fence: 0,
+        fencing_token: 0,
     }
 }
 
 /// Named items changed.
-pub fn patch(base: u64, body: &str) -> Order {
-    Order {
-        kind: OrderKind::Patch,
+pub fn patch(base: u64, body: &str) -> ConfigurationRequest {
+    ConfigurationRequest {
+        kind: ConfigurationRequestKind::Patch,
         base,
         body: body.as_bytes().to_vec(),
-        fence: 0,
+        fencing_token: 0,
     }
 }
 
 /// The operator wants a store emptied; the call knows of the fence `fence`.
-pub fn retire(name: &str, tolerated_losses: u32, fence: u64) -> Operation {
+pub fn retire(name: &str, tolerated_losses: u32, fencing_token: u64) -> Operation {
     Operation::RetireStart {
         node: name.to_owned(),
         tolerated_losses,
-        fence,
+        fencing_token,
     }
 }
 
@@ -98,24 +98,26 @@
 #[derive(Default)]
 pub struct Trial {
     pub state: ControlState,
-    pub told: Vec<Change>,
+    pub notifications: Vec<Change>,
 }
 
 impl Trial {
     /// Applies an operation: what it came to.
     pub fn apply(&mut self, operation: &Operation) -> Outcome {
-        self.state.apply(operation, &mut self.told)
+        self.state.apply(operation, &mut self.notifications)
     }
 
     /// The operator's order: what it came to.
-    pub fn order(&mut self, order: &Order) -> Outcome {
-        self.apply(&Operation::Configure(order.clone()))
+    pub fn request(&mut self, request: &ConfigurationRequest) -> Outcome {
+        self.apply(&Operation::Configure(request.clone()))
     }
 
     /// The operator's order to empty a store, made now: what it came to.
     pub fn retire(&mut self, name: &str, tolerated_losses: u32) -> Outcome {
         match self.apply(&retire(name, tolerated_losses, 0)) {
-            Outcome::Fenced { fence } => self.apply(&retire(name, tolerated_losses, fence)),
+            Outcome::Fenced { fencing_token } => {
+                self.apply(&retire(name, tolerated_losses, fencing_token))
+            }
             outcome => outcome,
         }
     }
@@ -132,9 +134,9 @@
 
     /// An operation that just happens: what subscribers are told.
     pub fn changes(&mut self, operation: &Operation) -> Vec<Change> {
-        let before = self.told.len();
+        let before = self.notifications.len();
         assert_eq!(self.apply(operation), Outcome::Done);
-        self.told[before..].to_vec()
+        self.notifications[before..].to_vec()
     }
 
     /// The ids of the servers that are there.
--- a/crates/serving/control-state/tests/encoding.rs
+++ b/crates/serving/control-state/tests/encoding.rs
@@ -8,8 +8,9 @@
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest, LimiterId};
 use dunespur_configuration::{Finding, Findings};
 use dunespur_control_state::{
-    Change, ControlState, GatewayEntry, NodeKind, NodeReport, Operation, Order, OrderKind, Outcome,
-    RetireOutcome, RetireState, ServerReport, ServerState, StoreEntry,
+    Change, ConfigurationRequest, ConfigurationRequestKind, ControlState, GatewayEntry, NodeKind,
+    NodeReport, Operation, Outcome, RetirementOutcome, RetirementState, ServerReport, ServerState,
+    StoreEntry,
 };
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::{Debug, Write};
@@ -67,16 +68,16 @@
         address: ipv6(7_003),
         incarnation: 400,
         disk: 5_000,
-        whole: true,
+        complete: true,
     }
 }
 
-fn order(kind: OrderKind) -> Order {
-    Order {
+fn request(kind: ConfigurationRequestKind) -> ConfigurationRequest {
+    ConfigurationRequest {
         kind,
         base: 11,
         body: b"body-12".to_vec(),
-        fence: 1_300,
+        fencing_token: 1_300,
     }
 }
 
@@ -105,11 +106,11 @@
     let cases = [
         (
             "configure-replace",
-            Operation::Configure(order(OrderKind::Replace)),
+            Operation::Configure(request(ConfigurationRequestKind::Replace)),
         ),
         (
             "configure-patch",
-            Operation::Configure(order(OrderKind::Patch)),
+            Operation::Configure(request(ConfigurationRequestKind::Patch)),
         ),
         (
             "server-ready",
@@ -139,7 +140,7 @@
         ("node-store", Operation::Node(node_report(NodeKind::Store))),
         (
             "node-expired",
-            Operation::NodeGone {
+            Operation::NodeExpired {
                 name: "name-1".to_owned(),
                 incarnation: 300,
             },
@@ -149,7 +150,7 @@
             Operation::RetireStart {
                 node: "node-1".to_owned(),
                 tolerated_losses: 2,
-                fence: 300,
+                fencing_token: 300,
             },
         ),
         (
@@ -157,7 +158,7 @@
             Operation::RetireDone {
                 node: "node-1".to_owned(),
                 incarnation: 200,
-                round: 3,
+                epoch: 3,
             },
         ),
         ("budget-lease", Operation::Budget(counter_request(lease))),
@@ -177,16 +178,16 @@
     };
     let cases = [
         ("accepted", Outcome::Accepted),
-        ("current", Outcome::Current { generation: 300 }),
+        ("current", Outcome::GenerationConflict { current: 300 }),
         ("invalid", Outcome::Invalid(Findings(vec![finding]))),
-        ("forgotten", Outcome::Forgotten),
-        ("fenced", Outcome::Fenced { fence: 400 }),
-        ("retire-taken", Outcome::Retire(RetireOutcome::Taken)),
+        ("forgotten", Outcome::Undetermined),
+        ("fenced", Outcome::Fenced { fencing_token: 400 }),
+        ("retire-taken", Outcome::Retire(RetirementOutcome::Accepted)),
         (
             "retire-unknown-node",
-            Outcome::Retire(RetireOutcome::UnknownNode),
+            Outcome::Retire(RetirementOutcome::UnknownNode),
         ),
-        ("retire-too-few", Outcome::Retire(RetireOutcome::TooFew)),
+        ("retire-too-few", Outcome::Retire(RetirementOutcome::TooFew)),
         (
             "budget-granted",
             Outcome::Budget(CounterReply::Granted {
@@ -210,8 +211,8 @@
 #[test]
 fn retirement_states_keep_their_bytes() {
     let states = [
-        ("running", RetireState::Running),
-        ("done", RetireState::Done),
+        ("running", RetirementState::Running),
+        ("done", RetirementState::Done),
     ];
     assert_encoded(include_str!("encoding/retirement-states.txt"), &states);
 }
@@ -223,11 +224,11 @@
         address: ipv6(7_003),
         incarnation: 400,
         disk: 5_000,
-        whole: false,
+        complete: false,
         present: false,
         retiring: false,
         retired: false,
-        round: 600,
+        epoch: 600,
     }
 }
 
@@ -253,7 +254,7 @@
         ),
         (
             "server-removed",
-            Change::ServerGone {
+            Change::ServerRemoved {
                 id: "id-1".to_owned(),
             },
         ),
@@ -261,7 +262,7 @@
         (
             "store-first-flag",
             Change::Store(StoreEntry {
-                whole: true,
+                complete: true,
                 ..store_entry()
             }),
         ),
@@ -288,14 +289,14 @@
         ),
         (
             "store-removed",
-            Change::StoreGone {
+            Change::StoreRemoved {
                 name: "name-1".to_owned(),
             },
         ),
         ("gateway", Change::Gateway(gateway)),
         (
             "gateway-removed",
-            Change::GatewayGone {
+            Change::GatewayRemoved {
                 name: "name-2".to_owned(),
             },
         ),
@@ -346,13 +347,13 @@
         last_sequence: 25,
     });
     operations.extend([gateway("g", 31), gateway("h", 32)].map(Operation::Node));
-    operations.push(Operation::NodeGone {
+    operations.push(Operation::NodeExpired {
         name: "h".to_owned(),
         incarnation: 32,
     });
     let stores = ["s", "t", "u", "v", "w"].map(|name| store(name, 41));
     operations.extend(stores.map(Operation::Node));
-    operations.push(Operation::NodeGone {
+    operations.push(Operation::NodeExpired {
         name: "w".to_owned(),
         incarnation: 41,
     });
@@ -372,15 +373,15 @@
     for operation in operations {
         state.apply(&operation, &mut Vec::new());
     }
-    let round = state.stores().map(|store| store.round).max().unwrap_or(0);
+    let epoch = state.stores().map(|store| store.epoch).max().unwrap_or(0);
     let done = Operation::RetireDone {
         node: "t".to_owned(),
         incarnation: 41,
-        round,
+        epoch,
     };
     state.apply(&done, &mut Vec::new());
-    assert_eq!(state.retirement("s"), Some(RetireState::Running));
-    assert_eq!(state.retirement("t"), Some(RetireState::Done));
+    assert_eq!(state.retirement("s"), Some(RetirementState::Running));
+    assert_eq!(state.retirement("t"), Some(RetirementState::Done));
     state
 }
 
@@ -391,5 +392,5 @@
     assert_eq!(to_hex(&state.snapshot()), fixture);
     let restored = ControlState::restore(&from_hex(fixture)).expect("a snapshot is read");
     assert_eq!(restored, state);
-    assert_eq!(restored.image(), state.image());
+    assert_eq!(restored.initial_changes(), state.initial_changes());
 }
--- a/crates/serving/control-state/tests/nodes.rs
+++ b/crates/serving/control-state/tests/nodes.rs
@@ -4,11 +4,12 @@
 
 use common::{address, gateway, store, Trial};
 use dunespur_control_state::{
-    Change, GatewayEntry, NodeReport, Operation, Outcome, RetireOutcome, RetireState, StoreEntry,
+    Change, GatewayEntry, NodeReport, Operation, Outcome, RetirementOutcome, RetirementState,
+    StoreEntry,
 };
 
 fn gone(name: &str, incarnation: u64) -> Operation {
-    Operation::NodeGone {
+    Operation::NodeExpired {
         name: name.to_owned(),
         incarnation,
     }
@@ -22,7 +23,7 @@
         .expect("a known store")
 }
 
-fn retire(trial: &mut Trial, name: &str, tolerated_losses: u32) -> RetireOutcome {
+fn retire(trial: &mut Trial, name: &str, tolerated_losses: u32) -> RetirementOutcome {
     match trial.retire(name, tolerated_losses) {
         Outcome::Retire(outcome) => outcome,
         other => panic!("{other:?} is no answer to a retirement"),
@@ -31,19 +32,19 @@
 
 /// The named store says that it is empty, in the present round.
 fn emptied(trial: &mut Trial, name: &str, incarnation: u64) -> Vec<Change> {
-    let round = trial
+    let epoch = trial
         .state
         .stores()
         .find(|store| store.name == name)
-        .map_or(0, |store| store.round);
-    emptied_in(trial, name, incarnation, round)
+        .map_or(0, |store| store.epoch);
+    emptied_in(trial, name, incarnation, epoch)
 }
 
-fn emptied_in(trial: &mut Trial, name: &str, incarnation: u64, round: u64) -> Vec<Change> {
+fn emptied_in(trial: &mut Trial, name: &str, incarnation: u64, epoch: u64) -> Vec<Change> {
     trial.changes(&Operation::RetireDone {
         node: name.to_owned(),
         incarnation,
-        round,
+        epoch,
     })
 }
 
@@ -65,13 +66,13 @@
 }
 
 fn absent(name: &str) -> Change {
-    Change::GatewayGone {
+    Change::GatewayRemoved {
         name: name.to_owned(),
     }
 }
 
 #[test]
-fn gateways_that_come_and_go_are_told_by_name_and_life() {
+fn gateways_are_published_by_name_and_incarnation() {
     let mut trial = Trial::default();
     assert_eq!(trial.node(gateway("a", 1)), [present("a", 1)]);
     assert_eq!(trial.node(gateway("a", 1)), [], "nothing new");
@@ -107,11 +108,14 @@
         .map(|gateway| gateway.name.as_str())
         .collect();
     assert_eq!(names, ["a", "b"]);
-    assert_eq!(trial.state.image(), [present("a", 2), present("b", 1)]);
+    assert_eq!(
+        trial.state.initial_changes(),
+        [present("a", 2), present("b", 1)]
+    );
 }
 
 #[test]
-fn a_gateway_at_another_address_is_told_anew() {
+fn a_gateway_at_another_address_is_published_again() {
     let mut trial = Trial::default();
     trial.node(gateway("a", 1));
     let moved = NodeReport {
@@ -129,10 +133,10 @@
 }
 
 #[test]
-fn a_store_is_told_whenever_something_about_it_changes() {
+fn a_store_is_published_whenever_its_state_changes() {
     let mut trial = Trial::default();
     let unfinished = NodeReport {
-        whole: false,
+        complete: false,
         ..store("a", 1)
     };
     let expected = StoreEntry {
@@ -141,26 +145,26 @@
         address: address(7_000),
         incarnation: 1,
         disk: 1,
-        whole: false,
+        complete: false,
         present: true,
         retiring: false,
         retired: false,
-        round: 0,
+        epoch: 0,
     };
     assert_eq!(
         trial.node(unfinished.clone()),
         [Change::Store(expected.clone())]
     );
     assert_eq!(trial.node(unfinished), []);
-    let whole = StoreEntry {
-        whole: true,
+    let complete = StoreEntry {
+        complete: true,
         ..expected
     };
-    assert_eq!(trial.node(store("a", 1)), [Change::Store(whole.clone())]);
+    assert_eq!(trial.node(store("a", 1)), [Change::Store(complete.clone())]);
     let wiped = StoreEntry {
         incarnation: 2,
         disk: 2,
-        ..whole
+        ..complete
     };
     assert_eq!(
         trial.node(NodeReport {
@@ -172,7 +176,7 @@
 }
 
 #[test]
-fn a_store_report_of_an_older_life_is_ignored() {
+fn a_store_report_of_an_older_incarnation_is_ignored() {
     let mut trial = with_stores(&["a"]);
     assert_eq!(
         trial.node(NodeReport {
@@ -185,7 +189,7 @@
 }
 
 #[test]
-fn a_silent_store_is_absent_and_not_forgotten() {
+fn a_store_whose_lease_expired_is_absent_and_stays_recorded() {
     let mut trial = with_stores(&["a"]);
     assert_eq!(
         trial.changes(&gone("a", 9)),
@@ -204,11 +208,14 @@
 }
 
 #[test]
-fn an_unknown_store_can_not_retire() {
+fn an_unknown_store_cannot_retire() {
     let mut trial = with_stores(&["a", "b", "c"]);
     trial.node(gateway("front", 1));
-    assert_eq!(retire(&mut trial, "d", 1), RetireOutcome::UnknownNode);
-    assert_eq!(retire(&mut trial, "front", 1), RetireOutcome::UnknownNode);
+    assert_eq!(retire(&mut trial, "d", 1), RetirementOutcome::UnknownNode);
+    assert_eq!(
+        retire(&mut trial, "front", 1),
+        RetirementOutcome::UnknownNode
+    );
     assert_eq!(trial.state.retirement("d"), None);
     assert_eq!(trial.state.retirement("a"), None);
 }
@@ -216,13 +223,13 @@
 #[test]
 fn more_stores_than_may_be_lost_have_to_remain() {
     for (stores, tolerated_losses, expected) in [
-        (1, 0, RetireOutcome::TooFew),
-        (2, 0, RetireOutcome::Taken),
-        (2, 1, RetireOutcome::TooFew),
-        (3, 1, RetireOutcome::Taken),
-        (3, 2, RetireOutcome::TooFew),
-        (4, 2, RetireOutcome::Taken),
-        (4, u32::MAX, RetireOutcome::TooFew),
+        (1, 0, RetirementOutcome::TooFew),
+        (2, 0, RetirementOutcome::Accepted),
+        (2, 1, RetirementOutcome::TooFew),
+        (3, 1, RetirementOutcome::Accepted),
+        (3, 2, RetirementOutcome::TooFew),
+        (4, 2, RetirementOutcome::Accepted),
+        (4, u32::MAX, RetirementOutcome::TooFew),
     ] {
         let mut trial = with_stores(&["a", "b", "c", "d"][..stores]);
         assert_eq!(
@@ -234,88 +241,88 @@
 }
 
 #[test]
-fn stores_on_their_way_out_do_not_remain() {
+fn retiring_stores_do_not_remain() {
     let mut trial = with_stores(&["a", "b", "c", "d"]);
-    assert_eq!(retire(&mut trial, "a", 1), RetireOutcome::Taken);
-    assert_eq!(retire(&mut trial, "b", 1), RetireOutcome::Taken);
-    assert_eq!(retire(&mut trial, "c", 1), RetireOutcome::TooFew);
+    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
+    assert_eq!(retire(&mut trial, "b", 1), RetirementOutcome::Accepted);
+    assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::TooFew);
     emptied(&mut trial, "a", 10);
     trial.changes(&gone("a", 10));
-    assert_eq!(retire(&mut trial, "c", 1), RetireOutcome::TooFew);
+    assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::TooFew);
     trial.node(store("e", 1));
-    assert_eq!(retire(&mut trial, "c", 1), RetireOutcome::Taken);
+    assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::Accepted);
 }
 
 #[test]
-fn a_store_that_is_gone_for_good_does_not_remain() {
+fn a_lost_store_does_not_remain() {
     let mut trial = with_stores(&["a", "b", "c"]);
     trial.changes(&gone("c", 10));
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::TooFew,
+        RetirementOutcome::TooFew,
         "c is away, maybe for good"
     );
     trial.node(NodeReport {
-        whole: false,
+        complete: false,
         ..store("d", 1)
     });
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::TooFew,
+        RetirementOutcome::TooFew,
         "its successor is not whole yet"
     );
     trial.node(store("d", 1));
-    assert_eq!(retire(&mut trial, "a", 1), RetireOutcome::Taken);
+    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
     emptied(&mut trial, "a", 10);
     trial.changes(&gone("a", 10));
     assert_eq!(
         retire(&mut trial, "b", 1),
-        RetireOutcome::TooFew,
+        RetirementOutcome::TooFew,
         "one would be left beside two ghosts"
     );
     assert_eq!(trial.state.retirement("b"), None);
 }
 
 #[test]
-fn an_order_refused_while_a_store_is_away_is_taken_once_it_is_back() {
+fn a_retirement_rejected_while_a_store_is_absent_is_accepted_once_it_is_back() {
     let mut trial = with_stores(&["a", "b", "c"]);
     trial.changes(&gone("c", 10));
-    assert_eq!(retire(&mut trial, "a", 1), RetireOutcome::TooFew);
+    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::TooFew);
     assert_eq!(
         retire(&mut trial, "c", 1),
-        RetireOutcome::Taken,
+        RetirementOutcome::Accepted,
         "a and b remain without the one that is away"
     );
     trial.node(store("c", 10));
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::TooFew,
+        RetirementOutcome::TooFew,
         "c is on its way out"
     );
     trial.node(store("d", 1));
-    assert_eq!(retire(&mut trial, "a", 1), RetireOutcome::Taken);
+    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
 }
 
 #[test]
-fn a_retirement_that_leaves_too_few_stands_still_until_enough_remain() {
+fn a_retirement_that_leaves_too_few_is_paused_until_enough_remain() {
     let mut trial = with_stores(&["a", "b", "c"]);
     retire(&mut trial, "a", 1);
-    let before = trial.told.len();
+    let before = trial.notifications.len();
     trial.changes(&gone("b", 10));
     assert!(!entry(&trial, "a").retiring, "it is used like any other");
     assert!(
-        trial.told[before..].contains(&Change::Store(entry(&trial, "a"))),
+        trial.notifications[before..].contains(&Change::Store(entry(&trial, "a"))),
         "and all are told"
     );
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Running));
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Running));
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::Taken,
+        RetirementOutcome::Accepted,
         "the order stands"
     );
     assert_eq!(emptied(&mut trial, "a", 10), [], "nor is it done meanwhile");
     trial.node(NodeReport {
-        whole: false,
+        complete: false,
         disk: 2,
         ..store("b", 11)
     });
@@ -329,11 +336,11 @@
     });
     assert!(entry(&trial, "a").retiring);
     assert_eq!(emptied(&mut trial, "a", 10).len(), 1);
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Done));
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Done));
 }
 
 #[test]
-fn two_retirements_stand_still_together_and_are_done_one_by_one() {
+fn two_retirements_are_paused_together_and_complete_one_by_one() {
     let mut trial = with_stores(&["a", "b", "c", "d"]);
     retire(&mut trial, "a", 1);
     retire(&mut trial, "b", 1);
@@ -341,14 +348,14 @@
     assert!(!entry(&trial, "a").retiring && !entry(&trial, "b").retiring);
     trial.node(store("c", 10));
     assert!(entry(&trial, "a").retiring && entry(&trial, "b").retiring);
-    let round_of_b = entry(&trial, "b").round;
+    let epoch_of_b = entry(&trial, "b").epoch;
     assert_eq!(
         emptied(&mut trial, "a", 10).len(),
         2,
         "a is empty, and b is told of another round"
     );
     assert_eq!(
-        emptied_in(&mut trial, "b", 10, round_of_b),
+        emptied_in(&mut trial, "b", 10, epoch_of_b),
         [],
         "it may rest on what a held"
     );
@@ -356,7 +363,7 @@
 }
 
 #[test]
-fn a_declaration_of_an_earlier_round_means_nothing() {
+fn a_statement_of_an_earlier_epoch_has_no_effect() {
     let events: [fn(&mut Trial) -> Vec<Change>; 4] = [
         |trial| {
             trial.node(NodeReport {
@@ -367,7 +374,7 @@
         |trial| [trial.changes(&gone("b", 10)), trial.node(store("b", 10))].concat(),
         |trial| {
             trial.node(NodeReport {
-                whole: false,
+                complete: false,
                 ..store("b", 10)
             })
         },
@@ -376,16 +383,16 @@
     for (number, event) in events.into_iter().enumerate() {
         let mut trial = with_stores(&["a", "b", "c", "d"]);
         retire(&mut trial, "a", 1);
-        let round = entry(&trial, "a").round;
+        let epoch = entry(&trial, "a").epoch;
         event(&mut trial);
         assert!(
-            entry(&trial, "a").round > round,
+            entry(&trial, "a").epoch > epoch,
             "{number}: it is told of another round"
         );
-        assert_eq!(emptied_in(&mut trial, "a", 10, round), [], "{number}");
+        assert_eq!(emptied_in(&mut trial, "a", 10, epoch), [], "{number}");
         assert_eq!(
             trial.state.retirement("a"),
-            Some(RetireState::Running),
+            Some(RetirementState::Running),
             "{number}"
         );
         assert_eq!(
@@ -399,20 +406,20 @@
 #[test]
 fn a_retirement_runs_and_is_done() {
     let mut trial = with_stores(&["a", "b", "c"]);
-    let before = trial.told.len();
+    let before = trial.notifications.len();
     let standing = entry(&trial, "a");
-    assert_eq!(retire(&mut trial, "a", 1), RetireOutcome::Taken);
-    let round = entry(&trial, "a").round;
+    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
+    let epoch = entry(&trial, "a").epoch;
     let retiring = StoreEntry {
         retiring: true,
-        round,
+        epoch,
         ..standing.clone()
     };
-    assert_eq!(trial.told[before..], [Change::Store(retiring)]);
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Running));
+    assert_eq!(trial.notifications[before..], [Change::Store(retiring)]);
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Running));
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::Taken,
+        RetirementOutcome::Accepted,
         "said again"
     );
 
@@ -422,17 +429,17 @@
     };
     assert_eq!(emptied(&mut trial, "a", 10), [Change::Store(retired)]);
     assert_eq!(emptied(&mut trial, "a", 10), []);
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Done));
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Done));
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::Taken,
+        RetirementOutcome::Accepted,
         "said again when it is done"
     );
-    assert_eq!(trial.told.len(), before + 2);
+    assert_eq!(trial.notifications.len(), before + 2);
 }
 
 #[test]
-fn a_retirement_is_not_done_by_an_earlier_life_or_unasked() {
+fn a_retirement_is_not_completed_by_an_earlier_incarnation_or_unrequested() {
     let mut trial = with_stores(&["a", "b", "c"]);
     assert_eq!(emptied(&mut trial, "a", 10), []);
     assert_eq!(emptied(&mut trial, "nobody", 10), []);
@@ -440,7 +447,7 @@
     trial.node(store("a", 11));
     assert_eq!(emptied(&mut trial, "a", 10), []);
     assert_eq!(emptied(&mut trial, "a", 12), []);
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Running));
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Running));
     assert_eq!(emptied(&mut trial, "a", 11).len(), 1);
 }
 
@@ -458,7 +465,7 @@
 }
 
 #[test]
-fn a_retired_store_that_was_taken_away_is_gone_and_its_retirement_stays_done() {
+fn a_decommissioned_store_is_removed_and_its_retirement_stays_done() {
     let mut trial = with_stores(&["a", "b", "c"]);
     retire(&mut trial, "a", 1);
     emptied(&mut trial, "a", 10);
@@ -469,11 +476,11 @@
     );
     assert_eq!(
         trial.changes(&gone("a", 10)),
-        [Change::StoreGone {
+        [Change::StoreRemoved {
             name: "a".to_owned()
         }]
     );
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Done));
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Done));
     assert_eq!(
         trial
             .state
@@ -525,70 +532,76 @@
 }
 
 #[test]
-fn stores_that_were_taken_away_are_forgotten_before_those_that_may_come_back() {
+fn decommissioned_stores_are_evicted_before_absent_ones() {
     let mut trial = with_stores(&["b", "c"]);
     for number in 0..1_030 {
         let name = format!("n{number}");
         // The first few are only silent, although they are the oldest; all others are taken away as planned.
         trial.node(store(&name, 11 + number));
         if number >= 8 {
-            assert_eq!(retire(&mut trial, &name, 1), RetireOutcome::Taken);
+            assert_eq!(retire(&mut trial, &name, 1), RetirementOutcome::Accepted);
             emptied(&mut trial, &name, 11 + number);
         }
         trial.changes(&gone(&name, 11 + number));
     }
     assert_eq!(trial.state.stores().count(), 2 + 8);
     assert_eq!(trial.state.retirement("n8"), None);
-    assert_eq!(trial.state.retirement("n14"), Some(RetireState::Done));
+    assert_eq!(trial.state.retirement("n14"), Some(RetirementState::Done));
 }
 
 #[test]
-fn a_copy_of_an_order_to_retire_that_was_refused_does_not_take_effect_later() {
+fn a_duplicate_of_a_rejected_retirement_request_does_not_take_effect_later() {
     let mut trial = with_stores(&["a", "b"]);
-    let Outcome::Fenced { fence } = trial.apply(&common::retire("a", 1, 0)) else {
+    let Outcome::Fenced { fencing_token } = trial.apply(&common::retire("a", 1, 0)) else {
         panic!("no fence")
     };
-    let copy = common::retire("a", 1, fence);
-    assert_eq!(trial.apply(&copy), Outcome::Retire(RetireOutcome::TooFew));
+    let duplicate = common::retire("a", 1, fencing_token);
+    assert_eq!(
+        trial.apply(&duplicate),
+        Outcome::Retire(RetirementOutcome::TooFew)
+    );
     trial.node(store("c", 10));
-    assert!(matches!(trial.apply(&copy), Outcome::Fenced { .. }));
+    assert!(matches!(trial.apply(&duplicate), Outcome::Fenced { .. }));
     assert_eq!(trial.state.retirement("a"), None);
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::Taken,
+        RetirementOutcome::Accepted,
         "a call made since"
     );
     assert_eq!(
-        trial.apply(&copy),
-        Outcome::Retire(RetireOutcome::Taken),
+        trial.apply(&duplicate),
+        Outcome::Retire(RetirementOutcome::Accepted),
         "it is taken now"
     );
 }
 
 #[test]
-fn a_copy_of_an_order_to_retire_does_not_meet_the_next_machine_of_that_name() {
+fn a_duplicate_retirement_request_does_not_apply_to_the_next_machine_of_that_name() {
     let mut trial = with_stores(&["a", "b", "c", "d"]);
-    let Outcome::Fenced { fence } = trial.apply(&common::retire("a", 1, 0)) else {
+    let Outcome::Fenced { fencing_token } = trial.apply(&common::retire("a", 1, 0)) else {
         panic!("no fence")
     };
-    let copy = common::retire("a", 1, fence);
-    assert_eq!(trial.apply(&copy), Outcome::Retire(RetireOutcome::Taken));
+    let duplicate = common::retire("a", 1, fencing_token);
+    assert_eq!(
+        trial.apply(&duplicate),
+        Outcome::Retire(RetirementOutcome::Accepted)
+    );
     emptied(&mut trial, "a", 10);
     assert_eq!(
-        trial.apply(&copy),
-        Outcome::Retire(RetireOutcome::Taken),
+        trial.apply(&duplicate),
+        Outcome::Retire(RetirementOutcome::Accepted),
         "sent again after it was done"
     );
     trial.changes(&gone("a", 10));
     assert_eq!(
-        trial.apply(&copy),
-        Outcome::Retire(RetireOutcome::Taken),
+        trial.apply(&duplicate),
+        Outcome::Retire(RetirementOutcome::Accepted),
         "and after the machine has gone"
     );
     trial.node(NodeReport {
         disk: 2,
         ..store("a", 20)
     });
-    assert!(matches!(trial.apply(&copy), Outcome::Fenced { .. }));
+    assert!(matches!(trial.apply(&duplicate), Outcome::Fenced { .. }));
     assert_eq!(trial.state.retirement("a"), None);
 }
--- a/crates/serving/control-state/tests/operators.rs
+++ b/crates/serving/control-state/tests/operators.rs
@@ -3,8 +3,8 @@
 
 mod world;
 
+use world::faults::play;
 use world::history::Tally;
-use world::trouble::play;
 use world::Setup;
 
 const ROUNDS: usize = 3;
@@ -12,7 +12,7 @@
 const SEEDS: u64 = 40;
 const SIZES: [usize; 4] = [3, 4, 5, 6];
 
-fn holds(machines: usize) {
+fn is_linearizable(machines: usize) {
     for seed in 0..SEEDS {
         if let Err(text) = play(Setup::new(seed, machines), ROUNDS) {
             panic!("{text}");
@@ -22,22 +22,22 @@
 
 #[test]
 fn three_members() {
-    holds(SIZES[0]);
+    is_linearizable(SIZES[0]);
 }
 
 #[test]
 fn four_members() {
-    holds(SIZES[1]);
+    is_linearizable(SIZES[1]);
 }
 
 #[test]
 fn five_members() {
-    holds(SIZES[2]);
+    is_linearizable(SIZES[2]);
 }
 
 #[test]
 fn six_members() {
-    holds(SIZES[3]);
+    is_linearizable(SIZES[3]);
 }
 
 /// Seeds that broke before a mend, each with its core's size. 1,025 was the judge's fault, which took an order for
@@ -70,16 +70,16 @@
             .and_then(|text| text.parse::<u64>().ok())
     };
     let first = number("FIRST").unwrap_or(1_000);
-    let (mut broken, mut sum) = (0, Tally::default());
+    let (mut violation, mut sum) = (0, Tally::default());
     for seed in first..first + number("SEEDS").unwrap_or(1_000) {
         match play(Setup::new(seed, SIZES[seed as usize % SIZES.len()]), ROUNDS) {
             Ok(tally) => sum.add(tally),
             Err(text) => {
-                broken += 1;
+                violation += 1;
                 eprintln!("{text}");
             }
         }
     }
-    eprintln!("broken {broken}, {sum:?}");
-    assert_eq!(broken, 0);
+    eprintln!("broken {violation}, {sum:?}");
+    assert_eq!(violation, 0);
 }
--- a/crates/serving/control-state/tests/operators_guards.rs
+++ b/crates/serving/control-state/tests/operators_safeguards.rs
@@ -2,8 +2,9 @@
 
 mod world;
 
-use world::trouble::play;
-use world::{Guards, Setup};
+use dunespur_control_state::Safeguard;
+use world::faults::play;
+use world::{Safeguards, Setup};
 
 const ROUNDS: usize = 3;
 /// Seeds that are tried for a counterexample.
@@ -15,14 +16,14 @@
 const RARE_STORE_SEED: u64 = 31;
 
 /// What goes wrong first without some guards. It has to be what they are against, not another broken promise.
-fn counterexample(guards: Guards, sign: &str) -> String {
-    counterexample_from(0, guards, sign)
+fn counterexample(safeguards: Safeguards, sign: &str) -> String {
+    counterexample_from(0, safeguards, sign)
 }
 
-fn counterexample_from(first: u64, guards: Guards, sign: &str) -> String {
+fn counterexample_from(first: u64, safeguards: Safeguards, sign: &str) -> String {
     let found = (first..first + SEEDS).find_map(|seed| {
         let setup = Setup {
-            guards,
+            safeguards,
             ..Setup::new(seed, 3 + seed as usize % 4)
         };
         play(setup, ROUNDS).err().filter(|text| text.contains(sign))
@@ -34,11 +35,11 @@
 
 #[test]
 fn a_refusal_needs_currency() {
-    let guards = Guards {
-        refuses_unconfirmed: true,
-        ..Guards::default()
+    let safeguards = Safeguards {
+        rejects_unconfirmed: true,
+        ..Safeguards::default()
     };
-    counterexample(guards, "was current between");
+    counterexample(safeguards, "was current between");
 }
 
 #[test]
@@ -48,9 +49,9 @@
         ..Default::default()
     };
     counterexample(
-        Guards {
+        Safeguards {
             chain,
-            ..Guards::default()
+            ..Safeguards::default()
         },
         "as current",
     );
@@ -63,9 +64,9 @@
         ..Default::default()
     };
     counterexample(
-        Guards {
+        Safeguards {
             chain,
-            ..Guards::default()
+            ..Safeguards::default()
         },
         "as current",
     );
@@ -78,24 +79,22 @@
         ..Default::default()
     };
     counterexample(
-        Guards {
+        Safeguards {
             chain,
-            ..Guards::default()
+            ..Safeguards::default()
         },
         "was current between",
     );
 }
 
 #[test]
-fn a_snapshot_holds_which_orders_were_taken() {
-    let control = dunespur_control_state::Guards {
-        taken_orders_in_snapshot: false,
-        ..Default::default()
-    };
+fn a_snapshot_contains_which_requests_were_accepted() {
+    let control =
+        dunespur_control_state::Safeguards::without(Safeguard::AcceptedRequestsInSnapshot);
     counterexample(
-        Guards {
+        Safeguards {
             control,
-            ..Guards::default()
+            ..Safeguards::default()
         },
         "was taken, and refused",
     );
@@ -103,46 +102,37 @@
 
 #[test]
 fn the_first_writer_wins() {
-    let control = dunespur_control_state::Guards {
-        first_writer_wins: false,
-        ..Default::default()
-    };
+    let control = dunespur_control_state::Safeguards::without(Safeguard::FirstWriterWins);
     counterexample(
-        Guards {
+        Safeguards {
             control,
-            ..Guards::default()
+            ..Safeguards::default()
         },
         "was as well",
     );
 }
 
 #[test]
-fn refusals_are_fenced() {
-    let control = dunespur_control_state::Guards {
-        refusals_fenced: false,
-        ..Default::default()
-    };
+fn rejections_are_fenced() {
+    let control = dunespur_control_state::Safeguards::without(Safeguard::RejectionsFenced);
     counterexample_from(
         RARE_SEED,
-        Guards {
+        Safeguards {
             control,
-            ..Guards::default()
+            ..Safeguards::default()
         },
         "was taken, and refused",
     );
 }
 
 #[test]
-fn orders_to_empty_a_store_are_fenced() {
-    let control = dunespur_control_state::Guards {
-        refusals_fenced: false,
-        ..Default::default()
-    };
+fn retirement_requests_are_fenced() {
+    let control = dunespur_control_state::Safeguards::without(Safeguard::RejectionsFenced);
     counterexample_from(
         RARE_STORE_SEED,
-        Guards {
+        Safeguards {
             control,
-            ..Guards::default()
+            ..Safeguards::default()
         },
         "is emptied, and every call",
     );
@@ -155,9 +145,9 @@
         ..Default::default()
     };
     counterexample(
-        Guards {
+        Safeguards {
             chain,
-            ..Guards::default()
+            ..Safeguards::default()
         },
         "commits something else",
     );
--- a/crates/serving/control-state/tests/replicas.rs
+++ b/crates/serving/control-state/tests/replicas.rs
@@ -6,8 +6,8 @@
 use common::{draining, gateway, patch, replace, retire, server, store};
 use dunespur_budget::{CounterChange, CounterRequest, LimiterId};
 use dunespur_control_state::{
-    Change, ControlState, NodeReport, Operation, Order, Outcome, RetireOutcome, ServerReport,
-    ServerState, SnapshotError,
+    Change, ConfigurationRequest, ControlState, NodeReport, Operation, Outcome, RetirementOutcome,
+    ServerReport, ServerState, SnapshotError,
 };
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
     fn operation(&mut self) -> Operation {
         self.sequence += 1;
         match self.random.u32(0..20) {
-            0..=2 => Operation::Configure(self.order()),
+            0..=2 => Operation::Configure(self.request()),
             3..=8 => Operation::Server(self.server()),
             9 => Operation::ServerLeft {
                 id: self.name("s", 30),
@@ -39,13 +39,13 @@
                 last_sequence: self.recent(),
             },
             11..=14 => Operation::Node(self.node()),
-            15 => Operation::NodeGone {
+            15 => Operation::NodeExpired {
                 name: self.name("n", 6),
                 incarnation: self.recent(),
             },
             16 => {
-                let fence = self.retire_fence();
-                retire(&self.name("n", 6), self.random.u32(0..3), fence)
+                let fencing_token = self.retirement_token();
+                retire(&self.name("n", 6), self.random.u32(0..3), fencing_token)
             }
             17 => self.retire_done(),
             _ => Operation::Budget(self.budget()),
@@ -62,16 +62,16 @@
         let incarnation = known
             .as_ref()
             .map_or_else(|| self.recent(), |store| store.incarnation);
-        let round = known.map_or(0, |store| store.round);
+        let epoch = known.map_or(0, |store| store.epoch);
         Operation::RetireDone {
             node,
             incarnation,
-            round,
+            epoch,
         }
     }
 
     /// Mostly on the newest generation, else on one near it; some of them invalid.
-    fn order(&mut self) -> Order {
+    fn request(&mut self) -> ConfigurationRequest {
         let newest = self
             .state
             .configuration()
@@ -95,13 +95,13 @@
     }
 
     /// Mostly the present one, as a call made now learns it.
-    fn retire_fence(&mut self) -> u64 {
+    fn retirement_token(&mut self) -> u64 {
         match self
             .state
             .clone()
             .apply(&retire("nobody", 0, 0), &mut Vec::new())
         {
-            Outcome::Fenced { fence } if self.random.u32(0..4) > 0 => fence,
+            Outcome::Fenced { fencing_token } if self.random.u32(0..4) > 0 => fencing_token,
             _ => 0,
         }
     }
@@ -120,7 +120,7 @@
             0 => gateway(&name, incarnation),
             _ => NodeReport {
                 disk: incarnation / 200,
-                whole: self.random.bool(),
+                complete: self.random.bool(),
                 ..store(&name, incarnation)
             },
         }
@@ -189,7 +189,7 @@
 }
 
 impl Subscriber {
-    fn told(&mut self, changes: &[Change]) {
+    fn receive(&mut self, changes: &[Change]) {
         for change in changes {
             match change {
                 Change::Configuration { json, .. } => self.configuration = Some(json.to_string()),
@@ -201,14 +201,14 @@
                     });
                     self.servers.insert(report.id.clone(), known);
                 }
-                Change::ServerGone { id } => {
+                Change::ServerRemoved { id } => {
                     assert!(self.servers.remove(id).is_some(), "{id} was told of before");
                 }
                 Change::Store(entry) => {
                     let before = self.stores.insert(entry.name.clone(), change.clone());
                     assert_ne!(before.as_ref(), Some(change), "a change changes something");
                 }
-                Change::StoreGone { name } => {
+                Change::StoreRemoved { name } => {
                     assert!(
                         self.stores.remove(name).is_some(),
                         "{name} was told of before"
@@ -218,7 +218,7 @@
                     let before = self.gateways.insert(entry.name.clone(), change.clone());
                     assert_ne!(before.as_ref(), Some(change), "a change changes something");
                 }
-                Change::GatewayGone { name } => {
+                Change::GatewayRemoved { name } => {
                     assert!(
                         self.gateways.remove(name).is_some(),
                         "{name} was told of before"
@@ -230,7 +230,7 @@
 
     fn of(state: &ControlState) -> Subscriber {
         let mut subscriber = Subscriber::default();
-        subscriber.told(&state.image());
+        subscriber.receive(&state.initial_changes());
         subscriber
     }
 }
@@ -239,32 +239,32 @@
 fn replicas_are_equal_byte_for_byte() {
     for seed in 0..SEEDS {
         let (mut one, mut other) = (ControlState::default(), ControlState::default());
-        let (mut told_one, mut told_other) = (Vec::new(), Vec::new());
+        let (mut changes_of_one, mut changes_of_other) = (Vec::new(), Vec::new());
         for operation in operations(seed) {
-            let outcome = one.apply(&operation, &mut told_one);
+            let outcome = one.apply(&operation, &mut changes_of_one);
             // The other replica is stopped and started again from its snapshot between any two operations.
             other = ControlState::restore(&other.snapshot()).expect("a snapshot is read");
             assert_eq!(
-                other.apply(&operation, &mut told_other),
+                other.apply(&operation, &mut changes_of_other),
                 outcome,
                 "seed {seed}"
             );
         }
         assert_eq!(one, other, "seed {seed}");
         assert_eq!(one.snapshot(), other.snapshot(), "seed {seed}");
-        assert_eq!(told_one, told_other, "seed {seed}");
+        assert_eq!(changes_of_one, changes_of_other, "seed {seed}");
     }
 }
 
 #[test]
-fn the_changes_lead_to_what_a_new_subscriber_is_told() {
+fn the_changes_lead_to_the_state_of_a_new_subscriber() {
     for seed in 0..SEEDS {
         let mut state = ControlState::default();
         let mut subscriber = Subscriber::default();
         for operation in operations(seed) {
             let mut changes = Vec::new();
             state.apply(&operation, &mut changes);
-            subscriber.told(&changes);
+            subscriber.receive(&changes);
             assert_eq!(
                 subscriber,
                 Subscriber::of(&state),
@@ -285,7 +285,7 @@
             assert_eq!(changes, [], "seed {seed}, {operation:?}");
             match outcome {
                 // A copy of what was refused is void, so that it can't be taken later.
-                Outcome::Retire(RetireOutcome::TooFew | RetireOutcome::UnknownNode) => {
+                Outcome::Retire(RetirementOutcome::TooFew | RetirementOutcome::UnknownNode) => {
                     assert!(
                         matches!(again, Outcome::Fenced { .. }),
                         "seed {seed}, {operation:?}: {again:?}"
@@ -310,12 +310,12 @@
                 Operation::Server(report) if report.state == ServerState::Draining => {
                     drained.insert(report.id.clone());
                 }
-                Operation::Configure(order) if outcome == Outcome::Accepted => {
-                    let other = accepted.insert(order.base, order.clone());
+                Operation::Configure(request) if outcome == Outcome::Accepted => {
+                    let other = accepted.insert(request.base, request.clone());
                     assert!(
-                        other.is_none_or(|other| other == *order),
+                        other.is_none_or(|other| other == *request),
                         "two orders on {}",
-                        order.base
+                        request.base
                     );
                 }
                 _ => {}
@@ -349,8 +349,8 @@
             accepted.len() > 20,
             "seed {seed}: orders are taken now and then"
         );
-        for order in accepted.into_values() {
-            let again = state.apply(&Operation::Configure(order), &mut Vec::new());
+        for request in accepted.into_values() {
+            let again = state.apply(&Operation::Configure(request), &mut Vec::new());
             assert_eq!(again, Outcome::Accepted, "seed {seed}");
         }
     }
@@ -372,16 +372,16 @@
             outcome
         );
     }
-    let image = state.image();
-    let bytes = postcard::to_stdvec(&image).expect("changes are written");
+    let initial_changes = state.initial_changes();
+    let bytes = postcard::to_stdvec(&initial_changes).expect("changes are written");
     assert_eq!(
         postcard::from_bytes::<Vec<Change>>(&bytes).expect("changes are read"),
-        image
+        initial_changes
     );
 }
 
 #[test]
-fn what_is_no_snapshot_is_told_apart() {
+fn bytes_that_are_no_snapshot_are_rejected() {
     let mut state = ControlState::default();
     for operation in operations(2) {
         state.apply(&operation, &mut Vec::new());
--- a/crates/serving/control-state/tests/guards.rs
+++ b/crates/serving/control-state/tests/retirement_safeguards.rs
@@ -4,13 +4,13 @@
 
 use common::{store, Trial};
 use dunespur_control_state::{
-    ControlState, Guards, Operation, Outcome, RetireOutcome, RetireState,
+    ControlState, Operation, Outcome, RetirementOutcome, RetirementState, Safeguard, Safeguards,
 };
 
-fn with_stores(guards: Guards, names: &[&str]) -> Trial {
+fn with_stores(safeguards: Safeguards, names: &[&str]) -> Trial {
     let mut trial = Trial {
-        state: ControlState::with_guards(guards),
-        told: Vec::new(),
+        state: ControlState::default().with_safeguards(safeguards),
+        notifications: Vec::new(),
     };
     for name in names {
         trial.node(store(name, 10));
@@ -23,62 +23,59 @@
 }
 
 fn gone(trial: &mut Trial, name: &str) {
-    trial.changes(&Operation::NodeGone {
+    trial.changes(&Operation::NodeExpired {
         name: name.to_owned(),
         incarnation: 10,
     });
 }
 
 /// The present whole stores that turns are placed on.
-fn homes(trial: &Trial) -> usize {
+fn usable_stores(trial: &Trial) -> usize {
     let usable = trial
         .state
         .stores()
-        .filter(|store| store.present && store.whole);
+        .filter(|store| store.present && store.complete);
     usable
         .filter(|store| !store.retiring && !store.retired)
         .count()
 }
 
-fn round_of(trial: &Trial, name: &str) -> u64 {
+fn epoch_of(trial: &Trial, name: &str) -> u64 {
     trial
         .state
         .stores()
         .find(|store| store.name == name)
         .expect("a known store")
-        .round
+        .epoch
 }
 
-fn says_empty(trial: &mut Trial, name: &str, round: u64) {
+fn says_empty(trial: &mut Trial, name: &str, epoch: u64) {
     trial.changes(&Operation::RetireDone {
         node: name.to_owned(),
         incarnation: 10,
-        round,
+        epoch,
     });
 }
 
 /// A replacement without a plan, then two orders to retire: how many homes are left.
-fn replacement_and_two_orders(guards: Guards) -> usize {
-    let mut trial = with_stores(guards, &["a", "b", "c"]);
+fn replacement_and_two_orders(safeguards: Safeguards) -> usize {
+    let mut trial = with_stores(safeguards, &["a", "b", "c"]);
     gone(&mut trial, "c");
     trial.node(store("d", 10));
     for name in ["a", "b"] {
-        if retire(&mut trial, name) == Outcome::Retire(RetireOutcome::Taken) {
-            let round = round_of(&trial, name);
-            says_empty(&mut trial, name, round);
+        if retire(&mut trial, name) == Outcome::Retire(RetirementOutcome::Accepted) {
+            let epoch = epoch_of(&trial, name);
+            says_empty(&mut trial, name, epoch);
             gone(&mut trial, name);
         }
     }
-    homes(&trial)
+    usable_stores(&trial)
 }
 
 #[test]
-fn a_ghost_must_not_remain() {
-    assert_eq!(replacement_and_two_orders(Guards::default()), 2);
-    let without = Guards {
-        remaining_present_and_whole: false,
-        ..Guards::default()
-    };
+fn a_lost_store_must_not_remain() {
+    assert_eq!(replacement_and_two_orders(Safeguards::default()), 2);
+    let without = Safeguards::without(Safeguard::RemainingPresentAndComplete);
     assert_eq!(
         replacement_and_two_orders(without),
         1,
@@ -87,20 +84,17 @@
 }
 
 /// The homes that are left while one store is being emptied and another is lost.
-fn loss_during_a_retirement(guards: Guards) -> usize {
-    let mut trial = with_stores(guards, &["a", "b", "c"]);
+fn loss_during_a_retirement(safeguards: Safeguards) -> usize {
+    let mut trial = with_stores(safeguards, &["a", "b", "c"]);
     retire(&mut trial, "a");
     gone(&mut trial, "b");
-    homes(&trial)
+    usable_stores(&trial)
 }
 
 #[test]
-fn a_retirement_must_stand_still() {
-    assert_eq!(loss_during_a_retirement(Guards::default()), 2);
-    let without = Guards {
-        stands_still: false,
-        ..Guards::default()
-    };
+fn a_retirement_must_pause() {
+    assert_eq!(loss_during_a_retirement(Safeguards::default()), 2);
+    let without = Safeguards::without(Safeguard::RetirementPaused);
     assert_eq!(
         loss_during_a_retirement(without),
         1,
@@ -109,32 +103,32 @@
 }
 
 /// A store says that it is empty; before that is agreed on, another that it counted on has lost its disk.
-fn wiped_after_it_was_asked(guards: Guards) -> Option<RetireState> {
-    let mut trial = with_stores(guards, &["a", "b", "c"]);
+fn wiped_after_its_statement(safeguards: Safeguards) -> Option<RetirementState> {
+    let mut trial = with_stores(safeguards, &["a", "b", "c"]);
     retire(&mut trial, "a");
-    let round = round_of(&trial, "a");
+    let epoch = epoch_of(&trial, "a");
     trial.node(dunespur_control_state::NodeReport {
         disk: 2,
-        whole: false,
+        complete: false,
         ..store("b", 11)
     });
     trial.node(dunespur_control_state::NodeReport {
         disk: 2,
         ..store("b", 11)
     });
-    says_empty(&mut trial, "a", round);
+    says_empty(&mut trial, "a", epoch);
     trial.state.retirement("a")
 }
 
 #[test]
-fn a_declaration_must_be_of_the_present_round() {
+fn a_statement_must_be_of_the_current_epoch() {
     assert_eq!(
-        wiped_after_it_was_asked(Guards::default()),
-        Some(RetireState::Running)
+        wiped_after_its_statement(Safeguards::default()),
+        Some(RetirementState::Running)
+    );
+    let without = Safeguards::without(Safeguard::EpochsChecked);
+    assert_eq!(
+        wiped_after_its_statement(without),
+        Some(RetirementState::Done)
     );
-    let without = Guards {
-        rounds_checked: false,
-        ..Guards::default()
-    };
-    assert_eq!(wiped_after_it_was_asked(without), Some(RetireState::Done));
 }
--- a/crates/serving/control-state/tests/servers.rs
+++ b/crates/serving/control-state/tests/servers.rs
@@ -17,7 +17,7 @@
 }
 
 fn gone(id: &str) -> Change {
-    Change::ServerGone { id: id.to_owned() }
+    Change::ServerRemoved { id: id.to_owned() }
 }
 
 fn state_of(trial: &Trial, id: &str) -> Option<ServerState> {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_new_server_is_told_and_a_report_of_nothing_new_is_not() {
+fn a_new_server_is_published_and_an_unchanged_report_is_not() {
     let mut trial = Trial::default();
     assert_eq!(
         trial.server(server("a", 1, 1)),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_leave_that_overtakes_the_first_report_counts() {
+fn a_leave_that_overtakes_the_first_report_is_final() {
     let mut trial = Trial::default();
     assert_eq!(trial.changes(&left("a")), []);
     assert_eq!(trial.server(server("a", 1, 1)), []);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn an_expiry_takes_along_reports_that_the_core_was_not_told_of() {
+fn an_expiry_covers_reports_that_the_core_did_not_receive() {
     let mut trial = Trial::default();
     trial.server(server("a", 1, 1));
     trial.changes(&expired("a", 40));
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn thousands_of_departed_servers_are_remembered_and_not_more() {
+fn departed_servers_are_recorded_up_to_a_bound() {
     let mut trial = Trial::default();
     for number in 0..5_000 {
         trial.changes(&left(&format!("s{number}")));
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn made_up_servers_are_bounded() {
+fn invented_servers_are_bounded() {
     let mut trial = Trial::default();
     for number in 0..8_300_u32 {
         let [_, _, high, low] = number.to_be_bytes();
--- a/crates/serving/control-state/tests/world/callers.rs
+++ b/crates/serving/control-state/tests/world/callers.rs
@@ -1,28 +1,28 @@
 //! Those who call the members: operators who order and read, and followers. They give a call up after a second, and
 //! send an order without a clear answer again, unchanged, to any machine.
 
-use super::history::{Asked, OrderId};
-use super::lines::Place;
+use super::history::{CallKind, RequestId};
+use super::links::Endpoint;
 use super::machines::Arrival;
 use super::{Event, World};
 use dunespur_chain_replication::Millis;
-use dunespur_control_state::{Order, OrderKind};
+use dunespur_control_state::{ConfigurationRequest, ConfigurationRequestKind};
 
 const OPERATORS: usize = 3;
 const FOLLOWERS: usize = 2;
-const KEEPERS: usize = 1;
+const RETIREMENT_OPERATORS: usize = 1;
 /// A call without an answer is given up after this.
-const PATIENCE: Millis = 1_000;
+const CALL_TIMEOUT: Millis = 1_000;
 /// An operator thinks this long at most between two calls.
-const LONGEST_THOUGHT: Millis = 500;
+const MAX_THINK_TIME: Millis = 500;
 /// An operator that gets no clear answer leaves an order after so many calls at most.
-const MOST_TRIES: u32 = 25;
+const MAX_ATTEMPTS: u32 = 25;
 /// Of a hundred answers so many are lost on their way.
 const LOST_PERCENT: u32 = 10;
 /// A follower asks again after this.
 const WATCH_EVERY: Millis = 200;
 /// What a member shows to followers is no older than this: what was acknowledged earlier is in it.
-pub const MOST_STALE: Millis = 2_000;
+pub const MAX_STALENESS: Millis = 2_000;
 
 /// One call of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Question {
-    Order(Order),
+    Configure(ConfigurationRequest),
     Configuration,
     Watch,
     /// To have a store emptied.
@@ -70,17 +70,17 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trade {
+enum Role {
     Operator,
     Follower,
-    Keeper,
+    RetirementOperator,
 }
 
 /// An order that an operator wants decided.
 #[derive(Clone, Copy, Debug)]
 struct Wanted {
-    order: OrderId,
-    tries_left: u32,
+    request: RequestId,
+    attempts_left: u32,
 }
 
 /// A call that waits for its answer.
@@ -91,31 +91,31 @@
 }
 
 pub struct Caller {
-    trade: Trade,
+    role: Role,
     machine: usize,
     next_number: u64,
     open: Option<Open>,
     /// The newest generation that it has heard of.
     known: u64,
     wanted: Option<Wanted>,
-    orders: Vec<OrderId>,
+    requests: Vec<RequestId>,
 }
 
 impl World {
     pub fn add_callers(&mut self) {
-        let trades = [Trade::Operator; OPERATORS]
+        let roles = [Role::Operator; OPERATORS]
             .into_iter()
-            .chain([Trade::Follower; FOLLOWERS]);
-        let trades = trades.chain([Trade::Keeper; KEEPERS]);
-        for (caller, trade) in trades.enumerate() {
+            .chain([Role::Follower; FOLLOWERS]);
+        let roles = roles.chain([Role::RetirementOperator; RETIREMENT_OPERATORS]);
+        for (caller, role) in roles.enumerate() {
             self.callers.push(Caller {
-                trade,
+                role,
                 machine: caller % self.setup.machines,
                 next_number: 1,
                 open: None,
                 known: 0,
                 wanted: None,
-                orders: Vec::new(),
+                requests: Vec::new(),
             });
             self.schedule(
                 1_000,
@@ -131,30 +131,30 @@
         match wake {
             Wake::Next if self.callers[caller].open.is_none() => self.next_call(caller),
             Wake::Next => {}
-            Wake::Timeout { number } => self.call_over(caller, number, None),
-            Wake::Answered { number, answer } => self.call_over(caller, number, Some(answer)),
+            Wake::Timeout { number } => self.call_ended(caller, number, None),
+            Wake::Answered { number, answer } => self.call_ended(caller, number, Some(answer)),
         }
     }
 
     fn next_call(&mut self, caller: usize) {
-        match self.callers[caller].trade {
-            Trade::Follower => self.call(caller, Question::Watch, None),
-            Trade::Operator => self.next_of_operator(caller),
-            Trade::Keeper => self.next_of_keeper(caller),
+        match self.callers[caller].role {
+            Role::Follower => self.call(caller, Question::Watch, None),
+            Role::Operator => self.next_of_operator(caller),
+            Role::RetirementOperator => self.next_retirement_call(caller),
         }
     }
 
     fn next_of_operator(&mut self, caller: usize) {
         self.choose_machine(caller);
         if self.callers[caller].wanted.is_none() {
-            self.callers[caller].wanted = self.next_order(caller);
+            self.callers[caller].wanted = self.next_request(caller);
         }
         match self.callers[caller].wanted {
             Some(wanted) => {
-                let question = Question::Order(self.history.order(wanted.order));
-                self.call(caller, question, Some(Asked::Order(wanted.order)));
+                let question = Question::Configure(self.history.request(wanted.request));
+                self.call(caller, question, Some(CallKind::Configure(wanted.request)));
             }
-            None => self.call(caller, Question::Configuration, Some(Asked::Read)),
+            None => self.call(caller, Question::Configuration, Some(CallKind::Read)),
         }
     }
 
@@ -166,52 +166,55 @@
     }
 
     /// Another order, an old one again, or none: then it reads.
-    fn next_order(&mut self, caller: usize) -> Option<Wanted> {
-        let tries_left = 1 + self.rng.u32(0..MOST_TRIES);
+    fn next_request(&mut self, caller: usize) -> Option<Wanted> {
+        let attempts_left = 1 + self.rng.u32(0..MAX_ATTEMPTS);
         let choice = self.rng.u32(0..10);
         let known = self.callers[caller].known;
-        let old = self.callers[caller].orders.len();
+        let old = self.callers[caller].requests.len();
         let (ahead, behind) = (self.rng.u64(1..3), self.rng.u64(1..4));
-        let order = match choice {
+        let request = match choice {
             0..=2 => return None,
-            3 if old > 0 => self.callers[caller].orders[self.rng.usize(..old)],
+            3 if old > 0 => self.callers[caller].requests[self.rng.usize(..old)],
             // As one that builds on an order which isn't decided yet, and as one that is behind.
-            4 => self.new_order(caller, known + ahead),
-            5 => self.new_order(caller, known.saturating_sub(behind)),
-            _ => self.new_order(caller, known),
+            4 => self.new_request(caller, known + ahead),
+            5 => self.new_request(caller, known.saturating_sub(behind)),
+            _ => self.new_request(caller, known),
         };
-        Some(Wanted { order, tries_left })
+        Some(Wanted {
+            request,
+            attempts_left,
+        })
     }
 
-    fn new_order(&mut self, caller: usize, base: u64) -> OrderId {
+    fn new_request(&mut self, caller: usize, base: u64) -> RequestId {
         let valid = self.rng.u32(0..12) > 0;
         let generation = if valid {
             base + self.rng.u64(1..4)
         } else {
             base
         };
-        let number = self.history.orders();
+        let number = self.history.requests();
         let body =
             format!(r#"{{"generation":{generation},"routes":[],"services":[],"by":{number}}}"#);
-        let kind = OrderKind::Replace;
-        let order = Order {
+        let kind = ConfigurationRequestKind::Replace;
+        let request = ConfigurationRequest {
             kind,
             base,
             body: body.into_bytes(),
-            fence: 0,
+            fencing_token: 0,
         };
-        let id = self.history.add_order(order, generation, valid);
-        self.callers[caller].orders.push(id);
+        let id = self.history.add_request(request, generation, valid);
+        self.callers[caller].requests.push(id);
         id
     }
 
-    pub fn call(&mut self, caller: usize, question: Question, asked: Option<Asked>) {
-        let entry = asked.map(|asked| self.history.begin(asked, self.now));
+    pub fn call(&mut self, caller: usize, question: Question, kind: Option<CallKind>) {
+        let entry = kind.map(|kind| self.history.begin(kind, self.now));
         let number = self.callers[caller].next_number;
         self.callers[caller].next_number += 1;
         self.callers[caller].open = Some(Open { number, entry });
         self.schedule(
-            self.now + PATIENCE,
+            self.now + CALL_TIMEOUT,
             Event::Caller {
                 caller,
                 wake: Wake::Timeout { number },
@@ -219,8 +222,8 @@
         );
         let machine = self.callers[caller].machine;
         if self
-            .lines
-            .is_cut(Place::Caller(caller), Place::Machine(machine))
+            .links
+            .is_partitioned(Endpoint::Caller(caller), Endpoint::Machine(machine))
         {
             return;
         }
@@ -256,8 +259,8 @@
             self.check_age(machine, generation);
         }
         if answer == Answer::Accepted {
-            if let Some(trouble) = self.at_next_acknowledgement.take() {
-                self.schedule(self.now, Event::Trouble(trouble.at(machine)));
+            if let Some(fault) = self.at_next_acknowledgement.take() {
+                self.schedule(self.now, Event::Fault(fault.at(machine)));
             }
         }
         self.digest.answer(self.now, machine, call, &answer);
@@ -265,8 +268,8 @@
         let lost = self.rng.u32(0..100) < LOST_PERCENT;
         if lost
             || self
-                .lines
-                .is_cut(Place::Machine(machine), Place::Caller(caller))
+                .links
+                .is_partitioned(Endpoint::Machine(machine), Endpoint::Caller(caller))
         {
             return;
         }
@@ -281,15 +284,15 @@
             return;
         };
         let age = self.now - since;
-        self.history.most_stale = self.history.most_stale.max(age);
-        if age > MOST_STALE {
-            self.breaks(format!(
+        self.history.max_staleness = self.history.max_staleness.max(age);
+        if age > MAX_STALENESS {
+            self.violate(format!(
                 "m{machine} shows {generation} as current, {age} ms after another was taken"
             ));
         }
     }
 
-    fn call_over(&mut self, caller: usize, number: u64, answer: Option<Answer>) {
+    fn call_ended(&mut self, caller: usize, number: u64, answer: Option<Answer>) {
         let Some(open) = self.callers[caller]
             .open
             .take_if(|open| open.number == number)
@@ -306,10 +309,10 @@
             self.history.end(entry, self.now, answer.clone());
         }
         let clear = answer.filter(|answer| *answer != Answer::Unclear);
-        let pause = match self.callers[caller].trade {
-            Trade::Follower => self.watch_over(caller, clear.is_some()),
-            Trade::Operator => self.order_over(caller, clear),
-            Trade::Keeper => self.retire_over(clear),
+        let pause = match self.callers[caller].role {
+            Role::Follower => self.watch_ended(caller, clear.is_some()),
+            Role::Operator => self.request_ended(caller, clear),
+            Role::RetirementOperator => self.retirement_call_ended(clear),
         };
         self.schedule(
             self.now + pause,
@@ -320,18 +323,18 @@
         );
     }
 
-    fn watch_over(&mut self, caller: usize, answered: bool) -> Millis {
+    fn watch_ended(&mut self, caller: usize, answered: bool) -> Millis {
         if !answered {
             self.callers[caller].machine = self.rng.usize(..self.setup.machines);
         }
         WATCH_EVERY
     }
 
-    fn order_over(&mut self, caller: usize, clear: Option<Answer>) -> Millis {
-        let heard = match &clear {
+    fn request_ended(&mut self, caller: usize, clear: Option<Answer>) -> Millis {
+        let learned = match &clear {
             Some(Answer::Accepted) => self.callers[caller]
                 .wanted
-                .map(|wanted| self.history.generation_of(wanted.order)),
+                .map(|wanted| self.history.generation_of(wanted.request)),
             Some(Answer::Current { generation }) => Some(*generation),
             Some(Answer::Configuration(configuration)) => {
                 configuration.as_ref().map(|(generation, _)| *generation)
@@ -339,17 +342,17 @@
             _ => None,
         };
         let operator = &mut self.callers[caller];
-        operator.known = operator.known.max(heard.unwrap_or(0));
+        operator.known = operator.known.max(learned.unwrap_or(0));
         let done = match &mut operator.wanted {
             Some(wanted) => {
-                wanted.tries_left -= 1;
-                clear.is_some() || wanted.tries_left == 0
+                wanted.attempts_left -= 1;
+                clear.is_some() || wanted.attempts_left == 0
             }
             None => true,
         };
         if done {
             operator.wanted = None;
         }
-        1 + self.rng.u64(0..LONGEST_THOUGHT)
+        1 + self.rng.u64(0..MAX_THINK_TIME)
     }
 }
--- a/crates/serving/control-state/tests/world/digest.rs
+++ b/crates/serving/control-state/tests/world/digest.rs
@@ -57,7 +57,12 @@
             tally.reads,
             tally.unclear,
         ]);
-        self.numbers([tally.snapshots, tally.emptied, tally.kept, tally.most_stale]);
+        self.numbers([
+            tally.snapshots,
+            tally.emptied,
+            tally.rejected_retirements,
+            tally.max_staleness,
+        ]);
     }
 }
 
--- a/crates/serving/control-state/tests/world/trouble.rs
+++ b/crates/serving/control-state/tests/world/faults.rs
@@ -1,13 +1,13 @@
 //! What goes wrong, and a seeded plan of it.
 
 use super::history::{check, Tally};
-use super::lines::Place;
+use super::links::Endpoint;
 use super::{Setup, World};
 use dunespur_chain_replication::Millis;
 use fastrand::Rng;
 
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
+pub enum Fault {
     /// The process ends, connections are reset, and it starts again.
     Kill {
         machine: usize,
@@ -33,13 +33,13 @@
     Thaw {
         machine: usize,
     },
-    Cut {
-        from: Place,
-        to: Place,
+    Partition {
+        from: Endpoint,
+        to: Endpoint,
     },
     Heal {
-        from: Place,
-        to: Place,
+        from: Endpoint,
+        to: Endpoint,
     },
     Doubling {
         on: bool,
@@ -49,7 +49,7 @@
     },
     /// This befalls the machine that gives the next 200 to an order.
     AtAcknowledgement {
-        trouble: Acknowledgement,
+        fault: Acknowledgement,
     },
 }
 
@@ -65,17 +65,17 @@
 }
 
 /// How long a machine is gone that fails at an acknowledgement.
-const GONE: Millis = 700;
+const DOWNTIME: Millis = 700;
 
-impl Trouble {
+impl Fault {
     /// The trouble as it befalls this machine.
-    pub fn at(self, machine: usize) -> Trouble {
+    pub fn at(self, machine: usize) -> Fault {
         match self {
-            Trouble::PowerLoss { back_after, .. } => Trouble::PowerLoss {
+            Fault::PowerLoss { back_after, .. } => Fault::PowerLoss {
                 machine,
                 back_after,
             },
-            Trouble::Wipe { back_after, .. } => Trouble::Wipe {
+            Fault::Wipe { back_after, .. } => Fault::Wipe {
                 machine,
                 back_after,
             },
@@ -85,18 +85,18 @@
 }
 
 impl World {
-    pub fn strike(&mut self, trouble: Trouble) {
-        self.note(|| format!("{trouble:?}"));
-        match trouble {
-            Trouble::Kill {
+    pub fn inject(&mut self, fault: Fault) {
+        self.note(|| format!("{fault:?}"));
+        match fault {
+            Fault::Kill {
                 machine,
                 back_after,
             } => self.end_and_start(machine, true, back_after),
-            Trouble::PowerLoss {
+            Fault::PowerLoss {
                 machine,
                 back_after,
             } => self.end_and_start(machine, false, back_after),
-            Trouble::Wipe {
+            Fault::Wipe {
                 machine,
                 back_after,
             } => {
@@ -104,7 +104,7 @@
                 self.wipe(machine);
                 self.start_at(machine, self.now + back_after);
             }
-            Trouble::Blackout { back_after } => {
+            Fault::Blackout { back_after } => {
                 for machine in 0..self.machines.len() {
                     if self.machines[machine].powered {
                         let back_after = back_after + self.rng.u64(0..300);
@@ -112,27 +112,27 @@
                     }
                 }
             }
-            Trouble::Freeze { machine } => self.freeze(machine),
-            Trouble::Thaw { machine } => self.thaw(machine),
-            Trouble::Cut { from, to } => self.lines.cut(from, to),
-            Trouble::Heal { from, to } => self.heal(from, to),
-            Trouble::Doubling { on } => self.doubling = on,
-            Trouble::Losing { on } => self.losing = on,
-            Trouble::AtAcknowledgement { trouble } => {
-                let (machine, back_after) = (0, GONE);
-                let first = match trouble {
-                    Acknowledgement::PowerLoss => Trouble::PowerLoss {
+            Fault::Freeze { machine } => self.freeze(machine),
+            Fault::Thaw { machine } => self.thaw(machine),
+            Fault::Partition { from, to } => self.links.cut(from, to),
+            Fault::Heal { from, to } => self.heal(from, to),
+            Fault::Doubling { on } => self.doubling = on,
+            Fault::Losing { on } => self.losing = on,
+            Fault::AtAcknowledgement { fault } => {
+                let (machine, back_after) = (0, DOWNTIME);
+                let first = match fault {
+                    Acknowledgement::PowerLoss => Fault::PowerLoss {
                         machine,
                         back_after,
                     },
-                    Acknowledgement::Blackout => Trouble::Blackout { back_after },
-                    Acknowledgement::DiskLoss => Trouble::Wipe {
+                    Acknowledgement::Blackout => Fault::Blackout { back_after },
+                    Acknowledgement::DiskLoss => Fault::Wipe {
                         machine,
                         back_after,
                     },
                     Acknowledgement::DiskLossInBlackout => {
                         self.blackout_after_wipe = true;
-                        Trouble::Wipe {
+                        Fault::Wipe {
                             machine,
                             back_after,
                         }
@@ -141,9 +141,10 @@
                 self.at_next_acknowledgement = Some(first);
             }
         }
-        if matches!(trouble, Trouble::Wipe { .. }) && std::mem::take(&mut self.blackout_after_wipe)
-        {
-            self.strike(Trouble::Blackout { back_after: GONE });
+        if matches!(fault, Fault::Wipe { .. }) && std::mem::take(&mut self.blackout_after_wipe) {
+            self.inject(Fault::Blackout {
+                back_after: DOWNTIME,
+            });
         }
     }
 
@@ -155,28 +156,28 @@
 
 /// After a loss of a disk, and before one, this long without other trouble: what is lost at once stays bounded.
 const CATCH_UP: Millis = 4_500;
-const FIRST_TROUBLE: Millis = 3_000;
+const FIRST_FAULT: Millis = 3_000;
 /// How long after the last trouble calls go on.
 const CALM: Millis = 4_000;
 /// The time within which a machine is waited for that acknowledges an order.
-const AWAITED: Millis = 3_000;
+const ACKNOWLEDGEMENT_WAIT: Millis = 3_000;
 
 struct Planner {
     rng: Rng,
     machines: usize,
     callers: usize,
-    troubles: Vec<(Millis, Trouble)>,
-    over_at: Millis,
+    faults: Vec<(Millis, Fault)>,
+    end_at: Millis,
 }
 
 /// A plan of troubles, and when the last of them is over.
-pub fn schedule(setup: &Setup, callers: usize, rounds: usize) -> (Vec<(Millis, Trouble)>, Millis) {
+pub fn schedule(setup: &Setup, callers: usize, rounds: usize) -> (Vec<(Millis, Fault)>, Millis) {
     let mut planner = Planner {
         rng: Rng::with_seed(setup.seed ^ 0x0DE5),
         machines: setup.machines,
         callers,
-        troubles: Vec::new(),
-        over_at: FIRST_TROUBLE,
+        faults: Vec::new(),
+        end_at: FIRST_FAULT,
     };
     for _ in 0..rounds {
         match planner.rng.u32(0..3) {
@@ -184,13 +185,13 @@
             _ => planner.mixture(),
         }
     }
-    (planner.troubles, planner.over_at)
+    (planner.faults, planner.end_at)
 }
 
 impl Planner {
-    fn push(&mut self, at: Millis, trouble: Trouble) {
-        self.troubles.push((at, trouble));
-        self.over_at = self.over_at.max(at);
+    fn push(&mut self, at: Millis, fault: Fault) {
+        self.faults.push((at, fault));
+        self.end_at = self.end_at.max(at);
     }
 
     /// From a tenth of a second to a minute, mostly around the protocol's times and the twenty seconds of a cut.
@@ -204,21 +205,21 @@
     }
 
     fn mixture(&mut self) {
-        let begin = self.over_at + self.rng.u64(0..2_000);
+        let begin = self.end_at + self.rng.u64(0..2_000);
         for _ in 0..self.rng.usize(1..4) {
             let at = begin + self.rng.u64(0..1_500);
             let lasts = self.lasts();
-            self.one_trouble(at, lasts);
+            self.push_fault(at, lasts);
         }
     }
 
-    fn one_trouble(&mut self, at: Millis, lasts: Millis) {
+    fn push_fault(&mut self, at: Millis, lasts: Millis) {
         let machine = self.rng.usize(..self.machines);
         let back_after = lasts.min(3_000);
         match self.rng.u32(0..14) {
             0 => self.ends(
                 at,
-                Trouble::Kill {
+                Fault::Kill {
                     machine,
                     back_after,
                 },
@@ -226,15 +227,15 @@
             ),
             1 => self.ends(
                 at,
-                Trouble::PowerLoss {
+                Fault::PowerLoss {
                     machine,
                     back_after,
                 },
                 back_after,
             ),
             2..=4 => {
-                self.push(at, Trouble::Freeze { machine });
-                self.push(at + lasts, Trouble::Thaw { machine });
+                self.push(at, Fault::Freeze { machine });
+                self.push(at + lasts, Fault::Thaw { machine });
             }
             5..=6 => self.split(at, lasts),
             7 => self.isolate(at, lasts, machine, true, false),
@@ -242,49 +243,58 @@
             9 => self.isolate(at, lasts, machine, true, true),
             10 => {
                 let other = self.rng.usize(..self.machines);
-                self.cut_for(at, lasts, Place::Machine(machine), Place::Machine(other));
+                self.partition_for(
+                    at,
+                    lasts,
+                    Endpoint::Machine(machine),
+                    Endpoint::Machine(other),
+                );
             }
             11 => {
-                self.push(at, Trouble::Doubling { on: true });
-                self.push(at + lasts, Trouble::Doubling { on: false });
+                self.push(at, Fault::Doubling { on: true });
+                self.push(at + lasts, Fault::Doubling { on: false });
             }
             12 => {
-                self.push(at, Trouble::Losing { on: true });
-                self.push(at + lasts, Trouble::Losing { on: false });
+                self.push(at, Fault::Losing { on: true });
+                self.push(at + lasts, Fault::Losing { on: false });
             }
             _ => {
-                let trouble = match self.rng.bool() {
+                let fault = match self.rng.bool() {
                     true => Acknowledgement::PowerLoss,
                     false => Acknowledgement::Blackout,
                 };
-                self.ends(at, Trouble::AtAcknowledgement { trouble }, AWAITED + GONE);
+                self.ends(
+                    at,
+                    Fault::AtAcknowledgement { fault },
+                    ACKNOWLEDGEMENT_WAIT + DOWNTIME,
+                );
             }
         }
     }
 
-    fn ends(&mut self, at: Millis, trouble: Trouble, lasts: Millis) {
-        self.push(at, trouble);
-        self.over_at = self.over_at.max(at + lasts);
+    fn ends(&mut self, at: Millis, fault: Fault, lasts: Millis) {
+        self.push(at, fault);
+        self.end_at = self.end_at.max(at + lasts);
     }
 
-    fn cut_for(&mut self, at: Millis, lasts: Millis, from: Place, to: Place) {
+    fn partition_for(&mut self, at: Millis, lasts: Millis, from: Endpoint, to: Endpoint) {
         if from != to {
-            self.push(at, Trouble::Cut { from, to });
-            self.push(at + lasts, Trouble::Heal { from, to });
+            self.push(at, Fault::Partition { from, to });
+            self.push(at + lasts, Fault::Heal { from, to });
         }
     }
 
     /// Machines and callers fall apart into two sides.
     fn split(&mut self, at: Millis, lasts: Millis) {
-        let machines = (0..self.machines).map(Place::Machine);
-        let places: Vec<Place> = machines
-            .chain((0..self.callers).map(Place::Caller))
+        let machines = (0..self.machines).map(Endpoint::Machine);
+        let endpoints: Vec<Endpoint> = machines
+            .chain((0..self.callers).map(Endpoint::Caller))
             .collect();
-        let sides: Vec<bool> = places.iter().map(|_| self.rng.bool()).collect();
-        for (one, side) in places.iter().zip(&sides) {
-            for (other, other_side) in places.iter().zip(&sides) {
+        let sides: Vec<bool> = endpoints.iter().map(|_| self.rng.bool()).collect();
+        for (one, side) in endpoints.iter().zip(&sides) {
+            for (other, other_side) in endpoints.iter().zip(&sides) {
                 if side != other_side {
-                    self.cut_for(at, lasts, *one, *other);
+                    self.partition_for(at, lasts, *one, *other);
                 }
             }
         }
@@ -293,41 +303,49 @@
     /// One machine is cut off from all others, callers reach it.
     fn isolate(&mut self, at: Millis, lasts: Millis, machine: usize, outward: bool, inward: bool) {
         for other in (0..self.machines).filter(|other| *other != machine) {
-            let (one, other) = (Place::Machine(machine), Place::Machine(other));
+            let (one, other) = (Endpoint::Machine(machine), Endpoint::Machine(other));
             if outward {
-                self.cut_for(at, lasts, one, other);
+                self.partition_for(at, lasts, one, other);
             }
             if inward {
-                self.cut_for(at, lasts, other, one);
+                self.partition_for(at, lasts, other, one);
             }
         }
     }
 
     /// The disk is lost that has just acknowledged an order, or any other, at times while all others lose power.
     fn disk_lost(&mut self) {
-        let at = self.over_at + CATCH_UP + self.rng.u64(0..500);
+        let at = self.end_at + CATCH_UP + self.rng.u64(0..500);
         match self.rng.u32(0..3) {
             0 => {
                 let machine = self.rng.usize(..self.machines);
                 self.ends(
                     at,
-                    Trouble::Wipe {
+                    Fault::Wipe {
                         machine,
-                        back_after: GONE,
+                        back_after: DOWNTIME,
                     },
-                    GONE,
+                    DOWNTIME,
                 );
             }
             1 => {
-                let trouble = Acknowledgement::DiskLoss;
-                self.ends(at, Trouble::AtAcknowledgement { trouble }, AWAITED + GONE);
+                let fault = Acknowledgement::DiskLoss;
+                self.ends(
+                    at,
+                    Fault::AtAcknowledgement { fault },
+                    ACKNOWLEDGEMENT_WAIT + DOWNTIME,
+                );
             }
             _ => {
-                let trouble = Acknowledgement::DiskLossInBlackout;
-                self.ends(at, Trouble::AtAcknowledgement { trouble }, AWAITED + GONE);
+                let fault = Acknowledgement::DiskLossInBlackout;
+                self.ends(
+                    at,
+                    Fault::AtAcknowledgement { fault },
+                    ACKNOWLEDGEMENT_WAIT + DOWNTIME,
+                );
             }
         }
-        self.over_at += CATCH_UP;
+        self.end_at += CATCH_UP;
     }
 }
 
@@ -345,18 +363,21 @@
 
 fn play_in(world: &mut World, rounds: usize) -> Result<Tally, String> {
     let setup = world.setup;
-    let (troubles, over_at) = schedule(&setup, world.callers.len(), rounds);
-    for (at, trouble) in troubles {
-        world.schedule(at, super::Event::Trouble(trouble));
+    let (faults, end_at) = schedule(&setup, world.callers.len(), rounds);
+    for (at, fault) in faults {
+        world.schedule(at, super::Event::Fault(fault));
     }
-    world.play_to(over_at + CALM)?;
-    check(&world.history).map_err(|text| world.told(&text))?;
+    world.play_to(end_at + CALM)?;
+    check(&world.history).map_err(|text| world.describe(&text))?;
     let snapshots = world.snapshots_installed;
-    let (emptied, kept) = (world.keeper.begun, world.keeper.refused);
+    let (emptied, rejected_retirements) = (
+        world.retirement_operator.begun,
+        world.retirement_operator.refused,
+    );
     Ok(Tally {
         snapshots,
         emptied,
-        kept,
+        rejected_retirements,
         ..world.history.tally()
     })
 }
--- a/crates/serving/control-state/tests/world/history.rs
+++ b/crates/serving/control-state/tests/world/history.rs
@@ -10,21 +10,21 @@
 
 use super::callers::Answer;
 use dunespur_chain_replication::Millis;
-use dunespur_control_state::Order;
+use dunespur_control_state::ConfigurationRequest;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct OrderId(usize);
+pub struct RequestId(usize);
 
 /// What a call was about.
 #[derive(Clone, Copy, Debug)]
-pub enum Asked {
-    Order(OrderId),
+pub enum CallKind {
+    Configure(RequestId),
     Read,
 }
 
-struct Ordered {
-    order: Order,
+struct IssuedRequest {
+    request: ConfigurationRequest,
     generation: u64,
     valid: bool,
     /// When it was first sent.
@@ -32,19 +32,19 @@
 }
 
 struct Call {
-    asked: Asked,
+    kind: CallKind,
     since: Millis,
     end: Option<(Millis, Answer)>,
 }
 
 #[derive(Default)]
 pub struct History {
-    ordered: Vec<Ordered>,
+    issued: Vec<IssuedRequest>,
     calls: Vec<Call>,
     /// When the first operator knew of this generation or a later one, as it rose.
     acknowledged: Vec<(u64, Millis)>,
     /// The oldest state that was shown to a follower: how long before another had been acknowledged.
-    pub most_stale: Millis,
+    pub max_staleness: Millis,
 }
 
 /// How much a history holds.
@@ -58,8 +58,8 @@
     pub snapshots: u64,
     /// Stores that began to be emptied, and orders for that which were refused.
     pub emptied: u64,
-    pub kept: u64,
-    pub most_stale: Millis,
+    pub rejected_retirements: u64,
+    pub max_staleness: Millis,
 }
 
 impl Tally {
@@ -71,40 +71,45 @@
         self.unclear += other.unclear;
         self.snapshots += other.snapshots;
         self.emptied += other.emptied;
-        self.kept += other.kept;
-        self.most_stale = self.most_stale.max(other.most_stale);
+        self.rejected_retirements += other.rejected_retirements;
+        self.max_staleness = self.max_staleness.max(other.max_staleness);
     }
 }
 
 impl History {
-    pub fn orders(&self) -> usize {
-        self.ordered.len()
+    pub fn requests(&self) -> usize {
+        self.issued.len()
     }
 
-    pub fn add_order(&mut self, order: Order, generation: u64, valid: bool) -> OrderId {
-        self.ordered.push(Ordered {
-            order,
+    pub fn add_request(
+        &mut self,
+        request: ConfigurationRequest,
+        generation: u64,
+        valid: bool,
+    ) -> RequestId {
+        self.issued.push(IssuedRequest {
+            request,
             generation,
             valid,
             since: None,
         });
-        OrderId(self.ordered.len() - 1)
+        RequestId(self.issued.len() - 1)
     }
 
-    pub fn order(&self, id: OrderId) -> Order {
-        self.ordered[id.0].order.clone()
+    pub fn request(&self, id: RequestId) -> ConfigurationRequest {
+        self.issued[id.0].request.clone()
     }
 
-    pub fn generation_of(&self, id: OrderId) -> u64 {
-        self.ordered[id.0].generation
+    pub fn generation_of(&self, id: RequestId) -> u64 {
+        self.issued[id.0].generation
     }
 
-    pub fn begin(&mut self, asked: Asked, now: Millis) -> usize {
-        if let Asked::Order(id) = asked {
-            self.ordered[id.0].since.get_or_insert(now);
+    pub fn begin(&mut self, kind: CallKind, now: Millis) -> usize {
+        if let CallKind::Configure(id) = kind {
+            self.issued[id.0].since.get_or_insert(now);
         }
         self.calls.push(Call {
-            asked,
+            kind,
             since: now,
             end: None,
         });
@@ -112,8 +117,8 @@
     }
 
     pub fn end(&mut self, entry: usize, now: Millis, answer: Answer) {
-        if let (Asked::Order(id), Answer::Accepted) = (self.calls[entry].asked, &answer) {
-            let generation = self.ordered[id.0].generation;
+        if let (CallKind::Configure(id), Answer::Accepted) = (self.calls[entry].kind, &answer) {
+            let generation = self.issued[id.0].generation;
             if self
                 .acknowledged
                 .last()
@@ -135,7 +140,7 @@
 
     pub fn tally(&self) -> Tally {
         let mut tally = Tally {
-            most_stale: self.most_stale,
+            max_staleness: self.max_staleness,
             ..Tally::default()
         };
         for call in &self.calls {
@@ -165,7 +170,7 @@
 pub struct Judge<'a> {
     history: &'a History,
     /// Orders that are known to have been taken, by their generation.
-    taken: BTreeMap<u64, OrderId>,
+    taken: BTreeMap<u64, RequestId>,
     sights: Vec<Sight>,
 }
 
@@ -194,20 +199,20 @@
                 generation,
                 exact,
             };
-            match (call.asked, answer) {
-                (Asked::Order(id), Answer::Accepted) => {
+            match (call.kind, answer) {
+                (CallKind::Configure(id), Answer::Accepted) => {
                     self.is_taken(id)?;
                     self.sights
                         .push(sight(self.history.generation_of(id), false));
                 }
-                (Asked::Order(_), Answer::Current { generation }) => {
+                (CallKind::Configure(_), Answer::Current { generation }) => {
                     self.sights.push(sight(*generation, true))
                 }
-                (Asked::Order(id), Answer::Invalid) => self
+                (CallKind::Configure(id), Answer::Invalid) => self
                     .sights
-                    .push(sight(self.history.ordered[id.0].order.base, true)),
-                (Asked::Read, Answer::Configuration(None)) => self.sights.push(sight(0, true)),
-                (Asked::Read, Answer::Configuration(Some((generation, json)))) => {
+                    .push(sight(self.history.issued[id.0].request.base, true)),
+                (CallKind::Read, Answer::Configuration(None)) => self.sights.push(sight(0, true)),
+                (CallKind::Read, Answer::Configuration(Some((generation, json)))) => {
                     self.is_taken(self.whose(*generation, json)?)?;
                     self.sights.push(sight(*generation, true));
                 }
@@ -218,28 +223,28 @@
     }
 
     /// The order with this content.
-    fn whose(&self, generation: u64, json: &str) -> Result<OrderId, String> {
-        let of = |ordered: &Ordered| {
-            ordered.generation == generation
-                && ordered.order.body == json.as_bytes()
-                && ordered.valid
+    fn whose(&self, generation: u64, json: &str) -> Result<RequestId, String> {
+        let of = |issued: &IssuedRequest| {
+            issued.generation == generation
+                && issued.request.body == json.as_bytes()
+                && issued.valid
         };
-        let place = self.history.ordered.iter().position(of);
+        let place = self.history.issued.iter().position(of);
         place
-            .map(OrderId)
+            .map(RequestId)
             .ok_or_else(|| format!("nobody ordered what was read as {generation}: {json}"))
     }
 
-    fn is_taken(&mut self, id: OrderId) -> Result<(), String> {
-        let ordered = &self.history.ordered[id.0];
-        let other = *self.taken.entry(ordered.generation).or_insert(id);
+    fn is_taken(&mut self, id: RequestId) -> Result<(), String> {
+        let issued = &self.history.issued[id.0];
+        let other = *self.taken.entry(issued.generation).or_insert(id);
         if other != id {
             return Err(format!(
                 "two orders were taken as {}: {other:?} and {id:?}",
-                ordered.generation
+                issued.generation
             ));
         }
-        if !ordered.valid {
+        if !issued.valid {
             return Err(format!("the invalid {id:?} was taken"));
         }
         Ok(())
@@ -247,22 +252,22 @@
 
     fn check_refusals(&self) -> Result<(), String> {
         for call in &self.history.calls {
-            let (Asked::Order(id), Some((until, answer))) = (call.asked, &call.end) else {
+            let (CallKind::Configure(id), Some((until, answer))) = (call.kind, &call.end) else {
                 continue;
             };
-            let ordered = &self.history.ordered[id.0];
+            let issued = &self.history.issued[id.0];
             let refused = matches!(answer, Answer::Current { .. } | Answer::Invalid);
-            if refused && self.taken.get(&ordered.generation) == Some(&id) {
+            if refused && self.taken.get(&issued.generation) == Some(&id) {
                 self.check_taken_by_another_call(id, *until, answer)?;
             }
-            if *answer == Answer::Invalid && ordered.valid {
+            if *answer == Answer::Invalid && issued.valid {
                 return Err(format!(
                     "the valid {id:?} was refused as invalid at {until}"
                 ));
             }
             if *answer
                 == (Answer::Current {
-                    generation: ordered.order.base,
+                    generation: issued.request.base,
                 })
             {
                 return Err(format!(
@@ -276,13 +281,13 @@
     /// An order that came too early may be taken by a call made after its refusal, and by none made before.
     fn check_taken_by_another_call(
         &self,
-        id: OrderId,
+        id: RequestId,
         refused_at: Millis,
         answer: &Answer,
     ) -> Result<(), String> {
-        let base = self.history.ordered[id.0].order.base;
+        let base = self.history.issued[id.0].request.base;
         let early = matches!(answer, Answer::Current { generation } if *generation < base);
-        let is_of = |call: &&Call| matches!(call.asked, Asked::Order(other) if other == id);
+        let is_of = |call: &&Call| matches!(call.kind, CallKind::Configure(other) if other == id);
         let mut calls = self.history.calls.iter().filter(is_of);
         if early && calls.any(|call| call.since > refused_at) {
             return Ok(());
@@ -296,7 +301,7 @@
     fn check_sequence(&self) -> Result<(), String> {
         let mut before = 0;
         for (generation, id) in &self.taken {
-            let base = self.history.ordered[id.0].order.base;
+            let base = self.history.issued[id.0].request.base;
             if base < before {
                 return Err(format!(
                     "{id:?} was taken as {generation} on {base}, and {before} was as well"
@@ -307,7 +312,7 @@
         for sight in &self.sights {
             let next = self.taken.range(sight.generation + 1..).next();
             let left_out =
-                next.filter(|(_, id)| self.history.ordered[id.0].order.base < sight.generation);
+                next.filter(|(_, id)| self.history.issued[id.0].request.base < sight.generation);
             if let Some((generation, id)) = left_out {
                 return Err(format!(
                     "{id:?} was taken as {generation} past {}",
@@ -352,12 +357,12 @@
             self.check_not_early(sight)?;
         }
         for id in self.taken.values() {
-            let ordered = &self.history.ordered[id.0];
-            let seen = ordered.since.map_or(0, seen_before);
-            if seen > ordered.order.base {
+            let issued = &self.history.issued[id.0];
+            let seen = issued.since.map_or(0, seen_before);
+            if seen > issued.request.base {
                 return Err(format!(
                     "{id:?} on {} was taken after {seen}",
-                    ordered.order.base
+                    issued.request.base
                 ));
             }
         }
@@ -366,13 +371,13 @@
 
     /// What is seen was ordered before.
     fn check_not_early(&self, sight: &Sight) -> Result<(), String> {
-        let made = |ordered: &&Ordered| ordered.generation == sight.generation && ordered.valid;
+        let made = |issued: &&IssuedRequest| issued.generation == sight.generation && issued.valid;
         let first = self
             .history
-            .ordered
+            .issued
             .iter()
             .filter(made)
-            .filter_map(|ordered| ordered.since)
+            .filter_map(|issued| issued.since)
             .min();
         let early = sight.generation > 0 && first.is_none_or(|first| first > sight.until);
         if early {
--- a/crates/serving/control-state/tests/world/lines.rs
+++ b/crates/serving/control-state/tests/world/links.rs
@@ -8,7 +8,7 @@
 
 /// One direction of a connection between two members.
 #[derive(Default)]
-struct Line {
+struct Link {
     queue: VecDeque<Carried>,
     last_arrival: Millis,
 }
@@ -22,65 +22,66 @@
 
 /// A place where messages come from or go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Place {
+pub enum Endpoint {
     Machine(usize),
     Caller(usize),
 }
 
 #[derive(Default)]
-pub struct Lines {
-    lines: HashMap<(usize, usize), Line>,
-    cut: HashSet<(Place, Place)>,
+pub struct Links {
+    links: HashMap<(usize, usize), Link>,
+    cut: HashSet<(Endpoint, Endpoint)>,
 }
 
-impl Lines {
-    pub fn is_cut(&self, from: Place, to: Place) -> bool {
+impl Links {
+    pub fn is_partitioned(&self, from: Endpoint, to: Endpoint) -> bool {
         self.cut.contains(&(from, to))
     }
 
-    pub fn cut(&mut self, from: Place, to: Place) {
+    pub fn cut(&mut self, from: Endpoint, to: Endpoint) {
         if from != to {
             self.cut.insert((from, to));
         }
     }
 
-    fn line(&mut self, from: usize, to: usize) -> &mut Line {
-        self.lines.entry((from, to)).or_default()
+    fn link(&mut self, from: usize, to: usize) -> &mut Link {
+        self.links.entry((from, to)).or_default()
     }
 }
 
 impl World {
     /// What was held up arrives now, or is lost with the connection.
-    pub fn heal(&mut self, from: Place, to: Place) {
-        if !self.lines.cut.remove(&(from, to)) {
+    pub fn heal(&mut self, from: Endpoint, to: Endpoint) {
+        if !self.links.cut.remove(&(from, to)) {
             return;
         }
-        let (Place::Machine(from), Place::Machine(to)) = (from, to) else {
+        let (Endpoint::Machine(from), Endpoint::Machine(to)) = (from, to) else {
             return;
         };
         if self.rng.bool() {
             return self.reset_connection(from, to, true);
         }
         let now = self.now;
-        let line = self.lines.line(from, to);
-        line.queue
+        let link = self.links.link(from, to);
+        link.queue
             .iter_mut()
             .for_each(|carried| carried.arrival = carried.arrival.max(now));
-        for _ in 0..line.queue.len() {
+        for _ in 0..link.queue.len() {
             self.schedule(now, Event::Deliver { from, to });
         }
     }
 
     /// What is on its way is lost; both ends are told if they can be.
-    pub fn reset_connection(&mut self, one: usize, other: usize, told: bool) {
+    pub fn reset_connection(&mut self, one: usize, other: usize, notify: bool) {
         if one == other {
             return;
         }
-        let places = (Place::Machine(one), Place::Machine(other));
-        let cut = self.lines.is_cut(places.0, places.1) || self.lines.is_cut(places.1, places.0);
-        self.lines.line(one, other).queue.clear();
-        self.lines.line(other, one).queue.clear();
-        if told && !cut {
+        let endpoints = (Endpoint::Machine(one), Endpoint::Machine(other));
+        let cut = self.links.is_partitioned(endpoints.0, endpoints.1)
+            || self.links.is_partitioned(endpoints.1, endpoints.0);
+        self.links.link(one, other).queue.clear();
+        self.links.link(other, one).queue.clear();
+        if notify && !cut {
             self.tell_disconnected(one, other);
             self.tell_disconnected(other, one);
         }
@@ -125,10 +126,10 @@
         if self.losing && self.rng.u32(0..20) == 0 {
             return;
         }
-        let line = self.lines.line(from, to);
-        line.last_arrival = line.last_arrival.max(now + delay);
-        let arrival = line.last_arrival;
-        line.queue.push_back(Carried {
+        let link = self.links.link(from, to);
+        link.last_arrival = link.last_arrival.max(now + delay);
+        let arrival = link.last_arrival;
+        link.queue.push_back(Carried {
             sender,
             to: identity,
             message,
@@ -139,18 +140,21 @@
 
     pub fn deliver(&mut self, from: usize, to: usize) {
         let now = self.now;
-        if self.lines.is_cut(Place::Machine(from), Place::Machine(to)) {
+        if self
+            .links
+            .is_partitioned(Endpoint::Machine(from), Endpoint::Machine(to))
+        {
             return;
         }
-        let line = self.lines.line(from, to);
-        if line
+        let link = self.links.link(from, to);
+        if link
             .queue
             .front()
             .is_none_or(|carried| carried.arrival > now)
         {
             return;
         }
-        let carried = line.queue.pop_front().expect("just seen");
+        let carried = link.queue.pop_front().expect("just seen");
         if self.machines[to].process.is_none() {
             if self.machines[to].powered {
                 let peer = carried.to.unwrap_or_else(|| self.id(to));
--- a/crates/serving/control-state/tests/world/machines.rs
+++ b/crates/serving/control-state/tests/world/machines.rs
@@ -6,7 +6,9 @@
 use dunespur_chain_replication::{
     Input, Member, MemberId, Millis, Output, Peer, Saved, View, Write,
 };
-use dunespur_control_state::{ControlState, Operation, Order, Outcome, RetireOutcome};
+use dunespur_control_state::{
+    ConfigurationRequest, ControlState, Operation, Outcome, RetirementOutcome,
+};
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hasher};
 use std::net::SocketAddr;
@@ -121,7 +123,7 @@
             .map(|machine| machine.address)
             .collect();
         let id = self.id(index);
-        let guards = self.setup.guards;
+        let safeguards = self.setup.safeguards;
         let machine = &mut self.machines[index];
         if machine.run != run {
             return;
@@ -137,14 +139,14 @@
             saved,
             seed,
             FIRST_MOMENT,
-            guards.chain,
+            safeguards.chain,
         );
         machine.process = Some(Process {
             member,
             clock_zero,
             tick_at: Millis::MAX,
             applied: 0,
-            state: ControlState::with_guards(guards.control),
+            state: ControlState::default().with_safeguards(safeguards.control),
             tickets: HashMap::new(),
             pending: HashMap::new(),
         });
@@ -345,10 +347,10 @@
                 );
             }
             Output::Install { index: at, bytes } => {
-                let guards = self.setup.guards.control;
+                let safeguards = self.setup.safeguards.control;
                 let state = ControlState::restore(&bytes)
                     .expect("a snapshot")
-                    .guarded_by(guards);
+                    .with_safeguards(safeguards);
                 self.snapshots_installed += 1;
                 self.digest.event(22, [self.now, index as u64, at], &bytes);
                 let process = self.process(index);
@@ -420,7 +422,7 @@
             },
         );
         match question {
-            Question::Order(_) | Question::Retire(_) => self.execute(index, call, &question, 0),
+            Question::Configure(_) | Question::Retire(_) => self.execute(index, call, &question, 0),
             Question::Configuration => {
                 let ticket = self.take_ticket();
                 self.process(index).tickets.insert(ticket, call);
@@ -443,16 +445,19 @@
         }
     }
 
-    fn execute(&mut self, index: usize, call: CallId, question: &Question, fence: u64) {
-        let Some(operation) = operation(question, fence) else {
+    fn execute(&mut self, index: usize, call: CallId, question: &Question, fencing_token: u64) {
+        let Some(operation) = operation(question, fencing_token) else {
             return;
         };
         let clock = self.clock(index);
-        let refuses_unconfirmed = self.setup.guards.refuses_unconfirmed;
+        let rejects_unconfirmed = self.setup.safeguards.rejects_unconfirmed;
         let process = self.process(index);
-        if refuses_unconfirmed {
+        if rejects_unconfirmed {
             let outcome = process.state.clone().apply(&operation, &mut Vec::new());
-            if matches!(outcome, Outcome::Current { .. } | Outcome::Invalid(_)) {
+            if matches!(
+                outcome,
+                Outcome::GenerationConflict { .. } | Outcome::Invalid(_)
+            ) {
                 return self.decided(index, call, outcome);
             }
         }
@@ -468,21 +473,23 @@
     fn decided(&mut self, index: usize, call: CallId, outcome: Outcome) {
         match outcome {
             Outcome::Accepted => self.answer(index, call, Answer::Accepted),
-            Outcome::Current { generation } => {
-                self.answer(index, call, Answer::Current { generation })
-            }
+            Outcome::GenerationConflict {
+                current: generation,
+            } => self.answer(index, call, Answer::Current { generation }),
             Outcome::Invalid(_) => self.answer(index, call, Answer::Invalid),
-            Outcome::Fenced { fence } => {
+            Outcome::Fenced { fencing_token } => {
                 let question = self
                     .process(index)
                     .pending
                     .get(&call)
                     .map(|pending| pending.question.clone());
                 if let Some(question) = question {
-                    self.execute(index, call, &question, fence);
+                    self.execute(index, call, &question, fencing_token);
                 }
             }
-            Outcome::Retire(RetireOutcome::Taken) => self.answer(index, call, Answer::Retired),
+            Outcome::Retire(RetirementOutcome::Accepted) => {
+                self.answer(index, call, Answer::Retired)
+            }
             Outcome::Retire(_) => self.answer(index, call, Answer::NotRetired),
             _ => self.answer(index, call, Answer::Unclear),
         }
@@ -517,7 +524,7 @@
             &Operation::RetireDone {
                 node,
                 incarnation: 0,
-                round: 0,
+                epoch: 0,
             },
         );
     }
@@ -540,16 +547,16 @@
 }
 
 /// What a call asks the core to agree on.
-fn operation(question: &Question, fence: u64) -> Option<Operation> {
+fn operation(question: &Question, fencing_token: u64) -> Option<Operation> {
     match question {
-        Question::Order(order) => Some(Operation::Configure(Order {
-            fence,
-            ..order.clone()
+        Question::Configure(request) => Some(Operation::Configure(ConfigurationRequest {
+            fencing_token,
+            ..request.clone()
         })),
         Question::Retire(node) => Some(Operation::RetireStart {
             node: node.clone(),
             tolerated_losses: TOLERATED_LOSSES,
-            fence,
+            fencing_token,
         }),
         Question::Configuration | Question::Watch => None,
     }
--- a/crates/serving/control-state/tests/world/mod.rs
+++ b/crates/serving/control-state/tests/world/mod.rs
@@ -7,16 +7,16 @@
 
 pub mod callers;
 pub mod digest;
+pub mod faults;
 pub mod history;
-pub mod keeper;
-pub mod lines;
+pub mod links;
 pub mod machines;
-pub mod trouble;
+pub mod retirements;
 
 use dunespur_chain_replication::{Input, Millis};
 use fastrand::Rng;
 use history::History;
-use lines::Lines;
+use links::Links;
 use machines::{Arrival, Machine};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -34,12 +34,12 @@
 
 /// Guards that may be taken out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Guards {
+pub struct Safeguards {
     pub chain: dunespur_chain_replication::Guards,
-    pub control: dunespur_control_state::Guards,
+    pub control: dunespur_control_state::Safeguards,
     /// A member refuses orders out of its own copy of the state, without having them committed. The guard against this
     /// is that nothing answers an order but its commit.
-    pub refuses_unconfirmed: bool,
+    pub rejects_unconfirmed: bool,
 }
 
 /// How a world is set up.
@@ -47,7 +47,7 @@
 pub struct Setup {
     pub seed: u64,
     pub machines: usize,
-    pub guards: Guards,
+    pub safeguards: Safeguards,
     /// Bytes of payloads that mean nothing: large ones bring on snapshots.
     pub filling: usize,
     pub sync_most: Millis,
@@ -58,7 +58,7 @@
         Setup {
             seed,
             machines,
-            guards: Guards::default(),
+            safeguards: Safeguards::default(),
             filling: if seed % 3 == 1 { 24_000 } else { 0 },
             sync_most: if seed % 4 == 2 { 60 } else { 4 },
         }
@@ -103,7 +103,7 @@
         caller: usize,
         wake: callers::Wake,
     },
-    Trouble(trouble::Trouble),
+    Fault(faults::Fault),
 }
 
 struct Scheduled {
@@ -139,22 +139,22 @@
     events: BinaryHeap<Reverse<Scheduled>>,
     order: u64,
     pub machines: Vec<Machine>,
-    pub lines: Lines,
+    pub links: Links,
     pub callers: Vec<callers::Caller>,
     pub history: History,
-    pub keeper: keeper::Keeper,
+    pub retirement_operator: retirements::RetirementOperator,
     /// Messages between members come again late, or are lost, now and then.
     pub doubling: bool,
     pub losing: bool,
     /// What befalls the machine that gives the next 200 to an order.
-    pub at_next_acknowledgement: Option<trouble::Trouble>,
+    pub at_next_acknowledgement: Option<faults::Fault>,
     /// Then all machines lose power as well.
     blackout_after_wipe: bool,
     /// Digests of the committed payloads, in their order; that of index 1 is at 0.
     sequence: Vec<u64>,
     next_ticket: u64,
     pub snapshots_installed: u64,
-    broken: Option<String>,
+    violation: Option<String>,
     trace: bool,
     pub digest: digest::Digest,
 }
@@ -168,10 +168,10 @@
             events: BinaryHeap::new(),
             order: 0,
             machines: Vec::new(),
-            lines: Lines::default(),
+            links: Links::default(),
             callers: Vec::new(),
             history: History::default(),
-            keeper: keeper::Keeper::default(),
+            retirement_operator: retirements::RetirementOperator::default(),
             doubling: false,
             losing: false,
             at_next_acknowledgement: None,
@@ -179,7 +179,7 @@
             sequence: Vec::new(),
             next_ticket: 1,
             snapshots_installed: 0,
-            broken: None,
+            violation: None,
             trace: std::env::var_os("WORLD_TRACE").is_some(),
             digest: digest::Digest::default(),
         };
@@ -215,8 +215,8 @@
             };
             self.now = next.at;
             self.happen(next.event);
-            if let Some(broken) = self.broken.take() {
-                return Err(self.told(&broken));
+            if let Some(violation) = self.violation.take() {
+                return Err(self.describe(&violation));
             }
         }
         self.now = end;
@@ -246,7 +246,7 @@
                 batch,
             } => self.disk_done(machine, run, batch),
             Event::Caller { caller, wake } => self.caller_wakes(caller, wake),
-            Event::Trouble(trouble) => self.strike(trouble),
+            Event::Fault(fault) => self.inject(fault),
         }
     }
 
@@ -257,7 +257,7 @@
         if first {
             self.sequence.push(payload);
         } else if self.sequence.get(place) != Some(&payload) {
-            self.breaks(format!(
+            self.violate(format!(
                 "m{machine} commits something else at {index} than was committed before"
             ));
         }
@@ -296,11 +296,11 @@
         }
     }
 
-    pub fn breaks(&mut self, text: String) {
-        self.broken.get_or_insert(text);
+    pub fn violate(&mut self, text: String) {
+        self.violation.get_or_insert(text);
     }
 
-    pub fn told(&self, text: &str) -> String {
+    pub fn describe(&self, text: &str) -> String {
         format!(
             "seed {} with {} members at {} ms: {text}",
             self.setup.seed, self.setup.machines, self.now
--- a/crates/serving/control-state/tests/world/keeper.rs
+++ b/crates/serving/control-state/tests/world/retirements.rs
@@ -9,13 +9,13 @@
 
 const STORES: u64 = 3;
 /// The most that the keeper rests between two acts.
-const LONGEST_REST: u64 = 250;
+const MAX_REST: u64 = 250;
 /// An order without a clear answer is left after so many calls at most.
-const MOST_TRIES: u32 = 12;
+const MAX_ATTEMPTS: u32 = 12;
 
 /// What the keeper knows and wants.
 #[derive(Default)]
-pub struct Keeper {
+pub struct RetirementOperator {
     /// Lives and disks are numbered.
     next_number: u64,
     wanted: Option<(String, u32)>,
@@ -26,10 +26,10 @@
 }
 
 impl World {
-    pub fn next_of_keeper(&mut self, caller: usize) {
-        if self.keeper.wanted.is_none() && self.rng.u32(0..3) > 0 {
+    pub fn next_retirement_call(&mut self, caller: usize) {
+        if self.retirement_operator.wanted.is_none() && self.rng.u32(0..3) > 0 {
             self.store_changes();
-            let at = self.now + self.rng.u64(1..LONGEST_REST);
+            let at = self.now + self.rng.u64(1..MAX_REST);
             return self.schedule(
                 at,
                 Event::Caller {
@@ -38,12 +38,14 @@
                 },
             );
         }
-        if self.keeper.wanted.is_none() {
+        if self.retirement_operator.wanted.is_none() {
             let node = format!("s{}", self.rng.u64(0..STORES));
-            self.keeper.wanted = Some((node, 1 + self.rng.u32(0..MOST_TRIES)));
+            self.retirement_operator.wanted = Some((node, 1 + self.rng.u32(0..MAX_ATTEMPTS)));
         }
-        let (node, _) = self.keeper.wanted.clone().expect("just set");
-        self.keeper.under_way.insert(node.clone(), true);
+        let (node, _) = self.retirement_operator.wanted.clone().expect("just set");
+        self.retirement_operator
+            .under_way
+            .insert(node.clone(), true);
         self.choose_machine(caller);
         self.call(caller, Question::Retire(node), None);
     }
@@ -51,8 +53,8 @@
     /// A store comes, goes, is empty, or is another one of the same name.
     fn store_changes(&mut self) {
         let node = format!("s{}", self.rng.u64(0..STORES));
-        self.keeper.next_number += 1;
-        let number = self.keeper.next_number;
+        self.retirement_operator.next_number += 1;
+        let number = self.retirement_operator.next_number;
         let disk = if self.rng.bool() { number } else { 1 };
         let held = self
             .machines
@@ -61,7 +63,7 @@
         let held = held
             .filter_map(|process| process.state.stores().find(|store| store.name == node))
             .max_by_key(|store| store.incarnation);
-        let (incarnation, round) = held.map_or((0, 0), |store| (store.incarnation, store.round));
+        let (incarnation, epoch) = held.map_or((0, 0), |store| (store.incarnation, store.epoch));
         let operation = match self.rng.u32(0..4) {
             0..=1 => Operation::Node(NodeReport {
                 name: node,
@@ -70,16 +72,16 @@
                 address: SocketAddr::from(([10, 1, 0, 1], 7380)),
                 incarnation: number,
                 disk,
-                whole: true,
+                complete: true,
             }),
-            2 => Operation::NodeGone {
+            2 => Operation::NodeExpired {
                 name: node,
                 incarnation,
             },
             _ => Operation::RetireDone {
                 node,
                 incarnation,
-                round,
+                epoch,
             },
         };
         let machine = self.rng.usize(..self.machines.len());
@@ -87,23 +89,23 @@
     }
 
     /// A call of the keeper is over.
-    pub fn retire_over(&mut self, clear: Option<Answer>) -> u64 {
-        if let Some((node, tries_left)) = self.keeper.wanted.take() {
+    pub fn retirement_call_ended(&mut self, clear: Option<Answer>) -> u64 {
+        if let Some((node, attempts_left)) = self.retirement_operator.wanted.take() {
             if let Some(answer) = &clear {
-                self.keeper.under_way.insert(node, false);
-                self.keeper.refused += u64::from(*answer == Answer::NotRetired);
-            } else if tries_left > 1 {
-                self.keeper.wanted = Some((node, tries_left - 1));
+                self.retirement_operator.under_way.insert(node, false);
+                self.retirement_operator.refused += u64::from(*answer == Answer::NotRetired);
+            } else if attempts_left > 1 {
+                self.retirement_operator.wanted = Some((node, attempts_left - 1));
             }
         }
-        1 + self.rng.u64(0..LONGEST_REST)
+        1 + self.rng.u64(0..MAX_REST)
     }
 
     /// A store begins to be emptied.
     pub fn retirement_begins(&mut self, node: &str) {
-        self.keeper.begun += 1;
-        if self.keeper.under_way.get(node) != Some(&true) {
-            self.breaks(format!(
+        self.retirement_operator.begun += 1;
+        if self.retirement_operator.under_way.get(node) != Some(&true) {
+            self.violate(format!(
                 "{node} is emptied, and every call for it was decided before"
             ));
         }
--- a/crates/serving/control-state/tests/world_digests.rs
+++ b/crates/serving/control-state/tests/world_digests.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use std::fmt::Write;
-use world::trouble::digest;
+use world::faults::digest;
 use world::Setup;
 
 const ROUNDS: usize = 1;
--- a/crates/serving/dunespur/src/api.rs
+++ b/crates/serving/dunespur/src/api.rs
@@ -6,7 +6,8 @@
 use crate::load_exchange::LoadExchange;
 use bytes::Bytes;
 use dunespur_control_state::{
-    Operation, Order, OrderKind, Outcome, RetireOutcome, RetireState, ServerReport,
+    ConfigurationRequest, ConfigurationRequestKind, Operation, Outcome, RetirementOutcome,
+    RetirementState, ServerReport,
 };
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -93,7 +94,7 @@
     Patch,
     GetConfiguration,
     RetireStart(String),
-    RetireState(String),
+    RetirementState(String),
     Unknown,
 }
 
@@ -108,7 +109,7 @@
         ["api", "config", "patch"] if post => Target::Patch,
         ["api", "config", "get"] if get => Target::GetConfiguration,
         ["api", "retire", node, "start"] if post => Target::RetireStart((*node).to_owned()),
-        ["api", "retire", node, "get"] if get => Target::RetireState((*node).to_owned()),
+        ["api", "retire", node, "get"] if get => Target::RetirementState((*node).to_owned()),
         _ => Target::Unknown,
     }
 }
@@ -137,11 +138,17 @@
         match target {
             Target::Heartbeat(id) => self.heartbeat(id, &body).await,
             Target::Leave(id) => self.acknowledged(&Operation::ServerLeft { id }).await,
-            Target::Replace => self.configure(OrderKind::Replace, base, body).await,
-            Target::Patch => self.configure(OrderKind::Patch, base, body).await,
+            Target::Replace => {
+                self.configure(ConfigurationRequestKind::Replace, base, body)
+                    .await
+            }
+            Target::Patch => {
+                self.configure(ConfigurationRequestKind::Patch, base, body)
+                    .await
+            }
             Target::GetConfiguration => self.configuration().await,
             Target::RetireStart(node) => self.retire(node, &body).await,
-            Target::RetireState(node) => self.retirement(&node).await,
+            Target::RetirementState(node) => self.retirement(&node).await,
             Target::Unknown => plain(StatusCode::NOT_FOUND, "no such interface"),
         }
     }
@@ -198,13 +205,20 @@
         loop {
             let left = end.saturating_duration_since(Instant::now());
             match self.directory.execute(&order(fence), left).await? {
-                Outcome::Fenced { fence: newer } if newer > fence => fence = newer,
+                Outcome::Fenced {
+                    fencing_token: newer,
+                } if newer > fence => fence = newer,
                 outcome => return Ok(outcome),
             }
         }
     }
 
-    async fn configure(&self, kind: OrderKind, base: Option<u64>, body: Bytes) -> Answer {
+    async fn configure(
+        &self,
+        kind: ConfigurationRequestKind,
+        base: Option<u64>,
+        body: Bytes,
+    ) -> Answer {
         let Some(base) = base else {
             return plain(
                 StatusCode::BAD_REQUEST,
@@ -217,18 +231,17 @@
             ORDER_TIMEOUT
         };
         let order = |fence| {
-            Operation::Configure(Order {
+            Operation::Configure(ConfigurationRequest {
                 kind,
                 base,
                 body: body.to_vec(),
-                fence,
+                fencing_token: fence,
             })
         };
         match self.decide(order, limit).await {
             Ok(Outcome::Accepted) => accepted(),
-            Ok(Outcome::Current { generation }) => {
-                let text =
-                    json!({ "error": "another version is current", "generation": generation });
+            Ok(Outcome::GenerationConflict { current }) => {
+                let text = json!({ "error": "another version is current", "generation": current });
                 json_answer(StatusCode::PRECONDITION_FAILED, text.to_string())
             }
             Ok(Outcome::Invalid(findings)) => {
@@ -260,14 +273,14 @@
         let order = |fence| Operation::RetireStart {
             node: node.clone(),
             tolerated_losses,
-            fence,
+            fencing_token: fence,
         };
         match self.decide(order, ORDER_TIMEOUT).await {
-            Ok(Outcome::Retire(RetireOutcome::Taken)) => accepted(),
-            Ok(Outcome::Retire(RetireOutcome::UnknownNode)) => {
+            Ok(Outcome::Retire(RetirementOutcome::Accepted)) => accepted(),
+            Ok(Outcome::Retire(RetirementOutcome::UnknownNode)) => {
                 plain(StatusCode::NOT_FOUND, "no such store machine")
             }
-            Ok(Outcome::Retire(RetireOutcome::TooFew)) => {
+            Ok(Outcome::Retire(RetirementOutcome::TooFew)) => {
                 plain(StatusCode::CONFLICT, "too few store machines would be left")
             }
             _ => unavailable(),
@@ -276,10 +289,10 @@
 
     async fn retirement(&self, node: &str) -> Answer {
         match self.directory.read_retirement(node, ORDER_TIMEOUT).await {
-            Ok(Some(RetireState::Running)) => {
+            Ok(Some(RetirementState::Running)) => {
                 json_answer(StatusCode::OK, json!({ "state": "running" }).to_string())
             }
-            Ok(Some(RetireState::Done)) => {
+            Ok(Some(RetirementState::Done)) => {
                 json_answer(StatusCode::OK, json!({ "state": "done" }).to_string())
             }
             Ok(None) => plain(StatusCode::NOT_FOUND, "no retirement of such a machine"),
--- a/crates/serving/dunespur/src/core/applied_state/tests.rs
+++ b/crates/serving/dunespur/src/core/applied_state/tests.rs
@@ -1,13 +1,15 @@
 use super::AppliedState;
-use dunespur_control_state::{ControlState, Operation, Order, OrderKind};
+use dunespur_control_state::{
+    ConfigurationRequest, ConfigurationRequestKind, ControlState, Operation,
+};
 
 fn configured(state: &mut AppliedState, index: u64, generation: u64) {
     let body = format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#);
-    let order = Order {
-        kind: OrderKind::Replace,
+    let order = ConfigurationRequest {
+        kind: ConfigurationRequestKind::Replace,
         base: generation - 1,
         body: body.into_bytes(),
-        fence: 0,
+        fencing_token: 0,
     };
     let payload =
         postcard::to_stdvec(&Operation::Configure(order)).expect("an operation can be written");
--- a/crates/serving/dunespur/src/core/lease_expiry.rs
+++ b/crates/serving/dunespur/src/core/lease_expiry.rs
@@ -104,7 +104,7 @@
         nodes.extend(self.table.lapsed_nodes(gateway_leases(state), now));
         let expired = nodes.into_iter();
         expired
-            .map(|node| Operation::NodeGone {
+            .map(|node| Operation::NodeExpired {
                 name: node.name,
                 incarnation: node.incarnation,
             })
@@ -141,7 +141,7 @@
 
 /// All gateways and stores that may come back.
 fn remembered(state: &ControlState) -> Vec<RememberedNode> {
-    let gateways = state.remembered_gateways().map(|gateway| RememberedNode {
+    let gateways = state.recorded_gateways().map(|gateway| RememberedNode {
         name: gateway.name.clone(),
         address: gateway.address,
     });
--- a/crates/serving/dunespur/src/core/pending_operations/tests.rs
+++ b/crates/serving/dunespur/src/core/pending_operations/tests.rs
@@ -76,7 +76,7 @@
 #[test]
 fn other_operations_do_not_join() {
     let mut pending = PendingOperations::default();
-    let operation = Operation::NodeGone {
+    let operation = Operation::NodeExpired {
         name: "front".to_owned(),
         incarnation: 1,
     };
--- a/crates/serving/dunespur/src/core/replica.rs
+++ b/crates/serving/dunespur/src/core/replica.rs
@@ -154,7 +154,7 @@
             .after
             .and_then(|after| self.applied.changes().after(after));
         let complete = retained.is_none();
-        let changes = retained.unwrap_or_else(|| self.state().image());
+        let changes = retained.unwrap_or_else(|| self.state().initial_changes());
         let index = if complete {
             newest
         } else {
--- a/crates/serving/dunespur/src/directory/core_calls.rs
+++ b/crates/serving/dunespur/src/directory/core_calls.rs
@@ -5,7 +5,7 @@
 use crate::messages::{encode, Reply, Request};
 use bytes::Bytes;
 use dunespur_chain_replication::View;
-use dunespur_control_state::{Operation, Outcome, RetireState};
+use dunespur_control_state::{Operation, Outcome, RetirementState};
 use dunespur_rpc::CallError;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -66,7 +66,7 @@
         &self,
         node: &str,
         timeout: Duration,
-    ) -> Result<Option<RetireState>, Unavailable> {
+    ) -> Result<Option<RetirementState>, Unavailable> {
         let request = Request::ReadRetirement {
             node: node.to_owned(),
         };
--- a/crates/serving/dunespur/src/directory/known_state.rs
+++ b/crates/serving/dunespur/src/directory/known_state.rs
@@ -77,7 +77,7 @@
                 self.servers.insert(report.id.clone(), report);
                 changed.servers = true;
             }
-            Change::ServerGone { id } => {
+            Change::ServerRemoved { id } => {
                 self.servers.remove(&id);
                 changed.servers = true;
             }
@@ -85,7 +85,7 @@
                 self.stores.insert(entry.name.clone(), store(entry));
                 changed.stores = true;
             }
-            Change::StoreGone { name } => {
+            Change::StoreRemoved { name } => {
                 self.stores.remove(&name);
                 changed.stores = true;
             }
@@ -93,7 +93,7 @@
                 self.gateways.insert(entry.name.clone(), entry);
                 changed.gateways = true;
             }
-            Change::GatewayGone { name } => {
+            Change::GatewayRemoved { name } => {
                 self.gateways.remove(&name);
                 changed.gateways = true;
             }
@@ -122,10 +122,10 @@
         address: entry.address,
         incarnation: entry.incarnation,
         disk: entry.disk,
-        whole: entry.whole,
+        whole: entry.complete,
         present: entry.present,
         retiring: entry.retiring,
         retired: entry.retired,
-        round: entry.round,
+        round: entry.epoch,
     }
 }
--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use dunespur_chain_replication::{MemberId, Message, Peer, View};
-use dunespur_control_state::{Change, NodeReport, Operation, Outcome, RetireState};
+use dunespur_control_state::{Change, NodeReport, Operation, Outcome, RetirementState};
 use dunespur_load_distribution::{Answer, Ask};
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use serde::de::DeserializeOwned;
@@ -81,7 +81,7 @@
     Candidacy(Candidacy),
     Executed(Outcome),
     Configuration(Option<String>),
-    Retirement(Option<RetireState>),
+    Retirement(Option<RetirementState>),
     StateUpdate(StateUpdate),
     Store(StoreReply),
     /// A [`Status`](crate::status::Status) as JSON.
