--- a/crates/serving/dunespur/src/registration.rs
+++ b/crates/serving/dunespur/src/registration.rs
@@ -46,7 +46,7 @@
             address: settings.internal_address(),
             incarnation,
             disk: 0,
-            whole: false,
+            complete: false,
         };
         directory.set_own_lease(NodeLease::of(&report));
         let report = RefCell::new(report);
@@ -93,7 +93,7 @@
         let report = self.report.borrow();
         let held = known.gateways.get(&report.name)?;
         let ours = held.incarnation <= report.incarnation;
-        ours.then(|| Operation::NodeGone {
+        ours.then(|| Operation::NodeExpired {
             name: report.name.clone(),
             incarnation: report.incarnation,
         })
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -84,7 +84,7 @@
             address: settings.internal_address(),
             incarnation: wall_clock_ms(),
             disk: identity.disk,
-            whole: !identity.fresh,
+            complete: !identity.fresh,
         };
         directory.set_own_lease(NodeLease::of(&report));
         let capacity = Capacity::of(settings, aside_bytes(&file));
@@ -164,7 +164,7 @@
                 let _ = self.jobs.send(DiskJob { id: job, work });
             }
             Effect::Declare(Declaration::Whole) => {
-                self.report.borrow_mut().whole = true;
+                self.report.borrow_mut().complete = true;
                 self.report_changed.notify_one();
             }
             Effect::Declare(Declaration::Emptied { .. }) => self.report_changed.notify_one(),
--- a/crates/serving/dunespur/src/store/registration.rs
+++ b/crates/serving/dunespur/src/store/registration.rs
@@ -47,7 +47,7 @@
             self.directory.set_own_lease(NodeLease::of(&report));
         }
         let is_reported = entry.disk == report.disk
-            && entry.whole == report.whole
+            && entry.whole == report.complete
             && entry.address == report.address;
         if !is_reported || !entry.present || entry.incarnation != report.incarnation {
             return Some(Operation::Node(report.clone()));
@@ -57,7 +57,7 @@
         Some(Operation::RetireDone {
             node: report.name.clone(),
             incarnation: report.incarnation,
-            round,
+            epoch: round,
         })
     }
 }
--- a/crates/serving/dunespur/tests/bytes.rs
+++ b/crates/serving/dunespur/tests/bytes.rs
@@ -16,8 +16,8 @@
 use dunespur_chain_replication::{MemberId, Message, Origin, Peer, View};
 use dunespur_configuration::Findings;
 use dunespur_control_state::{
-    Change, GatewayEntry, NodeKind, NodeReport, Operation, Order, OrderKind, Outcome,
-    RetireOutcome, RetireState, ServerReport, ServerState, StoreEntry,
+    Change, ConfigurationRequest, ConfigurationRequestKind, GatewayEntry, NodeKind, NodeReport,
+    Operation, Outcome, RetirementOutcome, RetirementState, ServerReport, ServerState, StoreEntry,
 };
 use dunespur_load_distribution::{Answer, Ask, Known, ServerLoad, Speaker, Statement};
 use dunespur_turn_replication::message::{Refusal, StoreReply, StoreRequest};
@@ -111,13 +111,13 @@
         address: address(4, 7101),
         incarnation: 1_764_680_000_789,
         disk: 0x0102_0304_0506_0708,
-        whole: true,
+        complete: true,
     };
-    let order = Order {
-        kind: OrderKind::Patch,
+    let order = ConfigurationRequest {
+        kind: ConfigurationRequestKind::Patch,
         base: 11,
         body: br#"{"generation":12}"#.to_vec(),
-        fence: 13,
+        fencing_token: 13,
     };
     let lease = CounterRequest {
         program: "program-5".to_owned(),
@@ -198,7 +198,7 @@
         ("execute node", Request::Execute(Operation::Node(report))),
         (
             "execute node gone",
-            Request::Execute(Operation::NodeGone {
+            Request::Execute(Operation::NodeExpired {
                 name: "front-7".to_owned(),
                 incarnation: 32,
             }),
@@ -208,7 +208,7 @@
             Request::Execute(Operation::RetireStart {
                 node: "store-4".to_owned(),
                 tolerated_losses: 2,
-                fence: 33,
+                fencing_token: 33,
             }),
         ),
         (
@@ -216,7 +216,7 @@
             Request::Execute(Operation::RetireDone {
                 node: "store-4".to_owned(),
                 incarnation: 34,
-                round: 35,
+                epoch: 35,
             }),
         ),
         (
@@ -273,11 +273,11 @@
         address: address(4, 7101),
         incarnation: 51,
         disk: 52,
-        whole: true,
+        complete: true,
         present: false,
         retiring: true,
         retired: false,
-        round: 53,
+        epoch: 53,
     };
     let gateway = GatewayEntry {
         name: "front-7".to_owned(),
@@ -291,15 +291,15 @@
             json: r#"{"generation":55}"#.into(),
         },
         Change::Server(server_report()),
-        Change::ServerGone {
+        Change::ServerRemoved {
             id: "server-3".to_owned(),
         },
         Change::Store(store),
-        Change::StoreGone {
+        Change::StoreRemoved {
             name: "store-5".to_owned(),
         },
         Change::Gateway(gateway),
-        Change::GatewayGone {
+        Change::GatewayRemoved {
             name: "front-8".to_owned(),
         },
     ];
@@ -332,7 +332,7 @@
         ("executed accepted", executed(Outcome::Accepted)),
         (
             "executed current",
-            executed(Outcome::Current { generation: 65 }),
+            executed(Outcome::GenerationConflict { current: 65 }),
         ),
         (
             "executed invalid",
@@ -341,19 +341,22 @@
                 "is 0",
             ))),
         ),
-        ("executed forgotten", executed(Outcome::Forgotten)),
-        ("executed fenced", executed(Outcome::Fenced { fence: 66 })),
+        ("executed forgotten", executed(Outcome::Undetermined)),
+        (
+            "executed fenced",
+            executed(Outcome::Fenced { fencing_token: 66 }),
+        ),
         (
             "executed retire taken",
-            executed(Outcome::Retire(RetireOutcome::Taken)),
+            executed(Outcome::Retire(RetirementOutcome::Accepted)),
         ),
         (
             "executed retire unknown",
-            executed(Outcome::Retire(RetireOutcome::UnknownNode)),
+            executed(Outcome::Retire(RetirementOutcome::UnknownNode)),
         ),
         (
             "executed retire too few",
-            executed(Outcome::Retire(RetireOutcome::TooFew)),
+            executed(Outcome::Retire(RetirementOutcome::TooFew)),
         ),
         (
             "executed budget granted",
@@ -386,11 +389,11 @@
         ("no configuration", Reply::Configuration(None)),
         (
             "retirement running",
-            Reply::Retirement(Some(RetireState::Running)),
+            Reply::Retirement(Some(RetirementState::Running)),
         ),
         (
             "retirement done",
-            Reply::Retirement(Some(RetireState::Done)),
+            Reply::Retirement(Some(RetirementState::Done)),
         ),
         (
             "watched",
--- a/crates/serving/storage/tests/compatibility/core.rs
+++ b/crates/serving/storage/tests/compatibility/core.rs
@@ -9,8 +9,8 @@
     SavedSnapshot, View, Write,
 };
 use dunespur_control_state::{
-    ControlState, NodeKind, NodeReport, Operation, Order, OrderKind, Outcome, ServerReport,
-    ServerState,
+    ConfigurationRequest, ConfigurationRequestKind, ControlState, NodeKind, NodeReport, Operation,
+    Outcome, ServerReport, ServerState,
 };
 use dunespur_storage::core::{CoreDisk, DiskIdentity};
 use redb::{Database, TableDefinition};
@@ -171,7 +171,7 @@
         address: address(50, port),
         incarnation: 71,
         disk: 72,
-        whole: true,
+        complete: true,
     }
 }
 
@@ -196,11 +196,11 @@
 fn operations_before_snapshot() -> Vec<Operation> {
     let body = CONFIGURATION.as_bytes().to_vec();
     vec![
-        Operation::Configure(Order {
-            kind: OrderKind::Replace,
+        Operation::Configure(ConfigurationRequest {
+            kind: ConfigurationRequestKind::Replace,
             base: 0,
             body,
-            fence: 0,
+            fencing_token: 0,
         }),
         Operation::Server(server("server-1", 8_001, ServerState::Ready)),
         Operation::Server(server("server-2", 8_002, ServerState::Draining)),
--- a/crates/serving/turn-replication/tests/digests.rs
+++ b/crates/serving/turn-replication/tests/digests.rs
@@ -45,7 +45,7 @@
         final_fault: false,
         absence: Absence::default(),
         guards: Guards::default(),
-        core_guards: dunespur_control_state::Guards::default(),
+        core_guards: dunespur_control_state::Safeguards::default(),
     }
 }
 
--- a/crates/serving/turn-replication/tests/faults.rs
+++ b/crates/serving/turn-replication/tests/faults.rs
@@ -32,7 +32,7 @@
         final_fault: seed.is_multiple_of(3),
         absence: Absence::default(),
         guards: Guards::default(),
-        core_guards: dunespur_control_state::Guards::default(),
+        core_guards: dunespur_control_state::Safeguards::default(),
     }
 }
 
--- a/crates/serving/turn-replication/tests/guards.rs
+++ b/crates/serving/turn-replication/tests/guards.rs
@@ -37,7 +37,7 @@
         final_fault: false,
         absence: Absence::default(),
         guards: Guards::default(),
-        core_guards: dunespur_control_state::Guards::default(),
+        core_guards: dunespur_control_state::Safeguards::default(),
     }
 }
 
@@ -102,7 +102,7 @@
 }
 
 /// Turns that were not kept in time though enough stores were there, of three of which one is being emptied and another one frozen or cut off.
-fn unsure_writes(guards: Guards, core_guards: dunespur_control_state::Guards) -> u64 {
+fn unsure_writes(guards: Guards, core_guards: dunespur_control_state::Safeguards) -> u64 {
     let faults = vec![FaultKind::Retire, FaultKind::Freeze, FaultKind::CutOff];
     let played = (0..8).map(|seed| {
         World::play(Plan {
@@ -118,7 +118,7 @@
 
 #[test]
 fn emptying_stores_must_stay_a_fallback() {
-    let core = dunespur_control_state::Guards::default();
+    let core = dunespur_control_state::Safeguards::default();
     let with_all = unsure_writes(Guards::default(), core);
     let refused = unsure_writes(
         Guards {
--- a/crates/serving/turn-replication/tests/windows.rs
+++ b/crates/serving/turn-replication/tests/windows.rs
@@ -43,7 +43,7 @@
             repair_ms: ABSENT_REPAIR_MS,
         },
         guards: Guards::default(),
-        core_guards: dunespur_control_state::Guards::default(),
+        core_guards: dunespur_control_state::Safeguards::default(),
     }
 }
 
--- a/crates/serving/turn-replication/tests/world/core.rs
+++ b/crates/serving/turn-replication/tests/world/core.rs
@@ -5,7 +5,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use dunespur_control_state::{
-    ControlState, NodeKind, NodeReport, Operation, Outcome, RetireOutcome, RetireState, StoreEntry,
+    ControlState, NodeKind, NodeReport, Operation, Outcome, RetirementOutcome, RetirementState,
+    StoreEntry,
 };
 use dunespur_turn_replication::roster::Store;
 
@@ -68,15 +69,17 @@
     }
 
     /// The operator's order to empty a store: what it came to.
-    pub(super) fn order_to_retire(&mut self, name: &str) -> RetireOutcome {
+    pub(super) fn order_to_retire(&mut self, name: &str) -> RetirementOutcome {
         let tolerated_losses = self.plan.tolerated as u32;
         let order = |fence| Operation::RetireStart {
             node: name.to_owned(),
             tolerated_losses,
-            fence,
+            fencing_token: fence,
         };
         let outcome = match self.agree(&order(0)) {
-            Outcome::Fenced { fence } => self.agree(&order(fence)),
+            Outcome::Fenced {
+                fencing_token: fence,
+            } => self.agree(&order(fence)),
             outcome => outcome,
         };
         match outcome {
@@ -88,7 +91,7 @@
     /// A store's statement that it is empty has come to the core.
     pub(super) fn emptied_heard(&mut self, machine: usize, operation: &Operation) {
         self.agree(operation);
-        if self.core.state.retirement(&self.machines[machine].name) == Some(RetireState::Done) {
+        if self.core.state.retirement(&self.machines[machine].name) == Some(RetirementState::Done) {
             self.emptied(machine);
         }
     }
@@ -102,7 +105,7 @@
             address: SocketAddr::from((Ipv4Addr::LOCALHOST, 7_380 + number as u16)),
             incarnation: machine.life,
             disk: machine.disk.number,
-            whole: machine.node.as_ref().is_some_and(|node| node.is_whole()),
+            complete: machine.node.as_ref().is_some_and(|node| node.is_whole()),
         };
         self.core
             .heard_at_ms
@@ -119,7 +122,7 @@
         let said = Operation::RetireDone {
             node: machine.name.clone(),
             incarnation: machine.life,
-            round,
+            epoch: round,
         };
         let most_ms = if self.rng.u8(0..4) == 0 {
             LONGEST_DELAY_MS
@@ -143,7 +146,7 @@
         };
         let lapsed: Vec<StoreEntry> = self.core.state.stores().filter(silent).collect();
         for entry in lapsed {
-            self.agree(&Operation::NodeGone {
+            self.agree(&Operation::NodeExpired {
                 name: entry.name,
                 incarnation: entry.incarnation,
             });
@@ -218,10 +221,10 @@
         address: entry.address,
         incarnation: entry.incarnation,
         disk: entry.disk,
-        whole: entry.whole,
+        whole: entry.complete,
         present: entry.present,
         retiring: entry.retiring,
         retired: entry.retired,
-        round: entry.round,
+        round: entry.epoch,
     }
 }
--- a/crates/serving/turn-replication/tests/world/faults.rs
+++ b/crates/serving/turn-replication/tests/world/faults.rs
@@ -1,6 +1,6 @@
 //! Trouble, never more at one time than is tolerated, each followed by the time to catch up.
 
-use dunespur_control_state::RetireOutcome;
+use dunespur_control_state::RetirementOutcome;
 
 use super::machine::Trouble;
 use super::{Event, World, CATCH_UP_MS};
@@ -137,7 +137,7 @@
         let now_ms = self.now_ms;
         let taken_before = self.machines[machine].retire_told_at_ms.is_some();
         match self.order_to_retire(&name) {
-            RetireOutcome::Taken => {
+            RetirementOutcome::Accepted => {
                 self.machines[machine]
                     .retire_told_at_ms
                     .get_or_insert(now_ms);
@@ -145,9 +145,11 @@
             _ if taken_before => {
                 self.fail("an order that was taken is refused when it comes again")
             }
-            RetireOutcome::TooFew => self.seen.too_few += 1,
-            RetireOutcome::UnknownNode if known => self.fail("a known store is said to be unknown"),
-            RetireOutcome::UnknownNode => {}
+            RetirementOutcome::TooFew => self.seen.too_few += 1,
+            RetirementOutcome::UnknownNode if known => {
+                self.fail("a known store is said to be unknown")
+            }
+            RetirementOutcome::UnknownNode => {}
         }
     }
 
--- a/crates/serving/turn-replication/tests/world/mod.rs
+++ b/crates/serving/turn-replication/tests/world/mod.rs
@@ -72,7 +72,7 @@
     /// Those that stand at the stores.
     pub guards: Guards,
     /// Those that stand in the control state.
-    pub core_guards: dunespur_control_state::Guards,
+    pub core_guards: dunespur_control_state::Safeguards,
 }
 
 /// What was seen.
@@ -260,7 +260,7 @@
             events: BTreeMap::new(),
             last_event: 0,
             machines: Vec::new(),
-            core: core::Core::new(ControlState::with_guards(plan.core_guards)),
+            core: core::Core::new(ControlState::default().with_safeguards(plan.core_guards)),
             gateways: Vec::new(),
             programs: Vec::new(),
             operations: BTreeMap::new(),
