--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use dunespur_chain_replication::{MemberId, Message, Peer, View};
-use dunespur_control_state::{Change, NodeReport, Operation, Outcome, RetireState};
-use dunespur_load_distribution::{Answer, Ask};
+use dunespur_control_state::{Change, NodeReport, Operation, Outcome, RetirementState};
+use dunespur_load_distribution::{Report, Update};
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -51,7 +51,7 @@
         program: Option<String>,
     },
     /// From one gateway to another as the load aggregator of a service.
-    Home(Ask),
+    Home(Report),
 }
 
 /// Requests changes, and renews leases on the way.
@@ -108,7 +108,7 @@
     /// The newest configuration as JSON; `None` where there is none yet.
     Configuration(Option<String>),
     /// How far the retirement is; `None` where there is none.
-    Retirement(Option<RetireState>),
+    Retirement(Option<RetirementState>),
     /// To a watch.
     StateUpdate(StateUpdate),
     /// Of a store.
@@ -116,7 +116,7 @@
     /// A [`Status`](crate::status::Status) as JSON.
     Status(String),
     /// Of a load aggregator.
-    Home(Answer),
+    Home(Update),
 }
 
 /// The answer to a candidate for the first view.
--- a/crates/serving/dunespur/tests/bytes/replies.rs
+++ b/crates/serving/dunespur/tests/bytes/replies.rs
@@ -5,9 +5,9 @@
 use dunespur_budget::CounterReply;
 use dunespur_configuration::Findings;
 use dunespur_control_state::{
-    Change, GatewayEntry, Outcome, RetireOutcome, RetireState, StoreEntry,
+    Change, GatewayEntry, Outcome, RetirementOutcome, RetirementState, StoreEntry,
 };
-use dunespur_load_distribution::Answer;
+use dunespur_load_distribution::Update;
 use dunespur_turn_replication::message::{Refusal, StoreReply};
 
 /// All of them, with their names.
@@ -38,24 +38,27 @@
 fn outcomes() -> Vec<(&'static str, Outcome)> {
     vec![
         ("executed accepted", Outcome::Accepted),
-        ("executed current", Outcome::Current { generation: 65 }),
+        (
+            "executed current",
+            Outcome::GenerationConflict { current: 65 },
+        ),
         (
             "executed invalid",
             Outcome::Invalid(Findings::one("routes[3].timeout_ms", "is 0")),
         ),
-        ("executed forgotten", Outcome::Forgotten),
-        ("executed fenced", Outcome::Fenced { fence: 66 }),
+        ("executed forgotten", Outcome::Undetermined),
+        ("executed fenced", Outcome::Fenced { fencing_token: 66 }),
         (
             "executed retire taken",
-            Outcome::Retire(RetireOutcome::Taken),
+            Outcome::Retire(RetirementOutcome::Accepted),
         ),
         (
             "executed retire unknown",
-            Outcome::Retire(RetireOutcome::UnknownNode),
+            Outcome::Retire(RetirementOutcome::UnknownNode),
         ),
         (
             "executed retire too few",
-            Outcome::Retire(RetireOutcome::TooFew),
+            Outcome::Retire(RetirementOutcome::TooFew),
         ),
         (
             "executed budget granted",
@@ -93,11 +96,11 @@
         ("no configuration", Reply::Configuration(None)),
         (
             "retirement running",
-            Reply::Retirement(Some(RetireState::Running)),
+            Reply::Retirement(Some(RetirementState::Running)),
         ),
         (
             "retirement done",
-            Reply::Retirement(Some(RetireState::Done)),
+            Reply::Retirement(Some(RetirementState::Done)),
         ),
         (
             "watched",
@@ -125,15 +128,15 @@
             json: r#"{"generation":55}"#.into(),
         },
         Change::Server(server_report()),
-        Change::ServerGone {
+        Change::ServerRemoved {
             id: "server-3".to_owned(),
         },
         Change::Store(store()),
-        Change::StoreGone {
+        Change::StoreRemoved {
             name: "store-5".to_owned(),
         },
         Change::Gateway(gateway()),
-        Change::GatewayGone {
+        Change::GatewayRemoved {
             name: "front-8".to_owned(),
         },
     ]
@@ -146,11 +149,11 @@
         address: address(4, 7101),
         incarnation: 51,
         disk: 52,
-        whole: true,
+        complete: true,
         present: false,
         retiring: true,
         retired: false,
-        round: 53,
+        epoch: 53,
     }
 }
 
@@ -163,13 +166,13 @@
     }
 }
 
-fn load_update() -> Answer {
-    Answer {
-        life: 61,
+fn load_update() -> Update {
+    Update {
+        incarnation: 61,
         version: 62,
-        whole: true,
+        complete: true,
         loads: loads(),
-        wants_statement: false,
+        wants_table: false,
     }
 }
 
--- a/crates/serving/dunespur/tests/bytes/requests.rs
+++ b/crates/serving/dunespur/tests/bytes/requests.rs
@@ -4,8 +4,10 @@
 use dunespur::messages::{Request, WatchRequest};
 use dunespur_budget::{CounterChange, CounterRequest, LimiterId};
 use dunespur_chain_replication::{Message, Origin};
-use dunespur_control_state::{NodeKind, NodeReport, Operation, Order, OrderKind};
-use dunespur_load_distribution::{Ask, Known, Speaker, Statement};
+use dunespur_control_state::{
+    ConfigurationRequest, ConfigurationRequestKind, NodeKind, NodeReport, Operation,
+};
+use dunespur_load_distribution::{KnownVersion, LoadTable, Report, Reporter};
 use dunespur_turn_replication::message::StoreRequest;
 
 /// All of them, with their names.
@@ -95,7 +97,7 @@
         ("execute node", Operation::Node(node_report())),
         (
             "execute node gone",
-            Operation::NodeGone {
+            Operation::NodeExpired {
                 name: "front-7".to_owned(),
                 incarnation: 32,
             },
@@ -105,7 +107,7 @@
             Operation::RetireStart {
                 node: "store-4".to_owned(),
                 tolerated_losses: 2,
-                fence: 33,
+                fencing_token: 33,
             },
         ),
         (
@@ -113,7 +115,7 @@
             Operation::RetireDone {
                 node: "store-4".to_owned(),
                 incarnation: 34,
-                round: 35,
+                epoch: 35,
             },
         ),
         ("execute budget lease", Operation::Budget(lease)),
@@ -129,16 +131,16 @@
         address: address(4, 7101),
         incarnation: 1_764_680_000_789,
         disk: 0x0102_0304_0506_0708,
-        whole: true,
+        complete: true,
     }
 }
 
-fn order() -> Order {
-    Order {
-        kind: OrderKind::Patch,
+fn order() -> ConfigurationRequest {
+    ConfigurationRequest {
+        kind: ConfigurationRequestKind::Patch,
         base: 11,
         body: br#"{"generation":12}"#.to_vec(),
-        fence: 13,
+        fencing_token: 13,
     }
 }
 
@@ -172,21 +174,21 @@
     }
 }
 
-fn load_report() -> Ask {
-    Ask {
+fn load_report() -> Report {
+    Report {
         service: "models".into(),
-        speaker: Speaker::Home {
+        reporter: Reporter::Aggregator {
             zone: "zone-a".into(),
             gateway: "front-7".into(),
         },
-        life: 23,
+        incarnation: 23,
         version: 24,
-        statement: Some(Statement {
+        table: Some(LoadTable {
             version: 24,
             loads: loads(),
         }),
-        known: Known {
-            life: 25,
+        known: KnownVersion {
+            incarnation: 25,
             version: 26,
         },
     }
--- a/crates/serving/dunespur/tests/bytes/values.rs
+++ b/crates/serving/dunespur/tests/bytes/values.rs
@@ -60,8 +60,8 @@
     vec![ServerLoad {
         server: "server-1".into(),
         in_flight: 3,
-        waiting_tokens: 4_000,
-        in_trouble: 2,
+        prefill_tokens: 4_000,
+        ejected_by: 2,
     }]
 }
 
