--- a/crates/serving/load-distribution/src/distribution.rs
+++ b/crates/serving/load-distribution/src/distribution.rs
@@ -1,4 +1,4 @@
-//! One gateway's part in the distribution of all services' loads: it reports its own, and sums those of its zone for
+//! One gateway's role in the distribution of all services' loads: it reports its own, and sums those of its zone for
 //! the services whose aggregator it is.
 
 use crate::aggregator::Aggregator;
@@ -97,7 +97,7 @@
     version: u64,
 }
 
-/// One gateway's part in the distribution of all services' loads.
+/// One gateway's role in the distribution of all services' loads.
 #[derive(Debug)]
 pub struct LoadDistribution {
     own: Identity,
--- a/crates/serving/load-distribution/src/failover.rs
+++ b/crates/serving/load-distribution/src/failover.rs
@@ -10,7 +10,7 @@
 /// Upper bound of the doublings of that time.
 const MAX_DOUBLINGS: u32 = 3;
 /// A gateway without a failure for this long is as good as any. Guards against flapping between an aggregator that
-/// responds now and then and the one that takes over from it.
+/// responds now and then and its successor.
 const FAILURE_TTL_MS: u64 = 20_000;
 
 /// A gateway that did not respond.
--- a/crates/serving/load-distribution/src/lib.rs
+++ b/crates/serving/load-distribution/src/lib.rs
@@ -13,7 +13,7 @@
 //! - `subscription`: the side that reports;
 //! - `aggregator`: the side that sums and updates;
 //! - `loads`: sums of loads by server;
-//! - [`distribution`]: one gateway's part on both sides.
+//! - [`distribution`]: one gateway's role on both sides.
 //!
 //! There is no I/O and no clock: the caller brings steady time in milliseconds, and carries [`Call`]s to other
 //! gateways and their updates back.
--- a/crates/serving/load-distribution/src/loads.rs
+++ b/crates/serving/load-distribution/src/loads.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The load as it is sent for a server.
+    /// The load in a message about a server.
     pub(crate) fn on_server(self, server: Rc<str>) -> ServerLoad {
         ServerLoad {
             server,
@@ -65,7 +65,7 @@
         .collect()
 }
 
-/// The loads as they are sent: servers without any are left out.
+/// The loads in a message: servers without any are left out.
 pub(crate) fn to_server_loads(loads: &LoadsByServer) -> Vec<ServerLoad> {
     let busy = loads.iter().filter(|(_, load)| !load.is_zero());
     busy.map(|(server, load)| load.on_server(server.clone()))
--- a/crates/serving/load-distribution/src/membership.rs
+++ b/crates/serving/load-distribution/src/membership.rs
@@ -1,6 +1,6 @@
 //! The gateways that are present, and which of them is the load aggregator of a service in a zone.
 //!
-//! Aggregators are found by rendezvous (highest-random-weight) hashing over the gateways present: all who know the same
+//! Aggregators are found by rendezvous (highest-random-weight) hashing of the gateways present: all who know the same
 //! membership find the same aggregator without communication, and a gateway that joins or departs moves only its own
 //! services.
 
@@ -49,7 +49,7 @@
             .max_by_key(|gateway| rank(key, gateway))
     }
 
-    /// The load aggregator and those that take over from it, in this order.
+    /// The load aggregator and its successors, in this order.
     #[must_use]
     pub fn ranked(&self, service: &str, zone: &str) -> Vec<&Gateway> {
         let key = key(service, zone);
--- a/crates/serving/load-distribution/src/message.rs
+++ b/crates/serving/load-distribution/src/message.rs
@@ -57,7 +57,7 @@
 /// Up to where the reporter knows the aggregator's table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownVersion {
-    /// The incarnation of the aggregator that sent it; 0 for none.
+    /// The incarnation of the aggregator whose table it is; 0 for none.
     pub incarnation: u64,
     /// Its version.
     pub version: u64,
--- a/crates/serving/load-distribution/src/subscription.rs
+++ b/crates/serving/load-distribution/src/subscription.rs
@@ -1,6 +1,6 @@
 //! The side that reports to an aggregator, and gets what is new there.
 //!
-//! Nothing is sent while there is nothing to report: a gateway with nothing in flight needs no loads of others.
+//! There are no reports while there is nothing to report: a gateway with nothing in flight needs no loads of others.
 
 use crate::failover::Failover;
 use crate::loads::{by_server, to_server_loads, LoadsByServer};
--- a/crates/serving/load-distribution/tests/common/mod.rs
+++ b/crates/serving/load-distribution/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A world of gateways for the tests: carries their calls, loses, doubles and delays some, and knows the truth.
+//! A simulated network of gateways: carries their calls, loses, duplicates and delays some, and knows the truth.
 #![allow(dead_code)]
 
 use dunespur_load_distribution::{
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::Xxh3;
 
-/// How long a message takes.
+/// Latency of a message.
 const LATENCY_MS: u64 = 2;
 
-/// A load without trouble.
+/// A load on a server that no gateway has ejected.
 pub fn load(server: &str, in_flight: u32) -> ServerLoad {
     let prefill_tokens = u64::from(in_flight) * 100;
     ServerLoad {
@@ -35,7 +35,7 @@
     }
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 enum Message {
     Report {
@@ -58,11 +58,11 @@
 /// What the network does to messages.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkFaults {
-    /// Of a hundred messages so many are lost.
+    /// Percentage of messages that are lost.
     pub lost: u32,
-    /// Of a hundred so many come twice.
+    /// Percentage that arrive twice.
     pub duplicated: u32,
-    /// Of a hundred so many are late by up to two seconds.
+    /// Percentage that are delayed by up to two seconds.
     pub delayed: u32,
 }
 
@@ -73,24 +73,24 @@
     pub address: SocketAddr,
     /// What it has in flight.
     pub own: BTreeMap<Rc<str>, Vec<ServerLoad>>,
-    /// What it was last told of the others.
+    /// The last update of the other gateways' loads.
     pub remote_loads: BTreeMap<Rc<str>, Vec<ServerLoad>>,
     /// Calls that it made.
     pub calls: u64,
-    /// Asks that it answered.
+    /// Updates that it answered reports with.
     pub updates: u64,
     /// It neither acts nor answers.
     pub down: bool,
-    /// Over what it was told.
+    /// A hash of all updates of the other gateways' loads.
     digest: Xxh3,
 }
 
-/// All of them.
+/// All gateways and the network between them.
 pub struct World {
     pub now: Millis,
     pub network: NetworkFaults,
     pub nodes: BTreeMap<Rc<str>, Node>,
-    /// Pairs of gateways between which nothing passes.
+    /// Pairs of gateways, sender first, between which all messages are lost.
     pub partitions: BTreeSet<(Rc<str>, Rc<str>)>,
     random: Rng,
     messages: BTreeMap<(Millis, u64), Message>,
@@ -122,7 +122,7 @@
         world
     }
 
-    /// Starts a gateway's process, anew if there was one; the others are not told.
+    /// Starts a gateway's process, with a new incarnation; the others are not notified.
     pub fn start(&mut self, name: &str, zone: &str) {
         self.next_incarnation += 1;
         let number = self
@@ -148,7 +148,7 @@
         self.nodes.insert(name.into(), node);
     }
 
-    /// The list of gateways that are up.
+    /// The gateways that are up.
     pub fn members(&self) -> Vec<Gateway> {
         let up = self.nodes.values().filter(|node| !node.down);
         up.map(|node| {
@@ -163,7 +163,18 @@
         .collect()
     }
 
-    /// Everybody learns who is up.
+    /// Stops or resumes a gateway, as if frozen.
+    pub fn set_down(&mut self, name: &str, down: bool) {
+        self.nodes.get_mut(name).expect("a known gateway").down = down;
+    }
+
+    /// One gateway takes this for the membership.
+    pub fn set_members(&mut self, name: &str, members: Vec<Gateway>) {
+        let node = self.nodes.get_mut(name).expect("a known gateway");
+        node.distribution.set_gateways(members);
+    }
+
+    /// Notifies all gateways of those that are up.
     pub fn announce_members(&mut self) {
         let members = self.members();
         for node in self.nodes.values_mut() {
@@ -183,7 +194,7 @@
         node.distribution.set_own_loads(&service.into(), loads, now);
     }
 
-    /// Nothing passes between the two from now on, or everything again.
+    /// Begins or ends a network partition between two gateways.
     pub fn set_partitioned(&mut self, one: &str, other: &str, partitioned: bool) {
         for pair in [(one, other), (other, one)] {
             let pair = (pair.0.into(), pair.1.into());
@@ -194,14 +205,14 @@
         }
     }
 
-    /// The home of a service in a zone, as the gateway `by` sees it.
+    /// The aggregator of a service in a zone, as the gateway `by` sees it.
     pub fn aggregator(&self, by: &str, service: &str, zone: &str) -> Rc<str> {
         let aggregator = self
             .node(by)
             .distribution
             .membership()
             .aggregator(service, zone);
-        aggregator.expect("a home").name.clone()
+        aggregator.expect("a gateway is present").name.clone()
     }
 
     /// What the others have, in truth, by server.
@@ -217,15 +228,16 @@
         truth
     }
 
-    /// What it was told that the others have, by server.
+    /// What the gateway believes that the others have, by server.
     pub fn belief(&self, name: &str, service: &str) -> BTreeMap<Rc<str>, u32> {
-        let told = self
+        let believed = self
             .node(name)
             .remote_loads
             .get(service)
             .into_iter()
             .flatten();
-        told.map(|load| (load.server.clone(), load.in_flight))
+        believed
+            .map(|load| (load.server.clone(), load.in_flight))
             .collect()
     }
 
@@ -234,7 +246,7 @@
         self.nodes.values().map(|node| node.calls).sum()
     }
 
-    /// A hash over all messages and all that gateways were told, with their times.
+    /// A hash of all messages and updates, with their times.
     pub fn digest(&self) -> u64 {
         let mut digest = self.digest.clone();
         for (name, node) in &self.nodes {
@@ -253,7 +265,7 @@
         digest.digest()
     }
 
-    /// Lets so much time pass, a millisecond a step.
+    /// Advances the time, a millisecond a step.
     pub fn advance(&mut self, time: Millis) {
         for _ in 0..time {
             self.now += 1;
@@ -329,7 +341,7 @@
                 number,
             } => {
                 if self.nodes[&to].down {
-                    // A frozen process finds its timers over when it thaws.
+                    // A frozen process finds its timers expired when it thaws.
                     return self.send_at(
                         now + 1,
                         Message::Failed {
--- a/crates/serving/load-distribution/tests/exchange.rs
+++ b/crates/serving/load-distribution/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! What gateways learn of each other through homes, and what it costs.
+//! What gateways learn of each other through aggregators, and what it costs.
 
 mod common;
 
@@ -8,7 +8,7 @@
 };
 
 const SERVICE: &str = "pool";
-/// A load that stays is renewed within this time, the way included.
+/// A load that stays is renewed within this time, latency included.
 const RENEWED_MS: u64 = 1_010;
 const ZONES: [&str; 3] = ["east", "north", "west"];
 
@@ -231,6 +231,9 @@
         loads,
     };
     assert_eq!(remote.ejected(12).len(), 4);
-    assert!(remote.ejected(11).is_empty(), "it is the one who says it");
+    assert!(
+        remote.ejected(11).is_empty(),
+        "the reporter is more likely at fault"
+    );
     assert!(remote.ejected(0).is_empty());
 }
--- a/crates/serving/load-distribution/tests/failures.rs
+++ b/crates/serving/load-distribution/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Homes and subscribers that die, freeze, restart or are cut off, and messages that come late or twice.
+//! Aggregators and subscribers that die, freeze, restart or are partitioned, and late and duplicate messages.
 
 mod common;
 
@@ -9,12 +9,12 @@
 use std::rc::Rc;
 
 const SERVICE: &str = "pool";
-/// Statements that are not renewed count for so long.
+/// Tables that are not renewed become stale after this time.
 const STALE_MS: u64 = 2_500;
-/// A home that fails is left alone for this long at first.
+/// An unresponsive aggregator gets no reports for this long at first.
 const INITIAL_BACKOFF_MS: u64 = 1_000;
 
-/// Three gateways of a zone with loads, and the home among them.
+/// Three gateways of a zone with loads: the world, the aggregator's name, the others' names.
 fn zone_of_three(seed: u64) -> (World, Rc<str>, Vec<Rc<str>>) {
     let mut world = World::new(seed, &["north"], 3);
     let names: Vec<Rc<str>> = world.nodes.keys().cloned().collect();
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn subscribers_of_an_unresponsive_aggregator_fail_over_before_the_core_has_noticed() {
+fn subscribers_of_an_unresponsive_aggregator_switch_before_the_core_has_noticed() {
     let (mut world, aggregator, others) = zone_of_three(1);
-    world.nodes.get_mut(&aggregator).unwrap().down = true;
+    world.set_down(&aggregator, true);
     for step in 0..20 {
         for name in &others {
             world.set(name, SERVICE, &[load("s1", step + 1)]);
@@ -57,7 +57,7 @@
 #[test]
 fn an_aggregator_that_departs_is_succeeded_by_the_next_at_once() {
     let (mut world, aggregator, others) = zone_of_three(2);
-    world.nodes.get_mut(&aggregator).unwrap().down = true;
+    world.set_down(&aggregator, true);
     world.announce_members();
     for name in &others {
         world.set(name, SERVICE, &[load("s2", 4)]);
@@ -82,7 +82,7 @@
     assert_beliefs(&world, &all);
     assert!(
         others.iter().all(|name| world.node(name).updates == 0),
-        "the home is where it was"
+        "the aggregator is the same gateway"
     );
 }
 
@@ -91,12 +91,7 @@
     let (mut world, aggregator, _) = zone_of_three(4);
     let members = world.members();
     world.start(&aggregator, "north");
-    world
-        .nodes
-        .get_mut(&aggregator)
-        .unwrap()
-        .distribution
-        .set_gateways(members);
+    world.set_members(&aggregator, members);
     world.set(&aggregator, SERVICE, &[load("s1", 9)]);
     world.advance(1_500);
     let all: Vec<Rc<str>> = world.nodes.keys().cloned().collect();
@@ -108,10 +103,10 @@
     let (mut world, aggregator, others) = zone_of_three(5);
     let mut moves = 0;
     let mut before = world.node(&aggregator).updates;
-    // Silent for most of each second: it answers some asks, and fails others.
+    // Unresponsive for most of each second: it answers some reports, and misses others.
     for second in 0..60 {
         for step in 0..10 {
-            world.nodes.get_mut(&aggregator).unwrap().down = step > 0;
+            world.set_down(&aggregator, step > 0);
             for name in &others {
                 world.set(name, SERVICE, &[load("s1", second * 10 + step + 1)]);
             }
@@ -121,20 +116,20 @@
         moves += u32::from(updates > before);
         before = updates;
     }
-    assert!(moves <= 15, "asked again in {moves} of 60 seconds");
+    assert!(moves <= 15, "reported to again in {moves} of 60 seconds");
 }
 
 #[test]
 fn an_aggregator_that_thaws_gets_reports_again_after_a_bounded_time() {
     let (mut world, aggregator, others) = zone_of_three(6);
-    world.nodes.get_mut(&aggregator).unwrap().down = true;
+    world.set_down(&aggregator, true);
     for step in 0..10 {
         for name in &others {
             world.set(name, SERVICE, &[load("s1", step + 1)]);
         }
         world.advance(100);
     }
-    world.nodes.get_mut(&aggregator).unwrap().down = false;
+    world.set_down(&aggregator, false);
     let before = world.node(&aggregator).updates;
     for step in 0..(3 * INITIAL_BACKOFF_MS / 100) {
         for name in &others {
@@ -149,7 +144,7 @@
 fn the_loads_of_a_dead_subscriber_expire() {
     let (mut world, aggregator, others) = zone_of_three(7);
     let dead = others[0].clone();
-    world.nodes.get_mut(&dead).unwrap().down = true;
+    world.set_down(&dead, true);
     for step in 0..(STALE_MS / 100 + 10) {
         world.set(&aggregator, SERVICE, &[load("s1", step as u32 % 5 + 1)]);
         world.set(&others[1], SERVICE, &[load("s1", step as u32 % 3 + 1)]);
@@ -162,7 +157,7 @@
 #[test]
 fn the_loads_of_a_departed_subscriber_are_removed_at_once() {
     let (mut world, aggregator, others) = zone_of_three(8);
-    world.nodes.get_mut(&others[0]).unwrap().down = true;
+    world.set_down(&others[0], true);
     world.announce_members();
     world.set(&aggregator, SERVICE, &[load("s1", 1), load("s2", 1)]);
     world.advance(300);
@@ -172,18 +167,13 @@
 #[test]
 fn gateways_that_disagree_about_the_aggregator_agree_again() {
     let (mut world, aggregator, others) = zone_of_three(9);
-    // One of them has not heard of the home, and asks the next one.
+    // One of them does not know the aggregator, and reports to the next one.
     let members: Vec<_> = world
         .members()
         .into_iter()
         .filter(|gateway| gateway.name != aggregator)
         .collect();
-    world
-        .nodes
-        .get_mut(&others[0])
-        .unwrap()
-        .distribution
-        .set_gateways(members);
+    world.set_members(&others[0], members);
     for step in 0..30 {
         for name in &others {
             world.set(name, SERVICE, &[load("s1", step + 1)]);
@@ -204,7 +194,7 @@
 fn an_unresponsive_aggregator_in_another_zone_is_succeeded_by_the_next_there() {
     let mut world = World::new(10, &["north", "west"], 3);
     let aggregator = world.aggregator("north-1", SERVICE, "west");
-    world.nodes.get_mut(&aggregator).unwrap().down = true;
+    world.set_down(&aggregator, true);
     let up: Vec<Rc<str>> = world
         .nodes
         .keys()
@@ -237,7 +227,7 @@
     assert_beliefs(&world, &["north-1".into(), "west-1".into()]);
 }
 
-/// A home that is asked directly.
+/// An aggregator that gets reports without a network.
 struct DirectReports {
     aggregator: LoadDistribution,
     now: u64,
@@ -246,7 +236,7 @@
 impl DirectReports {
     fn new() -> DirectReports {
         let identity = Identity {
-            name: "home".into(),
+            name: "aggregator".into(),
             zone: "north".into(),
             incarnation: 5,
         };
@@ -299,12 +289,12 @@
     assert_eq!(
         direct.report("a", 2, 1, &[load("s1", 3)]),
         [load("s1", 3)],
-        "another life"
+        "a new incarnation"
     );
     assert_eq!(
         direct.report("a", 1, 7, &[load("s1", 9)]),
         [load("s1", 3)],
-        "of a life that is over"
+        "of an incarnation that has ended"
     );
 }
 
--- a/crates/serving/load-distribution/tests/faults.rs
+++ b/crates/serving/load-distribution/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Seeded worlds of gateways under lost, doubled and late messages, restarts, freezes and cuts: once it is calm,
-//! everybody knows what the others have.
+//! Seeded worlds of gateways under lost, duplicated and delayed messages, restarts, freezes and partitions: once the
+//! faults end, all gateways know what the others have.
 
 mod common;
 
@@ -11,9 +11,9 @@
 const SEEDS: u64 = 60;
 const DIGEST_SEEDS: u64 = 100;
 const SERVICES: [&str; 2] = ["pool", "apps"];
-/// Statements go stale, silences are forgiven and sums travel within this time.
+/// Tables become stale, backoffs end and sums are published within this time.
 const SETTLING_MS: u64 = 14_000;
-/// What a fault lasts at most.
+/// Upper bound of a fault's duration.
 const FAULT_MS: u64 = 3_000;
 
 fn random_loads(random: &mut Rng) -> Vec<ServerLoad> {
@@ -34,8 +34,8 @@
                 world.announce_members();
             }
         }
-        1 => world.nodes.get_mut(&name).unwrap().down = true,
-        2 => world.nodes.get_mut(&name).unwrap().down = false,
+        1 => world.set_down(&name, true),
+        2 => world.set_down(&name, false),
         3 => world.announce_members(),
         4 => {
             let other = names[random.usize(..names.len())].clone();
@@ -50,12 +50,7 @@
                 .into_iter()
                 .filter(|_| random.u32(0..5) > 0)
                 .collect();
-            world
-                .nodes
-                .get_mut(&name)
-                .unwrap()
-                .distribution
-                .set_gateways(members);
+            world.set_members(&name, members);
         }
     }
 }
@@ -150,7 +145,7 @@
             change_loads(&mut world, &mut random);
             world.advance(50);
         }
-        // Each gateway: four asks a second for each service to its home, two to each of two other zones as a home,
+        // Each gateway: four reports a second for each service to its aggregator, two to each of two other zones as one,
         // and as many again for failures.
         let bound = 2 * 5 * (4 + 2 * 2) * 2 * world.nodes.len() as u64;
         assert!(
@@ -161,7 +156,8 @@
     }
 }
 
-/// A seed gives the same world in every version: each message with its time and bytes, and all that gateways are told.
+/// A seed gives the same world in every version: each message with its time and bytes, and all
+/// updates.
 #[test]
 fn worlds_keep_their_digests() {
     let mut digests = String::new();
--- a/crates/serving/load-distribution/tests/membership.rs
+++ b/crates/serving/load-distribution/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which gateway is the home of a service in a zone.
+//! Which gateway is the aggregator of a service in a zone.
 
 mod common;
 
@@ -18,7 +18,7 @@
 fn aggregator(membership: &Membership, service: &str, zone: &str) -> Rc<str> {
     membership
         .aggregator(service, zone)
-        .expect("a home")
+        .expect("a gateway is present")
         .name
         .clone()
 }
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn services_are_spread_over_the_gateways_of_a_zone() {
+fn services_are_balanced_among_the_gateways_of_a_zone() {
     let membership = Membership::new(gateways());
     for number in 1..=4 {
         let name = format!("north-{number}");
@@ -51,7 +51,7 @@
             .count();
         assert!(
             (25..=80).contains(&count),
-            "{name} is the home of {count} of 200"
+            "{name} aggregates {count} of 200"
         );
     }
 }
@@ -83,7 +83,7 @@
         .iter()
         .map(|service| aggregator(&membership, service, "nowhere"))
         .collect();
-    assert_eq!(aggregators.len(), 6, "all gateways have a part");
+    assert_eq!(aggregators.len(), 6, "all gateways aggregate some");
     assert!(Membership::default()
         .aggregator("service", "north")
         .is_none());
--- a/crates/serving/load-distribution/tests/wire_format.rs
+++ b/crates/serving/load-distribution/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! The bytes of each message between gateways: postcard goes by the position of a field and the order of variants, so
 //! gateways of two versions understand each other only while these bytes stay.
 //!
-//! `tests/fixtures/*.hex` hold the bytes as they were first released; a fixture is never changed.
+//! `tests/fixtures/*.hex` are the bytes that an earlier version wrote; a fixture is never changed.
 
 use dunespur_load_distribution::{KnownVersion, LoadTable, Report, Reporter, ServerLoad, Update};
 use serde::de::DeserializeOwned;
@@ -31,7 +31,7 @@
     let bytes = from_hex(fixture);
     let (read, rest) = postcard::take_from_bytes::<T>(&bytes).expect("the fixture can be read");
     assert_eq!(&read, value);
-    assert!(rest.is_empty(), "{} bytes are left over", rest.len());
+    assert!(rest.is_empty(), "{} bytes are left", rest.len());
 }
 
 fn load_of(server: &str, first: u32) -> ServerLoad {
