--- /dev/null
+++ b/crates/serving/chain-replication/src/failure_detector.rs
@@ -0,0 +1,295 @@
+//! The failure detector: what a member knows of the others from their pings. Whom it hears, who hears it, and who is
+//! connected with whom.
+
+use crate::identity::MemberId;
+use crate::message::Ping;
+use crate::timing::{
+    Millis, ECHO_TIMEOUT, EVICTION_MEMORY, GRACE_PERIOD, MAX_READMISSION_DOUBLINGS, QUORUM_TIMEOUT,
+    READMISSION_DELAY, SUSPECT_TIMEOUT, SUSPECT_TIMEOUT_AFTER_DISCONNECT,
+};
+use crate::view::{View, ViewNumber};
+
+/// What is known of one other member.
+#[derive(Clone, Debug)]
+struct PeerState {
+    id: MemberId,
+    /// When a message of it last came, or what counts as that after our own suspension.
+    last_heard_at: Millis,
+    /// Its connection was refused or reset then, and nothing of it has come since.
+    disconnected_at: Option<Millis>,
+    /// When we sent the newest of our timestamps that it has echoed.
+    echoed_sent_at: Option<Millis>,
+    /// The view that it was in when it echoed that.
+    echoed_in_view: ViewNumber,
+    /// Until then it is taken to hear us without an echo.
+    presumed_hearing_until: Millis,
+    /// Its newest timestamp, to be echoed.
+    timestamp: Option<u64>,
+    last_ping: Option<Ping>,
+    /// Recent evictions from the chain.
+    evictions: u32,
+    last_eviction_at: Millis,
+    /// Since when it could have been readmitted to the chain.
+    eligible_since: Option<Millis>,
+}
+
+impl PeerState {
+    fn new(id: MemberId, now: Millis) -> PeerState {
+        PeerState {
+            id,
+            last_heard_at: now,
+            disconnected_at: None,
+            echoed_sent_at: None,
+            echoed_in_view: 0,
+            presumed_hearing_until: now + ECHO_TIMEOUT,
+            timestamp: None,
+            last_ping: None,
+            evictions: 0,
+            last_eviction_at: 0,
+            eligible_since: None,
+        }
+    }
+
+    /// When it becomes suspected, unless it is heard before.
+    fn suspected_at(&self) -> Millis {
+        let by_timeout = self.last_heard_at + SUSPECT_TIMEOUT;
+        self.disconnected_at.map_or(by_timeout, |at| {
+            by_timeout.min(at + SUSPECT_TIMEOUT_AFTER_DISCONNECT)
+        })
+    }
+
+    fn is_alive(&self, now: Millis) -> bool {
+        now < self.suspected_at()
+    }
+
+    fn has_echoed_lately(&self, now: Millis) -> bool {
+        self.echoed_sent_at
+            .is_some_and(|sent_at| now < sent_at + ECHO_TIMEOUT)
+    }
+
+    fn hears_us(&self, now: Millis) -> bool {
+        now < self.presumed_hearing_until || self.has_echoed_lately(now)
+    }
+}
+
+/// Whether a ping tells anything that bears on who should be in the chain.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum PingNews {
+    Unchanged,
+    Changed,
+}
+
+/// All other members of the view.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct FailureDetector {
+    peers: Vec<PeerState>,
+}
+
+impl FailureDetector {
+    fn peer(&self, id: &MemberId) -> Option<&PeerState> {
+        self.peers.iter().find(|peer| peer.id == *id)
+    }
+
+    fn peer_mut(&mut self, id: &MemberId) -> Option<&mut PeerState> {
+        self.peers.iter_mut().find(|peer| peer.id == *id)
+    }
+
+    /// Keeps what is known of the view's members, forgets others, and counts who was evicted from the chain.
+    /// One that isn't a member exchanges no pings, so it knows nothing.
+    pub(crate) fn install_view(
+        &mut self,
+        before: Option<&View>,
+        view: &View,
+        me: &MemberId,
+        now: Millis,
+    ) {
+        self.peers
+            .retain(|peer| view.has_member(&peer.id) && view.has_member(me));
+        if !view.has_member(me) {
+            return;
+        }
+        for member in view.members.iter().filter(|member| member.id != *me) {
+            if self.peer(&member.id).is_none() {
+                self.peers.push(PeerState::new(member.id.clone(), now));
+            }
+        }
+        let Some(before) = before else { return };
+        for peer in &mut self.peers {
+            peer.eligible_since = None;
+            if before.in_chain(&peer.id) && !view.in_chain(&peer.id) {
+                let recent = now.saturating_sub(peer.last_eviction_at) < EVICTION_MEMORY;
+                peer.evictions = if recent { peer.evictions + 1 } else { 1 };
+                peer.last_eviction_at = now;
+            }
+        }
+    }
+
+    /// Any message of it has come.
+    pub(crate) fn heard(&mut self, id: &MemberId, now: Millis) {
+        if let Some(peer) = self.peer_mut(id) {
+            peer.last_heard_at = now;
+            peer.disconnected_at = None;
+        }
+    }
+
+    /// A ping of it has come, which echoes what we sent at that time.
+    pub(crate) fn ping_received(
+        &mut self,
+        id: &MemberId,
+        ping: Ping,
+        echoed_sent_at: Option<Millis>,
+    ) -> PingNews {
+        let Some(peer) = self.peer_mut(id) else {
+            return PingNews::Unchanged;
+        };
+        let first_echo = peer.echoed_sent_at.is_none();
+        peer.timestamp = Some(ping.timestamp);
+        if echoed_sent_at >= peer.echoed_sent_at {
+            peer.echoed_sent_at = echoed_sent_at;
+            peer.echoed_in_view = ping.view;
+        }
+        let reports_same = peer
+            .last_ping
+            .as_ref()
+            .is_some_and(|last| reports_same(last, &ping));
+        peer.last_ping = Some(ping);
+        if first_echo || !reports_same {
+            PingNews::Changed
+        } else {
+            PingNews::Unchanged
+        }
+    }
+
+    /// The connection to it was refused or reset.
+    pub(crate) fn disconnected(&mut self, id: &MemberId, now: Millis) {
+        if let Some(peer) = self.peer_mut(id) {
+            peer.disconnected_at.get_or_insert(now);
+        }
+    }
+
+    pub(crate) fn is_disconnected(&self, id: &MemberId) -> bool {
+        self.peer(id)
+            .is_some_and(|peer| peer.disconnected_at.is_some())
+    }
+
+    /// Our own process was suspended: what wasn't heard meanwhile says nothing. Everyone gets some time to be heard.
+    pub(crate) fn grant_grace_period(&mut self, now: Millis) {
+        for peer in &mut self.peers {
+            let earliest = (now + GRACE_PERIOD).saturating_sub(SUSPECT_TIMEOUT);
+            peer.last_heard_at = peer.last_heard_at.max(earliest);
+            peer.disconnected_at = None;
+            peer.presumed_hearing_until = peer.presumed_hearing_until.max(now + GRACE_PERIOD);
+            peer.eligible_since = None;
+        }
+    }
+
+    /// Our clock went back: what was echoed says nothing any more.
+    pub(crate) fn forget_echoes(&mut self) {
+        for peer in &mut self.peers {
+            peer.echoed_sent_at = None;
+        }
+    }
+
+    /// Heard lately.
+    pub(crate) fn is_alive(&self, id: &MemberId, now: Millis) -> bool {
+        self.peer(id).is_some_and(|peer| peer.is_alive(now))
+    }
+
+    /// Alive, and taken to hear us.
+    pub(crate) fn is_connected(&self, id: &MemberId, now: Millis) -> bool {
+        self.peer(id)
+            .is_some_and(|peer| peer.is_alive(now) && peer.hears_us(now))
+    }
+
+    /// Alive, and shown to hear us.
+    pub(crate) fn is_confirmed_connected(&self, id: &MemberId, now: Millis) -> bool {
+        self.peer(id)
+            .is_some_and(|peer| peer.is_alive(now) && peer.has_echoed_lately(now))
+    }
+
+    /// Has replied to what we sent lately, in this view.
+    pub(crate) fn has_replied_lately(&self, id: &MemberId, view: ViewNumber, now: Millis) -> bool {
+        self.peer(id).is_some_and(|peer| {
+            let lately = peer
+                .echoed_sent_at
+                .is_some_and(|at| now <= at + QUORUM_TIMEOUT);
+            lately && peer.echoed_in_view == view
+        })
+    }
+
+    /// Was heard lately, in this view: for tests that remove `Safeguard::QuorumBySendTime`.
+    pub(crate) fn was_heard_lately(&self, id: &MemberId, view: ViewNumber, now: Millis) -> bool {
+        self.peer(id).is_some_and(|peer| {
+            let same_view = peer
+                .last_ping
+                .as_ref()
+                .is_some_and(|ping| ping.view == view);
+            now <= peer.last_heard_at + QUORUM_TIMEOUT && same_view
+        })
+    }
+
+    /// Time since anything was heard of it.
+    pub(crate) fn silent_for(&self, id: &MemberId, now: Millis) -> Millis {
+        self.peer(id)
+            .map_or(0, |peer| now.saturating_sub(peer.last_heard_at))
+    }
+
+    /// Its newest ping, if it was in this view then.
+    pub(crate) fn last_ping(&self, id: &MemberId, view: ViewNumber) -> Option<&Ping> {
+        self.peer(id)?
+            .last_ping
+            .as_ref()
+            .filter(|ping| ping.view == view)
+    }
+
+    /// Whether it has said that its process is about to end, in whichever view. One that comes back takes it back.
+    pub(crate) fn is_leaving(&self, id: &MemberId) -> bool {
+        self.peer(id)
+            .and_then(|peer| peer.last_ping.as_ref())
+            .is_some_and(|ping| ping.leaving)
+    }
+
+    /// Its newest timestamp, to be echoed.
+    pub(crate) fn timestamp(&self, id: &MemberId) -> Option<u64> {
+        self.peer(id)?.timestamp
+    }
+
+    /// Records whether it could be readmitted to the chain now; whether it has been so for long enough.
+    pub(crate) fn update_eligibility(
+        &mut self,
+        id: &MemberId,
+        eligible: bool,
+        now: Millis,
+    ) -> bool {
+        let Some(peer) = self.peer_mut(id) else {
+            return false;
+        };
+        if !eligible {
+            peer.eligible_since = None;
+            return false;
+        }
+        let doublings = peer
+            .evictions
+            .saturating_sub(1)
+            .min(MAX_READMISSION_DOUBLINGS);
+        now >= *peer.eligible_since.get_or_insert(now) + (READMISSION_DELAY << doublings)
+    }
+
+    /// The next time after `now` at which another becomes suspected.
+    pub(crate) fn next_suspicion(&self, now: Millis) -> Option<Millis> {
+        self.peers
+            .iter()
+            .map(PeerState::suspected_at)
+            .filter(|at| *at > now)
+            .min()
+    }
+}
+
+/// Whether two pings tell the same as to who should be in the chain.
+fn reports_same(one: &Ping, other: &Ping) -> bool {
+    one.view == other.view
+        && one.connected == other.connected
+        && one.synced == other.synced
+        && one.disk_stalled == other.disk_stalled
+        && one.leaving == other.leaving
+}
--- a/crates/serving/chain-replication/src/log.rs
+++ b/crates/serving/chain-replication/src/log.rs
@@ -1,126 +1,63 @@
-//! The replicated sequence as one member holds it in memory: what came after its newest snapshot, and a little before.
+//! The replicated log as one member keeps it in memory: what came after its newest snapshot, and a little before.
 
-use serde::de::{Error, SeqAccess, Visitor};
-use serde::{Deserialize, Deserializer, Serialize, Serializer};
+use crate::identity::Incarnation;
+use crate::payload::Payload;
+use crate::view::ViewNumber;
+use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
-use std::fmt;
-use std::sync::Arc;
 
-/// Bytes of the caller that are shared between the log, the disk's writes and messages.
-#[derive(Clone, PartialEq, Eq)]
-pub struct Payload(Arc<[u8]>);
+/// Where an entry stands in the log, from 1; 0 is before the first entry.
+pub type LogIndex = u64;
 
-impl Payload {
-    pub fn bytes(&self) -> &[u8] {
-        &self.0
-    }
-
-    pub fn len(&self) -> usize {
-        self.0.len()
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.0.is_empty()
-    }
-
-    pub fn to_vec(&self) -> Vec<u8> {
-        self.0.to_vec()
-    }
-}
-
-impl From<Vec<u8>> for Payload {
-    fn from(bytes: Vec<u8>) -> Payload {
-        Payload(bytes.into())
-    }
-}
-
-impl From<&[u8]> for Payload {
-    fn from(bytes: &[u8]) -> Payload {
-        Payload(bytes.into())
-    }
-}
-
-impl fmt::Debug for Payload {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "Payload({} bytes)", self.len())
-    }
-}
-
-impl Serialize for Payload {
-    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.serialize_bytes(&self.0)
-    }
-}
-
-impl<'de> Deserialize<'de> for Payload {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Payload, D::Error> {
-        struct Bytes;
-        impl<'de> Visitor<'de> for Bytes {
-            type Value = Payload;
-
-            fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-                formatter.write_str("bytes")
-            }
-
-            fn visit_bytes<E: Error>(self, bytes: &[u8]) -> Result<Payload, E> {
-                Ok(Payload::from(bytes))
-            }
-
-            fn visit_byte_buf<E: Error>(self, bytes: Vec<u8>) -> Result<Payload, E> {
-                Ok(Payload::from(bytes))
-            }
-
-            fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<Payload, A::Error> {
-                let mut bytes = Vec::new();
-                while let Some(byte) = sequence.next_element::<u8>()? {
-                    bytes.push(byte);
-                }
-                Ok(Payload::from(bytes))
-            }
-        }
-        deserializer.deserialize_bytes(Bytes)
-    }
-}
+/// A number by which the caller recognises its own submission or read. It doesn't come twice in one incarnation.
+pub type Ticket = u64;
 
-/// A place in the sequence. Two logs that have the same position are alike up to it: in one view only its head
-/// appends, and only to its own log.
+/// A position in the log. Two logs that have the same position are alike up to it (the log matching property of Raft,
+/// with views for terms): in one view only its head appends, and only to its own log.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// From 1; 0 is the place before the first entry.
-    pub index: u64,
+    /// Where the entry stands.
+    pub index: LogIndex,
     /// The view in which the head appended the entry.
-    pub view: u64,
+    pub view: ViewNumber,
 }
 
 /// Who submitted an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// One run of a member's process.
-    pub session: u64,
-    pub ticket: u64,
+    /// The run of the process at which it was submitted.
+    pub incarnation: Incarnation,
+    /// The caller's ticket there.
+    pub ticket: Ticket,
 }
 
-/// One payload in the sequence.
+/// One payload in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
+    /// Where it stands.
     pub position: Position,
+    /// Who submitted it.
     pub origin: Origin,
+    /// What was submitted.
     pub payload: Payload,
 }
 
-/// About what an entry takes besides its payload.
-const ENTRY_OVERHEAD: usize = 64;
+/// About the bytes that an entry takes besides its payload.
+const ENTRY_OVERHEAD_BYTES: usize = 64;
 
 impl Entry {
-    pub fn index(&self) -> u64 {
+    /// Where it stands.
+    #[must_use]
+    pub fn index(&self) -> LogIndex {
         self.position.index
     }
 
-    /// About the bytes it takes in memory and in messages.
-    pub fn size(&self) -> usize {
-        self.payload.len() + ENTRY_OVERHEAD
+    /// About the bytes that it takes in memory and in messages.
+    #[must_use]
+    pub fn size_bytes(&self) -> usize {
+        self.payload.len() + ENTRY_OVERHEAD_BYTES
     }
 }
 
@@ -129,16 +66,16 @@
 pub struct Log {
     start: Position,
     entries: VecDeque<Entry>,
-    bytes: usize,
+    size_bytes: usize,
 }
 
 impl Log {
-    /// What was found on disk: entries up to `start` are within the snapshot.
+    /// What was found on disk: entries up to `start` are in the snapshot.
+    #[must_use]
     pub fn restore(start: Position, entries: Vec<Entry>) -> Log {
         let mut log = Log {
             start,
-            entries: VecDeque::new(),
-            bytes: 0,
+            ..Log::default()
         };
         for entry in entries {
             if entry.index() == log.last().index + 1 {
@@ -148,29 +85,36 @@
         log
     }
 
-    /// The position before the first entry held.
+    /// The position before the first entry in memory.
+    #[must_use]
     pub fn start(&self) -> Position {
         self.start
     }
 
+    /// The position of the last entry.
+    #[must_use]
     pub fn last(&self) -> Position {
         self.entries
             .back()
             .map_or(self.start, |entry| entry.position)
     }
 
-    /// About the bytes of all entries held.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    /// About the bytes of all entries in memory.
+    #[must_use]
+    pub fn size_bytes(&self) -> usize {
+        self.size_bytes
     }
 
-    pub fn get(&self, index: u64) -> Option<&Entry> {
+    /// The entry at `index`, if it is in memory.
+    #[must_use]
+    pub fn get(&self, index: LogIndex) -> Option<&Entry> {
         let offset = index.checked_sub(self.start.index + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// The position at `index`, if it is `start` or held.
-    pub fn position(&self, index: u64) -> Option<Position> {
+    /// The position at `index`, if it is `start` or that of an entry in memory.
+    #[must_use]
+    pub fn position(&self, index: LogIndex) -> Option<Position> {
         if index == self.start.index {
             return Some(self.start);
         }
@@ -178,30 +122,35 @@
     }
 
     /// Whether this log is like another up to that position of the other.
-    pub fn holds(&self, position: Position) -> bool {
+    #[must_use]
+    pub fn matches(&self, position: Position) -> bool {
         self.position(position.index) == Some(position)
     }
 
+    /// Adds an entry at the end.
     pub fn append(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index(), self.last().index + 1);
-        self.bytes += entry.size();
+        self.size_bytes += entry.size_bytes();
         self.entries.push_back(entry);
     }
 
-    /// Drops all entries after `index`.
-    pub fn truncate(&mut self, index: u64) {
+    /// Removes all entries after `index`.
+    pub fn truncate(&mut self, index: LogIndex) {
         while self.last().index > index.max(self.start.index) {
-            self.bytes -= self.entries.pop_back().map_or(0, |entry| entry.size());
+            self.size_bytes -= self
+                .entries
+                .pop_back()
+                .map_or(0, |entry| entry.size_bytes());
         }
     }
 
-    /// Drops the entries up to `index`, which are in a snapshot.
-    pub fn forget(&mut self, index: u64) {
+    /// Removes the entries up to `index`, which are in a snapshot.
+    pub fn compact(&mut self, index: LogIndex) {
         while self.start.index < index {
             let Some(entry) = self.entries.pop_front() else {
                 return;
             };
-            self.bytes -= entry.size();
+            self.size_bytes -= entry.size_bytes();
             self.start = entry.position;
         }
     }
@@ -210,28 +159,29 @@
     pub fn reset(&mut self, position: Position) {
         *self = Log {
             start: position,
-            entries: VecDeque::new(),
-            bytes: 0,
+            ..Log::default()
         };
     }
 
-    /// Entries after `from` up to `to`, at least one if there is one, no more than `most_bytes` otherwise.
-    pub fn copy(&self, from: u64, to: u64, most_bytes: usize) -> Vec<Entry> {
+    /// Entries after `from` up to `to`: at least one if there is one, otherwise no more than `max_bytes`.
+    #[must_use]
+    pub fn entries_between(&self, from: LogIndex, to: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let mut bytes = 0;
-        let mut copied = Vec::new();
+        let mut entries = Vec::new();
         for index in from + 1..=to {
             let Some(entry) = self.get(index) else { break };
-            if !copied.is_empty() && bytes + entry.size() > most_bytes {
+            if !entries.is_empty() && bytes + entry.size_bytes() > max_bytes {
                 break;
             }
-            bytes += entry.size();
-            copied.push(entry.clone());
+            bytes += entry.size_bytes();
+            entries.push(entry.clone());
         }
-        copied
+        entries
     }
 
     /// Whether an entry after `index` was submitted under this ticket.
-    pub fn has_origin_after(&self, index: u64, origin: Origin) -> bool {
+    #[must_use]
+    pub fn has_origin_after(&self, index: LogIndex, origin: Origin) -> bool {
         let after = index.saturating_sub(self.start.index) as usize;
         self.entries
             .iter()
@@ -240,15 +190,17 @@
     }
 
     /// About the bytes of the entries after `index`.
-    pub fn bytes_after(&self, index: u64) -> usize {
+    #[must_use]
+    pub fn bytes_after(&self, index: LogIndex) -> usize {
         self.bytes_between(index, self.last().index)
     }
 
     /// About the bytes of the entries after `from` up to `to`.
-    pub fn bytes_between(&self, from: u64, to: u64) -> usize {
+    #[must_use]
+    pub fn bytes_between(&self, from: LogIndex, to: LogIndex) -> usize {
         (from + 1..=to)
             .filter_map(|index| self.get(index))
-            .map(Entry::size)
+            .map(Entry::size_bytes)
             .sum()
     }
 }
--- /dev/null
+++ b/crates/serving/chain-replication/src/member/acceptor.rs
@@ -0,0 +1,111 @@
+//! The acceptor's side of the agreement on the next view. What it promises and accepts is on disk before it is sent.
+
+use super::Member;
+use crate::agreement::{AcceptedView, DecidedView, ProposalNumber};
+use crate::durable::Write;
+use crate::identity::MemberId;
+use crate::message::{Message, Promise};
+use crate::safeguards::Safeguard;
+use crate::timing::OTHER_PROPOSER_TIMEOUT;
+use crate::view::ViewNumber;
+use crate::write_queue::Completion;
+
+impl Member {
+    /// Whether a promise has sealed the present view here.
+    pub(super) fn is_sealed(&self) -> bool {
+        self.acceptor.promised.is_some()
+    }
+
+    pub(super) fn on_prepare(
+        &mut self,
+        from: MemberId,
+        proposal_number: ProposalNumber,
+        decided: DecidedView,
+    ) {
+        let view = decided.number() + 1;
+        self.on_decided(decided);
+        if !self.is_votable(&from, view) {
+            return;
+        }
+        if let Some(promised) = self.acceptor.promised_above(&proposal_number) {
+            return self.send(&from, Message::Reject { view, promised });
+        }
+        self.promise(proposal_number.clone());
+        let promise = Promise {
+            view,
+            proposal_number,
+            accepted: self.acceptor.accepted.clone(),
+            synced_view: self.synced_view,
+            last: self.log.last(),
+        };
+        self.send_vote_when_persisted(from, Message::Promise(promise));
+    }
+
+    pub(super) fn on_accept(
+        &mut self,
+        from: MemberId,
+        proposal_number: ProposalNumber,
+        proposal: DecidedView,
+    ) {
+        let view = proposal.number();
+        if !self.is_votable(&from, view) || !proposal.view.is_sound() {
+            return;
+        }
+        if let Some(promised) = self.acceptor.promised_above(&proposal_number) {
+            return self.send(&from, Message::Reject { view, promised });
+        }
+        self.promise(proposal_number.clone());
+        let accepted = AcceptedView {
+            proposal_number: proposal_number.clone(),
+            proposal,
+        };
+        self.write_queue.write(Write::Accept {
+            accepted: accepted.clone(),
+        });
+        self.acceptor.accepted = Some(accepted);
+        let message = Message::Accepted {
+            view,
+            proposal_number,
+        };
+        self.send_vote_when_persisted(from, message);
+    }
+
+    /// Messages of the agreement say which view is to be decided: of later views this member asks to learn, for earlier
+    /// ones the sender is told the present view. Whether this member votes on the view, and the sender may ask for that.
+    fn is_votable(&mut self, from: &MemberId, view: ViewNumber) -> bool {
+        let Some(present) = self.view() else {
+            return false;
+        };
+        let are_members = present.has_member(from) && present.has_member(&self.me.id);
+        let sender = present.member(from).cloned();
+        if view > present.number + 1 {
+            self.request_view_from(from);
+            return false;
+        }
+        if view <= present.number && self.safeguards.has(Safeguard::DecideOnce) {
+            if let Some(sender) = sender {
+                self.send_view(&sender);
+            }
+            return false;
+        }
+        are_members
+    }
+
+    /// Seals the present view here.
+    fn promise(&mut self, proposal_number: ProposalNumber) {
+        if proposal_number.proposer != self.me.id {
+            self.propose_at = Some(OTHER_PROPOSER_TIMEOUT + self.draw_proposal_turn());
+        }
+        self.write_queue.write(Write::Promise {
+            proposal_number: proposal_number.clone(),
+        });
+        self.acceptor.promised = Some(proposal_number);
+        self.seal();
+    }
+
+    fn send_vote_when_persisted(&mut self, to: MemberId, message: Message) {
+        let message = Box::new(message);
+        self.write_queue
+            .when_persisted(Completion::SendVote { to, message });
+    }
+}
--- /dev/null
+++ b/crates/serving/chain-replication/src/member/install.rs
@@ -0,0 +1,72 @@
+//! A new view takes effect here, and is made known to others.
+
+use super::{Member, Output};
+use crate::agreement::DecidedView;
+use crate::durable::Write;
+use crate::identity::Peer;
+use crate::message::Message;
+use crate::view::View;
+
+impl Member {
+    /// A view that was decided, whoever tells it.
+    pub(super) fn on_decided(&mut self, decided: DecidedView) {
+        if decided.number() > self.view_number() && decided.view.is_sound() {
+            self.install_view(decided);
+        }
+    }
+
+    /// The one place where the view changes.
+    pub(super) fn install_view(&mut self, decided: DecidedView) {
+        self.write_queue.write(Write::InstallView {
+            decided: decided.clone(),
+        });
+        let view = decided.view.clone();
+        let before = self.decided.replace(decided).map(|before| before.view);
+        self.installed_at = self.now;
+        self.end_agreement();
+        self.failure_detector
+            .install_view(before.as_ref(), &view, &self.me.id, self.now);
+        self.joiners
+            .retain(|joiner| !view.has_member(&joiner.peer.id));
+        self.seek_membership(Vec::new());
+        self.notify_view();
+        self.enter_chain();
+        self.redirect_requests();
+        self.ping_all();
+    }
+
+    /// Requests go to the head and along the chain of the new view.
+    fn redirect_requests(&mut self) {
+        self.deferred.reads.clear();
+        if !self.is_head() {
+            self.deferred.submissions.clear();
+            self.send_submissions();
+        }
+        self.send_read_request();
+    }
+
+    /// Sends a view to its members, and to those of the one before it that are no longer.
+    pub(super) fn announce_decided(&mut self, decided: &DecidedView, before: Option<&View>) {
+        let departed = before.into_iter().flat_map(|before| before.members.iter());
+        let departed = departed.filter(|member| !decided.view.has_member(&member.id));
+        let receivers = decided.view.members.iter().chain(departed);
+        for to in receivers.filter(|member| member.id != self.me.id) {
+            self.outputs.push(Output::Send {
+                to: to.clone(),
+                message: Message::Decided {
+                    decided: decided.clone(),
+                },
+            });
+        }
+    }
+
+    /// Sends the present view to one that doesn't know it.
+    pub(super) fn send_view(&mut self, to: &Peer) {
+        if let Some(decided) = self.decided.clone() {
+            self.outputs.push(Output::Send {
+                to: to.clone(),
+                message: Message::Decided { decided },
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/serving/chain-replication/src/member/learn.rs
@@ -0,0 +1,114 @@
+//! Learners: members out of the chain learn the commits from the tail, so that they are soon up to date when they are
+//! readmitted.
+
+use super::state::replication::Stage;
+use super::Member;
+use crate::identity::MemberId;
+use crate::limits::MAX_APPEND_BYTES;
+use crate::log::Position;
+use crate::message::{AppendEntries, Message, ResumePoint};
+use crate::timing::{Millis, LEARN_INTERVAL, LEARN_RETRY};
+
+impl Member {
+    // --- at the learner ---
+
+    fn is_learner(&self) -> bool {
+        self.stage == Stage::OutOfChain && !self.leaving && self.is_member()
+    }
+
+    /// Asks the tail for what is committed after the end of the log here.
+    fn fetch_committed(&mut self) {
+        let Some(tail) = self.view().and_then(|view| view.tail()).cloned() else {
+            return;
+        };
+        self.learner.next_fetch_at = self.now + LEARN_RETRY;
+        let resume = self.resume_point();
+        self.send(&tail, Message::FetchCommitted(resume));
+    }
+
+    /// Something that was committed is waited for: a learner asks for it at once.
+    pub(super) fn fetch_committed_now(&mut self) {
+        if self.is_learner() {
+            self.fetch_committed();
+        }
+    }
+
+    /// The tail's reply: committed entries, which replace any others here.
+    pub(super) fn on_committed_entries(&mut self, from: &MemberId, append: AppendEntries) {
+        let from_tail = self
+            .view()
+            .is_some_and(|view| view.is_tail(from) && view.number == append.view);
+        if !from_tail || !self.continues_log(append.previous) || !self.is_learner() {
+            return;
+        }
+        let end = append.end();
+        for entry in append.entries {
+            self.accept_entry(entry);
+        }
+        self.learner.known_commit_index = end;
+        self.commit_learned();
+        self.learner.next_fetch_at = self.now + LEARN_INTERVAL;
+        if end < append.last && !self.is_disk_stalled() {
+            self.fetch_committed();
+        }
+    }
+
+    /// Commits what is known to be committed and is on disk here.
+    pub(super) fn commit_learned(&mut self) {
+        self.commit(self.learner.known_commit_index.min(self.persisted_index));
+    }
+
+    pub(super) fn tick_learner(&mut self) {
+        if self.next_learner_tick().is_none_or(|at| self.now < at) {
+            return;
+        }
+        if self.is_disk_stalled() {
+            // Nothing is kept in memory for a disk that doesn't answer.
+            self.learner.next_fetch_at = self.now + LEARN_RETRY;
+        } else {
+            self.fetch_committed();
+        }
+    }
+
+    pub(super) fn next_learner_tick(&self) -> Option<Millis> {
+        self.is_learner().then_some(self.learner.next_fetch_at)
+    }
+
+    // --- at the tail ---
+
+    pub(super) fn on_fetch_committed(&mut self, from: MemberId, resume: &ResumePoint) {
+        if resume.view != self.view_number() || !self.is_taught_here(&from) {
+            return;
+        }
+        let Some(previous) = self.common_position(resume, self.commit_index) else {
+            return self.want_snapshot_for(from);
+        };
+        self.snapshots.cancel_for(&from);
+        self.send_committed_entries(&from, previous);
+    }
+
+    /// Whether this member is the tail, from which this learner learns.
+    fn is_taught_here(&self, learner: &MemberId) -> bool {
+        let is_learner = self
+            .view()
+            .is_some_and(|view| view.has_member(learner) && !view.in_chain(learner));
+        is_learner && self.is_tail() && self.is_synced()
+    }
+
+    /// Sends what is committed after a position to a learner.
+    pub(super) fn send_committed_entries(&mut self, to: &MemberId, previous: Position) {
+        if !self.is_taught_here(to) {
+            return;
+        }
+        let entries = self
+            .log
+            .entries_between(previous.index, self.commit_index, MAX_APPEND_BYTES);
+        let append = AppendEntries {
+            view: self.view_number(),
+            previous,
+            entries,
+            last: self.commit_index,
+        };
+        self.send(to, Message::CommittedEntries(append));
+    }
+}
--- /dev/null
+++ b/crates/serving/chain-replication/src/member/replicate.rs
@@ -0,0 +1,383 @@
+//! Replicate: entries travel down the chain. Each member has them on disk before it forwards them.
+
+use super::state::freshness::Freshness;
+use super::state::learner::Learner;
+use super::state::replication::{Downstream, Stage, Upstream};
+use super::Member;
+use crate::durable::Write;
+use crate::identity::MemberId;
+use crate::limits::MAX_APPEND_BYTES;
+use crate::log::{Entry, LogIndex, Position};
+use crate::message::{AppendEntries, Message, ResumePoint};
+use crate::safeguards::Safeguard;
+use crate::timing::{Millis, ACKNOWLEDGEMENT_TIMEOUT, RESUME_MIN_GAP, RESUME_RETRY};
+use crate::view::{View, ViewNumber};
+use crate::write_queue::Completion;
+
+/// From which neighbour in the chain a message has to come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Neighbour {
+    Predecessor,
+    Successor,
+}
+
+impl Neighbour {
+    fn of<'a>(self, member: &MemberId, view: &'a View) -> Option<&'a MemberId> {
+        match self {
+            Neighbour::Predecessor => view.predecessor(member),
+            Neighbour::Successor => view.successor(member),
+        }
+    }
+}
+
+impl Member {
+    // --- the role in the chain ---
+
+    /// The one place where the stage changes.
+    fn enter(&mut self, stage: Stage) {
+        self.stage = stage;
+    }
+
+    pub(super) fn is_synced(&self) -> bool {
+        self.stage == Stage::Synced
+    }
+
+    /// Whether the log is complete as of the present view. This stays so when a promise seals the view.
+    pub(super) fn has_caught_up(&self) -> bool {
+        self.synced_view == self.view_number()
+    }
+
+    pub(super) fn initial_stage(&self) -> Stage {
+        let Some(view) = self.view() else {
+            return Stage::OutOfChain;
+        };
+        if !view.in_chain(&self.me.id) {
+            Stage::OutOfChain
+        } else if self.is_sealed() {
+            Stage::Sealed
+        } else if self.has_caught_up() {
+            Stage::Synced
+        } else {
+            Stage::CatchingUp
+        }
+    }
+
+    /// After a promise this member takes no further part in the chain of the present view.
+    pub(super) fn seal(&mut self) {
+        if self.stage != Stage::OutOfChain && self.safeguards.has(Safeguard::CheckViews) {
+            self.enter(Stage::Sealed);
+        }
+    }
+
+    /// Goes on in the chain by the stage that it has there.
+    pub(super) fn resume_stage(&mut self) {
+        match self.stage {
+            Stage::Synced => self.begin_forwarding(),
+            Stage::CatchingUp if self.is_head() || !self.must_catch_up() => self.caught_up(),
+            Stage::CatchingUp => self.request_resume(),
+            Stage::OutOfChain => self.fetch_committed_now(),
+            Stage::Sealed | Stage::Syncing => {}
+        }
+    }
+
+    /// Takes its role in the chain of a view that was just installed.
+    pub(super) fn enter_chain(&mut self) {
+        self.upstream = Upstream::default();
+        self.downstream = Downstream::default();
+        self.learner = Learner::default();
+        self.snapshots.forget_requests();
+        let in_chain = self.view().is_some_and(|view| view.in_chain(&self.me.id));
+        self.enter(if in_chain {
+            Stage::CatchingUp
+        } else {
+            Stage::OutOfChain
+        });
+        self.resume_stage();
+    }
+
+    pub(super) fn is_head(&self) -> bool {
+        self.view().is_some_and(|view| view.is_head(&self.me.id))
+    }
+
+    pub(super) fn is_tail(&self) -> bool {
+        self.view().is_some_and(|view| view.is_tail(&self.me.id))
+    }
+
+    pub(super) fn predecessor(&self) -> Option<MemberId> {
+        self.view()?.predecessor(&self.me.id).cloned()
+    }
+
+    pub(super) fn successor(&self) -> Option<MemberId> {
+        self.view()?.successor(&self.me.id).cloned()
+    }
+
+    /// Whether a message of the chain counts here: it is of the view in force, from the neighbour it must come from.
+    pub(super) fn counts_from(
+        &mut self,
+        from: &MemberId,
+        view: ViewNumber,
+        neighbour: Neighbour,
+    ) -> bool {
+        if view > self.view_number() {
+            self.request_view_from(from);
+        }
+        let takes_part = !matches!(self.stage, Stage::OutOfChain | Stage::Sealed);
+        if !self.safeguards.has(Safeguard::CheckViews) {
+            return takes_part;
+        }
+        let expected = self.view().and_then(|view| neighbour.of(&self.me.id, view));
+        takes_part && view == self.view_number() && expected == Some(from)
+    }
+
+    // --- from the predecessor ---
+
+    fn must_catch_up(&self) -> bool {
+        self.safeguards.has(Safeguard::CatchUpBeforeSync)
+    }
+
+    /// Asks the predecessor to send from where the log here ends.
+    fn request_resume(&mut self) {
+        let Some(predecessor) = self.predecessor() else {
+            return;
+        };
+        self.upstream.resume_sent_at = Some(self.now);
+        let resume = self.resume_point();
+        self.send(&predecessor, Message::Resume(resume));
+    }
+
+    pub(super) fn resume_point(&self) -> ResumePoint {
+        ResumePoint {
+            view: self.view_number(),
+            last: self.log.last(),
+            commit_index: self.commit_index,
+        }
+    }
+
+    pub(super) fn on_append(&mut self, from: &MemberId, append: AppendEntries) {
+        if !self.counts_from(from, append.view, Neighbour::Predecessor) {
+            return;
+        }
+        if !self.continues_log(append.previous) {
+            let asked_just_now = self
+                .upstream
+                .resume_sent_at
+                .is_some_and(|at| self.now < at + RESUME_MIN_GAP);
+            if !asked_just_now {
+                self.request_resume();
+            }
+            return;
+        }
+        let is_question = append.entries.is_empty();
+        let end = append.end();
+        let reaches_predecessor = end == append.last;
+        for entry in append.entries {
+            self.accept_entry(entry);
+        }
+        if self.stage == Stage::CatchingUp && (reaches_predecessor || !self.must_catch_up()) {
+            self.truncate(end);
+            self.caught_up();
+        }
+        if is_question && self.stage == Stage::Synced {
+            self.send_committed();
+        }
+    }
+
+    /// Whether entries after a position of another member's log can be taken into the log here.
+    pub(super) fn continues_log(&self, previous: Position) -> bool {
+        previous.index <= self.commit_index || self.log.matches(previous)
+    }
+
+    /// Takes an entry into the log, in place of another one that can't have been committed.
+    pub(super) fn accept_entry(&mut self, entry: Entry) {
+        let index = entry.index();
+        if index <= self.commit_index || self.log.matches(entry.position) {
+            return;
+        }
+        self.truncate(index - 1);
+        self.append(entry);
+    }
+
+    pub(super) fn append(&mut self, entry: Entry) {
+        let index = entry.index();
+        self.write_queue.write(Write::Entry {
+            entry: entry.clone(),
+        });
+        self.write_queue
+            .when_persisted(Completion::LogPersisted { index });
+        self.log.append(entry);
+    }
+
+    fn truncate(&mut self, index: LogIndex) {
+        if self.log.last().index <= index {
+            return;
+        }
+        self.log.truncate(index);
+        self.persisted_index = self.persisted_index.min(index);
+        self.write_queue.truncate(index);
+        self.write_queue.write(Write::Truncate { index });
+    }
+
+    /// The log is complete as of this view.
+    fn caught_up(&mut self) {
+        let view = self.view_number();
+        self.synced_view = view;
+        self.freshness = Freshness::starting(self.log.last().index, self.now);
+        self.write_queue.write(Write::Synced { view });
+        self.write_queue
+            .when_persisted(Completion::SyncedViewPersisted { view });
+        self.enter(Stage::Syncing);
+    }
+
+    /// That is on disk.
+    pub(super) fn on_synced_view_persisted(&mut self, view: ViewNumber) {
+        if view != self.view_number() || self.stage != Stage::Syncing {
+            return;
+        }
+        self.enter(Stage::Synced);
+        self.begin_forwarding();
+        let deferred = std::mem::take(&mut self.deferred);
+        self.append_deferred(deferred.submissions);
+        self.forward_deferred_reads(deferred.reads);
+    }
+
+    /// Entries are on disk up to `index`.
+    pub(super) fn on_log_persisted(&mut self, index: LogIndex) {
+        self.persisted_index = self.persisted_index.max(index.min(self.log.last().index));
+        match self.stage {
+            Stage::Synced => self.forward_entries(),
+            Stage::OutOfChain => self.commit_learned(),
+            Stage::Sealed | Stage::CatchingUp | Stage::Syncing => {}
+        }
+    }
+
+    // --- to the successor ---
+
+    fn begin_forwarding(&mut self) {
+        self.downstream.sent_index = self.persisted_index;
+        self.query_successor();
+        self.forward_entries();
+    }
+
+    /// Forwards what is on disk; at the tail, it is committed.
+    fn forward_entries(&mut self) {
+        if self.is_tail() {
+            return self.commit_and_acknowledge(self.persisted_index);
+        }
+        let Some(successor) = self.successor() else {
+            return;
+        };
+        while self.downstream.sent_index < self.persisted_index
+            && !self.snapshots.is_wanted_by(&successor)
+        {
+            let Some(previous) = self.log.position(self.downstream.sent_index) else {
+                return self.want_snapshot_for(successor);
+            };
+            let entries =
+                self.log
+                    .entries_between(previous.index, self.persisted_index, MAX_APPEND_BYTES);
+            self.downstream.sent_index += entries.len() as u64;
+            self.send_append(&successor, previous, entries);
+        }
+    }
+
+    /// Asks the successor whether it has what was sent to it.
+    fn query_successor(&mut self) {
+        let Some(successor) = self.successor() else {
+            return;
+        };
+        if let Some(previous) = self.log.position(self.downstream.sent_index) {
+            self.send_append(&successor, previous, Vec::new());
+        }
+    }
+
+    fn send_append(&mut self, successor: &MemberId, previous: Position, entries: Vec<Entry>) {
+        self.downstream.active_at = self.now;
+        let append = AppendEntries {
+            view: self.view_number(),
+            previous,
+            entries,
+            last: self.persisted_index,
+        };
+        self.send(successor, Message::Append(append));
+    }
+
+    pub(super) fn on_resume(&mut self, from: MemberId, resume: &ResumePoint) {
+        if !self.counts_from(&from, resume.view, Neighbour::Successor) || !self.is_synced() {
+            return;
+        }
+        self.downstream.acknowledged(self.now);
+        let Some(common) = self.common_position(resume, self.persisted_index) else {
+            return self.want_snapshot_for(from);
+        };
+        self.snapshots.cancel_for(&from);
+        self.downstream.sent_index = common.index;
+        self.resume_forwarding();
+    }
+
+    /// From where another member's log can go on: its end, if the log here has it, or else what it has committed.
+    pub(super) fn common_position(
+        &self,
+        resume: &ResumePoint,
+        max_index: LogIndex,
+    ) -> Option<Position> {
+        let candidates = [Some(resume.last), self.log.position(resume.commit_index)];
+        let is_common =
+            |position: &Position| self.log.matches(*position) && position.index <= max_index;
+        candidates.into_iter().flatten().find(is_common)
+    }
+
+    /// After the position was set from which to send.
+    pub(super) fn resume_forwarding(&mut self) {
+        if self.downstream.sent_index == self.persisted_index {
+            self.query_successor();
+        }
+        self.forward_entries();
+    }
+
+    // --- time and connections ---
+
+    pub(super) fn replication_reconnected(&mut self, peer: &MemberId) {
+        if self.stage == Stage::Synced && self.successor().as_ref() == Some(peer) {
+            self.query_successor();
+        }
+        if self.stage == Stage::CatchingUp && self.predecessor().as_ref() == Some(peer) {
+            self.request_resume();
+        }
+    }
+
+    pub(super) fn tick_replication(&mut self) {
+        if self.next_query().is_some_and(|at| self.now >= at) {
+            self.query_successor();
+        }
+        if self.next_resume_request().is_some_and(|at| self.now >= at) {
+            self.request_resume();
+        }
+    }
+
+    /// When to ask the successor, from which nothing has come.
+    fn next_query(&self) -> Option<Millis> {
+        let is_unacknowledged =
+            !self.downstream.is_established || self.commit_index < self.downstream.sent_index;
+        let awaits_snapshot = self
+            .successor()
+            .is_none_or(|successor| self.snapshots.is_wanted_by(&successor));
+        let is_wanted = self.is_synced() && is_unacknowledged && !awaits_snapshot;
+        is_wanted.then_some(self.downstream.active_at + ACKNOWLEDGEMENT_TIMEOUT)
+    }
+
+    fn next_resume_request(&self) -> Option<Millis> {
+        let is_wanted = self.stage == Stage::CatchingUp && !self.is_head();
+        is_wanted.then(|| {
+            self.upstream
+                .resume_sent_at
+                .map_or(0, |at| at + RESUME_RETRY)
+        })
+    }
+
+    pub(super) fn next_replication_tick(&self) -> Option<Millis> {
+        [self.next_query(), self.next_resume_request()]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+}
--- /dev/null
+++ b/crates/serving/chain-replication/src/member/state/learner.rs
@@ -0,0 +1,12 @@
+//! The progress of a member out of the chain, which learns the commits from the tail.
+
+use crate::log::LogIndex;
+use crate::timing::Millis;
+
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Learner {
+    /// When to ask the tail next.
+    pub(crate) next_fetch_at: Millis,
+    /// The tail has told that all up to here is committed.
+    pub(crate) known_commit_index: LogIndex,
+}
--- a/crates/serving/chain-replication/src/message.rs
+++ b/crates/serving/chain-replication/src/message.rs
@@ -1,181 +1,222 @@
-//! What members say to each other.
+//! Messages between members.
+//!
+//! They are encoded by postcard, which goes by the position of fields and variants, not by their names: a new variant
+//! goes to the end, and nothing changes places (`tests/encodings.rs`).
 
-use crate::agreed::{AcceptedView, Ballot, DecidedView};
-use crate::identity::{MemberId, Peer, View};
-use crate::log::{Entry, Origin, Payload, Position};
-use crate::member::transfer::{SnapshotPart, SnapshotProgress};
+use crate::agreement::{AcceptedView, DecidedView, ProposalNumber};
+use crate::identity::{MemberId, Peer};
+use crate::log::{Entry, LogIndex, Origin, Position};
+use crate::payload::Payload;
+use crate::snapshot_transfer::{SnapshotChunk, SnapshotProgress};
+use crate::view::{View, ViewNumber};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One message. Those of the chain carry the number of the view in which they hold.
+/// One message. Those of the chain carry the number of the view in which they count.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The caller's founder proposes the first view.
-    Found {
+    /// The process that bootstraps the system proposes the first view.
+    Bootstrap {
+        /// The first view.
         view: View,
     },
-    /// A newcomer asks to be added.
+    /// A joiner asks to be added.
     Join {
-        newcomer: Peer,
+        /// Who asks.
+        joiner: Peer,
     },
-    /// A view was decided: an answer to whoever seems not to know it.
+    /// A view was decided: sent to its members, and to whoever seems not to know it.
     Decided {
+        /// The view.
         decided: DecidedView,
     },
+    /// A heartbeat.
     Ping(Ping),
 
-    /// Asks for a promise to vote for no lesser ballot, in the agreement on the view after `decided`.
+    /// Paxos, phase 1a: asks for a promise to accept nothing below a number, in the agreement on the view after `decided`.
     Prepare {
-        ballot: Ballot,
+        /// The number to promise.
+        proposal_number: ProposalNumber,
+        /// The newest view that the proposer knows.
         decided: DecidedView,
     },
+    /// Paxos, phase 1b.
     Promise(Promise),
-    /// Another ballot stands before this one.
-    Refuse {
-        number: u64,
-        promised: Ballot,
+    /// A greater number was promised to another proposer.
+    Reject {
+        /// The view to be decided.
+        view: ViewNumber,
+        /// What was promised.
+        promised: ProposalNumber,
     },
+    /// Paxos, phase 2a: asks to accept a view.
     Accept {
-        ballot: Ballot,
+        /// The number that a majority has promised.
+        proposal_number: ProposalNumber,
+        /// The proposed view.
         proposal: DecidedView,
     },
+    /// Paxos, phase 2b: the sender has accepted the proposal.
     Accepted {
-        number: u64,
-        ballot: Ballot,
+        /// The view to be decided.
+        view: ViewNumber,
+        /// The accepted number.
+        proposal_number: ProposalNumber,
     },
 
-    /// To the successor: entries after a position; without entries, a question whether it holds that position.
-    Append(Append),
+    /// To the successor: entries after a position; without entries, a question whether it has that position.
+    Append(AppendEntries),
     /// To the predecessor: send from another position.
-    Attach(Attach),
-    /// To the tail, from a member out of the chain: send what is committed after my position.
-    Follow(Attach),
+    Resume(ResumePoint),
+    /// To the tail, from a member out of the chain: send what is committed after a position.
+    FetchCommitted(ResumePoint),
     /// From the tail: committed entries, up to `last` at most.
-    Followed(Append),
-    /// As [`Message::SnapshotPart`], whole: from members of an earlier version.
-    Snapshot {
-        view: u64,
+    CommittedEntries(AppendEntries),
+    /// A snapshot in one message, as members of an earlier version send it; now [`Message::SnapshotChunk`].
+    UnchunkedSnapshot {
+        /// The view in which it counts.
+        view: ViewNumber,
+        /// The last entry that the snapshot includes.
         position: Position,
+        /// The caller's state.
         bytes: Payload,
     },
     /// To the predecessor: the tail has synced up to here.
     Committed {
-        view: u64,
-        index: u64,
+        /// The view in which it counts.
+        view: ViewNumber,
+        /// The commit index.
+        index: LogIndex,
     },
 
     /// To the head: append this.
     Submit {
-        view: u64,
+        /// The newest view that the sender knows.
+        view: ViewNumber,
+        /// Who submitted it.
         origin: Origin,
+        /// What to append.
         payload: Payload,
     },
-    /// From the head: it has too much in hand.
+    /// From the head: too much is pending there, it didn't append the payload.
     Overloaded {
+        /// Which submission.
         origin: Origin,
     },
     /// A read on its way from head to tail.
-    Probe(Probe),
+    ReadIndex(ReadIndexRequest),
     /// From the tail: what the read must see.
-    ProbeAnswer {
-        round: u64,
-        index: u64,
+    ReadIndexReply {
+        /// The number of the request.
+        request: u64,
+        /// The commit index at the tail.
+        index: LogIndex,
     },
 
-    /// To the successor, or from the tail to a member that follows: a part of the caller's state, as the log doesn't
-    /// reach back far enough.
-    SnapshotPart {
-        view: u64,
-        part: SnapshotPart,
+    /// To the successor, or from the tail to a learner: a chunk of the caller's state, as the log doesn't reach back far
+    /// enough.
+    SnapshotChunk {
+        /// The view in which it counts.
+        view: ViewNumber,
+        /// The chunk.
+        chunk: SnapshotChunk,
     },
-    /// The answer to a part.
+    /// The reply to a chunk.
     SnapshotProgress {
-        view: u64,
+        /// The view in which it counts.
+        view: ViewNumber,
+        /// What the receiver has so far.
         progress: SnapshotProgress,
     },
 }
 
-/// A sign of life. Numbers of views are 0 at a member that knows none.
+/// A heartbeat. Numbers of views are 0 at a member that knows none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ping {
     /// Where the sender is reached: the receiver may not know it from its view.
     pub address: SocketAddr,
-    pub view: u64,
+    /// The sender's view.
+    pub view: ViewNumber,
     /// The sender's clock, from a beginning drawn for each run of its process.
-    pub stamp: u64,
-    /// The receiver's newest stamp that has reached the sender.
-    pub echo: Option<u64>,
-    /// Whom the sender hears and is heard by: a bit for each of its view's members, in their order.
+    pub timestamp: u64,
+    /// The newest timestamp of the receiver that has reached the sender.
+    pub echoed_timestamp: Option<u64>,
+    /// Which members the sender is connected with both ways: a bit for each of its view's members, in their order.
     pub connected: u32,
-    /// Its log holds all that it must in its view.
+    /// The sender's log is complete as of its view.
     pub synced: bool,
-    /// Its disk hasn't answered for long.
-    pub stalled: bool,
-    /// It asks to be put out of the chain.
+    /// The sender's disk hasn't completed a batch for long.
+    pub disk_stalled: bool,
+    /// The sender asks to be removed from the chain.
     pub leaving: bool,
-    /// It has given out the commits up to here.
-    pub committed: u64,
-    /// An answer is wanted at once.
-    pub answer: bool,
-}
-
-/// What of a ping bears on who should be in the chain.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PingStanding {
-    view: u64,
-    connected: u32,
-    synced: bool,
-    stalled: bool,
-    leaving: bool,
+    /// The sender has applied the commits up to here.
+    pub commit_index: LogIndex,
+    /// A ping in reply is wanted at once.
+    pub reply_requested: bool,
 }
 
 impl Ping {
-    pub fn standing(&self) -> PingStanding {
-        PingStanding {
-            view: self.view,
-            connected: self.connected,
-            synced: self.synced,
-            stalled: self.stalled,
-            leaving: self.leaving,
-        }
+    /// Whether the sender is connected both ways with the member at this index of its view.
+    #[must_use]
+    pub fn is_connected_with(&self, member_index: usize) -> bool {
+        self.connected & (1 << member_index) != 0
     }
 }
 
-/// A promise in the agreement on view `number`; the view before it is sealed at the sender.
+/// A promise in the agreement on view `view`; the view before it is sealed at the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Promise {
-    pub number: u64,
-    pub ballot: Ballot,
+    /// The view to be decided.
+    pub view: ViewNumber,
+    /// The promised number.
+    pub proposal_number: ProposalNumber,
+    /// What the sender has accepted already.
     pub accepted: Option<AcceptedView>,
-    /// The newest view in which the sender's log held all that it must.
-    pub synced_view: u64,
+    /// The newest view as of which the sender's log was complete.
+    pub synced_view: ViewNumber,
     /// The end of its log.
     pub last: Position,
 }
 
 /// Entries for the successor, each on the sender's disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Append {
-    pub view: u64,
-    /// Where the entries go on from.
+pub struct AppendEntries {
+    /// The view in which they count.
+    pub view: ViewNumber,
+    /// The position after which the entries come.
     pub previous: Position,
+    /// In order, without gaps.
     pub entries: Vec<Entry>,
     /// The end of what is on the sender's disk.
-    pub last: u64,
+    pub last: LogIndex,
+}
+
+impl AppendEntries {
+    /// The index of the last entry, or of the position before if there are none.
+    #[must_use]
+    pub fn end(&self) -> LogIndex {
+        self.previous.index + self.entries.len() as u64
+    }
 }
 
-/// Where a successor's log ends.
+/// Where the receiver of entries stands, from which its sender is to go on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Attach {
-    pub view: u64,
+pub struct ResumePoint {
+    /// The view in which it counts.
+    pub view: ViewNumber,
+    /// The end of the sender's log.
     pub last: Position,
-    pub committed: u64,
+    /// The sender's commit index.
+    pub commit_index: LogIndex,
 }
 
-/// A read's way along the chain.
+/// A read's way along the chain, as Raft's `ReadIndex` but confirmed by each member of the chain in turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Probe {
-    pub view: u64,
+pub struct ReadIndexRequest {
+    /// The view in which it counts.
+    pub view: ViewNumber,
+    /// Whom the tail replies to.
     pub reader: MemberId,
-    pub round: u64,
+    /// The reader's number of this request.
+    pub request: u64,
 }
--- a/crates/serving/chain-replication/src/random.rs
+++ b/crates/serving/chain-replication/src/random.rs
@@ -1,17 +1,17 @@
-//! A small seeded random source, for waits and session numbers.
+//! A small seeded random source, for waits and for numbers that differ between runs of a process.
 
-/// SplitMix64.
+/// The `SplitMix64` generator (Steele, Lea and Flood, 2014).
 #[derive(Clone, Debug)]
-pub struct Random {
+pub(crate) struct Random {
     state: u64,
 }
 
 impl Random {
-    pub fn new(seed: u64) -> Random {
+    pub(crate) fn new(seed: u64) -> Random {
         Random { state: seed }
     }
 
-    pub fn next(&mut self) -> u64 {
+    pub(crate) fn next(&mut self) -> u64 {
         self.state = self.state.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut mixed = self.state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -20,7 +20,7 @@
     }
 
     /// Less than `bound`, which is above 0.
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
 }
--- /dev/null
+++ b/crates/serving/chain-replication/src/reconfiguration.rs
@@ -0,0 +1,274 @@
+//! Which view there should be next, from who is connected with whom and who is eligible. Without state: every member
+//! that observes the same comes to the same plan.
+
+use crate::identity::{MemberId, Peer};
+use crate::limits::{MAX_MEMBERS, MIN_MEMBERS};
+use crate::view::{majority_of, View};
+
+/// What is observed of one member of the view.
+#[derive(Clone, Debug)]
+pub struct MemberStatus {
+    /// Whom it is connected with both ways, by the members' order.
+    pub connected: Vec<bool>,
+    /// It should be removed from the chain, if enough others are left: it is leaving, its disk stalls, or it lags.
+    pub ineligible: bool,
+    /// It is out of the chain and has been eligible for long enough to be readmitted.
+    pub readmissible: bool,
+    /// How many members report that they have lost it, the planning one included.
+    pub suspected_by: usize,
+    /// Neither the planning member nor anyone that it hears is in touch with it.
+    pub unreachable: bool,
+    /// It has sent a ping in this view.
+    pub reported: bool,
+    /// It has been unreachable for so long that a joiner may replace it.
+    pub replaceable: bool,
+    /// It has said that its process is about to end.
+    pub leaving: bool,
+    /// Its log is complete as of this view.
+    pub synced: bool,
+}
+
+/// A request to be added to the view.
+#[derive(Clone, Debug)]
+pub struct JoinRequest {
+    /// Who asks.
+    pub joiner: Peer,
+    /// It has asked for so long that a member which it is to replace would be missed by now.
+    pub may_be_additional: bool,
+}
+
+/// What a plan is made from.
+pub struct Observations<'a> {
+    /// The view in force.
+    pub view: &'a View,
+    /// By the members' order.
+    pub statuses: &'a [MemberStatus],
+    /// In the order in which they are considered.
+    pub join_requests: &'a [JoinRequest],
+}
+
+/// The members and the chain that there should be.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Plan {
+    /// The voters.
+    pub members: Vec<Peer>,
+    /// From head to tail.
+    pub chain: Vec<MemberId>,
+}
+
+impl Plan {
+    /// Whether there is nothing to change.
+    #[must_use]
+    pub fn is_in_force(&self, view: &View) -> bool {
+        self.members == view.members && self.chain == view.chain
+    }
+}
+
+/// The plan, or none while too few members are eligible to make up a chain.
+#[must_use]
+pub fn plan(observations: &Observations) -> Option<Plan> {
+    let MembershipChange { members, joiner } = plan_members(observations);
+    let min_length = majority_of(members.len());
+    let stays = |index: &usize| members.contains(&observations.view.members[*index]);
+
+    let remaining: Vec<usize> = observations
+        .chain_indices()
+        .into_iter()
+        .filter(stays)
+        .collect();
+    let connected = observations.without_disconnected(remaining);
+    let is_eligible = |index: &usize| !observations.statuses[*index].ineligible;
+    let mut chain: Vec<usize> = connected.iter().copied().filter(is_eligible).collect();
+    observations.readmit(&mut chain, stays, |status| status.readmissible);
+
+    if chain.len() < min_length {
+        observations.readmit(&mut chain, stays, |status| !status.unreachable);
+    }
+    // A joiner is a learner at first, out of the chain, unless the chain can't do without it.
+    let joiner = joiner.filter(|_| chain.len() < min_length);
+    if chain.len() + usize::from(joiner.is_some()) < min_length {
+        // Rather a chain with ineligible members than none.
+        let readmitted: Vec<usize> = chain
+            .into_iter()
+            .filter(|index| !connected.contains(index))
+            .collect();
+        chain = connected;
+        chain.extend(readmitted);
+    }
+    let id_of = |index: &usize| observations.view.members[*index].id.clone();
+    let chain: Vec<MemberId> = chain
+        .iter()
+        .map(id_of)
+        .chain(joiner.map(|joiner| joiner.id))
+        .collect();
+    (chain.len() >= min_length).then_some(Plan { members, chain })
+}
+
+/// The members that there should be, and which of them is new.
+struct MembershipChange {
+    members: Vec<Peer>,
+    joiner: Option<Peer>,
+}
+
+/// One joiner at a time.
+fn plan_members(observations: &Observations) -> MembershipChange {
+    let mut members = observations.view.members.clone();
+    for request in observations.join_requests {
+        let joiner = request.joiner.clone();
+        match slot_for(observations, request) {
+            Slot::None => continue,
+            Slot::Replacing(index) => members[index] = joiner.clone(),
+            Slot::Additional => members.push(joiner.clone()),
+        }
+        return MembershipChange {
+            members,
+            joiner: Some(joiner),
+        };
+    }
+    if let Some(index) = superfluous_member(observations) {
+        members.remove(index);
+    }
+    MembershipChange {
+        members,
+        joiner: None,
+    }
+}
+
+/// Where a joiner goes.
+enum Slot {
+    /// Nowhere for now.
+    None,
+    /// It replaces the member at this index.
+    Replacing(usize),
+    /// It is one more member.
+    Additional,
+}
+
+fn slot_for(observations: &Observations, request: &JoinRequest) -> Slot {
+    let joiner = &request.joiner;
+    let members = &observations.view.members;
+    let statuses = observations.statuses;
+    if observations.view.has_member(&joiner.id) {
+        return Slot::None;
+    }
+    if let Some(index) = members
+        .iter()
+        .position(|member| member.id.node == joiner.id.node)
+    {
+        // Against a late message of the disk before: a member that is reachable isn't removed by its own name.
+        return if statuses[index].unreachable {
+            Slot::Replacing(index)
+        } else {
+            Slot::None
+        };
+    }
+    if let Some(index) = statuses.iter().position(|status| status.replaceable) {
+        return Slot::Replacing(index);
+    }
+    if let Some(index) = dispensable_leaver(observations, members.len()) {
+        return Slot::Replacing(index);
+    }
+    // A member that is unreachable will be back soon, or the joiner replaces it: with the joiner as one more, the loss of
+    // another would be one too many.
+    let all_present = statuses
+        .iter()
+        .all(|status| status.reported && !status.unreachable);
+    if all_present && request.may_be_additional && members.len() < MAX_MEMBERS {
+        Slot::Additional
+    } else {
+        Slot::None
+    }
+}
+
+/// A member that isn't needed, as it is leaving or has been gone for long: an even number of members tolerates no more
+/// losses than the odd one below it, and with one of them gone it tolerates less. Should the member come back, it is a
+/// joiner.
+fn superfluous_member(observations: &Observations) -> Option<usize> {
+    let count = observations.view.members.len();
+    if count <= MIN_MEMBERS || !count.is_multiple_of(2) {
+        return None;
+    }
+    let gone = observations
+        .statuses
+        .iter()
+        .position(|status| status.replaceable);
+    gone.or_else(|| dispensable_leaver(observations, count - 1))
+}
+
+/// A member that is leaving and may go at once, to leave a view of `members_after` members. It need not have ended: while
+/// it drains slowly it would stay a voter whose loss is certain. The others have to have all that was committed without
+/// it: with so many of them synced in this view, every majority that decides the next one has one of them.
+fn dispensable_leaver(observations: &Observations, members_after: usize) -> Option<usize> {
+    let statuses = observations.statuses;
+    let is_complete =
+        |status: &&MemberStatus| status.synced && !status.unreachable && !status.ineligible;
+    let complete_without = |leaver: usize| {
+        let others = statuses
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| *index != leaver);
+        others.map(|(_, status)| status).filter(is_complete).count()
+    };
+    (0..statuses.len()).find(|index| {
+        statuses[*index].leaving && complete_without(*index) >= majority_of(members_after)
+    })
+}
+
+impl Observations<'_> {
+    fn chain_indices(&self) -> Vec<usize> {
+        self.view
+            .chain
+            .iter()
+            .filter_map(|id| self.view.member_index(id))
+            .collect()
+    }
+
+    fn are_connected(&self, one: usize, other: usize) -> bool {
+        one == other || self.statuses[one].connected[other]
+    }
+
+    /// Removes members until all that are left are connected with each other. Of those that miss a connection within the
+    /// chain, the one goes that misses the most to all members; of equals the one that more members report as lost, and
+    /// then the one further down.
+    fn without_disconnected(&self, mut indices: Vec<usize>) -> Vec<usize> {
+        let missing_connections = |one: usize| {
+            (0..self.statuses.len())
+                .filter(|other| !self.are_connected(one, *other))
+                .count()
+        };
+        loop {
+            let is_disconnected =
+                |one: usize| indices.iter().any(|other| !self.are_connected(one, *other));
+            let disconnected = (0..indices.len()).filter(|at| is_disconnected(indices[*at]));
+            let worst = disconnected.max_by_key(|at| {
+                let index = indices[*at];
+                (
+                    missing_connections(index),
+                    self.statuses[index].suspected_by,
+                    *at,
+                )
+            });
+            match worst {
+                Some(worst) => indices.remove(worst),
+                None => return indices,
+            };
+        }
+    }
+
+    /// Adds at the end those members out of the chain that are eligible, wanted, and connected with all in it.
+    fn readmit(
+        &self,
+        chain: &mut Vec<usize>,
+        stays: impl Fn(&usize) -> bool,
+        is_wanted: impl Fn(&MemberStatus) -> bool,
+    ) {
+        for (index, status) in self.statuses.iter().enumerate() {
+            let was_in_chain = self.view.in_chain(&self.view.members[index].id);
+            let is_out = !chain.contains(&index) && !was_in_chain;
+            let is_connected = chain.iter().all(|other| self.are_connected(index, *other));
+            if is_out && stays(&index) && !status.ineligible && is_wanted(status) && is_connected {
+                chain.push(index);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/serving/chain-replication/src/view.rs
@@ -0,0 +1,116 @@
+//! Views: the members that vote on the next view, and the chain that entries pass along.
+
+use crate::identity::{MemberId, Peer};
+use serde::{Deserialize, Serialize};
+
+/// Views are numbered from 1 in the order in which they are decided; 0 stands for none.
+pub type ViewNumber = u64;
+
+/// Who votes on the next view, and the order in which entries pass.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct View {
+    /// One above that of the view before.
+    pub number: ViewNumber,
+    /// The voters.
+    pub members: Vec<Peer>,
+    /// From head to tail; each is one of `members`.
+    pub chain: Vec<MemberId>,
+}
+
+/// The least number that is more than half of `count`.
+#[must_use]
+pub fn majority_of(count: usize) -> usize {
+    count / 2 + 1
+}
+
+impl View {
+    /// How many members decide on the next view. A chain is never shorter than this.
+    #[must_use]
+    pub fn majority(&self) -> usize {
+        majority_of(self.members.len())
+    }
+
+    /// Where the member stands in the order of the members.
+    #[must_use]
+    pub fn member_index(&self, id: &MemberId) -> Option<usize> {
+        self.members.iter().position(|member| member.id == *id)
+    }
+
+    /// The member of this identity, with its address.
+    #[must_use]
+    pub fn member(&self, id: &MemberId) -> Option<&Peer> {
+        self.members.iter().find(|member| member.id == *id)
+    }
+
+    /// Whether it votes on the next view.
+    #[must_use]
+    pub fn has_member(&self, id: &MemberId) -> bool {
+        self.member(id).is_some()
+    }
+
+    /// How many members of the chain come before it; none if it is out of the chain.
+    #[must_use]
+    pub fn chain_index(&self, id: &MemberId) -> Option<usize> {
+        self.chain.iter().position(|other| other == id)
+    }
+
+    /// Whether it is a member of the chain.
+    #[must_use]
+    pub fn in_chain(&self, id: &MemberId) -> bool {
+        self.chain_index(id).is_some()
+    }
+
+    /// The member at which writes enter.
+    #[must_use]
+    pub fn head(&self) -> Option<&MemberId> {
+        self.chain.first()
+    }
+
+    /// Whether writes enter at this member.
+    #[must_use]
+    pub fn is_head(&self, id: &MemberId) -> bool {
+        self.head() == Some(id)
+    }
+
+    /// The member whose syncs commit.
+    #[must_use]
+    pub fn tail(&self) -> Option<&MemberId> {
+        self.chain.last()
+    }
+
+    /// Whether this member's syncs commit.
+    #[must_use]
+    pub fn is_tail(&self, id: &MemberId) -> bool {
+        self.tail() == Some(id)
+    }
+
+    /// The member before `id` in the chain.
+    #[must_use]
+    pub fn predecessor(&self, id: &MemberId) -> Option<&MemberId> {
+        let index = self.chain_index(id)?;
+        self.chain.get(index.checked_sub(1)?)
+    }
+
+    /// The member after `id` in the chain.
+    #[must_use]
+    pub fn successor(&self, id: &MemberId) -> Option<&MemberId> {
+        let index = self.chain_index(id)?;
+        self.chain.get(index + 1)
+    }
+
+    /// Whether the view could be in force: members and chain without duplicates, the chain within the members and not
+    /// shorter than a majority of them.
+    #[must_use]
+    pub fn is_sound(&self) -> bool {
+        let members_differ = (1..self.members.len()).all(|index| {
+            !self.members[..index]
+                .iter()
+                .any(|member| member.id == self.members[index].id)
+        });
+        let chain_differs =
+            (1..self.chain.len()).all(|index| !self.chain[..index].contains(&self.chain[index]));
+        let chain_within = self.chain.iter().all(|id| self.has_member(id));
+        let long_enough = !self.members.is_empty() && self.chain.len() >= self.majority();
+        members_differ && chain_differs && chain_within && long_enough
+    }
+}
--- a/crates/serving/chain-replication/tests/digests.rs
+++ b/crates/serving/chain-replication/tests/digests.rs
@@ -5,11 +5,11 @@
 
 mod world;
 
-use dunespur_chain_replication::Guards;
+use dunespur_chain_replication::{Safeguard, Safeguards};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
-use world::trouble::{play_in, schedule, storm, Schedule};
-use world::windows::{self, window_in, Change};
+use world::fault_tolerance::{self, window_in, Change};
+use world::faults::{play_in, schedule, storm, Schedule};
 use world::{Setup, World};
 
 const SEEDS: u64 = 100;
@@ -44,11 +44,11 @@
     Setup::new(seed, machines(seed))
 }
 
-fn spoilt(seed: u64) -> Setup {
+fn corrupted(seed: u64) -> Setup {
     Setup {
         snapshot_padding: 300_000,
         padding: 12_000,
-        spoils_parts: true,
+        corrupts_chunks: true,
         ..usual(seed)
     }
 }
@@ -71,7 +71,7 @@
 }
 
 fn window_digest(change: Change, seed: u64) -> u64 {
-    let mut world = World::new(windows::setup(machines(seed), seed));
+    let mut world = World::new(fault_tolerance::setup(machines(seed), seed));
     world.begin_record();
     let _ = window_in(&mut world, change);
     world.digest()
@@ -87,7 +87,7 @@
             played(usual(seed), storm(&usual(seed)))
         }),
         Kind::new("spoilt-snapshots", SEEDS, |seed| {
-            played(spoilt(seed), schedule(&spoilt(seed), 1))
+            played(corrupted(seed), schedule(&corrupted(seed), 1))
         }),
         Kind::new("slow-links", SEEDS, |seed| {
             played(slow_links(seed), schedule(&slow_links(seed), 1))
@@ -102,70 +102,45 @@
 
 /// Worlds in which one guard is out.
 fn guard_kinds() -> Vec<Kind> {
-    let all = Guards::default();
     let named = [
         (
             "without-guard-1",
-            Guards {
-                views_checked: false,
-                ..all
-            },
+            Safeguards::without(Safeguard::CheckViews),
         ),
         (
             "without-guard-2",
-            Guards {
-                synced_before_passed_on: false,
-                ..all
-            },
+            Safeguards::without(Safeguard::PersistBeforeSend),
         ),
         (
             "without-guard-3",
-            Guards {
-                reads_confirmed: false,
-                ..all
-            },
+            Safeguards::without(Safeguard::ConfirmReads),
         ),
         (
             "without-guard-4",
-            Guards {
-                currency_by_sending: false,
-                ..all
-            },
+            Safeguards::without(Safeguard::QuorumBySendTime),
         ),
         (
             "without-guard-5",
-            Guards {
-                commits_awaited: false,
-                ..all
-            },
+            Safeguards::without(Safeguard::AwaitKnownCommits),
         ),
         (
             "without-guard-6",
-            Guards {
-                decided_once: false,
-                ..all
-            },
+            Safeguards::without(Safeguard::DecideOnce),
         ),
         (
             "without-guard-7",
-            Guards {
-                whole_before_synced: false,
-                ..all
-            },
+            Safeguards::without(Safeguard::CatchUpBeforeSync),
         ),
         (
             "without-guard-8",
-            Guards {
-                snapshots_checked: false,
-                ..all
-            },
+            Safeguards::without(Safeguard::VerifySnapshots),
         ),
     ];
-    let kind = |(name, guards)| {
+    let kind = |(name, safeguards)| {
         Kind::new(name, SEEDS_WITHOUT_GUARD, move |seed| {
             let setup = Setup {
-                guards,
-                ..spoilt(seed)
+                safeguards,
+                ..corrupted(seed)
             };
             played(setup, schedule(&setup, 2))
         })
--- a/crates/serving/chain-replication/tests/encodings.rs
+++ b/crates/serving/chain-replication/tests/encodings.rs
@@ -5,11 +5,15 @@
 //! value has another number in each field. The fixtures were written by the text of 2026-12-02; a new variant gets a
 //! new fixture, with `RECORD_FIXTURES=1`, and those that are there stay.
 
-use dunespur_chain_replication::member::transfer::{SnapshotLabel, SnapshotPart, SnapshotProgress};
-use dunespur_chain_replication::message::{Append, Attach, Ping, Probe, Promise};
+use dunespur_chain_replication::message::{
+    AppendEntries, Ping, Promise, ReadIndexRequest, ResumePoint,
+};
+use dunespur_chain_replication::snapshot_transfer::{
+    SnapshotChunk, SnapshotDescriptor, SnapshotProgress,
+};
 use dunespur_chain_replication::{
-    AcceptedView, Ballot, DecidedView, Entry, MemberId, Message, Origin, Payload, Peer, Position,
-    Saved, SavedSnapshot, View, Write,
+    AcceptedView, DecidedView, DurableState, Entry, MemberId, Message, Origin, Payload, Peer,
+    Position, ProposalNumber, Snapshot, View, Write,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -84,17 +88,17 @@
     }
 }
 
-fn ballot() -> Ballot {
-    Ballot {
-        round: 1_006,
+fn proposal_number() -> ProposalNumber {
+    ProposalNumber {
+        sequence: 1_006,
         proposer: id("core-d", 1_007),
-        session: 1_008,
+        incarnation: 1_008,
     }
 }
 
 fn accepted_view() -> AcceptedView {
     AcceptedView {
-        ballot: ballot(),
+        proposal_number: proposal_number(),
         proposal: decided(),
     }
 }
@@ -108,7 +112,7 @@
 
 fn origin() -> Origin {
     Origin {
-        session: 1_011,
+        incarnation: 1_011,
         ticket: 1_012,
     }
 }
@@ -125,14 +129,14 @@
     }
 }
 
-fn append() -> Append {
+fn append() -> AppendEntries {
     let second = Entry {
         position: Position {
             index: 1_013,
             view: 1_014,
         },
         origin: Origin {
-            session: 1_015,
+            incarnation: 1_015,
             ticket: 1_016,
         },
         payload: Payload::from(Vec::new()),
@@ -141,7 +145,7 @@
         index: 1_017,
         view: 1_018,
     };
-    Append {
+    AppendEntries {
         view: 1_019,
         previous,
         entries: vec![entry(), second],
@@ -149,11 +153,11 @@
     }
 }
 
-fn attach() -> Attach {
-    Attach {
+fn resume() -> ResumePoint {
+    ResumePoint {
         view: 1_021,
         last: position(),
-        committed: 1_022,
+        commit_index: 1_022,
     }
 }
 
@@ -161,29 +165,29 @@
     Ping {
         address: "10.1.2.5:7383".parse().expect("an address"),
         view: 1_023,
-        stamp: 1_024,
-        echo: Some(1_025),
+        timestamp: 1_024,
+        echoed_timestamp: Some(1_025),
         connected: 0b1_0110,
         synced: true,
-        stalled: false,
+        disk_stalled: false,
         leaving: true,
-        committed: 1_026,
-        answer: false,
+        commit_index: 1_026,
+        reply_requested: false,
     }
 }
 
 fn promise() -> Promise {
     Promise {
-        number: 1_027,
-        ballot: ballot(),
+        view: 1_027,
+        proposal_number: proposal_number(),
         accepted: Some(accepted_view()),
         synced_view: 1_028,
         last: position(),
     }
 }
 
-fn label() -> SnapshotLabel {
-    SnapshotLabel {
+fn descriptor() -> SnapshotDescriptor {
+    SnapshotDescriptor {
         position: position(),
         length: 1_029,
         checksum: 1_030,
@@ -191,45 +195,45 @@
 }
 
 fn messages() -> Vec<Message> {
-    let part = SnapshotPart {
-        label: label(),
+    let chunk = SnapshotChunk {
+        descriptor: descriptor(),
         offset: 1_033,
         bytes: payload(),
     };
     let progress = SnapshotProgress {
-        label: label(),
-        held: 1_034,
-        refused: true,
+        descriptor: descriptor(),
+        received: 1_034,
+        rejected: true,
     };
     vec![
-        Message::Found { view: view() },
+        Message::Bootstrap { view: view() },
         Message::Join {
-            newcomer: peer("core-e", 1_031, "10.1.2.6:7384"),
+            joiner: peer("core-e", 1_031, "10.1.2.6:7384"),
         },
         Message::Decided { decided: decided() },
         Message::Ping(ping()),
         Message::Prepare {
-            ballot: ballot(),
+            proposal_number: proposal_number(),
             decided: decided(),
         },
         Message::Promise(promise()),
-        Message::Refuse {
-            number: 1_032,
-            promised: ballot(),
+        Message::Reject {
+            view: 1_032,
+            promised: proposal_number(),
         },
         Message::Accept {
-            ballot: ballot(),
+            proposal_number: proposal_number(),
             proposal: decided(),
         },
         Message::Accepted {
-            number: 1_035,
-            ballot: ballot(),
+            view: 1_035,
+            proposal_number: proposal_number(),
         },
         Message::Append(append()),
-        Message::Attach(attach()),
-        Message::Follow(attach()),
-        Message::Followed(append()),
-        Message::Snapshot {
+        Message::Resume(resume()),
+        Message::FetchCommitted(resume()),
+        Message::CommittedEntries(append()),
+        Message::UnchunkedSnapshot {
             view: 1_036,
             position: position(),
             bytes: payload(),
@@ -244,16 +248,16 @@
             payload: payload(),
         },
         Message::Overloaded { origin: origin() },
-        Message::Probe(Probe {
+        Message::ReadIndex(ReadIndexRequest {
             view: 1_040,
             reader: id("core-f", 1_041),
-            round: 1_042,
+            request: 1_042,
         }),
-        Message::ProbeAnswer {
-            round: 1_043,
+        Message::ReadIndexReply {
+            request: 1_043,
             index: 1_044,
         },
-        Message::SnapshotPart { view: 1_045, part },
+        Message::SnapshotChunk { view: 1_045, chunk },
         Message::SnapshotProgress {
             view: 1_046,
             progress,
@@ -264,32 +268,32 @@
 /// The fixture of each variant; a new variant must be given one, and a value above.
 fn fixture_of_message(message: &Message) -> &'static str {
     match message {
-        Message::Found { .. } => "message-00-found",
+        Message::Bootstrap { .. } => "message-00-found",
         Message::Join { .. } => "message-01-join",
         Message::Decided { .. } => "message-02-decided",
         Message::Ping(_) => "message-03-ping",
         Message::Prepare { .. } => "message-04-prepare",
         Message::Promise(_) => "message-05-promise",
-        Message::Refuse { .. } => "message-06-refuse",
+        Message::Reject { .. } => "message-06-refuse",
         Message::Accept { .. } => "message-07-accept",
         Message::Accepted { .. } => "message-08-accepted",
         Message::Append(_) => "message-09-append",
-        Message::Attach(_) => "message-10-attach",
-        Message::Follow(_) => "message-11-follow",
-        Message::Followed(_) => "message-12-followed",
-        Message::Snapshot { .. } => "message-13-snapshot",
+        Message::Resume(_) => "message-10-attach",
+        Message::FetchCommitted(_) => "message-11-follow",
+        Message::CommittedEntries(_) => "message-12-followed",
+        Message::UnchunkedSnapshot { .. } => "message-13-snapshot",
         Message::Committed { .. } => "message-14-committed",
         Message::Submit { .. } => "message-15-submit",
         Message::Overloaded { .. } => "message-16-overloaded",
-        Message::Probe(_) => "message-17-probe",
-        Message::ProbeAnswer { .. } => "message-18-probe-answer",
-        Message::SnapshotPart { .. } => "message-19-snapshot-part",
+        Message::ReadIndex(_) => "message-17-probe",
+        Message::ReadIndexReply { .. } => "message-18-probe-answer",
+        Message::SnapshotChunk { .. } => "message-19-snapshot-chunk",
         Message::SnapshotProgress { .. } => "message-20-snapshot-progress",
     }
 }
 
-fn snapshot() -> SavedSnapshot {
-    SavedSnapshot {
+fn snapshot() -> Snapshot {
+    Snapshot {
         position: position(),
         bytes: payload(),
     }
@@ -297,11 +301,13 @@
 
 fn writes() -> Vec<Write> {
     vec![
-        Write::Promise { ballot: ballot() },
+        Write::Promise {
+            proposal_number: proposal_number(),
+        },
         Write::Accept {
             accepted: accepted_view(),
         },
-        Write::Install { decided: decided() },
+        Write::InstallView { decided: decided() },
         Write::Synced { view: 1_047 },
         Write::Entry { entry: entry() },
         Write::Truncate { index: 1_048 },
@@ -315,7 +321,7 @@
     match write {
         Write::Promise { .. } => "write-0-promise",
         Write::Accept { .. } => "write-1-accept",
-        Write::Install { .. } => "write-2-install",
+        Write::InstallView { .. } => "write-2-install",
         Write::Synced { .. } => "write-3-synced",
         Write::Entry { .. } => "write-4-entry",
         Write::Truncate { .. } => "write-5-truncate",
@@ -345,27 +351,27 @@
 
 #[test]
 fn what_is_found_on_disk_keeps_its_bytes() {
-    let saved = Saved {
+    let durable = DurableState {
         decided: Some(decided()),
-        promised: Some(ballot()),
+        promised: Some(proposal_number()),
         accepted: Some(accepted_view()),
         synced_view: 1_049,
         snapshot: Some(snapshot()),
         entries: append().entries,
     };
-    check("saved", &saved);
-    check("saved-empty-disk", &Saved::default());
+    check("saved", &durable);
+    check("saved-empty-disk", &DurableState::default());
 }
 
 /// The other value of each option and flag.
 #[test]
 fn messages_with_other_flags_keep_their_bytes() {
     let ping = Ping {
-        echo: None,
+        echoed_timestamp: None,
         synced: false,
-        stalled: true,
+        disk_stalled: true,
         leaving: false,
-        answer: true,
+        reply_requested: true,
         ..ping()
     };
     check("message-03-ping-other-flags", &Message::Ping(ping));
@@ -378,9 +384,9 @@
         &Message::Promise(promise),
     );
     let progress = SnapshotProgress {
-        label: label(),
-        held: 1_034,
-        refused: false,
+        descriptor: descriptor(),
+        received: 1_034,
+        rejected: false,
     };
     check(
         "message-20-snapshot-progress-taken",
@@ -399,7 +405,7 @@
     check("part-view", &view());
     check("part-decided-view", &decided());
     check("part-accepted-view", &accepted_view());
-    check("part-ballot", &ballot());
+    check("part-ballot", &proposal_number());
     check("part-position", &position());
     check("part-origin", &origin());
     check("part-payload", &payload());
--- a/crates/serving/chain-replication/tests/windows.rs
+++ b/crates/serving/chain-replication/tests/fault_tolerance.rs
@@ -6,7 +6,7 @@
 use dunespur_chain_replication::Millis;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
-use world::windows::{tolerated, window, Change};
+use world::fault_tolerance::{tolerated, window, Change};
 
 /// Played for each change and size, unless the environment says otherwise.
 const SEEDS: u64 = 30;
--- a/crates/serving/chain-replication/tests/faults.rs
+++ b/crates/serving/chain-replication/tests/faults.rs
@@ -4,10 +4,10 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
-use world::trouble::{play, schedule, storm, Played, Schedule};
+use world::faults::{play, schedule, storm, Played, Schedule};
 use world::Setup;
 
-const ROUNDS: usize = 3;
+const PHASES: usize = 3;
 /// Played in each test, unless the environment says otherwise.
 const SEEDS: u64 = 1_000;
 
@@ -88,7 +88,7 @@
 #[test]
 fn cores_of_three_to_six_bear_all_kinds_of_trouble() {
     let (seeds, count) = seeds();
-    let tally = play_all(seeds, |setup| schedule(setup, ROUNDS));
+    let tally = play_all(seeds, |setup| schedule(setup, PHASES));
     tally.assert_none_failed();
     // What is said here was tried: writes, reads, and snapshots to members that were away.
     assert!(
@@ -129,7 +129,7 @@
     let setup = setup(seed);
     let plan = match from_environment("CHAIN_STORM") {
         Some(_) => storm(&setup),
-        None => schedule(&setup, ROUNDS),
+        None => schedule(&setup, PHASES),
     };
     play(setup, plan).expect("all holds");
 }
--- a/crates/serving/chain-replication/tests/member.rs
+++ b/crates/serving/chain-replication/tests/member.rs
@@ -1,12 +1,13 @@
 //! Single members, driven by hand: what they must not do, and what is bounded.
 
-use dunespur_chain_replication::message::{Append, Ping, Promise};
-use dunespur_chain_replication::timing::{
-    COMMITS_KNOWN_WITHIN, MOST_NEWCOMERS, MOST_READS, MOST_SUBMISSIONS, MOST_UNCOMMITTED,
+use dunespur_chain_replication::limits::{
+    MAX_JOINERS, MAX_READS, MAX_SUBMISSIONS, MAX_UNCOMMITTED,
 };
+use dunespur_chain_replication::message::{AppendEntries, Ping, Promise};
+use dunespur_chain_replication::timing::FRESHNESS_TIMEOUT;
 use dunespur_chain_replication::{
-    AcceptedView, Ballot, DecidedView, Entry, Input, Member, MemberId, Message, Origin, Output,
-    Payload, Peer, Position, Saved, View, Write,
+    AcceptedView, DecidedView, DurableState, Entry, Input, Member, MemberConfig, MemberId, Message,
+    Origin, Output, Payload, Peer, Position, ProposalNumber, View, Write,
 };
 
 const NOW: u64 = 10_000;
@@ -25,6 +26,14 @@
     }
 }
 
+fn config(node: usize, may_bootstrap: bool) -> MemberConfig {
+    MemberConfig {
+        peer: peer(node),
+        may_bootstrap,
+        seed: 7,
+    }
+}
+
 fn view(number: u64, chain: &[usize]) -> View {
     let members = (0..3).map(peer).collect();
     View {
@@ -36,7 +45,7 @@
 
 fn entry(index: u64, view: u64) -> Entry {
     let origin = Origin {
-        session: 9,
+        incarnation: 9,
         ticket: index,
     };
     Entry {
@@ -47,15 +56,15 @@
 }
 
 /// A member of view 1, synced, with some entries on its disk.
-fn saved(entries: u64) -> Saved {
-    Saved {
+fn durable(entries: u64) -> DurableState {
+    DurableState {
         decided: Some(DecidedView {
             view: view(1, &[0, 1, 2]),
             base: 0,
         }),
         synced_view: 1,
         entries: (1..=entries).map(|index| entry(index, 1)).collect(),
-        ..Saved::default()
+        ..DurableState::default()
     }
 }
 
@@ -67,8 +76,8 @@
 }
 
 impl Driven {
-    fn new(node: usize, saved: Saved) -> Driven {
-        let member = Member::new(id(node), peer(node).address, true, saved, 7, NOW);
+    fn new(node: usize, durable: DurableState) -> Driven {
+        let member = Member::new(config(node, true), durable, NOW);
         let mut driven = Driven {
             member,
             now: NOW,
@@ -90,16 +99,16 @@
         });
     }
 
-    fn sent(&self) -> Vec<&Message> {
-        let sent = self.outputs.iter().filter_map(|output| match output {
+    fn messages_sent(&self) -> Vec<&Message> {
+        let messages_sent = self.outputs.iter().filter_map(|output| match output {
             Output::Send { message, .. } => Some(message),
             _ => None,
         });
-        sent.collect()
+        messages_sent.collect()
     }
 
     fn sends(&self, wanted: impl Fn(&Message) -> bool) -> bool {
-        self.sent().into_iter().any(wanted)
+        self.messages_sent().into_iter().any(wanted)
     }
 
     fn batch(&self) -> Option<(u64, Vec<Write>)> {
@@ -121,30 +130,36 @@
             self.give(Input::Tick);
             self.now = self.member.next_tick().max(self.now);
         }
-        let stamps = self.sent().into_iter().filter_map(|message| match message {
-            Message::Ping(ping) => Some(ping.stamp),
-            _ => None,
-        });
-        let echo = stamps.max();
-        self.receive(node, Message::Ping(ping(node, echo)));
+        let timestamps = self
+            .messages_sent()
+            .into_iter()
+            .filter_map(|message| match message {
+                Message::Ping(ping) => Some(ping.timestamp),
+                _ => None,
+            });
+        let echoed_timestamp = timestamps.max();
+        self.receive(node, Message::Ping(ping(node, echoed_timestamp)));
     }
 
     /// The stamp of a ping that this member sends now.
-    fn stamp(&mut self) -> u64 {
+    fn timestamp(&mut self) -> u64 {
         self.give(Input::Tick);
         while !self.sends(|message| matches!(message, Message::Ping(_))) {
             self.now = self.member.next_tick().max(self.now);
             self.give(Input::Tick);
         }
-        let stamps = self.sent().into_iter().filter_map(|message| match message {
-            Message::Ping(ping) => Some(ping.stamp),
-            _ => None,
-        });
-        stamps.max().expect("a ping was sent")
+        let timestamps = self
+            .messages_sent()
+            .into_iter()
+            .filter_map(|message| match message {
+                Message::Ping(ping) => Some(ping.timestamp),
+                _ => None,
+            });
+        timestamps.max().expect("a ping was sent")
     }
 
     fn is_current(&self) -> bool {
-        self.member.current(self.now)
+        self.member.has_quorum(self.now)
     }
 
     fn dropped(&self) -> usize {
@@ -155,32 +170,32 @@
     }
 }
 
-fn ping(node: usize, echo: Option<u64>) -> Ping {
+fn ping(node: usize, echoed_timestamp: Option<u64>) -> Ping {
     Ping {
         address: peer(node).address,
         view: 1,
-        stamp: 1,
-        echo,
+        timestamp: 1,
+        echoed_timestamp,
         connected: 0b111,
         synced: true,
-        stalled: false,
+        disk_stalled: false,
         leaving: false,
-        committed: 0,
-        answer: false,
+        commit_index: 0,
+        reply_requested: false,
     }
 }
 
-fn ballot(round: u64, proposer: usize) -> Ballot {
-    Ballot {
-        round,
+fn proposal_number(sequence: u64, proposer: usize) -> ProposalNumber {
+    ProposalNumber {
+        sequence,
         proposer: id(proposer),
-        session: 3,
+        incarnation: 3,
     }
 }
 
-fn prepare(round: u64, proposer: usize) -> Message {
+fn prepare(sequence: u64, proposer: usize) -> Message {
     Message::Prepare {
-        ballot: ballot(round, proposer),
+        proposal_number: proposal_number(sequence, proposer),
         decided: DecidedView {
             view: view(1, &[0, 1, 2]),
             base: 0,
@@ -188,13 +203,13 @@
     }
 }
 
-fn accept(round: u64, proposer: usize, chain: &[usize]) -> Message {
+fn accept(sequence: u64, proposer: usize, chain: &[usize]) -> Message {
     let proposal = DecidedView {
         view: view(2, chain),
         base: 1,
     };
     Message::Accept {
-        ballot: ballot(round, proposer),
+        proposal_number: proposal_number(sequence, proposer),
         proposal,
     }
 }
@@ -204,7 +219,7 @@
         index: index - 1,
         view: if index == 1 { 0 } else { 1 },
     };
-    Message::Append(Append {
+    Message::Append(AppendEntries {
         view: 1,
         previous,
         entries: vec![entry(index, 1)],
@@ -218,12 +233,12 @@
 
 #[test]
 fn a_promise_is_told_once_it_is_on_disk() {
-    let mut driven = Driven::new(1, saved(0));
+    let mut driven = Driven::new(1, durable(0));
     driven.receive(2, prepare(1, 2));
     assert!(!driven.sends(is_promise));
     let (_, writes) = driven.batch().expect("the promise goes to the disk");
     assert!(writes.contains(&Write::Promise {
-        ballot: ballot(1, 2)
+        proposal_number: proposal_number(1, 2)
     }));
     driven.persist();
     assert!(driven.sends(is_promise));
@@ -231,7 +246,7 @@
 
 #[test]
 fn a_vote_is_told_once_it_is_on_disk() {
-    let mut driven = Driven::new(1, saved(0));
+    let mut driven = Driven::new(1, durable(0));
     let is_vote = |message: &Message| matches!(message, Message::Accepted { .. });
     driven.receive(2, accept(1, 2, &[1, 2]));
     assert!(!driven.sends(is_vote));
@@ -241,13 +256,13 @@
 
 #[test]
 fn a_lesser_ballot_is_refused_also_after_a_restart() {
-    let mut on_disk = saved(0);
-    on_disk.promised = Some(ballot(5, 2));
+    let mut on_disk = durable(0);
+    on_disk.promised = Some(proposal_number(5, 2));
     let mut driven = Driven::new(1, on_disk);
     driven.receive(0, prepare(4, 0));
-    assert!(driven.sends(|message| matches!(message, Message::Refuse { number: 2, .. })));
+    assert!(driven.sends(|message| matches!(message, Message::Reject { view: 2, .. })));
     driven.receive(0, accept(4, 0, &[0, 1]));
-    assert!(driven.sends(|message| matches!(message, Message::Refuse { number: 2, .. })));
+    assert!(driven.sends(|message| matches!(message, Message::Reject { view: 2, .. })));
 }
 
 #[test]
@@ -257,48 +272,48 @@
         base: 1,
     };
     let accepted = AcceptedView {
-        ballot: ballot(1, 2),
+        proposal_number: proposal_number(1, 2),
         proposal,
     };
-    let mut on_disk = saved(0);
-    on_disk.promised = Some(ballot(1, 2));
+    let mut on_disk = durable(0);
+    on_disk.promised = Some(proposal_number(1, 2));
     on_disk.accepted = Some(accepted.clone());
     let mut driven = Driven::new(1, on_disk);
     driven.receive(0, prepare(2, 0));
     driven.persist();
-    let told = |message: &Message| match message {
+    let describe = |message: &Message| match message {
         Message::Promise(promise) => promise.accepted.as_ref() == Some(&accepted),
         _ => false,
     };
-    assert!(driven.sends(told));
+    assert!(driven.sends(describe));
 }
 
 #[test]
 fn a_sealed_member_takes_no_part_in_the_chain() {
-    let mut driven = Driven::new(1, saved(0));
+    let mut driven = Driven::new(1, durable(0));
     driven.receive(2, prepare(1, 2));
     driven.persist();
     driven.receive(0, append(1, 1));
-    assert!(driven.batch().is_none() && driven.sent().is_empty());
+    assert!(driven.batch().is_none() && driven.messages_sent().is_empty());
     // Nor after a restart.
-    let mut on_disk = saved(0);
-    on_disk.promised = Some(ballot(1, 2));
+    let mut on_disk = durable(0);
+    on_disk.promised = Some(proposal_number(1, 2));
     let mut driven = Driven::new(1, on_disk);
     driven.receive(0, append(1, 1));
-    assert!(driven.batch().is_none() && driven.sent().is_empty());
+    assert!(driven.batch().is_none() && driven.messages_sent().is_empty());
 }
 
 #[test]
 fn entries_are_passed_on_and_acknowledged_once_they_are_on_disk() {
     let passes_on = |message: &Message| matches!(message, Message::Append(append) if !append.entries.is_empty());
-    let mut driven = Driven::new(1, saved(0));
+    let mut driven = Driven::new(1, durable(0));
     driven.receive(0, append(1, 1));
     assert!(!driven.sends(passes_on));
     driven.persist();
     assert!(driven.sends(passes_on));
 
     let acknowledges = |message: &Message| matches!(message, Message::Committed { index: 1, .. });
-    let mut tail = Driven::new(2, saved(0));
+    let mut tail = Driven::new(2, durable(0));
     tail.receive(1, append(1, 1));
     assert!(!tail.sends(acknowledges));
     tail.persist();
@@ -307,25 +322,25 @@
 
 #[test]
 fn entries_of_another_member_than_the_predecessor_are_not_taken() {
-    let mut driven = Driven::new(2, saved(0));
+    let mut driven = Driven::new(2, durable(0));
     driven.receive(0, append(1, 1));
     assert!(driven.batch().is_none());
 }
 
 #[test]
 fn a_gap_is_asked_after_once() {
-    let mut driven = Driven::new(1, saved(2));
+    let mut driven = Driven::new(1, durable(2));
     driven.receive(0, append(5, 6));
     assert!(driven.batch().is_none());
     assert!(driven
-        .sends(|message| matches!(message, Message::Attach(attach) if attach.last.index == 2)));
+        .sends(|message| matches!(message, Message::Resume(resume) if resume.last.index == 2)));
     driven.receive(0, append(6, 6));
-    assert!(driven.sent().is_empty());
+    assert!(driven.messages_sent().is_empty());
 }
 
 #[test]
 fn the_vote_of_a_wiped_machine_does_not_count() {
-    let mut driven = Driven::new(0, saved(0));
+    let mut driven = Driven::new(0, durable(0));
     for _ in 0..2 {
         driven.hear_from(1);
         driven.now += 200;
@@ -336,16 +351,21 @@
         assert!(driven.now < NOW + 2_000, "no attempt was made");
         driven.give(Input::Tick);
     }
-    let sent = driven.sent().into_iter().find_map(|message| match message {
-        Message::Prepare { ballot, .. } => Some(ballot.clone()),
-        _ => None,
-    });
-    let ballot = sent.expect("just seen");
+    let messages_sent = driven
+        .messages_sent()
+        .into_iter()
+        .find_map(|message| match message {
+            Message::Prepare {
+                proposal_number, ..
+            } => Some(proposal_number.clone()),
+            _ => None,
+        });
+    let proposal_number = messages_sent.expect("just seen");
     driven.persist();
     let last = Position::default();
     let promise = Message::Promise(Promise {
-        number: 2,
-        ballot,
+        view: 2,
+        proposal_number,
         accepted: None,
         synced_view: 1,
         last,
@@ -366,26 +386,31 @@
 }
 
 /// Drives a member until it asks for promises; its own is on disk then.
-fn begin_attempt(driven: &mut Driven) -> Ballot {
+fn begin_attempt(driven: &mut Driven) -> ProposalNumber {
     let asked = |message: &Message| matches!(message, Message::Prepare { .. });
     while !driven.sends(asked) {
         driven.now = driven.member.next_tick();
         assert!(driven.now < NOW + 3_000, "no attempt was made");
         driven.give(Input::Tick);
     }
-    let sent = driven.sent().into_iter().find_map(|message| match message {
-        Message::Prepare { ballot, .. } => Some(ballot.clone()),
-        _ => None,
-    });
+    let messages_sent = driven
+        .messages_sent()
+        .into_iter()
+        .find_map(|message| match message {
+            Message::Prepare {
+                proposal_number, ..
+            } => Some(proposal_number.clone()),
+            _ => None,
+        });
     driven.persist();
-    sent.expect("just seen")
+    messages_sent.expect("just seen")
 }
 
 /// A head is synced as soon as its view is installed. If it leaves before another member of the chain is, nothing was
 /// committed in the view, and the others go on without it.
 #[test]
 fn a_head_that_leaves_before_others_are_synced_is_not_needed() {
-    let mut on_disk = saved(5);
+    let mut on_disk = durable(5);
     on_disk.decided = Some(DecidedView {
         view: view(2, &[0, 1, 2]),
         base: 1,
@@ -396,21 +421,24 @@
     driven.now += 1;
     driven.hear_from(2);
     driven.give(Input::Leave);
-    let ballot = begin_attempt(&mut driven);
+    let proposal_number = begin_attempt(&mut driven);
     let last = Position { index: 5, view: 1 };
     let promise = Promise {
-        number: 3,
-        ballot,
+        view: 3,
+        proposal_number,
         accepted: None,
         synced_view: 1,
         last,
     };
     driven.receive(1, Message::Promise(promise.clone()));
     driven.receive(2, Message::Promise(promise));
-    let proposal = driven.sent().into_iter().find_map(|message| match message {
-        Message::Accept { proposal, .. } => Some(proposal.clone()),
-        _ => None,
-    });
+    let proposal = driven
+        .messages_sent()
+        .into_iter()
+        .find_map(|message| match message {
+            Message::Accept { proposal, .. } => Some(proposal.clone()),
+            _ => None,
+        });
     let proposal = proposal.expect("a view is put to the vote");
     assert_eq!(proposal.base, 1);
     assert_eq!(proposal.view.chain, [id(1), id(2)]);
@@ -419,40 +447,40 @@
 #[test]
 fn a_first_view_is_taken_on_an_empty_disk_only_where_it_may_be() {
     let first = view(1, &[0, 1, 2]);
-    let mut fresh = Driven::new(1, Saved::default());
+    let mut fresh = Driven::new(1, DurableState::default());
     fresh.receive(
         0,
-        Message::Found {
+        Message::Bootstrap {
             view: first.clone(),
         },
     );
     assert_eq!(fresh.member.view(), Some(&first));
 
-    let mut standing = Driven::new(1, saved(1));
+    let mut status = Driven::new(1, durable(1));
     let other = view(1, &[2, 1, 0]);
-    standing.receive(
+    status.receive(
         0,
-        Message::Found {
+        Message::Bootstrap {
             view: other.clone(),
         },
     );
-    assert_eq!(standing.member.view(), Some(&first));
+    assert_eq!(status.member.view(), Some(&first));
 
-    let mut member = Member::new(id(1), peer(1).address, false, Saved::default(), 7, NOW);
+    let mut member = Member::new(config(1, false), DurableState::default(), NOW);
     let mut outputs = Vec::new();
-    member.step(Input::Found { view: first }, NOW, &mut outputs);
+    member.step(Input::Bootstrap { view: first }, NOW, &mut outputs);
     assert_eq!(member.view(), None);
 
-    let mut without_us = Driven::new(5, Saved::default());
-    without_us.receive(0, Message::Found { view: other });
+    let mut without_us = Driven::new(5, DurableState::default());
+    without_us.receive(0, Message::Bootstrap { view: other });
     assert_eq!(without_us.member.view(), None);
 }
 
 #[test]
 fn a_founder_tells_the_first_view_once_it_is_on_disk() {
-    let mut fresh = Driven::new(1, Saved::default());
+    let mut fresh = Driven::new(1, DurableState::default());
     let tells = |message: &Message| matches!(message, Message::Decided { .. });
-    fresh.give(Input::Found {
+    fresh.give(Input::Bootstrap {
         view: view(1, &[0, 1, 2]),
     });
     assert!(!fresh.sends(tells));
@@ -462,8 +490,8 @@
 
 #[test]
 fn submissions_and_reads_in_hand_are_bounded() {
-    let mut driven = Driven::new(1, saved(0));
-    for ticket in 0..MOST_SUBMISSIONS as u64 {
+    let mut driven = Driven::new(1, durable(0));
+    for ticket in 0..MAX_SUBMISSIONS as u64 {
         driven.give(Input::Submit {
             ticket,
             payload: vec![1],
@@ -475,7 +503,7 @@
         payload: vec![1],
     });
     assert_eq!(driven.dropped(), 1);
-    for ticket in 0..MOST_READS as u64 {
+    for ticket in 0..MAX_READS as u64 {
         driven.give(Input::Read {
             ticket: 1 << 30 | ticket,
         });
@@ -487,9 +515,12 @@
 
 #[test]
 fn the_head_takes_only_so_much_before_it_is_committed() {
-    let mut driven = Driven::new(0, saved(0));
+    let mut driven = Driven::new(0, durable(0));
     let submit = |ticket: u64| {
-        let origin = Origin { session: 5, ticket };
+        let origin = Origin {
+            incarnation: 5,
+            ticket,
+        };
         Message::Submit {
             view: 1,
             origin,
@@ -497,25 +528,25 @@
         }
     };
     let overloaded = |message: &Message| matches!(message, Message::Overloaded { .. });
-    for ticket in 0..MOST_UNCOMMITTED {
+    for ticket in 0..MAX_UNCOMMITTED {
         driven.receive(1, submit(ticket));
         assert!(!driven.sends(overloaded));
     }
-    driven.receive(1, submit(MOST_UNCOMMITTED));
+    driven.receive(1, submit(MAX_UNCOMMITTED));
     assert!(driven.sends(overloaded));
 }
 
 #[test]
 fn a_flood_of_newcomers_is_borne_and_answered() {
-    let mut driven = Driven::new(0, saved(0));
-    for node in 10..10 + 20 * MOST_NEWCOMERS {
-        let newcomer = Peer {
+    let mut driven = Driven::new(0, durable(0));
+    for node in 10..10 + 20 * MAX_JOINERS {
+        let joiner = Peer {
             id: id(node),
             address: peer(node % 256).address,
         };
         driven.give(Input::Received {
-            from: newcomer.id.clone(),
-            message: Message::Join { newcomer },
+            from: joiner.id.clone(),
+            message: Message::Join { joiner },
         });
     }
     assert!(driven.sends(|message| matches!(message, Message::Decided { .. })));
@@ -523,7 +554,7 @@
 
 #[test]
 fn what_is_given_up_is_dropped_in_time() {
-    let mut driven = Driven::new(2, saved(0));
+    let mut driven = Driven::new(2, durable(0));
     driven.give(Input::Submit {
         ticket: 1,
         payload: vec![1],
@@ -540,20 +571,26 @@
 
 #[test]
 fn an_echo_makes_current_for_a_while() {
-    let mut driven = Driven::new(0, saved(0));
+    let mut driven = Driven::new(0, durable(0));
     driven.hear_from(1);
-    assert!(driven.member.current(driven.now));
-    assert!(!driven.member.current(driven.now + 1_000));
+    assert!(driven.member.has_quorum(driven.now));
+    assert!(!driven.member.has_quorum(driven.now + 1_000));
 }
 
 #[test]
 fn echoes_of_an_earlier_run_do_not_make_current() {
     // The clock of the run before was ahead, or behind; its stamps began elsewhere.
-    for echo in [0, 1, NOW - 1, NOW, NOW + 500_000, u64::MAX >> 16, u64::MAX] {
-        let mut driven = Driven::new(0, saved(0));
-        driven.receive(1, Message::Ping(ping(1, Some(echo))));
-        assert!(!driven.member.current(driven.now), "echo {echo}");
-        assert!(!driven.member.current(driven.now + 1_000), "echo {echo}");
+    for echoed_timestamp in [0, 1, NOW - 1, NOW, NOW + 500_000, u64::MAX >> 16, u64::MAX] {
+        let mut driven = Driven::new(0, durable(0));
+        driven.receive(1, Message::Ping(ping(1, Some(echoed_timestamp))));
+        assert!(
+            !driven.member.has_quorum(driven.now),
+            "echo {echoed_timestamp}"
+        );
+        assert!(
+            !driven.member.has_quorum(driven.now + 1_000),
+            "echo {echoed_timestamp}"
+        );
     }
 }
 
@@ -562,41 +599,41 @@
 
 #[test]
 fn a_member_that_was_frozen_is_not_current_by_what_lay_in_its_sockets() {
-    let mut driven = Driven::new(0, saved(0));
-    let stamp = driven.stamp();
+    let mut driven = Driven::new(0, durable(0));
+    let timestamp = driven.timestamp();
     driven.now += FREEZE;
     for node in [1, 2] {
-        driven.receive(node, Message::Ping(ping(node, Some(stamp))));
+        driven.receive(node, Message::Ping(ping(node, Some(timestamp))));
         assert!(!driven.is_current(), "by what m{node} said before");
-        assert!(!driven.member.follows(driven.now));
+        assert!(!driven.member.is_up_to_date(driven.now));
     }
-    let stamp = driven.stamp();
-    driven.receive(1, Message::Ping(ping(1, Some(stamp))));
+    let timestamp = driven.timestamp();
+    driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
     assert!(driven.is_current(), "by what was said since");
 }
 
 #[test]
 fn a_member_whose_clock_went_back_is_not_current_by_what_was_said_before() {
-    let mut driven = Driven::new(0, saved(0));
-    let stamp = driven.stamp();
-    driven.receive(1, Message::Ping(ping(1, Some(stamp))));
+    let mut driven = Driven::new(0, durable(0));
+    let timestamp = driven.timestamp();
+    driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
     assert!(driven.is_current());
     driven.now -= 5_000;
     driven.give(Input::Tick);
     assert!(!driven.is_current());
-    driven.receive(1, Message::Ping(ping(1, Some(stamp))));
+    driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
     assert!(!driven.is_current(), "that stamp is of another time");
-    let stamp = driven.stamp();
-    driven.receive(1, Message::Ping(ping(1, Some(stamp))));
+    let timestamp = driven.timestamp();
+    driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
     assert!(driven.is_current());
 }
 
 #[test]
 fn an_answer_given_in_a_later_view_does_not_count_after_a_late_ping_of_this_one() {
-    let mut driven = Driven::new(0, saved(0));
-    let early = driven.stamp();
+    let mut driven = Driven::new(0, durable(0));
+    let early = driven.timestamp();
     driven.now += 100;
-    let late = driven.stamp();
+    let late = driven.timestamp();
     driven.receive(
         1,
         Message::Ping(Ping {
@@ -611,31 +648,31 @@
 
 #[test]
 fn a_member_that_has_started_again_follows_once_its_log_is_given_out() {
-    let mut driven = Driven::new(0, saved(3));
+    let mut driven = Driven::new(0, durable(3));
     driven.hear_from(1);
     assert!(driven.is_current());
     assert!(
-        !driven.member.follows(driven.now),
+        !driven.member.is_up_to_date(driven.now),
         "it doesn't know what of its log is committed"
     );
     driven.receive(1, Message::Committed { view: 1, index: 2 });
-    assert!(!driven.member.follows(driven.now));
+    assert!(!driven.member.is_up_to_date(driven.now));
     driven.receive(1, Message::Committed { view: 1, index: 3 });
-    assert!(driven.member.follows(driven.now));
+    assert!(driven.member.is_up_to_date(driven.now));
 }
 
 #[test]
 fn a_member_that_lags_behind_its_log_does_not_follow() {
-    let mut driven = Driven::new(0, saved(0));
+    let mut driven = Driven::new(0, durable(0));
     driven.hear_from(1);
     driven.give(Input::Submit {
         ticket: 1,
         payload: vec![1],
     });
     let begun = driven.now;
-    while driven.now < begun + COMMITS_KNOWN_WITHIN {
+    while driven.now < begun + FRESHNESS_TIMEOUT {
         assert!(
-            driven.member.follows(driven.now),
+            driven.member.is_up_to_date(driven.now),
             "after {} ms",
             driven.now - begun
         );
@@ -644,26 +681,26 @@
     driven.hear_from(1);
     assert!(driven.is_current());
     assert!(
-        !driven.member.follows(driven.now),
+        !driven.member.is_up_to_date(driven.now),
         "what it holds may have been committed long ago"
     );
     driven.receive(1, Message::Committed { view: 1, index: 0 });
-    assert!(!driven.member.follows(driven.now));
+    assert!(!driven.member.is_up_to_date(driven.now));
 }
 
 #[test]
 fn a_member_that_is_sealed_before_it_has_come_up_does_not_follow() {
     let mut driven = Driven::new(
         1,
-        Saved {
+        DurableState {
             synced_view: 0,
-            ..saved(0)
+            ..durable(0)
         },
     );
     driven.hear_from(2);
-    assert!(driven.is_current() && !driven.member.follows(driven.now));
+    assert!(driven.is_current() && !driven.member.is_up_to_date(driven.now));
     driven.receive(2, prepare(1, 2));
     driven.hear_from(2);
     assert!(driven.is_current());
-    assert!(!driven.member.follows(driven.now));
+    assert!(!driven.member.is_up_to_date(driven.now));
 }
--- a/crates/serving/chain-replication/tests/plan.rs
+++ b/crates/serving/chain-replication/tests/reconfiguration.rs
@@ -1,6 +1,8 @@
 //! Plans for the next view, over drawn situations: whatever is seen, a plan is a view that could be in force.
 
-use dunespur_chain_replication::plan::{plan, Applicant, Plan, Situation, Standing};
+use dunespur_chain_replication::reconfiguration::{
+    plan, JoinRequest, MemberStatus, Observations, Plan,
+};
 use dunespur_chain_replication::{MemberId, Peer, View};
 use fastrand::Rng;
 
@@ -19,8 +21,8 @@
 
 struct Case {
     view: View,
-    standings: Vec<Standing>,
-    applicants: Vec<Applicant>,
+    statuses: Vec<MemberStatus>,
+    join_requests: Vec<JoinRequest>,
 }
 
 impl Case {
@@ -32,41 +34,41 @@
         let mut chain: Vec<MemberId> = members.iter().map(|member| member.id.clone()).collect();
         rng.shuffle(&mut chain);
         chain.truncate(rng.usize(count / 2 + 1..=count));
-        let trouble = rng.u32(0..4);
-        let rare = |rng: &mut Rng| rng.u32(0..8) < trouble;
-        let standings = (0..count).map(|index| {
+        let fault = rng.u32(0..4);
+        let rare = |rng: &mut Rng| rng.u32(0..8) < fault;
+        let statuses = (0..count).map(|index| {
             let connected = (0..count)
                 .map(|other| other == index || !rare(&mut rng))
                 .collect();
-            Standing {
+            MemberStatus {
                 connected,
-                unfit: rare(&mut rng),
-                may_return: rng.bool(),
-                accusers: rng.usize(0..=count),
-                silent: rare(&mut rng),
-                present: !rare(&mut rng),
+                ineligible: rare(&mut rng),
+                readmissible: rng.bool(),
+                suspected_by: rng.usize(0..=count),
+                unreachable: rare(&mut rng),
+                reported: !rare(&mut rng),
                 replaceable: rare(&mut rng),
                 leaving: rare(&mut rng),
                 synced: !rare(&mut rng),
             }
         });
-        let standings: Vec<Standing> = standings.collect();
-        let applicants = (0..rng.usize(0..3)).map(|_| {
+        let statuses: Vec<MemberStatus> = statuses.collect();
+        let join_requests = (0..rng.usize(0..3)).map(|_| {
             let node = rng.usize(0..10);
-            Applicant {
-                peer: peer(node, 2),
-                patient: rng.bool(),
+            JoinRequest {
+                joiner: peer(node, 2),
+                may_be_additional: rng.bool(),
             }
         });
-        let applicants = applicants.collect();
+        let join_requests = join_requests.collect();
         Case {
             view: View {
                 number: 1,
                 members,
                 chain,
             },
-            standings,
-            applicants,
+            statuses,
+            join_requests,
         }
     }
 
@@ -74,53 +76,56 @@
     fn calm(count: usize) -> Case {
         let members: Vec<Peer> = (0..count).map(|node| peer(node, 1)).collect();
         let chain = members.iter().map(|member| member.id.clone()).collect();
-        let standing = Standing {
+        let status = MemberStatus {
             connected: vec![true; count],
-            unfit: false,
-            may_return: false,
-            accusers: 0,
-            silent: false,
-            present: true,
+            ineligible: false,
+            readmissible: false,
+            suspected_by: 0,
+            unreachable: false,
+            reported: true,
             replaceable: false,
             leaving: false,
             synced: true,
         };
-        let standings = vec![standing; count];
+        let statuses = vec![status; count];
         Case {
             view: View {
                 number: 1,
                 members,
                 chain,
             },
-            standings,
-            applicants: Vec::new(),
+            statuses,
+            join_requests: Vec::new(),
         }
     }
 
     fn plan(&self) -> Option<Plan> {
-        plan(&Situation {
+        plan(&Observations {
             view: &self.view,
-            standings: &self.standings,
-            applicants: &self.applicants,
+            statuses: &self.statuses,
+            join_requests: &self.join_requests,
         })
     }
 
     fn lose(&mut self, index: usize) {
-        for other in (0..self.standings.len()).filter(|other| *other != index) {
-            self.standings[index].connected[other] = false;
-            self.standings[other].connected[index] = false;
+        for other in (0..self.statuses.len()).filter(|other| *other != index) {
+            self.statuses[index].connected[other] = false;
+            self.statuses[other].connected[index] = false;
         }
-        self.standings[index].silent = true;
-        self.standings[index].accusers = self.standings.len() - 1;
+        self.statuses[index].unreachable = true;
+        self.statuses[index].suspected_by = self.statuses.len() - 1;
     }
 
     fn leaves(&mut self, index: usize) {
-        self.standings[index].leaving = true;
-        self.standings[index].unfit = true;
+        self.statuses[index].leaving = true;
+        self.statuses[index].ineligible = true;
     }
 
-    fn apply(&mut self, peer: Peer, patient: bool) {
-        self.applicants.push(Applicant { peer, patient });
+    fn apply(&mut self, joiner: Peer, may_be_additional: bool) {
+        self.join_requests.push(JoinRequest {
+            joiner,
+            may_be_additional,
+        });
     }
 }
 
@@ -202,7 +207,7 @@
     assert_eq!(case.plan(), None);
     let mut case = Case::calm(3);
     case.lose(0);
-    case.standings[2].unfit = true;
+    case.statuses[2].ineligible = true;
     let plan = case.plan().expect("rather an unfit member than none");
     assert_eq!(nodes(&plan.chain), ["m1", "m2"]);
 }
@@ -212,11 +217,11 @@
     let mut case = Case::calm(4);
     case.lose(3);
     assert_eq!(case.plan().expect("a plan").members.len(), 4);
-    case.standings[3].replaceable = true;
+    case.statuses[3].replaceable = true;
     assert_eq!(case.plan().expect("a plan").members.len(), 3);
     let mut case = Case::calm(3);
     case.lose(2);
-    case.standings[2].replaceable = true;
+    case.statuses[2].replaceable = true;
     assert_eq!(case.plan().expect("a plan").members.len(), 3);
 }
 
@@ -263,7 +268,7 @@
         plan.members, case.view.members,
         "the lost one may be back soon"
     );
-    case.standings[0].replaceable = true;
+    case.statuses[0].replaceable = true;
     let plan = case.plan().expect("a plan");
     assert_eq!(plan.members[0], peer(8, 2));
 }
@@ -312,10 +317,10 @@
 fn a_leaver_stays_while_too_few_others_are_synced() {
     let mut case = Case::calm(4);
     case.leaves(0);
-    case.standings[1].synced = false;
-    case.standings[2].synced = false;
+    case.statuses[1].synced = false;
+    case.statuses[2].synced = false;
     assert_eq!(case.plan().expect("a plan").members, case.view.members);
-    case.standings[1].synced = true;
+    case.statuses[1].synced = true;
     assert_eq!(case.plan().expect("a plan").members.len(), 3);
     case.lose(1);
     assert_eq!(
@@ -325,7 +330,7 @@
     );
     let mut case = Case::calm(3);
     case.leaves(0);
-    case.standings[1].synced = false;
+    case.statuses[1].synced = false;
     case.apply(peer(8, 2), false);
     assert_eq!(case.plan().expect("a plan").members, case.view.members);
 }
@@ -339,14 +344,15 @@
         let stays = |index: &usize| plan.members.contains(&case.view.members[*index]);
         let count = case.view.members.len();
         let put_out = (0..count).filter(|index| !stays(index));
-        let by_leaving = put_out
-            .filter(|index| !case.standings[*index].silent && !case.standings[*index].replaceable);
+        let by_leaving = put_out.filter(|index| {
+            !case.statuses[*index].unreachable && !case.statuses[*index].replaceable
+        });
         if by_leaving.count() == 0 {
             continue;
         }
         let holders = (0..count)
             .filter(stays)
-            .filter(|index| case.standings[*index].synced)
+            .filter(|index| case.statuses[*index].synced)
             .count();
         assert!(
             holders + case.view.majority() > count,
@@ -359,8 +365,8 @@
 fn whom_more_have_lost_goes_first() {
     // m0 plans and still hears m1; m2 says that it has lost it.
     let mut case = Case::calm(3);
-    case.standings[1].connected[2] = false;
-    case.standings[2].connected[1] = false;
-    case.standings[1].accusers = 1;
+    case.statuses[1].connected[2] = false;
+    case.statuses[2].connected[1] = false;
+    case.statuses[1].suspected_by = 1;
     assert_eq!(nodes(&case.plan().expect("a plan").chain), ["m0", "m2"]);
 }
--- a/crates/serving/chain-replication/tests/times.rs
+++ b/crates/serving/chain-replication/tests/recovery_times.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use dunespur_chain_replication::{Input, Millis};
-use world::trouble::Trouble;
+use world::faults::Fault;
 use world::{Setup, World};
 
 const SEEDS: u64 = 24;
@@ -23,15 +23,15 @@
     let mut setup = Setup::new(seed, machines);
     setup.write_every = 12;
     setup.padding = 0;
-    setup.sync_most = 4;
+    setup.max_sync_ms = 4;
     let mut world = World::new(setup);
     world.play_to(CALM).expect("calm");
-    world.check_whole(20).expect("whole at first");
+    world.check_complete(20).expect("whole at first");
     world
 }
 
 /// Plays one trouble at a machine of each place in the chain, in cores of three to five.
-fn each_place(check: impl Fn(&mut World, usize)) {
+fn each_position(check: impl Fn(&mut World, usize)) {
     for seed in 0..SEEDS {
         let machines = 3 + (seed % 3) as usize;
         for machine in 0..machines {
@@ -40,9 +40,9 @@
     }
 }
 
-fn happens(world: &mut World, trouble: Trouble) {
+fn inject(world: &mut World, fault: Fault) {
     let at = world.now + 1;
-    world.trouble_at(at, trouble);
+    world.fault_at(at, fault);
     world.play_to(at).expect("all holds");
 }
 
@@ -51,18 +51,18 @@
     world.play_to(end).expect("all holds");
 }
 
-fn assert_pause_below(world: &World, since: Millis, most: Millis) {
-    let pause = world.longest_pause(since);
+fn assert_commit_gap_below(world: &World, since: Millis, most: Millis) {
+    let pause = world.longest_commit_gap(since);
     assert!(
         pause < most,
         "{}",
-        world.told(format!("nothing was committed for {pause} ms"))
+        world.describe(format!("nothing was committed for {pause} ms"))
     );
 }
 
-fn assert_whole(world: &World) {
+fn assert_complete(world: &World) {
     world
-        .check_whole(20)
+        .check_complete(20)
         .unwrap_or_else(|text| panic!("{text}"));
 }
 
@@ -72,68 +72,68 @@
 
 #[test]
 fn a_silent_loss_is_noticed() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let since = world.now;
-        happens(
+        inject(
             world,
-            Trouble::PowerLoss {
+            Fault::PowerLoss {
                 machine,
                 back_after: NEVER,
             },
         );
         play(world, 4_000);
-        assert_pause_below(world, since, SILENT_LOSS);
+        assert_commit_gap_below(world, since, SILENT_LOSS);
         assert!(!world.is_in_chain(machine));
     });
 }
 
 #[test]
 fn a_closed_connection_is_noticed_at_once() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let since = world.now;
-        happens(
+        inject(
             world,
-            Trouble::Kill {
+            Fault::Kill {
                 machine,
                 back_after: NEVER,
             },
         );
         play(world, 4_000);
-        assert_pause_below(world, since, CLOSED_CONNECTION);
+        assert_commit_gap_below(world, since, CLOSED_CONNECTION);
     });
 }
 
 #[test]
 fn a_reset_connection_to_a_living_member_changes_nothing() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let since = world.now;
         let before = views(world);
         let other = (machine + 1) % world.machines.len();
-        happens(
+        inject(
             world,
-            Trouble::Reset {
+            Fault::Reset {
                 one: machine,
                 other,
             },
         );
         play(world, 2_000);
-        assert_pause_below(world, since, CLOSED_CONNECTION + 100);
+        assert_commit_gap_below(world, since, CLOSED_CONNECTION + 100);
         assert_eq!(
             views(world),
             before,
             "{}",
-            world.told("the view changed".into())
+            world.describe("the view changed".into())
         );
     });
 }
 
 #[test]
 fn a_stalled_disk_is_put_out_and_taken_back() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let since = world.now;
-        happens(world, Trouble::StallDisk { machine });
+        inject(world, Fault::StallDisk { machine });
         play(world, 5_000);
-        assert_pause_below(world, since, STALLED_DISK);
+        assert_commit_gap_below(world, since, STALLED_DISK);
         assert!(!world.is_in_chain(machine));
         let changed = views(world);
         play(world, 5_000);
@@ -141,17 +141,17 @@
             views(world),
             changed,
             "{}",
-            world.told("the view keeps changing".into())
+            world.describe("the view keeps changing".into())
         );
-        happens(world, Trouble::UnstallDisk { machine });
+        inject(world, Fault::UnstallDisk { machine });
         play(world, CATCH_UP);
-        assert_whole(world);
+        assert_complete(world);
     });
 }
 
 #[test]
 fn a_member_cut_off_one_way_stays_out_until_it_is_healed() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         for outward in [true, false] {
             let others: Vec<usize> = (0..world.machines.len())
                 .filter(|other| *other != machine)
@@ -165,14 +165,14 @@
             };
             let since = world.now;
             for (from, to) in others.iter().map(|other| ends(*other)) {
-                happens(world, Trouble::Cut { from, to });
+                inject(world, Fault::Partition { from, to });
             }
             play(world, 3_000);
-            assert_pause_below(world, since, SILENT_LOSS + 300);
+            assert_commit_gap_below(world, since, SILENT_LOSS + 300);
             assert!(
                 !world.is_in_chain(machine),
                 "{}",
-                world.told(format!("m{machine} is in the chain"))
+                world.describe(format!("m{machine} is in the chain"))
             );
             let changed = views(world);
             play(world, 10_000);
@@ -180,45 +180,45 @@
                 views(world),
                 changed,
                 "{}",
-                world.told("the view keeps changing".into())
+                world.describe("the view keeps changing".into())
             );
             for (from, to) in others.iter().map(|other| ends(*other)) {
-                happens(world, Trouble::Heal { from, to });
+                inject(world, Fault::Heal { from, to });
             }
             play(world, CATCH_UP);
-            assert_whole(world);
+            assert_complete(world);
         }
     });
 }
 
 #[test]
 fn two_members_that_lose_each_other_do_not_flap() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let other = (machine + 1) % world.machines.len();
         let since = world.now;
-        happens(
+        inject(
             world,
-            Trouble::Cut {
+            Fault::Partition {
                 from: machine,
                 to: other,
             },
         );
-        happens(
+        inject(
             world,
-            Trouble::Cut {
+            Fault::Partition {
                 from: other,
                 to: machine,
             },
         );
         play(world, 3_000);
-        assert_pause_below(world, since, SILENT_LOSS + 300);
+        assert_commit_gap_below(world, since, SILENT_LOSS + 300);
         let changed = views(world);
         play(world, 10_000);
         assert_eq!(
             views(world),
             changed,
             "{}",
-            world.told("the view keeps changing".into())
+            world.describe("the view keeps changing".into())
         );
         assert_eq!(
             world.newest_view().map_or(0, |view| view.chain.len()),
@@ -229,36 +229,36 @@
 
 #[test]
 fn a_machine_that_comes_back_is_whole_in_time() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let since = world.now;
-        happens(
+        inject(
             world,
-            Trouble::PowerLoss {
+            Fault::PowerLoss {
                 machine,
                 back_after: 2_500,
             },
         );
         play(world, 2_500 + CATCH_UP);
-        assert_pause_below(world, since, SILENT_LOSS);
-        assert_whole(world);
+        assert_commit_gap_below(world, since, SILENT_LOSS);
+        assert_complete(world);
     });
 }
 
 #[test]
 fn a_wiped_machine_takes_its_own_place() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let count = world.machines.len();
         let since = world.now;
-        happens(
+        inject(
             world,
-            Trouble::Wipe {
+            Fault::Wipe {
                 machine,
                 back_after: 500,
             },
         );
         play(world, 500 + CATCH_UP);
-        assert_pause_below(world, since, SILENT_LOSS);
-        assert_whole(world);
+        assert_commit_gap_below(world, since, SILENT_LOSS);
+        assert_complete(world);
         assert_eq!(
             world.newest_view().map_or(0, |view| view.members.len()),
             count
@@ -268,19 +268,19 @@
 
 #[test]
 fn a_replacement_takes_the_place_of_the_machine_that_is_gone() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let count = world.machines.len();
         let since = world.now;
-        happens(
+        inject(
             world,
-            Trouble::Replace {
+            Fault::Replace {
                 machine,
                 back_after: 100,
             },
         );
         play(world, 100 + CATCH_UP);
-        assert_pause_below(world, since, SILENT_LOSS);
-        assert_whole(world);
+        assert_commit_gap_below(world, since, SILENT_LOSS);
+        assert_complete(world);
         assert_eq!(
             world.newest_view().map_or(0, |view| view.members.len()),
             count
@@ -293,20 +293,20 @@
     for seed in 0..SEEDS {
         let mut world = calm_world(seed, 3 + (seed % 3) as usize);
         let since = world.now;
-        happens(&mut world, Trouble::Add);
+        inject(&mut world, Fault::Add);
         play(&mut world, 2_000);
-        assert_pause_below(&world, since, PLANNED_CHANGE);
-        assert_whole(&world);
+        assert_commit_gap_below(&world, since, PLANNED_CHANGE);
+        assert_complete(&world);
     }
 }
 
 #[test]
 fn a_member_that_leaves_is_put_out_without_a_pause() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let since = world.now;
-        happens(
+        inject(
             world,
-            Trouble::Leave {
+            Fault::Leave {
                 machine,
                 back_after: NEVER,
             },
@@ -315,54 +315,54 @@
         assert!(
             !world.is_in_chain(machine),
             "{}",
-            world.told(format!("m{machine} is in the chain"))
+            world.describe(format!("m{machine} is in the chain"))
         );
         play(world, 2_000);
-        assert_pause_below(world, since, PLANNED_CHANGE);
+        assert_commit_gap_below(world, since, PLANNED_CHANGE);
     });
 }
 
 #[test]
 fn a_frozen_member_is_put_out_doubts_itself_and_comes_back() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let before = views(world);
         let since = world.now;
-        happens(world, Trouble::Freeze { machine });
+        inject(world, Fault::Freeze { machine });
         play(world, 2_000);
-        assert_pause_below(world, since, SILENT_LOSS);
-        happens(world, Trouble::Thaw { machine });
+        assert_commit_gap_below(world, since, SILENT_LOSS);
+        inject(world, Fault::Thaw { machine });
         assert!(
             !world.is_current(machine),
             "{}",
-            world.told("what came while it was frozen makes it current".into())
+            world.describe("what came while it was frozen makes it current".into())
         );
         play(world, CATCH_UP);
-        assert_whole(world);
+        assert_complete(world);
         assert_eq!(
             views(world),
             before + 2,
             "{}",
-            world.told("out and in again".into())
+            world.describe("out and in again".into())
         );
     });
 }
 
 #[test]
 fn a_member_frozen_for_long_comes_back_without_flapping() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let before = views(world);
         let since = world.now;
-        happens(world, Trouble::Freeze { machine });
+        inject(world, Fault::Freeze { machine });
         play(world, 4_000);
-        assert_pause_below(world, since, SILENT_LOSS);
-        happens(world, Trouble::Thaw { machine });
+        assert_commit_gap_below(world, since, SILENT_LOSS);
+        inject(world, Fault::Thaw { machine });
         assert!(
             !world.is_current(machine),
             "{}",
-            world.told("current right after a thaw".into())
+            world.describe("current right after a thaw".into())
         );
         play(world, CATCH_UP);
-        assert_whole(world);
+        assert_complete(world);
         // Out of the chain and in again; an even number of members also drops it, and takes it as a newcomer.
         let expected = if world.running().len() % 2 == 0 { 4 } else { 2 };
         let changes = views(world) - before;
@@ -370,24 +370,24 @@
             changes,
             expected,
             "{}",
-            world.told("changes of the view".into())
+            world.describe("changes of the view".into())
         );
     });
 }
 
 #[test]
 fn a_short_freeze_changes_nothing() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         let before = views(world);
-        happens(world, Trouble::Freeze { machine });
+        inject(world, Fault::Freeze { machine });
         play(world, 500);
-        happens(world, Trouble::Thaw { machine });
+        inject(world, Fault::Thaw { machine });
         play(world, 2_000);
         assert_eq!(
             views(world),
             before,
             "{}",
-            world.told("the view changed".into())
+            world.describe("the view changed".into())
         );
     });
 }
@@ -400,21 +400,21 @@
             let since = world.now;
             for machine in 0..world.machines.len() {
                 let back_after = 400 + 37 * machine as Millis;
-                let trouble = match with_power {
-                    true => Trouble::Kill {
+                let fault = match with_power {
+                    true => Fault::Kill {
                         machine,
                         back_after,
                     },
-                    false => Trouble::PowerLoss {
+                    false => Fault::PowerLoss {
                         machine,
                         back_after,
                     },
                 };
-                happens(&mut world, trouble);
+                inject(&mut world, fault);
             }
             play(&mut world, 600 + CATCH_UP);
-            assert_pause_below(&world, since, SILENT_LOSS);
-            assert_whole(&world);
+            assert_commit_gap_below(&world, since, SILENT_LOSS);
+            assert_complete(&world);
         }
     }
 }
@@ -444,16 +444,16 @@
 fn a_member_alone_is_not_current_and_drops_what_it_cannot_do() {
     for seed in 0..SEEDS {
         let mut world = calm_world(seed, 3);
-        happens(
+        inject(
             &mut world,
-            Trouble::PowerLoss {
+            Fault::PowerLoss {
                 machine: 0,
                 back_after: NEVER,
             },
         );
-        happens(
+        inject(
             &mut world,
-            Trouble::PowerLoss {
+            Fault::PowerLoss {
                 machine: 1,
                 back_after: NEVER,
             },
@@ -472,18 +472,18 @@
     let view = world.newest_view().cloned().expect("the first view");
     let mut other = view.clone();
     other.chain.reverse();
-    world.take(1, Input::Found { view: other });
+    world.take(1, Input::Bootstrap { view: other });
     play(&mut world, 2_000);
     assert_eq!(world.newest_view(), Some(&view));
 }
 
 #[test]
 fn a_restarted_member_does_not_take_echoes_of_its_run_before_for_its_own() {
-    each_place(|world, machine| {
+    each_position(|world, machine| {
         play(world, 20_000);
-        happens(
+        inject(
             world,
-            Trouble::Kill {
+            Fault::Kill {
                 machine,
                 back_after: 300,
             },
@@ -491,9 +491,9 @@
         play(world, 1_500);
         assert!(world.is_current(machine));
         for other in (0..world.machines.len()).filter(|other| *other != machine) {
-            happens(
+            inject(
                 world,
-                Trouble::Cut {
+                Fault::Partition {
                     from: machine,
                     to: other,
                 },
@@ -503,7 +503,7 @@
         assert!(
             !world.is_current(machine),
             "{}",
-            world.told(format!("m{machine} is current"))
+            world.describe(format!("m{machine} is current"))
         );
     });
 }
--- a/crates/serving/chain-replication/tests/resubmitted.rs
+++ b/crates/serving/chain-replication/tests/resubmissions.rs
@@ -1,8 +1,8 @@
 //! A submission that is sent to the head again while its entry is on its way makes no second one.
 
 use dunespur_chain_replication::{
-    DecidedView, Input, Member, MemberId, Message, Origin, Output, Payload, Peer, Saved, View,
-    Write,
+    DecidedView, DurableState, Input, Member, MemberConfig, MemberId, Message, Origin, Output,
+    Payload, Peer, View, Write,
 };
 
 const NOW: u64 = 10_000;
@@ -27,17 +27,28 @@
         members: (0..3).map(peer).collect(),
         chain: (0..3).map(id).collect(),
     };
-    let saved = Saved {
+    let durable = DurableState {
         decided: Some(DecidedView { view, base: 0 }),
         synced_view: 1,
-        ..Saved::default()
+        ..DurableState::default()
     };
-    Member::new(id(0), peer(0).address, true, saved, 7, NOW)
+    Member::new(
+        MemberConfig {
+            peer: peer(0),
+            may_bootstrap: true,
+            seed: 7,
+        },
+        durable,
+        NOW,
+    )
 }
 
 /// Gives the head a submission of another member; how many entries it makes.
 fn entries_of(head: &mut Member, ticket: u64) -> usize {
-    let origin = Origin { session: 5, ticket };
+    let origin = Origin {
+        incarnation: 5,
+        ticket,
+    };
     let message = Message::Submit {
         view: 1,
         origin,
@@ -91,6 +102,6 @@
             message: committed,
         },
     );
-    assert_eq!(head.committed(), 2);
+    assert_eq!(head.commit_index(), 2);
     assert_eq!(entries_of(&mut head, 3), 1);
 }
--- a/crates/serving/chain-replication/tests/guards.rs
+++ b/crates/serving/chain-replication/tests/safeguards.rs
@@ -3,11 +3,11 @@
 
 mod world;
 
-use dunespur_chain_replication::Guards;
-use world::trouble::{play, schedule, storm};
+use dunespur_chain_replication::{Safeguard, Safeguards};
+use world::faults::{play, schedule, storm};
 use world::Setup;
 
-const ROUNDS: usize = 3;
+const PHASES: usize = 3;
 /// Seeds that are tried for a counterexample.
 const SEEDS: u64 = 400;
 const SEEDS_OF_STORMS: u64 = 4_000;
@@ -18,7 +18,7 @@
     (0..SEEDS).find_map(|seed| {
         let mut setup = Setup::new(seed, 3 + (seed % 4) as usize);
         without(&mut setup);
-        play(setup, schedule(&setup, ROUNDS))
+        play(setup, schedule(&setup, PHASES))
             .err()
             .filter(|text| is_broken_promise(text))
     })
@@ -35,16 +35,13 @@
     .any(|sign| text.contains(sign))
 }
 
-fn without(guards: Guards) -> Option<String> {
-    counterexample(|setup| setup.guards = guards)
+fn without(safeguards: Safeguards) -> Option<String> {
+    counterexample(|setup| setup.safeguards = safeguards)
 }
 
 #[test]
 fn views_must_be_checked() {
-    let found = without(Guards {
-        views_checked: false,
-        ..Guards::default()
-    });
+    let found = without(Safeguards::without(Safeguard::CheckViews));
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
@@ -58,20 +55,14 @@
 
 #[test]
 fn syncs_must_come_before_messages() {
-    let found = without(Guards {
-        synced_before_passed_on: false,
-        ..Guards::default()
-    });
+    let found = without(Safeguards::without(Safeguard::PersistBeforeSend));
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
 
 #[test]
 fn reads_must_be_confirmed() {
-    let found = without(Guards {
-        reads_confirmed: false,
-        ..Guards::default()
-    });
+    let found = without(Safeguards::without(Safeguard::ConfirmReads));
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
@@ -82,8 +73,8 @@
 fn a_view_must_be_decided_once() {
     let found = (0..SEEDS_OF_STORMS).find_map(|seed| {
         let mut setup = Setup::new(seed, 3);
-        setup.sync_most = 4;
-        setup.guards.decided_once = false;
+        setup.max_sync_ms = 4;
+        setup.safeguards = Safeguards::without(Safeguard::DecideOnce);
         play(setup, storm(&setup))
             .err()
             .filter(|text| text.contains("two views"))
@@ -94,10 +85,7 @@
 
 #[test]
 fn members_must_be_whole_before_they_count() {
-    let found = without(Guards {
-        whole_before_synced: false,
-        ..Guards::default()
-    });
+    let found = without(Safeguards::without(Safeguard::CatchUpBeforeSync));
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
--- a/crates/serving/chain-replication/tests/parts.rs
+++ b/crates/serving/chain-replication/tests/snapshot_chunks.rs
@@ -1,16 +1,18 @@
 //! One member that takes a snapshot in parts: what it refuses, what it holds meanwhile, and when the whole counts.
 
-use dunespur_chain_replication::member::transfer::{SnapshotLabel, SnapshotPart, SnapshotProgress};
-use dunespur_chain_replication::timing::{MOST_SNAPSHOT_BYTES, SNAPSHOT_PART_BYTES};
+use dunespur_chain_replication::limits::{MAX_SNAPSHOT_BYTES, SNAPSHOT_CHUNK_BYTES};
+use dunespur_chain_replication::snapshot_transfer::{
+    SnapshotChunk, SnapshotDescriptor, SnapshotProgress,
+};
 use dunespur_chain_replication::{
-    DecidedView, Entry, Input, Member, MemberId, Message, Origin, Output, Payload, Peer, Position,
-    Saved, SavedSnapshot, View, Write,
+    DecidedView, DurableState, Entry, Input, Member, MemberConfig, MemberId, Message, Origin,
+    Output, Payload, Peer, Position, Snapshot, View, Write,
 };
 
 const NOW: u64 = 10_000;
 const VIEW: u64 = 2;
 /// The member's log ends here; the snapshot is of much later.
-const HELD: u64 = 3;
+const LOG_END: u64 = 3;
 const POSITION: Position = Position {
     index: 900,
     view: 1,
@@ -32,7 +34,7 @@
 
 fn entry(index: u64) -> Entry {
     let origin = Origin {
-        session: 9,
+        incarnation: 9,
         ticket: index,
     };
     Entry {
@@ -55,13 +57,21 @@
             members: (0..3).map(peer).collect(),
             chain: (0..3).map(id).collect(),
         };
-        let saved = Saved {
+        let durable = DurableState {
             decided: Some(DecidedView { view, base: 1 }),
             synced_view: 1,
-            entries: (1..=HELD).map(entry).collect(),
-            ..Saved::default()
+            entries: (1..=LOG_END).map(entry).collect(),
+            ..DurableState::default()
         };
-        let member = Member::new(id(1), peer(1).address, true, saved, 7, NOW);
+        let member = Member::new(
+            MemberConfig {
+                peer: peer(1),
+                may_bootstrap: true,
+                seed: 7,
+            },
+            durable,
+            NOW,
+        );
         let mut receiver = Receiver {
             member,
             outputs: Vec::new(),
@@ -75,10 +85,10 @@
         self.member.step(input, NOW, &mut self.outputs);
     }
 
-    fn part_from(&mut self, node: usize, part: SnapshotPart) -> Option<SnapshotProgress> {
+    fn chunk_from(&mut self, node: usize, chunk: SnapshotChunk) -> Option<SnapshotProgress> {
         self.give(Input::Received {
             from: id(node),
-            message: Message::SnapshotPart { view: VIEW, part },
+            message: Message::SnapshotChunk { view: VIEW, chunk },
         });
         self.outputs.iter().find_map(|output| match output {
             Output::Send {
@@ -89,13 +99,13 @@
         })
     }
 
-    fn part(&mut self, part: SnapshotPart) -> SnapshotProgress {
-        self.part_from(0, part).expect("an answer")
+    fn chunk(&mut self, chunk: SnapshotChunk) -> SnapshotProgress {
+        self.chunk_from(0, chunk).expect("an answer")
     }
 
     fn installed(&self) -> Option<(u64, Vec<u8>)> {
         self.outputs.iter().find_map(|output| match output {
-            Output::Install { index, bytes } => Some((*index, bytes.clone())),
+            Output::InstallSnapshot { index, bytes } => Some((*index, bytes.clone())),
             _ => None,
         })
     }
@@ -116,9 +126,9 @@
         });
         let attached = self.outputs.iter().find_map(|output| match output {
             Output::Send {
-                message: Message::Attach(attach),
+                message: Message::Resume(resume),
                 ..
-            } => Some(attach.last.index),
+            } => Some(resume.last.index),
             _ => None,
         });
         // It has asked just now otherwise.
@@ -127,9 +137,9 @@
             self.member.step(Input::Tick, NOW + 200, &mut self.outputs);
             let attached = self.outputs.iter().find_map(|output| match output {
                 Output::Send {
-                    message: Message::Attach(attach),
+                    message: Message::Resume(resume),
                     ..
-                } => Some(attach.last.index),
+                } => Some(resume.last.index),
                 _ => None,
             });
             attached.expect("it asks again")
@@ -137,12 +147,12 @@
     }
 }
 
-fn far_ahead() -> dunespur_chain_replication::message::Append {
+fn far_ahead() -> dunespur_chain_replication::message::AppendEntries {
     let previous = Position {
         index: 5_000,
         view: VIEW,
     };
-    dunespur_chain_replication::message::Append {
+    dunespur_chain_replication::message::AppendEntries {
         view: VIEW,
         previous,
         entries: Vec::new(),
@@ -150,18 +160,18 @@
     }
 }
 
-fn state(bytes: usize) -> SavedSnapshot {
+fn state(bytes: usize) -> Snapshot {
     let bytes: Vec<u8> = (0..bytes).map(|at| (at % 251) as u8).collect();
-    SavedSnapshot {
+    Snapshot {
         position: POSITION,
         bytes: bytes.into(),
     }
 }
 
-fn part(snapshot: &SavedSnapshot, from: usize, to: usize) -> SnapshotPart {
+fn chunk(snapshot: &Snapshot, from: usize, to: usize) -> SnapshotChunk {
     let bytes = Payload::from(&snapshot.bytes.bytes()[from..to]);
-    SnapshotPart {
-        label: SnapshotLabel::of(snapshot),
+    SnapshotChunk {
+        descriptor: SnapshotDescriptor::of(snapshot),
         offset: from as u64,
         bytes,
     }
@@ -171,16 +181,16 @@
 fn the_whole_counts_and_nothing_before_it() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
-    let first = receiver.part(part(&snapshot, 0, 600));
-    assert_eq!((first.held, first.refused), (600, false));
+    let first = receiver.chunk(chunk(&snapshot, 0, 600));
+    assert_eq!((first.received, first.rejected), (600, false));
     assert!(receiver.installed().is_none() && receiver.writes().is_empty());
     assert_eq!(
         receiver.log_end(),
-        HELD,
+        LOG_END,
         "what it holds stays until the whole is there"
     );
-    let last = receiver.part(part(&snapshot, 600, 1_000));
-    assert_eq!((last.held, last.refused), (1_000, false));
+    let last = receiver.chunk(chunk(&snapshot, 600, 1_000));
+    assert_eq!((last.received, last.rejected), (1_000, false));
     assert_eq!(
         receiver.installed(),
         Some((POSITION.index, snapshot.bytes.to_vec()))
@@ -191,7 +201,7 @@
         writes.contains(&Write::Synced { view: 0 }),
         "it holds what no view needs until the rest has come"
     );
-    assert!(!receiver.member.follows(NOW));
+    assert!(!receiver.member.is_up_to_date(NOW));
 }
 
 #[test]
@@ -199,15 +209,15 @@
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
     assert_eq!(
-        receiver.part(part(&snapshot, 400, 700)).held,
+        receiver.chunk(chunk(&snapshot, 400, 700)).received,
         0,
         "it says where it is"
     );
-    assert_eq!(receiver.part(part(&snapshot, 0, 400)).held, 400);
-    assert_eq!(receiver.part(part(&snapshot, 0, 400)).held, 400);
-    assert_eq!(receiver.part(part(&snapshot, 700, 1_000)).held, 400);
-    assert_eq!(receiver.part(part(&snapshot, 400, 700)).held, 700);
-    assert_eq!(receiver.part(part(&snapshot, 700, 1_000)).held, 1_000);
+    assert_eq!(receiver.chunk(chunk(&snapshot, 0, 400)).received, 400);
+    assert_eq!(receiver.chunk(chunk(&snapshot, 0, 400)).received, 400);
+    assert_eq!(receiver.chunk(chunk(&snapshot, 700, 1_000)).received, 400);
+    assert_eq!(receiver.chunk(chunk(&snapshot, 400, 700)).received, 700);
+    assert_eq!(receiver.chunk(chunk(&snapshot, 700, 1_000)).received, 1_000);
     assert_eq!(
         receiver.installed(),
         Some((POSITION.index, snapshot.bytes.to_vec()))
@@ -219,14 +229,14 @@
     let mut receiver = Receiver::new();
     let (one, mut other) = (state(1_000), state(1_000));
     other.bytes = vec![9; 1_000].into();
-    assert_eq!(receiver.part(part(&one, 0, 600)).held, 600);
+    assert_eq!(receiver.chunk(chunk(&one, 0, 600)).received, 600);
     assert_eq!(
-        receiver.part(part(&other, 600, 1_000)).held,
+        receiver.chunk(chunk(&other, 600, 1_000)).received,
         0,
         "it begins anew"
     );
-    assert_eq!(receiver.part(part(&other, 0, 600)).held, 600);
-    receiver.part(part(&other, 600, 1_000));
+    assert_eq!(receiver.chunk(chunk(&other, 0, 600)).received, 600);
+    receiver.chunk(chunk(&other, 600, 1_000));
     assert_eq!(
         receiver.installed(),
         Some((POSITION.index, other.bytes.to_vec()))
@@ -237,21 +247,21 @@
 #[test]
 fn what_does_not_fit_is_refused() {
     let snapshot = state(1_000);
-    let label = SnapshotLabel::of(&snapshot);
+    let descriptor = SnapshotDescriptor::of(&snapshot);
     let bytes = |count: usize| Payload::from(vec![1; count]);
-    let too_large = SnapshotLabel {
-        length: MOST_SNAPSHOT_BYTES + 1,
-        ..label
+    let too_large = SnapshotDescriptor {
+        length: MAX_SNAPSHOT_BYTES + 1,
+        ..descriptor
     };
-    let large = SnapshotLabel {
-        length: MOST_SNAPSHOT_BYTES,
-        ..label
+    let large = SnapshotDescriptor {
+        length: MAX_SNAPSHOT_BYTES,
+        ..descriptor
     };
     let cases = [
         (
             "too large",
-            SnapshotPart {
-                label: too_large,
+            SnapshotChunk {
+                descriptor: too_large,
                 offset: 0,
                 bytes: bytes(10),
             },
@@ -259,8 +269,8 @@
         ),
         (
             "empty",
-            SnapshotPart {
-                label,
+            SnapshotChunk {
+                descriptor,
                 offset: 0,
                 bytes: bytes(0),
             },
@@ -268,8 +278,8 @@
         ),
         (
             "beyond the end",
-            SnapshotPart {
-                label,
+            SnapshotChunk {
+                descriptor,
                 offset: 990,
                 bytes: bytes(11),
             },
@@ -277,51 +287,51 @@
         ),
         (
             "an offset that runs over",
-            SnapshotPart {
-                label,
+            SnapshotChunk {
+                descriptor,
                 offset: u64::MAX,
                 bytes: bytes(11),
             },
             (0, 1, 0),
         ),
         (
-            "a part that is too large",
-            SnapshotPart {
-                label: large,
+            "a chunk that is too large",
+            SnapshotChunk {
+                descriptor: large,
                 offset: 0,
-                bytes: bytes(SNAPSHOT_PART_BYTES + 1),
+                bytes: bytes(SNAPSHOT_CHUNK_BYTES + 1),
             },
             (0, 1, 0),
         ),
         (
             "spoilt",
-            SnapshotPart {
-                label,
+            SnapshotChunk {
+                descriptor,
                 offset: 0,
                 bytes: bytes(1_000),
             },
             (0, 0, 1),
         ),
     ];
-    for (what, part, counts) in cases {
+    for (what, chunk, counts) in cases {
         let mut receiver = Receiver::new();
-        let answer = receiver.part(part);
-        assert!(answer.refused, "{what}");
+        let answer = receiver.chunk(chunk);
+        assert!(answer.rejected, "{what}");
         assert!(
             receiver.installed().is_none() && receiver.writes().is_empty(),
             "{what}"
         );
-        let refusals = receiver.member.snapshot_refusals();
+        let refusals = receiver.member.snapshot_rejections();
         assert_eq!(
             (
                 refusals.too_large,
-                refusals.part_out_of_bounds,
-                refusals.checksum
+                refusals.chunk_out_of_bounds,
+                refusals.checksum_mismatch
             ),
             counts,
             "{what}"
         );
-        assert_eq!(receiver.log_end(), HELD, "{what}");
+        assert_eq!(receiver.log_end(), LOG_END, "{what}");
     }
 }
 
@@ -329,10 +339,10 @@
 fn a_spoilt_snapshot_is_followed_by_a_good_one() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
-    let mut spoilt = part(&snapshot, 0, 1_000);
-    spoilt.bytes = vec![1; 1_000].into();
-    assert!(receiver.part(spoilt).refused);
-    assert_eq!(receiver.part(part(&snapshot, 0, 1_000)).held, 1_000);
+    let mut corrupted = chunk(&snapshot, 0, 1_000);
+    corrupted.bytes = vec![1; 1_000].into();
+    assert!(receiver.chunk(corrupted).rejected);
+    assert_eq!(receiver.chunk(chunk(&snapshot, 0, 1_000)).received, 1_000);
     assert_eq!(
         receiver.installed(),
         Some((POSITION.index, snapshot.bytes.to_vec()))
@@ -343,9 +353,9 @@
 fn parts_from_others_than_the_predecessor_do_not_count() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
-    assert_eq!(receiver.part_from(2, part(&snapshot, 0, 1_000)), None);
+    assert_eq!(receiver.chunk_from(2, chunk(&snapshot, 0, 1_000)), None);
     assert!(receiver.installed().is_none());
-    assert_eq!(receiver.member.snapshot_refusals().total(), 0);
+    assert_eq!(receiver.member.snapshot_rejections().total(), 0);
 }
 
 /// Against a chain that stands still: the sender's log doesn't reach back to what is committed here, and it doesn't
@@ -353,16 +363,16 @@
 #[test]
 fn a_snapshot_up_to_where_the_log_reaches_is_not_needed() {
     let mut receiver = Receiver::new();
-    let snapshot = SavedSnapshot {
+    let snapshot = Snapshot {
         position: Position { index: 2, view: 1 },
         ..state(1_000)
     };
-    let answer = receiver.part(part(&snapshot, 0, 600));
+    let answer = receiver.chunk(chunk(&snapshot, 0, 600));
     assert_eq!(
-        (answer.held, answer.refused),
+        (answer.received, answer.rejected),
         (1_000, false),
         "the sender goes on from there"
     );
     assert!(receiver.installed().is_none() && receiver.writes().is_empty());
-    assert_eq!(receiver.log_end(), HELD);
+    assert_eq!(receiver.log_end(), LOG_END);
 }
--- a/crates/serving/chain-replication/tests/snapshots.rs
+++ b/crates/serving/chain-replication/tests/snapshots.rs
@@ -3,9 +3,9 @@
 
 mod world;
 
-use dunespur_chain_replication::timing::SNAPSHOT_PART_BYTES;
-use dunespur_chain_replication::{Guards, Millis};
-use world::trouble::{play, schedule, Trouble};
+use dunespur_chain_replication::limits::SNAPSHOT_CHUNK_BYTES;
+use dunespur_chain_replication::{Millis, Safeguard, Safeguards};
+use world::faults::{play, schedule, Fault};
 use world::{Setup, World};
 
 /// The first view is in force by then, and the core is calm.
@@ -19,7 +19,7 @@
 const CHANGE_BYTES: usize = 40_000;
 const CHANGE_EVERY: Millis = 30;
 /// Commits that a member may lack while changes go on.
-const MOST_BEHIND: u64 = 20;
+const MAX_BEHIND: u64 = 20;
 const SEEDS: u64 = 12;
 const MB: usize = 1 << 20;
 
@@ -29,7 +29,7 @@
         write_every: CHANGE_EVERY,
         snapshot_padding: state_bytes,
         link_bytes_per_ms,
-        sync_most: 4,
+        max_sync_ms: 4,
         ..Setup::new(seed, 3 + (seed % 4) as usize)
     }
 }
@@ -49,11 +49,11 @@
 }
 
 /// How long until all machines are in the chain with all commits, from now on.
-fn time_until_whole(world: &mut World) -> Result<Millis, String> {
+fn time_until_complete(world: &mut World) -> Result<Millis, String> {
     let since = world.now;
     loop {
         world.play_to(world.now + 10)?;
-        match world.check_whole(MOST_BEHIND) {
+        match world.check_complete(MAX_BEHIND) {
             Ok(()) => return Ok(world.now - since),
             Err(text) if world.now > since + 30_000 => return Err(text),
             Err(_) => {}
@@ -65,16 +65,16 @@
 fn wiped_for(setup: Setup) -> Millis {
     let mut world = grown(setup);
     let machine = (setup.seed / 4) as usize % setup.machines;
-    world.trouble_at(
+    world.fault_at(
         world.now,
-        Trouble::Wipe {
+        Fault::Wipe {
             machine,
             back_after: 1_000,
         },
     );
     world.play_to(world.now + 1_001).expect("it comes back");
     let installed = world.snapshots_installed;
-    let took = time_until_whole(&mut world).expect("it is made whole");
+    let took = time_until_complete(&mut world).expect("it is made whole");
     assert!(
         world.snapshots_installed > installed,
         "it needed a snapshot"
@@ -110,16 +110,16 @@
 
 /// How long a machine that goes and comes back is without all commits, worst of some seeds; and how often a snapshot
 /// was needed.
-fn away_for(trouble: impl Fn(usize) -> Trouble, away: Millis) -> (Millis, u64) {
+fn away_for(fault: impl Fn(usize) -> Fault, away: Millis) -> (Millis, u64) {
     let (mut worst, mut snapshots) = (0, 0);
     for seed in 0..SEEDS {
         let setup = setup(seed, 10 * MB, FAST_LINK);
         let mut world = grown(setup);
         let machine = (seed / 4) as usize % setup.machines;
         let installed = world.snapshots_installed;
-        world.trouble_at(world.now, trouble(machine));
+        world.fault_at(world.now, fault(machine));
         world.play_to(world.now + away + 1).expect("it comes back");
-        let took = time_until_whole(&mut world).unwrap_or_else(|text| panic!("{text}"));
+        let took = time_until_complete(&mut world).unwrap_or_else(|text| panic!("{text}"));
         worst = worst.max(took);
         snapshots += world.snapshots_installed - installed;
     }
@@ -130,7 +130,7 @@
 fn a_member_that_was_away_for_twenty_seconds_is_whole_in_time() {
     let away = 20_000;
     let (worst, snapshots) = away_for(
-        |machine| Trouble::PowerLoss {
+        |machine| Fault::PowerLoss {
             machine,
             back_after: away,
         },
@@ -144,7 +144,7 @@
 fn a_member_that_was_started_again_is_whole_in_time() {
     let away = 500;
     let (worst, snapshots) = away_for(
-        |machine| Trouble::Kill {
+        |machine| Fault::Kill {
             machine,
             back_after: away,
         },
@@ -160,9 +160,9 @@
         let setup = setup(seed, 10 * MB, FAST_LINK);
         let mut world = grown(setup);
         let machine = (seed / 4) as usize % setup.machines;
-        world.trouble_at(
+        world.fault_at(
             world.now,
-            Trouble::Replace {
+            Fault::Replace {
                 machine,
                 back_after: 1_000,
             },
@@ -170,7 +170,7 @@
         world
             .play_to(world.now + 1_001)
             .expect("the successor comes");
-        let took = time_until_whole(&mut world).unwrap_or_else(|text| panic!("{text}"));
+        let took = time_until_complete(&mut world).unwrap_or_else(|text| panic!("{text}"));
         eprintln!("seed {seed}: a successor whole after {took} ms");
         assert!(took <= CATCH_UP, "seed {seed}: {took} ms");
     }
@@ -187,9 +187,9 @@
         let setup = setup(seed, 10 * MB, SLOW_LINK);
         let mut world = grown(setup);
         let machine = (seed / 4) as usize % setup.machines;
-        world.trouble_at(
+        world.fault_at(
             world.now,
-            Trouble::Wipe {
+            Fault::Wipe {
                 machine,
                 back_after: 1_000,
             },
@@ -197,9 +197,9 @@
         let back = world.now + 1_000;
         for number in 0..BREAKS {
             for other in (0..setup.machines).filter(|other| *other != machine) {
-                world.trouble_at(
+                world.fault_at(
                     back + number * BREAK_EVERY,
-                    Trouble::Reset {
+                    Fault::Reset {
                         one: machine,
                         other,
                     },
@@ -207,27 +207,27 @@
             }
         }
         world.play_to(back + 1).expect("it comes back");
-        let sent = world.part_bytes_sent;
-        let took = time_until_whole(&mut world).expect("it is made whole");
-        let sent = world.part_bytes_sent - sent;
-        eprintln!("seed {seed}: whole after {took} ms, {sent} bytes sent");
+        let messages_sent = world.chunk_bytes_sent;
+        let took = time_until_complete(&mut world).expect("it is made whole");
+        let messages_sent = world.chunk_bytes_sent - messages_sent;
+        eprintln!("seed {seed}: whole after {took} ms, {messages_sent} bytes sent");
         assert!(took <= CATCH_UP, "seed {seed}: {took} ms");
         // A change of view meanwhile may bring another sender, whose snapshot is another one.
-        let lost = BREAKS * 2 * SNAPSHOT_PART_BYTES as u64;
+        let lost = BREAKS * 2 * SNAPSHOT_CHUNK_BYTES as u64;
         assert!(
-            sent <= 2 * 10 * MB as u64 + lost,
-            "seed {seed}: {sent} bytes"
+            messages_sent <= 2 * 10 * MB as u64 + lost,
+            "seed {seed}: {messages_sent} bytes"
         );
     }
 }
 
 /// Worlds of large snapshots with all kinds of trouble, with bytes spoilt on the way.
-fn spoilt(seed: u64) -> Setup {
+fn corrupted(seed: u64) -> Setup {
     let setup = Setup::new(seed, 3 + (seed % 4) as usize);
     Setup {
         snapshot_padding: 900_000,
         padding: 12_000,
-        spoils_parts: true,
+        corrupts_chunks: true,
         ..setup
     }
 }
@@ -236,7 +236,7 @@
 fn spoilt_snapshots_do_not_count() {
     let mut installed = 0;
     for seed in 0..120 {
-        let setup = spoilt(seed);
+        let setup = corrupted(seed);
         let played = play(setup, schedule(&setup, 2)).unwrap_or_else(|text| panic!("{text}"));
         installed += played.snapshots_installed;
     }
@@ -258,13 +258,10 @@
 
 #[test]
 fn snapshots_must_be_checked() {
-    let guards = Guards {
-        snapshots_checked: false,
-        ..Guards::default()
-    };
+    let safeguards = Safeguards::without(Safeguard::VerifySnapshots);
     let found = counterexample(200, |seed| Setup {
-        guards,
-        ..spoilt(seed)
+        safeguards,
+        ..corrupted(seed)
     });
     assert!(
         found
@@ -277,12 +274,9 @@
 
 #[test]
 fn a_log_must_be_whole_before_it_counts() {
-    let guards = Guards {
-        whole_before_synced: false,
-        ..Guards::default()
-    };
+    let safeguards = Safeguards::without(Safeguard::CatchUpBeforeSync);
     let found = counterexample(400, |seed| Setup {
-        guards,
+        safeguards,
         ..Setup::new(seed, 3 + (seed % 4) as usize)
     });
     assert!(found.is_some(), "nothing went wrong");
--- a/crates/serving/chain-replication/tests/view_model.rs
+++ b/crates/serving/chain-replication/tests/view_model.rs
@@ -6,8 +6,8 @@
 //! The real `Member` isn't run here: its state holds clocks and a random generator, so that no two histories ever come
 //! to the same state.
 
-use dunespur_chain_replication::plan::Plan;
-use dunespur_chain_replication::succession::{view_after, SealedLog};
+use dunespur_chain_replication::next_view::{view_after, SealedLog};
+use dunespur_chain_replication::reconfiguration::Plan;
 use dunespur_chain_replication::{DecidedView, MemberId, Peer, Position, View};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 const THREADS: usize = 4;
 
 /// A ballot is its proposer: each proposes once for a view. 0 is none.
-type Ballot = u8;
+type ProposalNumber = u8;
 
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
@@ -31,19 +31,19 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Guards {
+struct Safeguards {
     /// A member votes on no other view of a number that it has installed.
-    decided_once: bool,
+    decide_once: bool,
     /// A member counts as synced when its log has come up to its predecessor's.
-    whole_before_synced: bool,
+    catch_up_before_sync: bool,
     /// A wiped disk has another identity.
-    disks_told_apart: bool,
+    distinguish_disks: bool,
 }
 
-const ALL: Guards = Guards {
-    decided_once: true,
-    whole_before_synced: true,
-    disks_told_apart: true,
+const ALL: Safeguards = Safeguards {
+    decide_once: true,
+    catch_up_before_sync: true,
+    distinguish_disks: true,
 };
 
 /// A decided view with members by number.
@@ -115,8 +115,8 @@
 struct Member {
     lost: bool,
     view: Option<Decided>,
-    promised: Ballot,
-    accepted: Option<(Ballot, Decided)>,
+    promised: ProposalNumber,
+    accepted: Option<(ProposalNumber, Decided)>,
     synced_view: u8,
     /// The view in which each entry was written: with the index that makes it one.
     log: Vec<u8>,
@@ -137,24 +137,24 @@
 /// What a promise tells.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Promise {
-    accepted: Option<(Ballot, Decided)>,
+    accepted: Option<(ProposalNumber, Decided)>,
     synced_view: u8,
     last: (u8, u8),
 }
 
 /// All that was ever sent in the agreement on one view: it may arrive late, twice or never.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Sent {
-    promises: BTreeMap<(Ballot, u8), Promise>,
-    accepts: BTreeMap<Ballot, Decided>,
-    votes: Vec<(Ballot, u8)>,
+struct MessagesSent {
+    promises: BTreeMap<(ProposalNumber, u8), Promise>,
+    accepts: BTreeMap<ProposalNumber, Decided>,
+    votes: Vec<(ProposalNumber, u8)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     members: Vec<Member>,
     /// By the view that is to be decided.
-    sent: BTreeMap<u8, Sent>,
+    messages_sent: BTreeMap<u8, MessagesSent>,
     /// Views that were decided.
     decided: Vec<Decided>,
     committed: Vec<u8>,
@@ -169,7 +169,7 @@
     Promise {
         by: u8,
         number: u8,
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
     },
     Propose {
         proposer: u8,
@@ -179,7 +179,7 @@
     Vote {
         by: u8,
         number: u8,
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
     },
     Learn {
         by: u8,
@@ -207,13 +207,13 @@
 }
 
 struct Core {
-    guards: Guards,
+    safeguards: Safeguards,
     bounds: Bounds,
 }
 
 impl Core {
     /// A promise seals the view at its member.
-    fn takes_part(member: &Member) -> bool {
+    fn participates(member: &Member) -> bool {
         !member.lost && member.promised == 0
     }
 
@@ -222,7 +222,7 @@
             return false;
         };
         let next = view.number + 1 == number;
-        let again = !self.guards.decided_once && number <= view.number && number > 1;
+        let again = !self.safeguards.decide_once && number <= view.number && number > 1;
         !member.lost && (next || again)
     }
 
@@ -244,7 +244,7 @@
             .filter(|machine| !view.has_member(*machine) && !state.members[*machine as usize].lost);
         let newcomers: Vec<u8> = newcomers.collect();
         let mut sets = vec![view.members.clone()];
-        for newcomer in &newcomers {
+        for joiner in &newcomers {
             for gone in &view.members {
                 let mut members: Vec<u8> = view
                     .members
@@ -252,12 +252,12 @@
                     .copied()
                     .filter(|member| member != gone)
                     .collect();
-                members.push(*newcomer);
+                members.push(*joiner);
                 members.sort_unstable();
                 sets.push(members);
             }
             let mut members = view.members.clone();
-            members.push(*newcomer);
+            members.push(*joiner);
             members.sort_unstable();
             sets.push(members);
         }
@@ -302,13 +302,14 @@
 
     fn proposal(state: &State, proposer: u8, members: &[u8], chain: &[u8]) -> Option<Decided> {
         let view = state.members[proposer as usize].view.as_ref()?;
-        let sent = state.sent.get(&(view.number + 1))?;
+        let messages_sent = state.messages_sent.get(&(view.number + 1))?;
         let promises: Vec<(u8, &Promise)> = view
             .members
             .iter()
             .copied()
             .filter_map(|by| {
-                sent.promises
+                messages_sent
+                    .promises
                     .get(&(proposer + 1, by))
                     .map(|promise| (by, promise))
             })
@@ -319,7 +320,7 @@
         let accepted = promises
             .iter()
             .filter_map(|(_, promise)| promise.accepted.as_ref());
-        if let Some((_, proposal)) = accepted.max_by_key(|(ballot, _)| *ballot) {
+        if let Some((_, proposal)) = accepted.max_by_key(|(proposal_number, _)| *proposal_number) {
             return Some(proposal.clone());
         }
         let ids: Vec<MemberId> = promises.iter().map(|(by, _)| id(*by)).collect();
@@ -327,7 +328,7 @@
             .iter()
             .zip(&ids)
             .map(|((_, promise), of)| SealedLog {
-                of,
+                member: of,
                 synced_view: promise.synced_view.into(),
                 last: Position {
                     index: promise.last.0.into(),
@@ -347,7 +348,7 @@
         if state.losses >= self.bounds.losses {
             return;
         }
-        let apart = self.guards.disks_told_apart;
+        let apart = self.safeguards.distinguish_disks;
         acts.push(if apart {
             Act::Lose { member }
         } else {
@@ -366,16 +367,28 @@
             if !self.votes_on(member, number) || !state.decided.iter().any(is_voter) {
                 continue;
             }
-            let nothing = Sent::default();
-            let sent = state.sent.get(&number).unwrap_or(&nothing);
-            for ballot in 1..=self.bounds.proposers {
-                if member.promised < ballot && !sent.promises.contains_key(&(ballot, by)) {
-                    acts.push(Act::Promise { by, number, ballot });
+            let nothing = MessagesSent::default();
+            let messages_sent = state.messages_sent.get(&number).unwrap_or(&nothing);
+            for proposal_number in 1..=self.bounds.proposers {
+                if member.promised < proposal_number
+                    && !messages_sent.promises.contains_key(&(proposal_number, by))
+                {
+                    acts.push(Act::Promise {
+                        by,
+                        number,
+                        proposal_number,
+                    });
                 }
             }
-            for ballot in sent.accepts.keys().copied() {
-                if member.promised <= ballot && !sent.votes.contains(&(ballot, by)) {
-                    acts.push(Act::Vote { by, number, ballot });
+            for proposal_number in messages_sent.accepts.keys().copied() {
+                if member.promised <= proposal_number
+                    && !messages_sent.votes.contains(&(proposal_number, by))
+                {
+                    acts.push(Act::Vote {
+                        by,
+                        number,
+                        proposal_number,
+                    });
                 }
             }
         }
@@ -386,17 +399,17 @@
         let Some(view) = &state.members[proposer as usize].view else {
             return;
         };
-        let Some(sent) = state.sent.get(&(view.number + 1)) else {
+        let Some(messages_sent) = state.messages_sent.get(&(view.number + 1)) else {
             return;
         };
         let own = proposer + 1;
-        if proposer >= self.bounds.proposers || sent.accepts.contains_key(&own) {
+        if proposer >= self.bounds.proposers || messages_sent.accepts.contains_key(&own) {
             return;
         }
         let promised = view
             .members
             .iter()
-            .filter(|by| sent.promises.contains_key(&(own, **by)))
+            .filter(|by| messages_sent.promises.contains_key(&(own, **by)))
             .count();
         if promised < view.majority() {
             return;
@@ -420,7 +433,7 @@
         let Some(view) = own.view.as_ref().filter(|view| view.has_member(member)) else {
             return;
         };
-        if !Core::takes_part(own) {
+        if !Core::participates(own) {
             return;
         }
         let is_head = view.chain.first() == Some(&member);
@@ -428,7 +441,7 @@
         if !view.chain.contains(&member) {
             acts.push(Act::Follow { member });
         } else if !Core::is_synced(own) {
-            if is_head || upstream.is_some() || !self.guards.whole_before_synced {
+            if is_head || upstream.is_some() || !self.safeguards.catch_up_before_sync {
                 acts.push(Act::Sync { member });
             }
         } else if is_head && state.writes < self.bounds.writes {
@@ -439,14 +452,14 @@
     }
 
     /// With the votes of a majority a view is decided; members learn of it later.
-    fn decide(state: &mut State, number: u8, ballot: Ballot) {
-        let sent = &state.sent[&number];
-        let proposal = sent.accepts[&ballot].clone();
+    fn decide(state: &mut State, number: u8, proposal_number: ProposalNumber) {
+        let messages_sent = &state.messages_sent[&number];
+        let proposal = messages_sent.accepts[&proposal_number].clone();
         let by_majority = |view: &&Decided| {
-            let votes = sent
+            let votes = messages_sent
                 .votes
                 .iter()
-                .filter(|(of, by)| *of == ballot && view.has_member(*by));
+                .filter(|(of, by)| *of == proposal_number && view.has_member(*by));
             view.number + 1 == number && votes.count() >= view.majority()
         };
         let decided = state.decided.iter().any(|view| by_majority(&view));
@@ -465,7 +478,7 @@
                 .view
                 .as_ref()
                 .is_some_and(|view| view.chain.last() == Some(&(place as u8)));
-            if !is_tail || !Core::takes_part(member) || !Core::is_synced(member) {
+            if !is_tail || !Core::participates(member) || !Core::is_synced(member) {
                 continue;
             }
             let log = member.log.clone();
@@ -504,7 +517,7 @@
         };
         vec![State {
             members: (0..self.bounds.machines).map(member).collect(),
-            sent: BTreeMap::new(),
+            messages_sent: BTreeMap::new(),
             decided: vec![first.clone()],
             committed: Vec::new(),
             writes: 0,
@@ -528,9 +541,13 @@
     fn next_state(&self, before: &State, act: Act) -> Option<State> {
         let mut state = before.clone();
         match act {
-            Act::Promise { by, number, ballot } => {
+            Act::Promise {
+                by,
+                number,
+                proposal_number,
+            } => {
                 let member = &mut state.members[by as usize];
-                member.promised = ballot;
+                member.promised = proposal_number;
                 let promise = Promise {
                     accepted: member.accepted.clone(),
                     synced_view: member.synced_view,
@@ -540,11 +557,11 @@
                     ),
                 };
                 state
-                    .sent
+                    .messages_sent
                     .entry(number)
                     .or_default()
                     .promises
-                    .insert((ballot, by), promise);
+                    .insert((proposal_number, by), promise);
             }
             Act::Propose {
                 proposer,
@@ -553,21 +570,25 @@
             } => {
                 let proposal = Core::proposal(&state, proposer, &members, &chain)?;
                 state
-                    .sent
+                    .messages_sent
                     .entry(proposal.number)
                     .or_default()
                     .accepts
                     .insert(proposer + 1, proposal);
             }
-            Act::Vote { by, number, ballot } => {
-                let sent = state.sent.entry(number).or_default();
-                let proposal = sent.accepts.get(&ballot)?.clone();
-                sent.votes.push((ballot, by));
-                sent.votes.sort_unstable();
+            Act::Vote {
+                by,
+                number,
+                proposal_number,
+            } => {
+                let messages_sent = state.messages_sent.entry(number).or_default();
+                let proposal = messages_sent.accepts.get(&proposal_number)?.clone();
+                messages_sent.votes.push((proposal_number, by));
+                messages_sent.votes.sort_unstable();
                 let member = &mut state.members[by as usize];
-                member.promised = ballot;
-                member.accepted = Some((ballot, proposal));
-                Core::decide(&mut state, number, ballot);
+                member.promised = proposal_number;
+                member.accepted = Some((proposal_number, proposal));
+                Core::decide(&mut state, number, proposal_number);
             }
             Act::Learn { by, decided } => {
                 let decided = state.decided[decided].clone();
@@ -642,14 +663,14 @@
 const REACHED: &str = "a write is committed after a newcomer took a place";
 
 /// What goes wrong without some guards.
-fn broken(guards: Guards, bounds: Bounds) -> Vec<&'static str> {
-    let checker = Core { guards, bounds }.checker().threads(THREADS);
+fn broken(safeguards: Safeguards, bounds: Bounds) -> Vec<&'static str> {
+    let checker = Core { safeguards, bounds }.checker().threads(THREADS);
     let checker = checker
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
     println!(
-        "{guards:?}: {} states, depth {}",
+        "{safeguards:?}: {} states, depth {}",
         checker.unique_state_count(),
         checker.max_depth()
     );
@@ -663,7 +684,7 @@
 /// Looks at all states within the bounds.
 fn holds(bounds: Bounds) {
     let core = Core {
-        guards: ALL,
+        safeguards: ALL,
         bounds,
     };
     let checker = core
@@ -733,7 +754,7 @@
 
 #[test]
 fn each_guard_taken_out_gives_a_counterexample() {
-    let newcomer = Bounds {
+    let joiner = Bounds {
         machines: 4,
         last_view: 2,
         proposers: 1,
@@ -752,18 +773,18 @@
     let broken_view = ["one view of a number"];
     assert_eq!(
         broken(
-            Guards {
-                whole_before_synced: false,
+            Safeguards {
+                catch_up_before_sync: false,
                 ..ALL
             },
-            newcomer
+            joiner
         ),
         broken_commit
     );
     assert_eq!(
         broken(
-            Guards {
-                disks_told_apart: false,
+            Safeguards {
+                distinguish_disks: false,
                 ..ALL
             },
             loss
@@ -772,8 +793,8 @@
     );
     assert_eq!(
         broken(
-            Guards {
-                decided_once: false,
+            Safeguards {
+                decide_once: false,
                 ..ALL
             },
             calm
--- a/crates/serving/chain-replication/tests/world/digest.rs
+++ b/crates/serving/chain-replication/tests/world/digest.rs
@@ -30,18 +30,18 @@
     fn add_output(&mut self, output: &Output) {
         match output {
             Output::Send { to, message } => self.add(1, &(to, message)),
-            Output::SendTo { address, message } => self.add(2, &(address, message)),
+            Output::SendToAddress { address, message } => self.add(2, &(address, message)),
             Output::Persist { batch, writes } => self.add(3, &(batch, writes)),
-            Output::Commit {
+            Output::Apply {
                 index,
                 payload,
                 ticket,
             } => self.add(4, &(index, payload, ticket)),
             Output::ReadReady { ticket } => self.add(5, ticket),
             Output::Dropped { ticket } => self.add(6, ticket),
-            Output::WantSnapshot => self.add(7, &()),
-            Output::Install { index, bytes } => self.add(8, &(index, bytes)),
-            Output::ViewChanged { view, current } => self.add(9, &(view, current)),
+            Output::TakeSnapshot => self.add(7, &()),
+            Output::InstallSnapshot { index, bytes } => self.add(8, &(index, bytes)),
+            Output::ViewChanged { view, has_quorum } => self.add(9, &(view, has_quorum)),
         }
     }
 
--- a/crates/serving/chain-replication/tests/world/windows.rs
+++ b/crates/serving/chain-replication/tests/world/fault_tolerance.rs
@@ -1,7 +1,7 @@
 //! How long the core bears fewer losses than it has to after a change of its machines.
 
 use super::{Setup, World};
-use dunespur_chain_replication::{Input, Millis, Saved, View};
+use dunespur_chain_replication::{DurableState, Input, Millis, View};
 
 /// The first view is in force by then, and the core is calm.
 const CALM: Millis = 2_500;
@@ -13,7 +13,7 @@
 const WATCHED_FOR: Millis = 5_000;
 
 /// Commits that a machine may lack when the core counts as whole again.
-const MOST_BEHIND: u64 = 40;
+const MAX_BEHIND: u64 = 40;
 
 /// What happens to the machines of a core that is calm otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,7 +91,7 @@
 /// The steps of a change, and when the event that the window is counted from is over.
 struct Script {
     steps: Vec<(Millis, Step)>,
-    over_at: Millis,
+    ends_at: Millis,
 }
 
 impl Script {
@@ -101,7 +101,7 @@
         let with_power = world.rng.bool();
         let mut script = Script {
             steps: Vec::new(),
-            over_at: begin,
+            ends_at: begin,
         };
         match change {
             Change::KillAndReturn => {
@@ -114,7 +114,7 @@
                 );
                 let back = begin + world.rng.u64(50..6_000);
                 script.push(back, Step::Start { machine });
-                script.over_at = back;
+                script.ends_at = back;
             }
             Change::WipeAndReturn => {
                 script.push(
@@ -127,7 +127,7 @@
                 script.push(begin, Step::Wipe { machine });
                 let back = begin + world.rng.u64(50..6_000);
                 script.push(back, Step::Start { machine });
-                script.over_at = back;
+                script.ends_at = back;
             }
             Change::UnplannedReplacement => {
                 script.push(
@@ -139,13 +139,13 @@
                 );
                 let comes = begin + world.rng.u64(1_000..=3_000);
                 script.push(comes, Step::Add);
-                script.over_at = comes;
+                script.ends_at = comes;
             }
             Change::PlannedReplacement => {
                 script.push(begin, Step::Add);
                 let leaves = begin + world.rng.u64(300..6_000);
                 script.push_planned_end(machine, leaves, world.rng.u64(20..LONGEST_DRAIN));
-                script.over_at = leaves;
+                script.ends_at = leaves;
             }
             Change::Addition => script.push(begin, Step::Add),
             Change::PlannedLeaving => {
@@ -185,7 +185,7 @@
                 },
             );
             self.push(returns, Step::Start { machine });
-            self.over_at = returns;
+            self.ends_at = returns;
             leaves = returns + world.rng.u64(500..3_000);
         }
     }
@@ -197,8 +197,8 @@
             .iter()
             .map(|(at, _)| *at)
             .max()
-            .unwrap_or(self.over_at);
-        last.max(self.over_at) + WATCHED_FOR
+            .unwrap_or(self.ends_at);
+        last.max(self.ends_at) + WATCHED_FOR
     }
 }
 
@@ -222,14 +222,14 @@
     world.play_to(CALM)?;
     let all = &[];
     if !world.bears(tolerated(machines), all) {
-        return Err(world.told("too few losses are borne before the change".into()));
+        return Err(world.describe("too few losses are borne before the change".into()));
     }
     let script = Script::drawn(change, world);
     let further = change.further_losses(machines);
     let end = script.watched_until();
     let mut leaving: Vec<usize> = Vec::new();
     let mut steps = script.steps.into_iter().peekable();
-    let mut borne_from = script.over_at;
+    let mut borne_from = script.ends_at;
     while world.now < end {
         let next = world.now + SAMPLE_EVERY;
         let due = steps.peek().map_or(next, |(at, _)| next.min(*at));
@@ -237,22 +237,22 @@
         while let Some((_, step)) = steps.next_if(|(at, _)| *at <= due) {
             world.takes(step, &mut leaving);
         }
-        if world.now >= script.over_at && !world.bears(further, &leaving) {
+        if world.now >= script.ends_at && !world.bears(further, &leaving) {
             borne_from = world.now + SAMPLE_EVERY;
         }
     }
     if borne_from > end {
-        return Err(world.told(format!(
+        return Err(world.describe(format!(
             "{change:?} of {machines}: losses are not borne in the end"
         )));
     }
-    world.check_whole(MOST_BEHIND)?;
-    Ok(borne_from - script.over_at)
+    world.check_complete(MAX_BEHIND)?;
+    Ok(borne_from - script.ends_at)
 }
 
 impl World {
     fn takes(&mut self, step: Step, leaving: &mut Vec<usize>) {
-        self.note(|| format!("{step:?}"));
+        self.trace_event(|| format!("{step:?}"));
         match step {
             Step::End {
                 machine,
@@ -264,8 +264,8 @@
                 self.start_at(machine, self.now);
             }
             Step::Add => {
-                let newcomer = self.add_machine(false);
-                self.start_at(newcomer, self.now);
+                let joiner = self.add_machine(false);
+                self.start_at(joiner, self.now);
             }
             Step::Leave { machine } => {
                 leaving.push(machine);
@@ -317,7 +317,7 @@
             .views
             .range(known..)
             .all(|(_, view)| self.members_left(view, left).len() >= view.majority());
-        decides && self.holds_all(newest, left)
+        decides && self.has_all_commits(newest, left)
     }
 
     fn members_left(&self, view: &View, left: &[usize]) -> Vec<usize> {
@@ -327,9 +327,9 @@
             .collect()
     }
 
-    fn holds_all(&self, view: &View, left: &[usize]) -> bool {
+    fn has_all_commits(&self, view: &View, left: &[usize]) -> bool {
         let voters = self.members_left(view, left);
-        let disk = |machine: &usize| &self.machines[*machine].saved;
+        let disk = |machine: &usize| &self.machines[*machine].durable;
         let Some(base) = self.base_of(view.number) else {
             return false;
         };
@@ -350,11 +350,11 @@
         let decided = self
             .machines
             .iter()
-            .filter_map(|machine| machine.saved.decided.as_ref());
+            .filter_map(|machine| machine.durable.decided.as_ref());
         let accepted = self
             .machines
             .iter()
-            .filter_map(|machine| machine.saved.accepted.as_ref());
+            .filter_map(|machine| machine.durable.accepted.as_ref());
         let mut views = decided.chain(accepted.map(|accepted| &accepted.proposal));
         let newest = self.newest_view().filter(|view| view.number == number)?;
         views
@@ -363,12 +363,15 @@
     }
 }
 
-fn end_of_log(saved: &Saved) -> u64 {
-    let snapshot = saved
+fn end_of_log(durable: &DurableState) -> u64 {
+    let snapshot = durable
         .snapshot
         .as_ref()
         .map_or(0, |snapshot| snapshot.position.index);
-    saved.entries.last().map_or(snapshot, |entry| entry.index())
+    durable
+        .entries
+        .last()
+        .map_or(snapshot, |entry| entry.index())
 }
 
 /// All sets of `size` of these.
