--- a/crates/serving/chain-replication/tests/world/trouble.rs
+++ b/crates/serving/chain-replication/tests/world/faults.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
+pub enum Fault {
     /// The process ends, connections are reset, and it starts again.
     Kill {
         machine: usize,
@@ -32,7 +32,7 @@
     Thaw {
         machine: usize,
     },
-    Cut {
+    Partition {
         from: usize,
         to: usize,
     },
@@ -56,7 +56,7 @@
         back_after: Millis,
     },
     Add,
-    Doubling {
+    Duplicating {
         on: bool,
     },
     Losing {
@@ -65,18 +65,18 @@
 }
 
 impl World {
-    pub(super) fn happens(&mut self, trouble: Trouble) {
-        self.note(|| format!("{trouble:?}"));
-        match trouble {
-            Trouble::Kill {
+    pub(super) fn inject(&mut self, fault: Fault) {
+        self.trace_event(|| format!("{fault:?}"));
+        match fault {
+            Fault::Kill {
                 machine,
                 back_after,
             } => self.end_and_start(machine, true, back_after),
-            Trouble::PowerLoss {
+            Fault::PowerLoss {
                 machine,
                 back_after,
             } => self.end_and_start(machine, false, back_after),
-            Trouble::Wipe {
+            Fault::Wipe {
                 machine,
                 back_after,
             } => {
@@ -84,39 +84,39 @@
                 self.wipe(machine);
                 self.start_at(machine, self.now + back_after);
             }
-            Trouble::Replace {
+            Fault::Replace {
                 machine,
                 back_after,
             } => {
                 self.end_process(machine, false);
                 self.machines[machine].removed = true;
-                let newcomer = self.add_machine(false);
-                self.start_at(newcomer, self.now + back_after);
+                let joiner = self.add_machine(false);
+                self.start_at(joiner, self.now + back_after);
             }
-            Trouble::Freeze { machine } => self.freeze(machine),
-            Trouble::Thaw { machine } => self.thaw(machine),
-            Trouble::Cut { from, to } => self.cut(from, to),
-            Trouble::Heal { from, to } => self.heal(from, to),
-            Trouble::StallDisk { machine } => self.stall_disk(machine),
-            Trouble::UnstallDisk { machine } => self.unstall_disk(machine),
-            Trouble::Reset { one, other } => self.reset_connection(one, other, true),
-            Trouble::Leave {
+            Fault::Freeze { machine } => self.freeze(machine),
+            Fault::Thaw { machine } => self.thaw(machine),
+            Fault::Partition { from, to } => self.partition(from, to),
+            Fault::Heal { from, to } => self.heal(from, to),
+            Fault::StallDisk { machine } => self.stall_disk(machine),
+            Fault::UnstallDisk { machine } => self.unstall_disk(machine),
+            Fault::Reset { one, other } => self.reset_connection(one, other, true),
+            Fault::Leave {
                 machine,
                 back_after,
             } => {
                 self.input(machine, Input::Leave);
-                let trouble = Trouble::Kill {
+                let fault = Fault::Kill {
                     machine,
                     back_after,
                 };
-                self.trouble_at(self.now + 300, trouble);
+                self.fault_at(self.now + 300, fault);
             }
-            Trouble::Add => {
-                let newcomer = self.add_machine(false);
-                self.start_at(newcomer, self.now);
+            Fault::Add => {
+                let joiner = self.add_machine(false);
+                self.start_at(joiner, self.now);
             }
-            Trouble::Doubling { on } => self.doubling = on,
-            Trouble::Losing { on } => self.losing = on,
+            Fault::Duplicating { on } => self.duplicating = on,
+            Fault::Losing { on } => self.losing = on,
         }
     }
 
@@ -131,41 +131,41 @@
 
 /// After a loss of a disk, and before one, this long without other trouble: what is lost at once stays bounded.
 const CATCH_UP: Millis = 4_200;
-const FIRST_TROUBLE: Millis = 2_500;
+const FIRST_FAULT: Millis = 2_500;
 
 /// A plan of troubles, and when the last of them is over.
 pub struct Schedule {
-    pub troubles: Vec<(Millis, Trouble)>,
-    pub over_at: Millis,
+    pub faults: Vec<(Millis, Fault)>,
+    pub ends_at: Millis,
 }
 
 struct Planner {
     rng: Rng,
-    present: Vec<usize>,
+    reported: Vec<usize>,
     machines: usize,
-    troubles: Vec<(Millis, Trouble)>,
-    over_at: Millis,
+    faults: Vec<(Millis, Fault)>,
+    ends_at: Millis,
 }
 
 /// Rounds of trouble: some with any mixture that leaves the disks, some that take disks within what must be borne.
-pub fn schedule(setup: &Setup, rounds: usize) -> Schedule {
+pub fn schedule(setup: &Setup, phases: usize) -> Schedule {
     let mut planner = Planner {
         rng: Rng::with_seed(setup.seed ^ 0x5EED),
-        present: (0..setup.machines).collect(),
+        reported: (0..setup.machines).collect(),
         machines: setup.machines,
-        troubles: Vec::new(),
-        over_at: FIRST_TROUBLE,
+        faults: Vec::new(),
+        ends_at: FIRST_FAULT,
     };
-    for _ in 0..rounds {
+    for _ in 0..phases {
         if planner.rng.u32(0..3) == 0 {
-            planner.disks_lost();
+            planner.lose_disks();
         } else {
-            planner.mixture();
+            planner.mixed_faults();
         }
     }
     Schedule {
-        troubles: planner.troubles,
-        over_at: planner.over_at,
+        faults: planner.faults,
+        ends_at: planner.ends_at,
     }
 }
 
@@ -174,46 +174,46 @@
 const EARLIEST_STORM: Millis = 350;
 const STORM_GAP: Millis = 350;
 /// Few of its troubles last longer than it takes to notice them.
-const STORM_TROUBLE: Millis = 1_300;
+const STORM_FAULT: Millis = 1_300;
 
 /// Short troubles one upon the other, so that changes of view run into each other. Disks stay.
 pub fn storm(setup: &Setup) -> Schedule {
     let mut planner = Planner {
         rng: Rng::with_seed(setup.seed ^ 0x5707),
-        present: (0..setup.machines).collect(),
+        reported: (0..setup.machines).collect(),
         machines: setup.machines,
-        troubles: Vec::new(),
-        over_at: FIRST_TROUBLE,
+        faults: Vec::new(),
+        ends_at: FIRST_FAULT,
     };
     // Some storms meet the founding.
     let mut at = if setup.seed % 4 == 1 {
         EARLIEST_STORM
     } else {
-        FIRST_TROUBLE
+        FIRST_FAULT
     };
-    let end = FIRST_TROUBLE + STORM_LASTS;
+    let end = FIRST_FAULT + STORM_LASTS;
     while at < end {
-        planner.gust(at);
+        planner.storm_fault(at);
         at += 1 + planner.rng.u64(0..STORM_GAP);
     }
-    planner.push(end, Trouble::Doubling { on: false });
-    planner.push(end, Trouble::Losing { on: false });
+    planner.push(end, Fault::Duplicating { on: false });
+    planner.push(end, Fault::Losing { on: false });
     Schedule {
-        troubles: planner.troubles,
-        over_at: planner.over_at,
+        faults: planner.faults,
+        ends_at: planner.ends_at,
     }
 }
 
 impl Planner {
     /// One trouble of a storm.
-    fn gust(&mut self, at: Millis) {
+    fn storm_fault(&mut self, at: Millis) {
         let machine = self.any();
         let other = self.any();
-        let lasts = 5 + self.rng.u64(0..STORM_TROUBLE);
+        let lasts = 5 + self.rng.u64(0..STORM_FAULT);
         match self.rng.u32(0..12) {
             0 | 1 => self.ends(
                 at,
-                Trouble::Kill {
+                Fault::Kill {
                     machine,
                     back_after: lasts,
                 },
@@ -221,35 +221,35 @@
             ),
             2 | 3 => self.ends(
                 at,
-                Trouble::PowerLoss {
+                Fault::PowerLoss {
                     machine,
                     back_after: lasts,
                 },
                 lasts,
             ),
             4 => {
-                self.push(at, Trouble::Freeze { machine });
-                self.push(at + lasts, Trouble::Thaw { machine });
+                self.push(at, Fault::Freeze { machine });
+                self.push(at + lasts, Fault::Thaw { machine });
             }
-            5 => self.cut_for(at, lasts, machine, other, true, false),
-            6 => self.cut_for(at, lasts, machine, other, true, true),
+            5 => self.partition_for(at, lasts, machine, other, true, false),
+            6 => self.partition_for(at, lasts, machine, other, true, true),
             7 => {
                 let outward = self.rng.bool();
                 self.isolate(at, lasts, machine, outward, !outward);
             }
             8 => self.isolate(at, lasts, machine, true, true),
             9 => {
-                self.push(at, Trouble::StallDisk { machine });
-                self.push(at + lasts, Trouble::UnstallDisk { machine });
+                self.push(at, Fault::StallDisk { machine });
+                self.push(at + lasts, Fault::UnstallDisk { machine });
             }
             10 => {
                 let on = self.rng.bool();
-                self.push(at, Trouble::Doubling { on });
-                self.push(at, Trouble::Losing { on: !on });
+                self.push(at, Fault::Duplicating { on });
+                self.push(at, Fault::Losing { on: !on });
             }
             _ => self.push(
                 at,
-                Trouble::Reset {
+                Fault::Reset {
                     one: machine,
                     other,
                 },
@@ -258,16 +258,16 @@
     }
 
     fn any(&mut self) -> usize {
-        self.present[self.rng.usize(..self.present.len())]
+        self.reported[self.rng.usize(..self.reported.len())]
     }
 
-    fn push(&mut self, at: Millis, trouble: Trouble) {
-        self.troubles.push((at, trouble));
-        self.over_at = self.over_at.max(at);
+    fn push(&mut self, at: Millis, fault: Fault) {
+        self.faults.push((at, fault));
+        self.ends_at = self.ends_at.max(at);
     }
 
     /// A short while: mostly around the protocol's own times.
-    fn while_(&mut self) -> Millis {
+    fn draw_duration(&mut self) -> Millis {
         match self.rng.u32(0..3) {
             0 => self.rng.u64(5..200),
             1 => self.rng.u64(200..1_500),
@@ -275,23 +275,23 @@
         }
     }
 
-    fn mixture(&mut self) {
-        let begin = self.over_at + self.while_() / 2;
+    fn mixed_faults(&mut self) {
+        let begin = self.ends_at + self.draw_duration() / 2;
         let count = self.rng.usize(1..5);
         for _ in 0..count {
             let at = begin + self.rng.u64(0..1_500);
-            self.one_trouble(at);
+            self.one_fault(at);
         }
     }
 
-    fn one_trouble(&mut self, at: Millis) {
+    fn one_fault(&mut self, at: Millis) {
         let machine = self.any();
         let other = self.any();
-        let lasts = self.while_();
+        let lasts = self.draw_duration();
         match self.rng.u32(0..14) {
             0 => self.ends(
                 at,
-                Trouble::Kill {
+                Fault::Kill {
                     machine,
                     back_after: lasts,
                 },
@@ -299,60 +299,60 @@
             ),
             1 => self.ends(
                 at,
-                Trouble::PowerLoss {
+                Fault::PowerLoss {
                     machine,
                     back_after: lasts,
                 },
                 lasts,
             ),
             2 => {
-                for machine in self.present.clone() {
+                for machine in self.reported.clone() {
                     let back_after = 100 + self.rng.u64(0..900);
-                    let trouble = if self.rng.bool() {
-                        Trouble::Kill {
+                    let fault = if self.rng.bool() {
+                        Fault::Kill {
                             machine,
                             back_after,
                         }
                     } else {
-                        Trouble::PowerLoss {
+                        Fault::PowerLoss {
                             machine,
                             back_after,
                         }
                     };
-                    self.ends(at, trouble, back_after);
+                    self.ends(at, fault, back_after);
                 }
             }
             3 | 4 => {
-                self.push(at, Trouble::Freeze { machine });
-                self.push(at + lasts, Trouble::Thaw { machine });
+                self.push(at, Fault::Freeze { machine });
+                self.push(at + lasts, Fault::Thaw { machine });
             }
-            5 => self.cut_for(at, lasts, machine, other, true, false),
-            6 => self.cut_for(at, lasts, machine, other, true, true),
+            5 => self.partition_for(at, lasts, machine, other, true, false),
+            6 => self.partition_for(at, lasts, machine, other, true, true),
             7 => self.isolate(at, lasts, machine, true, false),
             8 => self.isolate(at, lasts, machine, false, true),
             9 => self.isolate(at, lasts, machine, true, true),
             10 => {
-                self.push(at, Trouble::StallDisk { machine });
-                self.push(at + lasts, Trouble::UnstallDisk { machine });
+                self.push(at, Fault::StallDisk { machine });
+                self.push(at + lasts, Fault::UnstallDisk { machine });
             }
             11 => {
-                self.push(at, Trouble::Doubling { on: true });
-                self.push(at + lasts, Trouble::Doubling { on: false });
+                self.push(at, Fault::Duplicating { on: true });
+                self.push(at + lasts, Fault::Duplicating { on: false });
                 self.push(
                     at,
-                    Trouble::Reset {
+                    Fault::Reset {
                         one: machine,
                         other,
                     },
                 );
             }
             12 => {
-                self.push(at, Trouble::Losing { on: true });
-                self.push(at + lasts, Trouble::Losing { on: false });
+                self.push(at, Fault::Losing { on: true });
+                self.push(at + lasts, Fault::Losing { on: false });
             }
             _ => self.ends(
                 at,
-                Trouble::Leave {
+                Fault::Leave {
                     machine,
                     back_after: lasts,
                 },
@@ -361,12 +361,12 @@
         }
     }
 
-    fn ends(&mut self, at: Millis, trouble: Trouble, lasts: Millis) {
-        self.push(at, trouble);
-        self.over_at = self.over_at.max(at + lasts);
+    fn ends(&mut self, at: Millis, fault: Fault, lasts: Millis) {
+        self.push(at, fault);
+        self.ends_at = self.ends_at.max(at + lasts);
     }
 
-    fn cut_for(
+    fn partition_for(
         &mut self,
         at: Millis,
         lasts: Millis,
@@ -375,26 +375,26 @@
         there: bool,
         back: bool,
     ) {
-        for (from, to, cut) in [(one, other, there), (other, one, back)] {
-            if cut && from != to {
-                self.push(at, Trouble::Cut { from, to });
-                self.push(at + lasts, Trouble::Heal { from, to });
+        for (from, to, partition) in [(one, other, there), (other, one, back)] {
+            if partition && from != to {
+                self.push(at, Fault::Partition { from, to });
+                self.push(at + lasts, Fault::Heal { from, to });
             }
         }
     }
 
     fn isolate(&mut self, at: Millis, lasts: Millis, machine: usize, outward: bool, inward: bool) {
-        for other in self.present.clone() {
-            self.cut_for(at, lasts, machine, other, outward, inward);
+        for other in self.reported.clone() {
+            self.partition_for(at, lasts, machine, other, outward, inward);
         }
     }
 
     /// Disks are lost, no more of them than must be borne, sometimes while all others are killed or lose power.
-    fn disks_lost(&mut self) {
-        let at = self.over_at + CATCH_UP + self.rng.u64(0..500);
-        let borne = (self.present.len() - 1) / 2;
+    fn lose_disks(&mut self) {
+        let at = self.ends_at + CATCH_UP + self.rng.u64(0..500);
+        let borne = (self.reported.len() - 1) / 2;
         let lost = self.rng.usize(1..=borne);
-        let mut rest = self.present.clone();
+        let mut rest = self.reported.clone();
         self.rng.shuffle(&mut rest);
         let victims = rest.split_off(rest.len() - lost);
         for machine in victims {
@@ -402,20 +402,20 @@
             if self.rng.u32(0..3) == 0 {
                 self.ends(
                     at,
-                    Trouble::Replace {
+                    Fault::Replace {
                         machine,
                         back_after,
                     },
                     back_after,
                 );
-                let newcomer = self.machines;
+                let joiner = self.machines;
                 self.machines += 1;
-                self.present.retain(|other| *other != machine);
-                self.present.push(newcomer);
+                self.reported.retain(|other| *other != machine);
+                self.reported.push(joiner);
             } else {
                 self.ends(
                     at,
-                    Trouble::Wipe {
+                    Fault::Wipe {
                         machine,
                         back_after,
                     },
@@ -428,7 +428,7 @@
                 let back_after = 100 + self.rng.u64(0..900);
                 self.ends(
                     at,
-                    Trouble::PowerLoss {
+                    Fault::PowerLoss {
                         machine,
                         back_after,
                     },
@@ -437,13 +437,13 @@
             }
         }
         // The newcomers count as lost for this long.
-        self.over_at += CATCH_UP;
+        self.ends_at += CATCH_UP;
     }
 }
 
 /// How long after the last trouble a write must have been committed, and everyone must be back in the chain.
 const WRITABLE_AFTER: Millis = 5_000;
-const WHOLE_AFTER: Millis = 9_000;
+const COMPLETE_AFTER: Millis = 9_000;
 
 /// What went on in a world.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -461,20 +461,20 @@
 
 /// As [`play`], in a world that was just made.
 pub fn play_in(world: &mut World, plan: Schedule) -> Result<Played, String> {
-    for (at, trouble) in plan.troubles {
-        world.trouble_at(at, trouble);
+    for (at, fault) in plan.faults {
+        world.fault_at(at, fault);
     }
-    world.play_to(plan.over_at + 1)?;
+    world.play_to(plan.ends_at + 1)?;
     world.watch_fresh();
     for index in world.running() {
         world.submit(index);
     }
-    world.play_to(plan.over_at + WRITABLE_AFTER)?;
+    world.play_to(plan.ends_at + WRITABLE_AFTER)?;
     if world.fresh_committed_at.is_none() {
-        return Err(world.told("nothing was committed after the last trouble".into()));
+        return Err(world.describe("nothing was committed after the last trouble".into()));
     }
-    world.play_to(plan.over_at + WHOLE_AFTER)?;
-    world.check_whole(20)?;
+    world.play_to(plan.ends_at + COMPLETE_AFTER)?;
+    world.check_complete(20)?;
     Ok(Played {
         acknowledged: world.acknowledged,
         reads: world.reads_done,
--- a/crates/serving/chain-replication/tests/world/mod.rs
+++ b/crates/serving/chain-replication/tests/world/mod.rs
@@ -5,11 +5,12 @@
 #![allow(dead_code)]
 
 pub mod digest;
-pub mod trouble;
-pub mod windows;
+pub mod fault_tolerance;
+pub mod faults;
 
 use dunespur_chain_replication::{
-    Guards, Input, Member, MemberId, Message, Millis, Output, Peer, Saved, View, Write,
+    DurableState, Input, Member, MemberConfig, MemberId, Message, Millis, Output, Peer, Safeguards,
+    View, Write,
 };
 use fastrand::Rng;
 use std::cmp::Reverse;
@@ -41,40 +42,40 @@
 pub struct Setup {
     pub seed: u64,
     pub machines: usize,
-    pub guards: Guards,
+    pub safeguards: Safeguards,
     /// Wiped machines come back under their old identity: the guard against this is the identity itself.
     pub wiped_keep_identity: bool,
     /// Mean time between two writes, and between two reads.
     pub write_every: Millis,
     pub read_every: Millis,
     /// Syncs take up to this long.
-    pub sync_most: Millis,
+    pub max_sync_ms: Millis,
     /// Bytes of a payload beyond its number: large ones bring on snapshots.
     pub padding: usize,
     /// Bytes of a snapshot beyond the digest that it begins with: large ones go in many parts.
     pub snapshot_padding: usize,
     /// Bytes that a machine sends in a millisecond; 0: any number.
     pub link_bytes_per_ms: u64,
-    /// Now and then a byte of a snapshot's part is another when it arrives.
-    pub spoils_parts: bool,
+    /// Now and then a byte of a snapshot's chunk is another when it arrives.
+    pub corrupts_chunks: bool,
 }
 
 impl Setup {
     pub fn new(seed: u64, machines: usize) -> Setup {
-        let guards = Guards::default();
+        let safeguards = Safeguards::default();
         let padding = if seed % 5 == 4 { LARGE_PAYLOAD } else { 0 };
         Setup {
             seed,
             machines,
-            guards,
+            safeguards,
             wiped_keep_identity: false,
             write_every: 60,
             read_every: 150,
-            sync_most: if seed % 3 == 2 { SLOW_SYNC } else { QUICK_SYNC },
+            max_sync_ms: if seed % 3 == 2 { SLOW_SYNC } else { QUICK_SYNC },
             padding,
             snapshot_padding: 0,
             link_bytes_per_ms: 0,
-            spoils_parts: false,
+            corrupts_chunks: false,
         }
     }
 }
@@ -102,7 +103,7 @@
     node: String,
     address: SocketAddr,
     disk: u64,
-    saved: Saved,
+    durable: DurableState,
     flight: Option<Flight>,
     disk_stalled: bool,
     frozen: bool,
@@ -115,9 +116,9 @@
     powered: bool,
     /// It is gone for good.
     pub removed: bool,
-    may_found: bool,
+    may_bootstrap: bool,
     /// What it has sent has left it by then, in microseconds.
-    sent_until_us: u64,
+    sending_until_us: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -126,7 +127,7 @@
         machine: usize,
         run: u64,
     },
-    Found,
+    Bootstrap,
     Tick {
         machine: usize,
         run: u64,
@@ -140,7 +141,7 @@
         to: usize,
         input: Input,
     },
-    Notice {
+    Notify {
         to: usize,
         run: u64,
         input: Input,
@@ -152,7 +153,7 @@
     },
     Write,
     Read,
-    Trouble(trouble::Trouble),
+    Fault(faults::Fault),
 }
 
 struct Scheduled {
@@ -183,10 +184,10 @@
 
 /// One direction of a connection: messages arrive in order.
 #[derive(Default)]
-struct Line {
+struct Link {
     queue: VecDeque<Carried>,
     last_arrival: Millis,
-    cut: bool,
+    partition: bool,
 }
 
 struct Carried {
@@ -203,15 +204,15 @@
     events: BinaryHeap<Reverse<Scheduled>>,
     order: u64,
     pub machines: Vec<Machine>,
-    lines: HashMap<(usize, usize), Line>,
+    links: HashMap<(usize, usize), Link>,
     /// Messages come again late now and then, as from an older connection.
-    pub doubling: bool,
+    pub duplicating: bool,
     /// Messages are lost now and then.
     pub losing: bool,
     pub snapshots_given: u64,
     pub snapshots_installed: u64,
     /// Bytes of snapshots that were sent in parts.
-    pub part_bytes_sent: u64,
+    pub chunk_bytes_sent: u64,
     /// Inputs that members have taken.
     pub steps: u64,
     /// Payloads by index; index 1 is at 0.
@@ -251,12 +252,12 @@
             events: BinaryHeap::new(),
             order: 0,
             machines: Vec::new(),
-            lines: HashMap::new(),
-            doubling: false,
+            links: HashMap::new(),
+            duplicating: false,
             losing: false,
             snapshots_given: 0,
             snapshots_installed: 0,
-            part_bytes_sent: 0,
+            chunk_bytes_sent: 0,
             steps: 0,
             sequence: Vec::new(),
             commit_times: Vec::new(),
@@ -278,7 +279,7 @@
             let start = world.rng.u64(0..LATEST_START);
             world.schedule(start, Event::Start { machine, run: 1 });
         }
-        world.schedule(FOUND_AT, Event::Found);
+        world.schedule(FOUND_AT, Event::Bootstrap);
         world.schedule(FOUND_AT, Event::Write);
         world.schedule(FOUND_AT, Event::Read);
         world
@@ -295,8 +296,8 @@
         }));
     }
 
-    pub fn trouble_at(&mut self, at: Millis, trouble: trouble::Trouble) {
-        self.schedule(at, Event::Trouble(trouble));
+    pub fn fault_at(&mut self, at: Millis, fault: faults::Fault) {
+        self.schedule(at, Event::Fault(fault));
     }
 
     /// Plays up to a time, or to the first broken promise.
@@ -325,11 +326,11 @@
     fn happen(&mut self, event: Event) {
         match event {
             Event::Start { machine, run } => self.start(machine, run),
-            Event::Found => self.found(),
+            Event::Bootstrap => self.found(),
             Event::Tick { machine, run, at } => self.tick(machine, run, at),
             Event::Deliver { from, to } => self.deliver(from, to),
             Event::Late { to, input } => self.input(to, input),
-            Event::Notice { to, run, input } => {
+            Event::Notify { to, run, input } => {
                 if self.machines[to].run == run {
                     self.input(to, input);
                 }
@@ -341,11 +342,11 @@
             } => self.disk_done(machine, run, batch),
             Event::Write => self.write(),
             Event::Read => self.read(),
-            Event::Trouble(trouble) => self.happens(trouble),
+            Event::Fault(fault) => self.inject(fault),
         }
     }
 
-    fn note(&self, text: impl FnOnce() -> String) {
+    fn trace_event(&self, text: impl FnOnce() -> String) {
         if self.trace {
             eprintln!("{:>6} {}", self.now, text());
         }
@@ -357,13 +358,13 @@
 
     // --- machines ---
 
-    pub fn add_machine(&mut self, may_found: bool) -> usize {
+    pub fn add_machine(&mut self, may_bootstrap: bool) -> usize {
         let index = self.machines.len();
         self.machines.push(Machine {
             node: format!("m{index}"),
             address: SocketAddr::from(([10, 0, 0, index as u8], 7380)),
             disk: self.rng.u64(1..),
-            saved: Saved::default(),
+            durable: DurableState::default(),
             flight: None,
             disk_stalled: false,
             frozen: false,
@@ -372,8 +373,8 @@
             process: None,
             powered: true,
             removed: false,
-            may_found,
-            sent_until_us: 0,
+            may_bootstrap,
+            sending_until_us: 0,
         });
         index
     }
@@ -419,16 +420,16 @@
         }
         machine.powered = true;
         machine.frozen = false;
-        let saved = machine.saved.clone();
-        let member = Member::with_guards(
-            id,
-            machine.address,
-            machine.may_found,
-            saved,
+        let durable = machine.durable.clone();
+        let config = MemberConfig {
+            peer: Peer {
+                id,
+                address: machine.address,
+            },
+            may_bootstrap: machine.may_bootstrap,
             seed,
-            FIRST_MOMENT,
-            self.setup.guards,
-        );
+        };
+        let member = Member::with_safeguards(config, durable, FIRST_MOMENT, self.setup.safeguards);
         let process = Process {
             member,
             clock_zero: now,
@@ -438,8 +439,8 @@
             reads: HashMap::new(),
         };
         machine.process = Some(process);
-        let first_start = machine.may_found && run == 1;
-        self.note(|| format!("m{index} starts"));
+        let first_start = machine.may_bootstrap && run == 1;
+        self.trace_event(|| format!("m{index} starts"));
         if first_start {
             self.input(index, Input::Tick);
         } else {
@@ -460,7 +461,7 @@
             flight
                 .writes
                 .iter()
-                .for_each(|write| machine.saved.apply(write));
+                .for_each(|write| machine.durable.apply(write));
         }
         for other in 0..self.machines.len() {
             self.reset_connection(index, other, with_power);
@@ -471,8 +472,8 @@
         let disk = self.rng.u64(1..);
         let keep = self.setup.wiped_keep_identity;
         let machine = &mut self.machines[index];
-        machine.saved = Saved::default();
-        machine.may_found = false;
+        machine.durable = DurableState::default();
+        machine.may_bootstrap = false;
         if !keep {
             machine.disk = disk;
         }
@@ -515,7 +516,7 @@
         if machine.run != run {
             return;
         }
-        let stalled = machine.disk_stalled;
+        let disk_stalled = machine.disk_stalled;
         let Some(flight) = machine
             .flight
             .as_mut()
@@ -523,7 +524,7 @@
         else {
             return;
         };
-        if stalled {
+        if disk_stalled {
             flight.due = true;
             return;
         }
@@ -531,54 +532,54 @@
         flight
             .writes
             .iter()
-            .for_each(|write| machine.saved.apply(write));
+            .for_each(|write| machine.durable.apply(write));
         self.input(index, Input::Persisted { batch });
     }
 
     // --- connections ---
 
-    fn line(&mut self, from: usize, to: usize) -> &mut Line {
-        self.lines.entry((from, to)).or_default()
+    fn link(&mut self, from: usize, to: usize) -> &mut Link {
+        self.links.entry((from, to)).or_default()
     }
 
     /// What is on its way is lost; both ends are told if they can be.
-    pub fn reset_connection(&mut self, one: usize, other: usize, told: bool) {
+    pub fn reset_connection(&mut self, one: usize, other: usize, describe: bool) {
         if one == other {
             return;
         }
-        let cut = self.line(one, other).cut || self.line(other, one).cut;
-        self.line(one, other).queue.clear();
-        self.line(other, one).queue.clear();
-        if told && !cut {
-            self.tell_disconnected(one, other);
-            self.tell_disconnected(other, one);
+        let partition = self.link(one, other).partition || self.link(other, one).partition;
+        self.link(one, other).queue.clear();
+        self.link(other, one).queue.clear();
+        if describe && !partition {
+            self.notify_disconnected(one, other);
+            self.notify_disconnected(other, one);
         }
     }
 
-    fn tell_disconnected(&mut self, to: usize, peer: usize) {
+    fn notify_disconnected(&mut self, to: usize, peer: usize) {
         let run = self.machines[to].run;
         let at = self.now + self.rng.u64(1..4);
         let input = Input::Disconnected {
             peer: self.id(peer),
         };
-        self.schedule(at, Event::Notice { to, run, input });
+        self.schedule(at, Event::Notify { to, run, input });
     }
 
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.line(from, to).cut = true;
+    pub fn partition(&mut self, from: usize, to: usize) {
+        self.link(from, to).partition = true;
     }
 
     /// What was held up arrives now, or is lost with the connection.
     pub fn heal(&mut self, from: usize, to: usize) {
-        if !std::mem::take(&mut self.line(from, to).cut) {
+        if !std::mem::take(&mut self.link(from, to).partition) {
             return;
         }
         if self.rng.bool() {
             return self.reset_connection(from, to, true);
         }
         let now = self.now;
-        let held = self.line(from, to).queue.len();
-        for carried in self.line(from, to).queue.iter_mut() {
+        let held = self.link(from, to).queue.len();
+        for carried in self.link(from, to).queue.iter_mut() {
             carried.arrival = carried.arrival.max(now);
         }
         for _ in 0..held {
@@ -596,31 +597,31 @@
             .len() as u64;
         let takes_us = bytes * 1_000 / self.setup.link_bytes_per_ms;
         let machine = &mut self.machines[from];
-        machine.sent_until_us = machine.sent_until_us.max(self.now * 1_000) + takes_us;
-        machine.sent_until_us.div_ceil(1_000)
+        machine.sending_until_us = machine.sending_until_us.max(self.now * 1_000) + takes_us;
+        machine.sending_until_us.div_ceil(1_000)
     }
 
     /// Counts parts, and spoils a byte of some.
-    fn look_at_part(&mut self, message: &mut Message) {
-        let Message::SnapshotPart { part, .. } = message else {
+    fn corrupt_chunk(&mut self, message: &mut Message) {
+        let Message::SnapshotChunk { chunk, .. } = message else {
             return;
         };
-        self.part_bytes_sent += part.bytes.len() as u64;
-        if self.setup.spoils_parts && self.rng.u32(0..8) == 0 {
-            let mut bytes = part.bytes.to_vec();
+        self.chunk_bytes_sent += chunk.bytes.len() as u64;
+        if self.setup.corrupts_chunks && self.rng.u32(0..8) == 0 {
+            let mut bytes = chunk.bytes.to_vec();
             let place = self.rng.usize(..bytes.len());
             bytes[place] ^= 1;
-            part.bytes = bytes.into();
+            chunk.bytes = bytes.into();
         }
     }
 
     fn send(&mut self, from: usize, to: usize, identity: Option<MemberId>, mut message: Message) {
         let sender = self.id(from);
         let delay = self.rng.u64(1..4);
-        self.look_at_part(&mut message);
+        self.corrupt_chunk(&mut message);
         let now = self.now;
         let left = self.leaves_at(from, &message);
-        if self.doubling && self.rng.u32(0..100) == 0 {
+        if self.duplicating && self.rng.u32(0..100) == 0 {
             let at = now + self.rng.u64(10..2_000);
             let input = Input::Received {
                 from: sender.clone(),
@@ -631,10 +632,10 @@
         if self.losing && self.rng.u32(0..20) == 0 {
             return;
         }
-        let line = self.line(from, to);
-        line.last_arrival = line.last_arrival.max(left + delay);
-        let arrival = line.last_arrival;
-        line.queue.push_back(Carried {
+        let link = self.link(from, to);
+        link.last_arrival = link.last_arrival.max(left + delay);
+        let arrival = link.last_arrival;
+        link.queue.push_back(Carried {
             sender,
             to: identity,
             message,
@@ -645,16 +646,16 @@
 
     fn deliver(&mut self, from: usize, to: usize) {
         let now = self.now;
-        let line = self.line(from, to);
-        if line.cut
-            || line
+        let link = self.link(from, to);
+        if link.partition
+            || link
                 .queue
                 .front()
                 .is_none_or(|carried| carried.arrival > now)
         {
             return;
         }
-        let carried = line.queue.pop_front().expect("just seen");
+        let carried = link.queue.pop_front().expect("just seen");
         if self.machines[to].process.is_none() {
             if self.machines[to].powered && !self.machines[to].removed {
                 let peer = carried.to.unwrap_or_else(|| self.id(to));
@@ -662,7 +663,7 @@
                 let input = Input::Disconnected { peer };
                 self.schedule(
                     now + 1,
-                    Event::Notice {
+                    Event::Notify {
                         to: from,
                         run,
                         input,
@@ -671,7 +672,7 @@
             }
             return;
         }
-        self.note(|| format!("m{from} -> m{to} {:?}", carried.message));
+        self.trace_event(|| format!("m{from} -> m{to} {:?}", carried.message));
         self.input(
             to,
             Input::Received {
@@ -751,21 +752,21 @@
                     self.send(index, machine, Some(to.id), message);
                 }
             }
-            Output::SendTo { address, message } => {
+            Output::SendToAddress { address, message } => {
                 if let Some(machine) = self.machine_at(address) {
                     self.send(index, machine, None, message);
                 }
             }
             Output::Persist { batch, writes } => self.persist(index, batch, writes),
-            Output::Commit {
+            Output::Apply {
                 index: at,
                 payload,
                 ticket,
-            } => self.committed(index, at, &payload, ticket),
+            } => self.on_apply(index, at, &payload, ticket),
             Output::ReadReady { ticket } => self.read_ready(index, ticket),
             Output::Dropped { ticket } => self.dropped(index, ticket),
-            Output::WantSnapshot => self.give_snapshot(index),
-            Output::Install { index: at, bytes } => self.installed(index, at, &bytes),
+            Output::TakeSnapshot => self.give_snapshot(index),
+            Output::InstallSnapshot { index: at, bytes } => self.installed(index, at, &bytes),
             Output::ViewChanged { view, .. } => self.view_changed(index, view),
         }
     }
@@ -777,7 +778,7 @@
     }
 
     fn persist(&mut self, index: usize, batch: u64, writes: Vec<Write>) {
-        let sync = self.rng.u64(1..self.setup.sync_most);
+        let sync = self.rng.u64(1..self.setup.max_sync_ms);
         if self.machines[index].flight.is_some() {
             self.breaks(format!("m{index} has two batches out"));
         }
@@ -804,7 +805,7 @@
             .expect("outputs come from a process")
     }
 
-    fn committed(&mut self, index: usize, at: u64, payload: &[u8], ticket: Option<u64>) {
+    fn on_apply(&mut self, index: usize, at: u64, payload: &[u8], ticket: Option<u64>) {
         let payload = u64::from_le_bytes(payload[..8].try_into().expect("eight bytes"));
         let process = self.process(index);
         let in_order = process.applied + 1 == at;
@@ -824,7 +825,7 @@
             self.sequence.push(payload);
             self.commit_times.push(self.now);
             self.digests.push(digest(self.digests[place], payload));
-            self.note(|| format!("m{index} commits {at}: {payload}"));
+            self.trace_event(|| format!("m{index} commits {at}: {payload}"));
         } else if self.sequence.get(place) != Some(&payload) {
             let known = self.sequence.get(place).copied();
             self.breaks(format!(
@@ -842,13 +843,13 @@
         let bytes = self.snapshot_after(self.digests[applied as usize]);
         let at = self.now + self.rng.u64(0..5);
         let run = self.machines[index].run;
-        let input = Input::Snapshot {
+        let input = Input::SnapshotTaken {
             index: applied,
             bytes,
         };
         self.schedule(
             at,
-            Event::Notice {
+            Event::Notify {
                 to: index,
                 run,
                 input,
@@ -877,7 +878,7 @@
     }
 
     fn view_changed(&mut self, index: usize, view: View) {
-        self.note(|| {
+        self.trace_event(|| {
             let names = |id: &MemberId| id.node.clone();
             let members: Vec<String> = view
                 .members
@@ -913,13 +914,13 @@
         if self
             .machines
             .iter()
-            .all(|machine| machine.saved.decided.is_none())
+            .all(|machine| machine.durable.decided.is_none())
         {
-            self.schedule(self.now + FOUND_AGAIN, Event::Found);
+            self.schedule(self.now + FOUND_AGAIN, Event::Bootstrap);
         }
         self.input(
             0,
-            Input::Found {
+            Input::Bootstrap {
                 view: View {
                     number: 1,
                     members,
@@ -1013,7 +1014,7 @@
     }
 
     /// The longest time without a commit since then, and until now.
-    pub fn longest_pause(&self, since: Millis) -> Millis {
+    pub fn longest_commit_gap(&self, since: Millis) -> Millis {
         let times = self
             .commit_times
             .iter()
@@ -1040,7 +1041,7 @@
         process.is_some_and(|process| {
             process
                 .member
-                .current(self.now - process.clock_zero + FIRST_MOMENT)
+                .has_quorum(self.now - process.clock_zero + FIRST_MOMENT)
         })
     }
 
@@ -1052,7 +1053,7 @@
     }
 
     /// All running machines are in the chain of one view, know it, and have given out all commits but the newest.
-    pub fn check_whole(&self, most_behind: u64) -> Verdict {
+    pub fn check_complete(&self, max_behind: u64) -> Verdict {
         let newest = self.newest_view().ok_or("no view")?;
         for index in self.running() {
             let member = self.member(index).ok_or("not running")?;
@@ -1064,22 +1065,22 @@
                 .as_ref()
                 .map_or(0, |process| process.applied);
             if view != newest {
-                return Err(self.told(format!(
+                return Err(self.describe(format!(
                     "m{index} is in view {}, not {}",
                     view.number, newest.number
                 )));
             }
             if !view.chain.contains(&self.id(index)) {
-                return Err(self.told(format!(
+                return Err(self.describe(format!(
                     "m{index} is not in the chain of view {}",
                     view.number
                 )));
             }
             if !self.is_current(index) {
-                return Err(self.told(format!("m{index} is not current")));
+                return Err(self.describe(format!("m{index} is not current")));
             }
-            if applied + most_behind < self.sequence.len() as u64 {
-                return Err(self.told(format!(
+            if applied + max_behind < self.sequence.len() as u64 {
+                return Err(self.describe(format!(
                     "m{index} has {applied} of {} commits",
                     self.sequence.len()
                 )));
@@ -1088,7 +1089,7 @@
         Ok(())
     }
 
-    pub fn told(&self, text: String) -> String {
+    pub fn describe(&self, text: String) -> String {
         format!("seed {} at {} ms: {text}", self.setup.seed, self.now)
     }
 }
