--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// A call or message to a process.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
     /// From one core member to another; not answered.
     Chain { from: MemberId, message: Message },
@@ -26,7 +26,7 @@
     /// Changes of the control state after an index; waits for some, a bounded time.
     Watch(WatchRequest),
     /// Leases that other core members were told of.
-    Heard(Heard),
+    LeaseRenewals(LeaseRenewals),
     /// To a store.
     Store(StoreRequest),
     /// A core member tells the view to a process that may know none; not answered.
@@ -44,12 +44,12 @@
     pub after: Option<u64>,
     /// Number of the newest view that the caller knows.
     pub view: u64,
-    pub heard: Heard,
+    pub renewals: LeaseRenewals,
 }
 
 /// Servers and nodes that were heard of lately.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct LeaseRenewals {
     /// Ids of servers.
     pub servers: Vec<String>,
     pub nodes: Vec<NodeLease>,
@@ -73,7 +73,7 @@
 }
 
 /// Answers.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// The process can't answer this now; another one may.
     Unavailable,
@@ -82,7 +82,7 @@
     Executed(Outcome),
     Configuration(Option<String>),
     Retirement(Option<RetireState>),
-    Watched(Watched),
+    StateUpdate(StateUpdate),
     Store(StoreReply),
     /// A [`Status`](crate::status::Status) as JSON.
     Status(String),
@@ -90,7 +90,7 @@
 }
 
 /// What a candidate for the first view is told.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Candidacy {
     /// Ask again soon.
     Wait,
@@ -101,12 +101,12 @@
 }
 
 /// Changes after the index that was asked for.
-#[derive(Serialize, Deserialize)]
-pub struct Watched {
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct StateUpdate {
     /// The index up to which these changes go.
     pub index: u64,
     /// The list holds the whole state, and replaces what the caller has.
-    pub whole: bool,
+    pub complete: bool,
     pub changes: Vec<Change>,
     /// The view, if it is newer than the caller's.
     pub view: Option<View>,
--- a/crates/serving/dunespur/src/status.rs
+++ b/crates/serving/dunespur/src/status.rs
@@ -5,10 +5,10 @@
 mod ask;
 mod gather;
 mod own;
-mod report;
+pub mod report;
 mod table;
 
-pub use ask::{run, AskStatus};
+pub use ask::{run, StatusQuery};
 pub use gather::{basics, GatewayStatus};
 pub use report::{
     BudgetStatus, CoreStatus, DiskStatus, LeaseStatus, LinkStatus, Status, TurnsStatus,
