--- a/crates/serving/chain-replication/tests/encodings.rs
+++ b/crates/serving/chain-replication/tests/encodings.rs
@@ -287,7 +287,7 @@
         Message::Overloaded { .. } => "message-16-overloaded",
         Message::ReadIndex(_) => "message-17-probe",
         Message::ReadIndexReply { .. } => "message-18-probe-answer",
-        Message::SnapshotChunk { .. } => "message-19-snapshot-chunk",
+        Message::SnapshotChunk { .. } => "message-19-snapshot-part",
         Message::SnapshotProgress { .. } => "message-20-snapshot-progress",
     }
 }
--- a/crates/serving/control-state/tests/operators_guards.rs
+++ b/crates/serving/control-state/tests/operators_guards.rs
@@ -2,6 +2,7 @@
 
 mod world;
 
+use dunespur_chain_replication::{Safeguard, Safeguards};
 use world::trouble::play;
 use world::{Guards, Setup};
 
@@ -43,10 +44,7 @@
 
 #[test]
 fn currency_after_a_freeze_counts_from_the_sending() {
-    let chain = dunespur_chain_replication::Guards {
-        currency_by_sending: false,
-        ..Default::default()
-    };
+    let chain = Safeguards::without(Safeguard::QuorumBySendTime);
     counterexample(
         Guards {
             chain,
@@ -58,10 +56,7 @@
 
 #[test]
 fn a_member_that_has_started_again_awaits_its_commits() {
-    let chain = dunespur_chain_replication::Guards {
-        commits_awaited: false,
-        ..Default::default()
-    };
+    let chain = Safeguards::without(Safeguard::AwaitKnownCommits);
     counterexample(
         Guards {
             chain,
@@ -73,10 +68,7 @@
 
 #[test]
 fn reads_are_confirmed() {
-    let chain = dunespur_chain_replication::Guards {
-        reads_confirmed: false,
-        ..Default::default()
-    };
+    let chain = Safeguards::without(Safeguard::ConfirmReads);
     counterexample(
         Guards {
             chain,
@@ -150,10 +142,7 @@
 
 #[test]
 fn what_is_acknowledged_is_on_disk() {
-    let chain = dunespur_chain_replication::Guards {
-        synced_before_passed_on: false,
-        ..Default::default()
-    };
+    let chain = Safeguards::without(Safeguard::PersistBeforeSend);
     counterexample(
         Guards {
             chain,
--- a/crates/serving/control-state/tests/world/machines.rs
+++ b/crates/serving/control-state/tests/world/machines.rs
@@ -4,7 +4,7 @@
 use super::callers::{Answer, CallId, Question};
 use super::{Event, World};
 use dunespur_chain_replication::{
-    Input, Member, MemberId, Millis, Output, Peer, Saved, View, Write,
+    DurableState, Input, Member, MemberConfig, MemberId, Millis, Output, Peer, View, Write,
 };
 use dunespur_control_state::{ControlState, Operation, Order, Outcome, RetireOutcome};
 use std::collections::{HashMap, VecDeque};
@@ -53,7 +53,7 @@
     node: String,
     address: SocketAddr,
     disk: u64,
-    pub saved: Saved,
+    pub saved: DurableState,
     flight: Option<Flight>,
     pub frozen: bool,
     /// What came while it was frozen.
@@ -73,7 +73,7 @@
             node: format!("m{index}"),
             address: SocketAddr::from(([10, 0, 0, index as u8], 7380)),
             disk: self.rng.u64(1..),
-            saved: Saved::default(),
+            saved: DurableState::default(),
             flight: None,
             frozen: false,
             backlog: VecDeque::new(),
@@ -128,17 +128,16 @@
         }
         machine.powered = true;
         machine.frozen = false;
-        let (saved, address, may_found) =
-            (machine.saved.clone(), machine.address, machine.may_found);
-        let member = Member::with_guards(
-            id,
-            address,
-            may_found,
-            saved,
+        let config = MemberConfig {
+            peer: Peer {
+                id,
+                address: machine.address,
+            },
+            may_bootstrap: machine.may_found,
             seed,
-            FIRST_MOMENT,
-            guards.chain,
-        );
+        };
+        let durable = machine.saved.clone();
+        let member = Member::with_safeguards(config, durable, FIRST_MOMENT, guards.chain);
         machine.process = Some(Process {
             member,
             clock_zero,
@@ -181,7 +180,7 @@
     pub fn wipe(&mut self, index: usize) {
         let disk = self.rng.u64(1..);
         let machine = &mut self.machines[index];
-        machine.saved = Saved::default();
+        machine.saved = DurableState::default();
         machine.may_found = false;
         machine.disk = disk;
     }
@@ -298,7 +297,7 @@
                     self.send(index, machine, Some(to.id), message);
                 }
             }
-            Output::SendTo { address, message } => {
+            Output::SendToAddress { address, message } => {
                 if let Some(machine) = self.machine_at(address) {
                     self.send(index, machine, None, message);
                 }
@@ -316,7 +315,7 @@
                     },
                 );
             }
-            Output::Commit {
+            Output::Apply {
                 index: at,
                 payload,
                 ticket,
@@ -327,9 +326,9 @@
                     self.answer(index, call, Answer::Unclear);
                 }
             }
-            Output::WantSnapshot => {
+            Output::TakeSnapshot => {
                 let process = self.process(index);
-                let input = Input::Snapshot {
+                let input = Input::SnapshotTaken {
                     index: process.applied,
                     bytes: process.state.snapshot(),
                 };
@@ -344,7 +343,7 @@
                     },
                 );
             }
-            Output::Install { index: at, bytes } => {
+            Output::InstallSnapshot { index: at, bytes } => {
                 let guards = self.setup.guards.control;
                 let state = ControlState::restore(&bytes)
                     .expect("a snapshot")
@@ -355,11 +354,11 @@
                 process.applied = at;
                 process.state = state;
             }
-            Output::ViewChanged { view, current } => {
+            Output::ViewChanged { view, has_quorum } => {
                 self.note(|| {
                     let chain: Vec<&str> = view.chain.iter().map(|id| id.node.as_str()).collect();
                     format!(
-                        "m{index} is in view {} of {chain:?}, current {current}",
+                        "m{index} is in view {} of {chain:?}, quorum {has_quorum}",
                         view.number
                     )
                 });
@@ -432,7 +431,7 @@
                     .state
                     .configuration()
                     .map_or(0, |document| document.generation());
-                let follows = process.member.follows(clock);
+                let follows = process.member.is_up_to_date(clock);
                 let answer = if follows {
                     Answer::Watched { generation }
                 } else {
@@ -456,7 +455,7 @@
                 return self.decided(index, call, outcome);
             }
         }
-        if !process.member.takes_part(clock) {
+        if !process.member.can_commit(clock) {
             return self.answer(index, call, Answer::Unclear);
         }
         let payload = postcard::to_stdvec(&operation).expect("an operation");
--- a/crates/serving/control-state/tests/world/mod.rs
+++ b/crates/serving/control-state/tests/world/mod.rs
@@ -35,7 +35,7 @@
 /// Guards that may be taken out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Guards {
-    pub chain: dunespur_chain_replication::Guards,
+    pub chain: dunespur_chain_replication::Safeguards,
     pub control: dunespur_control_state::Guards,
     /// A member refuses orders out of its own copy of the state, without having them committed. The guard against this
     /// is that nothing answers an order but its commit.
@@ -71,7 +71,7 @@
         machine: usize,
         run: u64,
     },
-    Found,
+    Bootstrap,
     Fill,
     Tick {
         machine: usize,
@@ -188,7 +188,7 @@
             let start = world.rng.u64(0..LATEST_START);
             world.schedule(start, Event::Start { machine, run: 1 });
         }
-        world.schedule(FOUND_AT, Event::Found);
+        world.schedule(FOUND_AT, Event::Bootstrap);
         world.schedule(FOUND_AT, Event::Fill);
         world.add_callers();
         world
@@ -226,7 +226,7 @@
     fn happen(&mut self, event: Event) {
         match event {
             Event::Start { machine, run } => self.start(machine, run),
-            Event::Found => self.found(),
+            Event::Bootstrap => self.found(),
             Event::Fill => self.fill(),
             Event::Tick { machine, run, at } => self.tick(machine, run, at),
             Event::Deliver { from, to } => self.deliver(from, to),
@@ -271,9 +271,9 @@
             .iter()
             .all(|machine| machine.saved.decided.is_none())
         {
-            self.schedule(self.now + FOUND_AGAIN, Event::Found);
+            self.schedule(self.now + FOUND_AGAIN, Event::Bootstrap);
         }
-        self.arrive(0, Arrival::Chain(Input::Found { view }));
+        self.arrive(0, Arrival::Chain(Input::Bootstrap { view }));
     }
 
     fn fill(&mut self) {
--- a/crates/serving/dunespur/src/core/coordinator/mod.rs
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -14,7 +14,9 @@
 use crate::clock::Clock;
 use crate::messages::{encode, Request};
 use anyhow::Context;
-use dunespur_chain_replication::{Input, Member, MemberId, Message, Output, Peer, View};
+use dunespur_chain_replication::{
+    Input, Member, MemberConfig, MemberId, Message, Output, Peer, View,
+};
 use dunespur_storage::core::CoreDisk;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -77,21 +79,21 @@
         clock: Clock,
     ) -> anyhow::Result<Rc<Coordinator>> {
         std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
-        let (disk, disk_identity, saved) = CoreDisk::open(&data.join(DISK_FILE))?;
+        let (disk, disk_identity, durable) = CoreDisk::open(&data.join(DISK_FILE))?;
         let id = MemberId {
             node: identity.node.clone(),
             disk: disk_identity.disk,
         };
         let now = clock.now();
-        let seed = fastrand::u64(..);
-        let member = Member::new(
-            id.clone(),
-            identity.address,
-            identity.bootstrap,
-            saved,
-            seed,
-            now,
-        );
+        let config = MemberConfig {
+            peer: Peer {
+                id: id.clone(),
+                address: identity.address,
+            },
+            may_bootstrap: identity.bootstrap,
+            seed: fastrand::u64(..),
+        };
+        let member = Member::new(config, durable, now);
         let (persisted, synced) = mpsc::unbounded_channel();
         let disk = DiskWriter::start(disk, persisted)?;
         let coordinator = Rc::new_cyclic(|this: &Weak<Coordinator>| {
@@ -130,7 +132,7 @@
 
     /// Takes part in the first view of the system.
     pub fn found(&self, view: View) {
-        self.step(Input::Found { view });
+        self.step(Input::Bootstrap { view });
     }
 
     /// Asks the members at these addresses to take this one in.
@@ -173,29 +175,29 @@
     fn perform(&self, output: Output, inputs: &mut VecDeque<Input>) -> WatchEffect {
         match output {
             Output::Send { to, message } => self.replicate(to.address, message),
-            Output::SendTo { address, message } => self.replicate(address, message),
+            Output::SendToAddress { address, message } => self.replicate(address, message),
             Output::Persist { batch, writes } => self.disk.write(Batch {
                 number: batch,
                 writes,
             }),
-            Output::Commit {
+            Output::Apply {
                 index,
                 payload,
                 ticket,
             } => return self.commit(index, &payload, ticket),
             Output::ReadReady { ticket } => self.reads.borrow_mut().complete(ticket),
             Output::Dropped { ticket } => self.drop_ticket(ticket),
-            Output::WantSnapshot => inputs.extend(self.replica.borrow().snapshot()),
-            Output::Install { index, bytes } => {
+            Output::TakeSnapshot => inputs.extend(self.replica.borrow().snapshot()),
+            Output::InstallSnapshot { index, bytes } => {
                 self.replica
                     .borrow_mut()
                     .applied_mut()
                     .install(index, &bytes);
                 return WatchEffect::Changed;
             }
-            Output::ViewChanged { view, current } => {
+            Output::ViewChanged { view, has_quorum } => {
                 log::info!(
-                    "view {}: chain {:?}, current {current}",
+                    "view {}: chain {:?}, quorum {has_quorum}",
                     view.number,
                     chain_nodes(&view)
                 );
--- a/crates/serving/dunespur/src/core/replica.rs
+++ b/crates/serving/dunespur/src/core/replica.rs
@@ -2,7 +2,7 @@
 
 use super::applied_state::AppliedState;
 use crate::messages::{StateUpdate, WatchRequest};
-use dunespur_chain_replication::{Input, Member, MemberId, Output, Peer, SnapshotRefusals, View};
+use dunespur_chain_replication::{Input, Member, MemberId, Output, Peer, SnapshotRejections, View};
 use dunespur_control_state::ControlState;
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
     member: Member,
     applied: AppliedState,
     /// Rejected snapshots that have been logged.
-    logged_rejections: SnapshotRefusals,
+    logged_rejections: SnapshotRejections,
 }
 
 impl Replica {
@@ -20,7 +20,7 @@
         Replica {
             member,
             applied: AppliedState::default(),
-            logged_rejections: SnapshotRefusals::default(),
+            logged_rejections: SnapshotRejections::default(),
         }
     }
 
@@ -32,7 +32,7 @@
 
     /// Each reason is logged once in the life of the process; all are counted.
     fn log_new_rejections(&mut self) {
-        let rejections = self.member.snapshot_refusals();
+        let rejections = self.member.snapshot_rejections();
         if rejections == self.logged_rejections {
             return;
         }
@@ -84,27 +84,27 @@
 
     /// Whether it has heard a majority of the view lately.
     pub fn is_current(&self, now: u64) -> bool {
-        self.member.current(now)
+        self.member.has_quorum(now)
     }
 
     /// Index up to which operations are committed here.
     pub fn committed(&self) -> u64 {
-        self.member.committed()
+        self.member.commit_index()
     }
 
     /// How many snapshots of others, and parts of them, were rejected.
     pub fn rejected_snapshots(&self) -> u64 {
-        self.member.snapshot_refusals().total()
+        self.member.snapshot_rejections().total()
     }
 
     /// Whether an operation may be proposed here. What it comes to, its commit tells.
     pub fn accepts_operations(&self, now: u64) -> bool {
-        self.member.takes_part(now) && self.applied.is_readable()
+        self.member.can_commit(now) && self.applied.is_readable()
     }
 
     /// Whether this member may show its state: it follows the chain, and its state is that of what it has followed.
     pub fn serves_reads(&self, now: u64) -> bool {
-        self.member.follows(now) && self.applied.is_readable()
+        self.member.is_up_to_date(now) && self.applied.is_readable()
     }
 
     /// The control state that is applied.
@@ -128,7 +128,7 @@
         if !self.applied.is_readable() {
             return None;
         }
-        Some(Input::Snapshot {
+        Some(Input::SnapshotTaken {
             index: self.applied.changes().newest(),
             bytes: self.state().snapshot(),
         })
--- a/crates/serving/dunespur/tests/bytes.rs
+++ b/crates/serving/dunespur/tests/bytes.rs
@@ -142,7 +142,7 @@
     let message = Message::Submit {
         view: 21,
         origin: Origin {
-            session: 0x8877_6655_4433_2211,
+            incarnation: 0x8877_6655_4433_2211,
             ticket: 22,
         },
         payload: vec![1, 2, 250].into(),
--- a/crates/serving/storage/src/core.rs
+++ b/crates/serving/storage/src/core.rs
@@ -6,7 +6,7 @@
 use crate::file;
 use crate::recovery::{open_checked, open_or_set_aside, sync_folder, without_panic, UnknownFormat};
 use anyhow::{bail, Context, Result};
-use dunespur_chain_replication::{Entry, Position, Saved, SavedSnapshot, Write};
+use dunespur_chain_replication::{DurableState, Entry, Position, Snapshot, Write};
 use redb::{
     Builder, Database, DatabaseError, Durability, ReadableTable, StorageBackend, Table,
     TableDefinition, WriteTransaction,
@@ -78,11 +78,11 @@
 impl CoreDisk {
     /// Opens the file, or makes it with a new identity if there is none. One that can't be read is set aside, and
     /// counts as none: the member that wrote it is no more, and its votes don't count.
-    pub fn open(path: &Path) -> Result<(CoreDisk, DiskIdentity, Saved)> {
+    pub fn open(path: &Path) -> Result<(CoreDisk, DiskIdentity, DurableState)> {
         open_or_set_aside(path, || Self::open_file(path))
     }
 
-    fn open_file(path: &Path) -> Result<(CoreDisk, DiskIdentity, Saved)> {
+    fn open_file(path: &Path) -> Result<(CoreDisk, DiskIdentity, DurableState)> {
         let fresh = !path.exists();
         if fresh {
             create(path).with_context(|| format!("making {}", path.display()))?;
@@ -98,7 +98,7 @@
     /// each error.
     pub fn open_backend<B: StorageBackend>(
         backend: impl Fn() -> B + Send + 'static,
-    ) -> Result<(CoreDisk, DiskIdentity, Saved)> {
+    ) -> Result<(CoreDisk, DiskIdentity, DurableState)> {
         let opener: Opener = Box::new(move || builder().create_with_backend(backend()));
         let database = opener().context("opening the backend")?;
         let fresh = database.begin_read()?.list_tables()?.next().is_none();
@@ -112,7 +112,7 @@
         database: Database,
         opener: Opener,
         fresh: bool,
-    ) -> Result<(CoreDisk, DiskIdentity, Saved)> {
+    ) -> Result<(CoreDisk, DiskIdentity, DurableState)> {
         let (identity, saved) = read(&database, fresh)?;
         let snapshot_index = saved
             .snapshot
@@ -151,7 +151,7 @@
     }
 }
 
-fn read(database: &Database, fresh: bool) -> Result<(DiskIdentity, Saved)> {
+fn read(database: &Database, fresh: bool) -> Result<(DiskIdentity, DurableState)> {
     let transaction = database.begin_read()?;
     let values = transaction.open_table(VALUES)?;
     let found: Option<u64> = value(&values, KEY_FORMAT)?;
@@ -177,7 +177,7 @@
     for row in transaction.open_table(ENTRIES)?.range(first..)? {
         entries.push(postcard::from_bytes(row?.1.value())?);
     }
-    let saved = Saved {
+    let saved = DurableState {
         decided: value(&values, KEY_DECIDED)?,
         promised: value(&values, KEY_PROMISED)?,
         accepted: value(&values, KEY_ACCEPTED)?,
@@ -191,7 +191,7 @@
 fn read_snapshot(
     parts: &impl ReadableTable<u32, &'static [u8]>,
     head: &SnapshotHead,
-) -> Result<SavedSnapshot> {
+) -> Result<Snapshot> {
     let mut bytes = Vec::new();
     for number in 0..head.parts {
         let part = parts
@@ -199,7 +199,7 @@
             .with_context(|| format!("no part {number} of the snapshot"))?;
         bytes.extend_from_slice(part.value());
     }
-    Ok(SavedSnapshot {
+    Ok(Snapshot {
         position: head.position,
         bytes: bytes.into(),
     })
@@ -272,7 +272,7 @@
     Ok(())
 }
 
-/// Does to the tables what [`Saved::apply`] does in memory; gives the index up to which the snapshot holds the entries.
+/// Does to the tables what [`DurableState::apply`] does in memory; gives the index up to which the snapshot holds the entries.
 fn apply(transaction: &WriteTransaction, writes: &[Write], snapshot_index: u64) -> Result<u64> {
     let mut values = transaction.open_table(VALUES)?;
     let mut entries = transaction.open_table(ENTRIES)?;
@@ -280,9 +280,9 @@
     let mut added = 0;
     for write in writes {
         match write {
-            Write::Promise { ballot } => put(&mut values, KEY_PROMISED, ballot)?,
+            Write::Promise { proposal_number } => put(&mut values, KEY_PROMISED, proposal_number)?,
             Write::Accept { accepted } => put(&mut values, KEY_ACCEPTED, accepted)?,
-            Write::Install { decided } => {
+            Write::InstallView { decided } => {
                 put(&mut values, KEY_DECIDED, decided)?;
                 values.remove(KEY_PROMISED)?;
                 values.remove(KEY_ACCEPTED)?;
@@ -311,7 +311,7 @@
 fn write_snapshot(
     values: &mut Table<&str, &[u8]>,
     parts: &mut Table<u32, &[u8]>,
-    snapshot: &SavedSnapshot,
+    snapshot: &Snapshot,
 ) -> Result<()> {
     let mut count = 0;
     for part in snapshot.bytes.bytes().chunks(PART_BYTES) {
--- a/crates/serving/storage/tests/compatibility/core.rs
+++ b/crates/serving/storage/tests/compatibility/core.rs
@@ -5,8 +5,8 @@
 };
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest, LimiterId};
 use dunespur_chain_replication::{
-    AcceptedView, Ballot, DecidedView, Entry, MemberId, Origin, Payload, Peer, Position, Saved,
-    SavedSnapshot, View, Write,
+    AcceptedView, DecidedView, DurableState, Entry, MemberId, Origin, Payload, Peer, Position,
+    ProposalNumber, Snapshot, View, Write,
 };
 use dunespur_control_state::{
     ControlState, NodeKind, NodeReport, Operation, Order, OrderKind, Outcome, ServerReport,
@@ -57,17 +57,17 @@
     }
 }
 
-fn ballot(round: u64, proposer: u64, session: u64) -> Ballot {
-    Ballot {
-        round,
+fn proposal_number(sequence: u64, proposer: u64, incarnation: u64) -> ProposalNumber {
+    ProposalNumber {
+        sequence,
         proposer: member(proposer),
-        session,
+        incarnation,
     }
 }
 
 fn entry(index: u64, payload: Vec<u8>) -> Entry {
     let origin = Origin {
-        session: 500 + index,
+        incarnation: 500 + index,
         ticket: 900 + index,
     };
     Entry {
@@ -80,18 +80,18 @@
 /// One write of each kind, each field with a value of its own. The snapshot needs three rows.
 fn one_of_each() -> Vec<Write> {
     let accepted = AcceptedView {
-        ballot: ballot(21, 2, 22),
+        proposal_number: proposal_number(21, 2, 22),
         proposal: view(8),
     };
     let bytes: Vec<u8> = (0..35_000u32).map(|index| (index % 251) as u8).collect();
-    let snapshot = SavedSnapshot {
+    let snapshot = Snapshot {
         position: Position { index: 2, view: 5 },
         bytes: bytes.into(),
     };
     vec![
-        Write::Install { decided: view(7) },
+        Write::InstallView { decided: view(7) },
         Write::Promise {
-            ballot: ballot(31, 3, 32),
+            proposal_number: proposal_number(31, 3, 32),
         },
         Write::Accept { accepted },
         Write::Synced { view: 6 },
@@ -255,12 +255,12 @@
         })
     );
     let index = before.len() as u64;
-    let snapshot = SavedSnapshot {
+    let snapshot = Snapshot {
         position: Position { index, view: 6 },
         bytes: state.snapshot().into(),
     };
     let accepted = AcceptedView {
-        ballot: ballot(21, 2, 22),
+        proposal_number: proposal_number(21, 2, 22),
         proposal: view(8),
     };
     let log = |entries: Vec<Entry>| {
@@ -271,14 +271,14 @@
     };
     vec![
         vec![
-            Write::Install { decided: view(7) },
+            Write::InstallView { decided: view(7) },
             Write::Synced { view: 6 },
         ],
         log(entries(1, &before)),
         vec![Write::Snapshot { snapshot }],
         vec![
             Write::Promise {
-                ballot: ballot(31, 3, 32),
+                proposal_number: proposal_number(31, 3, 32),
             },
             Write::Accept { accepted },
         ],
@@ -308,18 +308,18 @@
             fresh: false
         }
     );
-    let mut expected = Saved::default();
+    let mut expected = DurableState::default();
     batches()
         .iter()
         .flatten()
         .for_each(|write| expected.apply(write));
     assert_eq!(saved, expected);
     assert_eq!(saved.decided, Some(view(7)));
-    assert_eq!(saved.promised, Some(ballot(31, 3, 32)));
+    assert_eq!(saved.promised, Some(proposal_number(31, 3, 32)));
     assert_eq!(
         saved.accepted,
         Some(AcceptedView {
-            ballot: ballot(21, 2, 22),
+            proposal_number: proposal_number(21, 2, 22),
             proposal: view(8)
         })
     );
--- a/crates/serving/storage/tests/core.rs
+++ b/crates/serving/storage/tests/core.rs
@@ -1,8 +1,8 @@
-//! The core member's file holds what [`Saved::apply`] says, over restarts, and keeps its identity.
+//! The core member's file holds what [`DurableState::apply`] says, over restarts, and keeps its identity.
 
 use dunespur_chain_replication::{
-    AcceptedView, Ballot, DecidedView, Entry, MemberId, Origin, Payload, Peer, Position, Saved,
-    SavedSnapshot, View, Write,
+    AcceptedView, DecidedView, DurableState, Entry, MemberId, Origin, Payload, Peer, Position,
+    ProposalNumber, Snapshot, View, Write,
 };
 use dunespur_storage::core::CoreDisk;
 use std::fs;
@@ -31,7 +31,7 @@
     }
 }
 
-fn reopened(path: &Path) -> Saved {
+fn reopened(path: &Path) -> DurableState {
     let (_, identity, saved) = CoreDisk::open(path).expect("the file opens again");
     assert!(!identity.fresh);
     saved
@@ -63,11 +63,11 @@
     }
 }
 
-fn ballot(round: u64) -> Ballot {
-    Ballot {
-        round,
-        proposer: member(round % 3),
-        session: round * 7,
+fn proposal_number(sequence: u64) -> ProposalNumber {
+    ProposalNumber {
+        sequence,
+        proposer: member(sequence % 3),
+        incarnation: sequence * 7,
     }
 }
 
@@ -76,7 +76,7 @@
     Entry {
         position: Position { index, view },
         origin: Origin {
-            session: 5,
+            incarnation: 5,
             ticket: index,
         },
         payload,
@@ -103,20 +103,20 @@
     fn next(&mut self) -> Write {
         match self.below(12) {
             0 => Write::Promise {
-                ballot: ballot(self.below(100)),
+                proposal_number: proposal_number(self.below(100)),
             },
             1 => {
-                let ballot = ballot(self.below(100));
+                let proposal_number = proposal_number(self.below(100));
                 Write::Accept {
                     accepted: AcceptedView {
-                        ballot,
+                        proposal_number,
                         proposal: view(self.view + 1),
                     },
                 }
             }
             2 => {
                 self.view += 1;
-                Write::Install {
+                Write::InstallView {
                     decided: view(self.view),
                 }
             }
@@ -133,7 +133,7 @@
                 };
                 let bytes = Payload::from(vec![self.snapshot as u8; 10_000]);
                 Write::Snapshot {
-                    snapshot: SavedSnapshot { position, bytes },
+                    snapshot: Snapshot { position, bytes },
                 }
             }
             _ => {
@@ -156,7 +156,7 @@
             snapshot: 0,
             view: 1,
         };
-        let mut expected = Saved::default();
+        let mut expected = DurableState::default();
         for _ in 0..6 {
             let (disk, _, found) = CoreDisk::open(&folder.file()).expect("the file opens");
             assert_eq!(found, expected);
@@ -233,7 +233,7 @@
             index: index - 10,
             view: 1,
         };
-        let snapshot = SavedSnapshot {
+        let snapshot = Snapshot {
             position,
             bytes: vec![7; SNAPSHOT_BYTES].into(),
         };
--- a/crates/serving/storage/tests/core_growth.rs
+++ b/crates/serving/storage/tests/core_growth.rs
@@ -1,8 +1,8 @@
 //! How large a core member's file gets with the largest control state, over many snapshots while changes go on: it has
 //! to stay within the disks of core machines.
 
-use dunespur_chain_replication::timing::{COMPACT_BYTES, MOST_COMPACT_BYTES};
-use dunespur_chain_replication::{Entry, Origin, Payload, Position, SavedSnapshot, Write};
+use dunespur_chain_replication::limits::{MAX_COMPACTION_BYTES, MIN_COMPACTION_BYTES};
+use dunespur_chain_replication::{Entry, Origin, Payload, Position, Snapshot, Write};
 use dunespur_storage::core::CoreDisk;
 
 /// The disks of core machines, less what may be set aside of a file that can't be read.
@@ -32,7 +32,7 @@
         let entry = |index| Entry {
             position: Position { index, view: 1 },
             origin: Origin {
-                session: 5,
+                incarnation: 5,
                 ticket: index,
             },
             payload: Payload::from(vec![index as u8; size]),
@@ -63,7 +63,7 @@
         let bytes = Payload::from(vec![self.index as u8; bytes]);
         let mut writes = self.next_entries(size, batch);
         writes.push(Write::Snapshot {
-            snapshot: SavedSnapshot { position, bytes },
+            snapshot: Snapshot { position, bytes },
         });
         writes.extend(self.next_entries(size, batch));
         self.write(&writes);
@@ -85,7 +85,11 @@
         path,
     };
     for _ in 0..SNAPSHOTS {
-        writer.entries(state.clamp(COMPACT_BYTES, MOST_COMPACT_BYTES), entry, batch);
+        writer.entries(
+            state.clamp(MIN_COMPACTION_BYTES, MAX_COMPACTION_BYTES),
+            entry,
+            batch,
+        );
         writer.snapshot(state, entry, batch, batch * 4);
     }
     let worst = writer.worst;
--- a/crates/serving/storage/tests/full/core.rs
+++ b/crates/serving/storage/tests/full/core.rs
@@ -1,12 +1,12 @@
 //! A core member's disk that was full takes writes again, and holds of each write all or nothing.
 
 use crate::support::Storage;
-use dunespur_chain_replication::{Entry, Origin, Payload, Position, Saved, Write};
+use dunespur_chain_replication::{DurableState, Entry, Origin, Payload, Position, Write};
 use dunespur_storage::core::CoreDisk;
 
 const ENTRY_BYTES: usize = 20_000;
 
-fn open(storage: &Storage) -> (CoreDisk, Saved) {
+fn open(storage: &Storage) -> (CoreDisk, DurableState) {
     let storage = storage.clone();
     let (disk, _, saved) =
         CoreDisk::open_backend(move || storage.clone()).expect("the storage opens");
@@ -16,7 +16,7 @@
 fn entry(index: u64) -> Write {
     let position = Position { index, view: 1 };
     let origin = Origin {
-        session: 5,
+        incarnation: 5,
         ticket: index,
     };
     Write::Entry {
@@ -28,7 +28,7 @@
     }
 }
 
-fn indexes(saved: &Saved) -> Vec<u64> {
+fn indexes(saved: &DurableState) -> Vec<u64> {
     saved.entries.iter().map(Entry::index).collect()
 }
 
--- a/crates/serving/storage/tests/unreadable.rs
+++ b/crates/serving/storage/tests/unreadable.rs
@@ -2,7 +2,7 @@
 //! were empty, or finds all that was written. Never an error at each start, and never a member that goes on under its
 //! identity with less than it had acknowledged.
 
-use dunespur_chain_replication::{Entry, Origin, Payload, Position, Saved, SavedSnapshot, Write};
+use dunespur_chain_replication::{DurableState, Entry, Origin, Payload, Position, Snapshot, Write};
 use dunespur_storage::core::CoreDisk;
 use dunespur_storage::recovery::{aside_bytes, MOST_ASIDE_BYTES};
 use dunespur_storage::turns::TurnDisk;
@@ -66,7 +66,7 @@
     Entry {
         position: Position { index, view: 1 },
         origin: Origin {
-            session: 5,
+            incarnation: 5,
             ticket: index,
         },
         payload,
@@ -76,7 +76,7 @@
 fn snapshot(index: u64) -> Write {
     let position = Position { index, view: 1 };
     Write::Snapshot {
-        snapshot: SavedSnapshot {
+        snapshot: Snapshot {
             position,
             bytes: vec![3; 60_000].into(),
         },
@@ -86,8 +86,8 @@
 /// A core member's file as it was after each of its last two batches, and what was acknowledged by then.
 struct CoreFile {
     disk: u64,
-    before_last: Saved,
-    last: Saved,
+    before_last: DurableState,
+    last: DurableState,
     /// As a process that was killed leaves it.
     killed: Vec<u8>,
     closed: Vec<u8>,
@@ -97,7 +97,7 @@
     let path = folder.file("core.redb");
     let (disk, identity, mut saved) = CoreDisk::open(&path).expect("a new file");
     let mut index = 0;
-    let mut before_last = Saved::default();
+    let mut before_last = DurableState::default();
     for batch in 0..40 {
         let mut writes: Vec<Write> = (1..=5)
             .map(|step| Write::Entry {
--- a/crates/testing/emulator/examples/chain_throughput.rs
+++ b/crates/testing/emulator/examples/chain_throughput.rs
@@ -6,7 +6,9 @@
 //! `cargo run --release -p dunespur-emulator --example chain_throughput -- PROGRAMS ADDS UNDER_WAY [gateways]`
 
 use dunespur_budget::{CounterChange, CounterRequest, LimiterId};
-use dunespur_chain_replication::{Input, Member, MemberId, Message, Output, Peer, View, Write};
+use dunespur_chain_replication::{
+    Input, Member, MemberConfig, MemberId, Message, Output, Peer, View, Write,
+};
 use dunespur_control_state::{ControlState, Operation};
 use dunespur_storage::core::CoreDisk;
 use std::collections::VecDeque;
@@ -98,7 +100,7 @@
                     writes,
                 });
             }
-            Output::Commit {
+            Output::Apply {
                 index,
                 payload,
                 ticket,
@@ -114,22 +116,24 @@
                 self.dropped += 1;
                 self.answered += 1;
             }
-            Output::WantSnapshot => {
+            Output::TakeSnapshot => {
                 let began = Instant::now();
                 let bytes = self.state.snapshot();
                 self.snapshot_time += began.elapsed();
                 self.snapshots += 1;
                 self.snapshot_bytes = bytes.len();
-                inputs.push_back(Input::Snapshot {
+                inputs.push_back(Input::SnapshotTaken {
                     index: self.applied,
                     bytes,
                 });
             }
-            Output::Install { index, bytes } => {
+            Output::InstallSnapshot { index, bytes } => {
                 self.state = ControlState::restore(&bytes).expect("a control state");
                 self.applied = index;
             }
-            Output::SendTo { .. } | Output::ReadReady { .. } | Output::ViewChanged { .. } => {}
+            Output::SendToAddress { .. }
+            | Output::ReadReady { .. }
+            | Output::ViewChanged { .. } => {}
         }
     }
 
@@ -298,9 +302,13 @@
     let threads: Vec<_> = queues
         .zip(disks)
         .enumerate()
-        .map(|(number, (queue, (disk, _, saved)))| {
-            let id = peers[number].id.clone();
-            let member = Member::new(id, peers[number].address, true, saved, number as u64 + 7, 1);
+        .map(|(number, (queue, (disk, _, durable)))| {
+            let config = MemberConfig {
+                peer: peers[number].clone(),
+                may_bootstrap: true,
+                seed: number as u64 + 7,
+            };
+            let member = Member::new(config, durable, 1);
             let (batches, batch_queue) = channel();
             let disk_used = Arc::new(AtomicU64::new(0));
             let (answers, counted) = (senders[number].clone(), disk_used.clone());
@@ -368,9 +376,9 @@
     finished: &Arc<Barrier>,
 ) {
     if runner.number == 0 {
-        runner.step(Input::Found { view });
+        runner.step(Input::Bootstrap { view });
     }
-    while !runner.member.follows(runner.now()) {
+    while !runner.member.is_up_to_date(runner.now()) {
         runner.wait(&queue);
     }
     runner.work(runner.load.programs.div_ceil(MEMBERS as u64), &queue);
