--- a/crates/serving/dunespur/src/core/coordinator/mod.rs
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -18,6 +18,7 @@
     Input, Member, MemberConfig, MemberId, Message, Output, Peer, View,
 };
 use dunespur_storage::core::CoreDisk;
+use dunespur_storage::Opened;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -79,7 +80,11 @@
         clock: Clock,
     ) -> anyhow::Result<Rc<Coordinator>> {
         std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
-        let (disk, disk_identity, durable) = CoreDisk::open(&data.join(DISK_FILE))?;
+        let Opened {
+            disk,
+            identity: disk_identity,
+            contents: durable,
+        } = CoreDisk::open(&data.join(DISK_FILE))?;
         let id = MemberId {
             node: identity.node.clone(),
             disk: disk_identity.disk,
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -13,8 +13,9 @@
 use bytes::Bytes;
 use dunespur_control_state::{NodeKind, NodeReport};
 use dunespur_rpc::Service;
-use dunespur_storage::recovery::aside_bytes;
+use dunespur_storage::recovery::set_aside_bytes;
 use dunespur_storage::turns::TurnDisk;
+use dunespur_storage::Opened;
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use dunespur_turn_replication::node::{
     Declaration, DiskOutcome, DiskState, Effect, Settings as NodeSettings, StoreNode,
@@ -76,7 +77,11 @@
             .context("data_dir: a store needs a disk")?;
         std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
         let file = data.join(DISK_FILE);
-        let (disk, identity, entries) = TurnDisk::open(&file)?;
+        let Opened {
+            disk,
+            identity,
+            contents: entries,
+        } = TurnDisk::open(&file)?;
         let report = NodeReport {
             name: settings.node.clone(),
             kind: NodeKind::Store,
@@ -87,7 +92,7 @@
             whole: !identity.fresh,
         };
         directory.set_own_lease(NodeLease::of(&report));
-        let capacity = Capacity::of(settings, aside_bytes(&file));
+        let capacity = Capacity::of(settings, set_aside_bytes(&file));
         let state = DiskState {
             disk: identity.disk,
             fresh: identity.fresh,
@@ -200,7 +205,7 @@
             turns: node.index().len(),
             bytes: node.index().bytes(),
             capacity_bytes: self.capacity.bytes,
-            whole: node.is_whole(),
+            complete: node.is_whole(),
             emptied: node.is_emptied(),
             incomplete: node.index().has_dangling(),
             waiting: self.callers.borrow().len(),
--- a/crates/testing/emulator/examples/chain_throughput.rs
+++ b/crates/testing/emulator/examples/chain_throughput.rs
@@ -302,7 +302,8 @@
     let threads: Vec<_> = queues
         .zip(disks)
         .enumerate()
-        .map(|(number, (queue, (disk, _, durable)))| {
+        .map(|(number, (queue, opened))| {
+            let (disk, durable) = (opened.disk, opened.contents);
             let config = MemberConfig {
                 peer: peers[number].clone(),
                 may_bootstrap: true,
