--- a/crates/serving/dunespur/src/registration.rs
+++ b/crates/serving/dunespur/src/registration.rs
@@ -46,7 +46,7 @@
             address: settings.internal_address(),
             incarnation,
             disk: 0,
-            whole: false,
+            complete: false,
         };
         directory.set_own_lease(NodeLease::of(&report));
         let report = RefCell::new(report);
@@ -94,7 +94,7 @@
         let report = self.report.borrow();
         let entry = known.gateways.get(&report.name)?;
         let ours = entry.incarnation <= report.incarnation;
-        ours.then(|| Operation::NodeGone {
+        ours.then(|| Operation::NodeExpired {
             name: report.name.clone(),
             incarnation: report.incarnation,
         })
