--- a/crates/serving/control-state/tests/operators_safeguards.rs
+++ b/crates/serving/control-state/tests/operators_safeguards.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use dunespur_chain_replication::Safeguard;
+use dunespur_chain_replication::Safeguard as ChainSafeguard;
 use dunespur_control_state::Safeguard;
 use world::faults::play;
 use world::{Safeguards, Setup};
@@ -45,7 +45,7 @@
 
 #[test]
 fn currency_after_a_freeze_counts_from_the_sending() {
-    let chain = dunespur_chain_replication::Safeguards::without(Safeguard::QuorumBySendTime);
+    let chain = dunespur_chain_replication::Safeguards::without(ChainSafeguard::QuorumBySendTime);
     counterexample(
         Safeguards {
             chain,
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_member_that_has_started_again_awaits_its_commits() {
-    let chain = dunespur_chain_replication::Safeguards::without(Safeguard::AwaitKnownCommits);
+    let chain = dunespur_chain_replication::Safeguards::without(ChainSafeguard::AwaitKnownCommits);
     counterexample(
         Safeguards {
             chain,
@@ -69,7 +69,7 @@
 
 #[test]
 fn reads_are_confirmed() {
-    let chain = dunespur_chain_replication::Safeguards::without(Safeguard::ConfirmReads);
+    let chain = dunespur_chain_replication::Safeguards::without(ChainSafeguard::ConfirmReads);
     counterexample(
         Safeguards {
             chain,
@@ -132,7 +132,7 @@
 
 #[test]
 fn what_is_acknowledged_is_on_disk() {
-    let chain = dunespur_chain_replication::Safeguards::without(Safeguard::PersistBeforeSend);
+    let chain = dunespur_chain_replication::Safeguards::without(ChainSafeguard::PersistBeforeSend);
     counterexample(
         Safeguards {
             chain,
