--- a/crates/serving/storage/src/core/writer.rs
+++ b/crates/serving/storage/src/core/writer.rs
@@ -5,7 +5,7 @@
     KEY_SYNCED_VIEW, SNAPSHOT_CHUNKS, VALUES,
 };
 use crate::error::Result;
-use dunespur_chain_replication::{Entry, SavedSnapshot, Write};
+use dunespur_chain_replication::{Entry, Snapshot, Write};
 use redb::{ReadableTable, Table, WriteTransaction};
 
 /// Bytes of one chunk of the snapshot. The library looks for contiguous space for each value: one large value makes the
@@ -18,7 +18,7 @@
 /// Entries that are removed with any write.
 const REMOVED_PER_WRITE: usize = 8;
 
-/// Does to the tables what [`Saved::apply`](dunespur_chain_replication::Saved::apply) does in memory; gives the index
+/// Does to the tables what [`DurableState::apply`](dunespur_chain_replication::DurableState::apply) does in memory; gives the index
 /// of the last entry that the snapshot covers.
 pub fn apply(transaction: &WriteTransaction, writes: &[Write], snapshot_index: u64) -> Result<u64> {
     let mut values = transaction.open_table(VALUES)?;
@@ -27,9 +27,9 @@
     let mut added = 0;
     for write in writes {
         match write {
-            Write::Promise { ballot } => put(&mut values, KEY_PROMISED, ballot)?,
+            Write::Promise { proposal_number } => put(&mut values, KEY_PROMISED, proposal_number)?,
             Write::Accept { accepted } => put(&mut values, KEY_ACCEPTED, accepted)?,
-            Write::Install { decided } => {
+            Write::InstallView { decided } => {
                 put(&mut values, KEY_DECIDED, decided)?;
                 values.remove(KEY_PROMISED)?;
                 values.remove(KEY_ACCEPTED)?;
@@ -61,7 +61,7 @@
 fn write_snapshot(
     values: &mut Table<&str, &[u8]>,
     chunks: &mut Table<u32, &[u8]>,
-    snapshot: &SavedSnapshot,
+    snapshot: &Snapshot,
 ) -> Result<()> {
     let mut count = 0;
     for chunk in snapshot.bytes.bytes().chunks(CHUNK_BYTES) {
