--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -20,7 +20,7 @@
 use crate::fault::Fault;
 use crate::hub::{Clock, Hub};
 use crate::reducer::Event;
-use dunespur_settings::Read;
+use dunespur_settings::SettingsDocument;
 use serde_json::Value;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
     /// Bytes that the process may have.
     memory: usize,
     known: Value,
-    read: Read,
+    read: SettingsDocument,
     seed: u64,
     /// The fleet's part; none where no operators' file asks for it.
     fleet: Option<operators::Plan>,
@@ -89,7 +89,8 @@
         )));
     }
     let name = v["name"].as_str().unwrap_or("gateway").to_owned();
-    let read = dunespur_settings::read(&v["settings"], seed).map_err(Fault::Config)?;
+    let read = dunespur_settings::read(&v["settings"], seed);
+    let read = read.map_err(|error| Fault::Config(error.to_string()))?;
     let fleet = operators::plan(
         &name,
         &read.zones,
@@ -184,8 +185,8 @@
     let seconds = |s: f64, what: &str| {
         Duration::try_from_secs_f64(s).map_err(|e| Fault::Config(format!("settings: {what}: {e}")))
     };
-    let dial = seconds(read.dial_timeout, "dialTimeoutS")?;
-    let idle_time = seconds(read.idle_time, "keepaliveS")?;
+    let dial = seconds(read.connect_timeout, "dialTimeoutS")?;
+    let idle_time = seconds(read.idle_timeout, "keepaliveS")?;
     let Sockets {
         clients,
         servers,
@@ -198,7 +199,7 @@
         reducer,
         // A quarter of the memory holds bodies; each may lie there twice while it is read.
         front::Front::new(clients, config.memory / 4),
-        upstream::Upstream::new(dial, read.idle_time * 0.75, servers),
+        upstream::Upstream::new(dial, read.idle_timeout * 0.75, servers),
         counter::Counter::new(config.counter, dial, calls),
         discovery::Discovery::new(config.discovery, read.settings.watch_on_request, revision),
     );
--- a/crates/gateway/gateway/src/reducer.rs
+++ b/crates/gateway/gateway/src/reducer.rs
@@ -456,7 +456,7 @@
 }
 
 /// The names and bounds that the settings give to the rest of the gateway.
-pub fn names(read: &dunespur_settings::Read) -> Names {
+pub fn names(read: &dunespur_settings::SettingsDocument) -> Names {
     let (plans, operations, zones) = (
         read.plans.clone(),
         read.operations.clone(),
@@ -467,7 +467,7 @@
         operations,
         zones,
         fleet: read.settings.fleet,
-        most_units: read.most_units,
+        most_units: read.max_units,
     }
 }
 
--- /dev/null
+++ b/crates/gateway/settings/src/document.rs
@@ -0,0 +1,159 @@
+//! The document as the decisions take it.
+
+use crate::error::SettingsError;
+use crate::section::Section;
+use dunespur_decisions::types::{Effect, Group, OperationSettings, PlanSettings, Settings};
+use serde_json::Value;
+
+/// The settings, and the names that invocations use.
+pub struct SettingsDocument {
+    /// What the decisions need.
+    pub settings: Settings,
+    /// Names of the contracts, in the order of `settings.plans`.
+    pub plans: Vec<String>,
+    /// Names of the classes, in the order of `settings.operations`.
+    pub operations: Vec<String>,
+    /// Names of the failure domains; `settings.zone` is an index of them.
+    pub zones: Vec<String>,
+    /// An invocation's price is charged by what it used.
+    pub charges_by_use: bool,
+    /// The largest invocation, in units; 0 where no bound is given.
+    pub max_units: f64,
+    /// Seconds that opening a connection may take.
+    pub connect_timeout: f64,
+    /// Seconds that a connection may be idle.
+    pub idle_timeout: f64,
+}
+
+/// Reads the document from its text. `seed` is that of the decisions' random numbers.
+///
+/// # Errors
+/// The text is no JSON, or a value is missing or out of range.
+pub fn parse(document: &str, seed: u64) -> Result<SettingsDocument, SettingsError> {
+    read(&serde_json::from_str(document)?, seed)
+}
+
+/// Reads the document from its JSON value. `seed` is that of the decisions' random numbers.
+///
+/// # Errors
+/// A value is missing or out of range.
+pub fn read(document: &Value, seed: u64) -> Result<SettingsDocument, SettingsError> {
+    let document = Section(document);
+    let domain = document.section("domain");
+    let limits = document.section("limits");
+    let zones = document.texts("failureDomains")?;
+    let settings = settings(document, &zones, seed)?;
+    Ok(SettingsDocument {
+        settings,
+        plans: names(document, "contracts")?,
+        operations: names(document, "classes")?,
+        zones,
+        charges_by_use: domain.flag("settles"),
+        max_units: domain.number("largest")?,
+        connect_timeout: limits.number("dialTimeoutS")?,
+        idle_timeout: limits.number("keepaliveS")?,
+    })
+}
+
+fn settings(document: Section<'_>, zones: &[String], seed: u64) -> Result<Settings, SettingsError> {
+    let domain = document.section("domain");
+    let limits = document.section("limits");
+    let rules = document.section("rules");
+    Ok(Settings {
+        seed,
+        zone: zone(document, zones)?,
+        slot: document.number("slotNo")? as u32,
+        fleet: document.positive_number("fleetSize")? as u32,
+        operations: document
+            .list("classes")?
+            .map(operation)
+            .collect::<Result<_, _>>()?,
+        plans: document
+            .list("contracts")?
+            .map(plan)
+            .collect::<Result<_, _>>()?,
+        counter: domain.flag("sharedCounter"),
+        count_wait: domain.number("countWaitS")?,
+        call_price: domain.number("callPrice")?,
+        max_pause: if limits.flag("retryAfter") {
+            limits.number("maxRetryAfterS")?
+        } else {
+            0.0
+        },
+        most_deliveries: limits.positive_number("tryLimit")? as u32,
+        cold_from: rules.number("coldFrom")?,
+        cold_for: rules.number("coldS")?,
+        fall_multiple: rules.number("fallMultiple")?,
+        answer_slack: rules.number("answerSlackS")?,
+        watch_on_request: document.0["discovery"] == "on_request",
+    })
+}
+
+/// Index of the gateway's own zone.
+fn zone(document: Section<'_>, zones: &[String]) -> Result<usize, SettingsError> {
+    let own = document.text("zone")?;
+    let index = zones.iter().position(|zone| zone == own);
+    index.ok_or(SettingsError::UnlistedZone)
+}
+
+fn operation(class: Section<'_>) -> Result<OperationSettings, SettingsError> {
+    Ok(OperationSettings {
+        effect: effect(class)?,
+        objective: class.positive_number("goalTimeS")?,
+        integration_timeout: class.positive_number("deadlineS")?,
+        billed_value: class.number("importance")?,
+        late_share: class.number("lateShare")?,
+    })
+}
+
+fn effect(class: Section<'_>) -> Result<Effect, SettingsError> {
+    match class.text("effect")? {
+        "free" => Ok(Effect::Idempotent),
+        "single_shot" => Ok(Effect::NonIdempotent),
+        "guarded" => Ok(Effect::Tokened {
+            group: group(class)?,
+            window: class.number("windowS")?,
+        }),
+        other => Err(unknown("effect", other)),
+    }
+}
+
+fn group(class: Section<'_>) -> Result<Group, SettingsError> {
+    match class.text("group")? {
+        "all" => Ok(Group::All),
+        "zone" => Ok(Group::Zone),
+        "cell" => Ok(Group::Cell),
+        other => Err(unknown("group", other)),
+    }
+}
+
+fn plan(contract: Section<'_>) -> Result<PlanSettings, SettingsError> {
+    Ok(PlanSettings {
+        rate: contract.number("rate")?,
+        burst: contract.number("burst")?,
+        open: contract.number("concurrency")?,
+        hard_rate: contract.number("hardRate")?,
+        hard_burst: contract.number("hardBurst")?,
+        over_worth: contract.number("overWorth")?,
+        beyond_costs: contract.number("beyondCosts")?,
+        price: if contract.lacks("worthFactor") {
+            1.0
+        } else {
+            contract.number("worthFactor")?
+        },
+    })
+}
+
+fn names(document: Section<'_>, key: &'static str) -> Result<Vec<String>, SettingsError> {
+    let items = document.list(key)?;
+    items
+        .map(|item| item.text("name").map(str::to_owned))
+        .collect()
+}
+
+fn unknown(key: &'static str, value: &str) -> SettingsError {
+    SettingsError::Unknown {
+        key,
+        value: value.to_owned(),
+    }
+}
--- a/crates/gateway/settings/tests/document.rs
+++ b/crates/gateway/settings/tests/document.rs
@@ -1,7 +1,7 @@
 //! Each key of the settings document is read to its own field; what can't be read is named.
 
 use dunespur_decisions::types::{Effect, Group};
-use dunespur_settings::{parse, Read};
+use dunespur_settings::{parse, SettingsDocument};
 use serde_json::{json, Value};
 
 /// A whole document, each number another one.
@@ -44,7 +44,7 @@
     })
 }
 
-fn read(document: &Value) -> Read {
+fn read(document: &Value) -> SettingsDocument {
     parse(&document.to_string(), 99).unwrap_or_else(|error| panic!("{error}"))
 }
 
@@ -64,9 +64,9 @@
         ["get", "post", "put-all", "put-zone", "put-cell"]
     );
     assert_eq!(read.zones, ["zone-a", "zone-b", "zone-c"]);
-    assert!(read.settles);
+    assert!(read.charges_by_use);
     assert_eq!(
-        (read.most_units, read.dial_timeout, read.idle_time),
+        (read.max_units, read.connect_timeout, read.idle_timeout),
         (3.5, 5.5, 6.5)
     );
     let settings = &read.settings;
@@ -170,9 +170,9 @@
     drop((top.remove("discovery"), top.remove("slotNo")));
     let read = read(&document);
     let settings = &read.settings;
-    assert!(!read.settles && !settings.counter && !settings.watch_on_request);
+    assert!(!read.charges_by_use && !settings.counter && !settings.watch_on_request);
     assert_eq!(
-        (read.most_units, read.dial_timeout, read.idle_time),
+        (read.max_units, read.connect_timeout, read.idle_timeout),
         (0.0, 0.0, 0.0)
     );
     assert_eq!(
@@ -195,116 +195,71 @@
     assert_eq!(settings.answer_slack, 0.0);
 }
 
+/// Place, value in JSON and what is said of it.
+const UNREADABLE: [(&str, &str, &str); 22] = [
+    ("/fleetSize", "0", "fleetSize is missing or 0"),
+    ("/fleetSize", "null", "fleetSize is missing or 0"),
+    (
+        "/fleetSize",
+        r#""12""#,
+        "fleetSize is not a number from 0 up",
+    ),
+    ("/slotNo", "-1", "slotNo is not a number from 0 up"),
+    ("/zone", "7", "zone is not a text"),
+    ("/zone", r#""zone-d""#, "zone is not listed"),
+    ("/failureDomains", "null", "failureDomains is not a list"),
+    ("/failureDomains/1", "1", "failureDomains holds no texts"),
+    ("/classes", "{}", "classes is not a list"),
+    (
+        "/classes/1/effect",
+        r#""unheard of""#,
+        "effect unheard of is unknown",
+    ),
+    ("/classes/1/effect", "null", "effect is not a text"),
+    ("/classes/2/group", r#""row""#, "group row is unknown"),
+    ("/classes/2/group", "null", "group is not a text"),
+    (
+        "/classes/2/windowS",
+        "[]",
+        "windowS is not a number from 0 up",
+    ),
+    ("/classes/0/goalTimeS", "0.0", "goalTimeS is missing or 0"),
+    ("/classes/0/deadlineS", "null", "deadlineS is missing or 0"),
+    ("/classes/0/name", "null", "name is not a text"),
+    ("/contracts/0/name", "3", "name is not a text"),
+    (
+        "/contracts/0/worthFactor",
+        r#""much""#,
+        "worthFactor is not a number from 0 up",
+    ),
+    ("/contracts", "null", "contracts is not a list"),
+    ("/limits/tryLimit", "null", "tryLimit is missing or 0"),
+    (
+        "/limits/maxRetryAfterS",
+        "true",
+        "maxRetryAfterS is not a number from 0 up",
+    ),
+];
+
 #[test]
 fn what_can_not_be_read_is_named() {
-    let cases = [
-        (
-            "/fleetSize",
-            json!(0),
-            "settings: fleetSize is missing or 0",
-        ),
-        (
-            "/fleetSize",
-            Value::Null,
-            "settings: fleetSize is missing or 0",
-        ),
-        (
-            "/fleetSize",
-            json!("12"),
-            "settings: fleetSize is not a number from 0 up",
-        ),
-        (
-            "/slotNo",
-            json!(-1),
-            "settings: slotNo is not a number from 0 up",
-        ),
-        ("/zone", json!(7), "settings: zone is not a text"),
-        ("/zone", json!("zone-d"), "settings: zone is not listed"),
-        (
-            "/failureDomains",
-            Value::Null,
-            "settings: failureDomains is not a list",
-        ),
-        (
-            "/failureDomains/1",
-            json!(1),
-            "settings: failureDomains holds no texts",
-        ),
-        ("/classes", json!({}), "settings: classes is not a list"),
-        (
-            "/classes/1/effect",
-            json!("unheard of"),
-            "settings: effect unheard of is unknown",
-        ),
-        (
-            "/classes/1/effect",
-            Value::Null,
-            "settings: effect is not a text",
-        ),
-        (
-            "/classes/2/group",
-            json!("row"),
-            "settings: group row is unknown",
-        ),
-        (
-            "/classes/2/group",
-            Value::Null,
-            "settings: group is not a text",
-        ),
-        (
-            "/classes/2/windowS",
-            json!([]),
-            "settings: windowS is not a number from 0 up",
-        ),
-        (
-            "/classes/0/goalTimeS",
-            json!(0.0),
-            "settings: goalTimeS is missing or 0",
-        ),
-        (
-            "/classes/0/deadlineS",
-            Value::Null,
-            "settings: deadlineS is missing or 0",
-        ),
-        (
-            "/classes/0/name",
-            Value::Null,
-            "settings: name is not a text",
-        ),
-        (
-            "/contracts/0/name",
-            json!(3),
-            "settings: name is not a text",
-        ),
-        (
-            "/contracts/0/worthFactor",
-            json!("much"),
-            "settings: worthFactor is not a number from 0 up",
-        ),
-        (
-            "/contracts",
-            Value::Null,
-            "settings: contracts is not a list",
-        ),
-        (
-            "/limits/tryLimit",
-            Value::Null,
-            "settings: tryLimit is missing or 0",
-        ),
-        (
-            "/limits/maxRetryAfterS",
-            json!(true),
-            "settings: maxRetryAfterS is not a number from 0 up",
-        ),
-    ];
-    for (pointer, value, expected) in cases {
+    for (pointer, value, expected) in UNREADABLE {
         let mut document = document();
+        let value: Value = serde_json::from_str(value).expect(value);
         *document.pointer_mut(pointer).expect(pointer) = value;
-        assert_eq!(error(&document), expected, "{pointer}");
+        assert_eq!(
+            error(&document),
+            format!("settings: {expected}"),
+            "{pointer}"
+        );
     }
-    let error = parse("{", 1).err().expect("it can't be read").to_string();
-    assert_eq!(
-        error,
-        "settings: EOF while parsing an object at line 1 column 1"
-    );
+}
+
+#[test]
+fn a_text_that_is_no_json_is_named() {
+    let Err(error) = parse("{", 1) else {
+        panic!("it is read")
+    };
+    let expected = "settings: EOF while parsing an object at line 1 column 1";
+    assert_eq!(error.to_string(), expected);
 }
--- a/crates/testing/simulator-adapter/src/host.rs
+++ b/crates/testing/simulator-adapter/src/host.rs
@@ -2,7 +2,7 @@
 
 use dunespur_decisions::types::*;
 use dunespur_decisions::Limiter;
-use dunespur_settings::{parse, Read};
+use dunespur_settings::{parse, SettingsDocument};
 use std::collections::HashMap;
 use std::io::Write;
 
@@ -22,7 +22,7 @@
 /// One limiter and what it has in hand.
 struct Host {
     limiter: Limiter,
-    read: Read,
+    read: SettingsDocument,
     servers: HashMap<String, usize>,
     addresses: Vec<String>,
     by_id: HashMap<String, u64>,
@@ -209,7 +209,7 @@
         if verb == "NEW_INSTANCE" {
             let seed = parts.whole("rngSeed")?;
             let document = parts.0.by_ref().collect::<Vec<_>>().join(" ");
-            let read = parse(&document, seed)?;
+            let read = parse(&document, seed).map_err(|error| error.to_string())?;
             let host = Host {
                 limiter: Limiter::new(&read.settings, now),
                 read,
@@ -346,7 +346,7 @@
                     .filter(|&u| u > 0.0)
                     .map(|u| (u - 1.0) / 100.0);
                 let cost = parts.number("cost")?;
-                let settled = Some(cost).filter(|&c| host.read.settles && c > 0.0);
+                let settled = Some(cost).filter(|&c| host.read.charges_by_use && c > 0.0);
                 let Some(&num) = host.by_id.get(id) else {
                     return Ok(());
                 };
