--- a/crates/serving/dunespur/tests/bytes/requests.rs
+++ b/crates/serving/dunespur/tests/bytes/requests.rs
@@ -167,7 +167,7 @@
     Message::Submit {
         view: 21,
         origin: Origin {
-            session: 0x8877_6655_4433_2211,
+            incarnation: 0x8877_6655_4433_2211,
             ticket: 22,
         },
         payload: vec![1, 2, 250].into(),
--- a/crates/serving/storage/tests/unreadable.rs
+++ b/crates/serving/storage/tests/unreadable.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::TemporaryFolder;
-use dunespur_chain_replication::{Entry, Origin, Payload, Position, Saved, SavedSnapshot, Write};
+use dunespur_chain_replication::{DurableState, Entry, Origin, Payload, Position, Snapshot, Write};
 use dunespur_storage::core::CoreDisk;
 use dunespur_storage::recovery::{set_aside_bytes, MAX_SET_ASIDE_BYTES};
 use dunespur_storage::turns::TurnDisk;
@@ -48,7 +48,7 @@
     Entry {
         position: Position { index, view: 1 },
         origin: Origin {
-            session: 5,
+            incarnation: 5,
             ticket: index,
         },
         payload,
@@ -58,7 +58,7 @@
 fn snapshot(index: u64) -> Write {
     let position = Position { index, view: 1 };
     Write::Snapshot {
-        snapshot: SavedSnapshot {
+        snapshot: Snapshot {
             position,
             bytes: vec![3; 60_000].into(),
         },
@@ -68,8 +68,8 @@
 /// A core member's file as it was after each of its last two batches, and what was acknowledged by then.
 struct CoreFile {
     disk: u64,
-    before_last: Saved,
-    last: Saved,
+    before_last: DurableState,
+    last: DurableState,
     /// As a process that was killed leaves it.
     killed: Vec<u8>,
     closed: Vec<u8>,
@@ -83,7 +83,7 @@
         contents: mut saved,
     } = CoreDisk::open(&path).expect("a new file");
     let mut index = 0;
-    let mut before_last = Saved::default();
+    let mut before_last = DurableState::default();
     for batch in 0..40 {
         let mut writes: Vec<Write> = (1..=5)
             .map(|step| Write::Entry {
