--- a/crates/serving/dunespur/src/budgets.rs
+++ b/crates/serving/dunespur/src/budgets.rs
@@ -35,6 +35,7 @@
 }
 
 impl Budgets {
+    /// No programs yet; starts the task that renews leases and returns them.
     pub fn start(limiter: LimiterId, directory: Rc<Directory>, clock: Clock) -> Rc<Budgets> {
         let budgets = Rc::new_cyclic(|this| Budgets {
             clock,
--- a/crates/serving/dunespur/src/check.rs
+++ b/crates/serving/dunespur/src/check.rs
@@ -35,6 +35,7 @@
 /// What is to be checked.
 #[derive(Clone, Debug)]
 pub struct Check {
+    /// Its path; `-` for standard input.
     pub file: PathBuf,
     /// Guessed from the content where it is not given.
     pub kind: Option<Kind>,
--- a/crates/serving/dunespur/src/clock.rs
+++ b/crates/serving/dunespur/src/clock.rs
@@ -13,6 +13,7 @@
 const FIRST_MILLISECOND: u64 = 1;
 
 impl Clock {
+    /// The clock of a process that starts now.
     pub fn start() -> Clock {
         Clock {
             start: Instant::now(),
--- a/crates/serving/dunespur/src/control_api/mod.rs
+++ b/crates/serving/dunespur/src/control_api/mod.rs
@@ -25,7 +25,9 @@
 
 /// What the interface reads and calls.
 pub struct ControlApi {
+    /// The way to the core.
     pub directory: Rc<Directory>,
+    /// Where the load aggregators are.
     pub load_exchange: Rc<LoadExchange>,
     /// The port of this interface, the same on all machines.
     pub control_port: u16,
--- a/crates/serving/dunespur/src/core/applied_state/tests.rs
+++ b/crates/serving/dunespur/src/core/applied_state/tests.rs
@@ -1,3 +1,5 @@
+//! Changes by index, and states that can not be read.
+
 use super::AppliedState;
 use dunespur_control_state::{
     ConfigurationRequest, ConfigurationRequestKind, ControlState, Operation,
--- a/crates/serving/dunespur/src/core/pending_operations/tests.rs
+++ b/crates/serving/dunespur/src/core/pending_operations/tests.rs
@@ -1,3 +1,5 @@
+//! Which operations join a pending one, and who gets the outcome.
+
 use super::{OperationAnswer, PendingOperations, Registration};
 use dunespur_budget::{CounterChange, CounterRequest, LimiterId};
 use dunespur_control_state::{Operation, Outcome};
--- a/crates/serving/dunespur/src/data_plane.rs
+++ b/crates/serving/dunespur/src/data_plane.rs
@@ -28,6 +28,7 @@
 }
 
 impl DataPlane {
+    /// `required_replicas`: how many stores must have a turn before it is acknowledged.
     pub fn new(
         directory: Rc<Directory>,
         own: Identity,
--- a/crates/serving/dunespur/src/deadline/tests.rs
+++ b/crates/serving/dunespur/src/deadline/tests.rs
@@ -1,3 +1,5 @@
+//! Time limits of a process that was frozen.
+
 use super::within;
 use std::future::{poll_fn, Future};
 use std::pin::pin;
--- a/crates/serving/dunespur/src/directory/contact/tests.rs
+++ b/crates/serving/dunespur/src/directory/contact/tests.rs
@@ -1,3 +1,5 @@
+//! When contact with the core counts as lost.
+
 use super::{Contact, CONTACT_TIMEOUT_MS};
 
 const WATCH_STARTED_AT: u64 = 5_000;
--- a/crates/serving/dunespur/src/explain/record.rs
+++ b/crates/serving/dunespur/src/explain/record.rs
@@ -10,23 +10,31 @@
 /// An event with when and where it was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogRecord {
+    /// When it was written, as RFC 3339.
     pub time: String,
+    /// The machine's name.
     pub node: String,
+    /// The role of its process.
     pub role: String,
+    /// The event.
     pub event: Event,
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
+    /// Its name.
     pub name: String,
     /// Keys and values, as they stood.
     pub fields: Vec<Field>,
 }
 
+/// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
+    /// Its key.
     pub key: String,
+    /// Its value, without quotation marks.
     pub value: String,
 }
 
--- a/crates/serving/dunespur/src/explain/record/tests.rs
+++ b/crates/serving/dunespur/src/explain/record/tests.rs
@@ -1,3 +1,5 @@
+//! Log lines in both formats are read as they were written.
+
 use super::{Event, Field, LogRecord};
 use crate::request_events::Value;
 
--- a/crates/serving/dunespur/src/founding.rs
+++ b/crates/serving/dunespur/src/founding.rs
@@ -30,6 +30,7 @@
 }
 
 impl Founding {
+    /// No candidates yet.
     pub fn new(now: u64) -> Founding {
         Founding::Collecting {
             since: now,
--- a/crates/serving/dunespur/src/logging.rs
+++ b/crates/serving/dunespur/src/logging.rs
@@ -12,6 +12,7 @@
 use std::fmt;
 use std::io::{self, Write};
 use std::str::FromStr;
+use thiserror::Error;
 
 /// A line's buffer is given back if it has grown beyond this.
 const KEEP_CAPACITY: usize = 16 * 1024;
@@ -25,14 +26,19 @@
     Json,
 }
 
+/// A text that names no log format.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("a log format is text or json")]
+pub struct UnknownLogFormat;
+
 impl FromStr for LogFormat {
-    type Err = &'static str;
+    type Err = UnknownLogFormat;
 
-    fn from_str(text: &str) -> Result<LogFormat, Self::Err> {
+    fn from_str(text: &str) -> Result<LogFormat, UnknownLogFormat> {
         match text {
             "text" => Ok(LogFormat::Text),
             "json" => Ok(LogFormat::Json),
-            _ => Err("a log format is text or json"),
+            _ => Err(UnknownLogFormat),
         }
     }
 }
@@ -49,7 +55,9 @@
 /// Whose lines they are.
 #[derive(Clone, Debug)]
 pub struct Origin {
+    /// The machine's name.
     pub node: String,
+    /// The role of its process.
     pub role: Role,
 }
 
--- a/crates/serving/dunespur/src/request_events.rs
+++ b/crates/serving/dunespur/src/request_events.rs
@@ -23,6 +23,7 @@
 pub struct Stopwatch(Option<(Clock, u64)>);
 
 impl Stopwatch {
+    /// Starts to measure.
     pub fn start(clock: Clock) -> Stopwatch {
         Stopwatch(enabled().then(|| (clock, clock.now())))
     }
--- a/crates/serving/dunespur/src/service.rs
+++ b/crates/serving/dunespur/src/service.rs
@@ -6,7 +6,7 @@
 use crate::founding::Founding;
 use crate::load_exchange::LoadExchange;
 use crate::messages::{decode, encode, Reply, Request};
-use crate::status::GatewayStatus;
+use crate::status_collection::GatewayStatus;
 use bytes::Bytes;
 use dunespur_chain_replication::{Peer, View};
 use dunespur_rpc::Service;
@@ -15,12 +15,17 @@
 
 /// Answers internal calls; the core's part is there on machines with a disk.
 pub struct GatewayService {
+    /// The clock of the process.
     pub clock: Clock,
+    /// What it knows of the control state.
     pub directory: Rc<Directory>,
+    /// Its core member, on a machine with a disk.
     pub coordinator: Option<Rc<Coordinator>>,
+    /// Its part in the exchange of loads.
     pub load_exchange: Rc<LoadExchange>,
     /// Only at the process that founds the system.
     pub founding: Option<RefCell<Founding>>,
+    /// What it reports of itself.
     pub status: GatewayStatus,
 }
 
--- a/crates/serving/dunespur/src/settings.rs
+++ b/crates/serving/dunespur/src/settings.rs
@@ -5,10 +5,10 @@
 mod read;
 
 use dunespur_configuration::Findings;
-use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
+use thiserror::Error;
 
 /// The environment variable that holds the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "DUNESPUR_CONFIG";
@@ -32,14 +32,19 @@
     }
 }
 
+/// A text that names no role.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("a role is gateway or store")]
+pub struct UnknownRole;
+
 impl FromStr for Role {
-    type Err = &'static str;
+    type Err = UnknownRole;
 
-    fn from_str(text: &str) -> Result<Role, Self::Err> {
+    fn from_str(text: &str) -> Result<Role, UnknownRole> {
         match text {
             "gateway" => Ok(Role::Gateway),
             "store" => Ok(Role::Store),
-            _ => Err("a role is gateway or store"),
+            _ => Err(UnknownRole),
         }
     }
 }
@@ -53,22 +58,35 @@
     pub ip: IpAddr,
     /// Where it stands; empty in a system of one place.
     pub zone: String,
+    /// Where it listens for others than itself.
     pub listen: Listen,
     /// First and last port for traffic between the processes.
-    pub port_range: (u16, u16),
+    pub port_range: PortRange,
     /// Addresses of `control` of some machines, as the operator's list had them when the file was written.
     pub seeds: Vec<SocketAddr>,
     /// True at the first start of the complete system.
     pub bootstrap: bool,
     /// Whether the loss of this machine counts against `fault_tolerance`.
     pub counts_for_quorum: bool,
+    /// What the machine grants it.
     pub limits: ProcessLimits,
+    /// The folder of its files, on a machine with a disk.
     pub data_dir: Option<PathBuf>,
     /// Pause between heartbeats of a server, in milliseconds.
     pub heartbeat_ms: u64,
+    /// What may be lost at once.
     pub fault_tolerance: FaultTolerance,
 }
 
+/// Ports, both ends included.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PortRange {
+    /// The first one.
+    pub first: u16,
+    /// The last one.
+    pub last: u16,
+}
+
 /// Addresses that the process listens on for others than itself.
 #[derive(Clone, Debug, Default)]
 pub struct Listen {
@@ -83,50 +101,57 @@
 /// What the machine grants the process.
 #[derive(Clone, Debug)]
 pub struct ProcessLimits {
+    /// Memory in megabytes.
     pub memory_mb: u64,
+    /// Descriptors.
     pub max_fds: u64,
+    /// Disk in megabytes, where it is stated.
     pub disk_mb: Option<u64>,
 }
 
 /// What may be lost at once.
 #[derive(Clone, Debug, Default)]
 pub struct FaultTolerance {
+    /// Machines.
     pub machines: u32,
 }
 
-/// Why settings can't be used.
-#[derive(Debug)]
+/// Why settings can't be used. One line, however many findings there are.
+#[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
+    #[error("{}: {source}", path.display())]
     Unreadable {
+        /// The file.
         path: PathBuf,
-        error: std::io::Error,
+        /// What reading it came to.
+        source: std::io::Error,
     },
     /// What stands in it can't be used.
-    Unusable { path: PathBuf, findings: Findings },
+    #[error("{}: {}", path.display(), one_line(findings))]
+    Unusable {
+        /// The file.
+        path: PathBuf,
+        /// All that can't be used.
+        findings: Findings,
+    },
 }
 
-impl fmt::Display for SettingsError {
-    /// One line, however many findings there are.
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            SettingsError::Unreadable { path, error } => write!(f, "{}: {error}", path.display()),
-            SettingsError::Unusable { path, findings } => {
-                let lines: Vec<String> = findings.0.iter().map(ToString::to_string).collect();
-                write!(f, "{}: {}", path.display(), lines.join("; "))
-            }
-        }
-    }
+fn one_line(findings: &Findings) -> String {
+    let findings: Vec<String> = findings.0.iter().map(ToString::to_string).collect();
+    findings.join("; ")
 }
 
-impl std::error::Error for SettingsError {}
-
 impl Settings {
     /// Reads and checks the file of a process with this role.
+    ///
+    /// # Errors
+    ///
+    /// If the file can't be read, or anything in it can't be used.
     pub fn read(path: &Path, role: Role) -> Result<Settings, SettingsError> {
-        let bytes = std::fs::read(path).map_err(|error| SettingsError::Unreadable {
+        let bytes = std::fs::read(path).map_err(|source| SettingsError::Unreadable {
             path: path.to_owned(),
-            error,
+            source,
         })?;
         Settings::parse(&bytes, Some(role)).map_err(|findings| SettingsError::Unusable {
             path: path.to_owned(),
@@ -134,15 +159,18 @@
         })
     }
 
-    /// Reads settings out of their bytes; says all that can't be used. What one role alone needs is asked for
-    /// only where the role is known.
+    /// Reads settings out of their bytes. What one role alone needs is checked only where the role is known.
+    ///
+    /// # Errors
+    ///
+    /// All that can't be used.
     pub fn parse(bytes: &[u8], role: Option<Role>) -> Result<Settings, Findings> {
         read::settings(bytes, role)
     }
 
     /// Where this process listens for the others of the system.
     pub fn internal_address(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, self.port_range.0)
+        SocketAddr::new(self.ip, self.port_range.first)
     }
 
     /// Internal addresses of the seeds: the port is alike on all machines.
@@ -150,7 +178,7 @@
         let mut addresses: Vec<_> = self
             .seeds
             .iter()
-            .map(|seed| SocketAddr::new(seed.ip(), self.port_range.0))
+            .map(|seed| SocketAddr::new(seed.ip(), self.port_range.first))
             .collect();
         addresses.sort();
         addresses.dedup();
--- a/crates/serving/dunespur/src/settings/fields.rs
+++ b/crates/serving/dunespur/src/settings/fields.rs
@@ -54,6 +54,7 @@
         }
     }
 
+    /// A text.
     pub fn text(&self, name: &str, findings: &mut Findings) -> Option<&'a str> {
         let value = self.value(name)?;
         let text = value.as_str();
@@ -87,6 +88,7 @@
         array
     }
 
+    /// The items of an array; none where it is absent.
     pub fn array(&self, name: &str, findings: &mut Findings) -> &'a [Value] {
         match self.value(name) {
             None => &[],
@@ -98,6 +100,7 @@
         }
     }
 
+    /// A boolean; false where it is absent.
     pub fn flag(&self, name: &str, findings: &mut Findings) -> bool {
         let Some(value) = self.value(name) else {
             return false;
--- a/crates/serving/dunespur/src/settings/read.rs
+++ b/crates/serving/dunespur/src/settings/read.rs
@@ -1,7 +1,7 @@
 //! Reads settings from JSON. Reading goes on past what can't be used, so that all findings come at once.
 
 use super::fields::Fields;
-use super::{FaultTolerance, Listen, ProcessLimits, Role, Settings};
+use super::{FaultTolerance, Listen, PortRange, ProcessLimits, Role, Settings};
 use dunespur_configuration::Findings;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -67,7 +67,7 @@
     })
 }
 
-fn port_range(fields: &Fields, findings: &mut Findings) -> Option<(u16, u16)> {
+fn port_range(fields: &Fields, findings: &mut Findings) -> Option<PortRange> {
     let ports = fields.array("port_range", findings);
     if ports.is_empty() {
         return None;
@@ -92,7 +92,7 @@
             format!("the first port, {first}, is above the last, {last}"),
         );
     }
-    Some((first, last))
+    Some(PortRange { first, last })
 }
 
 fn port(value: &Value, path: &str, index: usize, findings: &mut Findings) -> Option<u16> {
--- /dev/null
+++ b/crates/serving/dunespur/src/sockets.rs
@@ -0,0 +1,16 @@
+//! Listening sockets.
+
+use anyhow::Context;
+use std::net::SocketAddr;
+use tokio::net::TcpListener;
+
+/// Opens a listening socket.
+///
+/// # Errors
+///
+/// If the address can't be listened on.
+pub async fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
+    TcpListener::bind(address)
+        .await
+        .with_context(|| format!("listening on {address}"))
+}
--- a/crates/serving/dunespur/src/status.rs
+++ b/crates/serving/dunespur/src/status.rs
@@ -2,14 +2,11 @@
 //!
 //! The answer is JSON: a newer `dunespur status` reads the answer of an older process, and the other way round.
 
-mod gather;
-mod process;
 mod query;
 
 pub mod report;
 mod table;
 
-pub use gather::{basics, GatewayStatus};
 pub use query::{run, StatusQuery};
 pub use report::{
     BudgetStatus, CoreStatus, DiskStatus, LeaseStatus, LinkStatus, Status, TurnsStatus,
--- a/crates/serving/dunespur/src/status/gather.rs
+++ b/crates/serving/dunespur/src/status_collection.rs
@@ -1,15 +1,16 @@
 //! Collects the status of a process from its parts.
 
-use super::process;
-use super::report::{
-    ControlStatus, FrontStatus, GatewayEntryStatus, MemberStatus, ProgramStatus, ServerStatus,
-    ServiceStatus, Status, StoreStatus, ViewStatus,
-};
+mod process_usage;
+
 use crate::budgets::Budgets;
 use crate::core::Coordinator;
 use crate::data_plane::DataPlane;
 use crate::directory::Directory;
 use crate::settings::{Role, Settings};
+use crate::status::report::{
+    ControlStatus, FrontStatus, GatewayEntryStatus, MemberStatus, ProgramStatus, ServerStatus,
+    ServiceStatus, Status, StoreStatus, ViewStatus,
+};
 use dunespur_chain_replication::View;
 use dunespur_control_state::{ServerReport, ServerState};
 use dunespur_proxy::{Counters, Node, ProxyServer};
@@ -27,7 +28,7 @@
         version: env!("CARGO_PKG_VERSION").to_owned(),
         zone: settings.zone.clone(),
         up_ms: directory.clock().now(),
-        process: process::usage(),
+        process: process_usage::read(),
         link: directory.link_counters(),
         control: control(directory),
         view: directory.view().as_ref().map(view),
--- a/crates/serving/dunespur/src/status/process.rs
+++ b/crates/serving/dunespur/src/status_collection/process_usage.rs
@@ -1,6 +1,6 @@
 //! What this process takes of its machine, as the kernel tells it.
 
-use super::report::ProcessStatus;
+use crate::status::report::ProcessStatus;
 use std::fs;
 
 /// Processor time in /proc is counted in hundredths of a second.
@@ -10,7 +10,7 @@
 const SYSTEM_TIME_FIELD: usize = 12;
 
 /// Zeros where the kernel tells nothing.
-pub fn usage() -> ProcessStatus {
+pub fn read() -> ProcessStatus {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let descriptors = fs::read_dir("/proc/self/fd").map_or(0, |entries| entries.count() as u64);
--- a/crates/serving/dunespur/src/store/disk_thread.rs
+++ b/crates/serving/dunespur/src/store/disk_thread.rs
@@ -11,13 +11,17 @@
 
 /// Work for the disk, under the number by which the state machine knows it.
 pub struct DiskJob {
+    /// The number.
     pub id: JobId,
+    /// What is to be done.
     pub work: DiskWork,
 }
 
 /// How a piece of work ended.
 pub struct DiskCompletion {
+    /// The job's number.
     pub id: JobId,
+    /// Its result.
     pub outcome: DiskOutcome,
 }
 
--- a/crates/serving/dunespur/src/store/mod.rs
+++ b/crates/serving/dunespur/src/store/mod.rs
@@ -7,9 +7,9 @@
 
 use crate::clock::Clock;
 use crate::directory::Directory;
-use crate::gateway::listen;
 use crate::settings::{Role, Settings};
 use crate::signals;
+use crate::sockets::listen;
 use process::StoreProcess;
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/serving/dunespur/src/utc/tests.rs
+++ b/crates/serving/dunespur/src/utc/tests.rs
@@ -1,3 +1,5 @@
+//! Times of day as text.
+
 use super::Utc;
 
 #[test]
