--- a/crates/gateway/gateway/src/fleet.rs
+++ b/crates/gateway/gateway/src/fleet.rs
@@ -11,7 +11,7 @@
 use crate::reducer::{Effect, Event};
 use bytes::BytesMut;
 use dunespur_decisions::types::{Counted, Ending};
-use dunespur_gossip_membership::{self as members, Members};
+use dunespur_gossip_membership::{self as members, DuplicateName, Membership};
 use dunespur_peer_transport::{FrameError, Kind, Received, Transport};
 use dunespur_quota_sharing::lend::{self, Answer, Ask, Broker};
 use dunespur_singleton_roles::audit::{self, Auditor, Tally};
@@ -193,7 +193,7 @@
     plan: Plan,
     me: Me,
     links: Rc<Transport>,
-    members: Members,
+    members: Membership,
     holder: Holder,
     voter: Option<Voter>,
     fence: Fence,
@@ -356,12 +356,12 @@
             .unwrap_or(dunespur_peer_transport::VERSION);
         links.set_version(version);
         let member = members::Member {
-            turn: wall,
+            precedence: wall,
             address: plan.listen,
             version,
             voter: plan.voters.iter().any(|v| v.0 == name),
             name,
-            run,
+            instance: run,
             zone: plan.zone.clone(),
             machine: plan.machine.clone(),
         };
@@ -375,7 +375,7 @@
             .filter(|r| r.1 > 0);
         let lending = lends.map(|range| Lending::new(&plan.lend, range, tell.clone()));
         let mut fleet = Fleet {
-            members: Members::new(plan.members.clone(), member, seed, now),
+            members: Membership::new(plan.members.clone(), member, seed, now),
             holder: Holder::new(plan.duties.clone(), me.clone(), now),
             fence: Fence::new(plan.duties.slots()),
             probes: plan.duties.range("probe").filter(|r| r.1 > 0),
@@ -431,7 +431,7 @@
             return;
         }
         // Bounded by the fleet's size in the file, and by time.
-        let most = self.plan.members.size as usize * 2 + 16;
+        let most = self.plan.members.expected_members as usize * 2 + 16;
         if !self.places.contains_key(name) && self.places.len() >= most {
             self.places
                 .retain(|_, p| p.iter().any(|p| p.1 > now - FORGOTTEN));
@@ -552,16 +552,23 @@
                 members::Output::Down(m) => {
                     ::log::info!("fleet: {} at {} is gone", m.name, m.address)
                 }
-                members::Output::Doubled { name, runs } => {
+                members::Output::DuplicateName(duplicate) => {
+                    let DuplicateName {
+                        name,
+                        first_instance,
+                        second_instance,
+                    } = duplicate;
                     let text = format!("two living processes have the name {name}");
-                    ::log::error!("fleet: {text} (runs {:x} and {:x})", runs.0, runs.1);
+                    ::log::error!(
+                        "fleet: {text} (runs {first_instance:x} and {second_instance:x})"
+                    );
                     let who = self.me.name.clone();
                     self.note(
                         json!({"line": "report", "t": now, "who": who, "loud": true, "text": text}),
                     );
                 }
-                members::Output::StoodStill(s) => {
-                    ::log::warn!("fleet: this process stood still for {s:.1} s")
+                members::Output::Stalled { seconds } => {
+                    ::log::warn!("fleet: this process was stalled for {seconds:.1} s")
                 }
             }
         }
@@ -574,7 +581,7 @@
         match kind {
             Kind::Gossip => {
                 let mut out = Vec::new();
-                self.members.datagram(&frame.body, now, &mut out);
+                self.members.receive(&frame.body, now, &mut out);
                 self.take_members(out, now);
             }
             Kind::SingletonRoles => match postcard::from_bytes(&frame.body) {
@@ -823,7 +830,7 @@
             age: 0.0,
         });
         let body = postcard::to_stdvec(&work).unwrap_or_default();
-        let to: Vec<_> = self.members.living().map(|m| m.address).collect();
+        let to: Vec<_> = self.members.alive().map(|m| m.address).collect();
         to.into_iter()
             .for_each(|at| self.links.send_datagram(at, Kind::Work, body.clone()));
     }
@@ -982,7 +989,7 @@
                         |m: &&members::Member| m.zone == self.me.zone && m.name != self.me.name;
                     let to: Vec<_> = self
                         .members
-                        .living()
+                        .alive()
                         .filter(zone)
                         .map(|m| m.address)
                         .collect();
@@ -1120,7 +1127,7 @@
     fn effects(&mut self, now: f64) {
         self.next_effect = now + (0.5 + fastrand::f64()) / self.plan.trial.effects;
         let held: Vec<(Slot, u64)> = self.holder.held(now).collect();
-        let members: Vec<SocketAddrV4> = self.members.living().map(|m| m.address).collect();
+        let members: Vec<SocketAddrV4> = self.members.alive().map(|m| m.address).collect();
         if self.links.version() > dunespur_peer_transport::VERSION {
             members
                 .iter()
@@ -1155,7 +1162,7 @@
             self.holder.held(clock()).count(),
             self.began,
             self.ended,
-            self.holder.doubled || self.members.doubled(&self.me.name),
+            self.holder.doubled || self.members.is_duplicate(&self.me.name),
             self.relayed,
             self.outcomes,
             self.prober.probes,
@@ -1172,7 +1179,7 @@
             c.sent,
             c.sent_bytes,
             c.received,
-            c.rejected() + self.members.refused,
+            c.rejected() + self.members.rejected_datagrams(),
             c.dropped(),
         );
     }
--- a/crates/gateway/gateway/src/operators.rs
+++ b/crates/gateway/gateway/src/operators.rs
@@ -419,16 +419,16 @@
 impl MembersPart {
     fn settings(&self, size: u32, seeds: Vec<SocketAddrV4>) -> Result<Members, String> {
         let members = Members {
-            size,
+            expected_members: size,
             seeds,
-            probe: self.probe,
-            answer: self.answer,
-            suspect: self.suspect,
-            gossip: self.gossip,
-            again: self.again,
-            datagram: self.datagram,
+            probe_interval: self.probe,
+            probe_timeout: self.answer,
+            suspicion_timeout: self.suspect,
+            gossip_interval: self.gossip,
+            rejoin_interval: self.again,
+            max_datagram_bytes: self.datagram,
         };
-        members.check()?;
+        members.check().map_err(|error| error.to_string())?;
         Ok(members)
     }
 }
--- a/crates/gateway/gossip-membership/tests/behaviour.rs
+++ b/crates/gateway/gossip-membership/tests/behaviour.rs
@@ -1,8 +1,8 @@
 //! What members do is what revision 52a1591 did: the same datagrams at the same times, byte for byte, and the same
-//! reports, in worlds with losses, partitions, standstills, restarts and departures. That revision wrote the files
+//! reports, in worlds with losses, partitions, stalls, restarts and departures. That revision wrote the files
 //! under `tests/fixtures`.
 
-use dunespur_gossip_membership::{Member, Members, Output, Settings};
+use dunespur_gossip_membership::{Member, Membership, Output, Settings};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::net::SocketAddrV4;
@@ -11,7 +11,7 @@
 /// With this variable in the environment the fixtures are written instead of read (with `--test-threads=1`).
 const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
 const SEEDS: u64 = 100;
-const NODES: u16 = 5;
+const LIMITERS: u16 = 5;
 const STEP: f64 = 0.02;
 /// Each seed's world runs this many steps.
 const STEPS: usize = 3_000;
@@ -39,23 +39,23 @@
 
 fn settings() -> Settings {
     Settings {
-        size: 8,
+        expected_members: 8,
         seeds: vec![address(1), address(2)],
-        probe: 1.0,
-        answer: 0.3,
-        suspect: 3.0,
-        gossip: 0.2,
-        again: 5.0,
-        datagram: 1400,
+        probe_interval: 1.0,
+        probe_timeout: 0.3,
+        suspicion_timeout: 3.0,
+        gossip_interval: 0.2,
+        rejoin_interval: 5.0,
+        max_datagram_bytes: 1400,
     }
 }
 
-fn member(port: u16, run: u64) -> Member {
+fn member(port: u16, instance: u64) -> Member {
     Member {
         // Ports beyond the first are second processes of the same names.
-        name: format!("limiter-{}", (port - 1) % NODES + 1),
-        run,
-        turn: run,
+        name: format!("limiter-{}", (port - 1) % LIMITERS + 1),
+        instance,
+        precedence: instance,
         address: address(port),
         zone: format!("zone-{}", port % 3),
         machine: format!("machine-{port}"),
@@ -89,8 +89,8 @@
 
     fn add_member(&mut self, member: &Member) {
         self.add(member.name.as_bytes());
-        self.add(&member.run.to_le_bytes());
-        self.add(&member.turn.to_le_bytes());
+        self.add(&member.instance.to_le_bytes());
+        self.add(&member.precedence.to_le_bytes());
         self.add(&member.address.port().to_le_bytes());
     }
 }
@@ -101,9 +101,9 @@
 struct World {
     random: Random,
     now: f64,
-    nodes: BTreeMap<u16, Members>,
-    /// Time until which a process stands still.
-    stopped: BTreeMap<u16, f64>,
+    limiters: BTreeMap<u16, Membership>,
+    /// Time until which a process is stalled.
+    stalled: BTreeMap<u16, f64>,
     partitioned_until: f64,
     loss_percent: u64,
     digest: Digest,
@@ -117,27 +117,27 @@
         let mut world = World {
             random,
             now: 0.0,
-            nodes: BTreeMap::new(),
-            stopped: BTreeMap::new(),
+            limiters: BTreeMap::new(),
+            stalled: BTreeMap::new(),
             partitioned_until: 0.0,
             loss_percent,
             digest: Digest(0xcbf2_9ce4_8422_2325),
             counts: [0; 5],
         };
-        (1..=NODES).for_each(|port| world.start(port, seed * 1_000 + u64::from(port)));
+        (1..=LIMITERS).for_each(|port| world.start(port, seed * 1_000 + u64::from(port)));
         world
     }
 
-    fn start(&mut self, port: u16, run: u64) {
-        self.nodes.insert(
+    fn start(&mut self, port: u16, instance: u64) {
+        self.limiters.insert(
             port,
-            Members::new(settings(), member(port, run), run, self.now),
+            Membership::new(settings(), member(port, instance), instance, self.now),
         );
     }
 
     fn is_lost(&mut self, from: u16, to: u16) -> bool {
         let partitioned = self.now < self.partitioned_until && (from <= 2) != (to <= 2);
-        partitioned || self.stopped.contains_key(&to) || self.random.below(100) < self.loss_percent
+        partitioned || self.stalled.contains_key(&to) || self.random.below(100) < self.loss_percent
     }
 
     fn record(&mut self, from: u16, output: &Output) {
@@ -157,13 +157,13 @@
                 self.digest.add_member(member);
                 2
             }
-            Output::Doubled { name, runs } => {
-                self.digest.add(name.as_bytes());
-                self.digest.add(&runs.0.to_le_bytes());
-                self.digest.add(&runs.1.to_le_bytes());
+            Output::DuplicateName(duplicate) => {
+                self.digest.add(duplicate.name.as_bytes());
+                self.digest.add(&duplicate.first_instance.to_le_bytes());
+                self.digest.add(&duplicate.second_instance.to_le_bytes());
                 3
             }
-            Output::StoodStill(seconds) => {
+            Output::Stalled { seconds } => {
                 self.digest.add(&seconds.to_bits().to_le_bytes());
                 4
             }
@@ -184,9 +184,9 @@
                 if self.is_lost(from, to.port()) {
                     continue;
                 }
-                if let Some(node) = self.nodes.get_mut(&to.port()) {
+                if let Some(node) = self.limiters.get_mut(&to.port()) {
                     let mut out = Vec::new();
-                    node.datagram(&bytes, self.now, &mut out);
+                    node.receive(&bytes, self.now, &mut out);
                     caused.extend(out.into_iter().map(|output| (to.port(), output)));
                 }
             }
@@ -197,12 +197,12 @@
     fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
-        self.stopped.retain(|_, until| now < *until);
+        self.stalled.retain(|_, until| now < *until);
         let mut outputs = Vec::new();
         for (port, node) in self
-            .nodes
+            .limiters
             .iter_mut()
-            .filter(|(port, _)| !self.stopped.contains_key(*port))
+            .filter(|(port, _)| !self.stalled.contains_key(*port))
         {
             let mut out = Vec::new();
             node.tick(now, &mut out);
@@ -212,19 +212,19 @@
     }
 
     fn disturb(&mut self, step: u64) {
-        let port = 1 + self.random.below(u64::from(NODES)) as u16;
+        let port = 1 + self.random.below(u64::from(LIMITERS)) as u16;
         let seconds = 1.0 + self.random.below(12) as f64;
         match self.random.below(5) {
             0 => self.partitioned_until = self.now + seconds,
-            1 => drop(self.stopped.insert(port, self.now + seconds)),
+            1 => drop(self.stalled.insert(port, self.now + seconds)),
             2 => self.start(port, 1_000_000 + step),
-            3 => self.start(NODES + port, 2_000_000 + step),
+            3 => self.start(LIMITERS + port, 2_000_000 + step),
             _ => self.leave(port),
         }
     }
 
     fn leave(&mut self, port: u16) {
-        let Some(mut node) = self.nodes.remove(&port) else {
+        let Some(mut node) = self.limiters.remove(&port) else {
             return;
         };
         let mut out = Vec::new();
@@ -235,10 +235,10 @@
 
     /// All that each node sees at the end.
     fn add_views(&mut self) {
-        for node in self.nodes.values() {
-            node.living()
+        for node in self.limiters.values() {
+            node.alive()
                 .for_each(|member| self.digest.add_member(member));
-            let (count, refused) = (node.count() as u64, node.refused);
+            let (count, refused) = (node.count() as u64, node.rejected_datagrams());
             self.digest.add(&count.to_le_bytes());
             self.digest.add(&refused.to_le_bytes());
             self.digest.add(&node.next_due().to_bits().to_le_bytes());
@@ -275,7 +275,7 @@
 #[test]
 fn the_first_datagrams_have_the_bytes_of_the_earlier_revision() {
     let seeds = vec![address(1)];
-    let mut first = Members::new(
+    let mut first = Membership::new(
         Settings {
             seeds: seeds.clone(),
             ..settings()
@@ -284,7 +284,7 @@
         7,
         0.0,
     );
-    let mut second = Members::new(
+    let mut second = Membership::new(
         Settings {
             seeds,
             ..settings()
@@ -305,10 +305,10 @@
             (from_first, from_second) = (Vec::new(), Vec::new());
             to_first
                 .iter()
-                .for_each(|bytes| first.datagram(bytes, now, &mut from_first));
+                .for_each(|bytes| first.receive(bytes, now, &mut from_first));
             to_second
                 .iter()
-                .for_each(|bytes| second.datagram(bytes, now, &mut from_second));
+                .for_each(|bytes| second.receive(bytes, now, &mut from_second));
         }
         assert!(from_first.is_empty() && from_second.is_empty());
     }
@@ -328,70 +328,3 @@
     }
     datagrams
 }
-
-#[test]
-fn settings_out_of_range_are_named_with_their_remedy() {
-    let error = |settings: Settings| {
-        settings
-            .check()
-            .expect_err("it is out of range")
-            .to_string()
-    };
-    assert!(settings().check().is_ok());
-    let probe = Settings {
-        probe: 0.0,
-        ..settings()
-    };
-    assert_eq!(
-        error(probe),
-        "fleet.members.probe: 0; give seconds over 0 and under a day"
-    );
-    let answer = Settings {
-        answer: 86_400.0,
-        ..settings()
-    };
-    assert_eq!(
-        error(answer),
-        "fleet.members.answer: 86400; give seconds over 0 and under a day"
-    );
-    let suspect = Settings {
-        suspect: f64::NAN,
-        ..settings()
-    };
-    assert_eq!(
-        error(suspect),
-        "fleet.members.suspect: NaN; give seconds over 0 and under a day"
-    );
-    let gossip = Settings {
-        gossip: -1.5,
-        ..settings()
-    };
-    assert_eq!(
-        error(gossip),
-        "fleet.members.gossip: -1.5; give seconds over 0 and under a day"
-    );
-    let again = Settings {
-        again: f64::INFINITY,
-        ..settings()
-    };
-    assert_eq!(
-        error(again),
-        "fleet.members.again: inf; give seconds over 0 and under a day"
-    );
-    let late = Settings {
-        answer: 0.6,
-        ..settings()
-    };
-    let text = "fleet.members.answer: 0.6 leaves no time for asking through others in a probe of 1";
-    assert_eq!(error(late), text);
-    for datagram in [511, 65_001] {
-        let text = format!("fleet.members.datagram: {datagram}; give 512 to 65000 bytes");
-        assert_eq!(
-            error(Settings {
-                datagram,
-                ..settings()
-            }),
-            text
-        );
-    }
-}
--- /dev/null
+++ b/crates/gateway/gossip-membership/tests/membership.rs
@@ -0,0 +1,272 @@
+//! A few limiters on a network with partitions, losses, stalls, restarts and departures: who sees whom.
+
+use dunespur_gossip_membership::{DuplicateName, Member, Membership, Output, Settings};
+use rand::{RngExt, SeedableRng};
+use rand_xoshiro::Xoshiro256PlusPlus;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+
+const STEP: f64 = 0.01;
+/// Datagrams that are sent on account of others are delivered so many times over within a step.
+const MAX_DELIVERIES: usize = 10;
+
+fn settings(seeds: &[u16]) -> Settings {
+    Settings {
+        expected_members: 8,
+        seeds: seeds.iter().map(|port| address(*port)).collect(),
+        probe_interval: 1.0,
+        probe_timeout: 0.3,
+        suspicion_timeout: 3.0,
+        gossip_interval: 0.2,
+        rejoin_interval: 5.0,
+        max_datagram_bytes: 1400,
+    }
+}
+
+fn address(port: u16) -> SocketAddrV4 {
+    SocketAddrV4::new([127, 0, 0, 1].into(), port)
+}
+
+fn member(name: &str, instance: u64, port: u16) -> Member {
+    Member {
+        name: name.into(),
+        instance,
+        precedence: instance,
+        address: address(port),
+        zone: "a".into(),
+        machine: name.into(),
+        version: 1,
+        voter: false,
+    }
+}
+
+/// No datagram is lost.
+fn perfect(_from: u16, _to: u16) -> bool {
+    false
+}
+
+/// Limiters by port.
+struct World {
+    now: f64,
+    limiters: BTreeMap<u16, Membership>,
+    stalled: Vec<u16>,
+    /// All reports, with the port of the limiter that made them.
+    reports: Vec<(u16, Output)>,
+}
+
+impl World {
+    /// So many limiters, at ports from 1 up.
+    fn new(count: u16) -> World {
+        let mut world = World {
+            now: 0.0,
+            limiters: BTreeMap::new(),
+            stalled: vec![],
+            reports: vec![],
+        };
+        (1..=count).for_each(|port| world.start(&format!("n{port}"), u64::from(port), port));
+        world
+    }
+
+    fn start(&mut self, name: &str, instance: u64, port: u16) {
+        let own = member(name, instance, port);
+        let membership = Membership::new(settings(&[1, 2]), own, instance, self.now);
+        self.limiters.insert(port, membership);
+    }
+
+    /// Lets time pass; `is_lost` says which datagrams are lost, by the ports of sender and receiver.
+    fn run(&mut self, seconds: f64, is_lost: impl Fn(u16, u16) -> bool) {
+        let end = self.now + seconds;
+        while self.now < end {
+            self.now += STEP;
+            let mut outputs = self.tick();
+            for _ in 0..MAX_DELIVERIES {
+                outputs = self.deliver(outputs, &is_lost);
+            }
+        }
+    }
+
+    fn tick(&mut self) -> Vec<(u16, Output)> {
+        let mut all = Vec::new();
+        for (port, limiter) in &mut self.limiters {
+            if !self.stalled.contains(port) {
+                let mut outputs = Vec::new();
+                limiter.tick(self.now, &mut outputs);
+                all.extend(outputs.into_iter().map(|output| (*port, output)));
+            }
+        }
+        all
+    }
+
+    /// Delivers datagrams and keeps reports; gives what comes of them.
+    fn deliver(
+        &mut self,
+        outputs: Vec<(u16, Output)>,
+        is_lost: impl Fn(u16, u16) -> bool,
+    ) -> Vec<(u16, Output)> {
+        let mut caused = Vec::new();
+        for (from, output) in outputs {
+            let Output::Datagram { to, bytes } = &output else {
+                self.reports.push((from, output));
+                continue;
+            };
+            let port = to.port();
+            if is_lost(from, port) || self.stalled.contains(&port) {
+                continue;
+            }
+            if let Some(limiter) = self.limiters.get_mut(&port) {
+                let mut outputs = Vec::new();
+                limiter.receive(bytes, self.now, &mut outputs);
+                caused.extend(outputs.into_iter().map(|output| (port, output)));
+            }
+        }
+        caused
+    }
+
+    /// Names of the members that a limiter sees.
+    fn seen_by(&self, port: u16) -> Vec<String> {
+        let members = self.limiters[&port].alive();
+        members.map(|member| member.name.clone()).collect()
+    }
+}
+
+#[test]
+fn partitions_that_held_each_other_for_down_find_each_other_again() {
+    let mut world = World::new(6);
+    world.run(10.0, perfect);
+    assert!((1..=6).all(|port| world.seen_by(port).len() == 5));
+    world.run(30.0, |from, to| (from <= 3) != (to <= 3));
+    assert!(
+        (1..=6).all(|port| world.seen_by(port).len() == 2),
+        "a partition sees itself alone"
+    );
+    world.run(40.0, perfect);
+    assert!(
+        (1..=6).all(|port| world.seen_by(port).len() == 5),
+        "all again, with no help"
+    );
+}
+
+#[test]
+fn a_restart_replaces_its_earlier_instance_and_a_departure_is_seen_at_once() {
+    let mut world = World::new(4);
+    world.run(10.0, perfect);
+    // Started anew at the same address; its wall clock went back an hour.
+    world.limiters.remove(&3);
+    let restarted = Member {
+        precedence: 0,
+        ..member("n3", 77, 3)
+    };
+    let restarted = Membership::new(settings(&[1, 2]), restarted, 9, world.now);
+    world.limiters.insert(3, restarted);
+    world.run(10.0, perfect);
+    for port in [1, 2, 4] {
+        let alive = world.limiters[&port].alive();
+        let instances: Vec<u64> = alive
+            .filter(|member| member.name == "n3")
+            .map(|member| member.instance)
+            .collect();
+        assert_eq!(instances, [77]);
+        let count = world.limiters[&port].count();
+        assert_eq!(count, 3, "the earlier instance is dropped");
+    }
+
+    let now = world.now;
+    let mut outputs = Vec::new();
+    let leaving = world.limiters.get_mut(&4).unwrap();
+    leaving.leave(now, &mut outputs);
+    let outputs = outputs.into_iter().map(|output| (4, output)).collect();
+    world.deliver(outputs, perfect);
+    world.stalled.push(4);
+    world.run(1.0, perfect);
+    assert!(
+        [1, 2, 3]
+            .iter()
+            .all(|port| !world.seen_by(*port).contains(&"n4".into())),
+        "before any probe could tell"
+    );
+}
+
+#[test]
+fn two_living_processes_of_one_name_are_detected() {
+    let mut world = World::new(4);
+    world.run(10.0, perfect);
+    world.start("n3", 99, 9);
+    world.run(20.0, perfect);
+    for port in [1, 2, 3, 4, 9] {
+        assert!(world.limiters[&port].is_duplicate("n3"), "{port} knows");
+        let reports = world.reports.iter().filter(|(reporter, output)| {
+            let duplicate = matches!(output, Output::DuplicateName(DuplicateName { .. }));
+            *reporter == port && duplicate
+        });
+        assert_eq!(reports.count(), 1, "reported once");
+    }
+    world.limiters.remove(&9);
+    world.run(20.0, perfect);
+    assert!(
+        [1, 2, 3, 4]
+            .iter()
+            .all(|port| !world.limiters[port].is_duplicate("n3")),
+        "single again"
+    );
+}
+
+#[test]
+fn a_stalled_process_doubts_itself_before_the_others() {
+    let mut world = World::new(6);
+    world.run(10.0, perfect);
+    world.reports.clear();
+    // Longer than a probe and a suspicion: others take it for down, it must take nobody for down.
+    world.stalled.push(2);
+    world.run(8.0, perfect);
+    world.stalled.clear();
+    world.run(20.0, perfect);
+    let mut reports = world.reports.iter().filter(|(reporter, _)| *reporter == 2);
+    let wrong = reports
+        .clone()
+        .filter(|(_, output)| matches!(output, Output::Down(_)));
+    assert_eq!(wrong.count(), 0);
+    assert!(
+        reports.any(|(_, output)| matches!(output, Output::Stalled { seconds } if *seconds > 6.0))
+    );
+    assert!((1..=6).all(|port| world.seen_by(port).len() == 5));
+}
+
+#[test]
+fn a_suspect_that_refutes_the_suspicion_is_not_down() {
+    let mut world = World::new(8);
+    world.run(10.0, perfect);
+    world.reports.clear();
+    // Nearly a third of all is lost: suspicions come by the minute, and each is refuted in time.
+    let random = RefCell::new(Xoshiro256PlusPlus::seed_from_u64(5));
+    world.run(120.0, |_, _| random.borrow_mut().random::<f64>() < 0.3);
+    let down: Vec<_> = world
+        .reports
+        .iter()
+        .filter(|(_, output)| matches!(output, Output::Down(_)))
+        .collect();
+    assert!(
+        down.is_empty(),
+        "{} reports: {:?}",
+        down.len(),
+        down.first()
+    );
+    let renewed =
+        |(port, limiter): (&u16, &Membership)| limiter.own().precedence != u64::from(*port);
+    assert!(
+        !world.limiters.iter().any(renewed),
+        "nobody heard that it counts as down"
+    );
+}
+
+#[test]
+fn bytes_that_are_no_message_are_counted_and_change_nothing() {
+    let mut world = World::new(3);
+    world.run(5.0, perfect);
+    let limiter = world.limiters.get_mut(&1).unwrap();
+    for length in [0usize, 1, 7, 300, 2000] {
+        limiter.receive(&vec![0xA5; length], 6.0, &mut Vec::new());
+    }
+    assert!(limiter.rejected_datagrams() >= 4);
+    assert_eq!(world.seen_by(1).len(), 2);
+}
--- a/crates/testing/fleet-simulation/src/world.rs
+++ b/crates/testing/fleet-simulation/src/world.rs
@@ -97,7 +97,7 @@
     run: u64,
     skew: f64,
     offset: f64,
-    members: Option<members::Members>,
+    members: Option<members::Membership>,
     holder: Option<Holder>,
     voter: Option<Voter>,
     votes: bool,
@@ -283,8 +283,8 @@
         node.busy = 0.0;
         let member = members::Member {
             name: node.name.clone(),
-            run,
-            turn: 1_000_000 + (at * 1e3) as u64,
+            instance: run,
+            precedence: 1_000_000 + (at * 1e3) as u64,
             address: node.address,
             zone,
             machine: me.machine.clone(),
@@ -294,7 +294,7 @@
         let settings = member_settings(trial, seeds);
         node.members = self
             .gossip
-            .then(|| members::Members::new(settings, member, seed, now));
+            .then(|| members::Membership::new(settings, member, seed, now));
         let mut holder = Holder::new(trial.duties(), me, now);
         holder.who = self
             .lends
@@ -634,7 +634,7 @@
             match packet {
                 Packet::Gossip(bytes) => {
                     if let Some(m) = &mut n.members {
-                        m.datagram(&bytes, now, &mut said);
+                        m.receive(&bytes, now, &mut said);
                     }
                 }
                 Packet::Lend(msg) => lent = Some((from, *msg)),
@@ -710,7 +710,7 @@
             n.voter.as_ref().map_or(f64::INFINITY, Voter::next_due),
             n.members
                 .as_ref()
-                .map_or(f64::INFINITY, members::Members::next_due),
+                .map_or(f64::INFINITY, members::Membership::next_due),
         ];
         let due = due.into_iter().fold(f64::INFINITY, f64::min);
         let at = (self.truth(node, due) + 1e-6).max(self.now + 1e-6 + n.slow);
@@ -816,7 +816,7 @@
                     let lives = self
                         .nodes
                         .iter()
-                        .any(|n| n.up && n.name == m.name && n.run == m.run);
+                        .any(|n| n.up && n.name == m.name && n.run == m.instance);
                     if lives && t >= self.measure_from {
                         self.tally.false_downs += 1;
                     } else if lives {
@@ -825,7 +825,7 @@
                         self.tally.downs.push((m.name, who.clone(), t));
                     }
                 }
-                members::Output::Doubled { name, .. } => {
+                members::Output::DuplicateName(members::DuplicateName { name, .. }) => {
                     let text = format!("two living processes have the name {name}");
                     self.lines.push(Line::Report {
                         t,
@@ -834,7 +834,7 @@
                         text,
                     });
                 }
-                members::Output::Up(_) | members::Output::StoodStill(_) => {}
+                members::Output::Up(_) | members::Output::Stalled { .. } => {}
             }
         }
     }
@@ -1161,15 +1161,15 @@
 pub fn member_settings(trial: &Trial, seeds: Vec<SocketAddrV4>) -> members::Settings {
     let size = trial.fleet.limiters as u32;
     members::Settings {
-        size,
+        expected_members: size,
         seeds,
-        probe: 1.0,
-        answer: 0.3,
+        probe_interval: 1.0,
+        probe_timeout: 0.3,
         // A suspect has as long as news takes to go round, and some.
-        suspect: 2.0 + (size as f64).log10(),
-        gossip: 0.2,
-        again: 5.0,
-        datagram: 1400,
+        suspicion_timeout: 2.0 + (size as f64).log10(),
+        gossip_interval: 0.2,
+        rejoin_interval: 5.0,
+        max_datagram_bytes: 1400,
     }
 }
 
