--- a/crates/serving/proxy/src/active_request.rs
+++ b/crates/serving/proxy/src/active_request.rs
@@ -1,4 +1,7 @@
 //! One request on its way to the endpoints: its deadline, which endpoints it was sent to, and the choice of the next.
+//!
+//! The state that all attempts of a request share. `attempt` and `dispatch` add what is done with it: this module knows
+//! neither, so that the choice of an endpoint depends on no protocol.
 
 use crate::classification::{EndedBy, Idempotency};
 use crate::deadline::RequestDeadline;
@@ -25,6 +28,8 @@
 const RESPONSE_TIMEOUT_TARGETS: u64 = 4;
 
 /// A request with the endpoints that it was sent to.
+///
+/// `attempt` sends it once, `dispatch` until there is a response for the client.
 pub(crate) struct ActiveRequest<N: Node> {
     pub(crate) shared: Rc<Shared<N>>,
     pub(crate) route: Rc<Route>,
--- a/crates/serving/proxy/src/admission.rs
+++ b/crates/serving/proxy/src/admission.rs
@@ -1,4 +1,8 @@
 //! Admits a request: what its turn continues is looked up, what it may generate is reserved from its budget.
+//!
+//! It comes after the body is read, so that a slow client reserves nothing, and before an endpoint is chosen, so that a
+//! turn that waits for its admission occupies none. The budget comes last: a turn that continues an unknown one costs
+//! nothing.
 
 use crate::admitted_turn::AdmittedTurn;
 use crate::body_memory::MemoryReservation;
--- a/crates/serving/proxy/src/attempt.rs
+++ b/crates/serving/proxy/src/attempt.rs
@@ -1,4 +1,7 @@
 //! One attempt to get a response: one connection, one send, the head of one response.
+//!
+//! It ends with the head, as that decides whether the response is for the client at all: up to here nothing has been
+//! forwarded, and the request may still go elsewhere.
 
 use crate::active_request::{ActiveRequest, ConnectionChoice};
 use crate::attempt_error::AttemptError;
--- a/crates/serving/proxy/src/client_body.rs
+++ b/crates/serving/proxy/src/client_body.rs
@@ -1,4 +1,7 @@
 //! The body of a response to a client: complete in memory, or produced chunk by chunk while the client reads it.
+//!
+//! A producer is polled only when the client's connection can take more, so that a slow client slows its endpoint down
+//! instead of filling memory.
 
 use crate::client_connection::ClientConnection;
 use bytes::Bytes;
--- a/crates/serving/proxy/src/client_connection.rs
+++ b/crates/serving/proxy/src/client_connection.rs
@@ -1,4 +1,7 @@
 //! A client's connection: how far it has come with its present message, and how it closes.
+//!
+//! hyper owns the protocol and tells neither when a head begins nor when a response is written. [`ClientIo`] sees both
+//! at the socket, so that the server can expire clients that make no progress.
 
 use crate::clock::Clock;
 use hyper::rt::{Read, ReadBufCursor, Write};
--- a/crates/serving/proxy/src/client_task.rs
+++ b/crates/serving/proxy/src/client_task.rs
@@ -1,4 +1,7 @@
 //! The task of one client's connection: its requests are handled one after another until it closes.
+//!
+//! The task owns everything of a request under way. It ends with the connection, and drops the request with it: the
+//! endpoint's connection closes, and whatever was reserved is released.
 
 use crate::client_connection::{ClientConnection, ClientIo, Command};
 use crate::handler;
--- a/crates/serving/proxy/src/connection_pool.rs
+++ b/crates/serving/proxy/src/connection_pool.rs
@@ -1,5 +1,8 @@
 //! All connections to endpoints: pooled for the next request where that is safe, bounded in number, closed when they
 //! are idle for long.
+//!
+//! Reuse saves a round trip and risks a connection that its endpoint is about to close: [`IdleAge`] bounds that risk by
+//! what would be lost, and a connection with surplus bytes carries nothing any more.
 
 use crate::classification::Idempotency;
 use crate::clock::Clock;
--- a/crates/serving/proxy/src/deadline.rs
+++ b/crates/serving/proxy/src/deadline.rs
@@ -1,4 +1,6 @@
 //! The deadline of a request, and how long an unresponsive endpoint is waited for before it.
+//!
+//! One timer for both, and one that is not reset at every event: a stream has thousands of them.
 
 use crate::clock::Clock;
 use std::cell::Cell;
--- a/crates/serving/proxy/src/dispatch.rs
+++ b/crates/serving/proxy/src/dispatch.rs
@@ -1,4 +1,7 @@
 //! Sends a request from endpoint to endpoint until one of them has a response for the client. Retries are decided here.
+//!
+//! It is the only place that sends a request again: each decision takes the classification of the last attempt together
+//! with the record of all earlier ones, as an attempt that has not run says nothing about those before it.
 
 use crate::active_request::{ActiveRequest, ChosenEndpoint, ConnectionChoice};
 use crate::attempt::ReceivedHead;
--- a/crates/serving/proxy/src/endpoint_io.rs
+++ b/crates/serving/proxy/src/endpoint_io.rs
@@ -1,5 +1,7 @@
 //! What the HTTP library reads and writes on an endpoint connection: the request's body, and the socket, with how much
 //! of the request has been written.
+//!
+//! Counted at the socket, below the HTTP library's buffers: only bytes that were written can have reached the endpoint.
 
 use crate::classification::{EndedBy, SendProgress};
 use crate::monitored_stream::MonitoredStream;
--- a/crates/serving/proxy/src/execution_record.rs
+++ b/crates/serving/proxy/src/execution_record.rs
@@ -1,4 +1,7 @@
 //! Which endpoints may have run a request, and whether it may be sent to another one. No clock, no I/O.
+//!
+//! Protects against running a request twice that must run once, and an idempotent one at more endpoints than its route
+//! allows.
 
 use crate::classification::{ClientResponse, Execution, Idempotency, RetryRule};
 use crate::rejection::Rejection;
--- a/crates/serving/proxy/src/in_flight.rs
+++ b/crates/serving/proxy/src/in_flight.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::node::Node;
-use dunespur_routing::Outcome;
+use dunespur_routing::{Outcome, TicketKey};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -16,7 +16,7 @@
 pub(crate) struct InFlight<N: Node> {
     node: Rc<N>,
     clock: Rc<Clock>,
-    key: u64,
+    key: TicketKey,
     sent_at_ms: u64,
     deadline_ms: u64,
     has_responded: Cell<bool>,
@@ -25,7 +25,12 @@
 
 impl<N: Node> InFlight<N> {
     /// Of a request with this deadline.
-    pub(crate) fn new(node: &Rc<N>, clock: &Rc<Clock>, key: u64, deadline_ms: u64) -> InFlight<N> {
+    pub(crate) fn new(
+        node: &Rc<N>,
+        clock: &Rc<Clock>,
+        key: TicketKey,
+        deadline_ms: u64,
+    ) -> InFlight<N> {
         InFlight {
             node: node.clone(),
             clock: clock.clone(),
--- a/crates/serving/proxy/src/node.rs
+++ b/crates/serving/proxy/src/node.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use dunespur_configuration::Table;
-use dunespur_routing::{Choice, Outcome, RoutingRequest};
+use dunespur_routing::{Choice, Outcome, RoutingRequest, TicketKey};
 use std::future::Future;
 use std::rc::Rc;
 
@@ -24,10 +24,10 @@
     fn choose(&self, request: &RoutingRequest) -> Choice;
 
     /// The first event of a stream, or the head of a plain response, has come.
-    fn first_event(&self, key: u64);
+    fn first_event(&self, key: TicketKey);
 
     /// The outcome of a request that was sent. Called once for each ticket, whatever happens.
-    fn finished(&self, key: u64, outcome: Outcome);
+    fn finished(&self, key: TicketKey, outcome: Outcome);
 
     /// Reserves the most tokens that a turn may generate. A future that is dropped before it is ready leaves nothing
     /// reserved.
--- a/crates/serving/proxy/src/relay.rs
+++ b/crates/serving/proxy/src/relay.rs
@@ -1,4 +1,7 @@
 //! Forwards responses that are no streams of events.
+//!
+//! The outcome is reported and the connection returned before the client gets its last byte: once it has that, nobody
+//! polls the producer again.
 
 use crate::active_request::ActiveRequest;
 use crate::classification::EndedBy;
--- a/crates/serving/proxy/src/request_body.rs
+++ b/crates/serving/proxy/src/request_body.rs
@@ -1,4 +1,6 @@
 //! The bodies of clients' requests: read completely before any endpoint is chosen, bounded in length, memory and time.
+//!
+//! Read first, as a slow client would otherwise occupy an endpoint, and as only a buffered body can be sent again.
 
 use crate::body_memory::MemoryReservation;
 use crate::deadline::RequestDeadline;
--- a/crates/serving/proxy/src/route_match.rs
+++ b/crates/serving/proxy/src/route_match.rs
@@ -1,4 +1,8 @@
 //! Finds the route of a request, and the configuration that it is handled by.
+//!
+//! It comes before the body is read: the route says how long the client may take for it, and a request without a route
+//! needs no memory for one. Each request keeps the configuration that it was matched by, whatever comes into force
+//! meanwhile.
 
 use crate::node::Node;
 use crate::parsed_request::{text, ParsedRequest};
--- a/crates/serving/proxy/tests/wire.rs
+++ b/crates/serving/proxy/tests/wire.rs
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn requests_as_servers_get_them_and_answers_as_clients_do() {
+fn requests_as_endpoints_get_them_and_responses_as_clients_do() {
     for case in endpoint_responses().into_iter().chain(unusable_responses()) {
         run_test(async move {
             let (proxy, endpoint) = TestProxy::with_endpoint().await;
