--- a/crates/serving/dunespur/src/control_api/handlers.rs
+++ b/crates/serving/dunespur/src/control_api/handlers.rs
@@ -7,7 +7,8 @@
 use crate::directory::Unavailable;
 use bytes::Bytes;
 use dunespur_control_state::{
-    Operation, Order, OrderKind, Outcome, RetireOutcome, RetireState, ServerReport,
+    ConfigurationRequest, ConfigurationRequestKind, Operation, Outcome, RetirementOutcome,
+    RetirementState, ServerReport,
 };
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -43,11 +44,17 @@
         match target {
             Target::Heartbeat(id) => self.heartbeat(id, &body).await,
             Target::Leave(id) => self.execute(&Operation::ServerLeft { id }).await,
-            Target::Replace => self.configure(OrderKind::Replace, base, body).await,
-            Target::Patch => self.configure(OrderKind::Patch, base, body).await,
+            Target::Replace => {
+                self.configure(ConfigurationRequestKind::Replace, base, body)
+                    .await
+            }
+            Target::Patch => {
+                self.configure(ConfigurationRequestKind::Patch, base, body)
+                    .await
+            }
             Target::GetConfiguration => self.configuration().await,
             Target::RetireStart(node) => self.retire(node, &body).await,
-            Target::RetireState(node) => self.retirement(&node).await,
+            Target::RetirementState(node) => self.retirement(&node).await,
             Target::Unknown => responses::error(StatusCode::NOT_FOUND, "no such interface"),
         }
     }
@@ -106,13 +113,20 @@
         loop {
             let left = end.saturating_duration_since(Instant::now());
             match self.directory.execute(&order(fence), left).await? {
-                Outcome::Fenced { fence: newer } if newer > fence => fence = newer,
+                Outcome::Fenced {
+                    fencing_token: newer,
+                } if newer > fence => fence = newer,
                 outcome => return Ok(outcome),
             }
         }
     }
 
-    async fn configure(&self, kind: OrderKind, base: Option<u64>, body: Bytes) -> HttpResponse {
+    async fn configure(
+        &self,
+        kind: ConfigurationRequestKind,
+        base: Option<u64>,
+        body: Bytes,
+    ) -> HttpResponse {
         let Some(base) = base else {
             return responses::error(
                 StatusCode::BAD_REQUEST,
@@ -125,18 +139,17 @@
             ORDER_TIMEOUT
         };
         let order = |fence| {
-            Operation::Configure(Order {
+            Operation::Configure(ConfigurationRequest {
                 kind,
                 base,
                 body: body.to_vec(),
-                fence,
+                fencing_token: fence,
             })
         };
         match self.decide(order, timeout).await {
             Ok(Outcome::Accepted) => responses::accepted(),
-            Ok(Outcome::Current { generation }) => {
-                let text =
-                    json!({ "error": "another version is current", "generation": generation });
+            Ok(Outcome::GenerationConflict { current }) => {
+                let text = json!({ "error": "another version is current", "generation": current });
                 responses::json(StatusCode::PRECONDITION_FAILED, text.to_string())
             }
             Ok(Outcome::Invalid(findings)) => {
@@ -168,14 +181,14 @@
         let order = |fence| Operation::RetireStart {
             node: node.clone(),
             tolerated_losses,
-            fence,
+            fencing_token: fence,
         };
         match self.decide(order, ORDER_TIMEOUT).await {
-            Ok(Outcome::Retire(RetireOutcome::Taken)) => responses::accepted(),
-            Ok(Outcome::Retire(RetireOutcome::UnknownNode)) => {
+            Ok(Outcome::Retire(RetirementOutcome::Accepted)) => responses::accepted(),
+            Ok(Outcome::Retire(RetirementOutcome::UnknownNode)) => {
                 responses::error(StatusCode::NOT_FOUND, "no such store machine")
             }
-            Ok(Outcome::Retire(RetireOutcome::TooFew)) => {
+            Ok(Outcome::Retire(RetirementOutcome::TooFew)) => {
                 responses::error(StatusCode::CONFLICT, "too few store machines would be left")
             }
             _ => responses::unavailable(),
@@ -184,10 +197,10 @@
 
     async fn retirement(&self, node: &str) -> HttpResponse {
         match self.directory.read_retirement(node, ORDER_TIMEOUT).await {
-            Ok(Some(RetireState::Running)) => {
+            Ok(Some(RetirementState::Running)) => {
                 responses::json(StatusCode::OK, json!({ "state": "running" }).to_string())
             }
-            Ok(Some(RetireState::Done)) => {
+            Ok(Some(RetirementState::Done)) => {
                 responses::json(StatusCode::OK, json!({ "state": "done" }).to_string())
             }
             Ok(None) => responses::error(StatusCode::NOT_FOUND, "no retirement of such a machine"),
