--- a/crates/serving/load-distribution/src/distribution.rs
+++ b/crates/serving/load-distribution/src/distribution.rs
@@ -172,6 +172,7 @@
     }
 
     /// Takes another gateway's report and answers it.
+    #[must_use = "the update is to be sent to the reporter"]
     pub fn handle_report(&mut self, report: &Report, now: Millis) -> Update {
         let incarnation = self.own.incarnation;
         let Some(service) = self.service(&report.service) else {
@@ -200,6 +201,7 @@
     }
 
     /// The next call that is to be made now.
+    #[must_use = "a call is pending until its update or its failure is handled"]
     pub fn poll(&mut self, now: Millis) -> Option<Call> {
         let names: Vec<Rc<str>> = self.services.keys().cloned().collect();
         names
@@ -263,6 +265,7 @@
     }
 
     /// Takes what is new of the other gateways' loads.
+    #[must_use = "what is taken is not returned again"]
     pub fn take_remote_loads(&mut self) -> Vec<RemoteLoads> {
         std::mem::take(&mut self.remote_loads)
     }
--- a/crates/serving/load-distribution/tests/common/mod.rs
+++ b/crates/serving/load-distribution/tests/common/mod.rs
@@ -1,4 +1,5 @@
 //! A simulated network of gateways: carries their calls, loses, duplicates and delays some, and knows the truth.
+// Each test file is a crate of its own and uses some of these.
 #![allow(dead_code)]
 
 use dunespur_load_distribution::{
--- a/crates/serving/routing/src/balancer.rs
+++ b/crates/serving/routing/src/balancer.rs
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Chooses a server and counts the request as in flight there.
+    /// Chooses a server and counts the request as in flight there, until [`Balancer::finished`] gets the ticket's key.
+    #[must_use = "a request that is sent counts as in flight until it is finished"]
     pub fn choose(&mut self, request: &RoutingRequest, now: Millis) -> Choice {
         let Some(pool) = self.pools.get_mut(request.backend) else {
             return Choice::NoServer;
