--- /dev/null
+++ b/crates/serving/routing/tests/fleet/agenda.rs
@@ -0,0 +1,59 @@
+//! What is to happen in a simulated day, in the order of time.
+
+use std::rc::Rc;
+
+use dunespur_routing::LoadReport;
+
+use super::engine::Event;
+
+#[derive(Debug)]
+pub enum SimEvent {
+    Program,
+    Dispatch(usize),
+    Arrive {
+        turn: usize,
+        engine: usize,
+        priority: u8,
+    },
+    Step(usize),
+    EngineReply {
+        turn: usize,
+        key: u64,
+        event: Event,
+    },
+    Timeout {
+        turn: usize,
+        key: u64,
+    },
+    SendReport(usize),
+    DeliverReport {
+        from: usize,
+        reports: Rc<Vec<LoadReport>>,
+    },
+}
+
+#[derive(Debug)]
+pub struct At {
+    pub time: f64,
+    pub order: u64,
+    pub event: SimEvent,
+}
+
+impl PartialEq for At {
+    fn eq(&self, other: &Self) -> bool {
+        self.order == other.order
+    }
+}
+impl Eq for At {}
+impl PartialOrd for At {
+    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
+        Some(self.cmp(other))
+    }
+}
+impl Ord for At {
+    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
+        self.time
+            .total_cmp(&other.time)
+            .then(self.order.cmp(&other.order))
+    }
+}
--- /dev/null
+++ b/crates/serving/routing/tests/fleet/conversation.rs
@@ -0,0 +1,69 @@
+//! The turns that agent programs make, and their requests.
+
+use std::rc::Rc;
+
+use dunespur_routing::{PromptSegment, RoutingRequest};
+
+use super::day::{ENGINES, TARGET_MS};
+
+/// A sequence of turns of a program.
+#[derive(Debug, Clone)]
+pub struct Conversation {
+    pub program: Rc<str>,
+    pub session: Rc<str>,
+    pub zone: usize,
+    pub gateway: usize,
+    pub prefix: Vec<PromptSegment>,
+    pub turns_left: usize,
+    pub is_main: bool,
+    pub last_engine: Option<usize>,
+    /// The conversation's own random numbers: its requests are the same whichever way engines are chosen.
+    pub random: fastrand::Rng,
+}
+
+#[derive(Debug)]
+pub struct Turn {
+    pub conversation: Conversation,
+    pub started_at: f64,
+    pub first_event_at: Option<f64>,
+    pub tried: Vec<Rc<str>>,
+    pub attempts: usize,
+    pub gateway: usize,
+    pub key: u64,
+}
+
+impl Turn {
+    pub fn request(&self, max_tokens: u32, time_left_ms: u64) -> RoutingRequest<'_> {
+        let prefix = &self.conversation.prefix;
+        RoutingRequest {
+            backend: ENGINES,
+            program: Some(&self.conversation.program),
+            session: Some(&self.conversation.session),
+            prefix,
+            prompt_tokens: prefix.iter().map(|segment| segment.tokens).sum(),
+            max_tokens,
+            idempotent: false,
+            priority: 0,
+            time_left_ms,
+            target_ms: TARGET_MS,
+            tried: &self.tried,
+        }
+    }
+}
+
+impl Conversation {
+    /// A sub-agent's first turn adds a segment of its own behind its parent's.
+    pub fn is_fresh(&self) -> bool {
+        self.session.ends_with('*')
+    }
+
+    pub fn set_fresh(&mut self) {
+        self.session = format!("{}*", self.session).into();
+    }
+
+    pub fn clear_fresh(&mut self) {
+        if let Some(name) = self.session.strip_suffix('*') {
+            self.session = name.into();
+        }
+    }
+}
--- /dev/null
+++ b/crates/serving/routing/tests/fleet/day.rs
@@ -0,0 +1,91 @@
+//! The parameters of a simulated day, and what follows from them.
+
+use dunespur_routing::{Balancer, EngineShape, Server};
+
+use super::engine::EngineModel;
+use super::router::{Balanced, Baseline, BaselinePolicy, Router};
+
+/// The service of all engines.
+pub const ENGINES: &str = "engines";
+/// The latency target of all requests.
+pub const TARGET_MS: u64 = 200;
+
+/// How the prompt of a conversation's later turn is put together.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Growth {
+    /// The conversation's last segment grows.
+    LastSegment,
+    /// Each turn adds a segment.
+    NewSegments,
+}
+
+/// The parameters of a simulated day.
+#[derive(Debug, Clone)]
+pub struct Day {
+    pub seed: u64,
+    pub zones: usize,
+    pub gateways: usize,
+    pub engines: usize,
+    pub model: EngineModel,
+    /// Slowness of single engines.
+    pub slow: Vec<(usize, f64)>,
+    /// An engine that is frozen, and when.
+    pub frozen: Option<(usize, std::ops::Range<f64>)>,
+    pub programs_per_s: f64,
+    pub length_ms: f64,
+    pub turns: usize,
+    pub subagents: f64,
+    pub subjects: usize,
+    pub common_tokens: u32,
+    pub subject_tokens: u32,
+    pub turn_tokens: u32,
+    pub output_tokens: u32,
+    pub think_time_ms: f64,
+    /// Whether a program keeps to one gateway.
+    pub keeps_gateway: bool,
+    pub growth: Growth,
+}
+
+/// How engines are chosen.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Policy {
+    Balanced,
+    Baseline(BaselinePolicy),
+}
+
+pub fn gateway_in(day: &Day, zone: usize, random: &mut fastrand::Rng) -> usize {
+    let in_zone = day.gateways / day.zones;
+    zone + day.zones * random.usize(..in_zone)
+}
+
+pub fn server(day: &Day, number: usize) -> Server {
+    let shape = EngineShape {
+        kv_capacity: day.model.kv_capacity,
+        slots: day.model.slots as u32,
+        chunk_tokens: day.model.chunk_tokens,
+    };
+    Server {
+        id: format!("engine-{}-{number}", day.seed).into(),
+        backend: ENGINES.into(),
+        address: ([10, 0, 0, number as u8], 8080).into(),
+        zone: format!("zone-{}", number % day.zones).into(),
+        slots: day.model.slots as u32,
+        draining: false,
+        warmup_left_ms: 0,
+        engine: Some(shape),
+        max_conns: 220,
+    }
+}
+
+pub fn router(day: &Day, servers: &[Server], policy: Policy, gateway: usize) -> Box<dyn Router> {
+    let seed = day.seed * 1_000 + gateway as u64;
+    match policy {
+        Policy::Baseline(policy) => Box::new(Baseline::new(policy, servers, seed)),
+        Policy::Balanced => {
+            let zone = format!("zone-{}", gateway % day.zones);
+            let mut balancer = Balancer::new(zone.into(), seed);
+            balancer.set_servers(servers.to_vec(), 0);
+            Box::new(Balanced(balancer))
+        }
+    }
+}
--- a/crates/serving/routing/tests/fleet/mod.rs
+++ b/crates/serving/routing/tests/fleet/mod.rs
@@ -1,239 +1,33 @@
-//! A fleet of gateways and engines under agent programs, played event by event from a seed.
+//! A fleet of gateways and engines under agent programs, simulated event by event from a seed.
 
+mod agenda;
+mod conversation;
+pub mod day;
 pub mod engine;
+pub mod result;
 pub mod router;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::rc::Rc;
 
-use dunespur_routing::{
-    Balancer, EngineShape, LoadReport, Millis, Outcome, PromptSegment, RoutingRequest, Server,
-};
+use dunespur_routing::{LoadReport, Millis, Outcome, PromptSegment, Server};
 
 use crate::common::digest::Digest;
+use agenda::{At, SimEvent};
+use conversation::{Conversation, Turn};
+use day::{gateway_in, router, server, Day, Growth, Policy};
 use engine::{Engine, EngineModel, Event, Job};
-use router::{Balanced, Baseline, BaselinePolicy, Router, RoutingAnswer};
+use result::DayResult;
+use router::{Router, RoutingAnswer};
 
-const ENGINES: &str = "engines";
 const REPORT_EVERY_MS: f64 = 300.0;
 const REPORT_DELAY_MS: f64 = 20.0;
 const GATEWAY_DELAY_MS: f64 = 1.0;
-const TARGET_MS: u64 = 200;
 const MAX_ATTEMPTS: usize = 3;
 /// How long a gateway waits for a first event.
 const FIRST_EVENT_TIMEOUT_MS: f64 = 2_000.0;
 
-/// How the prompt of a conversation's later turn is put together.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Growth {
-    /// The conversation's last segment grows.
-    LastSegment,
-    /// Each turn adds a segment.
-    NewSegments,
-}
-
-/// The parameters of a simulated day.
-#[derive(Debug, Clone)]
-pub struct Day {
-    pub seed: u64,
-    pub zones: usize,
-    pub gateways: usize,
-    pub engines: usize,
-    pub model: EngineModel,
-    /// Slowness of single engines.
-    pub slow: Vec<(usize, f64)>,
-    /// An engine that is frozen, and when.
-    pub frozen: Option<(usize, std::ops::Range<f64>)>,
-    pub programs_per_s: f64,
-    pub length_ms: f64,
-    pub turns: usize,
-    pub subagents: f64,
-    pub subjects: usize,
-    pub common_tokens: u32,
-    pub subject_tokens: u32,
-    pub turn_tokens: u32,
-    pub output_tokens: u32,
-    pub think_time_ms: f64,
-    /// Whether a program keeps to one gateway.
-    pub keeps_gateway: bool,
-    pub growth: Growth,
-}
-
-/// How engines are chosen.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Policy {
-    Balanced,
-    Baseline(BaselinePolicy),
-}
-
-/// The figures of a day.
-#[derive(Debug, Clone, Default)]
-pub struct DayResult {
-    pub turns: usize,
-    pub failed: usize,
-    pub rejected: usize,
-    pub deferred: usize,
-    pub timed_out: usize,
-    pub preempted: u64,
-    pub first_ms: Vec<f64>,
-    pub turn_ms: Vec<f64>,
-    pub prefilled_tokens: u64,
-    pub new_tokens: u64,
-    pub other_zone: usize,
-    pub migrated: usize,
-}
-
-impl DayResult {
-    /// Adds another day.
-    pub fn add(&mut self, day: DayResult) {
-        self.turns += day.turns;
-        self.failed += day.failed;
-        self.rejected += day.rejected;
-        self.deferred += day.deferred;
-        self.timed_out += day.timed_out;
-        self.preempted += day.preempted;
-        self.first_ms.extend(day.first_ms);
-        self.turn_ms.extend(day.turn_ms);
-        self.prefilled_tokens += day.prefilled_tokens;
-        self.new_tokens += day.new_tokens;
-        self.other_zone += day.other_zone;
-        self.migrated += day.migrated;
-    }
-
-    pub fn mean_first_ms(&self) -> f64 {
-        self.first_ms.iter().sum::<f64>() / self.first_ms.len().max(1) as f64
-    }
-
-    pub fn first_ms_at(&self, quantile: f64) -> f64 {
-        let mut sorted = self.first_ms.clone();
-        sorted.sort_by(f64::total_cmp);
-        sorted[((sorted.len() - 1) as f64 * quantile) as usize]
-    }
-
-    pub fn mean_turn_ms(&self) -> f64 {
-        self.turn_ms.iter().sum::<f64>() / self.turn_ms.len().max(1) as f64
-    }
-
-    /// Tokens prefilled though some engine had prefilled them before.
-    pub fn recomputed_tokens(&self) -> u64 {
-        self.prefilled_tokens.saturating_sub(self.new_tokens)
-    }
-
-    pub fn late_ratio(&self) -> f64 {
-        let late = self
-            .first_ms
-            .iter()
-            .filter(|first_ms| **first_ms > TARGET_MS as f64)
-            .count()
-            + self.failed;
-        late as f64 / self.turns.max(1) as f64
-    }
-}
-
-impl std::fmt::Display for DayResult {
-    fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(
-            out,
-            "turns {} failed {} rejected {} deferred {} timed out {} preempted {}; first token mean {:.1} p95 {:.1} p99 {:.1} ms; \
-             turn {:.1} ms; late {:.2} %; recomputed {} k of {} k; other zone {:.0} %, migrated {:.0} %",
-            self.turns,
-            self.failed,
-            self.rejected,
-            self.deferred,
-            self.timed_out,
-            self.preempted,
-            self.mean_first_ms(),
-            self.first_ms_at(0.95),
-            self.first_ms_at(0.99),
-            self.mean_turn_ms(),
-            100.0 * self.late_ratio(),
-            self.recomputed_tokens() / 1000,
-            self.prefilled_tokens / 1000,
-            100.0 * self.other_zone as f64 / self.turns.max(1) as f64,
-            100.0 * self.migrated as f64 / self.turns.max(1) as f64,
-        )
-    }
-}
-
-/// A sequence of turns of a program.
-#[derive(Debug, Clone)]
-struct Conversation {
-    program: Rc<str>,
-    session: Rc<str>,
-    zone: usize,
-    gateway: usize,
-    prefix: Vec<PromptSegment>,
-    turns_left: usize,
-    is_main: bool,
-    last_engine: Option<usize>,
-    /// The conversation's own random numbers: its requests are the same whichever way engines are chosen.
-    random: fastrand::Rng,
-}
-
-#[derive(Debug)]
-struct Turn {
-    conversation: Conversation,
-    started_at: f64,
-    first_event_at: Option<f64>,
-    tried: Vec<Rc<str>>,
-    attempts: usize,
-    gateway: usize,
-    key: u64,
-}
-
-#[derive(Debug)]
-enum SimEvent {
-    Program,
-    Dispatch(usize),
-    Arrive {
-        turn: usize,
-        engine: usize,
-        priority: u8,
-    },
-    Step(usize),
-    EngineReply {
-        turn: usize,
-        key: u64,
-        event: Event,
-    },
-    Timeout {
-        turn: usize,
-        key: u64,
-    },
-    SendReport(usize),
-    DeliverReport {
-        from: usize,
-        reports: Rc<Vec<LoadReport>>,
-    },
-}
-
-#[derive(Debug)]
-struct At {
-    time: f64,
-    order: u64,
-    event: SimEvent,
-}
-
-impl PartialEq for At {
-    fn eq(&self, other: &Self) -> bool {
-        self.order == other.order
-    }
-}
-impl Eq for At {}
-impl PartialOrd for At {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for At {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.time
-            .total_cmp(&other.time)
-            .then(self.order.cmp(&other.order))
-    }
-}
-
 /// Simulates a day with a policy of choosing engines.
 pub fn play(day: &Day, policy: Policy) -> DayResult {
     Fleet::new(day.clone(), policy).play().result
@@ -654,76 +448,3 @@
         }
     }
 }
-
-impl Turn {
-    fn request(&self, max_tokens: u32, time_left_ms: u64) -> RoutingRequest<'_> {
-        let prefix = &self.conversation.prefix;
-        RoutingRequest {
-            backend: ENGINES,
-            program: Some(&self.conversation.program),
-            session: Some(&self.conversation.session),
-            prefix,
-            prompt_tokens: prefix.iter().map(|segment| segment.tokens).sum(),
-            max_tokens,
-            idempotent: false,
-            priority: 0,
-            time_left_ms,
-            target_ms: TARGET_MS,
-            tried: &self.tried,
-        }
-    }
-}
-
-impl Conversation {
-    /// A sub-agent's first turn adds a segment of its own behind its parent's.
-    fn is_fresh(&self) -> bool {
-        self.session.ends_with('*')
-    }
-
-    fn set_fresh(&mut self) {
-        self.session = format!("{}*", self.session).into();
-    }
-
-    fn clear_fresh(&mut self) {
-        if let Some(name) = self.session.strip_suffix('*') {
-            self.session = name.into();
-        }
-    }
-}
-
-fn gateway_in(day: &Day, zone: usize, random: &mut fastrand::Rng) -> usize {
-    let in_zone = day.gateways / day.zones;
-    zone + day.zones * random.usize(..in_zone)
-}
-
-fn server(day: &Day, number: usize) -> Server {
-    let shape = EngineShape {
-        kv_capacity: day.model.kv_capacity,
-        slots: day.model.slots as u32,
-        chunk_tokens: day.model.chunk_tokens,
-    };
-    Server {
-        id: format!("engine-{}-{number}", day.seed).into(),
-        backend: ENGINES.into(),
-        address: ([10, 0, 0, number as u8], 8080).into(),
-        zone: format!("zone-{}", number % day.zones).into(),
-        slots: day.model.slots as u32,
-        draining: false,
-        warmup_left_ms: 0,
-        engine: Some(shape),
-        max_conns: 220,
-    }
-}
-
-fn router(day: &Day, servers: &[Server], policy: Policy, gateway: usize) -> Box<dyn Router> {
-    let seed = day.seed * 1_000 + gateway as u64;
-    match policy {
-        Policy::Baseline(policy) => Box::new(Baseline::new(policy, servers, seed)),
-        Policy::Balanced => {
-            let zone = format!("zone-{}", gateway % day.zones);
-            let mut balancer = Balancer::new(zone.into(), seed);
-            balancer.set_servers(servers.to_vec(), 0);
-            Box::new(Balanced(balancer))
-        }
-    }
-}
--- /dev/null
+++ b/crates/serving/routing/tests/fleet/result.rs
@@ -0,0 +1,92 @@
+//! The figures of a simulated day.
+
+use super::day::TARGET_MS;
+
+/// The figures of a day.
+#[derive(Debug, Clone, Default)]
+pub struct DayResult {
+    pub turns: usize,
+    pub failed: usize,
+    pub rejected: usize,
+    pub deferred: usize,
+    pub timed_out: usize,
+    pub preempted: u64,
+    pub first_ms: Vec<f64>,
+    pub turn_ms: Vec<f64>,
+    pub prefilled_tokens: u64,
+    pub new_tokens: u64,
+    pub other_zone: usize,
+    pub migrated: usize,
+}
+
+impl DayResult {
+    /// Adds another day.
+    pub fn add(&mut self, day: DayResult) {
+        self.turns += day.turns;
+        self.failed += day.failed;
+        self.rejected += day.rejected;
+        self.deferred += day.deferred;
+        self.timed_out += day.timed_out;
+        self.preempted += day.preempted;
+        self.first_ms.extend(day.first_ms);
+        self.turn_ms.extend(day.turn_ms);
+        self.prefilled_tokens += day.prefilled_tokens;
+        self.new_tokens += day.new_tokens;
+        self.other_zone += day.other_zone;
+        self.migrated += day.migrated;
+    }
+
+    pub fn mean_first_ms(&self) -> f64 {
+        self.first_ms.iter().sum::<f64>() / self.first_ms.len().max(1) as f64
+    }
+
+    pub fn first_ms_at(&self, quantile: f64) -> f64 {
+        let mut sorted = self.first_ms.clone();
+        sorted.sort_by(f64::total_cmp);
+        sorted[((sorted.len() - 1) as f64 * quantile) as usize]
+    }
+
+    pub fn mean_turn_ms(&self) -> f64 {
+        self.turn_ms.iter().sum::<f64>() / self.turn_ms.len().max(1) as f64
+    }
+
+    /// Tokens prefilled though some engine had prefilled them before.
+    pub fn recomputed_tokens(&self) -> u64 {
+        self.prefilled_tokens.saturating_sub(self.new_tokens)
+    }
+
+    pub fn late_ratio(&self) -> f64 {
+        let late = self
+            .first_ms
+            .iter()
+            .filter(|first_ms| **first_ms > TARGET_MS as f64)
+            .count()
+            + self.failed;
+        late as f64 / self.turns.max(1) as f64
+    }
+}
+
+impl std::fmt::Display for DayResult {
+    fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(
+            out,
+            "turns {} failed {} rejected {} deferred {} timed out {} preempted {}; first token mean {:.1} p95 {:.1} p99 {:.1} ms; \
+             turn {:.1} ms; late {:.2} %; recomputed {} k of {} k; other zone {:.0} %, migrated {:.0} %",
+            self.turns,
+            self.failed,
+            self.rejected,
+            self.deferred,
+            self.timed_out,
+            self.preempted,
+            self.mean_first_ms(),
+            self.first_ms_at(0.95),
+            self.first_ms_at(0.99),
+            self.mean_turn_ms(),
+            100.0 * self.late_ratio(),
+            self.recomputed_tokens() / 1000,
+            self.prefilled_tokens / 1000,
+            100.0 * self.other_zone as f64 / self.turns.max(1) as f64,
+            100.0 * self.migrated as f64 / self.turns.max(1) as f64,
+        )
+    }
+}
--- /dev/null
+++ b/crates/serving/routing/tests/plain_fleet/mod.rs
@@ -0,0 +1,361 @@
+//! A fleet of gateways and servers without an engine, simulated event by event from a seed.
+
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, VecDeque};
+
+use dunespur_routing::{Balancer, Choice, LoadReport, Outcome, Server};
+
+use crate::common::digest::Digest;
+use crate::common::{plain_request, plain_server};
+
+pub const SERVERS: usize = 7;
+const SLOTS: usize = 6;
+const QUEUE: usize = 4;
+const GATEWAYS: usize = 9;
+const ZONES: [&str; 3] = ["a", "b", "c"];
+const REPORT_EVERY_US: u64 = 300_000;
+pub const LENGTH_US: u64 = 20_000_000;
+const MAX_ATTEMPTS: usize = 3;
+/// Work of the kinds of requests with their latency targets, in milliseconds.
+const KINDS: [(f64, u64); 3] = [(26.0, 150), (104.0, 500), (69.0, 300)];
+/// From this ratio of its slots on, a server slows down.
+const NEARLY_FULL: f64 = 0.8;
+const NEARLY_FULL_SLOWNESS: f64 = 1.3;
+
+/// How servers are chosen.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Policy {
+    Balanced,
+    Random,
+    /// The fewest of the gateway's own requests.
+    OwnLeast,
+}
+
+/// The parameters of a simulated day.
+#[derive(Debug, Clone)]
+pub struct Day {
+    pub seed: u64,
+    pub requests_per_s: f64,
+    pub slowness: [f64; SERVERS],
+    /// A server that answers with errors, and when.
+    pub failing: Option<(usize, std::ops::Range<u64>)>,
+    pub length_us: u64,
+}
+
+/// The figures of a simulated day.
+#[derive(Debug, Default)]
+pub struct DayResult {
+    pub requests: usize,
+    pub not_served: usize,
+    pub late: usize,
+    pub took_us: u64,
+    pub served: usize,
+    pub other_zone: usize,
+    pub failed_dispatches: usize,
+    /// Dispatches to the failing server after its fault.
+    pub dispatches_after: usize,
+}
+
+impl DayResult {
+    pub fn mean_ms(&self) -> f64 {
+        self.took_us as f64 / self.served.max(1) as f64 / 1_000.0
+    }
+}
+
+#[derive(Debug, Clone)]
+struct Request {
+    gateway: usize,
+    kind: usize,
+    work_ms: f64,
+    started_at: u64,
+    tried: Vec<usize>,
+    key: u64,
+}
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum SimEvent {
+    Dispatch(usize),
+    Arrive(usize, usize),
+    Done(usize, usize),
+    SendReport(usize),
+}
+
+struct Fleet {
+    day: Day,
+    policy: Policy,
+    servers: Vec<Server>,
+    running: Vec<usize>,
+    waiting: Vec<VecDeque<usize>>,
+    balancers: Vec<Balancer>,
+    own: Vec<[u32; SERVERS]>,
+    requests: Vec<Request>,
+    queue: BinaryHeap<Reverse<(u64, u64, SimEvent)>>,
+    order: u64,
+    random: fastrand::Rng,
+    result: DayResult,
+    digest: Digest,
+}
+
+/// Simulates a day with a policy of choosing servers.
+pub fn play(day: &Day, policy: Policy) -> DayResult {
+    play_fleet(day, policy).result
+}
+
+fn play_fleet(day: &Day, policy: Policy) -> Fleet {
+    let servers: Vec<Server> = (0..SERVERS)
+        .map(|number| plain_server(number, ZONES[number % 3]))
+        .collect();
+    let balancers = (0..GATEWAYS)
+        .map(|gateway| balancer(&servers, gateway, day.seed))
+        .collect();
+    let mut fleet = Fleet {
+        random: fastrand::Rng::with_seed(day.seed),
+        day: day.clone(),
+        policy,
+        servers,
+        running: vec![0; SERVERS],
+        waiting: vec![VecDeque::new(); SERVERS],
+        balancers,
+        own: vec![[0; SERVERS]; GATEWAYS],
+        requests: vec![],
+        queue: BinaryHeap::new(),
+        order: 0,
+        result: DayResult::default(),
+        digest: Digest::new(),
+    };
+    fleet.plan();
+    while let Some(Reverse((now, _, event))) = fleet.queue.pop() {
+        fleet.handle(now, event);
+    }
+    fleet
+}
+
+fn balancer(servers: &[Server], gateway: usize, seed: u64) -> Balancer {
+    let mut balancer = Balancer::new(ZONES[gateway % 3].into(), seed * 100 + gateway as u64);
+    balancer.set_servers(servers.to_vec(), 0);
+    balancer
+}
+
+impl Fleet {
+    /// All requests of the day, the same whichever way servers are chosen.
+    fn plan(&mut self) {
+        let mut random = fastrand::Rng::with_seed(self.day.seed * 7 + 1);
+        let mut now = 0;
+        while now < self.day.length_us {
+            let gap = -random.f64().max(1e-12).ln() * 1_000_000.0 / self.day.requests_per_s;
+            now += gap as u64;
+            let kind = random.usize(..KINDS.len());
+            let work_ms = KINDS[kind].0 * (0.5 + random.f64());
+            let gateway = random.usize(..GATEWAYS);
+            self.requests.push(Request {
+                gateway,
+                kind,
+                work_ms,
+                started_at: now,
+                tried: vec![],
+                key: 0,
+            });
+            self.schedule(now, SimEvent::Dispatch(self.requests.len() - 1));
+        }
+        for gateway in 0..GATEWAYS {
+            self.schedule(
+                gateway as u64 * REPORT_EVERY_US / GATEWAYS as u64,
+                SimEvent::SendReport(gateway),
+            );
+        }
+    }
+
+    fn schedule(&mut self, time: u64, event: SimEvent) {
+        self.order += 1;
+        self.queue.push(Reverse((time, self.order, event)));
+    }
+
+    fn handle(&mut self, now: u64, event: SimEvent) {
+        match event {
+            SimEvent::Dispatch(request) => self.dispatch(request, now),
+            SimEvent::Arrive(request, server) => self.arrive(request, server, now),
+            SimEvent::Done(request, server) => self.done(request, server, now),
+            SimEvent::SendReport(gateway) => self.send_report(gateway, now),
+        }
+    }
+
+    fn dispatch(&mut self, number: usize, now: u64) {
+        if self.requests[number].tried.is_empty() {
+            self.result.requests += 1;
+        }
+        if self.requests[number].tried.len() >= MAX_ATTEMPTS {
+            self.result.not_served += 1;
+            return;
+        }
+        let Some(server) = self.choose(number, now) else {
+            self.result.not_served += 1;
+            return;
+        };
+        let request = &mut self.requests[number];
+        request.tried.push(server);
+        if server % 3 != request.gateway % 3 {
+            self.result.other_zone += 1;
+        }
+        self.own[request.gateway][server] += 1;
+        self.schedule(now + 1_000, SimEvent::Arrive(number, server));
+    }
+
+    fn choose(&mut self, number: usize, now: u64) -> Option<usize> {
+        let request = self.requests[number].clone();
+        let remaining: Vec<usize> = (0..SERVERS)
+            .filter(|server| !request.tried.contains(server))
+            .collect();
+        let start = self.random.usize(..remaining.len());
+        match self.policy {
+            Policy::Random => Some(remaining[start]),
+            Policy::OwnLeast => {
+                let rotated = remaining
+                    .iter()
+                    .cycle()
+                    .skip(start)
+                    .take(remaining.len())
+                    .copied();
+                rotated.min_by_key(|server| self.own[request.gateway][*server])
+            }
+            Policy::Balanced => self.choose_balanced(number, &request, now),
+        }
+    }
+
+    fn choose_balanced(&mut self, number: usize, request: &Request, now: u64) -> Option<usize> {
+        let tried: Vec<_> = request
+            .tried
+            .iter()
+            .map(|server| self.servers[*server].id.clone())
+            .collect();
+        let mut routing_request = plain_request();
+        routing_request.tried = &tried;
+        routing_request.target_ms = KINDS[request.kind].1;
+        self.digest.number(now);
+        match self.balancers[request.gateway].choose(&routing_request, now / 1_000) {
+            Choice::Send(ticket) => {
+                self.digest.text(&ticket.server.id);
+                self.digest.number(ticket.key);
+                self.requests[number].key = ticket.key;
+                self.servers
+                    .iter()
+                    .position(|server| server.id == ticket.server.id)
+            }
+            Choice::Reject { retry_after_ms } => {
+                self.digest.number(retry_after_ms);
+                None
+            }
+            Choice::NoServer => None,
+        }
+    }
+
+    fn arrive(&mut self, number: usize, server: usize, now: u64) {
+        if self.is_failing(server, now) {
+            self.result.failed_dispatches += 1;
+            self.end(number, server, Outcome::Failed, now);
+            self.schedule(now + 1_000, SimEvent::Dispatch(number));
+            return;
+        }
+        if self
+            .day
+            .failing
+            .as_ref()
+            .is_some_and(|(failing, when)| *failing == server && now >= when.end)
+        {
+            self.result.dispatches_after += 1;
+        }
+        if self.running[server] < SLOTS {
+            self.start(number, server, now);
+        } else if self.waiting[server].len() < QUEUE {
+            self.waiting[server].push_back(number);
+        } else {
+            self.end(number, server, Outcome::Rejected, now);
+            self.schedule(now + 1_000, SimEvent::Dispatch(number));
+        }
+    }
+
+    fn is_failing(&self, server: usize, now: u64) -> bool {
+        self.day
+            .failing
+            .as_ref()
+            .is_some_and(|(failing, when)| *failing == server && when.contains(&now))
+    }
+
+    fn start(&mut self, number: usize, server: usize, now: u64) {
+        self.running[server] += 1;
+        let crowded = self.running[server] as f64 >= NEARLY_FULL * SLOTS as f64;
+        let slowness = self.day.slowness[server] * if crowded { NEARLY_FULL_SLOWNESS } else { 1.0 };
+        let took_us = (self.requests[number].work_ms * slowness * 1_000.0) as u64;
+        self.schedule(now + took_us, SimEvent::Done(number, server));
+    }
+
+    fn done(&mut self, number: usize, server: usize, now: u64) {
+        self.running[server] -= 1;
+        if let Some(next) = self.waiting[server].pop_front() {
+            self.start(next, server, now);
+        }
+        self.end(
+            number,
+            server,
+            Outcome::Served { tokens_out: 0 },
+            now + 1_000,
+        );
+        let request = &self.requests[number];
+        let took_us = now + 1_000 - request.started_at;
+        self.result.served += 1;
+        self.result.took_us += took_us;
+        if took_us > KINDS[request.kind].1 * 1_000 {
+            self.result.late += 1;
+        }
+    }
+
+    fn end(&mut self, number: usize, server: usize, outcome: Outcome, now: u64) {
+        let (gateway, key) = (self.requests[number].gateway, self.requests[number].key);
+        self.own[gateway][server] -= 1;
+        if self.policy == Policy::Balanced {
+            if matches!(outcome, Outcome::Served { .. }) {
+                self.balancers[gateway].first_event(key, now / 1_000);
+            }
+            self.balancers[gateway].finished(key, outcome, now / 1_000);
+        }
+    }
+
+    fn send_report(&mut self, gateway: usize, now: u64) {
+        if self.policy != Policy::Balanced {
+            return;
+        }
+        let reports: Vec<LoadReport> = self.balancers[gateway].load_reports();
+        self.digest.number(now);
+        self.digest.reports(&reports);
+        for faulty in self.balancers[gateway].ejected_for_faults(now / 1_000) {
+            self.digest.text(&faulty);
+        }
+        let name = format!("gateway-{gateway}");
+        for (other, balancer) in self.balancers.iter_mut().enumerate() {
+            if other != gateway {
+                balancer.apply_peer_load(&reports, &name, now / 1_000);
+            }
+        }
+        if now < self.day.length_us {
+            self.schedule(now + REPORT_EVERY_US, SimEvent::SendReport(gateway));
+        }
+    }
+}
+
+/// A hash over all choices, their times and the reports of a day with the balancer.
+pub fn digest(day: &Day) -> u64 {
+    let Fleet {
+        mut digest, result, ..
+    } = play_fleet(day, Policy::Balanced);
+    let counts = [
+        result.not_served,
+        result.late,
+        result.served,
+        result.other_zone,
+        result.failed_dispatches,
+    ];
+    for count in counts {
+        digest.number(count as u64);
+    }
+    digest.number(result.took_us);
+    digest.value()
+}
--- a/crates/serving/routing/tests/simulation.rs
+++ b/crates/serving/routing/tests/simulation.rs
@@ -4,9 +4,11 @@
 mod fleet;
 
 use common::digest::assert_digests;
+use fleet::day::{Day, Growth, Policy};
 use fleet::engine::EngineModel;
+use fleet::play;
+use fleet::result::DayResult;
 use fleet::router::BaselinePolicy;
-use fleet::{play, Day, DayResult, Growth, Policy};
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 /// A random difference between two policies that are equally good.
