--- a/crates/serving/dunespur/src/control_api/handlers.rs
+++ b/crates/serving/dunespur/src/control_api/handlers.rs
@@ -109,13 +109,13 @@
         timeout: Duration,
     ) -> Result<Outcome, Unavailable> {
         let end = Instant::now() + timeout;
-        let mut fence = 0;
+        let mut token = 0;
         loop {
             let left = end.saturating_duration_since(Instant::now());
-            match self.directory.execute(&order(fence), left).await? {
+            match self.directory.execute(&order(token), left).await? {
                 Outcome::Fenced {
                     fencing_token: newer,
-                } if newer > fence => fence = newer,
+                } if newer > token => token = newer,
                 outcome => return Ok(outcome),
             }
         }
@@ -138,12 +138,12 @@
         } else {
             ORDER_TIMEOUT
         };
-        let order = |fence| {
+        let order = |token| {
             Operation::Configure(ConfigurationRequest {
                 kind,
                 base,
                 body: body.to_vec(),
-                fencing_token: fence,
+                fencing_token: token,
             })
         };
         match self.decide(order, timeout).await {
@@ -178,10 +178,10 @@
             return responses::error(StatusCode::BAD_REQUEST, &error.to_string());
         }
         let tolerated_losses = self.tolerated_losses;
-        let order = |fence| Operation::RetireStart {
+        let order = |token| Operation::RetireStart {
             node: node.clone(),
             tolerated_losses,
-            fencing_token: fence,
+            fencing_token: token,
         };
         match self.decide(order, ORDER_TIMEOUT).await {
             Ok(Outcome::Retire(RetirementOutcome::Accepted)) => responses::accepted(),
--- a/crates/serving/dunespur/tests/budgets.rs
+++ b/crates/serving/dunespur/tests/budgets.rs
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn turns_through_all_gateways_at_once_keep_the_budget_and_use_it_whole() {
+async fn turns_through_all_gateways_at_once_keep_the_budget_and_use_all_of_it() {
     let scene = stage(ScenePlan::default()).await;
     let plan = of_turns(6);
     let trunk = Line::new(&scene.client, &plan);
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn a_budget_holds_over_a_kill_of_all_processes() {
+async fn a_budget_survives_a_kill_of_all_processes() {
     let mut scene = stage(ScenePlan::default()).await;
     let plan = of_turns(4);
     let mut line = Line::new(&scene.client, &plan);
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn broken_tries_count() {
+async fn failed_attempts_count() {
     use dunespur_emulator::server::Trouble;
     let scene = stage(ScenePlan::default()).await;
     let plan = ProgramPlan {
--- a/crates/serving/dunespur/tests/cli.rs
+++ b/crates/serving/dunespur/tests/cli.rs
@@ -58,7 +58,7 @@
 }
 
 /// The lines of findings, each behind the file's name.
-fn told(file: &Path, findings: &str) -> String {
+fn reported(file: &Path, findings: &str) -> String {
     findings
         .lines()
         .map(|line| format!("{}: {line}\n", file.display()))
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn help_tells_of_each_command_and_option() {
+fn help_names_each_command_and_option() {
     let overview = run(&["--help"]);
     assert_eq!(code(&overview), DONE);
     let commands = [
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_wrong_command_line_ends_with_2_and_says_why() {
+fn a_wrong_command_line_ends_with_2_and_its_reason() {
     let wrong: [&[&str]; 9] = [
         &[],
         &["serve"],
@@ -121,11 +121,11 @@
 }
 
 #[test]
-fn check_tells_all_findings_of_settings_with_their_places() {
+fn check_prints_all_findings_of_settings_with_their_places() {
     for file in data("settings/bad", "json") {
         let findings = std::fs::read_to_string(file.with_extension("findings")).unwrap();
         let output = run(&["check", "--settings", text(&file)]);
-        assert_eq!(out(&output), told(&file, &findings));
+        assert_eq!(out(&output), reported(&file, &findings));
         assert_eq!(code(&output), HAS_FINDINGS, "{}", file.display());
         assert!(err(&output).is_empty());
     }
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn check_tells_what_a_role_needs() {
+fn check_prints_what_a_role_needs() {
     let file = data("settings/good", "json")
         .into_iter()
         .find(|file| file.ends_with("least.json"))
@@ -153,7 +153,7 @@
     let output = run(&["check", "--role", "store", text(&file)]);
     assert_eq!(
         out(&output),
-        told(&file, "data_dir: is missing, and a store needs a disk")
+        reported(&file, "data_dir: is missing, and a store needs a disk")
     );
     assert_eq!(code(&output), HAS_FINDINGS);
     assert_eq!(
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn check_tells_all_findings_of_a_configuration_with_their_places() {
+fn check_prints_all_findings_of_a_configuration_with_their_places() {
     let folder = TemporaryFolder::new("dunespur-check").unwrap();
     let file = folder.path().join("configuration.json");
     let configuration = json!({
@@ -192,7 +192,10 @@
     )
     .unwrap();
     let output = run(&["check", text(&file)]);
-    assert_eq!(out(&output), told(&file, "configuration 4, no findings"));
+    assert_eq!(
+        out(&output),
+        reported(&file, "configuration 4, no findings")
+    );
     assert_eq!(code(&output), DONE);
 }
 
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn check_ends_with_2_where_it_can_tell_nothing() {
+fn check_ends_with_2_for_what_it_cannot_judge() {
     let folder = TemporaryFolder::new("dunespur-check").unwrap();
     let absent = folder.path().join("absent.json");
     let output = run(&["check", text(&absent)]);
@@ -244,7 +247,7 @@
 }
 
 #[test]
-fn settings_that_cannot_be_used_are_one_line_and_2() {
+fn unusable_settings_are_one_line_and_exit_code_2() {
     for role in ["gateway", "store"] {
         let unset = run(&[role]);
         assert_eq!(code(&unset), UNUSABLE);
@@ -270,7 +273,7 @@
 }
 
 #[test]
-fn log_lines_tell_time_machine_role_and_level() {
+fn log_lines_have_time_machine_role_and_level() {
     let folder = TemporaryFolder::new("dunespur-log").unwrap();
     let mut addresses = AddressBlock::reserve(Ports::default()).unwrap();
     let settings = folder.path().join("node.json");
@@ -291,10 +294,10 @@
 
     write(Ports::default().first_internal);
     let line = Running::start(&["--log-format", "json"], &settings).line();
-    let told: Value = serde_json::from_str(&line).unwrap();
-    assert_eq!(told["node"], "front-1");
-    assert_eq!(told["role"], "gateway");
-    assert_eq!(told["level"], "INFO");
-    assert_eq!(told["text"], "front-1 serves");
-    assert!(told["time"].as_str().unwrap().ends_with('Z'));
+    let reported: Value = serde_json::from_str(&line).unwrap();
+    assert_eq!(reported["node"], "front-1");
+    assert_eq!(reported["role"], "gateway");
+    assert_eq!(reported["level"], "INFO");
+    assert_eq!(reported["text"], "front-1 serves");
+    assert!(reported["time"].as_str().unwrap().ends_with('Z'));
 }
--- a/crates/serving/dunespur/tests/founding.rs
+++ b/crates/serving/dunespur/tests/founding.rs
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test]
-async fn the_founder_may_be_killed_when_it_has_told_the_first_member() {
+async fn the_founder_may_be_killed_when_it_has_answered_the_first_member() {
     for _ in 0..4 {
         let mut scene = begin(seeds_without_disks()).await;
         somebody_reads(&scene).await;
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn a_member_that_comes_late_joins_though_it_was_told_to_bootstrap() {
+async fn a_member_that_comes_late_joins_though_its_settings_say_bootstrap() {
     let mut scene = begin(seeds_without_disks()).await;
     let late = places(&scene, Role::Core)[2];
     scene.system.machine(late).kill();
@@ -180,7 +180,7 @@
 }
 
 #[tokio::test]
-async fn a_machine_whose_seeds_are_gone_but_one_comes_up() {
+async fn a_machine_comes_up_with_one_seed_left() {
     let mut scene = stage(ScenePlan {
         engines: 1,
         plains: 1,
--- a/crates/serving/dunespur/tests/frozen.rs
+++ b/crates/serving/dunespur/tests/frozen.rs
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn a_thawed_core_member_answers_by_nothing_that_it_knew_before() {
+async fn a_thawed_core_member_answers_nothing_out_of_its_old_state() {
     let mut scene = stage(ScenePlan::default()).await;
     let member = places(&scene, Role::Core)[0];
     let frozen = scene.system.control(member);
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn a_thawed_gateway_takes_no_heartbeat_on_an_answer_of_before() {
+async fn a_thawed_gateway_acknowledges_no_heartbeat_by_an_old_answer() {
     let mut scene = stage(ScenePlan {
         engines: 2,
         ..ScenePlan::default()
--- a/crates/serving/dunespur/tests/leaving.rs
+++ b/crates/serving/dunespur/tests/leaving.rs
@@ -10,7 +10,7 @@
 use std::process::Command;
 use std::time::Duration;
 use support::{
-    expect_no_violation, go_on, holder_of_a_turn, line_of, lookup, places, program, programs_for,
+    engine_of_a_turn, expect_no_violation, go_on, line_of, lookup, places, program, programs_for,
     stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
 };
 use tokio::time::Instant;
@@ -21,7 +21,7 @@
 const READY_LIMIT: Duration = Duration::from_secs(4);
 
 #[tokio::test]
-async fn a_gateway_that_is_asked_to_leave_ends_its_streams_whole() {
+async fn a_gateway_that_is_terminated_completes_its_streams() {
     let mut scene = stage(ScenePlan::default()).await;
     let leaving = places(&scene, Role::Gateway)[0];
     for engine in &scene.engines {
@@ -31,7 +31,7 @@
     let ask = line.ask(&scene.client, &"hello".into());
     let (client, front) = (scene.client.clone(), scene.system.front(leaving));
     let turn = tokio::spawn(async move { client.send_to(front, &ask).await });
-    holder_of_a_turn(&scene).await;
+    engine_of_a_turn(&scene).await;
     for engine in &scene.engines {
         engine.server.gate.let_go(5);
     }
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn gateways_that_are_asked_to_leave_are_not_ready_while_they_still_serve() {
+async fn gateways_that_are_terminated_are_not_ready_while_they_still_serve() {
     let mut scene = stage(ScenePlan::default()).await;
     let leaving = [
         places(&scene, Role::Gateway)[0],
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn a_gateway_whose_settings_change_cuts_nothing() {
+async fn a_gateway_whose_settings_change_interrupts_nothing() {
     let mut scene = stage(ScenePlan::default()).await;
     let gateway = places(&scene, Role::Gateway)[0];
     scene
@@ -118,7 +118,7 @@
         scene.turn_ask(),
     );
     let turn = tokio::spawn(async move { client.send_to(front, &ask).await });
-    holder_of_a_turn(&scene).await;
+    engine_of_a_turn(&scene).await;
     let seeds = places(&scene, Role::Core)
         .into_iter()
         .map(|core| scene.system.control(core))
@@ -157,7 +157,7 @@
 }
 
 #[tokio::test]
-async fn a_store_is_emptied_and_taken_away() {
+async fn a_store_is_emptied_and_retired() {
     let mut plan = ScenePlan::default();
     plan.machines.push(MachinePlan::new(Role::Store, "zone-a"));
     let mut scene = stage(plan).await;
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn settings_that_cannot_be_used_are_told_in_one_line() {
+fn unusable_settings_are_reported_in_one_line() {
     let folder = TemporaryFolder::new("dunespur-settings").unwrap();
     let path = folder.path().join("node.json");
     for text in [
@@ -231,7 +231,7 @@
                 .env("DUNESPUR_CONFIG", &path)
                 .output()
                 .unwrap();
-            expect_one_line(&output, text);
+            expect_single_line(&output, text);
         }
     }
     let missing = folder.path().join("missing.json");
@@ -240,17 +240,21 @@
         .env("DUNESPUR_CONFIG", missing)
         .output()
         .unwrap();
-    expect_one_line(&output, "no file");
+    expect_single_line(&output, "no file");
     let output = Command::new(program())
         .arg("gateway")
         .env_remove("DUNESPUR_CONFIG")
         .output()
         .unwrap();
-    expect_one_line(&output, "no variable");
+    expect_single_line(&output, "no variable");
 }
 
-fn expect_one_line(output: &std::process::Output, what: &str) {
-    let told = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(2), "{what:?}: {told}");
-    assert_eq!(told.trim_end().lines().count(), 1, "{what:?}: {told}");
+fn expect_single_line(output: &std::process::Output, what: &str) {
+    let reported = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(2), "{what:?}: {reported}");
+    assert_eq!(
+        reported.trim_end().lines().count(),
+        1,
+        "{what:?}: {reported}"
+    );
 }
--- a/crates/serving/dunespur/tests/homes.rs
+++ b/crates/serving/dunespur/tests/load_aggregators.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
-use support::{expect_no_violation, holder_of_a_turn, places, stage, ORDER_LIMIT};
+use support::{engine_of_a_turn, expect_no_violation, places, stage, ORDER_LIMIT};
 use tokio::time::{sleep, Instant};
 
 /// A heartbeat is answered within this time.
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn a_home_that_is_killed_is_followed_by_the_other_gateway_and_takes_over_again() {
+async fn a_killed_load_aggregator_is_replaced_by_the_other_gateway_and_takes_over_again() {
     let mut scene = stage(ScenePlan::default()).await;
     let [other, home] = gateways(&scene);
     let service = service_at(&scene, home).await;
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn a_gateway_that_leaves_is_not_named_any_more_while_it_still_serves() {
+async fn a_draining_gateway_is_no_load_aggregator_while_it_still_serves() {
     let mut scene = stage(ScenePlan::default()).await;
     let [other, home] = gateways(&scene);
     let service = service_at(&scene, home).await;
@@ -140,12 +140,12 @@
     let ask = scene.turn_ask();
     let (client, front) = (scene.client.clone(), scene.system.front(place));
     let turn = tokio::spawn(async move { client.send_to(front, &ask).await.succeeded() });
-    holder_of_a_turn(scene).await;
+    engine_of_a_turn(scene).await;
     turn
 }
 
 #[tokio::test]
-async fn a_server_drains_in_time_while_the_home_that_it_beats_at_is_frozen() {
+async fn a_server_drains_in_time_while_its_load_aggregator_is_frozen() {
     // The next server after three engines stands in the zone that has two gateways.
     let mut scene = stage(ScenePlan {
         engines: 3,
@@ -168,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn servers_that_beat_at_a_home_without_the_core_go_elsewhere() {
+async fn servers_whose_load_aggregator_has_lost_the_core_go_elsewhere() {
     let mut scene = stage(ScenePlan::default()).await;
     let [_, home] = gateways(&scene);
     let service = service_at(&scene, home).await;
--- a/crates/serving/dunespur/tests/losses.rs
+++ b/crates/serving/dunespur/tests/losses.rs
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn a_wiped_store_is_made_whole_and_the_next_one_may_go() {
+async fn a_wiped_store_is_repaired_and_the_next_one_may_go() {
     with_standstills_apart(|| async {
         let mut scene = stage(ScenePlan::default()).await;
         let mut lines = Vec::new();
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_core_member_holds_nothing_up_for_long() {
+async fn a_frozen_core_member_delays_nothing_for_long() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut version = 1;
     for member in places(&scene, Role::Core) {
--- a/crates/serving/dunespur/tests/orders.rs
+++ b/crates/serving/dunespur/tests/orders.rs
@@ -153,7 +153,7 @@
 }
 
 #[tokio::test]
-async fn an_order_that_came_too_early_is_refused_and_taken_when_it_is_sent_again() {
+async fn an_order_that_came_too_early_is_rejected_and_accepted_when_it_is_repeated() {
     let mut scene = stage(ScenePlan::default()).await;
     let early = patch(9, &[added()], &[]);
     let answer = scene.operator.patch(5, &early, ORDER_LIMIT).await.unwrap();
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn an_invalid_order_is_refused_with_every_finding_and_its_place() {
+async fn an_invalid_order_is_rejected_with_every_finding_and_its_place() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut unknown_service = added();
     unknown_service.backends[0].backend = "nobody".to_owned();
@@ -196,7 +196,7 @@
 }
 
 #[tokio::test]
-async fn what_is_read_back_is_what_was_sent_with_fields_that_nobody_knows() {
+async fn a_configuration_is_read_back_as_submitted_with_unknown_fields() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut whole = scene.plan.configuration.json();
     whole["generation"] = json!(3);
--- a/crates/serving/dunespur/tests/quiet.rs
+++ b/crates/serving/dunespur/tests/quiet.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 #[tokio::test]
-async fn programs_with_kept_turns_tools_and_sub_agents_are_served() {
+async fn programs_with_persisted_turns_tools_and_sub_agents_are_served() {
     let scene = stage(ScenePlan::default()).await;
     let mut plan = usual_program();
     plan.tools = vec![
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn programs_that_send_all_themselves_are_served() {
+async fn programs_that_send_their_complete_history_are_served() {
     let scene = stage(ScenePlan::default()).await;
     let mut plan = usual_program();
     plan.target = format!("{TURNS}chat");
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn several_turns_may_go_on_from_the_same_one() {
+async fn several_turns_may_continue_the_same_one() {
     let scene = stage(ScenePlan::default()).await;
     let mut trunk = Line::new(&scene.client, &usual_program());
     assert!(trunk.turn(&scene.client, &"root".into()).await.succeeded());
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn a_turn_that_goes_on_from_none_is_404_and_runs_nowhere() {
+async fn a_turn_that_continues_an_unknown_one_is_404_and_runs_nowhere() {
     let scene = stage(ScenePlan::default()).await;
     let mut line = Line::new(&scene.client, &usual_program());
     line.set_previous(Some(scene.identities.request()));
@@ -120,7 +120,7 @@
 }
 
 #[tokio::test]
-async fn what_may_run_once_runs_once_though_its_answer_is_lost() {
+async fn a_mutating_request_runs_once_though_its_response_is_lost() {
     use dunespur_emulator::server::Trouble;
     let scene = stage(ScenePlan::default()).await;
     let ask = Ask::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once");
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test]
-async fn what_may_be_repeated_is_served_though_a_server_spoils_its_answers() {
+async fn an_idempotent_request_is_served_though_a_server_spoils_its_responses() {
     use dunespur_emulator::server::Trouble;
     let scene = stage(ScenePlan::default()).await;
     for trouble in [
--- a/crates/serving/dunespur/tests/seeds.rs
+++ b/crates/serving/dunespur/tests/seeds.rs
@@ -42,7 +42,7 @@
 /// A gateway that has not found the core says 503 to everything: it can't know what the configuration allows, which
 /// turns there are, or what is left of a budget.
 #[tokio::test]
-async fn a_gateway_that_knows_no_configuration_refuses_nothing_for_good() {
+async fn a_gateway_without_a_configuration_rejects_nothing_for_good() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut line = line_of(&scene, 1).await;
     let gateway = places(&scene, Role::Gateway)[0];
--- a/crates/serving/dunespur/tests/servers.rs
+++ b/crates/serving/dunespur/tests/servers.rs
@@ -8,7 +8,7 @@
 use dunespur_emulator::record::Fate;
 use dunespur_emulator::scene::{Engine, Scene, ScenePlan, HOST, LOOKUP, RECORD};
 use support::{
-    expect_no_violation, holder_of_a_turn, lookup, programs_for, stage, Stage, DRAIN, RECOVERY,
+    engine_of_a_turn, expect_no_violation, lookup, programs_for, stage, Stage, DRAIN, RECOVERY,
 };
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
@@ -43,7 +43,7 @@
     };
     let client = scene.client.clone();
     let turn = tokio::spawn(async move { client.send(&ask).await });
-    (holder_of_a_turn(scene).await, turn)
+    (engine_of_a_turn(scene).await, turn)
 }
 
 /// Requests that an engine has seen.
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn a_server_that_leaves_without_draining_ends_what_it_has_and_gets_nothing_new() {
+async fn a_server_that_leaves_without_draining_completes_what_it_has_and_gets_nothing_new() {
     let scene = patient_stage().await;
     let (holder, turn) = held_turn(&scene).await;
     let leaving = &scene.engines[holder].registration;
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn a_server_that_drains_for_seconds_beyond_the_bound_ends_what_it_has() {
+async fn a_server_that_drains_for_seconds_beyond_the_bound_completes_what_it_has() {
     let scene = patient_stage().await;
     let (holder, turn) = held_turn(&scene).await;
     scene.engines[holder].registration.drain().await;
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn a_server_that_crashed_holds_nothing_up_and_is_forgotten() {
+async fn a_server_that_crashed_delays_nothing_and_expires() {
     let mut scene = stage(ScenePlan::default()).await;
     let crashed = scene.plains.remove(0);
     crashed.registration.fall_silent();
@@ -178,7 +178,7 @@
 }
 
 #[tokio::test]
-async fn requests_wait_or_are_refused_in_time_where_all_places_are_taken() {
+async fn requests_queue_or_are_rejected_in_time_where_all_slots_are_taken() {
     let scene = stage(ScenePlan::default()).await;
     for plain in &scene.plains {
         plain.server.gate.hold();
--- a/crates/serving/dunespur/tests/status.rs
+++ b/crates/serving/dunespur/tests/status.rs
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn every_process_tells_how_it_is() {
+async fn every_process_reports_its_status() {
     let scene = stage(ScenePlan::default()).await;
     for _ in 0..2 {
         assert_eq!(
@@ -203,7 +203,7 @@
 }
 
 #[tokio::test]
-async fn the_budget_of_one_program_is_told() {
+async fn the_budget_of_one_program_is_reported() {
     let scene = stage(ScenePlan::default()).await;
     let line = line_of(&scene, 1).await;
     let name = line.program().to_owned();
@@ -223,7 +223,7 @@
 }
 
 #[tokio::test]
-async fn a_process_out_of_touch_says_so() {
+async fn a_process_that_lost_contact_reports_it() {
     let folder = TemporaryFolder::new("dunespur-status").unwrap();
     let mut addresses = AddressBlock::reserve(Ports::default()).unwrap();
     let ip = addresses.next().unwrap();
@@ -244,7 +244,7 @@
 }
 
 #[tokio::test]
-async fn no_answer_is_1() {
+async fn no_answer_is_exit_code_1() {
     let nobody = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 255, 255, 1)), 1);
     let output = ask(nobody, &[]).await;
     assert_eq!(output.status.code(), Some(NO_ANSWER));
--- a/crates/serving/dunespur/tests/support/mod.rs
+++ b/crates/serving/dunespur/tests/support/mod.rs
@@ -115,7 +115,7 @@
 }
 
 /// Waits until one of the two engines, whose gates are held, has a turn; which one that is.
-pub async fn holder_of_a_turn(scene: &Scene) -> usize {
+pub async fn engine_of_a_turn(scene: &Scene) -> usize {
     let [first, second] = [&scene.engines[0].server.gate, &scene.engines[1].server.gate];
     tokio::select! {
         () = first.waiting(1) => 0,
--- a/crates/serving/dunespur/tests/unreadable.rs
+++ b/crates/serving/dunespur/tests/unreadable.rs
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn stores_with_spoilt_files_are_made_whole_one_after_the_other() {
+async fn stores_with_spoilt_files_are_repaired_one_after_the_other() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut lines = Vec::new();
     for _ in 0..8 {
--- a/crates/serving/dunespur/tests/upgrading.rs
+++ b/crates/serving/dunespur/tests/upgrading.rs
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_system_is_replaced_at_once() {
+async fn a_complete_system_is_replaced_at_once() {
     with_standstills_apart(|| async {
         let (mut scene, mut lines, version) = earlier_stage().await;
         scene.system.kill_all();
