--- a/crates/serving/chain-replication/src/agreement.rs
+++ b/crates/serving/chain-replication/src/agreement.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The number of one proposal (Lamport's ballot number). Greater numbers take precedence over lesser ones; no two
-/// attempts share one, as it names its proposer and the run of the proposer's process.
+/// attempts have the same one, as it names its proposer and the run of the proposer's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProposalNumber {
     /// Above that of every number that the proposer has promised.
--- a/crates/serving/chain-replication/src/failure_detector.rs
+++ b/crates/serving/chain-replication/src/failure_detector.rs
@@ -1,5 +1,5 @@
-//! The failure detector: what a member knows of the others from their pings. Whom it hears, who hears it, and who is
-//! connected with whom.
+//! The failure detector: what a member knows of the others from their pings. From whom messages
+//! arrive, who receives ours, and who is connected with whom.
 
 use crate::identity::MemberId;
 use crate::message::Ping;
@@ -14,15 +14,15 @@
 struct PeerState {
     id: MemberId,
     /// When a message of it last came, or what counts as that after our own suspension.
-    last_heard_at: Millis,
+    last_received_at: Millis,
     /// Its connection was refused or reset then, and nothing of it has come since.
     disconnected_at: Option<Millis>,
     /// When we sent the newest of our timestamps that it has echoed.
     echoed_sent_at: Option<Millis>,
     /// The view that it was in when it echoed that.
     echoed_in_view: ViewNumber,
-    /// Until then it is taken to hear us without an echo.
-    presumed_hearing_until: Millis,
+    /// Until then it is presumed to receive our pings without an echo.
+    presumed_receiving_until: Millis,
     /// Its newest timestamp, to be echoed.
     timestamp: Option<u64>,
     last_ping: Option<Ping>,
@@ -37,11 +37,11 @@
     fn new(id: MemberId, now: Millis) -> PeerState {
         PeerState {
             id,
-            last_heard_at: now,
+            last_received_at: now,
             disconnected_at: None,
             echoed_sent_at: None,
             echoed_in_view: 0,
-            presumed_hearing_until: now + ECHO_TIMEOUT,
+            presumed_receiving_until: now + ECHO_TIMEOUT,
             timestamp: None,
             last_ping: None,
             evictions: 0,
@@ -50,9 +50,9 @@
         }
     }
 
-    /// When it becomes suspected, unless it is heard before.
+    /// When it becomes suspected, unless a message arrives before.
     fn suspected_at(&self) -> Millis {
-        let by_timeout = self.last_heard_at + SUSPECT_TIMEOUT;
+        let by_timeout = self.last_received_at + SUSPECT_TIMEOUT;
         self.disconnected_at.map_or(by_timeout, |at| {
             by_timeout.min(at + SUSPECT_TIMEOUT_AFTER_DISCONNECT)
         })
@@ -67,14 +67,14 @@
             .is_some_and(|sent_at| now < sent_at + ECHO_TIMEOUT)
     }
 
-    fn hears_us(&self, now: Millis) -> bool {
-        now < self.presumed_hearing_until || self.has_echoed_lately(now)
+    fn receives_pings(&self, now: Millis) -> bool {
+        now < self.presumed_receiving_until || self.has_echoed_lately(now)
     }
 }
 
-/// Whether a ping tells anything that bears on who should be in the chain.
+/// Whether a ping reports anything new that bears on who should be in the chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PingNews {
+pub(crate) enum PingReport {
     Unchanged,
     Changed,
 }
@@ -125,9 +125,9 @@
     }
 
     /// Any message of it has come.
-    pub(crate) fn heard(&mut self, id: &MemberId, now: Millis) {
+    pub(crate) fn message_received(&mut self, id: &MemberId, now: Millis) {
         if let Some(peer) = self.peer_mut(id) {
-            peer.last_heard_at = now;
+            peer.last_received_at = now;
             peer.disconnected_at = None;
         }
     }
@@ -138,9 +138,9 @@
         id: &MemberId,
         ping: Ping,
         echoed_sent_at: Option<Millis>,
-    ) -> PingNews {
+    ) -> PingReport {
         let Some(peer) = self.peer_mut(id) else {
-            return PingNews::Unchanged;
+            return PingReport::Unchanged;
         };
         let first_echo = peer.echoed_sent_at.is_none();
         peer.timestamp = Some(ping.timestamp);
@@ -154,9 +154,9 @@
             .is_some_and(|last| reports_same(last, &ping));
         peer.last_ping = Some(ping);
         if first_echo || !reports_same {
-            PingNews::Changed
+            PingReport::Changed
         } else {
-            PingNews::Unchanged
+            PingReport::Unchanged
         }
     }
 
@@ -172,13 +172,14 @@
             .is_some_and(|peer| peer.disconnected_at.is_some())
     }
 
-    /// Our own process was suspended: what wasn't heard meanwhile says nothing. Everyone gets some time to be heard.
+    /// Our own process was suspended: what didn't arrive meanwhile says nothing. Everyone gets some time
+    /// for a message to arrive.
     pub(crate) fn grant_grace_period(&mut self, now: Millis) {
         for peer in &mut self.peers {
             let earliest = (now + GRACE_PERIOD).saturating_sub(SUSPECT_TIMEOUT);
-            peer.last_heard_at = peer.last_heard_at.max(earliest);
+            peer.last_received_at = peer.last_received_at.max(earliest);
             peer.disconnected_at = None;
-            peer.presumed_hearing_until = peer.presumed_hearing_until.max(now + GRACE_PERIOD);
+            peer.presumed_receiving_until = peer.presumed_receiving_until.max(now + GRACE_PERIOD);
             peer.eligible_since = None;
         }
     }
@@ -190,18 +191,18 @@
         }
     }
 
-    /// Heard lately.
+    /// A message of it has come lately.
     pub(crate) fn is_alive(&self, id: &MemberId, now: Millis) -> bool {
         self.peer(id).is_some_and(|peer| peer.is_alive(now))
     }
 
-    /// Alive, and taken to hear us.
+    /// Alive, and presumed to receive our pings.
     pub(crate) fn is_connected(&self, id: &MemberId, now: Millis) -> bool {
         self.peer(id)
-            .is_some_and(|peer| peer.is_alive(now) && peer.hears_us(now))
+            .is_some_and(|peer| peer.is_alive(now) && peer.receives_pings(now))
     }
 
-    /// Alive, and shown to hear us.
+    /// Alive, and shown by an echo to receive our pings.
     pub(crate) fn is_confirmed_connected(&self, id: &MemberId, now: Millis) -> bool {
         self.peer(id)
             .is_some_and(|peer| peer.is_alive(now) && peer.has_echoed_lately(now))
@@ -217,21 +218,21 @@
         })
     }
 
-    /// Was heard lately, in this view: for tests that remove `Safeguard::QuorumBySendTime`.
-    pub(crate) fn was_heard_lately(&self, id: &MemberId, view: ViewNumber, now: Millis) -> bool {
+    /// A message of it has come lately, and its last ping was of this view: for tests that remove `Safeguard::QuorumBySendTime`.
+    pub(crate) fn was_received_lately(&self, id: &MemberId, view: ViewNumber, now: Millis) -> bool {
         self.peer(id).is_some_and(|peer| {
             let same_view = peer
                 .last_ping
                 .as_ref()
                 .is_some_and(|ping| ping.view == view);
-            now <= peer.last_heard_at + QUORUM_TIMEOUT && same_view
+            now <= peer.last_received_at + QUORUM_TIMEOUT && same_view
         })
     }
 
-    /// Time since anything was heard of it.
+    /// Time since the last message of it.
     pub(crate) fn silent_for(&self, id: &MemberId, now: Millis) -> Millis {
         self.peer(id)
-            .map_or(0, |peer| now.saturating_sub(peer.last_heard_at))
+            .map_or(0, |peer| now.saturating_sub(peer.last_received_at))
     }
 
     /// Its newest ping, if it was in this view then.
@@ -242,7 +243,7 @@
             .filter(|ping| ping.view == view)
     }
 
-    /// Whether it has said that its process is about to end, in whichever view. One that comes back takes it back.
+    /// Whether it has announced that its process is about to end, in whichever view; its next process revokes that.
     pub(crate) fn is_leaving(&self, id: &MemberId) -> bool {
         self.peer(id)
             .and_then(|peer| peer.last_ping.as_ref())
@@ -285,7 +286,7 @@
     }
 }
 
-/// Whether two pings tell the same as to who should be in the chain.
+/// Whether two pings report the same as to who should be in the chain.
 fn reports_same(one: &Ping, other: &Ping) -> bool {
     one.view == other.view
         && one.connected == other.connected
--- a/crates/serving/chain-replication/src/lib.rs
+++ b/crates/serving/chain-replication/src/lib.rs
@@ -1,6 +1,6 @@
 //! Chain replication under an agreed view, as state machines without I/O.
 //!
-//! A [`Member`] takes part in keeping one replicated log of opaque payloads. Writes enter at the head of the chain and
+//! A [`Member`] is one replica of a log of opaque payloads. Writes enter at the head of the chain and
 //! pass down it (van Renesse and Schneider, *Chain Replication for Supporting High Throughput and Availability*, OSDI
 //! 2004); each member syncs an entry to disk before it forwards it. What the tail has on disk is committed, and the
 //! commit index travels back up to the head. Who is in the chain is a [`View`]; the view after the present one is
@@ -12,7 +12,7 @@
 //! * Each member keeps on disk its *synced view*: the newest view in which its log came to include all that its
 //!   predecessor's log included (for the head: the view in which it was chosen as head). A commit in a view needs every
 //!   member of its chain, synced in that view.
-//! * A promise in the agreement on the next view seals the present one: the member takes no further part in its chain.
+//! * A promise in the agreement on the next view seals the present one: the member no longer participates in its chain.
 //! * The chain has at least a majority of the members, so every majority that decides the next view contains a member
 //!   of the chain. If all of those were synced in the view, each of them has all that was committed there. If one of
 //!   them was not, nothing was committed there, nor ever will be: then what counts is what was committed before it. The
@@ -21,8 +21,8 @@
 //!   before its syncs count.
 //!
 //! Members out of the chain learn the commits from the tail, so that they delay the chain little when they are
-//! readmitted. What is observed of the members, by pings that tell who is connected with whom, and which view there
-//! should be by that are kept apart: [`reconfiguration`] has no state.
+//! readmitted. What is observed of the members, by pings that report who is connected with whom, and which view there
+//! should be by that are separate: [`reconfiguration`] has no state.
 //!
 //! # Reading order
 //!
--- a/crates/serving/chain-replication/src/limits.rs
+++ b/crates/serving/chain-replication/src/limits.rs
@@ -1,6 +1,6 @@
 //! Bounds on counts and bytes.
 
-/// Members that are gone are kept in the view if there are no more than this.
+/// Unreachable members stay in the view if there are no more members than this.
 pub const MIN_MEMBERS: usize = 3;
 /// No more members than this.
 pub const MAX_MEMBERS: usize = 7;
@@ -29,7 +29,7 @@
 pub const MIN_COMPACTION_BYTES: usize = 1 << 20;
 /// A snapshot is taken when this many bytes of entries were committed, however large the last one is.
 pub const MAX_COMPACTION_BYTES: usize = 2 << 20;
-/// Bytes of entries that stay in memory, some of them before the snapshot, for members that were away briefly.
+/// Bytes of entries that stay in memory, some of them before the snapshot, for members that were down briefly.
 pub const RETAINED_LOG_BYTES: usize = 2 << 20;
 /// The same while a snapshot is on its way to a member, which goes on from there.
 pub const RETAINED_LOG_BYTES_DURING_TRANSFER: usize = 16 << 20;
--- a/crates/serving/chain-replication/src/member/acceptor.rs
+++ b/crates/serving/chain-replication/src/member/acceptor.rs
@@ -70,8 +70,8 @@
         self.send_vote_when_persisted(from, message);
     }
 
-    /// Messages of the agreement say which view is to be decided: of later views this member asks to learn, for earlier
-    /// ones the sender is told the present view. Whether this member votes on the view, and the sender may ask for that.
+    /// Whether this member votes on a view, and the sender may request that. A later view than the next one shows that this
+    /// member missed a decision, and it requests the view; to the proposer of an earlier one it sends the present view.
     fn is_votable(&mut self, from: &MemberId, view: ViewNumber) -> bool {
         let Some(present) = self.view() else {
             return false;
--- a/crates/serving/chain-replication/src/member/commit.rs
+++ b/crates/serving/chain-replication/src/member/commit.rs
@@ -17,7 +17,7 @@
         self.commit_and_acknowledge(index.min(self.persisted_index));
     }
 
-    /// Commits up to `index`, and tells the predecessor if that is news.
+    /// Commits up to `index`, and acknowledges to the predecessor if that is more than before.
     pub(super) fn commit_and_acknowledge(&mut self, index: LogIndex) {
         if index > self.commit_index {
             self.commit(index);
--- a/crates/serving/chain-replication/src/member/compact.rs
+++ b/crates/serving/chain-replication/src/member/compact.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Removes entries that the snapshot includes from memory, all but the newest, which are kept for members that were
-    /// away briefly, and those that a member needs which a snapshot is on its way to.
+    /// Removes entries that the snapshot includes from memory, all but the newest, which are retained for members that
+    /// were down briefly, and those that a member needs which a snapshot is on its way to.
     fn compact_log(&mut self) {
         let on_disk = self.snapshots.on_disk_index;
         let outgoing = self.snapshots.outgoing.iter();
--- a/crates/serving/chain-replication/src/member/install.rs
+++ b/crates/serving/chain-replication/src/member/install.rs
@@ -15,7 +15,7 @@
         }
     }
 
-    /// The one place where the view changes.
+    /// Every change of the view goes through here.
     pub(super) fn install_view(&mut self, decided: DecidedView) {
         self.write_queue.write(Write::InstallView {
             decided: decided.clone(),
--- a/crates/serving/chain-replication/src/member/io.rs
+++ b/crates/serving/chain-replication/src/member/io.rs
@@ -29,7 +29,7 @@
         /// What to append.
         payload: Vec<u8>,
     },
-    /// Say when all that is committed now is applied here (a linearizable read).
+    /// Give [`Output::ReadReady`] once all that is committed now is applied here (a linearizable read).
     Read {
         /// Comes back with the output.
         ticket: Ticket,
@@ -44,12 +44,12 @@
         /// The first view.
         view: View,
     },
-    /// Ask to be added to the view that these know.
+    /// Request to be added to the view that these know.
     Join {
         /// Addresses of core members.
         contacts: Vec<SocketAddr>,
     },
-    /// Ask to be removed from the chain, as the process is about to end.
+    /// Request to be removed from the chain, as the process is about to end.
     Leave,
     /// The caller's state after the commit at `index`: the reply to [`Output::TakeSnapshot`].
     SnapshotTaken {
--- a/crates/serving/chain-replication/src/member/join.rs
+++ b/crates/serving/chain-replication/src/member/join.rs
@@ -34,10 +34,10 @@
 
     pub(super) fn join(&mut self, contacts: Vec<SocketAddr>) {
         self.seek_membership(contacts);
-        self.ask_to_join();
+        self.request_to_join();
     }
 
-    /// Starts to ask for membership, unless this is a member.
+    /// Starts to request membership, unless this is a member.
     pub(super) fn seek_membership(&mut self, contacts: Vec<SocketAddr>) {
         if self.is_member() || self.leaving {
             self.join_attempt = None;
@@ -54,7 +54,7 @@
         }
     }
 
-    fn ask_to_join(&mut self) {
+    fn request_to_join(&mut self) {
         let now = self.now;
         let Some(attempt) = self
             .join_attempt
@@ -95,7 +95,7 @@
         let now = self.now;
         self.joiners.retain(|other| other.is_alive(now));
         if let Some(known) = self.joiners.iter_mut().find(|other| other.peer == joiner) {
-            known.asked_again(now);
+            known.requested_again(now);
         } else if self.joiners.len() < MAX_JOINERS {
             self.joiners.push(Joiner::new(joiner, now));
             self.joiners
@@ -112,7 +112,7 @@
     }
 
     pub(super) fn tick_join(&mut self) {
-        self.ask_to_join();
+        self.request_to_join();
     }
 
     pub(super) fn next_join_tick(&self) -> Option<Millis> {
--- a/crates/serving/chain-replication/src/member/learn.rs
+++ b/crates/serving/chain-replication/src/member/learn.rs
@@ -16,7 +16,7 @@
         self.stage == Stage::OutOfChain && !self.leaving && self.is_member()
     }
 
-    /// Asks the tail for what is committed after the end of the log here.
+    /// Requests from the tail what is committed after the end of the log here.
     fn fetch_committed(&mut self) {
         let Some(tail) = self.view().and_then(|view| view.tail()).cloned() else {
             return;
@@ -26,7 +26,7 @@
         self.send(&tail, Message::FetchCommitted(resume));
     }
 
-    /// Something that was committed is waited for: a learner asks for it at once.
+    /// Something that was committed is waited for: a learner requests it at once.
     pub(super) fn fetch_committed_now(&mut self) {
         if self.is_learner() {
             self.fetch_committed();
@@ -63,7 +63,7 @@
             return;
         }
         if self.is_disk_stalled() {
-            // Nothing is kept in memory for a disk that doesn't answer.
+            // Nothing is buffered in memory for a disk that doesn't answer.
             self.learner.next_fetch_at = self.now + LEARN_RETRY;
         } else {
             self.fetch_committed();
--- a/crates/serving/chain-replication/src/member/mod.rs
+++ b/crates/serving/chain-replication/src/member/mod.rs
@@ -8,7 +8,7 @@
 //! 4. `persist`: writes go to the disk in batches, and what waited for them goes on;
 //! 5. `commit`: what the tail has on disk is committed, and the commit index travels back up;
 //! 6. `apply`: commits are given out to the caller, in order;
-//! 7. `notify`: the caller is told about submissions and reads that ended, and about views and quorums.
+//! 7. `notify`: the caller learns which submissions and reads have ended, and of views and quorums.
 //!
 //! Beside it: `reads` (linearizable reads), `learn` (members out of the chain), `compact`, `send_snapshot` and
 //! `receive_snapshot` (snapshots), `ping` (heartbeats), `join` (bootstrap, joining, leaving), `install` (a new view takes
@@ -268,7 +268,8 @@
                 self.failure_detector
                     .has_replied_lately(id, view.number, now)
             } else {
-                self.failure_detector.was_heard_lately(id, view.number, now)
+                self.failure_detector
+                    .was_received_lately(id, view.number, now)
             }
         };
         let others = view.members.iter().filter(|member| has_replied(&member.id));
@@ -276,7 +277,7 @@
     }
 
     /// Whether what is submitted here is likely to be committed soon: this member [has a
-    /// quorum](Member::has_quorum) and is synced in the chain. One that was removed hears the others, but no commits.
+    /// quorum](Member::has_quorum) and is synced in the chain. One that was removed receives pings, but no commits.
     #[must_use]
     pub fn can_commit(&self, now: Millis) -> bool {
         // A member may be sealed before it has caught up.
--- a/crates/serving/chain-replication/src/member/notify.rs
+++ b/crates/serving/chain-replication/src/member/notify.rs
@@ -1,4 +1,4 @@
-//! Notify: the caller is told about submissions and reads that ended, and about views and quorums.
+//! Notify: the caller learns which submissions and reads have ended, and of views and quorums.
 
 use super::{Member, Output};
 use crate::log::{Origin, Ticket};
--- a/crates/serving/chain-replication/src/member/ping.rs
+++ b/crates/serving/chain-replication/src/member/ping.rs
@@ -1,7 +1,7 @@
 //! Pings: heartbeats that tell which members hear each other, and what bears on who should be in the chain.
 
 use super::{Member, Output};
-use crate::failure_detector::PingNews;
+use crate::failure_detector::PingReport;
 use crate::identity::{MemberId, Peer};
 use crate::message::{Message, Ping};
 use crate::timing::{Millis, PING_INTERVAL, VIEW_REQUEST_GAP};
@@ -81,7 +81,7 @@
         let echoed_sent_at = ping
             .echoed_timestamp
             .and_then(|echoed| self.sent_at(echoed));
-        let news = self
+        let report = self
             .failure_detector
             .ping_received(&sender.id, ping, echoed_sent_at);
         if view < self.view_number() {
@@ -92,8 +92,8 @@
         if reply_requested {
             self.ping(sender, Reply::NotRequested);
         }
-        // Without news the next tick is soon enough.
-        if news == PingNews::Changed {
+        // Otherwise the next tick is soon enough.
+        if report == PingReport::Changed {
             self.drive_proposer();
         }
     }
--- a/crates/serving/chain-replication/src/member/propose.rs
+++ b/crates/serving/chain-replication/src/member/propose.rs
@@ -127,7 +127,7 @@
 
     fn has_too_much_uncommitted(&self) -> bool {
         let too_many = self.log.last().index - self.commit_index >= MAX_UNCOMMITTED;
-        // Counting the uncommitted bytes takes long, those of the whole log none.
+        // Counting the uncommitted bytes takes long, those of the complete log none.
         let too_large = || {
             self.log.size_bytes() > MAX_UNCOMMITTED_BYTES
                 && self.log.bytes_after(self.commit_index) > MAX_UNCOMMITTED_BYTES
--- a/crates/serving/chain-replication/src/member/reads.rs
+++ b/crates/serving/chain-replication/src/member/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads. A request passes along the whole chain, which shows that each member of it still is one; the tail
+//! Linearizable reads. A request passes along the complete chain, which shows that each member of it still is one; the tail
 //! replies with its commit index, and the read is ready once that much is applied here.
 
 use super::state::requests::{ConfirmedReads, PendingRead};
--- a/crates/serving/chain-replication/src/member/receive.rs
+++ b/crates/serving/chain-replication/src/member/receive.rs
@@ -8,7 +8,7 @@
 impl Member {
     pub(super) fn receive(&mut self, from: MemberId, message: Message) {
         let was_disconnected = self.failure_detector.is_disconnected(&from);
-        self.failure_detector.heard(&from, self.now);
+        self.failure_detector.message_received(&from, self.now);
         if was_disconnected {
             self.on_reconnected(&from);
         }
--- a/crates/serving/chain-replication/src/member/replicate.rs
+++ b/crates/serving/chain-replication/src/member/replicate.rs
@@ -33,7 +33,7 @@
 impl Member {
     // --- the role in the chain ---
 
-    /// The one place where the stage changes.
+    /// Every change of the stage goes through here.
     fn enter(&mut self, stage: Stage) {
         self.stage = stage;
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// After a promise this member takes no further part in the chain of the present view.
+    /// After a promise this member no longer participates in the chain of the present view.
     pub(super) fn seal(&mut self) {
         if self.stage != Stage::OutOfChain && self.safeguards.has(Safeguard::CheckViews) {
             self.enter(Stage::Sealed);
@@ -121,12 +121,12 @@
         if view > self.view_number() {
             self.request_view_from(from);
         }
-        let takes_part = !matches!(self.stage, Stage::OutOfChain | Stage::Sealed);
+        let participates = !matches!(self.stage, Stage::OutOfChain | Stage::Sealed);
         if !self.safeguards.has(Safeguard::CheckViews) {
-            return takes_part;
+            return participates;
         }
         let expected = self.view().and_then(|view| neighbour.of(&self.me.id, view));
-        takes_part && view == self.view_number() && expected == Some(from)
+        participates && view == self.view_number() && expected == Some(from)
     }
 
     // --- from the predecessor ---
@@ -135,7 +135,7 @@
         self.safeguards.has(Safeguard::CatchUpBeforeSync)
     }
 
-    /// Asks the predecessor to send from where the log here ends.
+    /// Requests entries from the predecessor, from where the log here ends.
     fn request_resume(&mut self) {
         let Some(predecessor) = self.predecessor() else {
             return;
@@ -158,11 +158,11 @@
             return;
         }
         if !self.continues_log(append.previous) {
-            let asked_just_now = self
+            let requested_just_now = self
                 .upstream
                 .resume_sent_at
                 .is_some_and(|at| self.now < at + RESUME_MIN_GAP);
-            if !asked_just_now {
+            if !requested_just_now {
                 self.request_resume();
             }
             return;
@@ -187,7 +187,7 @@
         previous.index <= self.commit_index || self.log.matches(previous)
     }
 
-    /// Takes an entry into the log, in place of another one that can't have been committed.
+    /// Adds an entry to the log, replacing another one that can't have been committed.
     pub(super) fn accept_entry(&mut self, entry: Entry) {
         let index = entry.index();
         if index <= self.commit_index || self.log.matches(entry.position) {
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Asks the successor whether it has what was sent to it.
+    /// Queries whether the successor has what was sent to it.
     fn query_successor(&mut self) {
         let Some(successor) = self.successor() else {
             return;
@@ -354,7 +354,7 @@
         }
     }
 
-    /// When to ask the successor, from which nothing has come.
+    /// When to query the successor, which has acknowledged nothing.
     fn next_query(&self) -> Option<Millis> {
         let is_unacknowledged =
             !self.downstream.is_established || self.commit_index < self.downstream.sent_index;
--- a/crates/serving/chain-replication/src/member/state/agreement.rs
+++ b/crates/serving/chain-replication/src/member/state/agreement.rs
@@ -6,7 +6,7 @@
 use crate::next_view::SealedLog;
 use crate::timing::Millis;
 
-/// What this member has promised and accepted; on disk before anyone is told. A promise seals the present view here.
+/// What this member has promised and accepted; on disk before it is sent. A promise seals the present view here.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Acceptor {
     pub(crate) promised: Option<ProposalNumber>,
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Proposer {
     Idle,
-    /// The last attempt failed; no further one before this time.
+    /// The last attempt failed; no other one before this time.
     BackingOff {
         until: Millis,
     },
--- a/crates/serving/chain-replication/src/member/state/learner.rs
+++ b/crates/serving/chain-replication/src/member/state/learner.rs
@@ -5,8 +5,8 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Learner {
-    /// When to ask the tail next.
+    /// When to fetch from the tail next.
     pub(crate) next_fetch_at: Millis,
-    /// The tail has told that all up to here is committed.
+    /// The tail has reported that all up to here is committed.
     pub(crate) known_commit_index: LogIndex,
 }
--- a/crates/serving/chain-replication/src/member/state/replication.rs
+++ b/crates/serving/chain-replication/src/member/state/replication.rs
@@ -21,12 +21,12 @@
 /// The stream from the predecessor.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Upstream {
-    /// When this member last asked the predecessor to send from its position.
+    /// When this member last requested entries from its position.
     pub(crate) resume_sent_at: Option<Millis>,
 }
 
 impl Upstream {
-    /// A snapshot is on its way: no need to ask the predecessor again.
+    /// A snapshot is on its way: no need to request entries.
     pub(crate) fn snapshot_received(&mut self, now: Millis) {
         self.resume_sent_at = Some(now);
     }
--- a/crates/serving/chain-replication/src/member/state/snapshots.rs
+++ b/crates/serving/chain-replication/src/member/state/snapshots.rs
@@ -30,7 +30,7 @@
     ended: Vec<EndedTransfer>,
     pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) rejections: SnapshotRejections,
-    /// When the caller was asked to take one.
+    /// When the caller was requested to take one.
     pub(crate) requested_at: Option<Millis>,
 }
 
@@ -57,13 +57,13 @@
         self.outgoing.retain(|outgoing| outgoing.to != *member);
     }
 
-    /// In another view others may need one. What is on its way goes on if it is asked for again.
+    /// In another view others may need one. What is in transfer goes on if it is requested again.
     pub(crate) fn forget_requests(&mut self) {
         self.wanted_by.clear();
         self.ended.clear();
     }
 
-    /// Whether the log is to be compacted. A new snapshot is worth its writing when as much has come to the log as the
+    /// Whether the log is to be compacted. A new snapshot pays when as much has come to the log as the
     /// last one is large: what is written for snapshots stays within what is written for entries, up to the bound of the
     /// log.
     pub(crate) fn is_compaction_due(&self) -> bool {
@@ -92,7 +92,7 @@
         });
     }
 
-    /// When to ask the caller again.
+    /// When to request one from the caller again.
     pub(crate) fn next_request(&self) -> Option<Millis> {
         let is_wanted = self.wanted_for_log || !self.wanted_by.is_empty();
         self.requested_at
--- a/crates/serving/chain-replication/src/message.rs
+++ b/crates/serving/chain-replication/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between members.
 //!
 //! They are encoded by postcard, which goes by the position of fields and variants, not by their names: a new variant
-//! goes to the end, and nothing changes places (`tests/encodings.rs`).
+//! goes to the end, and nothing moves (`tests/encodings.rs`).
 
 use crate::agreement::{AcceptedView, DecidedView, ProposalNumber};
 use crate::identity::{MemberId, Peer};
@@ -20,9 +20,9 @@
         /// The first view.
         view: View,
     },
-    /// A joiner asks to be added.
+    /// A joiner requests to be added.
     Join {
-        /// Who asks.
+        /// The new member.
         joiner: Peer,
     },
     /// A view was decided: sent to its members, and to whoever seems not to know it.
@@ -33,7 +33,7 @@
     /// A heartbeat.
     Ping(Ping),
 
-    /// Paxos, phase 1a: asks for a promise to accept nothing below a number, in the agreement on the view after `decided`.
+    /// Paxos, phase 1a: requests a promise to accept nothing below a number, in the agreement on the view after `decided`.
     Prepare {
         /// The number to promise.
         proposal_number: ProposalNumber,
@@ -49,7 +49,7 @@
         /// What was promised.
         promised: ProposalNumber,
     },
-    /// Paxos, phase 2a: asks to accept a view.
+    /// Paxos, phase 2a: requests to accept a view.
     Accept {
         /// The number that a majority has promised.
         proposal_number: ProposalNumber,
@@ -130,7 +130,7 @@
     },
 }
 
-/// A heartbeat. Numbers of views are 0 at a member that knows none.
+/// A heartbeat. View numbers are 0 at a member that knows none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ping {
     /// Where the sender is reached: the receiver may not know it from its view.
@@ -147,7 +147,7 @@
     pub synced: bool,
     /// The sender's disk hasn't completed a batch for long.
     pub disk_stalled: bool,
-    /// The sender asks to be removed from the chain.
+    /// The sender requests to be removed from the chain.
     pub leaving: bool,
     /// The sender has applied the commits up to here.
     pub commit_index: LogIndex,
--- a/crates/serving/chain-replication/src/next_view.rs
+++ b/crates/serving/chain-replication/src/next_view.rs
@@ -7,7 +7,7 @@
 use crate::reconfiguration::Plan;
 use crate::view::{View, ViewNumber};
 
-/// The log of a member that has promised: it takes no further part in the view that is to end.
+/// The log of a member that has promised: it no longer participates in the view that is to end.
 #[derive(Clone, Copy, Debug)]
 pub struct SealedLog<'a> {
     /// Whose log it is.
@@ -44,7 +44,7 @@
 /// them.
 ///
 /// A commit in a view needs every member of its chain, synced in it. If one of them has promised without having synced,
-/// nothing was committed in the view, nor ever will be: what was enough for it is enough for the next one. To ask for a
+/// nothing was committed in the view, nor ever will be: what was enough for it is enough for the next one. To require a
 /// member that has synced in it all the same would make the head the only complete replica right after each change, and
 /// its loss the end of the core.
 fn base_after(decided: &DecidedView, sealed: &[SealedLog]) -> Option<ViewNumber> {
@@ -66,7 +66,7 @@
 ) -> Option<Vec<MemberId>> {
     let stays = |log: &&SealedLog| plan.members.iter().any(|member| member.id == *log.member);
     let mut complete: Vec<&SealedLog> = complete.filter(stays).collect();
-    // Those that go furthest first; of equals those further up the chain before.
+    // Those that extend furthest first; of equals those nearer to the head before.
     let rank_before = |log: &SealedLog| before.chain_index(log.member).unwrap_or(usize::MAX);
     complete.sort_by(|one, other| {
         let by_extent = other.extent().cmp(&one.extent());
--- a/crates/serving/chain-replication/src/reconfiguration.rs
+++ b/crates/serving/chain-replication/src/reconfiguration.rs
@@ -16,13 +16,13 @@
     pub readmissible: bool,
     /// How many members report that they have lost it, the planning one included.
     pub suspected_by: usize,
-    /// Neither the planning member nor anyone that it hears is in touch with it.
+    /// Neither the planning member nor anyone that it receives pings from is in touch with it.
     pub unreachable: bool,
     /// It has sent a ping in this view.
     pub reported: bool,
     /// It has been unreachable for so long that a joiner may replace it.
     pub replaceable: bool,
-    /// It has said that its process is about to end.
+    /// It has announced that its process is about to end.
     pub leaving: bool,
     /// Its log is complete as of this view.
     pub synced: bool,
@@ -31,9 +31,9 @@
 /// A request to be added to the view.
 #[derive(Clone, Debug)]
 pub struct JoinRequest {
-    /// Who asks.
+    /// The new member.
     pub joiner: Peer,
-    /// It has asked for so long that a member which it is to replace would be missed by now.
+    /// It has requested this for so long that a member which it is to replace would be suspected by now.
     pub may_be_additional: bool,
 }
 
@@ -180,19 +180,19 @@
     }
 }
 
-/// A member that isn't needed, as it is leaving or has been gone for long: an even number of members tolerates no more
-/// losses than the odd one below it, and with one of them gone it tolerates less. Should the member come back, it is a
+/// A member that isn't needed, as it is leaving or has been unreachable for long: an even number of members tolerates no more
+/// losses than the odd one below it, and without one of them it tolerates less. Should the member come back, it is a
 /// joiner.
 fn superfluous_member(observations: &Observations) -> Option<usize> {
     let count = observations.view.members.len();
     if count <= MIN_MEMBERS || !count.is_multiple_of(2) {
         return None;
     }
-    let gone = observations
+    let unreachable_for_long = observations
         .statuses
         .iter()
         .position(|status| status.replaceable);
-    gone.or_else(|| dispensable_leaver(observations, count - 1))
+    unreachable_for_long.or_else(|| dispensable_leaver(observations, count - 1))
 }
 
 /// A member that is leaving and may go at once, to leave a view of `members_after` members. It need not have ended: while
@@ -229,7 +229,7 @@
 
     /// Removes members until all that are left are connected with each other. Of those that miss a connection within the
     /// chain, the one goes that misses the most to all members; of equals the one that more members report as lost, and
-    /// then the one further down.
+    /// then the one nearer to the tail.
     fn without_disconnected(&self, mut indices: Vec<usize>) -> Vec<usize> {
         let missing_connections = |one: usize| {
             (0..self.statuses.len())
--- a/crates/serving/chain-replication/src/safeguards.rs
+++ b/crates/serving/chain-replication/src/safeguards.rs
@@ -13,7 +13,7 @@
     CheckViews,
     /// Entries, promises and acceptances are sent only once they are on disk. Against a loss of power right after.
     PersistBeforeSend,
-    /// A read passes along the whole chain. Against reading from a member that was removed and doesn't know it.
+    /// A read passes along the complete chain. Against reading from a member that was removed and doesn't know it.
     ConfirmReads,
     /// A reply counts as of when the message was sent that it replies to, not as of when it came. Against a member that
     /// was suspended and finds old replies in its sockets.
@@ -22,17 +22,17 @@
     /// state of one that has restarted, or that is partitioned from the tail.
     AwaitKnownCommits,
     /// A member that has installed a view accepts no other proposal for that number. Against one that was removed, or
-    /// was suspended, and has a view decided again in place of the one in force.
+    /// was suspended, and has a view decided again instead of the one in force.
     DecideOnce,
     /// A member of the chain counts as synced only when its log includes its predecessor's. Against a joiner, or one that
-    /// was away or goes on from a snapshot, whose acknowledgement counts for what it doesn't have.
+    /// was down or goes on from a snapshot, whose acknowledgement counts for what it doesn't have.
     CatchUpBeforeSync,
     /// A snapshot that came in chunks counts only if all of it together has its checksum. Against bytes that were
     /// corrupted or mixed up on the way.
     VerifySnapshots,
 }
 
-/// Which safeguards are in place: all of them, but for one that a test has removed.
+/// Which safeguards are in force: all of them, but for one that a test has removed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Safeguards {
     #[cfg(feature = "removable-safeguards")]
--- a/crates/serving/chain-replication/src/timing.rs
+++ b/crates/serving/chain-replication/src/timing.rs
@@ -5,14 +5,14 @@
 
 // --- failure detection ---
 
-/// Each member pings the others this often, and tells them which members it is connected with.
+/// Each member pings the others this often, and reports which members it is connected with.
 pub const PING_INTERVAL: Millis = 200;
-/// A member that isn't heard for this long is suspected.
+/// A member from which nothing arrives for this long is suspected.
 pub const SUSPECT_TIMEOUT: Millis = 900;
-/// A member whose connection was refused or reset is suspected if it isn't heard within this time.
+/// A member whose connection was refused or reset is suspected if nothing arrives from it within this time.
 pub const SUSPECT_TIMEOUT_AFTER_DISCONNECT: Millis = 120;
 /// An echoed timestamp older than this shows that the other no longer receives our pings. A timestamp is up to two ping
-/// intervals older than the message that brought its echo: one that falls silent is suspected for its silence first.
+/// intervals older than the message that brought its echo: one that sends nothing is suspected for that first.
 pub const ECHO_TIMEOUT: Millis = SUSPECT_TIMEOUT + 2 * PING_INTERVAL + 100;
 /// A member has a quorum while a majority has replied to what it sent within this time.
 pub const QUORUM_TIMEOUT: Millis = 800;
@@ -21,9 +21,9 @@
 pub const FRESHNESS_TIMEOUT: Millis = 1_500;
 /// A gap this long between steps means that our own process was suspended.
 pub const SUSPENSION_GAP: Millis = 500;
-/// After our own suspension others get this long to be heard before they are suspected.
+/// After our own suspension others get this long to send something before they are suspected.
 pub const GRACE_PERIOD: Millis = 300;
-/// A member that isn't heard for this long may be replaced by a joiner of another name.
+/// A member from which nothing arrives for this long may be replaced by a joiner of another name.
 pub const REPLACE_TIMEOUT: Millis = 2_500;
 /// A disk that hasn't completed a batch for this long is reported to the others as stalled.
 pub const DISK_STALL_TIMEOUT: Millis = 1_200;
@@ -36,7 +36,7 @@
 pub const READMISSION_DELAY: Millis = 400;
 /// The delay is doubled at most this often.
 pub const MAX_READMISSION_DOUBLINGS: u32 = 3;
-/// Evictions further apart than this don't add up.
+/// Evictions with more time than this between them don't add up.
 pub const EVICTION_MEMORY: Millis = 30_000;
 
 // --- agreement on views ---
@@ -59,15 +59,15 @@
 
 // --- replication ---
 
-/// When nothing was acknowledged for this long, the successor is asked what it has.
+/// When nothing was acknowledged for this long, the successor is queried.
 pub const ACKNOWLEDGEMENT_TIMEOUT: Millis = 300;
-/// An unsynced chain member asks its predecessor again after this.
+/// An unsynced chain member requests entries from its predecessor again after this.
 pub const RESUME_RETRY: Millis = 150;
 /// Least time between two requests to resume from another position.
 pub const RESUME_MIN_GAP: Millis = 30;
-/// A learner asks the tail for commits this often.
+/// A learner fetches commits from the tail this often.
 pub const LEARN_INTERVAL: Millis = 150;
-/// A learner asks again after this if the reply was lost.
+/// A learner fetches again after this if the reply was lost.
 pub const LEARN_RETRY: Millis = 1_000;
 
 // --- snapshots ---
@@ -78,19 +78,19 @@
 pub const SNAPSHOT_CHUNK_RETRY: Millis = 300;
 /// A transfer is abandoned when its receiver has made no progress for this long.
 pub const SNAPSHOT_TRANSFER_TIMEOUT: Millis = 5_000;
-/// The caller is asked for a snapshot again after this.
+/// A snapshot is requested from the caller again after this.
 pub const TAKE_SNAPSHOT_RETRY: Millis = 2_000;
 
 // --- membership ---
 
-/// A joiner asks again after this.
+/// A joiner sends its request again after this.
 pub const JOIN_RETRY: Millis = 300;
-/// A joiner that hasn't asked for this long is forgotten.
+/// A joiner that has sent no request for this long is forgotten.
 pub const JOINER_TIMEOUT: Millis = 1_000;
-/// A joiner that would be an additional member has to ask for this long: the member that it replaces may be about to be
-/// missed.
+/// A joiner that would be an additional member has to request it for this long: the member that it replaces may be about
+/// to be suspected.
 pub const ADDITIONAL_JOINER_DELAY: Millis = SUSPECT_TIMEOUT + JOIN_RETRY;
-/// Least time between two requests for a later view of which a message has told.
+/// Least time between two requests for a later view, which a message has shown to exist.
 pub const VIEW_REQUEST_GAP: Millis = 50;
 
 // --- requests of the caller ---
