--- a/crates/serving/dunespur/src/status/gather.rs
+++ b/crates/serving/dunespur/src/status_collection.rs
@@ -1,15 +1,16 @@
 //! Collects the status of a process from its parts.
 
-use super::process;
-use super::report::{
-    ControlStatus, FrontStatus, GatewayEntryStatus, MemberStatus, ProgramStatus, ServerStatus,
-    ServiceStatus, Status, StoreStatus, ViewStatus,
-};
+mod process_usage;
+
 use crate::budgets::Budgets;
 use crate::core::Coordinator;
 use crate::data_plane::DataPlane;
 use crate::directory::Directory;
 use crate::settings::{Role, Settings};
+use crate::status::report::{
+    ControlStatus, FrontStatus, GatewayEntryStatus, MemberStatus, ProgramStatus, ServerStatus,
+    ServiceStatus, Status, StoreStatus, ViewStatus,
+};
 use dunespur_chain_replication::View;
 use dunespur_control_state::{ServerReport, ServerState};
 use dunespur_proxy::{Counters, Node, ProxyServer};
@@ -27,7 +28,7 @@
         version: env!("CARGO_PKG_VERSION").to_owned(),
         zone: settings.zone.clone(),
         up_ms: directory.clock().now(),
-        process: process::usage(),
+        process: process_usage::read(),
         link: directory.link_counters(),
         control: control(directory),
         view: directory.view().as_ref().map(view),
@@ -39,16 +40,23 @@
 
 /// The parts of a gateway that its status tells of.
 pub struct GatewayStatus {
+    /// The settings of the process.
     pub settings: Settings,
+    /// What it knows of the control state.
     pub directory: Rc<Directory>,
+    /// Its core member, on a machine with a disk.
     pub coordinator: Option<Rc<Coordinator>>,
+    /// Its data plane.
     pub data_plane: Rc<DataPlane>,
+    /// Its leases on programs' budgets.
     pub budgets: Rc<Budgets>,
+    /// Its listener for clients.
     pub front: Rc<ProxyServer<DataPlane>>,
 }
 
 impl GatewayStatus {
     /// The status; that of one program's budget as well, if it is named.
+    #[must_use]
     pub fn status(&self, program: Option<&str>) -> Status {
         let mut status = basics(&self.settings, Role::Gateway, &self.directory);
         if let Some(own) = self
