--- a/crates/serving/control-state/tests/budgets.rs
+++ b/crates/serving/control-state/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets: the counters are told how many gateways there are, and answer a repeated request alike.
+//! Budgets: the counters know how many gateways are present, and answer a repeated request alike.
 
 mod common;
 
@@ -10,7 +10,7 @@
 const LIMITERS: u64 = 8;
 const NEEDED: u64 = 10;
 
-/// Twice as many limiters as the core hears of ask in turn for more than their part.
+/// Twice as many limiters as there are present gateways request more than their share, one after another.
 fn requests() -> impl Iterator<Item = CounterRequest> {
     (0..40).map(|sequence| CounterRequest {
         program: "p".to_owned(),
@@ -64,8 +64,8 @@
     let mut trial = Trial::default();
     for request in requests() {
         let first = reply(&mut trial, &request);
-        let held = trial.state.counters().held("p");
+        let leased = trial.state.counters().held("p");
         assert_eq!(reply(&mut trial, &request), first);
-        assert_eq!(trial.state.counters().held("p"), held);
+        assert_eq!(trial.state.counters().held("p"), leased);
     }
 }
--- a/crates/serving/control-state/tests/common/mod.rs
+++ b/crates/serving/control-state/tests/common/mod.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// A whole configuration without routes.
+/// A complete configuration without routes.
 pub fn replace(base: u64, generation: u64) -> ConfigurationRequest {
     replace_with(
         base,
@@ -65,7 +65,7 @@
     )
 }
 
-/// A whole configuration.
+/// A complete configuration.
 pub fn replace_with(base: u64, body: &str) -> ConfigurationRequest {
     ConfigurationRequest {
         kind: ConfigurationRequestKind::Replace,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The operator wants a store emptied; the call knows of the fence `fence`.
+/// The operator's request to retire a store, with a fencing token.
 pub fn retire(name: &str, tolerated_losses: u32, fencing_token: u64) -> Operation {
     Operation::RetireStart {
         node: name.to_owned(),
@@ -94,7 +94,7 @@
     }
 }
 
-/// A state under test, with all the changes that its subscribers were told.
+/// A state under test, with all the changes that its subscribers received.
 #[derive(Default)]
 pub struct Trial {
     pub state: ControlState,
@@ -107,12 +107,12 @@
         self.state.apply(operation, &mut self.notifications)
     }
 
-    /// The operator's order: what it came to.
+    /// The outcome of an operator's configuration request.
     pub fn request(&mut self, request: &ConfigurationRequest) -> Outcome {
         self.apply(&Operation::Configure(request.clone()))
     }
 
-    /// The operator's order to empty a store, made now: what it came to.
+    /// The outcome of an operator's request to retire a store, made now.
     pub fn retire(&mut self, name: &str, tolerated_losses: u32) -> Outcome {
         match self.apply(&retire(name, tolerated_losses, 0)) {
             Outcome::Fenced { fencing_token } => {
@@ -122,17 +122,17 @@
         }
     }
 
-    /// A server's report: what subscribers are told.
+    /// The changes that subscribers receive after a server's report.
     pub fn server(&mut self, report: ServerReport) -> Vec<Change> {
         self.changes(&Operation::Server(report))
     }
 
-    /// A node's report: what subscribers are told.
+    /// The changes that subscribers receive after a node's report.
     pub fn node(&mut self, report: NodeReport) -> Vec<Change> {
         self.changes(&Operation::Node(report))
     }
 
-    /// An operation that just happens: what subscribers are told.
+    /// The changes that subscribers receive after an operation without an outcome of its own.
     pub fn changes(&mut self, operation: &Operation) -> Vec<Change> {
         let before = self.notifications.len();
         assert_eq!(self.apply(operation), Outcome::Done);
--- a/crates/serving/control-state/tests/configuration_requests.rs
+++ b/crates/serving/control-state/tests/configuration_requests.rs
@@ -1,4 +1,4 @@
-//! The operator's orders: one wins on each generation, and what was taken is accepted again.
+//! Configuration requests: one wins on each generation, and an accepted one is accepted again.
 
 mod common;
 
@@ -7,10 +7,10 @@
     Change, ConfigurationRequest, ControlState, Outcome, Safeguard, Safeguards,
 };
 
-/// More orders than are remembered.
+/// More requests than are recorded.
 const MANY_REQUESTS: u64 = 66_000;
 const RECORDED: u64 = 65_536;
-/// Of all that a snapshot holds beside the configuration, for each remembered order.
+/// Of all that a snapshot contains beside the configuration, for each recorded request.
 const BYTES_PER_REQUEST: usize = 14;
 
 fn current(trial: &Trial) -> Option<u64> {
@@ -27,7 +27,7 @@
             .into_iter()
             .map(|finding| finding.place)
             .collect(),
-        other => panic!("{other:?} is no refusal with findings"),
+        other => panic!("{other:?} is no rejection with findings"),
     }
 }
 
@@ -277,10 +277,10 @@
     trial.request(&replace(5, 6));
     trial.state = restored(&trial.state);
     let Outcome::Fenced { fencing_token } = trial.request(&early) else {
-        panic!("a copy from before the refusal counts")
+        panic!("a duplicate from before the rejection counts")
     };
     assert_eq!(current(&trial), Some(6));
-    // A call made since knows the fence.
+    // A call made since knows the token.
     let again = ConfigurationRequest {
         fencing_token,
         ..early.clone()
@@ -289,7 +289,7 @@
     assert_eq!(
         trial.request(&early),
         Outcome::Accepted,
-        "it was taken since"
+        "it was accepted since"
     );
     assert_eq!(current(&trial), Some(7));
 }
@@ -322,12 +322,12 @@
     assert_eq!(
         trial.request(&replace(2_000, 2_001)),
         Outcome::Undetermined,
-        "no room to remember the refusal"
+        "no capacity to record the rejection"
     );
     assert_eq!(
         trial.request(&replace(7, 8)),
         Outcome::GenerationConflict { current: 0 },
-        "remembered already"
+        "recorded already"
     );
     assert_eq!(trial.request(&replace(0, 1_024)), Outcome::Accepted);
     assert_eq!(
--- a/crates/serving/control-state/tests/encoding.rs
+++ b/crates/serving/control-state/tests/encoding.rs
@@ -207,7 +207,7 @@
     assert_encoded(include_str!("encoding/outcomes.txt"), &cases);
 }
 
-/// The parts of outcomes that other messages carry alone.
+/// Retirement states, which other messages carry alone.
 #[test]
 fn retirement_states_keep_their_bytes() {
     let states = [
@@ -302,8 +302,11 @@
         ),
     ];
     assert_encoded(include_str!("encoding/changes.txt"), &cases);
-    let list: Vec<Change> = cases.into_iter().map(|(_, change)| change).collect();
-    assert_encoded(include_str!("encoding/change-list.txt"), &[("all", list)]);
+    let changes: Vec<Change> = cases.into_iter().map(|(_, change)| change).collect();
+    assert_encoded(
+        include_str!("encoding/change-list.txt"),
+        &[("all", changes)],
+    );
 }
 
 fn budget(node: &str, incarnation: u64, sequence: u64, change: CounterChange) -> Operation {
@@ -321,7 +324,7 @@
     })
 }
 
-/// A state in which each part holds something, made by operations alone.
+/// A state in which nothing is empty, made by operations alone.
 fn populated_state() -> ControlState {
     let body = r#"{"generation":11,"routes":[],"services":[{"name":"pool"}],"unknown":[1.50]}"#;
     let mut operations: Vec<Operation> = [replace_with(0, body), patch(11, r#"{"generation":12}"#)]
--- a/crates/serving/control-state/tests/nodes.rs
+++ b/crates/serving/control-state/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! Gateways and stores: lives of their processes, absence, retirement.
+//! Gateways and stores: incarnations of their processes, absence, retirement.
 
 mod common;
 
@@ -8,7 +8,7 @@
     StoreEntry,
 };
 
-fn gone(name: &str, incarnation: u64) -> Operation {
+fn expired(name: &str, incarnation: u64) -> Operation {
     Operation::NodeExpired {
         name: name.to_owned(),
         incarnation,
@@ -30,17 +30,17 @@
     }
 }
 
-/// The named store says that it is empty, in the present round.
+/// The named store finds itself empty in the current epoch.
 fn emptied(trial: &mut Trial, name: &str, incarnation: u64) -> Vec<Change> {
     let epoch = trial
         .state
         .stores()
         .find(|store| store.name == name)
         .map_or(0, |store| store.epoch);
-    emptied_in(trial, name, incarnation, epoch)
+    empty_in_epoch(trial, name, incarnation, epoch)
 }
 
-fn emptied_in(trial: &mut Trial, name: &str, incarnation: u64, epoch: u64) -> Vec<Change> {
+fn empty_in_epoch(trial: &mut Trial, name: &str, incarnation: u64, epoch: u64) -> Vec<Change> {
     trial.changes(&Operation::RetireDone {
         node: name.to_owned(),
         incarnation,
@@ -81,26 +81,26 @@
     assert_eq!(
         trial.node(gateway("a", 2)),
         [present("a", 2)],
-        "another life of the same one"
+        "another incarnation of the same gateway"
     );
     assert_eq!(trial.state.gateways().count(), 2);
     assert_eq!(
-        trial.changes(&gone("a", 1)),
+        trial.changes(&expired("a", 1)),
         [],
-        "that life was over before"
+        "that incarnation had ended before"
     );
-    assert_eq!(trial.changes(&gone("a", 2)), [absent("a")]);
+    assert_eq!(trial.changes(&expired("a", 2)), [absent("a")]);
     assert_eq!(trial.state.gateways().count(), 1);
-    assert_eq!(trial.changes(&gone("a", 2)), []);
+    assert_eq!(trial.changes(&expired("a", 2)), []);
     assert_eq!(
         trial.node(gateway("a", 1)),
         [],
-        "a late report of an older life"
+        "a late report of an older incarnation"
     );
     assert_eq!(
         trial.node(gateway("a", 2)),
         [present("a", 2)],
-        "it was only silent"
+        "its lease had expired, and it is alive"
     );
     let names: Vec<&str> = trial
         .state
@@ -192,16 +192,16 @@
 fn a_store_whose_lease_expired_is_absent_and_stays_recorded() {
     let mut trial = with_stores(&["a"]);
     assert_eq!(
-        trial.changes(&gone("a", 9)),
+        trial.changes(&expired("a", 9)),
         [],
-        "that life was over before"
+        "that incarnation had ended before"
     );
     let absent = StoreEntry {
         present: false,
         ..entry(&trial, "a")
     };
-    assert_eq!(trial.changes(&gone("a", 10)), [Change::Store(absent)]);
-    assert_eq!(trial.changes(&gone("a", 10)), []);
+    assert_eq!(trial.changes(&expired("a", 10)), [Change::Store(absent)]);
+    assert_eq!(trial.changes(&expired("a", 10)), []);
     assert!(!entry(&trial, "a").present);
     trial.node(store("a", 10));
     assert!(entry(&trial, "a").present);
@@ -247,7 +247,7 @@
     assert_eq!(retire(&mut trial, "b", 1), RetirementOutcome::Accepted);
     assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::TooFew);
     emptied(&mut trial, "a", 10);
-    trial.changes(&gone("a", 10));
+    trial.changes(&expired("a", 10));
     assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::TooFew);
     trial.node(store("e", 1));
     assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::Accepted);
@@ -256,11 +256,11 @@
 #[test]
 fn a_lost_store_does_not_remain() {
     let mut trial = with_stores(&["a", "b", "c"]);
-    trial.changes(&gone("c", 10));
+    trial.changes(&expired("c", 10));
     assert_eq!(
         retire(&mut trial, "a", 1),
         RetirementOutcome::TooFew,
-        "c is away, maybe for good"
+        "c is absent, maybe for good"
     );
     trial.node(NodeReport {
         complete: false,
@@ -269,16 +269,16 @@
     assert_eq!(
         retire(&mut trial, "a", 1),
         RetirementOutcome::TooFew,
-        "its successor is not whole yet"
+        "its successor is not complete yet"
     );
     trial.node(store("d", 1));
     assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
     emptied(&mut trial, "a", 10);
-    trial.changes(&gone("a", 10));
+    trial.changes(&expired("a", 10));
     assert_eq!(
         retire(&mut trial, "b", 1),
         RetirementOutcome::TooFew,
-        "one would be left beside two ghosts"
+        "one would remain beside two lost stores"
     );
     assert_eq!(trial.state.retirement("b"), None);
 }
@@ -286,18 +286,18 @@
 #[test]
 fn a_retirement_rejected_while_a_store_is_absent_is_accepted_once_it_is_back() {
     let mut trial = with_stores(&["a", "b", "c"]);
-    trial.changes(&gone("c", 10));
+    trial.changes(&expired("c", 10));
     assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::TooFew);
     assert_eq!(
         retire(&mut trial, "c", 1),
         RetirementOutcome::Accepted,
-        "a and b remain without the one that is away"
+        "a and b remain without the absent one"
     );
     trial.node(store("c", 10));
     assert_eq!(
         retire(&mut trial, "a", 1),
         RetirementOutcome::TooFew,
-        "c is on its way out"
+        "c is retiring"
     );
     trial.node(store("d", 1));
     assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
@@ -308,19 +308,23 @@
     let mut trial = with_stores(&["a", "b", "c"]);
     retire(&mut trial, "a", 1);
     let before = trial.notifications.len();
-    trial.changes(&gone("b", 10));
+    trial.changes(&expired("b", 10));
     assert!(!entry(&trial, "a").retiring, "it is used like any other");
     assert!(
         trial.notifications[before..].contains(&Change::Store(entry(&trial, "a"))),
-        "and all are told"
+        "and the change is published"
     );
     assert_eq!(trial.state.retirement("a"), Some(RetirementState::Running));
     assert_eq!(
         retire(&mut trial, "a", 1),
         RetirementOutcome::Accepted,
-        "the order stands"
+        "the request stays accepted"
+    );
+    assert_eq!(
+        emptied(&mut trial, "a", 10),
+        [],
+        "nor is it completed meanwhile"
     );
-    assert_eq!(emptied(&mut trial, "a", 10), [], "nor is it done meanwhile");
     trial.node(NodeReport {
         complete: false,
         disk: 2,
@@ -344,7 +348,7 @@
     let mut trial = with_stores(&["a", "b", "c", "d"]);
     retire(&mut trial, "a", 1);
     retire(&mut trial, "b", 1);
-    trial.changes(&gone("c", 10));
+    trial.changes(&expired("c", 10));
     assert!(!entry(&trial, "a").retiring && !entry(&trial, "b").retiring);
     trial.node(store("c", 10));
     assert!(entry(&trial, "a").retiring && entry(&trial, "b").retiring);
@@ -352,12 +356,12 @@
     assert_eq!(
         emptied(&mut trial, "a", 10).len(),
         2,
-        "a is empty, and b is told of another round"
+        "a is empty, and b learns of another epoch"
     );
     assert_eq!(
-        emptied_in(&mut trial, "b", 10, epoch_of_b),
+        empty_in_epoch(&mut trial, "b", 10, epoch_of_b),
         [],
-        "it may rest on what a held"
+        "it may rely on what a stored"
     );
     assert_eq!(emptied(&mut trial, "b", 10).len(), 1);
 }
@@ -371,7 +375,7 @@
                 ..store("b", 11)
             })
         },
-        |trial| [trial.changes(&gone("b", 10)), trial.node(store("b", 10))].concat(),
+        |trial| [trial.changes(&expired("b", 10)), trial.node(store("b", 10))].concat(),
         |trial| {
             trial.node(NodeReport {
                 complete: false,
@@ -387,9 +391,9 @@
         event(&mut trial);
         assert!(
             entry(&trial, "a").epoch > epoch,
-            "{number}: it is told of another round"
+            "{number}: it learns of another epoch"
         );
-        assert_eq!(emptied_in(&mut trial, "a", 10, epoch), [], "{number}");
+        assert_eq!(empty_in_epoch(&mut trial, "a", 10, epoch), [], "{number}");
         assert_eq!(
             trial.state.retirement("a"),
             Some(RetirementState::Running),
@@ -398,7 +402,7 @@
         assert_eq!(
             emptied(&mut trial, "a", 10).len(),
             1,
-            "{number}: said anew it counts"
+            "{number}: repeated in this epoch it counts"
         );
     }
 }
@@ -420,7 +424,7 @@
     assert_eq!(
         retire(&mut trial, "a", 1),
         RetirementOutcome::Accepted,
-        "said again"
+        "repeated"
     );
 
     let retired = StoreEntry {
@@ -433,7 +437,7 @@
     assert_eq!(
         retire(&mut trial, "a", 1),
         RetirementOutcome::Accepted,
-        "said again when it is done"
+        "repeated when it is done"
     );
     assert_eq!(trial.notifications.len(), before + 2);
 }
@@ -455,7 +459,7 @@
 fn a_retiring_store_goes_on_retiring_after_a_restart_or_a_lost_disk() {
     let mut trial = with_stores(&["a", "b", "c"]);
     retire(&mut trial, "a", 1);
-    trial.changes(&gone("a", 10));
+    trial.changes(&expired("a", 10));
     assert!(entry(&trial, "a").retiring);
     trial.node(NodeReport {
         disk: 2,
@@ -472,10 +476,10 @@
     trial.node(store("a", 10));
     assert!(
         entry(&trial, "a").retired,
-        "what it says afterwards doesn't bring it back into use"
+        "a later report doesn't bring it back into use"
     );
     assert_eq!(
-        trial.changes(&gone("a", 10)),
+        trial.changes(&expired("a", 10)),
         [Change::StoreRemoved {
             name: "a".to_owned()
         }]
@@ -498,7 +502,7 @@
     let mut trial = with_stores(&["a", "b", "c"]);
     retire(&mut trial, "a", 1);
     emptied(&mut trial, "a", 10);
-    trial.changes(&gone("a", 10));
+    trial.changes(&expired("a", 10));
     trial.node(NodeReport {
         disk: 2,
         ..store("a", 11)
@@ -516,7 +520,7 @@
         for report in [store(&name, number), gateway(&name, number)] {
             trial.node(report);
         }
-        trial.changes(&gone(&name, number));
+        trial.changes(&expired(&name, number));
     }
     assert_eq!(trial.state.stores().count(), 1_024);
     assert_eq!(
@@ -536,13 +540,13 @@
     let mut trial = with_stores(&["b", "c"]);
     for number in 0..1_030 {
         let name = format!("n{number}");
-        // The first few are only silent, although they are the oldest; all others are taken away as planned.
+        // The first few are only absent, although they are the oldest; all others are decommissioned as planned.
         trial.node(store(&name, 11 + number));
         if number >= 8 {
             assert_eq!(retire(&mut trial, &name, 1), RetirementOutcome::Accepted);
             emptied(&mut trial, &name, 11 + number);
         }
-        trial.changes(&gone(&name, 11 + number));
+        trial.changes(&expired(&name, 11 + number));
     }
     assert_eq!(trial.state.stores().count(), 2 + 8);
     assert_eq!(trial.state.retirement("n8"), None);
@@ -553,7 +557,7 @@
 fn a_duplicate_of_a_rejected_retirement_request_does_not_take_effect_later() {
     let mut trial = with_stores(&["a", "b"]);
     let Outcome::Fenced { fencing_token } = trial.apply(&common::retire("a", 1, 0)) else {
-        panic!("no fence")
+        panic!("no fencing token")
     };
     let duplicate = common::retire("a", 1, fencing_token);
     assert_eq!(
@@ -571,7 +575,7 @@
     assert_eq!(
         trial.apply(&duplicate),
         Outcome::Retire(RetirementOutcome::Accepted),
-        "it is taken now"
+        "it is accepted now"
     );
 }
 
@@ -579,7 +583,7 @@
 fn a_duplicate_retirement_request_does_not_apply_to_the_next_machine_of_that_name() {
     let mut trial = with_stores(&["a", "b", "c", "d"]);
     let Outcome::Fenced { fencing_token } = trial.apply(&common::retire("a", 1, 0)) else {
-        panic!("no fence")
+        panic!("no fencing token")
     };
     let duplicate = common::retire("a", 1, fencing_token);
     assert_eq!(
@@ -590,13 +594,13 @@
     assert_eq!(
         trial.apply(&duplicate),
         Outcome::Retire(RetirementOutcome::Accepted),
-        "sent again after it was done"
+        "repeated after it was done"
     );
-    trial.changes(&gone("a", 10));
+    trial.changes(&expired("a", 10));
     assert_eq!(
         trial.apply(&duplicate),
         Outcome::Retire(RetirementOutcome::Accepted),
-        "and after the machine has gone"
+        "and after the machine was decommissioned"
     );
     trial.node(NodeReport {
         disk: 2,
--- a/crates/serving/control-state/tests/operators.rs
+++ b/crates/serving/control-state/tests/operators.rs
@@ -1,5 +1,5 @@
-//! Orders and reads are linearizable for operators who meet cuts, freezes, and losses of power and disks, and send
-//! what got no clear answer again.
+//! Configuration requests and reads are linearizable for operators who meet partitions, suspended processes and losses
+//! of power and disks, and repeat what got no definite answer.
 
 mod world;
 
@@ -7,14 +7,14 @@
 use world::history::Tally;
 use world::Setup;
 
-const ROUNDS: usize = 3;
+const FAULT_GROUPS: usize = 3;
 /// Seeds that are played for each size of the core.
 const SEEDS: u64 = 40;
 const SIZES: [usize; 4] = [3, 4, 5, 6];
 
 fn is_linearizable(machines: usize) {
     for seed in 0..SEEDS {
-        if let Err(text) = play(Setup::new(seed, machines), ROUNDS) {
+        if let Err(text) = play(Setup::new(seed, machines), FAULT_GROUPS) {
             panic!("{text}");
         }
     }
@@ -40,8 +40,8 @@
     is_linearizable(SIZES[3]);
 }
 
-/// Seeds that broke before a mend, each with its core's size. 1,025 was the judge's fault, which took an order for
-/// refused and taken though another call was made in between; the others showed old state to followers.
+/// Seeds that failed before a fix, each with its core's size. 1,025 was the checker's fault, which judged a request
+/// both rejected and accepted though another call was made in between; the others showed stale state to followers.
 const ONCE_BROKEN: [(u64, usize); 8] = [
     (1_017, 4),
     (1_025, 4),
@@ -56,13 +56,13 @@
 #[test]
 fn seeds_that_once_broke() {
     for (seed, machines) in ONCE_BROKEN {
-        play(Setup::new(seed, machines), ROUNDS).unwrap_or_else(|text| panic!("{text}"));
+        play(Setup::new(seed, machines), FAULT_GROUPS).unwrap_or_else(|text| panic!("{text}"));
     }
 }
 
-/// As many seeds as are asked for: `FIRST` and `SEEDS` in the environment.
+/// As many seeds as requested: `FIRST` and `SEEDS` in the environment.
 #[test]
-#[ignore = "takes as long as it is told to"]
+#[ignore = "runs for as long as its settings say"]
 fn many_seeds() {
     let number = |name: &str| {
         std::env::var(name)
@@ -72,7 +72,10 @@
     let first = number("FIRST").unwrap_or(1_000);
     let (mut violation, mut sum) = (0, Tally::default());
     for seed in first..first + number("SEEDS").unwrap_or(1_000) {
-        match play(Setup::new(seed, SIZES[seed as usize % SIZES.len()]), ROUNDS) {
+        match play(
+            Setup::new(seed, SIZES[seed as usize % SIZES.len()]),
+            FAULT_GROUPS,
+        ) {
             Ok(tally) => sum.add(tally),
             Err(text) => {
                 violation += 1;
--- a/crates/serving/control-state/tests/operators_safeguards.rs
+++ b/crates/serving/control-state/tests/operators_safeguards.rs
@@ -1,4 +1,5 @@
-//! Each guard taken out in turn brings about what it is against, in worlds that hold with all guards in place.
+//! Each safeguard removed in turn lets the fault happen that it prevents, in worlds that are linearizable with all
+//! safeguards in place.
 
 mod world;
 
@@ -6,16 +7,16 @@
 use world::faults::play;
 use world::{Safeguards, Setup};
 
-const ROUNDS: usize = 3;
+const FAULT_GROUPS: usize = 3;
 /// Seeds that are tried for a counterexample.
 const SEEDS: u64 = 400;
-/// Copies of refused orders that meet the very state in which they could be taken are rare: one of the next seeds
-/// brings one about.
+/// Duplicates of rejected requests that meet the very state in which they could be accepted are rare: one of the next
+/// seeds has one.
 const RARE_SEED: u64 = 1_587;
-/// The same for orders to empty a store.
+/// The same for requests to retire a store.
 const RARE_STORE_SEED: u64 = 31;
 
-/// What goes wrong first without some guards. It has to be what they are against, not another broken promise.
+/// The first violation without some safeguards. It has to be the one that they prevent, not another.
 fn counterexample(safeguards: Safeguards, sign: &str) -> String {
     counterexample_from(0, safeguards, sign)
 }
@@ -26,7 +27,9 @@
             safeguards,
             ..Setup::new(seed, 3 + seed as usize % 4)
         };
-        play(setup, ROUNDS).err().filter(|text| text.contains(sign))
+        play(setup, FAULT_GROUPS)
+            .err()
+            .filter(|text| text.contains(sign))
     });
     let found = found.unwrap_or_else(|| panic!("in {SEEDS} seeds nothing went wrong"));
     eprintln!("{found}");
@@ -96,7 +99,7 @@
             control,
             ..Safeguards::default()
         },
-        "was taken, and refused",
+        "was accepted, and rejected",
     );
 }
 
@@ -121,7 +124,7 @@
             control,
             ..Safeguards::default()
         },
-        "was taken, and refused",
+        "was accepted, and rejected",
     );
 }
 
@@ -134,7 +137,7 @@
             control,
             ..Safeguards::default()
         },
-        "is emptied, and every call",
+        "is being emptied, and every call",
     );
 }
 
--- a/crates/serving/control-state/tests/replicas.rs
+++ b/crates/serving/control-state/tests/replicas.rs
@@ -1,5 +1,5 @@
-//! Replicas that apply the same operations are equal, and subscribers that are told the changes hold what a
-//! new one is told. Seeded sequences of operations in which some come twice and some are overtaken.
+//! Replicas that apply the same operations are equal, and subscribers that receive the changes reach the state of a
+//! new one. Seeded sequences of operations of which some are duplicated and some reordered.
 
 mod common;
 
@@ -21,7 +21,7 @@
 struct Author {
     random: Rng,
     sequence: u64,
-    /// What the operations that have arrived lead to, so that some orders build on the newest configuration.
+    /// What the operations that have arrived lead to, so that some requests build on the newest configuration.
     state: ControlState,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Mostly of the present life of a store and its present round.
+    /// Mostly of a store's current incarnation and the current epoch.
     fn retire_done(&mut self) -> Operation {
         let node = self.name("n", 6);
         let known = self
@@ -155,7 +155,7 @@
     }
 }
 
-/// Operations of a seed as they arrive, some doubled, some overtaken.
+/// Operations of a seed as they arrive, some duplicated, some reordered.
 fn operations(seed: u64) -> Vec<Operation> {
     let mut author = Author {
         random: Rng::with_seed(seed),
@@ -179,7 +179,7 @@
     arrived
 }
 
-/// What a subscriber holds after it was told of changes.
+/// A subscriber's state after it received changes.
 #[derive(Debug, Default, PartialEq)]
 struct Subscriber {
     configuration: Option<String>,
@@ -194,7 +194,7 @@
             match change {
                 Change::Configuration { json, .. } => self.configuration = Some(json.to_string()),
                 Change::Server(report) => {
-                    // The number of the report alone is no news, so it differs from what a new subscriber is told.
+                    // A new sequence number alone is not published, so it differs from the state of a new subscriber.
                     let known = Change::Server(ServerReport {
                         sequence: 0,
                         ..report.clone()
@@ -202,7 +202,10 @@
                     self.servers.insert(report.id.clone(), known);
                 }
                 Change::ServerRemoved { id } => {
-                    assert!(self.servers.remove(id).is_some(), "{id} was told of before");
+                    assert!(
+                        self.servers.remove(id).is_some(),
+                        "{id} was published before"
+                    );
                 }
                 Change::Store(entry) => {
                     let before = self.stores.insert(entry.name.clone(), change.clone());
@@ -211,7 +214,7 @@
                 Change::StoreRemoved { name } => {
                     assert!(
                         self.stores.remove(name).is_some(),
-                        "{name} was told of before"
+                        "{name} was published before"
                     );
                 }
                 Change::Gateway(entry) => {
@@ -221,7 +224,7 @@
                 Change::GatewayRemoved { name } => {
                     assert!(
                         self.gateways.remove(name).is_some(),
-                        "{name} was told of before"
+                        "{name} was published before"
                     );
                 }
             }
@@ -284,7 +287,7 @@
             let again = state.apply(&operation, &mut changes);
             assert_eq!(changes, [], "seed {seed}, {operation:?}");
             match outcome {
-                // A copy of what was refused is void, so that it can't be taken later.
+                // A duplicate of a rejected request is void, so that it can't be accepted later.
                 Outcome::Retire(RetirementOutcome::TooFew | RetirementOutcome::UnknownNode) => {
                     assert!(
                         matches!(again, Outcome::Fenced { .. }),
@@ -314,7 +317,7 @@
                     let other = accepted.insert(request.base, request.clone());
                     assert!(
                         other.is_none_or(|other| other == *request),
-                        "two orders on {}",
+                        "two requests on {}",
                         request.base
                     );
                 }
@@ -347,7 +350,7 @@
         }
         assert!(
             accepted.len() > 20,
-            "seed {seed}: orders are taken now and then"
+            "seed {seed}: requests are accepted now and then"
         );
         for request in accepted.into_values() {
             let again = state.apply(&Operation::Configure(request), &mut Vec::new());
--- a/crates/serving/control-state/tests/retirement_safeguards.rs
+++ b/crates/serving/control-state/tests/retirement_safeguards.rs
@@ -1,4 +1,4 @@
-//! Each guard of the retirement of stores taken out in turn brings about what it is against.
+//! Each safeguard of the retirement of stores removed in turn lets the fault happen that it prevents.
 
 mod common;
 
@@ -22,14 +22,14 @@
     trial.retire(name, 1)
 }
 
-fn gone(trial: &mut Trial, name: &str) {
+fn expired(trial: &mut Trial, name: &str) {
     trial.changes(&Operation::NodeExpired {
         name: name.to_owned(),
         incarnation: 10,
     });
 }
 
-/// The present whole stores that turns are placed on.
+/// The present and complete stores that turns are placed on.
 fn usable_stores(trial: &Trial) -> usize {
     let usable = trial
         .state
@@ -57,16 +57,16 @@
     });
 }
 
-/// A replacement without a plan, then two orders to retire: how many homes are left.
+/// An unplanned replacement, then two requests to retire: how many usable stores are left.
 fn replacement_and_two_orders(safeguards: Safeguards) -> usize {
     let mut trial = with_stores(safeguards, &["a", "b", "c"]);
-    gone(&mut trial, "c");
+    expired(&mut trial, "c");
     trial.node(store("d", 10));
     for name in ["a", "b"] {
         if retire(&mut trial, name) == Outcome::Retire(RetirementOutcome::Accepted) {
             let epoch = epoch_of(&trial, name);
             says_empty(&mut trial, name, epoch);
-            gone(&mut trial, name);
+            expired(&mut trial, name);
         }
     }
     usable_stores(&trial)
@@ -87,22 +87,22 @@
 fn loss_during_a_retirement(safeguards: Safeguards) -> usize {
     let mut trial = with_stores(safeguards, &["a", "b", "c"]);
     retire(&mut trial, "a");
-    gone(&mut trial, "b");
+    expired(&mut trial, "b");
     usable_stores(&trial)
 }
 
 #[test]
-fn a_retirement_must_pause() {
+fn a_retirement_must_be_paused() {
     assert_eq!(loss_during_a_retirement(Safeguards::default()), 2);
     let without = Safeguards::without(Safeguard::RetirementPaused);
     assert_eq!(
         loss_during_a_retirement(without),
         1,
-        "no turn is kept on two disks any more"
+        "no turn is stored on two disks any more"
     );
 }
 
-/// A store says that it is empty; before that is agreed on, another that it counted on has lost its disk.
+/// A store finds itself empty; before that is committed, another that it relied on has lost its disk.
 fn wiped_after_its_statement(safeguards: Safeguards) -> Option<RetirementState> {
     let mut trial = with_stores(safeguards, &["a", "b", "c"]);
     retire(&mut trial, "a");
--- a/crates/serving/control-state/tests/servers.rs
+++ b/crates/serving/control-state/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Servers: reports overtake each other, addresses are handed on, and what ended doesn't come back.
+//! Servers: reports overtake each other, addresses are reused, and what ended doesn't come back.
 
 mod common;
 
@@ -16,7 +16,7 @@
     }
 }
 
-fn gone(id: &str) -> Change {
+fn removed(id: &str) -> Change {
     Change::ServerRemoved { id: id.to_owned() }
 }
 
@@ -81,7 +81,7 @@
 fn a_server_that_left_never_comes_back() {
     let mut trial = Trial::default();
     trial.server(server("a", 1, 1));
-    assert_eq!(trial.changes(&left("a")), [gone("a")]);
+    assert_eq!(trial.changes(&left("a")), [removed("a")]);
     assert_eq!(trial.changes(&left("a")), []);
     assert_eq!(trial.server(server("a", 1, 99)), []);
     assert_eq!(trial.changes(&expired("a", 100)), []);
@@ -101,7 +101,7 @@
 fn an_expired_server_comes_back_with_a_newer_report_only() {
     let mut trial = Trial::default();
     trial.server(server("a", 1, 5));
-    assert_eq!(trial.changes(&expired("a", 5)), [gone("a")]);
+    assert_eq!(trial.changes(&expired("a", 5)), [removed("a")]);
     assert_eq!(trial.server(server("a", 1, 4)), []);
     assert_eq!(trial.server(server("a", 1, 5)), []);
     assert_eq!(
@@ -167,12 +167,12 @@
     };
     assert_eq!(
         trial.server(newer.clone()),
-        [gone("a"), Change::Server(newer)]
+        [removed("a"), Change::Server(newer)]
     );
     assert_eq!(
         trial.server(server("a", 1, 5)),
         [],
-        "what the older one said before doesn't count"
+        "an earlier report of the older one doesn't count"
     );
     assert_eq!(trial.ids(), ["b"]);
 }
@@ -184,12 +184,12 @@
     assert_eq!(
         trial.server(server("old", 1, 80)).len(),
         2,
-        "the first that is heard of the older one is late"
+        "the first report of the older one is late"
     );
     let back = server("new", 1, 4);
     assert_eq!(
         trial.server(back.clone()),
-        [gone("old"), Change::Server(back)]
+        [removed("old"), Change::Server(back)]
     );
     assert_eq!(trial.server(server("old", 1, 80)), []);
     assert_eq!(trial.ids(), ["new"]);
@@ -202,7 +202,7 @@
     trial.server(server("b", 2, 1));
     assert_eq!(
         trial.server(server("a", 2, 2)),
-        [gone("b"), Change::Server(server("a", 2, 2))]
+        [removed("b"), Change::Server(server("a", 2, 2))]
     );
     assert_eq!(
         trial.server(server("c", 1, 1)),
--- a/crates/serving/control-state/tests/world/callers.rs
+++ b/crates/serving/control-state/tests/world/callers.rs
@@ -1,5 +1,5 @@
-//! Those who call the members: operators who order and read, and followers. They give a call up after a second, and
-//! send an order without a clear answer again, unchanged, to any machine.
+//! Callers of the members: operators who change and read the configuration, and followers. A call times out after a
+//! second, and a request without a definite answer is repeated, unchanged, to any machine.
 
 use super::history::{CallKind, RequestId};
 use super::links::Endpoint;
@@ -15,11 +15,11 @@
 const CALL_TIMEOUT: Millis = 1_000;
 /// An operator thinks this long at most between two calls.
 const MAX_THINK_TIME: Millis = 500;
-/// An operator that gets no clear answer leaves an order after so many calls at most.
+/// An operator without a definite answer abandons a request after so many calls at most.
 const MAX_ATTEMPTS: u32 = 25;
 /// Of a hundred answers so many are lost on their way.
 const LOST_PERCENT: u32 = 10;
-/// A follower asks again after this.
+/// A follower polls at this interval.
 const WATCH_EVERY: Millis = 200;
 /// What a member shows to followers is no older than this: what was acknowledged earlier is in it.
 pub const MAX_STALENESS: Millis = 2_000;
@@ -43,7 +43,7 @@
 /// What a call is answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// 200 to an order.
+    /// 200 to a configuration request.
     Accepted,
     /// 412: another version is current.
     Current { generation: u64 },
@@ -51,14 +51,14 @@
     Invalid,
     /// 200 or 404 to a read.
     Configuration(Option<(u64, String)>),
-    /// 200 to an order to have a store emptied.
+    /// 200 to a request to retire a store.
     Retired,
     /// 404 or 409.
     NotRetired,
     /// To a follower.
     Watched { generation: u64 },
     /// 503.
-    Unclear,
+    Indefinite,
 }
 
 /// Why a caller wakes up.
@@ -76,7 +76,7 @@
     RetirementOperator,
 }
 
-/// An order that an operator wants decided.
+/// A request that an operator wants decided.
 #[derive(Clone, Copy, Debug)]
 struct Wanted {
     request: RequestId,
@@ -95,7 +95,7 @@
     machine: usize,
     next_number: u64,
     open: Option<Open>,
-    /// The newest generation that it has heard of.
+    /// The newest generation that it has learned of.
     known: u64,
     wanted: Option<Wanted>,
     requests: Vec<RequestId>,
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Another order, an old one again, or none: then it reads.
+    /// Another request, an old one again, or none: then it reads.
     fn next_request(&mut self, caller: usize) -> Option<Wanted> {
         let attempts_left = 1 + self.rng.u32(0..MAX_ATTEMPTS);
         let choice = self.rng.u32(0..10);
@@ -175,7 +175,7 @@
         let request = match choice {
             0..=2 => return None,
             3 if old > 0 => self.callers[caller].requests[self.rng.usize(..old)],
-            // As one that builds on an order which isn't decided yet, and as one that is behind.
+            // On a generation that isn't reached yet, and on one that is over.
             4 => self.new_request(caller, known + ahead),
             5 => self.new_request(caller, known.saturating_sub(behind)),
             _ => self.new_request(caller, known),
@@ -232,7 +232,7 @@
             if self.machines[machine].powered {
                 let wake = Wake::Answered {
                     number,
-                    answer: Answer::Unclear,
+                    answer: Answer::Indefinite,
                 };
                 self.schedule(at, Event::Caller { caller, wake });
             }
@@ -287,7 +287,7 @@
         self.history.max_staleness = self.history.max_staleness.max(age);
         if age > MAX_STALENESS {
             self.violate(format!(
-                "m{machine} shows {generation} as current, {age} ms after another was taken"
+                "m{machine} shows {generation} as current, {age} ms after another was accepted"
             ));
         }
     }
@@ -299,7 +299,7 @@
         else {
             return;
         };
-        self.note(|| {
+        self.log(|| {
             format!(
                 "caller {caller} at m{}: {answer:?}",
                 self.callers[caller].machine
@@ -308,14 +308,14 @@
         if let (Some(entry), Some(answer)) = (open.entry, &answer) {
             self.history.end(entry, self.now, answer.clone());
         }
-        let clear = answer.filter(|answer| *answer != Answer::Unclear);
-        let pause = match self.callers[caller].role {
+        let clear = answer.filter(|answer| *answer != Answer::Indefinite);
+        let delay = match self.callers[caller].role {
             Role::Follower => self.watch_ended(caller, clear.is_some()),
             Role::Operator => self.request_ended(caller, clear),
             Role::RetirementOperator => self.retirement_call_ended(clear),
         };
         self.schedule(
-            self.now + pause,
+            self.now + delay,
             Event::Caller {
                 caller,
                 wake: Wake::Next,
--- a/crates/serving/control-state/tests/world/digest.rs
+++ b/crates/serving/control-state/tests/world/digest.rs
@@ -43,7 +43,7 @@
             Answer::Retired => (6, 0, ""),
             Answer::NotRetired => (7, 0, ""),
             Answer::Watched { generation } => (8, *generation, ""),
-            Answer::Unclear => (9, 0, ""),
+            Answer::Indefinite => (9, 0, ""),
         };
         let numbers = [now, machine as u64, call.caller as u64, call.number, number];
         self.event(kind, numbers, &text);
--- a/crates/serving/control-state/tests/world/faults.rs
+++ b/crates/serving/control-state/tests/world/faults.rs
@@ -47,7 +47,7 @@
     Losing {
         on: bool,
     },
-    /// This befalls the machine that gives the next 200 to an order.
+    /// This happens to the machine that gives the next 200 to a request.
     AtAcknowledgement {
         fault: Acknowledgement,
     },
@@ -64,11 +64,11 @@
     DiskLossInBlackout,
 }
 
-/// How long a machine is gone that fails at an acknowledgement.
+/// How long a machine is down that fails at an acknowledgement.
 const DOWNTIME: Millis = 700;
 
 impl Fault {
-    /// The trouble as it befalls this machine.
+    /// The fault on this machine.
     pub fn at(self, machine: usize) -> Fault {
         match self {
             Fault::PowerLoss { back_after, .. } => Fault::PowerLoss {
@@ -86,7 +86,7 @@
 
 impl World {
     pub fn inject(&mut self, fault: Fault) {
-        self.note(|| format!("{fault:?}"));
+        self.log(|| format!("{fault:?}"));
         match fault {
             Fault::Kill {
                 machine,
@@ -114,7 +114,7 @@
             }
             Fault::Freeze { machine } => self.freeze(machine),
             Fault::Thaw { machine } => self.thaw(machine),
-            Fault::Partition { from, to } => self.links.cut(from, to),
+            Fault::Partition { from, to } => self.links.partition(from, to),
             Fault::Heal { from, to } => self.heal(from, to),
             Fault::Doubling { on } => self.doubling = on,
             Fault::Losing { on } => self.losing = on,
@@ -154,12 +154,12 @@
     }
 }
 
-/// After a loss of a disk, and before one, this long without other trouble: what is lost at once stays bounded.
+/// After a loss of a disk, and before one, this long without another fault: what is lost at once stays bounded.
 const CATCH_UP: Millis = 4_500;
 const FIRST_FAULT: Millis = 3_000;
-/// How long after the last trouble calls go on.
+/// How long calls go on after the last fault.
 const CALM: Millis = 4_000;
-/// The time within which a machine is waited for that acknowledges an order.
+/// How long the plan waits for a machine that acknowledges a request.
 const ACKNOWLEDGEMENT_WAIT: Millis = 3_000;
 
 struct Planner {
@@ -170,8 +170,12 @@
     end_at: Millis,
 }
 
-/// A plan of troubles, and when the last of them is over.
-pub fn schedule(setup: &Setup, callers: usize, rounds: usize) -> (Vec<(Millis, Fault)>, Millis) {
+/// A plan of faults, and when the last of them ends.
+pub fn schedule(
+    setup: &Setup,
+    callers: usize,
+    fault_groups: usize,
+) -> (Vec<(Millis, Fault)>, Millis) {
     let mut planner = Planner {
         rng: Rng::with_seed(setup.seed ^ 0x0DE5),
         machines: setup.machines,
@@ -179,7 +183,7 @@
         faults: Vec::new(),
         end_at: FIRST_FAULT,
     };
-    for _ in 0..rounds {
+    for _ in 0..fault_groups {
         match planner.rng.u32(0..3) {
             0 => planner.disk_lost(),
             _ => planner.mixture(),
@@ -194,7 +198,7 @@
         self.end_at = self.end_at.max(at);
     }
 
-    /// From a tenth of a second to a minute, mostly around the protocol's times and the twenty seconds of a cut.
+    /// From a tenth of a second to a minute, mostly around the protocol's times and the twenty seconds of a partition.
     fn lasts(&mut self) -> Millis {
         match self.rng.u32(0..8) {
             0..=1 => self.rng.u64(100..1_000),
@@ -300,7 +304,7 @@
         }
     }
 
-    /// One machine is cut off from all others, callers reach it.
+    /// One machine is partitioned from all others, callers reach it.
     fn isolate(&mut self, at: Millis, lasts: Millis, machine: usize, outward: bool, inward: bool) {
         for other in (0..self.machines).filter(|other| *other != machine) {
             let (one, other) = (Endpoint::Machine(machine), Endpoint::Machine(other));
@@ -313,7 +317,7 @@
         }
     }
 
-    /// The disk is lost that has just acknowledged an order, or any other, at times while all others lose power.
+    /// The disk is lost that has just acknowledged a request, or any other, at times while all others lose power.
     fn disk_lost(&mut self) {
         let at = self.end_at + CATCH_UP + self.rng.u64(0..500);
         match self.rng.u32(0..3) {
@@ -349,21 +353,21 @@
     }
 }
 
-/// Plays a world through a plan of troubles and judges what its operators saw.
-pub fn play(setup: Setup, rounds: usize) -> Result<Tally, String> {
-    play_in(&mut World::new(setup), rounds)
+/// Plays a world through a plan of faults and checks what its operators observed.
+pub fn play(setup: Setup, fault_groups: usize) -> Result<Tally, String> {
+    play_in(&mut World::new(setup), fault_groups)
 }
 
-/// Plays a world through a plan of troubles: the digest of all that happened in it.
-pub fn digest(setup: Setup, rounds: usize) -> u64 {
+/// Plays a world through a plan of faults: the digest of all that happened in it.
+pub fn digest(setup: Setup, fault_groups: usize) -> u64 {
     let mut world = World::new(setup);
-    let verdict = play_in(&mut world, rounds);
+    let verdict = play_in(&mut world, fault_groups);
     world.finish_digest(verdict)
 }
 
-fn play_in(world: &mut World, rounds: usize) -> Result<Tally, String> {
+fn play_in(world: &mut World, fault_groups: usize) -> Result<Tally, String> {
     let setup = world.setup;
-    let (faults, end_at) = schedule(&setup, world.callers.len(), rounds);
+    let (faults, end_at) = schedule(&setup, world.callers.len(), fault_groups);
     for (at, fault) in faults {
         world.schedule(at, super::Event::Fault(fault));
     }
@@ -371,7 +375,7 @@
     check(&world.history).map_err(|text| world.describe(&text))?;
     let snapshots = world.snapshots_installed;
     let (emptied, rejected_retirements) = (
-        world.retirement_operator.begun,
+        world.retirement_operator.retirements_begun,
         world.retirement_operator.refused,
     );
     Ok(Tally {
--- a/crates/serving/control-state/tests/world/history.rs
+++ b/crates/serving/control-state/tests/world/history.rs
@@ -1,11 +1,11 @@
-//! What the operators saw, and whether it could be so: orders and reads have to be linearizable.
+//! What the operators observed, and a check that configuration requests and reads are linearizable.
 //!
-//! Every content of an order is its own, and generations only rise. So there is one candidate for the sequence of
+//! Every request has a unique body, and generations only rise. So there is one candidate for the sequence of
 //! configurations, and a history is linearizable if and only if
 //!
-//! * each configuration that is seen was ordered before, builds on the one seen before it, and none is left out
-//!   between an order and what it builds on;
-//! * no order that was taken is refused, and none that was refused is taken but by a call made since;
+//! * each configuration that is observed was requested before, builds on the one before it, and none is skipped
+//!   between a request and what it builds on;
+//! * no accepted request is rejected, and none that was rejected is accepted but by a call made since;
 //! * what is seen never goes back: from one call's end to another's begin.
 
 use super::callers::Answer;
@@ -47,7 +47,7 @@
     pub max_staleness: Millis,
 }
 
-/// How much a history holds.
+/// The size of a history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     pub calls: u64,
@@ -56,7 +56,7 @@
     pub reads: u64,
     pub unclear: u64,
     pub snapshots: u64,
-    /// Stores that began to be emptied, and orders for that which were refused.
+    /// Retirements that began, and requests for one that were rejected.
     pub emptied: u64,
     pub rejected_retirements: u64,
     pub max_staleness: Millis,
@@ -169,12 +169,12 @@
 /// Judges a history.
 pub struct Judge<'a> {
     history: &'a History,
-    /// Orders that are known to have been taken, by their generation.
+    /// Requests that are known to have been accepted, by their generation.
     taken: BTreeMap<u64, RequestId>,
     sights: Vec<Sight>,
 }
 
-/// Says what could not have been so.
+/// Returns the first violation of linearizability, if there is one.
 pub fn check(history: &History) -> Result<(), String> {
     let mut judge = Judge {
         history,
@@ -222,17 +222,17 @@
         Ok(())
     }
 
-    /// The order with this content.
+    /// The request with this content.
     fn whose(&self, generation: u64, json: &str) -> Result<RequestId, String> {
         let of = |issued: &IssuedRequest| {
             issued.generation == generation
                 && issued.request.body == json.as_bytes()
                 && issued.valid
         };
-        let place = self.history.issued.iter().position(of);
-        place
+        let position = self.history.issued.iter().position(of);
+        position
             .map(RequestId)
-            .ok_or_else(|| format!("nobody ordered what was read as {generation}: {json}"))
+            .ok_or_else(|| format!("nobody requested what was read as {generation}: {json}"))
     }
 
     fn is_taken(&mut self, id: RequestId) -> Result<(), String> {
@@ -240,12 +240,12 @@
         let other = *self.taken.entry(issued.generation).or_insert(id);
         if other != id {
             return Err(format!(
-                "two orders were taken as {}: {other:?} and {id:?}",
+                "two requests were accepted as {}: {other:?} and {id:?}",
                 issued.generation
             ));
         }
         if !issued.valid {
-            return Err(format!("the invalid {id:?} was taken"));
+            return Err(format!("the invalid {id:?} was accepted"));
         }
         Ok(())
     }
@@ -262,7 +262,7 @@
             }
             if *answer == Answer::Invalid && issued.valid {
                 return Err(format!(
-                    "the valid {id:?} was refused as invalid at {until}"
+                    "the valid {id:?} was rejected as invalid at {until}"
                 ));
             }
             if *answer
@@ -271,14 +271,14 @@
                 })
             {
                 return Err(format!(
-                    "{id:?} was refused at {until} as what it builds on is current"
+                    "{id:?} was rejected at {until} as what it builds on is current"
                 ));
             }
         }
         Ok(())
     }
 
-    /// An order that came too early may be taken by a call made after its refusal, and by none made before.
+    /// A request that came too early may be accepted by a call made after its rejection, and by none made before.
     fn check_taken_by_another_call(
         &self,
         id: RequestId,
@@ -293,18 +293,18 @@
             return Ok(());
         }
         Err(format!(
-            "{id:?} was taken, and refused at {refused_at}: {answer:?}"
+            "{id:?} was accepted, and rejected at {refused_at}: {answer:?}"
         ))
     }
 
-    /// Whoever was taken builds on what was there just before.
+    /// An accepted request builds on the configuration just before.
     fn check_sequence(&self) -> Result<(), String> {
         let mut before = 0;
         for (generation, id) in &self.taken {
             let base = self.history.issued[id.0].request.base;
             if base < before {
                 return Err(format!(
-                    "{id:?} was taken as {generation} on {base}, and {before} was as well"
+                    "{id:?} was accepted as {generation} on {base}, and {before} was as well"
                 ));
             }
             before = *generation;
@@ -315,7 +315,7 @@
                 next.filter(|(_, id)| self.history.issued[id.0].request.base < sight.generation);
             if let Some((generation, id)) = left_out {
                 return Err(format!(
-                    "{id:?} was taken as {generation} past {}",
+                    "{id:?} was accepted as {generation} past {}",
                     sight.generation
                 ));
             }
@@ -336,8 +336,10 @@
             end.1 = newest;
         }
         let seen_before = |at: Millis| {
-            let place = ends.partition_point(|(until, _)| *until < at);
-            place.checked_sub(1).map_or(0, |place| ends[place].1)
+            let position = ends.partition_point(|(until, _)| *until < at);
+            position
+                .checked_sub(1)
+                .map_or(0, |position| ends[position].1)
         };
         for sight in self.sights.iter().filter(|sight| sight.exact) {
             let seen = seen_before(sight.since);
@@ -361,7 +363,7 @@
             let seen = issued.since.map_or(0, seen_before);
             if seen > issued.request.base {
                 return Err(format!(
-                    "{id:?} on {} was taken after {seen}",
+                    "{id:?} on {} was accepted after {seen}",
                     issued.request.base
                 ));
             }
@@ -369,7 +371,7 @@
         Ok(())
     }
 
-    /// What is seen was ordered before.
+    /// What is observed was requested before.
     fn check_not_early(&self, sight: &Sight) -> Result<(), String> {
         let made = |issued: &&IssuedRequest| issued.generation == sight.generation && issued.valid;
         let first = self
@@ -382,7 +384,7 @@
         let early = sight.generation > 0 && first.is_none_or(|first| first > sight.until);
         if early {
             return Err(format!(
-                "{} was seen at {} and ordered at {first:?}",
+                "{} was seen at {} and requested at {first:?}",
                 sight.generation, sight.until
             ));
         }
--- a/crates/serving/control-state/tests/world/links.rs
+++ b/crates/serving/control-state/tests/world/links.rs
@@ -1,5 +1,5 @@
-//! Connections: those between members keep their order and hold up what is sent while they are cut; calls of callers
-//! are lost then.
+//! Connections: those between members keep their order and delay what is sent while they are partitioned; calls of
+//! callers are lost then.
 
 use super::machines::Arrival;
 use super::{Event, World};
@@ -20,7 +20,7 @@
     arrival: Millis,
 }
 
-/// A place where messages come from or go to.
+/// Where messages come from or go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Endpoint {
     Machine(usize),
@@ -30,17 +30,17 @@
 #[derive(Default)]
 pub struct Links {
     links: HashMap<(usize, usize), Link>,
-    cut: HashSet<(Endpoint, Endpoint)>,
+    partitioned: HashSet<(Endpoint, Endpoint)>,
 }
 
 impl Links {
     pub fn is_partitioned(&self, from: Endpoint, to: Endpoint) -> bool {
-        self.cut.contains(&(from, to))
+        self.partitioned.contains(&(from, to))
     }
 
-    pub fn cut(&mut self, from: Endpoint, to: Endpoint) {
+    pub fn partition(&mut self, from: Endpoint, to: Endpoint) {
         if from != to {
-            self.cut.insert((from, to));
+            self.partitioned.insert((from, to));
         }
     }
 
@@ -50,9 +50,9 @@
 }
 
 impl World {
-    /// What was held up arrives now, or is lost with the connection.
+    /// Delayed messages arrive now, or are lost with the connection.
     pub fn heal(&mut self, from: Endpoint, to: Endpoint) {
-        if !self.links.cut.remove(&(from, to)) {
+        if !self.links.partitioned.remove(&(from, to)) {
             return;
         }
         let (Endpoint::Machine(from), Endpoint::Machine(to)) = (from, to) else {
@@ -71,17 +71,17 @@
         }
     }
 
-    /// What is on its way is lost; both ends are told if they can be.
+    /// Messages in flight are lost; with `notify`, both ends learn of it unless they are partitioned.
     pub fn reset_connection(&mut self, one: usize, other: usize, notify: bool) {
         if one == other {
             return;
         }
         let endpoints = (Endpoint::Machine(one), Endpoint::Machine(other));
-        let cut = self.links.is_partitioned(endpoints.0, endpoints.1)
+        let partitioned = self.links.is_partitioned(endpoints.0, endpoints.1)
             || self.links.is_partitioned(endpoints.1, endpoints.0);
         self.links.link(one, other).queue.clear();
         self.links.link(other, one).queue.clear();
-        if notify && !cut {
+        if notify && !partitioned {
             self.tell_disconnected(one, other);
             self.tell_disconnected(other, one);
         }
--- a/crates/serving/control-state/tests/world/machines.rs
+++ b/crates/serving/control-state/tests/world/machines.rs
@@ -13,7 +13,7 @@
 use std::hash::{DefaultHasher, Hasher};
 use std::net::SocketAddr;
 
-/// What a process's clock says at its start.
+/// The reading of a process's clock at its start.
 const FIRST_MOMENT: Millis = 1;
 const TOLERATED_LOSSES: u32 = 1;
 /// A call that is not decided after this time is answered without a clear answer.
@@ -60,10 +60,10 @@
     pub frozen: bool,
     /// What came while it was frozen.
     backlog: VecDeque<Arrival>,
-    /// Counts starts, so that events of an earlier run are told apart.
+    /// Counts starts, so that events of an earlier run are ignored.
     pub run: u64,
     pub process: Option<Process>,
-    /// Without power, connections to it hang; without a process, they are refused.
+    /// Without power, connections to it hang; without a process, they are rejected.
     pub powered: bool,
     may_found: bool,
 }
@@ -151,7 +151,7 @@
             pending: HashMap::new(),
         });
         let first_start = machine.may_found && run == 1;
-        self.note(|| format!("m{index} starts"));
+        self.log(|| format!("m{index} starts"));
         let input = if first_start {
             Input::Tick
         } else {
@@ -192,7 +192,7 @@
         self.machines[index].frozen = true;
     }
 
-    /// The process goes on, and takes what has filled its sockets before it hears anything new.
+    /// The process resumes, and handles what has filled its sockets before anything new.
     pub fn thaw(&mut self, index: usize) {
         if !std::mem::take(&mut self.machines[index].frozen) {
             return;
@@ -250,7 +250,7 @@
         match arrival {
             Arrival::Chain(input) => self.step(index, input),
             Arrival::Call { call, question } => self.called(index, call, question),
-            Arrival::Deadline { call } => self.answer(index, call, Answer::Unclear),
+            Arrival::Deadline { call } => self.answer(index, call, Answer::Indefinite),
         }
     }
 
@@ -326,7 +326,7 @@
             Output::ReadReady { ticket } => self.read_ready(index, ticket),
             Output::Dropped { ticket } => {
                 if let Some(call) = self.process(index).tickets.remove(&ticket) {
-                    self.answer(index, call, Answer::Unclear);
+                    self.answer(index, call, Answer::Indefinite);
                 }
             }
             Output::WantSnapshot => {
@@ -358,7 +358,7 @@
                 process.state = state;
             }
             Output::ViewChanged { view, current } => {
-                self.note(|| {
+                self.log(|| {
                     let chain: Vec<&str> = view.chain.iter().map(|id| id.node.as_str()).collect();
                     format!(
                         "m{index} is in view {} of {chain:?}, current {current}",
@@ -438,7 +438,7 @@
                 let answer = if follows {
                     Answer::Watched { generation }
                 } else {
-                    Answer::Unclear
+                    Answer::Indefinite
                 };
                 self.answer(index, call, answer);
             }
@@ -462,7 +462,7 @@
             }
         }
         if !process.member.takes_part(clock) {
-            return self.answer(index, call, Answer::Unclear);
+            return self.answer(index, call, Answer::Indefinite);
         }
         let payload = postcard::to_stdvec(&operation).expect("an operation");
         let ticket = self.take_ticket();
@@ -491,7 +491,7 @@
                 self.answer(index, call, Answer::Retired)
             }
             Outcome::Retire(_) => self.answer(index, call, Answer::NotRetired),
-            _ => self.answer(index, call, Answer::Unclear),
+            _ => self.answer(index, call, Answer::Indefinite),
         }
     }
 
@@ -505,14 +505,14 @@
         self.answer(index, call, Answer::Configuration(configuration));
     }
 
-    /// Answers a call, without a clear answer if it has taken too long: the process may have been frozen.
+    /// Answers a call, without a definite answer if that took too long: the process may have been suspended.
     fn answer(&mut self, index: usize, call: CallId, answer: Answer) {
         let clock = self.clock(index);
         let Some(pending) = self.process(index).pending.remove(&call) else {
             return;
         };
         let late = clock > pending.since + CALL_LIMIT;
-        let answer = if late { Answer::Unclear } else { answer };
+        let answer = if late { Answer::Indefinite } else { answer };
         self.send_answer(index, call, answer);
     }
 
@@ -529,7 +529,7 @@
         );
     }
 
-    /// An operation of which nobody waits to hear.
+    /// An operation whose outcome nobody awaits.
     pub fn submit(&mut self, index: usize, operation: &Operation) {
         if self.machines[index].process.is_none() || self.machines[index].frozen {
             return;
@@ -546,7 +546,7 @@
     }
 }
 
-/// What a call asks the core to agree on.
+/// The operation that a call submits.
 fn operation(question: &Question, fencing_token: u64) -> Option<Operation> {
     match question {
         Question::Configure(request) => Some(Operation::Configure(ConfigurationRequest {
--- a/crates/serving/control-state/tests/world/mod.rs
+++ b/crates/serving/control-state/tests/world/mod.rs
@@ -1,5 +1,5 @@
 //! A seeded world of the core with its callers: members with disks that apply what is committed to the control state,
-//! operators, readers and followers on all sides of cuts, and what goes wrong with them.
+//! operators, readers and followers on all sides of partitions, and the faults that happen to them.
 //!
 //! Callers keep a history of what they saw, and [`history::check`] judges it. Besides, the committed sequence has to
 //! be the same everywhere, and what a member shows to those who follow it may not be too old.
@@ -21,10 +21,10 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What a broken promise looks like.
+/// The first violation, described, if there was one.
 pub type Verdict = Result<(), String>;
 
-/// The founder sets the first view at this time, and again after this until it was taken.
+/// The founder sets the first view at this time, and again after this until it was decided.
 const FOUND_AT: Millis = 400;
 const FOUND_AGAIN: Millis = 300;
 /// Processes start at most this long after the world does.
@@ -32,13 +32,13 @@
 /// Payloads that mean nothing come this often, so that logs grow beyond what a member keeps.
 const FILL_EVERY: u64 = 120;
 
-/// Guards that may be taken out.
+/// Safeguards that may be removed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Safeguards {
     pub chain: dunespur_chain_replication::Guards,
     pub control: dunespur_control_state::Safeguards,
-    /// A member refuses orders out of its own copy of the state, without having them committed. The guard against this
-    /// is that nothing answers an order but its commit.
+    /// A member rejects requests by its own replica of the state, without having them committed. The safeguard against
+    /// this is that only the commit of a request answers it.
     pub rejects_unconfirmed: bool,
 }
 
@@ -146,7 +146,7 @@
     /// Messages between members come again late, or are lost, now and then.
     pub doubling: bool,
     pub losing: bool,
-    /// What befalls the machine that gives the next 200 to an order.
+    /// The fault of the machine that gives the next 200 to a request.
     pub at_next_acknowledgement: Option<faults::Fault>,
     /// Then all machines lose power as well.
     blackout_after_wipe: bool,
@@ -203,7 +203,7 @@
         }));
     }
 
-    /// Plays up to a time, or to the first broken promise.
+    /// Plays up to a time, or to the first violation.
     pub fn play_to(&mut self, end: Millis) -> Verdict {
         while self
             .events
@@ -250,13 +250,13 @@
         }
     }
 
-    /// The next commit of the sequence, as one member gives it out; says whether it is the first to do so.
+    /// The next commit of the sequence, as one member delivers it; returns whether it is the first to do so.
     pub fn committed_at(&mut self, machine: usize, index: u64, payload: u64) -> bool {
-        let place = index as usize - 1;
-        let first = place == self.sequence.len();
+        let position = index as usize - 1;
+        let first = position == self.sequence.len();
         if first {
             self.sequence.push(payload);
-        } else if self.sequence.get(place) != Some(&payload) {
+        } else if self.sequence.get(position) != Some(&payload) {
             self.violate(format!(
                 "m{machine} commits something else at {index} than was committed before"
             ));
@@ -290,7 +290,7 @@
         self.next_ticket
     }
 
-    pub fn note(&self, text: impl FnOnce() -> String) {
+    pub fn log(&self, text: impl FnOnce() -> String) {
         if self.trace {
             eprintln!("{:>6} {}", self.now, text());
         }
--- a/crates/serving/control-state/tests/world/retirements.rs
+++ b/crates/serving/control-state/tests/world/retirements.rs
@@ -1,5 +1,6 @@
-//! The operator of stores: it has them emptied while they come, go, and come again on other disks. An order to empty a
-//! store may take effect only while one is under way: after a clear answer, no copy of an earlier call counts.
+//! The operator of stores: it retires them while they register, disappear and return with other disks. A request to
+//! retire a store may take effect only while a call for it is pending: after a definite answer, no duplicate of an
+//! earlier call counts.
 
 use super::callers::{Answer, Question, Wake};
 use super::{Event, World};
@@ -8,20 +9,20 @@
 use std::net::SocketAddr;
 
 const STORES: u64 = 3;
-/// The most that the keeper rests between two acts.
+/// The operator waits this long at most between two actions, in milliseconds.
 const MAX_REST: u64 = 250;
-/// An order without a clear answer is left after so many calls at most.
+/// A request without a definite answer is abandoned after so many calls at most.
 const MAX_ATTEMPTS: u32 = 12;
 
-/// What the keeper knows and wants.
+/// The operator's knowledge and the request that it wants decided.
 #[derive(Default)]
 pub struct RetirementOperator {
-    /// Lives and disks are numbered.
+    /// Incarnations and disks are numbered.
     next_number: u64,
     wanted: Option<(String, u32)>,
-    /// Whether a call has gone out for a store since its last clear answer.
+    /// Whether a call was made for a store since its last definite answer.
     under_way: BTreeMap<String, bool>,
-    pub begun: u64,
+    pub retirements_begun: u64,
     pub refused: u64,
 }
 
@@ -50,20 +51,20 @@
         self.call(caller, Question::Retire(node), None);
     }
 
-    /// A store comes, goes, is empty, or is another one of the same name.
+    /// A store registers, expires, is empty, or is another one of the same name.
     fn store_changes(&mut self) {
         let node = format!("s{}", self.rng.u64(0..STORES));
         self.retirement_operator.next_number += 1;
         let number = self.retirement_operator.next_number;
         let disk = if self.rng.bool() { number } else { 1 };
-        let held = self
+        let processes = self
             .machines
             .iter()
             .filter_map(|machine| machine.process.as_ref());
-        let held = held
+        let newest = processes
             .filter_map(|process| process.state.stores().find(|store| store.name == node))
             .max_by_key(|store| store.incarnation);
-        let (incarnation, epoch) = held.map_or((0, 0), |store| (store.incarnation, store.epoch));
+        let (incarnation, epoch) = newest.map_or((0, 0), |store| (store.incarnation, store.epoch));
         let operation = match self.rng.u32(0..4) {
             0..=1 => Operation::Node(NodeReport {
                 name: node,
@@ -88,7 +89,7 @@
         self.submit(machine, &operation);
     }
 
-    /// A call of the keeper is over.
+    /// A call of the operator of stores ended.
     pub fn retirement_call_ended(&mut self, clear: Option<Answer>) -> u64 {
         if let Some((node, attempts_left)) = self.retirement_operator.wanted.take() {
             if let Some(answer) = &clear {
@@ -103,10 +104,10 @@
 
     /// A store begins to be emptied.
     pub fn retirement_begins(&mut self, node: &str) {
-        self.retirement_operator.begun += 1;
+        self.retirement_operator.retirements_begun += 1;
         if self.retirement_operator.under_way.get(node) != Some(&true) {
             self.violate(format!(
-                "{node} is emptied, and every call for it was decided before"
+                "{node} is being emptied, and every call for it was decided before"
             ));
         }
     }
--- a/crates/serving/control-state/tests/world_digests.rs
+++ b/crates/serving/control-state/tests/world_digests.rs
@@ -1,4 +1,4 @@
-//! The simulated worlds go as they went when `world/digests.txt` was written: same messages, same times, same states.
+//! The simulated worlds run as they did when `world/digests.txt` was written: same messages, same times, same states.
 
 mod world;
 
@@ -6,7 +6,7 @@
 use world::faults::digest;
 use world::Setup;
 
-const ROUNDS: usize = 1;
+const FAULT_GROUPS: usize = 1;
 const SEEDS: u64 = 100;
 /// Large payloads, which bring on snapshots, take most of the time: only some seeds have them.
 const LARGE_PAYLOADS_EVERY: u64 = 20;
@@ -22,7 +22,8 @@
             filling,
             ..Setup::new(seed, 3 + seed as usize % 4)
         };
-        writeln!(digests, "{seed} {:016x}", digest(setup, ROUNDS)).expect("a string takes text");
+        writeln!(digests, "{seed} {:016x}", digest(setup, FAULT_GROUPS))
+            .expect("a string takes text");
     }
     assert_eq!(digests, include_str!("world/digests.txt"));
 }
