--- a/crates/serving/storage/src/core/reader.rs
+++ b/crates/serving/storage/src/core/reader.rs
@@ -5,7 +5,7 @@
     KEY_PROMISED, KEY_SNAPSHOT, KEY_SYNCED_VIEW, SNAPSHOT_CHUNKS, VALUES,
 };
 use crate::error::{Result, StorageError};
-use dunespur_chain_replication::{Entry, Saved, SavedSnapshot};
+use dunespur_chain_replication::{DurableState, Entry, Snapshot};
 use redb::{Database, ReadTransaction};
 
 /// The number of the disk, from a file of the known format.
@@ -22,7 +22,7 @@
 }
 
 /// All that a member continues from.
-pub fn saved(database: &Database) -> Result<Saved> {
+pub fn saved(database: &Database) -> Result<DurableState> {
     let transaction = database.begin_read()?;
     let values = transaction.open_table(VALUES)?;
     let header: Option<SnapshotHeader> = get(&values, KEY_SNAPSHOT)?;
@@ -33,7 +33,7 @@
     let first_index = snapshot
         .as_ref()
         .map_or(0, |snapshot| snapshot.position.index + 1);
-    Ok(Saved {
+    Ok(DurableState {
         decided: get(&values, KEY_DECIDED)?,
         promised: get(&values, KEY_PROMISED)?,
         accepted: get(&values, KEY_ACCEPTED)?,
@@ -43,7 +43,7 @@
     })
 }
 
-fn snapshot(transaction: &ReadTransaction, header: &SnapshotHeader) -> Result<SavedSnapshot> {
+fn snapshot(transaction: &ReadTransaction, header: &SnapshotHeader) -> Result<Snapshot> {
     let chunks = transaction.open_table(SNAPSHOT_CHUNKS)?;
     let mut bytes = Vec::new();
     for number in 0..header.chunks {
@@ -52,7 +52,7 @@
             .ok_or_else(|| missing(&format!("part {number} of the snapshot")))?;
         bytes.extend_from_slice(chunk.value());
     }
-    Ok(SavedSnapshot {
+    Ok(Snapshot {
         position: header.position,
         bytes: bytes.into(),
     })
