--- a/crates/serving/budget/src/counter/clock.rs
+++ b/crates/serving/budget/src/counter/clock.rs
@@ -1,43 +1,43 @@
-//! The machines that send requests: which life of each is the newest, and the time as their clocks tell it.
+//! The machines that send requests: the newest incarnation of each, and the time that their clocks imply.
 
 use crate::{LimiterId, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most time that passes between two requests of one sender: against a clock that jumps.
+/// Maximum time between two requests of one sender. Bounds the effect of a clock that jumps.
 const MAX_STEP_MS: Millis = 10_000;
 /// A sender's time never lags further behind that of the others.
 const MAX_LAG_MS: Millis = 10_000;
-/// Senders remembered; the one heard longest ago gives way.
+/// Maximum number of recorded senders; the one with the least time elapsed is evicted.
 const MAX_SENDERS: usize = 1_024;
 
 /// One machine that sends requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Sender {
-    /// The newest life seen.
+    /// The newest incarnation.
     incarnation: u64,
-    /// The furthest reading of that life's clock.
+    /// The latest reading of that incarnation's clock.
     reading: Millis,
-    /// Time that passed for this sender.
+    /// Time that elapsed for this sender.
     elapsed: Millis,
 }
 
-/// All senders, and the time that passed for the one that has seen most.
+/// All senders, and the most time that elapsed for one of them.
 ///
-/// Replicas may not look at a clock of their own, so time advances with what requests carry: for each sender by
-/// the differences of its readings. Neither a clock that is wrong nor one that is stepped makes it run ahead.
+/// Replicas must not read a clock of their own, so time advances with what requests carry: for each sender by the
+/// differences of its readings. Neither a wrong clock nor one that is stepped makes it run ahead.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Senders {
-    by_node: BTreeMap<Box<str>, Sender>,
+pub(crate) struct LogicalClock {
+    senders: BTreeMap<Box<str>, Sender>,
     now: Millis,
 }
 
-impl Senders {
-    /// Takes note of a sender's reading and tells the time.
-    pub(crate) fn hear(&mut self, limiter: &LimiterId, reading: Millis) -> Millis {
+impl LogicalClock {
+    /// Records a sender's reading and returns the time.
+    pub(crate) fn observe(&mut self, limiter: &LimiterId, reading: Millis) -> Millis {
         let now = self.now;
-        let Some(sender) = self.by_node.get_mut(limiter.node.as_str()) else {
-            self.enrol(limiter, reading);
+        let Some(sender) = self.senders.get_mut(limiter.node.as_str()) else {
+            self.register(limiter, reading);
             return now;
         };
         if limiter.incarnation > sender.incarnation {
@@ -51,28 +51,28 @@
         self.now
     }
 
-    /// Whether a newer life of the limiter's machine has been heard.
-    pub(crate) fn superseded(&self, limiter: &LimiterId) -> bool {
-        let sender = self.by_node.get(limiter.node.as_str());
+    /// Whether a newer incarnation of the limiter has sent a request.
+    pub(crate) fn is_superseded(&self, limiter: &LimiterId) -> bool {
+        let sender = self.senders.get(limiter.node.as_str());
         sender.is_some_and(|sender| sender.incarnation > limiter.incarnation)
     }
 
-    fn enrol(&mut self, limiter: &LimiterId, reading: Millis) {
-        if self.by_node.len() >= MAX_SENDERS {
-            self.forget_one();
+    fn register(&mut self, limiter: &LimiterId, reading: Millis) {
+        if self.senders.len() >= MAX_SENDERS {
+            self.evict_one();
         }
         let sender = Sender {
             incarnation: limiter.incarnation,
             reading,
             elapsed: self.now,
         };
-        self.by_node.insert(limiter.node.as_str().into(), sender);
+        self.senders.insert(limiter.node.as_str().into(), sender);
     }
 
-    fn forget_one(&mut self) {
-        let longest = self.by_node.iter().min_by_key(|(_, sender)| sender.elapsed);
-        if let Some(name) = longest.map(|(name, _)| name.clone()) {
-            self.by_node.remove(&name);
+    fn evict_one(&mut self) {
+        let furthest_behind = self.senders.iter().min_by_key(|(_, sender)| sender.elapsed);
+        if let Some(node) = furthest_behind.map(|(node, _)| node.clone()) {
+            self.senders.remove(&node);
         }
     }
 }
--- a/crates/serving/budget/src/counter/program.rs
+++ b/crates/serving/budget/src/counter/program.rs
@@ -1,41 +1,45 @@
-//! One program's counter: what was used, and who holds how much.
+//! One program's counter: the used units, and the units on lease to each limiter.
 
-use super::senders::Senders;
+use super::clock::LogicalClock;
 use crate::{CounterReply, LimiterId, Millis};
 use serde::{Deserialize, Serialize};
+use std::cmp::Ordering;
 
-/// Near the limit a grant is this part of a limiter's share of the headroom.
+/// Near the limit a grant is a limiter's equal part of the headroom, divided by this.
 const SHRINK_FACTOR: u64 = 2;
-/// A limiter counts as one of the program's this long after it asked.
-const ASKED_LATELY_MS: Millis = 10_000;
-/// Units of a limiter that was silent about the program for longer count as spent: three of its reports.
-const HOLDER_SILENT_MS: Millis = 15_000;
-/// Limiters remembered for one program; what the one heard longest ago holds counts as used.
-const MAX_HOLDERS: usize = 128;
-
-/// A limiter, as one program's counter knows it.
+/// A limiter counts as one of the program's for this long after its last request.
+const RECENT_REQUEST_MS: Millis = 10_000;
+/// Units of a limiter without a request for the program for longer count as spent: three missed reports.
+const LEASE_TIMEOUT_MS: Millis = 15_000;
+/// Maximum number of leases of one program; the units of the least recently renewed one count as used.
+const MAX_LEASES: usize = 128;
+
+/// What one program's counter records of a limiter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Holder {
+struct Lease {
     limiter: LimiterId,
-    /// Units granted, neither given back nor reported as used.
-    unresolved: u64,
-    /// When it was last heard.
-    heard: Millis,
+    /// Units granted, neither returned nor reported as used.
+    outstanding: u64,
+    /// When its last request was applied.
+    renewed_at: Millis,
     /// Its last request and the reply. One is enough, as it has one unanswered request at a time.
-    last: Option<Answered>,
+    last: Option<AnsweredRequest>,
 }
 
-/// A request that was answered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Answered {
+struct AnsweredRequest {
     sequence: u64,
     reply: CounterReply,
 }
 
-/// A limiter's ask for a lease.
-pub(crate) struct Ask {
-    /// The asker's place among the program's holders.
-    pub(crate) holder: usize,
+/// Identifies a program's lease until the next one is added or removed.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct LeaseIndex(usize);
+
+/// A limiter's request for a lease.
+pub(crate) struct LeaseRequest {
+    /// The limiter's previous lease.
+    pub(crate) lease: LeaseIndex,
     pub(crate) budget: u64,
     pub(crate) needed: u64,
     pub(crate) wanted: u64,
@@ -44,176 +48,171 @@
     pub(crate) now: Millis,
 }
 
-/// A program's counter. It never goes back to nought while it exists.
+/// A program's counter. It never goes back while it exists.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Program {
     /// Units reported as used.
     used: u64,
     /// Whether units were ever granted.
-    begun: bool,
+    has_granted: bool,
     last_use: Millis,
-    holders: Vec<Holder>,
+    leases: Vec<Lease>,
 }
 
 impl Program {
+    /// Units reported as used.
     pub(crate) fn used(&self) -> u64 {
         self.used
     }
 
-    /// Units that limiters hold, for all the counter knows.
-    pub(crate) fn held(&self) -> u64 {
-        self.holders
+    /// Units on lease.
+    pub(crate) fn leased(&self) -> u64 {
+        self.leases
             .iter()
-            .fold(0, |sum, holder| sum.saturating_add(holder.unresolved))
+            .fold(0, |sum, lease| sum.saturating_add(lease.outstanding))
     }
 
+    /// Time since the last request.
     pub(crate) fn idle(&self, now: Millis) -> Millis {
         now.saturating_sub(self.last_use)
     }
 
     /// The reply to a request that was applied already; `Stale` to one older than the limiter's last.
-    pub(crate) fn answered_before(
-        &self,
-        limiter: &LimiterId,
-        sequence: u64,
-    ) -> Option<CounterReply> {
-        let holder = self
-            .holders
-            .iter()
-            .find(|holder| holder.limiter == *limiter)?;
-        let last = holder.last.as_ref()?;
+    pub(crate) fn prior_reply(&self, limiter: &LimiterId, sequence: u64) -> Option<CounterReply> {
+        let lease = self.leases.iter().find(|lease| lease.limiter == *limiter)?;
+        let last = lease.last.as_ref()?;
         match sequence.cmp(&last.sequence) {
-            std::cmp::Ordering::Less => Some(CounterReply::Stale),
-            std::cmp::Ordering::Equal => Some(last.reply.clone()),
-            std::cmp::Ordering::Greater => None,
+            Ordering::Less => Some(CounterReply::Stale),
+            Ordering::Equal => Some(last.reply.clone()),
+            Ordering::Greater => None,
         }
     }
 
-    /// Takes note of a limiter's new request and of what it used; gives its place among the holders.
-    pub(crate) fn hear(&mut self, limiter: &LimiterId, used: u64, now: Millis) -> usize {
+    /// Records a limiter's new request and the units that it used; returns its lease.
+    pub(crate) fn renew(&mut self, limiter: &LimiterId, used: u64, now: Millis) -> LeaseIndex {
         self.last_use = now;
-        let place = self.place_of(limiter);
-        let holder = &mut self.holders[place];
-        holder.heard = now;
-        holder.unresolved = holder.unresolved.saturating_sub(used);
+        let index = self.index_of(limiter);
+        let lease = &mut self.leases[index];
+        lease.renewed_at = now;
+        lease.outstanding = lease.outstanding.saturating_sub(used);
         self.used = self.used.saturating_add(used);
-        place
+        LeaseIndex(index)
     }
 
-    /// Takes units back, at most what the limiter holds: against units from nowhere.
-    pub(crate) fn take_back(&mut self, holder: usize, units: u64) {
-        let holder = &mut self.holders[holder];
-        holder.unresolved = holder.unresolved.saturating_sub(units);
+    /// Returns units, at most those on lease: a limiter cannot add to the budget.
+    pub(crate) fn return_units(&mut self, lease: LeaseIndex, units: u64) {
+        let lease = &mut self.leases[lease.0];
+        lease.outstanding = lease.outstanding.saturating_sub(units);
     }
 
-    /// Grants a lease, or tells why not.
-    pub(crate) fn lease(&mut self, ask: &Ask, senders: &Senders) -> CounterReply {
-        let headroom = self.headroom(ask.budget);
-        if headroom >= ask.needed {
-            let units = self.grant_size(ask, headroom, senders);
-            self.begun = true;
-            self.holders[ask.holder].unresolved += units;
+    /// Grants a lease, or replies why not.
+    pub(crate) fn grant(&mut self, request: &LeaseRequest, clock: &LogicalClock) -> CounterReply {
+        let headroom = self.headroom(request.budget);
+        if headroom >= request.needed {
+            let units = self.grant_size(request, headroom, clock);
+            self.has_granted = true;
+            self.leases[request.lease.0].outstanding += units;
             return CounterReply::Granted {
                 units,
                 left: headroom - units,
             };
         }
-        let held = self.recoverable(ask.now, senders);
-        if headroom.saturating_add(held) >= ask.needed {
-            CounterReply::Elsewhere { held }
+        let leased = self.recoverable(request.now, clock);
+        if headroom.saturating_add(leased) >= request.needed {
+            CounterReply::LeasedElsewhere { leased }
         } else {
             CounterReply::Spent
         }
     }
 
-    pub(crate) fn remember(&mut self, holder: usize, sequence: u64, reply: &CounterReply) {
-        self.holders[holder].last = Some(Answered {
+    /// Records the reply to a limiter's last request.
+    pub(crate) fn record_reply(&mut self, lease: LeaseIndex, sequence: u64, reply: &CounterReply) {
+        self.leases[lease.0].last = Some(AnsweredRequest {
             sequence,
             reply: reply.clone(),
         });
     }
 
-    /// Drops the records of limiters that hold nothing.
+    /// Removes leases without units.
     pub(crate) fn compact(&mut self) {
-        self.holders.retain(|holder| holder.unresolved > 0);
-        self.holders.shrink_to_fit();
+        self.leases.retain(|lease| lease.outstanding > 0);
+        self.leases.shrink_to_fit();
     }
 
     fn headroom(&self, budget: u64) -> u64 {
-        budget.saturating_sub(self.used.saturating_add(self.held()))
+        budget.saturating_sub(self.used.saturating_add(self.leased()))
     }
 
-    /// What is granted out of a headroom that covers the need: shrunk near the limit, never below the need, and
+    /// The size of a grant out of a headroom that covers the need: shrunk near the limit, never below the need, and
     /// no more than that to a new program.
-    fn grant_size(&self, ask: &Ask, headroom: u64, senders: &Senders) -> u64 {
-        if !self.begun {
-            return ask.needed;
+    fn grant_size(&self, request: &LeaseRequest, headroom: u64, clock: &LogicalClock) -> u64 {
+        if !self.has_granted {
+            return request.needed;
         }
-        let share = headroom / self.sharers(ask, senders) / SHRINK_FACTOR;
-        ask.wanted.min(share).max(ask.needed)
+        let limit = headroom / self.active_limiters(request, clock) / SHRINK_FACTOR;
+        request.wanted.min(limit).max(request.needed)
     }
 
-    /// How many limiters share the program, the asker included.
-    fn sharers(&self, ask: &Ask, senders: &Senders) -> u64 {
-        let lately = |holder: &&Holder| ask.now.saturating_sub(holder.heard) < ASKED_LATELY_MS;
-        let holds = |holder: &&Holder| holder.unresolved > 0;
-        let shares = |holder: &&Holder| {
-            holder.may_come_back(ask.now, senders) && (lately(holder) || holds(holder))
+    /// How many limiters serve the program, the requesting one included.
+    fn active_limiters(&self, request: &LeaseRequest, clock: &LogicalClock) -> u64 {
+        let is_recent =
+            |lease: &Lease| request.now.saturating_sub(lease.renewed_at) < RECENT_REQUEST_MS;
+        let is_active = |lease: &&Lease| {
+            lease.is_valid(request.now, clock) && (is_recent(lease) || lease.outstanding > 0)
         };
-        let counted = self.holders.iter().filter(shares).count().max(1) as u64;
-        match ask.limiters {
+        let counted = self.leases.iter().filter(is_active).count().max(1) as u64;
+        match request.limiters {
             0 => counted,
             known => counted.min(u64::from(known)),
         }
     }
 
-    /// Units that limiters hold and may still give back.
-    fn recoverable(&self, now: Millis, senders: &Senders) -> u64 {
-        let alive = self
-            .holders
+    /// Units on valid leases, which may still be returned.
+    fn recoverable(&self, now: Millis, clock: &LogicalClock) -> u64 {
+        self.leases
             .iter()
-            .filter(|holder| holder.may_come_back(now, senders));
-        alive.fold(0, |sum, holder| sum.saturating_add(holder.unresolved))
+            .filter(|lease| lease.is_valid(now, clock))
+            .fold(0, |sum, lease| sum.saturating_add(lease.outstanding))
     }
 
-    fn place_of(&mut self, limiter: &LimiterId) -> usize {
+    fn index_of(&mut self, limiter: &LimiterId) -> usize {
         let known = self
-            .holders
+            .leases
             .iter()
-            .position(|holder| holder.limiter == *limiter);
-        if let Some(place) = known {
-            return place;
+            .position(|lease| lease.limiter == *limiter);
+        if let Some(index) = known {
+            return index;
         }
-        if self.holders.len() >= MAX_HOLDERS {
-            self.write_one_off();
+        if self.leases.len() >= MAX_LEASES {
+            self.write_off_one();
         }
-        let holder = Holder {
+        self.leases.push(Lease {
             limiter: limiter.clone(),
-            unresolved: 0,
-            heard: 0,
+            outstanding: 0,
+            renewed_at: 0,
             last: None,
-        };
-        self.holders.push(holder);
-        self.holders.len() - 1
+        });
+        self.leases.len() - 1
     }
 
-    /// Makes room for a holder: what the one heard longest ago holds stays spent.
-    fn write_one_off(&mut self) {
-        let longest = self
-            .holders
+    /// Removes the least recently renewed lease; its units stay spent.
+    fn write_off_one(&mut self) {
+        let oldest = self
+            .leases
             .iter()
             .enumerate()
-            .min_by_key(|(_, holder)| holder.heard);
-        if let Some(place) = longest.map(|(place, _)| place) {
-            let holder = self.holders.remove(place);
-            self.used = self.used.saturating_add(holder.unresolved);
+            .min_by_key(|(_, lease)| lease.renewed_at);
+        if let Some(index) = oldest.map(|(index, _)| index) {
+            let lease = self.leases.remove(index);
+            self.used = self.used.saturating_add(lease.outstanding);
         }
     }
 }
 
-impl Holder {
-    /// Whether the limiter may still give back what it holds: neither replaced by a newer life nor silent too long.
-    fn may_come_back(&self, now: Millis, senders: &Senders) -> bool {
-        !senders.superseded(&self.limiter) && now.saturating_sub(self.heard) < HOLDER_SILENT_MS
+impl Lease {
+    /// Whether the limiter may still return its units: it has no newer incarnation, and the lease did not time out.
+    fn is_valid(&self, now: Millis, clock: &LogicalClock) -> bool {
+        let superseded = clock.is_superseded(&self.limiter);
+        !superseded && now.saturating_sub(self.renewed_at) < LEASE_TIMEOUT_MS
     }
 }
--- a/crates/serving/budget/src/lease/admission.rs
+++ b/crates/serving/budget/src/lease/admission.rs
@@ -1,43 +1,44 @@
-//! Verdicts on turns.
+//! Decisions on turns.
 
 use crate::CounterRequest;
 
-/// What is to be done with a turn.
+/// The decision on a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[must_use]
 pub enum Admission {
-    /// The turn's most is reserved; it may be sent to a server.
+    /// The turn's maximum is reserved; it may be sent to a server.
     Admitted,
-    /// The turn waits for the counter's answer to this request, which is to be sent. The verdict comes as a
-    /// [`TurnOutcome`]; asking again is allowed.
-    Ask(CounterRequest),
-    /// The turn waits for the answer to a request that is under way. The verdict comes as a [`TurnOutcome`];
-    /// asking again is allowed.
+    /// The turn waits for the counter's reply to this request, which the caller has to send. The decision comes as a
+    /// [`TurnOutcome`]; admitting the turn again meanwhile is allowed.
+    Request(CounterRequest),
+    /// The turn waits for the reply to a request in flight. The decision comes as a [`TurnOutcome`]; admitting the
+    /// turn again meanwhile is allowed.
     Waiting,
     /// The turn is not admitted, and no longer known here.
-    Refused(Refusal),
+    Rejected(Rejection),
 }
 
 /// Why a turn is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// The budget is spent: even if all that is held came back, the turn would not fit.
+pub enum Rejection {
+    /// The budget is spent: even if all leases were returned, the turn would not fit.
     Spent,
-    /// Limiters hold units that may come back.
-    Elsewhere {
-        /// After this long it is worth trying again.
+    /// Limiters have units on lease that may be returned.
+    LeasedElsewhere {
+        /// When a retry may succeed, in milliseconds from now.
         retry_after_ms: u64,
     },
-    /// The counter has not answered in time.
-    Silent,
-    /// More programs or turns are under way here than are kept, or the program's name is too long to keep.
-    Crowded,
+    /// The counter has not replied in time.
+    CounterTimeout,
+    /// The limiter is at its capacity of programs or turns, or the program's name is too long to store.
+    AtCapacity,
 }
 
-/// The verdict on a turn that had been waiting.
+/// The decision on a turn that had been waiting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TurnOutcome {
     /// The caller's key of the turn.
     pub turn: u64,
-    /// Admitted, refused, or a next request to send on behalf of the turn, which goes on waiting.
+    /// Admitted, rejected, or a next request to send on behalf of the turn, which goes on waiting.
     pub admission: Admission,
 }
--- a/crates/serving/budget/src/lease/cached_rejections.rs
+++ b/crates/serving/budget/src/lease/cached_rejections.rs
@@ -1,66 +1,74 @@
-//! The counter's noes, kept for a while.
+//! The counter's rejections, cached for a while.
 
-use super::admission::Refusal;
+use super::admission::Rejection;
 use crate::Millis;
 
-/// A no that also holds for turns that need as much or more.
+/// A rejection that also applies to turns that need as much or more.
 #[derive(Clone, Debug)]
-struct Verdict {
-    refusal: Refusal,
-    /// The need that was refused.
-    from: u64,
-    /// The budget that the need was refused under.
+struct CachedRejection {
+    rejection: Rejection,
+    /// The smallest need to which it applies.
+    min_needed: u64,
+    /// The budget under which the need was rejected.
     budget: u64,
-    /// The last moment at which it holds.
-    until: Millis,
+    /// The last moment at which it applies.
+    expires_at: Millis,
 }
 
-impl Verdict {
-    fn covers(&self, needed: u64, budget: u64, now: Millis) -> bool {
-        needed >= self.from && budget == self.budget && now <= self.until
+impl CachedRejection {
+    fn applies_to(&self, needed: u64, budget: u64, now: Millis) -> bool {
+        needed >= self.min_needed && budget == self.budget && now <= self.expires_at
     }
 }
 
-/// The last final no and the last passing one.
+/// The last final rejection and the last temporary one.
 ///
-/// What is left of a budget, held units included, only falls, so a `Spent` stays right; it ends all the same, as
-/// a limiter whose units were given up for lost may come back with them.
+/// What is left of a budget, leased units included, only falls, so `Spent` stays right; it expires all the same, as a
+/// limiter whose units were written off may return them.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Verdicts {
-    spent: Option<Verdict>,
-    put_off: Option<Verdict>,
+pub(crate) struct CachedRejections {
+    spent: Option<CachedRejection>,
+    temporary: Option<CachedRejection>,
 }
 
-impl Verdicts {
-    pub(crate) fn spent(&mut self, from: u64, budget: u64, until: Millis) {
-        self.spent = Some(Verdict {
-            refusal: Refusal::Spent,
-            from,
+impl CachedRejections {
+    /// The budget is spent for needs from `min_needed` up.
+    pub(crate) fn cache_spent(&mut self, min_needed: u64, budget: u64, expires_at: Millis) {
+        self.spent = Some(CachedRejection {
+            rejection: Rejection::Spent,
+            min_needed,
             budget,
-            until,
+            expires_at,
         });
     }
 
-    pub(crate) fn put_off(&mut self, refusal: Refusal, from: u64, budget: u64, until: Millis) {
-        self.put_off = Some(Verdict {
-            refusal,
-            from,
+    /// Needs from `min_needed` up do not fit now.
+    pub(crate) fn cache_temporary(
+        &mut self,
+        rejection: Rejection,
+        min_needed: u64,
+        budget: u64,
+        expires_at: Millis,
+    ) {
+        self.temporary = Some(CachedRejection {
+            rejection,
+            min_needed,
             budget,
-            until,
+            expires_at,
         });
     }
 
-    /// Units came, granted or freed: what was put off may fit now.
-    pub(crate) fn units_came(&mut self) {
-        self.put_off = None;
+    /// Units were granted or freed: what was rejected temporarily may fit now.
+    pub(crate) fn clear_temporary(&mut self) {
+        self.temporary = None;
     }
 
-    pub(crate) fn on(&self, needed: u64, budget: u64, now: Millis) -> Option<Refusal> {
-        let kept = [&self.spent, &self.put_off];
-        let covering = |verdict: &&Verdict| verdict.covers(needed, budget, now);
-        kept.into_iter()
+    /// The rejection that applies to a turn, if there is one.
+    pub(crate) fn find(&self, needed: u64, budget: u64, now: Millis) -> Option<Rejection> {
+        [&self.spent, &self.temporary]
+            .into_iter()
             .flatten()
-            .find(covering)
-            .map(|verdict| verdict.refusal)
+            .find(|cached| cached.applies_to(needed, budget, now))
+            .map(|cached| cached.rejection)
     }
 }
--- a/crates/serving/budget/src/lease/demand.rs
+++ b/crates/serving/budget/src/lease/demand.rs
@@ -2,9 +2,9 @@
 
 use crate::Millis;
 
-/// A refill covers the demand of this long to come.
+/// A refill covers the expected demand of this time.
 const HORIZON_MS: u64 = 10_000;
-/// Demand is measured over this long at least: against a rate read out of a program's first moments.
+/// Demand is measured over this time at least: the first moments of a program give no rate.
 const MIN_SPAN_MS: u64 = 1_000;
 
 /// Units used since the program's first turn here.
@@ -15,6 +15,7 @@
 }
 
 impl Demand {
+    /// No use yet.
     pub(crate) fn new(now: Millis) -> Self {
         Self {
             used: 0,
@@ -22,6 +23,7 @@
         }
     }
 
+    /// Counts used units.
     pub(crate) fn add(&mut self, units: u64) {
         self.used = self.used.saturating_add(units);
     }
--- a/crates/serving/budget/src/lease/program_lease.rs
+++ b/crates/serving/budget/src/lease/program_lease.rs
@@ -1,244 +1,254 @@
 //! One program's lease at this limiter.
 
+use super::cached_rejections::CachedRejections;
 use super::demand::Demand;
-use super::exchange::Exchange;
-use super::verdict::Verdicts;
+use super::request_retry::RequestState;
 use crate::{LeaseSettings, Millis};
 use std::collections::VecDeque;
 
-/// Near the limit: nobody-held units below this many turns' most. Units no longer reserved then go back at once.
-const TIGHT_TURNS: u64 = 4;
+/// The budget is near its limit while fewer units than this many turns' maximum are not on lease. Units that are no
+/// longer reserved are then returned at once.
+const NEAR_LIMIT_TURNS: u64 = 4;
 
-/// What a program wants next, and when.
+/// What a program does next, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Planned {
     pub(crate) at: Millis,
     pub(crate) step: Step,
 }
 
-/// A step that time brings.
+/// What a program does at its due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
-    /// The counter has been silent too long for the turns that wait.
-    RefuseWaiting,
-    /// The request under way is sent again.
+    /// Waiting turns are rejected: the counter did not reply in time.
+    RejectWaiting,
+    /// The request in flight is sent again.
     Resend,
-    /// Units go back, together with the report of what was used.
-    GiveBack,
-    /// The counter is told what was used.
+    /// Units are returned, together with the report of use.
+    ReturnUnits,
+    /// Use is reported to the counter.
     Report,
-    /// Nothing is held, awaited or running any more.
-    Forget,
+    /// The program is removed: nothing is leased, awaited or running any more.
+    Remove,
 }
 
 /// A turn that waits for the counter.
 #[derive(Clone, Copy, Debug)]
-struct Waiter {
+struct WaitingTurn {
     turn: u64,
     since: Millis,
 }
 
-/// The lease: units held for a program, and the exchange with its counter.
+/// The lease: units granted for a program, and the request to its counter.
 #[derive(Clone, Debug)]
 pub(crate) struct ProgramLease {
-    /// Units held and not reserved.
-    pub(crate) free: u64,
+    /// Units on lease and not reserved.
+    available: u64,
     /// Units used since the last request to the counter.
-    pub(crate) unreported: u64,
-    /// Turns running or waiting.
+    unreported: u64,
+    /// Number of turns running or waiting.
     pub(crate) turns: usize,
-    /// Turns that wait, in the order in which they came.
-    waiting: VecDeque<Waiter>,
-    pub(crate) exchange: Exchange,
-    pub(crate) verdicts: Verdicts,
+    /// Turns that wait, in the order of their arrival.
+    waiting: VecDeque<WaitingTurn>,
+    pub(crate) request: RequestState,
+    pub(crate) rejections: CachedRejections,
     pub(crate) demand: Demand,
-    /// Where the schedule has the program.
+    /// The program's time in the schedule.
     pub(crate) due_at: Option<Millis>,
-    /// The most of the last turn.
-    last_most: u64,
-    /// Whether the counter was near its limit at the last grant.
-    tight: bool,
-    lapses_at: Millis,
+    /// The maximum of the last turn.
+    last_max_units: u64,
+    /// Whether the budget was near its limit at the last grant.
+    near_limit: bool,
+    expires_at: Millis,
     /// When a turn last ended, if that was after the last grant.
     freed_at: Option<Millis>,
     last_end: Millis,
-    /// When the last exchange ended.
+    /// When the last request was answered.
     reported_at: Millis,
 }
 
 impl ProgramLease {
+    /// No lease yet.
     pub(crate) fn new(now: Millis) -> Self {
         Self {
-            free: 0,
+            available: 0,
             unreported: 0,
             turns: 0,
             waiting: VecDeque::new(),
-            exchange: Exchange::Quiet,
-            verdicts: Verdicts::default(),
+            request: RequestState::Idle,
+            rejections: CachedRejections::default(),
             demand: Demand::new(now),
             due_at: None,
-            last_most: 0,
-            tight: false,
-            lapses_at: 0,
+            last_max_units: 0,
+            near_limit: false,
+            expires_at: 0,
             freed_at: None,
             last_end: now,
             reported_at: now,
         }
     }
 
-    /// A turn of this size came.
-    pub(crate) fn turn_came(&mut self, most: u64) {
-        self.last_most = most;
+    /// Units on lease and not reserved.
+    pub(crate) fn available(&self) -> u64 {
+        self.available
     }
 
-    /// Reserves units if the lease covers them and has not lapsed.
+    /// A turn with this maximum arrived.
+    pub(crate) fn turn_arrived(&mut self, max_units: u64) {
+        self.last_max_units = max_units;
+    }
+
+    /// Reserves units if the lease covers them and has not expired; returns whether it did.
     pub(crate) fn reserve(&mut self, units: u64, now: Millis) -> bool {
         if units == 0 {
             return true;
         }
-        if now >= self.lapses_at || self.free < units {
+        if now >= self.expires_at || self.available < units {
             return false;
         }
-        self.free -= units;
+        self.available -= units;
         true
     }
 
+    /// The counter granted units; `left` are not on lease after that.
     pub(crate) fn granted(&mut self, units: u64, left: u64, now: Millis, settings: &LeaseSettings) {
-        self.free = self.free.saturating_add(units);
-        self.lapses_at = now + settings.lease_ms;
-        self.tight = left < self.last_most.saturating_mul(TIGHT_TURNS);
+        self.available = self.available.saturating_add(units);
+        self.expires_at = now + settings.lease_ms;
+        self.near_limit = left < self.last_max_units.saturating_mul(NEAR_LIMIT_TURNS);
         self.freed_at = None;
-        self.verdicts.units_came();
+        self.rejections.clear_temporary();
     }
 
-    /// A turn that had been admitted ended and freed what it had reserved and not used.
+    /// An admitted turn ended and freed units that it had reserved and not used.
     pub(crate) fn turn_ended(&mut self, units: u64, now: Millis) {
-        self.free = self.free.saturating_add(units);
+        self.available = self.available.saturating_add(units);
         self.last_end = now;
         self.freed_at = Some(now);
         if units > 0 {
-            self.verdicts.units_came();
+            self.rejections.clear_temporary();
         }
     }
 
-    /// A turn used units: `beyond` of them it had not reserved, which other units make good as far as they go.
-    pub(crate) fn used(&mut self, units: u64, beyond: u64) {
-        self.free = self.free.saturating_sub(beyond);
+    /// A turn used units, `beyond` of them more than it had reserved; available units cover those as far as they go.
+    pub(crate) fn record_use(&mut self, units: u64, beyond: u64) {
+        self.available = self.available.saturating_sub(beyond);
         self.unreported = self.unreported.saturating_add(units);
         self.demand.add(units);
     }
 
-    /// Takes out the units that a request gives back.
-    pub(crate) fn take_free(&mut self) -> u64 {
+    /// Takes the available units, for a request that returns them.
+    pub(crate) fn take_available(&mut self) -> u64 {
         self.freed_at = None;
-        std::mem::take(&mut self.free)
+        std::mem::take(&mut self.available)
     }
 
+    /// Takes the used units, for a request that reports them.
     pub(crate) fn take_unreported(&mut self) -> u64 {
         std::mem::take(&mut self.unreported)
     }
 
-    /// The counter answered.
+    /// The counter answered a request.
     pub(crate) fn answered(&mut self, now: Millis) {
         self.reported_at = now;
     }
 
-    /// Puts a turn behind those that wait, unless it waits already.
+    /// Appends a turn to those that wait, unless it waits already.
     pub(crate) fn wait(&mut self, turn: u64, now: Millis) {
-        if !self.waiting.iter().any(|waiter| waiter.turn == turn) {
-            self.waiting.push_back(Waiter { turn, since: now });
+        if !self.waiting.iter().any(|waiting| waiting.turn == turn) {
+            self.waiting.push_back(WaitingTurn { turn, since: now });
         }
     }
 
-    /// The turn waits no longer.
-    pub(crate) fn wait_no_more(&mut self, turn: u64) {
-        self.waiting.retain(|waiter| waiter.turn != turn);
+    /// The turn no longer waits.
+    pub(crate) fn stop_waiting(&mut self, turn: u64) {
+        self.waiting.retain(|waiting| waiting.turn != turn);
     }
 
+    /// The turn that has waited longest.
     pub(crate) fn first_waiting(&self) -> Option<u64> {
-        self.waiting.front().map(|waiter| waiter.turn)
+        self.waiting.front().map(|waiting| waiting.turn)
     }
 
-    /// Whether a turn may not wait any longer: the counter is silent, or the turn has waited for the bound, maybe
-    /// through several answers.
-    pub(crate) fn waited_out(&self, turn: u64, now: Millis, settings: &LeaseSettings) -> bool {
-        let waiter = self.waiting.iter().find(|waiter| waiter.turn == turn);
-        let since = waiter.map_or(now, |waiter| waiter.since);
+    /// Whether a turn may not wait any longer: the counter is unavailable, or the turn's timeout has passed, maybe
+    /// through several replies.
+    pub(crate) fn has_timed_out(&self, turn: u64, now: Millis, settings: &LeaseSettings) -> bool {
+        let waiting = self.waiting.iter().find(|waiting| waiting.turn == turn);
+        let since = waiting.map_or(now, |waiting| waiting.since);
         now >= self.wait_ends(since, settings)
     }
 
-    /// Until when a turn that waits since then may wait.
+    /// Until when a turn may wait that waits since then.
     fn wait_ends(&self, since: Millis, settings: &LeaseSettings) -> Millis {
-        let own_end = since + settings.turn_wait_ms;
-        let silent_at = self
-            .exchange
-            .asked()
-            .map(|asked| asked.since + settings.silent_after_ms);
-        silent_at.map_or(own_end, |silent_at| silent_at.min(own_end))
-    }
-
-    /// When the turn that has waited longest is refused.
-    fn refuse_waiting(&self, settings: &LeaseSettings) -> Option<Planned> {
-        let first = self.waiting.front()?;
-        Some(Planned {
-            at: self.wait_ends(first.since, settings),
-            step: Step::RefuseWaiting,
-        })
+        let turn_timeout = since + settings.turn_timeout_ms;
+        let counter_timeout = self
+            .request
+            .in_flight()
+            .map(|in_flight| in_flight.since + settings.counter_timeout_ms);
+        counter_timeout.map_or(turn_timeout, |at| at.min(turn_timeout))
     }
 
     /// The next step, if nothing else happens before.
     pub(crate) fn planned(&self, settings: &LeaseSettings) -> Option<Planned> {
-        match self.exchange.asked() {
-            Some(asked) => {
+        match self.request.in_flight() {
+            Some(in_flight) => {
                 let resend = Planned {
-                    at: asked.resend_at,
+                    at: in_flight.resend_at,
                     step: Step::Resend,
                 };
-                earliest([self.refuse_waiting(settings), Some(resend)])
+                earliest([self.reject_waiting(settings), Some(resend)])
             }
             None if self.turns > 0 => earliest([
-                self.give_back_while_running(settings),
+                self.return_while_running(settings),
                 Some(self.report(settings)),
             ]),
             None => Some(self.planned_at_rest(settings)),
         }
     }
 
-    /// Between turns: what is held goes back after a while, at once near the limit.
+    /// When the turn that has waited longest is rejected.
+    fn reject_waiting(&self, settings: &LeaseSettings) -> Option<Planned> {
+        let first = self.waiting.front()?;
+        Some(Planned {
+            at: self.wait_ends(first.since, settings),
+            step: Step::RejectWaiting,
+        })
+    }
+
+    /// Between turns: units are returned after a while, at once near the limit.
     fn planned_at_rest(&self, settings: &LeaseSettings) -> Planned {
-        if self.free == 0 && self.unreported == 0 {
+        if self.available == 0 && self.unreported == 0 {
             return Planned {
-                at: settings.batched(self.last_end + settings.forget_ms),
-                step: Step::Forget,
+                at: settings.batched(self.last_end + settings.remove_ms),
+                step: Step::Remove,
             };
         }
-        if self.tight {
+        if self.near_limit {
             return Planned {
                 at: self.last_end,
-                step: Step::GiveBack,
+                step: Step::ReturnUnits,
             };
         }
         let mut at = self.last_end + settings.idle_return_ms;
-        if self.free > 0 {
-            at = at.min(self.lapses_at);
+        if self.available > 0 {
+            at = at.min(self.expires_at);
         }
         Planned {
             at: settings.batched(at),
-            step: Step::GiveBack,
+            step: Step::ReturnUnits,
         }
     }
 
-    /// While turns run: what is free goes back when the lease lapses, at once near the limit if a turn freed it.
-    fn give_back_while_running(&self, settings: &LeaseSettings) -> Option<Planned> {
-        if self.free == 0 {
+    /// While turns run: available units are returned when the lease expires, at once near the limit if a turn freed
+    /// them.
+    fn return_while_running(&self, settings: &LeaseSettings) -> Option<Planned> {
+        if self.available == 0 {
             return None;
         }
-        let lapse = settings.batched(self.lapses_at);
-        let freed_at = self.freed_at.filter(|_| self.tight);
-        let at = freed_at.map_or(lapse, |freed_at| freed_at.min(lapse));
+        let expiry = settings.batched(self.expires_at);
+        let freed_at = self.freed_at.filter(|_| self.near_limit);
         Some(Planned {
-            at,
-            step: Step::GiveBack,
+            at: freed_at.map_or(expiry, |freed_at| freed_at.min(expiry)),
+            step: Step::ReturnUnits,
         })
     }
 
--- a/crates/serving/budget/src/lease/request_retry.rs
+++ b/crates/serving/budget/src/lease/request_retry.rs
@@ -1,58 +1,60 @@
-//! A program's request to its counter: one at a time, sent again unchanged until it is answered.
+//! A program's request to its counter: one at a time, repeated unchanged with backoff until it is answered.
 
 use crate::{CounterRequest, LeaseSettings, Millis};
 
-/// Pauses between repeated requests double this often at most.
+/// The backoff between repetitions doubles this often at most.
 const MAX_DOUBLINGS: u32 = 10;
 
-/// Whether a request is under way.
+/// Whether a request is in flight.
 #[derive(Clone, Debug)]
-pub(crate) enum Exchange {
-    /// Nothing is awaited.
-    Quiet,
-    /// The counter's answer is awaited.
-    Asked(Asked),
+pub(crate) enum RequestState {
+    /// No reply is awaited.
+    Idle,
+    /// The counter's reply is awaited.
+    InFlight(InFlight),
 }
 
-/// A request under way.
+/// A request in flight.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct InFlight {
     pub(crate) request: CounterRequest,
     /// When it was first sent.
     pub(crate) since: Millis,
     /// When it is to be sent again.
     pub(crate) resend_at: Millis,
-    /// How often it was sent in vain.
+    /// How often it was sent without a reply.
     failures: u32,
 }
 
-impl Exchange {
+impl RequestState {
+    /// A new request is sent.
     pub(crate) fn begin(&mut self, request: CounterRequest, now: Millis, settings: &LeaseSettings) {
-        let resend_at = now + settings.answer_wait_ms;
-        *self = Exchange::Asked(Asked {
+        *self = RequestState::InFlight(InFlight {
             request,
             since: now,
-            resend_at,
+            resend_at: now + settings.reply_timeout_ms,
             failures: 0,
         });
     }
 
-    /// Ends the exchange if that is the request under way; tells whether it was.
-    pub(crate) fn end(&mut self, sequence: u64) -> bool {
+    /// A reply arrived: ends the request if it is the one in flight, and returns whether it was.
+    pub(crate) fn complete(&mut self, sequence: u64) -> bool {
         let awaited = self
-            .asked()
-            .is_some_and(|asked| asked.request.sequence == sequence);
+            .in_flight()
+            .is_some_and(|in_flight| in_flight.request.sequence == sequence);
         if awaited {
-            *self = Exchange::Quiet;
+            *self = RequestState::Idle;
         }
         awaited
     }
 
-    /// It is known that no answer will come to the request: it is sent again soon.
-    pub(crate) fn failed(&mut self, sequence: u64, now: Millis, settings: &LeaseSettings) {
-        let Exchange::Asked(asked) = self else { return };
-        if asked.request.sequence == sequence {
-            asked.put_off(settings.resend_ms, now, settings);
+    /// The request is known to have failed: it is sent again soon.
+    pub(crate) fn fail(&mut self, sequence: u64, now: Millis, settings: &LeaseSettings) {
+        let RequestState::InFlight(in_flight) = self else {
+            return;
+        };
+        if in_flight.request.sequence == sequence {
+            in_flight.back_off(settings.resend_ms, now, settings);
         }
     }
 
@@ -62,26 +64,27 @@
         now: Millis,
         settings: &LeaseSettings,
     ) -> Option<CounterRequest> {
-        let Exchange::Asked(asked) = self else {
+        let RequestState::InFlight(in_flight) = self else {
             return None;
         };
-        asked.put_off(settings.answer_wait_ms, now, settings);
-        Some(asked.request.clone())
+        in_flight.back_off(settings.reply_timeout_ms, now, settings);
+        Some(in_flight.request.clone())
     }
 
-    pub(crate) fn asked(&self) -> Option<&Asked> {
+    /// The request in flight, if there is one.
+    pub(crate) fn in_flight(&self) -> Option<&InFlight> {
         match self {
-            Exchange::Quiet => None,
-            Exchange::Asked(asked) => Some(asked),
+            RequestState::Idle => None,
+            RequestState::InFlight(in_flight) => Some(in_flight),
         }
     }
 }
 
-impl Asked {
-    /// Sets the time to send the request again: after a pause that doubles each time.
-    fn put_off(&mut self, pause: Millis, now: Millis, settings: &LeaseSettings) {
+impl InFlight {
+    /// Sets the time to send the request again: after an exponential backoff.
+    fn back_off(&mut self, initial: Millis, now: Millis, settings: &LeaseSettings) {
         self.failures += 1;
-        let doubled = pause.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS));
-        self.resend_at = now + doubled.min(settings.resend_most_ms);
+        let doubled = initial.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS));
+        self.resend_at = now + doubled.min(settings.max_resend_ms);
     }
 }
--- a/crates/serving/budget/src/lease/schedule.rs
+++ b/crates/serving/budget/src/lease/schedule.rs
@@ -1,4 +1,4 @@
-//! When each program wants attention next.
+//! The next due time of each program.
 
 use crate::Millis;
 use std::collections::BTreeSet;
@@ -11,11 +11,12 @@
 }
 
 impl Schedule {
+    /// When the first program is due.
     pub(crate) fn next(&self) -> Option<Millis> {
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Takes out a program that is due.
+    /// Removes a program that is due.
     pub(crate) fn pop(&mut self, now: Millis) -> Option<Arc<str>> {
         if self.next()? > now {
             return None;
@@ -23,7 +24,7 @@
         self.due.pop_first().map(|(_, program)| program)
     }
 
-    /// Moves a program from one time to another.
+    /// Moves a program from one due time to another.
     pub(crate) fn set(&mut self, program: &Arc<str>, before: Option<Millis>, at: Option<Millis>) {
         if before == at {
             return;
--- /dev/null
+++ b/crates/serving/budget/src/lease/table/decisions.rs
@@ -0,0 +1,214 @@
+//! Decisions on turns: out of the lease, by a cached rejection, or by the counter.
+
+use super::{LeaseTable, Turn};
+use crate::lease::admission::{Admission, Rejection, TurnOutcome};
+use crate::lease::program_lease::ProgramLease;
+use crate::messages::MAX_PROGRAM_NAME_BYTES;
+use crate::{CounterChange, CounterReply, CounterRequest, LeaseSettings, Millis};
+use std::sync::Arc;
+
+impl LeaseTable {
+    /// Records a turn that is to be decided on; false if there is no capacity for it.
+    pub(super) fn register(
+        &mut self,
+        program: &str,
+        budget: u64,
+        max_units: u64,
+        turn: u64,
+        now: Millis,
+    ) -> bool {
+        let known = self.turns.get(&turn);
+        if known.is_some_and(|known| &*known.program != program) {
+            self.finish(turn, now);
+        }
+        if !self.turns.contains_key(&turn) && !self.register_new(program, turn, now) {
+            return false;
+        }
+        let Some(entry) = self.turns.get_mut(&turn) else {
+            return false;
+        };
+        entry.budget = budget;
+        entry.max_units = max_units;
+        if let Some(lease) = self.programs.get_mut(program) {
+            lease.turn_arrived(max_units);
+        }
+        true
+    }
+
+    fn register_new(&mut self, program: &str, turn: u64, now: Millis) -> bool {
+        if self.turns.len() >= self.settings.max_turns {
+            return false;
+        }
+        let Some(program) = self.register_program(program, now) else {
+            return false;
+        };
+        let entry = Turn {
+            program,
+            budget: 0,
+            max_units: 0,
+            reserved: 0,
+            admitted: false,
+        };
+        self.turns.insert(turn, entry);
+        true
+    }
+
+    /// The program's name as it is stored here; none if there is no capacity for a new one.
+    fn register_program(&mut self, program: &str, now: Millis) -> Option<Arc<str>> {
+        if let Some((name, _)) = self.programs.get_key_value(program) {
+            let name = name.clone();
+            self.programs.get_mut(program)?.turns += 1;
+            return Some(name);
+        }
+        let full = self.programs.len() >= self.settings.max_programs;
+        if full || program.len() > MAX_PROGRAM_NAME_BYTES {
+            return None;
+        }
+        let name: Arc<str> = program.into();
+        let mut lease = ProgramLease::new(now);
+        lease.turns = 1;
+        self.programs.insert(name.clone(), lease);
+        Some(name)
+    }
+
+    /// The decision on a turn as things stand: out of the lease if that covers it, else by the counter.
+    pub(super) fn decide(&mut self, turn: u64, now: Millis) -> Admission {
+        let unavailable = Admission::Rejected(Rejection::CounterTimeout);
+        let Some(entry) = self.turns.get_mut(&turn) else {
+            return unavailable;
+        };
+        let Some(lease) = self.programs.get_mut(&entry.program) else {
+            return unavailable;
+        };
+        let shortfall = entry.shortfall();
+        if lease.reserve(shortfall, now) {
+            entry.reserved += shortfall;
+            entry.admitted = true;
+            lease.stop_waiting(turn);
+            return Admission::Admitted;
+        }
+        if let Some(rejection) = lease.rejections.find(shortfall, entry.budget, now) {
+            return self.reject(turn, rejection, now);
+        }
+        if lease.has_timed_out(turn, now, &self.settings) {
+            return self.reject(turn, Rejection::CounterTimeout, now);
+        }
+        lease.wait(turn, now);
+        if lease.request.in_flight().is_some() {
+            return Admission::Waiting;
+        }
+        self.request_lease(turn, now)
+    }
+
+    fn reject(&mut self, turn: u64, rejection: Rejection, now: Millis) -> Admission {
+        self.remove_turn(turn, now);
+        Admission::Rejected(rejection)
+    }
+
+    /// Requests a lease that covers a turn.
+    fn request_lease(&mut self, turn: u64, now: Millis) -> Admission {
+        let unavailable = Admission::Rejected(Rejection::CounterTimeout);
+        let Some(entry) = self.turns.get(&turn) else {
+            return unavailable;
+        };
+        let (program, budget) = (entry.program.clone(), entry.budget);
+        let needed = entry.shortfall();
+        let Some(lease) = self.programs.get_mut(&program) else {
+            return unavailable;
+        };
+        let wanted = lease.demand.refill(now).max(needed);
+        let returned = lease.take_available();
+        let change = CounterChange::Lease {
+            needed,
+            wanted,
+            returned,
+        };
+        Admission::Request(self.begin_request(&program, budget, change, now))
+    }
+
+    /// Begins a request to the program's counter, which is to be sent.
+    pub(super) fn begin_request(
+        &mut self,
+        program: &str,
+        budget: u64,
+        change: CounterChange,
+        now: Millis,
+    ) -> CounterRequest {
+        self.last_sequence += 1;
+        let lease = self.programs.get_mut(program);
+        let used = lease.map_or(0, ProgramLease::take_unreported);
+        let request = CounterRequest {
+            program: program.to_owned(),
+            budget,
+            limiter: self.limiter.clone(),
+            sequence: self.last_sequence,
+            used,
+            change,
+            at_ms: now,
+        };
+        if let Some(lease) = self.programs.get_mut(program) {
+            lease.request.begin(request.clone(), now, &self.settings);
+        }
+        request
+    }
+
+    /// Decides on the waiting turns, in their order, until one has to go on waiting.
+    pub(super) fn decide_waiting(&mut self, program: &str, now: Millis) {
+        while let Some(turn) = self.first_waiting(program) {
+            let admission = self.decide(turn, now);
+            let is_final = matches!(admission, Admission::Admitted | Admission::Rejected(_));
+            if admission != Admission::Waiting {
+                self.outcomes.push_back(TurnOutcome { turn, admission });
+            }
+            if !is_final {
+                return;
+            }
+        }
+    }
+
+    fn first_waiting(&self, program: &str) -> Option<u64> {
+        self.programs.get(program)?.first_waiting()
+    }
+
+    /// Removes a turn; returns its program.
+    pub(super) fn remove_turn(&mut self, turn: u64, now: Millis) -> Option<Arc<str>> {
+        let entry = self.turns.remove(&turn)?;
+        let lease = self.programs.get_mut(&entry.program)?;
+        lease.stop_waiting(turn);
+        lease.turns -= 1;
+        if entry.admitted {
+            lease.turn_ended(entry.reserved, now);
+        }
+        Some(entry.program)
+    }
+}
+
+/// Applies the counter's reply to the lease.
+pub(super) fn apply_reply(
+    lease: &mut ProgramLease,
+    request: &CounterRequest,
+    reply: &CounterReply,
+    now: Millis,
+    settings: &LeaseSettings,
+) {
+    let CounterChange::Lease { needed, .. } = request.change else {
+        return;
+    };
+    let rejection = match *reply {
+        CounterReply::Granted { units, left } => return lease.granted(units, left, now, settings),
+        CounterReply::Spent => {
+            let expires_at = now + settings.spent_rejection_ms;
+            return lease
+                .rejections
+                .cache_spent(needed, request.budget, expires_at);
+        }
+        CounterReply::LeasedElsewhere { .. } => Rejection::LeasedElsewhere {
+            retry_after_ms: settings.retry_after_ms,
+        },
+        CounterReply::Returned | CounterReply::Stale => Rejection::CounterTimeout,
+    };
+    let expires_at = now + settings.temporary_rejection_ms;
+    lease
+        .rejections
+        .cache_temporary(rejection, needed, request.budget, expires_at);
+}
--- a/crates/serving/budget/tests/common/digest.rs
+++ b/crates/serving/budget/tests/common/digest.rs
@@ -1,7 +1,7 @@
-//! A digest of all that happens in a world: messages, verdicts, times and final counters, as bytes and numbers. Two
+//! A digest of all that happens in a world: messages, decisions, times and final counters, as bytes and numbers. Two
 //! texts whose worlds have one digest behave alike.
 
-use dunespur_budget::{Admission, Refusal, TurnOutcome};
+use dunespur_budget::{Admission, Rejection, TurnOutcome};
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -21,22 +21,22 @@
         self.0.update(&bytes);
     }
 
-    /// Hashes a verdict on a turn.
-    pub fn verdict(&mut self, now: u64, limiter: usize, outcome: &TurnOutcome) {
+    /// Hashes a decision on a turn.
+    pub fn decision(&mut self, now: u64, limiter: usize, outcome: &TurnOutcome) {
         self.number(now);
         self.number(limiter as u64);
         self.number(outcome.turn);
         match &outcome.admission {
             Admission::Admitted => self.number(1),
-            Admission::Ask(request) => self.encoded(&(2, request)),
+            Admission::Request(request) => self.encoded(&(2, request)),
             Admission::Waiting => self.number(3),
-            Admission::Refused(Refusal::Spent) => self.number(4),
-            Admission::Refused(Refusal::Elsewhere { retry_after_ms }) => {
+            Admission::Rejected(Rejection::Spent) => self.number(4),
+            Admission::Rejected(Rejection::LeasedElsewhere { retry_after_ms }) => {
                 self.number(5);
                 self.number(*retry_after_ms);
             }
-            Admission::Refused(Refusal::Silent) => self.number(6),
-            Admission::Refused(Refusal::Crowded) => self.number(7),
+            Admission::Rejected(Rejection::CounterTimeout) => self.number(6),
+            Admission::Rejected(Rejection::AtCapacity) => self.number(7),
         }
     }
 
--- a/crates/serving/budget/tests/common/mod.rs
+++ b/crates/serving/budget/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! What the tests share: short ways to build requests and to play a limiter against a counter.
+//! Helpers of the tests: builders of requests, and a limiter run against a counter.
 #![allow(dead_code)]
 
 pub mod digest;
 pub mod world;
 
 use dunespur_budget::{
-    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseBook, LimiterId,
+    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseTable, LimiterId,
     TurnOutcome,
 };
 
@@ -51,63 +51,63 @@
     }
 }
 
-/// The request that a turn asks the counter with.
-pub fn asked(admission: Admission) -> CounterRequest {
+/// The request with which a turn waits for the counter.
+pub fn request_of(admission: Admission) -> CounterRequest {
     match admission {
-        Admission::Ask(request) => request,
-        other => panic!("the counter is not asked: {other:?}"),
+        Admission::Request(request) => request,
+        other => panic!("no request to the counter: {other:?}"),
     }
 }
 
-/// Asks for a turn and, if the counter is needed, lets it answer until there is a verdict.
+/// Admits a turn and, if the counter is needed, lets it answer until there is a decision.
 pub fn admit(
-    book: &mut LeaseBook,
+    table: &mut LeaseTable,
     counters: &mut Counters,
-    most: u64,
+    max_units: u64,
     turn: u64,
     now: u64,
 ) -> Admission {
-    admit_within(book, counters, BUDGET, most, turn, now)
+    admit_within(table, counters, BUDGET, max_units, turn, now)
 }
 
 pub const BUDGET: u64 = 1_000;
 
 pub fn admit_within(
-    book: &mut LeaseBook,
+    table: &mut LeaseTable,
     counters: &mut Counters,
     budget: u64,
-    most: u64,
+    max_units: u64,
     turn: u64,
     now: u64,
 ) -> Admission {
-    let mut admission = book.admit(PROGRAM, budget, most, turn, now);
-    while let Admission::Ask(request) = admission {
+    let mut admission = table.admit(PROGRAM, budget, max_units, turn, now);
+    while let Admission::Request(request) = admission {
         let reply = counters.apply(&request, 0);
-        let outcomes = book.replied(&request, Some(&reply), now);
-        admission = verdict(outcomes, turn);
+        let outcomes = table.handle_reply(&request, Some(&reply), now);
+        admission = decision(outcomes, turn);
     }
     admission
 }
 
-/// The one verdict in `outcomes`, which is to be on this turn.
-pub fn verdict(outcomes: Vec<TurnOutcome>, turn: u64) -> Admission {
-    assert_eq!(outcomes.len(), 1, "one verdict: {outcomes:?}");
-    let outcome = outcomes.into_iter().next().expect("one verdict");
+/// The one decision in `outcomes`, which is to be on this turn.
+pub fn decision(outcomes: Vec<TurnOutcome>, turn: u64) -> Admission {
+    assert_eq!(outcomes.len(), 1, "one decision: {outcomes:?}");
+    let outcome = outcomes.into_iter().next().expect("one decision");
     assert_eq!(outcome.turn, turn);
     outcome.admission
 }
 
 /// Lets the counter answer everything that is due at a limiter up to `now`.
-pub fn settle(book: &mut LeaseBook, counters: &mut Counters, now: u64) {
-    while book.next_due().is_some_and(|at| at <= now) {
-        for request in book.due(now) {
+pub fn answer_all_due(table: &mut LeaseTable, counters: &mut Counters, now: u64) {
+    while table.next_timeout().is_some_and(|at| at <= now) {
+        for request in table.handle_timeout(now) {
             let reply = counters.apply(&request, 0);
-            book.replied(&request, Some(&reply), now);
+            table.handle_reply(&request, Some(&reply), now);
         }
     }
 }
 
-/// A limiter that keeps the counters' time going with reports about a program of its own.
+/// A limiter that advances the counters' time with reports about a program of its own.
 pub struct Ticker {
     limiter: LimiterId,
     sequence: u64,
--- a/crates/serving/budget/tests/common/world.rs
+++ b/crates/serving/budget/tests/common/world.rs
@@ -1,13 +1,13 @@
-//! A seeded world of several limiters and one counter. Messages are lost, doubled and overtaken, the counter falls
-//! silent at times, limiters die and start anew; programs take their turns through any of them.
+//! A seeded world of several limiters and one counter. Messages are lost, duplicated and reordered, the counter is
+//! unavailable at times, limiters crash and restart; programs take their turns through any of them.
 //!
-//! The world keeps books of its own, out of what it sees applied and what clients receive, and checks the
-//! promises against them at every step.
+//! The world keeps accounts of its own, of the requests applied and the tokens that clients receive, and checks the
+//! guarantees against them at every step.
 
 use super::digest::Digest;
 use dunespur_budget::{
-    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseBook, LimiterId,
-    Refusal, TurnOutcome,
+    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseTable, LimiterId,
+    Rejection, TurnOutcome,
 };
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,19 +20,19 @@
     /// Turns that each program starts, spread over `span_ms`.
     pub turns: usize,
     pub span_ms: u64,
-    pub most: u64,
+    pub max_units: u64,
     pub budget: u64,
-    /// Part of the messages that get lost, and that arrive twice.
+    /// Fraction of the messages that are lost, and that arrive twice.
     pub lost: f64,
-    pub doubled: f64,
-    /// Messages take up to this long, so they overtake each other.
+    pub duplicated: f64,
+    /// Messages take up to this long, so they are reordered.
     pub delay_ms: u64,
-    /// Limiters that die during the span.
-    pub deaths: usize,
-    /// How long the counter is silent, once, in the middle of the span.
+    /// Limiters that crash during the span.
+    pub crashes: usize,
+    /// How long the counter is unavailable, once, in the middle of the span.
     pub outage_ms: u64,
-    /// How often a turn that was put off asks again.
-    pub asks_again: u32,
+    /// How often a turn that was rejected temporarily retries.
+    pub max_retries: u32,
 }
 
 /// What came out of it.
@@ -40,9 +40,9 @@
 pub struct Tally {
     pub admitted: u64,
     pub spent: u64,
-    pub elsewhere: u64,
-    pub silent: u64,
-    pub given_up: u64,
+    pub leased_elsewhere: u64,
+    pub timed_out: u64,
+    pub abandoned: u64,
     pub requests: u64,
 }
 
@@ -50,11 +50,11 @@
 enum Event {
     Start(u64),
     Token(u64),
-    AskAgain(u64),
+    Retry(u64),
     ToCounter(CounterRequest),
     ToLimiter(CounterRequest, CounterReply),
     Unanswered(CounterRequest),
-    Kill(usize),
+    Crash(usize),
 }
 
 #[derive(Clone, Debug)]
@@ -62,23 +62,23 @@
     program: String,
     limiter: usize,
     incarnation: u64,
-    /// Tokens that this try still makes.
-    to_go: u64,
-    /// Tokens after which the try breaks off and is begun anew, once.
+    /// Tokens that this attempt still generates.
+    remaining: u64,
+    /// Tokens after which the attempt fails and is retried, once.
     breaks_after: Option<u64>,
-    asks_left: u32,
+    retries_left: u32,
     waiting_since: Option<u64>,
 }
 
-/// What the counter has truly handed a limiter and had back, by the world's own count.
+/// The units granted to a limiter, returned by it and used, by the world's own count.
 #[derive(Clone, Debug, Default)]
-struct Ledger {
+struct Account {
     granted: u64,
     returned: u64,
     used: u64,
 }
 
-impl Ledger {
+impl Account {
     fn out(&self) -> u64 {
         self.granted - self.returned
     }
@@ -89,55 +89,59 @@
     rng: Rng,
     now: u64,
     counters: Counters,
-    books: Vec<LeaseBook>,
+    tables: Vec<LeaseTable>,
     incarnations: Vec<u64>,
     queue: BTreeMap<(u64, u64), Event>,
     queued: u64,
     turns: BTreeMap<u64, Turn>,
-    ledgers: BTreeMap<(String, LimiterId), Ledger>,
+    accounts: BTreeMap<(String, LimiterId), Account>,
     applied: BTreeSet<(LimiterId, u64)>,
     pub tally: Tally,
     digest: Digest,
 }
 
-/// A counter that is silent for a turn's wait plus this has let the turn wait too long.
-const SLACK_MS: u64 = 50;
+/// A turn that waits for its timeout plus this has waited too long.
+const TOLERANCE_MS: u64 = 50;
 const NODES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
 impl World {
     pub fn new(plan: Plan, seed: u64) -> Self {
         let incarnations = vec![1; plan.limiters];
-        let books = (0..plan.limiters)
-            .map(|place| LeaseBook::new(id(place, 1)))
+        let tables = (0..plan.limiters)
+            .map(|index| LeaseTable::new(id(index, 1)))
             .collect();
         let mut world = Self {
             plan,
             rng: Rng::with_seed(seed),
             now: 0,
             counters: Counters::default(),
-            books,
+            tables,
             incarnations,
             queue: BTreeMap::new(),
             queued: 0,
             turns: BTreeMap::new(),
-            ledgers: BTreeMap::new(),
+            accounts: BTreeMap::new(),
             applied: BTreeSet::new(),
             tally: Tally::default(),
             digest: Digest::default(),
         };
-        world.lay_out();
+        world.schedule_turns();
         world
     }
 
-    /// Plays until nothing is left to happen but what rests forever.
+    /// Plays until no event and no timer is left.
     pub fn play(&mut self) {
         loop {
             let event_at = self.queue.first_key_value().map(|((at, _), _)| *at);
-            let due_at = self.books.iter().filter_map(LeaseBook::next_due).min();
+            let due_at = self
+                .tables
+                .iter()
+                .filter_map(LeaseTable::next_timeout)
+                .min();
             let Some(at) = event_at.into_iter().chain(due_at).min() else {
                 break;
             };
-            assert!(at < 10_000_000, "the world comes to rest");
+            assert!(at < 10_000_000, "the world ends");
             self.now = self.now.max(at);
             if event_at.is_some_and(|event_at| event_at <= due_at.unwrap_or(u64::MAX)) {
                 let (_, event) = self.queue.pop_first().expect("an event is there");
@@ -146,14 +150,10 @@
                 self.all_due();
             }
         }
+        assert!(self.turns.is_empty(), "every turn ended: {:?}", self.turns);
         assert!(
-            self.turns.is_empty(),
-            "every turn came to an end: {:?}",
-            self.turns
-        );
-        assert!(
-            self.books.iter().all(|book| book.programs() == 0),
-            "idle programs are forgotten"
+            self.tables.iter().all(|table| table.programs() == 0),
+            "idle programs are removed"
         );
     }
 
@@ -165,7 +165,7 @@
 
     /// Units that clients received.
     pub fn received(&self, program: &str) -> u64 {
-        self.of(program).map(|(_, ledger)| ledger.used).sum()
+        self.of(program).map(|(_, account)| account.used).sum()
     }
 
     pub fn counters(&self) -> &Counters {
@@ -178,77 +178,83 @@
         let Tally {
             admitted,
             spent,
-            elsewhere,
-            silent,
-            given_up,
+            leased_elsewhere,
+            timed_out,
+            abandoned,
             requests,
         } = self.tally;
         self.digest.encoded(&(
-            admitted, spent, elsewhere, silent, given_up, requests, self.now,
+            admitted,
+            spent,
+            leased_elsewhere,
+            timed_out,
+            abandoned,
+            requests,
+            self.now,
         ));
         self.digest.finish()
     }
 
-    /// Starts one more turn of a program, with all messages arriving from now on.
-    pub fn calm_turn(&mut self, program: &str) {
+    /// Starts one more turn of a program, without message faults from now on.
+    pub fn fault_free_turn(&mut self, program: &str) {
         self.plan.lost = 0.0;
-        self.plan.doubled = 0.0;
+        self.plan.duplicated = 0.0;
         let turn = 1_000_000 + self.queued;
         let limiter = self.rng.usize(..self.plan.limiters);
         self.enter(turn, program.to_owned(), limiter, self.now);
         self.play();
     }
 
-    fn lay_out(&mut self) {
+    fn schedule_turns(&mut self) {
         let programs = self.programs();
-        for (place, program) in programs.iter().enumerate() {
+        for (index, program) in programs.iter().enumerate() {
             for turn in 0..self.plan.turns {
                 let at = self.rng.u64(..self.plan.span_ms);
                 let limiter = self.rng.usize(..self.plan.limiters);
                 self.enter(
-                    (place * self.plan.turns + turn) as u64,
+                    (index * self.plan.turns + turn) as u64,
                     program.clone(),
                     limiter,
                     at,
                 );
             }
         }
-        for _ in 0..self.plan.deaths {
+        for _ in 0..self.plan.crashes {
             let at = self.rng.u64(..self.plan.span_ms);
             let limiter = self.rng.usize(..self.plan.limiters);
-            self.put(at, Event::Kill(limiter));
+            self.schedule(at, Event::Crash(limiter));
         }
     }
 
     fn enter(&mut self, turn: u64, program: String, limiter: usize, at: u64) {
-        let most = self.plan.most;
+        let max_units = self.plan.max_units;
         let breaks = self.rng.f64() < 0.2;
         let entry = Turn {
             program,
             limiter,
             incarnation: 0,
-            to_go: self.rng.u64(0..=most),
-            breaks_after: breaks.then(|| self.rng.u64(..most)),
-            asks_left: self.plan.asks_again,
+            remaining: self.rng.u64(0..=max_units),
+            breaks_after: breaks.then(|| self.rng.u64(..max_units)),
+            retries_left: self.plan.max_retries,
             waiting_since: None,
         };
         self.turns.insert(turn, entry);
-        self.put(at, Event::Start(turn));
+        self.schedule(at, Event::Start(turn));
     }
 
-    fn put(&mut self, at: u64, event: Event) {
+    fn schedule(&mut self, at: u64, event: Event) {
         self.queued += 1;
         self.queue.insert((at, self.queued), event);
     }
 
     fn happen(&mut self, event: Event) {
         match event {
-            Event::Start(turn) | Event::AskAgain(turn) => self.start(turn),
+            Event::Start(turn) | Event::Retry(turn) => self.start(turn),
             Event::Token(turn) => self.token(turn),
             Event::ToCounter(request) => self.at_counter(request),
             Event::ToLimiter(request, reply) => self.at_limiter(&request, Some(&reply)),
             Event::Unanswered(request) => self.at_limiter(&request, None),
-            Event::Kill(limiter) => self.kill(limiter),
+            Event::Crash(limiter) => self.crash(limiter),
         }
     }
 
@@ -258,9 +264,9 @@
         };
         turn.incarnation = self.incarnations[turn.limiter];
         let (limiter, program) = (turn.limiter, turn.program.clone());
-        let (budget, most) = (self.plan.budget, self.plan.most);
-        let admission = self.books[limiter].admit(&program, budget, most, key, self.now);
-        self.judge(
+        let (budget, max_units) = (self.plan.budget, self.plan.max_units);
+        let admission = self.tables[limiter].admit(&program, budget, max_units, key, self.now);
+        self.handle_outcome(
             limiter,
             TurnOutcome {
                 turn: key,
@@ -269,64 +275,66 @@
         );
     }
 
-    fn judge(&mut self, limiter: usize, outcome: TurnOutcome) {
+    fn handle_outcome(&mut self, limiter: usize, outcome: TurnOutcome) {
         let key = outcome.turn;
-        self.digest.verdict(self.now, limiter, &outcome);
-        self.note_wait(key, &outcome.admission);
+        self.digest.decision(self.now, limiter, &outcome);
+        self.record_wait(key, &outcome.admission);
         match outcome.admission {
             Admission::Admitted => {
                 self.tally.admitted += 1;
-                self.put(self.now + 1, Event::Token(key));
+                self.schedule(self.now + 1, Event::Token(key));
             }
-            Admission::Ask(request) => self.send(request),
+            Admission::Request(request) => self.send(request),
             Admission::Waiting => {}
-            Admission::Refused(refusal) => self.refused(limiter, key, refusal),
+            Admission::Rejected(refusal) => self.rejected(limiter, key, refusal),
         }
     }
 
-    fn note_wait(&mut self, key: u64, admission: &Admission) {
+    fn record_wait(&mut self, key: u64, admission: &Admission) {
         let Some(turn) = self.turns.get_mut(&key) else {
             return;
         };
         let since = turn.waiting_since;
         match admission {
-            Admission::Ask(_) | Admission::Waiting => turn.waiting_since = since.or(Some(self.now)),
-            Admission::Admitted | Admission::Refused(_) => {
+            Admission::Request(_) | Admission::Waiting => {
+                turn.waiting_since = since.or(Some(self.now))
+            }
+            Admission::Admitted | Admission::Rejected(_) => {
                 turn.waiting_since = None;
                 self.check_wait(key, since);
             }
         }
     }
 
-    fn refused(&mut self, limiter: usize, key: u64, refusal: Refusal) {
+    fn rejected(&mut self, limiter: usize, key: u64, refusal: Rejection) {
         let Some(turn) = self.turns.get_mut(&key) else {
-            panic!("a turn that ended is refused")
+            panic!("a turn that ended is rejected")
         };
-        let pause = match refusal {
-            Refusal::Spent => {
+        let delay = match refusal {
+            Rejection::Spent => {
                 let turn = self.turns.remove(&key).expect("the turn is there");
                 self.check_spent(&turn.program);
                 self.tally.spent += 1;
                 return;
             }
-            Refusal::Elsewhere { retry_after_ms } => {
-                self.tally.elsewhere += 1;
+            Rejection::LeasedElsewhere { retry_after_ms } => {
+                self.tally.leased_elsewhere += 1;
                 retry_after_ms
             }
-            Refusal::Silent => {
-                self.tally.silent += 1;
+            Rejection::CounterTimeout => {
+                self.tally.timed_out += 1;
                 300
             }
-            Refusal::Crowded => panic!("there is room at limiter {limiter}"),
+            Rejection::AtCapacity => panic!("there is capacity at limiter {limiter}"),
         };
-        if turn.asks_left == 0 {
+        if turn.retries_left == 0 {
             self.turns.remove(&key);
-            self.tally.given_up += 1;
+            self.tally.abandoned += 1;
             return;
         }
-        turn.asks_left -= 1;
+        turn.retries_left -= 1;
         turn.limiter = self.rng.usize(..self.plan.limiters);
-        self.put(self.now + pause, Event::AskAgain(key));
+        self.schedule(self.now + delay, Event::Retry(key));
     }
 
     fn token(&mut self, key: u64) {
@@ -340,30 +348,30 @@
         }
         if turn.breaks_after == Some(0) {
             turn.breaks_after = None;
-            turn.to_go = self.rng.u64(0..=self.plan.most);
-            self.put(self.now, Event::Start(key));
+            turn.remaining = self.rng.u64(0..=self.plan.max_units);
+            self.schedule(self.now, Event::Start(key));
             return;
         }
-        if turn.to_go == 0 {
+        if turn.remaining == 0 {
             self.turns.remove(&key);
-            self.books[limiter].finish(key, self.now);
+            self.tables[limiter].finish(key, self.now);
             self.hand_out(limiter);
             return;
         }
-        turn.to_go -= 1;
+        turn.remaining -= 1;
         turn.breaks_after = turn.breaks_after.map(|left| left - 1);
         let program = turn.program.clone();
-        let place = (program.clone(), id(limiter, turn.incarnation));
-        self.ledgers.entry(place).or_default().used += 1;
+        let index = (program.clone(), id(limiter, turn.incarnation));
+        self.accounts.entry(index).or_default().used += 1;
         self.check_program(&program);
-        self.books[limiter].used(key, 1);
-        let pause = self.rng.u64(1..20);
-        self.put(self.now + pause, Event::Token(key));
+        self.tables[limiter].record_use(key, 1);
+        let delay = self.rng.u64(1..20);
+        self.schedule(self.now + delay, Event::Token(key));
     }
 
     fn all_due(&mut self) {
-        for limiter in 0..self.books.len() {
-            for request in self.books[limiter].due(self.now) {
+        for limiter in 0..self.tables.len() {
+            for request in self.tables[limiter].handle_timeout(self.now) {
                 self.send(request);
             }
             self.hand_out(limiter);
@@ -371,8 +379,8 @@
     }
 
     fn hand_out(&mut self, limiter: usize) {
-        for outcome in self.books[limiter].outcomes() {
-            self.judge(limiter, outcome);
+        for outcome in self.tables[limiter].take_outcomes() {
+            self.handle_outcome(limiter, outcome);
         }
     }
 
@@ -382,20 +390,20 @@
         self.carry(Event::ToCounter(request));
     }
 
-    /// Carries a message: it may be lost, in which case its sender may be told, or arrive twice.
+    /// Carries a message: it may be lost, in which case its sender may be notified, or arrive twice.
     fn carry(&mut self, event: Event) {
-        let copies = if self.rng.f64() < self.plan.doubled {
+        let deliveries = if self.rng.f64() < self.plan.duplicated {
             2
         } else {
             1
         };
-        for _ in 0..copies {
+        for _ in 0..deliveries {
             let at = self.now + 1 + self.rng.u64(..self.plan.delay_ms);
             if self.rng.f64() >= self.plan.lost {
-                self.put(at, event.clone());
+                self.schedule(at, event.clone());
             } else if let Event::ToCounter(request) = &event {
                 if self.rng.bool() {
-                    self.put(at, Event::Unanswered(request.clone()));
+                    self.schedule(at, Event::Unanswered(request.clone()));
                 }
             }
         }
@@ -413,27 +421,24 @@
         let reply = self.counters.apply(&request, self.plan.limiters as u32);
         self.digest.encoded(&(self.now, &request, &reply));
         if let Some(before) = before {
-            assert_eq!(
-                before, self.counters,
-                "a request that comes again changes nothing"
-            );
+            assert_eq!(before, self.counters, "a repeated request changes nothing");
         } else {
             self.applied
                 .insert((request.limiter.clone(), request.sequence));
-            self.write_down(&request, &reply);
+            self.record_applied(&request, &reply);
         }
         self.carry(Event::ToLimiter(request, reply));
     }
 
-    fn write_down(&mut self, request: &CounterRequest, reply: &CounterReply) {
-        let place = (request.program.clone(), request.limiter.clone());
-        let ledger = self.ledgers.entry(place).or_default();
-        ledger.returned += match request.change {
+    fn record_applied(&mut self, request: &CounterRequest, reply: &CounterReply) {
+        let index = (request.program.clone(), request.limiter.clone());
+        let account = self.accounts.entry(index).or_default();
+        account.returned += match request.change {
             CounterChange::Lease { returned, .. } => returned,
             CounterChange::Return { units } => units,
         };
         if let CounterReply::Granted { units, .. } = reply {
-            ledger.granted += units;
+            account.granted += units;
         }
         self.check_program(&request.program);
     }
@@ -446,14 +451,14 @@
         if request.limiter.incarnation != self.incarnations[limiter] {
             return;
         }
-        for outcome in self.books[limiter].replied(request, reply, self.now) {
-            self.judge(limiter, outcome);
+        for outcome in self.tables[limiter].handle_reply(request, reply, self.now) {
+            self.handle_outcome(limiter, outcome);
         }
     }
 
-    fn kill(&mut self, limiter: usize) {
+    fn crash(&mut self, limiter: usize) {
         self.incarnations[limiter] += 1;
-        self.books[limiter] = LeaseBook::new(id(limiter, self.incarnations[limiter]));
+        self.tables[limiter] = LeaseTable::new(id(limiter, self.incarnations[limiter]));
         let dead = self
             .turns
             .iter()
@@ -464,16 +469,16 @@
         }
     }
 
-    fn of<'a>(&'a self, program: &'a str) -> impl Iterator<Item = (&'a LimiterId, &'a Ledger)> {
-        self.ledgers
+    fn of<'a>(&'a self, program: &'a str) -> impl Iterator<Item = (&'a LimiterId, &'a Account)> {
+        self.accounts
             .iter()
             .filter(move |((name, _), _)| name == program)
-            .map(|((_, limiter), ledger)| (limiter, ledger))
+            .map(|((_, limiter), account)| (limiter, account))
     }
 
-    /// To be called after each change of what was granted or received.
+    /// To be called after each change of granted or received units.
     fn check_program(&self, program: &str) {
-        let out: u64 = self.of(program).map(|(_, ledger)| ledger.out()).sum();
+        let out: u64 = self.of(program).map(|(_, account)| account.out()).sum();
         assert!(
             out <= self.plan.budget,
             "{program}: {out} granted at {}",
@@ -485,44 +490,48 @@
             "{program}: {received} received at {}",
             self.now
         );
-        for (limiter, ledger) in self.of(program) {
+        for (limiter, account) in self.of(program) {
             assert!(
-                ledger.used <= ledger.out(),
-                "{limiter:?} uses what it holds: {ledger:?}"
+                account.used <= account.out(),
+                "{limiter:?} uses what it leased: {account:?}"
             );
         }
     }
 
-    /// To be called when a turn gets its verdict.
+    /// To be called when a turn gets its decision.
     fn check_wait(&self, key: u64, since: Option<u64>) {
         let waited = since.map_or(0, |since| self.now - since);
         assert!(
-            waited <= 1_000 + SLACK_MS,
+            waited <= 1_000 + TOLERANCE_MS,
             "turn {key} waited for {waited} ms"
         );
     }
 
-    /// A turn is refused as spent only if it would not fit even with all that living limiters have not used.
+    /// A turn is rejected as spent only if it would not fit even with all unused units of current incarnations.
     fn check_spent(&self, program: &str) {
-        let out: u64 = self.of(program).map(|(_, ledger)| ledger.out()).sum();
-        let living = self.of(program).filter(|(limiter, _)| self.lives(limiter));
-        let unused: u64 = living.map(|(_, ledger)| ledger.out() - ledger.used).sum();
+        let out: u64 = self.of(program).map(|(_, account)| account.out()).sum();
+        let living = self
+            .of(program)
+            .filter(|(limiter, _)| self.is_current(limiter));
+        let unused: u64 = living
+            .map(|(_, account)| account.out() - account.used)
+            .sum();
         let left = self.plan.budget - out + unused;
         assert!(
-            left < self.plan.most,
+            left < self.plan.max_units,
             "{program}: {left} could still be used at {}",
             self.now
         );
     }
 
-    fn lives(&self, limiter: &LimiterId) -> bool {
-        (0..self.plan.limiters).any(|place| id(place, self.incarnations[place]) == *limiter)
+    fn is_current(&self, limiter: &LimiterId) -> bool {
+        (0..self.plan.limiters).any(|index| id(index, self.incarnations[index]) == *limiter)
     }
 }
 
-fn id(place: usize, incarnation: u64) -> LimiterId {
+fn id(index: usize, incarnation: u64) -> LimiterId {
     LimiterId {
-        node: NODES[place].to_owned(),
+        node: NODES[index].to_owned(),
         incarnation,
     }
 }
--- a/crates/serving/budget/tests/decisions.rs
+++ b/crates/serving/budget/tests/decisions.rs
@@ -1,15 +1,16 @@
-//! Which no a turn gets when the budget doesn't cover it, and for how long it holds.
+//! Which rejection a turn gets when the budget doesn't cover it, and for how long that is cached.
 
 mod common;
 
 use common::{
-    admit, asked, granted, lease, limiter, request, settle, verdict, Ticker, BUDGET, PROGRAM,
+    admit, answer_all_due, decision, granted, lease, limiter, request, request_of, Ticker, BUDGET,
+    PROGRAM,
 };
 use dunespur_budget::{
-    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseBook, Refusal,
+    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseTable, Rejection,
 };
 
-/// A request at a time, with a report of use.
+/// A report of use at a time.
 fn report(by: &dunespur_budget::LimiterId, sequence: u64, at_ms: u64, used: u64) -> CounterRequest {
     CounterRequest {
         used,
@@ -26,129 +27,132 @@
 }
 
 #[test]
-fn what_others_hold_and_have_not_used_is_elsewhere_and_what_they_used_is_spent() {
+fn unused_units_of_others_are_leased_elsewhere_and_used_ones_are_spent() {
     let mut counters = Counters::default();
     let (a, b) = (limiter("a", 1), limiter("b", 1));
     counters.apply(&ask(&a, 1, 0, 950), 2);
     assert_eq!(
         counters.apply(&ask(&b, 1, 0, 100), 2),
-        CounterReply::Elsewhere { held: 950 }
+        CounterReply::LeasedElsewhere { leased: 950 }
     );
     counters.apply(&report(&a, 2, 0, 800), 2);
     assert_eq!(
         counters.apply(&ask(&b, 2, 0, 100), 2),
-        CounterReply::Elsewhere { held: 150 }
+        CounterReply::LeasedElsewhere { leased: 150 }
     );
     counters.apply(&report(&a, 3, 0, 101), 2);
     assert_eq!(counters.apply(&ask(&b, 3, 0, 100), 2), CounterReply::Spent);
     // What is left covers a smaller turn, or would if it came back.
     assert_eq!(
         counters.apply(&ask(&b, 4, 0, 99), 2),
-        CounterReply::Elsewhere { held: 49 }
+        CounterReply::LeasedElsewhere { leased: 49 }
     );
     assert_eq!(granted(&counters.apply(&ask(&b, 5, 0, 50), 2)), 50);
 }
 
 #[test]
-fn a_turn_is_put_off_while_own_turns_hold_what_it_lacks() {
+fn a_turn_is_rejected_temporarily_while_own_turns_reserve_what_it_needs() {
     let mut counters = Counters::default();
-    let mut book = LeaseBook::new(limiter("a", 1));
+    let mut table = LeaseTable::new(limiter("a", 1));
     assert_eq!(
-        admit(&mut book, &mut counters, 600, 1, 0),
+        admit(&mut table, &mut counters, 600, 1, 0),
         Admission::Admitted
     );
-    let put_off = admit(&mut book, &mut counters, 600, 2, 10);
+    let put_off = admit(&mut table, &mut counters, 600, 2, 10);
     assert!(
-        matches!(put_off, Admission::Refused(Refusal::Elsewhere { .. })),
+        matches!(
+            put_off,
+            Admission::Rejected(Rejection::LeasedElsewhere { .. })
+        ),
         "{put_off:?}"
     );
 
-    book.used(1, 400);
-    book.finish(1, 50);
+    table.record_use(1, 400);
+    table.finish(1, 50);
     assert_eq!(
-        admit(&mut book, &mut counters, 600, 2, 60),
+        admit(&mut table, &mut counters, 600, 2, 60),
         Admission::Admitted
     );
-    book.used(2, 600);
-    book.finish(2, 70);
+    table.record_use(2, 600);
+    table.finish(2, 70);
     assert_eq!(
-        admit(&mut book, &mut counters, 1, 3, 80),
-        Admission::Refused(Refusal::Spent)
+        admit(&mut table, &mut counters, 1, 3, 80),
+        Admission::Rejected(Rejection::Spent)
     );
 }
 
 #[test]
 fn a_turn_larger_than_the_budget_is_spent_at_once() {
     let mut counters = Counters::default();
-    let mut book = LeaseBook::new(limiter("a", 1));
+    let mut table = LeaseTable::new(limiter("a", 1));
     assert_eq!(
-        admit(&mut book, &mut counters, BUDGET + 1, 1, 0),
-        Admission::Refused(Refusal::Spent)
+        admit(&mut table, &mut counters, BUDGET + 1, 1, 0),
+        Admission::Rejected(Rejection::Spent)
     );
     assert_eq!(
-        admit(&mut book, &mut counters, BUDGET, 2, 0),
+        admit(&mut table, &mut counters, BUDGET, 2, 0),
         Admission::Admitted
     );
 }
 
 #[test]
-fn spent_is_kept_for_turns_that_need_as_much_and_for_no_others() {
+fn a_rejection_as_spent_is_cached_for_turns_that_need_as_much_and_for_no_others() {
     let mut counters = Counters::default();
-    let mut book = LeaseBook::new(limiter("a", 1));
+    let mut table = LeaseTable::new(limiter("a", 1));
     assert_eq!(
-        admit(&mut book, &mut counters, 900, 1, 0),
+        admit(&mut table, &mut counters, 900, 1, 0),
         Admission::Admitted
     );
-    book.used(1, 900);
+    table.record_use(1, 900);
     assert_eq!(
-        admit(&mut book, &mut counters, 101, 2, 10),
-        Admission::Refused(Refusal::Spent)
+        admit(&mut table, &mut counters, 101, 2, 10),
+        Admission::Rejected(Rejection::Spent)
     );
     assert_eq!(
-        book.admit(PROGRAM, BUDGET, 101, 3, 20),
-        Admission::Refused(Refusal::Spent)
+        table.admit(PROGRAM, BUDGET, 101, 3, 20),
+        Admission::Rejected(Rejection::Spent)
     );
     assert_eq!(
-        book.admit(PROGRAM, BUDGET, 500, 4, 20),
-        Admission::Refused(Refusal::Spent)
+        table.admit(PROGRAM, BUDGET, 500, 4, 20),
+        Admission::Rejected(Rejection::Spent)
     );
     assert_eq!(
-        admit(&mut book, &mut counters, 100, 5, 20),
+        admit(&mut table, &mut counters, 100, 5, 20),
         Admission::Admitted
     );
-    // A larger budget is another matter.
-    asked(book.clone().admit(PROGRAM, BUDGET + 1, 101, 6, 30));
-    // After a while the counter is asked anew.
-    asked(book.admit(PROGRAM, BUDGET, 101, 6, 10_000));
+    // A larger budget is another decision.
+    request_of(table.clone().admit(PROGRAM, BUDGET + 1, 101, 6, 30));
+    // After a while the counter gets a request again.
+    request_of(table.admit(PROGRAM, BUDGET, 101, 6, 10_000));
 }
 
 #[test]
-fn units_of_a_replaced_life_count_as_spent() {
+fn units_of_a_replaced_incarnation_count_as_spent() {
     let mut counters = Counters::default();
     let (dead, b) = (limiter("a", 1), limiter("b", 1));
     counters.apply(&ask(&dead, 1, 0, 950), 2);
     assert_eq!(
         counters.apply(&ask(&b, 1, 0, 100), 2),
-        CounterReply::Elsewhere { held: 950 }
+        CounterReply::LeasedElsewhere { leased: 950 }
     );
-    // The machine's next life is heard, if only about another program.
+    // The machine's next incarnation sends a request, if only for another program.
     let mut other = ask(&limiter("a", 2), 1, 0, 10);
     other.program = "another".to_owned();
     counters.apply(&other, 2);
     assert_eq!(counters.apply(&ask(&b, 2, 0, 100), 2), CounterReply::Spent);
-    assert_eq!(counters.held(PROGRAM), 950, "they stay spent");
+    assert_eq!(counters.leased(PROGRAM), 950, "they stay on lease");
 
-    // A message of the old life proves that they were not used after all.
+    // A message of the old incarnation proves that they were not used after all.
     let back = request(&dead, 2, BUDGET, CounterChange::Return { units: 900 });
     counters.apply(&back, 2);
     assert_eq!(granted(&counters.apply(&ask(&b, 3, 0, 100), 2)), 100);
 }
 
 #[test]
-fn units_of_a_limiter_that_stays_silent_count_as_spent_after_a_bound() {
+fn units_of_a_limiter_without_requests_count_as_spent_after_the_lease_timeout() {
     let mut counters = Counters::default();
-    let (silent, b) = (limiter("a", 1), limiter("b", 1));
-    counters.apply(&ask(&silent, 1, 0, 950), 2);
+    let (timed_out, b) = (limiter("a", 1), limiter("b", 1));
+    counters.apply(&ask(&timed_out, 1, 0, 950), 2);
     let mut spent_at = None;
     for step in 0..100 {
         let reply = counters.apply(&ask(&b, step + 1, step * 500, 100), 2);
@@ -156,19 +160,19 @@
             spent_at = Some(step * 500);
             break;
         }
-        assert_eq!(reply, CounterReply::Elsewhere { held: 950 });
+        assert_eq!(reply, CounterReply::LeasedElsewhere { leased: 950 });
     }
     assert_eq!(spent_at, Some(15_000));
-    // One that was only cut off may come back with them.
+    // One that was only partitioned may return them.
     counters.apply(
-        &request(&silent, 2, BUDGET, CounterChange::Return { units: 950 }),
+        &request(&timed_out, 2, BUDGET, CounterChange::Return { units: 950 }),
         2,
     );
     assert_eq!(granted(&counters.apply(&ask(&b, 101, 50_000, 100), 2)), 100);
 }
 
 #[test]
-fn a_limiter_that_was_quiet_keeps_the_time_going_when_the_others_are_gone() {
+fn a_limiter_that_was_quiet_advances_the_time_when_the_others_have_crashed() {
     let mut counters = Counters::default();
     let quiet = limiter("quiet", 1);
     counters.apply(&ask(&quiet, 1, 0, 10), 2);
@@ -176,7 +180,7 @@
     ticker.pass(&mut counters, 300_000);
     let mut other = ask(&limiter("ticker", 1), 100, 300_000, 950);
     counters.apply(&other, 2);
-    // The ticker dies with all it holds. The quiet one's own time lags behind by ten seconds and no more, so the
+    // The ticker crashes with its lease. The quiet one's own time lags behind by ten seconds and no more, so the
     // fifteen after which units count as spent begin then.
     other.sequence += 1;
     let mut spent_at = None;
@@ -191,100 +195,103 @@
 }
 
 #[test]
-fn a_limiter_whose_turn_runs_long_is_not_taken_for_dead() {
+fn a_limiter_whose_turn_runs_long_renews_its_lease() {
     let mut counters = Counters::default();
-    let mut a = LeaseBook::new(limiter("a", 1));
+    let mut a = LeaseTable::new(limiter("a", 1));
     let b = limiter("b", 1);
     assert_eq!(admit(&mut a, &mut counters, 950, 1, 0), Admission::Admitted);
     for step in 0..120 {
         let now = step * 500;
-        settle(&mut a, &mut counters, now);
-        a.used(1, 1);
+        answer_all_due(&mut a, &mut counters, now);
+        a.record_use(1, 1);
         let reply = counters.apply(&ask(&b, step + 1, now, 200), 2);
         assert!(
-            matches!(reply, CounterReply::Elsewhere { .. }),
+            matches!(reply, CounterReply::LeasedElsewhere { .. }),
             "{reply:?} at {now}"
         );
     }
 }
 
 #[test]
-fn turns_that_waited_get_their_verdicts_in_order() {
+fn waiting_turns_get_their_decisions_in_order() {
     let mut counters = Counters::default();
-    let mut book = LeaseBook::new(limiter("a", 1));
-    let first = asked(book.admit(PROGRAM, BUDGET, 400, 1, 0));
-    assert_eq!(book.admit(PROGRAM, BUDGET, 400, 2, 1), Admission::Waiting);
-    assert_eq!(book.admit(PROGRAM, BUDGET, 400, 3, 2), Admission::Waiting);
+    let mut table = LeaseTable::new(limiter("a", 1));
+    let first = request_of(table.admit(PROGRAM, BUDGET, 400, 1, 0));
+    assert_eq!(table.admit(PROGRAM, BUDGET, 400, 2, 1), Admission::Waiting);
+    assert_eq!(table.admit(PROGRAM, BUDGET, 400, 3, 2), Admission::Waiting);
     assert_eq!(
-        book.admit(PROGRAM, BUDGET, 400, 2, 3),
+        table.admit(PROGRAM, BUDGET, 400, 2, 3),
         Admission::Waiting,
-        "asking again is allowed"
+        "admitting it again is allowed"
     );
 
     let reply = counters.apply(&first, 1);
-    let outcomes = book.replied(&first, Some(&reply), 5);
+    let outcomes = table.handle_reply(&first, Some(&reply), 5);
     assert_eq!(outcomes.len(), 2, "{outcomes:?}");
     assert_eq!(
         (outcomes[0].turn, &outcomes[0].admission),
         (1, &Admission::Admitted)
     );
     assert_eq!(outcomes[1].turn, 2);
-    let second = asked(outcomes[1].admission.clone());
+    let second = request_of(outcomes[1].admission.clone());
     let reply = counters.apply(&second, 1);
-    let outcomes = book.replied(&second, Some(&reply), 9);
+    let outcomes = table.handle_reply(&second, Some(&reply), 9);
     assert_eq!(
         (outcomes[0].turn, &outcomes[0].admission),
         (2, &Admission::Admitted)
     );
     assert_eq!(outcomes[1].turn, 3);
-    let third = asked(outcomes[1].admission.clone());
+    let third = request_of(outcomes[1].admission.clone());
     let reply = counters.apply(&third, 1);
-    let put_off = verdict(book.replied(&third, Some(&reply), 13), 3);
+    let put_off = decision(table.handle_reply(&third, Some(&reply), 13), 3);
     assert!(
-        matches!(put_off, Admission::Refused(Refusal::Elsewhere { .. })),
+        matches!(
+            put_off,
+            Admission::Rejected(Rejection::LeasedElsewhere { .. })
+        ),
         "{put_off:?}"
     );
 }
 
 #[test]
-fn a_turn_that_waits_is_admitted_by_what_another_frees() {
+fn a_waiting_turn_is_admitted_by_units_that_another_frees() {
     let mut counters = Counters::default();
-    let mut book = LeaseBook::new(limiter("a", 1));
+    let mut table = LeaseTable::new(limiter("a", 1));
     assert_eq!(
-        admit(&mut book, &mut counters, 400, 1, 0),
+        admit(&mut table, &mut counters, 400, 1, 0),
         Admission::Admitted
     );
-    asked(book.admit(PROGRAM, BUDGET, 300, 2, 10));
-    book.finish(1, 20);
-    assert_eq!(verdict(book.outcomes(), 2), Admission::Admitted);
+    request_of(table.admit(PROGRAM, BUDGET, 300, 2, 10));
+    table.finish(1, 20);
+    assert_eq!(decision(table.take_outcomes(), 2), Admission::Admitted);
 }
 
 #[test]
-fn a_turn_that_left_while_it_waited_gets_no_verdict_and_its_grant_goes_back() {
+fn a_turn_that_was_cancelled_while_it_waited_gets_no_decision_and_its_grant_is_returned() {
     let mut counters = Counters::default();
-    let mut book = LeaseBook::new(limiter("a", 1));
-    let sent = asked(book.admit(PROGRAM, BUDGET, 400, 1, 0));
-    book.finish(1, 5);
-    let reply = counters.apply(&sent, 1);
-    assert!(book.replied(&sent, Some(&reply), 10).is_empty());
-    settle(&mut book, &mut counters, 2_000);
-    assert_eq!(counters.held(PROGRAM), 0);
+    let mut table = LeaseTable::new(limiter("a", 1));
+    let request = request_of(table.admit(PROGRAM, BUDGET, 400, 1, 0));
+    table.finish(1, 5);
+    let reply = counters.apply(&request, 1);
+    assert!(table.handle_reply(&request, Some(&reply), 10).is_empty());
+    answer_all_due(&mut table, &mut counters, 2_000);
+    assert_eq!(counters.leased(PROGRAM), 0);
 }
 
 #[test]
 fn no_turn_waits_longer_than_the_bound_through_several_answers() {
-    let mut book = LeaseBook::new(limiter("a", 1));
-    let mut sent = asked(book.admit(PROGRAM, BUDGET, 100, 1, 0));
+    let mut table = LeaseTable::new(limiter("a", 1));
+    let mut request = request_of(table.admit(PROGRAM, BUDGET, 100, 1, 0));
     for turn in 2..6 {
         assert_eq!(
-            book.admit(PROGRAM, BUDGET, 100, turn, 0),
+            table.admit(PROGRAM, BUDGET, 100, turn, 0),
             Admission::Waiting
         );
     }
     // Each answer takes 400 ms and covers one turn.
     for (turn, now) in [(1, 400), (2, 800)] {
-        let outcomes = book.replied(
-            &sent,
+        let outcomes = table.handle_reply(
+            &request,
             Some(&CounterReply::Granted {
                 units: 100,
                 left: 700,
@@ -295,59 +302,60 @@
             (outcomes[0].turn, &outcomes[0].admission),
             (turn, &Admission::Admitted)
         );
-        sent = asked(outcomes[1].admission.clone());
+        request = request_of(outcomes[1].admission.clone());
     }
-    book.due(1_000);
-    let refused = book.outcomes();
+    table.handle_timeout(1_000);
+    let rejected = table.take_outcomes();
     assert_eq!(
-        refused
+        rejected
             .iter()
             .map(|outcome| outcome.turn)
             .collect::<Vec<_>>(),
         [3, 4, 5]
     );
-    assert!(refused
+    assert!(rejected
         .iter()
-        .all(|outcome| outcome.admission == Admission::Refused(Refusal::Silent)));
+        .all(|outcome| outcome.admission == Admission::Rejected(Rejection::CounterTimeout)));
 }
 
 #[test]
-fn each_try_may_outwait_a_short_silence_and_none_waits_through_a_long_one() {
-    let mut book = LeaseBook::new(limiter("a", 1));
-    let sent = asked(book.admit(PROGRAM, BUDGET, 100, 1, 0));
-    let mut refused = Vec::new();
-    let mut due = |book: &mut LeaseBook, now| {
-        book.due(now);
-        refused.extend(
-            book.outcomes()
+fn each_attempt_may_outlast_a_short_outage_and_none_waits_through_a_long_one() {
+    let mut table = LeaseTable::new(limiter("a", 1));
+    let request = request_of(table.admit(PROGRAM, BUDGET, 100, 1, 0));
+    let mut rejected = Vec::new();
+    let mut due = |table: &mut LeaseTable, now| {
+        table.handle_timeout(now);
+        rejected.extend(
+            table
+                .take_outcomes()
                 .into_iter()
                 .map(|outcome| (outcome.turn, now)),
         );
     };
-    due(&mut book, 1_000);
+    due(&mut table, 1_000);
     assert_eq!(
-        book.admit(PROGRAM, BUDGET, 100, 2, 1_100),
+        table.admit(PROGRAM, BUDGET, 100, 2, 1_100),
         Admission::Waiting
     );
-    due(&mut book, 2_100);
+    due(&mut table, 2_100);
     assert_eq!(
-        book.admit(PROGRAM, BUDGET, 100, 3, 2_200),
+        table.admit(PROGRAM, BUDGET, 100, 3, 2_200),
         Admission::Waiting
     );
-    due(&mut book, 3_000);
+    due(&mut table, 3_000);
     assert_eq!(
-        book.admit(PROGRAM, BUDGET, 100, 4, 3_001),
-        Admission::Refused(Refusal::Silent)
+        table.admit(PROGRAM, BUDGET, 100, 4, 3_001),
+        Admission::Rejected(Rejection::CounterTimeout)
     );
-    assert_eq!(refused, [(1, 1_000), (2, 2_100), (3, 3_000)]);
+    assert_eq!(rejected, [(1, 1_000), (2, 2_100), (3, 3_000)]);
 
     let granted = CounterReply::Granted {
         units: 100,
         left: 900,
     };
-    book.replied(&sent, Some(&granted), 3_100);
+    table.handle_reply(&request, Some(&granted), 3_100);
     assert_eq!(
-        book.admit(PROGRAM, BUDGET, 100, 5, 3_101),
+        table.admit(PROGRAM, BUDGET, 100, 5, 3_101),
         Admission::Admitted
     );
 }
--- a/crates/serving/budget/tests/encoding.rs
+++ b/crates/serving/budget/tests/encoding.rs
@@ -76,7 +76,7 @@
             },
         ),
         ("spent", CounterReply::Spent),
-        ("elsewhere", CounterReply::Elsewhere { held: 700 }),
+        ("elsewhere", CounterReply::LeasedElsewhere { leased: 700 }),
         ("returned", CounterReply::Returned),
         ("stale", CounterReply::Stale),
     ];
--- a/crates/serving/budget/tests/idempotence.rs
+++ b/crates/serving/budget/tests/idempotence.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{asked, granted, lease, limiter, request, verdict, BUDGET, PROGRAM};
-use dunespur_budget::{Admission, CounterChange, CounterReply, Counters, LeaseBook};
+use common::{decision, granted, lease, limiter, request, request_of, BUDGET, PROGRAM};
+use dunespur_budget::{Admission, CounterChange, CounterReply, Counters, LeaseTable};
 
 #[test]
 fn a_request_that_comes_again_gets_the_same_reply_and_changes_nothing() {
@@ -20,7 +20,7 @@
     let back = request(&a, 2, BUDGET, CounterChange::Return { units: 60 });
     assert_eq!(counters.apply(&back, 3), CounterReply::Returned);
     assert_eq!(counters.apply(&back, 3), CounterReply::Returned);
-    assert_eq!(counters.held(PROGRAM), 40);
+    assert_eq!(counters.leased(PROGRAM), 40);
 }
 
 #[test]
@@ -45,12 +45,12 @@
         &request(&b, 1, BUDGET, CounterChange::Return { units: 80 }),
         3,
     );
-    assert_eq!(counters.held(PROGRAM), 100);
+    assert_eq!(counters.leased(PROGRAM), 100);
     counters.apply(
         &request(&a, 2, BUDGET, CounterChange::Return { units: 500 }),
         3,
     );
-    assert_eq!(counters.held(PROGRAM), 0);
+    assert_eq!(counters.leased(PROGRAM), 0);
     assert_eq!(
         granted(&counters.apply(&request(&a, 3, BUDGET, lease(BUDGET, BUDGET)), 3)),
         BUDGET
@@ -60,64 +60,64 @@
 #[test]
 fn a_request_is_resent_unchanged_until_it_is_answered() {
     let mut counters = Counters::default();
-    let mut book = LeaseBook::new(limiter("a", 1));
-    let sent = asked(book.admit(PROGRAM, BUDGET, 100, 1, 0));
-    let lost = counters.apply(&sent, 3);
+    let mut table = LeaseTable::new(limiter("a", 1));
+    let request = request_of(table.admit(PROGRAM, BUDGET, 100, 1, 0));
+    let lost = counters.apply(&request, 3);
 
-    book.replied(&sent, None, 10);
+    table.handle_reply(&request, None, 10);
     let mut now = 10;
     for _ in 0..20 {
-        now = book.next_due().expect("a resend is due");
-        let again = book.due(now);
-        assert!(again.iter().all(|request| *request == sent));
+        now = table.next_timeout().expect("a resend is due");
+        let again = table.handle_timeout(now);
+        assert!(again.iter().all(|repeated| *repeated == request));
     }
-    // The answer that comes in the end is the first one, and it is taken once.
-    let reply = counters.apply(&sent, 3);
+    // The reply that arrives in the end is the first one, and it is applied once.
+    let reply = counters.apply(&request, 3);
     assert_eq!(reply, lost);
-    book.replied(&sent, Some(&reply), now);
-    book.replied(&sent, Some(&reply), now);
-    assert_eq!(book.held(PROGRAM), 100);
-    assert_eq!(counters.held(PROGRAM), 100);
+    table.handle_reply(&request, Some(&reply), now);
+    table.handle_reply(&request, Some(&reply), now);
+    assert_eq!(table.leased(PROGRAM), 100);
+    assert_eq!(counters.leased(PROGRAM), 100);
 }
 
 #[test]
 fn resends_slow_down_to_a_bound() {
-    let mut book = LeaseBook::new(limiter("a", 1));
-    let sent = asked(book.admit(PROGRAM, BUDGET, 100, 1, 0));
+    let mut table = LeaseTable::new(limiter("a", 1));
+    let request = request_of(table.admit(PROGRAM, BUDGET, 100, 1, 0));
     let mut last = 0;
-    let mut pauses = Vec::new();
-    while pauses.len() < 8 {
-        let now = book.next_due().expect("a resend is due");
-        if !book.due(now).is_empty() {
-            book.replied(&sent, None, now);
-            pauses.push(now - last);
+    let mut intervals = Vec::new();
+    while intervals.len() < 8 {
+        let now = table.next_timeout().expect("a resend is due");
+        if !table.handle_timeout(now).is_empty() {
+            table.handle_reply(&request, None, now);
+            intervals.push(now - last);
             last = now;
         }
     }
     assert!(
-        pauses.windows(2).skip(1).all(|pair| pair[0] <= pair[1]),
-        "{pauses:?}"
+        intervals.windows(2).skip(1).all(|pair| pair[0] <= pair[1]),
+        "{intervals:?}"
     );
-    assert_eq!(pauses.last(), Some(&1_000));
+    assert_eq!(intervals.last(), Some(&1_000));
 }
 
 #[test]
 fn a_late_reply_to_an_earlier_request_is_not_taken_for_the_one_awaited() {
     let mut counters = Counters::default();
-    let mut book = LeaseBook::new(limiter("a", 1));
-    let first = asked(book.admit(PROGRAM, BUDGET, 100, 1, 0));
+    let mut table = LeaseTable::new(limiter("a", 1));
+    let first = request_of(table.admit(PROGRAM, BUDGET, 100, 1, 0));
     let reply = counters.apply(&first, 3);
     assert_eq!(
-        verdict(book.replied(&first, Some(&reply), 5), 1),
+        decision(table.handle_reply(&first, Some(&reply), 5), 1),
         Admission::Admitted
     );
 
-    let second = asked(book.admit(PROGRAM, BUDGET, 100, 2, 10));
-    assert!(book.replied(&first, Some(&reply), 11).is_empty());
-    assert_eq!(book.held(PROGRAM), 100);
+    let second = request_of(table.admit(PROGRAM, BUDGET, 100, 2, 10));
+    assert!(table.handle_reply(&first, Some(&reply), 11).is_empty());
+    assert_eq!(table.leased(PROGRAM), 100);
     let reply = counters.apply(&second, 3);
     assert_eq!(
-        verdict(book.replied(&second, Some(&reply), 15), 2),
+        decision(table.handle_reply(&second, Some(&reply), 15), 2),
         Admission::Admitted
     );
 }
@@ -132,5 +132,5 @@
     counters.apply(&report, 3);
     counters.apply(&report, 3);
     assert_eq!(counters.used(PROGRAM), 70);
-    assert_eq!(counters.held(PROGRAM), 30);
+    assert_eq!(counters.leased(PROGRAM), 30);
 }
--- a/crates/serving/budget/tests/world.rs
+++ b/crates/serving/budget/tests/world.rs
@@ -1,4 +1,4 @@
-//! The promises, in seeded worlds of several limiters and one counter.
+//! The guarantees, in seeded worlds of several limiters and one counter.
 
 mod common;
 
@@ -9,37 +9,37 @@
 /// Seeds whose digests are on file.
 const RECORDED_SEEDS: u64 = 100;
 
-fn calm() -> Plan {
+fn without_faults() -> Plan {
     Plan {
         limiters: 4,
         programs: 3,
         turns: 14,
         span_ms: 8_000,
-        most: 40,
+        max_units: 40,
         budget: 300,
         lost: 0.0,
-        doubled: 0.0,
+        duplicated: 0.0,
         delay_ms: 6,
-        deaths: 0,
+        crashes: 0,
         outage_ms: 0,
-        asks_again: 40,
+        max_retries: 40,
     }
 }
 
-fn harmed() -> Plan {
+fn with_message_faults() -> Plan {
     Plan {
         lost: 0.2,
-        doubled: 0.2,
+        duplicated: 0.2,
         delay_ms: 80,
-        ..calm()
+        ..without_faults()
     }
 }
 
-fn deadly() -> Plan {
+fn with_crashes() -> Plan {
     Plan {
-        deaths: 4,
+        crashes: 4,
         outage_ms: 2_500,
-        ..harmed()
+        ..with_message_faults()
     }
 }
 
@@ -53,95 +53,95 @@
     (0..SEEDS).map(play).collect()
 }
 
-fn all_came_back(world: &World) {
+fn assert_all_returned(world: &World) {
     for program in world.programs() {
         assert_eq!(
-            world.counters().held(&program),
+            world.counters().leased(&program),
             0,
-            "{program} is held by nobody"
+            "no unit of {program} is on lease"
         );
         assert_eq!(world.counters().used(&program), world.received(&program));
     }
 }
 
 #[test]
-fn in_calm_no_turn_is_given_up_and_every_unit_comes_back() {
-    for world in play_all(&calm()) {
-        all_came_back(&world);
-        assert_eq!(world.tally.given_up, 0);
-        assert_eq!(world.tally.silent, 0);
+fn without_faults_no_turn_is_abandoned_and_every_unit_is_returned() {
+    for world in play_all(&without_faults()) {
+        assert_all_returned(&world);
+        assert_eq!(world.tally.abandoned, 0);
+        assert_eq!(world.tally.timed_out, 0);
     }
 }
 
 #[test]
-fn with_messages_lost_doubled_and_overtaken_every_unit_comes_back() {
-    for world in play_all(&harmed()) {
-        all_came_back(&world);
+fn with_messages_lost_duplicated_and_reordered_every_unit_is_returned() {
+    for world in play_all(&with_message_faults()) {
+        assert_all_returned(&world);
     }
 }
 
 #[test]
-fn through_deaths_and_an_outage_the_budget_holds() {
-    let worlds = play_all(&deadly());
+fn crashes_and_an_outage_do_not_exceed_the_budget() {
+    let worlds = play_all(&with_crashes());
     for world in &worlds {
         for program in world.programs() {
-            let counted = world.counters().used(&program) + world.counters().held(&program);
+            let counted = world.counters().used(&program) + world.counters().leased(&program);
             assert!(
                 world.received(&program) <= counted,
                 "what clients received is counted"
             );
-            assert!(counted <= deadly().budget);
+            assert!(counted <= with_crashes().budget);
         }
     }
-    // The worlds show each verdict, else they would prove little.
+    // The worlds show each decision, else they would prove little.
     let all =
         |count: fn(&Tally) -> u64| worlds.iter().map(|world| count(&world.tally)).sum::<u64>();
     assert!(all(|tally| tally.admitted) > 0);
     assert!(all(|tally| tally.spent) > 0);
-    assert!(all(|tally| tally.elsewhere) > 0);
-    assert!(all(|tally| tally.silent) > 0);
+    assert!(all(|tally| tally.leased_elsewhere) > 0);
+    assert!(all(|tally| tally.timed_out) > 0);
 }
 
 #[test]
-fn a_program_with_ample_budget_is_never_put_off() {
+fn a_program_with_ample_budget_is_never_rejected() {
     let plan = Plan {
         budget: 2 * 14 * 40,
-        ..calm()
+        ..without_faults()
     };
     for world in play_all(&plan) {
-        let put_off = world.tally.elsewhere + world.tally.silent + world.tally.spent;
+        let put_off = world.tally.leased_elsewhere + world.tally.timed_out + world.tally.spent;
         assert_eq!(put_off, 0, "{:?}", world.tally);
-        all_came_back(&world);
+        assert_all_returned(&world);
     }
 }
 
 #[test]
-fn a_budget_is_used_up_to_less_than_one_turn_before_it_is_refused_as_spent() {
+fn a_budget_is_used_up_to_less_than_one_turn_before_it_rejects_as_spent() {
     let plan = Plan {
         turns: 40,
-        ..harmed()
+        ..with_message_faults()
     };
     for mut world in play_all(&plan) {
         for program in world.programs() {
             let before = world.tally.clone();
             while world.tally.spent == before.spent {
-                world.calm_turn(&program);
+                world.fault_free_turn(&program);
                 assert_eq!(
-                    world.tally.given_up, before.given_up,
+                    world.tally.abandoned, before.abandoned,
                     "a turn that fits is admitted"
                 );
             }
-            assert!(plan.budget - world.received(&program) < plan.most);
+            assert!(plan.budget - world.received(&program) < plan.max_units);
         }
     }
 }
 
-/// Worlds with every kind of trouble go as they went when the file was written: same messages, times and verdicts.
+/// Worlds with every kind of fault run as they did when the file was written: same messages, times and decisions.
 #[test]
 fn worlds_go_as_recorded() {
     let mut digests = String::new();
     for seed in 0..RECORDED_SEEDS {
-        let mut world = World::new(deadly(), seed);
+        let mut world = World::new(with_crashes(), seed);
         world.play();
         writeln!(digests, "{seed} {:016x}", world.digest()).expect("a string takes text");
     }
@@ -151,7 +151,7 @@
 #[test]
 fn the_same_seed_plays_the_same_world() {
     let tallies = || -> Vec<Tally> {
-        play_all(&deadly())
+        play_all(&with_crashes())
             .into_iter()
             .map(|world| world.tally)
             .collect()
--- a/crates/serving/control-state/tests/budgets.rs
+++ b/crates/serving/control-state/tests/budgets.rs
@@ -64,8 +64,8 @@
     let mut trial = Trial::default();
     for request in requests() {
         let first = reply(&mut trial, &request);
-        let leased = trial.state.counters().held("p");
+        let leased = trial.state.counters().leased("p");
         assert_eq!(reply(&mut trial, &request), first);
-        assert_eq!(trial.state.counters().held("p"), leased);
+        assert_eq!(trial.state.counters().leased("p"), leased);
     }
 }
--- a/crates/serving/control-state/tests/encoding.rs
+++ b/crates/serving/control-state/tests/encoding.rs
@@ -198,7 +198,7 @@
         ("budget-spent", Outcome::Budget(CounterReply::Spent)),
         (
             "budget-elsewhere",
-            Outcome::Budget(CounterReply::Elsewhere { held: 700 }),
+            Outcome::Budget(CounterReply::LeasedElsewhere { leased: 700 }),
         ),
         ("budget-returned", Outcome::Budget(CounterReply::Returned)),
         ("budget-stale", Outcome::Budget(CounterReply::Stale)),
--- a/crates/serving/dunespur/src/budgets.rs
+++ b/crates/serving/dunespur/src/budgets.rs
@@ -1,11 +1,11 @@
-//! Leases on the budgets of programs: carries the requests of a [`LeaseBook`] to the core and its decisions to the
+//! Leases on the budgets of programs: carries the requests of a [`LeaseTable`] to the core and its decisions to the
 //! turns that wait.
 
 use crate::clock::Clock;
 use crate::directory::Directory;
 use crate::request_events::{self, Stopwatch};
 use crate::status::BudgetStatus;
-use dunespur_budget::{Admission, CounterRequest, LeaseBook, LimiterId, Refusal, TurnOutcome};
+use dunespur_budget::{Admission, CounterRequest, LeaseTable, LimiterId, Rejection, TurnOutcome};
 use dunespur_control_state::{Operation, Outcome};
 use dunespur_proxy::{AdmissionDecision, AdmissionRequest, TurnKey};
 use std::cell::{Cell, RefCell};
@@ -25,7 +25,7 @@
 pub struct Budgets {
     clock: Clock,
     directory: Rc<Directory>,
-    leases: RefCell<LeaseBook>,
+    leases: RefCell<LeaseTable>,
     /// Turns that wait for a decision.
     waiting: RefCell<HashMap<u64, oneshot::Sender<Admission>>>,
     next_turn: Cell<u64>,
@@ -39,7 +39,7 @@
         let budgets = Rc::new_cyclic(|this| Budgets {
             clock,
             directory,
-            leases: RefCell::new(LeaseBook::new(limiter)),
+            leases: RefCell::new(LeaseTable::new(limiter)),
             waiting: RefCell::default(),
             next_turn: Cell::new(1),
             rescheduled: Notify::new(),
@@ -62,7 +62,7 @@
         );
         self.rescheduled.notify_one();
         let admission = match admission {
-            Admission::Ask(request) => {
+            Admission::Request(request) => {
                 let verdict = self.await_verdict(turn);
                 drop(self.exchange(request));
                 verdict.await
@@ -72,8 +72,8 @@
         };
         match admission {
             Admission::Admitted => AdmissionDecision::Admitted(TurnKey(turn)),
-            Admission::Refused(Refusal::Spent) => AdmissionDecision::BudgetSpent,
-            Admission::Refused(Refusal::Elsewhere { retry_after_ms }) => {
+            Admission::Rejected(Rejection::Spent) => AdmissionDecision::BudgetSpent,
+            Admission::Rejected(Rejection::LeasedElsewhere { retry_after_ms }) => {
                 AdmissionDecision::RetryLater { retry_after_ms }
             }
             _ => AdmissionDecision::RetryLater {
@@ -93,7 +93,9 @@
         };
         async move {
             let mut left = left;
-            let admission = verdict.await.unwrap_or(Admission::Refused(Refusal::Silent));
+            let admission = verdict
+                .await
+                .unwrap_or(Admission::Rejected(Rejection::CounterTimeout));
             left.decided = true;
             admission
         }
@@ -109,12 +111,12 @@
 
     /// Tokens of a program that are leased here.
     pub fn leased(&self, program: &str) -> u64 {
-        self.leases.borrow().held(program)
+        self.leases.borrow().leased(program)
     }
 
     /// Tokens of a turn that are about to be sent to its client.
     pub fn used(&self, turn: TurnKey, tokens: u64) {
-        self.leases.borrow_mut().used(turn.0, tokens);
+        self.leases.borrow_mut().record_use(turn.0, tokens);
     }
 
     /// A turn has ended.
@@ -126,7 +128,7 @@
         let outcomes = {
             let mut leases = self.leases.borrow_mut();
             leases.finish(turn, self.clock.now());
-            leases.outcomes()
+            leases.take_outcomes()
         };
         self.notify(outcomes);
         self.rescheduled.notify_one();
@@ -162,7 +164,7 @@
                 budgets
                     .leases
                     .borrow_mut()
-                    .replied(&request, reply, budgets.clock.now());
+                    .handle_reply(&request, reply, budgets.clock.now());
             budgets.notify(outcomes);
             budgets.rescheduled.notify_one();
         }))
@@ -172,7 +174,7 @@
     fn notify(&self, outcomes: Vec<TurnOutcome>) {
         for TurnOutcome { turn, admission } in outcomes {
             match admission {
-                Admission::Ask(request) => drop(self.exchange(request)),
+                Admission::Request(request) => drop(self.exchange(request)),
                 Admission::Waiting => {}
                 decided => self.decided(turn, decided),
             }
@@ -190,8 +192,8 @@
     fn due(&self) {
         let (requests, outcomes) = {
             let mut leases = self.leases.borrow_mut();
-            let requests = leases.due(self.clock.now());
-            (requests, leases.outcomes())
+            let requests = leases.handle_timeout(self.clock.now());
+            (requests, leases.take_outcomes())
         };
         requests
             .into_iter()
@@ -218,7 +220,7 @@
 
 async fn drive_timers(budgets: Rc<Budgets>) {
     loop {
-        let due = budgets.leases.borrow().next_due();
+        let due = budgets.leases.borrow().next_timeout();
         match due {
             Some(due) => {
                 tokio::select! {
--- a/crates/serving/dunespur/src/core/coordinator/status.rs
+++ b/crates/serving/dunespur/src/core/coordinator/status.rs
@@ -35,7 +35,7 @@
         let counters = replica.state().counters();
         CountedBudget {
             used: counters.used(program),
-            leased: counters.held(program),
+            leased: counters.leased(program),
         }
     }
 }
--- a/crates/serving/dunespur/src/request_events.rs
+++ b/crates/serving/dunespur/src/request_events.rs
@@ -168,7 +168,9 @@
             format!("reply=granted units={units} left={left}")
         }
         Some(CounterReply::Spent) => "reply=spent".to_owned(),
-        Some(CounterReply::Elsewhere { held }) => format!("reply=elsewhere leased={held}"),
+        Some(CounterReply::LeasedElsewhere { leased }) => {
+            format!("reply=elsewhere leased={leased}")
+        }
         Some(CounterReply::Returned) => "reply=returned".to_owned(),
         Some(CounterReply::Stale) => "reply=stale".to_owned(),
         None => "reply=none".to_owned(),
--- a/crates/serving/dunespur/tests/bytes/replies.rs
+++ b/crates/serving/dunespur/tests/bytes/replies.rs
@@ -73,7 +73,7 @@
         ),
         (
             "executed budget elsewhere",
-            Outcome::Budget(CounterReply::Elsewhere { held: 69 }),
+            Outcome::Budget(CounterReply::LeasedElsewhere { leased: 69 }),
         ),
         (
             "executed budget returned",
--- a/crates/serving/storage/tests/compatibility/core.rs
+++ b/crates/serving/storage/tests/compatibility/core.rs
@@ -364,7 +364,7 @@
     assert_eq!(
         (
             state.counters().used("program-1"),
-            state.counters().held("program-1")
+            state.counters().leased("program-1")
         ),
         (0, 300)
     );
@@ -383,7 +383,7 @@
     assert_eq!(
         (
             state.counters().used("program-1"),
-            state.counters().held("program-1")
+            state.counters().leased("program-1")
         ),
         (250, 30)
     );
