--- a/crates/gateway/decisions/src/rules.rs
+++ b/crates/gateway/decisions/src/rules.rs
@@ -460,37 +460,16 @@
         }
         let a = call.account;
         self.pricing.heard(counted, spent, now);
-        let account = &mut self.accounts[a];
-        let plan = &mut self.plans[account.plan];
         let Counted::Total(total) = counted else {
-            if counted == Counted::Refused {
-                // Nothing was added: what it was to report or return goes with the next one, a write-off not.
-                let correction = if call.asked > 0.0 {
-                    0.0
-                } else {
-                    call.add.min(0.0)
-                };
-                account.debt = account.owed(plan, now) + call.debt + correction;
-                account.lease += call.back;
-            }
-            if call.asked > 0.0 {
-                (account.asking, account.failed_at) = (false, now);
-                self.wake(a);
-            }
+            self.not_counted(call, counted, now);
             return;
         };
         if call.asked <= 0.0 {
-            // Guards against gateways that write off the same rest at once: whoever finds more than it
-            // wrote takes its own back, else the customer would owe a whole window's rate.
-            let twice = (total - call.needs).min(call.add);
-            if call.add > plan.burst && twice > call.add / 2.0 {
-                self.count(Call {
-                    add: -twice,
-                    ..call
-                });
-            }
+            self.corrected(call, total);
             return;
         }
+        let account = &mut self.accounts[a];
+        let plan = &mut self.plans[account.plan];
         let start = window_start(account.customer, call.window, account.length);
         let ends = start + account.length;
         // A short window holds what was leased in it.
@@ -577,6 +556,40 @@
         self.wake(a);
     }
 
+    /// A call that brought no total: refused by the counter, or lost.
+    fn not_counted(&mut self, call: Call, counted: Counted, now: f64) {
+        let account = &mut self.accounts[call.account];
+        let plan = &self.plans[account.plan];
+        if counted == Counted::Refused {
+            // Nothing was added: what it was to report or return goes with the next one, a write-off not.
+            let correction = if call.asked > 0.0 {
+                0.0
+            } else {
+                call.add.min(0.0)
+            };
+            account.debt = account.owed(plan, now) + call.debt + correction;
+            account.lease += call.back;
+        }
+        if call.asked > 0.0 {
+            (account.asking, account.failed_at) = (false, now);
+            self.wake(call.account);
+        }
+    }
+
+    /// The answer to a call that asked for nothing and put the total right.
+    fn corrected(&mut self, call: Call, total: f64) {
+        let plan = &self.plans[self.accounts[call.account].plan];
+        // Guards against gateways that write off the same rest at once: whoever finds more than it
+        // wrote takes its own back, else the customer would owe a whole window's rate.
+        let twice = (total - call.needs).min(call.add);
+        if call.add > plan.burst && twice > call.add / 2.0 {
+            self.count(Call {
+                add: -twice,
+                ..call
+            });
+        }
+    }
+
     fn wake(&mut self, a: usize) {
         self.actions
             .extend(self.accounts[a].waiting.drain(..).map(Action::Ask));
--- a/crates/gateway/decisions/tests/rules_model.rs
+++ b/crates/gateway/decisions/tests/rules_model.rs
@@ -233,14 +233,54 @@
 
 /// The rules in the words of their page, over what the front saw.
 fn broken(f: &Front) -> Option<String> {
-    let mut lives: BTreeMap<u64, Life> = BTreeMap::new();
-    let mut customers: BTreeMap<u64, (u64, usize, f64)> = BTreeMap::new();
-    let mut told: BTreeMap<(usize, usize), f64> = BTreeMap::new();
-    let mut up: BTreeMap<usize, f64> = BTreeMap::new();
-    let mut knows: BTreeMap<(usize, usize), f64> = BTreeMap::new();
-    let mut stores: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
-    let (mut sends, mut most): (Vec<(usize, f64, usize)>, f64) = (Vec::new(), CAPACITY);
+    let mut judge = Judge::new(&f.settings);
     for (now, _, seen) in &f.seen {
+        if let Err(broken) = judge.see(*now, seen) {
+            return broken;
+        }
+    }
+    let owed = judge
+        .lives
+        .iter()
+        .find(|(_, l)| l.answers == 0 && !l.closed);
+    owed.map(|(num, _)| format!("rule 1: {num} never had its answer"))
+}
+
+/// A broken rule; none where the front saw something of an invocation that it never took.
+type Broken = Option<String>;
+
+/// What the rules look at, brought up to date by each thing seen.
+struct Judge<'a> {
+    settings: &'a Settings,
+    lives: BTreeMap<u64, Life>,
+    /// Of each invocation its customer, plan and units.
+    customers: BTreeMap<u64, (u64, usize, f64)>,
+    /// Since when each gateway was told that a server drains or is gone.
+    told: BTreeMap<(usize, usize), f64>,
+    up: BTreeMap<usize, f64>,
+    knows: BTreeMap<(usize, usize), f64>,
+    stores: BTreeMap<u64, (f64, f64)>,
+    /// Server, time and gateway of each delivery.
+    sends: Vec<(usize, f64, usize)>,
+    most: f64,
+}
+
+impl<'a> Judge<'a> {
+    fn new(settings: &'a Settings) -> Self {
+        Judge {
+            settings,
+            lives: BTreeMap::new(),
+            customers: BTreeMap::new(),
+            told: BTreeMap::new(),
+            up: BTreeMap::new(),
+            knows: BTreeMap::new(),
+            stores: BTreeMap::new(),
+            sends: Vec::new(),
+            most: CAPACITY,
+        }
+    }
+
+    fn see(&mut self, now: f64, seen: &Seen) -> Result<(), Broken> {
         match seen {
             Seen::Took { gate, inv } => {
                 let life = Life {
@@ -249,91 +289,30 @@
                     operation: inv.operation,
                     ..Life::default()
                 };
-                lives.insert(inv.num, life);
-                customers.insert(inv.num, (inv.customer, inv.plan, inv.units));
+                self.lives.insert(inv.num, life);
+                self.customers
+                    .insert(inv.num, (inv.customer, inv.plan, inv.units));
             }
             Seen::Told { gate, entry } => {
                 match entry.readiness {
-                    Readiness::Live => told.remove(&(*gate, entry.tgt)),
-                    _ => Some(*told.entry((*gate, entry.tgt)).or_insert(*now)),
+                    Readiness::Live => self.told.remove(&(*gate, entry.tgt)),
+                    _ => Some(*self.told.entry((*gate, entry.tgt)).or_insert(now)),
                 };
                 if entry.came_up > 0.0 {
-                    up.insert(entry.tgt, entry.came_up);
-                    knows.insert((*gate, entry.tgt), entry.came_up);
+                    self.up.insert(entry.tgt, entry.came_up);
+                    self.knows.insert((*gate, entry.tgt), entry.came_up);
                 }
             }
             Seen::Withdrawn { gate, tgt } => {
-                told.entry((*gate, *tgt)).or_insert(*now);
+                self.told.entry((*gate, *tgt)).or_insert(now);
             }
             Seen::Killed { gate } => {
                 // What it held is void; its clients may come again.
-                lives
+                self.lives
                     .values_mut()
                     .for_each(|l| l.closed |= l.gate == *gate && l.answers == 0);
             }
-            Seen::Sent { gate, num, n, tgt } => {
-                let life = lives.get_mut(num)?;
-                if life.answers > 0 || life.closed || *now > life.until {
-                    return Some(format!("rule 1: {num} sent after its end"));
-                }
-                let effect = f.settings.operations[life.operation].effect;
-                for &(first, at, never) in &life.deliveries {
-                    let may = never != Some(true);
-                    let fits = match effect {
-                        Effect::Idempotent => true,
-                        Effect::NonIdempotent => !may,
-                        Effect::Tokened { group, window } => {
-                            let same = match group {
-                                Group::All => true,
-                                Group::Zone => server(first).zone == server(*tgt).zone,
-                                Group::Cell => server(first).cell == server(*tgt).cell,
-                            };
-                            !may || (same && *now <= at + window)
-                        }
-                    };
-                    if !fits || never.is_none() {
-                        return Some(format!("rule 2: {num} sent again"));
-                    }
-                }
-                life.deliveries.push((*tgt, *now, None));
-                if told.get(&(*gate, *tgt)).is_some_and(|&t| *now > t + GRACE) {
-                    return Some(format!("rule 3: {tgt} got {num} while draining or gone"));
-                }
-                sends.push((*tgt, *now, *gate));
-                // Work of an earlier start is not the new one's.
-                let since = up.get(tgt).copied().unwrap_or(0.0).max(*now - TIP);
-                let within =
-                    |s: usize| sends.iter().filter(|c| c.0 == s && c.1 > since).count() as f64;
-                if let Some(&came_up) = up.get(tgt).filter(|&&t| *now < t + f.settings.cold_for) {
-                    let part =
-                        0.2 + 0.8 * ((*now - TIP).max(came_up) - came_up) / f.settings.cold_for;
-                    let aware =
-                        |c: &&(usize, f64, usize)| knows.get(&(c.2, *tgt)) == Some(&came_up);
-                    let span = sends.iter().filter(|c| c.0 == *tgt && c.1 > since);
-                    let told_of = span.filter(aware).count() as f64 / within(*tgt);
-                    if within(*tgt) > MULTIPLE * part * most && told_of >= 2.0 / 3.0 {
-                        return Some(format!(
-                            "rule 4: {} sent to {tgt} within {TIP} s",
-                            within(*tgt)
-                        ));
-                    }
-                } else {
-                    most = within(*tgt).max(most);
-                }
-                let (customer, plan, units) = customers[num];
-                let plan = &f.settings.plans[plan];
-                if *n == 0 && plan.hard_rate > 0.0 {
-                    let (left, at) = stores
-                        .get(&customer)
-                        .copied()
-                        .unwrap_or((plan.hard_burst, *now));
-                    let left = (left + plan.hard_rate * (now - at)).min(plan.hard_burst) - units;
-                    stores.insert(customer, (left, *now));
-                    if left < -1e-6 {
-                        return Some(format!("rule 5: customer {customer} at {left}"));
-                    }
-                }
-            }
+            Seen::Sent { gate, num, n, tgt } => self.sent(now, *gate, *num, *n, *tgt)?,
             Seen::Ended {
                 num,
                 n,
@@ -341,38 +320,139 @@
                 done,
                 ..
             } => {
-                let life = lives.get_mut(num)?;
+                let life = self.lives.get_mut(num).ok_or(None)?;
                 life.deliveries[*n].2 = Some(ending.never_ran());
                 if *done && *ending == Ending::Succeeded && !life.closed {
                     life.answers += 1;
                 }
             }
-            Seen::Final { num, answer, .. } => {
-                let life = lives.get_mut(num)?;
-                life.answers += 1;
-                if life.answers > 1 || life.closed || *now > life.until + f.settings.answer_slack {
-                    return Some(format!(
-                        "rule 1: {num} answered {} times, at {now}",
-                        life.answers
-                    ));
-                }
-                let may = life.deliveries.iter().any(|d| d.2 != Some(true));
-                let risky = match f.settings.operations[life.operation].effect {
-                    Effect::Idempotent
-                    | Effect::Tokened {
-                        group: Group::All, ..
-                    } => false,
-                    _ => may,
-                };
-                if risky && matches!(answer, Answer::Throttle { .. }) {
-                    return Some(format!("rule 2: {num} throttled though it may have run"));
+            Seen::Final { num, answer, .. } => self.answered(now, *num, answer)?,
+            Seen::Left { num, .. } => self.lives.get_mut(num).ok_or(None)?.closed = true,
+        }
+        Ok(())
+    }
+
+    fn sent(
+        &mut self,
+        now: f64,
+        gate: usize,
+        num: u64,
+        n: usize,
+        tgt: usize,
+    ) -> Result<(), Broken> {
+        self.sent_again(now, num, tgt)?;
+        if self
+            .told
+            .get(&(gate, tgt))
+            .is_some_and(|&t| now > t + GRACE)
+        {
+            return Err(Some(format!(
+                "rule 3: {tgt} got {num} while draining or gone"
+            )));
+        }
+        self.sends.push((tgt, now, gate));
+        self.sent_to_cold(now, tgt)?;
+        if n == 0 {
+            self.over_ceiling(now, num)?;
+        }
+        Ok(())
+    }
+
+    /// Rules 1 and 2: not after its end, and twice only where the operation allows it.
+    fn sent_again(&mut self, now: f64, num: u64, tgt: usize) -> Result<(), Broken> {
+        let life = self.lives.get_mut(&num).ok_or(None)?;
+        if life.answers > 0 || life.closed || now > life.until {
+            return Err(Some(format!("rule 1: {num} sent after its end")));
+        }
+        let effect = self.settings.operations[life.operation].effect;
+        for &(first, at, never) in &life.deliveries {
+            let may = never != Some(true);
+            let fits = match effect {
+                Effect::Idempotent => true,
+                Effect::NonIdempotent => !may,
+                Effect::Tokened { group, window } => {
+                    let same = match group {
+                        Group::All => true,
+                        Group::Zone => server(first).zone == server(tgt).zone,
+                        Group::Cell => server(first).cell == server(tgt).cell,
+                    };
+                    !may || (same && now <= at + window)
                 }
+            };
+            if !fits || never.is_none() {
+                return Err(Some(format!("rule 2: {num} sent again")));
             }
-            Seen::Left { num, .. } => lives.get_mut(num)?.closed = true,
         }
+        life.deliveries.push((tgt, now, None));
+        Ok(())
+    }
+
+    /// Rule 4: a server that just came up gets a part of what the others do.
+    fn sent_to_cold(&mut self, now: f64, tgt: usize) -> Result<(), Broken> {
+        // Work of an earlier start is not the new one's.
+        let since = self.up.get(&tgt).copied().unwrap_or(0.0).max(now - TIP);
+        let span = || self.sends.iter().filter(|c| c.0 == tgt && c.1 > since);
+        let within = span().count() as f64;
+        let cold_for = self.settings.cold_for;
+        let Some(&came_up) = self.up.get(&tgt).filter(|&&t| now < t + cold_for) else {
+            self.most = within.max(self.most);
+            return Ok(());
+        };
+        let part = 0.2 + 0.8 * ((now - TIP).max(came_up) - came_up) / cold_for;
+        let aware = |c: &&(usize, f64, usize)| self.knows.get(&(c.2, tgt)) == Some(&came_up);
+        let told_of = span().filter(aware).count() as f64 / within;
+        if within > MULTIPLE * part * self.most && told_of >= 2.0 / 3.0 {
+            return Err(Some(format!(
+                "rule 4: {within} sent to {tgt} within {TIP} s"
+            )));
+        }
+        Ok(())
+    }
+
+    /// Rule 5: the customer's hard ceiling.
+    fn over_ceiling(&mut self, now: f64, num: u64) -> Result<(), Broken> {
+        let (customer, plan, units) = self.customers[&num];
+        let plan = &self.settings.plans[plan];
+        if plan.hard_rate <= 0.0 {
+            return Ok(());
+        }
+        let (left, at) = self
+            .stores
+            .get(&customer)
+            .copied()
+            .unwrap_or((plan.hard_burst, now));
+        let left = (left + plan.hard_rate * (now - at)).min(plan.hard_burst) - units;
+        self.stores.insert(customer, (left, now));
+        if left < -1e-6 {
+            return Err(Some(format!("rule 5: customer {customer} at {left}")));
+        }
+        Ok(())
+    }
+
+    fn answered(&mut self, now: f64, num: u64, answer: &Answer) -> Result<(), Broken> {
+        let life = self.lives.get_mut(&num).ok_or(None)?;
+        life.answers += 1;
+        if life.answers > 1 || life.closed || now > life.until + self.settings.answer_slack {
+            return Err(Some(format!(
+                "rule 1: {num} answered {} times, at {now}",
+                life.answers
+            )));
+        }
+        let may = life.deliveries.iter().any(|d| d.2 != Some(true));
+        let risky = match self.settings.operations[life.operation].effect {
+            Effect::Idempotent
+            | Effect::Tokened {
+                group: Group::All, ..
+            } => false,
+            _ => may,
+        };
+        if risky && matches!(answer, Answer::Throttle { .. }) {
+            return Err(Some(format!(
+                "rule 2: {num} throttled though it may have run"
+            )));
+        }
+        Ok(())
     }
-    let owed = lives.iter().find(|(_, l)| l.answers == 0 && !l.closed);
-    owed.map(|(num, _)| format!("rule 1: {num} never had its answer"))
 }
 
 #[test]
--- a/crates/gateway/gateway/src/upstream.rs
+++ b/crates/gateway/gateway/src/upstream.rs
@@ -393,7 +393,7 @@
                     .get(CONNECTION)
                     .is_some_and(|v| v.as_bytes() == b"close");
                 let body = Limited::new(body, MOST_BODY).collect().await;
-                Ok::<_, hyper::Error>(Some((head, body, last)))
+                Ok::<_, hyper::Error>(Some(Exchanged { head, body, last }))
             });
             let mut up = true;
             let result = loop {
@@ -407,30 +407,53 @@
                     _ = &mut connection, if up => up = false,
                 }
             };
-            match result {
-                Ok(Some((head, Ok(body), last))) => {
-                    // It stands ready before the news of it asks for the next delivery.
-                    if up && !last && !conn.closed.get() {
-                        hub.upstream.keep(conn, hub.clock.now());
-                    }
-                    self.ended(Ok(decode_answer(&head, body.to_bytes())));
-                    if !up || last {
-                        return Fault::Broken;
-                    }
-                }
-                Ok(Some((_, Err(e), _))) => {
-                    log::debug!("server {}: {e}", conn.tgt);
-                    return Fault::Broken;
-                }
-                Ok(None) => return Fault::Unwritten,
-                Err(e) => {
-                    log::debug!("server {}: {e}", conn.tgt);
-                    return self.elsewhere();
+            if let Some(fault) = self.exchanged(result, up) {
+                return fault;
+            }
+        }
+    }
+
+    /// A request was answered or not; says why the connection ended if it did. `up` tells whether it still
+    /// stood when the answer was whole.
+    fn exchanged<E: std::fmt::Display>(
+        &self,
+        result: Result<Option<Exchanged<E>>, hyper::Error>,
+        up: bool,
+    ) -> Option<Fault> {
+        let Task(hub, conn) = self;
+        match result {
+            Ok(Some(Exchanged {
+                head,
+                body: Ok(body),
+                last,
+            })) => {
+                // It stands ready before the news of it asks for the next delivery.
+                if up && !last && !conn.closed.get() {
+                    hub.upstream.keep(conn, hub.clock.now());
                 }
+                self.ended(Ok(decode_answer(&head, body.to_bytes())));
+                (!up || last).then_some(Fault::Broken)
+            }
+            Ok(Some(Exchanged { body: Err(e), .. })) => {
+                log::debug!("server {}: {e}", conn.tgt);
+                Some(Fault::Broken)
+            }
+            Ok(None) => Some(Fault::Unwritten),
+            Err(e) => {
+                log::debug!("server {}: {e}", conn.tgt);
+                Some(self.elsewhere())
             }
         }
     }
 }
 
+/// What a server sent back.
+struct Exchanged<E> {
+    head: hyper::http::response::Parts,
+    body: Result<http_body_util::Collected<bytes::Bytes>, E>,
+    /// The server closes the connection after it.
+    last: bool,
+}
+
 #[cfg(test)]
 mod tests;
