--- a/crates/gateway/gateway/src/fleet.rs
+++ b/crates/gateway/gateway/src/fleet.rs
@@ -14,14 +14,17 @@
 use dunespur_gossip_membership::{self as members, Members};
 use dunespur_peer_transport::{Came, Kind, Links};
 use dunespur_quota_sharing::lend::{self, Answer, Ask, Broker};
-use dunespur_singleton_roles::audit::{self, Auditor, Tally};
-use dunespur_singleton_roles::fence::Fence;
-use dunespur_singleton_roles::holder::Holder;
-use dunespur_singleton_roles::log::Batch;
-use dunespur_singleton_roles::probe::{self, Complaints, Prober, Seen};
+use dunespur_singleton_roles::audit::{self, Auditor, CallOutcome, UsageTally};
+use dunespur_singleton_roles::client::RoleClient;
+use dunespur_singleton_roles::discovery_relay::{self, Action, DiscoveryUpdate, Relay};
+use dunespur_singleton_roles::fencing::FencingCheck;
+use dunespur_singleton_roles::health_check::{
+    self, Delivery, HealthChecker, Observation, ServerExperience,
+};
+use dunespur_singleton_roles::records::WriteBatch;
+use dunespur_singleton_roles::table::Assignment;
 use dunespur_singleton_roles::voter::Voter;
-use dunespur_singleton_roles::watch::{self, Act, Relay};
-use dunespur_singleton_roles::{Me, Msg, Output, Slot};
+use dunespur_singleton_roles::{Identity, Message, Output, Severity, Slot, SlotRange};
 use dunespur_voter_storage::Store;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -56,7 +59,10 @@
     /// A call to the counter ended: answered, or nobody knows.
     Counted { name: u64, add: f64, answered: bool },
     /// A probe of this server is over.
-    Probed { server: String, seen: Seen },
+    Probed {
+        server: String,
+        observation: Observation,
+    },
     /// The counter's total for a name, read for the audit.
     Total { name: u64, total: f64 },
     /// This limiter asks the broker of a slot.
@@ -166,10 +172,10 @@
         slot: Slot,
         token: u64,
     },
-    Probe(probe::Msg),
+    Probe(health_check::Message),
     Audit {
         slot: Slot,
-        msg: audit::Msg,
+        message: audit::Message,
     },
     Lend(lend::Msg),
 }
@@ -191,24 +197,24 @@
 
 pub struct Fleet {
     plan: Plan,
-    me: Me,
+    me: Identity,
     links: Rc<Links>,
     members: Members,
-    holder: Holder,
+    client: RoleClient,
     voter: Option<Voter>,
-    fence: Fence,
+    fencing: FencingCheck,
     relay: Option<(Relay, Slot)>,
-    disk: Option<std::sync::mpsc::Sender<Batch>>,
+    disk: Option<std::sync::mpsc::Sender<WriteBatch>>,
     /// The whole list as the own or the relayed watch gave it, by server.
     list: BTreeMap<String, Value>,
     places: BTreeMap<String, Vec<(SocketAddrV4, f64)>>,
     history: Option<std::io::BufWriter<std::fs::File>>,
     /// First slot and number of shards of the duties that are asked for by key.
-    probes: Option<(Slot, u32)>,
-    audits: Option<(Slot, u32)>,
-    complaints: Complaints,
-    prober: Prober,
-    tally: Tally,
+    probes: Option<SlotRange>,
+    audits: Option<SlotRange>,
+    experience: ServerExperience,
+    health_checker: HealthChecker,
+    tally: UsageTally,
     auditor: Auditor,
     next_audit: f64,
     broker: Broker,
@@ -228,7 +234,7 @@
 }
 
 /// A voter's state machine, and the way of its writes to the disk.
-type OpenVoter = (Voter, std::sync::mpsc::Sender<Batch>);
+type OpenVoter = (Voter, std::sync::mpsc::Sender<WriteBatch>);
 
 /// The voter that this limiter is, if it is one; a thread of its own does the writes.
 fn open_voter(
@@ -243,10 +249,10 @@
     let Some(path) = plan.disk.as_ref().filter(|_| votes) else {
         return Ok(None);
     };
-    let (store, head) = Store::open(path, &plan.duties.fleet, name).map_err(Fault::Config)?;
-    let voter = Voter::new(plan.duties.clone(), name.to_owned(), head, seed, now, out);
-    let voter = voter.map_err(Fault::Config)?;
-    let (tx, rx) = std::sync::mpsc::channel::<Batch>();
+    let (store, head) = Store::open(path, &plan.roles.fleet, name).map_err(Fault::Config)?;
+    let voter = Voter::new(plan.roles.clone(), name.to_owned(), head, seed, now, out);
+    let voter = voter.map_err(|e| Fault::Config(e.to_string()))?;
+    let (tx, rx) = std::sync::mpsc::channel::<WriteBatch>();
     let slow = plan.trial.slow_disk.clone();
     std::thread::spawn(move || write_batches(store, rx, slow, saved));
     Ok(Some((voter, tx)))
@@ -255,7 +261,7 @@
 /// Writes what comes, in order, and says so; the first write that fails is the last.
 fn write_batches(
     store: Store,
-    batches: std::sync::mpsc::Receiver<Batch>,
+    batches: std::sync::mpsc::Receiver<WriteBatch>,
     slow: Option<PathBuf>,
     saved: mpsc::UnboundedSender<Disk>,
 ) {
@@ -280,7 +286,7 @@
     inbox: mpsc::Sender<Came>,
 ) -> Result<Rc<Links>, Fault> {
     let links = Links::open(
-        plan.duties.fleet.clone(),
+        plan.roles.fleet.clone(),
         name.to_owned(),
         plan.listen,
         plan.bounds.clone(),
@@ -307,16 +313,16 @@
 /// The relay of discovery's list within the zone, and the slot it goes by.
 fn open_relay(plan: &Plan, now: f64) -> Option<(Relay, Slot)> {
     let zone = plan
-        .duties
+        .roles
         .zones
         .iter()
         .position(|z| *z == plan.zone)
         .unwrap_or(0) as u32;
     let slot = plan
-        .duties
-        .range("watch")
-        .filter(|r| zone < r.1)
-        .map(|r| r.0 + zone);
+        .roles
+        .slots_of("watch")
+        .filter(|range| zone < range.count)
+        .map(|range| range.first + zone);
     let part = fastrand::f64();
     slot.map(|slot| (Relay::new(plan.watch.clone(), slot, 0, part, now), slot))
 }
@@ -336,7 +342,7 @@
             .unwrap_or_default();
         let wall = ((wall.as_secs_f64() + plan.trial.wall).max(0.0) * 1e3) as u64;
         let run = seed ^ (wall << 20) ^ u64::from(std::process::id());
-        let me = Me {
+        let me = Identity {
             name: name.clone(),
             run,
             zone: plan.zone.clone(),
@@ -365,17 +371,23 @@
         let relay = open_relay(&plan, now);
         let broker = Broker::new(plan.lend.clone(), BROKER);
         let lends = plan
-            .duties
-            .range("lend")
-            .map(|r| (r.0, r.1.min(MOST_SHARDS)))
-            .filter(|r| r.1 > 0);
+            .roles
+            .slots_of("lend")
+            .map(|range| range.truncated(MOST_SHARDS))
+            .filter(|range| range.count > 0);
         let lending = lends.map(|range| Lending::new(&plan.lend, range, tell.clone()));
+        let probes = plan.roles.slots_of("probe").filter(|range| range.count > 0);
+        let audits = plan.roles.slots_of("audit").filter(|range| range.count > 0);
+        let lookups = [probes, audits, lends].into_iter().flatten();
+        let lookups = lookups
+            .flat_map(|range| range.truncated(MOST_SHARDS).slots())
+            .collect();
         let mut fleet = Fleet {
             members: Members::new(plan.members.clone(), member, seed, now),
-            holder: Holder::new(plan.duties.clone(), me.clone(), now),
-            fence: Fence::new(plan.duties.slots()),
-            probes: plan.duties.range("probe").filter(|r| r.1 > 0),
-            audits: plan.duties.range("audit").filter(|r| r.1 > 0),
+            client: RoleClient::new(plan.roles.clone(), me.clone(), lookups, now),
+            fencing: FencingCheck::new(plan.roles.slots()),
+            probes,
+            audits,
             plan,
             me,
             links,
@@ -385,9 +397,9 @@
             list: BTreeMap::new(),
             places: BTreeMap::new(),
             history,
-            complaints: Complaints::default(),
-            prober: Prober::default(),
-            tally: Tally::default(),
+            experience: ServerExperience::default(),
+            health_checker: HealthChecker::default(),
+            tally: UsageTally::default(),
             auditor: Auditor::default(),
             next_audit: now,
             broker,
@@ -402,14 +414,6 @@
             ended: 0,
             relayed: 0,
         };
-        let few = |r: Option<(Slot, u32)>| {
-            r.into_iter()
-                .flat_map(|(first, n)| first..first + n.min(MOST_SHARDS))
-        };
-        fleet.holder.who = few(fleet.probes)
-            .chain(few(fleet.audits))
-            .chain(few(lends))
-            .collect();
         fleet.note(json!({"line": "started", "t": now, "who": fleet.me.name, "run": run}));
         fleet.take(out, now);
         Ok((fleet, saved_rx))
@@ -457,78 +461,83 @@
         for o in out {
             let (who, run) = (self.me.name.clone(), self.me.run);
             match o {
-                Output::Send { to, msg } if to == self.me.name => own.push(msg),
-                Output::Send { to, msg } => {
-                    let body = postcard::to_stdvec(&msg).unwrap_or_default();
+                Output::Send { to, message } if to == self.me.name => own.push(message),
+                Output::Send { to, message } => {
+                    let body = postcard::to_stdvec(&message).unwrap_or_default();
                     for at in self.places(&to) {
                         self.links.send(at, Kind::Duties, body.clone());
                     }
                 }
-                Output::Save(batch) => {
+                Output::Write(batch) => {
                     if let Some(disk) = &self.disk {
                         let _ = disk.send(batch);
                     }
                 }
-                Output::Tokens(tokens) => self.fence.prime(&tokens),
-                Output::Began { slot, token } => {
+                Output::Tokens(tokens) => self.fencing.initialize(&tokens),
+                Output::Acquired { slot, token } => {
                     self.began += 1;
-                    let (duty, shard, _) = self.plan.duties.slot(slot);
-                    ::log::info!("fleet: begins {duty} {shard} under {token}");
+                    let info = self.plan.roles.slot_info(slot);
+                    let (role, shard) = (info.role, info.shard);
+                    ::log::info!("fleet: begins {role} {shard} under {token}");
                     self.note(json!({"line": "began", "t": now, "who": who, "run": run, "slot": slot, "token": token}));
                 }
-                Output::Ended { slot, token } => {
+                Output::Lost { slot, token } => {
                     self.ended += 1;
-                    if self.plan.duties.slot(slot).0 == "probe" {
-                        self.prober.ended();
-                    } else if self.plan.duties.slot(slot).0 == "audit" {
-                        self.auditor.ended();
-                    } else if self.plan.duties.slot(slot).0 == "lend" {
+                    if self.plan.roles.slot_info(slot).role == "probe" {
+                        self.health_checker.clear();
+                    } else if self.plan.roles.slot_info(slot).role == "audit" {
+                        self.auditor.clear();
+                    } else if self.plan.roles.slot_info(slot).role == "lend" {
                         self.broker.ended(slot, &mut self.lent);
                     }
-                    let (duty, shard, _) = self.plan.duties.slot(slot);
-                    ::log::info!("fleet: ends {duty} {shard} under {token}");
-                    let until = self.holder.last_until();
+                    let info = self.plan.roles.slot_info(slot);
+                    let (role, shard) = (info.role, info.shard);
+                    ::log::info!("fleet: ends {role} {shard} under {token}");
+                    let until = self.client.last_expiry();
                     self.note(
                         json!({"line": "ended", "t": now, "who": who, "run": run, "slot": slot,
                         "token": token, "until": until}),
                     );
                 }
-                Output::Report { loud, text } => {
-                    match loud {
-                        true => ::log::warn!("fleet: {text}"),
-                        false => ::log::info!("fleet: {text}"),
+                Output::Report { severity, text } => {
+                    match severity {
+                        Severity::Warning => ::log::warn!("fleet: {text}"),
+                        Severity::Info => ::log::info!("fleet: {text}"),
                     }
+                    let loud = severity.is_warning();
                     self.note(
                         json!({"line": "report", "t": now, "who": who, "loud": loud, "text": text}),
                     );
                 }
             }
         }
-        for msg in own {
-            self.duty(self.me.name.clone(), msg, now);
+        for message in own {
+            self.receive_role_message(self.me.name.clone(), message, now);
         }
     }
 
     /// A message about duties, from a peer or from this process to itself.
-    fn duty(&mut self, from: String, msg: Msg, now: f64) {
+    fn receive_role_message(&mut self, from: String, message: Message, now: f64) {
         let mut out = Vec::new();
-        let mut told = None;
-        match &msg {
-            Msg::Told { told: t, run } => {
-                told = (*run == self.me.run).then_some((t.seq, t.index));
-                self.holder.hear(&from, msg, now, &mut out);
+        let mut renewed = None;
+        match &message {
+            Message::Renewed { response, run } => {
+                renewed = (*run == self.me.run).then_some((response.seq, response.index));
+                self.client.receive(&from, message, now, &mut out);
             }
-            Msg::Elsewhere { .. } | Msg::Doubled { .. } | Msg::Notice { .. } => {
-                self.holder.hear(&from, msg, now, &mut out);
+            Message::NotLeader { .. }
+            | Message::DuplicateName { .. }
+            | Message::AssignmentsChanged { .. } => {
+                self.client.receive(&from, message, now, &mut out);
             }
             _ => {
                 if let Some(voter) = &mut self.voter {
-                    voter.hear(&from, msg, now, &mut out);
+                    voter.receive(&from, message, now, &mut out);
                 }
             }
         }
-        if let Some((seq, index)) = told.filter(|_| self.history.is_some()) {
-            if let Some(asked) = self.holder.asked_at(seq) {
+        if let Some((seq, index)) = renewed.filter(|_| self.history.is_some()) {
+            if let Some(asked) = self.client.granted_renewal_sent_at(seq) {
                 let who = self.me.name.clone();
                 self.note(
                     json!({"line": "told", "asked": asked, "t": now, "who": who, "index": index}),
@@ -574,11 +583,11 @@
                 self.take_members(out, now);
             }
             Kind::Duties => match postcard::from_bytes(&frame.body) {
-                Ok(msg) => self.duty(frame.from, msg, now),
+                Ok(message) => self.receive_role_message(frame.from, message, now),
                 Err(_) => spoilt(&self.links),
             },
             Kind::Watch => match postcard::from_bytes(&frame.body) {
-                Ok(msg) => self.watch(hub, frame.from, msg, now),
+                Ok(message) => self.watch(hub, frame.from, message, now),
                 Err(_) => spoilt(&self.links),
             },
             Kind::Work => match postcard::from_bytes::<Work>(&frame.body) {
@@ -600,7 +609,7 @@
                         seq,
                         answer,
                     } => {
-                        let token = self.holder.holds(slot, now);
+                        let token = self.client.token(slot, now);
                         let answer = token.map_or(Answer::Not, |_| answer);
                         let msg = lend::Msg::Told {
                             slot,
@@ -643,12 +652,12 @@
             return;
         };
         let total = matches!(answer, Answer::Total(_));
-        let fits = run == self.me.run && (!total || self.fence.accept(slot, token));
+        let fits = run == self.me.run && (!total || self.fencing.accept(slot, token));
         let Some(lending) = self.lending.as_ref().filter(|_| fits) else {
             return;
         };
         if let Some(counted) = lending.told(seq, answer) {
-            self.holder.progress(slot, now);
+            self.client.record_progress(slot, now);
             hub.tell(Event::Counted { call: seq, counted });
         }
     }
@@ -656,13 +665,13 @@
     /// This limiter's own ask goes to whoever holds the slot.
     fn borrow(&mut self, hub: &Rc<Hub>, slot: Slot, ask: Ask, now: f64) {
         let (me, run) = (self.me.name.clone(), self.me.run);
-        if self.holder.holds(slot, now).is_some() {
+        if self.client.token(slot, now).is_some() {
             self.broker.ask(&me, run, slot, ask, now, &mut self.lent);
             return self.lend(hub, now);
         }
         let holder = self
-            .holder
-            .holders
+            .client
+            .owners()
             .get(&slot)
             .filter(|h| **h != me)
             .cloned();
@@ -692,9 +701,9 @@
     fn lend_msg(&mut self, hub: &Rc<Hub>, from: &str, msg: lend::Msg, now: f64) {
         match msg {
             lend::Msg::Ask { slot, run, ask } => {
-                let ours = self.lending.is_some() && self.plan.duties.slot(slot).0 == "lend";
-                if ours && self.holder.holds(slot, now).is_some() {
-                    self.holder.progress(slot, now);
+                let ours = self.lending.is_some() && self.plan.roles.slot_info(slot).role == "lend";
+                if ours && self.client.token(slot, now).is_some() {
+                    self.client.record_progress(slot, now);
                     self.broker.ask(from, run, slot, ask, now, &mut self.lent);
                 } else {
                     let (to, seq) = (from.to_owned(), ask.seq);
@@ -715,10 +724,10 @@
     /// Which slots have a holder that is known here.
     fn know(&self, now: f64) {
         let Some(lending) = &self.lending else { return };
-        let held = self.holder.held(now).map(|h| h.0);
+        let held = self.client.assignments(now).map(|held| held.slot);
         let known = self
-            .holder
-            .holders
+            .client
+            .owners()
             .iter()
             .filter(|h| *h.1 != self.me.name)
             .map(|h| *h.0);
@@ -729,30 +738,35 @@
         match work {
             Work::Lend(msg) => self.lend_msg(hub, from, msg, now),
             Work::Effect { slot, token } => _ = self.accept(from, slot, token, now),
-            Work::Probe(probe::Msg::Complaint { server, .. }) => self.complaint(from, server, now),
-            Work::Probe(probe::Msg::Outcome {
+            Work::Probe(health_check::Message::Complaint { server, .. }) => {
+                self.complaint(from, server, now)
+            }
+            Work::Probe(health_check::Message::Observed {
                 slot,
                 token,
                 server,
-                seen,
+                observation,
                 age,
             }) => {
                 let known = (0.0..60.0).contains(&age) && server.len() < 64;
                 if known && self.accept(from, slot, token, now) {
-                    self.outcome(hub, &server, seen, age, now);
+                    self.outcome(hub, &server, observation, age, now);
                 }
             }
-            Work::Audit { slot, msg } => {
-                if self.holder.holds(slot, now).is_some() {
-                    self.auditor.hear(from, msg, now, &self.plan.audit);
+            Work::Audit { slot, message } => {
+                if self.client.token(slot, now).is_some() {
+                    self.auditor.receive(from, message, now, &self.plan.audit);
                 }
             }
         }
     }
 
     /// The slot of a duty with shards that a key belongs to.
-    fn shard(of: Option<(Slot, u32)>, key: u64) -> Option<Slot> {
-        of.map(|(first, n)| first + (key % u64::from(n.min(MOST_SHARDS))) as Slot)
+    fn shard(of: Option<SlotRange>, key: u64) -> Option<Slot> {
+        of.map(|range| {
+            let count = range.truncated(MOST_SHARDS).count;
+            range.first + (key % u64::from(count)) as Slot
+        })
     }
 
     fn probe_slot(&self, server: &str) -> Option<Slot> {
@@ -761,11 +775,11 @@
 
     /// To whoever holds the slot, as far as it is known; this process included. False where nobody is known.
     fn tell_holder(&mut self, hub: &Rc<Hub>, slot: Slot, work: Work, now: f64) -> bool {
-        if self.holder.holds(slot, now).is_some() {
+        if self.client.token(slot, now).is_some() {
             let me = self.me.name.clone();
             self.work(hub, &me, work, now);
             true
-        } else if let Some(name) = self.holder.holders.get(&slot).cloned() {
+        } else if let Some(name) = self.client.owner(slot).cloned() {
             let body = postcard::to_stdvec(&work).unwrap_or_default();
             self.places(&name)
                 .into_iter()
@@ -789,33 +803,39 @@
             .values()
             .any(|m| m["host_port"] == server.as_str());
         // Evidence about a server that is not on the list is none.
-        if !listed || self.holder.holds(slot, now).is_none() {
+        if !listed || self.client.token(slot, now).is_none() {
             return;
         }
-        if self.prober.complaint(from, &server, now, &self.plan.probe) {
+        if self
+            .health_checker
+            .receive_complaint(from, &server, now, &self.plan.probe)
+        {
             let tell = self.tell.clone();
             tokio::task::spawn_local(async move {
-                let seen = probe(address).await;
-                let _ = tell.send(Told::Probed { server, seen });
+                let observation = probe(address).await;
+                let _ = tell.send(Told::Probed {
+                    server,
+                    observation,
+                });
             });
         }
     }
 
     /// As the holder: the probe is over; all that are up hear of it, if this one still holds the duty.
-    fn probed(&mut self, hub: &Rc<Hub>, server: String, seen: Seen, now: f64) {
+    fn probed(&mut self, hub: &Rc<Hub>, server: String, observation: Observation, now: f64) {
         let Some(slot) = self.probe_slot(&server) else {
             return;
         };
-        let Some(token) = self.holder.holds(slot, now) else {
+        let Some(token) = self.client.token(slot, now) else {
             return;
         };
-        self.holder.progress(slot, now);
-        self.outcome(hub, &server, seen, 0.0, now);
-        let work = Work::Probe(probe::Msg::Outcome {
+        self.client.record_progress(slot, now);
+        self.outcome(hub, &server, observation, 0.0, now);
+        let work = Work::Probe(health_check::Message::Observed {
             slot,
             token,
             server,
-            seen,
+            observation,
             age: 0.0,
         });
         let body = postcard::to_stdvec(&work).unwrap_or_default();
@@ -825,14 +845,26 @@
     }
 
     /// What a probe saw goes to the module, as far as this limiter's own experience lets it.
-    fn outcome(&mut self, hub: &Rc<Hub>, server: &str, seen: Seen, age: f64, now: f64) {
-        let judged =
-            self.complaints
-                .judge(server, seen, age, fastrand::f64(), now, &self.plan.probe);
+    fn outcome(
+        &mut self,
+        hub: &Rc<Hub>,
+        server: &str,
+        observation: Observation,
+        age: f64,
+        now: f64,
+    ) {
+        let judged = self.experience.judge(
+            server,
+            observation,
+            age,
+            fastrand::f64(),
+            now,
+            &self.plan.probe,
+        );
         if let (Some(judged), Ok(address)) = (judged, server.parse()) {
             let (bad, pause) = match judged {
-                probe::Judged::Bad(pause) => (true, pause),
-                probe::Judged::Good(pause) => (false, pause),
+                health_check::Verdict::Unhealthy(pause) => (true, pause),
+                health_check::Verdict::Healthy(pause) => (false, pause),
             };
             hub.tell(Event::Told {
                 address,
@@ -841,31 +873,31 @@
             });
         }
         self.outcomes += 1;
-        ::log::info!("fleet: a probe of {server}: {seen:?}");
-        let what = format!("probe {seen:?} {server}");
+        ::log::info!("fleet: a probe of {server}: {observation:?}");
+        let what = format!("probe {observation:?} {server}");
         self.note(json!({"line": "counted", "t": now, "what": what, "value": 1.0}));
     }
 
     /// What was added and is quiet goes to the auditor; what an auditor holds and is quiet is read.
     fn audit(&mut self, hub: &Rc<Hub>, now: f64) {
-        self.next_audit = now + self.plan.audit.quiet / 4.0;
-        let mut by: BTreeMap<Slot, Vec<audit::Use>> = BTreeMap::new();
-        for u in self.tally.due(now, &self.plan.audit) {
+        self.next_audit = now + self.plan.audit.quiet_period / 4.0;
+        let mut by: BTreeMap<Slot, Vec<audit::Usage>> = BTreeMap::new();
+        for u in self.tally.take_due(now, &self.plan.audit) {
             if let Some(slot) = Fleet::shard(self.audits, u.name) {
                 by.entry(slot).or_default().push(u);
             }
         }
         for (slot, uses) in by {
             let names: Vec<u64> = uses.iter().map(|u| u.name).collect();
-            let msg = audit::Msg::Uses {
+            let message = audit::Message::Usages {
                 run: self.me.run,
-                uses,
+                usages: uses,
             };
-            if !self.tell_holder(hub, slot, Work::Audit { slot, msg }, now) {
-                self.tally.unsaid(names.into_iter());
+            if !self.tell_holder(hub, slot, Work::Audit { slot, message }, now) {
+                self.tally.mark_unreported(names.into_iter());
             }
         }
-        let due = self.auditor.due(now, &self.plan.audit);
+        let due = self.auditor.take_due(now, &self.plan.audit);
         let Some(counter) = hub.counter.address().filter(|_| !due.is_empty()) else {
             return;
         };
@@ -882,12 +914,12 @@
 
     fn total(&mut self, name: u64, total: f64, now: f64) {
         let Some(slot) =
-            Fleet::shard(self.audits, name).filter(|s| self.holder.holds(*s, now).is_some())
+            Fleet::shard(self.audits, name).filter(|s| self.client.token(*s, now).is_some())
         else {
             return;
         };
-        self.holder.progress(slot, now);
-        let Some(verdict) = self.auditor.total(name, total, &self.plan.audit) else {
+        self.client.record_progress(slot, now);
+        let Some(verdict) = self.auditor.judge(name, total, &self.plan.audit) else {
             return;
         };
         let (n, what, value) = match verdict {
@@ -908,7 +940,7 @@
 
     /// The receiver's check, whatever the effect.
     fn accept(&mut self, from: &str, slot: Slot, token: u64, now: f64) -> bool {
-        let took = self.fence.accept(slot, token);
+        let took = self.fencing.accept(slot, token);
         let line = if took { "accepted" } else { "refused" };
         let at = self.me.name.clone();
         self.note(
@@ -917,13 +949,14 @@
         took
     }
 
-    fn watch(&mut self, hub: &Rc<Hub>, from: String, msg: watch::Msg, now: f64) {
+    fn watch(&mut self, hub: &Rc<Hub>, from: String, message: discovery_relay::Message, now: f64) {
         let Some(slot) = self.relay.as_ref().map(|r| r.1) else {
             return;
         };
-        let fits = match &msg {
-            watch::Msg::Want { slot: s } => *s == slot,
-            watch::Msg::Beat { slot: s, token, .. } | watch::Msg::News { slot: s, token, .. } => {
+        let fits = match &message {
+            discovery_relay::Message::RequestList { slot: s } => *s == slot,
+            discovery_relay::Message::Heartbeat { slot: s, token, .. }
+            | discovery_relay::Message::Update { slot: s, token, .. } => {
                 let (s, token) = (*s, *token);
                 s == slot && self.accept(&from, s, token, now)
             }
@@ -931,12 +964,12 @@
         if !fits {
             return;
         }
-        let token = self.holder.holds(slot, now);
-        let mut acts = Vec::new();
+        let token = self.client.token(slot, now);
+        let mut actions = Vec::new();
         if let Some((relay, _)) = &mut self.relay {
-            relay.hear(&from, msg, token, now, &mut acts);
+            relay.receive(&from, message, token, now, &mut actions);
         }
-        self.act(hub, acts, now);
+        self.act(hub, actions, now);
     }
 
     /// Takes a list into the whole one; says whether it was complete, and its revision.
@@ -957,10 +990,11 @@
         Some((revision, complete))
     }
 
-    fn act(&mut self, hub: &Rc<Hub>, acts: Vec<Act>, now: f64) {
-        for act in acts {
-            match act {
-                Act::Own(own) => {
+    fn act(&mut self, hub: &Rc<Hub>, actions: Vec<Action>, now: f64) {
+        for action in actions {
+            match action {
+                Action::OpenWatch | Action::CloseWatch => {
+                    let own = action == Action::OpenWatch;
                     ::log::info!(
                         "fleet: its own watch {}",
                         if own { "opens" } else { "closes" }
@@ -972,8 +1006,8 @@
                     );
                     hub.discovery.hold(own);
                 }
-                Act::ToZone(msg) => {
-                    let body = postcard::to_stdvec(&msg).unwrap_or_default();
+                Action::Broadcast(message) => {
+                    let body = postcard::to_stdvec(&message).unwrap_or_default();
                     let zone =
                         |m: &&members::Member| m.zone == self.me.zone && m.name != self.me.name;
                     let to: Vec<_> = self
@@ -985,33 +1019,33 @@
                     to.into_iter()
                         .for_each(|at| self.links.send(at, Kind::Watch, body.clone()));
                 }
-                Act::To { to, msg } => {
-                    let body = postcard::to_stdvec(&msg).unwrap_or_default();
+                Action::Send { to, message } => {
+                    let body = postcard::to_stdvec(&message).unwrap_or_default();
                     for at in self.places(&to) {
                         self.links.send(at, Kind::Watch, body.clone());
                     }
                 }
-                Act::Whole { to, token } => {
+                Action::SendList { to, token } => {
                     let Some((relay, slot)) = &self.relay else {
                         continue;
                     };
                     let members: Vec<&Value> = self.list.values().collect();
-                    let revision = relay.revision;
+                    let revision = relay.revision();
                     let whole = json!({"revision": revision, "complete": true, "members": members});
                     let list = whole.to_string().into_bytes();
-                    let msg = watch::Msg::News {
+                    let message = discovery_relay::Message::Update {
                         slot: *slot,
                         token,
                         since: None,
                         revision,
                         list,
                     };
-                    let body = postcard::to_stdvec(&msg).unwrap_or_default();
+                    let body = postcard::to_stdvec(&message).unwrap_or_default();
                     for at in self.places(&to) {
                         self.links.send(at, Kind::Watch, body.clone());
                     }
                 }
-                Act::Take { list, revision } => {
+                Action::ApplyList { list, revision } => {
                     let Ok(value) = serde_json::from_slice::<Value>(&list) else {
                         continue;
                     };
@@ -1031,22 +1065,26 @@
     fn line(&mut self, hub: &Rc<Hub>, line: Option<Value>, now: f64) {
         let list = line.and_then(|value| {
             let (revision, complete) = self.merge(&value)?;
-            Some((revision, complete, value.to_string().into_bytes()))
+            Some(DiscoveryUpdate {
+                revision,
+                complete,
+                list: value.to_string().into_bytes(),
+            })
         });
         let token = self
             .relay
             .as_ref()
-            .and_then(|r| self.holder.holds(r.1, now));
-        let mut acts = Vec::new();
+            .and_then(|r| self.client.token(r.1, now));
+        let mut actions = Vec::new();
         if let Some((relay, slot)) = &mut self.relay {
-            relay.own_watch(list, token, now, &mut acts);
-            self.holder.progress(*slot, now);
+            relay.receive_update(list, token, now, &mut actions);
+            self.client.record_progress(*slot, now);
         }
-        self.act(hub, acts, now);
+        self.act(hub, actions, now);
     }
 
     fn due(&self) -> f64 {
-        let mut due = self.holder.next_due().min(self.members.next_due());
+        let mut due = self.client.next_due().min(self.members.next_due());
         if let Some(voter) = &self.voter {
             due = due.min(voter.next_due());
         }
@@ -1070,7 +1108,7 @@
     }
 
     fn tick(&mut self, hub: &Rc<Hub>, now: f64) {
-        let (mut out, mut said, mut acts) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut out, mut said, mut actions) = (Vec::new(), Vec::new(), Vec::new());
         // The trial's effect first: a process that stood still is in the middle of one.
         if self.plan.trial.effects > 0.0 && now >= self.next_effect {
             self.effects(now);
@@ -1078,8 +1116,8 @@
         if self.audits.is_some() && now >= self.next_audit {
             self.audit(hub, now);
         }
-        if self.holder.next_due() <= now {
-            self.holder.tick(now, &mut out);
+        if self.client.next_due() <= now {
+            self.client.tick(now, &mut out);
         }
         if let Some(voter) = self.voter.as_mut().filter(|v| v.next_due() <= now) {
             voter.tick(now, &mut out);
@@ -1103,25 +1141,25 @@
             self.take_members(said, now);
         }
         if let Some((relay, slot)) = self.relay.as_mut().filter(|r| r.0.next_due() <= now) {
-            let token = self.holder.holds(*slot, now);
-            relay.tick(token, now, &mut acts);
+            let token = self.client.token(*slot, now);
+            relay.tick(token, now, &mut actions);
             if token.is_some() {
-                self.holder.progress(*slot, now);
+                self.client.record_progress(*slot, now);
             }
-            self.act(hub, acts, now);
+            self.act(hub, actions, now);
         }
     }
 
     /// For trials: each held slot has an effect at the next member and the next receiver.
     fn effects(&mut self, now: f64) {
         self.next_effect = now + (0.5 + fastrand::f64()) / self.plan.trial.effects;
-        let held: Vec<(Slot, u64)> = self.holder.held(now).collect();
+        let held: Vec<Assignment> = self.client.assignments(now).collect();
         let members: Vec<SocketAddrV4> = self.members.living().map(|m| m.address).collect();
         if self.links.version.get() > dunespur_peer_transport::VERSION {
             members.iter().for_each(|at| self.links.strange(*at));
         }
-        for (slot, token) in held {
-            self.holder.progress(slot, now);
+        for Assignment { slot, token } in held {
+            self.client.record_progress(slot, now);
             self.turn += 1;
             let body = postcard::to_stdvec(&Work::Effect { slot, token }).unwrap_or_default();
             if !members.is_empty() {
@@ -1141,18 +1179,18 @@
         let (leads, votes) = self
             .voter
             .as_ref()
-            .map_or((false, false), |v| (v.leads(), v.votes()));
+            .map_or((false, false), |v| (v.is_leader(), v.is_voting()));
         ::log::info!(
             "fleet: members={} held={} began={} ended={} votes={votes} leads={leads} doubled={} relayed={} \
              outcomes={} probes={} brokered={} direct={} late={} names={} unlent={:.1} audit agreed={} lost={} surplus={} fenced={} links={} sent={} sent_bytes={} came={} refused={} dropped={}",
             self.members.count(),
-            self.holder.held(clock()).count(),
+            self.client.assignments(clock()).count(),
             self.began,
             self.ended,
-            self.holder.doubled || self.members.doubled(&self.me.name),
+            self.client.has_duplicate_name() || self.members.doubled(&self.me.name),
             self.relayed,
             self.outcomes,
-            self.prober.probes,
+            self.health_checker.checks,
             lent.0,
             lent.1,
             lent.2,
@@ -1161,7 +1199,7 @@
             self.audited[0],
             self.audited[1],
             self.audited[2],
-            self.fence.refused,
+            self.fencing.rejected,
             self.links.connections(),
             c.sent,
             c.sent_bytes,
@@ -1173,9 +1211,9 @@
 }
 
 /// Tries a server with a request that is no invocation: any answer at all tells that it lives.
-async fn probe(at: SocketAddr) -> Seen {
+async fn probe(at: SocketAddr) -> Observation {
     let Ok(Ok(stream)) = tokio::time::timeout(PROBE, TcpStream::connect(at)).await else {
-        return Seen::Refused;
+        return Observation::Refused;
     };
     let answered = async {
         let io = hyper_util::rt::TokioIo::new(stream);
@@ -1190,8 +1228,8 @@
         }
     };
     match tokio::time::timeout(PROBE, answered).await {
-        Ok(Some(())) => Seen::Answered,
-        _ => Seen::Silent,
+        Ok(Some(())) => Observation::Answered,
+        _ => Observation::Silent,
     }
 }
 
@@ -1251,10 +1289,10 @@
                 said = saved.recv(), if disk => {
                     let mut out = Vec::new();
                     match (said, &mut fleet.voter) {
-                        (Some(Disk::Saved(number)), Some(voter)) => voter.saved(number, clock(), &mut out),
+                        (Some(Disk::Saved(number)), Some(voter)) => voter.written(number, clock(), &mut out),
                         (Some(Disk::Failed(e)), Some(voter)) => {
                             ::log::error!("fleet: {e}");
-                            voter.failed(&mut out);
+                            voter.disk_failed(&mut out);
                         }
                         _ => disk = false,
                     }
@@ -1272,7 +1310,8 @@
                     Some(Told::Delivered { server, answered }) => {
                         waiting.set(waiting.get().saturating_sub(1));
                         let (now, server) = (clock(), server.to_string());
-                        let said = fleet.complaints.ended(&server, answered, now, &fleet.plan.probe);
+                        let delivery = if answered { Delivery::Answered } else { Delivery::Unanswered };
+                        let said = fleet.experience.record_delivery(&server, delivery, now, &fleet.plan.probe);
                         if let (Some(msg), Some(slot)) = (said, fleet.probe_slot(&server)) {
                             fleet.tell_holder(&hub, slot, Work::Probe(msg), now);
                         }
@@ -1280,10 +1319,11 @@
                     Some(Told::Counted { name, add, answered }) => {
                         waiting.set(waiting.get().saturating_sub(1));
                         if fleet.audits.is_some() {
-                            fleet.tally.call(name, add, answered, clock(), &fleet.plan.audit);
+                            let outcome = if answered { CallOutcome::Answered } else { CallOutcome::Unknown };
+                            fleet.tally.record_call(name, add, outcome, clock(), &fleet.plan.audit);
                         }
                     }
-                    Some(Told::Probed { server, seen }) => fleet.probed(&hub, server, seen, clock()),
+                    Some(Told::Probed { server, observation }) => fleet.probed(&hub, server, observation, clock()),
                     Some(Told::Total { name, total }) => fleet.total(name, total, clock()),
                     Some(Told::Borrow { slot, ask }) => {
                         if let Some(lending) = &fleet.lending {
@@ -1299,7 +1339,7 @@
                     Some(Told::Leave) => {
                         let now = clock();
                         let (mut out, mut said) = (Vec::new(), Vec::new());
-                        fleet.holder.leave(now, &mut out);
+                        fleet.client.leave(now, &mut out);
                         fleet.members.leave(now, &mut said);
                         fleet.take(out, now);
                         fleet.lend(&hub, now);
--- a/crates/gateway/gateway/src/lending.rs
+++ b/crates/gateway/gateway/src/lending.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{clock, Told};
 use dunespur_decisions::types::{About, Counted};
 use dunespur_quota_sharing::lend::{self, Anew, Answer, Ask, Borrower, Way};
-use dunespur_singleton_roles::Slot;
+use dunespur_singleton_roles::{Slot, SlotRange};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -19,8 +19,7 @@
 
 pub struct Lending {
     borrower: RefCell<Borrower>,
-    first: Slot,
-    shards: u32,
+    slots: SlotRange,
     /// Slots with a holder, as far as this limiter knows.
     pub known: RefCell<BTreeSet<Slot>>,
     to: mpsc::UnboundedSender<Told>,
@@ -30,14 +29,13 @@
 impl Lending {
     pub fn new(
         settings: &lend::Settings,
-        (first, shards): (Slot, u32),
+        slots: SlotRange,
         to: mpsc::UnboundedSender<Told>,
     ) -> Rc<Self> {
         let (borrower, known) = (RefCell::new(Borrower::new(settings)), RefCell::default());
         Rc::new(Lending {
             borrower,
-            first,
-            shards,
+            slots,
             known,
             to,
             waiting: Cell::new(0),
@@ -45,7 +43,8 @@
     }
 
     fn slot(&self, customer: u64) -> Slot {
-        self.first + (xxh3_64(&customer.to_le_bytes()) % u64::from(self.shards)) as Slot
+        let hash = xxh3_64(&customer.to_le_bytes());
+        self.slots.first + (hash % u64::from(self.slots.count)) as Slot
     }
 
     /// Takes a call to a broker, if one answers; `since` is how long ago the name's window began.
--- a/crates/gateway/gateway/src/operators.rs
+++ b/crates/gateway/gateway/src/operators.rs
@@ -5,7 +5,9 @@
 use dunespur_gossip_membership::Settings as Members;
 use dunespur_peer_transport::Bounds;
 use dunespur_quota_sharing::lend;
-use dunespur_singleton_roles::{audit, probe, watch, Duty, Settings as Duties};
+use dunespur_singleton_roles::{
+    audit, discovery_relay, health_check, Role, Settings as RoleSettings, SettingsError,
+};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -14,6 +16,58 @@
 /// The variable that names the file.
 pub const VARIABLE: &str = "DUNESPUR_OPERATORS";
 
+/// What makes the operators' file unusable, with its remedy. Keys are those of the file.
+#[derive(Debug, thiserror::Error)]
+pub enum OperatorsError {
+    /// The file can't be read.
+    #[error(transparent)]
+    Read(#[from] std::io::Error),
+    /// The text is not of the file's form.
+    #[error("line {line}: {message}")]
+    Syntax { line: usize, message: String },
+    /// The group's settings or the roles.
+    #[error(transparent)]
+    Roles(#[from] SettingsError),
+    #[error(transparent)]
+    Watch(#[from] discovery_relay::SettingsError),
+    #[error(transparent)]
+    Probe(#[from] health_check::SettingsError),
+    #[error(transparent)]
+    Audit(#[from] audit::SettingsError),
+    #[error("{0}")]
+    Lend(String),
+    #[error("{0}")]
+    Members(String),
+    #[error("{key}: {text} is no IPv4 address with a port; write it like 10.0.0.4:7100")]
+    Address { key: &'static str, text: String },
+    #[error("fleet.zone: {zone} is not among the zones {}", zones.join(", "))]
+    UnknownZone { zone: String, zones: Vec<String> },
+    #[error("fleet.disk: {name} is a voter and needs a file on a disk that persists")]
+    VoterWithoutDisk { name: String },
+    #[error("fleet.listen: {listen}, but the voters' list has {name} at {listed}")]
+    ListenAddress {
+        listen: SocketAddrV4,
+        name: String,
+        listed: SocketAddrV4,
+    },
+    #[error(
+        "fleet.links: peers {peers} (no fewer than voters), queue {queue} (1 or more), frame {frame} (4096 or \
+         more), dial {dial} and idle {idle} (over 0)"
+    )]
+    Links {
+        peers: usize,
+        queue: usize,
+        frame: usize,
+        dial: f64,
+        idle: f64,
+    },
+    #[error(
+        "fleet.lend.wait: {wait} is no less than the counter's time-out of {count_wait}; a borrower would \
+         never hear of it"
+    )]
+    LendWait { wait: f64, count_wait: f64 },
+}
+
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -62,7 +116,7 @@
     #[serde(default = "ten")]
     disk_wait: f64,
     #[serde(default = "duties", rename = "duty")]
-    duties: Vec<Duty>,
+    duties: Vec<Role>,
     #[serde(default)]
     members: MembersPart,
     #[serde(default)]
@@ -256,8 +310,8 @@
 fn sixty_four() -> usize {
     64
 }
-fn duties() -> Vec<Duty> {
-    let duty = |name: &str, by_zone| Duty {
+fn duties() -> Vec<Role> {
+    let duty = |name: &str, by_zone| Role {
         name: name.into(),
         shards: 1,
         by_zone,
@@ -276,21 +330,22 @@
     pub machine: String,
     pub voters: Vec<(String, SocketAddrV4)>,
     pub disk: Option<PathBuf>,
-    pub duties: Duties,
+    pub roles: RoleSettings,
     pub members: Members,
     pub bounds: Bounds,
-    pub watch: watch::Settings,
-    pub probe: probe::Settings,
+    pub watch: discovery_relay::Settings,
+    pub probe: health_check::Settings,
     pub audit: audit::Settings,
     pub lend: lend::Settings,
     pub trial: Trial,
     pub via: BTreeMap<SocketAddrV4, SocketAddrV4>,
 }
 
-fn address(key: &str, text: &str) -> Result<SocketAddrV4, String> {
-    let wrong =
-        || format!("{key}: {text} is no IPv4 address with a port; write it like 10.0.0.4:7100");
-    text.parse().map_err(|_| wrong())
+fn address(key: &'static str, text: &str) -> Result<SocketAddrV4, OperatorsError> {
+    text.parse().map_err(|_| OperatorsError::Address {
+        key,
+        text: text.to_owned(),
+    })
 }
 
 /// Reads the file's text for the limiter of this name and zone, in a platform with these zones.
@@ -300,7 +355,7 @@
     zones: &[String],
     zone: usize,
     count_wait: f64,
-) -> Result<Option<Plan>, String> {
+) -> Result<Option<Plan>, OperatorsError> {
     let Some(fleet) = parse(text)?.fleet else {
         return Ok(None);
     };
@@ -311,12 +366,9 @@
         .clone()
         .unwrap_or_else(|| zones.get(zone).cloned().unwrap_or_default());
     if !zones.contains(&zone) {
-        return Err(format!(
-            "fleet.zone: {zone} is not among the zones {}",
-            zones.join(", ")
-        ));
+        return Err(OperatorsError::UnknownZone { zone, zones });
     }
-    let duties = fleet.duty_settings(&voters, zones)?;
+    let roles = fleet.role_settings(&voters, zones)?;
     let listen = fleet.listen_address(&voters, name)?;
     let seeds = voters.iter().map(|v| v.1).collect();
     let members = fleet.members.settings(fleet.size, seeds)?;
@@ -330,7 +382,7 @@
         .via
         .iter()
         .map(|(a, b)| Ok((address("via", a)?, address("via", b)?)));
-    let via = via.collect::<Result<_, String>>()?;
+    let via = via.collect::<Result<_, OperatorsError>>()?;
     let machine = fleet.machine.unwrap_or_else(|| name.to_owned());
     let disk = fleet.disk;
     Ok(Some(Plan {
@@ -339,7 +391,7 @@
         machine,
         voters,
         disk,
-        duties,
+        roles,
         members,
         bounds,
         watch,
@@ -351,47 +403,44 @@
     }))
 }
 
-fn parse(text: &str) -> Result<File, String> {
-    toml::from_str(text).map_err(|e| {
-        let line = e
-            .span()
-            .map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1);
-        format!(
-            "line {}: {}",
-            line.unwrap_or(1),
-            e.message().replace('\n', " ")
-        )
+fn parse(text: &str) -> Result<File, OperatorsError> {
+    toml::from_str(text).map_err(|error| {
+        let before = error.span().map(|span| &text[..span.start.min(text.len())]);
+        OperatorsError::Syntax {
+            line: before.map_or(1, |before| before.matches('\n').count() + 1),
+            message: error.message().replace('\n', " "),
+        }
     })
 }
 
 impl Fleet {
-    fn voter_addresses(&self) -> Result<Vec<(String, SocketAddrV4)>, String> {
+    fn voter_addresses(&self) -> Result<Vec<(String, SocketAddrV4)>, OperatorsError> {
         let voters = self.voters.iter();
         voters
             .map(|v| Ok((v.name.clone(), address("fleet.voter.address", &v.address)?)))
             .collect()
     }
 
-    fn duty_settings(
+    fn role_settings(
         &self,
         voters: &[(String, SocketAddrV4)],
         zones: Vec<String>,
-    ) -> Result<Duties, String> {
-        let duties = Duties {
+    ) -> Result<RoleSettings, OperatorsError> {
+        let roles = RoleSettings {
             fleet: self.name.clone(),
             voters: voters.iter().map(|v| v.0.clone()).collect(),
             zones,
-            duties: self.duties.clone(),
-            lease: self.lease,
-            drift: self.drift,
-            renew: self.renew,
-            stall: self.stall,
-            tick: self.tick,
-            moves: self.moves,
-            disk_wait: self.disk_wait,
+            roles: self.duties.clone(),
+            lease_duration: self.lease,
+            clock_drift: self.drift,
+            renew_interval: self.renew,
+            stall_timeout: self.stall,
+            tick_interval: self.tick,
+            max_revocations: self.moves,
+            disk_check_timeout: self.disk_wait,
         };
-        duties.check()?;
-        Ok(duties)
+        roles.validate()?;
+        Ok(roles)
     }
 
     /// Where it listens; a voter's has to be the address that the voters' list has, and it needs a disk.
@@ -399,25 +448,26 @@
         &self,
         voters: &[(String, SocketAddrV4)],
         name: &str,
-    ) -> Result<SocketAddrV4, String> {
+    ) -> Result<SocketAddrV4, OperatorsError> {
         let listen = address("fleet.listen", &self.listen)?;
         let votes = voters.iter().find(|v| v.0 == name);
         if votes.is_some() && self.disk.is_none() {
-            return Err(format!(
-                "fleet.disk: {name} is a voter and needs a file on a disk that persists"
-            ));
+            let name = name.to_owned();
+            return Err(OperatorsError::VoterWithoutDisk { name });
         }
-        if let Some((_, at)) = votes.filter(|v| v.1 != listen) {
-            return Err(format!(
-                "fleet.listen: {listen}, but the voters' list has {name} at {at}"
-            ));
+        if let Some((_, listed)) = votes.filter(|v| v.1 != listen) {
+            return Err(OperatorsError::ListenAddress {
+                listen,
+                name: name.to_owned(),
+                listed: *listed,
+            });
         }
         Ok(listen)
     }
 }
 
 impl MembersPart {
-    fn settings(&self, size: u32, seeds: Vec<SocketAddrV4>) -> Result<Members, String> {
+    fn settings(&self, size: u32, seeds: Vec<SocketAddrV4>) -> Result<Members, OperatorsError> {
         let members = Members {
             size,
             seeds,
@@ -428,13 +478,13 @@
             again: self.again,
             datagram: self.datagram,
         };
-        members.check()?;
+        members.check().map_err(OperatorsError::Members)?;
         Ok(members)
     }
 }
 
 impl LinksPart {
-    fn bounds(&self, voters: usize) -> Result<Bounds, String> {
+    fn bounds(&self, voters: usize) -> Result<Bounds, OperatorsError> {
         let LinksPart {
             peers,
             queue,
@@ -443,10 +493,13 @@
             idle,
         } = *self;
         if peers < voters || queue == 0 || frame < 4096 || !(dial > 0.0 && idle > 0.0) {
-            return Err(format!(
-                "fleet.links: peers {peers} (no fewer than voters), queue {queue} (1 or more), frame {frame} (4096 \
-                 or more), dial {dial} and idle {idle} (over 0)"
-            ));
+            return Err(OperatorsError::Links {
+                peers,
+                queue,
+                frame,
+                dial,
+                idle,
+            });
         }
         Ok(Bounds {
             peers,
@@ -459,26 +512,26 @@
 }
 
 impl WatchPart {
-    fn settings(&self) -> Result<watch::Settings, String> {
+    fn settings(&self) -> Result<discovery_relay::Settings, OperatorsError> {
         let WatchPart {
             beat,
             stale,
             spread,
             trust,
         } = *self;
-        let watch = watch::Settings {
-            beat,
-            stale,
-            spread,
-            trust,
+        let watch = discovery_relay::Settings {
+            heartbeat_interval: beat,
+            stale_after: stale,
+            reopen_spread: spread,
+            max_source_age: trust,
         };
-        watch.check()?;
+        watch.validate()?;
         Ok(watch)
     }
 }
 
 impl ProbePart {
-    fn settings(&self) -> Result<probe::Settings, String> {
+    fn settings(&self) -> Result<health_check::Settings, OperatorsError> {
         let ProbePart {
             unanswered,
             many,
@@ -486,38 +539,38 @@
             again,
             servers,
         } = *self;
-        let probe = probe::Settings {
-            unanswered,
-            many,
-            window,
-            again,
-            servers,
+        let probe = health_check::Settings {
+            failure_threshold: unanswered,
+            min_complainants: many,
+            complaint_window: window,
+            min_interval: again,
+            max_servers: servers,
         };
-        probe.check()?;
+        probe.validate()?;
         Ok(probe)
     }
 }
 
 impl AuditPart {
-    fn settings(&self) -> Result<audit::Settings, String> {
+    fn settings(&self) -> Result<audit::Settings, OperatorsError> {
         let AuditPart {
             quiet,
             names,
             units,
         } = *self;
         let audit = audit::Settings {
-            quiet,
-            names,
-            units,
+            quiet_period: quiet,
+            max_names: names,
+            tolerance: units,
         };
-        audit.check()?;
+        audit.validate()?;
         Ok(audit)
     }
 }
 
 impl LendPart {
     /// `count_wait` is how long the counter's answer is awaited, in seconds.
-    fn settings(&self, count_wait: f64) -> Result<lend::Settings, String> {
+    fn settings(&self, count_wait: f64) -> Result<lend::Settings, OperatorsError> {
         let lend = lend::Settings {
             ahead: self.ahead,
             span: self.span,
@@ -534,13 +587,12 @@
             waiting: self.waiting,
             borrowers: self.borrowers,
         };
-        lend.check()?;
+        lend.check().map_err(OperatorsError::Lend)?;
         if lend.wait >= count_wait {
-            return Err(format!(
-                "fleet.lend.wait: {} is no less than the counter's time-out of {count_wait}; a borrower would \
-                 never hear of it",
-                lend.wait
-            ));
+            return Err(OperatorsError::LendWait {
+                wait: lend.wait,
+                count_wait,
+            });
         }
         Ok(lend)
     }
@@ -556,8 +608,8 @@
     let Ok(path) = std::env::var(VARIABLE) else {
         return Ok(None);
     };
-    let fail = |e: String| Fault::Config(format!("{path}: {e}"));
-    let text = std::fs::read_to_string(&path).map_err(|e| fail(e.to_string()))?;
+    let fail = |e: OperatorsError| Fault::Config(format!("{path}: {e}"));
+    let text = std::fs::read_to_string(&path).map_err(|e| fail(e.into()))?;
     read(&text, name, zones, zone, count_wait).map_err(fail)
 }
 
@@ -581,6 +633,7 @@
         read(text, name, &["a".into(), "b".into()], 1, 0.05)
             .err()
             .unwrap()
+            .to_string()
     }
 
     #[test]
@@ -592,7 +645,7 @@
             (
                 plan.zone.as_str(),
                 plan.machine.as_str(),
-                plan.duties.slots()
+                plan.roles.slots()
             ),
             ("b", "n1", 4)
         );
--- a/crates/gateway/gateway/tests/bytes.rs
+++ b/crates/gateway/gateway/tests/bytes.rs
@@ -3,7 +3,7 @@
 
 use dunespur_gateway::Work;
 use dunespur_quota_sharing::lend;
-use dunespur_singleton_roles::{audit, probe};
+use dunespur_singleton_roles::{audit, health_check};
 
 fn decode_hex(text: &str) -> Vec<u8> {
     (0..text.len())
@@ -16,12 +16,12 @@
 fn messages_of_the_duties_work_keep_their_bytes() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/work.hex");
     let text = std::fs::read_to_string(path).unwrap();
-    let uses = vec![audit::Use {
+    let usages = vec![audit::Usage {
         name: 301,
         calls: 302,
         units: 1.5,
-        least: -2.5,
-        most: 3.5,
+        least_unknown: -2.5,
+        most_unknown: 3.5,
     }];
     let told = lend::Msg::Told {
         slot: 401,
@@ -40,16 +40,16 @@
         ),
         (
             "probe",
-            Work::Probe(probe::Msg::Complaint {
+            Work::Probe(health_check::Message::Complaint {
                 server: "s1".into(),
-                unanswered: 201,
+                failures: 201,
             }),
         ),
         (
             "audit",
             Work::Audit {
                 slot: 303,
-                msg: audit::Msg::Uses { run: 304, uses },
+                message: audit::Message::Usages { run: 304, usages },
             },
         ),
         ("lend", Work::Lend(told)),
@@ -78,16 +78,13 @@
     ));
     assert!(matches!(
         &read[1],
-        Work::Probe(probe::Msg::Complaint {
-            unanswered: 201,
-            ..
-        })
+        Work::Probe(health_check::Message::Complaint { failures: 201, .. })
     ));
     assert!(matches!(
         &read[2],
         Work::Audit {
             slot: 303,
-            msg: audit::Msg::Uses { run: 304, .. }
+            message: audit::Message::Usages { run: 304, .. }
         }
     ));
     assert!(matches!(
--- a/crates/gateway/singleton-roles/src/audit.rs
+++ b/crates/gateway/singleton-roles/src/audit.rs
@@ -1,4 +1,4 @@
-//! The duty `audit`: what each limiter added to a counter's name, summed over the fleet, against what the
+//! The role `audit`: what each limiter added to a counter's name, summed over the fleet, against what the
 //! counter says. It reports drift by name and corrects nothing. No I/O, no clock. Reports are cumulative by
 //! limiter and run, so they may come late, twice and out of order. It must never count a call whose fate is
 //! unknown as certain, and never take two runs of a limiter for one.
@@ -7,24 +7,42 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Times are seconds.
+/// A name is forgotten this many seconds after its last add: names end with their windows.
+const NAME_RETENTION: f64 = 60.0;
+
+/// What the operators' file says. Times are seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// A name is read when nothing was added to it for this long.
-    pub quiet: f64,
-    /// Names remembered at once, at a limiter and at a holder.
-    pub names: usize,
+    pub quiet_period: f64,
+    /// Names remembered at once, at a limiter and at an auditor.
+    pub max_names: usize,
     /// Drift up to this many units is none.
-    pub units: f64,
+    pub tolerance: f64,
+}
+
+/// The settings can't be used.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[error("fleet.audit: quiet {quiet} (over 0, under 30 s), names {names} (1 or more), units {units} (0 or more)")]
+pub struct SettingsError {
+    quiet: f64,
+    names: usize,
+    units: f64,
 }
 
 impl Settings {
-    pub fn check(&self) -> Result<(), String> {
-        if !(self.quiet > 0.0 && self.quiet < 30.0 && self.names > 0 && self.units >= 0.0) {
-            return Err(format!(
-                "fleet.audit: quiet {} (over 0, under 30 s), names {} (1 or more), units {} (0 or more)",
-                self.quiet, self.names, self.units
-            ));
+    /// Checks the ranges.
+    ///
+    /// # Errors
+    /// A setting is out of its range.
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        let quiet = self.quiet_period;
+        if !(quiet > 0.0 && quiet < 30.0 && self.max_names > 0 && self.tolerance >= 0.0) {
+            return Err(SettingsError {
+                quiet,
+                names: self.max_names,
+                units: self.tolerance,
+            });
         }
         Ok(())
     }
@@ -32,93 +50,126 @@
 
 /// One limiter's adds to one name so far.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Use {
+pub struct Usage {
+    /// The counter's name.
     pub name: u64,
-    /// Calls that were answered, and their units.
+    /// Calls that were answered.
     pub calls: u64,
+    /// Units of those calls.
     pub units: f64,
-    /// Units of calls that may have been added: the least and the most they may sum to.
-    pub least: f64,
-    pub most: f64,
+    /// The least that the units of calls whose fate is unknown may sum to.
+    pub least_unknown: f64,
+    /// The most that they may sum to.
+    pub most_unknown: f64,
 }
 
+/// From limiters to the auditor of a shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Msg {
-    Uses { run: u64, uses: Vec<Use> },
+pub enum Message {
+    /// What a limiter added so far.
+    Usages {
+        /// The limiter's run.
+        run: u64,
+        /// Sums since that run's start.
+        usages: Vec<Usage>,
+    },
+}
+
+/// How a call to the counter ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CallOutcome {
+    /// The counter answered: the units are in its total.
+    Answered,
+    /// Nobody knows whether the units are in its total.
+    Unknown,
+}
+
+struct LocalUsage {
+    usage: Usage,
+    last_add: f64,
+    /// When the first add came that is not reported yet.
+    unreported_since: f64,
+    reported: bool,
 }
 
-struct Own {
-    sum: Use,
-    at: f64,
-    /// When the first add came that was not said yet.
-    since: f64,
-    said: bool,
+impl LocalUsage {
+    fn new(name: u64, now: f64) -> Self {
+        LocalUsage {
+            usage: Usage {
+                name,
+                ..Usage::default()
+            },
+            last_add: now,
+            unreported_since: now,
+            reported: false,
+        }
+    }
 }
 
-/// A limiter's side.
+/// A limiter's side: what it added, by name.
 #[derive(Default)]
-pub struct Tally {
-    names: BTreeMap<u64, Own>,
+pub struct UsageTally {
+    names: BTreeMap<u64, LocalUsage>,
+    /// Calls that were not counted because too many names were remembered.
     pub dropped: u64,
 }
 
-impl Tally {
-    /// A call ended: answered, or nobody knows.
-    pub fn call(&mut self, name: u64, add: f64, answered: bool, now: f64, settings: &Settings) {
-        if !self.names.contains_key(&name) && self.names.len() >= settings.names {
-            self.names.retain(|_, o| !o.said);
-            if self.names.len() >= settings.names {
+impl UsageTally {
+    /// A call that adds units to a name has ended.
+    pub fn record_call(
+        &mut self,
+        name: u64,
+        units: f64,
+        outcome: CallOutcome,
+        now: f64,
+        settings: &Settings,
+    ) {
+        if !self.names.contains_key(&name) && self.names.len() >= settings.max_names {
+            self.names.retain(|_, local| !local.reported);
+            if self.names.len() >= settings.max_names {
                 self.dropped += 1;
                 return;
             }
         }
-        let fresh = || Own {
-            sum: Use {
-                name,
-                ..Use::default()
-            },
-            at: now,
-            since: now,
-            said: false,
-        };
-        let own = self.names.entry(name).or_insert_with(fresh);
-        if std::mem::take(&mut own.said) {
-            own.since = now;
+        let local = self.names.entry(name);
+        let local = local.or_insert_with(|| LocalUsage::new(name, now));
+        if std::mem::take(&mut local.reported) {
+            local.unreported_since = now;
         }
-        own.at = now;
-        if answered {
-            own.sum.calls += 1;
-            own.sum.units += add;
-        } else {
-            own.sum.least += add.min(0.0);
-            own.sum.most += add.max(0.0);
+        local.last_add = now;
+        match outcome {
+            CallOutcome::Answered => {
+                local.usage.calls += 1;
+                local.usage.units += units;
+            }
+            CallOutcome::Unknown => {
+                local.usage.least_unknown += units.min(0.0);
+                local.usage.most_unknown += units.max(0.0);
+            }
         }
     }
 
-    /// What was not said yet and has been for half of the stated time, quiet or not: an auditor that reads a
-    /// name has to have heard of all who still add to it.
-    pub fn due(&mut self, now: f64, settings: &Settings) -> Vec<Use> {
-        let mut uses = Vec::new();
-        for own in self
-            .names
-            .values_mut()
-            .filter(|o| !o.said && now > o.since + settings.quiet / 2.0)
-        {
-            own.said = true;
-            uses.push(own.sum.clone());
+    /// What was not reported yet and has been for half of the quiet period, quiet or not: an auditor that
+    /// reads a name has to have heard of all who still add to it.
+    pub fn take_due(&mut self, now: f64, settings: &Settings) -> Vec<Usage> {
+        let mut usages = Vec::new();
+        let due = |local: &&mut LocalUsage| {
+            !local.reported && now > local.unreported_since + settings.quiet_period / 2.0
+        };
+        for local in self.names.values_mut().filter(due) {
+            local.reported = true;
+            usages.push(local.usage.clone());
         }
-        // Names end with their windows; what was said long ago is over.
-        self.names.retain(|_, o| !o.said || now < o.at + 60.0);
-        uses
+        self.names
+            .retain(|_, local| !local.reported || now < local.last_add + NAME_RETENTION);
+        usages
     }
-}
 
-impl Tally {
-    /// Nobody was there to hear of these: they are due again.
-    pub fn unsaid(&mut self, names: impl Iterator<Item = u64>) {
+    /// Nobody was there to take these reports: they are due again.
+    pub fn mark_unreported(&mut self, names: impl Iterator<Item = u64>) {
         for name in names {
-            if let Some(own) = self.names.get_mut(&name) {
-                own.said = false;
+            if let Some(local) = self.names.get_mut(&name) {
+                local.reported = false;
             }
         }
     }
@@ -127,189 +178,97 @@
 /// What the counter says against what the fleet says.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
+    /// Within the tolerance.
     Agrees,
     /// The counter holds this many units fewer than were surely added: it forgot.
     Lost(f64),
-    /// It holds this many more than may have been added: someone died before it said what it added.
+    /// It holds this many more than may have been added: someone died before it reported what it added.
     Surplus(f64),
 }
 
-struct Summed {
-    by: BTreeMap<(Name, u64), Use>,
-    at: f64,
-    asked: bool,
+#[derive(Default)]
+struct FleetUsage {
+    by_run: BTreeMap<(Name, u64), Usage>,
+    last_change: f64,
+    read: bool,
 }
 
-/// The holder's side.
+/// The side of the role's owner.
 #[derive(Default)]
 pub struct Auditor {
-    names: BTreeMap<u64, Summed>,
+    names: BTreeMap<u64, FleetUsage>,
+    /// Reports that were not taken: amounts that are none, or too many names.
     pub dropped: u64,
 }
 
 impl Auditor {
-    pub fn hear(&mut self, from: &str, msg: Msg, now: f64, settings: &Settings) {
-        let Msg::Uses { run, uses } = msg;
-        for u in uses {
-            // Amounts that are no numbers say nothing.
-            if ![u.units, u.least, u.most].iter().all(|v| v.is_finite())
-                || u.least > 0.0
-                || u.most < 0.0
-            {
+    /// A limiter's report came.
+    pub fn receive(&mut self, from: &str, message: Message, now: f64, settings: &Settings) {
+        let Message::Usages { run, usages } = message;
+        for usage in usages {
+            let full =
+                !self.names.contains_key(&usage.name) && self.names.len() >= settings.max_names;
+            if !is_sound(&usage) || full {
                 self.dropped += 1;
                 continue;
             }
-            if !self.names.contains_key(&u.name) && self.names.len() >= settings.names {
-                self.dropped += 1;
-                continue;
-            }
-            let fresh = || Summed {
-                by: BTreeMap::new(),
-                at: now,
-                asked: false,
-            };
-            let of = self.names.entry(u.name).or_insert_with(fresh);
+            let fleet = self.names.entry(usage.name).or_insert_with(|| FleetUsage {
+                last_change: now,
+                ..FleetUsage::default()
+            });
             let key = (from.to_owned(), run);
             // Sums only grow in calls; an older one that comes late changes nothing.
-            if of
-                .by
-                .get(&key)
-                .is_none_or(|old| (old.calls, old.most - old.least) < (u.calls, u.most - u.least))
-            {
-                of.by.insert(key, u);
-                (of.at, of.asked) = (now, false);
+            let progress = |u: &Usage| (u.calls, u.most_unknown - u.least_unknown);
+            let known = fleet.by_run.get(&key);
+            if known.is_none_or(|known| progress(known) < progress(&usage)) {
+                fleet.by_run.insert(key, usage);
+                (fleet.last_change, fleet.read) = (now, false);
             }
         }
     }
 
     /// Names that have been quiet for long enough to be read now.
-    pub fn due(&mut self, now: f64, settings: &Settings) -> Vec<u64> {
-        let mut due = Vec::new();
-        for (name, of) in self
-            .names
-            .iter_mut()
-            .filter(|(_, o)| !o.asked && now > o.at + settings.quiet)
-        {
-            of.asked = true;
-            due.push(*name);
+    pub fn take_due(&mut self, now: f64, settings: &Settings) -> Vec<u64> {
+        let mut names = Vec::new();
+        for (name, fleet) in &mut self.names {
+            if !fleet.read && now > fleet.last_change + settings.quiet_period {
+                fleet.read = true;
+                names.push(*name);
+            }
         }
-        self.names.retain(|_, o| now < o.at + 60.0);
-        due
+        self.names
+            .retain(|_, fleet| now < fleet.last_change + NAME_RETENTION);
+        names
     }
 
-    /// The counter's total for a name, read now.
-    pub fn total(&self, name: u64, total: f64, settings: &Settings) -> Option<Verdict> {
-        let of = self.names.get(&name).filter(|o| o.asked)?;
-        let sum: f64 = of.by.values().map(|u| u.units).sum();
-        let least: f64 = sum + of.by.values().map(|u| u.least).sum::<f64>();
-        let most: f64 = sum + of.by.values().map(|u| u.most).sum::<f64>();
-        Some(if total < least - settings.units {
+    /// Compares the counter's total for a name, read now, with what the fleet added. None for a name that
+    /// was not due, or was added to since.
+    #[must_use]
+    pub fn judge(&self, name: u64, total: f64, settings: &Settings) -> Option<Verdict> {
+        let fleet = self.names.get(&name).filter(|fleet| fleet.read)?;
+        let usages = || fleet.by_run.values();
+        let certain: f64 = usages().map(|usage| usage.units).sum();
+        let least = certain + usages().map(|usage| usage.least_unknown).sum::<f64>();
+        let most = certain + usages().map(|usage| usage.most_unknown).sum::<f64>();
+        Some(if total < least - settings.tolerance {
             Verdict::Lost(least - total)
-        } else if total > most + settings.units {
+        } else if total > most + settings.tolerance {
             Verdict::Surplus(total - most)
         } else {
             Verdict::Agrees
         })
     }
 
-    pub fn ended(&mut self) {
+    /// The role was lost: the next owner gathers anew.
+    pub fn clear(&mut self) {
         self.names.clear();
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn settings() -> Settings {
-        Settings {
-            quiet: 2.0,
-            names: 100,
-            units: 0.01,
-        }
-    }
-
-    /// Two limiters add to a name, one call's fate is unknown; reports come twice and out of order.
-    fn summed() -> Auditor {
-        let (s, mut a) = (settings(), Auditor::default());
-        let (mut x, mut y) = (Tally::default(), Tally::default());
-        x.call(7, 3.0, true, 0.0, &s);
-        let early = x.due(1.5, &s);
-        x.unsaid([7].into_iter());
-        assert_eq!(x.due(1.5, &s), early, "said again, as nobody heard it");
-        x.call(7, 2.0, true, 1.6, &s);
-        x.call(7, 4.0, false, 1.7, &s);
-        y.call(7, -1.0, true, 0.0, &s);
-        let late = x.due(3.0, &s);
-        assert_eq!(x.due(3.1, &s), [], "said once");
-        let mut busy = Tally::default();
-        (0..40).for_each(|n| busy.call(9, 1.0, true, n as f64 * 0.1, &s));
-        assert_eq!(busy.due(4.0, &s).len(), 1, "said though it never was quiet");
-        for (from, run, uses) in [
-            ("x", 1, late.clone()),
-            ("x", 1, early),
-            ("x", 1, late),
-            ("y", 1, y.due(3.0, &s)),
-        ] {
-            a.hear(from, Msg::Uses { run, uses }, 3.0, &s);
-        }
-        assert_eq!(a.due(4.0, &s), [] as [u64; 0]);
-        assert_eq!(a.due(5.1, &s), [7]);
-        a
-    }
-
-    #[test]
-    fn what_may_have_been_added_is_not_taken_for_drift() {
-        let (s, a) = (settings(), summed());
-        assert_eq!(a.total(7, 4.0, &s), Some(Verdict::Agrees));
-        assert_eq!(a.total(7, 8.0, &s), Some(Verdict::Agrees));
-        assert_eq!(a.total(7, 1.0, &s), Some(Verdict::Lost(3.0)));
-        assert_eq!(a.total(7, 10.0, &s), Some(Verdict::Surplus(2.0)));
-        assert_eq!(a.total(8, 0.0, &s), None);
-    }
-
-    #[test]
-    fn a_restarted_limiter_counts_beside_its_older_run_and_bad_amounts_are_dropped() {
-        let (s, mut a) = (settings(), summed());
-        let one = |units: f64| Use {
-            name: 7,
-            calls: 1,
-            units,
-            ..Use::default()
-        };
-        a.hear(
-            "x",
-            Msg::Uses {
-                run: 2,
-                uses: vec![one(5.0)],
-            },
-            5.2,
-            &s,
-        );
-        a.hear(
-            "z",
-            Msg::Uses {
-                run: 1,
-                uses: vec![one(f64::INFINITY)],
-            },
-            5.2,
-            &s,
-        );
-        let wrong = Use {
-            least: 1.0,
-            ..one(1.0)
-        };
-        a.hear(
-            "z",
-            Msg::Uses {
-                run: 1,
-                uses: vec![wrong],
-            },
-            5.2,
-            &s,
-        );
-        assert_eq!(a.dropped, 2);
-        assert_eq!(a.due(7.3, &s), [7], "it is read anew");
-        assert_eq!(a.total(7, 9.0, &s), Some(Verdict::Agrees));
-    }
+/// Amounts that are no numbers say nothing.
+fn is_sound(usage: &Usage) -> bool {
+    let amounts = [usage.units, usage.least_unknown, usage.most_unknown];
+    amounts.iter().all(|amount| amount.is_finite())
+        && usage.least_unknown <= 0.0
+        && usage.most_unknown >= 0.0
 }
--- a/crates/gateway/singleton-roles/src/lease.rs
+++ b/crates/gateway/singleton-roles/src/lease.rs
@@ -1,94 +1,112 @@
-//! The lease by itself, on both sides, so that the model checker can drive just this: the holder counts from
-//! before it asked, the granter waits the whole time and more, from hearing an ask or from taking over.
+//! The lease by itself, on both sides, so that the model checker can drive just this: the client counts from
+//! before it asked, the granter waits the whole time and more, from receiving a renewal or from taking over.
+//! (Gray and Cheriton, "Leases", 1989.)
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// The holder's side. Its clock must not stop while its process does.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
-pub struct Tenure<T: Copy + PartialOrd + Default> {
-    asked: VecDeque<(u64, T)>,
-    until: T,
-    /// The ask that was granted last, for histories.
-    last: (u64, T),
+/// Renewals whose answers are still awaited; older ones are forgotten.
+const MAX_PENDING: usize = 8;
+
+/// A renewal that went out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
+struct SentRenewal<T> {
+    seq: u64,
+    at: T,
 }
 
-/// Asks whose answers are still awaited; older ones are forgotten.
-const AWAITED: usize = 8;
+/// The client's side. Its clock must not stop while its process does.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
+pub struct ClientLease<T: Copy + PartialOrd + Default> {
+    pending: VecDeque<SentRenewal<T>>,
+    expiry: T,
+    /// The renewal that was granted last, for histories.
+    last_granted: SentRenewal<T>,
+}
 
-impl<T: Copy + PartialOrd + Default + std::ops::Add<Output = T>> Tenure<T> {
-    /// An ask goes out now, or in the next moment.
-    pub fn asked(&mut self, seq: u64, now: T) {
-        if self.asked.len() == AWAITED {
-            self.asked.pop_front();
+impl<T: Copy + PartialOrd + Default + std::ops::Add<Output = T>> ClientLease<T> {
+    /// A renewal goes out now, or in the next moment.
+    pub fn renewal_sent(&mut self, seq: u64, now: T) {
+        if self.pending.len() == MAX_PENDING {
+            self.pending.pop_front();
         }
-        self.asked.push_back((seq, now));
+        self.pending.push_back(SentRenewal { seq, at: now });
     }
 
-    /// The ask was granted: it holds from before it went out. False for one that is not awaited.
-    pub fn granted(&mut self, seq: u64, lease: T) -> bool {
-        let Some(at) = self.asked.iter().position(|a| a.0 == seq) else {
+    /// The renewal was granted: it holds from before it went out. False for one that is not awaited.
+    pub fn granted(&mut self, seq: u64, duration: T) -> bool {
+        let Some(position) = self.pending.iter().position(|sent| sent.seq == seq) else {
             return false;
         };
-        let until = self.asked[at].1 + lease;
-        self.last = self.asked[at];
-        self.asked.drain(..=at);
-        if until > self.until {
-            self.until = until;
+        self.last_granted = self.pending[position];
+        let expiry = self.last_granted.at + duration;
+        self.pending.drain(..=position);
+        if expiry > self.expiry {
+            self.expiry = expiry;
         }
         true
     }
 
-    pub fn holds(&self, now: T) -> bool {
-        now < self.until
+    /// Whether the lease is held at this moment.
+    #[must_use]
+    pub fn is_valid(&self, now: T) -> bool {
+        now < self.expiry
     }
 
-    pub fn until(&self) -> T {
-        self.until
+    /// When it expires unless it is renewed.
+    #[must_use]
+    pub fn expiry(&self) -> T {
+        self.expiry
     }
 
-    /// When the ask that was granted last went out, if it is this one.
-    pub fn asked_at(&self, seq: u64) -> Option<T> {
-        (self.last.0 == seq).then_some(self.last.1)
+    /// When the renewal that was granted last went out, if it is this one.
+    #[must_use]
+    pub fn granted_renewal_sent_at(&self, seq: u64) -> Option<T> {
+        (self.last_granted.seq == seq).then_some(self.last_granted.at)
     }
 
-    pub fn give_up(&mut self) {
-        self.asked.clear();
-        self.until = T::default();
+    /// Ends the lease; answers that are still on their way don't bring it back.
+    pub fn surrender(&mut self) {
+        self.pending.clear();
+        self.expiry = T::default();
     }
 }
 
-/// The granter's side: when each limiter was last renewed.
+/// The granter's side: when each session was last renewed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
-pub struct Granter<T: Copy + PartialOrd> {
-    heard: BTreeMap<u64, T>,
+pub struct LeaseGranter<T: Copy + PartialOrd> {
+    renewals: BTreeMap<u64, T>,
 }
 
-impl<T: Copy + PartialOrd + std::ops::Add<Output = T>> Granter<T> {
-    /// Takes over: what a forerunner may have granted up to now counts as granted now.
-    pub fn takes_over(sessions: impl Iterator<Item = u64>, now: T) -> Self {
-        Granter {
-            heard: sessions.map(|s| (s, now)).collect(),
+impl<T: Copy + PartialOrd + std::ops::Add<Output = T>> LeaseGranter<T> {
+    /// Takes over: what a predecessor may have granted up to now counts as granted now.
+    pub fn take_over(sessions: impl Iterator<Item = u64>, now: T) -> Self {
+        LeaseGranter {
+            renewals: sessions.map(|session| (session, now)).collect(),
         }
     }
 
-    /// An ask that was heard at this time is about to be granted.
-    pub fn renew(&mut self, session: u64, heard: T) {
-        let at = self.heard.entry(session).or_insert(heard);
-        if heard > *at {
-            *at = heard;
+    /// A renewal that was received at this time is about to be granted.
+    pub fn renew(&mut self, session: u64, received: T) {
+        let last = self.renewals.entry(session).or_insert(received);
+        if received > *last {
+            *last = received;
         }
     }
 
+    /// The session is gone.
     pub fn forget(&mut self, session: u64) {
-        self.heard.remove(&session);
+        self.renewals.remove(&session);
     }
 
-    pub fn heard(&self, session: u64) -> Option<T> {
-        self.heard.get(&session).copied()
+    /// When the last renewal that was granted was received.
+    #[must_use]
+    pub fn last_renewal(&self, session: u64) -> Option<T> {
+        self.renewals.get(&session).copied()
     }
 
-    /// Whether nothing granted to this limiter can still hold.
-    pub fn lapsed(&self, session: u64, wait: T, now: T) -> bool {
-        self.heard.get(&session).is_none_or(|at| now > *at + wait)
+    /// Whether nothing granted to this session can still hold.
+    #[must_use]
+    pub fn has_expired(&self, session: u64, wait: T, now: T) -> bool {
+        self.last_renewal(session).is_none_or(|at| now > at + wait)
     }
 }
--- a/crates/gateway/singleton-roles/tests/bytes.rs
+++ b/crates/gateway/singleton-roles/tests/bytes.rs
@@ -2,9 +2,16 @@
 //! position and order, so a moved field or variant breaks a fleet that runs two versions and a disk that an
 //! older one wrote; the files under `fixtures/` were written before the names changed and stay as they are.
 
-use dunespur_singleton_roles::book::{Book, Command, Group, Held, Session};
-use dunespur_singleton_roles::log::{Batch, Conf, Entry, Hard, Message, Meta, Saved, Seen, Snap};
-use dunespur_singleton_roles::{audit, probe, watch, Ask, Hello, HelloBack, Judged, Me, Msg, Told};
+use dunespur_singleton_roles::message::{
+    DiskVerdict, HelloResponse, KnownLeader, Release, RenewRequest, RenewResponse, SlotOwner,
+    VoterHello,
+};
+use dunespur_singleton_roles::raft_types::{Entry, HardState, RaftMessage, Snapshot, VoterConfig};
+use dunespur_singleton_roles::records::{DiskMeta, DiskProgress, DiskState, WriteBatch};
+use dunespur_singleton_roles::table::{
+    Assignment, Command, Group, GroupMember, RoleTable, Session, SlotState,
+};
+use dunespur_singleton_roles::{audit, discovery_relay, health_check, Identity, Message};
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -90,8 +97,8 @@
     }
 }
 
-fn conf() -> Conf {
-    Conf {
+fn config() -> VoterConfig {
+    VoterConfig {
         voters: vec![11, 12, 13],
         outgoing: vec![14],
         learners: vec![15, 16],
@@ -100,17 +107,17 @@
     }
 }
 
-fn snap() -> Snap {
-    Snap {
+fn snapshot() -> Snapshot {
+    Snapshot {
         index: 301,
         term: 302,
-        conf: conf(),
+        config: config(),
         data: vec![31, 32, 33],
     }
 }
 
-fn message(kind: u8) -> Message {
-    Message {
+fn raft_message(kind: u8) -> RaftMessage {
+    RaftMessage {
         kind,
         to: 401,
         from: 402,
@@ -120,7 +127,7 @@
         entries: vec![entry(0, 6), entry(2, 7)],
         commit: 408,
         commit_term: 409,
-        snap: Some(snap()),
+        snapshot: Some(snapshot()),
         request_snapshot: 410,
         reject: true,
         reject_hint: 411,
@@ -128,12 +135,23 @@
     }
 }
 
+fn group_member(disk: u64, name: &str) -> GroupMember {
+    GroupMember {
+        disk,
+        name: name.into(),
+    }
+}
+
 fn group() -> Group {
-    vec![(501, "n0".into()), (502, "n1".into()), (503, "n2".into())]
+    vec![
+        group_member(501, "n0"),
+        group_member(502, "n1"),
+        group_member(503, "n2"),
+    ]
 }
 
-fn me() -> Me {
-    Me {
+fn identity() -> Identity {
+    Identity {
         name: "n4".into(),
         run: 601,
         zone: "zone-a".into(),
@@ -141,129 +159,159 @@
     }
 }
 
-fn ask() -> Ask {
-    Ask {
-        me: me(),
+fn release(slot: u32, token: u64, stalled: bool) -> Release {
+    Release {
+        slot,
+        token,
+        stalled,
+    }
+}
+
+fn renew_request() -> RenewRequest {
+    RenewRequest {
+        identity: identity(),
         seq: 602,
         version: 603,
-        freed: vec![(604, 605, true), (606, 607, false)],
+        released: vec![release(604, 605, true), release(606, 607, false)],
         leaving: true,
-        prime: false,
-        who: vec![608, 609],
+        needs_tokens: false,
+        lookups: vec![608, 609],
     }
 }
 
-fn told() -> Told {
-    Told {
+fn assignment(slot: u32, token: u64) -> Assignment {
+    Assignment { slot, token }
+}
+
+fn renew_response() -> RenewResponse {
+    RenewResponse {
         seq: 701,
         version: 702,
         index: 703,
-        list: Some(vec![(704, 705), (706, 707)]),
-        give_up: vec![708],
+        assignments: Some(vec![assignment(704, 705), assignment(706, 707)]),
+        revoked: vec![708],
         tokens: Some(vec![709, 710]),
-        holders: vec![(711, "n5".into())],
+        owners: vec![SlotOwner {
+            slot: 711,
+            owner: "n5".into(),
+        }],
     }
 }
 
-fn hello() -> Hello {
-    Hello {
+fn hello() -> VoterHello {
+    VoterHello {
         name: "n6".into(),
         disk: 801,
         starts: 802,
         nonce: 803,
         term: 804,
-        last: 805,
-        voter: true,
+        last_index: 805,
+        is_voter: true,
     }
 }
 
-fn formed(judged: Judged) -> HelloBack {
-    HelloBack::Formed {
+fn formed(verdict: DiskVerdict) -> HelloResponse {
+    HelloResponse::Formed {
         disk: 806,
         group: group(),
-        judged,
-        leader: (807, 808),
+        verdict,
+        leader: KnownLeader {
+            term: 807,
+            disk: 808,
+        },
     }
 }
 
-fn back(back: HelloBack) -> Msg {
-    Msg::HelloBack {
-        of: 809,
+fn hello_response(response: HelloResponse) -> Message {
+    Message::HelloResponse {
+        disk: 809,
         nonce: 810,
-        back,
+        response,
     }
 }
 
 #[test]
 fn messages_between_limiters_keep_their_bytes() {
     let mut fixtures = Fixtures::open("messages.hex");
-    let mut check = |label: &str, msg: Msg| fixtures.check(label, msg);
+    let mut check = |label: &str, message: Message| fixtures.check(label, message);
     check(
         "raft",
-        Msg::Raft {
+        Message::Raft {
             group: 901,
-            message: message(3),
+            message: raft_message(3),
         },
     );
-    let bare = Message {
+    let bare = RaftMessage {
         entries: vec![],
-        snap: None,
+        snapshot: None,
         reject: false,
         context: vec![],
-        ..message(9)
+        ..raft_message(9)
     };
     check(
         "raft-bare",
-        Msg::Raft {
+        Message::Raft {
             group: 902,
             message: bare,
         },
     );
-    check("hello", Msg::Hello(hello()));
+    check("hello", Message::Hello(hello()));
     check(
         "hello-outsider",
-        Msg::Hello(Hello {
-            voter: false,
+        Message::Hello(VoterHello {
+            is_voter: false,
             ..hello()
         }),
     );
-    check("hello-back-empty", back(HelloBack::Empty { disk: 811 }));
-    check("hello-back-fit", back(formed(Judged::Fit)));
-    check("hello-back-old", back(formed(Judged::Old)));
-    check("hello-back-unknown", back(formed(Judged::Unknown)));
-    check("ask", Msg::Ask(ask()));
-    let first = Ask {
-        freed: vec![],
+    check(
+        "hello-back-empty",
+        hello_response(HelloResponse::Empty { disk: 811 }),
+    );
+    check(
+        "hello-back-fit",
+        hello_response(formed(DiskVerdict::Current)),
+    );
+    check(
+        "hello-back-old",
+        hello_response(formed(DiskVerdict::Outdated)),
+    );
+    check(
+        "hello-back-unknown",
+        hello_response(formed(DiskVerdict::Unknown)),
+    );
+    check("ask", Message::Renew(renew_request()));
+    let first = RenewRequest {
+        released: vec![],
         leaving: false,
-        prime: true,
-        who: vec![],
-        ..ask()
+        needs_tokens: true,
+        lookups: vec![],
+        ..renew_request()
     };
-    check("ask-first", Msg::Ask(first));
+    check("ask-first", Message::Renew(first));
     check(
         "told",
-        Msg::Told {
+        Message::Renewed {
             run: 903,
-            told: told(),
+            response: renew_response(),
         },
     );
-    let bare = Told {
-        list: None,
-        give_up: vec![],
+    let bare = RenewResponse {
+        assignments: None,
+        revoked: vec![],
         tokens: None,
-        holders: vec![],
-        ..told()
+        owners: vec![],
+        ..renew_response()
     };
     check(
         "told-bare",
-        Msg::Told {
+        Message::Renewed {
             run: 904,
-            told: bare,
+            response: bare,
         },
     );
     check(
         "elsewhere",
-        Msg::Elsewhere {
+        Message::NotLeader {
             run: 905,
             seq: 906,
             leader: Some("n7".into()),
@@ -271,24 +319,24 @@
     );
     check(
         "elsewhere-unknown",
-        Msg::Elsewhere {
+        Message::NotLeader {
             run: 907,
             seq: 908,
             leader: None,
         },
     );
-    check("doubled", Msg::Doubled { run: 909 });
-    check("notice", Msg::Notice { run: 910 });
+    check("doubled", Message::DuplicateName { run: 909 });
+    check("notice", Message::AssignmentsChanged { run: 910 });
     fixtures.finish();
 }
 
 #[test]
-fn messages_of_the_duties_work_keep_their_bytes() {
+fn messages_of_the_roles_work_keep_their_bytes() {
     let mut fixtures = Fixtures::open("work.hex");
     let (slot, token) = (1001, 1002);
     fixtures.check(
         "watch-beat",
-        watch::Msg::Beat {
+        discovery_relay::Message::Heartbeat {
             slot,
             token,
             revision: 1003,
@@ -299,7 +347,7 @@
     let since = Some(1004);
     fixtures.check(
         "watch-news",
-        watch::Msg::News {
+        discovery_relay::Message::Update {
             slot,
             token,
             since,
@@ -309,7 +357,7 @@
     );
     fixtures.check(
         "watch-whole",
-        watch::Msg::News {
+        discovery_relay::Message::Update {
             slot,
             token,
             since: None,
@@ -317,66 +365,66 @@
             list,
         },
     );
-    fixtures.check("watch-want", watch::Msg::Want { slot });
+    fixtures.check("watch-want", discovery_relay::Message::RequestList { slot });
     let server = "s1".to_owned();
     fixtures.check(
         "probe-complaint",
-        probe::Msg::Complaint {
+        health_check::Message::Complaint {
             server: server.clone(),
-            unanswered: 1007,
+            failures: 1007,
         },
     );
     let outcomes = [
-        ("probe-answered", probe::Seen::Answered),
-        ("probe-refused", probe::Seen::Refused),
-        ("probe-silent", probe::Seen::Silent),
+        ("probe-answered", health_check::Observation::Answered),
+        ("probe-refused", health_check::Observation::Refused),
+        ("probe-silent", health_check::Observation::Silent),
     ];
-    for (label, seen) in outcomes {
+    for (label, observation) in outcomes {
         fixtures.check(
             label,
-            probe::Msg::Outcome {
+            health_check::Message::Observed {
                 slot,
                 token,
                 server: server.clone(),
-                seen,
+                observation,
                 age: 0.5,
             },
         );
     }
-    let one = audit::Use {
+    let one = audit::Usage {
         name: 1008,
         calls: 1009,
         units: 1.5,
-        least: -2.5,
-        most: 3.5,
+        least_unknown: -2.5,
+        most_unknown: 3.5,
     };
-    let other = audit::Use {
+    let other = audit::Usage {
         name: 1010,
-        ..audit::Use::default()
+        ..audit::Usage::default()
     };
     fixtures.check(
         "audit-uses",
-        audit::Msg::Uses {
+        audit::Message::Usages {
             run: 1011,
-            uses: vec![one, other],
+            usages: vec![one, other],
         },
     );
     fixtures.finish();
 }
 
 #[test]
-fn commands_and_the_book_keep_their_bytes() {
+fn commands_and_the_role_table_keep_their_bytes() {
     let mut fixtures = Fixtures::open("log.hex");
-    let enter = Command::Enter {
+    let register = Command::Register {
         name: "n8".into(),
         run: 1101,
         zone: "zone-b".into(),
         machine: "m8".into(),
     };
     let commands = vec![
-        enter,
+        register,
         Command::Expire { session: 1102 },
-        Command::Free {
+        Command::Release {
             slot: 1103,
             token: 1104,
         },
@@ -385,8 +433,8 @@
             token: 1106,
             session: 1107,
         },
-        Command::Double { name: "n9".into() },
-        Command::Single { name: "n10".into() },
+        Command::MarkDuplicate { name: "n9".into() },
+        Command::ClearDuplicate { name: "n10".into() },
     ];
     for (label, command) in ["enter", "expire", "free", "grant", "double", "single"]
         .into_iter()
@@ -403,45 +451,45 @@
         machine: format!("m{n}"),
         replaced,
     };
-    let book = Book {
-        voters: group().into_iter().collect(),
+    let table = RoleTable {
+        voters: group().into_iter().map(|m| (m.disk, m.name)).collect(),
         sessions: [(1120, session(1, true)), (1121, session(2, false))].into(),
         slots: vec![
-            Held {
+            SlotState {
                 token: 1122,
                 session: 1123,
             },
-            Held::default(),
+            SlotState::default(),
         ],
-        doubled: ["n12".to_owned(), "n13".to_owned()].into(),
+        duplicates: ["n12".to_owned(), "n13".to_owned()].into(),
         versions: [(1124, 1125), (1126, 1127)].into(),
     };
-    fixtures.check("book", book);
+    fixtures.check("book", table);
     fixtures.finish();
 }
 
 #[test]
 fn records_on_a_voters_disk_keep_their_bytes() {
     let mut fixtures = Fixtures::open("records.hex");
-    let meta = Meta {
+    let meta = DiskMeta {
         disk: 1201,
         starts: 1202,
         group: Some(group()),
-        seen: [
+        peers: [
             (
                 1203,
-                Seen {
+                DiskProgress {
                     starts: 1204,
                     nonce: 1205,
                     term: 1206,
-                    last: 1207,
+                    last_index: 1207,
                 },
             ),
-            (1208, Seen::default()),
+            (1208, DiskProgress::default()),
         ]
         .into(),
     };
-    let hard = Hard {
+    let hard_state = HardState {
         term: 1210,
         vote: 1211,
         commit: 1212,
@@ -449,46 +497,46 @@
     fixtures.check("meta", meta.clone());
     fixtures.check(
         "meta-new",
-        Meta {
+        DiskMeta {
             disk: 1213,
             starts: 1,
-            ..Meta::default()
+            ..DiskMeta::default()
         },
     );
-    fixtures.check("hard", hard);
-    fixtures.check("snap", snap());
+    fixtures.check("hard", hard_state);
+    fixtures.check("snap", snapshot());
     fixtures.check(
         "conf",
-        Conf {
+        VoterConfig {
             auto_leave: false,
-            ..conf()
+            ..config()
         },
     );
     fixtures.check("entry", entry(0, 14));
     fixtures.check("entry-change", entry(2, 15));
     fixtures.check("group", group());
-    let batch = Batch {
+    let batch = WriteBatch {
         number: 1216,
         wipe: true,
         meta: Some(meta.clone()),
-        hard: Some(hard),
-        snap: Some(snap()),
+        hard_state: Some(hard_state),
+        snapshot: Some(snapshot()),
         entries: vec![entry(0, 17)],
     };
     fixtures.check("batch", batch);
     fixtures.check(
         "batch-bare",
-        Batch {
+        WriteBatch {
             number: 1218,
-            ..Batch::default()
+            ..WriteBatch::default()
         },
     );
     fixtures.check(
         "saved",
-        Saved {
+        DiskState {
             meta,
-            hard,
-            snap: snap(),
+            hard_state,
+            snapshot: snapshot(),
             entries: vec![entry(0, 19), entry(2, 20)],
         },
     );
@@ -499,11 +547,11 @@
 #[test]
 fn kinds_that_voters_send_are_read_by_the_consensus_library() {
     let known: Vec<u8> = (0..=u8::MAX)
-        .filter(|kind| message(*kind).to_raft().is_some())
+        .filter(|kind| raft_message(*kind).to_raft().is_some())
         .collect();
     assert_eq!(known, [3, 4, 5, 6, 7, 8, 9, 13, 14, 16, 17, 18]);
-    let expected = message(3);
-    let read = Message::from(&expected.to_raft().unwrap());
+    let expected = raft_message(3);
+    let read = RaftMessage::from(&expected.to_raft().unwrap());
     assert_eq!(
         read, expected,
         "nothing is lost on the way through the library's form"
--- a/crates/gateway/singleton-roles/tests/lease_model.rs
+++ b/crates/gateway/singleton-roles/tests/lease_model.rs
@@ -1,10 +1,10 @@
 //! The lease layer under a model checker: three contenders for one slot that may stall at any moment, a
 //! granter that may restart, messages that come late, twice or never. The model drives the text that serves,
-//! `Tenure`, `Granter` and `Fence`. Each guard is then taken out in turn, and the checker has to find a
+//! `ClientLease`, `LeaseGranter` and `FencingCheck`. Each guard is then taken out in turn, and the checker has to find a
 //! history in which that breaks something: a model that can't fail would prove nothing.
 
-use dunespur_singleton_roles::fence::Fence;
-use dunespur_singleton_roles::lease::{Granter, Tenure};
+use dunespur_singleton_roles::fencing::FencingCheck;
+use dunespur_singleton_roles::lease::{ClientLease, LeaseGranter};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// Time runs in steps. A lease of 2, and one step of allowance for what clocks differ.
@@ -48,7 +48,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 struct Contender {
-    tenure: Tenure<u8>,
+    lease: ClientLease<u8>,
     token: u64,
     seq: u64,
     /// In the middle of an effect: it looked, and goes on whatever happens.
@@ -59,7 +59,7 @@
 struct State {
     now: u8,
     contenders: Vec<Contender>,
-    granter: Granter<u8>,
+    granter: LeaseGranter<u8>,
     /// What is in the log: it survives the granter.
     holder: Option<usize>,
     token: u64,
@@ -88,7 +88,7 @@
 
 impl Lease {
     fn holds(&self, s: &State, who: usize) -> bool {
-        s.contenders[who].token > 0 && s.contenders[who].tenure.holds(s.now)
+        s.contenders[who].token > 0 && s.contenders[who].lease.is_valid(s.now)
     }
 
     fn wait(&self) -> u8 {
@@ -108,7 +108,7 @@
         vec![State {
             now: 1,
             contenders: vec![Contender::default(); CONTENDERS],
-            granter: Granter::default(),
+            granter: LeaseGranter::default(),
             holder: None,
             token: 0,
             mail: vec![],
@@ -158,7 +158,7 @@
                 let now = s.now;
                 let c = &mut s.contenders[who];
                 c.seq += 1;
-                c.tenure.asked(c.seq, now);
+                c.lease.renewal_sent(c.seq, now);
                 s.mail.push(Mail::Ask { who, seq: c.seq });
             }
             Act::Look(who) => {
@@ -170,16 +170,16 @@
             Act::Restart => {
                 s.restarts += 1;
                 s.granter = if self.0.waits_after_restart {
-                    Granter::takes_over(s.holder.iter().map(|h| *h as u64), s.now)
+                    LeaseGranter::take_over(s.holder.iter().map(|h| *h as u64), s.now)
                 } else {
-                    Granter::default()
+                    LeaseGranter::default()
                 };
             }
             Act::Deliver(n) | Act::DeliverAndKeep(n) => match s.mail.remove(n) {
                 Mail::Ask { who, seq } => {
                     let free = match s.holder {
                         None => true,
-                        Some(h) => h != who && s.granter.lapsed(h as u64, self.wait(), s.now),
+                        Some(h) => h != who && s.granter.has_expired(h as u64, self.wait(), s.now),
                     };
                     if free {
                         if let Some(h) = s.holder {
@@ -201,12 +201,12 @@
                     let now = s.now;
                     let c = &mut s.contenders[who];
                     let took = if self.0.counted_before {
-                        c.tenure.granted(seq, LEASE)
+                        c.lease.granted(seq, LEASE)
                     } else {
                         // Counted from the answer instead.
-                        c.tenure.granted(seq, LEASE) && {
-                            c.tenure.asked(100 + seq, now);
-                            c.tenure.granted(100 + seq, LEASE)
+                        c.lease.granted(seq, LEASE) && {
+                            c.lease.renewal_sent(100 + seq, now);
+                            c.lease.granted(100 + seq, LEASE)
                         }
                     };
                     if took {
@@ -217,8 +217,8 @@
                 }
                 Mail::Effect { who, token } => {
                     s.contenders[who].looked = None;
-                    let mut fence = Fence::kept(vec![s.seen]);
-                    if !self.0.token || fence.accept(0, token) {
+                    let mut check = FencingCheck::restored(vec![s.seen]);
+                    if !self.0.token || check.accept(0, token) {
                         s.disorder |= token < s.seen;
                         s.seen = s.seen.max(token);
                     }
--- a/crates/gateway/singleton-roles/tests/voters.rs
+++ b/crates/gateway/singleton-roles/tests/voters.rs
@@ -1,24 +1,24 @@
 //! Three voters and their holders in one process, on one clock and links without delay: what trials found,
 //! each in its smallest form.
 
-use dunespur_singleton_roles::fence::Fence;
-use dunespur_singleton_roles::holder::Holder;
-use dunespur_singleton_roles::log::{Batch, Saved};
+use dunespur_singleton_roles::client::RoleClient;
+use dunespur_singleton_roles::fencing::FencingCheck;
+use dunespur_singleton_roles::records::{DiskState, WriteBatch};
 use dunespur_singleton_roles::voter::Voter;
-use dunespur_singleton_roles::{Duty, Me, Msg, Output, Settings};
+use dunespur_singleton_roles::{Identity, Message, Output, Role, Settings};
 use std::collections::VecDeque;
 
 struct Node {
     name: String,
     voter: Option<Voter>,
-    holder: Holder,
-    disk: Saved,
+    client: RoleClient,
+    disk: DiskState,
     /// What this disk held at each second.
-    copies: Vec<Saved>,
+    copies: Vec<DiskState>,
     up: bool,
     /// It stands still: nothing reaches it, nothing is lost.
     still: bool,
-    mail: VecDeque<(String, Msg)>,
+    mail: VecDeque<(String, Message)>,
 }
 
 struct Fleet {
@@ -32,7 +32,7 @@
     fsync: f64,
     /// Of one disk, in place of the others' time.
     slow_disk: Option<(usize, f64)>,
-    saving: VecDeque<(f64, usize, Batch)>,
+    saving: VecDeque<(f64, usize, WriteBatch)>,
     /// How many writes were asked for.
     writes: usize,
     /// Who wakes up reads what came before it looks at its timers.
@@ -44,18 +44,18 @@
         fleet: "f".into(),
         voters: ["n0", "n1", "n2"].map(String::from).into(),
         zones: vec!["a".into()],
-        duties: vec![Duty {
+        roles: vec![Role {
             name: "audit".into(),
             shards: 8,
             by_zone: false,
         }],
-        lease: 2.0,
-        drift: 0.01,
-        renew: 0.5,
-        stall: 0.0,
-        tick: 0.05,
-        moves: 64,
-        disk_wait: 6.0,
+        lease_duration: 2.0,
+        clock_drift: 0.01,
+        renew_interval: 0.5,
+        stall_timeout: 0.0,
+        tick_interval: 0.05,
+        max_revocations: 64,
+        disk_check_timeout: 6.0,
     }
 }
 
@@ -76,17 +76,17 @@
             mail_first: false,
         };
         for n in 0..limiters {
-            let me = Me {
+            let identity = Identity {
                 name: format!("n{n}"),
                 run: 0,
                 zone: "a".into(),
                 machine: format!("m{n}"),
             };
             fleet.nodes.push(Node {
-                name: me.name.clone(),
+                name: identity.name.clone(),
                 voter: None,
-                holder: Holder::new(fleet.settings.clone(), me, 0.0),
-                disk: Saved::default(),
+                client: RoleClient::new(fleet.settings.clone(), identity, vec![], 0.0),
+                disk: DiskState::default(),
                 copies: vec![],
                 up: false,
                 still: false,
@@ -103,14 +103,14 @@
         self.runs += 1;
         let (run, now) = (self.runs, self.now);
         let name = self.nodes[n].name.clone();
-        let me = Me {
+        let identity = Identity {
             name: name.clone(),
             run,
             zone: "a".into(),
             machine: format!("m{n}"),
         };
         let node = &mut self.nodes[n];
-        node.holder = Holder::new(self.settings.clone(), me, now);
+        node.client = RoleClient::new(self.settings.clone(), identity, vec![], now);
         node.mail.clear();
         node.up = true;
         let mut out = Vec::new();
@@ -132,13 +132,13 @@
     fn take(&mut self, n: usize, out: Vec<Output>) {
         for o in out {
             match o {
-                Output::Send { to, msg } => {
+                Output::Send { to, message } => {
                     let from = self.nodes[n].name.clone();
                     if let Some(to) = self.nodes.iter_mut().find(|t| t.name == to && t.up) {
-                        to.mail.push_back((from, msg));
+                        to.mail.push_back((from, message));
                     }
                 }
-                Output::Save(batch) => {
+                Output::Write(batch) => {
                     self.writes += 1;
                     let slow = self.slow_disk.filter(|slow| slow.0 == n).map(|slow| slow.1);
                     self.saving
@@ -147,7 +147,7 @@
                 }
                 Output::Report { text, .. } => self.reports.push(text),
                 Output::Tokens(tokens) => self.tokens[n] = tokens,
-                Output::Began { .. } | Output::Ended { .. } => {}
+                Output::Acquired { .. } | Output::Lost { .. } => {}
             }
         }
     }
@@ -167,11 +167,11 @@
             if !self.nodes[n].up {
                 continue;
             }
-            self.nodes[n].disk.take(&batch);
+            self.nodes[n].disk.apply(&batch);
             let mut out = Vec::new();
             let now = self.now;
             if let Some(v) = &mut self.nodes[n].voter {
-                v.saved(batch.number, now, &mut out);
+                v.written(batch.number, now, &mut out);
             }
             self.take(n, out);
         }
@@ -183,7 +183,7 @@
         if let Some(v) = &mut self.nodes[n].voter {
             v.tick(now, &mut out);
         }
-        self.nodes[n].holder.tick(now, &mut out);
+        self.nodes[n].client.tick(now, &mut out);
         self.take(n, out);
     }
 
@@ -199,19 +199,19 @@
             if !self.mail_first {
                 self.timers(n);
             }
-            for (from, msg) in std::mem::take(&mut self.nodes[n].mail) {
+            for (from, message) in std::mem::take(&mut self.nodes[n].mail) {
                 let mut out = Vec::new();
                 let node = &mut self.nodes[n];
-                match msg {
-                    Msg::Told { .. }
-                    | Msg::Elsewhere { .. }
-                    | Msg::Doubled { .. }
-                    | Msg::Notice { .. } => {
-                        node.holder.hear(&from, msg, now, &mut out);
+                match message {
+                    Message::Renewed { .. }
+                    | Message::NotLeader { .. }
+                    | Message::DuplicateName { .. }
+                    | Message::AssignmentsChanged { .. } => {
+                        node.client.receive(&from, message, now, &mut out);
                     }
                     _ => {
                         if let Some(v) = &mut node.voter {
-                            v.hear(&from, msg, now, &mut out);
+                            v.receive(&from, message, now, &mut out);
                         }
                     }
                 }
@@ -226,7 +226,7 @@
             let holds = self
                 .nodes
                 .iter()
-                .filter(|n| n.up && n.holder.holds(slot, now).is_some());
+                .filter(|n| n.up && n.client.token(slot, now).is_some());
             let holds: Vec<_> = holds.map(|n| n.name.clone()).collect();
             assert!(holds.len() <= 1, "{holds:?} hold {slot} at {now}");
         }
@@ -234,7 +234,7 @@
             .nodes
             .iter()
             .filter_map(|n| n.voter.as_ref())
-            .filter(|v| v.leads())
+            .filter(|v| v.is_leader())
             .collect();
         for (i, a) in leads.iter().enumerate() {
             assert!(
@@ -262,7 +262,7 @@
         let held = |slot| {
             self.nodes
                 .iter()
-                .any(|n| n.up && n.holder.holds(slot, self.now).is_some())
+                .any(|n| n.up && n.client.token(slot, self.now).is_some())
         };
         (0..self.settings.slots()).all(held)
     }
@@ -270,7 +270,7 @@
     fn leader(&self) -> usize {
         self.nodes
             .iter()
-            .position(|n| n.voter.as_ref().is_some_and(Voter::leads))
+            .position(|n| n.voter.as_ref().is_some_and(Voter::is_leader))
             .unwrap()
     }
 
@@ -312,7 +312,7 @@
     let second = fleet.leader();
     assert_ne!(first, second);
     let before = fleet.nodes[second].copies[2].clone();
-    assert!(before.hard.term < fleet.nodes[second].voter.as_ref().unwrap().term());
+    assert!(before.hard_state.term < fleet.nodes[second].voter.as_ref().unwrap().term());
     fleet.kill(second);
     fleet.nodes[second].disk = before;
     fleet.start(second);
@@ -323,10 +323,10 @@
         "{:?}",
         fleet.reports
     );
-    assert!(fleet.said("is let in anew") && fleet.held());
+    assert!(fleet.said("is admitted anew") && fleet.held());
     assert!(fleet.nodes[..3]
         .iter()
-        .all(|n| n.voter.as_ref().unwrap().votes()));
+        .all(|n| n.voter.as_ref().unwrap().is_voting()));
 }
 
 #[test]
@@ -334,27 +334,27 @@
     let mut fleet = Fleet::new(4);
     let lost = (fleet.leader() + 1) % 3;
     fleet.kill(lost);
-    fleet.nodes[lost].disk = Saved::default();
+    fleet.nodes[lost].disk = DiskState::default();
     let other = (lost + 1) % 3;
     // Alone with it the other voter is no majority: nobody leads, duties lapse, nobody acts.
     let third = 3 - lost - other;
     fleet.kill(third);
     fleet.start(lost);
     fleet.run(10.0);
-    assert!(!fleet.nodes[lost].voter.as_ref().unwrap().votes());
+    assert!(!fleet.nodes[lost].voter.as_ref().unwrap().is_voting());
     assert!(fleet
         .nodes
         .iter()
-        .all(|n| n.voter.as_ref().is_none_or(|v| !v.leads())));
+        .all(|n| n.voter.as_ref().is_none_or(|v| !v.is_leader())));
     assert!((0..8).all(|s| fleet
         .nodes
         .iter()
-        .all(|n| n.holder.holds(s, fleet.now).is_none())));
+        .all(|n| n.client.token(s, fleet.now).is_none())));
     // With the third back there is a majority, which lets it in; then it counts like any other.
     fleet.start(third);
     fleet.run(16.0);
     assert!(
-        fleet.nodes[lost].voter.as_ref().unwrap().votes() && fleet.held(),
+        fleet.nodes[lost].voter.as_ref().unwrap().is_voting() && fleet.held(),
         "{:?}",
         fleet.reports
     );
@@ -372,7 +372,7 @@
     fleet.start(1);
     fleet.run(3.0);
     assert!(
-        !fleet.nodes[1].voter.as_ref().unwrap().votes(),
+        !fleet.nodes[1].voter.as_ref().unwrap().is_voting(),
         "one of the others could know better"
     );
     fleet.run(12.0);
@@ -385,28 +385,28 @@
     let token = fleet
         .nodes
         .iter()
-        .find_map(|n| n.holder.holds(0, fleet.now))
+        .find_map(|n| n.client.token(0, fleet.now))
         .unwrap();
-    let mut fence = Fence::new(8);
+    let mut check = FencingCheck::new(8);
     assert!(
-        !fence.accept(0, token),
+        !check.accept(0, token),
         "started anew, it could take one that is older than what it took"
     );
     fleet.kill(3);
     fleet.run(5.0);
     fleet.start(3);
     fleet.run(3.0);
-    fence.prime(&fleet.tokens[3]);
+    check.initialize(&fleet.tokens[3]);
     let now = fleet
         .nodes
         .iter()
-        .find_map(|n| n.holder.holds(0, fleet.now))
+        .find_map(|n| n.client.token(0, fleet.now))
         .unwrap();
     assert!(
-        fence.accept(0, now)
-            && !fence.accept(0, 1)
-            && !fence.accept(99, now)
-            && !fence.accept(0, 0)
+        check.accept(0, now)
+            && !check.accept(0, 1)
+            && !check.accept(99, now)
+            && !check.accept(0, 0)
     );
 }
 
@@ -417,16 +417,16 @@
         .find(|s| {
             [3, 4]
                 .iter()
-                .any(|n| fleet.nodes[*n].holder.holds(*s, fleet.now).is_some())
+                .any(|n| fleet.nodes[*n].client.token(*s, fleet.now).is_some())
         })
         .unwrap();
     let holder = [3, 4]
         .into_iter()
-        .find(|n| fleet.nodes[*n].holder.holds(slot, fleet.now).is_some())
+        .find(|n| fleet.nodes[*n].client.token(slot, fleet.now).is_some())
         .unwrap();
     let mut out = Vec::new();
     let now = fleet.now;
-    fleet.nodes[holder].holder.leave(now, &mut out);
+    fleet.nodes[holder].client.leave(now, &mut out);
     fleet.take(holder, out);
     fleet.run(0.1);
     assert!(fleet.held(), "within a tenth of a second");
@@ -445,7 +445,7 @@
             let held = fleet
                 .nodes
                 .iter()
-                .any(|n| n.up && n.holder.holds(*slot, fleet.now).is_some());
+                .any(|n| n.up && n.client.token(*slot, fleet.now).is_some());
             assert!(held, "nobody holds {slot} at {}", fleet.now);
         }
     }
@@ -468,7 +468,7 @@
     let leader = fleet.leader();
     let lost = fleet.nodes[4].name.clone();
     let (of_lost, others): (Vec<u32>, Vec<u32>) =
-        (0..8).partition(|slot| fleet.nodes[4].holder.holds(*slot, fleet.now).is_some());
+        (0..8).partition(|slot| fleet.nodes[4].client.token(*slot, fleet.now).is_some());
     assert!(
         !of_lost.is_empty() && !others.is_empty(),
         "{lost} holds some, not all"
@@ -482,7 +482,7 @@
             fleet
                 .nodes
                 .iter()
-                .all(|n| !n.up || n.holder.holds(*s, fleet.now).is_none())
+                .all(|n| !n.up || n.client.token(*s, fleet.now).is_none())
         })
     };
     assert!(free(&fleet), "nothing is granted that no disk holds");
@@ -511,7 +511,7 @@
         "{:?}",
         fleet.reports
     );
-    assert!(fleet.nodes[leader].voter.as_ref().unwrap().votes());
+    assert!(fleet.nodes[leader].voter.as_ref().unwrap().is_voting());
     // With its vote the group stands without a third.
     let third = (0..3)
         .find(|n| *n != leader && *n != fleet.leader())
--- a/crates/gateway/voter-storage/src/lib.rs
+++ b/crates/gateway/voter-storage/src/lib.rs
@@ -2,7 +2,8 @@
 //! be opened for another fleet, another name or a newer format, and never say that something is written when
 //! the fsync failed. Calls block: they belong on a thread of their own.
 
-use dunespur_singleton_roles::log::{Batch, Entry, Hard, Meta, Saved, Snap};
+use dunespur_singleton_roles::raft_types::{Entry, HardState, Snapshot};
+use dunespur_singleton_roles::records::{DiskMeta, DiskState, WriteBatch};
 use redb::{Database, Durability, ReadableTable, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -27,7 +28,7 @@
 
 impl Store {
     /// Opens or makes the file; says what can't be used and what to do.
-    pub fn open(path: &Path, fleet: &str, name: &str) -> Result<(Self, Saved), String> {
+    pub fn open(path: &Path, fleet: &str, name: &str) -> Result<(Self, DiskState), String> {
         let fail = |e: String| format!("{}: {e}", path.display());
         if let Some(dir) = path.parent().filter(|d| !d.as_os_str().is_empty()) {
             std::fs::create_dir_all(dir).map_err(|e| fail(text(e)))?;
@@ -38,9 +39,9 @@
         Ok((store, saved))
     }
 
-    fn load(&self, fleet: &str, name: &str) -> Result<Saved, String> {
+    fn load(&self, fleet: &str, name: &str) -> Result<DiskState, String> {
         let write = self.db.begin_write().map_err(text)?;
-        let mut saved = Saved::default();
+        let mut saved = DiskState::default();
         {
             let mut head = write.open_table(HEAD).map_err(text)?;
             let log = write.open_table(LOG).map_err(text)?;
@@ -70,13 +71,13 @@
                     .map(|v| v.map(|v| v.value().to_vec()))
             };
             if let Some(bytes) = get("meta")? {
-                saved.meta = decode::<Meta>(&bytes, "its head")?;
+                saved.meta = decode::<DiskMeta>(&bytes, "its head")?;
             }
             if let Some(bytes) = get("hard")? {
-                saved.hard = decode::<Hard>(&bytes, "its term and vote")?;
+                saved.hard_state = decode::<HardState>(&bytes, "its term and vote")?;
             }
             if let Some(bytes) = get("snap")? {
-                saved.snap = decode::<Snap>(&bytes, "its snapshot")?;
+                saved.snapshot = decode::<Snapshot>(&bytes, "its snapshot")?;
             }
             for row in log.iter().map_err(text)? {
                 let (index, bytes) = row.map_err(text)?;
@@ -96,7 +97,7 @@
     }
 
     /// Writes one batch; when it returns without an error it is on the disk.
-    pub fn write(&self, batch: &Batch) -> Result<(), String> {
+    pub fn write(&self, batch: &WriteBatch) -> Result<(), String> {
         let mut write = self.db.begin_write().map_err(text)?;
         write.set_durability(Durability::Immediate);
         {
@@ -114,10 +115,10 @@
             if let Some(meta) = &batch.meta {
                 put("meta", bytes(meta)?)?;
             }
-            if let Some(hard) = &batch.hard {
+            if let Some(hard) = &batch.hard_state {
                 put("hard", bytes(hard)?)?;
             }
-            if let Some(snap) = &batch.snap {
+            if let Some(snap) = &batch.snapshot {
                 put("snap", bytes(snap)?)?;
                 log.retain_in(..=snap.index, |_, _| false).map_err(text)?;
             }
@@ -163,46 +164,46 @@
     fn it_holds_what_the_plain_form_holds_over_restarts() {
         let dir = dir("holds");
         let path = dir.join("voter.redb");
-        let mut plain = Saved::default();
-        let snap = Snap {
+        let mut plain = DiskState::default();
+        let snap = Snapshot {
             index: 2,
             term: 1,
             ..Default::default()
         };
         let batches = [
-            Batch {
+            WriteBatch {
                 number: 1,
-                meta: Some(Meta {
+                meta: Some(DiskMeta {
                     disk: 7,
                     starts: 1,
                     ..Default::default()
                 }),
                 ..Default::default()
             },
-            Batch {
+            WriteBatch {
                 number: 2,
                 entries: vec![entry(1, 1), entry(2, 1), entry(3, 1)],
                 ..Default::default()
             },
-            Batch {
+            WriteBatch {
                 number: 3,
                 entries: vec![entry(3, 2)],
-                hard: Some(Hard {
+                hard_state: Some(HardState {
                     term: 2,
                     vote: 7,
                     commit: 1,
                 }),
                 ..Default::default()
             },
-            Batch {
+            WriteBatch {
                 number: 4,
-                snap: Some(snap),
+                snapshot: Some(snap),
                 ..Default::default()
             },
-            Batch {
+            WriteBatch {
                 number: 5,
                 wipe: true,
-                meta: Some(Meta {
+                meta: Some(DiskMeta {
                     disk: 8,
                     ..Default::default()
                 }),
@@ -213,7 +214,7 @@
             let (store, saved) = Store::open(&path, "f", "n1").unwrap();
             assert_eq!(saved, plain);
             store.write(&batch).unwrap();
-            plain.take(&batch);
+            plain.apply(&batch);
         }
         let (_, saved) = Store::open(&path, "f", "n1").unwrap();
         assert_eq!((saved.meta.disk, saved.entries.len()), (8, 0));
--- a/crates/gateway/voter-storage/tests/compatibility.rs
+++ b/crates/gateway/voter-storage/tests/compatibility.rs
@@ -1,7 +1,9 @@
 //! A voter's file stays readable: its records have the bytes that revision 52a1591 wrote, and a file of that revision
 //! opens with everything in it found by value. That revision wrote the files under `tests/fixtures`.
 
-use dunespur_singleton_roles::log::{Batch, Conf, Entry, Hard, Meta, Saved, Seen, Snap};
+use dunespur_singleton_roles::raft_types::{Entry, HardState, Snapshot, VoterConfig};
+use dunespur_singleton_roles::records::{DiskMeta, DiskProgress, DiskState, WriteBatch};
+use dunespur_singleton_roles::table::GroupMember;
 use dunespur_voter_storage::Store;
 use redb::{Database, Key, ReadableTable, TableDefinition, Value};
 use std::collections::BTreeMap;
@@ -106,77 +108,83 @@
 }
 
 /// All that the fixture holds, each field with a value of its own.
-fn batches() -> Vec<Batch> {
-    let seen = |number: u64| Seen {
+fn batches() -> Vec<WriteBatch> {
+    let seen = |number: u64| DiskProgress {
         starts: number + 1,
         nonce: number + 2,
         term: number + 3,
-        last: number + 4,
+        last_index: number + 4,
     };
-    let meta = Meta {
+    let meta = DiskMeta {
         disk: 1_001,
         starts: 1_002,
         group: Some(vec![
-            (1_003, "limiter-2".to_owned()),
-            (1_004, "limiter-3".to_owned()),
+            GroupMember {
+                disk: 1_003,
+                name: "limiter-2".to_owned(),
+            },
+            GroupMember {
+                disk: 1_004,
+                name: "limiter-3".to_owned(),
+            },
         ]),
-        seen: BTreeMap::from([(1_005, seen(2_000)), (1_006, seen(3_000))]),
+        peers: BTreeMap::from([(1_005, seen(2_000)), (1_006, seen(3_000))]),
     };
-    let conf = Conf {
+    let conf = VoterConfig {
         voters: vec![1_011, 1_012],
         outgoing: vec![1_013],
         learners: vec![1_014],
         learners_next: vec![1_015],
         auto_leave: true,
     };
-    let snap = Snap {
+    let snap = Snapshot {
         index: 2,
         term: 1_021,
-        conf,
+        config: conf,
         data: vec![21, 22, 23],
     };
-    let hard = Hard {
+    let hard = HardState {
         term: 1_031,
         vote: 1_032,
         commit: 1_033,
     };
     vec![
-        Batch {
+        WriteBatch {
             number: 1,
-            meta: Some(Meta {
+            meta: Some(DiskMeta {
                 disk: 1,
-                ..Meta::default()
+                ..DiskMeta::default()
             }),
-            ..Batch::default()
+            ..WriteBatch::default()
         },
-        Batch {
+        WriteBatch {
             number: 2,
             wipe: true,
             meta: Some(meta),
-            ..Batch::default()
+            ..WriteBatch::default()
         },
-        Batch {
+        WriteBatch {
             number: 3,
             entries: (1..=4).map(|index| entry(0, index)).collect(),
-            ..Batch::default()
+            ..WriteBatch::default()
         },
-        Batch {
+        WriteBatch {
             number: 4,
-            hard: Some(hard),
-            snap: Some(snap),
-            ..Batch::default()
+            hard_state: Some(hard),
+            snapshot: Some(snap),
+            ..WriteBatch::default()
         },
-        Batch {
+        WriteBatch {
             number: 5,
             entries: vec![entry(2, 4), entry(0, 5)],
-            ..Batch::default()
+            ..WriteBatch::default()
         },
     ]
 }
 
 fn write(path: &Path) {
     let (store, saved) = Store::open(path, FLEET, NAME).expect("a new file");
-    assert_eq!(saved, Saved::default());
+    assert_eq!(saved, DiskState::default());
     batches()
         .iter()
         .for_each(|batch| store.write(batch).expect("the disk takes it"));
@@ -214,28 +222,34 @@
     );
 
     let (_, saved) = Store::open(&path, FLEET, NAME).expect("the earlier revision's file opens");
-    let mut expected = Saved::default();
-    batches().iter().for_each(|batch| expected.take(batch));
+    let mut expected = DiskState::default();
+    batches().iter().for_each(|batch| expected.apply(batch));
     assert_eq!(saved, expected);
     assert_eq!(
         saved.meta.group,
         Some(vec![
-            (1_003, "limiter-2".to_owned()),
-            (1_004, "limiter-3".to_owned())
+            GroupMember {
+                disk: 1_003,
+                name: "limiter-2".to_owned()
+            },
+            GroupMember {
+                disk: 1_004,
+                name: "limiter-3".to_owned()
+            }
         ])
     );
     assert_eq!(
-        saved.meta.seen[&1_006],
-        Seen {
+        saved.meta.peers[&1_006],
+        DiskProgress {
             starts: 3_001,
             nonce: 3_002,
             term: 3_003,
-            last: 3_004
+            last_index: 3_004
         }
     );
     assert_eq!(
-        saved.hard,
-        Hard {
+        saved.hard_state,
+        HardState {
             term: 1_031,
             vote: 1_032,
             commit: 1_033
@@ -243,9 +257,9 @@
     );
     assert_eq!(
         (
-            saved.snap.index,
-            saved.snap.term,
-            saved.snap.conf.learners_next
+            saved.snapshot.index,
+            saved.snapshot.term,
+            saved.snapshot.config.learners_next
         ),
         (2, 1_021, vec![1_015])
     );
--- a/crates/testing/fleet-simulation/src/check.rs
+++ b/crates/testing/fleet-simulation/src/check.rs
@@ -55,7 +55,7 @@
 
 /// The times at which no living limiter held a slot, from the first holder on.
 pub fn gaps(trial: &Trial, lines: &[Line]) -> Vec<Gap> {
-    let slots = trial.duties().slots() as usize;
+    let slots = trial.roles().slots() as usize;
     // Who holds each slot now, and since when nobody does.
     let mut holder: Vec<Option<(String, u64)>> = vec![None; slots];
     let mut empty: Vec<f64> = vec![0.0; slots];
@@ -167,9 +167,9 @@
 }
 
 fn slot_name(trial: &Trial, slot: u32) -> String {
-    let duties = trial.duties();
-    let (duty, shard, _) = duties.slot(slot);
-    format!("{duty} {shard}")
+    let roles = trial.roles();
+    let info = roles.slot_info(slot);
+    format!("{} {}", info.role, info.shard)
 }
 
 /// A time during which one limiter held a slot under one token.
@@ -350,7 +350,7 @@
     // Where messages are lost all the time, a lease may be too.
     let handover = HANDOVER
         + if trial.net.lose > 0.0 {
-            trial.duties().wait()
+            trial.roles().expiry_wait()
         } else {
             0.0
         };
--- a/crates/testing/fleet-simulation/src/measure.rs
+++ b/crates/testing/fleet-simulation/src/measure.rs
@@ -4,7 +4,7 @@
 use crate::history::Line;
 use crate::trial::{Disk, Fault, Fleet, Kind, Load, Net, Quota, Trial, Way};
 use crate::world::World;
-use dunespur_singleton_roles::Duty;
+use dunespur_singleton_roles::Role;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::BTreeMap;
@@ -53,8 +53,8 @@
     trial
 }
 
-fn duty(name: &str, shards: u32, by_zone: bool) -> Duty {
-    Duty {
+fn duty(name: &str, shards: u32, by_zone: bool) -> Role {
+    Role {
         name: name.into(),
         shards,
         by_zone,
@@ -282,7 +282,10 @@
         quota: None,
         faults: vec![Fault::new(Kind::Kill, 6.0, 11.0, "holder:audit:0")],
     };
-    let slot = trial.duties().range("audit").map_or(0, |r| r.0);
+    let slot = trial
+        .roles()
+        .slots_of("audit")
+        .map_or(0, |range| range.first);
     let play = |trial: &Trial| {
         let mut world = World::new(trial, seed);
         world.run();
@@ -382,7 +385,7 @@
             scope.spawn(|| loop {
                 let at = next.fetch_add(1, Ordering::Relaxed) as usize;
                 let Some(&(n, lose, shared)) = cases.get(at) else { break };
-                let duty = |name: &str, shards, by_zone| Duty { name: name.into(), shards, by_zone };
+                let duty = |name: &str, shards, by_zone| Role { name: name.into(), shards, by_zone };
                 let mut duties = vec![duty("watch", 1, true)];
                 if shared {
                     duties.push(duty("lend", 32, false));
@@ -449,7 +452,7 @@
     }
     for &n in limiters {
         for &lose in loss {
-            let duty = |name: &str, shards, by_zone| Duty {
+            let duty = |name: &str, shards, by_zone| Role {
                 name: name.into(),
                 shards,
                 by_zone,
--- a/crates/testing/fleet-simulation/src/processes.rs
+++ b/crates/testing/fleet-simulation/src/processes.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use dunespur_gateway::{clock, Work};
 use dunespur_peer_transport::Frame;
-use dunespur_singleton_roles::fence::Fence;
+use dunespur_singleton_roles::fencing::FencingCheck;
 use dunespur_test_servers::{list, Counter, Discovery, Server};
 use http_body_util::{BodyExt, Empty};
 use hyper_util::rt::TokioIo;
@@ -332,8 +332,8 @@
             continue;
         };
         receivers.push(at);
-        let fence = Fence::kept(vec![0; trial.duties().slots() as usize]);
-        tokio::task::spawn_local(receive(udp, n, fence, lines.clone(), rules.clone()));
+        let fencing = FencingCheck::restored(vec![0; trial.roles().slots() as usize]);
+        tokio::task::spawn_local(receive(udp, n, fencing, lines.clone(), rules.clone()));
     }
     let world = World {
         trial,
@@ -395,7 +395,7 @@
 async fn receive(
     udp: UdpSocket,
     n: usize,
-    mut fence: Fence,
+    mut fencing: FencingCheck,
     lines: Rc<RefCell<Vec<Line>>>,
     rules: Rc<Rules>,
 ) {
@@ -411,7 +411,7 @@
             continue;
         };
         let (t, at, who) = (clock() - rules.start.get(), format!("r{n}"), frame.from);
-        lines.borrow_mut().push(match fence.accept(slot, token) {
+        lines.borrow_mut().push(match fencing.accept(slot, token) {
             true => Line::Accepted {
                 t,
                 at,
@@ -553,7 +553,7 @@
         put("drift", f.drift.into());
         put("stall", f.stall.into());
         put("tick", f.tick.into());
-        put("disk_wait", self.trial.duties().disk_wait.into());
+        put("disk_wait", self.trial.roles().disk_check_timeout.into());
         if votes {
             put("disk", dir.join("voter.redb").display().to_string().into());
         }
@@ -710,7 +710,8 @@
             }
             ["holder", duty, shard] => {
                 self.read();
-                let slot = trial.duties().range(duty).map_or(0, |r| r.0) + number(shard) as u32;
+                let slot = trial.roles().slots_of(duty).map_or(0, |range| range.first)
+                    + number(shard) as u32;
                 let lines = self.lines.borrow();
                 let mut began: Vec<(f64, &String)> = lines
                     .iter()
--- a/crates/testing/fleet-simulation/src/service.rs
+++ b/crates/testing/fleet-simulation/src/service.rs
@@ -11,7 +11,7 @@
     self as types, Action, Answer, Counted, Effect, Ending, Invocation, Outcome, Readiness,
 };
 use dunespur_quota_sharing::lend::{self, Anew, Ask, Borrower, Broker, Way};
-use dunespur_singleton_roles::Slot;
+use dunespur_singleton_roles::{Slot, SlotRange};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::{BTreeMap, BTreeSet};
@@ -159,7 +159,7 @@
 pub struct Service {
     quota: Quota,
     limiters: usize,
-    lends: Option<(Slot, u32)>,
+    lends: Option<SlotRange>,
     settings: lend::Settings,
     gates: Vec<Gate>,
     buckets: Vec<Bucket>,
@@ -190,7 +190,7 @@
 }
 
 impl Service {
-    pub fn new(quota: &Quota, limiters: usize, lends: Option<(Slot, u32)>, seed: u64) -> Self {
+    pub fn new(quota: &Quota, limiters: usize, lends: Option<SlotRange>, seed: u64) -> Self {
         let mut service = Service {
             quota: quota.clone(),
             limiters,
@@ -568,9 +568,9 @@
                         now + COUNT_WAIT,
                         Ev::CallLimit { gate, epoch, call },
                     ));
-                    let slot = self
-                        .lends
-                        .map(|(first, n)| first + (about.customer % u64::from(n)) as Slot);
+                    let slot = self.lends.map(|range| {
+                        range.first + (about.customer % u64::from(range.count)) as Slot
+                    });
                     let anew = Anew {
                         call,
                         name,
--- a/crates/testing/fleet-simulation/src/trial.rs
+++ b/crates/testing/fleet-simulation/src/trial.rs
@@ -2,7 +2,7 @@
 //! length and target. Reads and checks it; a file that can't be used gets one line that names place and
 //! remedy. docs/trials.md is its page.
 
-use dunespur_singleton_roles::{Duty, Settings as Duties};
+use dunespur_singleton_roles::{Role, Settings as RoleSettings};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -43,7 +43,7 @@
     pub drift: f64,
     pub stall: f64,
     pub tick: f64,
-    pub duties: Vec<Duty>,
+    pub duties: Vec<Role>,
     /// How far the clocks of the simulated machines run apart, as a share; under `drift` they keep to it.
     pub skew: f64,
     /// Receivers that are no limiters, as servers and the counter are.
@@ -52,7 +52,7 @@
 
 impl Default for Fleet {
     fn default() -> Self {
-        let duty = |name: &str, shards, by_zone| Duty {
+        let duty = |name: &str, shards, by_zone| Role {
             name: name.into(),
             shards,
             by_zone,
@@ -335,7 +335,7 @@
                 f.zones.len()
             ));
         }
-        self.duties().check()?;
+        self.roles().validate().map_err(|e| e.to_string())?;
         let share = |key: &str, v: f64| match (0.0..1.0).contains(&v) {
             true => Ok(()),
             false => Err(format!("{key}: {v}; give a share from 0 to under 1")),
@@ -422,8 +422,8 @@
             ["limiter", n] => number(n, self.fleet.limiters),
             ["voter", n] => number(n, self.fleet.voters),
             ["zone", z] if self.fleet.zones.iter().any(|k| k == z) => Ok(()),
-            ["holder", duty, shard] => match self.duties().range(duty) {
-                Some((_, shards)) => number(shard, shards as usize),
+            ["holder", duty, shard] => match self.roles().slots_of(duty) {
+                Some(range) => number(shard, range.count as usize),
                 None => Err(format!("{target}: there is no duty {duty}")),
             },
             _ => Err(format!("target {target} is unknown; give {known}")),
@@ -438,20 +438,20 @@
         n % self.fleet.zones.len()
     }
 
-    pub fn duties(&self) -> Duties {
+    pub fn roles(&self) -> RoleSettings {
         let f = &self.fleet;
-        Duties {
+        RoleSettings {
             fleet: "trial".into(),
             voters: (0..f.voters).map(|n| self.limiter(n)).collect(),
             zones: f.zones.clone(),
-            duties: f.duties.clone(),
-            lease: f.lease,
-            drift: f.drift,
-            renew: f.renew,
-            stall: f.stall,
-            tick: f.tick,
-            moves: 64,
-            disk_wait: 6.0,
+            roles: f.duties.clone(),
+            lease_duration: f.lease,
+            clock_drift: f.drift,
+            renew_interval: f.renew,
+            stall_timeout: f.stall,
+            tick_interval: f.tick,
+            max_revocations: 64,
+            disk_check_timeout: 6.0,
         }
     }
 
--- a/crates/testing/fleet-simulation/src/world.rs
+++ b/crates/testing/fleet-simulation/src/world.rs
@@ -7,11 +7,12 @@
 use crate::trial::{Active, Disk, Fault, Kind, Trial};
 use dunespur_gossip_membership as members;
 use dunespur_quota_sharing::lend;
-use dunespur_singleton_roles::fence::Fence;
-use dunespur_singleton_roles::holder::Holder;
-use dunespur_singleton_roles::log::{Batch, Saved};
+use dunespur_singleton_roles::client::RoleClient;
+use dunespur_singleton_roles::fencing::FencingCheck;
+use dunespur_singleton_roles::records::{DiskState, WriteBatch};
+use dunespur_singleton_roles::table::Assignment;
 use dunespur_singleton_roles::voter::Voter;
-use dunespur_singleton_roles::{Me, Msg, Output};
+use dunespur_singleton_roles::{Identity, Message, Output, Severity, SlotRange};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cmp::Ordering;
@@ -21,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub enum Packet {
     Gossip(Vec<u8>),
-    Peer(Box<Msg>),
+    Peer(Box<Message>),
     Effect { slot: u32, token: u64 },
     Lend(Box<lend::Msg>),
 }
@@ -98,14 +99,14 @@
     skew: f64,
     offset: f64,
     members: Option<members::Members>,
-    holder: Option<Holder>,
+    client: Option<RoleClient>,
     voter: Option<Voter>,
     votes: bool,
-    disk: Saved,
+    disk: DiskState,
     /// Written, not yet synced.
-    writing: VecDeque<Batch>,
-    old_disks: VecDeque<(f64, Saved)>,
-    fence: Fence,
+    writing: VecDeque<WriteBatch>,
+    old_disks: VecDeque<(f64, DiskState)>,
+    fencing: FencingCheck,
     inbox: VecDeque<(usize, Packet)>,
     late: Vec<(u32, u64, usize)>,
     wake: f64,
@@ -134,7 +135,7 @@
     queue: BinaryHeap<Due>,
     count: u64,
     nodes: Vec<Node>,
-    receivers: Vec<Fence>,
+    receivers: Vec<FencingCheck>,
     active: Vec<Active>,
     downed: BTreeMap<usize, Vec<usize>>,
     pub lines: Vec<Line>,
@@ -145,7 +146,7 @@
     /// What the limiters serve, where the trial says so.
     pub service: Option<Service>,
     /// Slots of the duty `lend`.
-    lends: Option<(u32, u32)>,
+    lends: Option<SlotRange>,
     /// Some fault puts an older disk back.
     copies: bool,
     /// Off, receivers take everything: for the test that the checker finds it.
@@ -176,7 +177,10 @@
             measure_from: f64::INFINITY,
             runs: 0,
             service: None,
-            lends: trial.duties().range("lend").map(|r| (r.0, r.1.min(LENDS))),
+            lends: trial
+                .roles()
+                .slots_of("lend")
+                .map(|range| range.truncated(LENDS)),
             copies: trial.faults.iter().any(|f| f.disk == Disk::Older),
             fenced: true,
             gossip: true,
@@ -186,8 +190,9 @@
             world.service = Some(Service::new(quota, trial.fleet.limiters, lends, seed));
             world.push(1.0, Ev::Service(service::Ev::Come));
         }
-        let slots = trial.duties().slots();
-        world.receivers = vec![Fence::kept(vec![0; slots as usize]); trial.fleet.receivers];
+        let slots = trial.roles().slots();
+        world.receivers =
+            vec![FencingCheck::restored(vec![0; slots as usize]); trial.fleet.receivers];
         for n in 0..trial.fleet.limiters {
             world.add(n, trial.limiter(n), n < trial.fleet.voters);
         }
@@ -224,13 +229,13 @@
             },
             offset: self.rng.random_range(0.0..1e4),
             members: None,
-            holder: None,
+            client: None,
             voter: None,
             votes,
-            disk: Saved::default(),
+            disk: DiskState::default(),
             writing: VecDeque::new(),
             old_disks: VecDeque::new(),
-            fence: Fence::new(self.trial.duties().slots()),
+            fencing: FencingCheck::new(self.trial.roles().slots()),
             inbox: VecDeque::new(),
             late: Vec::new(),
             wake: f64::INFINITY,
@@ -266,7 +271,7 @@
             .map(|v| v.address)
             .collect();
         let node = &mut self.nodes[n];
-        let me = Me {
+        let identity = Identity {
             name: node.name.clone(),
             run,
             zone: zone.clone(),
@@ -276,7 +281,7 @@
         node.up = true;
         node.stalled = false;
         node.run = run;
-        node.fence = Fence::new(trial.duties().slots());
+        node.fencing = FencingCheck::new(trial.roles().slots());
         node.inbox.clear();
         node.late.clear();
         node.wake = f64::INFINITY;
@@ -287,7 +292,7 @@
             turn: 1_000_000 + (at * 1e3) as u64,
             address: node.address,
             zone,
-            machine: me.machine.clone(),
+            machine: identity.machine.clone(),
             version: node.version,
             voter: node.votes,
         };
@@ -295,19 +300,17 @@
         node.members = self
             .gossip
             .then(|| members::Members::new(settings, member, seed, now));
-        let mut holder = Holder::new(trial.duties(), me, now);
-        holder.who = self
-            .lends
-            .into_iter()
-            .flat_map(|(first, n)| first..first + n)
-            .collect();
-        node.holder = Some(holder);
+        let lookups = self.lends.into_iter().flat_map(SlotRange::slots).collect();
+        node.client = Some(RoleClient::new(trial.roles(), identity, lookups, now));
         let mut out = Vec::new();
         if node.votes {
             let (saved, name) = (node.disk.clone(), node.name.clone());
-            match Voter::new(trial.duties(), name, saved, seed, now, &mut out) {
+            match Voter::new(trial.roles(), name, saved, seed, now, &mut out) {
                 Ok(voter) => node.voter = Some(voter),
-                Err(text) => out.push(Output::Report { loud: true, text }),
+                Err(error) => out.push(Output::Report {
+                    severity: Severity::Warning,
+                    text: error.to_string(),
+                }),
             }
         }
         let (who, epoch) = (node.name.clone(), node.epoch);
@@ -331,12 +334,12 @@
         node.epoch += 1;
         // What was under way to the disk may have come there, in order, up to any point.
         let synced = self.rng.random_range(0..=node.writing.len());
-        let writes: Vec<Batch> = node.writing.drain(..).collect();
-        writes.iter().take(synced).for_each(|b| node.disk.take(b));
-        let until = node.holder.as_ref().map_or(0.0, Holder::last_until);
+        let writes: Vec<WriteBatch> = node.writing.drain(..).collect();
+        writes.iter().take(synced).for_each(|b| node.disk.apply(b));
+        let until = node.client.as_ref().map_or(0.0, RoleClient::last_expiry);
         node.members = None;
         node.voter = None;
-        node.holder = None;
+        node.client = None;
         let (who, run) = (node.name.clone(), node.run);
         let until = self.truth(n, until);
         if let Some(service) = &mut self.service {
@@ -417,7 +420,7 @@
                 }
                 while n.writing.front().is_some_and(|b| b.number <= number) {
                     if let Some(batch) = n.writing.pop_front() {
-                        n.disk.take(&batch);
+                        n.disk.apply(&batch);
                     }
                 }
                 if self.copies && n.old_disks.back().is_none_or(|d| t > d.0 + 0.5) {
@@ -437,7 +440,7 @@
                 let now = self.local(node, t);
                 let mut out = Vec::new();
                 if let Some(voter) = &mut self.nodes[node].voter {
-                    voter.saved(number, now, &mut out);
+                    voter.written(number, now, &mut out);
                 }
                 self.take(node, out, t);
                 self.set_wake(node);
@@ -498,8 +501,8 @@
                             if let Some(s) = &mut self.service {
                                 s.asked(gate, &name, run, slot, ask, t, &mut out);
                             }
-                        } else if let Some(to) = self.nodes[gate].holder.as_ref().and_then(|h| {
-                            h.holders
+                        } else if let Some(to) = self.nodes[gate].client.as_ref().and_then(|h| {
+                            h.owners()
                                 .get(&slot)
                                 .and_then(|n| n[1..].parse::<usize>().ok())
                         }) {
@@ -565,9 +568,9 @@
     fn holds(&self, node: usize, slot: u32) -> Option<u64> {
         let now = self.local(node, self.now);
         self.nodes[node]
-            .holder
+            .client
             .as_ref()
-            .and_then(|h| h.holds(slot, now))
+            .and_then(|h| h.token(slot, now))
     }
 
     /// Something of a broker came to a node.
@@ -598,7 +601,7 @@
             } => {
                 let n = &mut self.nodes[node];
                 let total = matches!(answer, lend::Answer::Total(_));
-                let fits = !total || n.fence.accept(slot, token) || !self.fenced;
+                let fits = !total || n.fencing.accept(slot, token) || !self.fenced;
                 if run == n.run && fits {
                     self.serve(|s, out| s.told(node, seq, answer, t, out));
                 }
@@ -613,9 +616,11 @@
         }
         let now = self.local(node, self.now);
         let n = &self.nodes[node];
-        let Some(h) = &n.holder else { return };
-        let others = h.holders.iter().filter(|o| *o.1 != n.name).map(|o| *o.0);
-        let known = others.chain(h.held(now).map(|held| held.0)).collect();
+        let Some(h) = &n.client else { return };
+        let others = h.owners().iter().filter(|o| *o.1 != n.name).map(|o| *o.0);
+        let known = others
+            .chain(h.assignments(now).map(|held| held.slot))
+            .collect();
         if let Some(s) = &mut self.service {
             s.know(node, known);
         }
@@ -639,7 +644,7 @@
                 }
                 Packet::Lend(msg) => lent = Some((from, *msg)),
                 Packet::Effect { slot, token } => {
-                    let took = n.fence.accept(slot, token) || !self.fenced;
+                    let took = n.fencing.accept(slot, token) || !self.fenced;
                     // A twin is another receiver, though it has the same name.
                     let twin = node >= self.trial.fleet.limiters;
                     let at = if twin {
@@ -650,28 +655,30 @@
                     self.effect(at, from, slot, token, took);
                 }
                 Packet::Peer(msg) => match &*msg {
-                    Msg::Told { told: answer, run } => {
+                    Message::Renewed { response, run } => {
                         // What was meant for an earlier run has its numbers too.
-                        told = (*run == n.run).then_some((answer.seq, answer.index));
-                        if let Some(h) = &mut n.holder {
-                            h.hear(&from_name, *msg, now, &mut out);
+                        told = (*run == n.run).then_some((response.seq, response.index));
+                        if let Some(h) = &mut n.client {
+                            h.receive(&from_name, *msg, now, &mut out);
                         }
                     }
-                    Msg::Elsewhere { .. } | Msg::Doubled { .. } | Msg::Notice { .. } => {
-                        if let Some(h) = &mut n.holder {
-                            h.hear(&from_name, *msg, now, &mut out);
+                    Message::NotLeader { .. }
+                    | Message::DuplicateName { .. }
+                    | Message::AssignmentsChanged { .. } => {
+                        if let Some(h) = &mut n.client {
+                            h.receive(&from_name, *msg, now, &mut out);
                         }
                     }
                     _ => {
                         if let Some(v) = &mut n.voter {
-                            v.hear(&from_name, *msg, now, &mut out);
+                            v.receive(&from_name, *msg, now, &mut out);
                         }
                     }
                 },
             }
         }
         let n = &mut self.nodes[node];
-        if let Some(h) = n.holder.as_mut().filter(|h| h.next_due() <= now) {
+        if let Some(h) = n.client.as_mut().filter(|h| h.next_due() <= now) {
             h.tick(now, &mut out);
         }
         if let Some(v) = n.voter.as_mut().filter(|v| v.next_due() <= now) {
@@ -681,7 +688,11 @@
             m.tick(now, &mut said);
         }
         if let Some((seq, index)) = told {
-            if let Some(asked) = n.holder.as_mut().and_then(|h| h.asked_at(seq)) {
+            if let Some(asked) = n
+                .client
+                .as_mut()
+                .and_then(|h| h.granted_renewal_sent_at(seq))
+            {
                 let (who, asked) = (n.name.clone(), self.truth(node, asked));
                 self.lines.push(Line::Told {
                     asked,
@@ -706,7 +717,9 @@
     fn set_wake(&mut self, node: usize) {
         let n = &self.nodes[node];
         let due = [
-            n.holder.as_ref().map_or(f64::INFINITY, Holder::next_due),
+            n.client
+                .as_ref()
+                .map_or(f64::INFINITY, RoleClient::next_due),
             n.voter.as_ref().map_or(f64::INFINITY, Voter::next_due),
             n.members
                 .as_ref()
@@ -728,13 +741,13 @@
                 (n.name.clone(), n.run, n.epoch)
             };
             match o {
-                Output::Send { to, msg } => {
+                Output::Send { to, message } => {
                     let twins: Vec<usize> = (0..self.nodes.len())
                         .filter(|i| self.nodes[*i].up && self.nodes[*i].name == to)
                         .collect();
                     for to in twins {
                         if to != node {
-                            self.send(node, to, Packet::Peer(Box::new(msg.clone())));
+                            self.send(node, to, Packet::Peer(Box::new(message.clone())));
                         } else {
                             // To itself, past the network.
                             self.push(
@@ -742,13 +755,13 @@
                                 Ev::Arrive {
                                     to,
                                     from: node,
-                                    packet: Packet::Peer(Box::new(msg.clone())),
+                                    packet: Packet::Peer(Box::new(message.clone())),
                                 },
                             );
                         }
                     }
                 }
-                Output::Save(batch) => {
+                Output::Write(batch) => {
                     let number = batch.number;
                     self.nodes[node].writing.push_back(batch);
                     let fsync = self.trial.net.fsync * self.rng.random_range(0.3..2.0);
@@ -762,19 +775,19 @@
                         },
                     );
                 }
-                Output::Tokens(tokens) => self.nodes[node].fence.prime(&tokens),
-                Output::Began { slot, token } => self.lines.push(Line::Began {
+                Output::Tokens(tokens) => self.nodes[node].fencing.initialize(&tokens),
+                Output::Acquired { slot, token } => self.lines.push(Line::Began {
                     t,
                     who,
                     run,
                     slot,
                     token,
                 }),
-                Output::Ended { slot, token } => {
+                Output::Lost { slot, token } => {
                     let until = self.nodes[node]
-                        .holder
+                        .client
                         .as_ref()
-                        .map_or(0.0, |h| h.last_until());
+                        .map_or(0.0, |h| h.last_expiry());
                     let until = self.truth(node, until);
                     self.lines.push(Line::Ended {
                         t,
@@ -786,12 +799,13 @@
                     });
                     if self
                         .lends
-                        .is_some_and(|(first, n)| (first..first + n).contains(&slot))
+                        .is_some_and(|range| range.slots().contains(&slot))
                     {
                         self.serve(|s, out| s.ended_slot(node, slot, t, out));
                     }
                 }
-                Output::Report { loud, text } => {
+                Output::Report { severity, text } => {
+                    let loud = severity.is_warning();
                     self.lines.push(Line::Report { t, who, loud, text })
                 }
             }
@@ -934,21 +948,21 @@
     /// A holder does its duties: looks whether it holds, and carries the effect out a little later.
     fn work(&mut self, node: usize, epoch: u64) {
         let now = self.local(node, self.now);
-        let Some(holder) = &self.nodes[node].holder else {
+        let Some(client) = &self.nodes[node].client else {
             return;
         };
         if self.nodes[node].idle {
             return;
         }
         // A few of what it holds, in turn by chance: thousands of duties must not make the trial long.
-        let mut held: Vec<(u32, u64)> = holder.held(now).collect();
+        let mut held: Vec<Assignment> = client.assignments(now).collect();
         while held.len() > 4 {
             let at = self.rng.random_range(0..held.len());
             held.swap_remove(at);
         }
-        for (slot, token) in held {
-            if let Some(h) = &mut self.nodes[node].holder {
-                h.progress(slot, now);
+        for Assignment { slot, token } in held {
+            if let Some(h) = &mut self.nodes[node].client {
+                h.record_progress(slot, now);
             }
             let receivers = self.receivers.len();
             let to = match self.rng.random_range(0..2 + receivers) {
@@ -981,20 +995,22 @@
         match parts.as_slice() {
             ["receivers"] => (0..self.receivers.len()).map(|r| RECEIVER + r).collect(),
             ["leader"] => {
-                let leads = |n: &&usize| self.nodes[**n].voter.as_ref().is_some_and(Voter::leads);
+                let leads =
+                    |n: &&usize| self.nodes[**n].voter.as_ref().is_some_and(Voter::is_leader);
                 all.iter()
                     .rfind(leads)
                     .map(|n| vec![*n])
                     .unwrap_or_else(|| vec![0])
             }
             ["holder", duty, shard] => {
-                let slot = trial.duties().range(duty).map_or(0, |r| r.0) + number(shard) as u32;
+                let slot = trial.roles().slots_of(duty).map_or(0, |range| range.first)
+                    + number(shard) as u32;
                 let holds = |n: &&usize| {
                     let now = self.local(**n, self.now);
                     self.nodes[**n]
-                        .holder
+                        .client
                         .as_ref()
-                        .is_some_and(|h| h.holds(slot, now).is_some())
+                        .is_some_and(|h| h.token(slot, now).is_some())
                 };
                 all.iter().find(holds).map(|n| vec![*n]).unwrap_or_default()
             }
@@ -1061,7 +1077,7 @@
                 if n.stalled || !n.up {
                     return;
                 }
-                if let Some(h) = &mut n.holder {
+                if let Some(h) = &mut n.client {
                     h.leave(now, &mut out);
                 }
                 if let Some(m) = &mut n.members {
@@ -1096,7 +1112,7 @@
                 }
                 match fault.disk {
                     Disk::Kept => {}
-                    Disk::Lost => self.nodes[node].disk = Saved::default(),
+                    Disk::Lost => self.nodes[node].disk = DiskState::default(),
                     Disk::Older => {
                         let wanted = fault.at - fault.older;
                         let old = self.nodes[node]
@@ -1104,7 +1120,7 @@
                             .iter()
                             .rfind(|d| d.0 <= wanted)
                             .cloned();
-                        self.nodes[node].disk = old.map_or_else(Saved::default, |d| d.1);
+                        self.nodes[node].disk = old.map_or_else(DiskState::default, |d| d.1);
                     }
                 }
                 self.start(node, t);
