--- a/crates/gateway/decisions/tests/front/mod.rs
+++ b/crates/gateway/decisions/tests/front/mod.rs
@@ -1,8 +1,8 @@
 //! A front for the tests: several limiters, a counter and servers that answer only when told to.
 #![allow(dead_code)]
 
-use dunespur_decisions::rules::Limiter;
 use dunespur_decisions::types::*;
+use dunespur_decisions::Limiter;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -205,10 +205,17 @@
     ) -> u64 {
         self.last += 1;
         let until = self.now + self.settings.operations[operation].integration_timeout;
-        let gateways = (0, self.settings.fleet);
-        let inv = Invocation::new(
-            self.last, customer, plan, operation, units, gateways, self.now, until,
-        );
+        let inv = Invocation::from(Arrival {
+            num: self.last,
+            customer,
+            plan,
+            operation,
+            units,
+            first_gateway: 0,
+            gateways: self.settings.fleet,
+            came: self.now,
+            until,
+        });
         self.see(Seen::Took {
             gate,
             inv: inv.clone(),
@@ -349,7 +356,7 @@
             return;
         };
         let gate = *gate;
-        self.gates[gate].gone(inv);
+        self.gates[gate].disconnected(inv);
         self.see(Seen::Left { gate, num });
         self.answer(num, Answer::Done);
         self.carry_out(gate);
--- a/crates/gateway/gateway/src/operators.rs
+++ b/crates/gateway/gateway/src/operators.rs
@@ -3,7 +3,7 @@
 
 use crate::fault::Fault;
 use dunespur_gossip_membership::Settings as Members;
-use dunespur_peer_transport::Bounds;
+use dunespur_peer_transport::Limits;
 use dunespur_quota_sharing::lend;
 use dunespur_singleton_roles::{
     audit, discovery_relay, health_check, Role, Settings as RoleSettings, SettingsError,
@@ -36,8 +36,8 @@
     Audit(#[from] audit::SettingsError),
     #[error("{0}")]
     Lend(String),
-    #[error("{0}")]
-    Members(String),
+    #[error(transparent)]
+    Members(#[from] dunespur_gossip_membership::SettingsError),
     #[error("{key}: {text} is no IPv4 address with a port; write it like 10.0.0.4:7100")]
     Address { key: &'static str, text: String },
     #[error("fleet.zone: {zone} is not among the zones {}", zones.join(", "))]
@@ -332,7 +332,7 @@
     pub disk: Option<PathBuf>,
     pub roles: RoleSettings,
     pub members: Members,
-    pub bounds: Bounds,
+    pub bounds: Limits,
     pub watch: discovery_relay::Settings,
     pub probe: health_check::Settings,
     pub audit: audit::Settings,
@@ -469,22 +469,22 @@
 impl MembersPart {
     fn settings(&self, size: u32, seeds: Vec<SocketAddrV4>) -> Result<Members, OperatorsError> {
         let members = Members {
-            size,
+            expected_members: size,
             seeds,
-            probe: self.probe,
-            answer: self.answer,
-            suspect: self.suspect,
-            gossip: self.gossip,
-            again: self.again,
-            datagram: self.datagram,
+            probe_interval: self.probe,
+            probe_timeout: self.answer,
+            suspicion_timeout: self.suspect,
+            gossip_interval: self.gossip,
+            rejoin_interval: self.again,
+            max_datagram_bytes: self.datagram,
         };
-        members.check().map_err(OperatorsError::Members)?;
+        members.check()?;
         Ok(members)
     }
 }
 
 impl LinksPart {
-    fn bounds(&self, voters: usize) -> Result<Bounds, OperatorsError> {
+    fn bounds(&self, voters: usize) -> Result<Limits, OperatorsError> {
         let LinksPart {
             peers,
             queue,
@@ -501,12 +501,12 @@
                 idle,
             });
         }
-        Ok(Bounds {
+        Ok(Limits {
             peers,
-            queue,
-            frame,
-            dial,
-            idle,
+            queued_frames: queue,
+            frame_bytes: frame,
+            connect_timeout_s: dial,
+            idle_timeout_s: idle,
         })
     }
 }
--- a/crates/gateway/gateway/src/reducer.rs
+++ b/crates/gateway/gateway/src/reducer.rs
@@ -4,8 +4,8 @@
 
 use crate::message::{Answered, Asked, Names, News, Reply};
 use crate::stats::Stats;
-use dunespur_decisions::rules::Limiter;
 use dunespur_decisions::types::*;
+use dunespur_decisions::Limiter;
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -207,7 +207,7 @@
                     .iter()
                     .position(|k| k.live && k.address == address)
                 {
-                    self.limiter.told(tgt, bad, pause, now);
+                    self.limiter.fleet_verdict(tgt, bad, pause, now);
                 }
             }
             Event::ClientConnected => self.stats.client_connections += 1,
@@ -221,18 +221,18 @@
         self.stats.taken += 1;
         // The answer has to be with the client before its time is up.
         let until = now + (asked.wait - self.answer_slack).max(0.0);
-        let (a, gateways) = (&asked, (asked.first_gateway, asked.gateways));
-        let mut inv = Invocation::new(
+        let mut inv = Invocation::from(Arrival {
             num,
-            a.customer,
-            a.plan,
-            a.operation,
-            a.units,
-            gateways,
-            now,
+            customer: asked.customer,
+            plan: asked.plan,
+            operation: asked.operation,
+            units: asked.units,
+            first_gateway: asked.first_gateway,
+            gateways: asked.gateways,
+            came: now,
             until,
-        );
-        inv.repeat = a.repeat;
+        });
+        inv.repeat = asked.repeat;
         self.held.insert(
             num,
             Held {
@@ -341,7 +341,7 @@
             return;
         };
         self.stats.clients_gone += 1;
-        self.limiter.gone(&mut held.inv);
+        self.limiter.disconnected(&mut held.inv);
         for n in (0..held.inv.sent.len()).filter(|n| held.open & (1 << n) != 0) {
             out.push(Effect::Abandon {
                 num,
@@ -456,7 +456,7 @@
 }
 
 /// The names and bounds that the settings give to the rest of the gateway.
-pub fn names(read: &dunespur_settings::Read) -> Names {
+pub fn names(read: &dunespur_settings::SettingsDocument) -> Names {
     let (plans, operations, zones) = (
         read.plans.clone(),
         read.operations.clone(),
@@ -467,7 +467,7 @@
         operations,
         zones,
         fleet: read.settings.fleet,
-        most_units: read.most_units,
+        most_units: read.max_units,
     }
 }
 
--- a/crates/serving/control-state/tests/world/machines.rs
+++ b/crates/serving/control-state/tests/world/machines.rs
@@ -4,9 +4,11 @@
 use super::callers::{Answer, CallId, Question};
 use super::{Event, World};
 use dunespur_chain_replication::{
-    Input, Member, MemberId, Millis, Output, Peer, Saved, View, Write,
+    DurableState, Input, Member, MemberConfig, MemberId, Millis, Output, Peer, View, Write,
+};
+use dunespur_control_state::{
+    ConfigurationRequest, ControlState, Operation, Outcome, RetirementOutcome,
 };
-use dunespur_control_state::{ControlState, Operation, Order, Outcome, RetireOutcome};
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hasher};
 use std::net::SocketAddr;
@@ -53,7 +55,7 @@
     node: String,
     address: SocketAddr,
     disk: u64,
-    pub saved: Saved,
+    pub saved: DurableState,
     flight: Option<Flight>,
     pub frozen: bool,
     /// What came while it was frozen.
@@ -73,7 +75,7 @@
             node: format!("m{index}"),
             address: SocketAddr::from(([10, 0, 0, index as u8], 7380)),
             disk: self.rng.u64(1..),
-            saved: Saved::default(),
+            saved: DurableState::default(),
             flight: None,
             frozen: false,
             backlog: VecDeque::new(),
@@ -121,30 +123,29 @@
             .map(|machine| machine.address)
             .collect();
         let id = self.id(index);
-        let guards = self.setup.guards;
+        let safeguards = self.setup.safeguards;
         let machine = &mut self.machines[index];
         if machine.run != run {
             return;
         }
         machine.powered = true;
         machine.frozen = false;
-        let (saved, address, may_found) =
-            (machine.saved.clone(), machine.address, machine.may_found);
-        let member = Member::with_guards(
-            id,
-            address,
-            may_found,
-            saved,
+        let config = MemberConfig {
+            peer: Peer {
+                id,
+                address: machine.address,
+            },
+            may_bootstrap: machine.may_found,
             seed,
-            FIRST_MOMENT,
-            guards.chain,
-        );
+        };
+        let durable = machine.saved.clone();
+        let member = Member::with_safeguards(config, durable, FIRST_MOMENT, safeguards.chain);
         machine.process = Some(Process {
             member,
             clock_zero,
             tick_at: Millis::MAX,
             applied: 0,
-            state: ControlState::with_guards(guards.control),
+            state: ControlState::default().with_safeguards(safeguards.control),
             tickets: HashMap::new(),
             pending: HashMap::new(),
         });
@@ -181,7 +182,7 @@
     pub fn wipe(&mut self, index: usize) {
         let disk = self.rng.u64(1..);
         let machine = &mut self.machines[index];
-        machine.saved = Saved::default();
+        machine.saved = DurableState::default();
         machine.may_found = false;
         machine.disk = disk;
     }
@@ -298,7 +299,7 @@
                     self.send(index, machine, Some(to.id), message);
                 }
             }
-            Output::SendTo { address, message } => {
+            Output::SendToAddress { address, message } => {
                 if let Some(machine) = self.machine_at(address) {
                     self.send(index, machine, None, message);
                 }
@@ -316,7 +317,7 @@
                     },
                 );
             }
-            Output::Commit {
+            Output::Apply {
                 index: at,
                 payload,
                 ticket,
@@ -327,9 +328,9 @@
                     self.answer(index, call, Answer::Unclear);
                 }
             }
-            Output::WantSnapshot => {
+            Output::TakeSnapshot => {
                 let process = self.process(index);
-                let input = Input::Snapshot {
+                let input = Input::SnapshotTaken {
                     index: process.applied,
                     bytes: process.state.snapshot(),
                 };
@@ -344,22 +345,22 @@
                     },
                 );
             }
-            Output::Install { index: at, bytes } => {
-                let guards = self.setup.guards.control;
+            Output::InstallSnapshot { index: at, bytes } => {
+                let safeguards = self.setup.safeguards.control;
                 let state = ControlState::restore(&bytes)
                     .expect("a snapshot")
-                    .guarded_by(guards);
+                    .with_safeguards(safeguards);
                 self.snapshots_installed += 1;
                 self.digest.event(22, [self.now, index as u64, at], &bytes);
                 let process = self.process(index);
                 process.applied = at;
                 process.state = state;
             }
-            Output::ViewChanged { view, current } => {
+            Output::ViewChanged { view, has_quorum } => {
                 self.note(|| {
                     let chain: Vec<&str> = view.chain.iter().map(|id| id.node.as_str()).collect();
                     format!(
-                        "m{index} is in view {} of {chain:?}, current {current}",
+                        "m{index} is in view {} of {chain:?}, quorum {has_quorum}",
                         view.number
                     )
                 });
@@ -420,7 +421,7 @@
             },
         );
         match question {
-            Question::Order(_) | Question::Retire(_) => self.execute(index, call, &question, 0),
+            Question::Configure(_) | Question::Retire(_) => self.execute(index, call, &question, 0),
             Question::Configuration => {
                 let ticket = self.take_ticket();
                 self.process(index).tickets.insert(ticket, call);
@@ -432,7 +433,7 @@
                     .state
                     .configuration()
                     .map_or(0, |document| document.generation());
-                let follows = process.member.follows(clock);
+                let follows = process.member.is_up_to_date(clock);
                 let answer = if follows {
                     Answer::Watched { generation }
                 } else {
@@ -443,20 +444,23 @@
         }
     }
 
-    fn execute(&mut self, index: usize, call: CallId, question: &Question, fence: u64) {
-        let Some(operation) = operation(question, fence) else {
+    fn execute(&mut self, index: usize, call: CallId, question: &Question, fencing_token: u64) {
+        let Some(operation) = operation(question, fencing_token) else {
             return;
         };
         let clock = self.clock(index);
-        let refuses_unconfirmed = self.setup.guards.refuses_unconfirmed;
+        let rejects_unconfirmed = self.setup.safeguards.rejects_unconfirmed;
         let process = self.process(index);
-        if refuses_unconfirmed {
+        if rejects_unconfirmed {
             let outcome = process.state.clone().apply(&operation, &mut Vec::new());
-            if matches!(outcome, Outcome::Current { .. } | Outcome::Invalid(_)) {
+            if matches!(
+                outcome,
+                Outcome::GenerationConflict { .. } | Outcome::Invalid(_)
+            ) {
                 return self.decided(index, call, outcome);
             }
         }
-        if !process.member.takes_part(clock) {
+        if !process.member.can_commit(clock) {
             return self.answer(index, call, Answer::Unclear);
         }
         let payload = postcard::to_stdvec(&operation).expect("an operation");
@@ -468,21 +472,23 @@
     fn decided(&mut self, index: usize, call: CallId, outcome: Outcome) {
         match outcome {
             Outcome::Accepted => self.answer(index, call, Answer::Accepted),
-            Outcome::Current { generation } => {
-                self.answer(index, call, Answer::Current { generation })
-            }
+            Outcome::GenerationConflict {
+                current: generation,
+            } => self.answer(index, call, Answer::Current { generation }),
             Outcome::Invalid(_) => self.answer(index, call, Answer::Invalid),
-            Outcome::Fenced { fence } => {
+            Outcome::Fenced { fencing_token } => {
                 let question = self
                     .process(index)
                     .pending
                     .get(&call)
                     .map(|pending| pending.question.clone());
                 if let Some(question) = question {
-                    self.execute(index, call, &question, fence);
+                    self.execute(index, call, &question, fencing_token);
                 }
             }
-            Outcome::Retire(RetireOutcome::Taken) => self.answer(index, call, Answer::Retired),
+            Outcome::Retire(RetirementOutcome::Accepted) => {
+                self.answer(index, call, Answer::Retired)
+            }
             Outcome::Retire(_) => self.answer(index, call, Answer::NotRetired),
             _ => self.answer(index, call, Answer::Unclear),
         }
@@ -517,7 +523,7 @@
             &Operation::RetireDone {
                 node,
                 incarnation: 0,
-                round: 0,
+                epoch: 0,
             },
         );
     }
@@ -540,16 +546,16 @@
 }
 
 /// What a call asks the core to agree on.
-fn operation(question: &Question, fence: u64) -> Option<Operation> {
+fn operation(question: &Question, fencing_token: u64) -> Option<Operation> {
     match question {
-        Question::Order(order) => Some(Operation::Configure(Order {
-            fence,
-            ..order.clone()
+        Question::Configure(request) => Some(Operation::Configure(ConfigurationRequest {
+            fencing_token,
+            ..request.clone()
         })),
         Question::Retire(node) => Some(Operation::RetireStart {
             node: node.clone(),
             tolerated_losses: TOLERATED_LOSSES,
-            fence,
+            fencing_token,
         }),
         Question::Configuration | Question::Watch => None,
     }
--- a/crates/serving/dunespur/src/data_plane.rs
+++ b/crates/serving/dunespur/src/data_plane.rs
@@ -2,7 +2,7 @@
 
 use crate::budgets::Budgets;
 use crate::clock::Clock;
-use crate::directory::{ChangedParts, Directory};
+use crate::directory::{Directory, StateChanges};
 use crate::load_exchange::LoadExchange;
 use crate::request_events::{self, Stopwatch};
 use crate::store_client::StoreClient;
@@ -10,7 +10,9 @@
 use dunespur_control_state::{ServerReport, ServerState};
 use dunespur_load_distribution::Identity;
 use dunespur_proxy::{AdmissionDecision, AdmissionRequest, CompletedTurn, History, Node, TurnKey};
-use dunespur_routing::{Ask, Choice, Chooser, EngineShape, LoadReport, Outcome, Server};
+use dunespur_routing::{
+    Balancer, Choice, EngineShape, LoadReport, Outcome, RoutingRequest, Server,
+};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
@@ -18,7 +20,7 @@
 pub struct DataPlane {
     clock: Clock,
     directory: Rc<Directory>,
-    chooser: Rc<RefCell<Chooser>>,
+    balancer: Rc<RefCell<Balancer>>,
     load_exchange: Rc<LoadExchange>,
     budgets: Rc<Budgets>,
     store_client: StoreClient,
@@ -33,14 +35,14 @@
         required_replicas: usize,
         clock: Clock,
     ) -> Rc<DataPlane> {
-        let chooser = Rc::new(RefCell::new(Chooser::new(
+        let balancer = Rc::new(RefCell::new(Balancer::new(
             own.zone.clone(),
             fastrand::u64(..),
         )));
-        let load_exchange = LoadExchange::start(own, directory.clone(), chooser.clone(), clock);
+        let load_exchange = LoadExchange::start(own, directory.clone(), balancer.clone(), clock);
         let data_plane = Rc::new(DataPlane {
             clock,
-            chooser,
+            balancer,
             load_exchange,
             budgets,
             store_client: StoreClient::new(directory.clone(), required_replicas),
@@ -48,9 +50,9 @@
             leaving: Cell::new(false),
         });
         let weak = Rc::downgrade(&data_plane);
-        directory.on_change(Box::new(move |changed_parts| {
+        directory.on_change(Box::new(move |changed| {
             if let Some(data_plane) = weak.upgrade() {
-                data_plane.changed(changed_parts);
+                data_plane.changed(changed);
             }
         }));
         data_plane
@@ -61,21 +63,21 @@
         self.leaving.set(true);
     }
 
-    /// This gateway's part in the homes of services.
+    /// This gateway's part in the exchange of loads.
     pub fn load_exchange(&self) -> Rc<LoadExchange> {
         self.load_exchange.clone()
     }
 
     /// What this gateway has in flight at servers; those without any are left out.
     pub fn loads(&self) -> Vec<LoadReport> {
-        self.chooser.borrow().load_reports()
+        self.balancer.borrow().load_reports()
     }
 
-    fn changed(&self, changed_parts: ChangedParts) {
-        if changed_parts.gateways {
+    fn changed(&self, changed: StateChanges) {
+        if changed.gateways {
             self.load_exchange.gateways_changed();
         }
-        if !changed_parts.servers && !changed_parts.configuration {
+        if !changed.servers && !changed.configuration {
             return;
         }
         let known = self.directory.known();
@@ -85,7 +87,7 @@
             .values()
             .map(|report| server(report, table))
             .collect();
-        self.chooser
+        self.balancer
             .borrow_mut()
             .set_servers(servers, self.clock.now());
     }
@@ -108,7 +110,7 @@
         zone: report.zone.as_str().into(),
         slots: report.slots,
         draining: report.state == ServerState::Draining,
-        cold_left_ms: 0,
+        warmup_left_ms: 0,
         engine,
         max_conns: service.map_or(0, |service| service.max_conns),
     }
@@ -132,29 +134,31 @@
         !self.leaving.get() && known.table.is_some() && !known.servers.is_empty()
     }
 
-    fn choose(&self, ask: &Ask) -> Choice {
+    fn choose(&self, request: &RoutingRequest) -> Choice {
         self.load_exchange.report_activity();
         let loads = if request_events::enabled() {
             self.loads()
         } else {
             Vec::new()
         };
-        let choice = self.chooser.borrow_mut().choose(ask, self.clock.now());
+        let choice = self.balancer.borrow_mut().choose(request, self.clock.now());
         if request_events::enabled() {
-            request_events::choice(ask, &choice, &loads);
+            request_events::choice(request, &choice, &loads);
         }
         choice
     }
 
     fn first_event(&self, key: u64) {
         request_events::first_event(key);
-        self.chooser.borrow_mut().first_event(key, self.clock.now());
+        self.balancer
+            .borrow_mut()
+            .first_event(key, self.clock.now());
     }
 
     fn finished(&self, key: u64, outcome: Outcome) {
         self.load_exchange.report_activity();
         request_events::outcome(key, outcome);
-        self.chooser
+        self.balancer
             .borrow_mut()
             .finished(key, outcome, self.clock.now());
     }
@@ -163,7 +167,12 @@
         let stopwatch = Stopwatch::start(self.clock);
         let verdict = self.budgets.reserve(turn).await;
         if let Some(waited_ms) = stopwatch.took_ms() {
-            request_events::budget(&turn, &verdict, self.budgets.held(turn.program), waited_ms);
+            request_events::budget(
+                &turn,
+                &verdict,
+                self.budgets.leased(turn.program),
+                waited_ms,
+            );
         }
         verdict
     }
@@ -187,6 +196,6 @@
     }
 
     async fn persist(&self, turn: CompletedTurn) -> bool {
-        self.store_client.keep(turn).await
+        self.store_client.persist(turn).await
     }
 }
--- a/crates/serving/dunespur/src/gateway.rs
+++ b/crates/serving/dunespur/src/gateway.rs
@@ -1,8 +1,8 @@
 //! The `gateway` process: data plane, control interface, and the core's part on machines with a disk.
 
-use crate::api::{self, ControlApi};
 use crate::budgets::Budgets;
 use crate::clock::{wall_clock_ms, Clock};
+use crate::control_api::{self, ControlApi};
 use crate::core::{Coordinator, CoreIdentity};
 use crate::core_membership::maintain_core_membership;
 use crate::data_plane::DataPlane;
@@ -27,14 +27,18 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Descriptors kept for files, internal connections and the control interface.
+/// Descriptors reserved for files, internal connections and the control interface.
 const SPARE_DESCRIPTORS: u64 = 500;
 /// A leaving process ends after this time at the latest; the platform kills it a little later.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(7_000);
 /// Units of programs' budgets are given back within this time.
 const BUDGET_RETURN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs the process until it is asked to leave and has left.
+/// Runs the process until it is asked to end and has drained.
+///
+/// # Errors
+///
+/// If its data folder can't be opened, or one of its addresses can't be listened on.
 pub async fn run(settings: Settings, path: PathBuf) -> anyhow::Result<()> {
     let clock = Clock::start();
     let directory = Directory::new(clock, settings.seed_addresses());
@@ -48,7 +52,7 @@
     let own = Identity {
         name: settings.node.as_str().into(),
         zone: settings.zone.as_str().into(),
-        life: incarnation,
+        incarnation,
     };
     let data_plane = DataPlane::new(
         directory.clone(),
@@ -164,7 +168,7 @@
         control_port: address.port(),
         tolerated_losses: settings.fault_tolerance.machines,
     };
-    spawn_local(api::serve(Rc::new(api), listen(address).await?));
+    spawn_local(control_api::serve(Rc::new(api), listen(address).await?));
     Ok(())
 }
 
--- a/crates/serving/dunespur/src/lib.rs
+++ b/crates/serving/dunespur/src/lib.rs
@@ -1,11 +1,11 @@
 //! `dunespur`: the processes of the serving tier, each a role, and the tools of those who run it.
 
 mod allocator;
-mod api;
 mod budgets;
 mod check;
 mod clock;
 mod command;
+mod control_api;
 mod core;
 mod core_membership;
 mod data_plane;
@@ -14,7 +14,6 @@
 mod explain;
 mod founding;
 mod gateway;
-mod heartbeat;
 mod load_exchange;
 mod logging;
 pub mod messages;
@@ -41,7 +40,7 @@
 
 /// Runs the command line of this process; the program's exit code.
 pub fn run() -> ExitCode {
-    let command = match command::asked() {
+    let command = match command::parse() {
         Ok(command) => command,
         Err(code) => return code,
     };
@@ -49,8 +48,8 @@
         Command::Gateway(logging) => play(Role::Gateway, &logging, gateway::run),
         Command::Store(logging) => play(Role::Store, &logging, store::run),
         Command::Check(check) => check::run(&check),
-        Command::Explain(asked) => explain::run(asked),
-        Command::Status(asked) => ended(block_on(status::run(asked))),
+        Command::Explain(explain) => explain::run(explain),
+        Command::Status(query) => ended(block_on(status::run(query))),
     }
 }
 
@@ -83,7 +82,7 @@
     ended(block_on(run(settings, path)))
 }
 
-/// How the program ends; an error is told on standard error.
+/// How the program ends; an error is written to standard error.
 fn ended(result: anyhow::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/serving/dunespur/src/load_exchange.rs
+++ b/crates/serving/dunespur/src/load_exchange.rs
@@ -1,16 +1,17 @@
-//! Homes of services: carries what [`Distribution`] wants to other gateways, and brings the loads of the others to the
+//! Exchange of service loads: carries the reports of [`LoadDistribution`] to other gateways, and brings the loads of the others to the
 //! choice of servers.
 //!
-//! Nothing is done while no request is under way here and no other gateway asks.
+//! Nothing is done while no request is in flight here and no other gateway reports.
 
 use crate::clock::Clock;
 use crate::directory::Directory;
 use crate::messages::{encode, Reply, Request};
 use dunespur_control_state::GatewayEntry;
 use dunespur_load_distribution::{
-    Answer, Ask, Call, Distribution, Gateway, Identity, News, ServerLoad, ASK_TIMEOUT_MS,
+    Call, Gateway, Identity, LoadDistribution, RemoteLoads, Report, ServerLoad, Update,
+    REPORT_TIMEOUT_MS,
 };
-use dunespur_routing::{Chooser, LoadReport};
+use dunespur_routing::{Balancer, LoadReport};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,18 +21,18 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// This gateway's loads are looked at this often at most, in milliseconds.
-const LOOK_PERIOD_MS: u64 = 250;
+/// This gateway's loads are read this often at most, in milliseconds.
+const EXCHANGE_INTERVAL_MS: u64 = 250;
 
-/// This gateway's part in the distribution of services' soft state.
+/// This gateway's part in the exchange of service loads, which are soft state.
 pub struct LoadExchange {
     clock: Clock,
     directory: Rc<Directory>,
-    chooser: Rc<RefCell<Chooser>>,
-    distribution: RefCell<Distribution>,
-    /// Told when a request has begun or ended, or another gateway has asked.
+    balancer: Rc<RefCell<Balancer>>,
+    distribution: RefCell<LoadDistribution>,
+    /// Notified when a request has begun or ended, or another gateway has reported.
     active: Notify,
-    /// Told when the time of the next call has changed.
+    /// Notified when the time of the next call has changed.
     rescheduled: Notify,
 }
 
@@ -40,14 +41,14 @@
     pub fn start(
         own: Identity,
         directory: Rc<Directory>,
-        chooser: Rc<RefCell<Chooser>>,
+        balancer: Rc<RefCell<Balancer>>,
         clock: Clock,
     ) -> Rc<LoadExchange> {
         let load_exchange = Rc::new(LoadExchange {
             clock,
             directory,
-            chooser,
-            distribution: RefCell::new(Distribution::new(own)),
+            balancer,
+            distribution: RefCell::new(LoadDistribution::new(own)),
             active: Notify::new(),
             rescheduled: Notify::new(),
         });
@@ -73,29 +74,32 @@
         self.rescheduled.notify_one();
     }
 
-    /// Where the home of a service in a zone listens for other gateways.
+    /// Where the load aggregator of a service in a zone listens for other gateways.
     pub fn aggregator_address(&self, service: &str, zone: &str) -> Option<SocketAddr> {
         self.distribution
             .borrow()
-            .roster()
-            .home(service, zone)
-            .map(|home| home.address)
+            .membership()
+            .aggregator(service, zone)
+            .map(|aggregator| aggregator.address)
     }
 
-    /// Another gateway asks.
-    pub fn asked(&self, ask: &Ask) -> Answer {
-        let answer = self.distribution.borrow_mut().asked(ask, self.clock.now());
+    /// Answers the report of another gateway.
+    pub fn receive_report(&self, report: &Report) -> Update {
+        let update = self
+            .distribution
+            .borrow_mut()
+            .handle_report(report, self.clock.now());
         self.active.notify_one();
-        answer
+        update
     }
 
-    /// Looks at this gateway's loads, and makes the calls that are due.
-    fn look(self: &Rc<Self>) {
+    /// Reports this gateway's loads, and makes the calls that are due.
+    fn exchange(self: &Rc<Self>) {
         let now = self.clock.now();
         for (service, loads) in self.own_loads() {
             self.distribution
                 .borrow_mut()
-                .set_own(&service, &loads, now);
+                .set_own_loads(&service, &loads, now);
         }
         loop {
             let call = self.distribution.borrow_mut().poll(now);
@@ -107,7 +111,7 @@
 
     /// What this gateway has in flight, by service; services that were busy before are listed as well.
     fn own_loads(&self) -> BTreeMap<Rc<str>, Vec<ServerLoad>> {
-        let busy_before = self.distribution.borrow().busy();
+        let busy_before = self.distribution.borrow().busy_services();
         let mut services: BTreeMap<Rc<str>, Vec<ServerLoad>> = busy_before
             .into_iter()
             .map(|service| (service, Vec::new()))
@@ -127,22 +131,22 @@
         services
     }
 
-    /// Servers on which this gateway has anything in flight, or which it finds in trouble.
+    /// Servers on which this gateway has anything in flight, or at which it sees faults.
     fn loads(&self) -> Vec<ServerLoad> {
-        let chooser = self.chooser.borrow();
-        let mut loads: Vec<ServerLoad> = chooser
+        let balancer = self.balancer.borrow();
+        let mut loads: Vec<ServerLoad> = balancer
             .load_reports()
             .into_iter()
             .map(server_load)
             .collect();
-        for server in chooser.in_trouble(self.clock.now()) {
+        for server in balancer.ejected_for_faults(self.clock.now()) {
             match loads.iter_mut().find(|load| load.server == server) {
-                Some(load) => load.in_trouble = 1,
+                Some(load) => load.ejected_by = 1,
                 None => loads.push(ServerLoad {
                     server,
                     in_flight: 0,
-                    waiting_tokens: 0,
-                    in_trouble: 1,
+                    prefill_tokens: 0,
+                    ejected_by: 1,
                 }),
             }
         }
@@ -150,46 +154,49 @@
     }
 
     async fn call(self: Rc<Self>, call: Call) {
-        let payload = encode(&Request::Home(call.ask));
-        let limit = Duration::from_millis(ASK_TIMEOUT_MS);
+        let payload = encode(&Request::Home(call.report));
+        let limit = Duration::from_millis(REPORT_TIMEOUT_MS);
         let reply = self.directory.call(call.address, payload, limit).await;
         let now = self.clock.now();
         match reply {
-            Ok(Reply::Home(answer)) => {
+            Ok(Reply::Home(update)) => {
                 self.distribution
                     .borrow_mut()
-                    .answered(call.number, &answer, now)
+                    .handle_update(call.number, &update, now)
             }
-            _ => self.distribution.borrow_mut().failed(call.number, now),
+            _ => self
+                .distribution
+                .borrow_mut()
+                .handle_failure(call.number, now),
         }
         self.apply_updates();
         self.rescheduled.notify_one();
     }
 
-    /// Tells the choice of servers what the other gateways have in flight.
+    /// Passes on to the choice of servers what the other gateways have in flight.
     fn apply_updates(&self) {
-        let news = self.distribution.borrow_mut().take_news();
-        for news in news {
-            self.apply_fault_hints(&news);
-            let reports: Vec<LoadReport> = news.others.into_iter().map(load_report).collect();
-            self.chooser
+        let remote = self.distribution.borrow_mut().take_remote_loads();
+        for remote in remote {
+            self.apply_fault_hints(&remote);
+            let reports: Vec<LoadReport> = remote.loads.into_iter().map(load_report).collect();
+            self.balancer
                 .borrow_mut()
-                .other_load(&reports, &news.service, self.clock.now());
+                .apply_peer_load(&reports, &remote.service, self.clock.now());
         }
     }
 
-    /// Tells the choice of servers which of them other gateways find in trouble.
-    fn apply_fault_hints(&self, news: &News) {
+    /// Passes on to the choice of servers at which of them other gateways see faults.
+    fn apply_fault_hints(&self, remote: &RemoteLoads) {
         let known = self.directory.known();
         let servers = known
             .servers
             .values()
-            .filter(|server| *server.backend == *news.service)
+            .filter(|server| *server.backend == *remote.service)
             .count();
-        for server in news.in_trouble(servers) {
-            self.chooser
+        for server in remote.ejected(servers) {
+            self.balancer
                 .borrow_mut()
-                .hint_trouble(&server, self.clock.now());
+                .hint_fault(&server, self.clock.now());
         }
     }
 }
@@ -199,7 +206,7 @@
         name: entry.name.as_str().into(),
         zone: entry.zone.as_str().into(),
         address: entry.address,
-        life: entry.incarnation,
+        incarnation: entry.incarnation,
     }
 }
 
@@ -207,8 +214,8 @@
     ServerLoad {
         server: report.server,
         in_flight: report.in_flight,
-        waiting_tokens: report.waiting_tokens,
-        in_trouble: 0,
+        prefill_tokens: report.prefill_tokens,
+        ejected_by: 0,
     }
 }
 
@@ -216,14 +223,14 @@
     LoadReport {
         server: load.server,
         in_flight: load.in_flight,
-        waiting_tokens: load.waiting_tokens,
+        prefill_tokens: load.prefill_tokens,
     }
 }
 
 async fn drive_exchange(load_exchange: Rc<LoadExchange>) {
     loop {
-        load_exchange.look();
-        let next_look = load_exchange.clock.now() + LOOK_PERIOD_MS;
+        load_exchange.exchange();
+        let next_exchange = load_exchange.clock.now() + EXCHANGE_INTERVAL_MS;
         let due = load_exchange.distribution.borrow().next_due();
         let due = async {
             match due {
@@ -234,7 +241,7 @@
         tokio::select! {
             () = due => {}
             () = load_exchange.rescheduled.notified() => {}
-            () = load_exchange.active.notified() => sleep_until(load_exchange.clock.instant(next_look).into()).await,
+            () = load_exchange.active.notified() => sleep_until(load_exchange.clock.instant(next_exchange).into()).await,
         }
     }
 }
--- a/crates/serving/dunespur/src/status.rs
+++ b/crates/serving/dunespur/src/status.rs
@@ -1,15 +1,16 @@
-//! What a process says of itself when it is asked over the internal link, and `dunespur status`, which asks.
+//! What a process reports of itself over the internal link, and `dunespur status`, which queries it.
 //!
-//! The answer is JSON: a newer `dunespur status` reads what an older process says, and the other way round.
+//! The answer is JSON: a newer `dunespur status` reads the answer of an older process, and the other way round.
 
-mod ask;
 mod gather;
-mod own;
+mod process;
+mod query;
+
 pub mod report;
 mod table;
 
-pub use ask::{run, StatusQuery};
 pub use gather::{basics, GatewayStatus};
+pub use query::{run, StatusQuery};
 pub use report::{
     BudgetStatus, CoreStatus, DiskStatus, LeaseStatus, LinkStatus, Status, TurnsStatus,
 };
--- a/crates/serving/dunespur/src/status/gather.rs
+++ b/crates/serving/dunespur/src/status/gather.rs
@@ -1,6 +1,6 @@
 //! Collects the status of a process from its parts.
 
-use super::own;
+use super::process;
 use super::report::{
     ControlStatus, FrontStatus, GatewayEntryStatus, MemberStatus, ProgramStatus, ServerStatus,
     ServiceStatus, Status, StoreStatus, ViewStatus,
@@ -27,7 +27,7 @@
         version: env!("CARGO_PKG_VERSION").to_owned(),
         zone: settings.zone.clone(),
         up_ms: directory.clock().now(),
-        process: own::process(),
+        process: process::usage(),
         link: directory.link_counters(),
         control: control(directory),
         view: directory.view().as_ref().map(view),
@@ -39,16 +39,23 @@
 
 /// The parts of a gateway that its status tells of.
 pub struct GatewayStatus {
+    /// The settings of the process.
     pub settings: Settings,
+    /// What it knows of the control state.
     pub directory: Rc<Directory>,
+    /// Its core member, on a machine with a disk.
     pub coordinator: Option<Rc<Coordinator>>,
+    /// Its data plane.
     pub data_plane: Rc<DataPlane>,
+    /// Its leases on programs' budgets.
     pub budgets: Rc<Budgets>,
+    /// Its listener for clients.
     pub front: Rc<ProxyServer<DataPlane>>,
 }
 
 impl GatewayStatus {
-    /// The status; of one program as well, if it is asked for.
+    /// The status; that of one program's budget as well, if it is named.
+    #[must_use]
     pub fn status(&self, program: Option<&str>) -> Status {
         let mut status = basics(&self.settings, Role::Gateway, &self.directory);
         if let Some(own) = self
@@ -101,9 +108,9 @@
             .map(|coordinator| coordinator.budget_of(name));
         ProgramStatus {
             name: name.to_owned(),
-            held_here: Some(self.budgets.held(name)),
+            leased_here: Some(self.budgets.leased(name)),
             used: counted.map(|budget| budget.used),
-            held: counted.map(|budget| budget.leased),
+            leased: counted.map(|budget| budget.leased),
         }
     }
 }
@@ -120,11 +127,11 @@
 }
 
 fn view(view: &View) -> ViewStatus {
-    let place = |node| view.chain.iter().position(|id| *id == node);
+    let chain_position = |node| view.chain.iter().position(|id| *id == node);
     let members = view.members.iter().map(|peer| MemberStatus {
         node: peer.id.node.clone(),
         address: peer.address,
-        place: place(peer.id.clone()),
+        chain_position: chain_position(peer.id.clone()),
     });
     ViewStatus {
         number: view.number,
@@ -153,7 +160,7 @@
             address: store.address,
             zone: store.zone.clone(),
             present: store.present,
-            whole: store.whole,
+            complete: store.whole,
             retiring: store.retiring,
             retired: store.retired,
         })
--- a/crates/serving/proxy/src/active_request.rs
+++ b/crates/serving/proxy/src/active_request.rs
@@ -1,4 +1,7 @@
 //! One request on its way to the endpoints: its deadline, which endpoints it was sent to, and the choice of the next.
+//!
+//! The state that all attempts of a request share. `attempt` and `dispatch` add what is done with it: this module knows
+//! neither, so that the choice of an endpoint depends on no protocol.
 
 use crate::classification::{EndedBy, Idempotency};
 use crate::deadline::RequestDeadline;
@@ -12,7 +15,7 @@
 use crate::shared::Shared;
 use crate::trace;
 use dunespur_configuration::{Route, Service, Table};
-use dunespur_routing::{Ask, Choice, Outcome, ServerId, Ticket};
+use dunespur_routing::{Choice, Outcome, RoutingRequest, ServerId, Ticket};
 use smallvec::SmallVec;
 use std::future::{poll_fn, Future};
 use std::pin::pin;
@@ -25,6 +28,8 @@
 const RESPONSE_TIMEOUT_TARGETS: u64 = 4;
 
 /// A request with the endpoints that it was sent to.
+///
+/// `attempt` sends it once, `dispatch` until there is a response for the client.
 pub(crate) struct ActiveRequest<N: Node> {
     pub(crate) shared: Rc<Shared<N>>,
     pub(crate) route: Rc<Route>,
@@ -114,7 +119,7 @@
         }
     }
 
-    /// The endpoint may send nothing for a multiple of the latency target, where another one could be asked.
+    /// The endpoint may send nothing for a multiple of the latency target, where another one could be tried.
     pub(crate) fn start_response_timeout(&mut self) {
         if self.record.may_fail_over() {
             let timeout_ms = RESPONSE_TIMEOUT_TARGETS * self.route.target_ms;
@@ -142,10 +147,10 @@
                 let in_flight = self.in_flight(&ticket);
                 Ok(self.count_send(ticket, in_flight))
             }
-            Choice::Refuse { retry_after_ms } if self.record.has_not_run() => {
+            Choice::Reject { retry_after_ms } if self.record.has_not_run() => {
                 Err(Rejection::RetryLater { retry_after_ms })
             }
-            Choice::Refuse { .. } | Choice::NoServer => Err(self.record.rejection()),
+            Choice::Reject { .. } | Choice::NoServer => Err(self.record.rejection()),
         }
     }
 
@@ -164,7 +169,7 @@
                 });
                 return true;
             }
-            in_flight.finish(Outcome::Abandoned);
+            in_flight.finish(Outcome::Cancelled);
         }
         self.backend = backend;
         false
@@ -215,13 +220,13 @@
     }
 
     fn choose_of(&self, backend: &str) -> Choice {
-        let choice = self.shared.node.choose(&Ask {
+        let choice = self.shared.node.choose(&RoutingRequest {
             backend,
             program: text(self.parsed.program.as_ref()),
             session: text(self.parsed.session.as_ref()),
             prefix: &self.parsed.prefix,
             prompt_tokens: self.parsed.prompt_tokens,
-            most_tokens: self.parsed.max_tokens,
+            max_tokens: self.parsed.max_tokens,
             idempotent: self.route.idempotent(),
             priority: self.route.priority,
             time_left_ms: self.deadline.remaining_ms(),
--- a/crates/serving/proxy/src/endpoint_io.rs
+++ b/crates/serving/proxy/src/endpoint_io.rs
@@ -1,5 +1,7 @@
 //! What the HTTP library reads and writes on an endpoint connection: the request's body, and the socket, with how much
 //! of the request has been written.
+//!
+//! Counted at the socket, below the HTTP library's buffers: only bytes that were written can have reached the endpoint.
 
 use crate::classification::{EndedBy, SendProgress};
 use crate::monitored_stream::MonitoredStream;
@@ -62,7 +64,7 @@
         self.stream.borrow().inner().ended_by()
     }
 
-    /// Whether the operating system holds neither bytes nor an end of the connection to be read.
+    /// Whether the operating system has neither bytes nor an end of the connection to be read.
     pub(crate) fn is_quiet(&self) -> bool {
         let stream = self.stream.borrow();
         let peeked = SockRef::from(stream.inner().socket()).peek(&mut [MaybeUninit::uninit()]);
--- a/crates/serving/proxy/tests/classification.rs
+++ b/crates/serving/proxy/tests/classification.rs
@@ -1,8 +1,8 @@
-//! The table of dispositions, each of its rows that a server or a client can bring about driven over loopback. What
+//! The classification of attempts, each of its rows that an endpoint or a client can cause driven over loopback. What
 //! is expected stands in the table itself, not here a second time.
 //!
-//! Not driven: a head that was written in part (it fits the socket's buffer, so that it goes out whole or not at all;
-//! `progress` has its tests), and what came without any byte sent, but for kept connections that have ended
+//! Not driven: a head that was written in part (it fits the socket's buffer, so that it is sent completely or not at
+//! all; `send_tracker` has its tests), and what came without any byte sent, but for pooled connections that have ended
 //! (`connections.rs`).
 
 mod support;
@@ -11,22 +11,18 @@
     Attempt, Classification, ClientResponse, ConnectionReuse, EndedBy, Framing, ResponseKind,
     ResponseProgress, RetryRule, SendProgress,
 };
-use support::*;
+use support::{get, pass_time, post, run_test, Peer, TestEndpoint, TestProxy};
 use tokio::time::Duration;
 
-/// A body that no socket's buffers hold: a sender's are 4 MB at most.
+/// A body longer than the sockets' buffers: a sender's are 4 MB at most.
 const LONG_BODY: usize = 6 * 1024 * 1024;
-/// A part of an answer that is passed on at once, and the whole.
-const PART: usize = 80_000;
-const WHOLE: usize = 200_000;
-/// Beyond the time of every request of these tests.
-const ALL_TIME: Duration = Duration::from_millis(15_200);
+/// A part of a response that is forwarded at once, and the length of all of it.
+const FORWARDED_BYTES: usize = 80_000;
+const RESPONSE_BYTES: usize = 200_000;
+/// Beyond the deadline of every request of these tests.
+const PAST_ALL_DEADLINES: Duration = Duration::from_millis(15_200);
 
-fn roomy_table() -> std::rc::Rc<dunespur_configuration::Table> {
-    table(&CONFIGURATION.replace(r#""max_body_bytes":100000"#, r#""max_body_bytes":20000000"#))
-}
-
-/// The head of an answer of this kind, but for what tells its end.
+/// The head of a response of this kind, but for what marks its end.
 fn head_of(kind: ResponseKind) -> String {
     let (status, id, more) = match kind {
         ResponseKind::Final => (200, "r1", ""),
@@ -39,9 +35,9 @@
     format!("HTTP/1.1 {status} X\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s\r\n{more}")
 }
 
-/// What the server sends so that this is received.
-fn bytes_of(received: ResponseProgress) -> String {
-    let (kind, framing, length, part) = match received {
+/// What the endpoint sends so that this is received.
+fn bytes_of(response: ResponseProgress) -> String {
+    let (kind, framing, length, part) = match response {
         ResponseProgress::Nothing => return String::new(),
         ResponseProgress::Interim => {
             return "HTTP/1.1 103 Early Hints\r\nX-Any: 1\r\n\r\n".to_owned()
@@ -56,7 +52,7 @@
             kind,
             framing,
             forwarded: true,
-        } => (kind, framing, WHOLE, PART),
+        } => (kind, framing, RESPONSE_BYTES, FORWARDED_BYTES),
     };
     let end_of_head = match framing {
         Framing::Delimited => format!("Content-Length: {length}\r\n\r\n"),
@@ -75,7 +71,7 @@
 struct Row {
     attempt: Attempt,
     idempotent: bool,
-    /// Whether there is a further server.
+    /// Whether there is another endpoint.
     has_alternative: bool,
 }
 
@@ -101,8 +97,8 @@
 
     async fn drive(&self) {
         let Attempt {
-            request: sent,
-            response: received,
+            request,
+            response,
             ended_by,
         } = self.attempt;
         let (first, second) = (
@@ -115,8 +111,10 @@
             vec![&first]
         };
         let proxy = TestProxy::start(&endpoints).await;
-        *proxy.node.table.borrow_mut() = Some(roomy_table());
-        let body = if sent == SendProgress::Complete {
+        proxy
+            .node
+            .edit_configuration(&[(r#""max_body_bytes":100000"#, r#""max_body_bytes":20000000"#)]);
+        let body = if request == SendProgress::Complete {
             "x".to_owned()
         } else {
             "x".repeat(LONG_BODY)
@@ -127,17 +125,17 @@
             "/write/"
         };
         let mut client = Some(proxy.client().await);
-        let request = post(path, "r1", "", &body);
-        client.as_mut().unwrap().send(request.as_bytes()).await;
+        let bytes = post(path, "r1", "", &body);
+        client.as_mut().unwrap().send(bytes.as_bytes()).await;
 
         let mut connection = first.accept().await;
         let head = connection.head().await;
-        if sent == SendProgress::Complete {
+        if request == SendProgress::Complete {
             connection.body_of(&head).await.unwrap();
         }
-        connection.send(bytes_of(received).as_bytes()).await;
+        connection.send(bytes_of(response).as_bytes()).await;
         if matches!(
-            received,
+            response,
             ResponseProgress::Partial {
                 forwarded: true,
                 ..
@@ -155,7 +153,7 @@
                 for _ in 0..50 {
                     tokio::task::yield_now().await;
                 }
-                pass_time(ALL_TIME).await;
+                pass_time(PAST_ALL_DEADLINES).await;
             }
             EndedBy::Client => drop(client.take()),
         }
@@ -221,10 +219,10 @@
     }
 }
 
-fn drive(sent: SendProgress, received: ResponseProgress, ended_by: EndedBy) {
+fn drive(request: SendProgress, response: ResponseProgress, ended_by: EndedBy) {
     let attempt = Attempt {
-        request: sent,
-        response: received,
+        request,
+        response,
         ended_by,
     };
     for idempotent in [false, true] {
@@ -239,29 +237,29 @@
     }
 }
 
-const SENT: [SendProgress; 2] = [SendProgress::PartialBody, SendProgress::Complete];
+const SEND_STATES: [SendProgress; 2] = [SendProgress::PartialBody, SendProgress::Complete];
 
 #[test]
-fn nothing_came_or_interim_answers_alone() {
-    for sent in SENT {
-        for received in [ResponseProgress::Nothing, ResponseProgress::Interim] {
+fn no_response_or_interim_ones_alone() {
+    for request in SEND_STATES {
+        for response in [ResponseProgress::Nothing, ResponseProgress::Interim] {
             for ended_by in [
                 EndedBy::Endpoint,
                 EndedBy::Reset,
                 EndedBy::Timeout,
                 EndedBy::Client,
             ] {
-                drive(sent, received, ended_by);
+                drive(request, response, ended_by);
             }
         }
     }
 }
 
 #[test]
-fn a_part_came_that_the_client_has_not() {
-    for sent in SENT {
+fn a_partial_response_that_was_not_forwarded() {
+    for request in SEND_STATES {
         for kind in [ResponseKind::Final, ResponseKind::Failure] {
-            let received = ResponseProgress::Partial {
+            let response = ResponseProgress::Partial {
                 kind,
                 framing: Framing::Delimited,
                 forwarded: false,
@@ -272,25 +270,25 @@
                 EndedBy::Timeout,
                 EndedBy::Client,
             ] {
-                // A failure of one server is not waited for where another one may be asked.
+                // A failure of one endpoint is not waited for where another one may be asked.
                 if kind == ResponseKind::Final || ended_by != EndedBy::Timeout {
-                    drive(sent, received, ended_by);
+                    drive(request, response, ended_by);
                 }
             }
-            // The end in order of a body without a length is its whole.
-            let received = ResponseProgress::Partial {
+            // Closed in order, a body without a length is complete.
+            let response = ResponseProgress::Partial {
                 kind,
                 framing: Framing::UntilClose,
                 forwarded: false,
             };
-            drive(sent, received, EndedBy::Reset);
+            drive(request, response, EndedBy::Reset);
         }
     }
 }
 
 #[test]
-fn a_part_came_that_the_client_has() {
-    for sent in SENT {
+fn a_partial_response_that_was_forwarded() {
+    for request in SEND_STATES {
         let kind = ResponseKind::Final;
         for ended_by in [
             EndedBy::Endpoint,
@@ -298,34 +296,34 @@
             EndedBy::Timeout,
             EndedBy::Client,
         ] {
-            let received = ResponseProgress::Partial {
+            let response = ResponseProgress::Partial {
                 kind,
                 framing: Framing::Delimited,
                 forwarded: true,
             };
-            drive(sent, received, ended_by);
+            drive(request, response, ended_by);
         }
         for ended_by in [EndedBy::Reset, EndedBy::Timeout, EndedBy::Client] {
-            let received = ResponseProgress::Partial {
+            let response = ResponseProgress::Partial {
                 kind,
                 framing: Framing::UntilClose,
                 forwarded: true,
             };
-            drive(sent, received, ended_by);
+            drive(request, response, ended_by);
         }
     }
 }
 
 #[test]
-fn all_came() {
-    for sent in SENT {
+fn a_complete_response() {
+    for request in SEND_STATES {
         for kind in [
             ResponseKind::Final,
             ResponseKind::Failure,
             ResponseKind::NotExecuted,
         ] {
             drive(
-                sent,
+                request,
                 ResponseProgress::Complete {
                     kind,
                     framing: Framing::Delimited,
@@ -339,7 +337,7 @@
             ResponseKind::NotExecuted,
         ] {
             drive(
-                sent,
+                request,
                 ResponseProgress::Complete {
                     kind,
                     framing: Framing::UntilClose,
@@ -347,21 +345,21 @@
                 EndedBy::Endpoint,
             );
         }
-        let received = ResponseProgress::Complete {
+        let response = ResponseProgress::Complete {
             kind: ResponseKind::OtherInstance,
             framing: Framing::Delimited,
         };
-        drive(sent, received, EndedBy::Nobody);
+        drive(request, response, EndedBy::Nobody);
     }
 }
 
 #[test]
-fn what_came_can_not_be_used() {
-    for sent in SENT {
+fn an_unusable_response() {
+    for request in SEND_STATES {
         for kind in [ResponseKind::UnconfirmedRejection, ResponseKind::Unrelated] {
             for framing in [Framing::Delimited, Framing::UntilClose] {
                 drive(
-                    sent,
+                    request,
                     ResponseProgress::Partial {
                         kind,
                         framing,
@@ -370,7 +368,7 @@
                     EndedBy::Proxy,
                 );
                 drive(
-                    sent,
+                    request,
                     ResponseProgress::Complete { kind, framing },
                     EndedBy::Proxy,
                 );
--- a/crates/testing/simulator-adapter/src/host.rs
+++ b/crates/testing/simulator-adapter/src/host.rs
@@ -1,8 +1,8 @@
 //! One process's side of the wire: the instances it hosts, their invocations and timers.
 
-use dunespur_decisions::rules::Limiter;
 use dunespur_decisions::types::*;
-use dunespur_settings::{parse, Read};
+use dunespur_decisions::Limiter;
+use dunespur_settings::{parse, SettingsDocument};
 use std::collections::HashMap;
 use std::io::Write;
 
@@ -22,7 +22,7 @@
 /// One limiter and what it has in hand.
 struct Host {
     limiter: Limiter,
-    read: Read,
+    read: SettingsDocument,
     servers: HashMap<String, usize>,
     addresses: Vec<String>,
     by_id: HashMap<String, u64>,
@@ -209,7 +209,7 @@
         if verb == "NEW_INSTANCE" {
             let seed = parts.whole("rngSeed")?;
             let document = parts.0.by_ref().collect::<Vec<_>>().join(" ");
-            let read = parse(&document, seed)?;
+            let read = parse(&document, seed).map_err(|error| error.to_string())?;
             let host = Host {
                 limiter: Limiter::new(&read.settings, now),
                 read,
@@ -302,23 +302,24 @@
                 let plan = position(&host.read.plans, parts.text("tariff")?, "tariff")?;
                 let operation =
                     position(&host.read.operations, parts.text("tierClass")?, "tierClass")?;
-                let first = parts.whole("firstDoor")? as u32;
+                let first_gateway = parts.whole("firstDoor")? as u32;
                 let gateways = parts.whole("setSize")? as u32;
                 let customer = parts.whole("holder")?;
                 let repeat = parts.whole("bitmap")? & REPEAT != 0;
                 let until = parts.number("validUntilS")?;
                 host.last += 1;
                 let num = host.last;
-                let mut inv = Invocation::new(
+                let mut inv = Invocation::from(Arrival {
                     num,
                     customer,
                     plan,
                     operation,
                     units,
-                    (first, gateways),
-                    now,
+                    first_gateway,
+                    gateways,
+                    came: now,
                     until,
-                );
+                });
                 inv.repeat = repeat;
                 host.by_id.insert(id.clone(), num);
                 host.held.insert(num, (id, inv));
@@ -345,7 +346,7 @@
                     .filter(|&u| u > 0.0)
                     .map(|u| (u - 1.0) / 100.0);
                 let cost = parts.number("cost")?;
-                let settled = Some(cost).filter(|&c| host.read.settles && c > 0.0);
+                let settled = Some(cost).filter(|&c| host.read.charges_by_use && c > 0.0);
                 let Some(&num) = host.by_id.get(id) else {
                     return Ok(());
                 };
@@ -371,7 +372,7 @@
                 let Some((_, inv)) = host.held.get_mut(&num) else {
                     return Ok(());
                 };
-                host.limiter.gone(inv);
+                host.limiter.disconnected(inv);
                 host.answer(name, num, Answer::Done, now, out).map_err(io)
             }
             "TICK_DUE" => match parts.whole("cookie")? {
