--- a/crates/serving/proxy/src/active_request.rs
+++ b/crates/serving/proxy/src/active_request.rs
@@ -1,7 +1,7 @@
 //! One request on its way to the endpoints: its deadline, which endpoints it was sent to, and the choice of the next.
 //!
-//! The state that all attempts of a request share. `attempt` and `dispatch` add what is done with it: this module knows
-//! neither, so that the choice of an endpoint depends on no protocol.
+//! The state that all attempts of a request share. `attempt` and `dispatch` add what is done with it; this module knows
+//! neither of them.
 
 use crate::classification::{EndedBy, Idempotency};
 use crate::deadline::RequestDeadline;
--- a/crates/serving/proxy/tests/stale_responses.rs
+++ b/crates/serving/proxy/tests/stale_responses.rs
@@ -158,18 +158,28 @@
     });
 }
 
+/// A request that its endpoint has received.
+struct PendingRequest {
+    client: Peer,
+    connection: Peer,
+}
+
+async fn pending_request(proxy: &TestProxy, endpoint: &TestEndpoint, id: &str) -> PendingRequest {
+    let client = proxy.request(&post("/write/", id, "", "x")).await;
+    let (connection, _) = endpoint.next_request().await;
+    PendingRequest { client, connection }
+}
+
 #[test]
 fn responses_on_different_connections_may_overtake_each_other() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut first = proxy.request(&post("/write/", "r1", "", "x")).await;
-        let (mut first_connection, _) = endpoint.next_request().await;
-        let mut second = proxy.request(&post("/write/", "r2", "", "x")).await;
-        let (mut second_connection, _) = endpoint.next_request().await;
-        second_connection.respond(200, "r2", "", "two").await;
-        assert_eq!(second.message().await.text(), "two");
-        first_connection.respond(200, "r1", "", "one").await;
-        assert_eq!(first.message().await.text(), "one");
+        let mut first = pending_request(&proxy, &endpoint, "r1").await;
+        let mut second = pending_request(&proxy, &endpoint, "r2").await;
+        second.connection.respond(200, "r2", "", "two").await;
+        assert_eq!(second.client.message().await.text(), "two");
+        first.connection.respond(200, "r1", "", "one").await;
+        assert_eq!(first.client.message().await.text(), "one");
     });
 }
 
@@ -177,14 +187,12 @@
 fn a_response_over_the_connection_of_another_request_is_discarded() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut first = proxy.request(&post("/write/", "r1", "", "x")).await;
-        let (mut first_connection, _) = endpoint.next_request().await;
-        let mut second = proxy.request(&post("/write/", "r2", "", "x")).await;
-        let (mut second_connection, _) = endpoint.next_request().await;
-        first_connection.respond(200, "r2", "", "two").await;
-        second_connection.respond(200, "r1", "", "one").await;
-        assert_eq!(first.message().await.status(), 502);
-        assert_eq!(second.message().await.status(), 502);
+        let mut first = pending_request(&proxy, &endpoint, "r1").await;
+        let mut second = pending_request(&proxy, &endpoint, "r2").await;
+        first.connection.respond(200, "r2", "", "two").await;
+        second.connection.respond(200, "r1", "", "one").await;
+        assert_eq!(first.client.message().await.status(), 502);
+        assert_eq!(second.client.message().await.status(), 502);
     });
 }
 
