--- a/crates/serving/dunespur/src/request_events.rs
+++ b/crates/serving/dunespur/src/request_events.rs
@@ -23,6 +23,7 @@
 pub struct Stopwatch(Option<(Clock, u64)>);
 
 impl Stopwatch {
+    /// Starts to measure.
     pub fn start(clock: Clock) -> Stopwatch {
         Stopwatch(enabled().then(|| (clock, clock.now())))
     }
@@ -168,7 +169,9 @@
             format!("reply=granted units={units} left={left}")
         }
         Some(CounterReply::Spent) => "reply=spent".to_owned(),
-        Some(CounterReply::Elsewhere { held }) => format!("reply=elsewhere leased={held}"),
+        Some(CounterReply::LeasedElsewhere { leased }) => {
+            format!("reply=elsewhere leased={leased}")
+        }
         Some(CounterReply::Returned) => "reply=returned".to_owned(),
         Some(CounterReply::Stale) => "reply=stale".to_owned(),
         None => "reply=none".to_owned(),
