--- a/crates/gateway/voter-storage/src/storage.rs
+++ b/crates/gateway/voter-storage/src/storage.rs
@@ -4,7 +4,8 @@
 use crate::records::{
     check_owner, decode, encode, get, put, HEAD, KEY_HARD_STATE, KEY_META, KEY_SNAPSHOT, LOG,
 };
-use dunespur_singleton_roles::log::{Batch, Entry, Saved};
+use dunespur_singleton_roles::raft_types::Entry;
+use dunespur_singleton_roles::records::{DiskState, WriteBatch};
 use redb::{Database, Durability, ReadableTable, WriteTransaction};
 use std::path::Path;
 
@@ -20,7 +21,7 @@
     /// For writing.
     pub storage: VoterStorage,
     /// What the voter continues from; empty if the file is new.
-    pub saved: Saved,
+    pub saved: DiskState,
 }
 
 impl VoterStorage {
@@ -58,7 +59,7 @@
     ///
     /// # Errors
     /// Nothing of the batch is on the disk, or it is not known to be.
-    pub fn write(&self, batch: &Batch) -> Result<(), VoterStorageError> {
+    pub fn write(&self, batch: &WriteBatch) -> Result<(), VoterStorageError> {
         let mut transaction = self.database.begin_write()?;
         transaction.set_durability(Durability::Immediate);
         apply(&transaction, batch)?;
@@ -67,13 +68,13 @@
     }
 }
 
-fn load(transaction: &WriteTransaction, owner: &FileOwner) -> Result<Saved, VoterStorageError> {
+fn load(transaction: &WriteTransaction, owner: &FileOwner) -> Result<DiskState, VoterStorageError> {
     let mut head = transaction.open_table(HEAD)?;
     check_owner(&mut head, owner)?;
-    Ok(Saved {
+    Ok(DiskState {
         meta: get(&head, KEY_META, "its head")?.unwrap_or_default(),
-        hard: get(&head, KEY_HARD_STATE, "its term and vote")?.unwrap_or_default(),
-        snap: get(&head, KEY_SNAPSHOT, "its snapshot")?.unwrap_or_default(),
+        hard_state: get(&head, KEY_HARD_STATE, "its term and vote")?.unwrap_or_default(),
+        snapshot: get(&head, KEY_SNAPSHOT, "its snapshot")?.unwrap_or_default(),
         entries: load_entries(transaction)?,
     })
 }
@@ -94,8 +95,8 @@
     Ok(entries)
 }
 
-/// Does to the tables what [`Saved::take`] does in memory.
-fn apply(transaction: &WriteTransaction, batch: &Batch) -> Result<(), VoterStorageError> {
+/// Does to the tables what [`DiskState::apply`] does in memory.
+fn apply(transaction: &WriteTransaction, batch: &WriteBatch) -> Result<(), VoterStorageError> {
     let mut head = transaction.open_table(HEAD)?;
     let mut log = transaction.open_table(LOG)?;
     if batch.wipe {
@@ -107,10 +108,10 @@
     if let Some(meta) = &batch.meta {
         put(&mut head, KEY_META, meta)?;
     }
-    if let Some(hard_state) = &batch.hard {
+    if let Some(hard_state) = &batch.hard_state {
         put(&mut head, KEY_HARD_STATE, hard_state)?;
     }
-    if let Some(snapshot) = &batch.snap {
+    if let Some(snapshot) = &batch.snapshot {
         put(&mut head, KEY_SNAPSHOT, snapshot)?;
         log.retain_in(..=snapshot.index, |_, _| false)?;
     }
