--- a/crates/serving/dunespur/tests/budgets.rs
+++ b/crates/serving/dunespur/tests/budgets.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dunespur_emulator::program::{Line, ProgramPlan};
+use dunespur_emulator::program::{Conversation, ProgramPlan};
 use dunespur_emulator::record::Fate;
 use dunespur_emulator::scene::{usual_program, ScenePlan};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 fn of_turns(turns: u64) -> ProgramPlan {
     let plan = usual_program();
     ProgramPlan {
-        budget: turns * plan.most,
+        budget: turns * plan.max_tokens,
         ..plan
     }
 }
@@ -22,7 +22,7 @@
 #[tokio::test]
 async fn a_spent_budget_is_402_before_any_server_sees_the_turn() {
     let scene = stage(ScenePlan::default()).await;
-    let mut line = Line::new(&scene.client, &of_turns(4));
+    let mut line = Conversation::new(&scene.client, &of_turns(4));
     for number in 0..4 {
         let served = line
             .turn(&scene.client, &format!("turn {number}").into())
@@ -32,10 +32,10 @@
     for front in scene.system.fronts() {
         let served = scene
             .client
-            .send_to(front, &line.ask(&scene.client, &"one more".into()))
+            .send_to(front, &line.next_request(&scene.client, &"one more".into()))
             .await;
         assert_eq!(served.status(), Some(402), "{served:?}");
-        assert!(scene.record.sightings_of(served.request).is_empty());
+        assert!(scene.record.observations_of(served.request).is_empty());
     }
     expect_no_violation(&scene);
 }
@@ -44,7 +44,7 @@
 async fn turns_through_all_gateways_at_once_keep_the_budget_and_use_all_of_it() {
     let scene = stage(ScenePlan::default()).await;
     let plan = of_turns(6);
-    let trunk = Line::new(&scene.client, &plan);
+    let trunk = Conversation::new(&scene.client, &plan);
     let until = Instant::now() + RECOVERY;
     let mut handed = 0;
     let mut spent = false;
@@ -77,7 +77,7 @@
 async fn a_budget_survives_a_kill_of_all_processes() {
     let mut scene = stage(ScenePlan::default()).await;
     let plan = of_turns(4);
-    let mut line = Line::new(&scene.client, &plan);
+    let mut line = Conversation::new(&scene.client, &plan);
     for number in 0..3 {
         assert!(line
             .turn(&scene.client, &format!("turn {number}").into())
@@ -88,7 +88,7 @@
     for index in 0..scene.system.machines().len() {
         scene.system.restart(index).unwrap();
     }
-    scene.settle().await.unwrap();
+    scene.wait_until_serving().await.unwrap();
     let mut ended = false;
     for number in 0..20 {
         let served = line
@@ -103,7 +103,7 @@
 
 #[tokio::test]
 async fn failed_attempts_count() {
-    use dunespur_emulator::server::Trouble;
+    use dunespur_emulator::server::ServerFault;
     let scene = stage(ScenePlan::default()).await;
     let plan = ProgramPlan {
         retries: 0,
@@ -112,16 +112,16 @@
     for engine in &scene.engines {
         engine
             .server
-            .door
-            .troubles
-            .always(Some(Trouble::Cut { after: 150 }));
+            .handle
+            .faults
+            .always(Some(ServerFault::TruncateBody { after: 150 }));
     }
-    let line = Line::new(&scene.client, &plan);
+    let line = Conversation::new(&scene.client, &plan);
     let until = Instant::now() + RECOVERY;
     loop {
         let served = scene
             .client
-            .send(&line.ask(&scene.client, &"cut".into()))
+            .send(&line.next_request(&scene.client, &"cut".into()))
             .await;
         if served.status() == Some(402) {
             break;
@@ -133,9 +133,9 @@
     }
     let runs = scene
         .record
-        .sightings()
+        .observations()
         .iter()
-        .filter(|sighting| sighting.fate == Fate::Run)
+        .filter(|observation| observation.fate == Fate::Run)
         .count();
     assert!(runs > 0);
     expect_no_violation(&scene);
--- a/crates/serving/dunespur/tests/explain.rs
+++ b/crates/serving/dunespur/tests/explain.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dunespur_emulator::client::Ask;
+use dunespur_emulator::client::RequestSpec;
 use dunespur_emulator::scene::{Scene, ScenePlan, HOST};
 use dunespur_emulator::system::TemporaryFolder;
 use std::fs::{self, File};
@@ -145,7 +145,10 @@
     let scene = Scene::start(&program, ScenePlan::default()).await.unwrap();
     let served = scene.client.send(&lookup()).await;
     assert!(served.succeeded(), "{served:?}");
-    let refused = scene.client.send(&Ask::get(HOST, "/nowhere/x")).await;
+    let refused = scene
+        .client
+        .send(&RequestSpec::get(HOST, "/nowhere/x"))
+        .await;
     assert_eq!(refused.status(), Some(404));
     let line = line_of(&scene, 1).await;
     let turn = line.previous().unwrap().to_string();
--- a/crates/serving/dunespur/tests/founding.rs
+++ b/crates/serving/dunespur/tests/founding.rs
@@ -71,7 +71,7 @@
 /// There is one system: each gateway takes an order on top of what the one before took, and all read the same.
 async fn expect_one_system(scene: &mut Stage) {
     scene.configure().await.unwrap();
-    scene.settle().await.unwrap();
+    scene.wait_until_serving().await.unwrap();
     let controls = scene.system.controls();
     let mut version = 1;
     for control in &controls {
@@ -166,7 +166,7 @@
     scene.system.machine(late).wipe().unwrap();
     scene.configure().await.unwrap();
     scene.system.restart_bootstrapping(late).unwrap();
-    scene.settle().await.unwrap();
+    scene.wait_until_serving().await.unwrap();
     programs_for(&scene, CATCH_UP).await;
     let other = places(&scene, Role::Core)[0];
     scene.system.machine(other).kill();
--- a/crates/serving/dunespur/tests/leaving.rs
+++ b/crates/serving/dunespur/tests/leaving.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use dunespur_emulator::program::Line;
-use dunespur_emulator::record::{Fate, Sighting};
+use dunespur_emulator::program::Conversation;
+use dunespur_emulator::record::{Fate, Observation};
 use dunespur_emulator::scene::{usual_program, ScenePlan};
 use dunespur_emulator::system::{MachinePlan, Role, TemporaryFolder};
 use serde_json::Value;
@@ -25,19 +25,23 @@
     let mut scene = stage(ScenePlan::default()).await;
     let leaving = places(&scene, Role::Gateway)[0];
     for engine in &scene.engines {
-        engine.server.gate.hold();
+        engine.server.gate.close();
     }
-    let mut line = Line::new(&scene.client, &usual_program());
-    let ask = line.ask(&scene.client, &"hello".into());
+    let mut line = Conversation::new(&scene.client, &usual_program());
+    let ask = line.next_request(&scene.client, &"hello".into());
     let (client, front) = (scene.client.clone(), scene.system.front(leaving));
     let turn = tokio::spawn(async move { client.send_to(front, &ask).await });
     engine_of_a_turn(&scene).await;
     for engine in &scene.engines {
-        engine.server.gate.let_go(5);
+        engine.server.gate.release(5);
     }
     scene
         .record
-        .until(|sightings| sightings.iter().any(|sighting| sighting.events.len() == 1))
+        .until(|observations| {
+            observations
+                .iter()
+                .any(|observation| observation.events.len() == 1)
+        })
         .await;
     scene.terminate(leaving).unwrap();
     while scene.system.readiness(leaving).await == Some(200) {}
@@ -62,17 +66,17 @@
     scene
         .engines
         .iter()
-        .for_each(|engine| engine.server.gate.hold());
-    let before = scene.record.sightings().len();
+        .for_each(|engine| engine.server.gate.close());
+    let before = scene.record.observations().len();
     let turns = leaving.map(|index| {
         let (client, front, ask) = (
             scene.client.clone(),
             scene.system.front(index),
-            scene.turn_ask(),
+            scene.turn_request(),
         );
         tokio::spawn(async move { client.send_to(front, &ask).await })
     });
-    let arrived = |seen: &&Sighting| seen.fate != Fate::TurnedAway;
+    let arrived = |seen: &&Observation| seen.fate != Fate::Rejected;
     scene
         .record
         .until(|seen| seen[before..].iter().filter(arrived).count() == leaving.len())
@@ -111,11 +115,11 @@
     scene
         .engines
         .iter()
-        .for_each(|engine| engine.server.gate.hold());
+        .for_each(|engine| engine.server.gate.close());
     let (client, front, ask) = (
         scene.client.clone(),
         scene.system.front(gateway),
-        scene.turn_ask(),
+        scene.turn_request(),
     );
     let turn = tokio::spawn(async move { client.send_to(front, &ask).await });
     engine_of_a_turn(&scene).await;
@@ -134,7 +138,7 @@
         .iter()
         .for_each(|engine| engine.server.gate.open());
     let served = turn.await.unwrap();
-    assert!(served.succeeded() && served.tries == 1, "{served:?}");
+    assert!(served.succeeded() && served.attempts == 1, "{served:?}");
     assert!(scene.system.machine(gateway).is_running());
     expect_no_violation(&scene);
 }
@@ -143,14 +147,17 @@
 async fn gateways_leave_and_return_in_turn_under_load() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut version_line = line_of(&scene, 1).await;
-    for index in scene.system.places(|plan| plan.role != Role::Store) {
+    for index in scene
+        .system
+        .machine_indices(|plan| plan.role != Role::Store)
+    {
         scene.terminate(index).unwrap();
         go_on(&scene, &mut version_line, &format!("while {index} leaves")).await;
         let status = scene.system.machine(index).wait(GRACE).await.unwrap();
         assert!(status.success(), "{status}");
         scene.system.restart(index).unwrap();
         scene.client.set_fronts(scene.system.fronts());
-        scene.settle().await.unwrap();
+        scene.wait_until_serving().await.unwrap();
         programs_for(&scene, CATCH_UP).await;
     }
     expect_no_violation(&scene);
--- a/crates/serving/dunespur/tests/load_aggregators.rs
+++ b/crates/serving/dunespur/tests/load_aggregators.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use dunespur_emulator::client::call::{call, Call};
-use dunespur_emulator::scene::{Scene, ScenePlan, SETTLE_LIMIT};
+use dunespur_emulator::scene::{Scene, ScenePlan, READY_TIMEOUT};
 use dunespur_emulator::system::Role;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
 
 /// Waits until `by` names `home` for the service's heartbeats.
 async fn named(by: SocketAddr, service: &str, home: SocketAddr) {
-    let until = Instant::now() + SETTLE_LIMIT;
+    let until = Instant::now() + READY_TIMEOUT;
     let mut seq = 100;
     loop {
         seq += 1;
@@ -75,7 +75,7 @@
         .collect();
     for number in 0.. {
         let service = format!("service-{number}");
-        let until = Instant::now() + SETTLE_LIMIT;
+        let until = Instant::now() + READY_TIMEOUT;
         loop {
             let mut named = Vec::new();
             for control in &controls {
@@ -118,7 +118,7 @@
     let [other, home] = gateways(&scene);
     let service = service_at(&scene, home).await;
     for engine in &scene.engines {
-        engine.server.gate.hold();
+        engine.server.gate.close();
     }
     let turn = held_turn(&scene, home).await;
     scene.terminate(home).unwrap();
@@ -137,7 +137,7 @@
 
 /// A turn through the gateway at `place` that waits at a server.
 async fn held_turn(scene: &Scene, place: usize) -> tokio::task::JoinHandle<bool> {
-    let ask = scene.turn_ask();
+    let ask = scene.turn_request();
     let (client, front) = (scene.client.clone(), scene.system.front(place));
     let turn = tokio::spawn(async move { client.send_to(front, &ask).await.succeeded() });
     engine_of_a_turn(scene).await;
@@ -156,7 +156,7 @@
     let service = service_at(&scene, home).await;
     let address = scene.system.server_address().unwrap();
     let server = scene.add_plain_at(address, &service).await.unwrap();
-    assert_eq!(scene.plains[server].server.door.identity.zone, ZONE);
+    assert_eq!(scene.plains[server].server.handle.identity.zone, ZONE);
     scene.plains[server].registration.known().await;
     scene.system.machine(home).freeze().unwrap();
     let asked = Instant::now();
@@ -176,7 +176,7 @@
         scene.system.machine(core).freeze().unwrap();
     }
     let control = scene.system.control(home);
-    let until = Instant::now() + SETTLE_LIMIT;
+    let until = Instant::now() + READY_TIMEOUT;
     while beat(control, &service, 200).await.is_some() {
         assert!(
             Instant::now() < until,
--- a/crates/serving/dunespur/tests/losses.rs
+++ b/crates/serving/dunespur/tests/losses.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dunespur_emulator::client::Ask;
+use dunespur_emulator::client::RequestSpec;
 use dunespur_emulator::scene::{Scene, ScenePlan, HOST};
 use dunespur_emulator::system::{MachinePlan, Role};
 use support::disk::with_standstills_apart;
@@ -14,8 +14,11 @@
 
 /// Every running gateway serves this route.
 async fn serves_route(scene: &Scene, generation: u64) {
-    let ask = Ask::get(HOST, &format!("/route-{generation}/x"));
-    for index in scene.system.places(|plan| plan.role != Role::Store) {
+    let ask = RequestSpec::get(HOST, &format!("/route-{generation}/x"));
+    for index in scene
+        .system
+        .machine_indices(|plan| plan.role != Role::Store)
+    {
         if scene.system.machines()[index].is_running() {
             scene
                 .answers(scene.system.front(index), &ask)
@@ -34,7 +37,7 @@
         version = add_route(&mut scene, version).await;
         serves_route(&scene, version).await;
         scene.system.restart(member).unwrap();
-        scene.settle().await.unwrap();
+        scene.wait_until_serving().await.unwrap();
         serves_route(&scene, version).await;
         programs_for(&scene, CATCH_UP).await;
     }
@@ -56,7 +59,7 @@
         }
         assert_eq!(generation(&mut scene).await, version);
         go_on_within(&scene, &mut line, &format!("after {round}"), RECOVERY).await;
-        scene.settle().await.unwrap();
+        scene.wait_until_serving().await.unwrap();
         serves_route(&scene, version).await;
     }
     expect_no_violation(&scene);
@@ -73,7 +76,7 @@
     }
     assert_eq!(generation(&mut scene).await, version);
     version = add_route(&mut scene, version).await;
-    scene.settle().await.unwrap();
+    scene.wait_until_serving().await.unwrap();
     serves_route(&scene, version).await;
     expect_no_violation(&scene);
 }
@@ -96,7 +99,7 @@
         programs_for(&scene, CATCH_UP).await;
         version = add_route(&mut scene, version).await;
     }
-    scene.settle().await.unwrap();
+    scene.wait_until_serving().await.unwrap();
     serves_route(&scene, version).await;
     scene.system.machine(members[2]).kill();
     version = add_route(&mut scene, version).await;
@@ -108,7 +111,7 @@
 fn running(scene: &Scene) -> (Vec<std::net::SocketAddr>, Vec<std::net::SocketAddr>) {
     let running: Vec<usize> = scene
         .system
-        .places(|plan| plan.role != Role::Store)
+        .machine_indices(|plan| plan.role != Role::Store)
         .into_iter()
         .filter(|index| scene.system.machines()[*index].is_running())
         .collect();
@@ -177,7 +180,7 @@
         assert!(frozen.elapsed() < RECOVERY);
         scene.system.machine(member).thaw().unwrap();
         scene.client.set_fronts(scene.system.fronts());
-        scene.settle().await.unwrap();
+        scene.wait_until_serving().await.unwrap();
         serves_route(&scene, version).await;
         programs_for(&scene, CATCH_UP).await;
     }
--- a/crates/serving/dunespur/tests/orders.rs
+++ b/crates/serving/dunespur/tests/orders.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use dunespur_emulator::client::{Ask, Kind};
-use dunespur_emulator::configuration::{patch, RoutePlan, Share};
+use dunespur_emulator::client::{Kind, RequestSpec};
+use dunespur_emulator::configuration::{patch, RoutePlan, WeightedBackend};
 use dunespur_emulator::scene::{Scene, ScenePlan, HOST, LOOKUP, MODELS, TOOLS};
 use dunespur_emulator::system::Role;
 use serde_json::{json, Value};
@@ -46,9 +46,12 @@
 }
 
 /// Every gateway answers with this status before the time for it is over.
-async fn everywhere(scene: &Scene, ask: &Ask, status: u16) {
+async fn everywhere(scene: &Scene, ask: &RequestSpec, status: u16) {
     let until = Instant::now() + APPLY;
-    for index in scene.system.places(|plan| plan.role != Role::Store) {
+    for index in scene
+        .system
+        .machine_indices(|plan| plan.role != Role::Store)
+    {
         loop {
             let served = scene.client.send_to(scene.system.front(index), ask).await;
             if served.status() == Some(status) {
@@ -62,7 +65,7 @@
 #[tokio::test]
 async fn a_patch_is_in_force_at_all_gateways_in_time() {
     let mut scene = stage(ScenePlan::default()).await;
-    let ask = Ask::get(HOST, "/added/x");
+    let ask = RequestSpec::get(HOST, "/added/x");
     everywhere(&scene, &ask, 404).await;
     change(&mut scene, 1, 4, &[added()], &[]).await;
     everywhere(&scene, &ask, 200).await;
@@ -77,14 +80,14 @@
     let mut moved = RoutePlan::new("lookup", HOST, LOOKUP, Kind::ReadOnly, MODELS);
     moved.retries = 2;
     change(&mut scene, 1, 2, std::slice::from_ref(&moved), &[]).await;
-    everywhere(&scene, &Ask::get(HOST, &format!("{LOOKUP}x")), 200).await;
+    everywhere(&scene, &RequestSpec::get(HOST, &format!("{LOOKUP}x")), 200).await;
     let until = Instant::now() + APPLY;
     loop {
         let served = scene
             .client
-            .send(&Ask::get(HOST, &format!("{LOOKUP}x")))
+            .send(&RequestSpec::get(HOST, &format!("{LOOKUP}x")))
             .await;
-        let runs = scene.record.sightings_of(served.request);
+        let runs = scene.record.observations_of(served.request);
         if served.succeeded()
             && runs.iter().all(|run| run.backend == MODELS)
             && Instant::now() > until
@@ -98,11 +101,11 @@
         );
     }
     moved.backends = vec![
-        Share {
+        WeightedBackend {
             backend: TOOLS.to_owned(),
             weight: 0,
         },
-        Share {
+        WeightedBackend {
             backend: MODELS.to_owned(),
             weight: 3,
         },
@@ -112,7 +115,7 @@
     while after.elapsed() < APPLY + APPLY / 4 {
         let served = scene
             .client
-            .send(&Ask::get(HOST, &format!("{LOOKUP}x")))
+            .send(&RequestSpec::get(HOST, &format!("{LOOKUP}x")))
             .await;
         assert!(served.succeeded(), "{served:?}");
     }
@@ -149,7 +152,7 @@
         assert_eq!(answer.status, 412, "base {base}");
     }
     assert_eq!(current(&mut scene).await["generation"], json!(5));
-    everywhere(&scene, &Ask::get(HOST, "/other/x"), 404).await;
+    everywhere(&scene, &RequestSpec::get(HOST, "/other/x"), 404).await;
 }
 
 #[tokio::test]
--- a/crates/serving/dunespur/tests/quiet.rs
+++ b/crates/serving/dunespur/tests/quiet.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use dunespur_emulator::client::{Ask, Kind};
-use dunespur_emulator::program::{play, End, Line, SubAgents, Tool};
+use dunespur_emulator::client::{Kind, RequestSpec};
+use dunespur_emulator::program::{play, Conversation, End, SubAgents, Tool};
 use dunespur_emulator::record::Fate;
 use dunespur_emulator::scene::{usual_program, ScenePlan, HOST, LOOKUP, RECORD, TURNS};
 use support::{expect_no_violation, lookup, stage, DRAIN};
@@ -56,7 +56,7 @@
 #[tokio::test]
 async fn several_turns_may_continue_the_same_one() {
     let scene = stage(ScenePlan::default()).await;
-    let mut trunk = Line::new(&scene.client, &usual_program());
+    let mut trunk = Conversation::new(&scene.client, &usual_program());
     assert!(trunk.turn(&scene.client, &"root".into()).await.succeeded());
     for name in ["left", "middle", "right"] {
         let mut branch = trunk.branch(&scene.client);
@@ -73,11 +73,11 @@
 #[tokio::test]
 async fn a_turn_that_continues_an_unknown_one_is_404_and_runs_nowhere() {
     let scene = stage(ScenePlan::default()).await;
-    let mut line = Line::new(&scene.client, &usual_program());
+    let mut line = Conversation::new(&scene.client, &usual_program());
     line.set_previous(Some(scene.identities.request()));
     let served = line.turn(&scene.client, &"hello".into()).await;
     assert_eq!(served.status(), Some(404), "{served:?}");
-    assert!(scene.record.sightings_of(served.request).is_empty());
+    assert!(scene.record.observations_of(served.request).is_empty());
     expect_no_violation(&scene);
 }
 
@@ -89,9 +89,9 @@
         ("other.example", "/lookup/x"),
         (HOST, "/lookup"),
     ] {
-        let served = scene.client.send(&Ask::get(host, target)).await;
+        let served = scene.client.send(&RequestSpec::get(host, target)).await;
         assert_eq!(served.status(), Some(404), "{host}{target}");
-        assert!(scene.record.sightings_of(served.request).is_empty());
+        assert!(scene.record.observations_of(served.request).is_empty());
     }
     expect_no_violation(&scene);
 }
@@ -114,32 +114,32 @@
     scene.engines.remove(0);
     for _ in 0..20 {
         let served = scene.client.send(&lookup()).await;
-        assert!(served.succeeded() && served.tries == 1, "{served:?}");
+        assert!(served.succeeded() && served.attempts == 1, "{served:?}");
     }
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
 async fn a_mutating_request_runs_once_though_its_response_is_lost() {
-    use dunespur_emulator::server::Trouble;
+    use dunespur_emulator::server::ServerFault;
     let scene = stage(ScenePlan::default()).await;
-    let ask = Ask::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once");
+    let ask = RequestSpec::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once");
     for trouble in [
-        Trouble::AnswerLost,
-        Trouble::Garble,
-        Trouble::Cut { after: 10 },
-        Trouble::Unavailable,
-        Trouble::Fail,
+        ServerFault::AnswerLost,
+        ServerFault::SendGarbage,
+        ServerFault::TruncateBody { after: 10 },
+        ServerFault::Unavailable,
+        ServerFault::Fail,
     ] {
         for plain in &scene.plains {
-            plain.server.door.troubles.once(trouble);
+            plain.server.handle.faults.once(trouble);
         }
         for _ in 0..6 {
             let served = scene.client.send(&ask).await;
-            let runs = scene.record.sightings_of(served.request);
+            let runs = scene.record.observations_of(served.request);
             let ran = runs
                 .iter()
-                .filter(|sighting| sighting.fate == Fate::Run)
+                .filter(|observation| observation.fate == Fate::Run)
                 .count();
             assert!(ran <= 1, "{trouble:?}: {served:?}");
         }
@@ -149,19 +149,19 @@
 
 #[tokio::test]
 async fn an_idempotent_request_is_served_though_a_server_spoils_its_responses() {
-    use dunespur_emulator::server::Trouble;
+    use dunespur_emulator::server::ServerFault;
     let scene = stage(ScenePlan::default()).await;
     for trouble in [
-        Trouble::AnswerLost,
-        Trouble::Garble,
-        Trouble::Surplus,
-        Trouble::LateSurplus,
-        Trouble::Close,
-        Trouble::TurnAway { status: 503 },
-        Trouble::TurnAway { status: 429 },
+        ServerFault::AnswerLost,
+        ServerFault::SendGarbage,
+        ServerFault::Surplus,
+        ServerFault::LateSurplus,
+        ServerFault::Close,
+        ServerFault::Reject { status: 503 },
+        ServerFault::Reject { status: 429 },
     ] {
         for _ in 0..6 {
-            scene.plains[0].server.door.troubles.once(trouble);
+            scene.plains[0].server.handle.faults.once(trouble);
             let served = scene.client.send(&lookup()).await;
             assert!(served.succeeded(), "{trouble:?}: {served:?}");
         }
--- a/crates/serving/dunespur/tests/seeds.rs
+++ b/crates/serving/dunespur/tests/seeds.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use dunespur_emulator::client::{Ask, Kind};
+use dunespur_emulator::client::{Kind, RequestSpec};
 use dunespur_emulator::scene::{ScenePlan, HOST, RECORD};
 use dunespur_emulator::system::{MachinePlan, Role};
 use support::{expect_no_violation, go_on_within, line_of, lookup, places, stage, RECOVERY};
@@ -51,9 +51,9 @@
     }
     scene.system.machine(gateway).kill();
     scene.system.restart(gateway).unwrap();
-    let turn = line.ask(&scene.client, &"goes on".into());
-    let record = Ask::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once");
-    for ask in [lookup(), record, turn, Ask::get(HOST, "/nowhere/x")] {
+    let turn = line.next_request(&scene.client, &"goes on".into());
+    let record = RequestSpec::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once");
+    for ask in [lookup(), record, turn, RequestSpec::get(HOST, "/nowhere/x")] {
         let until = Instant::now() + RECOVERY;
         let front = scene.system.front(gateway);
         let mut status = None;
@@ -63,7 +63,7 @@
                 .client
                 .send_to(
                     front,
-                    &Ask {
+                    &RequestSpec {
                         retries: 0,
                         ..ask.clone()
                     },
@@ -76,7 +76,7 @@
     for core in places(&scene, Role::Core) {
         scene.system.restart(core).unwrap();
     }
-    scene.settle().await.unwrap();
+    scene.wait_until_serving().await.unwrap();
     go_on_within(&scene, &mut line, "later", RECOVERY).await;
     expect_no_violation(&scene);
 }
--- a/crates/serving/dunespur/tests/servers.rs
+++ b/crates/serving/dunespur/tests/servers.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use dunespur_emulator::client::Served;
-use dunespur_emulator::client::{Ask, Kind};
+use dunespur_emulator::client::{Kind, RequestSpec};
 use dunespur_emulator::configuration::ServicePlan;
 use dunespur_emulator::record::Fate;
 use dunespur_emulator::scene::{Engine, Scene, ScenePlan, HOST, LOOKUP, RECORD};
@@ -16,8 +16,8 @@
 /// How long the client of a turn that a test holds waits for it.
 const PATIENCE_MS: u64 = 20_000;
 
-fn record() -> Ask {
-    Ask::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once")
+fn record() -> RequestSpec {
+    RequestSpec::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once")
 }
 
 /// A scene whose routes hold requests for as long as the others are watched.
@@ -35,11 +35,11 @@
     scene
         .engines
         .iter()
-        .for_each(|engine| engine.server.gate.hold());
-    let ask = Ask {
+        .for_each(|engine| engine.server.gate.close());
+    let ask = RequestSpec {
         deadline_ms: PATIENCE_MS,
-        pause_ms: PATIENCE_MS,
-        ..scene.turn_ask()
+        max_gap_ms: PATIENCE_MS,
+        ..scene.turn_request()
     };
     let client = scene.client.clone();
     let turn = tokio::spawn(async move { client.send(&ask).await });
@@ -50,7 +50,7 @@
 fn seen_at(scene: &Scene, engine: &Engine) -> usize {
     scene
         .record
-        .sightings_at(&engine.server.door.identity.instance)
+        .observations_at(&engine.server.handle.identity.instance)
         .len()
 }
 
@@ -68,7 +68,7 @@
 async fn ends_whole(scene: &Scene, holder: usize, turn: JoinHandle<Served>) {
     scene.engines[holder].server.gate.open();
     let served = turn.await.unwrap();
-    assert!(served.succeeded() && served.tries == 1, "{served:?}");
+    assert!(served.succeeded() && served.attempts == 1, "{served:?}");
     expect_no_violation(scene);
 }
 
@@ -80,8 +80,8 @@
     leaving.leave().await;
     for control in scene.system.controls() {
         // Heartbeats of before that come seconds late.
-        leaving.stray(control, 1, false).await;
-        leaving.stray(control, 1_000, false).await;
+        leaving.send_out_of_order(control, 1, false).await;
+        leaving.send_out_of_order(control, 1_000, false).await;
     }
     others_serve(&scene, holder).await;
     ends_whole(&scene, holder, turn).await;
@@ -107,7 +107,7 @@
     while clean < 40 {
         let served = scene.client.send(&lookup()).await;
         assert!(served.succeeded(), "{served:?}");
-        clean = if served.tries == 1 { clean + 1 } else { 0 };
+        clean = if served.attempts == 1 { clean + 1 } else { 0 };
         assert!(
             Instant::now() < until,
             "the server is tried again and again"
@@ -123,8 +123,14 @@
     draining.registration.drain().await;
     let acknowledged = Instant::now();
     for control in scene.system.controls() {
-        draining.registration.stray(control, 1, false).await;
-        draining.registration.stray(control, 1_000, false).await;
+        draining
+            .registration
+            .send_out_of_order(control, 1, false)
+            .await;
+        draining
+            .registration
+            .send_out_of_order(control, 1_000, false)
+            .await;
     }
     while acknowledged.elapsed() < DRAIN + DRAIN / 4 {
         assert!(scene.client.send(&lookup()).await.succeeded());
@@ -132,7 +138,7 @@
     expect_no_violation(&scene);
     let before = scene
         .record
-        .sightings_at(&draining.server.door.identity.instance)
+        .observations_at(&draining.server.handle.identity.instance)
         .len();
     for _ in 0..50 {
         assert!(scene.client.send(&lookup()).await.succeeded());
@@ -140,7 +146,7 @@
     assert_eq!(
         scene
             .record
-            .sightings_at(&draining.server.door.identity.instance)
+            .observations_at(&draining.server.handle.identity.instance)
             .len(),
         before
     );
@@ -157,21 +163,21 @@
     plan.configuration.services.push(other);
     let mut scene = stage(plan).await;
     let crashed = scene.plains.remove(0);
-    let address = crashed.server.door.identity.address;
+    let address = crashed.server.handle.identity.address;
     crashed.registration.fall_silent();
     drop(crashed);
     tokio::task::yield_now().await;
     let other = scene.add_plain_at(address, "other").await.unwrap();
-    let instance = scene.plains[other].server.door.identity.instance.clone();
+    let instance = scene.plains[other].server.handle.identity.instance.clone();
     let until = Instant::now() + DRAIN;
     while Instant::now() < until {
         assert!(scene.client.send(&lookup()).await.succeeded());
         assert!(scene.client.send(&record()).await.succeeded());
     }
-    let sightings = scene.record.sightings_at(&instance);
-    let ran = sightings
+    let observations = scene.record.observations_at(&instance);
+    let ran = observations
         .iter()
-        .filter(|sighting| sighting.fate == Fate::Run)
+        .filter(|observation| observation.fate == Fate::Run)
         .count();
     assert_eq!(ran, 0, "a server of another service ran requests");
     expect_no_violation(&scene);
@@ -181,13 +187,13 @@
 async fn requests_queue_or_are_rejected_in_time_where_all_slots_are_taken() {
     let scene = stage(ScenePlan::default()).await;
     for plain in &scene.plains {
-        plain.server.gate.hold();
+        plain.server.gate.close();
     }
     let places: usize = scene.plains.len() * (scene.plan.plain_slots as usize);
     let mut held = tokio::task::JoinSet::new();
     for _ in 0..4 * places {
         let client = scene.client.clone();
-        let ask = Ask {
+        let ask = RequestSpec {
             deadline_ms: 2_000,
             ..record()
         };
@@ -233,7 +239,7 @@
         scene.plains.remove(0);
         scene.engines.remove(0);
     }
-    let last = Ask::get(HOST, &format!("{LOOKUP}last"));
+    let last = RequestSpec::get(HOST, &format!("{LOOKUP}last"));
     assert!(scene.client.send(&last).await.succeeded());
     expect_no_violation(&scene);
 }
--- a/crates/serving/dunespur/tests/status.rs
+++ b/crates/serving/dunespur/tests/status.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use dunespur_emulator::program::{play, End};
-use dunespur_emulator::scene::{usual_program, Scene, ScenePlan, MODELS, SETTLE_LIMIT, TOOLS};
+use dunespur_emulator::scene::{usual_program, Scene, ScenePlan, MODELS, READY_TIMEOUT, TOOLS};
 use dunespur_emulator::system::{AddressBlock, Ports, Role, TemporaryFolder};
 use running::Running;
 use serde_json::{json, Value};
@@ -54,7 +54,7 @@
     arguments: &[&str],
     wanted: impl Fn(&Value) -> bool,
 ) -> Value {
-    let until = Instant::now() + SETTLE_LIMIT;
+    let until = Instant::now() + READY_TIMEOUT;
     loop {
         let status = json_of(address, arguments).await;
         if wanted(&status) {
@@ -77,7 +77,7 @@
 
 /// The tables as soon as all these words stand in them.
 async fn table_with(address: SocketAddr, words: &[&str]) {
-    let until = Instant::now() + SETTLE_LIMIT;
+    let until = Instant::now() + READY_TIMEOUT;
     loop {
         let table = table_of(address).await;
         let Some(missing) = words.iter().find(|word| !table.contains(**word)) else {
--- a/crates/serving/dunespur/tests/support/mod.rs
+++ b/crates/serving/dunespur/tests/support/mod.rs
@@ -4,9 +4,9 @@
 pub mod disk;
 
 use disk::{fail_as_late, stood_still_since};
-use dunespur_emulator::client::{Ask, Kind};
+use dunespur_emulator::client::{Kind, RequestSpec};
 use dunespur_emulator::configuration::{patch, RoutePlan};
-use dunespur_emulator::program::{play, End, Line};
+use dunespur_emulator::program::{play, Conversation, End};
 use dunespur_emulator::scene::{usual_program, Scene, ScenePlan, HOST, LOOKUP, TOOLS};
 use dunespur_emulator::system::Role;
 use serde_json::Value;
@@ -84,7 +84,7 @@
 
 /// Places of machines of a role.
 pub fn places(scene: &Scene, role: Role) -> Vec<usize> {
-    scene.system.places(|plan| plan.role == role)
+    scene.system.machine_indices(|plan| plan.role == role)
 }
 
 /// No rule is broken by what servers and clients of the scene saw.
@@ -124,8 +124,8 @@
 }
 
 /// A line of so many turns answered whole.
-pub async fn line_of(scene: &Scene, turns: u32) -> Line {
-    let mut line = Line::new(&scene.client, &usual_program());
+pub async fn line_of(scene: &Scene, turns: u32) -> Conversation {
+    let mut line = Conversation::new(&scene.client, &usual_program());
     for number in 0..turns {
         go_on(scene, &mut line, &format!("turn {number}")).await;
     }
@@ -133,7 +133,7 @@
 }
 
 /// The line's next turn, which has to be answered whole.
-pub async fn go_on(scene: &Scene, line: &mut Line, input: &str) {
+pub async fn go_on(scene: &Scene, line: &mut Conversation, input: &str) {
     let served = line.turn(&scene.client, &input.to_owned().into()).await;
     if served.status() == Some(LATER) {
         fail_as_late(format!("{input}: {served:?}"));
@@ -142,7 +142,7 @@
 }
 
 /// The line's next turn, asked for until it is answered whole; a 404 is none.
-pub async fn go_on_within(scene: &Scene, line: &mut Line, input: &str, limit: Duration) {
+pub async fn go_on_within(scene: &Scene, line: &mut Conversation, input: &str, limit: Duration) {
     let until = Instant::now() + limit;
     loop {
         let served = line.turn(&scene.client, &input.to_owned().into()).await;
@@ -158,8 +158,8 @@
 }
 
 /// A lookup that has no influence on anything.
-pub fn lookup() -> Ask {
-    Ask::get(HOST, &format!("{LOOKUP}x"))
+pub fn lookup() -> RequestSpec {
+    RequestSpec::get(HOST, &format!("{LOOKUP}x"))
 }
 
 /// Adds one route on top of `base`.
--- a/crates/serving/dunespur/tests/unreadable.rs
+++ b/crates/serving/dunespur/tests/unreadable.rs
@@ -67,7 +67,7 @@
     }
     assert_eq!(generation(&mut scene).await, version);
     version = add_route(&mut scene, version).await;
-    scene.settle().await.unwrap();
+    scene.wait_until_serving().await.unwrap();
     assert_eq!(generation(&mut scene).await, version);
     expect_no_violation(&scene);
 }
--- a/crates/serving/dunespur/tests/upgrading.rs
+++ b/crates/serving/dunespur/tests/upgrading.rs
@@ -7,7 +7,7 @@
 mod support;
 
 use dunespur_emulator::client::Client;
-use dunespur_emulator::program::{play, End, Line};
+use dunespur_emulator::program::{play, Conversation, End};
 use dunespur_emulator::scene::{usual_program, Scene, ScenePlan};
 use dunespur_emulator::system::Role;
 use std::path::PathBuf;
@@ -32,7 +32,7 @@
 }
 
 /// A scene of the earlier program with lines of turns and a configuration of two versions.
-async fn earlier_stage() -> (Stage, Vec<Line>, u64) {
+async fn earlier_stage() -> (Stage, Vec<Conversation>, u64) {
     let mut scene = stage_of(&earlier_program(), ScenePlan::default()).await;
     let mut lines = Vec::new();
     for _ in 0..LINES {
@@ -81,18 +81,18 @@
     assert!(status.success(), "{status}");
     scene.system.machine(machine).set_program(program());
     scene.system.restart(machine).unwrap();
-    scene.settle().await.unwrap();
+    scene.wait_until_serving().await.unwrap();
     scene.client.set_fronts(scene.system.fronts());
 }
 
 /// The configuration and the lines of turns that the earlier program was told are there.
-async fn expect_continued(scene: &mut Stage, lines: &mut [Line], version: u64) {
+async fn expect_continued(scene: &mut Stage, lines: &mut [Conversation], version: u64) {
     assert_eq!(generation(scene).await, version);
     for line in &mut *lines {
         go_on_within(scene, line, "under the later program", RECOVERY).await;
     }
     let version = add_route(scene, version).await;
-    scene.settle().await.unwrap();
+    scene.wait_until_serving().await.unwrap();
     assert_eq!(generation(scene).await, version);
     expect_no_violation(scene);
 }
@@ -145,7 +145,7 @@
             scene.system.machine(machine).set_program(program());
             scene.system.restart(machine).unwrap();
         }
-        scene.settle().await.unwrap();
+        scene.wait_until_serving().await.unwrap();
         expect_continued(&mut scene, &mut lines, version).await;
         programs_for(&scene, CATCH_UP).await;
         expect_no_violation(&scene);
--- a/crates/testing/emulator/src/client/attempt.rs
+++ b/crates/testing/emulator/src/client/attempt.rs
@@ -1,9 +1,9 @@
 //! One try of a request on a new connection.
 
-use super::request::Ask;
+use super::request::RequestSpec;
 use crate::digest::Digester;
 use crate::identity::RequestId;
-use crate::record::{Answered, TryOutcome};
+use crate::record::{Answered, AttemptOutcome};
 use crate::wire::{name, request_bytes, EventReader, MessageReader, ResponseHead, WireError};
 use bytes::{Bytes, BytesMut};
 use std::net::SocketAddr;
@@ -14,56 +14,56 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 /// Bytes of answers that are kept; all count in the digest.
-const KEPT_BODY: usize = 64 * 1024;
+const MAX_RECORDED_BODY: usize = 64 * 1024;
 /// A new connection is given this long to come up.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes behind an answer are looked for this long at most, where the connection stays open.
-const SURPLUS_LOOK: Duration = Duration::from_millis(2);
+const SURPLUS_TIMEOUT: Duration = Duration::from_millis(2);
 
 /// How long a client waits.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct Timeouts {
     /// The end of the client's time.
     pub until: Instant,
     /// The longest silence of a stream.
-    pub silence: Duration,
+    pub idle: Duration,
 }
 
 /// A try with all that it takes.
 pub(super) struct Attempt<'a> {
-    pub ask: &'a Ask,
+    pub spec: &'a RequestSpec,
     pub request: RequestId,
     pub front: SocketAddr,
-    pub patience: Patience,
+    pub timeouts: Timeouts,
 }
 
 impl Attempt<'_> {
     /// Sends the request and reads what comes.
-    pub async fn carry_out(&self) -> TryOutcome {
-        match timeout_at(self.patience.until, self.exchange()).await {
+    pub async fn carry_out(&self) -> AttemptOutcome {
+        match timeout_at(self.timeouts.until, self.exchange()).await {
             Ok(outcome) => outcome,
-            Err(_) => TryOutcome::GivenUp,
+            Err(_) => AttemptOutcome::GivenUp,
         }
     }
 
-    async fn exchange(&self) -> TryOutcome {
+    async fn exchange(&self) -> AttemptOutcome {
         let started = Instant::now();
-        let Ok(Ok(stream)) = timeout(CONNECT_LIMIT, TcpStream::connect(self.front)).await else {
-            return TryOutcome::NotSent;
+        let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.front)).await else {
+            return AttemptOutcome::NotSent;
         };
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
         let left = self
-            .patience
+            .timeouts
             .until
             .saturating_duration_since(Instant::now());
-        let head = self.ask.head(self.request, left.as_millis() as u64);
+        let head = self.spec.head(self.request, left.as_millis() as u64);
         if write
-            .write_all(&request_bytes(&head, &self.ask.body))
+            .write_all(&request_bytes(&head, &self.spec.body))
             .await
             .is_err()
         {
-            return TryOutcome::NotSent;
+            return AttemptOutcome::NotSent;
         }
         let outcome = Receiving::new(self, read, started).receive().await;
         drop(write);
@@ -77,7 +77,7 @@
     reader: MessageReader<OwnedReadHalf>,
     started: Instant,
     digester: Digester,
-    kept: BytesMut,
+    body: BytesMut,
     events: EventReader,
     answered: Answered,
     last_event: Option<Instant>,
@@ -86,7 +86,7 @@
 /// Why receiving ended early.
 enum Stop {
     Wire(WireError),
-    Silence,
+    Timeout,
 }
 
 impl<'a> Receiving<'a> {
@@ -96,47 +96,47 @@
             reader: MessageReader::new(read),
             started,
             digester: Digester::default(),
-            kept: BytesMut::new(),
+            body: BytesMut::new(),
             events: EventReader::default(),
             answered: Answered::empty(),
             last_event: None,
         }
     }
 
-    async fn receive(mut self) -> TryOutcome {
-        let head = match self.within_silence_head().await {
+    async fn receive(mut self) -> AttemptOutcome {
+        let head = match self.head_within_timeout().await {
             Ok(head) => head,
             Err(stop) => return without_head(stop),
         };
         self.take_head(&head);
         let streaming = is_stream(&head);
         loop {
-            match self.piece(streaming).await {
-                Ok(Some(piece)) => self.take_piece(&piece, streaming),
-                Ok(None) => return self.whole().await,
+            match self.next_data(streaming).await {
+                Ok(Some(data)) => self.take_data(&data, streaming),
+                Ok(None) => return self.complete().await,
                 Err(stop) => return self.broken(stop),
             }
         }
     }
 
-    async fn within_silence_head(&mut self) -> Result<ResponseHead, Stop> {
-        let streaming = matches!(self.attempt.ask.kind, super::Kind::Streaming { .. });
+    async fn head_within_timeout(&mut self) -> Result<ResponseHead, Stop> {
+        let streaming = matches!(self.attempt.spec.kind, super::Kind::Streaming { .. });
         if !streaming {
             return self.reader.response_head().await.map_err(Stop::Wire);
         }
-        match timeout(self.attempt.patience.silence, self.reader.response_head()).await {
+        match timeout(self.attempt.timeouts.idle, self.reader.response_head()).await {
             Ok(head) => head.map_err(Stop::Wire),
-            Err(_) => Err(Stop::Silence),
+            Err(_) => Err(Stop::Timeout),
         }
     }
 
-    async fn piece(&mut self, streaming: bool) -> Result<Option<Bytes>, Stop> {
+    async fn next_data(&mut self, streaming: bool) -> Result<Option<Bytes>, Stop> {
         if !streaming {
-            return self.reader.piece().await.map_err(Stop::Wire);
+            return self.reader.next_data().await.map_err(Stop::Wire);
         }
-        match timeout(self.attempt.patience.silence, self.reader.piece()).await {
-            Ok(piece) => piece.map_err(Stop::Wire),
-            Err(_) => Err(Stop::Silence),
+        match timeout(self.attempt.timeouts.idle, self.reader.next_data()).await {
+            Ok(data) => data.map_err(Stop::Wire),
+            Err(_) => Err(Stop::Timeout),
         }
     }
 
@@ -153,14 +153,16 @@
         self.answered.retry_after_ms = seconds.map(|seconds| (seconds * 1_000.0) as u64);
     }
 
-    fn take_piece(&mut self, piece: &[u8], streaming: bool) {
-        self.digester.push(piece);
-        let room = KEPT_BODY.saturating_sub(self.kept.len()).min(piece.len());
-        self.kept.extend_from_slice(&piece[..room]);
+    fn take_data(&mut self, data: &[u8], streaming: bool) {
+        self.digester.push(data);
+        let free = MAX_RECORDED_BODY
+            .saturating_sub(self.body.len())
+            .min(data.len());
+        self.body.extend_from_slice(&data[..free]);
         if !streaming {
             return;
         }
-        self.events.push(piece);
+        self.events.push(data);
         while let Some(event) = self.events.take() {
             self.event_came();
             match event {
@@ -179,30 +181,30 @@
             }
             Some(last) => {
                 let pause = now.duration_since(last).as_millis() as u64;
-                self.answered.longest_pause_ms = self.answered.longest_pause_ms.max(pause);
+                self.answered.longest_gap_ms = self.answered.longest_gap_ms.max(pause);
             }
         }
         self.last_event = Some(now);
     }
 
-    async fn whole(mut self) -> TryOutcome {
-        let _ = timeout(SURPLUS_LOOK, self.reader.closed()).await;
+    async fn complete(mut self) -> AttemptOutcome {
+        let _ = timeout(SURPLUS_TIMEOUT, self.reader.closed()).await;
         self.answered.surplus = self.reader.ahead();
-        TryOutcome::Answered(self.finish())
+        AttemptOutcome::Answered(self.finish())
     }
 
-    fn broken(self, stop: Stop) -> TryOutcome {
+    fn broken(self, stop: Stop) -> AttemptOutcome {
         match stop {
-            Stop::Silence => TryOutcome::GivenUp,
-            Stop::Wire(WireError::Garbled(what)) => TryOutcome::Garbled(what.to_owned()),
-            Stop::Wire(_) => TryOutcome::BrokenOff(self.finish()),
+            Stop::Timeout => AttemptOutcome::GivenUp,
+            Stop::Wire(WireError::Garbled(reason)) => AttemptOutcome::Garbled(reason.to_owned()),
+            Stop::Wire(_) => AttemptOutcome::BrokenOff(self.finish()),
         }
     }
 
     fn finish(mut self) -> Answered {
         self.answered.digest = self.digester.finish();
-        self.answered.body = self.kept.split().freeze();
-        self.answered.left_over = self.events.left();
+        self.answered.body = self.body.split().freeze();
+        self.answered.trailing_bytes = self.events.left();
         self.answered
     }
 }
@@ -220,22 +222,22 @@
             body: Bytes::new(),
             events: Vec::new(),
             garbled_events: 0,
-            left_over: 0,
+            trailing_bytes: 0,
             first_event_us: None,
-            longest_pause_ms: 0,
+            longest_gap_ms: 0,
             surplus: 0,
         }
     }
 }
 
-fn without_head(stop: Stop) -> TryOutcome {
+fn without_head(stop: Stop) -> AttemptOutcome {
     match stop {
-        Stop::Silence => TryOutcome::GivenUp,
-        Stop::Wire(WireError::Garbled(what)) => TryOutcome::Garbled(what.to_owned()),
+        Stop::Timeout => AttemptOutcome::GivenUp,
+        Stop::Wire(WireError::Garbled(reason)) => AttemptOutcome::Garbled(reason.to_owned()),
         Stop::Wire(WireError::BrokenOff) => {
-            TryOutcome::Garbled("an answer's head is cut".to_owned())
+            AttemptOutcome::Garbled("an answer's head is cut".to_owned())
         }
-        Stop::Wire(WireError::Ended | WireError::Failed(_)) => TryOutcome::Closed,
+        Stop::Wire(WireError::Ended | WireError::Failed(_)) => AttemptOutcome::Closed,
     }
 }
 
--- a/crates/testing/emulator/src/client/call.rs
+++ b/crates/testing/emulator/src/client/call.rs
@@ -53,7 +53,7 @@
 pub enum CallError {
     NoConnection(std::io::ErrorKind),
     Broken(WireError),
-    Silence,
+    Timeout,
 }
 
 impl fmt::Display for CallError {
@@ -61,7 +61,7 @@
         match self {
             CallError::NoConnection(kind) => write!(f, "no connection: {kind}"),
             CallError::Broken(error) => write!(f, "{error}"),
-            CallError::Silence => write!(f, "no answer in time"),
+            CallError::Timeout => write!(f, "no answer in time"),
         }
     }
 }
@@ -71,15 +71,15 @@
 /// Calls `address` and reads the whole answer, within `limit`.
 pub async fn call(
     address: SocketAddr,
-    what: &Call,
+    request: &Call,
     limit: Duration,
 ) -> Result<CallAnswer, CallError> {
-    timeout(limit, exchange(address, what))
+    timeout(limit, exchange(address, request))
         .await
-        .unwrap_or(Err(CallError::Silence))
+        .unwrap_or(Err(CallError::Timeout))
 }
 
-async fn exchange(address: SocketAddr, what: &Call) -> Result<CallAnswer, CallError> {
+async fn exchange(address: SocketAddr, request: &Call) -> Result<CallAnswer, CallError> {
     let stream = TcpStream::connect(address)
         .await
         .map_err(|error| CallError::NoConnection(error.kind()))?;
@@ -87,15 +87,15 @@
     let mut headers = Headers::new()
         .with(name::HOST, address.to_string())
         .with(name::CONNECTION, "close");
-    headers.0.extend(what.headers.0.iter().cloned());
+    headers.0.extend(request.headers.0.iter().cloned());
     let head = RequestHead {
-        method: what.method.to_owned(),
-        target: what.target.clone(),
+        method: request.method.to_owned(),
+        target: request.target.clone(),
         headers,
     };
     let failed = |error: std::io::Error| CallError::Broken(WireError::Failed(error.kind()));
     write
-        .write_all(&request_bytes(&head, &what.body))
+        .write_all(&request_bytes(&head, &request.body))
         .await
         .map_err(failed)?;
     let mut reader = MessageReader::new(read);
--- a/crates/testing/emulator/src/client/mod.rs
+++ b/crates/testing/emulator/src/client/mod.rs
@@ -5,6 +5,6 @@
 mod request;
 mod retry;
 
-pub use attempt::Patience;
-pub use request::{Ask, Kind, Turn};
+pub use attempt::Timeouts;
+pub use request::{Kind, RequestSpec, Turn};
 pub use retry::{Client, Served};
--- a/crates/testing/emulator/src/client/request.rs
+++ b/crates/testing/emulator/src/client/request.rs
@@ -2,7 +2,7 @@
 
 use crate::digest::Digest;
 use crate::identity::RequestId;
-use crate::record::ProgramTry;
+use crate::record::ProgramAttempt;
 use crate::wire::{name, Headers, RequestHead};
 use bytes::Bytes;
 
@@ -16,7 +16,7 @@
 
 impl Kind {
     /// Whether a try may run more than once, and the client may try again after any failure.
-    pub fn repeatable(self) -> bool {
+    pub fn idempotent(self) -> bool {
         matches!(self, Kind::ReadOnly | Kind::Streaming { resumable: true })
     }
 }
@@ -26,7 +26,7 @@
 pub struct Turn {
     pub model: String,
     pub prompt_tokens: u64,
-    pub most: u64,
+    pub max_tokens: u64,
     /// Value of the header that lists the parts of the prompt.
     pub prefix: String,
     pub chunk_tokens: u64,
@@ -36,7 +36,7 @@
 
 /// A request that a client wants answered.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestSpec {
     pub host: String,
     pub method: &'static str,
     pub target: String,
@@ -47,7 +47,7 @@
     pub deadline_ms: u64,
     /// Time within which the first event is wanted, and the longest pause between two.
     pub target_ms: u64,
-    pub pause_ms: u64,
+    pub max_gap_ms: u64,
     /// Tries beyond the first.
     pub retries: u32,
     pub program: Option<String>,
@@ -58,10 +58,10 @@
     pub headers: Headers,
 }
 
-impl Ask {
+impl RequestSpec {
     /// A request with no body on a plain route.
-    pub fn get(host: &str, target: &str) -> Ask {
-        Ask {
+    pub fn get(host: &str, target: &str) -> RequestSpec {
+        RequestSpec {
             host: host.to_owned(),
             method: "GET",
             target: target.to_owned(),
@@ -70,7 +70,7 @@
             expected: Some(Digest::of(b"")),
             deadline_ms: 5_000,
             target_ms: 200,
-            pause_ms: 300,
+            max_gap_ms: 300,
             retries: 1,
             program: None,
             session: None,
@@ -81,15 +81,15 @@
     }
 
     /// A request with a body.
-    pub fn post(host: &str, target: &str, kind: Kind, body: impl Into<Bytes>) -> Ask {
+    pub fn post(host: &str, target: &str, kind: Kind, body: impl Into<Bytes>) -> RequestSpec {
         let body = body.into();
         let expected = Some(Digest::of(&body));
-        Ask {
+        RequestSpec {
             method: "POST",
             kind,
             body,
             expected,
-            ..Ask::get(host, target)
+            ..RequestSpec::get(host, target)
         }
     }
 
@@ -119,13 +119,13 @@
         }
     }
 
-    pub(super) fn program_try(&self) -> Option<ProgramTry> {
+    pub(super) fn program_attempt(&self) -> Option<ProgramAttempt> {
         let program = self.program.clone()?;
         let turn = self.turn.clone().unwrap_or_default();
-        Some(ProgramTry {
+        Some(ProgramAttempt {
             program,
             budget: turn.budget,
-            most: turn.most,
+            max_tokens: turn.max_tokens,
             chunk_tokens: turn.chunk_tokens,
             previous: turn.previous,
         })
@@ -137,7 +137,7 @@
         headers.push(name::MODEL, self.model.clone());
         headers.push(
             name::TOKEN_COUNT,
-            format!("{},{}", self.prompt_tokens, self.most),
+            format!("{},{}", self.prompt_tokens, self.max_tokens),
         );
         headers.push(name::PROMPT_PREFIX, self.prefix.clone());
         if let Some(budget) = self.budget {
--- a/crates/testing/emulator/src/client/retry.rs
+++ b/crates/testing/emulator/src/client/retry.rs
@@ -1,10 +1,10 @@
 //! Tries one after the other, as the protocol has clients make them.
 
-use super::attempt::{Attempt, Patience};
-use super::request::Ask;
+use super::attempt::{Attempt, Timeouts};
+use super::request::RequestSpec;
 use crate::clock::Clock;
 use crate::identity::{IdentitySource, RequestId};
-use crate::record::{Answered, Moments, Record, Try, TryOutcome};
+use crate::record::{Answered, AttemptOutcome, AttemptRecord, Record, Timings};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,15 +12,15 @@
 use tokio::time::{sleep, Instant};
 
 /// The shortest silence after which a stream is given up.
-const LEAST_SILENCE: Duration = Duration::from_secs(2);
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A stream is given up after this many of its objectives without an event.
-const SILENT_OBJECTIVES: u32 = 4;
+const IDLE_TARGETS: u32 = 4;
 /// And after this many of its longest pauses.
-const SILENT_PAUSES: u32 = 8;
+const IDLE_GAPS: u32 = 8;
 /// Pause before the next try where no time was told.
-const RETRY_PAUSE_MS: u64 = 30;
+const RETRY_BACKOFF_MS: u64 = 30;
 /// A time to come back is heeded up to this part of what is left.
-const RETRY_AFTER_PART: u32 = 3;
+const RETRY_AFTER_DIVISOR: u32 = 3;
 
 /// Clients behind one platform address.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     record: Record,
     identities: IdentitySource,
     fronts: Mutex<Vec<SocketAddr>>,
-    wanted: AtomicU64,
+    operation: AtomicU64,
 }
 
 /// What became of a request in the end.
@@ -42,8 +42,8 @@
 pub struct Served {
     /// The id of its last try.
     pub request: RequestId,
-    pub outcome: TryOutcome,
-    pub tries: u32,
+    pub outcome: AttemptOutcome,
+    pub attempts: u32,
     /// From the first try to the first event, or to the end where there are no events.
     pub first_ms: u64,
     pub took_ms: u64,
@@ -53,7 +53,7 @@
     /// The answer, where a whole one came.
     pub fn answer(&self) -> Option<&Answered> {
         match &self.outcome {
-            TryOutcome::Answered(answered) => Some(answered),
+            AttemptOutcome::Answered(answered) => Some(answered),
             _ => None,
         }
     }
@@ -84,7 +84,7 @@
                 record,
                 identities,
                 fronts,
-                wanted: AtomicU64::new(0),
+                operation: AtomicU64::new(0),
             }),
         }
     }
@@ -107,47 +107,47 @@
     }
 
     /// Has a request answered, with retries at other limiters.
-    pub async fn send(&self, ask: &Ask) -> Served {
-        self.send_by(ask, None).await
+    pub async fn send(&self, spec: &RequestSpec) -> Served {
+        self.send_by(spec, None).await
     }
 
     /// One try at one limiter.
-    pub async fn send_to(&self, front: SocketAddr, ask: &Ask) -> Served {
+    pub async fn send_to(&self, front: SocketAddr, spec: &RequestSpec) -> Served {
         self.send_by(
-            &Ask {
+            &RequestSpec {
                 retries: 0,
-                ..ask.clone()
+                ..spec.clone()
             },
             Some(front),
         )
         .await
     }
 
-    async fn send_by(&self, ask: &Ask, front: Option<SocketAddr>) -> Served {
-        let wanted = self.shared.wanted.fetch_add(1, Ordering::SeqCst);
+    async fn send_by(&self, spec: &RequestSpec, front: Option<SocketAddr>) -> Served {
+        let operation = self.shared.operation.fetch_add(1, Ordering::SeqCst);
         let started = Instant::now();
-        let until = started + Duration::from_millis(ask.deadline_ms);
-        let patience = Patience {
+        let until = started + Duration::from_millis(spec.deadline_ms);
+        let timeouts = Timeouts {
             until,
-            silence: silence(ask),
+            idle: idle_timeout(spec),
         };
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
             let attempt = Attempt {
-                ask,
+                spec,
                 request: self.shared.identities.request(),
-                front: front.unwrap_or_else(|| self.front(wanted + u64::from(tries))),
-                patience,
+                front: front.unwrap_or_else(|| self.front(operation + u64::from(attempts))),
+                timeouts,
             };
-            let begun = Instant::now();
-            let noting = Noting::begin(&self.shared, &attempt, wanted);
-            let outcome = noting.end(attempt.carry_out().await);
-            tries += 1;
-            let pause = pause_before_retry(ask, &outcome, until, &self.shared.identities);
-            let ended = tries > ask.retries || Instant::now() >= until;
+            let attempt_started = Instant::now();
+            let recording = AttemptRecorder::begin(&self.shared, &attempt, operation);
+            let outcome = recording.end(attempt.carry_out().await);
+            attempts += 1;
+            let pause = backoff_before_retry(spec, &outcome, until, &self.shared.identities);
+            let ended = attempts > spec.retries || Instant::now() >= until;
             match pause {
                 Some(pause) if !ended => sleep(pause).await,
-                _ => return served(&attempt, outcome, tries, started, begun),
+                _ => return served(&attempt, outcome, attempts, started, attempt_started),
             }
         }
     }
@@ -164,64 +164,64 @@
 }
 
 /// Notes a try in the record, as given up where its client is dropped before it ends.
-struct Noting<'a> {
+struct AttemptRecorder<'a> {
     shared: &'a Shared,
     attempt: &'a Attempt<'a>,
-    wanted: u64,
+    operation: u64,
     sent_us: u64,
-    outcome: TryOutcome,
+    outcome: AttemptOutcome,
 }
 
-impl<'a> Noting<'a> {
-    fn begin(shared: &'a Shared, attempt: &'a Attempt<'a>, wanted: u64) -> Noting<'a> {
+impl<'a> AttemptRecorder<'a> {
+    fn begin(shared: &'a Shared, attempt: &'a Attempt<'a>, operation: u64) -> AttemptRecorder<'a> {
         let sent_us = shared.clock.now_us();
-        Noting {
+        AttemptRecorder {
             shared,
             attempt,
-            wanted,
+            operation,
             sent_us,
-            outcome: TryOutcome::GivenUp,
+            outcome: AttemptOutcome::GivenUp,
         }
     }
 
-    fn end(mut self, outcome: TryOutcome) -> TryOutcome {
+    fn end(mut self, outcome: AttemptOutcome) -> AttemptOutcome {
         self.outcome = outcome.clone();
         outcome
     }
 }
 
-impl Drop for Noting<'_> {
+impl Drop for AttemptRecorder<'_> {
     fn drop(&mut self) {
         let ended_us = self.shared.clock.now_us();
-        let ask = self.attempt.ask;
-        self.shared.record.tried(Try {
+        let spec = self.attempt.spec;
+        self.shared.record.record_attempt(AttemptRecord {
             number: 0,
             request: self.attempt.request,
-            wanted: self.wanted,
+            operation: self.operation,
             front: self.attempt.front,
             sent_ms: self.sent_us / 1_000,
             ended_ms: ended_us / 1_000,
-            host: ask.host.clone(),
-            method: ask.method.to_owned(),
-            target: ask.target.clone(),
-            expected: ask.expected,
-            repeatable: ask.kind.repeatable(),
-            program: ask.program_try(),
-            moments: moments(self.sent_us, ended_us, &self.outcome),
-            outcome: std::mem::replace(&mut self.outcome, TryOutcome::GivenUp),
+            host: spec.host.clone(),
+            method: spec.method.to_owned(),
+            target: spec.target.clone(),
+            expected: spec.expected,
+            idempotent: spec.kind.idempotent(),
+            program: spec.program_attempt(),
+            timings: timings(self.sent_us, ended_us, &self.outcome),
+            outcome: std::mem::replace(&mut self.outcome, AttemptOutcome::GivenUp),
         });
     }
 }
 
-fn moments(sent_us: u64, ended_us: u64, outcome: &TryOutcome) -> Moments {
+fn timings(sent_us: u64, ended_us: u64, outcome: &AttemptOutcome) -> Timings {
     let first_us = match outcome {
-        TryOutcome::Answered(answered) => {
+        AttemptOutcome::Answered(answered) => {
             Some(answered.first_event_us.map_or(ended_us, |us| sent_us + us))
         }
         _ => None,
     };
-    Moments {
-        begun_us: sent_us,
+    Timings {
+        started_us: sent_us,
         first_us,
         ended_us: Some(ended_us),
     }
@@ -229,53 +229,55 @@
 
 fn served(
     attempt: &Attempt<'_>,
-    outcome: TryOutcome,
-    tries: u32,
+    outcome: AttemptOutcome,
+    attempts: u32,
     started: Instant,
-    begun: Instant,
+    attempt_started: Instant,
 ) -> Served {
     let took_ms = started.elapsed().as_millis() as u64;
-    let before_ms = begun.duration_since(started).as_millis() as u64;
+    let before_ms = attempt_started.duration_since(started).as_millis() as u64;
     let first_event = match &outcome {
-        TryOutcome::Answered(answered) | TryOutcome::BrokenOff(answered) => answered.first_event_us,
+        AttemptOutcome::Answered(answered) | AttemptOutcome::BrokenOff(answered) => {
+            answered.first_event_us
+        }
         _ => None,
     };
     let first_ms = first_event.map_or(took_ms, |first| before_ms + first / 1_000);
     Served {
         request: attempt.request,
         outcome,
-        tries,
+        attempts,
         first_ms,
         took_ms,
     }
 }
 
-fn silence(ask: &Ask) -> Duration {
-    let objective = Duration::from_millis(ask.target_ms) * SILENT_OBJECTIVES;
-    let pause = Duration::from_millis(ask.pause_ms) * SILENT_PAUSES;
-    LEAST_SILENCE.max(objective).max(pause)
+fn idle_timeout(spec: &RequestSpec) -> Duration {
+    let objective = Duration::from_millis(spec.target_ms) * IDLE_TARGETS;
+    let pause = Duration::from_millis(spec.max_gap_ms) * IDLE_GAPS;
+    MIN_IDLE_TIMEOUT.max(objective).max(pause)
 }
 
 /// The pause before another try; `None` where there is to be none.
-fn pause_before_retry(
-    ask: &Ask,
-    outcome: &TryOutcome,
+fn backoff_before_retry(
+    spec: &RequestSpec,
+    outcome: &AttemptOutcome,
     until: Instant,
     identities: &IdentitySource,
 ) -> Option<Duration> {
-    let repeatable = ask.kind.repeatable();
-    let usual = Duration::from_millis(RETRY_PAUSE_MS + identities.below(RETRY_PAUSE_MS));
+    let idempotent = spec.kind.idempotent();
+    let usual = Duration::from_millis(RETRY_BACKOFF_MS + identities.below(RETRY_BACKOFF_MS));
     match outcome {
-        TryOutcome::NotSent => Some(usual),
-        TryOutcome::Answered(answered) => {
-            if is_final(answered.status) || !(repeatable || is_promise(answered.status)) {
+        AttemptOutcome::NotSent => Some(usual),
+        AttemptOutcome::Answered(answered) => {
+            if is_final(answered.status) || !(idempotent || is_promise(answered.status)) {
                 return None;
             }
-            let most = until.saturating_duration_since(Instant::now()) / RETRY_AFTER_PART;
-            let told = answered.retry_after_ms.map(Duration::from_millis);
-            Some(told.map_or(usual, |told| told.min(most)))
+            let max_wait = until.saturating_duration_since(Instant::now()) / RETRY_AFTER_DIVISOR;
+            let retry_after = answered.retry_after_ms.map(Duration::from_millis);
+            Some(retry_after.map_or(usual, |retry_after| retry_after.min(max_wait)))
         }
-        _ => repeatable.then_some(usual),
+        _ => idempotent.then_some(usual),
     }
 }
 
--- a/crates/testing/emulator/src/configuration.rs
+++ b/crates/testing/emulator/src/configuration.rs
@@ -22,16 +22,16 @@
     pub timeout_ms: u64,
     pub target_ms: u64,
     pub priority: u8,
-    pub backends: Vec<Share>,
+    pub backends: Vec<WeightedBackend>,
     pub retries: u32,
     pub persisted: bool,
     pub retention_s: f64,
-    pub gap_aim_ms: u64,
+    pub gap_target_ms: u64,
 }
 
 /// A service's share of a route.
 #[derive(Clone, Debug)]
-pub struct Share {
+pub struct WeightedBackend {
     pub backend: String,
     pub weight: u64,
 }
@@ -84,14 +84,14 @@
             timeout_ms: 5_000,
             target_ms: 200,
             priority: 0,
-            backends: vec![Share {
+            backends: vec![WeightedBackend {
                 backend: backend.to_owned(),
                 weight: 1,
             }],
             retries: 1,
             persisted: false,
             retention_s: 60.0,
-            gap_aim_ms: 300,
+            gap_target_ms: 300,
         }
     }
 
@@ -109,12 +109,12 @@
         });
         match self.backends.as_slice() {
             [only] => route["backend"] = json!(only.backend),
-            shares => {
-                let shares: Vec<Value> = shares
+            candidates => {
+                let candidates: Vec<Value> = candidates
                     .iter()
-                    .map(|share| json!({ "backend": share.backend, "weight": share.weight }))
+                    .map(|candidate| json!({ "backend": candidate.backend, "weight": candidate.weight }))
                     .collect();
-                route["backends"] = json!(shares);
+                route["backends"] = json!(candidates);
             }
         }
         if let Kind::Streaming { resumable } = self.kind {
@@ -122,7 +122,7 @@
             route["retention_s"] = json!(self.retention_s);
             route["sticky"] = json!(true);
             route["resumable"] = json!(resumable);
-            route["gap_aim_ms"] = json!(self.gap_aim_ms);
+            route["gap_aim_ms"] = json!(self.gap_target_ms);
         }
         route
     }
--- a/crates/testing/emulator/src/engine/batch.rs
+++ b/crates/testing/emulator/src/engine/batch.rs
@@ -15,7 +15,7 @@
     /// Prompt tokens read in a millisecond.
     pub read_per_ms: f64,
     /// The most prompt tokens read in one step.
-    pub piece_tokens: u64,
+    pub prefill_chunk_tokens: u64,
 }
 
 impl Default for Speeds {
@@ -24,7 +24,7 @@
             step_us: 5_470,
             per_running_us: 120,
             read_per_ms: 38.7,
-            piece_tokens: 512,
+            prefill_chunk_tokens: 512,
         }
     }
 }
@@ -55,7 +55,7 @@
     /// Tokens of the prompt still to be read.
     to_read: u64,
     /// Tokens generated since it was let in last.
-    since_let_in: u64,
+    since_admission: u64,
     /// Tokens generated in all.
     generated: u64,
 }
@@ -70,8 +70,8 @@
     waiting: VecDeque<Request>,
     running: Vec<Request>,
     tickets: u64,
-    tokens_read: u64,
-    tokens_asked: u64,
+    prompt_tokens_prefilled: u64,
+    prompt_tokens_admitted: u64,
     preempted: u64,
 }
 
@@ -85,8 +85,8 @@
             waiting: VecDeque::new(),
             running: Vec::new(),
             tickets: 0,
-            tokens_read: 0,
-            tokens_asked: 0,
+            prompt_tokens_prefilled: 0,
+            prompt_tokens_admitted: 0,
             preempted: 0,
         }
     }
@@ -94,7 +94,7 @@
     /// A request comes in and waits for the next step.
     pub fn enqueue(&mut self, prompt: Prompt) -> Result<Ticket, Full> {
         let free = self.slots.saturating_sub(self.running.len());
-        let too_large = prompt.tokens() + prompt.most > self.memory.total();
+        let too_large = prompt.tokens() + prompt.max_tokens > self.memory.total();
         if too_large || self.waiting.len() >= self.queue + free {
             return Err(Full);
         }
@@ -104,7 +104,7 @@
             ticket,
             prompt,
             to_read: 0,
-            since_let_in: 0,
+            since_admission: 0,
             generated: 0,
         };
         self.insert_waiting(request);
@@ -126,11 +126,11 @@
 
     /// Begins a step: lets requests in and reads prompts. How long it takes, in microseconds; `None` when idle.
     pub fn begin_step(&mut self) -> Option<u64> {
-        self.let_in();
+        self.admit();
         if self.running.is_empty() {
             return None;
         }
-        let read = self.read_piece();
+        let read = self.prefill_chunk();
         let reading = (read as f64 * 1_000.0 / self.speeds.read_per_ms) as u64;
         Some(self.speeds.step_us + self.speeds.per_running_us * self.running.len() as u64 + reading)
     }
@@ -162,13 +162,13 @@
     }
 
     /// Tokens of prompts read so far.
-    pub fn tokens_read(&self) -> u64 {
-        self.tokens_read
+    pub fn prompt_tokens_prefilled(&self) -> u64 {
+        self.prompt_tokens_prefilled
     }
 
     /// Tokens of the prompts let in so far, also those that were kept.
-    pub fn tokens_asked(&self) -> u64 {
-        self.tokens_asked
+    pub fn prompt_tokens_admitted(&self) -> u64 {
+        self.prompt_tokens_admitted
     }
 
     /// Requests that had to give way so far.
@@ -179,15 +179,15 @@
     /// The more urgent go first; those alike in the order of their coming.
     fn insert_waiting(&mut self, request: Request) {
         let key = |request: &Request| (request.prompt.priority, request.ticket);
-        let place = self
+        let position = self
             .waiting
             .iter()
             .position(|other| key(other) > key(&request));
         self.waiting
-            .insert(place.unwrap_or(self.waiting.len()), request);
+            .insert(position.unwrap_or(self.waiting.len()), request);
     }
 
-    fn let_in(&mut self) {
+    fn admit(&mut self) {
         while let Some(request) = self.waiting.front() {
             let priority = request.prompt.priority;
             if self.running.len() >= self.slots && !self.preempt_below(priority) {
@@ -196,11 +196,11 @@
             let Some(mut request) = self.waiting.pop_front() else {
                 return;
             };
-            match self.memory.take(&request.prompt.parts) {
+            match self.memory.take(&request.prompt.segments) {
                 Some(found) => {
                     request.to_read = found.to_read + request.generated;
-                    self.tokens_asked += found.kept + found.to_read;
-                    request.since_let_in = 0;
+                    self.prompt_tokens_admitted += found.cached + found.to_read;
+                    request.since_admission = 0;
                     self.running.push(request);
                 }
                 None => {
@@ -240,22 +240,23 @@
     fn release(&mut self, request: &Request) {
         if request.to_read > 0 {
             let read = request.prompt.tokens().saturating_sub(request.to_read);
-            self.memory.give_back_unread(&request.prompt.parts, read);
+            self.memory
+                .release_partly_prefilled(&request.prompt.segments, read);
         } else {
             self.memory
-                .give_back(&request.prompt.parts, request.since_let_in);
+                .release(&request.prompt.segments, request.since_admission);
         }
     }
 
-    fn read_piece(&mut self) -> u64 {
-        let mut left = self.speeds.piece_tokens;
+    fn prefill_chunk(&mut self) -> u64 {
+        let mut left = self.speeds.prefill_chunk_tokens;
         for request in &mut self.running {
-            let piece = request.to_read.min(left);
-            request.to_read -= piece;
-            left -= piece;
+            let chunk = request.to_read.min(left);
+            request.to_read -= chunk;
+            left -= chunk;
         }
-        let read = self.speeds.piece_tokens - left;
-        self.tokens_read += read;
+        let read = self.speeds.prefill_chunk_tokens - left;
+        self.prompt_tokens_prefilled += read;
         read
     }
 
@@ -274,16 +275,16 @@
             .iter()
             .position(|request| request.ticket == ticket)
         else {
-            self.memory.give_back(&[], 1);
+            self.memory.release(&[], 1);
             return None;
         };
         let request = &mut self.running[index];
-        request.since_let_in += 1;
+        request.since_admission += 1;
         request.generated += 1;
         let produced = Produced {
             ticket,
             generated: request.generated,
-            last: request.generated >= request.prompt.most,
+            last: request.generated >= request.prompt.max_tokens,
         };
         if produced.last {
             let request = self.running.remove(index);
--- a/crates/testing/emulator/src/engine/mod.rs
+++ b/crates/testing/emulator/src/engine/mod.rs
@@ -8,10 +8,10 @@
 
 pub use batch::{Batch, Produced, Speeds, Ticket};
 pub use memory::Memory;
-pub use prompt::{Part, Prompt};
+pub use prompt::{Prompt, PromptSegment};
 
 use crate::gate::Gate;
-use crate::server::{Door, DoorSettings, Identity, Listening, Surroundings};
+use crate::server::{ConnectionSettings, Identity, ListenerTask, ServerHandle, TestContext};
 use std::sync::Arc;
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
@@ -34,7 +34,7 @@
     pub event_stride: u64,
     /// Its models, by name.
     pub models: Vec<String>,
-    pub door: DoorSettings,
+    pub connections: ConnectionSettings,
 }
 
 impl Default for EngineSettings {
@@ -48,7 +48,7 @@
             first_event: 0,
             event_stride: 1,
             models: vec!["m".to_owned()],
-            door: DoorSettings::default(),
+            connections: ConnectionSettings::default(),
         }
     }
 }
@@ -56,12 +56,12 @@
 /// A model server that runs; it ends when this is dropped.
 #[derive(Debug)]
 pub struct EngineServer {
-    pub door: Arc<Door>,
+    pub handle: Arc<ServerHandle>,
     /// Held by the test: each step of the batch waits here, one token for each request that runs.
     pub gate: Gate,
     work: Arc<EngineWork>,
     steps: JoinHandle<()>,
-    _listening: Listening,
+    _listener_task: ListenerTask,
 }
 
 impl EngineServer {
@@ -70,37 +70,37 @@
         listener: TcpListener,
         identity: Identity,
         settings: EngineSettings,
-        surroundings: Surroundings,
+        context: TestContext,
     ) -> EngineServer {
         let gate = Gate::default();
-        let door_settings = settings.door.clone();
-        let clock = surroundings.clock;
+        let connection_settings = settings.connections.clone();
+        let clock = context.clock;
         let work = Arc::new(EngineWork::new(
             settings,
             identity.slots as usize,
             clock,
             gate.clone(),
         ));
-        let door = Arc::new(Door::new(identity, door_settings, surroundings));
+        let handle = Arc::new(ServerHandle::new(identity, connection_settings, context));
         let steps = tokio::spawn(run_steps(work.clone()));
-        let listening = Listening::start(listener, door.clone(), Arc::new(work.clone()));
+        let listener_task = ListenerTask::start(listener, handle.clone(), Arc::new(work.clone()));
         EngineServer {
-            door,
+            handle,
             gate,
             work,
             steps,
-            _listening: listening,
+            _listener_task: listener_task,
         }
     }
 
     /// Tokens of prompts that were read, kept ones not counted.
-    pub fn tokens_read(&self) -> u64 {
-        self.work.tokens_read()
+    pub fn prompt_tokens_prefilled(&self) -> u64 {
+        self.work.prompt_tokens_prefilled()
     }
 
     /// Tokens of all prompts that were let in, kept ones counted as well.
-    pub fn tokens_asked(&self) -> u64 {
-        self.work.tokens_asked()
+    pub fn prompt_tokens_admitted(&self) -> u64 {
+        self.work.prompt_tokens_admitted()
     }
 
     /// Requests that run, and those that wait.
--- a/crates/testing/emulator/src/engine/prompt.rs
+++ b/crates/testing/emulator/src/engine/prompt.rs
@@ -4,7 +4,7 @@
 
 /// One part of a prompt, shared between requests by its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Part {
+pub struct PromptSegment {
     pub id: u64,
     pub tokens: u64,
 }
@@ -12,8 +12,8 @@
 /// The parts in order, and the most that the request generates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    pub parts: Vec<Part>,
-    pub most: u64,
+    pub segments: Vec<PromptSegment>,
+    pub max_tokens: u64,
     /// 0 is let in first.
     pub priority: u8,
 }
@@ -24,17 +24,17 @@
 impl Prompt {
     /// Reads the headers; what is missing counts as little as can be.
     pub fn read(headers: &Headers) -> Prompt {
-        let (total, most) = headers
+        let (total, max_tokens) = headers
             .get(name::TOKEN_COUNT)
             .and_then(counts)
             .unwrap_or((1, 1));
-        let mut parts = headers
+        let mut segments = headers
             .get(name::PROMPT_PREFIX)
-            .map(parts)
+            .map(segments)
             .unwrap_or_default();
-        let named: u64 = parts.iter().map(|part| part.tokens).sum();
+        let named: u64 = segments.iter().map(|segment| segment.tokens).sum();
         if named < total {
-            parts.push(Part {
+            segments.push(PromptSegment {
                 id: u64::MAX,
                 tokens: total - named,
             });
@@ -43,29 +43,29 @@
             .get(name::PRIORITY)
             .and_then(|text| text.parse().ok());
         Prompt {
-            parts,
-            most: most.max(1),
+            segments,
+            max_tokens: max_tokens.max(1),
             priority: priority.unwrap_or(ORDINARY_PRIORITY),
         }
     }
 
     pub fn tokens(&self) -> u64 {
-        self.parts.iter().map(|part| part.tokens).sum()
+        self.segments.iter().map(|segment| segment.tokens).sum()
     }
 }
 
 fn counts(text: &str) -> Option<(u64, u64)> {
-    let (prompt, most) = text.split_once(',')?;
-    Some((prompt.trim().parse().ok()?, most.trim().parse().ok()?))
+    let (prompt, max_tokens) = text.split_once(',')?;
+    Some((prompt.trim().parse().ok()?, max_tokens.trim().parse().ok()?))
 }
 
-fn parts(text: &str) -> Vec<Part> {
-    text.split(',').filter_map(part).collect()
+fn segments(text: &str) -> Vec<PromptSegment> {
+    text.split(',').filter_map(segment).collect()
 }
 
-fn part(text: &str) -> Option<Part> {
+fn segment(text: &str) -> Option<PromptSegment> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(Part {
+    Some(PromptSegment {
         id: u64::from_str_radix(id, 16).ok()?,
         tokens: tokens.parse().ok()?,
     })
--- a/crates/testing/emulator/src/engine/work.rs
+++ b/crates/testing/emulator/src/engine/work.rs
@@ -6,7 +6,7 @@
 use super::{EngineSettings, Load};
 use crate::clock::Clock;
 use crate::gate::Gate;
-use crate::server::{Arrived, Reply, Work};
+use crate::server::{ReceivedRequest, Reply, Work};
 use crate::wire::{name, Event};
 use serde_json::json;
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// The longest that a server works on a request that names no deadline.
-const MOST_WORK: Duration = Duration::from_secs(120);
+const MAX_WORK: Duration = Duration::from_secs(120);
 
 /// What requests and steps share.
 #[derive(Debug)]
@@ -52,12 +52,12 @@
         }
     }
 
-    pub fn tokens_read(&self) -> u64 {
-        self.lock().batch.tokens_read()
+    pub fn prompt_tokens_prefilled(&self) -> u64 {
+        self.lock().batch.prompt_tokens_prefilled()
     }
 
-    pub fn tokens_asked(&self) -> u64 {
-        self.lock().batch.tokens_asked()
+    pub fn prompt_tokens_admitted(&self) -> u64 {
+        self.lock().batch.prompt_tokens_admitted()
     }
 
     pub fn load(&self) -> Load {
@@ -144,11 +144,11 @@
 
 /// Lets `Arc<EngineWork>` hand itself to the requests it lets in.
 impl Work for Arc<EngineWork> {
-    async fn work(&self, arrived: Arrived, reply: &mut Reply) {
-        let limit = arrived.deadline_ms.map_or(MOST_WORK, Duration::from_millis);
+    async fn work(&self, arrived: ReceivedRequest, reply: &mut Reply) {
+        let limit = arrived.deadline_ms.map_or(MAX_WORK, Duration::from_millis);
         let deadline = Instant::now() + limit;
         let Some(mut entered) = self.enter(Prompt::read(&arrived.head.headers)) else {
-            reply.turn_away(503).await;
+            reply.reject(503).await;
             return;
         };
         let first = tokio::select! {
@@ -156,7 +156,7 @@
             () = sleep_until(deadline) => None,
         };
         let Some(first) = first else {
-            reply.turn_away(503).await;
+            reply.reject(503).await;
             return;
         };
         reply.run();
@@ -196,7 +196,7 @@
     /// Sends events as their tokens come, an incomplete one at the end.
     async fn stream(
         &self,
-        arrived: &Arrived,
+        arrived: &ReceivedRequest,
         first: Produced,
         entered: &mut Entered,
         reply: &mut Reply,
@@ -211,8 +211,8 @@
             if full || produced.last {
                 let event = self.event(arrived, events);
                 events += 1;
-                let wanted = after.is_none_or(|after| event.id > after);
-                if wanted && !reply.event(&event).await {
+                let is_new = after.is_none_or(|after| event.id > after);
+                if is_new && !reply.event(&event).await {
                     return;
                 }
             }
@@ -225,7 +225,7 @@
     }
 
     /// The data names request, place and time, so that events of two runs differ.
-    fn event(&self, arrived: &Arrived, index: u64) -> Event {
+    fn event(&self, arrived: &ReceivedRequest, index: u64) -> Event {
         let id = self.settings.first_event + index * self.settings.event_stride;
         let data = format!("{} {index} {}", arrived.request, self.clock.now_us());
         Event { id, data }
--- a/crates/testing/emulator/src/experiment/check.rs
+++ b/crates/testing/emulator/src/experiment/check.rs
@@ -1,14 +1,14 @@
 //! Bounds of experiments: processes, servers, time and requests are few enough for one machine.
 
-use super::file::{Experiment, Fault, What};
+use super::file::{Experiment, Fault, FaultKind};
 use dunespur_emulator::system::Role;
 
-const MOST_MACHINES: usize = 40;
-const MOST_CORE: usize = 7;
-const MOST_SERVERS: usize = 64;
-const MOST_TRAFFIC_S: f64 = 300.0;
-const MOST_IDLE_S: f64 = 60.0;
-const MOST_RATE: f64 = 2_000.0;
+const MAX_MACHINES: usize = 40;
+const MAX_CORE: usize = 7;
+const MAX_SERVERS: usize = 64;
+const MAX_TRAFFIC_S: f64 = 300.0;
+const MAX_IDLE_S: f64 = 60.0;
+const MAX_RATE: f64 = 2_000.0;
 
 /// What can't be played, each with its place.
 pub fn check(experiment: &Experiment) -> Vec<String> {
@@ -17,13 +17,13 @@
     let count = machines.core + machines.gateways + machines.stores;
     findings.expect(!machines.zones.is_empty(), "machines.zones: is empty");
     findings.expect(
-        (1..=MOST_CORE).contains(&machines.core),
+        (1..=MAX_CORE).contains(&machines.core),
         "machines.core: is not 1 to 7",
     );
-    findings.expect(count <= MOST_MACHINES, "machines: are more than 40");
+    findings.expect(count <= MAX_MACHINES, "machines: are more than 40");
     let services = &experiment.services;
     let servers = services.models.servers + services.tools.servers;
-    findings.expect(servers <= MOST_SERVERS, "service: servers are more than 64");
+    findings.expect(servers <= MAX_SERVERS, "service: servers are more than 64");
     findings.expect(
         services.models.chunk_tokens > 0,
         "service.models.chunk_tokens: is 0",
@@ -33,12 +33,12 @@
         "service.models.read_per_ms: is not above 0",
     );
     findings.expect(
-        within(experiment.traffic_s, MOST_TRAFFIC_S),
+        within(experiment.traffic_s, MAX_TRAFFIC_S),
         "traffic_s: is not above 0 and at most 300",
     );
     let idle = experiment.idle_s;
     findings.expect(
-        idle == 0.0 || within(idle, MOST_IDLE_S),
+        idle == 0.0 || within(idle, MAX_IDLE_S),
         "idle_s: is not 0 to 60",
     );
     let programs = experiment
@@ -51,7 +51,7 @@
         .map(|class| (&class.name, class.rate));
     for (name, rate) in programs.chain(requests) {
         findings.expect(
-            within(rate, MOST_RATE),
+            within(rate, MAX_RATE),
             &format!("{name}.rate: is not above 0 and at most 2000"),
         );
     }
@@ -72,18 +72,20 @@
 /// How many there are of what a fault names by a number.
 fn targets(experiment: &Experiment, fault: &Fault) -> usize {
     let machines = &experiment.machines;
-    match (fault.what.role(), fault.what) {
+    match (fault.kind.role(), fault.kind) {
         (Some(Role::Core), _) => machines.core,
         (Some(Role::Gateway), _) => machines.gateways,
         (Some(Role::Store), _) => machines.stores,
-        (None, What::LoseAnswers) => experiment.services.tools.servers,
-        (None, What::ReplaceModel | What::CrashModel) => experiment.services.models.servers,
+        (None, FaultKind::LoseAnswers) => experiment.services.tools.servers,
+        (None, FaultKind::ReplaceModel | FaultKind::CrashModel) => {
+            experiment.services.models.servers
+        }
         (None, _) => usize::MAX,
     }
 }
 
-fn within(value: f64, most: f64) -> bool {
-    value > 0.0 && value <= most
+fn within(value: f64, maximum: f64) -> bool {
+    value > 0.0 && value <= maximum
 }
 
 #[derive(Default)]
--- a/crates/testing/emulator/src/experiment/ending.rs
+++ b/crates/testing/emulator/src/experiment/ending.rs
@@ -1,7 +1,7 @@
 //! What has to hold when everything is over: what was acknowledged is there, and programs go on where they were.
 
 use dunespur_emulator::judge::{Rule, Violation};
-use dunespur_emulator::program::Line;
+use dunespur_emulator::program::Conversation;
 use dunespur_emulator::record::Acknowledged;
 use dunespur_emulator::scene::Scene;
 use serde_json::Value;
@@ -12,11 +12,11 @@
 const RECOVERY: Duration = Duration::from_secs(12);
 
 /// All that does not hold.
-pub async fn judge(scene: &mut Scene, lines: Vec<Line>) -> Vec<Violation> {
+pub async fn judge(scene: &mut Scene, conversations: Vec<Conversation>) -> Vec<Violation> {
     let mut violations = Vec::new();
     violations.extend(configuration(scene).await);
-    for line in lines {
-        violations.extend(goes_on(scene, line).await);
+    for conversation in conversations {
+        violations.extend(goes_on(scene, conversation).await);
     }
     violations
 }
@@ -30,7 +30,7 @@
         })
     };
     let acknowledgements = scene.record.acknowledgements().into_iter();
-    let newest = acknowledgements.filter_map(|acknowledgement| match acknowledgement.what {
+    let newest = acknowledgements.filter_map(|acknowledgement| match acknowledgement.event {
         Acknowledged::Configuration { generation } => Some(generation),
         _ => None,
     });
@@ -66,11 +66,11 @@
     sorted
 }
 
-async fn goes_on(scene: &Scene, mut line: Line) -> Option<Violation> {
+async fn goes_on(scene: &Scene, mut conversation: Conversation) -> Option<Violation> {
     let until = Instant::now() + RECOVERY;
     let mut last = None;
     while Instant::now() < until {
-        let served = line.turn(&scene.client, &"and then?".into()).await;
+        let served = conversation.turn(&scene.client, &"and then?".into()).await;
         if served.succeeded() || served.status() == Some(402) {
             return None;
         }
@@ -78,8 +78,8 @@
     }
     let detail = format!(
         "program {} does not go on from {:?}: {last:?}",
-        line.program(),
-        line.previous()
+        conversation.program(),
+        conversation.previous()
     );
     Some(Violation {
         rule: Rule::Lost,
--- a/crates/testing/emulator/src/experiment/faults/mod.rs
+++ b/crates/testing/emulator/src/experiment/faults/mod.rs
@@ -2,7 +2,7 @@
 
 mod steps;
 
-use super::file::{Experiment, Fault, What};
+use super::file::{Experiment, Fault, FaultKind};
 use dunespur_emulator::ingress::{Entry, Ingress};
 use dunespur_emulator::judge::Span;
 use dunespur_emulator::scene::Scene;
@@ -28,8 +28,8 @@
     planned: Vec<Fault>,
     actions: Vec<Action>,
     /// Machines that have been taken away for good.
-    gone: BTreeSet<usize>,
-    unrest: Vec<Span>,
+    removed: BTreeSet<usize>,
+    disturbances: Vec<Span>,
     ingress: Ingress,
 }
 
@@ -39,8 +39,8 @@
         Faults {
             planned: experiment.faults.clone(),
             actions: Vec::new(),
-            gone: BTreeSet::new(),
-            unrest: Vec::new(),
+            removed: BTreeSet::new(),
+            disturbances: Vec::new(),
             ingress,
         }
     }
@@ -68,15 +68,15 @@
     }
 
     /// When machines were not in touch.
-    pub fn unrest(&self) -> Vec<Span> {
-        self.unrest.clone()
+    pub fn disturbances(&self) -> Vec<Span> {
+        self.disturbances.clone()
     }
 
     fn begin(&mut self, scene: &Scene, fault: &Fault) {
-        if !fault.what.leaves_in_touch() {
+        if !fault.kind.leaves_in_touch() {
             let from_ms = scene.clock.now_ms();
             let lasting_ms = (fault.lasts_s * 1_000.0) as u64;
-            self.unrest.push(Span {
+            self.disturbances.push(Span {
                 from_ms,
                 to_ms: from_ms + lasting_ms + CONTACT_MS,
             });
@@ -95,45 +95,45 @@
             return Vec::new();
         };
         let lasting = |first, then| vec![now(first), after(fault.lasts_s, then)];
-        match fault.what {
-            What::KillCore | What::KillGateway | What::KillStore => {
+        match fault.kind {
+            FaultKind::KillCore | FaultKind::KillGateway | FaultKind::KillStore => {
                 lasting(Step::Kill(target), Step::Start(target))
             }
-            What::KillAll => lasting(Step::KillAll, Step::StartAll),
-            What::TerminateCore | What::TerminateGateway => {
+            FaultKind::KillAll => lasting(Step::KillAll, Step::StartAll),
+            FaultKind::TerminateCore | FaultKind::TerminateGateway => {
                 let process = scene.system.machines()[target].starts();
                 let start = Step::StartAfterLeave {
-                    place: target,
+                    index: target,
                     process,
                 };
                 vec![now(Step::Terminate(target)), after(GRACE_S, start)]
             }
-            What::FreezeCore | What::FreezeStore => {
+            FaultKind::FreezeCore | FaultKind::FreezeStore => {
                 lasting(Step::Freeze(target), Step::Thaw(target))
             }
-            What::WipeCore | What::WipeStore => vec![now(Step::Wipe(target))],
-            What::ReplaceCore | What::ReplaceStore => {
-                lasting(Step::TakeAway(target), Step::Replace(target))
+            FaultKind::WipeCore | FaultKind::WipeStore => vec![now(Step::Wipe(target))],
+            FaultKind::ReplaceCore | FaultKind::ReplaceStore => {
+                lasting(Step::Decommission(target), Step::Replace(target))
             }
-            What::RetireStore => vec![now(Step::Retire(target))],
-            What::AddGateway => vec![now(Step::Add(Role::Gateway))],
-            What::AddStore => vec![now(Step::Add(Role::Store))],
-            What::LoseAnswers => lasting(Step::LoseAnswers(target), Step::EndTrouble(target)),
-            What::ReplaceModel => vec![now(Step::DrainModel(target))],
-            What::CrashModel => vec![now(Step::CrashModel(target))],
-            What::Patch => vec![now(Step::Patch)],
+            FaultKind::RetireStore => vec![now(Step::Retire(target))],
+            FaultKind::AddGateway => vec![now(Step::Add(Role::Gateway))],
+            FaultKind::AddStore => vec![now(Step::Add(Role::Store))],
+            FaultKind::LoseAnswers => lasting(Step::LoseAnswers(target), Step::EndFault(target)),
+            FaultKind::ReplaceModel => vec![now(Step::DrainModel(target))],
+            FaultKind::CrashModel => vec![now(Step::CrashModel(target))],
+            FaultKind::Patch => vec![now(Step::Patch)],
         }
     }
 
     /// The machine or server that a fault is about.
     fn target(&self, scene: &Scene, fault: &Fault) -> Option<usize> {
-        let Some(role) = fault.what.role() else {
+        let Some(role) = fault.kind.role() else {
             return Some(fault.number);
         };
-        let places = scene.system.places(|plan| plan.role == role);
-        let left: Vec<usize> = places
+        let machine_indices = scene.system.machine_indices(|plan| plan.role == role);
+        let left: Vec<usize> = machine_indices
             .into_iter()
-            .filter(|place| !self.gone.contains(place))
+            .filter(|index| !self.removed.contains(index))
             .collect();
         if left.is_empty() {
             return None;
@@ -142,12 +142,14 @@
     }
 
     fn machines_changed(&mut self, scene: &mut Scene) {
-        self.ingress.set_entries(entries(scene, &self.gone));
-        let controls = scene.system.places(|plan| plan.role != Role::Store);
+        self.ingress.set_entries(entries(scene, &self.removed));
+        let controls = scene
+            .system
+            .machine_indices(|plan| plan.role != Role::Store);
         let left = controls
             .into_iter()
-            .filter(|place| !self.gone.contains(place));
-        let controls: Vec<_> = left.map(|place| scene.system.control(place)).collect();
+            .filter(|index| !self.removed.contains(index));
+        let controls: Vec<_> = left.map(|index| scene.system.control(index)).collect();
         scene.operator.set_controls(controls.clone());
         for engine in &scene.engines {
             engine.registration.set_controls(controls.clone());
@@ -172,12 +174,16 @@
     Timed { after_s, step }
 }
 
-fn entries(scene: &Scene, gone: &BTreeSet<usize>) -> Vec<Entry> {
-    let gateways = scene.system.places(|plan| plan.role != Role::Store);
-    let left = gateways.into_iter().filter(|place| !gone.contains(place));
-    left.map(|place| Entry {
-        ready: scene.system.ready_address(place),
-        front: scene.system.front(place),
+fn entries(scene: &Scene, removed: &BTreeSet<usize>) -> Vec<Entry> {
+    let gateways = scene
+        .system
+        .machine_indices(|plan| plan.role != Role::Store);
+    let left = gateways
+        .into_iter()
+        .filter(|index| !removed.contains(index));
+    left.map(|index| Entry {
+        ready: scene.system.ready_address(index),
+        front: scene.system.front(index),
     })
     .collect()
 }
--- a/crates/testing/emulator/src/experiment/faults/steps.rs
+++ b/crates/testing/emulator/src/experiment/faults/steps.rs
@@ -5,16 +5,16 @@
 use dunespur_emulator::client::Kind;
 use dunespur_emulator::configuration::{patch, RoutePlan};
 use dunespur_emulator::scene::{Scene, HOST, TOOLS};
-use dunespur_emulator::server::Trouble;
+use dunespur_emulator::server::ServerFault;
 use dunespur_emulator::system::{MachinePlan, Role};
 use std::time::Duration;
 
 /// An order has so long to be acknowledged.
-const ORDER_LIMIT: Duration = Duration::from_secs(10);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause between two looks at a machine that is being emptied.
-const RETIRE_LOOK: Duration = Duration::from_millis(200);
+const RETIRE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// A machine that is not empty by then stays.
-const RETIRE_PATIENCE: Duration = Duration::from_secs(30);
+const RETIRE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The time that an order to empty a machine names.
 const RETIRE_DEADLINE_S: u64 = 10;
 
@@ -26,7 +26,7 @@
     Terminate(usize),
     /// A process that was asked to leave, the so manieth of its machine, has had its time.
     StartAfterLeave {
-        place: usize,
+        index: usize,
         process: u32,
     },
     Freeze(usize),
@@ -35,18 +35,18 @@
     KillAll,
     StartAll,
     /// A machine is lost for good.
-    TakeAway(usize),
+    Decommission(usize),
     /// An empty machine comes in the place of one that was lost.
     Replace(usize),
     Retire(usize),
     /// Looks whether the machine is empty; gives up at a time.
     AwaitRetired {
-        place: usize,
+        index: usize,
         until: Duration,
     },
     Add(Role),
     LoseAnswers(usize),
-    EndTrouble(usize),
+    EndFault(usize),
     DrainModel(usize),
     CrashModel(usize),
     Patch,
@@ -56,7 +56,7 @@
     /// The machine whose process gets a signal that it outlives at first; nothing happens where none runs.
     fn signals(self) -> Option<usize> {
         match self {
-            Step::Terminate(place) | Step::Freeze(place) | Step::Thaw(place) => Some(place),
+            Step::Terminate(index) | Step::Freeze(index) | Step::Thaw(index) => Some(index),
             _ => None,
         }
     }
@@ -71,32 +71,32 @@
         if action
             .step
             .signals()
-            .is_some_and(|place| !scene.system.machines()[place].is_running())
+            .is_some_and(|index| !scene.system.machines()[index].is_running())
         {
             return Ok(());
         }
         match action.step {
-            Step::Kill(place) => scene.system.machine(place).kill(),
-            Step::Start(place) => start(scene, place)?,
-            Step::Terminate(place) => scene.terminate(place)?,
-            Step::StartAfterLeave { place, process } => {
-                if scene.system.machines()[place].starts() == process {
-                    scene.system.machine(place).kill();
-                    start(scene, place)?;
+            Step::Kill(index) => scene.system.machine(index).kill(),
+            Step::Start(index) => start(scene, index)?,
+            Step::Terminate(index) => scene.terminate(index)?,
+            Step::StartAfterLeave { index, process } => {
+                if scene.system.machines()[index].starts() == process {
+                    scene.system.machine(index).kill();
+                    start(scene, index)?;
                 }
             }
-            Step::Freeze(place) => scene.system.machine(place).freeze()?,
-            Step::Thaw(place) => scene.system.machine(place).thaw()?,
-            Step::Wipe(place) => scene.system.wipe(place)?,
+            Step::Freeze(index) => scene.system.machine(index).freeze()?,
+            Step::Thaw(index) => scene.system.machine(index).thaw()?,
+            Step::Wipe(index) => scene.system.wipe(index)?,
             Step::KillAll => scene.system.kill_all(),
             Step::StartAll => self.start_all(scene)?,
-            Step::TakeAway(place) => self.take_away(scene, place),
-            Step::Replace(place) => {
-                self.add(scene, scene.system.machines()[place].plan().clone())?
+            Step::Decommission(index) => self.decommission(scene, index),
+            Step::Replace(index) => {
+                self.add(scene, scene.system.machines()[index].plan().clone())?
             }
-            Step::Retire(place) => self.retire(scene, place, action.at).await?,
-            Step::AwaitRetired { place, until } => {
-                self.await_retired(scene, place, until, action.at).await?
+            Step::Retire(index) => self.retire(scene, index, action.at).await?,
+            Step::AwaitRetired { index, until } => {
+                self.await_retired(scene, index, until, action.at).await?
             }
             Step::Add(role) => {
                 let zone = scene.system.machines()[0].plan().zone.clone();
@@ -105,11 +105,11 @@
             Step::LoseAnswers(server) => {
                 scene.plains[server]
                     .server
-                    .door
-                    .troubles
-                    .always(Some(Trouble::AnswerLost));
+                    .handle
+                    .faults
+                    .always(Some(ServerFault::AnswerLost));
             }
-            Step::EndTrouble(server) => scene.plains[server].server.door.troubles.always(None),
+            Step::EndFault(server) => scene.plains[server].server.handle.faults.always(None),
             Step::DrainModel(server) => drain_model(scene, server).await?,
             Step::CrashModel(server) => {
                 scene.add_engine().await?;
@@ -121,17 +121,17 @@
     }
 
     fn start_all(&self, scene: &mut Scene) -> anyhow::Result<()> {
-        for place in 0..scene.system.machines().len() {
-            if !self.gone.contains(&place) {
-                start(scene, place)?;
+        for index in 0..scene.system.machines().len() {
+            if !self.removed.contains(&index) {
+                start(scene, index)?;
             }
         }
         Ok(())
     }
 
-    fn take_away(&mut self, scene: &mut Scene, place: usize) {
-        scene.system.machine(place).kill();
-        self.gone.insert(place);
+    fn decommission(&mut self, scene: &mut Scene, index: usize) {
+        scene.system.machine(index).kill();
+        self.removed.insert(index);
         self.machines_changed(scene);
     }
 
@@ -144,13 +144,13 @@
     async fn retire(
         &mut self,
         scene: &mut Scene,
-        place: usize,
+        index: usize,
         at: Duration,
     ) -> anyhow::Result<()> {
-        let name = scene.system.machines()[place].name().to_owned();
+        let name = scene.system.machines()[index].name().to_owned();
         let answer = scene
             .operator
-            .retire(&name, RETIRE_DEADLINE_S, ORDER_LIMIT)
+            .retire(&name, RETIRE_DEADLINE_S, ORDER_TIMEOUT)
             .await?;
         ensure!(
             [200, 409].contains(&answer.status),
@@ -159,11 +159,11 @@
         );
         if answer.status == 200 {
             let step = Step::AwaitRetired {
-                place,
-                until: at + RETIRE_PATIENCE,
+                index,
+                until: at + RETIRE_TIMEOUT,
             };
             self.actions.push(Action {
-                at: at + RETIRE_LOOK,
+                at: at + RETIRE_POLL_INTERVAL,
                 step,
             });
         }
@@ -173,37 +173,37 @@
     async fn await_retired(
         &mut self,
         scene: &mut Scene,
-        place: usize,
+        index: usize,
         until: Duration,
         at: Duration,
     ) -> anyhow::Result<()> {
-        if self.gone.contains(&place) {
+        if self.removed.contains(&index) {
             return Ok(());
         }
-        let name = scene.system.machines()[place].name().to_owned();
-        let answer = scene.operator.retirement(&name, ORDER_LIMIT).await?;
+        let name = scene.system.machines()[index].name().to_owned();
+        let answer = scene.operator.retirement(&name, ORDER_TIMEOUT).await?;
         if String::from_utf8_lossy(&answer.body).contains("done") {
-            self.take_away(scene, place);
+            self.decommission(scene, index);
             return Ok(());
         }
         if at < until {
-            let step = Step::AwaitRetired { place, until };
+            let step = Step::AwaitRetired { index, until };
             self.actions.push(Action {
-                at: at + RETIRE_LOOK,
+                at: at + RETIRE_POLL_INTERVAL,
                 step,
             });
             return Ok(());
         }
-        eprintln!("{name} is not empty after {RETIRE_PATIENCE:?}");
+        eprintln!("{name} is not empty after {RETIRE_TIMEOUT:?}");
         Ok(())
     }
 }
 
-fn start(scene: &mut Scene, place: usize) -> anyhow::Result<()> {
-    if scene.system.machines()[place].is_running() {
+fn start(scene: &mut Scene, index: usize) -> anyhow::Result<()> {
+    if scene.system.machines()[index].is_running() {
         return Ok(());
     }
-    scene.system.restart(place)
+    scene.system.restart(index)
 }
 
 /// A new server comes, the old one leaves in order.
@@ -231,7 +231,7 @@
         .push(current.patched(generation, &[route], &[]));
     let answer = scene
         .operator
-        .patch(current.generation, &body, ORDER_LIMIT)
+        .patch(current.generation, &body, ORDER_TIMEOUT)
         .await?;
     ensure!(answer.status == 200, "a patch: {}", answer.status);
     Ok(())
--- a/crates/testing/emulator/src/experiment/file.rs
+++ b/crates/testing/emulator/src/experiment/file.rs
@@ -62,7 +62,8 @@
     pub step_us: u64,
     pub per_running_us: u64,
     pub read_per_ms: f64,
-    pub piece_tokens: u64,
+    #[serde(rename = "piece_tokens")]
+    pub prefill_chunk_tokens: u64,
     pub chunk_tokens: u64,
     pub max_connections: u32,
 }
@@ -77,7 +78,7 @@
             step_us: 5_470,
             per_running_us: 120,
             read_per_ms: 38.7,
-            piece_tokens: 512,
+            prefill_chunk_tokens: 512,
             chunk_tokens: 3,
             max_connections: 220,
         }
@@ -117,7 +118,8 @@
     /// Programs that begin in a second.
     pub rate: f64,
     /// Whether the system keeps what was said.
-    pub kept: bool,
+    #[serde(rename = "kept")]
+    pub persisted: bool,
     pub turns: u32,
     #[serde(default)]
     pub shared_tokens: u64,
@@ -125,7 +127,8 @@
     #[serde(default = "usual_input")]
     pub input_bytes: usize,
     /// The most that a turn generates.
-    pub most: u64,
+    #[serde(rename = "most")]
+    pub max_tokens: u64,
     /// Enough for all turns where it is left out.
     pub budget: Option<u64>,
     /// Reading and recording calls after each turn.
@@ -137,7 +140,8 @@
     #[serde(default)]
     pub sub_agents: f64,
     /// A program that has ended by then is in time.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub target_ms: u64,
     #[serde(default = "usual_retries")]
     pub retries: u32,
 }
@@ -149,7 +153,8 @@
     pub name: String,
     pub rate: f64,
     pub kind: RequestKind,
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub target_ms: u64,
     pub deadline_ms: u64,
     #[serde(default = "usual_retries")]
     pub retries: u32,
@@ -169,7 +174,8 @@
 pub struct Fault {
     /// From the beginning of traffic.
     pub at_s: f64,
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     /// Which machine of its role, or which server.
     #[serde(default)]
     pub number: usize,
@@ -181,7 +187,7 @@
 /// What happens.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum FaultKind {
     KillCore,
     KillGateway,
     KillStore,
@@ -209,44 +215,44 @@
     Patch,
 }
 
-impl What {
+impl FaultKind {
     /// Whether it is planned work, or trouble of servers: machines stay in touch.
     pub fn leaves_in_touch(self) -> bool {
         matches!(
             self,
-            What::TerminateCore
-                | What::TerminateGateway
-                | What::RetireStore
-                | What::AddGateway
-                | What::AddStore
-                | What::LoseAnswers
-                | What::ReplaceModel
-                | What::CrashModel
-                | What::Patch
+            FaultKind::TerminateCore
+                | FaultKind::TerminateGateway
+                | FaultKind::RetireStore
+                | FaultKind::AddGateway
+                | FaultKind::AddStore
+                | FaultKind::LoseAnswers
+                | FaultKind::ReplaceModel
+                | FaultKind::CrashModel
+                | FaultKind::Patch
         )
     }
 
     /// The role of the machines that it is about; nothing where it is about servers or all machines.
     pub fn role(self) -> Option<Role> {
         match self {
-            What::KillCore
-            | What::TerminateCore
-            | What::FreezeCore
-            | What::WipeCore
-            | What::ReplaceCore => Some(Role::Core),
-            What::KillGateway | What::TerminateGateway => Some(Role::Gateway),
-            What::KillStore
-            | What::FreezeStore
-            | What::WipeStore
-            | What::ReplaceStore
-            | What::RetireStore => Some(Role::Store),
-            What::KillAll
-            | What::AddGateway
-            | What::AddStore
-            | What::LoseAnswers
-            | What::ReplaceModel
-            | What::CrashModel
-            | What::Patch => None,
+            FaultKind::KillCore
+            | FaultKind::TerminateCore
+            | FaultKind::FreezeCore
+            | FaultKind::WipeCore
+            | FaultKind::ReplaceCore => Some(Role::Core),
+            FaultKind::KillGateway | FaultKind::TerminateGateway => Some(Role::Gateway),
+            FaultKind::KillStore
+            | FaultKind::FreezeStore
+            | FaultKind::WipeStore
+            | FaultKind::ReplaceStore
+            | FaultKind::RetireStore => Some(Role::Store),
+            FaultKind::KillAll
+            | FaultKind::AddGateway
+            | FaultKind::AddStore
+            | FaultKind::LoseAnswers
+            | FaultKind::ReplaceModel
+            | FaultKind::CrashModel
+            | FaultKind::Patch => None,
         }
     }
 }
@@ -268,7 +274,7 @@
             .map(|fault| {
                 format!(
                     "{:.1} {:?}({}, {:.1} s)",
-                    fault.at_s, fault.what, fault.number, fault.lasts_s
+                    fault.at_s, fault.kind, fault.number, fault.lasts_s
                 )
             })
             .collect();
--- a/crates/testing/emulator/src/experiment/findings.rs
+++ b/crates/testing/emulator/src/experiment/findings.rs
@@ -5,7 +5,7 @@
 use super::measure::{ProcessUse, Spans};
 use super::traffic::{Ended, Outcome};
 use dunespur_emulator::judge::Violation;
-use dunespur_emulator::record::{Fate, Sighting, Try};
+use dunespur_emulator::record::{AttemptRecord, Fate, Observation};
 use dunespur_emulator::scene::Scene;
 use dunespur_emulator::RequestId;
 use serde::Serialize;
@@ -32,7 +32,7 @@
     pub violations: Vec<String>,
     /// All tries, for other tools.
     #[serde(skip)]
-    pub tries: String,
+    pub attempts: String,
 }
 
 /// One class of programs or requests.
@@ -74,8 +74,8 @@
         spans: &Spans,
         violations: &[Violation],
     ) -> Findings {
-        let sightings = scene.record.sightings();
-        let tries = scene.record.tries();
+        let observations = scene.record.observations();
+        let attempts = scene.record.attempts();
         let programs = experiment.programs.iter().map(|class| class.name.clone());
         let requests = experiment.requests.iter().map(|class| class.name.clone());
         let names = programs.chain(requests).enumerate();
@@ -88,15 +88,15 @@
             classes: names
                 .map(|(class, name)| class_finding(name, class, outcomes))
                 .collect(),
-            server_first_ms: server_first(&sightings),
-            added_ms: added(&sightings, &tries),
+            server_first_ms: server_first(&observations),
+            added_ms: added(&observations, &attempts),
             prompt_tokens: prompt_tokens(scene),
-            answers: answers(&tries),
-            server_connections: scene.servers().map(|door| door.accepted()).sum(),
-            probes: scene.servers().map(|door| door.probes()).sum(),
+            answers: answers(&attempts),
+            server_connections: scene.servers().map(|handle| handle.accepted()).sum(),
+            probes: scene.servers().map(|handle| handle.probes()).sum(),
             processes: spans.processes(scene),
             violations,
-            tries: listing::tries(scene),
+            attempts: listing::attempts(scene),
         }
     }
 
@@ -181,10 +181,10 @@
 impl Quantiles {
     fn of(mut times: Vec<f64>) -> Quantiles {
         times.sort_by(f64::total_cmp);
-        let at = |part: f64| {
-            let place = (times.len() as f64 * part).ceil() as usize;
+        let at = |segment: f64| {
+            let index = (times.len() as f64 * segment).ceil() as usize;
             times
-                .get(place.saturating_sub(1))
+                .get(index.saturating_sub(1))
                 .copied()
                 .unwrap_or_default()
         };
@@ -227,30 +227,31 @@
 }
 
 /// Of the requests that ran.
-fn server_first(sightings: &[Sighting]) -> Quantiles {
-    let ran = sightings
+fn server_first(observations: &[Observation]) -> Quantiles {
+    let ran = observations
         .iter()
-        .filter(|sighting| sighting.fate == Fate::Run);
+        .filter(|observation| observation.fate == Fate::Run);
     Quantiles::of(
-        ran.filter_map(|sighting| Some(sighting.moments.to_first_us()? as f64 / 1_000.0))
+        ran.filter_map(|observation| Some(observation.timings.to_first_us()? as f64 / 1_000.0))
             .collect(),
     )
 }
 
 /// What the way through the system added to the time that the server took to its first event.
-fn added(sightings: &[Sighting], tries: &[Try]) -> Quantiles {
+fn added(observations: &[Observation], attempts: &[AttemptRecord]) -> Quantiles {
     let mut at_server: HashMap<RequestId, u64> = HashMap::new();
-    for sighting in sightings
+    for observation in observations
         .iter()
-        .filter(|sighting| sighting.fate == Fate::Run)
+        .filter(|observation| observation.fate == Fate::Run)
     {
-        if let (Some(request), Some(us)) = (sighting.request, sighting.moments.to_first_us()) {
+        if let (Some(request), Some(us)) = (observation.request, observation.timings.to_first_us())
+        {
             at_server.insert(request, us);
         }
     }
-    let added = tries.iter().filter_map(|attempt| {
+    let added = attempts.iter().filter_map(|attempt| {
         let server_us = at_server.get(&attempt.request)?;
-        let client_us = attempt.moments.to_first_us()?;
+        let client_us = attempt.timings.to_first_us()?;
         Some(client_us.saturating_sub(*server_us) as f64 / 1_000.0)
     });
     Quantiles::of(added.collect())
@@ -259,14 +260,14 @@
 fn prompt_tokens(scene: &Scene) -> PromptTokens {
     let engines = scene.engines.iter().map(|engine| &engine.server);
     engines.fold(PromptTokens::default(), |sum, engine| PromptTokens {
-        asked: sum.asked + engine.tokens_asked(),
-        read: sum.read + engine.tokens_read(),
+        asked: sum.asked + engine.prompt_tokens_admitted(),
+        read: sum.read + engine.prompt_tokens_prefilled(),
     })
 }
 
-fn answers(tries: &[Try]) -> BTreeMap<String, usize> {
+fn answers(attempts: &[AttemptRecord]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
-    for attempt in tries {
+    for attempt in attempts {
         let name = outcome(&attempt.outcome);
         *counts.entry(name).or_default() += 1;
     }
--- a/crates/testing/emulator/src/experiment/hunt.rs
+++ b/crates/testing/emulator/src/experiment/hunt.rs
@@ -3,7 +3,7 @@
 use super::file::{
     Experiment, Fault, Machines, ModelService, ProgramClass, RequestClass, RequestKind,
 };
-use super::file::{Services, ToolService, What};
+use super::file::{FaultKind, Services, ToolService};
 
 /// A machine counts as lost for this long after its return.
 const CATCH_UP_S: f64 = 4.2;
@@ -17,30 +17,30 @@
 const LONGEST_FAULT_S: f64 = 2.0;
 
 /// Faults of machines that count: one at a time.
-const LOSSES: [What; 11] = [
-    What::KillCore,
-    What::KillStore,
-    What::KillAll,
-    What::TerminateCore,
-    What::FreezeCore,
-    What::FreezeStore,
-    What::WipeCore,
-    What::WipeStore,
-    What::ReplaceCore,
-    What::ReplaceStore,
-    What::RetireStore,
+const LOSSES: [FaultKind; 11] = [
+    FaultKind::KillCore,
+    FaultKind::KillStore,
+    FaultKind::KillAll,
+    FaultKind::TerminateCore,
+    FaultKind::FreezeCore,
+    FaultKind::FreezeStore,
+    FaultKind::WipeCore,
+    FaultKind::WipeStore,
+    FaultKind::ReplaceCore,
+    FaultKind::ReplaceStore,
+    FaultKind::RetireStore,
 ];
 
 /// Faults that may come at any time.
-const OTHERS: [What; 8] = [
-    What::KillGateway,
-    What::TerminateGateway,
-    What::AddGateway,
-    What::AddStore,
-    What::LoseAnswers,
-    What::ReplaceModel,
-    What::CrashModel,
-    What::Patch,
+const OTHERS: [FaultKind; 8] = [
+    FaultKind::KillGateway,
+    FaultKind::TerminateGateway,
+    FaultKind::AddGateway,
+    FaultKind::AddStore,
+    FaultKind::LoseAnswers,
+    FaultKind::ReplaceModel,
+    FaultKind::CrashModel,
+    FaultKind::Patch,
 ];
 
 /// The experiment of a seed.
@@ -82,21 +82,21 @@
     }
 }
 
-fn program(name: &str, kept: bool, random: &mut fastrand::Rng) -> ProgramClass {
+fn program(name: &str, persisted: bool, random: &mut fastrand::Rng) -> ProgramClass {
     ProgramClass {
         name: name.to_owned(),
         rate: 3.0,
-        kept,
+        persisted,
         turns: random.u32(2..=5),
         shared_tokens: 500,
         input_tokens: 100,
         input_bytes: random.usize(20..=2_000),
-        most: 12,
+        max_tokens: 12,
         budget: Some(random.u64(30..=200)),
         lookups: 1,
         records: 1,
         sub_agents: 0.3,
-        aim_ms: 2_000,
+        target_ms: 2_000,
         retries: 1,
     }
 }
@@ -106,7 +106,7 @@
         name: "lookup".to_owned(),
         rate: 10.0,
         kind: RequestKind::ReadOnly,
-        aim_ms: 150,
+        target_ms: 150,
         deadline_ms: 1_200,
         retries: 1,
     }
@@ -117,7 +117,7 @@
     let mut at_s = CALM_S;
     while at_s < traffic_s - LONGEST_FAULT_S {
         let fault = drawn(random, &LOSSES, at_s);
-        let grace_s = if fault.what == What::TerminateCore {
+        let grace_s = if fault.kind == FaultKind::TerminateCore {
             GRACE_S
         } else {
             0.0
@@ -132,16 +132,16 @@
     faults
 }
 
-fn drawn(random: &mut fastrand::Rng, among: &[What], at_s: f64) -> Fault {
-    let what = among[random.usize(..among.len())];
-    let number = if what.role().is_some() {
+fn drawn(random: &mut fastrand::Rng, among: &[FaultKind], at_s: f64) -> Fault {
+    let kind = among[random.usize(..among.len())];
+    let number = if kind.role().is_some() {
         random.usize(..8)
     } else {
         random.usize(..3)
     };
     Fault {
         at_s,
-        what,
+        kind,
         number,
         lasts_s: random.f64() * LONGEST_FAULT_S,
     }
--- a/crates/testing/emulator/src/experiment/listing.rs
+++ b/crates/testing/emulator/src/experiment/listing.rs
@@ -1,6 +1,6 @@
 //! All tries as a table for other tools, one a line.
 
-use dunespur_emulator::record::{Fate, Sighting, Try, TryOutcome};
+use dunespur_emulator::record::{AttemptOutcome, AttemptRecord, Fate, Observation};
 use dunespur_emulator::scene::Scene;
 use dunespur_emulator::RequestId;
 use std::collections::HashMap;
@@ -11,32 +11,32 @@
     "sent_ms\tended_ms\tfront\ttarget\trequest\tprogram\toutcome\tfirst_ms\tserver\tserver_first_ms\n";
 
 /// Every try with what its server saw last of it.
-pub fn tries(scene: &Scene) -> String {
-    let sightings = scene.record.sightings();
-    let mut last: HashMap<RequestId, &Sighting> = HashMap::new();
-    for sighting in sightings
+pub fn attempts(scene: &Scene) -> String {
+    let observations = scene.record.observations();
+    let mut last: HashMap<RequestId, &Observation> = HashMap::new();
+    for observation in observations
         .iter()
-        .filter(|sighting| sighting.fate == Fate::Run)
+        .filter(|observation| observation.fate == Fate::Run)
     {
-        if let Some(request) = sighting.request {
-            last.insert(request, sighting);
+        if let Some(request) = observation.request {
+            last.insert(request, observation);
         }
     }
     let mut text = HEAD.to_owned();
-    for attempt in scene.record.tries() {
-        line(&mut text, &attempt, last.get(&attempt.request).copied());
+    for attempt in scene.record.attempts() {
+        write_row(&mut text, &attempt, last.get(&attempt.request).copied());
     }
     text
 }
 
-fn line(text: &mut String, attempt: &Try, run: Option<&Sighting>) {
+fn write_row(text: &mut String, attempt: &AttemptRecord, run: Option<&Observation>) {
     let program = attempt
         .program
         .as_ref()
         .map_or("", |program| program.program.as_str());
-    let first = milliseconds(attempt.moments.to_first_us());
+    let first = milliseconds(attempt.timings.to_first_us());
     let server = run.map_or("", |run| run.instance.as_str());
-    let server_first = milliseconds(run.and_then(|run| run.moments.to_first_us()));
+    let server_first = milliseconds(run.and_then(|run| run.timings.to_first_us()));
     let (sent, ended, front) = (attempt.sent_ms, attempt.ended_ms, attempt.front);
     let (target, request, outcome) = (&attempt.target, attempt.request, outcome(&attempt.outcome));
     let _ = writeln!(
@@ -46,14 +46,14 @@
 }
 
 /// How a try ended, in a word.
-pub fn outcome(outcome: &TryOutcome) -> String {
+pub fn outcome(outcome: &AttemptOutcome) -> String {
     match outcome {
-        TryOutcome::Answered(answered) => answered.status.to_string(),
-        TryOutcome::BrokenOff(_) => "broken off".to_owned(),
-        TryOutcome::Closed => "closed".to_owned(),
-        TryOutcome::NotSent => "not sent".to_owned(),
-        TryOutcome::GivenUp => "given up".to_owned(),
-        TryOutcome::Garbled(_) => "garbled".to_owned(),
+        AttemptOutcome::Answered(answered) => answered.status.to_string(),
+        AttemptOutcome::BrokenOff(_) => "broken off".to_owned(),
+        AttemptOutcome::Closed => "closed".to_owned(),
+        AttemptOutcome::NotSent => "not sent".to_owned(),
+        AttemptOutcome::GivenUp => "given up".to_owned(),
+        AttemptOutcome::Garbled(_) => "garbled".to_owned(),
     }
 }
 
--- a/crates/testing/emulator/src/experiment/measure.rs
+++ b/crates/testing/emulator/src/experiment/measure.rs
@@ -46,13 +46,13 @@
         }
     }
 
-    fn used(&self, place: usize) -> Usage {
-        self.usages.get(place).copied().unwrap_or_default()
+    fn used(&self, index: usize) -> Usage {
+        self.usages.get(index).copied().unwrap_or_default()
     }
 
-    fn since(&self, earlier: &Meter, place: usize) -> (Usage, f64) {
+    fn since(&self, earlier: &Meter, index: usize) -> (Usage, f64) {
         let seconds = self.at.duration_since(earlier.at).as_secs_f64();
-        (self.used(place).since(earlier.used(place)), seconds)
+        (self.used(index).since(earlier.used(index)), seconds)
     }
 }
 
@@ -61,18 +61,18 @@
     pub fn processes(&self, scene: &Scene) -> Vec<ProcessUse> {
         let machines = scene.system.machines().iter().enumerate();
         machines
-            .map(|(place, machine)| {
-                let (idle, idle_s) = self.idle.since(&self.up, place);
-                let (loaded, loaded_s) = self.loaded.since(&self.idle, place);
+            .map(|(index, machine)| {
+                let (idle, idle_s) = self.idle.since(&self.up, index);
+                let (loaded, loaded_s) = self.loaded.since(&self.idle, index);
                 ProcessUse {
                     name: machine.name().to_owned(),
                     role: role_name(machine.plan().role),
                     starts: machine.starts(),
-                    start_ms: self.up.used(place).processor_ms,
+                    start_ms: self.up.used(index).processor_ms,
                     idle_millicores: rate(idle.processor_ms, idle_s),
                     loaded_millicores: rate(loaded.processor_ms, loaded_s),
                     loaded_wake_ups_a_second: rate(loaded.wake_ups, loaded_s),
-                    peak_memory_kb: self.loaded.used(place).peak_memory_kb,
+                    peak_memory_kb: self.loaded.used(index).peak_memory_kb,
                 }
             })
             .collect()
--- a/crates/testing/emulator/src/experiment/mod.rs
+++ b/crates/testing/emulator/src/experiment/mod.rs
@@ -15,7 +15,7 @@
 pub use findings::Findings;
 pub use hunt::draw;
 
-use dunespur_emulator::program::Line;
+use dunespur_emulator::program::Conversation;
 use dunespur_emulator::scene::Scene;
 use faults::Faults;
 use measure::{Meter, Spans};
@@ -27,7 +27,7 @@
 /// Programs that are to go on when everything is over.
 const CONTINUED_LINES: usize = 20;
 /// How often faults that are due are looked for while traffic runs.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Plays the whole experiment.
 pub async fn play(program: &Path, experiment: &Experiment) -> anyhow::Result<Findings> {
@@ -41,13 +41,13 @@
     while !(traffic.ended() && faults.ended()) {
         faults.due(&mut scene, started.elapsed()).await?;
         traffic.take_ended();
-        sleep_until(Instant::now() + LOOK_PAUSE).await;
+        sleep_until(Instant::now() + POLL_INTERVAL).await;
     }
     let loaded = Meter::read(&scene);
     let spans = Spans { up, idle, loaded };
     let outcomes = traffic.into_outcomes();
-    let ending = ending::judge(&mut scene, lines(&outcomes)).await;
-    let mut violations = scene.violations_except(faults.unrest());
+    let ending = ending::judge(&mut scene, conversations(&outcomes)).await;
+    let mut violations = scene.violations_except(faults.disturbances());
     violations.extend(ending);
     let findings = Findings::new(&scene, experiment, &outcomes, &spans, &violations);
     if !violations.is_empty() {
@@ -57,13 +57,18 @@
 }
 
 /// Of finished programs, spread over the whole time: their lines are to go on at the end.
-fn lines(outcomes: &[Outcome]) -> Vec<Line> {
-    let lines: Vec<&Line> = outcomes
+fn conversations(outcomes: &[Outcome]) -> Vec<Conversation> {
+    let conversations: Vec<&Conversation> = outcomes
         .iter()
-        .filter_map(|outcome| outcome.line.as_ref())
+        .filter_map(|outcome| outcome.conversation.as_ref())
         .collect();
-    let stride = (lines.len() / CONTINUED_LINES).max(1);
-    lines.into_iter().rev().step_by(stride).cloned().collect()
+    let stride = (conversations.len() / CONTINUED_LINES).max(1);
+    conversations
+        .into_iter()
+        .rev()
+        .step_by(stride)
+        .cloned()
+        .collect()
 }
 
 async fn rest(seconds: f64) {
--- a/crates/testing/emulator/src/experiment/stage.rs
+++ b/crates/testing/emulator/src/experiment/stage.rs
@@ -5,7 +5,7 @@
 use dunespur_emulator::engine::{EngineSettings, Speeds};
 use dunespur_emulator::plain::PlainSettings;
 use dunespur_emulator::scene::{usual_configuration, ScenePlan, MODELS};
-use dunespur_emulator::server::DoorSettings;
+use dunespur_emulator::server::ConnectionSettings;
 use dunespur_emulator::system::{MachinePlan, Role};
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
         step_us: models.step_us,
         per_running_us: models.per_running_us,
         read_per_ms: models.read_per_ms,
-        piece_tokens: models.piece_tokens,
+        prefill_chunk_tokens: models.prefill_chunk_tokens,
     };
     let engine = EngineSettings {
         speeds,
@@ -26,14 +26,14 @@
         memory_tokens: models.memory_tokens,
         chunk_tokens: models.chunk_tokens,
         time_scale: 1.0,
-        door: door(models.max_connections),
+        connections: connection_settings(models.max_connections),
         ..EngineSettings::default()
     };
     let plain = PlainSettings {
         queue: tools.queue,
         work_time: Duration::from_millis(tools.work_ms),
         body_bytes: tools.body_bytes,
-        door: door(tools.max_connections),
+        connections: connection_settings(tools.max_connections),
     };
     ScenePlan {
         machines: machines(experiment),
@@ -51,10 +51,10 @@
     }
 }
 
-fn door(max_connections: u32) -> DoorSettings {
-    DoorSettings {
+fn connection_settings(max_connections: u32) -> ConnectionSettings {
+    ConnectionSettings {
         max_connections: max_connections as usize,
-        ..DoorSettings::default()
+        ..ConnectionSettings::default()
     }
 }
 
--- a/crates/testing/emulator/src/experiment/traffic.rs
+++ b/crates/testing/emulator/src/experiment/traffic.rs
@@ -1,15 +1,19 @@
 //! The load: programs and requests that begin at their rates, whatever becomes of those before.
 
 use super::file::{Experiment, ProgramClass, RequestClass, RequestKind};
-use dunespur_emulator::client::{Ask, Client, Kind};
-use dunespur_emulator::program::{play, End, Line, ProgramPlan, SharedPart, SubAgents, Tool};
-use dunespur_emulator::scene::{usual_program, Scene, HOST, KEPT_TURNS, LOOKUP, RECORD, TURNS};
+use dunespur_emulator::client::{Client, Kind, RequestSpec};
+use dunespur_emulator::program::{
+    play, Conversation, End, ProgramPlan, SharedPrefix, SubAgents, Tool,
+};
+use dunespur_emulator::scene::{
+    usual_program, Scene, HOST, LOOKUP, PERSISTED_TURNS, RECORD, TURNS,
+};
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
 /// Programs and requests under way at once; more are not begun and counted so.
-const MOST_UNDER_WAY: usize = 4_000;
+const MAX_UNDER_WAY: usize = 4_000;
 /// Where a budget is left out, it is enough for so many times the turns.
 const AMPLE_BUDGET: u64 = 8;
 
@@ -35,7 +39,7 @@
     /// Times to the first event of its turns, or to its answer.
     pub first_ms: Vec<u64>,
     /// Where a program that has finished may go on, if its turns are kept.
-    pub line: Option<Line>,
+    pub conversation: Option<Conversation>,
 }
 
 /// The load while it runs.
@@ -127,7 +131,7 @@
         while next < started + length {
             sleep_until(next).await;
             next += self.pause();
-            if under_way.len() >= MOST_UNDER_WAY {
+            if under_way.len() >= MAX_UNDER_WAY {
                 outcomes.push(self.skipped());
                 continue;
             }
@@ -154,7 +158,7 @@
             ended: Ended::Skipped,
             took_ms: 0,
             first_ms: Vec::new(),
-            line: None,
+            conversation: None,
         }
     }
 
@@ -187,32 +191,35 @@
     )
     .await;
     let ended = match played.end {
-        End::Finished if played.took_ms <= program.aim_ms => Ended::InTime,
+        End::Finished if played.took_ms <= program.target_ms => Ended::InTime,
         End::Finished => Ended::Late,
         End::Spent => Ended::Refused,
         End::Failed { status } => without_success(status),
     };
     let first_ms = played.turns.iter().map(|turn| turn.first_ms).collect();
-    let line = Some(played.line).filter(|_| program.kept && played.end == End::Finished);
+    let conversation =
+        Some(played.conversation).filter(|_| program.persisted && played.end == End::Finished);
     Outcome {
         class,
         ended,
         took_ms: played.took_ms,
         first_ms,
-        line,
+        conversation,
     }
 }
 
 async fn once_request(class: usize, request: &RequestClass, client: &Client) -> Outcome {
-    let mut ask = match request.kind {
-        RequestKind::ReadOnly => Ask::get(HOST, &format!("{LOOKUP}x")),
-        RequestKind::Mutating => Ask::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once"),
+    let mut spec = match request.kind {
+        RequestKind::ReadOnly => RequestSpec::get(HOST, &format!("{LOOKUP}x")),
+        RequestKind::Mutating => {
+            RequestSpec::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once")
+        }
     };
-    ask.deadline_ms = request.deadline_ms;
-    ask.retries = request.retries;
-    let served = client.send(&ask).await;
+    spec.deadline_ms = request.deadline_ms;
+    spec.retries = request.retries;
+    let served = client.send(&spec).await;
     let ended = match served.succeeded() {
-        true if served.took_ms <= request.aim_ms => Ended::InTime,
+        true if served.took_ms <= request.target_ms => Ended::InTime,
         true => Ended::Late,
         false => without_success(served.status()),
     };
@@ -221,7 +228,7 @@
         ended,
         took_ms: served.took_ms,
         first_ms: vec![served.first_ms],
-        line: None,
+        conversation: None,
     }
 }
 
@@ -233,7 +240,11 @@
 }
 
 fn plan(class: &ProgramClass, chunk_tokens: u64, sub_agents: bool) -> ProgramPlan {
-    let path = if class.kept { KEPT_TURNS } else { TURNS };
+    let path = if class.persisted {
+        PERSISTED_TURNS
+    } else {
+        TURNS
+    };
     let lookup = Tool {
         target: format!("{LOOKUP}x"),
         kind: Kind::ReadOnly,
@@ -250,19 +261,19 @@
     let records = std::iter::repeat_n(record, class.records);
     ProgramPlan {
         target: format!("{path}{}", class.name),
-        persisted: class.kept,
+        persisted: class.persisted,
         turns: class.turns,
-        shared: SharedPart {
+        shared: SharedPrefix {
             id: shared_id(&class.name),
             tokens: class.shared_tokens,
         },
         input_bytes: class.input_bytes,
         input_tokens: class.input_tokens,
-        most: class.most,
+        max_tokens: class.max_tokens,
         chunk_tokens,
         budget: class
             .budget
-            .unwrap_or(AMPLE_BUDGET * u64::from(class.turns) * class.most),
+            .unwrap_or(AMPLE_BUDGET * u64::from(class.turns) * class.max_tokens),
         tools: lookups.chain(records).collect(),
         sub_agents: sub_agents.then_some(SubAgents {
             after_turn: 1,
@@ -270,7 +281,7 @@
             turns: 2,
         }),
         retries: class.retries,
-        finish_ms: class.aim_ms,
+        finish_ms: class.target_ms,
         ..usual_program()
     }
 }
--- a/crates/testing/emulator/src/gate.rs
+++ b/crates/testing/emulator/src/gate.rs
@@ -17,42 +17,42 @@
 
 #[derive(Debug, Default)]
 struct State {
-    held: bool,
+    closed: bool,
     permits: u64,
     waiting: usize,
 }
 
 impl Gate {
     /// A gate that is held from the start.
-    pub fn held() -> Gate {
+    pub fn closed() -> Gate {
         let gate = Gate::default();
-        gate.hold();
+        gate.close();
         gate
     }
 
     /// From now on nothing passes without a permit.
-    pub fn hold(&self) {
+    pub fn close(&self) {
         self.change(|state| {
-            state.held = true;
+            state.closed = true;
             state.permits = 0;
         });
     }
 
     /// Lets so many pass, those that wait or come next.
-    pub fn let_go(&self, count: u64) {
+    pub fn release(&self, count: u64) {
         self.change(|state| state.permits += count);
     }
 
     /// Lets all pass from now on.
     pub fn open(&self) {
-        self.change(|state| state.held = false);
+        self.change(|state| state.closed = false);
     }
 
     /// Goes on once the gate lets it.
     pub async fn pass(&self) {
         let _waiting = Waiting::begin(&self.inner);
         self.until(|state| {
-            if !state.held {
+            if !state.closed {
                 return true;
             }
             let passes = state.permits > 0;
@@ -67,12 +67,12 @@
         self.until(|state| state.waiting >= count).await;
     }
 
-    async fn until(&self, mut holds: impl FnMut(&mut State) -> bool) {
+    async fn until(&self, mut condition: impl FnMut(&mut State) -> bool) {
         loop {
             let changed = self.inner.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            if holds(&mut self.inner.lock()) {
+            if condition(&mut self.inner.lock()) {
                 return;
             }
             changed.await;
--- a/crates/testing/emulator/src/heartbeat.rs
+++ b/crates/testing/emulator/src/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use crate::client::call::{call, Call, CallAnswer, CallError};
 use crate::record::Acknowledged;
-use crate::server::{Door, Identity};
+use crate::server::{Identity, ServerHandle};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,11 +12,11 @@
 use tokio::time::sleep;
 
 /// An acknowledgement that comes later is none.
-const ACKNOWLEDGED_WITHIN: Duration = Duration::from_secs(1);
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
 /// One that is longer is none either.
-const LONGEST_ACKNOWLEDGEMENT: usize = 4 * 1024;
+const MAX_ACKNOWLEDGEMENT_BYTES: usize = 4 * 1024;
 /// Pause once all limiters have failed.
-const ROUND_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What is told next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,9 +30,9 @@
 /// Registers one server for as long as it lives.
 #[derive(Debug)]
 pub struct Registration {
-    door: Arc<Door>,
+    handle: Arc<ServerHandle>,
     shared: Arc<Shared>,
-    beat: Beat,
+    heartbeat: HeartbeatSettings,
     task: JoinHandle<()>,
 }
 
@@ -46,36 +46,40 @@
 
 /// How a server tells of itself.
 #[derive(Clone, Debug)]
-pub struct Beat {
+pub struct HeartbeatSettings {
     pub pause: Duration,
     /// Time that it is slow from its start, told in each heartbeat.
-    pub cold_left_ms: u64,
+    pub warm_up_left_ms: u64,
     /// Names of its models; none for a plain server.
     pub models: Vec<String>,
 }
 
 impl Registration {
     /// Begins to tell `controls` of the server behind `door`.
-    pub fn start(door: Arc<Door>, controls: Vec<SocketAddr>, beat: Beat) -> Registration {
+    pub fn start(
+        handle: Arc<ServerHandle>,
+        controls: Vec<SocketAddr>,
+        heartbeat: HeartbeatSettings,
+    ) -> Registration {
         let shared = Arc::new(Shared {
             controls: Mutex::new(controls),
             phase: watch::Sender::new(Phase::Ready),
             acknowledged: watch::Sender::new(None),
             now: Notify::new(),
         });
-        let teller = Teller {
-            door: door.clone(),
+        let sender = HeartbeatSender {
+            handle: handle.clone(),
             shared: shared.clone(),
-            beat: beat.clone(),
+            heartbeat: heartbeat.clone(),
             seq: 0,
             next: 0,
             preferred: None,
         };
         Registration {
-            door,
+            handle,
             shared,
-            beat,
-            task: tokio::spawn(teller.run()),
+            heartbeat,
+            task: tokio::spawn(sender.run()),
         }
     }
 
@@ -90,13 +94,13 @@
 
     /// Ends once the server is known as ready.
     pub async fn known(&self) {
-        self.told(Phase::Ready).await;
+        self.wait_for_acknowledgement(Phase::Ready).await;
     }
 
     /// Says that the server is draining; ends with the acknowledgement.
     pub async fn drain(&self) {
         self.enter(Phase::Draining).await;
-        self.door.set_leaving();
+        self.handle.set_leaving();
     }
 
     /// Says that the server leaves; ends with the acknowledgement.
@@ -105,15 +109,20 @@
     }
 
     /// Sends one heartbeat with these values to `control`, beside those that are sent by themselves.
-    pub async fn stray(&self, control: SocketAddr, seq: u64, draining: bool) -> Option<u16> {
+    pub async fn send_out_of_order(
+        &self,
+        control: SocketAddr,
+        seq: u64,
+        draining: bool,
+    ) -> Option<u16> {
         let phase = if draining {
             Phase::Draining
         } else {
             Phase::Ready
         };
-        let body = body(&self.door.identity, &self.beat, phase, seq);
+        let body = body(&self.handle.identity, &self.heartbeat, phase, seq);
         let call = Call::post(
-            format!("/api/instances/{}/heartbeat", self.door.identity.instance),
+            format!("/api/instances/{}/heartbeat", self.handle.identity.instance),
             body,
         );
         call_within(control, &call)
@@ -131,12 +140,14 @@
     async fn enter(&self, phase: Phase) {
         self.shared.phase.send_replace(phase);
         self.shared.now.notify_one();
-        self.told(phase).await;
+        self.wait_for_acknowledgement(phase).await;
     }
 
-    async fn told(&self, phase: Phase) {
+    async fn wait_for_acknowledgement(&self, phase: Phase) {
         let mut acknowledged = self.shared.acknowledged.subscribe();
-        let _ = acknowledged.wait_for(|told| *told == Some(phase)).await;
+        let _ = acknowledged
+            .wait_for(|acknowledged_phase| *acknowledged_phase == Some(phase))
+            .await;
     }
 }
 
@@ -146,10 +157,10 @@
     }
 }
 
-struct Teller {
-    door: Arc<Door>,
+struct HeartbeatSender {
+    handle: Arc<ServerHandle>,
     shared: Arc<Shared>,
-    beat: Beat,
+    heartbeat: HeartbeatSettings,
     seq: u64,
     /// Place in the list of limiters.
     next: usize,
@@ -157,15 +168,15 @@
     preferred: Option<SocketAddr>,
 }
 
-impl Teller {
+impl HeartbeatSender {
     async fn run(mut self) {
         loop {
             let phase = *self.shared.phase.borrow();
             if phase == Phase::Silent {
                 return;
             }
-            if !self.tell(phase).await {
-                sleep(ROUND_PAUSE).await;
+            if !self.send(phase).await {
+                sleep(RETRY_INTERVAL).await;
                 continue;
             }
             self.shared.acknowledged.send_replace(Some(phase));
@@ -173,17 +184,17 @@
                 return;
             }
             tokio::select! {
-                () = sleep(self.beat.pause) => {}
+                () = sleep(self.heartbeat.pause) => {}
                 () = self.shared.now.notified() => {}
             }
         }
     }
 
     /// Calls one limiter after the other until one acknowledges; false when all have failed.
-    async fn tell(&mut self, phase: Phase) -> bool {
-        let asked_ms = self.door.surroundings.clock.now_ms();
+    async fn send(&mut self, phase: Phase) -> bool {
+        let requested_ms = self.handle.context.clock.now_ms();
         if let Some(preferred) = self.preferred {
-            if self.tell_one(preferred, phase, asked_ms).await {
+            if self.send_one(preferred, phase, requested_ms).await {
                 return true;
             }
             self.preferred = None;
@@ -196,7 +207,7 @@
             .clone();
         for offset in 0..controls.len() {
             let address = controls[(self.next + offset) % controls.len()];
-            if self.tell_one(address, phase, asked_ms).await {
+            if self.send_one(address, phase, requested_ms).await {
                 self.next += offset;
                 return true;
             }
@@ -204,42 +215,42 @@
         false
     }
 
-    async fn tell_one(&mut self, address: SocketAddr, phase: Phase, asked_ms: u64) -> bool {
-        let id = &self.door.identity.instance;
+    async fn send_one(&mut self, address: SocketAddr, phase: Phase, requested_ms: u64) -> bool {
+        let id = &self.handle.identity.instance;
         let call = match phase {
             Phase::Leaving => Call::post(format!("/api/instances/{id}/leave"), String::from("{}")),
             _ => Call::post(
                 format!("/api/instances/{id}/heartbeat"),
-                body(&self.door.identity, &self.beat, phase, self.seq),
+                body(&self.handle.identity, &self.heartbeat, phase, self.seq),
             ),
         };
         self.seq += 1;
         let Ok(answer) = call_within(address, &call).await else {
             return false;
         };
-        if !(200..300).contains(&answer.status) || answer.body.len() > LONGEST_ACKNOWLEDGEMENT {
+        if !(200..300).contains(&answer.status) || answer.body.len() > MAX_ACKNOWLEDGEMENT_BYTES {
             return false;
         }
         self.preferred = preferred(&answer.body).or(self.preferred);
-        self.note(phase, asked_ms);
+        self.record_acknowledgement(phase, requested_ms);
         true
     }
 
-    fn note(&self, phase: Phase, asked_ms: u64) {
-        let instance = self.door.identity.instance.clone();
-        let what = match phase {
+    fn record_acknowledgement(&self, phase: Phase, requested_ms: u64) {
+        let instance = self.handle.identity.instance.clone();
+        let event = match phase {
             Phase::Draining => Acknowledged::Draining { instance },
             Phase::Leaving => Acknowledged::Left { instance },
             Phase::Ready | Phase::Silent => return,
         };
-        let surroundings = &self.door.surroundings;
-        surroundings
+        let context = &self.handle.context;
+        context
             .record
-            .acknowledged(surroundings.clock.now_ms(), asked_ms, what);
+            .acknowledged(context.clock.now_ms(), requested_ms, event);
     }
 }
 
-fn body(identity: &Identity, beat: &Beat, phase: Phase, seq: u64) -> String {
+fn body(identity: &Identity, heartbeat: &HeartbeatSettings, phase: Phase, seq: u64) -> String {
     let state = if phase == Phase::Draining {
         "draining"
     } else {
@@ -252,19 +263,19 @@
         "generation": identity.generation,
         "slots": identity.slots,
         "state": state,
-        "cold_left_ms": beat.cold_left_ms,
+        "cold_left_ms": heartbeat.warm_up_left_ms,
         "seq": seq,
     });
-    if !beat.models.is_empty() {
+    if !heartbeat.models.is_empty() {
         let model = |name: &String| json!({ "name": name, "generation": 1, "adapters": [] });
         body["phase"] = json!("both");
-        body["models"] = json!(beat.models.iter().map(model).collect::<Vec<_>>());
+        body["models"] = json!(heartbeat.models.iter().map(model).collect::<Vec<_>>());
     }
     body.to_string()
 }
 
-async fn call_within(address: SocketAddr, what: &Call) -> Result<CallAnswer, CallError> {
-    call(address, what, ACKNOWLEDGED_WITHIN).await
+async fn call_within(address: SocketAddr, event: &Call) -> Result<CallAnswer, CallError> {
+    call(address, event, ACKNOWLEDGEMENT_TIMEOUT).await
 }
 
 fn preferred(body: &[u8]) -> Option<SocketAddr> {
--- a/crates/testing/emulator/src/identity.rs
+++ b/crates/testing/emulator/src/identity.rs
@@ -10,8 +10,8 @@
 impl RequestId {
     /// Reads the value of a header.
     pub fn parse(text: &str) -> Option<RequestId> {
-        let whole = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        whole
+        let well_formed = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        well_formed
             .then(|| u64::from_str_radix(text, 16).ok())
             .flatten()
             .map(RequestId)
--- a/crates/testing/emulator/src/ingress.rs
+++ b/crates/testing/emulator/src/ingress.rs
@@ -9,11 +9,11 @@
 use tokio::time::sleep;
 
 /// How often each limiter is asked.
-const ASK_PAUSE: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// An answer that comes later is none.
-const ASK_LIMIT: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 /// A limiter that misses so often receives no new connections.
-const MISSES: u32 = 2;
+const MAX_MISSED_PROBES: u32 = 2;
 
 /// Where a limiter is asked, and where its clients go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,21 +66,21 @@
             if !seen.iter().any(|limiter| limiter.entry == entry) {
                 seen.push(Seen {
                     entry,
-                    misses: MISSES,
+                    misses: MAX_MISSED_PROBES,
                 });
             }
         }
         let mut answers = JoinSet::new();
-        for (place, limiter) in seen.iter().enumerate() {
+        for (index, limiter) in seen.iter().enumerate() {
             let ready = limiter.entry.ready;
-            answers.spawn(async move { (place, is_ready(ready).await) });
+            answers.spawn(async move { (index, is_ready(ready).await) });
         }
-        while let Some(Ok((place, ready))) = answers.join_next().await {
-            let misses = &mut seen[place].misses;
+        while let Some(Ok((index, ready))) = answers.join_next().await {
+            let misses = &mut seen[index].misses;
             *misses = if ready { 0 } else { *misses + 1 };
         }
         client.set_fronts(open(&seen));
-        sleep(ASK_PAUSE).await;
+        sleep(PROBE_INTERVAL).await;
     }
 }
 
@@ -88,7 +88,7 @@
 fn open(seen: &[Seen]) -> Vec<SocketAddr> {
     let ready: Vec<SocketAddr> = seen
         .iter()
-        .filter(|limiter| limiter.misses < MISSES)
+        .filter(|limiter| limiter.misses < MAX_MISSED_PROBES)
         .map(|limiter| limiter.entry.front)
         .collect();
     if ready.len() * 2 < seen.len() {
@@ -98,6 +98,6 @@
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
-    let answer = call(address, &Call::get("/api/readyz"), ASK_LIMIT).await;
+    let answer = call(address, &Call::get("/api/readyz"), PROBE_TIMEOUT).await;
     answer.is_ok_and(|answer| answer.status == 200)
 }
--- a/crates/testing/emulator/src/judge/answers.rs
+++ b/crates/testing/emulator/src/judge/answers.rs
@@ -2,10 +2,10 @@
 
 use super::view::View;
 use super::{Rule, Violation};
-use crate::record::{Answered, Sighting, Try, TryOutcome};
+use crate::record::{Answered, AttemptOutcome, AttemptRecord, Observation};
 
 pub(super) fn judge(view: &View, violations: &mut Vec<Violation>) {
-    for attempt in &view.tries {
+    for attempt in &view.attempts {
         if let Some(problem) = problem(view, attempt) {
             let detail = format!("{} {}: {problem}", attempt.request, attempt.target);
             violations.push(Violation {
@@ -16,9 +16,9 @@
     }
 }
 
-fn problem(view: &View, attempt: &Try) -> Option<String> {
-    if let TryOutcome::Garbled(what) = &attempt.outcome {
-        return Some(format!("bytes that are no answer: {what}"));
+fn problem(view: &View, attempt: &AttemptRecord) -> Option<String> {
+    if let AttemptOutcome::Garbled(reason) = &attempt.outcome {
+        return Some(format!("bytes that are no answer: {reason}"));
     }
     let answered = attempt.answered()?;
     if answered.surplus > 0 {
@@ -45,7 +45,7 @@
 }
 
 /// What is wrong with a success.
-fn success(answered: &Answered, source: Option<&Sighting>) -> Option<String> {
+fn success(answered: &Answered, source: Option<&Observation>) -> Option<String> {
     if answered.stamp.is_none() {
         return Some("a success without a stamp".to_owned());
     }
@@ -58,20 +58,24 @@
             source.status
         ));
     }
-    if !source.whole {
+    if !source.complete {
         return Some("whole, though the server's answer was not".to_owned());
     }
-    if answered.encoding.is_some() || source.sent != Some(answered.digest) {
+    if answered.encoding.is_some() || source.sent_digest != Some(answered.digest) {
         return Some(format!(
             "a body of {:?}, the server sent {:?}",
-            answered.digest, source.sent
+            answered.digest, source.sent_digest
         ));
     }
     None
 }
 
-fn source<'a>(view: &'a View, attempt: &Try, answered: &Answered) -> Option<&'a Sighting> {
+fn source<'a>(
+    view: &'a View,
+    attempt: &AttemptRecord,
+    answered: &Answered,
+) -> Option<&'a Observation> {
     let stamp = answered.stamp.as_ref()?;
-    view.sightings_of(attempt.request)
-        .find(|sighting| sighting.stamp.as_ref() == Some(stamp))
+    view.observations_of(attempt.request)
+        .find(|observation| observation.stamp.as_ref() == Some(stamp))
 }
--- a/crates/testing/emulator/src/judge/config.rs
+++ b/crates/testing/emulator/src/judge/config.rs
@@ -1,24 +1,24 @@
 //! CONFIG: a request is handled as only a version allows that is no longer the newest.
 
 use super::view::View;
-use super::{Rule, Terms, Violation};
+use super::{JudgeSettings, Rule, Violation};
 use crate::configuration::{ConfigurationPlan, RoutePlan};
-use crate::record::{Acknowledged, Sighting, Try};
+use crate::record::{Acknowledged, AttemptRecord, Observation};
 
 /// No version has to be in force.
 const NONE_YET: u64 = 0;
 
-pub(super) fn judge(view: &View, terms: &Terms, violations: &mut Vec<Violation>) {
+pub(super) fn judge(view: &View, settings: &JudgeSettings, violations: &mut Vec<Violation>) {
     for attempt in view
-        .tries
+        .attempts
         .iter()
-        .filter(|attempt| terms.calm(attempt.sent_ms))
+        .filter(|attempt| settings.is_undisturbed(attempt.sent_ms))
     {
-        let newest = newest(view, terms, attempt.sent_ms);
+        let newest = newest(view, settings, attempt.sent_ms);
         if newest == NONE_YET {
             continue;
         }
-        let newer: Vec<Option<&RoutePlan>> = terms
+        let newer: Vec<Option<&RoutePlan>> = settings
             .versions
             .iter()
             .filter(|version| version.generation >= newest)
@@ -38,13 +38,13 @@
 }
 
 /// The newest version that has to be in force by then.
-fn newest(view: &View, terms: &Terms, at_ms: u64) -> u64 {
+fn newest(view: &View, settings: &JudgeSettings, at_ms: u64) -> u64 {
     let in_force = view
         .acknowledgements
         .iter()
-        .filter_map(|acknowledgement| match acknowledgement.what {
+        .filter_map(|acknowledgement| match acknowledgement.event {
             Acknowledged::Configuration { generation } => {
-                (acknowledgement.at_ms + terms.config_apply_ms < at_ms).then_some(generation)
+                (acknowledgement.at_ms + settings.config_apply_ms < at_ms).then_some(generation)
             }
             _ => None,
         });
@@ -52,7 +52,7 @@
 }
 
 /// What no version of `newer` allows; each gives the route of the request, if it has one.
-fn problem(view: &View, attempt: &Try, newer: &[Option<&RoutePlan>]) -> Option<String> {
+fn problem(view: &View, attempt: &AttemptRecord, newer: &[Option<&RoutePlan>]) -> Option<String> {
     let ran = view
         .runs_of(attempt.request)
         .find(|run| !newer.iter().any(|route| allows(*route, run)));
@@ -60,20 +60,20 @@
         return Some(format!("it ran at {}", run.backend));
     }
     let answered = attempt.answered()?;
-    let asks_for_turn = attempt
+    let names_turn = attempt
         .program
         .as_ref()
         .is_some_and(|program| program.previous.is_some());
-    let no_route = answered.status == 404 && answered.stamp.is_none() && !asks_for_turn;
+    let no_route = answered.status == 404 && answered.stamp.is_none() && !names_turn;
     (no_route && !newer.is_empty() && newer.iter().all(Option::is_some)).then(|| "404".to_owned())
 }
 
-fn allows(route: Option<&RoutePlan>, run: &Sighting) -> bool {
+fn allows(route: Option<&RoutePlan>, run: &Observation) -> bool {
     let Some(route) = route else { return false };
     route
         .backends
         .iter()
-        .any(|share| share.backend == run.backend && share.weight > 0)
+        .any(|candidate| candidate.backend == run.backend && candidate.weight > 0)
 }
 
 impl ConfigurationPlan {
--- a/crates/testing/emulator/src/judge/mod.rs
+++ b/crates/testing/emulator/src/judge/mod.rs
@@ -53,13 +53,13 @@
 
 /// What the judge has to know of configurations and bounds.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct JudgeSettings {
     /// All configurations that were ever sent and may be in force.
     pub versions: Vec<ConfigurationPlan>,
     pub drain_ms: u64,
     pub config_apply_ms: u64,
     /// When machines were not in touch through unplanned trouble: rules with a bound in time do not hold then.
-    pub unrest: Vec<Span>,
+    pub disturbances: Vec<Span>,
 }
 
 /// A stretch of time, both ends included.
@@ -75,14 +75,14 @@
     }
 }
 
-impl Terms {
+impl JudgeSettings {
     /// Terms of these versions with the usual bounds, in calm times.
-    pub fn of(versions: Vec<ConfigurationPlan>) -> Terms {
-        Terms {
+    pub fn of(versions: Vec<ConfigurationPlan>) -> JudgeSettings {
+        JudgeSettings {
             versions,
             drain_ms: DRAIN_MS,
             config_apply_ms: CONFIG_APPLY_MS,
-            unrest: Vec::new(),
+            disturbances: Vec::new(),
         }
     }
 
@@ -97,36 +97,36 @@
             .filter_map(move |version| version.route(host, target))
     }
 
-    fn calm_during(&self, from_ms: u64, to_ms: u64) -> bool {
+    fn is_undisturbed_during(&self, from_ms: u64, to_ms: u64) -> bool {
         !self
-            .unrest
+            .disturbances
             .iter()
             .any(|span| span.from_ms <= to_ms && from_ms <= span.to_ms)
     }
 
-    fn calm(&self, at_ms: u64) -> bool {
-        !self.unrest.iter().any(|span| span.contains(at_ms))
+    fn is_undisturbed(&self, at_ms: u64) -> bool {
+        !self.disturbances.iter().any(|span| span.contains(at_ms))
     }
 }
 
 /// All that is broken in the record.
-pub fn judge(record: &Record, terms: &Terms) -> Vec<Violation> {
+pub fn judge(record: &Record, settings: &JudgeSettings) -> Vec<Violation> {
     let view = View::of(record);
     let mut violations = Vec::new();
     answers::judge(&view, &mut violations);
     streams::judge(&view, &mut violations);
-    runs::judge(&view, terms, &mut violations);
-    programs::judge(&view, terms, &mut violations);
-    drain::judge(&view, terms, &mut violations);
-    config::judge(&view, terms, &mut violations);
-    planned::judge(&view, terms, &mut violations);
+    runs::judge(&view, settings, &mut violations);
+    programs::judge(&view, settings, &mut violations);
+    drain::judge(&view, settings, &mut violations);
+    config::judge(&view, settings, &mut violations);
+    planned::judge(&view, settings, &mut violations);
     denied(&view, &mut violations);
     violations
 }
 
 /// Proper requests that ended with a 3xx or 4xx of the system's own.
 fn denied(view: &View, violations: &mut Vec<Violation>) {
-    let denied = view.tries.iter().filter(|attempt| {
+    let denied = view.attempts.iter().filter(|attempt| {
         let Some(answered) = attempt.answered() else {
             return false;
         };
@@ -135,10 +135,10 @@
         own && owed && (300..500).contains(&answered.status)
     });
     let count = denied.count();
-    if count > DENIED_FREE + view.tries.len() / DENIED_ONE_IN {
+    if count > DENIED_FREE + view.attempts.len() / DENIED_ONE_IN {
         let detail = format!(
             "{count} proper requests of {} were denied",
-            view.tries.len()
+            view.attempts.len()
         );
         violations.push(Violation {
             rule: Rule::Denied,
--- a/crates/testing/emulator/src/judge/planned.rs
+++ b/crates/testing/emulator/src/judge/planned.rs
@@ -1,8 +1,8 @@
 //! LOST around planned work: a machine that was asked to leave closes on a request that it has read.
 
 use super::view::View;
-use super::{Rule, Terms, Violation};
-use crate::record::{Acknowledged, Try, TryOutcome};
+use super::{JudgeSettings, Rule, Violation};
+use crate::record::{Acknowledged, AttemptOutcome, AttemptRecord};
 use std::net::SocketAddr;
 
 /// The platform kills a process this long after it asked it to leave.
@@ -18,11 +18,11 @@
     at_ms: u64,
 }
 
-pub(super) fn judge(view: &View, terms: &Terms, violations: &mut Vec<Violation>) {
+pub(super) fn judge(view: &View, settings: &JudgeSettings, violations: &mut Vec<Violation>) {
     let leaving: Vec<Leaving> = view
         .acknowledgements
         .iter()
-        .filter_map(|acknowledgement| match acknowledgement.what {
+        .filter_map(|acknowledgement| match acknowledgement.event {
             Acknowledged::Terminated { front } => Some(Leaving {
                 front,
                 at_ms: acknowledgement.at_ms,
@@ -30,11 +30,13 @@
             _ => None,
         })
         .collect();
-    for attempt in &view.tries {
+    for attempt in &view.attempts {
         let Some(leaving) = leaving.iter().find(|leaving| concerns(leaving, attempt)) else {
             continue;
         };
-        if cut(view, attempt) && terms.calm_during(attempt.sent_ms, attempt.ended_ms) {
+        if closed_early(view, attempt)
+            && settings.is_undisturbed_during(attempt.sent_ms, attempt.ended_ms)
+        {
             let after = attempt.ended_ms.saturating_sub(leaving.at_ms);
             let detail = format!(
                 "{} {} was cut {after} ms after SIGTERM",
@@ -49,22 +51,22 @@
 }
 
 /// Whether the request ended around this machine's leaving.
-fn concerns(leaving: &Leaving, attempt: &Try) -> bool {
+fn concerns(leaving: &Leaving, attempt: &AttemptRecord) -> bool {
     let until_ms = leaving.at_ms + GRACE_MS + AFTERWARDS_MS;
     attempt.front == leaving.front && (leaving.at_ms..=until_ms).contains(&attempt.ended_ms)
 }
 
 /// Whether the connection was closed without a whole answer, though no server broke off.
-fn cut(view: &View, attempt: &Try) -> bool {
+fn closed_early(view: &View, attempt: &AttemptRecord) -> bool {
     if !matches!(
         attempt.outcome,
-        TryOutcome::Closed | TryOutcome::BrokenOff(_)
+        AttemptOutcome::Closed | AttemptOutcome::BrokenOff(_)
     ) {
         return false;
     }
-    let mut sightings = view.sightings_of(attempt.request).peekable();
-    let at_server = sightings.peek().is_some();
-    let spoilt = sightings.any(|sighting| sighting.spoilt);
+    let mut observations = view.observations_of(attempt.request).peekable();
+    let at_server = observations.peek().is_some();
+    let faulted = observations.any(|observation| observation.faulted);
     let took_ms = attempt.ended_ms.saturating_sub(attempt.sent_ms);
-    !spoilt && (at_server || took_ms > SLACK_MS)
+    !faulted && (at_server || took_ms > SLACK_MS)
 }
--- a/crates/testing/emulator/src/judge/programs.rs
+++ b/crates/testing/emulator/src/judge/programs.rs
@@ -1,8 +1,8 @@
 //! Agent programs: the BUDGET of tokens, and turns LOST.
 
 use super::view::View;
-use super::{Rule, Terms, Violation};
-use crate::record::Try;
+use super::{JudgeSettings, Rule, Violation};
+use crate::record::AttemptRecord;
 use std::collections::HashMap;
 
 /// Statuses that say that there is no such turn.
@@ -13,13 +13,13 @@
 struct Handed {
     tokens: u64,
     budget: u64,
-    most: u64,
+    max_tokens: u64,
 }
 
-pub(super) fn judge(view: &View, terms: &Terms, violations: &mut Vec<Violation>) {
+pub(super) fn judge(view: &View, settings: &JudgeSettings, violations: &mut Vec<Violation>) {
     budgets(view, violations);
-    for attempt in &view.tries {
-        if let Some(problem) = lost(view, terms, attempt) {
+    for attempt in &view.attempts {
+        if let Some(problem) = lost(view, settings, attempt) {
             let detail = format!("{} {}: {problem}", attempt.request, attempt.target);
             violations.push(Violation {
                 rule: Rule::Lost,
@@ -38,7 +38,7 @@
 
 fn budgets(view: &View, violations: &mut Vec<Violation>) {
     let mut programs: HashMap<&str, Handed> = HashMap::new();
-    for attempt in &view.tries {
+    for attempt in &view.attempts {
         let Some(program) = &attempt.program else {
             continue;
         };
@@ -46,14 +46,16 @@
             continue;
         };
         let handed = programs.entry(&program.program).or_default();
-        let events = attempt.heard().map_or(0, |heard| heard.events.len() as u64);
+        let events = attempt
+            .received()
+            .map_or(0, |received| received.events.len() as u64);
         handed.tokens +=
-            (events * program.chunk_tokens).min(program.most.max(program.chunk_tokens));
+            (events * program.chunk_tokens).min(program.max_tokens.max(program.chunk_tokens));
         handed.budget = handed.budget.max(budget);
-        handed.most = handed.most.max(program.most);
+        handed.max_tokens = handed.max_tokens.max(program.max_tokens);
     }
     for (program, handed) in programs {
-        if handed.tokens > handed.budget + handed.most {
+        if handed.tokens > handed.budget + handed.max_tokens {
             let detail = format!("program {program} was handed {handed:?}");
             violations.push(Violation {
                 rule: Rule::Budget,
@@ -64,32 +66,32 @@
 }
 
 /// A turn whose previous one was answered whole and is still kept, and yet isn't found.
-fn lost(view: &View, terms: &Terms, attempt: &Try) -> Option<String> {
+fn lost(view: &View, settings: &JudgeSettings, attempt: &AttemptRecord) -> Option<String> {
     let answered = attempt.answered()?;
     if !NO_SUCH_TURN.contains(&answered.status) {
         return None;
     }
-    let previous = view.try_of(attempt.program.as_ref()?.previous?)?;
+    let previous = view.attempt_of(attempt.program.as_ref()?.previous?)?;
     if previous
         .answered()
         .is_none_or(|answered| answered.status != 200)
     {
         return None;
     }
-    let kept_s = terms
+    let retention_s = settings
         .routes_for(&attempt.host, &attempt.target)
         .filter(|route| route.persisted)
         .map(|route| route.retention_s)
         .fold(0.0, f64::max);
     let age_ms = attempt.ended_ms.saturating_sub(previous.ended_ms);
-    ((age_ms as f64) < kept_s * 1_000.0)
+    ((age_ms as f64) < retention_s * 1_000.0)
         .then(|| format!("{} was answered {age_ms} ms before", previous.request))
 }
 
 /// A turn that ran although its previous one does not exist.
-fn invented(view: &View, attempt: &Try) -> Option<String> {
+fn invented(view: &View, attempt: &AttemptRecord) -> Option<String> {
     let previous = attempt.program.as_ref()?.previous?;
-    let known = view.try_of(previous).is_some();
+    let known = view.attempt_of(previous).is_some();
     let ran = view.runs_of(attempt.request).next().is_some();
     (ran && !known).then(|| format!("it ran, though there is no turn {previous}"))
 }
--- a/crates/testing/emulator/src/judge/runs.rs
+++ b/crates/testing/emulator/src/judge/runs.rs
@@ -1,44 +1,50 @@
 //! What ran at servers: UNASKED, TWICE, REFUSED, ROUTE and the BUDGET of servers a try.
 
 use super::view::View;
-use super::{Rule, Terms, Violation};
-use crate::record::{Fate, Sighting, Try};
+use super::{JudgeSettings, Rule, Violation};
+use crate::record::{AttemptRecord, Fate, Observation};
 use std::collections::{HashMap, HashSet};
 
 /// Tries that may run on more servers than their route allows.
-const TRIES_OVER_RETRIES: usize = 3;
+const ATTEMPTS_OVER_RETRIES: usize = 3;
 
-pub(super) fn judge(view: &View, terms: &Terms, violations: &mut Vec<Violation>) {
-    for sighting in view
-        .sightings
+pub(super) fn judge(view: &View, settings: &JudgeSettings, violations: &mut Vec<Violation>) {
+    for observation in view
+        .observations
         .iter()
-        .filter(|sighting| sighting.fate == Fate::Run)
+        .filter(|observation| observation.fate == Fate::Run)
     {
-        if let Some(problem) = unasked(view, sighting) {
-            let detail = format!("{:?} at {}: {problem}", sighting.request, sighting.instance);
+        if let Some(problem) = unasked(view, observation) {
+            let detail = format!(
+                "{:?} at {}: {problem}",
+                observation.request, observation.instance
+            );
             violations.push(Violation {
                 rule: Rule::Unasked,
                 detail,
             });
         }
-        if let Some(problem) = misrouted(view, terms, sighting) {
-            let detail = format!("{:?} at {}: {problem}", sighting.request, sighting.instance);
+        if let Some(problem) = misrouted(view, settings, observation) {
+            let detail = format!(
+                "{:?} at {}: {problem}",
+                observation.request, observation.instance
+            );
             violations.push(Violation {
                 rule: Rule::Route,
                 detail,
             });
         }
     }
-    for attempt in &view.tries {
+    for attempt in &view.attempts {
         let runs = view.runs_of(attempt.request).count();
-        if runs > 1 && !attempt.repeatable {
+        if runs > 1 && !attempt.idempotent {
             let detail = format!("{} {} ran {runs} times", attempt.request, attempt.target);
             violations.push(Violation {
                 rule: Rule::Twice,
                 detail,
             });
         }
-        if runs > 0 && broken_promise(attempt) {
+        if runs > 0 && ran_despite_rejection(attempt) {
             let detail = format!("{} {} was refused and ran", attempt.request, attempt.target);
             violations.push(Violation {
                 rule: Rule::Refused,
@@ -46,69 +52,69 @@
             });
         }
     }
-    wanted_twice(view, violations);
-    over_retries(view, terms, violations);
+    operation_ran_twice(view, violations);
+    exceeded_retries(view, settings, violations);
 }
 
-fn unasked(view: &View, sighting: &Sighting) -> Option<String> {
-    let Some(request) = sighting.request else {
+fn unasked(view: &View, observation: &Observation) -> Option<String> {
+    let Some(request) = observation.request else {
         return Some("no id".to_owned());
     };
-    let Some(attempt) = view.try_of(request) else {
+    let Some(attempt) = view.attempt_of(request) else {
         return Some("no client sent it".to_owned());
     };
-    if sighting.method != attempt.method || sighting.target != attempt.target {
+    if observation.method != attempt.method || observation.target != attempt.target {
         return Some(format!(
             "{} {} became {} {}",
-            attempt.method, attempt.target, sighting.method, sighting.target
+            attempt.method, attempt.target, observation.method, observation.target
         ));
     }
     let expected = attempt.expected?;
-    (sighting.digest != expected).then(|| {
+    (observation.digest != expected).then(|| {
         format!(
             "a body of {:?} where {:?} was to be",
-            sighting.digest, expected
+            observation.digest, expected
         )
     })
 }
 
-fn misrouted(view: &View, terms: &Terms, sighting: &Sighting) -> Option<String> {
-    let attempt = view.try_of(sighting.request?)?;
-    let allowed = terms
+fn misrouted(view: &View, settings: &JudgeSettings, observation: &Observation) -> Option<String> {
+    let attempt = view.attempt_of(observation.request?)?;
+    let allowed = settings
         .routes_for(&attempt.host, &attempt.target)
         .flat_map(|route| route.backends.iter())
-        .any(|share| share.backend == sighting.backend && share.weight > 0);
+        .any(|candidate| candidate.backend == observation.backend && candidate.weight > 0);
     (!allowed).then(|| {
         format!(
             "no route of {} leads to {}",
-            attempt.target, sighting.backend
+            attempt.target, observation.backend
         )
     })
 }
 
 /// An answer that promises that the request has not run, given by the system itself.
-fn broken_promise(attempt: &Try) -> bool {
+fn ran_despite_rejection(attempt: &AttemptRecord) -> bool {
     let Some(answered) = attempt.answered() else {
         return false;
     };
-    let promise = matches!(answered.status, 402 | 408 | 421 | 429 | 503);
-    promise && answered.stamp.is_none() && !attempt.repeatable
+    let promises_no_run = matches!(answered.status, 402 | 408 | 421 | 429 | 503);
+    promises_no_run && answered.stamp.is_none() && !attempt.idempotent
 }
 
 /// A thing wanted once that ran in two tries, though none of them may be repeated.
-fn wanted_twice(view: &View, violations: &mut Vec<Violation>) {
+fn operation_ran_twice(view: &View, violations: &mut Vec<Violation>) {
     let mut ran: HashMap<u64, HashSet<usize>> = HashMap::new();
-    for attempt in view.tries.iter().filter(|attempt| !attempt.repeatable) {
+    for attempt in view.attempts.iter().filter(|attempt| !attempt.idempotent) {
         if view.runs_of(attempt.request).next().is_some() {
-            ran.entry(attempt.wanted)
+            ran.entry(attempt.operation)
                 .or_default()
                 .insert(attempt.number);
         }
     }
-    for tries in ran.values().filter(|tries| tries.len() > 1) {
-        let names: Vec<String> = tries
+    for attempts in ran.values().filter(|attempts| attempts.len() > 1) {
+        let names: Vec<String> = attempts
             .iter()
-            .map(|number| view.tries[*number].request.to_string())
+            .map(|number| view.attempts[*number].request.to_string())
             .collect();
         let detail = format!("one thing wanted ran in the tries {}", names.join(" and "));
         violations.push(Violation {
@@ -118,16 +124,16 @@
     }
 }
 
-fn over_retries(view: &View, terms: &Terms, violations: &mut Vec<Violation>) {
-    let over: Vec<&Try> = view
-        .tries
+fn exceeded_retries(view: &View, settings: &JudgeSettings, violations: &mut Vec<Violation>) {
+    let over_limit: Vec<&AttemptRecord> = view
+        .attempts
         .iter()
-        .filter(|attempt| is_over_retries(view, terms, attempt))
+        .filter(|attempt| exceeds_retries(view, settings, attempt))
         .collect();
-    if over.len() > TRIES_OVER_RETRIES {
+    if over_limit.len() > ATTEMPTS_OVER_RETRIES {
         let detail = format!(
             "{} tries ran on more servers than their route allows",
-            over.len()
+            over_limit.len()
         );
         violations.push(Violation {
             rule: Rule::Budget,
@@ -136,14 +142,14 @@
     }
 }
 
-fn is_over_retries(view: &View, terms: &Terms, attempt: &Try) -> bool {
-    let allowed = terms
+fn exceeds_retries(view: &View, settings: &JudgeSettings, attempt: &AttemptRecord) -> bool {
+    let allowed = settings
         .routes_for(&attempt.host, &attempt.target)
         .map(|route| route.retries)
         .max();
     let servers: HashSet<&str> = view
         .runs_of(attempt.request)
-        .map(|sighting| sighting.instance.as_str())
+        .map(|observation| observation.instance.as_str())
         .collect();
     allowed.is_some_and(|allowed| servers.len() > allowed.max(1) as usize)
 }
--- a/crates/testing/emulator/src/judge/view.rs
+++ b/crates/testing/emulator/src/judge/view.rs
@@ -1,77 +1,84 @@
 //! The record, ordered for the judge.
 
 use crate::identity::RequestId;
-use crate::record::{Acknowledgement, Answered, Fate, Record, Sighting, Try, TryOutcome};
+use crate::record::{
+    Acknowledgement, Answered, AttemptOutcome, AttemptRecord, Fate, Observation, Record,
+};
 use std::collections::HashMap;
 
 pub(super) struct View {
-    pub sightings: Vec<Sighting>,
-    pub tries: Vec<Try>,
+    pub observations: Vec<Observation>,
+    pub attempts: Vec<AttemptRecord>,
     pub acknowledgements: Vec<Acknowledgement>,
-    sightings_by_request: HashMap<RequestId, Vec<usize>>,
-    tries_by_request: HashMap<RequestId, usize>,
+    observations_by_request: HashMap<RequestId, Vec<usize>>,
+    attempts_by_request: HashMap<RequestId, usize>,
 }
 
 impl View {
     pub fn of(record: &Record) -> View {
-        let sightings = record.sightings();
-        let tries = record.tries();
-        let mut sightings_by_request: HashMap<RequestId, Vec<usize>> = HashMap::new();
-        for (index, sighting) in sightings.iter().enumerate() {
-            if let Some(request) = sighting.request {
-                sightings_by_request.entry(request).or_default().push(index);
+        let observations = record.observations();
+        let attempts = record.attempts();
+        let mut observations_by_request: HashMap<RequestId, Vec<usize>> = HashMap::new();
+        for (index, observation) in observations.iter().enumerate() {
+            if let Some(request) = observation.request {
+                observations_by_request
+                    .entry(request)
+                    .or_default()
+                    .push(index);
             }
         }
-        let tries_by_request = tries
+        let attempts_by_request = attempts
             .iter()
             .enumerate()
             .map(|(index, attempt)| (attempt.request, index))
             .collect();
         View {
-            sightings,
-            tries,
+            observations,
+            attempts,
             acknowledgements: record.acknowledgements(),
-            sightings_by_request,
-            tries_by_request,
+            observations_by_request,
+            attempts_by_request,
         }
     }
 
     /// What servers saw of a try.
-    pub fn sightings_of(&self, request: RequestId) -> impl Iterator<Item = &Sighting> {
+    pub fn observations_of(&self, request: RequestId) -> impl Iterator<Item = &Observation> {
         let indices = self
-            .sightings_by_request
+            .observations_by_request
             .get(&request)
             .map(Vec::as_slice)
             .unwrap_or_default();
-        indices.iter().map(|index| &self.sightings[*index])
+        indices.iter().map(|index| &self.observations[*index])
     }
 
     /// Runs of a try.
-    pub fn runs_of(&self, request: RequestId) -> impl Iterator<Item = &Sighting> {
-        self.sightings_of(request)
-            .filter(|sighting| sighting.fate == Fate::Run)
+    pub fn runs_of(&self, request: RequestId) -> impl Iterator<Item = &Observation> {
+        self.observations_of(request)
+            .filter(|observation| observation.fate == Fate::Run)
     }
 
-    pub fn try_of(&self, request: RequestId) -> Option<&Try> {
-        self.tries_by_request
+    pub fn attempt_of(&self, request: RequestId) -> Option<&AttemptRecord> {
+        self.attempts_by_request
             .get(&request)
-            .map(|index| &self.tries[*index])
+            .map(|index| &self.attempts[*index])
     }
 }
 
-impl Try {
+impl AttemptRecord {
     /// The whole answer, if one came.
     pub(super) fn answered(&self) -> Option<&Answered> {
         match &self.outcome {
-            TryOutcome::Answered(answered) => Some(answered),
+            AttemptOutcome::Answered(answered) => Some(answered),
             _ => None,
         }
     }
 
     /// What came of an answer, whole or not.
-    pub(super) fn heard(&self) -> Option<&Answered> {
+    pub(super) fn received(&self) -> Option<&Answered> {
         match &self.outcome {
-            TryOutcome::Answered(answered) | TryOutcome::BrokenOff(answered) => Some(answered),
+            AttemptOutcome::Answered(answered) | AttemptOutcome::BrokenOff(answered) => {
+                Some(answered)
+            }
             _ => None,
         }
     }
--- a/crates/testing/emulator/src/main.rs
+++ b/crates/testing/emulator/src/main.rs
@@ -23,9 +23,9 @@
         fallback(PathBuf::from("target/release/dunespur"))
     )]
     program: PathBuf,
-    /// Where every try of the last experiment is written, one a line
-    #[bpaf(long, argument("PATH"))]
-    tries: Option<PathBuf>,
+    /// Where every attempt of the last experiment is written, one a line
+    #[bpaf(long("tries"), argument("PATH"))]
+    attempts: Option<PathBuf>,
     #[bpaf(external)]
     command: Command,
 }
@@ -98,8 +98,8 @@
             .build()?;
         let findings = runtime.block_on(experiment::play(program, experiment))?;
         print!("{}", findings.table());
-        if let Some(path) = &self.tries {
-            std::fs::write(path, &findings.tries).with_context(|| path.display().to_string())?;
+        if let Some(path) = &self.attempts {
+            std::fs::write(path, &findings.attempts).with_context(|| path.display().to_string())?;
         }
         Ok(findings)
     }
--- a/crates/testing/emulator/src/operator.rs
+++ b/crates/testing/emulator/src/operator.rs
@@ -11,14 +11,14 @@
 use tokio::time::{sleep, Instant};
 
 /// A limiter that is silent longer is left for the next.
-const SILENCE: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Redirections followed.
-const MOST_REDIRECTIONS: u32 = 2;
+const MAX_REDIRECTIONS: u32 = 2;
 /// The first pause after a failure; it grows.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 /// Other 4xx end an order at this try.
-const MOST_UNCLEAR_REFUSALS: u32 = 3;
+const MAX_UNCLEAR_REFUSALS: u32 = 3;
 
 /// An operator with its list of limiters.
 #[derive(Clone, Debug)]
@@ -35,14 +35,14 @@
     pub status: u16,
     pub body: Bytes,
     pub took_ms: u64,
-    pub tries: u32,
+    pub attempts: u32,
 }
 
 /// No clear answer came in time; the last one, if any.
 #[derive(Clone, Debug)]
 pub struct Unclear {
     pub last: Option<u16>,
-    pub tries: u32,
+    pub attempts: u32,
 }
 
 impl std::fmt::Display for Unclear {
@@ -50,7 +50,7 @@
         write!(
             f,
             "no clear answer in {} tries, the last one {:?}",
-            self.tries, self.last
+            self.attempts, self.last
         )
     }
 }
@@ -143,16 +143,16 @@
         body: &Value,
         limit: Duration,
     ) -> Result<OrderAnswer, Unclear> {
-        let asked_ms = self.clock.now_ms();
+        let requested_ms = self.clock.now_ms();
         let answer = self.send_raw(target, base, body.to_string(), limit).await?;
         if answer.status == 200 {
             let generation = body
                 .get("generation")
                 .and_then(Value::as_u64)
                 .unwrap_or_default();
-            let what = Acknowledged::Configuration { generation };
+            let event = Acknowledged::Configuration { generation };
             self.record
-                .acknowledged(self.clock.now_ms(), asked_ms, what);
+                .acknowledged(self.clock.now_ms(), requested_ms, event);
         }
         Ok(answer)
     }
@@ -161,30 +161,30 @@
         let started = Instant::now();
         let mut unclear = Unclear {
             last: None,
-            tries: 0,
+            attempts: 0,
         };
         let mut refusals = 0;
-        let mut pause = FIRST_PAUSE;
+        let mut pause = MIN_BACKOFF;
         while started.elapsed() < limit {
             let address = self.controls[self.next % self.controls.len()];
-            unclear.tries += 1;
+            unclear.attempts += 1;
             if let Some(answer) = follow(address, order).await {
                 unclear.last = Some(answer.status);
                 refusals += u32::from((400..500).contains(&answer.status));
                 if is_clear(answer.status, refusals) {
                     let took_ms = started.elapsed().as_millis() as u64;
-                    let tries = unclear.tries;
+                    let attempts = unclear.attempts;
                     return Ok(OrderAnswer {
                         status: answer.status,
                         body: answer.body,
                         took_ms,
-                        tries,
+                        attempts,
                     });
                 }
             }
             self.next += 1;
             sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            pause = (pause * 2).min(MAX_BACKOFF);
         }
         Err(unclear)
     }
@@ -193,8 +193,8 @@
 /// One call, with redirections followed.
 async fn follow(mut address: SocketAddr, order: &Call) -> Option<CallAnswer> {
     let mut order = order.clone();
-    for _ in 0..=MOST_REDIRECTIONS {
-        let answer = call(address, &order, SILENCE).await.ok()?;
+    for _ in 0..=MAX_REDIRECTIONS {
+        let answer = call(address, &order, CALL_TIMEOUT).await.ok()?;
         if answer.status != 307 {
             return Some(answer);
         }
@@ -214,7 +214,7 @@
     match status {
         200..300 | 400 | 409 | 412 | 413 | 422 => true,
         408 | 429 => false,
-        400..500 => refusals >= MOST_UNCLEAR_REFUSALS,
+        400..500 => refusals >= MAX_UNCLEAR_REFUSALS,
         _ => false,
     }
 }
--- a/crates/testing/emulator/src/plain.rs
+++ b/crates/testing/emulator/src/plain.rs
@@ -1,7 +1,10 @@
 //! A plain server: a few places, a short queue, a time that the work takes or a gate that the test holds.
 
 use crate::gate::Gate;
-use crate::server::{Arrived, Door, DoorSettings, Identity, Listening, Reply, Surroundings, Work};
+use crate::server::{
+    ConnectionSettings, Identity, ListenerTask, ReceivedRequest, Reply, ServerHandle, TestContext,
+    Work,
+};
 use bytes::Bytes;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -18,7 +21,7 @@
     /// How long one takes; nothing for as fast as asked.
     pub work_time: Duration,
     pub body_bytes: usize,
-    pub door: DoorSettings,
+    pub connections: ConnectionSettings,
 }
 
 impl Default for PlainSettings {
@@ -27,7 +30,7 @@
             queue: 4,
             work_time: Duration::ZERO,
             body_bytes: 800,
-            door: DoorSettings::default(),
+            connections: ConnectionSettings::default(),
         }
     }
 }
@@ -35,10 +38,10 @@
 /// A plain server that runs; it ends when this is dropped.
 #[derive(Debug)]
 pub struct PlainServer {
-    pub door: Arc<Door>,
+    pub handle: Arc<ServerHandle>,
     /// Held by the test: requests at work wait here.
     pub gate: Gate,
-    _listening: Listening,
+    _listener_task: ListenerTask,
 }
 
 impl PlainServer {
@@ -47,29 +50,29 @@
         listener: TcpListener,
         identity: Identity,
         settings: PlainSettings,
-        surroundings: Surroundings,
+        context: TestContext,
     ) -> PlainServer {
         let gate = Gate::default();
         let work = PlainWork {
-            places: Semaphore::new(identity.slots as usize),
+            slots: Semaphore::new(identity.slots as usize),
             waiting: AtomicUsize::new(0),
             queue: settings.queue,
             work_time: settings.work_time,
             body_bytes: settings.body_bytes,
             gate: gate.clone(),
         };
-        let door = Arc::new(Door::new(identity, settings.door, surroundings));
-        let listening = Listening::start(listener, door.clone(), Arc::new(work));
+        let handle = Arc::new(ServerHandle::new(identity, settings.connections, context));
+        let listener_task = ListenerTask::start(listener, handle.clone(), Arc::new(work));
         PlainServer {
-            door,
+            handle,
             gate,
-            _listening: listening,
+            _listener_task: listener_task,
         }
     }
 }
 
 struct PlainWork {
-    places: Semaphore,
+    slots: Semaphore,
     waiting: AtomicUsize,
     queue: usize,
     work_time: Duration,
@@ -87,16 +90,19 @@
 }
 
 impl PlainWork {
-    async fn place(&self, deadline: Option<Duration>) -> Option<tokio::sync::SemaphorePermit<'_>> {
-        if let Ok(place) = self.places.try_acquire() {
-            return Some(place);
+    async fn acquire_slot(
+        &self,
+        deadline: Option<Duration>,
+    ) -> Option<tokio::sync::SemaphorePermit<'_>> {
+        if let Ok(permit) = self.slots.try_acquire() {
+            return Some(permit);
         }
         let before = self.waiting.fetch_add(1, Ordering::SeqCst);
         let _queued = Queued(&self.waiting);
         if before >= self.queue {
             return None;
         }
-        let acquired = self.places.acquire();
+        let acquired = self.slots.acquire();
         match deadline {
             Some(deadline) => timeout(deadline, acquired).await.ok()?.ok(),
             None => acquired.await.ok(),
@@ -112,10 +118,10 @@
 }
 
 impl Work for PlainWork {
-    async fn work(&self, arrived: Arrived, reply: &mut Reply) {
+    async fn work(&self, arrived: ReceivedRequest, reply: &mut Reply) {
         let deadline = arrived.deadline_ms.map(Duration::from_millis);
-        let Some(_place) = self.place(deadline).await else {
-            reply.turn_away(503).await;
+        let Some(_permit) = self.acquire_slot(deadline).await else {
+            reply.reject(503).await;
             return;
         };
         reply.run();
@@ -133,7 +139,7 @@
 
 impl PlainWork {
     /// Differs from request to request, so that a mix-up shows.
-    fn body(&self, arrived: &Arrived) -> Bytes {
+    fn body(&self, arrived: &ReceivedRequest) -> Bytes {
         let unit = format!("{} {};", arrived.request, arrived.head.target);
         let mut text = unit.repeat(self.body_bytes / unit.len() + 1);
         text.truncate(self.body_bytes);
