--- a/crates/testing/emulator/src/program.rs
+++ b/crates/testing/emulator/src/program.rs
@@ -1,6 +1,6 @@
 //! Agent programs: lines of turns, tools between them, sub-agents side by side, a budget for all.
 
-use crate::client::{Ask, Client, Kind, Served, Turn};
+use crate::client::{Client, Kind, RequestSpec, Served, Turn};
 use crate::digest::Digester;
 use crate::identity::RequestId;
 use bytes::{Bytes, BytesMut};
@@ -9,14 +9,14 @@
 use tokio::time::{sleep, Instant};
 
 /// A turn that has failed with all its tries is sent anew at most so often.
-const MOST_RENEWALS: u32 = 2;
+const MAX_RENEWALS: u32 = 2;
 /// The pause before, in milliseconds: at least, and how much more at most.
-const RENEWAL_PAUSE_MS: u64 = 100;
-const RENEWAL_SPREAD_MS: u64 = 300;
+const RENEWAL_BACKOFF_MS: u64 = 100;
+const RENEWAL_JITTER_MS: u64 = 300;
 
 /// A part of prompts that many programs share.
 #[derive(Clone, Debug)]
-pub struct SharedPart {
+pub struct SharedPrefix {
     pub id: String,
     pub tokens: u64,
 }
@@ -48,12 +48,12 @@
     /// Whether the system keeps what was said.
     pub persisted: bool,
     pub turns: u32,
-    pub shared: SharedPart,
+    pub shared: SharedPrefix,
     /// New input of each turn.
     pub input_bytes: usize,
     pub input_tokens: u64,
     /// The most that a turn generates, and how much one event holds.
-    pub most: u64,
+    pub max_tokens: u64,
     pub chunk_tokens: u64,
     pub budget: u64,
     pub tools: Vec<Tool>,
@@ -61,7 +61,7 @@
     pub model: String,
     pub deadline_ms: u64,
     pub target_ms: u64,
-    pub pause_ms: u64,
+    pub max_gap_ms: u64,
     /// Tries of a turn beyond the first.
     pub retries: u32,
     /// Time until the program should be over.
@@ -89,7 +89,7 @@
     pub turns: Vec<TurnDone>,
     pub took_ms: u64,
     /// The main line as it ended.
-    pub line: Line,
+    pub conversation: Conversation,
 }
 
 /// A turn answered whole.
@@ -99,43 +99,43 @@
     pub first_ms: u64,
     pub took_ms: u64,
     pub events: usize,
-    pub tries: u32,
+    pub attempts: u32,
 }
 
 /// One line of turns: what was said so far, and the turn that the next one goes on from.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct Conversation {
     plan: ProgramPlan,
     program: String,
     session: String,
     previous: Option<RequestId>,
-    said: Digester,
+    transcript_digest: Digester,
     /// Kept only where the client has to send it all.
     transcript: BytesMut,
-    parts: Vec<String>,
+    segments: Vec<String>,
     prompt_tokens: u64,
     started: Instant,
 }
 
-impl Line {
+impl Conversation {
     /// The main line of a new program.
-    pub fn new(client: &Client, plan: &ProgramPlan) -> Line {
-        Line {
+    pub fn new(client: &Client, plan: &ProgramPlan) -> Conversation {
+        Conversation {
             plan: plan.clone(),
             program: client.identities().short(),
             session: client.identities().short(),
             previous: None,
-            said: Digester::default(),
+            transcript_digest: Digester::default(),
             transcript: BytesMut::new(),
-            parts: vec![format!("{}:{}", plan.shared.id, plan.shared.tokens)],
+            segments: vec![format!("{}:{}", plan.shared.id, plan.shared.tokens)],
             prompt_tokens: plan.shared.tokens,
             started: Instant::now(),
         }
     }
 
     /// A line that goes on from here as another session.
-    pub fn branch(&self, client: &Client) -> Line {
-        Line {
+    pub fn branch(&self, client: &Client) -> Conversation {
+        Conversation {
             session: client.identities().short(),
             ..self.clone()
         }
@@ -156,78 +156,78 @@
     }
 
     /// The next turn as it would be asked for.
-    pub fn ask(&self, client: &Client, input: &Bytes) -> Ask {
+    pub fn next_request(&self, client: &Client, input: &Bytes) -> RequestSpec {
         let plan = &self.plan;
-        let expected = self.said.clone().with(input).finish();
+        let expected = self.transcript_digest.clone().with(input).finish();
         let body = match plan.persisted {
             true => input.clone(),
             false => [&self.transcript[..], &input[..]].concat().into(),
         };
         let own = format!("{}:{}", client.identities().short(), plan.input_tokens);
         let prefix = self
-            .parts
+            .segments
             .iter()
             .cloned()
             .chain([own])
             .collect::<Vec<_>>()
             .join(",");
-        let mut ask = Ask::post(
+        let mut spec = RequestSpec::post(
             &plan.host,
             &plan.target,
             Kind::Streaming { resumable: false },
             body,
         );
-        ask.expected = Some(expected);
-        ask.deadline_ms = plan.deadline_ms;
-        ask.target_ms = plan.target_ms;
-        ask.pause_ms = plan.pause_ms;
-        ask.retries = plan.retries;
-        ask.program = Some(self.program.clone());
-        ask.session = Some(self.session.clone());
-        ask.finish_ms = Some(self.finish_ms());
-        ask.turn = Some(Turn {
+        spec.expected = Some(expected);
+        spec.deadline_ms = plan.deadline_ms;
+        spec.target_ms = plan.target_ms;
+        spec.max_gap_ms = plan.max_gap_ms;
+        spec.retries = plan.retries;
+        spec.program = Some(self.program.clone());
+        spec.session = Some(self.session.clone());
+        spec.finish_ms = Some(self.finish_ms());
+        spec.turn = Some(Turn {
             model: plan.model.clone(),
             prompt_tokens: self.prompt_tokens + plan.input_tokens,
-            most: plan.most,
+            max_tokens: plan.max_tokens,
             prefix,
             chunk_tokens: plan.chunk_tokens,
             budget: Some(plan.budget),
             previous: self.previous.filter(|_| plan.persisted),
         });
-        ask
+        spec
     }
 
     /// Takes one turn with the tries that any request has.
     pub async fn turn(&mut self, client: &Client, input: &Bytes) -> Served {
-        let ask = self.ask(client, input);
-        let served = client.send(&ask).await;
+        let spec = self.next_request(client, input);
+        let served = client.send(&spec).await;
         if served.succeeded() {
-            self.heard(&ask, input, &served);
+            self.record_answer(&spec, input, &served);
         }
         served
     }
 
     /// What a whole answer adds to the line.
-    pub fn heard(&mut self, ask: &Ask, input: &Bytes, served: &Served) {
+    pub fn record_answer(&mut self, spec: &RequestSpec, input: &Bytes, served: &Served) {
         let Some(answered) = served.answer() else {
             return;
         };
-        self.say(input);
+        self.append(input);
         for event in &answered.events {
-            self.say(event.data.as_bytes());
-            self.say(b"\n");
+            self.append(event.data.as_bytes());
+            self.append(b"\n");
         }
         self.previous = Some(served.request);
-        let Some(turn) = &ask.turn else { return };
-        self.parts = turn.prefix.split(',').map(str::to_owned).collect();
+        let Some(turn) = &spec.turn else { return };
+        self.segments = turn.prefix.split(',').map(str::to_owned).collect();
         let generated = answered.events.len() as u64 * self.plan.chunk_tokens;
-        self.parts
+        self.segments
             .push(format!("{:x}:{generated}", served.request.0));
         self.prompt_tokens = turn.prompt_tokens + generated;
     }
 
-    fn say(&mut self, bytes: &[u8]) {
-        self.said.push(bytes);
+    fn append(&mut self, bytes: &[u8]) {
+        self.transcript_digest.push(bytes);
         if !self.plan.persisted {
             self.transcript.extend_from_slice(bytes);
         }
@@ -239,73 +239,81 @@
             .saturating_sub(self.started.elapsed().as_millis() as u64)
     }
 
-    fn tool_ask(&self, tool: &Tool) -> Ask {
-        let mut ask = match tool.kind {
-            Kind::ReadOnly => Ask::get(&self.plan.host, &tool.target),
-            kind => Ask::post(
+    fn tool_request(&self, tool: &Tool) -> RequestSpec {
+        let mut spec = match tool.kind {
+            Kind::ReadOnly => RequestSpec::get(&self.plan.host, &tool.target),
+            kind => RequestSpec::post(
                 &self.plan.host,
                 &tool.target,
                 kind,
                 format!("call of {}", self.program),
             ),
         };
-        ask.deadline_ms = tool.deadline_ms;
-        ask.retries = tool.retries;
-        ask.program = Some(self.program.clone());
-        ask.session = Some(self.session.clone());
-        ask.finish_ms = Some(self.finish_ms());
-        ask
+        spec.deadline_ms = tool.deadline_ms;
+        spec.retries = tool.retries;
+        spec.program = Some(self.program.clone());
+        spec.session = Some(self.session.clone());
+        spec.finish_ms = Some(self.finish_ms());
+        spec
     }
 }
 
 /// Plays a program to its end.
 pub async fn play(client: &Client, plan: &ProgramPlan) -> Played {
     let started = Instant::now();
-    let mut line = Line::new(client, plan);
+    let mut conversation = Conversation::new(client, plan);
     let mut turns = Vec::new();
-    let end = match main_line(client, &mut line, &mut turns).await {
+    let end = match main_conversation(client, &mut conversation, &mut turns).await {
         Ok(()) => End::Finished,
         Err(end) => end,
     };
     let took_ms = started.elapsed().as_millis() as u64;
     Played {
-        program: line.program.clone(),
+        program: conversation.program.clone(),
         end,
         turns,
         took_ms,
-        line,
+        conversation,
     }
 }
 
-async fn main_line(client: &Client, line: &mut Line, turns: &mut Vec<TurnDone>) -> Result<(), End> {
-    let plan = line.plan.clone();
+async fn main_conversation(
+    client: &Client,
+    conversation: &mut Conversation,
+    turns: &mut Vec<TurnDone>,
+) -> Result<(), End> {
+    let plan = conversation.plan.clone();
     for number in 1..=plan.turns {
-        turns.push(lasting_turn(client, line, number).await?);
+        turns.push(turn_with_renewals(client, conversation, number).await?);
         if number == plan.turns {
             break;
         }
         match plan.sub_agents.filter(|agents| agents.after_turn == number) {
-            Some(agents) => turns.extend(sub_agents(client, line, agents).await?),
-            None => call_tools(client, line).await?,
+            Some(agents) => turns.extend(sub_agents(client, conversation, agents).await?),
+            None => call_tools(client, conversation).await?,
         }
     }
     Ok(())
 }
 
 /// A turn, sent anew where it failed.
-async fn lasting_turn(client: &Client, line: &mut Line, number: u32) -> Result<TurnDone, End> {
-    let input = input(&line.session, number, line.plan.input_bytes);
-    for renewal in 0..=MOST_RENEWALS {
-        let served = line.turn(client, &input).await;
+async fn turn_with_renewals(
+    client: &Client,
+    conversation: &mut Conversation,
+    number: u32,
+) -> Result<TurnDone, End> {
+    let input = input(&conversation.session, number, conversation.plan.input_bytes);
+    for renewal in 0..=MAX_RENEWALS {
+        let served = conversation.turn(client, &input).await;
         if served.succeeded() {
             let events = served.answer().map_or(0, |answered| answered.events.len());
-            let (request, tries) = (served.request, served.tries);
+            let (request, attempts) = (served.request, served.attempts);
             return Ok(TurnDone {
                 request,
                 first_ms: served.first_ms,
                 took_ms: served.took_ms,
                 events,
-                tries,
+                attempts,
             });
         }
         match served.status() {
@@ -315,20 +323,20 @@
                     status: Some(status),
                 })
             }
-            status if renewal == MOST_RENEWALS => return Err(End::Failed { status }),
+            status if renewal == MAX_RENEWALS => return Err(End::Failed { status }),
             _ => {}
         }
-        let pause = RENEWAL_PAUSE_MS + client.identities().below(RENEWAL_SPREAD_MS);
+        let pause = RENEWAL_BACKOFF_MS + client.identities().below(RENEWAL_JITTER_MS);
         sleep(Duration::from_millis(pause)).await;
     }
     Err(End::Failed { status: None })
 }
 
-async fn call_tools(client: &Client, line: &Line) -> Result<(), End> {
+async fn call_tools(client: &Client, conversation: &Conversation) -> Result<(), End> {
     let mut calls = JoinSet::new();
-    for tool in &line.plan.tools {
-        let (client, ask) = (client.clone(), line.tool_ask(tool));
-        calls.spawn(async move { client.send(&ask).await });
+    for tool in &conversation.plan.tools {
+        let (client, spec) = (client.clone(), conversation.tool_request(tool));
+        calls.spawn(async move { client.send(&spec).await });
     }
     while let Some(served) = calls.join_next().await {
         match served {
@@ -344,23 +352,31 @@
     Ok(())
 }
 
-async fn sub_agents(client: &Client, line: &Line, agents: SubAgents) -> Result<Vec<TurnDone>, End> {
-    let mut lines = JoinSet::new();
+async fn sub_agents(
+    client: &Client,
+    conversation: &Conversation,
+    agents: SubAgents,
+) -> Result<Vec<TurnDone>, End> {
+    let mut conversations = JoinSet::new();
     for _ in 0..agents.count {
-        let (client, line) = (client.clone(), line.branch(client));
-        lines.spawn(async move { sub_agent(&client, line, agents.turns).await });
+        let (client, conversation) = (client.clone(), conversation.branch(client));
+        conversations.spawn(async move { sub_agent(&client, conversation, agents.turns).await });
     }
     let mut turns = Vec::new();
-    while let Some(ended) = lines.join_next().await {
+    while let Some(ended) = conversations.join_next().await {
         turns.extend(ended.unwrap_or(Err(End::Failed { status: None }))?);
     }
     Ok(turns)
 }
 
-async fn sub_agent(client: &Client, mut line: Line, count: u32) -> Result<Vec<TurnDone>, End> {
+async fn sub_agent(
+    client: &Client,
+    mut conversation: Conversation,
+    count: u32,
+) -> Result<Vec<TurnDone>, End> {
     let mut turns = Vec::new();
     for number in 1..=count {
-        turns.push(lasting_turn(client, &mut line, number).await?);
+        turns.push(turn_with_renewals(client, &mut conversation, number).await?);
     }
     Ok(turns)
 }
--- a/crates/testing/emulator/src/record.rs
+++ b/crates/testing/emulator/src/record.rs
@@ -9,34 +9,34 @@
 use tokio::sync::Notify;
 
 /// Entries kept of each kind.
-const MOST_ENTRIES: usize = 400_000;
+const MAX_ENTRIES: usize = 400_000;
 
 /// When a request came or was sent, and its answer's first event and end, in microseconds of the shared clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Moments {
-    pub begun_us: u64,
+pub struct Timings {
+    pub started_us: u64,
     /// Of the first event, or of the whole answer where there are no events.
     pub first_us: Option<u64>,
     pub ended_us: Option<u64>,
 }
 
-impl Moments {
-    pub fn begun(begun_us: u64) -> Moments {
-        Moments {
-            begun_us,
-            ..Moments::default()
+impl Timings {
+    pub fn started(started_us: u64) -> Timings {
+        Timings {
+            started_us,
+            ..Timings::default()
         }
     }
 
     /// From the beginning to the first event.
     pub fn to_first_us(&self) -> Option<u64> {
-        Some(self.first_us?.saturating_sub(self.begun_us))
+        Some(self.first_us?.saturating_sub(self.started_us))
     }
 }
 
 /// A request as a server saw it.
 #[derive(Clone, Debug)]
-pub struct Sighting {
+pub struct Observation {
     /// Rises with each sighting of all servers.
     pub number: usize,
     pub at_ms: u64,
@@ -58,13 +58,13 @@
     /// Status of the answer, once there is one.
     pub status: Option<u16>,
     /// The body that the server sent, or began to.
-    pub sent: Option<Digest>,
+    pub sent_digest: Option<Digest>,
     pub events: Vec<Event>,
     /// Whether the whole answer was written.
-    pub whole: bool,
+    pub complete: bool,
     /// Whether the server spoilt the answer itself.
-    pub spoilt: bool,
-    pub moments: Moments,
+    pub faulted: bool,
+    pub timings: Timings,
 }
 
 /// What became of a request at a server.
@@ -75,18 +75,18 @@
     /// The server has begun to work on it.
     Run,
     /// The server said that it did not run it.
-    TurnedAway,
+    Rejected,
     /// The caller left before it ran.
     Abandoned,
 }
 
 /// A try as a client saw it.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct AttemptRecord {
     pub number: usize,
     pub request: RequestId,
     /// All tries for one thing wanted have this number in common.
-    pub wanted: u64,
+    pub operation: u64,
     /// The front address called.
     pub front: std::net::SocketAddr,
     pub sent_ms: u64,
@@ -96,20 +96,20 @@
     pub target: String,
     /// Digest of the body that a server is to get.
     pub expected: Option<Digest>,
-    pub repeatable: bool,
-    pub program: Option<ProgramTry>,
-    pub outcome: TryOutcome,
-    pub moments: Moments,
+    pub idempotent: bool,
+    pub program: Option<ProgramAttempt>,
+    pub outcome: AttemptOutcome,
+    pub timings: Timings,
 }
 
 /// What a try of a program's turn says about it.
 #[derive(Clone, Debug)]
-pub struct ProgramTry {
+pub struct ProgramAttempt {
     pub program: String,
     /// Nothing for calls of tools.
     pub budget: Option<u64>,
     /// The most that the turn may generate.
-    pub most: u64,
+    pub max_tokens: u64,
     /// Tokens in one event.
     pub chunk_tokens: u64,
     pub previous: Option<RequestId>,
@@ -117,7 +117,7 @@
 
 /// How a try ended.
 #[derive(Clone, Debug)]
-pub enum TryOutcome {
+pub enum AttemptOutcome {
     /// A whole answer.
     Answered(Answered),
     /// The connection ended inside an answer.
@@ -146,11 +146,11 @@
     pub events: Vec<Event>,
     pub garbled_events: usize,
     /// Bytes behind the last whole event.
-    pub left_over: usize,
+    pub trailing_bytes: usize,
     /// From the try's start, in microseconds.
     pub first_event_us: Option<u64>,
     /// The longest pause between two events.
-    pub longest_pause_ms: u64,
+    pub longest_gap_ms: u64,
     /// Bytes that came behind the whole answer.
     pub surplus: usize,
 }
@@ -171,8 +171,8 @@
 struct Entries {
     keep_bodies: bool,
     overflowed: bool,
-    sightings: Vec<Sighting>,
-    tries: Vec<Try>,
+    observations: Vec<Observation>,
+    attempts: Vec<AttemptRecord>,
     acknowledgements: Vec<Acknowledgement>,
 }
 
@@ -181,8 +181,8 @@
 pub struct Acknowledgement {
     pub at_ms: u64,
     /// When it was first asked for.
-    pub asked_ms: u64,
-    pub what: Acknowledged,
+    pub requested_ms: u64,
+    pub event: Acknowledged,
 }
 
 /// What was acknowledged.
@@ -207,56 +207,56 @@
     }
 
     /// Adds a sighting; gives its number.
-    pub fn saw(&self, mut sighting: Sighting, body: &Bytes) -> usize {
+    pub fn record_observation(&self, mut observation: Observation, body: &Bytes) -> usize {
         let mut entries = self.lock();
-        let number = entries.sightings.len();
-        sighting.number = number;
-        sighting.body = entries.keep_bodies.then(|| body.clone());
-        if number >= MOST_ENTRIES {
+        let number = entries.observations.len();
+        observation.number = number;
+        observation.body = entries.keep_bodies.then(|| body.clone());
+        if number >= MAX_ENTRIES {
             entries.overflowed = true;
             return number;
         }
-        entries.sightings.push(sighting);
+        entries.observations.push(observation);
         drop(entries);
         self.inner.changed.notify_waiters();
         number
     }
 
     /// Changes a sighting.
-    pub fn update(&self, number: usize, change: impl FnOnce(&mut Sighting)) {
-        if let Some(sighting) = self.lock().sightings.get_mut(number) {
-            change(sighting);
+    pub fn update(&self, number: usize, change: impl FnOnce(&mut Observation)) {
+        if let Some(observation) = self.lock().observations.get_mut(number) {
+            change(observation);
         }
         self.inner.changed.notify_waiters();
     }
 
-    pub fn tried(&self, mut attempt: Try) {
+    pub fn record_attempt(&self, mut attempt: AttemptRecord) {
         let mut entries = self.lock();
-        attempt.number = entries.tries.len();
-        if attempt.number >= MOST_ENTRIES {
+        attempt.number = entries.attempts.len();
+        if attempt.number >= MAX_ENTRIES {
             entries.overflowed = true;
             return;
         }
-        entries.tries.push(attempt);
+        entries.attempts.push(attempt);
         drop(entries);
         self.inner.changed.notify_waiters();
     }
 
-    pub fn acknowledged(&self, at_ms: u64, asked_ms: u64, what: Acknowledged) {
+    pub fn acknowledged(&self, at_ms: u64, requested_ms: u64, event: Acknowledged) {
         self.lock().acknowledgements.push(Acknowledgement {
             at_ms,
-            asked_ms,
-            what,
+            requested_ms,
+            event,
         });
         self.inner.changed.notify_waiters();
     }
 
-    pub fn sightings(&self) -> Vec<Sighting> {
-        self.lock().sightings.clone()
+    pub fn observations(&self) -> Vec<Observation> {
+        self.lock().observations.clone()
     }
 
-    pub fn tries(&self) -> Vec<Try> {
-        self.lock().tries.clone()
+    pub fn attempts(&self) -> Vec<AttemptRecord> {
+        self.lock().attempts.clone()
     }
 
     pub fn acknowledgements(&self) -> Vec<Acknowledgement> {
@@ -264,32 +264,32 @@
     }
 
     /// Sightings of one try, by its id.
-    pub fn sightings_of(&self, request: RequestId) -> Vec<Sighting> {
+    pub fn observations_of(&self, request: RequestId) -> Vec<Observation> {
         self.lock()
-            .sightings
+            .observations
             .iter()
-            .filter(|sighting| sighting.request == Some(request))
+            .filter(|observation| observation.request == Some(request))
             .cloned()
             .collect()
     }
 
     /// Sightings at one server.
-    pub fn sightings_at(&self, instance: &str) -> Vec<Sighting> {
+    pub fn observations_at(&self, instance: &str) -> Vec<Observation> {
         self.lock()
-            .sightings
+            .observations
             .iter()
-            .filter(|sighting| sighting.instance == instance)
+            .filter(|observation| observation.instance == instance)
             .cloned()
             .collect()
     }
 
     /// Ends once the sightings fulfil `holds`.
-    pub async fn until(&self, mut holds: impl FnMut(&[Sighting]) -> bool) {
+    pub async fn until(&self, mut condition: impl FnMut(&[Observation]) -> bool) {
         loop {
             let changed = self.inner.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            if holds(&self.lock().sightings) {
+            if condition(&self.lock().observations) {
                 return;
             }
             changed.await;
--- a/crates/testing/emulator/src/scene.rs
+++ b/crates/testing/emulator/src/scene.rs
@@ -1,17 +1,17 @@
 //! A whole scene: a running system with its servers, clients and operator, set up until requests are served.
 
-use crate::client::{Ask, Client, Kind};
+use crate::client::{Client, Kind, RequestSpec};
 use crate::clock::Clock;
 use crate::configuration::{ConfigurationPlan, EnginePlan, LimitsPlan, RoutePlan, ServicePlan};
 use crate::engine::{EngineServer, EngineSettings};
-use crate::heartbeat::{Beat, Registration};
+use crate::heartbeat::{HeartbeatSettings, Registration};
 use crate::identity::IdentitySource;
-use crate::judge::{judge, Span, Terms, Violation};
+use crate::judge::{judge, JudgeSettings, Span, Violation};
 use crate::operator::Operator;
 use crate::plain::{PlainServer, PlainSettings};
-use crate::program::{ProgramPlan, SharedPart};
+use crate::program::{ProgramPlan, SharedPrefix};
 use crate::record::{Acknowledged, Record};
-use crate::server::{Door, Identity, Surroundings};
+use crate::server::{Identity, ServerHandle, TestContext};
 use crate::system::{MachinePlan, Role, System, SystemPlan};
 use anyhow::Context;
 use std::net::SocketAddr;
@@ -25,16 +25,16 @@
 pub const MODELS: &str = "models";
 pub const TOOLS: &str = "tools";
 /// Turns that the system keeps.
-pub const KEPT_TURNS: &str = "/kept/";
+pub const PERSISTED_TURNS: &str = "/kept/";
 /// Turns that it does not keep.
 pub const TURNS: &str = "/turns/";
 pub const LOOKUP: &str = "/lookup/";
 pub const RECORD: &str = "/record/";
 
 /// A system has so long to come up, and to take what it is told.
-pub const SETTLE_LIMIT: Duration = Duration::from_secs(20);
+pub const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause between two looks at what is to become so.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What a scene is set up with.
 #[derive(Clone, Debug)]
@@ -84,8 +84,8 @@
 /// One service of model servers, one of plain servers, a route for each kind of request.
 pub fn usual_configuration() -> ConfigurationPlan {
     let streaming = Kind::Streaming { resumable: false };
-    let mut kept = RoutePlan::new("kept", HOST, KEPT_TURNS, streaming, MODELS);
-    kept.persisted = true;
+    let mut persisted = RoutePlan::new("kept", HOST, PERSISTED_TURNS, streaming, MODELS);
+    persisted.persisted = true;
     let mut lookup = RoutePlan::new("lookup", HOST, LOOKUP, Kind::ReadOnly, TOOLS);
     lookup.retries = 2;
     let engine = EnginePlan {
@@ -97,7 +97,7 @@
     ConfigurationPlan {
         generation: 1,
         routes: vec![
-            kept,
+            persisted,
             RoutePlan::new("turns", HOST, TURNS, streaming, MODELS),
             lookup,
             RoutePlan::new("record", HOST, RECORD, Kind::Mutating, TOOLS),
@@ -122,16 +122,16 @@
 pub fn usual_program() -> ProgramPlan {
     ProgramPlan {
         host: HOST.to_owned(),
-        target: format!("{KEPT_TURNS}chat"),
+        target: format!("{PERSISTED_TURNS}chat"),
         persisted: true,
         turns: 3,
-        shared: SharedPart {
+        shared: SharedPrefix {
             id: "5c1e07a2".to_owned(),
             tokens: 800,
         },
         input_bytes: 400,
         input_tokens: 100,
-        most: 12,
+        max_tokens: 12,
         chunk_tokens: 3,
         budget: 1_000,
         tools: Vec::new(),
@@ -139,7 +139,7 @@
         model: "m".to_owned(),
         deadline_ms: 5_000,
         target_ms: 200,
-        pause_ms: 300,
+        max_gap_ms: 300,
         retries: 1,
         finish_ms: 20_000,
     }
@@ -156,7 +156,7 @@
     /// Ends once it has neither running nor waiting requests.
     pub async fn drained(&self) {
         while self.server.load().running + self.server.load().queued > 0 {
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -235,13 +235,16 @@
 
     async fn set_up(&mut self) -> anyhow::Result<()> {
         self.configure().await?;
-        self.settle().await
+        self.wait_until_serving().await
     }
 
     /// Sends the plan's configuration until it is taken.
     pub async fn configure(&mut self) -> anyhow::Result<()> {
         let plan = self.plan.configuration.clone();
-        let answer = self.operator.replace(0, &plan.json(), SETTLE_LIMIT).await?;
+        let answer = self
+            .operator
+            .replace(0, &plan.json(), READY_TIMEOUT)
+            .await?;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         anyhow::ensure!(
             answer.status == 200,
@@ -253,9 +256,9 @@
     }
 
     /// Ends once every running gateway is ready and serves a lookup.
-    pub async fn settle(&mut self) -> anyhow::Result<()> {
-        self.system.ready(SETTLE_LIMIT).await?;
-        for index in self.system.places(|plan| plan.role != Role::Store) {
+    pub async fn wait_until_serving(&mut self) -> anyhow::Result<()> {
+        self.system.ready(READY_TIMEOUT).await?;
+        for index in self.system.machine_indices(|plan| plan.role != Role::Store) {
             if self.system.machines()[index].is_running() {
                 self.serves(index).await?;
             }
@@ -267,37 +270,37 @@
     pub async fn serves(&self, index: usize) -> anyhow::Result<()> {
         let front = self.system.front(index);
         if !self.plains.is_empty() {
-            self.answers(front, &Ask::get(HOST, &format!("{LOOKUP}settle")))
+            self.answers(front, &RequestSpec::get(HOST, &format!("{LOOKUP}settle")))
                 .await?;
         }
         if !self.engines.is_empty() {
-            let ask = self.turn_ask();
-            self.answers(front, &ask).await?;
+            let spec = self.turn_request();
+            self.answers(front, &spec).await?;
         }
         Ok(())
     }
 
     /// Ends once a limiter answers `ask` with success.
-    pub async fn answers(&self, front: SocketAddr, ask: &Ask) -> anyhow::Result<()> {
-        let until = Instant::now() + SETTLE_LIMIT;
+    pub async fn answers(&self, front: SocketAddr, spec: &RequestSpec) -> anyhow::Result<()> {
+        let until = Instant::now() + READY_TIMEOUT;
         loop {
-            let served = self.client.send_to(front, ask).await;
+            let served = self.client.send_to(front, spec).await;
             if served.succeeded() {
                 return Ok(());
             }
             anyhow::ensure!(
                 Instant::now() < until,
                 "{front} does not serve {}: {served:?}",
-                ask.target
+                spec.target
             );
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     /// A turn of a program of its own.
-    pub fn turn_ask(&self) -> Ask {
-        let line = crate::program::Line::new(&self.client, &usual_program());
-        line.ask(&self.client, &"settle".into())
+    pub fn turn_request(&self) -> RequestSpec {
+        let line = crate::program::Conversation::new(&self.client, &usual_program());
+        line.next_request(&self.client, &"settle".into())
     }
 
     /// Starts a model server and has it known.
@@ -305,13 +308,14 @@
         let (listener, identity) = self.identity(MODELS, self.plan.engine_slots).await?;
         let settings = self.plan.engine.clone();
         let models = settings.models.clone();
-        let server = EngineServer::start(listener, identity, settings, self.surroundings());
-        let beat = Beat {
-            pause: self.beat_pause(),
-            cold_left_ms: 0,
+        let server = EngineServer::start(listener, identity, settings, self.context());
+        let heartbeat = HeartbeatSettings {
+            pause: self.heartbeat_interval(),
+            warm_up_left_ms: 0,
             models,
         };
-        let registration = Registration::start(server.door.clone(), self.system.controls(), beat);
+        let registration =
+            Registration::start(server.handle.clone(), self.system.controls(), heartbeat);
         self.engines.push(Engine {
             server,
             registration,
@@ -338,18 +342,15 @@
     }
 
     fn start_plain(&mut self, listener: TcpListener, identity: Identity) -> usize {
-        let server = PlainServer::start(
-            listener,
-            identity,
-            self.plan.plain.clone(),
-            self.surroundings(),
-        );
-        let beat = Beat {
-            pause: self.beat_pause(),
-            cold_left_ms: 0,
+        let server =
+            PlainServer::start(listener, identity, self.plan.plain.clone(), self.context());
+        let heartbeat = HeartbeatSettings {
+            pause: self.heartbeat_interval(),
+            warm_up_left_ms: 0,
             models: Vec::new(),
         };
-        let registration = Registration::start(server.door.clone(), self.system.controls(), beat);
+        let registration =
+            Registration::start(server.handle.clone(), self.system.controls(), heartbeat);
         self.plains.push(Plain {
             server,
             registration,
@@ -358,12 +359,12 @@
     }
 
     /// The doors of all servers that run.
-    pub fn servers(&self) -> impl Iterator<Item = &Door> {
+    pub fn servers(&self) -> impl Iterator<Item = &ServerHandle> {
         let engines = self
             .engines
             .iter()
-            .map(|engine| engine.server.door.as_ref());
-        engines.chain(self.plains.iter().map(|plain| plain.server.door.as_ref()))
+            .map(|engine| engine.server.handle.as_ref());
+        engines.chain(self.plains.iter().map(|plain| plain.server.handle.as_ref()))
     }
 
     /// All rules that the record breaks.
@@ -372,12 +373,12 @@
     }
 
     /// All rules that the record breaks, where machines were out of touch at times.
-    pub fn violations_except(&self, unrest: Vec<Span>) -> Vec<Violation> {
-        let terms = Terms {
-            unrest,
-            ..Terms::of(self.configurations.clone())
+    pub fn violations_except(&self, disturbances: Vec<Span>) -> Vec<Violation> {
+        let settings = JudgeSettings {
+            disturbances,
+            ..JudgeSettings::of(self.configurations.clone())
         };
-        judge(&self.record, &terms)
+        judge(&self.record, &settings)
     }
 
     /// Asks a gateway to leave; clients go to the others from now on.
@@ -429,14 +430,14 @@
         Ok((listener, identity))
     }
 
-    fn surroundings(&self) -> Surroundings {
-        Surroundings {
+    fn context(&self) -> TestContext {
+        TestContext {
             clock: self.clock,
             record: self.record.clone(),
         }
     }
 
-    fn beat_pause(&self) -> Duration {
+    fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(self.plan.heartbeat_ms)
     }
 }
--- a/crates/testing/emulator/src/server/connection.rs
+++ b/crates/testing/emulator/src/server/connection.rs
@@ -1,9 +1,9 @@
 //! A server's connections: one request at a time on each.
 
-use super::{Arrived, Door, Reply, Work};
+use super::{ReceivedRequest, Reply, ServerHandle, Work};
 use crate::digest::Digest;
 use crate::identity::RequestId;
-use crate::record::{Fate, Moments, Sighting};
+use crate::record::{Fate, Observation, Timings};
 use crate::wire::{name, response_head, Headers, MessageReader, RequestHead};
 use bytes::Bytes;
 use std::sync::Arc;
@@ -14,17 +14,21 @@
 use tokio::time::timeout;
 
 /// Accepts for as long as the task lives; its connections end with it.
-pub(super) async fn accept<W: Work>(listener: TcpListener, door: Arc<Door>, work: Arc<W>) {
+pub(super) async fn accept<W: Work>(
+    listener: TcpListener,
+    handle: Arc<ServerHandle>,
+    work: Arc<W>,
+) {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 let Ok((stream, _)) = accepted else { return };
-                if !door.enter() {
+                if !handle.enter() {
                     let _ = stream.set_zero_linger();
                     continue;
                 }
-                connections.spawn(entered(stream, door.clone(), work.clone()));
+                connections.spawn(entered(stream, handle.clone(), work.clone()));
             }
             Some(_) = connections.join_next() => {}
         }
@@ -32,22 +36,22 @@
 }
 
 /// Gives the place back however the connection ends.
-struct Place(Arc<Door>);
+struct ConnectionSlot(Arc<ServerHandle>);
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.left();
     }
 }
 
-async fn entered<W: Work>(stream: TcpStream, door: Arc<Door>, work: Arc<W>) {
-    let _place = Place(door.clone());
+async fn entered<W: Work>(stream: TcpStream, handle: Arc<ServerHandle>, work: Arc<W>) {
+    let _slot = ConnectionSlot(handle.clone());
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
     let mut connection = Connection {
         reader: MessageReader::new(read),
         write: Some(write),
-        door,
+        handle,
         work,
         surplus: None,
     };
@@ -58,7 +62,7 @@
     reader: MessageReader<OwnedReadHalf>,
     /// Away while a reply is being written.
     write: Option<OwnedWriteHalf>,
-    door: Arc<Door>,
+    handle: Arc<ServerHandle>,
     work: Arc<W>,
     surplus: Option<Bytes>,
 }
@@ -66,7 +70,7 @@
 impl<W: Work> Connection<W> {
     /// Serves one request; false once the connection is to end.
     async fn serve_one(&mut self) -> bool {
-        let idle = self.door.settings.idle;
+        let idle = self.handle.settings.idle;
         let Ok(Ok(head)) = timeout(idle, self.reader.request_head()).await else {
             return false;
         };
@@ -78,7 +82,7 @@
                 return false;
             }
         }
-        if head.method == "GET" && head.target == self.door.settings.health_path {
+        if head.method == "GET" && head.target == self.handle.settings.health_path {
             return self.health(&head).await;
         }
         if head.method == "GET" && head.target == "/api/report" {
@@ -88,10 +92,10 @@
     }
 
     async fn health(&mut self, head: &RequestHead) -> bool {
-        self.door.probed();
-        let status = if self.door.healthy() { 200 } else { 503 };
+        self.handle.probed();
+        let status = if self.handle.healthy() { 200 } else { 503 };
         let mut headers =
-            Headers::new().with(name::INSTANCE_ID, self.door.identity.instance.clone());
+            Headers::new().with(name::INSTANCE_ID, self.handle.identity.instance.clone());
         if let Some(id) = head.headers.get(name::REQUEST_ID) {
             headers.push(name::REQUEST_ID, id);
         }
@@ -103,7 +107,7 @@
     }
 
     async fn report(&mut self) -> bool {
-        self.door.probed();
+        self.handle.probed();
         let report = self.work.report();
         let status = if report.is_some() { 200 } else { 404 };
         let body = report.unwrap_or_default();
@@ -120,21 +124,21 @@
             .headers
             .get(name::REQUEST_ID)
             .and_then(RequestId::parse);
-        let sighting = self.sighting(&head, &body, id);
+        let observation = self.observation(&head, &body, id);
         let Some(write) = self.write.take() else {
             return false;
         };
         let mut reply = Reply::new(
-            self.door.clone(),
+            self.handle.clone(),
             write,
             id.unwrap_or(RequestId(0)),
-            sighting,
+            observation,
         );
-        let refusal = self.refusal(&head, id).or(reply.ordered_away());
+        let refusal = self.refusal(&head, id).or(reply.ordered_rejection());
         let done = match (refusal, id) {
             (None, Some(request)) => {
                 let deadline_ms = head.headers.number(name::DEADLINE);
-                let arrived = Arrived {
+                let arrived = ReceivedRequest {
                     head,
                     body,
                     request,
@@ -146,12 +150,12 @@
                 }
             }
             (refusal, _) => {
-                reply.turn_away(refusal.unwrap_or(400)).await;
+                reply.reject(refusal.unwrap_or(400)).await;
                 true
             }
         };
         if !done {
-            self.abandoned(sighting);
+            self.abandoned(observation);
             return false;
         }
         let keeps = reply.keeps();
@@ -163,7 +167,7 @@
     /// The status with which the door turns a request away.
     fn refusal(&self, head: &RequestHead, id: Option<RequestId>) -> Option<u16> {
         let expected = head.headers.get(name::EXPECT_INSTANCE);
-        if expected.is_some_and(|expected| expected != self.door.identity.instance) {
+        if expected.is_some_and(|expected| expected != self.handle.identity.instance) {
             return Some(421);
         }
         if id.is_none() {
@@ -172,13 +176,13 @@
         None
     }
 
-    fn sighting(&self, head: &RequestHead, body: &Bytes, request: Option<RequestId>) -> usize {
-        let surroundings = &self.door.surroundings;
-        let sighting = Sighting {
+    fn observation(&self, head: &RequestHead, body: &Bytes, request: Option<RequestId>) -> usize {
+        let context = &self.handle.context;
+        let observation = Observation {
             number: 0,
-            at_ms: surroundings.clock.now_ms(),
-            instance: self.door.identity.instance.clone(),
-            backend: self.door.identity.backend.clone(),
+            at_ms: context.clock.now_ms(),
+            instance: self.handle.identity.instance.clone(),
+            backend: self.handle.identity.backend.clone(),
             request,
             method: head.method.clone(),
             target: head.target.clone(),
@@ -189,21 +193,24 @@
             fate: Fate::Waiting,
             stamp: None,
             status: None,
-            sent: None,
+            sent_digest: None,
             events: Vec::new(),
-            whole: false,
-            spoilt: false,
-            moments: Moments::begun(surroundings.clock.now_us()),
+            complete: false,
+            faulted: false,
+            timings: Timings::started(context.clock.now_us()),
         };
-        surroundings.record.saw(sighting, body)
+        context.record.record_observation(observation, body)
     }
 
-    fn abandoned(&self, sighting: usize) {
-        self.door.surroundings.record.update(sighting, |sighting| {
-            if sighting.fate == Fate::Waiting {
-                sighting.fate = Fate::Abandoned;
-            }
-        });
+    fn abandoned(&self, observation: usize) {
+        self.handle
+            .context
+            .record
+            .update(observation, |observation| {
+                if observation.fate == Fate::Waiting {
+                    observation.fate = Fate::Abandoned;
+                }
+            });
     }
 
     async fn write_bytes(&mut self, bytes: &[u8]) -> bool {
--- a/crates/testing/emulator/src/server/trouble.rs
+++ b/crates/testing/emulator/src/server/fault.rs
@@ -5,53 +5,53 @@
 
 /// What a server does to one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum ServerFault {
     /// Runs it and closes the connection without an answer.
     AnswerLost,
     /// Runs it and ends the connection after that many bytes of the answer's body.
-    Cut { after: usize },
+    TruncateBody { after: usize },
     /// Runs it and sends bytes that form no answer.
-    Garble,
+    SendGarbage,
     /// Runs it, answers, and at once sends the answer a second time.
     Surplus,
     /// Runs it, answers, and sends the answer a second time where the next one is expected.
     LateSurplus,
     /// Runs it and never answers.
-    Mute,
+    NeverAnswer,
     /// Runs it and answers 500.
     Fail,
     /// Answers 503 without saying that it did not run.
     Unavailable,
     /// Does not run it and says so, with this status.
-    TurnAway { status: u16 },
+    Reject { status: u16 },
     /// Answers as ever and ends the connection after it.
     Close,
 }
 
 /// The troubles that the next requests get; none beyond them.
 #[derive(Debug, Default)]
-pub struct Troubles {
+pub struct ServerFaults {
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    next: VecDeque<Trouble>,
-    always: Option<Trouble>,
+    next: VecDeque<ServerFault>,
+    always: Option<ServerFault>,
 }
 
-impl Troubles {
+impl ServerFaults {
     /// One of the next requests gets this trouble.
-    pub fn once(&self, trouble: Trouble) {
-        self.change(|state| state.next.push_back(trouble));
+    pub fn once(&self, fault: ServerFault) {
+        self.change(|state| state.next.push_back(fault));
     }
 
     /// All requests get this trouble, once those ordered by [`Self::once`] are over.
-    pub fn always(&self, trouble: Option<Trouble>) {
-        self.change(|state| state.always = trouble);
+    pub fn always(&self, fault: Option<ServerFault>) {
+        self.change(|state| state.always = fault);
     }
 
-    pub(super) fn draw(&self) -> Option<Trouble> {
+    pub(super) fn draw(&self) -> Option<ServerFault> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.next.pop_front().or(state.always)
     }
--- a/crates/testing/emulator/src/server/door.rs
+++ b/crates/testing/emulator/src/server/handle.rs
@@ -1,12 +1,12 @@
 //! What a server checks before it lets a request in.
 
-use super::{Identity, Surroundings, Troubles};
+use super::{Identity, ServerFaults, TestContext};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
 /// How a server treats connections.
 #[derive(Clone, Debug)]
-pub struct DoorSettings {
+pub struct ConnectionSettings {
     pub health_path: String,
     /// Connections from all callers together; more are reset.
     pub max_connections: usize,
@@ -14,9 +14,9 @@
     pub idle: Duration,
 }
 
-impl Default for DoorSettings {
+impl Default for ConnectionSettings {
     fn default() -> Self {
-        DoorSettings {
+        ConnectionSettings {
             health_path: "/healthz".to_owned(),
             max_connections: 220,
             idle: Duration::from_secs(30),
@@ -26,11 +26,11 @@
 
 /// The part of a server that test, heartbeats and connections share.
 #[derive(Debug)]
-pub struct Door {
+pub struct ServerHandle {
     pub identity: Identity,
-    pub surroundings: Surroundings,
-    pub troubles: Troubles,
-    pub(super) settings: DoorSettings,
+    pub context: TestContext,
+    pub faults: ServerFaults,
+    pub(super) settings: ConnectionSettings,
     leaving: AtomicBool,
     healthy: AtomicBool,
     open: AtomicUsize,
@@ -40,12 +40,16 @@
     answers: AtomicU64,
 }
 
-impl Door {
-    pub fn new(identity: Identity, settings: DoorSettings, surroundings: Surroundings) -> Door {
-        Door {
+impl ServerHandle {
+    pub fn new(
+        identity: Identity,
+        settings: ConnectionSettings,
+        context: TestContext,
+    ) -> ServerHandle {
+        ServerHandle {
             identity,
-            surroundings,
-            troubles: Troubles::default(),
+            context,
+            faults: ServerFaults::default(),
             settings,
             leaving: AtomicBool::new(false),
             healthy: AtomicBool::new(true),
--- a/crates/testing/emulator/src/server/mod.rs
+++ b/crates/testing/emulator/src/server/mod.rs
@@ -2,13 +2,13 @@
 //! that a test orders, and the record of what came.
 
 mod connection;
-mod door;
+mod fault;
+mod handle;
 mod reply;
-mod trouble;
 
-pub use door::{Door, DoorSettings};
+pub use fault::{ServerFault, ServerFaults};
+pub use handle::{ConnectionSettings, ServerHandle};
 pub use reply::Reply;
-pub use trouble::{Trouble, Troubles};
 
 use crate::clock::Clock;
 use crate::identity::RequestId;
@@ -36,7 +36,7 @@
 
 /// A request that has passed the checks at the door.
 #[derive(Clone, Debug)]
-pub struct Arrived {
+pub struct ReceivedRequest {
     pub head: RequestHead,
     pub body: Bytes,
     pub request: RequestId,
@@ -46,7 +46,7 @@
 /// What a kind of server does with a request.
 pub trait Work: Send + Sync + 'static {
     /// Runs the request and answers, or turns it away. The future is dropped when the caller leaves.
-    fn work(&self, arrived: Arrived, reply: &mut Reply) -> impl Future<Output = ()> + Send;
+    fn work(&self, arrived: ReceivedRequest, reply: &mut Reply) -> impl Future<Output = ()> + Send;
 
     /// The body of `GET /api/report`, where the server has one.
     fn report(&self) -> Option<String> {
@@ -56,27 +56,31 @@
 
 /// What the servers of a test share.
 #[derive(Clone, Debug)]
-pub struct Surroundings {
+pub struct TestContext {
     pub clock: Clock,
     pub record: Record,
 }
 
 /// A server that runs; it ends when this is dropped, with its connections.
 #[derive(Debug)]
-pub struct Listening {
+pub struct ListenerTask {
     task: JoinHandle<()>,
 }
 
-impl Listening {
+impl ListenerTask {
     /// Serves connections of `listener` by `work` behind `door`.
-    pub fn start<W: Work>(listener: TcpListener, door: Arc<Door>, work: Arc<W>) -> Listening {
-        Listening {
-            task: tokio::spawn(connection::accept(listener, door, work)),
+    pub fn start<W: Work>(
+        listener: TcpListener,
+        handle: Arc<ServerHandle>,
+        work: Arc<W>,
+    ) -> ListenerTask {
+        ListenerTask {
+            task: tokio::spawn(connection::accept(listener, handle, work)),
         }
     }
 }
 
-impl Drop for Listening {
+impl Drop for ListenerTask {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/testing/emulator/src/server/reply.rs
+++ b/crates/testing/emulator/src/server/reply.rs
@@ -1,9 +1,9 @@
 //! The answer to one request, spoilt where the test ordered a trouble.
 
-use super::{Door, Trouble};
+use super::{ServerFault, ServerHandle};
 use crate::digest::Digester;
 use crate::identity::RequestId;
-use crate::record::{Fate, Sighting};
+use crate::record::{Fate, Observation};
 use crate::wire::{chunk, name, response_head, Event, Headers, LAST_CHUNK};
 use bytes::Bytes;
 use std::future::pending;
@@ -20,21 +20,21 @@
     Nothing,
     Streaming,
     /// Whole; the connection goes on if `keeps`.
-    Whole,
+    Complete,
     /// Spoilt or not written: the connection ends.
     Ended,
 }
 
 /// Writes the answer to one request.
 pub struct Reply {
-    door: Arc<Door>,
+    handle: Arc<ServerHandle>,
     write: OwnedWriteHalf,
     request: RequestId,
-    sighting: usize,
+    observation: usize,
     stamp: String,
-    trouble: Option<Trouble>,
+    fault: Option<ServerFault>,
     state: State,
-    sent: Digester,
+    sent_digest: Digester,
     sent_bytes: usize,
     /// An answer's second copy, for the place of the next answer.
     surplus: Option<Bytes>,
@@ -42,22 +42,22 @@
 
 impl Reply {
     pub(super) fn new(
-        door: Arc<Door>,
+        handle: Arc<ServerHandle>,
         write: OwnedWriteHalf,
         request: RequestId,
-        sighting: usize,
+        observation: usize,
     ) -> Reply {
-        let stamp = door.stamp();
-        let trouble = door.troubles.draw();
+        let stamp = handle.stamp();
+        let fault = handle.faults.draw();
         Reply {
-            door,
+            handle,
             write,
             request,
-            sighting,
+            observation,
             stamp,
-            trouble,
+            fault,
             state: State::Nothing,
-            sent: Digester::default(),
+            sent_digest: Digester::default(),
             sent_bytes: 0,
             surplus: None,
         }
@@ -73,43 +73,47 @@
 
     /// Whether the connection can take another request.
     pub(super) fn keeps(&self) -> bool {
-        self.state == State::Whole && self.trouble != Some(Trouble::Close) && !self.door.leaving()
+        self.state == State::Complete
+            && self.fault != Some(ServerFault::Close)
+            && !self.handle.leaving()
     }
 
     /// The status with which the test wants the request turned away, if it does.
-    pub fn ordered_away(&self) -> Option<u16> {
-        match self.trouble {
-            Some(Trouble::TurnAway { status }) => Some(status),
+    pub fn ordered_rejection(&self) -> Option<u16> {
+        match self.fault {
+            Some(ServerFault::Reject { status }) => Some(status),
             _ => None,
         }
     }
 
     /// The server begins to work on the request.
     pub fn run(&mut self) {
-        self.note(|sighting| sighting.fate = Fate::Run);
+        self.update_observation(|observation| observation.fate = Fate::Run);
     }
 
     /// Does not run the request, and says so.
-    pub async fn turn_away(&mut self, status: u16) {
-        self.note(|sighting| sighting.fate = Fate::TurnedAway);
+    pub async fn reject(&mut self, status: u16) {
+        self.update_observation(|observation| observation.fate = Fate::Rejected);
         let headers = self.headers().with(name::NOT_EXECUTED, "1");
-        self.send_whole(status, headers, Bytes::new()).await;
+        self.send_complete(status, headers, Bytes::new()).await;
     }
 
     /// Answers a request that ran.
     pub async fn answer(&mut self, status: u16, body: Bytes) {
-        if self.spoilt_before_answer().await {
+        if self.faulted_before_answer().await {
             return;
         }
-        match self.trouble {
-            Some(Trouble::Cut { after }) => self.cut_whole(status, &body, after).await,
+        match self.fault {
+            Some(ServerFault::TruncateBody { after }) => {
+                self.send_truncated(status, &body, after).await
+            }
             _ => self.stamped(status, body).await,
         }
     }
 
     /// Begins a stream; false where nothing more has to be sent.
     pub async fn begin_stream(&mut self) -> bool {
-        if self.spoilt_before_answer().await {
+        if self.faulted_before_answer().await {
             return false;
         }
         self.stream_head().await;
@@ -119,28 +123,28 @@
     /// Sends one event; false where nothing more has to be sent.
     pub async fn event(&mut self, event: &Event) -> bool {
         let mut bytes = event.bytes();
-        let cut = match self.trouble {
-            Some(Trouble::Cut { after }) if self.sent_bytes + bytes.len() > after => {
+        let truncated = match self.fault {
+            Some(ServerFault::TruncateBody { after }) if self.sent_bytes + bytes.len() > after => {
                 bytes.truncate(after - self.sent_bytes);
                 true
             }
             _ => false,
         };
-        self.sent.push(&bytes);
+        self.sent_digest.push(&bytes);
         self.sent_bytes += bytes.len();
         if !bytes.is_empty() {
             self.write(&chunk(&bytes)).await;
         }
-        if cut {
-            self.spoil();
+        if truncated {
+            self.end_with_fault();
             return false;
         }
-        let (digest, event) = (self.sent.finish(), event.clone());
-        let now = self.door.surroundings.clock.now_us();
-        self.note(|sighting| {
-            sighting.sent = Some(digest);
-            sighting.events.push(event);
-            sighting.moments.first_us.get_or_insert(now);
+        let (digest, event) = (self.sent_digest.finish(), event.clone());
+        let now = self.handle.context.clock.now_us();
+        self.update_observation(|observation| {
+            observation.sent_digest = Some(digest);
+            observation.events.push(event);
+            observation.timings.first_us.get_or_insert(now);
         });
         self.state == State::Streaming
     }
@@ -151,12 +155,12 @@
             return;
         }
         self.write(LAST_CHUNK).await;
-        self.whole_if_written(State::Streaming);
+        self.complete_if_written(State::Streaming);
     }
 
     /// Breaks the answer off.
     pub fn break_off(&mut self) {
-        self.spoil();
+        self.end_with_fault();
     }
 
     async fn stream_head(&mut self) {
@@ -166,26 +170,26 @@
             .with(name::TRANSFER_ENCODING, "chunked");
         self.state = State::Streaming;
         let stamp = self.stamp.clone();
-        self.note(|sighting| {
-            sighting.status = Some(200);
-            sighting.stamp = Some(stamp);
+        self.update_observation(|observation| {
+            observation.status = Some(200);
+            observation.stamp = Some(stamp);
         });
         self.write(&response_head(200, &headers)).await;
     }
 
     /// Troubles in which another answer comes or none; true if this was one.
-    async fn spoilt_before_answer(&mut self) -> bool {
-        match self.trouble {
-            Some(Trouble::Fail) => self.stamped(500, Bytes::new()).await,
-            Some(Trouble::Unavailable) => self.stamped(503, Bytes::new()).await,
-            Some(Trouble::AnswerLost) => self.spoil(),
-            Some(Trouble::Mute) => {
-                self.note(|sighting| sighting.spoilt = true);
+    async fn faulted_before_answer(&mut self) -> bool {
+        match self.fault {
+            Some(ServerFault::Fail) => self.stamped(500, Bytes::new()).await,
+            Some(ServerFault::Unavailable) => self.stamped(503, Bytes::new()).await,
+            Some(ServerFault::AnswerLost) => self.end_with_fault(),
+            Some(ServerFault::NeverAnswer) => {
+                self.update_observation(|observation| observation.faulted = true);
                 pending::<()>().await;
             }
-            Some(Trouble::Garble) => {
+            Some(ServerFault::SendGarbage) => {
                 self.write(GARBAGE).await;
-                self.spoil();
+                self.end_with_fault();
             }
             _ => return false,
         }
@@ -195,11 +199,11 @@
     async fn stamped(&mut self, status: u16, body: Bytes) {
         let headers = self.stamped_headers();
         let stamp = self.stamp.clone();
-        self.note(|sighting| sighting.stamp = Some(stamp));
-        self.send_whole(status, headers, body).await;
+        self.update_observation(|observation| observation.stamp = Some(stamp));
+        self.send_complete(status, headers, body).await;
     }
 
-    async fn cut_whole(&mut self, status: u16, body: &Bytes, after: usize) {
+    async fn send_truncated(&mut self, status: u16, body: &Bytes, after: usize) {
         let headers = self
             .stamped_headers()
             .with(name::CONTENT_LENGTH, body.len().to_string());
@@ -207,43 +211,43 @@
         bytes.extend_from_slice(&body[..after.min(body.len().saturating_sub(1))]);
         self.write(&bytes).await;
         let stamp = self.stamp.clone();
-        self.note(|sighting| {
-            sighting.status = Some(status);
-            sighting.stamp = Some(stamp);
+        self.update_observation(|observation| {
+            observation.status = Some(status);
+            observation.stamp = Some(stamp);
         });
-        self.spoil();
+        self.end_with_fault();
     }
 
-    async fn send_whole(&mut self, status: u16, headers: Headers, body: Bytes) {
+    async fn send_complete(&mut self, status: u16, headers: Headers, body: Bytes) {
         let headers = headers.with(name::CONTENT_LENGTH, body.len().to_string());
         let mut bytes = response_head(status, &headers).to_vec();
         bytes.extend_from_slice(&body);
-        self.sent.push(&body);
-        let digest = self.sent.finish();
-        self.note(|sighting| {
-            sighting.status = Some(status);
-            sighting.sent = Some(digest);
+        self.sent_digest.push(&body);
+        let digest = self.sent_digest.finish();
+        self.update_observation(|observation| {
+            observation.status = Some(status);
+            observation.sent_digest = Some(digest);
         });
-        let twice = self.trouble == Some(Trouble::Surplus);
+        let twice = self.fault == Some(ServerFault::Surplus);
         let bytes = Bytes::from(bytes);
-        if self.trouble == Some(Trouble::LateSurplus) {
+        if self.fault == Some(ServerFault::LateSurplus) {
             self.surplus = Some(bytes.clone());
         }
         self.write(&bytes).await;
         if twice {
             self.write(&bytes).await;
         }
-        self.whole_if_written(State::Nothing);
+        self.complete_if_written(State::Nothing);
     }
 
     fn headers(&self) -> Headers {
         let headers = Headers::new().with(name::REQUEST_ID, self.request.to_string());
-        if self.trouble == Some(Trouble::Close) || self.door.leaving() {
+        if self.fault == Some(ServerFault::Close) || self.handle.leaving() {
             return headers.with(name::CONNECTION, "close");
         }
         headers.with(
             "Keep-Alive",
-            format!("timeout={}", self.door.settings.idle.as_secs()),
+            format!("timeout={}", self.handle.settings.idle.as_secs()),
         )
     }
 
@@ -258,24 +262,24 @@
     }
 
     /// The answer is whole if no write since `before` has failed.
-    fn whole_if_written(&mut self, before: State) {
+    fn complete_if_written(&mut self, before: State) {
         if self.state == before {
-            self.state = State::Whole;
-            let now = self.door.surroundings.clock.now_us();
-            self.note(|sighting| {
-                sighting.whole = true;
-                sighting.moments.first_us.get_or_insert(now);
-                sighting.moments.ended_us = Some(now);
+            self.state = State::Complete;
+            let now = self.handle.context.clock.now_us();
+            self.update_observation(|observation| {
+                observation.complete = true;
+                observation.timings.first_us.get_or_insert(now);
+                observation.timings.ended_us = Some(now);
             });
         }
     }
 
-    fn spoil(&mut self) {
+    fn end_with_fault(&mut self) {
         self.state = State::Ended;
-        self.note(|sighting| sighting.spoilt = true);
+        self.update_observation(|observation| observation.faulted = true);
     }
 
-    fn note(&self, change: impl FnOnce(&mut Sighting)) {
-        self.door.surroundings.record.update(self.sighting, change);
+    fn update_observation(&self, change: impl FnOnce(&mut Observation)) {
+        self.handle.context.record.update(self.observation, change);
     }
 }
--- a/crates/testing/emulator/src/system/addresses.rs
+++ b/crates/testing/emulator/src/system/addresses.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 /// Blocks that are tried before reserving fails.
-const MOST_BLOCKS: u32 = 4_096;
+const MAX_BLOCKS: u32 = 4_096;
 /// The last address of a block is the sign that the block is taken.
 const GUARD: u8 = 255;
 const LAST: u8 = 254;
@@ -41,7 +41,7 @@
 }
 
 /// Blocks asked for in this process. None is given twice: what listens there may end later than its block.
-static ASKED: AtomicU32 = AtomicU32::new(0);
+static NEXT_BLOCK: AtomicU32 = AtomicU32::new(0);
 
 /// 254 addresses, taken for as long as this lives.
 #[derive(Debug)]
@@ -55,8 +55,8 @@
     /// Takes a block that no other process and no other test has.
     pub fn reserve(ports: Ports) -> anyhow::Result<AddressBlock> {
         let start = std::process::id().wrapping_mul(37);
-        for _ in 0..MOST_BLOCKS {
-            let offset = ASKED.fetch_add(1, Ordering::SeqCst);
+        for _ in 0..MAX_BLOCKS {
+            let offset = NEXT_BLOCK.fetch_add(1, Ordering::SeqCst);
             let number = FIRST_BLOCK + start.wrapping_add(offset) % BLOCKS;
             let first_bytes = [(number >> 8) as u8, number as u8];
             let guard = Ipv4Addr::new(127, first_bytes[0], first_bytes[1], GUARD);
--- a/crates/testing/emulator/src/system/machine.rs
+++ b/crates/testing/emulator/src/system/machine.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, Instant};
 
 /// Pause between two looks at a process that is to end.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Bytes of a log that are shown when something fails.
 const LOG_TAIL: usize = 4_000;
 /// Processor time in /proc is counted in hundredths of a second.
@@ -167,7 +167,7 @@
                 "{} has not ended after {limit:?}",
                 self.name
             );
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/crates/testing/emulator/src/system/mod.rs
+++ b/crates/testing/emulator/src/system/mod.rs
@@ -20,9 +20,9 @@
 /// Seeds that each process is told.
 const SEEDS: usize = 3;
 /// Pause between two looks at a machine that is coming up.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// A look at readiness takes at most so long.
-const LOOK_LIMIT: Duration = Duration::from_secs(1);
+const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What a system consists of.
 #[derive(Clone, Debug)]
@@ -127,7 +127,7 @@
     }
 
     /// Places of machines of a kind.
-    pub fn places(&self, wanted: impl Fn(&MachinePlan) -> bool) -> Vec<usize> {
+    pub fn machine_indices(&self, wanted: impl Fn(&MachinePlan) -> bool) -> Vec<usize> {
         let machines = self.machines.iter().enumerate();
         machines
             .filter(|(_, machine)| wanted(machine.plan()))
@@ -165,7 +165,7 @@
 
     /// Ends once all running gateways are ready.
     pub async fn ready(&mut self, limit: Duration) -> anyhow::Result<()> {
-        for index in self.places(|plan| plan.role != Role::Store) {
+        for index in self.machine_indices(|plan| plan.role != Role::Store) {
             if self.machines[index].is_running() {
                 self.ready_one(index, limit).await?;
             }
@@ -194,7 +194,7 @@
                     self.machines[index].log_tail()
                 );
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -258,6 +258,6 @@
 }
 
 async fn readiness(address: SocketAddr) -> Option<u16> {
-    let answer = call(address, &Call::get("/api/readyz"), LOOK_LIMIT).await;
+    let answer = call(address, &Call::get("/api/readyz"), READINESS_TIMEOUT).await;
     answer.ok().map(|answer| answer.status)
 }
--- a/crates/testing/emulator/src/wire/event.rs
+++ b/crates/testing/emulator/src/wire/event.rs
@@ -60,8 +60,8 @@
 
 impl EventReader {
     /// Takes a piece in.
-    pub fn push(&mut self, piece: &[u8]) {
-        self.buffer.extend_from_slice(piece);
+    pub fn push(&mut self, data: &[u8]) {
+        self.buffer.extend_from_slice(data);
     }
 
     /// The next whole event, or what stands in its place.
--- a/crates/testing/emulator/src/wire/reader.rs
+++ b/crates/testing/emulator/src/wire/reader.rs
@@ -7,13 +7,13 @@
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 /// A head longer than this is an error: bounds the memory of a stand-in.
-const MOST_HEAD: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// A body longer than this is an error, for the same reason.
-const MOST_BODY: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 /// Bytes read ahead of a message that is not asked for yet.
-const MOST_AHEAD: usize = 64 * 1024;
+const MAX_AHEAD_BYTES: usize = 64 * 1024;
 /// The longest line that tells a chunk's length.
-const MOST_CHUNK_LINE: usize = 64;
+const MAX_CHUNK_LINE_BYTES: usize = 64;
 
 /// Why no message could be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
         match self {
             WireError::Ended => write!(f, "the connection ended"),
             WireError::BrokenOff => write!(f, "the connection ended inside a message"),
-            WireError::Garbled(what) => write!(f, "no message: {what}"),
+            WireError::Garbled(reason) => write!(f, "no message: {reason}"),
             WireError::Failed(kind) => write!(f, "the connection failed: {kind}"),
         }
     }
@@ -90,18 +90,18 @@
 
     /// The rest of the body, whole.
     pub async fn body(&mut self) -> Result<Bytes, WireError> {
-        let mut whole = BytesMut::new();
-        while let Some(piece) = self.piece().await? {
-            if whole.len() + piece.len() > MOST_BODY {
+        let mut complete = BytesMut::new();
+        while let Some(data) = self.next_data().await? {
+            if complete.len() + data.len() > MAX_BODY_BYTES {
                 return Err(WireError::Garbled("a body beyond all bounds"));
             }
-            whole.extend_from_slice(&piece);
+            complete.extend_from_slice(&data);
         }
-        Ok(whole.freeze())
+        Ok(complete.freeze())
     }
 
     /// The next bytes of the body; `None` at its end.
-    pub async fn piece(&mut self) -> Result<Option<Bytes>, WireError> {
+    pub async fn next_data(&mut self) -> Result<Option<Bytes>, WireError> {
         loop {
             match self.rest {
                 Rest::Nothing | Rest::Length(0) => {
@@ -119,7 +119,7 @@
 
     /// Ends once the peer has closed the connection, or has sent more ahead than any peer has to.
     pub async fn closed(&mut self) {
-        while self.buffer.len() < MOST_AHEAD {
+        while self.buffer.len() < MAX_AHEAD_BYTES {
             match self.fill().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
@@ -147,12 +147,12 @@
                 self.buffer.advance(2);
                 return Ok(head);
             }
-            if self.buffer.len() > MOST_HEAD {
+            if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(WireError::Garbled("a head without end"));
             }
-            let begun = !self.buffer.is_empty();
+            let started = !self.buffer.is_empty();
             if self.fill().await? == 0 {
-                return Err(if begun {
+                return Err(if started {
                     WireError::BrokenOff
                 } else {
                     WireError::Ended
@@ -205,7 +205,7 @@
                 self.buffer.advance(2);
                 return Ok(line);
             }
-            if self.buffer.len() > MOST_CHUNK_LINE {
+            if self.buffer.len() > MAX_CHUNK_LINE_BYTES {
                 return Err(WireError::Garbled("a chunk's line without end"));
             }
             if self.fill().await? == 0 {
--- a/crates/testing/emulator/tests/batch.rs
+++ b/crates/testing/emulator/tests/batch.rs
@@ -1,15 +1,15 @@
 //! The batch and the memory of a model server.
 
-use dunespur_emulator::engine::{Batch, Memory, Part, Prompt, Speeds, Ticket};
+use dunespur_emulator::engine::{Batch, Memory, Prompt, PromptSegment, Speeds, Ticket};
 
-fn part(id: u64, tokens: u64) -> Part {
-    Part { id, tokens }
+fn segment(id: u64, tokens: u64) -> PromptSegment {
+    PromptSegment { id, tokens }
 }
 
-fn prompt(parts: &[Part], most: u64, priority: u8) -> Prompt {
+fn prompt(segments: &[PromptSegment], max_tokens: u64, priority: u8) -> Prompt {
     Prompt {
-        parts: parts.to_vec(),
-        most,
+        segments: segments.to_vec(),
+        max_tokens,
         priority,
     }
 }
@@ -37,55 +37,59 @@
 }
 
 #[test]
-fn a_prompt_is_read_once_and_kept_for_the_next() {
+fn a_prompt_is_prefilled_once_and_cached_for_the_next() {
     let mut batch = batch(2, 2, 10_000);
-    let shared = part(1, 1_000);
+    let shared = segment(1, 1_000);
     batch
-        .enqueue(prompt(&[shared, part(2, 100)], 5, 5))
+        .enqueue(prompt(&[shared, segment(2, 100)], 5, 5))
         .unwrap();
     let (_, first) = run(&mut batch);
-    assert_eq!(batch.tokens_read(), 1_100);
-    batch.enqueue(prompt(&[shared, part(3, 50)], 5, 5)).unwrap();
+    assert_eq!(batch.prompt_tokens_prefilled(), 1_100);
+    batch
+        .enqueue(prompt(&[shared, segment(3, 50)], 5, 5))
+        .unwrap();
     let (_, second) = run(&mut batch);
-    assert_eq!(batch.tokens_read(), 1_150);
+    assert_eq!(batch.prompt_tokens_prefilled(), 1_150);
     assert!(second < first);
 }
 
 #[test]
-fn a_kept_part_counts_only_behind_kept_ones() {
+fn a_cached_segment_counts_only_behind_cached_ones() {
     let mut memory = Memory::new(1_000);
-    memory.take(&[part(1, 100), part(2, 100)]).unwrap();
-    assert_eq!(memory.look(&[part(1, 100), part(2, 100)]).to_read, 0);
-    assert_eq!(memory.look(&[part(9, 10), part(2, 100)]).to_read, 110);
+    memory.take(&[segment(1, 100), segment(2, 100)]).unwrap();
+    assert_eq!(memory.look(&[segment(1, 100), segment(2, 100)]).to_read, 0);
+    assert_eq!(memory.look(&[segment(9, 10), segment(2, 100)]).to_read, 110);
     assert_eq!(
-        memory.look(&[part(1, 100), part(9, 10), part(2, 100)]).kept,
+        memory
+            .look(&[segment(1, 100), segment(9, 10), segment(2, 100)])
+            .cached,
         100
     );
 }
 
 #[test]
-fn the_part_unused_longest_gives_way() {
+fn the_least_recently_used_segment_is_evicted() {
     let mut memory = Memory::new(301);
     for id in 1..=3 {
-        let parts = [part(id, 100)];
-        memory.take(&parts).unwrap();
-        memory.give_back(&parts, 0);
+        let segments = [segment(id, 100)];
+        memory.take(&segments).unwrap();
+        memory.release(&segments, 0);
     }
-    memory.take(&[part(1, 100)]).unwrap();
-    memory.take(&[part(4, 100)]).unwrap();
-    assert_eq!(memory.look(&[part(1, 100)]).kept, 100);
-    assert_eq!(memory.look(&[part(2, 100)]).kept, 0);
-    assert_eq!(memory.look(&[part(3, 100)]).kept, 100);
+    memory.take(&[segment(1, 100)]).unwrap();
+    memory.take(&[segment(4, 100)]).unwrap();
+    assert_eq!(memory.look(&[segment(1, 100)]).cached, 100);
+    assert_eq!(memory.look(&[segment(2, 100)]).cached, 0);
+    assert_eq!(memory.look(&[segment(3, 100)]).cached, 100);
     assert_eq!(memory.in_use(), 200);
 }
 
 #[test]
 fn what_does_not_fit_is_refused_and_leaves_no_trace() {
     let mut batch = batch(1, 1, 1_000);
-    assert!(batch.enqueue(prompt(&[part(1, 990)], 20, 5)).is_err());
-    batch.enqueue(prompt(&[part(1, 10)], 5, 5)).unwrap();
-    batch.enqueue(prompt(&[part(2, 10)], 5, 5)).unwrap();
-    assert!(batch.enqueue(prompt(&[part(3, 10)], 5, 5)).is_err());
+    assert!(batch.enqueue(prompt(&[segment(1, 990)], 20, 5)).is_err());
+    batch.enqueue(prompt(&[segment(1, 10)], 5, 5)).unwrap();
+    batch.enqueue(prompt(&[segment(2, 10)], 5, 5)).unwrap();
+    assert!(batch.enqueue(prompt(&[segment(3, 10)], 5, 5)).is_err());
     run(&mut batch);
     assert_eq!(batch.memory().in_use(), 0);
 }
@@ -93,10 +97,10 @@
 #[test]
 fn the_more_urgent_go_first_and_make_others_give_way() {
     let mut batch = batch(1, 4, 1_000);
-    let ordinary = batch.enqueue(prompt(&[part(1, 10)], 50, 5)).unwrap();
+    let ordinary = batch.enqueue(prompt(&[segment(1, 10)], 50, 5)).unwrap();
     batch.begin_step();
     batch.finish_step();
-    let urgent = batch.enqueue(prompt(&[part(2, 10)], 5, 0)).unwrap();
+    let urgent = batch.enqueue(prompt(&[segment(2, 10)], 5, 0)).unwrap();
     let (ended, _) = run(&mut batch);
     assert_eq!(ended, [urgent, ordinary]);
     assert_eq!(batch.preempted(), 1);
@@ -106,7 +110,7 @@
 fn memory_that_runs_out_makes_the_newest_give_way_and_all_end() {
     let mut batch = batch(3, 3, 400);
     let tickets: Vec<Ticket> = (1..=3)
-        .map(|id| batch.enqueue(prompt(&[part(id, 100)], 90, 5)).unwrap())
+        .map(|id| batch.enqueue(prompt(&[segment(id, 100)], 90, 5)).unwrap())
         .collect();
     let (ended, _) = run(&mut batch);
     assert!(batch.preempted() > 0);
@@ -118,15 +122,15 @@
 #[test]
 fn those_that_leave_give_everything_back() {
     let mut batch = batch(2, 2, 10_000);
-    let running = batch.enqueue(prompt(&[part(1, 5_000)], 50, 5)).unwrap();
+    let running = batch.enqueue(prompt(&[segment(1, 5_000)], 50, 5)).unwrap();
     batch.begin_step();
-    let waiting = batch.enqueue(prompt(&[part(2, 10)], 50, 5)).unwrap();
+    let waiting = batch.enqueue(prompt(&[segment(2, 10)], 50, 5)).unwrap();
     batch.cancel(waiting);
     batch.cancel(running);
     assert_eq!((batch.running(), batch.waiting()), (0, 0));
     assert_eq!(batch.memory().in_use(), 0);
     assert_eq!(
-        batch.memory().look(&[part(1, 5_000)]).kept,
+        batch.memory().look(&[segment(1, 5_000)]).cached,
         0,
         "a part that was not read whole is not kept"
     );
@@ -146,11 +150,11 @@
         for _ in 0..100 {
             match random.u8(0..4) {
                 0 => {
-                    let parts: Vec<Part> = (0..random.u64(1..4))
+                    let segments: Vec<PromptSegment> = (0..random.u64(1..4))
                         .map(|_| random.u64(0..8))
-                        .map(|id| part(id, 20 + id))
+                        .map(|id| segment(id, 20 + id))
                         .collect();
-                    let asked = prompt(&parts, random.u64(1..60), random.u8(0..10));
+                    let asked = prompt(&segments, random.u64(1..60), random.u8(0..10));
                     tickets.extend(batch.enqueue(asked));
                 }
                 1 if !tickets.is_empty() => {
--- a/crates/testing/emulator/tests/judge.rs
+++ b/crates/testing/emulator/tests/judge.rs
@@ -3,16 +3,17 @@
 use bytes::Bytes;
 use dunespur_emulator::client::Kind;
 use dunespur_emulator::configuration::{ConfigurationPlan, LimitsPlan, RoutePlan};
-use dunespur_emulator::judge::{judge, Rule, Span, Terms, CONFIG_APPLY_MS, DRAIN_MS};
+use dunespur_emulator::judge::{judge, JudgeSettings, Rule, Span, CONFIG_APPLY_MS, DRAIN_MS};
 use dunespur_emulator::record::{
-    Acknowledged, Answered, Fate, Moments, ProgramTry, Record, Sighting, Try, TryOutcome,
+    Acknowledged, Answered, AttemptOutcome, AttemptRecord, Fate, Observation, ProgramAttempt,
+    Record, Timings,
 };
 use dunespur_emulator::wire::Event;
 use dunespur_emulator::{Digest, RequestId};
 
 const HOST: &str = "h.example";
 
-fn terms() -> Terms {
+fn settings() -> JudgeSettings {
     let streaming = Kind::Streaming { resumable: false };
     let mut kept = RoutePlan::new("kept", HOST, "/kept/", streaming, "models");
     kept.persisted = true;
@@ -21,7 +22,7 @@
         RoutePlan::new("record", HOST, "/record/", Kind::Mutating, "tools"),
         RoutePlan::new("lookup", HOST, "/lookup/", Kind::ReadOnly, "tools"),
     ];
-    Terms::of(vec![version(1, routes)])
+    JudgeSettings::of(vec![version(1, routes)])
 }
 
 fn version(generation: u64, routes: Vec<RoutePlan>) -> ConfigurationPlan {
@@ -35,8 +36,8 @@
 
 /// One request as its server and its client saw it.
 struct Exchange {
-    sightings: Vec<Sighting>,
-    attempt: Try,
+    observations: Vec<Observation>,
+    attempt: AttemptRecord,
 }
 
 fn events() -> Vec<Event> {
@@ -55,8 +56,8 @@
         .collect()
 }
 
-fn sighting(id: u64, target: &str, backend: &str, body: &[u8]) -> Sighting {
-    Sighting {
+fn observation(id: u64, target: &str, backend: &str, body: &[u8]) -> Observation {
+    Observation {
         number: 0,
         at_ms: 100,
         instance: format!("i-{backend}"),
@@ -71,11 +72,11 @@
         fate: Fate::Run,
         stamp: Some(format!("stamp {id}")),
         status: Some(200),
-        sent: Some(Digest::of(b"answer")),
+        sent_digest: Some(Digest::of(b"answer")),
         events: Vec::new(),
-        whole: true,
-        spoilt: false,
-        moments: Moments::default(),
+        complete: true,
+        faulted: false,
+        timings: Timings::default(),
     }
 }
 
@@ -91,18 +92,18 @@
         body: Bytes::copy_from_slice(body),
         events: Vec::new(),
         garbled_events: 0,
-        left_over: 0,
+        trailing_bytes: 0,
         first_event_us: None,
-        longest_pause_ms: 0,
+        longest_gap_ms: 0,
         surplus: 0,
     }
 }
 
 fn exchange(id: u64, target: &str, backend: &str) -> Exchange {
-    let attempt = Try {
+    let attempt = AttemptRecord {
         number: 0,
         request: RequestId(id),
-        wanted: id,
+        operation: id,
         front: "127.0.0.1:80".parse().unwrap(),
         sent_ms: 90,
         ended_ms: 200,
@@ -110,13 +111,13 @@
         method: "POST".to_owned(),
         target: target.to_owned(),
         expected: Some(Digest::of(b"asked")),
-        repeatable: target.starts_with("/lookup/"),
+        idempotent: target.starts_with("/lookup/"),
         program: None,
-        outcome: TryOutcome::Answered(answered(id, 200, b"answer")),
-        moments: Moments::default(),
+        outcome: AttemptOutcome::Answered(answered(id, 200, b"answer")),
+        timings: Timings::default(),
     };
     Exchange {
-        sightings: vec![sighting(id, target, backend, b"asked")],
+        observations: vec![observation(id, target, backend, b"asked")],
         attempt,
     }
 }
@@ -125,15 +126,15 @@
 fn turn(id: u64, previous: Option<u64>) -> Exchange {
     let mut turn = exchange(id, "/kept/x", "models");
     let body = stream_body();
-    turn.sightings[0].events = events();
-    turn.sightings[0].sent = Some(Digest::of(&body));
+    turn.observations[0].events = events();
+    turn.observations[0].sent_digest = Some(Digest::of(&body));
     let mut answer = answered(id, 200, &body);
     answer.events = events();
-    turn.attempt.outcome = TryOutcome::Answered(answer);
-    turn.attempt.program = Some(ProgramTry {
+    turn.attempt.outcome = AttemptOutcome::Answered(answer);
+    turn.attempt.program = Some(ProgramAttempt {
         program: "p".to_owned(),
         budget: Some(100),
-        most: 12,
+        max_tokens: 12,
         chunk_tokens: 3,
         previous: previous.map(RequestId),
     });
@@ -143,16 +144,16 @@
 fn record_of(exchanges: Vec<Exchange>) -> Record {
     let record = Record::default();
     for exchange in exchanges {
-        for sighting in exchange.sightings {
-            record.saw(sighting, &Bytes::new());
+        for observation in exchange.observations {
+            record.record_observation(observation, &Bytes::new());
         }
-        record.tried(exchange.attempt);
+        record.record_attempt(exchange.attempt);
     }
     record
 }
 
 fn broken(exchanges: Vec<Exchange>) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = judge(&record_of(exchanges), &terms())
+    let mut rules: Vec<Rule> = judge(&record_of(exchanges), &settings())
         .into_iter()
         .map(|violation| violation.rule)
         .collect();
@@ -170,7 +171,7 @@
 
 fn answer_of(exchange: &mut Exchange) -> &mut Answered {
     match &mut exchange.attempt.outcome {
-        TryOutcome::Answered(answered) => answered,
+        AttemptOutcome::Answered(answered) => answered,
         other => panic!("{other:?}"),
     }
 }
@@ -179,7 +180,7 @@
 fn refuse(exchange: &mut Exchange, status: u16) {
     let mut refusal = answered(exchange.attempt.request.0, status, b"");
     refusal.stamp = None;
-    exchange.attempt.outcome = TryOutcome::Answered(refusal);
+    exchange.attempt.outcome = AttemptOutcome::Answered(refusal);
 }
 
 #[test]
@@ -193,8 +194,14 @@
         ]),
         []
     );
-    assert_eq!(changed(|it| it.attempt.outcome = TryOutcome::Closed), []);
-    assert_eq!(changed(|it| it.attempt.outcome = TryOutcome::GivenUp), []);
+    assert_eq!(
+        changed(|it| it.attempt.outcome = AttemptOutcome::Closed),
+        []
+    );
+    assert_eq!(
+        changed(|it| it.attempt.outcome = AttemptOutcome::GivenUp),
+        []
+    );
 }
 
 #[test]
@@ -220,32 +227,32 @@
     assert_eq!(changed(|it| answer_of(it).surplus = 1), mixed);
     assert_eq!(changed(|it| answer_of(it).status = 201), mixed);
     assert_eq!(changed(|it| answer_of(it).status = 502), mixed);
-    assert_eq!(changed(|it| it.sightings[0].status = Some(500)), mixed);
-    assert_eq!(changed(|it| it.sightings[0].whole = false), mixed);
+    assert_eq!(changed(|it| it.observations[0].status = Some(500)), mixed);
+    assert_eq!(changed(|it| it.observations[0].complete = false), mixed);
     assert_eq!(
-        changed(|it| it.attempt.outcome = TryOutcome::Garbled("x".to_owned())),
+        changed(|it| it.attempt.outcome = AttemptOutcome::Garbled("x".to_owned())),
         mixed
     );
 }
 
 #[test]
-fn a_request_that_no_client_sent_so_is_unasked() {
+fn a_request_that_no_client_sent_is_unasked() {
     let unasked = [Rule::Unasked];
     assert_eq!(
-        changed(|it| it.sightings[0].digest = Digest::of(b"aske")),
+        changed(|it| it.observations[0].digest = Digest::of(b"aske")),
         unasked
     );
     assert_eq!(
-        changed(|it| it.sightings[0].method = "PUT".to_owned()),
+        changed(|it| it.observations[0].method = "PUT".to_owned()),
         unasked
     );
     assert_eq!(
-        changed(|it| it.sightings[0].target = "/record/x?y".to_owned()),
+        changed(|it| it.observations[0].target = "/record/x?y".to_owned()),
         unasked
     );
     let unknown = |it: &mut Exchange| {
-        it.sightings
-            .push(sighting(7, "/record/x", "tools", b"asked"))
+        it.observations
+            .push(observation(7, "/record/x", "tools", b"asked"))
     };
     assert_eq!(changed(unknown), unasked);
     let invented = turn(2, Some(77));
@@ -255,23 +262,23 @@
 #[test]
 fn what_may_run_once_and_ran_twice_is_twice() {
     let again = |it: &mut Exchange| {
-        let mut second = it.sightings[0].clone();
+        let mut second = it.observations[0].clone();
         second.instance = "i-other".to_owned();
-        it.sightings.push(second);
+        it.observations.push(second);
     };
     assert_eq!(changed(again), [Rule::Twice]);
     let mut lookup = exchange(1, "/lookup/x", "tools");
     again(&mut lookup);
     assert_eq!(broken(vec![lookup]), []);
-    let mut second_try = exchange(2, "/record/x", "tools");
-    second_try.attempt.wanted = 1;
-    let mut first_try = exchange(1, "/record/x", "tools");
-    first_try.attempt.outcome = TryOutcome::Closed;
-    assert_eq!(broken(vec![first_try, second_try]), [Rule::Twice]);
+    let mut second_attempt = exchange(2, "/record/x", "tools");
+    second_attempt.attempt.operation = 1;
+    let mut first_attempt = exchange(1, "/record/x", "tools");
+    first_attempt.attempt.outcome = AttemptOutcome::Closed;
+    assert_eq!(broken(vec![first_attempt, second_attempt]), [Rule::Twice]);
 }
 
 #[test]
-fn a_promise_that_is_not_kept_is_refused() {
+fn a_rejected_request_that_ran_is_refused() {
     for status in [402, 408, 421, 429, 503] {
         assert_eq!(
             changed(|it| refuse(it, status)),
@@ -280,7 +287,7 @@
         );
         let turned_away = |it: &mut Exchange| {
             refuse(it, status);
-            it.sightings[0].fate = Fate::TurnedAway;
+            it.observations[0].fate = Fate::Rejected;
         };
         assert_eq!(changed(turned_away), [], "{status}");
     }
@@ -290,22 +297,22 @@
 #[test]
 fn a_service_that_no_route_leads_to_is_route() {
     assert_eq!(
-        changed(|it| it.sightings[0].backend = "models".to_owned()),
+        changed(|it| it.observations[0].backend = "models".to_owned()),
         [Rule::Route]
     );
 }
 
 #[test]
 fn more_servers_than_the_route_allows_is_budget() {
-    let over = |id: u64| {
+    let over_limit = |id: u64| {
         let mut lookup = exchange(id, "/lookup/x", "tools");
-        let mut second = lookup.sightings[0].clone();
+        let mut second = lookup.observations[0].clone();
         second.instance = "i-other".to_owned();
-        lookup.sightings.push(second);
+        lookup.observations.push(second);
         lookup
     };
-    assert_eq!(broken((1..=3).map(over).collect()), []);
-    assert_eq!(broken((1..=4).map(over).collect()), [Rule::Budget]);
+    assert_eq!(broken((1..=3).map(over_limit).collect()), []);
+    assert_eq!(broken((1..=4).map(over_limit).collect()), [Rule::Budget]);
 }
 
 #[test]
@@ -314,7 +321,7 @@
         let deny = |id| {
             let mut it = exchange(id, "/record/x", "tools");
             refuse(&mut it, 400);
-            it.sightings.clear();
+            it.observations.clear();
             it
         };
         broken((1..=count).map(deny).collect())
@@ -337,15 +344,15 @@
     let mut garbled = turn(1, None);
     answer_of(&mut garbled).garbled_events = 1;
     assert_eq!(broken(vec![garbled]), [Rule::Order]);
-    let mut cut = turn(1, None);
-    let mut beginning = answer_of(&mut cut).clone();
+    let mut truncated = turn(1, None);
+    let mut beginning = answer_of(&mut truncated).clone();
     beginning.events.truncate(2);
-    cut.attempt.outcome = TryOutcome::BrokenOff(beginning.clone());
-    cut.sightings[0].whole = false;
-    assert_eq!(broken(vec![cut]), []);
+    truncated.attempt.outcome = AttemptOutcome::BrokenOff(beginning.clone());
+    truncated.observations[0].complete = false;
+    assert_eq!(broken(vec![truncated]), []);
     let mut short = turn(1, None);
     beginning.digest = Digest::of(b"two events");
-    short.attempt.outcome = TryOutcome::Answered(beginning);
+    short.attempt.outcome = AttemptOutcome::Answered(beginning);
     assert_eq!(broken(vec![short]), [Rule::Mixed]);
 }
 
@@ -354,33 +361,33 @@
     let turns = |count: u64| broken((1..=count).map(|id| turn(id, None)).collect());
     assert_eq!(turns(9), [], "108 tokens of 100 and 12");
     assert_eq!(turns(10), [Rule::Budget], "120 tokens of 100 and 12");
-    let mut cut: Vec<Exchange> = (1..=10).map(|id| turn(id, None)).collect();
-    for turn in &mut cut {
+    let mut truncated: Vec<Exchange> = (1..=10).map(|id| turn(id, None)).collect();
+    for turn in &mut truncated {
         let beginning = answer_of(turn).clone();
-        turn.attempt.outcome = TryOutcome::BrokenOff(beginning);
+        turn.attempt.outcome = AttemptOutcome::BrokenOff(beginning);
     }
-    assert_eq!(broken(cut), [Rule::Budget], "broken tries count");
+    assert_eq!(broken(truncated), [Rule::Budget], "broken tries count");
 }
 
 #[test]
-fn a_kept_turn_that_is_not_found_is_lost() {
-    let asked_later = |ended_ms: u64| {
+fn a_persisted_turn_that_is_not_found_is_lost() {
+    let requested_later = |ended_ms: u64| {
         let mut next = turn(2, Some(1));
         refuse(&mut next, 404);
-        next.sightings.clear();
+        next.observations.clear();
         next.attempt.ended_ms = ended_ms;
         next
     };
     assert_eq!(
-        broken(vec![turn(1, None), asked_later(59_000)]),
+        broken(vec![turn(1, None), requested_later(59_000)]),
         [Rule::Lost]
     );
-    assert_eq!(broken(vec![turn(1, None), asked_later(61_000)]), []);
-    let mut cut = turn(1, None);
-    let beginning = answer_of(&mut cut).clone();
-    cut.attempt.outcome = TryOutcome::BrokenOff(beginning);
+    assert_eq!(broken(vec![turn(1, None), requested_later(61_000)]), []);
+    let mut truncated = turn(1, None);
+    let beginning = answer_of(&mut truncated).clone();
+    truncated.attempt.outcome = AttemptOutcome::BrokenOff(beginning);
     assert_eq!(
-        broken(vec![cut, asked_later(1_000)]),
+        broken(vec![truncated, requested_later(1_000)]),
         [],
         "only turns answered whole are kept"
     );
@@ -390,16 +397,16 @@
 fn a_request_at_a_server_that_has_drained_is_drain() {
     let came = |at_ms: u64, status: u16| {
         let mut late = exchange(1, "/record/x", "tools");
-        late.sightings[0].at_ms = at_ms;
+        late.observations[0].at_ms = at_ms;
         if status == 421 {
-            late.sightings[0].fate = Fate::TurnedAway;
-            late.sightings[0].status = Some(421);
+            late.observations[0].fate = Fate::Rejected;
+            late.observations[0].status = Some(421);
             refuse(&mut late, 503);
         }
         let record = record_of(vec![late]);
         let instance = "i-tools".to_owned();
         record.acknowledged(50, 40, Acknowledged::Draining { instance });
-        judge(&record, &terms())
+        judge(&record, &settings())
             .iter()
             .map(|violation| violation.rule)
             .collect::<Vec<_>>()
@@ -410,16 +417,16 @@
 }
 
 /// Version 1 has `/record/` at `tools`; version 2 has it at `models`, drops `/lookup/` and adds `/new/`.
-fn two_versions() -> Terms {
-    let first = terms().versions.remove(0);
+fn two_versions() -> JudgeSettings {
+    let first = settings().versions.remove(0);
     let moved = RoutePlan::new("record", HOST, "/record/", Kind::Mutating, "models");
     let new = RoutePlan::new("new", HOST, "/new/", Kind::ReadOnly, "tools");
     let second = first.patched(2, &[moved, new], &["lookup"]);
-    Terms::of(vec![first, second])
+    JudgeSettings::of(vec![first, second])
 }
 
 /// The rules broken by a request sent so long after the second version was acknowledged.
-fn after_second(mut exchange: Exchange, sent_after_ms: u64, terms: &Terms) -> Vec<Rule> {
+fn after_second(mut exchange: Exchange, sent_after_ms: u64, settings: &JudgeSettings) -> Vec<Rule> {
     const ACKNOWLEDGED_MS: u64 = 1_000;
     exchange.attempt.sent_ms = ACKNOWLEDGED_MS + sent_after_ms;
     let record = record_of(vec![exchange]);
@@ -429,7 +436,7 @@
         900,
         Acknowledged::Configuration { generation: 2 },
     );
-    judge(&record, terms)
+    judge(&record, settings)
         .iter()
         .map(|violation| violation.rule)
         .collect()
@@ -437,69 +444,85 @@
 
 #[test]
 fn what_only_an_older_version_allows_is_config() {
-    let terms = two_versions();
+    let settings = two_versions();
     let (in_time, late) = (CONFIG_APPLY_MS, CONFIG_APPLY_MS + 1);
     let old_service = || exchange(1, "/record/x", "tools");
     let dropped_route = || exchange(1, "/lookup/x", "tools");
     let unknown_route = || {
         let mut unknown = exchange(1, "/new/x", "tools");
         refuse(&mut unknown, 404);
-        unknown.sightings.clear();
+        unknown.observations.clear();
         unknown
     };
     for old in [old_service(), dropped_route(), unknown_route()] {
-        assert_eq!(after_second(old, in_time, &terms), []);
+        assert_eq!(after_second(old, in_time, &settings), []);
     }
     for old in [old_service(), dropped_route(), unknown_route()] {
-        assert_eq!(after_second(old, late, &terms), [Rule::Config]);
+        assert_eq!(after_second(old, late, &settings), [Rule::Config]);
     }
     assert_eq!(
-        after_second(exchange(1, "/record/x", "models"), late, &terms),
+        after_second(exchange(1, "/record/x", "models"), late, &settings),
         []
     );
-    let unrest = vec![Span {
+    let disturbances = vec![Span {
         from_ms: 1_000,
         to_ms: 9_000,
     }];
     assert_eq!(
-        after_second(old_service(), late, &Terms { unrest, ..terms }),
+        after_second(
+            old_service(),
+            late,
+            &JudgeSettings {
+                disturbances,
+                ..settings
+            }
+        ),
         []
     );
 }
 
 #[test]
-fn a_request_that_a_leaving_machine_cuts_is_lost() {
-    let cut = |ended_ms: u64, change: fn(&mut Exchange)| {
-        let mut cut = exchange(1, "/record/x", "tools");
-        cut.attempt.outcome = TryOutcome::Closed;
-        cut.attempt.ended_ms = ended_ms;
-        cut.sightings[0].whole = false;
-        change(&mut cut);
-        let front = cut.attempt.front;
-        let record = record_of(vec![cut]);
+fn a_request_closed_by_a_terminating_machine_is_lost() {
+    let truncated = |ended_ms: u64, change: fn(&mut Exchange)| {
+        let mut truncated = exchange(1, "/record/x", "tools");
+        truncated.attempt.outcome = AttemptOutcome::Closed;
+        truncated.attempt.ended_ms = ended_ms;
+        truncated.observations[0].complete = false;
+        change(&mut truncated);
+        let front = truncated.attempt.front;
+        let record = record_of(vec![truncated]);
         record.acknowledged(1_000, 1_000, Acknowledged::Terminated { front });
-        judge(&record, &terms())
+        judge(&record, &settings())
             .iter()
             .map(|violation| violation.rule)
             .collect::<Vec<_>>()
     };
-    assert_eq!(cut(2_000, |_| {}), [Rule::Lost]);
-    assert_eq!(cut(999, |_| {}), []);
-    assert_eq!(cut(2_000, |it| it.sightings[0].spoilt = true), []);
+    assert_eq!(truncated(2_000, |_| {}), [Rule::Lost]);
+    assert_eq!(truncated(999, |_| {}), []);
+    assert_eq!(truncated(2_000, |it| it.observations[0].faulted = true), []);
     let unread = |it: &mut Exchange| {
-        it.sightings.clear();
+        it.observations.clear();
         it.attempt.sent_ms = it.attempt.ended_ms - 100;
     };
-    assert_eq!(cut(2_000, unread), []);
-    let mut in_trouble = exchange(1, "/record/x", "tools");
-    in_trouble.attempt.outcome = TryOutcome::Closed;
-    in_trouble.attempt.ended_ms = 2_000;
-    let front = in_trouble.attempt.front;
-    let record = record_of(vec![in_trouble]);
+    assert_eq!(truncated(2_000, unread), []);
+    let mut faulty = exchange(1, "/record/x", "tools");
+    faulty.attempt.outcome = AttemptOutcome::Closed;
+    faulty.attempt.ended_ms = 2_000;
+    let front = faulty.attempt.front;
+    let record = record_of(vec![faulty]);
     record.acknowledged(1_000, 1_000, Acknowledged::Terminated { front });
-    let unrest = vec![Span {
+    let disturbances = vec![Span {
         from_ms: 1_500,
         to_ms: 1_600,
     }];
-    assert_eq!(judge(&record, &Terms { unrest, ..terms() }), []);
+    assert_eq!(
+        judge(
+            &record,
+            &JudgeSettings {
+                disturbances,
+                ..settings()
+            }
+        ),
+        []
+    );
 }
--- a/crates/testing/emulator/tests/servers.rs
+++ b/crates/testing/emulator/tests/servers.rs
@@ -1,13 +1,13 @@
 //! The stand-ins for servers, asked by the stand-in for clients without anything between.
 
 use dunespur_emulator::client::call::{call, Call};
-use dunespur_emulator::client::{Ask, Client, Kind, Turn};
+use dunespur_emulator::client::{Client, Kind, RequestSpec, Turn};
 use dunespur_emulator::configuration::{ConfigurationPlan, LimitsPlan, RoutePlan};
 use dunespur_emulator::engine::{EngineServer, EngineSettings};
-use dunespur_emulator::judge::{judge, Terms};
+use dunespur_emulator::judge::{judge, JudgeSettings};
 use dunespur_emulator::plain::{PlainServer, PlainSettings};
-use dunespur_emulator::record::{Fate, Record, TryOutcome};
-use dunespur_emulator::server::{DoorSettings, Identity, Surroundings, Trouble};
+use dunespur_emulator::record::{AttemptOutcome, Fate, Record};
+use dunespur_emulator::server::{ConnectionSettings, Identity, ServerFault, TestContext};
 use dunespur_emulator::wire::{name, Headers};
 use dunespur_emulator::{Clock, IdentitySource};
 use std::net::SocketAddr;
@@ -17,14 +17,14 @@
 const HOST: &str = "h.example";
 const LIMIT: Duration = Duration::from_secs(5);
 
-struct Place {
-    surroundings: Surroundings,
+struct Fixture {
+    context: TestContext,
     client: Client,
     address: SocketAddr,
 }
 
-async fn place(slots: u32) -> (Place, TcpListener, Identity) {
-    let surroundings = Surroundings {
+async fn fixture(slots: u32) -> (Fixture, TcpListener, Identity) {
+    let context = TestContext {
         clock: Clock::start(),
         record: Record::with_bodies(),
     };
@@ -38,11 +38,11 @@
         generation: "v1".to_owned(),
         slots,
     };
-    let (clock, record) = (surroundings.clock, surroundings.record.clone());
+    let (clock, record) = (context.clock, context.record.clone());
     let client = Client::new(clock, record, IdentitySource::new(7), vec![address]);
     (
-        Place {
-            surroundings,
+        Fixture {
+            context,
             client,
             address,
         },
@@ -51,21 +51,21 @@
     )
 }
 
-async fn plain(slots: u32, settings: PlainSettings) -> (Place, PlainServer) {
-    let (place, listener, identity) = place(slots).await;
-    let server = PlainServer::start(listener, identity, settings, place.surroundings.clone());
-    (place, server)
+async fn plain(slots: u32, settings: PlainSettings) -> (Fixture, PlainServer) {
+    let (fixture, listener, identity) = fixture(slots).await;
+    let server = PlainServer::start(listener, identity, settings, fixture.context.clone());
+    (fixture, server)
 }
 
-async fn engine(slots: u32, settings: EngineSettings) -> (Place, EngineServer) {
-    let (place, listener, identity) = place(slots).await;
-    let server = EngineServer::start(listener, identity, settings, place.surroundings.clone());
-    (place, server)
+async fn engine(slots: u32, settings: EngineSettings) -> (Fixture, EngineServer) {
+    let (fixture, listener, identity) = fixture(slots).await;
+    let server = EngineServer::start(listener, identity, settings, fixture.context.clone());
+    (fixture, server)
 }
 
-impl Place {
+impl Fixture {
     fn record(&self) -> &Record {
-        &self.surroundings.record
+        &self.context.record
     }
 
     fn expect_no_violation(&self) {
@@ -80,52 +80,52 @@
             services: Vec::new(),
             limits: LimitsPlan::default(),
         };
-        assert_eq!(judge(self.record(), &Terms::of(vec![version])), []);
+        assert_eq!(judge(self.record(), &JudgeSettings::of(vec![version])), []);
     }
 }
 
-fn once(target: &str) -> Ask {
-    Ask {
+fn once(target: &str) -> RequestSpec {
+    RequestSpec {
         retries: 0,
-        ..Ask::post(HOST, target, Kind::Mutating, "body")
+        ..RequestSpec::post(HOST, target, Kind::Mutating, "body")
     }
 }
 
-fn turn(most: u64) -> Ask {
-    let mut ask = Ask::post(
+fn turn(max_tokens: u64) -> RequestSpec {
+    let mut spec = RequestSpec::post(
         HOST,
         "/turns/x",
         Kind::Streaming { resumable: false },
         "prompt",
     );
-    ask.retries = 0;
-    ask.turn = Some(Turn {
+    spec.retries = 0;
+    spec.turn = Some(Turn {
         model: "m".to_owned(),
         prompt_tokens: 100,
-        most,
+        max_tokens,
         prefix: "a:60,b:40".to_owned(),
         chunk_tokens: 3,
         budget: None,
         previous: None,
     });
-    ask
+    spec
 }
 
 #[tokio::test]
 async fn a_plain_server_answers_with_id_stamp_and_a_body_of_its_own() {
-    let (place, _server) = plain(2, PlainSettings::default()).await;
-    let first = place.client.send(&once("/x")).await;
-    let second = place.client.send(&once("/x")).await;
+    let (fixture, _server) = plain(2, PlainSettings::default()).await;
+    let first = fixture.client.send(&once("/x")).await;
+    let second = fixture.client.send(&once("/x")).await;
     let (first, second) = (first.answer().unwrap(), second.answer().unwrap());
     assert_eq!((first.status, first.body.len()), (200, 800));
     assert_ne!(first.stamp, second.stamp);
     assert_ne!(first.digest, second.digest);
-    place.expect_no_violation();
+    fixture.expect_no_violation();
 }
 
 #[tokio::test]
 async fn a_full_server_says_that_it_did_not_run_the_request() {
-    let (place, server) = plain(
+    let (fixture, server) = plain(
         1,
         PlainSettings {
             queue: 1,
@@ -133,35 +133,35 @@
         },
     )
     .await;
-    server.gate.hold();
-    let mut held = Vec::new();
+    server.gate.close();
+    let mut pending = Vec::new();
     for count in 1..=2 {
-        let client = place.client.clone();
-        held.push(tokio::spawn(async move { client.send(&once("/x")).await }));
-        place
+        let client = fixture.client.clone();
+        pending.push(tokio::spawn(async move { client.send(&once("/x")).await }));
+        fixture
             .record()
-            .until(|sightings| sightings.len() == count)
+            .until(|observations| observations.len() == count)
             .await;
     }
     server.gate.waiting(1).await;
-    let refused = place.client.send(&once("/x")).await;
+    let refused = fixture.client.send(&once("/x")).await;
     let answer = refused.answer().unwrap();
     assert_eq!((answer.status, answer.not_executed), (503, true));
     server.gate.open();
-    for held in held {
-        assert!(held.await.unwrap().succeeded());
+    for pending in pending {
+        assert!(pending.await.unwrap().succeeded());
     }
-    place.expect_no_violation();
+    fixture.expect_no_violation();
 }
 
 #[tokio::test]
-async fn troubles_look_like_what_they_are() {
-    let (place, server) = plain(1, PlainSettings::default()).await;
-    let outcome = async |trouble| {
-        server.door.troubles.once(trouble);
-        place
+async fn each_fault_has_its_own_outcome() {
+    let (fixture, server) = plain(1, PlainSettings::default()).await;
+    let outcome = async |fault| {
+        server.handle.faults.once(fault);
+        fixture
             .client
-            .send(&Ask {
+            .send(&RequestSpec {
                 deadline_ms: 300,
                 ..once("/x")
             })
@@ -169,61 +169,64 @@
             .outcome
     };
     assert!(matches!(
-        outcome(Trouble::AnswerLost).await,
-        TryOutcome::Closed
+        outcome(ServerFault::AnswerLost).await,
+        AttemptOutcome::Closed
     ));
     assert!(matches!(
-        outcome(Trouble::Cut { after: 10 }).await,
-        TryOutcome::BrokenOff(_)
+        outcome(ServerFault::TruncateBody { after: 10 }).await,
+        AttemptOutcome::BrokenOff(_)
     ));
     assert!(matches!(
-        outcome(Trouble::Garble).await,
-        TryOutcome::Garbled(_)
+        outcome(ServerFault::SendGarbage).await,
+        AttemptOutcome::Garbled(_)
     ));
-    assert!(matches!(outcome(Trouble::Mute).await, TryOutcome::GivenUp));
-    let status = async |trouble| match outcome(trouble).await {
-        TryOutcome::Answered(answered) => {
+    assert!(matches!(
+        outcome(ServerFault::NeverAnswer).await,
+        AttemptOutcome::GivenUp
+    ));
+    let status = async |fault| match outcome(fault).await {
+        AttemptOutcome::Answered(answered) => {
             (answered.status, answered.not_executed, answered.surplus > 0)
         }
         other => panic!("{other:?}"),
     };
-    assert_eq!(status(Trouble::Fail).await, (500, false, false));
-    assert_eq!(status(Trouble::Unavailable).await, (503, false, false));
+    assert_eq!(status(ServerFault::Fail).await, (500, false, false));
+    assert_eq!(status(ServerFault::Unavailable).await, (503, false, false));
     assert_eq!(
-        status(Trouble::TurnAway { status: 429 }).await,
+        status(ServerFault::Reject { status: 429 }).await,
         (429, true, false)
     );
-    assert_eq!(status(Trouble::Surplus).await, (200, false, true));
-    let ran = place
+    assert_eq!(status(ServerFault::Surplus).await, (200, false, true));
+    let ran = fixture
         .record()
-        .sightings()
+        .observations()
         .iter()
-        .filter(|sighting| sighting.fate == Fate::Run)
+        .filter(|observation| observation.fate == Fate::Run)
         .count();
     assert_eq!(ran, 7, "all but the one turned away");
 }
 
 #[tokio::test]
 async fn another_server_than_the_expected_one_is_421_and_runs_nothing() {
-    let (place, _server) = plain(1, PlainSettings::default()).await;
-    let mut ask = once("/x");
-    ask.headers = Headers::new().with(name::EXPECT_INSTANCE, "i-2");
-    assert_eq!(place.client.send(&ask).await.status(), Some(421));
-    ask.headers = Headers::new().with(name::EXPECT_INSTANCE, "i-1");
-    assert_eq!(place.client.send(&ask).await.status(), Some(200));
-    let fates: Vec<Fate> = place
+    let (fixture, _server) = plain(1, PlainSettings::default()).await;
+    let mut spec = once("/x");
+    spec.headers = Headers::new().with(name::EXPECT_INSTANCE, "i-2");
+    assert_eq!(fixture.client.send(&spec).await.status(), Some(421));
+    spec.headers = Headers::new().with(name::EXPECT_INSTANCE, "i-1");
+    assert_eq!(fixture.client.send(&spec).await.status(), Some(200));
+    let fates: Vec<Fate> = fixture
         .record()
-        .sightings()
+        .observations()
         .iter()
-        .map(|sighting| sighting.fate)
+        .map(|observation| observation.fate)
         .collect();
-    assert_eq!(fates, [Fate::TurnedAway, Fate::Run]);
+    assert_eq!(fates, [Fate::Rejected, Fate::Run]);
 }
 
 #[tokio::test]
 async fn a_request_without_id_is_400_and_not_run() {
-    let (place, _server) = plain(1, PlainSettings::default()).await;
-    let answer = call(place.address, &Call::post("/x", "body"), LIMIT)
+    let (fixture, _server) = plain(1, PlainSettings::default()).await;
+    let answer = call(fixture.address, &Call::post("/x", "body"), LIMIT)
         .await
         .unwrap();
     assert_eq!(answer.status, 400);
@@ -231,56 +234,62 @@
 }
 
 #[tokio::test]
-async fn connections_beyond_the_most_are_reset() {
-    let door = DoorSettings {
+async fn connections_beyond_the_limit_are_reset() {
+    let connections = ConnectionSettings {
         max_connections: 2,
-        ..DoorSettings::default()
+        ..ConnectionSettings::default()
     };
-    let (place, server) = plain(
+    let (fixture, server) = plain(
         2,
         PlainSettings {
-            door,
+            connections,
             ..PlainSettings::default()
         },
     )
     .await;
-    server.gate.hold();
-    let mut held = Vec::new();
+    server.gate.close();
+    let mut pending = Vec::new();
     for count in 1..=2 {
-        let client = place.client.clone();
-        held.push(tokio::spawn(async move { client.send(&once("/x")).await }));
+        let client = fixture.client.clone();
+        pending.push(tokio::spawn(async move { client.send(&once("/x")).await }));
         server.gate.waiting(count).await;
     }
-    let third = place.client.send(&once("/x")).await;
+    let third = fixture.client.send(&once("/x")).await;
     assert!(
-        matches!(third.outcome, TryOutcome::Closed | TryOutcome::NotSent),
+        matches!(
+            third.outcome,
+            AttemptOutcome::Closed | AttemptOutcome::NotSent
+        ),
         "{third:?}"
     );
-    assert_eq!((server.door.accepted(), server.door.reset()), (2, 1));
+    assert_eq!((server.handle.accepted(), server.handle.reset()), (2, 1));
     server.gate.open();
-    for held in held {
-        assert!(held.await.unwrap().succeeded());
+    for pending in pending {
+        assert!(pending.await.unwrap().succeeded());
     }
 }
 
 #[tokio::test]
 async fn health_names_the_server_until_it_leaves() {
-    let (place, server) = plain(1, PlainSettings::default()).await;
-    let ask = Call::get("/healthz");
-    let answer = call(place.address, &ask, LIMIT).await.unwrap();
+    let (fixture, server) = plain(1, PlainSettings::default()).await;
+    let spec = Call::get("/healthz");
+    let answer = call(fixture.address, &spec, LIMIT).await.unwrap();
     assert_eq!(
         (answer.status, answer.headers.get(name::INSTANCE_ID)),
         (200, Some("i-1"))
     );
-    server.door.set_leaving();
-    assert_eq!(call(place.address, &ask, LIMIT).await.unwrap().status, 503);
-    assert_eq!(server.door.probes(), 2);
+    server.handle.set_leaving();
+    assert_eq!(
+        call(fixture.address, &spec, LIMIT).await.unwrap().status,
+        503
+    );
+    assert_eq!(server.handle.probes(), 2);
 }
 
 #[tokio::test]
 async fn a_model_server_streams_its_tokens_in_events() {
-    let (place, server) = engine(4, EngineSettings::default()).await;
-    let served = place.client.send(&turn(10)).await;
+    let (fixture, server) = engine(4, EngineSettings::default()).await;
+    let served = fixture.client.send(&turn(10)).await;
     let answer = served.answer().unwrap();
     let ids: Vec<u64> = answer.events.iter().map(|event| event.id).collect();
     assert_eq!(
@@ -288,19 +297,19 @@
         [0, 1, 2, 3],
         "three tokens each, the last event not full"
     );
-    assert_eq!(server.tokens_read(), 100);
-    place.client.send(&turn(10)).await;
+    assert_eq!(server.prompt_tokens_prefilled(), 100);
+    fixture.client.send(&turn(10)).await;
     assert_eq!(
-        server.tokens_read(),
+        server.prompt_tokens_prefilled(),
         100,
         "both parts of the prompt are kept"
     );
-    place.expect_no_violation();
+    fixture.expect_no_violation();
 }
 
 #[tokio::test]
 async fn the_test_lets_each_step_go() {
-    let (place, server) = engine(
+    let (fixture, server) = engine(
         4,
         EngineSettings {
             chunk_tokens: 1,
@@ -308,25 +317,25 @@
         },
     )
     .await;
-    server.gate.hold();
-    let client = place.client.clone();
+    server.gate.close();
+    let client = fixture.client.clone();
     let turn = tokio::spawn(async move { client.send(&turn(3)).await });
     for count in 0..3 {
         server.gate.waiting(1).await;
-        let sightings = place.record().sightings();
-        assert_eq!(sightings[0].events.len(), count);
-        server.gate.let_go(1);
-        place
+        let observations = fixture.record().observations();
+        assert_eq!(observations[0].events.len(), count);
+        server.gate.release(1);
+        fixture
             .record()
-            .until(|sightings| sightings[0].events.len() == count + 1)
+            .until(|observations| observations[0].events.len() == count + 1)
             .await;
     }
     assert!(turn.await.unwrap().succeeded());
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_gives_its_place_back() {
-    let (place, server) = engine(
+async fn a_caller_that_disconnects_releases_its_slot() {
+    let (fixture, server) = engine(
         1,
         EngineSettings {
             queue: 0,
@@ -334,45 +343,48 @@
         },
     )
     .await;
-    server.gate.hold();
-    let client = place.client.clone();
+    server.gate.close();
+    let client = fixture.client.clone();
     let left = tokio::spawn(async move { client.send(&turn(3)).await });
     server.gate.waiting(1).await;
-    assert_eq!(place.client.send(&turn(3)).await.status(), Some(503));
+    assert_eq!(fixture.client.send(&turn(3)).await.status(), Some(503));
     left.abort();
-    place
+    fixture
         .record()
-        .until(|sightings| sightings[0].fate == Fate::Abandoned)
+        .until(|observations| observations[0].fate == Fate::Abandoned)
         .await;
     server.gate.open();
-    assert!(place.client.send(&turn(3)).await.succeeded());
-    place.expect_no_violation();
+    assert!(fixture.client.send(&turn(3)).await.succeeded());
+    fixture.expect_no_violation();
 }
 
 #[tokio::test]
-async fn a_stream_cut_inside_an_event_never_looks_whole() {
-    let (place, server) = engine(1, EngineSettings::default()).await;
+async fn a_stream_truncated_inside_an_event_never_looks_complete() {
+    let (fixture, server) = engine(1, EngineSettings::default()).await;
     for after in [0, 1, 30, 60, 100] {
-        server.door.troubles.once(Trouble::Cut { after });
-        let served = place.client.send(&turn(12)).await;
+        server
+            .handle
+            .faults
+            .once(ServerFault::TruncateBody { after });
+        let served = fixture.client.send(&turn(12)).await;
         assert!(
-            matches!(served.outcome, TryOutcome::BrokenOff(_)),
+            matches!(served.outcome, AttemptOutcome::BrokenOff(_)),
             "{after}: {served:?}"
         );
     }
-    place.expect_no_violation();
+    fixture.expect_no_violation();
 }
 
 #[tokio::test]
 async fn a_report_tells_load_and_memory() {
-    let (place, server) = engine(2, EngineSettings::default()).await;
-    server.gate.hold();
-    let client = place.client.clone();
-    let held = tokio::spawn(async move { client.send(&turn(6)).await });
+    let (fixture, server) = engine(2, EngineSettings::default()).await;
+    server.gate.close();
+    let client = fixture.client.clone();
+    let pending = tokio::spawn(async move { client.send(&turn(6)).await });
     server.gate.waiting(1).await;
-    server.gate.let_go(1);
+    server.gate.release(1);
     server.gate.waiting(1).await;
-    let answer = call(place.address, &Call::get("/api/report"), LIMIT)
+    let answer = call(fixture.address, &Call::get("/api/report"), LIMIT)
         .await
         .unwrap();
     let report: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
@@ -386,21 +398,21 @@
         "the prompt and one token"
     );
     server.gate.open();
-    assert!(held.await.unwrap().succeeded());
+    assert!(pending.await.unwrap().succeeded());
 }
 
 #[tokio::test]
-async fn a_try_whose_client_is_dropped_is_in_the_record() {
-    let (place, server) = plain(1, PlainSettings::default()).await;
-    server.gate.hold();
-    let client = place.client.clone();
+async fn an_attempt_whose_client_is_dropped_is_in_the_record() {
+    let (fixture, server) = plain(1, PlainSettings::default()).await;
+    server.gate.close();
+    let client = fixture.client.clone();
     let left = tokio::spawn(async move { client.send(&once("/x")).await });
     server.gate.waiting(1).await;
     left.abort();
     assert!(left.await.is_err());
     assert!(matches!(
-        place.record().tries()[0].outcome,
-        TryOutcome::GivenUp
+        fixture.record().attempts()[0].outcome,
+        AttemptOutcome::GivenUp
     ));
-    place.expect_no_violation();
+    fixture.expect_no_violation();
 }
--- a/crates/testing/emulator/tests/wire.rs
+++ b/crates/testing/emulator/tests/wire.rs
@@ -26,14 +26,14 @@
         buffer: &mut tokio::io::ReadBuf<'_>,
     ) -> std::task::Poll<std::io::Result<()>> {
         let count = self.left.len().min(self.size).min(buffer.remaining());
-        let piece: Vec<u8> = self.left.drain(..count).collect();
-        buffer.put_slice(&piece);
+        let data: Vec<u8> = self.left.drain(..count).collect();
+        buffer.put_slice(&data);
         std::task::Poll::Ready(Ok(()))
     }
 }
 
 #[tokio::test]
-async fn whole_answers_are_read_whatever_the_pieces() {
+async fn complete_answers_are_read_whatever_the_chunks() {
     let cases: [(&str, &str); 4] = [
         ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", "hello"),
         (
@@ -52,12 +52,12 @@
 }
 
 #[tokio::test]
-async fn cut_answers_never_look_whole() {
-    let whole = [
+async fn truncated_answers_never_look_complete() {
+    let complete = [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n",
     ];
-    for bytes in whole {
+    for bytes in complete {
         for length in 1..bytes.len() {
             let error = answer(&bytes.as_bytes()[..length], 7)
                 .await
@@ -110,8 +110,8 @@
     for size in 1..bytes.len() {
         let mut reader = EventReader::default();
         let mut read = Vec::new();
-        for piece in bytes.chunks(size) {
-            reader.push(piece);
+        for data in bytes.chunks(size) {
+            reader.push(data);
             while let Some(event) = reader.take() {
                 read.push(event.expect("an event"));
             }
