--- a/crates/gateway/gateway/src/fleet.rs
+++ b/crates/gateway/gateway/src/fleet.rs
@@ -13,7 +13,7 @@
 use dunespur_decisions::types::{Counted, Ending};
 use dunespur_gossip_membership::{self as members, DuplicateName, Membership};
 use dunespur_peer_transport::{FrameError, Kind, Received, Transport};
-use dunespur_quota_sharing::lend::{self, Answer, Ask, Broker};
+use dunespur_quota_sharing::{self as quota_sharing, Answer, Broker, LeaseRequest};
 use dunespur_singleton_roles::audit::{self, Auditor, CallOutcome, UsageTally};
 use dunespur_singleton_roles::client::RoleClient;
 use dunespur_singleton_roles::discovery_relay::{self, Action, DiscoveryUpdate, Relay};
@@ -66,7 +66,7 @@
     /// The counter's total for a name, read for the audit.
     Total { name: u64, total: f64 },
     /// This limiter asks the broker of a slot.
-    Borrow { slot: Slot, ask: Ask },
+    Borrow { slot: Slot, request: LeaseRequest },
     /// A call of this process's own broker has ended.
     Brokered { call: u64, counted: Counted },
 }
@@ -177,7 +177,7 @@
         slot: Slot,
         message: audit::Message,
     },
-    Lend(lend::Msg),
+    Lend(quota_sharing::Message),
 }
 
 enum Disk {
@@ -224,7 +224,7 @@
     audited: [u64; 3],
     outcomes: u64,
     /// What the broker wants done, until the hub is at hand.
-    lent: Vec<lend::Output>,
+    lent: Vec<quota_sharing::Output>,
     tell: mpsc::UnboundedSender<Told>,
     next_effect: f64,
     turn: usize,
@@ -492,7 +492,7 @@
                     } else if self.plan.roles.slot_info(slot).role == "audit" {
                         self.auditor.clear();
                     } else if self.plan.roles.slot_info(slot).role == "lend" {
-                        self.broker.ended(slot, &mut self.lent);
+                        self.broker.slot_lost(slot, &mut self.lent);
                     }
                     let info = self.plan.roles.slot_info(slot);
                     let (role, shard) = (info.role, info.shard);
@@ -613,7 +613,7 @@
         while !self.lent.is_empty() {
             for o in std::mem::take(&mut self.lent) {
                 match o {
-                    lend::Output::Tell {
+                    quota_sharing::Output::Respond {
                         to,
                         run,
                         slot,
@@ -621,8 +621,8 @@
                         answer,
                     } => {
                         let token = self.client.token(slot, now);
-                        let answer = token.map_or(Answer::Not, |_| answer);
-                        let msg = lend::Msg::Told {
+                        let answer = token.map_or(Answer::Unavailable, |_| answer);
+                        let msg = quota_sharing::Message::Response {
                             slot,
                             token: token.unwrap_or(0),
                             run,
@@ -636,23 +636,23 @@
                             self.links.send(*at, Kind::Work, body);
                         }
                     }
-                    lend::Output::Count {
+                    quota_sharing::Output::CallCounter {
                         call,
                         name,
                         add,
-                        life,
+                        lifetime,
                     } => {
-                        hub.call_counter(call, name, add, life);
+                        hub.call_counter(call, name, add, lifetime);
                     }
-                    lend::Output::Abandon { call } => hub.counter.abandon(hub, call),
+                    quota_sharing::Output::AbandonCall { call } => hub.counter.abandon(hub, call),
                 }
             }
         }
     }
 
     /// A broker's answer. One under an older token than was seen is refused; a no changes nothing.
-    fn told(&mut self, hub: &Rc<Hub>, msg: lend::Msg, now: f64) {
-        let lend::Msg::Told {
+    fn told(&mut self, hub: &Rc<Hub>, msg: quota_sharing::Message, now: f64) {
+        let quota_sharing::Message::Response {
             slot,
             token,
             run,
@@ -674,10 +674,11 @@
     }
 
     /// This limiter's own ask goes to whoever holds the slot.
-    fn borrow(&mut self, hub: &Rc<Hub>, slot: Slot, ask: Ask, now: f64) {
+    fn borrow(&mut self, hub: &Rc<Hub>, slot: Slot, request: LeaseRequest, now: f64) {
         let (me, run) = (self.me.name.clone(), self.me.run);
         if self.client.token(slot, now).is_some() {
-            self.broker.ask(&me, run, slot, ask, now, &mut self.lent);
+            self.broker
+                .request(&me, run, slot, request, now, &mut self.lent);
             return self.lend(hub, now);
         }
         let holder = self
@@ -688,7 +689,7 @@
             .cloned();
         match holder.and_then(|h| self.places(&h).first().copied()) {
             Some(at) => {
-                let work = Work::Lend(lend::Msg::Ask { slot, run, ask });
+                let work = Work::Lend(quota_sharing::Message::Request { slot, run, request });
                 self.links.send(
                     at,
                     Kind::Work,
@@ -696,12 +697,12 @@
                 );
             }
             None => {
-                let msg = lend::Msg::Told {
+                let msg = quota_sharing::Message::Response {
                     slot,
                     token: 0,
                     run,
-                    seq: ask.seq,
-                    answer: Answer::Not,
+                    seq: request.seq,
+                    answer: Answer::Unavailable,
                 };
                 self.told(hub, msg, now);
             }
@@ -709,21 +710,22 @@
     }
 
     /// Another limiter asks this one, or its broker answers.
-    fn lend_msg(&mut self, hub: &Rc<Hub>, from: &str, msg: lend::Msg, now: f64) {
+    fn lend_msg(&mut self, hub: &Rc<Hub>, from: &str, msg: quota_sharing::Message, now: f64) {
         match msg {
-            lend::Msg::Ask { slot, run, ask } => {
+            quota_sharing::Message::Request { slot, run, request } => {
                 let ours = self.lending.is_some() && self.plan.roles.slot_info(slot).role == "lend";
                 if ours && self.client.token(slot, now).is_some() {
                     self.client.record_progress(slot, now);
-                    self.broker.ask(from, run, slot, ask, now, &mut self.lent);
+                    self.broker
+                        .request(from, run, slot, request, now, &mut self.lent);
                 } else {
-                    let (to, seq) = (from.to_owned(), ask.seq);
-                    self.lent.push(lend::Output::Tell {
+                    let (to, seq) = (from.to_owned(), request.seq);
+                    self.lent.push(quota_sharing::Output::Respond {
                         to,
                         run,
                         slot,
                         seq,
-                        answer: Answer::Not,
+                        answer: Answer::Unavailable,
                     });
                 }
                 self.lend(hub, now);
@@ -1139,13 +1141,13 @@
         }
         self.lend(hub, now);
         self.know(now);
-        for anew in self
+        for call in self
             .lending
             .as_ref()
             .map(|l| l.overdue())
             .unwrap_or_default()
         {
-            hub.call_counter(anew.call, anew.name, anew.add, anew.life);
+            hub.call_counter(call.call, call.name, call.add, call.lifetime);
         }
         if self.members.next_due() <= now {
             self.members.tick(now, &mut said);
@@ -1207,8 +1209,8 @@
             lent.0,
             lent.1,
             lent.2,
-            self.broker.names(),
-            self.broker.unlent(),
+            self.broker.name_count(),
+            self.broker.unleased_units(),
             self.audited[0],
             self.audited[1],
             self.audited[2],
@@ -1338,15 +1340,15 @@
                     }
                     Some(Told::Probed { server, observation }) => fleet.probed(&hub, server, observation, clock()),
                     Some(Told::Total { name, total }) => fleet.total(name, total, clock()),
-                    Some(Told::Borrow { slot, ask }) => {
+                    Some(Told::Borrow { slot, request }) => {
                         if let Some(lending) = &fleet.lending {
                             lending.waiting.set(lending.waiting.get().saturating_sub(1));
                         }
-                        fleet.borrow(&hub, slot, ask, clock());
+                        fleet.borrow(&hub, slot, request, clock());
                     }
                     Some(Told::Brokered { call, counted }) => {
                         let now = clock();
-                        fleet.broker.counted(call, counted, now, &mut fleet.lent);
+                        fleet.broker.counter_answered(call, counted, now, &mut fleet.lent);
                         fleet.lend(&hub, now);
                     }
                     Some(Told::Leave) => {
--- a/crates/gateway/gateway/src/lending.rs
+++ b/crates/gateway/gateway/src/lending.rs
@@ -4,7 +4,9 @@
 
 use crate::fleet::{clock, Told};
 use dunespur_decisions::types::{About, Counted};
-use dunespur_quota_sharing::lend::{self, Anew, Answer, Ask, Borrower, Way};
+use dunespur_quota_sharing::{
+    self as quota_sharing, Answer, Borrower, CounterCall, LeaseRequest, Route,
+};
 use dunespur_singleton_roles::{Slot, SlotRange};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -28,7 +30,7 @@
 
 impl Lending {
     pub fn new(
-        settings: &lend::Settings,
+        settings: &quota_sharing::Settings,
         slots: SlotRange,
         to: mpsc::UnboundedSender<Told>,
     ) -> Rc<Self> {
@@ -59,18 +61,22 @@
     ) -> bool {
         let slot = self.slot(about.customer);
         let known = self.known.borrow().contains(&slot) && self.waiting.get() < MOST_WAITING;
-        let anew = Anew {
+        let counter_call = CounterCall {
             call,
             name,
             add,
-            life,
+            lifetime: life,
         };
-        let Way::Broker(slot) = self.borrower.borrow_mut().way(anew, slot, known, clock()) else {
+        let Route::Broker(slot) =
+            self.borrower
+                .borrow_mut()
+                .route(counter_call, slot, known, clock())
+        else {
             return false;
         };
-        let ask = Ask::new(anew, about, since);
+        let request = LeaseRequest::new(counter_call, about, since);
         self.waiting.set(self.waiting.get() + 1);
-        if self.to.send(Told::Borrow { slot, ask }).is_err() {
+        if self.to.send(Told::Borrow { slot, request }).is_err() {
             self.waiting.set(self.waiting.get() - 1);
         }
         true
@@ -79,9 +85,9 @@
     /// Nobody waits for this call any more; says whether it was a broker's.
     pub fn abandon(&self, call: u64) -> bool {
         let mut borrower = self.borrower.borrow_mut();
-        let there = borrower.at_broker(call);
+        let there = borrower.is_at_broker(call);
         if there {
-            borrower.abandoned(call, fastrand::f64(), clock());
+            borrower.abandon(call, fastrand::f64(), clock());
         }
         there
     }
@@ -91,25 +97,27 @@
         self.borrower.borrow().next_due()
     }
 
-    pub fn overdue(&self) -> Vec<Anew> {
-        self.borrower.borrow_mut().overdue(fastrand::f64(), clock())
+    pub fn overdue(&self) -> Vec<CounterCall> {
+        self.borrower
+            .borrow_mut()
+            .take_overdue(fastrand::f64(), clock())
     }
 
     /// A call that went to the counter has ended.
     pub fn counted(&self, call: u64) {
-        self.borrower.borrow_mut().counted(call);
+        self.borrower.borrow_mut().counter_answered(call);
     }
 
     /// A broker's answer; what the limiter is told, if it still waits.
     pub fn told(&self, call: u64, answer: Answer) -> Option<Counted> {
         self.borrower
             .borrow_mut()
-            .told(call, answer, fastrand::f64(), clock())
+            .broker_answered(call, answer, fastrand::f64(), clock())
     }
 
     /// Calls that went to brokers, to the counter, and answers that came too late.
     pub fn counts(&self) -> (u64, u64, u64) {
         let b = self.borrower.borrow();
-        (b.by_broker, b.by_counter, b.late)
+        (b.sent_to_brokers, b.sent_to_counter, b.late_answers)
     }
 }
--- a/crates/gateway/gateway/src/operators.rs
+++ b/crates/gateway/gateway/src/operators.rs
@@ -4,7 +4,7 @@
 use crate::fault::Fault;
 use dunespur_gossip_membership::Settings as Members;
 use dunespur_peer_transport::Limits;
-use dunespur_quota_sharing::lend;
+use dunespur_quota_sharing as quota_sharing;
 use dunespur_singleton_roles::{
     audit, discovery_relay, health_check, Role, Settings as RoleSettings, SettingsError,
 };
@@ -34,8 +34,8 @@
     Probe(#[from] health_check::SettingsError),
     #[error(transparent)]
     Audit(#[from] audit::SettingsError),
-    #[error("{0}")]
-    Lend(String),
+    #[error(transparent)]
+    Lend(#[from] quota_sharing::SettingsError),
     #[error(transparent)]
     Members(#[from] dunespur_gossip_membership::SettingsError),
     #[error("{key}: {text} is no IPv4 address with a port; write it like 10.0.0.4:7100")]
@@ -336,7 +336,7 @@
     pub watch: discovery_relay::Settings,
     pub probe: health_check::Settings,
     pub audit: audit::Settings,
-    pub lend: lend::Settings,
+    pub lend: quota_sharing::Settings,
     pub trial: Trial,
     pub via: BTreeMap<SocketAddrV4, SocketAddrV4>,
 }
@@ -570,27 +570,27 @@
 
 impl LendPart {
     /// `count_wait` is how long the counter's answer is awaited, in seconds.
-    fn settings(&self, count_wait: f64) -> Result<lend::Settings, OperatorsError> {
-        let lend = lend::Settings {
-            ahead: self.ahead,
-            span: self.span,
+    fn settings(&self, count_wait: f64) -> Result<quota_sharing::Settings, OperatorsError> {
+        let lend = quota_sharing::Settings {
+            max_lead: self.ahead,
+            demand_window: self.span,
             // A borrower has to hear of it before its own time is up.
-            wait: if self.wait > 0.0 {
+            counter_timeout: if self.wait > 0.0 {
                 self.wait
             } else {
                 count_wait * 0.7
             },
-            again: self.again,
-            pace: self.pace,
-            pause: self.pause,
-            names: self.names,
-            waiting: self.waiting,
-            borrowers: self.borrowers,
+            reread_interval: self.again,
+            near_limit_interval: self.pace,
+            broker_backoff: self.pause,
+            max_names: self.names,
+            max_waiting: self.waiting,
+            max_borrowers: self.borrowers,
         };
-        lend.check().map_err(OperatorsError::Lend)?;
-        if lend.wait >= count_wait {
+        lend.validate()?;
+        if lend.counter_timeout >= count_wait {
             return Err(OperatorsError::LendWait {
-                wait: lend.wait,
+                wait: lend.counter_timeout,
                 count_wait,
             });
         }
--- a/crates/gateway/gateway/tests/bytes.rs
+++ b/crates/gateway/gateway/tests/bytes.rs
@@ -2,7 +2,7 @@
 //! changed. The encoding goes by position and order: a moved variant breaks a fleet that runs two versions.
 
 use dunespur_gateway::Work;
-use dunespur_quota_sharing::lend;
+use dunespur_quota_sharing as quota_sharing;
 use dunespur_singleton_roles::{audit, health_check};
 
 fn decode_hex(text: &str) -> Vec<u8> {
@@ -23,12 +23,12 @@
         least_unknown: -2.5,
         most_unknown: 3.5,
     }];
-    let told = lend::Msg::Told {
+    let told = quota_sharing::Message::Response {
         slot: 401,
         token: 402,
         run: 403,
         seq: 404,
-        answer: lend::Answer::Not,
+        answer: quota_sharing::Answer::Unavailable,
     };
     let values = [
         (
@@ -89,7 +89,7 @@
     ));
     assert!(matches!(
         &read[3],
-        Work::Lend(lend::Msg::Told {
+        Work::Lend(quota_sharing::Message::Response {
             slot: 401,
             token: 402,
             ..
--- a/crates/gateway/quota-sharing/src/lend/broker/tests.rs
+++ b/crates/gateway/quota-sharing/tests/broker.rs
@@ -1,22 +1,25 @@
-use super::Broker;
-use crate::lend::test_settings::settings;
-use crate::lend::{Answer, Ask, Output};
+//! The broker beside a counter that answers at once or not at all.
+
+mod common;
+
+use common::settings;
 use dunespur_decisions::types::Counted;
+use dunespur_quota_sharing::{Answer, Broker, LeaseRequest, Output};
 
-fn ask(seq: u64, asked: f64) -> Ask {
-    let (name, customer, needs) = (7, 1, 1.0);
-    Ask {
+fn request(seq: u64, requested: f64) -> LeaseRequest {
+    let (name, customer, minimum) = (7, 1, 1.0);
+    LeaseRequest {
         seq,
         name,
         customer,
-        add: asked,
-        asked,
-        needs,
-        life: 60.0,
-        full: 20.0,
-        rate: 0.0,
+        add: requested,
+        requested,
+        minimum,
+        lifetime: 60.0,
+        limit: 20.0,
+        limit_rate: 0.0,
         elapsed: 1.0,
-        left: 1.0,
+        remaining: 1.0,
     }
 }
 
@@ -46,20 +49,21 @@
             let mut next = Vec::new();
             for o in out {
                 match o {
-                    Output::Tell {
-                        answer: Answer::Wait,
+                    Output::Respond {
+                        answer: Answer::Pending,
                         ..
                     } => {}
-                    Output::Tell { seq, answer, .. } => told.push((seq, answer)),
-                    Output::Count { call, add, .. } => {
+                    Output::Respond { seq, answer, .. } => told.push((seq, answer)),
+                    Output::CallCounter { call, add, .. } => {
                         self.calls += 1;
                         if !self.silent {
                             self.counter += add;
                             let total = Counted::Total(self.counter);
-                            self.broker.counted(call, total, self.now, &mut next);
+                            self.broker
+                                .counter_answered(call, total, self.now, &mut next);
                         }
                     }
-                    Output::Abandon { .. } => {}
+                    Output::AbandonCall { .. } => {}
                 }
             }
             out = next;
@@ -67,9 +71,9 @@
         told
     }
 
-    fn ask(&mut self, from: &str, ask: Ask) -> Vec<(u64, Answer)> {
+    fn request(&mut self, from: &str, request: LeaseRequest) -> Vec<(u64, Answer)> {
         let mut out = Vec::new();
-        self.broker.ask(from, 1, 0, ask, self.now, &mut out);
+        self.broker.request(from, 1, 0, request, self.now, &mut out);
         self.drive(out)
     }
 
@@ -82,12 +86,12 @@
 }
 
 #[test]
-fn many_asks_cost_few_calls_and_none_gets_what_the_counter_has_not_counted() {
+fn many_requests_cost_few_calls_and_none_gets_what_the_counter_has_not_counted() {
     let mut rig = Rig::new();
     let mut lent = 0.0;
     for n in 0..40 {
         rig.now = n as f64 * 0.02;
-        let told = rig.ask(["a", "b", "c"][n % 3], ask(n as u64, 1.0));
+        let told = rig.request(["a", "b", "c"][n % 3], request(n as u64, 1.0));
         let [(_, Answer::Total(total))] = told[..] else {
             panic!("{told:?}")
         };
@@ -95,7 +99,7 @@
         assert!(lent <= rig.counter, "{lent} lent, {} counted", rig.counter);
     }
     assert_eq!(lent, 20.0, "all of it, and no more");
-    assert!(rig.calls <= 10, "{} calls for 40 asks", rig.calls);
+    assert!(rig.calls <= 10, "{} calls for 40 requests", rig.calls);
     assert!(
         rig.counter <= 21.0,
         "what is refused is not added: {}",
@@ -106,27 +110,37 @@
 #[test]
 fn what_comes_back_is_lent_again_and_what_is_left_goes_back() {
     let mut rig = Rig::new();
-    let grows = |seq, asked, add| Ask {
-        rate: 0.5,
+    let grows = |seq, requested, add| LeaseRequest {
+        limit_rate: 0.5,
         add,
-        asked,
-        ..ask(seq, 0.0)
+        requested,
+        ..request(seq, 0.0)
     };
     assert_eq!(
-        rig.ask("a", grows(1, 12.0, 12.0)),
+        rig.request("a", grows(1, 12.0, 12.0)),
         [(1, Answer::Total(12.0))]
     );
-    assert_eq!(rig.ask("a", grows(2, 0.0, -6.0)), [(2, Answer::Total(6.0))]);
+    assert_eq!(
+        rig.request("a", grows(2, 0.0, -6.0)),
+        [(2, Answer::Total(6.0))]
+    );
     let calls = rig.calls;
-    assert_eq!(rig.ask("b", grows(3, 5.0, 5.0)), [(3, Answer::Total(11.0))]);
     assert_eq!(
-        (rig.calls, rig.broker.unlent()),
+        rig.request("b", grows(3, 5.0, 5.0)),
+        [(3, Answer::Total(11.0))]
+    );
+    assert_eq!(
+        (rig.calls, rig.broker.unleased_units()),
         (calls, 1.0),
         "out of what came back"
     );
     rig.tick(30.0);
     assert_eq!(
-        (rig.broker.names(), rig.broker.customers(), rig.counter),
+        (
+            rig.broker.name_count(),
+            rig.broker.customer_count(),
+            rig.counter
+        ),
         (0, 0, 11.0)
     );
 }
@@ -139,7 +153,7 @@
         rig.now = n as f64 * 0.01;
         // One wakes up and lends again what it holds, the other has the duty.
         std::mem::swap(&mut rig.broker, &mut old);
-        for told in rig.ask("a", ask(n, 1.0)) {
+        for told in rig.request("a", request(n, 1.0)) {
             lent += if matches!(told.1, Answer::Total(t) if t <= 20.0) {
                 1.0
             } else {
@@ -153,14 +167,14 @@
 #[test]
 fn without_the_counter_it_says_no_in_time_and_lends_only_what_it_has() {
     let mut rig = Rig::new();
-    rig.ask("a", ask(1, 1.0));
+    rig.request("a", request(1, 1.0));
     rig.now = 0.1;
-    rig.ask("a", ask(2, 1.0));
-    let left = rig.broker.unlent();
+    rig.request("a", request(2, 1.0));
+    let left = rig.broker.unleased_units();
     rig.silent = true;
     let mut lent = 0.0;
     for n in 0..6u64 {
-        let told = rig.ask("b", ask(10 + n, 1.0));
+        let told = rig.request("b", request(10 + n, 1.0));
         lent += told
             .iter()
             .filter(|t| matches!(t.1, Answer::Total(_)))
@@ -169,12 +183,12 @@
     assert!(lent <= left);
     let told = rig.tick(0.2);
     assert!(
-        !told.is_empty() && told.iter().all(|t| t.1 == Answer::Not),
+        !told.is_empty() && told.iter().all(|t| t.1 == Answer::Unavailable),
         "{told:?}"
     );
     rig.silent = false;
     assert!(matches!(
-        rig.ask("b", ask(30, 1.0))[..],
+        rig.request("b", request(30, 1.0))[..],
         [(30, Answer::Total(_))]
     ));
 }
@@ -183,60 +197,60 @@
 fn amounts_that_are_none_and_what_is_over_a_bound_are_refused_and_counted() {
     let mut rig = Rig::new();
     for bad in [f64::NAN, f64::INFINITY, -1.0] {
-        let told = rig.ask(
+        let told = rig.request(
             "a",
-            Ask {
-                asked: bad,
-                ..ask(1, 1.0)
+            LeaseRequest {
+                requested: bad,
+                ..request(1, 1.0)
             },
         );
-        assert_eq!(told, [(1, Answer::Not)]);
+        assert_eq!(told, [(1, Answer::Unavailable)]);
     }
     for n in 0..10 {
-        rig.ask(
+        rig.request(
             "a",
-            Ask {
+            LeaseRequest {
                 name: n,
                 customer: n,
-                ..ask(n, 1.0)
+                ..request(n, 1.0)
             },
         );
     }
-    assert_eq!((rig.broker.names(), rig.broker.refused), (4, 9));
+    assert_eq!((rig.broker.name_count(), rig.broker.rejected), (4, 9));
     for n in 0..20 {
-        rig.ask(
+        rig.request(
             &format!("x{n}"),
-            Ask {
+            LeaseRequest {
                 name: 1,
                 customer: 1,
-                ..ask(n, 1.0)
+                ..request(n, 1.0)
             },
         );
     }
-    assert!(rig.broker.customers.values().all(|c| c.by.len() <= 4));
+    assert!(rig.broker.most_borrowers() <= 4);
 }
 
 #[test]
 fn a_new_name_holds_the_backlog_of_the_one_before() {
     let mut rig = Rig::new();
-    let grows = |seq, name, add, asked| Ask {
+    let grows = |seq, name, add, requested| LeaseRequest {
         name,
-        rate: 1.0,
+        limit_rate: 1.0,
         add,
-        asked,
-        ..ask(seq, 0.0)
+        requested,
+        ..request(seq, 0.0)
     };
-    rig.ask("a", grows(1, 7, 18.0, 18.0));
+    rig.request("a", grows(1, 7, 18.0, 18.0));
     rig.now = 0.1;
     // Another one knows nothing of the eighteen, and brings nothing over.
     rig.counter = 0.0;
-    let told = rig.ask("b", grows(2, 8, 1.0, 1.0));
+    let told = rig.request("b", grows(2, 8, 1.0, 1.0));
     let [(2, Answer::Total(total))] = told[..] else {
         panic!("{told:?}")
     };
     assert!((total - 18.9).abs() < 0.2, "{total}");
     assert!(
-        (rig.counter - rig.broker.unlent() - 18.9).abs() < 0.2,
+        (rig.counter - rig.broker.unleased_units() - 18.9).abs() < 0.2,
         "the counter knows: {}",
         rig.counter
     );
--- a/crates/gateway/quota-sharing/tests/bytes.rs
+++ b/crates/gateway/quota-sharing/tests/bytes.rs
@@ -1,26 +1,26 @@
 //! The bytes of each message between borrowers and brokers, against a file written before the names changed.
 //! The encoding goes by position and order: a moved field breaks a fleet that runs two versions.
 
-use dunespur_quota_sharing::lend::{Answer, Ask, Msg};
+use dunespur_quota_sharing::{Answer, LeaseRequest, Message};
 
-fn ask() -> Ask {
-    Ask {
+fn request() -> LeaseRequest {
+    LeaseRequest {
         seq: 101,
         name: 102,
         customer: 103,
         add: 1.25,
-        asked: 2.25,
-        needs: 3.25,
-        life: 4.25,
-        full: 5.25,
-        rate: 6.25,
+        requested: 2.25,
+        minimum: 3.25,
+        lifetime: 4.25,
+        limit: 5.25,
+        limit_rate: 6.25,
         elapsed: 0.125,
-        left: 7.25,
+        remaining: 7.25,
     }
 }
 
-fn told(answer: Answer) -> Msg {
-    Msg::Told {
+fn response(answer: Answer) -> Message {
+    Message::Response {
         slot: 201,
         token: 202,
         run: 203,
@@ -36,21 +36,21 @@
     let values = [
         (
             "ask",
-            Msg::Ask {
+            Message::Request {
                 slot: 104,
                 run: 105,
-                ask: ask(),
+                request: request(),
             },
         ),
-        ("told-total", told(Answer::Total(8.25))),
-        ("told-not", told(Answer::Not)),
-        ("told-wait", told(Answer::Wait)),
+        ("told-total", response(Answer::Total(8.25))),
+        ("told-not", response(Answer::Unavailable)),
+        ("told-wait", response(Answer::Pending)),
     ];
     let mut written = String::new();
     for (label, value) in &values {
         let bytes = postcard::to_stdvec(value).unwrap();
         assert_eq!(
-            &postcard::from_bytes::<Msg>(&bytes).unwrap(),
+            &postcard::from_bytes::<Message>(&bytes).unwrap(),
             value,
             "{label} read back"
         );
--- a/crates/gateway/quota-sharing/tests/thin.rs
+++ b/crates/gateway/quota-sharing/tests/fairness.rs
@@ -7,7 +7,9 @@
 };
 use dunespur_decisions::types::{Readiness, Server, Settings};
 use dunespur_decisions::Limiter;
-use dunespur_quota_sharing::lend::{self, Anew, Answer, Ask, Broker, Output};
+use dunespur_quota_sharing::{
+    self as quota_sharing, Answer, Broker, CounterCall, LeaseRequest, Output,
+};
 use std::collections::BTreeMap;
 
 struct Rig {
@@ -69,16 +71,16 @@
             limiter.endpoints(&[0, 1, 2, 3].map(server), true, now);
             limiter
         };
-        let settings = lend::Settings {
-            ahead: 1.0,
-            span: 4.0,
-            wait: 0.04,
-            again: 2.0,
-            pace: 0.25,
-            pause: 1.0,
-            names: 100,
-            waiting: 100,
-            borrowers: 10,
+        let settings = quota_sharing::Settings {
+            max_lead: 1.0,
+            demand_window: 4.0,
+            counter_timeout: 0.04,
+            reread_interval: 2.0,
+            near_limit_interval: 0.25,
+            broker_backoff: 1.0,
+            max_names: 100,
+            max_waiting: 100,
+            max_borrowers: 10,
         };
         let broker = broker.then(|| Broker::new(settings, 0));
         let (gates, counter, held) = (vec![gate(0), gate(1)], BTreeMap::new(), BTreeMap::new());
@@ -101,36 +103,36 @@
     }
 
     /// The total that an add is answered with, by the broker where there is one.
-    fn add(&mut self, gate: usize, name: u64, add: f64, life: f64, a: About) -> Counted {
+    fn add(&mut self, gate: usize, name: u64, add: f64, lifetime: f64, a: About) -> Counted {
         let Some(mut broker) = self.broker.take() else {
             return Counted::Total(self.count(name, add));
         };
-        let ask = Ask::new(
-            Anew {
+        let request = LeaseRequest::new(
+            CounterCall {
                 call: 1,
                 name,
                 add,
-                life,
+                lifetime,
             },
             &a,
             self.now - a.start,
         );
         let mut out = Vec::new();
-        broker.ask(&format!("g{gate}"), 1, 0, ask, self.now, &mut out);
+        broker.request(&format!("g{gate}"), 1, 0, request, self.now, &mut out);
         let mut told = Counted::Refused;
         while !out.is_empty() {
             let mut next = Vec::new();
             for o in out {
                 match o {
-                    Output::Tell {
+                    Output::Respond {
                         answer: Answer::Total(total),
                         ..
                     } => told = Counted::Total(total),
-                    Output::Count {
+                    Output::CallCounter {
                         call, name, add, ..
                     } => {
                         let total = self.count(name, add);
-                        broker.counted(call, Counted::Total(total), self.now, &mut next);
+                        broker.counter_answered(call, Counted::Total(total), self.now, &mut next);
                     }
                     _ => {}
                 }
@@ -147,10 +149,10 @@
                 Action::Count {
                     name,
                     add,
-                    life,
+                    life: lifetime,
                     about,
                 } => {
-                    let counted = self.add(gate, name, add, life, about);
+                    let counted = self.add(gate, name, add, lifetime, about);
                     self.gates[gate].counted(name, counted, 0.001, self.now);
                 }
                 Action::Ask(num) => self.place(num),
--- a/crates/gateway/quota-sharing/tests/lend_model.rs
+++ b/crates/gateway/quota-sharing/tests/lease_model.rs
@@ -5,7 +5,9 @@
 //! in it: names that grow, the pace near the limit and shares between borrowers are not covered.
 
 use dunespur_decisions::types::Counted;
-use dunespur_quota_sharing::lend::{Anew, Answer, Ask, Borrower, Broker, Output, Settings};
+use dunespur_quota_sharing::{
+    Answer, Borrower, Broker, CounterCall, LeaseRequest, Output, Settings,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::hash::{Hash, Hasher};
 
@@ -92,7 +94,7 @@
         for o in out {
             match o {
                 // Only totals let anyone in.
-                Output::Tell {
+                Output::Respond {
                     to,
                     seq,
                     answer: answer @ Answer::Total(_),
@@ -100,12 +102,12 @@
                 } => {
                     s.told.push((usize::from(to == "b"), seq, answer));
                 }
-                Output::Count { call, add, .. } => {
+                Output::CallCounter { call, add, .. } => {
                     s.calls.push((broker, call, add));
                     if !self.0.counted_first {
                         // Taken out: it goes by what the counter will surely say.
                         let mut next = Vec::new();
-                        s.brokers[broker].counted(
+                        s.brokers[broker].counter_answered(
                             call,
                             Counted::Total(s.total + add),
                             0.0,
@@ -114,7 +116,7 @@
                         self.drive(s, broker, next);
                     }
                 }
-                Output::Tell { .. } | Output::Abandon { .. } => {}
+                Output::Respond { .. } | Output::AbandonCall { .. } => {}
             }
         }
     }
@@ -125,7 +127,7 @@
             true => Counted::Silent,
             false => Counted::Total(s.total + add),
         };
-        s.brokers[broker].counted(call, counted, 0.0, &mut out);
+        s.brokers[broker].counter_answered(call, counted, 0.0, &mut out);
         self.drive(s, broker, out);
     }
 }
@@ -136,15 +138,15 @@
 
     fn init_states(&self) -> Vec<State> {
         let settings = Settings {
-            ahead: 1.0,
-            span: 4.0,
-            wait: 0.04,
-            again: 3.0,
-            pace: 0.25,
-            pause: 1.0,
-            names: 4,
-            waiting: 4,
-            borrowers: 4,
+            max_lead: 1.0,
+            demand_window: 4.0,
+            counter_timeout: 0.04,
+            reread_interval: 3.0,
+            near_limit_interval: 0.25,
+            broker_backoff: 1.0,
+            max_names: 4,
+            max_waiting: 4,
+            max_borrowers: 4,
         };
         vec![State {
             brokers: vec![
@@ -189,7 +191,7 @@
             }
         }
         (0..2)
-            .filter(|b| s.brokers[*b].names() > 0 && s.lost < 1)
+            .filter(|b| s.brokers[*b].name_count() > 0 && s.lost < 1)
             .for_each(|b| acts.push(Act::Ended(b)));
     }
 
@@ -201,33 +203,33 @@
                 s.asked += 1;
                 let seq = u64::from(s.asked);
                 // Each ask on its own name at the borrower: where it goes is drawn here, not by its trust.
-                s.limiters[limiter].way(
-                    Anew {
+                s.limiters[limiter].route(
+                    CounterCall {
                         call: seq,
                         name: seq,
                         add: 1.0,
-                        life: 60.0,
+                        lifetime: 60.0,
                     },
                     0,
                     true,
                     0.0,
                 );
-                let (name, customer, add, asked, needs) = (7, 1, 1.0, 1.0, 1.0);
-                let (life, full, rate, elapsed) = (60.0, FULL, 0.0, 1.0);
-                let ask = Ask {
+                let (name, customer, add, requested, minimum) = (7, 1, 1.0, 1.0, 1.0);
+                let (lifetime, limit, limit_rate, elapsed) = (60.0, FULL, 0.0, 1.0);
+                let request = LeaseRequest {
                     seq,
                     name,
                     customer,
                     add,
-                    asked,
-                    needs,
-                    life,
-                    full,
-                    rate,
+                    requested,
+                    minimum,
+                    lifetime,
+                    limit,
+                    limit_rate,
                     elapsed,
-                    left: 1.0,
+                    remaining: 1.0,
                 };
-                s.brokers[broker].ask(["a", "b"][limiter], 1, 0, ask, 0.0, &mut out);
+                s.brokers[broker].request(["a", "b"][limiter], 1, 0, request, 0.0, &mut out);
                 self.drive(&mut s, broker, out);
             }
             Act::Direct => {
@@ -242,7 +244,7 @@
             }
             Act::Total(n) => {
                 let (broker, call, total) = s.totals.remove(n);
-                s.brokers[broker].counted(call, Counted::Total(total), 0.0, &mut out);
+                s.brokers[broker].counter_answered(call, Counted::Total(total), 0.0, &mut out);
                 self.drive(&mut s, broker, out);
             }
             Act::LoseCall(n) => {
@@ -261,7 +263,7 @@
                     _ => s.told[n],
                 };
                 s.twice += u8::from(matches!(act, Act::ToldTwice(_)));
-                let taken = s.limiters[limiter].told(seq, answer, 0.5, 0.0);
+                let taken = s.limiters[limiter].broker_answered(seq, answer, 0.5, 0.0);
                 let total = match (taken, answer, self.0.once) {
                     (Some(Counted::Total(t)), _, _) | (None, Answer::Total(t), false) => t,
                     _ => return Some(s),
@@ -271,7 +273,7 @@
             }
             Act::Ended(broker) => {
                 s.lost += 1;
-                s.brokers[broker].ended(0, &mut out);
+                s.brokers[broker].slot_lost(0, &mut out);
                 self.drive(&mut s, broker, out);
             }
         }
--- a/crates/testing/fleet-simulation/src/service.rs
+++ b/crates/testing/fleet-simulation/src/service.rs
@@ -10,7 +10,9 @@
     self as types, Action, Answer, Arrival, Counted, Effect, Ending, Invocation, Outcome, Readiness,
 };
 use dunespur_decisions::Limiter;
-use dunespur_quota_sharing::lend::{self, Anew, Ask, Borrower, Broker, Way};
+use dunespur_quota_sharing::{
+    self as quota_sharing, Borrower, Broker, CounterCall, LeaseRequest, Route,
+};
 use dunespur_singleton_roles::{Slot, SlotRange};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -99,7 +101,7 @@
     Borrow {
         gate: usize,
         slot: Slot,
-        ask: Ask,
+        request: LeaseRequest,
     },
     /// A broker's answer, under the token that it holds now.
     Tell {
@@ -108,7 +110,7 @@
         run: u64,
         slot: Slot,
         seq: u64,
-        answer: lend::Answer,
+        answer: quota_sharing::Answer,
     },
     /// A client's answer: when it came, which customer, let in or not.
     Answered {
@@ -160,7 +162,7 @@
     quota: Quota,
     limiters: usize,
     lends: Option<SlotRange>,
-    settings: lend::Settings,
+    settings: quota_sharing::Settings,
     gates: Vec<Gate>,
     buckets: Vec<Bucket>,
     over: f64,
@@ -175,17 +177,17 @@
     pub tally: Tally,
 }
 
-pub fn lend_settings() -> lend::Settings {
-    lend::Settings {
-        ahead: 1.0,
-        span: 4.0,
-        wait: COUNT_WAIT * 0.7,
-        again: 3.0,
-        pace: 0.25,
-        pause: 1.0,
-        names: 20_000,
-        waiting: 1024,
-        borrowers: 1024,
+pub fn quota_sharing_settings() -> quota_sharing::Settings {
+    quota_sharing::Settings {
+        max_lead: 1.0,
+        demand_window: 4.0,
+        counter_timeout: COUNT_WAIT * 0.7,
+        reread_interval: 3.0,
+        near_limit_interval: 0.25,
+        broker_backoff: 1.0,
+        max_names: 20_000,
+        max_waiting: 1024,
+        max_borrowers: 1024,
     }
 }
 
@@ -195,7 +197,7 @@
             quota: quota.clone(),
             limiters,
             lends,
-            settings: lend_settings(),
+            settings: quota_sharing_settings(),
             gates: Vec::new(),
             buckets: vec![Bucket::new(quota); quota.customers],
             over: 0.0,
@@ -341,18 +343,18 @@
             Ev::CallLimit { gate, epoch, call }
                 if self.lives(gate, epoch) && self.gates[gate].calls.contains_key(&call) =>
             {
-                if self.gates[gate].borrower.at_broker(call) {
+                if self.gates[gate].borrower.is_at_broker(call) {
                     let chance = self.rng.random();
-                    self.gates[gate].borrower.abandoned(call, chance, now);
+                    self.gates[gate].borrower.abandon(call, chance, now);
                 }
                 self.counted(gate, call, Counted::Silent, now, out);
             }
             Ev::Overdue { gate, epoch } if self.lives(gate, epoch) => {
                 let chance = self.rng.random();
                 let g = &mut self.gates[gate];
-                for Anew {
+                for CounterCall {
                     call, name, add, ..
-                } in g.borrower.overdue(chance, now)
+                } in g.borrower.take_overdue(chance, now)
                 {
                     out.push(Out::At(
                         now + WAY,
@@ -579,17 +581,18 @@
                     let slot = self.lends.map(|range| {
                         range.first + (about.customer % u64::from(range.count)) as Slot
                     });
-                    let anew = Anew {
+                    let counter_call = CounterCall {
                         call,
                         name,
                         add,
-                        life,
+                        lifetime: life,
                     };
-                    let way = slot.map_or(Way::Counter, |slot| {
-                        g.borrower.way(anew, slot, g.known.contains(&slot), now)
+                    let route = slot.map_or(Route::Counter, |slot| {
+                        g.borrower
+                            .route(counter_call, slot, g.known.contains(&slot), now)
                     });
-                    match way {
-                        Way::Counter => out.push(Out::At(
+                    match route {
+                        Route::Counter => out.push(Out::At(
                             now + WAY,
                             Ev::Count {
                                 gate,
@@ -599,10 +602,15 @@
                                 add,
                             },
                         )),
-                        Way::Broker(slot) => {
+                        Route::Broker(slot) => {
                             self.tally.brokered += u64::from(now >= self.measure_from);
-                            let ask = Ask::new(anew, &about, now - about.start);
-                            out.push(Out::Borrow { gate, slot, ask });
+                            let request =
+                                LeaseRequest::new(counter_call, &about, now - about.start);
+                            out.push(Out::Borrow {
+                                gate,
+                                slot,
+                                request,
+                            });
                             let due = g.borrower.next_due().max(now) + 1e-6;
                             out.push(Out::At(due, Ev::Overdue { gate, epoch }));
                         }
@@ -659,24 +667,30 @@
             let mut said = Vec::new();
             self.gates[gate]
                 .broker
-                .counted(call, counted, now, &mut said);
+                .counter_answered(call, counted, now, &mut said);
             return self.lent(gate, said, now, out);
         }
         let g = &mut self.gates[gate];
         let Some((name, at)) = g.calls.remove(&call) else {
             return;
         };
-        g.borrower.counted(call);
+        g.borrower.counter_answered(call);
         g.limiter.counted(name, counted, now - at, now);
         self.carry_out(gate, now, out);
     }
 
     /// What the broker of this limiter wants done.
-    fn lent(&mut self, gate: usize, said: Vec<lend::Output>, now: f64, out: &mut Vec<Out>) {
+    fn lent(
+        &mut self,
+        gate: usize,
+        said: Vec<quota_sharing::Output>,
+        now: f64,
+        out: &mut Vec<Out>,
+    ) {
         let epoch = self.gates[gate].epoch;
         for o in said {
             match o {
-                lend::Output::Tell {
+                quota_sharing::Output::Respond {
                     to,
                     run,
                     slot,
@@ -692,7 +706,7 @@
                         answer,
                     });
                 }
-                lend::Output::Count {
+                quota_sharing::Output::CallCounter {
                     call, name, add, ..
                 } => {
                     out.push(Out::At(
@@ -706,7 +720,7 @@
                         },
                     ));
                 }
-                lend::Output::Abandon { .. } => {}
+                quota_sharing::Output::AbandonCall { .. } => {}
             }
         }
         let g = &mut self.gates[gate];
@@ -725,7 +739,7 @@
         from: &str,
         run: u64,
         slot: Slot,
-        ask: Ask,
+        request: LeaseRequest,
         now: f64,
         out: &mut Vec<Out>,
     ) {
@@ -733,7 +747,7 @@
             let mut said = Vec::new();
             self.gates[gate]
                 .broker
-                .ask(from, run, slot, ask, now, &mut said);
+                .request(from, run, slot, request, now, &mut said);
             self.lent(gate, said, now, out);
         }
     }
@@ -743,7 +757,7 @@
         &mut self,
         gate: usize,
         seq: u64,
-        answer: lend::Answer,
+        answer: quota_sharing::Answer,
         now: f64,
         out: &mut Vec<Out>,
     ) {
@@ -751,7 +765,10 @@
             return;
         }
         let chance = self.rng.random();
-        if let Some(counted) = self.gates[gate].borrower.told(seq, answer, chance, now) {
+        if let Some(counted) = self.gates[gate]
+            .borrower
+            .broker_answered(seq, answer, chance, now)
+        {
             self.counted(gate, seq, counted, now, out);
         }
     }
@@ -760,7 +777,7 @@
     pub fn ended_slot(&mut self, gate: usize, slot: Slot, now: f64, out: &mut Vec<Out>) {
         if gate < self.limiters {
             let mut said = Vec::new();
-            self.gates[gate].broker.ended(slot, &mut said);
+            self.gates[gate].broker.slot_lost(slot, &mut said);
             self.lent(gate, said, now, out);
         }
     }
--- a/crates/testing/fleet-simulation/src/world.rs
+++ b/crates/testing/fleet-simulation/src/world.rs
@@ -6,7 +6,7 @@
 use crate::service::{self, Service};
 use crate::trial::{Active, Disk, Fault, Kind, Trial};
 use dunespur_gossip_membership as members;
-use dunespur_quota_sharing::lend;
+use dunespur_quota_sharing as quota_sharing;
 use dunespur_singleton_roles::client::RoleClient;
 use dunespur_singleton_roles::fencing::FencingCheck;
 use dunespur_singleton_roles::records::{DiskState, WriteBatch};
@@ -24,7 +24,7 @@
     Gossip(Vec<u8>),
     Peer(Box<Message>),
     Effect { slot: u32, token: u64 },
-    Lend(Box<lend::Msg>),
+    Lend(Box<quota_sharing::Message>),
 }
 
 enum Ev {
@@ -495,18 +495,22 @@
             for o in std::mem::take(&mut out) {
                 match o {
                     service::Out::At(at, ev) => self.push(at, Ev::Service(ev)),
-                    service::Out::Borrow { gate, slot, ask } => {
+                    service::Out::Borrow {
+                        gate,
+                        slot,
+                        request,
+                    } => {
                         let (name, run) = (self.nodes[gate].name.clone(), self.nodes[gate].run);
                         if self.holds(gate, slot).is_some() {
                             if let Some(s) = &mut self.service {
-                                s.asked(gate, &name, run, slot, ask, t, &mut out);
+                                s.asked(gate, &name, run, slot, request, t, &mut out);
                             }
                         } else if let Some(to) = self.nodes[gate].client.as_ref().and_then(|h| {
                             h.owners()
                                 .get(&slot)
                                 .and_then(|n| n[1..].parse::<usize>().ok())
                         }) {
-                            let msg = lend::Msg::Ask { slot, run, ask };
+                            let msg = quota_sharing::Message::Request { slot, run, request };
                             self.send(gate, to, Packet::Lend(Box::new(msg)));
                         }
                     }
@@ -519,13 +523,13 @@
                         answer,
                     } => {
                         let token = self.holds(gate, slot);
-                        let answer = token.map_or(lend::Answer::Not, |_| answer);
+                        let answer = token.map_or(quota_sharing::Answer::Unavailable, |_| answer);
                         let token = token.unwrap_or(0);
                         let Ok(to) = to[1..].parse::<usize>() else {
                             continue;
                         };
                         if to != gate {
-                            let msg = lend::Msg::Told {
+                            let msg = quota_sharing::Message::Response {
                                 slot,
                                 token,
                                 run,
@@ -574,16 +578,16 @@
     }
 
     /// Something of a broker came to a node.
-    fn lent(&mut self, node: usize, from: usize, msg: lend::Msg) {
+    fn lent(&mut self, node: usize, from: usize, msg: quota_sharing::Message) {
         let t = self.now;
         match msg {
-            lend::Msg::Ask { slot, run, ask } => {
+            quota_sharing::Message::Request { slot, run, request } => {
                 let name = self.nodes[from].name.clone();
                 if self.holds(node, slot).is_some() {
-                    return self.serve(|s, out| s.asked(node, &name, run, slot, ask, t, out));
+                    return self.serve(|s, out| s.asked(node, &name, run, slot, request, t, out));
                 }
-                let (token, seq, answer) = (0, ask.seq, lend::Answer::Not);
-                let msg = lend::Msg::Told {
+                let (token, seq, answer) = (0, request.seq, quota_sharing::Answer::Unavailable);
+                let msg = quota_sharing::Message::Response {
                     slot,
                     token,
                     run,
@@ -592,7 +596,7 @@
                 };
                 self.send(node, from, Packet::Lend(Box::new(msg)));
             }
-            lend::Msg::Told {
+            quota_sharing::Message::Response {
                 slot,
                 token,
                 run,
@@ -600,7 +604,7 @@
                 answer,
             } => {
                 let n = &mut self.nodes[node];
-                let total = matches!(answer, lend::Answer::Total(_));
+                let total = matches!(answer, quota_sharing::Answer::Total(_));
                 let fits = !total || n.fencing.accept(slot, token) || !self.fenced;
                 if run == n.run && fits {
                     self.serve(|s, out| s.told(node, seq, answer, t, out));
