--- a/crates/serving/dunespur/tests/cli.rs
+++ b/crates/serving/dunespur/tests/cli.rs
@@ -177,11 +177,11 @@
     std::fs::write(&file, configuration.to_string()).unwrap();
     let output = run(&["check", text(&file)]);
     assert_eq!(code(&output), HAS_FINDINGS);
-    let places: Vec<&str> = out(&output)
+    let locations: Vec<&str> = out(&output)
         .lines()
         .map(|line| line.split(": ").nth(1).unwrap())
         .collect();
-    assert_eq!(places, ["routes[0].timeout_ms", "routes[1]"]);
+    assert_eq!(locations, ["routes[0].timeout_ms", "routes[1]"]);
 
     let mended = configuration
         .to_string()
--- a/crates/serving/dunespur/tests/founding.rs
+++ b/crates/serving/dunespur/tests/founding.rs
@@ -10,7 +10,8 @@
 use serde_json::Value;
 use std::time::Duration;
 use support::{
-    begin, expect_no_violation, places, programs_for, stage, Stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
+    begin, expect_no_violation, machines_of, programs_for, stage, Stage, CATCH_UP, ORDER_LIMIT,
+    RECOVERY,
 };
 use tokio::net::TcpStream;
 use tokio::time::Instant;
@@ -48,7 +49,7 @@
 async fn somebody_reads(scene: &Scene) {
     let until = Instant::now() + RECOVERY;
     loop {
-        for member in places(scene, Role::Core) {
+        for member in machines_of(scene, Role::Core) {
             if reads(scene, member).await {
                 return;
             }
@@ -161,14 +162,14 @@
 #[tokio::test]
 async fn a_member_that_comes_late_joins_though_its_settings_say_bootstrap() {
     let mut scene = begin(seeds_without_disks()).await;
-    let late = places(&scene, Role::Core)[2];
+    let late = machines_of(&scene, Role::Core)[2];
     scene.system.machine(late).kill();
     scene.system.machine(late).wipe().unwrap();
     scene.configure().await.unwrap();
     scene.system.restart_bootstrapping(late).unwrap();
     scene.settle().await.unwrap();
     programs_for(&scene, CATCH_UP).await;
-    let other = places(&scene, Role::Core)[0];
+    let other = machines_of(&scene, Role::Core)[0];
     scene.system.machine(other).kill();
     let route = RoutePlan::new("later", HOST, "/later/", Kind::ReadOnly, TOOLS);
     let answer = scene
@@ -187,7 +188,7 @@
         ..ScenePlan::default()
     })
     .await;
-    let alive = scene.system.control(places(&scene, Role::Gateway)[0]);
+    let alive = scene.system.control(machines_of(&scene, Role::Gateway)[0]);
     let nobody = scene.system.server_address().unwrap();
     let seeds = vec![
         nobody,
--- a/crates/serving/dunespur/tests/frozen.rs
+++ b/crates/serving/dunespur/tests/frozen.rs
@@ -12,7 +12,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
-use support::{expect_no_violation, places, programs_for, stage, Stage, ORDER_LIMIT};
+use support::{expect_no_violation, machines_of, programs_for, stage, Stage, ORDER_LIMIT};
 use tokio::task::JoinSet;
 
 /// Calls of each kind that lie in the sockets of the frozen process.
@@ -23,7 +23,7 @@
 const OUT_OF_TOUCH: Duration = Duration::from_millis(2_600);
 /// A server is told within this time.
 const ANSWERED_WITHIN: Duration = Duration::from_secs(1);
-const BEATS: usize = 20;
+const HEARTBEATS: usize = 20;
 
 fn route(name: &str) -> RoutePlan {
     RoutePlan::new(name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS)
@@ -37,7 +37,7 @@
 
 /// What is called while the process stands still.
 #[derive(Clone, Copy, Debug)]
-enum Asked {
+enum FrozenCall {
     Read,
     /// An order that has lost.
     Lost,
@@ -61,22 +61,25 @@
 }
 
 /// The newest version is 7, or 8 if the fresh order was taken.
-fn expect_current(asked: Asked, answer: &CallAnswer) {
+fn expect_current(call_kind: FrozenCall, answer: &CallAnswer) {
     let newest = [json!(7), json!(8)];
     let text = String::from_utf8_lossy(&answer.body);
-    match (asked, answer.status) {
-        (_, 503) | (Asked::Fresh, 200) | (Asked::UnknownMachine, 404) => {}
-        (Asked::Read, 200) | (Asked::Lost, 412) => {
-            assert!(newest.contains(&generation(answer)), "{asked:?}: {text}");
+    match (call_kind, answer.status) {
+        (_, 503) | (FrozenCall::Fresh, 200) | (FrozenCall::UnknownMachine, 404) => {}
+        (FrozenCall::Read, 200) | (FrozenCall::Lost, 412) => {
+            assert!(
+                newest.contains(&generation(answer)),
+                "{call_kind:?}: {text}"
+            );
         }
-        (_, status) => panic!("{asked:?}: {status} {text}"),
+        (_, status) => panic!("{call_kind:?}: {status} {text}"),
     }
 }
 
 #[tokio::test]
 async fn a_thawed_core_member_answers_nothing_out_of_its_old_state() {
     let mut scene = stage(ScenePlan::default()).await;
-    let member = places(&scene, Role::Core)[0];
+    let member = machines_of(&scene, Role::Core)[0];
     let frozen = scene.system.control(member);
     let others: Vec<SocketAddr> = scene
         .system
@@ -96,14 +99,14 @@
     );
     let mut calls = JoinSet::new();
     for number in 0..CALLS {
-        let asked = [
-            (Asked::Read, Call::get("/api/config/get")),
-            (Asked::Lost, order(3, &lost)),
-            (Asked::UnknownMachine, unknown.clone()),
+        let call_kind = [
+            (FrozenCall::Read, Call::get("/api/config/get")),
+            (FrozenCall::Lost, order(3, &lost)),
+            (FrozenCall::UnknownMachine, unknown.clone()),
         ];
-        let fresh = (number == 0).then(|| (Asked::Fresh, order(7, &fresh)));
-        for (asked, request) in asked.into_iter().chain(fresh) {
-            calls.spawn(async move { (asked, call(frozen, &request, PATIENCE).await) });
+        let fresh = (number == 0).then(|| (FrozenCall::Fresh, order(7, &fresh)));
+        for (call_kind, request) in call_kind.into_iter().chain(fresh) {
+            calls.spawn(async move { (call_kind, call(frozen, &request, PATIENCE).await) });
         }
     }
     scene.operator.set_controls(others);
@@ -111,16 +114,16 @@
     take(&mut scene, 4, &patch(7, &[route("second")], &[])).await;
     scene.system.machine(member).thaw().unwrap();
     while let Some(answered) = calls.join_next().await {
-        let (asked, answer) = answered.unwrap();
-        let answer = answer.unwrap_or_else(|error| panic!("{asked:?}: {error}"));
-        expect_current(asked, &answer);
+        let (call_kind, answer) = answered.unwrap();
+        let answer = answer.unwrap_or_else(|error| panic!("{call_kind:?}: {error}"));
+        expect_current(call_kind, &answer);
     }
     take(&mut scene, 7, &fresh).await;
     expect_no_violation(&scene);
 }
 
 /// The status of a heartbeat that says nothing new.
-async fn beat(control: SocketAddr) -> Option<u16> {
+async fn send_heartbeat(control: SocketAddr) -> Option<u16> {
     let body = json!({
         "backend": TOOLS, "address": "127.0.0.9:9", "zone": "zone-a", "generation": "v1", "slots": 1,
         "state": "ready", "cold_left_ms": 0, "seq": 1,
@@ -133,7 +136,7 @@
 }
 
 async fn freeze_core(scene: &mut Scene) {
-    for member in places(scene, Role::Core) {
+    for member in machines_of(scene, Role::Core) {
         scene.system.machine(member).freeze().unwrap();
     }
 }
@@ -145,9 +148,9 @@
         ..ScenePlan::default()
     })
     .await;
-    let gateway = places(&scene, Role::Gateway)[0];
+    let gateway = machines_of(&scene, Role::Gateway)[0];
     let control = scene.system.control(gateway);
-    while beat(control).await != Some(200) {}
+    while send_heartbeat(control).await != Some(200) {}
     scene.system.machine(gateway).freeze().unwrap();
     let fronts = scene.system.fronts();
     let own = scene.system.front(gateway);
@@ -158,14 +161,14 @@
     // Now the core's last answer lies in the gateway's socket, and no other one comes.
     freeze_core(&mut scene).await;
     scene.system.machine(gateway).thaw().unwrap();
-    for number in 0..BEATS {
-        let status = beat(control).await;
+    for number in 0..HEARTBEATS {
+        let status = send_heartbeat(control).await;
         assert!(
             status.is_none_or(|status| status == 503),
             "heartbeat {number}: {status:?}"
         );
     }
-    for member in places(&scene, Role::Core) {
+    for member in machines_of(&scene, Role::Core) {
         scene.system.machine(member).thaw().unwrap();
     }
 }
--- a/crates/serving/dunespur/tests/leaving.rs
+++ b/crates/serving/dunespur/tests/leaving.rs
@@ -10,8 +10,8 @@
 use std::process::Command;
 use std::time::Duration;
 use support::{
-    engine_of_a_turn, expect_no_violation, go_on, line_of, lookup, places, program, programs_for,
-    stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
+    engine_of_a_turn, expect_no_violation, go_on, line_of, lookup, machines_of, program,
+    programs_for, stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
 };
 use tokio::time::Instant;
 
@@ -23,14 +23,14 @@
 #[tokio::test]
 async fn a_gateway_that_is_terminated_completes_its_streams() {
     let mut scene = stage(ScenePlan::default()).await;
-    let leaving = places(&scene, Role::Gateway)[0];
+    let leaving = machines_of(&scene, Role::Gateway)[0];
     for engine in &scene.engines {
         engine.server.gate.hold();
     }
     let mut line = Line::new(&scene.client, &usual_program());
-    let ask = line.ask(&scene.client, &"hello".into());
+    let request = line.ask(&scene.client, &"hello".into());
     let (client, front) = (scene.client.clone(), scene.system.front(leaving));
-    let turn = tokio::spawn(async move { client.send_to(front, &ask).await });
+    let turn = tokio::spawn(async move { client.send_to(front, &request).await });
     engine_of_a_turn(&scene).await;
     for engine in &scene.engines {
         engine.server.gate.let_go(5);
@@ -56,8 +56,8 @@
 async fn gateways_that_are_terminated_are_not_ready_while_they_still_serve() {
     let mut scene = stage(ScenePlan::default()).await;
     let leaving = [
-        places(&scene, Role::Gateway)[0],
-        places(&scene, Role::Core)[0],
+        machines_of(&scene, Role::Gateway)[0],
+        machines_of(&scene, Role::Core)[0],
     ];
     scene
         .engines
@@ -65,12 +65,12 @@
         .for_each(|engine| engine.server.gate.hold());
     let before = scene.record.sightings().len();
     let turns = leaving.map(|index| {
-        let (client, front, ask) = (
+        let (client, front, request) = (
             scene.client.clone(),
             scene.system.front(index),
             scene.turn_ask(),
         );
-        tokio::spawn(async move { client.send_to(front, &ask).await })
+        tokio::spawn(async move { client.send_to(front, &request).await })
     });
     let arrived = |seen: &&Sighting| seen.fate != Fate::TurnedAway;
     scene
@@ -80,7 +80,7 @@
     for index in leaving {
         scene.terminate(index).unwrap();
     }
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     for index in leaving {
         let mut status = scene.system.readiness(index).await;
         while status == Some(200) {
@@ -88,7 +88,11 @@
         }
         assert_eq!(status, Some(503), "it still runs, and says so");
     }
-    assert!(asked.elapsed() < READY_LIMIT, "{:?}", asked.elapsed());
+    assert!(
+        requested_at.elapsed() < READY_LIMIT,
+        "{:?}",
+        requested_at.elapsed()
+    );
     assert!(
         turns.iter().all(|turn| !turn.is_finished()),
         "their turns are still in hand"
@@ -107,19 +111,19 @@
 #[tokio::test]
 async fn a_gateway_whose_settings_change_interrupts_nothing() {
     let mut scene = stage(ScenePlan::default()).await;
-    let gateway = places(&scene, Role::Gateway)[0];
+    let gateway = machines_of(&scene, Role::Gateway)[0];
     scene
         .engines
         .iter()
         .for_each(|engine| engine.server.gate.hold());
-    let (client, front, ask) = (
+    let (client, front, request) = (
         scene.client.clone(),
         scene.system.front(gateway),
         scene.turn_ask(),
     );
-    let turn = tokio::spawn(async move { client.send_to(front, &ask).await });
+    let turn = tokio::spawn(async move { client.send_to(front, &request).await });
     engine_of_a_turn(&scene).await;
-    let seeds = places(&scene, Role::Core)
+    let seeds = machines_of(&scene, Role::Core)
         .into_iter()
         .map(|core| scene.system.control(core))
         .collect();
@@ -165,7 +169,7 @@
     for _ in 0..8 {
         lines.push(line_of(&scene, 2).await);
     }
-    let retired = places(&scene, Role::Store)[0];
+    let retired = machines_of(&scene, Role::Store)[0];
     let name = scene.system.machines()[retired].name().to_owned();
     let answer = scene.operator.retire(&name, 10, ORDER_LIMIT).await.unwrap();
     assert_eq!(
@@ -202,7 +206,7 @@
         .unwrap();
     assert_eq!(answer.status, 404);
     let mut taken = 0;
-    for store in places(&scene, Role::Store) {
+    for store in machines_of(&scene, Role::Store) {
         let name = scene.system.machines()[store].name().to_owned();
         let answer = scene.operator.retire(&name, 10, ORDER_LIMIT).await.unwrap();
         assert!([200, 409].contains(&answer.status), "{}", answer.status);
--- a/crates/serving/dunespur/tests/load_aggregators.rs
+++ b/crates/serving/dunespur/tests/load_aggregators.rs
@@ -1,5 +1,5 @@
-//! Homes of services as servers see them: which gateway is named for their later heartbeats, and what happens when it
-//! is gone.
+//! Load aggregators of services as servers see them: which gateway is named for their later heartbeats, and what
+//! happens when it is lost.
 
 mod support;
 
@@ -9,18 +9,18 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
-use support::{engine_of_a_turn, expect_no_violation, places, stage, ORDER_LIMIT};
+use support::{engine_of_a_turn, expect_no_violation, machines_of, stage, ORDER_LIMIT};
 use tokio::time::{sleep, Instant};
 
 /// A heartbeat is answered within this time.
 const ANSWERED_WITHIN: Duration = Duration::from_secs(1);
-/// Pause between two looks at what is to become so.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Pause between two checks of what is to become so.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The zone that has a core member and another gateway.
 const ZONE: &str = "zone-a";
 
 /// Sends a heartbeat of a server that no route leads to: the address that it names for later ones.
-async fn beat(control: SocketAddr, service: &str, seq: u64) -> Option<SocketAddr> {
+async fn send_heartbeat(control: SocketAddr, service: &str, seq: u64) -> Option<SocketAddr> {
     let body = json!({
         "backend": service,
         "address": "127.0.0.9:9",
@@ -46,32 +46,35 @@
 /// The gateways of the zone: one with the core's disk and one without.
 fn gateways(scene: &Scene) -> [usize; 2] {
     [
-        places(scene, Role::Core)[0],
-        places(scene, Role::Gateway)[0],
+        machines_of(scene, Role::Core)[0],
+        machines_of(scene, Role::Gateway)[0],
     ]
 }
 
-/// Waits until `by` names `home` for the service's heartbeats.
-async fn named(by: SocketAddr, service: &str, home: SocketAddr) {
+/// Waits until `by` names `aggregator` for the service's heartbeats.
+async fn named(by: SocketAddr, service: &str, aggregator: SocketAddr) {
     let until = Instant::now() + SETTLE_LIMIT;
     let mut seq = 100;
     loop {
         seq += 1;
-        let named = beat(by, service, seq).await;
-        if named == Some(home) {
+        let named = send_heartbeat(by, service, seq).await;
+        if named == Some(aggregator) {
             return;
         }
-        assert!(Instant::now() < until, "{by} names {named:?}, not {home}");
-        sleep(LOOK_PAUSE).await;
+        assert!(
+            Instant::now() < until,
+            "{by} names {named:?}, not {aggregator}"
+        );
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A service whose home in the zone is the gateway at `place`, as all gateways say after a while.
-async fn service_at(scene: &Scene, place: usize) -> String {
+/// A service whose load aggregator in the zone is the gateway `machine`, as all gateways agree after a while.
+async fn service_at(scene: &Scene, machine: usize) -> String {
     let controls = scene.system.controls();
-    let homes: Vec<SocketAddr> = gateways(scene)
+    let aggregators: Vec<SocketAddr> = gateways(scene)
         .into_iter()
-        .map(|place| scene.system.control(place))
+        .map(|machine| scene.system.control(machine))
         .collect();
     for number in 0.. {
         let service = format!("service-{number}");
@@ -79,13 +82,16 @@
         loop {
             let mut named = Vec::new();
             for control in &controls {
-                named.push(beat(*control, &service, 1).await);
+                named.push(send_heartbeat(*control, &service, 1).await);
             }
-            if let Some(home) =
-                named[0].filter(|home| named.iter().all(|other| *other == Some(*home)))
+            if let Some(aggregator) =
+                named[0].filter(|aggregator| named.iter().all(|other| *other == Some(*aggregator)))
             {
-                assert!(homes.contains(&home), "{home} is not in the zone");
-                if home == scene.system.control(place) {
+                assert!(
+                    aggregators.contains(&aggregator),
+                    "{aggregator} is not in the zone"
+                );
+                if aggregator == scene.system.control(machine) {
                     return service;
                 }
                 break;
@@ -99,47 +105,50 @@
 #[tokio::test]
 async fn a_killed_load_aggregator_is_replaced_by_the_other_gateway_and_takes_over_again() {
     let mut scene = stage(ScenePlan::default()).await;
-    let [other, home] = gateways(&scene);
-    let service = service_at(&scene, home).await;
-    let (home_control, other_control) = (scene.system.control(home), scene.system.control(other));
-    let asked = scene.system.control(places(&scene, Role::Core)[1]);
-    scene.system.machine(home).kill();
-    named(asked, &service, other_control).await;
+    let [other, aggregator] = gateways(&scene);
+    let service = service_at(&scene, aggregator).await;
+    let (aggregator_control, other_control) = (
+        scene.system.control(aggregator),
+        scene.system.control(other),
+    );
+    let queried = scene.system.control(machines_of(&scene, Role::Core)[1]);
+    scene.system.machine(aggregator).kill();
+    named(queried, &service, other_control).await;
     named(other_control, &service, other_control).await;
-    scene.system.restart(home).unwrap();
-    named(asked, &service, home_control).await;
-    named(home_control, &service, home_control).await;
+    scene.system.restart(aggregator).unwrap();
+    named(queried, &service, aggregator_control).await;
+    named(aggregator_control, &service, aggregator_control).await;
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
 async fn a_draining_gateway_is_no_load_aggregator_while_it_still_serves() {
     let mut scene = stage(ScenePlan::default()).await;
-    let [other, home] = gateways(&scene);
-    let service = service_at(&scene, home).await;
+    let [other, aggregator] = gateways(&scene);
+    let service = service_at(&scene, aggregator).await;
     for engine in &scene.engines {
         engine.server.gate.hold();
     }
-    let turn = held_turn(&scene, home).await;
-    scene.terminate(home).unwrap();
-    let asked = scene.system.control(places(&scene, Role::Core)[1]);
-    named(asked, &service, scene.system.control(other)).await;
+    let turn = waiting_turn(&scene, aggregator).await;
+    scene.terminate(aggregator).unwrap();
+    let queried = scene.system.control(machines_of(&scene, Role::Core)[1]);
+    named(queried, &service, scene.system.control(other)).await;
     assert!(
-        scene.system.machine(home).is_running(),
+        scene.system.machine(aggregator).is_running(),
         "it was named until its end"
     );
     for engine in &scene.engines {
         engine.server.gate.open();
     }
-    assert!(turn.await.unwrap(), "its stream ends whole");
+    assert!(turn.await.unwrap(), "its stream is complete");
     expect_no_violation(&scene);
 }
 
-/// A turn through the gateway at `place` that waits at a server.
-async fn held_turn(scene: &Scene, place: usize) -> tokio::task::JoinHandle<bool> {
-    let ask = scene.turn_ask();
-    let (client, front) = (scene.client.clone(), scene.system.front(place));
-    let turn = tokio::spawn(async move { client.send_to(front, &ask).await.succeeded() });
+/// A turn through the gateway `machine` that waits at a server.
+async fn waiting_turn(scene: &Scene, machine: usize) -> tokio::task::JoinHandle<bool> {
+    let request = scene.turn_ask();
+    let (client, front) = (scene.client.clone(), scene.system.front(machine));
+    let turn = tokio::spawn(async move { client.send_to(front, &request).await.succeeded() });
     engine_of_a_turn(scene).await;
     turn
 }
@@ -152,17 +161,17 @@
         ..ScenePlan::default()
     })
     .await;
-    let [_, home] = gateways(&scene);
-    let service = service_at(&scene, home).await;
+    let [_, aggregator] = gateways(&scene);
+    let service = service_at(&scene, aggregator).await;
     let address = scene.system.server_address().unwrap();
     let server = scene.add_plain_at(address, &service).await.unwrap();
     assert_eq!(scene.plains[server].server.door.identity.zone, ZONE);
     scene.plains[server].registration.known().await;
-    scene.system.machine(home).freeze().unwrap();
-    let asked = Instant::now();
+    scene.system.machine(aggregator).freeze().unwrap();
+    let queried = Instant::now();
     scene.plains[server].registration.drain().await;
-    let took = asked.elapsed();
-    scene.system.machine(home).thaw().unwrap();
+    let took = queried.elapsed();
+    scene.system.machine(aggregator).thaw().unwrap();
     assert!(took < ORDER_LIMIT, "{took:?}");
     expect_no_violation(&scene);
 }
@@ -170,21 +179,21 @@
 #[tokio::test]
 async fn servers_whose_load_aggregator_has_lost_the_core_go_elsewhere() {
     let mut scene = stage(ScenePlan::default()).await;
-    let [_, home] = gateways(&scene);
-    let service = service_at(&scene, home).await;
-    for core in places(&scene, Role::Core) {
+    let [_, aggregator] = gateways(&scene);
+    let service = service_at(&scene, aggregator).await;
+    for core in machines_of(&scene, Role::Core) {
         scene.system.machine(core).freeze().unwrap();
     }
-    let control = scene.system.control(home);
+    let control = scene.system.control(aggregator);
     let until = Instant::now() + SETTLE_LIMIT;
-    while beat(control, &service, 200).await.is_some() {
+    while send_heartbeat(control, &service, 200).await.is_some() {
         assert!(
             Instant::now() < until,
             "it takes heartbeats that nobody hears of"
         );
-        sleep(LOOK_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
-    for core in places(&scene, Role::Core) {
+    for core in machines_of(&scene, Role::Core) {
         scene.system.machine(core).thaw().unwrap();
     }
     named(control, &service, control).await;
--- a/crates/serving/dunespur/tests/losses.rs
+++ b/crates/serving/dunespur/tests/losses.rs
@@ -7,18 +7,18 @@
 use dunespur_emulator::system::{MachinePlan, Role};
 use support::disk::with_standstills_apart;
 use support::{
-    add_route, expect_no_violation, generation, go_on_within, line_of, places, programs_for, stage,
-    CATCH_UP, ORDER_LIMIT, RECOVERY,
+    add_route, expect_no_violation, generation, go_on_within, line_of, machines_of, programs_for,
+    stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
 };
 use tokio::time::Instant;
 
 /// Every running gateway serves this route.
 async fn serves_route(scene: &Scene, generation: u64) {
-    let ask = Ask::get(HOST, &format!("/route-{generation}/x"));
+    let request = Ask::get(HOST, &format!("/route-{generation}/x"));
     for index in scene.system.places(|plan| plan.role != Role::Store) {
         if scene.system.machines()[index].is_running() {
             scene
-                .answers(scene.system.front(index), &ask)
+                .answers(scene.system.front(index), &request)
                 .await
                 .unwrap();
         }
@@ -29,7 +29,7 @@
 async fn orders_and_programs_go_on_without_any_one_core_member() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut version = 1;
-    for member in places(&scene, Role::Core) {
+    for member in machines_of(&scene, Role::Core) {
         scene.system.machine(member).kill();
         version = add_route(&mut scene, version).await;
         serves_route(&scene, version).await;
@@ -66,7 +66,7 @@
 async fn a_wiped_core_member_comes_back_and_the_next_one_may_go() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut version = 1;
-    for member in places(&scene, Role::Core) {
+    for member in machines_of(&scene, Role::Core) {
         version = add_route(&mut scene, version).await;
         scene.system.wipe(member).unwrap();
         programs_for(&scene, CATCH_UP).await;
@@ -82,7 +82,7 @@
 async fn a_core_member_is_replaced_by_an_empty_machine_at_another_address() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut version = add_route(&mut scene, 1).await;
-    let members = places(&scene, Role::Core);
+    let members = machines_of(&scene, Role::Core);
     for member in &members[..2] {
         let zone = scene.system.machines()[*member].plan().zone.clone();
         scene.system.machine(*member).kill();
@@ -131,7 +131,7 @@
         for _ in 0..8 {
             lines.push(line_of(&scene, 3).await);
         }
-        for store in places(&scene, Role::Store) {
+        for store in machines_of(&scene, Role::Store) {
             scene.system.wipe(store).unwrap();
             programs_for(&scene, CATCH_UP).await;
             for line in &mut lines {
@@ -147,7 +147,7 @@
 async fn turns_go_on_without_any_one_store() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut line = line_of(&scene, 2).await;
-    for store in places(&scene, Role::Store) {
+    for store in machines_of(&scene, Role::Store) {
         scene.system.machine(store).kill();
         go_on_within(&scene, &mut line, &format!("without {store}"), ORDER_LIMIT).await;
         let mut new = line_of(&scene, 1).await;
@@ -162,7 +162,7 @@
 async fn a_frozen_core_member_delays_nothing_for_long() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut version = 1;
-    for member in places(&scene, Role::Core) {
+    for member in machines_of(&scene, Role::Core) {
         scene.system.machine(member).freeze().unwrap();
         let front = scene.system.front(member);
         let others: Vec<_> = scene
--- a/crates/serving/dunespur/tests/orders.rs
+++ b/crates/serving/dunespur/tests/orders.rs
@@ -46,11 +46,14 @@
 }
 
 /// Every gateway answers with this status before the time for it is over.
-async fn everywhere(scene: &Scene, ask: &Ask, status: u16) {
+async fn everywhere(scene: &Scene, request: &Ask, status: u16) {
     let until = Instant::now() + APPLY;
     for index in scene.system.places(|plan| plan.role != Role::Store) {
         loop {
-            let served = scene.client.send_to(scene.system.front(index), ask).await;
+            let served = scene
+                .client
+                .send_to(scene.system.front(index), request)
+                .await;
             if served.status() == Some(status) {
                 break;
             }
@@ -62,12 +65,12 @@
 #[tokio::test]
 async fn a_patch_is_in_force_at_all_gateways_in_time() {
     let mut scene = stage(ScenePlan::default()).await;
-    let ask = Ask::get(HOST, "/added/x");
-    everywhere(&scene, &ask, 404).await;
+    let request = Ask::get(HOST, "/added/x");
+    everywhere(&scene, &request, 404).await;
     change(&mut scene, 1, 4, &[added()], &[]).await;
-    everywhere(&scene, &ask, 200).await;
+    everywhere(&scene, &request, 200).await;
     change(&mut scene, 4, 9, &[], &["added"]).await;
-    everywhere(&scene, &ask, 404).await;
+    everywhere(&scene, &request, 404).await;
     expect_no_violation(&scene);
 }
 
@@ -179,12 +182,12 @@
     for wanted in ["nobody", "timeout_ms"] {
         assert!(text.contains(wanted), "{wanted} is not told: {text}");
     }
-    let cut = scene
+    let truncated = scene
         .operator
         .send_raw("/api/config/patch", 1, "{\"generation\":5,", ORDER_LIMIT)
         .await
         .unwrap();
-    assert_eq!(cut.status, 400);
+    assert_eq!(truncated.status, 400);
     let not_above = patch(1, &[added()], &[]);
     let answer = scene
         .operator
@@ -198,18 +201,18 @@
 #[tokio::test]
 async fn a_configuration_is_read_back_as_submitted_with_unknown_fields() {
     let mut scene = stage(ScenePlan::default()).await;
-    let mut whole = scene.plan.configuration.json();
-    whole["generation"] = json!(3);
-    whole["notes"] = json!({ "by": "operator", "numbers": [1, 2.5, 1e30] });
-    whole["routes"][0]["colour"] = json!("blue");
+    let mut complete = scene.plan.configuration.json();
+    complete["generation"] = json!(3);
+    complete["notes"] = json!({ "by": "operator", "numbers": [1, 2.5, 1e30] });
+    complete["routes"][0]["colour"] = json!("blue");
     let answer = scene
         .operator
-        .replace(1, &whole, ORDER_LIMIT)
+        .replace(1, &complete, ORDER_LIMIT)
         .await
         .unwrap();
     assert_eq!(answer.status, 200);
     for _ in scene.system.controls() {
-        assert_eq!(current(&mut scene).await, whole);
+        assert_eq!(current(&mut scene).await, complete);
     }
 }
 
--- a/crates/serving/dunespur/tests/quiet.rs
+++ b/crates/serving/dunespur/tests/quiet.rs
@@ -123,7 +123,7 @@
 async fn a_mutating_request_runs_once_though_its_response_is_lost() {
     use dunespur_emulator::server::Trouble;
     let scene = stage(ScenePlan::default()).await;
-    let ask = Ask::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once");
+    let request = Ask::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once");
     for trouble in [
         Trouble::AnswerLost,
         Trouble::Garble,
@@ -135,7 +135,7 @@
             plain.server.door.troubles.once(trouble);
         }
         for _ in 0..6 {
-            let served = scene.client.send(&ask).await;
+            let served = scene.client.send(&request).await;
             let runs = scene.record.sightings_of(served.request);
             let ran = runs
                 .iter()
--- a/crates/serving/dunespur/tests/replacing.rs
+++ b/crates/serving/dunespur/tests/replacing.rs
@@ -7,7 +7,7 @@
 use dunespur_emulator::system::{MachinePlan, Role};
 use support::disk::with_standstills_apart;
 use support::{
-    expect_no_violation, go_on, go_on_within, line_of, places, programs_for, stage, CATCH_UP,
+    expect_no_violation, go_on, go_on_within, line_of, machines_of, programs_for, stage, CATCH_UP,
     RECOVERY,
 };
 
@@ -18,7 +18,7 @@
     for _ in 0..12 {
         lines.push(line_of(&scene, 2).await);
     }
-    let stores = places(&scene, Role::Store);
+    let stores = machines_of(&scene, Role::Store);
     for (round, store) in stores.iter().enumerate() {
         let zone = scene.system.machines()[*store].plan().zone.clone();
         scene.system.machine(*store).kill();
@@ -42,7 +42,7 @@
         for _ in 0..12 {
             lines.push(line_of(&scene, 2).await);
         }
-        let stores = places(&scene, Role::Store);
+        let stores = machines_of(&scene, Role::Store);
         let zone = scene.system.machines()[stores[0]].plan().zone.clone();
         scene.system.machine(stores[0]).kill();
         scene
--- a/crates/serving/dunespur/tests/seeds.rs
+++ b/crates/serving/dunespur/tests/seeds.rs
@@ -6,7 +6,7 @@
 use dunespur_emulator::client::{Ask, Kind};
 use dunespur_emulator::scene::{ScenePlan, HOST, RECORD};
 use dunespur_emulator::system::{MachinePlan, Role};
-use support::{expect_no_violation, go_on_within, line_of, lookup, places, stage, RECOVERY};
+use support::{expect_no_violation, go_on_within, line_of, lookup, machines_of, stage, RECOVERY};
 use tokio::time::Instant;
 
 /// After all processes were killed a machine without a disk knows only its seeds. Where these have no disk either and
@@ -17,7 +17,7 @@
     plan.machines
         .push(MachinePlan::new(Role::Gateway, "zone-b"));
     let mut scene = stage(plan).await;
-    let gateways = places(&scene, Role::Gateway);
+    let gateways = machines_of(&scene, Role::Gateway);
     assert!(gateways.len() >= 2, "gateways without a disk");
     let seeds = gateways
         .iter()
@@ -45,8 +45,8 @@
 async fn a_gateway_without_a_configuration_rejects_nothing_for_good() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut line = line_of(&scene, 1).await;
-    let gateway = places(&scene, Role::Gateway)[0];
-    for core in places(&scene, Role::Core) {
+    let gateway = machines_of(&scene, Role::Gateway)[0];
+    for core in machines_of(&scene, Role::Core) {
         scene.system.machine(core).kill();
     }
     scene.system.machine(gateway).kill();
@@ -73,7 +73,7 @@
         }
         assert_eq!(status, Some(503), "{}", ask.target);
     }
-    for core in places(&scene, Role::Core) {
+    for core in machines_of(&scene, Role::Core) {
         scene.system.restart(core).unwrap();
     }
     scene.settle().await.unwrap();
--- a/crates/serving/dunespur/tests/servers.rs
+++ b/crates/serving/dunespur/tests/servers.rs
@@ -31,18 +31,18 @@
 }
 
 /// A turn that one of the engines holds, and which one that is.
-async fn held_turn(scene: &Scene) -> (usize, JoinHandle<Served>) {
+async fn waiting_turn(scene: &Scene) -> (usize, JoinHandle<Served>) {
     scene
         .engines
         .iter()
         .for_each(|engine| engine.server.gate.hold());
-    let ask = Ask {
+    let request = Ask {
         deadline_ms: PATIENCE_MS,
         pause_ms: PATIENCE_MS,
         ..scene.turn_ask()
     };
     let client = scene.client.clone();
-    let turn = tokio::spawn(async move { client.send(&ask).await });
+    let turn = tokio::spawn(async move { client.send(&request).await });
     (engine_of_a_turn(scene).await, turn)
 }
 
@@ -56,17 +56,17 @@
 
 /// Serves turns until long after it was acknowledged that this engine is not to get any more, and sees that it gets
 /// none by then.
-async fn others_serve(scene: &Scene, holder: usize) {
-    scene.engines[1 - holder].server.gate.open();
+async fn others_serve(scene: &Scene, engine_with_turn: usize) {
+    scene.engines[1 - engine_with_turn].server.gate.open();
     programs_for(scene, DRAIN).await;
-    let before = seen_at(scene, &scene.engines[holder]);
+    let before = seen_at(scene, &scene.engines[engine_with_turn]);
     programs_for(scene, DRAIN / 4).await;
-    assert_eq!(seen_at(scene, &scene.engines[holder]), before);
+    assert_eq!(seen_at(scene, &scene.engines[engine_with_turn]), before);
 }
 
 /// The engine lets go of the turn that it held, which ends whole.
-async fn ends_whole(scene: &Scene, holder: usize, turn: JoinHandle<Served>) {
-    scene.engines[holder].server.gate.open();
+async fn completes(scene: &Scene, engine_with_turn: usize, turn: JoinHandle<Served>) {
+    scene.engines[engine_with_turn].server.gate.open();
     let served = turn.await.unwrap();
     assert!(served.succeeded() && served.tries == 1, "{served:?}");
     expect_no_violation(scene);
@@ -75,25 +75,25 @@
 #[tokio::test]
 async fn a_server_that_leaves_without_draining_completes_what_it_has_and_gets_nothing_new() {
     let scene = patient_stage().await;
-    let (holder, turn) = held_turn(&scene).await;
-    let leaving = &scene.engines[holder].registration;
+    let (engine_with_turn, turn) = waiting_turn(&scene).await;
+    let leaving = &scene.engines[engine_with_turn].registration;
     leaving.leave().await;
     for control in scene.system.controls() {
         // Heartbeats of before that come seconds late.
         leaving.stray(control, 1, false).await;
         leaving.stray(control, 1_000, false).await;
     }
-    others_serve(&scene, holder).await;
-    ends_whole(&scene, holder, turn).await;
+    others_serve(&scene, engine_with_turn).await;
+    completes(&scene, engine_with_turn, turn).await;
 }
 
 #[tokio::test]
 async fn a_server_that_drains_for_seconds_beyond_the_bound_completes_what_it_has() {
     let scene = patient_stage().await;
-    let (holder, turn) = held_turn(&scene).await;
-    scene.engines[holder].registration.drain().await;
-    others_serve(&scene, holder).await;
-    ends_whole(&scene, holder, turn).await;
+    let (engine_with_turn, turn) = waiting_turn(&scene).await;
+    scene.engines[engine_with_turn].registration.drain().await;
+    others_serve(&scene, engine_with_turn).await;
+    completes(&scene, engine_with_turn, turn).await;
 }
 
 #[tokio::test]
@@ -183,15 +183,15 @@
     for plain in &scene.plains {
         plain.server.gate.hold();
     }
-    let places: usize = scene.plains.len() * (scene.plan.plain_slots as usize);
-    let mut held = tokio::task::JoinSet::new();
-    for _ in 0..4 * places {
+    let slots: usize = scene.plains.len() * (scene.plan.plain_slots as usize);
+    let mut waiting = tokio::task::JoinSet::new();
+    for _ in 0..4 * slots {
         let client = scene.client.clone();
-        let ask = Ask {
+        let request = Ask {
             deadline_ms: 2_000,
             ..record()
         };
-        held.spawn(async move { client.send(&ask).await });
+        waiting.spawn(async move { client.send(&request).await });
     }
     for plain in &scene.plains {
         plain
@@ -203,8 +203,8 @@
     for plain in &scene.plains {
         plain.server.gate.open();
     }
-    let served = held.join_all().await;
-    assert!(served.iter().filter(|served| served.succeeded()).count() >= places);
+    let served = waiting.join_all().await;
+    assert!(served.iter().filter(|served| served.succeeded()).count() >= slots);
     let clear = |status: Option<u16>| matches!(status, Some(200 | 429 | 503));
     assert!(
         served.iter().all(|served| clear(served.status())),
--- a/crates/serving/dunespur/tests/status.rs
+++ b/crates/serving/dunespur/tests/status.rs
@@ -10,14 +10,14 @@
 use serde_json::{json, Value};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::{Command, Output, Stdio};
-use support::{line_of, places, program, stage};
+use support::{line_of, machines_of, program, stage};
 use tokio::time::Instant;
 
 const ANSWERED: i32 = 0;
 const NO_ANSWER: i32 = 1;
 
 /// What `dunespur status` says. Servers and clients of the scene go on meanwhile.
-async fn ask(address: SocketAddr, arguments: &[&str]) -> Output {
+async fn query(address: SocketAddr, arguments: &[&str]) -> Output {
     let mut command = Command::new(program());
     command
         .env_clear()
@@ -38,7 +38,7 @@
 }
 
 async fn json_of(address: SocketAddr, arguments: &[&str]) -> Value {
-    let output = ask(address, &[&["--json"], arguments].concat()).await;
+    let output = query(address, &[&["--json"], arguments].concat()).await;
     assert_eq!(
         output.status.code(),
         Some(ANSWERED),
@@ -65,7 +65,7 @@
 }
 
 async fn table_of(address: SocketAddr) -> String {
-    let output = ask(address, &[]).await;
+    let output = query(address, &[]).await;
     assert_eq!(
         output.status.code(),
         Some(ANSWERED),
@@ -87,8 +87,9 @@
     }
 }
 
-fn names(list: &Value, field: &str) -> Vec<String> {
-    list.as_array()
+fn names(items: &Value, field: &str) -> Vec<String> {
+    items
+        .as_array()
         .unwrap()
         .iter()
         .map(|item| item[field].as_str().unwrap().to_owned())
@@ -104,12 +105,12 @@
             End::Finished
         );
     }
-    let cores = places(&scene, Role::Core);
+    let cores = machines_of(&scene, Role::Core);
     let core_names: Vec<&str> = cores
         .iter()
         .map(|place| scene.system.machines()[*place].name())
         .collect();
-    let stores = places(&scene, Role::Store);
+    let stores = machines_of(&scene, Role::Store);
     let mut requests = 0;
     for place in 0..scene.system.machines().len() {
         let machine = &scene.system.machines()[place];
@@ -157,33 +158,33 @@
         let status = json_that(internal(&scene, place), &[], serves_all).await;
         requests += status["front"]["requests"].as_u64().unwrap();
     }
-    let sent = 2 * u64::from(usual_program().turns);
-    assert!(requests >= sent, "{requests}");
+    let request_in_flight = 2 * u64::from(usual_program().turns);
+    assert!(requests >= request_in_flight, "{requests}");
     for place in cores {
-        let holds_all = |status: &Value| {
+        let has_all = |status: &Value| {
             let leases = names(&status["core"]["leases"], "holder").len();
             status["core"]["follows"] == true && leases >= scene.servers().count() + stores.len()
         };
-        let status = json_that(internal(&scene, place), &[], holds_all).await;
+        let status = json_that(internal(&scene, place), &[], has_all).await;
         assert!(status["core"]["committed"].as_u64().unwrap() > 0);
         assert!(status["core"]["disk"]["done"].as_u64().unwrap() > 0);
     }
-    let mut kept = 0;
+    let mut persisted = 0;
     for place in stores {
-        kept += json_of(internal(&scene, place), &[]).await["turns"]["turns"]
+        persisted += json_of(internal(&scene, place), &[]).await["turns"]["turns"]
             .as_u64()
             .unwrap();
     }
     assert!(
-        kept >= sent * (u64::from(scene.plan.tolerated_losses) + 1),
-        "{kept}"
+        persisted >= request_in_flight * (u64::from(scene.plan.tolerated_losses) + 1),
+        "{persisted}"
     );
 }
 
 #[tokio::test]
 async fn tables_name_what_there_is() {
     let scene = stage(ScenePlan::default()).await;
-    let core = places(&scene, Role::Core)[0];
+    let core = machines_of(&scene, Role::Core)[0];
     let mut wanted = vec![
         "in contact",
         "front: ready",
@@ -198,7 +199,7 @@
             .map(|server| server.identity.instance.as_str()),
     );
     table_with(internal(&scene, core), &wanted).await;
-    let store = places(&scene, Role::Store)[0];
+    let store = machines_of(&scene, Role::Store)[0];
     table_with(internal(&scene, store), &["turns: ", "in contact"]).await;
 }
 
@@ -207,14 +208,14 @@
     let scene = stage(ScenePlan::default()).await;
     let line = line_of(&scene, 1).await;
     let name = line.program().to_owned();
-    let core = places(&scene, Role::Core)[0];
+    let core = machines_of(&scene, Role::Core)[0];
     let counted = |status: &Value| {
         let of_program = |field: &str| status["program"][field].as_u64().unwrap();
         of_program("used") + of_program("held") > 0
     };
     let status = json_that(internal(&scene, core), &["--program", &name], counted).await;
     assert_eq!(status["program"]["name"], *name);
-    let gateway = places(&scene, Role::Gateway)[0];
+    let gateway = machines_of(&scene, Role::Gateway)[0];
     let status = json_of(internal(&scene, gateway), &["--program", &name]).await;
     assert!(
         status["program"]["held_here"].is_u64() && status["program"]["used"].is_null(),
@@ -246,7 +247,7 @@
 #[tokio::test]
 async fn no_answer_is_exit_code_1() {
     let nobody = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 255, 255, 1)), 1);
-    let output = ask(nobody, &[]).await;
+    let output = query(nobody, &[]).await;
     assert_eq!(output.status.code(), Some(NO_ANSWER));
     assert!(String::from_utf8_lossy(&output.stderr).starts_with(&nobody.to_string()));
 }
--- a/crates/serving/dunespur/tests/support/mod.rs
+++ b/crates/serving/dunespur/tests/support/mod.rs
@@ -31,7 +31,7 @@
 /// A scene with its place among those that run at once.
 pub struct Stage {
     scene: Scene,
-    _place: SemaphorePermit<'static>,
+    _permit: SemaphorePermit<'static>,
 }
 
 impl Deref for Stage {
@@ -60,30 +60,30 @@
 
 /// A scene of this program that serves.
 pub async fn stage_of(program: &Path, plan: ScenePlan) -> Stage {
-    let place = SCENES.acquire().await.expect("never closed");
+    let permit = SCENES.acquire().await.expect("never closed");
     let scene = Scene::start(program, plan)
         .await
         .unwrap_or_else(|error| panic!("{error:#}"));
     Stage {
         scene,
-        _place: place,
+        _permit: permit,
     }
 }
 
 /// A scene whose processes have been started, without any order of the operator.
 pub async fn begin(plan: ScenePlan) -> Stage {
-    let place = SCENES.acquire().await.expect("never closed");
+    let permit = SCENES.acquire().await.expect("never closed");
     let scene = Scene::begin(&program(), plan)
         .await
         .unwrap_or_else(|error| panic!("{error:#}"));
     Stage {
         scene,
-        _place: place,
+        _permit: permit,
     }
 }
 
 /// Places of machines of a role.
-pub fn places(scene: &Scene, role: Role) -> Vec<usize> {
+pub fn machines_of(scene: &Scene, role: Role) -> Vec<usize> {
     scene.system.places(|plan| plan.role == role)
 }
 
--- a/crates/serving/dunespur/tests/unreadable.rs
+++ b/crates/serving/dunespur/tests/unreadable.rs
@@ -8,14 +8,14 @@
 use std::fs::{self, OpenOptions};
 use std::path::{Path, PathBuf};
 use support::{
-    add_route, expect_no_violation, generation, go_on, line_of, places, programs_for, stage,
+    add_route, expect_no_violation, generation, go_on, line_of, machines_of, programs_for, stage,
     CATCH_UP,
 };
 
 const CORE_FILE: &str = "core.redb";
 const TURNS_FILE: &str = "turns.redb";
 
-fn cut_short(path: &Path) {
+fn truncate(path: &Path) {
     let file = OpenOptions::new().write(true).open(path).unwrap();
     let length = file.metadata().unwrap().len();
     file.set_len(length / 2).unwrap();
@@ -32,7 +32,7 @@
     fs::write(path, "no database").unwrap();
 }
 
-const SPOILERS: [fn(&Path); 3] = [cut_short, spoil_header, replace_by_text];
+const SPOILERS: [fn(&Path); 3] = [truncate, spoil_header, replace_by_text];
 
 /// Kills a machine, spoils its file, and starts it again.
 fn spoil(scene: &mut Scene, machine: usize, name: &str, spoiler: fn(&Path)) -> PathBuf {
@@ -46,12 +46,12 @@
 /// The machine runs, has said why, and holds one file that was set aside.
 fn expect_set_aside(scene: &Scene, machine: usize, path: &Path) {
     let machine = &scene.system.machines()[machine];
-    let said = machine
+    let reports = machine
         .log()
         .lines()
         .filter(|line| line.contains("is set aside as"))
         .count();
-    assert_eq!(said, 1, "{}", machine.log_tail());
+    assert_eq!(reports, 1, "{}", machine.log_tail());
     assert!(path.with_extension("unreadable").exists() && path.exists());
 }
 
@@ -59,7 +59,7 @@
 async fn core_members_with_spoilt_files_come_back_one_after_the_other() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut version = 1;
-    for (member, spoiler) in places(&scene, Role::Core).into_iter().zip(SPOILERS) {
+    for (member, spoiler) in machines_of(&scene, Role::Core).into_iter().zip(SPOILERS) {
         version = add_route(&mut scene, version).await;
         let path = spoil(&mut scene, member, CORE_FILE, spoiler);
         programs_for(&scene, CATCH_UP).await;
@@ -79,7 +79,7 @@
     for _ in 0..8 {
         lines.push(line_of(&scene, 3).await);
     }
-    for (store, spoiler) in places(&scene, Role::Store).into_iter().zip(SPOILERS) {
+    for (store, spoiler) in machines_of(&scene, Role::Store).into_iter().zip(SPOILERS) {
         let path = spoil(&mut scene, store, TURNS_FILE, spoiler);
         programs_for(&scene, CATCH_UP).await;
         expect_set_aside(&scene, store, &path);
