--- a/crates/serving/dunespur/src/budgets.rs
+++ b/crates/serving/dunespur/src/budgets.rs
@@ -10,6 +10,7 @@
 use dunespur_proxy::{AdmissionDecision, AdmissionRequest, TurnKey};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
+use std::future::Future;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::sync::{oneshot, Notify};
@@ -19,7 +20,7 @@
 /// The core gets so long for one request; the lease table sends it again.
 const COUNTER_TIMEOUT: Duration = Duration::from_millis(900);
 /// When a turn may come back that could not be decided on, in milliseconds.
-const SILENT_RETRY_MS: u64 = 300;
+const UNDECIDED_RETRY_MS: u64 = 300;
 
 /// The budgets of programs that are active on this gateway.
 pub struct Budgets {
@@ -64,11 +65,11 @@
         self.rescheduled.notify_one();
         let admission = match admission {
             Admission::Request(request) => {
-                let verdict = self.await_verdict(turn);
+                let decision = self.await_decision(turn);
                 drop(self.exchange(request));
-                verdict.await
+                decision.await
             }
-            Admission::Waiting => self.await_verdict(turn).await,
+            Admission::Waiting => self.await_decision(turn).await,
             decided => decided,
         };
         match admission {
@@ -78,26 +79,26 @@
                 AdmissionDecision::RetryLater { retry_after_ms }
             }
             _ => AdmissionDecision::RetryLater {
-                retry_after_ms: SILENT_RETRY_MS,
+                retry_after_ms: UNDECIDED_RETRY_MS,
             },
         }
     }
 
     /// The decision on a turn that waits. A future that is dropped before it is ready takes the turn out.
-    fn await_verdict(&self, turn: u64) -> impl std::future::Future<Output = Admission> + '_ {
-        let (sender, verdict) = oneshot::channel();
+    fn await_decision(&self, turn: u64) -> impl Future<Output = Admission> + '_ {
+        let (sender, decision) = oneshot::channel();
         self.waiting.borrow_mut().insert(turn, sender);
-        let left = WaitingTurn {
+        let waiting = WaitingTurn {
             budgets: self,
             turn,
             decided: false,
         };
         async move {
-            let mut left = left;
-            let admission = verdict
+            let mut waiting = waiting;
+            let admission = decision
                 .await
                 .unwrap_or(Admission::Rejected(Rejection::CounterTimeout));
-            left.decided = true;
+            waiting.decided = true;
             admission
         }
     }
@@ -116,7 +117,7 @@
     }
 
     /// Tokens of a turn that are about to be sent to its client.
-    pub fn used(&self, turn: TurnKey, tokens: u64) {
+    pub fn record_tokens(&self, turn: TurnKey, tokens: u64) {
         self.leases.borrow_mut().record_use(turn.0, tokens);
     }
 
@@ -177,12 +178,13 @@
             match admission {
                 Admission::Request(request) => drop(self.exchange(request)),
                 Admission::Waiting => {}
-                decided => self.decided(turn, decided),
+                decided => self.complete(turn, decided),
             }
         }
     }
 
-    fn decided(&self, turn: u64, admission: Admission) {
+    /// Sends its decision to a turn; one whose client is disconnected has ended.
+    fn complete(&self, turn: u64, admission: Admission) {
         let waiting = self.waiting.borrow_mut().remove(&turn);
         let Some(sender) = waiting else { return };
         if sender.send(admission).is_err() {
@@ -190,7 +192,8 @@
         }
     }
 
-    fn due(&self) {
+    /// Sends the requests that are due.
+    fn handle_timeout(&self) {
         let (requests, outcomes) = {
             let mut leases = self.leases.borrow_mut();
             let requests = leases.handle_timeout(self.clock.now());
@@ -225,7 +228,7 @@
         match due {
             Some(due) => {
                 tokio::select! {
-                    () = sleep_until(budgets.clock.instant(due).into()) => budgets.due(),
+                    () = sleep_until(budgets.clock.instant(due).into()) => budgets.handle_timeout(),
                     () = budgets.rescheduled.notified() => {}
                 }
             }
--- a/crates/serving/dunespur/src/check.rs
+++ b/crates/serving/dunespur/src/check.rs
@@ -1,5 +1,5 @@
 //! `dunespur check`: whether a settings file or an operator's configuration can be used. Judges by the very code
-//! that a process runs at its start, and that the core runs on an order.
+//! that a process runs at its start, and that the core runs on a submitted configuration.
 
 use crate::settings::{Role, Settings};
 use dunespur_configuration::{Document, Findings};
@@ -19,7 +19,9 @@
 /// What a file contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// Settings of a process.
     Settings,
+    /// A configuration of the operator.
     Configuration,
 }
 
@@ -32,7 +34,7 @@
     }
 }
 
-/// What is to be checked.
+/// Which file is checked, and as what.
 #[derive(Clone, Debug)]
 pub struct Check {
     /// Its path; `-` for standard input.
@@ -59,7 +61,7 @@
         );
         return ExitCode::from(UNREADABLE);
     };
-    match judge(&bytes, kind, check.role) {
+    match summary(&bytes, kind, check.role) {
         Ok(summary) => {
             println!("{name}: {summary}");
             ExitCode::SUCCESS
@@ -98,12 +100,12 @@
 }
 
 /// The summary of a file that can be used.
-fn judge(bytes: &[u8], kind: Kind, role: Option<Role>) -> Result<String, Findings> {
-    let what = match kind {
+fn summary(bytes: &[u8], kind: Kind, role: Option<Role>) -> Result<String, Findings> {
+    let subject = match kind {
         Kind::Settings => format!("{} of {}", kind.name(), Settings::parse(bytes, role)?.node),
         Kind::Configuration => {
             format!("{} {}", kind.name(), Document::replace(bytes)?.generation())
         }
     };
-    Ok(format!("{what}, no findings"))
+    Ok(format!("{subject}, no findings"))
 }
--- a/crates/serving/dunespur/src/core_membership.rs
+++ b/crates/serving/dunespur/src/core_membership.rs
@@ -1,4 +1,4 @@
-//! How a machine with a disk becomes a member of the core: by the first view, by joining a standing one, or by its
+//! How a machine with a disk becomes a member of the core: by the first view, by joining an existing one, or by its
 //! disk, on which it is one already.
 
 use crate::core::Coordinator;
@@ -30,16 +30,16 @@
         if let Some(view) = coordinator.view() {
             directory.learn_view(view);
         }
-        let interval = match standing(&coordinator, &directory) {
-            Standing::Member => {
+        let interval = match relation(&coordinator, &directory) {
+            ViewRelation::Member => {
                 announce(&coordinator, &directory, &mut next_announced);
                 MEMBERSHIP_CHECK_INTERVAL
             }
-            Standing::Outside(contacts) => {
+            ViewRelation::Outside(contacts) => {
                 coordinator.join(contacts);
                 MEMBERSHIP_CHECK_INTERVAL
             }
-            Standing::Alone => {
+            ViewRelation::Unknown => {
                 find_view(&coordinator, &directory, &settings).await;
                 JOIN_RETRY_DELAY
             }
@@ -63,24 +63,25 @@
     *next = next.wrapping_add(count);
 }
 
-/// Where this machine stands to the newest view it knows of.
-enum Standing {
+/// How this machine relates to the newest view that it knows.
+enum ViewRelation {
+    /// It is a member.
     Member,
     /// A view without this machine; addresses of its members.
     Outside(Vec<SocketAddr>),
     /// No view is known.
-    Alone,
+    Unknown,
 }
 
-fn standing(coordinator: &Coordinator, directory: &Directory) -> Standing {
+fn relation(coordinator: &Coordinator, directory: &Directory) -> ViewRelation {
     let Some(view) = directory.view() else {
-        return Standing::Alone;
+        return ViewRelation::Unknown;
     };
     let own = coordinator.peer();
     if view.members.iter().any(|peer| peer.id == own.id) && coordinator.view().is_some() {
-        return Standing::Member;
+        return ViewRelation::Member;
     }
-    Standing::Outside(view.members.iter().map(|peer| peer.address).collect())
+    ViewRelation::Outside(view.members.iter().map(|peer| peer.address).collect())
 }
 
 /// Queries the seeds for a view; at the first start of the system also applies to the founder as a member of the first
--- a/crates/serving/dunespur/src/data_plane.rs
+++ b/crates/serving/dunespur/src/data_plane.rs
@@ -1,4 +1,4 @@
-//! The data plane's side of a gateway: answers what a [`ProxyServer`](dunespur_proxy::ProxyServer) asks of its node.
+//! The data plane's side of a gateway: the [`Node`] of its [`ProxyServer`](dunespur_proxy::ProxyServer).
 
 use crate::budgets::Budgets;
 use crate::clock::Clock;
@@ -53,7 +53,7 @@
         let weak = Rc::downgrade(&data_plane);
         directory.on_change(Box::new(move |changed| {
             if let Some(data_plane) = weak.upgrade() {
-                data_plane.changed(changed);
+                data_plane.apply_changes(changed);
             }
         }));
         data_plane
@@ -74,7 +74,7 @@
         self.balancer.borrow().load_reports()
     }
 
-    fn changed(&self, changed: StateChanges) {
+    fn apply_changes(&self, changed: StateChanges) {
         if changed.gateways {
             self.load_exchange.gateways_changed();
         }
@@ -94,7 +94,7 @@
     }
 }
 
-/// A server as the choice sees it; what its service is comes from the configuration.
+/// A server as the balancer sees it; what its service is comes from the configuration.
 fn server(report: &ServerReport, table: Option<&Table>) -> Server {
     let service = table.and_then(|table| table.service(&report.backend));
     let engine = service
@@ -166,20 +166,20 @@
 
     async fn admit(&self, turn: AdmissionRequest<'_>) -> AdmissionDecision {
         let stopwatch = Stopwatch::start(self.clock);
-        let verdict = self.budgets.reserve(turn).await;
+        let decision = self.budgets.reserve(turn).await;
         if let Some(waited_ms) = stopwatch.took_ms() {
             request_events::budget(
                 &turn,
-                &verdict,
+                &decision,
                 self.budgets.leased(turn.program),
                 waited_ms,
             );
         }
-        verdict
+        decision
     }
 
     fn record_tokens(&self, turn: TurnKey, tokens: u64) {
-        self.budgets.used(turn, tokens);
+        self.budgets.record_tokens(turn, tokens);
     }
 
     fn release(&self, turn: TurnKey) {
--- a/crates/serving/dunespur/src/founding.rs
+++ b/crates/serving/dunespur/src/founding.rs
@@ -13,7 +13,7 @@
 /// Fewer candidates don't make a first view: a founder that was restarted may get calls of a late one only.
 const MIN_CANDIDATES: usize = 2;
 /// After this time, in milliseconds, one candidate is enough: a system of one machine.
-const ALONE_MS: u64 = 6_000;
+const SINGLE_CANDIDATE_MS: u64 = 6_000;
 /// Number of the first view.
 const FIRST_VIEW: u64 = 1;
 /// Members of the first view.
@@ -22,10 +22,14 @@
 /// What the founder knows. It sends the first view to the chain's head alone, which tells the others once the view is
 /// on its disk: a founder that restarts and forgets can't give two of them different first views.
 pub enum Founding {
+    /// The first view is not decided yet.
     Collecting {
+        /// The start, in steady milliseconds.
         since: u64,
+        /// By address, in which order they stand in the chain.
         candidates: BTreeMap<SocketAddr, Peer>,
     },
+    /// The first view, or a later one that this process has learnt.
     Founded(View),
 }
 
@@ -67,7 +71,7 @@
         candidates.insert(peer.address, peer.clone());
         let waited = now.saturating_sub(*since);
         let enough = candidates.len() >= MIN_CANDIDATES && waited >= COLLECT_MS;
-        if enough || waited >= ALONE_MS {
+        if enough || waited >= SINGLE_CANDIDATE_MS {
             let members: Vec<Peer> = candidates.values().take(MAX_MEMBERS).cloned().collect();
             let chain = members.iter().map(|member| member.id.clone()).collect();
             *self = Founding::Founded(View {
--- a/crates/serving/dunespur/src/load_exchange.rs
+++ b/crates/serving/dunespur/src/load_exchange.rs
@@ -1,5 +1,5 @@
-//! Exchange of service loads: carries the reports of [`LoadDistribution`] to other gateways, and brings the loads of the others to the
-//! choice of servers.
+//! Exchange of service loads: carries the reports of [`LoadDistribution`] to other gateways, and brings the loads of
+//! the others to the balancer.
 //!
 //! Nothing is done while no request is in flight here and no other gateway reports.
 
@@ -61,7 +61,7 @@
         self.active.notify_one();
     }
 
-    /// The core's list of gateways has changed.
+    /// The core knows other gateways than before.
     pub fn gateways_changed(&self) {
         let gateways = self
             .directory
@@ -155,8 +155,8 @@
 
     async fn call(self: Rc<Self>, call: Call) {
         let payload = encode(&Request::Home(call.report));
-        let limit = Duration::from_millis(REPORT_TIMEOUT_MS);
-        let reply = self.directory.call(call.address, payload, limit).await;
+        let timeout = Duration::from_millis(REPORT_TIMEOUT_MS);
+        let reply = self.directory.call(call.address, payload, timeout).await;
         let now = self.clock.now();
         match reply {
             Ok(Reply::Home(update)) => {
@@ -173,7 +173,7 @@
         self.rescheduled.notify_one();
     }
 
-    /// Passes on to the choice of servers what the other gateways have in flight.
+    /// Passes on to the balancer what the other gateways have in flight.
     fn apply_updates(&self) {
         let remote = self.distribution.borrow_mut().take_remote_loads();
         for remote in remote {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Passes on to the choice of servers at which of them other gateways see faults.
+    /// Passes on to the balancer at which servers other gateways see faults.
     fn apply_fault_hints(&self, remote: &RemoteLoads) {
         let known = self.directory.known();
         let servers = known
--- a/crates/serving/dunespur/src/service.rs
+++ b/crates/serving/dunespur/src/service.rs
@@ -45,7 +45,7 @@
                 Reply::View(None)
             }
             Request::Candidate { peer } => self.candidate(peer),
-            Request::Home(ask) => Reply::Home(self.load_exchange.receive_report(&ask)),
+            Request::Home(report) => Reply::Home(self.load_exchange.receive_report(&report)),
             Request::Status { program } => {
                 Reply::Status(self.status.status(program.as_deref()).to_json())
             }
@@ -87,8 +87,8 @@
         Request::ReadConfiguration => coordinator.read_configuration().await,
         Request::ReadRetirement { node } => coordinator.read_retirement(&node).await,
         Request::Watch(request) => coordinator.watch(request).await,
-        Request::LeaseRenewals(heard) => {
-            coordinator.receive_renewals(&heard);
+        Request::LeaseRenewals(renewals) => {
+            coordinator.receive_renewals(&renewals);
             Reply::View(None)
         }
         Request::Hello
--- a/crates/serving/dunespur/src/signals.rs
+++ b/crates/serving/dunespur/src/signals.rs
@@ -13,6 +13,10 @@
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Waits for SIGTERM or SIGINT.
+///
+/// # Errors
+///
+/// If their handlers can't be installed.
 pub async fn termination_requested() -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
@@ -39,7 +43,7 @@
         }
         match Settings::read(&path, role) {
             Ok(settings) => directory.set_seeds(settings.seed_addresses()),
-            Err(error) => log::error!("the settings are not taken: {error}"),
+            Err(error) => log::error!("the settings can't be used: {error}"),
         }
     }
 }
--- a/crates/serving/dunespur/src/status_collection.rs
+++ b/crates/serving/dunespur/src/status_collection.rs
@@ -17,10 +17,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// Items of each list; guards against an answer that takes more memory than the rest of the process.
+/// Items of each array; against an answer that takes more memory than the rest of the process.
 const MAX_LISTED: usize = 4_096;
 
-/// What processes of all roles say.
+/// What processes of all roles report.
 pub fn basics(settings: &Settings, role: Role, directory: &Directory) -> Status {
     Status {
         node: settings.node.clone(),
@@ -38,7 +38,7 @@
     }
 }
 
-/// The parts of a gateway that its status tells of.
+/// The parts of a gateway that its status reports on.
 pub struct GatewayStatus {
     /// The settings of the process.
     pub settings: Settings,
--- a/crates/serving/dunespur/src/store_client.rs
+++ b/crates/serving/dunespur/src/store_client.rs
@@ -20,7 +20,7 @@
 /// A store that has not answered by then has failed.
 const STORE_TIMEOUT: Duration = Duration::from_millis(WRITE_DEADLINE_MS);
 /// When a client may come back whose history could not be read, in milliseconds.
-const UNSURE_RETRY_MS: u64 = 300;
+const HISTORY_RETRY_MS: u64 = 300;
 
 /// A store's answer to one request.
 struct StoreAnswer {
@@ -50,7 +50,7 @@
         let stores = self.stores();
         if stores.is_empty() {
             return History::Unavailable {
-                retry_after_ms: UNSURE_RETRY_MS,
+                retry_after_ms: HISTORY_RETRY_MS,
             };
         }
         let clock = self.directory.clock();
@@ -73,7 +73,7 @@
                 Some(Outcome::Unknown) => return History::Unknown,
                 Some(Outcome::Unsure | Outcome::TooLong) => {
                     return History::Unavailable {
-                        retry_after_ms: UNSURE_RETRY_MS,
+                        retry_after_ms: HISTORY_RETRY_MS,
                     };
                 }
                 None => {}
