--- a/crates/serving/configuration/src/document.rs
+++ b/crates/serving/configuration/src/document.rs
@@ -1,14 +1,14 @@
-//! A whole configuration as the operator sent it.
+//! A complete configuration as the operator sent it.
 
-use crate::{patch, place::Place, read, Findings};
+use crate::{location::Location, parser, patch, Findings};
 use serde::{de::Error, Deserialize, Deserializer, Serialize, Serializer};
 use std::{str, sync::Arc};
 
-/// The number of the configuration before the first one.
+/// The generation before the first configuration.
 const NO_GENERATION: u64 = 0;
 
-/// A whole configuration, checked. It is kept as text, so that it is read back as it was sent, every
-/// field and every number included; a copy shares the text.
+/// A complete, validated configuration. It is stored as text, so that it is read back as it was sent, every field and
+/// every number included; clones share the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Document {
     text: Arc<str>,
@@ -17,6 +17,7 @@
 
 impl Document {
     /// The configuration before the first one: nothing in it.
+    #[must_use]
     pub fn empty() -> Document {
         Document {
             text: Arc::from(r#"{"generation":0}"#),
@@ -24,42 +25,57 @@
         }
     }
 
-    /// A whole configuration from the body of an order, if it is valid.
+    /// A complete configuration from the body of a request.
+    ///
+    /// # Errors
+    ///
+    /// The findings, if it is invalid.
     pub fn replace(body: &[u8]) -> Result<Document, Findings> {
-        Document::checked(readable(body)?)
+        Document::validated(to_text(body)?)
     }
 
-    /// A configuration that was taken before, from its text. It is not checked again: what an older version
-    /// of this program has taken stays in force.
-    pub fn taken(text: impl Into<Arc<str>>) -> Result<Document, Findings> {
+    /// A configuration that was accepted before, from its text. It is not validated again: what an older version of
+    /// this program accepted stays in force.
+    ///
+    /// # Errors
+    ///
+    /// The finding, if it is not JSON.
+    pub fn from_accepted(text: impl Into<Arc<str>>) -> Result<Document, Findings> {
         let text = text.into();
-        let generation = read::taken(&text)?.generation;
+        let generation = parser::parse_accepted(&text)?.generation;
         Ok(Document { text, generation })
     }
 
-    /// This configuration with the named items of `body` changed, if what comes out is valid.
+    /// This configuration with the named items of `body` changed.
+    ///
+    /// # Errors
+    ///
+    /// The findings, if the patch or its result is invalid.
     pub fn patch(&self, body: &[u8]) -> Result<Document, Findings> {
-        let text = patch::apply(&self.text, readable(body)?)?;
-        Document::checked(&text)
+        let text = patch::apply(&self.text, to_text(body)?)?;
+        Document::validated(&text)
     }
 
     /// The number that the operator gave to it.
+    #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
     /// The configuration as JSON.
+    #[must_use]
     pub fn to_json(&self) -> String {
         self.text.as_ref().to_owned()
     }
 
     /// The configuration as JSON, shared instead of copied.
+    #[must_use]
     pub fn json(&self) -> &Arc<str> {
         &self.text
     }
 
-    fn checked(text: &str) -> Result<Document, Findings> {
-        let generation = read::checked(text)?;
+    fn validated(text: &str) -> Result<Document, Findings> {
+        let generation = parser::validate(text)?;
         Ok(Document {
             text: Arc::from(text),
             generation,
@@ -67,22 +83,22 @@
     }
 }
 
-/// A document is written as its text.
+/// A document is encoded as its text.
 impl Serialize for Document {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(&self.text)
     }
 }
 
-/// A document that was written was taken before.
+/// An encoded document was accepted before.
 impl<'de> Deserialize<'de> for Document {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Document, D::Error> {
         let text = String::deserialize(deserializer)?;
-        Document::taken(text).map_err(D::Error::custom)
+        Document::from_accepted(text).map_err(D::Error::custom)
     }
 }
 
-fn readable(body: &[u8]) -> Result<&str, Findings> {
+fn to_text(body: &[u8]) -> Result<&str, Findings> {
     str::from_utf8(body)
-        .map_err(|error| Findings::one(Place::Top, format!("can't be read: {error}")))
+        .map_err(|error| Findings::one(Location::Top, format!("can't be read: {error}")))
 }
--- a/crates/serving/configuration/src/fields.rs
+++ b/crates/serving/configuration/src/fields.rs
@@ -1,40 +1,39 @@
-//! The fields of a JSON object, read by name and type; what is wrong becomes a finding.
+//! The fields of a JSON object, parsed by name and type; what is wrong becomes a finding.
 
-use crate::{place::Place, Findings};
+use crate::{location::Location, Findings};
 use serde_json::{Map, Number, Value};
 
-/// The largest whole number up to which every whole number is a floating-point number as well.
+/// The largest integer up to which every integer is a floating-point number as well.
 const MAX_EXACT_FLOAT: f64 = 9_007_199_254_740_992.0;
 
-/// The milliseconds of a second.
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// The fields of the object at a place.
+/// The fields of the object at a location.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a> {
     map: &'a Map<String, Value>,
-    place: &'a Place<'a>,
+    location: &'a Location<'a>,
 }
 
 impl<'a> Fields<'a> {
     /// The fields of `value`, if it is an object.
     pub(crate) fn of(
         value: &'a Value,
-        place: &'a Place<'a>,
+        location: &'a Location<'a>,
         findings: &mut Findings,
     ) -> Option<Fields<'a>> {
         match value {
-            Value::Object(map) => Some(Fields { map, place }),
+            Value::Object(map) => Some(Fields { map, location }),
             _ => {
-                findings.add(place, "is not an object");
+                findings.add(location, "is not an object");
                 None
             }
         }
     }
 
-    /// Where the object stands.
-    pub(crate) fn place(&self) -> &'a Place<'a> {
-        self.place
+    /// The location of the object.
+    pub(crate) fn location(&self) -> &'a Location<'a> {
+        self.location
     }
 
     /// The value of a field. One that is null counts as absent.
@@ -42,127 +41,129 @@
         self.map.get(name).filter(|value| !value.is_null())
     }
 
-    /// A text that may be absent.
-    pub(crate) fn text(&self, name: &str, findings: &mut Findings) -> Option<&'a str> {
+    /// An optional string.
+    pub(crate) fn string(&self, name: &str, findings: &mut Findings) -> Option<&'a str> {
         let value = self.value(name)?;
-        let text = value.as_str();
-        if text.is_none() {
-            findings.add(self.place.field(name), "is not a text");
+        let string = value.as_str();
+        if string.is_none() {
+            findings.add(self.location.field(name), "is not a text");
         }
-        text
+        string
     }
 
-    /// A text that has to be there and hold something.
-    pub(crate) fn needed_text(&self, name: &str, findings: &mut Findings) -> Option<&'a str> {
+    /// A required string that is not empty.
+    pub(crate) fn required_string(&self, name: &str, findings: &mut Findings) -> Option<&'a str> {
         if self.value(name).is_none() {
-            findings.add(self.place.field(name), "is missing");
+            findings.add(self.location.field(name), "is missing");
             return None;
         }
-        let text = self.text(name, findings)?;
-        if text.is_empty() {
-            findings.add(self.place.field(name), "is empty");
+        let string = self.string(name, findings)?;
+        if string.is_empty() {
+            findings.add(self.location.field(name), "is empty");
             return None;
         }
-        Some(text)
+        Some(string)
     }
 
-    /// A flag; false where it is absent.
-    pub(crate) fn flag(&self, name: &str, findings: &mut Findings) -> bool {
+    /// An optional boolean, false by default.
+    pub(crate) fn boolean(&self, name: &str, findings: &mut Findings) -> bool {
         let Some(value) = self.value(name) else {
             return false;
         };
         value.as_bool().unwrap_or_else(|| {
-            findings.add(self.place.field(name), "is neither true nor false");
+            findings.add(self.location.field(name), "is neither true nor false");
             false
         })
     }
 
-    /// A number from 0 up that may be absent.
-    pub(crate) fn amount(&self, name: &str, findings: &mut Findings) -> Option<f64> {
-        let number = self.number(name, findings)?;
-        number.as_f64()
+    /// An optional number of at least 0.
+    pub(crate) fn number(&self, name: &str, findings: &mut Findings) -> Option<f64> {
+        self.json_number(name, findings)?.as_f64()
     }
 
-    /// A number from 0 up that may be absent, as a whole one; a fraction is rounded up, so that a
-    /// number above 0 never becomes 0.
-    pub(crate) fn whole(&self, name: &str, findings: &mut Findings) -> Option<u64> {
-        let number = self.number(name, findings)?;
+    /// An optional number of at least 0, as an integer; a fraction is rounded up, so that a number above 0 never
+    /// becomes 0.
+    pub(crate) fn integer(&self, name: &str, findings: &mut Findings) -> Option<u64> {
+        let number = self.json_number(name, findings)?;
         Some(number.as_u64().unwrap_or_else(|| rounded_up(number)))
     }
 
-    /// As [`Fields::whole`], and what is too large becomes the largest.
+    /// As [`Fields::integer`]; what is too large becomes the largest.
     pub(crate) fn count(&self, name: &str, findings: &mut Findings) -> Option<u32> {
-        let whole = self.whole(name, findings)?;
-        Some(u32::try_from(whole).unwrap_or(u32::MAX))
+        let integer = self.integer(name, findings)?;
+        Some(u32::try_from(integer).unwrap_or(u32::MAX))
     }
 
-    /// As [`Fields::whole`], for a number that has to be there.
-    pub(crate) fn needed_whole(&self, name: &str, findings: &mut Findings) -> Option<u64> {
+    /// As [`Fields::integer`], for a required number.
+    pub(crate) fn required_integer(&self, name: &str, findings: &mut Findings) -> Option<u64> {
         if self.value(name).is_none() {
-            findings.add(self.place.field(name), "is missing");
+            findings.add(self.location.field(name), "is missing");
             return None;
         }
-        self.whole(name, findings)
+        self.integer(name, findings)
     }
 
-    /// A number that has to be there and to be whole as it stands.
-    pub(crate) fn needed_exact(&self, name: &str, findings: &mut Findings) -> Option<u64> {
+    /// A required number that has to be an integer, in whatever notation.
+    pub(crate) fn required_exact_integer(
+        &self,
+        name: &str,
+        findings: &mut Findings,
+    ) -> Option<u64> {
         if self.value(name).is_none() {
-            findings.add(self.place.field(name), "is missing");
+            findings.add(self.location.field(name), "is missing");
             return None;
         }
-        let number = self.number(name, findings)?;
-        let exact = exact(number);
-        if exact.is_none() {
-            findings.add(self.place.field(name), "is not a whole number");
+        let integer = exact_integer(self.json_number(name, findings)?);
+        if integer.is_none() {
+            findings.add(self.location.field(name), "is not a whole number");
         }
-        exact
+        integer
     }
 
-    /// A time given in seconds, in milliseconds.
+    /// An optional time in seconds, as milliseconds. The cast saturates.
     pub(crate) fn seconds_as_ms(&self, name: &str, findings: &mut Findings) -> Option<u64> {
-        let seconds = self.amount(name, findings)?;
+        let seconds = self.number(name, findings)?;
         Some((seconds * MS_PER_SECOND).ceil() as u64)
     }
 
-    /// A list; empty where it is absent.
-    pub(crate) fn list(&self, name: &str, findings: &mut Findings) -> &'a [Value] {
+    /// An optional array, empty by default.
+    pub(crate) fn array(&self, name: &str, findings: &mut Findings) -> &'a [Value] {
         match self.value(name) {
             None => &[],
             Some(Value::Array(items)) => items,
             Some(_) => {
-                findings.add(self.place.field(name), "is not a list");
+                findings.add(self.location.field(name), "is not a list");
                 &[]
             }
         }
     }
 
-    /// A number from 0 up that may be absent.
-    fn number(&self, name: &str, findings: &mut Findings) -> Option<&'a Number> {
+    /// An optional number of at least 0.
+    fn json_number(&self, name: &str, findings: &mut Findings) -> Option<&'a Number> {
         let value = self.value(name)?;
         let Value::Number(number) = value else {
-            findings.add(self.place.field(name), "is not a number");
+            findings.add(self.location.field(name), "is not a number");
             return None;
         };
-        if number.as_f64().is_none_or(|amount| amount < 0.0) {
-            findings.add(self.place.field(name), "is below 0");
+        if number.as_f64().is_none_or(|number| number < 0.0) {
+            findings.add(self.location.field(name), "is below 0");
             return None;
         }
         Some(number)
     }
 }
 
-/// A number from 0 up that isn't written as a whole one.
+/// The integer above a number of at least 0 that isn't written as an integer. The cast saturates.
 fn rounded_up(number: &Number) -> u64 {
-    number.as_f64().map_or(0, |amount| amount.ceil() as u64)
+    number.as_f64().map_or(0, |number| number.ceil() as u64)
 }
 
-/// The whole number that `number` is, however it is written.
-fn exact(number: &Number) -> Option<u64> {
-    if let Some(whole) = number.as_u64() {
-        return Some(whole);
+/// The integer that `number` is, in whatever notation.
+fn exact_integer(number: &Number) -> Option<u64> {
+    if let Some(integer) = number.as_u64() {
+        return Some(integer);
     }
-    let amount = number.as_f64()?;
-    let is_whole = amount.fract() == 0.0 && amount <= MAX_EXACT_FLOAT;
-    is_whole.then_some(amount as u64)
+    let number = number.as_f64()?;
+    let is_integer = number.fract() == 0.0 && number <= MAX_EXACT_FLOAT;
+    is_integer.then_some(number as u64)
 }
--- a/crates/serving/configuration/src/lib.rs
+++ b/crates/serving/configuration/src/lib.rs
@@ -1,27 +1,28 @@
-//! The operator's configuration: read, checked, patched, and asked for the route of a request.
+//! The operator's configuration: parsing, validation, patches and request matching.
 //!
-//! A [`Document`] is one checked configuration, kept as the operator sent it. A [`Table`] is what the
-//! data plane asks for the route of a request. What is wrong with a configuration is told as
-//! [`Findings`]: all of it at once, each with its place.
+//! A [`Document`] is one validated configuration, stored as the operator sent it. A [`RouteTable`] matches requests to
+//! routes for the data plane. What is wrong with a configuration is reported as [`Findings`]: everything at once, each
+//! with its location.
 //!
-//! Strict only where a configuration is invalid or can't be used. A field that isn't known here is
-//! kept and given back; it never makes a configuration invalid.
+//! Strict only where a configuration is invalid or unusable. An unknown field is stored and returned; it never makes a
+//! configuration invalid.
 //!
-//! Read by hand over `serde_json` instead of by `schematic`, which stops at the first value of a wrong type
-//! and doesn't keep what it doesn't know.
+//! Parsed by hand over `serde_json` instead of by `schematic`, which stops at the first value of a wrong type and drops
+//! unknown fields.
 
-mod check;
 mod document;
+mod draft;
 mod fields;
 mod finding;
+mod location;
 mod model;
-mod object;
+mod parser;
 mod patch;
-mod place;
-mod read;
-mod table;
+mod raw_object;
+mod route_table;
+mod validation;
 
 pub use document::Document;
 pub use finding::{Finding, Findings};
-pub use model::{Engine, Kind, Limits, Route, Service, WeightedBackend};
-pub use table::Table;
+pub use model::{Engine, Limits, RequestKind, Route, Service, WeightedBackend};
+pub use route_table::RouteTable;
--- a/crates/serving/configuration/src/model.rs
+++ b/crates/serving/configuration/src/model.rs
@@ -1,66 +1,72 @@
 //! The typed content of a configuration.
 
-/// What the requests of a route are, and so what may be done with them again.
+/// The kind of a route's requests, which decides whether they may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// May run more than once.
+pub enum RequestKind {
+    /// Idempotent: may run more than once.
     ReadOnly,
-    /// May run at most once per try of the client.
+    /// Not idempotent: may run at most once per request of the client.
     Mutating,
-    /// Answered by a series of events.
+    /// The response is a stream of events.
     Streaming,
 }
 
-/// A route: which requests it takes is in the [`crate::Table`], what becomes of them is here.
+/// How the requests of a route are handled. Which requests match it is in the [`RouteTable`](crate::RouteTable).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The name by which the operator changes it.
+    /// The name by which patches refer to it.
     pub name: String,
-    /// What its requests are.
-    pub kind: Kind,
-    /// The longest that the operator wants a request held; never 0.
+    /// The kind of its requests.
+    pub kind: RequestKind,
+    /// How long a request may take, in milliseconds; never 0.
     pub timeout_ms: u64,
-    /// The time within which an answer earns its full worth.
+    /// The latency target of responses, in milliseconds.
     pub target_ms: u64,
-    /// The longest pause between events at which a streamed answer is still in time.
-    pub gap_aim_ms: Option<u64>,
-    /// Rank, 0 the highest.
+    /// The latency target between two events of a streamed response, in milliseconds. The setting is `gap_aim_ms`.
+    pub gap_target_ms: Option<u64>,
+    /// Priority, 0 the highest.
     pub priority: u8,
-    /// The most servers to which one try of a client may be sent.
+    /// The maximum number of servers to which one request of a client may be sent.
     pub retries: u32,
-    /// Whether its requests are turns whose inputs and events are kept.
+    /// Whether its requests are turns whose inputs and events are stored.
     pub persisted: bool,
-    /// How long a turn is kept.
+    /// How long a turn is stored, in milliseconds.
     pub retention_ms: u64,
-    /// Whether its requests name the parts of their prompts.
+    /// Whether its requests name the segments of their prompts, for prefix affinity.
     pub sticky: bool,
-    /// Whether a stream may be taken up at another server.
+    /// Whether a stream may be resumed at another server.
     pub resumable: bool,
     /// The services that may run its requests, by weight. The weights add up to more than 0.
     pub backends: Vec<WeightedBackend>,
 }
 
-/// A service with its share of a route.
+/// A service with its weight in a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedBackend {
     /// The name of the service.
     pub backend: String,
-    /// Its share against the other weights of the same route.
+    /// Its weight relative to the others of the same route.
     pub weight: u64,
 }
 
 impl Route {
     /// Whether a request may run more than once.
+    #[must_use]
     pub fn idempotent(&self) -> bool {
         match self.kind {
-            Kind::ReadOnly => true,
-            Kind::Mutating => false,
-            Kind::Streaming => self.resumable,
+            RequestKind::ReadOnly => true,
+            RequestKind::Mutating => false,
+            RequestKind::Streaming => self.resumable,
         }
     }
 
-    /// The service for a request, by the weights. `draw` is drawn evenly from all numbers; the same
-    /// draw gives the same service.
+    /// The service for a request, by the weights. `draw` is uniformly distributed over all numbers; the same draw gives
+    /// the same service.
+    ///
+    /// # Panics
+    ///
+    /// Never: a route has a weight above 0.
+    #[must_use]
     pub fn backend(&self, draw: u64) -> &str {
         let mut left = self.point(draw);
         for backend in &self.backends {
@@ -70,11 +76,12 @@
             left -= u128::from(backend.weight);
         }
         unreachable!(
-            "a point lies below the sum of the weights, and a checked route has a weight above 0"
+            "a point lies below the sum of the weights, and a validated route has a weight above 0"
         )
     }
 
     /// Whether a request may be sent to `service`.
+    #[must_use]
     pub fn allows(&self, service: &str) -> bool {
         self.backends
             .iter()
@@ -92,51 +99,51 @@
     }
 }
 
-/// A service: its servers register under its name.
+/// A service; its servers register under its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// The name that routes and servers give.
+    /// The name by which routes and servers refer to it.
     pub name: String,
-    /// The path on which a server answers whether it is healthy.
+    /// The path of health checks.
     pub health_path: String,
-    /// How many connections one server accepts from all callers together.
+    /// How many connections one server accepts from all clients together.
     pub max_conns: u32,
-    /// What its servers are, where they are model servers.
+    /// The properties of its servers, if they are model servers.
     pub engine: Option<Engine>,
 }
 
 /// The model servers of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// How many requests one server runs at once; 0 where it isn't given.
+    /// How many requests one server runs at once; 0 if unknown.
     pub slots: u32,
-    /// How many tokens one server's memory holds; 0 where it isn't given.
+    /// The capacity of one server's KV cache in tokens; 0 if unknown.
     pub kv_capacity: u64,
-    /// How many bytes a kept token takes; 0 where it isn't given.
+    /// The size of a cached token in bytes; 0 if unknown.
     pub kv_token_bytes: u64,
-    /// How fast kept tokens move between servers; 0 where it isn't given.
+    /// The bandwidth for cached tokens between servers in megabits a second; 0 if unknown.
     pub link_mbps: f64,
-    /// How many tokens one event of a stream holds; never 0.
+    /// The number of tokens in one event of a stream; never 0.
     pub chunk_tokens: u32,
-    /// The names of the models that its servers hold.
+    /// The names of the models that its servers serve.
     pub models: Vec<String>,
 }
 
-/// What a client may send, and how long it may take or stay idle.
+/// Limits of clients: sizes and times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The most bytes in the head of a request.
+    /// The maximum size of the head of a request in bytes.
     pub max_header_bytes: usize,
-    /// The most bytes in the body of a request.
+    /// The maximum size of the body of a request in bytes.
     pub max_body_bytes: usize,
-    /// How long the head of a request may take to arrive.
+    /// How long the head of a request may take to arrive, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may rest between requests.
+    /// How long a connection may be idle between requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Limits {
-    /// What holds where the operator gives no limits.
+    /// The limits of a configuration without limits.
     pub const DEFAULT: Limits = Limits {
         max_header_bytes: 16 * 1024,
         max_body_bytes: 4 * 1024 * 1024,
@@ -151,7 +158,7 @@
     }
 }
 
-/// A route with the requests that it takes.
+/// A route with the host and path prefix that it matches.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PlacedRoute {
     /// In lower case.
@@ -160,7 +167,7 @@
     pub(crate) route: Route,
 }
 
-/// All that is read from a configuration.
+/// The typed content of a configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Model {
     pub(crate) generation: u64,
--- /dev/null
+++ b/crates/serving/configuration/src/parser.rs
@@ -0,0 +1,300 @@
+//! Parses a configuration from JSON into its typed model.
+//!
+//! Parsing continues past what is wrong, with a default in its place, so that all findings are reported at once. They
+//! come in the order in which the fields are parsed.
+
+use crate::{
+    draft::Draft,
+    fields::Fields,
+    location::Location,
+    model::{Engine, Limits, Model, PlacedRoute, RequestKind, Route, Service, WeightedBackend},
+    validation, Findings,
+};
+use serde_json::Value;
+
+/// The priority of a route without one: the middle of 0 to 9.
+const DEFAULT_PRIORITY: u8 = 5;
+/// The maximum number of servers for one request of a route without one: no failover.
+const DEFAULT_RETRIES: u32 = 1;
+/// How long turns are stored of a route without a retention time.
+const DEFAULT_RETENTION_MS: u64 = 60_000;
+/// The path of health checks of a service without one.
+const DEFAULT_HEALTH_PATH: &str = "/healthz";
+/// How many connections a server accepts of a service without a number.
+const DEFAULT_MAX_CONNS: u32 = 100;
+/// Fractional weights are multiplied by this and rounded up.
+const FRACTIONAL_WEIGHT_SCALE: f64 = 1_000_000.0;
+/// The largest weight: the sum over a route's services never overflows.
+const MAX_WEIGHT: u64 = 1 << 50;
+
+/// Parses and validates the text of a configuration: its generation, if nothing is wrong.
+pub(crate) fn validate(text: &str) -> Result<u64, Findings> {
+    let (draft, mut findings) = parse_draft(text)?;
+    validation::validate(&draft, &mut findings);
+    findings.or_ok(draft.generation)
+}
+
+/// Parses the text of a configuration that was valid when it was accepted. What an older version of this program
+/// accepted and this one would not is ignored.
+pub(crate) fn parse_accepted(text: &str) -> Result<Model, Findings> {
+    let (draft, _) = parse_draft(text)?;
+    Ok(draft.into_model())
+}
+
+fn parse_draft(text: &str) -> Result<(Draft, Findings), Findings> {
+    let value = parse_json(text)?;
+    let mut findings = Findings::default();
+    let draft = configuration(&value, &mut findings);
+    Ok((draft, findings))
+}
+
+fn parse_json(text: &str) -> Result<Value, Findings> {
+    serde_json::from_str(text)
+        .map_err(|error| Findings::one(Location::Top, format!("can't be read: {error}")))
+}
+
+fn configuration(value: &Value, findings: &mut Findings) -> Draft {
+    let Some(fields) = Fields::of(value, &Location::Top, findings) else {
+        return Draft::default();
+    };
+    Draft {
+        generation: generation(&fields, findings),
+        routes: items(&fields, "routes", findings, route),
+        services: items(&fields, "services", findings, service),
+        limits: limits(&fields, findings),
+    }
+}
+
+fn generation(fields: &Fields<'_>, findings: &mut Findings) -> u64 {
+    fields
+        .required_exact_integer("generation", findings)
+        .unwrap_or_default()
+}
+
+/// Parses each object of the array in the field `name`.
+fn items<T>(
+    fields: &Fields<'_>,
+    name: &str,
+    findings: &mut Findings,
+    parse: fn(&Fields<'_>, &mut Findings) -> T,
+) -> Vec<Option<T>> {
+    let array = fields.location().field(name);
+    let mut all = Vec::new();
+    for (index, item) in fields.array(name, findings).iter().enumerate() {
+        let location = array.item(index);
+        let item = Fields::of(item, &location, findings);
+        all.push(item.map(|item| parse(&item, findings)));
+    }
+    all
+}
+
+fn route(fields: &Fields<'_>, findings: &mut Findings) -> PlacedRoute {
+    let host = fields.required_string("host", findings).unwrap_or_default();
+    let path_prefix = fields
+        .required_string("path_prefix", findings)
+        .unwrap_or_default();
+    PlacedRoute {
+        host: host.to_ascii_lowercase(),
+        path_prefix: path_prefix.to_owned(),
+        route: Route {
+            name: fields
+                .required_string("name", findings)
+                .unwrap_or_default()
+                .to_owned(),
+            kind: kind(fields, findings),
+            timeout_ms: timeout_ms(fields, findings),
+            target_ms: target_ms(fields, findings),
+            gap_target_ms: fields.integer("gap_aim_ms", findings),
+            priority: priority(fields, findings),
+            retries: fields.count("retries", findings).unwrap_or(DEFAULT_RETRIES),
+            persisted: fields.boolean("persisted", findings),
+            retention_ms: fields
+                .seconds_as_ms("retention_s", findings)
+                .unwrap_or(DEFAULT_RETENTION_MS),
+            sticky: fields.boolean("sticky", findings),
+            resumable: fields.boolean("resumable", findings),
+            backends: backends(fields, findings),
+        },
+    }
+}
+
+fn kind(fields: &Fields<'_>, findings: &mut Findings) -> RequestKind {
+    match fields.required_string("kind", findings) {
+        Some("read_only") => RequestKind::ReadOnly,
+        Some("mutating") | None => RequestKind::Mutating,
+        Some("streaming") => RequestKind::Streaming,
+        Some(other) => {
+            findings.add(
+                fields.location().field("kind"),
+                format!("{other:?} is not a kind of request"),
+            );
+            RequestKind::Mutating
+        }
+    }
+}
+
+fn timeout_ms(fields: &Fields<'_>, findings: &mut Findings) -> u64 {
+    let timeout_ms = fields.required_integer("timeout_ms", findings);
+    if timeout_ms == Some(0) {
+        findings.add(fields.location().field("timeout_ms"), "is 0");
+    }
+    timeout_ms.unwrap_or_default()
+}
+
+/// A route without a latency target has its timeout as one.
+fn target_ms(fields: &Fields<'_>, findings: &mut Findings) -> u64 {
+    let target_ms = fields.integer("target_ms", findings);
+    target_ms
+        .or_else(|| fields.integer("timeout_ms", &mut Findings::default()))
+        .unwrap_or_default()
+}
+
+fn priority(fields: &Fields<'_>, findings: &mut Findings) -> u8 {
+    let priority = fields
+        .integer("priority", findings)
+        .unwrap_or(u64::from(DEFAULT_PRIORITY));
+    u8::try_from(priority).unwrap_or(u8::MAX)
+}
+
+/// The services of a route: `backends` unless it is empty, else `backend`.
+fn backends(fields: &Fields<'_>, findings: &mut Findings) -> Vec<WeightedBackend> {
+    let given: Vec<_> = items(fields, "backends", findings, given_backend)
+        .into_iter()
+        .flatten()
+        .collect();
+    if !given.is_empty() {
+        validate_weights(&given, fields, findings);
+        return weighted(given);
+    }
+    if fields.value("backends").is_some() && fields.value("backend").is_none() {
+        findings.add(fields.location().field("backends"), "names no service");
+        return Vec::new();
+    }
+    match fields.required_string("backend", findings) {
+        Some(backend) => vec![WeightedBackend {
+            backend: backend.to_owned(),
+            weight: 1,
+        }],
+        None => Vec::new(),
+    }
+}
+
+/// A service with its weight as the operator wrote it.
+struct GivenBackend {
+    backend: String,
+    weight: f64,
+}
+
+fn given_backend(fields: &Fields<'_>, findings: &mut Findings) -> GivenBackend {
+    let backend = fields
+        .required_string("backend", findings)
+        .unwrap_or_default();
+    let weight = fields.number("weight", findings);
+    GivenBackend {
+        backend: backend.to_owned(),
+        weight: weight.unwrap_or(1.0),
+    }
+}
+
+fn validate_weights(given: &[GivenBackend], fields: &Fields<'_>, findings: &mut Findings) {
+    if given.iter().all(|given| given.weight == 0.0) {
+        findings.add(
+            fields.location().field("backends"),
+            "the weights add up to 0",
+        );
+    }
+}
+
+/// Integer weights stay as they are; if one is a fraction, all are scaled.
+fn weighted(given: Vec<GivenBackend>) -> Vec<WeightedBackend> {
+    let all_integers = given.iter().all(|given| given.weight.fract() == 0.0);
+    let scale = if all_integers {
+        1.0
+    } else {
+        FRACTIONAL_WEIGHT_SCALE
+    };
+    let scaled = |given: GivenBackend| WeightedBackend {
+        backend: given.backend,
+        // Rounded up, so that the smallest weight above 0 doesn't vanish. The cast saturates.
+        weight: ((given.weight * scale).ceil() as u64).min(MAX_WEIGHT),
+    };
+    given.into_iter().map(scaled).collect()
+}
+
+fn service(fields: &Fields<'_>, findings: &mut Findings) -> Service {
+    Service {
+        name: fields
+            .required_string("name", findings)
+            .unwrap_or_default()
+            .to_owned(),
+        health_path: fields
+            .string("health_path", findings)
+            .unwrap_or(DEFAULT_HEALTH_PATH)
+            .to_owned(),
+        max_conns: fields
+            .count("max_conns", findings)
+            .unwrap_or(DEFAULT_MAX_CONNS),
+        engine: object(fields, "engine", findings, engine),
+    }
+}
+
+fn engine(fields: &Fields<'_>, findings: &mut Findings) -> Engine {
+    Engine {
+        slots: fields.count("slots", findings).unwrap_or_default(),
+        kv_capacity: fields.integer("kv_capacity", findings).unwrap_or_default(),
+        kv_token_bytes: fields
+            .integer("kv_token_bytes", findings)
+            .unwrap_or_default(),
+        link_mbps: fields.number("link_mbps", findings).unwrap_or_default(),
+        chunk_tokens: fields
+            .count("chunk_tokens", findings)
+            .unwrap_or_default()
+            .max(1),
+        models: items(fields, "models", findings, model_name)
+            .into_iter()
+            .flatten()
+            .collect(),
+    }
+}
+
+fn model_name(fields: &Fields<'_>, findings: &mut Findings) -> String {
+    fields
+        .string("name", findings)
+        .unwrap_or_default()
+        .to_owned()
+}
+
+fn limits(fields: &Fields<'_>, findings: &mut Findings) -> Limits {
+    object(fields, "limits", findings, given_limits).unwrap_or_default()
+}
+
+fn given_limits(fields: &Fields<'_>, findings: &mut Findings) -> Limits {
+    let default = Limits::DEFAULT;
+    let bytes = |name: &str, findings: &mut Findings| {
+        let bytes = fields.integer(name, findings)?;
+        Some(usize::try_from(bytes).unwrap_or(usize::MAX))
+    };
+    Limits {
+        max_header_bytes: bytes("max_header_bytes", findings).unwrap_or(default.max_header_bytes),
+        max_body_bytes: bytes("max_body_bytes", findings).unwrap_or(default.max_body_bytes),
+        header_timeout_ms: fields
+            .integer("header_timeout_ms", findings)
+            .unwrap_or(default.header_timeout_ms),
+        idle_timeout_ms: fields
+            .integer("idle_timeout_ms", findings)
+            .unwrap_or(default.idle_timeout_ms),
+    }
+}
+
+/// Parses an object that may be absent.
+fn object<T>(
+    fields: &Fields<'_>,
+    name: &str,
+    findings: &mut Findings,
+    parse: fn(&Fields<'_>, &mut Findings) -> T,
+) -> Option<T> {
+    let value = fields.value(name)?;
+    let location = fields.location().field(name);
+    let fields = Fields::of(value, &location, findings)?;
+    Some(parse(&fields, findings))
+}
--- a/crates/serving/configuration/src/patch.rs
+++ b/crates/serving/configuration/src/patch.rs
@@ -1,99 +1,102 @@
-//! Named items of a configuration changed: some removed, some put in.
+//! Patches: named items of a configuration removed, replaced or added.
 //!
-//! Works on the text of each item, which stays as its operator wrote it. Every list of the document
-//! can be changed so, also one that isn't known here. Removal comes first: an item that is removed and
-//! put in again by one patch is there afterwards. What a patch holds besides is no change.
+//! Works on the text of each item, which stays as its operator wrote it. Every array of the document can be patched,
+//! also an unknown one. Removal comes first: an item that one patch removes and upserts is present afterwards. Other
+//! fields of a patch are ignored.
 
-use crate::{object::Object, place::Place, Findings};
+use crate::{location::Location, raw_object::RawObject, Findings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// The text of `document` with `patch` applied, not checked yet.
+/// The text of `document` with `patch` applied, not validated yet.
 pub(crate) fn apply(document: &str, patch: &str) -> Result<String, Findings> {
-    let mut document = Object::parse(document, &Place::Top)?;
-    let change = Change::read(patch)?;
-    change.apply(&mut document)?;
+    let mut document = RawObject::parse(document, &Location::Top)?;
+    let patch = Patch::parse(patch)?;
+    patch.apply(&mut document)?;
     Ok(document.to_text())
 }
 
-/// What a patch asks for.
-struct Change<'a> {
+/// A parsed patch.
+struct Patch<'a> {
     generation: &'a RawValue,
-    lists: BTreeMap<String, ListChange<'a>>,
+    arrays: BTreeMap<String, ArrayPatch<'a>>,
 }
 
-/// What is to become of one list.
+/// The changes of one array.
 #[derive(Default)]
-struct ListChange<'a> {
+struct ArrayPatch<'a> {
     removed: HashSet<String>,
-    put_in: Vec<Named<'a>>,
+    upserted: Vec<NamedItem<'a>>,
 }
 
-/// An item of a list, with the name by which it is found.
-struct Named<'a> {
+/// An item of an array, with the name by which it is found.
+struct NamedItem<'a> {
     name: String,
     item: &'a RawValue,
 }
 
-impl<'a> Change<'a> {
-    fn read(patch: &'a str) -> Result<Change<'a>, Findings> {
-        let patch = Object::parse(patch, &Place::Top)?;
+impl<'a> Patch<'a> {
+    fn parse(patch: &'a str) -> Result<Patch<'a>, Findings> {
+        let patch = RawObject::parse(patch, &Location::Top)?;
         let mut findings = Findings::default();
-        let mut lists: BTreeMap<String, ListChange<'a>> = BTreeMap::new();
-        for_each_list(
+        let mut arrays: BTreeMap<String, ArrayPatch<'a>> = BTreeMap::new();
+        for_each_array(
             &patch,
             "remove",
             &mut findings,
-            |name, items, place, findings| {
-                lists.entry(name.to_owned()).or_default().removed = names(items, place, findings);
+            |name, items, location, findings| {
+                arrays.entry(name.to_owned()).or_default().removed =
+                    names(items, location, findings);
             },
         );
-        for_each_list(
+        for_each_array(
             &patch,
             "upsert",
             &mut findings,
-            |name, items, place, findings| {
-                lists.entry(name.to_owned()).or_default().put_in = named(items, place, findings);
+            |name, items, location, findings| {
+                arrays.entry(name.to_owned()).or_default().upserted =
+                    named_items(items, location, findings);
             },
         );
         let generation = patch.value("generation");
         if generation.is_none() {
-            findings.add(Place::Top.field("generation"), "is missing");
+            findings.add(Location::Top.field("generation"), "is missing");
         }
         match generation {
-            Some(generation) if findings.is_empty() => Ok(Change { generation, lists }),
+            Some(generation) if findings.is_empty() => Ok(Patch { generation, arrays }),
             _ => Err(findings),
         }
     }
 
-    fn apply(&self, document: &mut Object<'a>) -> Result<(), Findings> {
+    fn apply(&self, document: &mut RawObject<'a>) -> Result<(), Findings> {
         let mut findings = Findings::default();
         document.set("generation", self.generation);
-        for (name, change) in &self.lists {
-            let place = Place::Top.field(name);
-            let list = document.value(name);
-            if list.is_none() && change.put_in.is_empty() {
+        for (name, patch) in &self.arrays {
+            let location = Location::Top.field(name);
+            let array = document.value(name);
+            if array.is_none() && patch.upserted.is_empty() {
                 continue;
             }
-            let mut items =
-                list.map_or_else(Vec::new, |list| list_items(list, &place, &mut findings));
-            change.apply(&mut items);
-            document.set_list(name, items);
+            let mut items = array.map_or_else(Vec::new, |array| {
+                array_items(array, &location, &mut findings)
+            });
+            patch.apply(&mut items);
+            document.set_array(name, items);
         }
         findings.or_ok(())
     }
 }
 
-impl<'a> ListChange<'a> {
-    /// Takes out what is removed, then puts each item where the one of its name stands, else at the end.
+impl<'a> ArrayPatch<'a> {
+    /// Removes items, then puts each upserted one in the position of the one of its name, else at the end.
     fn apply(&self, items: &mut Vec<&'a RawValue>) {
         items.retain(|item| name_of(item).is_none_or(|name| !self.removed.contains(&name)));
         let mut positions = HashMap::new();
         for (position, item) in items.iter().enumerate() {
             positions.extend(name_of(item).map(|name| (name, position)));
         }
-        for Named { name, item } in &self.put_in {
+        for NamedItem { name, item } in &self.upserted {
             match positions.get(name) {
                 Some(&position) => items[position] = item,
                 None => items.push(item),
@@ -102,67 +105,74 @@
     }
 }
 
-/// Hands over each list in the field `action` of a patch, with its name and place.
-fn for_each_list<'a>(
-    patch: &Object<'a>,
+/// Calls `visit` for each array in the field `action` of a patch, with its name and location.
+fn for_each_array<'a>(
+    patch: &RawObject<'a>,
     action: &str,
     findings: &mut Findings,
-    mut take: impl FnMut(&str, &[&'a RawValue], &Place<'_>, &mut Findings),
+    mut visit: impl FnMut(&str, &[&'a RawValue], &Location<'_>, &mut Findings),
 ) {
-    let Some(lists) = patch.value(action) else {
+    let Some(arrays) = patch.value(action) else {
         return;
     };
-    let action = Place::Top.field(action);
-    let lists = match Object::parse(lists.get(), &action) {
-        Ok(lists) => lists,
+    let action = Location::Top.field(action);
+    let arrays = match RawObject::parse(arrays.get(), &action) {
+        Ok(arrays) => arrays,
         Err(unreadable) => return findings.0.extend(unreadable.0),
     };
-    for (name, list) in lists.values() {
-        let place = action.field(name);
-        let items = list_items(list, &place, findings);
-        take(name, &items, &place, findings);
+    for (name, array) in arrays.values() {
+        let location = action.field(name);
+        let items = array_items(array, &location, findings);
+        visit(name, &items, &location, findings);
     }
 }
 
-fn list_items<'a>(
-    list: &'a RawValue,
-    place: &Place<'_>,
+fn array_items<'a>(
+    array: &'a RawValue,
+    location: &Location<'_>,
     findings: &mut Findings,
 ) -> Vec<&'a RawValue> {
-    serde_json::from_str(list.get()).unwrap_or_else(|_| {
-        findings.add(place, "is not a list");
+    serde_json::from_str(array.get()).unwrap_or_else(|_| {
+        findings.add(location, "is not a list");
         Vec::new()
     })
 }
 
-/// The names in a list of names.
-fn names(items: &[&RawValue], place: &Place<'_>, findings: &mut Findings) -> HashSet<String> {
+/// The names in an array of names.
+fn names(items: &[&RawValue], location: &Location<'_>, findings: &mut Findings) -> HashSet<String> {
     let mut names = HashSet::new();
     for (index, item) in items.iter().enumerate() {
         match serde_json::from_str(item.get()) {
             Ok(name) => {
                 names.insert(name);
             }
-            Err(_) => findings.add(place.item(index), "is not a text"),
+            Err(_) => findings.add(location.item(index), "is not a text"),
         }
     }
     names
 }
 
-/// The items of a list with their names. Two of one name are refused: only one of them could be meant.
-fn named<'a>(items: &[&'a RawValue], place: &Place<'_>, findings: &mut Findings) -> Vec<Named<'a>> {
+/// The items of an array with their names. Two of one name are a finding: only one of them could be meant.
+fn named_items<'a>(
+    items: &[&'a RawValue],
+    location: &Location<'_>,
+    findings: &mut Findings,
+) -> Vec<NamedItem<'a>> {
     let mut all = Vec::new();
     let mut seen = HashSet::new();
     for (index, item) in items.iter().enumerate() {
         match name_of(item) {
-            None => findings.add(place.item(index).field("name"), "is missing or not a text"),
+            None => findings.add(
+                location.item(index).field("name"),
+                "is missing or not a text",
+            ),
             Some(name) if !seen.insert(name.clone()) => {
                 findings.add(
-                    place.item(index).field("name"),
+                    location.item(index).field("name"),
                     format!("{name:?} comes twice"),
                 );
             }
-            Some(name) => all.push(Named { name, item }),
+            Some(name) => all.push(NamedItem { name, item }),
         }
     }
     all
--- a/crates/serving/configuration/src/table.rs
+++ b/crates/serving/configuration/src/route_table.rs
@@ -1,14 +1,14 @@
-//! What the data plane asks: the route of a request, a service by its name.
+//! Lookups of the data plane: the route of a request, a service by its name.
 
 use crate::{
     model::{Model, PlacedRoute},
-    read, Document, Findings, Limits, Route, Service,
+    parser, Document, Findings, Limits, Route, Service,
 };
 use std::{collections::BTreeMap, rc::Rc};
 
-/// The routes and services of one configuration, ready to be asked.
+/// The routes and services of one configuration, indexed.
 #[derive(Debug)]
-pub struct Table {
+pub struct RouteTable {
     generation: u64,
     /// By name in lower case.
     hosts: BTreeMap<String, Host>,
@@ -23,30 +23,39 @@
     longest_prefix: usize,
 }
 
-impl Table {
-    /// The table of a checked configuration.
-    pub fn new(document: &Document) -> Table {
-        // A document was read before it became one, and reads the same each time.
-        Table::of(read::taken(document.json()).unwrap_or_default())
+impl RouteTable {
+    /// The table of a validated configuration.
+    #[must_use]
+    pub fn new(document: &Document) -> RouteTable {
+        // A document was parsed before it became one, and parses the same each time.
+        RouteTable::of(parser::parse_accepted(document.json()).unwrap_or_default())
     }
 
     /// The table before any configuration: no routes, no services.
-    pub fn empty() -> Table {
-        Table::of(Model::default())
+    #[must_use]
+    pub fn empty() -> RouteTable {
+        RouteTable::of(Model::default())
     }
 
-    /// The table of the text of a configuration that was taken before, as [`Document::taken`], read once only.
-    pub fn taken(json: &str) -> Result<Table, Findings> {
-        Ok(Table::of(read::taken(json)?))
+    /// The table of the text of a configuration that was accepted before, as [`Document::from_accepted`], parsed only
+    /// once.
+    ///
+    /// # Errors
+    ///
+    /// The finding, if it is not JSON.
+    pub fn from_accepted(json: &str) -> Result<RouteTable, Findings> {
+        Ok(RouteTable::of(parser::parse_accepted(json)?))
     }
 
     /// The number that the operator gave to the configuration.
+    #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The route for a request: of the routes for `host`, which may carry a port, the one with the
-    /// longest prefix that begins `path`. A query behind the path plays no part.
+    /// The route for a request: of the routes for `host`, which may have a port, the one with the longest prefix of
+    /// `path`. A query behind the path is ignored.
+    #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let host = self.host(host)?;
         let path = path.split_once('?').map_or(path, |(path, _query)| path);
@@ -54,6 +63,7 @@
     }
 
     /// A service by its name.
+    #[must_use]
     pub fn service(&self, name: &str) -> Option<&Rc<Service>> {
         self.services.get(name)
     }
@@ -68,12 +78,13 @@
         self.hosts.values().flat_map(|host| host.routes.values())
     }
 
-    /// What a client may send, and how long it may take.
+    /// The limits of clients.
+    #[must_use]
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    fn of(model: Model) -> Table {
+    fn of(model: Model) -> RouteTable {
         let mut hosts: BTreeMap<String, Host> = BTreeMap::new();
         for placed in model.routes {
             let PlacedRoute {
@@ -84,7 +95,7 @@
             hosts.entry(host).or_default().add(path_prefix, route);
         }
         let by_name = |service: Service| (service.name.clone(), Rc::new(service));
-        Table {
+        RouteTable {
             generation: model.generation,
             hosts,
             services: model.services.into_iter().map(by_name).collect(),
@@ -92,8 +103,8 @@
         }
     }
 
-    /// The routes of a host, asked for as a `Host` header names it. A host that is configured with a
-    /// port goes before the same one without.
+    /// The routes of the host in a `Host` header. A host that is configured with a port takes precedence over the same
+    /// one without.
     fn host(&self, named: &str) -> Option<&Host> {
         let found = self
             .hosts
@@ -115,11 +126,9 @@
         self.routes.insert(path_prefix, Rc::new(route));
     }
 
-    /// The route with the longest prefix that begins `path`. Every prefix ends with a slash, so only
-    /// the slashes of the path are tried, from the last on.
-    ///
-    /// No further than the longest prefix: against long paths full of slashes, where each try would
-    /// read the path anew.
+    /// The route with the longest prefix of `path`. Every prefix ends with a slash, so only the slashes of the path are
+    /// candidates, from the last on, and none beyond the longest prefix: that bounds the work for long paths full of
+    /// slashes.
     fn longest(&self, path: &str) -> Option<&Rc<Route>> {
         let mut end = path.len().min(self.longest_prefix);
         while let Some(slash) = path.as_bytes()[..end]
--- a/crates/serving/configuration/src/check.rs
+++ b/crates/serving/configuration/src/validation.rs
@@ -1,15 +1,15 @@
-//! What has to hold between the items of a configuration.
+//! The invariants between the items of a configuration.
 
 use crate::{
+    draft::Draft,
+    location::Location,
     model::{PlacedRoute, Service},
-    place::Place,
-    read::Draft,
     Findings,
 };
 use std::collections::{HashMap, HashSet};
 
-/// Checks what was read; names and places that couldn't be read were found before and are passed over.
-pub(crate) fn draft(draft: &Draft, findings: &mut Findings) {
+/// Validates what was parsed. Names and values that could not be parsed are findings already and are skipped.
+pub(crate) fn validate(draft: &Draft, findings: &mut Findings) {
     let route_names = draft
         .routes
         .iter()
@@ -18,16 +18,20 @@
         .services
         .iter()
         .map(|service| service.as_ref().map(|service| service.name.as_str()));
-    names("routes", route_names, findings);
-    names("services", service_names, findings);
-    prefixes(&draft.routes, findings);
-    places(&draft.routes, findings);
-    known_services(&draft.routes, &draft.services, findings);
+    validate_names("routes", route_names, findings);
+    validate_names("services", service_names, findings);
+    validate_prefixes(&draft.routes, findings);
+    validate_distinct_routes(&draft.routes, findings);
+    validate_service_names(&draft.routes, &draft.services, findings);
 }
 
-/// No two items of a list have one name: a patch couldn't tell them apart.
-fn names<'a>(list: &str, names: impl Iterator<Item = Option<&'a str>>, findings: &mut Findings) {
-    let list = Place::Top.field(list);
+/// No two items of an array have one name: a patch could not distinguish them.
+fn validate_names<'a>(
+    array: &str,
+    names: impl Iterator<Item = Option<&'a str>>,
+    findings: &mut Findings,
+) {
+    let array = Location::Top.field(array);
     let mut first_uses = HashMap::new();
     for (index, name) in names.enumerate() {
         let Some(name) = name.filter(|name| !name.is_empty()) else {
@@ -36,49 +40,49 @@
         let first = *first_uses.entry(name).or_insert(index);
         if first != index {
             findings.add(
-                list.item(index).field("name"),
-                format!("{name:?} is the name of {} too", list.item(first)),
+                array.item(index).field("name"),
+                format!("{name:?} is the name of {} too", array.item(first)),
             );
         }
     }
 }
 
 /// Every prefix begins and ends with a slash.
-fn prefixes(routes: &[Option<PlacedRoute>], findings: &mut Findings) {
-    let list = Place::Top.field("routes");
+fn validate_prefixes(routes: &[Option<PlacedRoute>], findings: &mut Findings) {
+    let array = Location::Top.field("routes");
     for (index, route) in routes.iter().enumerate() {
         let Some(route) = route else { continue };
         let prefix = route.path_prefix.as_str();
         let bounded = prefix.starts_with('/') && prefix.ends_with('/');
         if !prefix.is_empty() && !bounded {
             findings.add(
-                list.item(index).field("path_prefix"),
+                array.item(index).field("path_prefix"),
                 "doesn't begin and end with a slash",
             );
         }
     }
 }
 
-/// No two routes share host and prefix: a request couldn't tell them apart.
-fn places(routes: &[Option<PlacedRoute>], findings: &mut Findings) {
-    let list = Place::Top.field("routes");
+/// No two routes have the same host and prefix: a request would match both.
+fn validate_distinct_routes(routes: &[Option<PlacedRoute>], findings: &mut Findings) {
+    let array = Location::Top.field("routes");
     let mut first_uses = HashMap::new();
     for (index, route) in routes.iter().enumerate() {
         let Some(route) = route else { continue };
         if route.host.is_empty() || route.path_prefix.is_empty() {
             continue;
         }
-        let place = (route.host.as_str(), route.path_prefix.as_str());
-        let first = *first_uses.entry(place).or_insert(index);
+        let key = (route.host.as_str(), route.path_prefix.as_str());
+        let first = *first_uses.entry(key).or_insert(index);
         if first != index {
-            let problem = format!("host and prefix are those of {} too", list.item(first));
-            findings.add(list.item(index).field("path_prefix"), problem);
+            let problem = format!("host and prefix are those of {} too", array.item(first));
+            findings.add(array.item(index).field("path_prefix"), problem);
         }
     }
 }
 
-/// Every service that a route names is there, those of weight 0 included.
-fn known_services(
+/// Every service that a route names is configured, those of weight 0 included.
+fn validate_service_names(
     routes: &[Option<PlacedRoute>],
     services: &[Option<Service>],
     findings: &mut Findings,
@@ -88,14 +92,14 @@
         .flatten()
         .map(|service| service.name.as_str())
         .collect();
-    let list = Place::Top.field("routes");
+    let array = Location::Top.field("routes");
     for (index, route) in routes.iter().enumerate() {
         let Some(route) = route else { continue };
         for backend in &route.route.backends {
             let name = backend.backend.as_str();
             if !name.is_empty() && !known.contains(name) {
                 findings.add(
-                    list.item(index),
+                    array.item(index),
                     format!("the service {name:?} is not known"),
                 );
             }
--- a/crates/serving/configuration/tests/encoding.rs
+++ b/crates/serving/configuration/tests/encoding.rs
@@ -27,7 +27,7 @@
 #[test]
 fn findings_keep_their_bytes() {
     let finding = |number: u32| Finding {
-        place: format!("place-{number}"),
+        location: format!("place-{number}"),
         problem: format!("problem of {number}"),
     };
     assert_encoded(
--- a/crates/serving/configuration/tests/tables.rs
+++ b/crates/serving/configuration/tests/fixtures.rs
@@ -1,26 +1,25 @@
-//! Tables of configurations: good ones are taken and read back as sent, bad ones are refused with all
-//! of their findings, patches come out as told.
+//! Fixtures of configurations: good ones are accepted and read back as received, bad ones are rejected with all of
+//! their findings, patches have the expected results.
 //!
-//! `good/NAME.json` is taken. `bad/NAME.json` has the findings in `bad/NAME.findings`. A folder
-//! `patches/NAME/` holds `current.json` and `patch.json`, and what comes out: `result.json` or
-//! `result.findings`.
+//! `good/NAME.json` is accepted. `bad/NAME.json` has the findings in `bad/NAME.findings`. A folder `patches/NAME/` has
+//! `current.json`, `patch.json`, and the result: `result.json` or `result.findings`.
 
 use datatest_stable::{harness, Result};
-use dunespur_configuration::{Document, Table};
+use dunespur_configuration::{Document, RouteTable};
 use serde_json::Value;
 use std::{fs, path::Path};
 
 fn good(path: &Path) -> Result<()> {
-    let sent = fs::read_to_string(path)?;
-    let document = Document::replace(sent.as_bytes())?;
-    assert_eq!(document.to_json(), sent, "read back as sent");
-    let value: Value = serde_json::from_str(&sent)?;
+    let received = fs::read_to_string(path)?;
+    let document = Document::replace(received.as_bytes())?;
+    assert_eq!(document.to_json(), received, "read back as received");
+    let value: Value = serde_json::from_str(&received)?;
     assert_eq!(
         value["generation"].as_f64(),
         Some(document.generation() as f64)
     );
 
-    let table = Table::new(&document);
+    let table = RouteTable::new(&document);
     assert_eq!(table.generation(), document.generation());
     for service in value["services"].as_array().into_iter().flatten() {
         let name = service["name"].as_str().expect("a service has a name");
@@ -41,7 +40,7 @@
 }
 
 fn bad(path: &Path) -> Result<()> {
-    let findings = Document::replace(&fs::read(path)?).expect_err("refused");
+    let findings = Document::replace(&fs::read(path)?).expect_err("rejected");
     let expected = fs::read_to_string(path.with_extension("findings"))?;
     assert_eq!(findings.to_string(), expected.trim_end());
     Ok(())
--- a/crates/serving/configuration/tests/properties.rs
+++ b/crates/serving/configuration/tests/properties.rs
@@ -1,15 +1,15 @@
-//! What holds for every configuration and patch, tried on seeded random ones: damaged text never passes, a
-//! patch comes out as a plain model of it says, untouched items stay byte for byte, and the route found is
-//! the one that a search through all routes finds.
+//! Properties of every configuration and patch, checked on seeded random ones: damaged text is never accepted, a patch
+//! has the result of a plain model of it, untouched items stay byte for byte, and the route found is the one that a
+//! search through all routes finds.
 
-use dunespur_configuration::{Document, Table};
+use dunespur_configuration::{Document, RouteTable};
 use fastrand::Rng;
 use serde_json::{json, Map, Value};
 
 const SEEDS: u64 = 300;
 const PAGE: &str = include_str!("good/page.json");
 
-/// Parts of paths and prefixes, few enough that they meet.
+/// Segments of paths and prefixes, few enough that they match.
 const SEGMENTS: [&str; 4] = ["a", "b", "ab", "ñ"];
 
 fn name(random: &mut Rng) -> String {
@@ -17,10 +17,10 @@
 }
 
 fn path(random: &mut Rng, segments: usize) -> String {
-    let parts: Vec<&str> = (0..segments)
+    let segments: Vec<&str> = (0..segments)
         .map(|_| SEGMENTS[random.usize(0..SEGMENTS.len())])
         .collect();
-    parts.join("/")
+    segments.join("/")
 }
 
 fn prefix(random: &mut Rng) -> String {
@@ -42,8 +42,8 @@
     let mut routes: Vec<Value> = Vec::new();
     for index in 0..random.usize(0..12) {
         let new = route(random, format!("n{index}"));
-        let place = |route: &Value| (route["host"].clone(), route["path_prefix"].clone());
-        if routes.iter().all(|route| place(route) != place(&new)) {
+        let key = |route: &Value| (route["host"].clone(), route["path_prefix"].clone());
+        if routes.iter().all(|route| key(route) != key(&new)) {
             routes.push(new);
         }
     }
@@ -58,9 +58,9 @@
     Document::replace(value.to_string().as_bytes()).expect("a valid configuration")
 }
 
-/// An item for a list; a route of it may be invalid.
-fn patch_item(random: &mut Rng, list: &str, name: String) -> Value {
-    if list != "routes" {
+/// An item of an array; a route may be invalid.
+fn patch_item(random: &mut Rng, array: &str, name: String) -> Value {
+    if array != "routes" {
         return json!({ "name": name, "x": random.u32(0..9) });
     }
     let mut route = route(random, name);
@@ -68,24 +68,24 @@
     route
 }
 
-/// A patch of the known lists and one that isn't known.
+/// A patch of the known arrays and of an unknown one.
 fn patch(random: &mut Rng) -> Value {
     let mut upsert = Map::new();
     let mut remove = Map::new();
-    for list in ["routes", "keys", "colours"] {
+    for array in ["routes", "keys", "colours"] {
         if random.bool() {
             let mut items: Vec<Value> = Vec::new();
             for _ in 0..random.usize(0..4) {
                 let name = name(random);
                 if items.iter().all(|item| item["name"] != name) {
-                    items.push(patch_item(random, list, name));
+                    items.push(patch_item(random, array, name));
                 }
             }
-            upsert.insert(list.to_owned(), Value::from(items));
+            upsert.insert(array.to_owned(), Value::from(items));
         }
         if random.bool() {
             let names: Vec<String> = (0..random.usize(0..4)).map(|_| name(random)).collect();
-            remove.insert(list.to_owned(), Value::from(names));
+            remove.insert(array.to_owned(), Value::from(names));
         }
     }
     json!({ "generation": random.u32(2..100), "upsert": upsert, "remove": remove })
@@ -95,25 +95,25 @@
 fn patched(current: &Value, patch: &Value) -> Value {
     let mut result = current.clone();
     result["generation"] = patch["generation"].clone();
-    for (list, names) in patch["remove"].as_object().expect("an object") {
-        if let Some(items) = result[list].as_array_mut() {
-            items.retain(|item| !names.as_array().expect("a list").contains(&item["name"]));
+    for (array, names) in patch["remove"].as_object().expect("an object") {
+        if let Some(items) = result[array].as_array_mut() {
+            items.retain(|item| !names.as_array().expect("an array").contains(&item["name"]));
         }
     }
-    for (list, new) in patch["upsert"].as_object().expect("an object") {
-        let new = new.as_array().expect("a list");
-        if result[list].is_null() && !new.is_empty() {
-            result[list] = json!([]);
+    for (array, new) in patch["upsert"].as_object().expect("an object") {
+        let new = new.as_array().expect("an array");
+        if result[array].is_null() && !new.is_empty() {
+            result[array] = json!([]);
         }
         for item in new {
-            let items = result[list].as_array_mut().expect("a list");
+            let items = result[array].as_array_mut().expect("an array");
             match items.iter_mut().find(|other| other["name"] == item["name"]) {
                 Some(other) => *other = item.clone(),
                 None => items.push(item.clone()),
             }
         }
     }
-    // A list that only lost names and never was there stays away.
+    // An array that only lost names and never existed stays absent.
     result
         .as_object_mut()
         .expect("an object")
@@ -122,16 +122,16 @@
 }
 
 #[test]
-fn a_configuration_cut_off_anywhere_is_refused() {
+fn a_truncated_configuration_is_rejected() {
     for end in 0..PAGE.trim_end().len() {
-        let findings = Document::replace(&PAGE.as_bytes()[..end]).expect_err("refused");
+        let findings = Document::replace(&PAGE.as_bytes()[..end]).expect_err("rejected");
         assert_eq!(findings.0.len(), 1);
-        assert_eq!(findings.0[0].place, "configuration");
+        assert_eq!(findings.0[0].location, "configuration");
     }
 }
 
 #[test]
-fn damaged_bytes_never_panic_and_what_passes_reads_back_as_sent() {
+fn damaged_bytes_never_panic_and_valid_ones_are_read_back_as_received() {
     let current = Document::replace(PAGE.as_bytes()).expect("a valid configuration");
     for seed in 0..20 * SEEDS {
         let mut random = Rng::with_seed(seed);
@@ -146,7 +146,10 @@
         }
         if let Ok(document) = Document::replace(&bytes) {
             assert_eq!(document.to_json().as_bytes(), bytes);
-            assert_eq!(Table::new(&document).generation(), document.generation());
+            assert_eq!(
+                RouteTable::new(&document).generation(),
+                document.generation()
+            );
         }
         let _ = current.patch(&bytes);
     }
@@ -154,7 +157,7 @@
 
 #[test]
 fn a_patch_does_what_the_plain_model_says() {
-    let (mut taken, mut refused) = (0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     for seed in 0..SEEDS {
         let mut random = Rng::with_seed(seed);
         let routes = routes(&mut random);
@@ -167,20 +170,20 @@
                     let result: Value = serde_json::from_str(&result.to_json()).expect("JSON");
                     assert_eq!(result, expected, "seed {seed}");
                     current = expected;
-                    taken += 1;
+                    accepted += 1;
                 }
                 Err(findings) => {
-                    let whole = Document::replace(expected.to_string().as_bytes())
-                        .expect_err("refused whole as well");
-                    assert_eq!(findings, whole, "seed {seed}");
-                    refused += 1;
+                    let replaced = Document::replace(expected.to_string().as_bytes())
+                        .expect_err("rejected as a replacement as well");
+                    assert_eq!(findings, replaced, "seed {seed}");
+                    rejected += 1;
                 }
             }
         }
     }
     assert!(
-        taken > 1_000 && refused > 1_000,
-        "both are tried: {taken} {refused}"
+        accepted > 1_000 && rejected > 1_000,
+        "both are tried: {accepted} {rejected}"
     );
 }
 
@@ -208,7 +211,7 @@
     for seed in 0..SEEDS {
         let mut random = Rng::with_seed(seed);
         let routes = routes(&mut random);
-        let table = Table::new(&document(&configuration(1, routes.clone())));
+        let table = RouteTable::new(&document(&configuration(1, routes.clone())));
         for _ in 0..40 {
             let host = format!("h{}.example", random.u32(0..4));
             let segments = random.usize(0..6);
--- a/crates/serving/configuration/tests/table.rs
+++ b/crates/serving/configuration/tests/route_table.rs
@@ -1,12 +1,11 @@
-//! What the data plane asks of a configuration: routes by host and path, shares by weight, services
-//! and limits with their defaults.
+//! Lookups of the data plane: routes by host and path, backends by weight, services and limits with their defaults.
 
-use dunespur_configuration::{Document, Kind, Limits, Route, Table, WeightedBackend};
+use dunespur_configuration::{Document, Limits, RequestKind, Route, RouteTable, WeightedBackend};
 
 const DRAWS: u64 = 10_000;
 
-fn table(json: &str) -> Table {
-    Table::new(&Document::replace(json.as_bytes()).expect("a valid configuration"))
+fn table(json: &str) -> RouteTable {
+    RouteTable::new(&Document::replace(json.as_bytes()).expect("a valid configuration"))
 }
 
 fn route(name: &str, host: &str, path_prefix: &str) -> String {
@@ -15,14 +14,14 @@
     )
 }
 
-fn routes(routes: &[String]) -> Table {
+fn routes(routes: &[String]) -> RouteTable {
     table(&format!(
         r#"{{"generation":1,"routes":[{}],"services":[{{"name":"s"}}]}}"#,
         routes.join(",")
     ))
 }
 
-fn found<'a>(table: &'a Table, host: &str, path: &str) -> Option<&'a str> {
+fn found<'a>(table: &'a RouteTable, host: &str, path: &str) -> Option<&'a str> {
     table.find(host, path).map(|route| route.name.as_str())
 }
 
@@ -56,7 +55,7 @@
     assert_eq!(found(&table, "h.example", "*"), None);
     assert_eq!(found(&table, "other.example", "/a/"), None);
     assert_eq!(found(&table, "", "/a/"), None);
-    assert_eq!(found(&Table::empty(), "h.example", "/a/"), None);
+    assert_eq!(found(&RouteTable::empty(), "h.example", "/a/"), None);
 }
 
 #[test]
@@ -89,7 +88,7 @@
 }
 
 #[test]
-fn a_query_plays_no_part() {
+fn a_query_is_ignored() {
     let table = routes(&[
         route("all", "h.example", "/"),
         route("a", "h.example", "/a/"),
@@ -111,7 +110,7 @@
 }
 
 #[test]
-fn a_route_is_read_whole() {
+fn a_route_is_parsed_completely() {
     let table = table(
         r#"{"generation":3,"services":[{"name":"s"},{"name":"t"}],"routes":[
         {"name":"r","host":"h","path_prefix":"/a/","kind":"streaming","timeout_ms":5000,"target_ms":200,
@@ -124,10 +123,10 @@
     };
     let expected = Route {
         name: "r".to_owned(),
-        kind: Kind::Streaming,
+        kind: RequestKind::Streaming,
         timeout_ms: 5000,
         target_ms: 200,
-        gap_aim_ms: Some(300),
+        gap_target_ms: Some(300),
         priority: 1,
         retries: 3,
         persisted: true,
@@ -147,7 +146,7 @@
     assert_eq!(
         (
             route.target_ms,
-            route.gap_aim_ms,
+            route.gap_target_ms,
             route.retries,
             route.priority
         ),
@@ -193,24 +192,24 @@
 }
 
 /// How many of evenly spread draws fall to each of the three services.
-fn shares(route: &Route) -> [u64; 3] {
-    let mut shares = [0; 3];
+fn counts(route: &Route) -> [u64; 3] {
+    let mut counts = [0; 3];
     for step in 0..DRAWS {
         let draw = step * (u64::MAX / DRAWS) + u64::MAX / DRAWS / 2;
         let position = ["s", "t", "u"]
             .iter()
             .position(|name| *name == route.backend(draw));
-        shares[position.expect("a service of the route")] += 1;
+        counts[position.expect("a service of the route")] += 1;
     }
-    shares
+    counts
 }
 
 #[test]
-fn weights_share_a_route_out() {
+fn requests_of_a_route_are_distributed_by_weight() {
     let route = split(
         r#"[{"backend":"s","weight":90},{"backend":"t","weight":0},{"backend":"u","weight":10}]"#,
     );
-    assert_eq!(shares(&route), [DRAWS * 9 / 10, 0, DRAWS / 10]);
+    assert_eq!(counts(&route), [DRAWS * 9 / 10, 0, DRAWS / 10]);
     assert_eq!((route.backend(0), route.backend(u64::MAX)), ("s", "u"));
     assert!(route.allows("s") && !route.allows("t") && route.allows("u") && !route.allows("v"));
 }
@@ -218,12 +217,12 @@
 #[test]
 fn weights_may_be_fractions_or_huge() {
     let route = split(r#"[{"backend":"s","weight":0.25},{"backend":"u","weight":0.75}]"#);
-    assert_eq!(shares(&route), [DRAWS / 4, 0, DRAWS * 3 / 4]);
+    assert_eq!(counts(&route), [DRAWS / 4, 0, DRAWS * 3 / 4]);
     let route =
         split(r#"[{"backend":"s","weight":1e300},{"backend":"t","weight":18446744073709551615}]"#);
-    assert_eq!(shares(&route), [DRAWS / 2, DRAWS / 2, 0]);
+    assert_eq!(counts(&route), [DRAWS / 2, DRAWS / 2, 0]);
     let route = split(r#"[{"backend":"s","weight":0},{"backend":"t","weight":1e-300}]"#);
-    assert_eq!(shares(&route), [0, DRAWS, 0]);
+    assert_eq!(counts(&route), [0, DRAWS, 0]);
 }
 
 #[test]
@@ -259,7 +258,7 @@
 }
 
 #[test]
-fn an_event_holds_a_token_at_least() {
+fn an_event_has_a_token_at_least() {
     let table = table(
         r#"{"generation":1,"services":[{"name":"a","engine":{"chunk_tokens":0}},{"name":"b","engine":{}}]}"#,
     );
@@ -303,13 +302,13 @@
         {"name":"r","host":"h","path_prefix":"/b/","kind":"read_only","timeout_ms":0,"backend":"s"},
         {"name":"q","host":"h","path_prefix":"/c/","kind":"read_only","timeout_ms":9,"backends":[]}]}"#;
     assert!(Document::replace(json.as_bytes()).is_err());
-    let document = Document::taken(json).expect("a configuration that can be read");
+    let document = Document::from_accepted(json).expect("a configuration that can be read");
     assert_eq!(
         (document.generation(), document.to_json().as_str()),
         (7, json)
     );
-    let one = Table::new(&document);
-    let other = Table::taken(json).expect("a configuration that can be read");
+    let one = RouteTable::new(&document);
+    let other = RouteTable::from_accepted(json).expect("a configuration that can be read");
     for table in [one, other] {
         assert_eq!(table.generation(), 7);
         assert_eq!(found(&table, "h", "/a/"), Some("r"));
@@ -325,6 +324,6 @@
         );
         assert!(table.service("s").is_some());
     }
-    assert!(Document::taken("{").is_err());
-    assert!(Table::taken("{").is_err());
+    assert!(Document::from_accepted("{").is_err());
+    assert!(RouteTable::from_accepted("{").is_err());
 }
--- a/crates/serving/control-state/tests/configuration_requests.rs
+++ b/crates/serving/control-state/tests/configuration_requests.rs
@@ -25,7 +25,7 @@
         Outcome::Invalid(findings) => findings
             .0
             .into_iter()
-            .map(|finding| finding.place)
+            .map(|finding| finding.location)
             .collect(),
         other => panic!("{other:?} is no rejection with findings"),
     }
--- a/crates/serving/control-state/tests/encoding.rs
+++ b/crates/serving/control-state/tests/encoding.rs
@@ -173,7 +173,7 @@
 #[test]
 fn outcomes_keep_their_bytes() {
     let finding = Finding {
-        place: "place-1".to_owned(),
+        location: "place-1".to_owned(),
         problem: "problem-2".to_owned(),
     };
     let cases = [
--- a/crates/serving/dunespur/src/control_api/handlers.rs
+++ b/crates/serving/dunespur/src/control_api/handlers.rs
@@ -156,7 +156,7 @@
                 let findings: Vec<_> = findings
                     .0
                     .iter()
-                    .map(|finding| json!({ "place": finding.place, "problem": finding.problem }))
+                    .map(|finding| json!({ "place": finding.location, "problem": finding.problem }))
                     .collect();
                 let text = json!({ "error": "the configuration is invalid", "findings": findings });
                 responses::json(StatusCode::BAD_REQUEST, text.to_string())
--- a/crates/serving/dunespur/src/data_plane.rs
+++ b/crates/serving/dunespur/src/data_plane.rs
@@ -6,7 +6,7 @@
 use crate::load_exchange::LoadExchange;
 use crate::request_events::{self, Stopwatch};
 use crate::store_client::StoreClient;
-use dunespur_configuration::Table;
+use dunespur_configuration::RouteTable;
 use dunespur_control_state::{ServerReport, ServerState};
 use dunespur_load_distribution::Identity;
 use dunespur_proxy::{AdmissionDecision, AdmissionRequest, CompletedTurn, History, Node, TurnKey};
@@ -95,7 +95,7 @@
 }
 
 /// A server as the choice sees it; what its service is comes from the configuration.
-fn server(report: &ServerReport, table: Option<&Table>) -> Server {
+fn server(report: &ServerReport, table: Option<&RouteTable>) -> Server {
     let service = table.and_then(|table| table.service(&report.backend));
     let engine = service
         .and_then(|service| service.engine.as_ref())
@@ -118,7 +118,7 @@
 }
 
 impl Node for DataPlane {
-    fn route_table(&self) -> Option<Rc<Table>> {
+    fn route_table(&self) -> Option<Rc<RouteTable>> {
         self.directory.known().table.clone()
     }
 
--- a/crates/serving/dunespur/src/directory/known_state.rs
+++ b/crates/serving/dunespur/src/directory/known_state.rs
@@ -1,7 +1,7 @@
 //! The control state as far as a process knows it, and how a change of it is applied.
 
 use crate::messages::StateUpdate;
-use dunespur_configuration::{Document, Table};
+use dunespur_configuration::{Document, RouteTable};
 use dunespur_control_state::{Change, GatewayEntry, ServerReport, StoreEntry};
 use dunespur_turn_replication::roster::Store;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
     /// Index of the control state; `None` until the first update.
     pub index: Option<u64>,
     /// The configuration in force here.
-    pub table: Option<Rc<Table>>,
+    pub table: Option<Rc<RouteTable>>,
     /// The servers of all services, by id.
     pub servers: BTreeMap<String, ServerReport>,
     /// The gateways that are there, by name.
@@ -107,7 +107,7 @@
             return false;
         }
         match Document::replace(json.as_bytes()) {
-            Ok(document) => self.table = Some(Rc::new(Table::new(&document))),
+            Ok(document) => self.table = Some(Rc::new(RouteTable::new(&document))),
             Err(findings) => log::error!("configuration {generation} can't be used: {findings}"),
         }
         true
--- a/crates/serving/proxy/src/active_request.rs
+++ b/crates/serving/proxy/src/active_request.rs
@@ -14,7 +14,7 @@
 use crate::rejection::Rejection;
 use crate::shared::Shared;
 use crate::trace;
-use dunespur_configuration::{Route, Service, Table};
+use dunespur_configuration::{Route, RouteTable, Service};
 use dunespur_routing::{Choice, Outcome, RoutingRequest, ServerId, Ticket};
 use smallvec::SmallVec;
 use std::future::{poll_fn, Future};
@@ -36,7 +36,7 @@
     pub(crate) parsed: ParsedRequest,
     pub(crate) outbound: OutboundRequest,
     pub(crate) deadline: RequestDeadline,
-    table: Rc<Table>,
+    table: Rc<RouteTable>,
     backend: String,
     tried: SmallVec<[ServerId; 2]>,
     /// The endpoint that the request goes to from one that is unresponsive or has failed.
@@ -64,7 +64,7 @@
 impl<N: Node> ActiveRequest<N> {
     pub(crate) fn new(
         shared: Rc<Shared<N>>,
-        table: Rc<Table>,
+        table: Rc<RouteTable>,
         route: Rc<Route>,
         parsed: ParsedRequest,
         outbound: OutboundRequest,
@@ -129,7 +129,7 @@
 
     /// An event of a stream has arrived: the next may take a multiple of the target for the gap between them.
     pub(crate) fn event_arrived(&mut self) {
-        let target_ms = self.route.gap_aim_ms.unwrap_or(self.route.target_ms);
+        let target_ms = self.route.gap_target_ms.unwrap_or(self.route.target_ms);
         self.deadline
             .restart_response_timeout(RESPONSE_TIMEOUT_TARGETS * target_ms);
     }
--- a/crates/serving/proxy/src/admission.rs
+++ b/crates/serving/proxy/src/admission.rs
@@ -14,7 +14,7 @@
 use crate::shared::Shared;
 use crate::trace;
 use bytes::{Bytes, BytesMut};
-use dunespur_configuration::{Kind, Route};
+use dunespur_configuration::{RequestKind, Route};
 use smallvec::SmallVec;
 
 /// When a client may retry whose turn waited for its admission until its deadline.
@@ -69,7 +69,7 @@
     let (Some(budget), Some(program)) = (parsed.budget, text(parsed.program.as_ref())) else {
         return Ok(None);
     };
-    if route.kind != Kind::Streaming {
+    if route.kind != RequestKind::Streaming {
         return Ok(None);
     }
     let turn = AdmissionRequest {
@@ -107,7 +107,7 @@
         output: Bytes::new(),
         retention_ms: route.retention_ms,
     };
-    let is_persisted = route.persisted && route.kind == Kind::Streaming;
+    let is_persisted = route.persisted && route.kind == RequestKind::Streaming;
     let memory = shared.body_memory.empty_reservation();
     is_persisted.then(|| PendingTurn {
         turn,
--- a/crates/serving/proxy/src/event_relay.rs
+++ b/crates/serving/proxy/src/event_relay.rs
@@ -12,7 +12,7 @@
 use crate::node::{CompletedTurn, Node};
 use crate::relay::client_head;
 use bytes::{Bytes, BytesMut};
-use dunespur_configuration::Kind;
+use dunespur_configuration::RequestKind;
 use dunespur_routing::Outcome;
 use http::header::{CONTENT_LENGTH, CONTENT_TYPE};
 use http::response::Parts;
@@ -27,12 +27,12 @@
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
 /// Whether a response is a stream of events.
-pub(crate) fn is_event_stream(kind: Kind, head: &Parts) -> bool {
+pub(crate) fn is_event_stream(kind: RequestKind, head: &Parts) -> bool {
     let has_event_type = head.headers.get(CONTENT_TYPE).is_none_or(|content_type| {
         let media_type = content_type.as_bytes().get(..EVENT_STREAM.len());
         media_type.is_some_and(|media_type| media_type.eq_ignore_ascii_case(EVENT_STREAM))
     });
-    kind == Kind::Streaming && head.status == StatusCode::OK && has_event_type
+    kind == RequestKind::Streaming && head.status == StatusCode::OK && has_event_type
 }
 
 /// A turn that is stored once its response is complete.
--- a/crates/serving/proxy/src/node.rs
+++ b/crates/serving/proxy/src/node.rs
@@ -1,7 +1,7 @@
 //! What the data plane asks of its node. All decisions outside HTTP lie behind it.
 
 use bytes::Bytes;
-use dunespur_configuration::Table;
+use dunespur_configuration::RouteTable;
 use dunespur_routing::{Choice, Outcome, RoutingRequest, TicketKey};
 use std::future::Future;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 /// The node that a [`crate::ProxyServer`] belongs to.
 pub trait Node: 'static {
     /// The routes of the configuration in force; none before the first has come.
-    fn route_table(&self) -> Option<Rc<Table>>;
+    fn route_table(&self) -> Option<Rc<RouteTable>>;
 
     /// Whether the configuration may be another one by now, as no update has arrived for too long.
     fn is_configuration_stale(&self) -> bool;
--- a/crates/serving/proxy/src/route_match.rs
+++ b/crates/serving/proxy/src/route_match.rs
@@ -8,7 +8,7 @@
 use crate::parsed_request::{text, ParsedRequest};
 use crate::rejection::Rejection;
 use crate::shared::Shared;
-use dunespur_configuration::{Route, Table};
+use dunespur_configuration::{Route, RouteTable};
 use http::header::HOST;
 use http::request::Parts;
 use http::Version;
@@ -26,7 +26,7 @@
 
 /// A well-formed request with its route.
 pub(crate) struct MatchedRequest {
-    pub(crate) table: Rc<Table>,
+    pub(crate) table: Rc<RouteTable>,
     pub(crate) route: Rc<Route>,
     pub(crate) parsed: ParsedRequest,
 }
@@ -63,7 +63,10 @@
 }
 
 /// The routes of the first configuration, waited for while the process starts.
-async fn first_table<N: Node>(shared: &Shared<N>, head: &Parts) -> Result<Rc<Table>, Rejection> {
+async fn first_table<N: Node>(
+    shared: &Shared<N>,
+    head: &Parts,
+) -> Result<Rc<RouteTable>, Rejection> {
     let retry_later = Rejection::RetryLater {
         retry_after_ms: NO_TABLE_RETRY_MS,
     };
@@ -88,7 +91,7 @@
 }
 
 /// A target with an authority names its host, otherwise the `Host` header does (RFC 9112 section 3.2.2).
-fn find_route(table: &Table, head: &Parts) -> Result<Rc<Route>, Rejection> {
+fn find_route(table: &RouteTable, head: &Parts) -> Result<Rc<Route>, Rejection> {
     let host_header = || text(head.headers.get(HOST));
     let authority = head.uri.authority().map(|authority| authority.as_str());
     let host = authority.or_else(host_header).ok_or(Rejection::Malformed)?;
--- a/crates/serving/proxy/tests/support/mod.rs
+++ b/crates/serving/proxy/tests/support/mod.rs
@@ -17,7 +17,7 @@
 pub use test_proxy::TestProxy;
 
 use bytes::Bytes;
-use dunespur_configuration::{Document, Table};
+use dunespur_configuration::{Document, RouteTable};
 use std::future::Future;
 use std::rc::Rc;
 use tokio::task::LocalSet;
@@ -64,8 +64,8 @@
     ],
     "limits":{"max_header_bytes":16384,"max_body_bytes":100000,"header_timeout_ms":3000,"idle_timeout_ms":15000}}"#;
 
-pub fn table(json: &str) -> Rc<Table> {
-    Rc::new(Table::new(
+pub fn table(json: &str) -> Rc<RouteTable> {
+    Rc::new(RouteTable::new(
         &Document::replace(json.as_bytes()).expect("a proper configuration"),
     ))
 }
--- a/crates/serving/proxy/tests/support/test_node.rs
+++ b/crates/serving/proxy/tests/support/test_node.rs
@@ -1,7 +1,7 @@
 //! A node that answers as the test says.
 
 use super::{table, CONFIGURATION};
-use dunespur_configuration::Table;
+use dunespur_configuration::RouteTable;
 use dunespur_proxy::{AdmissionDecision, AdmissionRequest, CompletedTurn, History, Node, TurnKey};
 use dunespur_routing::{Choice, Outcome, RoutingRequest, Server, Ticket};
 use std::cell::{Cell, RefCell};
@@ -10,7 +10,7 @@
 
 /// Answers as the test says, and records every call.
 pub struct TestNode {
-    pub table: RefCell<Option<Rc<Table>>>,
+    pub table: RefCell<Option<Rc<RouteTable>>>,
     pub is_ready: Cell<bool>,
     pub configuration_stale: Cell<bool>,
     /// Chosen in this order, those tried before left out.
@@ -98,7 +98,7 @@
     }
 
     /// Another table comes into force, or none, and the data plane is notified.
-    pub fn set_table(&self, table: Option<Rc<Table>>) {
+    pub fn set_table(&self, table: Option<Rc<RouteTable>>) {
         *self.table.borrow_mut() = table;
         self.configuration_changed.notify_waiters();
     }
@@ -174,7 +174,7 @@
 }
 
 impl Node for TestNode {
-    fn route_table(&self) -> Option<Rc<Table>> {
+    fn route_table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
