--- a/crates/serving/control-state/src/change.rs
+++ b/crates/serving/control-state/src/change.rs
@@ -1,6 +1,7 @@
 //! What subscribers are told of the control state.
 
 use crate::ServerReport;
+use dunespur_turn_replication::membership::StoreEntry;
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, sync::Arc};
 
@@ -49,28 +50,3 @@
     /// The life of its process.
     pub incarnation: u64,
 }
-
-/// A store as the core knows it.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreEntry {
-    /// The machine's name.
-    pub name: String,
-    /// Where it stands.
-    pub zone: String,
-    /// Where other processes of the system reach it.
-    pub address: SocketAddr,
-    /// The life of its process.
-    pub incarnation: u64,
-    /// Names this life of its disk; another number means that the earlier contents are lost.
-    pub disk: u64,
-    /// All that it should hold is there.
-    pub whole: bool,
-    /// The core hears of it.
-    pub present: bool,
-    /// It is being emptied: it is no home of turns, and takes them only while others fail.
-    pub retiring: bool,
-    /// It is empty, and stays so.
-    pub retired: bool,
-    /// While it is being emptied: the round, which changes whenever the standing of any store does.
-    pub round: u64,
-}
--- a/crates/serving/control-state/src/lib.rs
+++ b/crates/serving/control-state/src/lib.rs
@@ -22,7 +22,8 @@
 mod state;
 mod stores;
 
-pub use change::{Change, GatewayEntry, StoreEntry};
+pub use change::{Change, GatewayEntry};
+pub use dunespur_turn_replication::membership::StoreEntry;
 pub use guards::Guards;
 pub use operation::{NodeKind, NodeReport, Operation, Order, OrderKind, ServerReport, ServerState};
 pub use outcome::{Outcome, RetireOutcome, RetireState};
--- a/crates/serving/control-state/src/stores.rs
+++ b/crates/serving/control-state/src/stores.rs
@@ -209,11 +209,11 @@
             address: store.report.address,
             incarnation: store.report.incarnation,
             disk: store.report.disk,
-            whole: store.report.whole,
+            complete: store.report.whole,
             present: store.present,
             retiring,
             retired: store.retirement == Some(Retirement::Done),
-            round: if retiring { self.round } else { 0 },
+            epoch: if retiring { self.round } else { 0 },
         })
     }
 
--- a/crates/serving/control-state/tests/encoding.rs
+++ b/crates/serving/control-state/tests/encoding.rs
@@ -223,11 +223,11 @@
         address: ipv6(7_003),
         incarnation: 400,
         disk: 5_000,
-        whole: false,
+        complete: false,
         present: false,
         retiring: false,
         retired: false,
-        round: 600,
+        epoch: 600,
     }
 }
 
@@ -261,7 +261,7 @@
         (
             "store-first-flag",
             Change::Store(StoreEntry {
-                whole: true,
+                complete: true,
                 ..store_entry()
             }),
         ),
--- a/crates/serving/control-state/tests/guards.rs
+++ b/crates/serving/control-state/tests/guards.rs
@@ -34,7 +34,7 @@
     let usable = trial
         .state
         .stores()
-        .filter(|store| store.present && store.whole);
+        .filter(|store| store.present && store.complete);
     usable
         .filter(|store| !store.retiring && !store.retired)
         .count()
@@ -46,7 +46,7 @@
         .stores()
         .find(|store| store.name == name)
         .expect("a known store")
-        .round
+        .epoch
 }
 
 fn says_empty(trial: &mut Trial, name: &str, round: u64) {
--- a/crates/serving/control-state/tests/nodes.rs
+++ b/crates/serving/control-state/tests/nodes.rs
@@ -141,11 +141,11 @@
         address: address(7_000),
         incarnation: 1,
         disk: 1,
-        whole: false,
+        complete: false,
         present: true,
         retiring: false,
         retired: false,
-        round: 0,
+        epoch: 0,
     };
     assert_eq!(
         trial.node(unfinished.clone()),
@@ -153,7 +153,7 @@
     );
     assert_eq!(trial.node(unfinished), []);
     let whole = StoreEntry {
-        whole: true,
+        complete: true,
         ..expected
     };
     assert_eq!(trial.node(store("a", 1)), [Change::Store(whole.clone())]);
@@ -405,7 +405,7 @@
     let round = entry(&trial, "a").round;
     let retiring = StoreEntry {
         retiring: true,
-        round,
+        epoch: round,
         ..standing.clone()
     };
     assert_eq!(trial.told[before..], [Change::Store(retiring)]);
--- a/crates/serving/dunespur/src/directory/known_state.rs
+++ b/crates/serving/dunespur/src/directory/known_state.rs
@@ -3,7 +3,6 @@
 use crate::messages::StateUpdate;
 use dunespur_configuration::{Document, Table};
 use dunespur_control_state::{Change, GatewayEntry, ServerReport, StoreEntry};
-use dunespur_turn_replication::roster::Store;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -19,7 +18,7 @@
     /// The gateways that are there, by name.
     pub gateways: BTreeMap<String, GatewayEntry>,
     /// All stores, by name.
-    pub stores: BTreeMap<String, Store>,
+    pub stores: BTreeMap<String, StoreEntry>,
 }
 
 /// Which parts of the control state an update has changed.
@@ -82,7 +81,7 @@
                 changed.servers = true;
             }
             Change::Store(entry) => {
-                self.stores.insert(entry.name.clone(), store(entry));
+                self.stores.insert(entry.name.clone(), entry);
                 changed.stores = true;
             }
             Change::StoreGone { name } => {
@@ -113,19 +112,3 @@
         true
     }
 }
-
-/// A store as the replication of turns sees it.
-fn store(entry: StoreEntry) -> Store {
-    Store {
-        name: entry.name,
-        zone: entry.zone,
-        address: entry.address,
-        incarnation: entry.incarnation,
-        disk: entry.disk,
-        whole: entry.whole,
-        present: entry.present,
-        retiring: entry.retiring,
-        retired: entry.retired,
-        round: entry.round,
-    }
-}
--- a/crates/serving/dunespur/src/request_events.rs
+++ b/crates/serving/dunespur/src/request_events.rs
@@ -289,8 +289,8 @@
 
 fn reply_name(reply: Option<&StoreReply>) -> String {
     match reply {
-        Some(StoreReply::Kept) => "kept".to_owned(),
-        Some(StoreReply::Refused(refusal)) => format!("refused_{refusal:?}").to_lowercase(),
+        Some(StoreReply::Stored) => "kept".to_owned(),
+        Some(StoreReply::Rejected(rejection)) => format!("refused_{rejection:?}").to_lowercase(),
         Some(StoreReply::Found { turns, missing, .. }) => {
             format!("found turns={} whole={}", turns.len(), missing.is_none())
         }
--- a/crates/serving/dunespur/src/status/gather.rs
+++ b/crates/serving/dunespur/src/status/gather.rs
@@ -153,7 +153,7 @@
             address: store.address,
             zone: store.zone.clone(),
             present: store.present,
-            whole: store.whole,
+            whole: store.complete,
             retiring: store.retiring,
             retired: store.retired,
         })
--- a/crates/serving/dunespur/src/store/disk_thread.rs
+++ b/crates/serving/dunespur/src/store/disk_thread.rs
@@ -1,7 +1,8 @@
 //! The thread that works on a store's disk: syncs block, and a slow disk must not hold up requests.
 
 use dunespur_storage::turns::TurnDisk;
-use dunespur_turn_replication::node::{DiskOutcome, DiskWork, JobId};
+use dunespur_turn_replication::ids::JobId;
+use dunespur_turn_replication::node::{DiskOutcome, DiskWork};
 use std::sync::mpsc;
 use std::thread;
 use tokio::sync::mpsc::UnboundedSender;
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -15,10 +15,10 @@
 use dunespur_rpc::Service;
 use dunespur_storage::recovery::aside_bytes;
 use dunespur_storage::turns::TurnDisk;
+use dunespur_turn_replication::ids::{CallerId, PeerRequestId};
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use dunespur_turn_replication::node::{
-    Declaration, DiskOutcome, DiskState, Effect, Settings as NodeSettings, StoreNode,
-    ASK_TIMEOUT_MS,
+    Declaration, DiskOutcome, DiskState, Effect, StoreNode, StoreSettings, PEER_REQUEST_TIMEOUT_MS,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -44,7 +44,7 @@
     clock: Clock,
     pub(super) directory: Rc<Directory>,
     pub(super) node: RefCell<StoreNode>,
-    callers: RefCell<HashMap<u64, oneshot::Sender<StoreReply>>>,
+    callers: RefCell<HashMap<CallerId, oneshot::Sender<StoreReply>>>,
     next_caller: Cell<u64>,
     jobs: thread_queue::Sender<DiskJob>,
     /// What the core has to know of this store.
@@ -76,7 +76,7 @@
             .context("data_dir: a store needs a disk")?;
         std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
         let file = data.join(DISK_FILE);
-        let (disk, identity, entries) = TurnDisk::open(&file)?;
+        let (disk, identity, headers) = TurnDisk::open(&file)?;
         let report = NodeReport {
             name: settings.node.clone(),
             kind: NodeKind::Store,
@@ -91,7 +91,7 @@
         let state = DiskState {
             disk: identity.disk,
             fresh: identity.fresh,
-            entries,
+            headers,
         };
         let node_settings = node_settings(settings, report.incarnation, capacity);
         let node = StoreNode::new(node_settings, state, wall_clock_ms(), clock.now());
@@ -117,13 +117,13 @@
     /// The core knows other stores than before.
     pub fn stores_changed(&self) {
         let stores = self.directory.known().stores.values().cloned().collect();
-        self.with_node(|node, now| node.list_changed(stores, now));
+        self.with_node(|node, now| node.membership_changed(stores, now));
         self.report_changed.notify_one();
     }
 
     /// Answers a request; the state machine may take its time with the disk.
     async fn store_request(&self, request: StoreRequest) -> Option<StoreReply> {
-        let caller = self.next_caller.replace(self.next_caller.get() + 1);
+        let caller = CallerId(self.next_caller.replace(self.next_caller.get() + 1));
         let (sender, reply) = oneshot::channel();
         self.callers.borrow_mut().insert(caller, sender);
         let subject = StoreSubject::of(&request);
@@ -154,37 +154,37 @@
                     let _ = sender.send(reply);
                 }
             }
-            Effect::Ask {
-                ask,
+            Effect::SendRequest {
+                request_id,
                 store,
                 request,
-            } => self.call_peer(ask, &store, request),
+            } => self.call_peer(request_id, &store, request),
             Effect::Disk { job, work } => {
                 self.count(|disk| disk.waiting += 1);
                 let _ = self.jobs.send(DiskJob { id: job, work });
             }
-            Effect::Declare(Declaration::Whole) => {
+            Effect::Declare(Declaration::Complete) => {
                 self.report.borrow_mut().whole = true;
                 self.report_changed.notify_one();
             }
-            Effect::Declare(Declaration::Emptied { .. }) => self.report_changed.notify_one(),
+            Effect::Declare(Declaration::Drained { .. }) => self.report_changed.notify_one(),
         }
     }
 
-    /// Calls another store for the state machine, which knows the call by its number.
-    fn call_peer(&self, number: u64, store: &str, request: StoreRequest) {
+    /// Sends a request of the state machine to another store.
+    fn call_peer(&self, request_id: PeerRequestId, store: &str, request: StoreRequest) {
         let Some(process) = self.this.upgrade() else {
             return;
         };
         let stores: Vec<_> = self.directory.known().stores.values().cloned().collect();
         let address = address_of(&stores, store);
         spawn_local(async move {
-            let timeout = Duration::from_millis(ASK_TIMEOUT_MS);
+            let timeout = Duration::from_millis(PEER_REQUEST_TIMEOUT_MS);
             let reply = match address {
                 Some(address) => call_store(&process.directory, address, request, timeout).await,
                 None => None,
             };
-            process.with_node(|node, now| node.peer_answered(number, reply, now));
+            process.with_node(|node, now| node.peer_replied(request_id, reply, now));
         });
     }
 
@@ -200,8 +200,8 @@
             turns: node.index().len(),
             bytes: node.index().bytes(),
             capacity_bytes: self.capacity.bytes,
-            whole: node.is_whole(),
-            emptied: node.is_emptied(),
+            whole: node.is_complete(),
+            emptied: node.is_drained(),
             incomplete: node.index().has_dangling(),
             waiting: self.callers.borrow().len(),
             disk: self.disk.get(),
@@ -213,11 +213,11 @@
     }
 }
 
-fn node_settings(settings: &Settings, incarnation: u64, capacity: Capacity) -> NodeSettings {
-    NodeSettings {
+fn node_settings(settings: &Settings, incarnation: u64, capacity: Capacity) -> StoreSettings {
+    StoreSettings {
         name: settings.node.clone(),
         incarnation,
-        copies: settings.required_replicas(),
+        replication_factor: settings.required_replicas(),
         capacity_bytes: capacity.bytes,
         capacity_turns: capacity.turns,
         absent_repair_ms: ABSENT_REPAIR_MS,
--- a/crates/serving/dunespur/src/store/registration.rs
+++ b/crates/serving/dunespur/src/store/registration.rs
@@ -47,17 +47,17 @@
             self.directory.set_own_lease(NodeLease::of(&report));
         }
         let is_reported = entry.disk == report.disk
-            && entry.whole == report.whole
+            && entry.complete == report.whole
             && entry.address == report.address;
         if !is_reported || !entry.present || entry.incarnation != report.incarnation {
             return Some(Operation::Node(report.clone()));
         }
-        let emptied_in = self.node.borrow().emptied_in();
-        let round = emptied_in.filter(|round| entry.retiring && entry.round == *round)?;
+        let drained_in = self.node.borrow().drained_in_epoch();
+        let epoch = drained_in.filter(|epoch| entry.retiring && entry.epoch == *epoch)?;
         Some(Operation::RetireDone {
             node: report.name.clone(),
             incarnation: report.incarnation,
-            round,
+            round: epoch,
         })
     }
 }
--- a/crates/serving/dunespur/src/store_client.rs
+++ b/crates/serving/dunespur/src/store_client.rs
@@ -1,15 +1,17 @@
-//! Turns kept and looked up: carries out what the state machines of `dunespur-turns` want at the stores.
+//! Writes and reads turns: sends what the coordinators of `dunespur-turn-replication` want to the stores.
 
 use crate::clock::wall_clock_ms;
 use crate::directory::Directory;
 use crate::messages::{encode, Reply, Request};
 use crate::request_events;
 use dunespur_proxy::{CompletedTurn, History};
+use dunespur_turn_replication::membership::StoreEntry;
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
-use dunespur_turn_replication::read::{Outcome, Reading};
-use dunespur_turn_replication::roster::Store;
+use dunespur_turn_replication::read_coordinator::{ReadCoordinator, ReadOutcome};
 use dunespur_turn_replication::turn::Turn;
-use dunespur_turn_replication::write::{Verdict, Writing, WRITE_DEADLINE_MS};
+use dunespur_turn_replication::write_coordinator::{
+    WriteCoordinator, WriteOutcome, WRITE_DEADLINE_MS,
+};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -54,7 +56,7 @@
             };
         }
         let clock = self.directory.clock();
-        let mut reading = Reading::new(
+        let mut read = ReadCoordinator::new(
             previous,
             program,
             &stores,
@@ -63,22 +65,22 @@
         );
         let (answers, mut queue) = mpsc::unbounded_channel();
         loop {
-            while let Some(ask) = reading.poll() {
+            while let Some(ask) = read.poll() {
                 request_events::chain_asked(previous, &ask.id, &ask.store);
                 let request = StoreRequest::Chain { id: ask.id.clone() };
                 self.ask(&stores, ask.store, ask.id, request, &answers);
             }
-            match reading.take_outcome() {
-                Some(Outcome::Chain(turns)) => return History::Found(pieces(turns)),
-                Some(Outcome::Unknown) => return History::Unknown,
-                Some(Outcome::Unsure | Outcome::TooLong) => {
+            match read.take_outcome() {
+                Some(ReadOutcome::Chain(turns)) => return History::Found(pieces(turns)),
+                Some(ReadOutcome::Unknown) => return History::Unknown,
+                Some(ReadOutcome::Uncertain | ReadOutcome::TooLong) => {
                     return History::Unavailable {
                         retry_after_ms: UNSURE_RETRY_MS,
                     };
                 }
                 None => {}
             }
-            let due = clock.instant(reading.next_due().unwrap_or(clock.now()));
+            let due = clock.instant(read.next_due().unwrap_or(clock.now()));
             tokio::select! {
                 Some(answer) = queue.recv() => {
                     let now = clock.now();
@@ -86,11 +88,11 @@
                         request_events::chain_answered(previous, &answer.store, answer.reply.as_ref());
                     }
                     match answer.reply {
-                        Some(reply) => reading.answered(&answer.store, &answer.id, reply, now),
-                        None => reading.failed(&answer.store, &answer.id, now),
+                        Some(reply) => read.replied(&answer.store, &answer.id, reply, now),
+                        None => read.failed(&answer.store, &answer.id, now),
                     }
                 }
-                () = sleep_until(due.into()) => reading.due(clock.now()),
+                () = sleep_until(due.into()) => read.tick(clock.now()),
             }
         }
     }
@@ -109,10 +111,11 @@
             retention_ms: kept.retention_ms,
         };
         let began_at = clock.now();
-        let mut writing = Writing::new(&turn.header(), &stores, self.required_replicas, began_at);
+        let mut write =
+            WriteCoordinator::new(&turn.header(), &stores, self.required_replicas, began_at);
         let (answers, mut queue) = mpsc::unbounded_channel();
         loop {
-            while let Some(put) = writing.poll() {
+            while let Some(put) = write.poll() {
                 request_events::put(&turn.id, &put.store, put.hint.as_deref());
                 let request = StoreRequest::Put {
                     turn: turn.clone(),
@@ -120,8 +123,8 @@
                 };
                 self.ask(&stores, put.store, turn.id.clone(), request, &answers);
             }
-            if let Some(verdict) = writing.verdict() {
-                let kept = verdict == Verdict::Kept;
+            if let Some(outcome) = write.outcome() {
+                let kept = outcome == WriteOutcome::Stored;
                 let took_ms = clock.now() - began_at;
                 request_events::kept(
                     &turn.id,
@@ -132,7 +135,7 @@
                 );
                 return kept;
             }
-            let due = clock.instant(writing.next_due().unwrap_or(clock.now()));
+            let due = clock.instant(write.next_due().unwrap_or(clock.now()));
             tokio::select! {
                 Some(answer) = queue.recv() => {
                     let now = clock.now();
@@ -140,23 +143,23 @@
                         request_events::put_answered(&turn.id, &answer.store, answer.reply.as_ref());
                     }
                     match answer.reply {
-                        Some(StoreReply::Kept) => writing.acknowledged(&answer.store, now),
-                        _ => writing.failed(&answer.store, now),
+                        Some(StoreReply::Stored) => write.acknowledged(&answer.store, now),
+                        _ => write.failed(&answer.store, now),
                     }
                 }
-                () = sleep_until(due.into()) => writing.due(clock.now()),
+                () = sleep_until(due.into()) => write.tick(clock.now()),
             }
         }
     }
 
-    fn stores(&self) -> Vec<Store> {
+    fn stores(&self) -> Vec<StoreEntry> {
         self.directory.known().stores.values().cloned().collect()
     }
 
     /// Asks one store; its answer goes to `answers`, if anybody still listens.
     fn ask(
         &self,
-        stores: &[Store],
+        stores: &[StoreEntry],
         store: String,
         id: String,
         request: StoreRequest,
@@ -196,7 +199,7 @@
 }
 
 /// Where a store of the list listens.
-pub fn address_of(stores: &[Store], name: &str) -> Option<SocketAddr> {
+pub fn address_of(stores: &[StoreEntry], name: &str) -> Option<SocketAddr> {
     stores
         .iter()
         .find(|store| store.name == name)
--- a/crates/serving/dunespur/tests/bytes.rs
+++ b/crates/serving/dunespur/tests/bytes.rs
@@ -20,7 +20,7 @@
     RetireOutcome, RetireState, ServerReport, ServerState, StoreEntry,
 };
 use dunespur_load_distribution::{Answer, Ask, Known, ServerLoad, Speaker, Statement};
-use dunespur_turn_replication::message::{Refusal, StoreReply, StoreRequest};
+use dunespur_turn_replication::message::{Rejection, StoreReply, StoreRequest};
 use dunespur_turn_replication::turn::Turn;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -273,11 +273,11 @@
         address: address(4, 7101),
         incarnation: 51,
         disk: 52,
-        whole: true,
+        complete: true,
         present: false,
         retiring: true,
         retired: false,
-        round: 53,
+        epoch: 53,
     };
     let gateway = GatewayEntry {
         name: "front-7".to_owned(),
@@ -313,7 +313,7 @@
     let found = StoreReply::Found {
         turns: vec![turn()],
         missing: Some("r-0".to_owned()),
-        more: true,
+        has_more: true,
     };
     let executed = |outcome| Reply::Executed(outcome);
     vec![
@@ -404,7 +404,7 @@
         ("store found", Reply::Store(found)),
         (
             "store refused",
-            Reply::Store(StoreReply::Refused(Refusal::Busy)),
+            Reply::Store(StoreReply::Rejected(Rejection::Busy)),
         ),
         ("status", Reply::Status("{\"node\":\"front-7\"}".to_owned())),
         ("home", Reply::Home(answer)),
--- a/crates/serving/storage/src/turns.rs
+++ b/crates/serving/storage/src/turns.rs
@@ -11,9 +11,8 @@
 use crate::recovery::{open_checked, open_or_set_aside, without_panic, UnknownFormat};
 use anyhow::{bail, Context};
 use bytes::Bytes;
-use dunespur_turn_replication::index::IndexEntry;
 use dunespur_turn_replication::node::{DiskOutcome, DiskWork};
-use dunespur_turn_replication::turn::{size_of, Turn};
+use dunespur_turn_replication::turn::{size_of_turn, Turn, TurnHeader};
 use redb::{
     Builder, Database, DatabaseError, Durability, ReadableTable, StorageBackend, TableDefinition,
     WriteTransaction,
@@ -77,11 +76,11 @@
 impl TurnDisk {
     /// Opens the file, or makes it. One that can't be read is set aside: that is a new life of the disk, and the store
     /// fetches from others what it should hold.
-    pub fn open(path: &Path) -> anyhow::Result<(Self, DiskIdentity, Vec<IndexEntry>)> {
+    pub fn open(path: &Path) -> anyhow::Result<(Self, DiskIdentity, Vec<TurnHeader>)> {
         open_or_set_aside(path, || Self::open_file(path))
     }
 
-    fn open_file(path: &Path) -> anyhow::Result<(Self, DiskIdentity, Vec<IndexEntry>)> {
+    fn open_file(path: &Path) -> anyhow::Result<(Self, DiskIdentity, Vec<TurnHeader>)> {
         let owned = path.to_owned();
         let opener: Opener = Box::new(move || file::open(&builder(), &owned));
         let opened = if path.exists() {
@@ -96,7 +95,7 @@
     /// Opens turns on other storage than a file; `backend` gives access to it, again after each error.
     pub fn open_backend<B: StorageBackend>(
         backend: impl Fn() -> B + Send + 'static,
-    ) -> anyhow::Result<(Self, DiskIdentity, Vec<IndexEntry>)> {
+    ) -> anyhow::Result<(Self, DiskIdentity, Vec<TurnHeader>)> {
         let opener: Opener = Box::new(move || builder().create_with_backend(backend()));
         let database = opener().context("open the backend")?;
         Self::start(database, opener)
@@ -105,7 +104,7 @@
     fn start(
         database: Database,
         opener: Opener,
-    ) -> anyhow::Result<(Self, DiskIdentity, Vec<IndexEntry>)> {
+    ) -> anyhow::Result<(Self, DiskIdentity, Vec<TurnHeader>)> {
         let identity = identity(&database)?;
         let entries = entries(&database)?;
         let disk = Self {
@@ -206,7 +205,7 @@
             DiskWork::Put(turns) => self.put(turns)?,
             DiskWork::Get(ids) => return Ok(DiskOutcome::Turns(self.get_many(ids)?)),
             DiskWork::Remove(ids) => self.remove(ids)?,
-            DiskWork::MarkWhole => self.mark_whole()?,
+            DiskWork::MarkComplete => self.mark_whole()?,
         }
         Ok(DiskOutcome::Done)
     }
@@ -252,7 +251,7 @@
     Ok(Some(DiskIdentity { disk, fresh }))
 }
 
-fn entries(database: &Database) -> anyhow::Result<Vec<IndexEntry>> {
+fn entries(database: &Database) -> anyhow::Result<Vec<TurnHeader>> {
     let read = database.begin_read()?;
     let headers = read.open_table(HEADERS)?;
     let mut entries = Vec::new();
@@ -297,14 +296,14 @@
     postcard::from_bytes(bytes).context("decode a header")
 }
 
-fn index_entry(id: &str, row: &HeaderRow<'_>) -> IndexEntry {
-    IndexEntry {
+fn index_entry(id: &str, row: &HeaderRow<'_>) -> TurnHeader {
+    TurnHeader {
         id: id.to_owned(),
         previous: row.previous.map(str::to_owned),
         program: row.program.to_owned(),
         ended_at_ms: row.ended_at_ms,
         retention_ms: row.retention_ms,
-        size: size_of(
+        size: size_of_turn(
             id,
             row.previous,
             row.program,
--- a/crates/serving/storage/tests/full/turns.rs
+++ b/crates/serving/storage/tests/full/turns.rs
@@ -3,10 +3,9 @@
 use crate::support::Storage;
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
-use dunespur_turn_replication::index::IndexEntry;
-use dunespur_turn_replication::turn::Turn;
+use dunespur_turn_replication::turn::{Turn, TurnHeader};
 
-fn open(storage: &Storage) -> (TurnDisk, Vec<IndexEntry>) {
+fn open(storage: &Storage) -> (TurnDisk, Vec<TurnHeader>) {
     let storage = storage.clone();
     let (disk, _, entries) =
         TurnDisk::open_backend(move || storage.clone()).expect("the storage opens");
@@ -25,7 +24,7 @@
     }
 }
 
-fn ids(entries: &[IndexEntry]) -> Vec<&str> {
+fn ids(entries: &[TurnHeader]) -> Vec<&str> {
     entries.iter().map(|entry| entry.id.as_str()).collect()
 }
 
--- a/crates/serving/storage/tests/power/turns.rs
+++ b/crates/serving/storage/tests/power/turns.rs
@@ -3,15 +3,14 @@
 use crate::support::{Disk, Random, Syncs};
 use bytes::Bytes;
 use dunespur_storage::turns::{DiskIdentity, TurnDisk};
-use dunespur_turn_replication::index::IndexEntry;
-use dunespur_turn_replication::turn::Turn;
+use dunespur_turn_replication::turn::{Turn, TurnHeader};
 use std::collections::BTreeMap;
 use std::panic::catch_unwind;
 
 /// Losses of power over one disk.
 const LIVES: u64 = 6;
 
-fn open(disk: &Disk) -> anyhow::Result<(TurnDisk, DiskIdentity, Vec<IndexEntry>)> {
+fn open(disk: &Disk) -> anyhow::Result<(TurnDisk, DiskIdentity, Vec<TurnHeader>)> {
     let handle = disk.handle();
     TurnDisk::open_backend(move || handle.clone())
 }
@@ -73,7 +72,7 @@
 
 /// What is wrong after a loss of power, if anything.
 fn wrong(
-    opened: &anyhow::Result<(TurnDisk, DiskIdentity, Vec<IndexEntry>)>,
+    opened: &anyhow::Result<(TurnDisk, DiskIdentity, Vec<TurnHeader>)>,
     identity: DiskIdentity,
     told: &Told,
 ) -> Option<String> {
--- /dev/null
+++ b/crates/serving/turn-replication/src/ids.rs
@@ -0,0 +1,13 @@
+//! Numbers by which a store node and the process around it refer to what is in progress.
+
+/// Identifies a caller that waits for a reply; chosen by the process around the node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct CallerId(pub u64);
+
+/// Identifies a request of this node to another store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct PeerRequestId(pub u64);
+
+/// Identifies a piece of disk work.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct JobId(pub u64);
--- a/crates/serving/turn-replication/src/index.rs
+++ b/crates/serving/turn-replication/src/index.rs
@@ -1,29 +1,30 @@
 //! What one store holds, in memory: headers, chains and expiry; no bodies.
 //!
-//! Expiry runs on the steady clock: a turn gets its term when it arrives, so that a step of the wall clock
+//! Expiry follows the steady clock: a turn gets its retention when it arrives, so that a step of the wall clock
 //! deletes nothing. Only at the start, when no better is known, is the wall clock compared with the dates on
-//! disk, and then bounded from below. A turn never expires before one that goes on from it.
+//! disk, and the result is limited from below. A turn never expires before one that continues it.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, HashSet};
 use std::ops::Bound;
 use std::sync::Arc;
 
+use crate::membership::Candidate;
 use crate::message::{ListedTurn, PAGE_IDS, PAGE_ID_BYTES};
 use crate::placement;
-use crate::roster::Candidate;
 use crate::turn::{TurnHeader, RETENTION_MARGIN_MS};
 
-/// A header as it is read from the disk at the start.
-pub type IndexEntry = TurnHeader;
+/// Minimum remaining retention of a turn that was read, in milliseconds: its reader is about to continue it, and
+/// its chain must still be there when that turn has ended.
+pub const READ_EXTENSION_MS: u64 = 30_000;
+/// By how much the wall clock may have stepped ahead, in milliseconds, without a turn being deleted too early
+/// after a start.
+pub const MAX_CLOCK_STEP_MS: u64 = 120_000;
+/// Minimum remaining retention after a start, in milliseconds, whatever the wall clock says.
+pub const MIN_RETENTION_AFTER_START_MS: u64 = RETENTION_MARGIN_MS;
 
-/// What a turn that was read is kept for at least, in milliseconds: whoever asked for it is about to go on
-/// from it, and its chain must still be there when that turn has ended.
-pub const READ_HOLD_MS: u64 = 30_000;
-/// By how much the wall clock may have stepped ahead without a turn being deleted too early after a start.
-pub const CLOCK_STEP_BOUND_MS: u64 = 120_000;
-/// The least term after a start, whatever the wall clock says.
-pub const LEAST_TERM_AFTER_START_MS: u64 = RETENTION_MARGIN_MS;
+/// Maximum number of records examined for one page of a listing, so that no page takes long.
+const MAX_SCANNED_RECORDS: usize = 4_000;
 
 #[derive(Debug)]
 struct Record {
@@ -36,31 +37,29 @@
 
 /// A chain or its newest part, as far as this store holds it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldChain {
+pub struct StoredChain {
     /// Newest first.
     pub ids: Vec<Arc<str>>,
     /// The next older turn.
     pub missing: Option<Arc<str>>,
-    /// The store holds it, but there was no room for it.
-    pub more: bool,
+    /// The store holds the next older turn too, but it exceeded the limit.
+    pub has_more: bool,
 }
 
-/// A page of a listing, see [`Index::missing_at`].
+/// A page of a listing, see [`Index::page_for_replica`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
+    /// The turns, by increasing id.
     pub turns: Vec<ListedTurn>,
-    /// Where the following page goes on; none after the last.
+    /// After which id the following page begins; `None` on the last page.
     pub next: Option<String>,
 }
 
-/// Most records looked at for one page of a listing, so that no page takes long.
-const SCAN_BOUND: usize = 4_000;
-
 /// Index of the turns on one disk.
 #[derive(Debug, Default)]
 pub struct Index {
     records: BTreeMap<Arc<str>, Record>,
-    /// Turns that a held one goes on from, but which are not held; with the latest expiry of the former.
+    /// Turns that a stored one continues, but which are not stored; with the latest expiry of the former.
     dangling: BTreeMap<Arc<str>, u64>,
     /// One string for all turns of a program.
     programs: HashSet<Arc<str>>,
@@ -68,28 +67,28 @@
 }
 
 impl Index {
-    /// Rebuilds the index at a start, `wall_ms` by the wall clock and `now_ms` by the steady one.
-    pub fn load(entries: Vec<IndexEntry>, wall_ms: u64, now_ms: u64) -> Self {
+    /// Rebuilds the index at a start, from the headers on disk; `wall_ms` is the time by the wall clock, `now_ms`
+    /// by the steady one.
+    #[must_use]
+    pub fn load(headers: Vec<TurnHeader>, wall_ms: u64, now_ms: u64) -> Self {
         let mut index = Self::default();
-        for entry in entries {
-            let term = term_after_start(&entry, wall_ms);
-            index.insert(&entry, now_ms.saturating_add(term));
+        for header in headers {
+            let remaining_ms = retention_after_start_ms(&header, wall_ms);
+            index.insert(&header, now_ms.saturating_add(remaining_ms));
         }
         index
     }
 
-    /// Adds a turn; known ones only have their expiry extended.
+    /// Adds a turn; a known one only has its expiry extended.
     pub fn insert(&mut self, header: &TurnHeader, expires_at_ms: u64) {
         let id: Arc<str> = Arc::from(header.id.as_str());
-        let awaited = self.dangling.remove(&id).unwrap_or(0);
-        let expires_at_ms = expires_at_ms.max(awaited);
+        let needed_until_ms = self.dangling.remove(&id).unwrap_or(0);
+        let expires_at_ms = expires_at_ms.max(needed_until_ms);
         if self.records.contains_key(&id) {
             return self.extend(&id, expires_at_ms);
         }
-        let previous = header
-            .previous
-            .as_deref()
-            .map(|previous| self.shared_id(previous));
+        let previous = header.previous.as_deref();
+        let previous = previous.map(|previous| self.shared_id(previous));
         let program = self.shared_program(&header.program);
         self.bytes += header.size;
         let record = Record {
@@ -104,12 +103,12 @@
         }
     }
 
-    /// Keeps a turn and its ancestors until `expires_at_ms` at least.
+    /// Retains a turn and its ancestors until `expires_at_ms` at least.
     pub fn extend(&mut self, id: &str, expires_at_ms: u64) {
         let mut next: Option<Arc<str>> = Some(Arc::from(id));
         while let Some(id) = next {
             let Some(record) = self.records.get_mut(&id) else {
-                self.await_ancestor(id, expires_at_ms);
+                self.record_dangling(id, expires_at_ms);
                 return;
             };
             // Ancestors expire no earlier than this one: nothing to do further up.
@@ -121,7 +120,7 @@
         }
     }
 
-    fn await_ancestor(&mut self, id: Arc<str>, expires_at_ms: u64) {
+    fn record_dangling(&mut self, id: Arc<str>, expires_at_ms: u64) {
         match self.dangling.entry(id) {
             Entry::Occupied(mut entry) => {
                 let latest = expires_at_ms.max(*entry.get());
@@ -133,11 +132,14 @@
         }
     }
 
+    /// Whether the turn is stored.
+    #[must_use]
     pub fn contains(&self, id: &str) -> bool {
         self.records.contains_key(id)
     }
 
-    /// Whether the id is held and names the same turn, as far as the index can tell.
+    /// Whether the id is stored and names the same turn, as far as the index can tell.
+    #[must_use]
     pub fn agrees_with(&self, header: &TurnHeader) -> bool {
         self.records.get(header.id.as_str()).is_some_and(|record| {
             record.previous.as_deref() == header.previous.as_deref()
@@ -146,43 +148,49 @@
         })
     }
 
-    /// How long a turn is still kept.
+    /// How long a turn is still retained, in milliseconds.
+    #[must_use]
     pub fn remaining_ms(&self, id: &str, now_ms: u64) -> Option<u64> {
-        self.records
-            .get(id)
-            .map(|record| record.expires_at_ms.saturating_sub(now_ms))
+        let record = self.records.get(id)?;
+        Some(record.expires_at_ms.saturating_sub(now_ms))
     }
 
-    /// What a turn takes.
+    /// Bytes that a turn takes.
+    #[must_use]
     pub fn size(&self, id: &str) -> Option<u64> {
         self.records.get(id).map(|record| record.size)
     }
 
-    /// Number of turns held.
+    /// Number of turns.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
+    /// Whether there is no turn.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// What all turns held take.
+    /// Bytes that all turns take.
+    #[must_use]
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// The newest part of the chain that ends in `id`, within `most_bytes` but one turn at least; none if the
-    /// turn is not held or past its time.
-    pub fn chain(&self, id: &str, most_bytes: u64, now_ms: u64) -> Option<HeldChain> {
+    /// The newest part of the chain that ends in `id`, within `max_bytes` but at least one turn; `None` if the
+    /// turn is not stored or has expired.
+    #[must_use]
+    pub fn chain(&self, id: &str, max_bytes: u64, now_ms: u64) -> Option<StoredChain> {
         let (first, record) = self.records.get_key_value(id)?;
         if record.expires_at_ms <= now_ms {
             return None;
         }
-        let mut chain = HeldChain {
+        let mut chain = StoredChain {
             ids: vec![first.clone()],
             missing: record.previous.clone(),
-            more: false,
+            has_more: false,
         };
         let mut bytes = record.size;
         while let Some(older) = chain.missing.clone() {
@@ -190,9 +198,9 @@
                 break;
             };
             bytes += record.size;
-            // The second bound is against a ring of ids, which no honest writer makes.
-            if bytes > most_bytes || chain.ids.len() >= self.records.len() {
-                chain.more = true;
+            // The second limit is against a cycle of ids, which no honest writer makes.
+            if bytes > max_bytes || chain.ids.len() >= self.records.len() {
+                chain.has_more = true;
                 break;
             }
             chain.ids.push(older);
@@ -201,7 +209,8 @@
         Some(chain)
     }
 
-    /// The first turn on the way from `id` to the start of its chain that is not held.
+    /// The first turn on the way from `id` to the start of its chain that is not stored.
+    #[must_use]
     pub fn first_missing(&self, id: &str) -> Option<String> {
         let mut id = id;
         for _ in 0..=self.records.len() {
@@ -213,71 +222,73 @@
         None
     }
 
-    /// Turns that are not held though others go on from them.
+    /// Turns that are not stored though stored ones continue them.
     pub fn dangling(&self) -> impl Iterator<Item = &str> {
         self.dangling.keys().map(|id| &**id)
     }
 
+    /// Whether there is a turn that is not stored though a stored one continues it.
+    #[must_use]
     pub fn has_dangling(&self) -> bool {
         !self.dangling.is_empty()
     }
 
-    /// Forgets the turns past their time; they are to be deleted from the disk.
+    /// Removes the expired turns and returns their ids; they are to be deleted from the disk.
+    #[must_use]
     pub fn expire(&mut self, now_ms: u64) -> Vec<String> {
         self.dangling
             .retain(|_, expires_at_ms| *expires_at_ms > now_ms);
-        let gone: Vec<Arc<str>> = self
+        let expired: Vec<Arc<str>> = self
             .records
             .iter()
             .filter(|(_, record)| record.expires_at_ms <= now_ms)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &gone {
-            self.forget(id);
+        for id in &expired {
+            self.remove(id);
         }
-        if !gone.is_empty() {
+        if !expired.is_empty() {
             self.programs
                 .retain(|program| Arc::strong_count(program) > 1);
         }
-        gone.iter().map(|id| id.to_string()).collect()
+        expired.iter().map(|id| id.to_string()).collect()
     }
 
-    fn forget(&mut self, id: &str) {
+    fn remove(&mut self, id: &str) {
         if let Some(record) = self.records.remove(id) {
             self.bytes -= record.size;
         }
     }
 
-    /// The turns after id `after` that `store` should hold, were the candidates all the stores there are.
-    pub fn missing_at(
+    /// A page of the turns that `store` should hold, if the candidates were all the stores there are; only ids
+    /// greater than `after`.
+    #[must_use]
+    pub fn page_for_replica(
         &self,
         store: &str,
         candidates: &[Candidate],
-        copies: usize,
+        replication_factor: usize,
         after: Option<&str>,
         now_ms: u64,
     ) -> Page {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
+        let records = self.records.range::<str, _>((start, Bound::Unbounded));
+        let is_wanted = |record: &Record| {
+            record.expires_at_ms > now_ms
+                && placement::is_replica(&record.program, store, candidates, replication_factor)
+        };
         let mut page = Page::default();
         let mut id_bytes = 0;
-        for (scanned, (id, record)) in self
-            .records
-            .range::<str, _>((start, Bound::Unbounded))
-            .enumerate()
-        {
-            if record.expires_at_ms > now_ms
-                && placement::is_home(&record.program, store, candidates, copies)
-            {
+        for (scanned, (id, record)) in records.enumerate() {
+            if is_wanted(record) {
                 page.turns.push(ListedTurn {
                     id: id.to_string(),
                     size: record.size,
                 });
                 id_bytes += id.len();
             }
-            if page.turns.len() >= PAGE_IDS
-                || id_bytes >= PAGE_ID_BYTES
-                || scanned + 1 >= SCAN_BOUND
-            {
+            let is_full = page.turns.len() >= PAGE_IDS || id_bytes >= PAGE_ID_BYTES;
+            if is_full || scanned + 1 >= MAX_SCANNED_RECORDS {
                 page.next = Some(id.to_string());
                 break;
             }
@@ -287,7 +298,7 @@
 
     fn shared_id(&self, id: &str) -> Arc<str> {
         match self.records.get_key_value(id) {
-            Some((held, _)) => held.clone(),
+            Some((stored, _)) => stored.clone(),
             None => Arc::from(id),
         }
     }
@@ -302,12 +313,13 @@
     }
 }
 
-fn term_after_start(entry: &IndexEntry, wall_ms: u64) -> u64 {
-    let full = entry.full_term_ms();
-    let ends_at = entry
+/// How long a turn that was found on disk is retained.
+fn retention_after_start_ms(header: &TurnHeader, wall_ms: u64) -> u64 {
+    let full_ms = header.retention_with_margin_ms();
+    let ends_at_ms = header
         .ended_at_ms
-        .saturating_add(full)
-        .saturating_add(CLOCK_STEP_BOUND_MS);
-    let least = LEAST_TERM_AFTER_START_MS.min(full);
-    ends_at.saturating_sub(wall_ms).clamp(least, full)
+        .saturating_add(full_ms)
+        .saturating_add(MAX_CLOCK_STEP_MS);
+    let min_ms = MIN_RETENTION_AFTER_START_MS.min(full_ms);
+    ends_at_ms.saturating_sub(wall_ms).clamp(min_ms, full_ms)
 }
--- a/crates/serving/turn-replication/src/lib.rs
+++ b/crates/serving/turn-replication/src/lib.rs
@@ -1,33 +1,40 @@
-//! Turns of programs kept on several store machines: placement, chains, handoff, repair, retention.
+//! Replication of conversation turns over store machines: placement, quorum writes, chain reads, hinted handoff,
+//! anti-entropy, retention.
 //!
-//! A [`turn::Turn`] is one finished turn of a program: its input, the data of its events and the turn it goes
-//! on from. It is written once, to as many stores as may be lost at one time and one more, before the last
-//! byte of its answer goes out, and never changed. State machines without I/O or clock:
+//! A [`turn::Turn`] is one finished turn of a conversation: its input, the data of its events and the turn that it
+//! continues (its previous turn). A turn and its ancestors are a *chain*. A turn is immutable and is written once,
+//! to one store more than may be lost at one time, before the last byte of its answer is sent. The state machines
+//! here do no I/O and read no clock:
 //!
-//! - at a gateway, [`write::Writing`] keeps one turn and [`read::Reading`] looks a chain up;
-//! - at a store, [`node::StoreNode`] takes requests and completions of its disk and gives effects. It is made
-//!   of the [`index::Index`] of what the disk holds, the queue of commits, the pulls that fill a new or
-//!   returned store ([`repair`]), the deliveries of hints and of a store that is retired ([`handoff`]).
+//! - at a gateway, [`write_coordinator::WriteCoordinator`] writes one turn and
+//!   [`read_coordinator::ReadCoordinator`] reads one chain;
+//! - at a store, [`node::StoreNode`] takes requests and completions of its disk and returns effects. It consists
+//!   of the [`index::Index`] of what the disk holds, the queue of commits ([`commit_queue`]), the search for
+//!   missing ancestors ([`chain_completion`]), the pulls that fill a new or returned store ([`anti_entropy`]) and
+//!   the transfers of hinted turns and of a draining store ([`handoff`]).
 //!
-//! What holds, and why "unknown" may be said at all:
+//! The design is that of Dynamo (DeCandia et al., SOSP 2007): a preference list for each program, sloppy quorums
+//! with hinted handoff, and anti-entropy between replicas. It differs in that a read must be certain before it
+//! says that a turn does not exist. That rests on four invariants:
 //!
-//! 1. A store acknowledges a turn when the turn and its whole chain are synced on its disk.
-//! 2. A store whose disk is new is not whole until it has asked every other present store for what it should
-//!    hold, and no writer that counted on the old disk can still be at work.
-//! 3. A store takes turns only once every present store has heard of it, and stores name the stores they know
-//!    in each "unknown", so that a reader with an old list notices.
-//! 4. A reader says "unknown" only if every store that is not retired says so and is whole.
+//! 1. A store acknowledges a turn once the turn and its complete chain are synced on its disk.
+//! 2. A store with a new disk is not complete until it has asked every other present store for what it should
+//!    hold, and no writer that counted on the old disk can still be active.
+//! 3. A store accepts turns only once every present store knows of it, and stores name the stores that they know
+//!    in each "unknown", so that a reader with stale membership notices.
+//! 4. A reader concludes "unknown" only if every store that is not retired says so and is complete.
 
-pub mod commit;
-pub mod complete;
-pub mod guards;
+pub mod anti_entropy;
+pub mod chain_completion;
+pub mod commit_queue;
 pub mod handoff;
+pub mod ids;
 pub mod index;
+pub mod membership;
 pub mod message;
 pub mod node;
 pub mod placement;
-pub mod read;
-pub mod repair;
-pub mod roster;
+pub mod read_coordinator;
+pub mod safeguards;
 pub mod turn;
-pub mod write;
+pub mod write_coordinator;
--- a/crates/serving/turn-replication/src/node/commits.rs
+++ b/crates/serving/turn-replication/src/node/commits.rs
@@ -1,67 +1,81 @@
-//! Turns on their way to the disk, and those past their time on their way off it.
+//! Turns on their way to the disk, and expired ones on their way off it.
 
-use super::{DiskWork, JobPurpose, StoreNode, EXPIRY_SWEEP_MS, REMOVE_BOUND};
-use crate::commit::{Committed, Waiter};
-use crate::message::{Refusal, StoreReply};
-use crate::turn::HeldTurn;
+use super::interface::{DiskOutcome, DiskWork};
+use super::purposes::JobPurpose;
+use super::state::{StoreNode, EXPIRY_SWEEP_MS};
+use crate::commit_queue::{CommittedEntry, Waiter};
+use crate::message::{Rejection, StoreReply};
+use crate::turn::RetainedTurn;
+
+/// Maximum number of turns deleted from the disk in one piece of work.
+const MAX_REMOVALS_PER_JOB: usize = 256;
 
 impl StoreNode {
-    pub(super) fn commit(&mut self, turns: Vec<HeldTurn>, waiter: Waiter, now_ms: u64) {
-        if let Err(refusal) = self.commits.push(turns, waiter.clone()) {
-            self.commit_failed(waiter, refusal, now_ms);
+    pub(super) fn commit(&mut self, turns: Vec<RetainedTurn>, waiter: Waiter, now_ms: u64) {
+        if let Err(rejection) = self.commits.push(turns, waiter.clone()) {
+            self.commit_failed(waiter, rejection, now_ms);
         }
     }
 
-    pub(super) fn commit_done(&mut self, written: bool, now_ms: u64) {
+    pub(super) fn commit_done(&mut self, outcome: &DiskOutcome, now_ms: u64) {
         for entry in self.commits.finish() {
-            if written {
-                self.committed(entry, now_ms);
+            if *outcome == DiskOutcome::Failed {
+                self.commit_failed(entry.waiter, Rejection::Disk, now_ms);
             } else {
-                self.commit_failed(entry.waiter, Refusal::Disk, now_ms);
+                self.committed(entry, now_ms);
             }
         }
     }
 
-    pub(super) fn committed(&mut self, entry: Committed, now_ms: u64) {
+    fn committed(&mut self, entry: CommittedEntry, now_ms: u64) {
         for turn in &entry.turns {
-            self.index
-                .insert(&turn.header, now_ms.saturating_add(turn.remaining_ms));
-            self.owe(&turn.header, now_ms);
-            for put in self.completions.is_here(&turn.header.id) {
-                self.go_on_with(put, now_ms);
+            let expires_at_ms = now_ms.saturating_add(turn.remaining_ms);
+            self.index.insert(&turn.header, expires_at_ms);
+            self.require_handoff(&turn.header, now_ms);
+            for put in self.completions.stored(&turn.header.id) {
+                self.commit_or_park(put, now_ms);
             }
         }
+        let first_id = entry.turns.first().map(|turn| turn.header.id.as_str());
         match entry.waiter {
             Waiter::Caller { caller, hint } => {
-                let id = entry.turns.first().map(|turn| turn.header.id.as_str());
-                if let (Some(home), Some(id), true) = (hint, id, self.guards.hints) {
-                    self.deliveries.hint(&home, id, now_ms);
+                if let (Some(replica), Some(id)) = (hint, first_id) {
+                    self.add_hint(&replica, id, now_ms);
                 }
-                self.reply(caller, StoreReply::Kept);
+                self.reply(caller, StoreReply::Stored);
             }
-            Waiter::Pull { pass } => self.repair.committed(pass),
+            Waiter::Pull { pass } => self.anti_entropy.committed(pass),
             Waiter::Completion { .. } => {}
         }
     }
 
-    pub(super) fn commit_failed(&mut self, waiter: Waiter, refusal: Refusal, now_ms: u64) {
+    fn add_hint(&mut self, replica: &str, id: &str, now_ms: u64) {
+        if self.safeguards.hinted_handoff() {
+            // Without a hint the replica still gets the turn by its own pulls.
+            let _ = self.handoffs.add_hint(replica, id, now_ms);
+        }
+    }
+
+    fn commit_failed(&mut self, waiter: Waiter, rejection: Rejection, now_ms: u64) {
         match waiter {
-            Waiter::Caller { caller, .. } => self.reply(caller, StoreReply::Refused(refusal)),
-            Waiter::Pull { pass } if pass == self.repair.pass() => self.repair.failed(now_ms),
+            Waiter::Caller { caller, .. } => self.reply(caller, StoreReply::Rejected(rejection)),
+            Waiter::Pull { pass } if pass == self.anti_entropy.pass() => {
+                self.anti_entropy.failed(now_ms);
+            }
             Waiter::Pull { .. } => {}
-            Waiter::Completion { id } => self.completions.not_written(&id),
+            Waiter::Completion { id } => self.completions.write_failed(&id),
         }
     }
 
-    pub(super) fn sweep(&mut self, now_ms: u64) {
-        if now_ms < self.sweep_at_ms {
+    pub(super) fn sweep_expired(&mut self, now_ms: u64) {
+        if now_ms < self.next_sweep_at_ms {
             return;
         }
-        self.sweep_at_ms = now_ms.saturating_add(EXPIRY_SWEEP_MS);
+        self.next_sweep_at_ms = now_ms.saturating_add(EXPIRY_SWEEP_MS);
         let expired = self.index.expire(now_ms);
-        self.deliveries.forget_expired(&self.index);
-        for ids in expired.chunks(REMOVE_BOUND) {
-            self.work(JobPurpose::Removal, DiskWork::Remove(ids.to_vec()));
+        self.handoffs.remove_expired(&self.index);
+        for ids in expired.chunks(MAX_REMOVALS_PER_JOB) {
+            self.submit(JobPurpose::Removal, DiskWork::Remove(ids.to_vec()));
         }
     }
 }
--- /dev/null
+++ b/crates/serving/turn-replication/src/node/completions.rs
@@ -0,0 +1,75 @@
+//! Ancestors of stored and parked turns that are missing here.
+
+use super::membership::present_peers;
+use super::purposes::RequestPurpose;
+use super::state::StoreNode;
+use crate::commit_queue::Waiter;
+use crate::membership::StoreEntry;
+use crate::message::{Rejection, StoreReply, StoreRequest};
+use crate::placement;
+
+impl StoreNode {
+    /// The first turn on the way to the start of the chain that is neither stored nor on its way to the disk.
+    pub(super) fn first_missing(&self, previous: Option<&str>) -> Option<String> {
+        let mut missing = self.index.first_missing(previous?)?;
+        // Limited by the queued commits; each step is one of them.
+        while let Some(previous) = self.commits.previous_of(&missing) {
+            missing = self.index.first_missing(previous?)?;
+        }
+        Some(missing)
+    }
+
+    /// The other present stores, the program's replicas first.
+    pub(super) fn likely_sources(&self, program: &str) -> Vec<String> {
+        let peers: Vec<&StoreEntry> = present_peers(&self.stores, &self.settings.name).collect();
+        let ranked = placement::by_preference(program, &peers).into_iter();
+        ranked.map(|store| store.name.clone()).collect()
+    }
+
+    pub(super) fn completion_replied(
+        &mut self,
+        id: String,
+        reply: Option<StoreReply>,
+        now_ms: u64,
+    ) {
+        match reply {
+            Some(StoreReply::Fetched { turns })
+                if turns.iter().any(|retained| retained.turn.id == id) =>
+            {
+                self.completions.found(&id);
+                self.commit(turns, Waiter::Completion { id }, now_ms);
+            }
+            _ => self.completions.not_found(&id),
+        }
+    }
+
+    pub(super) fn complete_chains(&mut self, now_ms: u64) {
+        // A pull brings turns by id, often before their ancestors: those that it may still bring are not searched.
+        if self.index.has_dangling() && !self.anti_entropy.is_pulling() {
+            self.search_dangling(now_ms);
+        }
+        while let Some(search) = self.completions.next_request() {
+            let request = StoreRequest::Fetch {
+                ids: vec![search.id.clone()],
+                with_ancestors: true,
+            };
+            let purpose = RequestPurpose::Completion { id: search.id };
+            self.send(search.store, purpose, request, now_ms);
+        }
+        while let Some(parked) = self.completions.next_exhausted(now_ms) {
+            for put in parked {
+                self.reply(put.caller, StoreReply::Rejected(Rejection::Incomplete));
+            }
+        }
+    }
+
+    fn search_dangling(&mut self, now_ms: u64) {
+        let sources = self.peer_names();
+        if sources.is_empty() {
+            return;
+        }
+        for id in self.index.dangling() {
+            self.completions.search(id, &sources, now_ms);
+        }
+    }
+}
--- a/crates/serving/turn-replication/src/node/pulls.rs
+++ b/crates/serving/turn-replication/src/node/pulls.rs
@@ -1,145 +1,83 @@
-//! What is fetched from other stores: what this one should hold, and ancestors of what it holds.
+//! Anti-entropy with the other stores: pulls of what this store should hold.
 
-use super::{peers, AskPurpose, StoreNode};
-use crate::commit::Waiter;
-use crate::message::{Refusal, StoreReply, StoreRequest};
-use crate::placement;
-use crate::repair::PullAsk;
-use crate::roster::Store;
+use super::purposes::RequestPurpose;
+use super::state::StoreNode;
+use crate::anti_entropy::PullRequest;
+use crate::commit_queue::Waiter;
+use crate::membership::StoreEntry;
+use crate::message::{StoreReply, StoreRequest};
+
+use super::membership::present_peers;
 
 impl StoreNode {
-    /// Pulls from the stores that have come back, and no more from those that have gone.
-    pub(super) fn pull_from_returned(&mut self, before: &[Store], now_ms: u64) {
-        for peer in peers(before, &self.settings.name) {
+    /// Pulls from the stores that have returned, and no more from those that have left.
+    pub(super) fn pull_from_returned(&mut self, before: &[StoreEntry], now_ms: u64) {
+        for peer in present_peers(before, &self.settings.name) {
             if !self.is_present(&peer.name) {
-                self.repair.remove(&peer.name);
+                self.anti_entropy.remove(&peer.name);
             }
         }
-        let came: Vec<String> = peers(&self.stores, &self.settings.name)
-            .filter(|peer| {
-                !before
-                    .iter()
-                    .any(|old| old.name == peer.name && old.present)
-            })
-            .map(|peer| peer.name.clone())
+        let was_present = |name: &str| {
+            let mut before = before.iter();
+            before.any(|old| old.name == name && old.present)
+        };
+        let returned: Vec<String> = self
+            .peer_names()
+            .into_iter()
+            .filter(|name| !was_present(name))
             .collect();
-        for peer in came {
-            self.repair.add(&peer, now_ms);
+        for peer in returned {
+            self.anti_entropy.add(&peer, now_ms);
         }
     }
 
+    /// Begins a pass over all other present stores.
     pub(super) fn pull_from_all(&mut self, now_ms: u64) {
-        let peers: Vec<String> = peers(&self.stores, &self.settings.name)
-            .map(|peer| peer.name.clone())
-            .collect();
-        self.repair.begin(peers, now_ms);
-    }
-
-    /// The first turn on the way to the start of the chain that is neither held nor on its way to the disk.
-    pub(super) fn first_missing(&self, previous: Option<&str>) -> Option<String> {
-        let mut missing = self.index.first_missing(previous?)?;
-        // Bounded by the commits waiting; each step is one of them.
-        while let Some(previous) = self.commits.previous_of(&missing) {
-            missing = self.index.first_missing(previous?)?;
-        }
-        Some(missing)
-    }
-
-    /// The other present stores, the program's homes first.
-    pub(super) fn likely_holders(&self, program: &str) -> Vec<String> {
-        let peers: Vec<&Store> = peers(&self.stores, &self.settings.name).collect();
-        placement::order_of(program, &peers)
-            .into_iter()
-            .map(|store| store.name.clone())
-            .collect()
+        let peers = self.peer_names();
+        self.anti_entropy.begin(peers, now_ms);
     }
 
-    pub(super) fn pull_answered(&mut self, store: &str, reply: Option<StoreReply>, now_ms: u64) {
+    pub(super) fn pull_replied(&mut self, store: &str, reply: Option<StoreReply>, now_ms: u64) {
         match reply {
             Some(StoreReply::Listed { turns, next }) => {
-                self.introduced_to.insert(store.to_owned());
-                self.repair.listed(turns, next);
+                self.known_to.insert(store.to_owned());
+                self.anti_entropy.listed(turns, next);
             }
             Some(StoreReply::Fetched { turns }) => {
-                let turns = self.repair.fetched(turns);
+                let turns = self.anti_entropy.fetched(turns);
                 if !turns.is_empty() {
-                    self.commit(
-                        turns,
-                        Waiter::Pull {
-                            pass: self.repair.pass(),
-                        },
-                        now_ms,
-                    );
+                    let pass = self.anti_entropy.pass();
+                    self.commit(turns, Waiter::Pull { pass }, now_ms);
                 }
             }
-            _ => self.repair.failed(now_ms),
-        }
-    }
-
-    pub(super) fn want_answered(&mut self, id: String, reply: Option<StoreReply>, now_ms: u64) {
-        match reply {
-            Some(StoreReply::Fetched { turns }) if turns.iter().any(|held| held.turn.id == id) => {
-                self.completions.found(&id);
-                self.commit(turns, Waiter::Completion { id }, now_ms);
-            }
-            _ => self.completions.not_there(&id),
-        }
-    }
-
-    pub(super) fn complete_chains(&mut self, now_ms: u64) {
-        // A pull brings turns by id, often before their ancestors: those it may still bring are not looked for.
-        if self.index.has_dangling() && !self.repair.is_pulling() {
-            self.want_dangling(now_ms);
-        }
-        while let Some(ask) = self.completions.next_ask() {
-            let request = StoreRequest::Fetch {
-                ids: vec![ask.id.clone()],
-                with_ancestors: true,
-            };
-            self.ask(ask.store, AskPurpose::Want { id: ask.id }, request, now_ms);
-        }
-        while let Some(parked) = self.completions.next_given_up(now_ms) {
-            for put in parked {
-                self.reply(put.caller, StoreReply::Refused(Refusal::Incomplete));
-            }
-        }
-    }
-
-    pub(super) fn want_dangling(&mut self, now_ms: u64) {
-        let sources: Vec<String> = peers(&self.stores, &self.settings.name)
-            .map(|peer| peer.name.clone())
-            .collect();
-        if sources.is_empty() {
-            return;
-        }
-        for id in self.index.dangling() {
-            self.completions.want(id, &sources, now_ms);
+            _ => self.anti_entropy.failed(now_ms),
         }
     }
 
-    pub(super) fn pull(&mut self, now_ms: u64) {
-        while let Some(ask) = self.repair.next_ask(&self.index, now_ms) {
-            let purpose = AskPurpose::Pull {
-                pass: self.repair.pass(),
-            };
-            match ask {
-                PullAsk::List { peer, after } => {
-                    let request = StoreRequest::List {
-                        home: self.settings.name.clone(),
-                        candidates: self.candidates.clone(),
-                        copies: self.settings.copies,
-                        after,
-                    };
-                    self.ask(peer, purpose, request, now_ms);
-                }
-                PullAsk::Fetch { peer, ids } => {
+    pub(super) fn continue_pull(&mut self, now_ms: u64) {
+        while let Some(request) = self.anti_entropy.next_request(&self.index, now_ms) {
+            let pass = self.anti_entropy.pass();
+            let (peer, request) = match request {
+                PullRequest::List { peer, after } => (peer, self.list_request(after)),
+                PullRequest::Fetch { peer, ids } => {
+                    let with_ancestors = false;
                     let request = StoreRequest::Fetch {
                         ids,
-                        with_ancestors: false,
+                        with_ancestors,
                     };
-                    self.ask(peer, purpose, request, now_ms);
+                    (peer, request)
                 }
-            }
+            };
+            self.send(peer, RequestPurpose::Pull { pass }, request, now_ms);
+        }
+    }
+
+    fn list_request(&self, after: Option<String>) -> StoreRequest {
+        StoreRequest::List {
+            replica: self.settings.name.clone(),
+            candidates: self.candidates.clone(),
+            replication_factor: self.settings.replication_factor,
+            after,
         }
     }
 }
--- a/crates/serving/turn-replication/src/node/requests.rs
+++ b/crates/serving/turn-replication/src/node/requests.rs
@@ -1,74 +1,69 @@
 //! Requests of gateways and other stores.
 
-use super::{
-    CallerId, DiskOutcome, DiskWork, Effect, JobPurpose, StoreNode, Wholeness, READING_BOUND_BYTES,
-};
-use crate::commit::Waiter;
-use crate::complete::ParkedPut;
-use crate::index::READ_HOLD_MS;
-use crate::message::{Refusal, StoreReply, CHAIN_PAGE_BYTES, PAGE_BYTES};
-use crate::turn::{HeldTurn, Turn};
+use super::interface::{DiskOutcome, DiskWork};
+use super::phases::BootstrapPhase;
+use super::purposes::JobPurpose;
+use super::state::StoreNode;
+use crate::chain_completion::ParkedPut;
+use crate::commit_queue::Waiter;
+use crate::ids::CallerId;
+use crate::index::READ_EXTENSION_MS;
+use crate::message::{Rejection, StoreReply, CHAIN_PAGE_BYTES, PAGE_BYTES};
+use crate::turn::{RetainedTurn, Turn};
 
-impl StoreNode {
-    pub(super) fn reply(&mut self, caller: CallerId, reply: StoreReply) {
-        self.effects.push_back(Effect::Reply { caller, reply });
-    }
+/// Maximum bytes of turns that the disk reads at one time, against callers that ask faster than it reads.
+const MAX_READ_BYTES_IN_FLIGHT: u64 = 16 << 20;
 
+impl StoreNode {
     pub(super) fn put(&mut self, caller: CallerId, turn: Turn, hint: Option<String>, now_ms: u64) {
         let header = turn.header();
-        let term = header.full_term_ms();
-        let known = self.index.agrees_with(&header);
-        if known && self.first_missing(Some(&header.id)).is_none() {
-            self.index.extend(&header.id, now_ms.saturating_add(term));
-            return self.reply(caller, StoreReply::Kept);
+        let remaining_ms = header.retention_with_margin_ms();
+        let is_stored = self.index.agrees_with(&header);
+        if is_stored && self.first_missing(Some(&header.id)).is_none() {
+            let expires_at_ms = now_ms.saturating_add(remaining_ms);
+            self.index.extend(&header.id, expires_at_ms);
+            return self.reply(caller, StoreReply::Stored);
         }
-        if let Some(refusal) = self
-            .refusal(&turn)
-            .filter(|refusal| !known || *refusal != Refusal::Conflict)
-        {
-            return self.reply(caller, StoreReply::Refused(refusal));
+        let rejection = self.rejection(&turn);
+        let rejection =
+            rejection.filter(|rejection| !is_stored || *rejection != Rejection::Conflict);
+        if let Some(rejection) = rejection {
+            return self.reply(caller, StoreReply::Rejected(rejection));
         }
-        let put = ParkedPut {
-            caller,
-            turn: HeldTurn {
-                turn,
-                remaining_ms: term,
-            },
-            hint,
-        };
-        self.go_on_with(put, now_ms);
+        let turn = RetainedTurn { turn, remaining_ms };
+        self.commit_or_park(ParkedPut { caller, turn, hint }, now_ms);
     }
 
-    /// Why a turn is not taken, if so.
-    pub(super) fn refusal(&self, turn: &Turn) -> Option<Refusal> {
-        let used = self.index.bytes() + self.commits.bytes() + self.completions.bytes();
-        if !self.takes_turns() {
-            Some(Refusal::Retiring)
-        } else if self.wholeness == Wholeness::Joining || !self.registered {
-            Some(Refusal::Joining)
+    /// Why a turn is not accepted, if so.
+    fn rejection(&self, turn: &Turn) -> Option<Rejection> {
+        let used_bytes = self.index.bytes() + self.commits.bytes() + self.completions.bytes();
+        if !self.accepts_turns() {
+            Some(Rejection::Retiring)
+        } else if self.bootstrap == BootstrapPhase::Joining || !self.is_registered {
+            Some(Rejection::Joining)
         } else if self.index.contains(&turn.id) {
-            Some(Refusal::Conflict)
-        } else if used + turn.size() > self.settings.capacity_bytes
+            Some(Rejection::Conflict)
+        } else if used_bytes + turn.size() > self.settings.capacity_bytes
             || self.index.len() >= self.settings.capacity_turns
         {
-            Some(Refusal::Full)
+            Some(Rejection::Full)
         } else {
             None
         }
     }
 
-    /// Commits a put, or lets it wait for the part of its chain that is not here.
-    pub(super) fn go_on_with(&mut self, put: ParkedPut, now_ms: u64) {
+    /// Commits a put, or parks it until the missing part of its chain is here.
+    pub(super) fn commit_or_park(&mut self, put: ParkedPut, now_ms: u64) {
         let Some(missing) = self.first_missing(put.turn.turn.previous.as_deref()) else {
             return self.commit_put(put, now_ms);
         };
-        let sources = self.likely_holders(&put.turn.turn.program);
-        if let Err(caller) = self.completions.park(&missing, sources, put) {
-            self.reply(caller, StoreReply::Refused(Refusal::Busy));
+        let sources = self.likely_sources(&put.turn.turn.program);
+        if let Err(rejected) = self.completions.park(&missing, sources, put) {
+            self.reply(rejected.caller, StoreReply::Rejected(Rejection::Busy));
         }
     }
 
-    pub(super) fn commit_put(&mut self, put: ParkedPut, now_ms: u64) {
+    fn commit_put(&mut self, put: ParkedPut, now_ms: u64) {
         let waiter = Waiter::Caller {
             caller: put.caller,
             hint: put.hint,
@@ -76,38 +71,37 @@
         self.commit(vec![put.turn], waiter, now_ms);
     }
 
-    pub(super) fn chain(&mut self, caller: CallerId, id: &str, now_ms: u64) {
+    pub(super) fn read_chain(&mut self, caller: CallerId, id: &str, now_ms: u64) {
         let Some(chain) = self.index.chain(id, CHAIN_PAGE_BYTES, now_ms) else {
             let reply = StoreReply::Unknown {
-                whole: self.is_whole(),
-                knows: self.known_stores(),
+                complete: self.is_complete(),
+                known_stores: self.known_stores(),
             };
             return self.reply(caller, reply);
         };
-        self.index.extend(id, now_ms.saturating_add(READ_HOLD_MS));
+        let expires_at_ms = now_ms.saturating_add(READ_EXTENSION_MS);
+        self.index.extend(id, expires_at_ms);
         let ids: Vec<String> = chain.ids.iter().rev().map(|id| id.to_string()).collect();
-        let Some(bytes) = self.room_to_read(&ids) else {
-            return self.reply(caller, StoreReply::Refused(Refusal::Busy));
+        let Some(bytes) = self.reserve_read_bytes(&ids) else {
+            return self.reply(caller, StoreReply::Rejected(Rejection::Busy));
         };
-        let missing = chain.missing.map(|id| id.to_string());
-        self.work(
-            JobPurpose::Chain {
-                caller,
-                bytes,
-                missing,
-                more: chain.more,
-            },
-            DiskWork::Get(ids),
-        );
+        let purpose = JobPurpose::Chain {
+            caller,
+            bytes,
+            missing: chain.missing.map(|id| id.to_string()),
+            has_more: chain.has_more,
+        };
+        self.submit(purpose, DiskWork::Get(ids));
     }
 
-    /// What these turns take, if as much may be read now.
-    pub(super) fn room_to_read(&mut self, ids: &[String]) -> Option<u64> {
+    /// Bytes that these turns take, if the disk may read as much now.
+    fn reserve_read_bytes(&mut self, ids: &[String]) -> Option<u64> {
         let bytes: u64 = ids.iter().filter_map(|id| self.index.size(id)).sum();
-        if self.reading_bytes > 0 && self.reading_bytes + bytes > READING_BOUND_BYTES {
+        let in_flight = self.read_bytes_in_flight;
+        if in_flight > 0 && in_flight + bytes > MAX_READ_BYTES_IN_FLIGHT {
             return None;
         }
-        self.reading_bytes += bytes;
+        self.read_bytes_in_flight += bytes;
         Some(bytes)
     }
 
@@ -115,87 +109,90 @@
         &mut self,
         caller: CallerId,
         missing: Option<String>,
-        more: bool,
+        has_more: bool,
         outcome: DiskOutcome,
     ) {
         let reply = match outcome {
             DiskOutcome::Turns(turns) if !turns.is_empty() => StoreReply::Found {
                 turns,
                 missing,
-                more,
+                has_more,
             },
-            _ => StoreReply::Refused(Refusal::Disk),
+            _ => StoreReply::Rejected(Rejection::Disk),
         };
         self.reply(caller, reply);
     }
 
+    /// Reads turns for another store, each with as many ancestors as `max_bytes_each` allows.
     pub(super) fn fetch(
         &mut self,
         caller: CallerId,
         ids: &[String],
-        with_ancestors: bool,
+        max_bytes_each: u64,
         now_ms: u64,
     ) {
-        let mut wanted: Vec<String> = Vec::new();
+        let wanted = self.page_of_chains(ids, max_bytes_each, now_ms);
+        if wanted.is_empty() {
+            return self.reply(caller, StoreReply::Fetched { turns: Vec::new() });
+        }
+        let Some(bytes) = self.reserve_read_bytes(&wanted) else {
+            return self.reply(caller, StoreReply::Rejected(Rejection::Busy));
+        };
+        let purpose = JobPurpose::Fetch { caller, bytes };
+        self.submit(purpose, DiskWork::Get(wanted));
+    }
+
+    /// The stored ones of these turns and of their ancestors, as far as one message may carry them.
+    fn page_of_chains(&self, ids: &[String], max_bytes_each: u64, now_ms: u64) -> Vec<String> {
+        let mut page: Vec<String> = Vec::new();
         let mut bytes = 0;
         for id in ids {
-            let held = if with_ancestors {
-                self.index
-                    .chain(id, PAGE_BYTES, now_ms)
-                    .map(|chain| chain.ids)
-                    .unwrap_or_default()
-            } else {
-                self.index
-                    .chain(id, 0, now_ms)
-                    .map(|chain| chain.ids)
-                    .unwrap_or_default()
-            };
-            for id in held {
+            let chain = self.index.chain(id, max_bytes_each, now_ms);
+            for id in chain.map(|chain| chain.ids).unwrap_or_default() {
                 let size = self.index.size(&id).unwrap_or(0);
-                if !wanted.is_empty() && bytes + size > PAGE_BYTES {
+                if !page.is_empty() && bytes + size > PAGE_BYTES {
                     break;
                 }
                 bytes += size;
-                wanted.push(id.to_string());
+                page.push(id.to_string());
             }
         }
-        if wanted.is_empty() {
-            return self.reply(caller, StoreReply::Fetched { turns: Vec::new() });
-        }
-        let Some(bytes) = self.room_to_read(&wanted) else {
-            return self.reply(caller, StoreReply::Refused(Refusal::Busy));
-        };
-        self.work(JobPurpose::Fetch { caller, bytes }, DiskWork::Get(wanted));
+        page
     }
 
     pub(super) fn fetch_read(&mut self, caller: CallerId, outcome: DiskOutcome, now_ms: u64) {
         let reply = match outcome {
             DiskOutcome::Turns(turns) => StoreReply::Fetched {
-                turns: self.with_time_left(turns, now_ms),
+                turns: self.with_remaining_time(turns, now_ms),
             },
-            _ => StoreReply::Refused(Refusal::Disk),
+            _ => StoreReply::Rejected(Rejection::Disk),
         };
         self.reply(caller, reply);
     }
 
-    pub(super) fn with_time_left(&self, turns: Vec<Turn>, now_ms: u64) -> Vec<HeldTurn> {
-        let held = turns.into_iter().filter_map(|turn| {
+    pub(super) fn with_remaining_time(&self, turns: Vec<Turn>, now_ms: u64) -> Vec<RetainedTurn> {
+        let retained = turns.into_iter().filter_map(|turn| {
             let remaining_ms = self.index.remaining_ms(&turn.id, now_ms)?;
-            Some(HeldTurn { turn, remaining_ms })
+            Some(RetainedTurn { turn, remaining_ms })
         });
-        held.collect()
+        retained.collect()
     }
 
     /// Another store hands turns over.
-    pub(super) fn take_over(&mut self, caller: CallerId, turns: Vec<HeldTurn>, now_ms: u64) {
-        let refusal = turns
+    pub(super) fn accept_handoff(
+        &mut self,
+        caller: CallerId,
+        turns: Vec<RetainedTurn>,
+        now_ms: u64,
+    ) {
+        let rejection = turns
             .iter()
-            .find_map(|held| match self.refusal(&held.turn) {
-                Some(Refusal::Conflict) | None => None,
-                refusal => refusal,
+            .find_map(|retained| match self.rejection(&retained.turn) {
+                Some(Rejection::Conflict) | None => None,
+                rejection => rejection,
             });
-        if let Some(refusal) = refusal {
-            return self.reply(caller, StoreReply::Refused(refusal));
+        if let Some(rejection) = rejection {
+            return self.reply(caller, StoreReply::Rejected(rejection));
         }
         self.commit(turns, Waiter::Caller { caller, hint: None }, now_ms);
     }
--- a/crates/serving/turn-replication/src/placement.rs
+++ b/crates/serving/turn-replication/src/placement.rs
@@ -1,85 +1,114 @@
-//! Which stores a program's turns are placed on: rendezvous hashing, spread over zones first.
+//! Which stores a program's turns are placed on: rendezvous hashing (Thaler and Ravishankar, 1998), spread over
+//! zones first.
 //!
-//! Each store has a rank for the program, the hash of both names. The best of each zone come first, by rank,
-//! then the second best of each zone, and so on. The first of this order are the homes, the rest stand in for
-//! them. A store that comes or goes moves only the programs that it wins or held.
+//! Each store has a weight for the program, the hash of both names. The heaviest store of each zone comes first,
+//! by weight, then the second of each zone, and so on. The first stores of this preference list are the program's
+//! replicas, the rest substitute for replicas that fail. A store that joins or leaves moves only the programs that
+//! it wins or held.
 
-use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
+use std::cmp::Reverse;
 
-use crate::roster::Store;
+use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Something that turns can be placed on.
-pub trait Placed {
-    fn name(&self) -> &str;
-    fn zone(&self) -> &str;
-}
+use crate::membership::{Placeable, StoreEntry};
 
-/// The homes of a program: the first `copies` of its order over the stores that take turns.
-pub fn homes<'a>(program: &str, stores: &'a [Store], copies: usize) -> Vec<&'a Store> {
-    let mut order = order(program, stores);
-    order.truncate(copies);
-    order
+/// The replicas of a program: the first `replication_factor` stores of its preference list.
+#[must_use]
+pub fn replica_set<'a>(
+    program: &str,
+    stores: &'a [StoreEntry],
+    replication_factor: usize,
+) -> Vec<&'a StoreEntry> {
+    let mut replicas = preference_list(program, stores);
+    replicas.truncate(replication_factor);
+    replicas
 }
 
-/// All stores that take turns: the program's homes first, then its stand-ins.
-pub fn order<'a>(program: &str, stores: &'a [Store]) -> Vec<&'a Store> {
-    let candidates: Vec<&Store> = stores.iter().filter(|store| store.takes_turns()).collect();
-    order_of(program, &candidates)
+/// All stores that accept placement: the program's replicas first, then their substitutes.
+#[must_use]
+pub fn preference_list<'a>(program: &str, stores: &'a [StoreEntry]) -> Vec<&'a StoreEntry> {
+    let candidates: Vec<&StoreEntry> = stores
+        .iter()
+        .filter(|store| store.accepts_placement())
+        .collect();
+    by_preference(program, &candidates)
 }
 
-/// The stores that take turns of the program only while others fail, the best first.
-pub fn fallbacks<'a>(program: &str, stores: &'a [Store]) -> Vec<&'a Store> {
-    let fallbacks: Vec<&Store> = stores.iter().filter(|store| store.is_fallback()).collect();
-    order_of(program, &fallbacks)
+/// The draining stores, which accept turns of the program only while others fail; the preferred one first.
+#[must_use]
+pub fn draining_stores<'a>(program: &str, stores: &'a [StoreEntry]) -> Vec<&'a StoreEntry> {
+    let draining: Vec<&StoreEntry> = stores.iter().filter(|store| store.is_draining()).collect();
+    by_preference(program, &draining)
 }
 
-/// Orders the given candidates for a program.
-pub fn order_of<'a, P: Placed>(program: &str, candidates: &[&'a P]) -> Vec<&'a P> {
+/// Sorts the given candidates by the preference of a program.
+#[must_use]
+pub fn by_preference<'a, P: Placeable>(program: &str, candidates: &[&'a P]) -> Vec<&'a P> {
     let seed = xxh3_64(program.as_bytes());
-    let mut placed: Vec<(Place, &'a P)> = candidates
+    let mut keyed: Vec<(PreferenceKey<'a>, &'a P)> = candidates
         .iter()
-        .map(|candidate| (place(seed, *candidate, candidates), *candidate))
+        .map(|candidate| {
+            let key = PreferenceKey::new(seed, *candidate, candidates.iter().copied());
+            (key, *candidate)
+        })
         .collect();
-    placed.sort_by(|left, right| left.0.cmp(&right.0));
-    placed.into_iter().map(|(_, candidate)| candidate).collect()
+    keyed.sort_by(|(left, _), (right, _)| left.cmp(right));
+    keyed.into_iter().map(|(_, candidate)| candidate).collect()
 }
 
-/// Whether the named candidate is among the homes of a program; allocates nothing, for scans of an index.
-pub fn is_home<P: Placed>(program: &str, name: &str, candidates: &[P], copies: usize) -> bool {
+/// Whether the named candidate is among the replicas of a program; allocates nothing, for scans of an index.
+#[must_use]
+pub fn is_replica<P: Placeable>(
+    program: &str,
+    name: &str,
+    candidates: &[P],
+    replication_factor: usize,
+) -> bool {
     let seed = xxh3_64(program.as_bytes());
     let Some(own) = candidates.iter().find(|candidate| candidate.name() == name) else {
         return false;
     };
-    let own_place = place_among(seed, own, candidates.iter());
-    let ahead = candidates
+    let own_key = PreferenceKey::new(seed, own, candidates.iter());
+    let preferred_to_own = candidates
         .iter()
-        .filter(|candidate| place_among(seed, *candidate, candidates.iter()) < own_place)
-        .take(copies)
+        .filter(|candidate| PreferenceKey::new(seed, *candidate, candidates.iter()) < own_key)
+        .take(replication_factor)
         .count();
-    ahead < copies
+    preferred_to_own < replication_factor
 }
 
-/// Where a candidate stands in the order: how many of its own zone are before it, then its rank, the highest
-/// first; names last, so that the order is total.
-type Place<'a> = (usize, std::cmp::Reverse<u64>, &'a str);
-
-fn place<'a, P: Placed>(seed: u64, of: &'a P, candidates: &[&'a P]) -> Place<'a> {
-    place_among(seed, of, candidates.iter().copied())
+/// Where a candidate stands in the preference list; the derived order compares the fields from top to bottom.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct PreferenceKey<'a> {
+    /// How many candidates of its own zone come before it.
+    rank_in_zone: usize,
+    /// Its weight, the heaviest first.
+    weight: Reverse<u64>,
+    /// Last, so that the order is total.
+    name: &'a str,
 }
 
-fn place_among<'a, P: Placed + 'a>(
-    seed: u64,
-    of: &'a P,
-    candidates: impl Iterator<Item = &'a P>,
-) -> Place<'a> {
-    let rank = rank(seed, of.name());
-    let better_in_zone = candidates
-        .filter(|other| other.zone() == of.zone())
-        .filter(|other| (self::rank(seed, other.name()), of.name()) > (rank, other.name()))
-        .count();
-    (better_in_zone, std::cmp::Reverse(rank), of.name())
+impl<'a> PreferenceKey<'a> {
+    fn new<P: Placeable + 'a>(
+        seed: u64,
+        candidate: &'a P,
+        candidates: impl Iterator<Item = &'a P>,
+    ) -> Self {
+        let own_weight = weight(seed, candidate.name());
+        let rank_in_zone = candidates
+            .filter(|other| other.zone() == candidate.zone())
+            .filter(|other| {
+                (weight(seed, other.name()), candidate.name()) > (own_weight, other.name())
+            })
+            .count();
+        Self {
+            rank_in_zone,
+            weight: Reverse(own_weight),
+            name: candidate.name(),
+        }
+    }
 }
 
-fn rank(seed: u64, name: &str) -> u64 {
+fn weight(seed: u64, name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), seed)
 }
--- /dev/null
+++ b/crates/serving/turn-replication/src/read_coordinator.rs
@@ -0,0 +1,463 @@
+//! Reads one chain, at a gateway: queries the replicas of the program first, then all stores, and joins the
+//! segments.
+
+use crate::membership::StoreEntry;
+use crate::message::StoreReply;
+use crate::placement;
+use crate::turn::Turn;
+
+/// After this long without a reply another store is queried beside it, in milliseconds.
+pub const HEDGE_DELAY_MS: u64 = 60;
+/// After this long a store that could not be queried is queried again, in milliseconds.
+pub const RETRY_DELAY_MS: u64 = 150;
+/// After this long without a certain reply the outcome is [`ReadOutcome::Uncertain`], in milliseconds.
+pub const READ_DEADLINE_MS: u64 = 1_000;
+/// Once every present store has replied, those that are absent are waited for at most this long, in milliseconds.
+pub const ABSENT_STORE_WAIT_MS: u64 = 200;
+
+/// Limits of a chain.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ChainLimits {
+    /// Maximum number of turns.
+    pub turns: usize,
+    /// Maximum bytes of all turns.
+    pub bytes: u64,
+}
+
+impl Default for ChainLimits {
+    fn default() -> Self {
+        Self {
+            turns: 4_096,
+            bytes: 32 << 20,
+        }
+    }
+}
+
+/// A query to be sent to one store: the chain that ends in a turn.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ChainQuery {
+    /// The store to send it to.
+    pub store: String,
+    /// The newest turn of the wanted chain.
+    pub id: String,
+}
+
+/// How the read ended.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ReadOutcome {
+    /// The complete chain, oldest first.
+    Chain(Vec<Turn>),
+    /// There is no such turn, or not any more.
+    Unknown,
+    /// It can't be known now.
+    Uncertain,
+    /// The chain exceeds its limits.
+    TooLong,
+}
+
+/// State of the query to one store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum QueryState {
+    NotQueried,
+    Pending {
+        since_ms: u64,
+    },
+    /// Pending for longer than [`HEDGE_DELAY_MS`]; it may still reply.
+    Slow,
+    Failed {
+        at_ms: u64,
+    },
+    /// It does not hold the turn.
+    Unknown {
+        /// Whether it holds everything that it should.
+        complete: bool,
+    },
+}
+
+/// How widely the stores are queried for the next turn.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Stage {
+    /// One replica after the other.
+    Replicas,
+    /// All stores at once.
+    AllStores,
+}
+
+#[derive(Debug)]
+struct Source {
+    store: String,
+    is_replica: bool,
+    present: bool,
+    state: QueryState,
+}
+
+/// Part of a chain, as a store replied with it.
+struct Segment {
+    /// Oldest first.
+    turns: Vec<Turn>,
+    /// The next older turn.
+    missing: Option<String>,
+    /// The store that replied holds the next older turn, too.
+    has_more: bool,
+}
+
+/// One read of a chain.
+#[derive(Debug)]
+pub struct ReadCoordinator {
+    /// The turn that is looked for now.
+    next_id: String,
+    /// The chain as far as it is known, newest first.
+    found: Vec<Turn>,
+    found_bytes: u64,
+    /// In the order in which they are queried.
+    sources: Vec<Source>,
+    /// All stores of the membership, retired ones too.
+    known_stores: Vec<String>,
+    stage: Stage,
+    /// A store named one that the membership does not have.
+    membership_is_stale: bool,
+    limits: ChainLimits,
+    deadline_ms: u64,
+    queries: Vec<ChainQuery>,
+    is_finished: bool,
+    outcome: Option<ReadOutcome>,
+}
+
+impl ReadCoordinator {
+    /// Begins to read the chain that ends in `id`, for a turn of `program`.
+    #[must_use]
+    pub fn new(
+        id: &str,
+        program: &str,
+        stores: &[StoreEntry],
+        replication_factor: usize,
+        now_ms: u64,
+    ) -> Self {
+        let sources = sources(program, stores, replication_factor, None);
+        Self::with_sources(id, stores, sources, now_ms)
+    }
+
+    /// As [`Self::new`], but queries replicas of the given zone first: traffic between zones is charged.
+    #[must_use]
+    pub fn preferring_zone(
+        id: &str,
+        program: &str,
+        stores: &[StoreEntry],
+        replication_factor: usize,
+        zone: &str,
+        now_ms: u64,
+    ) -> Self {
+        let sources = sources(program, stores, replication_factor, Some(zone));
+        Self::with_sources(id, stores, sources, now_ms)
+    }
+
+    fn with_sources(id: &str, stores: &[StoreEntry], sources: Vec<Source>, now_ms: u64) -> Self {
+        let mut coordinator = Self {
+            next_id: id.to_owned(),
+            found: Vec::new(),
+            found_bytes: 0,
+            sources,
+            known_stores: stores.iter().map(|store| store.name.clone()).collect(),
+            stage: Stage::Replicas,
+            membership_is_stale: false,
+            limits: ChainLimits::default(),
+            deadline_ms: now_ms.saturating_add(READ_DEADLINE_MS),
+            queries: Vec::new(),
+            is_finished: false,
+            outcome: None,
+        };
+        coordinator.advance(now_ms);
+        coordinator
+    }
+
+    /// Sets other limits than the usual ones.
+    #[must_use]
+    pub fn with_limits(mut self, limits: ChainLimits) -> Self {
+        self.limits = limits;
+        self
+    }
+
+    /// The next query to be sent.
+    pub fn poll(&mut self) -> Option<ChainQuery> {
+        if self.queries.is_empty() {
+            return None;
+        }
+        Some(self.queries.remove(0))
+    }
+
+    /// How the read ended, once it has; may be taken once.
+    pub fn take_outcome(&mut self) -> Option<ReadOutcome> {
+        self.outcome.take()
+    }
+
+    /// A store replied to the query for `id`.
+    pub fn replied(&mut self, store: &str, id: &str, reply: StoreReply, now_ms: u64) {
+        if self.is_finished || id != self.next_id {
+            return;
+        }
+        match reply {
+            StoreReply::Found {
+                turns,
+                missing,
+                has_more,
+            } => {
+                let segment = Segment {
+                    turns,
+                    missing,
+                    has_more,
+                };
+                self.append(store, segment, now_ms);
+            }
+            StoreReply::Unknown {
+                complete,
+                known_stores,
+            } => self.not_found(store, complete, &known_stores, now_ms),
+            _ => self.failed(store, id, now_ms),
+        }
+    }
+
+    /// The query for `id` did not reach the store, or its reply was lost.
+    pub fn failed(&mut self, store: &str, id: &str, now_ms: u64) {
+        if self.is_finished || id != self.next_id {
+            return;
+        }
+        self.set_state(store, QueryState::Failed { at_ms: now_ms });
+        self.advance(now_ms);
+    }
+
+    /// When [`Self::tick`] has to be called, in milliseconds of the steady clock; `None` once it has ended.
+    #[must_use]
+    pub fn next_due(&self) -> Option<u64> {
+        if self.is_finished {
+            return None;
+        }
+        let steps = self.sources.iter().filter_map(|source| match source.state {
+            QueryState::Pending { since_ms } => Some(since_ms + HEDGE_DELAY_MS),
+            QueryState::Failed { at_ms } if self.stage == Stage::AllStores => {
+                Some(at_ms + RETRY_DELAY_MS)
+            }
+            _ => None,
+        });
+        Some(steps.min().unwrap_or(u64::MAX).min(self.deadline_ms))
+    }
+
+    /// Time has passed.
+    pub fn tick(&mut self, now_ms: u64) {
+        if self.is_finished {
+            return;
+        }
+        if now_ms >= self.deadline_ms {
+            return self.finish(ReadOutcome::Uncertain);
+        }
+        for source in &mut self.sources {
+            source.mark_slow_if_late(now_ms);
+        }
+        self.advance(now_ms);
+    }
+
+    fn finish(&mut self, outcome: ReadOutcome) {
+        self.outcome = Some(outcome);
+        self.queries.clear();
+        self.is_finished = true;
+    }
+
+    fn set_state(&mut self, store: &str, state: QueryState) {
+        if let Some(source) = self.sources.iter_mut().find(|source| source.store == store) {
+            source.state = state;
+        }
+    }
+
+    fn not_found(&mut self, store: &str, complete: bool, known_stores: &[String], now_ms: u64) {
+        self.membership_is_stale |= known_stores
+            .iter()
+            .any(|name| !self.known_stores.contains(name));
+        self.set_state(store, QueryState::Unknown { complete });
+        self.stage = Stage::AllStores;
+        self.limit_wait_for_absent_stores(now_ms);
+        self.advance(now_ms);
+    }
+
+    /// There are enough replicas for the present stores to hold every turn: absent ones are queried only to be
+    /// certain, and the membership may be wrong about them. A caller does not wait long for that.
+    fn limit_wait_for_absent_stores(&mut self, now_ms: u64) {
+        let has_replied = |source: &Source| matches!(source.state, QueryState::Unknown { .. });
+        let mut sources = self.sources.iter();
+        if sources.all(|source| has_replied(source) || !source.present) {
+            let wait_ends_ms = now_ms.saturating_add(ABSENT_STORE_WAIT_MS);
+            self.deadline_ms = self.deadline_ms.min(wait_ends_ms);
+        }
+    }
+
+    /// Adds a segment of the chain and looks for the turn before it, if there is one.
+    fn append(&mut self, store: &str, segment: Segment, now_ms: u64) {
+        if !segment.ends_in(&self.next_id) {
+            return self.failed(store, &self.next_id.clone(), now_ms);
+        }
+        self.found_bytes += segment.turns.iter().map(Turn::size).sum::<u64>();
+        self.found.extend(segment.turns.into_iter().rev());
+        if self.found.len() > self.limits.turns || self.found_bytes > self.limits.bytes {
+            return self.finish(ReadOutcome::TooLong);
+        }
+        let Some(older) = segment.missing else {
+            let mut chain = std::mem::take(&mut self.found);
+            chain.reverse();
+            return self.finish(ReadOutcome::Chain(chain));
+        };
+        self.begin_next_segment(older);
+        if segment.has_more {
+            self.stage = Stage::Replicas;
+            self.query(store, now_ms);
+        } else {
+            self.stage = Stage::AllStores;
+            self.set_state(store, QueryState::Unknown { complete: false });
+        }
+        self.advance(now_ms);
+    }
+
+    /// Nobody has been queried for the next older turn yet.
+    fn begin_next_segment(&mut self, older: String) {
+        self.next_id = older;
+        self.queries.clear();
+        for source in &mut self.sources {
+            source.state = QueryState::NotQueried;
+        }
+    }
+
+    /// Queries the stores that the stage asks for; ends if none is left to wait for.
+    fn advance(&mut self, now_ms: u64) {
+        match self.stage {
+            Stage::Replicas => self.query_next_replica(now_ms),
+            Stage::AllStores => self.query_all_stores(now_ms),
+        }
+        let mut sources = self.sources.iter();
+        if sources.all(|source| matches!(source.state, QueryState::Unknown { .. })) {
+            let outcome = if self.is_certainly_unknown() {
+                ReadOutcome::Unknown
+            } else {
+                ReadOutcome::Uncertain
+            };
+            self.finish(outcome);
+        }
+    }
+
+    fn query_next_replica(&mut self, now_ms: u64) {
+        let mut sources = self.sources.iter();
+        if sources.any(|source| matches!(source.state, QueryState::Pending { .. })) {
+            return;
+        }
+        let next = self
+            .sources
+            .iter()
+            .find(|source| source.is_replica && source.state == QueryState::NotQueried);
+        match next.map(|source| source.store.clone()) {
+            Some(store) => self.query(&store, now_ms),
+            None => {
+                self.stage = Stage::AllStores;
+                self.query_all_stores(now_ms);
+            }
+        }
+    }
+
+    fn query_all_stores(&mut self, now_ms: u64) {
+        let ready: Vec<String> = self
+            .sources
+            .iter()
+            .filter(|source| source.may_be_queried(now_ms))
+            .map(|source| source.store.clone())
+            .collect();
+        for store in ready {
+            self.query(&store, now_ms);
+        }
+    }
+
+    fn query(&mut self, store: &str, now_ms: u64) {
+        self.set_state(store, QueryState::Pending { since_ms: now_ms });
+        self.queries.push(ChainQuery {
+            store: store.to_owned(),
+            id: self.next_id.clone(),
+        });
+    }
+
+    /// Prevents that a stored turn is called unknown: because part of its chain was found, because a store may
+    /// lack what it should hold, or because the membership lacks a store on which it may be.
+    fn is_certainly_unknown(&self) -> bool {
+        let all_complete = self
+            .sources
+            .iter()
+            .all(|source| source.state == QueryState::Unknown { complete: true });
+        self.found.is_empty()
+            && !self.sources.is_empty()
+            && all_complete
+            && !self.membership_is_stale
+    }
+}
+
+impl Segment {
+    /// Whether the reply fits the query: the segment ends in the wanted turn, each turn continues the one before
+    /// it, and the first one the missing one.
+    fn ends_in(&self, wanted: &str) -> bool {
+        let ends_right = self.turns.last().is_some_and(|turn| turn.id == wanted);
+        let starts_right = self
+            .turns
+            .first()
+            .is_some_and(|turn| turn.previous == self.missing);
+        let is_linked = self
+            .turns
+            .windows(2)
+            .all(|pair| pair[1].previous.as_deref() == Some(pair[0].id.as_str()));
+        ends_right && starts_right && is_linked
+    }
+}
+
+impl Source {
+    fn new(store: &StoreEntry, is_replica: bool) -> Self {
+        Self {
+            store: store.name.clone(),
+            is_replica,
+            present: store.present,
+            state: QueryState::NotQueried,
+        }
+    }
+
+    fn mark_slow_if_late(&mut self, now_ms: u64) {
+        let is_late = |since_ms| now_ms >= since_ms + HEDGE_DELAY_MS;
+        if matches!(self.state, QueryState::Pending { since_ms } if is_late(since_ms)) {
+            self.state = QueryState::Slow;
+        }
+    }
+
+    fn may_be_queried(&self, now_ms: u64) -> bool {
+        match self.state {
+            QueryState::NotQueried => true,
+            QueryState::Failed { at_ms } => now_ms >= at_ms + RETRY_DELAY_MS,
+            _ => false,
+        }
+    }
+}
+
+/// All stores that may hold turns: the program's replicas first, then present stores before absent ones, then
+/// those of the given zone before those of others.
+fn sources(
+    program: &str,
+    stores: &[StoreEntry],
+    replication_factor: usize,
+    zone: Option<&str>,
+) -> Vec<Source> {
+    let placed = placement::preference_list(program, stores)
+        .into_iter()
+        .enumerate()
+        .map(|(position, store)| (store, position < replication_factor));
+    let draining = stores
+        .iter()
+        .filter(|store| store.is_draining())
+        .map(|store| (store, false));
+    let mut stores: Vec<(&StoreEntry, bool)> = placed.chain(draining).collect();
+    stores.sort_by_key(|(store, is_replica)| {
+        let is_elsewhere = zone != Some(store.zone.as_str());
+        (!is_replica, !store.present, is_elsewhere)
+    });
+    stores
+        .into_iter()
+        .map(|(store, is_replica)| Source::new(store, is_replica))
+        .collect()
+}
--- /dev/null
+++ b/crates/serving/turn-replication/src/write_coordinator.rs
@@ -0,0 +1,337 @@
+//! Writes one turn, at a gateway: to its replicas, to substitutes for those that fail or are slow, at last to
+//! draining stores, until a quorum of stores has acknowledged it (a sloppy quorum, as in Dynamo).
+
+use crate::membership::StoreEntry;
+use crate::placement;
+use crate::turn::TurnHeader;
+
+/// After this long without an acknowledgement a substitute is contacted beside the store, in milliseconds.
+pub const HEDGE_DELAY_MS: u64 = 60;
+/// After this long a failed store is contacted again, if no other is left, in milliseconds.
+pub const RETRY_DELAY_MS: u64 = 150;
+/// After this long without a quorum it is uncertain whether the turn is stored, in milliseconds. Stores rely on
+/// it: a new disk does not become complete before writers that knew the old one have ended.
+pub const WRITE_DEADLINE_MS: u64 = 1_500;
+
+/// A write to be sent to one store.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReplicaWrite {
+    /// The store to send it to.
+    pub store: String,
+    /// The replica that the store substitutes for.
+    pub hint: Option<String>,
+}
+
+/// How the write of a turn ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WriteOutcome {
+    /// Enough stores have synced it.
+    Stored,
+    /// Too few acknowledged it in time; it may be stored all the same.
+    Uncertain,
+}
+
+/// State of the write to one store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum TargetState {
+    NotContacted,
+    Pending {
+        since_ms: u64,
+    },
+    /// Pending for longer than [`HEDGE_DELAY_MS`]; it may still acknowledge.
+    Slow,
+    Failed {
+        at_ms: u64,
+    },
+    Acknowledged,
+}
+
+/// Which stores a target is looked for among.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum TargetClass {
+    /// Replicas and their substitutes.
+    Placed,
+    /// Contacted only when no other present store is left.
+    Draining,
+}
+
+#[derive(Debug)]
+struct Target {
+    store: String,
+    zone: String,
+    present: bool,
+    /// One of the turn's replicas, not a substitute.
+    is_replica: bool,
+    class: TargetClass,
+    /// For a replica: some substitute carries a hint for it.
+    has_substitute: bool,
+    state: TargetState,
+}
+
+/// One turn on its way to its stores.
+#[derive(Debug)]
+pub struct WriteCoordinator {
+    /// In the order in which they are contacted.
+    targets: Vec<Target>,
+    required_acknowledgements: usize,
+    required_zones: usize,
+    deadline_ms: u64,
+    writes: Vec<ReplicaWrite>,
+    outcome: Option<WriteOutcome>,
+}
+
+impl WriteCoordinator {
+    /// Begins to write a turn to `replication_factor` of the stores.
+    #[must_use]
+    pub fn new(
+        turn: &TurnHeader,
+        stores: &[StoreEntry],
+        replication_factor: usize,
+        now_ms: u64,
+    ) -> Self {
+        let required_acknowledgements = replication_factor.max(1);
+        let mut coordinator = Self {
+            targets: targets(&turn.program, stores, required_acknowledgements),
+            required_acknowledgements,
+            required_zones: 1,
+            deadline_ms: now_ms.saturating_add(WRITE_DEADLINE_MS),
+            writes: Vec::new(),
+            outcome: None,
+        };
+        coordinator.contact_more_targets(now_ms);
+        coordinator
+    }
+
+    /// Requires acknowledgements out of at least that many zones, for deployments that must survive the loss of
+    /// zones. Limited by the zones that are present.
+    #[must_use]
+    pub fn spanning_zones(mut self, zones: usize) -> Self {
+        self.required_zones = zones.min(self.required_acknowledgements).max(1);
+        self
+    }
+
+    /// The next write to be sent.
+    pub fn poll(&mut self) -> Option<ReplicaWrite> {
+        if self.writes.is_empty() {
+            return None;
+        }
+        Some(self.writes.remove(0))
+    }
+
+    /// How the write ended, once it has.
+    #[must_use]
+    pub fn outcome(&self) -> Option<WriteOutcome> {
+        self.outcome
+    }
+
+    /// The store has synced the turn.
+    pub fn acknowledged(&mut self, store: &str, now_ms: u64) {
+        self.set_state(store, TargetState::Acknowledged, now_ms);
+    }
+
+    /// The store rejected the turn, or the connection to it failed.
+    pub fn failed(&mut self, store: &str, now_ms: u64) {
+        self.set_state(store, TargetState::Failed { at_ms: now_ms }, now_ms);
+    }
+
+    /// When [`Self::tick`] has to be called, in milliseconds of the steady clock; `None` once it has ended.
+    #[must_use]
+    pub fn next_due(&self) -> Option<u64> {
+        if self.outcome.is_some() {
+            return None;
+        }
+        let needs_more = self.needs_more_targets();
+        let steps = self.targets.iter().filter_map(|target| match target.state {
+            TargetState::Pending { since_ms } => Some(since_ms + HEDGE_DELAY_MS),
+            TargetState::Failed { at_ms } if needs_more => Some(at_ms + RETRY_DELAY_MS),
+            _ => None,
+        });
+        Some(steps.min().unwrap_or(u64::MAX).min(self.deadline_ms))
+    }
+
+    /// Time has passed.
+    pub fn tick(&mut self, now_ms: u64) {
+        if self.outcome.is_some() {
+            return;
+        }
+        if now_ms >= self.deadline_ms {
+            return self.finish(WriteOutcome::Uncertain);
+        }
+        for target in &mut self.targets {
+            target.mark_slow_if_late(now_ms);
+        }
+        self.contact_more_targets(now_ms);
+    }
+
+    fn finish(&mut self, outcome: WriteOutcome) {
+        self.outcome = Some(outcome);
+        self.writes.clear();
+    }
+
+    fn set_state(&mut self, store: &str, state: TargetState, now_ms: u64) {
+        if self.outcome.is_some() {
+            return;
+        }
+        let Some(target) = self.targets.iter_mut().find(|target| target.store == store) else {
+            return;
+        };
+        if target.state == TargetState::Acknowledged {
+            return;
+        }
+        target.state = state;
+        if self.has_quorum() {
+            return self.finish(WriteOutcome::Stored);
+        }
+        self.contact_more_targets(now_ms);
+    }
+
+    fn has_quorum(&self) -> bool {
+        let acknowledged = || {
+            let targets = self.targets.iter();
+            targets.filter(|target| target.state == TargetState::Acknowledged)
+        };
+        let present_zones = count_zones(self.targets.iter().filter(|target| target.present));
+        let required_zones = self.required_zones.min(present_zones.max(1));
+        acknowledged().count() >= self.required_acknowledgements
+            && count_zones(acknowledged()) >= required_zones
+    }
+
+    /// Contacts further stores until enough may be expected to acknowledge.
+    fn contact_more_targets(&mut self, now_ms: u64) {
+        while self.needs_more_targets() {
+            let Some(next) = self.next_target(now_ms) else {
+                return;
+            };
+            self.contact(next, now_ms);
+        }
+        while self.expected_zones() < self.required_zones {
+            let next = self
+                .first_in_unused_zone(TargetClass::Placed)
+                .or_else(|| self.first_in_unused_zone(TargetClass::Draining));
+            let Some(next) = next else {
+                return;
+            };
+            self.contact(next, now_ms);
+        }
+    }
+
+    /// The first uncontacted present store of the class in a zone from which no acknowledgement is expected.
+    fn first_in_unused_zone(&self, class: TargetClass) -> Option<usize> {
+        let is_used = |zone: &str| {
+            let mut targets = self.targets.iter();
+            targets.any(|other| other.is_expected() && other.zone == zone)
+        };
+        self.targets
+            .iter()
+            .position(|target| target.is_available(class) && !is_used(&target.zone))
+    }
+
+    /// The first uncontacted present store of the class.
+    fn first_available(&self, class: TargetClass) -> Option<usize> {
+        let mut targets = self.targets.iter();
+        targets.position(|target| target.is_available(class))
+    }
+
+    /// Acknowledgements are expected of fewer stores than required.
+    fn needs_more_targets(&self) -> bool {
+        let expected = self.targets.iter().filter(|target| target.is_expected());
+        expected.count() < self.required_acknowledgements
+    }
+
+    fn expected_zones(&self) -> usize {
+        count_zones(self.targets.iter().filter(|target| target.is_expected()))
+    }
+
+    /// The best store to contact next: an uncontacted present one, in an unused zone if possible; then the same
+    /// of the draining ones; then one that is absent; then one that failed long enough ago.
+    fn next_target(&self, now_ms: u64) -> Option<usize> {
+        let find = |condition: &dyn Fn(&Target) -> bool| self.targets.iter().position(condition);
+        self.first_in_unused_zone(TargetClass::Placed)
+            .or_else(|| self.first_available(TargetClass::Placed))
+            .or_else(|| self.first_in_unused_zone(TargetClass::Draining))
+            .or_else(|| self.first_available(TargetClass::Draining))
+            .or_else(|| find(&|target| target.state == TargetState::NotContacted))
+            .or_else(|| find(&|target| target.may_be_retried(now_ms)))
+    }
+
+    fn contact(&mut self, position: usize, now_ms: u64) {
+        let hint = if self.targets[position].is_replica {
+            None
+        } else {
+            self.claim_hint()
+        };
+        let target = &mut self.targets[position];
+        target.state = TargetState::Pending { since_ms: now_ms };
+        self.writes.push(ReplicaWrite {
+            store: target.store.clone(),
+            hint,
+        });
+    }
+
+    /// A replica that needs a substitute and has none yet; from now on it has one.
+    fn claim_hint(&mut self) -> Option<String> {
+        let replica = self
+            .targets
+            .iter_mut()
+            .find(|target| target.is_replica && !target.has_substitute && !target.is_expected())?;
+        replica.has_substitute = true;
+        Some(replica.store.clone())
+    }
+}
+
+/// All stores that may take turns of a program, in the order in which they are contacted.
+fn targets(program: &str, stores: &[StoreEntry], replicas: usize) -> Vec<Target> {
+    let placed = placement::preference_list(program, stores)
+        .into_iter()
+        .enumerate()
+        .map(|(position, store)| Target::new(store, TargetClass::Placed, position < replicas));
+    let draining = placement::draining_stores(program, stores)
+        .into_iter()
+        .map(|store| Target::new(store, TargetClass::Draining, false));
+    placed.chain(draining).collect()
+}
+
+impl Target {
+    fn new(store: &StoreEntry, class: TargetClass, is_replica: bool) -> Self {
+        Self {
+            store: store.name.clone(),
+            zone: store.zone.clone(),
+            present: store.present,
+            is_replica,
+            class,
+            has_substitute: false,
+            state: TargetState::NotContacted,
+        }
+    }
+
+    /// Of the class, present and not contacted yet.
+    fn is_available(&self, class: TargetClass) -> bool {
+        self.state == TargetState::NotContacted && self.present && self.class == class
+    }
+
+    /// It has acknowledged, or may be expected to.
+    fn is_expected(&self) -> bool {
+        matches!(
+            self.state,
+            TargetState::Pending { .. } | TargetState::Acknowledged
+        )
+    }
+
+    fn may_be_retried(&self, now_ms: u64) -> bool {
+        matches!(self.state, TargetState::Failed { at_ms } if now_ms >= at_ms + RETRY_DELAY_MS)
+    }
+
+    fn mark_slow_if_late(&mut self, now_ms: u64) {
+        let is_late = |since_ms| now_ms >= since_ms + HEDGE_DELAY_MS;
+        if matches!(self.state, TargetState::Pending { since_ms } if is_late(since_ms)) {
+            self.state = TargetState::Slow;
+        }
+    }
+}
+
+fn count_zones<'a>(targets: impl Iterator<Item = &'a Target>) -> usize {
+    let mut zones: Vec<&str> = targets.map(|target| target.zone.as_str()).collect();
+    zones.sort_unstable();
+    zones.dedup();
+    zones.len()
+}
--- a/crates/serving/turn-replication/tests/common/mod.rs
+++ b/crates/serving/turn-replication/tests/common/mod.rs
@@ -1,37 +1,39 @@
-//! Stores and turns for the tests of single parts.
+//! Stores and turns for the tests of single modules.
 #![allow(dead_code)] // Each test file uses a part of it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use bytes::Bytes;
-use dunespur_turn_replication::roster::Store;
+use dunespur_turn_replication::membership::StoreEntry;
 use dunespur_turn_replication::turn::Turn;
 
+/// The program of all turns here.
 pub const PROGRAM: &str = "3fa81c";
 
-/// A present, whole store.
-pub fn store(name: &str, zone: &str) -> Store {
-    Store {
+/// A present and complete store.
+pub fn store(name: &str, zone: &str) -> StoreEntry {
+    StoreEntry {
         name: name.to_owned(),
         zone: zone.to_owned(),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 7_380)),
         incarnation: 1,
         disk: 1,
-        whole: true,
+        complete: true,
         present: true,
         retiring: false,
         retired: false,
-        round: 0,
+        epoch: 0,
     }
 }
 
-/// So many stores, each in a zone of its own.
-pub fn stores(count: usize) -> Vec<Store> {
+/// `count` stores, each in a zone of its own.
+pub fn stores(count: usize) -> Vec<StoreEntry> {
     (0..count)
         .map(|number| store(&format!("storage-{number}"), &format!("zone-{number}")))
         .collect()
 }
 
+/// A turn with contents that follow from its id.
 pub fn turn(id: &str, previous: Option<&str>) -> Turn {
     Turn {
         id: id.to_owned(),
@@ -44,9 +46,9 @@
     }
 }
 
-/// The names of stores in the order of a program.
-pub fn order(program: &str, stores: &[Store]) -> Vec<String> {
-    dunespur_turn_replication::placement::order(program, stores)
+/// The names of the stores in the preference list of a program.
+pub fn ranked_stores(program: &str, stores: &[StoreEntry]) -> Vec<String> {
+    dunespur_turn_replication::placement::preference_list(program, stores)
         .into_iter()
         .map(|store| store.name.clone())
         .collect()
--- a/crates/serving/turn-replication/tests/digests.rs
+++ b/crates/serving/turn-replication/tests/digests.rs
@@ -9,23 +9,23 @@
 use std::fmt::Write;
 use std::thread;
 
-use dunespur_turn_replication::guards::Guards;
-use world::{Absence, FaultKind, Plan, World};
+use dunespur_turn_replication::safeguards::Safeguards;
+use world::{Absence, CoreSafeguards, FaultKind, Plan, World};
 
 const FIXTURE: &str = include_str!("fixtures/world-digests.txt");
 /// Seeds of each kind.
 const SEEDS: u64 = 100;
 /// Worlds that are played side by side.
 const THREADS: u64 = 6;
-/// Each world is played up to here, its trouble included: there are many of them.
+/// Each world is played up to here, its faults included: there are many of them.
 const END_MS: u64 = 15_000;
 
 const ALL: [FaultKind; 9] = [
     FaultKind::Kill,
     FaultKind::Wipe,
     FaultKind::Freeze,
-    FaultKind::CutOff,
-    FaultKind::CutFromStores,
+    FaultKind::Partition,
+    FaultKind::PeerPartition,
     FaultKind::KillAll,
     FaultKind::Replace,
     FaultKind::Add,
@@ -39,13 +39,13 @@
         zones: 3,
         tolerated: 1,
         programs: 3,
-        most_input_bytes: 500,
+        max_input_bytes: 500,
         faults_until_ms: END_MS,
         faults: faults.to_vec(),
         final_fault: false,
         absence: Absence::default(),
-        guards: Guards::default(),
-        core_guards: dunespur_control_state::Guards::default(),
+        safeguards: Safeguards::default(),
+        core_safeguards: CoreSafeguards::default(),
     }
 }
 
@@ -78,7 +78,7 @@
     ];
     Plan {
         programs: 8,
-        most_input_bytes: 6_000,
+        max_input_bytes: 6_000,
         ..plan(seed, &faults)
     }
 }
@@ -114,7 +114,7 @@
 
 /// Lines of the fixture for one kind.
 fn digests((name, plan): Kind) -> String {
-    let play = move |seed| World::play_part(plan(seed), END_MS).digest;
+    let play = move |seed| World::play_unchecked(plan(seed), END_MS).digest;
     let threads: Vec<_> = (0..THREADS)
         .map(|first| {
             let seeds = (first..SEEDS).step_by(THREADS as usize);
@@ -123,7 +123,7 @@
         .collect();
     let mut digests: Vec<(u64, u64)> = threads
         .into_iter()
-        .flat_map(|thread| thread.join().expect("the worlds hold"))
+        .flat_map(|thread| thread.join().expect("no invariant is violated"))
         .collect();
     digests.sort_unstable();
     digests
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn worlds_play_as_their_digests_say() {
+fn worlds_play_as_recorded() {
     let played: String = KINDS.into_iter().map(digests).collect();
     let left_at = concat!(env!("CARGO_TARGET_TMPDIR"), "/world-digests.txt");
     std::fs::write(left_at, &played).expect("the target folder is writable");
--- a/crates/serving/turn-replication/tests/encoding.rs
+++ b/crates/serving/turn-replication/tests/encoding.rs
@@ -2,15 +2,15 @@
 //! order of variants, so a reordered one would break running systems unseen.
 //!
 //! `fixtures/encodings.txt` has one line for each value: its name and its bytes in hexadecimal digits. The bytes
-//! were written by the first released text and stay as they are.
+//! were written before any name was changed and stay as they are.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use dunespur_turn_replication::message::{ListedTurn, Refusal, StoreReply, StoreRequest};
-use dunespur_turn_replication::roster::{Candidate, Store};
-use dunespur_turn_replication::turn::{HeldTurn, Turn, TurnHeader};
+use dunespur_turn_replication::membership::{Candidate, StoreEntry};
+use dunespur_turn_replication::message::{ListedTurn, Rejection, StoreReply, StoreRequest};
+use dunespur_turn_replication::turn::{RetainedTurn, Turn, TurnHeader};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -84,8 +84,8 @@
     }
 }
 
-fn turn_with_term(number: u64) -> HeldTurn {
-    HeldTurn {
+fn retained_turn(number: u64) -> RetainedTurn {
+    RetainedTurn {
         turn: turn(number),
         remaining_ms: 30_000 + number,
     }
@@ -106,18 +106,18 @@
 }
 
 /// A store of which only the flag at this position is set.
-fn store(flag: usize, address: &str) -> Store {
-    Store {
+fn store(flag: usize, address: &str) -> StoreEntry {
+    StoreEntry {
         name: format!("storage-{flag}"),
         zone: format!("zone-{flag}"),
         address: address.parse::<SocketAddr>().expect("an address"),
         incarnation: 1_001,
         disk: 0x0123_4567_89ab_cdef,
-        whole: flag == 0,
+        complete: flag == 0,
         present: flag == 1,
         retiring: flag == 2,
         retired: flag == 3,
-        round: 77,
+        epoch: 77,
     }
 }
 
@@ -126,7 +126,7 @@
     let mut checked = Checked::default();
     check_requests(&mut checked);
     check_replies(&mut checked);
-    check_refusals(&mut checked);
+    check_rejections(&mut checked);
     check_records(&mut checked);
     checked.finish();
 }
@@ -154,23 +154,23 @@
         },
     );
     let candidates = vec![candidate(3), candidate(4)];
-    let (home, after) = ("storage-5".to_owned(), Some("request-6".to_owned()));
+    let (replica, after) = ("storage-5".to_owned(), Some("request-6".to_owned()));
     checked.check(
         "request/list",
         &StoreRequest::List {
-            home,
+            replica,
             candidates,
-            copies: 300,
+            replication_factor: 300,
             after,
         },
     );
-    let (home, candidates) = ("storage-7".to_owned(), Vec::new());
+    let (replica, candidates) = ("storage-7".to_owned(), Vec::new());
     checked.check(
         "request/list-from-start",
         &StoreRequest::List {
-            home,
+            replica,
             candidates,
-            copies: 2,
+            replication_factor: 2,
             after: None,
         },
     );
@@ -192,38 +192,41 @@
             ids: ids(&[11, 12]),
         },
     );
-    let turns = vec![turn_with_term(13), turn_with_term(14)];
+    let turns = vec![retained_turn(13), retained_turn(14)];
     checked.check("request/handoff", &StoreRequest::Handoff { turns });
 }
 
 fn check_replies(checked: &mut Checked) {
-    checked.check("reply/kept", &StoreReply::Kept);
-    checked.check("reply/refused", &StoreReply::Refused(Refusal::Retiring));
+    checked.check("reply/stored", &StoreReply::Stored);
+    checked.check("reply/rejected", &StoreReply::Rejected(Rejection::Retiring));
     let (turns, missing) = (vec![turn(21), turn(22)], Some("request-20".to_owned()));
     checked.check(
         "reply/found-with-more",
         &StoreReply::Found {
             turns,
             missing,
-            more: true,
+            has_more: true,
         },
     );
-    let whole_chain = StoreReply::Found {
+    let complete_chain = StoreReply::Found {
         turns: vec![first_turn()],
         missing: None,
-        more: false,
+        has_more: false,
     };
-    checked.check("reply/found", &whole_chain);
-    let knows = vec!["storage-23".to_owned(), "storage-24".to_owned()];
+    checked.check("reply/found", &complete_chain);
+    let known_stores = vec!["storage-23".to_owned(), "storage-24".to_owned()];
     checked.check(
-        "reply/unknown-whole",
-        &StoreReply::Unknown { whole: true, knows },
+        "reply/unknown-complete",
+        &StoreReply::Unknown {
+            complete: true,
+            known_stores,
+        },
     );
     checked.check(
         "reply/unknown",
         &StoreReply::Unknown {
-            whole: false,
-            knows: Vec::new(),
+            complete: false,
+            known_stores: Vec::new(),
         },
     );
     let listed = |number: u64| ListedTurn {
@@ -242,29 +245,29 @@
     checked.check(
         "reply/fetched",
         &StoreReply::Fetched {
-            turns: vec![turn_with_term(28)],
+            turns: vec![retained_turn(28)],
         },
     );
     checked.check(
-        "reply/lacks",
-        &StoreReply::Lacks {
+        "reply/missing",
+        &StoreReply::Missing {
             ids: ids(&[29, 30]),
         },
     );
 }
 
-fn check_refusals(checked: &mut Checked) {
-    let refusals = [
-        ("joining", Refusal::Joining),
-        ("retiring", Refusal::Retiring),
-        ("full", Refusal::Full),
-        ("busy", Refusal::Busy),
-        ("incomplete", Refusal::Incomplete),
-        ("conflict", Refusal::Conflict),
-        ("disk", Refusal::Disk),
+fn check_rejections(checked: &mut Checked) {
+    let rejections = [
+        ("joining", Rejection::Joining),
+        ("retiring", Rejection::Retiring),
+        ("full", Rejection::Full),
+        ("busy", Rejection::Busy),
+        ("incomplete", Rejection::Incomplete),
+        ("conflict", Rejection::Conflict),
+        ("disk", Rejection::Disk),
     ];
-    for (name, refusal) in refusals {
-        checked.check(&format!("refusal/{name}"), &refusal);
+    for (name, rejection) in rejections {
+        checked.check(&format!("rejection/{name}"), &rejection);
     }
 }
 
@@ -273,7 +276,7 @@
     checked.check("turn/first", &first_turn());
     let header: TurnHeader = turn(32).header();
     checked.check("turn-header", &header);
-    checked.check("turn-with-term", &turn_with_term(33));
+    checked.check("retained-turn", &retained_turn(33));
     checked.check(
         "listed-turn",
         &ListedTurn {
--- a/crates/serving/turn-replication/tests/windows.rs
+++ b/crates/serving/turn-replication/tests/exposure.rs
@@ -1,22 +1,22 @@
-//! How long there is no spare copy after a store was wiped, replaced or emptied and taken away.
+//! How long there is no spare replica after a store was wiped, replaced, or drained and taken away.
 //!
 //! `TURNS_FIRST` and `TURNS_SEEDS` in the environment play other worlds, and more of them.
 
 #[allow(dead_code, unused_imports)] // Each test file uses a part of it.
 mod world;
 
-use dunespur_turn_replication::guards::Guards;
-use world::{Absence, FaultKind, Plan, World};
+use dunespur_turn_replication::safeguards::Safeguards;
+use world::{Absence, CoreSafeguards, FaultKind, Plan, World};
 
 /// Played unless the environment says otherwise.
 const SEEDS: u64 = 6;
-/// As the core members have it (`node::core::expiry`), the round in which they look included.
+/// As the core members have it, the interval at which they look included.
 const LEASE_MS: u64 = 3_000;
-/// As the stores have it (`node::store`).
+/// As the stores have it.
 const ABSENT_REPAIR_MS: u64 = 300;
-/// The longest that there may be no spare copy: a machine that is gone for good is noticed within three seconds,
-/// and what it held is copied then.
-const MOST_MS: u64 = 4_200;
+/// The longest that there may be no spare replica: a machine that was removed is noticed within three seconds, and
+/// what it held is replicated then.
+const MAX_EXPOSURE_MS: u64 = 4_200;
 
 fn from_environment(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
@@ -29,7 +29,7 @@
         zones: 3,
         tolerated: 1,
         programs: 12,
-        most_input_bytes: 4_000,
+        max_input_bytes: 4_000,
         faults_until_ms: 60_000,
         faults: vec![
             FaultKind::Wipe,
@@ -42,22 +42,22 @@
             lease_ms: LEASE_MS,
             repair_ms: ABSENT_REPAIR_MS,
         },
-        guards: Guards::default(),
-        core_guards: dunespur_control_state::Guards::default(),
+        safeguards: Safeguards::default(),
+        core_safeguards: CoreSafeguards::default(),
     }
 }
 
-/// The value below which so many of a hundred lie.
+/// The value below which `hundredths` of a hundred are.
 fn percentile(sorted: &[u64], hundredths: usize) -> u64 {
     sorted[(sorted.len() - 1) * hundredths / 100]
 }
 
 #[test]
-fn there_is_a_spare_copy_again_in_time() {
+fn there_is_a_spare_replica_again_in_time() {
     let first = from_environment("TURNS_FIRST").unwrap_or(0);
     let count = from_environment("TURNS_SEEDS").unwrap_or(SEEDS);
     let windows: Vec<_> = (first..first + count)
-        .flat_map(|seed| World::play(plan(seed)).windows)
+        .flat_map(|seed| World::play(plan(seed)).exposure_windows)
         .collect();
     for kind in [FaultKind::Wipe, FaultKind::Replace, FaultKind::Retire] {
         let of_kind = windows.iter().filter(|window| window.after == kind);
@@ -69,6 +69,6 @@
             "{kind:?}: {} times, p50 {half} ms, p99 {most} ms, worst {worst} ms",
             lasted.len()
         );
-        assert!(worst < MOST_MS, "{kind:?}: {worst} ms");
+        assert!(worst < MAX_EXPOSURE_MS, "{kind:?}: {worst} ms");
     }
 }
--- a/crates/serving/turn-replication/tests/index.rs
+++ b/crates/serving/turn-replication/tests/index.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{stores, turn, PROGRAM};
-use dunespur_turn_replication::index::{Index, CLOCK_STEP_BOUND_MS, LEAST_TERM_AFTER_START_MS};
+use dunespur_turn_replication::index::{Index, MAX_CLOCK_STEP_MS, MIN_RETENTION_AFTER_START_MS};
+use dunespur_turn_replication::membership::Candidate;
 use dunespur_turn_replication::message::PAGE_IDS;
 use dunespur_turn_replication::placement;
-use dunespur_turn_replication::roster::Candidate;
 use dunespur_turn_replication::turn::{TurnHeader, RETENTION_MARGIN_MS};
 
 const RETENTION_MS: u64 = 20_000;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn ancestors_live_as_long_as_their_youngest_descendant() {
+fn ancestors_are_retained_as_long_as_their_youngest_descendant() {
     let mut index = Index::default();
     index.insert(&header("a", None), 100);
     index.insert(&header("b", Some("a")), 200);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_ancestor_that_comes_late_is_kept_for_its_descendants() {
+fn an_ancestor_that_comes_late_is_retained_for_its_descendants() {
     let mut index = Index::default();
     index.insert(&header("c", Some("b")), 900);
     assert_eq!(index.first_missing("c"), Some("b".to_owned()));
@@ -49,19 +49,22 @@
 }
 
 #[test]
-fn a_chain_is_cut_where_the_next_turn_is_missing_or_has_no_room() {
+fn a_chain_ends_where_the_next_turn_is_missing_or_exceeds_the_limit() {
     let mut index = Index::default();
     index.insert(&header("b", Some("a")), 900);
     index.insert(&header("c", Some("b")), 900);
-    let whole = index.chain("c", u64::MAX, 0).unwrap();
-    assert_eq!((whole.missing.as_deref(), whole.more), (Some("a"), false));
+    let stored = index.chain("c", u64::MAX, 0).unwrap();
+    assert_eq!(
+        (stored.missing.as_deref(), stored.has_more),
+        (Some("a"), false)
+    );
     let page = index.chain("c", 1, 0).unwrap();
-    assert_eq!(page.ids.len(), 1, "one turn always comes");
-    assert_eq!((page.missing.as_deref(), page.more), (Some("b"), true));
+    assert_eq!(page.ids.len(), 1, "there is always one turn");
+    assert_eq!((page.missing.as_deref(), page.has_more), (Some("b"), true));
 }
 
 #[test]
-fn a_turn_past_its_time_is_unknown_before_it_is_deleted() {
+fn an_expired_turn_is_unknown_before_it_is_deleted() {
     let mut index = Index::default();
     index.insert(&header("a", None), 100);
     assert!(index.chain("a", u64::MAX, 99).is_some());
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn a_turn_again_only_lives_longer() {
+fn inserting_a_turn_again_only_extends_its_retention() {
     let mut index = Index::default();
     index.insert(&header("a", None), 100);
     let bytes = index.bytes();
@@ -82,19 +85,19 @@
 
 #[test]
 fn a_wall_clock_that_steps_ahead_deletes_nothing_at_a_start() {
-    let entries = vec![header("a", None)];
+    let headers = vec![header("a", None)];
     let day_ms = 86_400_000;
-    let index = Index::load(entries, 1_000_000 + day_ms, 5_000);
+    let index = Index::load(headers, 1_000_000 + day_ms, 5_000);
     assert_eq!(
         index.remaining_ms("a", 5_000),
-        Some(LEAST_TERM_AFTER_START_MS)
+        Some(MIN_RETENTION_AFTER_START_MS)
     );
 }
 
 #[test]
-fn a_wall_clock_that_steps_back_keeps_nothing_for_ever() {
-    let entries = vec![header("a", None)];
-    let index = Index::load(entries, 0, 5_000);
+fn a_wall_clock_that_steps_back_retains_nothing_for_ever() {
+    let headers = vec![header("a", None)];
+    let index = Index::load(headers, 0, 5_000);
     assert_eq!(
         index.remaining_ms("a", 5_000),
         Some(RETENTION_MS + RETENTION_MARGIN_MS)
@@ -102,19 +105,22 @@
 }
 
 #[test]
-fn a_start_within_the_retention_keeps_at_least_the_rest_of_it() {
-    for step_ms in [0, 60_000, CLOCK_STEP_BOUND_MS] {
-        let entries = vec![header("a", None), header("b", Some("a"))];
-        let index = Index::load(entries, 1_000_000 + 5_000 + step_ms, 0);
+fn a_start_within_the_retention_retains_at_least_the_rest_of_it() {
+    for step_ms in [0, 60_000, MAX_CLOCK_STEP_MS] {
+        let headers = vec![header("a", None), header("b", Some("a"))];
+        let index = Index::load(headers, 1_000_000 + 5_000 + step_ms, 0);
         assert!(index.remaining_ms("a", 0).unwrap() >= RETENTION_MS - 5_000 + RETENTION_MARGIN_MS);
     }
 }
 
 #[test]
-fn what_is_long_past_its_time_goes_soon_after_a_start() {
-    let old_ms = RETENTION_MS + RETENTION_MARGIN_MS + CLOCK_STEP_BOUND_MS;
+fn what_expired_long_ago_is_deleted_soon_after_a_start() {
+    let old_ms = RETENTION_MS + RETENTION_MARGIN_MS + MAX_CLOCK_STEP_MS;
     let index = Index::load(vec![header("a", None)], 1_000_000 + old_ms, 0);
-    assert_eq!(index.remaining_ms("a", 0), Some(LEAST_TERM_AFTER_START_MS));
+    assert_eq!(
+        index.remaining_ms("a", 0),
+        Some(MIN_RETENTION_AFTER_START_MS)
+    );
 }
 
 #[test]
@@ -131,7 +137,7 @@
     let mut listed = Vec::new();
     let mut after = None;
     loop {
-        let page = index.missing_at("storage-1", &candidates, 2, after.as_deref(), 0);
+        let page = index.page_for_replica("storage-1", &candidates, 2, after.as_deref(), 0);
         assert!(page.turns.len() <= PAGE_IDS);
         listed.extend(page.turns.into_iter().map(|turn| turn.id));
         after = page.next;
@@ -142,9 +148,9 @@
     let expected: Vec<String> = (0..count)
         .filter(|number| {
             let program = format!("program-{}", number % 100);
-            placement::homes(&program, &stores, 2)
+            placement::replica_set(&program, &stores, 2)
                 .iter()
-                .any(|home| home.name == "storage-1")
+                .any(|replica| replica.name == "storage-1")
         })
         .map(|number| format!("turn-{number:06}"))
         .collect();
--- a/crates/serving/turn-replication/tests/placement.rs
+++ b/crates/serving/turn-replication/tests/placement.rs
@@ -1,16 +1,16 @@
-//! Placement: spread over zones, even, and little moved when stores come and go.
+//! Placement: replicas are spread over zones and evenly over stores, and few move when stores join or leave.
 
 mod common;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{order, store, stores};
-use dunespur_turn_replication::placement::{homes, is_home};
-use dunespur_turn_replication::roster::Candidate;
+use common::{ranked_stores, store, stores};
+use dunespur_turn_replication::membership::Candidate;
+use dunespur_turn_replication::placement::{is_replica, replica_set};
 use quickcheck::quickcheck;
 
 #[test]
-fn homes_lie_in_different_zones_while_there_are_enough() {
+fn replicas_are_in_different_zones_while_there_are_enough() {
     let stores: Vec<_> = (0..9)
         .map(|number| {
             store(
@@ -20,28 +20,28 @@
         })
         .collect();
     for program in 0..200 {
-        let homes = homes(&format!("program-{program}"), &stores, 3);
-        let zones: BTreeSet<&str> = homes.iter().map(|home| home.zone.as_str()).collect();
+        let replicas = replica_set(&format!("program-{program}"), &stores, 3);
+        let zones: BTreeSet<&str> = replicas.iter().map(|store| store.zone.as_str()).collect();
         assert_eq!(zones.len(), 3);
     }
 }
 
 #[test]
-fn stores_that_leave_or_have_left_are_no_homes() {
+fn draining_and_retired_stores_are_no_replicas() {
     let mut stores = stores(4);
     stores[1].retiring = true;
     stores[2].retired = true;
-    assert_eq!(order("a", &stores).len(), 2);
-    assert_eq!(homes("a", &stores, 3).len(), 2);
+    assert_eq!(ranked_stores("a", &stores).len(), 2);
+    assert_eq!(replica_set("a", &stores, 3).len(), 2);
 }
 
 #[test]
-fn homes_are_spread_evenly() {
+fn replicas_are_spread_evenly() {
     let stores = stores(4);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for program in 0..4_000 {
-        for home in homes(&format!("program-{program}"), &stores, 2) {
-            *counts.entry(home.name.clone()).or_default() += 1;
+        for replica in replica_set(&format!("program-{program}"), &stores, 2) {
+            *counts.entry(replica.name.clone()).or_default() += 1;
         }
     }
     for count in counts.values() {
@@ -50,27 +50,30 @@
 }
 
 quickcheck! {
-    /// A further store takes places from others; between the others nothing moves.
+    /// A new store takes turns from others; between the others nothing moves.
     fn a_new_store_moves_only_what_it_wins(program: String, count: u8) -> bool {
         let before = stores(1 + usize::from(count % 6));
         let mut after = before.clone();
         after.push(store("storage-new", "zone-new"));
-        let with: Vec<String> = order(&program, &after);
+        let with: Vec<String> = ranked_stores(&program, &after);
         let without: Vec<String> = with.into_iter().filter(|name| name != "storage-new").collect();
-        without == order(&program, &before)
+        without == ranked_stores(&program, &before)
     }
 
-    fn the_scan_for_homes_agrees_with_the_order(program: String, zones: u8, copies: u8) -> bool {
+    fn is_replica_agrees_with_the_replica_set(program: String, zones: u8, replicas: u8) -> bool {
         let zones = 1 + usize::from(zones % 4);
-        let copies = 1 + usize::from(copies % 4);
+        let replicas = 1 + usize::from(replicas % 4);
         let stores: Vec<_> = (0..6)
             .map(|number| store(&format!("storage-{number}"), &format!("zone-{}", number % zones)))
             .collect();
         let candidates: Vec<Candidate> = stores.iter().map(Candidate::from).collect();
-        let homes: Vec<&str> =
-            homes(&program, &stores, copies).into_iter().map(|home| home.name.as_str()).collect();
+        let expected: Vec<&str> = replica_set(&program, &stores, replicas)
+            .into_iter()
+            .map(|store| store.name.as_str())
+            .collect();
         stores.iter().all(|store| {
-            is_home(&program, &store.name, &candidates, copies) == homes.contains(&store.name.as_str())
+            is_replica(&program, &store.name, &candidates, replicas)
+                == expected.contains(&store.name.as_str())
         })
     }
 }
--- a/crates/serving/turn-replication/tests/faults.rs
+++ b/crates/serving/turn-replication/tests/simulation.rs
@@ -1,18 +1,20 @@
-//! Turns under kills, lost disks, cuts, freezes, retirements and new machines: what was answered whole is found
-//! whole or not sure, never unknown; and found once the last trouble is over.
+//! Turns under kills, lost disks, partitions, freezes, retirements and new machines: a read of what was acknowledged
+//! gives the complete chain or is uncertain, never unknown; and it gives the chain once the last fault is over.
 
 #[allow(dead_code, unused_imports)] // Each test file uses a part of it.
 mod world;
 
-use dunespur_turn_replication::guards::Guards;
-use world::{Absence, FaultKind, Plan, Seen, World, CATCH_UP_MS, LONGEST_TROUBLE_MS};
+use dunespur_turn_replication::safeguards::Safeguards;
+use world::{
+    Absence, CoreSafeguards, FaultKind, Plan, Statistics, World, CATCH_UP_MS, MAX_IMPAIRMENT_MS,
+};
 
 const ALL: [FaultKind; 9] = [
     FaultKind::Kill,
     FaultKind::Wipe,
     FaultKind::Freeze,
-    FaultKind::CutOff,
-    FaultKind::CutFromStores,
+    FaultKind::Partition,
+    FaultKind::PeerPartition,
     FaultKind::KillAll,
     FaultKind::Replace,
     FaultKind::Add,
@@ -26,30 +28,36 @@
         zones: 3,
         tolerated: 1,
         programs: 12,
-        most_input_bytes: 4_000,
+        max_input_bytes: 4_000,
         faults_until_ms: 90_000,
         faults: faults.to_vec(),
         final_fault: seed.is_multiple_of(3),
         absence: Absence::default(),
-        guards: Guards::default(),
-        core_guards: dunespur_control_state::Guards::default(),
+        safeguards: Safeguards::default(),
+        core_safeguards: CoreSafeguards::default(),
     }
 }
 
-/// `most_whole_ms`: what a new disk may take to be whole.
-fn check_liveness(seen: &Seen, most_whole_ms: u64) {
-    assert!(seen.kept > 500, "{seen:?}");
-    assert!(seen.chains > 500, "{seen:?}");
+/// `max_completion_ms`: how long a new disk may take to be complete.
+fn check_liveness(statistics: &Statistics, max_completion_ms: u64) {
+    assert!(statistics.stored_turns > 500, "{statistics:?}");
+    assert!(statistics.chains > 500, "{statistics:?}");
     assert!(
-        seen.unknown > 0,
-        "what never was is never said to be unknown: {seen:?}"
+        statistics.unknown_reads > 0,
+        "no turn that never was is called unknown: {statistics:?}"
+    );
+    assert!(
+        statistics.slowest_completion_ms < max_completion_ms,
+        "{statistics:?}"
+    );
+    assert!(
+        statistics.largest_message_bytes <= 4 << 20,
+        "{statistics:?}"
     );
-    assert!(seen.slowest_whole_ms < most_whole_ms, "{seen:?}");
-    assert!(seen.largest_message <= 4 << 20, "{seen:?}");
 }
 
 #[test]
-fn all_kinds_of_trouble() {
+fn all_kinds_of_faults() {
     for seed in 0..16 {
         check_liveness(&World::play(plan(seed, &ALL)), CATCH_UP_MS);
     }
@@ -66,13 +74,13 @@
 }
 
 #[test]
-fn stores_come_and_are_emptied() {
+fn stores_join_and_drain() {
     for seed in 200..210 {
-        let seen = World::play(plan(
+        let statistics = World::play(plan(
             seed,
             &[FaultKind::Add, FaultKind::Retire, FaultKind::Wipe],
         ));
-        check_liveness(&seen, CATCH_UP_MS);
+        check_liveness(&statistics, CATCH_UP_MS);
     }
 }
 
@@ -84,8 +92,8 @@
             tolerated: 2,
             ..plan(seed, &ALL)
         };
-        // A new disk waits for the stores that it can't ask while they count as present.
-        check_liveness(&World::play(plan), CATCH_UP_MS + LONGEST_TROUBLE_MS);
+        // A new disk waits for stores that it can't reach while they count as present.
+        check_liveness(&World::play(plan), CATCH_UP_MS + MAX_IMPAIRMENT_MS);
     }
 }
 
@@ -100,13 +108,13 @@
         ];
         let plan = Plan {
             programs: 70,
-            most_input_bytes: 12_000,
+            max_input_bytes: 12_000,
             faults_until_ms: 60_000,
             ..plan(seed, &faults)
         };
-        let seen = World::play(plan);
-        check_liveness(&seen, CATCH_UP_MS);
-        assert!(seen.most_held > 3_000, "{seen:?}");
+        let statistics = World::play(plan);
+        check_liveness(&statistics, CATCH_UP_MS);
+        assert!(statistics.max_stored_turns > 3_000, "{statistics:?}");
     }
 }
 
--- a/crates/serving/turn-replication/tests/world/core.rs
+++ b/crates/serving/turn-replication/tests/world/core.rs
@@ -1,29 +1,33 @@
-//! The core: the agreed control state, which notices stores by their heartbeats; the list that follows from it
-//! comes to everybody, sooner or later.
+//! The core: the agreed control state, which tracks stores by their heartbeats. Gateways and stores get the
+//! membership that follows from it, sooner or later.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
 use dunespur_control_state::{
-    ControlState, NodeKind, NodeReport, Operation, Outcome, RetireOutcome, RetireState, StoreEntry,
+    ControlState, NodeKind, NodeReport, Operation, Outcome, RetireOutcome, RetireState,
 };
-use dunespur_turn_replication::roster::Store;
+use dunespur_turn_replication::membership::StoreEntry;
 
 use super::{Event, World};
 
-const HEARTBEAT_MS: u64 = 200;
-/// What a store says to the core mostly takes up to this long.
+const HEARTBEAT_INTERVAL_MS: u64 = 200;
+/// What a store reports to the core usually takes up to this long.
 const USUAL_DELAY_MS: u64 = 50;
 /// Now and then it takes up to this long: its sender may have ended meanwhile, or started again.
-const LONGEST_DELAY_MS: u64 = 3_000;
+const MAX_DELAY_MS: u64 = 3_000;
+/// How far behind the core a store may be.
+const MAX_STORE_LAG_MS: u64 = 200;
+/// How long a store that has just started waits for the membership.
+const MAX_FIRST_MEMBERSHIP_DELAY_MS: u64 = 50;
 
 #[derive(Debug, Default)]
 pub struct Core {
     state: ControlState,
     pub version: u64,
-    heard_at_ms: BTreeMap<String, u64>,
-    /// The start of each store's process that last got the list.
-    told: BTreeMap<String, u64>,
+    last_heartbeat_at_ms: BTreeMap<String, u64>,
+    /// The incarnation of each store that last got the membership.
+    notified_incarnations: BTreeMap<String, u64>,
 }
 
 impl Core {
@@ -34,9 +38,9 @@
         }
     }
 
-    /// The list of stores as it stands.
-    pub fn list(&self) -> Vec<Store> {
-        self.state.stores().map(store).collect()
+    /// The membership as it is now.
+    pub fn stores(&self) -> Vec<StoreEntry> {
+        self.state.stores().collect()
     }
 
     fn entry(&self, name: &str) -> Option<StoreEntry> {
@@ -45,20 +49,20 @@
 }
 
 impl World {
-    pub(super) fn heartbeats(&mut self) {
-        self.after(HEARTBEAT_MS, Event::Heartbeats);
+    pub(super) fn exchange_heartbeats(&mut self) {
+        self.after(HEARTBEAT_INTERVAL_MS, Event::Heartbeats);
         for number in 0..self.machines.len() {
             if self.machines[number].is_reachable() {
-                self.hear(number);
-                self.say_emptied(number);
+                self.receive_heartbeat(number);
+                self.report_drained(number);
             }
         }
-        self.miss_the_silent();
-        self.tell_the_new();
+        self.expire_leases();
+        self.update_new_stores();
     }
 
-    /// Agrees on an operation; everybody is told what it changes.
-    pub(super) fn agree(&mut self, operation: &Operation) -> Outcome {
+    /// Commits an operation; gateways and stores are notified of what it changes.
+    fn commit(&mut self, operation: &Operation) -> Outcome {
         let mut changes = Vec::new();
         let outcome = self.core.state.apply(operation, &mut changes);
         if !changes.is_empty() {
@@ -67,83 +71,86 @@
         outcome
     }
 
-    /// The operator's order to empty a store: what it came to.
-    pub(super) fn order_to_retire(&mut self, name: &str) -> RetireOutcome {
+    /// The operator orders that a store be drained.
+    pub(super) fn order_retirement(&mut self, name: &str) -> RetireOutcome {
         let tolerated_losses = self.plan.tolerated as u32;
         let order = |fence| Operation::RetireStart {
             node: name.to_owned(),
             tolerated_losses,
             fence,
         };
-        let outcome = match self.agree(&order(0)) {
-            Outcome::Fenced { fence } => self.agree(&order(fence)),
+        let outcome = match self.commit(&order(0)) {
+            Outcome::Fenced { fence } => self.commit(&order(fence)),
             outcome => outcome,
         };
         match outcome {
             Outcome::Retire(outcome) => outcome,
-            other => panic!("{other:?} is no answer to an order to retire"),
+            other => panic!("{other:?} is no reply to an order to retire"),
         }
     }
 
-    /// A store's statement that it is empty has come to the core.
-    pub(super) fn emptied_heard(&mut self, machine: usize, operation: &Operation) {
-        self.agree(operation);
-        if self.core.state.retirement(&self.machines[machine].name) == Some(RetireState::Done) {
-            self.emptied(machine);
+    /// A store's statement that it is drained has arrived at the core.
+    pub(super) fn drained_received(&mut self, machine: usize, operation: &Operation) {
+        self.commit(operation);
+        let retirement = self.core.state.retirement(&self.machines[machine].name);
+        if retirement == Some(RetireState::Done) {
+            self.remove_drained(machine);
         }
     }
 
-    fn hear(&mut self, number: usize) {
+    fn receive_heartbeat(&mut self, number: usize) {
         let machine = &self.machines[number];
         let report = NodeReport {
             name: machine.name.clone(),
             kind: NodeKind::Store,
             zone: machine.zone.clone(),
             address: SocketAddr::from((Ipv4Addr::LOCALHOST, 7_380 + number as u16)),
-            incarnation: machine.life,
+            incarnation: machine.incarnation,
             disk: machine.disk.number,
-            whole: machine.node.as_ref().is_some_and(|node| node.is_whole()),
+            whole: machine.node.as_ref().is_some_and(|node| node.is_complete()),
         };
-        self.core
-            .heard_at_ms
-            .insert(report.name.clone(), self.now_ms);
-        self.agree(&Operation::Node(report));
+        let name = report.name.clone();
+        self.core.last_heartbeat_at_ms.insert(name, self.now_ms);
+        self.commit(&Operation::Node(report));
     }
 
-    /// A store that has found that it is empty says so, again and again.
-    fn say_emptied(&mut self, number: usize) {
+    /// A store that has found that it is drained reports so, again and again.
+    fn report_drained(&mut self, number: usize) {
         let machine = &self.machines[number];
-        let Some(round) = machine.node.as_ref().and_then(|node| node.emptied_in()) else {
+        let epoch = machine
+            .node
+            .as_ref()
+            .and_then(|node| node.drained_in_epoch());
+        let Some(epoch) = epoch else {
             return;
         };
-        let said = Operation::RetireDone {
+        let operation = Operation::RetireDone {
             node: machine.name.clone(),
-            incarnation: machine.life,
-            round,
+            incarnation: machine.incarnation,
+            round: epoch,
         };
-        let most_ms = if self.rng.u8(0..4) == 0 {
-            LONGEST_DELAY_MS
+        let max_ms = if self.rng.u8(0..4) == 0 {
+            MAX_DELAY_MS
         } else {
             USUAL_DELAY_MS
         };
-        let delay_ms = self.rng.u64(1..most_ms);
-        self.after(
-            delay_ms,
-            Event::EmptiedHeard {
-                machine: number,
-                operation: said,
-            },
-        );
+        let delay_ms = self.rng.u64(1..max_ms);
+        let received = Event::DrainedReceived {
+            machine: number,
+            operation,
+        };
+        self.after(delay_ms, received);
     }
 
-    fn miss_the_silent(&mut self) {
-        let silent = |entry: &StoreEntry| {
-            let heard_at_ms = self.core.heard_at_ms.get(&entry.name).copied().unwrap_or(0);
-            entry.present && self.now_ms.saturating_sub(heard_at_ms) > self.plan.absence.lease_ms
+    fn expire_leases(&mut self) {
+        let is_expired = |entry: &StoreEntry| {
+            let last_ms = self.core.last_heartbeat_at_ms.get(&entry.name);
+            let last_ms = last_ms.copied().unwrap_or(0);
+            entry.present && self.now_ms.saturating_sub(last_ms) > self.plan.absence.lease_ms
         };
-        let lapsed: Vec<StoreEntry> = self.core.state.stores().filter(silent).collect();
-        for entry in lapsed {
-            self.agree(&Operation::NodeGone {
+        let expired: Vec<StoreEntry> = self.core.state.stores().filter(is_expired).collect();
+        for entry in expired {
+            self.commit(&Operation::NodeGone {
                 name: entry.name,
                 incarnation: entry.incarnation,
             });
@@ -154,74 +161,62 @@
         self.core.version += 1;
         for number in 0..self.machines.len() {
             if self.machines[number].is_reachable() {
-                self.tell(number, 200);
+                self.send_membership(number, MAX_STORE_LAG_MS);
             }
         }
         for gateway in 0..self.gateways.len() {
-            let lag_ms = self.rng.u64(0..self.gateways[gateway].most_lag_ms);
-            let (version, list) = (self.core.version, self.core.list());
-            self.after(
-                lag_ms,
-                Event::ListToGateway {
-                    gateway,
-                    version,
-                    list,
-                },
-            );
+            let lag_ms = self.rng.u64(0..self.gateways[gateway].max_lag_ms);
+            let update = Event::MembershipToGateway {
+                gateway,
+                version: self.core.version,
+                stores: self.core.stores(),
+            };
+            self.after(lag_ms, update);
         }
     }
 
-    /// Stores that have just started, or were away, hear the list though it has not changed.
-    fn tell_the_new(&mut self) {
+    /// Stores that have just started, or were away, get the membership though it has not changed.
+    fn update_new_stores(&mut self) {
         for number in 0..self.machines.len() {
             let machine = &self.machines[number];
+            let notified = &mut self.core.notified_incarnations;
             if !machine.is_reachable() {
-                self.core.told.remove(&machine.name);
+                notified.remove(&machine.name);
                 continue;
             }
-            let (name, life) = (machine.name.clone(), machine.life);
-            if self.core.told.insert(name, life) != Some(life) {
-                self.tell(number, 50);
+            let incarnation = machine.incarnation;
+            if notified.insert(machine.name.clone(), incarnation) != Some(incarnation) {
+                self.send_membership(number, MAX_FIRST_MEMBERSHIP_DELAY_MS);
             }
         }
     }
 
-    fn tell(&mut self, number: usize, most_lag_ms: u64) {
-        let lag_ms = self.rng.u64(0..most_lag_ms);
-        let event = Event::ListToMachine {
+    fn send_membership(&mut self, number: usize, max_lag_ms: u64) {
+        let lag_ms = self.rng.u64(0..max_lag_ms);
+        let update = Event::MembershipToMachine {
             machine: number,
-            life: self.machines[number].life,
+            incarnation: self.machines[number].incarnation,
             version: self.core.version,
-            list: self.core.list(),
+            stores: self.core.stores(),
         };
-        self.after(lag_ms, event);
+        self.after(lag_ms, update);
     }
 
-    pub(super) fn list_to_gateway(&mut self, gateway: usize, version: u64, list: Vec<Store>) {
+    pub(super) fn membership_to_gateway(
+        &mut self,
+        gateway: usize,
+        version: u64,
+        stores: Vec<StoreEntry>,
+    ) {
         let gateway = &mut self.gateways[gateway];
         if version > gateway.version {
             gateway.version = version;
-            gateway.list = list;
+            gateway.stores = stores;
         }
     }
 
-    /// Whether the core lists the store as one that may be used or emptied.
-    pub(super) fn lists(&self, name: &str) -> bool {
+    /// Whether the membership has the store, in use or draining.
+    pub(super) fn is_listed(&self, name: &str) -> bool {
         self.core.entry(name).is_some()
     }
 }
-
-fn store(entry: StoreEntry) -> Store {
-    Store {
-        name: entry.name,
-        zone: entry.zone,
-        address: entry.address,
-        incarnation: entry.incarnation,
-        disk: entry.disk,
-        whole: entry.whole,
-        present: entry.present,
-        retiring: entry.retiring,
-        retired: entry.retired,
-        round: entry.round,
-    }
-}
--- a/crates/serving/turn-replication/tests/world/digest.rs
+++ b/crates/serving/turn-replication/tests/world/digest.rs
@@ -1,17 +1,18 @@
-//! A digest of a played world: what is sent, when, and what it comes to. It is taken over encoded messages and
-//! numbers, so that it does not change with the names in the code.
+//! A digest of a played world: what is sent, when, and the outcomes. It is taken over encoded messages and numbers,
+//! so that it does not change with the names in the code.
 
 use std::fmt;
 
+use dunespur_turn_replication::ids::{JobId, PeerRequestId};
 use dunespur_turn_replication::node::{Declaration, DiskWork};
-use dunespur_turn_replication::read::Outcome;
-use dunespur_turn_replication::write::Verdict;
+use dunespur_turn_replication::read_coordinator::ReadOutcome;
+use dunespur_turn_replication::write_coordinator::WriteOutcome;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
-use super::{Asker, Event, FaultKind, Seen};
+use super::{Event, FaultKind, Requester, Statistics};
 
-/// Takes in what happens.
+/// A hash of everything that has happened.
 #[derive(Default)]
 pub struct Digest {
     hash: Xxh3,
@@ -49,62 +50,84 @@
     pub fn event(&mut self, now_ms: u64, event: &Event) {
         self.number(now_ms);
         match event {
-            Event::Request { to, request, asker } => {
+            Event::Request {
+                to,
+                request,
+                requester,
+            } => {
                 self.numbers(&[0, *to as u64]);
                 self.encoded(request);
-                self.asker(asker);
+                self.requester(requester);
             }
-            Event::Answer { asker, reply } => {
+            Event::Reply { requester, reply } => {
                 self.number(1);
-                self.asker(asker);
+                self.requester(requester);
                 self.encoded(reply);
             }
-            Event::DiskDone {
-                machine, life, job, ..
-            } => self.numbers(&[2, *machine as u64, *life, *job]),
-            Event::Tick { machine, life } => self.numbers(&[3, *machine as u64, *life]),
-            Event::Heartbeats => self.number(4),
-            Event::ListToMachine {
+            Event::MembershipToMachine {
                 machine,
-                life,
+                incarnation,
                 version,
-                list,
+                stores,
             } => {
-                self.numbers(&[5, *machine as u64, *life, *version]);
-                self.encoded(list);
+                self.numbers(&[5, *machine as u64, *incarnation, *version]);
+                self.encoded(stores);
             }
-            Event::ListToGateway {
+            Event::MembershipToGateway {
                 gateway,
                 version,
-                list,
+                stores,
             } => {
                 self.numbers(&[6, *gateway as u64, *version]);
-                self.encoded(list);
+                self.encoded(stores);
+            }
+            Event::DrainedReceived { machine, operation } => {
+                self.numbers(&[17, *machine as u64]);
+                self.encoded(operation);
             }
+            other => self.event_without_message(other),
+        }
+    }
+
+    fn event_without_message(&mut self, event: &Event) {
+        match event {
+            Event::DiskDone {
+                machine,
+                incarnation,
+                job: JobId(job),
+            } => self.numbers(&[2, *machine as u64, *incarnation, *job]),
+            Event::Tick {
+                machine,
+                incarnation,
+            } => self.numbers(&[3, *machine as u64, *incarnation]),
+            Event::Heartbeats => self.number(4),
             Event::OperationDue { operation } => self.numbers(&[7, *operation]),
             Event::ProgramStep { program } => self.numbers(&[8, *program as u64]),
-            Event::Probe => self.number(9),
+            Event::ProbeRead => self.number(9),
             Event::NextFault { slot } => self.numbers(&[10, *slot as u64]),
             Event::Start { machine } => self.numbers(&[11, *machine as u64]),
-            Event::Thaw { machine } => self.numbers(&[12, *machine as u64]),
+            Event::Resume { machine } => self.numbers(&[12, *machine as u64]),
             Event::Join { machine } => self.numbers(&[13, *machine as u64]),
-            Event::CaughtUp { slot } => self.numbers(&[14, *slot as u64]),
+            Event::CatchUpEnd { slot } => self.numbers(&[14, *slot as u64]),
             Event::FinalFault => self.number(15),
-            Event::CheckCopies => self.number(16),
-            Event::EmptiedHeard { machine, operation } => {
-                self.numbers(&[17, *machine as u64]);
-                self.encoded(operation);
-            }
-            Event::LookForSpares => self.number(18),
+            Event::CheckReplicas => self.number(16),
+            Event::CountSpares => self.number(18),
+            Event::Request { .. }
+            | Event::Reply { .. }
+            | Event::MembershipToMachine { .. }
+            | Event::MembershipToGateway { .. }
+            | Event::DrainedReceived { .. } => unreachable!("it carries a message"),
         }
     }
 
-    fn asker(&mut self, asker: &Asker) {
-        match asker {
-            Asker::Machine { machine, life, ask } => {
-                self.numbers(&[0, *machine as u64, *life, *ask])
-            }
-            Asker::Gateway {
+    fn requester(&mut self, requester: &Requester) {
+        match requester {
+            Requester::Machine {
+                machine,
+                incarnation,
+                request: PeerRequestId(request),
+            } => self.numbers(&[0, *machine as u64, *incarnation, *request]),
+            Requester::Gateway {
                 operation,
                 store,
                 id,
@@ -131,69 +154,69 @@
                 self.number(2);
                 self.encoded(ids);
             }
-            DiskWork::MarkWhole => self.number(3),
+            DiskWork::MarkComplete => self.number(3),
         }
     }
 
     /// A store declares something to the core.
     pub fn declaration(&mut self, declaration: Declaration) {
         match declaration {
-            Declaration::Whole => self.number(0),
-            Declaration::Emptied { round } => self.numbers(&[1, round]),
+            Declaration::Complete => self.number(0),
+            Declaration::Drained { epoch } => self.numbers(&[1, epoch]),
         }
     }
 
-    /// A gateway has looked a chain up.
-    pub fn read(&mut self, outcome: &Outcome) {
+    /// A gateway has read a chain.
+    pub fn read(&mut self, outcome: &ReadOutcome) {
         match outcome {
-            Outcome::Chain(turns) => {
+            ReadOutcome::Chain(turns) => {
                 self.number(0);
                 self.encoded(turns);
             }
-            Outcome::Unknown => self.number(1),
-            Outcome::Unsure => self.number(2),
-            Outcome::TooLong => self.number(3),
+            ReadOutcome::Unknown => self.number(1),
+            ReadOutcome::Uncertain => self.number(2),
+            ReadOutcome::TooLong => self.number(3),
         }
     }
 
     /// A gateway has written a turn.
-    pub fn written(&mut self, verdict: Verdict) {
-        self.number(match verdict {
-            Verdict::Kept => 0,
-            Verdict::Unsure => 1,
+    pub fn written(&mut self, outcome: WriteOutcome) {
+        self.number(match outcome {
+            WriteOutcome::Stored => 0,
+            WriteOutcome::Uncertain => 1,
         });
     }
 
     /// The counts at the end.
-    pub fn counts(&mut self, seen: &Seen) {
-        self.numbers(&[
-            seen.kept,
-            seen.unsure_writes,
-            seen.needless_unsure_writes,
-            seen.chains,
-        ]);
+    pub fn statistics(&mut self, counts: &Statistics) {
         self.numbers(&[
-            seen.unsure_reads,
-            seen.unknown,
-            seen.faults,
-            seen.retired,
-            seen.too_few,
+            counts.stored_turns,
+            counts.uncertain_writes,
+            counts.avoidable_uncertain_writes,
+            counts.chains,
+            counts.uncertain_reads,
+            counts.unknown_reads,
+            counts.faults,
+            counts.retired_stores,
+            counts.rejected_retirements,
+            counts.slowest_completion_ms,
+            counts.slowest_drain_ms,
+            counts.largest_message_bytes,
+            counts.max_stored_turns as u64,
         ]);
-        self.numbers(&[seen.slowest_whole_ms, seen.slowest_retire_ms]);
-        self.numbers(&[seen.largest_message, seen.most_held as u64]);
-        for window in &seen.windows {
-            self.numbers(&[fault(window.after), window.lasted_ms]);
+        for window in &counts.exposure_windows {
+            self.numbers(&[fault_number(window.after), window.lasted_ms]);
         }
     }
 }
 
-fn fault(kind: FaultKind) -> u64 {
+fn fault_number(kind: FaultKind) -> u64 {
     match kind {
         FaultKind::Kill => 0,
         FaultKind::Wipe => 1,
         FaultKind::Freeze => 2,
-        FaultKind::CutOff => 3,
-        FaultKind::CutFromStores => 4,
+        FaultKind::Partition => 3,
+        FaultKind::PeerPartition => 4,
         FaultKind::KillAll => 5,
         FaultKind::Replace => 6,
         FaultKind::Add => 7,
--- a/crates/serving/turn-replication/tests/world/faults.rs
+++ b/crates/serving/turn-replication/tests/world/faults.rs
@@ -1,14 +1,15 @@
-//! Trouble, never more at one time than is tolerated, each followed by the time to catch up.
+//! Faults, never more at one time than are tolerated, each followed by the time to catch up; and the checks that
+//! belong to them.
 
 use dunespur_control_state::RetireOutcome;
 
-use super::machine::Trouble;
+use super::machine::MachineState;
 use super::{Event, World, CATCH_UP_MS};
 
-/// The longest that a machine is frozen or cut off.
-pub const LONGEST_TROUBLE_MS: u64 = 5_000;
+/// The longest that a machine is frozen or partitioned.
+pub const MAX_IMPAIRMENT_MS: u64 = 5_000;
 
-/// A kind of trouble.
+/// A kind of fault, or an order of the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     /// The process ends and is started again; the disk stays.
@@ -16,63 +17,67 @@
     /// The process ends and the disk is lost.
     Wipe,
     Freeze,
-    CutOff,
-    CutFromStores,
+    /// The machine reaches nothing and is not reached.
+    Partition,
+    /// The machine is partitioned from the core and the other stores.
+    PeerPartition,
     /// All processes end at once; the disks stay.
     KillAll,
-    /// A machine is gone for good and an empty one of another name comes.
+    /// A machine is removed and an empty one of another name joins.
     Replace,
     Add,
     Retire,
 }
 
-/// One of the machines that may be in trouble.
+/// One of the faults that may be there at the same time.
 #[derive(Debug, Default)]
 pub struct Slot {
     machine: Option<usize>,
     /// What the machine's disk held is lost.
-    disk_lost: bool,
+    is_disk_lost: bool,
 }
 
 impl World {
     pub(super) fn next_fault(&mut self, slot: usize) {
         if self.now_ms > self.plan.faults_until_ms {
-            return self.grow_calm();
+            return self.begin_calm();
         }
         let kind = self.plan.faults[self.rng.usize(0..self.plan.faults.len())];
         let Some(machine) = self.pick_machine() else {
             return self.after(500, Event::NextFault { slot });
         };
-        self.seen.faults += 1;
+        self.statistics.faults += 1;
         if kind == FaultKind::Retire {
-            // No loss: the next trouble may come while the store is being emptied.
+            // No loss: the next fault may come while the store drains.
             self.retire(machine);
             let delay_ms = self.rng.u64(0..1_500);
             return self.after(delay_ms, Event::NextFault { slot });
         }
         self.slots[slot].machine = Some(machine);
-        self.slots[slot].disk_lost = matches!(kind, FaultKind::Wipe | FaultKind::Replace);
+        self.slots[slot].is_disk_lost = matches!(kind, FaultKind::Wipe | FaultKind::Replace);
         let back_after_ms = match kind {
             FaultKind::Kill => self.kill(machine),
             FaultKind::Wipe => self.wipe(machine),
-            FaultKind::Freeze => self.hold_up(machine, Trouble::Frozen),
-            FaultKind::CutOff => self.hold_up(machine, Trouble::CutOff),
-            FaultKind::CutFromStores => self.hold_up(machine, Trouble::CutFromStores),
+            FaultKind::Freeze => self.impair(machine, MachineState::Frozen),
+            FaultKind::Partition => self.impair(machine, MachineState::Partitioned),
+            FaultKind::PeerPartition => self.impair(machine, MachineState::PartitionedFromPeers),
             FaultKind::KillAll => self.kill_all(),
             FaultKind::Replace => self.replace(machine),
             FaultKind::Add => self.add(),
             FaultKind::Retire => 0,
         };
-        self.after(back_after_ms + CATCH_UP_MS, Event::CaughtUp { slot });
+        self.after(back_after_ms + CATCH_UP_MS, Event::CatchUpEnd { slot });
     }
 
-    /// A machine that is in no trouble.
+    /// A running machine without a fault.
     fn pick_machine(&mut self) -> Option<usize> {
-        let in_trouble =
-            |number: &usize| self.slots.iter().any(|slot| slot.machine == Some(*number));
+        let is_faulty = |number: &usize| {
+            let mut slots = self.slots.iter();
+            slots.any(|slot| slot.machine == Some(*number))
+        };
         let fit: Vec<usize> = (0..self.machines.len())
             .filter(|number| self.machines[*number].is_reachable())
-            .filter(|number| !in_trouble(number))
+            .filter(|number| !is_faulty(number))
             .collect();
         self.rng.choice(fit)
     }
@@ -87,35 +92,41 @@
     fn wipe(&mut self, machine: usize) -> u64 {
         self.end_process(machine);
         self.lose_disk(machine);
-        self.open_window(FaultKind::Wipe);
+        self.open_exposure(FaultKind::Wipe);
         let back_after_ms = self.rng.u64(100..2_500);
         self.after(back_after_ms, Event::Start { machine });
         back_after_ms
     }
 
-    fn hold_up(&mut self, machine: usize, trouble: Trouble) -> u64 {
-        self.machines[machine].trouble = trouble;
-        let back_after_ms = self.rng.u64(50..LONGEST_TROUBLE_MS);
-        self.after(back_after_ms, Event::Thaw { machine });
+    fn impair(&mut self, machine: usize, state: MachineState) -> u64 {
+        self.machines[machine].state = state;
+        let back_after_ms = self.rng.u64(50..MAX_IMPAIRMENT_MS);
+        self.after(back_after_ms, Event::Resume { machine });
         back_after_ms
     }
 
     fn kill_all(&mut self) -> u64 {
+        let max_down_ms = 1_500;
+        self.restart_all(max_down_ms);
+        max_down_ms
+    }
+
+    /// Ends all processes; they start again within this time.
+    fn restart_all(&mut self, max_down_ms: u64) {
         for machine in 0..self.machines.len() {
             if self.machines[machine].is_reachable() {
                 self.end_process(machine);
-                let back_after_ms = self.rng.u64(100..1_500);
+                let back_after_ms = self.rng.u64(100..max_down_ms);
                 self.after(back_after_ms, Event::Start { machine });
             }
         }
-        1_500
     }
 
     fn replace(&mut self, machine: usize) -> u64 {
         self.end_process(machine);
         self.lose_disk(machine);
-        self.machines[machine].trouble = Trouble::Gone;
-        self.open_window(FaultKind::Replace);
+        self.machines[machine].state = MachineState::Removed;
+        self.open_exposure(FaultKind::Replace);
         self.add()
     }
 
@@ -126,53 +137,53 @@
         back_after_ms
     }
 
-    pub(super) fn join(&mut self, machine: usize) {
-        self.start(machine);
-    }
-
-    /// The operator orders a store to be emptied; the order may come again while it is.
+    /// The operator orders that a store be drained; the order may come again while it drains.
     fn retire(&mut self, machine: usize) {
         let name = self.machines[machine].name.clone();
-        let known = self.lists(&name);
+        let is_known = self.is_listed(&name);
         let now_ms = self.now_ms;
-        let taken_before = self.machines[machine].retire_told_at_ms.is_some();
-        match self.order_to_retire(&name) {
+        let ordered_at_ms = self.machines[machine].retirement_ordered_at_ms;
+        match self.order_retirement(&name) {
             RetireOutcome::Taken => {
-                self.machines[machine]
-                    .retire_told_at_ms
-                    .get_or_insert(now_ms);
+                let machine = &mut self.machines[machine];
+                machine.retirement_ordered_at_ms.get_or_insert(now_ms);
+            }
+            _ if ordered_at_ms.is_some() => {
+                self.fail("an accepted order is rejected when it comes again");
             }
-            _ if taken_before => {
-                self.fail("an order that was taken is refused when it comes again")
+            RetireOutcome::TooFew => self.statistics.rejected_retirements += 1,
+            RetireOutcome::UnknownNode if is_known => {
+                self.fail("a known store is said to be unknown");
             }
-            RetireOutcome::TooFew => self.seen.too_few += 1,
-            RetireOutcome::UnknownNode if known => self.fail("a known store is said to be unknown"),
             RetireOutcome::UnknownNode => {}
         }
     }
 
-    /// The core has agreed that a store is empty: its machine is taken away at once, with its disk.
-    pub(super) fn emptied(&mut self, machine: usize) {
-        let Some(told_at_ms) = self.machines[machine].retire_told_at_ms else {
-            self.fail("a store is emptied that nobody asked to be");
+    /// The core has agreed that a store is drained: its machine is removed at once, with its disk.
+    pub(super) fn remove_drained(&mut self, machine: usize) {
+        let Some(ordered_at_ms) = self.machines[machine].retirement_ordered_at_ms else {
+            self.fail("a store is drained though nobody has ordered it");
         };
-        if self.machines[machine].retired {
+        if self.machines[machine].is_retired {
             return;
         }
-        self.seen.retired += 1;
-        self.seen.slowest_retire_ms = self.seen.slowest_retire_ms.max(self.now_ms - told_at_ms);
-        self.machines[machine].retired = true;
+        let statistics = &mut self.statistics;
+        statistics.retired_stores += 1;
+        let took_ms = self.now_ms - ordered_at_ms;
+        statistics.slowest_drain_ms = statistics.slowest_drain_ms.max(took_ms);
+        self.machines[machine].is_retired = true;
         if self.machines[machine].node.is_some() {
             self.end_process(machine);
         }
-        self.machines[machine].trouble = Trouble::Gone;
+        self.machines[machine].state = MachineState::Removed;
         self.lose_disk(machine);
-        self.open_window(FaultKind::Retire);
-        self.check_copies_but(self.slots.iter().filter(|slot| slot.disk_lost).count());
+        self.open_exposure(FaultKind::Retire);
+        let lost_disks = self.slots.iter().filter(|slot| slot.is_disk_lost).count();
+        self.check_replicas_without(lost_disks);
     }
 
-    pub(super) fn caught_up(&mut self, slot: usize) {
-        self.check_copies();
+    pub(super) fn end_catch_up(&mut self, slot: usize) {
+        self.check_replicas();
         self.slots[slot] = Slot::default();
         let delay_ms = self.rng.u64(0..1_500);
         self.after(delay_ms, Event::NextFault { slot });
@@ -180,77 +191,64 @@
 
     /// Everything loses power, and some disks are lost.
     pub(super) fn final_fault(&mut self) {
-        let wiped: Vec<usize> = (0..self.plan.tolerated)
-            .filter_map(|_| self.pick_machine())
-            .collect();
-        for machine in 0..self.machines.len() {
-            if self.machines[machine].is_reachable() {
-                self.end_process(machine);
-                let back_after_ms = self.rng.u64(100..2_000);
-                self.after(back_after_ms, Event::Start { machine });
-            }
-        }
+        let max_down_ms = 2_000;
+        let slots = 0..self.plan.tolerated;
+        let wiped: Vec<usize> = slots.filter_map(|_| self.pick_machine()).collect();
+        self.restart_all(max_down_ms);
         for machine in wiped {
             self.lose_disk(machine);
         }
-        self.calm_since_ms = Some(self.now_ms + 2_000);
-        self.after(2_000 + CATCH_UP_MS, Event::CheckCopies);
+        self.calm_since_ms = Some(self.now_ms + max_down_ms);
+        self.after(max_down_ms + CATCH_UP_MS, Event::CheckReplicas);
     }
 
-    fn grow_calm(&mut self) {
-        let in_trouble = self.slots.iter().any(|slot| slot.machine.is_some());
-        if !in_trouble && !self.plan.final_fault && self.calm_since_ms.is_none() {
+    fn begin_calm(&mut self) {
+        let is_any_faulty = self.slots.iter().any(|slot| slot.machine.is_some());
+        if !is_any_faulty && !self.plan.final_fault && self.calm_since_ms.is_none() {
             self.calm_since_ms = Some(self.now_ms);
         }
     }
 
-    /// Every owed turn lies with its chain on as many disks as it must, those in trouble of another slot and
-    /// those that are being emptied counted as lost or kept as they are.
-    pub(super) fn check_copies(&mut self) {
-        self.check_copies_but(
-            self.slots
-                .iter()
-                .filter(|slot| slot.machine.is_some())
-                .count()
-                .saturating_sub(1),
-        );
+    /// Every guaranteed turn is, with its chain, on as many disks as it must be; the faulty machines of other slots
+    /// count as lost, draining stores count as long as they are there.
+    pub(super) fn check_replicas(&mut self) {
+        let slots = self.slots.iter();
+        let faulty = slots.filter(|slot| slot.machine.is_some()).count();
+        self.check_replicas_without(faulty.saturating_sub(1));
     }
 
-    fn check_copies_but(&mut self, lost: usize) {
-        let wanted = (self.plan.tolerated + 1).saturating_sub(lost);
-        for id in self.truth.owed(self.now_ms).clone() {
-            for turn in self.truth.chain(&id) {
-                let holders = self
-                    .machines
-                    .iter()
-                    .filter(|machine| machine.disk.turns.contains_key(&turn.id))
-                    .count();
-                if holders < wanted {
+    fn check_replicas_without(&mut self, lost: usize) {
+        let required = (self.plan.tolerated + 1).saturating_sub(lost);
+        for id in self.history.guaranteed(self.now_ms).clone() {
+            for turn in self.history.chain(&id) {
+                let disks = self.count_replicas(&turn.id);
+                if disks < required {
                     self.describe(&id);
+                    let turn = &turn.id;
                     self.fail(&format!(
-                        "{} of the chain of {id} lies on {holders} disks",
-                        turn.id
+                        "{turn} of the chain of {id} is stored on {disks} disks"
                     ));
                 }
             }
         }
     }
 
-    /// At the end everything is calm: everybody is whole, and what is owed was found in the last seconds.
+    /// At the end nothing is faulty any more: every store is complete or removed.
     pub(super) fn check_end(&mut self) {
-        self.check_copies();
+        self.check_replicas();
         for machine in &self.machines {
-            let running = machine.trouble == Trouble::None;
-            if running && !machine.node.as_ref().is_some_and(|node| node.is_whole()) {
-                self.fail(&format!("{} is not whole at the end", machine.name));
+            let is_complete = machine.node.as_ref().is_some_and(|node| node.is_complete());
+            if machine.state == MachineState::Running && !is_complete {
+                self.fail(&format!("{} is not complete at the end", machine.name));
             }
-            let gone = machine.trouble == Trouble::Gone;
-            if machine.retire_told_at_ms.is_some() && !machine.retired && !gone {
-                self.fail(&format!("{} is not emptied at the end", machine.name));
+            let is_ordered = machine.retirement_ordered_at_ms.is_some();
+            let is_removed = machine.state == MachineState::Removed;
+            if is_ordered && !machine.is_retired && !is_removed {
+                self.fail(&format!("{} is not drained at the end", machine.name));
             }
         }
         if self.calm_since_ms.is_none() {
-            self.fail("the trouble never ended");
+            self.fail("the faults never ended");
         }
     }
 }
--- a/crates/serving/turn-replication/tests/world/mod.rs
+++ b/crates/serving/turn-replication/tests/world/mod.rs
@@ -1,44 +1,50 @@
-//! A seeded world for the turns: stores with simulated disks, a core that notices them, gateways that keep and
+//! A seeded simulation: stores with simulated disks, a core that tracks them by heartbeats, gateways that write and
 //! read turns for programs, and faults within what the deployment tolerates. No clock, no sleep: one queue of
 //! events, the same for the same seed.
 
 mod core;
 mod digest;
+mod exposure;
 mod faults;
+mod history;
 mod machine;
+mod processes;
 mod programs;
-mod windows;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 use dunespur_control_state::{ControlState, Operation as CoreOperation};
-use dunespur_turn_replication::guards::Guards;
+use dunespur_turn_replication::ids::{JobId, PeerRequestId};
+use dunespur_turn_replication::membership::StoreEntry;
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
-use dunespur_turn_replication::node::{AskId, DiskOutcome, JobId};
-use dunespur_turn_replication::roster::Store;
+use dunespur_turn_replication::safeguards::Safeguards;
 use fastrand::Rng;
 
+pub use dunespur_control_state::Guards as CoreSafeguards;
+
 use digest::Digest;
-pub use faults::{FaultKind, LONGEST_TROUBLE_MS};
+pub use exposure::ExposureWindow;
+pub use faults::{FaultKind, MAX_IMPAIRMENT_MS};
+use history::History;
 use machine::Machine;
-use programs::{Operation, Program, Truth};
-pub use windows::Window;
+use programs::{Operation, Program};
 
-/// As the pages give it for the first deployments.
+/// How long a machine has to catch up after a fault, as the operators' pages give it for the first deployments.
 pub const CATCH_UP_MS: u64 = 4_200;
 /// Retention on the world's only route, in true time.
 pub const RETENTION_MS: u64 = 20_000;
+/// How long a world goes on after the last fault may begin.
+const CALM_MS: u64 = 45_000;
+/// How fast a store on half a core takes bytes in, on links that are faster.
+const BYTES_PER_MS: u64 = 20_000;
 
-/// What a store of half a core takes in, of links that are faster.
-const BYTES_A_MS: u64 = 20_000;
-
-/// When a store that is not heard of is given up.
+/// When a store without heartbeats is given up.
 #[derive(Clone, Copy, Debug)]
 pub struct Absence {
-    /// A store that is not heard of for this long is absent.
+    /// After this long without a heartbeat a store is absent.
     pub lease_ms: u64,
-    /// One that is absent for this long is replaced by others.
+    /// After being absent for this long it is replaced by others.
     pub repair_ms: u64,
 }
 
@@ -51,64 +57,71 @@
     }
 }
 
-/// What is played.
+/// What is simulated.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Seed of all random draws.
     pub seed: u64,
+    /// Number of stores at the start.
     pub stores: usize,
+    /// Number of zones that they are spread over.
     pub zones: usize,
-    /// Machines that may be lost at one time.
+    /// Number of machines that may be lost at one time.
     pub tolerated: usize,
+    /// Number of programs that take turns at the same time.
     pub programs: usize,
-    /// The most bytes of a turn's input.
-    pub most_input_bytes: usize,
-    /// Trouble is begun until then.
+    /// Upper limit of the bytes of a turn's input.
+    pub max_input_bytes: usize,
+    /// Faults begin until then.
     pub faults_until_ms: u64,
-    /// The kinds of trouble, drawn from evenly.
+    /// The kinds of faults, drawn from evenly.
     pub faults: Vec<FaultKind>,
-    /// Everything loses power, and as many disks are lost as are tolerated, after the other trouble.
+    /// After the other faults everything loses power, and as many disks are lost as are tolerated.
     pub final_fault: bool,
+    /// When a store without heartbeats is given up.
     pub absence: Absence,
-    /// Those that stand at the stores.
-    pub guards: Guards,
-    /// Those that stand in the control state.
-    pub core_guards: dunespur_control_state::Guards,
+    /// Those that are in place at the stores.
+    pub safeguards: Safeguards,
+    /// Those that are in place in the control state.
+    pub core_safeguards: CoreSafeguards,
 }
 
-/// What was seen.
+/// What was observed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
-    pub kept: u64,
-    pub unsure_writes: u64,
-    /// Those of them that enough stores were there for.
-    pub needless_unsure_writes: u64,
+pub struct Statistics {
+    /// Turns that were acknowledged.
+    pub stored_turns: u64,
+    pub uncertain_writes: u64,
+    /// Those of them that enough stores were available for.
+    pub avoidable_uncertain_writes: u64,
+    /// Chains that were read.
     pub chains: u64,
-    pub unsure_reads: u64,
-    pub unknown: u64,
+    pub uncertain_reads: u64,
+    pub unknown_reads: u64,
     pub faults: u64,
-    pub retired: u64,
-    /// Orders to empty a store that were refused because too few would be left.
-    pub too_few: u64,
-    /// How long after each loss there was no spare copy.
-    pub windows: Vec<Window>,
-    /// The longest that a store with a new disk took to be whole, from its first list on.
-    pub slowest_whole_ms: u64,
-    /// The longest that a store took from being told to retire to saying that it is emptied.
-    pub slowest_retire_ms: u64,
-    pub largest_message: u64,
-    /// The most turns that one store held.
-    pub most_held: usize,
+    pub retired_stores: u64,
+    /// Orders to drain a store that were rejected because too few would be left.
+    pub rejected_retirements: u64,
+    /// How long after each loss there was no spare replica.
+    pub exposure_windows: Vec<ExposureWindow>,
+    /// Longest time from the first membership that a store with a new disk got until it was complete.
+    pub slowest_completion_ms: u64,
+    /// Longest time from the order to retire a store until it was drained.
+    pub slowest_drain_ms: u64,
+    pub largest_message_bytes: u64,
+    /// Maximum number of turns that one store held.
+    pub max_stored_turns: usize,
     /// Of all that happened, see [`Digest`].
     pub digest: u64,
 }
 
-/// Who waits for the answer of a store.
+/// Who waits for the reply of a store.
 #[derive(Clone, Debug)]
-enum Asker {
+enum Requester {
     Machine {
         machine: usize,
-        life: u64,
-        ask: AskId,
+        incarnation: u64,
+        request: PeerRequestId,
     },
     Gateway {
         operation: u64,
@@ -122,33 +135,33 @@
     Request {
         to: usize,
         request: StoreRequest,
-        asker: Asker,
+        requester: Requester,
     },
-    Answer {
-        asker: Asker,
+    /// A reply arrives, or it turns out that none will come.
+    Reply {
+        requester: Requester,
         reply: Option<StoreReply>,
     },
     DiskDone {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         job: JobId,
-        outcome: Option<DiskOutcome>,
     },
     Tick {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
     Heartbeats,
-    ListToMachine {
+    MembershipToMachine {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         version: u64,
-        list: Vec<Store>,
+        stores: Vec<StoreEntry>,
     },
-    ListToGateway {
+    MembershipToGateway {
         gateway: usize,
         version: u64,
-        list: Vec<Store>,
+        stores: Vec<StoreEntry>,
     },
     OperationDue {
         operation: u64,
@@ -156,44 +169,47 @@
     ProgramStep {
         program: usize,
     },
-    Probe,
+    ProbeRead,
     NextFault {
         slot: usize,
     },
     Start {
         machine: usize,
     },
-    Thaw {
+    Resume {
         machine: usize,
     },
     Join {
         machine: usize,
     },
-    CaughtUp {
+    CatchUpEnd {
         slot: usize,
     },
     FinalFault,
-    CheckCopies,
-    EmptiedHeard {
+    CheckReplicas,
+    /// A store's statement that it is drained arrives at the core.
+    DrainedReceived {
         machine: usize,
         operation: CoreOperation,
     },
-    LookForSpares,
+    CountSpares,
 }
 
+/// A gateway as far as its view of the membership goes.
 struct Gateway {
-    list: Vec<Store>,
+    stores: Vec<StoreEntry>,
     version: u64,
     wall_offset_ms: i64,
-    /// How far behind its list may be.
-    most_lag_ms: u64,
+    /// How far behind its membership may be.
+    max_lag_ms: u64,
 }
 
-/// The world.
+/// The simulated world.
 pub struct World {
     plan: Plan,
     rng: Rng,
     now_ms: u64,
+    /// Time and number of each event that is to come.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     last_event: u64,
@@ -203,29 +219,29 @@
     programs: Vec<Program>,
     operations: BTreeMap<u64, Operation>,
     last_operation: u64,
-    truth: Truth,
+    history: History,
     slots: Vec<faults::Slot>,
-    /// Losses after which some turn has no spare copy yet.
-    open_windows: Vec<windows::OpenWindow>,
-    /// One turn that has no spare copy.
-    without_spare: Option<String>,
-    /// No trouble from then on.
+    /// Losses after which some turn has no spare replica yet.
+    open_exposures: Vec<exposure::OpenExposure>,
+    /// One turn that has no spare replica.
+    turn_without_spare: Option<String>,
+    /// There are no faults from then on.
     calm_since_ms: Option<u64>,
-    seen: Seen,
+    statistics: Statistics,
     digest: Digest,
 }
 
 impl World {
-    /// Plays a plan to its end; panics with the seed if a rule is broken.
-    pub fn play(plan: Plan) -> Seen {
+    /// Plays a plan to its end; panics with the seed if an invariant is violated.
+    pub fn play(plan: Plan) -> Statistics {
         let mut world = World::new(plan);
-        world.play_until(world.plan.faults_until_ms + 45_000);
+        world.play_until(world.plan.faults_until_ms + CALM_MS);
         world.check_end();
         world.finish()
     }
 
-    /// Plays a plan up to some time, with all its trouble; nothing is checked at the end.
-    pub fn play_part(plan: Plan, end_ms: u64) -> Seen {
+    /// Plays a plan up to some time, with all its faults; nothing is checked at the end.
+    pub fn play_unchecked(plan: Plan, end_ms: u64) -> Statistics {
         let mut world = World::new(plan);
         world.play_until(end_ms);
         world.finish()
@@ -237,19 +253,17 @@
                 break;
             }
             self.now_ms = at_ms;
-            let event = self
-                .events
-                .remove(&number)
-                .expect("each queued event is there");
+            let event = self.events.remove(&number);
+            let event = event.expect("each queued event is there");
             self.digest.event(at_ms, &event);
             self.handle(event);
         }
     }
 
-    fn finish(mut self) -> Seen {
-        self.digest.counts(&self.seen);
-        self.seen.digest = self.digest.finish();
-        self.seen
+    fn finish(mut self) -> Statistics {
+        self.digest.statistics(&self.statistics);
+        self.statistics.digest = self.digest.finish();
+        self.statistics
     }
 
     fn new(plan: Plan) -> Self {
@@ -260,17 +274,17 @@
             events: BTreeMap::new(),
             last_event: 0,
             machines: Vec::new(),
-            core: core::Core::new(ControlState::with_guards(plan.core_guards)),
+            core: core::Core::new(ControlState::with_guards(plan.core_safeguards)),
             gateways: Vec::new(),
             programs: Vec::new(),
             operations: BTreeMap::new(),
             last_operation: 0,
-            truth: Truth::default(),
+            history: History::default(),
             slots: Vec::new(),
-            open_windows: Vec::new(),
-            without_spare: None,
+            open_exposures: Vec::new(),
+            turn_without_spare: None,
             calm_since_ms: None,
-            seen: Seen::default(),
+            statistics: Statistics::default(),
             digest: Digest::default(),
             plan,
         };
@@ -287,12 +301,12 @@
         for gateway in 0..3 {
             let wall_offset_ms = self.rng.i64(-2_000..2_000);
             // The last one lags far behind the core.
-            let most_lag_ms = if gateway == 2 { 3_000 } else { 200 };
+            let max_lag_ms = if gateway == 2 { 3_000 } else { 200 };
             self.gateways.push(Gateway {
-                list: Vec::new(),
+                stores: Vec::new(),
                 version: 0,
                 wall_offset_ms,
-                most_lag_ms,
+                max_lag_ms,
             });
         }
         self.at(50, Event::Heartbeats);
@@ -303,7 +317,7 @@
             self.at(at_ms, Event::NextFault { slot });
         }
         if self.plan.final_fault {
-            // After the last of the other troubles has been caught up.
+            // By then the stores have caught up after the last of the other faults.
             self.at(self.plan.faults_until_ms + 16_000, Event::FinalFault);
         }
     }
@@ -311,8 +325,8 @@
     fn at(&mut self, at_ms: u64, event: Event) {
         self.last_event += 1;
         self.events.insert(self.last_event, event);
-        self.queue
-            .push(Reverse((at_ms.max(self.now_ms), self.last_event)));
+        let at_ms = at_ms.max(self.now_ms);
+        self.queue.push(Reverse((at_ms, self.last_event)));
     }
 
     fn after(&mut self, delay_ms: u64, event: Event) {
@@ -321,58 +335,63 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Request { to, request, asker } => self.request_arrives(to, request, asker),
-            Event::Answer { asker, reply } => self.answer_arrives(asker, reply),
+            Event::Request {
+                to,
+                request,
+                requester,
+            } => self.request_arrived(to, request, requester),
+            Event::Reply { requester, reply } => self.reply_arrived(requester, reply),
             Event::DiskDone {
                 machine,
-                life,
+                incarnation,
                 job,
-                outcome,
-            } => self.disk_done(machine, life, job, outcome),
-            Event::Tick { machine, life } => self.tick(machine, life),
-            Event::Heartbeats => self.heartbeats(),
-            Event::ListToMachine {
+            } => self.disk_done(machine, incarnation, job),
+            Event::Tick {
+                machine,
+                incarnation,
+            } => self.tick(machine, incarnation),
+            Event::Heartbeats => self.exchange_heartbeats(),
+            Event::MembershipToMachine {
                 machine,
-                life,
+                incarnation,
                 version,
-                list,
-            } => {
-                self.list_to_machine(machine, life, version, list);
-            }
-            Event::ListToGateway {
+                stores,
+            } => self.membership_to_machine(machine, incarnation, version, stores),
+            Event::MembershipToGateway {
                 gateway,
                 version,
-                list,
-            } => self.list_to_gateway(gateway, version, list),
+                stores,
+            } => self.membership_to_gateway(gateway, version, stores),
             Event::OperationDue { operation } => self.operation_due(operation),
             Event::ProgramStep { program } => self.program_step(program),
-            Event::Probe => self.probe(),
+            Event::ProbeRead => self.probe_read(),
             Event::NextFault { slot } => self.next_fault(slot),
-            Event::Start { machine } => self.start(machine),
-            Event::Thaw { machine } => self.thaw(machine),
-            Event::Join { machine } => self.join(machine),
-            Event::CaughtUp { slot } => self.caught_up(slot),
+            Event::Start { machine } | Event::Join { machine } => self.start(machine),
+            Event::Resume { machine } => self.resume(machine),
+            Event::CatchUpEnd { slot } => self.end_catch_up(slot),
             Event::FinalFault => self.final_fault(),
-            Event::CheckCopies => self.check_copies(),
-            Event::EmptiedHeard { machine, operation } => self.emptied_heard(machine, &operation),
-            Event::LookForSpares => self.look_for_spares(),
+            Event::CheckReplicas => self.check_replicas(),
+            Event::DrainedReceived { machine, operation } => {
+                self.drained_received(machine, &operation);
+            }
+            Event::CountSpares => self.count_spares(),
         }
     }
 
-    /// How long a short message is on its way between machines.
+    /// How long a short message takes between machines.
     fn latency_ms(&mut self) -> u64 {
         1 + self.rng.u64(0..3)
     }
 
-    /// How long a message of so many bytes of bodies is on its way, and worked on at both ends.
+    /// How long a message with so many bytes of turns takes, processing at both ends included.
     fn transfer_ms(&mut self, bytes: u64) -> u64 {
-        self.latency_ms() + bytes / BYTES_A_MS
+        self.latency_ms() + bytes / BYTES_PER_MS
     }
 
     fn fail(&self, what: &str) -> ! {
         panic!(
             "seed {}, {} ms: {what}\n{:?}",
-            self.plan.seed, self.now_ms, self.seen
+            self.plan.seed, self.now_ms, self.statistics
         );
     }
 }
