--- a/crates/serving/control-state/tests/encoding.rs
+++ b/crates/serving/control-state/tests/encoding.rs
@@ -372,7 +372,7 @@
     for operation in operations {
         state.apply(&operation, &mut Vec::new());
     }
-    let round = state.stores().map(|store| store.round).max().unwrap_or(0);
+    let round = state.stores().map(|store| store.epoch).max().unwrap_or(0);
     let done = Operation::RetireDone {
         node: "t".to_owned(),
         incarnation: 41,
--- a/crates/serving/control-state/tests/nodes.rs
+++ b/crates/serving/control-state/tests/nodes.rs
@@ -35,7 +35,7 @@
         .state
         .stores()
         .find(|store| store.name == name)
-        .map_or(0, |store| store.round);
+        .map_or(0, |store| store.epoch);
     emptied_in(trial, name, incarnation, round)
 }
 
@@ -341,7 +341,7 @@
     assert!(!entry(&trial, "a").retiring && !entry(&trial, "b").retiring);
     trial.node(store("c", 10));
     assert!(entry(&trial, "a").retiring && entry(&trial, "b").retiring);
-    let round_of_b = entry(&trial, "b").round;
+    let round_of_b = entry(&trial, "b").epoch;
     assert_eq!(
         emptied(&mut trial, "a", 10).len(),
         2,
@@ -376,10 +376,10 @@
     for (number, event) in events.into_iter().enumerate() {
         let mut trial = with_stores(&["a", "b", "c", "d"]);
         retire(&mut trial, "a", 1);
-        let round = entry(&trial, "a").round;
+        let round = entry(&trial, "a").epoch;
         event(&mut trial);
         assert!(
-            entry(&trial, "a").round > round,
+            entry(&trial, "a").epoch > round,
             "{number}: it is told of another round"
         );
         assert_eq!(emptied_in(&mut trial, "a", 10, round), [], "{number}");
@@ -402,7 +402,7 @@
     let before = trial.told.len();
     let standing = entry(&trial, "a");
     assert_eq!(retire(&mut trial, "a", 1), RetireOutcome::Taken);
-    let round = entry(&trial, "a").round;
+    let round = entry(&trial, "a").epoch;
     let retiring = StoreEntry {
         retiring: true,
         epoch: round,
--- a/crates/serving/control-state/tests/replicas.rs
+++ b/crates/serving/control-state/tests/replicas.rs
@@ -62,7 +62,7 @@
         let incarnation = known
             .as_ref()
             .map_or_else(|| self.recent(), |store| store.incarnation);
-        let round = known.map_or(0, |store| store.round);
+        let round = known.map_or(0, |store| store.epoch);
         Operation::RetireDone {
             node,
             incarnation,
--- a/crates/serving/control-state/tests/world/keeper.rs
+++ b/crates/serving/control-state/tests/world/keeper.rs
@@ -61,7 +61,7 @@
         let held = held
             .filter_map(|process| process.state.stores().find(|store| store.name == node))
             .max_by_key(|store| store.incarnation);
-        let (incarnation, round) = held.map_or((0, 0), |store| (store.incarnation, store.round));
+        let (incarnation, round) = held.map_or((0, 0), |store| (store.incarnation, store.epoch));
         let operation = match self.rng.u32(0..4) {
             0..=1 => Operation::Node(NodeReport {
                 name: node,
--- a/crates/serving/dunespur/src/store_client.rs
+++ b/crates/serving/dunespur/src/store_client.rs
@@ -66,7 +66,7 @@
         let (answers, mut queue) = mpsc::unbounded_channel();
         loop {
             while let Some(ask) = read.poll() {
-                request_events::chain_asked(previous, &ask.id, &ask.store);
+                request_events::chain_request(previous, &ask.id, &ask.store);
                 let request = StoreRequest::Chain { id: ask.id.clone() };
                 self.ask(&stores, ask.store, ask.id, request, &answers);
             }
@@ -85,7 +85,7 @@
                 Some(answer) = queue.recv() => {
                     let now = clock.now();
                     if request_events::enabled() {
-                        request_events::chain_answered(previous, &answer.store, answer.reply.as_ref());
+                        request_events::chain_reply(previous, &answer.store, answer.reply.as_ref());
                     }
                     match answer.reply {
                         Some(reply) => read.replied(&answer.store, &answer.id, reply, now),
@@ -126,7 +126,7 @@
             if let Some(outcome) = write.outcome() {
                 let kept = outcome == WriteOutcome::Stored;
                 let took_ms = clock.now() - began_at;
-                request_events::kept(
+                request_events::persisted(
                     &turn.id,
                     turn.previous.as_deref(),
                     &turn.program,
@@ -140,7 +140,7 @@
                 Some(answer) = queue.recv() => {
                     let now = clock.now();
                     if request_events::enabled() {
-                        request_events::put_answered(&turn.id, &answer.store, answer.reply.as_ref());
+                        request_events::put_reply(&turn.id, &answer.store, answer.reply.as_ref());
                     }
                     match answer.reply {
                         Some(StoreReply::Stored) => write.acknowledged(&answer.store, now),
