--- a/crates/gateway/gateway/src/fleet.rs
+++ b/crates/gateway/gateway/src/fleet.rs
@@ -11,8 +11,8 @@
 use crate::reducer::{Effect, Event};
 use bytes::BytesMut;
 use dunespur_decisions::types::{Counted, Ending};
-use dunespur_gossip_membership::{self as members, Members};
-use dunespur_peer_transport::{Came, Kind, Links};
+use dunespur_gossip_membership::{self as members, DuplicateName, Membership};
+use dunespur_peer_transport::{FrameError, Kind, Received, Transport};
 use dunespur_quota_sharing::lend::{self, Answer, Ask, Broker};
 use dunespur_singleton_roles::audit::{self, Auditor, Tally};
 use dunespur_singleton_roles::fence::Fence;
@@ -22,7 +22,7 @@
 use dunespur_singleton_roles::voter::Voter;
 use dunespur_singleton_roles::watch::{self, Act, Relay};
 use dunespur_singleton_roles::{Me, Msg, Output, Slot};
-use dunespur_voter_storage::Store;
+use dunespur_voter_storage::{OpenedVoter, VoterStorage};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -192,8 +192,8 @@
 pub struct Fleet {
     plan: Plan,
     me: Me,
-    links: Rc<Links>,
-    members: Members,
+    links: Rc<Transport>,
+    members: Membership,
     holder: Holder,
     voter: Option<Voter>,
     fence: Fence,
@@ -243,18 +243,22 @@
     let Some(path) = plan.disk.as_ref().filter(|_| votes) else {
         return Ok(None);
     };
-    let (store, head) = Store::open(path, &plan.duties.fleet, name).map_err(Fault::Config)?;
+    let opened = VoterStorage::open(path, &plan.duties.fleet, name);
+    let OpenedVoter {
+        storage,
+        saved: head,
+    } = opened.map_err(|error| Fault::Config(error.to_string()))?;
     let voter = Voter::new(plan.duties.clone(), name.to_owned(), head, seed, now, out);
     let voter = voter.map_err(Fault::Config)?;
     let (tx, rx) = std::sync::mpsc::channel::<Batch>();
     let slow = plan.trial.slow_disk.clone();
-    std::thread::spawn(move || write_batches(store, rx, slow, saved));
+    std::thread::spawn(move || write_batches(storage, rx, slow, saved));
     Ok(Some((voter, tx)))
 }
 
 /// Writes what comes, in order, and says so; the first write that fails is the last.
 fn write_batches(
-    store: Store,
+    storage: VoterStorage,
     batches: std::sync::mpsc::Receiver<Batch>,
     slow: Option<PathBuf>,
     saved: mpsc::UnboundedSender<Disk>,
@@ -263,9 +267,9 @@
         let by = slow.as_ref().and_then(|p| std::fs::read_to_string(p).ok());
         let by = by.and_then(|t| t.trim().parse::<f64>().ok()).unwrap_or(0.0);
         std::thread::sleep(Duration::try_from_secs_f64(by).unwrap_or_default());
-        let said = match store.write(&batch) {
+        let said = match storage.write(&batch) {
             Ok(()) => Disk::Saved(batch.number),
-            Err(e) => Disk::Failed(e),
+            Err(e) => Disk::Failed(e.to_string()),
         };
         let failed = matches!(said, Disk::Failed(_));
         if saved.send(said).is_err() || failed {
@@ -277,9 +281,9 @@
 async fn open_links(
     plan: &Plan,
     name: &str,
-    inbox: mpsc::Sender<Came>,
-) -> Result<Rc<Links>, Fault> {
-    let links = Links::open(
+    inbox: mpsc::Sender<Received>,
+) -> Result<Rc<Transport>, Fault> {
+    let links = Transport::open(
         plan.duties.fleet.clone(),
         name.to_owned(),
         plan.listen,
@@ -327,7 +331,7 @@
         plan: Plan,
         name: String,
         seed: u64,
-        inbox: mpsc::Sender<Came>,
+        inbox: mpsc::Sender<Received>,
         tell: mpsc::UnboundedSender<Told>,
     ) -> Result<(Self, mpsc::UnboundedReceiver<Disk>), Fault> {
         let now = clock();
@@ -350,14 +354,14 @@
             .trial
             .version
             .unwrap_or(dunespur_peer_transport::VERSION);
-        links.version.set(version);
+        links.set_version(version);
         let member = members::Member {
-            turn: wall,
+            precedence: wall,
             address: plan.listen,
             version,
             voter: plan.voters.iter().any(|v| v.0 == name),
             name,
-            run,
+            instance: run,
             zone: plan.zone.clone(),
             machine: plan.machine.clone(),
         };
@@ -371,7 +375,7 @@
             .filter(|r| r.1 > 0);
         let lending = lends.map(|range| Lending::new(&plan.lend, range, tell.clone()));
         let mut fleet = Fleet {
-            members: Members::new(plan.members.clone(), member, seed, now),
+            members: Membership::new(plan.members.clone(), member, seed, now),
             holder: Holder::new(plan.duties.clone(), me.clone(), now),
             fence: Fence::new(plan.duties.slots()),
             probes: plan.duties.range("probe").filter(|r| r.1 > 0),
@@ -427,7 +431,7 @@
             return;
         }
         // Bounded by the fleet's size in the file, and by time.
-        let most = self.plan.members.size as usize * 2 + 16;
+        let most = self.plan.members.expected_members as usize * 2 + 16;
         if !self.places.contains_key(name) && self.places.len() >= most {
             self.places
                 .retain(|_, p| p.iter().any(|p| p.1 > now - FORGOTTEN));
@@ -461,7 +465,7 @@
                 Output::Send { to, msg } => {
                     let body = postcard::to_stdvec(&msg).unwrap_or_default();
                     for at in self.places(&to) {
-                        self.links.send(at, Kind::Duties, body.clone());
+                        self.links.send(at, Kind::SingletonRoles, body.clone());
                     }
                 }
                 Output::Save(batch) => {
@@ -542,47 +546,54 @@
         for o in out {
             match o {
                 members::Output::Datagram { to, bytes } => {
-                    self.links.datagram(to, Kind::Gossip, bytes)
+                    self.links.send_datagram(to, Kind::Gossip, bytes)
                 }
                 members::Output::Up(m) => ::log::info!("fleet: {} is up at {}", m.name, m.address),
                 members::Output::Down(m) => {
                     ::log::info!("fleet: {} at {} is gone", m.name, m.address)
                 }
-                members::Output::Doubled { name, runs } => {
+                members::Output::DuplicateName(duplicate) => {
+                    let DuplicateName {
+                        name,
+                        first_instance,
+                        second_instance,
+                    } = duplicate;
                     let text = format!("two living processes have the name {name}");
-                    ::log::error!("fleet: {text} (runs {:x} and {:x})", runs.0, runs.1);
+                    ::log::error!(
+                        "fleet: {text} (runs {first_instance:x} and {second_instance:x})"
+                    );
                     let who = self.me.name.clone();
                     self.note(
                         json!({"line": "report", "t": now, "who": who, "loud": true, "text": text}),
                     );
                 }
-                members::Output::StoodStill(s) => {
-                    ::log::warn!("fleet: this process stood still for {s:.1} s")
+                members::Output::Stalled { seconds } => {
+                    ::log::warn!("fleet: this process was stalled for {seconds:.1} s")
                 }
             }
         }
     }
 
-    fn came(&mut self, hub: &Rc<Hub>, came: Came, now: f64) {
-        let Came { kind, frame } = came;
-        self.heard(&frame.from, frame.at, now);
-        let spoilt = |links: &Links| links.refuse(dunespur_peer_transport::frame::Refused::Unknown);
+    fn came(&mut self, hub: &Rc<Hub>, came: Received, now: f64) {
+        let Received { kind, frame } = came;
+        self.heard(&frame.sender, frame.sender_address, now);
+        let spoilt = |links: &Transport| links.reject(FrameError::UnknownKind);
         match kind {
             Kind::Gossip => {
                 let mut out = Vec::new();
-                self.members.datagram(&frame.body, now, &mut out);
+                self.members.receive(&frame.body, now, &mut out);
                 self.take_members(out, now);
             }
-            Kind::Duties => match postcard::from_bytes(&frame.body) {
-                Ok(msg) => self.duty(frame.from, msg, now),
+            Kind::SingletonRoles => match postcard::from_bytes(&frame.body) {
+                Ok(msg) => self.duty(frame.sender, msg, now),
                 Err(_) => spoilt(&self.links),
             },
             Kind::Watch => match postcard::from_bytes(&frame.body) {
-                Ok(msg) => self.watch(hub, frame.from, msg, now),
+                Ok(msg) => self.watch(hub, frame.sender, msg, now),
                 Err(_) => spoilt(&self.links),
             },
             Kind::Work => match postcard::from_bytes::<Work>(&frame.body) {
-                Ok(work) => self.work(hub, &frame.from, work, now),
+                Ok(work) => self.work(hub, &frame.sender, work, now),
                 Err(_) => spoilt(&self.links),
             },
         }
@@ -819,9 +830,9 @@
             age: 0.0,
         });
         let body = postcard::to_stdvec(&work).unwrap_or_default();
-        let to: Vec<_> = self.members.living().map(|m| m.address).collect();
+        let to: Vec<_> = self.members.alive().map(|m| m.address).collect();
         to.into_iter()
-            .for_each(|at| self.links.datagram(at, Kind::Work, body.clone()));
+            .for_each(|at| self.links.send_datagram(at, Kind::Work, body.clone()));
     }
 
     /// What a probe saw goes to the module, as far as this limiter's own experience lets it.
@@ -978,7 +989,7 @@
                         |m: &&members::Member| m.zone == self.me.zone && m.name != self.me.name;
                     let to: Vec<_> = self
                         .members
-                        .living()
+                        .alive()
                         .filter(zone)
                         .map(|m| m.address)
                         .collect();
@@ -1116,9 +1127,11 @@
     fn effects(&mut self, now: f64) {
         self.next_effect = now + (0.5 + fastrand::f64()) / self.plan.trial.effects;
         let held: Vec<(Slot, u64)> = self.holder.held(now).collect();
-        let members: Vec<SocketAddrV4> = self.members.living().map(|m| m.address).collect();
-        if self.links.version.get() > dunespur_peer_transport::VERSION {
-            members.iter().for_each(|at| self.links.strange(*at));
+        let members: Vec<SocketAddrV4> = self.members.alive().map(|m| m.address).collect();
+        if self.links.version() > dunespur_peer_transport::VERSION {
+            members
+                .iter()
+                .for_each(|at| self.links.send_unknown_kind(*at));
         }
         for (slot, token) in held {
             self.holder.progress(slot, now);
@@ -1130,13 +1143,13 @@
             }
             if !self.plan.trial.receivers.is_empty() {
                 let at = self.plan.trial.receivers[self.turn % self.plan.trial.receivers.len()];
-                self.links.datagram(at, Kind::Work, body);
+                self.links.send_datagram(at, Kind::Work, body);
             }
         }
     }
 
     fn report(&self) {
-        let c = self.links.counts.borrow();
+        let c = self.links.statistics();
         let lent = self.lending.as_ref().map_or((0, 0, 0), |l| l.counts());
         let (leads, votes) = self
             .voter
@@ -1149,7 +1162,7 @@
             self.holder.held(clock()).count(),
             self.began,
             self.ended,
-            self.holder.doubled || self.members.doubled(&self.me.name),
+            self.holder.doubled || self.members.is_duplicate(&self.me.name),
             self.relayed,
             self.outcomes,
             self.prober.probes,
@@ -1165,9 +1178,9 @@
             self.links.connections(),
             c.sent,
             c.sent_bytes,
-            c.came,
-            c.checksum + c.malformed + c.too_large + c.other_fleet + c.unknown + self.members.refused,
-            c.queue_full + c.peers_full + c.inbox_full,
+            c.received,
+            c.rejected() + self.members.rejected_datagrams(),
+            c.dropped(),
         );
     }
 }
--- a/crates/gateway/gateway/src/operators.rs
+++ b/crates/gateway/gateway/src/operators.rs
@@ -3,7 +3,7 @@
 
 use crate::fault::Fault;
 use dunespur_gossip_membership::Settings as Members;
-use dunespur_peer_transport::Bounds;
+use dunespur_peer_transport::Limits;
 use dunespur_quota_sharing::lend;
 use dunespur_singleton_roles::{audit, probe, watch, Duty, Settings as Duties};
 use serde::Deserialize;
@@ -278,7 +278,7 @@
     pub disk: Option<PathBuf>,
     pub duties: Duties,
     pub members: Members,
-    pub bounds: Bounds,
+    pub bounds: Limits,
     pub watch: watch::Settings,
     pub probe: probe::Settings,
     pub audit: audit::Settings,
@@ -419,22 +419,22 @@
 impl MembersPart {
     fn settings(&self, size: u32, seeds: Vec<SocketAddrV4>) -> Result<Members, String> {
         let members = Members {
-            size,
+            expected_members: size,
             seeds,
-            probe: self.probe,
-            answer: self.answer,
-            suspect: self.suspect,
-            gossip: self.gossip,
-            again: self.again,
-            datagram: self.datagram,
+            probe_interval: self.probe,
+            probe_timeout: self.answer,
+            suspicion_timeout: self.suspect,
+            gossip_interval: self.gossip,
+            rejoin_interval: self.again,
+            max_datagram_bytes: self.datagram,
         };
-        members.check()?;
+        members.check().map_err(|error| error.to_string())?;
         Ok(members)
     }
 }
 
 impl LinksPart {
-    fn bounds(&self, voters: usize) -> Result<Bounds, String> {
+    fn bounds(&self, voters: usize) -> Result<Limits, String> {
         let LinksPart {
             peers,
             queue,
@@ -448,12 +448,12 @@
                  or more), dial {dial} and idle {idle} (over 0)"
             ));
         }
-        Ok(Bounds {
+        Ok(Limits {
             peers,
-            queue,
-            frame,
-            dial,
-            idle,
+            queued_frames: queue,
+            frame_bytes: frame,
+            connect_timeout_s: dial,
+            idle_timeout_s: idle,
         })
     }
 }
--- a/crates/serving/control-state/tests/budgets.rs
+++ b/crates/serving/control-state/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets: the counters are told how many gateways there are, and answer a repeated request alike.
+//! Budgets: the counters know how many gateways are present, and answer a repeated request alike.
 
 mod common;
 
@@ -10,7 +10,7 @@
 const LIMITERS: u64 = 8;
 const NEEDED: u64 = 10;
 
-/// Twice as many limiters as the core hears of ask in turn for more than their part.
+/// Twice as many limiters as there are present gateways request more than their share, one after another.
 fn requests() -> impl Iterator<Item = CounterRequest> {
     (0..40).map(|sequence| CounterRequest {
         program: "p".to_owned(),
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn the_counters_are_told_how_many_gateways_there_are() {
+fn the_counters_know_how_many_gateways_are_present() {
     let mut trial = Trial::default();
     for number in 0..GATEWAYS {
         trial.node(gateway(&format!("g{number}"), 1));
     }
     trial.node(gateway("gone", 1));
-    trial.changes(&Operation::NodeGone {
+    trial.changes(&Operation::NodeExpired {
         name: "gone".to_owned(),
         incarnation: 1,
     });
@@ -64,8 +64,8 @@
     let mut trial = Trial::default();
     for request in requests() {
         let first = reply(&mut trial, &request);
-        let held = trial.state.counters().held("p");
+        let leased = trial.state.counters().leased("p");
         assert_eq!(reply(&mut trial, &request), first);
-        assert_eq!(trial.state.counters().held("p"), held);
+        assert_eq!(trial.state.counters().leased("p"), leased);
     }
 }
--- a/crates/serving/control-state/tests/nodes.rs
+++ b/crates/serving/control-state/tests/nodes.rs
@@ -1,14 +1,15 @@
-//! Gateways and stores: lives of their processes, absence, retirement.
+//! Gateways and stores: incarnations of their processes, absence, retirement.
 
 mod common;
 
 use common::{address, gateway, store, Trial};
 use dunespur_control_state::{
-    Change, GatewayEntry, NodeReport, Operation, Outcome, RetireOutcome, RetireState, StoreEntry,
+    Change, GatewayEntry, NodeReport, Operation, Outcome, RetirementOutcome, RetirementState,
+    StoreEntry,
 };
 
-fn gone(name: &str, incarnation: u64) -> Operation {
-    Operation::NodeGone {
+fn expired(name: &str, incarnation: u64) -> Operation {
+    Operation::NodeExpired {
         name: name.to_owned(),
         incarnation,
     }
@@ -22,28 +23,28 @@
         .expect("a known store")
 }
 
-fn retire(trial: &mut Trial, name: &str, tolerated_losses: u32) -> RetireOutcome {
+fn retire(trial: &mut Trial, name: &str, tolerated_losses: u32) -> RetirementOutcome {
     match trial.retire(name, tolerated_losses) {
         Outcome::Retire(outcome) => outcome,
         other => panic!("{other:?} is no answer to a retirement"),
     }
 }
 
-/// The named store says that it is empty, in the present round.
+/// The named store finds itself empty in the current epoch.
 fn emptied(trial: &mut Trial, name: &str, incarnation: u64) -> Vec<Change> {
-    let round = trial
+    let epoch = trial
         .state
         .stores()
         .find(|store| store.name == name)
         .map_or(0, |store| store.epoch);
-    emptied_in(trial, name, incarnation, round)
+    empty_in_epoch(trial, name, incarnation, epoch)
 }
 
-fn emptied_in(trial: &mut Trial, name: &str, incarnation: u64, round: u64) -> Vec<Change> {
+fn empty_in_epoch(trial: &mut Trial, name: &str, incarnation: u64, epoch: u64) -> Vec<Change> {
     trial.changes(&Operation::RetireDone {
         node: name.to_owned(),
         incarnation,
-        round,
+        epoch,
     })
 }
 
@@ -65,13 +66,13 @@
 }
 
 fn absent(name: &str) -> Change {
-    Change::GatewayGone {
+    Change::GatewayRemoved {
         name: name.to_owned(),
     }
 }
 
 #[test]
-fn gateways_that_come_and_go_are_told_by_name_and_life() {
+fn gateways_are_published_by_name_and_incarnation() {
     let mut trial = Trial::default();
     assert_eq!(trial.node(gateway("a", 1)), [present("a", 1)]);
     assert_eq!(trial.node(gateway("a", 1)), [], "nothing new");
@@ -80,26 +81,26 @@
     assert_eq!(
         trial.node(gateway("a", 2)),
         [present("a", 2)],
-        "another life of the same one"
+        "another incarnation of the same gateway"
     );
     assert_eq!(trial.state.gateways().count(), 2);
     assert_eq!(
-        trial.changes(&gone("a", 1)),
+        trial.changes(&expired("a", 1)),
         [],
-        "that life was over before"
+        "that incarnation had ended before"
     );
-    assert_eq!(trial.changes(&gone("a", 2)), [absent("a")]);
+    assert_eq!(trial.changes(&expired("a", 2)), [absent("a")]);
     assert_eq!(trial.state.gateways().count(), 1);
-    assert_eq!(trial.changes(&gone("a", 2)), []);
+    assert_eq!(trial.changes(&expired("a", 2)), []);
     assert_eq!(
         trial.node(gateway("a", 1)),
         [],
-        "a late report of an older life"
+        "a late report of an older incarnation"
     );
     assert_eq!(
         trial.node(gateway("a", 2)),
         [present("a", 2)],
-        "it was only silent"
+        "its lease had expired, and it is alive"
     );
     let names: Vec<&str> = trial
         .state
@@ -107,11 +108,14 @@
         .map(|gateway| gateway.name.as_str())
         .collect();
     assert_eq!(names, ["a", "b"]);
-    assert_eq!(trial.state.image(), [present("a", 2), present("b", 1)]);
+    assert_eq!(
+        trial.state.initial_changes(),
+        [present("a", 2), present("b", 1)]
+    );
 }
 
 #[test]
-fn a_gateway_at_another_address_is_told_anew() {
+fn a_gateway_at_another_address_is_published_again() {
     let mut trial = Trial::default();
     trial.node(gateway("a", 1));
     let moved = NodeReport {
@@ -129,10 +133,10 @@
 }
 
 #[test]
-fn a_store_is_told_whenever_something_about_it_changes() {
+fn a_store_is_published_whenever_its_state_changes() {
     let mut trial = Trial::default();
     let unfinished = NodeReport {
-        whole: false,
+        complete: false,
         ..store("a", 1)
     };
     let expected = StoreEntry {
@@ -152,15 +156,15 @@
         [Change::Store(expected.clone())]
     );
     assert_eq!(trial.node(unfinished), []);
-    let whole = StoreEntry {
+    let complete = StoreEntry {
         complete: true,
         ..expected
     };
-    assert_eq!(trial.node(store("a", 1)), [Change::Store(whole.clone())]);
+    assert_eq!(trial.node(store("a", 1)), [Change::Store(complete.clone())]);
     let wiped = StoreEntry {
         incarnation: 2,
         disk: 2,
-        ..whole
+        ..complete
     };
     assert_eq!(
         trial.node(NodeReport {
@@ -172,7 +176,7 @@
 }
 
 #[test]
-fn a_store_report_of_an_older_life_is_ignored() {
+fn a_store_report_of_an_older_incarnation_is_ignored() {
     let mut trial = with_stores(&["a"]);
     assert_eq!(
         trial.node(NodeReport {
@@ -185,30 +189,33 @@
 }
 
 #[test]
-fn a_silent_store_is_absent_and_not_forgotten() {
+fn a_store_whose_lease_expired_is_absent_and_stays_recorded() {
     let mut trial = with_stores(&["a"]);
     assert_eq!(
-        trial.changes(&gone("a", 9)),
+        trial.changes(&expired("a", 9)),
         [],
-        "that life was over before"
+        "that incarnation had ended before"
     );
     let absent = StoreEntry {
         present: false,
         ..entry(&trial, "a")
     };
-    assert_eq!(trial.changes(&gone("a", 10)), [Change::Store(absent)]);
-    assert_eq!(trial.changes(&gone("a", 10)), []);
+    assert_eq!(trial.changes(&expired("a", 10)), [Change::Store(absent)]);
+    assert_eq!(trial.changes(&expired("a", 10)), []);
     assert!(!entry(&trial, "a").present);
     trial.node(store("a", 10));
     assert!(entry(&trial, "a").present);
 }
 
 #[test]
-fn an_unknown_store_can_not_retire() {
+fn an_unknown_store_cannot_retire() {
     let mut trial = with_stores(&["a", "b", "c"]);
     trial.node(gateway("front", 1));
-    assert_eq!(retire(&mut trial, "d", 1), RetireOutcome::UnknownNode);
-    assert_eq!(retire(&mut trial, "front", 1), RetireOutcome::UnknownNode);
+    assert_eq!(retire(&mut trial, "d", 1), RetirementOutcome::UnknownNode);
+    assert_eq!(
+        retire(&mut trial, "front", 1),
+        RetirementOutcome::UnknownNode
+    );
     assert_eq!(trial.state.retirement("d"), None);
     assert_eq!(trial.state.retirement("a"), None);
 }
@@ -216,13 +223,13 @@
 #[test]
 fn more_stores_than_may_be_lost_have_to_remain() {
     for (stores, tolerated_losses, expected) in [
-        (1, 0, RetireOutcome::TooFew),
-        (2, 0, RetireOutcome::Taken),
-        (2, 1, RetireOutcome::TooFew),
-        (3, 1, RetireOutcome::Taken),
-        (3, 2, RetireOutcome::TooFew),
-        (4, 2, RetireOutcome::Taken),
-        (4, u32::MAX, RetireOutcome::TooFew),
+        (1, 0, RetirementOutcome::TooFew),
+        (2, 0, RetirementOutcome::Accepted),
+        (2, 1, RetirementOutcome::TooFew),
+        (3, 1, RetirementOutcome::Accepted),
+        (3, 2, RetirementOutcome::TooFew),
+        (4, 2, RetirementOutcome::Accepted),
+        (4, u32::MAX, RetirementOutcome::TooFew),
     ] {
         let mut trial = with_stores(&["a", "b", "c", "d"][..stores]);
         assert_eq!(
@@ -234,88 +241,92 @@
 }
 
 #[test]
-fn stores_on_their_way_out_do_not_remain() {
+fn retiring_stores_do_not_remain() {
     let mut trial = with_stores(&["a", "b", "c", "d"]);
-    assert_eq!(retire(&mut trial, "a", 1), RetireOutcome::Taken);
-    assert_eq!(retire(&mut trial, "b", 1), RetireOutcome::Taken);
-    assert_eq!(retire(&mut trial, "c", 1), RetireOutcome::TooFew);
+    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
+    assert_eq!(retire(&mut trial, "b", 1), RetirementOutcome::Accepted);
+    assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::TooFew);
     emptied(&mut trial, "a", 10);
-    trial.changes(&gone("a", 10));
-    assert_eq!(retire(&mut trial, "c", 1), RetireOutcome::TooFew);
+    trial.changes(&expired("a", 10));
+    assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::TooFew);
     trial.node(store("e", 1));
-    assert_eq!(retire(&mut trial, "c", 1), RetireOutcome::Taken);
+    assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::Accepted);
 }
 
 #[test]
-fn a_store_that_is_gone_for_good_does_not_remain() {
+fn a_lost_store_does_not_remain() {
     let mut trial = with_stores(&["a", "b", "c"]);
-    trial.changes(&gone("c", 10));
+    trial.changes(&expired("c", 10));
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::TooFew,
-        "c is away, maybe for good"
+        RetirementOutcome::TooFew,
+        "c is absent, maybe for good"
     );
     trial.node(NodeReport {
-        whole: false,
+        complete: false,
         ..store("d", 1)
     });
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::TooFew,
-        "its successor is not whole yet"
+        RetirementOutcome::TooFew,
+        "its successor is not complete yet"
     );
     trial.node(store("d", 1));
-    assert_eq!(retire(&mut trial, "a", 1), RetireOutcome::Taken);
+    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
     emptied(&mut trial, "a", 10);
-    trial.changes(&gone("a", 10));
+    trial.changes(&expired("a", 10));
     assert_eq!(
         retire(&mut trial, "b", 1),
-        RetireOutcome::TooFew,
-        "one would be left beside two ghosts"
+        RetirementOutcome::TooFew,
+        "one would remain beside two lost stores"
     );
     assert_eq!(trial.state.retirement("b"), None);
 }
 
 #[test]
-fn an_order_refused_while_a_store_is_away_is_taken_once_it_is_back() {
+fn a_retirement_rejected_while_a_store_is_absent_is_accepted_once_it_is_back() {
     let mut trial = with_stores(&["a", "b", "c"]);
-    trial.changes(&gone("c", 10));
-    assert_eq!(retire(&mut trial, "a", 1), RetireOutcome::TooFew);
+    trial.changes(&expired("c", 10));
+    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::TooFew);
     assert_eq!(
         retire(&mut trial, "c", 1),
-        RetireOutcome::Taken,
-        "a and b remain without the one that is away"
+        RetirementOutcome::Accepted,
+        "a and b remain without the absent one"
     );
     trial.node(store("c", 10));
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::TooFew,
-        "c is on its way out"
+        RetirementOutcome::TooFew,
+        "c is retiring"
     );
     trial.node(store("d", 1));
-    assert_eq!(retire(&mut trial, "a", 1), RetireOutcome::Taken);
+    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
 }
 
 #[test]
-fn a_retirement_that_leaves_too_few_stands_still_until_enough_remain() {
+fn a_retirement_that_leaves_too_few_is_paused_until_enough_remain() {
     let mut trial = with_stores(&["a", "b", "c"]);
     retire(&mut trial, "a", 1);
-    let before = trial.told.len();
-    trial.changes(&gone("b", 10));
+    let before = trial.notifications.len();
+    trial.changes(&expired("b", 10));
     assert!(!entry(&trial, "a").retiring, "it is used like any other");
     assert!(
-        trial.told[before..].contains(&Change::Store(entry(&trial, "a"))),
-        "and all are told"
+        trial.notifications[before..].contains(&Change::Store(entry(&trial, "a"))),
+        "and the change is published"
     );
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Running));
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Running));
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::Taken,
-        "the order stands"
+        RetirementOutcome::Accepted,
+        "the request stays accepted"
+    );
+    assert_eq!(
+        emptied(&mut trial, "a", 10),
+        [],
+        "nor is it completed meanwhile"
     );
-    assert_eq!(emptied(&mut trial, "a", 10), [], "nor is it done meanwhile");
     trial.node(NodeReport {
-        whole: false,
+        complete: false,
         disk: 2,
         ..store("b", 11)
     });
@@ -329,34 +340,34 @@
     });
     assert!(entry(&trial, "a").retiring);
     assert_eq!(emptied(&mut trial, "a", 10).len(), 1);
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Done));
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Done));
 }
 
 #[test]
-fn two_retirements_stand_still_together_and_are_done_one_by_one() {
+fn two_retirements_are_paused_together_and_complete_one_by_one() {
     let mut trial = with_stores(&["a", "b", "c", "d"]);
     retire(&mut trial, "a", 1);
     retire(&mut trial, "b", 1);
-    trial.changes(&gone("c", 10));
+    trial.changes(&expired("c", 10));
     assert!(!entry(&trial, "a").retiring && !entry(&trial, "b").retiring);
     trial.node(store("c", 10));
     assert!(entry(&trial, "a").retiring && entry(&trial, "b").retiring);
-    let round_of_b = entry(&trial, "b").epoch;
+    let epoch_of_b = entry(&trial, "b").epoch;
     assert_eq!(
         emptied(&mut trial, "a", 10).len(),
         2,
-        "a is empty, and b is told of another round"
+        "a is empty, and b learns of another epoch"
     );
     assert_eq!(
-        emptied_in(&mut trial, "b", 10, round_of_b),
+        empty_in_epoch(&mut trial, "b", 10, epoch_of_b),
         [],
-        "it may rest on what a held"
+        "it may rely on what a stored"
     );
     assert_eq!(emptied(&mut trial, "b", 10).len(), 1);
 }
 
 #[test]
-fn a_declaration_of_an_earlier_round_means_nothing() {
+fn a_statement_of_an_earlier_epoch_has_no_effect() {
     let events: [fn(&mut Trial) -> Vec<Change>; 4] = [
         |trial| {
             trial.node(NodeReport {
@@ -364,10 +375,10 @@
                 ..store("b", 11)
             })
         },
-        |trial| [trial.changes(&gone("b", 10)), trial.node(store("b", 10))].concat(),
+        |trial| [trial.changes(&expired("b", 10)), trial.node(store("b", 10))].concat(),
         |trial| {
             trial.node(NodeReport {
-                whole: false,
+                complete: false,
                 ..store("b", 10)
             })
         },
@@ -376,22 +387,22 @@
     for (number, event) in events.into_iter().enumerate() {
         let mut trial = with_stores(&["a", "b", "c", "d"]);
         retire(&mut trial, "a", 1);
-        let round = entry(&trial, "a").epoch;
+        let epoch = entry(&trial, "a").epoch;
         event(&mut trial);
         assert!(
-            entry(&trial, "a").epoch > round,
-            "{number}: it is told of another round"
+            entry(&trial, "a").epoch > epoch,
+            "{number}: it learns of another epoch"
         );
-        assert_eq!(emptied_in(&mut trial, "a", 10, round), [], "{number}");
+        assert_eq!(empty_in_epoch(&mut trial, "a", 10, epoch), [], "{number}");
         assert_eq!(
             trial.state.retirement("a"),
-            Some(RetireState::Running),
+            Some(RetirementState::Running),
             "{number}"
         );
         assert_eq!(
             emptied(&mut trial, "a", 10).len(),
             1,
-            "{number}: said anew it counts"
+            "{number}: repeated in this epoch it counts"
         );
     }
 }
@@ -399,21 +410,21 @@
 #[test]
 fn a_retirement_runs_and_is_done() {
     let mut trial = with_stores(&["a", "b", "c"]);
-    let before = trial.told.len();
+    let before = trial.notifications.len();
     let standing = entry(&trial, "a");
-    assert_eq!(retire(&mut trial, "a", 1), RetireOutcome::Taken);
-    let round = entry(&trial, "a").epoch;
+    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
+    let epoch = entry(&trial, "a").epoch;
     let retiring = StoreEntry {
         retiring: true,
-        epoch: round,
+        epoch,
         ..standing.clone()
     };
-    assert_eq!(trial.told[before..], [Change::Store(retiring)]);
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Running));
+    assert_eq!(trial.notifications[before..], [Change::Store(retiring)]);
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Running));
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::Taken,
-        "said again"
+        RetirementOutcome::Accepted,
+        "repeated"
     );
 
     let retired = StoreEntry {
@@ -422,17 +433,17 @@
     };
     assert_eq!(emptied(&mut trial, "a", 10), [Change::Store(retired)]);
     assert_eq!(emptied(&mut trial, "a", 10), []);
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Done));
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Done));
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::Taken,
-        "said again when it is done"
+        RetirementOutcome::Accepted,
+        "repeated when it is done"
     );
-    assert_eq!(trial.told.len(), before + 2);
+    assert_eq!(trial.notifications.len(), before + 2);
 }
 
 #[test]
-fn a_retirement_is_not_done_by_an_earlier_life_or_unasked() {
+fn a_retirement_is_not_completed_by_an_earlier_incarnation_or_unrequested() {
     let mut trial = with_stores(&["a", "b", "c"]);
     assert_eq!(emptied(&mut trial, "a", 10), []);
     assert_eq!(emptied(&mut trial, "nobody", 10), []);
@@ -440,7 +451,7 @@
     trial.node(store("a", 11));
     assert_eq!(emptied(&mut trial, "a", 10), []);
     assert_eq!(emptied(&mut trial, "a", 12), []);
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Running));
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Running));
     assert_eq!(emptied(&mut trial, "a", 11).len(), 1);
 }
 
@@ -448,7 +459,7 @@
 fn a_retiring_store_goes_on_retiring_after_a_restart_or_a_lost_disk() {
     let mut trial = with_stores(&["a", "b", "c"]);
     retire(&mut trial, "a", 1);
-    trial.changes(&gone("a", 10));
+    trial.changes(&expired("a", 10));
     assert!(entry(&trial, "a").retiring);
     trial.node(NodeReport {
         disk: 2,
@@ -458,22 +469,22 @@
 }
 
 #[test]
-fn a_retired_store_that_was_taken_away_is_gone_and_its_retirement_stays_done() {
+fn a_decommissioned_store_is_removed_and_its_retirement_stays_done() {
     let mut trial = with_stores(&["a", "b", "c"]);
     retire(&mut trial, "a", 1);
     emptied(&mut trial, "a", 10);
     trial.node(store("a", 10));
     assert!(
         entry(&trial, "a").retired,
-        "what it says afterwards doesn't bring it back into use"
+        "a later report doesn't bring it back into use"
     );
     assert_eq!(
-        trial.changes(&gone("a", 10)),
-        [Change::StoreGone {
+        trial.changes(&expired("a", 10)),
+        [Change::StoreRemoved {
             name: "a".to_owned()
         }]
     );
-    assert_eq!(trial.state.retirement("a"), Some(RetireState::Done));
+    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Done));
     assert_eq!(
         trial
             .state
@@ -491,7 +502,7 @@
     let mut trial = with_stores(&["a", "b", "c"]);
     retire(&mut trial, "a", 1);
     emptied(&mut trial, "a", 10);
-    trial.changes(&gone("a", 10));
+    trial.changes(&expired("a", 10));
     trial.node(NodeReport {
         disk: 2,
         ..store("a", 11)
@@ -509,7 +520,7 @@
         for report in [store(&name, number), gateway(&name, number)] {
             trial.node(report);
         }
-        trial.changes(&gone(&name, number));
+        trial.changes(&expired(&name, number));
     }
     assert_eq!(trial.state.stores().count(), 1_024);
     assert_eq!(
@@ -525,70 +536,76 @@
 }
 
 #[test]
-fn stores_that_were_taken_away_are_forgotten_before_those_that_may_come_back() {
+fn decommissioned_stores_are_evicted_before_absent_ones() {
     let mut trial = with_stores(&["b", "c"]);
     for number in 0..1_030 {
         let name = format!("n{number}");
-        // The first few are only silent, although they are the oldest; all others are taken away as planned.
+        // The first few are only absent, although they are the oldest; all others are decommissioned as planned.
         trial.node(store(&name, 11 + number));
         if number >= 8 {
-            assert_eq!(retire(&mut trial, &name, 1), RetireOutcome::Taken);
+            assert_eq!(retire(&mut trial, &name, 1), RetirementOutcome::Accepted);
             emptied(&mut trial, &name, 11 + number);
         }
-        trial.changes(&gone(&name, 11 + number));
+        trial.changes(&expired(&name, 11 + number));
     }
     assert_eq!(trial.state.stores().count(), 2 + 8);
     assert_eq!(trial.state.retirement("n8"), None);
-    assert_eq!(trial.state.retirement("n14"), Some(RetireState::Done));
+    assert_eq!(trial.state.retirement("n14"), Some(RetirementState::Done));
 }
 
 #[test]
-fn a_copy_of_an_order_to_retire_that_was_refused_does_not_take_effect_later() {
+fn a_duplicate_of_a_rejected_retirement_request_does_not_take_effect_later() {
     let mut trial = with_stores(&["a", "b"]);
-    let Outcome::Fenced { fence } = trial.apply(&common::retire("a", 1, 0)) else {
-        panic!("no fence")
+    let Outcome::Fenced { fencing_token } = trial.apply(&common::retire("a", 1, 0)) else {
+        panic!("no fencing token")
     };
-    let copy = common::retire("a", 1, fence);
-    assert_eq!(trial.apply(&copy), Outcome::Retire(RetireOutcome::TooFew));
+    let duplicate = common::retire("a", 1, fencing_token);
+    assert_eq!(
+        trial.apply(&duplicate),
+        Outcome::Retire(RetirementOutcome::TooFew)
+    );
     trial.node(store("c", 10));
-    assert!(matches!(trial.apply(&copy), Outcome::Fenced { .. }));
+    assert!(matches!(trial.apply(&duplicate), Outcome::Fenced { .. }));
     assert_eq!(trial.state.retirement("a"), None);
     assert_eq!(
         retire(&mut trial, "a", 1),
-        RetireOutcome::Taken,
+        RetirementOutcome::Accepted,
         "a call made since"
     );
     assert_eq!(
-        trial.apply(&copy),
-        Outcome::Retire(RetireOutcome::Taken),
-        "it is taken now"
+        trial.apply(&duplicate),
+        Outcome::Retire(RetirementOutcome::Accepted),
+        "it is accepted now"
     );
 }
 
 #[test]
-fn a_copy_of_an_order_to_retire_does_not_meet_the_next_machine_of_that_name() {
+fn a_duplicate_retirement_request_does_not_apply_to_the_next_machine_of_that_name() {
     let mut trial = with_stores(&["a", "b", "c", "d"]);
-    let Outcome::Fenced { fence } = trial.apply(&common::retire("a", 1, 0)) else {
-        panic!("no fence")
+    let Outcome::Fenced { fencing_token } = trial.apply(&common::retire("a", 1, 0)) else {
+        panic!("no fencing token")
     };
-    let copy = common::retire("a", 1, fence);
-    assert_eq!(trial.apply(&copy), Outcome::Retire(RetireOutcome::Taken));
+    let duplicate = common::retire("a", 1, fencing_token);
+    assert_eq!(
+        trial.apply(&duplicate),
+        Outcome::Retire(RetirementOutcome::Accepted)
+    );
     emptied(&mut trial, "a", 10);
     assert_eq!(
-        trial.apply(&copy),
-        Outcome::Retire(RetireOutcome::Taken),
-        "sent again after it was done"
+        trial.apply(&duplicate),
+        Outcome::Retire(RetirementOutcome::Accepted),
+        "repeated after it was done"
     );
-    trial.changes(&gone("a", 10));
+    trial.changes(&expired("a", 10));
     assert_eq!(
-        trial.apply(&copy),
-        Outcome::Retire(RetireOutcome::Taken),
-        "and after the machine has gone"
+        trial.apply(&duplicate),
+        Outcome::Retire(RetirementOutcome::Accepted),
+        "and after the machine was decommissioned"
     );
     trial.node(NodeReport {
         disk: 2,
         ..store("a", 20)
     });
-    assert!(matches!(trial.apply(&copy), Outcome::Fenced { .. }));
+    assert!(matches!(trial.apply(&duplicate), Outcome::Fenced { .. }));
     assert_eq!(trial.state.retirement("a"), None);
 }
--- a/crates/serving/control-state/tests/servers.rs
+++ b/crates/serving/control-state/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Servers: reports overtake each other, addresses are handed on, and what ended doesn't come back.
+//! Servers: reports overtake each other, addresses are reused, and what ended doesn't come back.
 
 mod common;
 
@@ -16,8 +16,8 @@
     }
 }
 
-fn gone(id: &str) -> Change {
-    Change::ServerGone { id: id.to_owned() }
+fn removed(id: &str) -> Change {
+    Change::ServerRemoved { id: id.to_owned() }
 }
 
 fn state_of(trial: &Trial, id: &str) -> Option<ServerState> {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_new_server_is_told_and_a_report_of_nothing_new_is_not() {
+fn a_new_server_is_published_and_an_unchanged_report_is_not() {
     let mut trial = Trial::default();
     assert_eq!(
         trial.server(server("a", 1, 1)),
@@ -81,7 +81,7 @@
 fn a_server_that_left_never_comes_back() {
     let mut trial = Trial::default();
     trial.server(server("a", 1, 1));
-    assert_eq!(trial.changes(&left("a")), [gone("a")]);
+    assert_eq!(trial.changes(&left("a")), [removed("a")]);
     assert_eq!(trial.changes(&left("a")), []);
     assert_eq!(trial.server(server("a", 1, 99)), []);
     assert_eq!(trial.changes(&expired("a", 100)), []);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_leave_that_overtakes_the_first_report_counts() {
+fn a_leave_that_overtakes_the_first_report_is_final() {
     let mut trial = Trial::default();
     assert_eq!(trial.changes(&left("a")), []);
     assert_eq!(trial.server(server("a", 1, 1)), []);
@@ -101,7 +101,7 @@
 fn an_expired_server_comes_back_with_a_newer_report_only() {
     let mut trial = Trial::default();
     trial.server(server("a", 1, 5));
-    assert_eq!(trial.changes(&expired("a", 5)), [gone("a")]);
+    assert_eq!(trial.changes(&expired("a", 5)), [removed("a")]);
     assert_eq!(trial.server(server("a", 1, 4)), []);
     assert_eq!(trial.server(server("a", 1, 5)), []);
     assert_eq!(
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn an_expiry_takes_along_reports_that_the_core_was_not_told_of() {
+fn an_expiry_covers_reports_that_the_core_did_not_receive() {
     let mut trial = Trial::default();
     trial.server(server("a", 1, 1));
     trial.changes(&expired("a", 40));
@@ -167,12 +167,12 @@
     };
     assert_eq!(
         trial.server(newer.clone()),
-        [gone("a"), Change::Server(newer)]
+        [removed("a"), Change::Server(newer)]
     );
     assert_eq!(
         trial.server(server("a", 1, 5)),
         [],
-        "what the older one said before doesn't count"
+        "an earlier report of the older one doesn't count"
     );
     assert_eq!(trial.ids(), ["b"]);
 }
@@ -184,12 +184,12 @@
     assert_eq!(
         trial.server(server("old", 1, 80)).len(),
         2,
-        "the first that is heard of the older one is late"
+        "the first report of the older one is late"
     );
     let back = server("new", 1, 4);
     assert_eq!(
         trial.server(back.clone()),
-        [gone("old"), Change::Server(back)]
+        [removed("old"), Change::Server(back)]
     );
     assert_eq!(trial.server(server("old", 1, 80)), []);
     assert_eq!(trial.ids(), ["new"]);
@@ -202,7 +202,7 @@
     trial.server(server("b", 2, 1));
     assert_eq!(
         trial.server(server("a", 2, 2)),
-        [gone("b"), Change::Server(server("a", 2, 2))]
+        [removed("b"), Change::Server(server("a", 2, 2))]
     );
     assert_eq!(
         trial.server(server("c", 1, 1)),
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn thousands_of_departed_servers_are_remembered_and_not_more() {
+fn departed_servers_are_recorded_up_to_a_bound() {
     let mut trial = Trial::default();
     for number in 0..5_000 {
         trial.changes(&left(&format!("s{number}")));
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn made_up_servers_are_bounded() {
+fn invented_servers_are_bounded() {
     let mut trial = Trial::default();
     for number in 0..8_300_u32 {
         let [_, _, high, low] = number.to_be_bytes();
--- a/crates/serving/control-state/tests/world/mod.rs
+++ b/crates/serving/control-state/tests/world/mod.rs
@@ -1,5 +1,5 @@
 //! A seeded world of the core with its callers: members with disks that apply what is committed to the control state,
-//! operators, readers and followers on all sides of cuts, and what goes wrong with them.
+//! operators, readers and followers on all sides of partitions, and the faults that happen to them.
 //!
 //! Callers keep a history of what they saw, and [`history::check`] judges it. Besides, the committed sequence has to
 //! be the same everywhere, and what a member shows to those who follow it may not be too old.
@@ -7,24 +7,24 @@
 
 pub mod callers;
 pub mod digest;
+pub mod faults;
 pub mod history;
-pub mod keeper;
-pub mod lines;
+pub mod links;
 pub mod machines;
-pub mod trouble;
+pub mod retirements;
 
 use dunespur_chain_replication::{Input, Millis};
 use fastrand::Rng;
 use history::History;
-use lines::Lines;
+use links::Links;
 use machines::{Arrival, Machine};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What a broken promise looks like.
+/// The first violation, described, if there was one.
 pub type Verdict = Result<(), String>;
 
-/// The founder sets the first view at this time, and again after this until it was taken.
+/// The founder sets the first view at this time, and again after this until it was decided.
 const FOUND_AT: Millis = 400;
 const FOUND_AGAIN: Millis = 300;
 /// Processes start at most this long after the world does.
@@ -32,14 +32,14 @@
 /// Payloads that mean nothing come this often, so that logs grow beyond what a member keeps.
 const FILL_EVERY: u64 = 120;
 
-/// Guards that may be taken out.
+/// Safeguards that may be removed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Guards {
-    pub chain: dunespur_chain_replication::Guards,
-    pub control: dunespur_control_state::Guards,
-    /// A member refuses orders out of its own copy of the state, without having them committed. The guard against this
-    /// is that nothing answers an order but its commit.
-    pub refuses_unconfirmed: bool,
+pub struct Safeguards {
+    pub chain: dunespur_chain_replication::Safeguards,
+    pub control: dunespur_control_state::Safeguards,
+    /// A member rejects requests by its own replica of the state, without having them committed. The safeguard against
+    /// this is that only the commit of a request answers it.
+    pub rejects_unconfirmed: bool,
 }
 
 /// How a world is set up.
@@ -47,7 +47,7 @@
 pub struct Setup {
     pub seed: u64,
     pub machines: usize,
-    pub guards: Guards,
+    pub safeguards: Safeguards,
     /// Bytes of payloads that mean nothing: large ones bring on snapshots.
     pub filling: usize,
     pub sync_most: Millis,
@@ -58,7 +58,7 @@
         Setup {
             seed,
             machines,
-            guards: Guards::default(),
+            safeguards: Safeguards::default(),
             filling: if seed % 3 == 1 { 24_000 } else { 0 },
             sync_most: if seed % 4 == 2 { 60 } else { 4 },
         }
@@ -71,7 +71,7 @@
         machine: usize,
         run: u64,
     },
-    Found,
+    Bootstrap,
     Fill,
     Tick {
         machine: usize,
@@ -103,7 +103,7 @@
         caller: usize,
         wake: callers::Wake,
     },
-    Trouble(trouble::Trouble),
+    Fault(faults::Fault),
 }
 
 struct Scheduled {
@@ -139,22 +139,22 @@
     events: BinaryHeap<Reverse<Scheduled>>,
     order: u64,
     pub machines: Vec<Machine>,
-    pub lines: Lines,
+    pub links: Links,
     pub callers: Vec<callers::Caller>,
     pub history: History,
-    pub keeper: keeper::Keeper,
+    pub retirement_operator: retirements::RetirementOperator,
     /// Messages between members come again late, or are lost, now and then.
     pub doubling: bool,
     pub losing: bool,
-    /// What befalls the machine that gives the next 200 to an order.
-    pub at_next_acknowledgement: Option<trouble::Trouble>,
+    /// The fault of the machine that gives the next 200 to a request.
+    pub at_next_acknowledgement: Option<faults::Fault>,
     /// Then all machines lose power as well.
     blackout_after_wipe: bool,
     /// Digests of the committed payloads, in their order; that of index 1 is at 0.
     sequence: Vec<u64>,
     next_ticket: u64,
     pub snapshots_installed: u64,
-    broken: Option<String>,
+    violation: Option<String>,
     trace: bool,
     pub digest: digest::Digest,
 }
@@ -168,10 +168,10 @@
             events: BinaryHeap::new(),
             order: 0,
             machines: Vec::new(),
-            lines: Lines::default(),
+            links: Links::default(),
             callers: Vec::new(),
             history: History::default(),
-            keeper: keeper::Keeper::default(),
+            retirement_operator: retirements::RetirementOperator::default(),
             doubling: false,
             losing: false,
             at_next_acknowledgement: None,
@@ -179,7 +179,7 @@
             sequence: Vec::new(),
             next_ticket: 1,
             snapshots_installed: 0,
-            broken: None,
+            violation: None,
             trace: std::env::var_os("WORLD_TRACE").is_some(),
             digest: digest::Digest::default(),
         };
@@ -188,7 +188,7 @@
             let start = world.rng.u64(0..LATEST_START);
             world.schedule(start, Event::Start { machine, run: 1 });
         }
-        world.schedule(FOUND_AT, Event::Found);
+        world.schedule(FOUND_AT, Event::Bootstrap);
         world.schedule(FOUND_AT, Event::Fill);
         world.add_callers();
         world
@@ -203,7 +203,7 @@
         }));
     }
 
-    /// Plays up to a time, or to the first broken promise.
+    /// Plays up to a time, or to the first violation.
     pub fn play_to(&mut self, end: Millis) -> Verdict {
         while self
             .events
@@ -215,8 +215,8 @@
             };
             self.now = next.at;
             self.happen(next.event);
-            if let Some(broken) = self.broken.take() {
-                return Err(self.told(&broken));
+            if let Some(violation) = self.violation.take() {
+                return Err(self.describe(&violation));
             }
         }
         self.now = end;
@@ -226,7 +226,7 @@
     fn happen(&mut self, event: Event) {
         match event {
             Event::Start { machine, run } => self.start(machine, run),
-            Event::Found => self.found(),
+            Event::Bootstrap => self.found(),
             Event::Fill => self.fill(),
             Event::Tick { machine, run, at } => self.tick(machine, run, at),
             Event::Deliver { from, to } => self.deliver(from, to),
@@ -246,18 +246,18 @@
                 batch,
             } => self.disk_done(machine, run, batch),
             Event::Caller { caller, wake } => self.caller_wakes(caller, wake),
-            Event::Trouble(trouble) => self.strike(trouble),
+            Event::Fault(fault) => self.inject(fault),
         }
     }
 
-    /// The next commit of the sequence, as one member gives it out; says whether it is the first to do so.
+    /// The next commit of the sequence, as one member delivers it; returns whether it is the first to do so.
     pub fn committed_at(&mut self, machine: usize, index: u64, payload: u64) -> bool {
-        let place = index as usize - 1;
-        let first = place == self.sequence.len();
+        let position = index as usize - 1;
+        let first = position == self.sequence.len();
         if first {
             self.sequence.push(payload);
-        } else if self.sequence.get(place) != Some(&payload) {
-            self.breaks(format!(
+        } else if self.sequence.get(position) != Some(&payload) {
+            self.violate(format!(
                 "m{machine} commits something else at {index} than was committed before"
             ));
         }
@@ -271,9 +271,9 @@
             .iter()
             .all(|machine| machine.saved.decided.is_none())
         {
-            self.schedule(self.now + FOUND_AGAIN, Event::Found);
+            self.schedule(self.now + FOUND_AGAIN, Event::Bootstrap);
         }
-        self.arrive(0, Arrival::Chain(Input::Found { view }));
+        self.arrive(0, Arrival::Chain(Input::Bootstrap { view }));
     }
 
     fn fill(&mut self) {
@@ -290,17 +290,17 @@
         self.next_ticket
     }
 
-    pub fn note(&self, text: impl FnOnce() -> String) {
+    pub fn log(&self, text: impl FnOnce() -> String) {
         if self.trace {
             eprintln!("{:>6} {}", self.now, text());
         }
     }
 
-    pub fn breaks(&mut self, text: String) {
-        self.broken.get_or_insert(text);
+    pub fn violate(&mut self, text: String) {
+        self.violation.get_or_insert(text);
     }
 
-    pub fn told(&self, text: &str) -> String {
+    pub fn describe(&self, text: &str) -> String {
         format!(
             "seed {} with {} members at {} ms: {text}",
             self.setup.seed, self.setup.machines, self.now
--- a/crates/serving/dunespur/src/budgets.rs
+++ b/crates/serving/dunespur/src/budgets.rs
@@ -1,11 +1,11 @@
-//! Leases on the budgets of programs: carries the requests of a [`LeaseBook`] to the core and its verdicts to the
+//! Leases on the budgets of programs: carries the requests of a [`LeaseTable`] to the core and its decisions to the
 //! turns that wait.
 
 use crate::clock::Clock;
 use crate::directory::Directory;
 use crate::request_events::{self, Stopwatch};
 use crate::status::BudgetStatus;
-use dunespur_budget::{Admission, CounterRequest, LeaseBook, LimiterId, Refusal, TurnOutcome};
+use dunespur_budget::{Admission, CounterRequest, LeaseTable, LimiterId, Rejection, TurnOutcome};
 use dunespur_control_state::{Operation, Outcome};
 use dunespur_proxy::{AdmissionDecision, AdmissionRequest, TurnKey};
 use std::cell::{Cell, RefCell};
@@ -16,7 +16,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep_until;
 
-/// The core gets so long for one request; the book sends it again.
+/// The core gets so long for one request; the lease table sends it again.
 const COUNTER_TIMEOUT: Duration = Duration::from_millis(900);
 /// When a turn may come back that could not be decided on, in milliseconds.
 const SILENT_RETRY_MS: u64 = 300;
@@ -25,21 +25,22 @@
 pub struct Budgets {
     clock: Clock,
     directory: Rc<Directory>,
-    leases: RefCell<LeaseBook>,
-    /// Turns that wait for a verdict.
+    leases: RefCell<LeaseTable>,
+    /// Turns that wait for a decision.
     waiting: RefCell<HashMap<u64, oneshot::Sender<Admission>>>,
     next_turn: Cell<u64>,
-    /// Told when the next due time may have changed.
+    /// Notified when the next due time may have changed.
     rescheduled: Notify,
     this: Weak<Budgets>,
 }
 
 impl Budgets {
+    /// No programs yet; starts the task that renews leases and returns them.
     pub fn start(limiter: LimiterId, directory: Rc<Directory>, clock: Clock) -> Rc<Budgets> {
         let budgets = Rc::new_cyclic(|this| Budgets {
             clock,
             directory,
-            leases: RefCell::new(LeaseBook::new(limiter)),
+            leases: RefCell::new(LeaseTable::new(limiter)),
             waiting: RefCell::default(),
             next_turn: Cell::new(1),
             rescheduled: Notify::new(),
@@ -49,17 +50,20 @@
         budgets
     }
 
-    /// Sets aside the most that a turn may generate.
-    pub async fn reserve(&self, ask: AdmissionRequest<'_>) -> AdmissionDecision {
+    /// Reserves the most tokens that a turn may generate.
+    pub async fn reserve(&self, request: AdmissionRequest<'_>) -> AdmissionDecision {
         let turn = self.next_turn.replace(self.next_turn.get() + 1);
         let now = self.clock.now();
-        let admission =
-            self.leases
-                .borrow_mut()
-                .admit(ask.program, ask.budget, ask.max_tokens, turn, now);
+        let admission = self.leases.borrow_mut().admit(
+            request.program,
+            request.budget,
+            request.max_tokens,
+            turn,
+            now,
+        );
         self.rescheduled.notify_one();
         let admission = match admission {
-            Admission::Ask(request) => {
+            Admission::Request(request) => {
                 let verdict = self.await_verdict(turn);
                 drop(self.exchange(request));
                 verdict.await
@@ -69,8 +73,8 @@
         };
         match admission {
             Admission::Admitted => AdmissionDecision::Admitted(TurnKey(turn)),
-            Admission::Refused(Refusal::Spent) => AdmissionDecision::BudgetSpent,
-            Admission::Refused(Refusal::Elsewhere { retry_after_ms }) => {
+            Admission::Rejected(Rejection::Spent) => AdmissionDecision::BudgetSpent,
+            Admission::Rejected(Rejection::LeasedElsewhere { retry_after_ms }) => {
                 AdmissionDecision::RetryLater { retry_after_ms }
             }
             _ => AdmissionDecision::RetryLater {
@@ -79,7 +83,7 @@
         }
     }
 
-    /// The verdict on a turn that waits. A future that is dropped before it is ready takes the turn out.
+    /// The decision on a turn that waits. A future that is dropped before it is ready takes the turn out.
     fn await_verdict(&self, turn: u64) -> impl std::future::Future<Output = Admission> + '_ {
         let (sender, verdict) = oneshot::channel();
         self.waiting.borrow_mut().insert(turn, sender);
@@ -90,7 +94,9 @@
         };
         async move {
             let mut left = left;
-            let admission = verdict.await.unwrap_or(Admission::Refused(Refusal::Silent));
+            let admission = verdict
+                .await
+                .unwrap_or(Admission::Rejected(Rejection::CounterTimeout));
             left.decided = true;
             admission
         }
@@ -104,17 +110,17 @@
         }
     }
 
-    /// Tokens of a program that are held here.
-    pub fn held(&self, program: &str) -> u64 {
-        self.leases.borrow().held(program)
+    /// Tokens of a program that are leased here.
+    pub fn leased(&self, program: &str) -> u64 {
+        self.leases.borrow().leased(program)
     }
 
-    /// Tokens of a turn that are about to be handed to its client.
+    /// Tokens of a turn that are about to be sent to its client.
     pub fn used(&self, turn: TurnKey, tokens: u64) {
-        self.leases.borrow_mut().used(turn.0, tokens);
+        self.leases.borrow_mut().record_use(turn.0, tokens);
     }
 
-    /// A turn is over.
+    /// A turn has ended.
     pub fn release(&self, turn: TurnKey) {
         self.finish(turn.0);
     }
@@ -123,13 +129,13 @@
         let outcomes = {
             let mut leases = self.leases.borrow_mut();
             leases.finish(turn, self.clock.now());
-            leases.outcomes()
+            leases.take_outcomes()
         };
         self.notify(outcomes);
         self.rescheduled.notify_one();
     }
 
-    /// Gives back what is held, before the end of the process.
+    /// Gives back what is leased, before the end of the process.
     pub async fn close(&self) {
         let requests = self.leases.borrow_mut().close(self.clock.now());
         let exchanges: Vec<_> = requests
@@ -141,7 +147,7 @@
         }
     }
 
-    /// Brings a request to the core and its answer to the book.
+    /// Brings a request to the core and its answer to the lease table.
     fn exchange(&self, request: CounterRequest) -> Option<JoinHandle<()>> {
         let budgets = self.this.upgrade()?;
         Some(spawn_local(async move {
@@ -159,17 +165,17 @@
                 budgets
                     .leases
                     .borrow_mut()
-                    .replied(&request, reply, budgets.clock.now());
+                    .handle_reply(&request, reply, budgets.clock.now());
             budgets.notify(outcomes);
             budgets.rescheduled.notify_one();
         }))
     }
 
-    /// Hands verdicts to the turns that wait for them.
+    /// Sends decisions to the turns that wait for them.
     fn notify(&self, outcomes: Vec<TurnOutcome>) {
         for TurnOutcome { turn, admission } in outcomes {
             match admission {
-                Admission::Ask(request) => drop(self.exchange(request)),
+                Admission::Request(request) => drop(self.exchange(request)),
                 Admission::Waiting => {}
                 decided => self.decided(turn, decided),
             }
@@ -187,8 +193,8 @@
     fn due(&self) {
         let (requests, outcomes) = {
             let mut leases = self.leases.borrow_mut();
-            let requests = leases.due(self.clock.now());
-            (requests, leases.outcomes())
+            let requests = leases.handle_timeout(self.clock.now());
+            (requests, leases.take_outcomes())
         };
         requests
             .into_iter()
@@ -197,7 +203,7 @@
     }
 }
 
-/// Takes a turn out whose client left while it waited.
+/// Takes a turn out whose client disconnected while it waited.
 struct WaitingTurn<'a> {
     budgets: &'a Budgets,
     turn: u64,
@@ -215,7 +221,7 @@
 
 async fn drive_timers(budgets: Rc<Budgets>) {
     loop {
-        let due = budgets.leases.borrow().next_due();
+        let due = budgets.leases.borrow().next_timeout();
         match due {
             Some(due) => {
                 tokio::select! {
--- a/crates/serving/dunespur/src/control_api/request.rs
+++ b/crates/serving/dunespur/src/control_api/request.rs
@@ -22,7 +22,7 @@
     /// The operator has a store emptied; its name.
     RetireStart(String),
     /// How far that is; the store's name.
-    RetireState(String),
+    RetirementState(String),
     /// Nothing that there is.
     Unknown,
 }
@@ -40,7 +40,7 @@
             ["api", "config", "patch"] if post => Target::Patch,
             ["api", "config", "get"] if get => Target::GetConfiguration,
             ["api", "retire", node, "start"] if post => Target::RetireStart((*node).to_owned()),
-            ["api", "retire", node, "get"] if get => Target::RetireState((*node).to_owned()),
+            ["api", "retire", node, "get"] if get => Target::RetirementState((*node).to_owned()),
             _ => Target::Unknown,
         }
     }
--- a/crates/serving/dunespur/src/core/pending_operations/tests.rs
+++ b/crates/serving/dunespur/src/core/pending_operations/tests.rs
@@ -1,3 +1,5 @@
+//! Which operations join a pending one, and who gets the outcome.
+
 use super::{OperationAnswer, PendingOperations, Registration};
 use dunespur_budget::{CounterChange, CounterRequest, LimiterId};
 use dunespur_control_state::{Operation, Outcome};
@@ -76,7 +78,7 @@
 #[test]
 fn other_operations_do_not_join() {
     let mut pending = PendingOperations::default();
-    let operation = Operation::NodeGone {
+    let operation = Operation::NodeExpired {
         name: "front".to_owned(),
         incarnation: 1,
     };
--- a/crates/serving/dunespur/src/directory/known_state.rs
+++ b/crates/serving/dunespur/src/directory/known_state.rs
@@ -1,4 +1,4 @@
-//! The parts of the control state that a process holds, and how a change of it is applied.
+//! The control state as far as a process knows it, and how a change of it is applied.
 
 use crate::messages::StateUpdate;
 use dunespur_configuration::{Document, Table};
@@ -23,7 +23,7 @@
 
 /// Which parts of the control state an update has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ChangedParts {
+pub struct StateChanges {
     /// Another configuration.
     pub configuration: bool,
     /// Any server.
@@ -34,19 +34,19 @@
     pub gateways: bool,
 }
 
-impl ChangedParts {
+impl StateChanges {
     /// Whether anything has changed.
     pub fn any(self) -> bool {
-        self != ChangedParts::default()
+        self != StateChanges::default()
     }
 }
 
 impl KnownState {
     /// Applies what a watch has brought. The index never goes back: an update from a member that is behind says
     /// nothing.
-    pub(super) fn update(&mut self, update: StateUpdate) -> ChangedParts {
+    pub(super) fn update(&mut self, update: StateUpdate) -> StateChanges {
         if self.index.is_some_and(|index| update.index <= index) {
-            return ChangedParts::default();
+            return StateChanges::default();
         }
         let complete = update.complete;
         if complete {
@@ -54,7 +54,7 @@
             self.stores.clear();
             self.gateways.clear();
         }
-        let mut changed = ChangedParts {
+        let mut changed = StateChanges {
             configuration: false,
             servers: complete,
             stores: complete,
@@ -67,7 +67,7 @@
         changed
     }
 
-    fn apply(&mut self, change: Change, changed: &mut ChangedParts) {
+    fn apply(&mut self, change: Change, changed: &mut StateChanges) {
         match change {
             Change::Configuration { generation, json } => {
                 changed.configuration |= self.apply_configuration(generation, &json);
@@ -76,7 +76,7 @@
                 self.servers.insert(report.id.clone(), report);
                 changed.servers = true;
             }
-            Change::ServerGone { id } => {
+            Change::ServerRemoved { id } => {
                 self.servers.remove(&id);
                 changed.servers = true;
             }
@@ -84,7 +84,7 @@
                 self.stores.insert(entry.name.clone(), entry);
                 changed.stores = true;
             }
-            Change::StoreGone { name } => {
+            Change::StoreRemoved { name } => {
                 self.stores.remove(&name);
                 changed.stores = true;
             }
@@ -92,7 +92,7 @@
                 self.gateways.insert(entry.name.clone(), entry);
                 changed.gateways = true;
             }
-            Change::GatewayGone { name } => {
+            Change::GatewayRemoved { name } => {
                 self.gateways.remove(&name);
                 changed.gateways = true;
             }
--- a/crates/serving/dunespur/src/service.rs
+++ b/crates/serving/dunespur/src/service.rs
@@ -6,7 +6,7 @@
 use crate::founding::Founding;
 use crate::load_exchange::LoadExchange;
 use crate::messages::{decode, encode, Reply, Request};
-use crate::status::GatewayStatus;
+use crate::status_collection::GatewayStatus;
 use bytes::Bytes;
 use dunespur_chain_replication::{Peer, View};
 use dunespur_rpc::Service;
@@ -15,12 +15,17 @@
 
 /// Answers internal calls; the core's part is there on machines with a disk.
 pub struct GatewayService {
+    /// The clock of the process.
     pub clock: Clock,
+    /// What it knows of the control state.
     pub directory: Rc<Directory>,
+    /// Its core member, on a machine with a disk.
     pub coordinator: Option<Rc<Coordinator>>,
+    /// Its part in the exchange of loads.
     pub load_exchange: Rc<LoadExchange>,
     /// Only at the process that founds the system.
     pub founding: Option<RefCell<Founding>>,
+    /// What it reports of itself.
     pub status: GatewayStatus,
 }
 
@@ -40,7 +45,7 @@
                 Reply::View(None)
             }
             Request::Candidate { peer } => self.candidate(peer),
-            Request::Home(ask) => Reply::Home(self.load_exchange.asked(&ask)),
+            Request::Home(ask) => Reply::Home(self.load_exchange.receive_report(&ask)),
             Request::Status { program } => {
                 Reply::Status(self.status.status(program.as_deref()).to_json())
             }
@@ -67,7 +72,7 @@
         };
         let candidacy = founding
             .borrow_mut()
-            .asked(peer, self.view().as_ref(), self.clock.now());
+            .answer(peer, self.view().as_ref(), self.clock.now());
         Reply::Candidacy(candidacy)
     }
 }
--- a/crates/serving/dunespur/src/settings/fields.rs
+++ b/crates/serving/dunespur/src/settings/fields.rs
@@ -5,7 +5,7 @@
 use std::fmt::Display;
 use std::str::FromStr;
 
-/// Where findings about the whole file stand.
+/// The place of findings about the complete file.
 const TOP: &str = "settings";
 
 /// The fields of an object. One that is null, or an empty text, counts as absent: the platform leaves fields
@@ -17,7 +17,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of the whole file.
+    /// The fields of the complete file.
     pub fn top(value: &'a Value, findings: &mut Findings) -> Fields<'a> {
         let object = value.as_object();
         if object.is_none() {
@@ -54,6 +54,7 @@
         }
     }
 
+    /// A text.
     pub fn text(&self, name: &str, findings: &mut Findings) -> Option<&'a str> {
         let value = self.value(name)?;
         let text = value.as_str();
@@ -87,6 +88,7 @@
         array
     }
 
+    /// The items of an array; none where it is absent.
     pub fn array(&self, name: &str, findings: &mut Findings) -> &'a [Value] {
         match self.value(name) {
             None => &[],
@@ -98,6 +100,7 @@
         }
     }
 
+    /// A boolean; false where it is absent.
     pub fn flag(&self, name: &str, findings: &mut Findings) -> bool {
         let Some(value) = self.value(name) else {
             return false;
@@ -112,7 +115,7 @@
         flag.unwrap_or(false)
     }
 
-    /// A number from 0 up; a fraction is cut off.
+    /// A number from 0 up; a fraction is truncated.
     pub fn unsigned(&self, name: &str, findings: &mut Findings) -> Option<u64> {
         let value = self.value(name)?;
         let number = value.as_u64().or_else(|| value.as_f64().and_then(truncate));
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -7,7 +7,8 @@
 use crate::messages::{decode, encode, NodeLease, Reply, Request};
 use crate::request_events::{self, Stopwatch, StoreSubject};
 use crate::settings::{Role, Settings};
-use crate::status::{basics, DiskStatus, Status, TurnsStatus};
+use crate::status::{DiskStatus, Status, TurnsStatus};
+use crate::status_collection::basics;
 use crate::store_client::{address_of, call_store};
 use anyhow::Context;
 use bytes::Bytes;
@@ -89,7 +90,7 @@
             address: settings.internal_address(),
             incarnation: wall_clock_ms(),
             disk: identity.disk,
-            whole: !identity.fresh,
+            complete: !identity.fresh,
         };
         directory.set_own_lease(NodeLease::of(&report));
         let capacity = Capacity::of(settings, set_aside_bytes(&file));
@@ -169,7 +170,7 @@
                 let _ = self.jobs.send(DiskJob { id: job, work });
             }
             Effect::Declare(Declaration::Complete) => {
-                self.report.borrow_mut().whole = true;
+                self.report.borrow_mut().complete = true;
                 self.report_changed.notify_one();
             }
             Effect::Declare(Declaration::Drained { .. }) => self.report_changed.notify_one(),
--- a/crates/serving/proxy/src/attempt.rs
+++ b/crates/serving/proxy/src/attempt.rs
@@ -1,4 +1,7 @@
 //! One attempt to get a response: one connection, one send, the head of one response.
+//!
+//! It ends with the head, as that decides whether the response is for the client at all: up to here nothing has been
+//! forwarded, and the request may still go elsewhere.
 
 use crate::active_request::{ActiveRequest, ConnectionChoice};
 use crate::attempt_error::AttemptError;
@@ -69,7 +72,7 @@
         if let Some(connection) = self.pooled_connection(ticket, choice) {
             trace::attempt(&self.parsed, ticket, ConnectionOrigin::Pooled);
             match self.exchange(connection, ticket).await {
-                // The connection ended as it was used again: the endpoint is as well reached over a new one.
+                // The connection ended as it was reused: that says nothing about the endpoint, which is tried over a new one.
                 Err(AttemptError::Ended(attempt)) if self.may_reconnect(attempt) => {
                     self.record
                         .record(&ticket.server.id, attempt.classify().execution);
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Whether the same endpoint is asked over a new connection, after an attempt over a pooled one.
+    /// Whether the same endpoint is tried over a new connection, after an attempt over a pooled one.
     fn may_reconnect(&self, attempt: Attempt) -> bool {
         match attempt.classify().execution {
             Execution::NotRun => true,
--- a/crates/serving/proxy/src/connection_pool.rs
+++ b/crates/serving/proxy/src/connection_pool.rs
@@ -1,5 +1,8 @@
 //! All connections to endpoints: pooled for the next request where that is safe, bounded in number, closed when they
 //! are idle for long.
+//!
+//! Reuse saves a round trip and risks a connection that its endpoint is about to close: [`IdleAge`] bounds that risk by
+//! what would be lost, and a connection with surplus bytes carries nothing any more.
 
 use crate::classification::Idempotency;
 use crate::clock::Clock;
@@ -119,7 +122,7 @@
         let stream = dial(endpoint, target_ms).await?;
         let mut connection = EndpointConnection::new(endpoint.id.clone(), stream, permit).await?;
         // Protects against an endpoint that has too many connections and resets a new one: a request written to it by
-        // then might have run, for all that could be told.
+        // then might have run, as far as anyone could tell.
         if connection.stays_open_for(self.watch).await {
             Ok(connection)
         } else {
--- a/crates/serving/proxy/tests/stale_responses.rs
+++ b/crates/serving/proxy/tests/stale_responses.rs
@@ -5,7 +5,9 @@
 
 use dunespur_proxy::{ProxySettings, Safeguards};
 use std::io::Write;
-use support::{event, get, pass_time, post, run_test, Message, Peer, TestEndpoint, TestProxy};
+use support::{
+    event, get, pass_time, post, run_test, two_endpoints, Message, Peer, TestEndpoint, TestProxy,
+};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::Duration;
@@ -156,43 +158,48 @@
     });
 }
 
+/// A request that its endpoint has received.
+struct PendingRequest {
+    client: Peer,
+    connection: Peer,
+}
+
+async fn pending_request(proxy: &TestProxy, endpoint: &TestEndpoint, id: &str) -> PendingRequest {
+    let client = proxy.request(&post("/write/", id, "", "x")).await;
+    let (connection, _) = endpoint.next_request().await;
+    PendingRequest { client, connection }
+}
+
 #[test]
 fn responses_on_different_connections_may_overtake_each_other() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut first = proxy.request(&post("/write/", "r1", "", "x")).await;
-        let (mut first_connection, _) = endpoint.next_request().await;
-        let mut second = proxy.request(&post("/write/", "r2", "", "x")).await;
-        let (mut second_connection, _) = endpoint.next_request().await;
-        second_connection.respond(200, "r2", "", "two").await;
-        assert_eq!(second.message().await.text(), "two");
-        first_connection.respond(200, "r1", "", "one").await;
-        assert_eq!(first.message().await.text(), "one");
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
+        let mut first = pending_request(&proxy, &endpoint, "r1").await;
+        let mut second = pending_request(&proxy, &endpoint, "r2").await;
+        second.connection.respond(200, "r2", "", "two").await;
+        assert_eq!(second.client.message().await.text(), "two");
+        first.connection.respond(200, "r1", "", "one").await;
+        assert_eq!(first.client.message().await.text(), "one");
     });
 }
 
 #[test]
 fn a_response_over_the_connection_of_another_request_is_discarded() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
-        let mut first = proxy.request(&post("/write/", "r1", "", "x")).await;
-        let (mut first_connection, _) = endpoint.next_request().await;
-        let mut second = proxy.request(&post("/write/", "r2", "", "x")).await;
-        let (mut second_connection, _) = endpoint.next_request().await;
-        first_connection.respond(200, "r2", "", "two").await;
-        second_connection.respond(200, "r1", "", "one").await;
-        assert_eq!(first.message().await.status(), 502);
-        assert_eq!(second.message().await.status(), 502);
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
+        let mut first = pending_request(&proxy, &endpoint, "r1").await;
+        let mut second = pending_request(&proxy, &endpoint, "r2").await;
+        first.connection.respond(200, "r2", "", "two").await;
+        second.connection.respond(200, "r1", "", "one").await;
+        assert_eq!(first.client.message().await.status(), 502);
+        assert_eq!(second.client.message().await.status(), 502);
     });
 }
 
 #[test]
 fn the_response_to_a_disconnected_client_is_discarded() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut connection = cooled_down_connection(&proxy, &endpoint).await;
         let left = proxy.request(&post("/write/", "r1", "", "x")).await;
         assert_eq!(connection.message().await.id(), "r1");
@@ -214,8 +221,7 @@
 #[test]
 fn a_rejected_request_is_not_sent_over_the_same_connection_again() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.node.offers_tried_again.set(true);
         let mut client = proxy.request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
@@ -232,8 +238,7 @@
 #[test]
 fn interim_responses_are_no_response() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection
@@ -249,10 +254,7 @@
 
 /// Whether a request that is not idempotent reaches a second endpoint after it may have run at the first.
 async fn runs_twice(safeguards: Safeguards) -> bool {
-    let (first, second) = (
-        TestEndpoint::start("i-1").await,
-        TestEndpoint::start("i-2").await,
-    );
+    let (first, second) = two_endpoints().await;
     let proxy = proxy_without(&[&first, &second], safeguards).await;
     proxy.node.edit_configuration(&[(
         r#""target_ms":500,"priority":1,"backend":"plain","retries":1"#,
@@ -387,10 +389,7 @@
 #[test]
 fn every_send_states_the_remaining_time() {
     run_test(async {
-        let (first, second) = (
-            TestEndpoint::start("i-1").await,
-            TestEndpoint::start("i-2").await,
-        );
+        let (first, second) = two_endpoints().await;
         let proxy = TestProxy::start(&[&first, &second]).await;
         let deadline = |message: &Message| -> u64 {
             message
@@ -413,8 +412,7 @@
 #[test]
 fn a_request_without_a_deadline_has_the_timeout_of_its_route() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = get("/read/", "r1").replace("X-Dunespur-Deadline-Ms: 15000\r\n", "");
         let _client = proxy.request(&request).await;
         let (_, message) = endpoint.next_request().await;
@@ -430,8 +428,7 @@
 #[test]
 fn a_response_comes_at_the_timeout_of_the_route() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let patient = post("/write/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000");
         let mut client = proxy.request(&patient).await;
         let (mut connection, _) = endpoint.next_request().await;
@@ -446,8 +443,7 @@
 #[test]
 fn a_stream_under_way_ends_truncated_at_the_timeout_of_its_route() {
     run_test(async {
-        let endpoint = TestEndpoint::start("i-1").await;
-        let proxy = TestProxy::start(&[&endpoint]).await;
+        let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy
             .request(&post("/stream/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000"))
             .await;
--- a/crates/serving/storage/src/core/mod.rs
+++ b/crates/serving/storage/src/core/mod.rs
@@ -12,7 +12,7 @@
 use crate::identity::{DiskIdentity, Opened};
 use crate::integrity::open_checked;
 use crate::recovery::{open_or_set_aside, sync_folder};
-use dunespur_chain_replication::{Saved, Write};
+use dunespur_chain_replication::{DurableState, Write};
 use redb::StorageBackend;
 use std::cell::Cell;
 use std::fs;
@@ -32,11 +32,11 @@
     ///
     /// # Errors
     /// The file can't be made or opened, for a reason that says nothing of its contents; it stays as it is.
-    pub fn open(path: &Path) -> Result<Opened<CoreDisk, Saved>> {
+    pub fn open(path: &Path) -> Result<Opened<CoreDisk, DurableState>> {
         open_or_set_aside(path, || Self::open_file(path))
     }
 
-    fn open_file(path: &Path) -> Result<Opened<CoreDisk, Saved>> {
+    fn open_file(path: &Path) -> Result<Opened<CoreDisk, DurableState>> {
         let fresh = !path.exists();
         if fresh {
             create(path).map_err(StorageError::operation("making", path))?;
@@ -53,7 +53,7 @@
     /// The backend can't be opened or read.
     pub fn open_backend<B: StorageBackend>(
         backend: impl Fn() -> B + Send + 'static,
-    ) -> Result<Opened<CoreDisk, Saved>> {
+    ) -> Result<Opened<CoreDisk, DurableState>> {
         let database = ReopeningDatabase::open_backend(backend)?;
         let fresh = database.with(|database| {
             let empty = database.begin_read()?.list_tables()?.next().is_none();
@@ -65,7 +65,7 @@
         Self::load(database, fresh)
     }
 
-    fn load(database: ReopeningDatabase, fresh: bool) -> Result<Opened<CoreDisk, Saved>> {
+    fn load(database: ReopeningDatabase, fresh: bool) -> Result<Opened<CoreDisk, DurableState>> {
         let (number, saved) = database
             .with(|database| Ok((reader::disk_number(database)?, reader::saved(database)?)))?;
         let snapshot = saved.snapshot.as_ref();
--- a/crates/serving/turn-replication/tests/world/core.rs
+++ b/crates/serving/turn-replication/tests/world/core.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use dunespur_control_state::{
-    ControlState, NodeKind, NodeReport, Operation, Outcome, RetireOutcome, RetireState,
+    ControlState, NodeKind, NodeReport, Operation, Outcome, RetirementOutcome, RetirementState,
 };
 use dunespur_turn_replication::membership::StoreEntry;
 
@@ -72,15 +72,15 @@
     }
 
     /// The operator orders that a store be drained.
-    pub(super) fn order_retirement(&mut self, name: &str) -> RetireOutcome {
+    pub(super) fn order_retirement(&mut self, name: &str) -> RetirementOutcome {
         let tolerated_losses = self.plan.tolerated as u32;
-        let order = |fence| Operation::RetireStart {
+        let order = |fencing_token| Operation::RetireStart {
             node: name.to_owned(),
             tolerated_losses,
-            fence,
+            fencing_token,
         };
         let outcome = match self.commit(&order(0)) {
-            Outcome::Fenced { fence } => self.commit(&order(fence)),
+            Outcome::Fenced { fencing_token } => self.commit(&order(fencing_token)),
             outcome => outcome,
         };
         match outcome {
@@ -93,7 +93,7 @@
     pub(super) fn drained_received(&mut self, machine: usize, operation: &Operation) {
         self.commit(operation);
         let retirement = self.core.state.retirement(&self.machines[machine].name);
-        if retirement == Some(RetireState::Done) {
+        if retirement == Some(RetirementState::Done) {
             self.remove_drained(machine);
         }
     }
@@ -107,7 +107,7 @@
             address: SocketAddr::from((Ipv4Addr::LOCALHOST, 7_380 + number as u16)),
             incarnation: machine.incarnation,
             disk: machine.disk.number,
-            whole: machine.node.as_ref().is_some_and(|node| node.is_complete()),
+            complete: machine.node.as_ref().is_some_and(|node| node.is_complete()),
         };
         let name = report.name.clone();
         self.core.last_heartbeat_at_ms.insert(name, self.now_ms);
@@ -127,7 +127,7 @@
         let operation = Operation::RetireDone {
             node: machine.name.clone(),
             incarnation: machine.incarnation,
-            round: epoch,
+            epoch,
         };
         let max_ms = if self.rng.u8(0..4) == 0 {
             MAX_DELAY_MS
@@ -150,7 +150,7 @@
         };
         let expired: Vec<StoreEntry> = self.core.state.stores().filter(is_expired).collect();
         for entry in expired {
-            self.commit(&Operation::NodeGone {
+            self.commit(&Operation::NodeExpired {
                 name: entry.name,
                 incarnation: entry.incarnation,
             });
--- a/crates/serving/turn-replication/tests/world/faults.rs
+++ b/crates/serving/turn-replication/tests/world/faults.rs
@@ -1,7 +1,7 @@
 //! Faults, never more at one time than are tolerated, each followed by the time to catch up; and the checks that
 //! belong to them.
 
-use dunespur_control_state::RetireOutcome;
+use dunespur_control_state::RetirementOutcome;
 
 use super::machine::MachineState;
 use super::{Event, World, CATCH_UP_MS};
@@ -144,18 +144,18 @@
         let now_ms = self.now_ms;
         let ordered_at_ms = self.machines[machine].retirement_ordered_at_ms;
         match self.order_retirement(&name) {
-            RetireOutcome::Taken => {
+            RetirementOutcome::Accepted => {
                 let machine = &mut self.machines[machine];
                 machine.retirement_ordered_at_ms.get_or_insert(now_ms);
             }
             _ if ordered_at_ms.is_some() => {
                 self.fail("an accepted order is rejected when it comes again");
             }
-            RetireOutcome::TooFew => self.statistics.rejected_retirements += 1,
-            RetireOutcome::UnknownNode if is_known => {
+            RetirementOutcome::TooFew => self.statistics.rejected_retirements += 1,
+            RetirementOutcome::UnknownNode if is_known => {
                 self.fail("a known store is said to be unknown");
             }
-            RetireOutcome::UnknownNode => {}
+            RetirementOutcome::UnknownNode => {}
         }
     }
 
--- a/crates/serving/turn-replication/tests/world/mod.rs
+++ b/crates/serving/turn-replication/tests/world/mod.rs
@@ -21,7 +21,7 @@
 use dunespur_turn_replication::safeguards::Safeguards;
 use fastrand::Rng;
 
-pub use dunespur_control_state::Guards as CoreSafeguards;
+pub use dunespur_control_state::Safeguards as CoreSafeguards;
 
 use digest::Digest;
 pub use exposure::ExposureWindow;
@@ -274,7 +274,7 @@
             events: BTreeMap::new(),
             last_event: 0,
             machines: Vec::new(),
-            core: core::Core::new(ControlState::with_guards(plan.core_safeguards)),
+            core: core::Core::new(ControlState::default().with_safeguards(plan.core_safeguards)),
             gateways: Vec::new(),
             programs: Vec::new(),
             operations: BTreeMap::new(),
