--- a/crates/serving/control-state/src/lib.rs
+++ b/crates/serving/control-state/src/lib.rs
@@ -23,7 +23,8 @@
 mod store;
 mod stores;
 
-pub use change::{Change, GatewayEntry, StoreEntry};
+pub use change::{Change, GatewayEntry};
+pub use dunespur_turn_replication::membership::StoreEntry;
 pub use operation::{
     ConfigurationRequest, ConfigurationRequestKind, NodeKind, NodeReport, Operation, ServerReport,
     ServerState,
--- a/crates/serving/storage/src/turns/tables.rs
+++ b/crates/serving/storage/src/turns/tables.rs
@@ -4,7 +4,7 @@
 use crate::database::begin_synced_write;
 use crate::error::{Result, StorageError};
 use crate::identity::{random_disk_number, DiskIdentity};
-use dunespur_turn_replication::index::IndexEntry;
+use dunespur_turn_replication::turn::TurnHeader;
 use redb::{Database, ReadableTable, TableDefinition, TableError};
 
 /// Layout of the tables; a file of another is refused.
@@ -68,13 +68,13 @@
 }
 
 /// Reads the headers of all turns.
-pub fn headers(database: &Database) -> Result<Vec<IndexEntry>> {
+pub fn headers(database: &Database) -> Result<Vec<TurnHeader>> {
     let headers = database.begin_read()?.open_table(HEADERS)?;
     let mut entries = Vec::new();
     for row in headers.iter()? {
         let (id, header) = row?;
         let header = record::decode_header(header.value())?;
-        entries.push(record::index_entry(id.value(), &header));
+        entries.push(record::turn_header(id.value(), &header));
     }
     Ok(entries)
 }
