--- a/crates/serving/dunespur/src/directory/known_state.rs
+++ b/crates/serving/dunespur/src/directory/known_state.rs
@@ -1,9 +1,8 @@
 //! The control state as far as a process knows it, and how a change of it is applied.
 
 use crate::messages::StateUpdate;
-use dunespur_configuration::{Document, Table};
+use dunespur_configuration::{Document, RouteTable};
 use dunespur_control_state::{Change, GatewayEntry, ServerReport, StoreEntry};
-use dunespur_turn_replication::roster::Store;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -13,13 +12,13 @@
     /// Index of the control state; `None` until the first update.
     pub index: Option<u64>,
     /// The configuration in force here.
-    pub table: Option<Rc<Table>>,
+    pub table: Option<Rc<RouteTable>>,
     /// The servers of all services, by id.
     pub servers: BTreeMap<String, ServerReport>,
     /// The gateways that are there, by name.
     pub gateways: BTreeMap<String, GatewayEntry>,
     /// All stores, by name.
-    pub stores: BTreeMap<String, Store>,
+    pub stores: BTreeMap<String, StoreEntry>,
 }
 
 /// Which parts of the control state an update has changed.
@@ -82,7 +81,7 @@
                 changed.servers = true;
             }
             Change::Store(entry) => {
-                self.stores.insert(entry.name.clone(), store(entry));
+                self.stores.insert(entry.name.clone(), entry);
                 changed.stores = true;
             }
             Change::StoreRemoved { name } => {
@@ -107,25 +106,9 @@
             return false;
         }
         match Document::replace(json.as_bytes()) {
-            Ok(document) => self.table = Some(Rc::new(Table::new(&document))),
+            Ok(document) => self.table = Some(Rc::new(RouteTable::new(&document))),
             Err(findings) => log::error!("configuration {generation} can't be used: {findings}"),
         }
         true
     }
 }
-
-/// A store as the replication of turns sees it.
-fn store(entry: StoreEntry) -> Store {
-    Store {
-        name: entry.name,
-        zone: entry.zone,
-        address: entry.address,
-        incarnation: entry.incarnation,
-        disk: entry.disk,
-        whole: entry.complete,
-        present: entry.present,
-        retiring: entry.retiring,
-        retired: entry.retired,
-        round: entry.epoch,
-    }
-}
--- a/crates/serving/dunespur/src/status_collection.rs
+++ b/crates/serving/dunespur/src/status_collection.rs
@@ -161,7 +161,7 @@
             address: store.address,
             zone: store.zone.clone(),
             present: store.present,
-            complete: store.whole,
+            complete: store.complete,
             retiring: store.retiring,
             retired: store.retired,
         })
--- a/crates/serving/storage/tests/full/turns.rs
+++ b/crates/serving/storage/tests/full/turns.rs
@@ -4,10 +4,9 @@
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
 use dunespur_storage::Opened;
-use dunespur_turn_replication::index::IndexEntry;
-use dunespur_turn_replication::turn::Turn;
+use dunespur_turn_replication::turn::{Turn, TurnHeader};
 
-fn open(storage: &Storage) -> (TurnDisk, Vec<IndexEntry>) {
+fn open(storage: &Storage) -> (TurnDisk, Vec<TurnHeader>) {
     let storage = storage.clone();
     let Opened {
         disk,
@@ -29,7 +28,7 @@
     }
 }
 
-fn ids(entries: &[IndexEntry]) -> Vec<&str> {
+fn ids(entries: &[TurnHeader]) -> Vec<&str> {
     entries.iter().map(|entry| entry.id.as_str()).collect()
 }
 
