--- a/crates/gateway/gossip-membership/src/membership.rs
+++ b/crates/gateway/gossip-membership/src/membership.rs
@@ -18,7 +18,7 @@
 
 /// Each limiter passes an update on at least so often: with three, as the library has it for ten members, some
 /// suspects never heard of the suspicion where a third of all datagrams was lost.
-const MIN_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(12).unwrap();
+const MIN_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(12).expect("twelve is not zero");
 /// Members that a round of gossip goes to.
 const GOSSIP_FANOUT: usize = 3;
 /// Members that are up and get an announcement at a time.
--- a/crates/gateway/gossip-membership/tests/behaviour.rs
+++ b/crates/gateway/gossip-membership/tests/behaviour.rs
@@ -3,34 +3,19 @@
 //! under `tests/fixtures`.
 
 use dunespur_gossip_membership::{Member, Membership, Output, Settings};
+use dunespur_test_fixtures::{hex, Fixtures};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::net::SocketAddrV4;
-use std::path::{Path, PathBuf};
 
-/// With this variable in the environment the fixtures are written instead of read (with `--test-threads=1`).
-const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
 const SEEDS: u64 = 100;
 const LIMITERS: u16 = 5;
 const STEP: f64 = 0.02;
 /// Each seed's world runs this many steps.
 const STEPS: usize = 3_000;
 
-fn fixture_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/fixtures")
-        .join(name)
-}
-
-fn assert_is_fixture(name: &str, text: &str) {
-    if std::env::var_os(WRITE_FIXTURES).is_some() {
-        std::fs::write(fixture_path(name), text).expect("the fixture is written");
-    }
-    let expected = std::fs::read_to_string(fixture_path(name)).expect("the fixture is there");
-    for (now, then) in text.lines().zip(expected.lines()) {
-        assert_eq!(now, then, "{name}");
-    }
-    assert_eq!(text.lines().count(), expected.lines().count());
+fn fixtures() -> Fixtures {
+    Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
 fn address(port: u16) -> SocketAddrV4 {
@@ -269,7 +254,7 @@
         total.iter().all(|count| *count > 0),
         "each kind of output occurs: {total:?}"
     );
-    assert_is_fixture("digests.txt", &text);
+    fixtures().assert_text("digests.txt", &text);
 }
 
 #[test]
@@ -313,7 +298,7 @@
         assert!(from_first.is_empty() && from_second.is_empty());
     }
     assert_eq!((first.count(), second.count()), (1, 1));
-    assert_is_fixture("datagrams.txt", &text);
+    fixtures().assert_text("datagrams.txt", &text);
 }
 
 /// Adds datagrams in hexadecimal to a text; gives their bytes.
@@ -321,8 +306,7 @@
     let mut datagrams = Vec::new();
     for output in outputs {
         if let Output::Datagram { bytes, .. } = output {
-            let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-            writeln!(text, "{from} {hex}").expect("a text grows");
+            writeln!(text, "{from} {}", hex(bytes)).expect("a text grows");
             datagrams.push(bytes.clone());
         }
     }
--- a/crates/gateway/peer-transport/tests/frames.rs
+++ b/crates/gateway/peer-transport/tests/frames.rs
@@ -2,11 +2,9 @@
 
 use dunespur_peer_transport::frame::{StreamHeader, HEADER_BYTES};
 use dunespur_peer_transport::{Frame, FrameError, Kind};
+use dunespur_test_fixtures::Fixtures;
 use std::net::SocketAddrV4;
-use std::path::{Path, PathBuf};
 
-/// With this variable in the environment the fixtures are written instead of read (with `--test-threads=1`).
-const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
 const KINDS: [(Kind, u16, &str); 4] = [
     (Kind::Gossip, 1, "gossip"),
     (Kind::SingletonRoles, 2, "duties"),
@@ -25,28 +23,8 @@
     }
 }
 
-fn fixture_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/fixtures")
-        .join(name)
-}
-
-fn assert_is_fixture(name: &str, bytes: &[u8]) {
-    if std::env::var_os(WRITE_FIXTURES).is_some() {
-        let text: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-        std::fs::write(fixture_path(name), text + "\n").expect("the fixture is written");
-    }
-    assert_eq!(bytes, fixture(name), "bytes on the wire differ from {name}");
-}
-
-/// A fixture's bytes, which stand there in hexadecimal.
-fn fixture(name: &str) -> Vec<u8> {
-    let text = std::fs::read_to_string(fixture_path(name)).expect("the fixture is there");
-    let digits = text.trim().as_bytes().chunks(2);
-    digits
-        .map(|digits| std::str::from_utf8(digits).expect("digits"))
-        .map(|digits| u8::from_str_radix(digits, 16).expect("hexadecimal"))
-        .collect()
+fn fixtures() -> Fixtures {
+    Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
 #[test]
@@ -57,8 +35,8 @@
             (number, Some(kind))
         );
         let name = format!("datagram-{name}.hex");
-        assert_is_fixture(&name, &frame(number).to_datagram());
-        let read = Frame::from_datagram(&fixture(&name), "fleet-1").unwrap();
+        fixtures().assert_bytes(&name, &frame(number).to_datagram());
+        let read = Frame::from_datagram(&fixtures().bytes(&name), "fleet-1").unwrap();
         assert_eq!((read.kind(), read), (Ok(kind), frame(number)));
     }
 }
@@ -67,8 +45,8 @@
 fn frames_of_a_stream_have_the_bytes_of_the_earlier_revision() {
     for (kind, number, name) in KINDS {
         let name = format!("stream-{name}.hex");
-        assert_is_fixture(&name, &frame(number).to_stream());
-        let bytes = fixture(&name);
+        fixtures().assert_bytes(&name, &frame(number).to_stream());
+        let bytes = fixtures().bytes(&name);
         let (header, body) = bytes.split_first_chunk::<HEADER_BYTES>().unwrap();
         let header = StreamHeader::decode(header, 1_000).unwrap();
         assert_eq!(header.length, body.len());
--- a/crates/gateway/voter-storage/tests/compatibility.rs
+++ b/crates/gateway/voter-storage/tests/compatibility.rs
@@ -1,10 +1,8 @@
 //! A voter's file stays readable: its records have the bytes that revision 52a1591 wrote, and a file of that revision
 //! opens with everything in it found by value. That revision wrote the files under `tests/fixtures`.
 
-mod common;
-
-use common::TemporaryFolder;
 use dunespur_singleton_roles::log::{Batch, Conf, Entry, Hard, Meta, Saved, Seen, Snap};
+use dunespur_test_fixtures::{hex, Fixtures, TemporaryFolder};
 use dunespur_voter_storage::{OpenedVoter, VoterStorage};
 use redb::{Database, Key, ReadableTable, TableDefinition, Value};
 use std::collections::BTreeMap;
@@ -13,40 +11,16 @@
 
 const HEAD: TableDefinition<&str, &[u8]> = TableDefinition::new("head");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// With this variable in the environment the fixtures are written instead of read (with `--test-threads=1`).
-const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
-/// Length of the blocks by which a packed fixture has its file.
-const BLOCK_BYTES: usize = 512;
 const FLEET: &str = "fleet-1";
 const NAME: &str = "limiter-2";
 
-fn fixture_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/fixtures")
-        .join(name)
-}
-
-/// Each run of equal blocks as one of them behind their number, which is little-endian.
-fn packed(file: &[u8]) -> Vec<u8> {
-    let blocks: Vec<&[u8]> = file.chunks(BLOCK_BYTES).collect();
-    let runs = blocks.chunk_by(|one, next| one == next);
-    runs.flat_map(|run| [&(run.len() as u32).to_le_bytes()[..], run[0]].concat())
-        .collect()
-}
-
-fn unpacked(packed: &[u8]) -> Vec<u8> {
-    let mut file = Vec::new();
-    for run in packed.chunks(4 + BLOCK_BYTES) {
-        let (count, block) = run
-            .split_first_chunk::<4>()
-            .expect("a run's number of blocks");
-        file.extend(block.repeat(u32::from_le_bytes(*count) as usize));
-    }
-    file
+fn fixtures() -> Fixtures {
+    Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+/// The voter's file in a folder.
+fn file(folder: &TemporaryFolder) -> PathBuf {
+    folder.file("voter.redb")
 }
 
 fn dump<K: Key + 'static, V: Value + 'static>(
@@ -164,34 +138,19 @@
 
 #[test]
 fn records_have_the_bytes_of_the_earlier_revision() {
-    let folder = TemporaryFolder::new("records");
-    write(&folder.file());
-    let records = records(&folder.file());
-    if std::env::var_os(WRITE_FIXTURES).is_some() {
-        fs::write(fixture_path("records.txt"), &records).expect("the fixture is written");
-    }
-    assert_eq!(
-        records,
-        fs::read_to_string(fixture_path("records.txt")).expect("the fixture is there")
-    );
+    let folder = TemporaryFolder::new("voter-records");
+    write(&file(&folder));
+    fixtures().assert_text("records.txt", &records(&file(&folder)));
 }
 
 #[test]
 fn a_file_of_the_earlier_revision_opens_with_all_that_it_contains() {
-    let folder = TemporaryFolder::new("file");
-    let path = folder.file();
-    if std::env::var_os(WRITE_FIXTURES).is_some() {
-        write(&path);
-        let file = fs::read(&path).expect("the file");
-        fs::write(fixture_path("voter.redb.packed"), packed(&file))
-            .expect("the fixture is written");
-    }
-    let fixture = fs::read(fixture_path("voter.redb.packed")).expect("the fixture is there");
-    fs::write(&path, unpacked(&fixture)).expect("a copy of the fixture");
-    assert_eq!(
-        records(&path),
-        fs::read_to_string(fixture_path("records.txt")).expect("the fixture is there")
-    );
+    let folder = TemporaryFolder::new("voter-file");
+    let path = file(&folder);
+    write(&path);
+    fixtures().keep_packed("voter.redb.packed", &path);
+    fixtures().unpack_to("voter.redb.packed", &path);
+    assert_eq!(records(&path), fixtures().text("records.txt"));
 
     let OpenedVoter { saved, .. } =
         VoterStorage::open(&path, FLEET, NAME).expect("the earlier revision's file opens");
@@ -235,8 +194,8 @@
 
 #[test]
 fn errors_name_the_file_the_cause_and_the_remedy() {
-    let folder = TemporaryFolder::new("errors");
-    let path = folder.file();
+    let folder = TemporaryFolder::new("voter-errors");
+    let path = file(&folder);
     let error = |fleet: &str, name: &str| {
         let error = VoterStorage::open(&path, fleet, name)
             .expect_err("it does not open")
@@ -282,8 +241,8 @@
 
 #[test]
 fn an_entry_at_anothers_index_is_an_error() {
-    let folder = TemporaryFolder::new("index");
-    let path = folder.file();
+    let folder = TemporaryFolder::new("voter-index");
+    let path = file(&folder);
     write(&path);
     let database = Database::open(&path).expect("the library opens it");
     let transaction = database.begin_write().expect("a transaction");
--- a/crates/gateway/voter-storage/tests/restarts.rs
+++ b/crates/gateway/voter-storage/tests/restarts.rs
@@ -1,9 +1,7 @@
 //! What was written is found again after restarts; a file that can't be used is refused.
 
-mod common;
-
-use common::TemporaryFolder;
 use dunespur_singleton_roles::log::{Batch, Entry, Hard, Meta, Saved, Snap};
+use dunespur_test_fixtures::TemporaryFolder;
 use dunespur_voter_storage::{OpenedVoter, VoterStorage};
 
 fn entry(index: u64, term: u64) -> Entry {
@@ -19,9 +17,9 @@
 /// What the file has after any sequence of batches is what [`Saved`] has in memory.
 #[test]
 fn it_has_what_the_form_in_memory_has_over_restarts() {
-    let folder = TemporaryFolder::new("restarts");
+    let folder = TemporaryFolder::new("voter-restarts");
     // The folder is made if it is missing.
-    let path = folder.file().with_file_name("data").join("voter.redb");
+    let path = folder.file("data").join("voter.redb");
     let mut expected = Saved::default();
     let snapshot = Snap {
         index: 2,
@@ -80,8 +78,8 @@
 
 #[test]
 fn it_refuses_another_owner_a_second_process_and_a_damaged_file() {
-    let folder = TemporaryFolder::new("refusals");
-    let path = folder.file();
+    let folder = TemporaryFolder::new("voter-refusals");
+    let path = folder.file("voter.redb");
     let opened = VoterStorage::open(&path, "f", "n1").unwrap();
     assert!(
         VoterStorage::open(&path, "f", "n1").is_err(),
--- a/crates/serving/rpc/tests/frames.rs
+++ b/crates/serving/rpc/tests/frames.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use common::run;
 use dunespur_rpc::{serve, Client, Service};
-use std::path::{Path, PathBuf};
+use dunespur_test_fixtures::Fixtures;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -13,35 +13,8 @@
 use tokio::task::spawn_local;
 
 const TIME_LIMIT: Duration = Duration::from_secs(10);
-/// With this variable in the environment the fixtures are written instead of read (with `--test-threads=1`).
-const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
-
-fn fixture_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/fixtures")
-        .join(name)
-}
-
-fn assert_is_fixture(name: &str, bytes: &[u8]) {
-    if std::env::var_os(WRITE_FIXTURES).is_some() {
-        let text: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-        std::fs::write(fixture_path(name), text + "\n").expect("the fixture is written");
-    }
-    assert_eq!(
-        bytes,
-        fixture(name),
-        "bytes on the connection differ from {name}"
-    );
-}
-
-/// A fixture's bytes, which stand there in hexadecimal.
-fn fixture(name: &str) -> Vec<u8> {
-    let text = std::fs::read_to_string(fixture_path(name)).expect("the fixture is there");
-    let digits = text.trim().as_bytes().chunks(2);
-    digits
-        .map(|digits| std::str::from_utf8(digits).expect("digits"))
-        .map(|digits| u8::from_str_radix(digits, 16).expect("hexadecimal"))
-        .collect()
+fn fixtures() -> Fixtures {
+    Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
 /// Responds to a call with `<payload>.`.
@@ -94,7 +67,7 @@
         let mut stream = listener.accept().await.unwrap().0;
         let written = read(&mut stream, expected.len()).await;
         assert_eq!(written, expected);
-        assert_is_fixture("client.hex", &written);
+        fixtures().assert_bytes("client.hex", &written);
         for (number, payload) in [(2, &b"two"[..]), (1, b""), (3, b"three")] {
             stream.write_all(&frame(number, payload)).await.unwrap();
         }
@@ -114,7 +87,7 @@
             .await
             .unwrap();
         spawn_local(serve(listener, Rc::new(Dot)));
-        let requests = fixture("client.hex");
+        let requests = fixtures().bytes("client.hex");
         stream.write_all(&requests).await.unwrap();
         let expected = [
             frame(1, b"first call."),
@@ -124,6 +97,6 @@
         .concat();
         let written = read(&mut stream, expected.len()).await;
         assert_eq!(written, expected, "the message has no response");
-        assert_is_fixture("server.hex", &written);
+        fixtures().assert_bytes("server.hex", &written);
     });
 }
--- a/crates/serving/storage/tests/compatibility/core.rs
+++ b/crates/serving/storage/tests/compatibility/core.rs
@@ -1,7 +1,6 @@
 //! Files of core members.
 
-use crate::common::TemporaryFolder;
-use crate::support::{assert_is_fixture, copy_fixture, dump, hex, keep_as_fixture};
+use crate::dump::{dump, shown};
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest, LimiterId};
 use dunespur_chain_replication::{
     AcceptedView, DecidedView, DurableState, Entry, MemberId, Origin, Payload, Peer, Position,
@@ -13,6 +12,7 @@
 };
 use dunespur_storage::core::CoreDisk;
 use dunespur_storage::{DiskIdentity, Opened};
+use dunespur_test_fixtures::{Fixtures, TemporaryFolder};
 use redb::{Database, TableDefinition};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -115,25 +115,29 @@
     ]
 }
 
+fn fixtures() -> Fixtures {
+    Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
+}
+
 /// All rows but that of the identity, which is drawn at random.
 fn records(path: &Path) -> String {
     let database = Database::open(path).expect("the library opens it");
     let values = dump(&database, VALUES, |key, value| match key {
         "disk" => (key.to_owned(), "drawn at random".to_owned()),
-        _ => (key.to_owned(), hex(value)),
+        _ => (key.to_owned(), shown(value)),
     });
     let chunks = dump(&database, SNAPSHOT_CHUNKS, |number, chunk| {
-        (number.to_string(), hex(chunk))
+        (number.to_string(), shown(chunk))
     });
     let entries = dump(&database, ENTRIES, |index, entry| {
-        (index.to_string(), hex(entry))
+        (index.to_string(), shown(entry))
     });
     values + &chunks + &entries
 }
 
 #[test]
 fn records_of_a_core_member_have_the_bytes_of_the_earlier_revision() {
-    let folder = TemporaryFolder::new("core-records");
+    let folder = TemporaryFolder::new("storage-core-records");
     let path = folder.file("core.redb");
     let Opened { disk, .. } = CoreDisk::open(&path).expect("a new file");
     // The entries that the snapshot covers go with the next commit; here they stay for the comparison.
@@ -143,11 +147,11 @@
         .expect("some");
     disk.write(&others).expect("the disk accepts it");
     drop(disk);
-    assert_is_fixture("core-before-snapshot.txt", &records(&path));
+    fixtures().assert_text("core-before-snapshot.txt", &records(&path));
     let Opened { disk, .. } = CoreDisk::open(&path).expect("it opens again");
     disk.write(&[snapshot]).expect("the disk accepts it");
     drop(disk);
-    assert_is_fixture("core-after-snapshot.txt", &records(&path));
+    fixtures().assert_text("core-after-snapshot.txt", &records(&path));
 }
 
 fn server(id: &str, port: u16, state: ServerState) -> ServerReport {
@@ -288,17 +292,17 @@
 
 #[test]
 fn a_core_members_file_of_the_earlier_revision_opens_with_all_that_it_contains() {
-    let folder = TemporaryFolder::new("core-file");
+    let folder = TemporaryFolder::new("storage-core-file");
     let path = folder.file("core.redb");
     let Opened { disk, .. } = CoreDisk::open(&path).expect("a new file");
     batches()
         .iter()
         .for_each(|batch| disk.write(batch).expect("the disk accepts it"));
     drop(disk);
-    keep_as_fixture("core.redb.packed", &path);
+    fixtures().keep_packed("core.redb.packed", &path);
     let written_now = records(&path);
 
-    copy_fixture("core.redb.packed", &path);
+    fixtures().unpack_to("core.redb.packed", &path);
     assert_eq!(records(&path), written_now);
     let Opened {
         identity,
@@ -333,9 +337,9 @@
 
 #[test]
 fn the_control_state_in_a_file_of_the_earlier_revision_is_found_by_value() {
-    let folder = TemporaryFolder::new("core-state");
+    let folder = TemporaryFolder::new("storage-core-state");
     let path = folder.file("core.redb");
-    copy_fixture("core.redb.packed", &path);
+    fixtures().unpack_to("core.redb.packed", &path);
     let Opened {
         contents: saved, ..
     } = CoreDisk::open(&path).expect("the earlier revision's file opens");
--- /dev/null
+++ b/crates/serving/storage/tests/compatibility/dump.rs
@@ -0,0 +1,39 @@
+//! Dumps of tables.
+
+use dunespur_test_fixtures::hex;
+use redb::{Database, Key, ReadableTable, TableDefinition, Value};
+use std::fmt::Write as _;
+
+/// Values that are longer are shown by their beginning, length and checksum.
+const MAX_SHOWN_BYTES: usize = 400;
+
+/// Rows of a table, a line each.
+pub fn dump<K: Key + 'static, V: Value + 'static>(
+    database: &Database,
+    table: TableDefinition<K, V>,
+    show: impl Fn(K::SelfType<'_>, V::SelfType<'_>) -> (String, String),
+) -> String {
+    let mut text = format!("{table}\n");
+    let transaction = database.begin_read().expect("a transaction");
+    for row in transaction
+        .open_table(table)
+        .expect("the table")
+        .iter()
+        .expect("its rows")
+    {
+        let (key, value) = row.expect("a row");
+        let (key, value) = show(key.value(), value.value());
+        writeln!(text, "  {key}: {value}").expect("a text grows");
+    }
+    text
+}
+
+/// A value in hexadecimal.
+pub fn shown(bytes: &[u8]) -> String {
+    if bytes.len() <= MAX_SHOWN_BYTES {
+        return hex(bytes);
+    }
+    let beginning = hex(&bytes[..MAX_SHOWN_BYTES]);
+    let checksum = crc32fast::hash(bytes);
+    format!("{beginning}... {} bytes, crc32 {checksum:08x}", bytes.len())
+}
--- a/crates/serving/storage/tests/compatibility/turns.rs
+++ b/crates/serving/storage/tests/compatibility/turns.rs
@@ -1,10 +1,10 @@
 //! Files of turn stores.
 
-use crate::common::TemporaryFolder;
-use crate::support::{assert_is_fixture, copy_fixture, dump, hex, keep_as_fixture};
+use crate::dump::{dump, shown};
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
 use dunespur_storage::{DiskIdentity, Opened};
+use dunespur_test_fixtures::{Fixtures, TemporaryFolder};
 use dunespur_turn_replication::turn::{Turn, TurnHeader};
 use redb::{Database, TableDefinition};
 use std::path::Path;
@@ -63,6 +63,10 @@
     }
 }
 
+fn fixtures() -> Fixtures {
+    Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
+}
+
 /// All rows but that of the identity, which is drawn at random.
 fn records(path: &Path) -> String {
     let database = Database::open(path).expect("the library opens it");
@@ -71,9 +75,9 @@
         _ => (key.to_owned(), value.to_string()),
     });
     let headers = dump(&database, HEADERS, |id, header| {
-        (id.to_owned(), hex(header))
+        (id.to_owned(), shown(header))
     });
-    let bodies = dump(&database, BODIES, |id, body| (id.to_owned(), hex(body)));
+    let bodies = dump(&database, BODIES, |id, body| (id.to_owned(), shown(body)));
     meta + &headers + &bodies
 }
 
@@ -88,21 +92,21 @@
 
 #[test]
 fn records_of_a_turn_store_have_the_bytes_of_the_earlier_revision() {
-    let folder = TemporaryFolder::new("turn-records");
+    let folder = TemporaryFolder::new("storage-turn-records");
     let path = folder.file("turns.redb");
     write(&path);
-    assert_is_fixture("turns.txt", &records(&path));
+    fixtures().assert_text("turns.txt", &records(&path));
 }
 
 #[test]
 fn a_turn_stores_file_of_the_earlier_revision_opens_with_all_that_it_contains() {
-    let folder = TemporaryFolder::new("turn-file");
+    let folder = TemporaryFolder::new("storage-turn-file");
     let path = folder.file("turns.redb");
     write(&path);
-    keep_as_fixture("turns.redb.packed", &path);
+    fixtures().keep_packed("turns.redb.packed", &path);
     let written_now = records(&path);
 
-    copy_fixture("turns.redb.packed", &path);
+    fixtures().unpack_to("turns.redb.packed", &path);
     assert_eq!(records(&path), written_now);
     let Opened {
         disk,
--- a/crates/serving/storage/tests/core.rs
+++ b/crates/serving/storage/tests/core.rs
@@ -1,14 +1,12 @@
 //! The core member's file contains what [`DurableState::apply`] says, over restarts, and its identity stays.
 
-mod common;
-
-use common::TemporaryFolder;
 use dunespur_chain_replication::{
     AcceptedView, DecidedView, DurableState, Entry, MemberId, Origin, Payload, Peer, Position,
     ProposalNumber, Snapshot, View, Write,
 };
 use dunespur_storage::core::CoreDisk;
 use dunespur_storage::Opened;
+use dunespur_test_fixtures::TemporaryFolder;
 use std::fs;
 use std::path::Path;
 
@@ -134,7 +132,7 @@
 #[test]
 fn what_was_written_is_found_again() {
     for seed in 0..6 {
-        let folder = TemporaryFolder::new(&format!("writes-{seed}"));
+        let folder = TemporaryFolder::new(&format!("storage-writes-{seed}"));
         let mut writer = Writer {
             state: seed,
             last: 0,
@@ -161,7 +159,7 @@
 
 #[test]
 fn the_identity_lasts_as_long_as_the_file() {
-    let folder = TemporaryFolder::new("identity");
+    let folder = TemporaryFolder::new("storage-identity");
     let Opened {
         disk,
         identity: first,
@@ -189,7 +187,7 @@
 
 #[test]
 fn a_file_that_was_never_finished_is_made_anew() {
-    let folder = TemporaryFolder::new("unfinished");
+    let folder = TemporaryFolder::new("storage-unfinished");
     fs::write(folder.file("core.redb.unfinished"), b"half a file").expect("a torn file");
     let Opened {
         identity,
@@ -202,7 +200,7 @@
 /// See unreadable.rs for files that were corrupted, and for those that stay as they are.
 #[test]
 fn what_is_no_file_of_ours_is_set_aside() {
-    let folder = TemporaryFolder::new("foreign");
+    let folder = TemporaryFolder::new("storage-foreign");
     fs::write(folder.file("core.redb"), b"not a database").expect("some file");
     let Opened {
         identity,
@@ -225,7 +223,7 @@
 /// one commit and wrote itself as one value, and the file grew by tens of megabytes.
 #[test]
 fn the_file_stays_small_over_many_snapshots() {
-    let folder = TemporaryFolder::new("small");
+    let folder = TemporaryFolder::new("storage-small");
     let Opened { disk, .. } = CoreDisk::open(&folder.file("core.redb")).expect("a new file");
     let mut index = 0;
     for _ in 0..4 {
--- a/crates/serving/storage/tests/turns.rs
+++ b/crates/serving/storage/tests/turns.rs
@@ -1,11 +1,9 @@
 //! The turns' file: what was put is found again after a restart; what can't be read is made anew.
 
-mod common;
-
 use bytes::Bytes;
-use common::TemporaryFolder;
 use dunespur_storage::turns::TurnDisk;
 use dunespur_storage::Opened;
+use dunespur_test_fixtures::TemporaryFolder;
 use dunespur_turn_replication::node::{DiskOutcome, DiskWork};
 use dunespur_turn_replication::turn::Turn;
 use std::fs;
@@ -24,7 +22,7 @@
 
 #[test]
 fn turns_and_identity_outlive_a_restart() {
-    let folder = TemporaryFolder::new("restart");
+    let folder = TemporaryFolder::new("storage-restart");
     let turns = [turn("b", Some("a")), turn("a", None)];
     let Opened {
         disk,
@@ -48,7 +46,7 @@
 
 #[test]
 fn a_disk_that_was_never_complete_is_fresh_after_a_restart() {
-    let folder = TemporaryFolder::new("filling");
+    let folder = TemporaryFolder::new("storage-filling");
     let Opened {
         disk,
         identity: first,
@@ -67,7 +65,10 @@
 
 #[test]
 fn each_new_file_is_another_disk() {
-    let (one, two) = (TemporaryFolder::new("one"), TemporaryFolder::new("two"));
+    let (one, two) = (
+        TemporaryFolder::new("storage-one"),
+        TemporaryFolder::new("storage-two"),
+    );
     let number = |folder: &TemporaryFolder| {
         TurnDisk::open(&folder.file("turns.redb"))
             .expect("a new file")
@@ -106,7 +107,7 @@
 #[test]
 fn a_truncated_file_is_a_new_disk() {
     for twentieths in 1..20 {
-        let folder = TemporaryFolder::new(&format!("truncated-{twentieths}"));
+        let folder = TemporaryFolder::new(&format!("storage-truncated-{twentieths}"));
         let Opened { disk, .. } = TurnDisk::open(&folder.file("turns.redb")).expect("a new file");
         disk.put(&[turn("a", None)]).expect("it puts");
         drop(disk);
@@ -130,7 +131,7 @@
 
 #[test]
 fn work_of_the_state_machine_is_done_in_its_order() {
-    let folder = TemporaryFolder::new("work");
+    let folder = TemporaryFolder::new("storage-work");
     let Opened { disk, .. } = TurnDisk::open(&folder.file("turns.redb")).expect("a new file");
     let put = DiskWork::Put(vec![turn("a", None), turn("b", Some("a"))]);
     assert_eq!(disk.perform(&put).expect("done"), DiskOutcome::Done);
--- a/crates/serving/storage/tests/unreadable.rs
+++ b/crates/serving/storage/tests/unreadable.rs
@@ -2,14 +2,12 @@
 //! were empty, or finds all that was written. Never an error at each start, and never a member that goes on under its
 //! identity with less than it had acknowledged.
 
-mod common;
-
-use common::TemporaryFolder;
 use dunespur_chain_replication::{DurableState, Entry, Origin, Payload, Position, Snapshot, Write};
 use dunespur_storage::core::CoreDisk;
 use dunespur_storage::recovery::{set_aside_bytes, MAX_SET_ASIDE_BYTES};
 use dunespur_storage::turns::TurnDisk;
 use dunespur_storage::Opened;
+use dunespur_test_fixtures::TemporaryFolder;
 use dunespur_turn_replication::turn::Turn;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -174,7 +172,7 @@
 
 #[test]
 fn a_truncated_core_file_makes_a_new_member() {
-    let folder = TemporaryFolder::new("core-truncated");
+    let folder = TemporaryFolder::new("storage-core-truncated");
     let written = core_file(&folder);
     for complete in [&written.killed, &written.closed] {
         for length in lengths(complete.len()) {
@@ -230,7 +228,7 @@
 
 #[test]
 fn a_closed_core_file_with_corrupt_bytes_is_complete_or_set_aside() {
-    let folder = TemporaryFolder::new("core-closed");
+    let folder = TemporaryFolder::new("storage-core-closed");
     let written = core_file(&folder);
     let mut set_aside = 0;
     for mask in [0x01, 0xff] {
@@ -260,7 +258,7 @@
 /// which was corrupted can't be told from a commit that never ended. Nothing before it may be lost.
 #[test]
 fn a_core_file_of_a_killed_process_loses_nothing_before_its_last_batch() {
-    let folder = TemporaryFolder::new("core-killed");
+    let folder = TemporaryFolder::new("storage-core-killed");
     let written = core_file(&folder);
     let mut set_aside = 0;
     for offset in offsets(&written.killed, 0xff) {
@@ -339,7 +337,7 @@
 
 #[test]
 fn a_truncated_file_of_turns_is_a_new_disk() {
-    let folder = TemporaryFolder::new("turns-truncated");
+    let folder = TemporaryFolder::new("storage-turns-truncated");
     let (disk, files) = turns_files(&folder);
     for complete in files {
         for length in lengths(complete.len()) {
@@ -357,7 +355,7 @@
 
 #[test]
 fn a_file_of_turns_with_corrupt_bytes_is_complete_or_set_aside() {
-    let folder = TemporaryFolder::new("turns-corrupt");
+    let folder = TemporaryFolder::new("storage-turns-corrupt");
     let (disk, files) = turns_files(&folder);
     let mut set_aside = 0;
     for complete in files {
@@ -375,7 +373,7 @@
 
 #[test]
 fn one_file_set_aside_stays_and_no_more_of_it_than_the_bound() {
-    let folder = TemporaryFolder::new("bound");
+    let folder = TemporaryFolder::new("storage-bound");
     let path = put_alone(&folder, "core.redb", b"the first");
     let Opened {
         identity: first, ..
@@ -396,7 +394,7 @@
 /// Errors that say nothing of the contents lose none.
 #[test]
 fn a_file_that_another_process_has_open_stays() {
-    let folder = TemporaryFolder::new("locked");
+    let folder = TemporaryFolder::new("storage-locked");
     let written = core_file(&folder);
     let path = put_alone(&folder, "core.redb", &written.closed);
     let Opened { disk: first, .. } = CoreDisk::open(&path).expect("it opens");
@@ -407,7 +405,7 @@
 
 #[test]
 fn a_folder_instead_of_the_file_is_an_error_and_stays() {
-    let folder = TemporaryFolder::new("folder");
+    let folder = TemporaryFolder::new("storage-folder");
     let path = folder.file("turns.redb");
     fs::create_dir_all(&path).expect("a folder");
     assert!(TurnDisk::open(&path).is_err());
@@ -418,7 +416,7 @@
 #[test]
 fn a_file_of_another_format_is_refused_and_stays() {
     use redb::{Database, TableDefinition};
-    let folder = TemporaryFolder::new("format");
+    let folder = TemporaryFolder::new("storage-format");
     let path = folder.file("core.redb");
     drop(CoreDisk::open(&path).expect("a new file"));
     let database = Database::open(&path).expect("it opens");
--- a/crates/serving/storage/tests/common/mod.rs
+++ b/crates/testing/test-fixtures/src/temporary_folder.rs
@@ -1,15 +1,20 @@
-//! A temporary folder, shared by the tests with files.
+//! A folder of one test.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 /// A folder of one test, removed at its end.
+#[derive(Debug)]
 pub struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
-    /// Makes an empty folder. Its name has to differ from those of other tests in any file.
+    /// Makes an empty folder. Its name has to differ from those of all tests that run beside it.
+    ///
+    /// # Panics
+    /// It can't be made.
+    #[must_use]
     pub fn new(name: &str) -> TemporaryFolder {
-        let unique = format!("dunespur-storage-{}-{name}", std::process::id());
+        let unique = format!("dunespur-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(unique);
         let _ = fs::remove_dir_all(&path);
         fs::create_dir_all(&path).expect("a folder for the test");
@@ -17,12 +22,13 @@
     }
 
     /// Where it is.
-    #[allow(dead_code, reason = "not each test that shares this module needs it")]
+    #[must_use]
     pub fn path(&self) -> &Path {
         &self.0
     }
 
     /// The path of a file in it.
+    #[must_use]
     pub fn file(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
