--- a/crates/serving/dunespur/tests/bytes/replies.rs
+++ b/crates/serving/dunespur/tests/bytes/replies.rs
@@ -8,7 +8,7 @@
     Change, GatewayEntry, Outcome, RetirementOutcome, RetirementState, StoreEntry,
 };
 use dunespur_load_distribution::Update;
-use dunespur_turn_replication::message::{Refusal, StoreReply};
+use dunespur_turn_replication::message::{Rejection, StoreReply};
 
 /// All of them, with their names.
 pub fn all() -> Vec<(&'static str, Reply)> {
@@ -114,7 +114,7 @@
         ("store found", Reply::Store(chain())),
         (
             "store refused",
-            Reply::Store(StoreReply::Refused(Refusal::Busy)),
+            Reply::Store(StoreReply::Rejected(Rejection::Busy)),
         ),
         ("status", Reply::Status("{\"node\":\"front-7\"}".to_owned())),
         ("home", Reply::Home(load_update())),
@@ -180,6 +180,6 @@
     StoreReply::Found {
         turns: vec![turn()],
         missing: Some("r-0".to_owned()),
-        more: true,
+        has_more: true,
     }
 }
