--- a/crates/serving/turn-replication/src/lib.rs
+++ b/crates/serving/turn-replication/src/lib.rs
@@ -25,6 +25,7 @@
 //! 4. A reader concludes "unknown" only if every store that is not retired says so and is complete.
 
 pub mod anti_entropy;
+pub mod attempt;
 pub mod chain_completion;
 pub mod commit_queue;
 pub mod handoff;
--- a/crates/serving/turn-replication/src/node/commits.rs
+++ b/crates/serving/turn-replication/src/node/commits.rs
@@ -5,6 +5,7 @@
 use super::state::{StoreNode, EXPIRY_SWEEP_MS};
 use crate::commit_queue::{CommittedEntry, Waiter};
 use crate::message::{Rejection, StoreReply};
+use crate::safeguards::Safeguard;
 use crate::turn::RetainedTurn;
 
 /// Maximum number of turns deleted from the disk in one piece of work.
@@ -50,7 +51,7 @@
     }
 
     fn add_hint(&mut self, replica: &str, id: &str, now_ms: u64) {
-        if self.safeguards.hinted_handoff() {
+        if self.safeguards.has(Safeguard::HintedHandoff) {
             // Without a hint the replica still gets the turn by its own pulls.
             let _ = self.handoffs.add_hint(replica, id, now_ms);
         }
--- a/crates/serving/turn-replication/src/node/handoffs.rs
+++ b/crates/serving/turn-replication/src/node/handoffs.rs
@@ -7,6 +7,7 @@
 use crate::membership::Candidate;
 use crate::message::{StoreReply, StoreRequest};
 use crate::placement;
+use crate::safeguards::Safeguard;
 use crate::turn::TurnHeader;
 
 impl StoreNode {
@@ -58,7 +59,7 @@
 
     /// What is accepted while this store drains must be on its replicas, too, before the store is drained.
     pub(super) fn require_handoff(&mut self, turn: &TurnHeader, now_ms: u64) {
-        if !self.is_draining() || !self.safeguards.late_turns_handed_off() {
+        if !self.is_draining() || !self.safeguards.has(Safeguard::LateTurnsHandedOff) {
             return;
         }
         let candidates: Vec<&Candidate> = self.candidates.iter().collect();
--- a/crates/serving/turn-replication/src/node/lifecycle.rs
+++ b/crates/serving/turn-replication/src/node/lifecycle.rs
@@ -4,6 +4,7 @@
 use super::phases::Lifecycle;
 use super::state::StoreNode;
 use crate::membership::Candidate;
+use crate::safeguards::Safeguard;
 
 impl StoreNode {
     pub(super) fn update_lifecycle(&mut self, now_ms: u64) {
@@ -12,7 +13,7 @@
             (Lifecycle::Drained { epoch: declared }, Lifecycle::Draining { epoch })
                 if declared == epoch => {}
             (Lifecycle::Drained { .. }, Lifecycle::Draining { .. })
-                if !self.safeguards.epoch_checked() => {}
+                if !self.safeguards.has(Safeguard::EpochsChecked) => {}
             (before, required) if before == required => {}
             (_, required) => self.enter_lifecycle(required, now_ms),
         }
@@ -57,7 +58,7 @@
     pub(super) fn accepts_turns(&self) -> bool {
         match self.lifecycle {
             Lifecycle::Active => true,
-            Lifecycle::Draining { .. } => self.safeguards.draining_store_accepts_turns(),
+            Lifecycle::Draining { .. } => self.safeguards.has(Safeguard::DrainingStoreAcceptsTurns),
             Lifecycle::Drained { .. } | Lifecycle::Retired => false,
         }
     }
@@ -78,6 +79,7 @@
             let mut stores = self.stores.iter();
             stores.any(|store| store.name == candidate.name && store.is_reliable())
         };
-        self.candidates.iter().all(is_reliable) || !self.safeguards.replicas_present_and_complete()
+        self.candidates.iter().all(is_reliable)
+            || !self.safeguards.has(Safeguard::ReplicasPresentAndComplete)
     }
 }
--- a/crates/serving/turn-replication/src/node/state.rs
+++ b/crates/serving/turn-replication/src/node/state.rs
@@ -13,7 +13,7 @@
 use crate::index::Index;
 use crate::membership::{Candidate, StoreEntry};
 use crate::message::{StoreReply, StoreRequest};
-use crate::safeguards::Safeguards;
+use crate::safeguards::{Safeguard, Safeguards};
 use crate::write_coordinator::WRITE_DEADLINE_MS;
 
 /// A request to another store that was not replied to after this long has failed, in milliseconds.
@@ -99,7 +99,7 @@
             settings,
             safeguards,
             disk: disk.disk,
-            is_registered: !safeguards.incarnation_registered(),
+            is_registered: !safeguards.has(Safeguard::IncarnationRegistered),
             grace_ends_at_ms: now_ms.saturating_add(BOOTSTRAP_GRACE_MS),
             bootstrap,
             lifecycle: Lifecycle::Active,
--- a/crates/serving/turn-replication/src/read_coordinator.rs
+++ b/crates/serving/turn-replication/src/read_coordinator.rs
@@ -1,15 +1,12 @@
 //! Reads one chain, at a gateway: queries the replicas of the program first, then all stores, and joins the
 //! segments.
 
+use crate::attempt::Attempt;
 use crate::membership::StoreEntry;
 use crate::message::StoreReply;
 use crate::placement;
 use crate::turn::Turn;
 
-/// After this long without a reply another store is queried beside it, in milliseconds.
-pub const HEDGE_DELAY_MS: u64 = 60;
-/// After this long a store that could not be queried is queried again, in milliseconds.
-pub const RETRY_DELAY_MS: u64 = 150;
 /// After this long without a certain reply the outcome is [`ReadOutcome::Uncertain`], in milliseconds.
 pub const READ_DEADLINE_MS: u64 = 1_000;
 /// Once every present store has replied, those that are absent are waited for at most this long, in milliseconds.
@@ -55,23 +52,11 @@
     TooLong,
 }
 
-/// State of the query to one store.
+/// The reply of a store that does not hold the turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum QueryState {
-    NotQueried,
-    Pending {
-        since_ms: u64,
-    },
-    /// Pending for longer than [`HEDGE_DELAY_MS`]; it may still reply.
-    Slow,
-    Failed {
-        at_ms: u64,
-    },
-    /// It does not hold the turn.
-    Unknown {
-        /// Whether it holds everything that it should.
-        complete: bool,
-    },
+struct NotHeld {
+    /// Whether the store holds everything that it should.
+    complete: bool,
 }
 
 /// How widely the stores are queried for the next turn.
@@ -88,7 +73,7 @@
     store: String,
     is_replica: bool,
     present: bool,
-    state: QueryState,
+    attempt: Attempt<NotHeld>,
 }
 
 /// Part of a chain, as a store replied with it.
@@ -221,7 +206,7 @@
         if self.is_finished || id != self.next_id {
             return;
         }
-        self.set_state(store, QueryState::Failed { at_ms: now_ms });
+        self.set_attempt(store, Attempt::Failed { at_ms: now_ms });
         self.advance(now_ms);
     }
 
@@ -231,12 +216,10 @@
         if self.is_finished {
             return None;
         }
-        let steps = self.sources.iter().filter_map(|source| match source.state {
-            QueryState::Pending { since_ms } => Some(since_ms + HEDGE_DELAY_MS),
-            QueryState::Failed { at_ms } if self.stage == Stage::AllStores => {
-                Some(at_ms + RETRY_DELAY_MS)
-            }
-            _ => None,
+        let retries = self.stage == Stage::AllStores;
+        let steps = self.sources.iter().filter_map(|source| {
+            let retry_at_ms = source.attempt.retry_at_ms().filter(|_| retries);
+            source.attempt.hedge_at_ms().or(retry_at_ms)
         });
         Some(steps.min().unwrap_or(u64::MAX).min(self.deadline_ms))
     }
@@ -250,7 +233,7 @@
             return self.finish(ReadOutcome::Uncertain);
         }
         for source in &mut self.sources {
-            source.mark_slow_if_late(now_ms);
+            source.attempt.mark_slow_if_late(now_ms);
         }
         self.advance(now_ms);
     }
@@ -261,9 +244,9 @@
         self.is_finished = true;
     }
 
-    fn set_state(&mut self, store: &str, state: QueryState) {
+    fn set_attempt(&mut self, store: &str, attempt: Attempt<NotHeld>) {
         if let Some(source) = self.sources.iter_mut().find(|source| source.store == store) {
-            source.state = state;
+            source.attempt = attempt;
         }
     }
 
@@ -271,7 +254,7 @@
         self.membership_is_stale |= known_stores
             .iter()
             .any(|name| !self.known_stores.contains(name));
-        self.set_state(store, QueryState::Unknown { complete });
+        self.set_attempt(store, Attempt::Replied(NotHeld { complete }));
         self.stage = Stage::AllStores;
         self.limit_wait_for_absent_stores(now_ms);
         self.advance(now_ms);
@@ -280,7 +263,7 @@
     /// There are enough replicas for the present stores to hold every turn: absent ones are queried only to be
     /// certain, and the membership may be wrong about them. A caller does not wait long for that.
     fn limit_wait_for_absent_stores(&mut self, now_ms: u64) {
-        let has_replied = |source: &Source| matches!(source.state, QueryState::Unknown { .. });
+        let has_replied = |source: &Source| matches!(source.attempt, Attempt::Replied(_));
         let mut sources = self.sources.iter();
         if sources.all(|source| has_replied(source) || !source.present) {
             let wait_ends_ms = now_ms.saturating_add(ABSENT_STORE_WAIT_MS);
@@ -309,7 +292,7 @@
             self.query(store, now_ms);
         } else {
             self.stage = Stage::AllStores;
-            self.set_state(store, QueryState::Unknown { complete: false });
+            self.set_attempt(store, Attempt::Replied(NotHeld { complete: false }));
         }
         self.advance(now_ms);
     }
@@ -319,7 +302,7 @@
         self.next_id = older;
         self.queries.clear();
         for source in &mut self.sources {
-            source.state = QueryState::NotQueried;
+            source.attempt = Attempt::NotStarted;
         }
     }
 
@@ -330,7 +313,7 @@
             Stage::AllStores => self.query_all_stores(now_ms),
         }
         let mut sources = self.sources.iter();
-        if sources.all(|source| matches!(source.state, QueryState::Unknown { .. })) {
+        if sources.all(|source| matches!(source.attempt, Attempt::Replied(_))) {
             let outcome = if self.is_certainly_unknown() {
                 ReadOutcome::Unknown
             } else {
@@ -342,13 +325,13 @@
 
     fn query_next_replica(&mut self, now_ms: u64) {
         let mut sources = self.sources.iter();
-        if sources.any(|source| matches!(source.state, QueryState::Pending { .. })) {
+        if sources.any(|source| matches!(source.attempt, Attempt::Pending { .. })) {
             return;
         }
         let next = self
             .sources
             .iter()
-            .find(|source| source.is_replica && source.state == QueryState::NotQueried);
+            .find(|source| source.is_replica && source.attempt == Attempt::NotStarted);
         match next.map(|source| source.store.clone()) {
             Some(store) => self.query(&store, now_ms),
             None => {
@@ -371,7 +354,7 @@
     }
 
     fn query(&mut self, store: &str, now_ms: u64) {
-        self.set_state(store, QueryState::Pending { since_ms: now_ms });
+        self.set_attempt(store, Attempt::Pending { since_ms: now_ms });
         self.queries.push(ChainQuery {
             store: store.to_owned(),
             id: self.next_id.clone(),
@@ -384,7 +367,7 @@
         let all_complete = self
             .sources
             .iter()
-            .all(|source| source.state == QueryState::Unknown { complete: true });
+            .all(|source| source.attempt == Attempt::Replied(NotHeld { complete: true }));
         self.found.is_empty()
             && !self.sources.is_empty()
             && all_complete
@@ -415,23 +398,12 @@
             store: store.name.clone(),
             is_replica,
             present: store.present,
-            state: QueryState::NotQueried,
-        }
-    }
-
-    fn mark_slow_if_late(&mut self, now_ms: u64) {
-        let is_late = |since_ms| now_ms >= since_ms + HEDGE_DELAY_MS;
-        if matches!(self.state, QueryState::Pending { since_ms } if is_late(since_ms)) {
-            self.state = QueryState::Slow;
+            attempt: Attempt::NotStarted,
         }
     }
 
     fn may_be_queried(&self, now_ms: u64) -> bool {
-        match self.state {
-            QueryState::NotQueried => true,
-            QueryState::Failed { at_ms } => now_ms >= at_ms + RETRY_DELAY_MS,
-            _ => false,
-        }
+        self.attempt == Attempt::NotStarted || self.attempt.may_be_retried(now_ms)
     }
 }
 
--- a/crates/serving/turn-replication/src/write_coordinator.rs
+++ b/crates/serving/turn-replication/src/write_coordinator.rs
@@ -1,14 +1,11 @@
 //! Writes one turn, at a gateway: to its replicas, to substitutes for those that fail or are slow, at last to
 //! draining stores, until a quorum of stores has acknowledged it (a sloppy quorum, as in Dynamo).
 
+use crate::attempt::Attempt;
 use crate::membership::StoreEntry;
 use crate::placement;
 use crate::turn::TurnHeader;
 
-/// After this long without an acknowledgement a substitute is contacted beside the store, in milliseconds.
-pub const HEDGE_DELAY_MS: u64 = 60;
-/// After this long a failed store is contacted again, if no other is left, in milliseconds.
-pub const RETRY_DELAY_MS: u64 = 150;
 /// After this long without a quorum it is uncertain whether the turn is stored, in milliseconds. Stores rely on
 /// it: a new disk does not become complete before writers that knew the old one have ended.
 pub const WRITE_DEADLINE_MS: u64 = 1_500;
@@ -31,20 +28,9 @@
     Uncertain,
 }
 
-/// State of the write to one store.
+/// The reply of a store that has synced the turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum TargetState {
-    NotContacted,
-    Pending {
-        since_ms: u64,
-    },
-    /// Pending for longer than [`HEDGE_DELAY_MS`]; it may still acknowledge.
-    Slow,
-    Failed {
-        at_ms: u64,
-    },
-    Acknowledged,
-}
+struct Acknowledged;
 
 /// Which stores a target is looked for among.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,7 +51,7 @@
     class: TargetClass,
     /// For a replica: some substitute carries a hint for it.
     has_substitute: bool,
-    state: TargetState,
+    attempt: Attempt<Acknowledged>,
 }
 
 /// One turn on its way to its stores.
@@ -126,12 +112,12 @@
 
     /// The store has synced the turn.
     pub fn acknowledged(&mut self, store: &str, now_ms: u64) {
-        self.set_state(store, TargetState::Acknowledged, now_ms);
+        self.set_attempt(store, Attempt::Replied(Acknowledged), now_ms);
     }
 
     /// The store rejected the turn, or the connection to it failed.
     pub fn failed(&mut self, store: &str, now_ms: u64) {
-        self.set_state(store, TargetState::Failed { at_ms: now_ms }, now_ms);
+        self.set_attempt(store, Attempt::Failed { at_ms: now_ms }, now_ms);
     }
 
     /// When [`Self::tick`] has to be called, in milliseconds of the steady clock; `None` once it has ended.
@@ -141,10 +127,9 @@
             return None;
         }
         let needs_more = self.needs_more_targets();
-        let steps = self.targets.iter().filter_map(|target| match target.state {
-            TargetState::Pending { since_ms } => Some(since_ms + HEDGE_DELAY_MS),
-            TargetState::Failed { at_ms } if needs_more => Some(at_ms + RETRY_DELAY_MS),
-            _ => None,
+        let steps = self.targets.iter().filter_map(|target| {
+            let retry_at_ms = target.attempt.retry_at_ms().filter(|_| needs_more);
+            target.attempt.hedge_at_ms().or(retry_at_ms)
         });
         Some(steps.min().unwrap_or(u64::MAX).min(self.deadline_ms))
     }
@@ -158,7 +143,7 @@
             return self.finish(WriteOutcome::Uncertain);
         }
         for target in &mut self.targets {
-            target.mark_slow_if_late(now_ms);
+            target.attempt.mark_slow_if_late(now_ms);
         }
         self.contact_more_targets(now_ms);
     }
@@ -168,17 +153,17 @@
         self.writes.clear();
     }
 
-    fn set_state(&mut self, store: &str, state: TargetState, now_ms: u64) {
+    fn set_attempt(&mut self, store: &str, attempt: Attempt<Acknowledged>, now_ms: u64) {
         if self.outcome.is_some() {
             return;
         }
         let Some(target) = self.targets.iter_mut().find(|target| target.store == store) else {
             return;
         };
-        if target.state == TargetState::Acknowledged {
+        if target.has_acknowledged() {
             return;
         }
-        target.state = state;
+        target.attempt = attempt;
         if self.has_quorum() {
             return self.finish(WriteOutcome::Stored);
         }
@@ -188,7 +173,7 @@
     fn has_quorum(&self) -> bool {
         let acknowledged = || {
             let targets = self.targets.iter();
-            targets.filter(|target| target.state == TargetState::Acknowledged)
+            targets.filter(|target| target.has_acknowledged())
         };
         let present_zones = count_zones(self.targets.iter().filter(|target| target.present));
         let required_zones = self.required_zones.min(present_zones.max(1));
@@ -250,8 +235,8 @@
             .or_else(|| self.first_available(TargetClass::Placed))
             .or_else(|| self.first_in_unused_zone(TargetClass::Draining))
             .or_else(|| self.first_available(TargetClass::Draining))
-            .or_else(|| find(&|target| target.state == TargetState::NotContacted))
-            .or_else(|| find(&|target| target.may_be_retried(now_ms)))
+            .or_else(|| find(&|target| target.attempt == Attempt::NotStarted))
+            .or_else(|| find(&|target| target.attempt.may_be_retried(now_ms)))
     }
 
     fn contact(&mut self, position: usize, now_ms: u64) {
@@ -261,7 +246,7 @@
             self.claim_hint()
         };
         let target = &mut self.targets[position];
-        target.state = TargetState::Pending { since_ms: now_ms };
+        target.attempt = Attempt::Pending { since_ms: now_ms };
         self.writes.push(ReplicaWrite {
             store: target.store.clone(),
             hint,
@@ -300,32 +285,22 @@
             is_replica,
             class,
             has_substitute: false,
-            state: TargetState::NotContacted,
+            attempt: Attempt::NotStarted,
         }
     }
 
     /// Of the class, present and not contacted yet.
     fn is_available(&self, class: TargetClass) -> bool {
-        self.state == TargetState::NotContacted && self.present && self.class == class
+        self.attempt == Attempt::NotStarted && self.present && self.class == class
     }
 
     /// It has acknowledged, or may be expected to.
     fn is_expected(&self) -> bool {
-        matches!(
-            self.state,
-            TargetState::Pending { .. } | TargetState::Acknowledged
-        )
-    }
-
-    fn may_be_retried(&self, now_ms: u64) -> bool {
-        matches!(self.state, TargetState::Failed { at_ms } if now_ms >= at_ms + RETRY_DELAY_MS)
+        matches!(self.attempt, Attempt::Pending { .. } | Attempt::Replied(_))
     }
 
-    fn mark_slow_if_late(&mut self, now_ms: u64) {
-        let is_late = |since_ms| now_ms >= since_ms + HEDGE_DELAY_MS;
-        if matches!(self.state, TargetState::Pending { since_ms } if is_late(since_ms)) {
-            self.state = TargetState::Slow;
-        }
+    fn has_acknowledged(&self) -> bool {
+        self.attempt == Attempt::Replied(Acknowledged)
     }
 }
 
--- a/crates/serving/turn-replication/tests/read_coordinator.rs
+++ b/crates/serving/turn-replication/tests/read_coordinator.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{ranked_stores, stores, turn, PROGRAM};
+use dunespur_turn_replication::attempt::{HEDGE_DELAY_MS, RETRY_DELAY_MS};
 use dunespur_turn_replication::membership::StoreEntry;
 use dunespur_turn_replication::message::StoreReply;
 use dunespur_turn_replication::read_coordinator::{
-    ChainLimits, ChainQuery, ReadCoordinator, ReadOutcome, ABSENT_STORE_WAIT_MS, HEDGE_DELAY_MS,
-    READ_DEADLINE_MS, RETRY_DELAY_MS,
+    ChainLimits, ChainQuery, ReadCoordinator, ReadOutcome, ABSENT_STORE_WAIT_MS, READ_DEADLINE_MS,
 };
 use dunespur_turn_replication::turn::Turn;
 
--- a/crates/serving/turn-replication/tests/safeguards.rs
+++ b/crates/serving/turn-replication/tests/safeguards.rs
@@ -5,7 +5,7 @@
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use dunespur_turn_replication::safeguards::Safeguards;
+use dunespur_turn_replication::safeguards::{Safeguard, Safeguards};
 use world::{Absence, CoreSafeguards, FaultKind, Plan, Statistics, World};
 
 /// Seeds that are tried for a counterexample.
@@ -83,10 +83,7 @@
 
 #[test]
 fn turns_accepted_while_draining_must_be_handed_off() {
-    expect_counterexample(Safeguards {
-        late_turns_handed_off: false,
-        ..Safeguards::default()
-    });
+    expect_counterexample(Safeguards::without(Safeguard::LateTurnsHandedOff));
 }
 
 /// A replica that does not answer for a while gets turns only by its own pulls and with chains that gateways
@@ -94,10 +91,7 @@
 #[test]
 fn nothing_acknowledged_depends_on_a_hint() {
     for seed in 0..8 {
-        let safeguards = Safeguards {
-            hinted_handoff: false,
-            ..Safeguards::default()
-        };
+        let safeguards = Safeguards::without(Safeguard::HintedHandoff);
         let statistics = World::play(Plan {
             safeguards,
             ..plan(seed)
@@ -129,10 +123,7 @@
     let core = CoreSafeguards::default();
     let with_all = avoidable_uncertain_writes(Safeguards::default(), core);
     let without = avoidable_uncertain_writes(
-        Safeguards {
-            draining_store_accepts_turns: false,
-            ..Safeguards::default()
-        },
+        Safeguards::without(Safeguard::DrainingStoreAcceptsTurns),
         core,
     );
     eprintln!("turns not stored in 8 worlds: {with_all}, without the safeguard {without}");
--- a/crates/serving/turn-replication/tests/store_node.rs
+++ b/crates/serving/turn-replication/tests/store_node.rs
@@ -14,7 +14,7 @@
     Declaration, DiskOutcome, DiskState, DiskWork, Effect, StoreNode, StoreSettings,
     BOOTSTRAP_GRACE_MS, EXPIRY_SWEEP_MS,
 };
-use dunespur_turn_replication::safeguards::Safeguards;
+use dunespur_turn_replication::safeguards::{Safeguard, Safeguards};
 use dunespur_turn_replication::turn::{RetainedTurn, Turn, RETENTION_MARGIN_MS};
 use dunespur_turn_replication::write_coordinator::WRITE_DEADLINE_MS;
 
@@ -859,10 +859,7 @@
     ];
     for change in changes {
         assert!(!is_drained_beside(change, Safeguards::default()));
-        let without = Safeguards {
-            replicas_present_and_complete: false,
-            ..Safeguards::default()
-        };
+        let without = Safeguards::without(Safeguard::ReplicasPresentAndComplete);
         assert!(is_drained_beside(change, without), "the counterexample");
     }
 }
@@ -887,10 +884,7 @@
     };
     assert!(!still_says_so(Safeguards::default()));
     assert!(
-        still_says_so(Safeguards {
-            epoch_checked: false,
-            ..Safeguards::default()
-        }),
+        still_says_so(Safeguards::without(Safeguard::EpochsChecked)),
         "the counterexample"
     );
 }
@@ -919,10 +913,7 @@
 #[test]
 fn a_late_declaration_of_an_earlier_incarnation_loses_nothing() {
     assert!(!late_declaration_loses_a_turn(Safeguards::default()));
-    let without = Safeguards {
-        incarnation_registered: false,
-        ..Safeguards::default()
-    };
+    let without = Safeguards::without(Safeguard::IncarnationRegistered);
     assert!(late_declaration_loses_a_turn(without), "the counterexample");
 }
 
--- a/crates/serving/turn-replication/tests/write_coordinator.rs
+++ b/crates/serving/turn-replication/tests/write_coordinator.rs
@@ -3,9 +3,10 @@
 mod common;
 
 use common::{ranked_stores, stores, turn, PROGRAM};
+use dunespur_turn_replication::attempt::{HEDGE_DELAY_MS, RETRY_DELAY_MS};
 use dunespur_turn_replication::membership::StoreEntry;
 use dunespur_turn_replication::write_coordinator::{
-    ReplicaWrite, WriteCoordinator, WriteOutcome, HEDGE_DELAY_MS, RETRY_DELAY_MS, WRITE_DEADLINE_MS,
+    ReplicaWrite, WriteCoordinator, WriteOutcome, WRITE_DEADLINE_MS,
 };
 
 fn begin(stores: &[StoreEntry], replication_factor: usize) -> WriteCoordinator {
