--- a/crates/serving/control-state/src/change.rs
+++ b/crates/serving/control-state/src/change.rs
@@ -3,6 +3,7 @@
 //! They are encoded by position and variant order: neither may change.
 
 use crate::ServerReport;
+use dunespur_turn_replication::membership::StoreEntry;
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, sync::Arc};
 
@@ -51,28 +52,3 @@
     /// The incarnation of its process.
     pub incarnation: u64,
 }
-
-/// A store, as subscribers see it.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreEntry {
-    /// The machine's name.
-    pub name: String,
-    /// Its failure domain.
-    pub zone: String,
-    /// Where other processes of the system reach it.
-    pub address: SocketAddr,
-    /// The incarnation of its process.
-    pub incarnation: u64,
-    /// Identifies the content of its disk; another number means that earlier content is lost.
-    pub disk: u64,
-    /// It holds a replica of everything that it should hold.
-    pub complete: bool,
-    /// Its lease is valid.
-    pub present: bool,
-    /// It is being emptied: no turns are placed on it, and it accepts them only where other stores fail.
-    pub retiring: bool,
-    /// It is empty, and stays so.
-    pub retired: bool,
-    /// While it is being emptied: the epoch, which changes whenever the membership state of any store does; else 0.
-    pub epoch: u64,
-}
--- a/crates/serving/dunespur/src/data_plane.rs
+++ b/crates/serving/dunespur/src/data_plane.rs
@@ -1,4 +1,4 @@
-//! The data plane's side of a gateway: answers what a [`ProxyServer`](dunespur_proxy::ProxyServer) asks of its node.
+//! The data plane's side of a gateway: the [`Node`] of its [`ProxyServer`](dunespur_proxy::ProxyServer).
 
 use crate::budgets::Budgets;
 use crate::clock::Clock;
@@ -6,7 +6,7 @@
 use crate::load_exchange::LoadExchange;
 use crate::request_events::{self, Stopwatch};
 use crate::store_client::StoreClient;
-use dunespur_configuration::Table;
+use dunespur_configuration::RouteTable;
 use dunespur_control_state::{ServerReport, ServerState};
 use dunespur_load_distribution::Identity;
 use dunespur_proxy::{AdmissionDecision, AdmissionRequest, CompletedTurn, History, Node, TurnKey};
@@ -53,7 +53,7 @@
         let weak = Rc::downgrade(&data_plane);
         directory.on_change(Box::new(move |changed| {
             if let Some(data_plane) = weak.upgrade() {
-                data_plane.changed(changed);
+                data_plane.apply_changes(changed);
             }
         }));
         data_plane
@@ -74,7 +74,7 @@
         self.balancer.borrow().load_reports()
     }
 
-    fn changed(&self, changed: StateChanges) {
+    fn apply_changes(&self, changed: StateChanges) {
         if changed.gateways {
             self.load_exchange.gateways_changed();
         }
@@ -94,8 +94,8 @@
     }
 }
 
-/// A server as the choice sees it; what its service is comes from the configuration.
-fn server(report: &ServerReport, table: Option<&Table>) -> Server {
+/// A server as the balancer sees it; what its service is comes from the configuration.
+fn server(report: &ServerReport, table: Option<&RouteTable>) -> Server {
     let service = table.and_then(|table| table.service(&report.backend));
     let engine = service
         .and_then(|service| service.engine.as_ref())
@@ -118,7 +118,7 @@
 }
 
 impl Node for DataPlane {
-    fn route_table(&self) -> Option<Rc<Table>> {
+    fn route_table(&self) -> Option<Rc<RouteTable>> {
         self.directory.known().table.clone()
     }
 
@@ -166,20 +166,20 @@
 
     async fn admit(&self, turn: AdmissionRequest<'_>) -> AdmissionDecision {
         let stopwatch = Stopwatch::start(self.clock);
-        let verdict = self.budgets.reserve(turn).await;
+        let decision = self.budgets.reserve(turn).await;
         if let Some(waited_ms) = stopwatch.took_ms() {
             request_events::budget(
                 &turn,
-                &verdict,
+                &decision,
                 self.budgets.leased(turn.program),
                 waited_ms,
             );
         }
-        verdict
+        decision
     }
 
     fn record_tokens(&self, turn: TurnKey, tokens: u64) {
-        self.budgets.used(turn, tokens);
+        self.budgets.record_tokens(turn, tokens);
     }
 
     fn release(&self, turn: TurnKey) {
--- a/crates/serving/dunespur/src/request_events.rs
+++ b/crates/serving/dunespur/src/request_events.rs
@@ -303,8 +303,8 @@
 
 fn reply_name(reply: Option<&StoreReply>) -> String {
     match reply {
-        Some(StoreReply::Kept) => "stored".to_owned(),
-        Some(StoreReply::Refused(refusal)) => format!("rejected_{refusal:?}").to_lowercase(),
+        Some(StoreReply::Stored) => "stored".to_owned(),
+        Some(StoreReply::Rejected(rejection)) => format!("rejected_{rejection:?}").to_lowercase(),
         Some(StoreReply::Found { turns, missing, .. }) => {
             format!("found turns={} complete={}", turns.len(), missing.is_none())
         }
--- a/crates/serving/storage/src/turns/record.rs
+++ b/crates/serving/storage/src/turns/record.rs
@@ -2,8 +2,7 @@
 
 use crate::error::{Result, StorageError};
 use bytes::Bytes;
-use dunespur_turn_replication::index::IndexEntry;
-use dunespur_turn_replication::turn::{size_of, Turn};
+use dunespur_turn_replication::turn::{size_of_turn, Turn, TurnHeader};
 use serde::{Deserialize, Serialize};
 
 /// A header as it is stored. The order of the fields is that of the stored bytes.
@@ -42,15 +41,15 @@
 }
 
 /// What the store's index keeps of a turn.
-pub fn index_entry(id: &str, header: &HeaderRecord<'_>) -> IndexEntry {
+pub fn turn_header(id: &str, header: &HeaderRecord<'_>) -> TurnHeader {
     let body_bytes = header.input_bytes + header.output_bytes;
-    IndexEntry {
+    TurnHeader {
         id: id.to_owned(),
         previous: header.previous.map(str::to_owned),
         program: header.program.to_owned(),
         ended_at_ms: header.ended_at_ms,
         retention_ms: header.retention_ms,
-        size: size_of(id, header.previous, header.program, body_bytes),
+        size: size_of_turn(id, header.previous, header.program, body_bytes),
     }
 }
 
