--- a/crates/serving/dunespur/tests/cli.rs
+++ b/crates/serving/dunespur/tests/cli.rs
@@ -278,7 +278,7 @@
     let mut addresses = AddressBlock::reserve(Ports::default()).unwrap();
     let settings = folder.path().join("node.json");
     let mut write = |port: u16| {
-        let ip = addresses.next().unwrap();
+        let ip = addresses.next_address().unwrap();
         let file = json!({"node": "front-1", "ip": ip, "port_range": [port, port]});
         std::fs::write(&settings, file.to_string()).unwrap();
     };
--- a/crates/serving/dunespur/tests/status.rs
+++ b/crates/serving/dunespur/tests/status.rs
@@ -227,7 +227,7 @@
 async fn a_process_that_lost_contact_reports_it() {
     let folder = TemporaryFolder::new("dunespur-status").unwrap();
     let mut addresses = AddressBlock::reserve(Ports::default()).unwrap();
-    let ip = addresses.next().unwrap();
+    let ip = addresses.next_address().unwrap();
     let port = Ports::default().first_internal;
     let settings = folder.path().join("node.json");
     std::fs::write(
--- a/crates/testing/emulator/src/client/attempt.rs
+++ b/crates/testing/emulator/src/client/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request on a new connection.
+//! One attempt of a request on a new connection.
 
 use super::request::RequestSpec;
 use crate::digest::Digester;
@@ -13,23 +13,23 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Bytes of answers that are kept; all count in the digest.
+/// Bytes of a body that are stored; the digest covers all.
 const MAX_RECORDED_BODY: usize = 64 * 1024;
-/// A new connection is given this long to come up.
+/// Time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes behind an answer are looked for this long at most, where the connection stays open.
+/// How long surplus bytes are awaited where the connection stays open.
 const SURPLUS_TIMEOUT: Duration = Duration::from_millis(2);
 
-/// How long a client waits.
+/// Time-outs of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// The end of the client's time.
+    /// Deadline of the operation.
     pub until: Instant,
-    /// The longest silence of a stream.
+    /// Longest time between two parts of a stream.
     pub idle: Duration,
 }
 
-/// A try with all that it takes.
+/// An attempt, ready to be made.
 pub(super) struct Attempt<'a> {
     pub spec: &'a RequestSpec,
     pub request: RequestId,
@@ -38,7 +38,7 @@
 }
 
 impl Attempt<'_> {
-    /// Sends the request and reads what comes.
+    /// Sends the request and reads the response.
     pub async fn carry_out(&self) -> AttemptOutcome {
         match timeout_at(self.timeouts.until, self.exchange()).await {
             Ok(outcome) => outcome,
@@ -71,7 +71,7 @@
     }
 }
 
-/// An answer on its way.
+/// A response that is being received.
 struct Receiving<'a> {
     attempt: &'a Attempt<'a>,
     reader: MessageReader<OwnedReadHalf>,
--- a/crates/testing/emulator/src/client/call.rs
+++ b/crates/testing/emulator/src/client/call.rs
@@ -1,4 +1,4 @@
-//! One call on a connection of its own, as servers, operator and platform make them.
+//! Single calls on connections of their own, as servers, operator and platform make them.
 
 use crate::wire::{name, request_bytes, Headers, MessageReader, RequestHead, WireError};
 use bytes::Bytes;
@@ -9,16 +9,21 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// What is asked.
+/// A request.
 #[derive(Clone, Debug)]
 pub struct Call {
+    /// HTTP method.
     pub method: &'static str,
+    /// Path and query.
     pub target: String,
+    /// Headers beside `Host`, `Connection` and the body's length.
     pub headers: Headers,
+    /// Body; empty for none.
     pub body: Bytes,
 }
 
 impl Call {
+    /// A call without a body.
     pub fn get(target: impl Into<String>) -> Call {
         Call {
             method: "GET",
@@ -40,19 +45,25 @@
     }
 }
 
-/// What came back.
+/// The response to a call.
 #[derive(Clone, Debug)]
 pub struct CallAnswer {
+    /// HTTP status.
     pub status: u16,
+    /// Headers of the response.
     pub headers: Headers,
+    /// Complete body of the response.
     pub body: Bytes,
 }
 
-/// Why nothing came back.
+/// Why a call had no response.
 #[derive(Clone, Debug)]
 pub enum CallError {
+    /// The connection was refused or could not be opened.
     NoConnection(std::io::ErrorKind),
+    /// The response was not a complete HTTP message.
     Broken(WireError),
+    /// No complete response came in time.
     Timeout,
 }
 
@@ -68,7 +79,11 @@
 
 impl std::error::Error for CallError {}
 
-/// Calls `address` and reads the whole answer, within `limit`.
+/// Calls `address` and reads the complete response, within `limit`.
+///
+/// # Errors
+///
+/// [`CallError`] where no connection could be opened, the response was no complete message, or `limit` passed.
 pub async fn call(
     address: SocketAddr,
     request: &Call,
--- a/crates/testing/emulator/src/client/mod.rs
+++ b/crates/testing/emulator/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Clients of the system: tries, retries as the protocol has them, streams read event by event.
+//! Clients of the system: attempts, retries as the protocol defines them, streams read event by event.
 
 mod attempt;
 pub mod call;
--- a/crates/testing/emulator/src/client/request.rs
+++ b/crates/testing/emulator/src/client/request.rs
@@ -1,4 +1,4 @@
-//! What a client wants.
+//! Requests, as a client describes them.
 
 use crate::digest::Digest;
 use crate::identity::RequestId;
@@ -6,16 +6,23 @@
 use crate::wire::{name, Headers, RequestHead};
 use bytes::Bytes;
 
-/// What a request is, as its route says.
+/// Kind of a request, as its route defines it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// Changes nothing: may run any number of times.
     ReadOnly,
+    /// Changes something: may run at most once.
     Mutating,
-    Streaming { resumable: bool },
+    /// A turn, answered by a stream of events.
+    Streaming {
+        /// Whether a client may resume the stream after its last event.
+        resumable: bool,
+    },
 }
 
 impl Kind {
-    /// Whether a try may run more than once, and the client may try again after any failure.
+    /// Whether a request may run more than once, so that the client may retry after any failure.
+    #[must_use]
     pub fn idempotent(self) -> bool {
         matches!(self, Kind::ReadOnly | Kind::Streaming { resumable: true })
     }
@@ -24,35 +31,52 @@
 /// The headers of a program's turn.
 #[derive(Clone, Debug, Default)]
 pub struct Turn {
+    /// Name of the model.
     pub model: String,
+    /// Tokens of the whole prompt.
     pub prompt_tokens: u64,
+    /// Most tokens that the turn may generate.
     pub max_tokens: u64,
-    /// Value of the header that lists the parts of the prompt.
+    /// Value of the header that lists the prompt's segments.
     pub prefix: String,
+    /// Tokens in one event.
     pub chunk_tokens: u64,
+    /// Token budget of the program; none for calls of tools.
     pub budget: Option<u64>,
+    /// The turn that this one continues, where the system stores turns.
     pub previous: Option<RequestId>,
 }
 
-/// A request that a client wants answered.
+/// A request that a client sends, with its limits.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
+    /// Value of `Host`.
     pub host: String,
+    /// HTTP method.
     pub method: &'static str,
+    /// Path and query.
     pub target: String,
+    /// Kind of its route: decides whether a retry may follow.
     pub kind: Kind,
+    /// Body as the client sends it.
     pub body: Bytes,
-    /// What a server is to get for the body; nothing where it is not compared.
+    /// Digest of the body that a server is to receive; `None` where it is not compared.
     pub expected: Option<Digest>,
+    /// Time for all attempts together, in milliseconds.
     pub deadline_ms: u64,
-    /// Time within which the first event is wanted, and the longest pause between two.
+    /// Latency target to the first event, in milliseconds.
     pub target_ms: u64,
+    /// Longest gap wanted between two events, in milliseconds.
     pub max_gap_ms: u64,
-    /// Tries beyond the first.
+    /// Attempts beyond the first.
     pub retries: u32,
+    /// Id of the agent program, if one sends it.
     pub program: Option<String>,
+    /// Id of the program's session.
     pub session: Option<String>,
+    /// Time that is left to the program, in milliseconds.
     pub finish_ms: Option<u64>,
+    /// Headers of a turn; none for other requests.
     pub turn: Option<Turn>,
     /// Further headers.
     pub headers: Headers,
@@ -60,6 +84,7 @@
 
 impl RequestSpec {
     /// A request with no body on a plain route.
+    #[must_use]
     pub fn get(host: &str, target: &str) -> RequestSpec {
         RequestSpec {
             host: host.to_owned(),
--- a/crates/testing/emulator/src/client/retry.rs
+++ b/crates/testing/emulator/src/client/retry.rs
@@ -1,4 +1,4 @@
-//! Tries one after the other, as the protocol has clients make them.
+//! Attempts and retries, as the protocol defines them for clients.
 
 use super::attempt::{Attempt, Timeouts};
 use super::request::RequestSpec;
@@ -11,18 +11,18 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// The shortest silence after which a stream is given up.
+/// Shortest idle time-out of a stream.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A stream is given up after this many of its objectives without an event.
+/// A stream's idle time-out is at least this many latency targets.
 const IDLE_TARGETS: u32 = 4;
-/// And after this many of its longest pauses.
+/// And at least this many of its longest gaps.
 const IDLE_GAPS: u32 = 8;
-/// Pause before the next try where no time was told.
+/// Backoff before a retry where the response states no time, and its jitter.
 const RETRY_BACKOFF_MS: u64 = 30;
-/// A time to come back is heeded up to this part of what is left.
+/// `Retry-After` is respected up to the remaining time divided by this.
 const RETRY_AFTER_DIVISOR: u32 = 3;
 
-/// Clients behind one platform address.
+/// A client of all gateways; clones share it.
 #[derive(Clone, Debug)]
 pub struct Client {
     shared: Arc<Shared>,
@@ -37,20 +37,23 @@
     operation: AtomicU64,
 }
 
-/// What became of a request in the end.
+/// The result of an operation with all its attempts.
 #[derive(Clone, Debug)]
 pub struct Served {
-    /// The id of its last try.
+    /// Id of the last attempt.
     pub request: RequestId,
+    /// How the last attempt ended.
     pub outcome: AttemptOutcome,
+    /// Number of attempts, the first one counted.
     pub attempts: u32,
-    /// From the first try to the first event, or to the end where there are no events.
+    /// From the first attempt to the first event, or to the end where there are no events, in milliseconds.
     pub first_ms: u64,
+    /// From the first attempt to the end of the last, in milliseconds.
     pub took_ms: u64,
 }
 
 impl Served {
-    /// The answer, where a whole one came.
+    /// The response, where a complete one came.
     pub fn answer(&self) -> Option<&Answered> {
         match &self.outcome {
             AttemptOutcome::Answered(answered) => Some(answered),
@@ -58,12 +61,12 @@
         }
     }
 
-    /// The status of a whole answer.
+    /// The status of a complete response.
     pub fn status(&self) -> Option<u16> {
         self.answer().map(|answered| answered.status)
     }
 
-    /// Whether it succeeded.
+    /// Whether a complete response with a 2xx status came.
     pub fn succeeded(&self) -> bool {
         self.status()
             .is_some_and(|status| (200..300).contains(&status))
@@ -71,6 +74,8 @@
 }
 
 impl Client {
+    /// A client that sends to `fronts` in turn and writes its attempts to `record`.
+    #[must_use]
     pub fn new(
         clock: Clock,
         record: Record,
@@ -89,7 +94,7 @@
         }
     }
 
-    /// The limiters that new connections go to from now on.
+    /// Replaces the gateways' addresses for new connections.
     pub fn set_fronts(&self, fronts: Vec<SocketAddr>) {
         *self
             .shared
@@ -98,20 +103,24 @@
             .unwrap_or_else(PoisonError::into_inner) = fronts;
     }
 
+    /// The source of this client's ids.
+    #[must_use]
     pub fn identities(&self) -> &IdentitySource {
         &self.shared.identities
     }
 
+    /// The clock of the record.
+    #[must_use]
     pub fn clock(&self) -> Clock {
         self.shared.clock
     }
 
-    /// Has a request answered, with retries at other limiters.
+    /// Sends a request, with retries at other gateways.
     pub async fn send(&self, spec: &RequestSpec) -> Served {
         self.send_by(spec, None).await
     }
 
-    /// One try at one limiter.
+    /// Makes one attempt at one gateway.
     pub async fn send_to(&self, front: SocketAddr, spec: &RequestSpec) -> Served {
         self.send_by(
             &RequestSpec {
@@ -152,7 +161,7 @@
         }
     }
 
-    /// The limiters in turn, from a place that differs from request to request.
+    /// The gateways in turn, starting at an offset that differs between requests.
     fn front(&self, place: u64) -> SocketAddr {
         let fronts = self
             .shared
@@ -163,7 +172,7 @@
     }
 }
 
-/// Notes a try in the record, as given up where its client is dropped before it ends.
+/// Records an attempt; as given up where its client is dropped before it ends.
 struct AttemptRecorder<'a> {
     shared: &'a Shared,
     attempt: &'a Attempt<'a>,
@@ -258,7 +267,7 @@
     MIN_IDLE_TIMEOUT.max(objective).max(pause)
 }
 
-/// The pause before another try; `None` where there is to be none.
+/// The backoff before a retry; `None` where there must be none.
 fn backoff_before_retry(
     spec: &RequestSpec,
     outcome: &AttemptOutcome,
@@ -281,12 +290,12 @@
     }
 }
 
-/// Answers after which nothing is tried again.
+/// Statuses after which nothing is retried.
 fn is_final(status: u16) -> bool {
     matches!(status, 200..300 | 400 | 401 | 402 | 403 | 404 | 413 | 431)
 }
 
-/// Answers that promise that the request has not run and never will.
+/// Statuses that promise that the request has not run and never will.
 fn is_promise(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
--- a/crates/testing/emulator/src/clock.rs
+++ b/crates/testing/emulator/src/clock.rs
@@ -1,24 +1,30 @@
-//! The steady clock that all stand-ins of a test share.
+//! The monotonic clock that all parts of a test share.
 
 use std::time::Instant;
 
-/// Milliseconds since the test's start.
+/// Time since the test's start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
+    /// A clock that starts at zero now.
+    #[must_use]
     pub fn start() -> Clock {
         Clock {
             start: Instant::now(),
         }
     }
 
+    /// Milliseconds since the start.
+    #[must_use]
     pub fn now_ms(&self) -> u64 {
         u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
+    /// Microseconds since the start.
+    #[must_use]
     pub fn now_us(&self) -> u64 {
         u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
--- a/crates/testing/emulator/src/configuration.rs
+++ b/crates/testing/emulator/src/configuration.rs
@@ -3,62 +3,91 @@
 use crate::client::Kind;
 use serde_json::{json, Value};
 
-/// A configuration that is to be sent.
+/// A configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigurationPlan {
+    /// Version; each accepted configuration has a higher one.
     pub generation: u64,
+    /// Routes, matched by host and longest path prefix.
     pub routes: Vec<RoutePlan>,
+    /// Services that routes lead to.
     pub services: Vec<ServicePlan>,
+    /// Limits of what clients may send.
     pub limits: LimitsPlan,
 }
 
 /// A route.
 #[derive(Clone, Debug)]
 pub struct RoutePlan {
+    /// Name, unique among routes.
     pub name: String,
+    /// Host that the route is for.
     pub host: String,
+    /// Beginning of the paths that the route is for.
     pub path_prefix: String,
+    /// Kind of its requests.
     pub kind: Kind,
+    /// Longest that a request may take, in milliseconds.
     pub timeout_ms: u64,
+    /// Latency target to the first event or the response, in milliseconds.
     pub target_ms: u64,
+    /// Priority under load; 0 is the most urgent.
     pub priority: u8,
+    /// Services that share the route's requests.
     pub backends: Vec<WeightedBackend>,
+    /// Most retries by the gateway.
     pub retries: u32,
+    /// Whether the system stores the turns.
     pub persisted: bool,
+    /// How long a stored turn is retained, in seconds.
     pub retention_s: f64,
+    /// Longest gap wanted between two events, in milliseconds; `gap_aim_ms` on the wire.
     pub gap_target_ms: u64,
 }
 
-/// A service's share of a route.
+/// A service that takes a weighted share of a route's requests.
 #[derive(Clone, Debug)]
 pub struct WeightedBackend {
+    /// Name of the service.
     pub backend: String,
+    /// Relative weight; 0 for none of the requests.
     pub weight: u64,
 }
 
 /// A service.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
+    /// Name, by which routes refer to it.
     pub name: String,
+    /// Most connections to one server, from all gateways together.
     pub max_conns: u32,
+    /// Present for services of model servers.
     pub engine: Option<EnginePlan>,
 }
 
 /// The model servers of a service.
 #[derive(Clone, Debug)]
 pub struct EnginePlan {
+    /// Requests that one server runs at once.
     pub slots: u32,
+    /// Tokens that a server's KV cache holds.
     pub kv_capacity: u64,
+    /// Tokens in one event.
     pub chunk_tokens: u64,
+    /// Names of the models served.
     pub models: Vec<String>,
 }
 
-/// Bounds of what clients send.
+/// Limits of what clients may send.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitsPlan {
+    /// Most bytes of a request's head.
     pub max_header_bytes: u64,
+    /// Most bytes of a request's body.
     pub max_body_bytes: u64,
+    /// Longest that a head may take to arrive, in milliseconds.
     pub header_timeout_ms: u64,
+    /// Longest that a connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -75,6 +104,7 @@
 
 impl RoutePlan {
     /// A route with one service and usual bounds.
+    #[must_use]
     pub fn new(name: &str, host: &str, path_prefix: &str, kind: Kind, backend: &str) -> RoutePlan {
         RoutePlan {
             name: name.to_owned(),
@@ -96,6 +126,7 @@
     }
 
     /// The route as the operator sends it.
+    #[must_use]
     pub fn json(&self) -> Value {
         let mut route = json!({
             "name": self.name,
@@ -130,6 +161,7 @@
 
 impl ServicePlan {
     /// The service as the operator sends it.
+    #[must_use]
     pub fn json(&self) -> Value {
         let mut service = json!({
             "name": self.name,
@@ -183,7 +215,7 @@
         }
     }
 
-    /// The whole configuration as the operator sends it.
+    /// The complete configuration as the operator sends it.
     pub fn json(&self) -> Value {
         json!({
             "generation": self.generation,
--- a/crates/testing/emulator/src/digest.rs
+++ b/crates/testing/emulator/src/digest.rs
@@ -1,4 +1,4 @@
-//! Bodies compared without being kept.
+//! Digests, by which bodies are compared without being stored.
 
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
@@ -6,11 +6,15 @@
 /// Length and hash of a body.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Digest {
+    /// Length in bytes.
     pub length: u64,
+    /// XXH3 hash of the bytes.
     pub hash: u64,
 }
 
 impl Digest {
+    /// The digest of a complete body.
+    #[must_use]
     pub fn of(bytes: &[u8]) -> Digest {
         Digester::default().with(bytes).finish()
     }
@@ -22,7 +26,7 @@
     }
 }
 
-/// Takes a body in piece by piece.
+/// Builds the digest of a body from its chunks.
 #[derive(Clone, Default)]
 pub(crate) struct Digester {
     state: Xxh3,
--- a/crates/testing/emulator/src/engine/batch.rs
+++ b/crates/testing/emulator/src/engine/batch.rs
@@ -1,20 +1,20 @@
-//! The batch of a model server: a state machine without clock. The owner asks for the next step, waits as long as
-//! the step takes, and has it finished.
+//! Continuous batching of a model server: a state machine without a clock. The owner begins a step, waits as long as
+//! it takes, and finishes it.
 
 use super::memory::Memory;
 use super::prompt::Prompt;
 use std::collections::VecDeque;
 
-/// How fast a server is. Times in microseconds.
+/// Durations of the parts of a step.
 #[derive(Clone, Copy, Debug)]
 pub struct Speeds {
-    /// A step with nothing to read.
+    /// Duration of a step without prefill, in microseconds.
     pub step_us: u64,
-    /// More for each request that runs.
+    /// Additional duration for each running request, in microseconds.
     pub per_running_us: u64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens prefilled in a millisecond.
     pub read_per_ms: f64,
-    /// The most prompt tokens read in one step.
+    /// Most prompt tokens prefilled in one step.
     pub prefill_chunk_tokens: u64,
 }
 
@@ -29,38 +29,39 @@
     }
 }
 
-/// Names a request in the batch.
+/// Identifies a request in the batch; rises with each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// The request can't be taken: as though the server were full.
+/// The queue is full, or the request could never fit the memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full;
 
-/// What a step gave one request.
+/// One more token for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Produced {
+    /// The request.
     pub ticket: Ticket,
     /// Tokens generated so far.
     pub generated: u64,
-    /// Whether that was the last one.
+    /// Whether the request has ended with it.
     pub last: bool,
 }
 
-/// A request that waits or runs.
+/// A waiting or running request.
 #[derive(Clone, Debug)]
 struct Request {
     ticket: Ticket,
     prompt: Prompt,
-    /// Tokens of the prompt still to be read.
+    /// Tokens of the prompt that are still to be prefilled.
     to_read: u64,
-    /// Tokens generated since it was let in last.
+    /// Tokens generated since its last admission.
     since_admission: u64,
     /// Tokens generated in all.
     generated: u64,
 }
 
-/// Waiting and running requests with the memory that they share.
+/// Waiting and running requests and their memory.
 #[derive(Debug)]
 pub struct Batch {
     speeds: Speeds,
@@ -76,6 +77,8 @@
 }
 
 impl Batch {
+    /// An empty batch of at most `slots` requests, with a queue of `queue` more.
+    #[must_use]
     pub fn new(speeds: Speeds, slots: usize, queue: usize, memory: Memory) -> Batch {
         Batch {
             speeds,
@@ -91,7 +94,11 @@
         }
     }
 
-    /// A request comes in and waits for the next step.
+    /// Adds a request to the queue; the next step may admit it.
+    ///
+    /// # Errors
+    ///
+    /// [`Full`] where the queue is full or the prompt could never fit the memory.
     pub fn enqueue(&mut self, prompt: Prompt) -> Result<Ticket, Full> {
         let free = self.slots.saturating_sub(self.running.len());
         let too_large = prompt.tokens() + prompt.max_tokens > self.memory.total();
@@ -111,7 +118,7 @@
         Ok(ticket)
     }
 
-    /// A request's caller has left, or its time is over.
+    /// Removes a request whose caller has disconnected or whose deadline has passed.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.waiting.retain(|request| request.ticket != ticket);
         if let Some(index) = self
@@ -124,7 +131,7 @@
         }
     }
 
-    /// Begins a step: lets requests in and reads prompts. How long it takes, in microseconds; `None` when idle.
+    /// Begins a step: admits requests and prefills prompts. Returns its duration in microseconds; `None` when idle.
     pub fn begin_step(&mut self) -> Option<u64> {
         self.admit();
         if self.running.is_empty() {
@@ -135,7 +142,7 @@
         Some(self.speeds.step_us + self.speeds.per_running_us * self.running.len() as u64 + reading)
     }
 
-    /// Ends a step: each request whose prompt is read has one more token.
+    /// Ends a step: each request whose prompt is prefilled has one more token.
     pub fn finish_step(&mut self) -> Vec<Produced> {
         let tickets: Vec<Ticket> = self
             .running
@@ -149,34 +156,43 @@
             .collect()
     }
 
+    /// Requests in the batch.
+    #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
+    /// Requests that wait for admission.
+    #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
+    /// The memory that the requests share.
+    #[must_use]
     pub fn memory(&self) -> &Memory {
         &self.memory
     }
 
-    /// Tokens of prompts read so far.
+    /// Prompt tokens prefilled so far.
+    #[must_use]
     pub fn prompt_tokens_prefilled(&self) -> u64 {
         self.prompt_tokens_prefilled
     }
 
-    /// Tokens of the prompts let in so far, also those that were kept.
+    /// Tokens of all prompts admitted so far, cached ones included.
+    #[must_use]
     pub fn prompt_tokens_admitted(&self) -> u64 {
         self.prompt_tokens_admitted
     }
 
-    /// Requests that had to give way so far.
+    /// Preemptions so far.
+    #[must_use]
     pub fn preempted(&self) -> u64 {
         self.preempted
     }
 
-    /// The more urgent go first; those alike in the order of their coming.
+    /// Orders the queue by priority, then by arrival.
     fn insert_waiting(&mut self, request: Request) {
         let key = |request: &Request| (request.prompt.priority, request.ticket);
         let position = self
@@ -213,7 +229,7 @@
         }
     }
 
-    /// Has the newest of the least urgent give way, if it is less urgent than `priority`.
+    /// Preempts the newest of the least urgent requests, if it is less urgent than `priority`.
     fn preempt_below(&mut self, priority: u8) -> bool {
         match self.least_urgent() {
             Some(index) if self.running[index].prompt.priority > priority => {
@@ -260,7 +276,7 @@
         read
     }
 
-    /// One more token for a request; nothing where it has had to give way.
+    /// Generates one more token for a request; `None` where it had to be preempted.
     fn generate(&mut self, ticket: Ticket) -> Option<Produced> {
         while !self.memory.grow() {
             let index = self.least_urgent()?;
--- a/crates/testing/emulator/src/engine/mod.rs
+++ b/crates/testing/emulator/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! A model server: requests run in batches, prompts are read in pieces between the tokens of others, memory holds
-//! running requests and kept parts of prompts.
+//! A model server: continuous batching with chunked prefill, and a memory that caches prompt segments and holds
+//! the tokens of running requests.
 
 mod batch;
 mod memory;
@@ -17,23 +17,26 @@
 use tokio::task::JoinHandle;
 use work::{run_steps, EngineWork};
 
-/// How a model server works.
+/// Settings of a model server.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
+    /// Duration of steps.
     pub speeds: Speeds,
-    /// Requests that wait beyond those in the batch.
+    /// Capacity of the queue.
     pub queue: usize,
-    /// Tokens that its memory holds.
+    /// Capacity of its memory in tokens.
     pub memory_tokens: u64,
     /// Tokens in one event.
     pub chunk_tokens: u64,
-    /// Real time for a millisecond of the server's own; 0 for as fast as asked.
+    /// Real time for a millisecond of the model; 0 for no waiting.
     pub time_scale: f64,
-    /// Ids of events: the first one, and from one to the next.
+    /// Id of a stream's first event.
     pub first_event: u64,
+    /// Difference between the ids of two events in a row.
     pub event_stride: u64,
-    /// Its models, by name.
+    /// Names of its models.
     pub models: Vec<String>,
+    /// Treatment of connections.
     pub connections: ConnectionSettings,
 }
 
@@ -53,11 +56,12 @@
     }
 }
 
-/// A model server that runs; it ends when this is dropped.
+/// A running model server; dropping this stops it.
 #[derive(Debug)]
 pub struct EngineServer {
+    /// The server's identity, faults and counters.
     pub handle: Arc<ServerHandle>,
-    /// Held by the test: each step of the batch waits here, one token for each request that runs.
+    /// Each step of the batch waits here; a step is one token for each running request.
     pub gate: Gate,
     work: Arc<EngineWork>,
     steps: JoinHandle<()>,
@@ -65,7 +69,7 @@
 }
 
 impl EngineServer {
-    /// Starts on `listener`, whose address `identity` names.
+    /// Starts on `listener`, whose address is that of `identity`.
     pub fn start(
         listener: TcpListener,
         identity: Identity,
@@ -93,17 +97,20 @@
         }
     }
 
-    /// Tokens of prompts that were read, kept ones not counted.
+    /// Prompt tokens prefilled, cached ones not counted.
+    #[must_use]
     pub fn prompt_tokens_prefilled(&self) -> u64 {
         self.work.prompt_tokens_prefilled()
     }
 
-    /// Tokens of all prompts that were let in, kept ones counted as well.
+    /// Tokens of all prompts admitted, cached ones counted as well.
+    #[must_use]
     pub fn prompt_tokens_admitted(&self) -> u64 {
         self.work.prompt_tokens_admitted()
     }
 
-    /// Requests that run, and those that wait.
+    /// The present load.
+    #[must_use]
     pub fn load(&self) -> Load {
         self.work.load()
     }
@@ -115,11 +122,15 @@
     }
 }
 
-/// How many requests a server has.
+/// Load of a model server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
+    /// Requests in the batch.
     pub running: usize,
+    /// Requests that wait for admission.
     pub queued: usize,
+    /// Tokens in use by running requests.
     pub memory_used: u64,
+    /// Capacity in tokens.
     pub memory_total: u64,
 }
--- a/crates/testing/emulator/src/engine/prompt.rs
+++ b/crates/testing/emulator/src/engine/prompt.rs
@@ -1,20 +1,24 @@
-//! What a request says about its prompt.
+//! The prompt, as the headers of a request describe it.
 
 use crate::wire::{name, Headers};
 
-/// One part of a prompt, shared between requests by its id.
+/// One segment of a prompt, shared between requests by its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PromptSegment {
+    /// Id; segments with the same id are the same text.
     pub id: u64,
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// The parts in order, and the most that the request generates.
+/// A prompt and the number of tokens to generate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
+    /// Segments from the beginning of the prompt.
     pub segments: Vec<PromptSegment>,
+    /// Most tokens to generate.
     pub max_tokens: u64,
-    /// 0 is let in first.
+    /// 0 is admitted first.
     pub priority: u8,
 }
 
@@ -22,7 +26,7 @@
 const ORDINARY_PRIORITY: u8 = 5;
 
 impl Prompt {
-    /// Reads the headers; what is missing counts as little as can be.
+    /// Reads the headers; missing counts are taken as 1.
     pub fn read(headers: &Headers) -> Prompt {
         let (total, max_tokens) = headers
             .get(name::TOKEN_COUNT)
@@ -49,6 +53,8 @@
         }
     }
 
+    /// Length of the prompt in tokens.
+    #[must_use]
     pub fn tokens(&self) -> u64 {
         self.segments.iter().map(|segment| segment.tokens).sum()
     }
--- a/crates/testing/emulator/src/engine/work.rs
+++ b/crates/testing/emulator/src/engine/work.rs
@@ -1,4 +1,4 @@
-//! Ties the batch to requests: who waits for which tokens, and the time that steps take.
+//! Connects the batch with requests: delivers tokens to their requests and lets steps take their time.
 
 use super::batch::{Batch, Produced, Ticket};
 use super::memory::Memory;
@@ -16,10 +16,10 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The longest that a server works on a request that names no deadline.
+/// Time limit of a request without a deadline.
 const MAX_WORK: Duration = Duration::from_secs(120);
 
-/// What requests and steps share.
+/// State shared by the requests and the task that runs steps.
 #[derive(Debug)]
 pub(super) struct EngineWork {
     settings: EngineSettings,
@@ -74,7 +74,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets a request in; its tokens come through the channel, at most as many as it asked for.
+    /// Adds a request to the batch; its tokens come through the channel. `None` where the server is full.
     fn enter(self: &Arc<Self>, prompt: Prompt) -> Option<Entered> {
         let (sender, tokens) = mpsc::unbounded_channel();
         let ticket = {
@@ -104,7 +104,7 @@
     }
 }
 
-/// Steps for as long as the task lives.
+/// Runs steps until the task is aborted.
 pub(super) async fn run_steps(work: Arc<EngineWork>) {
     loop {
         if work.load().running + work.load().queued == 0 {
@@ -127,7 +127,7 @@
     }
 }
 
-/// A request in the batch; it leaves the batch when this is dropped.
+/// A request in the batch; dropping this cancels it.
 struct Entered {
     work: Arc<EngineWork>,
     ticket: Ticket,
@@ -142,7 +142,7 @@
     }
 }
 
-/// Lets `Arc<EngineWork>` hand itself to the requests it lets in.
+/// Implemented for `Arc`, as admitted requests keep a reference to the work.
 impl Work for Arc<EngineWork> {
     async fn work(&self, arrived: ReceivedRequest, reply: &mut Reply) {
         let limit = arrived.deadline_ms.map_or(MAX_WORK, Duration::from_millis);
@@ -193,7 +193,7 @@
 }
 
 impl EngineWork {
-    /// Sends events as their tokens come, an incomplete one at the end.
+    /// Sends events as their tokens are generated; the last one may have fewer tokens.
     async fn stream(
         &self,
         arrived: &ReceivedRequest,
@@ -224,7 +224,7 @@
         }
     }
 
-    /// The data names request, place and time, so that events of two runs differ.
+    /// The data states request, index and time, so that events of two runs differ.
     fn event(&self, arrived: &ReceivedRequest, index: u64) -> Event {
         let id = self.settings.first_event + index * self.settings.event_stride;
         let data = format!("{} {index} {}", arrived.request, self.clock.now_us());
--- a/crates/testing/emulator/src/experiment/check.rs
+++ b/crates/testing/emulator/src/experiment/check.rs
@@ -10,7 +10,7 @@
 const MAX_IDLE_S: f64 = 60.0;
 const MAX_RATE: f64 = 2_000.0;
 
-/// What can't be played, each with its place.
+/// Findings that keep an experiment from being played, each with its field.
 pub fn check(experiment: &Experiment) -> Vec<String> {
     let mut findings = Findings::default();
     let machines = &experiment.machines;
--- a/crates/testing/emulator/src/experiment/ending.rs
+++ b/crates/testing/emulator/src/experiment/ending.rs
@@ -1,4 +1,4 @@
-//! What has to hold when everything is over: what was acknowledged is there, and programs go on where they were.
+//! Checks after the traffic: what was acknowledged is there, and programs can continue.
 
 use dunespur_emulator::judge::{Rule, Violation};
 use dunespur_emulator::program::Conversation;
@@ -11,7 +11,7 @@
 /// The system serves again within this time after its last fault.
 const RECOVERY: Duration = Duration::from_secs(12);
 
-/// All that does not hold.
+/// All violations found.
 pub async fn judge(scene: &mut Scene, conversations: Vec<Conversation>) -> Vec<Violation> {
     let mut violations = Vec::new();
     violations.extend(configuration(scene).await);
@@ -57,7 +57,7 @@
     lost(format!("version {generation} is not what was sent"))
 }
 
-/// The routes in the order of their names: a patch says nothing of theirs.
+/// Routes sorted by name, as a patch does not define their order.
 fn by_name(configuration: &Value) -> Value {
     let mut sorted = configuration.clone();
     if let Some(routes) = sorted["routes"].as_array_mut() {
--- a/crates/testing/emulator/src/experiment/faults/mod.rs
+++ b/crates/testing/emulator/src/experiment/faults/mod.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 use steps::Step;
 
-/// A process that is asked to leave is killed after this time.
+/// A process is killed this long after SIGTERM.
 const GRACE_S: f64 = 8.0;
-/// A machine is in touch again this long after its trouble.
+/// A machine has contact again this long after its fault.
 const CONTACT_MS: u64 = 3_000;
 
 /// Something that has to be done at its time.
@@ -27,7 +27,7 @@
 pub struct Faults {
     planned: Vec<Fault>,
     actions: Vec<Action>,
-    /// Machines that have been taken away for good.
+    /// Indices of decommissioned machines.
     removed: BTreeSet<usize>,
     disturbances: Vec<Span>,
     ingress: Ingress,
@@ -67,7 +67,7 @@
         self.planned.is_empty() && self.actions.is_empty()
     }
 
-    /// When machines were not in touch.
+    /// When machines were without contact.
     pub fn disturbances(&self) -> Vec<Span> {
         self.disturbances.clone()
     }
@@ -89,7 +89,7 @@
         }));
     }
 
-    /// What a fault consists of; nothing where its machine is gone.
+    /// The steps of a fault; none where its machine was decommissioned.
     fn steps(&self, scene: &Scene, fault: &Fault) -> Vec<Timed> {
         let Some(target) = self.target(scene, fault) else {
             return Vec::new();
--- a/crates/testing/emulator/src/experiment/faults/steps.rs
+++ b/crates/testing/emulator/src/experiment/faults/steps.rs
@@ -9,7 +9,7 @@
 use dunespur_emulator::system::{MachinePlan, Role};
 use std::time::Duration;
 
-/// An order has so long to be acknowledged.
+/// Time for an order to be acknowledged.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause between two looks at a machine that is being emptied.
 const RETIRE_POLL_INTERVAL: Duration = Duration::from_millis(200);
@@ -18,13 +18,13 @@
 /// The time that an order to empty a machine names.
 const RETIRE_DEADLINE_S: u64 = 10;
 
-/// One thing that is done; machines by place, servers by number.
+/// One step of a fault; machines by index, servers by number.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Step {
     Kill(usize),
     Start(usize),
     Terminate(usize),
-    /// A process that was asked to leave, the so manieth of its machine, has had its time.
+    /// The grace period after SIGTERM has passed for the process with this number.
     StartAfterLeave {
         index: usize,
         process: u32,
@@ -36,10 +36,10 @@
     StartAll,
     /// A machine is lost for good.
     Decommission(usize),
-    /// An empty machine comes in the place of one that was lost.
+    /// An empty machine replaces one that was lost.
     Replace(usize),
     Retire(usize),
-    /// Looks whether the machine is empty; gives up at a time.
+    /// Checks whether the machine is empty, until the time given.
     AwaitRetired {
         index: usize,
         until: Duration,
@@ -206,7 +206,7 @@
     scene.system.restart(index)
 }
 
-/// A new server comes, the old one leaves in order.
+/// Starts a new server, then drains the old one.
 async fn drain_model(scene: &mut Scene, server: usize) -> anyhow::Result<()> {
     scene.add_engine().await?;
     let old = scene.engines.swap_remove(server);
--- a/crates/testing/emulator/src/experiment/file.rs
+++ b/crates/testing/emulator/src/experiment/file.rs
@@ -117,7 +117,7 @@
     pub name: String,
     /// Programs that begin in a second.
     pub rate: f64,
-    /// Whether the system keeps what was said.
+    /// Whether the system stores the turns.
     #[serde(rename = "kept")]
     pub persisted: bool,
     pub turns: u32,
@@ -179,7 +179,7 @@
     /// Which machine of its role, or which server.
     #[serde(default)]
     pub number: usize,
-    /// After this time a machine is started again or thawed, and a trouble ends.
+    /// Duration: afterwards a machine is started again or thawed, or a server's fault ends.
     #[serde(default = "short")]
     pub lasts_s: f64,
 }
@@ -198,25 +198,25 @@
     FreezeStore,
     WipeCore,
     WipeStore,
-    /// A machine is lost for good, and an empty one comes at another address.
+    /// A machine is lost for good, and an empty one joins at another address.
     ReplaceCore,
     ReplaceStore,
-    /// A store is emptied, then taken away.
+    /// A store is emptied, then decommissioned.
     RetireStore,
     AddGateway,
     AddStore,
     /// A plain server runs requests and closes without an answer.
     LoseAnswers,
-    /// A model server drains, leaves, and another one comes in its place.
+    /// A model server drains and departs, and another one takes its place.
     ReplaceModel,
-    /// A model server is gone without a word, and another one comes in its place.
+    /// A model server crashes, and another one takes its place.
     CrashModel,
     /// A route is added by a patch.
     Patch,
 }
 
 impl FaultKind {
-    /// Whether it is planned work, or trouble of servers: machines stay in touch.
+    /// Whether it is planned work or a fault of servers, by which no machine loses contact.
     pub fn leaves_in_touch(self) -> bool {
         matches!(
             self,
@@ -264,7 +264,7 @@
         Experiment::parse(&text).with_context(|| path.display().to_string())
     }
 
-    /// Machines and faults in one line.
+    /// A summary of machines and faults on one line.
     pub fn summary(&self) -> String {
         let machines = &self.machines;
         let mut faults: Vec<&Fault> = self.faults.iter().collect();
--- a/crates/testing/emulator/src/experiment/findings.rs
+++ b/crates/testing/emulator/src/experiment/findings.rs
@@ -30,7 +30,7 @@
     pub probes: u64,
     pub processes: Vec<ProcessUse>,
     pub violations: Vec<String>,
-    /// All tries, for other tools.
+    /// All attempts, for other tools.
     #[serde(skip)]
     pub attempts: String,
 }
@@ -49,7 +49,7 @@
     pub took_ms: Quantiles,
 }
 
-/// Of a list of times.
+/// Quantiles of a list of times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Quantiles {
     pub p50: f64,
--- a/crates/testing/emulator/src/experiment/hunt.rs
+++ b/crates/testing/emulator/src/experiment/hunt.rs
@@ -11,7 +11,7 @@
 const CALM_S: f64 = 2.0;
 /// What is left between two faults beyond the least.
 const SPREAD_S: f64 = 1.0;
-/// A machine that is asked to leave has this time.
+/// Grace period after SIGTERM.
 const GRACE_S: f64 = 8.0;
 /// The longest that a fault lasts.
 const LONGEST_FAULT_S: f64 = 2.0;
--- a/crates/testing/emulator/src/experiment/listing.rs
+++ b/crates/testing/emulator/src/experiment/listing.rs
@@ -1,4 +1,4 @@
-//! All tries as a table for other tools, one a line.
+//! A table of all attempts for other tools, one on each line.
 
 use dunespur_emulator::record::{AttemptOutcome, AttemptRecord, Fate, Observation};
 use dunespur_emulator::scene::Scene;
@@ -10,7 +10,7 @@
 const HEAD: &str =
     "sent_ms\tended_ms\tfront\ttarget\trequest\tprogram\toutcome\tfirst_ms\tserver\tserver_first_ms\n";
 
-/// Every try with what its server saw last of it.
+/// Every attempt with its last run at a server.
 pub fn attempts(scene: &Scene) -> String {
     let observations = scene.record.observations();
     let mut last: HashMap<RequestId, &Observation> = HashMap::new();
@@ -45,7 +45,7 @@
     );
 }
 
-/// How a try ended, in a word.
+/// How an attempt ended, in short.
 pub fn outcome(outcome: &AttemptOutcome) -> String {
     match outcome {
         AttemptOutcome::Answered(answered) => answered.status.to_string(),
--- a/crates/testing/emulator/src/experiment/mod.rs
+++ b/crates/testing/emulator/src/experiment/mod.rs
@@ -56,7 +56,7 @@
     Ok(findings)
 }
 
-/// Of finished programs, spread over the whole time: their lines are to go on at the end.
+/// Some conversations of finished programs, spread over the run, to be continued at the end.
 fn conversations(outcomes: &[Outcome]) -> Vec<Conversation> {
     let conversations: Vec<&Conversation> = outcomes
         .iter()
--- a/crates/testing/emulator/src/experiment/traffic.rs
+++ b/crates/testing/emulator/src/experiment/traffic.rs
@@ -38,7 +38,7 @@
     pub took_ms: u64,
     /// Times to the first event of its turns, or to its answer.
     pub first_ms: Vec<u64>,
-    /// Where a program that has finished may go on, if its turns are kept.
+    /// The conversation of a finished program whose turns are stored.
     pub conversation: Option<Conversation>,
 }
 
--- a/crates/testing/emulator/src/gate.rs
+++ b/crates/testing/emulator/src/gate.rs
@@ -1,9 +1,9 @@
-//! What a test holds back and lets go.
+//! Gates, by which a test controls the progress of servers.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::Notify;
 
-/// Where a stand-in waits until the test lets it go on. Open until it is held.
+/// A point at which servers wait until the test lets them proceed. Open at first.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     inner: Arc<Inner>,
@@ -23,14 +23,15 @@
 }
 
 impl Gate {
-    /// A gate that is held from the start.
+    /// A gate that is closed from the start.
+    #[must_use]
     pub fn closed() -> Gate {
         let gate = Gate::default();
         gate.close();
         gate
     }
 
-    /// From now on nothing passes without a permit.
+    /// Closes the gate: nothing passes without a permit.
     pub fn close(&self) {
         self.change(|state| {
             state.closed = true;
@@ -38,17 +39,17 @@
         });
     }
 
-    /// Lets so many pass, those that wait or come next.
+    /// Lets `count` waiting or later ones pass.
     pub fn release(&self, count: u64) {
         self.change(|state| state.permits += count);
     }
 
-    /// Lets all pass from now on.
+    /// Opens the gate for all.
     pub fn open(&self) {
         self.change(|state| state.closed = false);
     }
 
-    /// Goes on once the gate lets it.
+    /// Returns once the gate lets the caller pass.
     pub async fn pass(&self) {
         let _waiting = Waiting::begin(&self.inner);
         self.until(|state| {
@@ -62,7 +63,7 @@
         .await;
     }
 
-    /// Ends once that many wait here: the sign that requests have arrived.
+    /// Returns once `count` callers wait here, which shows that requests have arrived.
     pub async fn waiting(&self, count: usize) {
         self.until(|state| state.waiting >= count).await;
     }
@@ -91,7 +92,7 @@
     }
 }
 
-/// Counts one that waits, also when it is dropped while waiting.
+/// Counts one waiting caller, also when it is dropped while waiting.
 struct Waiting {
     inner: Arc<Inner>,
 }
--- a/crates/testing/emulator/src/heartbeat.rs
+++ b/crates/testing/emulator/src/heartbeat.rs
@@ -1,4 +1,5 @@
-//! How a server makes itself known: heartbeats, draining and leaving, told to whichever limiter acknowledges.
+//! Registration of a server with the gateways: heartbeats, draining and departure, sent to the first gateway that
+//! acknowledges.
 
 use crate::client::call::{call, Call, CallAnswer, CallError};
 use crate::record::Acknowledged;
@@ -11,14 +12,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// An acknowledgement that comes later is none.
+/// A later acknowledgement does not count.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
-/// One that is longer is none either.
+/// A longer acknowledgement does not count either.
 const MAX_ACKNOWLEDGEMENT_BYTES: usize = 4 * 1024;
-/// Pause once all limiters have failed.
+/// Time until the next attempt once all gateways have failed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is told next.
+/// What the next message announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Ready,
@@ -27,7 +28,7 @@
     Silent,
 }
 
-/// Registers one server for as long as it lives.
+/// Keeps one server registered until this is dropped.
 #[derive(Debug)]
 pub struct Registration {
     handle: Arc<ServerHandle>,
@@ -44,18 +45,19 @@
     now: Notify,
 }
 
-/// How a server tells of itself.
+/// Contents and interval of a server's heartbeats.
 #[derive(Clone, Debug)]
 pub struct HeartbeatSettings {
-    pub pause: Duration,
-    /// Time that it is slow from its start, told in each heartbeat.
+    /// Time between two heartbeats.
+    pub interval: Duration,
+    /// Remaining warm-up time, in milliseconds, as each heartbeat states it.
     pub warm_up_left_ms: u64,
     /// Names of its models; none for a plain server.
     pub models: Vec<String>,
 }
 
 impl Registration {
-    /// Begins to tell `controls` of the server behind `door`.
+    /// Begins to register the server of `handle` with the gateways at `controls`.
     pub fn start(
         handle: Arc<ServerHandle>,
         controls: Vec<SocketAddr>,
@@ -83,7 +85,7 @@
         }
     }
 
-    /// The limiters to be called from now on.
+    /// Replaces the gateways' addresses.
     pub fn set_controls(&self, controls: Vec<SocketAddr>) {
         *self
             .shared
@@ -92,23 +94,23 @@
             .unwrap_or_else(PoisonError::into_inner) = controls;
     }
 
-    /// Ends once the server is known as ready.
+    /// Returns once a gateway has acknowledged the server as ready.
     pub async fn known(&self) {
         self.wait_for_acknowledgement(Phase::Ready).await;
     }
 
-    /// Says that the server is draining; ends with the acknowledgement.
+    /// Announces that the server is draining; returns with the acknowledgement.
     pub async fn drain(&self) {
         self.enter(Phase::Draining).await;
         self.handle.set_leaving();
     }
 
-    /// Says that the server leaves; ends with the acknowledgement.
+    /// Announces that the server departs; returns with the acknowledgement.
     pub async fn leave(&self) {
         self.enter(Phase::Leaving).await;
     }
 
-    /// Sends one heartbeat with these values to `control`, beside those that are sent by themselves.
+    /// Sends one extra heartbeat with these values to `control`; returns the status of the response.
     pub async fn send_out_of_order(
         &self,
         control: SocketAddr,
@@ -131,7 +133,7 @@
             .map(|answer| answer.status)
     }
 
-    /// Says nothing any more, as a server that crashed.
+    /// Stops all heartbeats, as a crashed server does.
     pub fn fall_silent(&self) {
         self.shared.phase.send_replace(Phase::Silent);
         self.task.abort();
@@ -162,9 +164,9 @@
     shared: Arc<Shared>,
     heartbeat: HeartbeatSettings,
     seq: u64,
-    /// Place in the list of limiters.
+    /// Index of the gateway to call next.
     next: usize,
-    /// Where an earlier answer asked to be called.
+    /// The gateway that an earlier response named for heartbeats.
     preferred: Option<SocketAddr>,
 }
 
@@ -184,13 +186,13 @@
                 return;
             }
             tokio::select! {
-                () = sleep(self.heartbeat.pause) => {}
+                () = sleep(self.heartbeat.interval) => {}
                 () = self.shared.now.notified() => {}
             }
         }
     }
 
-    /// Calls one limiter after the other until one acknowledges; false when all have failed.
+    /// Calls one gateway after the other until one acknowledges; false when all have failed.
     async fn send(&mut self, phase: Phase) -> bool {
         let requested_ms = self.handle.context.clock.now_ms();
         if let Some(preferred) = self.preferred {
--- a/crates/testing/emulator/src/identity.rs
+++ b/crates/testing/emulator/src/identity.rs
@@ -3,12 +3,12 @@
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The id of one try of a request.
+/// The id of one attempt of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
 impl RequestId {
-    /// Reads the value of a header.
+    /// Parses the value of a header: 16 hexadecimal digits.
     pub fn parse(text: &str) -> Option<RequestId> {
         let well_formed = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         well_formed
@@ -30,34 +30,41 @@
     }
 }
 
-/// Draws ids.
+/// A source of ids, drawn from a seed; clones share it.
 #[derive(Clone, Debug)]
 pub struct IdentitySource {
     random: Arc<Mutex<fastrand::Rng>>,
 }
 
 impl IdentitySource {
+    /// A source that draws the same ids for the same seed.
+    #[must_use]
     pub fn new(seed: u64) -> IdentitySource {
         IdentitySource {
             random: Arc::new(Mutex::new(fastrand::Rng::with_seed(seed))),
         }
     }
 
+    /// The id of a new attempt.
+    #[must_use]
     pub fn request(&self) -> RequestId {
         RequestId(self.draw())
     }
 
-    /// The name of a program, a session or a part of a prompt.
+    /// The id of a program, a session or a prompt segment.
+    #[must_use]
     pub fn short(&self) -> String {
         format!("{:06x}", self.draw() & 0xff_ffff)
     }
 
     /// The id of a server's incarnation.
+    #[must_use]
     pub fn instance(&self) -> String {
         format!("i-{:08x}", self.draw() & 0xffff_ffff)
     }
 
     /// A number below `bound`.
+    #[must_use]
     pub fn below(&self, bound: u64) -> u64 {
         if bound == 0 {
             return 0;
--- a/crates/testing/emulator/src/ingress.rs
+++ b/crates/testing/emulator/src/ingress.rs
@@ -1,4 +1,5 @@
-//! The platform's entry: asks each limiter every second whether it is ready, and hands clients on to those that are.
+//! The platform's load balancer: checks each gateway's readiness every second and sends clients to those that are
+//! ready.
 
 use crate::client::call::{call, Call};
 use crate::client::Client;
@@ -8,21 +9,23 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-/// How often each limiter is asked.
+/// Interval of the readiness checks.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// An answer that comes later is none.
+/// A readiness check fails after this time.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A limiter that misses so often receives no new connections.
+/// A gateway that fails this many checks in a row receives no new connections.
 const MAX_MISSED_PROBES: u32 = 2;
 
-/// Where a limiter is asked, and where its clients go.
+/// The addresses of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
+    /// Address of the readiness check.
     pub ready: SocketAddr,
+    /// Address for clients.
     pub front: SocketAddr,
 }
 
-/// Keeps a client's list of limiters. Ends when this is dropped.
+/// Keeps a client's gateway addresses up to date until this is dropped.
 #[derive(Debug)]
 pub struct Ingress {
     entries: Arc<Mutex<Vec<Entry>>>,
@@ -30,13 +33,15 @@
 }
 
 impl Ingress {
+    /// Begins to check `entries` and to keep the addresses of `client` up to date.
+    #[must_use]
     pub fn start(client: Client, entries: Vec<Entry>) -> Ingress {
         let entries = Arc::new(Mutex::new(entries));
         let task = tokio::spawn(keep(client, entries.clone()));
         Ingress { entries, task }
     }
 
-    /// The limiters that exist from now on.
+    /// Replaces the gateways.
     pub fn set_entries(&self, entries: Vec<Entry>) {
         *self.entries.lock().unwrap_or_else(PoisonError::into_inner) = entries;
     }
@@ -48,7 +53,7 @@
     }
 }
 
-/// A limiter as the platform sees it.
+/// A gateway as the platform sees it.
 struct Seen {
     entry: Entry,
     misses: u32,
@@ -84,7 +89,7 @@
     }
 }
 
-/// Those that are in; all where fewer than half are.
+/// Gateways for new connections: the ready ones, or all where fewer than half are ready.
 fn open(seen: &[Seen]) -> Vec<SocketAddr> {
     let ready: Vec<SocketAddr> = seen
         .iter()
--- a/crates/testing/emulator/src/judge/answers.rs
+++ b/crates/testing/emulator/src/judge/answers.rs
@@ -1,4 +1,4 @@
-//! MIXED: an answer that is not the server's, or not this request's.
+//! MIXED: a response that is not the server's, or not this request's.
 
 use super::view::View;
 use super::{Rule, Violation};
--- a/crates/testing/emulator/src/judge/mod.rs
+++ b/crates/testing/emulator/src/judge/mod.rs
@@ -1,4 +1,4 @@
-//! What the rules want of what servers, clients and the operator saw. Independent of the program under test: it
+//! Checks of the record against the rules of the protocol. Independent of the program under test: the judge
 //! knows only the record.
 
 mod answers;
@@ -15,8 +15,9 @@
 use std::fmt;
 use view::View;
 
-/// The usual bounds of draining and of bringing a version into force.
+/// Time from the acknowledgement of draining to the last request, in milliseconds.
 pub const DRAIN_MS: u64 = 2_000;
+/// Time within which an acknowledged configuration is in force, in milliseconds.
 pub const CONFIG_APPLY_MS: u64 = 2_000;
 /// Requests that may end with a 4xx of the system's own, though they are proper: so many, and one in so many more.
 const DENIED_FREE: usize = 5;
@@ -25,23 +26,36 @@
 /// A rule, by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
+    /// A response that is not the server's, or belongs to another request.
     Mixed,
+    /// A server ran what no client sent.
     Unasked,
+    /// A request that must not be repeated ran twice.
     Twice,
+    /// A request was rejected as not run, and ran.
     Refused,
+    /// Proper requests were denied.
     Denied,
+    /// More tokens or attempts than the budget allows.
     Budget,
+    /// A request ran at a service that its route does not lead to.
     Route,
+    /// A request reached a server long after its draining was acknowledged.
     Drain,
+    /// A request was handled by a superseded configuration.
     Config,
+    /// Something acknowledged is missing, or a request was closed by planned work.
     Lost,
+    /// A stream with events missing, repeated or mixed.
     Order,
 }
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
+    /// The broken rule.
     pub rule: Rule,
+    /// What was seen, with the ids of requests and servers.
     pub detail: String,
 }
 
@@ -51,21 +65,25 @@
     }
 }
 
-/// What the judge has to know of configurations and bounds.
+/// Configurations and time bounds by which the judge decides.
 #[derive(Clone, Debug)]
 pub struct JudgeSettings {
     /// All configurations that were ever sent and may be in force.
     pub versions: Vec<ConfigurationPlan>,
+    /// Time from the acknowledgement of draining to the last request, in milliseconds.
     pub drain_ms: u64,
+    /// Time from the acknowledgement of a configuration to its effect, in milliseconds.
     pub config_apply_ms: u64,
-    /// When machines were not in touch through unplanned trouble: rules with a bound in time do not hold then.
+    /// When machines had no contact because of unplanned faults: rules with a time bound are not checked then.
     pub disturbances: Vec<Span>,
 }
 
 /// A stretch of time, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
+    /// Beginning, in milliseconds of the shared clock.
     pub from_ms: u64,
+    /// End, in milliseconds of the shared clock.
     pub to_ms: u64,
 }
 
@@ -76,7 +94,8 @@
 }
 
 impl JudgeSettings {
-    /// Terms of these versions with the usual bounds, in calm times.
+    /// Settings for these versions with the usual bounds and no disturbances.
+    #[must_use]
     pub fn of(versions: Vec<ConfigurationPlan>) -> JudgeSettings {
         JudgeSettings {
             versions,
@@ -110,6 +129,7 @@
 }
 
 /// All that is broken in the record.
+#[must_use]
 pub fn judge(record: &Record, settings: &JudgeSettings) -> Vec<Violation> {
     let view = View::of(record);
     let mut violations = Vec::new();
--- a/crates/testing/emulator/src/judge/planned.rs
+++ b/crates/testing/emulator/src/judge/planned.rs
@@ -1,18 +1,18 @@
-//! LOST around planned work: a machine that was asked to leave closes on a request that it has read.
+//! LOST around planned work: a terminating machine closes the connection of a request that it has read.
 
 use super::view::View;
 use super::{JudgeSettings, Rule, Violation};
 use crate::record::{Acknowledged, AttemptOutcome, AttemptRecord};
 use std::net::SocketAddr;
 
-/// The platform kills a process this long after it asked it to leave.
+/// The platform kills a process this long after SIGTERM.
 const GRACE_MS: u64 = 8_000;
-/// Planned work counts for so long beyond that.
+/// Planned work counts for this long beyond that.
 const AFTERWARDS_MS: u64 = 1_000;
 /// A request closed sooner than this after it was sent may not have been read.
 const SLACK_MS: u64 = 200;
 
-/// A machine that was asked to leave.
+/// A machine that was sent SIGTERM.
 struct Leaving {
     front: SocketAddr,
     at_ms: u64,
@@ -50,13 +50,13 @@
     }
 }
 
-/// Whether the request ended around this machine's leaving.
+/// Whether the request ended around this machine's shutdown.
 fn concerns(leaving: &Leaving, attempt: &AttemptRecord) -> bool {
     let until_ms = leaving.at_ms + GRACE_MS + AFTERWARDS_MS;
     attempt.front == leaving.front && (leaving.at_ms..=until_ms).contains(&attempt.ended_ms)
 }
 
-/// Whether the connection was closed without a whole answer, though no server broke off.
+/// Whether the connection was closed without a complete response, though no server fault caused it.
 fn closed_early(view: &View, attempt: &AttemptRecord) -> bool {
     if !matches!(
         attempt.outcome,
--- a/crates/testing/emulator/src/judge/programs.rs
+++ b/crates/testing/emulator/src/judge/programs.rs
@@ -5,10 +5,10 @@
 use crate::record::AttemptRecord;
 use std::collections::HashMap;
 
-/// Statuses that say that there is no such turn.
+/// Statuses for a turn that is not found.
 const NO_SUCH_TURN: [u16; 2] = [404, 410];
 
-/// What a program was handed.
+/// Tokens that a program received, and its limits.
 #[derive(Clone, Copy, Debug, Default)]
 struct Handed {
     tokens: u64,
@@ -65,7 +65,7 @@
     }
 }
 
-/// A turn whose previous one was answered whole and is still kept, and yet isn't found.
+/// Whether the previous turn was completed and is still to be retained, and yet is not found.
 fn lost(view: &View, settings: &JudgeSettings, attempt: &AttemptRecord) -> Option<String> {
     let answered = attempt.answered()?;
     if !NO_SUCH_TURN.contains(&answered.status) {
--- a/crates/testing/emulator/src/judge/runs.rs
+++ b/crates/testing/emulator/src/judge/runs.rs
@@ -1,11 +1,11 @@
-//! What ran at servers: UNASKED, TWICE, REFUSED, ROUTE and the BUDGET of servers a try.
+//! What ran at servers: UNASKED, TWICE, REFUSED, ROUTE and the BUDGET of servers for an attempt.
 
 use super::view::View;
 use super::{JudgeSettings, Rule, Violation};
 use crate::record::{AttemptRecord, Fate, Observation};
 use std::collections::{HashMap, HashSet};
 
-/// Tries that may run on more servers than their route allows.
+/// Attempts that may run on more servers than their route allows.
 const ATTEMPTS_OVER_RETRIES: usize = 3;
 
 pub(super) fn judge(view: &View, settings: &JudgeSettings, violations: &mut Vec<Violation>) {
@@ -92,7 +92,7 @@
     })
 }
 
-/// An answer that promises that the request has not run, given by the system itself.
+/// Whether the system itself responded that the request has not run.
 fn ran_despite_rejection(attempt: &AttemptRecord) -> bool {
     let Some(answered) = attempt.answered() else {
         return false;
@@ -101,7 +101,7 @@
     promises_no_run && answered.stamp.is_none() && !attempt.idempotent
 }
 
-/// A thing wanted once that ran in two tries, though none of them may be repeated.
+/// An operation that ran in two attempts, though it is not idempotent.
 fn operation_ran_twice(view: &View, violations: &mut Vec<Violation>) {
     let mut ran: HashMap<u64, HashSet<usize>> = HashMap::new();
     for attempt in view.attempts.iter().filter(|attempt| !attempt.idempotent) {
--- a/crates/testing/emulator/src/judge/streams.rs
+++ b/crates/testing/emulator/src/judge/streams.rs
@@ -1,4 +1,4 @@
-//! ORDER: a stream misses a piece, has one twice, or joins pieces of two runs.
+//! ORDER: a stream misses an event, repeats one, or mixes events of two runs.
 
 use super::view::View;
 use super::{Rule, Violation};
--- a/crates/testing/emulator/src/judge/view.rs
+++ b/crates/testing/emulator/src/judge/view.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// What servers saw of a try.
+    /// Observations of an attempt.
     pub fn observations_of(&self, request: RequestId) -> impl Iterator<Item = &Observation> {
         let indices = self
             .observations_by_request
@@ -51,7 +51,7 @@
         indices.iter().map(|index| &self.observations[*index])
     }
 
-    /// Runs of a try.
+    /// Runs of an attempt.
     pub fn runs_of(&self, request: RequestId) -> impl Iterator<Item = &Observation> {
         self.observations_of(request)
             .filter(|observation| observation.fate == Fate::Run)
@@ -65,7 +65,7 @@
 }
 
 impl AttemptRecord {
-    /// The whole answer, if one came.
+    /// The complete response, if one came.
     pub(super) fn answered(&self) -> Option<&Answered> {
         match &self.outcome {
             AttemptOutcome::Answered(answered) => Some(answered),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// What came of an answer, whole or not.
+    /// The response, complete or not.
     pub(super) fn received(&self) -> Option<&Answered> {
         match &self.outcome {
             AttemptOutcome::Answered(answered) | AttemptOutcome::BrokenOff(answered) => {
--- a/crates/testing/emulator/src/lib.rs
+++ b/crates/testing/emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for all that the serving tier meets: model servers, plain servers, clients, agent programs, the
-//! operator and the platform that starts processes; and a judge that compares what they saw with the rules.
+//! Emulation of the serving tier's environment: model servers, plain servers, clients, agent programs, the
+//! operator and the platform that starts processes; and a judge that checks what they saw against the rules.
 //!
-//! Whole programs are tested with them over loopback, each machine under its own address. A stand-in is either timed
-//! by parameters or goes on only when the test lets it ([`Gate`]), so that no test has to sleep.
+//! Complete programs are tested with it over loopback, each machine under its own address. A server is either timed
+//! by parameters or proceeds only when the test lets it ([`Gate`]), so that no test has to sleep.
 
 pub mod client;
 mod clock;
--- a/crates/testing/emulator/src/main.rs
+++ b/crates/testing/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays an experiment file against real processes of the serving tier on loopback, and tells what it measured.
+//! Plays an experiment file against real processes of the serving tier on loopback, and reports what it measured.
 
 mod experiment;
 
--- a/crates/testing/emulator/src/operator.rs
+++ b/crates/testing/emulator/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: orders sent again, unchanged and to any limiter, until there is a clear answer.
+//! The operator: orders are retried, unchanged and at any gateway, until there is a clear response.
 
 use crate::client::call::{call, Call, CallAnswer};
 use crate::clock::Clock;
@@ -10,17 +10,17 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// A limiter that is silent longer is left for the next.
+/// Time for a gateway to respond before the next one is called.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Redirections followed.
+/// Most redirections followed.
 const MAX_REDIRECTIONS: u32 = 2;
-/// The first pause after a failure; it grows.
+/// Backoff after the first failure; it doubles with each.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
-/// Other 4xx end an order at this try.
+/// This many other 4xx responses end an order.
 const MAX_UNCLEAR_REFUSALS: u32 = 3;
 
-/// An operator with its list of limiters.
+/// An operator that knows the gateways.
 #[derive(Clone, Debug)]
 pub struct Operator {
     clock: Clock,
@@ -29,19 +29,25 @@
     next: usize,
 }
 
-/// The clear answer to an order.
+/// The clear response to an order.
 #[derive(Clone, Debug)]
 pub struct OrderAnswer {
+    /// HTTP status.
     pub status: u16,
+    /// Body of the response.
     pub body: Bytes,
+    /// From the first attempt to the response, in milliseconds.
     pub took_ms: u64,
+    /// Number of attempts.
     pub attempts: u32,
 }
 
-/// No clear answer came in time; the last one, if any.
+/// No clear response came in time.
 #[derive(Clone, Debug)]
 pub struct Unclear {
+    /// Status of the last response, if any came.
     pub last: Option<u16>,
+    /// Number of attempts.
     pub attempts: u32,
 }
 
@@ -58,6 +64,8 @@
 impl std::error::Error for Unclear {}
 
 impl Operator {
+    /// An operator that sends to the gateways at `controls`.
+    #[must_use]
     pub fn new(clock: Clock, record: Record, controls: Vec<SocketAddr>) -> Operator {
         Operator {
             clock,
@@ -67,12 +75,16 @@
         }
     }
 
-    /// The limiters called from now on.
+    /// Replaces the gateways' addresses.
     pub fn set_controls(&mut self, controls: Vec<SocketAddr>) {
         self.controls = controls;
     }
 
-    /// Brings a whole configuration on top of version `base`.
+    /// Replaces the configuration of version `base`.
+    ///
+    /// # Errors
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn replace(
         &mut self,
         base: u64,
@@ -83,7 +95,11 @@
             .await
     }
 
-    /// Changes named items on top of version `base`.
+    /// Changes named items of the configuration of version `base`.
+    ///
+    /// # Errors
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn patch(
         &mut self,
         base: u64,
@@ -94,6 +110,10 @@
     }
 
     /// Sends a body as it is, valid or not.
+    ///
+    /// # Errors
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn send_raw(
         &mut self,
         target: &str,
@@ -106,12 +126,20 @@
         self.order(&order, limit).await
     }
 
-    /// The newest configuration, whole.
+    /// Reads the newest configuration.
+    ///
+    /// # Errors
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn get(&mut self, limit: Duration) -> Result<OrderAnswer, Unclear> {
         self.order(&Call::get("/api/config/get"), limit).await
     }
 
-    /// Asks for a storage machine to be emptied.
+    /// Starts to retire a storage machine: its data moves to others.
+    ///
+    /// # Errors
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn retire(
         &mut self,
         node: &str,
@@ -126,7 +154,11 @@
         .await
     }
 
-    /// How far the emptying is.
+    /// Reads the progress of a retirement.
+    ///
+    /// # Errors
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn retirement(
         &mut self,
         node: &str,
--- a/crates/testing/emulator/src/plain.rs
+++ b/crates/testing/emulator/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain server: a few places, a short queue, a time that the work takes or a gate that the test holds.
+//! A plain server: some slots, a short queue, and work that takes a set time or waits for a gate.
 
 use crate::gate::Gate;
 use crate::server::{
@@ -13,14 +13,16 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-/// How a plain server works.
+/// Settings of a plain server.
 #[derive(Clone, Debug)]
 pub struct PlainSettings {
-    /// Requests that wait beyond those at work.
+    /// Capacity of the queue.
     pub queue: usize,
-    /// How long one takes; nothing for as fast as asked.
+    /// Duration of a request's work.
     pub work_time: Duration,
+    /// Length of the response's body in bytes.
     pub body_bytes: usize,
+    /// Treatment of connections.
     pub connections: ConnectionSettings,
 }
 
@@ -35,17 +37,18 @@
     }
 }
 
-/// A plain server that runs; it ends when this is dropped.
+/// A running plain server; dropping this stops it.
 #[derive(Debug)]
 pub struct PlainServer {
+    /// The server's identity, faults and counters.
     pub handle: Arc<ServerHandle>,
-    /// Held by the test: requests at work wait here.
+    /// Running requests wait here.
     pub gate: Gate,
     _listener_task: ListenerTask,
 }
 
 impl PlainServer {
-    /// Starts on `listener`, whose address `identity` names.
+    /// Starts on `listener`, whose address is that of `identity`.
     pub fn start(
         listener: TcpListener,
         identity: Identity,
@@ -80,7 +83,7 @@
     gate: Gate,
 }
 
-/// Counts one in the queue, also when its caller leaves.
+/// Counts one queued request, also when its caller disconnects.
 struct Queued<'a>(&'a AtomicUsize);
 
 impl Drop for Queued<'_> {
@@ -138,7 +141,7 @@
 }
 
 impl PlainWork {
-    /// Differs from request to request, so that a mix-up shows.
+    /// A body that differs from request to request, so that mixed responses are noticed.
     fn body(&self, arrived: &ReceivedRequest) -> Bytes {
         let unit = format!("{} {};", arrived.request, arrived.head.target);
         let mut text = unit.repeat(self.body_bytes / unit.len() + 1);
--- a/crates/testing/emulator/src/program.rs
+++ b/crates/testing/emulator/src/program.rs
@@ -1,4 +1,4 @@
-//! Agent programs: lines of turns, tools between them, sub-agents side by side, a budget for all.
+//! Agent programs: conversations, tools between turns, sub-agents side by side, one budget for all.
 
 use crate::client::{Client, Kind, RequestSpec, Served, Turn};
 use crate::digest::Digester;
@@ -8,101 +8,131 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-/// A turn that has failed with all its tries is sent anew at most so often.
+/// How often a turn whose attempts have all failed is started again.
 const MAX_RENEWALS: u32 = 2;
-/// The pause before, in milliseconds: at least, and how much more at most.
+/// Shortest backoff before that, in milliseconds.
 const RENEWAL_BACKOFF_MS: u64 = 100;
 const RENEWAL_JITTER_MS: u64 = 300;
 
-/// A part of prompts that many programs share.
+/// A beginning of prompts that many programs share.
 #[derive(Clone, Debug)]
 pub struct SharedPrefix {
+    /// Id in hexadecimal digits.
     pub id: String,
+    /// Length in tokens.
     pub tokens: u64,
 }
 
 /// A tool that is called after each turn but the last.
 #[derive(Clone, Debug)]
 pub struct Tool {
+    /// Path of its calls.
     pub target: String,
+    /// Kind of its calls.
     pub kind: Kind,
+    /// Time for one call, in milliseconds.
     pub deadline_ms: u64,
+    /// Attempts of a call beyond the first.
     pub retries: u32,
 }
 
 /// Sub-agents, started side by side.
 #[derive(Clone, Copy, Debug)]
 pub struct SubAgents {
-    /// After that many turns of the main line.
+    /// They start after this many turns of the main conversation.
     pub after_turn: u32,
+    /// Number of sub-agents.
     pub count: u32,
+    /// Turns of each sub-agent.
     pub turns: u32,
 }
 
 /// What a program is to do.
 #[derive(Clone, Debug)]
 pub struct ProgramPlan {
+    /// Value of `Host`.
     pub host: String,
     /// Path of its turns.
     pub target: String,
-    /// Whether the system keeps what was said.
+    /// Whether the system stores the turns.
     pub persisted: bool,
+    /// Turns of the main conversation.
     pub turns: u32,
+    /// Beginning of the prompts.
     pub shared: SharedPrefix,
     /// New input of each turn.
     pub input_bytes: usize,
+    /// The same in tokens.
     pub input_tokens: u64,
-    /// The most that a turn generates, and how much one event holds.
+    /// Most tokens that a turn generates.
     pub max_tokens: u64,
+    /// Tokens in one event.
     pub chunk_tokens: u64,
+    /// Token budget of the whole program.
     pub budget: u64,
+    /// Tools called side by side after a turn.
     pub tools: Vec<Tool>,
+    /// Sub-agents, if any.
     pub sub_agents: Option<SubAgents>,
+    /// Name of the model.
     pub model: String,
+    /// Time for one turn, in milliseconds.
     pub deadline_ms: u64,
+    /// Latency target to a turn's first event, in milliseconds.
     pub target_ms: u64,
+    /// Longest gap wanted between two events, in milliseconds.
     pub max_gap_ms: u64,
-    /// Tries of a turn beyond the first.
+    /// Attempts of a turn beyond the first.
     pub retries: u32,
-    /// Time until the program should be over.
+    /// Time within which the program is to finish, in milliseconds.
     pub finish_ms: u64,
 }
 
 /// How a program ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
+    /// All turns and calls succeeded.
     Finished,
     /// A 402: the budget is spent.
     Spent,
     /// A turn or a tool failed; the status of its last answer.
     Failed {
+        /// Status of the last response, if any came.
         status: Option<u16>,
     },
 }
 
-/// What became of a program.
+/// The result of a program.
 #[derive(Clone, Debug)]
 pub struct Played {
+    /// Id of the program.
     pub program: String,
+    /// How it ended.
     pub end: End,
-    /// The turns answered whole, of all lines.
+    /// Completed turns of all conversations.
     pub turns: Vec<TurnDone>,
+    /// From its start to its end, in milliseconds.
     pub took_ms: u64,
-    /// The main line as it ended.
+    /// The main conversation at its end.
     pub conversation: Conversation,
 }
 
-/// A turn answered whole.
+/// A completed turn.
 #[derive(Clone, Debug)]
 pub struct TurnDone {
+    /// Id of the successful attempt.
     pub request: RequestId,
+    /// From the first attempt to the first event, in milliseconds.
     pub first_ms: u64,
+    /// From the first attempt to the end, in milliseconds.
     pub took_ms: u64,
+    /// Number of events.
     pub events: usize,
+    /// Number of attempts.
     pub attempts: u32,
 }
 
-/// One line of turns: what was said so far, and the turn that the next one goes on from.
+/// A conversation: its transcript so far, and the turn that the next one continues.
 #[derive(Clone, Debug)]
 pub struct Conversation {
     plan: ProgramPlan,
@@ -110,7 +140,7 @@
     session: String,
     previous: Option<RequestId>,
     transcript_digest: Digester,
-    /// Kept only where the client has to send it all.
+    /// Stored only where the client has to send all of it.
     transcript: BytesMut,
     segments: Vec<String>,
     prompt_tokens: u64,
@@ -118,7 +148,8 @@
 }
 
 impl Conversation {
-    /// The main line of a new program.
+    /// The main conversation of a new program.
+    #[must_use]
     pub fn new(client: &Client, plan: &ProgramPlan) -> Conversation {
         Conversation {
             plan: plan.clone(),
@@ -133,7 +164,8 @@
         }
     }
 
-    /// A line that goes on from here as another session.
+    /// A conversation that continues from here as another session.
+    #[must_use]
     pub fn branch(&self, client: &Client) -> Conversation {
         Conversation {
             session: client.identities().short(),
@@ -141,21 +173,24 @@
         }
     }
 
+    /// Id of the program.
+    #[must_use]
     pub fn program(&self) -> &str {
         &self.program
     }
 
-    /// The turn that the next one goes on from.
+    /// The turn that the next one continues.
+    #[must_use]
     pub fn previous(&self) -> Option<RequestId> {
         self.previous
     }
 
-    /// Has the next turn go on from another turn than the one before it here.
+    /// Makes the next turn continue another turn.
     pub fn set_previous(&mut self, previous: Option<RequestId>) {
         self.previous = previous;
     }
 
-    /// The next turn as it would be asked for.
+    /// The request of the next turn.
     pub fn next_request(&self, client: &Client, input: &Bytes) -> RequestSpec {
         let plan = &self.plan;
         let expected = self.transcript_digest.clone().with(input).finish();
@@ -197,7 +232,7 @@
         spec
     }
 
-    /// Takes one turn with the tries that any request has.
+    /// Makes one turn, with retries.
     pub async fn turn(&mut self, client: &Client, input: &Bytes) -> Served {
         let spec = self.next_request(client, input);
         let served = client.send(&spec).await;
@@ -207,7 +242,7 @@
         served
     }
 
-    /// What a whole answer adds to the line.
+    /// Adds a completed turn to the conversation.
     pub fn record_answer(&mut self, spec: &RequestSpec, input: &Bytes, served: &Served) {
         let Some(answered) = served.answer() else {
             return;
@@ -296,7 +331,7 @@
     Ok(())
 }
 
-/// A turn, sent anew where it failed.
+/// Makes a turn and starts it again where it failed.
 async fn turn_with_renewals(
     client: &Client,
     conversation: &mut Conversation,
--- a/crates/testing/emulator/src/scene.rs
+++ b/crates/testing/emulator/src/scene.rs
@@ -1,4 +1,4 @@
-//! A whole scene: a running system with its servers, clients and operator, set up until requests are served.
+//! A running system with its servers, clients and operator, set up until requests are served.
 
 use crate::client::{Client, Kind, RequestSpec};
 use crate::clock::Clock;
@@ -20,37 +20,52 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, Instant};
 
-/// Host, services and routes of the usual configuration.
+/// Host of the usual configuration.
 pub const HOST: &str = "agents.example";
+/// Service of model servers.
 pub const MODELS: &str = "models";
+/// Service of plain servers.
 pub const TOOLS: &str = "tools";
-/// Turns that the system keeps.
+/// Turns that the system stores.
 pub const PERSISTED_TURNS: &str = "/kept/";
-/// Turns that it does not keep.
+/// Turns that it does not store.
 pub const TURNS: &str = "/turns/";
+/// Read-only calls of tools.
 pub const LOOKUP: &str = "/lookup/";
+/// Mutating calls of tools.
 pub const RECORD: &str = "/record/";
 
-/// A system has so long to come up, and to take what it is told.
+/// Time for a system to start, and to apply an order.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between two looks at what is to become so.
+/// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a scene is set up with.
+/// Contents of a scene.
 #[derive(Clone, Debug)]
 pub struct ScenePlan {
+    /// Machines of the system.
     pub machines: Vec<MachinePlan>,
+    /// Machines that may be lost at once.
     pub tolerated_losses: u32,
+    /// Heartbeat interval of servers, in milliseconds.
     pub heartbeat_ms: u64,
+    /// Number of model servers.
     pub engines: usize,
+    /// Requests that a model server runs at once.
     pub engine_slots: u32,
+    /// Settings of the model servers.
     pub engine: EngineSettings,
+    /// Number of plain servers.
     pub plains: usize,
+    /// Requests that a plain server runs at once.
     pub plain_slots: u32,
+    /// Settings of the plain servers.
     pub plain: PlainSettings,
+    /// First configuration of the operator.
     pub configuration: ConfigurationPlan,
+    /// Seed of all ids.
     pub seed: u64,
-    /// Whether the record keeps the bodies that servers got.
+    /// Whether the record stores the bodies that servers receive.
     pub keep_bodies: bool,
 }
 
@@ -82,6 +97,7 @@
 }
 
 /// One service of model servers, one of plain servers, a route for each kind of request.
+#[must_use]
 pub fn usual_configuration() -> ConfigurationPlan {
     let streaming = Kind::Streaming { resumable: false };
     let mut persisted = RoutePlan::new("kept", HOST, PERSISTED_TURNS, streaming, MODELS);
@@ -118,7 +134,8 @@
     }
 }
 
-/// A program of a few kept turns.
+/// A program of a few stored turns.
+#[must_use]
 pub fn usual_program() -> ProgramPlan {
     ProgramPlan {
         host: HOST.to_owned(),
@@ -148,12 +165,14 @@
 /// A model server with its registration.
 #[derive(Debug)]
 pub struct Engine {
+    /// The server.
     pub server: EngineServer,
+    /// Its registration with the gateways.
     pub registration: Registration,
 }
 
 impl Engine {
-    /// Ends once it has neither running nor waiting requests.
+    /// Returns once it has neither running nor waiting requests.
     pub async fn drained(&self) {
         while self.server.load().running + self.server.load().queued > 0 {
             sleep(POLL_INTERVAL).await;
@@ -164,20 +183,30 @@
 /// A plain server with its registration.
 #[derive(Debug)]
 pub struct Plain {
+    /// The server.
     pub server: PlainServer,
+    /// Its registration with the gateways.
     pub registration: Registration,
 }
 
-/// A scene that plays. All ends with it.
+/// A running scene. Dropping it stops all processes and servers.
 #[derive(Debug)]
 pub struct Scene {
+    /// The processes under test.
     pub system: System,
+    /// The clock of the record.
     pub clock: Clock,
+    /// What servers, clients and operator saw.
     pub record: Record,
+    /// Source of ids.
     pub identities: IdentitySource,
+    /// A client of all gateways.
     pub client: Client,
+    /// The operator.
     pub operator: Operator,
+    /// Model servers that run.
     pub engines: Vec<Engine>,
+    /// Plain servers that run.
     pub plains: Vec<Plain>,
     /// The configuration first sent; tests that send others add them to `configurations`.
     pub plan: ScenePlan,
@@ -187,6 +216,10 @@
 
 impl Scene {
     /// Starts the processes and the servers without any order of the operator.
+    ///
+    /// # Errors
+    ///
+    /// Fails where a process could not be started or an address could not be bound.
     pub async fn begin(program: &Path, plan: ScenePlan) -> anyhow::Result<Scene> {
         let clock = Clock::start();
         let record = if plan.keep_bodies {
@@ -225,6 +258,10 @@
     }
 
     /// A scene in which the configuration is in force and every gateway serves.
+    ///
+    /// # Errors
+    ///
+    /// As [`Self::begin`], and where the system does not serve within [`READY_TIMEOUT`]; the logs are in the error.
     pub async fn start(program: &Path, plan: ScenePlan) -> anyhow::Result<Scene> {
         let mut scene = Scene::begin(program, plan).await?;
         match scene.set_up().await {
@@ -238,7 +275,11 @@
         self.wait_until_serving().await
     }
 
-    /// Sends the plan's configuration until it is taken.
+    /// Sends the plan's configuration until it is acknowledged.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the configuration is rejected or no clear response comes within [`READY_TIMEOUT`].
     pub async fn configure(&mut self) -> anyhow::Result<()> {
         let plan = self.plan.configuration.clone();
         let answer = self
@@ -255,7 +296,11 @@
         Ok(())
     }
 
-    /// Ends once every running gateway is ready and serves a lookup.
+    /// Returns once every running gateway is ready and serves lookups and turns.
+    ///
+    /// # Errors
+    ///
+    /// Fails where a gateway is not ready or does not serve within [`READY_TIMEOUT`].
     pub async fn wait_until_serving(&mut self) -> anyhow::Result<()> {
         self.system.ready(READY_TIMEOUT).await?;
         for index in self.system.machine_indices(|plan| plan.role != Role::Store) {
@@ -266,7 +311,11 @@
         Ok(())
     }
 
-    /// Ends once this gateway serves lookups and turns.
+    /// Returns once this gateway serves lookups and turns.
+    ///
+    /// # Errors
+    ///
+    /// Fails where it does not serve within [`READY_TIMEOUT`].
     pub async fn serves(&self, index: usize) -> anyhow::Result<()> {
         let front = self.system.front(index);
         if !self.plains.is_empty() {
@@ -280,7 +329,11 @@
         Ok(())
     }
 
-    /// Ends once a limiter answers `ask` with success.
+    /// Returns once a gateway answers `spec` with success.
+    ///
+    /// # Errors
+    ///
+    /// Fails where no attempt succeeds within [`READY_TIMEOUT`].
     pub async fn answers(&self, front: SocketAddr, spec: &RequestSpec) -> anyhow::Result<()> {
         let until = Instant::now() + READY_TIMEOUT;
         loop {
@@ -297,20 +350,25 @@
         }
     }
 
-    /// A turn of a program of its own.
+    /// The first turn of a new program.
+    #[must_use]
     pub fn turn_request(&self) -> RequestSpec {
         let line = crate::program::Conversation::new(&self.client, &usual_program());
         line.next_request(&self.client, &"settle".into())
     }
 
-    /// Starts a model server and has it known.
+    /// Starts and registers a model server; returns its index.
+    ///
+    /// # Errors
+    ///
+    /// Fails where its address could not be bound.
     pub async fn add_engine(&mut self) -> anyhow::Result<usize> {
         let (listener, identity) = self.identity(MODELS, self.plan.engine_slots).await?;
         let settings = self.plan.engine.clone();
         let models = settings.models.clone();
         let server = EngineServer::start(listener, identity, settings, self.context());
         let heartbeat = HeartbeatSettings {
-            pause: self.heartbeat_interval(),
+            interval: self.heartbeat_interval(),
             warm_up_left_ms: 0,
             models,
         };
@@ -324,6 +382,10 @@
     }
 
     /// Starts a plain server of another incarnation, and maybe another service, at an address that was used before.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the address could not be bound.
     pub async fn add_plain_at(
         &mut self,
         address: SocketAddr,
@@ -335,7 +397,11 @@
         Ok(self.start_plain(listener, identity))
     }
 
-    /// Starts a plain server and has it known.
+    /// Starts and registers a plain server; returns its index.
+    ///
+    /// # Errors
+    ///
+    /// Fails where its address could not be bound.
     pub async fn add_plain(&mut self) -> anyhow::Result<usize> {
         let (listener, identity) = self.identity(TOOLS, self.plan.plain_slots).await?;
         Ok(self.start_plain(listener, identity))
@@ -345,7 +411,7 @@
         let server =
             PlainServer::start(listener, identity, self.plan.plain.clone(), self.context());
         let heartbeat = HeartbeatSettings {
-            pause: self.heartbeat_interval(),
+            interval: self.heartbeat_interval(),
             warm_up_left_ms: 0,
             models: Vec::new(),
         };
@@ -358,7 +424,7 @@
         self.plains.len() - 1
     }
 
-    /// The doors of all servers that run.
+    /// The handles of all running servers.
     pub fn servers(&self) -> impl Iterator<Item = &ServerHandle> {
         let engines = self
             .engines
@@ -368,11 +434,13 @@
     }
 
     /// All rules that the record breaks.
+    #[must_use]
     pub fn violations(&self) -> Vec<Violation> {
         self.violations_except(Vec::new())
     }
 
-    /// All rules that the record breaks, where machines were out of touch at times.
+    /// All rules that the record breaks, given the times of unplanned faults.
+    #[must_use]
     pub fn violations_except(&self, disturbances: Vec<Span>) -> Vec<Violation> {
         let settings = JudgeSettings {
             disturbances,
@@ -381,7 +449,11 @@
         judge(&self.record, &settings)
     }
 
-    /// Asks a gateway to leave; clients go to the others from now on.
+    /// Sends SIGTERM to a gateway; clients use the others from now on.
+    ///
+    /// # Errors
+    ///
+    /// Fails where its process does not run.
     pub fn terminate(&mut self, index: usize) -> anyhow::Result<()> {
         let front = self.system.front(index);
         let others = self
--- a/crates/testing/emulator/src/server/connection.rs
+++ b/crates/testing/emulator/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! A server's connections: one request at a time on each.
+//! Connections of a server: one request at a time on each.
 
 use super::{ReceivedRequest, Reply, ServerHandle, Work};
 use crate::digest::Digest;
@@ -13,7 +13,7 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// Accepts for as long as the task lives; its connections end with it.
+/// Accepts connections until the task is aborted, which closes them too.
 pub(super) async fn accept<W: Work>(
     listener: TcpListener,
     handle: Arc<ServerHandle>,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Gives the place back however the connection ends.
+/// Releases the connection's slot however the connection ends.
 struct ConnectionSlot(Arc<ServerHandle>);
 
 impl Drop for ConnectionSlot {
@@ -60,7 +60,7 @@
 
 struct Connection<W> {
     reader: MessageReader<OwnedReadHalf>,
-    /// Away while a reply is being written.
+    /// Absent while a reply owns it.
     write: Option<OwnedWriteHalf>,
     handle: Arc<ServerHandle>,
     work: Arc<W>,
@@ -164,7 +164,7 @@
         keeps
     }
 
-    /// The status with which the door turns a request away.
+    /// The status with which a request is rejected before it reaches the work, if it is.
     fn refusal(&self, head: &RequestHead, id: Option<RequestId>) -> Option<u16> {
         let expected = head.headers.get(name::EXPECT_INSTANCE);
         if expected.is_some_and(|expected| expected != self.handle.identity.instance) {
--- a/crates/testing/emulator/src/server/fault.rs
+++ b/crates/testing/emulator/src/server/fault.rs
@@ -1,34 +1,40 @@
-//! Troubles of a server, ordered by the test.
+//! Faults of a server, injected by the test.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 
-/// What a server does to one request.
+/// A fault that one request meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerFault {
-    /// Runs it and closes the connection without an answer.
+    /// Runs it and closes the connection without a response.
     AnswerLost,
-    /// Runs it and ends the connection after that many bytes of the answer's body.
-    TruncateBody { after: usize },
-    /// Runs it and sends bytes that form no answer.
+    /// Runs it and closes the connection inside the response's body.
+    TruncateBody {
+        /// Bytes of the body that are sent.
+        after: usize,
+    },
+    /// Runs it and sends bytes that are no response.
     SendGarbage,
-    /// Runs it, answers, and at once sends the answer a second time.
+    /// Runs it, responds, and at once sends the response a second time.
     Surplus,
-    /// Runs it, answers, and sends the answer a second time where the next one is expected.
+    /// Runs it, responds, and sends the response a second time in place of the next one.
     LateSurplus,
-    /// Runs it and never answers.
+    /// Runs it and never responds.
     NeverAnswer,
     /// Runs it and answers 500.
     Fail,
-    /// Answers 503 without saying that it did not run.
+    /// Responds 503 without the header that says that it did not run.
     Unavailable,
-    /// Does not run it and says so, with this status.
-    Reject { status: u16 },
-    /// Answers as ever and ends the connection after it.
+    /// Rejects it as not run.
+    Reject {
+        /// HTTP status.
+        status: u16,
+    },
+    /// Responds as usual and closes the connection afterwards.
     Close,
 }
 
-/// The troubles that the next requests get; none beyond them.
+/// The faults of the next requests; none beyond them.
 #[derive(Debug, Default)]
 pub struct ServerFaults {
     state: Mutex<State>,
@@ -41,12 +47,12 @@
 }
 
 impl ServerFaults {
-    /// One of the next requests gets this trouble.
+    /// One of the next requests meets this fault.
     pub fn once(&self, fault: ServerFault) {
         self.change(|state| state.next.push_back(fault));
     }
 
-    /// All requests get this trouble, once those ordered by [`Self::once`] are over.
+    /// All requests meet this fault, once those injected by [`Self::once`] are used up.
     pub fn always(&self, fault: Option<ServerFault>) {
         self.change(|state| state.always = fault);
     }
--- a/crates/testing/emulator/src/server/handle.rs
+++ b/crates/testing/emulator/src/server/handle.rs
@@ -1,16 +1,17 @@
-//! What a server checks before it lets a request in.
+//! The part of a server that tests, heartbeats and connections share: identity, faults, limits and counters.
 
 use super::{Identity, ServerFaults, TestContext};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// How a server treats connections.
+/// Treatment of connections.
 #[derive(Clone, Debug)]
 pub struct ConnectionSettings {
+    /// Path of the health check.
     pub health_path: String,
     /// Connections from all callers together; more are reset.
     pub max_connections: usize,
-    /// Idle connections are closed after that time, which `Keep-Alive` tells in whole seconds.
+    /// Idle connections are closed after this time; `Keep-Alive` states it in whole seconds.
     pub idle: Duration,
 }
 
@@ -24,11 +25,14 @@
     }
 }
 
-/// The part of a server that test, heartbeats and connections share.
+/// What tests, heartbeats and connections of a server share.
 #[derive(Debug)]
 pub struct ServerHandle {
+    /// Who the server is.
     pub identity: Identity,
+    /// Clock and record of the test.
     pub context: TestContext,
+    /// Faults that the next requests meet.
     pub faults: ServerFaults,
     pub(super) settings: ConnectionSettings,
     leaving: AtomicBool,
@@ -41,6 +45,8 @@
 }
 
 impl ServerHandle {
+    /// The handle of a healthy server without connections.
+    #[must_use]
     pub fn new(
         identity: Identity,
         settings: ConnectionSettings,
@@ -61,15 +67,17 @@
         }
     }
 
-    /// From now on answers end their connection and the server calls itself unhealthy.
+    /// From now on responses close their connection and the health check fails.
     pub fn set_leaving(&self) {
         self.leaving.store(true, Ordering::SeqCst);
     }
 
+    /// Whether the server is shutting down.
     pub fn leaving(&self) -> bool {
         self.leaving.load(Ordering::SeqCst)
     }
 
+    /// Sets what the health check answers.
     pub fn set_healthy(&self, healthy: bool) {
         self.healthy.store(healthy, Ordering::SeqCst);
     }
@@ -97,7 +105,7 @@
         self.probes.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// A place for one more connection.
+    /// Takes a slot for one more connection; false where all are taken.
     pub(super) fn enter(&self) -> bool {
         let before = self.open.fetch_add(1, Ordering::SeqCst);
         if before >= self.settings.max_connections {
@@ -113,7 +121,7 @@
         self.open.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// A stamp that no other answer has.
+    /// A stamp that no other response has.
     pub(super) fn stamp(&self) -> String {
         let number = self.answers.fetch_add(1, Ordering::SeqCst);
         format!(
--- a/crates/testing/emulator/src/server/mod.rs
+++ b/crates/testing/emulator/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! What plain servers and model servers have in common: connections, checks before a request is let in, troubles
-//! that a test orders, and the record of what came.
+//! What plain servers and model servers have in common: connections, checks before a request is admitted, faults
+//! that a test injects, and the record of the requests.
 
 mod connection;
 mod fault;
@@ -21,31 +21,39 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// Who a server is. Every start is a new incarnation with a new `instance`.
+/// Identity of a server. Every start is a new incarnation with a new `instance`.
 #[derive(Clone, Debug)]
 pub struct Identity {
+    /// Id of this incarnation.
     pub instance: String,
     /// The service that it belongs to.
     pub backend: String,
+    /// Address for requests.
     pub address: SocketAddr,
+    /// Failure domain.
     pub zone: String,
     /// Version of its software.
     pub generation: String,
+    /// Requests that it runs at once.
     pub slots: u32,
 }
 
-/// A request that has passed the checks at the door.
+/// A request that has passed the checks and may run.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
+    /// Request line and headers.
     pub head: RequestHead,
+    /// Complete body.
     pub body: Bytes,
+    /// Id of the attempt.
     pub request: RequestId,
+    /// Time that is left to the request, in milliseconds.
     pub deadline_ms: Option<u64>,
 }
 
 /// What a kind of server does with a request.
 pub trait Work: Send + Sync + 'static {
-    /// Runs the request and answers, or turns it away. The future is dropped when the caller leaves.
+    /// Runs the request and responds, or rejects it. The future is dropped when the caller disconnects.
     fn work(&self, arrived: ReceivedRequest, reply: &mut Reply) -> impl Future<Output = ()> + Send;
 
     /// The body of `GET /api/report`, where the server has one.
@@ -54,21 +62,23 @@
     }
 }
 
-/// What the servers of a test share.
+/// Clock and record that all servers of a test share.
 #[derive(Clone, Debug)]
 pub struct TestContext {
+    /// The clock of the record.
     pub clock: Clock,
+    /// Where observations go.
     pub record: Record,
 }
 
-/// A server that runs; it ends when this is dropped, with its connections.
+/// The task of a running server; dropping this stops it and closes its connections.
 #[derive(Debug)]
 pub struct ListenerTask {
     task: JoinHandle<()>,
 }
 
 impl ListenerTask {
-    /// Serves connections of `listener` by `work` behind `door`.
+    /// Serves the connections of `listener` by `work`.
     pub fn start<W: Work>(
         listener: TcpListener,
         handle: Arc<ServerHandle>,
--- a/crates/testing/emulator/src/server/reply.rs
+++ b/crates/testing/emulator/src/server/reply.rs
@@ -1,4 +1,4 @@
-//! The answer to one request, spoilt where the test ordered a trouble.
+//! The response to one request, altered where the test injected a fault.
 
 use super::{ServerFault, ServerHandle};
 use crate::digest::Digester;
@@ -11,17 +11,17 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
-/// What a server in trouble sends for an answer.
+/// What [`ServerFault::SendGarbage`] sends in place of a response.
 const GARBAGE: &[u8] = b"\x00\x07 no answer at all \xff\xfe\r\n\r\n";
 
-/// Where an answer stands.
+/// Progress of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Nothing,
     Streaming,
-    /// Whole; the connection goes on if `keeps`.
+    /// Complete; the connection may take another request.
     Complete,
-    /// Spoilt or not written: the connection ends.
+    /// Altered by a fault or not written: the connection ends.
     Ended,
 }
 
@@ -36,7 +36,7 @@
     state: State,
     sent_digest: Digester,
     sent_bytes: usize,
-    /// An answer's second copy, for the place of the next answer.
+    /// The response once more, to be sent before the next one.
     surplus: Option<Bytes>,
 }
 
@@ -78,7 +78,7 @@
             && !self.handle.leaving()
     }
 
-    /// The status with which the test wants the request turned away, if it does.
+    /// The status with which a fault rejects the request, if it does.
     pub fn ordered_rejection(&self) -> Option<u16> {
         match self.fault {
             Some(ServerFault::Reject { status }) => Some(status),
@@ -86,19 +86,19 @@
         }
     }
 
-    /// The server begins to work on the request.
+    /// Records that the request runs.
     pub fn run(&mut self) {
         self.update_observation(|observation| observation.fate = Fate::Run);
     }
 
-    /// Does not run the request, and says so.
+    /// Rejects the request: the response says that it did not run.
     pub async fn reject(&mut self, status: u16) {
         self.update_observation(|observation| observation.fate = Fate::Rejected);
         let headers = self.headers().with(name::NOT_EXECUTED, "1");
         self.send_complete(status, headers, Bytes::new()).await;
     }
 
-    /// Answers a request that ran.
+    /// Responds to a request that ran.
     pub async fn answer(&mut self, status: u16, body: Bytes) {
         if self.faulted_before_answer().await {
             return;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Begins a stream; false where nothing more has to be sent.
+    /// Begins a stream; false where a fault has ended the response.
     pub async fn begin_stream(&mut self) -> bool {
         if self.faulted_before_answer().await {
             return false;
@@ -120,7 +120,7 @@
         self.state == State::Streaming
     }
 
-    /// Sends one event; false where nothing more has to be sent.
+    /// Sends one event; false where the response has ended.
     pub async fn event(&mut self, event: &Event) -> bool {
         let mut bytes = event.bytes();
         let truncated = match self.fault {
@@ -149,7 +149,7 @@
         self.state == State::Streaming
     }
 
-    /// Ends the stream as whole.
+    /// Completes the stream.
     pub async fn end_stream(&mut self) {
         if self.state != State::Streaming {
             return;
@@ -158,7 +158,7 @@
         self.complete_if_written(State::Streaming);
     }
 
-    /// Breaks the answer off.
+    /// Ends the connection inside the response.
     pub fn break_off(&mut self) {
         self.end_with_fault();
     }
@@ -177,7 +177,7 @@
         self.write(&response_head(200, &headers)).await;
     }
 
-    /// Troubles in which another answer comes or none; true if this was one.
+    /// Applies faults that replace the response; true if one did.
     async fn faulted_before_answer(&mut self) -> bool {
         match self.fault {
             Some(ServerFault::Fail) => self.stamped(500, Bytes::new()).await,
@@ -261,7 +261,7 @@
         }
     }
 
-    /// The answer is whole if no write since `before` has failed.
+    /// The response is complete if no write since `before` has failed.
     fn complete_if_written(&mut self, before: State) {
         if self.state == before {
             self.state = State::Complete;
--- a/crates/testing/emulator/src/system/addresses.rs
+++ b/crates/testing/emulator/src/system/addresses.rs
@@ -16,10 +16,15 @@
 /// Ports, alike on all machines. Below those that the kernel gives to outgoing connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports {
+    /// Gateways listen here for clients.
     pub front: u16,
+    /// Gateways answer readiness checks here.
     pub ready: u16,
+    /// Gateways listen here for servers and the operator.
     pub control: u16,
+    /// First port of the connections between processes.
     pub first_internal: u16,
+    /// Last port of the connections between processes.
     pub last_internal: u16,
     /// Servers listen here.
     pub server: u16,
@@ -40,10 +45,10 @@
     }
 }
 
-/// Blocks asked for in this process. None is given twice: what listens there may end later than its block.
+/// Number of the next block in this process. None is used twice, as a listener may outlive its block.
 static NEXT_BLOCK: AtomicU32 = AtomicU32::new(0);
 
-/// 254 addresses, taken for as long as this lives.
+/// 254 addresses, reserved until this is dropped.
 #[derive(Debug)]
 pub struct AddressBlock {
     first_bytes: [u8; 2],
@@ -53,6 +58,10 @@
 
 impl AddressBlock {
     /// Takes a block that no other process and no other test has.
+    ///
+    /// # Errors
+    ///
+    /// Fails where no block is free.
     pub fn reserve(ports: Ports) -> anyhow::Result<AddressBlock> {
         let start = std::process::id().wrapping_mul(37);
         for _ in 0..MAX_BLOCKS {
@@ -72,8 +81,11 @@
     }
 
     /// An address not given before.
-    #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> anyhow::Result<IpAddr> {
+    ///
+    /// # Errors
+    ///
+    /// Fails where all addresses of the block are used.
+    pub fn next_address(&mut self) -> anyhow::Result<IpAddr> {
         if self.used == LAST {
             bail!("all addresses of the block are used");
         }
--- a/crates/testing/emulator/src/system/folder.rs
+++ b/crates/testing/emulator/src/system/folder.rs
@@ -13,6 +13,11 @@
 }
 
 impl TemporaryFolder {
+    /// Creates an empty folder whose name begins with `name`.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the folder could not be created.
     pub fn new(name: &str) -> anyhow::Result<TemporaryFolder> {
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
         let path = std::env::temp_dir().join(format!("{name}-{}-{number}", std::process::id()));
@@ -24,6 +29,8 @@
         Ok(TemporaryFolder { path })
     }
 
+    /// Path of the folder.
+    #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
--- a/crates/testing/emulator/src/system/machine.rs
+++ b/crates/testing/emulator/src/system/machine.rs
@@ -9,27 +9,29 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Pause between two looks at a process that is to end.
+/// Interval at which a process is polled for its end.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Bytes of a log that are shown when something fails.
 const LOG_TAIL: usize = 4_000;
 /// Processor time in /proc is counted in hundredths of a second.
 const TICK_MS: u64 = 10;
-/// Places of user and system time behind the name in /proc/PID/stat.
+/// Index of the user time behind the name in /proc/PID/stat.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 
 /// What a process has used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
+    /// Processor time, in milliseconds.
     pub processor_ms: u64,
+    /// Peak resident memory, in kibibytes.
     pub peak_memory_kb: u64,
     /// Times that a thread went to sleep and was woken.
     pub wake_ups: u64,
 }
 
 impl Usage {
-    /// Of two processes one after the other.
+    /// The sum for two processes, one after the other.
     #[must_use]
     pub fn and(self, later: Usage) -> Usage {
         Usage {
@@ -90,22 +92,32 @@
         Ok(machine)
     }
 
+    /// The machine's name.
+    #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
+    /// The machine's address.
+    #[must_use]
     pub fn ip(&self) -> IpAddr {
         self.ip
     }
 
+    /// Role and zone.
+    #[must_use]
     pub fn plan(&self) -> &MachinePlan {
         &self.plan
     }
 
+    /// The process's settings file.
+    #[must_use]
     pub fn settings_path(&self) -> PathBuf {
         self.folder.join("node.json")
     }
 
+    /// The folder that stands for the disk.
+    #[must_use]
     pub fn data_folder(&self) -> PathBuf {
         self.folder.join("data")
     }
@@ -115,6 +127,8 @@
         self.program = program;
     }
 
+    /// Whether a process was started and has not been seen to end.
+    #[must_use]
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
@@ -126,22 +140,38 @@
         Some(status)
     }
 
-    /// SIGTERM: asks the process to leave.
+    /// Sends SIGTERM: the process is to shut down gracefully.
+    ///
+    /// # Errors
+    ///
+    /// Fails where no process runs.
     pub fn terminate(&mut self) -> anyhow::Result<()> {
         self.signal("TERM")
     }
 
-    /// SIGHUP: says that the settings file has changed.
+    /// Sends SIGHUP: the process is to read its settings again.
+    ///
+    /// # Errors
+    ///
+    /// Fails where no process runs.
     pub fn hang_up(&mut self) -> anyhow::Result<()> {
         self.signal("HUP")
     }
 
     /// Freezes the process.
+    ///
+    /// # Errors
+    ///
+    /// Fails where no process runs.
     pub fn freeze(&mut self) -> anyhow::Result<()> {
         self.signal("STOP")
     }
 
     /// Wakes a frozen process.
+    ///
+    /// # Errors
+    ///
+    /// Fails where no process runs.
     pub fn thaw(&mut self) -> anyhow::Result<()> {
         self.signal("CONT")
     }
@@ -155,6 +185,10 @@
     }
 
     /// Waits for the process to end by itself, `limit` at most.
+    ///
+    /// # Errors
+    ///
+    /// Fails where no process runs or it has not ended within `limit`.
     pub async fn wait(&mut self, limit: Duration) -> anyhow::Result<ExitStatus> {
         let until = Instant::now() + limit;
         loop {
@@ -172,6 +206,7 @@
     }
 
     /// What the machine's processes have used so far; of those that ended by themselves it is not known.
+    #[must_use]
     pub fn usage(&self) -> Usage {
         let present = self
             .child
@@ -182,18 +217,21 @@
     }
 
     /// How often a process was started here.
+    #[must_use]
     pub fn starts(&self) -> u32 {
         self.starts
     }
 
-    /// The last lines that the process wrote.
+    /// The end of the processes' log.
+    #[must_use]
     pub fn log_tail(&self) -> String {
         let bytes = std::fs::read(self.log_path()).unwrap_or_default();
         let start = bytes.len().saturating_sub(LOG_TAIL);
         String::from_utf8_lossy(&bytes[start..]).into_owned()
     }
 
-    /// All that the processes of this machine wrote.
+    /// The complete log of this machine's processes.
+    #[must_use]
     pub fn log(&self) -> String {
         let bytes = std::fs::read(self.log_path()).unwrap_or_default();
         String::from_utf8_lossy(&bytes).into_owned()
@@ -230,7 +268,11 @@
         }
     }
 
-    /// Takes the disk of a machine that does not run.
+    /// Empties the disk of a machine that does not run.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the folder could not be removed or created anew.
     pub fn wipe(&self) -> anyhow::Result<()> {
         std::fs::remove_dir_all(self.data_folder()).context("wiping a disk")?;
         std::fs::create_dir_all(self.data_folder()).context("an empty disk")
--- a/crates/testing/emulator/src/system/mod.rs
+++ b/crates/testing/emulator/src/system/mod.rs
@@ -17,11 +17,11 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Seeds that each process is told.
+/// Number of seeds in each settings file.
 const SEEDS: usize = 3;
-/// Pause between two looks at a machine that is coming up.
+/// Interval at which a starting machine is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// A look at readiness takes at most so long.
+/// Time-out of a readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What a system consists of.
@@ -29,7 +29,9 @@
 pub struct SystemPlan {
     /// The program that plays all roles.
     pub program: PathBuf,
+    /// Machines of the first start.
     pub machines: Vec<MachinePlan>,
+    /// Heartbeat interval of servers, in milliseconds.
     pub heartbeat_ms: u64,
     /// Machines that may be lost at once.
     pub tolerated_losses: u32,
@@ -48,6 +50,10 @@
 
 impl System {
     /// Starts all machines, as at the first start of the whole system.
+    ///
+    /// # Errors
+    ///
+    /// Fails where addresses, folders or settings could not be set up or a process could not be started.
     pub fn start(plan: SystemPlan) -> anyhow::Result<System> {
         let ports = Ports::default();
         let addresses = AddressBlock::reserve(ports)?;
@@ -72,6 +78,10 @@
     }
 
     /// Adds a machine to a running system and starts it.
+    ///
+    /// # Errors
+    ///
+    /// Fails where no address is left or its process could not be started.
     pub fn join(&mut self, plan: MachinePlan) -> anyhow::Result<usize> {
         let index = self.add(plan)?;
         self.write_settings(index, false)?;
@@ -80,28 +90,44 @@
     }
 
     /// Starts a machine that is not running, with the settings of this moment.
+    ///
+    /// # Errors
+    ///
+    /// Fails where its process runs already or could not be started.
     pub fn restart(&mut self, index: usize) -> anyhow::Result<()> {
         self.write_settings(index, false)?;
         self.machines[index].start()
     }
 
     /// Starts a machine that is not running with the settings of the first start of the whole system.
+    ///
+    /// # Errors
+    ///
+    /// Fails where its process runs already or could not be started.
     pub fn restart_bootstrapping(&mut self, index: usize) -> anyhow::Result<()> {
         self.write_settings(index, true)?;
         self.machines[index].start()
     }
 
-    /// The seeds that processes are told from their next start on, or their next look at their settings.
+    /// Sets the seeds for settings files that are written from now on.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
     /// Writes a machine's settings anew while its process runs.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the file could not be written.
     pub fn rewrite_settings(&self, index: usize) -> anyhow::Result<()> {
         self.write_settings(index, false)
     }
 
-    /// Kills a machine's process, takes its disk away and starts it empty.
+    /// Kills a machine's process, empties its disk and starts it again.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the disk could not be emptied or the process not be started.
     pub fn wipe(&mut self, index: usize) -> anyhow::Result<()> {
         self.machines[index].kill();
         self.machines[index].wipe()?;
@@ -118,15 +144,18 @@
         }
     }
 
+    /// The machine with this index, to be changed.
     pub fn machine(&mut self, index: usize) -> &mut Machine {
         &mut self.machines[index]
     }
 
+    /// All machines, by index.
+    #[must_use]
     pub fn machines(&self) -> &[Machine] {
         &self.machines
     }
 
-    /// Places of machines of a kind.
+    /// Indices of the machines that `wanted` accepts.
     pub fn machine_indices(&self, wanted: impl Fn(&MachinePlan) -> bool) -> Vec<usize> {
         let machines = self.machines.iter().enumerate();
         machines
@@ -136,34 +165,52 @@
     }
 
     /// `control` addresses of all gateways.
+    #[must_use]
     pub fn controls(&self) -> Vec<SocketAddr> {
         self.of_gateways(self.ports.control)
     }
 
     /// `front` addresses of all gateways.
+    #[must_use]
     pub fn fronts(&self) -> Vec<SocketAddr> {
         self.of_gateways(self.ports.front)
     }
 
+    /// Address of a gateway for clients.
+    #[must_use]
     pub fn front(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machines[index].ip(), self.ports.front)
     }
 
-    /// Where the platform asks whether this gateway is ready.
+    /// Address of this gateway's readiness check.
+    #[must_use]
     pub fn ready_address(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machines[index].ip(), self.ports.ready)
     }
 
+    /// Address of a gateway for servers and the operator.
+    #[must_use]
     pub fn control(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machines[index].ip(), self.ports.control)
     }
 
     /// An address for a server, other than those of all machines.
+    ///
+    /// # Errors
+    ///
+    /// Fails where all addresses of the block are used.
     pub fn server_address(&mut self) -> anyhow::Result<SocketAddr> {
-        Ok(SocketAddr::new(self.addresses.next()?, self.ports.server))
+        Ok(SocketAddr::new(
+            self.addresses.next_address()?,
+            self.ports.server,
+        ))
     }
 
-    /// Ends once all running gateways are ready.
+    /// Returns once all running gateways are ready.
+    ///
+    /// # Errors
+    ///
+    /// Fails where a gateway has ended or is not ready within `limit`; its log is in the error.
     pub async fn ready(&mut self, limit: Duration) -> anyhow::Result<()> {
         for index in self.machine_indices(|plan| plan.role != Role::Store) {
             if self.machines[index].is_running() {
@@ -173,7 +220,11 @@
         Ok(())
     }
 
-    /// Ends once this gateway is ready.
+    /// Returns once this gateway is ready.
+    ///
+    /// # Errors
+    ///
+    /// Fails where it has ended or is not ready within `limit`; its log is in the error.
     pub async fn ready_one(&mut self, index: usize, limit: Duration) -> anyhow::Result<()> {
         let address = SocketAddr::new(self.machines[index].ip(), self.ports.ready);
         let until = Instant::now() + limit;
@@ -204,6 +255,7 @@
     }
 
     /// The ends of all logs.
+    #[must_use]
     pub fn log_tails(&self) -> String {
         let tails = self
             .machines
@@ -213,6 +265,7 @@
     }
 
     /// Where the files of the system lie.
+    #[must_use]
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
@@ -229,7 +282,7 @@
 
     fn add(&mut self, plan: MachinePlan) -> anyhow::Result<usize> {
         let index = self.machines.len();
-        let ip = self.addresses.next()?;
+        let ip = self.addresses.next_address()?;
         let folder = self.folder.path().join(plan.name(index));
         self.machines.push(Machine::new(
             plan,
--- a/crates/testing/emulator/src/system/settings.rs
+++ b/crates/testing/emulator/src/system/settings.rs
@@ -1,4 +1,4 @@
-//! What each process is told by its settings file.
+//! The settings file of a process.
 
 use super::{Machine, Ports, SystemPlan};
 use serde_json::json;
@@ -16,11 +16,13 @@
     Gateway,
     /// A gateway with a disk: a member of the core.
     Core,
+    /// Stores replicas of turns.
     Store,
 }
 
 impl Role {
     /// The subcommand that plays the role.
+    #[must_use]
     pub fn command(self) -> &'static str {
         match self {
             Role::Gateway | Role::Core => "gateway",
@@ -32,11 +34,15 @@
 /// A machine to be started.
 #[derive(Clone, Debug)]
 pub struct MachinePlan {
+    /// What the machine does.
     pub role: Role,
+    /// Failure domain.
     pub zone: String,
 }
 
 impl MachinePlan {
+    /// A machine with this role in this zone.
+    #[must_use]
     pub fn new(role: Role, zone: &str) -> MachinePlan {
         MachinePlan {
             role,
@@ -45,6 +51,7 @@
     }
 
     /// The machine's name, by its number in the system.
+    #[must_use]
     pub fn name(&self, number: usize) -> String {
         let class = match self.role {
             Role::Store => "storage",
--- a/crates/testing/emulator/src/wire/body.rs
+++ b/crates/testing/emulator/src/wire/body.rs
@@ -1,4 +1,4 @@
-//! How a message says where its body ends.
+//! Framing of message bodies (RFC 9112, section 6).
 
 use super::headers::{Headers, RequestHead, ResponseHead};
 use super::name;
@@ -10,41 +10,47 @@
     Length(u64),
     /// With the chunk of length 0.
     Chunked,
-    /// With the connection: nobody can say whether it is whole.
+    /// With the connection: whether the body is complete cannot be known.
     UntilClose,
 }
 
 impl Framing {
     /// `None` where the head contradicts itself.
+    #[must_use]
     pub fn of_request(head: &RequestHead) -> Option<Framing> {
-        stated(&head.headers)?.or(Some(Framing::Length(0)))
+        Some(stated(&head.headers).ok()?.unwrap_or(Framing::Length(0)))
     }
 
     /// `None` where the head contradicts itself.
+    #[must_use]
     pub fn of_response(head: &ResponseHead) -> Option<Framing> {
         if head.status < 200 || head.status == 204 || head.status == 304 {
             return Some(Framing::Length(0));
         }
-        stated(&head.headers)?.or(Some(Framing::UntilClose))
+        Some(stated(&head.headers).ok()?.unwrap_or(Framing::UntilClose))
     }
 }
 
-/// What the headers state; the outer `None` is a contradiction.
-#[allow(clippy::option_option)]
-fn stated(headers: &Headers) -> Option<Option<Framing>> {
+/// The head states two lengths, or a length that is none.
+struct ContradictoryLength;
+
+/// What the headers state, if they state a length at all (RFC 9112, section 6.3).
+fn stated(headers: &Headers) -> Result<Option<Framing>, ContradictoryLength> {
     let encoding = headers.get(name::TRANSFER_ENCODING);
     let mut lengths = headers.all(name::CONTENT_LENGTH);
     let length = lengths.next();
     if lengths.any(|other| Some(other) != length) {
-        return None;
+        return Err(ContradictoryLength);
     }
     match (encoding, length) {
-        (Some(_), Some(_)) => None,
         (Some(encoding), None) if encoding.eq_ignore_ascii_case("chunked") => {
-            Some(Some(Framing::Chunked))
+            Ok(Some(Framing::Chunked))
         }
-        (Some(_), None) => None,
-        (None, Some(length)) => Some(Some(Framing::Length(length.parse().ok()?))),
-        (None, None) => Some(None),
+        (Some(_), _) => Err(ContradictoryLength),
+        (None, Some(length)) => match length.parse() {
+            Ok(length) => Ok(Some(Framing::Length(length))),
+            Err(_) => Err(ContradictoryLength),
+        },
+        (None, None) => Ok(None),
     }
 }
--- a/crates/testing/emulator/src/wire/event.rs
+++ b/crates/testing/emulator/src/wire/event.rs
@@ -5,6 +5,7 @@
 /// One event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
+    /// Id; rises within a stream.
     pub id: u64,
     /// The data, lines joined by line feeds.
     pub data: String,
@@ -12,6 +13,7 @@
 
 impl Event {
     /// The event as a server sends it.
+    #[must_use]
     pub fn bytes(&self) -> Bytes {
         let mut text = format!("id: {}\n", self.id);
         for line in self.data.split('\n') {
@@ -48,23 +50,23 @@
     }
 }
 
-/// A block of a stream that is no event.
+/// A malformed block of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GarbledEvent;
 
-/// Puts events together from pieces of a body that are cut anywhere.
+/// Parses events from chunks of a body.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buffer: BytesMut,
 }
 
 impl EventReader {
-    /// Takes a piece in.
+    /// Adds a chunk of the body.
     pub fn push(&mut self, data: &[u8]) {
         self.buffer.extend_from_slice(data);
     }
 
-    /// The next whole event, or what stands in its place.
+    /// The next complete event, or the error of a malformed block.
     pub fn take(&mut self) -> Option<Result<Event, GarbledEvent>> {
         let end = self
             .buffer
@@ -77,7 +79,8 @@
         Some(event.ok_or(GarbledEvent))
     }
 
-    /// Bytes of an event that is not whole.
+    /// Bytes of an incomplete event.
+    #[must_use]
     pub fn left(&self) -> usize {
         self.buffer.len()
     }
--- a/crates/testing/emulator/src/wire/headers.rs
+++ b/crates/testing/emulator/src/wire/headers.rs
@@ -1,22 +1,26 @@
-//! Heads of requests and answers.
+//! Heads of requests and responses.
 
-/// One header line.
+/// One header field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
+    /// Name as received.
     pub name: String,
+    /// Value without surrounding white space.
     pub value: String,
 }
 
-/// Header lines in the order in which they came.
+/// Header fields in the order of the message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(pub Vec<Header>);
 
 impl Headers {
+    /// No headers.
+    #[must_use]
     pub fn new() -> Headers {
         Headers::default()
     }
 
-    /// Adds a line at the end.
+    /// Adds a field at the end.
     pub fn push(&mut self, name: &str, value: impl Into<String>) {
         self.0.push(Header {
             name: name.to_owned(),
@@ -24,14 +28,15 @@
         });
     }
 
-    /// The same with one more line.
+    /// The same with one more field.
     #[must_use]
     pub fn with(mut self, name: &str, value: impl Into<String>) -> Headers {
         self.push(name, value);
         self
     }
 
-    /// The first line of that name, in any case of letters.
+    /// The value of the first field of that name, ignoring case.
+    #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0
             .iter()
@@ -39,7 +44,7 @@
             .map(|header| header.value.as_str())
     }
 
-    /// All lines of that name.
+    /// The values of all fields of that name, ignoring case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0
             .iter()
@@ -48,11 +53,13 @@
     }
 
     /// The value as a number.
+    #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         self.get(name)?.trim().parse().ok()
     }
 
-    /// Whether `Connection` says that the connection ends with this message.
+    /// Whether `Connection` closes the connection after this message.
+    #[must_use]
     pub fn closes(&self) -> bool {
         self.all(super::name::CONNECTION)
             .flat_map(|value| value.split(','))
@@ -60,19 +67,23 @@
     }
 }
 
-/// First line and headers of a request.
+/// Request line and headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
+    /// HTTP method.
     pub method: String,
-    /// Path and query as they came.
+    /// Path and query as received.
     pub target: String,
+    /// Headers of the request.
     pub headers: Headers,
 }
 
-/// First line and headers of an answer.
+/// Status line and headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
+    /// HTTP status.
     pub status: u16,
+    /// Headers of the response.
     pub headers: Headers,
 }
 
--- a/crates/testing/emulator/src/wire/reader.rs
+++ b/crates/testing/emulator/src/wire/reader.rs
@@ -6,13 +6,13 @@
 use std::fmt;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// A head longer than this is an error: bounds the memory of a stand-in.
+/// A longer head is an error, which bounds memory.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// A body longer than this is an error, for the same reason.
+/// A longer body is an error, for the same reason.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
-/// Bytes read ahead of a message that is not asked for yet.
+/// Most bytes read ahead of the next message.
 const MAX_AHEAD_BYTES: usize = 64 * 1024;
-/// The longest line that tells a chunk's length.
+/// Longest line of a chunk's length.
 const MAX_CHUNK_LINE_BYTES: usize = 64;
 
 /// Why no message could be read.
@@ -45,9 +45,9 @@
 #[derive(Clone, Copy, Debug)]
 enum Rest {
     Length(u64),
-    /// A chunk's line comes next.
+    /// The line of a chunk's length is next.
     ChunkLine,
-    /// So much of a chunk, then its line's end.
+    /// The rest of a chunk, then its line end.
     Chunk(u64),
     UntilClose,
     Nothing,
@@ -61,6 +61,7 @@
 }
 
 impl<R: AsyncRead + Unpin> MessageReader<R> {
+    /// A reader at the beginning of `stream`.
     pub fn new(stream: R) -> Self {
         MessageReader {
             stream,
@@ -69,7 +70,11 @@
         }
     }
 
-    /// The next request's head; the body is then read by [`Self::piece`] or [`Self::body`].
+    /// Reads the next request's head; the body is then read by [`Self::next_data`] or [`Self::body`].
+    ///
+    /// # Errors
+    ///
+    /// [`WireError`] where the connection ends or the bytes are no request.
     pub async fn request_head(&mut self) -> Result<RequestHead, WireError> {
         let bytes = self.head_bytes().await?;
         let head = RequestHead::parse(&bytes).ok_or(WireError::Garbled("a request's head"))?;
@@ -78,7 +83,11 @@
         Ok(head)
     }
 
-    /// The next answer's head.
+    /// Reads the next response's head; the body is then read in the same way.
+    ///
+    /// # Errors
+    ///
+    /// [`WireError`] where the connection ends or the bytes are no response.
     pub async fn response_head(&mut self) -> Result<ResponseHead, WireError> {
         let bytes = self.head_bytes().await?;
         let head = ResponseHead::parse(&bytes).ok_or(WireError::Garbled("an answer's head"))?;
@@ -88,7 +97,11 @@
         Ok(head)
     }
 
-    /// The rest of the body, whole.
+    /// Reads the body to its end.
+    ///
+    /// # Errors
+    ///
+    /// [`WireError`] where the connection ends inside the body, or the body is malformed or too long.
     pub async fn body(&mut self) -> Result<Bytes, WireError> {
         let mut complete = BytesMut::new();
         while let Some(data) = self.next_data().await? {
@@ -101,6 +114,10 @@
     }
 
     /// The next bytes of the body; `None` at its end.
+    ///
+    /// # Errors
+    ///
+    /// [`WireError`] where the connection ends inside the body or a chunk is malformed.
     pub async fn next_data(&mut self) -> Result<Option<Bytes>, WireError> {
         loop {
             match self.rest {
@@ -117,7 +134,7 @@
         }
     }
 
-    /// Ends once the peer has closed the connection, or has sent more ahead than any peer has to.
+    /// Returns once the peer has closed the connection, or has sent too many bytes ahead.
     pub async fn closed(&mut self) {
         while self.buffer.len() < MAX_AHEAD_BYTES {
             match self.fill().await {
@@ -127,7 +144,7 @@
         }
     }
 
-    /// Bytes that have come but belong to no message read so far.
+    /// Received bytes that belong to no message read so far.
     pub fn ahead(&self) -> usize {
         self.buffer.len()
     }
--- a/crates/testing/emulator/tests/batch.rs
+++ b/crates/testing/emulator/tests/batch.rs
@@ -136,7 +136,7 @@
     );
 }
 
-/// Random requests, cancellations and steps: nothing is held once all have ended, and all end.
+/// Random requests, cancellations and steps: all requests end, and no memory is in use afterwards.
 #[test]
 fn random_batches_come_to_rest() {
     for seed in 0..200 {
--- a/crates/testing/emulator/tests/servers.rs
+++ b/crates/testing/emulator/tests/servers.rs
@@ -1,4 +1,4 @@
-//! The stand-ins for servers, asked by the stand-in for clients without anything between.
+//! The servers of the emulator, called by its clients directly.
 
 use dunespur_emulator::client::call::{call, Call};
 use dunespur_emulator::client::{Client, Kind, RequestSpec, Turn};
--- a/crates/testing/emulator/tests/wire.rs
+++ b/crates/testing/emulator/tests/wire.rs
@@ -1,8 +1,8 @@
-//! Messages read from bytes that are cut anywhere.
+//! Messages read from chunks of any size.
 
 use dunespur_emulator::wire::{Event, EventReader, GarbledEvent, MessageReader, WireError};
 
-/// Reads one answer out of `bytes`, handed over in pieces of `size`.
+/// Reads one response from `bytes`, delivered in chunks of `size`.
 async fn answer(bytes: &[u8], size: usize) -> Result<(u16, Vec<u8>), WireError> {
     let mut builder = Pieces {
         left: bytes.to_vec(),
