--- a/crates/serving/budget/src/lease/program_lease.rs
+++ b/crates/serving/budget/src/lease/program_lease.rs
@@ -1,9 +1,10 @@
 //! One program's lease at this limiter.
 
+use super::admission::Rejection;
 use super::cached_rejections::CachedRejections;
 use super::demand::Demand;
 use super::request_retry::RequestState;
-use crate::{LeaseSettings, Millis};
+use crate::{CounterChange, CounterReply, CounterRequest, LeaseSettings, Millis};
 use std::collections::VecDeque;
 
 /// The budget is near its limit while fewer units than this many turns' maximum are not on lease. Units that are no
@@ -99,7 +100,7 @@
     }
 
     /// Reserves units if the lease covers them and has not expired; returns whether it did.
-    pub(crate) fn reserve(&mut self, units: u64, now: Millis) -> bool {
+    pub(crate) fn try_reserve(&mut self, units: u64, now: Millis) -> bool {
         if units == 0 {
             return true;
         }
@@ -110,8 +111,40 @@
         true
     }
 
+    /// The counter answered a request.
+    pub(crate) fn apply_reply(
+        &mut self,
+        request: &CounterRequest,
+        reply: &CounterReply,
+        now: Millis,
+        settings: &LeaseSettings,
+    ) {
+        self.reported_at = now;
+        let CounterChange::Lease { needed, .. } = request.change else {
+            return;
+        };
+        let rejection = match *reply {
+            CounterReply::Granted { units, left } => {
+                return self.granted(units, left, now, settings)
+            }
+            CounterReply::Spent => {
+                let expires_at = now + settings.spent_rejection_ms;
+                return self
+                    .rejections
+                    .cache_spent(needed, request.budget, expires_at);
+            }
+            CounterReply::LeasedElsewhere { .. } => Rejection::LeasedElsewhere {
+                retry_after_ms: settings.retry_after_ms,
+            },
+            CounterReply::Returned | CounterReply::Stale => Rejection::CounterTimeout,
+        };
+        let expires_at = now + settings.temporary_rejection_ms;
+        self.rejections
+            .cache_temporary(rejection, needed, request.budget, expires_at);
+    }
+
     /// The counter granted units; `left` are not on lease after that.
-    pub(crate) fn granted(&mut self, units: u64, left: u64, now: Millis, settings: &LeaseSettings) {
+    fn granted(&mut self, units: u64, left: u64, now: Millis, settings: &LeaseSettings) {
         self.available = self.available.saturating_add(units);
         self.expires_at = now + settings.lease_ms;
         self.near_limit = left < self.last_max_units.saturating_mul(NEAR_LIMIT_TURNS);
@@ -147,11 +180,6 @@
         std::mem::take(&mut self.unreported)
     }
 
-    /// The counter answered a request.
-    pub(crate) fn answered(&mut self, now: Millis) {
-        self.reported_at = now;
-    }
-
     /// Appends a turn to those that wait, unless it waits already.
     pub(crate) fn wait(&mut self, turn: u64, now: Millis) {
         if !self.waiting.iter().any(|waiting| waiting.turn == turn) {
--- a/crates/serving/budget/src/lease/table/decisions.rs
+++ b/crates/serving/budget/src/lease/table/decisions.rs
@@ -4,7 +4,7 @@
 use crate::lease::admission::{Admission, Rejection, TurnOutcome};
 use crate::lease::program_lease::ProgramLease;
 use crate::messages::MAX_PROGRAM_NAME_BYTES;
-use crate::{CounterChange, CounterReply, CounterRequest, LeaseSettings, Millis};
+use crate::{CounterChange, CounterRequest, Millis};
 use std::sync::Arc;
 
 impl LeaseTable {
@@ -81,7 +81,7 @@
             return unavailable;
         };
         let shortfall = entry.shortfall();
-        if lease.reserve(shortfall, now) {
+        if lease.try_reserve(shortfall, now) {
             entry.reserved += shortfall;
             entry.admitted = true;
             lease.stop_waiting(turn);
@@ -182,33 +182,3 @@
         Some(entry.program)
     }
 }
-
-/// Applies the counter's reply to the lease.
-pub(super) fn apply_reply(
-    lease: &mut ProgramLease,
-    request: &CounterRequest,
-    reply: &CounterReply,
-    now: Millis,
-    settings: &LeaseSettings,
-) {
-    let CounterChange::Lease { needed, .. } = request.change else {
-        return;
-    };
-    let rejection = match *reply {
-        CounterReply::Granted { units, left } => return lease.granted(units, left, now, settings),
-        CounterReply::Spent => {
-            let expires_at = now + settings.spent_rejection_ms;
-            return lease
-                .rejections
-                .cache_spent(needed, request.budget, expires_at);
-        }
-        CounterReply::LeasedElsewhere { .. } => Rejection::LeasedElsewhere {
-            retry_after_ms: settings.retry_after_ms,
-        },
-        CounterReply::Returned | CounterReply::Stale => Rejection::CounterTimeout,
-    };
-    let expires_at = now + settings.temporary_rejection_ms;
-    lease
-        .rejections
-        .cache_temporary(rejection, needed, request.budget, expires_at);
-}
--- a/crates/serving/budget/src/lease/table/mod.rs
+++ b/crates/serving/budget/src/lease/table/mod.rs
@@ -100,8 +100,7 @@
         match reply {
             None => lease.request.fail(request.sequence, now, &self.settings),
             Some(reply) if lease.request.complete(request.sequence) => {
-                lease.answered(now);
-                decisions::apply_reply(lease, request, reply, now, &self.settings);
+                lease.apply_reply(request, reply, now, &self.settings);
                 self.decide_waiting(&request.program, now);
             }
             Some(_) => {}
--- a/crates/serving/budget/tests/common/mod.rs
+++ b/crates/serving/budget/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! Helpers of the tests: builders of requests, and a limiter run against a counter.
 #![allow(dead_code)]
 
+pub mod accounts;
 pub mod digest;
 pub mod world;
 
--- a/crates/serving/budget/tests/common/world.rs
+++ b/crates/serving/budget/tests/common/world.rs
@@ -4,10 +4,11 @@
 //! The world keeps accounts of its own, of the requests applied and the tokens that clients receive, and checks the
 //! guarantees against them at every step.
 
+use super::accounts::Accounts;
 use super::digest::Digest;
 use dunespur_budget::{
-    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseTable, LimiterId,
-    Rejection, TurnOutcome,
+    Admission, CounterReply, CounterRequest, Counters, LeaseTable, LimiterId, Rejection,
+    TurnOutcome,
 };
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -70,20 +71,6 @@
     waiting_since: Option<u64>,
 }
 
-/// The units granted to a limiter, returned by it and used, by the world's own count.
-#[derive(Clone, Debug, Default)]
-struct Account {
-    granted: u64,
-    returned: u64,
-    used: u64,
-}
-
-impl Account {
-    fn out(&self) -> u64 {
-        self.granted - self.returned
-    }
-}
-
 pub struct World {
     plan: Plan,
     rng: Rng,
@@ -94,7 +81,7 @@
     queue: BTreeMap<(u64, u64), Event>,
     queued: u64,
     turns: BTreeMap<u64, Turn>,
-    accounts: BTreeMap<(String, LimiterId), Account>,
+    accounts: Accounts,
     applied: BTreeSet<(LimiterId, u64)>,
     pub tally: Tally,
     digest: Digest,
@@ -120,7 +107,7 @@
             queue: BTreeMap::new(),
             queued: 0,
             turns: BTreeMap::new(),
-            accounts: BTreeMap::new(),
+            accounts: Accounts::default(),
             applied: BTreeSet::new(),
             tally: Tally::default(),
             digest: Digest::default(),
@@ -165,7 +152,7 @@
 
     /// Units that clients received.
     pub fn received(&self, program: &str) -> u64 {
-        self.of(program).map(|(_, account)| account.used).sum()
+        self.accounts.received(program)
     }
 
     pub fn counters(&self) -> &Counters {
@@ -361,8 +348,8 @@
         turn.remaining -= 1;
         turn.breaks_after = turn.breaks_after.map(|left| left - 1);
         let program = turn.program.clone();
-        let index = (program.clone(), id(limiter, turn.incarnation));
-        self.accounts.entry(index).or_default().used += 1;
+        self.accounts
+            .record_use(&program, id(limiter, turn.incarnation));
         self.check_program(&program);
         self.tables[limiter].record_use(key, 1);
         let delay = self.rng.u64(1..20);
@@ -425,24 +412,12 @@
         } else {
             self.applied
                 .insert((request.limiter.clone(), request.sequence));
-            self.record_applied(&request, &reply);
+            self.accounts.record_applied(&request, &reply);
+            self.check_program(&request.program);
         }
         self.carry(Event::ToLimiter(request, reply));
     }
 
-    fn record_applied(&mut self, request: &CounterRequest, reply: &CounterReply) {
-        let index = (request.program.clone(), request.limiter.clone());
-        let account = self.accounts.entry(index).or_default();
-        account.returned += match request.change {
-            CounterChange::Lease { returned, .. } => returned,
-            CounterChange::Return { units } => units,
-        };
-        if let CounterReply::Granted { units, .. } = reply {
-            account.granted += units;
-        }
-        self.check_program(&request.program);
-    }
-
     fn at_limiter(&mut self, request: &CounterRequest, reply: Option<&CounterReply>) {
         let limiter = NODES
             .iter()
@@ -469,33 +444,9 @@
         }
     }
 
-    fn of<'a>(&'a self, program: &'a str) -> impl Iterator<Item = (&'a LimiterId, &'a Account)> {
-        self.accounts
-            .iter()
-            .filter(move |((name, _), _)| name == program)
-            .map(|((_, limiter), account)| (limiter, account))
-    }
-
     /// To be called after each change of granted or received units.
     fn check_program(&self, program: &str) {
-        let out: u64 = self.of(program).map(|(_, account)| account.out()).sum();
-        assert!(
-            out <= self.plan.budget,
-            "{program}: {out} granted at {}",
-            self.now
-        );
-        let received = self.received(program);
-        assert!(
-            received <= self.plan.budget,
-            "{program}: {received} received at {}",
-            self.now
-        );
-        for (limiter, account) in self.of(program) {
-            assert!(
-                account.used <= account.out(),
-                "{limiter:?} uses what it leased: {account:?}"
-            );
-        }
+        self.accounts.check(program, self.plan.budget, self.now);
     }
 
     /// To be called when a turn gets its decision.
@@ -509,14 +460,10 @@
 
     /// A turn is rejected as spent only if it would not fit even with all unused units of current incarnations.
     fn check_spent(&self, program: &str) {
-        let out: u64 = self.of(program).map(|(_, account)| account.out()).sum();
-        let living = self
-            .of(program)
-            .filter(|(limiter, _)| self.is_current(limiter));
-        let unused: u64 = living
-            .map(|(_, account)| account.out() - account.used)
-            .sum();
-        let left = self.plan.budget - out + unused;
+        let is_current = |limiter: &LimiterId| self.is_current(limiter);
+        let left = self
+            .accounts
+            .left_after_return(program, self.plan.budget, is_current);
         assert!(
             left < self.plan.max_units,
             "{program}: {left} could still be used at {}",
--- a/crates/serving/budget/tests/decisions.rs
+++ b/crates/serving/budget/tests/decisions.rs
@@ -19,7 +19,12 @@
     }
 }
 
-fn ask(by: &dunespur_budget::LimiterId, sequence: u64, at_ms: u64, needed: u64) -> CounterRequest {
+fn lease_request(
+    by: &dunespur_budget::LimiterId,
+    sequence: u64,
+    at_ms: u64,
+    needed: u64,
+) -> CounterRequest {
     CounterRequest {
         at_ms,
         ..request(by, sequence, BUDGET, lease(needed, needed))
@@ -30,24 +35,30 @@
 fn unused_units_of_others_are_leased_elsewhere_and_used_ones_are_spent() {
     let mut counters = Counters::default();
     let (a, b) = (limiter("a", 1), limiter("b", 1));
-    counters.apply(&ask(&a, 1, 0, 950), 2);
+    counters.apply(&lease_request(&a, 1, 0, 950), 2);
     assert_eq!(
-        counters.apply(&ask(&b, 1, 0, 100), 2),
+        counters.apply(&lease_request(&b, 1, 0, 100), 2),
         CounterReply::LeasedElsewhere { leased: 950 }
     );
     counters.apply(&report(&a, 2, 0, 800), 2);
     assert_eq!(
-        counters.apply(&ask(&b, 2, 0, 100), 2),
+        counters.apply(&lease_request(&b, 2, 0, 100), 2),
         CounterReply::LeasedElsewhere { leased: 150 }
     );
     counters.apply(&report(&a, 3, 0, 101), 2);
-    assert_eq!(counters.apply(&ask(&b, 3, 0, 100), 2), CounterReply::Spent);
+    assert_eq!(
+        counters.apply(&lease_request(&b, 3, 0, 100), 2),
+        CounterReply::Spent
+    );
     // What is left covers a smaller turn, or would if it came back.
     assert_eq!(
-        counters.apply(&ask(&b, 4, 0, 99), 2),
+        counters.apply(&lease_request(&b, 4, 0, 99), 2),
         CounterReply::LeasedElsewhere { leased: 49 }
     );
-    assert_eq!(granted(&counters.apply(&ask(&b, 5, 0, 50), 2)), 50);
+    assert_eq!(
+        granted(&counters.apply(&lease_request(&b, 5, 0, 50), 2)),
+        50
+    );
 }
 
 #[test]
@@ -130,32 +141,38 @@
 fn units_of_a_replaced_incarnation_count_as_spent() {
     let mut counters = Counters::default();
     let (dead, b) = (limiter("a", 1), limiter("b", 1));
-    counters.apply(&ask(&dead, 1, 0, 950), 2);
+    counters.apply(&lease_request(&dead, 1, 0, 950), 2);
     assert_eq!(
-        counters.apply(&ask(&b, 1, 0, 100), 2),
+        counters.apply(&lease_request(&b, 1, 0, 100), 2),
         CounterReply::LeasedElsewhere { leased: 950 }
     );
     // The machine's next incarnation sends a request, if only for another program.
-    let mut other = ask(&limiter("a", 2), 1, 0, 10);
+    let mut other = lease_request(&limiter("a", 2), 1, 0, 10);
     other.program = "another".to_owned();
     counters.apply(&other, 2);
-    assert_eq!(counters.apply(&ask(&b, 2, 0, 100), 2), CounterReply::Spent);
+    assert_eq!(
+        counters.apply(&lease_request(&b, 2, 0, 100), 2),
+        CounterReply::Spent
+    );
     assert_eq!(counters.leased(PROGRAM), 950, "they stay on lease");
 
     // A message of the old incarnation proves that they were not used after all.
     let back = request(&dead, 2, BUDGET, CounterChange::Return { units: 900 });
     counters.apply(&back, 2);
-    assert_eq!(granted(&counters.apply(&ask(&b, 3, 0, 100), 2)), 100);
+    assert_eq!(
+        granted(&counters.apply(&lease_request(&b, 3, 0, 100), 2)),
+        100
+    );
 }
 
 #[test]
 fn units_of_a_limiter_without_requests_count_as_spent_after_the_lease_timeout() {
     let mut counters = Counters::default();
     let (timed_out, b) = (limiter("a", 1), limiter("b", 1));
-    counters.apply(&ask(&timed_out, 1, 0, 950), 2);
+    counters.apply(&lease_request(&timed_out, 1, 0, 950), 2);
     let mut spent_at = None;
     for step in 0..100 {
-        let reply = counters.apply(&ask(&b, step + 1, step * 500, 100), 2);
+        let reply = counters.apply(&lease_request(&b, step + 1, step * 500, 100), 2);
         if reply == CounterReply::Spent {
             spent_at = Some(step * 500);
             break;
@@ -168,24 +185,30 @@
         &request(&timed_out, 2, BUDGET, CounterChange::Return { units: 950 }),
         2,
     );
-    assert_eq!(granted(&counters.apply(&ask(&b, 101, 50_000, 100), 2)), 100);
+    assert_eq!(
+        granted(&counters.apply(&lease_request(&b, 101, 50_000, 100), 2)),
+        100
+    );
 }
 
 #[test]
 fn a_limiter_that_was_quiet_advances_the_time_when_the_others_have_crashed() {
     let mut counters = Counters::default();
     let quiet = limiter("quiet", 1);
-    counters.apply(&ask(&quiet, 1, 0, 10), 2);
+    counters.apply(&lease_request(&quiet, 1, 0, 10), 2);
     let mut ticker = Ticker::new();
     ticker.pass(&mut counters, 300_000);
-    let mut other = ask(&limiter("ticker", 1), 100, 300_000, 950);
+    let mut other = lease_request(&limiter("ticker", 1), 100, 300_000, 950);
     counters.apply(&other, 2);
     // The ticker crashes with its lease. The quiet one's own time lags behind by ten seconds and no more, so the
     // fifteen after which units count as spent begin then.
     other.sequence += 1;
     let mut spent_at = None;
     for step in 0..60 {
-        let reply = counters.apply(&ask(&quiet, 2 + step, 300_000 + step * 500, 100), 2);
+        let reply = counters.apply(
+            &lease_request(&quiet, 2 + step, 300_000 + step * 500, 100),
+            2,
+        );
         if reply == CounterReply::Spent {
             spent_at = Some(step * 500);
             break;
@@ -204,7 +227,7 @@
         let now = step * 500;
         answer_all_due(&mut a, &mut counters, now);
         a.record_use(1, 1);
-        let reply = counters.apply(&ask(&b, step + 1, now, 200), 2);
+        let reply = counters.apply(&lease_request(&b, step + 1, now, 200), 2);
         assert!(
             matches!(reply, CounterReply::LeasedElsewhere { .. }),
             "{reply:?} at {now}"
--- a/crates/serving/configuration/src/parser.rs
+++ b/crates/serving/configuration/src/parser.rs
@@ -29,7 +29,10 @@
 
 /// Parses and validates the text of a configuration: its generation, if nothing is wrong.
 pub(crate) fn validate(text: &str) -> Result<u64, Findings> {
-    let (draft, mut findings) = parse_draft(text)?;
+    let ParsedDraft {
+        draft,
+        mut findings,
+    } = parse_draft(text)?;
     validation::validate(&draft, &mut findings);
     findings.or_ok(draft.generation)
 }
@@ -37,15 +40,20 @@
 /// Parses the text of a configuration that was valid when it was accepted. What an older version of this program
 /// accepted and this one would not is ignored.
 pub(crate) fn parse_accepted(text: &str) -> Result<Model, Findings> {
-    let (draft, _) = parse_draft(text)?;
-    Ok(draft.into_model())
+    Ok(parse_draft(text)?.draft.into_model())
 }
 
-fn parse_draft(text: &str) -> Result<(Draft, Findings), Findings> {
+/// What could be parsed of a configuration, and what is wrong with the rest.
+struct ParsedDraft {
+    draft: Draft,
+    findings: Findings,
+}
+
+fn parse_draft(text: &str) -> Result<ParsedDraft, Findings> {
     let value = parse_json(text)?;
     let mut findings = Findings::default();
     let draft = configuration(&value, &mut findings);
-    Ok((draft, findings))
+    Ok(ParsedDraft { draft, findings })
 }
 
 fn parse_json(text: &str) -> Result<Value, Findings> {
