--- a/crates/serving/control-state/tests/budgets.rs
+++ b/crates/serving/control-state/tests/budgets.rs
@@ -48,11 +48,11 @@
         name: "gone".to_owned(),
         incarnation: 1,
     });
-    let (mut counters, mut untold) = (Counters::default(), Counters::default());
+    let (mut counters, mut uncounted) = (Counters::default(), Counters::default());
     let mut differs = false;
     for request in requests() {
         let expected = counters.apply(&request, GATEWAYS);
-        differs |= untold.apply(&request, 0) != expected;
+        differs |= uncounted.apply(&request, 0) != expected;
         assert_eq!(reply(&mut trial, &request), expected);
     }
     assert!(differs, "the number of gateways matters in this trial");
--- a/crates/serving/control-state/tests/configuration_requests.rs
+++ b/crates/serving/control-state/tests/configuration_requests.rs
@@ -150,12 +150,12 @@
     for request in &requests {
         assert_eq!(trial.request(request), Outcome::Accepted);
     }
-    let (before, told) = (trial.state.clone(), trial.notifications.len());
+    let (before, published) = (trial.state.clone(), trial.notifications.len());
     for request in &requests {
         assert_eq!(trial.request(request), Outcome::Accepted);
     }
     assert_eq!(trial.state, before);
-    assert_eq!(trial.notifications.len(), told);
+    assert_eq!(trial.notifications.len(), published);
 }
 
 #[test]
--- a/crates/serving/control-state/tests/encoding.rs
+++ b/crates/serving/control-state/tests/encoding.rs
@@ -72,7 +72,7 @@
     }
 }
 
-fn request(kind: ConfigurationRequestKind) -> ConfigurationRequest {
+fn configuration_request(kind: ConfigurationRequestKind) -> ConfigurationRequest {
     ConfigurationRequest {
         kind,
         base: 11,
@@ -96,22 +96,15 @@
     }
 }
 
-#[test]
-fn operations_keep_their_bytes() {
-    let lease = CounterChange::Lease {
-        needed: 81,
-        wanted: 182,
-        returned: 83,
+fn server_operations() -> Vec<(&'static str, Operation)> {
+    let left = Operation::ServerLeft {
+        id: "id-1".to_owned(),
     };
-    let cases = [
-        (
-            "configure-replace",
-            Operation::Configure(request(ConfigurationRequestKind::Replace)),
-        ),
-        (
-            "configure-patch",
-            Operation::Configure(request(ConfigurationRequestKind::Patch)),
-        ),
+    let expired = Operation::ServerExpired {
+        id: "id-1".to_owned(),
+        last_sequence: 300,
+    };
+    vec![
         (
             "server-ready",
             Operation::Server(server_report(ServerState::Ready)),
@@ -120,53 +113,58 @@
             "server-draining",
             Operation::Server(server_report(ServerState::Draining)),
         ),
-        (
-            "server-left",
-            Operation::ServerLeft {
-                id: "id-1".to_owned(),
-            },
-        ),
-        (
-            "server-expired",
-            Operation::ServerExpired {
-                id: "id-1".to_owned(),
-                last_sequence: 300,
-            },
-        ),
-        (
-            "node-gateway",
-            Operation::Node(node_report(NodeKind::Gateway)),
-        ),
-        ("node-store", Operation::Node(node_report(NodeKind::Store))),
-        (
-            "node-expired",
-            Operation::NodeExpired {
-                name: "name-1".to_owned(),
-                incarnation: 300,
-            },
-        ),
-        (
-            "retire-start",
-            Operation::RetireStart {
-                node: "node-1".to_owned(),
-                tolerated_losses: 2,
-                fencing_token: 300,
-            },
-        ),
-        (
-            "retire-done",
-            Operation::RetireDone {
-                node: "node-1".to_owned(),
-                incarnation: 200,
-                epoch: 3,
-            },
-        ),
-        ("budget-lease", Operation::Budget(counter_request(lease))),
-        (
-            "budget-return",
-            Operation::Budget(counter_request(CounterChange::Return { units: 84 })),
-        ),
+        ("server-left", left),
+        ("server-expired", expired),
+    ]
+}
+
+fn node_operations() -> Vec<(&'static str, Operation)> {
+    let expired = Operation::NodeExpired {
+        name: "name-1".to_owned(),
+        incarnation: 300,
+    };
+    let start = Operation::RetireStart {
+        node: "node-1".to_owned(),
+        tolerated_losses: 2,
+        fencing_token: 300,
+    };
+    let done = Operation::RetireDone {
+        node: "node-1".to_owned(),
+        incarnation: 200,
+        epoch: 3,
+    };
+    let gateway = Operation::Node(node_report(NodeKind::Gateway));
+    let store = Operation::Node(node_report(NodeKind::Store));
+    vec![
+        ("node-gateway", gateway),
+        ("node-store", store),
+        ("node-expired", expired),
+        ("retire-start", start),
+        ("retire-done", done),
+    ]
+}
+
+#[test]
+fn operations_keep_their_bytes() {
+    let replace = configuration_request(ConfigurationRequestKind::Replace);
+    let patch = configuration_request(ConfigurationRequestKind::Patch);
+    let lease = CounterChange::Lease {
+        needed: 81,
+        wanted: 182,
+        returned: 83,
+    };
+    let returned = CounterChange::Return { units: 84 };
+    let mut cases = vec![
+        ("configure-replace", Operation::Configure(replace)),
+        ("configure-patch", Operation::Configure(patch)),
     ];
+    cases.extend(server_operations());
+    cases.extend(node_operations());
+    cases.push(("budget-lease", Operation::Budget(counter_request(lease))));
+    cases.push((
+        "budget-return",
+        Operation::Budget(counter_request(returned)),
+    ));
     assert_encoded(include_str!("encoding/operations.txt"), &cases);
 }
 
@@ -232,81 +230,56 @@
     }
 }
 
+/// One flag is set at a time: else two flags could be swapped unnoticed.
+fn store_changes() -> [(&'static str, Change); 4] {
+    let with = |set: fn(&mut StoreEntry)| {
+        let mut entry = store_entry();
+        set(&mut entry);
+        Change::Store(entry)
+    };
+    [
+        ("store-first-flag", with(|entry| entry.complete = true)),
+        ("store-second-flag", with(|entry| entry.present = true)),
+        ("store-third-flag", with(|entry| entry.retiring = true)),
+        ("store-fourth-flag", with(|entry| entry.retired = true)),
+    ]
+}
+
 #[test]
 fn changes_keep_their_bytes() {
-    let gateway = GatewayEntry {
+    let configuration = Change::Configuration {
+        generation: 300,
+        json: "json-2".into(),
+    };
+    let gateway = Change::Gateway(GatewayEntry {
         name: "name-1".to_owned(),
         zone: "zone-2".to_owned(),
         address: SocketAddr::from(([10, 1, 2, 3], 7_003)),
         incarnation: 400,
+    });
+    let server_removed = Change::ServerRemoved {
+        id: "id-1".to_owned(),
     };
-    let cases = [
-        (
-            "configuration",
-            Change::Configuration {
-                generation: 300,
-                json: "json-2".into(),
-            },
-        ),
-        (
-            "server",
-            Change::Server(server_report(ServerState::Draining)),
-        ),
-        (
-            "server-removed",
-            Change::ServerRemoved {
-                id: "id-1".to_owned(),
-            },
-        ),
-        // One flag at a time: else two flags could change places unseen.
-        (
-            "store-first-flag",
-            Change::Store(StoreEntry {
-                complete: true,
-                ..store_entry()
-            }),
-        ),
-        (
-            "store-second-flag",
-            Change::Store(StoreEntry {
-                present: true,
-                ..store_entry()
-            }),
-        ),
-        (
-            "store-third-flag",
-            Change::Store(StoreEntry {
-                retiring: true,
-                ..store_entry()
-            }),
-        ),
-        (
-            "store-fourth-flag",
-            Change::Store(StoreEntry {
-                retired: true,
-                ..store_entry()
-            }),
-        ),
-        (
-            "store-removed",
-            Change::StoreRemoved {
-                name: "name-1".to_owned(),
-            },
-        ),
-        ("gateway", Change::Gateway(gateway)),
-        (
-            "gateway-removed",
-            Change::GatewayRemoved {
-                name: "name-2".to_owned(),
-            },
-        ),
+    let store_removed = Change::StoreRemoved {
+        name: "name-1".to_owned(),
+    };
+    let gateway_removed = Change::GatewayRemoved {
+        name: "name-2".to_owned(),
+    };
+    let draining = Change::Server(server_report(ServerState::Draining));
+    let mut cases = vec![
+        ("configuration", configuration),
+        ("server", draining),
+        ("server-removed", server_removed),
     ];
+    cases.extend(store_changes());
+    cases.push(("store-removed", store_removed));
+    cases.push(("gateway", gateway));
+    cases.push(("gateway-removed", gateway_removed));
     assert_encoded(include_str!("encoding/changes.txt"), &cases);
     let changes: Vec<Change> = cases.into_iter().map(|(_, change)| change).collect();
-    assert_encoded(
-        include_str!("encoding/change-list.txt"),
-        &[("all", changes)],
-    );
+    let fixture = include_str!("encoding/change-list.txt");
+    assert_encoded(fixture, &[("all", changes)]);
 }
 
 fn budget(node: &str, incarnation: u64, sequence: u64, change: CounterChange) -> Operation {
@@ -324,6 +297,20 @@
     })
 }
 
+fn budget_operations() -> [Operation; 4] {
+    let lease = CounterChange::Lease {
+        needed: 40,
+        wanted: 90,
+        returned: 2,
+    };
+    [
+        budget("g", 31, 1, lease.clone()),
+        budget("h", 32, 2, lease.clone()),
+        budget("h", 33, 3, lease),
+        budget("g", 31, 4, CounterChange::Return { units: 7 }),
+    ]
+}
+
 /// A state in which nothing is empty, made by operations alone.
 fn populated_state() -> ControlState {
     let body = r#"{"generation":11,"routes":[],"services":[{"name":"pool"}],"unknown":[1.50]}"#;
@@ -360,18 +347,8 @@
         name: "w".to_owned(),
         incarnation: 41,
     });
-    operations.push(retire("s", 1, 1));
-    operations.push(retire("t", 1, 2));
-    operations.push(retire("nobody", 1, 3));
-    let lease = CounterChange::Lease {
-        needed: 40,
-        wanted: 90,
-        returned: 2,
-    };
-    operations.push(budget("g", 31, 1, lease.clone()));
-    operations.push(budget("h", 32, 2, lease.clone()));
-    operations.push(budget("h", 33, 3, lease));
-    operations.push(budget("g", 31, 4, CounterChange::Return { units: 7 }));
+    operations.extend([retire("s", 1, 1), retire("t", 1, 2), retire("nobody", 1, 3)]);
+    operations.extend(budget_operations());
     let mut state = ControlState::default();
     for operation in operations {
         state.apply(&operation, &mut Vec::new());
--- a/crates/serving/control-state/tests/operators.rs
+++ b/crates/serving/control-state/tests/operators.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use world::faults::play;
+use world::fault_plan::play;
 use world::history::Tally;
 use world::Setup;
 
--- a/crates/serving/control-state/tests/operators_safeguards.rs
+++ b/crates/serving/control-state/tests/operators_safeguards.rs
@@ -5,7 +5,7 @@
 
 use dunespur_chain_replication::Safeguard as ChainSafeguard;
 use dunespur_control_state::Safeguard;
-use world::faults::play;
+use world::fault_plan::play;
 use world::{Safeguards, Setup};
 
 const FAULT_GROUPS: usize = 3;
--- a/crates/serving/control-state/tests/retirement_safeguards.rs
+++ b/crates/serving/control-state/tests/retirement_safeguards.rs
@@ -83,7 +83,7 @@
     );
 }
 
-/// The homes that are left while one store is being emptied and another is lost.
+/// The usable stores that are left while one store is being emptied and another is lost.
 fn loss_during_a_retirement(safeguards: Safeguards) -> usize {
     let mut trial = with_stores(safeguards, &["a", "b", "c"]);
     retire(&mut trial, "a");
--- a/crates/serving/control-state/tests/world/machines.rs
+++ b/crates/serving/control-state/tests/world/machines.rs
@@ -1,23 +1,18 @@
-//! Machines of the core: a disk, a member of the chain, the control state that it applies commits to, and its answers
-//! to calls, which are those of the program.
+//! Machines of the core: a disk, a member of the chain, and the control state that it applies commits to.
 
+use super::answers::PendingCall;
 use super::callers::{Answer, CallId, Question};
 use super::{Event, World};
 use dunespur_chain_replication::{
     DurableState, Input, Member, MemberConfig, MemberId, Millis, Output, Peer, View, Write,
 };
-use dunespur_control_state::{
-    ConfigurationRequest, ControlState, Operation, Outcome, RetirementOutcome,
-};
+use dunespur_control_state::{ControlState, Operation};
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hasher};
 use std::net::SocketAddr;
 
 /// The reading of a process's clock at its start.
 const FIRST_MOMENT: Millis = 1;
-const TOLERATED_LOSSES: u32 = 1;
-/// A call that is not decided after this time is answered without a clear answer.
-pub const CALL_LIMIT: Millis = 850;
 
 /// What reaches a process.
 #[derive(Clone, Debug)]
@@ -33,12 +28,6 @@
     writes: Vec<Write>,
 }
 
-/// A call that is not answered yet.
-struct Pending {
-    question: Question,
-    since: Millis,
-}
-
 pub struct Process {
     pub member: Member,
     /// The process's clock starts at this time, as steady clocks may.
@@ -47,8 +36,8 @@
     applied: u64,
     pub state: ControlState,
     /// Calls by the ticket that they wait for.
-    tickets: HashMap<u64, CallId>,
-    pending: HashMap<CallId, Pending>,
+    pub tickets: HashMap<u64, CallId>,
+    pub pending: HashMap<CallId, PendingCall>,
 }
 
 pub struct Machine {
@@ -253,18 +242,18 @@
         }
     }
 
-    fn process(&mut self, index: usize) -> &mut Process {
+    pub fn process(&mut self, index: usize) -> &mut Process {
         self.machines[index]
             .process
             .as_mut()
             .expect("a running process")
     }
 
-    fn clock(&mut self, index: usize) -> Millis {
+    pub fn clock(&mut self, index: usize) -> Millis {
         self.now - self.process(index).clock_zero + FIRST_MOMENT
     }
 
-    fn step(&mut self, index: usize, input: Input) {
+    pub fn step(&mut self, index: usize, input: Input) {
         let (now, clock) = (self.now, self.clock(index));
         let process = self.process(index);
         let mut out = Vec::new();
@@ -328,33 +317,9 @@
                     self.answer(index, call, Answer::Indefinite);
                 }
             }
-            Output::TakeSnapshot => {
-                let process = self.process(index);
-                let input = Input::SnapshotTaken {
-                    index: process.applied,
-                    bytes: process.state.snapshot(),
-                };
-                let at = self.now + self.rng.u64(0..5);
-                let run = self.machines[index].run;
-                self.schedule(
-                    at,
-                    Event::Arrive {
-                        machine: index,
-                        run,
-                        arrival: Arrival::Chain(input),
-                    },
-                );
-            }
+            Output::TakeSnapshot => self.take_snapshot(index),
             Output::InstallSnapshot { index: at, bytes } => {
-                let safeguards = self.setup.safeguards.control;
-                let state = ControlState::restore(&bytes)
-                    .expect("a snapshot")
-                    .with_safeguards(safeguards);
-                self.snapshots_installed += 1;
-                self.digest.event(22, [self.now, index as u64, at], &bytes);
-                let process = self.process(index);
-                process.applied = at;
-                process.state = state;
+                self.install_snapshot(index, at, &bytes);
             }
             Output::ViewChanged { view, has_quorum } => {
                 self.log(|| {
@@ -368,6 +333,36 @@
         }
     }
 
+    fn take_snapshot(&mut self, index: usize) {
+        let process = self.process(index);
+        let input = Input::SnapshotTaken {
+            index: process.applied,
+            bytes: process.state.snapshot(),
+        };
+        let at = self.now + self.rng.u64(0..5);
+        let run = self.machines[index].run;
+        self.schedule(
+            at,
+            Event::Arrive {
+                machine: index,
+                run,
+                arrival: Arrival::Chain(input),
+            },
+        );
+    }
+
+    fn install_snapshot(&mut self, index: usize, at: u64, bytes: &[u8]) {
+        let safeguards = self.setup.safeguards.control;
+        let state = ControlState::restore(bytes)
+            .expect("a snapshot")
+            .with_safeguards(safeguards);
+        self.snapshots_installed += 1;
+        self.digest.event(22, [self.now, index as u64, at], &bytes);
+        let process = self.process(index);
+        process.applied = at;
+        process.state = state;
+    }
+
     fn machine_at(&self, address: SocketAddr) -> Option<usize> {
         self.machines
             .iter()
@@ -397,168 +392,6 @@
         let Some(call) = call else { return };
         self.decided(index, call, outcome);
     }
-
-    // --- answers to calls ---
-
-    fn called(&mut self, index: usize, call: CallId, question: Question) {
-        let clock = self.clock(index);
-        let process = self.process(index);
-        process.pending.insert(
-            call,
-            Pending {
-                question: question.clone(),
-                since: clock,
-            },
-        );
-        let run = self.machines[index].run;
-        let at = self.now + CALL_LIMIT;
-        self.schedule(
-            at,
-            Event::Arrive {
-                machine: index,
-                run,
-                arrival: Arrival::Deadline { call },
-            },
-        );
-        match question {
-            Question::Configure(_) | Question::Retire(_) => self.execute(index, call, &question, 0),
-            Question::Configuration => {
-                let ticket = self.take_ticket();
-                self.process(index).tickets.insert(ticket, call);
-                self.step(index, Input::Read { ticket });
-            }
-            Question::Watch => {
-                let process = self.process(index);
-                let generation = process
-                    .state
-                    .configuration()
-                    .map_or(0, |document| document.generation());
-                let follows = process.member.is_up_to_date(clock);
-                let answer = if follows {
-                    Answer::Watched { generation }
-                } else {
-                    Answer::Indefinite
-                };
-                self.answer(index, call, answer);
-            }
-        }
-    }
-
-    fn execute(&mut self, index: usize, call: CallId, question: &Question, fencing_token: u64) {
-        let Some(operation) = operation(question, fencing_token) else {
-            return;
-        };
-        let clock = self.clock(index);
-        let rejects_unconfirmed = self.setup.safeguards.rejects_unconfirmed;
-        let process = self.process(index);
-        if rejects_unconfirmed {
-            let outcome = process.state.clone().apply(&operation, &mut Vec::new());
-            if matches!(
-                outcome,
-                Outcome::GenerationConflict { .. } | Outcome::Invalid(_)
-            ) {
-                return self.decided(index, call, outcome);
-            }
-        }
-        if !process.member.can_commit(clock) {
-            return self.answer(index, call, Answer::Indefinite);
-        }
-        let payload = postcard::to_stdvec(&operation).expect("an operation");
-        let ticket = self.take_ticket();
-        self.process(index).tickets.insert(ticket, call);
-        self.step(index, Input::Submit { ticket, payload });
-    }
-
-    fn decided(&mut self, index: usize, call: CallId, outcome: Outcome) {
-        match outcome {
-            Outcome::Accepted => self.answer(index, call, Answer::Accepted),
-            Outcome::GenerationConflict {
-                current: generation,
-            } => self.answer(index, call, Answer::Current { generation }),
-            Outcome::Invalid(_) => self.answer(index, call, Answer::Invalid),
-            Outcome::Fenced { fencing_token } => {
-                let question = self
-                    .process(index)
-                    .pending
-                    .get(&call)
-                    .map(|pending| pending.question.clone());
-                if let Some(question) = question {
-                    self.execute(index, call, &question, fencing_token);
-                }
-            }
-            Outcome::Retire(RetirementOutcome::Accepted) => {
-                self.answer(index, call, Answer::Retired)
-            }
-            Outcome::Retire(_) => self.answer(index, call, Answer::NotRetired),
-            _ => self.answer(index, call, Answer::Indefinite),
-        }
-    }
-
-    fn read_ready(&mut self, index: usize, ticket: u64) {
-        let process = self.process(index);
-        let Some(call) = process.tickets.remove(&ticket) else {
-            return;
-        };
-        let document = process.state.configuration();
-        let configuration = document.map(|document| (document.generation(), document.to_json()));
-        self.answer(index, call, Answer::Configuration(configuration));
-    }
-
-    /// Answers a call, without a definite answer if that took too long: the process may have been suspended.
-    fn answer(&mut self, index: usize, call: CallId, answer: Answer) {
-        let clock = self.clock(index);
-        let Some(pending) = self.process(index).pending.remove(&call) else {
-            return;
-        };
-        let late = clock > pending.since + CALL_LIMIT;
-        let answer = if late { Answer::Indefinite } else { answer };
-        self.send_answer(index, call, answer);
-    }
-
-    /// A payload that means nothing.
-    pub fn submit_filling(&mut self, index: usize) {
-        let node = "-".repeat(self.setup.filling);
-        self.submit(
-            index,
-            &Operation::RetireDone {
-                node,
-                incarnation: 0,
-                epoch: 0,
-            },
-        );
-    }
-
-    /// An operation whose outcome nobody awaits.
-    pub fn submit(&mut self, index: usize, operation: &Operation) {
-        if self.machines[index].process.is_none() || self.machines[index].frozen {
-            return;
-        }
-        let payload = postcard::to_stdvec(operation);
-        let ticket = self.take_ticket();
-        self.step(
-            index,
-            Input::Submit {
-                ticket,
-                payload: payload.expect("an operation"),
-            },
-        );
-    }
-}
-
-/// The operation that a call submits.
-fn operation(question: &Question, fencing_token: u64) -> Option<Operation> {
-    match question {
-        Question::Configure(request) => Some(Operation::Configure(ConfigurationRequest {
-            fencing_token,
-            ..request.clone()
-        })),
-        Question::Retire(node) => Some(Operation::RetireStart {
-            node: node.clone(),
-            tolerated_losses: TOLERATED_LOSSES,
-            fencing_token,
-        }),
-        Question::Configuration | Question::Watch => None,
-    }
 }
 
 /// The store that an operation may begin to empty.
--- a/crates/serving/control-state/tests/world/mod.rs
+++ b/crates/serving/control-state/tests/world/mod.rs
@@ -5,8 +5,10 @@
 //! be the same everywhere, and what a member shows to those who follow it may not be too old.
 #![allow(dead_code)]
 
+pub mod answers;
 pub mod callers;
 pub mod digest;
+pub mod fault_plan;
 pub mod faults;
 pub mod history;
 pub mod links;
--- a/crates/serving/control-state/tests/world_digests.rs
+++ b/crates/serving/control-state/tests/world_digests.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use std::fmt::Write;
-use world::faults::digest;
+use world::fault_plan::digest;
 use world::Setup;
 
 const FAULT_GROUPS: usize = 1;
