--- a/crates/serving/configuration/src/fields.rs
+++ b/crates/serving/configuration/src/fields.rs
@@ -120,10 +120,10 @@
         integer
     }
 
-    /// An optional time in seconds, as milliseconds. The cast saturates.
+    /// An optional time in seconds, as milliseconds.
     pub(crate) fn seconds_as_ms(&self, name: &str, findings: &mut Findings) -> Option<u64> {
         let seconds = self.number(name, findings)?;
-        Some((seconds * MS_PER_SECOND).ceil() as u64)
+        Some(ceil_saturating(seconds * MS_PER_SECOND))
     }
 
     /// An optional array, empty by default.
@@ -153,9 +153,9 @@
     }
 }
 
-/// The integer above a number of at least 0 that isn't written as an integer. The cast saturates.
+/// The integer above a number of at least 0 that isn't written as an integer.
 fn rounded_up(number: &Number) -> u64 {
-    number.as_f64().map_or(0, |number| number.ceil() as u64)
+    number.as_f64().map_or(0, ceil_saturating)
 }
 
 /// The integer that `number` is, in whatever notation.
@@ -165,5 +165,11 @@
     }
     let number = number.as_f64()?;
     let is_integer = number.fract() == 0.0 && number <= MAX_EXACT_FLOAT;
-    is_integer.then_some(number as u64)
+    is_integer.then(|| ceil_saturating(number))
+}
+
+/// The smallest integer that is not below a number of at least 0, and the largest one for a number beyond it.
+pub(crate) fn ceil_saturating(number: f64) -> u64 {
+    // A cast of a float saturates.
+    number.ceil() as u64
 }
--- a/crates/serving/configuration/src/parser.rs
+++ b/crates/serving/configuration/src/parser.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     draft::Draft,
-    fields::Fields,
+    fields::{ceil_saturating, Fields},
     location::Location,
     model::{Engine, Limits, Model, PlacedRoute, RequestKind, Route, Service, WeightedBackend},
     validation, Findings,
@@ -223,8 +223,8 @@
     };
     let scaled = |given: GivenBackend| WeightedBackend {
         backend: given.backend,
-        // Rounded up, so that the smallest weight above 0 doesn't vanish. The cast saturates.
-        weight: ((given.weight * scale).ceil() as u64).min(MAX_WEIGHT),
+        // Rounded up, so that the smallest weight above 0 doesn't vanish.
+        weight: ceil_saturating(given.weight * scale).min(MAX_WEIGHT),
     };
     given.into_iter().map(scaled).collect()
 }
--- a/crates/serving/control-state/tests/configuration_requests.rs
+++ b/crates/serving/control-state/tests/configuration_requests.rs
@@ -20,7 +20,7 @@
         .map(|document| document.generation())
 }
 
-fn endpoints(outcome: Outcome) -> Vec<String> {
+fn locations(outcome: Outcome) -> Vec<String> {
     match outcome {
         Outcome::Invalid(findings) => findings
             .0
@@ -77,18 +77,18 @@
 #[test]
 fn a_generation_that_does_not_rise_is_invalid() {
     let mut trial = Trial::default();
-    assert_eq!(endpoints(trial.request(&replace(0, 0))), ["generation"]);
+    assert_eq!(locations(trial.request(&replace(0, 0))), ["generation"]);
     trial.request(&replace(0, 7));
     for generation in [1, 6, 7] {
         assert_eq!(
-            endpoints(trial.request(&replace_with(
+            locations(trial.request(&replace_with(
                 7,
                 &format!(r#"{{"generation":{generation}}}"#)
             ))),
             ["generation"]
         );
         assert_eq!(
-            endpoints(trial.request(&patch(7, &format!(r#"{{"generation":{generation}}}"#)))),
+            locations(trial.request(&patch(7, &format!(r#"{{"generation":{generation}}}"#)))),
             ["generation"]
         );
     }
@@ -103,11 +103,11 @@
     let before = trial.state.clone();
     let bad = r#"{"generation":9,"routes":[{"name":"r","host":"h","path_prefix":"/","kind":"mutating","timeout_ms":0,"backend":"s"}]}"#;
     assert_eq!(
-        endpoints(trial.request(&replace_with(7, bad))),
+        locations(trial.request(&replace_with(7, bad))),
         ["routes[0].timeout_ms", "routes[0]"]
     );
     assert_eq!(
-        endpoints(trial.request(&replace_with(7, "{"))),
+        locations(trial.request(&replace_with(7, "{"))),
         ["configuration"]
     );
     assert_eq!(trial.state, before);
@@ -172,7 +172,7 @@
         Outcome::GenerationConflict { current: 7 }
     );
     let on_it = replace_with(7, body);
-    assert_eq!(endpoints(trial.request(&on_it)), ["generation"]);
+    assert_eq!(locations(trial.request(&on_it)), ["generation"]);
 }
 
 #[test]
@@ -225,7 +225,7 @@
     assert_eq!(trial.request(&patch(2, &second)), Outcome::Accepted);
     assert_eq!(trial.request(&patch(2, &second)), Outcome::Accepted);
     assert_eq!(
-        endpoints(trial.request(&patch(4, r#"{"generation":5,"remove":{"services":["s"]}}"#))),
+        locations(trial.request(&patch(4, r#"{"generation":5,"remove":{"services":["s"]}}"#))),
         ["routes[0]", "routes[1]"]
     );
     let expected = format!(
--- a/crates/serving/control-state/tests/operators.rs
+++ b/crates/serving/control-state/tests/operators.rs
@@ -14,8 +14,8 @@
 
 fn is_linearizable(machines: usize) {
     for seed in 0..SEEDS {
-        if let Err(text) = play(Setup::new(seed, machines), FAULT_GROUPS) {
-            panic!("{text}");
+        if let Err(violation) = play(Setup::new(seed, machines), FAULT_GROUPS) {
+            panic!("{violation}");
         }
     }
 }
@@ -56,7 +56,8 @@
 #[test]
 fn seeds_that_once_broke() {
     for (seed, machines) in ONCE_BROKEN {
-        play(Setup::new(seed, machines), FAULT_GROUPS).unwrap_or_else(|text| panic!("{text}"));
+        play(Setup::new(seed, machines), FAULT_GROUPS)
+            .unwrap_or_else(|violation| panic!("{violation}"));
     }
 }
 
@@ -70,19 +71,19 @@
             .and_then(|text| text.parse::<u64>().ok())
     };
     let first = number("FIRST").unwrap_or(1_000);
-    let (mut violation, mut sum) = (0, Tally::default());
+    let (mut violations, mut sum) = (0, Tally::default());
     for seed in first..first + number("SEEDS").unwrap_or(1_000) {
         match play(
             Setup::new(seed, SIZES[seed as usize % SIZES.len()]),
             FAULT_GROUPS,
         ) {
             Ok(tally) => sum.add(tally),
-            Err(text) => {
-                violation += 1;
-                eprintln!("{text}");
+            Err(violation) => {
+                violations += 1;
+                eprintln!("{violation}");
             }
         }
     }
-    eprintln!("broken {violation}, {sum:?}");
-    assert_eq!(violation, 0);
+    eprintln!("violations {violations}, {sum:?}");
+    assert_eq!(violations, 0);
 }
--- a/crates/serving/control-state/tests/operators_safeguards.rs
+++ b/crates/serving/control-state/tests/operators_safeguards.rs
@@ -6,6 +6,7 @@
 use dunespur_chain_replication::Safeguard as ChainSafeguard;
 use dunespur_control_state::Safeguard;
 use world::fault_plan::play;
+use world::violation::Violation;
 use world::{Safeguards, Setup};
 
 const FAULT_GROUPS: usize = 3;
@@ -18,11 +19,11 @@
 const RARE_STORE_SEED: u64 = 31;
 
 /// The first violation without some safeguards. It has to be the one that they prevent, not another.
-fn counterexample(safeguards: Safeguards, sign: &str) -> String {
+fn counterexample(safeguards: Safeguards, sign: &str) -> Violation {
     counterexample_from(0, safeguards, sign)
 }
 
-fn counterexample_from(first: u64, safeguards: Safeguards, sign: &str) -> String {
+fn counterexample_from(first: u64, safeguards: Safeguards, sign: &str) -> Violation {
     let found = (first..first + SEEDS).find_map(|seed| {
         let setup = Setup {
             safeguards,
@@ -30,7 +31,7 @@
         };
         play(setup, FAULT_GROUPS)
             .err()
-            .filter(|text| text.contains(sign))
+            .filter(|violation| violation.mentions(sign))
     });
     let found = found.unwrap_or_else(|| panic!("in {SEEDS} seeds nothing went wrong"));
     eprintln!("{found}");
--- a/crates/serving/control-state/tests/world/digest.rs
+++ b/crates/serving/control-state/tests/world/digest.rs
@@ -3,6 +3,7 @@
 
 use super::callers::{Answer, CallId};
 use super::history::Tally;
+use super::violation::Violation;
 use super::World;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
@@ -52,8 +53,8 @@
     fn tally(&mut self, tally: &Tally) {
         self.numbers([
             tally.calls,
-            tally.taken,
-            tally.refused,
+            tally.accepted,
+            tally.rejected,
             tally.reads,
             tally.unclear,
         ]);
@@ -68,7 +69,7 @@
 
 impl World {
     /// The digest of the world up to now, with its verdict and the states of its members.
-    pub fn finish_digest(mut self, verdict: Result<Tally, String>) -> u64 {
+    pub fn finish_digest(mut self, verdict: Result<Tally, Violation>) -> u64 {
         self.digest.number(u64::from(verdict.is_ok()));
         if let Ok(tally) = &verdict {
             self.digest.tally(tally);
--- a/crates/serving/control-state/tests/world/fault_plan.rs
+++ b/crates/serving/control-state/tests/world/fault_plan.rs
@@ -3,6 +3,7 @@
 use super::faults::{Acknowledgement, Fault, DOWNTIME};
 use super::history::{check, Tally};
 use super::links::Endpoint;
+use super::violation::Violation;
 use super::{Event, Setup, World};
 use dunespur_chain_replication::Millis;
 use fastrand::Rng;
@@ -221,7 +222,7 @@
 }
 
 /// Plays a world through a plan of faults and checks what its operators observed.
-pub fn play(setup: Setup, fault_groups: usize) -> Result<Tally, String> {
+pub fn play(setup: Setup, fault_groups: usize) -> Result<Tally, Violation> {
     play_in(&mut World::new(setup), fault_groups)
 }
 
@@ -232,18 +233,18 @@
     world.finish_digest(verdict)
 }
 
-fn play_in(world: &mut World, fault_groups: usize) -> Result<Tally, String> {
+fn play_in(world: &mut World, fault_groups: usize) -> Result<Tally, Violation> {
     let setup = world.setup;
     let plan = plan_faults(&setup, world.callers.len(), fault_groups);
     for PlannedFault { at, fault } in plan.faults {
         world.schedule(at, Event::Fault(fault));
     }
     world.play_to(plan.end_at + CALM)?;
-    check(&world.history).map_err(|text| world.describe(&text))?;
+    check(&world.history).map_err(|violation| world.describe(&violation))?;
     let snapshots = world.snapshots_installed;
     let (emptied, rejected_retirements) = (
         world.retirement_operator.retirements_begun,
-        world.retirement_operator.refused,
+        world.retirement_operator.rejected,
     );
     Ok(Tally {
         snapshots,
--- a/crates/serving/control-state/tests/world/history.rs
+++ b/crates/serving/control-state/tests/world/history.rs
@@ -9,6 +9,7 @@
 //! * what is seen never goes back: from one call's end to another's begin.
 
 use super::callers::Answer;
+use super::violation::Violation;
 use dunespur_chain_replication::Millis;
 use dunespur_control_state::ConfigurationRequest;
 use std::collections::BTreeMap;
@@ -51,8 +52,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     pub calls: u64,
-    pub taken: u64,
-    pub refused: u64,
+    pub accepted: u64,
+    pub rejected: u64,
     pub reads: u64,
     pub unclear: u64,
     pub snapshots: u64,
@@ -65,8 +66,8 @@
 impl Tally {
     pub fn add(&mut self, other: Tally) {
         self.calls += other.calls;
-        self.taken += other.taken;
-        self.refused += other.refused;
+        self.accepted += other.accepted;
+        self.rejected += other.rejected;
         self.reads += other.reads;
         self.unclear += other.unclear;
         self.snapshots += other.snapshots;
@@ -146,8 +147,8 @@
         for call in &self.calls {
             tally.calls += 1;
             match &call.end {
-                Some((_, Answer::Accepted)) => tally.taken += 1,
-                Some((_, Answer::Current { .. } | Answer::Invalid)) => tally.refused += 1,
+                Some((_, Answer::Accepted)) => tally.accepted += 1,
+                Some((_, Answer::Current { .. } | Answer::Invalid)) => tally.rejected += 1,
                 Some((_, Answer::Configuration(_))) => tally.reads += 1,
                 _ => tally.unclear += 1,
             }
@@ -170,25 +171,25 @@
 pub struct Judge<'a> {
     history: &'a History,
     /// Requests that are known to have been accepted, by their generation.
-    taken: BTreeMap<u64, RequestId>,
+    accepted: BTreeMap<u64, RequestId>,
     sights: Vec<Sight>,
 }
 
 /// Returns the first violation of linearizability, if there is one.
-pub fn check(history: &History) -> Result<(), String> {
+pub fn check(history: &History) -> Result<(), Violation> {
     let mut judge = Judge {
         history,
-        taken: BTreeMap::new(),
+        accepted: BTreeMap::new(),
         sights: Vec::new(),
     };
     judge.gather()?;
     judge.check_sequence()?;
-    judge.check_refusals()?;
+    judge.check_rejections()?;
     judge.check_times()
 }
 
 impl Judge<'_> {
-    fn gather(&mut self) -> Result<(), String> {
+    fn gather(&mut self) -> Result<(), Violation> {
         for call in &self.history.calls {
             let Some((until, answer)) = &call.end else {
                 continue;
@@ -201,7 +202,7 @@
             };
             match (call.kind, answer) {
                 (CallKind::Configure(id), Answer::Accepted) => {
-                    self.is_taken(id)?;
+                    self.record_accepted(id)?;
                     self.sights
                         .push(sight(self.history.generation_of(id), false));
                 }
@@ -213,7 +214,7 @@
                     .push(sight(self.history.issued[id.0].request.base, true)),
                 (CallKind::Read, Answer::Configuration(None)) => self.sights.push(sight(0, true)),
                 (CallKind::Read, Answer::Configuration(Some((generation, json)))) => {
-                    self.is_taken(self.whose(*generation, json)?)?;
+                    self.record_accepted(self.requested_by(*generation, json)?)?;
                     self.sights.push(sight(*generation, true));
                 }
                 _ => {}
@@ -223,107 +224,109 @@
     }
 
     /// The request with this content.
-    fn whose(&self, generation: u64, json: &str) -> Result<RequestId, String> {
+    fn requested_by(&self, generation: u64, json: &str) -> Result<RequestId, Violation> {
         let of = |issued: &IssuedRequest| {
             issued.generation == generation
                 && issued.request.body == json.as_bytes()
                 && issued.valid
         };
         let position = self.history.issued.iter().position(of);
-        position
-            .map(RequestId)
-            .ok_or_else(|| format!("nobody requested what was read as {generation}: {json}"))
+        position.map(RequestId).ok_or_else(|| {
+            Violation::new(format!(
+                "nobody requested what was read as {generation}: {json}"
+            ))
+        })
     }
 
-    fn is_taken(&mut self, id: RequestId) -> Result<(), String> {
+    fn record_accepted(&mut self, id: RequestId) -> Result<(), Violation> {
         let issued = &self.history.issued[id.0];
-        let other = *self.taken.entry(issued.generation).or_insert(id);
+        let other = *self.accepted.entry(issued.generation).or_insert(id);
         if other != id {
-            return Err(format!(
+            return Err(Violation::new(format!(
                 "two requests were accepted as {}: {other:?} and {id:?}",
                 issued.generation
-            ));
+            )));
         }
         if !issued.valid {
-            return Err(format!("the invalid {id:?} was accepted"));
+            return Err(Violation::new(format!("the invalid {id:?} was accepted")));
         }
         Ok(())
     }
 
-    fn check_refusals(&self) -> Result<(), String> {
+    fn check_rejections(&self) -> Result<(), Violation> {
         for call in &self.history.calls {
             let (CallKind::Configure(id), Some((until, answer))) = (call.kind, &call.end) else {
                 continue;
             };
             let issued = &self.history.issued[id.0];
-            let refused = matches!(answer, Answer::Current { .. } | Answer::Invalid);
-            if refused && self.taken.get(&issued.generation) == Some(&id) {
-                self.check_taken_by_another_call(id, *until, answer)?;
+            let rejected = matches!(answer, Answer::Current { .. } | Answer::Invalid);
+            if rejected && self.accepted.get(&issued.generation) == Some(&id) {
+                self.check_accepted_by_another_call(id, *until, answer)?;
             }
             if *answer == Answer::Invalid && issued.valid {
-                return Err(format!(
+                return Err(Violation::new(format!(
                     "the valid {id:?} was rejected as invalid at {until}"
-                ));
+                )));
             }
             if *answer
                 == (Answer::Current {
                     generation: issued.request.base,
                 })
             {
-                return Err(format!(
+                return Err(Violation::new(format!(
                     "{id:?} was rejected at {until} as what it builds on is current"
-                ));
+                )));
             }
         }
         Ok(())
     }
 
     /// A request that came too early may be accepted by a call made after its rejection, and by none made before.
-    fn check_taken_by_another_call(
+    fn check_accepted_by_another_call(
         &self,
         id: RequestId,
-        refused_at: Millis,
+        rejected_at: Millis,
         answer: &Answer,
-    ) -> Result<(), String> {
+    ) -> Result<(), Violation> {
         let base = self.history.issued[id.0].request.base;
         let early = matches!(answer, Answer::Current { generation } if *generation < base);
         let is_of = |call: &&Call| matches!(call.kind, CallKind::Configure(other) if other == id);
         let mut calls = self.history.calls.iter().filter(is_of);
-        if early && calls.any(|call| call.since > refused_at) {
+        if early && calls.any(|call| call.since > rejected_at) {
             return Ok(());
         }
-        Err(format!(
-            "{id:?} was accepted, and rejected at {refused_at}: {answer:?}"
-        ))
+        Err(Violation::new(format!(
+            "{id:?} was accepted, and rejected at {rejected_at}: {answer:?}"
+        )))
     }
 
     /// An accepted request builds on the configuration just before.
-    fn check_sequence(&self) -> Result<(), String> {
+    fn check_sequence(&self) -> Result<(), Violation> {
         let mut before = 0;
-        for (generation, id) in &self.taken {
+        for (generation, id) in &self.accepted {
             let base = self.history.issued[id.0].request.base;
             if base < before {
-                return Err(format!(
+                return Err(Violation::new(format!(
                     "{id:?} was accepted as {generation} on {base}, and {before} was as well"
-                ));
+                )));
             }
             before = *generation;
         }
         for sight in &self.sights {
-            let next = self.taken.range(sight.generation + 1..).next();
+            let next = self.accepted.range(sight.generation + 1..).next();
             let left_out =
                 next.filter(|(_, id)| self.history.issued[id.0].request.base < sight.generation);
             if let Some((generation, id)) = left_out {
-                return Err(format!(
+                return Err(Violation::new(format!(
                     "{id:?} was accepted as {generation} past {}",
                     sight.generation
-                ));
+                )));
             }
         }
         Ok(())
     }
 
-    fn check_times(&self) -> Result<(), String> {
+    fn check_times(&self) -> Result<(), Violation> {
         let mut ends: Vec<(Millis, u64)> = self
             .sights
             .iter()
@@ -350,29 +353,29 @@
                     generation,
                     ..
                 } = sight;
-                return Err(format!(
+                return Err(Violation::new(format!(
                     "{generation} was current between {since} and {until}, after {seen}"
-                ));
+                )));
             }
         }
         for sight in &self.sights {
             self.check_not_early(sight)?;
         }
-        for id in self.taken.values() {
+        for id in self.accepted.values() {
             let issued = &self.history.issued[id.0];
             let seen = issued.since.map_or(0, seen_before);
             if seen > issued.request.base {
-                return Err(format!(
+                return Err(Violation::new(format!(
                     "{id:?} on {} was accepted after {seen}",
                     issued.request.base
-                ));
+                )));
             }
         }
         Ok(())
     }
 
     /// What is observed was requested before.
-    fn check_not_early(&self, sight: &Sight) -> Result<(), String> {
+    fn check_not_early(&self, sight: &Sight) -> Result<(), Violation> {
         let made = |issued: &&IssuedRequest| issued.generation == sight.generation && issued.valid;
         let first = self
             .history
@@ -383,10 +386,10 @@
             .min();
         let early = sight.generation > 0 && first.is_none_or(|first| first > sight.until);
         if early {
-            return Err(format!(
+            return Err(Violation::new(format!(
                 "{} was seen at {} and requested at {first:?}",
                 sight.generation, sight.until
-            ));
+            )));
         }
         Ok(())
     }
--- a/crates/serving/control-state/tests/world/mod.rs
+++ b/crates/serving/control-state/tests/world/mod.rs
@@ -14,6 +14,7 @@
 pub mod links;
 pub mod machines;
 pub mod retirements;
+pub mod violation;
 
 use dunespur_chain_replication::{Input, Millis};
 use fastrand::Rng;
@@ -22,9 +23,7 @@
 use machines::{Arrival, Machine};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
-
-/// The first violation, described, if there was one.
-pub type Verdict = Result<(), String>;
+use violation::Violation;
 
 /// The founder sets the first view at this time, and again after this until it was decided.
 const FOUND_AT: Millis = 400;
@@ -156,7 +155,7 @@
     sequence: Vec<u64>,
     next_ticket: u64,
     pub snapshots_installed: u64,
-    violation: Option<String>,
+    violation: Option<Violation>,
     trace: bool,
     pub digest: digest::Digest,
 }
@@ -206,7 +205,7 @@
     }
 
     /// Plays up to a time, or to the first violation.
-    pub fn play_to(&mut self, end: Millis) -> Verdict {
+    pub fn play_to(&mut self, end: Millis) -> Result<(), Violation> {
         while self
             .events
             .peek()
@@ -299,13 +298,14 @@
     }
 
     pub fn violate(&mut self, text: String) {
-        self.violation.get_or_insert(text);
+        self.violation.get_or_insert(Violation::new(text));
     }
 
-    pub fn describe(&self, text: &str) -> String {
-        format!(
-            "seed {} with {} members at {} ms: {text}",
+    /// The violation with the world and the time in which it was found.
+    pub fn describe(&self, violation: &Violation) -> Violation {
+        Violation::new(format!(
+            "seed {} with {} members at {} ms: {violation}",
             self.setup.seed, self.setup.machines, self.now
-        )
+        ))
     }
 }
--- a/crates/serving/control-state/tests/world/retirements.rs
+++ b/crates/serving/control-state/tests/world/retirements.rs
@@ -23,7 +23,7 @@
     /// Whether a call was made for a store since its last definite answer.
     under_way: BTreeMap<String, bool>,
     pub retirements_begun: u64,
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 impl World {
@@ -94,7 +94,7 @@
         if let Some((node, attempts_left)) = self.retirement_operator.wanted.take() {
             if let Some(answer) = &clear {
                 self.retirement_operator.under_way.insert(node, false);
-                self.retirement_operator.refused += u64::from(*answer == Answer::NotRetired);
+                self.retirement_operator.rejected += u64::from(*answer == Answer::NotRetired);
             } else if attempts_left > 1 {
                 self.retirement_operator.wanted = Some((node, attempts_left - 1));
             }
