--- a/crates/serving/chain-replication/tests/digests.rs
+++ b/crates/serving/chain-replication/tests/digests.rs
@@ -1,7 +1,7 @@
-//! The worlds of many seeds go exactly as they went when their digests were written down: see [`world::digest`].
+//! The worlds of many seeds have the digests that were recorded for them: see [`world::digest`].
 //!
-//! A change that is meant to alter the protocol's behaviour writes the digests anew, with `RECORD_FIXTURES=1`, and says
-//! in its commit which kinds of world changed and why.
+//! A change that is meant to alter the protocol's behaviour records them anew, with `RECORD_FIXTURES=1`, and states in its
+//! commit which kinds of world changed and why.
 
 mod world;
 
@@ -13,12 +13,12 @@
 use world::{Setup, World};
 
 const SEEDS: u64 = 100;
-/// For worlds in which a safeguard is out.
-const SEEDS_WITHOUT_GUARD: u64 = 12;
+/// For worlds in which a safeguard is removed.
+const SEEDS_WITHOUT_SAFEGUARD: u64 = 12;
 const WORKERS: usize = 4;
 const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/digests.txt");
 
-/// One kind of world; its name stands in the fixture.
+/// One kind of world, by its name in the fixture.
 struct Kind {
     name: &'static str,
     seeds: u64,
@@ -62,8 +62,8 @@
     }
 }
 
-/// The digest of a world, also of one that broke a promise: it ends there.
-fn played(setup: Setup, plan: Schedule) -> u64 {
+/// The digest of a world, also of one that violated a guarantee: it ends there.
+fn play_for_digest(setup: Setup, plan: Schedule) -> u64 {
     let mut world = World::new(setup);
     world.begin_record();
     let _ = play_in(&mut world, plan);
@@ -81,27 +81,27 @@
 fn kinds() -> Vec<Kind> {
     let mut kinds = vec![
         Kind::new("faults", SEEDS, |seed| {
-            played(usual(seed), schedule(&usual(seed), 2))
+            play_for_digest(usual(seed), schedule(&usual(seed), 2))
         }),
         Kind::new("storm", SEEDS, |seed| {
-            played(usual(seed), storm(&usual(seed)))
+            play_for_digest(usual(seed), storm(&usual(seed)))
         }),
         Kind::new("spoilt-snapshots", SEEDS, |seed| {
-            played(corrupted(seed), schedule(&corrupted(seed), 1))
+            play_for_digest(corrupted(seed), schedule(&corrupted(seed), 1))
         }),
         Kind::new("slow-links", SEEDS, |seed| {
-            played(slow_links(seed), schedule(&slow_links(seed), 1))
+            play_for_digest(slow_links(seed), schedule(&slow_links(seed), 1))
         }),
         Kind::new("window", SEEDS, |seed| {
             window_digest(Change::ALL[seed as usize % Change::ALL.len()], seed)
         }),
     ];
-    kinds.extend(guard_kinds());
+    kinds.extend(without_safeguard_kinds());
     kinds
 }
 
-/// Worlds in which one guard is out.
-fn guard_kinds() -> Vec<Kind> {
+/// Worlds in which one safeguard is removed.
+fn without_safeguard_kinds() -> Vec<Kind> {
     let named = [
         (
             "without-guard-1",
@@ -137,30 +137,30 @@
         ),
     ];
     let kind = |(name, safeguards)| {
-        Kind::new(name, SEEDS_WITHOUT_GUARD, move |seed| {
+        Kind::new(name, SEEDS_WITHOUT_SAFEGUARD, move |seed| {
             let setup = Setup {
                 safeguards,
                 ..corrupted(seed)
             };
-            played(setup, schedule(&setup, 2))
+            play_for_digest(setup, schedule(&setup, 2))
         })
     };
     let mut kinds: Vec<Kind> = named.into_iter().map(kind).collect();
     kinds.push(Kind::new(
         "wiped-keeps-identity",
-        SEEDS_WITHOUT_GUARD,
+        SEEDS_WITHOUT_SAFEGUARD,
         |seed| {
             let setup = Setup {
                 wiped_keep_identity: true,
                 ..usual(seed)
             };
-            played(setup, schedule(&setup, 2))
+            play_for_digest(setup, schedule(&setup, 2))
         },
     ));
     kinds
 }
 
-/// One line for each world: kind, seed, digest.
+/// For each world its kind, seed and digest.
 fn digests() -> Vec<String> {
     let kinds = kinds();
     let worlds: Vec<(&Kind, u64)> = kinds
@@ -179,8 +179,8 @@
                 let Some((kind, seed)) = worlds.get(number) else {
                     return;
                 };
-                let line = format!("{} {seed} {:016x}", kind.name, (kind.digest)(*seed));
-                lines.lock().expect("no worker panics")[number] = line;
+                let record = format!("{} {seed} {:016x}", kind.name, (kind.digest)(*seed));
+                lines.lock().expect("no worker panics")[number] = record;
             });
         }
     });
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn worlds_go_as_they_went() {
+fn digests_of_worlds_are_unchanged() {
     let found = digests();
     if std::env::var_os("RECORD_FIXTURES").is_some() {
         std::fs::write(FIXTURE, found.join("\n") + "\n").expect("the fixture can be written");
--- a/crates/serving/chain-replication/tests/encodings.rs
+++ b/crates/serving/chain-replication/tests/encodings.rs
@@ -1,8 +1,8 @@
 //! Messages between members and records on disk keep their bytes: members of two versions talk with each other, and a
 //! member reads what an earlier version wrote.
 //!
-//! Postcard goes by position and order, so a field or variant that changes places shows here and nowhere else. Each
-//! value has another number in each field. The fixtures were written by the text of 2026-12-02; a new variant gets a
+//! Postcard goes by position and order, so a field or variant that moves shows here and nowhere else. Each value
+//! has another number in each field. The fixtures were written by the version of 2026-12-02; a new variant gets a
 //! new fixture, with `RECORD_FIXTURES=1`, and those that are there stay.
 
 use dunespur_chain_replication::message::{
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn what_is_found_on_disk_keeps_its_bytes() {
+fn the_durable_state_keeps_its_bytes() {
     let durable = DurableState {
         decided: Some(decided()),
         promised: Some(proposal_number()),
@@ -397,9 +397,9 @@
     );
 }
 
-/// Parts that other packages store or send by themselves.
+/// Records that other packages store or send by themselves.
 #[test]
-fn single_parts_keep_their_bytes() {
+fn single_records_keep_their_bytes() {
     check("part-member-id", &id("core-a", 1_002));
     check("part-peer", &peer("core-c", 1_004, "[fd00::5]:7382"));
     check("part-view", &view());
--- a/crates/serving/chain-replication/tests/fault_tolerance.rs
+++ b/crates/serving/chain-replication/tests/fault_tolerance.rs
@@ -1,5 +1,5 @@
-//! How long the core bears fewer losses than it has to after a change of its machines: less than a machine that comes
-//! back or is new may count as lost.
+//! How long the core tolerates fewer losses than it has to after a change of its machines: less than the time for which a
+//! machine that restarts or is new may count as lost.
 
 mod world;
 
@@ -15,7 +15,7 @@
 const CATCH_UP: [Millis; 3] = [0, 4_200, 6_000];
 const WORKERS: usize = 4;
 
-/// The windows of many seeds, in order of length, and the seeds that broke a promise.
+/// The windows of many seeds, in order of length, and the seeds that violated a guarantee.
 struct Windows {
     lengths: Vec<(Millis, u64)>,
     failed: Vec<String>,
@@ -59,10 +59,10 @@
         }
     }
 
-    fn at_share(&self, share: f64) -> Millis {
-        let place = (self.lengths.len() as f64 * share) as usize;
+    fn quantile(&self, quantile: f64) -> Millis {
+        let index = (self.lengths.len() as f64 * quantile) as usize;
         self.lengths
-            .get(place.min(self.lengths.len().saturating_sub(1)))
+            .get(index.min(self.lengths.len().saturating_sub(1)))
             .map_or(0, |(length, _)| *length)
     }
 
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_kill_and_return_leaves_a_spare_loss_in_time() {
+fn a_kill_and_restart_leave_a_spare_loss_in_time() {
     check(Change::KillAndReturn);
 }
 
@@ -123,8 +123,8 @@
     check(Change::RollingRestart);
 }
 
-/// Seeds in which the head left right after a change of the view, as the only one that counted as a copy: the core
-/// stood still for good.
+/// Seeds in which the head left right after a change of the view, as the only one that counted as a complete replica: the
+/// core stalled for good.
 #[test]
 fn a_head_that_leaves_right_after_a_change_does_not_end_the_core() {
     for (machines, seed) in [(4, 827), (5, 566), (6, 968)] {
@@ -150,11 +150,11 @@
         for machines in SIZES {
             let windows = Windows::measured(change, machines, seeds);
             let (worst, seed) = windows.worst();
-            let (half, most) = (windows.at_share(0.5), windows.at_share(0.99));
-            let further = change.further_losses(machines);
+            let (half, most) = (windows.quantile(0.5), windows.quantile(0.99));
+            let losses_to_tolerate = change.losses_to_tolerate(machines);
             let failed = windows.failed.len();
             println!(
-                "| {change:?} | {machines} | {further} | {half} | {most} | {worst} | {seed} | {failed} |"
+                "| {change:?} | {machines} | {losses_to_tolerate} | {half} | {most} | {worst} | {seed} | {failed} |"
             );
             for text in windows.failed.iter().take(2) {
                 println!("  {text}");
--- a/crates/serving/chain-replication/tests/faults.rs
+++ b/crates/serving/chain-replication/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Seeded worlds with all kinds of trouble: nothing acknowledged is lost, and the core comes back.
+//! Seeded worlds with all kinds of faults: nothing acknowledged is lost, and the core recovers.
 
 mod world;
 
@@ -11,7 +11,7 @@
 /// Played in each test, unless the environment says otherwise.
 const SEEDS: u64 = 1_000;
 
-/// What all worlds came to together.
+/// The sum over all worlds.
 #[derive(Default)]
 struct Tally {
     failed: Vec<String>,
@@ -32,14 +32,14 @@
         );
     }
 
-    fn add(&mut self, played: Result<Played, String>) {
-        match played {
+    fn add(&mut self, play_for_digest: Result<Played, String>) {
+        match play_for_digest {
             Err(text) => self.failed.push(text),
-            Ok(played) => {
-                self.acknowledged += played.acknowledged;
-                self.reads += played.reads;
-                self.snapshots_given += played.snapshots_given;
-                self.snapshots_installed += played.snapshots_installed;
+            Ok(play_for_digest) => {
+                self.acknowledged += play_for_digest.acknowledged;
+                self.reads += play_for_digest.reads;
+                self.snapshots_given += play_for_digest.snapshots_given;
+                self.snapshots_installed += play_for_digest.snapshots_installed;
             }
         }
     }
@@ -60,8 +60,8 @@
                     return;
                 }
                 let setup = setup(seed);
-                let played = play(setup, plan(&setup));
-                tally.lock().expect("no worker panics").add(played);
+                let play_for_digest = play(setup, plan(&setup));
+                tally.lock().expect("no worker panics").add(play_for_digest);
             });
         }
     });
@@ -86,11 +86,11 @@
 }
 
 #[test]
-fn cores_of_three_to_six_bear_all_kinds_of_trouble() {
+fn cores_of_three_to_six_tolerate_all_kinds_of_faults() {
     let (seeds, count) = seeds();
     let tally = play_all(seeds, |setup| schedule(setup, PHASES));
     tally.assert_none_failed();
-    // What is said here was tried: writes, reads, and snapshots to members that were away.
+    // The worlds exercise what they claim to: writes, reads, and snapshots to members that were down.
     assert!(
         tally.acknowledged > 200 * count,
         "{} writes",
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn cores_of_three_to_six_bear_storms() {
+fn cores_of_three_to_six_tolerate_storms() {
     let (seeds, count) = seeds();
     let tally = play_all(seeds, storm);
     tally.assert_none_failed();
--- a/crates/serving/chain-replication/tests/member.rs
+++ b/crates/serving/chain-replication/tests/member.rs
@@ -1,4 +1,4 @@
-//! Single members, driven by hand: what they must not do, and what is bounded.
+//! Single members, driven input by input: what they must not do, and what is bounded.
 
 use dunespur_chain_replication::limits::{
     MAX_JOINERS, MAX_READS, MAX_SUBMISSIONS, MAX_UNCOMMITTED,
@@ -68,7 +68,7 @@
     }
 }
 
-/// One member, and what it has wanted so far.
+/// One member, and the outputs of its last step.
 struct Driven {
     member: Member,
     now: u64,
@@ -123,8 +123,8 @@
         self.give(Input::Persisted { batch });
     }
 
-    /// A ping of another member which has heard this one just now.
-    fn hear_from(&mut self, node: usize) {
+    /// Receives a ping of another member which echoes this one's newest timestamp.
+    fn receive_echo(&mut self, node: usize) {
         self.now = self.member.next_tick().max(self.now);
         while !self.sends(|message| matches!(message, Message::Ping(_))) {
             self.give(Input::Tick);
@@ -141,7 +141,7 @@
         self.receive(node, Message::Ping(ping(node, echoed_timestamp)));
     }
 
-    /// The stamp of a ping that this member sends now.
+    /// The timestamp of a ping that this member sends now.
     fn timestamp(&mut self) -> u64 {
         self.give(Input::Tick);
         while !self.sends(|message| matches!(message, Message::Ping(_))) {
@@ -158,7 +158,7 @@
         timestamps.max().expect("a ping was sent")
     }
 
-    fn is_current(&self) -> bool {
+    fn has_quorum(&self) -> bool {
         self.member.has_quorum(self.now)
     }
 
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_promise_is_told_once_it_is_on_disk() {
+fn a_promise_is_sent_once_it_is_on_disk() {
     let mut driven = Driven::new(1, durable(0));
     driven.receive(2, prepare(1, 2));
     assert!(!driven.sends(is_promise));
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_vote_is_told_once_it_is_on_disk() {
+fn an_acceptance_is_sent_once_it_is_on_disk() {
     let mut driven = Driven::new(1, durable(0));
     let is_vote = |message: &Message| matches!(message, Message::Accepted { .. });
     driven.receive(2, accept(1, 2, &[1, 2]));
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_lesser_ballot_is_refused_also_after_a_restart() {
+fn a_lesser_proposal_number_is_rejected_also_after_a_restart() {
     let mut on_disk = durable(0);
     on_disk.promised = Some(proposal_number(5, 2));
     let mut driven = Driven::new(1, on_disk);
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn what_was_voted_for_is_told_with_the_promise() {
+fn a_promise_carries_the_accepted_proposal() {
     let proposal = DecidedView {
         view: view(2, &[1, 2]),
         base: 1,
@@ -289,13 +289,13 @@
 }
 
 #[test]
-fn a_sealed_member_takes_no_part_in_the_chain() {
+fn a_sealed_member_does_not_participate_in_the_chain() {
     let mut driven = Driven::new(1, durable(0));
     driven.receive(2, prepare(1, 2));
     driven.persist();
     driven.receive(0, append(1, 1));
     assert!(driven.batch().is_none() && driven.messages_sent().is_empty());
-    // Nor after a restart.
+    // Neither after a restart.
     let mut on_disk = durable(0);
     on_disk.promised = Some(proposal_number(1, 2));
     let mut driven = Driven::new(1, on_disk);
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn entries_are_passed_on_and_acknowledged_once_they_are_on_disk() {
+fn entries_are_forwarded_and_acknowledged_once_they_are_on_disk() {
     let passes_on = |message: &Message| matches!(message, Message::Append(append) if !append.entries.is_empty());
     let mut driven = Driven::new(1, durable(0));
     driven.receive(0, append(1, 1));
@@ -321,14 +321,14 @@
 }
 
 #[test]
-fn entries_of_another_member_than_the_predecessor_are_not_taken() {
+fn entries_of_another_member_than_the_predecessor_are_ignored() {
     let mut driven = Driven::new(2, durable(0));
     driven.receive(0, append(1, 1));
     assert!(driven.batch().is_none());
 }
 
 #[test]
-fn a_gap_is_asked_after_once() {
+fn a_gap_is_requested_once() {
     let mut driven = Driven::new(1, durable(2));
     driven.receive(0, append(5, 6));
     assert!(driven.batch().is_none());
@@ -339,13 +339,13 @@
 }
 
 #[test]
-fn the_vote_of_a_wiped_machine_does_not_count() {
+fn the_promise_of_a_wiped_machine_does_not_count() {
     let mut driven = Driven::new(0, durable(0));
     for _ in 0..2 {
-        driven.hear_from(1);
+        driven.receive_echo(1);
         driven.now += 200;
     }
-    // Member 2 is gone: after a while member 0 proposes.
+    // Member 2 is unreachable: after a while member 0 proposes.
     while !driven.sends(|message| matches!(message, Message::Prepare { .. })) {
         driven.now = driven.member.next_tick();
         assert!(driven.now < NOW + 2_000, "no attempt was made");
@@ -385,10 +385,10 @@
     assert!(driven.sends(goes_on));
 }
 
-/// Drives a member until it asks for promises; its own is on disk then.
+/// Drives a member until it requests promises; its own is on disk then.
 fn begin_attempt(driven: &mut Driven) -> ProposalNumber {
-    let asked = |message: &Message| matches!(message, Message::Prepare { .. });
-    while !driven.sends(asked) {
+    let requests = |message: &Message| matches!(message, Message::Prepare { .. });
+    while !driven.sends(requests) {
         driven.now = driven.member.next_tick();
         assert!(driven.now < NOW + 3_000, "no attempt was made");
         driven.give(Input::Tick);
@@ -417,9 +417,9 @@
     });
     on_disk.synced_view = 2;
     let mut driven = Driven::new(0, on_disk);
-    driven.hear_from(1);
+    driven.receive_echo(1);
     driven.now += 1;
-    driven.hear_from(2);
+    driven.receive_echo(2);
     driven.give(Input::Leave);
     let proposal_number = begin_attempt(&mut driven);
     let last = Position { index: 5, view: 1 };
@@ -445,7 +445,7 @@
 }
 
 #[test]
-fn a_first_view_is_taken_on_an_empty_disk_only_where_it_may_be() {
+fn a_first_view_is_installed_on_an_empty_disk_only_where_allowed() {
     let first = view(1, &[0, 1, 2]);
     let mut fresh = Driven::new(1, DurableState::default());
     fresh.receive(
@@ -477,19 +477,19 @@
 }
 
 #[test]
-fn a_founder_tells_the_first_view_once_it_is_on_disk() {
+fn a_bootstrapped_view_is_announced_once_it_is_on_disk() {
     let mut fresh = Driven::new(1, DurableState::default());
-    let tells = |message: &Message| matches!(message, Message::Decided { .. });
+    let announces = |message: &Message| matches!(message, Message::Decided { .. });
     fresh.give(Input::Bootstrap {
         view: view(1, &[0, 1, 2]),
     });
-    assert!(!fresh.sends(tells));
+    assert!(!fresh.sends(announces));
     fresh.persist();
-    assert!(fresh.sends(tells));
+    assert!(fresh.sends(announces));
 }
 
 #[test]
-fn submissions_and_reads_in_hand_are_bounded() {
+fn pending_submissions_and_reads_are_bounded() {
     let mut driven = Driven::new(1, durable(0));
     for ticket in 0..MAX_SUBMISSIONS as u64 {
         driven.give(Input::Submit {
@@ -514,7 +514,7 @@
 }
 
 #[test]
-fn the_head_takes_only_so_much_before_it_is_committed() {
+fn uncommitted_entries_at_the_head_are_bounded() {
     let mut driven = Driven::new(0, durable(0));
     let submit = |ticket: u64| {
         let origin = Origin {
@@ -537,7 +537,7 @@
 }
 
 #[test]
-fn a_flood_of_newcomers_is_borne_and_answered() {
+fn a_flood_of_join_requests_is_answered() {
     let mut driven = Driven::new(0, durable(0));
     for node in 10..10 + 20 * MAX_JOINERS {
         let joiner = Peer {
@@ -553,7 +553,7 @@
 }
 
 #[test]
-fn what_is_given_up_is_dropped_in_time() {
+fn expired_submissions_and_reads_are_dropped() {
     let mut driven = Driven::new(2, durable(0));
     driven.give(Input::Submit {
         ticket: 1,
@@ -570,16 +570,16 @@
 }
 
 #[test]
-fn an_echo_makes_current_for_a_while() {
+fn an_echo_gives_a_quorum_for_a_while() {
     let mut driven = Driven::new(0, durable(0));
-    driven.hear_from(1);
+    driven.receive_echo(1);
     assert!(driven.member.has_quorum(driven.now));
     assert!(!driven.member.has_quorum(driven.now + 1_000));
 }
 
 #[test]
-fn echoes_of_an_earlier_run_do_not_make_current() {
-    // The clock of the run before was ahead, or behind; its stamps began elsewhere.
+fn echoes_of_an_earlier_incarnation_give_no_quorum() {
+    // The clock of the earlier incarnation was ahead, or behind; its timestamps began elsewhere.
     for echoed_timestamp in [0, 1, NOW - 1, NOW, NOW + 500_000, u64::MAX >> 16, u64::MAX] {
         let mut driven = Driven::new(0, durable(0));
         driven.receive(1, Message::Ping(ping(1, Some(echoed_timestamp))));
@@ -594,42 +594,42 @@
     }
 }
 
-/// Longer than any member takes another to be current.
+/// Longer than any echo gives a quorum.
 const FREEZE: u64 = 20_000;
 
 #[test]
-fn a_member_that_was_frozen_is_not_current_by_what_lay_in_its_sockets() {
+fn a_suspended_member_has_no_quorum_by_what_lay_in_its_sockets() {
     let mut driven = Driven::new(0, durable(0));
     let timestamp = driven.timestamp();
     driven.now += FREEZE;
     for node in [1, 2] {
         driven.receive(node, Message::Ping(ping(node, Some(timestamp))));
-        assert!(!driven.is_current(), "by what m{node} said before");
+        assert!(!driven.has_quorum(), "by what m{node} said before");
         assert!(!driven.member.is_up_to_date(driven.now));
     }
     let timestamp = driven.timestamp();
     driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
-    assert!(driven.is_current(), "by what was said since");
+    assert!(driven.has_quorum(), "by what was said since");
 }
 
 #[test]
-fn a_member_whose_clock_went_back_is_not_current_by_what_was_said_before() {
+fn a_member_whose_clock_went_back_has_no_quorum_by_earlier_echoes() {
     let mut driven = Driven::new(0, durable(0));
     let timestamp = driven.timestamp();
     driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
-    assert!(driven.is_current());
+    assert!(driven.has_quorum());
     driven.now -= 5_000;
     driven.give(Input::Tick);
-    assert!(!driven.is_current());
+    assert!(!driven.has_quorum());
     driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
-    assert!(!driven.is_current(), "that stamp is of another time");
+    assert!(!driven.has_quorum(), "that stamp is of another time");
     let timestamp = driven.timestamp();
     driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
-    assert!(driven.is_current());
+    assert!(driven.has_quorum());
 }
 
 #[test]
-fn an_answer_given_in_a_later_view_does_not_count_after_a_late_ping_of_this_one() {
+fn a_reply_from_a_later_view_does_not_count_after_a_late_ping_of_this_one() {
     let mut driven = Driven::new(0, durable(0));
     let early = driven.timestamp();
     driven.now += 100;
@@ -641,16 +641,16 @@
             ..ping(1, Some(late))
         }),
     );
-    assert!(!driven.is_current());
+    assert!(!driven.has_quorum());
     driven.receive(1, Message::Ping(ping(1, Some(early))));
-    assert!(!driven.is_current(), "m1 has gone on to another view since");
+    assert!(!driven.has_quorum(), "m1 has gone on to another view since");
 }
 
 #[test]
-fn a_member_that_has_started_again_follows_once_its_log_is_given_out() {
+fn a_restarted_member_is_up_to_date_once_its_log_is_applied() {
     let mut driven = Driven::new(0, durable(3));
-    driven.hear_from(1);
-    assert!(driven.is_current());
+    driven.receive_echo(1);
+    assert!(driven.has_quorum());
     assert!(
         !driven.member.is_up_to_date(driven.now),
         "it doesn't know what of its log is committed"
@@ -662,9 +662,9 @@
 }
 
 #[test]
-fn a_member_that_lags_behind_its_log_does_not_follow() {
+fn a_member_that_lags_behind_its_log_is_not_up_to_date() {
     let mut driven = Driven::new(0, durable(0));
-    driven.hear_from(1);
+    driven.receive_echo(1);
     driven.give(Input::Submit {
         ticket: 1,
         payload: vec![1],
@@ -676,10 +676,10 @@
             "after {} ms",
             driven.now - begun
         );
-        driven.hear_from(1);
+        driven.receive_echo(1);
     }
-    driven.hear_from(1);
-    assert!(driven.is_current());
+    driven.receive_echo(1);
+    assert!(driven.has_quorum());
     assert!(
         !driven.member.is_up_to_date(driven.now),
         "what it holds may have been committed long ago"
@@ -689,7 +689,7 @@
 }
 
 #[test]
-fn a_member_that_is_sealed_before_it_has_come_up_does_not_follow() {
+fn a_member_sealed_before_it_has_caught_up_is_not_up_to_date() {
     let mut driven = Driven::new(
         1,
         DurableState {
@@ -697,10 +697,10 @@
             ..durable(0)
         },
     );
-    driven.hear_from(2);
-    assert!(driven.is_current() && !driven.member.is_up_to_date(driven.now));
+    driven.receive_echo(2);
+    assert!(driven.has_quorum() && !driven.member.is_up_to_date(driven.now));
     driven.receive(2, prepare(1, 2));
-    driven.hear_from(2);
-    assert!(driven.is_current());
+    driven.receive_echo(2);
+    assert!(driven.has_quorum());
     assert!(!driven.member.is_up_to_date(driven.now));
 }
--- a/crates/serving/chain-replication/tests/reconfiguration.rs
+++ b/crates/serving/chain-replication/tests/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Plans for the next view, over drawn situations: whatever is seen, a plan is a view that could be in force.
+//! Plans for the next view, over random observations: whatever is observed, a plan is a view that could be in force.
 
 use dunespur_chain_replication::reconfiguration::{
     plan, JoinRequest, MemberStatus, Observations, Plan,
@@ -26,8 +26,8 @@
 }
 
 impl Case {
-    /// Anything may be seen, whether or not it fits together.
-    fn drawn(seed: u64) -> Case {
+    /// Anything may be observed, whether or not it is consistent.
+    fn random(seed: u64) -> Case {
         let mut rng = Rng::with_seed(seed);
         let count = rng.usize(1..=7);
         let members: Vec<Peer> = (0..count).map(|node| peer(node, 1)).collect();
@@ -136,7 +136,7 @@
 #[test]
 fn every_plan_is_a_sound_view() {
     for seed in 0..CASES {
-        let case = Case::drawn(seed);
+        let case = Case::random(seed);
         let Some(plan) = case.plan() else { continue };
         let view = View {
             number: 2,
@@ -150,7 +150,7 @@
 #[test]
 fn survivors_keep_their_order_and_others_come_after_them() {
     for seed in 0..CASES {
-        let case = Case::drawn(seed);
+        let case = Case::random(seed);
         let Some(plan) = case.plan() else { continue };
         let survives = |id: &&MemberId| plan.chain.contains(id);
         let survivors: Vec<&MemberId> = case.view.chain.iter().filter(survives).collect();
@@ -162,20 +162,23 @@
 #[test]
 fn members_change_by_one_at_most() {
     for seed in 0..CASES {
-        let case = Case::drawn(seed);
+        let case = Case::random(seed);
         let Some(plan) = case.plan() else { continue };
         let new = plan
             .members
             .iter()
             .filter(|member| !case.view.members.contains(member))
             .count();
-        let gone = case
+        let departed = case
             .view
             .members
             .iter()
             .filter(|member| !plan.members.contains(member))
             .count();
-        assert!(new <= 1 && gone <= 1, "seed {seed}: {new} new, {gone} gone");
+        assert!(
+            new <= 1 && departed <= 1,
+            "seed {seed}: {new} new, {departed} departed"
+        );
         assert!(plan.members.len() <= 7);
     }
 }
@@ -190,7 +193,7 @@
 }
 
 #[test]
-fn one_that_is_lost_leaves_the_chain_and_stays_a_member() {
+fn a_lost_member_leaves_the_chain_and_stays_a_member() {
     let mut case = Case::calm(3);
     case.lose(0);
     let plan = case.plan().expect("a plan");
@@ -199,7 +202,7 @@
 }
 
 #[test]
-fn the_chain_is_not_cut_below_a_majority() {
+fn the_chain_does_not_shrink_below_a_majority() {
     let mut case = Case::calm(5);
     for index in 0..3 {
         case.lose(index);
@@ -226,7 +229,7 @@
 }
 
 #[test]
-fn a_newcomer_takes_the_place_of_its_disk_before() {
+fn a_joiner_replaces_the_member_with_its_earlier_disk() {
     let mut case = Case::calm(3);
     case.apply(peer(1, 2), false);
     assert!(
@@ -239,12 +242,12 @@
     assert_eq!(
         nodes(&plan.chain),
         ["m0", "m2"],
-        "a newcomer follows the commits first"
+        "a joiner is a learner first"
     );
 }
 
 #[test]
-fn a_newcomer_goes_to_the_end_of_a_chain_that_is_too_short_without_it() {
+fn a_joiner_becomes_the_tail_of_a_chain_that_is_too_short_without_it() {
     let mut case = Case::calm(5);
     for index in [0, 1, 2] {
         case.lose(index);
@@ -258,7 +261,7 @@
 }
 
 #[test]
-fn a_newcomer_takes_the_place_of_one_long_gone_or_is_one_more() {
+fn a_joiner_replaces_a_long_unreachable_member_or_is_additional() {
     let mut case = Case::calm(3);
     case.apply(peer(8, 2), true);
     assert_eq!(case.plan().expect("a plan").members.len(), 4);
@@ -297,7 +300,7 @@
 }
 
 #[test]
-fn a_newcomer_takes_the_place_of_a_leaver_at_once() {
+fn a_joiner_replaces_a_leaver_at_once() {
     for count in 3..=6 {
         let mut case = Case::calm(count);
         case.leaves(1);
@@ -305,11 +308,7 @@
         let plan = case.plan().expect("a plan");
         assert_eq!(plan.members[1], peer(8, 2));
         assert_eq!(plan.members.len(), count);
-        assert_eq!(
-            plan.chain.len(),
-            count - 1,
-            "a newcomer follows the commits first"
-        );
+        assert_eq!(plan.chain.len(), count - 1, "a joiner is a learner first");
     }
 }
 
@@ -326,7 +325,7 @@
     assert_eq!(
         case.plan().expect("a plan").members,
         case.view.members,
-        "one that is lost holds nothing"
+        "a lost member has nothing"
     );
     let mut case = Case::calm(3);
     case.leaves(0);
@@ -335,11 +334,11 @@
     assert_eq!(case.plan().expect("a plan").members, case.view.members);
 }
 
-/// Whatever is seen: whoever decides on a view without a leaver, one of them is synced in the present one and stays.
+/// Whatever is observed: of those who decide on a view without a leaver, one is synced in the present view and stays.
 #[test]
-fn no_majority_decides_without_a_holder_that_stays() {
+fn every_deciding_majority_has_a_complete_member_that_stays() {
     for seed in 0..CASES {
-        let case = Case::drawn(seed);
+        let case = Case::random(seed);
         let Some(plan) = case.plan() else { continue };
         let stays = |index: &usize| plan.members.contains(&case.view.members[*index]);
         let count = case.view.members.len();
@@ -350,20 +349,20 @@
         if by_leaving.count() == 0 {
             continue;
         }
-        let holders = (0..count)
+        let complete = (0..count)
             .filter(stays)
             .filter(|index| case.statuses[*index].synced)
             .count();
         assert!(
-            holders + case.view.majority() > count,
-            "seed {seed}: {holders} of {count}"
+            complete + case.view.majority() > count,
+            "seed {seed}: {complete} of {count}"
         );
     }
 }
 
 #[test]
-fn whom_more_have_lost_goes_first() {
-    // m0 plans and still hears m1; m2 says that it has lost it.
+fn the_member_that_more_have_lost_is_removed_first() {
+    // m0 plans and still receives pings of m1; m2 reports that it has lost it.
     let mut case = Case::calm(3);
     case.statuses[1].connected[2] = false;
     case.statuses[2].connected[1] = false;
--- a/crates/serving/chain-replication/tests/recovery_times.rs
+++ b/crates/serving/chain-replication/tests/recovery_times.rs
@@ -1,4 +1,4 @@
-//! How soon the core is writable and whole again after single troubles, and that it stays quiet otherwise.
+//! How soon the core is writable and complete again after single faults, and that it stays quiet otherwise.
 
 mod world;
 
@@ -9,9 +9,9 @@
 const SEEDS: u64 = 24;
 /// By then the first view is in force everywhere.
 const CALM: Millis = 3_000;
-/// Long enough for a machine not to come back in a test.
+/// Long enough for a machine not to restart in a test.
 const NEVER: Millis = 1_000_000;
-/// After this long a machine that came back must have its copy, as the next may go.
+/// After this long a machine that restarted must be a complete replica, as the next may fail.
 const CATCH_UP: Millis = 4_200;
 
 const SILENT_LOSS: Millis = 1_500;
@@ -26,11 +26,11 @@
     setup.max_sync_ms = 4;
     let mut world = World::new(setup);
     world.play_to(CALM).expect("calm");
-    world.check_complete(20).expect("whole at first");
+    world.check_complete(20).expect("complete at first");
     world
 }
 
-/// Plays one trouble at a machine of each place in the chain, in cores of three to five.
+/// Injects one fault at a machine of each position in the chain, in cores of three to five.
 fn each_position(check: impl Fn(&mut World, usize)) {
     for seed in 0..SEEDS {
         let machines = 3 + (seed % 3) as usize;
@@ -52,11 +52,11 @@
 }
 
 fn assert_commit_gap_below(world: &World, since: Millis, most: Millis) {
-    let pause = world.longest_commit_gap(since);
+    let gap = world.longest_commit_gap(since);
     assert!(
-        pause < most,
+        gap < most,
         "{}",
-        world.describe(format!("nothing was committed for {pause} ms"))
+        world.describe(format!("nothing was committed for {gap} ms"))
     );
 }
 
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_silent_loss_is_noticed() {
+fn a_silent_loss_is_detected() {
     each_position(|world, machine| {
         let since = world.now;
         inject(
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_closed_connection_is_noticed_at_once() {
+fn a_closed_connection_is_detected_at_once() {
     each_position(|world, machine| {
         let since = world.now;
         inject(
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_stalled_disk_is_put_out_and_taken_back() {
+fn a_member_with_a_stalled_disk_is_removed_and_readmitted() {
     each_position(|world, machine| {
         let since = world.now;
         inject(world, Fault::StallDisk { machine });
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_member_cut_off_one_way_stays_out_until_it_is_healed() {
+fn a_one_way_partitioned_member_stays_out_until_it_is_healed() {
     each_position(|world, machine| {
         for outward in [true, false] {
             let others: Vec<usize> = (0..world.machines.len())
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_machine_that_comes_back_is_whole_in_time() {
+fn a_restarted_machine_is_complete_in_time() {
     each_position(|world, machine| {
         let since = world.now;
         inject(
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_wiped_machine_takes_its_own_place() {
+fn a_wiped_machine_replaces_itself() {
     each_position(|world, machine| {
         let count = world.machines.len();
         let since = world.now;
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_replacement_takes_the_place_of_the_machine_that_is_gone() {
+fn a_replacement_replaces_the_departed_machine() {
     each_position(|world, machine| {
         let count = world.machines.len();
         let since = world.now;
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_spare_is_added_without_a_pause() {
+fn a_spare_is_added_without_a_commit_gap() {
     for seed in 0..SEEDS {
         let mut world = calm_world(seed, 3 + (seed % 3) as usize);
         let since = world.now;
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn a_member_that_leaves_is_put_out_without_a_pause() {
+fn a_leaving_member_is_removed_without_a_commit_gap() {
     each_position(|world, machine| {
         let since = world.now;
         inject(
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn a_frozen_member_is_put_out_doubts_itself_and_comes_back() {
+fn a_suspended_member_is_removed_loses_its_quorum_and_is_readmitted() {
     each_position(|world, machine| {
         let before = views(world);
         let since = world.now;
@@ -332,9 +332,9 @@
         assert_commit_gap_below(world, since, SILENT_LOSS);
         inject(world, Fault::Thaw { machine });
         assert!(
-            !world.is_current(machine),
+            !world.has_quorum(machine),
             "{}",
-            world.describe("what came while it was frozen makes it current".into())
+            world.describe("what came during its suspension gives it a quorum".into())
         );
         play(world, CATCH_UP);
         assert_complete(world);
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn a_member_frozen_for_long_comes_back_without_flapping() {
+fn a_member_suspended_for_long_is_readmitted_without_flapping() {
     each_position(|world, machine| {
         let before = views(world);
         let since = world.now;
@@ -357,13 +357,13 @@
         assert_commit_gap_below(world, since, SILENT_LOSS);
         inject(world, Fault::Thaw { machine });
         assert!(
-            !world.is_current(machine),
+            !world.has_quorum(machine),
             "{}",
-            world.describe("current right after a thaw".into())
+            world.describe("quorum right after its suspension".into())
         );
         play(world, CATCH_UP);
         assert_complete(world);
-        // Out of the chain and in again; an even number of members also drops it, and takes it as a newcomer.
+        // Out of the chain and in again; an even number of members also removes it, and adds it as a joiner.
         let expected = if world.running().len() % 2 == 0 { 4 } else { 2 };
         let changes = views(world) - before;
         assert_eq!(
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn a_short_freeze_changes_nothing() {
+fn a_short_suspension_changes_nothing() {
     each_position(|world, machine| {
         let before = views(world);
         inject(world, Fault::Freeze { machine });
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn all_killed_at_once_are_back_soon() {
+fn all_killed_at_once_recover_in_time() {
     for seed in 0..SEEDS {
         for with_power in [true, false] {
             let mut world = calm_world(seed, 3 + (seed % 4) as usize);
@@ -432,16 +432,16 @@
         play(&mut world, seconds * 1_000);
         assert_eq!(views(&world), 1);
         let per_member = (world.steps - steps) / seconds / machines as u64;
-        let pings_heard = 5 * (machines as u64 - 1);
+        let pings_received = 5 * (machines as u64 - 1);
         assert!(
-            per_member <= pings_heard + 6,
+            per_member <= pings_received + 6,
             "{per_member} steps a second at each of {machines}"
         );
     }
 }
 
 #[test]
-fn a_member_alone_is_not_current_and_drops_what_it_cannot_do() {
+fn a_member_alone_has_no_quorum_and_drops_requests() {
     for seed in 0..SEEDS {
         let mut world = calm_world(seed, 3);
         inject(
@@ -460,14 +460,14 @@
         );
         play(&mut world, 1_500);
         let count = world.committed_count();
-        assert!(!world.is_current(2));
+        assert!(!world.has_quorum(2));
         play(&mut world, 10_000);
         assert_eq!(world.committed_count(), count);
     }
 }
 
 #[test]
-fn a_second_founding_is_refused() {
+fn a_second_bootstrap_is_ignored() {
     let mut world = calm_world(1, 3);
     let view = world.newest_view().cloned().expect("the first view");
     let mut other = view.clone();
@@ -478,7 +478,7 @@
 }
 
 #[test]
-fn a_restarted_member_does_not_take_echoes_of_its_run_before_for_its_own() {
+fn a_restarted_member_ignores_echoes_of_its_earlier_incarnation() {
     each_position(|world, machine| {
         play(world, 20_000);
         inject(
@@ -489,7 +489,7 @@
             },
         );
         play(world, 1_500);
-        assert!(world.is_current(machine));
+        assert!(world.has_quorum(machine));
         for other in (0..world.machines.len()).filter(|other| *other != machine) {
             inject(
                 world,
@@ -501,9 +501,9 @@
         }
         play(world, 1_200);
         assert!(
-            !world.is_current(machine),
+            !world.has_quorum(machine),
             "{}",
-            world.describe(format!("m{machine} is current"))
+            world.describe(format!("m{machine} has a quorum"))
         );
     });
 }
--- a/crates/serving/chain-replication/tests/resubmissions.rs
+++ b/crates/serving/chain-replication/tests/resubmissions.rs
@@ -1,4 +1,4 @@
-//! A submission that is sent to the head again while its entry is on its way makes no second one.
+//! A submission that is sent to the head again while its entry is in flight makes no second one.
 
 use dunespur_chain_replication::{
     DecidedView, DurableState, Input, Member, MemberConfig, MemberId, Message, Origin, Output,
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_submission_that_comes_again_makes_one_entry() {
+fn a_resubmission_makes_no_second_entry() {
     let mut head = head();
     assert_eq!(entries_of(&mut head, 1), 1);
     assert_eq!(
--- a/crates/serving/chain-replication/tests/safeguards.rs
+++ b/crates/serving/chain-replication/tests/safeguards.rs
@@ -1,5 +1,4 @@
-//! Each guard taken out in turn brings about what it is against. The worlds are those that hold with all guards in
-//! place.
+//! Each safeguard removed in turn brings about what it is against, in worlds in which nothing goes wrong with all of them.
 
 mod world;
 
@@ -12,19 +11,19 @@
 const SEEDS: u64 = 400;
 const SEEDS_OF_STORMS: u64 = 4_000;
 
-/// What goes wrong first in the worlds without a guard, if anything does. Only broken promises count, not a core that
-/// stands still.
+/// What goes wrong first in the worlds without a safeguard, if anything does. Only violations of safety count, not a core
+/// that stalls.
 fn counterexample(without: impl Fn(&mut Setup)) -> Option<String> {
     (0..SEEDS).find_map(|seed| {
         let mut setup = Setup::new(seed, 3 + (seed % 4) as usize);
         without(&mut setup);
         play(setup, schedule(&setup, PHASES))
             .err()
-            .filter(|text| is_broken_promise(text))
+            .filter(|text| is_safety_violation(text))
     })
 }
 
-fn is_broken_promise(text: &str) -> bool {
+fn is_safety_violation(text: &str) -> bool {
     [
         "was committed before",
         "two views",
@@ -40,37 +39,37 @@
 }
 
 #[test]
-fn views_must_be_checked() {
+fn without_checking_views_a_replaced_chain_commits() {
     let found = without(Safeguards::without(Safeguard::CheckViews));
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
 
 #[test]
-fn disks_must_be_told_apart() {
+fn without_distinct_disk_identities_commits_are_lost() {
     let found = counterexample(|setup| setup.wiped_keep_identity = true);
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
 
 #[test]
-fn syncs_must_come_before_messages() {
+fn without_persisting_before_sending_commits_are_lost() {
     let found = without(Safeguards::without(Safeguard::PersistBeforeSend));
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
 
 #[test]
-fn reads_must_be_confirmed() {
+fn without_confirming_reads_old_state_is_read() {
     let found = without(Safeguards::without(Safeguard::ConfirmReads));
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
 }
 
-/// It takes two that propose at one moment, and the news of the first one's success to be lost: storms over three
+/// It takes two that propose at one moment, and the message of the first one's success to be lost: storms over three
 /// members bring that about.
 #[test]
-fn a_view_must_be_decided_once() {
+fn without_deciding_once_two_views_have_one_number() {
     let found = (0..SEEDS_OF_STORMS).find_map(|seed| {
         let mut setup = Setup::new(seed, 3);
         setup.max_sync_ms = 4;
@@ -84,7 +83,7 @@
 }
 
 #[test]
-fn members_must_be_whole_before_they_count() {
+fn without_catching_up_before_syncing_commits_are_lost() {
     let found = without(Safeguards::without(Safeguard::CatchUpBeforeSync));
     assert!(found.is_some(), "nothing went wrong");
     eprintln!("{found:?}");
--- a/crates/serving/chain-replication/tests/snapshot_chunks.rs
+++ b/crates/serving/chain-replication/tests/snapshot_chunks.rs
@@ -1,4 +1,4 @@
-//! One member that takes a snapshot in parts: what it refuses, what it holds meanwhile, and when the whole counts.
+//! One member that receives a snapshot in chunks: what it rejects, what it retains meanwhile, and when the snapshot counts.
 
 use dunespur_chain_replication::limits::{MAX_SNAPSHOT_BYTES, SNAPSHOT_CHUNK_BYTES};
 use dunespur_chain_replication::snapshot_transfer::{
@@ -44,7 +44,7 @@
     }
 }
 
-/// The second of a chain of three, which has not come up to the first.
+/// The second of a chain of three, which has not caught up with the first.
 struct Receiver {
     member: Member,
     outputs: Vec<Output>,
@@ -103,7 +103,7 @@
         self.chunk_from(0, chunk).expect("an answer")
     }
 
-    fn installed(&self) -> Option<(u64, Vec<u8>)> {
+    fn on_install(&self) -> Option<(u64, Vec<u8>)> {
         self.outputs.iter().find_map(|output| match output {
             Output::InstallSnapshot { index, bytes } => Some((*index, bytes.clone())),
             _ => None,
@@ -118,7 +118,7 @@
         batches.flatten().collect()
     }
 
-    /// Where its log ends, as it tells its predecessor.
+    /// Where its log ends, as it reports to its predecessor.
     fn log_end(&mut self) -> u64 {
         self.give(Input::Received {
             from: id(0),
@@ -131,7 +131,7 @@
             } => Some(resume.last.index),
             _ => None,
         });
-        // It has asked just now otherwise.
+        // Otherwise it has sent a request just now.
         attached.unwrap_or_else(|| {
             self.outputs.clear();
             self.member.step(Input::Tick, NOW + 200, &mut self.outputs);
@@ -178,21 +178,21 @@
 }
 
 #[test]
-fn the_whole_counts_and_nothing_before_it() {
+fn a_snapshot_counts_only_when_it_is_complete() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
     let first = receiver.chunk(chunk(&snapshot, 0, 600));
     assert_eq!((first.received, first.rejected), (600, false));
-    assert!(receiver.installed().is_none() && receiver.writes().is_empty());
+    assert!(receiver.on_install().is_none() && receiver.writes().is_empty());
     assert_eq!(
         receiver.log_end(),
         LOG_END,
-        "what it holds stays until the whole is there"
+        "its log stays until the snapshot is complete"
     );
     let last = receiver.chunk(chunk(&snapshot, 600, 1_000));
     assert_eq!((last.received, last.rejected), (1_000, false));
     assert_eq!(
-        receiver.installed(),
+        receiver.on_install(),
         Some((POSITION.index, snapshot.bytes.to_vec()))
     );
     let writes = receiver.writes();
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn parts_that_come_twice_or_out_of_order_change_nothing() {
+fn duplicated_and_reordered_chunks_change_nothing() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
     assert_eq!(
@@ -219,13 +219,13 @@
     assert_eq!(receiver.chunk(chunk(&snapshot, 400, 700)).received, 700);
     assert_eq!(receiver.chunk(chunk(&snapshot, 700, 1_000)).received, 1_000);
     assert_eq!(
-        receiver.installed(),
+        receiver.on_install(),
         Some((POSITION.index, snapshot.bytes.to_vec()))
     );
 }
 
 #[test]
-fn parts_of_two_snapshots_are_not_mixed() {
+fn chunks_of_two_snapshots_are_not_mixed() {
     let mut receiver = Receiver::new();
     let (one, mut other) = (state(1_000), state(1_000));
     other.bytes = vec![9; 1_000].into();
@@ -238,14 +238,14 @@
     assert_eq!(receiver.chunk(chunk(&other, 0, 600)).received, 600);
     receiver.chunk(chunk(&other, 600, 1_000));
     assert_eq!(
-        receiver.installed(),
+        receiver.on_install(),
         Some((POSITION.index, other.bytes.to_vec()))
     );
 }
 
-/// Refused with its reason, counted, and nothing held is lost by it.
+/// Rejected with its reason, counted, and nothing that was received before is lost by it.
 #[test]
-fn what_does_not_fit_is_refused() {
+fn chunks_that_do_not_fit_are_rejected() {
     let snapshot = state(1_000);
     let descriptor = SnapshotDescriptor::of(&snapshot);
     let bytes = |count: usize| Payload::from(vec![1; count]);
@@ -304,7 +304,7 @@
             (0, 1, 0),
         ),
         (
-            "spoilt",
+            "corrupted",
             SnapshotChunk {
                 descriptor,
                 offset: 0,
@@ -318,7 +318,7 @@
         let answer = receiver.chunk(chunk);
         assert!(answer.rejected, "{what}");
         assert!(
-            receiver.installed().is_none() && receiver.writes().is_empty(),
+            receiver.on_install().is_none() && receiver.writes().is_empty(),
             "{what}"
         );
         let refusals = receiver.member.snapshot_rejections();
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn a_spoilt_snapshot_is_followed_by_a_good_one() {
+fn a_corrupted_snapshot_is_followed_by_a_correct_one() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
     let mut corrupted = chunk(&snapshot, 0, 1_000);
@@ -344,24 +344,24 @@
     assert!(receiver.chunk(corrupted).rejected);
     assert_eq!(receiver.chunk(chunk(&snapshot, 0, 1_000)).received, 1_000);
     assert_eq!(
-        receiver.installed(),
+        receiver.on_install(),
         Some((POSITION.index, snapshot.bytes.to_vec()))
     );
 }
 
 #[test]
-fn parts_from_others_than_the_predecessor_do_not_count() {
+fn chunks_from_others_than_the_predecessor_are_ignored() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
     assert_eq!(receiver.chunk_from(2, chunk(&snapshot, 0, 1_000)), None);
-    assert!(receiver.installed().is_none());
+    assert!(receiver.on_install().is_none());
     assert_eq!(receiver.member.snapshot_rejections().total(), 0);
 }
 
-/// Against a chain that stands still: the sender's log doesn't reach back to what is committed here, and it doesn't
+/// Against a chain that stalls: the sender's log doesn't reach back to what is committed here, and it doesn't
 /// know the end of the log here; but the log here reaches to where the snapshot ends.
 #[test]
-fn a_snapshot_up_to_where_the_log_reaches_is_not_needed() {
+fn a_snapshot_that_the_log_includes_is_not_needed() {
     let mut receiver = Receiver::new();
     let snapshot = Snapshot {
         position: Position { index: 2, view: 1 },
@@ -373,6 +373,6 @@
         (1_000, false),
         "the sender goes on from there"
     );
-    assert!(receiver.installed().is_none() && receiver.writes().is_empty());
+    assert!(receiver.on_install().is_none() && receiver.writes().is_empty());
     assert_eq!(receiver.log_end(), LOG_END);
 }
--- a/crates/serving/chain-replication/tests/snapshots.rs
+++ b/crates/serving/chain-replication/tests/snapshots.rs
@@ -1,5 +1,5 @@
-//! Snapshots in parts, over links that carry so much and no more: a member that was wiped, started again or away is
-//! brought up in time while changes go on, broken connections and spoilt bytes notwithstanding.
+//! Snapshots in chunks, over links of limited bandwidth: a member that was wiped, restarted or down catches up in time
+//! while changes go on, in spite of broken connections and corrupted bytes.
 
 mod world;
 
@@ -34,12 +34,12 @@
     }
 }
 
-/// The world once it is calm, with so many changes that a newcomer needs a snapshot.
+/// The world once it is calm, with so many changes that a joiner needs a snapshot.
 fn grown(setup: Setup) -> World {
     let mut world = World::new(setup);
     world.play_to(CALM).expect("the core comes up");
     world.play_to(CALM + 15_000).expect("changes are made");
-    // More than the log holds between two snapshots, and for members that were away shortly.
+    // More than the log retains between two snapshots, and for members that were down briefly.
     assert!(
         world.committed_count() * CHANGE_BYTES > 14 * MB,
         "{} changes",
@@ -61,7 +61,7 @@
     }
 }
 
-/// Wipes a machine of a grown world; how long after its return it is whole.
+/// Wipes a machine of a grown world; how long after its restart it is complete.
 fn wiped_for(setup: Setup) -> Millis {
     let mut world = grown(setup);
     let machine = (setup.seed / 4) as usize % setup.machines;
@@ -73,10 +73,10 @@
         },
     );
     world.play_to(world.now + 1_001).expect("it comes back");
-    let installed = world.snapshots_installed;
-    let took = time_until_complete(&mut world).expect("it is made whole");
+    let on_install = world.snapshots_installed;
+    let took = time_until_complete(&mut world).expect("it catches up");
     assert!(
-        world.snapshots_installed > installed,
+        world.snapshots_installed > on_install,
         "it needed a snapshot"
     );
     took
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_wiped_member_is_whole_in_time_whatever_the_size_of_the_state() {
+fn a_wiped_member_is_complete_in_time_whatever_the_size_of_the_state() {
     for (state_bytes, link) in [
         (100_000, FAST_LINK),
         (MB, FAST_LINK),
@@ -100,7 +100,7 @@
         (10 * MB, SLOW_LINK),
     ] {
         let worst = worst_of(state_bytes, link);
-        eprintln!("{state_bytes} bytes at {link} bytes a millisecond: whole after {worst} ms");
+        eprintln!("{state_bytes} bytes at {link} bytes a millisecond: complete after {worst} ms");
         assert!(
             worst <= CATCH_UP,
             "{state_bytes} bytes at {link}: {worst} ms"
@@ -108,54 +108,55 @@
     }
 }
 
-/// How long a machine that goes and comes back is without all commits, worst of some seeds; and how often a snapshot
-/// was needed.
-fn away_for(fault: impl Fn(usize) -> Fault, away: Millis) -> (Millis, u64) {
+/// How long a machine that restarts is without all commits, worst of some seeds; and how often a snapshot was needed.
+fn outage(fault: impl Fn(usize) -> Fault, outage_ms: Millis) -> (Millis, u64) {
     let (mut worst, mut snapshots) = (0, 0);
     for seed in 0..SEEDS {
         let setup = setup(seed, 10 * MB, FAST_LINK);
         let mut world = grown(setup);
         let machine = (seed / 4) as usize % setup.machines;
-        let installed = world.snapshots_installed;
+        let on_install = world.snapshots_installed;
         world.fault_at(world.now, fault(machine));
-        world.play_to(world.now + away + 1).expect("it comes back");
+        world
+            .play_to(world.now + outage_ms + 1)
+            .expect("it comes back");
         let took = time_until_complete(&mut world).unwrap_or_else(|text| panic!("{text}"));
         worst = worst.max(took);
-        snapshots += world.snapshots_installed - installed;
+        snapshots += world.snapshots_installed - on_install;
     }
     (worst, snapshots)
 }
 
 #[test]
-fn a_member_that_was_away_for_twenty_seconds_is_whole_in_time() {
-    let away = 20_000;
-    let (worst, snapshots) = away_for(
+fn a_member_that_was_down_for_twenty_seconds_is_complete_in_time() {
+    let outage_ms = 20_000;
+    let (worst, snapshots) = outage(
         |machine| Fault::PowerLoss {
             machine,
-            back_after: away,
+            back_after: outage_ms,
         },
-        away,
+        outage_ms,
     );
-    eprintln!("away for {away} ms: whole after {worst} ms, {snapshots} installs");
+    eprintln!("down for {outage_ms} ms: complete after {worst} ms, {snapshots} installs");
     assert!(worst <= CATCH_UP, "{worst} ms");
 }
 
 #[test]
-fn a_member_that_was_started_again_is_whole_in_time() {
-    let away = 500;
-    let (worst, snapshots) = away_for(
+fn a_restarted_member_is_complete_in_time() {
+    let outage_ms = 500;
+    let (worst, snapshots) = outage(
         |machine| Fault::Kill {
             machine,
-            back_after: away,
+            back_after: outage_ms,
         },
-        away,
+        outage_ms,
     );
-    eprintln!("started again: whole after {worst} ms, {snapshots} installs");
+    eprintln!("restarted: complete after {worst} ms, {snapshots} installs");
     assert!(worst <= CATCH_UP, "{worst} ms");
 }
 
 #[test]
-fn a_member_that_was_replaced_is_whole_in_time() {
+fn a_replaced_member_is_complete_in_time() {
     for seed in 0..SEEDS {
         let setup = setup(seed, 10 * MB, FAST_LINK);
         let mut world = grown(setup);
@@ -171,7 +172,7 @@
             .play_to(world.now + 1_001)
             .expect("the successor comes");
         let took = time_until_complete(&mut world).unwrap_or_else(|text| panic!("{text}"));
-        eprintln!("seed {seed}: a successor whole after {took} ms");
+        eprintln!("seed {seed}: a replacement complete after {took} ms");
         assert!(took <= CATCH_UP, "seed {seed}: {took} ms");
     }
 }
@@ -179,10 +180,10 @@
 const BREAKS: u64 = 10;
 const BREAK_EVERY: Millis = 200;
 
-/// The connection breaks in the middle, again and again: what has come stays. The whole takes 840 ms by itself; begun
-/// anew with each break it would be sent in large part ten times.
+/// The connection breaks during the transfer, again and again: what was received stays. The transfer takes 840 ms by
+/// itself; begun anew with each break most of the snapshot would be sent ten times.
 #[test]
-fn a_transfer_over_a_link_that_breaks_goes_on_where_it_was() {
+fn a_transfer_resumes_after_broken_connections() {
     for seed in 0..SEEDS {
         let setup = setup(seed, 10 * MB, SLOW_LINK);
         let mut world = grown(setup);
@@ -207,21 +208,21 @@
             }
         }
         world.play_to(back + 1).expect("it comes back");
-        let messages_sent = world.chunk_bytes_sent;
-        let took = time_until_complete(&mut world).expect("it is made whole");
-        let messages_sent = world.chunk_bytes_sent - messages_sent;
-        eprintln!("seed {seed}: whole after {took} ms, {messages_sent} bytes sent");
+        let bytes_sent = world.chunk_bytes_transferred;
+        let took = time_until_complete(&mut world).expect("it catches up");
+        let bytes_sent = world.chunk_bytes_transferred - bytes_sent;
+        eprintln!("seed {seed}: complete after {took} ms, {bytes_sent} bytes sent");
         assert!(took <= CATCH_UP, "seed {seed}: {took} ms");
         // A change of view meanwhile may bring another sender, whose snapshot is another one.
         let lost = BREAKS * 2 * SNAPSHOT_CHUNK_BYTES as u64;
         assert!(
-            messages_sent <= 2 * 10 * MB as u64 + lost,
-            "seed {seed}: {messages_sent} bytes"
+            bytes_sent <= 2 * 10 * MB as u64 + lost,
+            "seed {seed}: {bytes_sent} bytes"
         );
     }
 }
 
-/// Worlds of large snapshots with all kinds of trouble, with bytes spoilt on the way.
+/// Worlds of large snapshots with all kinds of faults, with bytes corrupted on the way.
 fn corrupted(seed: u64) -> Setup {
     let setup = Setup::new(seed, 3 + (seed % 4) as usize);
     Setup {
@@ -233,20 +234,21 @@
 }
 
 #[test]
-fn spoilt_snapshots_do_not_count() {
-    let mut installed = 0;
+fn corrupted_snapshots_are_not_installed() {
+    let mut on_install = 0;
     for seed in 0..120 {
         let setup = corrupted(seed);
-        let played = play(setup, schedule(&setup, 2)).unwrap_or_else(|text| panic!("{text}"));
-        installed += played.snapshots_installed;
+        let play_for_digest =
+            play(setup, schedule(&setup, 2)).unwrap_or_else(|text| panic!("{text}"));
+        on_install += play_for_digest.snapshots_installed;
     }
     assert!(
-        installed > 10,
-        "{installed} snapshots were installed: the worlds say nothing"
+        on_install > 10,
+        "{on_install} snapshots were installed: the worlds say nothing"
     );
 }
 
-/// What goes wrong first without a guard, if anything does.
+/// What goes wrong first without a safeguard, if anything does.
 fn counterexample(seeds: u64, setup: impl Fn(u64) -> Setup) -> Option<String> {
     (0..seeds).find_map(|seed| {
         let setup = setup(seed);
@@ -257,7 +259,7 @@
 }
 
 #[test]
-fn snapshots_must_be_checked() {
+fn without_verifying_snapshots_a_corrupted_one_is_installed() {
     let safeguards = Safeguards::without(Safeguard::VerifySnapshots);
     let found = counterexample(200, |seed| Setup {
         safeguards,
@@ -273,7 +275,7 @@
 }
 
 #[test]
-fn a_log_must_be_whole_before_it_counts() {
+fn without_catching_up_after_a_snapshot_commits_are_lost() {
     let safeguards = Safeguards::without(Safeguard::CatchUpBeforeSync);
     let found = counterexample(400, |seed| Setup {
         safeguards,
--- a/crates/serving/chain-replication/tests/view_model.rs
+++ b/crates/serving/chain-replication/tests/view_model.rs
@@ -1,7 +1,7 @@
 //! The agreement on views, the chain within each and the change of members under a model checker: all interleavings of
-//! few members, ballots, views and writes, with messages late, lost or doubled, members lost for good, and a planner that
-//! may want anything. The model drives the text that serves where it matters: `succession::view_after` and `View`. Each
-//! guard is taken out in turn, and the checker has to find a history in which that breaks something.
+//! few members, proposal numbers, views and writes, with messages late, lost or duplicated, members lost for good, and a
+//! planner that may want anything. The model calls the code of the program where it matters: `next_view::view_after` and
+//! `View`. Each safeguard is removed in turn, and the checker has to find a history in which that breaks something.
 //!
 //! The real `Member` isn't run here: its state holds clocks and a random generator, so that no two histories ever come
 //! to the same state.
@@ -16,12 +16,12 @@
 const FOUNDERS: u8 = 3;
 const THREADS: usize = 4;
 
-/// A ballot is its proposer: each proposes once for a view. 0 is none.
+/// The number of a proposal stands for its proposer: each proposes once for a view. 0 is none.
 type ProposalNumber = u8;
 
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
-    /// Those beyond the founders may be newcomers.
+    /// Those beyond the members of the first view may join.
     machines: u8,
     /// No later view is proposed.
     last_view: u8,
@@ -32,9 +32,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Safeguards {
-    /// A member votes on no other view of a number that it has installed.
+    /// A member accepts no other view of a number that it has installed.
     decide_once: bool,
-    /// A member counts as synced when its log has come up to its predecessor's.
+    /// A member counts as synced when its log includes its predecessor's.
     catch_up_before_sync: bool,
     /// A wiped disk has another identity.
     distinguish_disks: bool,
@@ -65,11 +65,11 @@
     }
 
     fn predecessor(&self, member: u8) -> Option<u8> {
-        let place = self.chain.iter().position(|other| *other == member)?;
-        Some(self.chain[place.checked_sub(1)?])
+        let index = self.chain.iter().position(|other| *other == member)?;
+        Some(self.chain[index.checked_sub(1)?])
     }
 
-    fn served(&self) -> DecidedView {
+    fn to_decided_view(&self) -> DecidedView {
         let members = self.members.iter().map(|member| peer(*member)).collect();
         let chain = self.chain.iter().map(|member| id(*member)).collect();
         DecidedView {
@@ -82,17 +82,22 @@
         }
     }
 
-    fn of(served: &DecidedView) -> Decided {
+    fn of(to_decided_view: &DecidedView) -> Decided {
         Decided {
-            number: served.number() as u8,
-            members: served
+            number: to_decided_view.number() as u8,
+            members: to_decided_view
                 .view
                 .members
                 .iter()
                 .map(|member| member.id.disk as u8)
                 .collect(),
-            chain: served.view.chain.iter().map(|id| id.disk as u8).collect(),
-            base: served.base as u8,
+            chain: to_decided_view
+                .view
+                .chain
+                .iter()
+                .map(|id| id.disk as u8)
+                .collect(),
+            base: to_decided_view.base as u8,
         }
     }
 }
@@ -134,7 +139,7 @@
     }
 }
 
-/// What a promise tells.
+/// What a promise reports.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Promise {
     accepted: Option<(ProposalNumber, Decided)>,
@@ -142,9 +147,9 @@
     last: (u8, u8),
 }
 
-/// All that was ever sent in the agreement on one view: it may arrive late, twice or never.
+/// All messages of the agreement on one view: each may arrive late, twice or never.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct MessagesSent {
+struct Messages {
     promises: BTreeMap<(ProposalNumber, u8), Promise>,
     accepts: BTreeMap<ProposalNumber, Decided>,
     votes: Vec<(ProposalNumber, u8)>,
@@ -154,7 +159,7 @@
 struct State {
     members: Vec<Member>,
     /// By the view that is to be decided.
-    messages_sent: BTreeMap<u8, MessagesSent>,
+    messages_sent: BTreeMap<u8, Messages>,
     /// Views that were decided.
     decided: Vec<Decided>,
     committed: Vec<u8>,
@@ -165,7 +170,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum Action {
     Promise {
         by: u8,
         number: u8,
@@ -181,7 +186,7 @@
         number: u8,
         proposal_number: ProposalNumber,
     },
-    Learn {
+    InstallView {
         by: u8,
         decided: usize,
     },
@@ -191,10 +196,10 @@
     Write {
         head: u8,
     },
-    PassOn {
+    Forward {
         to: u8,
     },
-    Follow {
+    Learn {
         member: u8,
     },
     Lose {
@@ -230,7 +235,7 @@
         member.number() > 0 && member.synced_view == member.number()
     }
 
-    /// The place in the chain from which `member` takes entries now, if it has one.
+    /// The member of the chain from which `member` receives entries now, if there is one.
     fn upstream(state: &State, member: u8) -> Option<&Member> {
         let own = &state.members[member as usize];
         let predecessor = own.view.as_ref()?.predecessor(member)?;
@@ -240,17 +245,17 @@
 
     /// All that a planner might want: a swap, one more or one less member, and any chain that is long enough.
     fn plans(&self, state: &State, view: &Decided) -> Vec<(Vec<u8>, Vec<u8>)> {
-        let newcomers = (0..self.bounds.machines)
+        let joiners = (0..self.bounds.machines)
             .filter(|machine| !view.has_member(*machine) && !state.members[*machine as usize].lost);
-        let newcomers: Vec<u8> = newcomers.collect();
+        let joiners: Vec<u8> = joiners.collect();
         let mut sets = vec![view.members.clone()];
-        for joiner in &newcomers {
-            for gone in &view.members {
+        for joiner in &joiners {
+            for departed in &view.members {
                 let mut members: Vec<u8> = view
                     .members
                     .iter()
                     .copied()
-                    .filter(|member| member != gone)
+                    .filter(|member| member != departed)
                     .collect();
                 members.push(*joiner);
                 members.sort_unstable();
@@ -262,12 +267,12 @@
             sets.push(members);
         }
         if view.members.len() == 4 {
-            for gone in &view.members {
+            for departed in &view.members {
                 sets.push(
                     view.members
                         .iter()
                         .copied()
-                        .filter(|member| member != gone)
+                        .filter(|member| member != departed)
                         .collect(),
                 );
             }
@@ -287,10 +292,10 @@
                 .filter(|member| !view.chain.contains(member));
             let order: Vec<u8> = survivors.chain(others).collect();
             for bits in 0..1_u8 << order.len() {
-                let picked = |place: &usize| bits & 1 << place != 0;
+                let picked = |index: &usize| bits & 1 << index != 0;
                 let chain: Vec<u8> = (0..order.len())
                     .filter(picked)
-                    .map(|place| order[place])
+                    .map(|index| order[index])
                     .collect();
                 if chain.len() >= majority {
                     plans.push((members.clone(), chain));
@@ -340,40 +345,40 @@
             members: members.iter().map(|member| peer(*member)).collect(),
             chain: chain.iter().map(|member| id(*member)).collect(),
         };
-        view_after(&view.served(), plan, &sealed).map(|next| Decided::of(&next))
+        view_after(&view.to_decided_view(), plan, &sealed).map(|next| Decided::of(&next))
     }
 
-    /// A disk may be lost; without the guard the machine comes back under the same identity.
-    fn loss(&self, state: &State, member: u8, acts: &mut Vec<Act>) {
+    /// A disk may be lost; without the safeguard the machine comes back under the same identity.
+    fn loss(&self, state: &State, member: u8, actions: &mut Vec<Action>) {
         if state.losses >= self.bounds.losses {
             return;
         }
         let apart = self.safeguards.distinguish_disks;
-        acts.push(if apart {
-            Act::Lose { member }
+        actions.push(if apart {
+            Action::Lose { member }
         } else {
-            Act::Wipe { member }
+            Action::Wipe { member }
         });
     }
 
-    /// Promises, votes and news of decided views. A ballot's first message may be there at any time.
-    fn votes(&self, state: &State, by: u8, acts: &mut Vec<Act>) {
+    /// Promises, acceptances and installations of decided views. A proposal's first message may arrive at any time.
+    fn votes(&self, state: &State, by: u8, actions: &mut Vec<Action>) {
         let member = &state.members[by as usize];
         let later = |(_, view): &(usize, &Decided)| view.number > member.number();
-        let news = state.decided.iter().enumerate().filter(later);
-        acts.extend(news.map(|(decided, _)| Act::Learn { by, decided }));
+        let unknown = state.decided.iter().enumerate().filter(later);
+        actions.extend(unknown.map(|(decided, _)| Action::InstallView { by, decided }));
         for number in 2..=self.bounds.last_view {
             let is_voter = |view: &Decided| view.number + 1 == number && view.has_member(by);
             if !self.votes_on(member, number) || !state.decided.iter().any(is_voter) {
                 continue;
             }
-            let nothing = MessagesSent::default();
+            let nothing = Messages::default();
             let messages_sent = state.messages_sent.get(&number).unwrap_or(&nothing);
             for proposal_number in 1..=self.bounds.proposers {
                 if member.promised < proposal_number
                     && !messages_sent.promises.contains_key(&(proposal_number, by))
                 {
-                    acts.push(Act::Promise {
+                    actions.push(Action::Promise {
                         by,
                         number,
                         proposal_number,
@@ -384,7 +389,7 @@
                 if member.promised <= proposal_number
                     && !messages_sent.votes.contains(&(proposal_number, by))
                 {
-                    acts.push(Act::Vote {
+                    actions.push(Action::Vote {
                         by,
                         number,
                         proposal_number,
@@ -395,7 +400,7 @@
     }
 
     /// With the promises of a majority, whatever the planner may want.
-    fn proposals(&self, state: &State, proposer: u8, acts: &mut Vec<Act>) {
+    fn proposals(&self, state: &State, proposer: u8, actions: &mut Vec<Action>) {
         let Some(view) = &state.members[proposer as usize].view else {
             return;
         };
@@ -419,7 +424,7 @@
             let proposal = Core::proposal(state, proposer, &members, &chain);
             if let Some(proposal) = proposal.filter(|proposal| !seen.contains(proposal)) {
                 seen.push(proposal);
-                acts.push(Act::Propose {
+                actions.push(Action::Propose {
                     proposer,
                     members,
                     chain,
@@ -428,7 +433,7 @@
         }
     }
 
-    fn chain_steps(&self, state: &State, member: u8, acts: &mut Vec<Act>) {
+    fn chain_steps(&self, state: &State, member: u8, actions: &mut Vec<Action>) {
         let own = &state.members[member as usize];
         let Some(view) = own.view.as_ref().filter(|view| view.has_member(member)) else {
             return;
@@ -439,19 +444,19 @@
         let is_head = view.chain.first() == Some(&member);
         let upstream = Core::upstream(state, member);
         if !view.chain.contains(&member) {
-            acts.push(Act::Follow { member });
+            actions.push(Action::Learn { member });
         } else if !Core::is_synced(own) {
             if is_head || upstream.is_some() || !self.safeguards.catch_up_before_sync {
-                acts.push(Act::Sync { member });
+                actions.push(Action::Sync { member });
             }
         } else if is_head && state.writes < self.bounds.writes {
-            acts.push(Act::Write { head: member });
+            actions.push(Action::Write { head: member });
         } else if upstream.is_some_and(|other| other.log.len() > own.log.len()) {
-            acts.push(Act::PassOn { to: member });
+            actions.push(Action::Forward { to: member });
         }
     }
 
-    /// With the votes of a majority a view is decided; members learn of it later.
+    /// With the acceptances of a majority a view is decided; members learn of it later.
     fn decide(state: &mut State, number: u8, proposal_number: ProposalNumber) {
         let messages_sent = &state.messages_sent[&number];
         let proposal = messages_sent.accepts[&proposal_number].clone();
@@ -470,14 +475,14 @@
         }
     }
 
-    /// What the tail holds is committed.
+    /// What is in the tail's log is committed.
     fn commit(state: &mut State) {
-        for place in 0..state.members.len() {
-            let member = &state.members[place];
+        for index in 0..state.members.len() {
+            let member = &state.members[index];
             let is_tail = member
                 .view
                 .as_ref()
-                .is_some_and(|view| view.chain.last() == Some(&(place as u8)));
+                .is_some_and(|view| view.chain.last() == Some(&(index as u8)));
             if !is_tail || !Core::participates(member) || !Core::is_synced(member) {
                 continue;
             }
@@ -487,7 +492,7 @@
                 .decided
                 .iter()
                 .all(|view| view.number <= member.number());
-            // A tail that was put out may lack what was committed since; it must not hold anything else.
+            // A tail that was removed may lack what was committed since; it must not have anything else.
             let lacks = newest && log.len() < state.committed.len();
             if lacks || log[..common] != state.committed[..common] {
                 state.lost_commit = true;
@@ -500,7 +505,7 @@
 
 impl Model for Core {
     type State = State;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let founders: Vec<u8> = (0..FOUNDERS).collect();
@@ -527,21 +532,21 @@
         }]
     }
 
-    fn actions(&self, state: &State, acts: &mut Vec<Act>) {
-        for place in 0..self.bounds.machines {
-            if !state.members[place as usize].lost {
-                self.loss(state, place, acts);
-                self.votes(state, place, acts);
-                self.proposals(state, place, acts);
-                self.chain_steps(state, place, acts);
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        for index in 0..self.bounds.machines {
+            if !state.members[index as usize].lost {
+                self.loss(state, index, actions);
+                self.votes(state, index, actions);
+                self.proposals(state, index, actions);
+                self.chain_steps(state, index, actions);
             }
         }
     }
 
-    fn next_state(&self, before: &State, act: Act) -> Option<State> {
+    fn next_state(&self, before: &State, act: Action) -> Option<State> {
         let mut state = before.clone();
         match act {
-            Act::Promise {
+            Action::Promise {
                 by,
                 number,
                 proposal_number,
@@ -563,7 +568,7 @@
                     .promises
                     .insert((proposal_number, by), promise);
             }
-            Act::Propose {
+            Action::Propose {
                 proposer,
                 members,
                 chain,
@@ -576,7 +581,7 @@
                     .accepts
                     .insert(proposer + 1, proposal);
             }
-            Act::Vote {
+            Action::Vote {
                 by,
                 number,
                 proposal_number,
@@ -590,11 +595,11 @@
                 member.accepted = Some((proposal_number, proposal));
                 Core::decide(&mut state, number, proposal_number);
             }
-            Act::Learn { by, decided } => {
+            Action::InstallView { by, decided } => {
                 let decided = state.decided[decided].clone();
                 state.members[by as usize].install(&decided);
             }
-            Act::Sync { member } => {
+            Action::Sync { member } => {
                 let log = Core::upstream(&state, member).map(|other| other.log.clone());
                 let own = &mut state.members[member as usize];
                 own.synced_view = own.number();
@@ -602,18 +607,18 @@
                     own.log = log;
                 }
             }
-            Act::Write { head } => {
+            Action::Write { head } => {
                 let own = &mut state.members[head as usize];
                 let number = own.number();
                 own.log.push(number);
                 state.writes += 1;
             }
-            Act::PassOn { to } => {
+            Action::Forward { to } => {
                 let own = state.members[to as usize].log.len();
                 let entry = Core::upstream(&state, to)?.log[own];
                 state.members[to as usize].log.push(entry);
             }
-            Act::Follow { member } => {
+            Action::Learn { member } => {
                 let own = &state.members[member as usize];
                 let tail = *own.view.as_ref()?.chain.last()?;
                 let tail = &state.members[tail as usize];
@@ -624,14 +629,14 @@
                 let log = tail.log.clone();
                 state.members[member as usize].log = log;
             }
-            Act::Lose { member } => {
+            Action::Lose { member } => {
                 state.members[member as usize] = Member {
                     lost: true,
                     ..Member::default()
                 };
                 state.losses += 1;
             }
-            Act::Wipe { member } => {
+            Action::Wipe { member } => {
                 state.members[member as usize] = Member::default();
                 state.losses += 1;
             }
@@ -647,7 +652,7 @@
                 !state.lost_commit
             }),
             Property::sometimes(
-                "a write is committed after a newcomer took a place",
+                "a write is committed after a joiner became a member",
                 |_, state: &State| {
                     let changed = |view: &Decided| {
                         view.has_member(FOUNDERS) && view.chain.contains(&FOUNDERS)
@@ -660,9 +665,9 @@
     }
 }
 
-const REACHED: &str = "a write is committed after a newcomer took a place";
+const REACHED: &str = "a write is committed after a joiner became a member";
 
-/// What goes wrong without some guards.
+/// What goes wrong without some safeguards.
 fn broken(safeguards: Safeguards, bounds: Bounds) -> Vec<&'static str> {
     let checker = Core { safeguards, bounds }.checker().threads(THREADS);
     let checker = checker
@@ -681,8 +686,8 @@
         .collect()
 }
 
-/// Looks at all states within the bounds.
-fn holds(bounds: Bounds) {
+/// Checks all states within the bounds.
+fn verify(bounds: Bounds) {
     let core = Core {
         safeguards: ALL,
         bounds,
@@ -709,7 +714,7 @@
 
 #[test]
 fn two_proposers_and_a_lost_member_decide_on_one_view() {
-    holds(Bounds {
+    verify(Bounds {
         machines: 3,
         last_view: 2,
         proposers: 2,
@@ -719,8 +724,8 @@
 }
 
 #[test]
-fn a_write_stays_when_two_propose_the_next_view() {
-    holds(Bounds {
+fn a_write_survives_two_proposers_of_the_next_view() {
+    verify(Bounds {
         machines: 3,
         last_view: 2,
         proposers: 2,
@@ -730,8 +735,8 @@
 }
 
 #[test]
-fn a_write_stays_when_a_newcomer_comes_and_a_member_is_lost() {
-    holds(Bounds {
+fn a_write_survives_a_joiner_and_a_lost_member() {
+    verify(Bounds {
         machines: 4,
         last_view: 2,
         proposers: 1,
@@ -742,8 +747,8 @@
 
 #[test]
 #[ignore = "two million states: run it when the agreement or the chain is changed"]
-fn a_write_stays_over_two_changes_of_the_view() {
-    holds(Bounds {
+fn a_write_survives_two_changes_of_the_view() {
+    verify(Bounds {
         machines: 3,
         last_view: 3,
         proposers: 1,
@@ -753,7 +758,7 @@
 }
 
 #[test]
-fn each_guard_taken_out_gives_a_counterexample() {
+fn each_safeguard_removed_gives_a_counterexample() {
     let joiner = Bounds {
         machines: 4,
         last_view: 2,
--- a/crates/serving/chain-replication/tests/world/digest.rs
+++ b/crates/serving/chain-replication/tests/world/digest.rs
@@ -1,4 +1,4 @@
-//! A digest of a world: of all that its members gave out and when, and of the random draws of the world itself.
+//! The digest of a world: of all outputs of its members and their times, and of the random draws of the world itself.
 //!
 //! It is taken over encoded messages and records, not over names or texts, so it stays while the code is renamed and
 //! rearranged. Another digest means another behaviour: other bytes, times, decisions or draws.
@@ -8,14 +8,14 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
-/// What members have given out so far.
+/// The outputs of members so far.
 #[derive(Default)]
 pub struct Record {
     hash: Xxh3,
 }
 
 impl Record {
-    /// A member has taken an input: what it gave out, and when it wants its next tick.
+    /// A member has handled an input, with these outputs, and wants its next tick then.
     pub(super) fn stepped(
         &mut self,
         now: Millis,
@@ -54,7 +54,7 @@
 }
 
 impl World {
-    /// From now on all that members give out goes into the digest.
+    /// From now on all outputs of members go into the digest.
     pub fn begin_record(&mut self) {
         self.record = Some(Record::default());
     }
--- a/crates/serving/chain-replication/tests/world/fault_tolerance.rs
+++ b/crates/serving/chain-replication/tests/world/fault_tolerance.rs
@@ -1,4 +1,4 @@
-//! How long the core bears fewer losses than it has to after a change of its machines.
+//! How long the core tolerates fewer losses than it has to after a change of its machines.
 
 use super::{Setup, World};
 use dunespur_chain_replication::{DurableState, Input, Millis, View};
@@ -7,12 +7,12 @@
 const CALM: Millis = 2_500;
 /// How finely windows are measured.
 const SAMPLE_EVERY: Millis = 10;
-/// A process that was asked to end does so at most this long after.
+/// A process that was requested to end does so at most this long after.
 const LONGEST_DRAIN: u64 = 8_000;
 /// After the last step, the core is watched for this long.
 const WATCHED_FOR: Millis = 5_000;
 
-/// Commits that a machine may lack when the core counts as whole again.
+/// Commits that a machine may lack when the core counts as complete again.
 const MAX_BEHIND: u64 = 40;
 
 /// What happens to the machines of a core that is calm otherwise.
@@ -22,11 +22,11 @@
     WipeAndReturn,
     /// A machine is lost for good; one of another name and with an empty disk comes 1 to 3 s later.
     UnplannedReplacement,
-    /// The successor starts; later the machine is asked to leave and drains for up to 8 s.
+    /// The replacement starts; later the machine is requested to leave and drains for up to 8 s.
     PlannedReplacement,
     Addition,
     PlannedLeaving,
-    /// Each machine in turn is asked to leave, drains, ends and returns.
+    /// Each machine in turn is requested to leave, drains, ends and restarts.
     RollingRestart,
 }
 
@@ -50,14 +50,14 @@
         }
     }
 
-    /// Further losses that the core has to bear after the change: those of its deployment, if as many machines are
-    /// left as that takes.
-    pub fn further_losses(self, machines: usize) -> usize {
+    /// Losses that the core has to tolerate after the change: those of its deployment, if as many machines are left as
+    /// that takes.
+    pub fn losses_to_tolerate(self, machines: usize) -> usize {
         tolerated(machines).min(tolerated(self.machines_after(machines)))
     }
 }
 
-/// The losses that a core of so many machines is deployed to bear.
+/// The losses that a core of so many machines is deployed to tolerate.
 pub fn tolerated(machines: usize) -> usize {
     (machines - 1) / 2
 }
@@ -77,25 +77,25 @@
     },
     /// A new machine with an empty disk starts.
     Add,
-    /// SIGTERM: the machine may be gone at any moment from now on.
+    /// SIGTERM: the machine may end at any moment from now on.
     Leave {
         machine: usize,
     },
-    /// It has ended and does not come back.
+    /// It has ended and does not restart.
     Remove {
         machine: usize,
         with_power: bool,
     },
 }
 
-/// The steps of a change, and when the event that the window is counted from is over.
+/// The steps of a change, and when the event ends that the window is counted from.
 struct Script {
     steps: Vec<(Millis, Step)>,
     ends_at: Millis,
 }
 
 impl Script {
-    fn drawn(change: Change, world: &mut World) -> Script {
+    fn random(change: Change, world: &mut World) -> Script {
         let begin = CALM + world.rng.u64(0..1_000);
         let machine = world.rng.usize(..world.setup.machines);
         let with_power = world.rng.bool();
@@ -202,8 +202,8 @@
     }
 }
 
-/// The time from the end of the event until every set of the further losses that have to be borne leaves a majority
-/// and a copy of all that was acknowledged, from then on for as long as is watched.
+/// The time from the end of the event until every set of the losses that have to be tolerated leaves a majority and a
+/// replica of all that was acknowledged, from then on for as long as is watched.
 pub fn window(change: Change, machines: usize, seed: u64) -> Result<Millis, String> {
     window_in(&mut World::new(setup(machines, seed)), change)
 }
@@ -221,37 +221,37 @@
     let machines = world.setup.machines;
     world.play_to(CALM)?;
     let all = &[];
-    if !world.bears(tolerated(machines), all) {
-        return Err(world.describe("too few losses are borne before the change".into()));
+    if !world.tolerates(tolerated(machines), all) {
+        return Err(world.describe("too few losses are tolerated before the change".into()));
     }
-    let script = Script::drawn(change, world);
-    let further = change.further_losses(machines);
+    let script = Script::random(change, world);
+    let losses_to_tolerate = change.losses_to_tolerate(machines);
     let end = script.watched_until();
     let mut leaving: Vec<usize> = Vec::new();
     let mut steps = script.steps.into_iter().peekable();
-    let mut borne_from = script.ends_at;
+    let mut tolerated_from = script.ends_at;
     while world.now < end {
         let next = world.now + SAMPLE_EVERY;
         let due = steps.peek().map_or(next, |(at, _)| next.min(*at));
         world.play_to(due)?;
         while let Some((_, step)) = steps.next_if(|(at, _)| *at <= due) {
-            world.takes(step, &mut leaving);
+            world.execute_step(step, &mut leaving);
         }
-        if world.now >= script.ends_at && !world.bears(further, &leaving) {
-            borne_from = world.now + SAMPLE_EVERY;
+        if world.now >= script.ends_at && !world.tolerates(losses_to_tolerate, &leaving) {
+            tolerated_from = world.now + SAMPLE_EVERY;
         }
     }
-    if borne_from > end {
+    if tolerated_from > end {
         return Err(world.describe(format!(
-            "{change:?} of {machines}: losses are not borne in the end"
+            "{change:?} of {machines}: losses are not tolerated in the end"
         )));
     }
     world.check_complete(MAX_BEHIND)?;
-    Ok(borne_from - script.ends_at)
+    Ok(tolerated_from - script.ends_at)
 }
 
 impl World {
-    fn takes(&mut self, step: Step, leaving: &mut Vec<usize>) {
+    fn execute_step(&mut self, step: Step, leaving: &mut Vec<usize>) {
         self.trace_event(|| format!("{step:?}"));
         match step {
             Step::End {
@@ -281,9 +281,9 @@
         }
     }
 
-    /// Whether any `losses` of the running machines may go, and those that are leaving with them, without the end of
-    /// the core.
-    fn bears(&self, losses: usize, leaving: &[usize]) -> bool {
+    /// Whether any `losses` of the running machines may be lost, and those that are leaving with them, without the end
+    /// of the core.
+    fn tolerates(&self, losses: usize, leaving: &[usize]) -> bool {
         let there: Vec<usize> = self
             .running()
             .into_iter()
@@ -300,7 +300,7 @@
         rests.all(|left| self.is_enough(&left))
     }
 
-    /// Whether these machines alone can decide on the next view, and one of them may head it and holds all that was
+    /// Whether these machines alone can decide on the next view, and one of them may head it and has all that was
     /// acknowledged. Counts what is on their disks.
     fn is_enough(&self, left: &[usize]) -> bool {
         let Some(newest) = self.newest_view() else {
@@ -338,14 +338,14 @@
             .any(|voter| disk(voter).synced_view == view.number);
         let in_chain = voters.iter().any(|voter| view.in_chain(&self.id(*voter)));
         let enough = if synced_now { view.number } else { base };
-        let holds = |voter: &usize| {
+        let verify = |voter: &usize| {
             disk(voter).synced_view >= enough
                 && end_of_log(disk(voter)) >= self.committed_count() as u64
         };
-        (synced_now || in_chain) && voters.iter().any(holds)
+        (synced_now || in_chain) && voters.iter().any(verify)
     }
 
-    /// The base of a view, if the view is on any disk, be it decided or as a vote.
+    /// The base of a view, if the view is on any disk, be it decided or accepted.
     fn base_of(&self, number: u64) -> Option<u64> {
         let decided = self
             .machines
@@ -380,7 +380,7 @@
         let members = of
             .iter()
             .enumerate()
-            .filter(|(place, _)| bits & 1 << place != 0);
+            .filter(|(index, _)| bits & 1 << index != 0);
         members.map(|(_, machine)| *machine).collect()
     };
     (0..1_u32 << of.len())
--- a/crates/serving/chain-replication/tests/world/faults.rs
+++ b/crates/serving/chain-replication/tests/world/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and a seeded plan of it.
+//! Faults, and seeded schedules of them.
 
 use super::{Setup, World};
 use dunespur_chain_replication::{Input, Millis};
@@ -11,7 +11,7 @@
         machine: usize,
         back_after: Millis,
     },
-    /// Power is lost without a word.
+    /// Power is lost; no connection is reset.
     PowerLoss {
         machine: usize,
         back_after: Millis,
@@ -21,7 +21,7 @@
         machine: usize,
         back_after: Millis,
     },
-    /// The machine is gone for good and another, with another name and address, comes.
+    /// The machine is lost for good and another starts, with another name and address.
     Replace {
         machine: usize,
         back_after: Millis,
@@ -50,7 +50,7 @@
         one: usize,
         other: usize,
     },
-    /// The machine asks to be put out, then ends and comes back.
+    /// The machine requests to leave, then ends and restarts.
     Leave {
         machine: usize,
         back_after: Millis,
@@ -129,11 +129,11 @@
     }
 }
 
-/// After a loss of a disk, and before one, this long without other trouble: what is lost at once stays bounded.
+/// After a loss of a disk, and before one, this long without other faults: what is lost at once stays bounded.
 const CATCH_UP: Millis = 4_200;
 const FIRST_FAULT: Millis = 2_500;
 
-/// A plan of troubles, and when the last of them is over.
+/// Faults with their times, and when the last of them ends.
 pub struct Schedule {
     pub faults: Vec<(Millis, Fault)>,
     pub ends_at: Millis,
@@ -147,7 +147,7 @@
     ends_at: Millis,
 }
 
-/// Rounds of trouble: some with any mixture that leaves the disks, some that take disks within what must be borne.
+/// Phases of faults: some with any mixture that leaves the disks, some that lose disks within what must be tolerated.
 pub fn schedule(setup: &Setup, phases: usize) -> Schedule {
     let mut planner = Planner {
         rng: Rng::with_seed(setup.seed ^ 0x5EED),
@@ -169,14 +169,14 @@
     }
 }
 
-/// How long a storm lasts, and the longest time between two of its troubles.
+/// How long a storm lasts, and the longest time between two of its faults.
 const STORM_LASTS: Millis = 12_000;
 const EARLIEST_STORM: Millis = 350;
 const STORM_GAP: Millis = 350;
-/// Few of its troubles last longer than it takes to notice them.
+/// Few of its faults last longer than it takes to detect them.
 const STORM_FAULT: Millis = 1_300;
 
-/// Short troubles one upon the other, so that changes of view run into each other. Disks stay.
+/// Short faults one upon the other, so that changes of view overlap. Disks stay.
 pub fn storm(setup: &Setup) -> Schedule {
     let mut planner = Planner {
         rng: Rng::with_seed(setup.seed ^ 0x5707),
@@ -185,7 +185,7 @@
         faults: Vec::new(),
         ends_at: FIRST_FAULT,
     };
-    // Some storms meet the founding.
+    // Some storms overlap the bootstrap.
     let mut at = if setup.seed % 4 == 1 {
         EARLIEST_STORM
     } else {
@@ -205,7 +205,7 @@
 }
 
 impl Planner {
-    /// One trouble of a storm.
+    /// One fault of a storm.
     fn storm_fault(&mut self, at: Millis) {
         let machine = self.any();
         let other = self.any();
@@ -266,7 +266,7 @@
         self.ends_at = self.ends_at.max(at);
     }
 
-    /// A short while: mostly around the protocol's own times.
+    /// A duration, mostly around the protocol's own timeouts.
     fn draw_duration(&mut self) -> Millis {
         match self.rng.u32(0..3) {
             0 => self.rng.u64(5..200),
@@ -389,7 +389,7 @@
         }
     }
 
-    /// Disks are lost, no more of them than must be borne, sometimes while all others are killed or lose power.
+    /// Disks are lost, no more of them than must be tolerated, sometimes while all others are killed or lose power.
     fn lose_disks(&mut self) {
         let at = self.ends_at + CATCH_UP + self.rng.u64(0..500);
         let borne = (self.reported.len() - 1) / 2;
@@ -436,16 +436,16 @@
                 );
             }
         }
-        // The newcomers count as lost for this long.
+        // The replacements count as lost for this long.
         self.ends_at += CATCH_UP;
     }
 }
 
-/// How long after the last trouble a write must have been committed, and everyone must be back in the chain.
+/// How long after the last fault a write must have been committed, and everyone must be back in the chain.
 const WRITABLE_AFTER: Millis = 5_000;
 const COMPLETE_AFTER: Millis = 9_000;
 
-/// What went on in a world.
+/// Counts of what happened in a world.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Played {
     pub acknowledged: u64,
@@ -454,7 +454,7 @@
     pub snapshots_installed: u64,
 }
 
-/// Plays a schedule and checks that the core is writable and whole in the end.
+/// Plays a schedule and checks that the core is writable and complete in the end.
 pub fn play(setup: Setup, plan: Schedule) -> Result<Played, String> {
     play_in(&mut World::new(setup), plan)
 }
@@ -471,7 +471,7 @@
     }
     world.play_to(plan.ends_at + WRITABLE_AFTER)?;
     if world.fresh_committed_at.is_none() {
-        return Err(world.describe("nothing was committed after the last trouble".into()));
+        return Err(world.describe("nothing was committed after the last fault".into()));
     }
     world.play_to(plan.ends_at + COMPLETE_AFTER)?;
     world.check_complete(20)?;
