--- a/crates/serving/chain-replication/src/durable.rs
+++ b/crates/serving/chain-replication/src/durable.rs
@@ -79,6 +79,13 @@
         *self == DurableState::default()
     }
 
+    /// The end of the snapshot; the beginning of the log if there is none.
+    #[must_use]
+    pub fn snapshot_position(&self) -> Position {
+        let snapshot = self.snapshot.as_ref();
+        snapshot.map_or_else(Position::default, |snapshot| snapshot.position)
+    }
+
     /// What is on disk after one more write: this defines the meaning of each.
     pub fn apply(&mut self, write: &Write) {
         match write {
--- a/crates/serving/chain-replication/src/failure_detector.rs
+++ b/crates/serving/chain-replication/src/failure_detector.rs
@@ -86,6 +86,15 @@
 }
 
 impl FailureDetector {
+    /// At the start of a process, in the view that was found on disk.
+    pub(crate) fn new(view: Option<&View>, me: &MemberId, now: Millis) -> FailureDetector {
+        let mut detector = FailureDetector::default();
+        if let Some(view) = view {
+            detector.install_view(None, view, me, now);
+        }
+        detector
+    }
+
     fn peer(&self, id: &MemberId) -> Option<&PeerState> {
         self.peers.iter().find(|peer| peer.id == *id)
     }
--- a/crates/serving/chain-replication/src/member/mod.rs
+++ b/crates/serving/chain-replication/src/member/mod.rs
@@ -154,16 +154,11 @@
         let incarnation = random.next();
         let timestamp_base = draw_timestamp_base(&mut random);
         let last_read_request = random.next();
-        let start = durable
-            .snapshot
-            .as_ref()
-            .map_or_else(Default::default, |snapshot| snapshot.position);
+        let start = durable.snapshot_position();
+        let installed = durable.decided.as_ref().map(|decided| &decided.view);
+        let failure_detector = FailureDetector::new(installed, &config.peer.id, now);
         let log = Log::restore(start, durable.entries);
         let persisted_index = log.last().index;
-        let mut failure_detector = FailureDetector::default();
-        if let Some(decided) = &durable.decided {
-            failure_detector.install_view(None, &decided.view, &config.peer.id, now);
-        }
         let mut member = Member {
             me: config.peer,
             may_bootstrap: config.may_bootstrap,
--- a/crates/serving/chain-replication/tests/encodings.rs
+++ b/crates/serving/chain-replication/tests/encodings.rs
@@ -194,17 +194,14 @@
     }
 }
 
+/// A value of each variant.
 fn messages() -> Vec<Message> {
-    let chunk = SnapshotChunk {
-        descriptor: descriptor(),
-        offset: 1_033,
-        bytes: payload(),
-    };
-    let progress = SnapshotProgress {
-        descriptor: descriptor(),
-        received: 1_034,
-        rejected: true,
-    };
+    let mut messages = agreement_messages();
+    messages.extend(chain_messages());
+    messages
+}
+
+fn agreement_messages() -> Vec<Message> {
     vec![
         Message::Bootstrap { view: view() },
         Message::Join {
@@ -229,6 +226,21 @@
             view: 1_035,
             proposal_number: proposal_number(),
         },
+    ]
+}
+
+fn chain_messages() -> Vec<Message> {
+    let chunk = SnapshotChunk {
+        descriptor: descriptor(),
+        offset: 1_033,
+        bytes: payload(),
+    };
+    let progress = SnapshotProgress {
+        descriptor: descriptor(),
+        received: 1_034,
+        rejected: true,
+    };
+    vec![
         Message::Append(append()),
         Message::Resume(resume()),
         Message::FetchCommitted(resume()),
--- a/crates/serving/chain-replication/tests/member.rs
+++ b/crates/serving/chain-replication/tests/member.rs
@@ -604,12 +604,12 @@
     driven.now += FREEZE;
     for node in [1, 2] {
         driven.receive(node, Message::Ping(ping(node, Some(timestamp))));
-        assert!(!driven.has_quorum(), "by what m{node} said before");
+        assert!(!driven.has_quorum(), "by what m{node} sent before");
         assert!(!driven.member.is_up_to_date(driven.now));
     }
     let timestamp = driven.timestamp();
     driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
-    assert!(driven.has_quorum(), "by what was said since");
+    assert!(driven.has_quorum(), "by what was sent since");
 }
 
 #[test]
@@ -682,7 +682,7 @@
     assert!(driven.has_quorum());
     assert!(
         !driven.member.is_up_to_date(driven.now),
-        "what it holds may have been committed long ago"
+        "what is in its log may have been committed long ago"
     );
     driven.receive(1, Message::Committed { view: 1, index: 0 });
     assert!(!driven.member.is_up_to_date(driven.now));
--- a/crates/serving/chain-replication/tests/reconfiguration.rs
+++ b/crates/serving/chain-replication/tests/reconfiguration.rs
@@ -234,7 +234,7 @@
     case.apply(peer(1, 2), false);
     assert!(
         case.plan().expect("a plan").is_in_force(&case.view),
-        "the disk before is still heard"
+        "the earlier disk is still reachable"
     );
     case.lose(1);
     let plan = case.plan().expect("a plan");
--- a/crates/serving/chain-replication/tests/snapshot_chunks.rs
+++ b/crates/serving/chain-replication/tests/snapshot_chunks.rs
@@ -6,7 +6,7 @@
 };
 use dunespur_chain_replication::{
     DecidedView, DurableState, Entry, Input, Member, MemberConfig, MemberId, Message, Origin,
-    Output, Payload, Peer, Position, Snapshot, View, Write,
+    Output, Payload, Peer, Position, Snapshot, SnapshotRejection, SnapshotRejections, View, Write,
 };
 
 const NOW: u64 = 10_000;
@@ -103,7 +103,7 @@
         self.chunk_from(0, chunk).expect("an answer")
     }
 
-    fn on_install(&self) -> Option<(u64, Vec<u8>)> {
+    fn installed(&self) -> Option<(u64, Vec<u8>)> {
         self.outputs.iter().find_map(|output| match output {
             Output::InstallSnapshot { index, bytes } => Some((*index, bytes.clone())),
             _ => None,
@@ -142,7 +142,7 @@
                 } => Some(resume.last.index),
                 _ => None,
             });
-            attached.expect("it asks again")
+            attached.expect("it requests again")
         })
     }
 }
@@ -183,7 +183,7 @@
     let snapshot = state(1_000);
     let first = receiver.chunk(chunk(&snapshot, 0, 600));
     assert_eq!((first.received, first.rejected), (600, false));
-    assert!(receiver.on_install().is_none() && receiver.writes().is_empty());
+    assert!(receiver.installed().is_none() && receiver.writes().is_empty());
     assert_eq!(
         receiver.log_end(),
         LOG_END,
@@ -192,14 +192,14 @@
     let last = receiver.chunk(chunk(&snapshot, 600, 1_000));
     assert_eq!((last.received, last.rejected), (1_000, false));
     assert_eq!(
-        receiver.on_install(),
+        receiver.installed(),
         Some((POSITION.index, snapshot.bytes.to_vec()))
     );
     let writes = receiver.writes();
     assert!(writes.contains(&Write::Snapshot { snapshot }));
     assert!(
         writes.contains(&Write::Synced { view: 0 }),
-        "it holds what no view needs until the rest has come"
+        "its log is complete as of no view until the rest has come"
     );
     assert!(!receiver.member.is_up_to_date(NOW));
 }
@@ -219,7 +219,7 @@
     assert_eq!(receiver.chunk(chunk(&snapshot, 400, 700)).received, 700);
     assert_eq!(receiver.chunk(chunk(&snapshot, 700, 1_000)).received, 1_000);
     assert_eq!(
-        receiver.on_install(),
+        receiver.installed(),
         Some((POSITION.index, snapshot.bytes.to_vec()))
     );
 }
@@ -238,100 +238,105 @@
     assert_eq!(receiver.chunk(chunk(&other, 0, 600)).received, 600);
     receiver.chunk(chunk(&other, 600, 1_000));
     assert_eq!(
-        receiver.on_install(),
+        receiver.installed(),
         Some((POSITION.index, other.bytes.to_vec()))
     );
 }
 
+/// A chunk that is to be rejected.
+struct Rejected {
+    name: &'static str,
+    length: u64,
+    offset: u64,
+    bytes: usize,
+    reason: SnapshotRejection,
+}
+
+const REJECTED: [Rejected; 6] = [
+    Rejected {
+        name: "too large",
+        length: MAX_SNAPSHOT_BYTES + 1,
+        offset: 0,
+        bytes: 10,
+        reason: SnapshotRejection::TooLarge,
+    },
+    Rejected {
+        name: "empty",
+        length: 1_000,
+        offset: 0,
+        bytes: 0,
+        reason: SnapshotRejection::ChunkOutOfBounds,
+    },
+    Rejected {
+        name: "beyond the end",
+        length: 1_000,
+        offset: 990,
+        bytes: 11,
+        reason: SnapshotRejection::ChunkOutOfBounds,
+    },
+    Rejected {
+        name: "an offset that overflows",
+        length: 1_000,
+        offset: u64::MAX,
+        bytes: 11,
+        reason: SnapshotRejection::ChunkOutOfBounds,
+    },
+    Rejected {
+        name: "a chunk that is too large",
+        length: MAX_SNAPSHOT_BYTES,
+        offset: 0,
+        bytes: SNAPSHOT_CHUNK_BYTES + 1,
+        reason: SnapshotRejection::ChunkOutOfBounds,
+    },
+    Rejected {
+        name: "corrupted",
+        length: 1_000,
+        offset: 0,
+        bytes: 1_000,
+        reason: SnapshotRejection::ChecksumMismatch,
+    },
+];
+
+/// How often each reason was counted.
+fn counts(rejections: SnapshotRejections) -> [u64; 3] {
+    [
+        rejections.too_large,
+        rejections.chunk_out_of_bounds,
+        rejections.checksum_mismatch,
+    ]
+}
+
+fn counted_once(reason: SnapshotRejection) -> [u64; 3] {
+    match reason {
+        SnapshotRejection::TooLarge => [1, 0, 0],
+        SnapshotRejection::ChunkOutOfBounds => [0, 1, 0],
+        SnapshotRejection::ChecksumMismatch => [0, 0, 1],
+    }
+}
+
 /// Rejected with its reason, counted, and nothing that was received before is lost by it.
 #[test]
 fn chunks_that_do_not_fit_are_rejected() {
-    let snapshot = state(1_000);
-    let descriptor = SnapshotDescriptor::of(&snapshot);
-    let bytes = |count: usize| Payload::from(vec![1; count]);
-    let too_large = SnapshotDescriptor {
-        length: MAX_SNAPSHOT_BYTES + 1,
-        ..descriptor
-    };
-    let large = SnapshotDescriptor {
-        length: MAX_SNAPSHOT_BYTES,
-        ..descriptor
-    };
-    let cases = [
-        (
-            "too large",
-            SnapshotChunk {
-                descriptor: too_large,
-                offset: 0,
-                bytes: bytes(10),
-            },
-            (1, 0, 0),
-        ),
-        (
-            "empty",
-            SnapshotChunk {
-                descriptor,
-                offset: 0,
-                bytes: bytes(0),
-            },
-            (0, 1, 0),
-        ),
-        (
-            "beyond the end",
-            SnapshotChunk {
-                descriptor,
-                offset: 990,
-                bytes: bytes(11),
-            },
-            (0, 1, 0),
-        ),
-        (
-            "an offset that runs over",
-            SnapshotChunk {
-                descriptor,
-                offset: u64::MAX,
-                bytes: bytes(11),
-            },
-            (0, 1, 0),
-        ),
-        (
-            "a chunk that is too large",
-            SnapshotChunk {
-                descriptor: large,
-                offset: 0,
-                bytes: bytes(SNAPSHOT_CHUNK_BYTES + 1),
-            },
-            (0, 1, 0),
-        ),
-        (
-            "corrupted",
-            SnapshotChunk {
-                descriptor,
-                offset: 0,
-                bytes: bytes(1_000),
-            },
-            (0, 0, 1),
-        ),
-    ];
-    for (what, chunk, counts) in cases {
+    let descriptor = SnapshotDescriptor::of(&state(1_000));
+    for case in REJECTED {
+        let name = case.name;
         let mut receiver = Receiver::new();
-        let answer = receiver.chunk(chunk);
-        assert!(answer.rejected, "{what}");
+        let answer = receiver.chunk(SnapshotChunk {
+            descriptor: SnapshotDescriptor {
+                length: case.length,
+                ..descriptor
+            },
+            offset: case.offset,
+            bytes: Payload::from(vec![1; case.bytes]),
+        });
+        assert!(answer.rejected, "{name}");
         assert!(
-            receiver.on_install().is_none() && receiver.writes().is_empty(),
-            "{what}"
-        );
-        let refusals = receiver.member.snapshot_rejections();
-        assert_eq!(
-            (
-                refusals.too_large,
-                refusals.chunk_out_of_bounds,
-                refusals.checksum_mismatch
-            ),
-            counts,
-            "{what}"
+            receiver.installed().is_none() && receiver.writes().is_empty(),
+            "{name}"
         );
-        assert_eq!(receiver.log_end(), LOG_END, "{what}");
+        let rejections = receiver.member.snapshot_rejections();
+        assert_eq!(counts(rejections), counted_once(case.reason), "{name}");
+        assert_eq!(receiver.log_end(), LOG_END, "{name}");
     }
 }
 
@@ -344,7 +349,7 @@
     assert!(receiver.chunk(corrupted).rejected);
     assert_eq!(receiver.chunk(chunk(&snapshot, 0, 1_000)).received, 1_000);
     assert_eq!(
-        receiver.on_install(),
+        receiver.installed(),
         Some((POSITION.index, snapshot.bytes.to_vec()))
     );
 }
@@ -354,7 +359,7 @@
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
     assert_eq!(receiver.chunk_from(2, chunk(&snapshot, 0, 1_000)), None);
-    assert!(receiver.on_install().is_none());
+    assert!(receiver.installed().is_none());
     assert_eq!(receiver.member.snapshot_rejections().total(), 0);
 }
 
@@ -373,6 +378,6 @@
         (1_000, false),
         "the sender goes on from there"
     );
-    assert!(receiver.on_install().is_none() && receiver.writes().is_empty());
+    assert!(receiver.installed().is_none() && receiver.writes().is_empty());
     assert_eq!(receiver.log_end(), LOG_END);
 }
--- a/crates/serving/chain-replication/tests/snapshots.rs
+++ b/crates/serving/chain-replication/tests/snapshots.rs
@@ -73,10 +73,10 @@
         },
     );
     world.play_to(world.now + 1_001).expect("it comes back");
-    let on_install = world.snapshots_installed;
+    let installed = world.snapshots_installed;
     let took = time_until_complete(&mut world).expect("it catches up");
     assert!(
-        world.snapshots_installed > on_install,
+        world.snapshots_installed > installed,
         "it needed a snapshot"
     );
     took
@@ -115,14 +115,14 @@
         let setup = setup(seed, 10 * MB, FAST_LINK);
         let mut world = grown(setup);
         let machine = (seed / 4) as usize % setup.machines;
-        let on_install = world.snapshots_installed;
+        let installed = world.snapshots_installed;
         world.fault_at(world.now, fault(machine));
         world
             .play_to(world.now + outage_ms + 1)
             .expect("it comes back");
         let took = time_until_complete(&mut world).unwrap_or_else(|text| panic!("{text}"));
         worst = worst.max(took);
-        snapshots += world.snapshots_installed - on_install;
+        snapshots += world.snapshots_installed - installed;
     }
     (worst, snapshots)
 }
@@ -235,16 +235,16 @@
 
 #[test]
 fn corrupted_snapshots_are_not_installed() {
-    let mut on_install = 0;
+    let mut installed = 0;
     for seed in 0..120 {
         let setup = corrupted(seed);
         let play_for_digest =
             play(setup, schedule(&setup, 2)).unwrap_or_else(|text| panic!("{text}"));
-        on_install += play_for_digest.snapshots_installed;
+        installed += play_for_digest.snapshots_installed;
     }
     assert!(
-        on_install > 10,
-        "{on_install} snapshots were installed: the worlds say nothing"
+        installed > 10,
+        "{installed} snapshots were installed: the worlds say nothing"
     );
 }
 
--- a/crates/serving/chain-replication/tests/view_model.rs
+++ b/crates/serving/chain-replication/tests/view_model.rs
@@ -503,6 +503,67 @@
     }
 }
 
+impl State {
+    fn promise(&mut self, by: u8, number: u8, proposal_number: ProposalNumber) {
+        let member = &mut self.members[by as usize];
+        member.promised = proposal_number;
+        let promise = Promise {
+            accepted: member.accepted.clone(),
+            synced_view: member.synced_view,
+            last: (
+                member.log.len() as u8,
+                member.log.last().copied().unwrap_or(0),
+            ),
+        };
+        let messages = self.messages_sent.entry(number).or_default();
+        messages.promises.insert((proposal_number, by), promise);
+    }
+
+    /// None if there is no such proposal.
+    fn accept(&mut self, by: u8, number: u8, proposal_number: ProposalNumber) -> Option<()> {
+        let messages = self.messages_sent.entry(number).or_default();
+        let proposal = messages.accepts.get(&proposal_number)?.clone();
+        messages.votes.push((proposal_number, by));
+        messages.votes.sort_unstable();
+        let member = &mut self.members[by as usize];
+        member.promised = proposal_number;
+        member.accepted = Some((proposal_number, proposal));
+        Some(())
+    }
+
+    /// The member counts as synced, with the log of its predecessor.
+    fn sync(&mut self, member: u8) {
+        let log = Core::upstream(self, member).map(|other| other.log.clone());
+        let own = &mut self.members[member as usize];
+        own.synced_view = own.number();
+        if let Some(log) = log {
+            own.log = log;
+        }
+    }
+
+    /// A learner takes over the tail's log; none if there is nothing to learn.
+    fn learn(&mut self, member: u8) -> Option<()> {
+        let own = &self.members[member as usize];
+        let tail = *own.view.as_ref()?.chain.last()?;
+        let tail = &self.members[tail as usize];
+        let serves = !tail.lost && tail.number() == own.number() && Core::is_synced(tail);
+        if !serves || own.log.starts_with(&tail.log) {
+            return None;
+        }
+        let log = tail.log.clone();
+        self.members[member as usize].log = log;
+        Some(())
+    }
+
+    fn lose(&mut self, member: u8, for_good: bool) {
+        self.members[member as usize] = Member {
+            lost: for_good,
+            ..Member::default()
+        };
+        self.losses += 1;
+    }
+}
+
 impl Model for Core {
     type State = State;
     type Action = Action;
@@ -543,70 +604,36 @@
         }
     }
 
-    fn next_state(&self, before: &State, act: Action) -> Option<State> {
+    fn next_state(&self, before: &State, action: Action) -> Option<State> {
         let mut state = before.clone();
-        match act {
+        match action {
             Action::Promise {
                 by,
                 number,
                 proposal_number,
-            } => {
-                let member = &mut state.members[by as usize];
-                member.promised = proposal_number;
-                let promise = Promise {
-                    accepted: member.accepted.clone(),
-                    synced_view: member.synced_view,
-                    last: (
-                        member.log.len() as u8,
-                        member.log.last().copied().unwrap_or(0),
-                    ),
-                };
-                state
-                    .messages_sent
-                    .entry(number)
-                    .or_default()
-                    .promises
-                    .insert((proposal_number, by), promise);
-            }
+            } => state.promise(by, number, proposal_number),
             Action::Propose {
                 proposer,
                 members,
                 chain,
             } => {
                 let proposal = Core::proposal(&state, proposer, &members, &chain)?;
-                state
-                    .messages_sent
-                    .entry(proposal.number)
-                    .or_default()
-                    .accepts
-                    .insert(proposer + 1, proposal);
+                let messages = state.messages_sent.entry(proposal.number).or_default();
+                messages.accepts.insert(proposer + 1, proposal);
             }
             Action::Vote {
                 by,
                 number,
                 proposal_number,
             } => {
-                let messages_sent = state.messages_sent.entry(number).or_default();
-                let proposal = messages_sent.accepts.get(&proposal_number)?.clone();
-                messages_sent.votes.push((proposal_number, by));
-                messages_sent.votes.sort_unstable();
-                let member = &mut state.members[by as usize];
-                member.promised = proposal_number;
-                member.accepted = Some((proposal_number, proposal));
+                state.accept(by, number, proposal_number)?;
                 Core::decide(&mut state, number, proposal_number);
             }
             Action::InstallView { by, decided } => {
                 let decided = state.decided[decided].clone();
                 state.members[by as usize].install(&decided);
             }
-            Action::Sync { member } => {
-                let log = Core::upstream(&state, member).map(|other| other.log.clone());
-                let own = &mut state.members[member as usize];
-                own.synced_view = own.number();
-                if let Some(log) = log {
-                    own.log = log;
-                }
-            }
+            Action::Sync { member } => state.sync(member),
             Action::Write { head } => {
                 let own = &mut state.members[head as usize];
                 let number = own.number();
@@ -618,28 +645,9 @@
                 let entry = Core::upstream(&state, to)?.log[own];
                 state.members[to as usize].log.push(entry);
             }
-            Action::Learn { member } => {
-                let own = &state.members[member as usize];
-                let tail = *own.view.as_ref()?.chain.last()?;
-                let tail = &state.members[tail as usize];
-                let there = !tail.lost && tail.number() == own.number() && Core::is_synced(tail);
-                if !there || own.log.starts_with(&tail.log) {
-                    return None;
-                }
-                let log = tail.log.clone();
-                state.members[member as usize].log = log;
-            }
-            Action::Lose { member } => {
-                state.members[member as usize] = Member {
-                    lost: true,
-                    ..Member::default()
-                };
-                state.losses += 1;
-            }
-            Action::Wipe { member } => {
-                state.members[member as usize] = Member::default();
-                state.losses += 1;
-            }
+            Action::Learn { member } => state.learn(member)?,
+            Action::Lose { member } => state.lose(member, true),
+            Action::Wipe { member } => state.lose(member, false),
         }
         Core::commit(&mut state);
         (state != *before).then_some(state)
--- a/crates/serving/chain-replication/tests/world/faults.rs
+++ b/crates/serving/chain-replication/tests/world/faults.rs
@@ -141,7 +141,7 @@
 
 struct Planner {
     rng: Rng,
-    reported: Vec<usize>,
+    available: Vec<usize>,
     machines: usize,
     faults: Vec<(Millis, Fault)>,
     ends_at: Millis,
@@ -151,7 +151,7 @@
 pub fn schedule(setup: &Setup, phases: usize) -> Schedule {
     let mut planner = Planner {
         rng: Rng::with_seed(setup.seed ^ 0x5EED),
-        reported: (0..setup.machines).collect(),
+        available: (0..setup.machines).collect(),
         machines: setup.machines,
         faults: Vec::new(),
         ends_at: FIRST_FAULT,
@@ -180,7 +180,7 @@
 pub fn storm(setup: &Setup) -> Schedule {
     let mut planner = Planner {
         rng: Rng::with_seed(setup.seed ^ 0x5707),
-        reported: (0..setup.machines).collect(),
+        available: (0..setup.machines).collect(),
         machines: setup.machines,
         faults: Vec::new(),
         ends_at: FIRST_FAULT,
@@ -258,7 +258,7 @@
     }
 
     fn any(&mut self) -> usize {
-        self.reported[self.rng.usize(..self.reported.len())]
+        self.available[self.rng.usize(..self.available.len())]
     }
 
     fn push(&mut self, at: Millis, fault: Fault) {
@@ -305,23 +305,7 @@
                 },
                 lasts,
             ),
-            2 => {
-                for machine in self.reported.clone() {
-                    let back_after = 100 + self.rng.u64(0..900);
-                    let fault = if self.rng.bool() {
-                        Fault::Kill {
-                            machine,
-                            back_after,
-                        }
-                    } else {
-                        Fault::PowerLoss {
-                            machine,
-                            back_after,
-                        }
-                    };
-                    self.ends(at, fault, back_after);
-                }
-            }
+            2 => self.end_all(at),
             3 | 4 => {
                 self.push(at, Fault::Freeze { machine });
                 self.push(at + lasts, Fault::Thaw { machine });
@@ -361,6 +345,25 @@
         }
     }
 
+    /// All processes end at once, some with their power.
+    fn end_all(&mut self, at: Millis) {
+        for machine in self.available.clone() {
+            let back_after = 100 + self.rng.u64(0..900);
+            let fault = if self.rng.bool() {
+                Fault::Kill {
+                    machine,
+                    back_after,
+                }
+            } else {
+                Fault::PowerLoss {
+                    machine,
+                    back_after,
+                }
+            };
+            self.ends(at, fault, back_after);
+        }
+    }
+
     fn ends(&mut self, at: Millis, fault: Fault, lasts: Millis) {
         self.push(at, fault);
         self.ends_at = self.ends_at.max(at + lasts);
@@ -384,7 +387,7 @@
     }
 
     fn isolate(&mut self, at: Millis, lasts: Millis, machine: usize, outward: bool, inward: bool) {
-        for other in self.reported.clone() {
+        for other in self.available.clone() {
             self.partition_for(at, lasts, machine, other, outward, inward);
         }
     }
@@ -392,9 +395,9 @@
     /// Disks are lost, no more of them than must be tolerated, sometimes while all others are killed or lose power.
     fn lose_disks(&mut self) {
         let at = self.ends_at + CATCH_UP + self.rng.u64(0..500);
-        let borne = (self.reported.len() - 1) / 2;
+        let borne = (self.available.len() - 1) / 2;
         let lost = self.rng.usize(1..=borne);
-        let mut rest = self.reported.clone();
+        let mut rest = self.available.clone();
         self.rng.shuffle(&mut rest);
         let victims = rest.split_off(rest.len() - lost);
         for machine in victims {
@@ -410,8 +413,8 @@
                 );
                 let joiner = self.machines;
                 self.machines += 1;
-                self.reported.retain(|other| *other != machine);
-                self.reported.push(joiner);
+                self.available.retain(|other| *other != machine);
+                self.available.push(joiner);
             } else {
                 self.ends(
                     at,
--- a/crates/serving/chain-replication/tests/world/requests.rs
+++ b/crates/serving/chain-replication/tests/world/requests.rs
@@ -94,7 +94,7 @@
         let known =
             process.submitted.remove(&ticket).is_some() | process.reads.remove(&ticket).is_some();
         if !known {
-            self.breaks(format!("m{index} drops {ticket}, which it doesn't hold"));
+            self.breaks(format!("m{index} drops {ticket}, which isn't pending"));
         }
     }
 }
