--- a/crates/gateway/voter-storage/tests/compatibility.rs
+++ b/crates/gateway/voter-storage/tests/compatibility.rs
@@ -1,10 +1,10 @@
 //! A voter's file stays readable: its records have the bytes that revision 52a1591 wrote, and a file of that revision
 //! opens with everything in it found by value. That revision wrote the files under `tests/fixtures`.
 
-mod common;
-
-use common::TemporaryFolder;
-use dunespur_singleton_roles::log::{Batch, Conf, Entry, Hard, Meta, Saved, Seen, Snap};
+use dunespur_singleton_roles::raft_types::{Entry, HardState, Snapshot, VoterConfig};
+use dunespur_singleton_roles::records::{DiskMeta, DiskProgress, DiskState, WriteBatch};
+use dunespur_singleton_roles::table::GroupMember;
+use dunespur_test_fixtures::{hex, Fixtures, TemporaryFolder};
 use dunespur_voter_storage::{OpenedVoter, VoterStorage};
 use redb::{Database, Key, ReadableTable, TableDefinition, Value};
 use std::collections::BTreeMap;
@@ -13,40 +13,16 @@
 
 const HEAD: TableDefinition<&str, &[u8]> = TableDefinition::new("head");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// With this variable in the environment the fixtures are written instead of read (with `--test-threads=1`).
-const WRITE_FIXTURES: &str = "WRITE_FIXTURES";
-/// Length of the blocks by which a packed fixture has its file.
-const BLOCK_BYTES: usize = 512;
 const FLEET: &str = "fleet-1";
 const NAME: &str = "limiter-2";
 
-fn fixture_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/fixtures")
-        .join(name)
-}
-
-/// Each run of equal blocks as one of them behind their number, which is little-endian.
-fn packed(file: &[u8]) -> Vec<u8> {
-    let blocks: Vec<&[u8]> = file.chunks(BLOCK_BYTES).collect();
-    let runs = blocks.chunk_by(|one, next| one == next);
-    runs.flat_map(|run| [&(run.len() as u32).to_le_bytes()[..], run[0]].concat())
-        .collect()
-}
-
-fn unpacked(packed: &[u8]) -> Vec<u8> {
-    let mut file = Vec::new();
-    for run in packed.chunks(4 + BLOCK_BYTES) {
-        let (count, block) = run
-            .split_first_chunk::<4>()
-            .expect("a run's number of blocks");
-        file.extend(block.repeat(u32::from_le_bytes(*count) as usize));
-    }
-    file
+fn fixtures() -> Fixtures {
+    Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+/// The voter's file in a folder.
+fn file(folder: &TemporaryFolder) -> PathBuf {
+    folder.file("voter.redb")
 }
 
 fn dump<K: Key + 'static, V: Value + 'static>(
@@ -86,77 +62,83 @@
 }
 
 /// All that the fixture contains, each field with a value of its own.
-fn batches() -> Vec<Batch> {
-    let seen = |number: u64| Seen {
+fn batches() -> Vec<WriteBatch> {
+    let seen = |number: u64| DiskProgress {
         starts: number + 1,
         nonce: number + 2,
         term: number + 3,
-        last: number + 4,
+        last_index: number + 4,
     };
-    let meta = Meta {
+    let meta = DiskMeta {
         disk: 1_001,
         starts: 1_002,
         group: Some(vec![
-            (1_003, "limiter-2".to_owned()),
-            (1_004, "limiter-3".to_owned()),
+            GroupMember {
+                disk: 1_003,
+                name: "limiter-2".to_owned(),
+            },
+            GroupMember {
+                disk: 1_004,
+                name: "limiter-3".to_owned(),
+            },
         ]),
-        seen: BTreeMap::from([(1_005, seen(2_000)), (1_006, seen(3_000))]),
+        peers: BTreeMap::from([(1_005, seen(2_000)), (1_006, seen(3_000))]),
     };
-    let conf = Conf {
+    let conf = VoterConfig {
         voters: vec![1_011, 1_012],
         outgoing: vec![1_013],
         learners: vec![1_014],
         learners_next: vec![1_015],
         auto_leave: true,
     };
-    let snap = Snap {
+    let snap = Snapshot {
         index: 2,
         term: 1_021,
-        conf,
+        config: conf,
         data: vec![21, 22, 23],
     };
-    let hard = Hard {
+    let hard = HardState {
         term: 1_031,
         vote: 1_032,
         commit: 1_033,
     };
     vec![
-        Batch {
+        WriteBatch {
             number: 1,
-            meta: Some(Meta {
+            meta: Some(DiskMeta {
                 disk: 1,
-                ..Meta::default()
+                ..DiskMeta::default()
             }),
-            ..Batch::default()
+            ..WriteBatch::default()
         },
-        Batch {
+        WriteBatch {
             number: 2,
             wipe: true,
             meta: Some(meta),
-            ..Batch::default()
+            ..WriteBatch::default()
         },
-        Batch {
+        WriteBatch {
             number: 3,
             entries: (1..=4).map(|index| entry(0, index)).collect(),
-            ..Batch::default()
+            ..WriteBatch::default()
         },
-        Batch {
+        WriteBatch {
             number: 4,
-            hard: Some(hard),
-            snap: Some(snap),
-            ..Batch::default()
+            hard_state: Some(hard),
+            snapshot: Some(snap),
+            ..WriteBatch::default()
         },
-        Batch {
+        WriteBatch {
             number: 5,
             entries: vec![entry(2, 4), entry(0, 5)],
-            ..Batch::default()
+            ..WriteBatch::default()
         },
     ]
 }
 
 fn write(path: &Path) {
     let OpenedVoter { storage, saved } = VoterStorage::open(path, FLEET, NAME).expect("a new file");
-    assert_eq!(saved, Saved::default());
+    assert_eq!(saved, DiskState::default());
     batches()
         .iter()
         .for_each(|batch| storage.write(batch).expect("the disk takes it"));
@@ -164,59 +146,50 @@
 
 #[test]
 fn records_have_the_bytes_of_the_earlier_revision() {
-    let folder = TemporaryFolder::new("records");
-    write(&folder.file());
-    let records = records(&folder.file());
-    if std::env::var_os(WRITE_FIXTURES).is_some() {
-        fs::write(fixture_path("records.txt"), &records).expect("the fixture is written");
-    }
-    assert_eq!(
-        records,
-        fs::read_to_string(fixture_path("records.txt")).expect("the fixture is there")
-    );
+    let folder = TemporaryFolder::new("voter-records");
+    write(&file(&folder));
+    fixtures().assert_text("records.txt", &records(&file(&folder)));
 }
 
 #[test]
 fn a_file_of_the_earlier_revision_opens_with_all_that_it_contains() {
-    let folder = TemporaryFolder::new("file");
-    let path = folder.file();
-    if std::env::var_os(WRITE_FIXTURES).is_some() {
-        write(&path);
-        let file = fs::read(&path).expect("the file");
-        fs::write(fixture_path("voter.redb.packed"), packed(&file))
-            .expect("the fixture is written");
-    }
-    let fixture = fs::read(fixture_path("voter.redb.packed")).expect("the fixture is there");
-    fs::write(&path, unpacked(&fixture)).expect("a copy of the fixture");
-    assert_eq!(
-        records(&path),
-        fs::read_to_string(fixture_path("records.txt")).expect("the fixture is there")
-    );
+    let folder = TemporaryFolder::new("voter-file");
+    let path = file(&folder);
+    write(&path);
+    fixtures().keep_packed("voter.redb.packed", &path);
+    fixtures().unpack_to("voter.redb.packed", &path);
+    assert_eq!(records(&path), fixtures().text("records.txt"));
 
     let OpenedVoter { saved, .. } =
         VoterStorage::open(&path, FLEET, NAME).expect("the earlier revision's file opens");
-    let mut expected = Saved::default();
-    batches().iter().for_each(|batch| expected.take(batch));
+    let mut expected = DiskState::default();
+    batches().iter().for_each(|batch| expected.apply(batch));
     assert_eq!(saved, expected);
     assert_eq!(
         saved.meta.group,
         Some(vec![
-            (1_003, "limiter-2".to_owned()),
-            (1_004, "limiter-3".to_owned())
+            GroupMember {
+                disk: 1_003,
+                name: "limiter-2".to_owned()
+            },
+            GroupMember {
+                disk: 1_004,
+                name: "limiter-3".to_owned()
+            }
         ])
     );
     assert_eq!(
-        saved.meta.seen[&1_006],
-        Seen {
+        saved.meta.peers[&1_006],
+        DiskProgress {
             starts: 3_001,
             nonce: 3_002,
             term: 3_003,
-            last: 3_004
+            last_index: 3_004
         }
     );
     assert_eq!(
-        saved.hard,
-        Hard {
+        saved.hard_state,
+        HardState {
             term: 1_031,
             vote: 1_032,
             commit: 1_033
@@ -224,9 +197,9 @@
     );
     assert_eq!(
         (
-            saved.snap.index,
-            saved.snap.term,
-            saved.snap.conf.learners_next
+            saved.snapshot.index,
+            saved.snapshot.term,
+            saved.snapshot.config.learners_next
         ),
         (2, 1_021, vec![1_015])
     );
@@ -235,8 +208,8 @@
 
 #[test]
 fn errors_name_the_file_the_cause_and_the_remedy() {
-    let folder = TemporaryFolder::new("errors");
-    let path = folder.file();
+    let folder = TemporaryFolder::new("voter-errors");
+    let path = file(&folder);
     let error = |fleet: &str, name: &str| {
         let error = VoterStorage::open(&path, fleet, name)
             .expect_err("it does not open")
@@ -282,8 +255,8 @@
 
 #[test]
 fn an_entry_at_anothers_index_is_an_error() {
-    let folder = TemporaryFolder::new("index");
-    let path = folder.file();
+    let folder = TemporaryFolder::new("voter-index");
+    let path = file(&folder);
     write(&path);
     let database = Database::open(&path).expect("the library opens it");
     let transaction = database.begin_write().expect("a transaction");
--- a/crates/gateway/voter-storage/tests/restarts.rs
+++ b/crates/gateway/voter-storage/tests/restarts.rs
@@ -1,9 +1,8 @@
 //! What was written is found again after restarts; a file that can't be used is refused.
 
-mod common;
-
-use common::TemporaryFolder;
-use dunespur_singleton_roles::log::{Batch, Entry, Hard, Meta, Saved, Snap};
+use dunespur_singleton_roles::raft_types::{Entry, HardState, Snapshot};
+use dunespur_singleton_roles::records::{DiskMeta, DiskState, WriteBatch};
+use dunespur_test_fixtures::TemporaryFolder;
 use dunespur_voter_storage::{OpenedVoter, VoterStorage};
 
 fn entry(index: u64, term: u64) -> Entry {
@@ -16,52 +15,52 @@
     }
 }
 
-/// What the file has after any sequence of batches is what [`Saved`] has in memory.
+/// What the file has after any sequence of batches is what [`DiskState`] has in memory.
 #[test]
 fn it_has_what_the_form_in_memory_has_over_restarts() {
-    let folder = TemporaryFolder::new("restarts");
+    let folder = TemporaryFolder::new("voter-restarts");
     // The folder is made if it is missing.
-    let path = folder.file().with_file_name("data").join("voter.redb");
-    let mut expected = Saved::default();
-    let snapshot = Snap {
+    let path = folder.file("data").join("voter.redb");
+    let mut expected = DiskState::default();
+    let snapshot = Snapshot {
         index: 2,
         term: 1,
         ..Default::default()
     };
     let batches = [
-        Batch {
+        WriteBatch {
             number: 1,
-            meta: Some(Meta {
+            meta: Some(DiskMeta {
                 disk: 7,
                 starts: 1,
                 ..Default::default()
             }),
             ..Default::default()
         },
-        Batch {
+        WriteBatch {
             number: 2,
             entries: vec![entry(1, 1), entry(2, 1), entry(3, 1)],
             ..Default::default()
         },
-        Batch {
+        WriteBatch {
             number: 3,
             entries: vec![entry(3, 2)],
-            hard: Some(Hard {
+            hard_state: Some(HardState {
                 term: 2,
                 vote: 7,
                 commit: 1,
             }),
             ..Default::default()
         },
-        Batch {
+        WriteBatch {
             number: 4,
-            snap: Some(snapshot),
+            snapshot: Some(snapshot),
             ..Default::default()
         },
-        Batch {
+        WriteBatch {
             number: 5,
             wipe: true,
-            meta: Some(Meta {
+            meta: Some(DiskMeta {
                 disk: 8,
                 ..Default::default()
             }),
@@ -72,7 +71,7 @@
         let OpenedVoter { storage, saved } = VoterStorage::open(&path, "f", "n1").unwrap();
         assert_eq!(saved, expected);
         storage.write(&batch).unwrap();
-        expected.take(&batch);
+        expected.apply(&batch);
     }
     let saved = VoterStorage::open(&path, "f", "n1").unwrap().saved;
     assert_eq!((saved.meta.disk, saved.entries.len()), (8, 0));
@@ -80,8 +79,8 @@
 
 #[test]
 fn it_refuses_another_owner_a_second_process_and_a_damaged_file() {
-    let folder = TemporaryFolder::new("refusals");
-    let path = folder.file();
+    let folder = TemporaryFolder::new("voter-refusals");
+    let path = folder.file("voter.redb");
     let opened = VoterStorage::open(&path, "f", "n1").unwrap();
     assert!(
         VoterStorage::open(&path, "f", "n1").is_err(),
