--- a/crates/serving/chain-replication/src/member/commit.rs
+++ b/crates/serving/chain-replication/src/member/commit.rs
@@ -1,6 +1,6 @@
 //! Commit: what the tail has on disk is committed, and the commit index travels back up the chain.
 
-use super::replicate::Neighbour;
+use super::stage::Neighbour;
 use super::Member;
 use crate::identity::MemberId;
 use crate::log::LogIndex;
--- a/crates/serving/chain-replication/src/member/mod.rs
+++ b/crates/serving/chain-replication/src/member/mod.rs
@@ -10,7 +10,7 @@
 //! 6. `apply`: commits are given out to the caller, in order;
 //! 7. `notify`: the caller learns which submissions and reads have ended, and of views and quorums.
 //!
-//! Beside it: `reads` (linearizable reads), `learn` (members out of the chain), `compact`, `send_snapshot` and
+//! Beside it: `stage` (the role in the chain), `reads` (linearizable reads), `learn` (members out of the chain), `compact`, `send_snapshot` and
 //! `receive_snapshot` (snapshots), `ping` (heartbeats), `join` (bootstrap, joining, leaving), `install` (a new view takes
 //! effect), `observe` (which view there should be), `proposer` and `acceptor` (Paxos on the next view).
 
@@ -33,6 +33,7 @@
 mod receive_snapshot;
 mod replicate;
 mod send_snapshot;
+mod stage;
 mod state;
 
 pub use io::{Input, Output};
@@ -204,7 +205,8 @@
         member
     }
 
-    /// Takes one input at a time that doesn't go back but with the clock; what is to be done is added to `outputs`.
+    /// Handles one input. What is to be done is added to `outputs`, to be carried out in that order. `now` should not go
+    /// back; if it does, the member discards what it knew of its quorum.
     pub fn step(&mut self, input: Input, now: Millis, outputs: &mut Vec<Output>) {
         let previous_step = if self.started { self.now } else { now };
         self.now = now;
