--- a/crates/gateway/gossip-membership/tests/behaviour.rs
+++ b/crates/gateway/gossip-membership/tests/behaviour.rs
@@ -2,11 +2,13 @@
 //! reports, in worlds with losses, partitions, stalls, restarts and departures. That revision wrote the files
 //! under `tests/fixtures`.
 
-use dunespur_gossip_membership::{Member, Membership, Output, Settings};
+mod common;
+
+use common::{address, settings};
+use dunespur_gossip_membership::{Member, Membership, Output};
 use dunespur_test_fixtures::{hex, Fixtures};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
-use std::net::SocketAddrV4;
 
 const SEEDS: u64 = 100;
 const LIMITERS: u16 = 5;
@@ -18,23 +20,6 @@
     Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
-fn address(port: u16) -> SocketAddrV4 {
-    SocketAddrV4::new([127, 0, 0, 1].into(), port)
-}
-
-fn settings() -> Settings {
-    Settings {
-        expected_members: 8,
-        seeds: vec![address(1), address(2)],
-        probe_interval: 1.0,
-        probe_timeout: 0.3,
-        suspicion_timeout: 3.0,
-        gossip_interval: 0.2,
-        rejoin_interval: 5.0,
-        max_datagram_bytes: 1400,
-    }
-}
-
 fn member(port: u16, instance: u64) -> Member {
     Member {
         // Ports beyond the first are second processes of the same names.
@@ -116,7 +101,12 @@
     fn start(&mut self, port: u16, instance: u64) {
         self.limiters.insert(
             port,
-            Membership::new(settings(), member(port, instance), instance, self.now),
+            Membership::new(
+                settings(&[1, 2]),
+                member(port, instance),
+                instance,
+                self.now,
+            ),
         );
     }
 
@@ -259,25 +249,8 @@
 
 #[test]
 fn the_first_datagrams_have_the_bytes_of_the_earlier_revision() {
-    let seeds = vec![address(1)];
-    let mut first = Membership::new(
-        Settings {
-            seeds: seeds.clone(),
-            ..settings()
-        },
-        member(1, 301),
-        7,
-        0.0,
-    );
-    let mut second = Membership::new(
-        Settings {
-            seeds,
-            ..settings()
-        },
-        member(2, 302),
-        8,
-        0.0,
-    );
+    let mut first = Membership::new(settings(&[1]), member(1, 301), 7, 0.0);
+    let mut second = Membership::new(settings(&[1]), member(2, 302), 8, 0.0);
     let mut text = String::new();
     for step in 0..60 {
         let now = f64::from(step) * 0.1;
--- a/crates/gateway/gossip-membership/tests/membership.rs
+++ b/crates/gateway/gossip-membership/tests/membership.rs
@@ -1,33 +1,18 @@
 //! A few limiters on a network with partitions, losses, stalls, restarts and departures: who sees whom.
 
-use dunespur_gossip_membership::{DuplicateName, Member, Membership, Output, Settings};
+mod common;
+
+use common::{address, settings};
+use dunespur_gossip_membership::{DuplicateName, Member, Membership, Output};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::net::SocketAddrV4;
 
 const STEP: f64 = 0.01;
 /// Datagrams that are sent on account of others are delivered so many times over within a step.
 const MAX_DELIVERIES: usize = 10;
 
-fn settings(seeds: &[u16]) -> Settings {
-    Settings {
-        expected_members: 8,
-        seeds: seeds.iter().map(|port| address(*port)).collect(),
-        probe_interval: 1.0,
-        probe_timeout: 0.3,
-        suspicion_timeout: 3.0,
-        gossip_interval: 0.2,
-        rejoin_interval: 5.0,
-        max_datagram_bytes: 1400,
-    }
-}
-
-fn address(port: u16) -> SocketAddrV4 {
-    SocketAddrV4::new([127, 0, 0, 1].into(), port)
-}
-
 fn member(name: &str, instance: u64, port: u16) -> Member {
     Member {
         name: name.into(),
@@ -131,7 +116,7 @@
 }
 
 #[test]
-fn partitions_that_held_each_other_for_down_find_each_other_again() {
+fn partitions_that_took_each_other_for_down_find_each_other_again() {
     let mut world = World::new(6);
     world.run(10.0, perfect);
     assert!((1..=6).all(|port| world.seen_by(port).len() == 5));
--- a/crates/gateway/gossip-membership/tests/settings.rs
+++ b/crates/gateway/gossip-membership/tests/settings.rs
@@ -1,19 +1,9 @@
 //! Settings out of range.
 
-use dunespur_gossip_membership::Settings;
+mod common;
 
-fn settings() -> Settings {
-    Settings {
-        expected_members: 8,
-        seeds: vec![],
-        probe_interval: 1.0,
-        probe_timeout: 0.3,
-        suspicion_timeout: 3.0,
-        gossip_interval: 0.2,
-        rejoin_interval: 5.0,
-        max_datagram_bytes: 1400,
-    }
-}
+use common::settings;
+use dunespur_gossip_membership::Settings;
 
 #[test]
 fn settings_out_of_range_are_named_with_their_remedy() {
@@ -23,10 +13,10 @@
             .expect_err("it is out of range")
             .to_string()
     };
-    assert!(settings().check().is_ok());
+    assert!(settings(&[]).check().is_ok());
     let probe = Settings {
         probe_interval: 0.0,
-        ..settings()
+        ..settings(&[])
     };
     assert_eq!(
         error(probe),
@@ -34,7 +24,7 @@
     );
     let answer = Settings {
         probe_timeout: 86_400.0,
-        ..settings()
+        ..settings(&[])
     };
     assert_eq!(
         error(answer),
@@ -42,7 +32,7 @@
     );
     let suspect = Settings {
         suspicion_timeout: f64::NAN,
-        ..settings()
+        ..settings(&[])
     };
     assert_eq!(
         error(suspect),
@@ -50,7 +40,7 @@
     );
     let gossip = Settings {
         gossip_interval: -1.5,
-        ..settings()
+        ..settings(&[])
     };
     assert_eq!(
         error(gossip),
@@ -58,7 +48,7 @@
     );
     let again = Settings {
         rejoin_interval: f64::INFINITY,
-        ..settings()
+        ..settings(&[])
     };
     assert_eq!(
         error(again),
@@ -66,7 +56,7 @@
     );
     let late = Settings {
         probe_timeout: 0.6,
-        ..settings()
+        ..settings(&[])
     };
     let text = "fleet.members.answer: 0.6 leaves no time for asking through others in a probe of 1";
     assert_eq!(error(late), text);
@@ -75,7 +65,7 @@
         assert_eq!(
             error(Settings {
                 max_datagram_bytes: bytes,
-                ..settings()
+                ..settings(&[])
             }),
             text
         );
--- a/crates/gateway/voter-storage/src/error.rs
+++ b/crates/gateway/voter-storage/src/error.rs
@@ -79,20 +79,8 @@
 }
 
 /// The library has an error type for each operation; all of them are parts of [`redb::Error`].
-macro_rules! from_library_errors {
-    ($($error:ty),+) => {
-        $(impl From<$error> for VoterStorageError {
-            fn from(error: $error) -> VoterStorageError {
-                VoterStorageError::Database(Box::new(error.into()))
-            }
-        })+
-    };
+impl<E: Into<redb::Error>> From<E> for VoterStorageError {
+    fn from(error: E) -> VoterStorageError {
+        VoterStorageError::Database(Box::new(error.into()))
+    }
 }
-
-from_library_errors!(
-    redb::CommitError,
-    redb::DatabaseError,
-    redb::StorageError,
-    redb::TableError,
-    redb::TransactionError
-);
--- a/crates/serving/storage/src/error.rs
+++ b/crates/serving/storage/src/error.rs
@@ -88,24 +88,12 @@
 pub(crate) type Result<T> = std::result::Result<T, StorageError>;
 
 /// The library has an error type for each operation; all of them are parts of [`redb::Error`].
-macro_rules! from_library_errors {
-    ($($error:ty),+) => {
-        $(impl From<$error> for StorageError {
-            fn from(error: $error) -> StorageError {
-                StorageError::Database(Box::new(error.into()))
-            }
-        })+
-    };
+impl<E: Into<redb::Error>> From<E> for StorageError {
+    fn from(error: E) -> StorageError {
+        StorageError::Database(Box::new(error.into()))
+    }
 }
 
-from_library_errors!(
-    redb::CommitError,
-    redb::DatabaseError,
-    redb::StorageError,
-    redb::TableError,
-    redb::TransactionError
-);
-
 impl StorageError {
     /// For `map_err` on calls of the operating system.
     pub(crate) fn file<'a>(
--- a/crates/serving/storage/tests/full/core.rs
+++ b/crates/serving/storage/tests/full/core.rs
@@ -42,19 +42,7 @@
         let storage = Storage::default();
         let (disk, _) = open(&storage);
         disk.write(&[entry(1)]).expect("there is space");
-        storage.full_after(writes_left);
-        let mut attempts = 0;
-        while disk.write(&[entry(2), entry(3)]).is_err() {
-            attempts += 1;
-            if attempts == 5 {
-                storage.has_space();
-            }
-            assert!(
-                attempts < 6,
-                "refused with space again, after {writes_left} writes"
-            );
-        }
-        storage.has_space();
+        storage.fills_and_recovers(writes_left, || disk.write(&[entry(2), entry(3)]));
         disk.write(&[entry(4)]).expect("it goes on");
         drop(disk);
         assert_eq!(indexes(&open(&storage).1), [1, 2, 3, 4]);
--- a/crates/serving/storage/tests/full/support.rs
+++ b/crates/serving/storage/tests/full/support.rs
@@ -1,7 +1,7 @@
 //! A disk in memory that is full for a while.
 
 use redb::StorageBackend;
-use std::io::{Error, ErrorKind, Result};
+use std::io::{self, Error, ErrorKind};
 use std::sync::{Arc, Mutex};
 
 /// The storage behind the backends that a test gives away: each opening of the same file gets one.
@@ -35,6 +35,19 @@
         self.full_after(u64::MAX);
     }
 
+    /// It is full after so many writes more. A write that it refuses then is repeated; it has space again before the
+    /// sixth, which has to succeed.
+    pub fn fills_and_recovers<E>(&self, writes_left: u64, write: impl Fn() -> Result<(), E>) {
+        const ATTEMPTS_WHILE_FULL: usize = 5;
+        self.full_after(writes_left);
+        let refused = (0..ATTEMPTS_WHILE_FULL).all(|_| write().is_err());
+        self.has_space();
+        assert!(
+            !refused || write().is_ok(),
+            "refused with space again, after {writes_left} writes"
+        );
+    }
+
     /// Length of the file.
     pub fn length(&self) -> usize {
         self.state().bytes.len()
@@ -46,7 +59,7 @@
 }
 
 impl State {
-    fn take_one(&mut self) -> Result<()> {
+    fn take_one(&mut self) -> io::Result<()> {
         match self.writes_left.checked_sub(1) {
             Some(left) => {
                 self.writes_left = left;
@@ -58,11 +71,11 @@
 }
 
 impl StorageBackend for Storage {
-    fn len(&self) -> Result<u64> {
+    fn len(&self) -> io::Result<u64> {
         Ok(self.state().bytes.len() as u64)
     }
 
-    fn read(&self, offset: u64, len: usize) -> Result<Vec<u8>> {
+    fn read(&self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
         let offset = offset as usize;
         let state = self.state();
         let bytes = state
@@ -72,7 +85,7 @@
         Ok(bytes.to_vec())
     }
 
-    fn set_len(&self, len: u64) -> Result<()> {
+    fn set_len(&self, len: u64) -> io::Result<()> {
         let mut state = self.state();
         if len as usize > state.bytes.len() {
             state.take_one()?;
@@ -81,11 +94,11 @@
         Ok(())
     }
 
-    fn sync_data(&self, _eventual: bool) -> Result<()> {
+    fn sync_data(&self, _eventual: bool) -> io::Result<()> {
         Ok(())
     }
 
-    fn write(&self, offset: u64, data: &[u8]) -> Result<()> {
+    fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let offset = offset as usize;
         let mut state = self.state();
         state.take_one()?;
--- a/crates/serving/storage/tests/full/turns.rs
+++ b/crates/serving/storage/tests/full/turns.rs
@@ -39,19 +39,7 @@
         let (disk, _) = open(&storage);
         let turns: Vec<Turn> = (0..4).map(|number| turn(number, 20_000)).collect();
         disk.put(&turns[..1]).expect("there is space");
-        storage.full_after(writes_left);
-        let mut attempts = 0;
-        while disk.put(&turns[1..3]).is_err() {
-            attempts += 1;
-            if attempts == 5 {
-                storage.has_space();
-            }
-            assert!(
-                attempts < 6,
-                "refused with space again, after {writes_left} writes"
-            );
-        }
-        storage.has_space();
+        storage.fills_and_recovers(writes_left, || disk.put(&turns[1..3]));
         disk.put(&turns[3..]).expect("it goes on");
         let ids_in_order: Vec<&str> = turns.iter().map(|turn| turn.id.as_str()).collect();
         assert_eq!(disk.get_many(&ids_in_order).expect("it reads"), turns);
--- a/crates/testing/test-fixtures/src/fixtures.rs
+++ b/crates/testing/test-fixtures/src/fixtures.rs
@@ -26,7 +26,7 @@
         self.folder.join(name)
     }
 
-    fn write_if_asked(&self, name: &str, contents: impl FnOnce() -> Vec<u8>) {
+    fn write_if_requested(&self, name: &str, contents: impl FnOnce() -> Vec<u8>) {
         if std::env::var_os(WRITE_FIXTURES).is_some() {
             fs::write(self.path(name), contents()).expect("the fixture is written");
         }
@@ -55,7 +55,7 @@
     /// # Panics
     /// They differ.
     pub fn assert_text(&self, name: &str, text: &str) {
-        self.write_if_asked(name, || text.as_bytes().to_vec());
+        self.write_if_requested(name, || text.as_bytes().to_vec());
         let expected = self.text(name);
         for (now, then) in text.lines().zip(expected.lines()) {
             assert_eq!(now, then, "a line differs from that of {name}");
@@ -68,7 +68,7 @@
     /// # Panics
     /// They differ.
     pub fn assert_bytes(&self, name: &str, bytes: &[u8]) {
-        self.write_if_asked(name, || (hex(bytes) + "\n").into_bytes());
+        self.write_if_requested(name, || (hex(bytes) + "\n").into_bytes());
         assert_eq!(bytes, self.bytes(name), "the bytes differ from {name}");
     }
 
@@ -77,7 +77,7 @@
     /// # Panics
     /// The file can't be read or written.
     pub fn keep_packed(&self, name: &str, file: &Path) {
-        self.write_if_asked(name, || pack(&fs::read(file).expect("the file is read")));
+        self.write_if_requested(name, || pack(&fs::read(file).expect("the file is read")));
     }
 
     /// Unpacks a fixture into a file.
