--- a/crates/serving/dunespur/src/store_client.rs
+++ b/crates/serving/dunespur/src/store_client.rs
@@ -22,7 +22,7 @@
 /// A store that has not answered by then has failed.
 const STORE_TIMEOUT: Duration = Duration::from_millis(WRITE_DEADLINE_MS);
 /// When a client may come back whose history could not be read, in milliseconds.
-const UNSURE_RETRY_MS: u64 = 300;
+const HISTORY_RETRY_MS: u64 = 300;
 
 /// A store's answer to one request.
 struct StoreAnswer {
@@ -52,7 +52,7 @@
         let stores = self.stores();
         if stores.is_empty() {
             return History::Unavailable {
-                retry_after_ms: UNSURE_RETRY_MS,
+                retry_after_ms: HISTORY_RETRY_MS,
             };
         }
         let clock = self.directory.clock();
@@ -75,7 +75,7 @@
                 Some(ReadOutcome::Unknown) => return History::Unknown,
                 Some(ReadOutcome::Uncertain | ReadOutcome::TooLong) => {
                     return History::Unavailable {
-                        retry_after_ms: UNSURE_RETRY_MS,
+                        retry_after_ms: HISTORY_RETRY_MS,
                     };
                 }
                 None => {}
