--- a/crates/serving/storage/src/turns/mod.rs
+++ b/crates/serving/storage/src/turns/mod.rs
@@ -9,9 +9,8 @@
 use crate::identity::Opened;
 use crate::integrity::open_checked;
 use crate::recovery::open_or_set_aside;
-use dunespur_turn_replication::index::IndexEntry;
 use dunespur_turn_replication::node::{DiskOutcome, DiskWork};
-use dunespur_turn_replication::turn::Turn;
+use dunespur_turn_replication::turn::{Turn, TurnHeader};
 use redb::StorageBackend;
 use std::path::Path;
 use tables::{BODIES, HEADERS, META, META_COMPLETE};
@@ -28,11 +27,11 @@
     ///
     /// # Errors
     /// The file can't be made or opened, for a reason that says nothing of its contents; it stays as it is.
-    pub fn open(path: &Path) -> Result<Opened<TurnDisk, Vec<IndexEntry>>> {
+    pub fn open(path: &Path) -> Result<Opened<TurnDisk, Vec<TurnHeader>>> {
         open_or_set_aside(path, || Self::open_file(path))
     }
 
-    fn open_file(path: &Path) -> Result<Opened<TurnDisk, Vec<IndexEntry>>> {
+    fn open_file(path: &Path) -> Result<Opened<TurnDisk, Vec<TurnHeader>>> {
         let opened = if path.exists() {
             open_checked(path)
         } else {
@@ -49,11 +48,11 @@
     /// The backend can't be opened or read.
     pub fn open_backend<B: StorageBackend>(
         backend: impl Fn() -> B + Send + 'static,
-    ) -> Result<Opened<TurnDisk, Vec<IndexEntry>>> {
+    ) -> Result<Opened<TurnDisk, Vec<TurnHeader>>> {
         Self::load(ReopeningDatabase::open_backend(backend)?)
     }
 
-    fn load(database: ReopeningDatabase) -> Result<Opened<TurnDisk, Vec<IndexEntry>>> {
+    fn load(database: ReopeningDatabase) -> Result<Opened<TurnDisk, Vec<TurnHeader>>> {
         let (identity, headers) = database.with(|database| {
             let identity = tables::identity(database)?;
             Ok((identity, tables::headers(database)?))
@@ -161,7 +160,7 @@
             DiskWork::Put(turns) => self.put(turns)?,
             DiskWork::Get(ids) => return Ok(DiskOutcome::Turns(self.get_many(ids)?)),
             DiskWork::Remove(ids) => self.remove(ids)?,
-            DiskWork::MarkWhole => self.mark_complete()?,
+            DiskWork::MarkComplete => self.mark_complete()?,
         }
         Ok(DiskOutcome::Done)
     }
--- a/crates/serving/storage/tests/power/turns.rs
+++ b/crates/serving/storage/tests/power/turns.rs
@@ -4,15 +4,14 @@
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
 use dunespur_storage::{DiskIdentity, Opened, StorageError};
-use dunespur_turn_replication::index::IndexEntry;
-use dunespur_turn_replication::turn::Turn;
+use dunespur_turn_replication::turn::{Turn, TurnHeader};
 use std::collections::BTreeMap;
 use std::panic::catch_unwind;
 
 /// Losses of power over one disk.
 const POWER_LOSSES: u64 = 6;
 
-type OpenedTurns = Result<Opened<TurnDisk, Vec<IndexEntry>>, StorageError>;
+type OpenedTurns = Result<Opened<TurnDisk, Vec<TurnHeader>>, StorageError>;
 
 fn open(disk: &Disk) -> OpenedTurns {
     let handle = disk.handle();
