--- a/crates/serving/turn-replication/tests/common/mod.rs
+++ b/crates/serving/turn-replication/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! Stores and turns for the tests of single modules.
 #![allow(dead_code)] // Each test file uses a part of it.
 
+pub mod harness;
+
 use std::net::{Ipv4Addr, SocketAddr};
 
 use bytes::Bytes;
--- a/crates/serving/turn-replication/tests/digests.rs
+++ b/crates/serving/turn-replication/tests/digests.rs
@@ -9,8 +9,7 @@
 use std::fmt::Write;
 use std::thread;
 
-use dunespur_turn_replication::safeguards::Safeguards;
-use world::{Absence, CoreSafeguards, FaultKind, Plan, World};
+use world::{Absence, FaultKind, Plan, World};
 
 const FIXTURE: &str = include_str!("fixtures/world-digests.txt");
 /// Seeds of each kind.
@@ -20,37 +19,17 @@
 /// Each world is played up to here, its faults included: there are many of them.
 const END_MS: u64 = 15_000;
 
-const ALL: [FaultKind; 9] = [
-    FaultKind::Kill,
-    FaultKind::Wipe,
-    FaultKind::Freeze,
-    FaultKind::Partition,
-    FaultKind::PeerPartition,
-    FaultKind::KillAll,
-    FaultKind::Replace,
-    FaultKind::Add,
-    FaultKind::Retire,
-];
-
 fn plan(seed: u64, faults: &[FaultKind]) -> Plan {
     Plan {
-        seed,
-        stores: 3 + (seed % 2) as usize,
-        zones: 3,
-        tolerated: 1,
         programs: 3,
         max_input_bytes: 500,
         faults_until_ms: END_MS,
-        faults: faults.to_vec(),
-        final_fault: false,
-        absence: Absence::default(),
-        safeguards: Safeguards::default(),
-        core_safeguards: CoreSafeguards::default(),
+        ..Plan::new(seed, faults)
     }
 }
 
 fn all_faults(seed: u64) -> Plan {
-    plan(seed, &ALL)
+    plan(seed, &FaultKind::ALL)
 }
 
 fn lost_disks(seed: u64) -> Plan {
@@ -65,7 +44,7 @@
     Plan {
         stores: 6,
         tolerated: 2,
-        ..plan(seed, &ALL)
+        ..plan(seed, &FaultKind::ALL)
     }
 }
 
--- /dev/null
+++ b/crates/serving/turn-replication/tests/draining.rs
@@ -0,0 +1,361 @@
+//! A draining store: what it accepts, what it hands over, and when it may declare that it is drained. Each safeguard
+//! has its counterexample.
+
+mod common;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use common::harness::{chain, complete_store, complete_store_with, Harness};
+use common::{ranked_stores, stores, turn, PROGRAM};
+use dunespur_turn_replication::membership::StoreEntry;
+use dunespur_turn_replication::message::{Rejection, StoreReply, StoreRequest};
+use dunespur_turn_replication::node::Declaration;
+use dunespur_turn_replication::safeguards::{Safeguard, Safeguards};
+
+/// A membership in which the first store drains, and the two stores that are then the replicas.
+fn draining() -> (Vec<StoreEntry>, Vec<String>) {
+    let mut stores = stores(4);
+    stores[0].retiring = true;
+    let replicas = ranked_stores(PROGRAM, &stores)[..2].to_vec();
+    (stores, replicas)
+}
+
+#[test]
+fn a_store_is_drained_when_all_new_replicas_have_acknowledged_all_it_holds() {
+    let turns = chain();
+    let mut harness = complete_store(&turns);
+    let (stores, replicas) = draining();
+    harness.change_membership(&stores);
+    harness.reply_to_listings();
+    let mut transferred: BTreeMap<String, usize> = BTreeMap::new();
+    harness.at(harness.now_ms + 1_000);
+    while !harness.outgoing.is_empty() {
+        assert!(harness.declared.is_empty(), "before all have acknowledged");
+        let outgoing = harness.next_request();
+        let reply = match &outgoing.request {
+            StoreRequest::Offer { ids } => StoreReply::Missing { ids: ids.clone() },
+            StoreRequest::Handoff { turns } => {
+                *transferred.entry(outgoing.store.clone()).or_default() += turns.len();
+                StoreReply::Stored
+            }
+            other => panic!("{other:?}"),
+        };
+        harness.reply(&outgoing, reply);
+        harness.work();
+    }
+    assert_eq!(harness.declared, [Declaration::Drained { epoch: 0 }]);
+    assert_eq!(transferred.keys().collect::<Vec<_>>(), {
+        let mut sorted: Vec<&String> = replicas.iter().collect();
+        sorted.sort();
+        sorted
+    });
+    assert!(transferred.values().all(|count| *count == turns.len()));
+    let rejected = harness.call(StoreRequest::Put {
+        turn: turn("d", None),
+        hint: None,
+    });
+    assert_eq!(rejected, StoreReply::Rejected(Rejection::Retiring));
+}
+
+/// Replies to all requests as replicas that hold nothing; returns the ids that each was handed.
+fn drain_into_replicas(harness: &mut Harness) -> BTreeMap<String, BTreeSet<String>> {
+    let mut transferred: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
+    while !harness.outgoing.is_empty() {
+        let outgoing = harness.next_request();
+        let reply = match &outgoing.request {
+            StoreRequest::Offer { ids } => StoreReply::Missing { ids: ids.clone() },
+            StoreRequest::Handoff { turns } => {
+                let ids = turns.iter().map(|stored| stored.turn.id.clone());
+                transferred
+                    .entry(outgoing.store.clone())
+                    .or_default()
+                    .extend(ids);
+                StoreReply::Stored
+            }
+            StoreRequest::List { .. } => StoreReply::Listed {
+                turns: Vec::new(),
+                next: None,
+            },
+            other => panic!("{other:?}"),
+        };
+        harness.reply(&outgoing, reply);
+        harness.work();
+    }
+    transferred
+}
+
+#[test]
+fn a_draining_store_accepts_turns_and_is_not_drained_before_they_are_elsewhere() {
+    let mut harness = complete_store(&chain());
+    let (stores, replicas) = draining();
+    harness.change_membership(&stores);
+    harness.reply_to_listings();
+    assert_eq!(
+        harness.call(StoreRequest::Put {
+            turn: turn("d", None),
+            hint: None
+        }),
+        StoreReply::Stored
+    );
+    harness.at(400);
+    drain_into_replicas(&mut harness);
+    assert_eq!(
+        harness.call(StoreRequest::Put {
+            turn: turn("e", None),
+            hint: None
+        }),
+        StoreReply::Stored
+    );
+    assert!(
+        harness.declared.is_empty(),
+        "the last turn came after the replicas had all that was there before"
+    );
+    harness.at(3_000);
+    let transferred = drain_into_replicas(&mut harness);
+    assert_eq!(harness.declared, [Declaration::Drained { epoch: 0 }]);
+    for replica in replicas {
+        assert!(
+            transferred[&replica].contains("e"),
+            "{replica}: {transferred:?}"
+        );
+    }
+}
+
+#[test]
+fn a_drained_store_accepts_turns_again_only_in_another_epoch() {
+    let mut harness = complete_store(&chain());
+    let (mut stores, _) = draining();
+    stores[0].epoch = 7;
+    harness.change_membership(&stores);
+    harness.at(1_000);
+    drain_into_replicas(&mut harness);
+    assert_eq!(harness.declared, [Declaration::Drained { epoch: 7 }]);
+    assert_eq!(harness.node.drained_in_epoch(), Some(7));
+    harness.change_membership(&stores);
+    assert_eq!(
+        harness.node.drained_in_epoch(),
+        Some(7),
+        "nothing has changed"
+    );
+    let put = StoreRequest::Put {
+        turn: turn("d", None),
+        hint: None,
+    };
+    assert_eq!(
+        harness.call(put.clone()),
+        StoreReply::Rejected(Rejection::Retiring)
+    );
+    stores[0].epoch = 8;
+    stores[1].disk = 9;
+    harness.change_membership(&stores);
+    assert_eq!(
+        harness.node.drained_in_epoch(),
+        None,
+        "what it has declared is void"
+    );
+    assert_eq!(harness.call(put), StoreReply::Stored);
+    harness.at(3_000);
+    let transferred = drain_into_replicas(&mut harness);
+    assert_eq!(
+        harness.declared.last(),
+        Some(&Declaration::Drained { epoch: 8 })
+    );
+    assert!(
+        transferred.values().all(|ids| ids.len() == 4),
+        "all is offered anew: {transferred:?}"
+    );
+}
+
+/// Whether a store declares that it is drained though `change` was made to one of its replicas.
+fn is_drained_beside(change: fn(&mut StoreEntry), safeguards: Safeguards) -> bool {
+    let mut harness = complete_store_with(&chain(), safeguards);
+    let (mut stores, replicas) = draining();
+    let replica = stores
+        .iter()
+        .position(|store| store.name == replicas[1])
+        .unwrap();
+    change(&mut stores[replica]);
+    harness.change_membership(&stores);
+    harness.at(400);
+    drain_into_replicas(&mut harness);
+    let emptied = !harness.declared.is_empty();
+    stores[replica] = StoreEntry {
+        present: true,
+        complete: true,
+        ..stores[replica].clone()
+    };
+    harness.change_membership(&stores);
+    harness.at(2_000);
+    drain_into_replicas(&mut harness);
+    assert_eq!(harness.declared.len(), 1, "at last it is");
+    emptied
+}
+
+#[test]
+fn a_store_is_not_drained_while_a_replica_is_absent_or_incomplete() {
+    let changes: [fn(&mut StoreEntry); 2] = [
+        |replica| replica.present = false,
+        |replica| replica.complete = false,
+    ];
+    for change in changes {
+        assert!(!is_drained_beside(change, Safeguards::default()));
+        let without = Safeguards::without(Safeguard::ReplicasPresentAndComplete);
+        assert!(is_drained_beside(change, without), "the counterexample");
+    }
+}
+
+#[test]
+fn a_declaration_is_void_in_another_epoch() {
+    let still_says_so = |safeguards| {
+        let mut harness = complete_store_with(&chain(), safeguards);
+        let (mut stores, replicas) = draining();
+        harness.change_membership(&stores);
+        harness.at(1_000);
+        drain_into_replicas(&mut harness);
+        stores[0].epoch = 1;
+        // A replica has lost its disk after it acknowledged.
+        stores
+            .iter_mut()
+            .find(|store| store.name == replicas[0])
+            .unwrap()
+            .disk = 9;
+        harness.change_membership(&stores);
+        harness.node.drained_in_epoch().is_some()
+    };
+    assert!(!still_says_so(Safeguards::default()));
+    assert!(
+        still_says_so(Safeguards::without(Safeguard::EpochsChecked)),
+        "the counterexample"
+    );
+}
+
+/// A store declares that it is drained and starts again; the core gets the declaration before it registers the new
+/// incarnation. Whether a turn that the new incarnation has acknowledged is taken away with the machine.
+fn late_declaration_loses_a_turn(safeguards: Safeguards) -> bool {
+    let (mut stores, _) = draining();
+    let mut new_incarnation = Harness::with_safeguards("storage-0", false, &chain(), safeguards);
+    stores[0].incarnation = 0;
+    new_incarnation.change_membership(&stores);
+    let acknowledged = new_incarnation.call(StoreRequest::Put {
+        turn: turn("d", None),
+        hint: None,
+    }) == StoreReply::Stored;
+    // The core knows only the earlier incarnation, and agrees to what that one declared.
+    stores[0] = StoreEntry {
+        retiring: false,
+        retired: true,
+        ..stores[0].clone()
+    };
+    new_incarnation.change_membership(&stores);
+    acknowledged && new_incarnation.node.is_drained()
+}
+
+#[test]
+fn a_late_declaration_of_an_earlier_incarnation_loses_nothing() {
+    assert!(!late_declaration_loses_a_turn(Safeguards::default()));
+    let without = Safeguards::without(Safeguard::IncarnationRegistered);
+    assert!(late_declaration_loses_a_turn(without), "the counterexample");
+}
+
+#[test]
+fn turns_are_accepted_only_in_a_registered_incarnation() {
+    let mut harness = Harness::new("storage-0", false, &[]);
+    let put = StoreRequest::Put {
+        turn: turn("d", None),
+        hint: None,
+    };
+    assert_eq!(
+        harness.call(put.clone()),
+        StoreReply::Rejected(Rejection::Joining),
+        "before the first membership"
+    );
+    let mut stores = stores(3);
+    stores[0].incarnation = 0;
+    harness.change_membership(&stores);
+    assert_eq!(
+        harness.call(put.clone()),
+        StoreReply::Rejected(Rejection::Joining),
+        "an earlier incarnation"
+    );
+    stores[0].incarnation = 1;
+    stores[0].disk = 9;
+    harness.change_membership(&stores);
+    assert_eq!(
+        harness.call(put.clone()),
+        StoreReply::Rejected(Rejection::Joining),
+        "another disk"
+    );
+    stores[0].disk = 1;
+    harness.change_membership(&stores);
+    assert_eq!(harness.call(put), StoreReply::Stored);
+}
+
+#[test]
+fn a_replica_that_rejects_a_handoff_is_asked_again() {
+    let mut harness = complete_store(&chain());
+    let (stores, _) = draining();
+    harness.change_membership(&stores);
+    harness.reply_to_listings();
+    harness.at(1_000);
+    let outgoing = harness.next_request();
+    let StoreRequest::Offer { ids } = &outgoing.request else {
+        panic!("{outgoing:?}");
+    };
+    harness.reply(&outgoing, StoreReply::Missing { ids: ids.clone() });
+    harness.work();
+    let handoff = harness.next_request();
+    harness.reply(&handoff, StoreReply::Rejected(Rejection::Disk));
+    for _ in 0..20 {
+        harness.at(harness.node.next_due());
+        harness.work();
+        harness
+            .outgoing
+            .retain(|outgoing| outgoing.store != handoff.store);
+        while let Some(outgoing) = harness.outgoing.pop() {
+            harness.reply(&outgoing, StoreReply::Missing { ids: Vec::new() });
+        }
+    }
+    assert!(harness.declared.is_empty());
+}
+
+#[test]
+fn a_new_replica_that_loses_its_disk_is_offered_everything_again() {
+    let mut harness = complete_store(&chain());
+    let (mut stores, _) = draining();
+    harness.change_membership(&stores);
+    harness.reply_to_listings();
+    harness.at(1_000);
+    let first = harness.next_request();
+    stores
+        .iter_mut()
+        .find(|store| store.name == first.store)
+        .unwrap()
+        .disk = 9;
+    harness.change_membership(&stores);
+    harness.reply(&first, StoreReply::Missing { ids: Vec::new() });
+    harness.reply_to_listings();
+    harness.at(2_000);
+    let offered_again = harness
+        .outgoing
+        .iter()
+        .any(|outgoing| outgoing.store == first.store);
+    assert!(offered_again, "{:?}", harness.outgoing);
+    assert!(harness.declared.is_empty());
+}
+
+#[test]
+fn with_too_few_others_nothing_is_declared() {
+    let mut harness = complete_store(&chain());
+    let mut stores = stores(2);
+    stores[0].retiring = true;
+    harness.change_membership(&stores);
+    harness.reply_to_listings();
+    for now_ms in (1_000..20_000).step_by(500) {
+        harness.at(now_ms);
+        harness.work();
+        while let Some(outgoing) = harness.outgoing.pop() {
+            harness.reply(&outgoing, StoreReply::Missing { ids: Vec::new() });
+        }
+    }
+    assert!(harness.declared.is_empty());
+}
--- a/crates/serving/turn-replication/tests/encoding.rs
+++ b/crates/serving/turn-replication/tests/encoding.rs
@@ -132,6 +132,11 @@
 }
 
 fn check_requests(checked: &mut Checked) {
+    check_client_requests(checked);
+    check_peer_requests(checked);
+}
+
+fn check_client_requests(checked: &mut Checked) {
     let hint = Some("storage-9".to_owned());
     checked.check(
         "request/put",
@@ -153,6 +158,9 @@
             id: "request-2".to_owned(),
         },
     );
+}
+
+fn check_peer_requests(checked: &mut Checked) {
     let candidates = vec![candidate(3), candidate(4)];
     let (replica, after) = ("storage-5".to_owned(), Some("request-6".to_owned()));
     checked.check(
@@ -197,6 +205,11 @@
 }
 
 fn check_replies(checked: &mut Checked) {
+    check_client_replies(checked);
+    check_peer_replies(checked);
+}
+
+fn check_client_replies(checked: &mut Checked) {
     checked.check("reply/stored", &StoreReply::Stored);
     checked.check("reply/rejected", &StoreReply::Rejected(Rejection::Retiring));
     let (turns, missing) = (vec![turn(21), turn(22)], Some("request-20".to_owned()));
@@ -229,6 +242,9 @@
             known_stores: Vec::new(),
         },
     );
+}
+
+fn check_peer_replies(checked: &mut Checked) {
     let listed = |number: u64| ListedTurn {
         id: format!("request-{number}"),
         size: 1_000 + number,
--- a/crates/serving/turn-replication/tests/exposure.rs
+++ b/crates/serving/turn-replication/tests/exposure.rs
@@ -5,8 +5,7 @@
 #[allow(dead_code, unused_imports)] // Each test file uses a part of it.
 mod world;
 
-use dunespur_turn_replication::safeguards::Safeguards;
-use world::{Absence, CoreSafeguards, FaultKind, Plan, World};
+use world::{Absence, FaultKind, Plan, World};
 
 /// Played unless the environment says otherwise.
 const SEEDS: u64 = 6;
@@ -23,27 +22,20 @@
 }
 
 fn plan(seed: u64) -> Plan {
+    let faults = [
+        FaultKind::Wipe,
+        FaultKind::Replace,
+        FaultKind::Add,
+        FaultKind::Retire,
+    ];
     Plan {
-        seed,
         stores: 3 + (seed % 3) as usize,
-        zones: 3,
-        tolerated: 1,
-        programs: 12,
-        max_input_bytes: 4_000,
         faults_until_ms: 60_000,
-        faults: vec![
-            FaultKind::Wipe,
-            FaultKind::Replace,
-            FaultKind::Add,
-            FaultKind::Retire,
-        ],
-        final_fault: false,
         absence: Absence {
             lease_ms: LEASE_MS,
             repair_ms: ABSENT_REPAIR_MS,
         },
-        safeguards: Safeguards::default(),
-        core_safeguards: CoreSafeguards::default(),
+        ..Plan::new(seed, &faults)
     }
 }
 
--- a/crates/serving/turn-replication/tests/safeguards.rs
+++ b/crates/serving/turn-replication/tests/safeguards.rs
@@ -6,7 +6,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use dunespur_turn_replication::safeguards::{Safeguard, Safeguards};
-use world::{Absence, CoreSafeguards, FaultKind, Plan, Statistics, World};
+use world::{CoreSafeguards, FaultKind, Plan, Statistics, World};
 
 /// Seeds that are tried for a counterexample.
 const SEEDS: u64 = 400;
@@ -27,18 +27,8 @@
         FaultKind::Kill,
     ]);
     Plan {
-        seed,
-        stores: 3 + (seed % 2) as usize,
-        zones: 3,
-        tolerated: 1,
-        programs: 12,
-        max_input_bytes: 4_000,
         faults_until_ms: 60_000,
-        faults,
-        final_fault: false,
-        absence: Absence::default(),
-        safeguards: Safeguards::default(),
-        core_safeguards: CoreSafeguards::default(),
+        ..Plan::new(seed, &faults)
     }
 }
 
--- a/crates/serving/turn-replication/tests/simulation.rs
+++ b/crates/serving/turn-replication/tests/simulation.rs
@@ -4,37 +4,12 @@
 #[allow(dead_code, unused_imports)] // Each test file uses a part of it.
 mod world;
 
-use dunespur_turn_replication::safeguards::Safeguards;
-use world::{
-    Absence, CoreSafeguards, FaultKind, Plan, Statistics, World, CATCH_UP_MS, MAX_IMPAIRMENT_MS,
-};
-
-const ALL: [FaultKind; 9] = [
-    FaultKind::Kill,
-    FaultKind::Wipe,
-    FaultKind::Freeze,
-    FaultKind::Partition,
-    FaultKind::PeerPartition,
-    FaultKind::KillAll,
-    FaultKind::Replace,
-    FaultKind::Add,
-    FaultKind::Retire,
-];
+use world::{FaultKind, Plan, Statistics, World, CATCH_UP_MS, MAX_IMPAIRMENT_MS};
 
 fn plan(seed: u64, faults: &[FaultKind]) -> Plan {
     Plan {
-        seed,
-        stores: 3 + (seed % 2) as usize,
-        zones: 3,
-        tolerated: 1,
-        programs: 12,
-        max_input_bytes: 4_000,
-        faults_until_ms: 90_000,
-        faults: faults.to_vec(),
         final_fault: seed.is_multiple_of(3),
-        absence: Absence::default(),
-        safeguards: Safeguards::default(),
-        core_safeguards: CoreSafeguards::default(),
+        ..Plan::new(seed, faults)
     }
 }
 
@@ -59,7 +34,7 @@
 #[test]
 fn all_kinds_of_faults() {
     for seed in 0..16 {
-        check_liveness(&World::play(plan(seed, &ALL)), CATCH_UP_MS);
+        check_liveness(&World::play(plan(seed, &FaultKind::ALL)), CATCH_UP_MS);
     }
 }
 
@@ -90,7 +65,7 @@
         let plan = Plan {
             stores: 6,
             tolerated: 2,
-            ..plan(seed, &ALL)
+            ..plan(seed, &FaultKind::ALL)
         };
         // A new disk waits for stores that it can't reach while they count as present.
         check_liveness(&World::play(plan), CATCH_UP_MS + MAX_IMPAIRMENT_MS);
@@ -120,5 +95,8 @@
 
 #[test]
 fn the_same_seed_plays_the_same() {
-    assert_eq!(World::play(plan(7, &ALL)), World::play(plan(7, &ALL)));
+    assert_eq!(
+        World::play(plan(7, &FaultKind::ALL)),
+        World::play(plan(7, &FaultKind::ALL))
+    );
 }
--- a/crates/serving/turn-replication/tests/world/faults.rs
+++ b/crates/serving/turn-replication/tests/world/faults.rs
@@ -29,6 +29,21 @@
     Retire,
 }
 
+impl FaultKind {
+    /// Every kind once.
+    pub const ALL: [FaultKind; 9] = [
+        FaultKind::Kill,
+        FaultKind::Wipe,
+        FaultKind::Freeze,
+        FaultKind::Partition,
+        FaultKind::PeerPartition,
+        FaultKind::KillAll,
+        FaultKind::Replace,
+        FaultKind::Add,
+        FaultKind::Retire,
+    ];
+}
+
 /// One of the faults that may be there at the same time.
 #[derive(Debug, Default)]
 pub struct Slot {
--- a/crates/serving/turn-replication/tests/world/mod.rs
+++ b/crates/serving/turn-replication/tests/world/mod.rs
@@ -86,6 +86,26 @@
     pub core_safeguards: CoreSafeguards,
 }
 
+impl Plan {
+    /// Three or four stores in three zones of which one may be lost, with faults for 90 s.
+    pub fn new(seed: u64, faults: &[FaultKind]) -> Plan {
+        Plan {
+            seed,
+            stores: 3 + (seed % 2) as usize,
+            zones: 3,
+            tolerated: 1,
+            programs: 12,
+            max_input_bytes: 4_000,
+            faults_until_ms: 90_000,
+            faults: faults.to_vec(),
+            final_fault: false,
+            absence: Absence::default(),
+            safeguards: Safeguards::default(),
+            core_safeguards: CoreSafeguards::default(),
+        }
+    }
+}
+
 /// What was observed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Statistics {
