--- a/crates/serving/turn-replication/src/node/pulls.rs
+++ b/crates/serving/turn-replication/src/node/pulls.rs
@@ -58,7 +58,7 @@
         while let Some(request) = self.anti_entropy.next_request(&self.index, now_ms) {
             let pass = self.anti_entropy.pass();
             let (peer, request) = match request {
-                PullRequest::List { peer, after } => (peer, self.list_request(after)),
+                PullRequest::List { peer, after } => (peer, self.listing_request(after)),
                 PullRequest::Fetch { peer, ids } => {
                     let with_ancestors = false;
                     let request = StoreRequest::Fetch {
@@ -72,7 +72,7 @@
         }
     }
 
-    fn list_request(&self, after: Option<String>) -> StoreRequest {
+    fn listing_request(&self, after: Option<String>) -> StoreRequest {
         StoreRequest::List {
             replica: self.settings.name.clone(),
             candidates: self.candidates.clone(),
--- a/crates/serving/turn-replication/tests/bootstrap.rs
+++ b/crates/serving/turn-replication/tests/bootstrap.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_new_disk_fetches_what_it_should_hold_before_it_is_complete() {
+fn a_new_disk_fetches_everything_before_it_is_complete() {
     let turns = chain();
     let mut harness = Harness::new("storage-0", true, &[]);
     harness.change_membership(&stores(2));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_store_names_unlisted_stores_that_have_asked_it() {
+fn a_store_names_unlisted_stores_that_sent_it_requests() {
     let mut harness = complete_store(&[]);
     let listing = StoreRequest::List {
         replica: "storage-new".to_owned(),
--- a/crates/serving/turn-replication/tests/draining.rs
+++ b/crates/serving/turn-replication/tests/draining.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_store_is_drained_when_all_new_replicas_have_acknowledged_all_it_holds() {
+fn a_store_is_drained_when_all_new_replicas_have_acknowledged_everything() {
     let turns = chain();
     let mut harness = complete_store(&turns);
     let (stores, replicas) = draining();
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_replica_that_rejects_a_handoff_is_asked_again() {
+fn a_handoff_that_a_replica_rejects_is_retried() {
     let mut harness = complete_store(&chain());
     let (stores, _) = draining();
     harness.change_membership(&stores);
--- a/crates/serving/turn-replication/tests/index.rs
+++ b/crates/serving/turn-replication/tests/index.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn listings_bring_exactly_what_a_store_should_hold_page_by_page() {
+fn pages_for_a_replica_list_exactly_its_turns() {
     let stores = stores(3);
     let candidates: Vec<Candidate> = stores.iter().map(Candidate::from).collect();
     let mut index = Index::default();
--- a/crates/serving/turn-replication/tests/read_coordinator.rs
+++ b/crates/serving/turn-replication/tests/read_coordinator.rs
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_turn_is_unknown_if_all_stores_say_so() {
+fn a_turn_is_unknown_if_all_stores_reply_so() {
     let stores = stores(4);
     assert_eq!(
         outcome_if_all_reply(&stores, |_| unknown(&stores)),
--- a/crates/serving/turn-replication/tests/safeguards.rs
+++ b/crates/serving/turn-replication/tests/safeguards.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn with_all_safeguards_everything_holds() {
+fn no_invariant_is_violated_with_all_safeguards() {
     for seed in 0..8 {
         let statistics = World::play(plan(seed));
         assert!(
--- a/crates/serving/turn-replication/tests/store_node.rs
+++ b/crates/serving/turn-replication/tests/store_node.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn puts_that_come_during_a_commit_share_the_next() {
+fn puts_that_come_during_a_commit_are_committed_together() {
     let mut harness = complete_store(&[]);
     let callers: Vec<CallerId> = ["a", "b", "c"]
         .map(|id| harness.put(&turn(id, None), None))
