--- a/crates/serving/dunespur/src/control_api/handlers.rs
+++ b/crates/serving/dunespur/src/control_api/handlers.rs
@@ -66,8 +66,8 @@
         };
         let report = heartbeat.report(id);
         if self.directory.has_lost_contact() {
-            // Renewed here the lease would lapse all the same, as no core member learns of it: the server is to call another
-            // gateway.
+            // Renewed here the lease would lapse all the same, as no core member learns of it: the server has to call
+            // another gateway.
             return responses::unavailable();
         }
         let heartbeat_address = self.heartbeat_address(&report);
--- a/crates/serving/dunespur/src/control_api/mod.rs
+++ b/crates/serving/dunespur/src/control_api/mod.rs
@@ -20,7 +20,7 @@
 
 /// A caller that sends its head slower than this is disconnected.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What the interface reads and calls.
@@ -35,7 +35,7 @@
     pub tolerated_losses: u32,
 }
 
-/// Serves the control address for as long as the task lives.
+/// Serves the control address for as long as the task runs.
 pub async fn serve(api: Rc<ControlApi>, listener: TcpListener) {
     loop {
         match listener.accept().await {
--- a/crates/serving/dunespur/src/core/coordinator/lease_sweeps.rs
+++ b/crates/serving/dunespur/src/core/coordinator/lease_sweeps.rs
@@ -26,7 +26,7 @@
             .unreached(&replica, &self.own.id, seeds, now)
     }
 
-    /// Tells the other members which leases were renewed here; the head of the chain proposes the expiry of lapsed
+    /// Reports to the other members which leases were renewed here; the head of the chain proposes the expiry of lapsed
     /// ones.
     pub(super) fn run_lease_sweep(&self, now: u64) {
         self.leases.borrow_mut().schedule_next_sweep(now);
--- a/crates/serving/dunespur/src/core/coordinator/mod.rs
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -40,7 +40,7 @@
     pub address: SocketAddr,
     /// Whether it may take part in a first view.
     pub bootstrap: bool,
-    /// Pause between heartbeats of a server, in milliseconds.
+    /// Interval between heartbeats of a server, in milliseconds.
     pub heartbeat_ms: u64,
 }
 
--- a/crates/serving/dunespur/src/core/coordinator/status.rs
+++ b/crates/serving/dunespur/src/core/coordinator/status.rs
@@ -8,7 +8,7 @@
 pub struct CountedBudget {
     /// Tokens that were reported as used.
     pub used: u64,
-    /// Tokens that limiters hold in leases.
+    /// Tokens that limiters lease.
     pub leased: u64,
 }
 
--- a/crates/serving/dunespur/src/core/disk_writer.rs
+++ b/crates/serving/dunespur/src/core/disk_writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes a core member's disk: syncs block, and a slow disk must not hold up the data plane.
+//! The thread that writes a core member's disk: syncs block, and a slow disk must not delay the data plane.
 
 use crate::status::DiskStatus;
 use dunespur_chain_replication::Write;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Pause before a write that failed (a full disk, say) is retried; nothing is acknowledged meanwhile.
+/// Delay before a write that failed (a full disk, for example) is retried; nothing is acknowledged meanwhile.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Stack of the thread in bytes.
 const STACK_SIZE: usize = 256 * 1024;
--- a/crates/serving/dunespur/src/core/lease_expiry.rs
+++ b/crates/serving/dunespur/src/core/lease_expiry.rs
@@ -1,4 +1,4 @@
-//! Which leases have lapsed, and the operations that say so. The head of the chain decides on that, in sweeps at a fixed interval.
+//! Which leases have lapsed, and the operations for that. The head of the chain decides, in sweeps at a fixed interval.
 
 use super::lease_table::LeaseTable;
 use super::replica::Replica;
@@ -40,17 +40,17 @@
         self.next_sweep = now + LEASE_SWEEP_INTERVAL_MS;
     }
 
-    /// Renewals that a gateway or store brought with its watch; the other members are told of them.
+    /// Renewals that a gateway or store sent with its watch; they are reported to the other members.
     pub fn renew_from_watch(&mut self, renewals: &LeaseRenewals, now: u64) {
         self.table.renew_and_report(renewals, now);
     }
 
-    /// Renewals that another member has told of.
+    /// Renewals that another member has reported.
     pub fn renew_from_member(&mut self, renewals: &LeaseRenewals, now: u64) {
         self.table.renew(renewals, now);
     }
 
-    /// Renewals that the other members have to be told of.
+    /// Renewals that have to be reported to the other members.
     pub fn take_unreported(&mut self) -> LeaseRenewals {
         self.table.take_unreported()
     }
--- a/crates/serving/dunespur/src/core/lease_table.rs
+++ b/crates/serving/dunespur/src/core/lease_table.rs
@@ -4,7 +4,7 @@
 use crate::status::LeaseStatus;
 use std::collections::{BTreeSet, HashMap};
 
-/// The lease of a server lapses after so many pauses between heartbeats without one.
+/// The lease of a server lapses after so many intervals between heartbeats without one.
 const SERVER_LEASE_HEARTBEATS: u64 = 8;
 /// The lease of a node lapses after this time without a renewal, in milliseconds.
 const NODE_LEASE_MS: u64 = 2_500;
@@ -17,7 +17,7 @@
 /// Renewals that may wait to be gossiped to the other members.
 const MAX_UNREPORTED: usize = 16_384;
 
-/// When each lease was renewed last, and which renewals the other members have not been told of yet.
+/// When each lease was renewed last, and which renewals the other members have not received yet.
 pub struct LeaseTable {
     server_lease_ms: u64,
     servers: HashMap<String, u64>,
@@ -29,7 +29,7 @@
 }
 
 impl LeaseTable {
-    /// No leases yet. `heartbeat_ms`: the pause between heartbeats of a server.
+    /// No leases yet. `heartbeat_ms`: the interval between heartbeats of a server.
     pub fn new(heartbeat_ms: u64) -> LeaseTable {
         LeaseTable {
             server_lease_ms: heartbeat_ms * SERVER_LEASE_HEARTBEATS,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Renews leases, and remembers that the other members have to be told.
+    /// Renews leases, and remembers to report them to the other members.
     pub fn renew_and_report(&mut self, renewals: &LeaseRenewals, now: u64) {
         self.renew(renewals, now);
         if self.unreported_servers.len() < MAX_UNREPORTED {
@@ -78,7 +78,7 @@
             .retain(|name, _| names.contains(name.as_str()));
     }
 
-    /// Renewals that the other members have to be told of.
+    /// Renewals that have to be reported to the other members.
     pub fn take_unreported(&mut self) -> LeaseRenewals {
         LeaseRenewals {
             servers: std::mem::take(&mut self.unreported_servers)
--- a/crates/serving/dunespur/src/core_membership.rs
+++ b/crates/serving/dunespur/src/core_membership.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Pause between two attempts while this machine is in no view.
+/// Delay between two attempts while this machine is in no view.
 const JOIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How often a member checks whether it still is one.
 const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
@@ -19,7 +19,7 @@
 /// The founder answers a candidate within this time.
 const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Makes this machine a member of the core, and keeps it one, for as long as the task lives.
+/// Makes this machine a member of the core, and keeps it one, for as long as the task runs.
 pub async fn maintain_core_membership(
     coordinator: Rc<Coordinator>,
     directory: Rc<Directory>,
--- a/crates/serving/dunespur/src/deadline.rs
+++ b/crates/serving/dunespur/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Time limits that hold for a process that was frozen as well.
+//! Time limits that apply to a process that was frozen as well.
 
 #[cfg(test)]
 mod tests;
--- a/crates/serving/dunespur/src/directory/core_calls.rs
+++ b/crates/serving/dunespur/src/directory/core_calls.rs
@@ -14,7 +14,7 @@
 
 /// One core member gets so long for an operation before another one is tried.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after all known members were tried in vain.
+/// Delay after all known members were tried in vain.
 const CORE_RETRY_DELAY: Duration = Duration::from_millis(60);
 /// A process is given so long to tell the view that it knows.
 const VIEW_QUERY_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/serving/dunespur/src/directory/mod.rs
+++ b/crates/serving/dunespur/src/directory/mod.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the control state, kept up to date by a watch on one core member, and its way to the
+//! What a process knows of the control state, updated by a watch on one core member, and its way to the
 //! core for operations and reads.
 
 mod contact;
--- a/crates/serving/dunespur/src/directory/watching.rs
+++ b/crates/serving/dunespur/src/directory/watching.rs
@@ -12,7 +12,7 @@
 
 /// A core member answers a watch within this time, or another one is tried. It answers after 0.4 s at the latest.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause after the watch has failed at all known members.
+/// Delay after the watch has failed at all known members.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// How a watch at one member ended.
@@ -25,7 +25,7 @@
 }
 
 impl Directory {
-    /// Follows the control state for as long as the task lives.
+    /// Follows the control state for as long as the task runs.
     pub async fn follow(self: Rc<Self>) {
         loop {
             for address in self.members() {
--- a/crates/serving/dunespur/src/explain/render.rs
+++ b/crates/serving/dunespur/src/explain/render.rs
@@ -221,16 +221,20 @@
             &["store", "reply"],
         ),
         "stored" => Sentence::new(
-            format!("asked to store it, replied: {}", get("reply")),
+            format!("request to store it, replied: {}", get("reply")),
             &["reply"],
         ),
         "chain_request" => Sentence::new(
-            format!("store {} asked for turn {}", get("store"), get("of")),
+            format!(
+                "request to store {} to read turn {}",
+                get("store"),
+                get("of")
+            ),
             &["store", "of"],
         ),
         "chain_read" => Sentence::new(
             format!(
-                "asked for turn {}, replied: {}",
+                "request to read turn {}, replied: {}",
                 get("previous"),
                 get("reply")
             ),
--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between the processes of the system, as postcard payloads of `dunespur-rpc` frames.
 //!
-//! Postcard goes by position and order: a field or variant that moves is another message. `tests/bytes.rs` has the bytes
+//! Postcard goes by position and order: a field or variant that moves is another message. `tests/bytes` has the bytes
 //! of every variant.
 
 use bytes::Bytes;
@@ -122,7 +122,7 @@
 /// The answer to a candidate for the first view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Candidacy {
-    /// Ask again soon.
+    /// Apply again soon.
     Wait,
     /// The first view, with the asking machine in it.
     Found(View),
--- a/crates/serving/dunespur/src/registration.rs
+++ b/crates/serving/dunespur/src/registration.rs
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Pause before a report is repeated that the core did not acknowledge.
+/// Delay before a report is repeated that the core did not acknowledge.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The core gets so long for a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
--- a/crates/serving/dunespur/src/settings.rs
+++ b/crates/serving/dunespur/src/settings.rs
@@ -10,7 +10,7 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// The environment variable that holds the path of the settings file.
+/// The environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "DUNESPUR_CONFIG";
 
 /// What a process does.
@@ -72,7 +72,7 @@
     pub limits: ProcessLimits,
     /// The folder of its files, on a machine with a disk.
     pub data_dir: Option<PathBuf>,
-    /// Pause between heartbeats of a server, in milliseconds.
+    /// Interval between heartbeats of a server, in milliseconds.
     pub heartbeat_ms: u64,
     /// What may be lost at once.
     pub fault_tolerance: FaultTolerance,
@@ -192,7 +192,7 @@
             .filter(|_| self.counts_for_quorum && self.listen.control.is_some())
     }
 
-    /// Machines that have to hold what is acknowledged.
+    /// Machines that have to store what is acknowledged.
     pub fn required_replicas(&self) -> usize {
         self.fault_tolerance.machines as usize + 1
     }
--- a/crates/serving/dunespur/src/settings/read.rs
+++ b/crates/serving/dunespur/src/settings/read.rs
@@ -11,7 +11,7 @@
 const DEFAULT_MEMORY_MB: u64 = 256;
 /// Descriptors of such a process.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// Pause between heartbeats of a server where none is stated.
+/// Interval between heartbeats of a server where none is stated.
 const DEFAULT_HEARTBEAT_MS: u64 = 1000;
 
 /// What addresses have to be.
--- a/crates/serving/dunespur/src/status/report.rs
+++ b/crates/serving/dunespur/src/status/report.rs
@@ -219,7 +219,7 @@
     pub complete: bool,
     /// It is being emptied.
     pub retiring: bool,
-    /// It has been emptied and taken away.
+    /// It has been emptied and removed.
     pub retired: bool,
 }
 
--- a/crates/serving/dunespur/src/status/table.rs
+++ b/crates/serving/dunespur/src/status/table.rs
@@ -158,7 +158,7 @@
 
 fn front(front: FrontStatus) -> String {
     format!(
-        "front: {}; clients {} open, {} accepted; requests {}, refused {}, failed {}; connections to servers {} \
+        "front: {}; clients {} open, {} accepted; requests {}, rejected {}, failed {}; connections to servers {} \
          open, {} opened; bodies {:.1} MB",
         if front.ready { "ready" } else { "NOT READY" },
         front.connections,
--- a/crates/serving/dunespur/src/store/disk_thread.rs
+++ b/crates/serving/dunespur/src/store/disk_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that works on a store's disk: syncs block, and a slow disk must not hold up requests.
+//! The thread that works on a store's disk: syncs block, and a slow disk must not delay requests.
 
 use dunespur_storage::turns::TurnDisk;
 use dunespur_turn_replication::ids::JobId;
@@ -18,7 +18,7 @@
     pub work: DiskWork,
 }
 
-/// How a piece of work ended.
+/// How a job ended.
 pub struct DiskCompletion {
     /// The job's number.
     pub id: JobId,
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -56,7 +56,7 @@
     disk: Cell<DiskStatus>,
     /// Notified when the time of the next tick has changed.
     rescheduled: Notify,
-    /// Notified when the core may have to be told something.
+    /// Notified when there may be something to report to the core.
     pub(super) report_changed: Notify,
     this: Weak<StoreProcess>,
 }
--- a/crates/serving/dunespur/src/store/registration.rs
+++ b/crates/serving/dunespur/src/store/registration.rs
@@ -8,12 +8,12 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Pause before a report is repeated that the core did not acknowledge.
+/// Delay before a report is repeated that the core did not acknowledge.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The core gets so long for a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Keeps the core's entry of this store up to date for as long as the task lives.
+/// Keeps the core's entry of this store up to date for as long as the task runs.
 pub async fn maintain_registration(store: Rc<StoreProcess>) {
     loop {
         match store.missing_report() {
