--- a/crates/serving/dunespur/src/directory/core_calls.rs
+++ b/crates/serving/dunespur/src/directory/core_calls.rs
@@ -108,7 +108,7 @@
     /// Queries the view that one process knows.
     pub async fn query_view(&self, address: SocketAddr) -> Option<View> {
         match self
-            .call(address, encode(&Request::Hello), VIEW_QUERY_TIMEOUT)
+            .call(address, encode(&Request::QueryView), VIEW_QUERY_TIMEOUT)
             .await
         {
             Ok(Reply::View(view)) => view,
--- a/crates/serving/dunespur/src/load_exchange.rs
+++ b/crates/serving/dunespur/src/load_exchange.rs
@@ -154,12 +154,12 @@
     }
 
     async fn call(self: Rc<Self>, call: Call) {
-        let payload = encode(&Request::Home(call.report));
+        let payload = encode(&Request::LoadReport(call.report));
         let timeout = Duration::from_millis(REPORT_TIMEOUT_MS);
         let reply = self.directory.call(call.address, payload, timeout).await;
         let now = self.clock.now();
         match reply {
-            Ok(Reply::Home(update)) => {
+            Ok(Reply::LoadUpdate(update)) => {
                 self.distribution
                     .borrow_mut()
                     .handle_update(call.number, &update, now)
--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -22,7 +22,7 @@
         message: Message,
     },
     /// Queries the newest view that the process knows of.
-    Hello,
+    QueryView,
     /// A machine with an empty disk at the first start of the system applies for membership of the first view.
     Candidate {
         /// The machine.
@@ -51,7 +51,7 @@
         program: Option<String>,
     },
     /// From one gateway to another as the load aggregator of a service.
-    Home(Report),
+    LoadReport(Report),
 }
 
 /// Requests changes, and renews leases on the way.
@@ -116,7 +116,7 @@
     /// A [`Status`](crate::status::Status) as JSON.
     Status(String),
     /// Of a load aggregator.
-    Home(Update),
+    LoadUpdate(Update),
 }
 
 /// The answer to a candidate for the first view.
--- a/crates/serving/dunespur/src/service.rs
+++ b/crates/serving/dunespur/src/service.rs
@@ -39,13 +39,15 @@
 impl GatewayService {
     async fn answer(&self, request: Request) -> Reply {
         match request {
-            Request::Hello => Reply::View(self.view()),
+            Request::QueryView => Reply::View(self.view()),
             Request::Announce(view) => {
                 self.directory.learn_view(view);
                 Reply::View(None)
             }
             Request::Candidate { peer } => self.candidate(peer),
-            Request::Home(report) => Reply::Home(self.load_exchange.receive_report(&report)),
+            Request::LoadReport(report) => {
+                Reply::LoadUpdate(self.load_exchange.receive_report(&report))
+            }
             Request::Status { program } => {
                 Reply::Status(self.status.status(program.as_deref()).to_json())
             }
@@ -91,11 +93,11 @@
             coordinator.receive_renewals(&renewals);
             Reply::View(None)
         }
-        Request::Hello
+        Request::QueryView
         | Request::Announce(_)
         | Request::Candidate { .. }
         | Request::Store(_)
-        | Request::Home(_)
+        | Request::LoadReport(_)
         | Request::Status { .. } => Reply::Unavailable,
     }
 }
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -234,7 +234,7 @@
     async fn call(self: Rc<Self>, payload: Bytes) -> Option<Bytes> {
         let reply = match decode::<Request>(&payload)? {
             Request::Store(request) => Reply::Store(self.store_request(request).await?),
-            Request::Hello => Reply::View(self.directory.view()),
+            Request::QueryView => Reply::View(self.directory.view()),
             Request::Announce(view) => {
                 self.directory.learn_view(view);
                 Reply::View(None)
--- a/crates/serving/dunespur/tests/bytes/replies.rs
+++ b/crates/serving/dunespur/tests/bytes/replies.rs
@@ -117,7 +117,7 @@
             Reply::Store(StoreReply::Rejected(Rejection::Busy)),
         ),
         ("status", Reply::Status("{\"node\":\"front-7\"}".to_owned())),
-        ("home", Reply::Home(load_update())),
+        ("home", Reply::LoadUpdate(load_update())),
     ]
 }
 
--- a/crates/serving/dunespur/tests/bytes/requests.rs
+++ b/crates/serving/dunespur/tests/bytes/requests.rs
@@ -20,7 +20,7 @@
                 message: submission(),
             },
         ),
-        ("hello", Request::Hello),
+        ("hello", Request::QueryView),
         ("candidate", Request::Candidate { peer: peer(2) }),
     ];
     requests.extend(
@@ -68,7 +68,7 @@
                 program: Some("program-5".to_owned()),
             },
         ),
-        ("home", Request::Home(load_report())),
+        ("home", Request::LoadReport(load_report())),
     ]
 }
 
--- a/crates/testing/emulator/examples/control_followers.rs
+++ b/crates/testing/emulator/examples/control_followers.rs
@@ -110,7 +110,7 @@
     let client = Client::new(first);
     let until = Instant::now() + READY_LIMIT;
     loop {
-        if let Some(Reply::View(Some(view))) = call(&client, &Request::Hello).await {
+        if let Some(Reply::View(Some(view))) = call(&client, &Request::QueryView).await {
             if view.members.len() == CORE_MEMBERS {
                 return Ok(view.members.iter().map(|peer| peer.address).collect());
             }
