--- a/crates/serving/chain-replication/tests/encodings.rs
+++ b/crates/serving/chain-replication/tests/encodings.rs
@@ -1,8 +1,8 @@
 //! Messages between members and records on disk keep their bytes: members of two versions talk with each other, and a
 //! member reads what an earlier version wrote.
 //!
-//! Postcard goes by position and order, so a field or variant that changes places shows here and nowhere else. Each
-//! value has another number in each field. The fixtures were written by the text of 2026-12-02; a new variant gets a
+//! Postcard goes by position and order, so a field or variant that moves shows here and nowhere else. Each value
+//! has another number in each field. The fixtures were written by the version of 2026-12-02; a new variant gets a
 //! new fixture, with `RECORD_FIXTURES=1`, and those that are there stay.
 
 use dunespur_chain_replication::message::{
@@ -194,17 +194,14 @@
     }
 }
 
+/// A value of each variant.
 fn messages() -> Vec<Message> {
-    let chunk = SnapshotChunk {
-        descriptor: descriptor(),
-        offset: 1_033,
-        bytes: payload(),
-    };
-    let progress = SnapshotProgress {
-        descriptor: descriptor(),
-        received: 1_034,
-        rejected: true,
-    };
+    let mut messages = agreement_messages();
+    messages.extend(chain_messages());
+    messages
+}
+
+fn agreement_messages() -> Vec<Message> {
     vec![
         Message::Bootstrap { view: view() },
         Message::Join {
@@ -229,6 +226,21 @@
             view: 1_035,
             proposal_number: proposal_number(),
         },
+    ]
+}
+
+fn chain_messages() -> Vec<Message> {
+    let chunk = SnapshotChunk {
+        descriptor: descriptor(),
+        offset: 1_033,
+        bytes: payload(),
+    };
+    let progress = SnapshotProgress {
+        descriptor: descriptor(),
+        received: 1_034,
+        rejected: true,
+    };
+    vec![
         Message::Append(append()),
         Message::Resume(resume()),
         Message::FetchCommitted(resume()),
@@ -350,7 +362,7 @@
 }
 
 #[test]
-fn what_is_found_on_disk_keeps_its_bytes() {
+fn the_durable_state_keeps_its_bytes() {
     let durable = DurableState {
         decided: Some(decided()),
         promised: Some(proposal_number()),
@@ -397,9 +409,9 @@
     );
 }
 
-/// Parts that other packages store or send by themselves.
+/// Records that other packages store or send by themselves.
 #[test]
-fn single_parts_keep_their_bytes() {
+fn single_records_keep_their_bytes() {
     check("part-member-id", &id("core-a", 1_002));
     check("part-peer", &peer("core-c", 1_004, "[fd00::5]:7382"));
     check("part-view", &view());
