--- a/crates/serving/control-state/src/store.rs
+++ b/crates/serving/control-state/src/store.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether it was emptied and its machine was taken away.
+    /// Whether it was emptied and its machine was removed.
     pub(crate) fn is_decommissioned(&self) -> bool {
         self.retirement == Some(Retirement::Done) && !self.present
     }
--- a/crates/serving/control-state/tests/replicas.rs
+++ b/crates/serving/control-state/tests/replicas.rs
@@ -162,16 +162,16 @@
         sequence: 0,
         state: ControlState::default(),
     };
-    let mut under_way = Vec::new();
+    let mut in_flight = Vec::new();
     let mut arrived = Vec::new();
     while arrived.len() < OPERATIONS {
-        while under_way.len() < WINDOW {
-            under_way.push(author.operation());
+        while in_flight.len() < WINDOW {
+            in_flight.push(author.operation());
         }
         let next = author.random.usize(0..WINDOW);
         let operation = match author.random.u32(0..4) {
-            0 => under_way[next].clone(),
-            _ => under_way.swap_remove(next),
+            0 => in_flight[next].clone(),
+            _ => in_flight.swap_remove(next),
         };
         author.state.apply(&operation, &mut Vec::new());
         arrived.push(operation);
--- a/crates/serving/control-state/tests/world/callers.rs
+++ b/crates/serving/control-state/tests/world/callers.rs
@@ -308,11 +308,11 @@
         if let (Some(entry), Some(answer)) = (open.entry, &answer) {
             self.history.end(entry, self.now, answer.clone());
         }
-        let clear = answer.filter(|answer| *answer != Answer::Indefinite);
+        let definite = answer.filter(|answer| *answer != Answer::Indefinite);
         let delay = match self.callers[caller].role {
-            Role::Follower => self.watch_ended(caller, clear.is_some()),
-            Role::Operator => self.request_ended(caller, clear),
-            Role::RetirementOperator => self.retirement_call_ended(clear),
+            Role::Follower => self.watch_ended(caller, definite.is_some()),
+            Role::Operator => self.request_ended(caller, definite),
+            Role::RetirementOperator => self.retirement_call_ended(definite),
         };
         self.schedule(
             self.now + delay,
@@ -330,8 +330,8 @@
         WATCH_EVERY
     }
 
-    fn request_ended(&mut self, caller: usize, clear: Option<Answer>) -> Millis {
-        let learned = match &clear {
+    fn request_ended(&mut self, caller: usize, definite: Option<Answer>) -> Millis {
+        let learned = match &definite {
             Some(Answer::Accepted) => self.callers[caller]
                 .wanted
                 .map(|wanted| self.history.generation_of(wanted.request)),
@@ -346,7 +346,7 @@
         let done = match &mut operator.wanted {
             Some(wanted) => {
                 wanted.attempts_left -= 1;
-                clear.is_some() || wanted.attempts_left == 0
+                definite.is_some() || wanted.attempts_left == 0
             }
             None => true,
         };
--- a/crates/serving/control-state/tests/world/digest.rs
+++ b/crates/serving/control-state/tests/world/digest.rs
@@ -56,7 +56,7 @@
             tally.accepted,
             tally.rejected,
             tally.reads,
-            tally.unclear,
+            tally.indefinite,
         ]);
         self.numbers([
             tally.snapshots,
--- a/crates/serving/control-state/tests/world/history.rs
+++ b/crates/serving/control-state/tests/world/history.rs
@@ -55,7 +55,7 @@
     pub accepted: u64,
     pub rejected: u64,
     pub reads: u64,
-    pub unclear: u64,
+    pub indefinite: u64,
     pub snapshots: u64,
     /// Retirements that began, and requests for one that were rejected.
     pub emptied: u64,
@@ -69,7 +69,7 @@
         self.accepted += other.accepted;
         self.rejected += other.rejected;
         self.reads += other.reads;
-        self.unclear += other.unclear;
+        self.indefinite += other.indefinite;
         self.snapshots += other.snapshots;
         self.emptied += other.emptied;
         self.rejected_retirements += other.rejected_retirements;
@@ -150,7 +150,7 @@
                 Some((_, Answer::Accepted)) => tally.accepted += 1,
                 Some((_, Answer::Current { .. } | Answer::Invalid)) => tally.rejected += 1,
                 Some((_, Answer::Configuration(_))) => tally.reads += 1,
-                _ => tally.unclear += 1,
+                _ => tally.indefinite += 1,
             }
         }
         tally
--- a/crates/serving/control-state/tests/world/machines.rs
+++ b/crates/serving/control-state/tests/world/machines.rs
@@ -294,7 +294,7 @@
                 }
             }
             Output::Persist { batch, writes } => {
-                let sync = self.rng.u64(1..self.setup.sync_most);
+                let sync = self.rng.u64(1..self.setup.max_sync_ms);
                 let run = self.machines[index].run;
                 self.machines[index].flight = Some(Flight { batch, writes });
                 self.schedule(
--- a/crates/serving/control-state/tests/world/mod.rs
+++ b/crates/serving/control-state/tests/world/mod.rs
@@ -51,7 +51,7 @@
     pub safeguards: Safeguards,
     /// Bytes of payloads that mean nothing: large ones bring on snapshots.
     pub filling: usize,
-    pub sync_most: Millis,
+    pub max_sync_ms: Millis,
 }
 
 impl Setup {
@@ -61,7 +61,7 @@
             machines,
             safeguards: Safeguards::default(),
             filling: if seed % 3 == 1 { 24_000 } else { 0 },
-            sync_most: if seed % 4 == 2 { 60 } else { 4 },
+            max_sync_ms: if seed % 4 == 2 { 60 } else { 4 },
         }
     }
 }
--- a/crates/serving/control-state/tests/world/retirements.rs
+++ b/crates/serving/control-state/tests/world/retirements.rs
@@ -21,7 +21,7 @@
     next_number: u64,
     wanted: Option<(String, u32)>,
     /// Whether a call was made for a store since its last definite answer.
-    under_way: BTreeMap<String, bool>,
+    in_flight: BTreeMap<String, bool>,
     pub retirements_begun: u64,
     pub rejected: u64,
 }
@@ -45,7 +45,7 @@
         }
         let (node, _) = self.retirement_operator.wanted.clone().expect("just set");
         self.retirement_operator
-            .under_way
+            .in_flight
             .insert(node.clone(), true);
         self.choose_machine(caller);
         self.call(caller, Question::Retire(node), None);
@@ -90,10 +90,10 @@
     }
 
     /// A call of the operator of stores ended.
-    pub fn retirement_call_ended(&mut self, clear: Option<Answer>) -> u64 {
+    pub fn retirement_call_ended(&mut self, definite: Option<Answer>) -> u64 {
         if let Some((node, attempts_left)) = self.retirement_operator.wanted.take() {
-            if let Some(answer) = &clear {
-                self.retirement_operator.under_way.insert(node, false);
+            if let Some(answer) = &definite {
+                self.retirement_operator.in_flight.insert(node, false);
                 self.retirement_operator.rejected += u64::from(*answer == Answer::NotRetired);
             } else if attempts_left > 1 {
                 self.retirement_operator.wanted = Some((node, attempts_left - 1));
@@ -105,7 +105,7 @@
     /// A store begins to be emptied.
     pub fn retirement_begins(&mut self, node: &str) {
         self.retirement_operator.retirements_begun += 1;
-        if self.retirement_operator.under_way.get(node) != Some(&true) {
+        if self.retirement_operator.in_flight.get(node) != Some(&true) {
             self.violate(format!(
                 "{node} is being emptied, and every call for it was decided before"
             ));
