--- a/crates/serving/dunespur/src/core/coordinator/requests.rs
+++ b/crates/serving/dunespur/src/core/coordinator/requests.rs
@@ -1,8 +1,8 @@
 //! Operations and reads of other processes: received, proposed to the state machine, answered once the chain has
 //! acknowledged them.
 
-use super::super::pending_operations::{OperationAnswer, Registration};
 use super::Coordinator;
+use crate::core::pending_operations::{OperationAnswer, Registration};
 use crate::deadline::within;
 use crate::messages::Reply;
 use dunespur_chain_replication::Input;
--- a/crates/serving/dunespur/src/directory/core_calls.rs
+++ b/crates/serving/dunespur/src/directory/core_calls.rs
@@ -1,5 +1,6 @@
 //! Operations and reads at the core, and calls of other processes.
 
+use super::unavailable::Unavailable;
 use super::Directory;
 use crate::deadline::within;
 use crate::messages::{encode, Reply, Request};
@@ -9,7 +10,6 @@
 use dunespur_rpc::CallError;
 use std::net::SocketAddr;
 use std::time::Duration;
-use thiserror::Error;
 use tokio::time::{sleep, Instant};
 
 /// One core member gets so long for an operation before another one is tried.
@@ -19,11 +19,6 @@
 /// A process is given so long to tell the view that it knows.
 const VIEW_QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// No core member has answered in time: the operation may or may not be carried out.
-#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the core did not answer in time")]
-pub struct Unavailable;
-
 impl Directory {
     /// Executes an operation at the core.
     ///
--- a/crates/serving/dunespur/src/directory/mod.rs
+++ b/crates/serving/dunespur/src/directory/mod.rs
@@ -5,10 +5,11 @@
 mod core_calls;
 mod known_state;
 mod process_links;
+mod unavailable;
 mod watching;
 
-pub use core_calls::Unavailable;
 pub use known_state::{KnownState, StateChanges};
+pub use unavailable::Unavailable;
 
 use crate::clock::Clock;
 use crate::messages::NodeLease;
