--- a/crates/gateway/gateway/src/fleet.rs
+++ b/crates/gateway/gateway/src/fleet.rs
@@ -41,6 +41,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Seconds on a clock that goes on while the process, or the whole machine, stands still.
+#[must_use]
 pub fn clock() -> f64 {
     let t = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     t.tv_sec as f64 + t.tv_nsec as f64 * 1e-9
@@ -164,19 +165,26 @@
     }
 }
 
-/// Messages of the duties' work.
+/// Messages by which limiters do the work of the singleton roles. The encoding goes by position and order.
 #[derive(Serialize, Deserialize)]
 pub enum Work {
-    /// Of a trial.
+    /// An effect of a trial.
     Effect {
+        /// The slot that its sender held.
         slot: Slot,
+        /// The fencing token under which it did.
         token: u64,
     },
+    /// Complaints about servers, and what checks of them saw.
     Probe(health_check::Message),
+    /// What a limiter added to the counter, for the auditor.
     Audit {
+        /// The shard of the counter's names.
         slot: Slot,
+        /// The sums.
         message: audit::Message,
     },
+    /// Between borrowers and brokers of the counter's units.
     Lend(quota_sharing::Message),
 }
 
--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -327,7 +327,9 @@
     });
 }
 
-/// The whole program: reads the configuration that the environment names, serves, ends.
+/// The whole program: reads the configuration that the environment names, serves, ends. The exit code is 2
+/// where the configuration can't be used.
+#[must_use]
 pub fn main() -> ExitCode {
     log::start(std::env::var("RELAY_LOG").ok().as_deref());
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/gateway/gateway/src/log.rs
+++ b/crates/gateway/gateway/src/log.rs
@@ -68,16 +68,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::{Lines, MOST};
-
-    #[test]
-    fn a_flood_is_cut_and_counted() {
-        let lines = Lines::default();
-        let written = (0..MOST + 7).filter(|_| lines.admit(5).0).count() as u64;
-        assert_eq!(
-            (written, lines.admit(6), lines.admit(6)),
-            (MOST, (true, 7), (true, 0))
-        );
-    }
-}
+mod tests;
--- a/crates/gateway/gateway/src/reducer.rs
+++ b/crates/gateway/gateway/src/reducer.rs
@@ -4,7 +4,10 @@
 
 use crate::message::{Answered, Asked, Names, News, Reply};
 use crate::stats::Stats;
-use dunespur_decisions::types::*;
+use dunespur_decisions::types::{
+    About, Action, Answer, Arrival, Counted, Ending, Invocation, Outcome, Readiness, Server,
+    Settings, Stage,
+};
 use dunespur_decisions::Limiter;
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap};
--- a/crates/gateway/gateway/src/reducer/tests.rs
+++ b/crates/gateway/gateway/src/reducer/tests.rs
@@ -1,7 +1,9 @@
+//! Tests of the reducer beside a model of what the front promises.
+
 use super::*;
 use crate::message::{decode_asked, Member};
 use bytes::Bytes;
-use dunespur_decisions::types::Effect as Run;
+use dunespur_decisions::types::{Effect as Run, Group, OperationSettings, PlanSettings};
 use std::collections::HashSet;
 
 const ENDINGS: [Ending; 5] = [
@@ -70,117 +72,167 @@
     Rc::new(decode_asked(parts, Bytes::new(), &names).unwrap())
 }
 
-/// A plain model of the front's duties beside generated events: one answer each and none to who has
-/// left, one delivery out at a time, none after the answer or to a server withdrawn, nothing kept.
-#[test]
-fn every_invocation_gets_one_answer_and_nothing_is_kept() {
-    let (mut succeeded, mut timed_out) = (0, 0);
-    for seed in 0..60u64 {
-        let mut state = seed.wrapping_mul(0x9E3779B97F4A7C15) | 1;
-        let mut any = |most: usize| {
-            state ^= state << 13;
-            state ^= state >> 7;
-            state ^= state << 17;
-            (state >> 33) as usize % most
-        };
-        let mut now = 1000.0;
-        let mut reducer = Reducer::new(&settings(), now);
-        let (mut waiting, mut live) = (HashSet::new(), vec![true; 4]);
-        let (mut open, mut calls): (Vec<Delivery>, Vec<u64>) = Default::default();
-        let mut out = Vec::new();
-        for step in 0..3000u64 {
-            let last = step >= 1500;
-            let event = match any(8) {
-                0 | 1 if !last => {
-                    waiting.insert(step);
-                    Event::Taken {
-                        num: step,
-                        asked: asked(any(3) as u64, any(3) as u64),
-                    }
-                }
-                2 | 3 if !open.is_empty() => {
-                    let d = open.remove(any(open.len()));
-                    let answered = Answered::none(ENDINGS[any(5)]);
-                    Event::Ended {
-                        num: d.num,
-                        n: d.n,
-                        answered,
-                    }
-                }
-                4 if !calls.is_empty() => {
-                    let counted = [Counted::Total(any(60) as f64), Counted::Refused][any(2)];
-                    Event::Counted {
-                        call: calls.remove(any(calls.len())),
-                        counted,
-                    }
-                }
-                5 if !waiting.is_empty() && any(4) == 0 => {
-                    let num = *waiting.iter().min().unwrap();
-                    waiting.remove(&num);
-                    Event::ClientGone { num }
-                }
-                6 if any(20) == 0 => {
-                    let tgt = any(4);
-                    live[tgt] = !live[tgt];
-                    let member = |tgt: usize| Member {
-                        id: tgt.to_string(),
-                        address: ([127, 0, 0, 1], 80 + tgt as u16).into(),
-                        zone: 0,
-                        cell: 0,
-                        came_up: 0.0,
-                        readiness: if live[tgt] {
-                            Readiness::Live
-                        } else {
-                            Readiness::Draining
-                        },
-                    };
-                    let members = (0..4).map(member).collect();
-                    Event::Endpoints(News {
-                        revision: step,
-                        complete: false,
-                        members,
-                        whole: true,
-                    })
+/// A plain model of the front's duties beside generated events.
+struct Model {
+    random: u64,
+    now: f64,
+    reducer: Reducer,
+    /// Invocations whose clients wait.
+    waiting: HashSet<u64>,
+    /// Which servers are not withdrawn.
+    live: Vec<bool>,
+    /// Deliveries that are out.
+    open: Vec<Delivery>,
+    /// Calls to the counter that are out.
+    calls: Vec<u64>,
+}
+
+impl Model {
+    fn new(seed: u64) -> Self {
+        let now = 1000.0;
+        Model {
+            random: seed.wrapping_mul(0x9E3779B97F4A7C15) | 1,
+            now,
+            reducer: Reducer::new(&settings(), now),
+            waiting: HashSet::new(),
+            live: vec![true; 4],
+            open: Vec::new(),
+            calls: Vec::new(),
+        }
+    }
+
+    fn any(&mut self, most: usize) -> usize {
+        self.random ^= self.random << 13;
+        self.random ^= self.random >> 7;
+        self.random ^= self.random << 17;
+        (self.random >> 33) as usize % most
+    }
+
+    /// The next event; `last` where no invocation comes any more.
+    fn event(&mut self, step: u64, last: bool) -> Event {
+        match self.any(8) {
+            0 | 1 if !last => {
+                self.waiting.insert(step);
+                let (customer, operation) = (self.any(3) as u64, self.any(3) as u64);
+                Event::Taken {
+                    num: step,
+                    asked: asked(customer, operation),
                 }
-                _ => {
-                    now += any(40) as f64 / 1000.0 * if last { 10.0 } else { 1.0 };
-                    Event::Due
+            }
+            2 | 3 if !self.open.is_empty() => {
+                let at = self.any(self.open.len());
+                let delivery = self.open.remove(at);
+                Event::Ended {
+                    num: delivery.num,
+                    n: delivery.n,
+                    answered: Answered::none(ENDINGS[self.any(5)]),
                 }
-            };
-            reducer.reduce(event, now, &mut out);
-            let mut at = 0;
-            while at < out.len() {
-                match &out[at] {
-                    Effect::Send(d) => {
-                        assert!(waiting.contains(&d.num) && live[d.tgt], "sent with no need");
-                        assert!(open.iter().all(|o| o.num != d.num), "two deliveries out");
-                        assert!(d.until <= now + 1.0 && reducer.holds(d, now));
-                        open.push(d.clone());
-                    }
-                    &Effect::Abandon { num, n, ending } => {
-                        open.retain(|d| (d.num, d.n) != (num, n));
-                        let answered = Answered::none(ending);
-                        reducer.reduce(Event::Ended { num, n, answered }, now, &mut out);
-                    }
-                    Effect::Reply { num, .. } => {
-                        assert!(waiting.remove(num), "answered twice or none")
-                    }
-                    &Effect::Count { call, .. } => calls.push(call),
-                    &Effect::AbandonCount { call } => {
-                        calls.retain(|c| *c != call);
-                        let counted = Counted::Silent;
-                        reducer.reduce(Event::Counted { call, counted }, now, &mut out);
-                    }
-                    Effect::Retire { .. } | Effect::Watch => {}
+            }
+            4 if !self.calls.is_empty() => {
+                let total = Counted::Total(self.any(60) as f64);
+                let counted = [total, Counted::Refused][self.any(2)];
+                let at = self.any(self.calls.len());
+                Event::Counted {
+                    call: self.calls.remove(at),
+                    counted,
                 }
-                at += 1;
             }
-            out.clear();
-            assert!(
-                open.iter().all(|d| waiting.contains(&d.num)),
-                "out for one that is done"
-            );
+            5 if !self.waiting.is_empty() && self.any(4) == 0 => {
+                let num = *self.waiting.iter().min().unwrap();
+                self.waiting.remove(&num);
+                Event::ClientGone { num }
+            }
+            6 if self.any(20) == 0 => self.endpoints(step),
+            _ => {
+                self.now += self.any(40) as f64 / 1000.0 * if last { 10.0 } else { 1.0 };
+                Event::Due
+            }
+        }
+    }
+
+    /// One server is withdrawn or comes back.
+    fn endpoints(&mut self, step: u64) -> Event {
+        let tgt = self.any(4);
+        self.live[tgt] = !self.live[tgt];
+        let member = |tgt: usize| Member {
+            id: tgt.to_string(),
+            address: ([127, 0, 0, 1], 80 + tgt as u16).into(),
+            zone: 0,
+            cell: 0,
+            came_up: 0.0,
+            readiness: if self.live[tgt] {
+                Readiness::Live
+            } else {
+                Readiness::Draining
+            },
+        };
+        Event::Endpoints(News {
+            revision: step,
+            complete: false,
+            members: (0..4).map(member).collect(),
+            whole: true,
+        })
+    }
+
+    fn step(&mut self, step: u64, last: bool) {
+        let mut out = Vec::new();
+        let event = self.event(step, last);
+        self.reducer.reduce(event, self.now, &mut out);
+        while !out.is_empty() {
+            for effect in std::mem::take(&mut out) {
+                self.carry_out(effect, &mut out);
+            }
         }
+        let waiting = &self.waiting;
+        assert!(
+            self.open.iter().all(|d| waiting.contains(&d.num)),
+            "out for one that is done"
+        );
+    }
+
+    fn carry_out(&mut self, effect: Effect, out: &mut Vec<Effect>) {
+        let now = self.now;
+        match effect {
+            Effect::Send(d) => {
+                let wanted = self.waiting.contains(&d.num) && self.live[d.tgt];
+                assert!(wanted, "sent with no need");
+                let alone = self.open.iter().all(|o| o.num != d.num);
+                assert!(alone, "two deliveries out");
+                assert!(d.until <= now + 1.0 && self.reducer.holds(&d, now));
+                self.open.push(d);
+            }
+            Effect::Abandon { num, n, ending } => {
+                self.open.retain(|d| (d.num, d.n) != (num, n));
+                let answered = Answered::none(ending);
+                let ended = Event::Ended { num, n, answered };
+                self.reducer.reduce(ended, now, out);
+            }
+            Effect::Reply { num, .. } => {
+                assert!(self.waiting.remove(&num), "answered twice or none")
+            }
+            Effect::Count { call, .. } => self.calls.push(call),
+            Effect::AbandonCount { call } => {
+                self.calls.retain(|c| *c != call);
+                let counted = Counted::Silent;
+                let silent = Event::Counted { call, counted };
+                self.reducer.reduce(silent, now, out);
+            }
+            Effect::Retire { .. } | Effect::Watch => {}
+        }
+    }
+}
+
+/// One answer each and none to who has left, one delivery out at a time, none after the answer or to a server
+/// withdrawn, nothing kept.
+#[test]
+fn every_invocation_gets_one_answer_and_nothing_is_kept() {
+    let (mut succeeded, mut timed_out) = (0, 0);
+    for seed in 0..60u64 {
+        let mut model = Model::new(seed);
+        (0..3000u64).for_each(|step| model.step(step, step >= 1500));
+        let Model {
+            waiting, reducer, ..
+        } = &model;
         assert!(
             waiting.is_empty() && reducer.in_hand() == 0,
             "{} kept",
--- /dev/null
+++ b/crates/testing/fleet-simulation/src/check/tests.rs
@@ -0,0 +1,110 @@
+//! Tests of the checkers: each finds what it is for.
+
+use super::*;
+
+fn trial() -> Trial {
+    Trial::parse(
+        "name = \"t\"\nseconds = 60.0\n[fleet]\nlimiters = 3\nduties = [{ name = \"audit\" }]\n",
+    )
+    .unwrap()
+}
+
+fn began(t: f64, who: &str, token: u64) -> Line {
+    Line::Began {
+        t,
+        who: who.into(),
+        run: 1,
+        slot: 0,
+        token,
+    }
+}
+
+fn ended(t: f64, who: &str, token: u64, until: f64) -> Line {
+    Line::Ended {
+        t,
+        who: who.into(),
+        run: 1,
+        slot: 0,
+        token,
+        until,
+    }
+}
+
+fn accepted(t: f64, token: u64) -> Line {
+    Line::Accepted {
+        t,
+        at: "r".into(),
+        who: "x".into(),
+        slot: 0,
+        token,
+    }
+}
+
+#[test]
+fn each_checker_finds_what_it_is_for() {
+    let t = trial();
+    let good = vec![
+        began(1.0, "a", 5),
+        accepted(2.0, 5),
+        ended(4.0, "a", 5, 6.0),
+        began(4.2, "b", 9),
+    ];
+    assert_eq!(check(&t, &good), Vec::<String>::new());
+    let kinds = |lines: &[Line]| -> Vec<String> {
+        check(&t, lines)
+            .iter()
+            .map(|b| b.split(':').next().unwrap().to_owned())
+            .collect()
+    };
+    let mut old = good.clone();
+    old.extend([accepted(5.0, 9), accepted(5.1, 5)]);
+    assert_eq!(kinds(&old), ["token"]);
+    assert_eq!(
+        kinds(&[
+            began(1.0, "a", 5),
+            began(2.0, "b", 9),
+            ended(3.0, "a", 5, 9.0)
+        ]),
+        ["alone"]
+    );
+    assert_eq!(
+        kinds(&[
+            began(1.0, "a", 5),
+            began(2.0, "b", 9),
+            ended(9.0, "a", 5, 1.9)
+        ]),
+        [""; 0]
+    );
+    assert_eq!(kinds(&[began(1.0, "a", 5), began(2.0, "b", 9)]), ["alone"]);
+    assert_eq!(
+        kinds(&[began(1.0, "a", 5), ended(20.0, "a", 5, 21.0)]),
+        ["held"]
+    );
+    assert_eq!(kinds(&[]), ["held"]);
+    let told = |asked, t, index| Line::Told {
+        asked,
+        t,
+        who: "a".into(),
+        index,
+    };
+    let mut back = good.clone();
+    back.extend([told(1.0, 2.0, 8), told(3.0, 4.0, 7)]);
+    assert_eq!(kinds(&back), ["log"]);
+    let mut twice = good.clone();
+    twice.push(Line::Answer {
+        sent: 1.0,
+        t: 1.1,
+        status: 200,
+        answers: 2,
+        in_time: true,
+        customer: 0,
+        limiter: 0,
+    });
+    assert_eq!(kinds(&twice), ["answer"]);
+}
+
+#[test]
+fn asks_that_overlap_may_see_the_log_in_any_order() {
+    assert!(linear(&[(0.0, 5.0, 9), (1.0, 2.0, 3), (3.0, 4.0, 5)]));
+    assert!(!linear(&[(0.0, 1.0, 9), (1.5, 2.0, 3)]));
+}
--- a/crates/testing/fleet-simulation/src/main.rs
+++ b/crates/testing/fleet-simulation/src/main.rs
@@ -1,6 +1,7 @@
 //! `dunespur-lab`: plays trials of a fleet and says whether its promises held.
 
 mod check;
+mod error;
 mod history;
 mod measure;
 mod processes;
@@ -10,8 +11,9 @@
 mod world;
 
 use clap::{Parser, Subcommand, ValueEnum};
+use history::Line;
 use std::io::Write;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 #[derive(Parser)]
@@ -122,82 +124,7 @@
             world,
             seed,
             json,
-        } => {
-            let text = match std::fs::read_to_string(&file) {
-                Ok(text) => text,
-                Err(e) => return unusable(&format!("{}: {e}", file.display())),
-            };
-            let trial = match trial::Trial::parse(&text) {
-                Ok(trial) => trial,
-                Err(e) => return unusable(&format!("{}: {e}", file.display())),
-            };
-            let mut to: Option<Box<dyn Write>> = match &json {
-                None => None,
-                Some(p) if p.as_os_str() == "-" => Some(Box::new(std::io::stdout().lock())),
-                Some(p) => match std::fs::File::create(p) {
-                    Ok(f) => Some(Box::new(std::io::BufWriter::new(f))),
-                    Err(e) => return unusable(&format!("{}: {e}", p.display())),
-                },
-            };
-            let lines = match world {
-                Kind::Simulated => {
-                    if let Err(e) = world::check(&trial) {
-                        return unusable(&format!("{}: {e}", file.display()));
-                    }
-                    let mut w = world::World::new(&trial, seed);
-                    w.run();
-                    w.lines
-                }
-                Kind::Processes => match processes::play(&trial, seed) {
-                    Ok(lines) => lines,
-                    Err(e) => return unusable(&format!("{}: {e}", file.display())),
-                },
-            };
-            let broken = check::check(&trial, &lines);
-            if let Some(to) = &mut to {
-                for line in &lines {
-                    let _ = serde_json::to_writer(&mut *to, line);
-                    let _ = to.write_all(b"\n");
-                }
-                let verdict = if broken.is_empty() { "held" } else { "broken" };
-                let mut took = check::handovers(&trial, &lines);
-                let handovers = measure::spread(&mut took);
-                let mut waited: Vec<f64> = lines
-                    .iter()
-                    .filter_map(|l| match l {
-                        history::Line::Answer {
-                            sent,
-                            t,
-                            status: 200,
-                            ..
-                        } => Some(t - sent),
-                        _ => None,
-                    })
-                    .collect();
-                let latency = measure::spread(&mut waited);
-                let used = lines.iter().filter_map(|l| match l {
-                    history::Line::Counted { what, value, .. } if what.starts_with("processor") => {
-                        Some(value)
-                    }
-                    _ => None,
-                });
-                let processor_s: f64 = used.sum();
-                let quotas = trial
-                    .quota
-                    .as_ref()
-                    .map(|q| quotas::judge(&trial, q, &lines));
-                let last = serde_json::json!({
-                    "quotas": quotas,
-                    "latency": latency, "processor_s": processor_s,
-                    "handovers": handovers,
-                    "line": "verdict", "verdict": verdict, "trial": trial.name, "seed": seed, "broken": broken,
-                });
-                let _ = writeln!(to, "{last}");
-                let _ = to.flush();
-            }
-            broken.iter().for_each(|b| eprintln!("{b}"));
-            ExitCode::from(u8::from(!broken.is_empty()))
-        }
+        } => play_trial(&file, world, seed, json.as_deref()),
         Command::Quotas {
             limiters,
             loss,
@@ -221,3 +148,100 @@
         } => measure::fleet(&limiters, &loss, seed, seconds),
     }
 }
+
+/// Why a trial gave no verdict.
+#[derive(Debug, thiserror::Error)]
+enum Unplayable {
+    #[error(transparent)]
+    File(#[from] std::io::Error),
+    #[error(transparent)]
+    Trial(#[from] error::TrialError),
+    #[error(transparent)]
+    World(#[from] error::PlayError),
+}
+
+/// Plays one trial, writes its history where it is wanted, and says what broke.
+fn play_trial(file: &Path, world: Kind, seed: u64, json: Option<&Path>) -> ExitCode {
+    let unusable_file = |error: Unplayable| unusable(&format!("{}: {error}", file.display()));
+    let trial = match read_trial(file) {
+        Ok(trial) => trial,
+        Err(error) => return unusable_file(error),
+    };
+    let mut to: Option<Box<dyn Write>> = match json {
+        None => None,
+        Some(path) if path.as_os_str() == "-" => Some(Box::new(std::io::stdout().lock())),
+        Some(path) => match std::fs::File::create(path) {
+            Ok(file) => Some(Box::new(std::io::BufWriter::new(file))),
+            Err(e) => return unusable(&format!("{}: {e}", path.display())),
+        },
+    };
+    let lines = match play_in(world, &trial, seed) {
+        Ok(lines) => lines,
+        Err(error) => return unusable_file(error),
+    };
+    let broken = check::check(&trial, &lines);
+    if let Some(to) = &mut to {
+        write_history(to, &trial, seed, &lines, &broken);
+    }
+    broken.iter().for_each(|b| eprintln!("{b}"));
+    ExitCode::from(u8::from(!broken.is_empty()))
+}
+
+fn read_trial(file: &Path) -> Result<trial::Trial, Unplayable> {
+    let text = std::fs::read_to_string(file)?;
+    Ok(trial::Trial::parse(&text)?)
+}
+
+fn play_in(world: Kind, trial: &trial::Trial, seed: u64) -> Result<Vec<Line>, Unplayable> {
+    match world {
+        Kind::Simulated => {
+            world::check(trial)?;
+            let mut world = world::World::new(trial, seed);
+            world.run();
+            Ok(world.lines)
+        }
+        Kind::Processes => Ok(processes::play(trial, seed)?),
+    }
+}
+
+/// A line of JSON for each thing seen, and the verdict with what was measured as the last. Whoever reads may
+/// go away: then the rest is not written.
+fn write_history(
+    to: &mut dyn Write,
+    trial: &trial::Trial,
+    seed: u64,
+    lines: &[Line],
+    broken: &[String],
+) {
+    for line in lines {
+        let _ = serde_json::to_writer(&mut *to, line);
+        let _ = to.write_all(b"\n");
+    }
+    let verdict = if broken.is_empty() { "held" } else { "broken" };
+    let handovers = measure::spread(&mut check::handovers(trial, lines));
+    let latencies = lines.iter().filter_map(|line| match line {
+        Line::Answer {
+            sent,
+            t,
+            status: 200,
+            ..
+        } => Some(t - sent),
+        _ => None,
+    });
+    let latency = measure::spread(&mut latencies.collect::<Vec<f64>>());
+    let processor_times = lines.iter().filter_map(|line| match line {
+        Line::Counted { what, value, .. } if what.starts_with("processor") => Some(value),
+        _ => None,
+    });
+    let processor_s: f64 = processor_times.sum();
+    let quota = trial.quota.as_ref();
+    let quotas = quota.map(|quota| quotas::judge(trial, quota, lines));
+    let last = serde_json::json!({
+        "quotas": quotas,
+        "latency": latency, "processor_s": processor_s,
+        "handovers": handovers,
+        "line": "verdict", "verdict": verdict, "trial": trial.name, "seed": seed, "broken": broken,
+    });
+    let _ = writeln!(to, "{last}");
+    let _ = to.flush();
+}
--- a/crates/testing/fleet-simulation/src/processes.rs
+++ b/crates/testing/fleet-simulation/src/processes.rs
@@ -3,6 +3,7 @@
 //! nothing behind, interrupted or not. What the processes held and accepted comes from their own histories;
 //! this file judges nothing.
 
+use crate::error::PlayError;
 use crate::history::Line;
 use crate::trial::{Active, Disk, Fault, Kind, Quota, Trial, MOST_PROCESSES, SERVERS};
 use bytes::Bytes;
@@ -252,30 +253,26 @@
 }
 
 /// Whether the world of processes can play this trial.
-pub fn check(trial: &Trial) -> Result<(), String> {
+pub fn check(trial: &Trial) -> Result<(), PlayError> {
     if trial.fleet.limiters > MOST_PROCESSES {
-        return Err(format!(
-            "fleet.limiters: {}; the world of processes starts up to {MOST_PROCESSES}",
-            trial.fleet.limiters
-        ));
+        return Err(PlayError::TooManyProcesses(trial.fleet.limiters));
     }
     let only = |k: Kind| matches!(k, Kind::Idle);
     if let Some(f) = trial.faults.iter().find(|f| only(f.kind)) {
-        return Err(format!(
-            "fault {:?} at {}: only the simulated world plays it",
-            f.kind, f.at
-        ));
+        return Err(PlayError::OnlySimulated {
+            kind: f.kind,
+            at: f.at,
+        });
     }
     Ok(())
 }
 
 /// Plays the trial; the error says what could not be started.
-pub fn play(trial: &Trial, seed: u64) -> Result<Vec<Line>, String> {
+pub fn play(trial: &Trial, seed: u64) -> Result<Vec<Line>, PlayError> {
     check(trial)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build()
-        .map_err(|e| e.to_string())?;
+        .build()?;
     let dir = std::env::temp_dir().join(format!(
         "dunespur-trial-{}-{}",
         std::process::id(),
@@ -286,22 +283,18 @@
         tokio::select! {
             played = run(trial, seed, dir.clone()) => played,
             // Interrupted: the limiters end as their handles are dropped.
-            _ = tokio::signal::ctrl_c() => Err("interrupted".into()),
+            _ = tokio::signal::ctrl_c() => Err(PlayError::Interrupted),
         }
     });
     let _ = std::fs::remove_dir_all(&dir);
     played
 }
 
-async fn run(trial: &Trial, seed: u64, dir: PathBuf) -> Result<Vec<Line>, String> {
-    let fail = |e: std::io::Error| e.to_string();
-    std::fs::create_dir_all(&dir).map_err(fail)?;
+async fn run(trial: &Trial, seed: u64, dir: PathBuf) -> Result<Vec<Line>, PlayError> {
+    std::fs::create_dir_all(&dir)?;
     let program = match std::env::var_os("DUNESPUR_GATEWAY") {
         Some(path) => (PathBuf::from(path), vec![]),
-        None => (
-            std::env::current_exe().map_err(fail)?,
-            vec!["gateway".to_owned()],
-        ),
+        None => (std::env::current_exe()?, vec!["gateway".to_owned()]),
     };
     let rules = Rc::new(Rules {
         faults: trial.faults.clone(),
@@ -309,26 +302,24 @@
         start: Cell::new(clock()),
         rng: RefCell::new(Xoshiro256PlusPlus::seed_from_u64(seed)),
     });
-    let counter = Counter::start().await.map_err(fail)?;
+    let counter = Counter::start().await?;
     let mut servers = Vec::new();
     let mut stands = Vec::new();
     for n in 0..SERVERS {
-        let server = Server::start(0.01).await.map_err(fail)?;
+        let server = Server::start(0.01).await?;
         stands.push(server.clone());
         let zone = trial.fleet.zones[n % trial.fleet.zones.len()].clone();
         servers.push((format!("s-{n}"), server.address, zone, "Ready"));
     }
-    let discovery = Discovery::start(1, list(1, &servers)).await.map_err(fail)?;
+    let discovery = Discovery::start(1, list(1, &servers)).await?;
     let limiters = (0..trial.fleet.limiters).map(|n| Limiter::new(trial, n, &dir));
-    let limiters = limiters
-        .collect::<std::io::Result<Vec<_>>>()
-        .map_err(fail)?;
-    let via = proxy_all(&rules, &limiters).await.map_err(fail)?;
+    let limiters = limiters.collect::<std::io::Result<Vec<_>>>()?;
+    let via = proxy_all(&rules, &limiters).await?;
     let lines = Rc::new(RefCell::new(Vec::new()));
     let mut receivers = Vec::new();
     for n in 0..trial.fleet.receivers {
-        let udp = UdpSocket::bind("127.0.0.1:0").await.map_err(fail)?;
-        let SocketAddr::V4(at) = udp.local_addr().map_err(fail)? else {
+        let udp = UdpSocket::bind("127.0.0.1:0").await?;
+        let SocketAddr::V4(at) = udp.local_addr()? else {
             continue;
         };
         receivers.push(at);
@@ -465,7 +456,7 @@
     moments
 }
 
-async fn wait_until_ready(l: &Limiter) -> Result<(), String> {
+async fn wait_until_ready(l: &Limiter) -> Result<(), PlayError> {
     let begun = clock();
     while ask(l.client, "/-/ready", &[], 1.0).await != Some(200) {
         let ended = l
@@ -475,11 +466,10 @@
             .is_some_and(|r| matches!(r.child.try_wait(), Ok(Some(_))));
         if ended || clock() > begun + 20.0 {
             let log = std::fs::read_to_string(l.dir.join("log")).unwrap_or_default();
-            return Err(format!(
-                "{} did not start: {}",
-                l.name,
-                log.lines().last().unwrap_or("no word")
-            ));
+            return Err(PlayError::NotReady {
+                name: l.name.clone(),
+                last_line: log.lines().last().unwrap_or("no word").to_owned(),
+            });
         }
         sleep(Duration::from_millis(20)).await;
     }
@@ -488,21 +478,53 @@
 
 impl World<'_> {
     /// Writes what a limiter is started with, and starts it.
-    fn start(&self, n: usize, twin: bool) -> Result<Running, String> {
-        let fail = |e: std::io::Error| e.to_string();
+    fn start(&self, n: usize, twin: bool) -> Result<Running, PlayError> {
         let l = &self.limiters[n];
         let (dir, peer, client) = match twin {
             false => (l.dir.clone(), l.peer, l.client),
             true => (
                 self.dir.join(format!("{}-twin", l.name)),
-                free().map_err(fail)?,
-                SocketAddr::V4(free().map_err(fail)?),
+                free()?,
+                SocketAddr::V4(free()?),
             ),
         };
-        std::fs::create_dir_all(&dir).map_err(fail)?;
+        std::fs::create_dir_all(&dir)?;
+        let config = self.config(n, client)?;
+        std::fs::write(dir.join("config.json"), config.to_string())?;
+        let mut file = toml::Table::new();
+        let fleet = self.operators_section(n, twin, &dir, peer)?;
+        file.insert("fleet".into(), toml::Value::Table(fleet));
+        std::fs::write(dir.join("operators.toml"), toml::to_string(&file)?)?;
+        self.spawn(&dir)
+    }
+
+    fn spawn(&self, dir: &Path) -> Result<Running, PlayError> {
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(dir.join("log"))?;
+        let mut command = Command::new(&self.program.0);
+        command
+            .args(&self.program.1)
+            .env("RELAY_CONFIG", dir.join("config.json"))
+            .env("RELAY_LOG", "info")
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
+        if self.trial.load.fleet {
+            command.env("DUNESPUR_OPERATORS", dir.join("operators.toml"));
+        }
+        let child = command.spawn().map_err(|source| PlayError::Spawn {
+            program: self.program.0.clone(),
+            source,
+        })?;
+        Ok(Running { child })
+    }
+
+    /// The platform's configuration of one limiter.
+    fn config(&self, n: usize, client: SocketAddr) -> Result<serde_json::Value, PlayError> {
         let f = &self.trial.fleet;
-        let mut settings: serde_json::Value =
-            serde_json::from_str(SETTINGS).map_err(|e| e.to_string())?;
+        let mut settings: serde_json::Value = serde_json::from_str(SETTINGS)?;
         if let Some(q) = &self.trial.quota {
             let plan = &mut settings["contracts"][0];
             (plan["rate"], plan["burst"]) = (q.rate.into(), q.burst.into());
@@ -520,12 +542,23 @@
                 .wrapping_mul(6364136223846793005)
                 .wrapping_add(1442695040888963407),
         );
-        let config = serde_json::json!({
-            "name": l.name, "listen": client.to_string(), "discovery": self.discovery.address.to_string(),
+        Ok(serde_json::json!({
+            "name": self.limiters[n].name, "listen": client.to_string(),
+            "discovery": self.discovery.address.to_string(),
             "counter": self.counter.address.to_string(), "seed": format!("{:x}", self.runs.get()),
             "limits": {"sockets": 1024}, "settings": settings,
-        });
-        std::fs::write(dir.join("config.json"), config.to_string()).map_err(fail)?;
+        }))
+    }
+
+    /// The `fleet` section of one limiter's operators' file.
+    fn operators_section(
+        &self,
+        n: usize,
+        twin: bool,
+        dir: &Path,
+        peer: SocketAddrV4,
+    ) -> Result<toml::Table, PlayError> {
+        let f = &self.trial.fleet;
         // A voter's twin is no voter: its file lists it elsewhere, as a mistaken copy would.
         let voters: Vec<_> = (0..f.voters)
             .map(|v| {
@@ -538,7 +571,6 @@
             .collect();
         let mut fleet = toml::Table::new();
         let mut put = |key: &str, value: toml::Value| fleet.insert(key.to_owned(), value);
-        let votes = n < f.voters && !twin;
         put("name", "trial".into());
         put("listen", peer.to_string().into());
         put("zone", f.zones[self.trial.zone(n)].clone().into());
@@ -554,55 +586,36 @@
         put("stall", f.stall.into());
         put("tick", f.tick.into());
         put("disk_wait", self.trial.roles().disk_check_timeout.into());
-        if votes {
+        if n < f.voters && !twin {
             put("disk", dir.join("voter.redb").display().to_string().into());
         }
-        let duties = toml::Value::try_from(&f.duties).map_err(|e| e.to_string())?;
-        put("duty", duties);
-        let mut t = toml::Table::new();
+        put("duty", toml::Value::try_from(&f.duties)?);
+        put("trial", toml::Value::Table(self.trial_section(n, dir)));
+        Ok(fleet)
+    }
+
+    /// The `trial` section in it: how faults reach the limiter.
+    fn trial_section(&self, n: usize, dir: &Path) -> toml::Table {
+        let l = &self.limiters[n];
+        let mut section = toml::Table::new();
+        let mut put = |key: &str, value: toml::Value| section.insert(key.to_owned(), value);
         let via = self.via[n]
             .iter()
             .map(|(a, b)| (a.to_string(), toml::Value::String(b.to_string())));
-        t.insert("via".into(), toml::Value::Table(via.collect()));
+        put("via", toml::Value::Table(via.collect()));
         let history = dir.join("history.jsonl");
-        t.insert("history".into(), history.display().to_string().into());
-        t.insert("effects".into(), self.trial.load.effects.into());
+        put("history", history.display().to_string().into());
+        put("effects", self.trial.load.effects.into());
         let receivers = self
             .receivers
             .iter()
             .map(|r| toml::Value::String(r.to_string()));
-        t.insert("receivers".into(), toml::Value::Array(receivers.collect()));
-        t.insert("wall".into(), l.wall.get().into());
-        t.insert("version".into(), i64::from(l.version.get()).into());
-        t.insert(
-            "slow_disk".into(),
-            dir.join("slow-disk").display().to_string().into(),
-        );
-        fleet.insert("trial".into(), toml::Value::Table(t));
-        let mut file = toml::Table::new();
-        file.insert("fleet".into(), toml::Value::Table(fleet));
-        let text = toml::to_string(&file).map_err(|e| e.to_string())?;
-        std::fs::write(dir.join("operators.toml"), text).map_err(fail)?;
-        let log = std::fs::OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(dir.join("log"))
-            .map_err(fail)?;
-        let mut command = Command::new(&self.program.0);
-        command
-            .args(&self.program.1)
-            .env("RELAY_CONFIG", dir.join("config.json"))
-            .env("RELAY_LOG", "info")
-            .stdin(Stdio::null())
-            .stdout(Stdio::null())
-            .stderr(log);
-        if self.trial.load.fleet {
-            command.env("DUNESPUR_OPERATORS", dir.join("operators.toml"));
-        }
-        let child = command
-            .spawn()
-            .map_err(|e| format!("{}: {e}", self.program.0.display()))?;
-        Ok(Running { child })
+        put("receivers", toml::Value::Array(receivers.collect()));
+        put("wall", l.wall.get().into());
+        put("version", i64::from(l.version.get()).into());
+        let slow_disk = dir.join("slow-disk");
+        put("slow_disk", slow_disk.display().to_string().into());
+        section
     }
 
     fn now(&self) -> f64 {
@@ -764,7 +777,7 @@
         });
     }
 
-    async fn hit(&self, node: usize, fault: &Fault) -> Result<(), String> {
+    async fn hit(&self, node: usize, fault: &Fault) -> Result<(), PlayError> {
         let l = &self.limiters[node];
         l.excused.set(f64::INFINITY);
         let signal = |s: Signal| {
@@ -806,15 +819,14 @@
             Kind::Twin => *l.twin.borrow_mut() = Some(self.start(node, true)?),
             Kind::Clock => l.wall.set(fault.amount),
             Kind::SlowDisk => {
-                std::fs::write(l.dir.join("slow-disk"), fault.amount.to_string())
-                    .map_err(|e| e.to_string())?;
+                std::fs::write(l.dir.join("slow-disk"), fault.amount.to_string())?;
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn heal(&self, node: usize, fault: &Fault) -> Result<(), String> {
+    fn heal(&self, node: usize, fault: &Fault) -> Result<(), PlayError> {
         let l = &self.limiters[node];
         l.excused.set(self.now());
         match fault.kind {
@@ -851,7 +863,7 @@
         Ok(())
     }
 
-    async fn play(&self) -> Result<Vec<Line>, String> {
+    async fn play(&self) -> Result<Vec<Line>, PlayError> {
         for n in 0..self.limiters.len() {
             *self.limiters[n].running.borrow_mut() = Some(self.start(n, false)?);
         }
@@ -882,7 +894,7 @@
     }
 
     /// Begins and ends each fault at its moment, until the trial's time is over.
-    async fn play_faults(&self) -> Result<(), String> {
+    async fn play_faults(&self) -> Result<(), PlayError> {
         let moments = fault_moments(&self.trial.faults);
         let mut hit: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         let copies = self.trial.faults.iter().any(|f| f.disk == Disk::Older);
@@ -910,7 +922,7 @@
         n: usize,
         on: bool,
         hit: &mut BTreeMap<usize, Vec<usize>>,
-    ) -> Result<(), String> {
+    ) -> Result<(), PlayError> {
         let fault = &self.trial.faults[n];
         let what = serde_json::to_string(fault).unwrap_or_default();
         self.lines.borrow_mut().push(Line::Fault {
--- a/crates/testing/fleet-simulation/src/trial.rs
+++ b/crates/testing/fleet-simulation/src/trial.rs
@@ -2,6 +2,7 @@
 //! length and target. Reads and checks it; a file that can't be used gets one line that names place and
 //! remedy. docs/trials.md is its page.
 
+use crate::error::{FaultError, FaultPlace, TargetError, TrialError};
 use dunespur_singleton_roles::{Role, Settings as RoleSettings};
 use serde::{Deserialize, Serialize};
 
@@ -299,120 +300,119 @@
 pub const MOST_SIMULATED: usize = 1_000;
 pub const MOST_PROCESSES: usize = 15;
 
+fn check_share(key: &str, value: f64) -> Result<(), TrialError> {
+    if (0.0..1.0).contains(&value) {
+        return Ok(());
+    }
+    let key = key.to_owned();
+    Err(TrialError::Share { key, value })
+}
+
+fn check_quota(quota: &Quota) -> Result<(), TrialError> {
+    let amounts = [quota.rate, quota.burst, quota.times, quota.counter];
+    let sound = (1..=1_000_000).contains(&quota.customers)
+        && amounts.iter().all(|amount| *amount > 0.0 && *amount < 1e9)
+        && quota.spread > 0
+        && (1..=10_000).contains(&quota.servers);
+    if !sound {
+        return Err(TrialError::Quota);
+    }
+    let (hard_rate, hard_burst) = (quota.hard_rate, quota.hard_burst);
+    if hard_rate != 0.0 && !(hard_rate > quota.rate && hard_burst >= quota.burst) {
+        return Err(TrialError::QuotaCeiling {
+            hard_rate,
+            hard_burst,
+        });
+    }
+    Ok(())
+}
+
 impl Trial {
-    pub fn parse(text: &str) -> Result<Self, String> {
-        let trial: Trial = toml::from_str(text).map_err(|e| {
-            let place = e
-                .span()
-                .map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1);
-            let place = place.map_or(String::new(), |l| format!("line {l}: "));
-            format!("{place}{}", e.message().replace('\n', " "))
+    /// Reads and checks a trial's file.
+    pub fn parse(text: &str) -> Result<Self, TrialError> {
+        let trial: Trial = toml::from_str(text).map_err(|error| {
+            let before = error.span().map(|s| &text[..s.start.min(text.len())]);
+            TrialError::Syntax {
+                line: before.map(|before| before.matches('\n').count() + 1),
+                message: error.message().replace('\n', " "),
+            }
         })?;
         trial.check()?;
         Ok(trial)
     }
 
-    pub fn check(&self) -> Result<(), String> {
-        let f = &self.fleet;
+    /// Checks ranges, and that each fault's target can be understood.
+    pub fn check(&self) -> Result<(), TrialError> {
+        self.check_fleet()?;
+        check_share("net.lose", self.net.lose)?;
+        if let Some(quota) = &self.quota {
+            check_quota(quota)?;
+        }
+        check_share("fleet.skew", self.fleet.skew)?;
+        for (index, fault) in self.faults.iter().enumerate() {
+            let place = FaultPlace::new(index, fault);
+            self.check_fault(fault)
+                .map_err(|problem| TrialError::Fault { place, problem })?;
+        }
+        Ok(())
+    }
+
+    fn check_fleet(&self) -> Result<(), TrialError> {
+        let fleet = &self.fleet;
         if !(self.seconds > 0.0 && self.seconds <= 86_400.0) {
-            return Err(format!(
-                "seconds: {}; give a length over 0 and up to a day",
-                self.seconds
-            ));
+            return Err(TrialError::Length(self.seconds));
         }
         if self.settle <= 0.0 || self.settle.is_nan() {
-            return Err(format!("settle: {}; give seconds over 0", self.settle));
+            return Err(TrialError::Settle(self.settle));
         }
-        if !(3..=MOST_SIMULATED).contains(&f.limiters) || f.voters > f.limiters {
-            return Err(format!(
-                "fleet.limiters: {}; give 3 to {MOST_SIMULATED}, and no fewer than voters ({})",
-                f.limiters, f.voters
-            ));
+        let (limiters, voters) = (fleet.limiters, fleet.voters);
+        if !(3..=MOST_SIMULATED).contains(&limiters) || voters > limiters {
+            return Err(TrialError::Limiters { limiters, voters });
         }
-        if f.zones.is_empty() || f.zones.len() > f.limiters {
-            return Err(format!(
-                "fleet.zones: {} of them; give one or more, no more than limiters",
-                f.zones.len()
-            ));
+        if fleet.zones.is_empty() || fleet.zones.len() > limiters {
+            return Err(TrialError::Zones(fleet.zones.len()));
         }
-        self.roles().validate().map_err(|e| e.to_string())?;
-        let share = |key: &str, v: f64| match (0.0..1.0).contains(&v) {
-            true => Ok(()),
-            false => Err(format!("{key}: {v}; give a share from 0 to under 1")),
-        };
-        share("net.lose", self.net.lose)?;
-        if let Some(q) = &self.quota {
-            let sound = q.customers > 0
-                && q.customers <= 1_000_000
-                && [q.rate, q.burst, q.times, q.counter]
-                    .iter()
-                    .all(|v| *v > 0.0 && *v < 1e9)
-                && q.spread > 0
-                && q.servers > 0
-                && q.servers <= 10_000;
-            if !sound {
-                return Err(
-                    "quota: customers, rate, burst, times, spread, servers and counter are over 0, and \
-                            no more than a million customers and 10000 servers"
-                        .into(),
-                );
-            }
-            if q.hard_rate != 0.0 && !(q.hard_rate > q.rate && q.hard_burst >= q.burst) {
-                return Err(format!(
-                    "quota.hard_rate: {} with hard_burst {}; a ceiling stands over the quota, or is 0",
-                    q.hard_rate, q.hard_burst
-                ));
-            }
+        self.roles().validate()?;
+        Ok(())
+    }
+
+    fn check_fault(&self, fault: &Fault) -> Result<(), FaultError> {
+        let (at, length) = (fault.at, fault.length);
+        if !(at >= 0.0 && length >= 0.0 && at.is_finite() && length.is_finite()) {
+            return Err(FaultError::Times);
         }
-        share("fleet.skew", f.skew)?;
-        for (n, fault) in self.faults.iter().enumerate() {
-            let place = format!("fault {} ({:?} at {})", n + 1, fault.kind, fault.at);
-            if !(fault.at >= 0.0
-                && fault.length >= 0.0
-                && fault.at.is_finite()
-                && fault.length.is_finite())
-            {
-                return Err(format!("{place}: at and for are seconds from 0 up"));
-            }
-            let end = fault.at + fault.length;
-            if end + self.settle > self.seconds {
-                return Err(format!(
-                    "{place}: ends at {end}, which leaves less than settle ({}) of {} seconds",
-                    self.settle, self.seconds
-                ));
-            }
-            if matches!(fault.kind, Kind::Lose) {
-                share(&format!("{place}: amount"), fault.amount)?;
-            }
-            if fault.kind == Kind::Upgrade && !(fault.amount >= 1.0 && fault.amount <= 1000.0) {
-                return Err(format!(
-                    "{place}: amount is the version it starts with, from 1 up"
-                ));
-            }
-            if !(fault.amount.is_finite() && fault.every >= 0.0 && fault.older >= 0.0) {
-                return Err(format!(
-                    "{place}: amount, every and older are numbers, the last two from 0 up"
-                ));
-            }
-            for target in [Some(&fault.target), fault.peer.as_ref()]
-                .into_iter()
-                .flatten()
-            {
-                self.target(target).map_err(|e| format!("{place}: {e}"))?;
-            }
+        let (end, settle, seconds) = (at + length, self.settle, self.seconds);
+        if end + settle > seconds {
+            return Err(FaultError::EndsLate {
+                end,
+                settle,
+                seconds,
+            });
+        }
+        if fault.kind == Kind::Lose && !(0.0..1.0).contains(&fault.amount) {
+            return Err(FaultError::Share(fault.amount));
+        }
+        if fault.kind == Kind::Upgrade && !(fault.amount >= 1.0 && fault.amount <= 1000.0) {
+            return Err(FaultError::Version);
+        }
+        if !(fault.amount.is_finite() && fault.every >= 0.0 && fault.older >= 0.0) {
+            return Err(FaultError::Numbers);
+        }
+        self.check_target(&fault.target)?;
+        if let Some(peer) = &fault.peer {
+            self.check_target(peer)?;
         }
         Ok(())
     }
 
-    /// Says whether a target can be understood.
-    fn target(&self, target: &str) -> Result<(), String> {
-        let known =
-            "limiter:N, holder:DUTY:SHARD, leader, voter:N, voters, zone:NAME, half, all, any";
-        let number = |n: &str, most: usize| match n.parse::<usize>() {
-            Ok(n) if n < most => Ok(()),
-            _ => Err(format!(
-                "{target}: no such number; there are {most}, from 0"
-            )),
+    /// Whether a target can be understood.
+    fn check_target(&self, target: &str) -> Result<(), TargetError> {
+        let number = |text: &str, count: usize| match text.parse::<usize>() {
+            Ok(number) if number < count => Ok(()),
+            _ => Err(TargetError::Number {
+                target: target.to_owned(),
+                count,
+            }),
         };
         let parts: Vec<&str> = target.split(':').collect();
         match parts.as_slice() {
@@ -422,11 +422,16 @@
             ["limiter", n] => number(n, self.fleet.limiters),
             ["voter", n] => number(n, self.fleet.voters),
             ["zone", z] if self.fleet.zones.iter().any(|k| k == z) => Ok(()),
-            ["holder", duty, shard] => match self.roles().slots_of(duty) {
+            ["holder", role, shard] => match self.roles().slots_of(role) {
                 Some(range) => number(shard, range.count as usize),
-                None => Err(format!("{target}: there is no duty {duty}")),
+                None => Err(TargetError::Role {
+                    target: target.to_owned(),
+                    role: (*role).to_owned(),
+                }),
             },
-            _ => Err(format!("target {target} is unknown; give {known}")),
+            _ => Err(TargetError::Unknown {
+                target: target.to_owned(),
+            }),
         }
     }
 
--- a/crates/testing/fleet-simulation/src/world.rs
+++ b/crates/testing/fleet-simulation/src/world.rs
@@ -2,6 +2,7 @@
 //! machines' clocks, the network, the disks and the faults. The same trial and seed give the same bytes. It
 //! must never tell a machine what is true, only what its links, clock and disk tell it.
 
+use crate::error::PlayError;
 use crate::history::Line;
 use crate::service::{self, Service};
 use crate::trial::{Active, Disk, Fault, Kind, Trial};
@@ -384,67 +385,12 @@
                     self.turn(node, None);
                 }
             }
-            Ev::Arrive { to, from, packet } => {
-                if to >= self.nodes.len() {
-                    return self.receive(to, from, packet);
-                }
-                let node = &mut self.nodes[to];
-                if !node.up {
-                    return;
-                }
-                if node.stalled {
-                    if node.inbox.len() < INBOX {
-                        node.inbox.push_back((from, packet));
-                    }
-                    return;
-                }
-                // Little processor time: what comes waits behind what came before.
-                if node.slow > 0.0 && t < node.busy {
-                    let at = node.busy;
-                    node.busy += node.slow;
-                    return self.push(at, Ev::Arrive { to, from, packet });
-                }
-                if node.slow > 0.0 {
-                    node.busy = t + node.slow;
-                }
-                self.turn(to, Some((from, packet)));
-            }
+            Ev::Arrive { to, from, packet } => self.arrive(to, from, packet),
             Ev::Disk {
                 node,
                 epoch,
                 number,
-            } => {
-                let n = &mut self.nodes[node];
-                if n.epoch != epoch {
-                    return;
-                }
-                while n.writing.front().is_some_and(|b| b.number <= number) {
-                    if let Some(batch) = n.writing.pop_front() {
-                        n.disk.apply(&batch);
-                    }
-                }
-                if self.copies && n.old_disks.back().is_none_or(|d| t > d.0 + 0.5) {
-                    n.old_disks.push_back((t, n.disk.clone()));
-                }
-                if n.stalled {
-                    // The disk did it; the process hears of it when it goes on.
-                    return self.push(
-                        t + 0.05,
-                        Ev::Disk {
-                            node,
-                            epoch,
-                            number,
-                        },
-                    );
-                }
-                let now = self.local(node, t);
-                let mut out = Vec::new();
-                if let Some(voter) = &mut self.nodes[node].voter {
-                    voter.written(number, now, &mut out);
-                }
-                self.take(node, out, t);
-                self.set_wake(node);
-            }
+            } => self.disk_written(node, epoch, number),
             Ev::Work { node, epoch } => {
                 if self.nodes[node].epoch != epoch || !self.nodes[node].up {
                     return;
@@ -484,6 +430,65 @@
         }
     }
 
+    /// A packet comes out of a link.
+    fn arrive(&mut self, to: usize, from: usize, packet: Packet) {
+        if to >= self.nodes.len() {
+            return self.receive(to, from, packet);
+        }
+        let t = self.now;
+        let node = &mut self.nodes[to];
+        if !node.up {
+            return;
+        }
+        if node.stalled {
+            if node.inbox.len() < INBOX {
+                node.inbox.push_back((from, packet));
+            }
+            return;
+        }
+        // Little processor time: what comes waits behind what came before.
+        if node.slow > 0.0 && t < node.busy {
+            let at = node.busy;
+            node.busy += node.slow;
+            return self.push(at, Ev::Arrive { to, from, packet });
+        }
+        if node.slow > 0.0 {
+            node.busy = t + node.slow;
+        }
+        self.turn(to, Some((from, packet)));
+    }
+
+    /// A disk has written all batches up to this number.
+    fn disk_written(&mut self, node: usize, epoch: u64, number: u64) {
+        let t = self.now;
+        let n = &mut self.nodes[node];
+        if n.epoch != epoch {
+            return;
+        }
+        while let Some(batch) = n.writing.pop_front_if(|b| b.number <= number) {
+            n.disk.apply(&batch);
+        }
+        if self.copies && n.old_disks.back().is_none_or(|d| t > d.0 + 0.5) {
+            n.old_disks.push_back((t, n.disk.clone()));
+        }
+        if n.stalled {
+            // The disk did it; the process hears of it when it goes on.
+            let again = Ev::Disk {
+                node,
+                epoch,
+                number,
+            };
+            return self.push(t + 0.05, again);
+        }
+        let now = self.local(node, t);
+        let mut out = Vec::new();
+        if let Some(voter) = &mut self.nodes[node].voter {
+            voter.written(number, now, &mut out);
+        }
+        self.take(node, out, t);
+        self.set_wake(node);
+    }
+
     /// Something of what the limiters serve, and all that follows from it at once.
     fn serve(&mut self, act: impl FnOnce(&mut Service, &mut Vec<service::Out>)) {
         let t = self.now;
@@ -1158,14 +1163,14 @@
 }
 
 /// Whether the simulated world can play this trial.
-pub fn check(trial: &Trial) -> Result<(), String> {
+pub fn check(trial: &Trial) -> Result<(), PlayError> {
     let only =
         |k: Kind| matches!(k, Kind::Hang | Kind::Forget | Kind::Silence) && trial.quota.is_none();
     match trial.faults.iter().find(|f| only(f.kind)) {
-        Some(f) => Err(format!(
-            "fault {:?} at {}: only the world of processes plays it without a quota section",
-            f.kind, f.at
-        )),
+        Some(f) => Err(PlayError::NotSimulated {
+            kind: f.kind,
+            at: f.at,
+        }),
         None => Ok(()),
     }
 }
--- a/crates/testing/simulator-adapter/src/host.rs
+++ b/crates/testing/simulator-adapter/src/host.rs
@@ -1,6 +1,9 @@
 //! One process's side of the wire: the instances it hosts, their invocations and timers.
 
-use dunespur_decisions::types::*;
+use crate::error::ProtocolError;
+use dunespur_decisions::types::{
+    Action, Answer, Arrival, Counted, Ending, Invocation, Outcome, Readiness, Server, Stage,
+};
 use dunespur_decisions::Limiter;
 use dunespur_settings::{parse, SettingsDocument};
 use std::collections::HashMap;
@@ -40,43 +43,52 @@
     batch: Option<(f64, String)>,
 }
 
-/// The parts of one line, taken in order.
-struct Parts<'a>(std::str::Split<'a, char>);
+/// The fields of one line, taken in order.
+struct Fields<'a>(std::str::Split<'a, char>);
 
-impl<'a> Parts<'a> {
-    fn text(&mut self, what: &str) -> Result<&'a str, String> {
-        self.0
-            .next()
-            .filter(|s| !s.is_empty())
-            .ok_or(format!("{what} is missing"))
+impl<'a> Fields<'a> {
+    fn text(&mut self, field: &'static str) -> Result<&'a str, ProtocolError> {
+        let text = self.0.next().filter(|text| !text.is_empty());
+        text.ok_or(ProtocolError::Missing(field))
     }
 
-    fn number(&mut self, what: &str) -> Result<f64, String> {
-        match self.text(what)? {
+    fn number(&mut self, field: &'static str) -> Result<f64, ProtocolError> {
+        match self.text(field)? {
             "-" => Ok(0.0),
-            s => s
-                .parse()
-                .ok()
-                .filter(|x: &f64| x.is_finite())
-                .ok_or(format!("{what} '{s}' is not a number")),
+            text => {
+                let number = text.parse().ok().filter(|number: &f64| number.is_finite());
+                number.ok_or_else(|| ProtocolError::NotANumber {
+                    field,
+                    text: text.to_owned(),
+                })
+            }
         }
     }
 
-    fn whole(&mut self, what: &str) -> Result<u64, String> {
-        match self.text(what)? {
+    fn integer(&mut self, field: &'static str) -> Result<u64, ProtocolError> {
+        match self.text(field)? {
             "-" => Ok(0),
-            s => s
-                .parse()
-                .map_err(|_| format!("{what} '{s}' is not a whole number")),
+            text => text.parse().map_err(|_| ProtocolError::NotAnInteger {
+                field,
+                text: text.to_owned(),
+            }),
         }
     }
 }
 
-fn position(names: &[String], name: &str, what: &str) -> Result<usize, String> {
-    names
-        .iter()
-        .position(|n| n == name)
-        .ok_or(format!("{what} '{name}' is not in the settings"))
+fn position(names: &[String], name: &str, field: &'static str) -> Result<usize, ProtocolError> {
+    let position = names.iter().position(|known| known == name);
+    position.ok_or_else(|| ProtocolError::NotInSettings {
+        field,
+        name: name.to_owned(),
+    })
+}
+
+fn unknown(field: &'static str, text: &str) -> ProtocolError {
+    ProtocolError::Unknown {
+        field,
+        text: text.to_owned(),
+    }
 }
 
 impl Host {
@@ -165,117 +177,74 @@
 
 impl Wire {
     /// Takes one line; true when it ended a batch and the reply stands in `out`.
-    pub fn line(&mut self, line: &str, out: &mut impl Write) -> Result<bool, String> {
-        let mut parts = Parts(line.split(' '));
-        let verb = parts.0.next().unwrap_or("");
+    pub fn line(&mut self, line: &str, out: &mut impl Write) -> Result<bool, ProtocolError> {
+        let mut fields = Fields(line.split(' '));
+        let verb = fields.0.next().unwrap_or("");
         if let Some((list, left)) = self.filling.filter(|&(_, left)| left > 0) {
             if verb != "ROW" {
-                return Err(format!("list {list} lacks {left} entries"));
+                return Err(ProtocolError::ListIncomplete { list, left });
             }
-            self.row(list, &mut parts)?;
+            self.row(list, &mut fields)?;
             self.filling = Some((list, left - 1));
             return Ok(false);
         }
         if verb == "MARK" {
             if self.batch.is_some() {
-                return Err("a batch starts inside another".into());
+                return Err(ProtocolError::NestedBatch);
             }
-            self.batch = Some((
-                parts.number("clock")?,
-                parts.text("batch number")?.to_owned(),
-            ));
+            let clock = fields.number("clock")?;
+            self.batch = Some((clock, fields.text("batch number")?.to_owned()));
             return Ok(false);
         }
         let Some((now, batch)) = &self.batch else {
-            return if line.is_empty() {
-                Ok(false)
-            } else {
-                Err(format!("'{verb}' stands outside a batch"))
-            };
+            if line.is_empty() {
+                return Ok(false);
+            }
+            return Err(ProtocolError::OutsideBatch(verb.to_owned()));
         };
         let now = *now;
         if verb == "EOF_BATCH" {
-            writeln!(out, "FINISHED {batch}").map_err(|e| e.to_string())?;
+            writeln!(out, "FINISHED {batch}")?;
             self.batch = None;
             return Ok(true);
         }
         if verb == "INVENTORY" {
-            let list = parts.whole("setId")?;
+            let list = fields.integer("setId")?;
             self.lists.insert(list, Vec::new());
-            self.filling = Some((list, parts.whole("records")? as usize));
+            self.filling = Some((list, fields.integer("records")? as usize));
             return Ok(false);
         }
-        let name = parts.text("limiterId")?.to_owned();
+        let name = fields.text("limiterId")?.to_owned();
         if verb == "NEW_INSTANCE" {
-            let seed = parts.whole("rngSeed")?;
-            let document = parts.0.by_ref().collect::<Vec<_>>().join(" ");
-            let read = parse(&document, seed).map_err(|error| error.to_string())?;
-            let host = Host {
-                limiter: Limiter::new(&read.settings, now),
-                read,
-                servers: HashMap::new(),
-                addresses: Vec::new(),
-                by_id: HashMap::new(),
-                held: HashMap::new(),
-                due: HashMap::new(),
-                last: TICK,
-            };
+            let host = Host::read(&mut fields, now)?;
             self.hosts.insert(name.clone(), host);
         } else if verb == "STOP" {
             self.hosts.remove(&name);
             return Ok(false);
         }
-        let host = self
-            .hosts
-            .get_mut(&name)
-            .ok_or(format!("instance '{name}' was never started"))?;
+        let Some(host) = self.hosts.get_mut(&name) else {
+            return Err(ProtocolError::NeverStarted(name));
+        };
         if verb == "VIEW" {
-            let list = parts.whole("setId")?;
-            let scope = parts.text("scope")?;
-            parts.whole("seqNo")?;
-            if scope == "lost" {
-                host.limiter.watch_lost();
-            } else {
-                let complete = match scope {
-                    "incr" => false,
-                    "total" | "warm_copy" => true,
-                    other => return Err(format!("scope '{other}' is unknown")),
-                };
-                let rows = self
-                    .lists
-                    .get(&list)
-                    .ok_or(format!("list {list} was never given"))?;
-                let mut entries = Vec::with_capacity(rows.len());
-                for row in rows {
-                    let zone = position(&host.read.zones, &row.zone, "area")?;
-                    entries.push(Server {
-                        tgt: host.tgt(&row.server),
-                        zone,
-                        cell: row.cell,
-                        came_up: row.came_up,
-                        readiness: row.readiness,
-                    });
-                }
-                host.limiter.endpoints(&entries, complete, now);
-            }
+            host.view(&self.lists, &mut fields, now)?;
         } else if verb != "NEW_INSTANCE" {
-            Self::event(host, &name, verb, &mut parts, now, out)?;
+            host.event(&name, verb, &mut fields, now, out)?;
         }
-        host.carry_out(&name, now, out).map_err(|e| e.to_string())?;
+        host.carry_out(&name, now, out)?;
         Ok(false)
     }
 
-    fn row(&mut self, list: u64, parts: &mut Parts) -> Result<(), String> {
-        let came_up = parts.number("cameUpS")?;
-        let zone = parts.text("area")?.to_owned();
-        let readiness = match parts.text("readiness")? {
+    fn row(&mut self, list: u64, fields: &mut Fields) -> Result<(), ProtocolError> {
+        let came_up = fields.number("cameUpS")?;
+        let zone = fields.text("area")?.to_owned();
+        let readiness = match fields.text("readiness")? {
             "live" => Readiness::Live,
             "quiescing" => Readiness::Draining,
             "dead" => Readiness::Gone,
-            other => return Err(format!("readiness '{other}' is unknown")),
+            other => return Err(unknown("readiness", other)),
         };
-        let cell = parts.whole("block")?;
-        let server = parts.text("server")?.to_owned();
+        let cell = fields.integer("block")?;
+        let server = fields.text("server")?.to_owned();
         self.lists.entry(list).or_default().push(Row {
             server,
             zone,
@@ -285,124 +254,216 @@
         });
         Ok(())
     }
+}
+
+impl Host {
+    /// A new instance, with the settings that its line has.
+    fn read(fields: &mut Fields, now: f64) -> Result<Self, ProtocolError> {
+        let seed = fields.integer("rngSeed")?;
+        let document = fields.0.by_ref().collect::<Vec<_>>().join(" ");
+        let read = parse(&document, seed)?;
+        Ok(Host {
+            limiter: Limiter::new(&read.settings, now),
+            read,
+            servers: HashMap::new(),
+            addresses: Vec::new(),
+            by_id: HashMap::new(),
+            held: HashMap::new(),
+            due: HashMap::new(),
+            last: TICK,
+        })
+    }
+
+    /// Discovery's list as this instance is to see it.
+    fn view(
+        &mut self,
+        lists: &HashMap<u64, Vec<Row>>,
+        fields: &mut Fields,
+        now: f64,
+    ) -> Result<(), ProtocolError> {
+        let list = fields.integer("setId")?;
+        let scope = fields.text("scope")?;
+        fields.integer("seqNo")?;
+        let complete = match scope {
+            "lost" => {
+                self.limiter.watch_lost();
+                return Ok(());
+            }
+            "incr" => false,
+            "total" | "warm_copy" => true,
+            other => return Err(unknown("scope", other)),
+        };
+        let rows = lists.get(&list).ok_or(ProtocolError::UnknownList(list))?;
+        let mut entries = Vec::with_capacity(rows.len());
+        for row in rows {
+            let zone = position(&self.read.zones, &row.zone, "area")?;
+            entries.push(Server {
+                tgt: self.tgt(&row.server),
+                zone,
+                cell: row.cell,
+                came_up: row.came_up,
+                readiness: row.readiness,
+            });
+        }
+        self.limiter.endpoints(&entries, complete, now);
+        Ok(())
+    }
 
     fn event(
-        host: &mut Host,
+        &mut self,
         name: &str,
         verb: &str,
-        parts: &mut Parts,
+        fields: &mut Fields,
         now: f64,
         out: &mut impl Write,
-    ) -> Result<(), String> {
-        let io = |e: std::io::Error| e.to_string();
+    ) -> Result<(), ProtocolError> {
         match verb {
-            "NEW_REQUEST" => {
-                let id = parts.text("opId")?.to_owned();
-                let units = parts.number("sizeUnits")?;
-                let plan = position(&host.read.plans, parts.text("tariff")?, "tariff")?;
-                let operation =
-                    position(&host.read.operations, parts.text("tierClass")?, "tierClass")?;
-                let first_gateway = parts.whole("firstDoor")? as u32;
-                let gateways = parts.whole("setSize")? as u32;
-                let customer = parts.whole("holder")?;
-                let repeat = parts.whole("bitmap")? & REPEAT != 0;
-                let until = parts.number("validUntilS")?;
-                host.last += 1;
-                let num = host.last;
-                let mut inv = Invocation::from(Arrival {
-                    num,
-                    customer,
-                    plan,
-                    operation,
-                    units,
-                    first_gateway,
-                    gateways,
-                    came: now,
-                    until,
-                });
-                inv.repeat = repeat;
-                host.by_id.insert(id.clone(), num);
-                host.held.insert(num, (id, inv));
-                host.place(name, num, now, out).map_err(io)
-            }
-            "RESPONSE" => {
-                let id = parts.text("opId")?;
-                let n = parts.whole("n")? as usize;
-                parts.text("server")?;
-                let ending = match parts.text("result")? {
-                    "ok" => Ending::Succeeded,
-                    "error" => Ending::Error,
-                    "full" => Ending::Full,
-                    "timeout" => Ending::Timeout,
-                    "connect_failed" => Ending::ConnectFailed,
-                    "reset" => Ending::Reset,
-                    "cancelled" => Ending::Cancelled,
-                    "moot" => Ending::Moot,
-                    other => return Err(format!("result '{other}' is unknown")),
-                };
-                let spent = parts.number("spentS")?;
-                let done = parts.whole("doneFlag")? != 0;
-                let used = Some(parts.number("usePct")?)
-                    .filter(|&u| u > 0.0)
-                    .map(|u| (u - 1.0) / 100.0);
-                let cost = parts.number("cost")?;
-                let settled = Some(cost).filter(|&c| host.read.charges_by_use && c > 0.0);
-                let Some(&num) = host.by_id.get(id) else {
-                    return Ok(());
-                };
-                let Some((_, inv)) = host.held.get_mut(&num) else {
-                    return Ok(());
-                };
-                let outcome = Outcome {
-                    n,
-                    ending,
-                    spent,
-                    done,
-                    used,
-                    settled,
-                };
-                let answer = host.limiter.after(inv, &outcome, now);
-                host.answer(name, num, answer, now, out).map_err(io)
-            }
-            "ABORTED" => {
-                let id = parts.text("opId")?;
-                let Some(&num) = host.by_id.get(id) else {
-                    return Ok(());
-                };
-                let Some((_, inv)) = host.held.get_mut(&num) else {
-                    return Ok(());
-                };
-                host.limiter.disconnected(inv);
-                host.answer(name, num, Answer::Done, now, out).map_err(io)
-            }
-            "TICK_DUE" => match parts.whole("cookie")? {
-                TICK => {
-                    host.limiter.tick();
-                    Ok(())
-                }
-                num if host.due.get(&num).is_some_and(|&due| due <= now + 1e-6) => {
-                    host.due.remove(&num);
-                    host.place(name, num, now, out).map_err(io)
-                }
-                _ => Ok(()),
-            },
-            "SUM" => {
-                let count = parts.whole("slotName")?;
-                let result = parts.text("result")?;
-                let value = parts.number("value")?;
-                let counted = match result {
-                    "ok" => Counted::Total(value),
-                    "full" | "connect_failed" => Counted::Refused,
-                    "timeout" => Counted::Silent,
-                    other => return Err(format!("result '{other}' is unknown")),
-                };
-                let spent = parts.number("spentS")?;
-                host.limiter.counted(count, counted, spent, now);
-                Ok(())
-            }
+            "NEW_REQUEST" => self.new_request(name, fields, now, out),
+            "RESPONSE" => self.response(name, fields, now, out),
+            "ABORTED" => self.aborted(name, fields, now, out),
+            "TICK_DUE" => self.timer_due(name, fields, now, out),
+            "SUM" => self.counter_answer(fields, now),
             // Nothing is probed, told to peers or streamed yet: these arrive, if at all, unasked.
             "SAMPLED" | "MESSAGE" | "UNDER_WAY" => Ok(()),
-            other => Err(format!("message '{other}' is unknown")),
+            other => Err(unknown("message", other)),
+        }
+    }
+
+    fn new_request(
+        &mut self,
+        name: &str,
+        fields: &mut Fields,
+        now: f64,
+        out: &mut impl Write,
+    ) -> Result<(), ProtocolError> {
+        let id = fields.text("opId")?.to_owned();
+        let units = fields.number("sizeUnits")?;
+        let plan = position(&self.read.plans, fields.text("tariff")?, "tariff")?;
+        let operation = position(
+            &self.read.operations,
+            fields.text("tierClass")?,
+            "tierClass",
+        )?;
+        let first_gateway = fields.integer("firstDoor")? as u32;
+        let gateways = fields.integer("setSize")? as u32;
+        let customer = fields.integer("holder")?;
+        let repeat = fields.integer("bitmap")? & REPEAT != 0;
+        let until = fields.number("validUntilS")?;
+        self.last += 1;
+        let num = self.last;
+        let mut inv = Invocation::from(Arrival {
+            num,
+            customer,
+            plan,
+            operation,
+            units,
+            first_gateway,
+            gateways,
+            came: now,
+            until,
+        });
+        inv.repeat = repeat;
+        self.by_id.insert(id.clone(), num);
+        self.held.insert(num, (id, inv));
+        Ok(self.place(name, num, now, out)?)
+    }
+
+    fn response(
+        &mut self,
+        name: &str,
+        fields: &mut Fields,
+        now: f64,
+        out: &mut impl Write,
+    ) -> Result<(), ProtocolError> {
+        let id = fields.text("opId")?;
+        let n = fields.integer("n")? as usize;
+        fields.text("server")?;
+        let ending = match fields.text("result")? {
+            "ok" => Ending::Succeeded,
+            "error" => Ending::Error,
+            "full" => Ending::Full,
+            "timeout" => Ending::Timeout,
+            "connect_failed" => Ending::ConnectFailed,
+            "reset" => Ending::Reset,
+            "cancelled" => Ending::Cancelled,
+            "moot" => Ending::Moot,
+            other => return Err(unknown("result", other)),
+        };
+        let spent = fields.number("spentS")?;
+        let done = fields.integer("doneFlag")? != 0;
+        let used = Some(fields.number("usePct")?)
+            .filter(|&percent| percent > 0.0)
+            .map(|percent| (percent - 1.0) / 100.0);
+        let cost = fields.number("cost")?;
+        let settled = Some(cost).filter(|&cost| self.read.charges_by_use && cost > 0.0);
+        let Some(&num) = self.by_id.get(id) else {
+            return Ok(());
+        };
+        let Some((_, inv)) = self.held.get_mut(&num) else {
+            return Ok(());
+        };
+        let outcome = Outcome {
+            n,
+            ending,
+            spent,
+            done,
+            used,
+            settled,
+        };
+        let answer = self.limiter.after(inv, &outcome, now);
+        Ok(self.answer(name, num, answer, now, out)?)
+    }
+
+    fn aborted(
+        &mut self,
+        name: &str,
+        fields: &mut Fields,
+        now: f64,
+        out: &mut impl Write,
+    ) -> Result<(), ProtocolError> {
+        let id = fields.text("opId")?;
+        let Some(&num) = self.by_id.get(id) else {
+            return Ok(());
+        };
+        let Some((_, inv)) = self.held.get_mut(&num) else {
+            return Ok(());
+        };
+        self.limiter.disconnected(inv);
+        Ok(self.answer(name, num, Answer::Done, now, out)?)
+    }
+
+    fn timer_due(
+        &mut self,
+        name: &str,
+        fields: &mut Fields,
+        now: f64,
+        out: &mut impl Write,
+    ) -> Result<(), ProtocolError> {
+        match fields.integer("cookie")? {
+            TICK => {
+                self.limiter.tick();
+                Ok(())
+            }
+            num if self.due.get(&num).is_some_and(|&due| due <= now + 1e-6) => {
+                self.due.remove(&num);
+                Ok(self.place(name, num, now, out)?)
+            }
+            _ => Ok(()),
         }
     }
+
+    fn counter_answer(&mut self, fields: &mut Fields, now: f64) -> Result<(), ProtocolError> {
+        let count = fields.integer("slotName")?;
+        let result = fields.text("result")?;
+        let value = fields.number("value")?;
+        let counted = match result {
+            "ok" => Counted::Total(value),
+            "full" | "connect_failed" => Counted::Refused,
+            "timeout" => Counted::Silent,
+            other => return Err(unknown("result", other)),
+        };
+        let spent = fields.number("spentS")?;
+        self.limiter.counted(count, counted, spent, now);
+        Ok(())
+    }
 }
--- a/crates/testing/test-servers/src/lib.rs
+++ b/crates/testing/test-servers/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what a limiter meets, written from the published protocol: servers that take some time,
+//! Test servers for what a limiter talks to, written from the published protocol: servers that take some time,
 //! a counter that adds, discovery with its watch. They run on the caller's tokio, on loopback, and do what
 //! their switches say. None of them knows what a right answer of the limiter would be.
 
@@ -22,13 +22,21 @@
 
 /// A server: answers 200 after `takes` seconds, or nothing at all while it hangs.
 pub struct Server {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// Seconds from a request to its answer.
     pub takes: Cell<f64>,
+    /// While set, requests are read and not answered.
     pub hangs: Cell<bool>,
+    /// Requests that were read so far.
     pub began: Cell<u64>,
 }
 
 impl Server {
+    /// Listens on a free port; answers after `takes` seconds.
+    ///
+    /// # Errors
+    /// No port can be had.
     pub async fn start(takes: f64) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -70,15 +78,22 @@
     }
 }
 
-/// The counter: names with totals that lapse.
+/// The counter: names with totals that expire.
 pub struct Counter {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// While set, calls are read and not answered.
     pub silent: Cell<bool>,
+    /// Adds so far.
     pub calls: Cell<u64>,
     names: RefCell<BTreeMap<String, (f64, tokio::time::Instant)>>,
 }
 
 impl Counter {
+    /// Listens on a free port, with no names.
+    ///
+    /// # Errors
+    /// No port can be had.
     pub async fn start() -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -135,7 +150,7 @@
                     let now = tokio::time::Instant::now();
                     let life = life.parse::<u64>().ok()?.clamp(1, 60_000);
                     let mut names = self.names.borrow_mut();
-                    // Names lapse; swept now and then, so that none stays for good.
+                    // Names expire; swept now and then, so that none stays for good.
                     if self.calls.get().is_multiple_of(4096) {
                         names.retain(|_, n| n.1 > now);
                     }
@@ -159,10 +174,12 @@
 
 /// Discovery: a list, and watches that hear of each change.
 pub struct Discovery {
+    /// Where it listens.
     pub address: SocketAddr,
     list: watch::Sender<(u64, String)>,
-    /// Watches that stand open now, and calls so far.
+    /// Watches that stand open now.
     pub watches: Cell<usize>,
+    /// Calls so far.
     pub calls: Cell<u64>,
 }
 
@@ -175,6 +192,10 @@
 }
 
 impl Discovery {
+    /// Listens on a free port and serves this list.
+    ///
+    /// # Errors
+    /// No port can be had.
     pub async fn start(revision: u64, list: String) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -265,7 +286,8 @@
     Polled(Box::new(poll))
 }
 
-/// A list of servers as discovery words it.
+/// A list of servers in discovery's JSON: id, address, zone and phase of each.
+#[must_use]
 pub fn list(revision: u64, servers: &[(String, SocketAddr, String, &str)]) -> String {
     let members: Vec<_> = servers
         .iter()
