--- a/crates/testing/emulator/src/client/call.rs
+++ b/crates/testing/emulator/src/client/call.rs
@@ -12,13 +12,18 @@
 /// What is asked.
 #[derive(Clone, Debug)]
 pub struct Call {
+    /// The method.
     pub method: &'static str,
+    /// Path and query.
     pub target: String,
+    /// The headers, in their order.
     pub headers: Headers,
+    /// The body; may be empty.
     pub body: Bytes,
 }
 
 impl Call {
+    /// A GET without a body.
     pub fn get(target: impl Into<String>) -> Call {
         Call {
             method: "GET",
@@ -43,16 +48,22 @@
 /// What came back.
 #[derive(Clone, Debug)]
 pub struct CallAnswer {
+    /// The status.
     pub status: u16,
+    /// The headers, in their order.
     pub headers: Headers,
+    /// The complete body.
     pub body: Bytes,
 }
 
 /// Why nothing came back.
 #[derive(Clone, Debug)]
 pub enum CallError {
+    /// No connection came up.
     NoConnection(std::io::ErrorKind),
+    /// The connection ended or brought what is no answer.
     Broken(WireError),
+    /// No answer in time.
     Silence,
 }
 
@@ -69,6 +80,9 @@
 impl std::error::Error for CallError {}
 
 /// Calls `address` and reads the whole answer, within `limit`.
+///
+/// # Errors
+/// No connection, a broken answer, or none within `limit`.
 pub async fn call(
     address: SocketAddr,
     what: &Call,
--- a/crates/testing/emulator/src/client/request.rs
+++ b/crates/testing/emulator/src/client/request.rs
@@ -9,13 +9,20 @@
 /// What a request is, as its route says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// Changes nothing: it may run any number of times.
     ReadOnly,
+    /// Changes something: it may run once.
     Mutating,
-    Streaming { resumable: bool },
+    /// A turn of a program, answered by events.
+    Streaming {
+        /// The client may take the answer up again after a break.
+        resumable: bool,
+    },
 }
 
 impl Kind {
     /// Whether a try may run more than once, and the client may try again after any failure.
+    #[must_use]
     pub fn repeatable(self) -> bool {
         matches!(self, Kind::ReadOnly | Kind::Streaming { resumable: true })
     }
@@ -24,35 +31,52 @@
 /// The headers of a program's turn.
 #[derive(Clone, Debug, Default)]
 pub struct Turn {
+    /// The model that is to answer.
     pub model: String,
+    /// Tokens of the prompt.
     pub prompt_tokens: u64,
+    /// The most tokens that may be generated.
     pub most: u64,
     /// Value of the header that lists the parts of the prompt.
     pub prefix: String,
+    /// Tokens in one event.
     pub chunk_tokens: u64,
+    /// The program's token budget.
     pub budget: Option<u64>,
+    /// The turn that this one goes on from.
     pub previous: Option<RequestId>,
 }
 
 /// A request that a client wants answered.
 #[derive(Clone, Debug)]
 pub struct Ask {
+    /// The host that is asked.
     pub host: String,
+    /// The method.
     pub method: &'static str,
+    /// Path and query.
     pub target: String,
+    /// What the route of the target allows.
     pub kind: Kind,
+    /// The body; may be empty.
     pub body: Bytes,
     /// What a server is to get for the body; nothing where it is not compared.
     pub expected: Option<Digest>,
+    /// The client waits for the answer so long, in milliseconds.
     pub deadline_ms: u64,
     /// Time within which the first event is wanted, and the longest pause between two.
     pub target_ms: u64,
+    /// The longest pause between two events that serves the client, in milliseconds.
     pub pause_ms: u64,
     /// Tries beyond the first.
     pub retries: u32,
+    /// The program that it belongs to.
     pub program: Option<String>,
+    /// The session within the program.
     pub session: Option<String>,
+    /// Time left until the program should end, in milliseconds.
     pub finish_ms: Option<u64>,
+    /// What a turn of a program says beside.
     pub turn: Option<Turn>,
     /// Further headers.
     pub headers: Headers,
@@ -60,6 +84,7 @@
 
 impl Ask {
     /// A request with no body on a plain route.
+    #[must_use]
     pub fn get(host: &str, target: &str) -> Ask {
         Ask {
             host: host.to_owned(),
--- a/crates/testing/emulator/src/client/retry.rs
+++ b/crates/testing/emulator/src/client/retry.rs
@@ -42,10 +42,13 @@
 pub struct Served {
     /// The id of its last try.
     pub request: RequestId,
+    /// How the last attempt ended.
     pub outcome: TryOutcome,
+    /// How many attempts were made.
     pub tries: u32,
     /// From the first try to the first event, or to the end where there are no events.
     pub first_ms: u64,
+    /// From the first attempt to the end of the last, in milliseconds.
     pub took_ms: u64,
 }
 
@@ -71,6 +74,8 @@
 }
 
 impl Client {
+    /// A client of these front addresses.
+    #[must_use]
     pub fn new(
         clock: Clock,
         record: Record,
@@ -98,10 +103,14 @@
             .unwrap_or_else(PoisonError::into_inner) = fronts;
     }
 
+    /// Where it takes its request ids from.
+    #[must_use]
     pub fn identities(&self) -> &IdentitySource {
         &self.shared.identities
     }
 
+    /// The clock that its times are on.
+    #[must_use]
     pub fn clock(&self) -> Clock {
         self.shared.clock
     }
--- a/crates/testing/emulator/src/configuration.rs
+++ b/crates/testing/emulator/src/configuration.rs
@@ -6,59 +6,88 @@
 /// A configuration that is to be sent.
 #[derive(Clone, Debug)]
 pub struct ConfigurationPlan {
+    /// Its version.
     pub generation: u64,
+    /// The routes, in order.
     pub routes: Vec<RoutePlan>,
+    /// The services.
     pub services: Vec<ServicePlan>,
+    /// Bounds of what clients send.
     pub limits: LimitsPlan,
 }
 
 /// A route.
 #[derive(Clone, Debug)]
 pub struct RoutePlan {
+    /// Its name, by which patches replace it.
     pub name: String,
+    /// The host that it matches.
     pub host: String,
+    /// What the path has to begin with.
     pub path_prefix: String,
+    /// What its requests may do.
     pub kind: Kind,
+    /// Time for a request, in milliseconds.
     pub timeout_ms: u64,
+    /// Latency target, in milliseconds.
     pub target_ms: u64,
+    /// Requests of a lesser one are more urgent.
     pub priority: u8,
+    /// The services that it sends to.
     pub backends: Vec<Share>,
+    /// Attempts that a gateway makes beyond the first.
     pub retries: u32,
+    /// Whether the system keeps its turns.
     pub persisted: bool,
+    /// How long turns are kept, in seconds.
     pub retention_s: f64,
+    /// Target of the pause between two events, in milliseconds.
     pub gap_aim_ms: u64,
 }
 
 /// A service's share of a route.
 #[derive(Clone, Debug)]
 pub struct Share {
+    /// The service.
     pub backend: String,
+    /// Its part of the sum of all weights.
     pub weight: u64,
 }
 
 /// A service.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
+    /// Its name.
     pub name: String,
+    /// Connections that a server takes.
     pub max_conns: u32,
+    /// For model servers, what they hold.
     pub engine: Option<EnginePlan>,
 }
 
 /// The model servers of a service.
 #[derive(Clone, Debug)]
 pub struct EnginePlan {
+    /// Requests that a server runs side by side.
     pub slots: u32,
+    /// Tokens that its KV cache holds.
     pub kv_capacity: u64,
+    /// Tokens in one event.
     pub chunk_tokens: u64,
+    /// Names of the models that it serves.
     pub models: Vec<String>,
 }
 
 /// Bounds of what clients send.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitsPlan {
+    /// Of a request's head.
     pub max_header_bytes: u64,
+    /// Of a request's body.
     pub max_body_bytes: u64,
+    /// Time for a request's head, in milliseconds.
     pub header_timeout_ms: u64,
+    /// Time that a connection may stand idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -75,6 +104,7 @@
 
 impl RoutePlan {
     /// A route with one service and usual bounds.
+    #[must_use]
     pub fn new(name: &str, host: &str, path_prefix: &str, kind: Kind, backend: &str) -> RoutePlan {
         RoutePlan {
             name: name.to_owned(),
@@ -96,6 +126,7 @@
     }
 
     /// The route as the operator sends it.
+    #[must_use]
     pub fn json(&self) -> Value {
         let mut route = json!({
             "name": self.name,
@@ -130,6 +161,7 @@
 
 impl ServicePlan {
     /// The service as the operator sends it.
+    #[must_use]
     pub fn json(&self) -> Value {
         let mut service = json!({
             "name": self.name,
--- a/crates/testing/emulator/src/digest.rs
+++ b/crates/testing/emulator/src/digest.rs
@@ -6,11 +6,15 @@
 /// Length and hash of a body.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Digest {
+    /// Length of the bytes.
     pub length: u64,
+    /// Hash of the bytes.
     pub hash: u64,
 }
 
 impl Digest {
+    /// The digest of these bytes.
+    #[must_use]
     pub fn of(bytes: &[u8]) -> Digest {
         Digester::default().with(bytes).finish()
     }
--- a/crates/testing/emulator/src/engine/batch.rs
+++ b/crates/testing/emulator/src/engine/batch.rs
@@ -40,6 +40,7 @@
 /// What a step gave one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Produced {
+    /// Whose tokens they are.
     pub ticket: Ticket,
     /// Tokens generated so far.
     pub generated: u64,
@@ -76,6 +77,8 @@
 }
 
 impl Batch {
+    /// An empty batch of so many slots and places to wait.
+    #[must_use]
     pub fn new(speeds: Speeds, slots: usize, queue: usize, memory: Memory) -> Batch {
         Batch {
             speeds,
@@ -92,6 +95,9 @@
     }
 
     /// A request comes in and waits for the next step.
+    ///
+    /// # Errors
+    /// No place is left to wait.
     pub fn enqueue(&mut self, prompt: Prompt) -> Result<Ticket, Full> {
         let free = self.slots.saturating_sub(self.running.len());
         let too_large = prompt.tokens() + prompt.most > self.memory.total();
@@ -149,29 +155,38 @@
             .collect()
     }
 
+    /// Requests that have a slot.
+    #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
+    /// Requests that wait for one.
+    #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
+    /// The KV cache.
+    #[must_use]
     pub fn memory(&self) -> &Memory {
         &self.memory
     }
 
     /// Tokens of prompts read so far.
+    #[must_use]
     pub fn tokens_read(&self) -> u64 {
         self.tokens_read
     }
 
     /// Tokens of the prompts let in so far, also those that were kept.
+    #[must_use]
     pub fn tokens_asked(&self) -> u64 {
         self.tokens_asked
     }
 
     /// Requests that had to give way so far.
+    #[must_use]
     pub fn preempted(&self) -> u64 {
         self.preempted
     }
--- a/crates/testing/emulator/src/engine/memory.rs
+++ b/crates/testing/emulator/src/engine/memory.rs
@@ -35,6 +35,8 @@
 }
 
 impl Memory {
+    /// An empty KV cache for so many tokens.
+    #[must_use]
     pub fn new(total: u64) -> Memory {
         Memory {
             total,
@@ -45,11 +47,14 @@
         }
     }
 
+    /// Tokens that it holds at most.
+    #[must_use]
     pub fn total(&self) -> u64 {
         self.total
     }
 
     /// What can't give way.
+    #[must_use]
     pub fn in_use(&self) -> u64 {
         let pinned: u64 = self
             .parts
@@ -61,6 +66,7 @@
     }
 
     /// What is kept of a prompt, by the rule that every part before has to be kept as well.
+    #[must_use]
     pub fn look(&self, parts: &[Part]) -> Found {
         let mut found = Found {
             kept: 0,
--- a/crates/testing/emulator/src/engine/mod.rs
+++ b/crates/testing/emulator/src/engine/mod.rs
@@ -20,6 +20,7 @@
 /// How a model server works.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
+    /// How fast it computes.
     pub speeds: Speeds,
     /// Requests that wait beyond those in the batch.
     pub queue: usize,
@@ -31,9 +32,11 @@
     pub time_scale: f64,
     /// Ids of events: the first one, and from one to the next.
     pub first_event: u64,
+    /// How far the ids of two events lie apart.
     pub event_stride: u64,
     /// Its models, by name.
     pub models: Vec<String>,
+    /// How it meets the network.
     pub door: DoorSettings,
 }
 
@@ -56,6 +59,7 @@
 /// A model server that runs; it ends when this is dropped.
 #[derive(Debug)]
 pub struct EngineServer {
+    /// Its connections, health and faults.
     pub door: Arc<Door>,
     /// Held by the test: each step of the batch waits here, one token for each request that runs.
     pub gate: Gate,
@@ -94,16 +98,19 @@
     }
 
     /// Tokens of prompts that were read, kept ones not counted.
+    #[must_use]
     pub fn tokens_read(&self) -> u64 {
         self.work.tokens_read()
     }
 
     /// Tokens of all prompts that were let in, kept ones counted as well.
+    #[must_use]
     pub fn tokens_asked(&self) -> u64 {
         self.work.tokens_asked()
     }
 
     /// Requests that run, and those that wait.
+    #[must_use]
     pub fn load(&self) -> Load {
         self.work.load()
     }
@@ -118,8 +125,12 @@
 /// How many requests a server has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
+    /// Requests in the batch.
     pub running: usize,
+    /// Requests that wait for a slot.
     pub queued: usize,
+    /// Tokens in the KV cache.
     pub memory_used: u64,
+    /// Tokens that the KV cache holds.
     pub memory_total: u64,
 }
--- a/crates/testing/emulator/src/engine/prompt.rs
+++ b/crates/testing/emulator/src/engine/prompt.rs
@@ -5,14 +5,18 @@
 /// One part of a prompt, shared between requests by its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Part {
+    /// The same id is the same text.
     pub id: u64,
+    /// Its length in tokens.
     pub tokens: u64,
 }
 
 /// The parts in order, and the most that the request generates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
+    /// Its parts, in order.
     pub parts: Vec<Part>,
+    /// The most tokens that may be generated.
     pub most: u64,
     /// 0 is let in first.
     pub priority: u8,
@@ -49,6 +53,8 @@
         }
     }
 
+    /// Its length in tokens.
+    #[must_use]
     pub fn tokens(&self) -> u64 {
         self.parts.iter().map(|part| part.tokens).sum()
     }
--- a/crates/testing/emulator/src/gate.rs
+++ b/crates/testing/emulator/src/gate.rs
@@ -24,6 +24,7 @@
 
 impl Gate {
     /// A gate that is held from the start.
+    #[must_use]
     pub fn held() -> Gate {
         let gate = Gate::default();
         gate.hold();
--- a/crates/testing/emulator/src/heartbeat.rs
+++ b/crates/testing/emulator/src/heartbeat.rs
@@ -47,6 +47,7 @@
 /// How a server tells of itself.
 #[derive(Clone, Debug)]
 pub struct Beat {
+    /// Time from one heartbeat to the next.
     pub pause: Duration,
     /// Time that it is slow from its start, told in each heartbeat.
     pub cold_left_ms: u64,
--- a/crates/testing/emulator/src/identity.rs
+++ b/crates/testing/emulator/src/identity.rs
@@ -37,27 +37,34 @@
 }
 
 impl IdentitySource {
+    /// A source whose ids follow from the seed.
+    #[must_use]
     pub fn new(seed: u64) -> IdentitySource {
         IdentitySource {
             random: Arc::new(Mutex::new(fastrand::Rng::with_seed(seed))),
         }
     }
 
+    /// An id that was not given out before.
+    #[must_use]
     pub fn request(&self) -> RequestId {
         RequestId(self.draw())
     }
 
     /// The name of a program, a session or a part of a prompt.
+    #[must_use]
     pub fn short(&self) -> String {
         format!("{:06x}", self.draw() & 0xff_ffff)
     }
 
     /// The id of a server's incarnation.
+    #[must_use]
     pub fn instance(&self) -> String {
         format!("i-{:08x}", self.draw() & 0xffff_ffff)
     }
 
     /// A number below `bound`.
+    #[must_use]
     pub fn below(&self, bound: u64) -> u64 {
         if bound == 0 {
             return 0;
--- a/crates/testing/emulator/src/ingress.rs
+++ b/crates/testing/emulator/src/ingress.rs
@@ -18,7 +18,9 @@
 /// Where a limiter is asked, and where its clients go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
+    /// Where the gateway says whether it is ready.
     pub ready: SocketAddr,
+    /// Where it takes requests.
     pub front: SocketAddr,
 }
 
@@ -30,6 +32,8 @@
 }
 
 impl Ingress {
+    /// Begins to look which entries are ready.
+    #[must_use]
     pub fn start(client: Client, entries: Vec<Entry>) -> Ingress {
         let entries = Arc::new(Mutex::new(entries));
         let task = tokio::spawn(keep(client, entries.clone()));
--- a/crates/testing/emulator/src/judge/mod.rs
+++ b/crates/testing/emulator/src/judge/mod.rs
@@ -17,6 +17,7 @@
 
 /// The usual bounds of draining and of bringing a version into force.
 pub const DRAIN_MS: u64 = 2_000;
+/// Time within which an acknowledged configuration is in force everywhere, in milliseconds.
 pub const CONFIG_APPLY_MS: u64 = 2_000;
 /// Requests that may end with a 4xx of the system's own, though they are proper: so many, and one in so many more.
 const DENIED_FREE: usize = 5;
@@ -25,23 +26,36 @@
 /// A rule, by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
+    /// An answer is not the server's, or not this request's.
     Mixed,
+    /// A server ran what no client sent.
     Unasked,
+    /// A request that may run once ran again.
     Twice,
+    /// An answer says that the request did not run, and it did.
     Refused,
+    /// Too many proper requests ended with a 3xx or 4xx of the system's own.
     Denied,
+    /// A program's tokens, or the servers that one attempt reached, exceed what is allowed.
     Budget,
+    /// A request ran at a server that no version of its route names.
     Route,
+    /// A request reached a server long after its draining was acknowledged.
     Drain,
+    /// A request was handled as only a version allows that is no longer the newest.
     Config,
+    /// A turn is gone, or a machine that was asked to leave dropped a request that it had read.
     Lost,
+    /// A stream misses a piece, has one twice, or joins pieces of two runs.
     Order,
 }
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
+    /// The rule that was broken.
     pub rule: Rule,
+    /// What was seen, for the reader of the test.
     pub detail: String,
 }
 
@@ -56,7 +70,9 @@
 pub struct Terms {
     /// All configurations that were ever sent and may be in force.
     pub versions: Vec<ConfigurationPlan>,
+    /// Time from an acknowledged draining until no request comes, in milliseconds.
     pub drain_ms: u64,
+    /// Time until an acknowledged configuration is in force, in milliseconds.
     pub config_apply_ms: u64,
     /// When machines were not in touch through unplanned trouble: rules with a bound in time do not hold then.
     pub unrest: Vec<Span>,
@@ -65,7 +81,9 @@
 /// A stretch of time, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
+    /// Its beginning, in milliseconds of the shared clock.
     pub from_ms: u64,
+    /// Its end, in milliseconds of the shared clock.
     pub to_ms: u64,
 }
 
@@ -77,6 +95,7 @@
 
 impl Terms {
     /// Terms of these versions with the usual bounds, in calm times.
+    #[must_use]
     pub fn of(versions: Vec<ConfigurationPlan>) -> Terms {
         Terms {
             versions,
@@ -110,6 +129,7 @@
 }
 
 /// All that is broken in the record.
+#[must_use]
 pub fn judge(record: &Record, terms: &Terms) -> Vec<Violation> {
     let view = View::of(record);
     let mut violations = Vec::new();
--- a/crates/testing/emulator/src/operator.rs
+++ b/crates/testing/emulator/src/operator.rs
@@ -32,16 +32,22 @@
 /// The clear answer to an order.
 #[derive(Clone, Debug)]
 pub struct OrderAnswer {
+    /// The status.
     pub status: u16,
+    /// The complete body.
     pub body: Bytes,
+    /// From the first attempt to the answer, in milliseconds.
     pub took_ms: u64,
+    /// How many attempts were made.
     pub tries: u32,
 }
 
 /// No clear answer came in time; the last one, if any.
 #[derive(Clone, Debug)]
 pub struct Unclear {
+    /// The status of the last answer, if there was one.
     pub last: Option<u16>,
+    /// How many attempts were made.
     pub tries: u32,
 }
 
@@ -58,6 +64,8 @@
 impl std::error::Error for Unclear {}
 
 impl Operator {
+    /// An operator of these control addresses.
+    #[must_use]
     pub fn new(clock: Clock, record: Record, controls: Vec<SocketAddr>) -> Operator {
         Operator {
             clock,
@@ -73,6 +81,9 @@
     }
 
     /// Brings a whole configuration on top of version `base`.
+    ///
+    /// # Errors
+    /// No clear answer within `limit`.
     pub async fn replace(
         &mut self,
         base: u64,
@@ -84,6 +95,9 @@
     }
 
     /// Changes named items on top of version `base`.
+    ///
+    /// # Errors
+    /// No clear answer within `limit`.
     pub async fn patch(
         &mut self,
         base: u64,
@@ -94,6 +108,9 @@
     }
 
     /// Sends a body as it is, valid or not.
+    ///
+    /// # Errors
+    /// No clear answer within `limit`.
     pub async fn send_raw(
         &mut self,
         target: &str,
@@ -107,11 +124,17 @@
     }
 
     /// The newest configuration, whole.
+    ///
+    /// # Errors
+    /// No clear answer within `limit`.
     pub async fn get(&mut self, limit: Duration) -> Result<OrderAnswer, Unclear> {
         self.order(&Call::get("/api/config/get"), limit).await
     }
 
     /// Asks for a storage machine to be emptied.
+    ///
+    /// # Errors
+    /// No clear answer within `limit`.
     pub async fn retire(
         &mut self,
         node: &str,
@@ -127,6 +150,9 @@
     }
 
     /// How far the emptying is.
+    ///
+    /// # Errors
+    /// No clear answer within `limit`.
     pub async fn retirement(
         &mut self,
         node: &str,
--- a/crates/testing/emulator/src/plain.rs
+++ b/crates/testing/emulator/src/plain.rs
@@ -17,7 +17,9 @@
     pub queue: usize,
     /// How long one takes; nothing for as fast as asked.
     pub work_time: Duration,
+    /// Length of an answer's body.
     pub body_bytes: usize,
+    /// How it meets the network.
     pub door: DoorSettings,
 }
 
@@ -35,6 +37,7 @@
 /// A plain server that runs; it ends when this is dropped.
 #[derive(Debug)]
 pub struct PlainServer {
+    /// Its connections, health and faults.
     pub door: Arc<Door>,
     /// Held by the test: requests at work wait here.
     pub gate: Gate,
--- a/crates/testing/emulator/src/program.rs
+++ b/crates/testing/emulator/src/program.rs
@@ -17,16 +17,22 @@
 /// A part of prompts that many programs share.
 #[derive(Clone, Debug)]
 pub struct SharedPart {
+    /// The same id is the same text.
     pub id: String,
+    /// Its length in tokens.
     pub tokens: u64,
 }
 
 /// A tool that is called after each turn but the last.
 #[derive(Clone, Debug)]
 pub struct Tool {
+    /// Path and query.
     pub target: String,
+    /// What the route of the target allows.
     pub kind: Kind,
+    /// The client waits for the answer so long, in milliseconds.
     pub deadline_ms: u64,
+    /// Attempts beyond the first.
     pub retries: u32,
 }
 
@@ -35,32 +41,46 @@
 pub struct SubAgents {
     /// After that many turns of the main line.
     pub after_turn: u32,
+    /// How many there are.
     pub count: u32,
+    /// Turns that each takes.
     pub turns: u32,
 }
 
 /// What a program is to do.
 #[derive(Clone, Debug)]
 pub struct ProgramPlan {
+    /// The host that is asked.
     pub host: String,
     /// Path of its turns.
     pub target: String,
     /// Whether the system keeps what was said.
     pub persisted: bool,
+    /// Turns of the main line.
     pub turns: u32,
+    /// What its prompts begin with.
     pub shared: SharedPart,
     /// New input of each turn.
     pub input_bytes: usize,
+    /// New input of each turn in tokens.
     pub input_tokens: u64,
     /// The most that a turn generates, and how much one event holds.
     pub most: u64,
+    /// Tokens in one event.
     pub chunk_tokens: u64,
+    /// Its token budget.
     pub budget: u64,
+    /// Tools called after each turn but the last.
     pub tools: Vec<Tool>,
+    /// Sub-agents in the place of tools, after one of the turns.
     pub sub_agents: Option<SubAgents>,
+    /// The model that is to answer.
     pub model: String,
+    /// The client waits for a turn's answer so long, in milliseconds.
     pub deadline_ms: u64,
+    /// Latency target of the first event, in milliseconds.
     pub target_ms: u64,
+    /// The longest pause between two events that serves the client, in milliseconds.
     pub pause_ms: u64,
     /// Tries of a turn beyond the first.
     pub retries: u32,
@@ -71,11 +91,13 @@
 /// How a program ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
+    /// All turns were answered.
     Finished,
     /// A 402: the budget is spent.
     Spent,
     /// A turn or a tool failed; the status of its last answer.
     Failed {
+        /// Of the last answer, if there was one.
         status: Option<u16>,
     },
 }
@@ -83,10 +105,13 @@
 /// What became of a program.
 #[derive(Clone, Debug)]
 pub struct Played {
+    /// The program's id.
     pub program: String,
+    /// How it ended.
     pub end: End,
     /// The turns answered whole, of all lines.
     pub turns: Vec<TurnDone>,
+    /// From its start to its end, in milliseconds.
     pub took_ms: u64,
     /// The main line as it ended.
     pub line: Line,
@@ -95,10 +120,15 @@
 /// A turn answered whole.
 #[derive(Clone, Debug)]
 pub struct TurnDone {
+    /// The id of the attempt that was answered.
     pub request: RequestId,
+    /// From the first attempt to the first event, in milliseconds.
     pub first_ms: u64,
+    /// From the first attempt to the last event, in milliseconds.
     pub took_ms: u64,
+    /// Events in the answer.
     pub events: usize,
+    /// How many attempts were made.
     pub tries: u32,
 }
 
@@ -119,6 +149,7 @@
 
 impl Line {
     /// The main line of a new program.
+    #[must_use]
     pub fn new(client: &Client, plan: &ProgramPlan) -> Line {
         Line {
             plan: plan.clone(),
@@ -134,6 +165,7 @@
     }
 
     /// A line that goes on from here as another session.
+    #[must_use]
     pub fn branch(&self, client: &Client) -> Line {
         Line {
             session: client.identities().short(),
@@ -141,11 +173,14 @@
         }
     }
 
+    /// The program's id.
+    #[must_use]
     pub fn program(&self) -> &str {
         &self.program
     }
 
     /// The turn that the next one goes on from.
+    #[must_use]
     pub fn previous(&self) -> Option<RequestId> {
         self.previous
     }
--- a/crates/testing/emulator/src/record.rs
+++ b/crates/testing/emulator/src/record.rs
@@ -14,13 +14,17 @@
 /// When a request came or was sent, and its answer's first event and end, in microseconds of the shared clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Moments {
+    /// When it came or was sent.
     pub begun_us: u64,
     /// Of the first event, or of the whole answer where there are no events.
     pub first_us: Option<u64>,
+    /// When the answer was complete.
     pub ended_us: Option<u64>,
 }
 
 impl Moments {
+    /// One that has only begun.
+    #[must_use]
     pub fn begun(begun_us: u64) -> Moments {
         Moments {
             begun_us,
@@ -29,6 +33,7 @@
     }
 
     /// From the beginning to the first event.
+    #[must_use]
     pub fn to_first_us(&self) -> Option<u64> {
         Some(self.first_us?.saturating_sub(self.begun_us))
     }
@@ -39,13 +44,19 @@
 pub struct Sighting {
     /// Rises with each sighting of all servers.
     pub number: usize,
+    /// When it came, in milliseconds of the shared clock.
     pub at_ms: u64,
     /// The server's id, and the service that it belongs to.
     pub instance: String,
+    /// The service that the server belongs to.
     pub backend: String,
+    /// The request's id, if it has one.
     pub request: Option<RequestId>,
+    /// The method.
     pub method: String,
+    /// Path and query.
     pub target: String,
+    /// Digest of the body.
     pub digest: Digest,
     /// Kept only where the record keeps bodies.
     pub body: Option<Bytes>,
@@ -53,17 +64,21 @@
     pub program: Option<String>,
     /// The deadline that was handed to the server.
     pub deadline_ms: Option<u64>,
+    /// What became of it.
     pub fate: Fate,
+    /// What the server put into its answer to tell it from all others.
     pub stamp: Option<String>,
     /// Status of the answer, once there is one.
     pub status: Option<u16>,
     /// The body that the server sent, or began to.
     pub sent: Option<Digest>,
+    /// The events that were sent.
     pub events: Vec<Event>,
     /// Whether the whole answer was written.
     pub whole: bool,
     /// Whether the server spoilt the answer itself.
     pub spoilt: bool,
+    /// When it came, was answered and ended.
     pub moments: Moments,
 }
 
@@ -83,28 +98,40 @@
 /// A try as a client saw it.
 #[derive(Clone, Debug)]
 pub struct Try {
+    /// Rises with each attempt of all clients.
     pub number: usize,
+    /// The request's id.
     pub request: RequestId,
     /// All tries for one thing wanted have this number in common.
     pub wanted: u64,
     /// The front address called.
     pub front: std::net::SocketAddr,
+    /// When it was sent, in milliseconds of the shared clock.
     pub sent_ms: u64,
+    /// When it ended, in milliseconds of the shared clock.
     pub ended_ms: u64,
+    /// The host that was asked.
     pub host: String,
+    /// The method.
     pub method: String,
+    /// Path and query.
     pub target: String,
     /// Digest of the body that a server is to get.
     pub expected: Option<Digest>,
+    /// Whether it is idempotent: it may run any number of times.
     pub repeatable: bool,
+    /// What it says of its program, for a turn or a tool's call.
     pub program: Option<ProgramTry>,
+    /// How it ended.
     pub outcome: TryOutcome,
+    /// When it was sent, answered and ended.
     pub moments: Moments,
 }
 
 /// What a try of a program's turn says about it.
 #[derive(Clone, Debug)]
 pub struct ProgramTry {
+    /// The program's id.
     pub program: String,
     /// Nothing for calls of tools.
     pub budget: Option<u64>,
@@ -112,6 +139,7 @@
     pub most: u64,
     /// Tokens in one event.
     pub chunk_tokens: u64,
+    /// The turn that this one goes on from.
     pub previous: Option<RequestId>,
 }
 
@@ -135,15 +163,25 @@
 /// An answer, or what came of it.
 #[derive(Clone, Debug)]
 pub struct Answered {
+    /// The status.
     pub status: u16,
+    /// The id of the request that it says it answers.
     pub request: Option<RequestId>,
+    /// What the server put into it to tell it from all others.
     pub stamp: Option<String>,
+    /// The content encoding, if one is named.
     pub encoding: Option<String>,
+    /// It says that the request did not run.
     pub not_executed: bool,
+    /// When the client may come again, in milliseconds.
     pub retry_after_ms: Option<u64>,
+    /// Digest of the body.
     pub digest: Digest,
+    /// The body, as far as it came.
     pub body: Bytes,
+    /// The complete events in it.
     pub events: Vec<Event>,
+    /// Events that were none.
     pub garbled_events: usize,
     /// Bytes behind the last whole event.
     pub left_over: usize,
@@ -179,9 +217,11 @@
 /// What the system acknowledged to a server or to the operator.
 #[derive(Clone, Debug)]
 pub struct Acknowledgement {
+    /// When the acknowledgement came, in milliseconds of the shared clock.
     pub at_ms: u64,
     /// When it was first asked for.
     pub asked_ms: u64,
+    /// What was acknowledged.
     pub what: Acknowledged,
 }
 
@@ -189,17 +229,30 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Acknowledged {
     /// That the server is draining.
-    Draining { instance: String },
+    Draining {
+        /// The server's id.
+        instance: String,
+    },
     /// That the server has left.
-    Left { instance: String },
+    Left {
+        /// The server's id.
+        instance: String,
+    },
     /// A configuration with this version.
-    Configuration { generation: u64 },
+    Configuration {
+        /// Its version.
+        generation: u64,
+    },
     /// Not by the system: the platform has asked the machine with this front to leave.
-    Terminated { front: std::net::SocketAddr },
+    Terminated {
+        /// The machine's front address.
+        front: std::net::SocketAddr,
+    },
 }
 
 impl Record {
     /// A record that keeps the bodies that servers got.
+    #[must_use]
     pub fn with_bodies() -> Record {
         let record = Record::default();
         record.lock().keep_bodies = true;
@@ -230,6 +283,7 @@
         self.inner.changed.notify_waiters();
     }
 
+    /// Adds an attempt; its number is set here.
     pub fn tried(&self, mut attempt: Try) {
         let mut entries = self.lock();
         attempt.number = entries.tries.len();
@@ -242,6 +296,7 @@
         self.inner.changed.notify_waiters();
     }
 
+    /// Adds an acknowledgement.
     pub fn acknowledged(&self, at_ms: u64, asked_ms: u64, what: Acknowledged) {
         self.lock().acknowledgements.push(Acknowledgement {
             at_ms,
@@ -251,19 +306,26 @@
         self.inner.changed.notify_waiters();
     }
 
+    /// All requests that servers saw.
+    #[must_use]
     pub fn sightings(&self) -> Vec<Sighting> {
         self.lock().sightings.clone()
     }
 
+    /// All attempts that clients made.
+    #[must_use]
     pub fn tries(&self) -> Vec<Try> {
         self.lock().tries.clone()
     }
 
+    /// All that the system acknowledged.
+    #[must_use]
     pub fn acknowledgements(&self) -> Vec<Acknowledgement> {
         self.lock().acknowledgements.clone()
     }
 
     /// Sightings of one try, by its id.
+    #[must_use]
     pub fn sightings_of(&self, request: RequestId) -> Vec<Sighting> {
         self.lock()
             .sightings
@@ -274,6 +336,7 @@
     }
 
     /// Sightings at one server.
+    #[must_use]
     pub fn sightings_at(&self, instance: &str) -> Vec<Sighting> {
         self.lock()
             .sightings
@@ -297,6 +360,7 @@
     }
 
     /// Whether something was not kept.
+    #[must_use]
     pub fn overflowed(&self) -> bool {
         self.lock().overflowed
     }
--- a/crates/testing/emulator/src/scene.rs
+++ b/crates/testing/emulator/src/scene.rs
@@ -22,13 +22,17 @@
 
 /// Host, services and routes of the usual configuration.
 pub const HOST: &str = "agents.example";
+/// Service of the model servers.
 pub const MODELS: &str = "models";
+/// Service of the plain servers.
 pub const TOOLS: &str = "tools";
 /// Turns that the system keeps.
 pub const KEPT_TURNS: &str = "/kept/";
 /// Turns that it does not keep.
 pub const TURNS: &str = "/turns/";
+/// Calls that change nothing.
 pub const LOOKUP: &str = "/lookup/";
+/// Calls that change something.
 pub const RECORD: &str = "/record/";
 
 /// A system has so long to come up, and to take what it is told.
@@ -39,16 +43,27 @@
 /// What a scene is set up with.
 #[derive(Clone, Debug)]
 pub struct ScenePlan {
+    /// The system's machines.
     pub machines: Vec<MachinePlan>,
+    /// Machines that may be lost at one time.
     pub tolerated_losses: u32,
+    /// Time between the servers' heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
+    /// How many model servers there are.
     pub engines: usize,
+    /// Requests that each runs side by side.
     pub engine_slots: u32,
+    /// How they behave.
     pub engine: EngineSettings,
+    /// How many plain servers there are.
     pub plains: usize,
+    /// Requests that each runs side by side.
     pub plain_slots: u32,
+    /// How they behave.
     pub plain: PlainSettings,
+    /// The configuration that is sent first.
     pub configuration: ConfigurationPlan,
+    /// What all random draws follow from.
     pub seed: u64,
     /// Whether the record keeps the bodies that servers got.
     pub keep_bodies: bool,
@@ -82,6 +97,7 @@
 }
 
 /// One service of model servers, one of plain servers, a route for each kind of request.
+#[must_use]
 pub fn usual_configuration() -> ConfigurationPlan {
     let streaming = Kind::Streaming { resumable: false };
     let mut kept = RoutePlan::new("kept", HOST, KEPT_TURNS, streaming, MODELS);
@@ -119,6 +135,7 @@
 }
 
 /// A program of a few kept turns.
+#[must_use]
 pub fn usual_program() -> ProgramPlan {
     ProgramPlan {
         host: HOST.to_owned(),
@@ -148,7 +165,9 @@
 /// A model server with its registration.
 #[derive(Debug)]
 pub struct Engine {
+    /// The server.
     pub server: EngineServer,
+    /// Its heartbeats.
     pub registration: Registration,
 }
 
@@ -164,20 +183,30 @@
 /// A plain server with its registration.
 #[derive(Debug)]
 pub struct Plain {
+    /// The server.
     pub server: PlainServer,
+    /// Its heartbeats.
     pub registration: Registration,
 }
 
 /// A scene that plays. All ends with it.
 #[derive(Debug)]
 pub struct Scene {
+    /// The processes under test.
     pub system: System,
+    /// The shared clock.
     pub clock: Clock,
+    /// What clients and servers saw.
     pub record: Record,
+    /// Where request ids come from.
     pub identities: IdentitySource,
+    /// A client of all fronts.
     pub client: Client,
+    /// The operator.
     pub operator: Operator,
+    /// The model servers.
     pub engines: Vec<Engine>,
+    /// The plain servers.
     pub plains: Vec<Plain>,
     /// The configuration first sent; tests that send others add them to `configurations`.
     pub plan: ScenePlan,
@@ -187,6 +216,9 @@
 
 impl Scene {
     /// Starts the processes and the servers without any order of the operator.
+    ///
+    /// # Errors
+    /// A process or a server did not start.
     pub async fn begin(program: &Path, plan: ScenePlan) -> anyhow::Result<Scene> {
         let clock = Clock::start();
         let record = if plan.keep_bodies {
@@ -225,6 +257,9 @@
     }
 
     /// A scene in which the configuration is in force and every gateway serves.
+    ///
+    /// # Errors
+    /// A process or a server did not start, or the system did not serve in time; the tails of the logs are in it.
     pub async fn start(program: &Path, plan: ScenePlan) -> anyhow::Result<Scene> {
         let mut scene = Scene::begin(program, plan).await?;
         match scene.set_up().await {
@@ -239,6 +274,9 @@
     }
 
     /// Sends the plan's configuration until it is taken.
+    ///
+    /// # Errors
+    /// The configuration was not taken within [`SETTLE_LIMIT`].
     pub async fn configure(&mut self) -> anyhow::Result<()> {
         let plan = self.plan.configuration.clone();
         let answer = self.operator.replace(0, &plan.json(), SETTLE_LIMIT).await?;
@@ -253,6 +291,9 @@
     }
 
     /// Ends once every running gateway is ready and serves a lookup.
+    ///
+    /// # Errors
+    /// A gateway does not serve within [`SETTLE_LIMIT`].
     pub async fn settle(&mut self) -> anyhow::Result<()> {
         self.system.ready(SETTLE_LIMIT).await?;
         for index in self.system.places(|plan| plan.role != Role::Store) {
@@ -264,6 +305,9 @@
     }
 
     /// Ends once this gateway serves lookups and turns.
+    ///
+    /// # Errors
+    /// It does not within [`SETTLE_LIMIT`].
     pub async fn serves(&self, index: usize) -> anyhow::Result<()> {
         let front = self.system.front(index);
         if !self.plains.is_empty() {
@@ -278,6 +322,9 @@
     }
 
     /// Ends once a limiter answers `ask` with success.
+    ///
+    /// # Errors
+    /// It does not within [`SETTLE_LIMIT`].
     pub async fn answers(&self, front: SocketAddr, ask: &Ask) -> anyhow::Result<()> {
         let until = Instant::now() + SETTLE_LIMIT;
         loop {
@@ -295,12 +342,16 @@
     }
 
     /// A turn of a program of its own.
+    #[must_use]
     pub fn turn_ask(&self) -> Ask {
         let line = crate::program::Line::new(&self.client, &usual_program());
         line.ask(&self.client, &"settle".into())
     }
 
     /// Starts a model server and has it known.
+    ///
+    /// # Errors
+    /// No address, or the system does not take its registration in time.
     pub async fn add_engine(&mut self) -> anyhow::Result<usize> {
         let (listener, identity) = self.identity(MODELS, self.plan.engine_slots).await?;
         let settings = self.plan.engine.clone();
@@ -320,6 +371,9 @@
     }
 
     /// Starts a plain server of another incarnation, and maybe another service, at an address that was used before.
+    ///
+    /// # Errors
+    /// The address is taken, or the system does not take its registration in time.
     pub async fn add_plain_at(
         &mut self,
         address: SocketAddr,
@@ -332,6 +386,9 @@
     }
 
     /// Starts a plain server and has it known.
+    ///
+    /// # Errors
+    /// No address, or the system does not take its registration in time.
     pub async fn add_plain(&mut self) -> anyhow::Result<usize> {
         let (listener, identity) = self.identity(TOOLS, self.plan.plain_slots).await?;
         Ok(self.start_plain(listener, identity))
@@ -367,11 +424,13 @@
     }
 
     /// All rules that the record breaks.
+    #[must_use]
     pub fn violations(&self) -> Vec<Violation> {
         self.violations_except(Vec::new())
     }
 
     /// All rules that the record breaks, where machines were out of touch at times.
+    #[must_use]
     pub fn violations_except(&self, unrest: Vec<Span>) -> Vec<Violation> {
         let terms = Terms {
             unrest,
@@ -381,6 +440,9 @@
     }
 
     /// Asks a gateway to leave; clients go to the others from now on.
+    ///
+    /// # Errors
+    /// Its process does not run.
     pub fn terminate(&mut self, index: usize) -> anyhow::Result<()> {
         let front = self.system.front(index);
         let others = self
--- a/crates/testing/emulator/src/server/door.rs
+++ b/crates/testing/emulator/src/server/door.rs
@@ -7,6 +7,7 @@
 /// How a server treats connections.
 #[derive(Clone, Debug)]
 pub struct DoorSettings {
+    /// Path that answers whether it is healthy.
     pub health_path: String,
     /// Connections from all callers together; more are reset.
     pub max_connections: usize,
@@ -27,8 +28,11 @@
 /// The part of a server that test, heartbeats and connections share.
 #[derive(Debug)]
 pub struct Door {
+    /// Whose door it is.
     pub identity: Identity,
+    /// Clock and record.
     pub surroundings: Surroundings,
+    /// Faults that the next requests meet.
     pub troubles: Troubles,
     pub(super) settings: DoorSettings,
     leaving: AtomicBool,
@@ -41,6 +45,8 @@
 }
 
 impl Door {
+    /// A door that is healthy and open.
+    #[must_use]
     pub fn new(identity: Identity, settings: DoorSettings, surroundings: Surroundings) -> Door {
         Door {
             identity,
@@ -62,10 +68,12 @@
         self.leaving.store(true, Ordering::SeqCst);
     }
 
+    /// Whether it closes its connections.
     pub fn leaving(&self) -> bool {
         self.leaving.load(Ordering::SeqCst)
     }
 
+    /// What health checks hear from now on.
     pub fn set_healthy(&self, healthy: bool) {
         self.healthy.store(healthy, Ordering::SeqCst);
     }
--- a/crates/testing/emulator/src/server/mod.rs
+++ b/crates/testing/emulator/src/server/mod.rs
@@ -24,22 +24,30 @@
 /// Who a server is. Every start is a new incarnation with a new `instance`.
 #[derive(Clone, Debug)]
 pub struct Identity {
+    /// Its id.
     pub instance: String,
     /// The service that it belongs to.
     pub backend: String,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// Its failure domain.
     pub zone: String,
     /// Version of its software.
     pub generation: String,
+    /// Requests that it runs side by side.
     pub slots: u32,
 }
 
 /// A request that has passed the checks at the door.
 #[derive(Clone, Debug)]
 pub struct Arrived {
+    /// Request line and headers.
     pub head: RequestHead,
+    /// The complete body.
     pub body: Bytes,
+    /// The request's id.
     pub request: RequestId,
+    /// Time that is left for the answer, in milliseconds.
     pub deadline_ms: Option<u64>,
 }
 
@@ -57,7 +65,9 @@
 /// What the servers of a test share.
 #[derive(Clone, Debug)]
 pub struct Surroundings {
+    /// The shared clock.
     pub clock: Clock,
+    /// Where it writes what it saw.
     pub record: Record,
 }
 
--- a/crates/testing/emulator/src/server/trouble.rs
+++ b/crates/testing/emulator/src/server/trouble.rs
@@ -9,7 +9,10 @@
     /// Runs it and closes the connection without an answer.
     AnswerLost,
     /// Runs it and ends the connection after that many bytes of the answer's body.
-    Cut { after: usize },
+    Cut {
+        /// Bytes of the answer that are still sent.
+        after: usize,
+    },
     /// Runs it and sends bytes that form no answer.
     Garble,
     /// Runs it, answers, and at once sends the answer a second time.
@@ -23,7 +26,10 @@
     /// Answers 503 without saying that it did not run.
     Unavailable,
     /// Does not run it and says so, with this status.
-    TurnAway { status: u16 },
+    TurnAway {
+        /// The status of the refusal.
+        status: u16,
+    },
     /// Answers as ever and ends the connection after it.
     Close,
 }
--- a/crates/testing/emulator/src/system/addresses.rs
+++ b/crates/testing/emulator/src/system/addresses.rs
@@ -16,10 +16,15 @@
 /// Ports, alike on all machines. Below those that the kernel gives to outgoing connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports {
+    /// Takes requests.
     pub front: u16,
+    /// Says whether it is ready.
     pub ready: u16,
+    /// Takes heartbeats and the operator's orders.
     pub control: u16,
+    /// First port between the processes of the system.
     pub first_internal: u16,
+    /// Last port between the processes of the system.
     pub last_internal: u16,
     /// Servers listen here.
     pub server: u16,
@@ -53,6 +58,9 @@
 
 impl AddressBlock {
     /// Takes a block that no other process and no other test has.
+    ///
+    /// # Errors
+    /// All blocks are taken.
     pub fn reserve(ports: Ports) -> anyhow::Result<AddressBlock> {
         let start = std::process::id().wrapping_mul(37);
         for _ in 0..MOST_BLOCKS {
@@ -72,6 +80,9 @@
     }
 
     /// An address not given before.
+    ///
+    /// # Errors
+    /// The block has no more.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> anyhow::Result<IpAddr> {
         if self.used == LAST {
--- a/crates/testing/emulator/src/system/folder.rs
+++ b/crates/testing/emulator/src/system/folder.rs
@@ -13,6 +13,10 @@
 }
 
 impl TemporaryFolder {
+    /// Makes a folder of its own, with this name in its own.
+    ///
+    /// # Errors
+    /// The folder can't be made.
     pub fn new(name: &str) -> anyhow::Result<TemporaryFolder> {
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
         let path = std::env::temp_dir().join(format!("{name}-{}-{number}", std::process::id()));
@@ -24,6 +28,8 @@
         Ok(TemporaryFolder { path })
     }
 
+    /// Where it is.
+    #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
--- a/crates/testing/emulator/src/system/machine.rs
+++ b/crates/testing/emulator/src/system/machine.rs
@@ -22,7 +22,9 @@
 /// What a process has used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
+    /// Processor time so far, in milliseconds.
     pub processor_ms: u64,
+    /// The most memory that it had, in kB.
     pub peak_memory_kb: u64,
     /// Times that a thread went to sleep and was woken.
     pub wake_ups: u64,
@@ -90,22 +92,32 @@
         Ok(machine)
     }
 
+    /// Its name.
+    #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
+    /// Its address.
+    #[must_use]
     pub fn ip(&self) -> IpAddr {
         self.ip
     }
 
+    /// What it was set up with.
+    #[must_use]
     pub fn plan(&self) -> &MachinePlan {
         &self.plan
     }
 
+    /// Its settings file.
+    #[must_use]
     pub fn settings_path(&self) -> PathBuf {
         self.folder.join("node.json")
     }
 
+    /// Where its processes keep their data.
+    #[must_use]
     pub fn data_folder(&self) -> PathBuf {
         self.folder.join("data")
     }
@@ -115,6 +127,8 @@
         self.program = program;
     }
 
+    /// Whether its process runs.
+    #[must_use]
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
@@ -127,21 +141,33 @@
     }
 
     /// SIGTERM: asks the process to leave.
+    ///
+    /// # Errors
+    /// The process does not run.
     pub fn terminate(&mut self) -> anyhow::Result<()> {
         self.signal("TERM")
     }
 
     /// SIGHUP: says that the settings file has changed.
+    ///
+    /// # Errors
+    /// The process does not run.
     pub fn hang_up(&mut self) -> anyhow::Result<()> {
         self.signal("HUP")
     }
 
     /// Freezes the process.
+    ///
+    /// # Errors
+    /// The process does not run.
     pub fn freeze(&mut self) -> anyhow::Result<()> {
         self.signal("STOP")
     }
 
     /// Wakes a frozen process.
+    ///
+    /// # Errors
+    /// The process does not run.
     pub fn thaw(&mut self) -> anyhow::Result<()> {
         self.signal("CONT")
     }
@@ -155,6 +181,9 @@
     }
 
     /// Waits for the process to end by itself, `limit` at most.
+    ///
+    /// # Errors
+    /// It has not ended within `limit`.
     pub async fn wait(&mut self, limit: Duration) -> anyhow::Result<ExitStatus> {
         let until = Instant::now() + limit;
         loop {
@@ -172,6 +201,7 @@
     }
 
     /// What the machine's processes have used so far; of those that ended by themselves it is not known.
+    #[must_use]
     pub fn usage(&self) -> Usage {
         let present = self
             .child
@@ -182,11 +212,13 @@
     }
 
     /// How often a process was started here.
+    #[must_use]
     pub fn starts(&self) -> u32 {
         self.starts
     }
 
     /// The last lines that the process wrote.
+    #[must_use]
     pub fn log_tail(&self) -> String {
         let bytes = std::fs::read(self.log_path()).unwrap_or_default();
         let start = bytes.len().saturating_sub(LOG_TAIL);
@@ -194,6 +226,7 @@
     }
 
     /// All that the processes of this machine wrote.
+    #[must_use]
     pub fn log(&self) -> String {
         let bytes = std::fs::read(self.log_path()).unwrap_or_default();
         String::from_utf8_lossy(&bytes).into_owned()
@@ -231,6 +264,9 @@
     }
 
     /// Takes the disk of a machine that does not run.
+    ///
+    /// # Errors
+    /// The folder can't be removed.
     pub fn wipe(&self) -> anyhow::Result<()> {
         std::fs::remove_dir_all(self.data_folder()).context("wiping a disk")?;
         std::fs::create_dir_all(self.data_folder()).context("an empty disk")
--- a/crates/testing/emulator/src/system/mod.rs
+++ b/crates/testing/emulator/src/system/mod.rs
@@ -29,7 +29,9 @@
 pub struct SystemPlan {
     /// The program that plays all roles.
     pub program: PathBuf,
+    /// The machines, in order.
     pub machines: Vec<MachinePlan>,
+    /// Time between the servers' heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
     /// Machines that may be lost at once.
     pub tolerated_losses: u32,
@@ -48,6 +50,9 @@
 
 impl System {
     /// Starts all machines, as at the first start of the whole system.
+    ///
+    /// # Errors
+    /// No addresses, or a process can't be started.
     pub fn start(plan: SystemPlan) -> anyhow::Result<System> {
         let ports = Ports::default();
         let addresses = AddressBlock::reserve(ports)?;
@@ -72,6 +77,9 @@
     }
 
     /// Adds a machine to a running system and starts it.
+    ///
+    /// # Errors
+    /// No address, or the process can't be started.
     pub fn join(&mut self, plan: MachinePlan) -> anyhow::Result<usize> {
         let index = self.add(plan)?;
         self.write_settings(index, false)?;
@@ -80,12 +88,18 @@
     }
 
     /// Starts a machine that is not running, with the settings of this moment.
+    ///
+    /// # Errors
+    /// The process can't be started.
     pub fn restart(&mut self, index: usize) -> anyhow::Result<()> {
         self.write_settings(index, false)?;
         self.machines[index].start()
     }
 
     /// Starts a machine that is not running with the settings of the first start of the whole system.
+    ///
+    /// # Errors
+    /// The process can't be started.
     pub fn restart_bootstrapping(&mut self, index: usize) -> anyhow::Result<()> {
         self.write_settings(index, true)?;
         self.machines[index].start()
@@ -97,11 +111,17 @@
     }
 
     /// Writes a machine's settings anew while its process runs.
+    ///
+    /// # Errors
+    /// The file can't be written.
     pub fn rewrite_settings(&self, index: usize) -> anyhow::Result<()> {
         self.write_settings(index, false)
     }
 
     /// Kills a machine's process, takes its disk away and starts it empty.
+    ///
+    /// # Errors
+    /// The disk can't be taken away, or the process can't be started.
     pub fn wipe(&mut self, index: usize) -> anyhow::Result<()> {
         self.machines[index].kill();
         self.machines[index].wipe()?;
@@ -118,10 +138,13 @@
         }
     }
 
+    /// One machine, by its place in the plan.
     pub fn machine(&mut self, index: usize) -> &mut Machine {
         &mut self.machines[index]
     }
 
+    /// All machines, in the order of the plan.
+    #[must_use]
     pub fn machines(&self) -> &[Machine] {
         &self.machines
     }
@@ -136,34 +159,47 @@
     }
 
     /// `control` addresses of all gateways.
+    #[must_use]
     pub fn controls(&self) -> Vec<SocketAddr> {
         self.of_gateways(self.ports.control)
     }
 
     /// `front` addresses of all gateways.
+    #[must_use]
     pub fn fronts(&self) -> Vec<SocketAddr> {
         self.of_gateways(self.ports.front)
     }
 
+    /// Where a machine takes requests.
+    #[must_use]
     pub fn front(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machines[index].ip(), self.ports.front)
     }
 
     /// Where the platform asks whether this gateway is ready.
+    #[must_use]
     pub fn ready_address(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machines[index].ip(), self.ports.ready)
     }
 
+    /// Where a machine takes the operator's orders.
+    #[must_use]
     pub fn control(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machines[index].ip(), self.ports.control)
     }
 
     /// An address for a server, other than those of all machines.
+    ///
+    /// # Errors
+    /// The block has no more addresses.
     pub fn server_address(&mut self) -> anyhow::Result<SocketAddr> {
         Ok(SocketAddr::new(self.addresses.next()?, self.ports.server))
     }
 
     /// Ends once all running gateways are ready.
+    ///
+    /// # Errors
+    /// One of them is not within `limit`.
     pub async fn ready(&mut self, limit: Duration) -> anyhow::Result<()> {
         for index in self.places(|plan| plan.role != Role::Store) {
             if self.machines[index].is_running() {
@@ -174,6 +210,9 @@
     }
 
     /// Ends once this gateway is ready.
+    ///
+    /// # Errors
+    /// It is not within `limit`.
     pub async fn ready_one(&mut self, index: usize, limit: Duration) -> anyhow::Result<()> {
         let address = SocketAddr::new(self.machines[index].ip(), self.ports.ready);
         let until = Instant::now() + limit;
@@ -204,6 +243,7 @@
     }
 
     /// The ends of all logs.
+    #[must_use]
     pub fn log_tails(&self) -> String {
         let tails = self
             .machines
@@ -213,6 +253,7 @@
     }
 
     /// Where the files of the system lie.
+    #[must_use]
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
--- a/crates/testing/emulator/src/system/settings.rs
+++ b/crates/testing/emulator/src/system/settings.rs
@@ -16,11 +16,13 @@
     Gateway,
     /// A gateway with a disk: a member of the core.
     Core,
+    /// Keeps turns.
     Store,
 }
 
 impl Role {
     /// The subcommand that plays the role.
+    #[must_use]
     pub fn command(self) -> &'static str {
         match self {
             Role::Gateway | Role::Core => "gateway",
@@ -32,11 +34,15 @@
 /// A machine to be started.
 #[derive(Clone, Debug)]
 pub struct MachinePlan {
+    /// What runs there.
     pub role: Role,
+    /// Its failure domain.
     pub zone: String,
 }
 
 impl MachinePlan {
+    /// A machine of this role with the usual settings.
+    #[must_use]
     pub fn new(role: Role, zone: &str) -> MachinePlan {
         MachinePlan {
             role,
@@ -45,6 +51,7 @@
     }
 
     /// The machine's name, by its number in the system.
+    #[must_use]
     pub fn name(&self, number: usize) -> String {
         let class = match self.role {
             Role::Store => "storage",
--- a/crates/testing/emulator/src/wire/body.rs
+++ b/crates/testing/emulator/src/wire/body.rs
@@ -16,11 +16,13 @@
 
 impl Framing {
     /// `None` where the head contradicts itself.
+    #[must_use]
     pub fn of_request(head: &RequestHead) -> Option<Framing> {
         stated(&head.headers)?.or(Some(Framing::Length(0)))
     }
 
     /// `None` where the head contradicts itself.
+    #[must_use]
     pub fn of_response(head: &ResponseHead) -> Option<Framing> {
         if head.status < 200 || head.status == 204 || head.status == 304 {
             return Some(Framing::Length(0));
--- a/crates/testing/emulator/src/wire/event.rs
+++ b/crates/testing/emulator/src/wire/event.rs
@@ -5,6 +5,7 @@
 /// One event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
+    /// Its number in the answer.
     pub id: u64,
     /// The data, lines joined by line feeds.
     pub data: String,
@@ -12,6 +13,7 @@
 
 impl Event {
     /// The event as a server sends it.
+    #[must_use]
     pub fn bytes(&self) -> Bytes {
         let mut text = format!("id: {}\n", self.id);
         for line in self.data.split('\n') {
@@ -78,6 +80,7 @@
     }
 
     /// Bytes of an event that is not whole.
+    #[must_use]
     pub fn left(&self) -> usize {
         self.buffer.len()
     }
--- a/crates/testing/emulator/src/wire/headers.rs
+++ b/crates/testing/emulator/src/wire/headers.rs
@@ -3,7 +3,9 @@
 /// One header line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
+    /// The name, as it was written.
     pub name: String,
+    /// The value, without the blanks around it.
     pub value: String,
 }
 
@@ -12,6 +14,8 @@
 pub struct Headers(pub Vec<Header>);
 
 impl Headers {
+    /// No headers.
+    #[must_use]
     pub fn new() -> Headers {
         Headers::default()
     }
@@ -32,6 +36,7 @@
     }
 
     /// The first line of that name, in any case of letters.
+    #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0
             .iter()
@@ -48,11 +53,13 @@
     }
 
     /// The value as a number.
+    #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         self.get(name)?.trim().parse().ok()
     }
 
     /// Whether `Connection` says that the connection ends with this message.
+    #[must_use]
     pub fn closes(&self) -> bool {
         self.all(super::name::CONNECTION)
             .flat_map(|value| value.split(','))
@@ -63,16 +70,20 @@
 /// First line and headers of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
+    /// The method.
     pub method: String,
     /// Path and query as they came.
     pub target: String,
+    /// The headers, in their order.
     pub headers: Headers,
 }
 
 /// First line and headers of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
+    /// The status.
     pub status: u16,
+    /// The headers, in their order.
     pub headers: Headers,
 }
 
--- a/crates/testing/emulator/src/wire/reader.rs
+++ b/crates/testing/emulator/src/wire/reader.rs
@@ -61,6 +61,7 @@
 }
 
 impl<R: AsyncRead + Unpin> MessageReader<R> {
+    /// A reader at the beginning of a message.
     pub fn new(stream: R) -> Self {
         MessageReader {
             stream,
@@ -70,6 +71,9 @@
     }
 
     /// The next request's head; the body is then read by [`Self::piece`] or [`Self::body`].
+    ///
+    /// # Errors
+    /// The connection ended too early, or brought what is no message of the protocol.
     pub async fn request_head(&mut self) -> Result<RequestHead, WireError> {
         let bytes = self.head_bytes().await?;
         let head = RequestHead::parse(&bytes).ok_or(WireError::Garbled("a request's head"))?;
@@ -79,6 +83,9 @@
     }
 
     /// The next answer's head.
+    ///
+    /// # Errors
+    /// The connection ended too early, or brought what is no message of the protocol.
     pub async fn response_head(&mut self) -> Result<ResponseHead, WireError> {
         let bytes = self.head_bytes().await?;
         let head = ResponseHead::parse(&bytes).ok_or(WireError::Garbled("an answer's head"))?;
@@ -89,6 +96,9 @@
     }
 
     /// The rest of the body, whole.
+    ///
+    /// # Errors
+    /// The connection ended too early, or brought what is no message of the protocol.
     pub async fn body(&mut self) -> Result<Bytes, WireError> {
         let mut whole = BytesMut::new();
         while let Some(piece) = self.piece().await? {
@@ -101,6 +111,9 @@
     }
 
     /// The next bytes of the body; `None` at its end.
+    ///
+    /// # Errors
+    /// The connection ended too early, or brought what is no message of the protocol.
     pub async fn piece(&mut self) -> Result<Option<Bytes>, WireError> {
         loop {
             match self.rest {
--- a/crates/testing/emulator/src/wire/write.rs
+++ b/crates/testing/emulator/src/wire/write.rs
@@ -8,6 +8,7 @@
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 /// A request with its body; the length is added where there is a body.
+#[must_use]
 pub fn request_bytes(head: &RequestHead, body: &[u8]) -> Bytes {
     let mut bytes = BytesMut::new();
     bytes.extend_from_slice(format!("{} {} HTTP/1.1\r\n", head.method, head.target).as_bytes());
@@ -21,6 +22,7 @@
 }
 
 /// First line and headers of an answer, with the empty line.
+#[must_use]
 pub fn response_head(status: u16, headers: &Headers) -> Bytes {
     let mut bytes = BytesMut::new();
     bytes.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
@@ -30,6 +32,7 @@
 }
 
 /// One chunk of a body.
+#[must_use]
 pub fn chunk(data: &[u8]) -> Bytes {
     let mut bytes = BytesMut::new();
     bytes.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
