--- a/crates/serving/chain-replication/src/member/mod.rs
+++ b/crates/serving/chain-replication/src/member/mod.rs
@@ -10,7 +10,7 @@
 //! 6. `apply`: commits are given out to the caller, in order;
 //! 7. `notify`: the caller learns which submissions and reads have ended, and of views and quorums.
 //!
-//! Beside it: `reads` (linearizable reads), `learn` (members out of the chain), `compact`, `send_snapshot` and
+//! Beside it: `stage` (the role in the chain), `reads` (linearizable reads), `learn` (members out of the chain), `compact`, `send_snapshot` and
 //! `receive_snapshot` (snapshots), `ping` (heartbeats), `join` (bootstrap, joining, leaving), `install` (a new view takes
 //! effect), `observe` (which view there should be), `proposer` and `acceptor` (Paxos on the next view).
 
@@ -33,6 +33,7 @@
 mod receive_snapshot;
 mod replicate;
 mod send_snapshot;
+mod stage;
 mod state;
 
 pub use io::{Input, Output};
@@ -154,16 +155,11 @@
         let incarnation = random.next();
         let timestamp_base = draw_timestamp_base(&mut random);
         let last_read_request = random.next();
-        let start = durable
-            .snapshot
-            .as_ref()
-            .map_or_else(Default::default, |snapshot| snapshot.position);
+        let start = durable.snapshot_position();
+        let installed = durable.decided.as_ref().map(|decided| &decided.view);
+        let failure_detector = FailureDetector::new(installed, &config.peer.id, now);
         let log = Log::restore(start, durable.entries);
         let persisted_index = log.last().index;
-        let mut failure_detector = FailureDetector::default();
-        if let Some(decided) = &durable.decided {
-            failure_detector.install_view(None, &decided.view, &config.peer.id, now);
-        }
         let mut member = Member {
             me: config.peer,
             may_bootstrap: config.may_bootstrap,
@@ -209,7 +205,8 @@
         member
     }
 
-    /// Takes one input at a time that doesn't go back but with the clock; what is to be done is added to `outputs`.
+    /// Handles one input. What is to be done is added to `outputs`, to be carried out in that order. `now` should not go
+    /// back; if it does, the member discards what it knew of its quorum.
     pub fn step(&mut self, input: Input, now: Millis, outputs: &mut Vec<Output>) {
         let previous_step = if self.started { self.now } else { now };
         self.now = now;
--- a/crates/serving/chain-replication/tests/snapshot_chunks.rs
+++ b/crates/serving/chain-replication/tests/snapshot_chunks.rs
@@ -1,4 +1,4 @@
-//! One member that takes a snapshot in parts: what it refuses, what it holds meanwhile, and when the whole counts.
+//! One member that receives a snapshot in chunks: what it rejects, what it retains meanwhile, and when the snapshot counts.
 
 use dunespur_chain_replication::limits::{MAX_SNAPSHOT_BYTES, SNAPSHOT_CHUNK_BYTES};
 use dunespur_chain_replication::snapshot_transfer::{
@@ -6,7 +6,7 @@
 };
 use dunespur_chain_replication::{
     DecidedView, DurableState, Entry, Input, Member, MemberConfig, MemberId, Message, Origin,
-    Output, Payload, Peer, Position, Snapshot, View, Write,
+    Output, Payload, Peer, Position, Snapshot, SnapshotRejection, SnapshotRejections, View, Write,
 };
 
 const NOW: u64 = 10_000;
@@ -44,7 +44,7 @@
     }
 }
 
-/// The second of a chain of three, which has not come up to the first.
+/// The second of a chain of three, which has not caught up with the first.
 struct Receiver {
     member: Member,
     outputs: Vec<Output>,
@@ -118,7 +118,7 @@
         batches.flatten().collect()
     }
 
-    /// Where its log ends, as it tells its predecessor.
+    /// Where its log ends, as it reports to its predecessor.
     fn log_end(&mut self) -> u64 {
         self.give(Input::Received {
             from: id(0),
@@ -131,7 +131,7 @@
             } => Some(resume.last.index),
             _ => None,
         });
-        // It has asked just now otherwise.
+        // Otherwise it has sent a request just now.
         attached.unwrap_or_else(|| {
             self.outputs.clear();
             self.member.step(Input::Tick, NOW + 200, &mut self.outputs);
@@ -142,7 +142,7 @@
                 } => Some(resume.last.index),
                 _ => None,
             });
-            attached.expect("it asks again")
+            attached.expect("it requests again")
         })
     }
 }
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn the_whole_counts_and_nothing_before_it() {
+fn a_snapshot_counts_only_when_it_is_complete() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
     let first = receiver.chunk(chunk(&snapshot, 0, 600));
@@ -187,7 +187,7 @@
     assert_eq!(
         receiver.log_end(),
         LOG_END,
-        "what it holds stays until the whole is there"
+        "its log stays until the snapshot is complete"
     );
     let last = receiver.chunk(chunk(&snapshot, 600, 1_000));
     assert_eq!((last.received, last.rejected), (1_000, false));
@@ -199,13 +199,13 @@
     assert!(writes.contains(&Write::Snapshot { snapshot }));
     assert!(
         writes.contains(&Write::Synced { view: 0 }),
-        "it holds what no view needs until the rest has come"
+        "its log is complete as of no view until the rest has come"
     );
     assert!(!receiver.member.is_up_to_date(NOW));
 }
 
 #[test]
-fn parts_that_come_twice_or_out_of_order_change_nothing() {
+fn duplicated_and_reordered_chunks_change_nothing() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
     assert_eq!(
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn parts_of_two_snapshots_are_not_mixed() {
+fn chunks_of_two_snapshots_are_not_mixed() {
     let mut receiver = Receiver::new();
     let (one, mut other) = (state(1_000), state(1_000));
     other.bytes = vec![9; 1_000].into();
@@ -243,100 +243,105 @@
     );
 }
 
-/// Refused with its reason, counted, and nothing held is lost by it.
-#[test]
-fn what_does_not_fit_is_refused() {
-    let snapshot = state(1_000);
-    let descriptor = SnapshotDescriptor::of(&snapshot);
-    let bytes = |count: usize| Payload::from(vec![1; count]);
-    let too_large = SnapshotDescriptor {
+/// A chunk that is to be rejected.
+struct Rejected {
+    name: &'static str,
+    length: u64,
+    offset: u64,
+    bytes: usize,
+    reason: SnapshotRejection,
+}
+
+const REJECTED: [Rejected; 6] = [
+    Rejected {
+        name: "too large",
         length: MAX_SNAPSHOT_BYTES + 1,
-        ..descriptor
-    };
-    let large = SnapshotDescriptor {
+        offset: 0,
+        bytes: 10,
+        reason: SnapshotRejection::TooLarge,
+    },
+    Rejected {
+        name: "empty",
+        length: 1_000,
+        offset: 0,
+        bytes: 0,
+        reason: SnapshotRejection::ChunkOutOfBounds,
+    },
+    Rejected {
+        name: "beyond the end",
+        length: 1_000,
+        offset: 990,
+        bytes: 11,
+        reason: SnapshotRejection::ChunkOutOfBounds,
+    },
+    Rejected {
+        name: "an offset that overflows",
+        length: 1_000,
+        offset: u64::MAX,
+        bytes: 11,
+        reason: SnapshotRejection::ChunkOutOfBounds,
+    },
+    Rejected {
+        name: "a chunk that is too large",
         length: MAX_SNAPSHOT_BYTES,
-        ..descriptor
-    };
-    let cases = [
-        (
-            "too large",
-            SnapshotChunk {
-                descriptor: too_large,
-                offset: 0,
-                bytes: bytes(10),
-            },
-            (1, 0, 0),
-        ),
-        (
-            "empty",
-            SnapshotChunk {
-                descriptor,
-                offset: 0,
-                bytes: bytes(0),
-            },
-            (0, 1, 0),
-        ),
-        (
-            "beyond the end",
-            SnapshotChunk {
-                descriptor,
-                offset: 990,
-                bytes: bytes(11),
-            },
-            (0, 1, 0),
-        ),
-        (
-            "an offset that runs over",
-            SnapshotChunk {
-                descriptor,
-                offset: u64::MAX,
-                bytes: bytes(11),
-            },
-            (0, 1, 0),
-        ),
-        (
-            "a chunk that is too large",
-            SnapshotChunk {
-                descriptor: large,
-                offset: 0,
-                bytes: bytes(SNAPSHOT_CHUNK_BYTES + 1),
-            },
-            (0, 1, 0),
-        ),
-        (
-            "spoilt",
-            SnapshotChunk {
-                descriptor,
-                offset: 0,
-                bytes: bytes(1_000),
-            },
-            (0, 0, 1),
-        ),
-    ];
-    for (what, chunk, counts) in cases {
+        offset: 0,
+        bytes: SNAPSHOT_CHUNK_BYTES + 1,
+        reason: SnapshotRejection::ChunkOutOfBounds,
+    },
+    Rejected {
+        name: "corrupted",
+        length: 1_000,
+        offset: 0,
+        bytes: 1_000,
+        reason: SnapshotRejection::ChecksumMismatch,
+    },
+];
+
+/// How often each reason was counted.
+fn counts(rejections: SnapshotRejections) -> [u64; 3] {
+    [
+        rejections.too_large,
+        rejections.chunk_out_of_bounds,
+        rejections.checksum_mismatch,
+    ]
+}
+
+fn counted_once(reason: SnapshotRejection) -> [u64; 3] {
+    match reason {
+        SnapshotRejection::TooLarge => [1, 0, 0],
+        SnapshotRejection::ChunkOutOfBounds => [0, 1, 0],
+        SnapshotRejection::ChecksumMismatch => [0, 0, 1],
+    }
+}
+
+/// Rejected with its reason, counted, and nothing that was received before is lost by it.
+#[test]
+fn chunks_that_do_not_fit_are_rejected() {
+    let descriptor = SnapshotDescriptor::of(&state(1_000));
+    for case in REJECTED {
+        let name = case.name;
         let mut receiver = Receiver::new();
-        let answer = receiver.chunk(chunk);
-        assert!(answer.rejected, "{what}");
+        let answer = receiver.chunk(SnapshotChunk {
+            descriptor: SnapshotDescriptor {
+                length: case.length,
+                ..descriptor
+            },
+            offset: case.offset,
+            bytes: Payload::from(vec![1; case.bytes]),
+        });
+        assert!(answer.rejected, "{name}");
         assert!(
             receiver.installed().is_none() && receiver.writes().is_empty(),
-            "{what}"
-        );
-        let refusals = receiver.member.snapshot_rejections();
-        assert_eq!(
-            (
-                refusals.too_large,
-                refusals.chunk_out_of_bounds,
-                refusals.checksum_mismatch
-            ),
-            counts,
-            "{what}"
+            "{name}"
         );
-        assert_eq!(receiver.log_end(), LOG_END, "{what}");
+        let rejections = receiver.member.snapshot_rejections();
+        assert_eq!(counts(rejections), counted_once(case.reason), "{name}");
+        assert_eq!(receiver.log_end(), LOG_END, "{name}");
     }
 }
 
 #[test]
-fn a_spoilt_snapshot_is_followed_by_a_good_one() {
+fn a_corrupted_snapshot_is_followed_by_a_correct_one() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
     let mut corrupted = chunk(&snapshot, 0, 1_000);
@@ -350,7 +355,7 @@
 }
 
 #[test]
-fn parts_from_others_than_the_predecessor_do_not_count() {
+fn chunks_from_others_than_the_predecessor_are_ignored() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
     assert_eq!(receiver.chunk_from(2, chunk(&snapshot, 0, 1_000)), None);
@@ -358,10 +363,10 @@
     assert_eq!(receiver.member.snapshot_rejections().total(), 0);
 }
 
-/// Against a chain that stands still: the sender's log doesn't reach back to what is committed here, and it doesn't
+/// Against a chain that stalls: the sender's log doesn't reach back to what is committed here, and it doesn't
 /// know the end of the log here; but the log here reaches to where the snapshot ends.
 #[test]
-fn a_snapshot_up_to_where_the_log_reaches_is_not_needed() {
+fn a_snapshot_that_the_log_includes_is_not_needed() {
     let mut receiver = Receiver::new();
     let snapshot = Snapshot {
         position: Position { index: 2, view: 1 },
--- a/crates/serving/dunespur/src/directory/core_calls.rs
+++ b/crates/serving/dunespur/src/directory/core_calls.rs
@@ -14,7 +14,7 @@
 
 /// One core member gets so long for an operation before another one is tried.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after all known members were tried in vain.
+/// Delay after all known members were tried in vain.
 const CORE_RETRY_DELAY: Duration = Duration::from_millis(60);
 /// A process is given so long to tell the view that it knows.
 const VIEW_QUERY_TIMEOUT: Duration = Duration::from_millis(500);
@@ -108,7 +108,7 @@
     /// Queries the view that one process knows.
     pub async fn query_view(&self, address: SocketAddr) -> Option<View> {
         match self
-            .call(address, encode(&Request::Hello), VIEW_QUERY_TIMEOUT)
+            .call(address, encode(&Request::QueryView), VIEW_QUERY_TIMEOUT)
             .await
         {
             Ok(Reply::View(view)) => view,
--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between the processes of the system, as postcard payloads of `dunespur-rpc` frames.
 //!
-//! Postcard goes by position and order: a field or variant that moves is another message. `tests/bytes.rs` has the bytes
+//! Postcard goes by position and order: a field or variant that moves is another message. `tests/bytes` has the bytes
 //! of every variant.
 
 use bytes::Bytes;
@@ -22,7 +22,7 @@
         message: Message,
     },
     /// Queries the newest view that the process knows of.
-    Hello,
+    QueryView,
     /// A machine with an empty disk at the first start of the system applies for membership of the first view.
     Candidate {
         /// The machine.
@@ -51,7 +51,7 @@
         program: Option<String>,
     },
     /// From one gateway to another as the load aggregator of a service.
-    Home(Report),
+    LoadReport(Report),
 }
 
 /// Requests changes, and renews leases on the way.
@@ -116,13 +116,13 @@
     /// A [`Status`](crate::status::Status) as JSON.
     Status(String),
     /// Of a load aggregator.
-    Home(Update),
+    LoadUpdate(Update),
 }
 
 /// The answer to a candidate for the first view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Candidacy {
-    /// Ask again soon.
+    /// Apply again soon.
     Wait,
     /// The first view, with the asking machine in it.
     Found(View),
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -56,7 +56,7 @@
     disk: Cell<DiskStatus>,
     /// Notified when the time of the next tick has changed.
     rescheduled: Notify,
-    /// Notified when the core may have to be told something.
+    /// Notified when there may be something to report to the core.
     pub(super) report_changed: Notify,
     this: Weak<StoreProcess>,
 }
@@ -234,7 +234,7 @@
     async fn call(self: Rc<Self>, payload: Bytes) -> Option<Bytes> {
         let reply = match decode::<Request>(&payload)? {
             Request::Store(request) => Reply::Store(self.store_request(request).await?),
-            Request::Hello => Reply::View(self.directory.view()),
+            Request::QueryView => Reply::View(self.directory.view()),
             Request::Announce(view) => {
                 self.directory.learn_view(view);
                 Reply::View(None)
