--- a/crates/serving/dunespur/tests/budgets.rs
+++ b/crates/serving/dunespur/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets of programs over whole programs: refused before any server sees the turn, never exceeded.
+//! Budgets of programs over whole programs: rejected before any server sees the turn, never exceeded.
 
 mod support;
 
--- a/crates/serving/dunespur/tests/cli.rs
+++ b/crates/serving/dunespur/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what it says, how it ends, what a process does whose settings can't be used.
+//! The command line: its output and exit codes, what a process does whose settings can't be used.
 
 mod running;
 
--- a/crates/serving/dunespur/tests/frozen.rs
+++ b/crates/serving/dunespur/tests/frozen.rs
@@ -1,4 +1,4 @@
-//! A process that was frozen and goes on finds requests and answers of long ago in its sockets: it answers by nothing
+//! A process that was frozen and goes on finds stale requests and responses in its sockets: it answers by nothing
 //! that it knew before.
 
 mod support;
--- a/crates/serving/dunespur/tests/leaving.rs
+++ b/crates/serving/dunespur/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Ends that are asked for: SIGTERM, retirement, settings that can't be used.
+//! Planned ends: SIGTERM, retirement, settings that can't be used.
 
 mod support;
 
--- a/crates/serving/dunespur/tests/orders.rs
+++ b/crates/serving/dunespur/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The operator's orders: taken, refused with reasons, taken again, in force at all gateways.
+//! The operator's configuration requests: accepted, rejected with reasons, accepted again, in force at all gateways.
 
 mod support;
 
--- a/crates/serving/dunespur/tests/status.rs
+++ b/crates/serving/dunespur/tests/status.rs
@@ -1,4 +1,4 @@
-//! `dunespur status`: what processes say of themselves, as JSON and as tables.
+//! `dunespur status`: what processes report of themselves, as JSON and as tables.
 
 mod running;
 mod support;
@@ -16,7 +16,7 @@
 const ANSWERED: i32 = 0;
 const NO_ANSWER: i32 = 1;
 
-/// What `dunespur status` says. Servers and clients of the scene go on meanwhile.
+/// The output of `dunespur status`. Servers and clients of the scene go on meanwhile.
 async fn query(address: SocketAddr, arguments: &[&str]) -> Output {
     let mut command = Command::new(program());
     command
@@ -105,80 +105,78 @@
             End::Finished
         );
     }
-    let cores = machines_of(&scene, Role::Core);
-    let core_names: Vec<&str> = cores
-        .iter()
-        .map(|place| scene.system.machines()[*place].name())
-        .collect();
-    let stores = machines_of(&scene, Role::Store);
+    let sent_turns = 2 * u64::from(usual_program().turns);
     let mut requests = 0;
-    for place in 0..scene.system.machines().len() {
-        let machine = &scene.system.machines()[place];
-        let knows_all = |status: &Value| {
-            let mut members = names(&status["view"]["members"], "node");
-            members.sort();
-            let is_known =
-                members == core_names && names(&status["stores"], "name").len() == stores.len();
-            is_known
-                && status["control"]["in_touch"] == true
-                && status["control"]["generation"] == 1
-        };
-        let status = json_that(internal(&scene, place), &[], knows_all).await;
-        assert_eq!(status["node"], machine.name());
-        assert_eq!(status["role"], machine.plan().role.command());
-        assert_eq!(status["zone"], *machine.plan().zone);
-        assert!(
-            status["process"]["peak_memory_kb"].as_u64().unwrap() > 0,
-            "{status}"
-        );
-        assert!(
-            status["process"]["descriptors"].as_u64().unwrap() > 3,
-            "{status}"
-        );
-        assert!(status["link"]["calls"].as_u64().unwrap() > 0, "{status}");
-        assert_eq!(
-            status["front"].is_null(),
-            machine.plan().role == Role::Store
-        );
-        assert_eq!(
-            status["turns"].is_null(),
-            machine.plan().role != Role::Store
-        );
-        assert_eq!(status["core"].is_null(), machine.plan().role != Role::Core);
-        if machine.plan().role == Role::Store {
-            continue;
+    for machine in 0..scene.system.machines().len() {
+        expect_process_status(&scene, machine).await;
+        if scene.system.machines()[machine].plan().role != Role::Store {
+            requests += requests_at_gateway(&scene, machine).await;
         }
-        let serves_all = |status: &Value| {
-            let servers = status["services"][0]["servers"]
-                .as_array()
-                .map_or(0, Vec::len);
-            let is_served = names(&status["services"], "name") == [MODELS, TOOLS];
-            is_served && servers == scene.engines.len() && status["front"]["ready"] == true
-        };
-        let status = json_that(internal(&scene, place), &[], serves_all).await;
-        requests += status["front"]["requests"].as_u64().unwrap();
     }
-    let request_in_flight = 2 * u64::from(usual_program().turns);
-    assert!(requests >= request_in_flight, "{requests}");
-    for place in cores {
-        let has_all = |status: &Value| {
-            let leases = names(&status["core"]["leases"], "holder").len();
-            status["core"]["follows"] == true && leases >= scene.servers().count() + stores.len()
-        };
-        let status = json_that(internal(&scene, place), &[], has_all).await;
-        assert!(status["core"]["committed"].as_u64().unwrap() > 0);
-        assert!(status["core"]["disk"]["done"].as_u64().unwrap() > 0);
+    assert!(requests >= sent_turns, "{requests}");
+    for core in machines_of(&scene, Role::Core) {
+        expect_core_status(&scene, core).await;
     }
     let mut persisted = 0;
-    for place in stores {
-        persisted += json_of(internal(&scene, place), &[]).await["turns"]["turns"]
-            .as_u64()
-            .unwrap();
+    for store in machines_of(&scene, Role::Store) {
+        let status = json_of(internal(&scene, store), &[]).await;
+        persisted += status["turns"]["turns"].as_u64().unwrap();
     }
-    assert!(
-        persisted >= request_in_flight * (u64::from(scene.plan.tolerated_losses) + 1),
-        "{persisted}"
-    );
+    let replicas = u64::from(scene.plan.tolerated_losses) + 1;
+    assert!(persisted >= sent_turns * replicas, "{persisted}");
+}
+
+/// What processes of all roles report, once they know all members, all stores and the configuration.
+async fn expect_process_status(scene: &Scene, machine: usize) {
+    let core_names: Vec<&str> = machines_of(scene, Role::Core)
+        .iter()
+        .map(|core| scene.system.machines()[*core].name())
+        .collect();
+    let stores = machines_of(scene, Role::Store).len();
+    let knows_all = |status: &Value| {
+        let mut members = names(&status["view"]["members"], "node");
+        members.sort();
+        let is_known = members == core_names && names(&status["stores"], "name").len() == stores;
+        is_known && status["control"]["in_touch"] == true && status["control"]["generation"] == 1
+    };
+    let status = json_that(internal(scene, machine), &[], knows_all).await;
+    let machine = &scene.system.machines()[machine];
+    let role = machine.plan().role;
+    assert_eq!(status["node"], machine.name());
+    assert_eq!(status["role"], role.command());
+    assert_eq!(status["zone"], *machine.plan().zone);
+    let process = &status["process"];
+    assert!(process["peak_memory_kb"].as_u64().unwrap() > 0, "{status}");
+    assert!(process["descriptors"].as_u64().unwrap() > 3, "{status}");
+    assert!(status["link"]["calls"].as_u64().unwrap() > 0, "{status}");
+    assert_eq!(status["front"].is_null(), role == Role::Store);
+    assert_eq!(status["turns"].is_null(), role != Role::Store);
+    assert_eq!(status["core"].is_null(), role != Role::Core);
+}
+
+/// The requests that a gateway reports, once it knows all servers and is ready.
+async fn requests_at_gateway(scene: &Scene, gateway: usize) -> u64 {
+    let serves_all = |status: &Value| {
+        let servers = status["services"][0]["servers"]
+            .as_array()
+            .map_or(0, Vec::len);
+        let is_served = names(&status["services"], "name") == [MODELS, TOOLS];
+        is_served && servers == scene.engines.len() && status["front"]["ready"] == true
+    };
+    let status = json_that(internal(scene, gateway), &[], serves_all).await;
+    status["front"]["requests"].as_u64().unwrap()
+}
+
+/// What a core member reports, once it follows and knows all leases.
+async fn expect_core_status(scene: &Scene, core: usize) {
+    let stores = machines_of(scene, Role::Store).len();
+    let has_all = |status: &Value| {
+        let leases = names(&status["core"]["leases"], "holder").len();
+        status["core"]["follows"] == true && leases >= scene.servers().count() + stores
+    };
+    let status = json_that(internal(scene, core), &[], has_all).await;
+    assert!(status["core"]["committed"].as_u64().unwrap() > 0);
+    assert!(status["core"]["disk"]["done"].as_u64().unwrap() > 0);
 }
 
 #[tokio::test]
--- a/crates/serving/dunespur/tests/unreadable.rs
+++ b/crates/serving/dunespur/tests/unreadable.rs
@@ -1,4 +1,4 @@
-//! Files that a start finds spoilt: the machine says so, sets the file aside and comes back as a newcomer; nothing that
+//! Files that a start finds spoilt: the machine logs it, sets the file aside and comes back as a joiner; nothing that
 //! was acknowledged is lost, and the next machine may go the same way.
 
 mod support;
