--- a/crates/serving/budget/src/lease/table/decisions.rs
+++ b/crates/serving/budget/src/lease/table/decisions.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 impl LeaseTable {
-    /// Records a turn that is to be decided on; false if there is no capacity for it.
+    /// Records a turn that is to be decided on, unless there is no capacity for it.
     pub(super) fn register(
         &mut self,
         program: &str,
@@ -16,32 +16,28 @@
         max_units: u64,
         turn: u64,
         now: Millis,
-    ) -> bool {
+    ) -> Result<(), Rejection> {
         let known = self.turns.get(&turn);
         if known.is_some_and(|known| &*known.program != program) {
             self.finish(turn, now);
         }
-        if !self.turns.contains_key(&turn) && !self.register_new(program, turn, now) {
-            return false;
+        if !self.turns.contains_key(&turn) {
+            self.register_new(program, turn, now)?;
         }
-        let Some(entry) = self.turns.get_mut(&turn) else {
-            return false;
-        };
+        let entry = self.turns.get_mut(&turn).ok_or(Rejection::AtCapacity)?;
         entry.budget = budget;
         entry.max_units = max_units;
         if let Some(lease) = self.programs.get_mut(program) {
             lease.turn_arrived(max_units);
         }
-        true
+        Ok(())
     }
 
-    fn register_new(&mut self, program: &str, turn: u64, now: Millis) -> bool {
+    fn register_new(&mut self, program: &str, turn: u64, now: Millis) -> Result<(), Rejection> {
         if self.turns.len() >= self.settings.max_turns {
-            return false;
+            return Err(Rejection::AtCapacity);
         }
-        let Some(program) = self.register_program(program, now) else {
-            return false;
-        };
+        let program = self.register_program(program, now)?;
         let entry = Turn {
             program,
             budget: 0,
@@ -50,25 +46,27 @@
             admitted: false,
         };
         self.turns.insert(turn, entry);
-        true
+        Ok(())
     }
 
-    /// The program's name as it is stored here; none if there is no capacity for a new one.
-    fn register_program(&mut self, program: &str, now: Millis) -> Option<Arc<str>> {
+    /// Counts a new turn of a program; returns the program's name as it is stored here.
+    fn register_program(&mut self, program: &str, now: Millis) -> Result<Arc<str>, Rejection> {
         if let Some((name, _)) = self.programs.get_key_value(program) {
             let name = name.clone();
-            self.programs.get_mut(program)?.turns += 1;
-            return Some(name);
+            if let Some(lease) = self.programs.get_mut(program) {
+                lease.turns += 1;
+            }
+            return Ok(name);
         }
         let full = self.programs.len() >= self.settings.max_programs;
         if full || program.len() > MAX_PROGRAM_NAME_BYTES {
-            return None;
+            return Err(Rejection::AtCapacity);
         }
         let name: Arc<str> = program.into();
         let mut lease = ProgramLease::new(now);
         lease.turns = 1;
         self.programs.insert(name.clone(), lease);
-        Some(name)
+        Ok(name)
     }
 
     /// The decision on a turn as things stand: out of the lease if that covers it, else by the counter.
--- a/crates/serving/budget/src/lease/table/mod.rs
+++ b/crates/serving/budget/src/lease/table/mod.rs
@@ -3,7 +3,7 @@
 mod decisions;
 mod timers;
 
-use super::admission::{Admission, Rejection, TurnOutcome};
+use super::admission::{Admission, TurnOutcome};
 use super::program_lease::ProgramLease;
 use super::schedule::Schedule;
 use crate::{CounterReply, CounterRequest, LeaseSettings, LimiterId, Millis};
@@ -78,8 +78,8 @@
         turn: u64,
         now: Millis,
     ) -> Admission {
-        if !self.register(program, budget, max_units, turn, now) {
-            return Admission::Rejected(Rejection::AtCapacity);
+        if let Err(rejection) = self.register(program, budget, max_units, turn, now) {
+            return Admission::Rejected(rejection);
         }
         let admission = self.decide(turn, now);
         self.reschedule(program);
