--- a/crates/serving/dunespur/src/directory/mod.rs
+++ b/crates/serving/dunespur/src/directory/mod.rs
@@ -1,14 +1,15 @@
-//! What a process knows of the control state, kept up to date by a watch on one core member, and its way to the
+//! What a process knows of the control state, updated by a watch on one core member, and its way to the
 //! core for operations and reads.
 
 mod contact;
 mod core_calls;
 mod known_state;
 mod process_links;
+mod unavailable;
 mod watching;
 
-pub use core_calls::Unavailable;
 pub use known_state::{KnownState, StateChanges};
+pub use unavailable::Unavailable;
 
 use crate::clock::Clock;
 use crate::messages::NodeLease;
