--- a/crates/gateway/peer-transport/tests/frames.rs
+++ b/crates/gateway/peer-transport/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Frames between limiters are checked and read back, and have the bytes of revision 52a1591, which wrote the files under `tests/fixtures`.
+//! Frames between limiters are checked and read back, and have the bytes of revision 52a1591, which wrote the files
+//! under `tests/fixtures`.
 
 use dunespur_peer_transport::frame::{StreamHeader, HEADER_BYTES};
 use dunespur_peer_transport::{Frame, FrameError, Kind};
--- a/crates/serving/storage/src/core/mod.rs
+++ b/crates/serving/storage/src/core/mod.rs
@@ -66,9 +66,11 @@
     }
 
     fn load(database: ReopeningDatabase, fresh: bool) -> Result<Opened<CoreDisk, DurableState>> {
-        let (number, saved) = database
-            .with(|database| Ok((reader::disk_number(database)?, reader::saved(database)?)))?;
-        let snapshot = saved.snapshot.as_ref();
+        let (number, state) = database.with(|database| {
+            let number = reader::disk_number(database)?;
+            Ok((number, reader::durable_state(database)?))
+        })?;
+        let snapshot = state.snapshot.as_ref();
         let snapshot_index = snapshot.map_or(0, |snapshot| snapshot.position.index);
         Ok(Opened {
             disk: CoreDisk {
@@ -79,7 +81,7 @@
                 disk: number,
                 fresh,
             },
-            contents: saved,
+            contents: state,
         })
     }
 
--- a/crates/serving/storage/src/core/reader.rs
+++ b/crates/serving/storage/src/core/reader.rs
@@ -22,7 +22,7 @@
 }
 
 /// All that a member continues from.
-pub fn saved(database: &Database) -> Result<DurableState> {
+pub fn durable_state(database: &Database) -> Result<DurableState> {
     let transaction = database.begin_read()?;
     let values = transaction.open_table(VALUES)?;
     let header: Option<SnapshotHeader> = get(&values, KEY_SNAPSHOT)?;
--- a/crates/serving/storage/src/core/writer.rs
+++ b/crates/serving/storage/src/core/writer.rs
@@ -18,8 +18,8 @@
 /// Entries that are removed with any write.
 const REMOVED_PER_WRITE: usize = 8;
 
-/// Does to the tables what [`DurableState::apply`](dunespur_chain_replication::DurableState::apply) does in memory; gives the index
-/// of the last entry that the snapshot covers.
+/// Does to the tables what [`DurableState::apply`](dunespur_chain_replication::DurableState::apply) does in memory;
+/// gives the index of the last entry that the snapshot covers.
 pub fn apply(transaction: &WriteTransaction, writes: &[Write], snapshot_index: u64) -> Result<u64> {
     let mut values = transaction.open_table(VALUES)?;
     let mut entries = transaction.open_table(ENTRIES)?;
--- a/crates/serving/storage/src/error.rs
+++ b/crates/serving/storage/src/error.rs
@@ -4,7 +4,8 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a database can't be opened, read or written. The causes of an error are its [`source`](std::error::Error::source)s.
+/// Why a database can't be opened, read or written. The causes of an error are its
+/// [`source`](std::error::Error::source)s.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum StorageError {
--- a/crates/serving/storage/tests/unreadable.rs
+++ b/crates/serving/storage/tests/unreadable.rs
@@ -153,7 +153,8 @@
     Found::AllButLast
 }
 
-/// Lengths at which a file of so many bytes is truncated: all that the header has fields at, and beginnings and ends of pages.
+/// Lengths at which a file of so many bytes is truncated: all that the header has fields at, and beginnings and ends of
+/// pages.
 fn lengths(complete: usize) -> Vec<usize> {
     let header = (0..HEADER).step_by(32).chain([1, 9, 10, HEADER - 1]);
     let pages = (0..complete)
