--- a/crates/gateway/gateway/src/fleet.rs
+++ b/crates/gateway/gateway/src/fleet.rs
@@ -975,7 +975,7 @@
             return;
         };
         let fits = match &message {
-            discovery_relay::Message::RequestList { slot: s } => *s == slot,
+            discovery_relay::Message::RequestEndpoints { slot: s } => *s == slot,
             discovery_relay::Message::Heartbeat { slot: s, token, .. }
             | discovery_relay::Message::Update { slot: s, token, .. } => {
                 let (s, token) = (*s, *token);
@@ -1046,28 +1046,31 @@
                         self.links.send(at, Kind::Watch, body.clone());
                     }
                 }
-                Action::SendList { to, token } => {
+                Action::SendEndpoints { to, token } => {
                     let Some((relay, slot)) = &self.relay else {
                         continue;
                     };
                     let members: Vec<&Value> = self.list.values().collect();
                     let revision = relay.revision();
                     let whole = json!({"revision": revision, "complete": true, "members": members});
-                    let list = whole.to_string().into_bytes();
+                    let endpoints = whole.to_string().into_bytes();
                     let message = discovery_relay::Message::Update {
                         slot: *slot,
                         token,
                         since: None,
                         revision,
-                        list,
+                        endpoints,
                     };
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
                     for at in self.places(&to) {
                         self.links.send(at, Kind::Watch, body.clone());
                     }
                 }
-                Action::ApplyList { list, revision } => {
-                    let Ok(value) = serde_json::from_slice::<Value>(&list) else {
+                Action::ApplyEndpoints {
+                    endpoints,
+                    revision,
+                } => {
+                    let Ok(value) = serde_json::from_slice::<Value>(&endpoints) else {
                         continue;
                     };
                     let Ok(news) = decode_news(&value, &hub.names) else {
@@ -1089,7 +1092,7 @@
             Some(DiscoveryUpdate {
                 revision,
                 complete,
-                list: value.to_string().into_bytes(),
+                endpoints: value.to_string().into_bytes(),
             })
         });
         let token = self
--- a/crates/gateway/quota-sharing/src/borrower.rs
+++ b/crates/gateway/quota-sharing/src/borrower.rs
@@ -7,7 +7,7 @@
 /// Answers in a row without the counter behind them after which a borrower asks the counter itself.
 const MAX_UNAVAILABLE: u32 = 8;
 /// A borrower waits this part of the broker's own wait, then it calls the counter: both fit into its time.
-const TIMEOUT_SHARE: f64 = 0.5;
+const TIMEOUT_RATIO: f64 = 0.5;
 /// A broker that goes on failing is left alone up to so many times the stated backoff.
 const MAX_BACKOFF: f64 = 8.0;
 /// Doublings after which the backoff grows no more.
@@ -90,7 +90,7 @@
     pub fn new(settings: &Settings) -> Self {
         Borrower {
             backoff: settings.broker_backoff,
-            broker_timeout: settings.counter_timeout * TIMEOUT_SHARE,
+            broker_timeout: settings.counter_timeout * TIMEOUT_RATIO,
             brokers: BTreeMap::new(),
             calls: BTreeMap::new(),
             at_brokers: BTreeSet::new(),
--- a/crates/gateway/quota-sharing/src/broker/blocks.rs
+++ b/crates/gateway/quota-sharing/src/broker/blocks.rs
@@ -8,7 +8,7 @@
 /// Near the limit a block is this part of the room (the paper's factor).
 const NEAR_LIMIT_DIVISOR: f64 = 2.0;
 /// Demand from which a window counts as too small for it, as a part of what it holds.
-const PRESSED_SHARE: f64 = 0.9;
+const PRESSED_RATIO: f64 = 0.9;
 /// How much further ahead the next block is leased, and the first one as a part of the furthest.
 const LEAD_GROWTH: f64 = 2.0;
 const FIRST_LEAD_DIVISOR: f64 = 8.0;
@@ -196,10 +196,10 @@
 /// What the demand to come wants, as far as half of the room goes. Before the first answer nothing is known of
 /// the room.
 fn near_block(name: &LeasedName, waiting: f64, demand: f64) -> f64 {
-    let room = name.counter_total.map_or(0.0, |known| {
+    let headroom = name.counter_total.map_or(0.0, |known| {
         name.limit - known - (waiting - name.block).max(0.0)
     });
-    demand.min(room / NEAR_LIMIT_DIVISOR).max(0.0)
+    demand.min(headroom / NEAR_LIMIT_DIVISOR).max(0.0)
 }
 
 /// With nobody else about, what will come free is leased before it does, and lent when it has. In a window that
@@ -210,7 +210,7 @@
         return demand.min(name.limit_rate) * lead;
     }
     let left = (name.limit - name.counter_total.unwrap_or(waiting)).max(0.0);
-    let pressed = demand * name.window_length > PRESSED_SHARE * name.limit;
+    let pressed = demand * name.window_length > PRESSED_RATIO * name.limit;
     let want = if pressed {
         left
     } else {
--- a/crates/gateway/quota-sharing/src/broker/fairness.rs
+++ b/crates/gateway/quota-sharing/src/broker/fairness.rs
@@ -8,7 +8,7 @@
 /// Who has had its part leaves others up to this part of what comes free in a demand window.
 const MAX_RESERVED_DIVISOR: f64 = 16.0;
 /// Who has had so much less of its part than the asker is left something.
-const BEHIND_SHARE: f64 = 0.1;
+const BEHIND_RATIO: f64 = 0.1;
 /// What is left for each that has not, in units of the asker's invocation.
 const RESERVED_EACH: f64 = 2.0;
 
@@ -52,8 +52,8 @@
     }
 
     /// What it has had of its part, which is at most the even one.
-    fn satisfied(&self, even: f64) -> f64 {
-        self.granted / self.demand.min(even).max(1e-9)
+    fn satisfied(&self, fair: f64) -> f64 {
+        self.granted / self.demand.min(fair).max(1e-9)
     }
 }
 
@@ -121,13 +121,13 @@
             return Some(0.0);
         }
         let demands = borrowers.values().map(|b| b.demand).collect();
-        let even = even_part(demands, available);
-        let own = borrowers.get(from).map_or(0.0, |b| b.satisfied(even));
+        let fair = fair_share(demands, available);
+        let own = borrowers.get(from).map_or(0.0, |b| b.satisfied(fair));
         let behind = borrowers
             .values()
-            .filter(|b| b.demand >= minimum && b.satisfied(even) < own - BEHIND_SHARE)
+            .filter(|b| b.demand >= minimum && b.satisfied(fair) < own - BEHIND_RATIO)
             .count();
-        if behind == 0 && own < 1.0 - BEHIND_SHARE {
+        if behind == 0 && own < 1.0 - BEHIND_RATIO {
             return None;
         }
         // Not more than comes free in a part of the window: else many thin ones keep the room from all.
@@ -137,15 +137,15 @@
 }
 
 /// What each gets at most when small demands are met and the rest is split evenly.
-fn even_part(mut demands: Vec<f64>, available: f64) -> f64 {
+fn fair_share(mut demands: Vec<f64>, available: f64) -> f64 {
     demands.sort_by(f64::total_cmp);
-    let (mut left, mut even) = (available, 0.0);
+    let (mut left, mut fair) = (available, 0.0);
     for (n, demand) in demands.iter().enumerate() {
-        even = left / (demands.len() - n) as f64;
-        if *demand > even {
+        fair = left / (demands.len() - n) as f64;
+        if *demand > fair {
             break;
         }
         left -= demand;
     }
-    even
+    fair
 }
--- a/crates/gateway/quota-sharing/src/broker/leased_name.rs
+++ b/crates/gateway/quota-sharing/src/broker/leased_name.rs
@@ -5,7 +5,7 @@
 
 /// Part of a window's units that are lent at its beginning, where the one before was used up; the rest comes
 /// evenly until it ends.
-const PACED_START_SHARE: f64 = 0.5;
+const PACED_START_RATIO: f64 = 0.5;
 
 /// A request that waits for its name.
 #[derive(Clone, Debug)]
@@ -88,8 +88,8 @@
         self.limit = request.limit;
         self.limit_rate = request.limit_rate;
         self.remaining = request.remaining.max(0.0);
-        let remaining_share = (1.0 - request.elapsed).max(super::MIN_REMAINING_SHARE);
-        self.window_length = self.remaining / remaining_share;
+        let remaining_ratio = (1.0 - request.elapsed).max(super::MIN_REMAINING_RATIO);
+        self.window_length = self.remaining / remaining_ratio;
     }
 
     /// What is left of the limit, if it was ever read.
@@ -120,7 +120,7 @@
         }
         let headroom = self.headroom(request, before, limit, reserved, settings, now);
         if request.requested <= 0.0 || !(headroom.full || headroom.barred) {
-            return self.lend(request, before, reserved.unwrap_or(0.0));
+            return self.grant(request, before, reserved.unwrap_or(0.0));
         }
         self.refuse(from, request, limit, &headroom, settings, now)
     }
@@ -147,7 +147,7 @@
         let reserved = reserved.unwrap_or(0.0);
         // Guards against a window that is used up in its first moment, and shut for the rest of it.
         self.was_full |= full;
-        let paced_limit = (limit * (PACED_START_SHARE + request.elapsed)).min(limit);
+        let paced_limit = (limit * (PACED_START_RATIO + request.elapsed)).min(limit);
         let too_early = self.paced && with_minimum > paced_limit;
         let for_others = reserved > 0.0 && with_minimum + reserved > limit;
         Headroom {
@@ -158,7 +158,7 @@
     }
 
     /// A return fills the block, a request is lent out of it; what is left to others it does not see.
-    fn lend(&mut self, request: &LeaseRequest, before: f64, reserved: f64) -> Option<f64> {
+    fn grant(&mut self, request: &LeaseRequest, before: f64, reserved: f64) -> Option<f64> {
         let covered = request.add <= self.block || request.add <= 0.0;
         self.block -= if covered { request.add } else { 0.0 };
         let unseen = if request.requested > 0.0 {
--- a/crates/gateway/quota-sharing/src/broker/mod.rs
+++ b/crates/gateway/quota-sharing/src/broker/mod.rs
@@ -13,7 +13,7 @@
 /// Least that is worth a call of its own to give back, in units.
 const MIN_RETURN: f64 = 0.5;
 /// Least part of a window that counts as left.
-const MIN_REMAINING_SHARE: f64 = 0.05;
+const MIN_REMAINING_RATIO: f64 = 0.05;
 /// Demand windows after which what was not asked for is forgotten.
 const RETENTION_WINDOWS: f64 = 4.0;
 
--- a/crates/gateway/quota-sharing/tests/broker.rs
+++ b/crates/gateway/quota-sharing/tests/broker.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn amounts_that_are_none_and_what_is_over_a_bound_are_refused_and_counted() {
+fn amounts_that_are_none_and_requests_beyond_a_bound_are_rejected_and_counted() {
     let mut rig = Rig::new();
     for bad in [f64::NAN, f64::INFINITY, -1.0] {
         let told = rig.request(
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_new_name_holds_the_backlog_of_the_one_before() {
+fn a_new_name_starts_with_the_backlog_of_the_one_before() {
     let mut rig = Rig::new();
     let grows = |seq, name, add, requested| LeaseRequest {
         name,
--- a/crates/gateway/quota-sharing/tests/fairness.rs
+++ b/crates/gateway/quota-sharing/tests/fairness.rs
@@ -18,7 +18,7 @@
     counter: BTreeMap<u64, f64>,
     calls: u64,
     broker: Option<Broker>,
-    held: BTreeMap<u64, (usize, Invocation)>,
+    pending: BTreeMap<u64, (usize, Invocation)>,
     sent: BTreeMap<u64, usize>,
 }
 
@@ -83,14 +83,14 @@
             max_borrowers: 10,
         };
         let broker = broker.then(|| Broker::new(settings, 0));
-        let (gates, counter, held) = (vec![gate(0), gate(1)], BTreeMap::new(), BTreeMap::new());
+        let (gates, counter, pending) = (vec![gate(0), gate(1)], BTreeMap::new(), BTreeMap::new());
         Rig {
             now,
             gates,
             counter,
             calls: 0,
             broker,
-            held,
+            pending,
             sent: BTreeMap::new(),
         }
     }
@@ -162,7 +162,7 @@
     }
 
     fn place(&mut self, num: u64) {
-        let Some((gate, mut inv)) = self.held.remove(&num) else {
+        let Some((gate, mut inv)) = self.pending.remove(&num) else {
             return;
         };
         match self.gates[gate].place(&mut inv, self.now) {
@@ -178,7 +178,7 @@
                 };
                 self.gates[gate].after(&mut inv, &outcome, self.now);
             }
-            dunespur_decisions::types::Answer::Hold => _ = self.held.insert(num, (gate, inv)),
+            dunespur_decisions::types::Answer::Hold => _ = self.pending.insert(num, (gate, inv)),
             _ => {}
         }
         self.pump(gate);
@@ -205,7 +205,7 @@
                         came: self.now,
                         until,
                     });
-                    self.held.insert(num, (gate, inv));
+                    self.pending.insert(num, (gate, inv));
                     self.place(num);
                 }
             }
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_thin_limiter_gets_its_part_beside_a_busy_one() {
+fn a_thin_limiter_gets_its_fair_share_beside_a_busy_one() {
     let mut alone = Rig::new(false);
     let (busy, thin) = alone.play();
     // What the module and the counter alone make of it: recorded, so that a change shows.
--- a/crates/gateway/quota-sharing/tests/lease_model.rs
+++ b/crates/gateway/quota-sharing/tests/lease_model.rs
@@ -16,7 +16,7 @@
 const ASKS: u8 = 3;
 
 #[derive(Clone, Copy, PartialEq)]
-struct Guards {
+struct Safeguards {
     /// A broker lends only what the counter has said that it counted.
     counted_first: bool,
     /// A call that nobody knows the end of adds nothing to the block.
@@ -25,7 +25,7 @@
     once: bool,
 }
 
-const ALL: Guards = Guards {
+const ALL: Safeguards = Safeguards {
     counted_first: true,
     silent_is_none: true,
     once: true,
@@ -42,7 +42,7 @@
     totals: Vec<(usize, u64, f64)>,
     /// Brokers' answers on their way: to which limiter, to which of its asks.
     told: Vec<(usize, u64, Answer)>,
-    asked: u8,
+    requests: u8,
     lost: u8,
     twice: u8,
     let_in: f64,
@@ -87,7 +87,7 @@
     Ended(usize),
 }
 
-struct Lending(Guards);
+struct Lending(Safeguards);
 
 impl Lending {
     fn drive(&self, s: &mut State, broker: usize, out: Vec<Output>) {
@@ -158,7 +158,7 @@
             calls: vec![],
             totals: vec![],
             told: vec![],
-            asked: 0,
+            requests: 0,
             lost: 0,
             twice: 0,
             let_in: 0.0,
@@ -166,7 +166,7 @@
     }
 
     fn actions(&self, s: &State, acts: &mut Vec<Act>) {
-        if s.asked < ASKS {
+        if s.requests < ASKS {
             for limiter in 0..2 {
                 (0..2).for_each(|broker| acts.push(Act::Ask { limiter, broker }));
             }
@@ -200,8 +200,8 @@
         let mut out = Vec::new();
         match act {
             Act::Ask { limiter, broker } => {
-                s.asked += 1;
-                let seq = u64::from(s.asked);
+                s.requests += 1;
+                let seq = u64::from(s.requests);
                 // Each ask on its own name at the borrower: where it goes is drawn here, not by its trust.
                 s.limiters[limiter].route(
                     CounterCall {
@@ -233,7 +233,7 @@
                 self.drive(&mut s, broker, out);
             }
             Act::Direct => {
-                s.asked += 1;
+                s.requests += 1;
                 s.total += 1.0;
                 s.let_in += if s.total <= FULL { 1.0 } else { 0.0 };
             }
@@ -288,8 +288,8 @@
     }
 }
 
-fn explore(guards: Guards) -> (bool, bool, usize) {
-    let checker = Lending(guards)
+fn explore(safeguards: Safeguards) -> (bool, bool, usize) {
+    let checker = Lending(safeguards)
         .checker()
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
@@ -303,25 +303,25 @@
 }
 
 #[test]
-fn two_brokers_and_limiters_without_one_let_in_no_more_than_the_name_holds() {
-    let (over, all, states) = explore(ALL);
-    assert!(!over, "let in too much");
+fn two_brokers_and_limiters_without_one_admit_no_more_than_the_name_allows() {
+    let (exceeded, all, states) = explore(ALL);
+    assert!(!exceeded, "let in too much");
     assert!(all && states > 1_000, "{states} states");
 }
 
 #[test]
 fn each_guard_taken_out_lets_in_too_much() {
-    for guards in [
-        Guards {
+    for safeguards in [
+        Safeguards {
             counted_first: false,
             ..ALL
         },
-        Guards {
+        Safeguards {
             silent_is_none: false,
             ..ALL
         },
-        Guards { once: false, ..ALL },
+        Safeguards { once: false, ..ALL },
     ] {
-        assert!(explore(guards).0);
+        assert!(explore(safeguards).0);
     }
 }
--- a/crates/gateway/singleton-roles/src/client.rs
+++ b/crates/gateway/singleton-roles/src/client.rs
@@ -17,7 +17,7 @@
 /// A leader that another process named is asked after this part of the interval.
 const REDIRECT_INTERVAL: f64 = 0.125;
 
-struct HeldSlot {
+struct OwnedSlot {
     token: u64,
     /// When the work on it last got on.
     last_progress: f64,
@@ -35,7 +35,7 @@
     identity: Identity,
     lease: ClientLease<f64>,
     /// What the last assignments said; a slot counts as held while the lease does.
-    held: BTreeMap<Slot, HeldSlot>,
+    owned: BTreeMap<Slot, OwnedSlot>,
     /// Of the last assignments.
     version: u64,
     released: BTreeMap<Slot, ReleasedSlot>,
@@ -63,7 +63,7 @@
             settings,
             identity,
             lease: ClientLease::default(),
-            held: BTreeMap::new(),
+            owned: BTreeMap::new(),
             version: 0,
             released: BTreeMap::new(),
             seq: 0,
@@ -83,17 +83,17 @@
     /// The token under which it holds a slot at this moment. Ask right before each effect.
     #[must_use]
     pub fn token(&self, slot: Slot, now: f64) -> Option<u64> {
-        let held = self.held.get(&slot).filter(|_| self.lease.is_valid(now));
-        held.map(|held| held.token)
+        let owned = self.owned.get(&slot).filter(|_| self.lease.is_valid(now));
+        owned.map(|owned| owned.token)
     }
 
     /// All that it holds at this moment.
     pub fn assignments(&self, now: f64) -> impl Iterator<Item = Assignment> + '_ {
         let valid = self.lease.is_valid(now);
-        let held = self.held.iter().filter(move |_| valid);
-        held.map(|(slot, held)| Assignment {
+        let owned = self.owned.iter().filter(move |_| valid);
+        owned.map(|(slot, owned)| Assignment {
             slot: *slot,
-            token: held.token,
+            token: owned.token,
         })
     }
 
@@ -117,15 +117,15 @@
 
     /// The work on a slot got on. What makes no progress for the stall timeout is released.
     pub fn record_progress(&mut self, slot: Slot, now: f64) {
-        if let Some(held) = self.held.get_mut(&slot) {
-            held.last_progress = now;
+        if let Some(owned) = self.owned.get_mut(&slot) {
+            owned.last_progress = now;
         }
     }
 
     /// When [`RoleClient::tick`] is due.
     #[must_use]
     pub fn next_due(&self) -> f64 {
-        if self.held.is_empty() {
+        if self.owned.is_empty() {
             self.next_renewal
         } else {
             self.next_renewal.min(self.lease.expiry())
@@ -134,13 +134,13 @@
 
     /// Does what is due: drops what the lease no longer covers, releases what stalled, renews.
     pub fn tick(&mut self, now: f64, out: &mut Vec<Output>) {
-        if !self.lease.is_valid(now) && !self.held.is_empty() {
+        if !self.lease.is_valid(now) && !self.owned.is_empty() {
             self.lose_all(out);
         }
         let timeout = self.settings.stall_timeout;
         if timeout > 0.0 {
-            let held = self.held.iter();
-            let stalled = held.filter(|(_, held)| now > held.last_progress + timeout);
+            let owned = self.owned.iter();
+            let stalled = owned.filter(|(_, owned)| now > owned.last_progress + timeout);
             let stalled: Vec<Slot> = stalled.map(|(slot, _)| *slot).collect();
             stalled
                 .into_iter()
@@ -152,8 +152,8 @@
     }
 
     fn lose_all(&mut self, out: &mut Vec<Output>) {
-        for (slot, held) in std::mem::take(&mut self.held) {
-            let token = held.token;
+        for (slot, owned) in std::mem::take(&mut self.owned) {
+            let token = owned.token;
             out.push(Output::Lost { slot, token });
         }
         // The next response has to repeat all assignments.
@@ -161,7 +161,7 @@
     }
 
     fn release(&mut self, slot: Slot, stalled: bool, out: &mut Vec<Output>) {
-        if let Some(HeldSlot { token, .. }) = self.held.remove(&slot) {
+        if let Some(OwnedSlot { token, .. }) = self.owned.remove(&slot) {
             out.push(Output::Lost { slot, token });
             self.released.insert(slot, ReleasedSlot { token, stalled });
             self.next_renewal = 0.0;
@@ -278,9 +278,9 @@
         if leader.is_some() {
             self.last_answer = now;
         }
-        let news = leader.is_some() && leader != self.leader;
+        let leader_is_new = leader.is_some() && leader != self.leader;
         self.leader = leader;
-        if news {
+        if leader_is_new {
             // Not in a circle: a leader that redirects is asked again at the usual pace.
             let soon = now + self.settings.renew_interval * REDIRECT_INTERVAL;
             self.next_renewal = self.next_renewal.min(soon);
@@ -298,20 +298,20 @@
         // What is no longer assigned under that token is gone for good.
         self.released
             .retain(|slot, released| assigned.get(slot) == Some(&released.token));
-        let held = self.held.iter();
-        let lost = held.filter(|(slot, held)| assigned.get(slot) != Some(&held.token));
+        let owned = self.owned.iter();
+        let lost = owned.filter(|(slot, owned)| assigned.get(slot) != Some(&owned.token));
         let lost: Vec<Slot> = lost.map(|(slot, _)| *slot).collect();
         for slot in lost {
-            if let Some(HeldSlot { token, .. }) = self.held.remove(&slot) {
+            if let Some(OwnedSlot { token, .. }) = self.owned.remove(&slot) {
                 out.push(Output::Lost { slot, token });
             }
         }
         for (slot, token) in assigned {
-            if !self.held.contains_key(&slot) && !self.released.contains_key(&slot) {
+            if !self.owned.contains_key(&slot) && !self.released.contains_key(&slot) {
                 let last_progress = now;
-                self.held.insert(
+                self.owned.insert(
                     slot,
-                    HeldSlot {
+                    OwnedSlot {
                         token,
                         last_progress,
                     },
--- a/crates/gateway/singleton-roles/src/discovery_relay.rs
+++ b/crates/gateway/singleton-roles/src/discovery_relay.rs
@@ -23,11 +23,11 @@
 /// The settings can't be used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error(
-    "fleet.watch: beat {beat}, stale {stale}, spread {spread}, trust {trust}; stale has to be over \
+    "fleet.watch: beat {heartbeat}, stale {stale}, spread {spread}, trust {trust}; stale has to be over \
      two beats, trust over one, all over 0"
 )]
 pub struct SettingsError {
-    beat: f64,
+    heartbeat: f64,
     stale: f64,
     spread: f64,
     trust: f64,
@@ -39,11 +39,11 @@
     /// # Errors
     /// A setting is out of its range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let (beat, stale) = (self.heartbeat_interval, self.stale_after);
+        let (heartbeat, stale) = (self.heartbeat_interval, self.stale_after);
         let (spread, trust) = (self.reopen_spread, self.max_source_age);
-        if !(beat > 0.0 && stale > 2.0 * beat && spread >= 0.0 && trust > beat) {
+        if !(heartbeat > 0.0 && stale > 2.0 * heartbeat && spread >= 0.0 && trust > heartbeat) {
             return Err(SettingsError {
-                beat,
+                heartbeat,
                 stale,
                 spread,
                 trust,
@@ -78,10 +78,10 @@
         /// The revision of the list with these changes.
         revision: u64,
         /// What changed, or the complete list.
-        list: Vec<u8>,
+        endpoints: Vec<u8>,
     },
     /// The sender needs the complete list.
-    RequestList {
+    RequestEndpoints {
         /// The role's slot in this zone.
         slot: Slot,
     },
@@ -97,7 +97,7 @@
     /// To all other limiters of the zone.
     Broadcast(Message),
     /// The complete list, to one.
-    SendList {
+    SendEndpoints {
         /// Who needs it.
         to: Name,
         /// The fencing token to send it under.
@@ -111,9 +111,9 @@
         message: Message,
     },
     /// This list came through the relay.
-    ApplyList {
+    ApplyEndpoints {
         /// What changed, or the complete list.
-        list: Vec<u8>,
+        endpoints: Vec<u8>,
         /// Its revision.
         revision: u64,
     },
@@ -127,7 +127,7 @@
     /// The list is complete; else it has what changed.
     pub complete: bool,
     /// The list.
-    pub list: Vec<u8>,
+    pub endpoints: Vec<u8>,
 }
 
 /// One limiter's part in the relay of its zone. Times are seconds on its own clock.
@@ -145,7 +145,7 @@
     next_heartbeat: f64,
     /// This one's part of the spread, from 0 to 1.
     jitter: f64,
-    list_requested: f64,
+    endpoints_requested: f64,
 }
 
 impl Relay {
@@ -163,7 +163,7 @@
             fresh_since: now,
             next_heartbeat: now,
             jitter,
-            list_requested: f64::NEG_INFINITY,
+            endpoints_requested: f64::NEG_INFINITY,
         }
     }
 
@@ -250,7 +250,7 @@
                 token,
                 since,
                 revision: update.revision,
-                list: update.list,
+                endpoints: update.endpoints,
             }));
         }
     }
@@ -265,10 +265,10 @@
         out: &mut Vec<Action>,
     ) {
         match message {
-            Message::RequestList { .. } => {
+            Message::RequestEndpoints { .. } => {
                 if let Some(token) = token {
                     let to = from.into();
-                    out.push(Action::SendList { to, token });
+                    out.push(Action::SendEndpoints { to, token });
                 }
             }
             _ if token.is_some() => {}
@@ -277,7 +277,7 @@
                     return;
                 }
                 if revision > self.revision {
-                    self.request_list(from, now, out);
+                    self.request_endpoints(from, now, out);
                 } else if revision == self.revision {
                     self.refresh(now);
                 }
@@ -285,18 +285,21 @@
             Message::Update {
                 since,
                 revision,
-                list,
+                endpoints,
                 ..
             } => {
                 if revision <= self.revision {
                     return;
                 }
                 if since.is_some_and(|since| since > self.revision) {
-                    self.request_list(from, now, out);
+                    self.request_endpoints(from, now, out);
                 } else {
                     self.revision = revision;
                     self.refresh(now);
-                    out.push(Action::ApplyList { list, revision });
+                    out.push(Action::ApplyEndpoints {
+                        endpoints,
+                        revision,
+                    });
                 }
             }
         }
@@ -309,10 +312,10 @@
         self.fresh_until = now + self.settings.stale_after;
     }
 
-    fn request_list(&mut self, from: &str, now: f64, out: &mut Vec<Action>) {
-        if now > self.list_requested + self.settings.heartbeat_interval {
-            self.list_requested = now;
-            let message = Message::RequestList { slot: self.slot };
+    fn request_endpoints(&mut self, from: &str, now: f64, out: &mut Vec<Action>) {
+        if now > self.endpoints_requested + self.settings.heartbeat_interval {
+            self.endpoints_requested = now;
+            let message = Message::RequestEndpoints { slot: self.slot };
             out.push(Action::Send {
                 to: from.into(),
                 message,
--- a/crates/gateway/singleton-roles/src/memory_log.rs
+++ b/crates/gateway/singleton-roles/src/memory_log.rs
@@ -45,8 +45,8 @@
     /// The first of these and all after it are replaced.
     pub(crate) fn append(&mut self, entries: &[pb::Entry]) {
         if let Some(first) = entries.first() {
-            let kept = first.index.saturating_sub(self.first()) as usize;
-            self.entries.truncate(kept);
+            let remaining = first.index.saturating_sub(self.first()) as usize;
+            self.entries.truncate(remaining);
             self.entries.extend_from_slice(entries);
         }
     }
--- a/crates/gateway/singleton-roles/src/settings.rs
+++ b/crates/gateway/singleton-roles/src/settings.rs
@@ -77,10 +77,10 @@
         seconds: f64,
     },
     /// The share by which clocks may drift is out of range.
-    #[error("fleet.drift: {share}; give a share from 0 to under 0.5")]
+    #[error("fleet.drift: {ratio}; give a share from 0 to under 0.5")]
     ClockDrift {
         /// What the file says.
-        share: f64,
+        ratio: f64,
     },
     /// The stall timeout is within the lease.
     #[error("fleet.stall: {seconds}; give more than the lease, or 0 for none")]
@@ -192,9 +192,9 @@
                 return Err(SettingsError::NotPositive { key, seconds });
             }
         }
-        let share = self.clock_drift;
-        if !(0.0..0.5).contains(&share) {
-            return Err(SettingsError::ClockDrift { share });
+        let ratio = self.clock_drift;
+        if !(0.0..0.5).contains(&ratio) {
+            return Err(SettingsError::ClockDrift { ratio });
         }
         let seconds = self.stall_timeout;
         if seconds != 0.0 && (seconds <= lease || seconds.is_nan()) {
--- a/crates/gateway/singleton-roles/src/table.rs
+++ b/crates/gateway/singleton-roles/src/table.rs
@@ -172,8 +172,8 @@
             Command::Expire { session } => {
                 self.sessions.remove(session)?;
                 self.versions.remove(session);
-                let held = self.slots.iter_mut().filter(|s| s.session == *session);
-                held.for_each(|state| state.session = 0);
+                let owned = self.slots.iter_mut().filter(|s| s.session == *session);
+                owned.for_each(|state| state.session = 0);
                 None
             }
             Command::Release { slot, token } => {
--- a/crates/gateway/singleton-roles/src/voter/disk_check.rs
+++ b/crates/gateway/singleton-roles/src/voter/disk_check.rs
@@ -56,7 +56,7 @@
                 disk: self.meta.disk,
             }));
             if !hello.is_voter {
-                self.note_empty_disk(&hello.name, hello.disk);
+                self.record_empty_disk(&hello.name, hello.disk);
             }
             self.form_group(out);
             return;
@@ -150,7 +150,7 @@
     ) {
         match response {
             HelloResponse::Empty { disk } => {
-                self.note_empty_disk(from, disk);
+                self.record_empty_disk(from, disk);
                 self.form_group(out);
             }
             HelloResponse::Formed {
@@ -175,7 +175,7 @@
         }
     }
 
-    fn note_empty_disk(&mut self, name: &str, disk: u64) {
+    fn record_empty_disk(&mut self, name: &str, disk: u64) {
         if let Phase::Forming { disks } = &mut self.phase {
             disks.insert(name.into(), disk);
         }
--- a/crates/gateway/singleton-roles/src/voter/leadership.rs
+++ b/crates/gateway/singleton-roles/src/voter/leadership.rs
@@ -198,8 +198,8 @@
         for released in &request.released {
             let (slot, token) = (released.slot, released.token);
             let state = table.slots.get(slot as usize);
-            let held = state.is_some_and(|s| s.token == token && s.session > 0);
-            if !held || !self.queue_once(Command::Release { slot, token }) {
+            let matches = state.is_some_and(|s| s.token == token && s.session > 0);
+            if !matches || !self.queue_once(Command::Release { slot, token }) {
                 continue;
             }
             if released.stalled {
@@ -237,7 +237,7 @@
     }
 
     /// Whether another run of the name asked within a lease.
-    pub(super) fn other_run_lives(&self, identity: &Identity, lease: f64, now: f64) -> bool {
+    pub(super) fn other_run_is_alive(&self, identity: &Identity, lease: f64, now: f64) -> bool {
         self.runs.iter().any(|((name, run), at)| {
             *name == identity.name && *run != identity.run && *at > now - lease
         })
--- a/crates/gateway/singleton-roles/src/voter/renewals.rs
+++ b/crates/gateway/singleton-roles/src/voter/renewals.rs
@@ -96,11 +96,11 @@
         let replaced = sessions.find(|(_, s)| s.name == identity.name && s.run == identity.run);
         if let Some((session, _)) = replaced {
             // Replaced by a later run, and still there when its lease is long over: both live.
-            let other_lives =
-                leadership.other_run_lives(identity, self.settings.lease_duration, self.now);
+            let other_is_alive =
+                leadership.other_run_is_alive(identity, self.settings.lease_duration, self.now);
             let since = leadership.replaced_since(*session);
             let name = identity.name.clone();
-            if other_lives && received > since + self.settings.renew_interval * 2.0 {
+            if other_is_alive && received > since + self.settings.renew_interval * 2.0 {
                 leadership.queue_once(Command::MarkDuplicate { name });
             }
             return;
--- a/crates/gateway/singleton-roles/src/voter/replication.rs
+++ b/crates/gateway/singleton-roles/src/voter/replication.rs
@@ -12,7 +12,7 @@
 use raft::{RawNode, Ready, StateRole, Storage};
 
 /// Entries kept behind the snapshot until the next one is made.
-const KEPT_ENTRIES: u64 = 2_000;
+const COMPACTION_ENTRIES: u64 = 2_000;
 
 /// What a turn of the library wants written.
 #[derive(Default)]
@@ -304,7 +304,7 @@
             return;
         };
         let log = raft.mut_store();
-        let few = applied < log.first() + KEPT_ENTRIES && !voters_changed;
+        let few = applied < log.first() + COMPACTION_ENTRIES && !voters_changed;
         if few || applied < log.first() || applied > log.last() {
             return;
         }
--- a/crates/gateway/singleton-roles/tests/bytes.rs
+++ b/crates/gateway/singleton-roles/tests/bytes.rs
@@ -343,7 +343,7 @@
             age: 0.25,
         },
     );
-    let list = vec![1, 2, 250];
+    let endpoints = vec![1, 2, 250];
     let since = Some(1004);
     fixtures.check(
         "watch-news",
@@ -352,7 +352,7 @@
             token,
             since,
             revision: 1005,
-            list: list.clone(),
+            endpoints: endpoints.clone(),
         },
     );
     fixtures.check(
@@ -362,10 +362,13 @@
             token,
             since: None,
             revision: 1006,
-            list,
+            endpoints,
         },
     );
-    fixtures.check("watch-want", discovery_relay::Message::RequestList { slot });
+    fixtures.check(
+        "watch-want",
+        discovery_relay::Message::RequestEndpoints { slot },
+    );
     let server = "s1".to_owned();
     fixtures.check(
         "probe-complaint",
--- a/crates/gateway/singleton-roles/tests/discovery_relay.rs
+++ b/crates/gateway/singleton-roles/tests/discovery_relay.rs
@@ -64,14 +64,14 @@
         token: 4,
         since,
         revision,
-        list: vec![revision as u8],
+        endpoints: vec![revision as u8],
     };
     r.receive("h", update(Some(12), 13), None, 0.0, &mut out);
     assert_eq!(
         out,
         [Action::Send {
             to: "h".into(),
-            message: Message::RequestList { slot: 0 }
+            message: Message::RequestEndpoints { slot: 0 }
         }]
     );
     out.clear();
@@ -79,22 +79,22 @@
     r.receive("h", update(Some(12), 13), None, 0.1, &mut out);
     r.receive("h", update(Some(13), 14), None, 0.2, &mut out);
     r.receive("h", update(Some(10), 11), None, 0.3, &mut out);
-    let apply = |revision| Action::ApplyList {
-        list: vec![revision as u8],
+    let apply = |revision| Action::ApplyEndpoints {
+        endpoints: vec![revision as u8],
         revision,
     };
     assert_eq!(out, [apply(13), apply(14)]);
     out.clear();
     r.receive(
         "x",
-        Message::RequestList { slot: 0 },
+        Message::RequestEndpoints { slot: 0 },
         Some(9),
         1.0,
         &mut out,
     );
     assert_eq!(
         out,
-        [Action::SendList {
+        [Action::SendEndpoints {
             to: "x".into(),
             token: 9
         }]
--- a/crates/gateway/singleton-roles/tests/lease_model.rs
+++ b/crates/gateway/singleton-roles/tests/lease_model.rs
@@ -14,18 +14,18 @@
 const CONTENDERS: usize = 2;
 
 #[derive(Clone, Copy, PartialEq)]
-struct Guards {
+struct Safeguards {
     token: bool,
     counted_before: bool,
     waits_after_restart: bool,
-    waits_whole: bool,
+    waits_full_lease: bool,
 }
 
-const ALL: Guards = Guards {
+const ALL: Safeguards = Safeguards {
     token: true,
     counted_before: true,
     waits_after_restart: true,
-    waits_whole: true,
+    waits_full_lease: true,
 };
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -61,7 +61,7 @@
     contenders: Vec<Contender>,
     granter: LeaseGranter<u8>,
     /// What is in the log: it survives the granter.
-    holder: Option<usize>,
+    owner: Option<usize>,
     token: u64,
     mail: Vec<Mail>,
     /// The receiver's last token, what it took, and whether one came out of order.
@@ -84,15 +84,15 @@
     Restart,
 }
 
-struct Lease(Guards);
+struct Lease(Safeguards);
 
 impl Lease {
-    fn holds(&self, s: &State, who: usize) -> bool {
+    fn owns(&self, s: &State, who: usize) -> bool {
         s.contenders[who].token > 0 && s.contenders[who].lease.is_valid(s.now)
     }
 
     fn wait(&self) -> u8 {
-        if self.0.waits_whole {
+        if self.0.waits_full_lease {
             WAIT
         } else {
             0
@@ -109,7 +109,7 @@
             now: 1,
             contenders: vec![Contender::default(); CONTENDERS],
             granter: LeaseGranter::default(),
-            holder: None,
+            owner: None,
             token: 0,
             mail: vec![],
             seen: 0,
@@ -130,7 +130,7 @@
                 acts.push(Act::Ask(who));
             }
             // It looks at any moment at which it holds; what it saw is acted on at any later one.
-            if self.holds(s, who) && s.contenders[who].looked.is_none() && s.effects < 2 {
+            if self.owns(s, who) && s.contenders[who].looked.is_none() && s.effects < 2 {
                 acts.push(Act::Look(who));
             }
         }
@@ -170,25 +170,25 @@
             Act::Restart => {
                 s.restarts += 1;
                 s.granter = if self.0.waits_after_restart {
-                    LeaseGranter::take_over(s.holder.iter().map(|h| *h as u64), s.now)
+                    LeaseGranter::take_over(s.owner.iter().map(|h| *h as u64), s.now)
                 } else {
                     LeaseGranter::default()
                 };
             }
             Act::Deliver(n) | Act::DeliverAndKeep(n) => match s.mail.remove(n) {
                 Mail::Ask { who, seq } => {
-                    let free = match s.holder {
+                    let free = match s.owner {
                         None => true,
                         Some(h) => h != who && s.granter.has_expired(h as u64, self.wait(), s.now),
                     };
                     if free {
-                        if let Some(h) = s.holder {
+                        if let Some(h) = s.owner {
                             s.granter.forget(h as u64);
                         }
-                        s.holder = Some(who);
+                        s.owner = Some(who);
                         s.token += 1;
                     }
-                    if s.holder == Some(who) {
+                    if s.owner == Some(who) {
                         s.granter.renew(who as u64, s.now);
                         s.mail.push(Mail::Granted {
                             who,
@@ -211,8 +211,8 @@
                     };
                     if took {
                         c.token = token;
-                        let other = (0..CONTENDERS).any(|o| o != who && self.holds(&s, o));
-                        s.overlap |= other && self.holds(&s, who);
+                        let other = (0..CONTENDERS).any(|o| o != who && self.owns(&s, o));
+                        s.overlap |= other && self.owns(&s, who);
                     }
                 }
                 Mail::Effect { who, token } => {
@@ -243,8 +243,8 @@
     }
 }
 
-fn broken(guards: Guards) -> Vec<&'static str> {
-    let checker = Lease(guards)
+fn broken(safeguards: Safeguards) -> Vec<&'static str> {
+    let checker = Lease(safeguards)
         .checker()
         .threads(4)
         .finish_when(HasDiscoveries::AnyFailures)
@@ -278,29 +278,29 @@
 #[test]
 fn each_guard_taken_out_gives_a_counterexample() {
     assert_eq!(
-        broken(Guards {
+        broken(Safeguards {
             token: false,
             ..ALL
         }),
         ["effects in the order of their tokens"]
     );
     assert_eq!(
-        broken(Guards {
+        broken(Safeguards {
             counted_before: false,
             ..ALL
         }),
         ["one holder at a time"]
     );
     assert_eq!(
-        broken(Guards {
+        broken(Safeguards {
             waits_after_restart: false,
             ..ALL
         }),
         ["one holder at a time"]
     );
     assert_eq!(
-        broken(Guards {
-            waits_whole: false,
+        broken(Safeguards {
+            waits_full_lease: false,
             ..ALL
         }),
         ["one holder at a time"]
--- a/crates/gateway/singleton-roles/tests/placement.rs
+++ b/crates/gateway/singleton-roles/tests/placement.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_join_moves_its_share_and_a_loss_is_spread() {
+fn a_join_moves_only_what_it_gains_and_a_loss_is_spread() {
     let settings = settings(4096);
     let mut all = BTreeMap::new();
     for i in 0..20u64 {
--- a/crates/gateway/singleton-roles/tests/voters.rs
+++ b/crates/gateway/singleton-roles/tests/voters.rs
@@ -14,7 +14,7 @@
     client: RoleClient,
     disk: DiskState,
     /// What this disk held at each second.
-    copies: Vec<DiskState>,
+    disk_history: Vec<DiskState>,
     up: bool,
     /// It stands still: nothing reaches it, nothing is lost.
     still: bool,
@@ -87,7 +87,7 @@
                 voter: None,
                 client: RoleClient::new(fleet.settings.clone(), identity, vec![], 0.0),
                 disk: DiskState::default(),
-                copies: vec![],
+                disk_history: vec![],
                 up: false,
                 still: false,
                 mail: VecDeque::new(),
@@ -95,7 +95,7 @@
             fleet.start(n);
         }
         fleet.run(4.0);
-        assert!(fleet.held(), "all slots are held at first");
+        assert!(fleet.all_slots_owned(), "all slots are held at first");
         fleet
     }
 
@@ -223,12 +223,12 @@
         }
         // One holder at a time, on the one clock; standing still takes nothing from what a lease says.
         for slot in 0..self.settings.slots() {
-            let holds = self
+            let owners = self
                 .nodes
                 .iter()
                 .filter(|n| n.up && n.client.token(slot, now).is_some());
-            let holds: Vec<_> = holds.map(|n| n.name.clone()).collect();
-            assert!(holds.len() <= 1, "{holds:?} hold {slot} at {now}");
+            let owners: Vec<_> = owners.map(|n| n.name.clone()).collect();
+            assert!(owners.len() <= 1, "{owners:?} hold {slot} at {now}");
         }
         let leads: Vec<_> = self
             .nodes
@@ -253,18 +253,18 @@
             if self.now as u64 != second {
                 self.nodes
                     .iter_mut()
-                    .for_each(|n| n.copies.push(n.disk.clone()));
+                    .for_each(|n| n.disk_history.push(n.disk.clone()));
             }
         }
     }
 
-    fn held(&self) -> bool {
-        let held = |slot| {
+    fn all_slots_owned(&self) -> bool {
+        let all_slots_owned = |slot| {
             self.nodes
                 .iter()
                 .any(|n| n.up && n.client.token(slot, self.now).is_some())
         };
-        (0..self.settings.slots()).all(held)
+        (0..self.settings.slots()).all(all_slots_owned)
     }
 
     fn leader(&self) -> usize {
@@ -274,7 +274,7 @@
             .unwrap()
     }
 
-    fn said(&self, what: &str) -> bool {
+    fn reported(&self, what: &str) -> bool {
         self.reports.iter().any(|r| r.contains(what))
     }
 }
@@ -298,7 +298,7 @@
         fleet.run(1.8);
         fleet.nodes[3..].iter_mut().for_each(|n| n.still = false);
         fleet.run(6.0);
-        assert!(fleet.held());
+        assert!(fleet.all_slots_owned());
     }
 }
 
@@ -311,7 +311,7 @@
     fleet.run(4.0);
     let second = fleet.leader();
     assert_ne!(first, second);
-    let before = fleet.nodes[second].copies[2].clone();
+    let before = fleet.nodes[second].disk_history[2].clone();
     assert!(before.hard_state.term < fleet.nodes[second].voter.as_ref().unwrap().term());
     fleet.kill(second);
     fleet.nodes[second].disk = before;
@@ -319,11 +319,11 @@
     fleet.start(first);
     fleet.run(20.0);
     assert!(
-        fleet.said("is older than what was seen of it"),
+        fleet.reported("is older than what was seen of it"),
         "{:?}",
         fleet.reports
     );
-    assert!(fleet.said("is admitted anew") && fleet.held());
+    assert!(fleet.reported("is admitted anew") && fleet.all_slots_owned());
     assert!(fleet.nodes[..3]
         .iter()
         .all(|n| n.voter.as_ref().unwrap().is_voting()));
@@ -354,17 +354,17 @@
     fleet.start(third);
     fleet.run(16.0);
     assert!(
-        fleet.nodes[lost].voter.as_ref().unwrap().is_voting() && fleet.held(),
+        fleet.nodes[lost].voter.as_ref().unwrap().is_voting() && fleet.all_slots_owned(),
         "{:?}",
         fleet.reports
     );
     fleet.kill(third);
     fleet.run(6.0);
-    assert!(fleet.held());
+    assert!(fleet.all_slots_owned());
 }
 
 #[test]
-fn a_restart_while_another_is_gone_votes_after_the_stated_wait() {
+fn a_restart_while_another_is_down_votes_after_the_stated_wait() {
     let mut fleet = Fleet::new(4);
     fleet.kill(2);
     fleet.kill(1);
@@ -376,11 +376,11 @@
         "one of the others could know better"
     );
     fleet.run(12.0);
-    assert!(fleet.said("the rest is gone") && fleet.held());
+    assert!(fleet.reported("the rest is gone") && fleet.all_slots_owned());
 }
 
 #[test]
-fn a_fence_takes_nothing_until_it_knows_the_tokens() {
+fn a_fencing_check_takes_nothing_until_it_knows_the_tokens() {
     let mut fleet = Fleet::new(4);
     let token = fleet
         .nodes
@@ -411,7 +411,7 @@
 }
 
 #[test]
-fn a_drain_hands_over_at_once_and_a_death_within_lease_and_election() {
+fn a_graceful_shutdown_hands_over_at_once_and_a_crash_within_lease_and_election() {
     let mut fleet = Fleet::new(5);
     let slot = (0..8)
         .find(|s| {
@@ -420,20 +420,20 @@
                 .any(|n| fleet.nodes[*n].client.token(*s, fleet.now).is_some())
         })
         .unwrap();
-    let holder = [3, 4]
+    let owner = [3, 4]
         .into_iter()
         .find(|n| fleet.nodes[*n].client.token(slot, fleet.now).is_some())
         .unwrap();
     let mut out = Vec::new();
     let now = fleet.now;
-    fleet.nodes[holder].client.leave(now, &mut out);
-    fleet.take(holder, out);
+    fleet.nodes[owner].client.leave(now, &mut out);
+    fleet.take(owner, out);
     fleet.run(0.1);
-    assert!(fleet.held(), "within a tenth of a second");
+    assert!(fleet.all_slots_owned(), "within a tenth of a second");
     let leader = fleet.leader();
     fleet.kill(leader);
     fleet.run(4.5);
-    assert!(fleet.held(), "leader and holder in one");
+    assert!(fleet.all_slots_owned(), "leader and holder in one");
 }
 
 /// Runs with a look at each step that nobody who held a slot lost it.
@@ -442,11 +442,11 @@
     while fleet.now < end {
         fleet.step();
         for slot in slots {
-            let held = fleet
+            let all_slots_owned = fleet
                 .nodes
                 .iter()
                 .any(|n| n.up && n.client.token(*slot, fleet.now).is_some());
-            assert!(held, "nobody holds {slot} at {}", fleet.now);
+            assert!(all_slots_owned, "nobody holds {slot} at {}", fleet.now);
         }
     }
 }
@@ -488,7 +488,7 @@
     assert!(free(&fleet), "nothing is granted that no disk holds");
     fleet.disks_go_on();
     run_with_no_lapse(&mut fleet, 8.0, &others);
-    assert!(fleet.held());
+    assert!(fleet.all_slots_owned());
     assert_eq!(fleet.leader(), leader);
 }
 
@@ -507,7 +507,7 @@
     fleet.start(leader);
     fleet.run(2.0);
     assert!(
-        !fleet.said("is older than what was seen of it"),
+        !fleet.reported("is older than what was seen of it"),
         "{:?}",
         fleet.reports
     );
@@ -518,5 +518,5 @@
         .unwrap();
     fleet.kill(third);
     fleet.run(6.0);
-    assert!(fleet.held());
+    assert!(fleet.all_slots_owned());
 }
