--- a/crates/testing/emulator/src/client/attempt.rs
+++ b/crates/testing/emulator/src/client/attempt.rs
@@ -235,7 +235,7 @@
         Stop::Timeout => AttemptOutcome::GivenUp,
         Stop::Wire(WireError::Garbled(reason)) => AttemptOutcome::Garbled(reason.to_owned()),
         Stop::Wire(WireError::BrokenOff) => {
-            AttemptOutcome::Garbled("an answer's head is cut".to_owned())
+            AttemptOutcome::Garbled("a response's head is incomplete".to_owned())
         }
         Stop::Wire(WireError::Ended | WireError::Failed(_)) => AttemptOutcome::Closed,
     }
--- a/crates/testing/emulator/src/engine/work.rs
+++ b/crates/testing/emulator/src/engine/work.rs
@@ -3,7 +3,7 @@
 use super::batch::{Batch, Produced, Ticket};
 use super::memory::Memory;
 use super::prompt::Prompt;
-use super::{EngineSettings, Load};
+use super::settings::{EngineSettings, Load};
 use crate::clock::Clock;
 use crate::gate::Gate;
 use crate::server::{ReceivedRequest, Reply, Work};
--- a/crates/testing/emulator/src/experiment/file.rs
+++ b/crates/testing/emulator/src/experiment/file.rs
@@ -1,10 +1,7 @@
 //! The experiment file.
 
-use super::check::check;
-use anyhow::{bail, Context};
 use dunespur_emulator::system::Role;
 use serde::Deserialize;
-use std::path::Path;
 
 /// An experiment as its file describes it.
 #[derive(Clone, Debug, Deserialize)]
@@ -258,12 +255,6 @@
 }
 
 impl Experiment {
-    /// Reads and checks the file; all findings at once.
-    pub fn read(path: &Path) -> anyhow::Result<Experiment> {
-        let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
-        Experiment::parse(&text).with_context(|| path.display().to_string())
-    }
-
     /// A summary of machines and faults on one line.
     pub fn summary(&self) -> String {
         let machines = &self.machines;
@@ -284,15 +275,6 @@
             faults.join(", ")
         )
     }
-
-    fn parse(text: &str) -> anyhow::Result<Experiment> {
-        let experiment: Experiment = toml::from_str(text)?;
-        let findings = check(&experiment);
-        if !findings.is_empty() {
-            bail!("{}", findings.join("; "));
-        }
-        Ok(experiment)
-    }
 }
 
 fn one() -> u64 {
--- a/crates/testing/emulator/src/experiment/findings.rs
+++ b/crates/testing/emulator/src/experiment/findings.rs
@@ -113,7 +113,7 @@
     fn write_table(&self, text: &mut String) -> std::fmt::Result {
         writeln!(
             text,
-            "{:<22}{:>8}{:>7}{:>9}{:>8}{:>9}   first ms p50/p95/p99   whole ms p50/p95/p99",
+            "{:<22}{:>8}{:>7}{:>9}{:>8}{:>9}   first ms p50/p95/p99   total ms p50/p95/p99",
             "class", "in time", "late", "refused", "failed", "skipped"
         )?;
         for class in &self.classes {
@@ -143,15 +143,15 @@
         let tokens = self.prompt_tokens;
         writeln!(
             text,
-            "prompt tokens: {} asked, {} read",
+            "prompt tokens: {} admitted, {} prefilled",
             tokens.asked, tokens.read
         )?;
         writeln!(
             text,
-            "connections to servers: {}, probes: {}",
+            "connections to servers: {}, health checks: {}",
             self.server_connections, self.probes
         )?;
-        writeln!(text, "tries by answer: {:?}", self.answers)?;
+        writeln!(text, "attempts by outcome: {:?}", self.answers)?;
         writeln!(
             text,
             "{:<26}{:>9}{:>7}{:>10}{:>12}{:>14}{:>12}",
--- a/crates/testing/emulator/src/experiment/mod.rs
+++ b/crates/testing/emulator/src/experiment/mod.rs
@@ -8,12 +8,14 @@
 mod hunt;
 mod listing;
 mod measure;
+mod read;
 mod stage;
 mod traffic;
 
 pub use file::Experiment;
 pub use findings::Findings;
 pub use hunt::draw;
+pub use read::read;
 
 use dunespur_emulator::program::Conversation;
 use dunespur_emulator::scene::Scene;
@@ -24,9 +26,9 @@
 use tokio::time::{sleep_until, Instant};
 use traffic::{Outcome, Traffic};
 
-/// Programs that are to go on when everything is over.
-const CONTINUED_LINES: usize = 20;
-/// How often faults that are due are looked for while traffic runs.
+/// Conversations that are continued after the traffic.
+const CONTINUED_CONVERSATIONS: usize = 20;
+/// Interval at which due faults are started while traffic runs.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Plays the whole experiment.
@@ -62,7 +64,7 @@
         .iter()
         .filter_map(|outcome| outcome.conversation.as_ref())
         .collect();
-    let stride = (conversations.len() / CONTINUED_LINES).max(1);
+    let stride = (conversations.len() / CONTINUED_CONVERSATIONS).max(1);
     conversations
         .into_iter()
         .rev()
--- a/crates/testing/emulator/src/judge/answers.rs
+++ b/crates/testing/emulator/src/judge/answers.rs
@@ -1,7 +1,7 @@
 //! MIXED: a response that is not the server's, or not this request's.
 
+use super::rule::{Rule, Violation};
 use super::view::View;
-use super::{Rule, Violation};
 use crate::record::{Answered, AttemptOutcome, AttemptRecord, Observation};
 
 pub(super) fn judge(view: &View, violations: &mut Vec<Violation>) {
@@ -59,7 +59,7 @@
         ));
     }
     if !source.complete {
-        return Some("whole, though the server's answer was not".to_owned());
+        return Some("complete, though the server's response was not".to_owned());
     }
     if answered.encoding.is_some() || source.sent_digest != Some(answered.digest) {
         return Some(format!(
--- a/crates/testing/emulator/src/judge/config.rs
+++ b/crates/testing/emulator/src/judge/config.rs
@@ -1,7 +1,8 @@
 //! CONFIG: a request is handled as only a version allows that is no longer the newest.
 
+use super::rule::{Rule, Violation};
+use super::settings::JudgeSettings;
 use super::view::View;
-use super::{JudgeSettings, Rule, Violation};
 use crate::configuration::{ConfigurationPlan, RoutePlan};
 use crate::record::{Acknowledged, AttemptRecord, Observation};
 
--- a/crates/testing/emulator/src/judge/drain.rs
+++ b/crates/testing/emulator/src/judge/drain.rs
@@ -1,7 +1,8 @@
 //! DRAIN: a request reaches a server long after its draining was acknowledged.
 
+use super::rule::{Rule, Violation};
+use super::settings::JudgeSettings;
 use super::view::View;
-use super::{JudgeSettings, Rule, Violation};
 use crate::record::{Acknowledged, Observation};
 use std::collections::HashMap;
 
--- a/crates/testing/emulator/src/judge/planned.rs
+++ b/crates/testing/emulator/src/judge/planned.rs
@@ -1,7 +1,8 @@
 //! LOST around planned work: a terminating machine closes the connection of a request that it has read.
 
+use super::rule::{Rule, Violation};
+use super::settings::JudgeSettings;
 use super::view::View;
-use super::{JudgeSettings, Rule, Violation};
 use crate::record::{Acknowledged, AttemptOutcome, AttemptRecord};
 use std::net::SocketAddr;
 
@@ -39,7 +40,7 @@
         {
             let after = attempt.ended_ms.saturating_sub(leaving.at_ms);
             let detail = format!(
-                "{} {} was cut {after} ms after SIGTERM",
+                "{} {} was closed {after} ms after SIGTERM",
                 attempt.request, attempt.target
             );
             violations.push(Violation {
--- a/crates/testing/emulator/src/judge/programs.rs
+++ b/crates/testing/emulator/src/judge/programs.rs
@@ -1,7 +1,8 @@
 //! Agent programs: the BUDGET of tokens, and turns LOST.
 
+use super::rule::{Rule, Violation};
+use super::settings::JudgeSettings;
 use super::view::View;
-use super::{JudgeSettings, Rule, Violation};
 use crate::record::AttemptRecord;
 use std::collections::HashMap;
 
@@ -10,7 +11,7 @@
 
 /// Tokens that a program received, and its limits.
 #[derive(Clone, Copy, Debug, Default)]
-struct Handed {
+struct ReceivedTokens {
     tokens: u64,
     budget: u64,
     max_tokens: u64,
@@ -37,7 +38,7 @@
 }
 
 fn budgets(view: &View, violations: &mut Vec<Violation>) {
-    let mut programs: HashMap<&str, Handed> = HashMap::new();
+    let mut programs: HashMap<&str, ReceivedTokens> = HashMap::new();
     for attempt in &view.attempts {
         let Some(program) = &attempt.program else {
             continue;
@@ -45,18 +46,18 @@
         let Some(budget) = program.budget else {
             continue;
         };
-        let handed = programs.entry(&program.program).or_default();
+        let received = programs.entry(&program.program).or_default();
         let events = attempt
             .received()
             .map_or(0, |received| received.events.len() as u64);
-        handed.tokens +=
+        received.tokens +=
             (events * program.chunk_tokens).min(program.max_tokens.max(program.chunk_tokens));
-        handed.budget = handed.budget.max(budget);
-        handed.max_tokens = handed.max_tokens.max(program.max_tokens);
+        received.budget = received.budget.max(budget);
+        received.max_tokens = received.max_tokens.max(program.max_tokens);
     }
-    for (program, handed) in programs {
-        if handed.tokens > handed.budget + handed.max_tokens {
-            let detail = format!("program {program} was handed {handed:?}");
+    for (program, received) in programs {
+        if received.tokens > received.budget + received.max_tokens {
+            let detail = format!("program {program} received {received:?}");
             violations.push(Violation {
                 rule: Rule::Budget,
                 detail,
--- a/crates/testing/emulator/src/judge/runs.rs
+++ b/crates/testing/emulator/src/judge/runs.rs
@@ -1,7 +1,8 @@
 //! What ran at servers: UNASKED, TWICE, REFUSED, ROUTE and the BUDGET of servers for an attempt.
 
+use super::rule::{Rule, Violation};
+use super::settings::JudgeSettings;
 use super::view::View;
-use super::{JudgeSettings, Rule, Violation};
 use crate::record::{AttemptRecord, Fate, Observation};
 use std::collections::{HashMap, HashSet};
 
@@ -116,7 +117,7 @@
             .iter()
             .map(|number| view.attempts[*number].request.to_string())
             .collect();
-        let detail = format!("one thing wanted ran in the tries {}", names.join(" and "));
+        let detail = format!("one operation ran in the attempts {}", names.join(" and "));
         violations.push(Violation {
             rule: Rule::Twice,
             detail,
@@ -132,7 +133,7 @@
         .collect();
     if over_limit.len() > ATTEMPTS_OVER_RETRIES {
         let detail = format!(
-            "{} tries ran on more servers than their route allows",
+            "{} attempts ran on more servers than their route allows",
             over_limit.len()
         );
         violations.push(Violation {
--- a/crates/testing/emulator/src/judge/streams.rs
+++ b/crates/testing/emulator/src/judge/streams.rs
@@ -1,7 +1,7 @@
 //! ORDER: a stream misses an event, repeats one, or mixes events of two runs.
 
+use super::rule::{Rule, Violation};
 use super::view::View;
-use super::{Rule, Violation};
 use crate::record::{Answered, AttemptRecord};
 
 pub(super) fn judge(view: &View, violations: &mut Vec<Violation>) {
--- a/crates/testing/emulator/src/main.rs
+++ b/crates/testing/emulator/src/main.rs
@@ -76,7 +76,7 @@
         .with_context(|| arguments.program.display().to_string())?;
     match &arguments.command {
         Command::Play { json, experiment } => {
-            let findings = arguments.play(&program, &Experiment::read(experiment)?)?;
+            let findings = arguments.play(&program, &experiment::read(experiment)?)?;
             if let Some(path) = json {
                 std::fs::write(path, findings.json())
                     .with_context(|| path.display().to_string())?;
--- a/crates/testing/emulator/src/operator.rs
+++ b/crates/testing/emulator/src/operator.rs
@@ -55,7 +55,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
-            "no clear answer in {} tries, the last one {:?}",
+            "no clear response in {} attempts, the last one {:?}",
             self.attempts, self.last
         )
     }
--- a/crates/testing/emulator/src/server/connection.rs
+++ b/crates/testing/emulator/src/server/connection.rs
@@ -1,6 +1,8 @@
 //! Connections of a server: one request at a time on each.
 
-use super::{ReceivedRequest, Reply, ServerHandle, Work};
+use super::handle::ServerHandle;
+use super::reply::Reply;
+use super::work::{ReceivedRequest, Work};
 use crate::digest::Digest;
 use crate::identity::RequestId;
 use crate::record::{Fate, Observation, Timings};
--- a/crates/testing/emulator/src/server/handle.rs
+++ b/crates/testing/emulator/src/server/handle.rs
@@ -1,6 +1,7 @@
 //! The part of a server that tests, heartbeats and connections share: identity, faults, limits and counters.
 
-use super::{Identity, ServerFaults, TestContext};
+use super::fault::ServerFaults;
+use super::identity::{Identity, TestContext};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
--- /dev/null
+++ b/crates/testing/emulator/src/server/listener.rs
@@ -0,0 +1,33 @@
+//! The task that accepts a server's connections.
+
+use super::connection;
+use super::handle::ServerHandle;
+use super::work::Work;
+use std::sync::Arc;
+use tokio::net::TcpListener;
+use tokio::task::JoinHandle;
+
+/// The task of a running server; dropping this stops it and closes its connections.
+#[derive(Debug)]
+pub struct ListenerTask {
+    task: JoinHandle<()>,
+}
+
+impl ListenerTask {
+    /// Serves the connections of `listener` by `work`.
+    pub fn start<W: Work>(
+        listener: TcpListener,
+        handle: Arc<ServerHandle>,
+        work: Arc<W>,
+    ) -> ListenerTask {
+        ListenerTask {
+            task: tokio::spawn(connection::accept(listener, handle, work)),
+        }
+    }
+}
+
+impl Drop for ListenerTask {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
--- a/crates/testing/emulator/src/server/reply.rs
+++ b/crates/testing/emulator/src/server/reply.rs
@@ -1,6 +1,7 @@
 //! The response to one request, altered where the test injected a fault.
 
-use super::{ServerFault, ServerHandle};
+use super::fault::ServerFault;
+use super::handle::ServerHandle;
 use crate::digest::Digester;
 use crate::identity::RequestId;
 use crate::record::{Fate, Observation};
--- a/crates/testing/emulator/src/system/machine.rs
+++ b/crates/testing/emulator/src/system/machine.rs
@@ -1,6 +1,6 @@
 //! One machine: its address, its files and its process.
 
-use super::settings::MachinePlan;
+use super::plan::MachinePlan;
 use anyhow::Context;
 use std::fs::File;
 use std::net::IpAddr;
--- a/crates/testing/emulator/src/system/mod.rs
+++ b/crates/testing/emulator/src/system/mod.rs
@@ -3,17 +3,18 @@
 mod addresses;
 mod folder;
 mod machine;
+mod plan;
 mod settings;
 
 pub use addresses::{AddressBlock, Ports};
 pub use folder::TemporaryFolder;
 pub use machine::{Machine, Usage};
-pub use settings::{MachinePlan, Role};
+pub use plan::{MachinePlan, Role, SystemPlan};
 
 use crate::client::call::{call, Call};
 use anyhow::{bail, Context};
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
@@ -24,19 +25,6 @@
 /// Time-out of a readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a system consists of.
-#[derive(Clone, Debug)]
-pub struct SystemPlan {
-    /// The program that plays all roles.
-    pub program: PathBuf,
-    /// Machines of the first start.
-    pub machines: Vec<MachinePlan>,
-    /// Heartbeat interval of servers, in milliseconds.
-    pub heartbeat_ms: u64,
-    /// Machines that may be lost at once.
-    pub tolerated_losses: u32,
-}
-
 /// A running system. Its processes and its folder end with it.
 #[derive(Debug)]
 pub struct System {
--- a/crates/testing/emulator/src/system/settings.rs
+++ b/crates/testing/emulator/src/system/settings.rs
@@ -1,6 +1,8 @@
 //! The settings file of a process.
 
-use super::{Machine, Ports, SystemPlan};
+use super::addresses::Ports;
+use super::machine::Machine;
+use super::plan::{Role, SystemPlan};
 use serde_json::json;
 use std::net::SocketAddr;
 
@@ -9,58 +11,7 @@
 const DESCRIPTORS: u64 = 4_100;
 const DISK_MB: u64 = 320;
 
-/// What a machine does.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    /// A gateway without a disk.
-    Gateway,
-    /// A gateway with a disk: a member of the core.
-    Core,
-    /// Stores replicas of turns.
-    Store,
-}
-
-impl Role {
-    /// The subcommand that plays the role.
-    #[must_use]
-    pub fn command(self) -> &'static str {
-        match self {
-            Role::Gateway | Role::Core => "gateway",
-            Role::Store => "store",
-        }
-    }
-}
-
-/// A machine to be started.
-#[derive(Clone, Debug)]
-pub struct MachinePlan {
-    /// What the machine does.
-    pub role: Role,
-    /// Failure domain.
-    pub zone: String,
-}
-
-impl MachinePlan {
-    /// A machine with this role in this zone.
-    #[must_use]
-    pub fn new(role: Role, zone: &str) -> MachinePlan {
-        MachinePlan {
-            role,
-            zone: zone.to_owned(),
-        }
-    }
-
-    /// The machine's name, by its number in the system.
-    #[must_use]
-    pub fn name(&self, number: usize) -> String {
-        let class = match self.role {
-            Role::Store => "storage",
-            Role::Gateway | Role::Core => "front",
-        };
-        format!("{class}-{}-{number}", self.zone)
-    }
-}
-
+/// The settings file of `machine`, as JSON.
 pub(super) fn text(
     machine: &Machine,
     system: &SystemPlan,
--- a/crates/testing/emulator/src/wire/reader.rs
+++ b/crates/testing/emulator/src/wire/reader.rs
@@ -201,7 +201,7 @@
             return Ok(());
         }
         if !self.line().await?.is_empty() {
-            return Err(WireError::Garbled("lines behind the last chunk"));
+            return Err(WireError::Garbled("trailers after the last chunk"));
         }
         self.rest = Rest::Nothing;
         Ok(())
