--- a/crates/gateway/gateway/src/hub.rs
+++ b/crates/gateway/gateway/src/hub.rs
@@ -3,7 +3,7 @@
 
 use crate::counter::Counter;
 use crate::discovery::Discovery;
-use crate::fleet::Tap;
+use crate::fleet::HubObserver;
 use crate::front::Front;
 use crate::lending::{Lending, BROKER};
 use crate::message::Names;
@@ -48,7 +48,7 @@
     pub discovery: Discovery,
     pub reducer: RefCell<Reducer>,
     /// Where the fleet listens, if there is one.
-    pub tap: RefCell<Option<Tap>>,
+    pub tap: RefCell<Option<HubObserver>>,
     /// Where a broker may answer in the counter's place.
     pub lending: RefCell<Option<Rc<Lending>>>,
     events: RefCell<VecDeque<Event>>,
--- a/crates/gateway/gateway/src/lending.rs
+++ b/crates/gateway/gateway/src/lending.rs
@@ -2,7 +2,8 @@
 //! one way or the other as the borrower's side says, and brings the answers back. Owns nothing of what is
 //! lent; it must never let a call go two ways, and must be out of the way where there is no broker.
 
-use crate::fleet::{clock, Told};
+use crate::clock::clock;
+use crate::fleet::FleetEvent;
 use dunespur_decisions::types::{About, Counted};
 use dunespur_quota_sharing::{
     self as quota_sharing, Answer, Borrower, CounterCall, LeaseRequest, Route,
@@ -17,14 +18,14 @@
 /// Calls of this process's own broker are numbered from here on.
 pub const BROKER: u64 = 1 << 62;
 /// Asks that may wait for the fleet's task; over it the counter is called.
-const MOST_WAITING: usize = 4096;
+const MAX_QUEUED_REPORTS: usize = 4096;
 
 pub struct Lending {
     borrower: RefCell<Borrower>,
     slots: SlotRange,
     /// Slots with a holder, as far as this limiter knows.
     pub known: RefCell<BTreeSet<Slot>>,
-    to: mpsc::UnboundedSender<Told>,
+    to: mpsc::UnboundedSender<FleetEvent>,
     pub waiting: Cell<usize>,
 }
 
@@ -32,7 +33,7 @@
     pub fn new(
         settings: &quota_sharing::Settings,
         slots: SlotRange,
-        to: mpsc::UnboundedSender<Told>,
+        to: mpsc::UnboundedSender<FleetEvent>,
     ) -> Rc<Self> {
         let (borrower, known) = (RefCell::new(Borrower::new(settings)), RefCell::default());
         Rc::new(Lending {
@@ -60,7 +61,7 @@
         since: f64,
     ) -> bool {
         let slot = self.slot(about.customer);
-        let known = self.known.borrow().contains(&slot) && self.waiting.get() < MOST_WAITING;
+        let known = self.known.borrow().contains(&slot) && self.waiting.get() < MAX_QUEUED_REPORTS;
         let counter_call = CounterCall {
             call,
             name,
@@ -76,7 +77,7 @@
         };
         let request = LeaseRequest::new(counter_call, about, since);
         self.waiting.set(self.waiting.get() + 1);
-        if self.to.send(Told::Borrow { slot, request }).is_err() {
+        if self.to.send(FleetEvent::Borrow { slot, request }).is_err() {
             self.waiting.set(self.waiting.get() - 1);
         }
         true
--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -1,6 +1,7 @@
 //! Starts the gateway and ends it. Owns the configuration, the signals and the exit. It must never touch an
 //! invocation, and never report ready before clients can be served.
 
+mod clock;
 mod counter;
 mod discovery;
 mod fault;
@@ -15,7 +16,8 @@
 mod stats;
 mod upstream;
 
-pub use crate::fleet::{clock, Work};
+pub use crate::clock::clock;
+pub use crate::fleet::Work;
 
 use crate::fault::Fault;
 use crate::hub::{Clock, Hub};
@@ -256,7 +258,7 @@
             _ = signals.usr1.recv() => {
                 ::log::info!("{}", hub.reducer.borrow().stats);
                 if let Some(fleet) = &fleet {
-                    let _ = fleet.send(fleet::Told::Report);
+                    let _ = fleet.send(fleet::FleetEvent::Report);
                 }
             }
             () = async { leaving.as_mut().as_pin_mut().expect("polled only while leaving").await }, if leaving.is_some() => break,
@@ -269,13 +271,13 @@
 /// Leaves: clients move on, what was taken is answered, the connections end.
 async fn leave(
     hub: &Rc<Hub>,
-    fleet: Option<&mpsc::UnboundedSender<fleet::Told>>,
+    fleet: Option<&mpsc::UnboundedSender<fleet::FleetEvent>>,
     listening: &tokio::task::JoinHandle<()>,
 ) {
     ::log::info!("leaving with {} in hand", hub.reducer.borrow().in_hand());
     // Duties are handed over before anything else; nothing here waits for whoever takes them.
     if let Some(fleet) = fleet {
-        let _ = fleet.send(fleet::Told::Leave);
+        let _ = fleet.send(fleet::FleetEvent::Leave);
     }
     hub.front.leave();
     sleep(LEAVING).await;
--- a/crates/gateway/gateway/src/reducer.rs
+++ b/crates/gateway/gateway/src/reducer.rs
@@ -35,7 +35,7 @@
     Endpoints(News),
     WatchLost,
     /// What the fleet saw of the server at this address: bad for so long, or good again after it.
-    Told {
+    FleetVerdict {
         address: SocketAddr,
         bad: bool,
         pause: f64,
@@ -197,7 +197,7 @@
                 self.stats.news_lost += 1;
                 self.limiter.watch_lost();
             }
-            Event::Told {
+            Event::FleetVerdict {
                 address,
                 bad,
                 pause,
