--- a/crates/gateway/gateway/src/fleet/work.rs
+++ b/crates/gateway/gateway/src/fleet/work.rs
@@ -13,19 +13,26 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// Messages of the duties' work.
+/// Messages by which limiters do the work of the singleton roles. The encoding goes by position and order.
 #[derive(Serialize, Deserialize)]
 pub enum Work {
-    /// Of a trial.
+    /// An effect of a trial.
     Effect {
+        /// The slot that its sender held.
         slot: Slot,
+        /// The fencing token under which it did.
         token: u64,
     },
+    /// Complaints about servers, and what checks of them saw.
     Probe(health_check::Message),
+    /// What a limiter added to the counter, for the auditor.
     Audit {
+        /// The shard of the counter's names.
         slot: Slot,
+        /// The sums.
         message: audit::Message,
     },
+    /// Between borrowers and brokers of the counter's units.
     Lend(quota_sharing::Message),
 }
 
