--- a/crates/testing/emulator/src/engine/prompt.rs
+++ b/crates/testing/emulator/src/engine/prompt.rs
@@ -1,24 +1,24 @@
-//! What a request says about its prompt.
+//! The prompt, as the headers of a request describe it.
 
 use crate::wire::{name, Headers};
 
-/// One part of a prompt, shared between requests by its id.
+/// One segment of a prompt, shared between requests by its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Part {
-    /// The same id is the same text.
+pub struct PromptSegment {
+    /// Id; segments with the same id are the same text.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// The parts in order, and the most that the request generates.
+/// A prompt and the number of tokens to generate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its parts, in order.
-    pub parts: Vec<Part>,
-    /// The most tokens that may be generated.
-    pub most: u64,
-    /// 0 is let in first.
+    /// Segments from the beginning of the prompt.
+    pub segments: Vec<PromptSegment>,
+    /// Most tokens to generate.
+    pub max_tokens: u64,
+    /// 0 is admitted first.
     pub priority: u8,
 }
 
@@ -26,19 +26,19 @@
 const ORDINARY_PRIORITY: u8 = 5;
 
 impl Prompt {
-    /// Reads the headers; what is missing counts as little as can be.
+    /// Reads the headers; missing counts are taken as 1.
     pub fn read(headers: &Headers) -> Prompt {
-        let (total, most) = headers
+        let (total, max_tokens) = headers
             .get(name::TOKEN_COUNT)
             .and_then(counts)
             .unwrap_or((1, 1));
-        let mut parts = headers
+        let mut segments = headers
             .get(name::PROMPT_PREFIX)
-            .map(parts)
+            .map(segments)
             .unwrap_or_default();
-        let named: u64 = parts.iter().map(|part| part.tokens).sum();
+        let named: u64 = segments.iter().map(|segment| segment.tokens).sum();
         if named < total {
-            parts.push(Part {
+            segments.push(PromptSegment {
                 id: u64::MAX,
                 tokens: total - named,
             });
@@ -47,31 +47,31 @@
             .get(name::PRIORITY)
             .and_then(|text| text.parse().ok());
         Prompt {
-            parts,
-            most: most.max(1),
+            segments,
+            max_tokens: max_tokens.max(1),
             priority: priority.unwrap_or(ORDINARY_PRIORITY),
         }
     }
 
-    /// Its length in tokens.
+    /// Length of the prompt in tokens.
     #[must_use]
     pub fn tokens(&self) -> u64 {
-        self.parts.iter().map(|part| part.tokens).sum()
+        self.segments.iter().map(|segment| segment.tokens).sum()
     }
 }
 
 fn counts(text: &str) -> Option<(u64, u64)> {
-    let (prompt, most) = text.split_once(',')?;
-    Some((prompt.trim().parse().ok()?, most.trim().parse().ok()?))
+    let (prompt, max_tokens) = text.split_once(',')?;
+    Some((prompt.trim().parse().ok()?, max_tokens.trim().parse().ok()?))
 }
 
-fn parts(text: &str) -> Vec<Part> {
-    text.split(',').filter_map(part).collect()
+fn segments(text: &str) -> Vec<PromptSegment> {
+    text.split(',').filter_map(segment).collect()
 }
 
-fn part(text: &str) -> Option<Part> {
+fn segment(text: &str) -> Option<PromptSegment> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(Part {
+    Some(PromptSegment {
         id: u64::from_str_radix(id, 16).ok()?,
         tokens: tokens.parse().ok()?,
     })
--- a/crates/testing/emulator/src/gate.rs
+++ b/crates/testing/emulator/src/gate.rs
@@ -1,9 +1,9 @@
-//! What a test holds back and lets go.
+//! Gates, by which a test controls the progress of servers.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::Notify;
 
-/// Where a stand-in waits until the test lets it go on. Open until it is held.
+/// A point at which servers wait until the test lets them proceed. Open at first.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     inner: Arc<Inner>,
@@ -17,43 +17,43 @@
 
 #[derive(Debug, Default)]
 struct State {
-    held: bool,
+    closed: bool,
     permits: u64,
     waiting: usize,
 }
 
 impl Gate {
-    /// A gate that is held from the start.
+    /// A gate that is closed from the start.
     #[must_use]
-    pub fn held() -> Gate {
+    pub fn closed() -> Gate {
         let gate = Gate::default();
-        gate.hold();
+        gate.close();
         gate
     }
 
-    /// From now on nothing passes without a permit.
-    pub fn hold(&self) {
+    /// Closes the gate: nothing passes without a permit.
+    pub fn close(&self) {
         self.change(|state| {
-            state.held = true;
+            state.closed = true;
             state.permits = 0;
         });
     }
 
-    /// Lets so many pass, those that wait or come next.
-    pub fn let_go(&self, count: u64) {
+    /// Lets `count` waiting or later ones pass.
+    pub fn release(&self, count: u64) {
         self.change(|state| state.permits += count);
     }
 
-    /// Lets all pass from now on.
+    /// Opens the gate for all.
     pub fn open(&self) {
-        self.change(|state| state.held = false);
+        self.change(|state| state.closed = false);
     }
 
-    /// Goes on once the gate lets it.
+    /// Returns once the gate lets the caller pass.
     pub async fn pass(&self) {
         let _waiting = Waiting::begin(&self.inner);
         self.until(|state| {
-            if !state.held {
+            if !state.closed {
                 return true;
             }
             let passes = state.permits > 0;
@@ -63,17 +63,17 @@
         .await;
     }
 
-    /// Ends once that many wait here: the sign that requests have arrived.
+    /// Returns once `count` callers wait here, which shows that requests have arrived.
     pub async fn waiting(&self, count: usize) {
         self.until(|state| state.waiting >= count).await;
     }
 
-    async fn until(&self, mut holds: impl FnMut(&mut State) -> bool) {
+    async fn until(&self, mut condition: impl FnMut(&mut State) -> bool) {
         loop {
             let changed = self.inner.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            if holds(&mut self.inner.lock()) {
+            if condition(&mut self.inner.lock()) {
                 return;
             }
             changed.await;
@@ -92,7 +92,7 @@
     }
 }
 
-/// Counts one that waits, also when it is dropped while waiting.
+/// Counts one waiting caller, also when it is dropped while waiting.
 struct Waiting {
     inner: Arc<Inner>,
 }
--- a/crates/testing/emulator/src/server/door.rs
+++ b/crates/testing/emulator/src/server/handle.rs
@@ -1,23 +1,23 @@
-//! What a server checks before it lets a request in.
+//! The part of a server that tests, heartbeats and connections share: identity, faults, limits and counters.
 
-use super::{Identity, Surroundings, Troubles};
+use super::{Identity, ServerFaults, TestContext};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// How a server treats connections.
+/// Treatment of connections.
 #[derive(Clone, Debug)]
-pub struct DoorSettings {
-    /// Path that answers whether it is healthy.
+pub struct ConnectionSettings {
+    /// Path of the health check.
     pub health_path: String,
     /// Connections from all callers together; more are reset.
     pub max_connections: usize,
-    /// Idle connections are closed after that time, which `Keep-Alive` tells in whole seconds.
+    /// Idle connections are closed after this time; `Keep-Alive` states it in whole seconds.
     pub idle: Duration,
 }
 
-impl Default for DoorSettings {
+impl Default for ConnectionSettings {
     fn default() -> Self {
-        DoorSettings {
+        ConnectionSettings {
             health_path: "/healthz".to_owned(),
             max_connections: 220,
             idle: Duration::from_secs(30),
@@ -25,16 +25,16 @@
     }
 }
 
-/// The part of a server that test, heartbeats and connections share.
+/// What tests, heartbeats and connections of a server share.
 #[derive(Debug)]
-pub struct Door {
-    /// Whose door it is.
+pub struct ServerHandle {
+    /// Who the server is.
     pub identity: Identity,
-    /// Clock and record.
-    pub surroundings: Surroundings,
+    /// Clock and record of the test.
+    pub context: TestContext,
     /// Faults that the next requests meet.
-    pub troubles: Troubles,
-    pub(super) settings: DoorSettings,
+    pub faults: ServerFaults,
+    pub(super) settings: ConnectionSettings,
     leaving: AtomicBool,
     healthy: AtomicBool,
     open: AtomicUsize,
@@ -44,14 +44,18 @@
     answers: AtomicU64,
 }
 
-impl Door {
-    /// A door that is healthy and open.
+impl ServerHandle {
+    /// The handle of a healthy server without connections.
     #[must_use]
-    pub fn new(identity: Identity, settings: DoorSettings, surroundings: Surroundings) -> Door {
-        Door {
+    pub fn new(
+        identity: Identity,
+        settings: ConnectionSettings,
+        context: TestContext,
+    ) -> ServerHandle {
+        ServerHandle {
             identity,
-            surroundings,
-            troubles: Troubles::default(),
+            context,
+            faults: ServerFaults::default(),
             settings,
             leaving: AtomicBool::new(false),
             healthy: AtomicBool::new(true),
@@ -63,17 +67,17 @@
         }
     }
 
-    /// From now on answers end their connection and the server calls itself unhealthy.
+    /// From now on responses close their connection and the health check fails.
     pub fn set_leaving(&self) {
         self.leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Whether it closes its connections.
+    /// Whether the server is shutting down.
     pub fn leaving(&self) -> bool {
         self.leaving.load(Ordering::SeqCst)
     }
 
-    /// What health checks hear from now on.
+    /// Sets what the health check answers.
     pub fn set_healthy(&self, healthy: bool) {
         self.healthy.store(healthy, Ordering::SeqCst);
     }
@@ -101,7 +105,7 @@
         self.probes.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// A place for one more connection.
+    /// Takes a slot for one more connection; false where all are taken.
     pub(super) fn enter(&self) -> bool {
         let before = self.open.fetch_add(1, Ordering::SeqCst);
         if before >= self.settings.max_connections {
@@ -117,7 +121,7 @@
         self.open.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// A stamp that no other answer has.
+    /// A stamp that no other response has.
     pub(super) fn stamp(&self) -> String {
         let number = self.answers.fetch_add(1, Ordering::SeqCst);
         format!(
--- a/crates/testing/emulator/src/system/addresses.rs
+++ b/crates/testing/emulator/src/system/addresses.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 /// Blocks that are tried before reserving fails.
-const MOST_BLOCKS: u32 = 4_096;
+const MAX_BLOCKS: u32 = 4_096;
 /// The last address of a block is the sign that the block is taken.
 const GUARD: u8 = 255;
 const LAST: u8 = 254;
@@ -16,15 +16,15 @@
 /// Ports, alike on all machines. Below those that the kernel gives to outgoing connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports {
-    /// Takes requests.
+    /// Gateways listen here for clients.
     pub front: u16,
-    /// Says whether it is ready.
+    /// Gateways answer readiness checks here.
     pub ready: u16,
-    /// Takes heartbeats and the operator's orders.
+    /// Gateways listen here for servers and the operator.
     pub control: u16,
-    /// First port between the processes of the system.
+    /// First port of the connections between processes.
     pub first_internal: u16,
-    /// Last port between the processes of the system.
+    /// Last port of the connections between processes.
     pub last_internal: u16,
     /// Servers listen here.
     pub server: u16,
@@ -45,10 +45,10 @@
     }
 }
 
-/// Blocks asked for in this process. None is given twice: what listens there may end later than its block.
-static ASKED: AtomicU32 = AtomicU32::new(0);
+/// Number of the next block in this process. None is used twice, as a listener may outlive its block.
+static NEXT_BLOCK: AtomicU32 = AtomicU32::new(0);
 
-/// 254 addresses, taken for as long as this lives.
+/// 254 addresses, reserved until this is dropped.
 #[derive(Debug)]
 pub struct AddressBlock {
     first_bytes: [u8; 2],
@@ -60,11 +60,12 @@
     /// Takes a block that no other process and no other test has.
     ///
     /// # Errors
-    /// All blocks are taken.
+    ///
+    /// Fails where no block is free.
     pub fn reserve(ports: Ports) -> anyhow::Result<AddressBlock> {
         let start = std::process::id().wrapping_mul(37);
-        for _ in 0..MOST_BLOCKS {
-            let offset = ASKED.fetch_add(1, Ordering::SeqCst);
+        for _ in 0..MAX_BLOCKS {
+            let offset = NEXT_BLOCK.fetch_add(1, Ordering::SeqCst);
             let number = FIRST_BLOCK + start.wrapping_add(offset) % BLOCKS;
             let first_bytes = [(number >> 8) as u8, number as u8];
             let guard = Ipv4Addr::new(127, first_bytes[0], first_bytes[1], GUARD);
@@ -82,9 +83,9 @@
     /// An address not given before.
     ///
     /// # Errors
-    /// The block has no more.
-    #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> anyhow::Result<IpAddr> {
+    ///
+    /// Fails where all addresses of the block are used.
+    pub fn next_address(&mut self) -> anyhow::Result<IpAddr> {
         if self.used == LAST {
             bail!("all addresses of the block are used");
         }
--- a/crates/testing/emulator/src/system/folder.rs
+++ b/crates/testing/emulator/src/system/folder.rs
@@ -13,10 +13,11 @@
 }
 
 impl TemporaryFolder {
-    /// Makes a folder of its own, with this name in its own.
+    /// Creates an empty folder whose name begins with `name`.
     ///
     /// # Errors
-    /// The folder can't be made.
+    ///
+    /// Fails where the folder could not be created.
     pub fn new(name: &str) -> anyhow::Result<TemporaryFolder> {
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
         let path = std::env::temp_dir().join(format!("{name}-{}-{number}", std::process::id()));
@@ -28,7 +29,7 @@
         Ok(TemporaryFolder { path })
     }
 
-    /// Where it is.
+    /// Path of the folder.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
--- a/crates/testing/emulator/src/system/machine.rs
+++ b/crates/testing/emulator/src/system/machine.rs
@@ -9,29 +9,29 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Pause between two looks at a process that is to end.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
+/// Interval at which a process is polled for its end.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Bytes of a log that are shown when something fails.
 const LOG_TAIL: usize = 4_000;
 /// Processor time in /proc is counted in hundredths of a second.
 const TICK_MS: u64 = 10;
-/// Places of user and system time behind the name in /proc/PID/stat.
+/// Index of the user time behind the name in /proc/PID/stat.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 
 /// What a process has used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time so far, in milliseconds.
+    /// Processor time, in milliseconds.
     pub processor_ms: u64,
-    /// The most memory that it had, in kB.
+    /// Peak resident memory, in kibibytes.
     pub peak_memory_kb: u64,
     /// Times that a thread went to sleep and was woken.
     pub wake_ups: u64,
 }
 
 impl Usage {
-    /// Of two processes one after the other.
+    /// The sum for two processes, one after the other.
     #[must_use]
     pub fn and(self, later: Usage) -> Usage {
         Usage {
@@ -92,31 +92,31 @@
         Ok(machine)
     }
 
-    /// Its name.
+    /// The machine's name.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its address.
+    /// The machine's address.
     #[must_use]
     pub fn ip(&self) -> IpAddr {
         self.ip
     }
 
-    /// What it was set up with.
+    /// Role and zone.
     #[must_use]
     pub fn plan(&self) -> &MachinePlan {
         &self.plan
     }
 
-    /// Its settings file.
+    /// The process's settings file.
     #[must_use]
     pub fn settings_path(&self) -> PathBuf {
         self.folder.join("node.json")
     }
 
-    /// Where its processes keep their data.
+    /// The folder that stands for the disk.
     #[must_use]
     pub fn data_folder(&self) -> PathBuf {
         self.folder.join("data")
@@ -127,7 +127,7 @@
         self.program = program;
     }
 
-    /// Whether its process runs.
+    /// Whether a process was started and has not been seen to end.
     #[must_use]
     pub fn is_running(&self) -> bool {
         self.child.is_some()
@@ -140,18 +140,20 @@
         Some(status)
     }
 
-    /// SIGTERM: asks the process to leave.
+    /// Sends SIGTERM: the process is to shut down gracefully.
     ///
     /// # Errors
-    /// The process does not run.
+    ///
+    /// Fails where no process runs.
     pub fn terminate(&mut self) -> anyhow::Result<()> {
         self.signal("TERM")
     }
 
-    /// SIGHUP: says that the settings file has changed.
+    /// Sends SIGHUP: the process is to read its settings again.
     ///
     /// # Errors
-    /// The process does not run.
+    ///
+    /// Fails where no process runs.
     pub fn hang_up(&mut self) -> anyhow::Result<()> {
         self.signal("HUP")
     }
@@ -159,7 +161,8 @@
     /// Freezes the process.
     ///
     /// # Errors
-    /// The process does not run.
+    ///
+    /// Fails where no process runs.
     pub fn freeze(&mut self) -> anyhow::Result<()> {
         self.signal("STOP")
     }
@@ -167,7 +170,8 @@
     /// Wakes a frozen process.
     ///
     /// # Errors
-    /// The process does not run.
+    ///
+    /// Fails where no process runs.
     pub fn thaw(&mut self) -> anyhow::Result<()> {
         self.signal("CONT")
     }
@@ -183,7 +187,8 @@
     /// Waits for the process to end by itself, `limit` at most.
     ///
     /// # Errors
-    /// It has not ended within `limit`.
+    ///
+    /// Fails where no process runs or it has not ended within `limit`.
     pub async fn wait(&mut self, limit: Duration) -> anyhow::Result<ExitStatus> {
         let until = Instant::now() + limit;
         loop {
@@ -196,7 +201,7 @@
                 "{} has not ended after {limit:?}",
                 self.name
             );
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -217,7 +222,7 @@
         self.starts
     }
 
-    /// The last lines that the process wrote.
+    /// The end of the processes' log.
     #[must_use]
     pub fn log_tail(&self) -> String {
         let bytes = std::fs::read(self.log_path()).unwrap_or_default();
@@ -225,7 +230,7 @@
         String::from_utf8_lossy(&bytes[start..]).into_owned()
     }
 
-    /// All that the processes of this machine wrote.
+    /// The complete log of this machine's processes.
     #[must_use]
     pub fn log(&self) -> String {
         let bytes = std::fs::read(self.log_path()).unwrap_or_default();
@@ -263,10 +268,11 @@
         }
     }
 
-    /// Takes the disk of a machine that does not run.
+    /// Empties the disk of a machine that does not run.
     ///
     /// # Errors
-    /// The folder can't be removed.
+    ///
+    /// Fails where the folder could not be removed or created anew.
     pub fn wipe(&self) -> anyhow::Result<()> {
         std::fs::remove_dir_all(self.data_folder()).context("wiping a disk")?;
         std::fs::create_dir_all(self.data_folder()).context("an empty disk")
--- a/crates/testing/emulator/src/system/settings.rs
+++ b/crates/testing/emulator/src/system/settings.rs
@@ -1,4 +1,4 @@
-//! What each process is told by its settings file.
+//! The settings file of a process.
 
 use super::{Machine, Ports, SystemPlan};
 use serde_json::json;
@@ -16,7 +16,7 @@
     Gateway,
     /// A gateway with a disk: a member of the core.
     Core,
-    /// Keeps turns.
+    /// Stores replicas of turns.
     Store,
 }
 
@@ -34,14 +34,14 @@
 /// A machine to be started.
 #[derive(Clone, Debug)]
 pub struct MachinePlan {
-    /// What runs there.
+    /// What the machine does.
     pub role: Role,
-    /// Its failure domain.
+    /// Failure domain.
     pub zone: String,
 }
 
 impl MachinePlan {
-    /// A machine of this role with the usual settings.
+    /// A machine with this role in this zone.
     #[must_use]
     pub fn new(role: Role, zone: &str) -> MachinePlan {
         MachinePlan {
