--- a/crates/gateway/gateway/src/discovery.rs
+++ b/crates/gateway/gateway/src/discovery.rs
@@ -2,7 +2,7 @@
 //! never drop what it held when discovery is silent, and never judge whether a server is fit to use.
 
 use crate::fault::Fault;
-use crate::fleet::Told;
+use crate::fleet::FleetEvent;
 use crate::hub::Hub;
 use crate::message::{decode_news, encode_watch, Lines};
 use crate::reducer::Event;
@@ -43,7 +43,7 @@
     /// Another limiter of the zone tells the list: none stands here.
     relayed: Cell<bool>,
     /// Where the fleet hears of what the watch says.
-    tap: RefCell<Option<UnboundedSender<Told>>>,
+    tap: RefCell<Option<UnboundedSender<FleetEvent>>>,
 }
 
 impl Discovery {
@@ -81,13 +81,13 @@
         self.revision.set(revision);
     }
 
-    pub fn tap(&self, to: UnboundedSender<Told>) {
+    pub fn tap(&self, to: UnboundedSender<FleetEvent>) {
         *self.tap.borrow_mut() = Some(to);
     }
 
     fn tell_tap(&self, line: impl FnOnce() -> Option<Value>) {
         if let Some(tap) = &*self.tap.borrow() {
-            let _ = tap.send(Told::Line(line()));
+            let _ = tap.send(FleetEvent::Line(line()));
         }
     }
 
--- /dev/null
+++ b/crates/gateway/gateway/src/fleet/health.rs
@@ -0,0 +1,136 @@
+//! The role `probe`: complaints about servers, checks of them, and what was seen.
+
+use super::{Fleet, FleetEvent, Work, CHECK_TIMEOUT};
+use crate::hub::Hub;
+use crate::reducer::Event;
+use dunespur_peer_transport::Kind;
+use dunespur_singleton_roles::health_check::{self, Observation};
+use dunespur_singleton_roles::Slot;
+use serde_json::json;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::TcpStream;
+use xxhash_rust::xxh3::xxh3_64;
+
+impl Fleet {
+    pub(super) fn health_check_slot(&self, server: &str) -> Option<Slot> {
+        Fleet::slot_of_key(self.probes, xxh3_64(server.as_bytes()))
+    }
+
+    /// As the duty's holder: someone gave up on a server.
+    pub(super) fn receive_complaint(&mut self, from: &str, server: String, now: f64) {
+        let Some(slot) = self.health_check_slot(&server) else {
+            return;
+        };
+        let Ok(address) = server.parse::<SocketAddr>() else {
+            return;
+        };
+        let listed = self
+            .endpoints
+            .values()
+            .any(|m| m["host_port"] == server.as_str());
+        // Evidence about a server that is not on the list is none.
+        if !listed || self.client.token(slot, now).is_none() {
+            return;
+        }
+        if self
+            .health_checker
+            .receive_complaint(from, &server, now, &self.plan.probe)
+        {
+            let events = self.events.clone();
+            tokio::task::spawn_local(async move {
+                let observation = probe(address).await;
+                let _ = events.send(FleetEvent::Probed {
+                    server,
+                    observation,
+                });
+            });
+        }
+    }
+
+    /// As the holder: the probe is over; all that are up hear of it, if this one still holds the duty.
+    pub(super) fn check_finished(
+        &mut self,
+        hub: &Rc<Hub>,
+        server: String,
+        observation: Observation,
+        now: f64,
+    ) {
+        let Some(slot) = self.health_check_slot(&server) else {
+            return;
+        };
+        let Some(token) = self.client.token(slot, now) else {
+            return;
+        };
+        self.client.record_progress(slot, now);
+        self.apply_observation(hub, &server, observation, 0.0, now);
+        let work = Work::Probe(health_check::Message::Observed {
+            slot,
+            token,
+            server,
+            observation,
+            age: 0.0,
+        });
+        let body = postcard::to_stdvec(&work).unwrap_or_default();
+        let to: Vec<_> = self.members.alive().map(|m| m.address).collect();
+        to.into_iter()
+            .for_each(|at| self.links.send_datagram(at, Kind::Work, body.clone()));
+    }
+
+    /// What a probe saw goes to the module, as far as this limiter's own experience lets it.
+    pub(super) fn apply_observation(
+        &mut self,
+        hub: &Rc<Hub>,
+        server: &str,
+        observation: Observation,
+        age: f64,
+        now: f64,
+    ) {
+        let judged = self.experience.judge(
+            server,
+            observation,
+            age,
+            fastrand::f64(),
+            now,
+            &self.plan.probe,
+        );
+        if let (Some(judged), Ok(address)) = (judged, server.parse()) {
+            let (bad, pause) = match judged {
+                health_check::Verdict::Unhealthy(pause) => (true, pause),
+                health_check::Verdict::Healthy(pause) => (false, pause),
+            };
+            hub.tell(Event::Told {
+                address,
+                bad,
+                pause,
+            });
+        }
+        self.outcomes += 1;
+        ::log::info!("fleet: a probe of {server}: {observation:?}");
+        let what = format!("probe {observation:?} {server}");
+        self.write_history(json!({"line": "counted", "t": now, "what": what, "value": 1.0}));
+    }
+}
+
+/// Tries a server with a request that is no invocation: any answer at all tells that it lives.
+async fn probe(at: SocketAddr) -> Observation {
+    let Ok(Ok(stream)) = tokio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(at)).await else {
+        return Observation::Refused;
+    };
+    let answered = async {
+        let io = hyper_util::rt::TokioIo::new(stream);
+        let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.ok()?;
+        let request = hyper::Request::get("/").header("host", at.to_string());
+        let request = request
+            .body(http_body_util::Empty::<bytes::Bytes>::new())
+            .ok()?;
+        tokio::select! {
+            answer = sender.send_request(request) => answer.ok().map(|_| ()),
+            _ = connection => None,
+        }
+    };
+    match tokio::time::timeout(CHECK_TIMEOUT, answered).await {
+        Ok(Some(())) => Observation::Answered,
+        _ => Observation::Silent,
+    }
+}
--- a/crates/gateway/gateway/src/lending.rs
+++ b/crates/gateway/gateway/src/lending.rs
@@ -2,7 +2,7 @@
 //! one way or the other as the borrower's side says, and brings the answers back. Owns nothing of what is
 //! lent; it must never let a call go two ways, and must be out of the way where there is no broker.
 
-use crate::fleet::{clock, Told};
+use crate::fleet::{clock, FleetEvent};
 use dunespur_decisions::types::{About, Counted};
 use dunespur_quota_sharing::{
     self as quota_sharing, Answer, Borrower, CounterCall, LeaseRequest, Route,
@@ -24,7 +24,7 @@
     slots: SlotRange,
     /// Slots with a holder, as far as this limiter knows.
     pub known: RefCell<BTreeSet<Slot>>,
-    to: mpsc::UnboundedSender<Told>,
+    to: mpsc::UnboundedSender<FleetEvent>,
     pub waiting: Cell<usize>,
 }
 
@@ -32,7 +32,7 @@
     pub fn new(
         settings: &quota_sharing::Settings,
         slots: SlotRange,
-        to: mpsc::UnboundedSender<Told>,
+        to: mpsc::UnboundedSender<FleetEvent>,
     ) -> Rc<Self> {
         let (borrower, known) = (RefCell::new(Borrower::new(settings)), RefCell::default());
         Rc::new(Lending {
@@ -76,7 +76,7 @@
         };
         let request = LeaseRequest::new(counter_call, about, since);
         self.waiting.set(self.waiting.get() + 1);
-        if self.to.send(Told::Borrow { slot, request }).is_err() {
+        if self.to.send(FleetEvent::Borrow { slot, request }).is_err() {
             self.waiting.set(self.waiting.get() - 1);
         }
         true
--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -256,7 +256,7 @@
             _ = signals.usr1.recv() => {
                 ::log::info!("{}", hub.reducer.borrow().stats);
                 if let Some(fleet) = &fleet {
-                    let _ = fleet.send(fleet::Told::Report);
+                    let _ = fleet.send(fleet::FleetEvent::Report);
                 }
             }
             () = async { leaving.as_mut().as_pin_mut().expect("polled only while leaving").await }, if leaving.is_some() => break,
@@ -269,13 +269,13 @@
 /// Leaves: clients move on, what was taken is answered, the connections end.
 async fn leave(
     hub: &Rc<Hub>,
-    fleet: Option<&mpsc::UnboundedSender<fleet::Told>>,
+    fleet: Option<&mpsc::UnboundedSender<fleet::FleetEvent>>,
     listening: &tokio::task::JoinHandle<()>,
 ) {
     ::log::info!("leaving with {} in hand", hub.reducer.borrow().in_hand());
     // Duties are handed over before anything else; nothing here waits for whoever takes them.
     if let Some(fleet) = fleet {
-        let _ = fleet.send(fleet::Told::Leave);
+        let _ = fleet.send(fleet::FleetEvent::Leave);
     }
     hub.front.leave();
     sleep(LEAVING).await;
