--- a/crates/gateway/gateway/src/fleet/relay.rs
+++ b/crates/gateway/gateway/src/fleet/discovery_relaying.rs
@@ -1,13 +1,16 @@
-//! The role `watch`: discovery's list as this limiter has it, and relaying it within the zone.
+//! The relay of discovery's list within a zone.
 
-use super::Fleet;
+use crate::fleet::Fleet;
 use crate::hub::Hub;
 use crate::message::decode_news;
 use crate::reducer::Event;
 use dunespur_gossip_membership as members;
 use dunespur_peer_transport::Kind;
-use dunespur_singleton_roles::discovery_relay::{self, Action, DiscoveryUpdate};
-use serde_json::{json, Value};
+use dunespur_singleton_roles::discovery_relay;
+use dunespur_singleton_roles::discovery_relay::Action;
+use dunespur_singleton_roles::discovery_relay::DiscoveryUpdate;
+use serde_json::json;
+use serde_json::Value;
 use std::rc::Rc;
 
 impl Fleet {
@@ -37,28 +40,28 @@
         if let Some((relay, _)) = &mut self.relay {
             relay.receive(&from, message, token, now, &mut actions);
         }
-        self.carry_out_relay(hub, actions, now);
+        self.perform_relay(hub, actions, now);
     }
 
     /// Takes a list into the whole one; says whether it was complete, and its revision.
-    pub(super) fn merge_endpoints(&mut self, value: &Value) -> Option<(u64, bool)> {
+    pub(super) fn merge_list(&mut self, value: &Value) -> Option<(u64, bool)> {
         let revision = value["revision"].as_u64()?;
         let complete = value["complete"].as_bool().unwrap_or(false);
         if complete {
-            self.endpoints.clear();
+            self.discovered.clear();
         }
         for m in value["members"].as_array().into_iter().flatten() {
             let Some(id) = m["id"].as_str() else { continue };
             if m["phase"] == "Gone" {
-                self.endpoints.remove(id);
+                self.discovered.remove(id);
             } else {
-                self.endpoints.insert(id.to_owned(), m.clone());
+                self.discovered.insert(id.to_owned(), m.clone());
             }
         }
         Some((revision, complete))
     }
 
-    pub(super) fn carry_out_relay(&mut self, hub: &Rc<Hub>, actions: Vec<Action>, now: f64) {
+    pub(super) fn perform_relay(&mut self, hub: &Rc<Hub>, actions: Vec<Action>, now: f64) {
         for action in actions {
             match action {
                 Action::OpenWatch | Action::CloseWatch => {
@@ -67,7 +70,7 @@
                         "fleet: its own watch {}",
                         if own { "opens" } else { "closes" }
                     );
-                    let who = self.me.name.clone();
+                    let who = self.identity.name.clone();
                     let value = if own { 1.0 } else { 0.0 };
                     self.write_history(
                         json!({"line": "counted", "t": now, "what": format!("watch {who}"), "value": value}),
@@ -76,8 +79,9 @@
                 }
                 Action::Broadcast(message) => {
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
-                    let zone =
-                        |m: &&members::Member| m.zone == self.me.zone && m.name != self.me.name;
+                    let zone = |m: &&members::Member| {
+                        m.zone == self.identity.zone && m.name != self.identity.name
+                    };
                     let to: Vec<_> = self
                         .members
                         .alive()
@@ -89,7 +93,7 @@
                 }
                 Action::Send { to, message } => {
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
-                    for at in self.addresses(&to) {
+                    for at in self.addresses_of(&to) {
                         self.links.send(at, Kind::Watch, body.clone());
                     }
                 }
@@ -97,7 +101,7 @@
                     let Some((relay, slot)) = &self.relay else {
                         continue;
                     };
-                    let members: Vec<&Value> = self.endpoints.values().collect();
+                    let members: Vec<&Value> = self.discovered.values().collect();
                     let revision = relay.revision();
                     let whole = json!({"revision": revision, "complete": true, "members": members});
                     let endpoints = whole.to_string().into_bytes();
@@ -109,7 +113,7 @@
                         endpoints,
                     };
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
-                    for at in self.addresses(&to) {
+                    for at in self.addresses_of(&to) {
                         self.links.send(at, Kind::Watch, body.clone());
                     }
                 }
@@ -123,8 +127,8 @@
                     let Ok(news) = decode_news(&value, &hub.names) else {
                         continue;
                     };
-                    self.merge_endpoints(&value);
-                    self.relayed += 1;
+                    self.merge_list(&value);
+                    self.relayed_updates += 1;
                     // Its own watch would go on from here.
                     hub.discovery.heard(revision);
                     hub.tell(Event::Endpoints(news));
@@ -133,9 +137,9 @@
         }
     }
 
-    pub(super) fn discovery_changed(&mut self, hub: &Rc<Hub>, line: Option<Value>, now: f64) {
+    pub(super) fn receive_update(&mut self, hub: &Rc<Hub>, line: Option<Value>, now: f64) {
         let list = line.and_then(|value| {
-            let (revision, complete) = self.merge_endpoints(&value)?;
+            let (revision, complete) = self.merge_list(&value)?;
             Some(DiscoveryUpdate {
                 revision,
                 complete,
@@ -151,6 +155,6 @@
             relay.receive_update(list, token, now, &mut actions);
             self.client.record_progress(*slot, now);
         }
-        self.carry_out_relay(hub, actions, now);
+        self.perform_relay(hub, actions, now);
     }
 }
--- a/crates/gateway/gateway/src/fleet/health.rs
+++ b/crates/gateway/gateway/src/fleet/health_checks.rs
@@ -1,20 +1,51 @@
-//! The role `probe`: complaints about servers, checks of them, and what was seen.
+//! Health checks of servers that someone complained of, by the owner of the server's slot.
 
-use super::{Fleet, FleetEvent, Work, CHECK_TIMEOUT};
+use crate::fleet::event::FleetEvent;
+use crate::fleet::work::Work;
+use crate::fleet::Fleet;
 use crate::hub::Hub;
 use crate::reducer::Event;
 use dunespur_peer_transport::Kind;
-use dunespur_singleton_roles::health_check::{self, Observation};
+use dunespur_singleton_roles::health_check;
+use dunespur_singleton_roles::health_check::Observation;
 use dunespur_singleton_roles::Slot;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::TcpStream;
 use xxhash_rust::xxh3::xxh3_64;
 
+/// A probe waits this long for a connection, and again for any answer.
+pub(super) const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Tries a server with a request that is no invocation: any answer at all tells that it lives.
+pub(super) async fn check_health(at: SocketAddr) -> Observation {
+    let Ok(Ok(stream)) = tokio::time::timeout(HEALTH_CHECK_TIMEOUT, TcpStream::connect(at)).await
+    else {
+        return Observation::Refused;
+    };
+    let answered = async {
+        let io = hyper_util::rt::TokioIo::new(stream);
+        let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.ok()?;
+        let request = hyper::Request::get("/").header("host", at.to_string());
+        let request = request
+            .body(http_body_util::Empty::<bytes::Bytes>::new())
+            .ok()?;
+        tokio::select! {
+            answer = sender.send_request(request) => answer.ok().map(|_| ()),
+            _ = connection => None,
+        }
+    };
+    match tokio::time::timeout(HEALTH_CHECK_TIMEOUT, answered).await {
+        Ok(Some(())) => Observation::Answered,
+        _ => Observation::Silent,
+    }
+}
+
 impl Fleet {
     pub(super) fn health_check_slot(&self, server: &str) -> Option<Slot> {
-        Fleet::slot_of_key(self.probes, xxh3_64(server.as_bytes()))
+        Fleet::shard_of(self.health_check_slots, xxh3_64(server.as_bytes()))
     }
 
     /// As the duty's holder: someone gave up on a server.
@@ -26,7 +57,7 @@
             return;
         };
         let listed = self
-            .endpoints
+            .discovered
             .values()
             .any(|m| m["host_port"] == server.as_str());
         // Evidence about a server that is not on the list is none.
@@ -37,10 +68,10 @@
             .health_checker
             .receive_complaint(from, &server, now, &self.plan.probe)
         {
-            let events = self.events.clone();
+            let tell = self.events.clone();
             tokio::task::spawn_local(async move {
-                let observation = probe(address).await;
-                let _ = events.send(FleetEvent::Probed {
+                let observation = check_health(address).await;
+                let _ = tell.send(FleetEvent::Probed {
                     server,
                     observation,
                 });
@@ -49,7 +80,7 @@
     }
 
     /// As the holder: the probe is over; all that are up hear of it, if this one still holds the duty.
-    pub(super) fn check_finished(
+    pub(super) fn finish_check(
         &mut self,
         hub: &Rc<Hub>,
         server: String,
@@ -99,38 +130,15 @@
                 health_check::Verdict::Unhealthy(pause) => (true, pause),
                 health_check::Verdict::Healthy(pause) => (false, pause),
             };
-            hub.tell(Event::Told {
+            hub.tell(Event::FleetVerdict {
                 address,
                 bad,
                 pause,
             });
         }
-        self.outcomes += 1;
+        self.observations += 1;
         ::log::info!("fleet: a probe of {server}: {observation:?}");
         let what = format!("probe {observation:?} {server}");
         self.write_history(json!({"line": "counted", "t": now, "what": what, "value": 1.0}));
     }
 }
-
-/// Tries a server with a request that is no invocation: any answer at all tells that it lives.
-async fn probe(at: SocketAddr) -> Observation {
-    let Ok(Ok(stream)) = tokio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(at)).await else {
-        return Observation::Refused;
-    };
-    let answered = async {
-        let io = hyper_util::rt::TokioIo::new(stream);
-        let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.ok()?;
-        let request = hyper::Request::get("/").header("host", at.to_string());
-        let request = request
-            .body(http_body_util::Empty::<bytes::Bytes>::new())
-            .ok()?;
-        tokio::select! {
-            answer = sender.send_request(request) => answer.ok().map(|_| ()),
-            _ = connection => None,
-        }
-    };
-    match tokio::time::timeout(CHECK_TIMEOUT, answered).await {
-        Ok(Some(())) => Observation::Answered,
-        _ => Observation::Silent,
-    }
-}
--- a/crates/gateway/gateway/src/fleet/tap.rs
+++ b/crates/gateway/gateway/src/fleet/observer.rs
@@ -1,34 +1,36 @@
-//! What the rest of the process shows the fleet: deliveries, calls to the counter, discovery's lines. It takes
-//! what passes by and holds nothing up.
+//! Observes what passes through the hub, for the health checks and the audit.
 
-use super::FleetEvent;
+use crate::fleet::event::FleetEvent;
 use crate::lending::BROKER;
-use crate::reducer::{Effect, Event};
-use dunespur_decisions::types::{Counted, Ending};
-use std::cell::{Cell, RefCell};
+use crate::reducer::Effect;
+use crate::reducer::Event;
+use dunespur_decisions::types::Counted;
+use dunespur_decisions::types::Ending;
+use std::cell::Cell;
+use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
+/// Reports that may wait for the fleet's task.
+pub(super) const MAX_QUEUED_REPORTS: usize = 4096;
+
 /// Listens to what passes through the hub. What the fleet can't take in time is dropped and counted: nothing
 /// that serves waits for it.
-pub struct Tap {
+pub struct HubObserver {
     to: mpsc::UnboundedSender<FleetEvent>,
-    waiting: Rc<Cell<usize>>,
+    pub(super) waiting: Rc<Cell<usize>>,
     dropped: Rc<Cell<u64>>,
     /// Deliveries and calls that are out.
     sent: RefCell<HashMap<(u64, usize), SocketAddr>>,
     calls: RefCell<HashMap<u64, (u64, f64)>>,
 }
 
-/// Reports that may wait for the fleet's task.
-const MAX_WAITING: usize = 4096;
-
-impl Tap {
+impl HubObserver {
     pub fn new(to: mpsc::UnboundedSender<FleetEvent>) -> Self {
         let (waiting, dropped) = (Rc::default(), Rc::default());
-        Tap {
+        HubObserver {
             to,
             waiting,
             dropped,
@@ -37,13 +39,8 @@
         }
     }
 
-    /// Reports that wait for the fleet's task; it counts them down.
-    pub fn waiting(&self) -> Rc<Cell<usize>> {
-        self.waiting.clone()
-    }
-
-    fn notify(&self, told: FleetEvent) {
-        if self.waiting.get() >= MAX_WAITING {
+    fn tell(&self, told: FleetEvent) {
+        if self.waiting.get() >= MAX_QUEUED_REPORTS {
             self.dropped.set(self.dropped.get() + 1);
         } else if self.to.send(told).is_ok() {
             self.waiting.set(self.waiting.get() + 1);
@@ -67,12 +64,12 @@
                     return;
                 };
                 match answered.ending {
-                    Ending::Timeout | Ending::ConnectFailed => self.notify(FleetEvent::Delivered {
+                    Ending::Timeout | Ending::ConnectFailed => self.tell(FleetEvent::Delivered {
                         server,
                         answered: false,
                     }),
                     Ending::Succeeded | Ending::Error | Ending::Full => {
-                        self.notify(FleetEvent::Delivered {
+                        self.tell(FleetEvent::Delivered {
                             server,
                             answered: true,
                         });
@@ -97,7 +94,7 @@
                 };
                 if *counted != Counted::Refused {
                     let answered = matches!(counted, Counted::Total(_));
-                    self.notify(FleetEvent::Counted {
+                    self.tell(FleetEvent::Counted {
                         name,
                         add,
                         answered,
--- a/crates/gateway/gateway/src/fleet/quota.rs
+++ b/crates/gateway/gateway/src/fleet/quota_broker.rs
@@ -1,16 +1,19 @@
-//! The role `lend`: requests to brokers, the broker of this process, and its answers.
+//! Leases that brokers grant in the counter's place: this process as a broker and as a borrower.
 
-use super::{Fleet, Work};
+use crate::fleet::work::Work;
+use crate::fleet::Fleet;
 use crate::hub::Hub;
 use crate::reducer::Event;
 use dunespur_peer_transport::Kind;
-use dunespur_quota_sharing::{self as quota_sharing, Answer, LeaseRequest};
+use dunespur_quota_sharing as quota_sharing;
+use dunespur_quota_sharing::Answer;
+use dunespur_quota_sharing::LeaseRequest;
 use dunespur_singleton_roles::Slot;
 use std::rc::Rc;
 
 impl Fleet {
     /// What the broker wants done; its answers under the token that it holds at this moment.
-    pub(super) fn carry_out_broker(&mut self, hub: &Rc<Hub>, now: f64) {
+    pub(super) fn drive_broker(&mut self, hub: &Rc<Hub>, now: f64) {
         while !self.broker_outputs.is_empty() {
             for o in std::mem::take(&mut self.broker_outputs) {
                 match o {
@@ -30,9 +33,9 @@
                             seq,
                             answer,
                         };
-                        if to == self.me.name {
-                            self.broker_answered(hub, msg, now);
-                        } else if let Some(at) = self.addresses(&to).first() {
+                        if to == self.identity.name {
+                            self.receive_lease_response(hub, msg, now);
+                        } else if let Some(at) = self.addresses_of(&to).first() {
                             let body = postcard::to_stdvec(&Work::Lend(msg)).unwrap_or_default();
                             self.links.send(*at, Kind::Work, body);
                         }
@@ -52,7 +55,12 @@
     }
 
     /// A broker's answer. One under an older token than was seen is refused; a no changes nothing.
-    pub(super) fn broker_answered(&mut self, hub: &Rc<Hub>, msg: quota_sharing::Message, now: f64) {
+    pub(super) fn receive_lease_response(
+        &mut self,
+        hub: &Rc<Hub>,
+        msg: quota_sharing::Message,
+        now: f64,
+    ) {
         let quota_sharing::Message::Response {
             slot,
             token,
@@ -64,7 +72,7 @@
             return;
         };
         let total = matches!(answer, Answer::Total(_));
-        let fits = run == self.me.run && (!total || self.fencing.accept(slot, token));
+        let fits = run == self.identity.run && (!total || self.fencing.accept(slot, token));
         let Some(lending) = self.lending.as_ref().filter(|_| fits) else {
             return;
         };
@@ -82,11 +90,11 @@
         request: LeaseRequest,
         now: f64,
     ) {
-        let (me, run) = (self.me.name.clone(), self.me.run);
+        let (me, run) = (self.identity.name.clone(), self.identity.run);
         if self.client.token(slot, now).is_some() {
             self.broker
                 .request(&me, run, slot, request, now, &mut self.broker_outputs);
-            return self.carry_out_broker(hub, now);
+            return self.drive_broker(hub, now);
         }
         let holder = self
             .client
@@ -94,7 +102,7 @@
             .get(&slot)
             .filter(|h| **h != me)
             .cloned();
-        match holder.and_then(|h| self.addresses(&h).first().copied()) {
+        match holder.and_then(|h| self.addresses_of(&h).first().copied()) {
             Some(at) => {
                 let work = Work::Lend(quota_sharing::Message::Request { slot, run, request });
                 self.links.send(
@@ -111,13 +119,13 @@
                     seq: request.seq,
                     answer: Answer::Unavailable,
                 };
-                self.broker_answered(hub, msg, now);
+                self.receive_lease_response(hub, msg, now);
             }
         }
     }
 
     /// Another limiter asks this one, or its broker answers.
-    pub(super) fn receive_quota_message(
+    pub(super) fn receive_lease_message(
         &mut self,
         hub: &Rc<Hub>,
         from: &str,
@@ -141,21 +149,21 @@
                         answer: Answer::Unavailable,
                     });
                 }
-                self.carry_out_broker(hub, now);
+                self.drive_broker(hub, now);
             }
-            told => self.broker_answered(hub, told, now),
+            told => self.receive_lease_response(hub, told, now),
         }
     }
 
     /// Which slots have a holder that is known here.
-    pub(super) fn update_known_brokers(&self, now: f64) {
+    pub(super) fn publish_known_slots(&self, now: f64) {
         let Some(lending) = &self.lending else { return };
         let held = self.client.assignments(now).map(|held| held.slot);
         let known = self
             .client
             .owners()
             .iter()
-            .filter(|h| *h.1 != self.me.name)
+            .filter(|h| *h.1 != self.identity.name)
             .map(|h| *h.0);
         *lending.known.borrow_mut() = held.chain(known).collect();
     }
--- a/crates/gateway/gateway/src/fleet/outputs.rs
+++ b/crates/gateway/gateway/src/fleet/role_messages.rs
@@ -1,21 +1,23 @@
-//! Carries out what the state machines of roles and membership want.
+//! Carries out what the state machines of the singleton roles ask for, and gives them their messages.
 
-use super::Fleet;
-use dunespur_gossip_membership::{self as members, DuplicateName};
+use crate::fleet::Fleet;
 use dunespur_peer_transport::Kind;
-use dunespur_singleton_roles::{Message, Output, Severity};
+use dunespur_singleton_roles::Message;
+use dunespur_singleton_roles::Output;
+use dunespur_singleton_roles::Severity;
+use dunespur_singleton_roles::Slot;
 use serde_json::json;
 
 impl Fleet {
-    pub(super) fn carry_out(&mut self, out: Vec<Output>, now: f64) {
+    pub(super) fn perform(&mut self, out: Vec<Output>, now: f64) {
         let mut own = Vec::new();
         for o in out {
-            let (who, run) = (self.me.name.clone(), self.me.run);
+            let (who, run) = (self.identity.name.clone(), self.identity.run);
             match o {
-                Output::Send { to, message } if to == self.me.name => own.push(message),
+                Output::Send { to, message } if to == self.identity.name => own.push(message),
                 Output::Send { to, message } => {
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
-                    for at in self.addresses(&to) {
+                    for at in self.addresses_of(&to) {
                         self.links.send(at, Kind::SingletonRoles, body.clone());
                     }
                 }
@@ -26,14 +28,14 @@
                 }
                 Output::Tokens(tokens) => self.fencing.initialize(&tokens),
                 Output::Acquired { slot, token } => {
-                    self.began += 1;
+                    self.roles_acquired += 1;
                     let info = self.plan.roles.slot_info(slot);
                     let (role, shard) = (info.role, info.shard);
                     ::log::info!("fleet: begins {role} {shard} under {token}");
                     self.write_history(json!({"line": "began", "t": now, "who": who, "run": run, "slot": slot, "token": token}));
                 }
                 Output::Lost { slot, token } => {
-                    self.ended += 1;
+                    self.roles_lost += 1;
                     if self.plan.roles.slot_info(slot).role == "probe" {
                         self.health_checker.clear();
                     } else if self.plan.roles.slot_info(slot).role == "audit" {
@@ -63,7 +65,7 @@
             }
         }
         for message in own {
-            self.receive_role_message(self.me.name.clone(), message, now);
+            self.receive_role_message(self.identity.name.clone(), message, now);
         }
     }
 
@@ -73,7 +75,7 @@
         let mut renewed = None;
         match &message {
             Message::Renewed { response, run } => {
-                renewed = (*run == self.me.run).then_some((response.seq, response.index));
+                renewed = (*run == self.identity.run).then_some((response.seq, response.index));
                 self.client.receive(&from, message, now, &mut out);
             }
             Message::NotLeader { .. }
@@ -89,44 +91,23 @@
         }
         if let Some((seq, index)) = renewed.filter(|_| self.history.is_some()) {
             if let Some(asked) = self.client.granted_renewal_sent_at(seq) {
-                let who = self.me.name.clone();
+                let who = self.identity.name.clone();
                 self.write_history(
                     json!({"line": "told", "asked": asked, "t": now, "who": who, "index": index}),
                 );
             }
         }
-        self.carry_out(out, now);
+        self.perform(out, now);
     }
 
-    pub(super) fn carry_out_membership(&mut self, out: Vec<members::Output>, now: f64) {
-        for o in out {
-            match o {
-                members::Output::Datagram { to, bytes } => {
-                    self.links.send_datagram(to, Kind::Gossip, bytes)
-                }
-                members::Output::Up(m) => ::log::info!("fleet: {} is up at {}", m.name, m.address),
-                members::Output::Down(m) => {
-                    ::log::info!("fleet: {} at {} is gone", m.name, m.address)
-                }
-                members::Output::DuplicateName(duplicate) => {
-                    let DuplicateName {
-                        name,
-                        first_instance,
-                        second_instance,
-                    } = duplicate;
-                    let text = format!("two living processes have the name {name}");
-                    ::log::error!(
-                        "fleet: {text} (runs {first_instance:x} and {second_instance:x})"
-                    );
-                    let who = self.me.name.clone();
-                    self.write_history(
-                        json!({"line": "report", "t": now, "who": who, "loud": true, "text": text}),
-                    );
-                }
-                members::Output::Stalled { seconds } => {
-                    ::log::warn!("fleet: this process was stalled for {seconds:.1} s")
-                }
-            }
-        }
+    /// The receiver's check, whatever the effect.
+    pub(super) fn accept_token(&mut self, from: &str, slot: Slot, token: u64, now: f64) -> bool {
+        let took = self.fencing.accept(slot, token);
+        let line = if took { "accepted" } else { "refused" };
+        let at = self.identity.name.clone();
+        self.write_history(
+            json!({"line": line, "t": now, "at": at, "who": from, "slot": slot, "token": token}),
+        );
+        took
     }
 }
--- a/crates/gateway/gateway/src/fleet/open.rs
+++ b/crates/gateway/gateway/src/fleet/setup.rs
@@ -1,38 +1,56 @@
-//! Opens what the plan names: the voter's disk, the links, the history, the relay.
+//! Opens what the plan names: the voter's disk, the links to peers, the relay of discovery.
 
-use super::{clock, Disk, Fleet, FleetEvent, MAX_SHARDS};
+use crate::clock::clock;
 use crate::fault::Fault;
-use crate::lending::{Lending, BROKER};
+use crate::fleet::event::FleetEvent;
+use crate::fleet::Fleet;
+use crate::fleet::MAX_TRACKED_SHARDS;
+use crate::lending::Lending;
+use crate::lending::BROKER;
 use crate::operators::Plan;
-use dunespur_gossip_membership::{self as members, Membership};
-use dunespur_peer_transport::{Received, Transport};
+use dunespur_gossip_membership as members;
+use dunespur_gossip_membership::Membership;
+use dunespur_peer_transport::Received;
+use dunespur_peer_transport::Transport;
 use dunespur_quota_sharing::Broker;
-use dunespur_singleton_roles::audit::{Auditor, UsageTally};
+use dunespur_singleton_roles::audit::Auditor;
+use dunespur_singleton_roles::audit::UsageTally;
 use dunespur_singleton_roles::client::RoleClient;
 use dunespur_singleton_roles::discovery_relay::Relay;
 use dunespur_singleton_roles::fencing::FencingCheck;
-use dunespur_singleton_roles::health_check::{HealthChecker, ServerExperience};
+use dunespur_singleton_roles::health_check::HealthChecker;
+use dunespur_singleton_roles::health_check::ServerExperience;
 use dunespur_singleton_roles::records::WriteBatch;
 use dunespur_singleton_roles::voter::Voter;
-use dunespur_singleton_roles::{Identity, Output, Slot};
-use dunespur_voter_storage::{OpenedVoter, VoterStorage};
+use dunespur_singleton_roles::Identity;
+use dunespur_singleton_roles::Output;
+use dunespur_singleton_roles::Slot;
+use dunespur_voter_storage::OpenedVoter;
+use dunespur_voter_storage::VoterStorage;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
+use std::time::SystemTime;
+use std::time::UNIX_EPOCH;
 use tokio::sync::mpsc;
 
+pub(super) enum DiskResult {
+    Saved(u64),
+    Failed(String),
+}
+
 /// A voter's state machine, and the way of its writes to the disk.
-type OpenVoter = (Voter, std::sync::mpsc::Sender<WriteBatch>);
+pub(super) type OpenVoter = (Voter, std::sync::mpsc::Sender<WriteBatch>);
 
 /// The voter that this limiter is, if it is one; a thread of its own does the writes.
-fn open_voter(
+pub(super) fn open_voter(
     plan: &Plan,
     name: &str,
     seed: u64,
     now: f64,
-    saved: mpsc::UnboundedSender<Disk>,
+    saved: mpsc::UnboundedSender<DiskResult>,
     out: &mut Vec<Output>,
 ) -> Result<Option<OpenVoter>, Fault> {
     let votes = plan.voters.iter().any(|v| v.0 == name);
@@ -53,28 +71,28 @@
 }
 
 /// Writes what comes, in order, and says so; the first write that fails is the last.
-fn write_batches(
+pub(super) fn write_batches(
     storage: VoterStorage,
     batches: std::sync::mpsc::Receiver<WriteBatch>,
     slow: Option<PathBuf>,
-    saved: mpsc::UnboundedSender<Disk>,
+    saved: mpsc::UnboundedSender<DiskResult>,
 ) {
     for batch in batches {
         let by = slow.as_ref().and_then(|p| std::fs::read_to_string(p).ok());
         let by = by.and_then(|t| t.trim().parse::<f64>().ok()).unwrap_or(0.0);
         std::thread::sleep(Duration::try_from_secs_f64(by).unwrap_or_default());
         let said = match storage.write(&batch) {
-            Ok(()) => Disk::Saved(batch.number),
-            Err(e) => Disk::Failed(e.to_string()),
+            Ok(()) => DiskResult::Saved(batch.number),
+            Err(e) => DiskResult::Failed(e.to_string()),
         };
-        let failed = matches!(said, Disk::Failed(_));
+        let failed = matches!(said, DiskResult::Failed(_));
         if saved.send(said).is_err() || failed {
             return;
         }
     }
 }
 
-async fn open_links(
+pub(super) async fn open_links(
     plan: &Plan,
     name: &str,
     inbox: mpsc::Sender<Received>,
@@ -92,7 +110,9 @@
         .map_err(|e| Fault::Config(format!("fleet.listen: {}: {e}", plan.listen)))
 }
 
-fn open_history(plan: &Plan) -> Result<Option<std::io::BufWriter<std::fs::File>>, Fault> {
+pub(super) fn open_history(
+    plan: &Plan,
+) -> Result<Option<std::io::BufWriter<std::fs::File>>, Fault> {
     let Some(path) = &plan.trial.history else {
         return Ok(None);
     };
@@ -105,7 +125,7 @@
 }
 
 /// The relay of discovery's list within the zone, and the slot it goes by.
-fn open_relay(plan: &Plan, now: f64) -> Option<(Relay, Slot)> {
+pub(super) fn open_relay(plan: &Plan, now: f64) -> Option<(Relay, Slot)> {
     let zone = plan
         .roles
         .zones
@@ -117,8 +137,8 @@
         .slots_of("watch")
         .filter(|range| zone < range.count)
         .map(|range| range.first + zone);
-    let part = fastrand::f64();
-    slot.map(|slot| (Relay::new(plan.watch.clone(), slot, 0, part, now), slot))
+    let jitter = fastrand::f64();
+    slot.map(|slot| (Relay::new(plan.watch.clone(), slot, 0, jitter, now), slot))
 }
 
 impl Fleet {
@@ -129,14 +149,14 @@
         seed: u64,
         inbox: mpsc::Sender<Received>,
         events: mpsc::UnboundedSender<FleetEvent>,
-    ) -> Result<(Self, mpsc::UnboundedReceiver<Disk>), Fault> {
+    ) -> Result<(Self, mpsc::UnboundedReceiver<DiskResult>), Fault> {
         let now = clock();
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let wall = ((wall.as_secs_f64() + plan.trial.wall).max(0.0) * 1e3) as u64;
         let run = seed ^ (wall << 20) ^ u64::from(std::process::id());
-        let me = Identity {
+        let identity = Identity {
             name: name.clone(),
             run,
             zone: plan.zone.clone(),
@@ -167,28 +187,30 @@
         let lends = plan
             .roles
             .slots_of("lend")
-            .map(|range| range.truncated(MAX_SHARDS))
+            .map(|range| range.truncated(MAX_TRACKED_SHARDS))
             .filter(|range| range.count > 0);
         let lending = lends.map(|range| Lending::new(&plan.lend, range, events.clone()));
-        let probes = plan.roles.slots_of("probe").filter(|range| range.count > 0);
-        let audits = plan.roles.slots_of("audit").filter(|range| range.count > 0);
-        let lookups = [probes, audits, lends].into_iter().flatten();
+        let health_check_slots = plan.roles.slots_of("probe").filter(|range| range.count > 0);
+        let audit_slots = plan.roles.slots_of("audit").filter(|range| range.count > 0);
+        let lookups = [health_check_slots, audit_slots, lends]
+            .into_iter()
+            .flatten();
         let lookups = lookups
-            .flat_map(|range| range.truncated(MAX_SHARDS).slots())
+            .flat_map(|range| range.truncated(MAX_TRACKED_SHARDS).slots())
             .collect();
         let mut fleet = Fleet {
             members: Membership::new(plan.members.clone(), member, seed, now),
-            client: RoleClient::new(plan.roles.clone(), me.clone(), lookups, now),
+            client: RoleClient::new(plan.roles.clone(), identity.clone(), lookups, now),
             fencing: FencingCheck::new(plan.roles.slots()),
-            probes,
-            audits,
+            health_check_slots,
+            audit_slots,
             plan,
-            me,
+            identity,
             links,
             voter,
             relay,
             disk,
-            endpoints: BTreeMap::new(),
+            discovered: BTreeMap::new(),
             addresses: BTreeMap::new(),
             history,
             experience: ServerExperience::default(),
@@ -198,18 +220,20 @@
             next_audit: now,
             broker,
             lending,
-            audited: [0; 3],
-            outcomes: 0,
+            audit_results: [0; 3],
+            observations: 0,
             broker_outputs: Vec::new(),
             events,
-            next_effect: now,
-            next_target: 0,
-            began: 0,
-            ended: 0,
-            relayed: 0,
+            next_trial_effect: now,
+            trial_turn: 0,
+            roles_acquired: 0,
+            roles_lost: 0,
+            relayed_updates: 0,
         };
-        fleet.write_history(json!({"line": "started", "t": now, "who": fleet.me.name, "run": run}));
-        fleet.carry_out(out, now);
+        fleet.write_history(
+            json!({"line": "started", "t": now, "who": fleet.identity.name, "run": run}),
+        );
+        fleet.perform(out, now);
         Ok((fleet, saved_rx))
     }
 }
--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -1,6 +1,7 @@
 //! Starts the gateway and ends it. Owns the configuration, the signals and the exit. It must never touch an
 //! invocation, and never report ready before clients can be served.
 
+mod clock;
 mod counter;
 mod discovery;
 mod fault;
@@ -15,7 +16,8 @@
 mod stats;
 mod upstream;
 
-pub use crate::fleet::{clock, Work};
+pub use crate::clock::clock;
+pub use crate::fleet::Work;
 
 use crate::fault::Fault;
 use crate::hub::{Clock, Hub};
--- a/crates/testing/emulator/src/client/call.rs
+++ b/crates/testing/emulator/src/client/call.rs
@@ -1,4 +1,4 @@
-//! One call on a connection of its own, as servers, operator and platform make them.
+//! Single calls on connections of their own, as servers, operator and platform make them.
 
 use crate::wire::{name, request_bytes, Headers, MessageReader, RequestHead, WireError};
 use bytes::Bytes;
@@ -9,21 +9,21 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// What is asked.
+/// A request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The method.
+    /// HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// The headers, in their order.
+    /// Headers beside `Host`, `Connection` and the body's length.
     pub headers: Headers,
-    /// The body; may be empty.
+    /// Body; empty for none.
     pub body: Bytes,
 }
 
 impl Call {
-    /// A GET without a body.
+    /// A call without a body.
     pub fn get(target: impl Into<String>) -> Call {
         Call {
             method: "GET",
@@ -45,26 +45,26 @@
     }
 }
 
-/// What came back.
+/// The response to a call.
 #[derive(Clone, Debug)]
 pub struct CallAnswer {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
-    /// The headers, in their order.
+    /// Headers of the response.
     pub headers: Headers,
-    /// The complete body.
+    /// Complete body of the response.
     pub body: Bytes,
 }
 
-/// Why nothing came back.
+/// Why a call had no response.
 #[derive(Clone, Debug)]
 pub enum CallError {
-    /// No connection came up.
+    /// The connection was refused or could not be opened.
     NoConnection(std::io::ErrorKind),
-    /// The connection ended or brought what is no answer.
+    /// The response was not a complete HTTP message.
     Broken(WireError),
-    /// No answer in time.
-    Silence,
+    /// No complete response came in time.
+    Timeout,
 }
 
 impl fmt::Display for CallError {
@@ -72,28 +72,29 @@
         match self {
             CallError::NoConnection(kind) => write!(f, "no connection: {kind}"),
             CallError::Broken(error) => write!(f, "{error}"),
-            CallError::Silence => write!(f, "no answer in time"),
+            CallError::Timeout => write!(f, "no answer in time"),
         }
     }
 }
 
 impl std::error::Error for CallError {}
 
-/// Calls `address` and reads the whole answer, within `limit`.
+/// Calls `address` and reads the complete response, within `limit`.
 ///
 /// # Errors
-/// No connection, a broken answer, or none within `limit`.
+///
+/// [`CallError`] where no connection could be opened, the response was no complete message, or `limit` passed.
 pub async fn call(
     address: SocketAddr,
-    what: &Call,
+    request: &Call,
     limit: Duration,
 ) -> Result<CallAnswer, CallError> {
-    timeout(limit, exchange(address, what))
+    timeout(limit, exchange(address, request))
         .await
-        .unwrap_or(Err(CallError::Silence))
+        .unwrap_or(Err(CallError::Timeout))
 }
 
-async fn exchange(address: SocketAddr, what: &Call) -> Result<CallAnswer, CallError> {
+async fn exchange(address: SocketAddr, request: &Call) -> Result<CallAnswer, CallError> {
     let stream = TcpStream::connect(address)
         .await
         .map_err(|error| CallError::NoConnection(error.kind()))?;
@@ -101,15 +102,15 @@
     let mut headers = Headers::new()
         .with(name::HOST, address.to_string())
         .with(name::CONNECTION, "close");
-    headers.0.extend(what.headers.0.iter().cloned());
+    headers.0.extend(request.headers.0.iter().cloned());
     let head = RequestHead {
-        method: what.method.to_owned(),
-        target: what.target.clone(),
+        method: request.method.to_owned(),
+        target: request.target.clone(),
         headers,
     };
     let failed = |error: std::io::Error| CallError::Broken(WireError::Failed(error.kind()));
     write
-        .write_all(&request_bytes(&head, &what.body))
+        .write_all(&request_bytes(&head, &request.body))
         .await
         .map_err(failed)?;
     let mut reader = MessageReader::new(read);
--- a/crates/testing/emulator/src/client/request.rs
+++ b/crates/testing/emulator/src/client/request.rs
@@ -1,29 +1,29 @@
-//! What a client wants.
+//! Requests, as a client describes them.
 
 use crate::digest::Digest;
 use crate::identity::RequestId;
-use crate::record::ProgramTry;
+use crate::record::ProgramAttempt;
 use crate::wire::{name, Headers, RequestHead};
 use bytes::Bytes;
 
-/// What a request is, as its route says.
+/// Kind of a request, as its route defines it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Changes nothing: it may run any number of times.
+    /// Changes nothing: may run any number of times.
     ReadOnly,
-    /// Changes something: it may run once.
+    /// Changes something: may run at most once.
     Mutating,
-    /// A turn of a program, answered by events.
+    /// A turn, answered by a stream of events.
     Streaming {
-        /// The client may take the answer up again after a break.
+        /// Whether a client may resume the stream after its last event.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// Whether a try may run more than once, and the client may try again after any failure.
+    /// Whether a request may run more than once, so that the client may retry after any failure.
     #[must_use]
-    pub fn repeatable(self) -> bool {
+    pub fn idempotent(self) -> bool {
         matches!(self, Kind::ReadOnly | Kind::Streaming { resumable: true })
     }
 }
@@ -31,62 +31,62 @@
 /// The headers of a program's turn.
 #[derive(Clone, Debug, Default)]
 pub struct Turn {
-    /// The model that is to answer.
+    /// Name of the model.
     pub model: String,
-    /// Tokens of the prompt.
+    /// Tokens of the whole prompt.
     pub prompt_tokens: u64,
-    /// The most tokens that may be generated.
-    pub most: u64,
-    /// Value of the header that lists the parts of the prompt.
+    /// Most tokens that the turn may generate.
+    pub max_tokens: u64,
+    /// Value of the header that lists the prompt's segments.
     pub prefix: String,
     /// Tokens in one event.
     pub chunk_tokens: u64,
-    /// The program's token budget.
+    /// Token budget of the program; none for calls of tools.
     pub budget: Option<u64>,
-    /// The turn that this one goes on from.
+    /// The turn that this one continues, where the system stores turns.
     pub previous: Option<RequestId>,
 }
 
-/// A request that a client wants answered.
+/// A request that a client sends, with its limits.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// The host that is asked.
+pub struct RequestSpec {
+    /// Value of `Host`.
     pub host: String,
-    /// The method.
+    /// HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// What the route of the target allows.
+    /// Kind of its route: decides whether a retry may follow.
     pub kind: Kind,
-    /// The body; may be empty.
+    /// Body as the client sends it.
     pub body: Bytes,
-    /// What a server is to get for the body; nothing where it is not compared.
+    /// Digest of the body that a server is to receive; `None` where it is not compared.
     pub expected: Option<Digest>,
-    /// The client waits for the answer so long, in milliseconds.
+    /// Time for all attempts together, in milliseconds.
     pub deadline_ms: u64,
-    /// Time within which the first event is wanted, and the longest pause between two.
+    /// Latency target to the first event, in milliseconds.
     pub target_ms: u64,
-    /// The longest pause between two events that serves the client, in milliseconds.
-    pub pause_ms: u64,
-    /// Tries beyond the first.
+    /// Longest gap wanted between two events, in milliseconds.
+    pub max_gap_ms: u64,
+    /// Attempts beyond the first.
     pub retries: u32,
-    /// The program that it belongs to.
+    /// Id of the agent program, if one sends it.
     pub program: Option<String>,
-    /// The session within the program.
+    /// Id of the program's session.
     pub session: Option<String>,
-    /// Time left until the program should end, in milliseconds.
+    /// Time that is left to the program, in milliseconds.
     pub finish_ms: Option<u64>,
-    /// What a turn of a program says beside.
+    /// Headers of a turn; none for other requests.
     pub turn: Option<Turn>,
     /// Further headers.
     pub headers: Headers,
 }
 
-impl Ask {
+impl RequestSpec {
     /// A request with no body on a plain route.
     #[must_use]
-    pub fn get(host: &str, target: &str) -> Ask {
-        Ask {
+    pub fn get(host: &str, target: &str) -> RequestSpec {
+        RequestSpec {
             host: host.to_owned(),
             method: "GET",
             target: target.to_owned(),
@@ -95,7 +95,7 @@
             expected: Some(Digest::of(b"")),
             deadline_ms: 5_000,
             target_ms: 200,
-            pause_ms: 300,
+            max_gap_ms: 300,
             retries: 1,
             program: None,
             session: None,
@@ -106,15 +106,15 @@
     }
 
     /// A request with a body.
-    pub fn post(host: &str, target: &str, kind: Kind, body: impl Into<Bytes>) -> Ask {
+    pub fn post(host: &str, target: &str, kind: Kind, body: impl Into<Bytes>) -> RequestSpec {
         let body = body.into();
         let expected = Some(Digest::of(&body));
-        Ask {
+        RequestSpec {
             method: "POST",
             kind,
             body,
             expected,
-            ..Ask::get(host, target)
+            ..RequestSpec::get(host, target)
         }
     }
 
@@ -144,13 +144,13 @@
         }
     }
 
-    pub(super) fn program_try(&self) -> Option<ProgramTry> {
+    pub(super) fn program_attempt(&self) -> Option<ProgramAttempt> {
         let program = self.program.clone()?;
         let turn = self.turn.clone().unwrap_or_default();
-        Some(ProgramTry {
+        Some(ProgramAttempt {
             program,
             budget: turn.budget,
-            most: turn.most,
+            max_tokens: turn.max_tokens,
             chunk_tokens: turn.chunk_tokens,
             previous: turn.previous,
         })
@@ -162,7 +162,7 @@
         headers.push(name::MODEL, self.model.clone());
         headers.push(
             name::TOKEN_COUNT,
-            format!("{},{}", self.prompt_tokens, self.most),
+            format!("{},{}", self.prompt_tokens, self.max_tokens),
         );
         headers.push(name::PROMPT_PREFIX, self.prefix.clone());
         if let Some(budget) = self.budget {
--- a/crates/testing/emulator/src/configuration.rs
+++ b/crates/testing/emulator/src/configuration.rs
@@ -3,91 +3,91 @@
 use crate::client::Kind;
 use serde_json::{json, Value};
 
-/// A configuration that is to be sent.
+/// A configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigurationPlan {
-    /// Its version.
+    /// Version; each accepted configuration has a higher one.
     pub generation: u64,
-    /// The routes, in order.
+    /// Routes, matched by host and longest path prefix.
     pub routes: Vec<RoutePlan>,
-    /// The services.
+    /// Services that routes lead to.
     pub services: Vec<ServicePlan>,
-    /// Bounds of what clients send.
+    /// Limits of what clients may send.
     pub limits: LimitsPlan,
 }
 
 /// A route.
 #[derive(Clone, Debug)]
 pub struct RoutePlan {
-    /// Its name, by which patches replace it.
+    /// Name, unique among routes.
     pub name: String,
-    /// The host that it matches.
+    /// Host that the route is for.
     pub host: String,
-    /// What the path has to begin with.
+    /// Beginning of the paths that the route is for.
     pub path_prefix: String,
-    /// What its requests may do.
+    /// Kind of its requests.
     pub kind: Kind,
-    /// Time for a request, in milliseconds.
+    /// Longest that a request may take, in milliseconds.
     pub timeout_ms: u64,
-    /// Latency target, in milliseconds.
+    /// Latency target to the first event or the response, in milliseconds.
     pub target_ms: u64,
-    /// Requests of a lesser one are more urgent.
+    /// Priority under load; 0 is the most urgent.
     pub priority: u8,
-    /// The services that it sends to.
-    pub backends: Vec<Share>,
-    /// Attempts that a gateway makes beyond the first.
+    /// Services that share the route's requests.
+    pub backends: Vec<WeightedBackend>,
+    /// Most retries by the gateway.
     pub retries: u32,
-    /// Whether the system keeps its turns.
+    /// Whether the system stores the turns.
     pub persisted: bool,
-    /// How long turns are kept, in seconds.
+    /// How long a stored turn is retained, in seconds.
     pub retention_s: f64,
-    /// Target of the pause between two events, in milliseconds.
-    pub gap_aim_ms: u64,
+    /// Longest gap wanted between two events, in milliseconds; `gap_aim_ms` on the wire.
+    pub gap_target_ms: u64,
 }
 
-/// A service's share of a route.
+/// A service that takes a weighted share of a route's requests.
 #[derive(Clone, Debug)]
-pub struct Share {
-    /// The service.
+pub struct WeightedBackend {
+    /// Name of the service.
     pub backend: String,
-    /// Its part of the sum of all weights.
+    /// Relative weight; 0 for none of the requests.
     pub weight: u64,
 }
 
 /// A service.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
-    /// Its name.
+    /// Name, by which routes refer to it.
     pub name: String,
-    /// Connections that a server takes.
+    /// Most connections to one server, from all gateways together.
     pub max_conns: u32,
-    /// For model servers, what they hold.
+    /// Present for services of model servers.
     pub engine: Option<EnginePlan>,
 }
 
 /// The model servers of a service.
 #[derive(Clone, Debug)]
 pub struct EnginePlan {
-    /// Requests that a server runs side by side.
+    /// Requests that one server runs at once.
     pub slots: u32,
-    /// Tokens that its KV cache holds.
+    /// Tokens that a server's KV cache holds.
     pub kv_capacity: u64,
     /// Tokens in one event.
     pub chunk_tokens: u64,
-    /// Names of the models that it serves.
+    /// Names of the models served.
     pub models: Vec<String>,
 }
 
-/// Bounds of what clients send.
+/// Limits of what clients may send.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitsPlan {
-    /// Of a request's head.
+    /// Most bytes of a request's head.
     pub max_header_bytes: u64,
-    /// Of a request's body.
+    /// Most bytes of a request's body.
     pub max_body_bytes: u64,
-    /// Time for a request's head, in milliseconds.
+    /// Longest that a head may take to arrive, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time that a connection may stand idle, in milliseconds.
+    /// Longest that a connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -114,14 +114,14 @@
             timeout_ms: 5_000,
             target_ms: 200,
             priority: 0,
-            backends: vec![Share {
+            backends: vec![WeightedBackend {
                 backend: backend.to_owned(),
                 weight: 1,
             }],
             retries: 1,
             persisted: false,
             retention_s: 60.0,
-            gap_aim_ms: 300,
+            gap_target_ms: 300,
         }
     }
 
@@ -140,12 +140,12 @@
         });
         match self.backends.as_slice() {
             [only] => route["backend"] = json!(only.backend),
-            shares => {
-                let shares: Vec<Value> = shares
+            candidates => {
+                let candidates: Vec<Value> = candidates
                     .iter()
-                    .map(|share| json!({ "backend": share.backend, "weight": share.weight }))
+                    .map(|candidate| json!({ "backend": candidate.backend, "weight": candidate.weight }))
                     .collect();
-                route["backends"] = json!(shares);
+                route["backends"] = json!(candidates);
             }
         }
         if let Kind::Streaming { resumable } = self.kind {
@@ -153,7 +153,7 @@
             route["retention_s"] = json!(self.retention_s);
             route["sticky"] = json!(true);
             route["resumable"] = json!(resumable);
-            route["gap_aim_ms"] = json!(self.gap_aim_ms);
+            route["gap_aim_ms"] = json!(self.gap_target_ms);
         }
         route
     }
@@ -215,7 +215,7 @@
         }
     }
 
-    /// The whole configuration as the operator sends it.
+    /// The complete configuration as the operator sends it.
     pub fn json(&self) -> Value {
         json!({
             "generation": self.generation,
--- a/crates/testing/emulator/src/engine/batch.rs
+++ b/crates/testing/emulator/src/engine/batch.rs
@@ -1,21 +1,21 @@
-//! The batch of a model server: a state machine without clock. The owner asks for the next step, waits as long as
-//! the step takes, and has it finished.
+//! Continuous batching of a model server: a state machine without a clock. The owner begins a step, waits as long as
+//! it takes, and finishes it.
 
 use super::memory::Memory;
 use super::prompt::Prompt;
 use std::collections::VecDeque;
 
-/// How fast a server is. Times in microseconds.
+/// Durations of the parts of a step.
 #[derive(Clone, Copy, Debug)]
 pub struct Speeds {
-    /// A step with nothing to read.
+    /// Duration of a step without prefill, in microseconds.
     pub step_us: u64,
-    /// More for each request that runs.
+    /// Additional duration for each running request, in microseconds.
     pub per_running_us: u64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens prefilled in a millisecond.
     pub read_per_ms: f64,
-    /// The most prompt tokens read in one step.
-    pub piece_tokens: u64,
+    /// Most prompt tokens prefilled in one step.
+    pub prefill_chunk_tokens: u64,
 }
 
 impl Default for Speeds {
@@ -24,44 +24,44 @@
             step_us: 5_470,
             per_running_us: 120,
             read_per_ms: 38.7,
-            piece_tokens: 512,
+            prefill_chunk_tokens: 512,
         }
     }
 }
 
-/// Names a request in the batch.
+/// Identifies a request in the batch; rises with each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// The request can't be taken: as though the server were full.
+/// The queue is full, or the request could never fit the memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full;
 
-/// What a step gave one request.
+/// One more token for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Produced {
-    /// Whose tokens they are.
+    /// The request.
     pub ticket: Ticket,
     /// Tokens generated so far.
     pub generated: u64,
-    /// Whether that was the last one.
+    /// Whether the request has ended with it.
     pub last: bool,
 }
 
-/// A request that waits or runs.
+/// A waiting or running request.
 #[derive(Clone, Debug)]
 struct Request {
     ticket: Ticket,
     prompt: Prompt,
-    /// Tokens of the prompt still to be read.
+    /// Tokens of the prompt that are still to be prefilled.
     to_read: u64,
-    /// Tokens generated since it was let in last.
-    since_let_in: u64,
+    /// Tokens generated since its last admission.
+    since_admission: u64,
     /// Tokens generated in all.
     generated: u64,
 }
 
-/// Waiting and running requests with the memory that they share.
+/// Waiting and running requests and their memory.
 #[derive(Debug)]
 pub struct Batch {
     speeds: Speeds,
@@ -71,13 +71,13 @@
     waiting: VecDeque<Request>,
     running: Vec<Request>,
     tickets: u64,
-    tokens_read: u64,
-    tokens_asked: u64,
+    prompt_tokens_prefilled: u64,
+    prompt_tokens_admitted: u64,
     preempted: u64,
 }
 
 impl Batch {
-    /// An empty batch of so many slots and places to wait.
+    /// An empty batch of at most `slots` requests, with a queue of `queue` more.
     #[must_use]
     pub fn new(speeds: Speeds, slots: usize, queue: usize, memory: Memory) -> Batch {
         Batch {
@@ -88,19 +88,20 @@
             waiting: VecDeque::new(),
             running: Vec::new(),
             tickets: 0,
-            tokens_read: 0,
-            tokens_asked: 0,
+            prompt_tokens_prefilled: 0,
+            prompt_tokens_admitted: 0,
             preempted: 0,
         }
     }
 
-    /// A request comes in and waits for the next step.
+    /// Adds a request to the queue; the next step may admit it.
     ///
     /// # Errors
-    /// No place is left to wait.
+    ///
+    /// [`Full`] where the queue is full or the prompt could never fit the memory.
     pub fn enqueue(&mut self, prompt: Prompt) -> Result<Ticket, Full> {
         let free = self.slots.saturating_sub(self.running.len());
-        let too_large = prompt.tokens() + prompt.most > self.memory.total();
+        let too_large = prompt.tokens() + prompt.max_tokens > self.memory.total();
         if too_large || self.waiting.len() >= self.queue + free {
             return Err(Full);
         }
@@ -110,14 +111,14 @@
             ticket,
             prompt,
             to_read: 0,
-            since_let_in: 0,
+            since_admission: 0,
             generated: 0,
         };
         self.insert_waiting(request);
         Ok(ticket)
     }
 
-    /// A request's caller has left, or its time is over.
+    /// Removes a request whose caller has disconnected or whose deadline has passed.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.waiting.retain(|request| request.ticket != ticket);
         if let Some(index) = self
@@ -130,18 +131,18 @@
         }
     }
 
-    /// Begins a step: lets requests in and reads prompts. How long it takes, in microseconds; `None` when idle.
+    /// Begins a step: admits requests and prefills prompts. Returns its duration in microseconds; `None` when idle.
     pub fn begin_step(&mut self) -> Option<u64> {
-        self.let_in();
+        self.admit();
         if self.running.is_empty() {
             return None;
         }
-        let read = self.read_piece();
+        let read = self.prefill_chunk();
         let reading = (read as f64 * 1_000.0 / self.speeds.read_per_ms) as u64;
         Some(self.speeds.step_us + self.speeds.per_running_us * self.running.len() as u64 + reading)
     }
 
-    /// Ends a step: each request whose prompt is read has one more token.
+    /// Ends a step: each request whose prompt is prefilled has one more token.
     pub fn finish_step(&mut self) -> Vec<Produced> {
         let tickets: Vec<Ticket> = self
             .running
@@ -155,54 +156,54 @@
             .collect()
     }
 
-    /// Requests that have a slot.
+    /// Requests in the batch.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests that wait for one.
+    /// Requests that wait for admission.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// The KV cache.
+    /// The memory that the requests share.
     #[must_use]
     pub fn memory(&self) -> &Memory {
         &self.memory
     }
 
-    /// Tokens of prompts read so far.
+    /// Prompt tokens prefilled so far.
     #[must_use]
-    pub fn tokens_read(&self) -> u64 {
-        self.tokens_read
+    pub fn prompt_tokens_prefilled(&self) -> u64 {
+        self.prompt_tokens_prefilled
     }
 
-    /// Tokens of the prompts let in so far, also those that were kept.
+    /// Tokens of all prompts admitted so far, cached ones included.
     #[must_use]
-    pub fn tokens_asked(&self) -> u64 {
-        self.tokens_asked
+    pub fn prompt_tokens_admitted(&self) -> u64 {
+        self.prompt_tokens_admitted
     }
 
-    /// Requests that had to give way so far.
+    /// Preemptions so far.
     #[must_use]
     pub fn preempted(&self) -> u64 {
         self.preempted
     }
 
-    /// The more urgent go first; those alike in the order of their coming.
+    /// Orders the queue by priority, then by arrival.
     fn insert_waiting(&mut self, request: Request) {
         let key = |request: &Request| (request.prompt.priority, request.ticket);
-        let place = self
+        let position = self
             .waiting
             .iter()
             .position(|other| key(other) > key(&request));
         self.waiting
-            .insert(place.unwrap_or(self.waiting.len()), request);
+            .insert(position.unwrap_or(self.waiting.len()), request);
     }
 
-    fn let_in(&mut self) {
+    fn admit(&mut self) {
         while let Some(request) = self.waiting.front() {
             let priority = request.prompt.priority;
             if self.running.len() >= self.slots && !self.preempt_below(priority) {
@@ -211,11 +212,11 @@
             let Some(mut request) = self.waiting.pop_front() else {
                 return;
             };
-            match self.memory.take(&request.prompt.parts) {
+            match self.memory.take(&request.prompt.segments) {
                 Some(found) => {
                     request.to_read = found.to_read + request.generated;
-                    self.tokens_asked += found.kept + found.to_read;
-                    request.since_let_in = 0;
+                    self.prompt_tokens_admitted += found.cached + found.to_read;
+                    request.since_admission = 0;
                     self.running.push(request);
                 }
                 None => {
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Has the newest of the least urgent give way, if it is less urgent than `priority`.
+    /// Preempts the newest of the least urgent requests, if it is less urgent than `priority`.
     fn preempt_below(&mut self, priority: u8) -> bool {
         match self.least_urgent() {
             Some(index) if self.running[index].prompt.priority > priority => {
@@ -255,26 +256,27 @@
     fn release(&mut self, request: &Request) {
         if request.to_read > 0 {
             let read = request.prompt.tokens().saturating_sub(request.to_read);
-            self.memory.give_back_unread(&request.prompt.parts, read);
+            self.memory
+                .release_partly_prefilled(&request.prompt.segments, read);
         } else {
             self.memory
-                .give_back(&request.prompt.parts, request.since_let_in);
+                .release(&request.prompt.segments, request.since_admission);
         }
     }
 
-    fn read_piece(&mut self) -> u64 {
-        let mut left = self.speeds.piece_tokens;
+    fn prefill_chunk(&mut self) -> u64 {
+        let mut left = self.speeds.prefill_chunk_tokens;
         for request in &mut self.running {
-            let piece = request.to_read.min(left);
-            request.to_read -= piece;
-            left -= piece;
+            let chunk = request.to_read.min(left);
+            request.to_read -= chunk;
+            left -= chunk;
         }
-        let read = self.speeds.piece_tokens - left;
-        self.tokens_read += read;
+        let read = self.speeds.prefill_chunk_tokens - left;
+        self.prompt_tokens_prefilled += read;
         read
     }
 
-    /// One more token for a request; nothing where it has had to give way.
+    /// Generates one more token for a request; `None` where it had to be preempted.
     fn generate(&mut self, ticket: Ticket) -> Option<Produced> {
         while !self.memory.grow() {
             let index = self.least_urgent()?;
@@ -289,16 +291,16 @@
             .iter()
             .position(|request| request.ticket == ticket)
         else {
-            self.memory.give_back(&[], 1);
+            self.memory.release(&[], 1);
             return None;
         };
         let request = &mut self.running[index];
-        request.since_let_in += 1;
+        request.since_admission += 1;
         request.generated += 1;
         let produced = Produced {
             ticket,
             generated: request.generated,
-            last: request.generated >= request.prompt.most,
+            last: request.generated >= request.prompt.max_tokens,
         };
         if produced.last {
             let request = self.running.remove(index);
--- a/crates/testing/emulator/src/engine/mod.rs
+++ b/crates/testing/emulator/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! A model server: requests run in batches, prompts are read in pieces between the tokens of others, memory holds
-//! running requests and kept parts of prompts.
+//! A model server: continuous batching with chunked prefill, and a memory that caches prompt segments and holds
+//! the tokens of running requests.
 
 mod batch;
 mod memory;
@@ -8,36 +8,36 @@
 
 pub use batch::{Batch, Produced, Speeds, Ticket};
 pub use memory::Memory;
-pub use prompt::{Part, Prompt};
+pub use prompt::{Prompt, PromptSegment};
 
 use crate::gate::Gate;
-use crate::server::{Door, DoorSettings, Identity, Listening, Surroundings};
+use crate::server::{ConnectionSettings, Identity, ListenerTask, ServerHandle, TestContext};
 use std::sync::Arc;
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 use work::{run_steps, EngineWork};
 
-/// How a model server works.
+/// Settings of a model server.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// How fast it computes.
+    /// Duration of steps.
     pub speeds: Speeds,
-    /// Requests that wait beyond those in the batch.
+    /// Capacity of the queue.
     pub queue: usize,
-    /// Tokens that its memory holds.
+    /// Capacity of its memory in tokens.
     pub memory_tokens: u64,
     /// Tokens in one event.
     pub chunk_tokens: u64,
-    /// Real time for a millisecond of the server's own; 0 for as fast as asked.
+    /// Real time for a millisecond of the model; 0 for no waiting.
     pub time_scale: f64,
-    /// Ids of events: the first one, and from one to the next.
+    /// Id of a stream's first event.
     pub first_event: u64,
-    /// How far the ids of two events lie apart.
+    /// Difference between the ids of two events in a row.
     pub event_stride: u64,
-    /// Its models, by name.
+    /// Names of its models.
     pub models: Vec<String>,
-    /// How it meets the network.
-    pub door: DoorSettings,
+    /// Treatment of connections.
+    pub connections: ConnectionSettings,
 }
 
 impl Default for EngineSettings {
@@ -51,65 +51,65 @@
             first_event: 0,
             event_stride: 1,
             models: vec!["m".to_owned()],
-            door: DoorSettings::default(),
+            connections: ConnectionSettings::default(),
         }
     }
 }
 
-/// A model server that runs; it ends when this is dropped.
+/// A running model server; dropping this stops it.
 #[derive(Debug)]
 pub struct EngineServer {
-    /// Its connections, health and faults.
-    pub door: Arc<Door>,
-    /// Held by the test: each step of the batch waits here, one token for each request that runs.
+    /// The server's identity, faults and counters.
+    pub handle: Arc<ServerHandle>,
+    /// Each step of the batch waits here; a step is one token for each running request.
     pub gate: Gate,
     work: Arc<EngineWork>,
     steps: JoinHandle<()>,
-    _listening: Listening,
+    _listener_task: ListenerTask,
 }
 
 impl EngineServer {
-    /// Starts on `listener`, whose address `identity` names.
+    /// Starts on `listener`, whose address is that of `identity`.
     pub fn start(
         listener: TcpListener,
         identity: Identity,
         settings: EngineSettings,
-        surroundings: Surroundings,
+        context: TestContext,
     ) -> EngineServer {
         let gate = Gate::default();
-        let door_settings = settings.door.clone();
-        let clock = surroundings.clock;
+        let connection_settings = settings.connections.clone();
+        let clock = context.clock;
         let work = Arc::new(EngineWork::new(
             settings,
             identity.slots as usize,
             clock,
             gate.clone(),
         ));
-        let door = Arc::new(Door::new(identity, door_settings, surroundings));
+        let handle = Arc::new(ServerHandle::new(identity, connection_settings, context));
         let steps = tokio::spawn(run_steps(work.clone()));
-        let listening = Listening::start(listener, door.clone(), Arc::new(work.clone()));
+        let listener_task = ListenerTask::start(listener, handle.clone(), Arc::new(work.clone()));
         EngineServer {
-            door,
+            handle,
             gate,
             work,
             steps,
-            _listening: listening,
+            _listener_task: listener_task,
         }
     }
 
-    /// Tokens of prompts that were read, kept ones not counted.
+    /// Prompt tokens prefilled, cached ones not counted.
     #[must_use]
-    pub fn tokens_read(&self) -> u64 {
-        self.work.tokens_read()
+    pub fn prompt_tokens_prefilled(&self) -> u64 {
+        self.work.prompt_tokens_prefilled()
     }
 
-    /// Tokens of all prompts that were let in, kept ones counted as well.
+    /// Tokens of all prompts admitted, cached ones counted as well.
     #[must_use]
-    pub fn tokens_asked(&self) -> u64 {
-        self.work.tokens_asked()
+    pub fn prompt_tokens_admitted(&self) -> u64 {
+        self.work.prompt_tokens_admitted()
     }
 
-    /// Requests that run, and those that wait.
+    /// The present load.
     #[must_use]
     pub fn load(&self) -> Load {
         self.work.load()
@@ -122,15 +122,15 @@
     }
 }
 
-/// How many requests a server has.
+/// Load of a model server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// Requests in the batch.
     pub running: usize,
-    /// Requests that wait for a slot.
+    /// Requests that wait for admission.
     pub queued: usize,
-    /// Tokens in the KV cache.
+    /// Tokens in use by running requests.
     pub memory_used: u64,
-    /// Tokens that the KV cache holds.
+    /// Capacity in tokens.
     pub memory_total: u64,
 }
--- a/crates/testing/emulator/src/experiment/file.rs
+++ b/crates/testing/emulator/src/experiment/file.rs
@@ -62,7 +62,8 @@
     pub step_us: u64,
     pub per_running_us: u64,
     pub read_per_ms: f64,
-    pub piece_tokens: u64,
+    #[serde(rename = "piece_tokens")]
+    pub prefill_chunk_tokens: u64,
     pub chunk_tokens: u64,
     pub max_connections: u32,
 }
@@ -77,7 +78,7 @@
             step_us: 5_470,
             per_running_us: 120,
             read_per_ms: 38.7,
-            piece_tokens: 512,
+            prefill_chunk_tokens: 512,
             chunk_tokens: 3,
             max_connections: 220,
         }
@@ -116,8 +117,9 @@
     pub name: String,
     /// Programs that begin in a second.
     pub rate: f64,
-    /// Whether the system keeps what was said.
-    pub kept: bool,
+    /// Whether the system stores the turns.
+    #[serde(rename = "kept")]
+    pub persisted: bool,
     pub turns: u32,
     #[serde(default)]
     pub shared_tokens: u64,
@@ -125,7 +127,8 @@
     #[serde(default = "usual_input")]
     pub input_bytes: usize,
     /// The most that a turn generates.
-    pub most: u64,
+    #[serde(rename = "most")]
+    pub max_tokens: u64,
     /// Enough for all turns where it is left out.
     pub budget: Option<u64>,
     /// Reading and recording calls after each turn.
@@ -137,7 +140,8 @@
     #[serde(default)]
     pub sub_agents: f64,
     /// A program that has ended by then is in time.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub target_ms: u64,
     #[serde(default = "usual_retries")]
     pub retries: u32,
 }
@@ -149,7 +153,8 @@
     pub name: String,
     pub rate: f64,
     pub kind: RequestKind,
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub target_ms: u64,
     pub deadline_ms: u64,
     #[serde(default = "usual_retries")]
     pub retries: u32,
@@ -169,11 +174,12 @@
 pub struct Fault {
     /// From the beginning of traffic.
     pub at_s: f64,
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     /// Which machine of its role, or which server.
     #[serde(default)]
     pub number: usize,
-    /// After this time a machine is started again or thawed, and a trouble ends.
+    /// Duration: afterwards a machine is started again or thawed, or a server's fault ends.
     #[serde(default = "short")]
     pub lasts_s: f64,
 }
@@ -181,7 +187,7 @@
 /// What happens.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum FaultKind {
     KillCore,
     KillGateway,
     KillStore,
@@ -192,61 +198,61 @@
     FreezeStore,
     WipeCore,
     WipeStore,
-    /// A machine is lost for good, and an empty one comes at another address.
+    /// A machine is lost for good, and an empty one joins at another address.
     ReplaceCore,
     ReplaceStore,
-    /// A store is emptied, then taken away.
+    /// A store is emptied, then decommissioned.
     RetireStore,
     AddGateway,
     AddStore,
     /// A plain server runs requests and closes without an answer.
     LoseAnswers,
-    /// A model server drains, leaves, and another one comes in its place.
+    /// A model server drains and departs, and another one takes its place.
     ReplaceModel,
-    /// A model server is gone without a word, and another one comes in its place.
+    /// A model server crashes, and another one takes its place.
     CrashModel,
     /// A route is added by a patch.
     Patch,
 }
 
-impl What {
-    /// Whether it is planned work, or trouble of servers: machines stay in touch.
+impl FaultKind {
+    /// Whether it is planned work or a fault of servers, by which no machine loses contact.
     pub fn leaves_in_touch(self) -> bool {
         matches!(
             self,
-            What::TerminateCore
-                | What::TerminateGateway
-                | What::RetireStore
-                | What::AddGateway
-                | What::AddStore
-                | What::LoseAnswers
-                | What::ReplaceModel
-                | What::CrashModel
-                | What::Patch
+            FaultKind::TerminateCore
+                | FaultKind::TerminateGateway
+                | FaultKind::RetireStore
+                | FaultKind::AddGateway
+                | FaultKind::AddStore
+                | FaultKind::LoseAnswers
+                | FaultKind::ReplaceModel
+                | FaultKind::CrashModel
+                | FaultKind::Patch
         )
     }
 
     /// The role of the machines that it is about; nothing where it is about servers or all machines.
     pub fn role(self) -> Option<Role> {
         match self {
-            What::KillCore
-            | What::TerminateCore
-            | What::FreezeCore
-            | What::WipeCore
-            | What::ReplaceCore => Some(Role::Core),
-            What::KillGateway | What::TerminateGateway => Some(Role::Gateway),
-            What::KillStore
-            | What::FreezeStore
-            | What::WipeStore
-            | What::ReplaceStore
-            | What::RetireStore => Some(Role::Store),
-            What::KillAll
-            | What::AddGateway
-            | What::AddStore
-            | What::LoseAnswers
-            | What::ReplaceModel
-            | What::CrashModel
-            | What::Patch => None,
+            FaultKind::KillCore
+            | FaultKind::TerminateCore
+            | FaultKind::FreezeCore
+            | FaultKind::WipeCore
+            | FaultKind::ReplaceCore => Some(Role::Core),
+            FaultKind::KillGateway | FaultKind::TerminateGateway => Some(Role::Gateway),
+            FaultKind::KillStore
+            | FaultKind::FreezeStore
+            | FaultKind::WipeStore
+            | FaultKind::ReplaceStore
+            | FaultKind::RetireStore => Some(Role::Store),
+            FaultKind::KillAll
+            | FaultKind::AddGateway
+            | FaultKind::AddStore
+            | FaultKind::LoseAnswers
+            | FaultKind::ReplaceModel
+            | FaultKind::CrashModel
+            | FaultKind::Patch => None,
         }
     }
 }
@@ -258,7 +264,7 @@
         Experiment::parse(&text).with_context(|| path.display().to_string())
     }
 
-    /// Machines and faults in one line.
+    /// A summary of machines and faults on one line.
     pub fn summary(&self) -> String {
         let machines = &self.machines;
         let mut faults: Vec<&Fault> = self.faults.iter().collect();
@@ -268,7 +274,7 @@
             .map(|fault| {
                 format!(
                     "{:.1} {:?}({}, {:.1} s)",
-                    fault.at_s, fault.what, fault.number, fault.lasts_s
+                    fault.at_s, fault.kind, fault.number, fault.lasts_s
                 )
             })
             .collect();
--- a/crates/testing/emulator/src/heartbeat.rs
+++ b/crates/testing/emulator/src/heartbeat.rs
@@ -1,8 +1,9 @@
-//! How a server makes itself known: heartbeats, draining and leaving, told to whichever limiter acknowledges.
+//! Registration of a server with the gateways: heartbeats, draining and departure, sent to the first gateway that
+//! acknowledges.
 
 use crate::client::call::{call, Call, CallAnswer, CallError};
 use crate::record::Acknowledged;
-use crate::server::{Door, Identity};
+use crate::server::{Identity, ServerHandle};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,14 +12,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// An acknowledgement that comes later is none.
-const ACKNOWLEDGED_WITHIN: Duration = Duration::from_secs(1);
-/// One that is longer is none either.
-const LONGEST_ACKNOWLEDGEMENT: usize = 4 * 1024;
-/// Pause once all limiters have failed.
-const ROUND_PAUSE: Duration = Duration::from_millis(50);
+/// A later acknowledgement does not count.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
+/// A longer acknowledgement does not count either.
+const MAX_ACKNOWLEDGEMENT_BYTES: usize = 4 * 1024;
+/// Time until the next attempt once all gateways have failed.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is told next.
+/// What the next message announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Ready,
@@ -27,12 +28,12 @@
     Silent,
 }
 
-/// Registers one server for as long as it lives.
+/// Keeps one server registered until this is dropped.
 #[derive(Debug)]
 pub struct Registration {
-    door: Arc<Door>,
+    handle: Arc<ServerHandle>,
     shared: Arc<Shared>,
-    beat: Beat,
+    heartbeat: HeartbeatSettings,
     task: JoinHandle<()>,
 }
 
@@ -44,43 +45,47 @@
     now: Notify,
 }
 
-/// How a server tells of itself.
+/// Contents and interval of a server's heartbeats.
 #[derive(Clone, Debug)]
-pub struct Beat {
-    /// Time from one heartbeat to the next.
-    pub pause: Duration,
-    /// Time that it is slow from its start, told in each heartbeat.
-    pub cold_left_ms: u64,
+pub struct HeartbeatSettings {
+    /// Time between two heartbeats.
+    pub interval: Duration,
+    /// Remaining warm-up time, in milliseconds, as each heartbeat states it.
+    pub warm_up_left_ms: u64,
     /// Names of its models; none for a plain server.
     pub models: Vec<String>,
 }
 
 impl Registration {
-    /// Begins to tell `controls` of the server behind `door`.
-    pub fn start(door: Arc<Door>, controls: Vec<SocketAddr>, beat: Beat) -> Registration {
+    /// Begins to register the server of `handle` with the gateways at `controls`.
+    pub fn start(
+        handle: Arc<ServerHandle>,
+        controls: Vec<SocketAddr>,
+        heartbeat: HeartbeatSettings,
+    ) -> Registration {
         let shared = Arc::new(Shared {
             controls: Mutex::new(controls),
             phase: watch::Sender::new(Phase::Ready),
             acknowledged: watch::Sender::new(None),
             now: Notify::new(),
         });
-        let teller = Teller {
-            door: door.clone(),
+        let sender = HeartbeatSender {
+            handle: handle.clone(),
             shared: shared.clone(),
-            beat: beat.clone(),
+            heartbeat: heartbeat.clone(),
             seq: 0,
             next: 0,
             preferred: None,
         };
         Registration {
-            door,
+            handle,
             shared,
-            beat,
-            task: tokio::spawn(teller.run()),
+            heartbeat,
+            task: tokio::spawn(sender.run()),
         }
     }
 
-    /// The limiters to be called from now on.
+    /// Replaces the gateways' addresses.
     pub fn set_controls(&self, controls: Vec<SocketAddr>) {
         *self
             .shared
@@ -89,32 +94,37 @@
             .unwrap_or_else(PoisonError::into_inner) = controls;
     }
 
-    /// Ends once the server is known as ready.
+    /// Returns once a gateway has acknowledged the server as ready.
     pub async fn known(&self) {
-        self.told(Phase::Ready).await;
+        self.wait_for_acknowledgement(Phase::Ready).await;
     }
 
-    /// Says that the server is draining; ends with the acknowledgement.
+    /// Announces that the server is draining; returns with the acknowledgement.
     pub async fn drain(&self) {
         self.enter(Phase::Draining).await;
-        self.door.set_leaving();
+        self.handle.set_leaving();
     }
 
-    /// Says that the server leaves; ends with the acknowledgement.
+    /// Announces that the server departs; returns with the acknowledgement.
     pub async fn leave(&self) {
         self.enter(Phase::Leaving).await;
     }
 
-    /// Sends one heartbeat with these values to `control`, beside those that are sent by themselves.
-    pub async fn stray(&self, control: SocketAddr, seq: u64, draining: bool) -> Option<u16> {
+    /// Sends one extra heartbeat with these values to `control`; returns the status of the response.
+    pub async fn send_out_of_order(
+        &self,
+        control: SocketAddr,
+        seq: u64,
+        draining: bool,
+    ) -> Option<u16> {
         let phase = if draining {
             Phase::Draining
         } else {
             Phase::Ready
         };
-        let body = body(&self.door.identity, &self.beat, phase, seq);
+        let body = body(&self.handle.identity, &self.heartbeat, phase, seq);
         let call = Call::post(
-            format!("/api/instances/{}/heartbeat", self.door.identity.instance),
+            format!("/api/instances/{}/heartbeat", self.handle.identity.instance),
             body,
         );
         call_within(control, &call)
@@ -123,7 +133,7 @@
             .map(|answer| answer.status)
     }
 
-    /// Says nothing any more, as a server that crashed.
+    /// Stops all heartbeats, as a crashed server does.
     pub fn fall_silent(&self) {
         self.shared.phase.send_replace(Phase::Silent);
         self.task.abort();
@@ -132,12 +142,14 @@
     async fn enter(&self, phase: Phase) {
         self.shared.phase.send_replace(phase);
         self.shared.now.notify_one();
-        self.told(phase).await;
+        self.wait_for_acknowledgement(phase).await;
     }
 
-    async fn told(&self, phase: Phase) {
+    async fn wait_for_acknowledgement(&self, phase: Phase) {
         let mut acknowledged = self.shared.acknowledged.subscribe();
-        let _ = acknowledged.wait_for(|told| *told == Some(phase)).await;
+        let _ = acknowledged
+            .wait_for(|acknowledged_phase| *acknowledged_phase == Some(phase))
+            .await;
     }
 }
 
@@ -147,26 +159,26 @@
     }
 }
 
-struct Teller {
-    door: Arc<Door>,
+struct HeartbeatSender {
+    handle: Arc<ServerHandle>,
     shared: Arc<Shared>,
-    beat: Beat,
+    heartbeat: HeartbeatSettings,
     seq: u64,
-    /// Place in the list of limiters.
+    /// Index of the gateway to call next.
     next: usize,
-    /// Where an earlier answer asked to be called.
+    /// The gateway that an earlier response named for heartbeats.
     preferred: Option<SocketAddr>,
 }
 
-impl Teller {
+impl HeartbeatSender {
     async fn run(mut self) {
         loop {
             let phase = *self.shared.phase.borrow();
             if phase == Phase::Silent {
                 return;
             }
-            if !self.tell(phase).await {
-                sleep(ROUND_PAUSE).await;
+            if !self.send(phase).await {
+                sleep(RETRY_INTERVAL).await;
                 continue;
             }
             self.shared.acknowledged.send_replace(Some(phase));
@@ -174,17 +186,17 @@
                 return;
             }
             tokio::select! {
-                () = sleep(self.beat.pause) => {}
+                () = sleep(self.heartbeat.interval) => {}
                 () = self.shared.now.notified() => {}
             }
         }
     }
 
-    /// Calls one limiter after the other until one acknowledges; false when all have failed.
-    async fn tell(&mut self, phase: Phase) -> bool {
-        let asked_ms = self.door.surroundings.clock.now_ms();
+    /// Calls one gateway after the other until one acknowledges; false when all have failed.
+    async fn send(&mut self, phase: Phase) -> bool {
+        let requested_ms = self.handle.context.clock.now_ms();
         if let Some(preferred) = self.preferred {
-            if self.tell_one(preferred, phase, asked_ms).await {
+            if self.send_one(preferred, phase, requested_ms).await {
                 return true;
             }
             self.preferred = None;
@@ -197,7 +209,7 @@
             .clone();
         for offset in 0..controls.len() {
             let address = controls[(self.next + offset) % controls.len()];
-            if self.tell_one(address, phase, asked_ms).await {
+            if self.send_one(address, phase, requested_ms).await {
                 self.next += offset;
                 return true;
             }
@@ -205,42 +217,42 @@
         false
     }
 
-    async fn tell_one(&mut self, address: SocketAddr, phase: Phase, asked_ms: u64) -> bool {
-        let id = &self.door.identity.instance;
+    async fn send_one(&mut self, address: SocketAddr, phase: Phase, requested_ms: u64) -> bool {
+        let id = &self.handle.identity.instance;
         let call = match phase {
             Phase::Leaving => Call::post(format!("/api/instances/{id}/leave"), String::from("{}")),
             _ => Call::post(
                 format!("/api/instances/{id}/heartbeat"),
-                body(&self.door.identity, &self.beat, phase, self.seq),
+                body(&self.handle.identity, &self.heartbeat, phase, self.seq),
             ),
         };
         self.seq += 1;
         let Ok(answer) = call_within(address, &call).await else {
             return false;
         };
-        if !(200..300).contains(&answer.status) || answer.body.len() > LONGEST_ACKNOWLEDGEMENT {
+        if !(200..300).contains(&answer.status) || answer.body.len() > MAX_ACKNOWLEDGEMENT_BYTES {
             return false;
         }
         self.preferred = preferred(&answer.body).or(self.preferred);
-        self.note(phase, asked_ms);
+        self.record_acknowledgement(phase, requested_ms);
         true
     }
 
-    fn note(&self, phase: Phase, asked_ms: u64) {
-        let instance = self.door.identity.instance.clone();
-        let what = match phase {
+    fn record_acknowledgement(&self, phase: Phase, requested_ms: u64) {
+        let instance = self.handle.identity.instance.clone();
+        let event = match phase {
             Phase::Draining => Acknowledged::Draining { instance },
             Phase::Leaving => Acknowledged::Left { instance },
             Phase::Ready | Phase::Silent => return,
         };
-        let surroundings = &self.door.surroundings;
-        surroundings
+        let context = &self.handle.context;
+        context
             .record
-            .acknowledged(surroundings.clock.now_ms(), asked_ms, what);
+            .acknowledged(context.clock.now_ms(), requested_ms, event);
     }
 }
 
-fn body(identity: &Identity, beat: &Beat, phase: Phase, seq: u64) -> String {
+fn body(identity: &Identity, heartbeat: &HeartbeatSettings, phase: Phase, seq: u64) -> String {
     let state = if phase == Phase::Draining {
         "draining"
     } else {
@@ -253,19 +265,19 @@
         "generation": identity.generation,
         "slots": identity.slots,
         "state": state,
-        "cold_left_ms": beat.cold_left_ms,
+        "cold_left_ms": heartbeat.warm_up_left_ms,
         "seq": seq,
     });
-    if !beat.models.is_empty() {
+    if !heartbeat.models.is_empty() {
         let model = |name: &String| json!({ "name": name, "generation": 1, "adapters": [] });
         body["phase"] = json!("both");
-        body["models"] = json!(beat.models.iter().map(model).collect::<Vec<_>>());
+        body["models"] = json!(heartbeat.models.iter().map(model).collect::<Vec<_>>());
     }
     body.to_string()
 }
 
-async fn call_within(address: SocketAddr, what: &Call) -> Result<CallAnswer, CallError> {
-    call(address, what, ACKNOWLEDGED_WITHIN).await
+async fn call_within(address: SocketAddr, event: &Call) -> Result<CallAnswer, CallError> {
+    call(address, event, ACKNOWLEDGEMENT_TIMEOUT).await
 }
 
 fn preferred(body: &[u8]) -> Option<SocketAddr> {
--- a/crates/testing/emulator/src/identity.rs
+++ b/crates/testing/emulator/src/identity.rs
@@ -3,15 +3,15 @@
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The id of one try of a request.
+/// The id of one attempt of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
 impl RequestId {
-    /// Reads the value of a header.
+    /// Parses the value of a header: 16 hexadecimal digits.
     pub fn parse(text: &str) -> Option<RequestId> {
-        let whole = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        whole
+        let well_formed = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        well_formed
             .then(|| u64::from_str_radix(text, 16).ok())
             .flatten()
             .map(RequestId)
@@ -30,14 +30,14 @@
     }
 }
 
-/// Draws ids.
+/// A source of ids, drawn from a seed; clones share it.
 #[derive(Clone, Debug)]
 pub struct IdentitySource {
     random: Arc<Mutex<fastrand::Rng>>,
 }
 
 impl IdentitySource {
-    /// A source whose ids follow from the seed.
+    /// A source that draws the same ids for the same seed.
     #[must_use]
     pub fn new(seed: u64) -> IdentitySource {
         IdentitySource {
@@ -45,13 +45,13 @@
         }
     }
 
-    /// An id that was not given out before.
+    /// The id of a new attempt.
     #[must_use]
     pub fn request(&self) -> RequestId {
         RequestId(self.draw())
     }
 
-    /// The name of a program, a session or a part of a prompt.
+    /// The id of a program, a session or a prompt segment.
     #[must_use]
     pub fn short(&self) -> String {
         format!("{:06x}", self.draw() & 0xff_ffff)
--- a/crates/testing/emulator/src/ingress.rs
+++ b/crates/testing/emulator/src/ingress.rs
@@ -1,4 +1,5 @@
-//! The platform's entry: asks each limiter every second whether it is ready, and hands clients on to those that are.
+//! The platform's load balancer: checks each gateway's readiness every second and sends clients to those that are
+//! ready.
 
 use crate::client::call::{call, Call};
 use crate::client::Client;
@@ -8,23 +9,23 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-/// How often each limiter is asked.
-const ASK_PAUSE: Duration = Duration::from_secs(1);
-/// An answer that comes later is none.
-const ASK_LIMIT: Duration = Duration::from_secs(1);
-/// A limiter that misses so often receives no new connections.
-const MISSES: u32 = 2;
+/// Interval of the readiness checks.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// A readiness check fails after this time.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// A gateway that fails this many checks in a row receives no new connections.
+const MAX_MISSED_PROBES: u32 = 2;
 
-/// Where a limiter is asked, and where its clients go.
+/// The addresses of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Where the gateway says whether it is ready.
+    /// Address of the readiness check.
     pub ready: SocketAddr,
-    /// Where it takes requests.
+    /// Address for clients.
     pub front: SocketAddr,
 }
 
-/// Keeps a client's list of limiters. Ends when this is dropped.
+/// Keeps a client's gateway addresses up to date until this is dropped.
 #[derive(Debug)]
 pub struct Ingress {
     entries: Arc<Mutex<Vec<Entry>>>,
@@ -32,7 +33,7 @@
 }
 
 impl Ingress {
-    /// Begins to look which entries are ready.
+    /// Begins to check `entries` and to keep the addresses of `client` up to date.
     #[must_use]
     pub fn start(client: Client, entries: Vec<Entry>) -> Ingress {
         let entries = Arc::new(Mutex::new(entries));
@@ -40,7 +41,7 @@
         Ingress { entries, task }
     }
 
-    /// The limiters that exist from now on.
+    /// Replaces the gateways.
     pub fn set_entries(&self, entries: Vec<Entry>) {
         *self.entries.lock().unwrap_or_else(PoisonError::into_inner) = entries;
     }
@@ -52,7 +53,7 @@
     }
 }
 
-/// A limiter as the platform sees it.
+/// A gateway as the platform sees it.
 struct Seen {
     entry: Entry,
     misses: u32,
@@ -70,29 +71,29 @@
             if !seen.iter().any(|limiter| limiter.entry == entry) {
                 seen.push(Seen {
                     entry,
-                    misses: MISSES,
+                    misses: MAX_MISSED_PROBES,
                 });
             }
         }
         let mut answers = JoinSet::new();
-        for (place, limiter) in seen.iter().enumerate() {
+        for (index, limiter) in seen.iter().enumerate() {
             let ready = limiter.entry.ready;
-            answers.spawn(async move { (place, is_ready(ready).await) });
+            answers.spawn(async move { (index, is_ready(ready).await) });
         }
-        while let Some(Ok((place, ready))) = answers.join_next().await {
-            let misses = &mut seen[place].misses;
+        while let Some(Ok((index, ready))) = answers.join_next().await {
+            let misses = &mut seen[index].misses;
             *misses = if ready { 0 } else { *misses + 1 };
         }
         client.set_fronts(open(&seen));
-        sleep(ASK_PAUSE).await;
+        sleep(PROBE_INTERVAL).await;
     }
 }
 
-/// Those that are in; all where fewer than half are.
+/// Gateways for new connections: the ready ones, or all where fewer than half are ready.
 fn open(seen: &[Seen]) -> Vec<SocketAddr> {
     let ready: Vec<SocketAddr> = seen
         .iter()
-        .filter(|limiter| limiter.misses < MISSES)
+        .filter(|limiter| limiter.misses < MAX_MISSED_PROBES)
         .map(|limiter| limiter.entry.front)
         .collect();
     if ready.len() * 2 < seen.len() {
@@ -102,6 +103,6 @@
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
-    let answer = call(address, &Call::get("/api/readyz"), ASK_LIMIT).await;
+    let answer = call(address, &Call::get("/api/readyz"), PROBE_TIMEOUT).await;
     answer.is_ok_and(|answer| answer.status == 200)
 }
--- a/crates/testing/emulator/src/judge/mod.rs
+++ b/crates/testing/emulator/src/judge/mod.rs
@@ -1,4 +1,4 @@
-//! What the rules want of what servers, clients and the operator saw. Independent of the program under test: it
+//! Checks of the record against the rules of the protocol. Independent of the program under test: the judge
 //! knows only the record.
 
 mod answers;
@@ -15,9 +15,9 @@
 use std::fmt;
 use view::View;
 
-/// The usual bounds of draining and of bringing a version into force.
+/// Time from the acknowledgement of draining to the last request, in milliseconds.
 pub const DRAIN_MS: u64 = 2_000;
-/// Time within which an acknowledged configuration is in force everywhere, in milliseconds.
+/// Time within which an acknowledged configuration is in force, in milliseconds.
 pub const CONFIG_APPLY_MS: u64 = 2_000;
 /// Requests that may end with a 4xx of the system's own, though they are proper: so many, and one in so many more.
 const DENIED_FREE: usize = 5;
@@ -26,36 +26,36 @@
 /// A rule, by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// An answer is not the server's, or not this request's.
+    /// A response that is not the server's, or belongs to another request.
     Mixed,
     /// A server ran what no client sent.
     Unasked,
-    /// A request that may run once ran again.
+    /// A request that must not be repeated ran twice.
     Twice,
-    /// An answer says that the request did not run, and it did.
+    /// A request was rejected as not run, and ran.
     Refused,
-    /// Too many proper requests ended with a 3xx or 4xx of the system's own.
+    /// Proper requests were denied.
     Denied,
-    /// A program's tokens, or the servers that one attempt reached, exceed what is allowed.
+    /// More tokens or attempts than the budget allows.
     Budget,
-    /// A request ran at a server that no version of its route names.
+    /// A request ran at a service that its route does not lead to.
     Route,
     /// A request reached a server long after its draining was acknowledged.
     Drain,
-    /// A request was handled as only a version allows that is no longer the newest.
+    /// A request was handled by a superseded configuration.
     Config,
-    /// A turn is gone, or a machine that was asked to leave dropped a request that it had read.
+    /// Something acknowledged is missing, or a request was closed by planned work.
     Lost,
-    /// A stream misses a piece, has one twice, or joins pieces of two runs.
+    /// A stream with events missing, repeated or mixed.
     Order,
 }
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule that was broken.
+    /// The broken rule.
     pub rule: Rule,
-    /// What was seen, for the reader of the test.
+    /// What was seen, with the ids of requests and servers.
     pub detail: String,
 }
 
@@ -65,25 +65,25 @@
     }
 }
 
-/// What the judge has to know of configurations and bounds.
+/// Configurations and time bounds by which the judge decides.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct JudgeSettings {
     /// All configurations that were ever sent and may be in force.
     pub versions: Vec<ConfigurationPlan>,
-    /// Time from an acknowledged draining until no request comes, in milliseconds.
+    /// Time from the acknowledgement of draining to the last request, in milliseconds.
     pub drain_ms: u64,
-    /// Time until an acknowledged configuration is in force, in milliseconds.
+    /// Time from the acknowledgement of a configuration to its effect, in milliseconds.
     pub config_apply_ms: u64,
-    /// When machines were not in touch through unplanned trouble: rules with a bound in time do not hold then.
-    pub unrest: Vec<Span>,
+    /// When machines had no contact because of unplanned faults: rules with a time bound are not checked then.
+    pub disturbances: Vec<Span>,
 }
 
 /// A stretch of time, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// Its beginning, in milliseconds of the shared clock.
+    /// Beginning, in milliseconds of the shared clock.
     pub from_ms: u64,
-    /// Its end, in milliseconds of the shared clock.
+    /// End, in milliseconds of the shared clock.
     pub to_ms: u64,
 }
 
@@ -93,15 +93,15 @@
     }
 }
 
-impl Terms {
-    /// Terms of these versions with the usual bounds, in calm times.
+impl JudgeSettings {
+    /// Settings for these versions with the usual bounds and no disturbances.
     #[must_use]
-    pub fn of(versions: Vec<ConfigurationPlan>) -> Terms {
-        Terms {
+    pub fn of(versions: Vec<ConfigurationPlan>) -> JudgeSettings {
+        JudgeSettings {
             versions,
             drain_ms: DRAIN_MS,
             config_apply_ms: CONFIG_APPLY_MS,
-            unrest: Vec::new(),
+            disturbances: Vec::new(),
         }
     }
 
@@ -116,37 +116,37 @@
             .filter_map(move |version| version.route(host, target))
     }
 
-    fn calm_during(&self, from_ms: u64, to_ms: u64) -> bool {
+    fn is_undisturbed_during(&self, from_ms: u64, to_ms: u64) -> bool {
         !self
-            .unrest
+            .disturbances
             .iter()
             .any(|span| span.from_ms <= to_ms && from_ms <= span.to_ms)
     }
 
-    fn calm(&self, at_ms: u64) -> bool {
-        !self.unrest.iter().any(|span| span.contains(at_ms))
+    fn is_undisturbed(&self, at_ms: u64) -> bool {
+        !self.disturbances.iter().any(|span| span.contains(at_ms))
     }
 }
 
 /// All that is broken in the record.
 #[must_use]
-pub fn judge(record: &Record, terms: &Terms) -> Vec<Violation> {
+pub fn judge(record: &Record, settings: &JudgeSettings) -> Vec<Violation> {
     let view = View::of(record);
     let mut violations = Vec::new();
     answers::judge(&view, &mut violations);
     streams::judge(&view, &mut violations);
-    runs::judge(&view, terms, &mut violations);
-    programs::judge(&view, terms, &mut violations);
-    drain::judge(&view, terms, &mut violations);
-    config::judge(&view, terms, &mut violations);
-    planned::judge(&view, terms, &mut violations);
+    runs::judge(&view, settings, &mut violations);
+    programs::judge(&view, settings, &mut violations);
+    drain::judge(&view, settings, &mut violations);
+    config::judge(&view, settings, &mut violations);
+    planned::judge(&view, settings, &mut violations);
     denied(&view, &mut violations);
     violations
 }
 
 /// Proper requests that ended with a 3xx or 4xx of the system's own.
 fn denied(view: &View, violations: &mut Vec<Violation>) {
-    let denied = view.tries.iter().filter(|attempt| {
+    let denied = view.attempts.iter().filter(|attempt| {
         let Some(answered) = attempt.answered() else {
             return false;
         };
@@ -155,10 +155,10 @@
         own && owed && (300..500).contains(&answered.status)
     });
     let count = denied.count();
-    if count > DENIED_FREE + view.tries.len() / DENIED_ONE_IN {
+    if count > DENIED_FREE + view.attempts.len() / DENIED_ONE_IN {
         let detail = format!(
             "{count} proper requests of {} were denied",
-            view.tries.len()
+            view.attempts.len()
         );
         violations.push(Violation {
             rule: Rule::Denied,
--- a/crates/testing/emulator/src/operator.rs
+++ b/crates/testing/emulator/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: orders sent again, unchanged and to any limiter, until there is a clear answer.
+//! The operator: orders are retried, unchanged and at any gateway, until there is a clear response.
 
 use crate::client::call::{call, Call, CallAnswer};
 use crate::clock::Clock;
@@ -10,17 +10,17 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// A limiter that is silent longer is left for the next.
-const SILENCE: Duration = Duration::from_secs(1);
-/// Redirections followed.
-const MOST_REDIRECTIONS: u32 = 2;
-/// The first pause after a failure; it grows.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
-/// Other 4xx end an order at this try.
-const MOST_UNCLEAR_REFUSALS: u32 = 3;
-
-/// An operator with its list of limiters.
+/// Time for a gateway to respond before the next one is called.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Most redirections followed.
+const MAX_REDIRECTIONS: u32 = 2;
+/// Backoff after the first failure; it doubles with each.
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
+/// This many other 4xx responses end an order.
+const MAX_UNCLEAR_REFUSALS: u32 = 3;
+
+/// An operator that knows the gateways.
 #[derive(Clone, Debug)]
 pub struct Operator {
     clock: Clock,
@@ -29,26 +29,26 @@
     next: usize,
 }
 
-/// The clear answer to an order.
+/// The clear response to an order.
 #[derive(Clone, Debug)]
 pub struct OrderAnswer {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
-    /// The complete body.
+    /// Body of the response.
     pub body: Bytes,
-    /// From the first attempt to the answer, in milliseconds.
+    /// From the first attempt to the response, in milliseconds.
     pub took_ms: u64,
-    /// How many attempts were made.
-    pub tries: u32,
+    /// Number of attempts.
+    pub attempts: u32,
 }
 
-/// No clear answer came in time; the last one, if any.
+/// No clear response came in time.
 #[derive(Clone, Debug)]
 pub struct Unclear {
-    /// The status of the last answer, if there was one.
+    /// Status of the last response, if any came.
     pub last: Option<u16>,
-    /// How many attempts were made.
-    pub tries: u32,
+    /// Number of attempts.
+    pub attempts: u32,
 }
 
 impl std::fmt::Display for Unclear {
@@ -56,7 +56,7 @@
         write!(
             f,
             "no clear answer in {} tries, the last one {:?}",
-            self.tries, self.last
+            self.attempts, self.last
         )
     }
 }
@@ -64,7 +64,7 @@
 impl std::error::Error for Unclear {}
 
 impl Operator {
-    /// An operator of these control addresses.
+    /// An operator that sends to the gateways at `controls`.
     #[must_use]
     pub fn new(clock: Clock, record: Record, controls: Vec<SocketAddr>) -> Operator {
         Operator {
@@ -75,15 +75,16 @@
         }
     }
 
-    /// The limiters called from now on.
+    /// Replaces the gateways' addresses.
     pub fn set_controls(&mut self, controls: Vec<SocketAddr>) {
         self.controls = controls;
     }
 
-    /// Brings a whole configuration on top of version `base`.
+    /// Replaces the configuration of version `base`.
     ///
     /// # Errors
-    /// No clear answer within `limit`.
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn replace(
         &mut self,
         base: u64,
@@ -94,10 +95,11 @@
             .await
     }
 
-    /// Changes named items on top of version `base`.
+    /// Changes named items of the configuration of version `base`.
     ///
     /// # Errors
-    /// No clear answer within `limit`.
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn patch(
         &mut self,
         base: u64,
@@ -110,7 +112,8 @@
     /// Sends a body as it is, valid or not.
     ///
     /// # Errors
-    /// No clear answer within `limit`.
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn send_raw(
         &mut self,
         target: &str,
@@ -123,18 +126,20 @@
         self.order(&order, limit).await
     }
 
-    /// The newest configuration, whole.
+    /// Reads the newest configuration.
     ///
     /// # Errors
-    /// No clear answer within `limit`.
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn get(&mut self, limit: Duration) -> Result<OrderAnswer, Unclear> {
         self.order(&Call::get("/api/config/get"), limit).await
     }
 
-    /// Asks for a storage machine to be emptied.
+    /// Starts to retire a storage machine: its data moves to others.
     ///
     /// # Errors
-    /// No clear answer within `limit`.
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn retire(
         &mut self,
         node: &str,
@@ -149,10 +154,11 @@
         .await
     }
 
-    /// How far the emptying is.
+    /// Reads the progress of a retirement.
     ///
     /// # Errors
-    /// No clear answer within `limit`.
+    ///
+    /// [`Unclear`] where no clear response came within `limit`.
     pub async fn retirement(
         &mut self,
         node: &str,
@@ -169,16 +175,16 @@
         body: &Value,
         limit: Duration,
     ) -> Result<OrderAnswer, Unclear> {
-        let asked_ms = self.clock.now_ms();
+        let requested_ms = self.clock.now_ms();
         let answer = self.send_raw(target, base, body.to_string(), limit).await?;
         if answer.status == 200 {
             let generation = body
                 .get("generation")
                 .and_then(Value::as_u64)
                 .unwrap_or_default();
-            let what = Acknowledged::Configuration { generation };
+            let event = Acknowledged::Configuration { generation };
             self.record
-                .acknowledged(self.clock.now_ms(), asked_ms, what);
+                .acknowledged(self.clock.now_ms(), requested_ms, event);
         }
         Ok(answer)
     }
@@ -187,30 +193,30 @@
         let started = Instant::now();
         let mut unclear = Unclear {
             last: None,
-            tries: 0,
+            attempts: 0,
         };
         let mut refusals = 0;
-        let mut pause = FIRST_PAUSE;
+        let mut pause = MIN_BACKOFF;
         while started.elapsed() < limit {
             let address = self.controls[self.next % self.controls.len()];
-            unclear.tries += 1;
+            unclear.attempts += 1;
             if let Some(answer) = follow(address, order).await {
                 unclear.last = Some(answer.status);
                 refusals += u32::from((400..500).contains(&answer.status));
                 if is_clear(answer.status, refusals) {
                     let took_ms = started.elapsed().as_millis() as u64;
-                    let tries = unclear.tries;
+                    let attempts = unclear.attempts;
                     return Ok(OrderAnswer {
                         status: answer.status,
                         body: answer.body,
                         took_ms,
-                        tries,
+                        attempts,
                     });
                 }
             }
             self.next += 1;
             sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            pause = (pause * 2).min(MAX_BACKOFF);
         }
         Err(unclear)
     }
@@ -219,8 +225,8 @@
 /// One call, with redirections followed.
 async fn follow(mut address: SocketAddr, order: &Call) -> Option<CallAnswer> {
     let mut order = order.clone();
-    for _ in 0..=MOST_REDIRECTIONS {
-        let answer = call(address, &order, SILENCE).await.ok()?;
+    for _ in 0..=MAX_REDIRECTIONS {
+        let answer = call(address, &order, CALL_TIMEOUT).await.ok()?;
         if answer.status != 307 {
             return Some(answer);
         }
@@ -240,7 +246,7 @@
     match status {
         200..300 | 400 | 409 | 412 | 413 | 422 => true,
         408 | 429 => false,
-        400..500 => refusals >= MOST_UNCLEAR_REFUSALS,
+        400..500 => refusals >= MAX_UNCLEAR_REFUSALS,
         _ => false,
     }
 }
--- a/crates/testing/emulator/src/plain.rs
+++ b/crates/testing/emulator/src/plain.rs
@@ -1,7 +1,10 @@
-//! A plain server: a few places, a short queue, a time that the work takes or a gate that the test holds.
+//! A plain server: some slots, a short queue, and work that takes a set time or waits for a gate.
 
 use crate::gate::Gate;
-use crate::server::{Arrived, Door, DoorSettings, Identity, Listening, Reply, Surroundings, Work};
+use crate::server::{
+    ConnectionSettings, Identity, ListenerTask, ReceivedRequest, Reply, ServerHandle, TestContext,
+    Work,
+};
 use bytes::Bytes;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -10,17 +13,17 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-/// How a plain server works.
+/// Settings of a plain server.
 #[derive(Clone, Debug)]
 pub struct PlainSettings {
-    /// Requests that wait beyond those at work.
+    /// Capacity of the queue.
     pub queue: usize,
-    /// How long one takes; nothing for as fast as asked.
+    /// Duration of a request's work.
     pub work_time: Duration,
-    /// Length of an answer's body.
+    /// Length of the response's body in bytes.
     pub body_bytes: usize,
-    /// How it meets the network.
-    pub door: DoorSettings,
+    /// Treatment of connections.
+    pub connections: ConnectionSettings,
 }
 
 impl Default for PlainSettings {
@@ -29,50 +32,50 @@
             queue: 4,
             work_time: Duration::ZERO,
             body_bytes: 800,
-            door: DoorSettings::default(),
+            connections: ConnectionSettings::default(),
         }
     }
 }
 
-/// A plain server that runs; it ends when this is dropped.
+/// A running plain server; dropping this stops it.
 #[derive(Debug)]
 pub struct PlainServer {
-    /// Its connections, health and faults.
-    pub door: Arc<Door>,
-    /// Held by the test: requests at work wait here.
+    /// The server's identity, faults and counters.
+    pub handle: Arc<ServerHandle>,
+    /// Running requests wait here.
     pub gate: Gate,
-    _listening: Listening,
+    _listener_task: ListenerTask,
 }
 
 impl PlainServer {
-    /// Starts on `listener`, whose address `identity` names.
+    /// Starts on `listener`, whose address is that of `identity`.
     pub fn start(
         listener: TcpListener,
         identity: Identity,
         settings: PlainSettings,
-        surroundings: Surroundings,
+        context: TestContext,
     ) -> PlainServer {
         let gate = Gate::default();
         let work = PlainWork {
-            places: Semaphore::new(identity.slots as usize),
+            slots: Semaphore::new(identity.slots as usize),
             waiting: AtomicUsize::new(0),
             queue: settings.queue,
             work_time: settings.work_time,
             body_bytes: settings.body_bytes,
             gate: gate.clone(),
         };
-        let door = Arc::new(Door::new(identity, settings.door, surroundings));
-        let listening = Listening::start(listener, door.clone(), Arc::new(work));
+        let handle = Arc::new(ServerHandle::new(identity, settings.connections, context));
+        let listener_task = ListenerTask::start(listener, handle.clone(), Arc::new(work));
         PlainServer {
-            door,
+            handle,
             gate,
-            _listening: listening,
+            _listener_task: listener_task,
         }
     }
 }
 
 struct PlainWork {
-    places: Semaphore,
+    slots: Semaphore,
     waiting: AtomicUsize,
     queue: usize,
     work_time: Duration,
@@ -80,7 +83,7 @@
     gate: Gate,
 }
 
-/// Counts one in the queue, also when its caller leaves.
+/// Counts one queued request, also when its caller disconnects.
 struct Queued<'a>(&'a AtomicUsize);
 
 impl Drop for Queued<'_> {
@@ -90,16 +93,19 @@
 }
 
 impl PlainWork {
-    async fn place(&self, deadline: Option<Duration>) -> Option<tokio::sync::SemaphorePermit<'_>> {
-        if let Ok(place) = self.places.try_acquire() {
-            return Some(place);
+    async fn acquire_slot(
+        &self,
+        deadline: Option<Duration>,
+    ) -> Option<tokio::sync::SemaphorePermit<'_>> {
+        if let Ok(permit) = self.slots.try_acquire() {
+            return Some(permit);
         }
         let before = self.waiting.fetch_add(1, Ordering::SeqCst);
         let _queued = Queued(&self.waiting);
         if before >= self.queue {
             return None;
         }
-        let acquired = self.places.acquire();
+        let acquired = self.slots.acquire();
         match deadline {
             Some(deadline) => timeout(deadline, acquired).await.ok()?.ok(),
             None => acquired.await.ok(),
@@ -115,10 +121,10 @@
 }
 
 impl Work for PlainWork {
-    async fn work(&self, arrived: Arrived, reply: &mut Reply) {
+    async fn work(&self, arrived: ReceivedRequest, reply: &mut Reply) {
         let deadline = arrived.deadline_ms.map(Duration::from_millis);
-        let Some(_place) = self.place(deadline).await else {
-            reply.turn_away(503).await;
+        let Some(_permit) = self.acquire_slot(deadline).await else {
+            reply.reject(503).await;
             return;
         };
         reply.run();
@@ -135,8 +141,8 @@
 }
 
 impl PlainWork {
-    /// Differs from request to request, so that a mix-up shows.
-    fn body(&self, arrived: &Arrived) -> Bytes {
+    /// A body that differs from request to request, so that mixed responses are noticed.
+    fn body(&self, arrived: &ReceivedRequest) -> Bytes {
         let unit = format!("{} {};", arrived.request, arrived.head.target);
         let mut text = unit.repeat(self.body_bytes / unit.len() + 1);
         text.truncate(self.body_bytes);
--- a/crates/testing/emulator/src/record.rs
+++ b/crates/testing/emulator/src/record.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins saw, kept for the judge and for tests to ask. Bounded: beyond its bound a record is an error
-//! of the test, told by [`Record::overflowed`].
+//! What servers, clients and operator saw, for the judge and for tests. Bounded: an overflow is an error of the test,
+//! see [`Record::overflowed`].
 
 use crate::digest::Digest;
 use crate::identity::RequestId;
@@ -8,192 +8,192 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// Entries kept of each kind.
-const MOST_ENTRIES: usize = 400_000;
+/// Most entries of each kind.
+const MAX_ENTRIES: usize = 400_000;
 
-/// When a request came or was sent, and its answer's first event and end, in microseconds of the shared clock.
+/// When a request was received or sent, and its response began and ended, in microseconds of the shared clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Moments {
-    /// When it came or was sent.
-    pub begun_us: u64,
-    /// Of the first event, or of the whole answer where there are no events.
+pub struct Timings {
+    /// When it was sent or received.
+    pub started_us: u64,
+    /// When the first event came, or the complete response where there are no events.
     pub first_us: Option<u64>,
-    /// When the answer was complete.
+    /// When the response was complete, or the attempt ended.
     pub ended_us: Option<u64>,
 }
 
-impl Moments {
-    /// One that has only begun.
+impl Timings {
+    /// Timings of a request that has just started.
     #[must_use]
-    pub fn begun(begun_us: u64) -> Moments {
-        Moments {
-            begun_us,
-            ..Moments::default()
+    pub fn started(started_us: u64) -> Timings {
+        Timings {
+            started_us,
+            ..Timings::default()
         }
     }
 
-    /// From the beginning to the first event.
+    /// From the start to the first event.
     #[must_use]
     pub fn to_first_us(&self) -> Option<u64> {
-        Some(self.first_us?.saturating_sub(self.begun_us))
+        Some(self.first_us?.saturating_sub(self.started_us))
     }
 }
 
-/// A request as a server saw it.
+/// A request as a server observed it.
 #[derive(Clone, Debug)]
-pub struct Sighting {
-    /// Rises with each sighting of all servers.
+pub struct Observation {
+    /// Rises with each observation of all servers.
     pub number: usize,
-    /// When it came, in milliseconds of the shared clock.
+    /// When it arrived, in milliseconds of the shared clock.
     pub at_ms: u64,
-    /// The server's id, and the service that it belongs to.
+    /// Id of the server's incarnation.
     pub instance: String,
     /// The service that the server belongs to.
     pub backend: String,
-    /// The request's id, if it has one.
+    /// Id of the attempt, if the request has one.
     pub request: Option<RequestId>,
-    /// The method.
+    /// HTTP method.
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// Digest of the body.
+    /// Digest of the request's body.
     pub digest: Digest,
-    /// Kept only where the record keeps bodies.
+    /// Present only where the record stores bodies.
     pub body: Option<Bytes>,
-    /// The turn's program, where the request names one.
+    /// Id of the program, where the request names one.
     pub program: Option<String>,
-    /// The deadline that was handed to the server.
+    /// The deadline that the request states, in milliseconds.
     pub deadline_ms: Option<u64>,
     /// What became of it.
     pub fate: Fate,
-    /// What the server put into its answer to tell it from all others.
+    /// The stamp that the server gave to its response.
     pub stamp: Option<String>,
-    /// Status of the answer, once there is one.
+    /// Status of the response, once there is one.
     pub status: Option<u16>,
-    /// The body that the server sent, or began to.
-    pub sent: Option<Digest>,
-    /// The events that were sent.
+    /// Digest of the body that the server sent, or began to send.
+    pub sent_digest: Option<Digest>,
+    /// Events sent.
     pub events: Vec<Event>,
-    /// Whether the whole answer was written.
-    pub whole: bool,
-    /// Whether the server spoilt the answer itself.
-    pub spoilt: bool,
-    /// When it came, was answered and ended.
-    pub moments: Moments,
+    /// Whether the complete response was written.
+    pub complete: bool,
+    /// Whether an injected fault altered the response.
+    pub faulted: bool,
+    /// When it arrived and was answered.
+    pub timings: Timings,
 }
 
 /// What became of a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It waits; it has not run.
+    /// It is queued and has not run.
     Waiting,
-    /// The server has begun to work on it.
+    /// The server has begun to run it.
     Run,
-    /// The server said that it did not run it.
-    TurnedAway,
-    /// The caller left before it ran.
+    /// The server rejected it as not run.
+    Rejected,
+    /// The caller disconnected before it ran.
     Abandoned,
 }
 
-/// A try as a client saw it.
+/// An attempt as a client observed it.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct AttemptRecord {
     /// Rises with each attempt of all clients.
     pub number: usize,
-    /// The request's id.
+    /// Id of the attempt.
     pub request: RequestId,
-    /// All tries for one thing wanted have this number in common.
-    pub wanted: u64,
-    /// The front address called.
+    /// Number of the client's operation, common to all its attempts.
+    pub operation: u64,
+    /// The gateway's address.
     pub front: std::net::SocketAddr,
     /// When it was sent, in milliseconds of the shared clock.
     pub sent_ms: u64,
     /// When it ended, in milliseconds of the shared clock.
     pub ended_ms: u64,
-    /// The host that was asked.
+    /// Value of `Host`.
     pub host: String,
-    /// The method.
+    /// HTTP method.
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// Digest of the body that a server is to get.
+    /// Digest of the body that a server is to receive; `None` where it is not compared.
     pub expected: Option<Digest>,
-    /// Whether it is idempotent: it may run any number of times.
-    pub repeatable: bool,
-    /// What it says of its program, for a turn or a tool's call.
-    pub program: Option<ProgramTry>,
+    /// Whether it may run more than once.
+    pub idempotent: bool,
+    /// Data of the agent program, if one sent it.
+    pub program: Option<ProgramAttempt>,
     /// How it ended.
-    pub outcome: TryOutcome,
-    /// When it was sent, answered and ended.
-    pub moments: Moments,
+    pub outcome: AttemptOutcome,
+    /// When it was sent and answered.
+    pub timings: Timings,
 }
 
-/// What a try of a program's turn says about it.
+/// What an attempt states about its program.
 #[derive(Clone, Debug)]
-pub struct ProgramTry {
-    /// The program's id.
+pub struct ProgramAttempt {
+    /// Id of the program.
     pub program: String,
-    /// Nothing for calls of tools.
+    /// The program's token budget; `None` for calls of tools.
     pub budget: Option<u64>,
-    /// The most that the turn may generate.
-    pub most: u64,
+    /// Most tokens that the turn may generate.
+    pub max_tokens: u64,
     /// Tokens in one event.
     pub chunk_tokens: u64,
-    /// The turn that this one goes on from.
+    /// The turn that this one continues.
     pub previous: Option<RequestId>,
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Clone, Debug)]
-pub enum TryOutcome {
-    /// A whole answer.
+pub enum AttemptOutcome {
+    /// A complete response.
     Answered(Answered),
-    /// The connection ended inside an answer.
+    /// The connection ended inside a response.
     BrokenOff(Answered),
-    /// The connection ended before an answer, after the request had been written.
+    /// The connection ended before a response, after the request had been written.
     Closed,
     /// No connection, or it ended before the request had been written.
     NotSent,
-    /// The client gave up.
+    /// The client gave up: its deadline or an idle time-out passed.
     GivenUp,
-    /// Bytes that are no answer.
+    /// Bytes that are no response.
     Garbled(String),
 }
 
-/// An answer, or what came of it.
+/// A response, or the received part of it.
 #[derive(Clone, Debug)]
 pub struct Answered {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
-    /// The id of the request that it says it answers.
+    /// Id that the response names.
     pub request: Option<RequestId>,
-    /// What the server put into it to tell it from all others.
+    /// The server's stamp; none on responses of the system's own.
     pub stamp: Option<String>,
-    /// The content encoding, if one is named.
+    /// Content coding, if any.
     pub encoding: Option<String>,
-    /// It says that the request did not run.
+    /// Whether the response says that the request did not run.
     pub not_executed: bool,
-    /// When the client may come again, in milliseconds.
+    /// When the response says to retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// Digest of the body.
+    /// Digest of the body as received.
     pub digest: Digest,
-    /// The body, as far as it came.
+    /// Beginning of the body; bounded.
     pub body: Bytes,
-    /// The complete events in it.
+    /// Events received.
     pub events: Vec<Event>,
-    /// Events that were none.
+    /// Blocks of the stream that are no events.
     pub garbled_events: usize,
-    /// Bytes behind the last whole event.
-    pub left_over: usize,
-    /// From the try's start, in microseconds.
+    /// Bytes after the last complete event.
+    pub trailing_bytes: usize,
+    /// From the start of the attempt to the first event, in microseconds.
     pub first_event_us: Option<u64>,
-    /// The longest pause between two events.
-    pub longest_pause_ms: u64,
-    /// Bytes that came behind the whole answer.
+    /// Longest gap between two events, in milliseconds.
+    pub longest_gap_ms: u64,
+    /// Bytes received after the complete response.
     pub surplus: usize,
 }
 
-/// What all stand-ins saw.
+/// All observations, attempts and acknowledgements of a test; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     inner: Arc<Inner>,
@@ -209,20 +209,20 @@
 struct Entries {
     keep_bodies: bool,
     overflowed: bool,
-    sightings: Vec<Sighting>,
-    tries: Vec<Try>,
+    observations: Vec<Observation>,
+    attempts: Vec<AttemptRecord>,
     acknowledgements: Vec<Acknowledgement>,
 }
 
-/// What the system acknowledged to a server or to the operator.
+/// An acknowledgement of the system to a server or to the operator.
 #[derive(Clone, Debug)]
 pub struct Acknowledgement {
     /// When the acknowledgement came, in milliseconds of the shared clock.
     pub at_ms: u64,
-    /// When it was first asked for.
-    pub asked_ms: u64,
+    /// When it was first requested, in milliseconds of the shared clock.
+    pub requested_ms: u64,
     /// What was acknowledged.
-    pub what: Acknowledged,
+    pub event: Acknowledged,
 }
 
 /// What was acknowledged.
@@ -230,28 +230,28 @@
 pub enum Acknowledged {
     /// That the server is draining.
     Draining {
-        /// The server's id.
+        /// Id of the server.
         instance: String,
     },
     /// That the server has left.
     Left {
-        /// The server's id.
+        /// Id of the server.
         instance: String,
     },
     /// A configuration with this version.
     Configuration {
-        /// Its version.
+        /// Version of the configuration.
         generation: u64,
     },
-    /// Not by the system: the platform has asked the machine with this front to leave.
+    /// Not by the system: the platform has sent SIGTERM to a machine.
     Terminated {
-        /// The machine's front address.
+        /// Address for clients of the machine.
         front: std::net::SocketAddr,
     },
 }
 
 impl Record {
-    /// A record that keeps the bodies that servers got.
+    /// A record that stores the bodies that servers receive.
     #[must_use]
     pub fn with_bodies() -> Record {
         let record = Record::default();
@@ -259,107 +259,107 @@
         record
     }
 
-    /// Adds a sighting; gives its number.
-    pub fn saw(&self, mut sighting: Sighting, body: &Bytes) -> usize {
+    /// Adds an observation; returns its number.
+    pub fn record_observation(&self, mut observation: Observation, body: &Bytes) -> usize {
         let mut entries = self.lock();
-        let number = entries.sightings.len();
-        sighting.number = number;
-        sighting.body = entries.keep_bodies.then(|| body.clone());
-        if number >= MOST_ENTRIES {
+        let number = entries.observations.len();
+        observation.number = number;
+        observation.body = entries.keep_bodies.then(|| body.clone());
+        if number >= MAX_ENTRIES {
             entries.overflowed = true;
             return number;
         }
-        entries.sightings.push(sighting);
+        entries.observations.push(observation);
         drop(entries);
         self.inner.changed.notify_waiters();
         number
     }
 
-    /// Changes a sighting.
-    pub fn update(&self, number: usize, change: impl FnOnce(&mut Sighting)) {
-        if let Some(sighting) = self.lock().sightings.get_mut(number) {
-            change(sighting);
+    /// Changes an observation.
+    pub fn update(&self, number: usize, change: impl FnOnce(&mut Observation)) {
+        if let Some(observation) = self.lock().observations.get_mut(number) {
+            change(observation);
         }
         self.inner.changed.notify_waiters();
     }
 
-    /// Adds an attempt; its number is set here.
-    pub fn tried(&self, mut attempt: Try) {
+    /// Adds an attempt and numbers it.
+    pub fn record_attempt(&self, mut attempt: AttemptRecord) {
         let mut entries = self.lock();
-        attempt.number = entries.tries.len();
-        if attempt.number >= MOST_ENTRIES {
+        attempt.number = entries.attempts.len();
+        if attempt.number >= MAX_ENTRIES {
             entries.overflowed = true;
             return;
         }
-        entries.tries.push(attempt);
+        entries.attempts.push(attempt);
         drop(entries);
         self.inner.changed.notify_waiters();
     }
 
-    /// Adds an acknowledgement.
-    pub fn acknowledged(&self, at_ms: u64, asked_ms: u64, what: Acknowledged) {
+    /// Adds an acknowledgement; times in milliseconds of the shared clock.
+    pub fn acknowledged(&self, at_ms: u64, requested_ms: u64, event: Acknowledged) {
         self.lock().acknowledgements.push(Acknowledgement {
             at_ms,
-            asked_ms,
-            what,
+            requested_ms,
+            event,
         });
         self.inner.changed.notify_waiters();
     }
 
-    /// All requests that servers saw.
+    /// All observations so far.
     #[must_use]
-    pub fn sightings(&self) -> Vec<Sighting> {
-        self.lock().sightings.clone()
+    pub fn observations(&self) -> Vec<Observation> {
+        self.lock().observations.clone()
     }
 
-    /// All attempts that clients made.
+    /// All attempts that have ended.
     #[must_use]
-    pub fn tries(&self) -> Vec<Try> {
-        self.lock().tries.clone()
+    pub fn attempts(&self) -> Vec<AttemptRecord> {
+        self.lock().attempts.clone()
     }
 
-    /// All that the system acknowledged.
+    /// All acknowledgements so far.
     #[must_use]
     pub fn acknowledgements(&self) -> Vec<Acknowledgement> {
         self.lock().acknowledgements.clone()
     }
 
-    /// Sightings of one try, by its id.
+    /// Observations of one attempt.
     #[must_use]
-    pub fn sightings_of(&self, request: RequestId) -> Vec<Sighting> {
+    pub fn observations_of(&self, request: RequestId) -> Vec<Observation> {
         self.lock()
-            .sightings
+            .observations
             .iter()
-            .filter(|sighting| sighting.request == Some(request))
+            .filter(|observation| observation.request == Some(request))
             .cloned()
             .collect()
     }
 
-    /// Sightings at one server.
+    /// Observations at one server.
     #[must_use]
-    pub fn sightings_at(&self, instance: &str) -> Vec<Sighting> {
+    pub fn observations_at(&self, instance: &str) -> Vec<Observation> {
         self.lock()
-            .sightings
+            .observations
             .iter()
-            .filter(|sighting| sighting.instance == instance)
+            .filter(|observation| observation.instance == instance)
             .cloned()
             .collect()
     }
 
-    /// Ends once the sightings fulfil `holds`.
-    pub async fn until(&self, mut holds: impl FnMut(&[Sighting]) -> bool) {
+    /// Returns once the observations fulfil `condition`.
+    pub async fn until(&self, mut condition: impl FnMut(&[Observation]) -> bool) {
         loop {
             let changed = self.inner.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            if holds(&self.lock().sightings) {
+            if condition(&self.lock().observations) {
                 return;
             }
             changed.await;
         }
     }
 
-    /// Whether something was not kept.
+    /// Whether an entry was dropped because the record was full.
     #[must_use]
     pub fn overflowed(&self) -> bool {
         self.lock().overflowed
--- a/crates/testing/emulator/src/scene.rs
+++ b/crates/testing/emulator/src/scene.rs
@@ -1,17 +1,17 @@
-//! A whole scene: a running system with its servers, clients and operator, set up until requests are served.
+//! A running system with its servers, clients and operator, set up until requests are served.
 
-use crate::client::{Ask, Client, Kind};
+use crate::client::{Client, Kind, RequestSpec};
 use crate::clock::Clock;
 use crate::configuration::{ConfigurationPlan, EnginePlan, LimitsPlan, RoutePlan, ServicePlan};
 use crate::engine::{EngineServer, EngineSettings};
-use crate::heartbeat::{Beat, Registration};
+use crate::heartbeat::{HeartbeatSettings, Registration};
 use crate::identity::IdentitySource;
-use crate::judge::{judge, Span, Terms, Violation};
+use crate::judge::{judge, JudgeSettings, Span, Violation};
 use crate::operator::Operator;
 use crate::plain::{PlainServer, PlainSettings};
-use crate::program::{ProgramPlan, SharedPart};
+use crate::program::{ProgramPlan, SharedPrefix};
 use crate::record::{Acknowledged, Record};
-use crate::server::{Door, Identity, Surroundings};
+use crate::server::{Identity, ServerHandle, TestContext};
 use crate::system::{MachinePlan, Role, System, SystemPlan};
 use anyhow::Context;
 use std::net::SocketAddr;
@@ -20,52 +20,52 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, Instant};
 
-/// Host, services and routes of the usual configuration.
+/// Host of the usual configuration.
 pub const HOST: &str = "agents.example";
-/// Service of the model servers.
+/// Service of model servers.
 pub const MODELS: &str = "models";
-/// Service of the plain servers.
+/// Service of plain servers.
 pub const TOOLS: &str = "tools";
-/// Turns that the system keeps.
-pub const KEPT_TURNS: &str = "/kept/";
-/// Turns that it does not keep.
+/// Turns that the system stores.
+pub const PERSISTED_TURNS: &str = "/kept/";
+/// Turns that it does not store.
 pub const TURNS: &str = "/turns/";
-/// Calls that change nothing.
+/// Read-only calls of tools.
 pub const LOOKUP: &str = "/lookup/";
-/// Calls that change something.
+/// Mutating calls of tools.
 pub const RECORD: &str = "/record/";
 
-/// A system has so long to come up, and to take what it is told.
-pub const SETTLE_LIMIT: Duration = Duration::from_secs(20);
-/// Pause between two looks at what is to become so.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+/// Time for a system to start, and to apply an order.
+pub const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a scene is set up with.
+/// Contents of a scene.
 #[derive(Clone, Debug)]
 pub struct ScenePlan {
-    /// The system's machines.
+    /// Machines of the system.
     pub machines: Vec<MachinePlan>,
-    /// Machines that may be lost at one time.
+    /// Machines that may be lost at once.
     pub tolerated_losses: u32,
-    /// Time between the servers' heartbeats, in milliseconds.
+    /// Heartbeat interval of servers, in milliseconds.
     pub heartbeat_ms: u64,
-    /// How many model servers there are.
+    /// Number of model servers.
     pub engines: usize,
-    /// Requests that each runs side by side.
+    /// Requests that a model server runs at once.
     pub engine_slots: u32,
-    /// How they behave.
+    /// Settings of the model servers.
     pub engine: EngineSettings,
-    /// How many plain servers there are.
+    /// Number of plain servers.
     pub plains: usize,
-    /// Requests that each runs side by side.
+    /// Requests that a plain server runs at once.
     pub plain_slots: u32,
-    /// How they behave.
+    /// Settings of the plain servers.
     pub plain: PlainSettings,
-    /// The configuration that is sent first.
+    /// First configuration of the operator.
     pub configuration: ConfigurationPlan,
-    /// What all random draws follow from.
+    /// Seed of all ids.
     pub seed: u64,
-    /// Whether the record keeps the bodies that servers got.
+    /// Whether the record stores the bodies that servers receive.
     pub keep_bodies: bool,
 }
 
@@ -100,8 +100,8 @@
 #[must_use]
 pub fn usual_configuration() -> ConfigurationPlan {
     let streaming = Kind::Streaming { resumable: false };
-    let mut kept = RoutePlan::new("kept", HOST, KEPT_TURNS, streaming, MODELS);
-    kept.persisted = true;
+    let mut persisted = RoutePlan::new("kept", HOST, PERSISTED_TURNS, streaming, MODELS);
+    persisted.persisted = true;
     let mut lookup = RoutePlan::new("lookup", HOST, LOOKUP, Kind::ReadOnly, TOOLS);
     lookup.retries = 2;
     let engine = EnginePlan {
@@ -113,7 +113,7 @@
     ConfigurationPlan {
         generation: 1,
         routes: vec![
-            kept,
+            persisted,
             RoutePlan::new("turns", HOST, TURNS, streaming, MODELS),
             lookup,
             RoutePlan::new("record", HOST, RECORD, Kind::Mutating, TOOLS),
@@ -134,21 +134,21 @@
     }
 }
 
-/// A program of a few kept turns.
+/// A program of a few stored turns.
 #[must_use]
 pub fn usual_program() -> ProgramPlan {
     ProgramPlan {
         host: HOST.to_owned(),
-        target: format!("{KEPT_TURNS}chat"),
+        target: format!("{PERSISTED_TURNS}chat"),
         persisted: true,
         turns: 3,
-        shared: SharedPart {
+        shared: SharedPrefix {
             id: "5c1e07a2".to_owned(),
             tokens: 800,
         },
         input_bytes: 400,
         input_tokens: 100,
-        most: 12,
+        max_tokens: 12,
         chunk_tokens: 3,
         budget: 1_000,
         tools: Vec::new(),
@@ -156,7 +156,7 @@
         model: "m".to_owned(),
         deadline_ms: 5_000,
         target_ms: 200,
-        pause_ms: 300,
+        max_gap_ms: 300,
         retries: 1,
         finish_ms: 20_000,
     }
@@ -167,15 +167,15 @@
 pub struct Engine {
     /// The server.
     pub server: EngineServer,
-    /// Its heartbeats.
+    /// Its registration with the gateways.
     pub registration: Registration,
 }
 
 impl Engine {
-    /// Ends once it has neither running nor waiting requests.
+    /// Returns once it has neither running nor waiting requests.
     pub async fn drained(&self) {
         while self.server.load().running + self.server.load().queued > 0 {
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -185,28 +185,28 @@
 pub struct Plain {
     /// The server.
     pub server: PlainServer,
-    /// Its heartbeats.
+    /// Its registration with the gateways.
     pub registration: Registration,
 }
 
-/// A scene that plays. All ends with it.
+/// A running scene. Dropping it stops all processes and servers.
 #[derive(Debug)]
 pub struct Scene {
     /// The processes under test.
     pub system: System,
-    /// The shared clock.
+    /// The clock of the record.
     pub clock: Clock,
-    /// What clients and servers saw.
+    /// What servers, clients and operator saw.
     pub record: Record,
-    /// Where request ids come from.
+    /// Source of ids.
     pub identities: IdentitySource,
-    /// A client of all fronts.
+    /// A client of all gateways.
     pub client: Client,
     /// The operator.
     pub operator: Operator,
-    /// The model servers.
+    /// Model servers that run.
     pub engines: Vec<Engine>,
-    /// The plain servers.
+    /// Plain servers that run.
     pub plains: Vec<Plain>,
     /// The configuration first sent; tests that send others add them to `configurations`.
     pub plan: ScenePlan,
@@ -218,7 +218,8 @@
     /// Starts the processes and the servers without any order of the operator.
     ///
     /// # Errors
-    /// A process or a server did not start.
+    ///
+    /// Fails where a process could not be started or an address could not be bound.
     pub async fn begin(program: &Path, plan: ScenePlan) -> anyhow::Result<Scene> {
         let clock = Clock::start();
         let record = if plan.keep_bodies {
@@ -259,7 +260,8 @@
     /// A scene in which the configuration is in force and every gateway serves.
     ///
     /// # Errors
-    /// A process or a server did not start, or the system did not serve in time; the tails of the logs are in it.
+    ///
+    /// As [`Self::begin`], and where the system does not serve within [`READY_TIMEOUT`]; the logs are in the error.
     pub async fn start(program: &Path, plan: ScenePlan) -> anyhow::Result<Scene> {
         let mut scene = Scene::begin(program, plan).await?;
         match scene.set_up().await {
@@ -270,16 +272,20 @@
 
     async fn set_up(&mut self) -> anyhow::Result<()> {
         self.configure().await?;
-        self.settle().await
+        self.wait_until_serving().await
     }
 
-    /// Sends the plan's configuration until it is taken.
+    /// Sends the plan's configuration until it is acknowledged.
     ///
     /// # Errors
-    /// The configuration was not taken within [`SETTLE_LIMIT`].
+    ///
+    /// Fails where the configuration is rejected or no clear response comes within [`READY_TIMEOUT`].
     pub async fn configure(&mut self) -> anyhow::Result<()> {
         let plan = self.plan.configuration.clone();
-        let answer = self.operator.replace(0, &plan.json(), SETTLE_LIMIT).await?;
+        let answer = self
+            .operator
+            .replace(0, &plan.json(), READY_TIMEOUT)
+            .await?;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         anyhow::ensure!(
             answer.status == 200,
@@ -290,13 +296,14 @@
         Ok(())
     }
 
-    /// Ends once every running gateway is ready and serves a lookup.
+    /// Returns once every running gateway is ready and serves lookups and turns.
     ///
     /// # Errors
-    /// A gateway does not serve within [`SETTLE_LIMIT`].
-    pub async fn settle(&mut self) -> anyhow::Result<()> {
-        self.system.ready(SETTLE_LIMIT).await?;
-        for index in self.system.places(|plan| plan.role != Role::Store) {
+    ///
+    /// Fails where a gateway is not ready or does not serve within [`READY_TIMEOUT`].
+    pub async fn wait_until_serving(&mut self) -> anyhow::Result<()> {
+        self.system.ready(READY_TIMEOUT).await?;
+        for index in self.system.machine_indices(|plan| plan.role != Role::Store) {
             if self.system.machines()[index].is_running() {
                 self.serves(index).await?;
             }
@@ -304,65 +311,69 @@
         Ok(())
     }
 
-    /// Ends once this gateway serves lookups and turns.
+    /// Returns once this gateway serves lookups and turns.
     ///
     /// # Errors
-    /// It does not within [`SETTLE_LIMIT`].
+    ///
+    /// Fails where it does not serve within [`READY_TIMEOUT`].
     pub async fn serves(&self, index: usize) -> anyhow::Result<()> {
         let front = self.system.front(index);
         if !self.plains.is_empty() {
-            self.answers(front, &Ask::get(HOST, &format!("{LOOKUP}settle")))
+            self.answers(front, &RequestSpec::get(HOST, &format!("{LOOKUP}settle")))
                 .await?;
         }
         if !self.engines.is_empty() {
-            let ask = self.turn_ask();
-            self.answers(front, &ask).await?;
+            let spec = self.turn_request();
+            self.answers(front, &spec).await?;
         }
         Ok(())
     }
 
-    /// Ends once a limiter answers `ask` with success.
+    /// Returns once a gateway answers `spec` with success.
     ///
     /// # Errors
-    /// It does not within [`SETTLE_LIMIT`].
-    pub async fn answers(&self, front: SocketAddr, ask: &Ask) -> anyhow::Result<()> {
-        let until = Instant::now() + SETTLE_LIMIT;
+    ///
+    /// Fails where no attempt succeeds within [`READY_TIMEOUT`].
+    pub async fn answers(&self, front: SocketAddr, spec: &RequestSpec) -> anyhow::Result<()> {
+        let until = Instant::now() + READY_TIMEOUT;
         loop {
-            let served = self.client.send_to(front, ask).await;
+            let served = self.client.send_to(front, spec).await;
             if served.succeeded() {
                 return Ok(());
             }
             anyhow::ensure!(
                 Instant::now() < until,
                 "{front} does not serve {}: {served:?}",
-                ask.target
+                spec.target
             );
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// A turn of a program of its own.
+    /// The first turn of a new program.
     #[must_use]
-    pub fn turn_ask(&self) -> Ask {
-        let line = crate::program::Line::new(&self.client, &usual_program());
-        line.ask(&self.client, &"settle".into())
+    pub fn turn_request(&self) -> RequestSpec {
+        let line = crate::program::Conversation::new(&self.client, &usual_program());
+        line.next_request(&self.client, &"settle".into())
     }
 
-    /// Starts a model server and has it known.
+    /// Starts and registers a model server; returns its index.
     ///
     /// # Errors
-    /// No address, or the system does not take its registration in time.
+    ///
+    /// Fails where its address could not be bound.
     pub async fn add_engine(&mut self) -> anyhow::Result<usize> {
         let (listener, identity) = self.identity(MODELS, self.plan.engine_slots).await?;
         let settings = self.plan.engine.clone();
         let models = settings.models.clone();
-        let server = EngineServer::start(listener, identity, settings, self.surroundings());
-        let beat = Beat {
-            pause: self.beat_pause(),
-            cold_left_ms: 0,
+        let server = EngineServer::start(listener, identity, settings, self.context());
+        let heartbeat = HeartbeatSettings {
+            interval: self.heartbeat_interval(),
+            warm_up_left_ms: 0,
             models,
         };
-        let registration = Registration::start(server.door.clone(), self.system.controls(), beat);
+        let registration =
+            Registration::start(server.handle.clone(), self.system.controls(), heartbeat);
         self.engines.push(Engine {
             server,
             registration,
@@ -373,7 +384,8 @@
     /// Starts a plain server of another incarnation, and maybe another service, at an address that was used before.
     ///
     /// # Errors
-    /// The address is taken, or the system does not take its registration in time.
+    ///
+    /// Fails where the address could not be bound.
     pub async fn add_plain_at(
         &mut self,
         address: SocketAddr,
@@ -385,28 +397,26 @@
         Ok(self.start_plain(listener, identity))
     }
 
-    /// Starts a plain server and has it known.
+    /// Starts and registers a plain server; returns its index.
     ///
     /// # Errors
-    /// No address, or the system does not take its registration in time.
+    ///
+    /// Fails where its address could not be bound.
     pub async fn add_plain(&mut self) -> anyhow::Result<usize> {
         let (listener, identity) = self.identity(TOOLS, self.plan.plain_slots).await?;
         Ok(self.start_plain(listener, identity))
     }
 
     fn start_plain(&mut self, listener: TcpListener, identity: Identity) -> usize {
-        let server = PlainServer::start(
-            listener,
-            identity,
-            self.plan.plain.clone(),
-            self.surroundings(),
-        );
-        let beat = Beat {
-            pause: self.beat_pause(),
-            cold_left_ms: 0,
+        let server =
+            PlainServer::start(listener, identity, self.plan.plain.clone(), self.context());
+        let heartbeat = HeartbeatSettings {
+            interval: self.heartbeat_interval(),
+            warm_up_left_ms: 0,
             models: Vec::new(),
         };
-        let registration = Registration::start(server.door.clone(), self.system.controls(), beat);
+        let registration =
+            Registration::start(server.handle.clone(), self.system.controls(), heartbeat);
         self.plains.push(Plain {
             server,
             registration,
@@ -414,13 +424,13 @@
         self.plains.len() - 1
     }
 
-    /// The doors of all servers that run.
-    pub fn servers(&self) -> impl Iterator<Item = &Door> {
+    /// The handles of all running servers.
+    pub fn servers(&self) -> impl Iterator<Item = &ServerHandle> {
         let engines = self
             .engines
             .iter()
-            .map(|engine| engine.server.door.as_ref());
-        engines.chain(self.plains.iter().map(|plain| plain.server.door.as_ref()))
+            .map(|engine| engine.server.handle.as_ref());
+        engines.chain(self.plains.iter().map(|plain| plain.server.handle.as_ref()))
     }
 
     /// All rules that the record breaks.
@@ -429,20 +439,21 @@
         self.violations_except(Vec::new())
     }
 
-    /// All rules that the record breaks, where machines were out of touch at times.
+    /// All rules that the record breaks, given the times of unplanned faults.
     #[must_use]
-    pub fn violations_except(&self, unrest: Vec<Span>) -> Vec<Violation> {
-        let terms = Terms {
-            unrest,
-            ..Terms::of(self.configurations.clone())
+    pub fn violations_except(&self, disturbances: Vec<Span>) -> Vec<Violation> {
+        let settings = JudgeSettings {
+            disturbances,
+            ..JudgeSettings::of(self.configurations.clone())
         };
-        judge(&self.record, &terms)
+        judge(&self.record, &settings)
     }
 
-    /// Asks a gateway to leave; clients go to the others from now on.
+    /// Sends SIGTERM to a gateway; clients use the others from now on.
     ///
     /// # Errors
-    /// Its process does not run.
+    ///
+    /// Fails where its process does not run.
     pub fn terminate(&mut self, index: usize) -> anyhow::Result<()> {
         let front = self.system.front(index);
         let others = self
@@ -491,14 +502,14 @@
         Ok((listener, identity))
     }
 
-    fn surroundings(&self) -> Surroundings {
-        Surroundings {
+    fn context(&self) -> TestContext {
+        TestContext {
             clock: self.clock,
             record: self.record.clone(),
         }
     }
 
-    fn beat_pause(&self) -> Duration {
+    fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(self.plan.heartbeat_ms)
     }
 }
--- a/crates/testing/emulator/src/system/mod.rs
+++ b/crates/testing/emulator/src/system/mod.rs
@@ -17,21 +17,21 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Seeds that each process is told.
+/// Number of seeds in each settings file.
 const SEEDS: usize = 3;
-/// Pause between two looks at a machine that is coming up.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
-/// A look at readiness takes at most so long.
-const LOOK_LIMIT: Duration = Duration::from_secs(1);
+/// Interval at which a starting machine is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time-out of a readiness check.
+const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What a system consists of.
 #[derive(Clone, Debug)]
 pub struct SystemPlan {
     /// The program that plays all roles.
     pub program: PathBuf,
-    /// The machines, in order.
+    /// Machines of the first start.
     pub machines: Vec<MachinePlan>,
-    /// Time between the servers' heartbeats, in milliseconds.
+    /// Heartbeat interval of servers, in milliseconds.
     pub heartbeat_ms: u64,
     /// Machines that may be lost at once.
     pub tolerated_losses: u32,
@@ -52,7 +52,8 @@
     /// Starts all machines, as at the first start of the whole system.
     ///
     /// # Errors
-    /// No addresses, or a process can't be started.
+    ///
+    /// Fails where addresses, folders or settings could not be set up or a process could not be started.
     pub fn start(plan: SystemPlan) -> anyhow::Result<System> {
         let ports = Ports::default();
         let addresses = AddressBlock::reserve(ports)?;
@@ -79,7 +80,8 @@
     /// Adds a machine to a running system and starts it.
     ///
     /// # Errors
-    /// No address, or the process can't be started.
+    ///
+    /// Fails where no address is left or its process could not be started.
     pub fn join(&mut self, plan: MachinePlan) -> anyhow::Result<usize> {
         let index = self.add(plan)?;
         self.write_settings(index, false)?;
@@ -90,7 +92,8 @@
     /// Starts a machine that is not running, with the settings of this moment.
     ///
     /// # Errors
-    /// The process can't be started.
+    ///
+    /// Fails where its process runs already or could not be started.
     pub fn restart(&mut self, index: usize) -> anyhow::Result<()> {
         self.write_settings(index, false)?;
         self.machines[index].start()
@@ -99,13 +102,14 @@
     /// Starts a machine that is not running with the settings of the first start of the whole system.
     ///
     /// # Errors
-    /// The process can't be started.
+    ///
+    /// Fails where its process runs already or could not be started.
     pub fn restart_bootstrapping(&mut self, index: usize) -> anyhow::Result<()> {
         self.write_settings(index, true)?;
         self.machines[index].start()
     }
 
-    /// The seeds that processes are told from their next start on, or their next look at their settings.
+    /// Sets the seeds for settings files that are written from now on.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
@@ -113,15 +117,17 @@
     /// Writes a machine's settings anew while its process runs.
     ///
     /// # Errors
-    /// The file can't be written.
+    ///
+    /// Fails where the file could not be written.
     pub fn rewrite_settings(&self, index: usize) -> anyhow::Result<()> {
         self.write_settings(index, false)
     }
 
-    /// Kills a machine's process, takes its disk away and starts it empty.
+    /// Kills a machine's process, empties its disk and starts it again.
     ///
     /// # Errors
-    /// The disk can't be taken away, or the process can't be started.
+    ///
+    /// Fails where the disk could not be emptied or the process not be started.
     pub fn wipe(&mut self, index: usize) -> anyhow::Result<()> {
         self.machines[index].kill();
         self.machines[index].wipe()?;
@@ -138,19 +144,19 @@
         }
     }
 
-    /// One machine, by its place in the plan.
+    /// The machine with this index, to be changed.
     pub fn machine(&mut self, index: usize) -> &mut Machine {
         &mut self.machines[index]
     }
 
-    /// All machines, in the order of the plan.
+    /// All machines, by index.
     #[must_use]
     pub fn machines(&self) -> &[Machine] {
         &self.machines
     }
 
-    /// Places of machines of a kind.
-    pub fn places(&self, wanted: impl Fn(&MachinePlan) -> bool) -> Vec<usize> {
+    /// Indices of the machines that `wanted` accepts.
+    pub fn machine_indices(&self, wanted: impl Fn(&MachinePlan) -> bool) -> Vec<usize> {
         let machines = self.machines.iter().enumerate();
         machines
             .filter(|(_, machine)| wanted(machine.plan()))
@@ -170,19 +176,19 @@
         self.of_gateways(self.ports.front)
     }
 
-    /// Where a machine takes requests.
+    /// Address of a gateway for clients.
     #[must_use]
     pub fn front(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machines[index].ip(), self.ports.front)
     }
 
-    /// Where the platform asks whether this gateway is ready.
+    /// Address of this gateway's readiness check.
     #[must_use]
     pub fn ready_address(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machines[index].ip(), self.ports.ready)
     }
 
-    /// Where a machine takes the operator's orders.
+    /// Address of a gateway for servers and the operator.
     #[must_use]
     pub fn control(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machines[index].ip(), self.ports.control)
@@ -191,17 +197,22 @@
     /// An address for a server, other than those of all machines.
     ///
     /// # Errors
-    /// The block has no more addresses.
+    ///
+    /// Fails where all addresses of the block are used.
     pub fn server_address(&mut self) -> anyhow::Result<SocketAddr> {
-        Ok(SocketAddr::new(self.addresses.next()?, self.ports.server))
+        Ok(SocketAddr::new(
+            self.addresses.next_address()?,
+            self.ports.server,
+        ))
     }
 
-    /// Ends once all running gateways are ready.
+    /// Returns once all running gateways are ready.
     ///
     /// # Errors
-    /// One of them is not within `limit`.
+    ///
+    /// Fails where a gateway has ended or is not ready within `limit`; its log is in the error.
     pub async fn ready(&mut self, limit: Duration) -> anyhow::Result<()> {
-        for index in self.places(|plan| plan.role != Role::Store) {
+        for index in self.machine_indices(|plan| plan.role != Role::Store) {
             if self.machines[index].is_running() {
                 self.ready_one(index, limit).await?;
             }
@@ -209,10 +220,11 @@
         Ok(())
     }
 
-    /// Ends once this gateway is ready.
+    /// Returns once this gateway is ready.
     ///
     /// # Errors
-    /// It is not within `limit`.
+    ///
+    /// Fails where it has ended or is not ready within `limit`; its log is in the error.
     pub async fn ready_one(&mut self, index: usize, limit: Duration) -> anyhow::Result<()> {
         let address = SocketAddr::new(self.machines[index].ip(), self.ports.ready);
         let until = Instant::now() + limit;
@@ -233,7 +245,7 @@
                     self.machines[index].log_tail()
                 );
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -270,7 +282,7 @@
 
     fn add(&mut self, plan: MachinePlan) -> anyhow::Result<usize> {
         let index = self.machines.len();
-        let ip = self.addresses.next()?;
+        let ip = self.addresses.next_address()?;
         let folder = self.folder.path().join(plan.name(index));
         self.machines.push(Machine::new(
             plan,
@@ -299,6 +311,6 @@
 }
 
 async fn readiness(address: SocketAddr) -> Option<u16> {
-    let answer = call(address, &Call::get("/api/readyz"), LOOK_LIMIT).await;
+    let answer = call(address, &Call::get("/api/readyz"), READINESS_TIMEOUT).await;
     answer.ok().map(|answer| answer.status)
 }
--- a/crates/testing/emulator/src/wire/headers.rs
+++ b/crates/testing/emulator/src/wire/headers.rs
@@ -1,15 +1,15 @@
-//! Heads of requests and answers.
+//! Heads of requests and responses.
 
-/// One header line.
+/// One header field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// The name, as it was written.
+    /// Name as received.
     pub name: String,
-    /// The value, without the blanks around it.
+    /// Value without surrounding white space.
     pub value: String,
 }
 
-/// Header lines in the order in which they came.
+/// Header fields in the order of the message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(pub Vec<Header>);
 
@@ -20,7 +20,7 @@
         Headers::default()
     }
 
-    /// Adds a line at the end.
+    /// Adds a field at the end.
     pub fn push(&mut self, name: &str, value: impl Into<String>) {
         self.0.push(Header {
             name: name.to_owned(),
@@ -28,14 +28,14 @@
         });
     }
 
-    /// The same with one more line.
+    /// The same with one more field.
     #[must_use]
     pub fn with(mut self, name: &str, value: impl Into<String>) -> Headers {
         self.push(name, value);
         self
     }
 
-    /// The first line of that name, in any case of letters.
+    /// The value of the first field of that name, ignoring case.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0
@@ -44,7 +44,7 @@
             .map(|header| header.value.as_str())
     }
 
-    /// All lines of that name.
+    /// The values of all fields of that name, ignoring case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0
             .iter()
@@ -58,7 +58,7 @@
         self.get(name)?.trim().parse().ok()
     }
 
-    /// Whether `Connection` says that the connection ends with this message.
+    /// Whether `Connection` closes the connection after this message.
     #[must_use]
     pub fn closes(&self) -> bool {
         self.all(super::name::CONNECTION)
@@ -67,23 +67,23 @@
     }
 }
 
-/// First line and headers of a request.
+/// Request line and headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// HTTP method.
     pub method: String,
-    /// Path and query as they came.
+    /// Path and query as received.
     pub target: String,
-    /// The headers, in their order.
+    /// Headers of the request.
     pub headers: Headers,
 }
 
-/// First line and headers of an answer.
+/// Status line and headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
-    /// The headers, in their order.
+    /// Headers of the response.
     pub headers: Headers,
 }
 
--- a/crates/testing/emulator/src/wire/reader.rs
+++ b/crates/testing/emulator/src/wire/reader.rs
@@ -6,14 +6,14 @@
 use std::fmt;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// A head longer than this is an error: bounds the memory of a stand-in.
-const MOST_HEAD: usize = 64 * 1024;
-/// A body longer than this is an error, for the same reason.
-const MOST_BODY: usize = 64 * 1024 * 1024;
-/// Bytes read ahead of a message that is not asked for yet.
-const MOST_AHEAD: usize = 64 * 1024;
-/// The longest line that tells a chunk's length.
-const MOST_CHUNK_LINE: usize = 64;
+/// A longer head is an error, which bounds memory.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// A longer body is an error, for the same reason.
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
+/// Most bytes read ahead of the next message.
+const MAX_AHEAD_BYTES: usize = 64 * 1024;
+/// Longest line of a chunk's length.
+const MAX_CHUNK_LINE_BYTES: usize = 64;
 
 /// Why no message could be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
         match self {
             WireError::Ended => write!(f, "the connection ended"),
             WireError::BrokenOff => write!(f, "the connection ended inside a message"),
-            WireError::Garbled(what) => write!(f, "no message: {what}"),
+            WireError::Garbled(reason) => write!(f, "no message: {reason}"),
             WireError::Failed(kind) => write!(f, "the connection failed: {kind}"),
         }
     }
@@ -45,9 +45,9 @@
 #[derive(Clone, Copy, Debug)]
 enum Rest {
     Length(u64),
-    /// A chunk's line comes next.
+    /// The line of a chunk's length is next.
     ChunkLine,
-    /// So much of a chunk, then its line's end.
+    /// The rest of a chunk, then its line end.
     Chunk(u64),
     UntilClose,
     Nothing,
@@ -61,7 +61,7 @@
 }
 
 impl<R: AsyncRead + Unpin> MessageReader<R> {
-    /// A reader at the beginning of a message.
+    /// A reader at the beginning of `stream`.
     pub fn new(stream: R) -> Self {
         MessageReader {
             stream,
@@ -70,10 +70,11 @@
         }
     }
 
-    /// The next request's head; the body is then read by [`Self::piece`] or [`Self::body`].
+    /// Reads the next request's head; the body is then read by [`Self::next_data`] or [`Self::body`].
     ///
     /// # Errors
-    /// The connection ended too early, or brought what is no message of the protocol.
+    ///
+    /// [`WireError`] where the connection ends or the bytes are no request.
     pub async fn request_head(&mut self) -> Result<RequestHead, WireError> {
         let bytes = self.head_bytes().await?;
         let head = RequestHead::parse(&bytes).ok_or(WireError::Garbled("a request's head"))?;
@@ -82,10 +83,11 @@
         Ok(head)
     }
 
-    /// The next answer's head.
+    /// Reads the next response's head; the body is then read in the same way.
     ///
     /// # Errors
-    /// The connection ended too early, or brought what is no message of the protocol.
+    ///
+    /// [`WireError`] where the connection ends or the bytes are no response.
     pub async fn response_head(&mut self) -> Result<ResponseHead, WireError> {
         let bytes = self.head_bytes().await?;
         let head = ResponseHead::parse(&bytes).ok_or(WireError::Garbled("an answer's head"))?;
@@ -95,26 +97,28 @@
         Ok(head)
     }
 
-    /// The rest of the body, whole.
+    /// Reads the body to its end.
     ///
     /// # Errors
-    /// The connection ended too early, or brought what is no message of the protocol.
+    ///
+    /// [`WireError`] where the connection ends inside the body, or the body is malformed or too long.
     pub async fn body(&mut self) -> Result<Bytes, WireError> {
-        let mut whole = BytesMut::new();
-        while let Some(piece) = self.piece().await? {
-            if whole.len() + piece.len() > MOST_BODY {
+        let mut complete = BytesMut::new();
+        while let Some(data) = self.next_data().await? {
+            if complete.len() + data.len() > MAX_BODY_BYTES {
                 return Err(WireError::Garbled("a body beyond all bounds"));
             }
-            whole.extend_from_slice(&piece);
+            complete.extend_from_slice(&data);
         }
-        Ok(whole.freeze())
+        Ok(complete.freeze())
     }
 
     /// The next bytes of the body; `None` at its end.
     ///
     /// # Errors
-    /// The connection ended too early, or brought what is no message of the protocol.
-    pub async fn piece(&mut self) -> Result<Option<Bytes>, WireError> {
+    ///
+    /// [`WireError`] where the connection ends inside the body or a chunk is malformed.
+    pub async fn next_data(&mut self) -> Result<Option<Bytes>, WireError> {
         loop {
             match self.rest {
                 Rest::Nothing | Rest::Length(0) => {
@@ -130,9 +134,9 @@
         }
     }
 
-    /// Ends once the peer has closed the connection, or has sent more ahead than any peer has to.
+    /// Returns once the peer has closed the connection, or has sent too many bytes ahead.
     pub async fn closed(&mut self) {
-        while self.buffer.len() < MOST_AHEAD {
+        while self.buffer.len() < MAX_AHEAD_BYTES {
             match self.fill().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Bytes that have come but belong to no message read so far.
+    /// Received bytes that belong to no message read so far.
     pub fn ahead(&self) -> usize {
         self.buffer.len()
     }
@@ -160,12 +164,12 @@
                 self.buffer.advance(2);
                 return Ok(head);
             }
-            if self.buffer.len() > MOST_HEAD {
+            if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(WireError::Garbled("a head without end"));
             }
-            let begun = !self.buffer.is_empty();
+            let started = !self.buffer.is_empty();
             if self.fill().await? == 0 {
-                return Err(if begun {
+                return Err(if started {
                     WireError::BrokenOff
                 } else {
                     WireError::Ended
@@ -218,7 +222,7 @@
                 self.buffer.advance(2);
                 return Ok(line);
             }
-            if self.buffer.len() > MOST_CHUNK_LINE {
+            if self.buffer.len() > MAX_CHUNK_LINE_BYTES {
                 return Err(WireError::Garbled("a chunk's line without end"));
             }
             if self.fill().await? == 0 {
--- a/crates/testing/emulator/src/wire/write.rs
+++ b/crates/testing/emulator/src/wire/write.rs
@@ -21,7 +21,7 @@
     bytes.freeze()
 }
 
-/// First line and headers of an answer, with the empty line.
+/// Status line and headers, with the empty line.
 #[must_use]
 pub fn response_head(status: u16, headers: &Headers) -> Bytes {
     let mut bytes = BytesMut::new();
