--- a/crates/testing/emulator/src/experiment/faults/steps.rs
+++ b/crates/testing/emulator/src/experiment/faults/steps.rs
@@ -203,7 +203,8 @@
     if scene.system.machines()[index].is_running() {
         return Ok(());
     }
-    scene.system.restart(index)
+    scene.system.restart(index)?;
+    Ok(())
 }
 
 /// Starts a new server, then drains the old one.
--- a/crates/testing/emulator/src/scene.rs
+++ b/crates/testing/emulator/src/scene/mod.rs
@@ -1,167 +1,37 @@
 //! A running system with its servers, clients and operator, set up until requests are served.
 
-use crate::client::{Client, Kind, RequestSpec};
+mod error;
+mod plan;
+
+pub use error::SceneError;
+pub use plan::{
+    usual_configuration, usual_program, ScenePlan, HOST, LOOKUP, MODELS, PERSISTED_TURNS, RECORD,
+    TOOLS, TURNS,
+};
+
+use crate::client::{Client, RequestSpec};
 use crate::clock::Clock;
-use crate::configuration::{ConfigurationPlan, EnginePlan, LimitsPlan, RoutePlan, ServicePlan};
-use crate::engine::{EngineServer, EngineSettings};
+use crate::configuration::ConfigurationPlan;
+use crate::engine::EngineServer;
 use crate::heartbeat::{HeartbeatSettings, Registration};
 use crate::identity::IdentitySource;
 use crate::judge::{judge, JudgeSettings, Span, Violation};
 use crate::operator::Operator;
-use crate::plain::{PlainServer, PlainSettings};
-use crate::program::{ProgramPlan, SharedPrefix};
+use crate::plain::PlainServer;
 use crate::record::{Acknowledged, Record};
 use crate::server::{Identity, ServerHandle, TestContext};
-use crate::system::{MachinePlan, Role, System, SystemPlan};
-use anyhow::Context;
+use crate::system::{Role, System, SystemPlan};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::{sleep, Instant};
 
-/// Host of the usual configuration.
-pub const HOST: &str = "agents.example";
-/// Service of model servers.
-pub const MODELS: &str = "models";
-/// Service of plain servers.
-pub const TOOLS: &str = "tools";
-/// Turns that the system stores.
-pub const PERSISTED_TURNS: &str = "/kept/";
-/// Turns that it does not store.
-pub const TURNS: &str = "/turns/";
-/// Read-only calls of tools.
-pub const LOOKUP: &str = "/lookup/";
-/// Mutating calls of tools.
-pub const RECORD: &str = "/record/";
-
 /// Time for a system to start, and to apply an order.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Contents of a scene.
-#[derive(Clone, Debug)]
-pub struct ScenePlan {
-    /// Machines of the system.
-    pub machines: Vec<MachinePlan>,
-    /// Machines that may be lost at once.
-    pub tolerated_losses: u32,
-    /// Heartbeat interval of servers, in milliseconds.
-    pub heartbeat_ms: u64,
-    /// Number of model servers.
-    pub engines: usize,
-    /// Requests that a model server runs at once.
-    pub engine_slots: u32,
-    /// Settings of the model servers.
-    pub engine: EngineSettings,
-    /// Number of plain servers.
-    pub plains: usize,
-    /// Requests that a plain server runs at once.
-    pub plain_slots: u32,
-    /// Settings of the plain servers.
-    pub plain: PlainSettings,
-    /// First configuration of the operator.
-    pub configuration: ConfigurationPlan,
-    /// Seed of all ids.
-    pub seed: u64,
-    /// Whether the record stores the bodies that servers receive.
-    pub keep_bodies: bool,
-}
-
-impl Default for ScenePlan {
-    /// Three core members, one gateway without a disk, three stores, two servers of each service.
-    fn default() -> Self {
-        let zones = ["zone-a", "zone-b", "zone-c"];
-        let mut machines: Vec<MachinePlan> = zones
-            .iter()
-            .map(|zone| MachinePlan::new(Role::Core, zone))
-            .collect();
-        machines.push(MachinePlan::new(Role::Gateway, zones[0]));
-        machines.extend(zones.iter().map(|zone| MachinePlan::new(Role::Store, zone)));
-        ScenePlan {
-            machines,
-            tolerated_losses: 1,
-            heartbeat_ms: 400,
-            engines: 2,
-            engine_slots: 8,
-            engine: EngineSettings::default(),
-            plains: 2,
-            plain_slots: 4,
-            plain: PlainSettings::default(),
-            configuration: usual_configuration(),
-            seed: 1,
-            keep_bodies: true,
-        }
-    }
-}
-
-/// One service of model servers, one of plain servers, a route for each kind of request.
-#[must_use]
-pub fn usual_configuration() -> ConfigurationPlan {
-    let streaming = Kind::Streaming { resumable: false };
-    let mut persisted = RoutePlan::new("kept", HOST, PERSISTED_TURNS, streaming, MODELS);
-    persisted.persisted = true;
-    let mut lookup = RoutePlan::new("lookup", HOST, LOOKUP, Kind::ReadOnly, TOOLS);
-    lookup.retries = 2;
-    let engine = EnginePlan {
-        slots: 8,
-        kv_capacity: 232_000,
-        chunk_tokens: 3,
-        models: vec!["m".to_owned()],
-    };
-    ConfigurationPlan {
-        generation: 1,
-        routes: vec![
-            persisted,
-            RoutePlan::new("turns", HOST, TURNS, streaming, MODELS),
-            lookup,
-            RoutePlan::new("record", HOST, RECORD, Kind::Mutating, TOOLS),
-        ],
-        services: vec![
-            ServicePlan {
-                name: MODELS.to_owned(),
-                max_conns: 220,
-                engine: Some(engine),
-            },
-            ServicePlan {
-                name: TOOLS.to_owned(),
-                max_conns: 120,
-                engine: None,
-            },
-        ],
-        limits: LimitsPlan::default(),
-    }
-}
-
-/// A program of a few stored turns.
-#[must_use]
-pub fn usual_program() -> ProgramPlan {
-    ProgramPlan {
-        host: HOST.to_owned(),
-        target: format!("{PERSISTED_TURNS}chat"),
-        persisted: true,
-        turns: 3,
-        shared: SharedPrefix {
-            id: "5c1e07a2".to_owned(),
-            tokens: 800,
-        },
-        input_bytes: 400,
-        input_tokens: 100,
-        max_tokens: 12,
-        chunk_tokens: 3,
-        budget: 1_000,
-        tools: Vec::new(),
-        sub_agents: None,
-        model: "m".to_owned(),
-        deadline_ms: 5_000,
-        target_ms: 200,
-        max_gap_ms: 300,
-        retries: 1,
-        finish_ms: 20_000,
-    }
-}
-
 /// A model server with its registration.
 #[derive(Debug)]
 pub struct Engine {
@@ -220,7 +90,7 @@
     /// # Errors
     ///
     /// Fails where a process could not be started or an address could not be bound.
-    pub async fn begin(program: &Path, plan: ScenePlan) -> anyhow::Result<Scene> {
+    pub async fn begin(program: &Path, plan: ScenePlan) -> Result<Scene, SceneError> {
         let clock = Clock::start();
         let record = if plan.keep_bodies {
             Record::with_bodies()
@@ -262,15 +132,18 @@
     /// # Errors
     ///
     /// As [`Self::begin`], and where the system does not serve within [`READY_TIMEOUT`]; the logs are in the error.
-    pub async fn start(program: &Path, plan: ScenePlan) -> anyhow::Result<Scene> {
+    pub async fn start(program: &Path, plan: ScenePlan) -> Result<Scene, SceneError> {
         let mut scene = Scene::begin(program, plan).await?;
         match scene.set_up().await {
             Ok(()) => Ok(scene),
-            Err(error) => Err(error.context(scene.system.log_tails())),
+            Err(error) => Err(SceneError::SetUp {
+                logs: scene.system.log_tails(),
+                source: Box::new(error),
+            }),
         }
     }
 
-    async fn set_up(&mut self) -> anyhow::Result<()> {
+    async fn set_up(&mut self) -> Result<(), SceneError> {
         self.configure().await?;
         self.wait_until_serving().await
     }
@@ -280,18 +153,18 @@
     /// # Errors
     ///
     /// Fails where the configuration is rejected or no clear response comes within [`READY_TIMEOUT`].
-    pub async fn configure(&mut self) -> anyhow::Result<()> {
+    pub async fn configure(&mut self) -> Result<(), SceneError> {
         let plan = self.plan.configuration.clone();
         let answer = self
             .operator
             .replace(0, &plan.json(), READY_TIMEOUT)
             .await?;
-        let text = String::from_utf8_lossy(&answer.body).into_owned();
-        anyhow::ensure!(
-            answer.status == 200,
-            "the first configuration: {} {text}",
-            answer.status
-        );
+        if answer.status != 200 {
+            return Err(SceneError::ConfigurationRejected {
+                status: answer.status,
+                text: String::from_utf8_lossy(&answer.body).into_owned(),
+            });
+        }
         self.configurations.push(plan);
         Ok(())
     }
@@ -301,7 +174,7 @@
     /// # Errors
     ///
     /// Fails where a gateway is not ready or does not serve within [`READY_TIMEOUT`].
-    pub async fn wait_until_serving(&mut self) -> anyhow::Result<()> {
+    pub async fn wait_until_serving(&mut self) -> Result<(), SceneError> {
         self.system.ready(READY_TIMEOUT).await?;
         for index in self.system.machine_indices(|plan| plan.role != Role::Store) {
             if self.system.machines()[index].is_running() {
@@ -316,7 +189,7 @@
     /// # Errors
     ///
     /// Fails where it does not serve within [`READY_TIMEOUT`].
-    pub async fn serves(&self, index: usize) -> anyhow::Result<()> {
+    pub async fn serves(&self, index: usize) -> Result<(), SceneError> {
         let front = self.system.front(index);
         if !self.plains.is_empty() {
             self.answers(front, &RequestSpec::get(HOST, &format!("{LOOKUP}settle")))
@@ -334,18 +207,20 @@
     /// # Errors
     ///
     /// Fails where no attempt succeeds within [`READY_TIMEOUT`].
-    pub async fn answers(&self, front: SocketAddr, spec: &RequestSpec) -> anyhow::Result<()> {
+    pub async fn answers(&self, front: SocketAddr, spec: &RequestSpec) -> Result<(), SceneError> {
         let until = Instant::now() + READY_TIMEOUT;
         loop {
             let served = self.client.send_to(front, spec).await;
             if served.succeeded() {
                 return Ok(());
             }
-            anyhow::ensure!(
-                Instant::now() < until,
-                "{front} does not serve {}: {served:?}",
-                spec.target
-            );
+            if Instant::now() >= until {
+                return Err(SceneError::NotServing {
+                    front,
+                    target: spec.target.clone(),
+                    last: Box::new(served),
+                });
+            }
             sleep(POLL_INTERVAL).await;
         }
     }
@@ -362,7 +237,7 @@
     /// # Errors
     ///
     /// Fails where its address could not be bound.
-    pub async fn add_engine(&mut self) -> anyhow::Result<usize> {
+    pub async fn add_engine(&mut self) -> Result<usize, SceneError> {
         let (listener, identity) = self.identity(MODELS, self.plan.engine_slots).await?;
         let settings = self.plan.engine.clone();
         let models = settings.models.clone();
@@ -390,7 +265,7 @@
         &mut self,
         address: SocketAddr,
         backend: &str,
-    ) -> anyhow::Result<usize> {
+    ) -> Result<usize, SceneError> {
         let (listener, identity) = self
             .identity_at(address, backend, self.plan.plain_slots)
             .await?;
@@ -402,7 +277,7 @@
     /// # Errors
     ///
     /// Fails where its address could not be bound.
-    pub async fn add_plain(&mut self) -> anyhow::Result<usize> {
+    pub async fn add_plain(&mut self) -> Result<usize, SceneError> {
         let (listener, identity) = self.identity(TOOLS, self.plan.plain_slots).await?;
         Ok(self.start_plain(listener, identity))
     }
@@ -454,7 +329,7 @@
     /// # Errors
     ///
     /// Fails where its process does not run.
-    pub fn terminate(&mut self, index: usize) -> anyhow::Result<()> {
+    pub fn terminate(&mut self, index: usize) -> Result<(), SceneError> {
         let front = self.system.front(index);
         let others = self
             .system
@@ -474,7 +349,7 @@
         &mut self,
         backend: &str,
         slots: u32,
-    ) -> anyhow::Result<(TcpListener, Identity)> {
+    ) -> Result<(TcpListener, Identity), SceneError> {
         let address = self.system.server_address()?;
         self.identity_at(address, backend, slots).await
     }
@@ -484,10 +359,10 @@
         address: SocketAddr,
         backend: &str,
         slots: u32,
-    ) -> anyhow::Result<(TcpListener, Identity)> {
+    ) -> Result<(TcpListener, Identity), SceneError> {
         let listener = TcpListener::bind(address)
             .await
-            .with_context(|| address.to_string())?;
+            .map_err(|source| SceneError::Bind { address, source })?;
         let zone = self.plan.machines[self.engines.len() % self.plan.machines.len()]
             .zone
             .clone();
--- a/crates/testing/emulator/src/system/addresses.rs
+++ b/crates/testing/emulator/src/system/addresses.rs
@@ -1,6 +1,6 @@
 //! Addresses on loopback that no other test process uses.
 
-use anyhow::bail;
+use super::error::SystemError;
 use std::net::{IpAddr, Ipv4Addr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
 
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// Fails where no block is free.
-    pub fn reserve(ports: Ports) -> anyhow::Result<AddressBlock> {
+    pub fn reserve(ports: Ports) -> Result<AddressBlock, SystemError> {
         let start = std::process::id().wrapping_mul(37);
         for _ in 0..MAX_BLOCKS {
             let offset = NEXT_BLOCK.fetch_add(1, Ordering::SeqCst);
@@ -77,7 +77,7 @@
                 });
             }
         }
-        bail!("no free block of addresses on loopback")
+        Err(SystemError::NoFreeBlock)
     }
 
     /// An address not given before.
@@ -85,9 +85,9 @@
     /// # Errors
     ///
     /// Fails where all addresses of the block are used.
-    pub fn next_address(&mut self) -> anyhow::Result<IpAddr> {
+    pub fn next_address(&mut self) -> Result<IpAddr, SystemError> {
         if self.used == LAST {
-            bail!("all addresses of the block are used");
+            return Err(SystemError::BlockExhausted);
         }
         self.used += 1;
         Ok(Ipv4Addr::new(127, self.first_bytes[0], self.first_bytes[1], self.used).into())
--- a/crates/testing/emulator/src/system/folder.rs
+++ b/crates/testing/emulator/src/system/folder.rs
@@ -1,6 +1,6 @@
 //! A folder that goes with its owner.
 
-use anyhow::Context;
+use super::error::SystemError;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -18,14 +18,16 @@
     /// # Errors
     ///
     /// Fails where the folder could not be created.
-    pub fn new(name: &str) -> anyhow::Result<TemporaryFolder> {
+    pub fn new(name: &str) -> Result<TemporaryFolder, SystemError> {
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
         let path = std::env::temp_dir().join(format!("{name}-{}-{number}", std::process::id()));
         if path.exists() {
-            std::fs::remove_dir_all(&path)
-                .context("a folder that an earlier process left behind")?;
+            std::fs::remove_dir_all(&path).map_err(SystemError::file(
+                "a folder that an earlier process left behind",
+                &path,
+            ))?;
         }
-        std::fs::create_dir_all(&path).context("a temporary folder")?;
+        std::fs::create_dir_all(&path).map_err(SystemError::file("a temporary folder", &path))?;
         Ok(TemporaryFolder { path })
     }
 
--- a/crates/testing/emulator/src/system/machine.rs
+++ b/crates/testing/emulator/src/system/machine.rs
@@ -1,7 +1,7 @@
 //! One machine: its address, its files and its process.
 
+use super::error::SystemError;
 use super::plan::MachinePlan;
-use anyhow::Context;
 use std::fs::File;
 use std::net::IpAddr;
 use std::path::{Path, PathBuf};
@@ -75,7 +75,7 @@
         ip: IpAddr,
         folder: PathBuf,
         program: PathBuf,
-    ) -> anyhow::Result<Machine> {
+    ) -> Result<Machine, SystemError> {
         let name = plan.name(number);
         let machine = Machine {
             plan,
@@ -88,7 +88,8 @@
             kill_sent: false,
             used_before: Usage::default(),
         };
-        std::fs::create_dir_all(machine.data_folder()).context("a data folder")?;
+        std::fs::create_dir_all(machine.data_folder())
+            .map_err(SystemError::file("a data folder", machine.data_folder()))?;
         Ok(machine)
     }
 
@@ -145,7 +146,7 @@
     /// # Errors
     ///
     /// Fails where no process runs.
-    pub fn terminate(&mut self) -> anyhow::Result<()> {
+    pub fn terminate(&mut self) -> Result<(), SystemError> {
         self.signal("TERM")
     }
 
@@ -154,7 +155,7 @@
     /// # Errors
     ///
     /// Fails where no process runs.
-    pub fn hang_up(&mut self) -> anyhow::Result<()> {
+    pub fn hang_up(&mut self) -> Result<(), SystemError> {
         self.signal("HUP")
     }
 
@@ -163,7 +164,7 @@
     /// # Errors
     ///
     /// Fails where no process runs.
-    pub fn freeze(&mut self) -> anyhow::Result<()> {
+    pub fn freeze(&mut self) -> Result<(), SystemError> {
         self.signal("STOP")
     }
 
@@ -172,7 +173,7 @@
     /// # Errors
     ///
     /// Fails where no process runs.
-    pub fn thaw(&mut self) -> anyhow::Result<()> {
+    pub fn thaw(&mut self) -> Result<(), SystemError> {
         self.signal("CONT")
     }
 
@@ -189,18 +190,21 @@
     /// # Errors
     ///
     /// Fails where no process runs or it has not ended within `limit`.
-    pub async fn wait(&mut self, limit: Duration) -> anyhow::Result<ExitStatus> {
+    pub async fn wait(&mut self, limit: Duration) -> Result<ExitStatus, SystemError> {
         let until = Instant::now() + limit;
         loop {
             if let Some(status) = self.ended() {
                 return Ok(status);
             }
-            anyhow::ensure!(self.child.is_some(), "no process runs");
-            anyhow::ensure!(
-                Instant::now() < until,
-                "{} has not ended after {limit:?}",
-                self.name
-            );
+            if self.child.is_none() {
+                return Err(self.not_running());
+            }
+            if Instant::now() >= until {
+                return Err(SystemError::StillRuns {
+                    machine: self.name.clone(),
+                    limit,
+                });
+            }
             sleep(POLL_INTERVAL).await;
         }
     }
@@ -237,23 +241,33 @@
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    pub(super) fn start(&mut self) -> anyhow::Result<()> {
-        anyhow::ensure!(self.child.is_none(), "{} runs already", self.name);
+    pub(super) fn start(&mut self) -> Result<(), SystemError> {
+        if self.child.is_some() {
+            return Err(SystemError::RunsAlready {
+                machine: self.name.clone(),
+            });
+        }
         let log = File::options()
             .create(true)
             .append(true)
             .open(self.log_path())
-            .context("a log file")?;
+            .map_err(SystemError::file("a log file", self.log_path()))?;
         let child = Command::new(&self.program)
             .arg(self.plan.role.command())
             .env_clear()
             .env("DUNESPUR_CONFIG", self.settings_path())
             .stdin(Stdio::null())
-            .stdout(log.try_clone()?)
+            .stdout(
+                log.try_clone()
+                    .map_err(SystemError::file("a log file", self.log_path()))?,
+            )
             .stderr(log)
             .current_dir(&self.folder)
             .spawn()
-            .with_context(|| format!("{}", self.program.display()))?;
+            .map_err(|source| SystemError::Spawn {
+                program: self.program.clone(),
+                source,
+            })?;
         self.child = Some(child);
         self.kill_sent = false;
         self.starts += 1;
@@ -273,23 +287,42 @@
     /// # Errors
     ///
     /// Fails where the folder could not be removed or created anew.
-    pub fn wipe(&self) -> anyhow::Result<()> {
-        std::fs::remove_dir_all(self.data_folder()).context("wiping a disk")?;
-        std::fs::create_dir_all(self.data_folder()).context("an empty disk")
+    pub fn wipe(&self) -> Result<(), SystemError> {
+        std::fs::remove_dir_all(self.data_folder())
+            .map_err(SystemError::file("wiping a disk", self.data_folder()))?;
+        std::fs::create_dir_all(self.data_folder())
+            .map_err(SystemError::file("an empty disk", self.data_folder()))
     }
 
     fn log_path(&self) -> PathBuf {
         Path::new(&self.folder).join("log")
     }
 
-    fn signal(&mut self, name: &str) -> anyhow::Result<()> {
-        let id = self.child.as_ref().context("no process runs")?.id();
+    fn not_running(&self) -> SystemError {
+        SystemError::NotRunning {
+            machine: self.name.clone(),
+        }
+    }
+
+    fn signal(&mut self, signal: &'static str) -> Result<(), SystemError> {
+        let process = self.child.as_ref().ok_or_else(|| self.not_running())?.id();
         let status = Command::new("kill")
-            .arg(format!("-{name}"))
-            .arg(id.to_string())
-            .status()?;
-        anyhow::ensure!(status.success(), "kill -{name} {id}: {status}");
-        Ok(())
+            .arg(format!("-{signal}"))
+            .arg(process.to_string())
+            .status()
+            .map_err(|source| SystemError::SignalCommand {
+                signal,
+                process,
+                source,
+            })?;
+        if status.success() {
+            return Ok(());
+        }
+        Err(SystemError::Signal {
+            signal,
+            process,
+            status,
+        })
     }
 }
 
--- a/crates/testing/emulator/src/system/mod.rs
+++ b/crates/testing/emulator/src/system/mod.rs
@@ -1,18 +1,19 @@
 //! The platform: starts real processes, each machine under an address of its own on loopback, and ends them.
 
 mod addresses;
+mod error;
 mod folder;
 mod machine;
 mod plan;
 mod settings;
 
 pub use addresses::{AddressBlock, Ports};
+pub use error::SystemError;
 pub use folder::TemporaryFolder;
 pub use machine::{Machine, Usage};
 pub use plan::{MachinePlan, Role, SystemPlan};
 
 use crate::client::call::{call, Call};
-use anyhow::{bail, Context};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -42,7 +43,7 @@
     /// # Errors
     ///
     /// Fails where addresses, folders or settings could not be set up or a process could not be started.
-    pub fn start(plan: SystemPlan) -> anyhow::Result<System> {
+    pub fn start(plan: SystemPlan) -> Result<System, SystemError> {
         let ports = Ports::default();
         let addresses = AddressBlock::reserve(ports)?;
         let folder = TemporaryFolder::new("dunespur-system")?;
@@ -70,7 +71,7 @@
     /// # Errors
     ///
     /// Fails where no address is left or its process could not be started.
-    pub fn join(&mut self, plan: MachinePlan) -> anyhow::Result<usize> {
+    pub fn join(&mut self, plan: MachinePlan) -> Result<usize, SystemError> {
         let index = self.add(plan)?;
         self.write_settings(index, false)?;
         self.machines[index].start()?;
@@ -82,7 +83,7 @@
     /// # Errors
     ///
     /// Fails where its process runs already or could not be started.
-    pub fn restart(&mut self, index: usize) -> anyhow::Result<()> {
+    pub fn restart(&mut self, index: usize) -> Result<(), SystemError> {
         self.write_settings(index, false)?;
         self.machines[index].start()
     }
@@ -92,7 +93,7 @@
     /// # Errors
     ///
     /// Fails where its process runs already or could not be started.
-    pub fn restart_bootstrapping(&mut self, index: usize) -> anyhow::Result<()> {
+    pub fn restart_bootstrapping(&mut self, index: usize) -> Result<(), SystemError> {
         self.write_settings(index, true)?;
         self.machines[index].start()
     }
@@ -107,7 +108,7 @@
     /// # Errors
     ///
     /// Fails where the file could not be written.
-    pub fn rewrite_settings(&self, index: usize) -> anyhow::Result<()> {
+    pub fn rewrite_settings(&self, index: usize) -> Result<(), SystemError> {
         self.write_settings(index, false)
     }
 
@@ -116,7 +117,7 @@
     /// # Errors
     ///
     /// Fails where the disk could not be emptied or the process not be started.
-    pub fn wipe(&mut self, index: usize) -> anyhow::Result<()> {
+    pub fn wipe(&mut self, index: usize) -> Result<(), SystemError> {
         self.machines[index].kill();
         self.machines[index].wipe()?;
         self.restart(index)
@@ -187,7 +188,7 @@
     /// # Errors
     ///
     /// Fails where all addresses of the block are used.
-    pub fn server_address(&mut self) -> anyhow::Result<SocketAddr> {
+    pub fn server_address(&mut self) -> Result<SocketAddr, SystemError> {
         Ok(SocketAddr::new(
             self.addresses.next_address()?,
             self.ports.server,
@@ -199,7 +200,7 @@
     /// # Errors
     ///
     /// Fails where a gateway has ended or is not ready within `limit`; its log is in the error.
-    pub async fn ready(&mut self, limit: Duration) -> anyhow::Result<()> {
+    pub async fn ready(&mut self, limit: Duration) -> Result<(), SystemError> {
         for index in self.machine_indices(|plan| plan.role != Role::Store) {
             if self.machines[index].is_running() {
                 self.ready_one(index, limit).await?;
@@ -213,25 +214,27 @@
     /// # Errors
     ///
     /// Fails where it has ended or is not ready within `limit`; its log is in the error.
-    pub async fn ready_one(&mut self, index: usize, limit: Duration) -> anyhow::Result<()> {
+    pub async fn ready_one(&mut self, index: usize, limit: Duration) -> Result<(), SystemError> {
         let address = SocketAddr::new(self.machines[index].ip(), self.ports.ready);
         let until = Instant::now() + limit;
         loop {
             if readiness(address).await == Some(200) {
                 return Ok(());
             }
-            let name = self.machines[index].name().to_owned();
+            let machine = self.machines[index].name().to_owned();
             if let Some(status) = self.machines[index].ended() {
-                bail!(
-                    "{name} ended by itself: {status}\n{}",
-                    self.machines[index].log_tail()
-                );
+                return Err(SystemError::Ended {
+                    machine,
+                    status,
+                    log: self.machines[index].log_tail(),
+                });
             }
             if Instant::now() > until {
-                bail!(
-                    "{name} is not ready after {limit:?}\n{}",
-                    self.machines[index].log_tail()
-                );
+                return Err(SystemError::NotReady {
+                    machine,
+                    limit,
+                    log: self.machines[index].log_tail(),
+                });
             }
             sleep(POLL_INTERVAL).await;
         }
@@ -268,7 +271,7 @@
             .collect()
     }
 
-    fn add(&mut self, plan: MachinePlan) -> anyhow::Result<usize> {
+    fn add(&mut self, plan: MachinePlan) -> Result<usize, SystemError> {
         let index = self.machines.len();
         let ip = self.addresses.next_address()?;
         let folder = self.folder.path().join(plan.name(index));
@@ -282,10 +285,13 @@
         Ok(index)
     }
 
-    fn write_settings(&self, index: usize, bootstrap: bool) -> anyhow::Result<()> {
+    fn write_settings(&self, index: usize, bootstrap: bool) -> Result<(), SystemError> {
         let machine = &self.machines[index];
         let text = settings::text(machine, &self.plan, self.ports, &self.seeds, bootstrap);
-        std::fs::write(machine.settings_path(), text).context("the settings file")
+        std::fs::write(machine.settings_path(), text).map_err(SystemError::file(
+            "the settings file",
+            machine.settings_path(),
+        ))
     }
 }
 
