--- a/crates/gateway/decisions/src/limiter/admission.rs
+++ b/crates/gateway/decisions/src/limiter/admission.rs
@@ -20,9 +20,9 @@
     /// Where to send this invocation: the ordinary path, top to bottom.
     pub fn place(&mut self, invocation: &mut Invocation, now: f64) -> Answer {
         match invocation.stage {
-            Stage::Out => return Answer::Hold,
+            Stage::InFlight => return Answer::Hold,
             Stage::Done => return Answer::Done,
-            Stage::New | Stage::Quota | Stage::Queued => {}
+            Stage::New | Stage::AwaitingCounter | Stage::Queued => {}
         }
         let index = self.account_of(invocation, now);
         if invocation.stage == Stage::New {
@@ -45,11 +45,11 @@
         if let (Some(pause), false) = (over_limit, self.accounts[index].short_windows) {
             return self.throttle(invocation, Cause::Ceiling, pause, now);
         }
-        if !invocation.paid && !invocation.beyond {
+        if !invocation.has_units && !invocation.is_beyond_quota {
             if let Units::Not(answer) = self.take_units(index, invocation, now) {
                 return answer;
             }
-            invocation.paid = true;
+            invocation.has_units = true;
         }
         if invocation.stage != Stage::Queued {
             invocation.stage = Stage::Queued;
@@ -88,7 +88,7 @@
             now < account.lease_expires_at && account.lease + LEASE_ROUNDING >= invocation.units;
         if covered {
             // What was leased in a short window lies under the rate limit by itself.
-            invocation.drawn = account.short_windows;
+            invocation.drew_rate_limit = account.short_windows;
         } else if let Units::Not(answer) = self.renew_lease(index, invocation, now) {
             return Units::Not(answer);
         }
@@ -104,7 +104,7 @@
             if !account.waiting.contains(&invocation.num) {
                 account.waiting.push(invocation.num);
             }
-            invocation.stage = Stage::Quota;
+            invocation.stage = Stage::AwaitingCounter;
             return Units::Not(Answer::Hold);
         }
         let room = plan.burst - account.backlog_now(plan, now);
@@ -129,7 +129,7 @@
         {
             self.request_lease(index, invocation, now);
             self.accounts[index].waiting.push(invocation.num);
-            invocation.stage = Stage::Quota;
+            invocation.stage = Stage::AwaitingCounter;
             return Units::Not(Answer::Hold);
         }
         match without_counter {
@@ -154,7 +154,7 @@
     ) -> Answer {
         let servers_idle = self.queue.is_empty() && self.overload < OVERLOAD / 2.0;
         if self.plans[invocation.plan].beyond_pays && servers_idle {
-            invocation.beyond = true;
+            invocation.is_beyond_quota = true;
             if let Some(server) = self.choose_server(invocation, now) {
                 return self.send(invocation, server, now);
             }
@@ -170,14 +170,14 @@
         pause: f64,
         now: f64,
     ) -> Answer {
-        let unsent = invocation.paid && invocation.sent.is_empty();
+        let unsent = invocation.has_units && invocation.attempts.is_empty();
         if cause == Cause::Queue || (unsent && invocation.stage == Stage::Queued) {
             self.crowding += EWMA_WEIGHT * (1.0 - self.crowding);
         }
         if unsent {
             self.return_units(invocation, now);
         }
-        let never_ran = invocation.may_have_run.is_none() && invocation.out == 0;
+        let never_ran = invocation.first_possible_run.is_none() && invocation.in_flight == 0;
         let answer = if never_ran || self.repeat_is_harmless(invocation) {
             Answer::Throttle {
                 pause: pause.max(0.0).min(self.max_retry_after),
@@ -196,7 +196,7 @@
         };
         let account = &mut self.accounts[index];
         let window_starts = account.lease_expires_at - account.window_length;
-        let same_window = invocation.drawn && invocation.came >= window_starts;
+        let same_window = invocation.drew_rate_limit && invocation.arrived_at >= window_starts;
         let lease_lasts = now < account.lease_expires_at && (same_window || !account.short_windows);
         if lease_lasts {
             account.lease += invocation.units;
@@ -236,7 +236,7 @@
     #[must_use]
     pub fn wait(&self, invocation: &Invocation, now: f64) -> f64 {
         match invocation.stage {
-            Stage::Out => (invocation.limit - now).max(0.0),
+            Stage::InFlight => (invocation.attempt_deadline - now).max(0.0),
             _ => {
                 let left = (self.latest_start(invocation) - now).max(0.0);
                 (self.latency_target * EWMA_WEIGHT).min(left)
--- a/crates/gateway/decisions/src/limiter/counter_stake.rs
+++ b/crates/gateway/decisions/src/limiter/counter_stake.rs
@@ -18,8 +18,8 @@
     pub(super) fn expected_earnings(&self, invocation: &Invocation, now: f64) -> f64 {
         let operation = &self.operations[invocation.operation];
         let deadline = invocation
-            .until
-            .min(invocation.came + operation.latency_target);
+            .client_deadline
+            .min(invocation.arrived_at + operation.latency_target);
         let left = deadline - now;
         let mean = (self.fleet_latency * operation.latency_target).max(1e-9);
         self.earnings(invocation) * (1.0 - (-left.max(0.0) / mean).exp())
--- a/crates/gateway/decisions/src/limiter/endpoints.rs
+++ b/crates/gateway/decisions/src/limiter/endpoints.rs
@@ -26,17 +26,17 @@
             INITIAL_CONCURRENCY / f64::from(self.fleet_size),
             HEALTHY_LATENCY / 2.0,
         );
-        if entry.came_up > self.servers.started_at[index] {
-            self.forget_server(index, entry.came_up);
+        if entry.started_at > self.servers.started_at[index] {
+            self.forget_server(index, entry.started_at);
             // Hundreds of limiters that each send one at once push it over: first sends are spread out.
-            if now < entry.came_up + self.warm_up_time {
+            if now < entry.started_at + self.warm_up_time {
                 let interval = self.slow_start(index, now).interval;
                 let first = interval.max(self.latency_target);
                 self.servers.paced_until[index] = now + first * self.rng.f64();
             }
         }
         let servers = &mut self.servers;
-        servers.started_at[index] = entry.came_up;
+        servers.started_at[index] = entry.started_at;
         servers.is_live[index] = entry.readiness == Readiness::Live;
         servers.zone[index] = entry.zone;
         servers.cell[index] = entry.cell;
--- a/crates/gateway/decisions/src/limiter/rate_limiting.rs
+++ b/crates/gateway/decisions/src/limiter/rate_limiting.rs
@@ -16,7 +16,7 @@
     ) -> Option<f64> {
         let account = &mut self.accounts[index];
         let limit = &self.plans[account.plan].rate_limit;
-        if invocation.drawn || limit.rate <= 0.0 {
+        if invocation.drew_rate_limit || limit.rate <= 0.0 {
             return None;
         }
         let share = limit.share(account.gateways, account.short_windows);
@@ -40,12 +40,12 @@
 
     /// Takes the units of an invocation that is sent off the rate limit, or uses the turn.
     pub(super) fn draw_rate_limit(&mut self, index: usize, invocation: &mut Invocation) {
-        if invocation.drawn {
+        if invocation.drew_rate_limit {
             return;
         }
         let account = &mut self.accounts[index];
         account.rate_limit_units -= invocation.units;
         account.used_turn = account.next_turn.take().unwrap_or(account.used_turn);
-        invocation.drawn = true;
+        invocation.drew_rate_limit = true;
     }
 }
--- a/crates/gateway/decisions/src/limiter/retry.rs
+++ b/crates/gateway/decisions/src/limiter/retry.rs
@@ -8,29 +8,29 @@
 impl Limiter {
     /// What to do after this outcome.
     pub fn after(&mut self, invocation: &mut Invocation, outcome: &Outcome, now: f64) -> Answer {
-        let Some(&(server, sent_at)) = invocation.sent.get(outcome.n) else {
+        let Some(&(server, sent_at)) = invocation.attempts.get(outcome.n) else {
             return Answer::Done;
         };
-        invocation.out = invocation.out.saturating_sub(1);
+        invocation.in_flight = invocation.in_flight.saturating_sub(1);
         self.record_outcome(server, invocation, outcome, sent_at, now);
         self.reconsider_head();
         let first_that_ran = invocation
-            .may_have_run
+            .first_possible_run
             .is_none_or(|first| outcome.n < first);
         if !outcome.ending.never_ran() && first_that_ran {
-            invocation.may_have_run = Some(outcome.n);
+            invocation.first_possible_run = Some(outcome.n);
         }
         self.settle_account(invocation, outcome);
         if outcome.done || invocation.stage == Stage::Done {
             return self.finish(invocation, Answer::Done);
         }
-        if invocation.out > 0 {
+        if invocation.in_flight > 0 {
             return Answer::Hold;
         }
         if outcome.ending != Ending::Moot && self.may_retry(invocation, now) {
             return self.retry(invocation, now);
         }
-        if invocation.may_have_run.is_none() {
+        if invocation.first_possible_run.is_none() {
             return self.throttle(invocation, Cause::Undelivered, self.latency_target, now);
         }
         self.finish(invocation, Answer::Error)
@@ -53,14 +53,14 @@
             account.below_rate = false;
             account.room_likelihood *= EVEN_CHANCE;
         }
-        if let (Some(units), true) = (outcome.settled, invocation.paid) {
+        if let (Some(units), true) = (outcome.settled, invocation.has_units) {
             account.unreported += units - invocation.units;
         }
     }
 
     /// A retry goes out only where it is allowed, can still earn, and adds nothing to an overload.
     fn may_retry(&self, invocation: &Invocation, now: f64) -> bool {
-        invocation.sent.len() < self.max_attempts.min(MAX_RETRIES + 1)
+        invocation.attempts.len() < self.max_attempts.min(MAX_RETRIES + 1)
             && self.overload < OVERLOAD
             && now < self.latest_start(invocation)
             && self.resendable(invocation, now)
@@ -78,13 +78,13 @@
     /// No effect twice: whether another attempt is allowed now.
     #[must_use]
     pub fn resendable(&self, invocation: &Invocation, now: f64) -> bool {
-        let Some(first_that_ran) = invocation.may_have_run else {
+        let Some(first_that_ran) = invocation.first_possible_run else {
             return true;
         };
         match self.operations[invocation.operation].effect {
             Effect::Idempotent => true,
             Effect::Tokened { window, .. } => {
-                let sent_at = invocation.sent[first_that_ran].1;
+                let sent_at = invocation.attempts[first_that_ran].1;
                 now < sent_at + window - self.response_slack
             }
             Effect::NonIdempotent => false,
@@ -97,15 +97,15 @@
         let target_ends = if operation.pays_late {
             f64::INFINITY
         } else {
-            invocation.came + operation.latency_target
+            invocation.arrived_at + operation.latency_target
         };
         let work = self.fleet_latency.min(HEALTHY_LATENCY) * operation.latency_target / 2.0;
-        let latest = invocation.until.min(target_ends) - work;
-        if !invocation.sent.is_empty() {
+        let latest = invocation.client_deadline.min(target_ends) - work;
+        if !invocation.attempts.is_empty() {
             return latest;
         }
         // Guards against a counter that is slow beside short targets: its time-out is waited out.
         let max_wait = (MAX_QUEUE_TIME * operation.latency_target).max(self.counter_timeout);
-        latest.min(invocation.came + max_wait)
+        latest.min(invocation.arrived_at + max_wait)
     }
 }
--- a/crates/gateway/decisions/src/limiter/server_choice.rs
+++ b/crates/gateway/decisions/src/limiter/server_choice.rs
@@ -39,7 +39,10 @@
             if !self.has_capacity(index, now) || !self.recognises_repeat(invocation, index) {
                 continue;
             }
-            let tried_before = invocation.sent.iter().any(|&(sent_to, _)| sent_to == index);
+            let tried_before = invocation
+                .attempts
+                .iter()
+                .any(|&(sent_to, _)| sent_to == index);
             let cost = (tried_before, self.cost(index));
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, index));
@@ -106,10 +109,10 @@
 
     /// Whether this server would recognise a repeat of what may have run elsewhere.
     fn recognises_repeat(&self, invocation: &Invocation, index: usize) -> bool {
-        let Some(first_that_ran) = invocation.may_have_run else {
+        let Some(first_that_ran) = invocation.first_possible_run else {
             return true;
         };
-        let ran_at = invocation.sent[first_that_ran].0;
+        let ran_at = invocation.attempts[first_that_ran].0;
         let Effect::Tokened { group, .. } = self.operations[invocation.operation].effect else {
             return true;
         };
@@ -131,15 +134,15 @@
         }
         self.draw_rate_limit(account, invocation);
         self.accounts[account].in_flight += 1.0;
-        if invocation.sent.is_empty() {
+        if invocation.attempts.is_empty() {
             self.crowding -= EWMA_WEIGHT * self.crowding;
         }
         self.finish(invocation, Answer::Done);
-        invocation.limit = self.attempt_deadline(invocation, now);
+        invocation.attempt_deadline = self.attempt_deadline(invocation, now);
         self.note_send(server, now);
-        invocation.stage = Stage::Out;
-        invocation.out += 1;
-        invocation.sent.push((server, now));
+        invocation.stage = Stage::InFlight;
+        invocation.in_flight += 1;
+        invocation.attempts.push((server, now));
         Answer::Send(server)
     }
 
@@ -148,10 +151,10 @@
     fn attempt_deadline(&self, invocation: &Invocation, now: f64) -> f64 {
         let operation = &self.operations[invocation.operation];
         let may_retry = self.overload < OVERLOAD
-            && invocation.sent.len() < MAX_RETRIES
-            && invocation.sent.len() + 1 < self.max_attempts
+            && invocation.attempts.len() < MAX_RETRIES
+            && invocation.attempts.len() + 1 < self.max_attempts
             && operation.effect != Effect::NonIdempotent;
-        let target_ends = invocation.came + operation.latency_target;
+        let target_ends = invocation.arrived_at + operation.latency_target;
         let means = if self.unanswered > HEALTHY_LATENCY {
             TIMEOUT_MEANS / 2.0
         } else {
@@ -162,7 +165,7 @@
         if may_retry && now + timeout < target_ends {
             now + timeout
         } else {
-            invocation.until
+            invocation.client_deadline
         }
     }
 
--- a/crates/gateway/decisions/src/limiter/server_health.rs
+++ b/crates/gateway/decisions/src/limiter/server_health.rs
@@ -109,7 +109,7 @@
     /// Where most that outlast half of the time-out never end, responses are lost, and it is halved. Only those awaited
     /// to their end tell, so that what was abandoned is no proof that it was right to.
     fn learn_lost_responses(&mut self, invocation: &Invocation, reading: &Reading) {
-        let awaited_to_the_end = invocation.limit >= invocation.until;
+        let awaited_to_the_end = invocation.attempt_deadline >= invocation.client_deadline;
         let tells = reading.succeeded || (reading.timed_out && awaited_to_the_end);
         if reading.latency > TIMEOUT_MEANS / 2.0 * self.fleet_latency && tells {
             self.unanswered += EWMA_WEIGHT * (as_share(reading.timed_out) - self.unanswered);
--- a/crates/gateway/decisions/src/limiter/setup.rs
+++ b/crates/gateway/decisions/src/limiter/setup.rs
@@ -36,9 +36,9 @@
             && limit_above_quota,
         had_room: [1.0 - EVEN_CHANCE * EVEN_CHANCE, EVEN_CHANCE],
         price: settings.price,
-        excess_cost: (settings.beyond_costs - settings.over_worth).max(0.0),
-        beyond_pays: settings.over_worth > settings.beyond_costs,
-        local_share_factor: (2.0 - settings.beyond_costs).clamp(1.0, 2.0),
+        excess_cost: (settings.beyond_quota_cost - settings.beyond_quota_earnings).max(0.0),
+        beyond_pays: settings.beyond_quota_earnings > settings.beyond_quota_cost,
+        local_share_factor: (2.0 - settings.beyond_quota_cost).clamp(1.0, 2.0),
     }
 }
 
@@ -70,7 +70,9 @@
             1.0
         };
         let earnings = mean_earnings(&operations, &plans);
-        let first_action = settings.watch_on_request.then_some(Action::WatchEndpoints);
+        let first_action = settings
+            .endpoints_on_request
+            .then_some(Action::WatchEndpoints);
         Limiter {
             plans,
             operations,
@@ -78,18 +80,22 @@
             fleet_index: settings.slot,
             zone: settings.zone,
             has_counter: settings.counter,
-            counter_timeout: settings.count_wait,
-            max_retry_after: settings.max_pause,
-            max_attempts: settings.most_deliveries.max(1) as usize,
-            warm_up_from: settings.cold_from.clamp(0.01, 1.0),
-            warm_up_time: settings.cold_for.max(MIN_SECONDS),
-            slow_start_lead: (settings.fall_multiple / 2.0).clamp(1.0, 2.0),
-            response_slack: settings.answer_slack,
-            endpoints_on_request: settings.watch_on_request,
+            counter_timeout: settings.counter_timeout,
+            max_retry_after: settings.max_retry_after,
+            max_attempts: settings.max_attempts.max(1) as usize,
+            warm_up_from: settings.warm_up_from.clamp(0.01, 1.0),
+            warm_up_time: settings.warm_up_time.max(MIN_SECONDS),
+            slow_start_lead: (settings.overload_multiple / 2.0).clamp(1.0, 2.0),
+            response_slack: settings.response_slack,
+            endpoints_on_request: settings.endpoints_on_request,
             latency_target,
             started_at: now,
             rng: fastrand::Rng::with_seed(settings.seed),
-            counter_price: CounterPrice::new(settings.count_wait, settings.call_price, earnings),
+            counter_price: CounterPrice::new(
+                settings.counter_timeout,
+                settings.call_price,
+                earnings,
+            ),
             faded_at: now,
             small_limits_shrunk_at: now,
             fleet_latency: HEALTHY_LATENCY / 2.0,
--- a/crates/gateway/decisions/src/types.rs
+++ b/crates/gateway/decisions/src/types.rs
@@ -57,9 +57,9 @@
     /// The most units at once under the rate limit.
     pub hard_burst: f64,
     /// What an invocation beyond the quota earns, as a share of its billed value.
-    pub over_worth: f64,
+    pub beyond_quota_earnings: f64,
     /// What an invocation beyond the quota costs, as a share of its billed value.
-    pub beyond_costs: f64,
+    pub beyond_quota_cost: f64,
     /// Multiplies the operation's billed value.
     pub price: f64,
 }
@@ -82,23 +82,23 @@
     /// There is a shared counter.
     pub counter: bool,
     /// Time-out of a call to the counter, seconds.
-    pub count_wait: f64,
+    pub counter_timeout: f64,
     /// What one call for each invocation costs, as a share of all that is earned.
     pub call_price: f64,
     /// Longest pause a client honours, seconds; 0 when advice reaches nobody.
-    pub max_pause: f64,
+    pub max_retry_after: f64,
     /// Most attempts of one invocation.
-    pub most_deliveries: u32,
+    pub max_attempts: u32,
     /// Share of its capacity that a warming server starts with.
-    pub cold_from: f64,
+    pub warm_up_from: f64,
     /// Time that a server takes to warm up, seconds.
-    pub cold_for: f64,
+    pub warm_up_time: f64,
     /// Multiple of its present capacity that pushes a warming server over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// Time that a repeat is kept clear of the end of its token's window, seconds.
-    pub answer_slack: f64,
+    pub response_slack: f64,
     /// The endpoints come only when asked for.
-    pub watch_on_request: bool,
+    pub endpoints_on_request: bool,
 }
 
 /// Whether a server takes requests.
@@ -122,7 +122,7 @@
     /// Its cell: servers of one cell share what they know of tokens.
     pub cell: u64,
     /// Latest start; 0 means long ago.
-    pub came_up: f64,
+    pub started_at: f64,
     /// Whether it takes requests.
     pub readiness: Readiness,
 }
@@ -133,11 +133,11 @@
     /// Not placed yet.
     New,
     /// Waits for the counter's answer.
-    Quota,
+    AwaitingCounter,
     /// Has its units and waits for a server.
     Queued,
     /// An attempt is in flight.
-    Out,
+    InFlight,
     /// It has its answer.
     Done,
 }
@@ -160,28 +160,28 @@
     /// The number of these gateways.
     pub gateways: u32,
     /// When it arrived.
-    pub came: f64,
+    pub arrived_at: f64,
     /// When its client gives up.
-    pub until: f64,
+    pub client_deadline: f64,
     /// The client marks it as a repeat of one that it did not get.
     pub repeat: bool,
 
     /// How far it is.
     pub stage: Stage,
     /// Its units are taken from a lease.
-    pub paid: bool,
+    pub has_units: bool,
     /// It is admitted beyond the quota.
-    pub beyond: bool,
+    pub is_beyond_quota: bool,
     /// Its units are taken from the rate limit.
-    pub drawn: bool,
+    pub drew_rate_limit: bool,
     /// Attempts in flight.
-    pub out: u32,
+    pub in_flight: u32,
     /// The server and the send time of each attempt.
-    pub sent: Vec<(usize, f64)>,
+    pub attempts: Vec<(usize, f64)>,
     /// The first attempt that may have run.
-    pub may_have_run: Option<usize>,
+    pub first_possible_run: Option<usize>,
     /// When the attempt in flight is abandoned.
-    pub limit: f64,
+    pub attempt_deadline: f64,
 }
 
 /// What an owner knows of an invocation as it arrives; the fields are those of [`Invocation`].
@@ -202,9 +202,9 @@
     /// The number of these gateways.
     pub gateways: u32,
     /// When it arrived.
-    pub came: f64,
+    pub arrived_at: f64,
     /// When its client gives up.
-    pub until: f64,
+    pub client_deadline: f64,
 }
 
 impl From<Arrival> for Invocation {
@@ -217,17 +217,17 @@
             units: arrival.units,
             first_gateway: arrival.first_gateway,
             gateways: arrival.gateways,
-            came: arrival.came,
-            until: arrival.until,
+            arrived_at: arrival.arrived_at,
+            client_deadline: arrival.client_deadline,
             repeat: false,
             stage: Stage::New,
-            paid: false,
-            beyond: false,
-            drawn: false,
-            out: 0,
-            sent: Vec::new(),
-            may_have_run: None,
-            limit: arrival.until,
+            has_units: false,
+            is_beyond_quota: false,
+            drew_rate_limit: false,
+            in_flight: 0,
+            attempts: Vec::new(),
+            first_possible_run: None,
+            attempt_deadline: arrival.client_deadline,
         }
     }
 }
--- a/crates/gateway/decisions/tests/cold.rs
+++ b/crates/gateway/decisions/tests/cold.rs
@@ -27,7 +27,7 @@
     limiters: usize,
     told: Told,
     fall: (f64, f64),
-    cold_from: f64,
+    warm_up_from: f64,
     seed: u64,
 ) -> f64 {
     let (multiple, span) = fall;
@@ -35,14 +35,14 @@
     let settings = Settings {
         plans,
         counter: false,
-        cold_from,
-        fall_multiple: multiple,
+        warm_up_from,
+        overload_multiple: multiple,
         ..settings(limiters as u32)
     };
     let mut f = Front::new(settings, SERVERS);
     let mut rng = fastrand::Rng::with_seed(seed);
     let step = 1.0 / (CAPACITY * SERVERS as f64);
-    let (began, mut up, mut came_up) = (f.now, true, f64::INFINITY);
+    let (began, mut up, mut started_at) = (f.now, true, f64::INFINITY);
     let tell = |f: &mut Front, gates: &dyn Fn(usize) -> bool, entry: Server| {
         (0..limiters)
             .filter(|&gate| gates(gate))
@@ -68,9 +68,9 @@
             }
         }
         if !up && at > back {
-            (up, came_up) = (true, f.now);
+            (up, started_at) = (true, f.now);
             let entry = Server {
-                came_up,
+                started_at,
                 ..server(COLD)
             };
             match told {
@@ -94,7 +94,8 @@
             |s: &(f64, usize, Seen)| matches!(s.2, Seen::Sent { tgt: COLD, .. }).then_some(s.0);
         sends.extend(f.seen.drain(..).filter_map(|s| to_it(&s)));
     }
-    let part = |at: f64| (cold_from + (1.0 - cold_from) * (at - came_up) / 10.0).clamp(0.0, 1.0);
+    let part =
+        |at: f64| (warm_up_from + (1.0 - warm_up_from) * (at - started_at) / 10.0).clamp(0.0, 1.0);
     let over = |&from: &f64| {
         let sent = sends
             .iter()
@@ -104,12 +105,12 @@
         sent / (allowed + 2.0 * allowed.sqrt() + 2.0)
     };
     assert!(
-        sends.iter().filter(|&&at| at > came_up + 10.0).count() > 20,
+        sends.iter().filter(|&&at| at > started_at + 10.0).count() > 20,
         "it is used once it is warm"
     );
     sends
         .iter()
-        .filter(|&&at| at >= came_up && at < came_up + 10.0)
+        .filter(|&&at| at >= started_at && at < started_at + 10.0)
         .map(over)
         .fold(0.0, f64::max)
 }
@@ -118,9 +119,10 @@
 fn a_cold_server_gets_no_more_than_its_budget_from_all_limiters_together() {
     for limiters in [3, 6, 20, 30] {
         for told in [Told::AtOnce, Told::HalfLate, Told::Late] {
-            for (fall, cold_from) in [((4.0, 3.0), 0.16), ((2.0, 2.0), 0.27), ((3.0, 1.0), 0.2)] {
+            for (fall, warm_up_from) in [((4.0, 3.0), 0.16), ((2.0, 2.0), 0.27), ((3.0, 1.0), 0.2)]
+            {
                 for seed in 0..3 {
-                    let worst = worst_over_its_budget(limiters, told, fall, cold_from, seed);
+                    let worst = worst_over_its_budget(limiters, told, fall, warm_up_from, seed);
                     assert!(
                         worst <= 1.0,
                         "{limiters} limiters, {told:?}, {fall:?}, seed {seed}: {worst:.2}"
--- a/crates/gateway/decisions/tests/failures.rs
+++ b/crates/gateway/decisions/tests/failures.rs
@@ -307,7 +307,7 @@
     rounds(&mut f, 100, 1, 0.02, Ending::Succeeded);
     f.seen.clear();
     let cold = Server {
-        came_up: f.now,
+        started_at: f.now,
         ..server(0)
     };
     f.endpoints(0, vec![cold], false);
@@ -509,7 +509,7 @@
     let mut f = Front::new(settings(1), 2);
     let list = (0..2)
         .map(|tgt| Server {
-            came_up: f.now,
+            started_at: f.now,
             ..server(tgt)
         })
         .collect();
@@ -555,7 +555,7 @@
     }
     f.seen.clear();
     let cold = Server {
-        came_up: f.now,
+        started_at: f.now,
         ..server(0)
     };
     (0..200).for_each(|gate| f.endpoints(gate, vec![cold], false));
@@ -692,7 +692,7 @@
     let hard = PlanSettings {
         hard_rate: 25.0,
         hard_burst: 59.0,
-        beyond_costs: 0.6,
+        beyond_quota_cost: 0.6,
         ..rate_plan(13.0, 31.0)
     };
     for cut in [0, 10, 30, 60, 90] {
@@ -828,7 +828,7 @@
     (0..8).for_each(|_| _ = busy_second(&mut f));
     let back: Vec<Server> = (10..20)
         .map(|tgt| Server {
-            came_up: f.now,
+            started_at: f.now,
             ..server(tgt)
         })
         .collect();
@@ -852,7 +852,7 @@
     let mut f = busy_fleet();
     (0..8).for_each(|_| _ = busy_second(&mut f));
     let new = (20..32).map(|tgt| Server {
-        came_up: f.now,
+        started_at: f.now,
         ..server(tgt)
     });
     let news: Vec<Server> = (0..12).map(gone).chain(new).collect();
--- a/crates/gateway/decisions/tests/front/mod.rs
+++ b/crates/gateway/decisions/tests/front/mod.rs
@@ -88,7 +88,7 @@
     PlanSettings {
         rate,
         burst,
-        beyond_costs: 1.0,
+        beyond_quota_cost: 1.0,
         price: 1.0,
         ..PlanSettings::default()
     }
@@ -103,15 +103,15 @@
         operations: vec![operation(Effect::Idempotent, 1.0)],
         plans: vec![rate_plan(1000.0, 1000.0)],
         counter: true,
-        count_wait: 0.05,
+        counter_timeout: 0.05,
         call_price: 0.02,
-        max_pause: 0.5,
-        most_deliveries: 6,
-        cold_from: 0.2,
-        cold_for: 10.0,
-        fall_multiple: 3.0,
-        answer_slack: 0.02,
-        watch_on_request: false,
+        max_retry_after: 0.5,
+        max_attempts: 6,
+        warm_up_from: 0.2,
+        warm_up_time: 10.0,
+        overload_multiple: 3.0,
+        response_slack: 0.02,
+        endpoints_on_request: false,
     }
 }
 
@@ -120,7 +120,7 @@
         tgt,
         zone: tgt % 2,
         cell: tgt as u64 / 2,
-        came_up: 0.0,
+        started_at: 0.0,
         readiness: Readiness::Live,
     }
 }
@@ -213,8 +213,8 @@
             units,
             first_gateway: 0,
             gateways: self.settings.fleet,
-            came: self.now,
-            until,
+            arrived_at: self.now,
+            client_deadline: until,
         });
         self.see(Seen::Took {
             gate,
@@ -247,7 +247,7 @@
         let Some((gate, inv, _)) = self.held.get_mut(&num) else {
             return;
         };
-        if matches!(inv.stage, Stage::Out | Stage::Done) {
+        if matches!(inv.stage, Stage::InFlight | Stage::Done) {
             return;
         }
         let answer = self.gates[*gate].place(inv, self.now);
@@ -258,16 +258,16 @@
         let (gate, inv, due) = self.held.get_mut(&num).unwrap();
         let gate = *gate;
         let wait = self.gates[gate].wait(inv, self.now);
-        *due = if answer == Answer::Hold && inv.stage != Stage::Out {
+        *due = if answer == Answer::Hold && inv.stage != Stage::InFlight {
             self.now + wait
         } else {
             f64::INFINITY
         };
-        let finished = inv.stage == Stage::Done && inv.out == 0;
+        let finished = inv.stage == Stage::Done && inv.in_flight == 0;
         match answer {
             Answer::Send(tgt) => {
-                let n = inv.sent.len() - 1;
-                let limit = (self.now + wait).min(inv.until);
+                let n = inv.attempts.len() - 1;
+                let limit = (self.now + wait).min(inv.client_deadline);
                 self.out.push(Out {
                     gate,
                     num,
--- a/crates/gateway/decisions/tests/rules_model.rs
+++ b/crates/gateway/decisions/tests/rules_model.rs
@@ -127,8 +127,8 @@
             hard.clone(),
             rate_plan(30.0, 30.0),
             PlanSettings {
-                over_worth: 1.0,
-                beyond_costs: 0.0,
+                beyond_quota_earnings: 1.0,
+                beyond_quota_cost: 0.0,
                 ..hard
             },
             PlanSettings {
@@ -199,10 +199,10 @@
                 readiness,
                 fresh,
             } => {
-                let came_up = if fresh { f.now } else { 0.0 };
+                let started_at = if fresh { f.now } else { 0.0 };
                 let entry = Server {
                     readiness,
-                    came_up,
+                    started_at,
                     ..server(tgt)
                 };
                 (gate * wide..(gate + 1) * wide).for_each(|g| f.endpoints(g, vec![entry], false));
@@ -285,7 +285,7 @@
             Seen::Took { gate, inv } => {
                 let life = Life {
                     gate: *gate,
-                    until: inv.until,
+                    until: inv.client_deadline,
                     operation: inv.operation,
                     ..Life::default()
                 };
@@ -298,9 +298,9 @@
                     Readiness::Live => self.told.remove(&(*gate, entry.tgt)),
                     _ => Some(*self.told.entry((*gate, entry.tgt)).or_insert(now)),
                 };
-                if entry.came_up > 0.0 {
-                    self.up.insert(entry.tgt, entry.came_up);
-                    self.knows.insert((*gate, entry.tgt), entry.came_up);
+                if entry.started_at > 0.0 {
+                    self.up.insert(entry.tgt, entry.started_at);
+                    self.knows.insert((*gate, entry.tgt), entry.started_at);
                 }
             }
             Seen::Withdrawn { gate, tgt } => {
@@ -393,13 +393,13 @@
         let since = self.up.get(&tgt).copied().unwrap_or(0.0).max(now - TIP);
         let span = || self.sends.iter().filter(|c| c.0 == tgt && c.1 > since);
         let within = span().count() as f64;
-        let cold_for = self.settings.cold_for;
-        let Some(&came_up) = self.up.get(&tgt).filter(|&&t| now < t + cold_for) else {
+        let warm_up_time = self.settings.warm_up_time;
+        let Some(&started_at) = self.up.get(&tgt).filter(|&&t| now < t + warm_up_time) else {
             self.most = within.max(self.most);
             return Ok(());
         };
-        let part = 0.2 + 0.8 * ((now - TIP).max(came_up) - came_up) / cold_for;
-        let aware = |c: &&(usize, f64, usize)| self.knows.get(&(c.2, tgt)) == Some(&came_up);
+        let part = 0.2 + 0.8 * ((now - TIP).max(started_at) - started_at) / warm_up_time;
+        let aware = |c: &&(usize, f64, usize)| self.knows.get(&(c.2, tgt)) == Some(&started_at);
         let told_of = span().filter(aware).count() as f64 / within;
         if within > MULTIPLE * part * self.most && told_of >= 2.0 / 3.0 {
             return Err(Some(format!(
@@ -432,7 +432,7 @@
     fn answered(&mut self, now: f64, num: u64, answer: &Answer) -> Result<(), Broken> {
         let life = self.lives.get_mut(&num).ok_or(None)?;
         life.answers += 1;
-        if life.answers > 1 || life.closed || now > life.until + self.settings.answer_slack {
+        if life.answers > 1 || life.closed || now > life.until + self.settings.response_slack {
             return Err(Some(format!(
                 "rule 1: {num} answered {} times, at {now}",
                 life.answers
--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -97,7 +97,7 @@
         &name,
         &read.zones,
         read.settings.zone,
-        read.settings.count_wait,
+        read.settings.counter_timeout,
     )?;
     Ok(Config {
         name,
@@ -203,7 +203,11 @@
         front::Front::new(clients, config.memory / 4),
         upstream::Upstream::new(dial, read.idle_timeout * 0.75, servers),
         counter::Counter::new(config.counter, dial, calls),
-        discovery::Discovery::new(config.discovery, read.settings.watch_on_request, revision),
+        discovery::Discovery::new(
+            config.discovery,
+            read.settings.endpoints_on_request,
+            revision,
+        ),
     );
     if let Some(known) = known {
         hub.tell(Event::Endpoints(known));
--- a/crates/gateway/gateway/src/message.rs
+++ b/crates/gateway/gateway/src/message.rs
@@ -88,7 +88,7 @@
     pub address: SocketAddr,
     pub zone: usize,
     pub cell: u64,
-    pub came_up: f64,
+    pub started_at: f64,
     pub readiness: Readiness,
 }
 
@@ -329,7 +329,7 @@
                 .map_err(|_| malformed("host_port is no address"))?,
             zone: index(&names.zones, text("locality")?, "locality")?,
             cell: m["cell"].as_u64().unwrap_or(0),
-            came_up: m["up_since_ms"].as_f64().unwrap_or(0.0) / 1000.0,
+            started_at: m["up_since_ms"].as_f64().unwrap_or(0.0) / 1000.0,
             readiness: match text("phase")? {
                 "Ready" => Readiness::Live,
                 "Terminating" => Readiness::Draining,
--- a/crates/gateway/gateway/src/operators.rs
+++ b/crates/gateway/gateway/src/operators.rs
@@ -62,10 +62,10 @@
         idle: f64,
     },
     #[error(
-        "fleet.lend.wait: {wait} is no less than the counter's time-out of {count_wait}; a borrower would \
+        "fleet.lend.wait: {wait} is no less than the counter's time-out of {counter_timeout}; a borrower would \
          never hear of it"
     )]
-    LendWait { wait: f64, count_wait: f64 },
+    LendWait { wait: f64, counter_timeout: f64 },
 }
 
 #[derive(Debug, Deserialize)]
@@ -354,7 +354,7 @@
     name: &str,
     zones: &[String],
     zone: usize,
-    count_wait: f64,
+    counter_timeout: f64,
 ) -> Result<Option<Plan>, OperatorsError> {
     let Some(fleet) = parse(text)?.fleet else {
         return Ok(None);
@@ -376,7 +376,7 @@
     let watch = fleet.watch.settings()?;
     let probe = fleet.probe.settings()?;
     let audit = fleet.audit.settings()?;
-    let lend = fleet.lend.settings(count_wait)?;
+    let lend = fleet.lend.settings(counter_timeout)?;
     let trial = fleet.trial.unwrap_or_default();
     let via = trial
         .via
@@ -570,7 +570,7 @@
 
 impl LendPart {
     /// `count_wait` is how long the counter's answer is awaited, in seconds.
-    fn settings(&self, count_wait: f64) -> Result<quota_sharing::Settings, OperatorsError> {
+    fn settings(&self, counter_timeout: f64) -> Result<quota_sharing::Settings, OperatorsError> {
         let lend = quota_sharing::Settings {
             max_lead: self.ahead,
             demand_window: self.span,
@@ -578,7 +578,7 @@
             counter_timeout: if self.wait > 0.0 {
                 self.wait
             } else {
-                count_wait * 0.7
+                counter_timeout * 0.7
             },
             reread_interval: self.again,
             near_limit_interval: self.pace,
@@ -588,10 +588,10 @@
             max_borrowers: self.borrowers,
         };
         lend.validate()?;
-        if lend.counter_timeout >= count_wait {
+        if lend.counter_timeout >= counter_timeout {
             return Err(OperatorsError::LendWait {
                 wait: lend.counter_timeout,
-                count_wait,
+                counter_timeout,
             });
         }
         Ok(lend)
@@ -603,14 +603,14 @@
     name: &str,
     zones: &[String],
     zone: usize,
-    count_wait: f64,
+    counter_timeout: f64,
 ) -> Result<Option<Plan>, Fault> {
     let Ok(path) = std::env::var(VARIABLE) else {
         return Ok(None);
     };
     let fail = |e: OperatorsError| Fault::Config(format!("{path}: {e}"));
     let text = std::fs::read_to_string(&path).map_err(|e| fail(e.into()))?;
-    read(&text, name, zones, zone, count_wait).map_err(fail)
+    read(&text, name, zones, zone, counter_timeout).map_err(fail)
 }
 
 #[cfg(test)]
--- a/crates/gateway/gateway/src/reducer.rs
+++ b/crates/gateway/gateway/src/reducer.rs
@@ -126,14 +126,14 @@
 
 struct Known {
     address: SocketAddr,
-    came_up: f64,
+    started_at: f64,
     live: bool,
 }
 
 pub struct Reducer {
     limiter: Limiter,
-    count_wait: f64,
-    answer_slack: f64,
+    counter_timeout: f64,
+    response_slack: f64,
     held: HashMap<u64, Held>,
     timers: BinaryHeap<Due>,
     calls: HashMap<u64, (u64, f64)>,
@@ -147,8 +147,8 @@
     pub fn new(settings: &Settings, now: f64) -> Self {
         Reducer {
             limiter: Limiter::new(settings, now),
-            count_wait: settings.count_wait,
-            answer_slack: settings.answer_slack,
+            counter_timeout: settings.counter_timeout,
+            response_slack: settings.response_slack,
             held: HashMap::new(),
             timers: BinaryHeap::new(),
             calls: HashMap::new(),
@@ -223,7 +223,7 @@
     fn take(&mut self, num: u64, asked: Rc<Asked>, now: f64, out: &mut Vec<Effect>) {
         self.stats.taken += 1;
         // The answer has to be with the client before its time is up.
-        let until = now + (asked.wait - self.answer_slack).max(0.0);
+        let until = now + (asked.wait - self.response_slack).max(0.0);
         let mut inv = Invocation::from(Arrival {
             num,
             customer: asked.customer,
@@ -232,8 +232,8 @@
             units: asked.units,
             first_gateway: asked.first_gateway,
             gateways: asked.gateways,
-            came: now,
-            until,
+            arrived_at: now,
+            client_deadline: until,
         });
         inv.repeat = asked.repeat;
         self.held.insert(
@@ -252,7 +252,7 @@
         let Some(held) = self.held.get_mut(&num) else {
             return;
         };
-        if matches!(held.inv.stage, Stage::Out | Stage::Done) {
+        if matches!(held.inv.stage, Stage::InFlight | Stage::Done) {
             return;
         }
         let answer = self.limiter.place(&mut held.inv, now);
@@ -267,7 +267,10 @@
         let wait = self.limiter.wait(&held.inv, now);
         match answer {
             Answer::Send(tgt) => {
-                let (n, until) = (held.inv.sent.len() - 1, (now + wait).min(held.inv.until));
+                let (n, until) = (
+                    held.inv.attempts.len() - 1,
+                    (now + wait).min(held.inv.client_deadline),
+                );
                 held.open |= 1 << n;
                 self.timers.push(Due(until, Timer::Limit(num, n)));
                 self.stats.deliveries += 1;
@@ -281,7 +284,7 @@
                     until,
                 }));
             }
-            Answer::Hold if held.inv.stage != Stage::Out && now + wait < held.due => {
+            Answer::Hold if held.inv.stage != Stage::InFlight && now + wait < held.due => {
                 held.due = now + wait;
                 self.timers.push(Due(held.due, Timer::Ask(num)));
             }
@@ -301,7 +304,7 @@
             }
             Answer::Hold | Answer::Done => {}
         }
-        if held.inv.stage == Stage::Done && held.inv.out == 0 {
+        if held.inv.stage == Stage::Done && held.inv.in_flight == 0 {
             self.held.remove(&num);
         }
     }
@@ -326,7 +329,7 @@
         let outcome = Outcome {
             n,
             ending,
-            spent: now - held.inv.sent[n].1,
+            spent: now - held.inv.attempts[n].1,
             done,
             used,
             settled: None,
@@ -345,7 +348,7 @@
         };
         self.stats.clients_gone += 1;
         self.limiter.disconnected(&mut held.inv);
-        for n in (0..held.inv.sent.len()).filter(|n| held.open & (1 << n) != 0) {
+        for n in (0..held.inv.attempts.len()).filter(|n| held.open & (1 << n) != 0) {
             out.push(Effect::Abandon {
                 num,
                 n,
@@ -365,13 +368,13 @@
             let live = m.readiness == Readiness::Live;
             let known = Known {
                 address: m.address,
-                came_up: m.came_up,
+                started_at: m.started_at,
                 live,
             };
             let tgt = match self.numbers.get(&m.id) {
                 Some(&tgt) => {
                     let old = std::mem::replace(&mut self.known[tgt], known);
-                    if old.address != m.address || old.came_up < m.came_up {
+                    if old.address != m.address || old.started_at < m.started_at {
                         out.push(Effect::Retire { tgt });
                     }
                     tgt
@@ -382,12 +385,12 @@
                     self.known.len() - 1
                 }
             };
-            let (zone, cell, came_up, readiness) = (m.zone, m.cell, m.came_up, m.readiness);
+            let (zone, cell, started_at, readiness) = (m.zone, m.cell, m.started_at, m.readiness);
             entries.push(Server {
                 tgt,
                 zone,
                 cell,
-                came_up,
+                started_at,
                 readiness,
             });
         }
@@ -442,7 +445,7 @@
                     let call = self.last_call;
                     self.calls.insert(call, (name, now));
                     self.timers
-                        .push(Due(now + self.count_wait, Timer::Call(call)));
+                        .push(Due(now + self.counter_timeout, Timer::Call(call)));
                     out.push(Effect::Count {
                         call,
                         name,
--- a/crates/gateway/gateway/src/reducer/tests.rs
+++ b/crates/gateway/gateway/src/reducer/tests.rs
@@ -36,20 +36,20 @@
         plans: vec![PlanSettings {
             rate: 20.0,
             burst: 20.0,
-            beyond_costs: 1.0,
+            beyond_quota_cost: 1.0,
             price: 1.0,
             ..Default::default()
         }],
         counter: true,
-        count_wait: 0.05,
+        counter_timeout: 0.05,
         call_price: 0.02,
-        max_pause: 0.5,
-        most_deliveries: 6,
-        cold_from: 0.2,
-        cold_for: 10.0,
-        fall_multiple: 4.0,
-        answer_slack: 0.016,
-        watch_on_request: false,
+        max_retry_after: 0.5,
+        max_attempts: 6,
+        warm_up_from: 0.2,
+        warm_up_time: 10.0,
+        overload_multiple: 4.0,
+        response_slack: 0.016,
+        endpoints_on_request: false,
     }
 }
 
@@ -159,7 +159,7 @@
             address: ([127, 0, 0, 1], 80 + tgt as u16).into(),
             zone: 0,
             cell: 0,
-            came_up: 0.0,
+            started_at: 0.0,
             readiness: if self.live[tgt] {
                 Readiness::Live
             } else {
--- a/crates/gateway/quota-sharing/tests/fairness.rs
+++ b/crates/gateway/quota-sharing/tests/fairness.rs
@@ -27,7 +27,7 @@
         let plan = PlanSettings {
             rate: 26.0,
             burst: 26.0,
-            beyond_costs: 1.0,
+            beyond_quota_cost: 1.0,
             price: 1.0,
             ..Default::default()
         };
@@ -49,15 +49,15 @@
                     operations: vec![operation.clone()],
                     plans: vec![plan.clone()],
                     counter: true,
-                    count_wait: 0.05,
+                    counter_timeout: 0.05,
                     call_price: 0.02,
-                    max_pause: 0.5,
-                    most_deliveries: 6,
-                    cold_from: 0.2,
-                    cold_for: 10.0,
-                    fall_multiple: 3.0,
-                    answer_slack: 0.02,
-                    watch_on_request: false,
+                    max_retry_after: 0.5,
+                    max_attempts: 6,
+                    warm_up_from: 0.2,
+                    warm_up_time: 10.0,
+                    overload_multiple: 3.0,
+                    response_slack: 0.02,
+                    endpoints_on_request: false,
                 },
                 now,
             );
@@ -65,7 +65,7 @@
                 tgt,
                 zone: 0,
                 cell: 0,
-                came_up: 0.0,
+                started_at: 0.0,
                 readiness: Readiness::Live,
             };
             limiter.endpoints(&[0, 1, 2, 3].map(server), true, now);
@@ -202,8 +202,8 @@
                         units: 1.0,
                         first_gateway: 0,
                         gateways: 2,
-                        came: self.now,
-                        until,
+                        arrived_at: self.now,
+                        client_deadline: until,
                     });
                     self.pending.insert(num, (gate, inv));
                     self.place(num);
--- a/crates/gateway/settings/src/document.rs
+++ b/crates/gateway/settings/src/document.rs
@@ -73,19 +73,19 @@
             .map(plan)
             .collect::<Result<_, _>>()?,
         counter: domain.flag("sharedCounter"),
-        count_wait: domain.number("countWaitS")?,
+        counter_timeout: domain.number("countWaitS")?,
         call_price: domain.number("callPrice")?,
-        max_pause: if limits.flag("retryAfter") {
+        max_retry_after: if limits.flag("retryAfter") {
             limits.number("maxRetryAfterS")?
         } else {
             0.0
         },
-        most_deliveries: limits.positive_number("tryLimit")? as u32,
-        cold_from: rules.number("coldFrom")?,
-        cold_for: rules.number("coldS")?,
-        fall_multiple: rules.number("fallMultiple")?,
-        answer_slack: rules.number("answerSlackS")?,
-        watch_on_request: document.0["discovery"] == "on_request",
+        max_attempts: limits.positive_number("tryLimit")? as u32,
+        warm_up_from: rules.number("coldFrom")?,
+        warm_up_time: rules.number("coldS")?,
+        overload_multiple: rules.number("fallMultiple")?,
+        response_slack: rules.number("answerSlackS")?,
+        endpoints_on_request: document.0["discovery"] == "on_request",
     })
 }
 
@@ -134,8 +134,8 @@
         open: contract.number("concurrency")?,
         hard_rate: contract.number("hardRate")?,
         hard_burst: contract.number("hardBurst")?,
-        over_worth: contract.number("overWorth")?,
-        beyond_costs: contract.number("beyondCosts")?,
+        beyond_quota_earnings: contract.number("overWorth")?,
+        beyond_quota_cost: contract.number("beyondCosts")?,
         price: if contract.lacks("worthFactor") {
             1.0
         } else {
--- a/crates/gateway/settings/tests/document.rs
+++ b/crates/gateway/settings/tests/document.rs
@@ -74,11 +74,14 @@
         (settings.seed, settings.slot, settings.fleet, settings.zone),
         (99, 11, 12, 1)
     );
-    assert!(settings.counter && settings.watch_on_request);
-    assert_eq!((settings.count_wait, settings.call_price), (1.5, 2.5));
-    assert_eq!((settings.max_pause, settings.most_deliveries), (4.5, 13));
-    assert_eq!((settings.cold_from, settings.cold_for), (7.5, 8.5));
-    assert_eq!((settings.fall_multiple, settings.answer_slack), (9.5, 10.5));
+    assert!(settings.counter && settings.endpoints_on_request);
+    assert_eq!((settings.counter_timeout, settings.call_price), (1.5, 2.5));
+    assert_eq!((settings.max_retry_after, settings.max_attempts), (4.5, 13));
+    assert_eq!((settings.warm_up_from, settings.warm_up_time), (7.5, 8.5));
+    assert_eq!(
+        (settings.overload_multiple, settings.response_slack),
+        (9.5, 10.5)
+    );
 }
 
 #[test]
@@ -126,7 +129,11 @@
     assert_eq!((plan.rate, plan.burst, plan.open), (70.5, 71.5, 72.5));
     assert_eq!((plan.hard_rate, plan.hard_burst), (73.5, 74.5));
     assert_eq!(
-        (plan.over_worth, plan.beyond_costs, plan.price),
+        (
+            plan.beyond_quota_earnings,
+            plan.beyond_quota_cost,
+            plan.price
+        ),
         (75.5, 76.5, 77.5)
     );
     let absent = &read.settings.plans[1];
@@ -135,7 +142,7 @@
             absent.rate,
             absent.burst,
             absent.open,
-            absent.over_worth,
+            absent.beyond_quota_earnings,
             absent.price
         ),
         (0.0, 0.0, 0.0, 0.0, 1.0)
@@ -170,7 +177,7 @@
     drop((top.remove("discovery"), top.remove("slotNo")));
     let read = read(&document);
     let settings = &read.settings;
-    assert!(!read.charges_by_use && !settings.counter && !settings.watch_on_request);
+    assert!(!read.charges_by_use && !settings.counter && !settings.endpoints_on_request);
     assert_eq!(
         (read.max_units, read.connect_timeout, read.idle_timeout),
         (0.0, 0.0, 0.0)
@@ -178,21 +185,21 @@
     assert_eq!(
         (
             settings.slot,
-            settings.count_wait,
+            settings.counter_timeout,
             settings.call_price,
-            settings.max_pause
+            settings.max_retry_after
         ),
         (0, 0.0, 0.0, 0.0)
     );
     assert_eq!(
         (
-            settings.cold_from,
-            settings.cold_for,
-            settings.fall_multiple
+            settings.warm_up_from,
+            settings.warm_up_time,
+            settings.overload_multiple
         ),
         (0.0, 0.0, 0.0)
     );
-    assert_eq!(settings.answer_slack, 0.0);
+    assert_eq!(settings.response_slack, 0.0);
 }
 
 /// Place, value in JSON and what is said of it.
--- a/crates/testing/fleet-simulation/src/service.rs
+++ b/crates/testing/fleet-simulation/src/service.rs
@@ -224,7 +224,7 @@
             burst: q.burst,
             hard_rate: q.hard_rate,
             hard_burst: q.hard_burst,
-            beyond_costs: 1.0,
+            beyond_quota_cost: 1.0,
             price: 1.0,
             ..Default::default()
         };
@@ -243,22 +243,22 @@
             operations: vec![operation],
             plans: vec![plan],
             counter: true,
-            count_wait: COUNT_WAIT,
+            counter_timeout: COUNT_WAIT,
             call_price: 0.02,
-            max_pause: 0.5,
-            most_deliveries: 6,
-            cold_from: 0.2,
-            cold_for: 10.0,
-            fall_multiple: 4.0,
-            answer_slack: 0.016,
-            watch_on_request: false,
+            max_retry_after: 0.5,
+            max_attempts: 6,
+            warm_up_from: 0.2,
+            warm_up_time: 10.0,
+            overload_multiple: 4.0,
+            response_slack: 0.016,
+            endpoints_on_request: false,
         };
         let mut limiter = Limiter::new(&settings, now);
         let server = |tgt| types::Server {
             tgt,
             zone: tgt % 3,
             cell: tgt as u64,
-            came_up: 0.0,
+            started_at: 0.0,
             readiness: Readiness::Live,
         };
         let servers: Vec<types::Server> = (0..q.servers).map(server).collect();
@@ -411,8 +411,8 @@
             units: 1.0,
             first_gateway: first as u32,
             gateways: gateways as u32,
-            came: now,
-            until: now + PATIENCE,
+            arrived_at: now,
+            client_deadline: now + PATIENCE,
         });
         self.gates[gate].held.insert(
             num,
@@ -431,7 +431,7 @@
         let Some(held) = g.held.get_mut(&num) else {
             return;
         };
-        if matches!(held.inv.stage, types::Stage::Out | types::Stage::Done) {
+        if matches!(held.inv.stage, types::Stage::InFlight | types::Stage::Done) {
             return;
         }
         let answer = g.limiter.place(&mut held.inv, now);
@@ -448,10 +448,10 @@
         let wait = g.limiter.wait(&held.inv, now);
         match answer {
             Answer::Send(tgt) => {
-                let n = held.inv.sent.len() - 1;
+                let n = held.inv.attempts.len() - 1;
                 held.open += 1;
                 let first = n == 0;
-                let (customer, until) = (held.customer, (now + wait).min(held.inv.until));
+                let (customer, until) = (held.customer, (now + wait).min(held.inv.client_deadline));
                 out.push(Out::At(
                     until,
                     Ev::Limit {
@@ -487,7 +487,7 @@
                     });
                 }
             }
-            Answer::Hold if held.inv.stage != types::Stage::Out => {
+            Answer::Hold if held.inv.stage != types::Stage::InFlight => {
                 out.push(Out::At(
                     now + wait.max(1e-4),
                     Ev::Again { gate, epoch, num },
@@ -495,7 +495,7 @@
             }
             Answer::Throttle { cause, .. } => {
                 let (sent, customer) = (held.came, held.customer);
-                if held.inv.sent.is_empty() {
+                if held.inv.attempts.is_empty() {
                     let room = self.room(customer, now);
                     self.tally.tries += u64::from(measured);
                     self.tally.refused += u64::from(measured);
@@ -520,7 +520,7 @@
         let g = &mut self.gates[gate];
         if g.held
             .get(&num)
-            .is_some_and(|h| h.inv.stage == types::Stage::Done && h.inv.out == 0)
+            .is_some_and(|h| h.inv.stage == types::Stage::Done && h.inv.in_flight == 0)
         {
             g.held.remove(&num);
         }
@@ -540,12 +540,12 @@
             return;
         };
         // The latest delivery is the one that is out: an earlier one has had its end.
-        if held.open == 0 || n + 1 != held.inv.sent.len() {
+        if held.open == 0 || n + 1 != held.inv.attempts.len() {
             return;
         }
         held.open -= 1;
         let done = ending == Ending::Succeeded || held.inv.stage == types::Stage::Done;
-        let spent = now - held.inv.sent[n].1;
+        let spent = now - held.inv.attempts[n].1;
         let outcome = Outcome {
             n,
             ending,
--- a/crates/testing/simulator-adapter/src/host.rs
+++ b/crates/testing/simulator-adapter/src/host.rs
@@ -18,7 +18,7 @@
     server: String,
     zone: String,
     cell: u64,
-    came_up: f64,
+    started_at: f64,
     readiness: Readiness,
 }
 
@@ -121,7 +121,7 @@
                 self.addresses[tgt],
                 now + wait
             ),
-            Answer::Hold if inv.stage != Stage::Out => {
+            Answer::Hold if inv.stage != Stage::InFlight => {
                 let due = self.due.get(&num).copied().unwrap_or(f64::INFINITY);
                 if now + wait < due {
                     self.due.insert(num, now + wait);
@@ -134,7 +134,7 @@
             Answer::Error => writeln!(out, "ERROR {name} {id}"),
             Answer::Hold | Answer::Done => Ok(()),
         }?;
-        if inv.stage == Stage::Done && inv.out == 0 {
+        if inv.stage == Stage::Done && inv.in_flight == 0 {
             self.by_id.remove(id);
             self.due.remove(&num);
             self.held.remove(&num);
@@ -146,7 +146,7 @@
         let Some((_, inv)) = self.held.get_mut(&num) else {
             return Ok(());
         };
-        if matches!(inv.stage, Stage::Out | Stage::Done) {
+        if matches!(inv.stage, Stage::InFlight | Stage::Done) {
             return Ok(());
         }
         let answer = self.limiter.place(inv, now);
@@ -235,7 +235,7 @@
     }
 
     fn row(&mut self, list: u64, fields: &mut Fields) -> Result<(), ProtocolError> {
-        let came_up = fields.number("cameUpS")?;
+        let started_at = fields.number("cameUpS")?;
         let zone = fields.text("area")?.to_owned();
         let readiness = match fields.text("readiness")? {
             "live" => Readiness::Live,
@@ -249,7 +249,7 @@
             server,
             zone,
             cell,
-            came_up,
+            started_at,
             readiness,
         });
         Ok(())
@@ -301,7 +301,7 @@
                 tgt: self.tgt(&row.server),
                 zone,
                 cell: row.cell,
-                came_up: row.came_up,
+                started_at: row.started_at,
                 readiness: row.readiness,
             });
         }
@@ -359,8 +359,8 @@
             units,
             first_gateway,
             gateways,
-            came: now,
-            until,
+            arrived_at: now,
+            client_deadline: until,
         });
         inv.repeat = repeat;
         self.by_id.insert(id.clone(), num);
