--- a/crates/gateway/quota-sharing/src/borrower.rs
+++ b/crates/gateway/quota-sharing/src/borrower.rs
@@ -1,10 +1,10 @@
 //! A limiter's side of the role `lend`: where each of its adds goes, by how the brokers answer.
 
-use crate::{Answer, Settings, Slot};
+use crate::{Answer, CounterCall, Settings, Slot};
 use dunespur_decisions::types::Counted;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Answers in a row without the counter behind them after which a borrower asks the counter itself.
+/// Answers in a row without the counter behind them after which a borrower calls the counter itself.
 const MAX_UNAVAILABLE: u32 = 8;
 /// A borrower waits this part of the broker's own wait, then it calls the counter: both fit into its time.
 const TIMEOUT_RATIO: f64 = 0.5;
@@ -22,19 +22,6 @@
     Broker(Slot),
 }
 
-/// An add to a name of the counter.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CounterCall {
-    /// The call's number.
-    pub call: u64,
-    /// The counter's name.
-    pub name: u64,
-    /// Units to add.
-    pub add: f64,
-    /// How long the counter keeps the name, in seconds.
-    pub lifetime: f64,
-}
-
 /// How a broker has answered lately.
 #[derive(Clone, Debug, Default)]
 struct BrokerHealth {
--- a/crates/gateway/quota-sharing/src/broker/blocks.rs
+++ b/crates/gateway/quota-sharing/src/broker/blocks.rs
@@ -1,4 +1,4 @@
-//! Blocks: leased from the counter ahead of what will be asked, and sub-leased to those that wait.
+//! Blocks: leased from the counter ahead of what will be requested, and sub-leased to those that wait.
 
 use super::leased_name::{LeasedName, OpenAdd, WaitingRequest};
 use super::{Broker, OpenCall, MIN_RETURN, RETENTION_WINDOWS};
@@ -16,12 +16,12 @@
 const MAX_WAIT_TIMEOUTS: f64 = 2.0;
 
 impl Broker {
-    /// Answers those that wait for a name, in turn, as far as the block goes; else the counter is asked.
+    /// Answers those that wait for a name, in turn, as far as the block goes; else the counter is called.
     pub(super) fn serve(&mut self, id: u64, now: f64, out: &mut Vec<Output>) {
         let max_wait = self.settings.counter_timeout * MAX_WAIT_TIMEOUTS;
         while let Some(waiting) = self.next_waiting(id) {
             if now > waiting.received + max_wait {
-                // Whoever asked has given up: units lent to it would be nobody's.
+                // Whoever requested it has given up: units granted to it would be nobody's.
                 self.drop_first(id);
                 out.push(waiting.respond(Answer::Unavailable));
                 continue;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The first that waits for a name; none while the counter is asked.
+    /// The first that waits for a name; none while the counter is called.
     fn next_waiting(&self, id: u64) -> Option<WaitingRequest> {
         let name = self.names.get(&id).filter(|name| name.open_add.is_none())?;
         name.waiting.front().cloned()
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The total that this request gets now; none where the counter has to be asked first.
+    /// The total that this request gets now; none where the counter has to be called first.
     fn answer(&mut self, id: u64, waiting: &WaitingRequest, now: f64) -> Option<f64> {
         let WaitingRequest { from, request, .. } = waiting;
         let limit = grown_limit(waiting, now);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// One call to the counter for all that wait, and a block ahead of what will be asked.
+    /// One call to the counter for all that wait, and a block ahead of what will be requested.
     pub(super) fn refill(&mut self, id: u64, now: f64, out: &mut Vec<Output>) {
         let Some(customer) = self.names.get(&id).map(|name| name.customer) else {
             return;
@@ -155,7 +155,7 @@
         let others = name.counter_total.map_or(0.0, |known| total - add - known);
         (name.counter_total, name.last_read) = (Some(total), now);
         // Guards against limiters that hear no broker and take back what stands above the limit: what
-        // was leased ahead is not counted any more, so it can't be lent.
+        // was leased ahead is not counted any more, so it can't be granted.
         name.block = (name.block + others.min(0.0)).max(name.block.min(0.0)) + add;
         let min_total = name.min_total.take();
         let missing = min_total.map_or(0.0, |least| least - (total - add));
@@ -202,8 +202,8 @@
     demand.min(headroom / NEAR_LIMIT_DIVISOR).max(0.0)
 }
 
-/// With nobody else about, what will come free is leased before it does, and lent when it has. In a window that
-/// ends it is what it holds, where all ask for more than that; else what will be asked for until it ends:
+/// With nobody else about, what will come free is leased before it does, and granted when it has. In a window that
+/// ends it is what it holds, where all request more than that; else what will be requested until it ends:
 /// limiters that go past the broker find there what it leased, and are shut out.
 fn far_block(name: &LeasedName, waiting: f64, demand: f64, lead: f64, max_lead: f64) -> f64 {
     if name.limit_rate > 0.0 {
--- a/crates/gateway/quota-sharing/src/broker/fairness.rs
+++ b/crates/gateway/quota-sharing/src/broker/fairness.rs
@@ -1,4 +1,4 @@
-//! Customers and their borrowers: what each asked for and was lent lately, and what it has to leave to the
+//! Customers and their borrowers: what each requested and was granted lately, and what it has to leave to the
 //! others (max-min fairness over the demand window).
 
 use super::Broker;
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Customer {
     pub(super) borrowers: BTreeMap<Name, BorrowerUsage>,
-    /// The name that was asked for last.
+    /// The name that was requested last.
     pub(super) last_name: u64,
     /// How far ahead blocks are leased, in seconds.
     pub(super) lead: f64,
@@ -35,7 +35,7 @@
     }
 }
 
-/// One borrower of a customer: units it asked for and units it was lent lately, fading over the demand window.
+/// One borrower of a customer: units it requested and units it was granted lately, fading over the demand window.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BorrowerUsage {
     pub(super) demand: f64,
--- a/crates/gateway/quota-sharing/src/broker/leased_name.rs
+++ b/crates/gateway/quota-sharing/src/broker/leased_name.rs
@@ -3,7 +3,7 @@
 use crate::{Answer, LeaseRequest, Name, Output, Settings, Slot};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Part of a window's units that are lent at its beginning, where the one before was used up; the rest comes
+/// Part of a window's units that are granted at its beginning, where the one before was used up; the rest comes
 /// evenly until it ends.
 const PACED_START_RATIO: f64 = 0.5;
 
@@ -15,7 +15,7 @@
     pub(super) slot: Slot,
     pub(super) request: LeaseRequest,
     pub(super) received: f64,
-    /// Its borrower knows that the counter is asked.
+    /// Its borrower knows that the counter is called.
     pub(super) notified: bool,
 }
 
@@ -45,7 +45,7 @@
     /// The counter's total when it last answered, and when that was.
     pub(super) counter_total: Option<f64>,
     pub(super) last_read: f64,
-    /// Units that the counter has counted and nobody was lent; under 0 where refused ones stand in for it.
+    /// Units that the counter has counted and nobody was granted; under 0 where refused ones stand in for it.
     pub(super) block: f64,
     pub(super) open_add: Option<OpenAdd>,
     pub(super) waiting: VecDeque<WaitingRequest>,
@@ -64,11 +64,11 @@
     pub(super) min_total: Option<f64>,
     /// A window that was found full.
     pub(super) was_full: bool,
-    /// A window that follows a full one: it is lent evenly over its time.
+    /// A window that follows a full one: it is granted evenly over its time.
     pub(super) paced: bool,
 }
 
-/// What a request finds: the name's state with its minimum lent.
+/// What a request finds: the name's state with its minimum granted.
 struct Headroom {
     /// The total without it.
     before: f64,
@@ -98,7 +98,7 @@
         Some(self.limit + grown - (self.counter_total? - self.block))
     }
 
-    /// The total that this request gets now; none where the counter has to be asked first. `limit` is when the
+    /// The total that this request gets now; none where the counter has to be called first. `limit` is when the
     /// name is full now, `reserved` what this borrower has to leave there, if it has had its part.
     pub(super) fn answer(
         &mut self,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// A return fills the block, a request is lent out of it; what is left to others it does not see.
+    /// A return fills the block, a request is granted out of it; what is left to others it does not see.
     fn grant(&mut self, request: &LeaseRequest, before: f64, reserved: f64) -> Option<f64> {
         let covered = request.add <= self.block || request.add <= 0.0;
         self.block -= if covered { request.add } else { 0.0 };
--- a/crates/gateway/quota-sharing/src/broker/mod.rs
+++ b/crates/gateway/quota-sharing/src/broker/mod.rs
@@ -1,4 +1,4 @@
-//! The broker: takes requests, keeps time, forgets what was not asked for lately.
+//! The broker: takes requests, keeps time, forgets what was not requested lately.
 
 mod blocks;
 mod fairness;
@@ -14,7 +14,7 @@
 const MIN_RETURN: f64 = 0.5;
 /// Least part of a window that counts as left.
 const MIN_REMAINING_RATIO: f64 = 0.05;
-/// Demand windows after which what was not asked for is forgotten.
+/// Demand windows after which what was not requested is forgotten.
 const RETENTION_WINDOWS: f64 = 4.0;
 
 /// A call to the counter that is out.
@@ -179,7 +179,7 @@
         }
         let interval = self.settings.reread_interval;
         if now >= self.last_flush + interval {
-            // What was let in without the counter is reported, asked for or not.
+            // What was let in without the counter is reported, requested or not.
             self.last_flush = now;
             let owes = |name: &LeasedName| {
                 name.block <= -MIN_RETURN
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Forgets what was not asked for lately; what is left of a block goes back.
+    /// Forgets what was not requested lately; what is left of a block goes back.
     fn sweep(&mut self, now: f64, out: &mut Vec<Output>) {
         self.last_sweep = now;
         let retention = self.settings.demand_window * RETENTION_WINDOWS;
--- a/crates/gateway/quota-sharing/src/lib.rs
+++ b/crates/gateway/quota-sharing/src/lib.rs
@@ -1,6 +1,6 @@
 //! Budgets that limiters share beside the counter, by sub-leases. A customer's set of limiters has one
 //! [`Broker`] at a time, which holds the singleton role `lend` for the customer's shard. It leases blocks from
-//! the counter by adding them, sized to what its borrowers lately asked for and shrunk near the limit, and
+//! the counter by adding them, sized to what its borrowers lately requested and shrunk near the limit, and
 //! answers their adds in the counter's place out of the block: the paper's lease, one level higher. Each
 //! limiter has a [`Borrower`], which sends adds to the broker while that answers and to the counter while it
 //! does not.
@@ -16,9 +16,9 @@
 mod message;
 mod settings;
 
-pub use borrower::{Borrower, CounterCall, Route};
+pub use borrower::{Borrower, Route};
 pub use broker::Broker;
-pub use message::{Answer, LeaseRequest, Message, Output};
+pub use message::{Answer, CounterCall, LeaseRequest, Message, Output};
 pub use settings::{Settings, SettingsError};
 
 /// A limiter's name, the same after a restart.
--- a/crates/gateway/quota-sharing/src/message.rs
+++ b/crates/gateway/quota-sharing/src/message.rs
@@ -1,7 +1,6 @@
 //! What borrowers request, what a broker answers, and what it wants done. The encoding goes by position and
 //! order: fields and variants keep theirs.
 
-use crate::borrower::CounterCall;
 use crate::{Name, Slot};
 use dunespur_decisions::types::About;
 use serde::{Deserialize, Serialize};
@@ -9,6 +8,19 @@
 /// Amounts from here on are taken for none.
 const MAX_AMOUNT: f64 = 1e12;
 
+/// An add to a name of the counter.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CounterCall {
+    /// The call's number.
+    pub call: u64,
+    /// The counter's name.
+    pub name: u64,
+    /// Units to add.
+    pub add: f64,
+    /// How long the counter keeps the name, in seconds.
+    pub lifetime: f64,
+}
+
 /// One add that a limiter would make at the counter. Units, and units a second.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
@@ -20,7 +32,7 @@
     pub customer: u64,
     /// What is added, with earlier units that go back or are reported.
     pub add: f64,
-    /// What is asked for, a part of the add; 0 for a correction.
+    /// What is requested, a part of the add; 0 for a correction.
     pub requested: f64,
     /// Less than this serves nobody.
     pub minimum: f64,
@@ -84,7 +96,7 @@
     Total(f64),
     /// Nothing was added: this broker can't.
     Unavailable,
-    /// It lives and asks the counter first.
+    /// It lives and calls the counter first.
     Pending,
 }
 
--- a/crates/gateway/singleton-roles/src/fencing.rs
+++ b/crates/gateway/singleton-roles/src/fencing.rs
@@ -1,6 +1,6 @@
 //! The receiver's fencing check: whoever carries out an effect of a role refuses a token older than one it
 //! has seen. One number for each slot; the slots are fixed, so it can't grow. It must never go back, not by a
-//! restart either: a new one takes nothing until it was told what the log granted up to a moment after its
+//! restart either: a new one takes nothing until it knows what the log granted up to a moment after its
 //! start. (Kleppmann, "How to do distributed locking", 2016.)
 
 use crate::Slot;
--- a/crates/gateway/singleton-roles/src/lease.rs
+++ b/crates/gateway/singleton-roles/src/lease.rs
@@ -1,5 +1,5 @@
 //! The lease by itself, on both sides, so that the model checker can drive just this: the client counts from
-//! before it asked, the granter waits the whole time and more, from receiving a renewal or from taking over.
+//! before its request, the granter waits the full time and more, from receiving a renewal or from taking over.
 //! (Gray and Cheriton, "Leases", 1989.)
 
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/gateway/singleton-roles/src/message.rs
+++ b/crates/gateway/singleton-roles/src/message.rs
@@ -31,10 +31,10 @@
     pub stalled: bool,
 }
 
-/// A limiter asks for its lease: one message renews all that it holds.
+/// A limiter renews its lease: one message renews all that it holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RenewRequest {
-    /// Who asks.
+    /// Who renews.
     pub identity: Identity,
     /// Number of the request; the response repeats it.
     pub seq: u64,
@@ -159,7 +159,7 @@
         /// The answer.
         response: HelloResponse,
     },
-    /// A client asks for its lease.
+    /// A client renews its lease.
     Renew(RenewRequest),
     /// The leader renewed it.
     Renewed {
--- a/crates/gateway/singleton-roles/src/records.rs
+++ b/crates/gateway/singleton-roles/src/records.rs
@@ -62,7 +62,7 @@
 }
 
 impl DiskState {
-    /// What a disk holds after this write; for disks that are kept in memory.
+    /// What a disk holds after this write; for disks that exist in memory only.
     pub fn apply(&mut self, batch: &WriteBatch) {
         if batch.wipe {
             *self = DiskState::default();
--- a/crates/gateway/singleton-roles/src/settings.rs
+++ b/crates/gateway/singleton-roles/src/settings.rs
@@ -36,7 +36,7 @@
     pub zones: Vec<String>,
     /// The singleton roles, in the order that numbers their slots.
     pub roles: Vec<Role>,
-    /// How long a renewal holds, counted by the client from before it asked.
+    /// How long a renewal holds, counted by the client from before its request.
     pub lease_duration: f64,
     /// How much faster one machine's clock may run than another's, as a share.
     pub clock_drift: f64,
@@ -44,7 +44,7 @@
     pub renew_interval: f64,
     /// An owner that makes no progress for this long releases the slot; 0 watches nobody.
     pub stall_timeout: f64,
-    /// The voters' time step; a leader that is silent for 10 to 20 of them is replaced.
+    /// The voters' time step; a leader that is not heard for 10 to 20 of them is replaced.
     pub tick_interval: f64,
     /// Most slots that are revoked from living owners in one time step.
     pub max_revocations: usize,
--- a/crates/gateway/singleton-roles/src/voter/leadership.rs
+++ b/crates/gateway/singleton-roles/src/voter/leadership.rs
@@ -12,7 +12,7 @@
 const MAX_WAITING: usize = 8_192;
 /// Commands in one entry.
 const MAX_COMMANDS: usize = 1_024;
-/// Leases after which a run that asks no more is forgotten.
+/// Leases after which a run that renews no more is forgotten.
 const RUN_LEASES: f64 = 3.0;
 /// A limiter that made no progress in a slot does not get it again for so many stall timeouts.
 const BARRED_STALL_TIMEOUTS: f64 = 4.0;
@@ -50,11 +50,11 @@
     queued: VecDeque<Command>,
     proposal: Option<Proposal>,
     placement: Placement,
-    /// Slots asked back from living owners, with their sessions.
+    /// Slots revoked from living owners, with their sessions.
     revoking: BTreeMap<Slot, u64>,
     /// Who made no progress in a slot, and until when it doesn't get it again.
     barred: BTreeMap<(Slot, Name), f64>,
-    /// When each run of a name last asked.
+    /// When each run of a name last renewed.
     runs: BTreeMap<(Name, u64), f64>,
     /// Since when each session is replaced by a later run.
     replaced: BTreeMap<u64, f64>,
@@ -236,7 +236,7 @@
         true
     }
 
-    /// Whether another run of the name asked within a lease.
+    /// Whether another run of the name renewed within a lease.
     pub(super) fn other_run_is_alive(&self, identity: &Identity, lease: f64, now: f64) -> bool {
         self.runs.iter().any(|((name, run), at)| {
             *name == identity.name && *run != identity.run && *at > now - lease
@@ -254,7 +254,7 @@
         revoked.map(|(slot, _)| *slot).collect()
     }
 
-    /// Whose assignments changed is told at once; the lease itself goes by its renewal.
+    /// Whose assignments changed is notified at once; the lease itself goes by its renewal.
     pub(super) fn notify_changed(&mut self, table: &RoleTable, out: &mut Vec<Output>) {
         for session in std::mem::take(&mut self.changed) {
             if let Some(session) = table.sessions.get(&session) {
--- a/crates/gateway/singleton-roles/src/voter/replication.rs
+++ b/crates/gateway/singleton-roles/src/voter/replication.rs
@@ -11,7 +11,7 @@
 use raft::eraftpb::{self as pb, ConfChangeV2, EntryType, MessageType};
 use raft::{RawNode, Ready, StateRole, Storage};
 
-/// Entries kept behind the snapshot until the next one is made.
+/// Entries that stay behind the snapshot until the next one is made.
 const COMPACTION_ENTRIES: u64 = 2_000;
 
 /// What a turn of the library wants written.
