--- a/crates/serving/dunespur/tests/budgets.rs
+++ b/crates/serving/dunespur/tests/budgets.rs
@@ -22,9 +22,9 @@
 #[tokio::test]
 async fn a_spent_budget_is_402_before_any_server_sees_the_turn() {
     let scene = stage(ScenePlan::default()).await;
-    let mut line = Conversation::new(&scene.client, &of_turns(4));
+    let mut conversation = Conversation::new(&scene.client, &of_turns(4));
     for number in 0..4 {
-        let served = line
+        let served = conversation
             .turn(&scene.client, &format!("turn {number}").into())
             .await;
         assert!(served.succeeded(), "{number}: {served:?}");
@@ -32,7 +32,10 @@
     for front in scene.system.fronts() {
         let served = scene
             .client
-            .send_to(front, &line.next_request(&scene.client, &"one more".into()))
+            .send_to(
+                front,
+                &conversation.next_request(&scene.client, &"one more".into()),
+            )
             .await;
         assert_eq!(served.status(), Some(402), "{served:?}");
         assert!(scene.record.observations_of(served.request).is_empty());
@@ -56,8 +59,12 @@
         );
         let mut turns = JoinSet::new();
         for side in 0..4 {
-            let (client, mut line) = (scene.client.clone(), trunk.branch(&scene.client));
-            turns.spawn(async move { line.turn(&client, &format!("side {side}").into()).await });
+            let (client, mut conversation) = (scene.client.clone(), trunk.branch(&scene.client));
+            turns.spawn(async move {
+                conversation
+                    .turn(&client, &format!("side {side}").into())
+                    .await
+            });
         }
         for served in turns.join_all().await {
             handed += served.answer().map_or(0, |answered| {
@@ -77,9 +84,9 @@
 async fn a_budget_survives_a_kill_of_all_processes() {
     let mut scene = stage(ScenePlan::default()).await;
     let plan = of_turns(4);
-    let mut line = Conversation::new(&scene.client, &plan);
+    let mut conversation = Conversation::new(&scene.client, &plan);
     for number in 0..3 {
-        assert!(line
+        assert!(conversation
             .turn(&scene.client, &format!("turn {number}").into())
             .await
             .succeeded());
@@ -91,7 +98,7 @@
     scene.wait_until_serving().await.unwrap();
     let mut ended = false;
     for number in 0..20 {
-        let served = line
+        let served = conversation
             .turn(&scene.client, &format!("later turn {number}").into())
             .await;
         ended |= served.status() == Some(402);
@@ -116,12 +123,12 @@
             .faults
             .always(Some(ServerFault::TruncateBody { after: 150 }));
     }
-    let line = Conversation::new(&scene.client, &plan);
+    let conversation = Conversation::new(&scene.client, &plan);
     let until = Instant::now() + RECOVERY;
     loop {
         let served = scene
             .client
-            .send(&line.next_request(&scene.client, &"cut".into()))
+            .send(&conversation.next_request(&scene.client, &"cut".into()))
             .await;
         if served.status() == Some(402) {
             break;
--- a/crates/serving/dunespur/tests/explain.rs
+++ b/crates/serving/dunespur/tests/explain.rs
@@ -9,7 +9,7 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
-use support::{go_on, line_of, lookup, program};
+use support::{continue_conversation, conversation_of, lookup, program};
 
 const EXPLAINED: i32 = 0;
 const UNKNOWN_REQUEST: i32 = 1;
@@ -120,10 +120,10 @@
     for format in ["text", "json"] {
         let program = program_that_logs_at_debug(folder.path(), format);
         let scene = Scene::start(&program, ScenePlan::default()).await.unwrap();
-        let mut line = line_of(&scene, 1).await;
-        let first = line.previous().unwrap().to_string();
-        go_on(&scene, &mut line, "second").await;
-        let second = line.previous().unwrap().to_string();
+        let mut conversation = conversation_of(&scene, 1).await;
+        let first = conversation.previous().unwrap().to_string();
+        continue_conversation(&scene, &mut conversation, "second").await;
+        let second = conversation.previous().unwrap().to_string();
         let explained = explain(&second, &written(&scene, folder.path()))
             .output()
             .unwrap();
@@ -153,8 +153,8 @@
         .send(&RequestSpec::get(HOST, "/nowhere/x"))
         .await;
     assert_eq!(refused.status(), Some(404));
-    let line = line_of(&scene, 1).await;
-    let turn = line.previous().unwrap().to_string();
+    let conversation = conversation_of(&scene, 1).await;
+    let turn = conversation.previous().unwrap().to_string();
     let files = written(&scene, folder.path());
 
     let explained = explain(&served.request.to_string(), &files)
--- a/crates/serving/dunespur/tests/leaving.rs
+++ b/crates/serving/dunespur/tests/leaving.rs
@@ -10,8 +10,8 @@
 use std::process::Command;
 use std::time::Duration;
 use support::{
-    engine_of_a_turn, expect_no_violation, go_on, line_of, lookup, machines_of, program,
-    programs_for, stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
+    continue_conversation, conversation_of, engine_of_a_turn, expect_no_violation, lookup,
+    machines_of, program, programs_for, stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
 };
 use tokio::time::Instant;
 
@@ -27,8 +27,8 @@
     for engine in &scene.engines {
         engine.server.gate.close();
     }
-    let mut line = Conversation::new(&scene.client, &usual_program());
-    let request = line.next_request(&scene.client, &"hello".into());
+    let mut conversation = Conversation::new(&scene.client, &usual_program());
+    let request = conversation.next_request(&scene.client, &"hello".into());
     let (client, front) = (scene.client.clone(), scene.system.front(leaving));
     let turn = tokio::spawn(async move { client.send_to(front, &request).await });
     engine_of_a_turn(&scene).await;
@@ -52,7 +52,7 @@
     assert!(served.succeeded(), "{served:?}");
     let status = scene.system.machine(leaving).wait(GRACE).await.unwrap();
     assert!(status.success(), "{status}");
-    line.set_previous(Some(served.request));
+    conversation.set_previous(Some(served.request));
     expect_no_violation(&scene);
 }
 
@@ -150,13 +150,18 @@
 #[tokio::test]
 async fn gateways_leave_and_return_in_turn_under_load() {
     let mut scene = stage(ScenePlan::default()).await;
-    let mut version_line = line_of(&scene, 1).await;
+    let mut version_conversation = conversation_of(&scene, 1).await;
     for index in scene
         .system
         .machine_indices(|plan| plan.role != Role::Store)
     {
         scene.terminate(index).unwrap();
-        go_on(&scene, &mut version_line, &format!("while {index} leaves")).await;
+        continue_conversation(
+            &scene,
+            &mut version_conversation,
+            &format!("while {index} leaves"),
+        )
+        .await;
         let status = scene.system.machine(index).wait(GRACE).await.unwrap();
         assert!(status.success(), "{status}");
         scene.system.restart(index).unwrap();
@@ -172,9 +177,9 @@
     let mut plan = ScenePlan::default();
     plan.machines.push(MachinePlan::new(Role::Store, "zone-a"));
     let mut scene = stage(plan).await;
-    let mut lines = Vec::new();
+    let mut conversations = Vec::new();
     for _ in 0..8 {
-        lines.push(line_of(&scene, 2).await);
+        conversations.push(conversation_of(&scene, 2).await);
     }
     let retired = machines_of(&scene, Role::Store)[0];
     let name = scene.system.machines()[retired].name().to_owned();
@@ -197,8 +202,8 @@
         programs_for(&scene, Duration::from_millis(50)).await;
     }
     scene.system.machine(retired).kill();
-    for line in &mut lines {
-        go_on(&scene, line, "after the store is gone").await;
+    for conversation in &mut conversations {
+        continue_conversation(&scene, conversation, "after the store is gone").await;
     }
     expect_no_violation(&scene);
 }
--- a/crates/serving/dunespur/tests/losses.rs
+++ b/crates/serving/dunespur/tests/losses.rs
@@ -7,8 +7,8 @@
 use dunespur_emulator::system::{MachinePlan, Role};
 use support::disk::with_standstills_apart;
 use support::{
-    add_route, expect_no_violation, generation, go_on_within, line_of, machines_of, programs_for,
-    stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
+    add_route, continue_within, conversation_of, expect_no_violation, generation, machines_of,
+    programs_for, stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
 };
 use tokio::time::Instant;
 
@@ -49,16 +49,22 @@
 async fn what_was_acknowledged_is_there_after_all_processes_were_killed() {
     let mut scene = stage(ScenePlan::default()).await;
     let mut version = 1;
-    let mut line = line_of(&scene, 2).await;
+    let mut conversation = conversation_of(&scene, 2).await;
     for round in 0..3 {
         version = add_route(&mut scene, version).await;
-        support::go_on(&scene, &mut line, &format!("before {round}")).await;
+        support::continue_conversation(&scene, &mut conversation, &format!("before {round}")).await;
         scene.system.kill_all();
         for index in 0..scene.system.machines().len() {
             scene.system.restart(index).unwrap();
         }
         assert_eq!(generation(&mut scene).await, version);
-        go_on_within(&scene, &mut line, &format!("after {round}"), RECOVERY).await;
+        continue_within(
+            &scene,
+            &mut conversation,
+            &format!("after {round}"),
+            RECOVERY,
+        )
+        .await;
         scene.wait_until_serving().await.unwrap();
         serves_route(&scene, version).await;
     }
@@ -130,15 +136,20 @@
 async fn a_wiped_store_is_repaired_and_the_next_one_may_go() {
     with_standstills_apart(|| async {
         let mut scene = stage(ScenePlan::default()).await;
-        let mut lines = Vec::new();
+        let mut conversations = Vec::new();
         for _ in 0..8 {
-            lines.push(line_of(&scene, 3).await);
+            conversations.push(conversation_of(&scene, 3).await);
         }
         for store in machines_of(&scene, Role::Store) {
             scene.system.wipe(store).unwrap();
             programs_for(&scene, CATCH_UP).await;
-            for line in &mut lines {
-                support::go_on(&scene, line, &format!("after store {store}")).await;
+            for conversation in &mut conversations {
+                support::continue_conversation(
+                    &scene,
+                    conversation,
+                    &format!("after store {store}"),
+                )
+                .await;
             }
         }
         expect_no_violation(&scene);
@@ -149,14 +160,20 @@
 #[tokio::test]
 async fn turns_go_on_without_any_one_store() {
     let mut scene = stage(ScenePlan::default()).await;
-    let mut line = line_of(&scene, 2).await;
+    let mut conversation = conversation_of(&scene, 2).await;
     for store in machines_of(&scene, Role::Store) {
         scene.system.machine(store).kill();
-        go_on_within(&scene, &mut line, &format!("without {store}"), ORDER_LIMIT).await;
-        let mut new = line_of(&scene, 1).await;
+        continue_within(
+            &scene,
+            &mut conversation,
+            &format!("without {store}"),
+            ORDER_LIMIT,
+        )
+        .await;
+        let mut new = conversation_of(&scene, 1).await;
         scene.system.restart(store).unwrap();
         programs_for(&scene, CATCH_UP).await;
-        go_on_within(&scene, &mut new, "with all", ORDER_LIMIT).await;
+        continue_within(&scene, &mut new, "with all", ORDER_LIMIT).await;
     }
     expect_no_violation(&scene);
 }
--- a/crates/serving/dunespur/tests/quiet.rs
+++ b/crates/serving/dunespur/tests/quiet.rs
@@ -73,9 +73,9 @@
 #[tokio::test]
 async fn a_turn_that_continues_an_unknown_one_is_404_and_runs_nowhere() {
     let scene = stage(ScenePlan::default()).await;
-    let mut line = Conversation::new(&scene.client, &usual_program());
-    line.set_previous(Some(scene.identities.request()));
-    let served = line.turn(&scene.client, &"hello".into()).await;
+    let mut conversation = Conversation::new(&scene.client, &usual_program());
+    conversation.set_previous(Some(scene.identities.request()));
+    let served = conversation.turn(&scene.client, &"hello".into()).await;
     assert_eq!(served.status(), Some(404), "{served:?}");
     assert!(scene.record.observations_of(served.request).is_empty());
     expect_no_violation(&scene);
--- a/crates/serving/dunespur/tests/replacing.rs
+++ b/crates/serving/dunespur/tests/replacing.rs
@@ -7,16 +7,16 @@
 use dunespur_emulator::system::{MachinePlan, Role};
 use support::disk::with_standstills_apart;
 use support::{
-    expect_no_violation, go_on, go_on_within, line_of, machines_of, programs_for, stage, CATCH_UP,
-    RECOVERY,
+    continue_conversation, continue_within, conversation_of, expect_no_violation, machines_of,
+    programs_for, stage, CATCH_UP, RECOVERY,
 };
 
 #[tokio::test]
 async fn a_store_is_replaced_and_the_next_one_may_go() {
     let mut scene = stage(ScenePlan::default()).await;
-    let mut lines = Vec::new();
+    let mut conversations = Vec::new();
     for _ in 0..12 {
-        lines.push(line_of(&scene, 2).await);
+        conversations.push(conversation_of(&scene, 2).await);
     }
     let stores = machines_of(&scene, Role::Store);
     for (round, store) in stores.iter().enumerate() {
@@ -27,8 +27,9 @@
             .join(MachinePlan::new(Role::Store, &zone))
             .unwrap();
         programs_for(&scene, CATCH_UP).await;
-        for line in &mut lines {
-            go_on(&scene, line, &format!("after replacement {round}")).await;
+        for conversation in &mut conversations {
+            continue_conversation(&scene, conversation, &format!("after replacement {round}"))
+                .await;
         }
     }
     expect_no_violation(&scene);
@@ -38,9 +39,9 @@
 async fn a_store_is_replaced_and_another_one_wiped() {
     with_standstills_apart(|| async {
         let mut scene = stage(ScenePlan::default()).await;
-        let mut lines = Vec::new();
+        let mut conversations = Vec::new();
         for _ in 0..12 {
-            lines.push(line_of(&scene, 2).await);
+            conversations.push(conversation_of(&scene, 2).await);
         }
         let stores = machines_of(&scene, Role::Store);
         let zone = scene.system.machines()[stores[0]].plan().zone.clone();
@@ -51,8 +52,8 @@
             .unwrap();
         programs_for(&scene, CATCH_UP).await;
         scene.system.wipe(stores[1]).unwrap();
-        for line in &mut lines {
-            go_on_within(&scene, line, "after both", RECOVERY).await;
+        for conversation in &mut conversations {
+            continue_within(&scene, conversation, "after both", RECOVERY).await;
         }
         expect_no_violation(&scene);
     })
--- a/crates/serving/dunespur/tests/seeds.rs
+++ b/crates/serving/dunespur/tests/seeds.rs
@@ -6,7 +6,9 @@
 use dunespur_emulator::client::{Kind, RequestSpec};
 use dunespur_emulator::scene::{ScenePlan, HOST, RECORD};
 use dunespur_emulator::system::{MachinePlan, Role};
-use support::{expect_no_violation, go_on_within, line_of, lookup, machines_of, stage, RECOVERY};
+use support::{
+    continue_within, conversation_of, expect_no_violation, lookup, machines_of, stage, RECOVERY,
+};
 use tokio::time::Instant;
 
 /// After all processes were killed a machine without a disk knows only its seeds. Where these have no disk either and
@@ -35,7 +37,7 @@
             .await
             .unwrap_or_else(|error| panic!("{error:#}"));
     }
-    line_of(&scene, 2).await;
+    conversation_of(&scene, 2).await;
     expect_no_violation(&scene);
 }
 
@@ -44,14 +46,14 @@
 #[tokio::test]
 async fn a_gateway_without_a_configuration_rejects_nothing_for_good() {
     let mut scene = stage(ScenePlan::default()).await;
-    let mut line = line_of(&scene, 1).await;
+    let mut conversation = conversation_of(&scene, 1).await;
     let gateway = machines_of(&scene, Role::Gateway)[0];
     for core in machines_of(&scene, Role::Core) {
         scene.system.machine(core).kill();
     }
     scene.system.machine(gateway).kill();
     scene.system.restart(gateway).unwrap();
-    let turn = line.next_request(&scene.client, &"goes on".into());
+    let turn = conversation.next_request(&scene.client, &"goes on".into());
     let record = RequestSpec::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once");
     for ask in [lookup(), record, turn, RequestSpec::get(HOST, "/nowhere/x")] {
         let until = Instant::now() + RECOVERY;
@@ -77,6 +79,6 @@
         scene.system.restart(core).unwrap();
     }
     scene.wait_until_serving().await.unwrap();
-    go_on_within(&scene, &mut line, "later", RECOVERY).await;
+    continue_within(&scene, &mut conversation, "later", RECOVERY).await;
     expect_no_violation(&scene);
 }
--- a/crates/serving/dunespur/tests/status.rs
+++ b/crates/serving/dunespur/tests/status.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::{Command, Output, Stdio};
-use support::{line_of, machines_of, program, stage};
+use support::{conversation_of, machines_of, program, stage};
 use tokio::time::Instant;
 
 const ANSWERED: i32 = 0;
@@ -204,8 +204,8 @@
 #[tokio::test]
 async fn the_budget_of_one_program_is_reported() {
     let scene = stage(ScenePlan::default()).await;
-    let line = line_of(&scene, 1).await;
-    let name = line.program().to_owned();
+    let conversation = conversation_of(&scene, 1).await;
+    let name = conversation.program().to_owned();
     let core = machines_of(&scene, Role::Core)[0];
     let counted = |status: &Value| {
         let of_program = |field: &str| status["program"][field].as_u64().unwrap();
--- a/crates/serving/dunespur/tests/support/mod.rs
+++ b/crates/serving/dunespur/tests/support/mod.rs
@@ -123,29 +123,38 @@
     }
 }
 
-/// A line of so many turns answered whole.
-pub async fn line_of(scene: &Scene, turns: u32) -> Conversation {
-    let mut line = Conversation::new(&scene.client, &usual_program());
+/// A conversation of so many turns, each answered completely.
+pub async fn conversation_of(scene: &Scene, turns: u32) -> Conversation {
+    let mut conversation = Conversation::new(&scene.client, &usual_program());
     for number in 0..turns {
-        go_on(scene, &mut line, &format!("turn {number}")).await;
+        continue_conversation(scene, &mut conversation, &format!("turn {number}")).await;
     }
-    line
+    conversation
 }
 
-/// The line's next turn, which has to be answered whole.
-pub async fn go_on(scene: &Scene, line: &mut Conversation, input: &str) {
-    let served = line.turn(&scene.client, &input.to_owned().into()).await;
+/// The conversation's next turn, which has to be answered completely.
+pub async fn continue_conversation(scene: &Scene, conversation: &mut Conversation, input: &str) {
+    let served = conversation
+        .turn(&scene.client, &input.to_owned().into())
+        .await;
     if served.status() == Some(LATER) {
         fail_as_late(format!("{input}: {served:?}"));
     }
     assert!(served.succeeded(), "{input}: {served:?}");
 }
 
-/// The line's next turn, asked for until it is answered whole; a 404 is none.
-pub async fn go_on_within(scene: &Scene, line: &mut Conversation, input: &str, limit: Duration) {
+/// The conversation's next turn, repeated until it is answered completely; a 404 is none.
+pub async fn continue_within(
+    scene: &Scene,
+    conversation: &mut Conversation,
+    input: &str,
+    limit: Duration,
+) {
     let until = Instant::now() + limit;
     loop {
-        let served = line.turn(&scene.client, &input.to_owned().into()).await;
+        let served = conversation
+            .turn(&scene.client, &input.to_owned().into())
+            .await;
         if served.succeeded() {
             return;
         }
--- a/crates/serving/dunespur/tests/unreadable.rs
+++ b/crates/serving/dunespur/tests/unreadable.rs
@@ -8,8 +8,8 @@
 use std::fs::{self, OpenOptions};
 use std::path::{Path, PathBuf};
 use support::{
-    add_route, expect_no_violation, generation, go_on, line_of, machines_of, programs_for, stage,
-    CATCH_UP,
+    add_route, continue_conversation, conversation_of, expect_no_violation, generation,
+    machines_of, programs_for, stage, CATCH_UP,
 };
 
 const CORE_FILE: &str = "core.redb";
@@ -75,16 +75,16 @@
 #[tokio::test]
 async fn stores_with_spoilt_files_are_repaired_one_after_the_other() {
     let mut scene = stage(ScenePlan::default()).await;
-    let mut lines = Vec::new();
+    let mut conversations = Vec::new();
     for _ in 0..8 {
-        lines.push(line_of(&scene, 3).await);
+        conversations.push(conversation_of(&scene, 3).await);
     }
     for (store, spoiler) in machines_of(&scene, Role::Store).into_iter().zip(SPOILERS) {
         let path = spoil(&mut scene, store, TURNS_FILE, spoiler);
         programs_for(&scene, CATCH_UP).await;
         expect_set_aside(&scene, store, &path);
-        for line in &mut lines {
-            go_on(&scene, line, &format!("after store {store}")).await;
+        for conversation in &mut conversations {
+            continue_conversation(&scene, conversation, &format!("after store {store}")).await;
         }
     }
     expect_no_violation(&scene);
--- a/crates/serving/dunespur/tests/upgrading.rs
+++ b/crates/serving/dunespur/tests/upgrading.rs
@@ -14,16 +14,16 @@
 use std::time::Duration;
 use support::disk::{fail_as_late, with_standstills_apart};
 use support::{
-    add_route, expect_no_violation, generation, go_on_within, line_of, program, programs_for,
-    stage_of, Stage, CATCH_UP, LATER, ORDER_LIMIT, RECOVERY,
+    add_route, continue_within, conversation_of, expect_no_violation, generation, program,
+    programs_for, stage_of, Stage, CATCH_UP, LATER, ORDER_LIMIT, RECOVERY,
 };
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
 /// Names the program that runs before.
 const EARLIER_PROGRAM: &str = "DUNESPUR_EARLIER_PROGRAM";
-/// Lines of turns that begin under the earlier program and go on under the later one.
-const LINES: usize = 12;
+/// Conversations that begin under the earlier program and go on under the later one.
+const CONVERSATIONS: usize = 12;
 /// The platform kills a process this long after SIGTERM.
 const GRACE: Duration = Duration::from_secs(8);
 
@@ -31,15 +31,15 @@
     std::env::var_os(EARLIER_PROGRAM).map_or_else(program, PathBuf::from)
 }
 
-/// A scene of the earlier program with lines of turns and a configuration of two versions.
+/// A scene of the earlier program with conversations and a configuration of two versions.
 async fn earlier_stage() -> (Stage, Vec<Conversation>, u64) {
     let mut scene = stage_of(&earlier_program(), ScenePlan::default()).await;
-    let mut lines = Vec::new();
-    for _ in 0..LINES {
-        lines.push(line_of(&scene, 2).await);
+    let mut conversations = Vec::new();
+    for _ in 0..CONVERSATIONS {
+        conversations.push(conversation_of(&scene, 2).await);
     }
     let version = add_route(&mut scene, 1).await;
-    (scene, lines, version)
+    (scene, conversations, version)
 }
 
 /// Programs that are played one after the other until they are asked to stop.
@@ -85,11 +85,11 @@
     scene.client.set_fronts(scene.system.fronts());
 }
 
-/// The configuration and the lines of turns that the earlier program was told are there.
-async fn expect_continued(scene: &mut Stage, lines: &mut [Conversation], version: u64) {
+/// The configuration and the conversations that the earlier program was told are there.
+async fn expect_continued(scene: &mut Stage, conversations: &mut [Conversation], version: u64) {
     assert_eq!(generation(scene).await, version);
-    for line in &mut *lines {
-        go_on_within(scene, line, "under the later program", RECOVERY).await;
+    for conversation in &mut *conversations {
+        continue_within(scene, conversation, "under the later program", RECOVERY).await;
     }
     let version = add_route(scene, version).await;
     scene.wait_until_serving().await.unwrap();
@@ -115,14 +115,14 @@
 #[tokio::test]
 async fn processes_are_replaced_one_after_another_while_turns_go_on() {
     with_standstills_apart(|| async {
-        let (mut scene, mut lines, version) = earlier_stage().await;
+        let (mut scene, mut conversations, version) = earlier_stage().await;
         let traffic = Traffic::start(&scene.client);
         for machine in 0..scene.system.machines().len() {
             replace_program(&mut scene, machine).await;
-            for line in &mut lines {
-                go_on_within(
+            for conversation in &mut conversations {
+                continue_within(
                     &scene,
-                    line,
+                    conversation,
                     &format!("after machine {machine}"),
                     ORDER_LIMIT,
                 )
@@ -131,7 +131,7 @@
             programs_for(&scene, CATCH_UP).await;
         }
         expect_finished(&traffic.stop().await);
-        expect_continued(&mut scene, &mut lines, version).await;
+        expect_continued(&mut scene, &mut conversations, version).await;
     })
     .await;
 }
@@ -139,14 +139,14 @@
 #[tokio::test]
 async fn a_complete_system_is_replaced_at_once() {
     with_standstills_apart(|| async {
-        let (mut scene, mut lines, version) = earlier_stage().await;
+        let (mut scene, mut conversations, version) = earlier_stage().await;
         scene.system.kill_all();
         for machine in 0..scene.system.machines().len() {
             scene.system.machine(machine).set_program(program());
             scene.system.restart(machine).unwrap();
         }
         scene.wait_until_serving().await.unwrap();
-        expect_continued(&mut scene, &mut lines, version).await;
+        expect_continued(&mut scene, &mut conversations, version).await;
         programs_for(&scene, CATCH_UP).await;
         expect_no_violation(&scene);
     })
