--- a/crates/testing/emulator/examples/chain_throughput.rs
+++ b/crates/testing/emulator/examples/chain_throughput.rs
@@ -28,7 +28,7 @@
 /// Limiters of one program.
 const LIMITERS_OF_PROGRAM: u64 = 4;
 
-/// What a member's thread is told.
+/// What a member's thread receives.
 enum Arrival {
     /// An encoded message of another member.
     Message { from: MemberId, bytes: Vec<u8> },
@@ -141,12 +141,12 @@
         let bytes = postcard::to_stdvec(message).expect("a message can be written");
         self.sent_bytes += bytes.len() as u64;
         let from = self.peers[self.number].id.clone();
-        let place = self
+        let index = self
             .peers
             .iter()
             .position(|peer| peer.id == to.id)
             .expect("a member");
-        let _ = self.senders[place].send(Arrival::Message { from, bytes });
+        let _ = self.senders[index].send(Arrival::Message { from, bytes });
     }
 
     fn submit(&mut self) {
@@ -352,7 +352,7 @@
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// Takes part in the chain until all members have come here: others may still need this one.
+/// Serves the chain until all members have arrived here, as others may still need this one.
 fn serve_until_all(runner: &mut Runner, queue: &Receiver<Arrival>, barrier: &Arc<Barrier>) {
     let reached = Arc::new(AtomicBool::new(false));
     let waiter = {
--- a/crates/testing/emulator/examples/control_followers.rs
+++ b/crates/testing/emulator/examples/control_followers.rs
@@ -2,7 +2,7 @@
 //! gateways in this process that follow one of them by the watch of real ones, and renew a lease each.
 //!
 //! Each number of followers is measured while they pass on heartbeats of the known servers, and while servers come and
-//! go besides, each of which every follower is told of.
+//! depart besides; every follower is notified of each.
 //!
 //! `cargo run --release -p dunespur-emulator --example control_followers -- PROGRAM SECONDS SERVERS FOLLOWERS...`
 
@@ -23,14 +23,14 @@
 const HEARTBEAT_MS: u64 = 1_200;
 const READY_LIMIT: Duration = Duration::from_secs(20);
 /// Followers come up over this time before anything is measured.
-const SETTLE: Duration = Duration::from_secs(2);
+const WARM_UP: Duration = Duration::from_secs(2);
 const CALL_LIMIT: Duration = Duration::from_millis(2_000);
 /// Servers that are made known at once.
 const REGISTERED_AT_ONCE: u64 = 64;
-/// A watch at rest is answered so often within the pause between a server's heartbeats.
+/// How often an idle watch is answered within a heartbeat interval.
 const WATCHES_A_HEARTBEAT: usize = 3;
 /// Pause between two servers that come or go.
-const CHURN_PAUSE: Duration = Duration::from_millis(100);
+const CHURN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What the followers saw.
 #[derive(Default)]
@@ -138,7 +138,7 @@
             spawn_local(async move {
                 let request = Request::Execute(Operation::Server(report(server_id(number))));
                 while !matches!(call(&client, &request).await, Some(Reply::Executed(_))) {
-                    sleep(CHURN_PAUSE).await;
+                    sleep(CHURN_INTERVAL).await;
                 }
             })
         });
@@ -159,7 +159,7 @@
     let followers: Vec<JoinHandle<()>> = (0..number)
         .map(|which| spawn_local(follow(member, which, load, counted.clone())))
         .collect();
-    sleep(SETTLE).await;
+    sleep(WARM_UP).await;
     measure_span(system, member, number, span, &counted, "heartbeats alone").await;
     let churn = spawn_local(churn(member));
     measure_span(
@@ -183,7 +183,7 @@
     number: usize,
     span: Duration,
     counted: &Counted,
-    what: &str,
+    label: &str,
 ) {
     let (answers, changes) = (counted.answers.get(), counted.changes.get());
     let (bytes, failures) = (counted.bytes.get(), counted.failures.get());
@@ -192,10 +192,10 @@
     sleep(span).await;
     let took = began.elapsed().as_secs_f64();
     let used = usage(system, member).since(before);
-    let share = used.processor_ms as f64 / took;
+    let processor_share = used.processor_ms as f64 / took;
     let per_follower = number.max(1) as f64;
     println!(
-        "{number} | {:.1} ({what}) | {share:.1} | {} | {:.0} | {:.0} | {}",
+        "{number} | {:.1} ({label}) | {processor_share:.1} | {} | {:.0} | {:.0} | {}",
         (counted.changes.get() - changes) as f64 / took / per_follower,
         used.peak_memory_kb,
         (counted.answers.get() - answers) as f64 / took,
@@ -220,15 +220,15 @@
         incarnation: 1,
     };
     let (mut after, mut view) = (None, 0);
-    let share: Vec<String> = (which as u64..load.servers)
+    let watched: Vec<String> = (which as u64..load.servers)
         .step_by(load.followers)
         .map(server_id)
         .collect();
-    let third = share.len().div_ceil(WATCHES_A_HEARTBEAT).max(1);
+    let third = watched.len().div_ceil(WATCHES_A_HEARTBEAT).max(1);
     // All at first: a server that was registered long ago and not heard of since would lapse.
-    let mut parts = std::iter::once(share.as_slice()).chain(share.chunks(third).cycle());
+    let mut batches = std::iter::once(watched.as_slice()).chain(watched.chunks(third).cycle());
     loop {
-        let beating = parts.next().unwrap_or_default();
+        let beating = batches.next().unwrap_or_default();
         let renewals = LeaseRenewals {
             servers: beating.to_vec(),
             nodes: vec![lease.clone()],
@@ -238,15 +238,15 @@
             view,
             renewals,
         }));
-        let asked = request.len();
+        let request_bytes = request.len();
         let Ok(bytes) = client.call(request, CALL_LIMIT).await else {
             counted.failures.set(counted.failures.get() + 1);
-            sleep(CHURN_PAUSE).await;
+            sleep(CHURN_INTERVAL).await;
             continue;
         };
         let Some(Reply::StateUpdate(update)) = decode::<Reply>(&bytes) else {
             counted.failures.set(counted.failures.get() + 1);
-            sleep(CHURN_PAUSE).await;
+            sleep(CHURN_INTERVAL).await;
             continue;
         };
         counted.answers.set(counted.answers.get() + 1);
@@ -255,7 +255,7 @@
             .set(counted.changes.get() + update.changes.len() as u64);
         counted
             .bytes
-            .set(counted.bytes.get() + (asked + bytes.len()) as u64);
+            .set(counted.bytes.get() + (request_bytes + bytes.len()) as u64);
         after = Some(update.index);
         view = update.view.map_or(view, |newer| newer.number);
     }
@@ -272,7 +272,7 @@
             Operation::ServerLeft { id }
         };
         let _ = call(&client, &Request::Execute(operation)).await;
-        sleep(CHURN_PAUSE).await;
+        sleep(CHURN_INTERVAL).await;
     }
 }
 
--- a/crates/testing/emulator/src/client/attempt.rs
+++ b/crates/testing/emulator/src/client/attempt.rs
@@ -180,8 +180,8 @@
                 self.answered.first_event_us = Some(since.as_micros() as u64);
             }
             Some(last) => {
-                let pause = now.duration_since(last).as_millis() as u64;
-                self.answered.longest_gap_ms = self.answered.longest_gap_ms.max(pause);
+                let gap = now.duration_since(last).as_millis() as u64;
+                self.answered.longest_gap_ms = self.answered.longest_gap_ms.max(gap);
             }
         }
         self.last_event = Some(now);
--- a/crates/testing/emulator/src/client/retry.rs
+++ b/crates/testing/emulator/src/client/retry.rs
@@ -152,23 +152,23 @@
             let recording = AttemptRecorder::begin(&self.shared, &attempt, operation);
             let outcome = recording.end(attempt.carry_out().await);
             attempts += 1;
-            let pause = backoff_before_retry(spec, &outcome, until, &self.shared.identities);
+            let backoff = backoff_before_retry(spec, &outcome, until, &self.shared.identities);
             let ended = attempts > spec.retries || Instant::now() >= until;
-            match pause {
-                Some(pause) if !ended => sleep(pause).await,
+            match backoff {
+                Some(backoff) if !ended => sleep(backoff).await,
                 _ => return served(&attempt, outcome, attempts, started, attempt_started),
             }
         }
     }
 
     /// The gateways in turn, starting at an offset that differs between requests.
-    fn front(&self, place: u64) -> SocketAddr {
+    fn front(&self, offset: u64) -> SocketAddr {
         let fronts = self
             .shared
             .fronts
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        fronts[place as usize % fronts.len()]
+        fronts[offset as usize % fronts.len()]
     }
 }
 
@@ -263,8 +263,8 @@
 
 fn idle_timeout(spec: &RequestSpec) -> Duration {
     let objective = Duration::from_millis(spec.target_ms) * IDLE_TARGETS;
-    let pause = Duration::from_millis(spec.max_gap_ms) * IDLE_GAPS;
-    MIN_IDLE_TIMEOUT.max(objective).max(pause)
+    let backoff = Duration::from_millis(spec.max_gap_ms) * IDLE_GAPS;
+    MIN_IDLE_TIMEOUT.max(objective).max(backoff)
 }
 
 /// The backoff before a retry; `None` where there must be none.
--- a/crates/testing/emulator/src/experiment/check.rs
+++ b/crates/testing/emulator/src/experiment/check.rs
@@ -92,8 +92,8 @@
 struct Findings(Vec<String>);
 
 impl Findings {
-    fn expect(&mut self, holds: bool, problem: &str) {
-        if !holds {
+    fn expect(&mut self, condition: bool, problem: &str) {
+        if !condition {
             self.0.push(problem.to_owned());
         }
     }
--- a/crates/testing/emulator/src/experiment/findings.rs
+++ b/crates/testing/emulator/src/experiment/findings.rs
@@ -61,9 +61,11 @@
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct PromptTokens {
     /// In all prompts that ran.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub admitted: u64,
     /// By servers that did not have them.
-    pub read: u64,
+    #[serde(rename = "read")]
+    pub prefilled: u64,
 }
 
 impl Findings {
@@ -111,6 +113,17 @@
     }
 
     fn write_table(&self, text: &mut String) -> std::fmt::Result {
+        self.write_classes(text)?;
+        self.write_totals(text)?;
+        self.write_processes(text)?;
+        writeln!(text, "broken rules: {}", self.violations.len())?;
+        for violation in self.violations.iter().take(LISTED_VIOLATIONS) {
+            writeln!(text, "  {violation}")?;
+        }
+        Ok(())
+    }
+
+    fn write_classes(&self, text: &mut String) -> std::fmt::Result {
         writeln!(
             text,
             "{:<22}{:>8}{:>7}{:>9}{:>8}{:>9}   first ms p50/p95/p99   total ms p50/p95/p99",
@@ -130,6 +143,10 @@
                 class.took_ms.text()
             )?;
         }
+        Ok(())
+    }
+
+    fn write_totals(&self, text: &mut String) -> std::fmt::Result {
         writeln!(
             text,
             "first event at the server, ms p50/p95/p99: {}",
@@ -144,7 +161,7 @@
         writeln!(
             text,
             "prompt tokens: {} admitted, {} prefilled",
-            tokens.asked, tokens.read
+            tokens.admitted, tokens.prefilled
         )?;
         writeln!(
             text,
@@ -152,6 +169,10 @@
             self.server_connections, self.probes
         )?;
         writeln!(text, "attempts by outcome: {:?}", self.answers)?;
+        Ok(())
+    }
+
+    fn write_processes(&self, text: &mut String) -> std::fmt::Result {
         writeln!(
             text,
             "{:<26}{:>9}{:>7}{:>10}{:>12}{:>14}{:>12}",
@@ -170,10 +191,6 @@
                 process.peak_memory_kb as f64 / 1024.0
             )?;
         }
-        writeln!(text, "broken rules: {}", self.violations.len())?;
-        for violation in self.violations.iter().take(LISTED_VIOLATIONS) {
-            writeln!(text, "  {violation}")?;
-        }
         Ok(())
     }
 }
@@ -260,8 +277,8 @@
 fn prompt_tokens(scene: &Scene) -> PromptTokens {
     let engines = scene.engines.iter().map(|engine| &engine.server);
     engines.fold(PromptTokens::default(), |sum, engine| PromptTokens {
-        asked: sum.asked + engine.prompt_tokens_admitted(),
-        read: sum.read + engine.prompt_tokens_prefilled(),
+        admitted: sum.admitted + engine.prompt_tokens_admitted(),
+        prefilled: sum.prefilled + engine.prompt_tokens_prefilled(),
     })
 }
 
--- a/crates/testing/emulator/src/experiment/measure.rs
+++ b/crates/testing/emulator/src/experiment/measure.rs
@@ -17,6 +17,12 @@
     pub loaded: Meter,
 }
 
+/// What one process used between two moments.
+struct UsageInterval {
+    usage: Usage,
+    seconds: f64,
+}
+
 /// What one process used.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct ProcessUse {
@@ -50,9 +56,11 @@
         self.usages.get(index).copied().unwrap_or_default()
     }
 
-    fn since(&self, earlier: &Meter, index: usize) -> (Usage, f64) {
-        let seconds = self.at.duration_since(earlier.at).as_secs_f64();
-        (self.used(index).since(earlier.used(index)), seconds)
+    fn since(&self, earlier: &Meter, index: usize) -> UsageInterval {
+        UsageInterval {
+            usage: self.used(index).since(earlier.used(index)),
+            seconds: self.at.duration_since(earlier.at).as_secs_f64(),
+        }
     }
 }
 
@@ -62,16 +70,16 @@
         let machines = scene.system.machines().iter().enumerate();
         machines
             .map(|(index, machine)| {
-                let (idle, idle_s) = self.idle.since(&self.up, index);
-                let (loaded, loaded_s) = self.loaded.since(&self.idle, index);
+                let idle = self.idle.since(&self.up, index);
+                let loaded = self.loaded.since(&self.idle, index);
                 ProcessUse {
                     name: machine.name().to_owned(),
                     role: role_name(machine.plan().role),
                     starts: machine.starts(),
                     start_ms: self.up.used(index).processor_ms,
-                    idle_millicores: rate(idle.processor_ms, idle_s),
-                    loaded_millicores: rate(loaded.processor_ms, loaded_s),
-                    loaded_wake_ups_a_second: rate(loaded.wake_ups, loaded_s),
+                    idle_millicores: rate(idle.usage.processor_ms, idle.seconds),
+                    loaded_millicores: rate(loaded.usage.processor_ms, loaded.seconds),
+                    loaded_wake_ups_a_second: rate(loaded.usage.wake_ups, loaded.seconds),
                     peak_memory_kb: self.loaded.used(index).peak_memory_kb,
                 }
             })
--- a/crates/testing/emulator/src/experiment/traffic.rs
+++ b/crates/testing/emulator/src/experiment/traffic.rs
@@ -127,10 +127,10 @@
         let started = Instant::now();
         let mut under_way = JoinSet::new();
         let mut outcomes = Vec::new();
-        let mut next = started + self.pause();
+        let mut next = started + self.time_to_next();
         while next < started + length {
             sleep_until(next).await;
-            next += self.pause();
+            next += self.time_to_next();
             if under_way.len() >= MAX_UNDER_WAY {
                 outcomes.push(self.skipped());
                 continue;
@@ -163,7 +163,7 @@
     }
 
     /// Time to the next beginning: independent of all others.
-    fn pause(&mut self) -> Duration {
+    fn time_to_next(&mut self) -> Duration {
         let drawn = 1.0 - self.random.f64();
         Duration::from_secs_f64(-drawn.ln() / self.work.rate())
     }
--- a/crates/testing/emulator/src/operator.rs
+++ b/crates/testing/emulator/src/operator.rs
@@ -196,7 +196,7 @@
             attempts: 0,
         };
         let mut refusals = 0;
-        let mut pause = MIN_BACKOFF;
+        let mut backoff = MIN_BACKOFF;
         while started.elapsed() < limit {
             let address = self.controls[self.next % self.controls.len()];
             unclear.attempts += 1;
@@ -215,8 +215,8 @@
                 }
             }
             self.next += 1;
-            sleep(pause).await;
-            pause = (pause * 2).min(MAX_BACKOFF);
+            sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
         Err(unclear)
     }
--- a/crates/testing/emulator/src/program.rs
+++ b/crates/testing/emulator/src/program.rs
@@ -361,8 +361,8 @@
             status if renewal == MAX_RENEWALS => return Err(End::Failed { status }),
             _ => {}
         }
-        let pause = RENEWAL_BACKOFF_MS + client.identities().below(RENEWAL_JITTER_MS);
-        sleep(Duration::from_millis(pause)).await;
+        let backoff = RENEWAL_BACKOFF_MS + client.identities().below(RENEWAL_JITTER_MS);
+        sleep(Duration::from_millis(backoff)).await;
     }
     Err(End::Failed { status: None })
 }
--- a/crates/testing/emulator/src/system/settings.rs
+++ b/crates/testing/emulator/src/system/settings.rs
@@ -3,7 +3,7 @@
 use super::addresses::Ports;
 use super::machine::Machine;
 use super::plan::{Role, SystemPlan};
-use serde_json::json;
+use serde_json::{json, Value};
 use std::net::SocketAddr;
 
 /// Memory, descriptors and disk that settings name: ample, as nothing enforces them here.
@@ -21,18 +21,6 @@
 ) -> String {
     let role = machine.plan().role;
     let ip = machine.ip();
-    let at = |port: u16| SocketAddr::new(ip, port).to_string();
-    let listen = match role {
-        Role::Store => json!({}),
-        _ => json!({
-            "front": at(ports.front), "ready": at(ports.ready), "control": at(ports.control),
-        }),
-    };
-    let serves = if role == Role::Store {
-        json!(["storage"])
-    } else {
-        json!(["front", "control"])
-    };
     let class = if role == Role::Store {
         "storage"
     } else {
@@ -48,12 +36,12 @@
         "node": machine.name(),
         "role": role.command(),
         "class": class,
-        "serves": serves,
+        "serves": services(role),
         "ip": ip.to_string(),
         "zone": machine.plan().zone,
         "region": "region",
         "zones": zones,
-        "listen": listen,
+        "listen": listeners(machine, ports),
         "port_range": [ports.first_internal, ports.last_internal],
         "seeds": seeds.iter().map(SocketAddr::to_string).collect::<Vec<_>>(),
         "bootstrap": bootstrap,
@@ -77,3 +65,21 @@
     })
     .to_string()
 }
+
+/// The addresses that a machine listens on for clients, the platform and servers.
+fn listeners(machine: &Machine, ports: Ports) -> Value {
+    let at = |port: u16| SocketAddr::new(machine.ip(), port).to_string();
+    match machine.plan().role {
+        Role::Store => json!({}),
+        Role::Gateway | Role::Core => json!({
+            "front": at(ports.front), "ready": at(ports.ready), "control": at(ports.control),
+        }),
+    }
+}
+
+fn services(role: Role) -> Value {
+    match role {
+        Role::Store => json!(["storage"]),
+        Role::Gateway | Role::Core => json!(["front", "control"]),
+    }
+}
--- a/crates/testing/emulator/tests/batch.rs
+++ b/crates/testing/emulator/tests/batch.rs
@@ -132,7 +132,7 @@
     assert_eq!(
         batch.memory().look(&[segment(1, 5_000)]).cached,
         0,
-        "a part that was not read whole is not kept"
+        "a segment whose prefill is incomplete is not cached"
     );
 }
 
@@ -154,8 +154,8 @@
                         .map(|_| random.u64(0..8))
                         .map(|id| segment(id, 20 + id))
                         .collect();
-                    let asked = prompt(&segments, random.u64(1..60), random.u8(0..10));
-                    tickets.extend(batch.enqueue(asked));
+                    let prompt_of_request = prompt(&segments, random.u64(1..60), random.u8(0..10));
+                    tickets.extend(batch.enqueue(prompt_of_request));
                 }
                 1 if !tickets.is_empty() => {
                     batch.cancel(tickets.swap_remove(random.usize(..tickets.len())))
--- a/crates/testing/emulator/tests/judge.rs
+++ b/crates/testing/emulator/tests/judge.rs
@@ -15,10 +15,10 @@
 
 fn settings() -> JudgeSettings {
     let streaming = Kind::Streaming { resumable: false };
-    let mut kept = RoutePlan::new("kept", HOST, "/kept/", streaming, "models");
-    kept.persisted = true;
+    let mut persisted_route = RoutePlan::new("kept", HOST, "/kept/", streaming, "models");
+    persisted_route.persisted = true;
     let routes = vec![
-        kept,
+        persisted_route,
         RoutePlan::new("record", HOST, "/record/", Kind::Mutating, "tools"),
         RoutePlan::new("lookup", HOST, "/lookup/", Kind::ReadOnly, "tools"),
     ];
@@ -285,11 +285,11 @@
             [Rule::Refused],
             "{status}"
         );
-        let turned_away = |it: &mut Exchange| {
+        let rejected = |it: &mut Exchange| {
             refuse(it, status);
             it.observations[0].fate = Fate::Rejected;
         };
-        assert_eq!(changed(turned_away), [], "{status}");
+        assert_eq!(changed(rejected), [], "{status}");
     }
     assert_eq!(changed(|it| refuse(it, 502)), []);
 }
@@ -389,7 +389,7 @@
     assert_eq!(
         broken(vec![truncated, requested_later(1_000)]),
         [],
-        "only turns answered whole are kept"
+        "only completed turns are stored"
     );
 }
 
@@ -425,7 +425,7 @@
     JudgeSettings::of(vec![first, second])
 }
 
-/// The rules broken by a request sent so long after the second version was acknowledged.
+/// The rules broken by a request sent this long after the second version was acknowledged.
 fn after_second(mut exchange: Exchange, sent_after_ms: u64, settings: &JudgeSettings) -> Vec<Rule> {
     const ACKNOWLEDGED_MS: u64 = 1_000;
     exchange.attempt.sent_ms = ACKNOWLEDGED_MS + sent_after_ms;
--- a/crates/testing/emulator/tests/servers.rs
+++ b/crates/testing/emulator/tests/servers.rs
@@ -302,7 +302,7 @@
     assert_eq!(
         server.prompt_tokens_prefilled(),
         100,
-        "both parts of the prompt are kept"
+        "both segments of the prompt are cached"
     );
     fixture.expect_no_violation();
 }
--- a/crates/testing/emulator/tests/wire.rs
+++ b/crates/testing/emulator/tests/wire.rs
@@ -4,7 +4,7 @@
 
 /// Reads one response from `bytes`, delivered in chunks of `size`.
 async fn answer(bytes: &[u8], size: usize) -> Result<(u16, Vec<u8>), WireError> {
-    let mut builder = Pieces {
+    let mut builder = ChunkedBytes {
         left: bytes.to_vec(),
         size,
     };
@@ -14,12 +14,12 @@
     Ok((head.status, body.to_vec()))
 }
 
-struct Pieces {
+struct ChunkedBytes {
     left: Vec<u8>,
     size: usize,
 }
 
-impl tokio::io::AsyncRead for Pieces {
+impl tokio::io::AsyncRead for ChunkedBytes {
     fn poll_read(
         mut self: std::pin::Pin<&mut Self>,
         _: &mut std::task::Context<'_>,
