--- a/crates/testing/fleet-simulation/src/error.rs
+++ b/crates/testing/fleet-simulation/src/error.rs
@@ -1,6 +1,6 @@
 //! What makes a trial unplayable, with its remedy. Keys are those of the trial's file.
 
-use crate::trial::{Fault, Kind, MOST_PROCESSES, MOST_SIMULATED};
+use crate::trial::{Fault, Kind, MAX_PROCESSES, MAX_SIMULATED};
 use dunespur_singleton_roles::SettingsError;
 use std::io;
 use std::path::PathBuf;
@@ -18,7 +18,7 @@
     Length(f64),
     #[error("settle: {0}; give seconds over 0")]
     Settle(f64),
-    #[error("fleet.limiters: {limiters}; give 3 to {MOST_SIMULATED}, and no fewer than voters ({voters})")]
+    #[error("fleet.limiters: {limiters}; give 3 to {MAX_SIMULATED}, and no fewer than voters ({voters})")]
     Limiters { limiters: usize, voters: usize },
     #[error("fleet.zones: {0} of them; give one or more, no more than limiters")]
     Zones(usize),
@@ -108,7 +108,7 @@
     NotSimulated { kind: Kind, at: f64 },
     #[error("fault {kind:?} at {at}: only the simulated world plays it")]
     OnlySimulated { kind: Kind, at: f64 },
-    #[error("fleet.limiters: {0}; the world of processes starts up to {MOST_PROCESSES}")]
+    #[error("fleet.limiters: {0}; the world of processes starts up to {MAX_PROCESSES}")]
     TooManyProcesses(usize),
     #[error(transparent)]
     Io(#[from] io::Error),
--- a/crates/testing/fleet-simulation/src/processes.rs
+++ b/crates/testing/fleet-simulation/src/processes.rs
@@ -5,7 +5,7 @@
 
 use crate::error::PlayError;
 use crate::history::Line;
-use crate::trial::{Active, Disk, Fault, Kind, Quota, Trial, MOST_PROCESSES, SERVERS};
+use crate::trial::{Active, Disk, Fault, Kind, Quota, Trial, MAX_PROCESSES, SERVERS};
 use bytes::Bytes;
 use dunespur_gateway::{clock, Work};
 use dunespur_peer_transport::Frame;
@@ -254,7 +254,7 @@
 
 /// Whether the world of processes can play this trial.
 pub fn check(trial: &Trial) -> Result<(), PlayError> {
-    if trial.fleet.limiters > MOST_PROCESSES {
+    if trial.fleet.limiters > MAX_PROCESSES {
         return Err(PlayError::TooManyProcesses(trial.fleet.limiters));
     }
     let only = |k: Kind| matches!(k, Kind::Idle);
--- a/crates/testing/fleet-simulation/src/service.rs
+++ b/crates/testing/fleet-simulation/src/service.rs
@@ -28,7 +28,7 @@
 const WORK: (f64, f64) = (0.008, 0.03);
 const WAY: f64 = 0.0005;
 
-pub enum Ev {
+pub enum Event {
     /// The next client.
     Come,
     Again {
@@ -78,25 +78,25 @@
     },
 }
 
-impl Ev {
+impl Event {
     /// The limiter whose process it is for, if it is for one.
     pub fn gate(&self) -> Option<usize> {
         match self {
-            Ev::Come | Ev::Count { .. } => None,
-            Ev::Again { gate, .. }
-            | Ev::Limit { gate, .. }
-            | Ev::Served { gate, .. }
-            | Ev::Total { gate, .. }
-            | Ev::CallLimit { gate, .. }
-            | Ev::Overdue { gate, .. }
-            | Ev::Broker { gate, .. } => Some(*gate),
+            Event::Come | Event::Count { .. } => None,
+            Event::Again { gate, .. }
+            | Event::Limit { gate, .. }
+            | Event::Served { gate, .. }
+            | Event::Total { gate, .. }
+            | Event::CallLimit { gate, .. }
+            | Event::Overdue { gate, .. }
+            | Event::Broker { gate, .. } => Some(*gate),
         }
     }
 }
 
 /// What the world carries out.
 pub enum Out {
-    At(f64, Ev),
+    At(f64, Event),
     /// To the holder of a slot.
     Borrow {
         gate: usize,
@@ -121,7 +121,7 @@
     },
 }
 
-struct Held {
+struct PendingInvocation {
     inv: Invocation,
     customer: usize,
     came: f64,
@@ -136,7 +136,7 @@
     borrower: Borrower,
     broker: Broker,
     due: f64,
-    held: BTreeMap<u64, Held>,
+    pending: BTreeMap<u64, PendingInvocation>,
     calls: BTreeMap<u64, (u64, f64)>,
     last_call: u64,
     known: BTreeSet<Slot>,
@@ -161,11 +161,11 @@
 pub struct Service {
     quota: Quota,
     limiters: usize,
-    lends: Option<SlotRange>,
+    broker_slots: Option<SlotRange>,
     settings: quota_sharing::Settings,
     gates: Vec<Gate>,
     buckets: Vec<Bucket>,
-    over: f64,
+    worst_overshoot: f64,
     counter: BTreeMap<u64, f64>,
     /// Until when the counter is busy with what it took.
     busy: f64,
@@ -192,15 +192,15 @@
 }
 
 impl Service {
-    pub fn new(quota: &Quota, limiters: usize, lends: Option<SlotRange>, seed: u64) -> Self {
+    pub fn new(quota: &Quota, limiters: usize, broker_slots: Option<SlotRange>, seed: u64) -> Self {
         let mut service = Service {
             quota: quota.clone(),
             limiters,
-            lends,
+            broker_slots,
             settings: quota_sharing_settings(),
             gates: Vec::new(),
             buckets: vec![Bucket::new(quota); quota.customers],
-            over: 0.0,
+            worst_overshoot: 0.0,
             counter: BTreeMap::new(),
             busy: 0.0,
             counter_silent: false,
@@ -270,7 +270,7 @@
             borrower: Borrower::new(&self.settings),
             broker: Broker::new(self.settings.clone(), BROKER),
             due: f64::INFINITY,
-            held: BTreeMap::new(),
+            pending: BTreeMap::new(),
             calls: BTreeMap::new(),
             last_call: 0,
             known: BTreeSet::new(),
@@ -287,7 +287,7 @@
     pub fn stop(&mut self, n: usize) {
         if n < self.limiters {
             self.gates[n].up = false;
-            self.gates[n].held.clear();
+            self.gates[n].pending.clear();
         }
     }
 
@@ -302,13 +302,13 @@
         self.gates[gate].up && self.gates[gate].epoch == epoch
     }
 
-    pub fn step(&mut self, ev: Ev, now: f64, out: &mut Vec<Out>) {
+    pub fn step(&mut self, ev: Event, now: f64, out: &mut Vec<Out>) {
         match ev {
-            Ev::Come => self.come(now, out),
-            Ev::Again { gate, epoch, num } if self.lives(gate, epoch) => {
+            Event::Come => self.come(now, out),
+            Event::Again { gate, epoch, num } if self.lives(gate, epoch) => {
                 self.place(gate, num, now, out)
             }
-            Ev::Limit {
+            Event::Limit {
                 gate,
                 epoch,
                 num,
@@ -316,7 +316,7 @@
             } if self.lives(gate, epoch) => {
                 self.ended(gate, num, n, Ending::Timeout, now, out);
             }
-            Ev::Served {
+            Event::Served {
                 gate,
                 epoch,
                 num,
@@ -325,14 +325,14 @@
             } if self.lives(gate, epoch) => {
                 self.ended(gate, num, n, ending, now, out);
             }
-            Ev::Count {
+            Event::Count {
                 gate,
                 epoch,
                 call,
                 name,
                 add,
             } => self.count(gate, epoch, call, name, add, now, out),
-            Ev::Total {
+            Event::Total {
                 gate,
                 epoch,
                 call,
@@ -340,7 +340,7 @@
             } if self.lives(gate, epoch) => {
                 self.counted(gate, call, Counted::Total(total), now, out);
             }
-            Ev::CallLimit { gate, epoch, call }
+            Event::CallLimit { gate, epoch, call }
                 if self.lives(gate, epoch) && self.gates[gate].calls.contains_key(&call) =>
             {
                 if self.gates[gate].borrower.is_at_broker(call) {
@@ -349,7 +349,7 @@
                 }
                 self.counted(gate, call, Counted::Silent, now, out);
             }
-            Ev::Overdue { gate, epoch } if self.lives(gate, epoch) => {
+            Event::Overdue { gate, epoch } if self.lives(gate, epoch) => {
                 let chance = self.rng.random();
                 let g = &mut self.gates[gate];
                 for CounterCall {
@@ -358,7 +358,7 @@
                 {
                     out.push(Out::At(
                         now + WAY,
-                        Ev::Count {
+                        Event::Count {
                             gate,
                             epoch,
                             call,
@@ -369,14 +369,14 @@
                 }
                 let due = g.borrower.next_due();
                 if due.is_finite() {
-                    out.push(Out::At(due.max(now) + 1e-6, Ev::Overdue { gate, epoch }));
+                    out.push(Out::At(due.max(now) + 1e-6, Event::Overdue { gate, epoch }));
                 }
             }
-            Ev::Broker { gate, epoch } if self.lives(gate, epoch) => {
+            Event::Broker { gate, epoch } if self.lives(gate, epoch) => {
                 let mut said = Vec::new();
                 self.gates[gate].due = f64::INFINITY;
                 self.gates[gate].broker.tick(now, &mut said);
-                self.lent(gate, said, now, out);
+                self.carry_out_broker(gate, said, now, out);
             }
             _ => {}
         }
@@ -397,7 +397,7 @@
             false => self.rng.random_range(0..gateways),
         };
         let gate = (first + door) % self.limiters;
-        out.push(Out::At(now + pause, Ev::Come));
+        out.push(Out::At(now + pause, Event::Come));
         if !self.gates[gate].up {
             return;
         }
@@ -414,9 +414,9 @@
             came: now,
             until: now + PATIENCE,
         });
-        self.gates[gate].held.insert(
+        self.gates[gate].pending.insert(
             num,
-            Held {
+            PendingInvocation {
                 inv,
                 customer,
                 came: now,
@@ -428,7 +428,7 @@
 
     fn place(&mut self, gate: usize, num: u64, now: f64, out: &mut Vec<Out>) {
         let g = &mut self.gates[gate];
-        let Some(held) = g.held.get_mut(&num) else {
+        let Some(held) = g.pending.get_mut(&num) else {
             return;
         };
         if matches!(held.inv.stage, types::Stage::Out | types::Stage::Done) {
@@ -442,7 +442,7 @@
     fn answer(&mut self, gate: usize, num: u64, answer: Answer, now: f64, out: &mut Vec<Out>) {
         let g = &mut self.gates[gate];
         let (epoch, measured) = (g.epoch, now >= self.measure_from);
-        let Some(held) = g.held.get_mut(&num) else {
+        let Some(held) = g.pending.get_mut(&num) else {
             return;
         };
         let wait = g.limiter.wait(&held.inv, now);
@@ -454,7 +454,7 @@
                 let (customer, until) = (held.customer, (now + wait).min(held.inv.until));
                 out.push(Out::At(
                     until,
-                    Ev::Limit {
+                    Event::Limit {
                         gate,
                         epoch,
                         num,
@@ -465,7 +465,7 @@
                     let at = now + 2.0 * WAY + self.rng.random_range(WORK.0..WORK.1);
                     out.push(Out::At(
                         at,
-                        Ev::Served {
+                        Event::Served {
                             gate,
                             epoch,
                             num,
@@ -490,13 +490,13 @@
             Answer::Hold if held.inv.stage != types::Stage::Out => {
                 out.push(Out::At(
                     now + wait.max(1e-4),
-                    Ev::Again { gate, epoch, num },
+                    Event::Again { gate, epoch, num },
                 ));
             }
             Answer::Throttle { cause, .. } => {
                 let (sent, customer) = (held.came, held.customer);
                 if held.inv.sent.is_empty() {
-                    let room = self.room(customer, now);
+                    let room = self.has_headroom(customer, now);
                     self.tally.tries += u64::from(measured);
                     self.tally.refused += u64::from(measured);
                     self.tally.with_room += u64::from(measured && room);
@@ -518,11 +518,11 @@
             _ => {}
         }
         let g = &mut self.gates[gate];
-        if g.held
+        if g.pending
             .get(&num)
             .is_some_and(|h| h.inv.stage == types::Stage::Done && h.inv.out == 0)
         {
-            g.held.remove(&num);
+            g.pending.remove(&num);
         }
     }
 
@@ -536,7 +536,7 @@
         out: &mut Vec<Out>,
     ) {
         let g = &mut self.gates[gate];
-        let Some(held) = g.held.get_mut(&num) else {
+        let Some(held) = g.pending.get_mut(&num) else {
             return;
         };
         // The latest delivery is the one that is out: an earlier one has had its end.
@@ -576,9 +576,9 @@
                     g.calls.insert(call, (name, now));
                     out.push(Out::At(
                         now + COUNT_WAIT,
-                        Ev::CallLimit { gate, epoch, call },
+                        Event::CallLimit { gate, epoch, call },
                     ));
-                    let slot = self.lends.map(|range| {
+                    let slot = self.broker_slots.map(|range| {
                         range.first + (about.customer % u64::from(range.count)) as Slot
                     });
                     let counter_call = CounterCall {
@@ -594,7 +594,7 @@
                     match route {
                         Route::Counter => out.push(Out::At(
                             now + WAY,
-                            Ev::Count {
+                            Event::Count {
                                 gate,
                                 epoch,
                                 call,
@@ -612,7 +612,7 @@
                                 request,
                             });
                             let due = g.borrower.next_due().max(now) + 1e-6;
-                            out.push(Out::At(due, Ev::Overdue { gate, epoch }));
+                            out.push(Out::At(due, Event::Overdue { gate, epoch }));
                         }
                     }
                 }
@@ -648,7 +648,7 @@
         *total = (*total + add).max(0.0);
         out.push(Out::At(
             self.busy + WAY,
-            Ev::Total {
+            Event::Total {
                 gate,
                 epoch,
                 call,
@@ -668,7 +668,7 @@
             self.gates[gate]
                 .broker
                 .counter_answered(call, counted, now, &mut said);
-            return self.lent(gate, said, now, out);
+            return self.carry_out_broker(gate, said, now, out);
         }
         let g = &mut self.gates[gate];
         let Some((name, at)) = g.calls.remove(&call) else {
@@ -680,7 +680,7 @@
     }
 
     /// What the broker of this limiter wants done.
-    fn lent(
+    fn carry_out_broker(
         &mut self,
         gate: usize,
         said: Vec<quota_sharing::Output>,
@@ -711,7 +711,7 @@
                 } => {
                     out.push(Out::At(
                         now + WAY,
-                        Ev::Count {
+                        Event::Count {
                             gate,
                             epoch,
                             call,
@@ -727,13 +727,13 @@
         let due = g.broker.next_due();
         if due < g.due {
             g.due = due;
-            out.push(Out::At(due.max(now + 1e-5), Ev::Broker { gate, epoch }));
+            out.push(Out::At(due.max(now + 1e-5), Event::Broker { gate, epoch }));
         }
     }
 
     /// An ask came to this limiter, which holds the slot.
     #[allow(clippy::too_many_arguments)]
-    pub fn asked(
+    pub fn receive_request(
         &mut self,
         gate: usize,
         from: &str,
@@ -748,12 +748,12 @@
             self.gates[gate]
                 .broker
                 .request(from, run, slot, request, now, &mut said);
-            self.lent(gate, said, now, out);
+            self.carry_out_broker(gate, said, now, out);
         }
     }
 
     /// A broker's answer came to this limiter, and its fence took it.
-    pub fn told(
+    pub fn receive_response(
         &mut self,
         gate: usize,
         seq: u64,
@@ -774,11 +774,11 @@
     }
 
     /// This limiter holds the slot no more.
-    pub fn ended_slot(&mut self, gate: usize, slot: Slot, now: f64, out: &mut Vec<Out>) {
+    pub fn slot_lost(&mut self, gate: usize, slot: Slot, now: f64, out: &mut Vec<Out>) {
         if gate < self.limiters {
             let mut said = Vec::new();
             self.gates[gate].broker.slot_lost(slot, &mut said);
-            self.lent(gate, said, now, out);
+            self.carry_out_broker(gate, said, now, out);
         }
     }
 
@@ -787,11 +787,11 @@
         let (bucket, quota) = (&mut self.buckets[customer], &self.quota);
         bucket.fill(quota, now);
         let beyond = bucket.take();
-        self.over = self.over.max(bucket.over(quota));
+        self.worst_overshoot = self.worst_overshoot.max(bucket.over(quota));
         beyond
     }
 
-    fn room(&mut self, customer: usize, now: f64) -> bool {
+    fn has_headroom(&mut self, customer: usize, now: f64) -> bool {
         let (bucket, quota) = (&mut self.buckets[customer], &self.quota);
         bucket.fill(quota, now);
         bucket.has_room(quota)
@@ -799,6 +799,6 @@
 
     /// The most that any customer was let in over its quota, over any time: units.
     pub fn overshoot(&self) -> f64 {
-        self.over
+        self.worst_overshoot
     }
 }
--- a/crates/testing/fleet-simulation/src/trial.rs
+++ b/crates/testing/fleet-simulation/src/trial.rs
@@ -297,8 +297,8 @@
 pub const SERVERS: usize = 6;
 
 /// Most limiters in each world.
-pub const MOST_SIMULATED: usize = 1_000;
-pub const MOST_PROCESSES: usize = 15;
+pub const MAX_SIMULATED: usize = 1_000;
+pub const MAX_PROCESSES: usize = 15;
 
 fn check_share(key: &str, value: f64) -> Result<(), TrialError> {
     if (0.0..1.0).contains(&value) {
@@ -366,7 +366,7 @@
             return Err(TrialError::Settle(self.settle));
         }
         let (limiters, voters) = (fleet.limiters, fleet.voters);
-        if !(3..=MOST_SIMULATED).contains(&limiters) || voters > limiters {
+        if !(3..=MAX_SIMULATED).contains(&limiters) || voters > limiters {
             return Err(TrialError::Limiters { limiters, voters });
         }
         if fleet.zones.is_empty() || fleet.zones.len() > limiters {
--- a/crates/testing/fleet-simulation/src/world.rs
+++ b/crates/testing/fleet-simulation/src/world.rs
@@ -28,7 +28,7 @@
     Lend(Box<quota_sharing::Message>),
 }
 
-enum Ev {
+enum Event {
     Wake {
         node: usize,
         epoch: u64,
@@ -59,26 +59,26 @@
         n: usize,
         on: bool,
     },
-    Service(service::Ev),
+    Service(service::Event),
 }
 
-struct Due(f64, u64, Ev);
+struct ScheduledEvent(f64, u64, Event);
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.1 == other.1
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
         other.0.total_cmp(&self.0).then(other.1.cmp(&self.1))
     }
 }
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
@@ -133,7 +133,7 @@
     trial: &'a Trial,
     rng: Xoshiro256PlusPlus,
     now: f64,
-    queue: BinaryHeap<Due>,
+    queue: BinaryHeap<ScheduledEvent>,
     count: u64,
     nodes: Vec<Node>,
     receivers: Vec<FencingCheck>,
@@ -147,19 +147,19 @@
     /// What the limiters serve, where the trial says so.
     pub service: Option<Service>,
     /// Slots of the duty `lend`.
-    lends: Option<SlotRange>,
+    broker_slots: Option<SlotRange>,
     /// Some fault puts an older disk back.
-    copies: bool,
+    keeps_old_disks: bool,
     /// Off, receivers take everything: for the test that the checker finds it.
     pub fenced: bool,
     pub gossip: bool,
 }
 
 /// Events of one trial; the largest measured fleet takes a tenth of it.
-const MOST_EVENTS: u64 = 200_000_000;
+const MAX_EVENTS: u64 = 200_000_000;
 
 /// What a stalled process's sockets keep.
-const INBOX: usize = 256;
+const MAX_INBOX: usize = 256;
 
 impl<'a> World<'a> {
     pub fn new(trial: &'a Trial, seed: u64) -> Self {
@@ -178,18 +178,18 @@
             measure_from: f64::INFINITY,
             runs: 0,
             service: None,
-            lends: trial
+            broker_slots: trial
                 .roles()
                 .slots_of("lend")
-                .map(|range| range.truncated(LENDS)),
-            copies: trial.faults.iter().any(|f| f.disk == Disk::Older),
+                .map(|range| range.truncated(MAX_BROKER_SLOTS)),
+            keeps_old_disks: trial.faults.iter().any(|f| f.disk == Disk::Older),
             fenced: true,
             gossip: true,
         };
         if let Some(quota) = &trial.quota {
-            let lends = world.lends;
+            let lends = world.broker_slots;
             world.service = Some(Service::new(quota, trial.fleet.limiters, lends, seed));
-            world.push(1.0, Ev::Service(service::Ev::Come));
+            world.push(1.0, Event::Service(service::Event::Come));
         }
         let slots = trial.roles().slots();
         world.receivers =
@@ -202,7 +202,7 @@
             world.start(n, at);
         }
         for (n, fault) in trial.faults.iter().enumerate() {
-            world.push(fault.at, Ev::Fault { n, on: true });
+            world.push(fault.at, Event::Fault { n, on: true });
         }
         world
     }
@@ -245,9 +245,9 @@
         at
     }
 
-    fn push(&mut self, t: f64, ev: Ev) {
+    fn push(&mut self, t: f64, ev: Event) {
         self.count += 1;
-        self.queue.push(Due(t, self.count, ev));
+        self.queue.push(ScheduledEvent(t, self.count, ev));
     }
 
     fn local(&self, node: usize, t: f64) -> f64 {
@@ -301,7 +301,11 @@
         node.members = self
             .gossip
             .then(|| members::Membership::new(settings, member, seed, now));
-        let lookups = self.lends.into_iter().flat_map(SlotRange::slots).collect();
+        let lookups = self
+            .broker_slots
+            .into_iter()
+            .flat_map(SlotRange::slots)
+            .collect();
         node.client = Some(RoleClient::new(trial.roles(), identity, lookups, now));
         let mut out = Vec::new();
         if node.votes {
@@ -320,9 +324,9 @@
         }
         self.lines.push(Line::Started { t: at, who, run });
         self.take(n, out, at);
-        self.push(at, Ev::Wake { node: n, epoch });
+        self.push(at, Event::Wake { node: n, epoch });
         let first = self.rng.random_range(0.0..0.1);
-        self.push(at + first, Ev::Work { node: n, epoch });
+        self.push(at + first, Event::Work { node: n, epoch });
     }
 
     fn kill(&mut self, n: usize) {
@@ -351,14 +355,14 @@
 
     /// Plays the trial to its end.
     pub fn run(&mut self) {
-        while let Some(Due(t, _, ev)) = self.queue.pop() {
+        while let Some(ScheduledEvent(t, _, ev)) = self.queue.pop() {
             if t > self.trial.seconds {
                 break;
             }
             self.now = t;
             self.tally.events += 1;
             // Guards against a world that makes events without end: that is a defect, and reported as one.
-            if self.tally.events > MOST_EVENTS {
+            if self.tally.events > MAX_EVENTS {
                 let text = "the world does not come to an end".to_owned();
                 self.lines.push(Line::Report {
                     t,
@@ -372,10 +376,10 @@
         }
     }
 
-    fn step(&mut self, ev: Ev) {
+    fn step(&mut self, ev: Event) {
         let t = self.now;
         match ev {
-            Ev::Wake { node, epoch } => {
+            Event::Wake { node, epoch } => {
                 let n = &mut self.nodes[node];
                 if n.epoch != epoch || !n.up {
                     return;
@@ -385,13 +389,13 @@
                     self.turn(node, None);
                 }
             }
-            Ev::Arrive { to, from, packet } => self.arrive(to, from, packet),
-            Ev::Disk {
+            Event::Arrive { to, from, packet } => self.arrive(to, from, packet),
+            Event::Disk {
                 node,
                 epoch,
                 number,
             } => self.disk_written(node, epoch, number),
-            Ev::Work { node, epoch } => {
+            Event::Work { node, epoch } => {
                 if self.nodes[node].epoch != epoch || !self.nodes[node].up {
                     return;
                 }
@@ -399,9 +403,9 @@
                     self.work(node, epoch);
                 }
                 let pause = self.rng.random_range(0.5..1.5) / self.trial.load.effects;
-                self.push(t + pause, Ev::Work { node, epoch });
+                self.push(t + pause, Event::Work { node, epoch });
             }
-            Ev::Finish {
+            Event::Finish {
                 node,
                 epoch,
                 slot,
@@ -418,12 +422,12 @@
                     self.send(node, to, Packet::Effect { slot, token });
                 }
             }
-            Ev::Fault { n, on } => self.fault(n, on),
-            Ev::Service(ev) => {
+            Event::Fault { n, on } => self.fault(n, on),
+            Event::Service(ev) => {
                 let still = ev.gate().is_some_and(|g| self.nodes[g].stalled);
                 if still {
                     // The process hears of it when it goes on.
-                    return self.push(t + 0.02, Ev::Service(ev));
+                    return self.push(t + 0.02, Event::Service(ev));
                 }
                 self.serve(|service, out| service.step(ev, t, out));
             }
@@ -441,7 +445,7 @@
             return;
         }
         if node.stalled {
-            if node.inbox.len() < INBOX {
+            if node.inbox.len() < MAX_INBOX {
                 node.inbox.push_back((from, packet));
             }
             return;
@@ -450,7 +454,7 @@
         if node.slow > 0.0 && t < node.busy {
             let at = node.busy;
             node.busy += node.slow;
-            return self.push(at, Ev::Arrive { to, from, packet });
+            return self.push(at, Event::Arrive { to, from, packet });
         }
         if node.slow > 0.0 {
             node.busy = t + node.slow;
@@ -468,12 +472,12 @@
         while let Some(batch) = n.writing.pop_front_if(|b| b.number <= number) {
             n.disk.apply(&batch);
         }
-        if self.copies && n.old_disks.back().is_none_or(|d| t > d.0 + 0.5) {
+        if self.keeps_old_disks && n.old_disks.back().is_none_or(|d| t > d.0 + 0.5) {
             n.old_disks.push_back((t, n.disk.clone()));
         }
         if n.stalled {
             // The disk did it; the process hears of it when it goes on.
-            let again = Ev::Disk {
+            let again = Event::Disk {
                 node,
                 epoch,
                 number,
@@ -499,7 +503,7 @@
         while !out.is_empty() {
             for o in std::mem::take(&mut out) {
                 match o {
-                    service::Out::At(at, ev) => self.push(at, Ev::Service(ev)),
+                    service::Out::At(at, ev) => self.push(at, Event::Service(ev)),
                     service::Out::Borrow {
                         gate,
                         slot,
@@ -508,7 +512,7 @@
                         let (name, run) = (self.nodes[gate].name.clone(), self.nodes[gate].run);
                         if self.holds(gate, slot).is_some() {
                             if let Some(s) = &mut self.service {
-                                s.asked(gate, &name, run, slot, request, t, &mut out);
+                                s.receive_request(gate, &name, run, slot, request, t, &mut out);
                             }
                         } else if let Some(to) = self.nodes[gate].client.as_ref().and_then(|h| {
                             h.owners()
@@ -544,7 +548,7 @@
                             self.send(gate, to, Packet::Lend(Box::new(msg)));
                         } else if run == self.nodes[gate].run {
                             if let Some(s) = &mut self.service {
-                                s.told(gate, seq, answer, t, &mut out);
+                                s.receive_response(gate, seq, answer, t, &mut out);
                             }
                         }
                     }
@@ -554,7 +558,7 @@
                         customer,
                         ok,
                     } => {
-                        if self.trial.fleet.limiters <= SHOWN {
+                        if self.trial.fleet.limiters <= MAX_SHOWN_LIMITERS {
                             let status = if ok { 200 } else { 429 };
                             let customer = customer as u64;
                             let line = Line::Answer {
@@ -583,13 +587,15 @@
     }
 
     /// Something of a broker came to a node.
-    fn lent(&mut self, node: usize, from: usize, msg: quota_sharing::Message) {
+    fn receive_quota_message(&mut self, node: usize, from: usize, msg: quota_sharing::Message) {
         let t = self.now;
         match msg {
             quota_sharing::Message::Request { slot, run, request } => {
                 let name = self.nodes[from].name.clone();
                 if self.holds(node, slot).is_some() {
-                    return self.serve(|s, out| s.asked(node, &name, run, slot, request, t, out));
+                    return self.serve(|s, out| {
+                        s.receive_request(node, &name, run, slot, request, t, out)
+                    });
                 }
                 let (token, seq, answer) = (0, request.seq, quota_sharing::Answer::Unavailable);
                 let msg = quota_sharing::Message::Response {
@@ -612,15 +618,15 @@
                 let total = matches!(answer, quota_sharing::Answer::Total(_));
                 let fits = !total || n.fencing.accept(slot, token) || !self.fenced;
                 if run == n.run && fits {
-                    self.serve(|s, out| s.told(node, seq, answer, t, out));
+                    self.serve(|s, out| s.receive_response(node, seq, answer, t, out));
                 }
             }
         }
     }
 
     /// Tells the limiter which slots have a holder that it knows of.
-    fn know(&mut self, node: usize) {
-        if self.service.is_none() || self.lends.is_none() {
+    fn update_known_brokers(&mut self, node: usize) {
+        if self.service.is_none() || self.broker_slots.is_none() {
             return;
         }
         let now = self.local(node, self.now);
@@ -640,7 +646,7 @@
         let t = self.now;
         let now = self.local(node, t);
         let mut out = Vec::new();
-        let mut said = Vec::new();
+        let mut membership_outputs = Vec::new();
         let (mut told, mut lent) = (None, None);
         if let Some((from, packet)) = mail {
             let from_name = self.nodes[from].name.clone();
@@ -648,7 +654,7 @@
             match packet {
                 Packet::Gossip(bytes) => {
                     if let Some(m) = &mut n.members {
-                        m.receive(&bytes, now, &mut said);
+                        m.receive(&bytes, now, &mut membership_outputs);
                     }
                 }
                 Packet::Lend(msg) => lent = Some((from, *msg)),
@@ -694,7 +700,7 @@
             v.tick(now, &mut out);
         }
         if let Some(m) = n.members.as_mut().filter(|m| m.next_due() <= now) {
-            m.tick(now, &mut said);
+            m.tick(now, &mut membership_outputs);
         }
         if let Some((seq, index)) = told {
             if let Some(asked) = n
@@ -713,12 +719,12 @@
         }
         let asks = told.is_some();
         self.take(node, out, t);
-        self.take_members(node, said);
+        self.take_members(node, membership_outputs);
         if let Some((from, msg)) = lent {
-            self.lent(node, from, msg);
+            self.receive_quota_message(node, from, msg);
         }
         if asks {
-            self.know(node);
+            self.update_known_brokers(node);
         }
         self.set_wake(node);
     }
@@ -739,7 +745,7 @@
         if at < n.wake {
             let epoch = n.epoch;
             self.nodes[node].wake = at;
-            self.push(at, Ev::Wake { node, epoch });
+            self.push(at, Event::Wake { node, epoch });
         }
     }
 
@@ -761,7 +767,7 @@
                             // To itself, past the network.
                             self.push(
                                 t + 1e-5,
-                                Ev::Arrive {
+                                Event::Arrive {
                                     to,
                                     from: node,
                                     packet: Packet::Peer(Box::new(message.clone())),
@@ -777,7 +783,7 @@
                     let takes = fsync + self.nodes[node].slow_disk;
                     self.push(
                         t + takes,
-                        Ev::Disk {
+                        Event::Disk {
                             node,
                             epoch,
                             number,
@@ -807,10 +813,10 @@
                         until,
                     });
                     if self
-                        .lends
+                        .broker_slots
                         .is_some_and(|range| range.slots().contains(&slot))
                     {
-                        self.serve(|s, out| s.ended_slot(node, slot, t, out));
+                        self.serve(|s, out| s.slot_lost(node, slot, t, out));
                     }
                 }
                 Output::Report { severity, text } => {
@@ -821,10 +827,10 @@
         }
     }
 
-    fn take_members(&mut self, node: usize, said: Vec<members::Output>) {
+    fn take_members(&mut self, node: usize, membership_outputs: Vec<members::Output>) {
         let t = self.now;
         let who = self.nodes[node].name.clone();
-        for o in said {
+        for o in membership_outputs {
             match o {
                 members::Output::Datagram { to, bytes } => {
                     if let Some(to) = self.nodes.iter().position(|n| n.address == to) {
@@ -914,7 +920,7 @@
             let at = self.now + net.delay + jitter + extra + again;
             self.push(
                 at,
-                Ev::Arrive {
+                Event::Arrive {
                     to,
                     from,
                     packet: packet.clone(),
@@ -928,7 +934,7 @@
         let Packet::Effect { slot, token } = packet else {
             return;
         };
-        let n = to - RECEIVER;
+        let n = to - FIRST_RECEIVER;
         let took = self.receivers[n].accept(slot, token) || !self.fenced;
         self.effect(format!("r{n}"), from, slot, token, took);
     }
@@ -975,13 +981,13 @@
             }
             let receivers = self.receivers.len();
             let to = match self.rng.random_range(0..2 + receivers) {
-                r if r < receivers => RECEIVER + r,
+                r if r < receivers => FIRST_RECEIVER + r,
                 _ => self.rng.random_range(0..self.nodes.len()),
             };
             let later = self.rng.random_range(0.0..0.02);
             self.push(
                 self.now + later,
-                Ev::Finish {
+                Event::Finish {
                     node,
                     epoch,
                     slot,
@@ -1002,7 +1008,9 @@
         let parts: Vec<&str> = target.split(':').collect();
         let number = |n: &str| n.parse::<usize>().unwrap_or(0);
         match parts.as_slice() {
-            ["receivers"] => (0..self.receivers.len()).map(|r| RECEIVER + r).collect(),
+            ["receivers"] => (0..self.receivers.len())
+                .map(|r| FIRST_RECEIVER + r)
+                .collect(),
             ["leader"] => {
                 let leads =
                     |n: &&usize| self.nodes[**n].voter.as_ref().is_some_and(Voter::is_leader);
@@ -1043,7 +1051,7 @@
                 self.hit(*node, n);
             }
             self.active.push(Active { n, from, to });
-            self.push(t + fault.length, Ev::Fault { n, on: false });
+            self.push(t + fault.length, Event::Fault { n, on: false });
             return;
         }
         self.active.retain(|a| a.n != n);
@@ -1081,7 +1089,7 @@
             Kind::Stall => self.nodes[node].stalled = true,
             Kind::Term | Kind::Upgrade => {
                 let now = self.local(node, self.now);
-                let (mut out, mut said) = (Vec::new(), Vec::new());
+                let (mut out, mut membership_outputs) = (Vec::new(), Vec::new());
                 let n = &mut self.nodes[node];
                 if n.stalled || !n.up {
                     return;
@@ -1090,10 +1098,10 @@
                     h.leave(now, &mut out);
                 }
                 if let Some(m) = &mut n.members {
-                    m.leave(now, &mut said);
+                    m.leave(now, &mut membership_outputs);
                 }
                 self.take(node, out, self.now);
-                self.take_members(node, said);
+                self.take_members(node, membership_outputs);
                 self.kill(node);
             }
             Kind::Twin => {
@@ -1176,12 +1184,12 @@
 }
 
 /// Slots of the duty `lend` that limiters look up, as the gateway does.
-const LENDS: u32 = 32;
+const MAX_BROKER_SLOTS: u32 = 32;
 /// Up to so many limiters each answer is a line of the history.
-const SHOWN: usize = 30;
+const MAX_SHOWN_LIMITERS: usize = 30;
 
 /// Receivers are numbered from here on.
-const RECEIVER: usize = 1 << 20;
+const FIRST_RECEIVER: usize = 1 << 20;
 
 pub fn member_settings(trial: &Trial, seeds: Vec<SocketAddrV4>) -> members::Settings {
     let size = trial.fleet.limiters as u32;
--- a/crates/testing/fleet-simulation/src/world/tests.rs
+++ b/crates/testing/fleet-simulation/src/world/tests.rs
@@ -55,19 +55,19 @@
         }
     }
 
-    fn event(&mut self, world: &World, event: &Ev) {
+    fn event(&mut self, world: &World, event: &Event) {
         match event {
-            Ev::Wake { node, .. } => {
+            Event::Wake { node, .. } => {
                 self.number(11);
                 self.number(*node as u64);
             }
-            Ev::Arrive { to, from, packet } => {
+            Event::Arrive { to, from, packet } => {
                 self.number(12);
                 self.number(*to as u64);
                 self.number(*from as u64);
                 self.packet(packet);
             }
-            Ev::Disk { node, number, .. } => {
+            Event::Disk { node, number, .. } => {
                 self.number(13);
                 self.number(*node as u64);
                 for batch in world.nodes[*node]
@@ -78,11 +78,11 @@
                     self.bytes(&postcard::to_stdvec(batch).unwrap());
                 }
             }
-            Ev::Work { node, .. } => {
+            Event::Work { node, .. } => {
                 self.number(14);
                 self.number(*node as u64);
             }
-            Ev::Finish {
+            Event::Finish {
                 node,
                 slot,
                 token,
@@ -95,12 +95,12 @@
                 self.number(*token);
                 self.number(*to as u64);
             }
-            Ev::Fault { n, on } => {
+            Event::Fault { n, on } => {
                 self.number(16);
                 self.number(*n as u64);
                 self.number(u64::from(*on));
             }
-            Ev::Service(event) => {
+            Event::Service(event) => {
                 self.number(17);
                 self.number(event.gate().map_or(u64::MAX, |gate| gate as u64));
             }
@@ -126,7 +126,7 @@
 fn play(trial: &Trial, seed: u64) -> u64 {
     let mut world = World::new(trial, seed);
     let mut digest = Digest::default();
-    while let Some(Due(t, _, event)) = world.queue.pop() {
+    while let Some(ScheduledEvent(t, _, event)) = world.queue.pop() {
         if t > trial.seconds {
             break;
         }
