--- a/crates/testing/emulator/src/client/attempt.rs
+++ b/crates/testing/emulator/src/client/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a request on a new connection.
 
-use super::request::RequestSpec;
+use super::request::{Kind, RequestSpec};
 use crate::digest::Digester;
 use crate::identity::RequestId;
 use crate::record::{Answered, AttemptOutcome};
@@ -120,7 +120,7 @@
     }
 
     async fn head_within_timeout(&mut self) -> Result<ResponseHead, Stop> {
-        let streaming = matches!(self.attempt.spec.kind, super::Kind::Streaming { .. });
+        let streaming = matches!(self.attempt.spec.kind, Kind::Streaming { .. });
         if !streaming {
             return self.reader.response_head().await.map_err(Stop::Wire);
         }
--- a/crates/testing/emulator/src/experiment/faults/steps.rs
+++ b/crates/testing/emulator/src/experiment/faults/carry_out.rs
@@ -1,67 +1,24 @@
 //! The steps of faults, carried out.
 
-use super::{Action, Faults};
+use super::step::{Action, Step};
+use super::Faults;
 use anyhow::ensure;
 use dunespur_emulator::client::Kind;
 use dunespur_emulator::configuration::{patch, RoutePlan};
 use dunespur_emulator::scene::{Scene, HOST, TOOLS};
 use dunespur_emulator::server::ServerFault;
-use dunespur_emulator::system::{MachinePlan, Role};
+use dunespur_emulator::system::MachinePlan;
 use std::time::Duration;
 
 /// Time for an order to be acknowledged.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause between two looks at a machine that is being emptied.
+/// Interval at which a machine that is being emptied is polled.
 const RETIRE_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// A machine that is not empty by then stays.
+/// Time for a machine to be emptied; afterwards it stays.
 const RETIRE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The time that an order to empty a machine names.
+/// Deadline, in seconds, that an order to empty a machine states.
 const RETIRE_DEADLINE_S: u64 = 10;
 
-/// One step of a fault; machines by index, servers by number.
-#[derive(Clone, Copy, Debug)]
-pub(super) enum Step {
-    Kill(usize),
-    Start(usize),
-    Terminate(usize),
-    /// The grace period after SIGTERM has passed for the process with this number.
-    StartAfterLeave {
-        index: usize,
-        process: u32,
-    },
-    Freeze(usize),
-    Thaw(usize),
-    Wipe(usize),
-    KillAll,
-    StartAll,
-    /// A machine is lost for good.
-    Decommission(usize),
-    /// An empty machine replaces one that was lost.
-    Replace(usize),
-    Retire(usize),
-    /// Checks whether the machine is empty, until the time given.
-    AwaitRetired {
-        index: usize,
-        until: Duration,
-    },
-    Add(Role),
-    LoseAnswers(usize),
-    EndFault(usize),
-    DrainModel(usize),
-    CrashModel(usize),
-    Patch,
-}
-
-impl Step {
-    /// The machine whose process gets a signal that it outlives at first; nothing happens where none runs.
-    fn signals(self) -> Option<usize> {
-        match self {
-            Step::Terminate(index) | Step::Freeze(index) | Step::Thaw(index) => Some(index),
-            _ => None,
-        }
-    }
-}
-
 impl Faults {
     pub(super) async fn carry_out(
         &mut self,
--- a/crates/testing/emulator/src/experiment/faults/mod.rs
+++ b/crates/testing/emulator/src/experiment/faults/mod.rs
@@ -1,6 +1,7 @@
 //! What happens to the system while traffic runs: faults of the file, taken apart into steps with their times.
 
-mod steps;
+mod carry_out;
+mod step;
 
 use super::file::{Experiment, Fault, FaultKind};
 use dunespur_emulator::ingress::{Entry, Ingress};
@@ -9,20 +10,13 @@
 use dunespur_emulator::system::Role;
 use std::collections::BTreeSet;
 use std::time::Duration;
-use steps::Step;
+use step::{Action, Step};
 
 /// A process is killed this long after SIGTERM.
 const GRACE_S: f64 = 8.0;
 /// A machine has contact again this long after its fault.
 const CONTACT_MS: u64 = 3_000;
 
-/// Something that has to be done at its time.
-#[derive(Clone, Copy, Debug)]
-struct Action {
-    at: Duration,
-    step: Step,
-}
-
 /// All that is still to be done, by time.
 pub struct Faults {
     planned: Vec<Fault>,
--- a/crates/testing/emulator/src/ingress.rs
+++ b/crates/testing/emulator/src/ingress.rs
@@ -66,9 +66,9 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        seen.retain(|limiter| listed.contains(&limiter.entry));
+        seen.retain(|gateway| listed.contains(&gateway.entry));
         for entry in listed {
-            if !seen.iter().any(|limiter| limiter.entry == entry) {
+            if !seen.iter().any(|gateway| gateway.entry == entry) {
                 seen.push(Seen {
                     entry,
                     misses: MAX_MISSED_PROBES,
@@ -76,8 +76,8 @@
             }
         }
         let mut answers = JoinSet::new();
-        for (index, limiter) in seen.iter().enumerate() {
-            let ready = limiter.entry.ready;
+        for (index, gateway) in seen.iter().enumerate() {
+            let ready = gateway.entry.ready;
             answers.spawn(async move { (index, is_ready(ready).await) });
         }
         while let Some(Ok((index, ready))) = answers.join_next().await {
@@ -93,11 +93,11 @@
 fn open(seen: &[Seen]) -> Vec<SocketAddr> {
     let ready: Vec<SocketAddr> = seen
         .iter()
-        .filter(|limiter| limiter.misses < MAX_MISSED_PROBES)
-        .map(|limiter| limiter.entry.front)
+        .filter(|gateway| gateway.misses < MAX_MISSED_PROBES)
+        .map(|gateway| gateway.entry.front)
         .collect();
     if ready.len() * 2 < seen.len() {
-        return seen.iter().map(|limiter| limiter.entry.front).collect();
+        return seen.iter().map(|gateway| gateway.entry.front).collect();
     }
     ready
 }
--- a/crates/testing/emulator/src/wire/mod.rs
+++ b/crates/testing/emulator/src/wire/mod.rs
@@ -4,6 +4,7 @@
 mod body;
 mod event;
 mod headers;
+pub mod name;
 mod reader;
 mod write;
 
@@ -12,57 +13,3 @@
 pub use headers::{Header, Headers, RequestHead, ResponseHead};
 pub use reader::{MessageReader, WireError};
 pub use write::{chunk, request_bytes, response_head, LAST_CHUNK};
-
-/// Names of the headers of the protocol.
-pub mod name {
-    /// Id of the attempt.
-    pub const REQUEST_ID: &str = "X-Dunespur-Request-Id";
-    /// A server's stamp on its response.
-    pub const STAMP: &str = "X-Dunespur-Response-Stamp";
-    /// Says that the request did not run.
-    pub const NOT_EXECUTED: &str = "X-Dunespur-Not-Executed";
-    /// Incarnation that the request is meant for.
-    pub const EXPECT_INSTANCE: &str = "X-Dunespur-Expect-Instance";
-    /// Incarnation that answers a health check.
-    pub const INSTANCE_ID: &str = "X-Dunespur-Instance-Id";
-    /// Time that is left, in milliseconds.
-    pub const DEADLINE: &str = "X-Dunespur-Deadline-Ms";
-    /// Name of the model.
-    pub const MODEL: &str = "X-Dunespur-Model";
-    /// Tokens of the prompt and most tokens to generate.
-    pub const TOKEN_COUNT: &str = "X-Dunespur-Token-Count";
-    /// Segments of the prompt.
-    pub const PROMPT_PREFIX: &str = "X-Dunespur-Prompt-Prefix";
-    /// Version that a configuration change builds on.
-    pub const BASE_VERSION: &str = "X-Dunespur-Base-Version";
-    /// Id of the agent program.
-    pub const PROGRAM: &str = "Program";
-    /// Id of the session.
-    pub const SESSION: &str = "Session";
-    /// Time that is left to the program, in milliseconds.
-    pub const FINISH: &str = "Finish-Ms";
-    /// Token budget of the program.
-    pub const BUDGET: &str = "Budget";
-    /// The turn that this one continues.
-    pub const PREVIOUS: &str = "Previous";
-    /// Priority of the request.
-    pub const PRIORITY: &str = "Priority";
-    /// Last event that the client has (HTML standard, server-sent events).
-    pub const LAST_EVENT_ID: &str = "Last-Event-Id";
-    /// When to retry (RFC 9110, section 10.2.3).
-    pub const RETRY_AFTER: &str = "Retry-After";
-    /// Host of the request (RFC 9110, section 7.2).
-    pub const HOST: &str = "Host";
-    /// Options of the connection (RFC 9110, section 7.6.1).
-    pub const CONNECTION: &str = "Connection";
-    /// Length of the body (RFC 9110, section 8.6).
-    pub const CONTENT_LENGTH: &str = "Content-Length";
-    /// Media type of the body (RFC 9110, section 8.3).
-    pub const CONTENT_TYPE: &str = "Content-Type";
-    /// Content coding of the body (RFC 9110, section 8.4).
-    pub const CONTENT_ENCODING: &str = "Content-Encoding";
-    /// Framing of the body (RFC 9112, section 6.1).
-    pub const TRANSFER_ENCODING: &str = "Transfer-Encoding";
-    /// Target of a redirection (RFC 9110, section 10.2.2).
-    pub const LOCATION: &str = "Location";
-}
