--- a/crates/gateway/gateway/src/discovery.rs
+++ b/crates/gateway/gateway/src/discovery.rs
@@ -1,10 +1,10 @@
-//! The watch on the list of servers. Owns the connection to discovery and the revision last heard. It must
-//! never drop what it held when discovery is silent, and never judge whether a server is fit to use.
+//! The watch on the list of servers: owns the connection to discovery and the revision of the last list. Keeps the last
+//! list while discovery does not respond, and never judges whether a server is fit to use.
 
 use crate::fault::Fault;
 use crate::fleet::FleetEvent;
 use crate::hub::Hub;
-use crate::message::{decode_news, encode_watch, Lines};
+use crate::message::{decode_endpoints, encode_watch, Lines};
 use crate::reducer::Event;
 use http_body_util::BodyExt;
 use hyper_util::rt::TokioIo;
@@ -21,36 +21,36 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// A watch says something every 2 s, be it an empty line. One that brought no whole line for two of these and
-/// some is silent, whatever else came over it.
-const SILENCE: Duration = Duration::from_millis(4250);
-/// A connection and the head of its answer are awaited together no longer than this.
-const ANSWER: Duration = Duration::from_secs(1);
+/// A watch sends a line every 2 s, be it an empty one. A watch without a complete line for two of these and some has
+/// timed out, whatever else arrived over it.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(4250);
+/// Time for a connection and the head of its response together.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time from the end of one watch to the next; twice as long after each that never began, up to `LONGEST`,
 /// and up to half more or less by chance. Guards against hundreds that ask a discovery with no room for them
 /// again at once, and all together. With `ANSWER` it stays well under the six seconds after which what
-/// discovery could tell counts as told, in whichever moment of a pause discovery is back.
-const AGAIN: Duration = Duration::from_millis(100);
-const LONGEST: Duration = Duration::from_secs(1);
+/// discovery could report counts as known, in whichever moment of a pause discovery is back.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 pub struct Discovery {
     address: Cell<SocketAddr>,
     moved: Notify,
-    /// The module asks for each watch; elsewhere one always stands.
+    /// The limiter asks for each watch; otherwise there always is one.
     on_request: bool,
     revision: Cell<u64>,
     wanted: Notify,
-    /// Another limiter of the zone tells the list: none stands here.
+    /// Another limiter of the zone relays the list: there is no own watch.
     relayed: Cell<bool>,
-    /// Where the fleet hears of what the watch says.
-    tap: RefCell<Option<UnboundedSender<FleetEvent>>>,
+    /// Where the fleet's part gets each line of the watch.
+    observer: RefCell<Option<UnboundedSender<FleetEvent>>>,
 }
 
 impl Discovery {
     pub fn new(address: SocketAddr, on_request: bool, revision: u64) -> Self {
         let (moved, wanted) = (Notify::new(), Notify::new());
         let (address, revision) = (Cell::new(address), Cell::new(revision));
-        let (relayed, tap) = (Cell::new(false), RefCell::default());
+        let (relayed, observer) = (Cell::new(false), RefCell::default());
         Discovery {
             address,
             moved,
@@ -58,7 +58,7 @@
             revision,
             wanted,
             relayed,
-            tap,
+            observer,
         }
     }
 
@@ -69,25 +69,25 @@
         }
     }
 
-    /// Whether a watch of its own stands here from now on.
-    pub fn hold(&self, own: bool) {
+    /// Whether there is an own watch from now on.
+    pub fn set_own_watch(&self, own: bool) {
         if self.relayed.replace(!own) == own {
             self.moved.notify_one();
         }
     }
 
-    /// The relayed list got to this revision.
-    pub fn heard(&self, revision: u64) {
+    /// The relayed list is at this revision.
+    pub fn set_revision(&self, revision: u64) {
         self.revision.set(revision);
     }
 
-    pub fn tap(&self, to: UnboundedSender<FleetEvent>) {
-        *self.tap.borrow_mut() = Some(to);
+    pub fn observer(&self, to: UnboundedSender<FleetEvent>) {
+        *self.observer.borrow_mut() = Some(to);
     }
 
-    fn tell_tap(&self, line: impl FnOnce() -> Option<Value>) {
-        if let Some(tap) = &*self.tap.borrow() {
-            let _ = tap.send(FleetEvent::Line(line()));
+    fn report_to_fleet(&self, line: impl FnOnce() -> Option<Value>) {
+        if let Some(observer) = &*self.observer.borrow() {
+            let _ = observer.send(FleetEvent::Line(line()));
         }
     }
 
@@ -98,7 +98,7 @@
     /// Keeps a watch open for as long as the process lives.
     pub async fn run(hub: Rc<Hub>) {
         let discovery = &hub.discovery;
-        let mut again = AGAIN;
+        let mut again = RETRY_INTERVAL;
         // One that fell silent, kept until the next has asked: guards against a return of discovery in the
         // pause between two, which is told over whatever waits for it then.
         let mut silent: Option<Watch> = None;
@@ -127,9 +127,9 @@
             };
             log::debug!("discovery: {fault}");
             again = if watch.signs.spoke.get().is_some() {
-                AGAIN
+                RETRY_INTERVAL
             } else {
-                (again * 2).min(LONGEST)
+                (again * 2).min(MAX_RETRY_INTERVAL)
             };
             if fault == Fault::Silent && watch.signs.asked.get() {
                 silent = Some(watch);
@@ -165,7 +165,7 @@
                 .await
                 .map_err(|_| Fault::Unwritten)
         };
-        let (mut sender, connection) = match timeout(ANSWER, connect).await {
+        let (mut sender, connection) = match timeout(CONNECT_TIMEOUT, connect).await {
             Ok(Ok(pair)) => pair,
             Ok(Err(fault)) => return fault,
             Err(_) => return Fault::NotConnected,
@@ -189,10 +189,10 @@
                 };
                 let Some(value) = line else {
                     signs.speak();
-                    self.tell_tap(|| None);
+                    self.report_to_fleet(|| None);
                     continue;
                 };
-                let mut news = decode_news(&value, &hub.names)?;
+                let mut news = decode_endpoints(&value, &hub.names)?;
                 let whole = news.whole;
                 // Guards against one spoilt member that costs the news of all others, and against its own
                 // news passing for heard: what can be read holds, and the watch begins anew from before it.
@@ -201,7 +201,7 @@
                 if whole {
                     signs.speak();
                     self.revision.set(news.revision);
-                    self.tell_tap(|| Some(value));
+                    self.report_to_fleet(|| Some(value));
                 }
                 hub.tell(Event::Endpoints(news));
                 hub.front.open();
@@ -243,7 +243,7 @@
     fn silent_at(&self) -> Instant {
         self.spoke
             .get()
-            .map_or(self.begun + ANSWER, |spoke| spoke + SILENCE)
+            .map_or(self.begun + CONNECT_TIMEOUT, |spoke| spoke + WATCH_TIMEOUT)
     }
 }
 
--- a/crates/gateway/gateway/src/fleet/discovery_relaying.rs
+++ b/crates/gateway/gateway/src/fleet/discovery_relaying.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Fleet;
 use crate::hub::Hub;
-use crate::message::decode_news;
+use crate::message::decode_endpoints;
 use crate::reducer::Event;
 use dunespur_gossip_membership as members;
 use dunespur_peer_transport::Kind;
@@ -75,7 +75,7 @@
                     self.write_history(
                         json!({"line": "counted", "t": now, "what": format!("watch {who}"), "value": value}),
                     );
-                    hub.discovery.hold(own);
+                    hub.discovery.set_own_watch(own);
                 }
                 Action::Broadcast(message) => {
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
@@ -124,13 +124,13 @@
                     let Ok(value) = serde_json::from_slice::<Value>(&endpoints) else {
                         continue;
                     };
-                    let Ok(news) = decode_news(&value, &hub.names) else {
+                    let Ok(news) = decode_endpoints(&value, &hub.names) else {
                         continue;
                     };
                     self.merge_list(&value);
                     self.relayed_updates += 1;
                     // Its own watch would go on from here.
-                    hub.discovery.heard(revision);
+                    hub.discovery.set_revision(revision);
                     hub.tell(Event::Endpoints(news));
                 }
             }
--- a/crates/gateway/gateway/src/fleet/health_checks.rs
+++ b/crates/gateway/gateway/src/fleet/health_checks.rs
@@ -19,7 +19,7 @@
 /// A probe waits this long for a connection, and again for any answer.
 pub(super) const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tries a server with a request that is no invocation: any answer at all tells that it lives.
+/// Tries a server with a request that is no invocation: any response shows that it is alive.
 pub(super) async fn check_health(at: SocketAddr) -> Observation {
     let Ok(Ok(stream)) = tokio::time::timeout(HEALTH_CHECK_TIMEOUT, TcpStream::connect(at)).await
     else {
@@ -48,7 +48,7 @@
         Fleet::shard_of(self.health_check_slots, xxh3_64(server.as_bytes()))
     }
 
-    /// As the duty's holder: someone gave up on a server.
+    /// As the role's owner: a limiter reported a server.
     pub(super) fn receive_complaint(&mut self, from: &str, server: String, now: f64) {
         let Some(slot) = self.health_check_slot(&server) else {
             return;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// As the holder: the probe is over; all that are up hear of it, if this one still holds the duty.
+    /// As the owner: the check is over; its result goes to all members alive, if this one still owns the role.
     pub(super) fn finish_check(
         &mut self,
         hub: &Rc<Hub>,
@@ -108,7 +108,7 @@
             .for_each(|at| self.links.send_datagram(at, Kind::Work, body.clone()));
     }
 
-    /// What a probe saw goes to the module, as far as this limiter's own experience lets it.
+    /// What a check saw goes to the limiter, as far as this process's own experience allows.
     pub(super) fn apply_observation(
         &mut self,
         hub: &Rc<Hub>,
--- a/crates/gateway/gateway/src/fleet/mod.rs
+++ b/crates/gateway/gateway/src/fleet/mod.rs
@@ -49,7 +49,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Shards of a duty whose holders each limiter keeps in mind.
+/// Shards of a role whose owners each limiter tracks.
 pub(super) const MAX_TRACKED_SHARDS: u32 = 32;
 
 /// One limiter's part in the fleet.
@@ -63,11 +63,11 @@
     fencing: FencingCheck,
     /// The relay of discovery's list, and the slot whose owner watches discovery for the zone.
     relay: Option<(Relay, Slot)>,
-    /// The way of the voter's writes to its disk.
+    /// Queue of the voter's writes.
     disk: Option<std::sync::mpsc::Sender<WriteBatch>>,
     /// The complete list of servers as the own or the relayed watch gave it, by server.
     discovered: BTreeMap<String, Value>,
-    /// Where each name was heard from last, and when.
+    /// Last known addresses of each name, and when they were heard.
     addresses: BTreeMap<String, Vec<(SocketAddrV4, f64)>>,
     history: Option<std::io::BufWriter<std::fs::File>>,
     /// Slots of the roles that are asked for by key.
--- a/crates/gateway/gateway/src/fleet/quota_broker.rs
+++ b/crates/gateway/gateway/src/fleet/quota_broker.rs
@@ -76,7 +76,7 @@
         let Some(lending) = self.lending.as_ref().filter(|_| fits) else {
             return;
         };
-        if let Some(counted) = lending.told(seq, answer) {
+        if let Some(counted) = lending.broker_answered(seq, answer) {
             self.client.record_progress(slot, now);
             hub.tell(Event::Counted { call: seq, counted });
         }
--- a/crates/gateway/gateway/src/fleet/run.rs
+++ b/crates/gateway/gateway/src/fleet/run.rs
@@ -46,7 +46,7 @@
     let (fleet, disk_results) = Fleet::open(plan, name, seed, to_inbox, events.clone()).await?;
     let observer = HubObserver::new(events);
     let queued_reports = observer.waiting.clone();
-    *hub.tap.borrow_mut() = Some(observer);
+    *hub.observer.borrow_mut() = Some(observer);
     *hub.lending.borrow_mut() = fleet.lending.clone();
     let driver = Driver {
         fleet,
@@ -59,7 +59,7 @@
         if let Err(e) = task.await {
             *hub.lending.borrow_mut() = None;
             ::log::error!("fleet: {e}; this limiter serves on without it");
-            hub.discovery.hold(true);
+            hub.discovery.set_own_watch(true);
         }
     });
     Ok(())
--- a/crates/gateway/gateway/src/front.rs
+++ b/crates/gateway/gateway/src/front.rs
@@ -27,30 +27,31 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, Notify};
 
-/// What the rest of a message gets to come in once its connection is to end, in seconds.
-const LINGER: f64 = 0.1;
-/// Time for a message to come in whole, from the connection's opening or the message's first byte.
-const WHOLE: f64 = 2.0;
-/// An answer may still be written for so long after its client's time; then nobody reads it.
-const OVERTIME: f64 = 0.5;
-/// What a connection that has sent its end waits for the client's, and reads off meanwhile.
-const READ_OFF: Duration = Duration::from_secs(1);
-/// The listener, and a connection that rests, stay open for so long after the last that came over them once
-/// they are to end: long enough for the machine to tell of all that it has accepted.
-const LAST_LOOK: Duration = Duration::from_millis(5);
-/// Connections wait in the machine's queue for so long until the first list has come: much longer than an agent
-/// that answers takes, much shorter than clients wait.
-const FIRST_LOOK: Duration = Duration::from_millis(200);
-/// Bytes read off behind an end; nothing beyond is read.
-const MOST_READ_OFF: usize = 1024 * 1024;
-/// Bytes read behind a message in hand; who sends more is no client of this protocol and counts as gone.
-const MOST_AHEAD: usize = 16 * 1024 * 1024;
+/// Time for the rest of a message to arrive once its connection is to end, in seconds.
+const PARTIAL_MESSAGE_GRACE_S: f64 = 0.1;
+/// Time for a message to arrive completely, from the connection's opening or the message's first byte, in seconds.
+const MESSAGE_TIMEOUT_S: f64 = 2.0;
+/// A response may still be written for so long after its client's deadline; then nobody reads it. Seconds.
+const WRITE_GRACE_S: f64 = 0.5;
+/// Time that a connection which has shut down its sending side waits for the client to close; what arrives is discarded.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The listener, and an idle connection, stay open for so long after the last that arrived once they are to close: long
+/// enough for the kernel to report all that it has accepted.
+const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(5);
+/// Connections wait in the kernel's backlog for so long until the first endpoint list has arrived: much longer than
+/// discovery takes, much shorter than clients wait.
+const FIRST_LIST_WAIT: Duration = Duration::from_millis(200);
+/// Bytes discarded behind an end; nothing beyond is read.
+const MAX_DISCARDED_BYTES: usize = 1024 * 1024;
+/// Bytes read behind a message in flight; who sends more is no client of this protocol and counts as disconnected.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024 * 1024;
 /// Reads of one connection at a time; then others have their turn.
-const READS: usize = 16;
-/// Bytes kept of those behind a message in hand; clients of this protocol send none. With more it ends.
-const MOST_KEPT: usize = 16 * 1024;
-/// How often late messages are looked after.
-pub const SWEEP: Duration = Duration::from_millis(250);
+const READS_PER_TURN: usize = 16;
+/// Bytes buffered of those behind a message in flight; clients of this protocol send none. With more the connection
+/// closes.
+const MAX_BUFFERED_BYTES: usize = 16 * 1024;
+/// How often late messages are looked for.
+pub const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How far a connection has come with its present message.
 #[derive(Clone, Copy)]
@@ -80,7 +81,7 @@
     read_ahead: Cell<usize>,
     /// Hyper wanted to read while a message was in hand.
     held: Cell<bool>,
-    /// One of these has changed. It only wakes: what is to be done is told by the state alone, so that no
+    /// One of these has changed. It only wakes: the state alone decides what to do, so that no
     /// permit left over from one message acts on the next.
     changed: Notify,
 }
@@ -113,9 +114,12 @@
     /// It has sent half of a message and is slow with the rest, or does not take its answer.
     fn late(&self, now: f64) -> bool {
         match self.stage.get() {
-            Stage::Coming { since } => now > (since + WHOLE).min(self.leaving_since.get() + LINGER),
+            Stage::Coming { since } => {
+                now > (since + MESSAGE_TIMEOUT_S)
+                    .min(self.leaving_since.get() + PARTIAL_MESSAGE_GRACE_S)
+            }
             Stage::Answering { until } => now > until,
-            Stage::Resting { .. } => now > self.leaving_since.get() + LINGER,
+            Stage::Resting { .. } => now > self.leaving_since.get() + PARTIAL_MESSAGE_GRACE_S,
             Stage::InHand { .. } | Stage::Ended { .. } => false,
         }
     }
@@ -135,7 +139,7 @@
     /// hand: guards against an end that stands behind bytes, as hyper reads no further once it holds some.
     /// One that only ended its sending has gone too, nothing tells the two apart.
     fn has_gone(&self) -> bool {
-        for _ in 0..READS {
+        for _ in 0..READS_PER_TURN {
             let mut bytes = [0; 4096];
             let read = match self.stream.borrow().inner().try_read(&mut bytes) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
@@ -146,7 +150,7 @@
             if !self.flooded() {
                 self.ahead.borrow_mut().extend_from_slice(&bytes[..read]);
             }
-            if self.read_ahead.get() > MOST_AHEAD {
+            if self.read_ahead.get() > MAX_READ_AHEAD_BYTES {
                 return true;
             }
         }
@@ -155,7 +159,7 @@
 
     /// More came behind one message than is kept: it is dropped, and the connection ends.
     fn flooded(&self) -> bool {
-        self.read_ahead.get() > MOST_KEPT
+        self.read_ahead.get() > MAX_BUFFERED_BYTES
     }
 
     /// The next bytes; None at the end, orderly or not.
@@ -178,7 +182,7 @@
             return;
         }
         let read_off = async {
-            let (mut bytes, mut left) = ([0; 4096], MOST_READ_OFF);
+            let (mut bytes, mut left) = ([0; 4096], MAX_DISCARDED_BYTES);
             while let Some(n) = poll_fn(|cx| self.poll_bytes(cx, &mut bytes)).await {
                 left = left.saturating_sub(n);
                 if left == 0 {
@@ -192,7 +196,7 @@
             }
         };
         tokio::select! {
-            _ = tokio::time::timeout(READ_OFF, read_off) => {}
+            _ = tokio::time::timeout(CLOSE_TIMEOUT, read_off) => {}
             () = evicted => {}
         }
     }
@@ -400,12 +404,12 @@
         let front = &hub.front;
         let few = front.most - (front.most / 16).max(1);
         let mut last_call = None;
-        let _ = tokio::time::timeout(FIRST_LOOK, front.started()).await;
+        let _ = tokio::time::timeout(FIRST_LIST_WAIT, front.started()).await;
         loop {
             let now = hub.clock.now();
             let closing = front.phase.get() == Phase::Closing;
             // Those that the machine accepts meanwhile wait in its own queue, though not beyond the close.
-            if closing && now > *last_call.get_or_insert(now) + LINGER {
+            if closing && now > *last_call.get_or_insert(now) + PARTIAL_MESSAGE_GRACE_S {
                 return;
             }
             let open = front.clients();
@@ -420,7 +424,7 @@
             let accepted = tokio::select! {
                 biased;
                 accepted = listener.accept() => accepted,
-                () = tokio::time::sleep(LAST_LOOK), if closing => return,
+                () = tokio::time::sleep(FINAL_ACCEPT_TIMEOUT), if closing => return,
                 () = front.changed.notified() => continue,
             };
             match accepted {
@@ -482,7 +486,7 @@
                     }
                     () = poll_fn(|cx| client.poll_gone(cx)) => return,
                     () = client.changed.notified() => {}
-                    () = tokio::time::sleep(LAST_LOOK), if (late || ends) && !looked => looked = true,
+                    () = tokio::time::sleep(FINAL_ACCEPT_TIMEOUT), if (late || ends) && !looked => looked = true,
                 }
             }
             // What is in hand ends with hyper's side, before anything else happens here.
@@ -589,8 +593,8 @@
         Box::pin(async move {
             let mut response = handler.answer(request).await;
             let until = match handler.client.stage.get() {
-                Stage::InHand { until } => until + OVERTIME,
-                _ => handler.hub.clock.now() + WHOLE,
+                Stage::InHand { until } => until + WRITE_GRACE_S,
+                _ => handler.hub.clock.now() + MESSAGE_TIMEOUT_S,
             };
             handler.client.stage.set(Stage::Answering { until });
             if handler.client.flooded() || handler.client.leaving() {
--- a/crates/gateway/gateway/src/hub.rs
+++ b/crates/gateway/gateway/src/hub.rs
@@ -48,7 +48,7 @@
     pub discovery: Discovery,
     pub reducer: RefCell<Reducer>,
     /// Where the fleet listens, if there is one.
-    pub tap: RefCell<Option<HubObserver>>,
+    pub observer: RefCell<Option<HubObserver>>,
     /// Where a broker may answer in the counter's place.
     pub lending: RefCell<Option<Rc<Lending>>>,
     events: RefCell<VecDeque<Event>>,
@@ -85,7 +85,7 @@
             counter,
             discovery,
             reducer: RefCell::new(reducer),
-            tap: RefCell::default(),
+            observer: RefCell::default(),
             lending: RefCell::default(),
             events: RefCell::default(),
             busy: Cell::new(false),
@@ -106,12 +106,12 @@
             let Some(event) = self.events.borrow_mut().pop_front() else {
                 break;
             };
-            if let Some(tap) = &*self.tap.borrow() {
-                tap.event(&event);
+            if let Some(observer) = &*self.observer.borrow() {
+                observer.event(&event);
             }
             if let (Event::Counted { call, .. }, Some(lending)) = (&event, &*self.lending.borrow())
             {
-                // The end of a call of this process's own broker was heard by the tap.
+                // The end of a call of this process's own broker has already been seen by the observer.
                 if *call >= BROKER {
                     continue;
                 }
@@ -134,8 +134,8 @@
 
     /// A call to the counter that the reducer did not ask for, or asked of a broker.
     pub fn call_counter(&self, call: u64, name: u64, add: f64, life: f64) {
-        if let Some(tap) = &*self.tap.borrow() {
-            tap.effect(&Effect::Count {
+        if let Some(observer) = &*self.observer.borrow() {
+            observer.effect(&Effect::Count {
                 call,
                 name,
                 add,
@@ -159,7 +159,7 @@
             Some(lending),
         ) = (&effect, &lending)
         {
-            if lending.take(
+            if lending.route_to_broker(
                 *call,
                 *name,
                 *add,
@@ -170,8 +170,8 @@
                 return;
             }
         }
-        if let Some(tap) = &*self.tap.borrow() {
-            tap.effect(&effect);
+        if let Some(observer) = &*self.observer.borrow() {
+            observer.effect(&effect);
         }
         match effect {
             Effect::Send(delivery) => self.upstream.send(self, delivery),
@@ -199,7 +199,7 @@
     }
 
     /// The one timer: tells the reducer when something is due.
-    pub async fn keep_time(self: Rc<Self>) {
+    pub async fn run_timer(self: Rc<Self>) {
         loop {
             let due = self.reducer.borrow().next_due().unwrap_or(f64::INFINITY);
             self.set.set(due);
--- a/crates/gateway/gateway/src/lending.rs
+++ b/crates/gateway/gateway/src/lending.rs
@@ -1,6 +1,5 @@
-//! The seam between the limiter's calls to the counter and a broker that answers in its place. Carries calls
-//! one way or the other as the borrower's side says, and brings the answers back. Owns nothing of what is
-//! lent; it must never let a call go two ways, and must be out of the way where there is no broker.
+//! Routes each of the limiter's counter calls to a broker or to the counter, never to both, and brings the answers
+//! back. Without a broker every call goes to the counter.
 
 use crate::clock::clock;
 use crate::fleet::FleetEvent;
@@ -17,13 +16,13 @@
 
 /// Calls of this process's own broker are numbered from here on.
 pub const BROKER: u64 = 1 << 62;
-/// Asks that may wait for the fleet's task; over it the counter is called.
-const MAX_QUEUED_REPORTS: usize = 4096;
+/// Lease requests that may wait for the fleet's task; beyond that the counter is called.
+const MAX_QUEUED_REQUESTS: usize = 4096;
 
 pub struct Lending {
     borrower: RefCell<Borrower>,
     slots: SlotRange,
-    /// Slots with a holder, as far as this limiter knows.
+    /// Slots with an owner, as far as this limiter knows.
     pub known: RefCell<BTreeSet<Slot>>,
     to: mpsc::UnboundedSender<FleetEvent>,
     pub waiting: Cell<usize>,
@@ -50,23 +49,23 @@
         self.slots.first + (hash % u64::from(self.slots.count)) as Slot
     }
 
-    /// Takes a call to a broker, if one answers; `since` is how long ago the name's window began.
-    pub fn take(
+    /// Routes a call to a broker, if one answers; true if it did. `since` is how long ago the name's window began.
+    pub fn route_to_broker(
         &self,
         call: u64,
         name: u64,
         add: f64,
-        life: f64,
+        lifetime: f64,
         about: &About,
         since: f64,
     ) -> bool {
         let slot = self.slot(about.customer);
-        let known = self.known.borrow().contains(&slot) && self.waiting.get() < MAX_QUEUED_REPORTS;
+        let known = self.known.borrow().contains(&slot) && self.waiting.get() < MAX_QUEUED_REQUESTS;
         let counter_call = CounterCall {
             call,
             name,
             add,
-            lifetime: life,
+            lifetime,
         };
         let Route::Broker(slot) =
             self.borrower
@@ -93,11 +92,12 @@
         there
     }
 
-    /// When a broker's answer is overdue, and the calls that go to the counter for it.
+    /// When the next broker's answer is overdue, in seconds of the fleet's clock.
     pub fn next_due(&self) -> f64 {
         self.borrower.borrow().next_due()
     }
 
+    /// Calls whose broker's answer is overdue; they go to the counter.
     pub fn overdue(&self) -> Vec<CounterCall> {
         self.borrower
             .borrow_mut()
@@ -109,8 +109,8 @@
         self.borrower.borrow_mut().counter_answered(call);
     }
 
-    /// A broker's answer; what the limiter is told, if it still waits.
-    pub fn told(&self, call: u64, answer: Answer) -> Option<Counted> {
+    /// A broker's answer; the counter's answer that it stands for, if the limiter still waits.
+    pub fn broker_answered(&self, call: u64, answer: Answer) -> Option<Counted> {
         self.borrower
             .borrow_mut()
             .broker_answered(call, answer, fastrand::f64(), clock())
--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -36,14 +36,13 @@
 use tokio::time::sleep;
 
 /// Clients keep coming for up to 0.4 s after SIGTERM; what comes over 0.7 s after it may not be answered.
-const LEAVING: Duration = Duration::from_millis(500);
+const CLIENT_MOVE_TIME: Duration = Duration::from_millis(500);
 
-/// It is ready once discovery has told the list, or can't, at the latest after this: what discovery holds
-/// counts as told from the first moment of a new process, and the list it was given may be old.
-const FIRST_LIST: Duration = Duration::from_secs(1);
+/// Ready once discovery has sent its endpoint list, or at the latest after this time.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Fewer descriptors than this leave nothing for clients beside what the program itself holds.
-const LEAST_SOCKETS: usize = 32;
+const MIN_SOCKETS: usize = 32;
 
 /// Descriptors of the process itself: streams, queues of events, signals, the listener, two watches, a file.
 const OWN_SOCKETS: usize = 16;
@@ -78,9 +77,9 @@
     let seed = u64::from_str_radix(v["seed"].as_str().unwrap_or(""), 16)
         .map_err(|_| Fault::Config("seed is no hexadecimal number".into()))?;
     let sockets = v["limits"]["sockets"].as_u64().unwrap_or(1024) as usize;
-    if sockets < LEAST_SOCKETS {
+    if sockets < MIN_SOCKETS {
         return Err(Fault::Config(format!(
-            "limits.sockets is under {LEAST_SOCKETS}"
+            "limits.sockets is under {MIN_SOCKETS}"
         )));
     }
     let memory = v["limits"]["memory_mb"].as_u64().unwrap_or(192) as usize * 1024 * 1024;
@@ -121,7 +120,7 @@
     move |e| Fault::Config(format!("{what}: {e}"))
 }
 
-/// What the process is told. Asked for before anything else: until then a SIGHUP would end it.
+/// The signals. Handlers are installed before anything else: without one a SIGHUP would end the process.
 struct Signals {
     term: Signal,
     int: Signal,
@@ -130,7 +129,7 @@
 }
 
 impl Signals {
-    fn ask() -> Result<Self, Fault> {
+    fn install() -> Result<Self, Fault> {
         Ok(Signals {
             term: signal(SignalKind::terminate()).map_err(fail("SIGTERM"))?,
             int: signal(SignalKind::interrupt()).map_err(fail("SIGINT"))?,
@@ -174,14 +173,14 @@
 
 /// Reads the configuration and serves until it has left.
 async fn run() -> Result<(), Fault> {
-    let mut signals = Signals::ask()?;
+    let mut signals = Signals::install()?;
     let mut config = read_config(std::env::var("RELAY_CONFIG").ok())?;
     let clock = Clock::start();
     let read = &config.read;
     let names = reducer::names(read);
     let known = match &config.known {
         Value::Null => None,
-        list => Some(message::decode_news(list, &names)?),
+        list => Some(message::decode_endpoints(list, &names)?),
     };
     let revision = known.as_ref().map_or(0, |k| k.revision);
     let seconds = |s: f64, what: &str| {
@@ -219,7 +218,7 @@
     let fleet = match config.fleet.take() {
         None => None,
         Some(plan) => {
-            hub.discovery.tap(tell.clone());
+            hub.discovery.observer(tell.clone());
             fleet::start(
                 hub.clone(),
                 plan,
@@ -232,23 +231,23 @@
             Some(tell)
         }
     };
-    keep(&hub, "time", Hub::keep_time);
+    spawn_restarting(&hub, "time", Hub::run_timer);
     (0..hub.counter.connections()).for_each(|at| {
-        keep(&hub, "counter", move |hub| counter::Counter::run(hub, at));
+        spawn_restarting(&hub, "counter", move |hub| counter::Counter::run(hub, at));
     });
-    keep(&hub, "discovery", discovery::Discovery::run);
+    spawn_restarting(&hub, "discovery", discovery::Discovery::run);
     let listening = tokio::task::spawn_local(front::Front::serve(hub.clone(), listener));
     ::log::info!("{} serves on {}", config.name, config.listen);
-    keep(&hub, "clients' sweep", |hub| async move {
-        each(front::SWEEP, || hub.front.sweep(hub.clock.now())).await
+    spawn_restarting(&hub, "clients' sweep", |hub| async move {
+        run_periodically(front::SWEEP_INTERVAL, || hub.front.sweep(hub.clock.now())).await
     });
     let idle_sweep = (idle_time / 8).clamp(Duration::from_millis(10), Duration::from_secs(1));
-    keep(&hub, "servers' sweep", move |hub| async move {
-        each(idle_sweep, || hub.upstream.sweep(hub.clock.now())).await
+    spawn_restarting(&hub, "servers' sweep", move |hub| async move {
+        run_periodically(idle_sweep, || hub.upstream.sweep(hub.clock.now())).await
     });
     let opening = hub.clone();
     tokio::task::spawn_local(async move {
-        sleep(FIRST_LIST).await;
+        sleep(FIRST_LIST_TIMEOUT).await;
         opening.front.open();
     });
     // Signals mean the same while it leaves, but for another one to leave: that changes nothing.
@@ -256,7 +255,7 @@
     loop {
         tokio::select! {
             () = Signals::leave(&mut signals.term, &mut signals.int), if leaving.is_none() => {
-                leaving.set(Some(leave(&hub, fleet.as_ref(), &listening)));
+                leaving.set(Some(shut_down(&hub, fleet.as_ref(), &listening)));
             }
             _ = signals.hup.recv() => reload(&hub),
             _ = signals.usr1.recv() => {
@@ -272,38 +271,38 @@
     Ok(())
 }
 
-/// Leaves: clients move on, what was taken is answered, the connections end.
-async fn leave(
+/// Shuts down: clients move on, requests in flight are answered, the connections end.
+async fn shut_down(
     hub: &Rc<Hub>,
     fleet: Option<&mpsc::UnboundedSender<fleet::FleetEvent>>,
     listening: &tokio::task::JoinHandle<()>,
 ) {
     ::log::info!("leaving with {} in hand", hub.reducer.borrow().in_hand());
-    // Duties are handed over before anything else; nothing here waits for whoever takes them.
+    // Roles are handed over before anything else; nothing here waits for whoever takes them.
     if let Some(fleet) = fleet {
         let _ = fleet.send(fleet::FleetEvent::Leave);
     }
     hub.front.leave();
-    sleep(LEAVING).await;
+    sleep(CLIENT_MOVE_TIME).await;
     hub.front.close(hub.clock.now());
-    // Each connection ends by itself: after its answer, after a message that stays half, or when an answer
-    // is not taken in its client's time.
+    // Each connection ends by itself: after its response, after a message that stays incomplete, or when a response is
+    // not read in its client's time.
     while !listening.is_finished() || hub.front.clients() > 0 {
         sleep(Duration::from_millis(20)).await;
         hub.front.sweep(hub.clock.now());
     }
 }
 
-/// Does this again and again.
-async fn each(pause: Duration, act: impl Fn()) {
+/// Runs this periodically.
+async fn run_periodically(interval: Duration, act: impl Fn()) {
     loop {
-        sleep(pause).await;
+        sleep(interval).await;
         act();
     }
 }
 
-/// SIGHUP: discovery and the counter may have moved, all that is in hand and all that is known stays. Guards
-/// against a file that can't be used, perhaps half written: then the old addresses hold.
+/// SIGHUP: takes the addresses of discovery and the counter from the file; other keys need a restart. Guards against a
+/// file that can't be used, perhaps half written: then the old addresses stay.
 fn reload(hub: &Rc<Hub>) {
     match read_config(std::env::var("RELAY_CONFIG").ok()) {
         Ok(config) => {
@@ -319,8 +318,8 @@
     }
 }
 
-/// Runs one of the lasting tasks; a panic in it is logged and it starts again.
-fn keep<F, R>(hub: &Rc<Hub>, what: &'static str, run: R)
+/// Spawns one of the lasting tasks; a panic in it is logged and it starts again.
+fn spawn_restarting<F, R>(hub: &Rc<Hub>, name: &'static str, run: R)
 where
     F: Future<Output = ()> + 'static,
     R: Fn(Rc<Hub>) -> F + 'static,
@@ -328,12 +327,12 @@
     let hub = hub.clone();
     tokio::task::spawn_local(async move {
         while let Err(e) = tokio::task::spawn_local(run(hub.clone())).await {
-            ::log::error!("{what}: {e}");
+            ::log::error!("{name}: {e}");
         }
     });
 }
 
-/// The whole program: reads the configuration that the environment names, serves, ends. The exit code is 2
+/// Entry point: reads the configuration that the environment names and serves until a signal ends it. The exit code is 2
 /// where the configuration can't be used.
 #[must_use]
 pub fn main() -> ExitCode {
--- a/crates/gateway/gateway/src/message.rs
+++ b/crates/gateway/gateway/src/message.rs
@@ -312,7 +312,7 @@
     request.map_err(|_| malformed("no request for a watch"))
 }
 
-pub fn decode_news(v: &Value, names: &Names) -> Result<News, Fault> {
+pub fn decode_endpoints(v: &Value, names: &Names) -> Result<News, Fault> {
     let members = v["members"]
         .as_array()
         .ok_or_else(|| malformed("the list has no members"))?;
