--- a/crates/serving/dunespur/src/gateway.rs
+++ b/crates/serving/dunespur/src/gateway.rs
@@ -181,8 +181,7 @@
         GatewayRegistration::start(&self.settings, self.incarnation, self.directory.clone())
     }
 
-    /// Starts draining, leaves the chain, waits for the requests in flight, and returns the leases on budgets. Each
-    /// wait is bounded.
+    /// Completes the requests in flight, leaves the chain, and gives the leases on budgets back.
     async fn drain(&self) {
         let node = &self.settings.node;
         self.proxy.drain();
