--- a/crates/serving/dunespur/src/control_api/handlers.rs
+++ b/crates/serving/dunespur/src/control_api/handlers.rs
@@ -21,9 +21,9 @@
 /// Bytes of a configuration or heartbeat.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 /// The caller goes on to another gateway after a second without a response; this one responds before that.
-const ORDER_TIMEOUT: Duration = Duration::from_millis(850);
-/// An order with a large body is given longer by its caller.
-const LARGE_ORDER_TIMEOUT: Duration = Duration::from_millis(1500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(850);
+/// A request with a large body is given longer by its caller.
+const LARGE_REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Bytes from which a body is large.
 const LARGE_BODY: usize = 64 * 1024;
 
@@ -66,7 +66,7 @@
         };
         let report = heartbeat.report(id);
         if self.directory.has_lost_contact() {
-            // Renewed here the lease would lapse all the same, as no core member learns of it: the server has to call
+            // Renewed here the lease would expire all the same, as no core member learns of it: the server has to call
             // another gateway.
             return responses::unavailable();
         }
@@ -77,7 +77,7 @@
         }
         match self
             .directory
-            .execute(&Operation::Server(report), ORDER_TIMEOUT)
+            .execute(&Operation::Server(report), REQUEST_TIMEOUT)
             .await
         {
             Ok(_) => responses::heartbeat_acknowledged(heartbeat_address),
@@ -95,24 +95,24 @@
 
     /// Executes an operation that can only succeed.
     async fn execute(&self, operation: &Operation) -> HttpResponse {
-        match self.directory.execute(operation, ORDER_TIMEOUT).await {
+        match self.directory.execute(operation, REQUEST_TIMEOUT).await {
             Ok(_) => responses::accepted(),
             Err(Unavailable) => responses::unavailable(),
         }
     }
 
-    /// Has an order decided on. If others were rejected before, it counts only with the fencing token that this call is
-    /// given.
+    /// Has an operator's operation decided on. If others were rejected before, it counts only with the fencing token
+    /// that this call is given.
     async fn decide(
         &self,
-        order: impl Fn(u64) -> Operation,
+        operation: impl Fn(u64) -> Operation,
         timeout: Duration,
     ) -> Result<Outcome, Unavailable> {
         let end = Instant::now() + timeout;
         let mut token = 0;
         loop {
             let left = end.saturating_duration_since(Instant::now());
-            match self.directory.execute(&order(token), left).await? {
+            match self.directory.execute(&operation(token), left).await? {
                 Outcome::Fenced {
                     fencing_token: newer,
                 } if newer > token => token = newer,
@@ -134,11 +134,11 @@
             );
         };
         let timeout = if body.len() >= LARGE_BODY {
-            LARGE_ORDER_TIMEOUT
+            LARGE_REQUEST_TIMEOUT
         } else {
-            ORDER_TIMEOUT
+            REQUEST_TIMEOUT
         };
-        let order = |token| {
+        let operation = |token| {
             Operation::Configure(ConfigurationRequest {
                 kind,
                 base,
@@ -146,7 +146,7 @@
                 fencing_token: token,
             })
         };
-        match self.decide(order, timeout).await {
+        match self.decide(operation, timeout).await {
             Ok(Outcome::Accepted) => responses::accepted(),
             Ok(Outcome::GenerationConflict { current }) => {
                 let text = json!({ "error": "another version is current", "generation": current });
@@ -166,7 +166,7 @@
     }
 
     async fn configuration(&self) -> HttpResponse {
-        match self.directory.read_configuration(ORDER_TIMEOUT).await {
+        match self.directory.read_configuration(REQUEST_TIMEOUT).await {
             Ok(Some(json)) => responses::json(StatusCode::OK, json),
             Ok(None) => responses::error(StatusCode::NOT_FOUND, "no configuration yet"),
             Err(Unavailable) => responses::unavailable(),
@@ -178,12 +178,12 @@
             return responses::error(StatusCode::BAD_REQUEST, &error.to_string());
         }
         let tolerated_losses = self.tolerated_losses;
-        let order = |token| Operation::RetireStart {
+        let operation = |token| Operation::RetireStart {
             node: node.clone(),
             tolerated_losses,
             fencing_token: token,
         };
-        match self.decide(order, ORDER_TIMEOUT).await {
+        match self.decide(operation, REQUEST_TIMEOUT).await {
             Ok(Outcome::Retire(RetirementOutcome::Accepted)) => responses::accepted(),
             Ok(Outcome::Retire(RetirementOutcome::UnknownNode)) => {
                 responses::error(StatusCode::NOT_FOUND, "no such store machine")
@@ -196,7 +196,7 @@
     }
 
     async fn retirement(&self, node: &str) -> HttpResponse {
-        match self.directory.read_retirement(node, ORDER_TIMEOUT).await {
+        match self.directory.read_retirement(node, REQUEST_TIMEOUT).await {
             Ok(Some(RetirementState::Running)) => {
                 responses::json(StatusCode::OK, json!({ "state": "running" }).to_string())
             }
--- a/crates/serving/dunespur/src/core/coordinator/lease_sweeps.rs
+++ b/crates/serving/dunespur/src/core/coordinator/lease_sweeps.rs
@@ -1,4 +1,4 @@
-//! Leases of servers and nodes: gossip of renewals between core members, and the expiry of those that lapsed.
+//! Leases of servers and nodes: gossip of renewals between core members, and the expiry of those not renewed in time.
 
 use super::Coordinator;
 use crate::messages::{encode, LeaseRenewals, Request};
@@ -26,8 +26,8 @@
             .unreached(&replica, &self.own.id, seeds, now)
     }
 
-    /// Reports to the other members which leases were renewed here; the head of the chain proposes the expiry of lapsed
-    /// ones.
+    /// Reports to the other members which leases were renewed here; the head of the chain proposes the operations
+    /// for those that have expired.
     pub(super) fn run_lease_sweep(&self, now: u64) {
         self.leases.borrow_mut().schedule_next_sweep(now);
         self.gossip_renewals();
--- a/crates/serving/dunespur/src/core/coordinator/mod.rs
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -136,7 +136,7 @@
     }
 
     /// Takes part in the first view of the system.
-    pub fn found(&self, view: View) {
+    pub fn bootstrap(&self, view: View) {
         self.step(Input::Bootstrap { view });
     }
 
@@ -179,8 +179,8 @@
     /// Performs one output; further inputs go to `inputs`.
     fn perform(&self, output: Output, inputs: &mut VecDeque<Input>) -> WatchEffect {
         match output {
-            Output::Send { to, message } => self.replicate(to.address, message),
-            Output::SendToAddress { address, message } => self.replicate(address, message),
+            Output::Send { to, message } => self.send_message(to.address, message),
+            Output::SendToAddress { address, message } => self.send_message(address, message),
             Output::Persist { batch, writes } => self.disk.write(Batch {
                 number: batch,
                 writes,
@@ -189,7 +189,7 @@
                 index,
                 payload,
                 ticket,
-            } => return self.commit(index, &payload, ticket),
+            } => return self.apply_committed(index, &payload, ticket),
             Output::ReadReady { ticket } => self.reads.borrow_mut().complete(ticket),
             Output::Dropped { ticket } => self.drop_ticket(ticket),
             Output::TakeSnapshot => inputs.extend(self.replica.borrow().snapshot()),
@@ -213,7 +213,7 @@
     }
 
     /// Sends a message of the state machine to the member at an address.
-    fn replicate(&self, address: SocketAddr, message: Message) {
+    fn send_message(&self, address: SocketAddr, message: Message) {
         let request = Request::Chain {
             from: self.own.id.clone(),
             message,
@@ -222,7 +222,7 @@
     }
 
     /// Applies a committed operation and answers whoever waits for it.
-    fn commit(&self, index: u64, payload: &[u8], ticket: Option<u64>) -> WatchEffect {
+    fn apply_committed(&self, index: u64, payload: &[u8], ticket: Option<u64>) -> WatchEffect {
         let mut replica = self.replica.borrow_mut();
         let outcome = replica.applied_mut().commit(index, payload);
         if let Some(ticket) = ticket {
--- a/crates/serving/dunespur/src/core/lease_expiry.rs
+++ b/crates/serving/dunespur/src/core/lease_expiry.rs
@@ -1,4 +1,5 @@
-//! Which leases have lapsed, and the operations for that. The head of the chain decides, in sweeps at a fixed interval.
+//! Which leases have expired, and the operations for that. The head of the chain decides, in sweeps at a fixed
+//! interval.
 
 use super::lease_table::LeaseTable;
 use super::replica::Replica;
@@ -9,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// How often renewals are gossiped to the other members and lapsed leases looked for, in milliseconds.
+/// How often renewals are gossiped to the other members and expired leases looked for, in milliseconds.
 const LEASE_SWEEP_INTERVAL_MS: u64 = 500;
 
 /// The leases of one core member, and its part in their expiry.
@@ -60,7 +61,7 @@
         self.table.status(max_leases, now)
     }
 
-    /// Operations for what has lapsed, if this member decides on that: it is the head of the chain, and was at the
+    /// Operations for what has expired, if this member decides on that: it is the head of the chain, and was at the
     /// last sweep.
     pub fn expired(&mut self, replica: &Replica, own: &MemberId, now: u64) -> Vec<Operation> {
         let decides =
@@ -92,16 +93,20 @@
     }
 
     fn expired_servers(&self, state: &ControlState, now: u64) -> Vec<Operation> {
-        let expired = self.table.lapsed_servers(now).into_iter().filter_map(|id| {
-            let last_sequence = state.server(&id)?.sequence;
-            Some(Operation::ServerExpired { id, last_sequence })
-        });
+        let expired = self
+            .table
+            .expired_servers(now)
+            .into_iter()
+            .filter_map(|id| {
+                let last_sequence = state.server(&id)?.sequence;
+                Some(Operation::ServerExpired { id, last_sequence })
+            });
         expired.collect()
     }
 
     fn expired_nodes(&self, state: &ControlState, now: u64) -> Vec<Operation> {
-        let mut nodes = self.table.lapsed_nodes(store_leases(state), now);
-        nodes.extend(self.table.lapsed_nodes(gateway_leases(state), now));
+        let mut nodes = self.table.expired_nodes(store_leases(state), now);
+        nodes.extend(self.table.expired_nodes(gateway_leases(state), now));
         let expired = nodes.into_iter();
         expired
             .map(|node| Operation::NodeExpired {
--- a/crates/serving/dunespur/src/core/lease_table.rs
+++ b/crates/serving/dunespur/src/core/lease_table.rs
@@ -1,17 +1,17 @@
-//! When the leases of servers and nodes were renewed last, as core members learn of it; which have lapsed.
+//! When the leases of servers and nodes were renewed last, as core members learn of it; which have expired.
 
 use crate::messages::{LeaseRenewals, NodeLease};
 use crate::status::LeaseStatus;
 use std::collections::{BTreeSet, HashMap};
 
-/// The lease of a server lapses after so many intervals between heartbeats without one.
+/// The lease of a server expires after so many intervals between heartbeats without one.
 const SERVER_LEASE_HEARTBEATS: u64 = 8;
-/// The lease of a node lapses after this time without a renewal, in milliseconds.
+/// The lease of a node expires after this time without a renewal, in milliseconds.
 const NODE_LEASE_MS: u64 = 2_500;
 /// A node that follows a core member renews its lease at least this often, in milliseconds, gossip by other members
 /// included.
 const RENEWED_LATELY_MS: u64 = 1_500;
-/// Nothing lapses while fewer than this percentage of the known leases was renewed within half a lease: guards against
+/// Nothing expires while fewer than this percentage of the known leases was renewed within half a lease: guards against
 /// taking a fault of this member's own connections for theirs.
 const MIN_RENEWED_PERCENT: usize = 50;
 /// Renewals that may wait to be gossiped to the other members.
@@ -140,19 +140,23 @@
         leases
     }
 
-    /// Servers whose leases have lapsed.
-    pub fn lapsed_servers(&self, now: u64) -> Vec<String> {
-        lapsed(&self.servers, self.server_lease_ms, now)
+    /// Servers whose leases have expired.
+    pub fn expired_servers(&self, now: u64) -> Vec<String> {
+        expired(&self.servers, self.server_lease_ms, now)
     }
 
-    /// Which of these nodes' leases have lapsed. They are of one kind: that others of the kind renew shows that renewals
-    /// of it reach this member.
-    pub fn lapsed_nodes(&self, nodes: impl Iterator<Item = NodeLease>, now: u64) -> Vec<NodeLease> {
+    /// Which of these nodes' leases have expired. They are of one kind: that others of the kind renew shows that
+    /// renewals of it reach this member.
+    pub fn expired_nodes(
+        &self,
+        nodes: impl Iterator<Item = NodeLease>,
+        now: u64,
+    ) -> Vec<NodeLease> {
         let leases = nodes.filter_map(|node| {
             let at = *self.nodes.get(&node)?;
             Some((node, at))
         });
-        lapsed(&leases.collect(), NODE_LEASE_MS, now)
+        expired(&leases.collect(), NODE_LEASE_MS, now)
     }
 }
 
@@ -165,7 +169,7 @@
     }
 }
 
-fn lapsed<K: Clone>(leases: &HashMap<K, u64>, lease_ms: u64, now: u64) -> Vec<K> {
+fn expired<K: Clone>(leases: &HashMap<K, u64>, lease_ms: u64, now: u64) -> Vec<K> {
     let renewed = leases
         .values()
         .filter(|at| now.saturating_sub(**at) <= lease_ms / 2)
--- a/crates/serving/dunespur/src/core/mod.rs
+++ b/crates/serving/dunespur/src/core/mod.rs
@@ -2,9 +2,9 @@
 //! the control state, and answers gateways and stores.
 //!
 //! The way of a change, step by step: [`coordinator`] *receives* an operation (`coordinator/requests.rs`), *proposes*
-//! it to the state machine, *replicates* what that sends over its links ([`peer_links`]), *persists* what it writes
-//! ([`disk_writer`]), *commits* and *applies* what the chain has acknowledged ([`applied_state`]), and *notifies*
-//! callers ([`pending_operations`]) and watches (`coordinator/watches.rs`).
+//! it to the state machine, *sends* the messages that come of it over its links ([`peer_links`]), which replicate it
+//! along the chain, *persists* what the state machine writes ([`disk_writer`]), *applies* what the chain has committed
+//! ([`applied_state`]), and *notifies* callers ([`pending_operations`]) and watches (`coordinator/watches.rs`).
 
 mod applied_state;
 mod change_log;
--- a/crates/serving/dunespur/src/core_membership.rs
+++ b/crates/serving/dunespur/src/core_membership.rs
@@ -102,7 +102,7 @@
         peer: coordinator.peer(),
     });
     match directory.call(*founder, payload, CANDIDATE_TIMEOUT).await {
-        Ok(Reply::Candidacy(Candidacy::Found(view))) => coordinator.found(view),
+        Ok(Reply::Candidacy(Candidacy::Found(view))) => coordinator.bootstrap(view),
         Ok(Reply::Candidacy(Candidacy::Join(view))) => directory.learn_view(view),
         _ => {}
     }
--- a/crates/serving/dunespur/src/directory/known_state.rs
+++ b/crates/serving/dunespur/src/directory/known_state.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Whether the generation is a newer one than that in force.
+    /// Applies a newer generation; true if it was newer, even if the document could not be used.
     fn apply_configuration(&mut self, generation: u64, json: &str) -> bool {
         let in_force = self.table.as_ref().map(|table| table.generation());
         if in_force.is_some_and(|in_force| in_force >= generation) {
--- a/crates/serving/dunespur/src/founding.rs
+++ b/crates/serving/dunespur/src/founding.rs
@@ -1,6 +1,6 @@
 //! The first view of the system: at the first start every machine has the same seeds and nobody knows how many
-//! there are. One process, that of the lowest seed address, collects the machines with a disk and tells them the
-//! first view, once.
+//! there are. One process, that of the lowest seed address, collects the machines with a disk, decides the first view
+//! once, and sends it to the head of its chain; the head announces it to the others.
 
 use crate::messages::Candidacy;
 use dunespur_chain_replication::{Peer, View};
@@ -19,8 +19,8 @@
 /// Members of the first view.
 const MAX_MEMBERS: usize = 7;
 
-/// What the founder knows. It sends the first view to the chain's head alone, which tells the others once the view is
-/// on its disk: a founder that restarts and forgets can't give two of them different first views.
+/// What the founder knows. It sends the first view to the chain's head alone, which announces it once the view is on
+/// its disk: a founder that restarts and forgets can't give two of them different first views.
 pub enum Founding {
     /// The first view is not decided yet.
     Collecting {
--- a/crates/serving/dunespur/src/gateway.rs
+++ b/crates/serving/dunespur/src/gateway.rs
@@ -181,7 +181,8 @@
         GatewayRegistration::start(&self.settings, self.incarnation, self.directory.clone())
     }
 
-    /// Completes the requests in flight, leaves the chain, and gives the leases on budgets back.
+    /// Starts draining, leaves the chain, waits for the requests in flight, and returns the leases on budgets. Each
+    /// wait is bounded.
     async fn drain(&self) {
         let node = &self.settings.node;
         self.proxy.drain();
--- a/crates/serving/dunespur/src/registration.rs
+++ b/crates/serving/dunespur/src/registration.rs
@@ -1,5 +1,5 @@
 //! A gateway's registration: it reports itself to the core once per incarnation, renews its lease with each watch, and
-//! reports when it leaves.
+//! reports when it leaves. A planned departure is reported as [`Operation::NodeExpired`], as an expired lease is.
 
 use crate::directory::{Directory, KnownState};
 use crate::messages::NodeLease;
@@ -59,7 +59,8 @@
         registration
     }
 
-    /// The process is about to end: others must not count on it any more.
+    /// The process is about to end: others must not count on it any more. Reported as [`Operation::NodeExpired`], as an
+    /// expired lease is.
     pub fn leave(self: &Rc<Self>) {
         self.desired_state.set(DesiredState::Leaving);
         spawn_local(maintain_registration(self.clone()));
--- a/crates/serving/dunespur/src/status/report.rs
+++ b/crates/serving/dunespur/src/status/report.rs
@@ -161,7 +161,7 @@
     pub holder: String,
     /// Since it was last renewed.
     pub silent_ms: u64,
-    /// Without renewal it lapses after this time.
+    /// Without renewal it expires after this time.
     pub lease_ms: u64,
 }
 
@@ -212,7 +212,7 @@
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Its lease has not lapsed.
+    /// Its lease has not expired.
     pub present: bool,
     /// All that it should store is there.
     #[serde(rename = "whole")]
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -33,7 +33,7 @@
 
 /// The file of a store in its data folder.
 const DISK_FILE: &str = "turns.redb";
-/// A store whose lease has lapsed for this long has its turns replicated elsewhere, in milliseconds. A machine that is
+/// A store whose lease has expired for this long has its turns replicated elsewhere, in milliseconds. A machine that is
 /// lost for good may have a successor a second later, and stops counting as lost once that had its time to catch up
 /// (some four seconds); by then there have to be enough replicas again.
 const ABSENT_REPAIR_MS: u64 = 300;
--- a/crates/serving/dunespur/src/store_client.rs
+++ b/crates/serving/dunespur/src/store_client.rs
@@ -65,10 +65,12 @@
         );
         let (answers, mut queue) = mpsc::unbounded_channel();
         loop {
-            while let Some(ask) = read.poll() {
-                request_events::chain_request(previous, &ask.id, &ask.store);
-                let request = StoreRequest::Chain { id: ask.id.clone() };
-                self.call(&stores, ask.store, ask.id, request, &answers);
+            while let Some(query) = read.poll() {
+                request_events::chain_request(previous, &query.id, &query.store);
+                let request = StoreRequest::Chain {
+                    id: query.id.clone(),
+                };
+                self.call(&stores, query.store, query.id, request, &answers);
             }
             match read.take_outcome() {
                 Some(ReadOutcome::Chain(turns)) => return History::Found(messages(turns)),
--- a/crates/serving/proxy/src/admission.rs
+++ b/crates/serving/proxy/src/admission.rs
@@ -17,7 +17,8 @@
 use dunespur_configuration::{RequestKind, Route};
 use smallvec::SmallVec;
 
-/// When a client may retry whose turn waited for its admission until its deadline.
+/// When a client may retry, in milliseconds, whose request was not admitted: its deadline passed while it waited for
+/// its history or its admission, or it resumes a persisted response by a Last-Event-Id.
 const NOT_ADMITTED_RETRY_MS: u64 = 300;
 
 /// The body for the endpoint: the turns that this one continues, then its input.
@@ -31,7 +32,7 @@
 ) -> Result<SmallVec<[Bytes; 1]>, Rejection> {
     let mut chunks = SmallVec::new();
     if route.persisted && parsed.last_event_id.is_some() {
-        // Only the rest of the response would come, and stored as all of it, it would be another one.
+        // The endpoint would send only the rest; storing that as the complete output would be wrong.
         return Err(Rejection::RetryLater {
             retry_after_ms: NOT_ADMITTED_RETRY_MS,
         });
--- a/crates/serving/proxy/src/dispatch.rs
+++ b/crates/serving/proxy/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Sends a request from endpoint to endpoint until one of them has a response for the client. Retries are decided here.
+//! Sends a request from endpoint to endpoint until one of them has a response for the client. Retries after a
+//! failure are decided here, those after silence in [`ActiveRequest::wait_for`].
 //!
 //! It is the only place that sends a request again: each decision takes the classification of the last attempt together
 //! with the record of all earlier ones, as an attempt that has not run says nothing about those before it.
@@ -48,7 +49,7 @@
         drop(body);
         self.record
             .record(&ticket.server.id, classification.execution);
-        if self.takes_resend(classification.execution) {
+        if self.try_count_resend(classification.execution) {
             let connection = ConnectionChoice::New;
             if let Some(response) = self.attempt_at(ticket, in_flight, connection).await? {
                 return Ok(response);
@@ -73,7 +74,7 @@
                 Err(error) => {
                     trace::attempt_failed(&self.parsed, &ticket, error);
                     self.record_error(&ticket.server, error);
-                    if !self.takes_resend(error.execution()) {
+                    if !self.try_count_resend(error.execution()) {
                         in_flight.finish(error.outcome());
                         self.check_may_retry(error.retry())?;
                         return Ok(None);
@@ -102,7 +103,7 @@
                 in_flight.finish(Outcome::Misdirected);
                 self.record.record_departed(&ticket.server.id);
             }
-            ResponseKind::Failure if self.reserves_alternative(&ticket.server, retry) => {
+            ResponseKind::Failure if self.try_reserve_alternative(&ticket.server, retry) => {
                 in_flight.finish(Outcome::Failed);
                 body.return_connection_if_complete(&self.shared);
                 self.record.record(&ticket.server.id, Execution::MayHaveRun);
@@ -128,8 +129,8 @@
         self.record.record(&endpoint.id, error.execution());
     }
 
-    /// Whether the request is sent to the same endpoint again, which is counted.
-    fn takes_resend(&mut self, execution: Execution) -> bool {
+    /// Counts one more send to the same endpoint; false if the request may not be sent there again.
+    fn try_count_resend(&mut self, execution: Execution) -> bool {
         execution == Execution::MayHaveRun
             && self.deadline.remaining_ms() > 0
             && self.record.take_resend()
@@ -144,9 +145,9 @@
         }
     }
 
-    /// Whether another endpoint is tried instead of forwarding a failure of this one. It is chosen at once: where
-    /// there is none, the client gets the failure.
-    fn reserves_alternative(&mut self, endpoint: &Server, rule: RetryRule) -> bool {
+    /// Records that this endpoint has run the request, and reserves another one to be tried instead of forwarding the
+    /// failure; false if there is none or the request may not be sent again: the client gets the failure.
+    fn try_reserve_alternative(&mut self, endpoint: &Server, rule: RetryRule) -> bool {
         self.record.record_run(&endpoint.id);
         self.record.may_retry(rule) && self.has_send_left() && self.reserve_next()
     }
--- a/crates/serving/storage/src/identity.rs
+++ b/crates/serving/storage/src/identity.rs
@@ -1,4 +1,7 @@
 //! Which incarnation of its contents a disk has.
+//!
+//! It is not the incarnation of a process: that one names a run of the process and changes with each restart, while
+//! that of a disk's contents outlasts restarts and changes only when the contents are lost and the file is made anew.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -20,7 +23,7 @@
 pub struct Opened<D, C> {
     /// For reading and writing.
     pub disk: D,
-    /// Which incarnation of the contents it is.
+    /// Which incarnation of the contents it is; not that of the process that opened it.
     pub identity: DiskIdentity,
     /// What was found.
     pub contents: C,
