--- a/crates/serving/load-distribution/src/aggregator.rs
+++ b/crates/serving/load-distribution/src/aggregator.rs
@@ -1,8 +1,8 @@
-//! The load aggregator of one service in one zone: sums what subscribers and other zones' aggregators report, and
-//! updates each with what is new to it.
+//! The load aggregator of one service in one zone. It sums the loads that subscribers and other zones' aggregators
+//! report, and answers each reporter with the loads that are new to it.
 //!
-//! Any gateway that gets reports acts as an aggregator for as long as it has subscribers; that two do so at a time,
-//! while gateways differ about the membership, only splits what each of them knows.
+//! Any gateway that gets reports acts as an aggregator while it has subscribers. While gateways disagree about the
+//! membership, there may be two aggregators, each of which knows only a part of the loads.
 
 use crate::loads::{by_server, to_server_loads, Load, LoadsByServer};
 use crate::membership::Membership;
@@ -11,13 +11,13 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A table becomes stale this long after its reporter was last seen: more than two of its renewals.
+/// Time after which the table of a reporter that was not seen becomes stale; more than two renewal intervals.
 const STALE_AFTER_MS: u64 = 2_500;
-/// Reporters at a time. Bounds memory against names without end.
+/// Maximum number of reporters. Bounds memory against an unlimited number of names.
 const MAX_REPORTERS: usize = 1_024;
-/// Servers that are counted at a time. Bounds memory against ids without end.
+/// Maximum number of servers with a total. Bounds memory against an unlimited number of ids.
 const MAX_SERVERS: usize = 4_096;
-/// Servers that one table may name. Bounds memory.
+/// Maximum number of servers in one table. Bounds memory.
 const MAX_TABLE_LOADS: usize = 1_024;
 
 /// The last table of one reporter.
@@ -30,46 +30,46 @@
 }
 
 impl ReporterState {
-    /// Orders the tables of one reporter.
+    /// Whether this is a newer table of the same reporter.
     fn is_newer_than(&self, other: &ReporterState) -> bool {
         (self.incarnation, self.version) > (other.incarnation, other.version)
     }
 }
 
-/// The sum on one server.
+/// The sum of all reporters' loads on one server.
 #[derive(Debug, Default)]
-struct Total {
+struct ServerTotal {
     load: Load,
-    /// The aggregator's version that changed it last.
-    changed: u64,
+    /// The aggregator's version at the last change of this sum.
+    changed_version: u64,
 }
 
-/// The loads of an update.
+/// The part of an update that lists loads.
 struct UpdateLoads {
-    /// Whether these are all, not only those that have changed.
+    /// Whether all loads are listed, not only those that have changed.
     complete: bool,
     loads: Vec<ServerLoad>,
 }
 
-/// The loads by server, as many as one table may have.
-fn bounded(loads: &[ServerLoad]) -> LoadsByServer {
+/// The loads by server, truncated to the maximum size of a table.
+fn truncated_loads(loads: &[ServerLoad]) -> LoadsByServer {
     by_server(&loads[..loads.len().min(MAX_TABLE_LOADS)])
 }
 
-/// One service's aggregator.
+/// The load aggregator of one service.
 #[derive(Debug)]
 pub(crate) struct Aggregator {
     incarnation: u64,
-    /// Increases with each change.
+    /// Increases with each change of the totals.
     version: u64,
-    /// A reporter that knows an older version gets a complete update.
+    /// The oldest version from which an incremental update is possible.
     min_incremental_version: u64,
     reporters: BTreeMap<Reporter, ReporterState>,
-    totals: BTreeMap<Rc<str>, Total>,
+    totals: BTreeMap<Rc<str>, ServerTotal>,
 }
 
 impl Aggregator {
-    /// An aggregator in this incarnation of the gateway's process.
+    /// Creates an empty aggregator; `incarnation` is that of the gateway's process.
     pub(crate) fn new(incarnation: u64) -> Aggregator {
         Aggregator {
             incarnation,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Takes a report and answers it.
+    /// Handles a report, and returns the update with which to answer it.
     pub(crate) fn handle_report(&mut self, report: &Report, now: Millis) -> Update {
         self.expire(now);
         let wants_table = !self.record_report(report, now);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// What all gateways have together, as far as it is new.
+    /// The total loads of all gateways that have changed since the known version; all loads if that version is too old.
     fn update_for_subscriber(&self, known: KnownVersion) -> UpdateLoads {
         let incremental =
             known.incarnation == self.incarnation && known.version >= self.min_incremental_version;
@@ -109,12 +109,12 @@
         } else {
             UpdateLoads {
                 complete: true,
-                loads: self.all(),
+                loads: self.all_loads(),
             }
         }
     }
 
-    /// What the subscribers have together, complete if it may be new.
+    /// The sum of this zone's subscribers' loads, or no loads if the known version is the current one.
     fn update_for_aggregator(&self, known: KnownVersion) -> UpdateLoads {
         let current = KnownVersion {
             incarnation: self.incarnation,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Takes another zone's aggregator's update as its table.
+    /// Stores the update of another zone's aggregator as its table.
     pub(crate) fn apply_peer_update(&mut self, reporter: Reporter, update: &Update, now: Millis) {
         self.expire(now);
         if !update.complete {
@@ -145,13 +145,13 @@
         let state = ReporterState {
             incarnation: update.incarnation,
             version: update.version,
-            loads: bounded(&update.loads),
+            loads: truncated_loads(&update.loads),
             last_seen_at: now,
         };
-        self.replace(reporter, state);
+        self.replace_table(reporter, state);
     }
 
-    /// What this zone's subscribers have together.
+    /// The sum of this zone's subscribers' loads.
     pub(crate) fn subscriber_loads(&self) -> Vec<ServerLoad> {
         let mut sum = LoadsByServer::new();
         for (reporter, state) in &self.reporters {
@@ -159,48 +159,49 @@
                 continue;
             }
             for (server, load) in &state.loads {
-                let entry = sum.entry(server.clone()).or_default();
-                *entry = entry.plus(*load);
+                let total = sum.entry(server.clone()).or_default();
+                *total = total.plus(*load);
             }
         }
         to_server_loads(&sum)
     }
 
-    /// Whether subscribers have anything in flight.
+    /// Whether any subscriber has reported a load.
     pub(crate) fn has_subscriber_load(&self) -> bool {
         self.reporters.iter().any(|(reporter, state)| {
             matches!(reporter, Reporter::Subscriber { .. }) && !state.loads.is_empty()
         })
     }
 
-    /// Increases with each change, within one incarnation.
+    /// The version of the totals, which increases with each change within one incarnation.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Removes stale tables.
+    /// Removes the tables of reporters that have not reported lately.
     pub(crate) fn expire(&mut self, now: Millis) {
         self.remove_where(|_, state| now.saturating_sub(state.last_seen_at) >= STALE_AFTER_MS);
     }
 
-    /// Removes the tables of gateways that have departed or have a new incarnation.
+    /// Removes the tables of gateways that have departed or that have restarted with a new incarnation.
     pub(crate) fn retain_members(&mut self, membership: &Membership) {
         self.remove_where(|reporter, state| {
-            // An incarnation that is newer than the membership's is one that the membership does not name yet.
+            // A newer incarnation than the membership's is kept: the membership does not list it yet.
             membership
                 .find(reporter.gateway())
                 .is_none_or(|gateway| state.incarnation < gateway.incarnation)
         });
     }
 
-    /// Takes the table of a report, if there is one and it is not an old one. True if the newest table is stored.
+    /// Stores the table of a report, if the report has one that is not outdated. Returns whether the reporter's newest
+    /// table is stored.
     fn record_report(&mut self, report: &Report, now: Millis) -> bool {
         let stored = self.reporters.get_mut(&report.reporter);
         let current = stored.filter(|state| {
             (state.incarnation, state.version) >= (report.incarnation, report.version)
         });
         if let Some(state) = current {
-            // Late and duplicate reports change nothing; those of this incarnation show that the reporter is alive.
+            // Late and duplicate reports change no loads; those of this incarnation show that the reporter is alive.
             if state.incarnation == report.incarnation {
                 state.last_seen_at = now;
             }
@@ -212,15 +213,15 @@
         let state = ReporterState {
             incarnation: report.incarnation,
             version: report.version,
-            loads: bounded(&table.loads),
+            loads: truncated_loads(&table.loads),
             last_seen_at: now,
         };
-        self.replace(report.reporter.clone(), state);
+        self.replace_table(report.reporter.clone(), state);
         true
     }
 
-    /// The one function that replaces a reporter's table.
-    fn replace(&mut self, reporter: Reporter, state: ReporterState) {
+    /// Replaces a reporter's table and updates the totals; no other function stores tables.
+    fn replace_table(&mut self, reporter: Reporter, state: ReporterState) {
         let stored = self.reporters.get(&reporter);
         if stored.is_some_and(|stored| stored.is_newer_than(&state)) {
             return;
@@ -232,14 +233,15 @@
         if !unchanged {
             self.version += 1;
             self.reclaim_capacity(state.loads.len());
-            self.add(&state.loads);
+            self.add_loads(&state.loads);
         }
-        let before = self.reporters.insert(reporter, state);
-        if let Some(before) = before.filter(|_| !unchanged) {
-            self.subtract(&before.loads);
+        let previous = self.reporters.insert(reporter, state);
+        if let Some(previous) = previous.filter(|_| !unchanged) {
+            self.subtract_loads(&previous.loads);
         }
     }
 
+    /// Removes the tables for which `removed` is true, and updates the totals.
     fn remove_where(&mut self, removed: impl Fn(&Reporter, &ReporterState) -> bool) {
         let mut removed_loads = Vec::new();
         self.reporters.retain(|reporter, state| {
@@ -251,31 +253,32 @@
         });
         for loads in removed_loads.iter().filter(|loads| !loads.is_empty()) {
             self.version += 1;
-            self.subtract(loads);
+            self.subtract_loads(loads);
         }
     }
 
-    fn add(&mut self, loads: &LoadsByServer) {
+    fn add_loads(&mut self, loads: &LoadsByServer) {
         for (server, load) in loads {
             if self.totals.len() >= MAX_SERVERS && !self.totals.contains_key(server) {
                 continue;
             }
             let total = self.totals.entry(server.clone()).or_default();
             total.load = total.load.plus(*load);
-            total.changed = self.version;
+            total.changed_version = self.version;
         }
     }
 
-    fn subtract(&mut self, loads: &LoadsByServer) {
+    fn subtract_loads(&mut self, loads: &LoadsByServer) {
         for (server, load) in loads {
             if let Some(total) = self.totals.get_mut(server) {
                 total.load = total.load.minus(*load);
-                total.changed = self.version;
+                total.changed_version = self.version;
             }
         }
     }
 
-    /// Servers without any load are stored while there is capacity, so that incremental updates can name them.
+    /// Removes servers without load if the totals would exceed their maximum. Until then these servers stay stored, so
+    /// that incremental updates can list them.
     fn reclaim_capacity(&mut self, servers: usize) {
         if self.totals.len() + servers > MAX_SERVERS {
             self.totals.retain(|_, total| !total.load.is_zero());
@@ -283,22 +286,24 @@
         }
     }
 
+    /// Loads that have changed since a version, including those that have become zero.
     fn changed_since(&self, version: u64) -> Vec<ServerLoad> {
         let changed = self
             .totals
             .iter()
-            .filter(|(_, total)| total.changed > version);
+            .filter(|(_, total)| total.changed_version > version);
         changed
-            .map(|(server, total)| total.load.on_server(server.clone()))
+            .map(|(server, total)| total.load.to_server_load(server.clone()))
             .collect()
     }
 
-    fn all(&self) -> Vec<ServerLoad> {
+    /// All loads that are not zero.
+    fn all_loads(&self) -> Vec<ServerLoad> {
         let busy = self
             .totals
             .iter()
             .filter(|(_, total)| !total.load.is_zero());
-        busy.map(|(server, total)| total.load.on_server(server.clone()))
+        busy.map(|(server, total)| total.load.to_server_load(server.clone()))
             .collect()
     }
 }
--- a/crates/serving/load-distribution/src/distribution.rs
+++ b/crates/serving/load-distribution/src/distribution.rs
@@ -1,5 +1,5 @@
-//! One gateway's role in the distribution of all services' loads: it reports its own, and sums those of its zone for
-//! the services whose aggregator it is.
+//! One gateway's part in the distribution of all services' loads: it reports its own loads, and sums its zone's loads
+//! for the services of which it is the aggregator.
 
 use crate::aggregator::Aggregator;
 use crate::loads::{by_server, LoadsByServer};
@@ -11,56 +11,56 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A subscriber reports to its aggregator at most this often.
+/// Minimum interval between a subscriber's reports to its aggregator.
 const SUBSCRIBER_INTERVAL_MS: u64 = 250;
-/// Aggregators of one service report to each other at most this often.
+/// Minimum interval between the reports of one aggregator to another one of the same service.
 const AGGREGATOR_INTERVAL_MS: u64 = 500;
-/// Of two aggregators the one whose zone has the higher name waits so much longer, and so mostly gets a report, which
-/// makes its own one unnecessary.
+/// Addition to this interval for the one of two aggregators whose zone has the greater name. It mostly gets the other
+/// one's report first, which makes its own report unnecessary.
 const AGGREGATOR_STAGGER_MS: u64 = 60;
-/// An aggregator publishes its subscribers' sum at most this often.
+/// Minimum interval at which an aggregator publishes the sum of its subscribers' loads.
 const PUBLISH_INTERVAL_MS: u64 = 250;
-/// Faults are believed of this percentage of a service's servers at most.
+/// Maximum percentage of a service's servers for which ejections by other gateways are trusted.
 const MAX_EJECTED_PERCENT: usize = 34;
-/// Services that have a state here. Bounds memory against names without end.
+/// Maximum number of services with state on this gateway. Bounds memory against an unlimited number of names.
 const MAX_SERVICES: usize = 256;
 
-/// This gateway.
+/// The identity of this gateway.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The machine's name.
+    /// The name of the gateway's machine.
     pub name: Rc<str>,
-    /// Its failure domain.
+    /// The failure domain of the machine.
     pub zone: Rc<str>,
-    /// The incarnation of its process.
+    /// The incarnation of the gateway's process.
     pub incarnation: u64,
 }
 
-/// A report for another gateway. Its update goes to [`LoadDistribution::handle_update`]; without one within
-/// [`crate::REPORT_TIMEOUT_MS`], [`LoadDistribution::handle_failure`] is to be called.
+/// A report to be sent to another gateway. The caller passes the update to [`LoadDistribution::handle_update`]. If no
+/// update comes within [`crate::REPORT_TIMEOUT_MS`], the caller calls [`LoadDistribution::handle_failure`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// Identifies the call.
     pub number: u64,
-    /// Where the gateway is reached.
+    /// The address of the other gateway.
     pub address: SocketAddr,
-    /// What is reported.
+    /// The report to send.
     pub report: Report,
 }
 
-/// What the other gateways have on a service's servers; it replaces what was known before.
+/// The total loads of the other gateways on a service's servers. Replaces all earlier loads of the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RemoteLoads {
     /// The service.
     pub service: Rc<str>,
-    /// Servers on which they have nothing are left out.
+    /// Loads by server; servers without load are left out.
     pub loads: Vec<ServerLoad>,
 }
 
 impl RemoteLoads {
-    /// Which of the service's `servers` other gateways have ejected for faults. Where that is reported of many, the
-    /// reporters are more likely at fault, and none is named: against a gateway that is partitioned from servers that
-    /// the others reach.
+    /// Returns the servers that other gateways have ejected for faults; `servers` is the service's number of servers.
+    /// If too many are reported, the result is empty, because the reporters are more likely at fault: a gateway may be
+    /// partitioned from servers that the other gateways reach.
     #[must_use]
     pub fn ejected(&self, servers: usize) -> Vec<Rc<str>> {
         let ejected = self.loads.iter().filter(|load| load.ejected_by > 0);
@@ -73,53 +73,53 @@
     }
 }
 
-/// One service's state on this gateway.
+/// The state of one service on this gateway.
 #[derive(Debug)]
 struct Service {
     subscription: Subscription,
-    /// The table that this gateway sums if it gets reports as the aggregator.
+    /// The aggregator with which this gateway answers reports, if it gets any.
     aggregator: Aggregator,
-    /// What it reports to the aggregators in other zones as an aggregator, by zone.
+    /// The reports of this gateway, as an aggregator, to the aggregators in other zones, by zone.
     peers: BTreeMap<Rc<str>, Subscription>,
-    /// The aggregator's version up to which the sum is published to the peers.
+    /// The aggregator's version whose sum was last published to the peers.
     published_version: u64,
     published_at: Millis,
 }
 
-/// A call whose update is awaited.
+/// A call that awaits its update.
 #[derive(Debug)]
 struct PendingCall {
     service: Rc<str>,
-    /// The other zone whose aggregator was called; none for the own zone's.
+    /// The other zone whose aggregator was called; `None` for this gateway's zone.
     peer_zone: Option<Rc<str>>,
     gateway: Rc<str>,
-    /// The version of the reported table.
+    /// The version of the reporter's table.
     version: u64,
 }
 
-/// One gateway's role in the distribution of all services' loads.
+/// One gateway's part in the distribution of all services' loads.
 #[derive(Debug)]
 pub struct LoadDistribution {
-    own: Identity,
+    identity: Identity,
     membership: Membership,
     services: BTreeMap<Rc<str>, Service>,
     calls: BTreeMap<u64, PendingCall>,
-    last_number: u64,
-    last_version: u64,
+    last_call_number: u64,
+    last_table_version: u64,
     remote_loads: Vec<RemoteLoads>,
 }
 
 impl LoadDistribution {
-    /// A gateway that knows of no other.
+    /// Creates the state of a gateway that knows no other gateways.
     #[must_use]
-    pub fn new(own: Identity) -> LoadDistribution {
+    pub fn new(identity: Identity) -> LoadDistribution {
         LoadDistribution {
-            own,
+            identity,
             membership: Membership::default(),
             services: BTreeMap::new(),
             calls: BTreeMap::new(),
-            last_number: 0,
-            last_version: 0,
+            last_call_number: 0,
+            last_table_version: 0,
             remote_loads: Vec::new(),
         }
     }
@@ -130,7 +130,7 @@
         &self.membership
     }
 
-    /// Replaces the membership.
+    /// Replaces the gateways that are present.
     pub fn set_gateways(&mut self, gateways: Vec<Gateway>) {
         self.membership = Membership::new(gateways);
         let zones = self.membership.zones();
@@ -144,24 +144,24 @@
         }
     }
 
-    /// Replaces what this gateway has in flight on the servers of a service.
+    /// Replaces this gateway's loads on the servers of a service.
     pub fn set_own_loads(&mut self, service: &Rc<str>, loads: &[ServerLoad], now: Millis) {
         let loads = by_server(loads);
-        let unknown = !self.services.contains_key(service);
-        if unknown && loads.is_empty() {
+        let is_new = !self.services.contains_key(service);
+        if is_new && loads.is_empty() {
             return;
         }
-        self.last_version += 1;
-        let version = self.last_version;
-        let Some(service) = self.service(service) else {
+        self.last_table_version += 1;
+        let version = self.last_table_version;
+        let Some(service) = self.service_mut(service) else {
             return;
         };
         if *service.subscription.loads() != loads {
-            service.subscription.set(loads, version, now);
+            service.subscription.set_loads(loads, version, now);
         }
     }
 
-    /// Services on whose servers this gateway has anything in flight.
+    /// Services on whose servers this gateway has any load.
     #[must_use]
     pub fn busy_services(&self) -> Vec<Rc<str>> {
         let busy = self
@@ -171,11 +171,11 @@
         busy.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Takes another gateway's report and answers it.
-    #[must_use = "the update is to be sent to the reporter"]
+    /// Handles another gateway's report, and returns the update with which to answer it.
+    #[must_use = "the update must be sent to the reporter"]
     pub fn handle_report(&mut self, report: &Report, now: Millis) -> Update {
-        let incarnation = self.own.incarnation;
-        let Some(service) = self.service(&report.service) else {
+        let incarnation = self.identity.incarnation;
+        let Some(service) = self.service_mut(&report.service) else {
             return Update {
                 incarnation,
                 version: 0,
@@ -186,13 +186,19 @@
         };
         let update = service.aggregator.handle_report(report, now);
         if let Reporter::Aggregator { zone, gateway } = &report.reporter {
-            self.peer_updated(&report.service, zone, gateway, now);
+            self.acknowledge_peer(&report.service, zone, gateway, now);
         }
         update
     }
 
-    /// An aggregator of another zone got an update, and so knows what this zone's subscribers have.
-    fn peer_updated(&mut self, service: &Rc<str>, zone: &Rc<str>, gateway: &Rc<str>, now: Millis) {
+    /// Records that an aggregator of another zone gets an update, which has the sum of this zone's loads.
+    fn acknowledge_peer(
+        &mut self,
+        service: &Rc<str>,
+        zone: &Rc<str>,
+        gateway: &Rc<str>,
+        now: Millis,
+    ) {
         self.publish_sum(service, now);
         let service = self.services.get_mut(service);
         if let Some(peer) = service.and_then(|service| service.peers.get_mut(zone)) {
@@ -200,7 +206,7 @@
         }
     }
 
-    /// The next call that is to be made now.
+    /// Returns the next call that is due, if there is one.
     #[must_use = "a call is pending until its update or its failure is handled"]
     pub fn poll(&mut self, now: Millis) -> Option<Call> {
         let names: Vec<Rc<str>> = self.services.keys().cloned().collect();
@@ -209,7 +215,7 @@
             .find_map(|name| self.poll_service(&name, now))
     }
 
-    /// Takes the update of a call.
+    /// Handles the update that answers a call.
     pub fn handle_update(&mut self, number: u64, update: &Update, now: Millis) {
         let Some(call) = self.calls.remove(&number) else {
             return;
@@ -240,7 +246,7 @@
         }
     }
 
-    /// A call got no update.
+    /// Handles a call that got no update in time.
     pub fn handle_failure(&mut self, number: u64, now: Millis) {
         let Some(call) = self.calls.remove(&number) else {
             return;
@@ -258,18 +264,19 @@
         }
     }
 
-    /// When [`LoadDistribution::poll`] is to be called again at the latest.
+    /// The time at which [`LoadDistribution::poll`] must be called next; `None` if no call is planned.
     #[must_use]
     pub fn next_due(&self) -> Option<Millis> {
         self.services.values().filter_map(Service::next_due).min()
     }
 
-    /// Takes what is new of the other gateways' loads.
-    #[must_use = "what is taken is not returned again"]
+    /// Takes the new loads of the other gateways.
+    #[must_use = "the loads are not returned again"]
     pub fn take_remote_loads(&mut self) -> Vec<RemoteLoads> {
         std::mem::take(&mut self.remote_loads)
     }
 
+    /// Returns the next call of one service that is due.
     fn poll_service(&mut self, name: &Rc<str>, now: Millis) -> Option<Call> {
         if let Some(call) = self.poll_subscription(name, None, now) {
             return Some(call);
@@ -285,21 +292,23 @@
             .find_map(|zone| self.poll_subscription(name, Some(zone), now))
     }
 
+    /// Returns the next call of one subscription: this gateway's own, or its own as an aggregator to `peer_zone`.
+    /// Reports of this gateway to itself are handled at once, without a call.
     fn poll_subscription(
         &mut self,
         name: &Rc<str>,
         peer_zone: Option<Rc<str>>,
         now: Millis,
     ) -> Option<Call> {
-        let number = self.last_number + 1;
+        let number = self.last_call_number + 1;
         let service = self.services.get_mut(name)?;
         let subscription = match &peer_zone {
             None => &mut service.subscription,
             Some(zone) => service.peers.get_mut(zone)?,
         };
         let OutgoingReport { to, report } = subscription.poll(number, &self.membership, now)?;
-        self.last_number = number;
-        let is_own = to.name == self.own.name;
+        self.last_call_number = number;
+        let is_self = to.name == self.identity.name;
         let call = PendingCall {
             service: name.clone(),
             peer_zone,
@@ -307,7 +316,7 @@
             version: report.version,
         };
         self.calls.insert(number, call);
-        if is_own {
+        if is_self {
             let update = self.handle_report(&report, now);
             self.handle_update(number, &update, now);
             return None;
@@ -319,7 +328,7 @@
         })
     }
 
-    /// As an aggregator: what this zone's subscribers have together is to be reported to the other zones' aggregators.
+    /// Publishes the sum of this zone's loads to the subscriptions that report to the other zones' aggregators.
     fn publish_sum(&mut self, name: &Rc<str>, now: Millis) {
         let Some(service) = self.services.get_mut(name) else {
             return;
@@ -331,29 +340,30 @@
         }
         let sum: LoadsByServer = by_server(&service.aggregator.subscriber_loads());
         let zones = self.membership.zones();
-        for zone in zones.into_iter().filter(|zone| *zone != self.own.zone) {
-            let settings = peer_settings(&self.own, name, &zone);
+        for zone in zones.into_iter().filter(|zone| *zone != self.identity.zone) {
+            let settings = peer_settings(&self.identity, name, &zone);
             let peer = service
                 .peers
                 .entry(zone)
                 .or_insert_with(|| Subscription::new(settings));
             if *peer.loads() != sum {
-                peer.set(sum.clone(), service.published_version, now);
+                peer.set_loads(sum.clone(), service.published_version, now);
             }
         }
     }
 
-    fn service(&mut self, name: &Rc<str>) -> Option<&mut Service> {
+    /// Returns the state of a service, which is created if it is new; `None` if there are too many services.
+    fn service_mut(&mut self, name: &Rc<str>) -> Option<&mut Service> {
         if self.services.len() >= MAX_SERVICES && !self.services.contains_key(name) {
             return None;
         }
-        let own = &self.own;
+        let identity = &self.identity;
         let service = self
             .services
             .entry(name.clone())
             .or_insert_with(|| Service {
-                subscription: Subscription::new(subscriber_settings(own, name)),
-                aggregator: Aggregator::new(own.incarnation),
+                subscription: Subscription::new(subscriber_settings(identity, name)),
+                aggregator: Aggregator::new(identity.incarnation),
                 peers: BTreeMap::new(),
                 published_version: 0,
                 published_at: 0,
@@ -363,7 +373,7 @@
 }
 
 impl Service {
-    /// When this gateway has something to do for the service.
+    /// The time of the next report or publication of this service.
     fn next_due(&self) -> Option<Millis> {
         let peers = self.peers.values().filter_map(Subscription::next_due);
         self.subscription
@@ -374,27 +384,29 @@
             .min()
     }
 
-    /// When a changed sum is to be published to the peers.
+    /// The time at which a changed sum is published to the peers; `None` if the sum has not changed.
     fn publish_due(&self) -> Option<Millis> {
         let changed = self.aggregator.version() != self.published_version;
         changed.then_some(self.published_at + PUBLISH_INTERVAL_MS)
     }
 }
 
-fn subscriber_settings(own: &Identity, service: &Rc<str>) -> SubscriptionSettings {
+/// Settings of this gateway's subscription to its zone's aggregator.
+fn subscriber_settings(identity: &Identity, service: &Rc<str>) -> SubscriptionSettings {
     SubscriptionSettings {
         service: service.clone(),
-        zone: own.zone.clone(),
+        zone: identity.zone.clone(),
         reporter: Reporter::Subscriber {
-            gateway: own.name.clone(),
+            gateway: identity.name.clone(),
         },
-        incarnation: own.incarnation,
+        incarnation: identity.incarnation,
         min_interval_ms: SUBSCRIBER_INTERVAL_MS,
     }
 }
 
-fn peer_settings(own: &Identity, service: &Rc<str>, zone: &Rc<str>) -> SubscriptionSettings {
-    let stagger_ms = if own.zone > *zone {
+/// Settings of the reports of this gateway, as an aggregator, to the aggregator in another zone.
+fn peer_settings(identity: &Identity, service: &Rc<str>, zone: &Rc<str>) -> SubscriptionSettings {
+    let stagger_ms = if identity.zone > *zone {
         AGGREGATOR_STAGGER_MS
     } else {
         0
@@ -403,10 +415,10 @@
         service: service.clone(),
         zone: zone.clone(),
         reporter: Reporter::Aggregator {
-            zone: own.zone.clone(),
-            gateway: own.name.clone(),
+            zone: identity.zone.clone(),
+            gateway: identity.name.clone(),
         },
-        incarnation: own.incarnation,
+        incarnation: identity.incarnation,
         min_interval_ms: AGGREGATOR_INTERVAL_MS + stagger_ms,
     }
 }
--- a/crates/serving/load-distribution/src/lib.rs
+++ b/crates/serving/load-distribution/src/lib.rs
@@ -1,22 +1,21 @@
-//! Load reports between gateways: what each gateway has in flight on a service's servers, and which of them it has
-//! ejected for faults.
+//! Load reports between gateways: each gateway's load on a service's servers, and the servers that it has ejected for
+//! faults.
 //!
-//! Each service has a load aggregator in each zone: the gateway that rendezvous hashing names among those present. The
-//! zone's gateways subscribe to it: they report what they have in flight, and each report is answered by an update of
-//! what all gateways have together, as far as it has changed. The aggregators of one service report their zones' sums
-//! to each other. Nothing of this is agreed on or durable; an aggregator that departs loses a table that its
-//! subscribers fill again.
+//! Each service has a load aggregator in each zone: a gateway selected by rendezvous hashing of the gateways present.
+//! The zone's gateways subscribe to it: they report their loads, and the aggregator answers each report with an update
+//! of the changed totals of all gateways. The aggregators of one service report their zones' sums to each other. No
+//! state is durable or agreed on by consensus: if an aggregator departs, its subscribers fill the next one's table.
 //!
-//! - [`membership`]: the gateways that are present, and which is the aggregator of a service in a zone;
-//! - [`message`]: what gateways send each other;
-//! - `failover`: which gateway gets reports while an aggregator is unresponsive;
-//! - `subscription`: the side that reports;
-//! - `aggregator`: the side that sums and updates;
+//! - [`membership`]: the gateways that are present, and the aggregator of a service in a zone;
+//! - [`message`]: the messages between gateways;
+//! - `failover`: the gateway that gets reports while an aggregator is unresponsive;
+//! - `subscription`: the sender of reports;
+//! - `aggregator`: the receiver of reports, which sums the loads and answers with updates;
 //! - `loads`: sums of loads by server;
-//! - [`distribution`]: one gateway's role on both sides.
+//! - [`distribution`]: one gateway's subscriptions and aggregators for all services.
 //!
-//! There is no I/O and no clock: the caller brings steady time in milliseconds, and carries [`Call`]s to other
-//! gateways and their updates back.
+//! The crate does no I/O and reads no clock: the caller passes the time in milliseconds of a steady clock, sends each
+//! [`Call`] to the other gateway, and passes its update back.
 
 mod aggregator;
 pub mod distribution;
@@ -33,5 +32,5 @@
 /// Milliseconds of a steady clock.
 pub type Millis = u64;
 
-/// A call without an update for longer has failed.
+/// Time in milliseconds after which a call without an update has failed.
 pub const REPORT_TIMEOUT_MS: u64 = 400;
--- a/crates/serving/load-distribution/src/loads.rs
+++ b/crates/serving/load-distribution/src/loads.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What is on one server; sums saturate.
+/// The load on one server. Addition and subtraction saturate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
     pub(crate) in_flight: u32,
@@ -33,8 +33,8 @@
         }
     }
 
-    /// The load in a message about a server.
-    pub(crate) fn on_server(self, server: Rc<str>) -> ServerLoad {
+    /// Converts the load to the message type, for the given server.
+    pub(crate) fn to_server_load(self, server: Rc<str>) -> ServerLoad {
         ServerLoad {
             server,
             in_flight: self.in_flight,
@@ -54,10 +54,10 @@
     }
 }
 
-/// Loads by server.
+/// A map from server id to load.
 pub(crate) type LoadsByServer = BTreeMap<Rc<str>, Load>;
 
-/// The loads by server. Of two that name one server the last one counts.
+/// Converts a message's loads to a map by server. The last of several loads of one server counts.
 pub(crate) fn by_server(loads: &[ServerLoad]) -> LoadsByServer {
     loads
         .iter()
@@ -65,9 +65,9 @@
         .collect()
 }
 
-/// The loads in a message: servers without any are left out.
+/// Converts loads to the message type; servers without load are left out.
 pub(crate) fn to_server_loads(loads: &LoadsByServer) -> Vec<ServerLoad> {
     let busy = loads.iter().filter(|(_, load)| !load.is_zero());
-    busy.map(|(server, load)| load.on_server(server.clone()))
+    busy.map(|(server, load)| load.to_server_load(server.clone()))
         .collect()
 }
--- a/crates/serving/load-distribution/src/membership.rs
+++ b/crates/serving/load-distribution/src/membership.rs
@@ -1,23 +1,23 @@
-//! The gateways that are present, and which of them is the load aggregator of a service in a zone.
+//! The gateways that are present, and the load aggregator of each service in each zone.
 //!
-//! Aggregators are found by rendezvous (highest-random-weight) hashing of the gateways present: all who know the same
-//! membership find the same aggregator without communication, and a gateway that joins or departs moves only its own
-//! services.
+//! Rendezvous (highest-random-weight) hashing of the gateways present selects the aggregators. Gateways with the same
+//! membership select the same aggregator without communication, and only the services of a gateway that joins or
+//! departs move.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// One gateway that is present.
+/// A gateway that is present.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gateway {
-    /// The machine's name.
+    /// The name of the gateway's machine.
     pub name: Rc<str>,
-    /// Its failure domain.
+    /// The gateway's failure domain.
     pub zone: Rc<str>,
-    /// Where the other gateways reach it.
+    /// The address at which other gateways reach this one.
     pub address: SocketAddr,
-    /// Increases with each start of its process.
+    /// Increases with each start of the gateway's process.
     pub incarnation: u64,
 }
 
@@ -28,13 +28,13 @@
 }
 
 impl Membership {
-    /// A membership of these gateways.
+    /// Creates a membership of these gateways.
     #[must_use]
     pub fn new(gateways: Vec<Gateway>) -> Membership {
         Membership { gateways }
     }
 
-    /// The gateway of that name.
+    /// The gateway with this name, if it is present.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<&Gateway> {
         self.gateways.iter().find(|gateway| *gateway.name == *name)
@@ -49,7 +49,7 @@
             .max_by_key(|gateway| rank(key, gateway))
     }
 
-    /// The load aggregator and its successors, in this order.
+    /// The load aggregator of a service in a zone, followed by its successors in order.
     #[must_use]
     pub fn ranked(&self, service: &str, zone: &str) -> Vec<&Gateway> {
         let key = key(service, zone);
@@ -58,7 +58,7 @@
         ranked
     }
 
-    /// Zones with gateways, in the order of their names.
+    /// The zones that have gateways, sorted by name.
     #[must_use]
     pub fn zones(&self) -> Vec<Rc<str>> {
         let mut zones: Vec<Rc<str>> = self
@@ -71,7 +71,7 @@
         zones
     }
 
-    /// The zone's gateways, or all of them for a zone without any.
+    /// The gateways of a zone, or all gateways if the zone has none.
     fn candidates(&self, zone: &str) -> Vec<&Gateway> {
         let local: Vec<&Gateway> = self
             .gateways
@@ -86,12 +86,12 @@
     }
 }
 
-/// A service in a zone, as one number.
+/// The rendezvous key of a service in a zone.
 fn key(service: &str, zone: &str) -> u64 {
     xxh3_64_with_seed(service.as_bytes(), xxh3_64_with_seed(zone.as_bytes(), 0))
 }
 
-/// The gateway's weight for a key; the name decides between equal ones.
+/// The rank of a gateway for a key: its weight, and its name to break ties.
 fn rank(key: u64, gateway: &Gateway) -> (u64, &str) {
     (
         xxh3_64_with_seed(gateway.name.as_bytes(), key),
--- a/crates/serving/load-distribution/src/message.rs
+++ b/crates/serving/load-distribution/src/message.rs
@@ -1,51 +1,51 @@
-//! What gateways send each other about a service.
+//! The messages between gateways about one service.
 //!
-//! The messages travel as postcard, which goes by the position of a field and the order of variants: both stay.
+//! They are encoded as postcard, which depends on the order of fields and variants, so this order must not change.
 
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// What one gateway, or a zone's gateways together, have on one server.
+/// The load of one gateway, or of several gateways together, on one server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoad {
     /// The server's id.
     pub server: Rc<str>,
-    /// Requests in flight there.
+    /// Requests in flight on the server.
     pub in_flight: u32,
-    /// Prompt tokens that it has yet to prefill.
+    /// Prompt tokens that the server still has to prefill.
     pub prefill_tokens: u64,
-    /// How many gateways have ejected the server for faults.
+    /// Number of gateways that have ejected the server for faults.
     pub ejected_by: u32,
 }
 
-/// All loads of a reporter; a later table replaces it.
+/// All loads of a reporter; a later table replaces an earlier one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadTable {
-    /// Increases with each table in one incarnation of the reporter.
+    /// Increases with each table within one incarnation of the reporter.
     pub version: u64,
-    /// Servers without any load are left out.
+    /// Loads by server; servers without load are left out.
     pub loads: Vec<ServerLoad>,
 }
 
 /// The sender of a report.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Reporter {
-    /// A gateway of the zone, for itself.
+    /// A gateway of the aggregator's zone, which reports its own loads.
     Subscriber {
-        /// The machine's name.
+        /// The name of the gateway's machine.
         gateway: Rc<str>,
     },
-    /// The aggregator in another zone, for its subscribers.
+    /// The aggregator of another zone, which reports the sum of its subscribers' loads.
     Aggregator {
-        /// Its zone.
+        /// The zone of the reporting aggregator.
         zone: Rc<str>,
-        /// The machine's name: more than one may take itself for the aggregator.
+        /// The name of the aggregator's machine; several machines may act as aggregator of one zone.
         gateway: Rc<str>,
     },
 }
 
 impl Reporter {
-    /// The machine that reports.
+    /// The name of the machine that reports.
     #[must_use]
     pub fn gateway(&self) -> &Rc<str> {
         match self {
@@ -54,44 +54,44 @@
     }
 }
 
-/// Up to where the reporter knows the aggregator's table.
+/// The version of the aggregator's table that the reporter knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownVersion {
-    /// The incarnation of the aggregator whose table it is; 0 for none.
+    /// The incarnation of the aggregator; 0 if the reporter knows no table.
     pub incarnation: u64,
-    /// Its version.
+    /// The version of the table.
     pub version: u64,
 }
 
-/// Tells an aggregator what the reporter has, and requests what is new there.
+/// Reports the sender's loads to an aggregator, and requests the loads that are new there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The service.
+    /// The service whose loads are reported.
     pub service: Rc<str>,
-    /// The sender.
+    /// The sender of the report.
     pub reporter: Reporter,
     /// The incarnation of the sender's process.
     pub incarnation: u64,
-    /// The version of its newest table.
+    /// The version of the sender's newest table.
     pub version: u64,
-    /// That table, unless this aggregator has acknowledged it.
+    /// The sender's newest table, unless this aggregator has acknowledged it.
     pub table: Option<LoadTable>,
-    /// What the sender knows of this aggregator.
+    /// The version of this aggregator's table that the sender knows.
     pub known: KnownVersion,
 }
 
 /// An aggregator's answer to a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The incarnation of its process.
+    /// The incarnation of the aggregator's process.
     pub incarnation: u64,
-    /// The version up to which the loads go.
+    /// The version of the aggregator's table with these loads.
     pub version: u64,
-    /// The loads replace all that the reporter knows; else only those of the servers that they name.
+    /// Whether `loads` replaces all loads that the reporter knows, not only those of the listed servers.
     pub complete: bool,
-    /// To a subscriber: what all gateways have together, its own included. To another zone's aggregator: what this
-    /// zone's subscribers have together.
+    /// For a subscriber, the total loads of all gateways, including its own. For another zone's aggregator, the sum of
+    /// the loads of this zone's subscribers.
     pub loads: Vec<ServerLoad>,
-    /// The newest table is not stored here: it has to be reported.
+    /// Whether the reporter must send its newest table, because this aggregator has not stored it.
     pub wants_table: bool,
 }
--- a/crates/serving/load-distribution/src/subscription.rs
+++ b/crates/serving/load-distribution/src/subscription.rs
@@ -1,6 +1,6 @@
-//! The side that reports to an aggregator, and gets what is new there.
+//! A subscription to a load aggregator: sends reports to it, and stores the loads of its updates.
 //!
-//! There are no reports while there is nothing to report: a gateway with nothing in flight needs no loads of others.
+//! No reports are sent while the reporter has no load, because it then needs no loads of other gateways.
 
 use crate::failover::Failover;
 use crate::loads::{by_server, to_server_loads, LoadsByServer};
@@ -9,29 +9,32 @@
 use crate::Millis;
 use std::rc::Rc;
 
-/// What has not changed is reported again after this time, so that it goes on counting.
+/// Time after which an unchanged load is reported again, so that it does not become stale at the aggregator.
 const RENEWAL_INTERVAL_MS: u64 = 1_000;
 
-/// What a subscription reports on, as whom, to which zone, and how often at most.
+/// The service, reporter, destination and minimum report interval of a subscription.
 #[derive(Clone, Debug)]
 pub(crate) struct SubscriptionSettings {
+    /// The service whose loads are reported.
     pub(crate) service: Rc<str>,
     /// The zone whose aggregator gets the reports.
     pub(crate) zone: Rc<str>,
+    /// The sender of the reports.
     pub(crate) reporter: Reporter,
     /// The incarnation of the reporter's process.
     pub(crate) incarnation: u64,
+    /// Minimum interval between two reports.
     pub(crate) min_interval_ms: u64,
 }
 
-/// What a subscription waits for.
+/// The event that a subscription waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// Something to report.
+    /// A load to report.
     Idle,
     /// The time of the next report.
     Due { at: Millis },
-    /// An update.
+    /// The update that answers the report with this number.
     AwaitingUpdate {
         number: u64,
         aggregator: Rc<str>,
@@ -39,21 +42,21 @@
     },
 }
 
-/// A version that was exchanged with one aggregator.
+/// A version, and the aggregator with which it was exchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct AtAggregator<T> {
+struct AggregatorVersion<T> {
     aggregator: Option<Rc<str>>,
     version: T,
 }
 
-/// A report for a gateway.
+/// A report with the gateway to which it is sent.
 #[derive(Debug)]
 pub(crate) struct OutgoingReport {
     pub(crate) to: Gateway,
     pub(crate) report: Report,
 }
 
-/// One subscription.
+/// The subscription of one reporter to the aggregator of one service in one zone.
 #[derive(Debug)]
 pub(crate) struct Subscription {
     settings: SubscriptionSettings,
@@ -62,13 +65,13 @@
     reported_at: Option<Millis>,
     version: u64,
     loads: LoadsByServer,
-    /// The version of the newest table that an aggregator has acknowledged.
-    acknowledged: AtAggregator<u64>,
+    /// The version of the newest table that an aggregator has acknowledged, and this aggregator.
+    acknowledged: AggregatorVersion<u64>,
     /// The loads of the last report.
     reported_loads: LoadsByServer,
-    /// Up to where the aggregator's table is known.
-    known: AtAggregator<KnownVersion>,
-    /// The aggregator's table.
+    /// The version of the aggregator's table that is stored in `totals`, and this aggregator.
+    known: AggregatorVersion<KnownVersion>,
+    /// The total loads from the aggregator's updates.
     totals: LoadsByServer,
 }
 
@@ -81,31 +84,31 @@
             reported_at: None,
             version: 0,
             loads: LoadsByServer::new(),
-            acknowledged: AtAggregator::default(),
+            acknowledged: AggregatorVersion::default(),
             reported_loads: LoadsByServer::new(),
-            known: AtAggregator::default(),
+            known: AggregatorVersion::default(),
             totals: LoadsByServer::new(),
         }
     }
 
-    /// The reporter has these loads now; `version` increases with each change.
-    pub(crate) fn set(&mut self, loads: LoadsByServer, version: u64, now: Millis) {
+    /// Replaces the reporter's loads; `version` increases with each change.
+    pub(crate) fn set_loads(&mut self, loads: LoadsByServer, version: u64, now: Millis) {
         self.loads = loads;
         self.version = version;
         self.reschedule(now);
     }
 
-    /// What the reporter has.
+    /// The reporter's loads.
     pub(crate) fn loads(&self) -> &LoadsByServer {
         &self.loads
     }
 
-    /// Whether the reporter has nothing.
+    /// Whether the reporter has no load.
     pub(crate) fn is_empty(&self) -> bool {
         self.loads.is_empty()
     }
 
-    /// When the next report is due; none while an update is awaited, as that ends by itself.
+    /// The time of the next report; `None` while the subscription is idle or awaits an update.
     pub(crate) fn next_due(&self) -> Option<Millis> {
         match self.state {
             State::Due { at } => Some(at),
@@ -113,7 +116,7 @@
         }
     }
 
-    /// The next report, if it is due; `number` identifies it until its update comes or it has failed.
+    /// Returns the next report if it is due. `number` identifies the report until its update or its failure is handled.
     pub(crate) fn poll(
         &mut self,
         number: u64,
@@ -128,18 +131,18 @@
         let Some(aggregator) = self.failover.choose(&ranked, now) else {
             let retry_at = self.failover.next_retry(&ranked);
             let at = retry_at.unwrap_or(now + RENEWAL_INTERVAL_MS);
-            self.enter(State::Due {
+            self.set_state(State::Due {
                 at: at.max(now + 1),
             });
             return None;
         };
         let outgoing = OutgoingReport {
             to: aggregator.clone(),
-            report: self.report(&aggregator.name),
+            report: self.build_report(&aggregator.name),
         };
         self.reported_at = Some(now);
         self.reported_loads.clone_from(&self.loads);
-        self.enter(State::AwaitingUpdate {
+        self.set_state(State::AwaitingUpdate {
             number,
             aggregator: aggregator.name.clone(),
             aggregator_incarnation: aggregator.incarnation,
@@ -147,8 +150,8 @@
         Some(outgoing)
     }
 
-    /// Takes the update for the report of this number, which had the table of `reported_version`. False for a late one,
-    /// which is ignored.
+    /// Handles the update that answers report `number`, which had the table of `reported_version`. Returns false for an
+    /// update that is not awaited, which is ignored.
     #[must_use]
     pub(crate) fn handle_update(
         &mut self,
@@ -159,21 +162,21 @@
     ) -> bool {
         let aggregator = match &self.state {
             State::AwaitingUpdate {
-                number: awaited,
+                number: awaited_number,
                 aggregator,
                 ..
-            } if *awaited == number => aggregator.clone(),
+            } if *awaited_number == number => aggregator.clone(),
             _ => return false,
         };
         self.acknowledged = if update.wants_table {
-            AtAggregator::default()
+            AggregatorVersion::default()
         } else {
-            AtAggregator {
+            AggregatorVersion {
                 aggregator: Some(aggregator.clone()),
                 version: reported_version,
             }
         };
-        self.known = AtAggregator {
+        self.known = AggregatorVersion {
             aggregator: Some(aggregator),
             version: KnownVersion {
                 incarnation: update.incarnation,
@@ -190,44 +193,44 @@
         if update.wants_table {
             self.reported_at = None;
         }
-        self.enter(State::Idle);
+        self.set_state(State::Idle);
         self.reschedule(now);
         true
     }
 
-    /// The report of this number got no update: the next gateway gets one, at once.
+    /// Handles the failure of report `number`: the next gateway in order gets a report at once.
     pub(crate) fn handle_failure(&mut self, number: u64, now: Millis) {
         let State::AwaitingUpdate {
-            number: awaited,
+            number: awaited_number,
             aggregator,
             aggregator_incarnation,
         } = self.state.clone()
         else {
             return;
         };
-        if awaited != number {
+        if awaited_number != number {
             return;
         }
         self.failover
             .record_failure(&aggregator, aggregator_incarnation, now);
-        self.acknowledged = AtAggregator::default();
+        self.acknowledged = AggregatorVersion::default();
         self.reported_at = None;
-        self.enter(State::Idle);
+        self.set_state(State::Idle);
         self.reschedule(now);
     }
 
-    /// The other side's aggregator has reported to this gateway, and its update had what the reporter has: there is no
-    /// need to report the same.
+    /// Records that an aggregator has reported to this gateway. Its update has the reporter's loads, so they need not
+    /// be reported to it.
     pub(crate) fn acknowledge(&mut self, aggregator: &Rc<str>, now: Millis) {
-        let at_another = self
+        let acknowledged_by_another = self
             .acknowledged
             .aggregator
             .as_ref()
             .is_some_and(|acknowledged| acknowledged != aggregator);
-        if at_another || matches!(self.state, State::AwaitingUpdate { .. }) {
+        if acknowledged_by_another || matches!(self.state, State::AwaitingUpdate { .. }) {
             return;
         }
-        self.acknowledged = AtAggregator {
+        self.acknowledged = AggregatorVersion {
             aggregator: Some(aggregator.clone()),
             version: self.version,
         };
@@ -235,12 +238,12 @@
         self.reschedule(now);
     }
 
-    /// The membership has changed.
+    /// Applies a new membership.
     pub(crate) fn retain_members(&mut self, membership: &Membership) {
         self.failover.retain_members(membership);
     }
 
-    /// The aggregator's table without the reporter's own loads.
+    /// The total loads without the reporter's own loads.
     pub(crate) fn remote_loads(&self) -> Vec<ServerLoad> {
         let mut remote = self.totals.clone();
         for (server, own) in &self.reported_loads {
@@ -251,8 +254,9 @@
         to_server_loads(&remote)
     }
 
-    fn report(&self, aggregator: &Rc<str>) -> Report {
-        let current = AtAggregator {
+    /// Builds a report, with a table unless this aggregator has acknowledged it.
+    fn build_report(&self, aggregator: &Rc<str>) -> Report {
+        let current = AggregatorVersion {
             aggregator: Some(aggregator.clone()),
             version: self.version,
         };
@@ -275,34 +279,34 @@
         }
     }
 
-    /// Whether there is something that no aggregator has acknowledged.
-    fn has_unacknowledged(&self) -> bool {
+    /// Whether the current loads have not been acknowledged by an aggregator.
+    fn has_unacknowledged_loads(&self) -> bool {
         match self.acknowledged.aggregator {
             Some(_) => self.acknowledged.version != self.version,
             None => !self.loads.is_empty(),
         }
     }
 
-    /// Finds the time of the next report while no update is awaited.
+    /// Sets the time of the next report, unless an update is awaited.
     fn reschedule(&mut self, now: Millis) {
         if matches!(self.state, State::AwaitingUpdate { .. }) {
             return;
         }
-        let interval_ms = if self.has_unacknowledged() {
+        let interval_ms = if self.has_unacknowledged_loads() {
             self.settings.min_interval_ms
         } else if !self.loads.is_empty() {
             RENEWAL_INTERVAL_MS
         } else {
-            return self.enter(State::Idle);
+            return self.set_state(State::Idle);
         };
         let at = self
             .reported_at
             .map_or(now, |reported_at| reported_at + interval_ms);
-        self.enter(State::Due { at });
+        self.set_state(State::Due { at });
     }
 
-    /// The one function that changes the state.
-    fn enter(&mut self, state: State) {
+    /// Changes the state; nothing else does.
+    fn set_state(&mut self, state: State) {
         self.state = state;
     }
 }
--- a/crates/serving/load-distribution/tests/common/mod.rs
+++ b/crates/serving/load-distribution/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A simulated network of gateways: carries their calls, loses, duplicates and delays some, and knows the truth.
-// Each test file is a crate of its own and uses some of these.
+//! A simulated cluster of gateways. Its network delivers their messages, may lose, duplicate and delay them, and the
+//! actual loads are known for comparison.
+// Each test file is a separate crate that uses only some of these.
 #![allow(dead_code)]
 
 use dunespur_load_distribution::{
@@ -14,7 +15,7 @@
 /// Latency of a message.
 const LATENCY_MS: u64 = 2;
 
-/// A load on a server that no gateway has ejected.
+/// Creates a load on a server that no gateway has ejected.
 pub fn load(server: &str, in_flight: u32) -> ServerLoad {
     let prefill_tokens = u64::from(in_flight) * 100;
     ServerLoad {
@@ -25,7 +26,7 @@
     }
 }
 
-/// A gateway `name` in `zone`, whose address ends in `number`.
+/// Creates a gateway whose address ends in `number`.
 pub fn gateway(name: &str, zone: &str, number: u8, incarnation: u64) -> Gateway {
     let address = SocketAddr::from(([10, 0, 0, number], 7_000));
     Gateway {
@@ -36,7 +37,7 @@
     }
 }
 
-/// A message in flight.
+/// A message in flight, or the timeout of a call.
 #[derive(Clone, Debug)]
 enum Message {
     Report {
@@ -56,38 +57,38 @@
     },
 }
 
-/// What the network does to messages.
+/// The faults of the simulated network.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkFaults {
     /// Percentage of messages that are lost.
     pub lost: u32,
-    /// Percentage that arrive twice.
+    /// Percentage of messages that arrive twice.
     pub duplicated: u32,
-    /// Percentage that are delayed by up to two seconds.
+    /// Percentage of messages that are delayed by up to two seconds.
     pub delayed: u32,
 }
 
-/// One gateway.
+/// One simulated gateway.
 pub struct Node {
     pub identity: Identity,
     pub distribution: LoadDistribution,
     pub address: SocketAddr,
-    /// What it has in flight.
-    pub own: BTreeMap<Rc<str>, Vec<ServerLoad>>,
-    /// The last update of the other gateways' loads.
+    /// The gateway's actual loads by service.
+    pub actual_loads: BTreeMap<Rc<str>, Vec<ServerLoad>>,
+    /// The other gateways' loads by service, from the last update.
     pub remote_loads: BTreeMap<Rc<str>, Vec<ServerLoad>>,
-    /// Calls that it made.
+    /// Number of calls that the gateway made.
     pub calls: u64,
-    /// Updates that it answered reports with.
+    /// Number of reports that the gateway answered with an update.
     pub updates: u64,
-    /// It neither acts nor answers.
-    pub down: bool,
-    /// A hash of all updates of the other gateways' loads.
+    /// Whether the gateway is frozen: it neither sends nor handles messages.
+    pub frozen: bool,
+    /// A digest of all updates of the other gateways' loads.
     digest: Xxh3,
 }
 
 /// All gateways and the network between them.
-pub struct World {
+pub struct Cluster {
     pub now: Millis,
     pub network: NetworkFaults,
     pub nodes: BTreeMap<Rc<str>, Node>,
@@ -100,10 +101,10 @@
     digest: Xxh3,
 }
 
-impl World {
-    /// Gateways named by their zone and number, as many in each zone.
-    pub fn new(seed: u64, zones: &[&str], in_each: usize) -> World {
-        let mut world = World {
+impl Cluster {
+    /// Creates `gateways_per_zone` gateways in each zone, named by zone and number.
+    pub fn new(seed: u64, zones: &[&str], gateways_per_zone: usize) -> Cluster {
+        let mut cluster = Cluster {
             now: 1_000,
             network: NetworkFaults::default(),
             nodes: BTreeMap::new(),
@@ -115,21 +116,23 @@
             digest: Xxh3::new(),
         };
         for zone in zones {
-            for number in 1..=in_each {
-                world.start(&format!("{zone}-{number}"), zone);
+            for number in 1..=gateways_per_zone {
+                cluster.start(&format!("{zone}-{number}"), zone);
             }
         }
-        world.announce_members();
-        world
+        cluster.announce_members();
+        cluster
     }
 
-    /// Starts a gateway's process, with a new incarnation; the others are not notified.
+    /// Starts or restarts a gateway with a new incarnation. The other gateways are not notified.
     pub fn start(&mut self, name: &str, zone: &str) {
         self.next_incarnation += 1;
         let number = self
             .nodes
             .get(name)
-            .map_or(self.nodes.len() as u8 + 1, |node| last_byte(node.address));
+            .map_or(self.nodes.len() as u8 + 1, |node| {
+                last_address_byte(node.address)
+            });
         let identity = Identity {
             name: name.into(),
             zone: zone.into(),
@@ -139,43 +142,43 @@
             distribution: LoadDistribution::new(identity.clone()),
             identity,
             address: SocketAddr::from(([10, 0, 0, number], 7_000)),
-            own: BTreeMap::new(),
+            actual_loads: BTreeMap::new(),
             remote_loads: BTreeMap::new(),
             calls: 0,
             updates: 0,
-            down: false,
+            frozen: false,
             digest: Xxh3::new(),
         };
         self.nodes.insert(name.into(), node);
     }
 
-    /// The gateways that are up.
+    /// The gateways that are not frozen.
     pub fn members(&self) -> Vec<Gateway> {
-        let up = self.nodes.values().filter(|node| !node.down);
+        let up = self.nodes.values().filter(|node| !node.frozen);
         up.map(|node| {
             let identity = &node.identity;
             gateway(
                 &identity.name,
                 &identity.zone,
-                last_byte(node.address),
+                last_address_byte(node.address),
                 identity.incarnation,
             )
         })
         .collect()
     }
 
-    /// Stops or resumes a gateway, as if frozen.
-    pub fn set_down(&mut self, name: &str, down: bool) {
-        self.nodes.get_mut(name).expect("a known gateway").down = down;
+    /// Freezes or thaws a gateway.
+    pub fn set_frozen(&mut self, name: &str, frozen: bool) {
+        self.nodes.get_mut(name).expect("a known gateway").frozen = frozen;
     }
 
-    /// One gateway takes this for the membership.
+    /// Sets the membership that one gateway knows.
     pub fn set_members(&mut self, name: &str, members: Vec<Gateway>) {
         let node = self.nodes.get_mut(name).expect("a known gateway");
         node.distribution.set_gateways(members);
     }
 
-    /// Notifies all gateways of those that are up.
+    /// Sets the membership of all gateways to those that are not frozen.
     pub fn announce_members(&mut self) {
         let members = self.members();
         for node in self.nodes.values_mut() {
@@ -187,15 +190,15 @@
         &self.nodes[name]
     }
 
-    /// The gateway has this in flight now.
-    pub fn set(&mut self, name: &str, service: &str, loads: &[ServerLoad]) {
+    /// Replaces the actual loads of a gateway.
+    pub fn set_loads(&mut self, name: &str, service: &str, loads: &[ServerLoad]) {
         let now = self.now;
         let node = self.nodes.get_mut(name).expect("a known gateway");
-        node.own.insert(service.into(), loads.to_vec());
+        node.actual_loads.insert(service.into(), loads.to_vec());
         node.distribution.set_own_loads(&service.into(), loads, now);
     }
 
-    /// Begins or ends a network partition between two gateways.
+    /// Starts or ends a network partition between two gateways.
     pub fn set_partitioned(&mut self, one: &str, other: &str, partitioned: bool) {
         for pair in [(one, other), (other, one)] {
             let pair = (pair.0.into(), pair.1.into());
@@ -206,48 +209,51 @@
         }
     }
 
-    /// The aggregator of a service in a zone, as the gateway `by` sees it.
+    /// The aggregator of a service in a zone, by the membership that the gateway `by` knows.
     pub fn aggregator(&self, by: &str, service: &str, zone: &str) -> Rc<str> {
         let aggregator = self
             .node(by)
             .distribution
             .membership()
             .aggregator(service, zone);
-        aggregator.expect("a gateway is present").name.clone()
+        aggregator.expect("a gateway must be present").name.clone()
     }
 
-    /// What the others have, in truth, by server.
-    pub fn truth(&self, name: &str, service: &str) -> BTreeMap<Rc<str>, u32> {
-        let mut truth = BTreeMap::new();
+    /// The actual requests in flight of the other gateways, by server.
+    pub fn actual_loads(&self, name: &str, service: &str) -> BTreeMap<Rc<str>, u32> {
+        let mut actual_loads = BTreeMap::new();
         let others = self
             .nodes
             .values()
-            .filter(|node| *node.identity.name != *name && !node.down);
-        for load in others.filter_map(|node| node.own.get(service)).flatten() {
-            *truth.entry(load.server.clone()).or_default() += load.in_flight;
+            .filter(|node| *node.identity.name != *name && !node.frozen);
+        for load in others
+            .filter_map(|node| node.actual_loads.get(service))
+            .flatten()
+        {
+            *actual_loads.entry(load.server.clone()).or_default() += load.in_flight;
         }
-        truth
+        actual_loads
     }
 
-    /// What the gateway believes that the others have, by server.
-    pub fn belief(&self, name: &str, service: &str) -> BTreeMap<Rc<str>, u32> {
-        let believed = self
+    /// The requests in flight of the other gateways that the gateway knows of, by server.
+    pub fn known_loads(&self, name: &str, service: &str) -> BTreeMap<Rc<str>, u32> {
+        let remote_loads = self
             .node(name)
             .remote_loads
             .get(service)
             .into_iter()
             .flatten();
-        believed
+        remote_loads
             .map(|load| (load.server.clone(), load.in_flight))
             .collect()
     }
 
-    /// Calls made by all.
+    /// Number of calls made by all gateways.
     pub fn calls(&self) -> u64 {
         self.nodes.values().map(|node| node.calls).sum()
     }
 
-    /// A hash of all messages and updates, with their times.
+    /// A digest of all messages and updates, with their times.
     pub fn digest(&self) -> u64 {
         let mut digest = self.digest.clone();
         for (name, node) in &self.nodes {
@@ -266,16 +272,16 @@
         digest.digest()
     }
 
-    /// Advances the time, a millisecond a step.
+    /// Advances the time in steps of a millisecond.
     pub fn advance(&mut self, time: Millis) {
         for _ in 0..time {
             self.now += 1;
-            self.deliver();
-            self.act();
+            self.deliver_due_messages();
+            self.send_due_calls();
         }
     }
 
-    fn act(&mut self) {
+    fn send_due_calls(&mut self) {
         let names: Vec<Rc<str>> = self.nodes.keys().cloned().collect();
         for name in names {
             while let Some(call) = self.next_call(&name) {
@@ -299,7 +305,7 @@
 
     fn next_call(&mut self, name: &Rc<str>) -> Option<Call> {
         let now = self.now;
-        let node = self.nodes.get_mut(name).filter(|node| !node.down)?;
+        let node = self.nodes.get_mut(name).filter(|node| !node.frozen)?;
         let due = node.distribution.next_due().is_some_and(|at| at <= now);
         let call = if due {
             node.distribution.poll(now)
@@ -311,27 +317,27 @@
         call
     }
 
-    fn deliver(&mut self) {
+    fn deliver_due_messages(&mut self) {
         while let Some(entry) = self.messages.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
             let message = entry.remove();
-            self.arrive(message);
+            self.handle_message(message);
         }
     }
 
-    fn arrive(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = self.now;
         match message {
-            Message::Report { from, call } => self.arrive_report(&from, &call),
+            Message::Report { from, call } => self.handle_report_message(&from, &call),
             Message::Update {
                 to,
                 to_incarnation,
                 number,
                 update,
             } => {
-                if let Some(node) = self.alive(&to, to_incarnation) {
+                if let Some(node) = self.running_node(&to, to_incarnation) {
                     node.distribution.handle_update(number, &update, now);
                     node.take_remote_loads();
                 }
@@ -341,8 +347,8 @@
                 to_incarnation,
                 number,
             } => {
-                if self.nodes[&to].down {
-                    // A frozen process finds its timers expired when it thaws.
+                if self.nodes[&to].frozen {
+                    // The timer of a frozen process expires when the process thaws.
                     return self.send_at(
                         now + 1,
                         Message::Failed {
@@ -352,19 +358,19 @@
                         },
                     );
                 }
-                if let Some(node) = self.alive(&to, to_incarnation) {
+                if let Some(node) = self.running_node(&to, to_incarnation) {
                     node.distribution.handle_failure(number, now);
                 }
             }
         }
     }
 
-    fn arrive_report(&mut self, from: &Rc<str>, call: &Call) {
+    fn handle_report_message(&mut self, from: &Rc<str>, call: &Call) {
         let now = self.now;
         let to = self
             .nodes
             .values_mut()
-            .find(|node| node.address == call.address && !node.down);
+            .find(|node| node.address == call.address && !node.frozen);
         let Some(node) = to else { return };
         node.updates += 1;
         let update = node.distribution.handle_report(&call.report, now);
@@ -380,15 +386,15 @@
         self.send(&by, address, update);
     }
 
-    fn alive(&mut self, name: &Rc<str>, incarnation: u64) -> Option<&mut Node> {
+    fn running_node(&mut self, name: &Rc<str>, incarnation: u64) -> Option<&mut Node> {
         self.nodes
             .get_mut(name)
-            .filter(|node| !node.down && node.identity.incarnation == incarnation)
+            .filter(|node| !node.frozen && node.identity.incarnation == incarnation)
     }
 
     fn name_at(&self, address: SocketAddr) -> Rc<str> {
         let node = self.nodes.values().find(|node| node.address == address);
-        node.expect("a gateway at this address")
+        node.expect("a gateway must have this address")
             .identity
             .name
             .clone()
@@ -397,16 +403,16 @@
     fn send(&mut self, from: &Rc<str>, to: SocketAddr, message: Message) {
         let pair = (from.clone(), self.name_at(to));
         self.hash_message(&pair.0, &pair.1, &message);
-        if self.partitions.contains(&pair) || self.happens(self.network.lost) {
+        if self.partitions.contains(&pair) || self.occurs(self.network.lost) {
             return;
         }
-        let deliveries = if self.happens(self.network.duplicated) {
+        let deliveries = if self.occurs(self.network.duplicated) {
             2
         } else {
             1
         };
         for _ in 0..deliveries {
-            let delayed = if self.happens(self.network.delayed) {
+            let delayed = if self.occurs(self.network.delayed) {
                 self.random.u64(0..2_000)
             } else {
                 0
@@ -427,7 +433,7 @@
         self.digest.update(&[kind]);
         self.digest.update(&number.to_le_bytes());
         self.digest
-            .update(&bytes.expect("every message can be written"));
+            .update(&bytes.expect("every message must be encodable"));
     }
 
     fn send_at(&mut self, at: Millis, message: Message) {
@@ -435,8 +441,8 @@
         self.messages.insert((at, self.last_message), message);
     }
 
-    fn happens(&mut self, of_a_hundred: u32) -> bool {
-        of_a_hundred > 0 && self.random.u32(0..100) < of_a_hundred
+    fn occurs(&mut self, percent: u32) -> bool {
+        percent > 0 && self.random.u32(0..100) < percent
     }
 }
 
@@ -445,13 +451,13 @@
         for remote in self.distribution.take_remote_loads() {
             self.digest.update(remote.service.as_bytes());
             self.digest
-                .update(&postcard::to_stdvec(&remote.loads).expect("loads can be written"));
+                .update(&postcard::to_stdvec(&remote.loads).expect("loads must be encodable"));
             self.remote_loads.insert(remote.service, remote.loads);
         }
     }
 }
 
-fn last_byte(address: SocketAddr) -> u8 {
+fn last_address_byte(address: SocketAddr) -> u8 {
     match address {
         SocketAddr::V4(address) => address.ip().octets()[3],
         SocketAddr::V6(_) => 0,
--- a/crates/serving/load-distribution/tests/exchange.rs
+++ b/crates/serving/load-distribution/tests/exchange.rs
@@ -1,54 +1,54 @@
-//! What gateways learn of each other through aggregators, and what it costs.
+//! Exchange of loads through aggregators without faults: the loads that gateways get to know, and the number of calls.
 
 mod common;
 
-use common::{load, World};
+use common::{load, Cluster};
 use dunespur_load_distribution::{
     KnownVersion, LoadTable, RemoteLoads, Report, Reporter, ServerLoad, Update,
 };
 
 const SERVICE: &str = "pool";
-/// A load that stays is renewed within this time, latency included.
+/// Time within which an unchanged load is renewed, including latency.
 const RENEWED_MS: u64 = 1_010;
 const ZONES: [&str; 3] = ["east", "north", "west"];
 
 #[test]
-fn the_gateways_of_a_zone_learn_each_others_loads() {
-    let mut world = World::new(1, &["north"], 3);
-    world.set("north-1", SERVICE, &[load("s1", 2), load("s2", 1)]);
-    world.set("north-2", SERVICE, &[load("s1", 5)]);
-    world.set("north-3", SERVICE, &[load("s3", 1)]);
-    world.advance(RENEWED_MS);
+fn the_gateways_of_a_zone_get_to_know_each_others_loads() {
+    let mut cluster = Cluster::new(1, &["north"], 3);
+    cluster.set_loads("north-1", SERVICE, &[load("s1", 2), load("s2", 1)]);
+    cluster.set_loads("north-2", SERVICE, &[load("s1", 5)]);
+    cluster.set_loads("north-3", SERVICE, &[load("s3", 1)]);
+    cluster.advance(RENEWED_MS);
     for name in ["north-1", "north-2", "north-3"] {
         assert_eq!(
-            world.belief(name, SERVICE),
-            world.truth(name, SERVICE),
+            cluster.known_loads(name, SERVICE),
+            cluster.actual_loads(name, SERVICE),
             "{name}"
         );
     }
 }
 
 #[test]
-fn a_load_that_changes_is_reported_within_two_intervals_and_the_latency() {
-    let mut world = World::new(2, &["north"], 2);
-    world.set("north-1", SERVICE, &[load("s1", 2)]);
-    world.set("north-2", SERVICE, &[load("s1", 5)]);
-    world.advance(1_000);
-    world.set("north-1", SERVICE, &[load("s2", 3)]);
-    world.set("north-2", SERVICE, &[load("s1", 4)]);
-    world.advance(260);
-    world.set("north-2", SERVICE, &[load("s1", 3)]);
-    world.advance(260);
+fn a_changed_load_is_reported_within_two_intervals_and_the_latency() {
+    let mut cluster = Cluster::new(2, &["north"], 2);
+    cluster.set_loads("north-1", SERVICE, &[load("s1", 2)]);
+    cluster.set_loads("north-2", SERVICE, &[load("s1", 5)]);
+    cluster.advance(1_000);
+    cluster.set_loads("north-1", SERVICE, &[load("s2", 3)]);
+    cluster.set_loads("north-2", SERVICE, &[load("s1", 4)]);
+    cluster.advance(260);
+    cluster.set_loads("north-2", SERVICE, &[load("s1", 3)]);
+    cluster.advance(260);
     assert_eq!(
-        world.belief("north-2", SERVICE),
-        world.truth("north-2", SERVICE)
+        cluster.known_loads("north-2", SERVICE),
+        cluster.actual_loads("north-2", SERVICE)
     );
 }
 
 #[test]
 fn aggregators_report_their_zones_sums_to_each_other() {
-    let mut world = World::new(3, &ZONES, 3);
-    for (index, name) in world
+    let mut cluster = Cluster::new(3, &ZONES, 3);
+    for (index, name) in cluster
         .nodes
         .keys()
         .cloned()
@@ -56,17 +56,17 @@
         .iter()
         .enumerate()
     {
-        world.set(
+        cluster.set_loads(
             name,
             SERVICE,
             &[load("s1", index as u32 + 1), load(&format!("t{index}"), 1)],
         );
     }
-    world.advance(4_000);
-    for name in world.nodes.keys() {
+    cluster.advance(4_000);
+    for name in cluster.nodes.keys() {
         assert_eq!(
-            world.belief(name, SERVICE),
-            world.truth(name, SERVICE),
+            cluster.known_loads(name, SERVICE),
+            cluster.actual_loads(name, SERVICE),
             "{name}"
         );
     }
@@ -74,97 +74,111 @@
 
 #[test]
 fn there_are_no_calls_while_nothing_is_in_flight() {
-    let mut world = World::new(4, &ZONES, 3);
-    world.advance(2_000);
-    assert_eq!(world.calls(), 0);
-    world.set("north-1", SERVICE, &[load("s1", 2)]);
-    world.advance(1_000);
-    world.set("north-1", SERVICE, &[]);
-    world.advance(2_000);
-    let ended = world.calls();
-    world.advance(20_000);
-    assert_eq!(world.calls(), ended);
-    for node in world.nodes.values() {
-        assert_eq!(node.distribution.next_due(), None, "no timer is left");
+    let mut cluster = Cluster::new(4, &ZONES, 3);
+    cluster.advance(2_000);
+    assert_eq!(cluster.calls(), 0);
+    cluster.set_loads("north-1", SERVICE, &[load("s1", 2)]);
+    cluster.advance(1_000);
+    cluster.set_loads("north-1", SERVICE, &[]);
+    cluster.advance(2_000);
+    let ended = cluster.calls();
+    cluster.advance(20_000);
+    assert_eq!(cluster.calls(), ended);
+    for node in cluster.nodes.values() {
+        assert_eq!(
+            node.distribution.next_due(),
+            None,
+            "no report may be planned"
+        );
     }
 }
 
 #[test]
-fn a_subscriber_reports_four_times_a_second_at_most_however_often_its_load_changes() {
-    let mut world = World::new(5, &["north"], 2);
-    let aggregator = world.aggregator("north-1", SERVICE, "north");
+fn a_subscriber_reports_at_most_four_times_a_second_however_often_its_load_changes() {
+    let mut cluster = Cluster::new(5, &["north"], 2);
+    let aggregator = cluster.aggregator("north-1", SERVICE, "north");
     let subscriber = if &*aggregator == "north-1" {
         "north-2"
     } else {
         "north-1"
     };
     for step in 0..1_000 {
-        world.set(subscriber, SERVICE, &[load("s1", step % 7 + 1)]);
-        world.advance(10);
+        cluster.set_loads(subscriber, SERVICE, &[load("s1", step % 7 + 1)]);
+        cluster.advance(10);
     }
-    let calls = world.node(subscriber).calls;
-    assert!((36..=41).contains(&calls), "{calls} in ten seconds");
+    let calls = cluster.node(subscriber).calls;
+    assert!((36..=41).contains(&calls), "{calls} calls in ten seconds");
 }
 
 #[test]
-fn a_load_that_stays_is_renewed_once_a_second_without_its_table() {
-    let mut world = World::new(6, &["north"], 2);
-    let aggregator = world.aggregator("north-1", SERVICE, "north");
+fn an_unchanged_load_is_renewed_once_a_second_without_its_table() {
+    let mut cluster = Cluster::new(6, &["north"], 2);
+    let aggregator = cluster.aggregator("north-1", SERVICE, "north");
     let subscriber = if &*aggregator == "north-1" {
         "north-2"
     } else {
         "north-1"
     };
-    world.set(subscriber, SERVICE, &[load("s1", 1)]);
-    world.advance(10_000);
-    let calls = world.node(subscriber).calls;
-    assert!((10..=11).contains(&calls), "{calls} in ten seconds");
-    world.set(&aggregator.clone(), SERVICE, &[load("s1", 1)]);
-    world.advance(300);
+    cluster.set_loads(subscriber, SERVICE, &[load("s1", 1)]);
+    cluster.advance(10_000);
+    let calls = cluster.node(subscriber).calls;
+    assert!((10..=11).contains(&calls), "{calls} calls in ten seconds");
+    cluster.set_loads(&aggregator.clone(), SERVICE, &[load("s1", 1)]);
+    cluster.advance(300);
     assert_eq!(
-        world.belief(&aggregator, SERVICE),
-        world.truth(&aggregator, SERVICE),
-        "it still counts"
+        cluster.known_loads(&aggregator, SERVICE),
+        cluster.actual_loads(&aggregator, SERVICE),
+        "the renewed load must still be known"
     );
 }
 
 #[test]
-fn two_aggregators_report_once_in_an_interval_not_twice() {
-    let mut world = World::new(7, &["north", "west"], 1);
+fn only_one_of_two_aggregators_reports_to_the_other_per_interval() {
+    let mut cluster = Cluster::new(7, &["north", "west"], 1);
     for step in 0..1_000 {
-        world.set("north-1", SERVICE, &[load("s1", step % 7 + 1)]);
-        world.set("west-1", SERVICE, &[load("s1", step % 5 + 1)]);
-        world.advance(10);
+        cluster.set_loads("north-1", SERVICE, &[load("s1", step % 7 + 1)]);
+        cluster.set_loads("west-1", SERVICE, &[load("s1", step % 5 + 1)]);
+        cluster.advance(10);
     }
-    assert!(world.calls() <= 22, "{} in ten seconds", world.calls());
-    world.advance(1_200);
+    assert!(
+        cluster.calls() <= 22,
+        "{} calls in ten seconds",
+        cluster.calls()
+    );
+    cluster.advance(1_200);
     for name in ["north-1", "west-1"] {
         assert_eq!(
-            world.belief(name, SERVICE),
-            world.truth(name, SERVICE),
+            cluster.known_loads(name, SERVICE),
+            cluster.actual_loads(name, SERVICE),
             "{name}"
         );
     }
 }
 
 #[test]
-fn services_do_not_mix() {
-    let mut world = World::new(8, &["north"], 2);
+fn the_loads_of_services_are_separate() {
+    let mut cluster = Cluster::new(8, &["north"], 2);
     for name in ["north-1", "north-2"] {
-        world.set(name, "one", &[load("s1", 1)]);
-        world.set(name, "other", &[load("s2", 2)]);
+        cluster.set_loads(name, "one", &[load("s1", 1)]);
+        cluster.set_loads(name, "other", &[load("s2", 2)]);
     }
-    world.advance(600);
-    assert_eq!(world.belief("north-1", "one"), [("s1".into(), 1)].into());
-    assert_eq!(world.belief("north-1", "other"), [("s2".into(), 2)].into());
+    cluster.advance(600);
+    assert_eq!(
+        cluster.known_loads("north-1", "one"),
+        [("s1".into(), 1)].into()
+    );
+    assert_eq!(
+        cluster.known_loads("north-1", "other"),
+        [("s2".into(), 2)].into()
+    );
 }
 
 #[test]
-fn ejections_are_counted_by_gateways() {
-    let mut world = World::new(9, &["north"], 3);
+fn an_ejection_is_counted_once_per_gateway() {
+    let mut cluster = Cluster::new(9, &["north"], 3);
     for name in ["north-1", "north-2", "north-3"] {
         let ejected_by = u32::from(name != "north-1");
-        world.set(
+        cluster.set_loads(
             name,
             SERVICE,
             &[ServerLoad {
@@ -173,9 +187,15 @@
             }],
         );
     }
-    world.advance(RENEWED_MS);
-    assert_eq!(world.node("north-1").remote_loads[SERVICE][0].ejected_by, 2);
-    assert_eq!(world.node("north-2").remote_loads[SERVICE][0].ejected_by, 1);
+    cluster.advance(RENEWED_MS);
+    assert_eq!(
+        cluster.node("north-1").remote_loads[SERVICE][0].ejected_by,
+        2
+    );
+    assert_eq!(
+        cluster.node("north-2").remote_loads[SERVICE][0].ejected_by,
+        1
+    );
 }
 
 #[test]
@@ -210,14 +230,17 @@
         postcard::to_stdvec(&report).unwrap().len(),
         postcard::to_stdvec(&update).unwrap().len(),
     ];
-    assert!(sizes[0] <= 140 && sizes[1] <= 90, "{sizes:?}");
+    assert!(
+        sizes[0] <= 140 && sizes[1] <= 90,
+        "sizes of the report and the update: {sizes:?}"
+    );
 }
 
 #[test]
-fn ejections_are_believed_of_a_third_of_the_servers_at_most() {
+fn ejections_of_more_than_a_third_of_the_servers_are_ignored() {
     let ejected_by = |servers: usize| -> Vec<ServerLoad> {
-        let named = (0..servers).map(|number| load(&format!("s{number}"), 0));
-        named
+        let loads = (0..servers).map(|number| load(&format!("s{number}"), 0));
+        loads
             .map(|load| ServerLoad {
                 ejected_by: 1,
                 ..load
@@ -225,7 +248,7 @@
             .collect()
     };
     let mut loads = ejected_by(4);
-    loads.push(load("well", 3));
+    loads.push(load("not-ejected", 3));
     let remote = RemoteLoads {
         service: SERVICE.into(),
         loads,
--- a/crates/serving/load-distribution/tests/membership.rs
+++ b/crates/serving/load-distribution/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which gateway is the aggregator of a service in a zone.
+//! Selection of the aggregator of a service in a zone.
 
 mod common;
 
@@ -18,7 +18,7 @@
 fn aggregator(membership: &Membership, service: &str, zone: &str) -> Rc<str> {
     membership
         .aggregator(service, zone)
-        .expect("a gateway is present")
+        .expect("a gateway must be present")
         .name
         .clone()
 }
@@ -28,15 +28,15 @@
 }
 
 #[test]
-fn the_aggregator_is_in_the_zone_whatever_the_order_of_the_members() {
+fn the_aggregator_is_in_the_zone_and_independent_of_the_order_of_the_members() {
     let mut reversed = gateways();
     reversed.reverse();
-    let (one, other) = (Membership::new(gateways()), Membership::new(reversed));
+    let (original, permuted) = (Membership::new(gateways()), Membership::new(reversed));
     for service in services() {
-        let found = aggregator(&one, &service, "north");
+        let found = aggregator(&original, &service, "north");
         assert!(found.starts_with("north"));
-        assert_eq!(found, aggregator(&other, &service, "north"));
-        assert_eq!(one.ranked(&service, "north")[0].name, found);
+        assert_eq!(found, aggregator(&permuted, &service, "north"));
+        assert_eq!(original.ranked(&service, "north")[0].name, found);
     }
 }
 
@@ -51,13 +51,13 @@
             .count();
         assert!(
             (25..=80).contains(&count),
-            "{name} aggregates {count} of 200"
+            "{name} is the aggregator of {count} of 200 services"
         );
     }
 }
 
 #[test]
-fn a_gateway_that_departs_moves_its_own_services_only_and_to_the_next_in_order() {
+fn when_a_gateway_departs_only_its_services_move_to_the_next_in_order() {
     let complete = Membership::new(gateways());
     let without = Membership::new(
         gateways()
@@ -77,20 +77,24 @@
 }
 
 #[test]
-fn a_zone_without_gateways_has_its_aggregators_elsewhere() {
+fn a_zone_without_gateways_has_its_aggregators_in_other_zones() {
     let membership = Membership::new(gateways());
     let aggregators: BTreeSet<Rc<str>> = services()
         .iter()
         .map(|service| aggregator(&membership, service, "nowhere"))
         .collect();
-    assert_eq!(aggregators.len(), 6, "all gateways aggregate some");
+    assert_eq!(
+        aggregators.len(),
+        6,
+        "every gateway must be the aggregator of some service"
+    );
     assert!(Membership::default()
         .aggregator("service", "north")
         .is_none());
 }
 
 #[test]
-fn one_service_has_its_own_aggregator_in_each_zone() {
+fn a_service_has_a_separate_aggregator_in_each_zone() {
     let membership = Membership::new(gateways());
     assert!(aggregator(&membership, "service-1", "north").starts_with("north"));
     assert!(aggregator(&membership, "service-1", "south").starts_with("south"));
--- a/crates/serving/load-distribution/tests/wire_format.rs
+++ b/crates/serving/load-distribution/tests/wire_format.rs
@@ -1,7 +1,7 @@
-//! The bytes of each message between gateways: postcard goes by the position of a field and the order of variants, so
-//! gateways of two versions understand each other only while these bytes stay.
+//! The encoding of each message between gateways. Postcard depends on the order of fields and variants, and gateways of
+//! two versions are compatible only if these bytes do not change.
 //!
-//! `tests/fixtures/*.hex` are the bytes that an earlier version wrote; a fixture is never changed.
+//! `tests/fixtures/*.hex` are the bytes that an earlier version wrote; a fixture must never be changed.
 
 use dunespur_load_distribution::{KnownVersion, LoadTable, Report, Reporter, ServerLoad, Update};
 use serde::de::DeserializeOwned;
@@ -10,28 +10,40 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("a string takes any text");
+        write!(text, "{byte:02x}").expect("writing to a string must succeed");
         text
     })
 }
 
 fn from_hex(text: &str) -> Vec<u8> {
     let digits = text.trim();
-    assert_eq!(digits.len() % 2, 0, "two digits a byte");
+    assert_eq!(
+        digits.len() % 2,
+        0,
+        "a fixture must have two digits per byte"
+    );
     let starts = (0..digits.len()).step_by(2);
     starts
-        .map(|start| u8::from_str_radix(&digits[start..start + 2], 16).expect("hex digits"))
+        .map(|start| {
+            u8::from_str_radix(&digits[start..start + 2], 16)
+                .expect("a fixture must have hexadecimal digits")
+        })
         .collect()
 }
 
-/// The value is written as the fixture's bytes, and the bytes are read as the value.
+/// Asserts that the value is encoded as the fixture's bytes, and that these bytes are decoded as the value.
 fn assert_wire<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, fixture: &str) {
-    let written = postcard::to_stdvec(value).expect("every message can be written");
-    assert_eq!(hex(&written), fixture.trim(), "the bytes of {value:?}");
+    let written = postcard::to_stdvec(value).expect("every message must be encodable");
+    assert_eq!(hex(&written), fixture.trim(), "encoding of {value:?}");
     let bytes = from_hex(fixture);
-    let (read, rest) = postcard::take_from_bytes::<T>(&bytes).expect("the fixture can be read");
+    let (read, rest) =
+        postcard::take_from_bytes::<T>(&bytes).expect("the fixture must be decodable");
     assert_eq!(&read, value);
-    assert!(rest.is_empty(), "{} bytes are left", rest.len());
+    assert!(
+        rest.is_empty(),
+        "{} bytes are left after decoding",
+        rest.len()
+    );
 }
 
 fn load_of(server: &str, first: u32) -> ServerLoad {
