--- a/crates/serving/load-distribution/src/distribution.rs
+++ b/crates/serving/load-distribution/src/distribution.rs
@@ -51,7 +51,7 @@
 /// The total loads of the other gateways on a service's servers. Replaces all earlier loads of the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RemoteLoads {
-    /// The service.
+    /// Name of the service.
     pub service: Rc<str>,
     /// Loads by server; servers without load are left out.
     pub loads: Vec<ServerLoad>,
--- a/crates/serving/load-distribution/src/subscription.rs
+++ b/crates/serving/load-distribution/src/subscription.rs
@@ -123,8 +123,8 @@
         membership: &Membership,
         now: Millis,
     ) -> Option<OutgoingReport> {
-        let due = self.next_due().is_some_and(|at| at <= now);
-        if !due {
+        let is_due = self.next_due().is_some_and(|at| at <= now);
+        if !is_due {
             return None;
         }
         let ranked = membership.ranked(&self.settings.service, &self.settings.zone);
--- a/crates/serving/load-distribution/tests/common/mod.rs
+++ b/crates/serving/load-distribution/tests/common/mod.rs
@@ -306,8 +306,8 @@
     fn next_call(&mut self, name: &Rc<str>) -> Option<Call> {
         let now = self.now;
         let node = self.nodes.get_mut(name).filter(|node| !node.frozen)?;
-        let due = node.distribution.next_due().is_some_and(|at| at <= now);
-        let call = if due {
+        let is_due = node.distribution.next_due().is_some_and(|at| at <= now);
+        let call = if is_due {
             node.distribution.poll(now)
         } else {
             None
--- a/crates/serving/routing/src/admission.rs
+++ b/crates/serving/routing/src/admission.rs
@@ -5,7 +5,7 @@
 
 /// Minimum time that a client waits for the first event of a stream before it cancels the request.
 const MIN_STREAM_TIMEOUT_MS: u64 = 2_000;
-/// Client timeout for the first event of a stream, as a multiple of the latency target.
+/// Client timeout for the first event of a stream, as a multiple of the latency target, if that is longer.
 const STREAM_TIMEOUT_TARGETS: u64 = 4;
 /// Factor by which the expected time of a request of priority 0 is assumed to be too high at most.
 const MAX_OVERESTIMATE: f64 = 2.0;
--- a/crates/serving/routing/src/observation.rs
+++ b/crates/serving/routing/src/observation.rs
@@ -4,7 +4,7 @@
 use crate::pool::Pool;
 use crate::types::Millis;
 
-/// Records the first event of an engine's stream.
+/// Updates the load, the timing model and the endpoint's slowness at the first event of an engine's stream.
 pub(crate) fn observe_first_event(
     pool: &mut Pool,
     attempt: &Attempt,
@@ -27,7 +27,7 @@
         .observe_first_token(engine.prefill_tokens_ahead, took_ms / relative_slowness);
 }
 
-/// Records the completion of an engine's stream.
+/// Updates the timing model and the endpoint's slowness when an engine's stream is complete.
 pub(crate) fn observe_completion(
     pool: &mut Pool,
     attempt: &Attempt,
@@ -64,7 +64,7 @@
         .observe_inter_token(batch, inter_token_ms / relative_slowness);
 }
 
-/// Records the response head of a server without an engine.
+/// Updates the load, the latency ratio and the endpoint's slowness at the response head of a server without an engine.
 pub(crate) fn observe_response_head(pool: &mut Pool, attempt: &Attempt, now: Millis) {
     if let Some(endpoint) = pool.endpoint_mut(attempt.endpoint) {
         endpoint.load.record_response(0, now);
--- a/crates/serving/routing/src/pool.rs
+++ b/crates/serving/routing/src/pool.rs
@@ -23,7 +23,8 @@
     pub(crate) prefix_statistics: PrefixStatistics,
     /// Response time of a server without an engine, divided by the latency target.
     pub(crate) latency_ratio: Ewma,
-    /// This gateway's fraction of all requests in flight, and so of each engine's KV cache.
+    /// This gateway's fraction of all requests in flight. Its prompts are presumed to fill the same fraction of each
+    /// engine's KV cache.
     pub(crate) traffic_fraction: Ewma,
 }
 
--- a/crates/serving/routing/src/prefix_statistics.rs
+++ b/crates/serving/routing/src/prefix_statistics.rs
@@ -16,7 +16,7 @@
 /// Quantile of prompt lengths up to which prompts count as first turns.
 const FIRST_TURN_QUANTILE: f64 = 0.1;
 
-/// Statistics of one segment.
+/// The programs and requests that use one segment.
 #[derive(Debug, Clone, Copy)]
 struct SegmentStatistics {
     /// Hash of the first program that used the segment.
--- a/crates/serving/routing/src/types.rs
+++ b/crates/serving/routing/src/types.rs
@@ -46,7 +46,7 @@
     pub chunk_tokens: u32,
 }
 
-/// One segment of a prompt.
+/// A part of a prompt; equal ids mean equal text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptSegment {
     /// Identifies the text of the segment.
@@ -144,7 +144,7 @@
 /// The load of one gateway on one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadReport {
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
     /// The gateway's requests in flight on the server.
     pub in_flight: u32,
--- a/crates/serving/routing/tests/fleet/engine.rs
+++ b/crates/serving/routing/tests/fleet/engine.rs
@@ -8,8 +8,11 @@
 /// The parameters of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineModel {
+    /// Maximum number of running requests.
     pub slots: usize,
+    /// Maximum number of waiting requests beyond the slots.
     pub queue: usize,
+    /// Capacity of the KV cache in tokens.
     pub kv_capacity: u64,
     /// Duration of a step without prefill.
     pub step_ms: f64,
@@ -18,6 +21,7 @@
     pub prefill_tokens_per_ms: f64,
     /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_budget: u64,
+    /// Tokens generated before the first event.
     pub chunk_tokens: u32,
     /// Factor on the duration of each step; above 1 for a slow engine.
     pub slowness: f64,
@@ -26,7 +30,9 @@
 /// A request at an engine.
 #[derive(Debug, Clone)]
 pub struct Job {
+    /// Number of the turn.
     pub number: usize,
+    /// Ticket key of the attempt.
     pub key: u64,
     pub prefix: Vec<PromptSegment>,
     pub prompt_tokens: u64,
@@ -37,22 +43,27 @@
 /// An event of a job at the end of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The first output of the job with this number and key.
-    First(usize, u64),
+    /// The first event of the job with this number and key.
+    FirstEvent(usize, u64),
     /// The completion of the job with this number and key.
     Finished(usize, u64),
 }
 
+/// A job that occupies a slot.
 #[derive(Debug)]
 struct Running {
     job: Job,
+    /// Prompt tokens still to be prefilled.
     unprefilled: u64,
+    /// Tokens generated so far.
     generated: u32,
+    /// Whether the first event has been reported.
     first_reported: bool,
+    /// Position in the order of starts; greater for newer jobs.
     started: u64,
 }
 
-/// One engine.
+/// A modelled engine with its waiting and running jobs.
 #[derive(Debug)]
 pub struct Engine {
     model: EngineModel,
@@ -63,7 +74,8 @@
     /// Ids of the cached segments by last use.
     by_use: BTreeMap<u64, u64>,
     cached_tokens: u64,
-    uses: u64,
+    /// Counter that orders starts of jobs and uses of segments.
+    last_use: u64,
     pub prefilled_tokens: u64,
     pub preempted: u64,
 }
@@ -77,7 +89,7 @@
             cached: HashMap::new(),
             by_use: BTreeMap::new(),
             cached_tokens: 0,
-            uses: 0,
+            last_use: 0,
             prefilled_tokens: 0,
             preempted: 0,
         }
@@ -118,7 +130,7 @@
             let is_first = request.generated >= chunk.min(request.job.output_tokens);
             if is_first && !request.first_reported {
                 request.first_reported = true;
-                events.push(Event::First(request.job.number, request.job.key));
+                events.push(Event::FirstEvent(request.job.number, request.job.key));
             }
             if request.generated >= request.job.output_tokens {
                 events.push(Event::Finished(request.job.number, request.job.key));
@@ -134,14 +146,15 @@
         step_ms * self.model.slowness
     }
 
+    /// Starts waiting jobs, the most urgent first, while slots and memory suffice.
     fn admit(&mut self) {
         while self.running.len() < self.model.slots {
-            let urgent = self
+            let most_urgent = self
                 .waiting
                 .iter()
                 .enumerate()
                 .min_by_key(|(index, job)| (job.priority, *index));
-            let Some((index, _)) = urgent else {
+            let Some((index, _)) = most_urgent else {
                 return;
             };
             let needed_tokens =
@@ -156,8 +169,8 @@
             };
             let unprefilled = job.prompt_tokens - self.cached_tokens_of(&job.prefix);
             self.cache_prefix(&job.prefix);
-            self.uses += 1;
-            let started = self.uses;
+            self.last_use += 1;
+            let started = self.last_use;
             self.running.push(Running {
                 job,
                 unprefilled,
@@ -194,15 +207,16 @@
 
     fn cache_prefix(&mut self, prefix: &[PromptSegment]) {
         for segment in prefix.iter().rev() {
-            self.uses += 1;
-            if let Some((tokens, used)) =
-                self.cached.insert(segment.id, (segment.tokens, self.uses))
+            self.last_use += 1;
+            if let Some((tokens, used)) = self
+                .cached
+                .insert(segment.id, (segment.tokens, self.last_use))
             {
                 self.cached_tokens -= u64::from(tokens);
                 self.by_use.remove(&used);
             }
             self.cached_tokens += u64::from(segment.tokens);
-            self.by_use.insert(self.uses, segment.id);
+            self.by_use.insert(self.last_use, segment.id);
         }
     }
 
--- a/crates/serving/routing/tests/fleet/event_queue.rs
+++ b/crates/serving/routing/tests/fleet/event_queue.rs
@@ -6,25 +6,32 @@
 
 use super::engine::Event;
 
+/// An event of the simulation. Turns, engines and gateways are given by number.
 #[derive(Debug)]
 pub enum SimEvent {
-    Program,
+    StartProgram,
+    /// A gateway dispatches a turn's request.
     Dispatch(usize),
+    /// A turn's request arrives at an engine.
     Arrive {
         turn: usize,
         engine: usize,
         priority: u8,
     },
+    /// An engine runs a step.
     Step(usize),
+    /// An engine's event arrives at the gateway.
     EngineReply {
         turn: usize,
         key: u64,
         event: Event,
     },
+    /// The timeout of an attempt's first event.
     Timeout {
         turn: usize,
         key: u64,
     },
+    /// A gateway sends its load report to the others.
     SendReport(usize),
     DeliverReport {
         from: usize,
--- a/crates/serving/routing/tests/fleet/mod.rs
+++ b/crates/serving/routing/tests/fleet/mod.rs
@@ -60,9 +60,11 @@
     day: Day,
     servers: Vec<Server>,
     engines: Vec<Engine>,
+    /// Whether each engine has a step scheduled.
     stepping: Vec<bool>,
     routers: Vec<Box<dyn Router>>,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Number of events scheduled so far.
     order: u64,
     turns: HashMap<usize, Turn>,
     last_turn: usize,
@@ -110,7 +112,7 @@
     }
 
     fn run(mut self) -> Self {
-        self.schedule(0.0, SimEvent::Program);
+        self.schedule(0.0, SimEvent::StartProgram);
         for gateway in 0..self.day.gateways {
             self.schedule(
                 REPORT_INTERVAL_MS * gateway as f64 / self.day.gateways as f64,
@@ -134,7 +136,7 @@
 
     fn handle(&mut self, now: f64, event: SimEvent) {
         match event {
-            SimEvent::Program => self.start_program(now),
+            SimEvent::StartProgram => self.start_program(now),
             SimEvent::Dispatch(turn) => self.dispatch(turn, now),
             SimEvent::Arrive {
                 turn,
@@ -163,7 +165,7 @@
             return;
         }
         let gap = -self.random.f64().max(1e-12).ln() * 1000.0 / self.day.programs_per_s;
-        self.schedule(now + gap, SimEvent::Program);
+        self.schedule(now + gap, SimEvent::StartProgram);
         self.programs += 1;
         let number = self.programs;
         let zone = self.random.usize(..self.day.zones);
@@ -358,7 +360,7 @@
         let mut events = Vec::new();
         let took = self.engines[engine].step(&mut events);
         for event in events {
-            let (Event::First(turn, key) | Event::Finished(turn, key)) = event;
+            let (Event::FirstEvent(turn, key) | Event::Finished(turn, key)) = event;
             self.schedule(
                 now + took + GATEWAY_DELAY_MS,
                 SimEvent::EngineReply { turn, key, event },
@@ -373,7 +375,7 @@
             return;
         };
         match event {
-            Event::First(..) => {
+            Event::FirstEvent(..) => {
                 turn.first_event_at = Some(now);
                 self.result.first_ms.push(now - turn.started_at);
                 self.routers[turn.gateway].first_event(key, now as Millis);
@@ -406,6 +408,7 @@
         self.schedule(now, SimEvent::Dispatch(number));
     }
 
+    /// Schedules the next turn of a conversation, and sometimes turns of new sub-agents.
     fn continue_conversation(&mut self, mut conversation: Conversation, now: f64) {
         if conversation.turns_left == 0 {
             return;
--- a/crates/serving/routing/tests/fleet/result.rs
+++ b/crates/serving/routing/tests/fleet/result.rs
@@ -6,16 +6,26 @@
 #[derive(Debug, Clone, Default)]
 pub struct DayResult {
     pub turns: usize,
+    /// Turns without attempts or time left.
     pub failed: usize,
+    /// Attempts rejected by a full engine.
     pub rejected: usize,
+    /// Decisions of a router to retry later.
     pub deferred: usize,
+    /// Attempts without a first event in time.
     pub timed_out: usize,
+    /// Requests preempted by engines.
     pub preempted: u64,
+    /// Times from the start of a turn to its first event.
     pub first_ms: Vec<f64>,
+    /// Durations of the completed turns.
     pub turn_ms: Vec<f64>,
     pub prefilled_tokens: u64,
+    /// Tokens dispatched for the first time.
     pub new_tokens: u64,
+    /// Attempts accepted by an engine of another zone.
     pub cross_zone: usize,
+    /// Attempts accepted by another engine than the conversation's last one.
     pub migrated: usize,
 }
 
@@ -40,6 +50,7 @@
         self.first_ms.iter().sum::<f64>() / self.first_ms.len().max(1) as f64
     }
 
+    /// A quantile of the times to the first event.
     pub fn first_ms_at(&self, quantile: f64) -> f64 {
         let mut sorted = self.first_ms.clone();
         sorted.sort_by(f64::total_cmp);
@@ -55,6 +66,7 @@
         self.prefilled_tokens.saturating_sub(self.new_tokens)
     }
 
+    /// Ratio of the turns that failed or whose first event missed the latency target.
     pub fn late_ratio(&self) -> f64 {
         let late = self
             .first_ms
--- a/crates/serving/routing/tests/fleet/router.rs
+++ b/crates/serving/routing/tests/fleet/router.rs
@@ -74,8 +74,8 @@
 pub struct Baseline {
     policy: BaselinePolicy,
     servers: Vec<Rc<str>>,
-    own: Vec<u32>,
-    others: HashMap<String, Vec<u32>>,
+    own_in_flight: Vec<u32>,
+    peers_in_flight: HashMap<String, Vec<u32>>,
     assignments: HashMap<u64, usize>,
     last_key: u64,
     random: fastrand::Rng,
@@ -86,8 +86,8 @@
         Self {
             policy,
             servers: servers.iter().map(|server| server.id.clone()).collect(),
-            own: vec![0; servers.len()],
-            others: HashMap::new(),
+            own_in_flight: vec![0; servers.len()],
+            peers_in_flight: HashMap::new(),
             assignments: HashMap::new(),
             last_key: 0,
             random: fastrand::Rng::with_seed(seed),
@@ -95,10 +95,15 @@
     }
 
     fn load(&self, index: usize) -> u32 {
-        self.own[index] + self.others.values().map(|loads| loads[index]).sum::<u32>()
+        self.own_in_flight[index]
+            + self
+                .peers_in_flight
+                .values()
+                .map(|loads| loads[index])
+                .sum::<u32>()
     }
 
-    fn pick(&mut self, request: &RoutingRequest) -> Option<usize> {
+    fn choose_index(&mut self, request: &RoutingRequest) -> Option<usize> {
         let untried: Vec<usize> = (0..self.servers.len())
             .filter(|index| !request.tried.contains(&self.servers[*index]))
             .collect();
@@ -128,10 +133,10 @@
 
 impl Router for Baseline {
     fn choose(&mut self, request: &RoutingRequest, _now: Millis) -> RoutingDecision {
-        let Some(index) = self.pick(request) else {
+        let Some(index) = self.choose_index(request) else {
             return RoutingDecision::RetryAfter(100);
         };
-        self.own[index] += 1;
+        self.own_in_flight[index] += 1;
         self.last_key += 1;
         self.assignments.insert(self.last_key, index);
         RoutingDecision::Dispatch(DispatchTarget {
@@ -145,12 +150,12 @@
 
     fn finished(&mut self, key: u64, _outcome: Outcome, _now: Millis) {
         if let Some(index) = self.assignments.remove(&key) {
-            self.own[index] -= 1;
+            self.own_in_flight[index] -= 1;
         }
     }
 
     fn reports(&self) -> Vec<LoadReport> {
-        let loads = self.servers.iter().zip(&self.own);
+        let loads = self.servers.iter().zip(&self.own_in_flight);
         loads
             .map(|(server, in_flight)| LoadReport {
                 server: server.clone(),
@@ -171,6 +176,6 @@
                 loads[index] = report.in_flight;
             }
         }
-        self.others.insert(from.to_string(), loads);
+        self.peers_in_flight.insert(from.to_string(), loads);
     }
 }
--- a/crates/serving/routing/tests/plain_fleet/mod.rs
+++ b/crates/serving/routing/tests/plain_fleet/mod.rs
@@ -48,10 +48,14 @@
 pub struct DayResult {
     pub requests: usize,
     pub not_served: usize,
+    /// Requests served after their latency target.
     pub late: usize,
-    pub took_us: u64,
+    /// Sum of the times of all served requests.
+    pub total_us: u64,
     pub served: usize,
+    /// Dispatches to a server of another zone.
     pub cross_zone: usize,
+    /// Dispatches to the failing server during its fault.
     pub failed_dispatches: usize,
     /// Dispatches to the failing server after it has recovered.
     pub dispatches_after_fault: usize,
@@ -59,7 +63,7 @@
 
 impl DayResult {
     pub fn mean_ms(&self) -> f64 {
-        self.took_us as f64 / self.served.max(1) as f64 / 1_000.0
+        self.total_us as f64 / self.served.max(1) as f64 / 1_000.0
     }
 }
 
@@ -73,11 +77,16 @@
     key: u64,
 }
 
+/// An event of the simulation. Requests, servers and gateways are given by number, in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum SimEvent {
+    /// A gateway dispatches a request.
     Dispatch(usize),
+    /// A request arrives at a server.
     Arrive(usize, usize),
+    /// A server has completed a request.
     Done(usize, usize),
+    /// A gateway sends its load report to the others.
     SendReport(usize),
 }
 
@@ -303,7 +312,7 @@
         let request = &self.requests[number];
         let took_us = now + 1_000 - request.started_at;
         self.result.served += 1;
-        self.result.took_us += took_us;
+        self.result.total_us += took_us;
         if took_us > REQUEST_KINDS[request.kind].1 * 1_000 {
             self.result.late += 1;
         }
@@ -357,6 +366,6 @@
     for count in counts {
         digest.number(count as u64);
     }
-    digest.number(result.took_us);
+    digest.number(result.total_us);
     digest.value()
 }
--- a/crates/serving/routing/tests/plain_simulation.rs
+++ b/crates/serving/routing/tests/plain_simulation.rs
@@ -16,7 +16,7 @@
         sum.requests += result.requests;
         sum.not_served += result.not_served;
         sum.late += result.late;
-        sum.took_us += result.took_us;
+        sum.total_us += result.total_us;
         sum.served += result.served;
         sum.cross_zone += result.cross_zone;
         sum.failed_dispatches += result.failed_dispatches;
