--- a/crates/serving/dunespur/src/data_plane.rs
+++ b/crates/serving/dunespur/src/data_plane.rs
@@ -11,7 +11,7 @@
 use dunespur_load_distribution::Identity;
 use dunespur_proxy::{AdmissionDecision, AdmissionRequest, CompletedTurn, History, Node, TurnKey};
 use dunespur_routing::{
-    Balancer, Choice, EngineShape, LoadReport, Outcome, RoutingRequest, Server,
+    Balancer, Choice, EngineParameters, LoadReport, Outcome, RoutingRequest, Server,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -99,7 +99,7 @@
     let service = table.and_then(|table| table.service(&report.backend));
     let engine = service
         .and_then(|service| service.engine.as_ref())
-        .map(|engine| EngineShape {
+        .map(|engine| EngineParameters {
             kv_capacity: engine.kv_capacity,
             slots: engine.slots,
             chunk_tokens: engine.chunk_tokens,
--- a/crates/serving/routing/src/lib.rs
+++ b/crates/serving/routing/src/lib.rs
@@ -37,6 +37,6 @@
 
 pub use balancer::Balancer;
 pub use types::{
-    Choice, EngineShape, LoadReport, Millis, Outcome, PromptSegment, RoutingRequest, Server,
+    Choice, EngineParameters, LoadReport, Millis, Outcome, PromptSegment, RoutingRequest, Server,
     ServerId, Ticket, TicketKey,
 };
--- a/crates/serving/routing/src/types.rs
+++ b/crates/serving/routing/src/types.rs
@@ -30,14 +30,14 @@
     /// Remaining time for which the server is slow after its start, in milliseconds.
     pub warmup_left_ms: u64,
     /// Set if the server is a model engine.
-    pub engine: Option<EngineShape>,
+    pub engine: Option<EngineParameters>,
     /// Connections that the server accepts from all callers together; 0 if unknown.
     pub max_conns: u32,
 }
 
 /// The configured capacity of a service's engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EngineShape {
+pub struct EngineParameters {
     /// Tokens that fit into the KV cache of an engine, for running requests and cached prefixes together.
     pub kv_capacity: u64,
     /// Maximum number of requests in one batch.
--- a/crates/serving/routing/tests/common/mod.rs
+++ b/crates/serving/routing/tests/common/mod.rs
@@ -4,13 +4,13 @@
 
 pub mod digest;
 
-use dunespur_routing::{EngineShape, PromptSegment, RoutingRequest, Server};
+use dunespur_routing::{EngineParameters, PromptSegment, RoutingRequest, Server};
 
 pub const ENGINES: &str = "engines";
 pub const PLAIN: &str = "plain";
 
 pub fn engine_server(number: usize, zone: &str) -> Server {
-    let shape = EngineShape {
+    let shape = EngineParameters {
         kv_capacity: 220_000,
         slots: 24,
         chunk_tokens: 3,
--- a/crates/serving/routing/tests/fleet/day.rs
+++ b/crates/serving/routing/tests/fleet/day.rs
@@ -1,6 +1,6 @@
 //! The parameters of a simulated day, and the servers and routers built from them.
 
-use dunespur_routing::{Balancer, EngineShape, Server};
+use dunespur_routing::{Balancer, EngineParameters, Server};
 
 use super::engine::EngineModel;
 use super::router::{Balanced, Baseline, BaselinePolicy, Router};
@@ -64,7 +64,7 @@
 }
 
 pub fn server(day: &Day, number: usize) -> Server {
-    let shape = EngineShape {
+    let shape = EngineParameters {
         kv_capacity: day.model.kv_capacity,
         slots: day.model.slots as u32,
         chunk_tokens: day.model.chunk_tokens,
