--- a/crates/serving/routing/src/fault_hint.rs
+++ b/crates/serving/routing/src/fault_hint.rs
@@ -1,4 +1,4 @@
-//! Hints of other gateways that a server is faulty: it gets fewer requests until one of this gateway's is served there.
+//! Hints of other gateways that a server is faulty: it gets fewer requests until it serves one of this gateway's.
 //!
 //! A hint never ejects a server, because the other gateway may be wrong about it or partitioned from it. The server
 //! counts as slower until a request dispatched after the hint is served, but gets one trial request every few seconds.
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Refutes the hint, because a request dispatched at `dispatched_at` was served, unless the hint is newer.
+    /// Refutes the hint if a served request was dispatched after it; `dispatched_at` is the time of dispatch.
     pub(crate) fn refute(&mut self, dispatched_at: Millis, now: Millis) {
         if let FaultHint::Suspected { since, until, .. } = self.current(now) {
             if dispatched_at >= since {
--- a/crates/serving/routing/src/outlier.rs
+++ b/crates/serving/routing/src/outlier.rs
@@ -48,7 +48,7 @@
     Misdirected,
 }
 
-/// Whether an endpoint gets requests.
+/// The health of an endpoint, which decides whether it gets requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HealthState {
     /// Gets requests for all of its slots.
--- a/crates/serving/routing/src/priority.rs
+++ b/crates/serving/routing/src/priority.rs
@@ -5,11 +5,11 @@
 
 /// Priority of a request that is new and not urgent, on a route of priority 0.
 const DEFAULT_PRIORITY: u8 = 5;
-/// Route priorities above this are treated alike.
+/// Route priorities above this value are treated alike.
 const MAX_ROUTE_PRIORITY: u8 = 3;
-/// Reduction of the number for a program with an earlier turn, whose completed work would otherwise be lost.
+/// Reduction of the priority number for a program with an earlier turn, whose completed work would otherwise be lost.
 const CONTINUATION_BONUS: u8 = 2;
-/// The number is reduced by one if the time left is less than this multiple of the expected time.
+/// The priority number is reduced by one if the time left is less than this multiple of the expected time.
 const URGENCY_FACTOR: f64 = 2.0;
 
 /// Whether the program has had an earlier turn: some engine caches a prompt segment that only this program uses.
--- a/crates/serving/routing/src/types.rs
+++ b/crates/serving/routing/src/types.rs
@@ -35,7 +35,7 @@
     pub max_conns: u32,
 }
 
-/// The configured capacity of a service's engines.
+/// The configured parameters of a service's engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineParameters {
     /// Tokens that fit into the KV cache of an engine, for running requests and cached prefixes together.
--- a/crates/serving/routing/tests/common/mod.rs
+++ b/crates/serving/routing/tests/common/mod.rs
@@ -10,13 +10,13 @@
 pub const PLAIN: &str = "plain";
 
 pub fn engine_server(number: usize, zone: &str) -> Server {
-    let shape = EngineParameters {
+    let parameters = EngineParameters {
         kv_capacity: 220_000,
         slots: 24,
         chunk_tokens: 3,
     };
     Server {
-        engine: Some(shape),
+        engine: Some(parameters),
         slots: 24,
         ..server(ENGINES, number, zone)
     }
--- a/crates/serving/routing/tests/fleet/day.rs
+++ b/crates/serving/routing/tests/fleet/day.rs
@@ -64,7 +64,7 @@
 }
 
 pub fn server(day: &Day, number: usize) -> Server {
-    let shape = EngineParameters {
+    let parameters = EngineParameters {
         kv_capacity: day.model.kv_capacity,
         slots: day.model.slots as u32,
         chunk_tokens: day.model.chunk_tokens,
@@ -77,7 +77,7 @@
         slots: day.model.slots as u32,
         draining: false,
         warmup_left_ms: 0,
-        engine: Some(shape),
+        engine: Some(parameters),
         max_conns: 220,
     }
 }
