--- a/crates/serving/dunespur/src/data_plane.rs
+++ b/crates/serving/dunespur/src/data_plane.rs
@@ -153,7 +153,7 @@
         request_events::first_event(key);
         self.balancer
             .borrow_mut()
-            .first_event(key, self.clock.now());
+            .record_first_event(key, self.clock.now());
     }
 
     fn finished(&self, key: u64, outcome: Outcome) {
@@ -161,7 +161,7 @@
         request_events::outcome(key, outcome);
         self.balancer
             .borrow_mut()
-            .finished(key, outcome, self.clock.now());
+            .record_outcome(key, outcome, self.clock.now());
     }
 
     async fn admit(&self, turn: AdmissionRequest<'_>) -> AdmissionDecision {
--- a/crates/serving/routing/src/attempt.rs
+++ b/crates/serving/routing/src/attempt.rs
@@ -43,7 +43,7 @@
 }
 
 /// Passes the outcome of an attempt to the endpoint's outlier detector and fault hint.
-pub(crate) fn record_outcome(
+pub(crate) fn record_health(
     endpoint: &mut Endpoint,
     attempt: &Attempt,
     outcome: Outcome,
--- a/crates/serving/routing/src/balancer.rs
+++ b/crates/serving/routing/src/balancer.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use crate::admission::{retry_after_if_rejected, stream_timeout_ms, Forecast};
-use crate::attempt::{record_outcome, release, Attempt, EngineAttempt};
+use crate::attempt::{record_health, release, Attempt, EngineAttempt};
 use crate::endpoint::Endpoint;
 use crate::engine_selection::{self, EngineChoice};
 use crate::least_loaded;
@@ -58,8 +58,9 @@
         }
     }
 
-    /// Chooses a server and counts the request as in flight there until [`Balancer::finished`] is called with its key.
-    #[must_use = "a request that is sent counts as in flight until it is finished"]
+    /// Chooses a server and counts the request as in flight there until [`Balancer::record_outcome`] is called with the
+    /// ticket's key.
+    #[must_use = "a request that is sent counts as in flight until its outcome is recorded"]
     pub fn choose(&mut self, request: &RoutingRequest, now: Millis) -> Choice {
         let Some(pool) = self.pools.get_mut(request.backend) else {
             return Choice::NoServer;
@@ -76,7 +77,7 @@
     }
 
     /// Records the first event of a stream, or the head of a response that is not a stream.
-    pub fn first_event(&mut self, key: TicketKey, now: Millis) {
+    pub fn record_first_event(&mut self, key: TicketKey, now: Millis) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
@@ -94,7 +95,7 @@
     }
 
     /// Records the outcome of an attempt, which is no longer in flight.
-    pub fn finished(&mut self, key: TicketKey, outcome: Outcome, now: Millis) {
+    pub fn record_outcome(&mut self, key: TicketKey, outcome: Outcome, now: Millis) {
         let Some(attempt) = self.attempts.remove(&key) else {
             return;
         };
@@ -108,7 +109,7 @@
             return;
         };
         release(endpoint, &attempt, outcome, now);
-        record_outcome(endpoint, &attempt, outcome, now);
+        record_health(endpoint, &attempt, outcome, now);
     }
 
     /// Replaces the last load report of another gateway by `reports`, which is complete.
--- a/crates/serving/routing/src/types.rs
+++ b/crates/serving/routing/src/types.rs
@@ -9,7 +9,7 @@
 /// Id of one incarnation of a server.
 pub type ServerId = Rc<str>;
 
-/// Identifies one attempt of one request until it is finished.
+/// Identifies one attempt of one request until its outcome is recorded.
 pub type TicketKey = u64;
 
 /// One server, as its registration states it.
--- a/crates/serving/routing/tests/choice.rs
+++ b/crates/serving/routing/tests/choice.rs
@@ -38,11 +38,11 @@
         } else {
             Outcome::Served { tokens_out: 0 }
         };
-        balancer.finished(ticket.key, outcome, now);
+        balancer.record_outcome(ticket.key, outcome, now);
         if outcome == Outcome::Misdirected {
             let next = expect_ticket(balancer.choose(&request, now));
             assert_eq!(next.server.id, servers[3].id);
-            balancer.finished(next.key, Outcome::Served { tokens_out: 0 }, now);
+            balancer.record_outcome(next.key, Outcome::Served { tokens_out: 0 }, now);
         }
     }
     let all: Vec<_> = servers.iter().map(|server| server.id.clone()).collect();
@@ -56,7 +56,7 @@
     let mut balancer = Balancer::new("a".into(), 1);
     balancer.set_servers(vec![plain_server(0, "a")], 0);
     let ticket = expect_ticket(balancer.choose(&plain_request(), 0));
-    balancer.finished(ticket.key, Outcome::Misdirected, 1);
+    balancer.record_outcome(ticket.key, Outcome::Misdirected, 1);
     balancer.set_servers(vec![plain_server(0, "a")], 2);
     assert!(matches!(
         balancer.choose(&plain_request(), 100_000),
@@ -185,9 +185,9 @@
     assert_eq!(reports.len(), 1);
     assert_eq!(reports[0].in_flight, 1);
     assert!(reports[0].prefill_tokens > 0 && reports[0].prefill_tokens <= 1_000);
-    balancer.first_event(ticket.key, 50);
+    balancer.record_first_event(ticket.key, 50);
     assert_eq!(balancer.load_reports()[0].prefill_tokens, 0);
-    balancer.finished(ticket.key, Outcome::Served { tokens_out: 30 }, 300);
+    balancer.record_outcome(ticket.key, Outcome::Served { tokens_out: 30 }, 300);
     assert!(balancer.load_reports().is_empty());
     assert_eq!(balancer.in_flight(), 0);
 }
@@ -200,7 +200,7 @@
     balancer.set_servers(vec![], 1);
     balancer.set_servers(vec![plain_server(0, "a")], 2);
     let _new = expect_ticket(balancer.choose(&plain_request(), 3));
-    balancer.finished(old.key, Outcome::Failed, 4);
+    balancer.record_outcome(old.key, Outcome::Failed, 4);
     assert_eq!(balancer.load_reports()[0].in_flight, 1);
 }
 
@@ -256,8 +256,8 @@
         let ticket = expect_ticket(balancer.choose(&engine_request("program", &prefix), now));
         let first = preferred.get_or_insert(ticket.server.id.clone());
         assert_eq!(*first, ticket.server.id);
-        balancer.first_event(ticket.key, now + 40);
-        balancer.finished(ticket.key, Outcome::Served { tokens_out: 33 }, now + 300);
+        balancer.record_first_event(ticket.key, now + 40);
+        balancer.record_outcome(ticket.key, Outcome::Served { tokens_out: 33 }, now + 300);
         tokens += 300;
     }
 }
@@ -356,7 +356,7 @@
     balancer.set_servers(servers.clone(), 0);
     for now in 0..200 {
         let ticket = expect_ticket(balancer.choose(&plain_request(), now));
-        balancer.finished(ticket.key, Outcome::Failed, now);
+        balancer.record_outcome(ticket.key, Outcome::Failed, now);
     }
     let mut used_servers = std::collections::BTreeSet::new();
     for _ in 0..20 {
@@ -376,11 +376,11 @@
     let servers: Vec<_> = (0..3).map(|number| plain_server(number, "a")).collect();
     balancer.set_servers(servers, 0);
     let unreachable = expect_ticket(balancer.choose(&plain_request(), 0));
-    balancer.finished(unreachable.key, Outcome::Unreachable, 1);
+    balancer.record_outcome(unreachable.key, Outcome::Unreachable, 1);
     for now in 2..100 {
         let ticket = expect_ticket(balancer.choose(&plain_request(), now));
         assert_ne!(ticket.server.id, unreachable.server.id);
-        balancer.finished(ticket.key, Outcome::Served { tokens_out: 0 }, now);
+        balancer.record_outcome(ticket.key, Outcome::Served { tokens_out: 0 }, now);
     }
     let returned = (0..30).any(|_| {
         expect_ticket(balancer.choose(&plain_request(), 60_000))
--- a/crates/serving/routing/tests/fleet/mod.rs
+++ b/crates/serving/routing/tests/fleet/mod.rs
@@ -312,7 +312,7 @@
         if !self.engines[engine].try_enqueue(job) {
             self.result.rejected += 1;
             let (gateway, key) = (turn.gateway, turn.key);
-            self.routers[gateway].finished(key, Outcome::Rejected, now as Millis);
+            self.routers[gateway].record_outcome(key, Outcome::Rejected, now as Millis);
             self.schedule(now + GATEWAY_DELAY_MS, SimEvent::Dispatch(number));
             return;
         }
@@ -378,7 +378,7 @@
             Event::FirstEvent(..) => {
                 turn.first_event_at = Some(now);
                 self.result.first_ms.push(now - turn.started_at);
-                self.routers[turn.gateway].first_event(key, now as Millis);
+                self.routers[turn.gateway].record_first_event(key, now as Millis);
             }
             Event::Finished(..) => {
                 let turn = self
@@ -388,7 +388,7 @@
                 let served = Outcome::Served {
                     tokens_out: self.day.output_tokens,
                 };
-                self.routers[turn.gateway].finished(key, served, now as Millis);
+                self.routers[turn.gateway].record_outcome(key, served, now as Millis);
                 self.result.turn_ms.push(now - turn.started_at);
                 self.continue_conversation(turn.conversation, now);
             }
@@ -404,7 +404,7 @@
         };
         turn.key = 0;
         self.result.timed_out += 1;
-        self.routers[turn.gateway].finished(key, Outcome::TimedOut, now as Millis);
+        self.routers[turn.gateway].record_outcome(key, Outcome::TimedOut, now as Millis);
         self.schedule(now, SimEvent::Dispatch(number));
     }
 
--- a/crates/serving/routing/tests/fleet/router.rs
+++ b/crates/serving/routing/tests/fleet/router.rs
@@ -23,8 +23,8 @@
 /// The router of one gateway.
 pub trait Router {
     fn choose(&mut self, request: &RoutingRequest, now: Millis) -> RoutingDecision;
-    fn first_event(&mut self, key: u64, now: Millis);
-    fn finished(&mut self, key: u64, outcome: Outcome, now: Millis);
+    fn record_first_event(&mut self, key: u64, now: Millis);
+    fn record_outcome(&mut self, key: u64, outcome: Outcome, now: Millis);
     fn reports(&self) -> Vec<LoadReport>;
     fn apply_peer_load(&mut self, reports: &[LoadReport], from: &str, now: Millis);
 }
@@ -53,12 +53,12 @@
         }
     }
 
-    fn first_event(&mut self, key: u64, now: Millis) {
-        self.0.first_event(key, now);
+    fn record_first_event(&mut self, key: u64, now: Millis) {
+        self.0.record_first_event(key, now);
     }
 
-    fn finished(&mut self, key: u64, outcome: Outcome, now: Millis) {
-        self.0.finished(key, outcome, now);
+    fn record_outcome(&mut self, key: u64, outcome: Outcome, now: Millis) {
+        self.0.record_outcome(key, outcome, now);
     }
 
     fn reports(&self) -> Vec<LoadReport> {
@@ -146,9 +146,9 @@
         })
     }
 
-    fn first_event(&mut self, _key: u64, _now: Millis) {}
+    fn record_first_event(&mut self, _key: u64, _now: Millis) {}
 
-    fn finished(&mut self, key: u64, _outcome: Outcome, _now: Millis) {
+    fn record_outcome(&mut self, key: u64, _outcome: Outcome, _now: Millis) {
         if let Some(index) = self.assignments.remove(&key) {
             self.own_in_flight[index] -= 1;
         }
--- a/crates/serving/routing/tests/hints.rs
+++ b/crates/serving/routing/tests/hints.rs
@@ -46,7 +46,7 @@
             Outcome::Served { tokens_out: 0 }
         };
         to_hinted += u64::from(is_hinted);
-        balancer.finished(ticket.key, result, now + 10);
+        balancer.record_outcome(ticket.key, result, now + 10);
     }
     to_hinted
 }
@@ -110,7 +110,7 @@
         .enumerate()
     {
         let ticket = expect_ticket(balancer.choose(&plain_request(), step as u64));
-        balancer.finished(ticket.key, outcome, step as u64);
+        balancer.record_outcome(ticket.key, outcome, step as u64);
         let expected = if outcome == Outcome::Rejected {
             vec![]
         } else {
--- a/crates/serving/routing/tests/plain_fleet/mod.rs
+++ b/crates/serving/routing/tests/plain_fleet/mod.rs
@@ -323,9 +323,9 @@
         self.own_in_flight[gateway][server] -= 1;
         if self.policy == Policy::Balanced {
             if matches!(outcome, Outcome::Served { .. }) {
-                self.balancers[gateway].first_event(key, now / 1_000);
+                self.balancers[gateway].record_first_event(key, now / 1_000);
             }
-            self.balancers[gateway].finished(key, outcome, now / 1_000);
+            self.balancers[gateway].record_outcome(key, outcome, now / 1_000);
         }
     }
 
--- a/crates/serving/routing/tests/properties.rs
+++ b/crates/serving/routing/tests/properties.rs
@@ -58,7 +58,7 @@
             1 => self.report(),
             2..=5 => return self.choose_plain(),
             6..=9 => return self.choose_engine(),
-            10 | 11 => self.first_event(),
+            10 | 11 => self.record_first_event(),
             _ => self.finish(),
         }
         Ok(())
@@ -232,9 +232,9 @@
         self.random.choice(keys)
     }
 
-    fn first_event(&mut self) {
+    fn record_first_event(&mut self) {
         if let Some(key) = self.any_key() {
-            self.balancer.first_event(key, self.now);
+            self.balancer.record_first_event(key, self.now);
         }
     }
 
@@ -243,7 +243,7 @@
             return;
         };
         let outcome = OUTCOMES[self.random.usize(..OUTCOMES.len())];
-        self.balancer.finished(key, outcome, self.now);
+        self.balancer.record_outcome(key, outcome, self.now);
         if let (Some(id), Outcome::Misdirected) = (self.in_flight.remove(&key), outcome) {
             self.replaced.insert(id);
         }
