--- a/crates/serving/load-distribution/src/subscription.rs
+++ b/crates/serving/load-distribution/src/subscription.rs
@@ -108,7 +108,8 @@
         self.loads.is_empty()
     }
 
-    /// The time of the next report; `None` while the subscription is idle or awaits an update.
+    /// The time of the next report; `None` while the subscription is idle or awaits an update, as the update or its
+    /// failure ends the wait.
     pub(crate) fn next_due(&self) -> Option<Millis> {
         match self.state {
             State::Due { at } => Some(at),
