--- a/crates/serving/routing/tests/common/mod.rs
+++ b/crates/serving/routing/tests/common/mod.rs
@@ -1,22 +1,22 @@
 //! Servers and requests for the tests.
-// Each test file is a crate of its own and uses some of these.
+// Each test file is a separate crate that uses only some of these.
 #![allow(dead_code)]
 
 pub mod digest;
 
-use dunespur_routing::{EngineShape, PromptSegment, RoutingRequest, Server};
+use dunespur_routing::{EngineParameters, PromptSegment, RoutingRequest, Server};
 
 pub const ENGINES: &str = "engines";
 pub const PLAIN: &str = "plain";
 
 pub fn engine_server(number: usize, zone: &str) -> Server {
-    let shape = EngineShape {
+    let parameters = EngineParameters {
         kv_capacity: 220_000,
         slots: 24,
         chunk_tokens: 3,
     };
     Server {
-        engine: Some(shape),
+        engine: Some(parameters),
         slots: 24,
         ..server(ENGINES, number, zone)
     }
--- a/crates/serving/routing/tests/fleet/result.rs
+++ b/crates/serving/routing/tests/fleet/result.rs
@@ -1,26 +1,36 @@
-//! The figures of a simulated day.
+//! The measured results of a simulated day.
 
 use super::day::TARGET_MS;
 
-/// The figures of a day.
+/// The measured results of one or several days.
 #[derive(Debug, Clone, Default)]
 pub struct DayResult {
     pub turns: usize,
+    /// Turns without attempts or time left.
     pub failed: usize,
+    /// Attempts rejected by a full engine.
     pub rejected: usize,
+    /// Decisions of a router to retry later.
     pub deferred: usize,
+    /// Attempts without a first event in time.
     pub timed_out: usize,
+    /// Requests preempted by engines.
     pub preempted: u64,
+    /// Times from the start of a turn to its first event.
     pub first_ms: Vec<f64>,
+    /// Durations of the completed turns.
     pub turn_ms: Vec<f64>,
     pub prefilled_tokens: u64,
+    /// Tokens dispatched for the first time.
     pub new_tokens: u64,
-    pub other_zone: usize,
+    /// Attempts accepted by an engine of another zone.
+    pub cross_zone: usize,
+    /// Attempts accepted by another engine than the conversation's last one.
     pub migrated: usize,
 }
 
 impl DayResult {
-    /// Adds another day.
+    /// Adds the results of another day.
     pub fn add(&mut self, day: DayResult) {
         self.turns += day.turns;
         self.failed += day.failed;
@@ -32,7 +42,7 @@
         self.turn_ms.extend(day.turn_ms);
         self.prefilled_tokens += day.prefilled_tokens;
         self.new_tokens += day.new_tokens;
-        self.other_zone += day.other_zone;
+        self.cross_zone += day.cross_zone;
         self.migrated += day.migrated;
     }
 
@@ -40,6 +50,7 @@
         self.first_ms.iter().sum::<f64>() / self.first_ms.len().max(1) as f64
     }
 
+    /// A quantile of the times to the first event.
     pub fn first_ms_at(&self, quantile: f64) -> f64 {
         let mut sorted = self.first_ms.clone();
         sorted.sort_by(f64::total_cmp);
@@ -50,11 +61,12 @@
         self.turn_ms.iter().sum::<f64>() / self.turn_ms.len().max(1) as f64
     }
 
-    /// Tokens prefilled though some engine had prefilled them before.
+    /// Tokens that were prefilled although some engine had prefilled them before.
     pub fn recomputed_tokens(&self) -> u64 {
         self.prefilled_tokens.saturating_sub(self.new_tokens)
     }
 
+    /// Ratio of the turns that failed or whose first event missed the latency target.
     pub fn late_ratio(&self) -> f64 {
         let late = self
             .first_ms
@@ -85,7 +97,7 @@
             100.0 * self.late_ratio(),
             self.recomputed_tokens() / 1000,
             self.prefilled_tokens / 1000,
-            100.0 * self.other_zone as f64 / self.turns.max(1) as f64,
+            100.0 * self.cross_zone as f64 / self.turns.max(1) as f64,
             100.0 * self.migrated as f64 / self.turns.max(1) as f64,
         )
     }
