--- a/crates/serving/chain-replication/src/agreement.rs
+++ b/crates/serving/chain-replication/src/agreement.rs
@@ -4,25 +4,25 @@
 use crate::view::{View, ViewNumber};
 use serde::{Deserialize, Serialize};
 
-/// The number of one proposal (Lamport's ballot number). Greater numbers take precedence over lesser ones; no two
-/// attempts have the same one, as it names its proposer and the run of the proposer's process.
+/// The number of one proposal (Lamport's ballot number). Greater numbers take precedence over lesser ones. Numbers are
+/// unique, as each names its proposer and the run of the proposer's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProposalNumber {
-    /// Above that of every number that the proposer has promised.
+    /// Above the sequence of every number that the proposer has promised.
     pub sequence: u64,
     /// The member that makes the proposal.
     pub proposer: MemberId,
-    /// The run of the proposer's process: after a restart it doesn't know which sequences it has used.
+    /// The run of the proposer's process, as after a restart the proposer doesn't know which sequences it has used.
     pub incarnation: Incarnation,
 }
 
-/// A view as it is decided.
+/// A view with its base: the value that the agreement decides.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecidedView {
     /// Members and chain.
     pub view: View,
-    /// Every member synced in this view or a later one, before `view.number`, has all that was committed before
-    /// `view.number`: in the views between, nothing was.
+    /// Every member whose synced view is at least `base` and below `view.number` has everything committed before
+    /// `view.number`, as nothing was committed in the views between.
     pub base: ViewNumber,
 }
 
@@ -33,14 +33,14 @@
         self.view.number
     }
 
-    /// The first view, on empty logs.
+    /// The first view, in which all logs are empty.
     #[must_use]
     pub fn bootstrap(view: View) -> DecidedView {
         DecidedView { view, base: 0 }
     }
 }
 
-/// The value that an acceptor has accepted for the next view, and under which number.
+/// The view that an acceptor has accepted, and the number of its proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedView {
     /// The number of the accepted proposal.
--- a/crates/serving/chain-replication/src/durable.rs
+++ b/crates/serving/chain-replication/src/durable.rs
@@ -1,4 +1,4 @@
-//! What a member keeps on disk: the records that it writes, and the state that it finds after a start.
+//! The durable state of a member: the records that it writes to disk, and the state that it reads at its start.
 
 use crate::agreement::{AcceptedView, DecidedView, ProposalNumber};
 use crate::log::{Entry, LogIndex, Position};
@@ -6,32 +6,32 @@
 use crate::view::ViewNumber;
 use serde::{Deserialize, Serialize};
 
-/// One change to what is on disk. The writes of a batch are atomic: all of them are kept, or none.
+/// One change to the durable state. The writes of a batch are applied atomically.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Write {
-    /// Paxos, phase 1: nothing below this number is accepted, in the agreement on the view after the installed one.
+    /// Paxos, phase 1: the member accepts no lower number in the agreement on the view after the installed one.
     Promise {
         /// The promised number.
         proposal_number: ProposalNumber,
     },
     /// Paxos, phase 2: the accepted proposal for the view after the installed one.
     Accept {
-        /// Number and value.
+        /// The accepted number and view.
         accepted: AcceptedView,
     },
-    /// A view was decided. Promise and accepted proposal were for it or an earlier one, and end with it.
+    /// A view was decided. This clears the promise and the accepted proposal, which were for this view or an earlier one.
     InstallView {
         /// The decided view.
         decided: DecidedView,
     },
-    /// The log is complete as of this view. 0: it lacks what every view needs.
+    /// The log is complete as of this view; 0 if the log lacks commits and is complete as of no view.
     Synced {
         /// The synced view.
         view: ViewNumber,
     },
     /// The next entry of the log.
     Entry {
-        /// Its index is one above that of the entry before.
+        /// An entry whose index is one above the last entry's.
         entry: Entry,
     },
     /// Entries after this index are removed.
@@ -39,7 +39,7 @@
         /// The last index that stays.
         index: LogIndex,
     },
-    /// The caller's state at a position replaces the snapshot before and the entries up to there.
+    /// A snapshot replaces the previous snapshot and the entries that it includes.
     Snapshot {
         /// The new snapshot.
         snapshot: Snapshot,
@@ -55,7 +55,7 @@
     pub bytes: Payload,
 }
 
-/// What was found on disk; the default is an empty disk.
+/// The state found on disk; the default is an empty disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DurableState {
     /// The newest installed view.
@@ -68,12 +68,12 @@
     pub synced_view: ViewNumber,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// In order, without gaps, after the snapshot.
+    /// The entries after the snapshot, in order and without gaps.
     pub entries: Vec<Entry>,
 }
 
 impl DurableState {
-    /// Whether nothing was ever written.
+    /// Whether the disk is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == DurableState::default()
@@ -86,7 +86,7 @@
         snapshot.map_or_else(Position::default, |snapshot| snapshot.position)
     }
 
-    /// What is on disk after one more write: this defines the meaning of each.
+    /// Applies a write; this defines the meaning of each kind of write.
     pub fn apply(&mut self, write: &Write) {
         match write {
             Write::Promise { proposal_number } => self.promised = Some(proposal_number.clone()),
--- a/crates/serving/chain-replication/src/failure_detector.rs
+++ b/crates/serving/chain-replication/src/failure_detector.rs
@@ -1,35 +1,35 @@
-//! The failure detector: what a member knows of the others from their pings. From whom messages
-//! arrive, who receives ours, and who is connected with whom.
+//! The failure detector: what a member knows of the others from their messages and pings, that is which members it
+//! receives from, which receive its own pings, and which are connected with each other.
 
 use crate::identity::MemberId;
 use crate::message::Ping;
 use crate::timing::{
-    Millis, ECHO_TIMEOUT, EVICTION_MEMORY, GRACE_PERIOD, MAX_READMISSION_DOUBLINGS, QUORUM_TIMEOUT,
+    Millis, ECHO_TIMEOUT, EVICTION_WINDOW, GRACE_PERIOD, MAX_READMISSION_DOUBLINGS, QUORUM_TIMEOUT,
     READMISSION_DELAY, SUSPECT_TIMEOUT, SUSPECT_TIMEOUT_AFTER_DISCONNECT,
 };
 use crate::view::{View, ViewNumber};
 
-/// What is known of one other member.
+/// The observations about one other member.
 #[derive(Clone, Debug)]
 struct PeerState {
     id: MemberId,
-    /// When a message of it last came, or what counts as that after our own suspension.
+    /// When a message from it last arrived; moved forward after our own suspension.
     last_received_at: Millis,
-    /// Its connection was refused or reset then, and nothing of it has come since.
+    /// When its connection was refused or reset; none once a message from it has arrived since.
     disconnected_at: Option<Millis>,
-    /// When we sent the newest of our timestamps that it has echoed.
+    /// When we sent the newest timestamp that it has echoed.
     echoed_sent_at: Option<Millis>,
-    /// The view that it was in when it echoed that.
+    /// The peer's view when it echoed that timestamp.
     echoed_in_view: ViewNumber,
-    /// Until then it is presumed to receive our pings without an echo.
+    /// The time until which it is presumed to receive our pings, also without an echo.
     presumed_receiving_until: Millis,
-    /// Its newest timestamp, to be echoed.
+    /// The newest timestamp received from it, to be echoed.
     timestamp: Option<u64>,
     last_ping: Option<Ping>,
     /// Recent evictions from the chain.
     evictions: u32,
     last_eviction_at: Millis,
-    /// Since when it could have been readmitted to the chain.
+    /// Since when it has been eligible for readmission to the chain.
     eligible_since: Option<Millis>,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// When it becomes suspected, unless a message arrives before.
+    /// When this peer becomes suspected, unless a message from it arrives before.
     fn suspected_at(&self) -> Millis {
         let by_timeout = self.last_received_at + SUSPECT_TIMEOUT;
         self.disconnected_at.map_or(by_timeout, |at| {
@@ -72,14 +72,14 @@
     }
 }
 
-/// Whether a ping reports anything new that bears on who should be in the chain.
+/// Whether a ping reports a change that may affect the desired view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PingReport {
     Unchanged,
     Changed,
 }
 
-/// All other members of the view.
+/// The observations about all other members of the view.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FailureDetector {
     peers: Vec<PeerState>,
@@ -103,8 +103,8 @@
         self.peers.iter_mut().find(|peer| peer.id == *id)
     }
 
-    /// Keeps what is known of the view's members, forgets others, and counts who was evicted from the chain.
-    /// One that isn't a member exchanges no pings, so it knows nothing.
+    /// Keeps the observations about members of the new view, drops those about others, and counts evictions from the
+    /// chain. A process that isn't a member exchanges no pings, so it keeps no observations.
     pub(crate) fn install_view(
         &mut self,
         before: Option<&View>,
@@ -126,14 +126,14 @@
         for peer in &mut self.peers {
             peer.eligible_since = None;
             if before.in_chain(&peer.id) && !view.in_chain(&peer.id) {
-                let recent = now.saturating_sub(peer.last_eviction_at) < EVICTION_MEMORY;
+                let recent = now.saturating_sub(peer.last_eviction_at) < EVICTION_WINDOW;
                 peer.evictions = if recent { peer.evictions + 1 } else { 1 };
                 peer.last_eviction_at = now;
             }
         }
     }
 
-    /// Any message of it has come.
+    /// Records the arrival of any message from a member.
     pub(crate) fn message_received(&mut self, id: &MemberId, now: Millis) {
         if let Some(peer) = self.peer_mut(id) {
             peer.last_received_at = now;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A ping of it has come, which echoes what we sent at that time.
+    /// Records a ping from a member; it echoes a timestamp that we sent at `echoed_sent_at`.
     pub(crate) fn ping_received(
         &mut self,
         id: &MemberId,
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The connection to it was refused or reset.
+    /// Records that the connection to a member was refused or reset.
     pub(crate) fn disconnected(&mut self, id: &MemberId, now: Millis) {
         if let Some(peer) = self.peer_mut(id) {
             peer.disconnected_at.get_or_insert(now);
@@ -181,8 +181,8 @@
             .is_some_and(|peer| peer.disconnected_at.is_some())
     }
 
-    /// Our own process was suspended: what didn't arrive meanwhile says nothing. Everyone gets some time
-    /// for a message to arrive.
+    /// After a suspension of our own process: a message missed meanwhile says nothing about its sender, so every member
+    /// gets [`GRACE_PERIOD`] for a message to arrive.
     pub(crate) fn grant_grace_period(&mut self, now: Millis) {
         for peer in &mut self.peers {
             let earliest = (now + GRACE_PERIOD).saturating_sub(SUSPECT_TIMEOUT);
@@ -193,31 +193,31 @@
         }
     }
 
-    /// Our clock went back: what was echoed says nothing any more.
+    /// Discards the recorded echoes, which are of no use after our clock went back.
     pub(crate) fn forget_echoes(&mut self) {
         for peer in &mut self.peers {
             peer.echoed_sent_at = None;
         }
     }
 
-    /// A message of it has come lately.
+    /// Whether the member isn't suspected.
     pub(crate) fn is_alive(&self, id: &MemberId, now: Millis) -> bool {
         self.peer(id).is_some_and(|peer| peer.is_alive(now))
     }
 
-    /// Alive, and presumed to receive our pings.
+    /// Whether the member is alive and presumed to receive our pings.
     pub(crate) fn is_connected(&self, id: &MemberId, now: Millis) -> bool {
         self.peer(id)
             .is_some_and(|peer| peer.is_alive(now) && peer.receives_pings(now))
     }
 
-    /// Alive, and shown by an echo to receive our pings.
+    /// Whether the member is alive, and a recent echo shows that it receives our pings.
     pub(crate) fn is_confirmed_connected(&self, id: &MemberId, now: Millis) -> bool {
         self.peer(id)
             .is_some_and(|peer| peer.is_alive(now) && peer.has_echoed_lately(now))
     }
 
-    /// Has replied to what we sent lately, in this view.
+    /// Whether the member, in this view, has echoed a timestamp that we sent within [`QUORUM_TIMEOUT`].
     pub(crate) fn has_replied_lately(&self, id: &MemberId, view: ViewNumber, now: Millis) -> bool {
         self.peer(id).is_some_and(|peer| {
             let lately = peer
@@ -227,7 +227,8 @@
         })
     }
 
-    /// A message of it has come lately, and its last ping was of this view: for tests that remove `Safeguard::QuorumBySendTime`.
+    /// Whether a message from the member arrived within [`QUORUM_TIMEOUT`] and its last ping was of this view: for tests
+    /// that remove `Safeguard::QuorumBySendTime`.
     pub(crate) fn was_received_lately(&self, id: &MemberId, view: ViewNumber, now: Millis) -> bool {
         self.peer(id).is_some_and(|peer| {
             let same_view = peer
@@ -238,13 +239,13 @@
         })
     }
 
-    /// Time since the last message of it.
+    /// The time since the last message from the member.
     pub(crate) fn silent_for(&self, id: &MemberId, now: Millis) -> Millis {
         self.peer(id)
             .map_or(0, |peer| now.saturating_sub(peer.last_received_at))
     }
 
-    /// Its newest ping, if it was in this view then.
+    /// The member's newest ping, if the member was in this view when it sent it.
     pub(crate) fn last_ping(&self, id: &MemberId, view: ViewNumber) -> Option<&Ping> {
         self.peer(id)?
             .last_ping
@@ -252,19 +253,20 @@
             .filter(|ping| ping.view == view)
     }
 
-    /// Whether it has announced that its process is about to end, in whichever view; its next process revokes that.
+    /// Whether the member has announced, in any view, that its process is about to end. A ping of its next process revokes
+    /// this.
     pub(crate) fn is_leaving(&self, id: &MemberId) -> bool {
         self.peer(id)
             .and_then(|peer| peer.last_ping.as_ref())
             .is_some_and(|ping| ping.leaving)
     }
 
-    /// Its newest timestamp, to be echoed.
+    /// The newest timestamp received from the member, to be echoed.
     pub(crate) fn timestamp(&self, id: &MemberId) -> Option<u64> {
         self.peer(id)?.timestamp
     }
 
-    /// Records whether it could be readmitted to the chain now; whether it has been so for long enough.
+    /// Records whether the member is eligible for readmission now, and tells whether it has been eligible for long enough.
     pub(crate) fn update_eligibility(
         &mut self,
         id: &MemberId,
@@ -285,7 +287,7 @@
         now >= *peer.eligible_since.get_or_insert(now) + (READMISSION_DELAY << doublings)
     }
 
-    /// The next time after `now` at which another becomes suspected.
+    /// The next time after `now` at which a member becomes suspected.
     pub(crate) fn next_suspicion(&self, now: Millis) -> Option<Millis> {
         self.peers
             .iter()
@@ -295,7 +297,7 @@
     }
 }
 
-/// Whether two pings report the same as to who should be in the chain.
+/// Whether two pings agree in all fields that affect the desired view.
 fn reports_same(one: &Ping, other: &Ping) -> bool {
     one.view == other.view
         && one.connected == other.connected
--- a/crates/serving/chain-replication/src/lib.rs
+++ b/crates/serving/chain-replication/src/lib.rs
@@ -1,33 +1,34 @@
 //! Chain replication under an agreed view, as state machines without I/O.
 //!
-//! A [`Member`] is one replica of a log of opaque payloads. Writes enter at the head of the chain and
-//! pass down it (van Renesse and Schneider, *Chain Replication for Supporting High Throughput and Availability*, OSDI
-//! 2004); each member syncs an entry to disk before it forwards it. What the tail has on disk is committed, and the
-//! commit index travels back up to the head. Who is in the chain is a [`View`]; the view after the present one is
-//! decided by a majority of the present one's members, by single-decree Paxos (Lamport, *Paxos Made Simple*) with the
-//! next view as its value ([`AcceptedView`]).
+//! A [`Member`] is one replica of a log of opaque payloads. Writes enter at the head of the chain and are forwarded down to
+//! the tail (van Renesse and Schneider, *Chain Replication for Supporting High Throughput and Availability*, OSDI 2004).
+//! Each member syncs an entry to disk before it forwards the entry. An entry is committed once the tail has synced it, and
+//! the commit index travels back up to the head. A [`View`] lists the members and the chain; the next view is decided by a
+//! majority of the present view's members, by single-decree Paxos (Lamport, *Paxos Made Simple*) with the next view as its
+//! value ([`AcceptedView`]).
 //!
 //! # Why an acknowledged write is not lost
 //!
-//! * Each member keeps on disk its *synced view*: the newest view in which its log came to include all that its
-//!   predecessor's log included (for the head: the view in which it was chosen as head). A commit in a view needs every
-//!   member of its chain, synced in that view.
-//! * A promise in the agreement on the next view seals the present one: the member no longer participates in its chain.
-//! * The chain has at least a majority of the members, so every majority that decides the next view contains a member
-//!   of the chain. If all of those were synced in the view, each of them has all that was committed there. If one of
-//!   them was not, nothing was committed there, nor ever will be: then what counts is what was committed before it. The
-//!   *base* of the next view ([`DecidedView::base`]) names the synced view which is enough for that.
-//! * The next head is a member that has enough by that rule; everyone else's log is brought in line with the head's
-//!   before its syncs count.
+//! * Each member keeps its *synced view* on disk: the newest view in which its log came to include its predecessor's
+//!   whole log (for the head: the view in which it was chosen as head). A commit in a view needs every member of the
+//!   view's chain, synced in that view.
+//! * A promise in the agreement on the next view seals the present view: the member no longer participates in its chain.
+//! * The chain has at least a majority of the members, so every majority that decides the next view contains members of
+//!   the chain. If all of these were synced in the present view, each of them has every entry committed in it. If one
+//!   was not, nothing was or ever will be committed in the present view, and only commits of earlier views have to be
+//!   kept. The *base* of the next view ([`DecidedView::base`]) is the least synced view that guarantees these commits.
+//! * The next head is a member whose synced view is at least the base; every other member of the chain brings its log in
+//!   line with the head's before its syncs count.
 //!
 //! Members out of the chain learn the commits from the tail, so that they delay the chain little when they are
-//! readmitted. What is observed of the members, by pings that report who is connected with whom, and which view there
-//! should be by that are separate: [`reconfiguration`] has no state.
+//! readmitted. Pings report which members are connected with each other; the member collects these observations, and
+//! [`reconfiguration`], which has no state, derives the desired view from them.
 //!
 //! # Reading order
 //!
-//! [`member`] follows a write: receive, propose, replicate, persist, commit, apply, notify. [`safeguards`] lists the
-//! single measures on which safety rests, each with a test that shows what happens without it.
+//! [`member`] lists its modules in the order in which a write passes them: receive, propose, replicate, persist, commit,
+//! apply, notify. [`safeguards`] lists the measures on which safety rests; for each, a test shows what goes wrong without
+//! it.
 
 pub mod agreement;
 pub mod durable;
--- a/crates/serving/chain-replication/src/limits.rs
+++ b/crates/serving/chain-replication/src/limits.rs
@@ -1,39 +1,40 @@
-//! Bounds on counts and bytes.
+//! Limits on counts and sizes.
 
-/// Unreachable members stay in the view if there are no more members than this.
+/// Members are not removed from a view of at most this many members.
 pub const MIN_MEMBERS: usize = 3;
-/// No more members than this.
+/// Maximum number of members in a view.
 pub const MAX_MEMBERS: usize = 7;
-/// No more joiners are remembered than this.
+/// Maximum number of joiners that a member remembers.
 pub const MAX_JOINERS: usize = 8;
 
-/// Submissions pending at one member.
+/// Maximum number of submissions pending at one member.
 pub const MAX_SUBMISSIONS: usize = 1_024;
-/// Bytes of the payloads of submissions pending at one member.
+/// Maximum payload bytes of the submissions pending at one member.
 pub const MAX_SUBMISSION_BYTES: usize = 1 << 20;
-/// Reads pending at one member.
+/// Maximum number of reads pending at one member.
 pub const MAX_READS: usize = 1_024;
-/// Read requests of other members that wait until this one is synced.
+/// Maximum number of read requests that a member defers until it is synced.
 pub const MAX_PENDING_READ_REQUESTS: usize = 64;
-/// Entries that the head appends before it learns of their commit.
+/// Maximum number of uncommitted entries at the head; further submissions are rejected.
 pub const MAX_UNCOMMITTED: u64 = 4_096;
-/// Bytes of the entries that the head appends before it learns of their commit.
+/// Maximum bytes of uncommitted entries at the head; further submissions are rejected.
 pub const MAX_UNCOMMITTED_BYTES: usize = 2 << 20;
 
-/// A member is readmitted to the chain when it lacks at most this many commits: the chain waits for the rest.
+/// Maximum number of commits that a member may lack to be readmitted to the chain, which waits while it catches up.
 pub const MAX_COMMITS_BEHIND: u64 = 512;
-/// About the payload bytes in one message of entries.
+/// Maximum bytes of entries in one message, unless a single entry is larger.
 pub const MAX_APPEND_BYTES: usize = 256 << 10;
 
-/// A snapshot is taken when as many bytes of entries were committed as the last one has, but not before this many.
+/// A snapshot is taken once as many bytes of entries were committed as the last snapshot has, but at least this many.
 pub const MIN_COMPACTION_BYTES: usize = 1 << 20;
-/// A snapshot is taken when this many bytes of entries were committed, however large the last one is.
+/// A snapshot is taken once this many bytes of entries were committed, even if the last snapshot is larger.
 pub const MAX_COMPACTION_BYTES: usize = 2 << 20;
-/// Bytes of entries that stay in memory, some of them before the snapshot, for members that were down briefly.
+/// Bytes of entries that stay in memory after compaction, so that members that were down briefly need no snapshot.
 pub const RETAINED_LOG_BYTES: usize = 2 << 20;
-/// The same while a snapshot is on its way to a member, which goes on from there.
+/// Bytes of entries that stay in memory while a snapshot is in transfer, whose receiver continues with the entries after
+/// it.
 pub const RETAINED_LOG_BYTES_DURING_TRANSFER: usize = 16 << 20;
-/// Bytes of a snapshot in one message: pings wait behind it, 20 ms at 100 Mbit/s.
+/// Maximum bytes of a snapshot in one message. Pings wait behind such a message, 20 ms at 100 Mbit/s.
 pub const SNAPSHOT_CHUNK_BYTES: usize = 256 << 10;
-/// No larger snapshot is accepted from another member.
+/// Maximum size of a snapshot that is accepted from another member.
 pub const MAX_SNAPSHOT_BYTES: u64 = 32 << 20;
--- a/crates/serving/chain-replication/src/log.rs
+++ b/crates/serving/chain-replication/src/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log as one member keeps it in memory: what came after its newest snapshot, and a little before.
+//! The replicated log as one member keeps it in memory: the entries after its newest snapshot, and some before.
 
 use crate::identity::Incarnation;
 use crate::payload::Payload;
@@ -6,28 +6,28 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Where an entry stands in the log, from 1; 0 is before the first entry.
+/// The index of an entry in the log, from 1; 0 is before the first entry.
 pub type LogIndex = u64;
 
-/// A number by which the caller recognises its own submission or read. It doesn't come twice in one incarnation.
+/// A number by which the caller recognises its own submission or read; unique within one incarnation.
 pub type Ticket = u64;
 
-/// A position in the log. Two logs that have the same position are alike up to it (the log matching property of Raft,
-/// with views for terms): in one view only its head appends, and only to its own log.
+/// A position in the log. Two logs that include the same position are equal up to it, as in each view only the head
+/// appends, and only to its own log (the log matching property of Raft, with views as terms).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// Where the entry stands.
+    /// The entry's index.
     pub index: LogIndex,
     /// The view in which the head appended the entry.
     pub view: ViewNumber,
 }
 
-/// Who submitted an entry.
+/// The process and ticket under which an entry was submitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// The run of the process at which it was submitted.
+    /// The run of the member's process at which the entry was submitted.
     pub incarnation: Incarnation,
     /// The caller's ticket there.
     pub ticket: Ticket,
@@ -36,25 +36,25 @@
 /// One payload in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Where it stands.
+    /// The entry's position.
     pub position: Position,
-    /// Who submitted it.
+    /// The origin of the submission.
     pub origin: Origin,
-    /// What was submitted.
+    /// The submitted payload.
     pub payload: Payload,
 }
 
-/// About the bytes that an entry takes besides its payload.
+/// Approximate size of an entry without its payload.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 
 impl Entry {
-    /// Where it stands.
+    /// The entry's index.
     #[must_use]
     pub fn index(&self) -> LogIndex {
         self.position.index
     }
 
-    /// About the bytes that it takes in memory and in messages.
+    /// The approximate size of the entry in memory and in messages.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         self.payload.len() + ENTRY_OVERHEAD_BYTES
@@ -70,7 +70,7 @@
 }
 
 impl Log {
-    /// What was found on disk: entries up to `start` are in the snapshot.
+    /// The log found on disk; the snapshot includes the entries up to `start`.
     #[must_use]
     pub fn restore(start: Position, entries: Vec<Entry>) -> Log {
         let mut log = Log {
@@ -99,7 +99,7 @@
             .map_or(self.start, |entry| entry.position)
     }
 
-    /// About the bytes of all entries in memory.
+    /// The approximate size of all entries in memory.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         self.size_bytes
@@ -112,7 +112,7 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// The position at `index`, if it is `start` or that of an entry in memory.
+    /// The position at `index`, if that is the start or an entry in memory.
     #[must_use]
     pub fn position(&self, index: LogIndex) -> Option<Position> {
         if index == self.start.index {
@@ -121,7 +121,7 @@
         self.get(index).map(|entry| entry.position)
     }
 
-    /// Whether this log is like another up to that position of the other.
+    /// Whether this log includes `position`, so that it equals any other log with that position up to there.
     #[must_use]
     pub fn matches(&self, position: Position) -> bool {
         self.position(position.index) == Some(position)
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Starts anew after a snapshot that ends at `position`.
+    /// Replaces the log by an empty one after a snapshot that ends at `position`.
     pub fn reset(&mut self, position: Position) {
         *self = Log {
             start: position,
@@ -163,7 +163,7 @@
         };
     }
 
-    /// Entries after `from` up to `to`: at least one if there is one, otherwise no more than `max_bytes`.
+    /// Entries after `from` up to `to`, together at most `max_bytes`; a first entry larger than that is included.
     #[must_use]
     pub fn entries_between(&self, from: LogIndex, to: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let mut bytes = 0;
@@ -179,7 +179,7 @@
         entries
     }
 
-    /// Whether an entry after `index` was submitted under this ticket.
+    /// Whether an entry after `index` has this origin.
     #[must_use]
     pub fn has_origin_after(&self, index: LogIndex, origin: Origin) -> bool {
         let after = index.saturating_sub(self.start.index) as usize;
@@ -189,13 +189,13 @@
             .any(|entry| entry.origin == origin)
     }
 
-    /// About the bytes of the entries after `index`.
+    /// The approximate size of the entries after `index`.
     #[must_use]
     pub fn bytes_after(&self, index: LogIndex) -> usize {
         self.bytes_between(index, self.last().index)
     }
 
-    /// About the bytes of the entries after `from` up to `to`.
+    /// The approximate size of the entries after `from` up to `to`.
     #[must_use]
     pub fn bytes_between(&self, from: LogIndex, to: LogIndex) -> usize {
         (from + 1..=to)
--- a/crates/serving/chain-replication/src/member/acceptor.rs
+++ b/crates/serving/chain-replication/src/member/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor's side of the agreement on the next view. What it promises and accepts is on disk before it is sent.
+//! The acceptor's side of the agreement on the next view. Promises and acceptances are on disk before they are sent.
 
 use super::Member;
 use crate::agreement::{AcceptedView, DecidedView, ProposalNumber};
@@ -24,10 +24,10 @@
     ) {
         let view = decided.number() + 1;
         self.on_decided(decided);
-        if !self.is_votable(&from, view) {
+        if !self.may_vote(&from, view) {
             return;
         }
-        if let Some(promised) = self.acceptor.promised_above(&proposal_number) {
+        if let Some(promised) = self.acceptor.greater_promise(&proposal_number) {
             return self.send(&from, Message::Reject { view, promised });
         }
         self.promise(proposal_number.clone());
@@ -48,10 +48,10 @@
         proposal: DecidedView,
     ) {
         let view = proposal.number();
-        if !self.is_votable(&from, view) || !proposal.view.is_sound() {
+        if !self.may_vote(&from, view) || !proposal.view.is_sound() {
             return;
         }
-        if let Some(promised) = self.acceptor.promised_above(&proposal_number) {
+        if let Some(promised) = self.acceptor.greater_promise(&proposal_number) {
             return self.send(&from, Message::Reject { view, promised });
         }
         self.promise(proposal_number.clone());
@@ -70,9 +70,10 @@
         self.send_vote_when_persisted(from, message);
     }
 
-    /// Whether this member votes on a view, and the sender may request that. A later view than the next one shows that this
-    /// member missed a decision, and it requests the view; to the proposer of an earlier one it sends the present view.
-    fn is_votable(&mut self, from: &MemberId, view: ViewNumber) -> bool {
+    /// Whether this member may vote on `view` at the request of `from`: both are members, and `view` is the next one. For a
+    /// later view this member has missed a decision, so it requests the newest view; a proposer of an earlier view is sent
+    /// the present one.
+    fn may_vote(&mut self, from: &MemberId, view: ViewNumber) -> bool {
         let Some(present) = self.view() else {
             return false;
         };
@@ -94,7 +95,7 @@
     /// Seals the present view here.
     fn promise(&mut self, proposal_number: ProposalNumber) {
         if proposal_number.proposer != self.me.id {
-            self.propose_at = Some(OTHER_PROPOSER_TIMEOUT + self.draw_proposal_turn());
+            self.propose_at = Some(OTHER_PROPOSER_TIMEOUT + self.draw_proposal_time());
         }
         self.write_queue.write(Write::Promise {
             proposal_number: proposal_number.clone(),
--- a/crates/serving/chain-replication/src/member/apply.rs
+++ b/crates/serving/chain-replication/src/member/apply.rs
@@ -1,10 +1,10 @@
-//! Apply: commits are given out to the caller, in order.
+//! Apply: committed entries are emitted to the caller, in order.
 
 use super::{Member, Output};
 use crate::log::{Entry, LogIndex};
 
 impl Member {
-    /// Gives out the commits up to `index`.
+    /// Emits the commits up to `index`.
     pub(super) fn apply(&mut self, index: LogIndex) {
         while self.commit_index < index {
             let Some(entry) = self.log.get(self.commit_index + 1) else {
--- a/crates/serving/chain-replication/src/member/commit.rs
+++ b/crates/serving/chain-replication/src/member/commit.rs
@@ -1,4 +1,4 @@
-//! Commit: what the tail has on disk is committed, and the commit index travels back up the chain.
+//! Commit: entries on the tail's disk are committed, and the commit index travels back up the chain.
 
 use super::stage::Neighbour;
 use super::Member;
@@ -8,16 +8,16 @@
 use crate::view::ViewNumber;
 
 impl Member {
-    /// The tail has synced up to `index`.
+    /// Handles the successor's acknowledgement: the tail has synced up to `index`.
     pub(super) fn on_committed(&mut self, from: &MemberId, view: ViewNumber, index: LogIndex) {
-        if !self.counts_from(from, view, Neighbour::Successor) || !self.is_synced() {
+        if !self.accepts_chain_message(from, view, Neighbour::Successor) || !self.is_synced() {
             return;
         }
         self.downstream.acknowledged(self.now);
         self.commit_and_acknowledge(index.min(self.persisted_index));
     }
 
-    /// Commits up to `index`, and acknowledges to the predecessor if that is more than before.
+    /// Commits up to `index`, and acknowledges that to the predecessor if the commit index has advanced.
     pub(super) fn commit_and_acknowledge(&mut self, index: LogIndex) {
         if index > self.commit_index {
             self.commit(index);
@@ -36,7 +36,7 @@
         self.send(&predecessor, message);
     }
 
-    /// Everything up to `index` is committed.
+    /// Applies the commits up to `index`, and handles the reads and the compaction that depend on them.
     pub(super) fn commit(&mut self, index: LogIndex) {
         if index <= self.commit_index {
             return;
--- a/crates/serving/chain-replication/src/member/compact.rs
+++ b/crates/serving/chain-replication/src/member/compact.rs
@@ -8,8 +8,8 @@
 
 impl Member {
     pub(super) fn compact_if_due(&mut self) {
-        if self.snapshots.is_compaction_due() && !self.snapshots.wanted_for_log {
-            self.snapshots.wanted_for_log = true;
+        if self.snapshots.is_compaction_due() && !self.snapshots.wanted_for_compaction {
+            self.snapshots.wanted_for_compaction = true;
             self.request_snapshot();
         }
     }
@@ -32,8 +32,8 @@
             bytes: Payload::from(bytes),
         };
         self.begin_transfers(&snapshot);
-        let wanted_for_log = std::mem::take(&mut self.snapshots.wanted_for_log);
-        if wanted_for_log && index > self.snapshots.on_disk_index {
+        let wanted_for_compaction = std::mem::take(&mut self.snapshots.wanted_for_compaction);
+        if wanted_for_compaction && index > self.snapshots.on_disk_index {
             self.snapshots.on_disk_index = index;
             self.snapshots.on_disk_bytes = snapshot.bytes.len();
             self.snapshots.committed_bytes = self.log.bytes_between(index, self.commit_index);
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Removes entries that the snapshot includes from memory, all but the newest, which are retained for members that
-    /// were down briefly, and those that a member needs which a snapshot is on its way to.
+    /// Removes from memory entries that the snapshot includes. The newest of them are retained for members that were down
+    /// briefly, and more of them while a transfer is under way, for its receiver to continue from.
     fn compact_log(&mut self) {
         let on_disk = self.snapshots.on_disk_index;
         let outgoing = self.snapshots.outgoing.iter();
--- a/crates/serving/chain-replication/src/member/install.rs
+++ b/crates/serving/chain-replication/src/member/install.rs
@@ -1,4 +1,4 @@
-//! A new view takes effect here, and is made known to others.
+//! Installs a decided view, and announces it to other members.
 
 use super::{Member, Output};
 use crate::agreement::DecidedView;
@@ -8,7 +8,7 @@
 use crate::view::View;
 
 impl Member {
-    /// A view that was decided, whoever tells it.
+    /// Installs a decided view that is later than the present one, whichever member sent it.
     pub(super) fn on_decided(&mut self, decided: DecidedView) {
         if decided.number() > self.view_number() && decided.view.is_sound() {
             self.install_view(decided);
@@ -35,7 +35,7 @@
         self.ping_all();
     }
 
-    /// Requests go to the head and along the chain of the new view.
+    /// Sends pending submissions and reads again, to the head of the new view.
     fn redirect_requests(&mut self) {
         self.deferred.reads.clear();
         if !self.is_head() {
@@ -45,7 +45,7 @@
         self.send_read_request();
     }
 
-    /// Sends a view to its members, and to those of the one before it that are no longer.
+    /// Sends a decided view to its members, and to the members of the view before that it no longer has.
     pub(super) fn announce_decided(&mut self, decided: &DecidedView, before: Option<&View>) {
         let departed = before.into_iter().flat_map(|before| before.members.iter());
         let departed = departed.filter(|member| !decided.view.has_member(&member.id));
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sends the present view to one that doesn't know it.
+    /// Sends the present view to a process that doesn't know it.
     pub(super) fn send_view(&mut self, to: &Peer) {
         if let Some(decided) = self.decided.clone() {
             self.outputs.push(Output::Send {
--- a/crates/serving/chain-replication/src/member/io.rs
+++ b/crates/serving/chain-replication/src/member/io.rs
@@ -1,4 +1,4 @@
-//! What goes into a member's state machine and what comes out of it.
+//! The inputs and outputs of a member's state machine.
 
 use crate::durable::Write;
 use crate::identity::{MemberId, Peer};
@@ -7,10 +7,10 @@
 use crate::view::View;
 use std::net::SocketAddr;
 
-/// What happens to a member.
+/// An event that a member handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message of another member has come.
+    /// A message from another member has arrived.
     Received {
         /// The sender.
         from: MemberId,
@@ -22,16 +22,16 @@
         /// The other member.
         peer: MemberId,
     },
-    /// Append a payload to the log, at whichever member. After faults it may be committed twice.
+    /// Append a payload to the log; any member accepts it. After faults the payload may be committed twice.
     Submit {
-        /// Comes back with the commit.
+        /// Identifies the submission in [`Output::Apply`] or [`Output::Dropped`].
         ticket: Ticket,
         /// What to append.
         payload: Vec<u8>,
     },
-    /// Give [`Output::ReadReady`] once all that is committed now is applied here (a linearizable read).
+    /// A linearizable read: emit [`Output::ReadReady`] once everything committed by now is applied here.
     Read {
-        /// Comes back with the output.
+        /// Identifies the read in [`Output::ReadReady`] or [`Output::Dropped`].
         ticket: Ticket,
     },
     /// All writes of the batch are on disk.
@@ -44,14 +44,14 @@
         /// The first view.
         view: View,
     },
-    /// Request to be added to the view that these know.
+    /// Request to be added to the view that the contacts know.
     Join {
         /// Addresses of core members.
         contacts: Vec<SocketAddr>,
     },
     /// Request to be removed from the chain, as the process is about to end.
     Leave,
-    /// The caller's state after the commit at `index`: the reply to [`Output::TakeSnapshot`].
+    /// The reply to [`Output::TakeSnapshot`]: the caller's state after the commit at `index`.
     SnapshotTaken {
         /// The last entry that the state includes.
         index: LogIndex,
@@ -62,7 +62,7 @@
     Tick,
 }
 
-/// What is to be done, in this order.
+/// An action that the caller has to carry out, in the order in which they are emitted.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send a message.
@@ -79,42 +79,43 @@
         /// The message.
         message: Message,
     },
-    /// Write to disk; to be answered by [`Input::Persisted`] once all are on disk. One sync for all.
+    /// Write a batch to disk with one sync, and reply with [`Input::Persisted`] once all writes are on disk.
     Persist {
         /// The number of the batch.
         batch: u64,
-        /// In this order, all or none.
+        /// Written in this order and atomically.
         writes: Vec<Write>,
     },
-    /// Apply the next payload of the log, which is committed.
+    /// Apply the next committed payload.
     Apply {
-        /// Its index in the log.
+        /// The payload's index in the log.
         index: LogIndex,
-        /// What was submitted.
+        /// The submitted payload.
         payload: Vec<u8>,
-        /// The caller's ticket, if it was submitted here.
+        /// The caller's ticket, if the payload was submitted at this member.
         ticket: Option<Ticket>,
     },
-    /// All commits that the read must see have been given out before.
+    /// A read may be answered: all commits that it must see have been emitted before.
     ReadReady {
         /// The caller's ticket.
         ticket: Ticket,
     },
-    /// Too much was pending, or it took too long: the caller may retry. It may still be committed later.
+    /// A submission or read was dropped, as too many were pending or it took too long. The caller may retry; a dropped
+    /// submission may still be committed later.
     Dropped {
         /// The caller's ticket.
         ticket: Ticket,
     },
-    /// Take a snapshot; to be answered by [`Input::SnapshotTaken`].
+    /// Take a snapshot, and reply with [`Input::SnapshotTaken`].
     TakeSnapshot,
-    /// Replace the caller's state by this one, which is after the commit at `index`.
+    /// Replace the caller's state by the state after the commit at `index`.
     InstallSnapshot {
         /// The last entry that the state includes.
         index: LogIndex,
         /// The state in the caller's encoding.
         bytes: Vec<u8>,
     },
-    /// There is a new view, or this member has gained or lost its quorum.
+    /// A new view was installed, or this member has gained or lost its quorum.
     ViewChanged {
         /// The newest view known here.
         view: View,
--- a/crates/serving/chain-replication/src/member/join.rs
+++ b/crates/serving/chain-replication/src/member/join.rs
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 
 impl Member {
-    /// The caller, or the process that bootstraps the system, sets the first view: it is taken on an empty disk only, and
-    /// only where it may be.
+    /// Installs the first view, given by the caller or by the process that bootstraps the system. Only a member with an
+    /// empty disk and with `may_bootstrap` installs it.
     pub(super) fn bootstrap(&mut self, view: View) {
         let is_empty = self.decided.is_none() && self.log.last().index == 0;
         let is_first = view.number == 1 && view.is_sound() && view.has_member(&self.me.id);
@@ -21,7 +21,7 @@
             return;
         }
         self.install_view(DecidedView::bootstrap(view));
-        // Against a first view that the process which set it has forgotten while others have it.
+        // Announced only once it is on disk: else this process could forget a first view that others have installed.
         self.write_queue
             .when_persisted(Completion::AnnounceFirstView);
     }
@@ -37,7 +37,7 @@
         self.request_to_join();
     }
 
-    /// Starts to request membership, unless this is a member.
+    /// Starts to request membership, unless this process is already a member or is leaving.
     pub(super) fn seek_membership(&mut self, contacts: Vec<SocketAddr>) {
         if self.is_member() || self.leaving {
             self.join_attempt = None;
--- a/crates/serving/chain-replication/src/member/learn.rs
+++ b/crates/serving/chain-replication/src/member/learn.rs
@@ -1,5 +1,5 @@
-//! Learners: members out of the chain learn the commits from the tail, so that they are soon up to date when they are
-//! readmitted.
+//! Learners: members out of the chain fetch the commits from the tail, so that they have little to catch up with when
+//! they are readmitted.
 
 use super::state::replication::Stage;
 use super::Member;
@@ -16,7 +16,7 @@
         self.stage == Stage::OutOfChain && !self.leaving && self.is_member()
     }
 
-    /// Requests from the tail what is committed after the end of the log here.
+    /// Requests the committed entries after the end of this member's log from the tail.
     fn fetch_committed(&mut self) {
         let Some(tail) = self.view().and_then(|view| view.tail()).cloned() else {
             return;
@@ -26,14 +26,14 @@
         self.send(&tail, Message::FetchCommitted(resume));
     }
 
-    /// Something that was committed is waited for: a learner requests it at once.
+    /// Makes a learner fetch at once, as a known commit is awaited.
     pub(super) fn fetch_committed_now(&mut self) {
         if self.is_learner() {
             self.fetch_committed();
         }
     }
 
-    /// The tail's reply: committed entries, which replace any others here.
+    /// Handles the tail's reply: committed entries replace conflicting entries of this member's log.
     pub(super) fn on_committed_entries(&mut self, from: &MemberId, append: AppendEntries) {
         let from_tail = self
             .view()
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Commits what is known to be committed and is on disk here.
+    /// Commits the entries that are known to be committed and are on this member's disk.
     pub(super) fn commit_learned(&mut self) {
         self.commit(self.learner.known_commit_index.min(self.persisted_index));
     }
@@ -63,7 +63,7 @@
             return;
         }
         if self.is_disk_stalled() {
-            // Nothing is buffered in memory for a disk that doesn't answer.
+            // Entries fetched now would pile up in memory until the disk completes a batch.
             self.learner.next_fetch_at = self.now + LEARN_RETRY;
         } else {
             self.fetch_committed();
@@ -77,27 +77,27 @@
     // --- at the tail ---
 
     pub(super) fn on_fetch_committed(&mut self, from: MemberId, resume: &ResumePoint) {
-        if resume.view != self.view_number() || !self.is_taught_here(&from) {
+        if resume.view != self.view_number() || !self.serves_learner(&from) {
             return;
         }
         let Some(previous) = self.common_position(resume, self.commit_index) else {
-            return self.want_snapshot_for(from);
+            return self.provide_snapshot_to(from);
         };
         self.snapshots.cancel_for(&from);
         self.send_committed_entries(&from, previous);
     }
 
-    /// Whether this member is the tail, from which this learner learns.
-    fn is_taught_here(&self, learner: &MemberId) -> bool {
+    /// Whether this member is the synced tail and `learner` a member out of its chain.
+    fn serves_learner(&self, learner: &MemberId) -> bool {
         let is_learner = self
             .view()
             .is_some_and(|view| view.has_member(learner) && !view.in_chain(learner));
         is_learner && self.is_tail() && self.is_synced()
     }
 
-    /// Sends what is committed after a position to a learner.
+    /// Sends a learner the committed entries after a position.
     pub(super) fn send_committed_entries(&mut self, to: &MemberId, previous: Position) {
-        if !self.is_taught_here(to) {
+        if !self.serves_learner(to) {
             return;
         }
         let entries = self
--- a/crates/serving/chain-replication/src/member/mod.rs
+++ b/crates/serving/chain-replication/src/member/mod.rs
@@ -1,18 +1,19 @@
-//! One member: takes inputs with the time, gives out what is to be done.
+//! The state machine of one member: each step takes an input and the time, and emits outputs for the caller to carry out.
 //!
-//! The way of a write, one module each:
+//! The modules in the order in which a write passes them:
 //!
-//! 1. `receive`: a message comes in and goes to its handler;
-//! 2. `propose`: a submission of the caller travels to the head, which appends it;
+//! 1. `receive`: a message arrives and is dispatched to its handler;
+//! 2. `propose`: a submission of the caller is sent to the head, which appends it;
 //! 3. `replicate`: entries travel down the chain;
-//! 4. `persist`: writes go to the disk in batches, and what waited for them goes on;
-//! 5. `commit`: what the tail has on disk is committed, and the commit index travels back up;
-//! 6. `apply`: commits are given out to the caller, in order;
-//! 7. `notify`: the caller learns which submissions and reads have ended, and of views and quorums.
+//! 4. `persist`: writes go to the disk in batches, and their completions run afterwards;
+//! 5. `commit`: entries on the tail's disk are committed, and the commit index travels back up;
+//! 6. `apply`: committed entries are emitted to the caller, in order;
+//! 7. `notify`: the caller is notified of ended submissions and reads, of views and of quorum changes.
 //!
-//! Beside it: `stage` (the role in the chain), `reads` (linearizable reads), `learn` (members out of the chain), `compact`, `send_snapshot` and
-//! `receive_snapshot` (snapshots), `ping` (heartbeats), `join` (bootstrap, joining, leaving), `install` (a new view takes
-//! effect), `observe` (which view there should be), `proposer` and `acceptor` (Paxos on the next view).
+//! The other modules: `stage` (the role in the chain), `reads` (linearizable reads), `learn` (members out of the chain),
+//! `compact`, `send_snapshot` and `receive_snapshot` (snapshots), `ping` (heartbeats), `join` (bootstrap, joining,
+//! leaving), `install` (a new view takes effect), `observe` (the desired view, from observations), `proposer` and
+//! `acceptor` (Paxos on the next view).
 
 mod acceptor;
 mod apply;
@@ -57,21 +58,21 @@
 use state::requests::{DeferredRequests, Reads, Submissions};
 use state::snapshots::Snapshots;
 
-/// Timestamps in pings begin this many bits below the top of their type: they don't overflow, and are short in messages.
+/// Upper bits of a ping timestamp's random start that are zero, so that timestamps don't overflow and encode shorter.
 const SPARE_TIMESTAMP_BITS: u32 = 16;
 
-/// Who a member is, and how its process was started.
+/// A member's identity, and the settings of its process.
 #[derive(Clone, Debug)]
 pub struct MemberConfig {
-    /// Its identity, and where other members reach it.
+    /// The member's identity and address.
     pub peer: Peer,
-    /// Whether it may take a first view, if its disk is empty.
+    /// Whether the member may install a first view while its disk is empty.
     pub may_bootstrap: bool,
-    /// For random waits and numbers; it must differ between runs.
+    /// Seed of random waits and numbers; must differ between runs of the process.
     pub seed: u64,
 }
 
-/// One member of the core.
+/// One member of the core: a state machine without I/O.
 pub struct Member {
     me: Peer,
     may_bootstrap: bool,
@@ -81,7 +82,7 @@
     incarnation: Incarnation,
     /// The time of the last step.
     now: Millis,
-    /// What the present step has given out so far.
+    /// Outputs of the present step so far.
     outputs: Vec<Output>,
     started: bool,
     write_queue: WriteQueue,
@@ -91,7 +92,7 @@
     installed_at: Millis,
     acceptor: Acceptor,
     proposer: Proposer,
-    /// When to propose the next view, if there should still be another one then.
+    /// When to propose the next view, if a change of view is still wanted then.
     propose_at: Option<Millis>,
 
     failure_detector: FailureDetector,
@@ -99,17 +100,18 @@
     join_attempt: Option<JoinAttempt>,
     leaving: bool,
     next_ping_at: Millis,
-    /// Timestamps in pings begin here. Against echoes of an earlier run, whose clock may have been ahead of this one's.
+    /// Random start of the timestamps in pings, so that echoes of an earlier run, whose clock may have been ahead, are not
+    /// taken for echoes of this run.
     timestamp_base: u64,
     view_requested_at: Millis,
     notified_quorum: bool,
 
     log: Log,
-    /// The newest view as of which the log was complete, as it is on disk or on its way there.
+    /// The newest view as of which the log was complete; on disk, or in a write under way.
     synced_view: ViewNumber,
-    /// The log is on disk up to here.
+    /// Index up to which the log is on disk.
     persisted_index: LogIndex,
-    /// Commits were given out up to here.
+    /// Index up to which commits were emitted to the caller.
     commit_index: LogIndex,
     stage: Stage,
     freshness: Freshness,
@@ -118,7 +120,7 @@
     learner: Learner,
 
     snapshots: Snapshots,
-    /// Found on disk, not yet given out.
+    /// The snapshot found on disk, until the first step emits it.
     restored_snapshot: Option<Snapshot>,
 
     submissions: Submissions,
@@ -127,13 +129,13 @@
 }
 
 impl Member {
-    /// A member that goes on with what it found on disk.
+    /// A member that resumes from the state found on its disk.
     #[must_use]
     pub fn new(config: MemberConfig, durable: DurableState, now: Millis) -> Member {
         Member::build(config, durable, now, Safeguards::default())
     }
 
-    /// As [`Member::new`], without a safeguard: for tests.
+    /// As [`Member::new`], with chosen safeguards: for tests that remove one.
     #[cfg(feature = "removable-safeguards")]
     #[must_use]
     pub fn with_safeguards(
@@ -205,8 +207,8 @@
         member
     }
 
-    /// Handles one input. What is to be done is added to `outputs`, to be carried out in that order. `now` should not go
-    /// back; if it does, the member discards what it knew of its quorum.
+    /// Handles one input and adds to `outputs` what the caller has to do, in this order. `now` should not go back; if it
+    /// does, the member discards the echoes that its quorum rests on.
     pub fn step(&mut self, input: Input, now: Millis, outputs: &mut Vec<Output>) {
         let previous_step = if self.started { self.now } else { now };
         self.now = now;
@@ -231,7 +233,7 @@
         outputs.append(&mut self.outputs);
     }
 
-    /// When [`Input::Tick`] is wanted next.
+    /// The time at which the next [`Input::Tick`] is due.
     #[must_use]
     pub fn next_tick(&self) -> Millis {
         let wanted = [
@@ -247,7 +249,7 @@
         wanted.into_iter().flatten().min().unwrap_or(Millis::MAX)
     }
 
-    /// The newest view known here; this member need not be in it.
+    /// The newest view that this member knows; it need not be a member of that view.
     #[must_use]
     pub fn view(&self) -> Option<&View> {
         self.decided.as_ref().map(|decided| &decided.view)
@@ -273,17 +275,17 @@
         others.count() + 1 >= view.majority()
     }
 
-    /// Whether what is submitted here is likely to be committed soon: this member [has a
-    /// quorum](Member::has_quorum) and is synced in the chain. One that was removed receives pings, but no commits.
+    /// Whether a submission here is likely to be committed soon: this member [has a quorum](Member::has_quorum) and is
+    /// synced in the chain. A member that was removed from the chain still receives pings, but no commits.
     #[must_use]
     pub fn can_commit(&self, now: Millis) -> bool {
         // A member may be sealed before it has caught up.
         self.has_quorum(now) && self.stage != Stage::OutOfChain && self.has_caught_up()
     }
 
-    /// Whether commits are applied here as they are made: this member [can commit](Member::can_commit), and lags behind
-    /// its log by a moment only. One that has restarted, was readmitted, or is partitioned from the tail has entries of
-    /// which it doesn't know that they are committed.
+    /// Whether commits are applied here as they are made: this member [can commit](Member::can_commit), and has applied
+    /// its log but for the last moments. A member that has restarted, was readmitted or is partitioned from the tail may
+    /// have entries in its log without knowing that they are committed.
     #[must_use]
     pub fn is_up_to_date(&self, now: Millis) -> bool {
         let is_fresh = self
@@ -292,13 +294,13 @@
         self.can_commit(now) && (is_fresh || !self.safeguards.has(Safeguard::AwaitKnownCommits))
     }
 
-    /// The index up to which commits were given out here.
+    /// The index up to which this member has emitted commits to its caller.
     #[must_use]
     pub fn commit_index(&self) -> LogIndex {
         self.commit_index
     }
 
-    /// Chunks and snapshots that weren't accepted here.
+    /// Counts of the chunks and snapshots that this member rejected.
     #[must_use]
     pub fn snapshot_rejections(&self) -> SnapshotRejections {
         self.snapshots.rejections
@@ -312,7 +314,7 @@
         self.view().is_some_and(|view| view.has_member(&self.me.id))
     }
 
-    /// With the first step: goes on with what was found on disk.
+    /// In the first step: resumes from the state found on disk.
     fn start(&mut self) {
         if self.started {
             return;
@@ -333,14 +335,15 @@
         }
     }
 
-    /// A member that was suspended, or whose clock was stepped, doubts itself before others.
+    /// After a suspension of its process or a step of its clock, a member discards its own observations rather than
+    /// suspecting the others.
     fn detect_own_suspension(&mut self, previous_step: Millis) {
         if self.now.saturating_sub(previous_step) > SUSPENSION_GAP {
             self.failure_detector.grant_grace_period(self.now);
             self.propose_at = None;
         }
         if self.now < previous_step {
-            // Timestamps of what was a later time would stay young for as long as the clock went back.
+            // Echoes of timestamps from before the step would count as recent for as long as the clock went back.
             self.failure_detector.forget_echoes();
             self.timestamp_base = draw_timestamp_base(&mut self.random);
             self.freshness = Freshness::starting(self.log.last().index, self.now);
@@ -357,7 +360,7 @@
         self.drive_proposer();
     }
 
-    /// Sends to a member of the view, or to this one itself, which handles the message at once.
+    /// Sends a message to a member of the view. A message to this member itself is handled at once.
     fn send(&mut self, to: &MemberId, message: crate::message::Message) {
         if *to == self.me.id {
             return self.handle(to.clone(), message);
--- a/crates/serving/chain-replication/src/member/notify.rs
+++ b/crates/serving/chain-replication/src/member/notify.rs
@@ -1,17 +1,18 @@
-//! Notify: the caller learns which submissions and reads have ended, and of views and quorums.
+//! Notify: the caller is notified of ended submissions and reads, of views and of quorum changes.
 
 use super::{Member, Output};
 use crate::log::{Origin, Ticket};
 use crate::timing::REQUEST_TIMEOUT;
 
 impl Member {
-    /// The ticket, if the entry was submitted here and is committed for the first time.
+    /// Ends the submission of a committed entry. Gives its ticket, if it was submitted here and is committed for the first
+    /// time.
     pub(super) fn complete_submission(&mut self, origin: Origin) -> Option<Ticket> {
         let is_own = origin.incarnation == self.incarnation;
         (is_own && self.submissions.remove(origin.ticket)).then_some(origin.ticket)
     }
 
-    /// Gives out the reads for which enough commits were applied.
+    /// Emits the reads whose commit index is applied.
     pub(super) fn notify_ready_reads(&mut self) {
         let ready = self.reads.remove_ready(self.commit_index);
         self.outputs
@@ -20,7 +21,7 @@
             }));
     }
 
-    /// Drops submissions and reads that took too long.
+    /// Drops submissions and reads that are older than [`REQUEST_TIMEOUT`].
     pub(super) fn drop_expired(&mut self) {
         while self
             .submissions
@@ -49,7 +50,7 @@
         }
     }
 
-    /// At the end of each step: the quorum may have been gained or lost.
+    /// At the end of each step: notifies the caller if the quorum was gained or lost.
     pub(super) fn notify_quorum_change(&mut self) {
         if self.has_quorum(self.now) != self.notified_quorum {
             self.notify_view();
--- a/crates/serving/chain-replication/src/member/observe.rs
+++ b/crates/serving/chain-replication/src/member/observe.rs
@@ -1,4 +1,4 @@
-//! Which view there should be, by what this member observes of itself and the others.
+//! Plans the desired view from what this member observes of itself and the others.
 
 use super::Member;
 use crate::identity::MemberId;
@@ -8,7 +8,7 @@
 use crate::view::{View, ViewNumber};
 
 impl Member {
-    /// The view that there should be.
+    /// The members and chain that the next view should have.
     pub(super) fn plan(&mut self) -> Option<Plan> {
         let view = self.view()?.clone();
         let indices = 0..view.members.len();
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What `one` has reported about its connection with `other`; nothing, if it isn't alive or hasn't reported in this
+    /// What `one` has reported about its connection with `other`; none if `one` isn't alive or hasn't reported in this
     /// view.
     fn reported_connection(&self, view: &View, one: usize, other: usize) -> Option<bool> {
         let id = &view.members[one].id;
@@ -76,7 +76,7 @@
         ping.map(|ping| ping.is_connected_with(other))
     }
 
-    /// Whether two members are connected both ways, as far as is known: neither of them has reported otherwise.
+    /// Whether two members are presumed connected in both directions: neither of them has reported otherwise.
     fn are_connected(&self, view: &View, one: usize, other: usize) -> bool {
         let (first, second) = (&view.members[one].id, &view.members[other].id);
         if one == other {
@@ -86,12 +86,13 @@
         } else if *second == self.me.id {
             self.failure_detector.is_connected(first, self.now)
         } else {
-            let denies = |from, to| self.reported_connection(view, from, to) == Some(false);
-            !denies(one, other) && !denies(other, one)
+            let reports_disconnected =
+                |from, to| self.reported_connection(view, from, to) == Some(false);
+            !reports_disconnected(one, other) && !reports_disconnected(other, one)
         }
     }
 
-    /// How many report that they have lost the member at `index`.
+    /// How many members report that they have lost the member at `index`.
     fn count_suspecting(&self, view: &View, index: usize) -> usize {
         let suspects = |other: &usize| {
             if view.members[*other].id == self.me.id {
@@ -106,7 +107,7 @@
         others.filter(suspects).count()
     }
 
-    /// Whether this member, or one that it hears, is in touch with the member at `index`.
+    /// Whether this member, or a member from which it receives pings, is connected with the member at `index`.
     fn is_reachable(&self, view: &View, index: usize) -> bool {
         let id = &view.members[index].id;
         let mut others = (0..view.members.len()).filter(|other| *other != index);
@@ -128,7 +129,8 @@
         ping.is_some_and(|ping| ping.disk_stalled || ping.leaving)
     }
 
-    /// The first in the chain that hasn't caught up with its predecessor long after the view began.
+    /// Whether [`CATCH_UP_TIMEOUT`] after the view was installed `id` is the first in the chain that hasn't caught up with
+    /// its predecessor.
     fn is_lagging(&self, view: &View, id: &MemberId) -> bool {
         let has_caught_up = |id: &&MemberId| {
             if **id == self.me.id {
@@ -142,7 +144,7 @@
         is_late && view.chain.iter().find(|id| !has_caught_up(id)) == Some(id)
     }
 
-    /// Records how long the members out of the chain could have been readmitted.
+    /// Records which members out of the chain are eligible now, and marks those eligible for long enough as readmissible.
     fn update_eligibility(&mut self, view: &View, statuses: &mut [MemberStatus]) {
         let in_chain: Vec<usize> = view
             .chain
@@ -163,7 +165,7 @@
         }
     }
 
-    /// A member that is readmitted too early delays the chain until it has caught up.
+    /// Whether a member lacks few enough commits to be readmitted; otherwise the chain would wait long for it to catch up.
     fn has_nearly_all_commits(&self, id: &MemberId, view: ViewNumber) -> bool {
         let ping = self.failure_detector.last_ping(id, view);
         ping.is_some_and(|ping| ping.commit_index + MAX_COMMITS_BEHIND >= self.commit_index)
--- a/crates/serving/chain-replication/src/member/persist.rs
+++ b/crates/serving/chain-replication/src/member/persist.rs
@@ -1,4 +1,4 @@
-//! Persist: writes go to the disk in batches, and what waited for them goes on.
+//! Persist: writes go to the disk in batches, and their completions run once a batch is on disk.
 
 use super::{Member, Output};
 use crate::safeguards::Safeguard;
@@ -6,7 +6,7 @@
 use crate::write_queue::Completion;
 
 impl Member {
-    /// At the end of each step: what waits for nothing goes on, and the next batch goes to the disk.
+    /// At the end of each step: runs the completions that wait for no write, and emits the next batch.
     pub(super) fn persist(&mut self) {
         loop {
             let completions = if self.safeguards.has(Safeguard::PersistBeforeSend) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whether this member's disk hasn't completed a batch for long.
+    /// Whether a batch has been in flight for [`DISK_STALL_TIMEOUT`].
     pub(super) fn is_disk_stalled(&self) -> bool {
         self.write_queue.in_flight_for(self.now) >= DISK_STALL_TIMEOUT
     }
--- a/crates/serving/chain-replication/src/member/ping.rs
+++ b/crates/serving/chain-replication/src/member/ping.rs
@@ -1,4 +1,4 @@
-//! Pings: heartbeats that tell which members hear each other, and what bears on who should be in the chain.
+//! Pings: heartbeats that report which members are connected, and whether the sender should stay in the chain.
 
 use super::{Member, Output};
 use crate::failure_detector::PingReport;
@@ -6,7 +6,7 @@
 use crate::message::{Message, Ping};
 use crate::timing::{Millis, PING_INTERVAL, VIEW_REQUEST_GAP};
 
-/// Whether a ping in reply is wanted at once.
+/// Whether a ping requests a ping in reply at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reply {
     Requested,
@@ -51,7 +51,7 @@
         self.outputs.push(Output::Send { to, message });
     }
 
-    /// Whom this member is connected with both ways, a bit for each member of the view.
+    /// The members that this member is connected with in both directions, a bit for each member of the view.
     fn connected_bits(&self) -> u32 {
         let Some(view) = self.view() else { return 0 };
         let is_connected =
@@ -64,7 +64,7 @@
         connected.fold(0, |bits, (index, _)| bits | 1 << index)
     }
 
-    /// When a timestamp of this run was sent; none for those of other runs.
+    /// The time at which this run sent a timestamp; none for a timestamp of another run.
     fn sent_at(&self, timestamp: u64) -> Option<Millis> {
         timestamp
             .checked_sub(self.timestamp_base)
@@ -92,13 +92,13 @@
         if reply_requested {
             self.ping(sender, Reply::NotRequested);
         }
-        // Otherwise the next tick is soon enough.
+        // Without a change the next tick drives the proposer soon enough.
         if report == PingReport::Changed {
             self.drive_proposer();
         }
     }
 
-    /// There is a later view: a ping of ours shows that we don't know it.
+    /// Requests a later view: a ping with this member's view number makes the receiver send the newer view.
     fn request_view(&mut self, from: Peer) {
         if self.now >= self.view_requested_at + VIEW_REQUEST_GAP {
             self.view_requested_at = self.now;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// A message of a later view has come.
+    /// Requests the view of a sender whose message was of a later view.
     pub(super) fn request_view_from(&mut self, from: &MemberId) {
         if let Some(from) = self.view().and_then(|view| view.member(from)).cloned() {
             self.request_view(from);
--- a/crates/serving/chain-replication/src/member/propose.rs
+++ b/crates/serving/chain-replication/src/member/propose.rs
@@ -1,4 +1,4 @@
-//! Propose: a submission of the caller travels to the head, which appends it to the log.
+//! Propose: a submission of the caller is sent to the head, which appends it to the log.
 
 use super::state::requests::ForwardedSubmission;
 use super::{Member, Output};
@@ -12,11 +12,12 @@
 use crate::timing::Millis;
 use crate::view::ViewNumber;
 
-/// What became of a submission at the head.
+/// The result of a submission at the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Appended {
-    Yes,
-    /// Too much is uncommitted.
+enum AppendOutcome {
+    /// The submission is in the head's log.
+    Appended,
+    /// Too many or too large entries are uncommitted.
     Overloaded,
 }
 
@@ -33,13 +34,13 @@
         self.send_submission(index);
     }
 
-    /// Sends all to the head again, as a new one has taken over or the connection to it was lost.
+    /// Sends all pending submissions again, after a change of the head or a lost connection to it.
     pub(super) fn send_submissions(&mut self) {
         let mut index = 0;
         while index < self.submissions.pending.len() {
             let before = self.submissions.pending.len();
             self.send_submission(index);
-            // One that the head didn't take is no longer pending.
+            // A submission that the head rejected is no longer pending.
             let dropped = before - self.submissions.pending.len();
             index += 1 - dropped;
         }
@@ -65,7 +66,7 @@
             };
             return self.send(&head, message);
         }
-        if self.is_synced() && self.append_at_head(origin, payload) == Appended::Overloaded {
+        if self.is_synced() && self.append_at_head(origin, payload) == AppendOutcome::Overloaded {
             self.on_overloaded(origin);
         }
     }
@@ -100,18 +101,18 @@
             origin,
             payload,
         } = submission;
-        if self.append_at_head(origin, payload) == Appended::Overloaded {
+        if self.append_at_head(origin, payload) == AppendOutcome::Overloaded {
             self.send(&from, Message::Overloaded { origin });
         }
     }
 
-    fn append_at_head(&mut self, origin: Origin, payload: Payload) -> Appended {
-        // Against a second entry for a submission that was sent again while the first is in flight.
+    fn append_at_head(&mut self, origin: Origin, payload: Payload) -> AppendOutcome {
+        // A resent submission whose entry is still uncommitted must not get a second entry.
         if self.log.has_origin_after(self.commit_index, origin) {
-            return Appended::Yes;
+            return AppendOutcome::Appended;
         }
         if self.has_too_much_uncommitted() {
-            return Appended::Overloaded;
+            return AppendOutcome::Overloaded;
         }
         let position = Position {
             index: self.log.last().index + 1,
@@ -122,12 +123,12 @@
             origin,
             payload,
         });
-        Appended::Yes
+        AppendOutcome::Appended
     }
 
     fn has_too_much_uncommitted(&self) -> bool {
         let too_many = self.log.last().index - self.commit_index >= MAX_UNCOMMITTED;
-        // Counting the uncommitted bytes takes long, those of the complete log none.
+        // The size of the whole log is stored, while that of its uncommitted part has to be summed up.
         let too_large = || {
             self.log.size_bytes() > MAX_UNCOMMITTED_BYTES
                 && self.log.bytes_after(self.commit_index) > MAX_UNCOMMITTED_BYTES
@@ -143,7 +144,7 @@
         }
     }
 
-    /// This member is synced: what came before goes on.
+    /// Appends the submissions that were deferred until this member was synced.
     pub(super) fn append_deferred(&mut self, submissions: Vec<ForwardedSubmission>) {
         if self.is_head() {
             self.send_submissions();
@@ -156,11 +157,11 @@
     pub(super) fn resend_due_submissions(&mut self) {
         let is_head = self.is_head();
         for index in 0..self.submissions.pending.len() {
-            if !self.submissions.pending[index].is_due(self.now) {
+            if !self.submissions.pending[index].is_resend_due(self.now) {
                 continue;
             }
             if is_head {
-                // The head has it in its log already, if it has taken it.
+                // The head's own submission is already in its log, unless it was rejected.
                 self.submissions.pending[index].last_sent_at = Some(self.now);
             } else {
                 self.send_submission(index);
@@ -171,7 +172,7 @@
     pub(super) fn next_submission_tick(&self) -> Option<Millis> {
         let send = self
             .submissions
-            .next_send()
+            .next_resend()
             .filter(|_| self.decided.is_some());
         [send, self.submissions.next_timeout()]
             .into_iter()
--- a/crates/serving/chain-replication/src/member/proposer.rs
+++ b/crates/serving/chain-replication/src/member/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer's side of the agreement on the next view: single-decree Paxos among the members of the present one.
+//! The proposer's side of the agreement on the next view: single-decree Paxos among the present view's members.
 
 use super::state::agreement::{Acceptor, PromiseFrom, Proposer};
 use super::Member;
@@ -13,14 +13,14 @@
 use crate::view::ViewNumber;
 
 impl Member {
-    /// A new view: all that was about it or those before ends.
+    /// Ends all agreement state when a view is installed: it was about this view or an earlier one.
     pub(super) fn end_agreement(&mut self) {
         self.acceptor = Acceptor::default();
         self.proposer = Proposer::Idle;
         self.propose_at = None;
     }
 
-    /// Goes on with an attempt, or begins one if there should be another view and it is this member's turn.
+    /// Advances the present attempt, or begins one if another view is wanted and it is this member's turn to propose.
     pub(super) fn drive_proposer(&mut self) {
         if !self.is_member() {
             return;
@@ -29,8 +29,8 @@
             Proposer::Preparing { .. } if self.has_enough_promises() => {
                 return self.begin_accept_phase();
             }
-            Proposer::Preparing { since, .. } | Proposer::Accepting { since, .. } => {
-                if self.now >= since + PROPOSAL_TIMEOUT {
+            Proposer::Preparing { started_at, .. } | Proposer::Accepting { started_at, .. } => {
+                if self.now >= started_at + PROPOSAL_TIMEOUT {
                     self.back_off();
                 }
                 return;
@@ -42,8 +42,8 @@
             self.propose_at = None;
             return;
         }
-        let turn = self.draw_proposal_turn();
-        if self.now >= *self.propose_at.get_or_insert(turn) {
+        let propose_at = self.draw_proposal_time();
+        if self.now >= *self.propose_at.get_or_insert(propose_at) {
             self.begin_prepare_phase();
         }
     }
@@ -56,7 +56,8 @@
         (self.is_sealed() || !is_in_force) && self.may_propose()
     }
 
-    /// A member that is partitioned even one way, or whose disk stalls, would only disturb the others.
+    /// Whether this member may propose. A proposal by a member that is partitioned, even in one direction, or whose disk
+    /// stalls, would only disturb the others.
     fn may_propose(&self) -> bool {
         let Some(view) = self.view() else {
             return false;
@@ -71,7 +72,8 @@
         confirmed + 1 >= view.majority() && !self.is_disk_stalled()
     }
 
-    /// How many go before this member in proposing: those before it in the chain, or in the members' order.
+    /// How many eligible members propose before this one. The order is that of the chain, then that of the members out of
+    /// the chain.
     fn proposer_rank(&self) -> u64 {
         let Some(view) = self.view() else { return 0 };
         let members = view.members.iter().map(|member| &member.id);
@@ -84,8 +86,8 @@
         before.filter(may_propose).count() as u64
     }
 
-    /// When it is this member's turn to propose, if it begins to wait now.
-    pub(super) fn draw_proposal_turn(&mut self) -> Millis {
+    /// Draws the time at which this member may propose, by its rank and a random wait from now.
+    pub(super) fn draw_proposal_time(&mut self) -> Millis {
         let delay = self.proposer_rank() * PROPOSER_RANK_DELAY;
         self.now + delay + self.random.below(PROPOSE_JITTER)
     }
@@ -103,7 +105,7 @@
         self.propose_at = None;
         self.proposer = Proposer::Preparing {
             proposal_number: proposal_number.clone(),
-            since: self.now,
+            started_at: self.now,
             promises: Vec::new(),
         };
         for member in &decided.view.members {
@@ -157,10 +159,12 @@
         }
     }
 
-    /// A majority has promised, and so have all that are alive, or those were awaited long enough.
+    /// Whether a majority has promised, and either all connected members have promised too or the wait for them is over.
     fn has_enough_promises(&self) -> bool {
         let Proposer::Preparing {
-            since, promises, ..
+            started_at,
+            promises,
+            ..
         } = &self.proposer
         else {
             return false;
@@ -176,11 +180,11 @@
             .iter()
             .filter(|member| !has_promised(&member.id));
         let none_awaited = !missing.any(|member| is_awaited(&member.id));
-        let waited = self.now >= since + REMAINING_PROMISES_TIMEOUT;
+        let waited = self.now >= started_at + REMAINING_PROMISES_TIMEOUT;
         promises.len() >= view.majority() && (none_awaited || waited)
     }
 
-    /// Proposes a view: the one that may have been decided already, or else the one that there should be.
+    /// Proposes a view: the newest accepted one, which may have been decided already, or else the planned one.
     fn begin_accept_phase(&mut self) {
         let Proposer::Preparing {
             proposal_number,
@@ -196,7 +200,7 @@
         let newest = accepted.max_by(|one, other| one.proposal_number.cmp(&other.proposal_number));
         let proposal = match newest {
             Some(accepted) => Some(accepted.proposal.clone()),
-            None => self.free_proposal(&promises),
+            None => self.planned_proposal(&promises),
         };
         let Some(proposal) = proposal else {
             return self.back_off();
@@ -206,7 +210,7 @@
             .map_or_else(Vec::new, |view| view.members.clone());
         self.proposer = Proposer::Accepting {
             proposal_number: proposal_number.clone(),
-            since: self.now,
+            started_at: self.now,
             proposal: proposal.clone(),
             accepted_by: Vec::new(),
         };
@@ -219,8 +223,9 @@
         }
     }
 
-    /// The view that there should be, headed by a member whose log has all that was committed before.
-    fn free_proposal(&mut self, promises: &[PromiseFrom]) -> Option<DecidedView> {
+    /// The planned view, headed by a member whose log has every earlier commit. Used when no promise reports an accepted
+    /// view.
+    fn planned_proposal(&mut self, promises: &[PromiseFrom]) -> Option<DecidedView> {
         let plan = self.plan()?;
         let sealed: Vec<SealedLog> = promises.iter().map(PromiseFrom::sealed_log).collect();
         view_after(self.decided.as_ref()?, plan, &sealed)
@@ -259,18 +264,20 @@
     pub(super) fn next_agreement_tick(&self) -> Option<Millis> {
         let attempt = match &self.proposer {
             Proposer::Preparing {
-                since, promises, ..
+                started_at,
+                promises,
+                ..
             } => {
                 let has_majority = self
                     .view()
                     .is_some_and(|view| promises.len() >= view.majority());
                 Some(if has_majority {
-                    since + REMAINING_PROMISES_TIMEOUT
+                    started_at + REMAINING_PROMISES_TIMEOUT
                 } else {
-                    since + PROPOSAL_TIMEOUT
+                    started_at + PROPOSAL_TIMEOUT
                 })
             }
-            Proposer::Accepting { since, .. } => Some(since + PROPOSAL_TIMEOUT),
+            Proposer::Accepting { started_at, .. } => Some(started_at + PROPOSAL_TIMEOUT),
             Proposer::BackingOff { until } => Some(*until),
             Proposer::Idle => self.propose_at,
         };
--- a/crates/serving/chain-replication/src/member/reads.rs
+++ b/crates/serving/chain-replication/src/member/reads.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads. A request passes along the complete chain, which shows that each member of it still is one; the tail
-//! replies with its commit index, and the read is ready once that much is applied here.
+//! Linearizable reads. A read request passes along the whole chain, which confirms that each member still belongs to it;
+//! the tail replies with its commit index, and the read is ready once commits up to that index are applied here.
 
 use super::state::requests::{ConfirmedReads, PendingRead};
 use super::{Member, Output};
@@ -22,13 +22,13 @@
         }
         self.reads.waiting.push(PendingRead {
             ticket,
-            since: self.now,
+            requested_at: self.now,
         });
         self.begin_read_request();
     }
 
-    /// Sends the waiting reads along the chain, unless others are in flight: what is committed after those were sent
-    /// they needn't see.
+    /// Sends the waiting reads along the chain in one request, unless a request is in flight. A later read can't join that
+    /// request: its reply may lack commits that the read must see.
     fn begin_read_request(&mut self) {
         if self.reads.begin_batch(self.now) {
             self.send_read_request();
@@ -56,11 +56,11 @@
     pub(super) fn on_read_index(&mut self, from: &MemberId, request: ReadIndexRequest) {
         let Some(view) = self.view() else { return };
         let expects_from = view.is_head(&self.me.id) || view.predecessor(&self.me.id) == Some(from);
-        let counts = request.view == view.number && expects_from;
+        let is_valid = request.view == view.number && expects_from;
         if request.view > view.number {
             self.request_view_from(from);
         }
-        if !counts && self.safeguards.has(Safeguard::CheckViews) {
+        if !is_valid && self.safeguards.has(Safeguard::CheckViews) {
             return;
         }
         if self.is_synced() {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// To the successor, or from the tail back to the reader.
+    /// Forwards a read request to the successor; the tail replies to the reader.
     fn forward_read(&mut self, request: ReadIndexRequest) {
         if let Some(successor) = self.successor() {
             return self.send(&successor, Message::ReadIndex(request));
@@ -82,7 +82,7 @@
         self.send(&request.reader, reply);
     }
 
-    /// This member is synced: what came before goes on.
+    /// Forwards the read requests that were deferred until this member was synced.
     pub(super) fn forward_deferred_reads(&mut self, requests: Vec<ReadIndexRequest>) {
         for request in requests {
             self.forward_read(request);
@@ -111,7 +111,7 @@
     pub(super) fn retry_read_request(&mut self) {
         let in_flight = self.reads.in_flight.as_mut();
         if let Some(batch) = in_flight.filter(|batch| self.now >= batch.sent_at + READ_RETRY) {
-            // Also when there is no head to send it to.
+            // Set here too, so that the retry waits also while there is no head to send to.
             batch.sent_at = self.now;
             self.send_read_request();
         }
@@ -129,7 +129,7 @@
             .min()
     }
 
-    /// Requests of the caller, at a tick.
+    /// Drops expired requests of the caller and retries pending ones.
     pub(super) fn tick_requests(&mut self) {
         self.drop_expired();
         self.resend_due_submissions();
--- a/crates/serving/chain-replication/src/member/receive.rs
+++ b/crates/serving/chain-replication/src/member/receive.rs
@@ -1,4 +1,4 @@
-//! Receive: a message comes in and goes to its handler.
+//! Receive: a message arrives and is dispatched to its handler.
 
 use super::Member;
 use crate::durable::Snapshot;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The connection to it works again; what was in flight is lost.
+    /// The connection to `peer` works again; messages that were in flight are lost and have to be sent again.
     fn on_reconnected(&mut self, peer: &MemberId) {
         self.replication_reconnected(peer);
         // The chunk in flight is lost.
--- a/crates/serving/chain-replication/src/member/receive_snapshot.rs
+++ b/crates/serving/chain-replication/src/member/receive_snapshot.rs
@@ -1,4 +1,4 @@
-//! Receiving a snapshot, as the log here ends before that of the sender begins.
+//! Receiving a snapshot, when this member's log ends before the sender's begins.
 
 use super::state::replication::Stage;
 use super::state::snapshots::Snapshots;
@@ -9,7 +9,7 @@
 use crate::message::Message;
 use crate::safeguards::Safeguard;
 use crate::snapshot_transfer::{
-    IncomingSnapshot, Received, SnapshotChunk, SnapshotProgress, Verification,
+    IncomingSnapshot, ReceiveOutcome, SnapshotChunk, SnapshotProgress, Verification,
 };
 use crate::view::ViewNumber;
 use crate::write_queue::Completion;
@@ -31,15 +31,16 @@
             received: descriptor.length,
             rejected: false,
         };
-        if self.reaches(descriptor.position) {
-            // The sender goes on from there: it may know neither the end of the log here nor what is committed here.
+        if self.log_includes(descriptor.position) {
+            // Acknowledged as complete, so that the sender continues with entries after the snapshot. From its compacted
+            // log it may find no common position with this one.
             return self.send(from, Message::SnapshotProgress { view, progress });
         }
         let mut complete = None;
         let verification = self.verification();
         match IncomingSnapshot::receive(&mut self.snapshots.incoming, chunk, verification) {
-            Ok(Received::Partial(received)) => progress.received = received,
-            Ok(Received::Complete(snapshot)) => complete = Some(snapshot),
+            Ok(ReceiveOutcome::Partial(received)) => progress.received = received,
+            Ok(ReceiveOutcome::Complete(snapshot)) => complete = Some(snapshot),
             Err(rejection) => {
                 self.snapshots.rejections.count(rejection);
                 progress.received = 0;
@@ -52,20 +53,20 @@
         }
     }
 
-    /// From a member of an earlier version, which sends it in one message.
+    /// Handles a snapshot in one message, as members of an earlier version send it.
     pub(super) fn on_unchunked_snapshot(
         &mut self,
         from: &MemberId,
         view: ViewNumber,
         snapshot: Snapshot,
     ) {
-        if self.accepts_snapshots_of(from, view) && !self.reaches(snapshot.position) {
+        if self.accepts_snapshots_of(from, view) && !self.log_includes(snapshot.position) {
             self.install_snapshot(snapshot);
         }
     }
 
-    /// Whether this member takes snapshots from `from` in this view: from the predecessor in the chain, from the tail out
-    /// of it.
+    /// Whether this member accepts snapshots from `from` in this view. The sender is the predecessor for a member of the
+    /// chain, and the tail for a learner.
     fn accepts_snapshots_of(&self, from: &MemberId, view: ViewNumber) -> bool {
         let is_behind = matches!(self.stage, Stage::CatchingUp | Stage::OutOfChain);
         let source = self.view().and_then(|view| {
@@ -78,8 +79,8 @@
         view == self.view_number() && source == Some(from) && is_behind
     }
 
-    /// Whether the log here is like the sender's up to a position that is committed there.
-    fn reaches(&self, position: Position) -> bool {
+    /// Whether this log already includes everything up to a position that is committed at the sender.
+    fn log_includes(&self, position: Position) -> bool {
         position.index <= self.commit_index || self.log.matches(position)
     }
 
@@ -93,7 +94,7 @@
 
     fn install_snapshot(&mut self, snapshot: Snapshot) {
         let position = snapshot.position;
-        // The log lacked what was committed, so it was no log to go on from; until it has caught up it is none.
+        // The log lacked commits, so it counts as complete in no view until it has caught up.
         self.synced_view = 0;
         self.write_queue.truncate(0);
         self.write_queue.write(Write::Truncate { index: 0 });
--- a/crates/serving/chain-replication/src/member/replicate.rs
+++ b/crates/serving/chain-replication/src/member/replicate.rs
@@ -1,4 +1,4 @@
-//! Replicate: entries travel down the chain. Each member has them on disk before it forwards them.
+//! Replicate: entries travel down the chain. Each member syncs them to disk before it forwards them.
 
 use super::stage::Neighbour;
 use super::state::replication::Stage;
@@ -14,7 +14,7 @@
 impl Member {
     // --- from the predecessor ---
 
-    /// Requests entries from the predecessor, from where the log here ends.
+    /// Requests the entries after the end of this member's log from the predecessor.
     pub(super) fn request_resume(&mut self) {
         let Some(predecessor) = self.predecessor() else {
             return;
@@ -33,20 +33,20 @@
     }
 
     pub(super) fn on_append(&mut self, from: &MemberId, append: AppendEntries) {
-        if !self.counts_from(from, append.view, Neighbour::Predecessor) {
+        if !self.accepts_chain_message(from, append.view, Neighbour::Predecessor) {
             return;
         }
         if !self.continues_log(append.previous) {
-            let requested_just_now = self
+            let requested_recently = self
                 .upstream
                 .resume_sent_at
                 .is_some_and(|at| self.now < at + RESUME_MIN_GAP);
-            if !requested_just_now {
+            if !requested_recently {
                 self.request_resume();
             }
             return;
         }
-        let is_question = append.entries.is_empty();
+        let is_query = append.entries.is_empty();
         let end = append.end();
         let reaches_predecessor = end == append.last;
         for entry in append.entries {
@@ -56,17 +56,17 @@
             self.truncate(end);
             self.caught_up();
         }
-        if is_question && self.stage == Stage::Synced {
+        if is_query && self.stage == Stage::Synced {
             self.send_committed();
         }
     }
 
-    /// Whether entries after a position of another member's log can be taken into the log here.
+    /// Whether entries that follow `previous` in another member's log can be added to this log without a gap or conflict.
     pub(super) fn continues_log(&self, previous: Position) -> bool {
         previous.index <= self.commit_index || self.log.matches(previous)
     }
 
-    /// Adds an entry to the log, replacing another one that can't have been committed.
+    /// Adds an entry to the log. A conflicting entry and those after it are removed: they can't have been committed.
     pub(super) fn accept_entry(&mut self, entry: Entry) {
         let index = entry.index();
         if index <= self.commit_index || self.log.matches(entry.position) {
@@ -96,7 +96,7 @@
         self.write_queue.write(Write::Truncate { index });
     }
 
-    /// Entries are on disk up to `index`.
+    /// Handles the completion of a batch: the log is on disk up to `index`.
     pub(super) fn on_log_persisted(&mut self, index: LogIndex) {
         self.persisted_index = self.persisted_index.max(index.min(self.log.last().index));
         match self.stage {
@@ -114,7 +114,7 @@
         self.forward_entries();
     }
 
-    /// Forwards what is on disk; at the tail, it is committed.
+    /// Forwards the entries that are on disk; the tail commits them.
     fn forward_entries(&mut self) {
         if self.is_tail() {
             return self.commit_and_acknowledge(self.persisted_index);
@@ -123,10 +123,10 @@
             return;
         };
         while self.downstream.sent_index < self.persisted_index
-            && !self.snapshots.is_wanted_by(&successor)
+            && !self.snapshots.is_needed_by(&successor)
         {
             let Some(previous) = self.log.position(self.downstream.sent_index) else {
-                return self.want_snapshot_for(successor);
+                return self.provide_snapshot_to(successor);
             };
             let entries =
                 self.log
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Queries whether the successor has what was sent to it.
+    /// Asks the successor, by an append without entries, whether it has the entries sent so far.
     fn query_successor(&mut self) {
         let Some(successor) = self.successor() else {
             return;
@@ -158,19 +158,22 @@
     }
 
     pub(super) fn on_resume(&mut self, from: MemberId, resume: &ResumePoint) {
-        if !self.counts_from(&from, resume.view, Neighbour::Successor) || !self.is_synced() {
+        if !self.accepts_chain_message(&from, resume.view, Neighbour::Successor)
+            || !self.is_synced()
+        {
             return;
         }
         self.downstream.acknowledged(self.now);
         let Some(common) = self.common_position(resume, self.persisted_index) else {
-            return self.want_snapshot_for(from);
+            return self.provide_snapshot_to(from);
         };
         self.snapshots.cancel_for(&from);
         self.downstream.sent_index = common.index;
         self.resume_forwarding();
     }
 
-    /// From where another member's log can go on: its end, if the log here has it, or else what it has committed.
+    /// The position from which another member can be sent entries: the end of its log if this log includes that, or else
+    /// its commit index.
     pub(super) fn common_position(
         &self,
         resume: &ResumePoint,
@@ -182,7 +185,7 @@
         candidates.into_iter().flatten().find(is_common)
     }
 
-    /// After the position was set from which to send.
+    /// Forwards entries again after `sent_index` was set.
     pub(super) fn resume_forwarding(&mut self) {
         if self.downstream.sent_index == self.persisted_index {
             self.query_successor();
@@ -210,13 +213,13 @@
         }
     }
 
-    /// When to query the successor, which has acknowledged nothing.
+    /// When to query the successor about entries that it hasn't acknowledged.
     fn next_query(&self) -> Option<Millis> {
         let is_unacknowledged =
             !self.downstream.is_established || self.commit_index < self.downstream.sent_index;
         let awaits_snapshot = self
             .successor()
-            .is_none_or(|successor| self.snapshots.is_wanted_by(&successor));
+            .is_none_or(|successor| self.snapshots.is_needed_by(&successor));
         let is_wanted = self.is_synced() && is_unacknowledged && !awaits_snapshot;
         is_wanted.then_some(self.downstream.active_at + ACKNOWLEDGEMENT_TIMEOUT)
     }
--- a/crates/serving/chain-replication/src/member/send_snapshot.rs
+++ b/crates/serving/chain-replication/src/member/send_snapshot.rs
@@ -1,4 +1,4 @@
-//! Sending snapshots to members that the log doesn't reach back to.
+//! Sending snapshots to members that need entries which this member has already compacted.
 
 use super::Member;
 use crate::durable::Snapshot;
@@ -9,9 +9,10 @@
 use crate::view::ViewNumber;
 
 impl Member {
-    /// The log here doesn't reach back to where the member's ends.
-    pub(super) fn want_snapshot_for(&mut self, member: MemberId) {
-        self.drop_outrun_transfers();
+    /// Provides a snapshot to a member whose log ends before this one begins: shares one in transfer, or requests a new one
+    /// from the caller.
+    pub(super) fn provide_snapshot_to(&mut self, member: MemberId) {
+        self.drop_obsolete_transfers();
         let now = self.now;
         if let Some(outgoing) = self.snapshots.outgoing_to(&member) {
             if now >= outgoing.retry_at() {
@@ -19,7 +20,7 @@
             }
             return;
         }
-        if self.snapshots.ended_just_now(&member, now) || self.snapshots.is_wanted_by(&member) {
+        if self.snapshots.ended_recently(&member, now) || self.snapshots.is_needed_by(&member) {
             return;
         }
         let in_transfer = self.snapshots.outgoing.first();
@@ -29,30 +30,30 @@
                 self.send_chunk(&member);
             }
             None => {
-                self.snapshots.wanted_by.push(member);
+                self.snapshots.needed_by.push(member);
                 self.request_snapshot();
             }
         }
     }
 
-    /// The log has to go on from where a snapshot ends.
-    fn drop_outrun_transfers(&mut self) {
+    /// Drops transfers of snapshots whose end the log no longer includes: entries couldn't continue from there.
+    fn drop_obsolete_transfers(&mut self) {
         let log = &self.log;
         self.snapshots
             .outgoing
             .retain(|outgoing| log.matches(outgoing.position()));
     }
 
-    /// Sends a snapshot that was just taken to all members that want one.
+    /// Starts to send a newly taken snapshot to all members that need one.
     pub(super) fn begin_transfers(&mut self, snapshot: &Snapshot) {
-        for member in std::mem::take(&mut self.snapshots.wanted_by) {
+        for member in std::mem::take(&mut self.snapshots.needed_by) {
             let outgoing = OutgoingSnapshot::new(member.clone(), snapshot.clone(), self.now);
             self.snapshots.outgoing.push(outgoing);
             self.send_chunk(&member);
         }
     }
 
-    /// Sends the next chunk, if a snapshot is on its way to the member.
+    /// Sends the next chunk, if a snapshot is in transfer to the member.
     pub(super) fn send_chunk(&mut self, to: &MemberId) {
         if !self.is_synced() {
             return;
@@ -65,7 +66,7 @@
         self.send(to, Message::SnapshotChunk { view, chunk });
     }
 
-    /// The receiver of a snapshot says how far it is.
+    /// Handles a receiver's acknowledgement: sends the next chunk, or entries once the snapshot is complete.
     pub(super) fn on_snapshot_progress(
         &mut self,
         from: &MemberId,
--- a/crates/serving/chain-replication/src/member/stage.rs
+++ b/crates/serving/chain-replication/src/member/stage.rs
@@ -1,4 +1,4 @@
-//! The role of a member in the chain of its view, and from whom it takes messages there.
+//! The role of a member in the chain of its view, and which messages of the chain it accepts.
 
 use super::state::freshness::Freshness;
 use super::state::learner::Learner;
@@ -10,7 +10,7 @@
 use crate::view::{View, ViewNumber};
 use crate::write_queue::Completion;
 
-/// From which neighbour in the chain a message has to come.
+/// The neighbour in the chain from which a message has to come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Neighbour {
     Predecessor,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Goes on in the chain by the stage that it has there.
+    /// Starts the work that belongs to the present stage.
     pub(super) fn resume_stage(&mut self) {
         match self.stage {
             Stage::Synced => self.begin_forwarding(),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes its role in the chain of a view that was just installed.
+    /// Enters the chain of a newly installed view, or becomes a learner outside it.
     pub(super) fn enter_chain(&mut self) {
         self.upstream = Upstream::default();
         self.downstream = Downstream::default();
@@ -105,8 +105,9 @@
         self.view()?.successor(&self.me.id).cloned()
     }
 
-    /// Whether a message of the chain counts here: it is of the view in force, from the neighbour it must come from.
-    pub(super) fn counts_from(
+    /// Whether to accept a message of the chain: it has to be of the view in force and from the given neighbour, and this
+    /// member has to participate in the chain.
+    pub(super) fn accepts_chain_message(
         &mut self,
         from: &MemberId,
         view: ViewNumber,
@@ -127,7 +128,7 @@
         self.safeguards.has(Safeguard::CatchUpBeforeSync)
     }
 
-    /// The log is complete as of this view.
+    /// Records that the log is complete as of the present view.
     pub(super) fn caught_up(&mut self) {
         let view = self.view_number();
         self.synced_view = view;
@@ -138,7 +139,7 @@
         self.enter(Stage::Syncing);
     }
 
-    /// That is on disk.
+    /// The synced view is on disk: starts to forward entries and handles the deferred requests.
     pub(super) fn on_synced_view_persisted(&mut self, view: ViewNumber) {
         if view != self.view_number() || self.stage != Stage::Syncing {
             return;
--- a/crates/serving/chain-replication/src/member/state/agreement.rs
+++ b/crates/serving/chain-replication/src/member/state/agreement.rs
@@ -6,7 +6,8 @@
 use crate::next_view::SealedLog;
 use crate::timing::Millis;
 
-/// What this member has promised and accepted; on disk before it is sent. A promise seals the present view here.
+/// What this member has promised and accepted in the agreement on the next view; on disk before it is sent. A promise
+/// seals the present view at this member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Acceptor {
     pub(crate) promised: Option<ProposalNumber>,
@@ -14,8 +15,8 @@
 }
 
 impl Acceptor {
-    /// The promised number, if it takes precedence over this one.
-    pub(crate) fn promised_above(
+    /// The promised number, if it is greater than `proposal_number`.
+    pub(crate) fn greater_promise(
         &self,
         proposal_number: &ProposalNumber,
     ) -> Option<ProposalNumber> {
@@ -25,30 +26,30 @@
     }
 }
 
-/// This member's own attempt to get a view decided.
+/// The state of this member's own attempt to get a view decided.
 #[derive(Clone, Debug)]
 pub(crate) enum Proposer {
     Idle,
-    /// The last attempt failed; no other one before this time.
+    /// The last attempt failed; the next one begins at `until` at the earliest.
     BackingOff {
         until: Millis,
     },
     /// Paxos, phase 1.
     Preparing {
         proposal_number: ProposalNumber,
-        since: Millis,
+        started_at: Millis,
         promises: Vec<PromiseFrom>,
     },
     /// Paxos, phase 2.
     Accepting {
         proposal_number: ProposalNumber,
-        since: Millis,
+        started_at: Millis,
         proposal: DecidedView,
         accepted_by: Vec<MemberId>,
     },
 }
 
-/// Who promised what.
+/// A promise and the member that made it.
 #[derive(Clone, Debug)]
 pub(crate) struct PromiseFrom {
     pub(crate) from: MemberId,
--- a/crates/serving/chain-replication/src/member/state/freshness.rs
+++ b/crates/serving/chain-replication/src/member/state/freshness.rs
@@ -1,21 +1,21 @@
-//! How old the state is at most that a member of the chain has applied.
+//! An upper bound on the age of the state that a member of the chain has applied.
 //!
-//! Nothing is committed without every member of the chain having it in its log. So all that was committed up to a moment
-//! is applied here once the log is applied as far as it went at that moment. A member that has a quorum and lags behind
-//! its own log for long may show what was replaced long ago: commits of others reach it late, as when the member between
-//! it and the tail is suspended.
+//! An entry is committed only when every member of the chain has it in its log. So once a member has applied its log up
+//! to where it ended at some time, it has applied everything committed by that time. A member that has a quorum but has
+//! long lagged behind its own log may show outdated state: the commit index reaches it late, for example while a member
+//! between it and the tail is suspended.
 
 use crate::log::LogIndex;
 use crate::timing::{Millis, FRESHNESS_TIMEOUT};
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Freshness {
-    /// All that was committed before this time is applied; never so far.
+    /// Everything committed before this time is applied; none until that is known of any time.
     complete_as_of: Option<Millis>,
     checkpoint: Checkpoint,
 }
 
-/// Where the log ended, and when.
+/// The end of the log at some time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Checkpoint {
     index: LogIndex,
@@ -23,7 +23,8 @@
 }
 
 impl Freshness {
-    /// The member has synced in its view, or its process has started: its log ends at `last`.
+    /// The freshness when the member's process starts or its log has become complete as of its view, with the log ending
+    /// at `last`.
     pub(crate) fn starting(last: LogIndex, now: Millis) -> Freshness {
         Freshness {
             complete_as_of: None,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Commits were applied up to `commit_index`, and the log ends at `last`.
+    /// Records that commits are applied up to `commit_index`, and that the log ends at `last`.
     pub(crate) fn update(&mut self, commit_index: LogIndex, last: LogIndex, now: Millis) {
         if commit_index >= self.checkpoint.index {
             self.complete_as_of = Some(self.checkpoint.at);
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Whether all that was committed is applied, but for what was committed in the last moments.
+    /// Whether everything committed is applied, but for commits of the last [`FRESHNESS_TIMEOUT`].
     pub(crate) fn is_fresh(&self, commit_index: LogIndex, last: LogIndex, now: Millis) -> bool {
         commit_index >= last
             || self
--- a/crates/serving/chain-replication/src/member/state/joining.rs
+++ b/crates/serving/chain-replication/src/member/state/joining.rs
@@ -1,11 +1,11 @@
-//! Joining a view: requests of others, and this member's own.
+//! Joining a view: the requests of other processes, and this member's own attempt.
 
 use crate::identity::Peer;
 use crate::reconfiguration::JoinRequest;
 use crate::timing::{Millis, ADDITIONAL_JOINER_DELAY, JOINER_TIMEOUT};
 use std::net::SocketAddr;
 
-/// One that requests to be added to the view.
+/// A process that requests to be added to the view.
 #[derive(Clone, Debug)]
 pub(crate) struct Joiner {
     pub(crate) peer: Peer,
@@ -33,16 +33,16 @@
         }
     }
 
-    /// Whether it has sent a request lately.
+    /// Whether the joiner has sent a request within [`JOINER_TIMEOUT`].
     pub(crate) fn is_alive(&self, now: Millis) -> bool {
         now < self.last_requested_at + JOINER_TIMEOUT
     }
 }
 
-/// This member requests to be added to a view.
+/// This member's attempt to be added to a view.
 #[derive(Clone, Debug)]
 pub(crate) struct JoinAttempt {
-    /// Whom to send the request besides the members of the newest view known here.
+    /// Addresses to send the request to, besides the members of the newest known view.
     pub(crate) contacts: Vec<SocketAddr>,
     pub(crate) next_at: Millis,
 }
--- a/crates/serving/chain-replication/src/member/state/learner.rs
+++ b/crates/serving/chain-replication/src/member/state/learner.rs
@@ -7,6 +7,6 @@
 pub(crate) struct Learner {
     /// When to fetch from the tail next.
     pub(crate) next_fetch_at: Millis,
-    /// The tail has reported that all up to here is committed.
+    /// The index up to which the tail has reported entries as committed.
     pub(crate) known_commit_index: LogIndex,
 }
--- a/crates/serving/chain-replication/src/member/state/mod.rs
+++ b/crates/serving/chain-replication/src/member/state/mod.rs
@@ -1,4 +1,4 @@
-//! The parts of a member's state, each without knowledge of the member around it.
+//! The parts of a member's state, each independent of the member that holds it.
 
 pub(crate) mod agreement;
 pub(crate) mod freshness;
--- a/crates/serving/chain-replication/src/member/state/replication.rs
+++ b/crates/serving/chain-replication/src/member/state/replication.rs
@@ -6,15 +6,15 @@
 /// The role of a member in the chain of its view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// It is not in the chain. If it is a member, it learns the commits from the tail.
+    /// The member is not in the chain. If it is in the view, it learns the commits from the tail.
     OutOfChain,
-    /// It has promised the next view.
+    /// The member has promised the next view and no longer participates in the chain.
     Sealed,
-    /// Its log doesn't include its predecessor's yet.
+    /// The member's log doesn't include its predecessor's yet.
     CatchingUp,
-    /// Its log does, and that is on its way to the disk.
+    /// The log includes the predecessor's, and the record of this is being written to disk.
     Syncing,
-    /// That is on disk: it forwards entries, and at the tail commits them.
+    /// The record is on disk: the member forwards entries, and as the tail commits them.
     Synced,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl Upstream {
-    /// A snapshot is on its way: no need to request entries.
+    /// Puts off the next request for entries, as a snapshot is being received.
     pub(crate) fn snapshot_received(&mut self, now: Millis) {
         self.resume_sent_at = Some(now);
     }
@@ -35,22 +35,22 @@
 /// The stream to the successor.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Downstream {
-    /// Entries were sent up to here.
+    /// Index up to which entries were sent.
     pub(crate) sent_index: LogIndex,
     /// The successor has replied in this view.
     pub(crate) is_established: bool,
-    /// When something was last sent or acknowledged.
+    /// When entries or a query were last sent, or an acknowledgement last arrived.
     pub(crate) active_at: Millis,
 }
 
 impl Downstream {
-    /// Something of the successor has come.
+    /// Records an acknowledgement or a request of the successor.
     pub(crate) fn acknowledged(&mut self, now: Millis) {
         self.is_established = true;
         self.active_at = now;
     }
 
-    /// The successor has received a snapshot that ends at `index`.
+    /// Sets the stream to continue after a snapshot, received by the successor, that ends at `index`.
     pub(crate) fn resume_after_snapshot(&mut self, index: LogIndex, now: Millis) {
         self.sent_index = index;
         self.active_at = now;
--- a/crates/serving/chain-replication/src/member/state/requests.rs
+++ b/crates/serving/chain-replication/src/member/state/requests.rs
@@ -12,19 +12,19 @@
 pub(crate) struct Submission {
     pub(crate) ticket: Ticket,
     pub(crate) payload: Payload,
-    since: Millis,
+    submitted_at: Millis,
     /// When it was last sent to the head, or appended here if this is the head.
     pub(crate) last_sent_at: Option<Millis>,
 }
 
 impl Submission {
-    pub(crate) fn is_due(&self, now: Millis) -> bool {
+    pub(crate) fn is_resend_due(&self, now: Millis) -> bool {
         self.last_sent_at
             .is_none_or(|at| now >= at + RESUBMIT_INTERVAL)
     }
 }
 
-/// What the caller has submitted here, oldest first.
+/// The caller's pending submissions at this member, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Submissions {
     pub(crate) pending: VecDeque<Submission>,
@@ -36,19 +36,19 @@
         self.bytes
     }
 
-    /// Adds a submission; its index among the pending ones.
+    /// Adds a submission and gives its index among the pending ones.
     pub(crate) fn push(&mut self, ticket: Ticket, payload: Payload, now: Millis) -> usize {
         self.bytes += payload.len();
         self.pending.push_back(Submission {
             ticket,
             payload,
-            since: now,
+            submitted_at: now,
             last_sent_at: None,
         });
         self.pending.len() - 1
     }
 
-    /// Removes the submission of a ticket; whether there was one.
+    /// Removes the submission of a ticket, and tells whether it was pending.
     pub(crate) fn remove(&mut self, ticket: Ticket) -> bool {
         let index = self
             .pending
@@ -61,7 +61,7 @@
         true
     }
 
-    pub(crate) fn next_send(&self) -> Option<Millis> {
+    pub(crate) fn next_resend(&self) -> Option<Millis> {
         let send_at = |submission: &Submission| {
             submission
                 .last_sent_at
@@ -73,7 +73,7 @@
     pub(crate) fn next_timeout(&self) -> Option<Millis> {
         self.pending
             .front()
-            .map(|submission| submission.since + REQUEST_TIMEOUT)
+            .map(|submission| submission.submitted_at + REQUEST_TIMEOUT)
     }
 }
 
@@ -81,10 +81,10 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRead {
     pub(crate) ticket: Ticket,
-    pub(crate) since: Millis,
+    pub(crate) requested_at: Millis,
 }
 
-/// Reads that pass along the chain in one request.
+/// Reads that one read request carries along the chain.
 #[derive(Clone, Debug)]
 pub(crate) struct ReadBatch {
     pub(crate) request: u64,
@@ -99,7 +99,7 @@
     pub(crate) reads: Vec<PendingRead>,
 }
 
-/// The caller's reads: waiting for the next request, in the one in flight, or waiting for commits.
+/// The caller's reads: waiting for the next read request, in the request in flight, or waiting for commits.
 #[derive(Clone, Debug)]
 pub(crate) struct Reads {
     last_request: u64,
@@ -129,7 +129,7 @@
         self.waiting.len() + in_flight + confirmed
     }
 
-    /// Puts all waiting reads into one request; whether there is a new request to send.
+    /// Puts all waiting reads into one request unless one is in flight, and tells whether there is a request to send.
     pub(crate) fn begin_batch(&mut self, now: Millis) -> bool {
         if self.in_flight.is_some() || self.waiting.is_empty() {
             return false;
@@ -154,12 +154,16 @@
             .chain(confirmed)
     }
 
-    /// Removes all reads that have waited since `oldest` or longer.
+    /// Removes and gives all reads that were requested at `oldest` or before.
     pub(crate) fn remove_expired(&mut self, oldest: Millis) -> Vec<PendingRead> {
         let mut expired = Vec::new();
         for list in self.lists_mut() {
-            expired.extend(list.iter().filter(|read| read.since <= oldest).cloned());
-            list.retain(|read| read.since > oldest);
+            expired.extend(
+                list.iter()
+                    .filter(|read| read.requested_at <= oldest)
+                    .cloned(),
+            );
+            list.retain(|read| read.requested_at > oldest);
         }
         self.confirmed
             .retain(|confirmed| !confirmed.reads.is_empty());
@@ -187,11 +191,11 @@
             .iter()
             .flat_map(|confirmed| confirmed.reads.iter());
         let all = self.waiting.iter().chain(in_flight).chain(confirmed);
-        all.map(|read| read.since + REQUEST_TIMEOUT).min()
+        all.map(|read| read.requested_at + REQUEST_TIMEOUT).min()
     }
 }
 
-/// Requests of other members that have come before this one is synced.
+/// Requests of other members that arrived before this member was synced.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DeferredRequests {
     pub(crate) submissions: Vec<ForwardedSubmission>,
--- a/crates/serving/chain-replication/src/member/state/snapshots.rs
+++ b/crates/serving/chain-replication/src/member/state/snapshots.rs
@@ -1,4 +1,4 @@
-//! The newest snapshot on disk, what another is wanted for, and the transfers of snapshots.
+//! The newest snapshot on disk, the reasons to take another one, and the transfers of snapshots.
 
 use crate::durable::Snapshot;
 use crate::identity::MemberId;
@@ -7,7 +7,7 @@
 use crate::snapshot_transfer::{IncomingSnapshot, OutgoingSnapshot, SnapshotRejections};
 use crate::timing::{Millis, SNAPSHOT_TRANSFER_GAP, TAKE_SNAPSHOT_RETRY};
 
-/// Whose transfer ended, and when.
+/// The receiver and the end time of a finished or rejected transfer.
 #[derive(Clone, Debug)]
 struct EndedTransfer {
     to: MemberId,
@@ -16,21 +16,21 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Snapshots {
-    /// The newest on disk ends here.
+    /// Index of the last entry that the newest snapshot on disk includes.
     pub(crate) on_disk_index: LogIndex,
-    /// Its size.
+    /// Bytes of the newest snapshot on disk.
     pub(crate) on_disk_bytes: usize,
-    /// About the bytes of all entries committed since.
+    /// About the bytes of all entries committed since that snapshot.
     pub(crate) committed_bytes: usize,
-    /// One is wanted to compact the log.
-    pub(crate) wanted_for_log: bool,
-    /// Members that need one which isn't taken yet.
-    pub(crate) wanted_by: Vec<MemberId>,
+    /// A new snapshot is wanted to compact the log.
+    pub(crate) wanted_for_compaction: bool,
+    /// Members that need a snapshot which isn't taken yet.
+    pub(crate) needed_by: Vec<MemberId>,
     pub(crate) outgoing: Vec<OutgoingSnapshot>,
     ended: Vec<EndedTransfer>,
     pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) rejections: SnapshotRejections,
-    /// When the caller was requested to take one.
+    /// When the caller was last asked to take a snapshot; none once it has replied.
     pub(crate) requested_at: Option<Millis>,
 }
 
@@ -45,27 +45,28 @@
 }
 
 impl Snapshots {
-    /// A snapshot is to be taken for the member, or is on its way there.
-    pub(crate) fn is_wanted_by(&self, member: &MemberId) -> bool {
-        self.wanted_by.contains(member)
+    /// Whether a snapshot is to be taken for the member or is in transfer to it.
+    pub(crate) fn is_needed_by(&self, member: &MemberId) -> bool {
+        self.needed_by.contains(member)
             || self.outgoing.iter().any(|outgoing| outgoing.to == *member)
     }
 
-    /// The member goes on without one.
+    /// Ends requests and transfers for a member that needs no snapshot any more.
     pub(crate) fn cancel_for(&mut self, member: &MemberId) {
-        self.wanted_by.retain(|other| other != member);
+        self.needed_by.retain(|other| other != member);
         self.outgoing.retain(|outgoing| outgoing.to != *member);
     }
 
-    /// In another view others may need one. What is in transfer goes on if it is requested again.
+    /// Forgets which members need a snapshot, as other members may in a new view. Transfers under way are kept, and
+    /// continue when the receiver requests a snapshot again.
     pub(crate) fn forget_requests(&mut self) {
-        self.wanted_by.clear();
+        self.needed_by.clear();
         self.ended.clear();
     }
 
-    /// Whether the log is to be compacted. A new snapshot pays when as much has come to the log as the
-    /// last one is large: what is written for snapshots stays within what is written for entries, up to the bound of the
-    /// log.
+    /// Whether the log is to be compacted. A snapshot is due once as many bytes of entries were committed as the last
+    /// snapshot has: then snapshots write no more bytes than entries do, unless the upper bound of the log is reached
+    /// first.
     pub(crate) fn is_compaction_due(&self) -> bool {
         let threshold = self
             .on_disk_bytes
@@ -73,7 +74,7 @@
         self.committed_bytes >= threshold
     }
 
-    pub(crate) fn ended_just_now(&self, to: &MemberId, now: Millis) -> bool {
+    pub(crate) fn ended_recently(&self, to: &MemberId, now: Millis) -> bool {
         let is_recent =
             |ended: &EndedTransfer| ended.to == *to && now < ended.at + SNAPSHOT_TRANSFER_GAP;
         self.ended.iter().any(is_recent)
@@ -92,9 +93,9 @@
         });
     }
 
-    /// When to request one from the caller again.
+    /// When to ask the caller for a snapshot again.
     pub(crate) fn next_request(&self) -> Option<Millis> {
-        let is_wanted = self.wanted_for_log || !self.wanted_by.is_empty();
+        let is_wanted = self.wanted_for_compaction || !self.needed_by.is_empty();
         self.requested_at
             .filter(|_| is_wanted)
             .map(|at| at + TAKE_SNAPSHOT_RETRY)
--- a/crates/serving/chain-replication/src/message.rs
+++ b/crates/serving/chain-replication/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between members.
 //!
-//! They are encoded by postcard, which goes by the position of fields and variants, not by their names: a new variant
-//! goes to the end, and nothing moves (`tests/encodings.rs`).
+//! They are encoded by postcard, which identifies fields and variants by their position, not by their name: new variants
+//! are added at the end, and existing ones keep their order (`tests/encodings.rs`).
 
 use crate::agreement::{AcceptedView, DecidedView, ProposalNumber};
 use crate::identity::{MemberId, Peer};
@@ -12,10 +12,10 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One message. Those of the chain carry the number of the view in which they count.
+/// One message. Messages of the chain carry the number of the view that they belong to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The process that bootstraps the system proposes the first view.
+    /// The process that bootstraps the system gives the first view.
     Bootstrap {
         /// The first view.
         view: View,
@@ -25,7 +25,7 @@
         /// The new member.
         joiner: Peer,
     },
-    /// A view was decided: sent to its members, and to whoever seems not to know it.
+    /// A view was decided: sent to its members, and to processes that seem not to know it.
     Decided {
         /// The view.
         decided: DecidedView,
@@ -42,11 +42,11 @@
     },
     /// Paxos, phase 1b.
     Promise(Promise),
-    /// A greater number was promised to another proposer.
+    /// The request is rejected, as a greater number was promised.
     Reject {
         /// The view to be decided.
         view: ViewNumber,
-        /// What was promised.
+        /// The promised number.
         promised: ProposalNumber,
     },
     /// Paxos, phase 2a: requests to accept a view.
@@ -64,11 +64,12 @@
         proposal_number: ProposalNumber,
     },
 
-    /// To the successor: entries after a position; without entries, a question whether it has that position.
+    /// To the successor: entries after a position; without entries, a query whether the successor's log reaches that
+    /// position.
     Append(AppendEntries),
-    /// To the predecessor: send from another position.
+    /// To the predecessor: a request to send entries from another position.
     Resume(ResumePoint),
-    /// To the tail, from a member out of the chain: send what is committed after a position.
+    /// To the tail, from a member out of the chain: a request for the committed entries after a position.
     FetchCommitted(ResumePoint),
     /// From the tail: committed entries, up to `last` at most.
     CommittedEntries(AppendEntries),
@@ -81,7 +82,7 @@
         /// The caller's state.
         bytes: Payload,
     },
-    /// To the predecessor: the tail has synced up to here.
+    /// To the predecessor: the tail has synced the log up to `index`.
     Committed {
         /// The view in which it counts.
         view: ViewNumber,
@@ -89,23 +90,23 @@
         index: LogIndex,
     },
 
-    /// To the head: append this.
+    /// To the head: a payload to append.
     Submit {
         /// The newest view that the sender knows.
         view: ViewNumber,
-        /// Who submitted it.
+        /// The origin of the submission.
         origin: Origin,
-        /// What to append.
+        /// The payload to append.
         payload: Payload,
     },
-    /// From the head: too much is pending there, it didn't append the payload.
+    /// From the head: it rejected a submission, as too much is uncommitted.
     Overloaded {
-        /// Which submission.
+        /// The origin of the rejected submission.
         origin: Origin,
     },
     /// A read on its way from head to tail.
     ReadIndex(ReadIndexRequest),
-    /// From the tail: what the read must see.
+    /// From the tail: the commit index that the read has to wait for.
     ReadIndexReply {
         /// The number of the request.
         request: u64,
@@ -113,8 +114,8 @@
         index: LogIndex,
     },
 
-    /// To the successor, or from the tail to a learner: a chunk of the caller's state, as the log doesn't reach back far
-    /// enough.
+    /// To the successor, or from the tail to a learner: a chunk of a snapshot, as the sender's log begins after the
+    /// receiver's ends.
     SnapshotChunk {
         /// The view in which it counts.
         view: ViewNumber,
@@ -125,38 +126,38 @@
     SnapshotProgress {
         /// The view in which it counts.
         view: ViewNumber,
-        /// What the receiver has so far.
+        /// The receiver's progress.
         progress: SnapshotProgress,
     },
 }
 
-/// A heartbeat. View numbers are 0 at a member that knows none.
+/// A heartbeat. The view number is 0 at a process that knows no view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ping {
-    /// Where the sender is reached: the receiver may not know it from its view.
+    /// The sender's address, which the receiver's view may lack.
     pub address: SocketAddr,
     /// The sender's view.
     pub view: ViewNumber,
-    /// The sender's clock, from a beginning drawn for each run of its process.
+    /// The sender's clock, plus a random start drawn for each run of its process.
     pub timestamp: u64,
     /// The newest timestamp of the receiver that has reached the sender.
     pub echoed_timestamp: Option<u64>,
-    /// Which members the sender is connected with both ways: a bit for each of its view's members, in their order.
+    /// The members that the sender is connected with in both directions: a bit for each member of its view, by index.
     pub connected: u32,
     /// The sender's log is complete as of its view.
     pub synced: bool,
-    /// The sender's disk hasn't completed a batch for long.
+    /// The sender's disk has not completed its present batch for a long time.
     pub disk_stalled: bool,
     /// The sender requests to be removed from the chain.
     pub leaving: bool,
-    /// The sender has applied the commits up to here.
+    /// The index up to which the sender has applied commits.
     pub commit_index: LogIndex,
     /// A ping in reply is wanted at once.
     pub reply_requested: bool,
 }
 
 impl Ping {
-    /// Whether the sender is connected both ways with the member at this index of its view.
+    /// Whether the sender is connected in both directions with the member at this index of its view.
     #[must_use]
     pub fn is_connected_with(&self, member_index: usize) -> bool {
         self.connected & (1 << member_index) != 0
@@ -170,24 +171,24 @@
     pub view: ViewNumber,
     /// The promised number.
     pub proposal_number: ProposalNumber,
-    /// What the sender has accepted already.
+    /// The proposal that the sender has already accepted, if any.
     pub accepted: Option<AcceptedView>,
     /// The newest view as of which the sender's log was complete.
     pub synced_view: ViewNumber,
-    /// The end of its log.
+    /// The end of the sender's log.
     pub last: Position,
 }
 
-/// Entries for the successor, each on the sender's disk.
+/// Entries for the successor or a learner, each of them on the sender's disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendEntries {
-    /// The view in which they count.
+    /// The view that the entries are sent in.
     pub view: ViewNumber,
-    /// The position after which the entries come.
+    /// The position before the first entry.
     pub previous: Position,
     /// In order, without gaps.
     pub entries: Vec<Entry>,
-    /// The end of what is on the sender's disk.
+    /// Index up to which the sender can send entries: to the successor those on disk, to a learner the committed ones.
     pub last: LogIndex,
 }
 
@@ -199,24 +200,24 @@
     }
 }
 
-/// Where the receiver of entries stands, from which its sender is to go on.
+/// The end of the log of a member that requests entries, for the sender to resume from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumePoint {
     /// The view in which it counts.
     pub view: ViewNumber,
-    /// The end of the sender's log.
+    /// The end of the requesting member's log.
     pub last: Position,
-    /// The sender's commit index.
+    /// The requesting member's commit index.
     pub commit_index: LogIndex,
 }
 
-/// A read's way along the chain, as Raft's `ReadIndex` but confirmed by each member of the chain in turn.
+/// A read request that passes along the chain: Raft's `ReadIndex`, but confirmed by each member of the chain in turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadIndexRequest {
     /// The view in which it counts.
     pub view: ViewNumber,
-    /// Whom the tail replies to.
+    /// The member that the tail replies to.
     pub reader: MemberId,
-    /// The reader's number of this request.
+    /// The reader's number for this request.
     pub request: u64,
 }
--- a/crates/serving/chain-replication/src/next_view.rs
+++ b/crates/serving/chain-replication/src/next_view.rs
@@ -1,5 +1,5 @@
-//! From a plan and the promises of a majority to the next view: which members have all that was committed, and in which
-//! order the chain goes on. Without state.
+//! Derives the next view from a plan and the promises of a majority: which members have every commit, and the order of
+//! the chain. It has no state.
 
 use crate::agreement::DecidedView;
 use crate::identity::MemberId;
@@ -7,26 +7,26 @@
 use crate::reconfiguration::Plan;
 use crate::view::{View, ViewNumber};
 
-/// The log of a member that has promised: it no longer participates in the view that is to end.
+/// The log of a member that has promised, and so no longer participates in the present view.
 #[derive(Clone, Copy, Debug)]
 pub struct SealedLog<'a> {
-    /// Whose log it is.
+    /// The member that reported the log.
     pub member: &'a MemberId,
-    /// The newest view as of which it was complete.
+    /// The newest view as of which the log was complete.
     pub synced_view: ViewNumber,
-    /// Its end.
+    /// The end of the log.
     pub last: Position,
 }
 
 impl SealedLog<'_> {
-    /// How far it goes: greater ones include all that lesser ones do, of those that are enough at all.
+    /// The order by which complete logs are compared: a log of greater extent includes every log of lesser extent.
     fn extent(&self) -> (ViewNumber, Position) {
         (self.synced_view, self.last)
     }
 }
 
-/// The view after `decided` by the plan, headed by a member that has all that was committed; none, while no member that
-/// stays is known to.
+/// The view after `decided` by the plan, headed by a member that has every commit; none while no such member is known
+/// among the planned members.
 #[must_use]
 pub fn view_after(decided: &DecidedView, plan: Plan, sealed: &[SealedLog]) -> Option<DecidedView> {
     let base = base_after(decided, sealed)?;
@@ -40,25 +40,25 @@
     view.is_sound().then_some(DecidedView { view, base })
 }
 
-/// The base of the view after `decided`, from the promises of a majority; none, if no member of the chain is among
-/// them.
+/// The base of the view after `decided`, from the promises of a majority; none if no member of the chain is among them.
 ///
-/// A commit in a view needs every member of its chain, synced in it. If one of them has promised without having synced,
-/// nothing was committed in the view, nor ever will be: what was enough for it is enough for the next one. To require a
-/// member that has synced in it all the same would make the head the only complete replica right after each change, and
-/// its loss the end of the core.
+/// A commit in a view needs every member of its chain, synced in it. If a member of the chain has promised without having
+/// synced, nothing was or ever will be committed in the view, so its base also holds for the next view. To require a
+/// member synced in the view even then would make the head the only complete replica right after each change of view,
+/// and its loss would stop the core for good.
 fn base_after(decided: &DecidedView, sealed: &[SealedLog]) -> Option<ViewNumber> {
     let number = decided.number();
-    let mut of_chain = sealed
+    let mut chain_logs = sealed
         .iter()
         .filter(|log| decided.view.in_chain(log.member))
         .peekable();
-    of_chain.peek()?;
-    let all_synced = of_chain.all(|log| log.synced_view == number);
+    chain_logs.peek()?;
+    let all_synced = chain_logs.all(|log| log.synced_view == number);
     Some(if all_synced { number } else { decided.base })
 }
 
-/// The planned chain, headed by members whose logs are complete. Survivors of the chain before keep their order.
+/// The planned chain, with members whose logs are complete first, by extent; equal ones keep their order in the previous
+/// chain.
 fn chain_after<'a>(
     before: &View,
     plan: &Plan,
@@ -66,7 +66,7 @@
 ) -> Option<Vec<MemberId>> {
     let stays = |log: &&SealedLog| plan.members.iter().any(|member| member.id == *log.member);
     let mut complete: Vec<&SealedLog> = complete.filter(stays).collect();
-    // Those that extend furthest first; of equals those nearer to the head before.
+    // Greatest extent first; among equals, the member that was nearer to the head.
     let rank_before = |log: &SealedLog| before.chain_index(log.member).unwrap_or(usize::MAX);
     complete.sort_by(|one, other| {
         let by_extent = other.extent().cmp(&one.extent());
--- a/crates/serving/chain-replication/src/payload.rs
+++ b/crates/serving/chain-replication/src/payload.rs
@@ -1,11 +1,11 @@
-//! Bytes of the caller that the log, the writes to disk and the messages share without copies.
+//! The caller's bytes, shared without copies by the log, the writes to disk and the messages.
 
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::sync::Arc;
 
-/// Opaque bytes; a clone shares them.
+/// Opaque bytes; clones share one allocation.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Payload(Arc<[u8]>);
 
@@ -16,19 +16,19 @@
         &self.0
     }
 
-    /// How many bytes there are.
+    /// The number of bytes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Whether the payload has no bytes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The bytes, copied.
+    /// A copy of the bytes.
     #[must_use]
     pub fn to_vec(&self) -> Vec<u8> {
         self.0.to_vec()
--- a/crates/serving/chain-replication/src/random.rs
+++ b/crates/serving/chain-replication/src/random.rs
@@ -1,4 +1,4 @@
-//! A small seeded random source, for waits and for numbers that differ between runs of a process.
+//! A seeded random generator, for waits and for numbers that differ between runs of a process.
 
 /// The `SplitMix64` generator (Steele, Lea and Flood, 2014).
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// Less than `bound`, which is above 0.
+    /// A number below `bound`, which must be above 0.
     pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
--- a/crates/serving/chain-replication/src/reconfiguration.rs
+++ b/crates/serving/chain-replication/src/reconfiguration.rs
@@ -1,22 +1,22 @@
-//! Which view there should be next, from who is connected with whom and who is eligible. Without state: every member
-//! that observes the same comes to the same plan.
+//! Plans the desired view from the connections and the eligibility of members. Planning has no state: members with equal
+//! observations make equal plans.
 
 use crate::identity::{MemberId, Peer};
 use crate::limits::{MAX_MEMBERS, MIN_MEMBERS};
 use crate::view::{majority_of, View};
 
-/// What is observed of one member of the view.
+/// The observations about one member of the view.
 #[derive(Clone, Debug)]
 pub struct MemberStatus {
-    /// Whom it is connected with both ways, by the members' order.
+    /// Whether it is connected in both directions with each member, by member index.
     pub connected: Vec<bool>,
-    /// It should be removed from the chain, if enough others are left: it is leaving, its disk stalls, or it lags.
+    /// It should be out of the chain if enough others are left, as it is leaving, its disk stalls, or its log lags.
     pub ineligible: bool,
     /// It is out of the chain and has been eligible for long enough to be readmitted.
     pub readmissible: bool,
-    /// How many members report that they have lost it, the planning one included.
+    /// How many members have lost it, the planning member included.
     pub suspected_by: usize,
-    /// Neither the planning member nor anyone that it receives pings from is in touch with it.
+    /// Neither the planning member nor any member that it receives pings from is connected with it.
     pub unreachable: bool,
     /// It has sent a ping in this view.
     pub reported: bool,
@@ -33,38 +33,38 @@
 pub struct JoinRequest {
     /// The new member.
     pub joiner: Peer,
-    /// It has requested this for so long that a member which it is to replace would be suspected by now.
+    /// It has requested this for so long that a failed member which it is to replace would be suspected by now.
     pub may_be_additional: bool,
 }
 
-/// What a plan is made from.
+/// The input of [`plan`].
 pub struct Observations<'a> {
     /// The view in force.
     pub view: &'a View,
-    /// By the members' order.
+    /// One status for each member, by member index.
     pub statuses: &'a [MemberStatus],
-    /// In the order in which they are considered.
+    /// Join requests in the order in which they are considered.
     pub join_requests: &'a [JoinRequest],
 }
 
-/// The members and the chain that there should be.
+/// The members and the chain that the next view should have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// The voters.
     pub members: Vec<Peer>,
-    /// From head to tail.
+    /// The chain from head to tail.
     pub chain: Vec<MemberId>,
 }
 
 impl Plan {
-    /// Whether there is nothing to change.
+    /// Whether the view already has the planned members and chain.
     #[must_use]
     pub fn is_in_force(&self, view: &View) -> bool {
         self.members == view.members && self.chain == view.chain
     }
 }
 
-/// The plan, or none while too few members are eligible to make up a chain.
+/// Plans the members and the chain of the next view; none while too few members are connected to make up a chain.
 #[must_use]
 pub fn plan(observations: &Observations) -> Option<Plan> {
     let MembershipChange { members, joiner } = plan_members(observations);
@@ -84,10 +84,10 @@
     if chain.len() < min_length {
         observations.readmit(&mut chain, stays, |status| !status.unreachable);
     }
-    // A joiner is a learner at first, out of the chain, unless the chain can't do without it.
+    // A joiner is a learner at first, out of the chain, unless the chain would be too short without it.
     let joiner = joiner.filter(|_| chain.len() < min_length);
     if chain.len() + usize::from(joiner.is_some()) < min_length {
-        // Rather a chain with ineligible members than none.
+        // A chain with ineligible members is better than none.
         let readmitted: Vec<usize> = chain
             .into_iter()
             .filter(|index| !connected.contains(index))
@@ -104,13 +104,13 @@
     (chain.len() >= min_length).then_some(Plan { members, chain })
 }
 
-/// The members that there should be, and which of them is new.
+/// The members that the next view should have, and the new one among them.
 struct MembershipChange {
     members: Vec<Peer>,
     joiner: Option<Peer>,
 }
 
-/// One joiner at a time.
+/// Plans the members of the next view; they change by one at most, with joiners before removals.
 fn plan_members(observations: &Observations) -> MembershipChange {
     let mut members = observations.view.members.clone();
     for request in observations.join_requests {
@@ -125,7 +125,7 @@
             joiner: Some(joiner),
         };
     }
-    if let Some(index) = superfluous_member(observations) {
+    if let Some(index) = removable_member(observations) {
         members.remove(index);
     }
     MembershipChange {
@@ -134,13 +134,13 @@
     }
 }
 
-/// Where a joiner goes.
+/// The place of a joiner among the members.
 enum Slot {
-    /// Nowhere for now.
+    /// The joiner can't be added for now.
     None,
-    /// It replaces the member at this index.
+    /// The joiner replaces the member at this index.
     Replacing(usize),
-    /// It is one more member.
+    /// The joiner is an additional member.
     Additional,
 }
 
@@ -155,7 +155,7 @@
         .iter()
         .position(|member| member.id.node == joiner.id.node)
     {
-        // Against a late message of the disk before: a member that is reachable isn't removed by its own name.
+        // A late join request of a node's former disk must not replace its reachable member.
         return if statuses[index].unreachable {
             Slot::Replacing(index)
         } else {
@@ -165,11 +165,11 @@
     if let Some(index) = statuses.iter().position(|status| status.replaceable) {
         return Slot::Replacing(index);
     }
-    if let Some(index) = dispensable_leaver(observations, members.len()) {
+    if let Some(index) = removable_leaver(observations, members.len()) {
         return Slot::Replacing(index);
     }
-    // A member that is unreachable will be back soon, or the joiner replaces it: with the joiner as one more, the loss of
-    // another would be one too many.
+    // While a member is unreachable, no member is added: the unreachable one may return soon or be replaced by this joiner,
+    // and the larger view would not tolerate the loss of another member.
     let all_present = statuses
         .iter()
         .all(|status| status.reported && !status.unreachable);
@@ -180,10 +180,10 @@
     }
 }
 
-/// A member that isn't needed, as it is leaving or has been unreachable for long: an even number of members tolerates no more
-/// losses than the odd one below it, and without one of them it tolerates less. Should the member come back, it is a
-/// joiner.
-fn superfluous_member(observations: &Observations) -> Option<usize> {
+/// The member to remove from an even number of members: one that has been unreachable for long or is leaving. An even
+/// number tolerates no more losses than the odd number below it, and with one member lost it tolerates fewer. A removed
+/// member that comes back joins anew.
+fn removable_member(observations: &Observations) -> Option<usize> {
     let count = observations.view.members.len();
     if count <= MIN_MEMBERS || !count.is_multiple_of(2) {
         return None;
@@ -192,13 +192,13 @@
         .statuses
         .iter()
         .position(|status| status.replaceable);
-    unreachable_for_long.or_else(|| dispensable_leaver(observations, count - 1))
+    unreachable_for_long.or_else(|| removable_leaver(observations, count - 1))
 }
 
-/// A member that is leaving and may go at once, to leave a view of `members_after` members. It need not have ended: while
-/// it drains slowly it would stay a voter whose loss is certain. The others have to have all that was committed without
-/// it: with so many of them synced in this view, every majority that decides the next one has one of them.
-fn dispensable_leaver(observations: &Observations, members_after: usize) -> Option<usize> {
+/// A leaving member that may be removed at once, so that `members_after` members are left. Its process may still be
+/// draining; until it is removed it stays a voter whose loss is certain. The others must have every commit without it: with
+/// a majority of `members_after` synced in this view, every majority that decides the next view has a synced member.
+fn removable_leaver(observations: &Observations, members_after: usize) -> Option<usize> {
     let statuses = observations.statuses;
     let is_complete =
         |status: &&MemberStatus| status.synced && !status.unreachable && !status.ineligible;
@@ -227,9 +227,9 @@
         one == other || self.statuses[one].connected[other]
     }
 
-    /// Removes members until all that are left are connected with each other. Of those that miss a connection within the
-    /// chain, the one goes that misses the most to all members; of equals the one that more members report as lost, and
-    /// then the one nearer to the tail.
+    /// Removes members until all that are left are connected with each other. Among the members that lack a connection
+    /// within the chain, it removes the one that lacks the most connections to all members; among equals the one that more
+    /// members report as lost, and then the one nearer to the tail.
     fn without_disconnected(&self, mut indices: Vec<usize>) -> Vec<usize> {
         let missing_connections = |one: usize| {
             (0..self.statuses.len())
@@ -255,7 +255,8 @@
         }
     }
 
-    /// Adds at the end those members out of the chain that are eligible, wanted, and connected with all in it.
+    /// Appends to the chain the members out of it that stay, are eligible and wanted, and are connected with the whole
+    /// chain.
     fn readmit(
         &self,
         chain: &mut Vec<usize>,
--- a/crates/serving/chain-replication/src/safeguards.rs
+++ b/crates/serving/chain-replication/src/safeguards.rs
@@ -1,38 +1,39 @@
-//! The single measures on which safety rests, and the seam by which tests take one of them out.
+//! The measures on which safety rests, and the switch by which tests remove one of them.
 //!
 //! The program always has all of them: without the cargo feature `removable-safeguards`, [`Safeguards`] has no fields and
 //! every check of it is constant. Only tests turn the feature on, by a dev-dependency; each safeguard has a test that
-//! removes it and finds a run in which the protocol breaks (`tests/safeguards.rs`, `tests/snapshots.rs`, and
-//! `tests/operators_safeguards.rs` of `control-state` for those that only callers see).
+//! removes it and finds a run that violates safety (`tests/safeguards.rs`, `tests/snapshots.rs`, and
+//! `tests/operators_safeguards.rs` of `control-state` for violations that only callers notice).
 
 /// One measure that the protocol takes against a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    /// Messages of the chain count only within their view, from the neighbour there, and not at a member that has
-    /// promised the next view. Against a chain that was replaced and doesn't know it.
+    /// A member accepts messages of the chain only of its own view and from its neighbour there, and none after it has
+    /// promised the next view. Guards against a replaced chain whose members don't know of the new view.
     CheckViews,
-    /// Entries, promises and acceptances are sent only once they are on disk. Against a loss of power right after.
+    /// Entries, promises and acceptances are sent only once they are on disk. Guards against a power loss right after
+    /// sending.
     PersistBeforeSend,
-    /// A read passes along the complete chain. Against reading from a member that was removed and doesn't know it.
+    /// A read passes along the whole chain. Guards against reads from a member that was removed and doesn't know it.
     ConfirmReads,
-    /// A reply counts as of when the message was sent that it replies to, not as of when it came. Against a member that
-    /// was suspended and finds old replies in its sockets.
+    /// The age of a ping's reply counts from when the ping was sent, not from when the reply arrived. Guards against a
+    /// member that was suspended and finds old replies in its sockets.
     QuorumBySendTime,
-    /// A member shows its state only while it has applied all that has been in its log for some time. Against the old
-    /// state of one that has restarted, or that is partitioned from the tail.
+    /// A member counts as up to date only while it has applied every entry that has been in its log for some time. Guards
+    /// against the outdated state of a member that has restarted or is partitioned from the tail.
     AwaitKnownCommits,
-    /// A member that has installed a view accepts no other proposal for that number. Against one that was removed, or
-    /// was suspended, and has a view decided again instead of the one in force.
+    /// A member that has installed a view accepts no other proposal for that number. Guards against a removed or suspended
+    /// member that gets another view decided under the number of the view in force.
     DecideOnce,
-    /// A member of the chain counts as synced only when its log includes its predecessor's. Against a joiner, or one that
-    /// was down or goes on from a snapshot, whose acknowledgement counts for what it doesn't have.
+    /// A member of the chain counts as synced only when its log includes its predecessor's. Guards against a member that
+    /// acknowledges entries it doesn't have, after it joined, was down or installed a snapshot.
     CatchUpBeforeSync,
-    /// A snapshot that came in chunks counts only if all of it together has its checksum. Against bytes that were
-    /// corrupted or mixed up on the way.
+    /// A snapshot that was received in chunks is installed only if it has the sender's checksum. Guards against bytes that
+    /// were corrupted or mixed up in transfer.
     VerifySnapshots,
 }
 
-/// Which safeguards are in force: all of them, but for one that a test has removed.
+/// The safeguards in force: all of them, except for one that a test has removed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Safeguards {
     #[cfg(feature = "removable-safeguards")]
--- a/crates/serving/chain-replication/src/snapshot_transfer.rs
+++ b/crates/serving/chain-replication/src/snapshot_transfer.rs
@@ -1,8 +1,9 @@
-//! The transfer of a snapshot to another member, in chunks that fit a message: both ends, without the chain around them.
+//! The transfer of a snapshot to another member in chunks that fit a message: sender and receiver, independent of the
+//! chain.
 //!
-//! The receiver asks for each chunk by acknowledging how many bytes it has, so a chunk that was lost, duplicated or
-//! reordered changes nothing, and after a broken connection both ends go on where they were. Nothing that was received
-//! counts before all of it together has the checksum that the sender gave.
+//! The receiver requests each chunk by acknowledging how many bytes it has. So lost, duplicated and reordered chunks do no
+//! harm, and after a broken connection the transfer resumes where it was. The receiver uses a snapshot only when it is
+//! complete and has the sender's checksum.
 
 use crate::durable::Snapshot;
 use crate::identity::MemberId;
@@ -14,12 +15,12 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Which snapshot it is, and what all its chunks together have to be.
+/// Identifies a snapshot, with the length and checksum that its assembled chunks must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotDescriptor {
     /// The last entry that the snapshot includes.
     pub position: Position,
-    /// Bytes of the snapshot.
+    /// Length of the snapshot in bytes.
     pub length: u64,
     /// xxh3 (64 bit) of all bytes.
     pub checksum: u64,
@@ -38,39 +39,39 @@
     }
 }
 
-/// Bytes of a snapshot from an offset on.
+/// A part of a snapshot's bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// The snapshot.
+    /// The snapshot that the chunk belongs to.
     pub descriptor: SnapshotDescriptor,
-    /// Bytes of the snapshot before this chunk.
+    /// Offset of the chunk in the snapshot, in bytes.
     pub offset: u64,
-    /// The bytes.
+    /// The chunk's bytes.
     pub bytes: Payload,
 }
 
-/// What the receiver replies to a chunk.
+/// The receiver's reply to a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotProgress {
-    /// The snapshot.
+    /// The snapshot that the chunk belongs to.
     pub descriptor: SnapshotDescriptor,
-    /// Bytes that were received, without gaps from the first on.
+    /// Bytes received without gaps from the beginning.
     pub received: u64,
     /// The receiver doesn't accept this snapshot.
     pub rejected: bool,
 }
 
-/// Why a chunk, or a snapshot, was not accepted.
+/// Why a chunk or a snapshot was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum SnapshotRejection {
     /// The snapshot is larger than [`MAX_SNAPSHOT_BYTES`].
-    #[error("a snapshot larger than the largest that is accepted")]
+    #[error("the snapshot is larger than {MAX_SNAPSHOT_BYTES} bytes")]
     TooLarge,
     /// The chunk has no bytes, too many, or goes beyond the snapshot's end.
-    #[error("a chunk that doesn't fit its snapshot")]
+    #[error("the chunk is empty, too large, or beyond the end of its snapshot")]
     ChunkOutOfBounds,
-    /// All bytes together don't have the checksum of the descriptor.
-    #[error("a snapshot whose bytes don't have its checksum")]
+    /// The assembled bytes don't have the checksum of the descriptor.
+    #[error("the snapshot does not match its checksum")]
     ChecksumMismatch,
 }
 
@@ -82,7 +83,7 @@
     ];
 }
 
-/// How often each rejection happened.
+/// Counts of rejections by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SnapshotRejections {
     /// Count of [`SnapshotRejection::TooLarge`].
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Reasons that had not occurred `before`.
+    /// The reasons that are counted here but not yet in `before`.
     #[must_use]
     pub fn first_since(&self, before: &SnapshotRejections) -> Vec<SnapshotRejection> {
         let is_first =
@@ -121,21 +122,21 @@
             .collect()
     }
 
-    /// All rejections.
+    /// The number of rejections for any reason.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.too_large + self.chunk_out_of_bounds + self.checksum_mismatch
     }
 }
 
-/// Whether the receiver has all of a snapshot.
+/// Whether the receiver has acknowledged the whole snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TransferState {
     InProgress,
     Complete,
 }
 
-/// The sending end.
+/// The sender's side of a transfer.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingSnapshot {
     pub(crate) to: MemberId,
@@ -143,7 +144,7 @@
     snapshot: Snapshot,
     /// Bytes that the receiver has acknowledged.
     acknowledged: u64,
-    /// When it last acknowledged another number of bytes.
+    /// When the number of acknowledged bytes last changed.
     progressed_at: Millis,
     last_sent_at: Millis,
 }
@@ -192,7 +193,7 @@
         }
     }
 
-    /// The receiver has acknowledged so many bytes.
+    /// Records that the receiver has acknowledged `received` bytes.
     pub(crate) fn acknowledge(&mut self, received: u64, now: Millis) -> TransferState {
         if received != self.acknowledged {
             self.progressed_at = now;
@@ -210,28 +211,28 @@
         self.last_sent_at + SNAPSHOT_CHUNK_RETRY
     }
 
-    /// The receiver has made no progress for long.
+    /// Whether the receiver has made no progress for [`SNAPSHOT_TRANSFER_TIMEOUT`].
     pub(crate) fn is_abandoned(&self, now: Millis) -> bool {
         now >= self.progressed_at + SNAPSHOT_TRANSFER_TIMEOUT
     }
 }
 
-/// What the receiving end has after a chunk.
+/// The receiver's state after a chunk.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Received {
-    /// So many bytes, and not all yet.
+pub(crate) enum ReceiveOutcome {
+    /// The number of bytes received so far; the snapshot is incomplete.
     Partial(u64),
     Complete(Snapshot),
 }
 
-/// Whether the checksum of all bytes counts; it always does but in tests.
+/// Whether to verify a snapshot's checksum; only tests skip it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verification {
     Checksum,
     Skipped,
 }
 
-/// The receiving end.
+/// The receiver's side of a transfer.
 #[derive(Clone, Debug)]
 pub(crate) struct IncomingSnapshot {
     descriptor: SnapshotDescriptor,
@@ -239,12 +240,12 @@
 }
 
 impl IncomingSnapshot {
-    /// Adds a chunk to what was received so far. Nothing of an earlier snapshot is mixed with it.
+    /// Adds a chunk to the bytes received so far. A chunk of another snapshot discards them and starts anew.
     pub(crate) fn receive(
         incoming: &mut Option<IncomingSnapshot>,
         chunk: &SnapshotChunk,
         verification: Verification,
-    ) -> Result<Received, SnapshotRejection> {
+    ) -> Result<ReceiveOutcome, SnapshotRejection> {
         check_bounds(chunk)?;
         let descriptor = chunk.descriptor;
         if incoming
@@ -261,14 +262,14 @@
             current.bytes.extend_from_slice(chunk.bytes.bytes());
         }
         if (current.bytes.len() as u64) < descriptor.length {
-            return Ok(Received::Partial(current.bytes.len() as u64));
+            return Ok(ReceiveOutcome::Partial(current.bytes.len() as u64));
         }
         let bytes = std::mem::take(&mut current.bytes);
         *incoming = None;
         if verification == Verification::Checksum && xxh3_64(&bytes) != descriptor.checksum {
             return Err(SnapshotRejection::ChecksumMismatch);
         }
-        Ok(Received::Complete(Snapshot {
+        Ok(ReceiveOutcome::Complete(Snapshot {
             position: descriptor.position,
             bytes: Payload::from(bytes),
         }))
--- a/crates/serving/chain-replication/src/timing.rs
+++ b/crates/serving/chain-replication/src/timing.rs
@@ -5,80 +5,81 @@
 
 // --- failure detection ---
 
-/// Each member pings the others this often, and reports which members it is connected with.
+/// Interval between the pings in which a member reports its connections to the others.
 pub const PING_INTERVAL: Millis = 200;
-/// A member from which nothing arrives for this long is suspected.
+/// A member from which no message arrives for this long is suspected.
 pub const SUSPECT_TIMEOUT: Millis = 900;
-/// A member whose connection was refused or reset is suspected if nothing arrives from it within this time.
+/// A member whose connection was refused or reset is suspected if no message arrives from it within this time.
 pub const SUSPECT_TIMEOUT_AFTER_DISCONNECT: Millis = 120;
-/// An echoed timestamp older than this shows that the other no longer receives our pings. A timestamp is up to two ping
-/// intervals older than the message that brought its echo: one that sends nothing is suspected for that first.
+/// A member whose newest echo is of a timestamp older than this no longer receives our pings. A timestamp may be two ping
+/// intervals older than the ping that echoes it; the bound exceeds [`SUSPECT_TIMEOUT`] by more than that, so that a member
+/// that sends nothing is suspected for its silence first.
 pub const ECHO_TIMEOUT: Millis = SUSPECT_TIMEOUT + 2 * PING_INTERVAL + 100;
-/// A member has a quorum while a majority has replied to what it sent within this time.
+/// A member has a quorum while a majority has replied to pings that it sent within this time.
 pub const QUORUM_TIMEOUT: Millis = 800;
-/// What is in a member's log for longer is committed, or the member may lack commits that others know: more than it
-/// takes to notice a stalled disk.
+/// If an entry of a member's log stays uncommitted for longer than this, the member may lack commits that others know.
+/// Longer than it takes to detect a stalled disk.
 pub const FRESHNESS_TIMEOUT: Millis = 1_500;
-/// A gap this long between steps means that our own process was suspended.
+/// A longer gap than this between steps means that our own process was suspended.
 pub const SUSPENSION_GAP: Millis = 500;
-/// After our own suspension others get this long to send something before they are suspected.
+/// After our own suspension, other members get this long to send a message before they are suspected.
 pub const GRACE_PERIOD: Millis = 300;
-/// A member from which nothing arrives for this long may be replaced by a joiner of another name.
+/// An unreachable member that has been silent for this long may be replaced by a joiner of another name.
 pub const REPLACE_TIMEOUT: Millis = 2_500;
 /// A disk that hasn't completed a batch for this long is reported to the others as stalled.
 pub const DISK_STALL_TIMEOUT: Millis = 1_200;
-/// A chain member whose log doesn't include its predecessor's this long after the view began is removed from the chain.
+/// A chain member that hasn't caught up with its predecessor this long after the view was installed is removed from the
+/// chain.
 pub const CATCH_UP_TIMEOUT: Millis = 2_500;
 
 // --- readmission to the chain ---
 
 /// A member out of the chain is readmitted after being eligible for this long; doubled with each recent eviction.
 pub const READMISSION_DELAY: Millis = 400;
-/// The delay is doubled at most this often.
+/// Maximum number of times that [`READMISSION_DELAY`] is doubled.
 pub const MAX_READMISSION_DOUBLINGS: u32 = 3;
-/// Evictions with more time than this between them don't add up.
-pub const EVICTION_MEMORY: Millis = 30_000;
+/// An eviction counts as recent for this long; later evictions start a new count.
+pub const EVICTION_WINDOW: Millis = 30_000;
 
 // --- agreement on views ---
 
-/// The second-ranked proposer waits this long before it proposes what the first should have proposed; the third twice
-/// as long.
+/// Wait before proposing for each eligible proposer of higher rank, which proposes first.
 pub const PROPOSER_RANK_DELAY: Millis = 120;
-/// Upper bound of the random part of waits before proposing, against proposers that preempt each other.
+/// Upper bound of the random wait before proposing, which keeps proposers from preempting each other.
 pub const PROPOSE_JITTER: Millis = 25;
-/// An attempt to get a view decided is abandoned after this.
+/// A phase of an attempt to get a view decided is abandoned after this.
 pub const PROPOSAL_TIMEOUT: Millis = 400;
-/// With promises of a majority, those of the other live members are awaited this long.
+/// Time from the start of an attempt for which it waits for promises beyond a majority, from the other connected members.
 pub const REMAINING_PROMISES_TIMEOUT: Millis = 80;
-/// Least wait after an attempt that failed.
+/// Minimum wait after a failed attempt.
 pub const PROPOSAL_BACKOFF: Millis = 40;
 /// Upper bound of the random wait on top of [`PROPOSAL_BACKOFF`].
 pub const PROPOSAL_BACKOFF_JITTER: Millis = 200;
-/// Having promised to another proposer, a member gives it this long before it proposes itself.
+/// After a promise to another proposer, a member waits this long before it proposes itself.
 pub const OTHER_PROPOSER_TIMEOUT: Millis = 400;
 
 // --- replication ---
 
-/// When nothing was acknowledged for this long, the successor is queried.
+/// The successor is queried about sent entries after this long without an acknowledgement.
 pub const ACKNOWLEDGEMENT_TIMEOUT: Millis = 300;
 /// An unsynced chain member requests entries from its predecessor again after this.
 pub const RESUME_RETRY: Millis = 150;
-/// Least time between two requests to resume from another position.
+/// Minimum time between two requests to resume from another position.
 pub const RESUME_MIN_GAP: Millis = 30;
-/// A learner fetches commits from the tail this often.
+/// Interval at which a learner fetches commits from the tail.
 pub const LEARN_INTERVAL: Millis = 150;
 /// A learner fetches again after this if the reply was lost.
 pub const LEARN_RETRY: Millis = 1_000;
 
 // --- snapshots ---
 
-/// Least time between the end of one snapshot transfer to a member and the begin of the next.
+/// Minimum time between the end of a snapshot transfer to a member and the start of the next one.
 pub const SNAPSHOT_TRANSFER_GAP: Millis = 1_000;
 /// A chunk of a snapshot that wasn't acknowledged is sent again after this.
 pub const SNAPSHOT_CHUNK_RETRY: Millis = 300;
 /// A transfer is abandoned when its receiver has made no progress for this long.
 pub const SNAPSHOT_TRANSFER_TIMEOUT: Millis = 5_000;
-/// A snapshot is requested from the caller again after this.
+/// An unanswered request for a snapshot is sent to the caller again after this.
 pub const TAKE_SNAPSHOT_RETRY: Millis = 2_000;
 
 // --- membership ---
@@ -87,10 +88,10 @@
 pub const JOIN_RETRY: Millis = 300;
 /// A joiner that has sent no request for this long is forgotten.
 pub const JOINER_TIMEOUT: Millis = 1_000;
-/// A joiner that would be an additional member has to request it for this long: the member that it replaces may be about
-/// to be suspected.
+/// A joiner has to send requests for this long before it becomes an additional member: the member that it is to replace
+/// may be about to be suspected.
 pub const ADDITIONAL_JOINER_DELAY: Millis = SUSPECT_TIMEOUT + JOIN_RETRY;
-/// Least time between two requests for a later view, which a message has shown to exist.
+/// Minimum time between two requests for a later view.
 pub const VIEW_REQUEST_GAP: Millis = 50;
 
 // --- requests of the caller ---
--- a/crates/serving/chain-replication/src/view.rs
+++ b/crates/serving/chain-replication/src/view.rs
@@ -1,4 +1,4 @@
-//! Views: the members that vote on the next view, and the chain that entries pass along.
+//! Views: the members that vote on the next view, and the chain along which entries are replicated.
 
 use crate::identity::{MemberId, Peer};
 use serde::{Deserialize, Serialize};
@@ -6,14 +6,14 @@
 /// Views are numbered from 1 in the order in which they are decided; 0 stands for none.
 pub type ViewNumber = u64;
 
-/// Who votes on the next view, and the order in which entries pass.
+/// The members that vote on the next view, and the chain in the order in which entries pass it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// One above that of the view before.
+    /// One above the number of the view before.
     pub number: ViewNumber,
     /// The voters.
     pub members: Vec<Peer>,
-    /// From head to tail; each is one of `members`.
+    /// The chain from head to tail; a subset of `members`.
     pub chain: Vec<MemberId>,
 }
 
@@ -24,13 +24,13 @@
 }
 
 impl View {
-    /// How many members decide on the next view. A chain is never shorter than this.
+    /// How many members have to agree on the next view. A chain is never shorter than this.
     #[must_use]
     pub fn majority(&self) -> usize {
         majority_of(self.members.len())
     }
 
-    /// Where the member stands in the order of the members.
+    /// The member's index in `members`.
     #[must_use]
     pub fn member_index(&self, id: &MemberId) -> Option<usize> {
         self.members.iter().position(|member| member.id == *id)
@@ -42,19 +42,19 @@
         self.members.iter().find(|member| member.id == *id)
     }
 
-    /// Whether it votes on the next view.
+    /// Whether `id` is a member, so that it votes on the next view.
     #[must_use]
     pub fn has_member(&self, id: &MemberId) -> bool {
         self.member(id).is_some()
     }
 
-    /// How many members of the chain come before it; none if it is out of the chain.
+    /// The member's index in the chain, from the head; none if it is out of the chain.
     #[must_use]
     pub fn chain_index(&self, id: &MemberId) -> Option<usize> {
         self.chain.iter().position(|other| other == id)
     }
 
-    /// Whether it is a member of the chain.
+    /// Whether `id` is in the chain.
     #[must_use]
     pub fn in_chain(&self, id: &MemberId) -> bool {
         self.chain_index(id).is_some()
@@ -72,13 +72,13 @@
         self.head() == Some(id)
     }
 
-    /// The member whose syncs commit.
+    /// The last member of the chain: an entry is committed once the tail has synced it.
     #[must_use]
     pub fn tail(&self) -> Option<&MemberId> {
         self.chain.last()
     }
 
-    /// Whether this member's syncs commit.
+    /// Whether `id` is the tail.
     #[must_use]
     pub fn is_tail(&self, id: &MemberId) -> bool {
         self.tail() == Some(id)
--- a/crates/serving/chain-replication/src/write_queue.rs
+++ b/crates/serving/chain-replication/src/write_queue.rs
@@ -1,5 +1,5 @@
-//! Writes on their way to the disk, and what waits for them. One batch is in flight at a time; what is queued meanwhile
-//! makes up the next one (group commit).
+//! Writes queued for the disk, and the completions that wait for them. One batch is in flight at a time; the writes queued
+//! meanwhile make up the next batch (group commit).
 
 use crate::durable::Write;
 use crate::identity::MemberId;
@@ -8,7 +8,7 @@
 use crate::timing::Millis;
 use crate::view::ViewNumber;
 
-/// What happens once the writes queued before it are on disk.
+/// An action that runs once the writes queued before it are on disk.
 #[derive(Clone, Debug)]
 pub(crate) enum Completion {
     /// A promise or an acceptance may be sent.
@@ -17,15 +17,15 @@
     AnnounceFirstView,
     /// The log is on disk up to this index.
     LogPersisted { index: LogIndex },
-    /// It is on disk that the log is complete as of this view.
+    /// The record that the log is complete as of this view is on disk.
     SyncedViewPersisted { view: ViewNumber },
 }
 
-/// A batch that the disk has been given.
+/// A batch that was handed to the disk and isn't complete.
 #[derive(Clone, Debug)]
 struct BatchInFlight {
     number: u64,
-    since: Millis,
+    started_at: Millis,
     completions: Vec<Completion>,
 }
 
@@ -37,7 +37,7 @@
     completions: Vec<Completion>,
 }
 
-/// A batch to be given to the disk.
+/// A batch to be handed to the disk.
 pub(crate) struct NextBatch {
     pub(crate) number: u64,
     pub(crate) writes: Vec<Write>,
@@ -48,7 +48,7 @@
         self.writes.push(write);
     }
 
-    /// Waits for all writes so far.
+    /// Queues a completion to run once all writes queued so far are on disk.
     pub(crate) fn when_persisted(&mut self, completion: Completion) {
         if let (
             Completion::LogPersisted { index },
@@ -69,7 +69,7 @@
         self.last_number += 1;
         self.in_flight = Some(BatchInFlight {
             number: self.last_number,
-            since: now,
+            started_at: now,
             completions: std::mem::take(&mut self.completions),
         });
         Some(NextBatch {
@@ -78,7 +78,7 @@
         })
     }
 
-    /// The batch is on disk: what waited for it.
+    /// Records that a batch is on disk, and gives its completions.
     pub(crate) fn complete_batch(&mut self, number: u64) -> Vec<Completion> {
         match self.in_flight.take() {
             Some(batch) if batch.number == number => batch.completions,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// What waits for nothing, as nothing is in flight or to be written.
+    /// The completions that needn't wait, as no write is in flight or queued.
     pub(crate) fn take_ready(&mut self) -> Vec<Completion> {
         if self.in_flight.is_some() || !self.writes.is_empty() {
             return Vec::new();
@@ -97,12 +97,13 @@
         std::mem::take(&mut self.completions)
     }
 
-    /// All that waits, whether or not it is on disk: for tests that remove `Safeguard::PersistBeforeSend`.
+    /// The queued completions, whether or not their writes are on disk: for tests that remove
+    /// `Safeguard::PersistBeforeSend`.
     pub(crate) fn take_unpersisted(&mut self) -> Vec<Completion> {
         std::mem::take(&mut self.completions)
     }
 
-    /// Entries after `index` were removed: what is on disk of them doesn't count.
+    /// Lowers the pending completions to `index`, as the entries after it were removed from the log.
     pub(crate) fn truncate(&mut self, index: LogIndex) {
         let in_flight = self
             .in_flight
@@ -115,10 +116,10 @@
         }
     }
 
-    /// How long the disk has had the batch in flight.
+    /// How long the present batch has been in flight; 0 if there is none.
     pub(crate) fn in_flight_for(&self, now: Millis) -> Millis {
         self.in_flight
             .as_ref()
-            .map_or(0, |batch| now.saturating_sub(batch.since))
+            .map_or(0, |batch| now.saturating_sub(batch.started_at))
     }
 }
