--- a/crates/serving/chain-replication/tests/digests.rs
+++ b/crates/serving/chain-replication/tests/digests.rs
@@ -1,7 +1,7 @@
-//! The worlds of many seeds have the digests that were recorded for them: see [`world::digest`].
+//! The digests of many seeded worlds equal the recorded ones: see [`world::digest`].
 //!
-//! A change that is meant to alter the protocol's behaviour records them anew, with `RECORD_FIXTURES=1`, and states in its
-//! commit which kinds of world changed and why.
+//! A change that alters the protocol's behaviour on purpose records the digests again, with `RECORD_FIXTURES=1`; its commit
+//! says which kinds of world changed and why.
 
 mod world;
 
@@ -13,21 +13,25 @@
 use world::{Setup, World};
 
 const SEEDS: u64 = 100;
-/// For worlds in which a safeguard is removed.
+/// Seeds of each kind of world without a safeguard.
 const SEEDS_WITHOUT_SAFEGUARD: u64 = 12;
 const WORKERS: usize = 4;
 const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/digests.txt");
 
-/// One kind of world, by its name in the fixture.
-struct Kind {
+/// A kind of world, with its name in the fixture.
+struct WorldKind {
     name: &'static str,
     seeds: u64,
     digest: Box<dyn Fn(u64) -> u64 + Sync>,
 }
 
-impl Kind {
-    fn new(name: &'static str, seeds: u64, digest: impl Fn(u64) -> u64 + Sync + 'static) -> Kind {
-        Kind {
+impl WorldKind {
+    fn new(
+        name: &'static str,
+        seeds: u64,
+        digest: impl Fn(u64) -> u64 + Sync + 'static,
+    ) -> WorldKind {
+        WorldKind {
             name,
             seeds,
             digest: Box::new(digest),
@@ -35,7 +39,7 @@
     }
 }
 
-/// Sizes of three to six.
+/// A core of three to six machines, by seed.
 fn machines(seed: u64) -> usize {
     3 + (seed % 4) as usize
 }
@@ -62,7 +66,7 @@
     }
 }
 
-/// The digest of a world, also of one that violated a guarantee: it ends there.
+/// Plays a world and gives its digest. A world that violates a guarantee ends there and has a digest too.
 fn play_for_digest(setup: Setup, plan: Schedule) -> u64 {
     let mut world = World::new(setup);
     world.begin_record();
@@ -77,22 +81,22 @@
     world.digest()
 }
 
-/// All kinds of world that the tests of this package play.
-fn kinds() -> Vec<Kind> {
+/// All kinds of world that the tests of this package play, without and with all safeguards.
+fn kinds() -> Vec<WorldKind> {
     let mut kinds = vec![
-        Kind::new("faults", SEEDS, |seed| {
+        WorldKind::new("faults", SEEDS, |seed| {
             play_for_digest(usual(seed), schedule(&usual(seed), 2))
         }),
-        Kind::new("storm", SEEDS, |seed| {
+        WorldKind::new("storm", SEEDS, |seed| {
             play_for_digest(usual(seed), storm(&usual(seed)))
         }),
-        Kind::new("spoilt-snapshots", SEEDS, |seed| {
+        WorldKind::new("spoilt-snapshots", SEEDS, |seed| {
             play_for_digest(corrupted(seed), schedule(&corrupted(seed), 1))
         }),
-        Kind::new("slow-links", SEEDS, |seed| {
+        WorldKind::new("slow-links", SEEDS, |seed| {
             play_for_digest(slow_links(seed), schedule(&slow_links(seed), 1))
         }),
-        Kind::new("window", SEEDS, |seed| {
+        WorldKind::new("window", SEEDS, |seed| {
             window_digest(Change::ALL[seed as usize % Change::ALL.len()], seed)
         }),
     ];
@@ -101,7 +105,7 @@
 }
 
 /// Worlds in which one safeguard is removed.
-fn without_safeguard_kinds() -> Vec<Kind> {
+fn without_safeguard_kinds() -> Vec<WorldKind> {
     let named = [
         (
             "without-guard-1",
@@ -137,7 +141,7 @@
         ),
     ];
     let kind = |(name, safeguards)| {
-        Kind::new(name, SEEDS_WITHOUT_SAFEGUARD, move |seed| {
+        WorldKind::new(name, SEEDS_WITHOUT_SAFEGUARD, move |seed| {
             let setup = Setup {
                 safeguards,
                 ..corrupted(seed)
@@ -145,8 +149,8 @@
             play_for_digest(setup, schedule(&setup, 2))
         })
     };
-    let mut kinds: Vec<Kind> = named.into_iter().map(kind).collect();
-    kinds.push(Kind::new(
+    let mut kinds: Vec<WorldKind> = named.into_iter().map(kind).collect();
+    kinds.push(WorldKind::new(
         "wiped-keeps-identity",
         SEEDS_WITHOUT_SAFEGUARD,
         |seed| {
@@ -160,10 +164,10 @@
     kinds
 }
 
-/// For each world its kind, seed and digest.
+/// A line for each world: its kind, seed and digest.
 fn digests() -> Vec<String> {
     let kinds = kinds();
-    let worlds: Vec<(&Kind, u64)> = kinds
+    let worlds: Vec<(&WorldKind, u64)> = kinds
         .iter()
         .flat_map(|kind| (0..kind.seeds).map(move |seed| (kind, seed)))
         .collect();
@@ -189,19 +193,20 @@
 
 #[test]
 fn digests_of_worlds_are_unchanged() {
-    let found = digests();
+    let actual = digests();
     if std::env::var_os("RECORD_FIXTURES").is_some() {
-        std::fs::write(FIXTURE, found.join("\n") + "\n").expect("the fixture can be written");
+        std::fs::write(FIXTURE, actual.join("\n") + "\n")
+            .expect("tests/digests.txt can be written");
     }
-    let fixture = std::fs::read_to_string(FIXTURE).expect("the fixture is there");
+    let fixture = std::fs::read_to_string(FIXTURE).expect("tests/digests.txt can be read");
     let expected: Vec<&str> = fixture.lines().collect();
-    assert_eq!(found.len(), expected.len(), "worlds");
-    let pairs = found
+    assert_eq!(actual.len(), expected.len(), "number of worlds");
+    let pairs = actual
         .iter()
         .zip(&expected)
-        .filter(|(found, expected)| found != *expected);
+        .filter(|(actual, expected)| actual != *expected);
     let differ: Vec<String> = pairs
-        .map(|(found, expected)| format!("{expected} is now {found}"))
+        .map(|(actual, expected)| format!("{expected} is now {actual}"))
         .collect();
     assert!(
         differ.is_empty(),
--- a/crates/serving/chain-replication/tests/encodings.rs
+++ b/crates/serving/chain-replication/tests/encodings.rs
@@ -1,9 +1,9 @@
-//! Messages between members and records on disk keep their bytes: members of two versions talk with each other, and a
-//! member reads what an earlier version wrote.
+//! Messages between members and records on disk keep their encoding, so that members of different versions understand each
+//! other, and a member can read the disk of an earlier version.
 //!
-//! Postcard goes by position and order, so a field or variant that moves shows here and nowhere else. Each value
-//! has another number in each field. The fixtures were written by the version of 2026-12-02; a new variant gets a
-//! new fixture, with `RECORD_FIXTURES=1`, and those that are there stay.
+//! Postcard encodes fields and variants by position, so only these tests notice one that moves; each field of a value has a
+//! different number for this. The fixtures were written by the version of 2026-12-02. A new variant gets a new fixture,
+//! with `RECORD_FIXTURES=1`; existing fixtures stay.
 
 use dunespur_chain_replication::message::{
     AppendEntries, Ping, Promise, ReadIndexRequest, ResumePoint,
@@ -37,10 +37,10 @@
         .collect()
 }
 
-/// Writing gives the fixture's bytes, and reading them gives the value.
+/// Checks that the value is encoded as the fixture's bytes, and that these bytes are decoded as the value.
 fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let path = fixtures().join(format!("{name}.hex"));
-    let written = postcard::to_stdvec(value).expect("the value can be written");
+    let written = postcard::to_stdvec(value).expect("the value can be encoded");
     if std::env::var_os("RECORD_FIXTURES").is_some() && !path.exists() {
         std::fs::write(&path, hex(&written) + "\n").expect("the fixture can be written");
     }
@@ -48,11 +48,11 @@
     assert_eq!(
         hex(&written),
         text.trim(),
-        "{name}: other bytes are written"
+        "{name}: the encoded bytes differ from the fixture"
     );
     let read: T =
         postcard::from_bytes(&from_hex(&text)).unwrap_or_else(|error| panic!("{name}: {error}"));
-    assert_eq!(read, *value, "{name}: another value is read");
+    assert_eq!(read, *value, "{name}: the decoded value differs");
 }
 
 fn id(node: &str, disk: u64) -> MemberId {
@@ -277,7 +277,7 @@
     ]
 }
 
-/// The fixture of each variant; a new variant must be given one, and a value above.
+/// The fixture of each variant; a new variant needs a fixture here and a value in [`messages`].
 fn fixture_of_message(message: &Message) -> &'static str {
     match message {
         Message::Bootstrap { .. } => "message-00-found",
@@ -375,7 +375,7 @@
     check("saved-empty-disk", &DurableState::default());
 }
 
-/// The other value of each option and flag.
+/// Messages with the other value of each option and flag.
 #[test]
 fn messages_with_other_flags_keep_their_bytes() {
     let ping = Ping {
@@ -409,7 +409,7 @@
     );
 }
 
-/// Records that other packages store or send by themselves.
+/// Records that other packages store or send on their own.
 #[test]
 fn single_records_keep_their_bytes() {
     check("part-member-id", &id("core-a", 1_002));
--- a/crates/serving/chain-replication/tests/fault_tolerance.rs
+++ b/crates/serving/chain-replication/tests/fault_tolerance.rs
@@ -1,5 +1,5 @@
-//! How long the core tolerates fewer losses than it has to after a change of its machines: less than the time for which a
-//! machine that restarts or is new may count as lost.
+//! After a change of its machines, the core may tolerate fewer losses than required only for less than the time for which
+//! a restarted or new machine may count as lost.
 
 mod world;
 
@@ -8,14 +8,14 @@
 use std::sync::Mutex;
 use world::fault_tolerance::{tolerated, window, Change};
 
-/// Played for each change and size, unless the environment says otherwise.
+/// Seeds for each change and size; the ignored table test reads `WINDOW_SEEDS` instead.
 const SEEDS: u64 = 30;
 const SIZES: std::ops::RangeInclusive<usize> = 3..=6;
-/// What the platform gives a machine after its return or start, by the losses that are tolerated.
+/// Time that a machine may take to catch up after its return or start, by the number of tolerated losses.
 const CATCH_UP: [Millis; 3] = [0, 4_200, 6_000];
 const WORKERS: usize = 4;
 
-/// The windows of many seeds, in order of length, and the seeds that violated a guarantee.
+/// The windows of many seeds, sorted by length, and the failures of seeds that violated a guarantee.
 struct Windows {
     lengths: Vec<(Millis, u64)>,
     failed: Vec<String>,
@@ -80,9 +80,9 @@
             windows.failed
         );
         let (worst, seed) = windows.worst();
-        let most = CATCH_UP[tolerated(machines)];
+        let limit = CATCH_UP[tolerated(machines)];
         assert!(
-            worst < most,
+            worst < limit,
             "{change:?} of {machines}, seed {seed}: {worst} ms"
         );
     }
@@ -123,10 +123,10 @@
     check(Change::RollingRestart);
 }
 
-/// Seeds in which the head left right after a change of the view, as the only one that counted as a complete replica: the
-/// core stalled for good.
+/// In these seeds the head leaves right after a change of view. The core stalled for good when only the head counted as a
+/// complete replica.
 #[test]
-fn a_head_that_leaves_right_after_a_change_does_not_end_the_core() {
+fn a_head_that_leaves_right_after_a_change_does_not_stall_the_core() {
     for (machines, seed) in [(4, 827), (5, 566), (6, 968)] {
         window(Change::PlannedReplacement, machines, seed).unwrap_or_else(|text| panic!("{text}"));
     }
@@ -150,11 +150,11 @@
         for machines in SIZES {
             let windows = Windows::measured(change, machines, seeds);
             let (worst, seed) = windows.worst();
-            let (half, most) = (windows.quantile(0.5), windows.quantile(0.99));
+            let (median, p99) = (windows.quantile(0.5), windows.quantile(0.99));
             let losses_to_tolerate = change.losses_to_tolerate(machines);
             let failed = windows.failed.len();
             println!(
-                "| {change:?} | {machines} | {losses_to_tolerate} | {half} | {most} | {worst} | {seed} | {failed} |"
+                "| {change:?} | {machines} | {losses_to_tolerate} | {median} | {p99} | {worst} | {seed} | {failed} |"
             );
             for text in windows.failed.iter().take(2) {
                 println!("  {text}");
--- a/crates/serving/chain-replication/tests/faults.rs
+++ b/crates/serving/chain-replication/tests/faults.rs
@@ -1,23 +1,23 @@
-//! Seeded worlds with all kinds of faults: nothing acknowledged is lost, and the core recovers.
+//! Seeded worlds with all kinds of faults: no acknowledged payload is lost, and the core recovers.
 
 mod world;
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
-use world::faults::{play, schedule, storm, Played, Schedule};
+use world::faults::{play, schedule, storm, Schedule, WorldCounts};
 use world::Setup;
 
 const PHASES: usize = 3;
-/// Played in each test, unless the environment says otherwise.
+/// Seeds of each test, unless `CHAIN_SEEDS` is set.
 const SEEDS: u64 = 1_000;
 
-/// The sum over all worlds.
+/// The failures and the sums of the counts of all worlds.
 #[derive(Default)]
 struct Tally {
     failed: Vec<String>,
     acknowledged: u64,
     reads: u64,
-    snapshots_given: u64,
+    snapshots_taken: u64,
     snapshots_installed: u64,
 }
 
@@ -32,20 +32,20 @@
         );
     }
 
-    fn add(&mut self, play_for_digest: Result<Played, String>) {
-        match play_for_digest {
+    fn add(&mut self, result: Result<WorldCounts, String>) {
+        match result {
             Err(text) => self.failed.push(text),
-            Ok(play_for_digest) => {
-                self.acknowledged += play_for_digest.acknowledged;
-                self.reads += play_for_digest.reads;
-                self.snapshots_given += play_for_digest.snapshots_given;
-                self.snapshots_installed += play_for_digest.snapshots_installed;
+            Ok(counts) => {
+                self.acknowledged += counts.acknowledged;
+                self.reads += counts.reads;
+                self.snapshots_taken += counts.snapshots_taken;
+                self.snapshots_installed += counts.snapshots_installed;
             }
         }
     }
 }
 
-/// Plays the seeds on a few processors.
+/// Plays the seeds in a few threads.
 fn play_all(seeds: std::ops::Range<u64>, plan: impl Fn(&Setup) -> Schedule + Sync) -> Tally {
     let next = AtomicU64::new(seeds.start);
     let tally = Mutex::new(Tally::default());
@@ -60,8 +60,8 @@
                     return;
                 }
                 let setup = setup(seed);
-                let play_for_digest = play(setup, plan(&setup));
-                tally.lock().expect("no worker panics").add(play_for_digest);
+                let result = play(setup, plan(&setup));
+                tally.lock().expect("no worker panics").add(result);
             });
         }
     });
@@ -78,7 +78,7 @@
     Setup::new(seed, 3 + (seed % 4) as usize)
 }
 
-/// The seeds to play, and how many those are.
+/// The seeds to play, and their number.
 fn seeds() -> (std::ops::Range<u64>, u64) {
     let first = from_environment("CHAIN_FIRST").unwrap_or(0);
     let count = from_environment("CHAIN_SEEDS").unwrap_or(SEEDS);
@@ -90,7 +90,7 @@
     let (seeds, count) = seeds();
     let tally = play_all(seeds, |setup| schedule(setup, PHASES));
     tally.assert_none_failed();
-    // The worlds exercise what they claim to: writes, reads, and snapshots to members that were down.
+    // Guards against worlds that exercise too few writes, reads or snapshots.
     assert!(
         tally.acknowledged > 200 * count,
         "{} writes",
@@ -98,9 +98,9 @@
     );
     assert!(tally.reads > 50 * count, "{} reads", tally.reads);
     assert!(
-        tally.snapshots_given > count / 4,
+        tally.snapshots_taken > count / 4,
         "{} snapshots",
-        tally.snapshots_given
+        tally.snapshots_taken
     );
     assert!(
         tally.snapshots_installed > count / 20,
@@ -131,5 +131,5 @@
         Some(_) => storm(&setup),
         None => schedule(&setup, PHASES),
     };
-    play(setup, plan).expect("all holds");
+    play(setup, plan).expect("no guarantee is violated");
 }
--- a/crates/serving/chain-replication/tests/member.rs
+++ b/crates/serving/chain-replication/tests/member.rs
@@ -1,4 +1,4 @@
-//! Single members, driven input by input: what they must not do, and what is bounded.
+//! Tests of a single member, driven input by input: safety rules and limits.
 
 use dunespur_chain_replication::limits::{
     MAX_JOINERS, MAX_READS, MAX_SUBMISSIONS, MAX_UNCOMMITTED,
@@ -55,7 +55,7 @@
     }
 }
 
-/// A member of view 1, synced, with some entries on its disk.
+/// The durable state of a member that is synced in view 1 and has some entries.
 fn durable(entries: u64) -> DurableState {
     DurableState {
         decided: Some(DecidedView {
@@ -69,16 +69,16 @@
 }
 
 /// One member, and the outputs of its last step.
-struct Driven {
+struct DrivenMember {
     member: Member,
     now: u64,
     outputs: Vec<Output>,
 }
 
-impl Driven {
-    fn new(node: usize, durable: DurableState) -> Driven {
+impl DrivenMember {
+    fn new(node: usize, durable: DurableState) -> DrivenMember {
         let member = Member::new(config(node, true), durable, NOW);
-        let mut driven = Driven {
+        let mut driven = DrivenMember {
             member,
             now: NOW,
             outputs: Vec::new(),
@@ -100,11 +100,11 @@
     }
 
     fn messages_sent(&self) -> Vec<&Message> {
-        let messages_sent = self.outputs.iter().filter_map(|output| match output {
+        let messages = self.outputs.iter().filter_map(|output| match output {
             Output::Send { message, .. } => Some(message),
             _ => None,
         });
-        messages_sent.collect()
+        messages.collect()
     }
 
     fn sends(&self, wanted: impl Fn(&Message) -> bool) -> bool {
@@ -119,11 +119,11 @@
     }
 
     fn persist(&mut self) {
-        let (batch, _) = self.batch().expect("a batch is out");
+        let (batch, _) = self.batch().expect("the last step emitted a batch");
         self.give(Input::Persisted { batch });
     }
 
-    /// Receives a ping of another member which echoes this one's newest timestamp.
+    /// Receives a ping of another member that echoes this member's newest timestamp.
     fn receive_echo(&mut self, node: usize) {
         self.now = self.member.next_tick().max(self.now);
         while !self.sends(|message| matches!(message, Message::Ping(_))) {
@@ -233,7 +233,7 @@
 
 #[test]
 fn a_promise_is_sent_once_it_is_on_disk() {
-    let mut driven = Driven::new(1, durable(0));
+    let mut driven = DrivenMember::new(1, durable(0));
     driven.receive(2, prepare(1, 2));
     assert!(!driven.sends(is_promise));
     let (_, writes) = driven.batch().expect("the promise goes to the disk");
@@ -246,7 +246,7 @@
 
 #[test]
 fn an_acceptance_is_sent_once_it_is_on_disk() {
-    let mut driven = Driven::new(1, durable(0));
+    let mut driven = DrivenMember::new(1, durable(0));
     let is_vote = |message: &Message| matches!(message, Message::Accepted { .. });
     driven.receive(2, accept(1, 2, &[1, 2]));
     assert!(!driven.sends(is_vote));
@@ -258,7 +258,7 @@
 fn a_lesser_proposal_number_is_rejected_also_after_a_restart() {
     let mut on_disk = durable(0);
     on_disk.promised = Some(proposal_number(5, 2));
-    let mut driven = Driven::new(1, on_disk);
+    let mut driven = DrivenMember::new(1, on_disk);
     driven.receive(0, prepare(4, 0));
     assert!(driven.sends(|message| matches!(message, Message::Reject { view: 2, .. })));
     driven.receive(0, accept(4, 0, &[0, 1]));
@@ -278,42 +278,42 @@
     let mut on_disk = durable(0);
     on_disk.promised = Some(proposal_number(1, 2));
     on_disk.accepted = Some(accepted.clone());
-    let mut driven = Driven::new(1, on_disk);
+    let mut driven = DrivenMember::new(1, on_disk);
     driven.receive(0, prepare(2, 0));
     driven.persist();
-    let describe = |message: &Message| match message {
+    let reports_accepted = |message: &Message| match message {
         Message::Promise(promise) => promise.accepted.as_ref() == Some(&accepted),
         _ => false,
     };
-    assert!(driven.sends(describe));
+    assert!(driven.sends(reports_accepted));
 }
 
 #[test]
 fn a_sealed_member_does_not_participate_in_the_chain() {
-    let mut driven = Driven::new(1, durable(0));
+    let mut driven = DrivenMember::new(1, durable(0));
     driven.receive(2, prepare(1, 2));
     driven.persist();
     driven.receive(0, append(1, 1));
     assert!(driven.batch().is_none() && driven.messages_sent().is_empty());
-    // Neither after a restart.
+    // Nor does it after a restart.
     let mut on_disk = durable(0);
     on_disk.promised = Some(proposal_number(1, 2));
-    let mut driven = Driven::new(1, on_disk);
+    let mut driven = DrivenMember::new(1, on_disk);
     driven.receive(0, append(1, 1));
     assert!(driven.batch().is_none() && driven.messages_sent().is_empty());
 }
 
 #[test]
 fn entries_are_forwarded_and_acknowledged_once_they_are_on_disk() {
-    let passes_on = |message: &Message| matches!(message, Message::Append(append) if !append.entries.is_empty());
-    let mut driven = Driven::new(1, durable(0));
+    let forwards_entries = |message: &Message| matches!(message, Message::Append(append) if !append.entries.is_empty());
+    let mut driven = DrivenMember::new(1, durable(0));
     driven.receive(0, append(1, 1));
-    assert!(!driven.sends(passes_on));
+    assert!(!driven.sends(forwards_entries));
     driven.persist();
-    assert!(driven.sends(passes_on));
+    assert!(driven.sends(forwards_entries));
 
     let acknowledges = |message: &Message| matches!(message, Message::Committed { index: 1, .. });
-    let mut tail = Driven::new(2, durable(0));
+    let mut tail = DrivenMember::new(2, durable(0));
     tail.receive(1, append(1, 1));
     assert!(!tail.sends(acknowledges));
     tail.persist();
@@ -322,14 +322,14 @@
 
 #[test]
 fn entries_of_another_member_than_the_predecessor_are_ignored() {
-    let mut driven = Driven::new(2, durable(0));
+    let mut driven = DrivenMember::new(2, durable(0));
     driven.receive(0, append(1, 1));
     assert!(driven.batch().is_none());
 }
 
 #[test]
 fn a_gap_is_requested_once() {
-    let mut driven = Driven::new(1, durable(2));
+    let mut driven = DrivenMember::new(1, durable(2));
     driven.receive(0, append(5, 6));
     assert!(driven.batch().is_none());
     assert!(driven
@@ -340,18 +340,18 @@
 
 #[test]
 fn the_promise_of_a_wiped_machine_does_not_count() {
-    let mut driven = Driven::new(0, durable(0));
+    let mut driven = DrivenMember::new(0, durable(0));
     for _ in 0..2 {
         driven.receive_echo(1);
         driven.now += 200;
     }
-    // Member 2 is unreachable: after a while member 0 proposes.
+    // Member 2 is unreachable, so member 0 proposes after a while.
     while !driven.sends(|message| matches!(message, Message::Prepare { .. })) {
         driven.now = driven.member.next_tick();
         assert!(driven.now < NOW + 2_000, "no attempt was made");
         driven.give(Input::Tick);
     }
-    let messages_sent = driven
+    let proposal_number = driven
         .messages_sent()
         .into_iter()
         .find_map(|message| match message {
@@ -360,7 +360,7 @@
             } => Some(proposal_number.clone()),
             _ => None,
         });
-    let proposal_number = messages_sent.expect("just seen");
+    let proposal_number = proposal_number.expect("the last step sent Prepare");
     driven.persist();
     let last = Position::default();
     let promise = Message::Promise(Promise {
@@ -375,25 +375,25 @@
         node: "m1".into(),
         disk: 2,
     };
-    let goes_on = |message: &Message| matches!(message, Message::Accept { .. });
+    let begins_accept_phase = |message: &Message| matches!(message, Message::Accept { .. });
     driven.give(Input::Received {
         from: wiped,
         message: promise.clone(),
     });
-    assert!(!driven.sends(goes_on));
+    assert!(!driven.sends(begins_accept_phase));
     driven.receive(1, promise);
-    assert!(driven.sends(goes_on));
+    assert!(driven.sends(begins_accept_phase));
 }
 
-/// Drives a member until it requests promises; its own is on disk then.
-fn begin_attempt(driven: &mut Driven) -> ProposalNumber {
-    let requests = |message: &Message| matches!(message, Message::Prepare { .. });
-    while !driven.sends(requests) {
+/// Drives a member until it requests promises, and puts its own promise on disk.
+fn begin_attempt(driven: &mut DrivenMember) -> ProposalNumber {
+    let is_prepare = |message: &Message| matches!(message, Message::Prepare { .. });
+    while !driven.sends(is_prepare) {
         driven.now = driven.member.next_tick();
         assert!(driven.now < NOW + 3_000, "no attempt was made");
         driven.give(Input::Tick);
     }
-    let messages_sent = driven
+    let proposal_number = driven
         .messages_sent()
         .into_iter()
         .find_map(|message| match message {
@@ -403,11 +403,11 @@
             _ => None,
         });
     driven.persist();
-    messages_sent.expect("just seen")
+    proposal_number.expect("the last step sent Prepare")
 }
 
-/// A head is synced as soon as its view is installed. If it leaves before another member of the chain is, nothing was
-/// committed in the view, and the others go on without it.
+/// A head is synced as soon as its view is installed. If it leaves before another member of the chain is synced, nothing
+/// was committed in the view, so the others must be able to continue without it.
 #[test]
 fn a_head_that_leaves_before_others_are_synced_is_not_needed() {
     let mut on_disk = durable(5);
@@ -416,7 +416,7 @@
         base: 1,
     });
     on_disk.synced_view = 2;
-    let mut driven = Driven::new(0, on_disk);
+    let mut driven = DrivenMember::new(0, on_disk);
     driven.receive_echo(1);
     driven.now += 1;
     driven.receive_echo(2);
@@ -439,7 +439,7 @@
             Message::Accept { proposal, .. } => Some(proposal.clone()),
             _ => None,
         });
-    let proposal = proposal.expect("a view is put to the vote");
+    let proposal = proposal.expect("a view is proposed");
     assert_eq!(proposal.base, 1);
     assert_eq!(proposal.view.chain, [id(1), id(2)]);
 }
@@ -447,7 +447,7 @@
 #[test]
 fn a_first_view_is_installed_on_an_empty_disk_only_where_allowed() {
     let first = view(1, &[0, 1, 2]);
-    let mut fresh = Driven::new(1, DurableState::default());
+    let mut fresh = DrivenMember::new(1, DurableState::default());
     fresh.receive(
         0,
         Message::Bootstrap {
@@ -456,41 +456,41 @@
     );
     assert_eq!(fresh.member.view(), Some(&first));
 
-    let mut status = Driven::new(1, durable(1));
+    let mut initialized = DrivenMember::new(1, durable(1));
     let other = view(1, &[2, 1, 0]);
-    status.receive(
+    initialized.receive(
         0,
         Message::Bootstrap {
             view: other.clone(),
         },
     );
-    assert_eq!(status.member.view(), Some(&first));
+    assert_eq!(initialized.member.view(), Some(&first));
 
     let mut member = Member::new(config(1, false), DurableState::default(), NOW);
     let mut outputs = Vec::new();
     member.step(Input::Bootstrap { view: first }, NOW, &mut outputs);
     assert_eq!(member.view(), None);
 
-    let mut without_us = Driven::new(5, DurableState::default());
-    without_us.receive(0, Message::Bootstrap { view: other });
-    assert_eq!(without_us.member.view(), None);
+    let mut outsider = DrivenMember::new(5, DurableState::default());
+    outsider.receive(0, Message::Bootstrap { view: other });
+    assert_eq!(outsider.member.view(), None);
 }
 
 #[test]
 fn a_bootstrapped_view_is_announced_once_it_is_on_disk() {
-    let mut fresh = Driven::new(1, DurableState::default());
-    let announces = |message: &Message| matches!(message, Message::Decided { .. });
+    let mut fresh = DrivenMember::new(1, DurableState::default());
+    let announces_view = |message: &Message| matches!(message, Message::Decided { .. });
     fresh.give(Input::Bootstrap {
         view: view(1, &[0, 1, 2]),
     });
-    assert!(!fresh.sends(announces));
+    assert!(!fresh.sends(announces_view));
     fresh.persist();
-    assert!(fresh.sends(announces));
+    assert!(fresh.sends(announces_view));
 }
 
 #[test]
 fn pending_submissions_and_reads_are_bounded() {
-    let mut driven = Driven::new(1, durable(0));
+    let mut driven = DrivenMember::new(1, durable(0));
     for ticket in 0..MAX_SUBMISSIONS as u64 {
         driven.give(Input::Submit {
             ticket,
@@ -515,7 +515,7 @@
 
 #[test]
 fn uncommitted_entries_at_the_head_are_bounded() {
-    let mut driven = Driven::new(0, durable(0));
+    let mut driven = DrivenMember::new(0, durable(0));
     let submit = |ticket: u64| {
         let origin = Origin {
             incarnation: 5,
@@ -538,7 +538,7 @@
 
 #[test]
 fn a_flood_of_join_requests_is_answered() {
-    let mut driven = Driven::new(0, durable(0));
+    let mut driven = DrivenMember::new(0, durable(0));
     for node in 10..10 + 20 * MAX_JOINERS {
         let joiner = Peer {
             id: id(node),
@@ -554,7 +554,7 @@
 
 #[test]
 fn expired_submissions_and_reads_are_dropped() {
-    let mut driven = Driven::new(2, durable(0));
+    let mut driven = DrivenMember::new(2, durable(0));
     driven.give(Input::Submit {
         ticket: 1,
         payload: vec![1],
@@ -563,7 +563,7 @@
     let mut dropped = 0;
     while dropped < 2 {
         driven.now = driven.member.next_tick().max(driven.now + 1);
-        assert!(driven.now < NOW + 6_000, "still in hand");
+        assert!(driven.now < NOW + 6_000, "not dropped after 6 s");
         driven.give(Input::Tick);
         dropped += driven.dropped();
     }
@@ -571,7 +571,7 @@
 
 #[test]
 fn an_echo_gives_a_quorum_for_a_while() {
-    let mut driven = Driven::new(0, durable(0));
+    let mut driven = DrivenMember::new(0, durable(0));
     driven.receive_echo(1);
     assert!(driven.member.has_quorum(driven.now));
     assert!(!driven.member.has_quorum(driven.now + 1_000));
@@ -579,9 +579,9 @@
 
 #[test]
 fn echoes_of_an_earlier_incarnation_give_no_quorum() {
-    // The clock of the earlier incarnation was ahead, or behind; its timestamps began elsewhere.
+    // The earlier incarnation's clock was ahead or behind, and its timestamps had another random start.
     for echoed_timestamp in [0, 1, NOW - 1, NOW, NOW + 500_000, u64::MAX >> 16, u64::MAX] {
-        let mut driven = Driven::new(0, durable(0));
+        let mut driven = DrivenMember::new(0, durable(0));
         driven.receive(1, Message::Ping(ping(1, Some(echoed_timestamp))));
         assert!(
             !driven.member.has_quorum(driven.now),
@@ -594,27 +594,30 @@
     }
 }
 
-/// Longer than any echo gives a quorum.
-const FREEZE: u64 = 20_000;
+/// Longer than an echo counts for a quorum.
+const SUSPENSION: u64 = 20_000;
 
 #[test]
-fn a_suspended_member_has_no_quorum_by_what_lay_in_its_sockets() {
-    let mut driven = Driven::new(0, durable(0));
+fn a_suspended_member_has_no_quorum_by_stale_replies() {
+    let mut driven = DrivenMember::new(0, durable(0));
     let timestamp = driven.timestamp();
-    driven.now += FREEZE;
+    driven.now += SUSPENSION;
     for node in [1, 2] {
         driven.receive(node, Message::Ping(ping(node, Some(timestamp))));
-        assert!(!driven.has_quorum(), "by what m{node} sent before");
+        assert!(!driven.has_quorum(), "quorum by a stale reply of m{node}");
         assert!(!driven.member.is_up_to_date(driven.now));
     }
     let timestamp = driven.timestamp();
     driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
-    assert!(driven.has_quorum(), "by what was sent since");
+    assert!(
+        driven.has_quorum(),
+        "no quorum by a reply to a ping after the suspension"
+    );
 }
 
 #[test]
 fn a_member_whose_clock_went_back_has_no_quorum_by_earlier_echoes() {
-    let mut driven = Driven::new(0, durable(0));
+    let mut driven = DrivenMember::new(0, durable(0));
     let timestamp = driven.timestamp();
     driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
     assert!(driven.has_quorum());
@@ -622,7 +625,10 @@
     driven.give(Input::Tick);
     assert!(!driven.has_quorum());
     driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
-    assert!(!driven.has_quorum(), "that stamp is of another time");
+    assert!(
+        !driven.has_quorum(),
+        "quorum by an echo from before the clock went back"
+    );
     let timestamp = driven.timestamp();
     driven.receive(1, Message::Ping(ping(1, Some(timestamp))));
     assert!(driven.has_quorum());
@@ -630,7 +636,7 @@
 
 #[test]
 fn a_reply_from_a_later_view_does_not_count_after_a_late_ping_of_this_one() {
-    let mut driven = Driven::new(0, durable(0));
+    let mut driven = DrivenMember::new(0, durable(0));
     let early = driven.timestamp();
     driven.now += 100;
     let late = driven.timestamp();
@@ -643,17 +649,17 @@
     );
     assert!(!driven.has_quorum());
     driven.receive(1, Message::Ping(ping(1, Some(early))));
-    assert!(!driven.has_quorum(), "m1 has gone on to another view since");
+    assert!(!driven.has_quorum(), "m1 has moved to another view");
 }
 
 #[test]
 fn a_restarted_member_is_up_to_date_once_its_log_is_applied() {
-    let mut driven = Driven::new(0, durable(3));
+    let mut driven = DrivenMember::new(0, durable(3));
     driven.receive_echo(1);
     assert!(driven.has_quorum());
     assert!(
         !driven.member.is_up_to_date(driven.now),
-        "it doesn't know what of its log is committed"
+        "it doesn't know yet which of its entries are committed"
     );
     driven.receive(1, Message::Committed { view: 1, index: 2 });
     assert!(!driven.member.is_up_to_date(driven.now));
@@ -663,18 +669,18 @@
 
 #[test]
 fn a_member_that_lags_behind_its_log_is_not_up_to_date() {
-    let mut driven = Driven::new(0, durable(0));
+    let mut driven = DrivenMember::new(0, durable(0));
     driven.receive_echo(1);
     driven.give(Input::Submit {
         ticket: 1,
         payload: vec![1],
     });
-    let begun = driven.now;
-    while driven.now < begun + FRESHNESS_TIMEOUT {
+    let started_at = driven.now;
+    while driven.now < started_at + FRESHNESS_TIMEOUT {
         assert!(
             driven.member.is_up_to_date(driven.now),
             "after {} ms",
-            driven.now - begun
+            driven.now - started_at
         );
         driven.receive_echo(1);
     }
@@ -682,7 +688,7 @@
     assert!(driven.has_quorum());
     assert!(
         !driven.member.is_up_to_date(driven.now),
-        "what is in its log may have been committed long ago"
+        "its log may have been committed long ago without its knowledge"
     );
     driven.receive(1, Message::Committed { view: 1, index: 0 });
     assert!(!driven.member.is_up_to_date(driven.now));
@@ -690,7 +696,7 @@
 
 #[test]
 fn a_member_sealed_before_it_has_caught_up_is_not_up_to_date() {
-    let mut driven = Driven::new(
+    let mut driven = DrivenMember::new(
         1,
         DurableState {
             synced_view: 0,
--- a/crates/serving/chain-replication/tests/reconfiguration.rs
+++ b/crates/serving/chain-replication/tests/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Plans for the next view, over random observations: whatever is observed, a plan is a view that could be in force.
+//! Plans for the next view, from chosen and from random observations. Every plan is a sound view.
 
 use dunespur_chain_replication::reconfiguration::{
     plan, JoinRequest, MemberStatus, Observations, Plan,
@@ -26,7 +26,7 @@
 }
 
 impl Case {
-    /// Anything may be observed, whether or not it is consistent.
+    /// Random observations, which may contradict each other.
     fn random(seed: u64) -> Case {
         let mut rng = Rng::with_seed(seed);
         let count = rng.usize(1..=7);
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Nothing is wrong, and all are in the chain.
-    fn calm(count: usize) -> Case {
+    /// A view without faults whose members are all in the chain.
+    fn healthy(count: usize) -> Case {
         let members: Vec<Peer> = (0..count).map(|node| peer(node, 1)).collect();
         let chain = members.iter().map(|member| member.id.clone()).collect();
         let status = MemberStatus {
@@ -116,12 +116,12 @@
         self.statuses[index].suspected_by = self.statuses.len() - 1;
     }
 
-    fn leaves(&mut self, index: usize) {
+    fn leave(&mut self, index: usize) {
         self.statuses[index].leaving = true;
         self.statuses[index].ineligible = true;
     }
 
-    fn apply(&mut self, joiner: Peer, may_be_additional: bool) {
+    fn request_to_join(&mut self, joiner: Peer, may_be_additional: bool) {
         self.join_requests.push(JoinRequest {
             joiner,
             may_be_additional,
@@ -184,9 +184,9 @@
 }
 
 #[test]
-fn a_calm_view_is_left_as_it_is() {
+fn a_healthy_view_is_not_changed() {
     for count in 1..=7 {
-        let case = Case::calm(count);
+        let case = Case::healthy(count);
         let plan = case.plan().expect("a plan");
         assert!(plan.is_in_force(&case.view));
     }
@@ -194,7 +194,7 @@
 
 #[test]
 fn a_lost_member_leaves_the_chain_and_stays_a_member() {
-    let mut case = Case::calm(3);
+    let mut case = Case::healthy(3);
     case.lose(0);
     let plan = case.plan().expect("a plan");
     assert_eq!(nodes(&plan.chain), ["m1", "m2"]);
@@ -203,26 +203,26 @@
 
 #[test]
 fn the_chain_does_not_shrink_below_a_majority() {
-    let mut case = Case::calm(5);
+    let mut case = Case::healthy(5);
     for index in 0..3 {
         case.lose(index);
     }
     assert_eq!(case.plan(), None);
-    let mut case = Case::calm(3);
+    let mut case = Case::healthy(3);
     case.lose(0);
     case.statuses[2].ineligible = true;
-    let plan = case.plan().expect("rather an unfit member than none");
+    let plan = case.plan().expect("a plan with an ineligible member");
     assert_eq!(nodes(&plan.chain), ["m1", "m2"]);
 }
 
 #[test]
 fn a_lost_member_of_an_even_number_goes_after_a_while() {
-    let mut case = Case::calm(4);
+    let mut case = Case::healthy(4);
     case.lose(3);
     assert_eq!(case.plan().expect("a plan").members.len(), 4);
     case.statuses[3].replaceable = true;
     assert_eq!(case.plan().expect("a plan").members.len(), 3);
-    let mut case = Case::calm(3);
+    let mut case = Case::healthy(3);
     case.lose(2);
     case.statuses[2].replaceable = true;
     assert_eq!(case.plan().expect("a plan").members.len(), 3);
@@ -230,8 +230,8 @@
 
 #[test]
 fn a_joiner_replaces_the_member_with_its_earlier_disk() {
-    let mut case = Case::calm(3);
-    case.apply(peer(1, 2), false);
+    let mut case = Case::healthy(3);
+    case.request_to_join(peer(1, 2), false);
     assert!(
         case.plan().expect("a plan").is_in_force(&case.view),
         "the earlier disk is still reachable"
@@ -248,12 +248,12 @@
 
 #[test]
 fn a_joiner_becomes_the_tail_of_a_chain_that_is_too_short_without_it() {
-    let mut case = Case::calm(5);
+    let mut case = Case::healthy(5);
     for index in [0, 1, 2] {
         case.lose(index);
     }
     assert_eq!(case.plan(), None);
-    case.apply(peer(1, 2), false);
+    case.request_to_join(peer(1, 2), false);
     let plan = case.plan().expect("a plan");
     assert_eq!(plan.members[1], peer(1, 2));
     assert_eq!(nodes(&plan.chain), ["m3", "m4", "m1"]);
@@ -262,14 +262,14 @@
 
 #[test]
 fn a_joiner_replaces_a_long_unreachable_member_or_is_additional() {
-    let mut case = Case::calm(3);
-    case.apply(peer(8, 2), true);
+    let mut case = Case::healthy(3);
+    case.request_to_join(peer(8, 2), true);
     assert_eq!(case.plan().expect("a plan").members.len(), 4);
     case.lose(0);
     let plan = case.plan().expect("a plan");
     assert_eq!(
         plan.members, case.view.members,
-        "the lost one may be back soon"
+        "the lost member may return soon"
     );
     case.statuses[0].replaceable = true;
     let plan = case.plan().expect("a plan");
@@ -278,21 +278,21 @@
 
 #[test]
 fn a_leaver_of_an_even_number_goes_at_once() {
-    let mut case = Case::calm(4);
-    case.leaves(1);
+    let mut case = Case::healthy(4);
+    case.leave(1);
     let plan = case.plan().expect("a plan");
     assert_eq!(plan.members.len(), 3);
     assert_eq!(nodes(&plan.chain), ["m0", "m2", "m3"]);
-    let mut case = Case::calm(6);
-    case.leaves(0);
+    let mut case = Case::healthy(6);
+    case.leave(0);
     assert_eq!(case.plan().expect("a plan").members.len(), 5);
 }
 
 #[test]
 fn a_leaver_of_an_odd_number_stays_a_member_without_a_successor() {
     for count in [3, 5] {
-        let mut case = Case::calm(count);
-        case.leaves(0);
+        let mut case = Case::healthy(count);
+        case.leave(0);
         let plan = case.plan().expect("a plan");
         assert_eq!(plan.members, case.view.members);
         assert_eq!(plan.chain.len(), count - 1);
@@ -302,9 +302,9 @@
 #[test]
 fn a_joiner_replaces_a_leaver_at_once() {
     for count in 3..=6 {
-        let mut case = Case::calm(count);
-        case.leaves(1);
-        case.apply(peer(8, 2), false);
+        let mut case = Case::healthy(count);
+        case.leave(1);
+        case.request_to_join(peer(8, 2), false);
         let plan = case.plan().expect("a plan");
         assert_eq!(plan.members[1], peer(8, 2));
         assert_eq!(plan.members.len(), count);
@@ -314,8 +314,8 @@
 
 #[test]
 fn a_leaver_stays_while_too_few_others_are_synced() {
-    let mut case = Case::calm(4);
-    case.leaves(0);
+    let mut case = Case::healthy(4);
+    case.leave(0);
     case.statuses[1].synced = false;
     case.statuses[2].synced = false;
     assert_eq!(case.plan().expect("a plan").members, case.view.members);
@@ -325,16 +325,17 @@
     assert_eq!(
         case.plan().expect("a plan").members,
         case.view.members,
-        "a lost member has nothing"
+        "a lost member doesn't count as synced"
     );
-    let mut case = Case::calm(3);
-    case.leaves(0);
+    let mut case = Case::healthy(3);
+    case.leave(0);
     case.statuses[1].synced = false;
-    case.apply(peer(8, 2), false);
+    case.request_to_join(peer(8, 2), false);
     assert_eq!(case.plan().expect("a plan").members, case.view.members);
 }
 
-/// Whatever is observed: of those who decide on a view without a leaver, one is synced in the present view and stays.
+/// When a leaving member is removed, every majority that decides the next view has a member that is synced in the present
+/// view and stays.
 #[test]
 fn every_deciding_majority_has_a_complete_member_that_stays() {
     for seed in 0..CASES {
@@ -342,11 +343,11 @@
         let Some(plan) = case.plan() else { continue };
         let stays = |index: &usize| plan.members.contains(&case.view.members[*index]);
         let count = case.view.members.len();
-        let put_out = (0..count).filter(|index| !stays(index));
-        let by_leaving = put_out.filter(|index| {
+        let removed = (0..count).filter(|index| !stays(index));
+        let removed_leavers = removed.filter(|index| {
             !case.statuses[*index].unreachable && !case.statuses[*index].replaceable
         });
-        if by_leaving.count() == 0 {
+        if removed_leavers.count() == 0 {
             continue;
         }
         let complete = (0..count)
@@ -362,8 +363,8 @@
 
 #[test]
 fn the_member_that_more_have_lost_is_removed_first() {
-    // m0 plans and still receives pings of m1; m2 reports that it has lost it.
-    let mut case = Case::calm(3);
+    // m0 plans and still receives pings from m1; m2 reports that it has lost m1.
+    let mut case = Case::healthy(3);
     case.statuses[1].connected[2] = false;
     case.statuses[2].connected[1] = false;
     case.statuses[1].suspected_by = 1;
--- a/crates/serving/chain-replication/tests/recovery_times.rs
+++ b/crates/serving/chain-replication/tests/recovery_times.rs
@@ -1,4 +1,4 @@
-//! How soon the core is writable and complete again after single faults, and that it stays quiet otherwise.
+//! Time limits for the core to be writable and complete again after single faults. Without faults, no view changes.
 
 mod world;
 
@@ -7,13 +7,14 @@
 use world::{Setup, World};
 
 const SEEDS: u64 = 24;
-/// By then the first view is in force everywhere.
+/// By this time the first view is in force at all members.
 const CALM: Millis = 3_000;
-/// Long enough for a machine not to restart in a test.
+/// A restart delay beyond the end of each test.
 const NEVER: Millis = 1_000_000;
-/// After this long a machine that restarted must be a complete replica, as the next may fail.
+/// A restarted machine must be a complete replica within this time, as the next machine may fail then.
 const CATCH_UP: Millis = 4_200;
 
+/// Limits of the time without a commit, by kind of fault.
 const SILENT_LOSS: Millis = 1_500;
 const CLOSED_CONNECTION: Millis = 300;
 const STALLED_DISK: Millis = 1_800;
@@ -25,12 +26,12 @@
     setup.padding = 0;
     setup.max_sync_ms = 4;
     let mut world = World::new(setup);
-    world.play_to(CALM).expect("calm");
-    world.check_complete(20).expect("complete at first");
+    world.play_to(CALM).expect("no guarantee is violated");
+    world.check_complete(20).expect("all members are complete");
     world
 }
 
-/// Injects one fault at a machine of each position in the chain, in cores of three to five.
+/// Runs a check for the machine at each position in the chain, in cores of three to five members.
 fn each_position(check: impl Fn(&mut World, usize)) {
     for seed in 0..SEEDS {
         let machines = 3 + (seed % 3) as usize;
@@ -43,18 +44,18 @@
 fn inject(world: &mut World, fault: Fault) {
     let at = world.now + 1;
     world.fault_at(at, fault);
-    world.play_to(at).expect("all holds");
+    world.play_to(at).expect("no guarantee is violated");
 }
 
-fn play(world: &mut World, lasts: Millis) {
-    let end = world.now + lasts;
-    world.play_to(end).expect("all holds");
+fn play(world: &mut World, duration: Millis) {
+    let end = world.now + duration;
+    world.play_to(end).expect("no guarantee is violated");
 }
 
-fn assert_commit_gap_below(world: &World, since: Millis, most: Millis) {
+fn assert_commit_gap_below(world: &World, since: Millis, limit: Millis) {
     let gap = world.longest_commit_gap(since);
     assert!(
-        gap < most,
+        gap < limit,
         "{}",
         world.describe(format!("nothing was committed for {gap} ms"))
     );
@@ -66,7 +67,7 @@
         .unwrap_or_else(|text| panic!("{text}"));
 }
 
-fn views(world: &World) -> u64 {
+fn view_number(world: &World) -> u64 {
     world.newest_view().map_or(0, |view| view.number)
 }
 
@@ -107,7 +108,7 @@
 fn a_reset_connection_to_a_living_member_changes_nothing() {
     each_position(|world, machine| {
         let since = world.now;
-        let before = views(world);
+        let before = view_number(world);
         let other = (machine + 1) % world.machines.len();
         inject(
             world,
@@ -119,7 +120,7 @@
         play(world, 2_000);
         assert_commit_gap_below(world, since, CLOSED_CONNECTION + 100);
         assert_eq!(
-            views(world),
+            view_number(world),
             before,
             "{}",
             world.describe("the view changed".into())
@@ -135,10 +136,10 @@
         play(world, 5_000);
         assert_commit_gap_below(world, since, STALLED_DISK);
         assert!(!world.is_in_chain(machine));
-        let changed = views(world);
+        let changed = view_number(world);
         play(world, 5_000);
         assert_eq!(
-            views(world),
+            view_number(world),
             changed,
             "{}",
             world.describe("the view keeps changing".into())
@@ -156,7 +157,7 @@
             let others: Vec<usize> = (0..world.machines.len())
                 .filter(|other| *other != machine)
                 .collect();
-            let ends = |other: usize| {
+            let link_with = |other: usize| {
                 if outward {
                     (machine, other)
                 } else {
@@ -164,7 +165,7 @@
                 }
             };
             let since = world.now;
-            for (from, to) in others.iter().map(|other| ends(*other)) {
+            for (from, to) in others.iter().map(|other| link_with(*other)) {
                 inject(world, Fault::Partition { from, to });
             }
             play(world, 3_000);
@@ -174,15 +175,15 @@
                 "{}",
                 world.describe(format!("m{machine} is in the chain"))
             );
-            let changed = views(world);
+            let changed = view_number(world);
             play(world, 10_000);
             assert_eq!(
-                views(world),
+                view_number(world),
                 changed,
                 "{}",
                 world.describe("the view keeps changing".into())
             );
-            for (from, to) in others.iter().map(|other| ends(*other)) {
+            for (from, to) in others.iter().map(|other| link_with(*other)) {
                 inject(world, Fault::Heal { from, to });
             }
             play(world, CATCH_UP);
@@ -212,10 +213,10 @@
         );
         play(world, 3_000);
         assert_commit_gap_below(world, since, SILENT_LOSS + 300);
-        let changed = views(world);
+        let changed = view_number(world);
         play(world, 10_000);
         assert_eq!(
-            views(world),
+            view_number(world),
             changed,
             "{}",
             world.describe("the view keeps changing".into())
@@ -325,7 +326,7 @@
 #[test]
 fn a_suspended_member_is_removed_loses_its_quorum_and_is_readmitted() {
     each_position(|world, machine| {
-        let before = views(world);
+        let before = view_number(world);
         let since = world.now;
         inject(world, Fault::Freeze { machine });
         play(world, 2_000);
@@ -334,15 +335,15 @@
         assert!(
             !world.has_quorum(machine),
             "{}",
-            world.describe("what came during its suspension gives it a quorum".into())
+            world.describe("messages that arrived during its suspension give it a quorum".into())
         );
         play(world, CATCH_UP);
         assert_complete(world);
         assert_eq!(
-            views(world),
+            view_number(world),
             before + 2,
             "{}",
-            world.describe("out and in again".into())
+            world.describe("the member is removed from the chain once and readmitted once".into())
         );
     });
 }
@@ -350,7 +351,7 @@
 #[test]
 fn a_member_suspended_for_long_is_readmitted_without_flapping() {
     each_position(|world, machine| {
-        let before = views(world);
+        let before = view_number(world);
         let since = world.now;
         inject(world, Fault::Freeze { machine });
         play(world, 4_000);
@@ -359,18 +360,19 @@
         assert!(
             !world.has_quorum(machine),
             "{}",
-            world.describe("quorum right after its suspension".into())
+            world.describe("it has a quorum right after its suspension".into())
         );
         play(world, CATCH_UP);
         assert_complete(world);
-        // Out of the chain and in again; an even number of members also removes it, and adds it as a joiner.
+        // The member is removed from the chain and readmitted. An even number of members also removes it from the view, so
+        // that it has to join again.
         let expected = if world.running().len() % 2 == 0 { 4 } else { 2 };
-        let changes = views(world) - before;
+        let changes = view_number(world) - before;
         assert_eq!(
             changes,
             expected,
             "{}",
-            world.describe("changes of the view".into())
+            world.describe("unexpected number of view changes".into())
         );
     });
 }
@@ -378,13 +380,13 @@
 #[test]
 fn a_short_suspension_changes_nothing() {
     each_position(|world, machine| {
-        let before = views(world);
+        let before = view_number(world);
         inject(world, Fault::Freeze { machine });
         play(world, 500);
         inject(world, Fault::Thaw { machine });
         play(world, 2_000);
         assert_eq!(
-            views(world),
+            view_number(world),
             before,
             "{}",
             world.describe("the view changed".into())
@@ -426,11 +428,11 @@
         setup.write_every = NEVER;
         setup.read_every = NEVER;
         let mut world = World::new(setup);
-        world.play_to(CALM).expect("calm");
+        world.play_to(CALM).expect("no guarantee is violated");
         let steps = world.steps;
         let seconds = 60;
         play(&mut world, seconds * 1_000);
-        assert_eq!(views(&world), 1);
+        assert_eq!(view_number(&world), 1);
         let per_member = (world.steps - steps) / seconds / machines as u64;
         let pings_received = 5 * (machines as u64 - 1);
         assert!(
@@ -472,7 +474,7 @@
     let view = world.newest_view().cloned().expect("the first view");
     let mut other = view.clone();
     other.chain.reverse();
-    world.take(1, Input::Bootstrap { view: other });
+    world.give_input(1, Input::Bootstrap { view: other });
     play(&mut world, 2_000);
     assert_eq!(world.newest_view(), Some(&view));
 }
--- a/crates/serving/chain-replication/tests/resubmissions.rs
+++ b/crates/serving/chain-replication/tests/resubmissions.rs
@@ -1,4 +1,4 @@
-//! A submission that is sent to the head again while its entry is in flight makes no second one.
+//! A submission that is sent to the head again while its entry is uncommitted gets no second entry.
 
 use dunespur_chain_replication::{
     DecidedView, DurableState, Input, Member, MemberConfig, MemberId, Message, Origin, Output,
@@ -43,8 +43,8 @@
     )
 }
 
-/// Gives the head a submission of another member; how many entries it makes.
-fn entries_of(head: &mut Member, ticket: u64) -> usize {
+/// Gives the head a submission of another member. Returns the number of entries that the head writes.
+fn entries_written_for(head: &mut Member, ticket: u64) -> usize {
     let origin = Origin {
         incarnation: 5,
         ticket,
@@ -63,7 +63,7 @@
     )
 }
 
-/// Gives the head an input, and the disk all that comes of it; how many entries were written.
+/// Gives the head an input and reports its batches as persisted. Returns the number of entries that it writes.
 fn give(head: &mut Member, input: Input) -> usize {
     let mut inputs = vec![input];
     let mut entries = 0;
@@ -84,16 +84,16 @@
 }
 
 #[test]
-fn a_resubmission_makes_no_second_entry() {
+fn a_resubmission_gets_no_second_entry() {
     let mut head = head();
-    assert_eq!(entries_of(&mut head, 1), 1);
+    assert_eq!(entries_written_for(&mut head, 1), 1);
     assert_eq!(
-        entries_of(&mut head, 2),
+        entries_written_for(&mut head, 2),
         1,
-        "another one with the same payload is another one"
+        "another submission with the same payload gets its own entry"
     );
-    assert_eq!(entries_of(&mut head, 1), 0);
-    assert_eq!(entries_of(&mut head, 2), 0);
+    assert_eq!(entries_written_for(&mut head, 1), 0);
+    assert_eq!(entries_written_for(&mut head, 2), 0);
     let committed = Message::Committed { view: 1, index: 2 };
     give(
         &mut head,
@@ -103,5 +103,5 @@
         },
     );
     assert_eq!(head.commit_index(), 2);
-    assert_eq!(entries_of(&mut head, 3), 1);
+    assert_eq!(entries_written_for(&mut head, 3), 1);
 }
--- a/crates/serving/chain-replication/tests/safeguards.rs
+++ b/crates/serving/chain-replication/tests/safeguards.rs
@@ -1,4 +1,4 @@
-//! Each safeguard removed in turn brings about what it is against, in worlds in which nothing goes wrong with all of them.
+//! Without a safeguard, the failure that it guards against occurs in some world. With all safeguards none occurs in any.
 
 mod world;
 
@@ -7,12 +7,12 @@
 use world::Setup;
 
 const PHASES: usize = 3;
-/// Seeds that are tried for a counterexample.
+/// Number of seeds that are tried for a counterexample.
 const SEEDS: u64 = 400;
+/// Number of storms that are tried for a counterexample.
 const SEEDS_OF_STORMS: u64 = 4_000;
 
-/// What goes wrong first in the worlds without a safeguard, if anything does. Only violations of safety count, not a core
-/// that stalls.
+/// The first violation of safety in worlds without a safeguard, if any. A core that stalls doesn't count.
 fn counterexample(without: impl Fn(&mut Setup)) -> Option<String> {
     (0..SEEDS).find_map(|seed| {
         let mut setup = Setup::new(seed, 3 + (seed % 4) as usize);
@@ -41,33 +41,45 @@
 #[test]
 fn without_checking_views_a_replaced_chain_commits() {
     let found = without(Safeguards::without(Safeguard::CheckViews));
-    assert!(found.is_some(), "nothing went wrong");
+    assert!(
+        found.is_some(),
+        "no seed violates safety without this safeguard"
+    );
     eprintln!("{found:?}");
 }
 
 #[test]
 fn without_distinct_disk_identities_commits_are_lost() {
     let found = counterexample(|setup| setup.wiped_keep_identity = true);
-    assert!(found.is_some(), "nothing went wrong");
+    assert!(
+        found.is_some(),
+        "no seed violates safety without this safeguard"
+    );
     eprintln!("{found:?}");
 }
 
 #[test]
 fn without_persisting_before_sending_commits_are_lost() {
     let found = without(Safeguards::without(Safeguard::PersistBeforeSend));
-    assert!(found.is_some(), "nothing went wrong");
+    assert!(
+        found.is_some(),
+        "no seed violates safety without this safeguard"
+    );
     eprintln!("{found:?}");
 }
 
 #[test]
 fn without_confirming_reads_old_state_is_read() {
     let found = without(Safeguards::without(Safeguard::ConfirmReads));
-    assert!(found.is_some(), "nothing went wrong");
+    assert!(
+        found.is_some(),
+        "no seed violates safety without this safeguard"
+    );
     eprintln!("{found:?}");
 }
 
-/// It takes two that propose at one moment, and the message of the first one's success to be lost: storms over three
-/// members bring that about.
+/// The failure takes two members that propose at the same time, and the loss of the message that the first proposal was
+/// decided. This happens in storms with three members.
 #[test]
 fn without_deciding_once_two_views_have_one_number() {
     let found = (0..SEEDS_OF_STORMS).find_map(|seed| {
@@ -78,13 +90,19 @@
             .err()
             .filter(|text| text.contains("two views"))
     });
-    assert!(found.is_some(), "nothing went wrong");
+    assert!(
+        found.is_some(),
+        "no seed violates safety without this safeguard"
+    );
     eprintln!("{found:?}");
 }
 
 #[test]
 fn without_catching_up_before_syncing_commits_are_lost() {
     let found = without(Safeguards::without(Safeguard::CatchUpBeforeSync));
-    assert!(found.is_some(), "nothing went wrong");
+    assert!(
+        found.is_some(),
+        "no seed violates safety without this safeguard"
+    );
     eprintln!("{found:?}");
 }
--- a/crates/serving/chain-replication/tests/snapshot_chunks.rs
+++ b/crates/serving/chain-replication/tests/snapshot_chunks.rs
@@ -1,4 +1,4 @@
-//! One member that receives a snapshot in chunks: what it rejects, what it retains meanwhile, and when the snapshot counts.
+//! Tests of a member that receives a snapshot in chunks: rejected chunks, the log during the transfer, and installation.
 
 use dunespur_chain_replication::limits::{MAX_SNAPSHOT_BYTES, SNAPSHOT_CHUNK_BYTES};
 use dunespur_chain_replication::snapshot_transfer::{
@@ -11,7 +11,7 @@
 
 const NOW: u64 = 10_000;
 const VIEW: u64 = 2;
-/// The member's log ends here; the snapshot is of much later.
+/// End of the member's log; the snapshot ends much later.
 const LOG_END: u64 = 3;
 const POSITION: Position = Position {
     index: 900,
@@ -44,7 +44,7 @@
     }
 }
 
-/// The second of a chain of three, which has not caught up with the first.
+/// The second member of a chain of three, which has not caught up with the first.
 struct Receiver {
     member: Member,
     outputs: Vec<Output>,
@@ -100,7 +100,7 @@
     }
 
     fn chunk(&mut self, chunk: SnapshotChunk) -> SnapshotProgress {
-        self.chunk_from(0, chunk).expect("an answer")
+        self.chunk_from(0, chunk).expect("a reply to the chunk")
     }
 
     fn installed(&self) -> Option<(u64, Vec<u8>)> {
@@ -118,31 +118,31 @@
         batches.flatten().collect()
     }
 
-    /// Where its log ends, as it reports to its predecessor.
+    /// The end of the member's log, as it reports it to its predecessor.
     fn log_end(&mut self) -> u64 {
         self.give(Input::Received {
             from: id(0),
             message: Message::Append(far_ahead()),
         });
-        let attached = self.outputs.iter().find_map(|output| match output {
+        let resume_index = self.outputs.iter().find_map(|output| match output {
             Output::Send {
                 message: Message::Resume(resume),
                 ..
             } => Some(resume.last.index),
             _ => None,
         });
-        // Otherwise it has sent a request just now.
-        attached.unwrap_or_else(|| {
+        // A member that has just sent a request sends the next one only after a while.
+        resume_index.unwrap_or_else(|| {
             self.outputs.clear();
             self.member.step(Input::Tick, NOW + 200, &mut self.outputs);
-            let attached = self.outputs.iter().find_map(|output| match output {
+            let resume_index = self.outputs.iter().find_map(|output| match output {
                 Output::Send {
                     message: Message::Resume(resume),
                     ..
                 } => Some(resume.last.index),
                 _ => None,
             });
-            attached.expect("it requests again")
+            resume_index.expect("it requests again")
         })
     }
 }
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_snapshot_counts_only_when_it_is_complete() {
+fn a_snapshot_is_installed_only_when_it_is_complete() {
     let mut receiver = Receiver::new();
     let snapshot = state(1_000);
     let first = receiver.chunk(chunk(&snapshot, 0, 600));
@@ -187,7 +187,7 @@
     assert_eq!(
         receiver.log_end(),
         LOG_END,
-        "its log stays until the snapshot is complete"
+        "the log is kept until the snapshot is complete"
     );
     let last = receiver.chunk(chunk(&snapshot, 600, 1_000));
     assert_eq!((last.received, last.rejected), (1_000, false));
@@ -199,7 +199,7 @@
     assert!(writes.contains(&Write::Snapshot { snapshot }));
     assert!(
         writes.contains(&Write::Synced { view: 0 }),
-        "its log is complete as of no view until the rest has come"
+        "the log is complete as of no view until the member has caught up"
     );
     assert!(!receiver.member.is_up_to_date(NOW));
 }
@@ -211,7 +211,7 @@
     assert_eq!(
         receiver.chunk(chunk(&snapshot, 400, 700)).received,
         0,
-        "it says where it is"
+        "the member acknowledges the bytes that it has"
     );
     assert_eq!(receiver.chunk(chunk(&snapshot, 0, 400)).received, 400);
     assert_eq!(receiver.chunk(chunk(&snapshot, 0, 400)).received, 400);
@@ -233,7 +233,7 @@
     assert_eq!(
         receiver.chunk(chunk(&other, 600, 1_000)).received,
         0,
-        "it begins anew"
+        "the other snapshot starts from its beginning"
     );
     assert_eq!(receiver.chunk(chunk(&other, 0, 600)).received, 600);
     receiver.chunk(chunk(&other, 600, 1_000));
@@ -244,7 +244,7 @@
 }
 
 /// A chunk that is to be rejected.
-struct Rejected {
+struct RejectedChunk {
     name: &'static str,
     length: u64,
     offset: u64,
@@ -252,43 +252,43 @@
     reason: SnapshotRejection,
 }
 
-const REJECTED: [Rejected; 6] = [
-    Rejected {
+const REJECTED: [RejectedChunk; 6] = [
+    RejectedChunk {
         name: "too large",
         length: MAX_SNAPSHOT_BYTES + 1,
         offset: 0,
         bytes: 10,
         reason: SnapshotRejection::TooLarge,
     },
-    Rejected {
+    RejectedChunk {
         name: "empty",
         length: 1_000,
         offset: 0,
         bytes: 0,
         reason: SnapshotRejection::ChunkOutOfBounds,
     },
-    Rejected {
+    RejectedChunk {
         name: "beyond the end",
         length: 1_000,
         offset: 990,
         bytes: 11,
         reason: SnapshotRejection::ChunkOutOfBounds,
     },
-    Rejected {
+    RejectedChunk {
         name: "an offset that overflows",
         length: 1_000,
         offset: u64::MAX,
         bytes: 11,
         reason: SnapshotRejection::ChunkOutOfBounds,
     },
-    Rejected {
+    RejectedChunk {
         name: "a chunk that is too large",
         length: MAX_SNAPSHOT_BYTES,
         offset: 0,
         bytes: SNAPSHOT_CHUNK_BYTES + 1,
         reason: SnapshotRejection::ChunkOutOfBounds,
     },
-    Rejected {
+    RejectedChunk {
         name: "corrupted",
         length: 1_000,
         offset: 0,
@@ -297,7 +297,7 @@
     },
 ];
 
-/// How often each reason was counted.
+/// The counts by reason.
 fn counts(rejections: SnapshotRejections) -> [u64; 3] {
     [
         rejections.too_large,
@@ -314,14 +314,14 @@
     }
 }
 
-/// Rejected with its reason, counted, and nothing that was received before is lost by it.
+/// Invalid chunks are rejected and counted by reason, and leave the member's log as it was.
 #[test]
 fn chunks_that_do_not_fit_are_rejected() {
     let descriptor = SnapshotDescriptor::of(&state(1_000));
     for case in REJECTED {
         let name = case.name;
         let mut receiver = Receiver::new();
-        let answer = receiver.chunk(SnapshotChunk {
+        let progress = receiver.chunk(SnapshotChunk {
             descriptor: SnapshotDescriptor {
                 length: case.length,
                 ..descriptor
@@ -329,7 +329,7 @@
             offset: case.offset,
             bytes: Payload::from(vec![1; case.bytes]),
         });
-        assert!(answer.rejected, "{name}");
+        assert!(progress.rejected, "{name}");
         assert!(
             receiver.installed().is_none() && receiver.writes().is_empty(),
             "{name}"
@@ -363,8 +363,8 @@
     assert_eq!(receiver.member.snapshot_rejections().total(), 0);
 }
 
-/// Against a chain that stalls: the sender's log doesn't reach back to what is committed here, and it doesn't
-/// know the end of the log here; but the log here reaches to where the snapshot ends.
+/// Guards against a chain that stalls when the receiver's log already includes the snapshot, but the sender, whose log
+/// begins after the receiver's commit index, doesn't know the end of the receiver's log.
 #[test]
 fn a_snapshot_that_the_log_includes_is_not_needed() {
     let mut receiver = Receiver::new();
@@ -372,11 +372,11 @@
         position: Position { index: 2, view: 1 },
         ..state(1_000)
     };
-    let answer = receiver.chunk(chunk(&snapshot, 0, 600));
+    let progress = receiver.chunk(chunk(&snapshot, 0, 600));
     assert_eq!(
-        (answer.received, answer.rejected),
+        (progress.received, progress.rejected),
         (1_000, false),
-        "the sender goes on from there"
+        "the sender continues after the snapshot"
     );
     assert!(receiver.installed().is_none() && receiver.writes().is_empty());
     assert_eq!(receiver.log_end(), LOG_END);
--- a/crates/serving/chain-replication/tests/snapshots.rs
+++ b/crates/serving/chain-replication/tests/snapshots.rs
@@ -1,5 +1,5 @@
-//! Snapshots in chunks, over links of limited bandwidth: a member that was wiped, restarted or down catches up in time
-//! while changes go on, in spite of broken connections and corrupted bytes.
+//! Transfers of snapshots over links of limited bandwidth: a member that was wiped, restarted or down catches up in time
+//! under load, despite violation connections and corrupted bytes.
 
 mod world;
 
@@ -8,17 +8,18 @@
 use world::faults::{play, schedule, Fault};
 use world::{Setup, World};
 
-/// The first view is in force by then, and the core is calm.
+/// By this time the first view is in force and the core is stable.
 const CALM: Millis = 2_500;
 /// The deployments' `catch_up_s`.
 const CATCH_UP: Millis = 4_200;
-/// Links of the deployments: 1,000 and 100 Mbit a second, in bytes a millisecond.
+/// Bandwidth of a deployment's fast link, 1,000 Mbit/s, in bytes per millisecond.
 const FAST_LINK: u64 = 125_000;
+/// Bandwidth of a deployment's slow link, 100 Mbit/s, in bytes per millisecond.
 const SLOW_LINK: u64 = 12_500;
-/// A change of 40 kB each 30 ms or so.
+/// The load is a change of 40 kB about every 30 ms.
 const CHANGE_BYTES: usize = 40_000;
 const CHANGE_EVERY: Millis = 30;
-/// Commits that a member may lack while changes go on.
+/// Commits that a member may lack under load to count as complete.
 const MAX_BEHIND: u64 = 20;
 const SEEDS: u64 = 12;
 const MB: usize = 1 << 20;
@@ -34,12 +35,14 @@
     }
 }
 
-/// The world once it is calm, with so many changes that a joiner needs a snapshot.
-fn grown(setup: Setup) -> World {
+/// A world without faults and with so many commits that a joiner needs a snapshot.
+fn loaded_world(setup: Setup) -> World {
     let mut world = World::new(setup);
-    world.play_to(CALM).expect("the core comes up");
-    world.play_to(CALM + 15_000).expect("changes are made");
-    // More than the log retains between two snapshots, and for members that were down briefly.
+    world.play_to(CALM).expect("the first view is installed");
+    world
+        .play_to(CALM + 15_000)
+        .expect("no guarantee is violated");
+    // More than the log retains until a snapshot is taken and for members that were down briefly.
     assert!(
         world.committed_count() * CHANGE_BYTES > 14 * MB,
         "{} changes",
@@ -48,7 +51,7 @@
     world
 }
 
-/// How long until all machines are in the chain with all commits, from now on.
+/// Plays until all machines are in the chain with all commits, and gives the time that this took.
 fn time_until_complete(world: &mut World) -> Result<Millis, String> {
     let since = world.now;
     loop {
@@ -61,9 +64,9 @@
     }
 }
 
-/// Wipes a machine of a grown world; how long after its restart it is complete.
-fn wiped_for(setup: Setup) -> Millis {
-    let mut world = grown(setup);
+/// Wipes a machine of a loaded world, and gives the time from its restart until it is complete.
+fn recovery_time_after_wipe(setup: Setup) -> Millis {
+    let mut world = loaded_world(setup);
     let machine = (setup.seed / 4) as usize % setup.machines;
     world.fault_at(
         world.now,
@@ -72,21 +75,23 @@
             back_after: 1_000,
         },
     );
-    world.play_to(world.now + 1_001).expect("it comes back");
+    world
+        .play_to(world.now + 1_001)
+        .expect("the machine restarts");
     let installed = world.snapshots_installed;
-    let took = time_until_complete(&mut world).expect("it catches up");
+    let took = time_until_complete(&mut world).expect("the machine catches up");
     assert!(
         world.snapshots_installed > installed,
-        "it needed a snapshot"
+        "no snapshot was installed"
     );
     took
 }
 
 fn worst_of(state_bytes: usize, link: u64) -> Millis {
     (0..SEEDS)
-        .map(|seed| wiped_for(setup(seed, state_bytes, link)))
+        .map(|seed| recovery_time_after_wipe(setup(seed, state_bytes, link)))
         .max()
-        .expect("some seeds")
+        .expect("there are seeds")
 }
 
 #[test]
@@ -108,18 +113,18 @@
     }
 }
 
-/// How long a machine that restarts is without all commits, worst of some seeds; and how often a snapshot was needed.
+/// The longest time that a restarted machine takes to be complete, over all seeds, and the number of snapshots installed.
 fn outage(fault: impl Fn(usize) -> Fault, outage_ms: Millis) -> (Millis, u64) {
     let (mut worst, mut snapshots) = (0, 0);
     for seed in 0..SEEDS {
         let setup = setup(seed, 10 * MB, FAST_LINK);
-        let mut world = grown(setup);
+        let mut world = loaded_world(setup);
         let machine = (seed / 4) as usize % setup.machines;
         let installed = world.snapshots_installed;
         world.fault_at(world.now, fault(machine));
         world
             .play_to(world.now + outage_ms + 1)
-            .expect("it comes back");
+            .expect("the machine restarts");
         let took = time_until_complete(&mut world).unwrap_or_else(|text| panic!("{text}"));
         worst = worst.max(took);
         snapshots += world.snapshots_installed - installed;
@@ -159,7 +164,7 @@
 fn a_replaced_member_is_complete_in_time() {
     for seed in 0..SEEDS {
         let setup = setup(seed, 10 * MB, FAST_LINK);
-        let mut world = grown(setup);
+        let mut world = loaded_world(setup);
         let machine = (seed / 4) as usize % setup.machines;
         world.fault_at(
             world.now,
@@ -170,7 +175,7 @@
         );
         world
             .play_to(world.now + 1_001)
-            .expect("the successor comes");
+            .expect("the replacement starts");
         let took = time_until_complete(&mut world).unwrap_or_else(|text| panic!("{text}"));
         eprintln!("seed {seed}: a replacement complete after {took} ms");
         assert!(took <= CATCH_UP, "seed {seed}: {took} ms");
@@ -180,13 +185,13 @@
 const BREAKS: u64 = 10;
 const BREAK_EVERY: Millis = 200;
 
-/// The connection breaks during the transfer, again and again: what was received stays. The transfer takes 840 ms by
-/// itself; begun anew with each break most of the snapshot would be sent ten times.
+/// A transfer whose connection breaks repeatedly keeps the bytes already received. It takes 840 ms without breaks; if each
+/// break restarted it, most of the snapshot would be sent ten times.
 #[test]
 fn a_transfer_resumes_after_broken_connections() {
     for seed in 0..SEEDS {
         let setup = setup(seed, 10 * MB, SLOW_LINK);
-        let mut world = grown(setup);
+        let mut world = loaded_world(setup);
         let machine = (seed / 4) as usize % setup.machines;
         world.fault_at(
             world.now,
@@ -207,13 +212,13 @@
                 );
             }
         }
-        world.play_to(back + 1).expect("it comes back");
+        world.play_to(back + 1).expect("the machine restarts");
         let bytes_sent = world.chunk_bytes_transferred;
-        let took = time_until_complete(&mut world).expect("it catches up");
+        let took = time_until_complete(&mut world).expect("the machine catches up");
         let bytes_sent = world.chunk_bytes_transferred - bytes_sent;
         eprintln!("seed {seed}: complete after {took} ms, {bytes_sent} bytes sent");
         assert!(took <= CATCH_UP, "seed {seed}: {took} ms");
-        // A change of view meanwhile may bring another sender, whose snapshot is another one.
+        // A change of view during the transfer may bring another sender with another snapshot.
         let lost = BREAKS * 2 * SNAPSHOT_CHUNK_BYTES as u64;
         assert!(
             bytes_sent <= 2 * 10 * MB as u64 + lost,
@@ -222,7 +227,7 @@
     }
 }
 
-/// Worlds of large snapshots with all kinds of faults, with bytes corrupted on the way.
+/// Worlds with large snapshots, all kinds of faults, and bytes corrupted in transfer.
 fn corrupted(seed: u64) -> Setup {
     let setup = Setup::new(seed, 3 + (seed % 4) as usize);
     Setup {
@@ -238,23 +243,22 @@
     let mut installed = 0;
     for seed in 0..120 {
         let setup = corrupted(seed);
-        let play_for_digest =
-            play(setup, schedule(&setup, 2)).unwrap_or_else(|text| panic!("{text}"));
-        installed += play_for_digest.snapshots_installed;
+        let counts = play(setup, schedule(&setup, 2)).unwrap_or_else(|text| panic!("{text}"));
+        installed += counts.snapshots_installed;
     }
     assert!(
         installed > 10,
-        "{installed} snapshots were installed: the worlds say nothing"
+        "only {installed} snapshots were installed: too few to test anything"
     );
 }
 
-/// What goes wrong first without a safeguard, if anything does.
+/// The first violation of safety in worlds without a safeguard, if any.
 fn counterexample(seeds: u64, setup: impl Fn(u64) -> Setup) -> Option<String> {
     (0..seeds).find_map(|seed| {
         let setup = setup(seed);
         let signs = ["was committed before", "out of order", "wrong snapshot"];
-        let broken = play(setup, schedule(&setup, 3)).err();
-        broken.filter(|text| signs.iter().any(|sign| text.contains(sign)))
+        let violation = play(setup, schedule(&setup, 3)).err();
+        violation.filter(|text| signs.iter().any(|sign| text.contains(sign)))
     })
 }
 
@@ -281,6 +285,9 @@
         safeguards,
         ..Setup::new(seed, 3 + (seed % 4) as usize)
     });
-    assert!(found.is_some(), "nothing went wrong");
+    assert!(
+        found.is_some(),
+        "no seed violates safety without this safeguard"
+    );
     eprintln!("{found:?}");
 }
--- a/crates/serving/chain-replication/tests/view_model.rs
+++ b/crates/serving/chain-replication/tests/view_model.rs
@@ -1,10 +1,10 @@
-//! The agreement on views, the chain within each and the change of members under a model checker: all interleavings of
-//! few members, proposal numbers, views and writes, with messages late, lost or duplicated, members lost for good, and a
-//! planner that may want anything. The model calls the code of the program where it matters: `next_view::view_after` and
-//! `View`. Each safeguard is removed in turn, and the checker has to find a history in which that breaks something.
+//! A model of the agreement on views, of the chain in each view and of membership changes. The model checker explores all
+//! interleavings of a few members, proposal numbers, views and writes, with delayed, lost and duplicated messages, members
+//! lost for good, and arbitrary plans. The model uses the program's own `next_view::view_after` and `View`. Each safeguard
+//! is removed in turn, and the checker has to find a history that violates a property.
 //!
-//! The real `Member` isn't run here: its state holds clocks and a random generator, so that no two histories ever come
-//! to the same state.
+//! The model doesn't run the real `Member`: that holds clocks and a random generator, so no two histories would reach the
+//! same state.
 
 use dunespur_chain_replication::next_view::{view_after, SealedLog};
 use dunespur_chain_replication::reconfiguration::Plan;
@@ -13,17 +13,17 @@
 use std::collections::BTreeMap;
 
 /// Members of the first view.
-const FOUNDERS: u8 = 3;
+const FIRST_MEMBERS: u8 = 3;
 const THREADS: usize = 4;
 
-/// The number of a proposal stands for its proposer: each proposes once for a view. 0 is none.
+/// Proposal numbers identify the proposer, as each member proposes at most once for a view; 0 stands for none.
 type ProposalNumber = u8;
 
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
-    /// Those beyond the members of the first view may join.
+    /// The number of machines; those that aren't members of the first view may join.
     machines: u8,
-    /// No later view is proposed.
+    /// The last view that may be proposed.
     last_view: u8,
     proposers: u8,
     losses: u8,
@@ -32,11 +32,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Safeguards {
-    /// A member accepts no other view of a number that it has installed.
+    /// A member accepts no other view with the number of a view that it has installed.
     decide_once: bool,
-    /// A member counts as synced when its log includes its predecessor's.
+    /// A member counts as synced only when its log includes its predecessor's.
     catch_up_before_sync: bool,
-    /// A wiped disk has another identity.
+    /// A machine whose disk was wiped gets another identity.
     distinguish_disks: bool,
 }
 
@@ -46,16 +46,16 @@
     distinguish_disks: true,
 };
 
-/// A decided view with members by number.
+/// A decided view, in which numbers stand for members.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Decided {
+struct ModelView {
     number: u8,
     members: Vec<u8>,
     chain: Vec<u8>,
     base: u8,
 }
 
-impl Decided {
+impl ModelView {
     fn has_member(&self, member: u8) -> bool {
         self.members.contains(&member)
     }
@@ -82,22 +82,17 @@
         }
     }
 
-    fn of(to_decided_view: &DecidedView) -> Decided {
-        Decided {
-            number: to_decided_view.number() as u8,
-            members: to_decided_view
+    fn of(decided: &DecidedView) -> ModelView {
+        ModelView {
+            number: decided.number() as u8,
+            members: decided
                 .view
                 .members
                 .iter()
                 .map(|member| member.id.disk as u8)
                 .collect(),
-            chain: to_decided_view
-                .view
-                .chain
-                .iter()
-                .map(|id| id.disk as u8)
-                .collect(),
-            base: to_decided_view.base as u8,
+            chain: decided.view.chain.iter().map(|id| id.disk as u8).collect(),
+            base: decided.base as u8,
         }
     }
 }
@@ -119,11 +114,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Member {
     lost: bool,
-    view: Option<Decided>,
+    view: Option<ModelView>,
     promised: ProposalNumber,
-    accepted: Option<(ProposalNumber, Decided)>,
+    accepted: Option<(ProposalNumber, ModelView)>,
     synced_view: u8,
-    /// The view in which each entry was written: with the index that makes it one.
+    /// The view in which each entry was written; index and view identify an entry.
     log: Vec<u8>,
 }
 
@@ -132,36 +127,36 @@
         self.view.as_ref().map_or(0, |view| view.number)
     }
 
-    fn install(&mut self, decided: &Decided) {
+    fn install(&mut self, decided: &ModelView) {
         self.view = Some(decided.clone());
         self.promised = 0;
         self.accepted = None;
     }
 }
 
-/// What a promise reports.
+/// The content of a promise.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Promise {
-    accepted: Option<(ProposalNumber, Decided)>,
+    accepted: Option<(ProposalNumber, ModelView)>,
     synced_view: u8,
     last: (u8, u8),
 }
 
-/// All messages of the agreement on one view: each may arrive late, twice or never.
+/// All messages sent in the agreement on one view. Each may arrive late, twice or never.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Messages {
     promises: BTreeMap<(ProposalNumber, u8), Promise>,
-    accepts: BTreeMap<ProposalNumber, Decided>,
+    accepts: BTreeMap<ProposalNumber, ModelView>,
     votes: Vec<(ProposalNumber, u8)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     members: Vec<Member>,
-    /// By the view that is to be decided.
-    messages_sent: BTreeMap<u8, Messages>,
-    /// Views that were decided.
-    decided: Vec<Decided>,
+    /// Messages by the number of the view to be decided.
+    messages: BTreeMap<u8, Messages>,
+    /// All decided views.
+    decided: Vec<ModelView>,
     committed: Vec<u8>,
     writes: u8,
     losses: u8,
@@ -205,7 +200,7 @@
     Lose {
         member: u8,
     },
-    /// The disk is lost and the machine comes back under the same identity.
+    /// The disk is lost, and the machine returns under the same identity.
     Wipe {
         member: u8,
     },
@@ -217,7 +212,7 @@
 }
 
 impl Core {
-    /// A promise seals the view at its member.
+    /// Whether a member participates in its chain; a promise seals the view at its member.
     fn participates(member: &Member) -> bool {
         !member.lost && member.promised == 0
     }
@@ -235,7 +230,7 @@
         member.number() > 0 && member.synced_view == member.number()
     }
 
-    /// The member of the chain from which `member` receives entries now, if there is one.
+    /// The synced predecessor from which `member` receives entries now, if there is one.
     fn upstream(state: &State, member: u8) -> Option<&Member> {
         let own = &state.members[member as usize];
         let predecessor = own.view.as_ref()?.predecessor(member)?;
@@ -243,8 +238,8 @@
         (!other.lost && other.number() == own.number() && Core::is_synced(other)).then_some(other)
     }
 
-    /// All that a planner might want: a swap, one more or one less member, and any chain that is long enough.
-    fn plans(&self, state: &State, view: &Decided) -> Vec<(Vec<u8>, Vec<u8>)> {
+    /// All plans that change at most one member (replaced, added or removed), with every chain that is long enough.
+    fn plans(&self, state: &State, view: &ModelView) -> Vec<(Vec<u8>, Vec<u8>)> {
         let joiners = (0..self.bounds.machines)
             .filter(|machine| !view.has_member(*machine) && !state.members[*machine as usize].lost);
         let joiners: Vec<u8> = joiners.collect();
@@ -280,7 +275,7 @@
         let mut plans = Vec::new();
         for members in sets {
             let majority = members.len() / 2 + 1;
-            // Survivors in their order, then the others.
+            // Members of the present chain in their order, then the others.
             let survivors = view
                 .chain
                 .iter()
@@ -305,15 +300,15 @@
         plans
     }
 
-    fn proposal(state: &State, proposer: u8, members: &[u8], chain: &[u8]) -> Option<Decided> {
+    fn proposal(state: &State, proposer: u8, members: &[u8], chain: &[u8]) -> Option<ModelView> {
         let view = state.members[proposer as usize].view.as_ref()?;
-        let messages_sent = state.messages_sent.get(&(view.number + 1))?;
+        let messages = state.messages.get(&(view.number + 1))?;
         let promises: Vec<(u8, &Promise)> = view
             .members
             .iter()
             .copied()
             .filter_map(|by| {
-                messages_sent
+                messages
                     .promises
                     .get(&(proposer + 1, by))
                     .map(|promise| (by, promise))
@@ -332,8 +327,8 @@
         let sealed: Vec<SealedLog> = promises
             .iter()
             .zip(&ids)
-            .map(|((_, promise), of)| SealedLog {
-                member: of,
+            .map(|((_, promise), id)| SealedLog {
+                member: id,
                 synced_view: promise.synced_view.into(),
                 last: Position {
                     index: promise.last.0.into(),
@@ -345,38 +340,37 @@
             members: members.iter().map(|member| peer(*member)).collect(),
             chain: chain.iter().map(|member| id(*member)).collect(),
         };
-        view_after(&view.to_decided_view(), plan, &sealed).map(|next| Decided::of(&next))
+        view_after(&view.to_decided_view(), plan, &sealed).map(|next| ModelView::of(&next))
     }
 
-    /// A disk may be lost; without the safeguard the machine comes back under the same identity.
+    /// A disk may be lost; without the safeguard the machine returns under the same identity.
     fn loss(&self, state: &State, member: u8, actions: &mut Vec<Action>) {
         if state.losses >= self.bounds.losses {
             return;
         }
-        let apart = self.safeguards.distinguish_disks;
-        actions.push(if apart {
+        actions.push(if self.safeguards.distinguish_disks {
             Action::Lose { member }
         } else {
             Action::Wipe { member }
         });
     }
 
-    /// Promises, acceptances and installations of decided views. A proposal's first message may arrive at any time.
+    /// Adds promises, acceptances and installations of decided views. A `Prepare` message may arrive at any time.
     fn votes(&self, state: &State, by: u8, actions: &mut Vec<Action>) {
         let member = &state.members[by as usize];
-        let later = |(_, view): &(usize, &Decided)| view.number > member.number();
+        let later = |(_, view): &(usize, &ModelView)| view.number > member.number();
         let unknown = state.decided.iter().enumerate().filter(later);
         actions.extend(unknown.map(|(decided, _)| Action::InstallView { by, decided }));
         for number in 2..=self.bounds.last_view {
-            let is_voter = |view: &Decided| view.number + 1 == number && view.has_member(by);
+            let is_voter = |view: &ModelView| view.number + 1 == number && view.has_member(by);
             if !self.votes_on(member, number) || !state.decided.iter().any(is_voter) {
                 continue;
             }
-            let nothing = Messages::default();
-            let messages_sent = state.messages_sent.get(&number).unwrap_or(&nothing);
+            let no_messages = Messages::default();
+            let messages = state.messages.get(&number).unwrap_or(&no_messages);
             for proposal_number in 1..=self.bounds.proposers {
                 if member.promised < proposal_number
-                    && !messages_sent.promises.contains_key(&(proposal_number, by))
+                    && !messages.promises.contains_key(&(proposal_number, by))
                 {
                     actions.push(Action::Promise {
                         by,
@@ -385,9 +379,9 @@
                     });
                 }
             }
-            for proposal_number in messages_sent.accepts.keys().copied() {
+            for proposal_number in messages.accepts.keys().copied() {
                 if member.promised <= proposal_number
-                    && !messages_sent.votes.contains(&(proposal_number, by))
+                    && !messages.votes.contains(&(proposal_number, by))
                 {
                     actions.push(Action::Vote {
                         by,
@@ -399,22 +393,22 @@
         }
     }
 
-    /// With the promises of a majority, whatever the planner may want.
+    /// Adds, once a majority has promised, the proposal of every possible plan.
     fn proposals(&self, state: &State, proposer: u8, actions: &mut Vec<Action>) {
         let Some(view) = &state.members[proposer as usize].view else {
             return;
         };
-        let Some(messages_sent) = state.messages_sent.get(&(view.number + 1)) else {
+        let Some(messages) = state.messages.get(&(view.number + 1)) else {
             return;
         };
         let own = proposer + 1;
-        if proposer >= self.bounds.proposers || messages_sent.accepts.contains_key(&own) {
+        if proposer >= self.bounds.proposers || messages.accepts.contains_key(&own) {
             return;
         }
         let promised = view
             .members
             .iter()
-            .filter(|by| messages_sent.promises.contains_key(&(own, **by)))
+            .filter(|by| messages.promises.contains_key(&(own, **by)))
             .count();
         if promised < view.majority() {
             return;
@@ -456,12 +450,12 @@
         }
     }
 
-    /// With the acceptances of a majority a view is decided; members learn of it later.
+    /// Decides a view once a majority has accepted it; members learn of it later.
     fn decide(state: &mut State, number: u8, proposal_number: ProposalNumber) {
-        let messages_sent = &state.messages_sent[&number];
-        let proposal = messages_sent.accepts[&proposal_number].clone();
-        let by_majority = |view: &&Decided| {
-            let votes = messages_sent
+        let messages = &state.messages[&number];
+        let proposal = messages.accepts[&proposal_number].clone();
+        let by_majority = |view: &&ModelView| {
+            let votes = messages
                 .votes
                 .iter()
                 .filter(|(of, by)| *of == proposal_number && view.has_member(*by));
@@ -475,7 +469,7 @@
         }
     }
 
-    /// What is in the tail's log is committed.
+    /// Commits the log of a synced tail, and detects lost commits.
     fn commit(state: &mut State) {
         for index in 0..state.members.len() {
             let member = &state.members[index];
@@ -492,7 +486,7 @@
                 .decided
                 .iter()
                 .all(|view| view.number <= member.number());
-            // A tail that was removed may lack what was committed since; it must not have anything else.
+            // A tail that was removed may lack later commits, but its log must not differ from them.
             let lacks = newest && log.len() < state.committed.len();
             if lacks || log[..common] != state.committed[..common] {
                 state.lost_commit = true;
@@ -515,13 +509,13 @@
                 member.log.last().copied().unwrap_or(0),
             ),
         };
-        let messages = self.messages_sent.entry(number).or_default();
+        let messages = self.messages.entry(number).or_default();
         messages.promises.insert((proposal_number, by), promise);
     }
 
-    /// None if there is no such proposal.
+    /// Accepts a proposal; none if there is no proposal of this number.
     fn accept(&mut self, by: u8, number: u8, proposal_number: ProposalNumber) -> Option<()> {
-        let messages = self.messages_sent.entry(number).or_default();
+        let messages = self.messages.entry(number).or_default();
         let proposal = messages.accepts.get(&proposal_number)?.clone();
         messages.votes.push((proposal_number, by));
         messages.votes.sort_unstable();
@@ -531,7 +525,7 @@
         Some(())
     }
 
-    /// The member counts as synced, with the log of its predecessor.
+    /// Syncs a member: it takes over its predecessor's log.
     fn sync(&mut self, member: u8) {
         let log = Core::upstream(self, member).map(|other| other.log.clone());
         let own = &mut self.members[member as usize];
@@ -541,7 +535,7 @@
         }
     }
 
-    /// A learner takes over the tail's log; none if there is nothing to learn.
+    /// A learner takes over the tail's log; none if the learner has that log already.
     fn learn(&mut self, member: u8) -> Option<()> {
         let own = &self.members[member as usize];
         let tail = *own.view.as_ref()?.chain.last()?;
@@ -569,21 +563,21 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let founders: Vec<u8> = (0..FOUNDERS).collect();
-        let first = Decided {
+        let first_members: Vec<u8> = (0..FIRST_MEMBERS).collect();
+        let first = ModelView {
             number: 1,
-            members: founders.clone(),
-            chain: founders,
+            members: first_members.clone(),
+            chain: first_members,
             base: 0,
         };
         let member = |machine: u8| Member {
-            view: (machine < FOUNDERS).then(|| first.clone()),
-            synced_view: u8::from(machine < FOUNDERS),
+            view: (machine < FIRST_MEMBERS).then(|| first.clone()),
+            synced_view: u8::from(machine < FIRST_MEMBERS),
             ..Member::default()
         };
         vec![State {
             members: (0..self.bounds.machines).map(member).collect(),
-            messages_sent: BTreeMap::new(),
+            messages: BTreeMap::new(),
             decided: vec![first.clone()],
             committed: Vec::new(),
             writes: 0,
@@ -618,7 +612,7 @@
                 chain,
             } => {
                 let proposal = Core::proposal(&state, proposer, &members, &chain)?;
-                let messages = state.messages_sent.entry(proposal.number).or_default();
+                let messages = state.messages.entry(proposal.number).or_default();
                 messages.accepts.insert(proposer + 1, proposal);
             }
             Action::Vote {
@@ -655,15 +649,17 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one view of a number", |_, state: &State| !state.two_views),
-            Property::always("what is committed stays", |_, state: &State| {
+            Property::always("at most one view per number", |_, state: &State| {
+                !state.two_views
+            }),
+            Property::always("commits are never lost", |_, state: &State| {
                 !state.lost_commit
             }),
             Property::sometimes(
                 "a write is committed after a joiner became a member",
                 |_, state: &State| {
-                    let changed = |view: &Decided| {
-                        view.has_member(FOUNDERS) && view.chain.contains(&FOUNDERS)
+                    let changed = |view: &ModelView| {
+                        view.has_member(FIRST_MEMBERS) && view.chain.contains(&FIRST_MEMBERS)
                     };
                     state.committed.iter().any(|number| *number > 1)
                         && state.decided.iter().any(changed)
@@ -675,8 +671,8 @@
 
 const REACHED: &str = "a write is committed after a joiner became a member";
 
-/// What goes wrong without some safeguards.
-fn broken(safeguards: Safeguards, bounds: Bounds) -> Vec<&'static str> {
+/// The properties that are violated without some safeguards.
+fn violated(safeguards: Safeguards, bounds: Bounds) -> Vec<&'static str> {
     let checker = Core { safeguards, bounds }.checker().threads(THREADS);
     let checker = checker
         .finish_when(HasDiscoveries::AnyFailures)
@@ -716,8 +712,11 @@
     let failed = found.into_iter().find(|(name, _)| *name != REACHED);
     let failed = failed.map(|(name, path)| (name, path.into_actions()));
     assert!(failed.is_none(), "{failed:#?}");
-    let may_reach = bounds.machines > FOUNDERS && bounds.writes > 0;
-    assert_eq!(reached, may_reach, "whether the model plays what it is for");
+    let may_reach = bounds.machines > FIRST_MEMBERS && bounds.writes > 0;
+    assert_eq!(
+        reached, may_reach,
+        "whether a write was committed after a change of members"
+    );
 }
 
 #[test]
@@ -782,36 +781,36 @@
         writes: 0,
     };
     let calm = Bounds { losses: 0, ..loss };
-    let broken_commit = ["what is committed stays"];
-    let broken_view = ["one view of a number"];
+    let lost_commits = ["commits are never lost"];
+    let two_views_of_a_number = ["at most one view per number"];
     assert_eq!(
-        broken(
+        violated(
             Safeguards {
                 catch_up_before_sync: false,
                 ..ALL
             },
             joiner
         ),
-        broken_commit
+        lost_commits
     );
     assert_eq!(
-        broken(
+        violated(
             Safeguards {
                 distinguish_disks: false,
                 ..ALL
             },
             loss
         ),
-        broken_view
+        two_views_of_a_number
     );
     assert_eq!(
-        broken(
+        violated(
             Safeguards {
                 decide_once: false,
                 ..ALL
             },
             calm
         ),
-        broken_view
+        two_views_of_a_number
     );
 }
--- a/crates/serving/chain-replication/tests/world/checks.rs
+++ b/crates/serving/chain-replication/tests/world/checks.rs
@@ -1,21 +1,21 @@
-//! What tests check of a world.
+//! Checks of a world's state.
 
-use super::{Verdict, World, FIRST_MOMENT};
+use super::{Verdict, World, CLOCK_START};
 use dunespur_chain_replication::{Member, Millis, View};
 
 impl World {
-    /// Payloads from now on are watched for their commit.
-    pub fn watch_fresh(&mut self) {
-        self.fresh.clear();
-        self.fresh_since = self.now;
-        self.fresh_committed_at = None;
+    /// Watches for the commit of payloads that are submitted from now on.
+    pub fn watch_new_payloads(&mut self) {
+        self.watched_payloads.clear();
+        self.watched_since = self.now;
+        self.watched_committed_at = None;
     }
 
     pub fn committed_count(&self) -> usize {
         self.sequence.len()
     }
 
-    /// The longest time without a commit since then, and until now.
+    /// The longest time without a commit, from `since` until now.
     pub fn longest_commit_gap(&self, since: Millis) -> Millis {
         let times = self
             .commit_times
@@ -43,7 +43,7 @@
         process.is_some_and(|process| {
             process
                 .member
-                .has_quorum(self.now - process.clock_zero + FIRST_MOMENT)
+                .has_quorum(self.now - process.started_at + CLOCK_START)
         })
     }
 
@@ -54,9 +54,10 @@
             .map(|process| &process.member)
     }
 
-    /// All running machines are in the chain of one view, know it, and have applied all commits but the newest.
+    /// Checks that all running machines are in the chain of the newest view, know that view, have a quorum, and lack at most
+    /// `max_behind` commits.
     pub fn check_complete(&self, max_behind: u64) -> Verdict {
-        let newest = self.newest_view().ok_or("no view")?;
+        let newest = self.newest_view().ok_or("no view was installed")?;
         for index in self.running() {
             let member = self.member(index).ok_or("not running")?;
             let view = member
@@ -91,6 +92,7 @@
         Ok(())
     }
 
+    /// Prefixes a text with the seed and the time.
     pub fn describe(&self, text: String) -> String {
         format!("seed {} at {} ms: {text}", self.setup.seed, self.now)
     }
--- a/crates/serving/chain-replication/tests/world/digest.rs
+++ b/crates/serving/chain-replication/tests/world/digest.rs
@@ -1,21 +1,21 @@
-//! The digest of a world: of all outputs of its members and their times, and of the random draws of the world itself.
+//! The digest of a world covers all outputs of its members with their times, and the random draws of the world itself.
 //!
-//! It is taken over encoded messages and records, not over names or texts, so it stays while the code is renamed and
-//! rearranged. Another digest means another behaviour: other bytes, times, decisions or draws.
+//! It covers encoded messages and records, not names or texts, so it doesn't change when code is renamed or rearranged.
+//! A changed digest means changed behaviour: other bytes, times, decisions or draws.
 
 use super::World;
 use dunespur_chain_replication::{Millis, Output};
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The outputs of members so far.
+/// The hash of all outputs of members so far.
 #[derive(Default)]
 pub struct Record {
     hash: Xxh3,
 }
 
 impl Record {
-    /// A member has handled an input, with these outputs, and wants its next tick then.
+    /// Records one step of a member: its time, its outputs and the time of its next tick.
     pub(super) fn stepped(
         &mut self,
         now: Millis,
@@ -46,7 +46,7 @@
     }
 
     fn add(&mut self, tag: u8, value: &impl Serialize) {
-        let bytes = postcard::to_stdvec(value).expect("a value in memory can be written");
+        let bytes = postcard::to_stdvec(value).expect("a value can be encoded");
         self.hash.update(&[tag]);
         self.hash.update(&(bytes.len() as u64).to_le_bytes());
         self.hash.update(&bytes);
@@ -54,12 +54,12 @@
 }
 
 impl World {
-    /// From now on all outputs of members go into the digest.
+    /// Starts to record the outputs of members.
     pub fn begin_record(&mut self) {
         self.record = Some(Record::default());
     }
 
-    /// The digest of what was recorded, of the commits, and of how far the world's own draws have come.
+    /// The digest of the record, of the commits, and of the state of the world's random generator.
     pub fn digest(&mut self) -> u64 {
         let mut record = self.record.take().expect("the record was begun");
         record.add(
--- a/crates/serving/chain-replication/tests/world/fault_tolerance.rs
+++ b/crates/serving/chain-replication/tests/world/fault_tolerance.rs
@@ -1,26 +1,26 @@
-//! How long the core tolerates fewer losses than it has to after a change of its machines.
+//! Measures how long after a change of its machines the core tolerates fewer losses than required.
 
 use super::{Setup, World};
 use dunespur_chain_replication::{DurableState, Input, Millis, View};
 
-/// The first view is in force by then, and the core is calm.
+/// By this time the first view is in force and the core is stable.
 const CALM: Millis = 2_500;
-/// How finely windows are measured.
+/// Resolution at which windows are measured.
 const SAMPLE_EVERY: Millis = 10;
-/// A process that was requested to end does so at most this long after.
+/// Longest time for which a leaving process drains before it ends.
 const LONGEST_DRAIN: u64 = 8_000;
-/// After the last step, the core is watched for this long.
+/// How long the core is watched after the last step.
 const WATCHED_FOR: Millis = 5_000;
 
 /// Commits that a machine may lack when the core counts as complete again.
 const MAX_BEHIND: u64 = 40;
 
-/// What happens to the machines of a core that is calm otherwise.
+/// A change of the machines of a core that is otherwise without faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     KillAndReturn,
     WipeAndReturn,
-    /// A machine is lost for good; one of another name and with an empty disk comes 1 to 3 s later.
+    /// A machine is lost for good; a machine with another name and an empty disk starts 1 to 3 s later.
     UnplannedReplacement,
     /// The replacement starts; later the machine is requested to leave and drains for up to 8 s.
     PlannedReplacement,
@@ -41,7 +41,7 @@
         Change::RollingRestart,
     ];
 
-    /// Machines that are there for good once the change is over.
+    /// The number of machines that remain after the change.
     fn machines_after(self, machines: usize) -> usize {
         match self {
             Change::Addition => machines + 1,
@@ -50,14 +50,14 @@
         }
     }
 
-    /// Losses that the core has to tolerate after the change: those of its deployment, if as many machines are left as
-    /// that takes.
+    /// The number of losses that the core has to tolerate after the change: that of the original number of machines, or of
+    /// the remaining ones if these are too few.
     pub fn losses_to_tolerate(self, machines: usize) -> usize {
         tolerated(machines).min(tolerated(self.machines_after(machines)))
     }
 }
 
-/// The losses that a core of so many machines is deployed to tolerate.
+/// The number of losses that a core of this many machines has to tolerate.
 pub fn tolerated(machines: usize) -> usize {
     (machines - 1) / 2
 }
@@ -77,18 +77,18 @@
     },
     /// A new machine with an empty disk starts.
     Add,
-    /// SIGTERM: the machine may end at any moment from now on.
+    /// The machine receives SIGTERM, and may end at any time from now on.
     Leave {
         machine: usize,
     },
-    /// It has ended and does not restart.
+    /// The machine ends and does not restart.
     Remove {
         machine: usize,
         with_power: bool,
     },
 }
 
-/// The steps of a change, and when the event ends that the window is counted from.
+/// The steps of a change, and the time from which the window is measured.
 struct Script {
     steps: Vec<(Millis, Step)>,
     ends_at: Millis,
@@ -112,9 +112,9 @@
                         with_power,
                     },
                 );
-                let back = begin + world.rng.u64(50..6_000);
-                script.push(back, Step::Start { machine });
-                script.ends_at = back;
+                let returns = begin + world.rng.u64(50..6_000);
+                script.push(returns, Step::Start { machine });
+                script.ends_at = returns;
             }
             Change::WipeAndReturn => {
                 script.push(
@@ -125,9 +125,9 @@
                     },
                 );
                 script.push(begin, Step::Wipe { machine });
-                let back = begin + world.rng.u64(50..6_000);
-                script.push(back, Step::Start { machine });
-                script.ends_at = back;
+                let returns = begin + world.rng.u64(50..6_000);
+                script.push(returns, Step::Start { machine });
+                script.ends_at = returns;
             }
             Change::UnplannedReplacement => {
                 script.push(
@@ -137,9 +137,9 @@
                         with_power,
                     },
                 );
-                let comes = begin + world.rng.u64(1_000..=3_000);
-                script.push(comes, Step::Add);
-                script.ends_at = comes;
+                let starts = begin + world.rng.u64(1_000..=3_000);
+                script.push(starts, Step::Add);
+                script.ends_at = starts;
             }
             Change::PlannedReplacement => {
                 script.push(begin, Step::Add);
@@ -151,7 +151,7 @@
             Change::PlannedLeaving => {
                 script.push_planned_end(machine, begin, world.rng.u64(20..LONGEST_DRAIN));
             }
-            Change::RollingRestart => script.push_roll(begin, world),
+            Change::RollingRestart => script.push_rolling_restart(begin, world),
         }
         script
     }
@@ -171,7 +171,7 @@
         );
     }
 
-    fn push_roll(&mut self, begin: Millis, world: &mut World) {
+    fn push_rolling_restart(&mut self, begin: Millis, world: &mut World) {
         let mut leaves = begin;
         for machine in 0..world.setup.machines {
             let ends = leaves + world.rng.u64(20..3_000);
@@ -190,7 +190,7 @@
         }
     }
 
-    /// When the core has been watched for long enough.
+    /// The time until which the core is watched.
     fn watched_until(&self) -> Millis {
         let last = self
             .steps
@@ -202,13 +202,14 @@
     }
 }
 
-/// The time from the end of the event until every set of the losses that have to be tolerated leaves a majority and a
-/// replica of all that was acknowledged, from then on for as long as is watched.
+/// Measures a window: the time from the end of the change until the core tolerates every set of losses that it has to, and
+/// keeps doing so while it is watched. A set is tolerated if it leaves a majority and a replica of everything
+/// acknowledged.
 pub fn window(change: Change, machines: usize, seed: u64) -> Result<Millis, String> {
     window_in(&mut World::new(setup(machines, seed)), change)
 }
 
-/// How the world of a window is set up.
+/// The setup of a world in which a window is measured.
 pub fn setup(machines: usize, seed: u64) -> Setup {
     Setup {
         write_every: 25,
@@ -216,12 +217,12 @@
     }
 }
 
-/// As [`window`], in a world that was just made.
+/// As [`window`], in a newly created world.
 pub fn window_in(world: &mut World, change: Change) -> Result<Millis, String> {
     let machines = world.setup.machines;
     world.play_to(CALM)?;
-    let all = &[];
-    if !world.tolerates(tolerated(machines), all) {
+    let leaving = &[];
+    if !world.tolerates(tolerated(machines), leaving) {
         return Err(world.describe("too few losses are tolerated before the change".into()));
     }
     let script = Script::random(change, world);
@@ -269,7 +270,7 @@
             }
             Step::Leave { machine } => {
                 leaving.push(machine);
-                self.take(machine, Input::Leave);
+                self.give_input(machine, Input::Leave);
             }
             Step::Remove {
                 machine,
@@ -281,54 +282,54 @@
         }
     }
 
-    /// Whether any `losses` of the running machines may be lost, and those that are leaving with them, without the end
-    /// of the core.
+    /// Whether the core survives the loss of all leaving machines together with any `losses` of the other running ones.
     fn tolerates(&self, losses: usize, leaving: &[usize]) -> bool {
-        let there: Vec<usize> = self
+        let present: Vec<usize> = self
             .running()
             .into_iter()
             .filter(|machine| !leaving.contains(machine))
             .collect();
-        let left_by = |lost: Vec<usize>| {
-            there
+        let remaining_after = |lost: Vec<usize>| {
+            present
                 .iter()
                 .copied()
                 .filter(|machine| !lost.contains(machine))
                 .collect::<Vec<usize>>()
         };
-        let mut rests = subsets(&there, losses).map(left_by);
-        rests.all(|left| self.is_enough(&left))
+        let mut remaining_sets = subsets(&present, losses).map(remaining_after);
+        remaining_sets.all(|remaining| self.can_continue(&remaining))
     }
 
-    /// Whether these machines alone can decide on the next view, and one of them may head it and has all that was
-    /// acknowledged. Counts what is on their disks.
-    fn is_enough(&self, left: &[usize]) -> bool {
+    /// Whether these machines alone can decide the next view, with a head among them that has everything acknowledged. Only
+    /// their durable state counts.
+    fn can_continue(&self, remaining: &[usize]) -> bool {
         let Some(newest) = self.newest_view() else {
             return false;
         };
-        let known = left
+        let known = remaining
             .iter()
             .filter_map(|machine| self.member(*machine)?.view())
             .map(|view| view.number)
             .max();
         let Some(known) = known else { return false };
-        // From the newest view that any of them knows, they decide again on those up to the newest one.
+        // Starting at the newest view that any of them knows, they have to decide each view up to the newest one again.
         let decides = self
             .views
             .range(known..)
-            .all(|(_, view)| self.members_left(view, left).len() >= view.majority());
-        decides && self.has_all_commits(newest, left)
+            .all(|(_, view)| self.remaining_members(view, remaining).len() >= view.majority());
+        decides && self.has_all_commits(newest, remaining)
     }
 
-    fn members_left(&self, view: &View, left: &[usize]) -> Vec<usize> {
-        left.iter()
+    fn remaining_members(&self, view: &View, remaining: &[usize]) -> Vec<usize> {
+        remaining
+            .iter()
             .copied()
             .filter(|machine| view.has_member(&self.id(*machine)))
             .collect()
     }
 
-    fn has_all_commits(&self, view: &View, left: &[usize]) -> bool {
-        let voters = self.members_left(view, left);
+    fn has_all_commits(&self, view: &View, remaining: &[usize]) -> bool {
+        let voters = self.remaining_members(view, remaining);
         let disk = |machine: &usize| &self.machines[*machine].durable;
         let Some(base) = self.base_of(view.number) else {
             return false;
@@ -337,15 +338,15 @@
             .iter()
             .any(|voter| disk(voter).synced_view == view.number);
         let in_chain = voters.iter().any(|voter| view.in_chain(&self.id(*voter)));
-        let enough = if synced_now { view.number } else { base };
-        let verify = |voter: &usize| {
-            disk(voter).synced_view >= enough
+        let required_view = if synced_now { view.number } else { base };
+        let is_complete = |voter: &usize| {
+            disk(voter).synced_view >= required_view
                 && end_of_log(disk(voter)) >= self.committed_count() as u64
         };
-        (synced_now || in_chain) && voters.iter().any(verify)
+        (synced_now || in_chain) && voters.iter().any(is_complete)
     }
 
-    /// The base of a view, if the view is on any disk, be it decided or accepted.
+    /// The base of the newest view, if that has this number and is on any disk, decided or accepted.
     fn base_of(&self, number: u64) -> Option<u64> {
         let decided = self
             .machines
@@ -374,7 +375,7 @@
         .map_or(snapshot, |entry| entry.index())
 }
 
-/// All sets of `size` of these.
+/// All subsets with `size` elements.
 fn subsets(of: &[usize], size: usize) -> impl Iterator<Item = Vec<usize>> + '_ {
     let chosen = move |bits: u32| {
         let members = of
--- a/crates/serving/chain-replication/tests/world/faults.rs
+++ b/crates/serving/chain-replication/tests/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, and seeded schedules of them.
+//! Faults, and seeded schedules of faults.
 
 use super::{Setup, World};
 use dunespur_chain_replication::{Input, Millis};
@@ -6,22 +6,22 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// The process ends, connections are reset, and it starts again.
+    /// The process ends, its connections are reset, and it restarts.
     Kill {
         machine: usize,
         back_after: Millis,
     },
-    /// Power is lost; no connection is reset.
+    /// The machine loses power, without a reset of its connections, and restarts.
     PowerLoss {
         machine: usize,
         back_after: Millis,
     },
-    /// Power is lost and the disk with it.
+    /// The machine loses power and its disk, and restarts.
     Wipe {
         machine: usize,
         back_after: Millis,
     },
-    /// The machine is lost for good and another starts, with another name and address.
+    /// The machine is lost for good, and a machine with another name and address starts.
     Replace {
         machine: usize,
         back_after: Millis,
@@ -104,7 +104,7 @@
                 machine,
                 back_after,
             } => {
-                self.input(machine, Input::Leave);
+                self.step_member(machine, Input::Leave);
                 let fault = Fault::Kill {
                     machine,
                     back_after,
@@ -115,8 +115,8 @@
                 let joiner = self.add_machine(false);
                 self.start_at(joiner, self.now);
             }
-            Fault::Duplicating { on } => self.duplicating = on,
-            Fault::Losing { on } => self.losing = on,
+            Fault::Duplicating { on } => self.duplicates_messages = on,
+            Fault::Losing { on } => self.loses_messages = on,
         }
     }
 
@@ -129,11 +129,11 @@
     }
 }
 
-/// After a loss of a disk, and before one, this long without other faults: what is lost at once stays bounded.
+/// Time without faults before and after a loss of disks, which bounds the number of replicas lost at once.
 const CATCH_UP: Millis = 4_200;
 const FIRST_FAULT: Millis = 2_500;
 
-/// Faults with their times, and when the last of them ends.
+/// Faults with their times, and the time at which the last fault ends.
 pub struct Schedule {
     pub faults: Vec<(Millis, Fault)>,
     pub ends_at: Millis,
@@ -147,7 +147,7 @@
     ends_at: Millis,
 }
 
-/// Phases of faults: some with any mixture that leaves the disks, some that lose disks within what must be tolerated.
+/// A schedule in phases: some mix all faults that spare the disks, others lose as many disks as must be tolerated at most.
 pub fn schedule(setup: &Setup, phases: usize) -> Schedule {
     let mut planner = Planner {
         rng: Rng::with_seed(setup.seed ^ 0x5EED),
@@ -169,14 +169,15 @@
     }
 }
 
-/// How long a storm lasts, and the longest time between two of its faults.
+/// Duration of a storm.
 const STORM_LASTS: Millis = 12_000;
 const EARLIEST_STORM: Millis = 350;
+/// Longest time between the starts of two faults of a storm.
 const STORM_GAP: Millis = 350;
-/// Few of its faults last longer than it takes to detect them.
+/// Longest duration of a fault of a storm; few last longer than their detection takes.
 const STORM_FAULT: Millis = 1_300;
 
-/// Short faults one upon the other, so that changes of view overlap. Disks stay.
+/// A schedule of short faults in quick succession, so that changes of view overlap. No disk is lost.
 pub fn storm(setup: &Setup) -> Schedule {
     let mut planner = Planner {
         rng: Rng::with_seed(setup.seed ^ 0x5707),
@@ -205,42 +206,42 @@
 }
 
 impl Planner {
-    /// One fault of a storm.
+    /// Adds a random fault of a storm.
     fn storm_fault(&mut self, at: Millis) {
-        let machine = self.any();
-        let other = self.any();
-        let lasts = 5 + self.rng.u64(0..STORM_FAULT);
+        let machine = self.draw_machine();
+        let other = self.draw_machine();
+        let duration = 5 + self.rng.u64(0..STORM_FAULT);
         match self.rng.u32(0..12) {
-            0 | 1 => self.ends(
+            0 | 1 => self.push_lasting(
                 at,
                 Fault::Kill {
                     machine,
-                    back_after: lasts,
+                    back_after: duration,
                 },
-                lasts,
+                duration,
             ),
-            2 | 3 => self.ends(
+            2 | 3 => self.push_lasting(
                 at,
                 Fault::PowerLoss {
                     machine,
-                    back_after: lasts,
+                    back_after: duration,
                 },
-                lasts,
+                duration,
             ),
             4 => {
                 self.push(at, Fault::Freeze { machine });
-                self.push(at + lasts, Fault::Thaw { machine });
+                self.push(at + duration, Fault::Thaw { machine });
             }
-            5 => self.partition_for(at, lasts, machine, other, true, false),
-            6 => self.partition_for(at, lasts, machine, other, true, true),
+            5 => self.partition_for(at, duration, machine, other, true, false),
+            6 => self.partition_for(at, duration, machine, other, true, true),
             7 => {
                 let outward = self.rng.bool();
-                self.isolate(at, lasts, machine, outward, !outward);
+                self.isolate(at, duration, machine, outward, !outward);
             }
-            8 => self.isolate(at, lasts, machine, true, true),
+            8 => self.isolate(at, duration, machine, true, true),
             9 => {
                 self.push(at, Fault::StallDisk { machine });
-                self.push(at + lasts, Fault::UnstallDisk { machine });
+                self.push(at + duration, Fault::UnstallDisk { machine });
             }
             10 => {
                 let on = self.rng.bool();
@@ -257,7 +258,7 @@
         }
     }
 
-    fn any(&mut self) -> usize {
+    fn draw_machine(&mut self) -> usize {
         self.available[self.rng.usize(..self.available.len())]
     }
 
@@ -266,7 +267,7 @@
         self.ends_at = self.ends_at.max(at);
     }
 
-    /// A duration, mostly around the protocol's own timeouts.
+    /// Draws a duration, mostly near the protocol's timeouts.
     fn draw_duration(&mut self) -> Millis {
         match self.rng.u32(0..3) {
             0 => self.rng.u64(5..200),
@@ -280,48 +281,48 @@
         let count = self.rng.usize(1..5);
         for _ in 0..count {
             let at = begin + self.rng.u64(0..1_500);
-            self.one_fault(at);
+            self.random_fault(at);
         }
     }
 
-    fn one_fault(&mut self, at: Millis) {
-        let machine = self.any();
-        let other = self.any();
-        let lasts = self.draw_duration();
+    fn random_fault(&mut self, at: Millis) {
+        let machine = self.draw_machine();
+        let other = self.draw_machine();
+        let duration = self.draw_duration();
         match self.rng.u32(0..14) {
-            0 => self.ends(
+            0 => self.push_lasting(
                 at,
                 Fault::Kill {
                     machine,
-                    back_after: lasts,
+                    back_after: duration,
                 },
-                lasts,
+                duration,
             ),
-            1 => self.ends(
+            1 => self.push_lasting(
                 at,
                 Fault::PowerLoss {
                     machine,
-                    back_after: lasts,
+                    back_after: duration,
                 },
-                lasts,
+                duration,
             ),
             2 => self.end_all(at),
             3 | 4 => {
                 self.push(at, Fault::Freeze { machine });
-                self.push(at + lasts, Fault::Thaw { machine });
+                self.push(at + duration, Fault::Thaw { machine });
             }
-            5 => self.partition_for(at, lasts, machine, other, true, false),
-            6 => self.partition_for(at, lasts, machine, other, true, true),
-            7 => self.isolate(at, lasts, machine, true, false),
-            8 => self.isolate(at, lasts, machine, false, true),
-            9 => self.isolate(at, lasts, machine, true, true),
+            5 => self.partition_for(at, duration, machine, other, true, false),
+            6 => self.partition_for(at, duration, machine, other, true, true),
+            7 => self.isolate(at, duration, machine, true, false),
+            8 => self.isolate(at, duration, machine, false, true),
+            9 => self.isolate(at, duration, machine, true, true),
             10 => {
                 self.push(at, Fault::StallDisk { machine });
-                self.push(at + lasts, Fault::UnstallDisk { machine });
+                self.push(at + duration, Fault::UnstallDisk { machine });
             }
             11 => {
                 self.push(at, Fault::Duplicating { on: true });
-                self.push(at + lasts, Fault::Duplicating { on: false });
+                self.push(at + duration, Fault::Duplicating { on: false });
                 self.push(
                     at,
                     Fault::Reset {
@@ -332,20 +333,20 @@
             }
             12 => {
                 self.push(at, Fault::Losing { on: true });
-                self.push(at + lasts, Fault::Losing { on: false });
+                self.push(at + duration, Fault::Losing { on: false });
             }
-            _ => self.ends(
+            _ => self.push_lasting(
                 at,
                 Fault::Leave {
                     machine,
-                    back_after: lasts,
+                    back_after: duration,
                 },
-                lasts + 300,
+                duration + 300,
             ),
         }
     }
 
-    /// All processes end at once, some with their power.
+    /// Ends all processes at once, some by a loss of power.
     fn end_all(&mut self, at: Millis) {
         for machine in self.available.clone() {
             let back_after = 100 + self.rng.u64(0..900);
@@ -360,50 +361,57 @@
                     back_after,
                 }
             };
-            self.ends(at, fault, back_after);
+            self.push_lasting(at, fault, back_after);
         }
     }
 
-    fn ends(&mut self, at: Millis, fault: Fault, lasts: Millis) {
+    fn push_lasting(&mut self, at: Millis, fault: Fault, duration: Millis) {
         self.push(at, fault);
-        self.ends_at = self.ends_at.max(at + lasts);
+        self.ends_at = self.ends_at.max(at + duration);
     }
 
     fn partition_for(
         &mut self,
         at: Millis,
-        lasts: Millis,
+        duration: Millis,
         one: usize,
         other: usize,
-        there: bool,
-        back: bool,
+        outward: bool,
+        inward: bool,
     ) {
-        for (from, to, partition) in [(one, other, there), (other, one, back)] {
+        for (from, to, partition) in [(one, other, outward), (other, one, inward)] {
             if partition && from != to {
                 self.push(at, Fault::Partition { from, to });
-                self.push(at + lasts, Fault::Heal { from, to });
+                self.push(at + duration, Fault::Heal { from, to });
             }
         }
     }
 
-    fn isolate(&mut self, at: Millis, lasts: Millis, machine: usize, outward: bool, inward: bool) {
+    fn isolate(
+        &mut self,
+        at: Millis,
+        duration: Millis,
+        machine: usize,
+        outward: bool,
+        inward: bool,
+    ) {
         for other in self.available.clone() {
-            self.partition_for(at, lasts, machine, other, outward, inward);
+            self.partition_for(at, duration, machine, other, outward, inward);
         }
     }
 
-    /// Disks are lost, no more of them than must be tolerated, sometimes while all others are killed or lose power.
+    /// Loses disks, at most as many as must be tolerated, sometimes while all other machines lose power.
     fn lose_disks(&mut self) {
         let at = self.ends_at + CATCH_UP + self.rng.u64(0..500);
-        let borne = (self.available.len() - 1) / 2;
-        let lost = self.rng.usize(1..=borne);
-        let mut rest = self.available.clone();
-        self.rng.shuffle(&mut rest);
-        let victims = rest.split_off(rest.len() - lost);
-        for machine in victims {
+        let tolerated = (self.available.len() - 1) / 2;
+        let lost = self.rng.usize(1..=tolerated);
+        let mut others = self.available.clone();
+        self.rng.shuffle(&mut others);
+        let lost_machines = others.split_off(others.len() - lost);
+        for machine in lost_machines {
             let back_after = self.rng.u64(100..2_000);
             if self.rng.u32(0..3) == 0 {
-                self.ends(
+                self.push_lasting(
                     at,
                     Fault::Replace {
                         machine,
@@ -416,7 +424,7 @@
                 self.available.retain(|other| *other != machine);
                 self.available.push(joiner);
             } else {
-                self.ends(
+                self.push_lasting(
                     at,
                     Fault::Wipe {
                         machine,
@@ -427,9 +435,9 @@
             }
         }
         if self.rng.bool() {
-            for machine in rest {
+            for machine in others {
                 let back_after = 100 + self.rng.u64(0..900);
-                self.ends(
+                self.push_lasting(
                     at,
                     Fault::PowerLoss {
                         machine,
@@ -439,49 +447,50 @@
                 );
             }
         }
-        // The replacements count as lost for this long.
+        // The machines without their disks count as lost until they have caught up.
         self.ends_at += CATCH_UP;
     }
 }
 
-/// How long after the last fault a write must have been committed, and everyone must be back in the chain.
+/// Time after the last fault by which a new write must be committed.
 const WRITABLE_AFTER: Millis = 5_000;
+/// Time after the last fault by which all members must be in the chain.
 const COMPLETE_AFTER: Millis = 9_000;
 
-/// Counts of what happened in a world.
+/// Counts of the operations in a world.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Played {
+pub struct WorldCounts {
     pub acknowledged: u64,
     pub reads: u64,
-    pub snapshots_given: u64,
+    pub snapshots_taken: u64,
     pub snapshots_installed: u64,
 }
 
 /// Plays a schedule and checks that the core is writable and complete in the end.
-pub fn play(setup: Setup, plan: Schedule) -> Result<Played, String> {
+pub fn play(setup: Setup, plan: Schedule) -> Result<WorldCounts, String> {
     play_in(&mut World::new(setup), plan)
 }
 
-/// As [`play`], in a world that was just made.
-pub fn play_in(world: &mut World, plan: Schedule) -> Result<Played, String> {
+/// As [`play`], in a newly created world.
+pub fn play_in(world: &mut World, plan: Schedule) -> Result<WorldCounts, String> {
     for (at, fault) in plan.faults {
         world.fault_at(at, fault);
     }
     world.play_to(plan.ends_at + 1)?;
-    world.watch_fresh();
+    world.watch_new_payloads();
     for index in world.running() {
         world.submit(index);
     }
     world.play_to(plan.ends_at + WRITABLE_AFTER)?;
-    if world.fresh_committed_at.is_none() {
+    if world.watched_committed_at.is_none() {
         return Err(world.describe("nothing was committed after the last fault".into()));
     }
     world.play_to(plan.ends_at + COMPLETE_AFTER)?;
     world.check_complete(20)?;
-    Ok(Played {
+    Ok(WorldCounts {
         acknowledged: world.acknowledged,
         reads: world.reads_done,
-        snapshots_given: world.snapshots_given,
+        snapshots_taken: world.snapshots_taken,
         snapshots_installed: world.snapshots_installed,
     })
 }
--- a/crates/serving/chain-replication/tests/world/links.rs
+++ b/crates/serving/chain-replication/tests/world/links.rs
@@ -1,6 +1,6 @@
-//! Connections between machines: they keep the order of messages, and delay them while they are partitioned.
+//! Connections between machines: messages stay in order, and are delayed while the link is partitioned.
 
-use super::{Carried, Event, Link, World};
+use super::{Event, Link, QueuedMessage, World};
 use dunespur_chain_replication::{Input, MemberId, Message, Millis};
 
 impl World {
@@ -8,15 +8,15 @@
         self.links.entry((from, to)).or_default()
     }
 
-    /// Messages in flight are lost; both ends are notified if they can be.
-    pub fn reset_connection(&mut self, one: usize, other: usize, describe: bool) {
+    /// Resets a connection: messages in flight are lost, and both ends are notified unless a partition prevents it.
+    pub fn reset_connection(&mut self, one: usize, other: usize, notify: bool) {
         if one == other {
             return;
         }
-        let partition = self.link(one, other).partition || self.link(other, one).partition;
+        let partitioned = self.link(one, other).partitioned || self.link(other, one).partitioned;
         self.link(one, other).queue.clear();
         self.link(other, one).queue.clear();
-        if describe && !partition {
+        if notify && !partitioned {
             self.notify_disconnected(one, other);
             self.notify_disconnected(other, one);
         }
@@ -32,12 +32,12 @@
     }
 
     pub fn partition(&mut self, from: usize, to: usize) {
-        self.link(from, to).partition = true;
+        self.link(from, to).partitioned = true;
     }
 
-    /// What was delayed arrives now, or is lost with the connection.
+    /// Ends a partition: delayed messages arrive now, or are lost by a reset of the connection.
     pub fn heal(&mut self, from: usize, to: usize) {
-        if !std::mem::take(&mut self.link(from, to).partition) {
+        if !std::mem::take(&mut self.link(from, to).partitioned) {
             return;
         }
         if self.rng.bool() {
@@ -45,29 +45,29 @@
         }
         let now = self.now;
         let in_flight = self.link(from, to).queue.len();
-        for carried in self.link(from, to).queue.iter_mut() {
-            carried.arrival = carried.arrival.max(now);
+        for queued in self.link(from, to).queue.iter_mut() {
+            queued.arrival = queued.arrival.max(now);
         }
         for _ in 0..in_flight {
             self.schedule(now, Event::Deliver { from, to });
         }
     }
 
-    /// When the link has carried the last byte of a message that is sent now.
-    pub(super) fn leaves_at(&mut self, from: usize, message: &Message) -> Millis {
+    /// When the link will have transmitted the last byte of a message that is sent now.
+    pub(super) fn transmitted_at(&mut self, from: usize, message: &Message) -> Millis {
         if self.setup.link_bytes_per_ms == 0 {
             return self.now;
         }
         let bytes = postcard::to_stdvec(message)
-            .expect("a message can be written")
+            .expect("a message can be encoded")
             .len() as u64;
-        let takes_us = bytes * 1_000 / self.setup.link_bytes_per_ms;
+        let duration_us = bytes * 1_000 / self.setup.link_bytes_per_ms;
         let machine = &mut self.machines[from];
-        machine.sending_until_us = machine.sending_until_us.max(self.now * 1_000) + takes_us;
-        machine.sending_until_us.div_ceil(1_000)
+        machine.link_busy_until_us = machine.link_busy_until_us.max(self.now * 1_000) + duration_us;
+        machine.link_busy_until_us.div_ceil(1_000)
     }
 
-    /// Counts bytes of chunks, and corrupts a byte of some.
+    /// Counts the bytes of a snapshot chunk, and corrupts a byte in some chunks.
     pub(super) fn corrupt_chunk(&mut self, message: &mut Message) {
         let Message::SnapshotChunk { chunk, .. } = message else {
             return;
@@ -92,8 +92,8 @@
         let delay = self.rng.u64(1..4);
         self.corrupt_chunk(&mut message);
         let now = self.now;
-        let left = self.leaves_at(from, &message);
-        if self.duplicating && self.rng.u32(0..100) == 0 {
+        let transmitted_at = self.transmitted_at(from, &message);
+        if self.duplicates_messages && self.rng.u32(0..100) == 0 {
             let at = now + self.rng.u64(10..2_000);
             let input = Input::Received {
                 from: sender.clone(),
@@ -101,13 +101,13 @@
             };
             self.schedule(at, Event::Late { to, input });
         }
-        if self.losing && self.rng.u32(0..20) == 0 {
+        if self.loses_messages && self.rng.u32(0..20) == 0 {
             return;
         }
         let link = self.link(from, to);
-        link.last_arrival = link.last_arrival.max(left + delay);
+        link.last_arrival = link.last_arrival.max(transmitted_at + delay);
         let arrival = link.last_arrival;
-        link.queue.push_back(Carried {
+        link.queue.push_back(QueuedMessage {
             sender,
             to: identity,
             message,
@@ -119,18 +119,16 @@
     pub(super) fn deliver(&mut self, from: usize, to: usize) {
         let now = self.now;
         let link = self.link(from, to);
-        if link.partition
-            || link
-                .queue
-                .front()
-                .is_none_or(|carried| carried.arrival > now)
-        {
+        if link.partitioned || link.queue.front().is_none_or(|queued| queued.arrival > now) {
             return;
         }
-        let carried = link.queue.pop_front().expect("just seen");
+        let queued = link
+            .queue
+            .pop_front()
+            .expect("the queue has a first message");
         if self.machines[to].process.is_none() {
             if self.machines[to].powered && !self.machines[to].removed {
-                let peer = carried.to.unwrap_or_else(|| self.id(to));
+                let peer = queued.to.unwrap_or_else(|| self.id(to));
                 let run = self.machines[from].run;
                 let input = Input::Disconnected { peer };
                 self.schedule(
@@ -144,12 +142,12 @@
             }
             return;
         }
-        self.trace_event(|| format!("m{from} -> m{to} {:?}", carried.message));
-        self.input(
+        self.trace_event(|| format!("m{from} -> m{to} {:?}", queued.message));
+        self.step_member(
             to,
             Input::Received {
-                from: carried.sender,
-                message: carried.message,
+                from: queued.sender,
+                message: queued.message,
             },
         );
     }
--- a/crates/serving/chain-replication/tests/world/machines.rs
+++ b/crates/serving/chain-replication/tests/world/machines.rs
@@ -1,6 +1,6 @@
-//! Machines with their disks, and the processes on them.
+//! Machines, their disks and their processes.
 
-use super::{Event, Machine, Process, World, FIRST_MOMENT};
+use super::{Event, Machine, Process, World, CLOCK_START};
 use dunespur_chain_replication::{
     DurableState, Input, Member, MemberConfig, MemberId, Millis, Peer,
 };
@@ -24,7 +24,7 @@
             powered: true,
             removed: false,
             may_bootstrap,
-            sending_until_us: 0,
+            link_busy_until_us: 0,
         });
         index
     }
@@ -79,10 +79,10 @@
             may_bootstrap: machine.may_bootstrap,
             seed,
         };
-        let member = Member::with_safeguards(config, durable, FIRST_MOMENT, self.setup.safeguards);
+        let member = Member::with_safeguards(config, durable, CLOCK_START, self.setup.safeguards);
         let process = Process {
             member,
-            clock_zero: now,
+            started_at: now,
             tick_at: Millis::MAX,
             applied: 0,
             submitted: HashMap::new(),
@@ -92,13 +92,13 @@
         let first_start = machine.may_bootstrap && run == 1;
         self.trace_event(|| format!("m{index} starts"));
         if first_start {
-            self.input(index, Input::Tick);
+            self.step_member(index, Input::Tick);
         } else {
-            self.input(index, Input::Join { contacts });
+            self.step_member(index, Input::Join { contacts });
         }
     }
 
-    /// The process ends; the machine keeps what is on its disk. A batch in flight may have reached it.
+    /// Ends the process. The machine keeps its disk; a batch in flight is on it or not, at random.
     pub fn end_process(&mut self, index: usize, with_power: bool) {
         let keeps_batch = self.rng.bool();
         let machine = &mut self.machines[index];
@@ -120,11 +120,11 @@
 
     pub fn wipe(&mut self, index: usize) {
         let disk = self.rng.u64(1..);
-        let keep = self.setup.wiped_keep_identity;
+        let keeps_identity = self.setup.wiped_keep_identity;
         let machine = &mut self.machines[index];
         machine.durable = DurableState::default();
         machine.may_bootstrap = false;
-        if !keep {
+        if !keeps_identity {
             machine.disk = disk;
         }
     }
@@ -139,9 +139,9 @@
         }
         let backlog = std::mem::take(&mut self.machines[index].backlog);
         for input in backlog {
-            self.input(index, input);
+            self.step_member(index, input);
         }
-        self.input(index, Input::Tick);
+        self.step_member(index, Input::Tick);
     }
 
     pub fn stall_disk(&mut self, index: usize) {
@@ -154,14 +154,14 @@
         if let Some(batch) = self.machines[index]
             .in_flight
             .as_ref()
-            .filter(|in_flight| in_flight.due)
-            .map(|f| f.batch)
+            .filter(|in_flight| in_flight.held_by_stall)
+            .map(|in_flight| in_flight.batch)
         {
-            self.disk_done(index, run, batch);
+            self.on_batch_synced(index, run, batch);
         }
     }
 
-    pub(super) fn disk_done(&mut self, index: usize, run: u64, batch: u64) {
+    pub(super) fn on_batch_synced(&mut self, index: usize, run: u64, batch: u64) {
         let machine = &mut self.machines[index];
         if machine.run != run {
             return;
@@ -175,14 +175,14 @@
             return;
         };
         if disk_stalled {
-            in_flight.due = true;
+            in_flight.held_by_stall = true;
             return;
         }
-        let in_flight = machine.in_flight.take().expect("just seen");
+        let in_flight = machine.in_flight.take().expect("a batch is in flight");
         in_flight
             .writes
             .iter()
             .for_each(|write| machine.durable.apply(write));
-        self.input(index, Input::Persisted { batch });
+        self.step_member(index, Input::Persisted { batch });
     }
 }
--- a/crates/serving/chain-replication/tests/world/members.rs
+++ b/crates/serving/chain-replication/tests/world/members.rs
@@ -1,6 +1,6 @@
-//! What goes into the members and what comes out of them.
+//! Inputs to the members and the handling of their outputs.
 
-use super::{digest, BatchInFlight, Event, Process, World, FIRST_MOMENT};
+use super::{digest, BatchInFlight, Event, Process, World, CLOCK_START};
 use dunespur_chain_replication::{Input, MemberId, Millis, Output, View, Write};
 use std::net::SocketAddr;
 
@@ -16,17 +16,17 @@
         if process.tick_at == at {
             process.tick_at = Millis::MAX;
             if !machine.frozen {
-                self.input(index, Input::Tick);
+                self.step_member(index, Input::Tick);
             }
         }
     }
 
-    /// The caller of a member gives it an input.
-    pub fn take(&mut self, index: usize, input: Input) {
-        self.input(index, input);
+    /// Gives a member an input on behalf of its caller.
+    pub fn give_input(&mut self, index: usize, input: Input) {
+        self.step_member(index, input);
     }
 
-    pub(super) fn input(&mut self, index: usize, input: Input) {
+    pub(super) fn step_member(&mut self, index: usize, input: Input) {
         if self.machines[index].frozen {
             self.machines[index].backlog.push_back(input);
             return;
@@ -39,12 +39,12 @@
         let mut out = Vec::new();
         process
             .member
-            .step(input, now - process.clock_zero + FIRST_MOMENT, &mut out);
+            .step(input, now - process.started_at + CLOCK_START, &mut out);
         let next = process
             .member
             .next_tick()
-            .saturating_sub(FIRST_MOMENT)
-            .saturating_add(process.clock_zero);
+            .saturating_sub(CLOCK_START)
+            .saturating_add(process.started_at);
         let due = next.max(now + 1);
         if let Some(record) = &mut self.record {
             record.stepped(now, index, due, &out);
@@ -62,11 +62,11 @@
             );
         }
         for output in out {
-            self.output(index, output);
+            self.handle_output(index, output);
         }
     }
 
-    pub(super) fn output(&mut self, index: usize, output: Output) {
+    pub(super) fn handle_output(&mut self, index: usize, output: Output) {
         match output {
             Output::Send { to, message } => {
                 if let Some(machine) = self.machine_at(to.address) {
@@ -101,13 +101,13 @@
     pub(super) fn persist(&mut self, index: usize, batch: u64, writes: Vec<Write>) {
         let sync = self.rng.u64(1..self.setup.max_sync_ms);
         if self.machines[index].in_flight.is_some() {
-            self.breaks(format!("m{index} has two batches out"));
+            self.record_violation(format!("m{index} has two batches in flight"));
         }
         let run = self.machines[index].run;
         self.machines[index].in_flight = Some(BatchInFlight {
             batch,
             writes,
-            due: false,
+            held_by_stall: false,
         });
         self.schedule(
             self.now + sync,
@@ -123,21 +123,25 @@
         self.machines[index]
             .process
             .as_mut()
-            .expect("outputs come from a process")
+            .expect("the machine has a process")
     }
 
     pub(super) fn on_apply(&mut self, index: usize, at: u64, payload: &[u8], ticket: Option<u64>) {
-        let payload = u64::from_le_bytes(payload[..8].try_into().expect("eight bytes"));
+        let payload = u64::from_le_bytes(
+            payload[..8]
+                .try_into()
+                .expect("a payload begins with eight bytes"),
+        );
         let process = self.process(index);
         let in_order = process.applied + 1 == at;
         process.applied = at;
         let submitted = ticket.and_then(|ticket| process.submitted.remove(&ticket));
         if !in_order {
-            self.breaks(format!("m{index} gives out the commit {at} out of order"));
+            self.record_violation(format!("m{index} applies the commit {at} out of order"));
         }
         if ticket.is_some() && submitted != Some(payload) {
-            self.breaks(format!(
-                "m{index} takes another's payload at {at} for its own"
+            self.record_violation(format!(
+                "m{index} takes the payload at {at}, submitted elsewhere, for its own"
             ));
         }
         self.acknowledged += u64::from(submitted.is_some());
@@ -149,17 +153,17 @@
             self.trace_event(|| format!("m{index} commits {at}: {payload}"));
         } else if self.sequence.get(index) != Some(&payload) {
             let known = self.sequence.get(index).copied();
-            self.breaks(format!(
+            self.record_violation(format!(
                 "m{index} commits {payload} at {at}, where {known:?} was committed before"
             ));
         }
-        if self.fresh.contains(&payload) {
-            self.fresh_committed_at.get_or_insert(self.now);
+        if self.watched_payloads.contains(&payload) {
+            self.watched_committed_at.get_or_insert(self.now);
         }
     }
 
     pub(super) fn take_snapshot(&mut self, index: usize) {
-        self.snapshots_given += 1;
+        self.snapshots_taken += 1;
         let applied = self.process(index).applied;
         let bytes = self.snapshot_after(self.digests[applied as usize]);
         let at = self.now + self.rng.u64(0..5);
@@ -178,7 +182,7 @@
         );
     }
 
-    /// The state after entries of this digest.
+    /// The snapshot of the state after the entries with this digest.
     pub(super) fn snapshot_after(&self, digest: u64) -> Vec<u8> {
         let words = 1 + self.setup.snapshot_padding / 8;
         digest.to_le_bytes().repeat(words)
@@ -187,26 +191,26 @@
     pub(super) fn on_install(&mut self, index: usize, at: u64, bytes: &[u8]) {
         self.snapshots_installed += 1;
         let process = self.process(index);
-        let goes_back = at < process.applied;
+        let is_older = at < process.applied;
         process.applied = at;
-        let right = self
+        let expected = self
             .digests
             .get(at as usize)
             .map(|digest| self.snapshot_after(*digest));
-        if goes_back || right.as_deref() != Some(bytes) {
-            self.breaks(format!("m{index} installs a wrong snapshot at {at}"));
+        if is_older || expected.as_deref() != Some(bytes) {
+            self.record_violation(format!("m{index} installs a wrong snapshot at {at}"));
         }
     }
 
     pub(super) fn view_changed(&mut self, index: usize, view: View) {
         self.trace_event(|| {
-            let names = |id: &MemberId| id.node.clone();
+            let name_of = |id: &MemberId| id.node.clone();
             let members: Vec<String> = view
                 .members
                 .iter()
-                .map(|member| names(&member.id))
+                .map(|member| name_of(&member.id))
                 .collect();
-            let chain: Vec<String> = view.chain.iter().map(names).collect();
+            let chain: Vec<String> = view.chain.iter().map(name_of).collect();
             format!(
                 "m{index} view {} members {members:?} chain {chain:?}",
                 view.number
@@ -219,7 +223,7 @@
             .or_insert_with(|| view.clone())
             .clone();
         if known != view {
-            self.breaks(format!(
+            self.record_violation(format!(
                 "two views {number}: {known:?} and at m{index} {view:?}"
             ));
         }
--- a/crates/serving/chain-replication/tests/world/mod.rs
+++ b/crates/serving/chain-replication/tests/world/mod.rs
@@ -1,8 +1,9 @@
 //! A seeded simulation of core members: machines with disks, processes, connections, and their faults.
 //!
-//! It checks as it goes: the committed sequence is the same everywhere, acknowledged payloads stay where they were
-//! acknowledged, no two views have one number, and reads see what was committed before they began.
-// Each test file is a crate of its own and uses a part of this.
+//! The simulation checks continuously that all members commit the same sequence, that a payload stays at the index at
+//! which it was acknowledged, that no two views have the same number, and that a read sees everything committed before it
+//! began.
+// Each test file is a crate of its own and uses only some of these modules.
 #![allow(dead_code)]
 
 mod checks;
@@ -22,46 +23,47 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// The first view is bootstrapped at this time.
+/// When the first view is bootstrapped.
 const BOOTSTRAP_AT: Millis = 400;
-/// And again after this, until it was installed.
+/// Interval at which the bootstrap is repeated until the first view is installed.
 const BOOTSTRAP_RETRY: Millis = 300;
-/// Processes start at most this long after the world does.
+/// The latest time at which processes first start.
 const LATEST_START: u64 = 300;
 
-/// Some hundred of these are more than a log in memory may hold.
+/// A few hundred payloads of this size exceed the entries that a log retains in memory.
 const LARGE_PAYLOAD: usize = 12_000;
 
 const QUICK_SYNC: Millis = 4;
-/// Slow disks leave more time for faults between a write and its sync.
+/// Longest sync of a slow disk, which leaves more time for faults between a write and its sync.
 const SLOW_SYNC: Millis = 60;
 
-/// The reading of a process's clock at its start.
-const FIRST_MOMENT: Millis = 1;
+/// The time of a process's clock at its start.
+const CLOCK_START: Millis = 1;
 
-/// The violated guarantee, if one was.
+/// The result of a check: an error names the violated guarantee.
 pub type Verdict = Result<(), String>;
 
-/// How a world is set up.
+/// The parameters of a world.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
     pub seed: u64,
     pub machines: usize,
     pub safeguards: Safeguards,
-    /// Wiped machines come back under their old identity: the safeguard against this is the identity itself.
+    /// Wiped machines keep their old disk identity, to show that safety needs a new one.
     pub wiped_keep_identity: bool,
-    /// Mean time between two writes, and between two reads.
+    /// Mean time between two writes.
     pub write_every: Millis,
+    /// Mean time between two reads.
     pub read_every: Millis,
-    /// Syncs take up to this long.
+    /// Upper bound of the time that a sync takes.
     pub max_sync_ms: Millis,
-    /// Bytes of a payload beyond its number: large ones bring on snapshots.
+    /// Bytes of a payload besides its number; large payloads lead to snapshots.
     pub padding: usize,
-    /// Bytes of a snapshot beyond the digest that it begins with: large ones need many chunks.
+    /// Bytes of a snapshot besides its digest; large snapshots need many chunks.
     pub snapshot_padding: usize,
-    /// Bytes that a machine sends in a millisecond; 0: any number.
+    /// Bytes that a machine can send in a millisecond; 0 for unlimited bandwidth.
     pub link_bytes_per_ms: u64,
-    /// Now and then a byte of a snapshot's chunk is corrupted in transfer.
+    /// Whether a byte is corrupted in transfer in some chunks of snapshots.
     pub corrupts_chunks: bool,
 }
 
@@ -85,18 +87,18 @@
     }
 }
 
-/// A batch that the disk hasn't finished.
+/// A batch of writes that isn't on disk yet.
 struct BatchInFlight {
     batch: u64,
     writes: Vec<Write>,
-    /// It would be complete, but the disk stalls.
-    due: bool,
+    /// Its sync is complete, but is reported only when the disk no longer stalls.
+    held_by_stall: bool,
 }
 
 struct Process {
     member: Member,
-    /// The process's clock starts at this time, as steady clocks may.
-    clock_zero: Millis,
+    /// The time at which the process started; its clock began then at [`CLOCK_START`].
+    started_at: Millis,
     tick_at: Millis,
     /// The index of the last commit that was applied, or installed with a snapshot.
     applied: u64,
@@ -112,18 +114,18 @@
     in_flight: Option<BatchInFlight>,
     disk_stalled: bool,
     frozen: bool,
-    /// What came while it was frozen.
+    /// Inputs that arrived while the machine was frozen.
     backlog: VecDeque<Input>,
-    /// Counts starts, so that events of an earlier run are recognised.
+    /// Number of the process's run, to recognise events of earlier runs.
     run: u64,
     process: Option<Process>,
     /// Without power, connections to it hang; without a process, they are refused.
     powered: bool,
-    /// It is lost for good.
+    /// The machine is lost for good.
     pub removed: bool,
     may_bootstrap: bool,
-    /// By then its link has carried all that it sent, in microseconds.
-    sending_until_us: u64,
+    /// When the link will have transmitted all messages sent so far, in microseconds.
+    link_busy_until_us: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -190,12 +192,12 @@
 /// One direction of a connection: messages arrive in order.
 #[derive(Default)]
 struct Link {
-    queue: VecDeque<Carried>,
+    queue: VecDeque<QueuedMessage>,
     last_arrival: Millis,
-    partition: bool,
+    partitioned: bool,
 }
 
-struct Carried {
+struct QueuedMessage {
     sender: MemberId,
     to: Option<MemberId>,
     message: Message,
@@ -210,35 +212,35 @@
     order: u64,
     pub machines: Vec<Machine>,
     links: HashMap<(usize, usize), Link>,
-    /// Messages come again late now and then, as from an older connection.
-    pub duplicating: bool,
-    /// Messages are lost now and then.
-    pub losing: bool,
-    pub snapshots_given: u64,
+    /// Whether some messages arrive a second time later, as from an older connection.
+    pub duplicates_messages: bool,
+    /// Whether some messages are lost.
+    pub loses_messages: bool,
+    pub snapshots_taken: u64,
     pub snapshots_installed: u64,
-    /// Bytes of snapshots that were sent in chunks.
+    /// Bytes of snapshot chunks that were sent.
     pub chunk_bytes_transferred: u64,
-    /// Inputs that members have handled.
+    /// Number of inputs that members have handled.
     pub steps: u64,
-    /// Payloads by index; index 1 is at 0.
+    /// Committed payloads; that of index 1 is at 0.
     sequence: Vec<u64>,
-    /// When each index was committed first.
+    /// When each index was first committed.
     commit_times: Vec<Millis>,
-    /// Digests of the sequence's beginnings.
+    /// Digests of the committed sequence by its length.
     digests: Vec<u64>,
     views: BTreeMap<u64, View>,
     next_payload: u64,
     next_ticket: u64,
-    /// Submitted at or after `fresh_since`.
-    fresh: std::collections::HashSet<u64>,
-    fresh_since: Millis,
-    /// When the first of the fresh payloads was committed.
-    pub fresh_committed_at: Option<Millis>,
+    /// Payloads that were submitted at or after `watched_since`.
+    watched_payloads: std::collections::HashSet<u64>,
+    watched_since: Millis,
+    /// When the first of the watched payloads was committed.
+    pub watched_committed_at: Option<Millis>,
     pub acknowledged: u64,
     pub reads_done: u64,
-    broken: Option<String>,
+    violation: Option<String>,
     trace: bool,
-    /// Records all outputs of members, once a test has requested it.
+    /// The record of all outputs of members, if a test has requested one.
     record: Option<digest::Record>,
 }
 
@@ -258,9 +260,9 @@
             order: 0,
             machines: Vec::new(),
             links: HashMap::new(),
-            duplicating: false,
-            losing: false,
-            snapshots_given: 0,
+            duplicates_messages: false,
+            loses_messages: false,
+            snapshots_taken: 0,
             snapshots_installed: 0,
             chunk_bytes_transferred: 0,
             steps: 0,
@@ -270,12 +272,12 @@
             views: BTreeMap::new(),
             next_payload: 1,
             next_ticket: 1,
-            fresh: Default::default(),
-            fresh_since: Millis::MAX,
-            fresh_committed_at: None,
+            watched_payloads: Default::default(),
+            watched_since: Millis::MAX,
+            watched_committed_at: None,
             acknowledged: 0,
             reads_done: 0,
-            broken: None,
+            violation: None,
             trace: std::env::var_os("CHAIN_TRACE").is_some(),
             record: None,
         };
@@ -315,9 +317,9 @@
             };
             self.now = next.at;
             self.handle_event(next.event);
-            if let Some(broken) = self.broken.take() {
+            if let Some(violation) = self.violation.take() {
                 return Err(format!(
-                    "seed {} at {} ms: {broken}",
+                    "seed {} at {} ms: {violation}",
                     self.setup.seed, self.now
                 ));
             }
@@ -332,17 +334,17 @@
             Event::Bootstrap => self.bootstrap(),
             Event::Tick { machine, run, at } => self.tick(machine, run, at),
             Event::Deliver { from, to } => self.deliver(from, to),
-            Event::Late { to, input } => self.input(to, input),
+            Event::Late { to, input } => self.step_member(to, input),
             Event::Notify { to, run, input } => {
                 if self.machines[to].run == run {
-                    self.input(to, input);
+                    self.step_member(to, input);
                 }
             }
             Event::DiskDone {
                 machine,
                 run,
                 batch,
-            } => self.disk_done(machine, run, batch),
+            } => self.on_batch_synced(machine, run, batch),
             Event::Write => self.write(),
             Event::Read => self.read(),
             Event::Fault(fault) => self.inject(fault),
@@ -355,7 +357,7 @@
         }
     }
 
-    fn breaks(&mut self, text: String) {
-        self.broken.get_or_insert(text);
+    fn record_violation(&mut self, text: String) {
+        self.violation.get_or_insert(text);
     }
 }
--- a/crates/serving/chain-replication/tests/world/requests.rs
+++ b/crates/serving/chain-replication/tests/world/requests.rs
@@ -1,4 +1,4 @@
-//! The caller's requests: the first view, writes and reads.
+//! The requests of the members' callers: bootstrap, writes and reads.
 
 use super::{Event, World, BOOTSTRAP_RETRY};
 use dunespur_chain_replication::{Input, Peer, View};
@@ -16,7 +16,7 @@
         {
             self.schedule(self.now + BOOTSTRAP_RETRY, Event::Bootstrap);
         }
-        self.input(
+        self.step_member(
             0,
             Input::Bootstrap {
                 view: View {
@@ -43,13 +43,13 @@
         let ticket = self.next_ticket;
         self.next_payload += 1;
         self.next_ticket += 1;
-        if self.now >= self.fresh_since {
-            self.fresh.insert(payload);
+        if self.now >= self.watched_since {
+            self.watched_payloads.insert(payload);
         }
         self.process(index).submitted.insert(ticket, payload);
         let mut bytes = payload.to_le_bytes().to_vec();
         bytes.resize(8 + self.setup.padding, 0);
-        self.input(
+        self.step_member(
             index,
             Input::Submit {
                 ticket,
@@ -68,23 +68,23 @@
         let index = running[self.rng.usize(..running.len())];
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let must_see = self.sequence.len() as u64;
-        self.process(index).reads.insert(ticket, must_see);
-        self.input(index, Input::Read { ticket });
+        let required_index = self.sequence.len() as u64;
+        self.process(index).reads.insert(ticket, required_index);
+        self.step_member(index, Input::Read { ticket });
     }
 
     pub(super) fn read_ready(&mut self, index: usize, ticket: u64) {
         let process = self.process(index);
         let applied = process.applied;
-        let Some(must_see) = process.reads.remove(&ticket) else {
-            return self.breaks(format!(
-                "m{index} answers a read {ticket} that nobody waits for"
+        let Some(required_index) = process.reads.remove(&ticket) else {
+            return self.record_violation(format!(
+                "m{index} answers read {ticket}, which isn't pending"
             ));
         };
         self.reads_done += 1;
-        if applied < must_see {
-            self.breaks(format!(
-                "m{index} reads at {applied}, but {must_see} was committed before the read"
+        if applied < required_index {
+            self.record_violation(format!(
+                "m{index} reads at {applied}, but {required_index} was committed before the read"
             ));
         }
     }
@@ -94,7 +94,7 @@
         let known =
             process.submitted.remove(&ticket).is_some() | process.reads.remove(&ticket).is_some();
         if !known {
-            self.breaks(format!("m{index} drops {ticket}, which isn't pending"));
+            self.record_violation(format!("m{index} drops {ticket}, which isn't pending"));
         }
     }
 }
