--- a/crates/serving/chain-replication/src/failure_detector.rs
+++ b/crates/serving/chain-replication/src/failure_detector.rs
@@ -26,7 +26,7 @@
     /// The newest timestamp received from it, to be echoed.
     timestamp: Option<u64>,
     last_ping: Option<Ping>,
-    /// Recent evictions from the chain.
+    /// Number of recent evictions from the chain.
     evictions: u32,
     last_eviction_at: Millis,
     /// Since when it has been eligible for readmission to the chain.
@@ -86,7 +86,7 @@
 }
 
 impl FailureDetector {
-    /// At the start of a process, in the view that was found on disk.
+    /// The failure detector at the start of a process, in the view found on disk.
     pub(crate) fn new(view: Option<&View>, me: &MemberId, now: Millis) -> FailureDetector {
         let mut detector = FailureDetector::default();
         if let Some(view) = view {
@@ -107,7 +107,7 @@
     /// chain. A process that isn't a member exchanges no pings, so it keeps no observations.
     pub(crate) fn install_view(
         &mut self,
-        before: Option<&View>,
+        previous: Option<&View>,
         view: &View,
         me: &MemberId,
         now: Millis,
@@ -122,10 +122,10 @@
                 self.peers.push(PeerState::new(member.id.clone(), now));
             }
         }
-        let Some(before) = before else { return };
+        let Some(previous) = previous else { return };
         for peer in &mut self.peers {
             peer.eligible_since = None;
-            if before.in_chain(&peer.id) && !view.in_chain(&peer.id) {
+            if previous.in_chain(&peer.id) && !view.in_chain(&peer.id) {
                 let recent = now.saturating_sub(peer.last_eviction_at) < EVICTION_WINDOW;
                 peer.evictions = if recent { peer.evictions + 1 } else { 1 };
                 peer.last_eviction_at = now;
--- a/crates/serving/chain-replication/src/lib.rs
+++ b/crates/serving/chain-replication/src/lib.rs
@@ -10,7 +10,7 @@
 //! # Why an acknowledged write is not lost
 //!
 //! * Each member keeps its *synced view* on disk: the newest view in which its log came to include its predecessor's
-//!   whole log (for the head: the view in which it was chosen as head). A commit in a view needs every member of the
+//!   whole log (for the head: the view in which it became head). A commit in a view needs every member of the
 //!   view's chain, synced in that view.
 //! * A promise in the agreement on the next view seals the present view: the member no longer participates in its chain.
 //! * The chain has at least a majority of the members, so every majority that decides the next view contains members of
--- a/crates/serving/chain-replication/src/log.rs
+++ b/crates/serving/chain-replication/src/log.rs
@@ -29,7 +29,7 @@
 pub struct Origin {
     /// The run of the member's process at which the entry was submitted.
     pub incarnation: Incarnation,
-    /// The caller's ticket there.
+    /// The caller's ticket at that process.
     pub ticket: Ticket,
 }
 
--- a/crates/serving/chain-replication/src/member/acceptor.rs
+++ b/crates/serving/chain-replication/src/member/acceptor.rs
@@ -11,7 +11,7 @@
 use crate::write_queue::Completion;
 
 impl Member {
-    /// Whether a promise has sealed the present view here.
+    /// Whether a promise has sealed the present view at this member.
     pub(super) fn is_sealed(&self) -> bool {
         self.acceptor.promised.is_some()
     }
@@ -92,7 +92,7 @@
         are_members
     }
 
-    /// Seals the present view here.
+    /// Promises a number, which seals the present view at this member.
     fn promise(&mut self, proposal_number: ProposalNumber) {
         if proposal_number.proposer != self.me.id {
             self.propose_at = Some(OTHER_PROPOSER_TIMEOUT + self.draw_proposal_time());
--- a/crates/serving/chain-replication/src/member/install.rs
+++ b/crates/serving/chain-replication/src/member/install.rs
@@ -15,17 +15,17 @@
         }
     }
 
-    /// Every change of the view goes through here.
+    /// Installs a view; every change of the view goes through this function.
     pub(super) fn install_view(&mut self, decided: DecidedView) {
         self.write_queue.write(Write::InstallView {
             decided: decided.clone(),
         });
         let view = decided.view.clone();
-        let before = self.decided.replace(decided).map(|before| before.view);
+        let previous = self.decided.replace(decided).map(|previous| previous.view);
         self.installed_at = self.now;
         self.end_agreement();
         self.failure_detector
-            .install_view(before.as_ref(), &view, &self.me.id, self.now);
+            .install_view(previous.as_ref(), &view, &self.me.id, self.now);
         self.joiners
             .retain(|joiner| !view.has_member(&joiner.peer.id));
         self.seek_membership(Vec::new());
@@ -45,9 +45,11 @@
         self.send_read_request();
     }
 
-    /// Sends a decided view to its members, and to the members of the view before that it no longer has.
-    pub(super) fn announce_decided(&mut self, decided: &DecidedView, before: Option<&View>) {
-        let departed = before.into_iter().flat_map(|before| before.members.iter());
+    /// Sends a decided view to its members, and to members of the previous view that it no longer has.
+    pub(super) fn announce_decided(&mut self, decided: &DecidedView, previous: Option<&View>) {
+        let departed = previous
+            .into_iter()
+            .flat_map(|previous| previous.members.iter());
         let departed = departed.filter(|member| !decided.view.has_member(&member.id));
         let receivers = decided.view.members.iter().chain(departed);
         for to in receivers.filter(|member| member.id != self.me.id) {
--- a/crates/serving/chain-replication/src/member/io.rs
+++ b/crates/serving/chain-replication/src/member/io.rs
@@ -14,7 +14,7 @@
     Received {
         /// The sender.
         from: MemberId,
-        /// The message.
+        /// The message received.
         message: Message,
     },
     /// The connection to another member was refused or reset.
@@ -39,14 +39,14 @@
         /// The number of the batch.
         batch: u64,
     },
-    /// Start with this view, on an empty disk.
+    /// Install this view as the first one, on an empty disk.
     Bootstrap {
         /// The first view.
         view: View,
     },
     /// Request to be added to the view that the contacts know.
     Join {
-        /// Addresses of core members.
+        /// Addresses of members of the core.
         contacts: Vec<SocketAddr>,
     },
     /// Request to be removed from the chain, as the process is about to end.
@@ -58,7 +58,7 @@
         /// The state in the caller's encoding.
         bytes: Vec<u8>,
     },
-    /// The time of [`Member::next_tick`](super::Member::next_tick) has come.
+    /// The time given by [`Member::next_tick`](super::Member::next_tick) has been reached.
     Tick,
 }
 
@@ -69,14 +69,14 @@
     Send {
         /// The receiver.
         to: Peer,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
     /// Send a message to a member whose identity isn't known yet.
     SendToAddress {
         /// The receiver's address.
         address: SocketAddr,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
     /// Write a batch to disk with one sync, and reply with [`Input::Persisted`] once all writes are on disk.
--- a/crates/serving/chain-replication/src/member/join.rs
+++ b/crates/serving/chain-replication/src/member/join.rs
@@ -46,9 +46,9 @@
         let now = self.now;
         let attempt = self.join_attempt.get_or_insert_with(|| JoinAttempt {
             contacts: Vec::new(),
-            next_at: now,
+            next_request_at: now,
         });
-        attempt.next_at = now;
+        attempt.next_request_at = now;
         if !contacts.is_empty() {
             attempt.contacts = contacts;
         }
@@ -59,11 +59,11 @@
         let Some(attempt) = self
             .join_attempt
             .as_mut()
-            .filter(|attempt| now >= attempt.next_at)
+            .filter(|attempt| now >= attempt.next_request_at)
         else {
             return;
         };
-        attempt.next_at = now + JOIN_RETRY;
+        attempt.next_request_at = now + JOIN_RETRY;
         let mut addresses = attempt.contacts.clone();
         let message = Message::Join {
             joiner: self.me.clone(),
@@ -116,6 +116,8 @@
     }
 
     pub(super) fn next_join_tick(&self) -> Option<Millis> {
-        self.join_attempt.as_ref().map(|attempt| attempt.next_at)
+        self.join_attempt
+            .as_ref()
+            .map(|attempt| attempt.next_request_at)
     }
 }
--- a/crates/serving/chain-replication/src/member/mod.rs
+++ b/crates/serving/chain-replication/src/member/mod.rs
@@ -55,8 +55,8 @@
 use state::joining::{JoinAttempt, Joiner};
 use state::learner::Learner;
 use state::replication::{Downstream, Stage, Upstream};
-use state::requests::{DeferredRequests, Reads, Submissions};
-use state::snapshots::Snapshots;
+use state::requests::{DeferredRequests, PendingReads, PendingSubmissions};
+use state::snapshots::SnapshotState;
 
 /// Upper bits of a ping timestamp's random start that are zero, so that timestamps don't overflow and encode shorter.
 const SPARE_TIMESTAMP_BITS: u32 = 16;
@@ -119,12 +119,12 @@
     downstream: Downstream,
     learner: Learner,
 
-    snapshots: Snapshots,
+    snapshots: SnapshotState,
     /// The snapshot found on disk, until the first step emits it.
     restored_snapshot: Option<Snapshot>,
 
-    submissions: Submissions,
-    reads: Reads,
+    submissions: PendingSubmissions,
+    reads: PendingReads,
     deferred: DeferredRequests,
 }
 
@@ -135,7 +135,7 @@
         Member::build(config, durable, now, Safeguards::default())
     }
 
-    /// As [`Member::new`], with chosen safeguards: for tests that remove one.
+    /// As [`Member::new`], with the given safeguards: for tests that remove one.
     #[cfg(feature = "removable-safeguards")]
     #[must_use]
     pub fn with_safeguards(
@@ -197,10 +197,10 @@
             upstream: Upstream::default(),
             downstream: Downstream::default(),
             learner: Learner::default(),
-            snapshots: Snapshots::from(durable.snapshot.as_ref()),
+            snapshots: SnapshotState::from(durable.snapshot.as_ref()),
             restored_snapshot: durable.snapshot,
-            submissions: Submissions::default(),
-            reads: Reads::new(last_read_request),
+            submissions: PendingSubmissions::default(),
+            reads: PendingReads::new(last_read_request),
             deferred: DeferredRequests::default(),
         };
         member.stage = member.initial_stage();
@@ -255,7 +255,7 @@
         self.decided.as_ref().map(|decided| &decided.view)
     }
 
-    /// Whether a majority of the view's members, this one included, has replied lately and in this view.
+    /// Whether a majority of the view's members, including this one, has lately replied in this view.
     #[must_use]
     pub fn has_quorum(&self, now: Millis) -> bool {
         let Some(view) = self.view().filter(|view| view.has_member(&self.me.id)) else {
--- a/crates/serving/chain-replication/src/member/observe.rs
+++ b/crates/serving/chain-replication/src/member/observe.rs
@@ -155,10 +155,10 @@
             let is_connected =
                 |other: &usize| statuses[*other].unreachable || statuses[index].connected[*other];
             let status = &statuses[index];
-            let is_fit =
+            let is_admissible =
                 !status.ineligible && !status.unreachable && in_chain.iter().all(is_connected);
             let id = &view.members[index].id;
-            let eligible = is_fit && self.has_nearly_all_commits(id, view.number);
+            let eligible = is_admissible && self.has_nearly_all_commits(id, view.number);
             statuses[index].readmissible = self
                 .failure_detector
                 .update_eligibility(id, eligible, self.now);
--- a/crates/serving/chain-replication/src/member/receive.rs
+++ b/crates/serving/chain-replication/src/member/receive.rs
@@ -65,7 +65,7 @@
     /// The connection to `peer` works again; messages that were in flight are lost and have to be sent again.
     fn on_reconnected(&mut self, peer: &MemberId) {
         self.replication_reconnected(peer);
-        // The chunk in flight is lost.
+        // The snapshot chunk in flight is lost: it is sent again without waiting for the retry.
         self.send_chunk(peer);
         if self.view().is_some_and(|view| view.is_head(peer)) {
             self.send_submissions();
--- a/crates/serving/chain-replication/src/member/receive_snapshot.rs
+++ b/crates/serving/chain-replication/src/member/receive_snapshot.rs
@@ -1,7 +1,7 @@
 //! Receiving a snapshot, when this member's log ends before the sender's begins.
 
 use super::state::replication::Stage;
-use super::state::snapshots::Snapshots;
+use super::state::snapshots::SnapshotState;
 use super::{Member, Output};
 use crate::durable::{Snapshot, Write};
 use crate::identity::MemberId;
@@ -104,7 +104,7 @@
             bytes: snapshot.bytes.to_vec(),
         });
         let rejections = self.snapshots.rejections;
-        self.snapshots = Snapshots::from(Some(&snapshot));
+        self.snapshots = SnapshotState::from(Some(&snapshot));
         self.snapshots.rejections = rejections;
         self.write_queue.write(Write::Snapshot { snapshot });
         let index = position.index;
--- a/crates/serving/chain-replication/src/member/stage.rs
+++ b/crates/serving/chain-replication/src/member/stage.rs
@@ -27,8 +27,8 @@
 }
 
 impl Member {
-    /// Every change of the stage goes through here.
-    fn enter(&mut self, stage: Stage) {
+    /// Changes the stage; every change goes through this function.
+    fn enter_stage(&mut self, stage: Stage) {
         self.stage = stage;
     }
 
@@ -59,7 +59,7 @@
     /// After a promise this member no longer participates in the chain of the present view.
     pub(super) fn seal(&mut self) {
         if self.stage != Stage::OutOfChain && self.safeguards.has(Safeguard::CheckViews) {
-            self.enter(Stage::Sealed);
+            self.enter_stage(Stage::Sealed);
         }
     }
 
@@ -81,7 +81,7 @@
         self.learner = Learner::default();
         self.snapshots.forget_requests();
         let in_chain = self.view().is_some_and(|view| view.in_chain(&self.me.id));
-        self.enter(if in_chain {
+        self.enter_stage(if in_chain {
             Stage::CatchingUp
         } else {
             Stage::OutOfChain
@@ -136,7 +136,7 @@
         self.write_queue.write(Write::Synced { view });
         self.write_queue
             .when_persisted(Completion::SyncedViewPersisted { view });
-        self.enter(Stage::Syncing);
+        self.enter_stage(Stage::Syncing);
     }
 
     /// The synced view is on disk: starts to forward entries and handles the deferred requests.
@@ -144,7 +144,7 @@
         if view != self.view_number() || self.stage != Stage::Syncing {
             return;
         }
-        self.enter(Stage::Synced);
+        self.enter_stage(Stage::Synced);
         self.begin_forwarding();
         let deferred = std::mem::take(&mut self.deferred);
         self.append_deferred(deferred.submissions);
--- a/crates/serving/chain-replication/src/member/state/joining.rs
+++ b/crates/serving/chain-replication/src/member/state/joining.rs
@@ -44,5 +44,5 @@
 pub(crate) struct JoinAttempt {
     /// Addresses to send the request to, besides the members of the newest known view.
     pub(crate) contacts: Vec<SocketAddr>,
-    pub(crate) next_at: Millis,
+    pub(crate) next_request_at: Millis,
 }
--- a/crates/serving/chain-replication/src/member/state/replication.rs
+++ b/crates/serving/chain-replication/src/member/state/replication.rs
@@ -21,7 +21,7 @@
 /// The stream from the predecessor.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Upstream {
-    /// When this member last requested entries from its position.
+    /// When this member last requested entries from its predecessor.
     pub(crate) resume_sent_at: Option<Millis>,
 }
 
--- a/crates/serving/chain-replication/src/member/state/requests.rs
+++ b/crates/serving/chain-replication/src/member/state/requests.rs
@@ -26,12 +26,12 @@
 
 /// The caller's pending submissions at this member, oldest first.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Submissions {
+pub(crate) struct PendingSubmissions {
     pub(crate) pending: VecDeque<Submission>,
     bytes: usize,
 }
 
-impl Submissions {
+impl PendingSubmissions {
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
@@ -84,7 +84,7 @@
     pub(crate) requested_at: Millis,
 }
 
-/// Reads that one read request carries along the chain.
+/// PendingReads that one read request carries along the chain.
 #[derive(Clone, Debug)]
 pub(crate) struct ReadBatch {
     pub(crate) request: u64,
@@ -92,7 +92,7 @@
     pub(crate) sent_at: Millis,
 }
 
-/// Reads that wait for commits up to an index.
+/// PendingReads that wait for commits up to an index.
 #[derive(Clone, Debug)]
 pub(crate) struct ConfirmedReads {
     pub(crate) index: LogIndex,
@@ -101,17 +101,17 @@
 
 /// The caller's reads: waiting for the next read request, in the request in flight, or waiting for commits.
 #[derive(Clone, Debug)]
-pub(crate) struct Reads {
+pub(crate) struct PendingReads {
     last_request: u64,
     pub(crate) waiting: Vec<PendingRead>,
     pub(crate) in_flight: Option<ReadBatch>,
     pub(crate) confirmed: Vec<ConfirmedReads>,
 }
 
-impl Reads {
+impl PendingReads {
     /// Requests are numbered after `last_request`, which differs between runs of the process.
-    pub(crate) fn new(last_request: u64) -> Reads {
-        Reads {
+    pub(crate) fn new(last_request: u64) -> PendingReads {
+        PendingReads {
             last_request,
             waiting: Vec::new(),
             in_flight: None,
--- a/crates/serving/chain-replication/src/member/state/snapshots.rs
+++ b/crates/serving/chain-replication/src/member/state/snapshots.rs
@@ -11,11 +11,11 @@
 #[derive(Clone, Debug)]
 struct EndedTransfer {
     to: MemberId,
-    at: Millis,
+    ended_at: Millis,
 }
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Snapshots {
+pub(crate) struct SnapshotState {
     /// Index of the last entry that the newest snapshot on disk includes.
     pub(crate) on_disk_index: LogIndex,
     /// Bytes of the newest snapshot on disk.
@@ -34,17 +34,17 @@
     pub(crate) requested_at: Option<Millis>,
 }
 
-impl From<Option<&Snapshot>> for Snapshots {
-    fn from(on_disk: Option<&Snapshot>) -> Snapshots {
-        Snapshots {
+impl From<Option<&Snapshot>> for SnapshotState {
+    fn from(on_disk: Option<&Snapshot>) -> SnapshotState {
+        SnapshotState {
             on_disk_index: on_disk.map_or(0, |snapshot| snapshot.position.index),
             on_disk_bytes: on_disk.map_or(0, |snapshot| snapshot.bytes.len()),
-            ..Snapshots::default()
+            ..SnapshotState::default()
         }
     }
 }
 
-impl Snapshots {
+impl SnapshotState {
     /// Whether a snapshot is to be taken for the member or is in transfer to it.
     pub(crate) fn is_needed_by(&self, member: &MemberId) -> bool {
         self.needed_by.contains(member)
@@ -76,7 +76,7 @@
 
     pub(crate) fn ended_recently(&self, to: &MemberId, now: Millis) -> bool {
         let is_recent =
-            |ended: &EndedTransfer| ended.to == *to && now < ended.at + SNAPSHOT_TRANSFER_GAP;
+            |ended: &EndedTransfer| ended.to == *to && now < ended.ended_at + SNAPSHOT_TRANSFER_GAP;
         self.ended.iter().any(is_recent)
     }
 
@@ -89,7 +89,7 @@
         self.ended.retain(|ended| ended.to != *to);
         self.ended.push(EndedTransfer {
             to: to.clone(),
-            at: now,
+            ended_at: now,
         });
     }
 
--- a/crates/serving/chain-replication/src/message.rs
+++ b/crates/serving/chain-replication/src/message.rs
@@ -75,7 +75,7 @@
     CommittedEntries(AppendEntries),
     /// A snapshot in one message, as members of an earlier version send it; now [`Message::SnapshotChunk`].
     UnchunkedSnapshot {
-        /// The view in which it counts.
+        /// The view that the message belongs to.
         view: ViewNumber,
         /// The last entry that the snapshot includes.
         position: Position,
@@ -84,7 +84,7 @@
     },
     /// To the predecessor: the tail has synced the log up to `index`.
     Committed {
-        /// The view in which it counts.
+        /// The view that the message belongs to.
         view: ViewNumber,
         /// The commit index.
         index: LogIndex,
@@ -104,7 +104,7 @@
         /// The origin of the rejected submission.
         origin: Origin,
     },
-    /// A read on its way from head to tail.
+    /// A read request, forwarded along the chain from head to tail.
     ReadIndex(ReadIndexRequest),
     /// From the tail: the commit index that the read has to wait for.
     ReadIndexReply {
@@ -117,14 +117,14 @@
     /// To the successor, or from the tail to a learner: a chunk of a snapshot, as the sender's log begins after the
     /// receiver's ends.
     SnapshotChunk {
-        /// The view in which it counts.
+        /// The view that the message belongs to.
         view: ViewNumber,
-        /// The chunk.
+        /// The chunk of the snapshot.
         chunk: SnapshotChunk,
     },
-    /// The reply to a chunk.
+    /// The receiver's reply to a chunk.
     SnapshotProgress {
-        /// The view in which it counts.
+        /// The view that the message belongs to.
         view: ViewNumber,
         /// The receiver's progress.
         progress: SnapshotProgress,
@@ -140,7 +140,7 @@
     pub view: ViewNumber,
     /// The sender's clock, plus a random start drawn for each run of its process.
     pub timestamp: u64,
-    /// The newest timestamp of the receiver that has reached the sender.
+    /// The newest timestamp that the sender has received from the receiver of this ping.
     pub echoed_timestamp: Option<u64>,
     /// The members that the sender is connected with in both directions: a bit for each member of its view, by index.
     pub connected: u32,
@@ -152,7 +152,7 @@
     pub leaving: bool,
     /// The index up to which the sender has applied commits.
     pub commit_index: LogIndex,
-    /// A ping in reply is wanted at once.
+    /// The sender requests a ping in reply at once.
     pub reply_requested: bool,
 }
 
@@ -186,14 +186,14 @@
     pub view: ViewNumber,
     /// The position before the first entry.
     pub previous: Position,
-    /// In order, without gaps.
+    /// The entries, in order and without gaps.
     pub entries: Vec<Entry>,
     /// Index up to which the sender can send entries: to the successor those on disk, to a learner the committed ones.
     pub last: LogIndex,
 }
 
 impl AppendEntries {
-    /// The index of the last entry, or of the position before if there are none.
+    /// The index of the last entry, or of `previous` if there are no entries.
     #[must_use]
     pub fn end(&self) -> LogIndex {
         self.previous.index + self.entries.len() as u64
@@ -203,7 +203,7 @@
 /// The end of the log of a member that requests entries, for the sender to resume from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumePoint {
-    /// The view in which it counts.
+    /// The view that the message belongs to.
     pub view: ViewNumber,
     /// The end of the requesting member's log.
     pub last: Position,
@@ -214,7 +214,7 @@
 /// A read request that passes along the chain: Raft's `ReadIndex`, but confirmed by each member of the chain in turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadIndexRequest {
-    /// The view in which it counts.
+    /// The view that the message belongs to.
     pub view: ViewNumber,
     /// The member that the tail replies to.
     pub reader: MemberId,
--- a/crates/serving/chain-replication/src/next_view.rs
+++ b/crates/serving/chain-replication/src/next_view.rs
@@ -60,17 +60,17 @@
 /// The planned chain, with members whose logs are complete first, by extent; equal ones keep their order in the previous
 /// chain.
 fn chain_after<'a>(
-    before: &View,
+    previous: &View,
     plan: &Plan,
     complete: impl Iterator<Item = &'a SealedLog<'a>>,
 ) -> Option<Vec<MemberId>> {
     let stays = |log: &&SealedLog| plan.members.iter().any(|member| member.id == *log.member);
     let mut complete: Vec<&SealedLog> = complete.filter(stays).collect();
     // Greatest extent first; among equals, the member that was nearer to the head.
-    let rank_before = |log: &SealedLog| before.chain_index(log.member).unwrap_or(usize::MAX);
+    let previous_rank = |log: &SealedLog| previous.chain_index(log.member).unwrap_or(usize::MAX);
     complete.sort_by(|one, other| {
         let by_extent = other.extent().cmp(&one.extent());
-        by_extent.then(rank_before(one).cmp(&rank_before(other)))
+        by_extent.then(previous_rank(one).cmp(&previous_rank(other)))
     });
     let is_complete = |id: &MemberId| complete.iter().any(|log| log.member == id);
     let mut chain: Vec<MemberId> = Vec::new();
@@ -83,12 +83,12 @@
     } else {
         chain.push(complete.first()?.member.clone());
     }
-    let rest: Vec<MemberId> = plan
+    let remaining: Vec<MemberId> = plan
         .chain
         .iter()
         .filter(|id| !chain.contains(id))
         .cloned()
         .collect();
-    chain.extend(rest);
+    chain.extend(remaining);
     Some(chain)
 }
--- a/crates/serving/chain-replication/src/payload.rs
+++ b/crates/serving/chain-replication/src/payload.rs
@@ -10,7 +10,7 @@
 pub struct Payload(Arc<[u8]>);
 
 impl Payload {
-    /// The bytes.
+    /// The payload as a slice.
     #[must_use]
     pub fn bytes(&self) -> &[u8] {
         &self.0
--- a/crates/serving/chain-replication/src/reconfiguration.rs
+++ b/crates/serving/chain-replication/src/reconfiguration.rs
@@ -50,7 +50,7 @@
 /// The members and the chain that the next view should have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// The voters.
+    /// The members, which vote on the view after it.
     pub members: Vec<Peer>,
     /// The chain from head to tail.
     pub chain: Vec<MemberId>,
@@ -116,9 +116,9 @@
     for request in observations.join_requests {
         let joiner = request.joiner.clone();
         match slot_for(observations, request) {
-            Slot::None => continue,
-            Slot::Replacing(index) => members[index] = joiner.clone(),
-            Slot::Additional => members.push(joiner.clone()),
+            JoinerSlot::None => continue,
+            JoinerSlot::Replacing(index) => members[index] = joiner.clone(),
+            JoinerSlot::Additional => members.push(joiner.clone()),
         }
         return MembershipChange {
             members,
@@ -135,7 +135,7 @@
 }
 
 /// The place of a joiner among the members.
-enum Slot {
+enum JoinerSlot {
     /// The joiner can't be added for now.
     None,
     /// The joiner replaces the member at this index.
@@ -144,12 +144,12 @@
     Additional,
 }
 
-fn slot_for(observations: &Observations, request: &JoinRequest) -> Slot {
+fn slot_for(observations: &Observations, request: &JoinRequest) -> JoinerSlot {
     let joiner = &request.joiner;
     let members = &observations.view.members;
     let statuses = observations.statuses;
     if observations.view.has_member(&joiner.id) {
-        return Slot::None;
+        return JoinerSlot::None;
     }
     if let Some(index) = members
         .iter()
@@ -157,16 +157,16 @@
     {
         // A late join request of a node's former disk must not replace its reachable member.
         return if statuses[index].unreachable {
-            Slot::Replacing(index)
+            JoinerSlot::Replacing(index)
         } else {
-            Slot::None
+            JoinerSlot::None
         };
     }
     if let Some(index) = statuses.iter().position(|status| status.replaceable) {
-        return Slot::Replacing(index);
+        return JoinerSlot::Replacing(index);
     }
     if let Some(index) = removable_leaver(observations, members.len()) {
-        return Slot::Replacing(index);
+        return JoinerSlot::Replacing(index);
     }
     // While a member is unreachable, no member is added: the unreachable one may return soon or be replaced by this joiner,
     // and the larger view would not tolerate the loss of another member.
@@ -174,9 +174,9 @@
         .iter()
         .all(|status| status.reported && !status.unreachable);
     if all_present && request.may_be_additional && members.len() < MAX_MEMBERS {
-        Slot::Additional
+        JoinerSlot::Additional
     } else {
-        Slot::None
+        JoinerSlot::None
     }
 }
 
--- a/crates/serving/chain-replication/src/snapshot_transfer.rs
+++ b/crates/serving/chain-replication/src/snapshot_transfer.rs
@@ -67,7 +67,7 @@
     /// The snapshot is larger than [`MAX_SNAPSHOT_BYTES`].
     #[error("the snapshot is larger than {MAX_SNAPSHOT_BYTES} bytes")]
     TooLarge,
-    /// The chunk has no bytes, too many, or goes beyond the snapshot's end.
+    /// The chunk is empty, too large, or goes beyond the end of the snapshot.
     #[error("the chunk is empty, too large, or beyond the end of its snapshot")]
     ChunkOutOfBounds,
     /// The assembled bytes don't have the checksum of the descriptor.
--- a/crates/serving/chain-replication/src/timing.rs
+++ b/crates/serving/chain-replication/src/timing.rs
@@ -47,7 +47,7 @@
 pub const PROPOSER_RANK_DELAY: Millis = 120;
 /// Upper bound of the random wait before proposing, which keeps proposers from preempting each other.
 pub const PROPOSE_JITTER: Millis = 25;
-/// A phase of an attempt to get a view decided is abandoned after this.
+/// A phase of an attempt to get a view decided is abandoned after this time.
 pub const PROPOSAL_TIMEOUT: Millis = 400;
 /// Time from the start of an attempt for which it waits for promises beyond a majority, from the other connected members.
 pub const REMAINING_PROMISES_TIMEOUT: Millis = 80;
@@ -62,29 +62,29 @@
 
 /// The successor is queried about sent entries after this long without an acknowledgement.
 pub const ACKNOWLEDGEMENT_TIMEOUT: Millis = 300;
-/// An unsynced chain member requests entries from its predecessor again after this.
+/// An unsynced chain member repeats its request for entries to its predecessor after this time.
 pub const RESUME_RETRY: Millis = 150;
 /// Minimum time between two requests to resume from another position.
 pub const RESUME_MIN_GAP: Millis = 30;
 /// Interval at which a learner fetches commits from the tail.
 pub const LEARN_INTERVAL: Millis = 150;
-/// A learner fetches again after this if the reply was lost.
+/// A learner fetches again if no reply arrives within this time.
 pub const LEARN_RETRY: Millis = 1_000;
 
 // --- snapshots ---
 
 /// Minimum time between the end of a snapshot transfer to a member and the start of the next one.
 pub const SNAPSHOT_TRANSFER_GAP: Millis = 1_000;
-/// A chunk of a snapshot that wasn't acknowledged is sent again after this.
+/// An unacknowledged chunk of a snapshot is sent again after this time.
 pub const SNAPSHOT_CHUNK_RETRY: Millis = 300;
 /// A transfer is abandoned when its receiver has made no progress for this long.
 pub const SNAPSHOT_TRANSFER_TIMEOUT: Millis = 5_000;
-/// An unanswered request for a snapshot is sent to the caller again after this.
+/// An unanswered request for a snapshot is sent to the caller again after this time.
 pub const TAKE_SNAPSHOT_RETRY: Millis = 2_000;
 
 // --- membership ---
 
-/// A joiner sends its request again after this.
+/// A joiner repeats its request after this time.
 pub const JOIN_RETRY: Millis = 300;
 /// A joiner that has sent no request for this long is forgotten.
 pub const JOINER_TIMEOUT: Millis = 1_000;
@@ -96,9 +96,9 @@
 
 // --- requests of the caller ---
 
-/// A submission that hasn't been committed is sent to the head again after this.
+/// An uncommitted submission is sent to the head again after this time.
 pub const RESUBMIT_INTERVAL: Millis = 1_000;
-/// A read that hasn't been confirmed is sent again after this.
+/// An unconfirmed read request is sent again after this time.
 pub const READ_RETRY: Millis = 250;
-/// Submissions and reads older than this are dropped.
+/// PendingSubmissions and reads older than this are dropped.
 pub const REQUEST_TIMEOUT: Millis = 5_000;
--- a/crates/serving/chain-replication/src/view.rs
+++ b/crates/serving/chain-replication/src/view.rs
@@ -11,7 +11,7 @@
 pub struct View {
     /// One above the number of the view before.
     pub number: ViewNumber,
-    /// The voters.
+    /// The members, which vote on the next view.
     pub members: Vec<Peer>,
     /// The chain from head to tail; a subset of `members`.
     pub chain: Vec<MemberId>,
@@ -98,8 +98,8 @@
         self.chain.get(index + 1)
     }
 
-    /// Whether the view could be in force: members and chain without duplicates, the chain within the members and not
-    /// shorter than a majority of them.
+    /// Whether the view is valid: members and chain have no duplicates, and the chain consists of members and is not shorter
+    /// than a majority of them.
     #[must_use]
     pub fn is_sound(&self) -> bool {
         let members_differ = (1..self.members.len()).all(|index| {
--- a/crates/serving/chain-replication/tests/fault_tolerance.rs
+++ b/crates/serving/chain-replication/tests/fault_tolerance.rs
@@ -89,37 +89,37 @@
 }
 
 #[test]
-fn a_kill_and_restart_leave_a_spare_loss_in_time() {
+fn a_kill_and_restart_restore_fault_tolerance_in_time() {
     check(Change::KillAndReturn);
 }
 
 #[test]
-fn a_wiped_disk_leaves_a_spare_loss_in_time() {
+fn a_wiped_disk_restores_fault_tolerance_in_time() {
     check(Change::WipeAndReturn);
 }
 
 #[test]
-fn an_unplanned_replacement_leaves_a_spare_loss_in_time() {
+fn an_unplanned_replacement_restores_fault_tolerance_in_time() {
     check(Change::UnplannedReplacement);
 }
 
 #[test]
-fn a_planned_replacement_leaves_a_spare_loss_in_time() {
+fn a_planned_replacement_restores_fault_tolerance_in_time() {
     check(Change::PlannedReplacement);
 }
 
 #[test]
-fn an_addition_leaves_a_spare_loss_in_time() {
+fn an_addition_restores_fault_tolerance_in_time() {
     check(Change::Addition);
 }
 
 #[test]
-fn a_planned_leaving_leaves_a_spare_loss_in_time() {
+fn a_planned_leaving_restores_fault_tolerance_in_time() {
     check(Change::PlannedLeaving);
 }
 
 #[test]
-fn a_rolling_restart_leaves_a_spare_loss_in_time() {
+fn a_rolling_restart_restores_fault_tolerance_in_time() {
     check(Change::RollingRestart);
 }
 
--- a/crates/serving/chain-replication/tests/member.rs
+++ b/crates/serving/chain-replication/tests/member.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// One member, and the outputs of its last step.
+/// A member with the time and the outputs of its last step.
 struct DrivenMember {
     member: Member,
     now: u64,
@@ -87,6 +87,7 @@
         driven
     }
 
+    /// Gives the member an input at the present time.
     fn give(&mut self, input: Input) {
         self.outputs.clear();
         self.member.step(input, self.now, &mut self.outputs);
--- a/crates/serving/chain-replication/tests/reconfiguration.rs
+++ b/crates/serving/chain-replication/tests/reconfiguration.rs
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_lost_member_of_an_even_number_goes_after_a_while() {
+fn a_lost_member_of_an_even_number_is_removed_after_a_while() {
     let mut case = Case::healthy(4);
     case.lose(3);
     assert_eq!(case.plan().expect("a plan").members.len(), 4);
@@ -234,7 +234,7 @@
     case.request_to_join(peer(1, 2), false);
     assert!(
         case.plan().expect("a plan").is_in_force(&case.view),
-        "the earlier disk is still reachable"
+        "the member with the earlier disk is still reachable"
     );
     case.lose(1);
     let plan = case.plan().expect("a plan");
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_leaver_of_an_even_number_goes_at_once() {
+fn a_leaver_of_an_even_number_is_removed_at_once() {
     let mut case = Case::healthy(4);
     case.leave(1);
     let plan = case.plan().expect("a plan");
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_leaver_of_an_odd_number_stays_a_member_without_a_successor() {
+fn a_leaver_of_an_odd_number_stays_a_member_until_it_is_replaced() {
     for count in [3, 5] {
         let mut case = Case::healthy(count);
         case.leave(0);
--- a/crates/serving/chain-replication/tests/recovery_times.rs
+++ b/crates/serving/chain-replication/tests/recovery_times.rs
@@ -8,7 +8,7 @@
 
 const SEEDS: u64 = 24;
 /// By this time the first view is in force at all members.
-const CALM: Millis = 3_000;
+const STABLE_AT: Millis = 3_000;
 /// A restart delay beyond the end of each test.
 const NEVER: Millis = 1_000_000;
 /// A restarted machine must be a complete replica within this time, as the next machine may fail then.
@@ -20,13 +20,13 @@
 const STALLED_DISK: Millis = 1_800;
 const PLANNED_CHANGE: Millis = 150;
 
-fn calm_world(seed: u64, machines: usize) -> World {
+fn stable_world(seed: u64, machines: usize) -> World {
     let mut setup = Setup::new(seed, machines);
     setup.write_every = 12;
     setup.padding = 0;
     setup.max_sync_ms = 4;
     let mut world = World::new(setup);
-    world.play_to(CALM).expect("no guarantee is violated");
+    world.play_to(STABLE_AT).expect("no guarantee is violated");
     world.check_complete(20).expect("all members are complete");
     world
 }
@@ -36,7 +36,7 @@
     for seed in 0..SEEDS {
         let machines = 3 + (seed % 3) as usize;
         for machine in 0..machines {
-            check(&mut calm_world(seed, machines), machine);
+            check(&mut stable_world(seed, machines), machine);
         }
     }
 }
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_reset_connection_to_a_living_member_changes_nothing() {
+fn a_reset_connection_to_a_running_member_changes_no_view() {
     each_position(|world, machine| {
         let since = world.now;
         let before = view_number(world);
@@ -292,7 +292,7 @@
 #[test]
 fn a_spare_is_added_without_a_commit_gap() {
     for seed in 0..SEEDS {
-        let mut world = calm_world(seed, 3 + (seed % 3) as usize);
+        let mut world = stable_world(seed, 3 + (seed % 3) as usize);
         let since = world.now;
         inject(&mut world, Fault::Add);
         play(&mut world, 2_000);
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn a_short_suspension_changes_nothing() {
+fn a_short_suspension_changes_no_view() {
     each_position(|world, machine| {
         let before = view_number(world);
         inject(world, Fault::Freeze { machine });
@@ -395,10 +395,10 @@
 }
 
 #[test]
-fn all_killed_at_once_recover_in_time() {
+fn a_core_whose_members_all_end_at_once_recovers_in_time() {
     for seed in 0..SEEDS {
         for with_power in [true, false] {
-            let mut world = calm_world(seed, 3 + (seed % 4) as usize);
+            let mut world = stable_world(seed, 3 + (seed % 4) as usize);
             let since = world.now;
             for machine in 0..world.machines.len() {
                 let back_after = 400 + 37 * machine as Millis;
@@ -422,13 +422,13 @@
 }
 
 #[test]
-fn a_calm_core_changes_no_view_and_wakes_seldom() {
+fn an_idle_core_changes_no_view_and_takes_few_steps() {
     for machines in 3..=6 {
         let mut setup = Setup::new(7, machines);
         setup.write_every = NEVER;
         setup.read_every = NEVER;
         let mut world = World::new(setup);
-        world.play_to(CALM).expect("no guarantee is violated");
+        world.play_to(STABLE_AT).expect("no guarantee is violated");
         let steps = world.steps;
         let seconds = 60;
         play(&mut world, seconds * 1_000);
@@ -445,7 +445,7 @@
 #[test]
 fn a_member_alone_has_no_quorum_and_drops_requests() {
     for seed in 0..SEEDS {
-        let mut world = calm_world(seed, 3);
+        let mut world = stable_world(seed, 3);
         inject(
             &mut world,
             Fault::PowerLoss {
@@ -470,7 +470,7 @@
 
 #[test]
 fn a_second_bootstrap_is_ignored() {
-    let mut world = calm_world(1, 3);
+    let mut world = stable_world(1, 3);
     let view = world.newest_view().cloned().expect("the first view");
     let mut other = view.clone();
     other.chain.reverse();
--- a/crates/serving/chain-replication/tests/snapshots.rs
+++ b/crates/serving/chain-replication/tests/snapshots.rs
@@ -9,8 +9,8 @@
 use world::{Setup, World};
 
 /// By this time the first view is in force and the core is stable.
-const CALM: Millis = 2_500;
-/// The deployments' `catch_up_s`.
+const STABLE_AT: Millis = 2_500;
+/// Time in which a member must catch up: the deployments' `catch_up_s`.
 const CATCH_UP: Millis = 4_200;
 /// Bandwidth of a deployment's fast link, 1,000 Mbit/s, in bytes per millisecond.
 const FAST_LINK: u64 = 125_000;
@@ -38,9 +38,11 @@
 /// A world without faults and with so many commits that a joiner needs a snapshot.
 fn loaded_world(setup: Setup) -> World {
     let mut world = World::new(setup);
-    world.play_to(CALM).expect("the first view is installed");
     world
-        .play_to(CALM + 15_000)
+        .play_to(STABLE_AT)
+        .expect("the first view is installed");
+    world
+        .play_to(STABLE_AT + 15_000)
         .expect("no guarantee is violated");
     // More than the log retains until a snapshot is taken and for members that were down briefly.
     assert!(
--- a/crates/serving/chain-replication/tests/view_model.rs
+++ b/crates/serving/chain-replication/tests/view_model.rs
@@ -167,7 +167,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Promise {
-        by: u8,
+        voter: u8,
         number: u8,
         proposal_number: ProposalNumber,
     },
@@ -177,12 +177,12 @@
         chain: Vec<u8>,
     },
     Vote {
-        by: u8,
+        voter: u8,
         number: u8,
         proposal_number: ProposalNumber,
     },
     InstallView {
-        by: u8,
+        voter: u8,
         decided: usize,
     },
     Sync {
@@ -307,11 +307,11 @@
             .members
             .iter()
             .copied()
-            .filter_map(|by| {
+            .filter_map(|voter| {
                 messages
                     .promises
-                    .get(&(proposer + 1, by))
-                    .map(|promise| (by, promise))
+                    .get(&(proposer + 1, voter))
+                    .map(|promise| (voter, promise))
             })
             .collect();
         if promises.len() < view.majority() {
@@ -323,7 +323,7 @@
         if let Some((_, proposal)) = accepted.max_by_key(|(proposal_number, _)| *proposal_number) {
             return Some(proposal.clone());
         }
-        let ids: Vec<MemberId> = promises.iter().map(|(by, _)| id(*by)).collect();
+        let ids: Vec<MemberId> = promises.iter().map(|(voter, _)| id(*voter)).collect();
         let sealed: Vec<SealedLog> = promises
             .iter()
             .zip(&ids)
@@ -356,13 +356,13 @@
     }
 
     /// Adds promises, acceptances and installations of decided views. A `Prepare` message may arrive at any time.
-    fn votes(&self, state: &State, by: u8, actions: &mut Vec<Action>) {
-        let member = &state.members[by as usize];
+    fn votes(&self, state: &State, voter: u8, actions: &mut Vec<Action>) {
+        let member = &state.members[voter as usize];
         let later = |(_, view): &(usize, &ModelView)| view.number > member.number();
         let unknown = state.decided.iter().enumerate().filter(later);
-        actions.extend(unknown.map(|(decided, _)| Action::InstallView { by, decided }));
+        actions.extend(unknown.map(|(decided, _)| Action::InstallView { voter, decided }));
         for number in 2..=self.bounds.last_view {
-            let is_voter = |view: &ModelView| view.number + 1 == number && view.has_member(by);
+            let is_voter = |view: &ModelView| view.number + 1 == number && view.has_member(voter);
             if !self.votes_on(member, number) || !state.decided.iter().any(is_voter) {
                 continue;
             }
@@ -370,10 +370,10 @@
             let messages = state.messages.get(&number).unwrap_or(&no_messages);
             for proposal_number in 1..=self.bounds.proposers {
                 if member.promised < proposal_number
-                    && !messages.promises.contains_key(&(proposal_number, by))
+                    && !messages.promises.contains_key(&(proposal_number, voter))
                 {
                     actions.push(Action::Promise {
-                        by,
+                        voter,
                         number,
                         proposal_number,
                     });
@@ -381,10 +381,10 @@
             }
             for proposal_number in messages.accepts.keys().copied() {
                 if member.promised <= proposal_number
-                    && !messages.votes.contains(&(proposal_number, by))
+                    && !messages.votes.contains(&(proposal_number, voter))
                 {
                     actions.push(Action::Vote {
-                        by,
+                        voter,
                         number,
                         proposal_number,
                     });
@@ -408,7 +408,7 @@
         let promised = view
             .members
             .iter()
-            .filter(|by| messages.promises.contains_key(&(own, **by)))
+            .filter(|voter| messages.promises.contains_key(&(own, **voter)))
             .count();
         if promised < view.majority() {
             return;
@@ -458,7 +458,7 @@
             let votes = messages
                 .votes
                 .iter()
-                .filter(|(of, by)| *of == proposal_number && view.has_member(*by));
+                .filter(|(of, voter)| *of == proposal_number && view.has_member(*voter));
             view.number + 1 == number && votes.count() >= view.majority()
         };
         let decided = state.decided.iter().any(|view| by_majority(&view));
@@ -498,8 +498,8 @@
 }
 
 impl State {
-    fn promise(&mut self, by: u8, number: u8, proposal_number: ProposalNumber) {
-        let member = &mut self.members[by as usize];
+    fn promise(&mut self, voter: u8, number: u8, proposal_number: ProposalNumber) {
+        let member = &mut self.members[voter as usize];
         member.promised = proposal_number;
         let promise = Promise {
             accepted: member.accepted.clone(),
@@ -510,16 +510,16 @@
             ),
         };
         let messages = self.messages.entry(number).or_default();
-        messages.promises.insert((proposal_number, by), promise);
+        messages.promises.insert((proposal_number, voter), promise);
     }
 
     /// Accepts a proposal; none if there is no proposal of this number.
-    fn accept(&mut self, by: u8, number: u8, proposal_number: ProposalNumber) -> Option<()> {
+    fn accept(&mut self, voter: u8, number: u8, proposal_number: ProposalNumber) -> Option<()> {
         let messages = self.messages.entry(number).or_default();
         let proposal = messages.accepts.get(&proposal_number)?.clone();
-        messages.votes.push((proposal_number, by));
+        messages.votes.push((proposal_number, voter));
         messages.votes.sort_unstable();
-        let member = &mut self.members[by as usize];
+        let member = &mut self.members[voter as usize];
         member.promised = proposal_number;
         member.accepted = Some((proposal_number, proposal));
         Some(())
@@ -602,10 +602,10 @@
         let mut state = before.clone();
         match action {
             Action::Promise {
-                by,
+                voter,
                 number,
                 proposal_number,
-            } => state.promise(by, number, proposal_number),
+            } => state.promise(voter, number, proposal_number),
             Action::Propose {
                 proposer,
                 members,
@@ -616,16 +616,16 @@
                 messages.accepts.insert(proposer + 1, proposal);
             }
             Action::Vote {
-                by,
+                voter,
                 number,
                 proposal_number,
             } => {
-                state.accept(by, number, proposal_number)?;
+                state.accept(voter, number, proposal_number)?;
                 Core::decide(&mut state, number, proposal_number);
             }
-            Action::InstallView { by, decided } => {
+            Action::InstallView { voter, decided } => {
                 let decided = state.decided[decided].clone();
-                state.members[by as usize].install(&decided);
+                state.members[voter as usize].install(&decided);
             }
             Action::Sync { member } => state.sync(member),
             Action::Write { head } => {
--- a/crates/serving/chain-replication/tests/world/checks.rs
+++ b/crates/serving/chain-replication/tests/world/checks.rs
@@ -1,6 +1,6 @@
 //! Checks of a world's state.
 
-use super::{Verdict, World, CLOCK_START};
+use super::{CheckResult, World, CLOCK_START};
 use dunespur_chain_replication::{Member, Millis, View};
 
 impl World {
@@ -56,7 +56,7 @@
 
     /// Checks that all running machines are in the chain of the newest view, know that view, have a quorum, and lack at most
     /// `max_behind` commits.
-    pub fn check_complete(&self, max_behind: u64) -> Verdict {
+    pub fn check_complete(&self, max_behind: u64) -> CheckResult {
         let newest = self.newest_view().ok_or("no view was installed")?;
         for index in self.running() {
             let member = self.member(index).ok_or("not running")?;
--- a/crates/serving/chain-replication/tests/world/fault_tolerance.rs
+++ b/crates/serving/chain-replication/tests/world/fault_tolerance.rs
@@ -4,7 +4,7 @@
 use dunespur_chain_replication::{DurableState, Input, Millis, View};
 
 /// By this time the first view is in force and the core is stable.
-const CALM: Millis = 2_500;
+const STABLE_AT: Millis = 2_500;
 /// Resolution at which windows are measured.
 const SAMPLE_EVERY: Millis = 10;
 /// Longest time for which a leaving process drains before it ends.
@@ -12,7 +12,7 @@
 /// How long the core is watched after the last step.
 const WATCHED_FOR: Millis = 5_000;
 
-/// Commits that a machine may lack when the core counts as complete again.
+/// Number of commits that a machine may lack when the core counts as complete again.
 const MAX_BEHIND: u64 = 40;
 
 /// A change of the machines of a core that is otherwise without faults.
@@ -96,7 +96,7 @@
 
 impl Script {
     fn random(change: Change, world: &mut World) -> Script {
-        let begin = CALM + world.rng.u64(0..1_000);
+        let begin = STABLE_AT + world.rng.u64(0..1_000);
         let machine = world.rng.usize(..world.setup.machines);
         let with_power = world.rng.bool();
         let mut script = Script {
@@ -220,7 +220,7 @@
 /// As [`window`], in a newly created world.
 pub fn window_in(world: &mut World, change: Change) -> Result<Millis, String> {
     let machines = world.setup.machines;
-    world.play_to(CALM)?;
+    world.play_to(STABLE_AT)?;
     let leaving = &[];
     if !world.tolerates(tolerated(machines), leaving) {
         return Err(world.describe("too few losses are tolerated before the change".into()));
@@ -233,9 +233,9 @@
     let mut tolerated_from = script.ends_at;
     while world.now < end {
         let next = world.now + SAMPLE_EVERY;
-        let due = steps.peek().map_or(next, |(at, _)| next.min(*at));
-        world.play_to(due)?;
-        while let Some((_, step)) = steps.next_if(|(at, _)| *at <= due) {
+        let next_step_at = steps.peek().map_or(next, |(at, _)| next.min(*at));
+        world.play_to(next_step_at)?;
+        while let Some((_, step)) = steps.next_if(|(at, _)| *at <= next_step_at) {
             world.execute_step(step, &mut leaving);
         }
         if world.now >= script.ends_at && !world.tolerates(losses_to_tolerate, &leaving) {
@@ -376,15 +376,15 @@
 }
 
 /// All subsets with `size` elements.
-fn subsets(of: &[usize], size: usize) -> impl Iterator<Item = Vec<usize>> + '_ {
+fn subsets(machines: &[usize], size: usize) -> impl Iterator<Item = Vec<usize>> + '_ {
     let chosen = move |bits: u32| {
-        let members = of
+        let members = machines
             .iter()
             .enumerate()
             .filter(|(index, _)| bits & 1 << index != 0);
         members.map(|(_, machine)| *machine).collect()
     };
-    (0..1_u32 << of.len())
+    (0..1_u32 << machines.len())
         .filter(move |bits| bits.count_ones() as usize == size)
         .map(chosen)
 }
--- a/crates/serving/chain-replication/tests/world/members.rs
+++ b/crates/serving/chain-replication/tests/world/members.rs
@@ -45,19 +45,19 @@
             .next_tick()
             .saturating_sub(CLOCK_START)
             .saturating_add(process.started_at);
-        let due = next.max(now + 1);
+        let next_tick_at = next.max(now + 1);
         if let Some(record) = &mut self.record {
-            record.stepped(now, index, due, &out);
+            record.stepped(now, index, next_tick_at, &out);
         }
-        if due < process.tick_at {
-            process.tick_at = due;
+        if next_tick_at < process.tick_at {
+            process.tick_at = next_tick_at;
             let run = self.machines[index].run;
             self.schedule(
-                due,
+                next_tick_at,
                 Event::Tick {
                     machine: index,
                     run,
-                    at: due,
+                    at: next_tick_at,
                 },
             );
         }
@@ -80,14 +80,17 @@
             }
             Output::Persist { batch, writes } => self.persist(index, batch, writes),
             Output::Apply {
-                index: at,
+                index: log_index,
                 payload,
                 ticket,
-            } => self.on_apply(index, at, &payload, ticket),
+            } => self.on_apply(index, log_index, &payload, ticket),
             Output::ReadReady { ticket } => self.read_ready(index, ticket),
             Output::Dropped { ticket } => self.dropped(index, ticket),
             Output::TakeSnapshot => self.take_snapshot(index),
-            Output::InstallSnapshot { index: at, bytes } => self.on_install(index, at, &bytes),
+            Output::InstallSnapshot {
+                index: log_index,
+                bytes,
+            } => self.on_install(index, log_index, &bytes),
             Output::ViewChanged { view, .. } => self.view_changed(index, view),
         }
     }
@@ -126,35 +129,43 @@
             .expect("the machine has a process")
     }
 
-    pub(super) fn on_apply(&mut self, index: usize, at: u64, payload: &[u8], ticket: Option<u64>) {
+    pub(super) fn on_apply(
+        &mut self,
+        index: usize,
+        log_index: u64,
+        payload: &[u8],
+        ticket: Option<u64>,
+    ) {
         let payload = u64::from_le_bytes(
             payload[..8]
                 .try_into()
                 .expect("a payload begins with eight bytes"),
         );
         let process = self.process(index);
-        let in_order = process.applied + 1 == at;
-        process.applied = at;
+        let in_order = process.applied + 1 == log_index;
+        process.applied = log_index;
         let submitted = ticket.and_then(|ticket| process.submitted.remove(&ticket));
         if !in_order {
-            self.record_violation(format!("m{index} applies the commit {at} out of order"));
+            self.record_violation(format!(
+                "m{index} applies the commit {log_index} out of order"
+            ));
         }
         if ticket.is_some() && submitted != Some(payload) {
             self.record_violation(format!(
-                "m{index} takes the payload at {at}, submitted elsewhere, for its own"
+                "m{index} takes the payload at {log_index}, submitted elsewhere, for its own"
             ));
         }
         self.acknowledged += u64::from(submitted.is_some());
-        let index = at as usize - 1;
+        let index = log_index as usize - 1;
         if index == self.sequence.len() {
             self.sequence.push(payload);
             self.commit_times.push(self.now);
             self.digests.push(digest(self.digests[index], payload));
-            self.trace_event(|| format!("m{index} commits {at}: {payload}"));
+            self.trace_event(|| format!("m{index} commits {log_index}: {payload}"));
         } else if self.sequence.get(index) != Some(&payload) {
             let known = self.sequence.get(index).copied();
             self.record_violation(format!(
-                "m{index} commits {payload} at {at}, where {known:?} was committed before"
+                "m{index} commits {payload} at {log_index}, where {known:?} was committed before"
             ));
         }
         if self.watched_payloads.contains(&payload) {
@@ -188,17 +199,17 @@
         digest.to_le_bytes().repeat(words)
     }
 
-    pub(super) fn on_install(&mut self, index: usize, at: u64, bytes: &[u8]) {
+    pub(super) fn on_install(&mut self, index: usize, log_index: u64, bytes: &[u8]) {
         self.snapshots_installed += 1;
         let process = self.process(index);
-        let is_older = at < process.applied;
-        process.applied = at;
+        let is_older = log_index < process.applied;
+        process.applied = log_index;
         let expected = self
             .digests
-            .get(at as usize)
+            .get(log_index as usize)
             .map(|digest| self.snapshot_after(*digest));
         if is_older || expected.as_deref() != Some(bytes) {
-            self.record_violation(format!("m{index} installs a wrong snapshot at {at}"));
+            self.record_violation(format!("m{index} installs a wrong snapshot at {log_index}"));
         }
     }
 
--- a/crates/serving/chain-replication/tests/world/mod.rs
+++ b/crates/serving/chain-replication/tests/world/mod.rs
@@ -41,7 +41,7 @@
 const CLOCK_START: Millis = 1;
 
 /// The result of a check: an error names the violated guarantee.
-pub type Verdict = Result<(), String>;
+pub type CheckResult = Result<(), String>;
 
 /// The parameters of a world.
 #[derive(Clone, Copy, Debug)]
@@ -100,7 +100,7 @@
     /// The time at which the process started; its clock began then at [`CLOCK_START`].
     started_at: Millis,
     tick_at: Millis,
-    /// The index of the last commit that was applied, or installed with a snapshot.
+    /// Index of the last commit that was applied or installed with a snapshot.
     applied: u64,
     submitted: HashMap<u64, u64>,
     reads: HashMap<u64, u64>,
@@ -306,7 +306,7 @@
     }
 
     /// Plays up to a time, or to the first violation.
-    pub fn play_to(&mut self, end: Millis) -> Verdict {
+    pub fn play_to(&mut self, end: Millis) -> CheckResult {
         while self
             .events
             .peek()
