--- a/crates/serving/chain-replication/src/failure_detector.rs
+++ b/crates/serving/chain-replication/src/failure_detector.rs
@@ -62,13 +62,13 @@
         now < self.suspected_at()
     }
 
-    fn has_echoed_lately(&self, now: Millis) -> bool {
+    fn has_echoed_recently(&self, now: Millis) -> bool {
         self.echoed_sent_at
             .is_some_and(|sent_at| now < sent_at + ECHO_TIMEOUT)
     }
 
     fn receives_pings(&self, now: Millis) -> bool {
-        now < self.presumed_receiving_until || self.has_echoed_lately(now)
+        now < self.presumed_receiving_until || self.has_echoed_recently(now)
     }
 }
 
@@ -214,22 +214,32 @@
     /// Whether the member is alive, and a recent echo shows that it receives our pings.
     pub(crate) fn is_confirmed_connected(&self, id: &MemberId, now: Millis) -> bool {
         self.peer(id)
-            .is_some_and(|peer| peer.is_alive(now) && peer.has_echoed_lately(now))
+            .is_some_and(|peer| peer.is_alive(now) && peer.has_echoed_recently(now))
     }
 
     /// Whether the member, in this view, has echoed a timestamp that we sent within [`QUORUM_TIMEOUT`].
-    pub(crate) fn has_replied_lately(&self, id: &MemberId, view: ViewNumber, now: Millis) -> bool {
+    pub(crate) fn has_replied_recently(
+        &self,
+        id: &MemberId,
+        view: ViewNumber,
+        now: Millis,
+    ) -> bool {
         self.peer(id).is_some_and(|peer| {
-            let lately = peer
+            let has_recent_echo = peer
                 .echoed_sent_at
                 .is_some_and(|at| now <= at + QUORUM_TIMEOUT);
-            lately && peer.echoed_in_view == view
+            has_recent_echo && peer.echoed_in_view == view
         })
     }
 
     /// Whether a message from the member arrived within [`QUORUM_TIMEOUT`] and its last ping was of this view: for tests
     /// that remove `Safeguard::QuorumBySendTime`.
-    pub(crate) fn was_received_lately(&self, id: &MemberId, view: ViewNumber, now: Millis) -> bool {
+    pub(crate) fn was_received_recently(
+        &self,
+        id: &MemberId,
+        view: ViewNumber,
+        now: Millis,
+    ) -> bool {
         self.peer(id).is_some_and(|peer| {
             let same_view = peer
                 .last_ping
--- a/crates/serving/chain-replication/src/lib.rs
+++ b/crates/serving/chain-replication/src/lib.rs
@@ -16,7 +16,8 @@
 //! * The chain has at least a majority of the members, so every majority that decides the next view contains members of
 //!   the chain. If all of these were synced in the present view, each of them has every entry committed in it. If one
 //!   was not, nothing was or ever will be committed in the present view, and only commits of earlier views have to be
-//!   kept. The *base* of the next view ([`DecidedView::base`]) is the least synced view that guarantees these commits.
+//!   kept. The *base* of the next view ([`DecidedView::base`]) is the synced view that a member needs, at least, to have
+//!   every commit.
 //! * The next head is a member whose synced view is at least the base; every other member of the chain brings its log in
 //!   line with the head's before its syncs count.
 //!
--- a/crates/serving/chain-replication/src/member/io.rs
+++ b/crates/serving/chain-replication/src/member/io.rs
@@ -117,9 +117,9 @@
     },
     /// A new view was installed, or this member has gained or lost its quorum.
     ViewChanged {
-        /// The newest view known here.
+        /// The newest view that this member knows.
         view: View,
-        /// Whether a majority of its members has replied lately.
+        /// Whether a majority of the view's members, including this one, has recently replied.
         has_quorum: bool,
     },
 }
--- a/crates/serving/chain-replication/src/member/mod.rs
+++ b/crates/serving/chain-replication/src/member/mod.rs
@@ -255,7 +255,7 @@
         self.decided.as_ref().map(|decided| &decided.view)
     }
 
-    /// Whether a majority of the view's members, including this one, has lately replied in this view.
+    /// Whether a majority of the view's members, including this one, has recently replied in this view.
     #[must_use]
     pub fn has_quorum(&self, now: Millis) -> bool {
         let Some(view) = self.view().filter(|view| view.has_member(&self.me.id)) else {
@@ -265,10 +265,10 @@
         let has_replied = |id: &MemberId| {
             if by_send_time {
                 self.failure_detector
-                    .has_replied_lately(id, view.number, now)
+                    .has_replied_recently(id, view.number, now)
             } else {
                 self.failure_detector
-                    .was_received_lately(id, view.number, now)
+                    .was_received_recently(id, view.number, now)
             }
         };
         let others = view.members.iter().filter(|member| has_replied(&member.id));
--- a/crates/serving/chain-replication/src/member/state/requests.rs
+++ b/crates/serving/chain-replication/src/member/state/requests.rs
@@ -13,7 +13,7 @@
     pub(crate) ticket: Ticket,
     pub(crate) payload: Payload,
     submitted_at: Millis,
-    /// When it was last sent to the head, or appended here if this is the head.
+    /// When it was last sent to the head, or appended to the log if this member is the head.
     pub(crate) last_sent_at: Option<Millis>,
 }
 
--- a/crates/serving/chain-replication/src/write_queue.rs
+++ b/crates/serving/chain-replication/src/write_queue.rs
@@ -13,7 +13,7 @@
 pub(crate) enum Completion {
     /// A promise or an acceptance may be sent.
     SendVote { to: MemberId, message: Box<Message> },
-    /// The first view, bootstrapped here, may be sent to its other members.
+    /// The first view, bootstrapped at this member, may be sent to its other members.
     AnnounceFirstView,
     /// The log is on disk up to this index.
     LogPersisted { index: LogIndex },
--- a/crates/serving/chain-replication/tests/view_model.rs
+++ b/crates/serving/chain-replication/tests/view_model.rs
@@ -455,10 +455,9 @@
         let messages = &state.messages[&number];
         let proposal = messages.accepts[&proposal_number].clone();
         let by_majority = |view: &&ModelView| {
-            let votes = messages
-                .votes
-                .iter()
-                .filter(|(of, voter)| *of == proposal_number && view.has_member(*voter));
+            let votes = messages.votes.iter().filter(|(accepted, voter)| {
+                *accepted == proposal_number && view.has_member(*voter)
+            });
             view.number + 1 == number && votes.count() >= view.majority()
         };
         let decided = state.decided.iter().any(|view| by_majority(&view));
