--- a/crates/serving/chain-replication/src/member/join.rs
+++ b/crates/serving/chain-replication/src/member/join.rs
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 
 impl Member {
-    /// The caller, or the process that bootstraps the system, sets the first view: it is taken on an empty disk only, and
-    /// only where it may be.
+    /// Installs the first view, given by the caller or by the process that bootstraps the system. Only a member with an
+    /// empty disk and with `may_bootstrap` installs it.
     pub(super) fn bootstrap(&mut self, view: View) {
         let is_empty = self.decided.is_none() && self.log.last().index == 0;
         let is_first = view.number == 1 && view.is_sound() && view.has_member(&self.me.id);
@@ -21,7 +21,7 @@
             return;
         }
         self.install_view(DecidedView::bootstrap(view));
-        // Against a first view that the process which set it has forgotten while others have it.
+        // Announced only once it is on disk: else this process could forget a first view that others have installed.
         self.write_queue
             .when_persisted(Completion::AnnounceFirstView);
     }
@@ -37,7 +37,7 @@
         self.request_to_join();
     }
 
-    /// Starts to request membership, unless this is a member.
+    /// Starts to request membership, unless this process is already a member or is leaving.
     pub(super) fn seek_membership(&mut self, contacts: Vec<SocketAddr>) {
         if self.is_member() || self.leaving {
             self.join_attempt = None;
@@ -46,9 +46,9 @@
         let now = self.now;
         let attempt = self.join_attempt.get_or_insert_with(|| JoinAttempt {
             contacts: Vec::new(),
-            next_at: now,
+            next_request_at: now,
         });
-        attempt.next_at = now;
+        attempt.next_request_at = now;
         if !contacts.is_empty() {
             attempt.contacts = contacts;
         }
@@ -59,11 +59,11 @@
         let Some(attempt) = self
             .join_attempt
             .as_mut()
-            .filter(|attempt| now >= attempt.next_at)
+            .filter(|attempt| now >= attempt.next_request_at)
         else {
             return;
         };
-        attempt.next_at = now + JOIN_RETRY;
+        attempt.next_request_at = now + JOIN_RETRY;
         let mut addresses = attempt.contacts.clone();
         let message = Message::Join {
             joiner: self.me.clone(),
@@ -116,6 +116,8 @@
     }
 
     pub(super) fn next_join_tick(&self) -> Option<Millis> {
-        self.join_attempt.as_ref().map(|attempt| attempt.next_at)
+        self.join_attempt
+            .as_ref()
+            .map(|attempt| attempt.next_request_at)
     }
 }
--- a/crates/serving/chain-replication/src/member/stage.rs
+++ b/crates/serving/chain-replication/src/member/stage.rs
@@ -1,4 +1,4 @@
-//! The role of a member in the chain of its view, and from whom it takes messages there.
+//! The role of a member in the chain of its view, and which messages of the chain it accepts.
 
 use super::state::freshness::Freshness;
 use super::state::learner::Learner;
@@ -10,7 +10,7 @@
 use crate::view::{View, ViewNumber};
 use crate::write_queue::Completion;
 
-/// From which neighbour in the chain a message has to come.
+/// The neighbour in the chain from which a message has to come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Neighbour {
     Predecessor,
@@ -27,8 +27,8 @@
 }
 
 impl Member {
-    /// Every change of the stage goes through here.
-    fn enter(&mut self, stage: Stage) {
+    /// Changes the stage; every change goes through this function.
+    fn enter_stage(&mut self, stage: Stage) {
         self.stage = stage;
     }
 
@@ -59,11 +59,11 @@
     /// After a promise this member no longer participates in the chain of the present view.
     pub(super) fn seal(&mut self) {
         if self.stage != Stage::OutOfChain && self.safeguards.has(Safeguard::CheckViews) {
-            self.enter(Stage::Sealed);
+            self.enter_stage(Stage::Sealed);
         }
     }
 
-    /// Goes on in the chain by the stage that it has there.
+    /// Starts the work that belongs to the present stage.
     pub(super) fn resume_stage(&mut self) {
         match self.stage {
             Stage::Synced => self.begin_forwarding(),
@@ -74,14 +74,14 @@
         }
     }
 
-    /// Takes its role in the chain of a view that was just installed.
+    /// Enters the chain of a newly installed view, or becomes a learner outside it.
     pub(super) fn enter_chain(&mut self) {
         self.upstream = Upstream::default();
         self.downstream = Downstream::default();
         self.learner = Learner::default();
         self.snapshots.forget_requests();
         let in_chain = self.view().is_some_and(|view| view.in_chain(&self.me.id));
-        self.enter(if in_chain {
+        self.enter_stage(if in_chain {
             Stage::CatchingUp
         } else {
             Stage::OutOfChain
@@ -105,8 +105,9 @@
         self.view()?.successor(&self.me.id).cloned()
     }
 
-    /// Whether a message of the chain counts here: it is of the view in force, from the neighbour it must come from.
-    pub(super) fn counts_from(
+    /// Whether to accept a message of the chain: it has to be of the view in force and from the given neighbour, and this
+    /// member has to participate in the chain.
+    pub(super) fn accepts_chain_message(
         &mut self,
         from: &MemberId,
         view: ViewNumber,
@@ -127,7 +128,7 @@
         self.safeguards.has(Safeguard::CatchUpBeforeSync)
     }
 
-    /// The log is complete as of this view.
+    /// Records that the log is complete as of the present view.
     pub(super) fn caught_up(&mut self) {
         let view = self.view_number();
         self.synced_view = view;
@@ -135,15 +136,15 @@
         self.write_queue.write(Write::Synced { view });
         self.write_queue
             .when_persisted(Completion::SyncedViewPersisted { view });
-        self.enter(Stage::Syncing);
+        self.enter_stage(Stage::Syncing);
     }
 
-    /// That is on disk.
+    /// The synced view is on disk: starts to forward entries and handles the deferred requests.
     pub(super) fn on_synced_view_persisted(&mut self, view: ViewNumber) {
         if view != self.view_number() || self.stage != Stage::Syncing {
             return;
         }
-        self.enter(Stage::Synced);
+        self.enter_stage(Stage::Synced);
         self.begin_forwarding();
         let deferred = std::mem::take(&mut self.deferred);
         self.append_deferred(deferred.submissions);
