--- a/crates/serving/turn-replication/src/anti_entropy/claims.rs
+++ b/crates/serving/turn-replication/src/anti_entropy/claims.rs
@@ -1,40 +1,42 @@
-//! Which turns are on their way to this store, so that no two pulls fetch the same one.
+//! Tracks the turns that are being transferred to this store, so that no two pulls fetch the same turn.
 
 use std::collections::HashMap;
 
-/// Turns that are being fetched or written, each with the pull that fetches it.
+/// Turns that are being fetched or written, each claimed by the pull that fetches it.
 #[derive(Debug, Default)]
 pub(super) struct Claims {
-    pulls: HashMap<String, u64>,
+    /// Serial number of the claiming pull by turn id.
+    pull_by_turn: HashMap<String, u64>,
 }
 
 impl Claims {
-    /// Claims a turn for a pull; returns whether no pull had claimed it.
+    /// Claims a turn for a pull; returns `false` if a pull has already claimed the turn.
     #[must_use]
     pub(super) fn claim(&mut self, id: &str, pull: u64) -> bool {
-        if self.pulls.contains_key(id) {
+        if self.pull_by_turn.contains_key(id) {
             return false;
         }
-        self.pulls.insert(id.to_owned(), pull);
+        self.pull_by_turn.insert(id.to_owned(), pull);
         true
     }
 
-    /// The turn is here, or it will not come.
+    /// Releases a turn that is stored now or will not arrive.
     pub(super) fn release(&mut self, id: &str) {
-        self.pulls.remove(id);
+        self.pull_by_turn.remove(id);
     }
 
-    /// A pull has ended: nothing more comes from it.
-    pub(super) fn release_all_of(&mut self, pull: u64) {
-        self.pulls.retain(|_, claimed_by| *claimed_by != pull);
+    /// Releases all turns of a pull that has ended.
+    pub(super) fn release_pull(&mut self, pull: u64) {
+        self.pull_by_turn
+            .retain(|_, claimed_by| *claimed_by != pull);
     }
 
     pub(super) fn clear(&mut self) {
-        self.pulls.clear();
+        self.pull_by_turn.clear();
     }
 
-    /// How many turns are on their way.
+    /// Number of turns that are being fetched or written.
     pub(super) fn len(&self) -> usize {
-        self.pulls.len()
+        self.pull_by_turn.len()
     }
 }
--- a/crates/serving/turn-replication/src/anti_entropy/mod.rs
+++ b/crates/serving/turn-replication/src/anti_entropy/mod.rs
@@ -1,9 +1,9 @@
-//! Anti-entropy: asks the other stores for the turns that this store should hold, and pulls those that are missing. A
-//! pass over all stores begins when this store starts, when the set of stores that turns are placed on changes, and
-//! when another store has lost its disk; a store that returns is added to the pass.
+//! Anti-entropy: lists the turns of the other stores that this store should hold, and pulls the missing turns. A pass
+//! over all stores begins when this store starts, when the set of stores that turns are placed on changes, and when
+//! another store has lost its disk. A store that returns is added to the current pass.
 //!
-//! Several stores are asked at the same time, and each turn is fetched from one of them. The next pages are fetched
-//! while earlier ones are written; how many pages are under way together is limited, and with them the memory.
+//! Several stores are pulled from at the same time, and each turn is fetched from only one of them. Further pages are
+//! fetched while earlier pages are written. The number of pages in flight is limited to bound the memory.
 
 mod claims;
 mod pull;
@@ -11,21 +11,21 @@
 use std::collections::BTreeMap;
 
 use claims::Claims;
-use pull::{Progress, Pull};
+use pull::{Pull, PullAction};
 
 use crate::index::Index;
 use crate::message::ListedTurn;
 use crate::turn::RetainedTurn;
 
-/// After this long a store that could not be asked is asked again, in milliseconds.
+/// Delay before a failed pull from a store is retried, in milliseconds.
 pub const PULL_RETRY_MS: u64 = 300;
 
-/// Maximum number of stores that are asked at the same time.
+/// Maximum number of stores that are pulled from at the same time.
 const MAX_PULLS: usize = 3;
-/// Maximum number of pages of turns that are being fetched or wait for the disk, of all pulls together.
-const MAX_PAGES_UNDER_WAY: usize = 4;
+/// Maximum number of pages of turns that are being fetched or written, over all pulls.
+const MAX_PAGES_IN_FLIGHT: usize = 4;
 
-/// Where the pass stands with one store.
+/// State of the pass for one store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PeerState {
     Waiting { not_before_ms: u64 },
@@ -38,16 +38,16 @@
 pub enum PullRequest {
     /// List the turns that this store should hold.
     List {
-        /// The store to ask.
+        /// The store to send the request to.
         peer: String,
-        /// After which id the page begins.
+        /// The page begins after this id; `None` for the first page.
         after: Option<String>,
     },
     /// Fetch turns.
     Fetch {
-        /// The store to ask.
+        /// The store to send the request to.
         peer: String,
-        /// The turns.
+        /// Ids of the turns.
         ids: Vec<String>,
     },
 }
@@ -59,12 +59,12 @@
     peers: BTreeMap<String, PeerState>,
     pulls: Vec<Pull>,
     claims: Claims,
-    /// Increases with each pull; replies to earlier pulls are void.
+    /// Serial number of the latest pull. Replies to pulls that have ended are ignored.
     last_serial: u64,
 }
 
 impl AntiEntropy {
-    /// Begins a pass over these stores; the current one ends.
+    /// Begins a pass over the given stores and abandons the current pass.
     pub fn begin(&mut self, peers: impl IntoIterator<Item = String>, now_ms: u64) {
         self.began_at_ms = now_ms;
         self.pulls.clear();
@@ -75,19 +75,19 @@
         self.peers = peers.into_iter().map(|peer| (peer, waiting)).collect();
     }
 
-    /// Adds a store that has returned.
+    /// Adds a store that has returned to the pass.
     pub fn add(&mut self, peer: &str, now_ms: u64) {
-        self.end_pull_of(peer);
+        self.end_pull_from(peer);
         let waiting = PeerState::Waiting {
             not_before_ms: now_ms,
         };
         self.peers.insert(peer.to_owned(), waiting);
     }
 
-    /// Removes a store that has left.
+    /// Removes a store that has left from the pass.
     pub fn remove(&mut self, peer: &str) {
         self.peers.remove(peer);
-        self.end_pull_of(peer);
+        self.end_pull_from(peer);
     }
 
     /// When the pass began, in milliseconds of the steady clock.
@@ -96,58 +96,58 @@
         self.began_at_ms
     }
 
-    /// Whether every store of the pass has sent all that it had.
+    /// Whether the pulls from all stores of the pass have ended.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.peers.values().all(|state| *state == PeerState::Done)
     }
 
-    /// Whether a request is in flight, or its turns are being written.
+    /// Whether any pull is in progress: a request is in flight or fetched turns are being written.
     #[must_use]
     pub fn is_pulling(&self) -> bool {
         !self.pulls.is_empty()
     }
 
-    /// Turns that this store is known to lack; those on pages that were not listed yet are not among them.
+    /// Number of turns that this store is known to lack; turns on pages that were not listed yet do not count.
     #[must_use]
     pub fn missing_turns(&self) -> usize {
         let listed: usize = self.pulls.iter().map(Pull::missing_turns).sum();
         listed + self.claims.len()
     }
 
-    /// When [`Self::next_request`] may return a request that it does not return now, in milliseconds.
+    /// Earliest time at which a waiting pull may begin, in milliseconds; [`Self::next_request`] has to be called then.
     #[must_use]
     pub fn next_due(&self) -> Option<u64> {
         if self.pulls.len() >= MAX_PULLS {
             return None;
         }
-        let waits = self.peers.values().filter_map(|state| match state {
+        let start_times = self.peers.values().filter_map(|state| match state {
             PeerState::Waiting { not_before_ms } => Some(*not_before_ms),
             PeerState::Pulling | PeerState::Done => None,
         });
-        waits.min()
+        start_times.min()
     }
 
-    /// The next request to be sent, and the serial number of its pull.
+    /// Returns the serial number of a pull and its next request to be sent.
     pub fn next_request(&mut self, index: &Index, now_ms: u64) -> Option<(u64, PullRequest)> {
         loop {
             self.begin_pulls(now_ms);
-            let mut has_ended = None;
-            for number in 0..self.pulls.len() {
-                let may_fetch = self.pages_under_way() < MAX_PAGES_UNDER_WAY;
-                let pull = &mut self.pulls[number];
+            let mut finished = None;
+            for index_of_pull in 0..self.pulls.len() {
+                let may_fetch = self.pages_in_flight() < MAX_PAGES_IN_FLIGHT;
+                let pull = &mut self.pulls[index_of_pull];
                 match pull.advance(index, &mut self.claims, may_fetch) {
-                    Progress::Send(request) => return Some((pull.serial, request)),
-                    Progress::Waits => {}
-                    Progress::Ended => has_ended = Some(number),
+                    PullAction::Send(request) => return Some((pull.serial, request)),
+                    PullAction::Wait => {}
+                    PullAction::Finished => finished = Some(index_of_pull),
                 }
             }
-            let ended = self.pulls.remove(has_ended?);
-            self.peers.insert(ended.peer, PeerState::Done);
+            let finished = self.pulls.remove(finished?);
+            self.peers.insert(finished.peer, PeerState::Done);
         }
     }
 
-    /// Asks as many stores as are due and may be asked at the same time.
+    /// Begins pulls from the stores that are due, up to the maximum number of simultaneous pulls.
     fn begin_pulls(&mut self, now_ms: u64) {
         for (peer, state) in &mut self.peers {
             if self.pulls.len() >= MAX_PULLS {
@@ -163,8 +163,8 @@
         }
     }
 
-    fn pages_under_way(&self) -> usize {
-        self.pulls.iter().map(Pull::pages_under_way).sum()
+    fn pages_in_flight(&self) -> usize {
+        self.pulls.iter().map(Pull::pages_in_flight).sum()
     }
 
     /// A page of the listing arrived.
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Fetched turns arrived; returns those that are to be committed.
+    /// Fetched turns arrived; returns the turns that have to be committed.
     #[must_use]
     pub fn fetched(&mut self, pull: u64, turns: Vec<RetainedTurn>) -> Vec<RetainedTurn> {
         let Some(pull) = self.pulls.iter_mut().find(|known| known.serial == pull) else {
@@ -195,24 +195,24 @@
         }
     }
 
-    /// The store could not be asked, or the disk failed: its pull begins anew later.
+    /// The other store could not be reached or the disk failed: the pull starts over after [`PULL_RETRY_MS`].
     pub fn failed(&mut self, pull: u64, now_ms: u64) {
         let failed = self.pulls.iter().find(|known| known.serial == pull);
         let Some(peer) = failed.map(|pull| pull.peer.clone()) else {
             return;
         };
-        self.end_pull_of(&peer);
+        self.end_pull_from(&peer);
         let retry = PeerState::Waiting {
             not_before_ms: now_ms.saturating_add(PULL_RETRY_MS),
         };
         self.peers.insert(peer, retry);
     }
 
-    fn end_pull_of(&mut self, peer: &str) {
-        let Some(number) = self.pulls.iter().position(|pull| pull.peer == peer) else {
+    fn end_pull_from(&mut self, peer: &str) {
+        let Some(position) = self.pulls.iter().position(|pull| pull.peer == peer) else {
             return;
         };
-        let ended = self.pulls.remove(number);
-        self.claims.release_all_of(ended.serial);
+        let ended = self.pulls.remove(position);
+        self.claims.release_pull(ended.serial);
     }
 }
--- a/crates/serving/turn-replication/src/anti_entropy/pull.rs
+++ b/crates/serving/turn-replication/src/anti_entropy/pull.rs
@@ -1,4 +1,4 @@
-//! One pull: lists the turns that another store has for this one, page by page, and fetches those that are missing.
+//! One pull: lists the turns of another store that this store should hold, page by page, and fetches the missing ones.
 
 use std::collections::VecDeque;
 
@@ -7,24 +7,24 @@
 use crate::index::Index;
 use crate::message::{ListedTurn, PAGE_BYTES};
 
-/// What a pull waits for from the other store.
+/// The reply that a pull waits for from the other store.
 #[derive(Debug, PartialEq, Eq)]
 enum Step {
-    /// The next request has to be sent.
+    /// No reply: the next request can be sent.
     Ready,
     Listing,
     Fetching,
 }
 
-/// What a pull can do now.
+/// The next action of a pull.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Progress {
-    /// It sends a request.
+pub(super) enum PullAction {
+    /// Send this request.
     Send(PullRequest),
-    /// It waits for a reply, for the disk, or for a turn that another pull is fetching.
-    Waits,
-    /// The other store has sent all that it had.
-    Ended,
+    /// Wait for a reply, for the disk, or for a turn that another pull is fetching.
+    Wait,
+    /// Nothing: the other store has no further turns for this store.
+    Finished,
 }
 
 /// A pull from one store.
@@ -33,15 +33,15 @@
     pub(super) serial: u64,
     pub(super) peer: String,
     step: Step,
-    /// Where the next listing continues.
+    /// The next page of the listing begins after this id; `None` for the first page.
     after: Option<String>,
-    /// The listing has reached its end.
+    /// Whether the last page of the listing has arrived.
     is_fully_listed: bool,
-    /// Turns of the last page that this store does not hold.
+    /// Turns of the latest listed page that this store does not hold and this pull has not requested.
     missing: VecDeque<ListedTurn>,
-    /// Ids of each fetched page that is on its way to the disk, in the order in which they are written.
+    /// Ids of the turns of each fetched page that is not on disk yet, in the order in which the pages are written.
     committing: VecDeque<Vec<String>>,
-    /// Ids of the page that is being fetched.
+    /// Ids of the turns that are being fetched.
     fetching: Vec<String>,
 }
 
@@ -59,72 +59,72 @@
         }
     }
 
-    /// Pages that are being fetched or written.
-    pub(super) fn pages_under_way(&self) -> usize {
+    /// Number of pages of turns that are being fetched or written.
+    pub(super) fn pages_in_flight(&self) -> usize {
         self.committing.len() + usize::from(self.step == Step::Fetching)
     }
 
-    /// Turns of the current page that are neither here nor on their way.
+    /// Number of turns of the current page that are neither stored nor being transferred.
     pub(super) fn missing_turns(&self) -> usize {
         self.missing.len()
     }
 
-    /// Fetches missing turns of the last page, then asks for the next page. `may_fetch`: another page of turns may be
-    /// under way.
+    /// Fetches missing turns of the current page, then lists the next page. `may_fetch`: whether another page of turns
+    /// may be in flight.
     pub(super) fn advance(
         &mut self,
         index: &Index,
         claims: &mut Claims,
         may_fetch: bool,
-    ) -> Progress {
+    ) -> PullAction {
         if self.step != Step::Ready {
-            return Progress::Waits;
+            return PullAction::Wait;
         }
         self.missing.retain(|listed| !index.contains(&listed.id));
         if !self.missing.is_empty() {
             return if may_fetch {
                 self.fetch(claims)
             } else {
-                Progress::Waits
+                PullAction::Wait
             };
         }
         if !self.is_fully_listed {
             self.step = Step::Listing;
-            return Progress::Send(PullRequest::List {
+            return PullAction::Send(PullRequest::List {
                 peer: self.peer.clone(),
                 after: self.after.clone(),
             });
         }
         if self.committing.is_empty() {
-            Progress::Ended
+            PullAction::Finished
         } else {
-            Progress::Waits
+            PullAction::Wait
         }
     }
 
-    /// Fetches as many missing turns as one message may carry; those that another pull is fetching stay on the list
-    /// until they are here, or that pull has failed.
-    fn fetch(&mut self, claims: &mut Claims) -> Progress {
+    /// Fetches as many missing turns as one message may carry. Turns that another pull is fetching stay on the list
+    /// until they are stored or the other pull has failed.
+    fn fetch(&mut self, claims: &mut Claims) -> PullAction {
         let mut ids = Vec::new();
         let mut bytes = 0;
-        let mut left = VecDeque::with_capacity(self.missing.len());
+        let mut remaining = VecDeque::with_capacity(self.missing.len());
         for listed in std::mem::take(&mut self.missing) {
-            let is_too_much = !ids.is_empty() && bytes + listed.size > PAGE_BYTES;
-            if is_too_much || !claims.claim(&listed.id, self.serial) {
-                left.push_back(listed);
+            let exceeds_message = !ids.is_empty() && bytes + listed.size > PAGE_BYTES;
+            if exceeds_message || !claims.claim(&listed.id, self.serial) {
+                remaining.push_back(listed);
                 continue;
             }
             bytes += listed.size;
             ids.push(listed.id);
         }
-        self.missing = left;
+        self.missing = remaining;
         if ids.is_empty() {
-            return Progress::Waits;
+            return PullAction::Wait;
         }
         self.step = Step::Fetching;
         self.fetching.clone_from(&ids);
         let peer = self.peer.clone();
-        Progress::Send(PullRequest::Fetch { peer, ids })
+        PullAction::Send(PullRequest::Fetch { peer, ids })
     }
 
     /// A page of the listing arrived.
@@ -138,7 +138,7 @@
         self.step = Step::Ready;
     }
 
-    /// Fetched turns arrived. Returns whether they were asked for and are to be written.
+    /// Fetched turns arrived. Returns whether these turns were requested and have to be written.
     #[must_use]
     pub(super) fn fetched(&mut self, arrived: Vec<String>, claims: &mut Claims) -> bool {
         if self.step != Step::Fetching {
@@ -146,7 +146,7 @@
         }
         self.step = Step::Ready;
         for id in std::mem::take(&mut self.fetching) {
-            // It has expired at the other store.
+            // The turn has expired at the other store.
             if !arrived.contains(&id) {
                 claims.release(&id);
             }
@@ -158,7 +158,7 @@
         has_arrived
     }
 
-    /// The oldest page that was fetched is on disk.
+    /// The oldest fetched page is on disk.
     pub(super) fn committed(&mut self, claims: &mut Claims) {
         for id in self.committing.pop_front().unwrap_or_default() {
             claims.release(&id);
--- a/crates/serving/turn-replication/src/attempt.rs
+++ b/crates/serving/turn-replication/src/attempt.rs
@@ -1,18 +1,18 @@
-//! The state of one request of a coordinator to one store, and the times after which it is hedged or retried.
+//! The state of a coordinator's request to one store, and the delays before the request is hedged or retried.
 
-/// After this long without a reply another store is contacted beside it (a hedged request), in milliseconds.
+/// Time without a reply after which another store is contacted as well (a hedged request), in milliseconds.
 pub const HEDGE_DELAY_MS: u64 = 60;
-/// After this long a store that failed is contacted again, in milliseconds.
+/// Delay before a failed store is contacted again, in milliseconds.
 pub const RETRY_DELAY_MS: u64 = 150;
 
-/// Where the request to one store stands; `R` is what its reply says.
+/// State of the request to one store; `R` is the content of the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Attempt<R> {
-    /// Nothing was sent.
+    /// No request was sent.
     NotStarted,
-    /// Sent, and not replied to.
+    /// The request was sent and has no reply yet.
     Pending { since_ms: u64 },
-    /// Pending for longer than [`HEDGE_DELAY_MS`]; it may still be replied to.
+    /// No reply within [`HEDGE_DELAY_MS`]; a reply may still arrive.
     Slow,
     /// The store could not be reached, or rejected the request.
     Failed { at_ms: u64 },
@@ -21,7 +21,7 @@
 }
 
 impl<R> Attempt<R> {
-    /// When it becomes slow, if it is pending.
+    /// When a pending request becomes slow; `None` in any other state.
     pub(crate) fn hedge_at_ms(&self) -> Option<u64> {
         match self {
             Attempt::Pending { since_ms } => Some(since_ms + HEDGE_DELAY_MS),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// When it may be retried, if it has failed.
+    /// When a failed request may be retried; `None` in any other state.
     pub(crate) fn retry_at_ms(&self) -> Option<u64> {
         match self {
             Attempt::Failed { at_ms } => Some(at_ms + RETRY_DELAY_MS),
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Whether it has failed, and long enough ago to be retried.
+    /// Whether the request failed at least [`RETRY_DELAY_MS`] ago.
     pub(crate) fn may_be_retried(&self, now_ms: u64) -> bool {
         self.retry_at_ms().is_some_and(|at_ms| now_ms >= at_ms)
     }
 
-    /// Turns a pending request into a slow one if it is late.
+    /// Marks a pending request as slow once [`HEDGE_DELAY_MS`] have passed.
     pub(crate) fn mark_slow_if_late(&mut self, now_ms: u64) {
         if self.hedge_at_ms().is_some_and(|at_ms| now_ms >= at_ms) {
             *self = Attempt::Slow;
--- a/crates/serving/turn-replication/src/chain_completion.rs
+++ b/crates/serving/turn-replication/src/chain_completion.rs
@@ -1,6 +1,6 @@
-//! Completes chains: ancestors that a stored turn names, but that this store does not hold, are fetched from the
-//! other stores, one store after the other. Puts that need them are parked meanwhile, because a store
-//! acknowledges a turn only with its complete chain.
+//! Completes chains: fetches the missing ancestors of stored turns from the other stores, one store after the other.
+//! Puts that need a missing ancestor are parked until it is stored, because a store acknowledges a turn only with
+//! its complete chain.
 
 use std::collections::BTreeMap;
 
@@ -9,59 +9,59 @@
 use crate::ids::CallerId;
 use crate::turn::RetainedTurn;
 
-/// Maximum number of requests in flight.
+/// Maximum number of search requests in flight.
 const MAX_PENDING_REQUESTS: usize = 8;
-/// Maximum number of turns that are searched for.
+/// Maximum number of turns searched for at the same time.
 const MAX_SEARCHES: usize = 256;
-/// Maximum number of puts parked for one turn.
+/// Maximum number of puts parked for one missing turn.
 const MAX_PARKED_PUTS: usize = 32;
-/// After this long a turn that no store had is searched for again, if one still needs it, in milliseconds.
+/// Delay before a turn that no store had is searched for again, if a stored turn still needs it, in milliseconds.
 const SEARCH_BACKOFF_MS: u64 = 2_000;
 
-/// A put that waits for an ancestor of its turn.
+/// A put that waits for a missing ancestor of its turn.
 #[derive(Debug)]
 pub struct ParkedPut {
-    /// Who waits for the acknowledgement.
+    /// The caller that waits for the acknowledgement.
     pub caller: CallerId,
-    /// The turn to store.
+    /// The turn to be stored.
     pub turn: RetainedTurn,
-    /// The replica that this store substitutes for.
+    /// The replica that this store substitutes for, if any.
     pub hint: Option<String>,
 }
 
-/// A put could not be parked: too many are, or too many turns are searched for.
+/// A put was not parked because too many puts wait for the same turn or too many searches are in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("too many turns wait for missing ancestors")]
 pub struct TooManyParked {
-    /// The caller of the put.
+    /// The caller of the rejected put.
     pub caller: CallerId,
 }
 
-/// Where the search for one turn stands.
+/// State of the search for one turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SearchState {
-    /// The next store has to be asked.
+    /// The next store can be queried.
     Ready,
-    /// A store was asked and has not answered.
+    /// A store was queried and has not replied.
     Pending,
-    /// Found, on its way to the disk.
+    /// The turn was found and is being written to disk.
     Committing,
 }
 
 #[derive(Debug)]
 struct Search {
     state: SearchState,
-    /// Stores that are still to be asked, the next one last.
+    /// Stores that were not queried yet, the next one last.
     sources: Vec<String>,
     parked: Vec<ParkedPut>,
 }
 
-/// A request to be sent: fetch a turn and its ancestors from a store.
+/// A request to fetch a turn and its ancestors from another store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SearchRequest {
-    /// The store to send it to.
+    /// The store to query.
     pub store: String,
-    /// The turn.
+    /// The missing turn.
     pub id: String,
 }
 
@@ -69,22 +69,23 @@
 #[derive(Debug, Default)]
 pub struct ChainCompletions {
     searches: BTreeMap<String, Search>,
-    /// Turns that no store had, and when they may be searched for again.
+    /// For each turn that no store had: when it may be searched for again.
     backoff_until_ms: BTreeMap<String, u64>,
 }
 
 impl ChainCompletions {
-    /// Searches for a turn at these stores, the likeliest first.
+    /// Starts a search for a turn at the given stores, in this order, unless the turn is already searched for or
+    /// backs off, or there are too many searches.
     pub fn search(&mut self, id: &str, sources: &[String], now_ms: u64) {
         let backoff_until_ms = self.backoff_until_ms.get(id);
-        let backs_off = backoff_until_ms.is_some_and(|until_ms| *until_ms > now_ms);
-        if backs_off || self.searches.len() >= MAX_SEARCHES || self.searches.contains_key(id) {
+        let is_backing_off = backoff_until_ms.is_some_and(|until_ms| *until_ms > now_ms);
+        if is_backing_off || self.searches.len() >= MAX_SEARCHES || self.searches.contains_key(id) {
             return;
         }
-        self.begin(id, sources.to_vec());
+        self.begin_search(id, sources.to_vec());
     }
 
-    /// Searches for a turn that a put waits for.
+    /// Parks a put until the turn `id` is stored, and starts the search for that turn if there is none yet.
     ///
     /// # Errors
     ///
@@ -100,7 +101,7 @@
             if self.searches.len() >= MAX_SEARCHES {
                 return Err(rejected);
             }
-            self.begin(id, sources);
+            self.begin_search(id, sources);
         }
         match self.searches.get_mut(id) {
             Some(search) if search.parked.len() < MAX_PARKED_PUTS => {
@@ -111,7 +112,7 @@
         }
     }
 
-    fn begin(&mut self, id: &str, mut sources: Vec<String>) {
+    fn begin_search(&mut self, id: &str, mut sources: Vec<String>) {
         self.backoff_until_ms.remove(id);
         sources.reverse();
         let search = Search {
@@ -122,20 +123,20 @@
         self.searches.insert(id.to_owned(), search);
     }
 
-    /// Whether nothing is searched for.
+    /// Whether no search is in progress.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.searches.is_empty()
     }
 
-    /// Bytes of the parked turns.
+    /// Total bytes of the turns of parked puts.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         let parked = self.searches.values().flat_map(|search| &search.parked);
         parked.map(|put| put.turn.turn.size()).sum()
     }
 
-    /// The next request to be sent.
+    /// Returns the next request to be sent, if the limit of pending requests allows one.
     pub fn next_request(&mut self) -> Option<SearchRequest> {
         let searches = self.searches.values();
         let pending = searches.filter(|search| search.state == SearchState::Pending);
@@ -154,7 +155,7 @@
         })
     }
 
-    /// Ends a search that has no store left to ask, and returns the puts that were parked for it.
+    /// Ends one search that has no store left to query, and returns the puts that were parked for its turn.
     pub fn next_exhausted(&mut self, now_ms: u64) -> Option<Vec<ParkedPut>> {
         let (id, _) = self
             .searches
@@ -169,22 +170,23 @@
         Some(search.parked)
     }
 
-    /// The store that was asked does not hold it, or could not be asked.
+    /// The queried store does not hold the turn or could not be reached.
     pub fn not_found(&mut self, id: &str) {
         self.change_state(id, SearchState::Pending, SearchState::Ready);
     }
 
-    /// A store sent it; it is on its way to the disk.
+    /// A store sent the turn, and its write to disk has been queued.
     pub fn found(&mut self, id: &str) {
         self.change_state(id, SearchState::Pending, SearchState::Committing);
     }
 
-    /// It could not be written: as if it had not been found.
+    /// The turn could not be written; its search continues with the next store.
     pub fn write_failed(&mut self, id: &str) {
         self.change_state(id, SearchState::Committing, SearchState::Ready);
     }
 
-    /// It is on disk, in whichever way it came; returns the puts that were parked for it.
+    /// The turn is on disk, from a search or from any other request. Ends its search and returns the puts that were
+    /// parked for it.
     pub fn stored(&mut self, id: &str) -> Vec<ParkedPut> {
         self.backoff_until_ms.remove(id);
         let search = self.searches.remove(id);
--- a/crates/serving/turn-replication/src/commit_queue.rs
+++ b/crates/serving/turn-replication/src/commit_queue.rs
@@ -1,5 +1,5 @@
-//! The queue before the disk: what arrives while one commit is in flight goes into the next one, so that many
-//! turns share one sync (group commit).
+//! Group commit: turns that arrive while a commit is in flight are queued for the next commit, so that many turns
+//! share one disk sync.
 
 use std::collections::VecDeque;
 
@@ -7,48 +7,48 @@
 use crate::message::Rejection;
 use crate::turn::{RetainedTurn, Turn, TurnHeader};
 
-/// Maximum bytes of turns that are queued, beyond the commit in flight.
+/// Maximum bytes of queued turns, not counting the commit in flight.
 const MAX_QUEUED_BYTES: u64 = 16 << 20;
 /// Maximum bytes of turns in one commit, unless a single entry is larger.
 const MAX_BATCH_BYTES: u64 = 4 << 20;
 
-/// Who waits for a commit.
+/// The party that waits for a commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Waiter {
-    /// A caller, to be sent an acknowledgement.
+    /// A caller that is sent an acknowledgement.
     Caller {
-        /// The caller.
+        /// The caller to reply to.
         caller: CallerId,
-        /// The replica that this store substitutes for.
+        /// The replica that this store substitutes for, if any.
         hint: Option<String>,
     },
     /// The pull that fetched the turns.
     Pull {
-        /// Its serial number, see [`crate::anti_entropy::AntiEntropy::next_request`].
+        /// Serial number of the pull, see [`crate::anti_entropy::AntiEntropy::next_request`].
         serial: u64,
     },
     /// The search for a missing ancestor.
     Completion {
-        /// The ancestor.
+        /// Id of the ancestor.
         id: String,
     },
 }
 
-/// A turn of a commit, without its bodies.
+/// One turn of a commit in flight, without its bodies.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CommittedTurn {
-    /// Everything but the bodies.
+pub struct CommitTurn {
+    /// Header of the turn.
     pub header: TurnHeader,
-    /// How long it is still retained, in milliseconds.
+    /// Remaining retention of the turn, in milliseconds.
     pub remaining_ms: u64,
 }
 
-/// One entry of a commit that has ended, with success or not.
+/// One entry of a commit: the turns of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CommittedEntry {
-    /// Its turns.
-    pub turns: Vec<CommittedTurn>,
-    /// Who waits for it.
+pub struct CommitEntry {
+    /// The turns that are written.
+    pub turns: Vec<CommitTurn>,
+    /// The party that waits for these turns to be synced.
     pub waiter: Waiter,
 }
 
@@ -59,12 +59,12 @@
     waiter: Waiter,
 }
 
-/// Turns on their way to the disk.
+/// Turns that are queued for the disk or being written.
 #[derive(Debug, Default)]
 pub struct CommitQueue {
     queued: VecDeque<QueuedEntry>,
     queued_bytes: u64,
-    in_flight: Vec<CommittedEntry>,
+    in_flight: Vec<CommitEntry>,
 }
 
 impl CommitQueue {
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// [`Rejection::Busy`] if too much is queued already: a queue without a limit would exhaust the memory.
+    /// [`Rejection::Busy`] if too many bytes are queued already: an unlimited queue would exhaust the memory.
     pub fn push(&mut self, turns: Vec<RetainedTurn>, waiter: Waiter) -> Result<(), Rejection> {
         let bytes = turns.iter().map(|retained| retained.turn.size()).sum();
         if !self.queued.is_empty() && self.queued_bytes + bytes > MAX_QUEUED_BYTES {
@@ -87,8 +87,8 @@
         Ok(())
     }
 
-    /// Begins the next commit, if none is in flight and something is queued.
-    pub fn begin(&mut self) -> Option<Vec<Turn>> {
+    /// Begins the next commit and returns its turns; `None` if a commit is in flight or the queue is empty.
+    pub fn begin_commit(&mut self) -> Option<Vec<Turn>> {
         if !self.in_flight.is_empty() || self.queued.is_empty() {
             return None;
         }
@@ -107,36 +107,36 @@
     }
 
     fn add_to_commit(&mut self, entry: QueuedEntry, turns: &mut Vec<Turn>) {
-        let committed = entry.turns.iter().map(|retained| CommittedTurn {
+        let committed = entry.turns.iter().map(|retained| CommitTurn {
             header: retained.turn.header(),
             remaining_ms: retained.remaining_ms,
         });
-        self.in_flight.push(CommittedEntry {
+        self.in_flight.push(CommitEntry {
             turns: committed.collect(),
             waiter: entry.waiter,
         });
         turns.extend(entry.turns.into_iter().map(|retained| retained.turn));
     }
 
-    /// The commit in flight has ended; returns its entries.
-    pub fn finish(&mut self) -> Vec<CommittedEntry> {
+    /// Ends the commit in flight, successful or not, and returns its entries.
+    pub fn finish_commit(&mut self) -> Vec<CommitEntry> {
         std::mem::take(&mut self.in_flight)
     }
 
-    /// Whether nothing is queued or in flight.
+    /// Whether no turn is queued or in flight.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.queued.is_empty() && self.in_flight.is_empty()
     }
 
-    /// Bytes of turns that are queued or in flight.
+    /// Total bytes of the turns that are queued or in flight.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         let in_flight = self.in_flight.iter().flat_map(|entry| &entry.turns);
         self.queued_bytes + in_flight.map(|turn| turn.header.size).sum::<u64>()
     }
 
-    /// The previous turn of the given one, if that is on its way to the disk.
+    /// The previous turn of the turn `id`; the outer `None` means that `id` is neither queued nor in flight.
     #[must_use]
     pub fn previous_of(&self, id: &str) -> Option<Option<&str>> {
         let in_flight = self.in_flight.iter().flat_map(|entry| &entry.turns);
--- a/crates/serving/turn-replication/src/handoff/drain.rs
+++ b/crates/serving/turn-replication/src/handoff/drain.rs
@@ -1,18 +1,20 @@
-//! Progress of draining this store: how far each new replica has been offered what it should hold.
+//! Progress of draining this store: which turns each new replica has been offered.
 
 use std::collections::BTreeMap;
 
-/// A draining store offers its turns this long after it was ordered to drain, in milliseconds: by then the new
-/// replicas have pulled most of them.
+/// Delay between the order to drain and the first offer of turns, in milliseconds: by then the new replicas have
+/// pulled most of the turns.
 pub const DRAIN_DELAY_MS: u64 = 300;
 
-/// Where the drain stands with one of the new replicas.
+/// State of the drain for one new replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ReplicaProgress {
+    /// The next page begins after `after` and is due at `not_before_ms`.
     Waiting {
         after: Option<String>,
         not_before_ms: u64,
     },
+    /// The replica has been offered all pages.
     Done,
 }
 
@@ -32,7 +34,7 @@
 }
 
 impl Drain {
-    /// Begins to drain into these replicas.
+    /// Begins to drain into the given replicas.
     pub(super) fn begin(replicas: impl IntoIterator<Item = String>, now_ms: u64) -> Self {
         let progress = ReplicaProgress::from_start(now_ms);
         let replicas = replicas.into_iter();
@@ -41,14 +43,14 @@
         }
     }
 
-    /// Offers everything to the replica once more.
+    /// Restarts the drain into one replica: all turns are offered again.
     pub(super) fn restart(&mut self, replica: &str, now_ms: u64) {
         if let Some(progress) = self.replicas.get_mut(replica) {
             *progress = ReplicaProgress::from_start(now_ms);
         }
     }
 
-    /// The replica holds a page; the following one begins after `next`.
+    /// The replica holds all turns of a page. The following page begins after `next`, if there is one.
     pub(super) fn finish_page(&mut self, replica: &str, next: Option<String>) {
         let Some(progress) = self.replicas.get_mut(replica) else {
             return;
@@ -62,7 +64,7 @@
         };
     }
 
-    /// Offers the replica nothing before the given time.
+    /// Postpones the next offer to the replica until the given time.
     pub(super) fn postpone(&mut self, replica: &str, until_ms: u64) {
         let progress = self.replicas.get_mut(replica);
         if let Some(ReplicaProgress::Waiting { not_before_ms, .. }) = progress {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The replicas that have been offered everything; `None` while some have not, or there are none.
+    /// All replicas, once each has been offered all pages; `None` before that and if there are no replicas.
     pub(super) fn finished_replicas(&self) -> Option<impl Iterator<Item = &str>> {
         let mut progress = self.replicas.values();
         let is_finished = !self.replicas.is_empty()
@@ -78,7 +80,7 @@
         is_finished.then(|| self.replicas.keys().map(String::as_str))
     }
 
-    /// When the next page is due.
+    /// When the next page of any replica is due, in milliseconds.
     pub(super) fn next_due(&self) -> Option<u64> {
         let waiting = self
             .replicas
@@ -90,7 +92,7 @@
         waiting.min()
     }
 
-    /// A replica whose next page is due, and after which id the page begins.
+    /// A replica whose next page is due, and the id after which the page begins.
     pub(super) fn next_page(&self, now_ms: u64) -> Option<(&str, Option<&str>)> {
         self.replicas
             .iter()
--- a/crates/serving/turn-replication/src/handoff/hints.rs
+++ b/crates/serving/turn-replication/src/handoff/hints.rs
@@ -1,7 +1,7 @@
-//! Hints: which turns this store accepted as a substitute for which replica.
+//! Hints: the turns that this store accepted as a substitute for a replica.
 //!
-//! They are kept in memory only, within a limit: a replica that returns also pulls, so a lost hint costs time but
-//! no turn.
+//! Hints are kept in memory only, and their number is limited. A replica that returns also pulls its missing turns, so
+//! a lost hint costs time but no turn.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,17 +10,17 @@
 use crate::index::Index;
 use crate::message::{PAGE_IDS, PAGE_ID_BYTES};
 
-/// A hinted turn is handed over after this long, in milliseconds: by then a replica that was only slow has it.
+/// Delay before a hinted turn is handed over, in milliseconds: by then a replica that was only slow holds the turn.
 pub const HINT_DELAY_MS: u64 = 1_000;
 /// Maximum number of hints for all replicas together.
 const MAX_HINTS: usize = 20_000;
 
-/// A hint could not be recorded: there are too many.
+/// A hint was not recorded because the hint table is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("there are {MAX_HINTS} hints already")]
 pub struct HintTableFull;
 
-/// Hints for one replica.
+/// Ids of the turns to be handed to one replica, and the earliest time of the handoff.
 #[derive(Debug, Default)]
 struct ReplicaHints {
     ids: BTreeSet<String>,
@@ -34,7 +34,7 @@
 }
 
 impl HintTable {
-    /// Records that `replica` is to be handed this turn.
+    /// Records that this turn has to be handed to `replica`.
     pub(super) fn add(
         &mut self,
         replica: &str,
@@ -53,7 +53,7 @@
         Ok(())
     }
 
-    /// Removes the hints for these turns.
+    /// Removes the hints of a replica for the given turns.
     pub(super) fn remove(&mut self, replica: &str, ids: &[String]) {
         let Some(hints) = self.replicas.get_mut(replica) else {
             return;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Removes the hints for turns that the index does not hold any more.
+    /// Removes the hints for turns that are no longer in the index.
     pub(super) fn remove_expired(&mut self, index: &Index) {
         for hints in self.replicas.values_mut() {
             hints.ids.retain(|id| index.contains(id));
@@ -74,25 +74,25 @@
         self.replicas.retain(|_, hints| !hints.ids.is_empty());
     }
 
-    /// Hands nothing to the replica before the given time.
+    /// Postpones the next handoff to the replica until the given time.
     pub(super) fn postpone(&mut self, replica: &str, not_before_ms: u64) {
         if let Some(hints) = self.replicas.get_mut(replica) {
             hints.not_before_ms = not_before_ms;
         }
     }
 
-    /// Whether there is a hint for the replica.
+    /// Whether the replica has any hint.
     pub(super) fn contains(&self, replica: &str) -> bool {
         self.replicas.contains_key(replica)
     }
 
-    /// When the first hint for a present replica is due.
+    /// When the first hint for a present replica is due, in milliseconds.
     pub(super) fn next_due(&self, is_present: impl Fn(&str) -> bool) -> Option<u64> {
         let present = self.replicas.iter().filter(|(name, _)| is_present(name));
         present.map(|(_, hints)| hints.not_before_ms).min()
     }
 
-    /// A present replica whose hints are due, and as many of their ids as one offer may carry.
+    /// A present replica whose hints are due, and as many of the hinted ids as one offer may carry.
     pub(super) fn next_page(
         &self,
         is_present: impl Fn(&str) -> bool,
@@ -102,12 +102,13 @@
             .replicas
             .iter()
             .find(|(name, hints)| is_present(name) && hints.not_before_ms <= now_ms)?;
-        Some((replica, hints.page()))
+        Some((replica, hints.first_page()))
     }
 }
 
 impl ReplicaHints {
-    fn page(&self) -> Vec<String> {
+    /// As many of the hinted ids as one offer may carry.
+    fn first_page(&self) -> Vec<String> {
         let mut bytes = 0;
         let fits = |id: &&String| {
             let fits = bytes < PAGE_ID_BYTES;
--- a/crates/serving/turn-replication/src/handoff/mod.rs
+++ b/crates/serving/turn-replication/src/handoff/mod.rs
@@ -1,5 +1,5 @@
-//! Transfers to other stores: turns accepted for a replica that did not answer (hinted handoff), and all turns of
-//! a draining store. A transfer offers ids, reads from the disk what the other store does not hold, and sends it.
+//! Transfers to other stores: turns accepted for a replica that did not reply (hinted handoff), and all turns of a
+//! draining store. A transfer offers ids, reads the turns that the other store lacks from disk, and sends them.
 
 mod drain;
 mod hints;
@@ -8,4 +8,4 @@
 
 pub use drain::DRAIN_DELAY_MS;
 pub use hints::{HintTableFull, HINT_DELAY_MS};
-pub use queue::{HandoffQueue, HandoffStep, Placement, HANDOFF_RETRY_MS};
+pub use queue::{HandoffQueue, HandoffStep, PlacementParameters, HANDOFF_RETRY_MS};
--- a/crates/serving/turn-replication/src/handoff/transfer.rs
+++ b/crates/serving/turn-replication/src/handoff/transfer.rs
@@ -1,42 +1,47 @@
-//! One transfer: some turns that are offered to another store and, as far as it does not hold them, sent to it.
+//! One transfer: turns that are offered to another store and sent to it if that store does not hold them.
 
 use crate::index::Index;
 use crate::message::PAGE_BYTES;
 
-/// Where the turns of a transfer come from.
+/// The reason for a transfer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Source {
-    /// Hints for the other store.
+pub(super) enum TransferSource {
+    /// The turns are hinted for the other store.
     Hints,
-    /// A page of all turns that the other store should hold.
+    /// This store drains: the turns are one page of the turns that the other store should hold.
     Drain {
-        /// After which id the following page begins.
+        /// The following page begins after this id; `None` on the last page.
         next: Option<String>,
     },
 }
 
-/// What a transfer waits for.
+/// The current step of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
+    /// Waits for the reply to the offer.
     Offering,
-    /// The next turns that the other store does not hold have to be read.
+    /// The next missing turns can be read.
     Ready,
+    /// Waits for the disk.
     Reading,
+    /// Waits for the acknowledgement of the sent turns.
     Sending,
 }
 
+/// A transfer of turns to one other store.
 #[derive(Debug)]
 pub(super) struct Transfer {
     pub(super) peer: String,
-    pub(super) source: Source,
+    pub(super) source: TransferSource,
+    /// Ids of the offered turns.
     pub(super) offered: Vec<String>,
-    /// Those that the other store does not hold and has not been sent, the next one last.
+    /// Ids of the offered turns that the other store lacks and was not sent yet, the next one last.
     pub(super) missing: Vec<String>,
     pub(super) step: Step,
 }
 
 impl Transfer {
-    pub(super) fn new(peer: &str, source: Source, offered: Vec<String>) -> Self {
+    pub(super) fn new(peer: &str, source: TransferSource, offered: Vec<String>) -> Self {
         Self {
             peer: peer.to_owned(),
             source,
@@ -46,7 +51,7 @@
         }
     }
 
-    /// As many missing turns as one message may carry.
+    /// Removes and returns the ids of as many missing turns as one message may carry.
     pub(super) fn next_ids(&mut self, index: &Index) -> Vec<String> {
         let mut ids = Vec::new();
         let mut bytes = 0;
@@ -56,7 +61,7 @@
                 break;
             }
             let id = self.missing.pop();
-            // A turn that has expired meanwhile need not be handed over.
+            // A turn without a size has expired in the meantime and need not be handed over.
             ids.extend(id.filter(|_| size.is_some()));
             bytes += size.unwrap_or(0);
         }
--- a/crates/serving/turn-replication/src/ids.rs
+++ b/crates/serving/turn-replication/src/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers by which a store node and the process around it refer to what is in progress.
+//! Identifiers of callers, requests and disk jobs, shared by a store node and the process around it.
 
 /// Identifies a caller that waits for a reply; chosen by the process around the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -8,6 +8,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PeerRequestId(pub u64);
 
-/// Identifies a piece of disk work.
+/// Identifies a disk job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobId(pub u64);
--- a/crates/serving/turn-replication/src/index.rs
+++ b/crates/serving/turn-replication/src/index.rs
@@ -1,8 +1,9 @@
-//! What one store holds, in memory: headers, chains and expiry; no bodies.
+//! In-memory index of the turns that one store holds: headers, chains and expiry, but no bodies.
 //!
-//! Expiry follows the steady clock: a turn gets its retention when it arrives, so that a step of the wall clock
-//! deletes nothing. Only at the start, when no better is known, is the wall clock compared with the dates on
-//! disk, and the result is limited from below. A turn never expires before one that continues it.
+//! Expiry follows the steady clock: the retention of a turn begins when the turn arrives, so that a step of the wall
+//! clock deletes nothing. Only at the start is the wall clock compared with the dates on disk, because no steady time
+//! is known for these turns; the remaining retention then has a minimum. A turn never expires before a turn that
+//! continues it.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -14,16 +15,15 @@
 use crate::placement;
 use crate::turn::{TurnHeader, RETENTION_MARGIN_MS};
 
-/// Minimum remaining retention of a turn that was read, in milliseconds: its reader is about to continue it, and
-/// its chain must still be there when that turn has ended.
+/// Minimum remaining retention of a turn that was read, in milliseconds: the reader is about to continue the turn,
+/// and its chain must still be stored when the new turn ends.
 pub const READ_EXTENSION_MS: u64 = 30_000;
-/// By how much the wall clock may have stepped ahead, in milliseconds, without a turn being deleted too early
-/// after a start.
+/// Forward step of the wall clock, in milliseconds, up to which no turn is deleted too early after a start.
 pub const MAX_CLOCK_STEP_MS: u64 = 120_000;
 /// Minimum remaining retention after a start, in milliseconds, whatever the wall clock says.
 pub const MIN_RETENTION_AFTER_START_MS: u64 = RETENTION_MARGIN_MS;
 
-/// Maximum number of records examined for one page of a listing, so that no page takes long.
+/// Maximum number of records examined for one page of a listing; this bounds the time that a page takes.
 const MAX_SCANNED_RECORDS: usize = 4_000;
 
 #[derive(Debug)]
@@ -31,16 +31,16 @@
     previous: Option<Arc<str>>,
     program: Arc<str>,
     size: u64,
-    /// Steady clock.
+    /// By the steady clock.
     expires_at_ms: u64,
 }
 
-/// A chain or its newest part, as far as this store holds it.
+/// The part of a chain that this store holds, or the newest part of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredChain {
-    /// Newest first.
+    /// Ids of the turns, newest first.
     pub ids: Vec<Arc<str>>,
-    /// The next older turn.
+    /// The next older turn; `None` if the chain is complete.
     pub missing: Option<Arc<str>>,
     /// The store holds the next older turn too, but it exceeded the limit.
     pub has_more: bool,
@@ -51,7 +51,7 @@
 pub struct Page {
     /// The turns, by increasing id.
     pub turns: Vec<ListedTurn>,
-    /// After which id the following page begins; `None` on the last page.
+    /// The following page begins after this id; `None` on the last page.
     pub next: Option<String>,
 }
 
@@ -59,16 +59,17 @@
 #[derive(Debug, Default)]
 pub struct Index {
     records: BTreeMap<Arc<str>, Record>,
-    /// Turns that a stored one continues, but which are not stored; with the latest expiry of the former.
+    /// Ids of turns that are not stored though a stored turn continues them, with the latest expiry of the turns that
+    /// continue them.
     dangling: BTreeMap<Arc<str>, u64>,
-    /// One string for all turns of a program.
+    /// Interned program names: all turns of a program share one string.
     programs: HashSet<Arc<str>>,
     bytes: u64,
 }
 
 impl Index {
-    /// Rebuilds the index at a start, from the headers on disk; `wall_ms` is the time by the wall clock, `now_ms`
-    /// by the steady one.
+    /// Rebuilds the index at a start, from the headers on disk. `wall_ms` is the time by the wall clock, `now_ms` by
+    /// the steady clock.
     #[must_use]
     pub fn load(headers: Vec<TurnHeader>, wall_ms: u64, now_ms: u64) -> Self {
         let mut index = Self::default();
@@ -79,17 +80,17 @@
         index
     }
 
-    /// Adds a turn; a known one only has its expiry extended.
+    /// Adds a turn. If the turn is stored already, only its expiry is extended.
     pub fn insert(&mut self, header: &TurnHeader, expires_at_ms: u64) {
         let id: Arc<str> = Arc::from(header.id.as_str());
         let needed_until_ms = self.dangling.remove(&id).unwrap_or(0);
         let expires_at_ms = expires_at_ms.max(needed_until_ms);
         if self.records.contains_key(&id) {
-            return self.extend(&id, expires_at_ms);
+            return self.extend_retention(&id, expires_at_ms);
         }
         let previous = header.previous.as_deref();
-        let previous = previous.map(|previous| self.shared_id(previous));
-        let program = self.shared_program(&header.program);
+        let previous = previous.map(|previous| self.intern_id(previous));
+        let program = self.intern_program(&header.program);
         self.bytes += header.size;
         let record = Record {
             previous: previous.clone(),
@@ -99,19 +100,19 @@
         };
         self.records.insert(id, record);
         if let Some(previous) = previous {
-            self.extend(&previous, expires_at_ms);
+            self.extend_retention(&previous, expires_at_ms);
         }
     }
 
     /// Retains a turn and its ancestors until `expires_at_ms` at least.
-    pub fn extend(&mut self, id: &str, expires_at_ms: u64) {
+    pub fn extend_retention(&mut self, id: &str, expires_at_ms: u64) {
         let mut next: Option<Arc<str>> = Some(Arc::from(id));
         while let Some(id) = next {
             let Some(record) = self.records.get_mut(&id) else {
                 self.record_dangling(id, expires_at_ms);
                 return;
             };
-            // Ancestors expire no earlier than this one: nothing to do further up.
+            // Ancestors expire no earlier than this turn, so the rest of the chain needs no update.
             if record.expires_at_ms >= expires_at_ms {
                 return;
             }
@@ -138,9 +139,9 @@
         self.records.contains_key(id)
     }
 
-    /// Whether the id is stored and names the same turn, as far as the index can tell.
+    /// Whether a turn with this id is stored and has the same previous turn, program and size.
     #[must_use]
-    pub fn agrees_with(&self, header: &TurnHeader) -> bool {
+    pub fn contains_same_turn(&self, header: &TurnHeader) -> bool {
         self.records.get(header.id.as_str()).is_some_and(|record| {
             record.previous.as_deref() == header.previous.as_deref()
                 && *record.program == *header.program
@@ -148,39 +149,39 @@
         })
     }
 
-    /// How long a turn is still retained, in milliseconds.
+    /// Remaining retention of a turn, in milliseconds; `None` if the turn is not stored.
     #[must_use]
     pub fn remaining_ms(&self, id: &str, now_ms: u64) -> Option<u64> {
         let record = self.records.get(id)?;
         Some(record.expires_at_ms.saturating_sub(now_ms))
     }
 
-    /// Bytes that a turn takes.
+    /// Bytes that a turn takes; `None` if the turn is not stored.
     #[must_use]
     pub fn size(&self, id: &str) -> Option<u64> {
         self.records.get(id).map(|record| record.size)
     }
 
-    /// Number of turns.
+    /// Number of stored turns.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is no turn.
+    /// Whether no turn is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Bytes that all turns take.
+    /// Total bytes of all stored turns.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// The newest part of the chain that ends in `id`, within `max_bytes` but at least one turn; `None` if the
-    /// turn is not stored or has expired.
+    /// The newest part of the chain that ends in `id`: at most `max_bytes`, but at least one turn. `None` if the turn
+    /// is not stored or has expired.
     #[must_use]
     pub fn chain(&self, id: &str, max_bytes: u64, now_ms: u64) -> Option<StoredChain> {
         let (first, record) = self.records.get_key_value(id)?;
@@ -198,7 +199,7 @@
                 break;
             };
             bytes += record.size;
-            // The second limit is against a cycle of ids, which no honest writer makes.
+            // The limit of the length guards against a cycle of ids, which no correct writer produces.
             if bytes > max_bytes || chain.ids.len() >= self.records.len() {
                 chain.has_more = true;
                 break;
@@ -209,7 +210,7 @@
         Some(chain)
     }
 
-    /// The first turn on the way from `id` to the start of its chain that is not stored.
+    /// The first turn that is not stored, going from `id` towards the start of its chain.
     #[must_use]
     pub fn first_missing(&self, id: &str) -> Option<String> {
         let mut id = id;
@@ -222,20 +223,20 @@
         None
     }
 
-    /// Turns that are not stored though stored ones continue them.
+    /// Ids of turns that are not stored though a stored turn continues them.
     pub fn dangling(&self) -> impl Iterator<Item = &str> {
         self.dangling.keys().map(|id| &**id)
     }
 
-    /// Whether there is a turn that is not stored though a stored one continues it.
+    /// Whether a stored turn continues a turn that is not stored.
     #[must_use]
     pub fn has_dangling(&self) -> bool {
         !self.dangling.is_empty()
     }
 
-    /// Removes the expired turns and returns their ids; they are to be deleted from the disk.
+    /// Removes the expired turns and returns their ids; the caller has to delete these turns from the disk.
     #[must_use]
-    pub fn expire(&mut self, now_ms: u64) -> Vec<String> {
+    pub fn remove_expired(&mut self, now_ms: u64) -> Vec<String> {
         self.dangling
             .retain(|_, expires_at_ms| *expires_at_ms > now_ms);
         let expired: Vec<Arc<str>> = self
@@ -260,8 +261,8 @@
         }
     }
 
-    /// A page of the turns that `store` should hold, if the candidates were all the stores there are; only ids
-    /// greater than `after`.
+    /// A page of the turns that `store` should hold if turns are placed on the given candidates. The page begins after
+    /// the id `after`.
     #[must_use]
     pub fn page_for_replica<'a>(
         &'a self,
@@ -273,7 +274,7 @@
     ) -> Page {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         let records = self.records.range::<str, _>((start, Bound::Unbounded));
-        // Many turns are of one program: each is placed once.
+        // Many turns belong to one program: the placement of each program is computed once.
         let mut placed: HashMap<&str, bool> = HashMap::new();
         let mut is_wanted = |record: &'a Record| {
             record.expires_at_ms > now_ms
@@ -300,14 +301,14 @@
         page
     }
 
-    fn shared_id(&self, id: &str) -> Arc<str> {
+    fn intern_id(&self, id: &str) -> Arc<str> {
         match self.records.get_key_value(id) {
             Some((stored, _)) => stored.clone(),
             None => Arc::from(id),
         }
     }
 
-    fn shared_program(&mut self, program: &str) -> Arc<str> {
+    fn intern_program(&mut self, program: &str) -> Arc<str> {
         if let Some(known) = self.programs.get(program) {
             return known.clone();
         }
@@ -317,7 +318,7 @@
     }
 }
 
-/// How long a turn that was found on disk is retained.
+/// Remaining retention of a turn that was found on disk at a start, in milliseconds.
 fn retention_after_start_ms(header: &TurnHeader, wall_ms: u64) -> u64 {
     let full_ms = header.retention_with_margin_ms();
     let ends_at_ms = header
--- a/crates/serving/turn-replication/src/membership.rs
+++ b/crates/serving/turn-replication/src/membership.rs
@@ -1,4 +1,4 @@
-//! The membership: the store machines as the core agrees on them.
+//! The membership: the store machines that the core has agreed on.
 
 use std::net::SocketAddr;
 
@@ -9,52 +9,53 @@
 pub struct StoreEntry {
     /// The machine's name.
     pub name: String,
-    /// Its failure domain.
+    /// The machine's failure domain.
     pub zone: String,
-    /// Where the store takes requests of gateways and other stores.
+    /// Address at which the store accepts requests of gateways and other stores.
     pub address: SocketAddr,
-    /// Increases with each start of its process.
+    /// Number that increases with each start of the store's process.
     pub incarnation: u64,
-    /// Identifies the contents of its disk; another number means that the earlier contents are lost.
+    /// Identifies the contents of the store's disk; a different number means that the earlier contents are lost.
     pub disk: u64,
-    /// Everything that the store should hold is on its disk.
+    /// All turns that the store should hold are on its disk.
     pub complete: bool,
-    /// The core receives its heartbeats.
+    /// The core receives heartbeats of the store.
     pub present: bool,
-    /// It is draining: it is no replica of turns, and accepts them only while other stores fail.
+    /// The store is draining: it is not chosen as a replica and accepts turns only while other stores fail.
     pub retiring: bool,
-    /// It has been drained and taken away.
+    /// The store has been drained and removed.
     pub retired: bool,
-    /// While it is draining: changes whenever any store joins, leaves, loses its disk or becomes complete.
+    /// While the store is draining: a number that changes whenever any store joins, leaves, loses its disk or becomes
+    /// complete.
     pub epoch: u64,
 }
 
 impl StoreEntry {
-    /// Whether it may be chosen as a replica of turns.
+    /// Whether the store may be chosen as a replica.
     #[must_use]
     pub fn accepts_placement(&self) -> bool {
         !self.retiring && !self.retired
     }
 
-    /// Whether it is draining: it accepts turns only while their replicas fail.
+    /// Whether the store is draining, so that it accepts turns only while their replicas fail.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.retiring && !self.retired
     }
 
-    /// Whether another store can rely on what it acknowledges.
+    /// Whether other stores can rely on acknowledgements of this store.
     #[must_use]
     pub fn is_reliable(&self) -> bool {
         self.present && self.complete
     }
 }
 
-/// A store as far as placement is concerned.
+/// Name and zone of a store: the data that placement depends on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Candidate {
     /// The machine's name.
     pub name: String,
-    /// Its failure domain.
+    /// The machine's failure domain.
     pub zone: String,
 }
 
@@ -67,11 +68,11 @@
     }
 }
 
-/// Something that turns can be placed on.
+/// A store that turns can be placed on.
 pub trait Placeable {
     /// The machine's name.
     fn name(&self) -> &str;
-    /// Its failure domain.
+    /// The machine's failure domain.
     fn zone(&self) -> &str;
 }
 
--- a/crates/serving/turn-replication/src/message.rs
+++ b/crates/serving/turn-replication/src/message.rs
@@ -1,8 +1,8 @@
 //! Messages about turns between gateways and stores.
 //!
-//! They are encoded by postcard, which goes by position: the order of variants and fields is part of the protocol.
-//! Every message stays well below the limit of a frame: [`CHAIN_PAGE_BYTES`] for chains, [`PAGE_BYTES`] for
-//! everything between stores, plus one turn at most.
+//! Messages are encoded by postcard, which is positional: the order of variants and fields is part of the protocol.
+//! Every message stays well below the frame limit: at most [`CHAIN_PAGE_BYTES`] for chains and [`PAGE_BYTES`] for
+//! messages between stores, plus one turn.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -24,9 +24,9 @@
 pub enum StoreRequest {
     /// Store a turn.
     Put {
-        /// The turn.
+        /// The turn to be stored.
         turn: Turn,
-        /// The replica that the store substitutes for; the turn is to be handed to it later.
+        /// The replica that the receiving store substitutes for and hands the turn to later, if any.
         hint: Option<String>,
     },
     /// Read the chain that ends in a turn.
@@ -34,11 +34,11 @@
         /// The newest turn of the chain.
         id: String,
     },
-    /// List the turns that a store should hold, if the candidates were all the stores there are.
+    /// List the turns that a store should hold if turns are placed on the given candidates.
     List {
-        /// The store that should hold them.
+        /// The store that should hold the listed turns.
         replica: String,
-        /// The stores that turns are placed on.
+        /// The stores that turns may be placed on.
         candidates: Vec<Candidate>,
         /// How many stores hold each turn.
         replication_factor: usize,
@@ -47,19 +47,19 @@
     },
     /// Read turns.
     Fetch {
-        /// The turns to read.
+        /// Ids of the turns to read.
         ids: Vec<String>,
-        /// Read their ancestors too, as far as the page has space.
+        /// Read the ancestors of these turns too, as far as the page has space.
         with_ancestors: bool,
     },
-    /// Which of these turns does the store not hold?
+    /// Ask which of these turns the store does not hold.
     Offer {
-        /// The turns that are offered.
+        /// Ids of the offered turns.
         ids: Vec<String>,
     },
     /// Store turns that another store hands over.
     Handoff {
-        /// The turns, each with the time for which it is still retained.
+        /// The turns, each with its remaining retention.
         turns: Vec<RetainedTurn>,
     },
 }
@@ -69,74 +69,74 @@
 pub enum StoreReply {
     /// The turn, or all turns of the handoff, and their chains are synced on disk.
     Stored,
-    /// Not stored, or not certainly.
+    /// The request was rejected. The turns of a rejected write are not stored, or not certainly.
     Rejected(Rejection),
     /// A segment of a chain.
     Found {
-        /// The turns, oldest first; the last one is the turn that was asked for.
+        /// The turns, oldest first; the last one is the requested turn.
         turns: Vec<Turn>,
-        /// The next older turn.
+        /// The next older turn; `None` if the chain is complete.
         missing: Option<String>,
         /// The store holds the next older turn too, but the page had no space for it.
         has_more: bool,
     },
     /// The store does not hold the turn.
     Unknown {
-        /// Whether the store holds everything that it should.
+        /// Whether the store holds all turns that it should hold.
         complete: bool,
-        /// The stores that this one knows, itself included.
+        /// The stores that the replying store knows, itself included.
         known_stores: Vec<String>,
     },
     /// A page of a listing.
     Listed {
         /// The turns, by increasing id.
         turns: Vec<ListedTurn>,
-        /// After which id the following page begins; `None` on the last page.
+        /// The following page begins after this id; `None` on the last page.
         next: Option<String>,
     },
-    /// Those of the requested turns that the store holds.
+    /// The requested turns that the store holds.
     Fetched {
-        /// The turns, each with the time for which it is still retained.
+        /// The turns, each with its remaining retention.
         turns: Vec<RetainedTurn>,
     },
-    /// Those of the offered turns that the store does not hold.
+    /// The offered turns that the store does not hold.
     Missing {
-        /// Their ids.
+        /// Ids of the missing turns.
         ids: Vec<String>,
     },
 }
 
-/// One line of a listing.
+/// One turn of a listing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedTurn {
-    /// The turn.
+    /// Id of the turn.
     pub id: String,
-    /// Bytes that it takes, so that the requester can fetch as much as one message may carry.
+    /// Bytes that the turn takes, so that the requester can limit a fetch to the size of one message.
     pub size: u64,
 }
 
-/// Why a store does not store a turn.
+/// Why a store rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum Rejection {
-    /// The store has just started, and the core or another store does not know of it yet.
+    /// The store has just started and is not yet known to the core and all present stores.
     #[error("the store has just started and is not known to the core and all stores yet")]
     Joining,
     /// The store has been drained.
     #[error("the store has been drained")]
     Retiring,
-    /// Its disk has no space.
+    /// The store's capacity in bytes or in turns is exhausted.
     #[error("the store's disk has no space")]
     Full,
-    /// Too much work is queued for its disk.
+    /// Too much work is queued for the store's disk.
     #[error("too much work is queued for the store's disk")]
     Busy,
     /// An ancestor of the turn could not be found.
     #[error("an ancestor of the turn could not be found")]
     Incomplete,
-    /// The id names another turn.
+    /// A different turn with the same id is stored.
     #[error("the id names another turn")]
     Conflict,
-    /// The disk failed.
+    /// The store's disk failed.
     #[error("the store's disk failed")]
     Disk,
 }
--- a/crates/serving/turn-replication/src/node/bootstrap.rs
+++ b/crates/serving/turn-replication/src/node/bootstrap.rs
@@ -1,4 +1,4 @@
-//! How far a new disk is: when the store accepts turns, and when it holds everything that it should.
+//! Filling a new disk: when the store begins to accept turns, and when the disk becomes complete.
 
 use super::interface::{Declaration, DiskOutcome, DiskWork, Effect};
 use super::membership::present_peers;
@@ -7,7 +7,8 @@
 use super::state::{StoreNode, BOOTSTRAP_GRACE_MS};
 
 impl StoreNode {
-    /// Once registered, an incarnation stays so: the core's incarnation numbers only increase.
+    /// Records whether the core has registered this incarnation. A registered incarnation stays registered, because the
+    /// core's incarnation numbers only increase.
     pub(super) fn record_registration(&mut self) {
         let incarnation = self.settings.incarnation;
         let disk = self.disk;
@@ -19,7 +20,7 @@
 
     pub(super) fn completeness_marked(&mut self, outcome: &DiskOutcome, now_ms: u64) {
         if *outcome == DiskOutcome::Failed {
-            // Not again at once: a disk that fails would be retried without end.
+            // Waits before the next attempt, so that a failing disk is not retried in a busy loop.
             self.grace_ends_at_ms = now_ms.saturating_add(BOOTSTRAP_GRACE_MS);
             self.bootstrap = BootstrapPhase::Backfilling;
             return;
@@ -41,20 +42,20 @@
             self.pull_from_all(now_ms);
             self.continue_pull(now_ms);
         }
-        // With no other store present the pass has ended as it began.
+        // With no other store present, the pass has ended already.
         if self.anti_entropy.began_at_ms() >= self.grace_ends_at_ms && self.has_caught_up() {
             self.bootstrap = BootstrapPhase::Marking;
-            self.submit(JobPurpose::MarkComplete, DiskWork::MarkComplete);
+            self.submit_job(JobPurpose::MarkComplete, DiskWork::MarkComplete);
         }
     }
 
-    /// Everything that the others had for this store is here.
+    /// Whether the current pass has ended and no search for missing ancestors is in progress.
     pub(super) fn has_caught_up(&self) -> bool {
         self.anti_entropy.is_done() && self.completions.is_idle()
     }
 
-    /// Whether every present store knows of this one. Otherwise readers with a stale membership could call a turn
-    /// unknown that is only on stores which they have never heard of.
+    /// Whether the core and every present store know this store. Otherwise a reader with a stale membership could
+    /// conclude "unknown" for a turn that is only on stores missing from that membership.
     fn is_known_to_all(&self) -> bool {
         let mut peers = present_peers(&self.stores, &self.settings.name);
         self.own_entry().is_some()
--- a/crates/serving/turn-replication/src/node/commits.rs
+++ b/crates/serving/turn-replication/src/node/commits.rs
@@ -1,14 +1,14 @@
-//! Turns on their way to the disk, and expired ones on their way off it.
+//! Writes turns to disk, and deletes expired turns from it.
 
 use super::interface::{DiskOutcome, DiskWork};
 use super::purposes::JobPurpose;
 use super::state::{StoreNode, EXPIRY_SWEEP_MS};
-use crate::commit_queue::{CommittedEntry, Waiter};
+use crate::commit_queue::{CommitEntry, Waiter};
 use crate::message::{Rejection, StoreReply};
 use crate::safeguards::Safeguard;
 use crate::turn::RetainedTurn;
 
-/// Maximum number of turns deleted from the disk in one piece of work.
+/// Maximum number of turns that one disk job deletes.
 const MAX_REMOVALS_PER_JOB: usize = 256;
 
 impl StoreNode {
@@ -19,7 +19,7 @@
     }
 
     pub(super) fn commit_done(&mut self, outcome: &DiskOutcome, now_ms: u64) {
-        for entry in self.commits.finish() {
+        for entry in self.commits.finish_commit() {
             if *outcome == DiskOutcome::Failed {
                 self.commit_failed(entry.waiter, Rejection::Disk, now_ms);
             } else {
@@ -28,7 +28,7 @@
         }
     }
 
-    fn committed(&mut self, entry: CommittedEntry, now_ms: u64) {
+    fn committed(&mut self, entry: CommitEntry, now_ms: u64) {
         for turn in &entry.turns {
             let expires_at_ms = now_ms.saturating_add(turn.remaining_ms);
             self.index.insert(&turn.header, expires_at_ms);
@@ -52,7 +52,7 @@
 
     fn add_hint(&mut self, replica: &str, id: &str, now_ms: u64) {
         if self.safeguards.has(Safeguard::HintedHandoff) {
-            // Without a hint the replica still gets the turn by its own pulls.
+            // If the hint table is full, the replica still gets the turn by its own pulls.
             let _ = self.handoffs.add_hint(replica, id, now_ms);
         }
     }
@@ -70,10 +70,10 @@
             return;
         }
         self.next_sweep_at_ms = now_ms.saturating_add(EXPIRY_SWEEP_MS);
-        let expired = self.index.expire(now_ms);
+        let expired = self.index.remove_expired(now_ms);
         self.handoffs.remove_expired(&self.index);
         for ids in expired.chunks(MAX_REMOVALS_PER_JOB) {
-            self.submit(JobPurpose::Removal, DiskWork::Remove(ids.to_vec()));
+            self.submit_job(JobPurpose::Removal, DiskWork::Remove(ids.to_vec()));
         }
     }
 }
--- a/crates/serving/turn-replication/src/node/completions.rs
+++ b/crates/serving/turn-replication/src/node/completions.rs
@@ -1,4 +1,4 @@
-//! Ancestors of stored and parked turns that are missing here.
+//! Searches for missing ancestors of stored and parked turns.
 
 use super::membership::present_peers;
 use super::purposes::RequestPurpose;
@@ -9,10 +9,11 @@
 use crate::placement;
 
 impl StoreNode {
-    /// The first turn on the way to the start of the chain that is neither stored nor on its way to the disk.
+    /// The first turn that is neither stored nor in the commit queue, going from `previous` towards the start of its
+    /// chain.
     pub(super) fn first_missing(&self, previous: Option<&str>) -> Option<String> {
         let mut missing = self.index.first_missing(previous?)?;
-        // Limited by the queued commits; each step is one of them.
+        // The loop is bounded by the commit queue: each iteration passes one queued turn.
         while let Some(previous) = self.commits.previous_of(&missing) {
             missing = self.index.first_missing(previous?)?;
         }
@@ -44,7 +45,8 @@
     }
 
     pub(super) fn complete_chains(&mut self, now_ms: u64) {
-        // A pull brings turns by id, often before their ancestors: those that it may still bring are not searched.
+        // A pull fetches turns by id, often before their ancestors, so ancestors are not
+        // searched for while a pull may still bring them.
         if self.index.has_dangling() && !self.anti_entropy.is_pulling() {
             self.search_dangling(now_ms);
         }
--- a/crates/serving/turn-replication/src/node/events.rs
+++ b/crates/serving/turn-replication/src/node/events.rs
@@ -1,4 +1,4 @@
-//! What can happen to a store node, and when it wants to be called again.
+//! The inputs of a store node, and the time at which it has to be called again.
 
 use super::interface::{DiskOutcome, DiskWork};
 use super::membership::placement_differs;
@@ -16,13 +16,14 @@
         self.record_absences(now_ms);
         self.record_registration();
         self.forget_listed_stores();
-        let has_moved = self.update_candidates(now_ms) || placement_differs(&before, &self.stores);
+        let placement_changed =
+            self.update_candidates(now_ms) || placement_differs(&before, &self.stores);
         self.update_lifecycle(now_ms);
-        if has_moved {
+        if placement_changed {
             self.pull_from_all(now_ms);
             self.restart_drain(now_ms);
         } else {
-            self.pull_from_returned(&before, now_ms);
+            self.update_pulled_stores(&before, now_ms);
         }
         self.advance(now_ms);
     }
@@ -65,7 +66,7 @@
         self.advance(now_ms);
     }
 
-    /// Another store replied, or could not be asked (`None`).
+    /// Another store replied, or could not be reached (`None`).
     pub fn peer_replied(&mut self, request: PeerRequestId, reply: Option<StoreReply>, now_ms: u64) {
         let Some(pending) = self.requests.remove(&request) else {
             return;
@@ -80,7 +81,7 @@
         self.advance(now_ms);
     }
 
-    /// A piece of disk work has ended.
+    /// A disk job has ended.
     pub fn disk_done(&mut self, job: JobId, outcome: DiskOutcome, now_ms: u64) {
         let Some(purpose) = self.jobs.remove(&job) else {
             return;
@@ -94,20 +95,20 @@
                 has_more,
             } => {
                 self.read_bytes_in_flight -= bytes;
-                self.chain_read(caller, missing, has_more, outcome);
+                self.reply_with_chain(caller, missing, has_more, outcome);
             }
             JobPurpose::Fetch { caller, bytes } => {
                 self.read_bytes_in_flight -= bytes;
-                self.fetch_read(caller, outcome, now_ms);
+                self.reply_with_fetched(caller, outcome, now_ms);
             }
-            JobPurpose::Handoff { serial } => self.handoff_read(serial, outcome, now_ms),
+            JobPurpose::Handoff { serial } => self.send_handoff(serial, outcome, now_ms),
             JobPurpose::Removal => {}
             JobPurpose::MarkComplete => self.completeness_marked(&outcome, now_ms),
         }
         self.advance(now_ms);
     }
 
-    /// Time has passed.
+    /// Applies timeouts and other work that is due at `now_ms`.
     pub fn tick(&mut self, now_ms: u64) {
         self.time_out_requests(now_ms);
         self.sweep_expired(now_ms);
@@ -142,24 +143,24 @@
     }
 
     fn time_out_requests(&mut self, now_ms: u64) {
-        let late: Vec<PeerRequestId> = self
+        let timed_out: Vec<PeerRequestId> = self
             .requests
             .iter()
             .filter(|(_, pending)| pending.deadline_ms <= now_ms)
             .map(|(request, _)| *request)
             .collect();
-        for request in late {
+        for request in timed_out {
             self.peer_replied(request, None, now_ms);
         }
     }
 
-    /// Begins whatever can begin now.
+    /// Starts all requests and disk jobs that can start now, and advances the life cycles.
     fn advance(&mut self, now_ms: u64) {
         self.complete_chains(now_ms);
         self.continue_pull(now_ms);
         self.continue_handoff(now_ms);
-        if let Some(turns) = self.commits.begin() {
-            self.submit(JobPurpose::Commit, DiskWork::Put(turns));
+        if let Some(turns) = self.commits.begin_commit() {
+            self.submit_job(JobPurpose::Commit, DiskWork::Put(turns));
         }
         self.advance_bootstrap(now_ms);
         self.advance_drain(now_ms);
--- a/crates/serving/turn-replication/src/node/handoffs.rs
+++ b/crates/serving/turn-replication/src/node/handoffs.rs
@@ -1,9 +1,9 @@
-//! Transfers to other stores, of hinted turns and while this store drains.
+//! Transfers to other stores: of hinted turns, and of all turns while this store drains.
 
 use super::interface::{DiskOutcome, DiskWork};
 use super::purposes::{JobPurpose, RequestPurpose};
 use super::state::StoreNode;
-use crate::handoff::{HandoffStep, Placement};
+use crate::handoff::{HandoffStep, PlacementParameters};
 use crate::membership::Candidate;
 use crate::message::{StoreReply, StoreRequest};
 use crate::placement;
@@ -13,20 +13,21 @@
 impl StoreNode {
     pub(super) fn handoff_replied(&mut self, serial: u64, reply: Option<StoreReply>, now_ms: u64) {
         match reply {
-            Some(StoreReply::Missing { ids }) => self.handoffs.offer_answered(serial, ids),
+            Some(StoreReply::Missing { ids }) => self.handoffs.offer_replied(serial, ids),
             Some(StoreReply::Stored) => self.handoffs.acknowledged(serial),
             _ => self.handoffs.failed(serial, now_ms),
         }
     }
 
-    pub(super) fn handoff_read(&mut self, serial: u64, outcome: DiskOutcome, now_ms: u64) {
+    /// Sends the turns that were read from disk to the store that lacks them.
+    pub(super) fn send_handoff(&mut self, serial: u64, outcome: DiskOutcome, now_ms: u64) {
         let DiskOutcome::Turns(turns) = outcome else {
             return self.handoffs.failed(serial, now_ms);
         };
         let Some(peer) = self.handoffs.turns_read(serial) else {
             return;
         };
-        let turns = self.with_remaining_time(turns, now_ms);
+        let turns = self.with_remaining_retention(turns, now_ms);
         let request = StoreRequest::Handoff { turns };
         self.send(peer, RequestPurpose::Handoff { serial }, request, now_ms);
     }
@@ -37,7 +38,7 @@
             let mut stores = stores.iter();
             stores.any(|store| store.name == name && store.present && !store.retired)
         };
-        let placement = Placement {
+        let placement = PlacementParameters {
             candidates: &self.candidates,
             replication_factor: self.settings.replication_factor,
         };
@@ -51,13 +52,13 @@
                 self.send(peer, RequestPurpose::Handoff { serial }, request, now_ms);
             }
             Some(HandoffStep::Read { ids }) => {
-                self.submit(JobPurpose::Handoff { serial }, DiskWork::Get(ids));
+                self.submit_job(JobPurpose::Handoff { serial }, DiskWork::Get(ids));
             }
             None => {}
         }
     }
 
-    /// What is accepted while this store drains must be on its replicas, too, before the store is drained.
+    /// Requires that a turn accepted while this store drains is on its replicas before the store is drained.
     pub(super) fn require_handoff(&mut self, turn: &TurnHeader, now_ms: u64) {
         if !self.is_draining() || !self.safeguards.has(Safeguard::LateTurnsHandedOff) {
             return;
@@ -65,7 +66,8 @@
         let candidates: Vec<&Candidate> = self.candidates.iter().collect();
         let ranked = placement::by_preference(&turn.program, &candidates);
         for replica in ranked.into_iter().take(self.settings.replication_factor) {
-            self.handoffs.require(&replica.name, &turn.id, now_ms);
+            self.handoffs
+                .require_transfer(&replica.name, &turn.id, now_ms);
         }
     }
 }
--- a/crates/serving/turn-replication/src/node/interface.rs
+++ b/crates/serving/turn-replication/src/node/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into a store's state machine and what comes out of it.
+//! Settings, effects and disk jobs: the interface between a store node and the process around it.
 
 use crate::ids::{CallerId, JobId, PeerRequestId};
 use crate::message::{StoreReply, StoreRequest};
@@ -7,39 +7,39 @@
 /// Settings of a store node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreSettings {
-    /// Its name in the membership.
+    /// Name of the store in the membership.
     pub name: String,
-    /// The incarnation of its process, as it is reported to the core.
+    /// Incarnation of the store's process, as reported to the core.
     pub incarnation: u64,
-    /// How many stores hold each turn: one more than may be lost at one time.
+    /// How many stores hold each turn: one more than may be lost at the same time.
     pub replication_factor: usize,
-    /// Maximum bytes of its turns. The file on disk may need three times as much.
+    /// Maximum total bytes of stored turns. The file on disk may need three times as much.
     pub capacity_bytes: u64,
-    /// Maximum number of its turns; each takes some 250 bytes of memory.
+    /// Maximum number of stored turns; each takes about 250 bytes of memory.
     pub capacity_turns: usize,
-    /// A store that is absent for this long is replaced: what it held is replicated elsewhere, in milliseconds.
+    /// Time of absence after which a store is replaced, in milliseconds: its turns are then replicated to other stores.
     pub absent_repair_ms: u64,
 }
 
-/// What was found on disk at the start.
+/// Contents of the disk at the start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DiskState {
     /// Identifies the contents of the disk.
     pub disk: u64,
-    /// The disk has not been complete since these contents began.
+    /// Whether the disk has never been complete with its current contents.
     pub fresh: bool,
-    /// All turns on it.
+    /// Headers of all turns on the disk.
     pub headers: Vec<TurnHeader>,
 }
 
-/// What the process around the node has to do.
+/// An action that the process around the node has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Reply to a caller.
     Reply {
-        /// The caller.
+        /// The caller to reply to.
         caller: CallerId,
-        /// The reply.
+        /// The reply to send.
         reply: StoreReply,
     },
     /// Send a request to another store; its reply goes to [`super::StoreNode::peer_replied`].
@@ -48,53 +48,52 @@
         request_id: PeerRequestId,
         /// The store to send it to.
         store: String,
-        /// The request.
+        /// The request to send.
         request: StoreRequest,
     },
-    /// Do a piece of disk work; its outcome goes to [`super::StoreNode::disk_done`].
+    /// Do a disk job; its outcome goes to [`super::StoreNode::disk_done`].
     Disk {
-        /// Identifies the piece of work.
+        /// Identifies the disk job.
         job: JobId,
-        /// What is to be done.
+        /// The work to be done.
         work: DiskWork,
     },
-    /// Inform the core.
+    /// Send a declaration to the core.
     Declare(Declaration),
 }
 
-/// Work for the disk.
+/// The work of a disk job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiskWork {
     /// Write these turns in one synced commit.
     Put(Vec<Turn>),
-    /// Read these turns, in this order.
+    /// Read these turns, in the given order.
     Get(Vec<String>),
     /// Delete these turns.
     Remove(Vec<String>),
-    /// Record, synced, that the disk is complete.
+    /// Record on disk that the disk is complete, and sync the record.
     MarkComplete,
 }
 
-/// How a piece of disk work ended.
+/// Outcome of a disk job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiskOutcome {
-    /// It is done.
+    /// The job is done.
     Done,
     /// For [`DiskWork::Get`]: the turns that were found, in the order of the request.
     Turns(Vec<Turn>),
-    /// It was not done, or not certainly; what waited for it is rejected.
+    /// The job was not done, or not certainly; requests that waited for it are rejected.
     Failed,
 }
 
-/// What the core has to be informed of.
+/// A statement of a store to the core about its own state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Declaration {
-    /// Everything that this store should hold is on its disk.
+    /// All turns that this store should hold are on its disk.
     Complete,
-    /// Everything that this store held is on enough others, as they are in this membership epoch: its machine may
-    /// be taken away.
+    /// All turns of this store are on enough other stores of this membership epoch, so that its machine may be removed.
     Drained {
-        /// The epoch.
+        /// The membership epoch.
         epoch: u64,
     },
 }
--- a/crates/serving/turn-replication/src/node/lifecycle.rs
+++ b/crates/serving/turn-replication/src/node/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Whether the store is in use or draining, and what its being drained relies on.
+//! Whether the store is in use or draining, and the conditions under which it declares that it is drained.
 
 use super::interface::{Declaration, Effect};
 use super::phases::Lifecycle;
@@ -9,7 +9,7 @@
 impl StoreNode {
     pub(super) fn update_lifecycle(&mut self, now_ms: u64) {
         match (self.lifecycle, Lifecycle::required_by(self.own_entry())) {
-            // What it has declared still holds.
+            // The declaration of this epoch is still valid.
             (Lifecycle::Drained { epoch: declared }, Lifecycle::Draining { epoch })
                 if declared == epoch => {}
             (Lifecycle::Drained { .. }, Lifecycle::Draining { .. })
@@ -35,12 +35,12 @@
         matches!(self.lifecycle, Lifecycle::Draining { .. })
     }
 
-    /// Offers everything to the new replicas from the start, if this store is draining.
+    /// If this store is draining, starts over with offering all turns to the new replicas.
     pub(super) fn restart_drain(&mut self, now_ms: u64) {
         if !self.is_draining() {
             return;
         }
-        // With too few candidates nothing can be declared until another store has joined.
+        // With too few candidates the store cannot be drained until another store has joined.
         let has_enough = self.candidates.len() >= self.settings.replication_factor;
         let replicas = if has_enough {
             &self.candidates[..]
@@ -54,7 +54,7 @@
         self.handoffs.begin_drain(names, now_ms);
     }
 
-    /// A draining store accepts turns, as a last resort, until it has declared that it is drained.
+    /// Whether the store accepts turns. A draining store does, as a last resort, until it declares that it is drained.
     pub(super) fn accepts_turns(&self) -> bool {
         match self.lifecycle {
             Lifecycle::Active => true,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether all stores that turns are placed on are present and complete.
+    /// Whether all stores that turns may be placed on are present and complete.
     fn replicas_are_reliable(&self) -> bool {
         let is_reliable = |candidate: &Candidate| {
             let mut stores = self.stores.iter();
--- a/crates/serving/turn-replication/src/node/membership.rs
+++ b/crates/serving/turn-replication/src/node/membership.rs
@@ -1,9 +1,10 @@
-//! The membership as the core published it last, and what placement follows from it.
+//! The latest membership that the core published, and the placement that follows from it.
 
 use super::state::StoreNode;
 use crate::membership::{Candidate, StoreEntry};
 
 impl StoreNode {
+    /// Records since when each absent store of the membership has been absent.
     pub(super) fn record_absences(&mut self, now_ms: u64) {
         let is_absent = |store: &&StoreEntry| !store.present && store.name != self.settings.name;
         let absent = self.stores.iter().filter(is_absent);
@@ -14,7 +15,7 @@
         }
     }
 
-    /// Determines on which stores turns are placed now; returns whether that has changed.
+    /// Updates the stores that turns may be placed on; returns whether they have changed.
     #[must_use]
     pub(super) fn update_candidates(&mut self, now_ms: u64) -> bool {
         let has_not_been_absent_for_long = |store: &&StoreEntry| {
@@ -38,7 +39,7 @@
         stores.any(|store| store.name == name && store.present && !store.retired)
     }
 
-    /// The entry of this store.
+    /// The entry of this store in the membership.
     pub(super) fn own_entry(&self) -> Option<&StoreEntry> {
         let mut stores = self.stores.iter();
         stores.find(|store| store.name == self.settings.name)
@@ -50,21 +51,22 @@
         peers.map(|peer| peer.name.clone()).collect()
     }
 
-    /// A store sent a request; if the membership does not have it yet, readers are told that it may hold turns.
+    /// Records a store that sent a request but is not in the membership yet, so that "unknown" replies list the store
+    /// and readers learn that it may hold turns.
     pub(super) fn record_unlisted_store(&mut self, name: &str) {
         if name != self.settings.name && !self.stores.iter().any(|store| store.name == name) {
             self.unlisted_stores.insert(name.to_owned());
         }
     }
 
-    /// Stores that the membership has by now are not unlisted any more.
+    /// Forgets unlisted stores that the membership lists now.
     pub(super) fn forget_listed_stores(&mut self) {
         let stores = &self.stores;
         let is_listed = |name: &String| stores.iter().any(|store| store.name == *name);
         self.unlisted_stores.retain(|name| !is_listed(name));
     }
 
-    /// All stores that may hold turns, as far as this one knows; itself included.
+    /// All stores that may hold turns, as far as this store knows, including this store.
     pub(super) fn known_stores(&self) -> Vec<String> {
         let listed = self.stores.iter().filter(|store| !store.retired);
         let listed = listed.map(|store| &store.name);
@@ -76,7 +78,7 @@
     }
 }
 
-/// The stores other than `own` that are present.
+/// The present stores other than `own`.
 pub(super) fn present_peers<'a>(
     stores: &'a [StoreEntry],
     own: &'a str,
@@ -86,12 +88,12 @@
         .filter(move |store| store.name != own && store.present && !store.retired)
 }
 
-/// Whether turns are placed differently under the new membership, or a disk was lost.
+/// Whether the new membership changes the placement of turns or reports a lost disk.
 pub(super) fn placement_differs(before: &[StoreEntry], after: &[StoreEntry]) -> bool {
     placement_inputs(before) != placement_inputs(after)
 }
 
-/// What placement follows from, of one store.
+/// The properties of one store that determine the placement of turns.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PlacementInput<'a> {
     name: &'a str,
--- a/crates/serving/turn-replication/src/node/mod.rs
+++ b/crates/serving/turn-replication/src/node/mod.rs
@@ -1,13 +1,13 @@
-//! One store machine as a state machine: requests, membership changes, replies of other stores, completions of the
-//! disk and the time go in; [`Effect`]s come out. The process around it owns sockets, disk and clock.
+//! One store machine as a state machine. Its inputs are requests, membership changes, replies of other stores, results
+//! of disk jobs and the time; its outputs are [`Effect`]s. The process around it owns sockets, disk and clock.
 //!
-//! After every call take all effects with [`StoreNode::poll`], and call [`StoreNode::tick`] when
-//! [`StoreNode::next_due`] says so. Disk work is to be done in the order in which it comes.
+//! After every call the process has to take all effects with [`StoreNode::poll`], and it has to call
+//! [`StoreNode::tick`] at the time that [`StoreNode::next_due`] returns. Disk jobs have to be done in order.
 //!
-//! - [`StoreNode`] and what it holds: `state`; what can happen to it: `events`.
-//! - What follows from each: `requests`, `commits` (and expiry), `pulls` (anti-entropy), `completions` (missing
-//!   ancestors), `handoffs`, `membership`.
-//! - Its two life cycles: `bootstrap` (how far a new disk is), `lifecycle` (whether the store is draining).
+//! - `state` contains [`StoreNode`] and its fields; `events` contains the entry points for its inputs.
+//! - The inputs are handled in `requests`, `commits` (and expiry), `pulls` (anti-entropy), `completions` (missing
+//!   ancestors), `handoffs` and `membership`.
+//! - The two life cycles are in `bootstrap` (filling a new disk) and `lifecycle` (draining the store).
 
 mod bootstrap;
 mod commits;
--- a/crates/serving/turn-replication/src/node/phases.rs
+++ b/crates/serving/turn-replication/src/node/phases.rs
@@ -2,36 +2,35 @@
 
 use crate::membership::StoreEntry;
 
-/// How far the store is with its disk.
+/// Progress of filling the store's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BootstrapPhase {
-    /// A new disk; some present store does not know of this one yet, so no turns are accepted.
+    /// The disk is new and some present store does not know this store yet, so that no turns are accepted.
     Joining,
-    /// A new disk that is being filled; turns are accepted.
+    /// The disk is new and is being filled; turns are accepted.
     Backfilling,
-    /// Everything is there; that is being recorded on disk.
+    /// All turns are stored, and the record that the disk is complete is being written.
     Marking,
-    /// Everything is there.
+    /// The disk is recorded as complete.
     Complete,
 }
 
-/// Whether the store is in use or draining.
+/// Whether the store is in use, draining or drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lifecycle {
+    /// The store is in use.
     Active,
-    Draining {
-        epoch: u64,
-    },
-    /// It has declared that it is drained and accepts nothing, until the core has agreed or the epoch has ended.
-    Drained {
-        epoch: u64,
-    },
-    /// The core has agreed that it is drained.
+    /// The store hands its turns to other stores; the core ordered this in the membership epoch `epoch`.
+    Draining { epoch: u64 },
+    /// The store has declared that it is drained and accepts no turns, until the core has agreed or the epoch has
+    /// ended.
+    Drained { epoch: u64 },
+    /// The core has agreed that the store is drained.
     Retired,
 }
 
 impl Lifecycle {
-    /// What the membership requires of the store with this entry.
+    /// The state that the membership requires of the store with this entry.
     pub(super) fn required_by(entry: Option<&StoreEntry>) -> Self {
         match entry {
             Some(own) if own.retired => Self::Retired,
--- a/crates/serving/turn-replication/src/node/pulls.rs
+++ b/crates/serving/turn-replication/src/node/pulls.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy with the other stores: pulls of what this store should hold.
+//! Anti-entropy with the other stores: pulls the turns that this store should hold.
 
 use super::purposes::RequestPurpose;
 use super::state::StoreNode;
@@ -10,8 +10,9 @@
 use super::membership::present_peers;
 
 impl StoreNode {
-    /// Pulls from the stores that have returned, and no more from those that have left.
-    pub(super) fn pull_from_returned(&mut self, before: &[StoreEntry], now_ms: u64) {
+    /// Adds stores that have become present to the pass, and removes stores that have become absent. `before` is the
+    /// previous membership.
+    pub(super) fn update_pulled_stores(&mut self, before: &[StoreEntry], now_ms: u64) {
         for peer in present_peers(before, &self.settings.name) {
             if !self.is_present(&peer.name) {
                 self.anti_entropy.remove(&peer.name);
--- a/crates/serving/turn-replication/src/node/purposes.rs
+++ b/crates/serving/turn-replication/src/node/purposes.rs
@@ -1,11 +1,11 @@
-//! What pending requests and disk work are for.
+//! The purposes of pending requests and disk jobs.
 
 use crate::ids::CallerId;
 
-/// What the reply of another store is for.
+/// The activity that waits for the reply of another store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum RequestPurpose {
-    /// Anti-entropy, the pull with this serial number.
+    /// The anti-entropy pull with this serial number.
     Pull { serial: u64 },
     /// The search for this missing ancestor.
     Completion { id: String },
@@ -13,7 +13,7 @@
     Handoff { serial: u64 },
 }
 
-/// A request to another store that has not been replied to.
+/// A request to another store that has no reply yet.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub(super) purpose: RequestPurpose,
@@ -21,26 +21,24 @@
     pub(super) deadline_ms: u64,
 }
 
-/// What a piece of disk work is for.
+/// The activity that waits for a disk job.
 #[derive(Debug)]
 pub(super) enum JobPurpose {
+    /// The commit in flight.
     Commit,
-    /// A caller reads a chain.
+    /// A read of a chain for a caller.
     Chain {
         caller: CallerId,
         bytes: u64,
         missing: Option<String>,
         has_more: bool,
     },
-    /// Another store fetches turns.
-    Fetch {
-        caller: CallerId,
-        bytes: u64,
-    },
+    /// A fetch of turns for another store.
+    Fetch { caller: CallerId, bytes: u64 },
     /// The handoff with this serial number.
-    Handoff {
-        serial: u64,
-    },
+    Handoff { serial: u64 },
+    /// The deletion of expired turns.
     Removal,
+    /// The record that the disk is complete.
     MarkComplete,
 }
--- a/crates/serving/turn-replication/src/node/requests.rs
+++ b/crates/serving/turn-replication/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of gateways and other stores.
+//! Handles requests of gateways and other stores.
 
 use super::interface::{DiskOutcome, DiskWork};
 use super::phases::BootstrapPhase;
@@ -11,20 +11,20 @@
 use crate::message::{Rejection, StoreReply, CHAIN_PAGE_BYTES, PAGE_BYTES};
 use crate::turn::{RetainedTurn, Turn};
 
-/// Maximum bytes of turns that the disk reads at one time, against callers that ask faster than it reads.
+/// Maximum bytes of turns that the disk reads at the same time, in case callers request turns faster than it reads.
 const MAX_READ_BYTES_IN_FLIGHT: u64 = 16 << 20;
 
 impl StoreNode {
     pub(super) fn put(&mut self, caller: CallerId, turn: Turn, hint: Option<String>, now_ms: u64) {
         let header = turn.header();
         let remaining_ms = header.retention_with_margin_ms();
-        let is_stored = self.index.agrees_with(&header);
+        let is_stored = self.index.contains_same_turn(&header);
         if is_stored && self.first_missing(Some(&header.id)).is_none() {
             let expires_at_ms = now_ms.saturating_add(remaining_ms);
-            self.index.extend(&header.id, expires_at_ms);
+            self.index.extend_retention(&header.id, expires_at_ms);
             return self.reply(caller, StoreReply::Stored);
         }
-        let rejection = self.rejection(&turn);
+        let rejection = self.rejection_reason(&turn);
         let rejection =
             rejection.filter(|rejection| !is_stored || *rejection != Rejection::Conflict);
         if let Some(rejection) = rejection {
@@ -34,8 +34,8 @@
         self.commit_or_park(ParkedPut { caller, turn, hint }, now_ms);
     }
 
-    /// Why a turn is not accepted, if so.
-    fn rejection(&self, turn: &Turn) -> Option<Rejection> {
+    /// The reason to reject a turn, if there is one.
+    fn rejection_reason(&self, turn: &Turn) -> Option<Rejection> {
         let used_bytes = self.index.bytes() + self.commits.bytes() + self.completions.bytes();
         if !self.accepts_turns() {
             Some(Rejection::Retiring)
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Commits a put, or parks it until the missing part of its chain is here.
+    /// Commits a put, or parks it until the missing part of its chain is stored.
     pub(super) fn commit_or_park(&mut self, put: ParkedPut, now_ms: u64) {
         let Some(missing) = self.first_missing(put.turn.turn.previous.as_deref()) else {
             return self.commit_put(put, now_ms);
@@ -80,7 +80,7 @@
             return self.reply(caller, reply);
         };
         let expires_at_ms = now_ms.saturating_add(READ_EXTENSION_MS);
-        self.index.extend(id, expires_at_ms);
+        self.index.extend_retention(id, expires_at_ms);
         let ids: Vec<String> = chain.ids.iter().rev().map(|id| id.to_string()).collect();
         let Some(bytes) = self.reserve_read_bytes(&ids) else {
             return self.reply(caller, StoreReply::Rejected(Rejection::Busy));
@@ -91,10 +91,10 @@
             missing: chain.missing.map(|id| id.to_string()),
             has_more: chain.has_more,
         };
-        self.submit(purpose, DiskWork::Get(ids));
+        self.submit_job(purpose, DiskWork::Get(ids));
     }
 
-    /// Bytes that these turns take, if the disk may read as much now.
+    /// Reserves the bytes that these turns take; `None` if the disk is already reading too much.
     fn reserve_read_bytes(&mut self, ids: &[String]) -> Option<u64> {
         let bytes: u64 = ids.iter().filter_map(|id| self.index.size(id)).sum();
         let in_flight = self.read_bytes_in_flight;
@@ -105,7 +105,8 @@
         Some(bytes)
     }
 
-    pub(super) fn chain_read(
+    /// Replies to a reader with the segment of a chain that was read from disk.
+    pub(super) fn reply_with_chain(
         &mut self,
         caller: CallerId,
         missing: Option<String>,
@@ -139,10 +140,10 @@
             return self.reply(caller, StoreReply::Rejected(Rejection::Busy));
         };
         let purpose = JobPurpose::Fetch { caller, bytes };
-        self.submit(purpose, DiskWork::Get(wanted));
+        self.submit_job(purpose, DiskWork::Get(wanted));
     }
 
-    /// The stored ones of these turns and of their ancestors, as far as one message may carry them.
+    /// Ids of the stored turns among these turns and their ancestors, as many as one message may carry.
     fn page_of_chains(&self, ids: &[String], max_bytes_each: u64, now_ms: u64) -> Vec<String> {
         let mut page: Vec<String> = Vec::new();
         let mut bytes = 0;
@@ -160,17 +161,27 @@
         page
     }
 
-    pub(super) fn fetch_read(&mut self, caller: CallerId, outcome: DiskOutcome, now_ms: u64) {
+    /// Replies to a fetching store with the turns that were read from disk.
+    pub(super) fn reply_with_fetched(
+        &mut self,
+        caller: CallerId,
+        outcome: DiskOutcome,
+        now_ms: u64,
+    ) {
         let reply = match outcome {
             DiskOutcome::Turns(turns) => StoreReply::Fetched {
-                turns: self.with_remaining_time(turns, now_ms),
+                turns: self.with_remaining_retention(turns, now_ms),
             },
             _ => StoreReply::Rejected(Rejection::Disk),
         };
         self.reply(caller, reply);
     }
 
-    pub(super) fn with_remaining_time(&self, turns: Vec<Turn>, now_ms: u64) -> Vec<RetainedTurn> {
+    pub(super) fn with_remaining_retention(
+        &self,
+        turns: Vec<Turn>,
+        now_ms: u64,
+    ) -> Vec<RetainedTurn> {
         let retained = turns.into_iter().filter_map(|turn| {
             let remaining_ms = self.index.remaining_ms(&turn.id, now_ms)?;
             Some(RetainedTurn { turn, remaining_ms })
@@ -178,19 +189,20 @@
         retained.collect()
     }
 
-    /// Another store hands turns over.
+    /// Accepts turns that another store hands over.
     pub(super) fn accept_handoff(
         &mut self,
         caller: CallerId,
         turns: Vec<RetainedTurn>,
         now_ms: u64,
     ) {
-        let rejection = turns
-            .iter()
-            .find_map(|retained| match self.rejection(&retained.turn) {
-                Some(Rejection::Conflict) | None => None,
-                rejection => rejection,
-            });
+        let rejection =
+            turns
+                .iter()
+                .find_map(|retained| match self.rejection_reason(&retained.turn) {
+                    Some(Rejection::Conflict) | None => None,
+                    rejection => rejection,
+                });
         if let Some(rejection) = rejection {
             return self.reply(caller, StoreReply::Rejected(rejection));
         }
--- a/crates/serving/turn-replication/src/node/state.rs
+++ b/crates/serving/turn-replication/src/node/state.rs
@@ -1,4 +1,4 @@
-//! The state of a store node, and how it issues requests, disk work and replies.
+//! The state of a store node, and the functions that issue requests, disk jobs and replies.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,25 +16,25 @@
 use crate::safeguards::{Safeguard, Safeguards};
 use crate::write_coordinator::WRITE_DEADLINE_MS;
 
-/// A request to another store that was not replied to after this long has failed, in milliseconds.
+/// Time without a reply after which a request to another store has failed, in milliseconds.
 pub const PEER_REQUEST_TIMEOUT_MS: u64 = 800;
-/// A store with a new disk is not complete before an anti-entropy pass that began this long after its start has
-/// ended, in milliseconds. By then every writer that still counted on the old disk has ended, and what it wrote
-/// elsewhere is listed.
+/// Minimum time from the start of a store with a new disk to the beginning of the anti-entropy pass that makes the
+/// disk complete, in milliseconds. By then every writer that relied on the old disk has ended, so that the pass lists
+/// the turns that such a writer stored elsewhere.
 pub const BOOTSTRAP_GRACE_MS: u64 = WRITE_DEADLINE_MS + 300;
-/// How often expired turns are looked for, in milliseconds.
+/// Interval between removals of expired turns, in milliseconds.
 pub const EXPIRY_SWEEP_MS: u64 = 5_000;
 
-/// One store machine.
+/// State machine of one store machine.
 #[derive(Debug)]
 pub struct StoreNode {
     pub(super) settings: StoreSettings,
     pub(super) safeguards: Safeguards,
     /// Identifies the contents of the disk.
     pub(super) disk: u64,
-    /// The core has registered this incarnation of the process and its disk.
+    /// Whether the core has registered this incarnation of the process and its disk.
     pub(super) is_registered: bool,
-    /// A pass that began after this makes a new disk complete.
+    /// A new disk becomes complete by an anti-entropy pass that begins at this time or later.
     pub(super) grace_ends_at_ms: u64,
     pub(super) bootstrap: BootstrapPhase,
     pub(super) lifecycle: Lifecycle,
@@ -43,34 +43,34 @@
     pub(super) completions: ChainCompletions,
     pub(super) anti_entropy: AntiEntropy,
     pub(super) handoffs: HandoffQueue,
-    /// The membership as it came last; empty before the first.
+    /// The latest membership; empty until the first membership arrives.
     pub(super) stores: Vec<StoreEntry>,
-    /// Since when a store of the membership is absent.
+    /// For each absent store of the membership: since when it has been absent.
     pub(super) absent_since_ms: BTreeMap<String, u64>,
-    /// Stores that turns are placed on, without those that have been absent for long.
+    /// Stores that turns may be placed on, without stores that have been absent for `absent_repair_ms`.
     pub(super) candidates: Vec<Candidate>,
     /// Stores that sent requests but are not in the membership yet.
     pub(super) unlisted_stores: BTreeSet<String>,
-    /// Stores that know of this one.
+    /// Other stores that know this store, because they have replied to its listing requests.
     pub(super) known_to: BTreeSet<String>,
     pub(super) requests: BTreeMap<PeerRequestId, PendingRequest>,
     pub(super) jobs: BTreeMap<JobId, JobPurpose>,
-    /// The last number given to a request or a piece of disk work.
+    /// The latest number given to a request or a disk job.
     pub(super) last_id: u64,
-    /// Bytes of turns that the disk is reading for callers.
+    /// Total bytes of the turns that the disk is reading for callers.
     pub(super) read_bytes_in_flight: u64,
     pub(super) next_sweep_at_ms: u64,
     pub(super) effects: VecDeque<Effect>,
 }
 
 impl StoreNode {
-    /// A store that has just started, at `wall_ms` by the wall clock and `now_ms` by the steady one.
+    /// Creates the node of a store that starts at `wall_ms` by the wall clock and `now_ms` by the steady clock.
     #[must_use]
     pub fn new(settings: StoreSettings, disk: DiskState, wall_ms: u64, now_ms: u64) -> Self {
         Self::start(settings, disk, wall_ms, now_ms, Safeguards::default())
     }
 
-    /// As [`StoreNode::new`], with single safeguards taken out; for tests only.
+    /// Like [`StoreNode::new`], with the given safeguards in place; for tests only.
     #[cfg(feature = "removable-safeguards")]
     #[must_use]
     pub fn with_safeguards(
@@ -122,24 +122,24 @@
         }
     }
 
-    /// The next thing to be done.
+    /// Returns the next effect to be carried out.
     pub fn poll(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// Whether everything that it should hold is on its disk.
+    /// Whether all turns that the store should hold are on its disk.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.bootstrap == BootstrapPhase::Complete
     }
 
-    /// Turns that it should hold, is known to lack and is fetching.
+    /// Number of turns that the store is known to lack or is fetching.
     #[must_use]
     pub fn missing_turns(&self) -> usize {
         self.anti_entropy.missing_turns()
     }
 
-    /// Whether its machine may be taken away.
+    /// Whether the store has been drained.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         matches!(
@@ -148,8 +148,8 @@
         )
     }
 
-    /// The membership epoch in which it found that it is drained, until the core has agreed or another epoch has
-    /// begun.
+    /// The membership epoch in which the store declared that it is drained; `None` once the core has agreed or another
+    /// epoch has begun.
     #[must_use]
     pub fn drained_in_epoch(&self) -> Option<u64> {
         match self.lifecycle {
@@ -158,12 +158,12 @@
         }
     }
 
-    /// The process is reported under another incarnation from now on.
+    /// Replaces the incarnation under which the process is reported to the core.
     pub fn set_incarnation(&mut self, incarnation: u64) {
         self.settings.incarnation = incarnation;
     }
 
-    /// What it holds.
+    /// Index of the stored turns.
     #[must_use]
     pub fn index(&self) -> &Index {
         &self.index
@@ -178,7 +178,7 @@
         self.effects.push_back(Effect::Reply { caller, reply });
     }
 
-    pub(super) fn submit(&mut self, purpose: JobPurpose, work: DiskWork) {
+    pub(super) fn submit_job(&mut self, purpose: JobPurpose, work: DiskWork) {
         let job = JobId(self.next_id());
         self.jobs.insert(job, purpose);
         self.effects.push_back(Effect::Disk { job, work });
--- a/crates/serving/turn-replication/src/placement.rs
+++ b/crates/serving/turn-replication/src/placement.rs
@@ -1,10 +1,10 @@
-//! Which stores a program's turns are placed on: rendezvous hashing (Thaler and Ravishankar, 1998), spread over
-//! zones first.
+//! Placement of a program's turns on stores by rendezvous hashing (Thaler and Ravishankar, 1998), spread over zones
+//! first.
 //!
-//! Each store has a weight for the program, the hash of both names. The heaviest store of each zone comes first,
-//! by weight, then the second of each zone, and so on. The first stores of this preference list are the program's
-//! replicas, the rest substitute for replicas that fail. A store that joins or leaves moves only the programs that
-//! it wins or held.
+//! The weight of a store for a program is the hash of both names. The preference list begins with the heaviest store
+//! of each zone, ordered by weight, followed by the second heaviest of each zone, and so on. The first stores of the
+//! list are the program's replicas; the others substitute for replicas that fail. When a store joins or leaves, only
+//! programs that have this store as a replica move.
 
 use std::cmp::Reverse;
 
@@ -24,7 +24,7 @@
     replicas
 }
 
-/// All stores that accept placement: the program's replicas first, then their substitutes.
+/// All stores that accept placement, in the order of the program's preference: its replicas, then their substitutes.
 #[must_use]
 pub fn preference_list<'a>(program: &str, stores: &'a [StoreEntry]) -> Vec<&'a StoreEntry> {
     let candidates: Vec<&StoreEntry> = stores
@@ -34,14 +34,14 @@
     by_preference(program, &candidates)
 }
 
-/// The draining stores, which accept turns of the program only while others fail; the preferred one first.
+/// The draining stores, in the order of the program's preference. They accept turns only while other stores fail.
 #[must_use]
 pub fn draining_stores<'a>(program: &str, stores: &'a [StoreEntry]) -> Vec<&'a StoreEntry> {
     let draining: Vec<&StoreEntry> = stores.iter().filter(|store| store.is_draining()).collect();
     by_preference(program, &draining)
 }
 
-/// Sorts the given candidates by the preference of a program.
+/// Sorts the given candidates by the program's preference.
 #[must_use]
 pub fn by_preference<'a, P: Placeable>(program: &str, candidates: &[&'a P]) -> Vec<&'a P> {
     let seed = xxh3_64(program.as_bytes());
@@ -56,7 +56,7 @@
     keyed.into_iter().map(|(_, candidate)| candidate).collect()
 }
 
-/// Whether the named candidate is among the replicas of a program; allocates nothing, for scans of an index.
+/// Whether the named candidate is a replica of a program. Allocates nothing, because scans of an index call it often.
 #[must_use]
 pub fn is_replica<P: Placeable>(
     program: &str,
@@ -77,14 +77,14 @@
     preferred_to_own < replication_factor
 }
 
-/// Where a candidate stands in the preference list; the derived order compares the fields from top to bottom.
+/// Sort key of a candidate in the preference list; the derived order compares the fields from top to bottom.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PreferenceKey<'a> {
-    /// How many candidates of its own zone come before it.
+    /// Number of candidates of the same zone that are preferred to this one.
     rank_in_zone: usize,
-    /// Its weight, the heaviest first.
+    /// Weight of the candidate; heavier candidates come first.
     weight: Reverse<u64>,
-    /// Last, so that the order is total.
+    /// Breaks ties between equal weights.
     name: &'a str,
 }
 
--- a/crates/serving/turn-replication/src/read_coordinator.rs
+++ b/crates/serving/turn-replication/src/read_coordinator.rs
@@ -217,11 +217,11 @@
             return None;
         }
         let retries = self.stage == Stage::AllStores;
-        let steps = self.sources.iter().filter_map(|source| {
+        let step_times = self.sources.iter().filter_map(|source| {
             let retry_at_ms = source.attempt.retry_at_ms().filter(|_| retries);
             source.attempt.hedge_at_ms().or(retry_at_ms)
         });
-        Some(steps.min().unwrap_or(u64::MAX).min(self.deadline_ms))
+        Some(step_times.min().unwrap_or(u64::MAX).min(self.deadline_ms))
     }
 
     /// Time has passed.
--- a/crates/serving/turn-replication/src/safeguards.rs
+++ b/crates/serving/turn-replication/src/safeguards.rs
@@ -1,33 +1,33 @@
-//! The single measures on which durability rests, and the seam by which tests take one of them out.
+//! The safeguards that durability depends on, and the switch by which a test removes one of them.
 //!
-//! The program always has all of them: without the cargo feature `removable-safeguards`, [`Safeguards`] has no fields
-//! and every check of it is constant. Only tests turn the feature on, by a dev-dependency; each safeguard has a test
-//! that removes it and shows what goes wrong (`tests/safeguards.rs`, `tests/draining.rs`).
+//! In production all safeguards are in place: without the cargo feature `removable-safeguards`, [`Safeguards`] has no
+//! fields and every check is constant. Only tests enable the feature, through a dev-dependency. For each safeguard a
+//! test removes it and shows the failure that follows (`tests/safeguards.rs`, `tests/draining.rs`).
 
-/// One measure that a store node takes against a fault.
+/// One safeguard of a store node against a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    /// A draining store accepts turns whose replicas fail. Against turns that can be stored nowhere while one store
+    /// A draining store accepts turns whose replicas fail. Otherwise a turn could be stored nowhere while one store
     /// drains and another is absent.
     DrainingStoreAcceptsTurns,
-    /// A store is drained only when the turns that it accepted meanwhile are elsewhere, too. Against a turn whose only
-    /// replica is lost with the machine that is taken away.
+    /// A store is drained only once the turns that it accepted while draining are on their replicas. Otherwise the only
+    /// replica of such a turn could be lost when the machine is removed.
     LateTurnsHandedOff,
-    /// Acknowledgements of other stores count only in the membership epoch in which they were requested. Against a
-    /// store that was wiped, partitioned or replaced since it acknowledged.
+    /// Acknowledgements of other stores count only in the membership epoch in which they were requested. Otherwise a
+    /// store that has been wiped, partitioned or replaced since its acknowledgement would still be relied on.
     EpochsChecked,
-    /// A store drains only into replicas that are present and complete. Against relying on a machine that is absent,
-    /// or whose disk is still being filled.
+    /// A store drains only into replicas that are present and complete. Otherwise it would rely on a machine that is
+    /// absent or whose disk is still being filled.
     ReplicasPresentAndComplete,
-    /// Turns are accepted only in an incarnation of the process, and with a disk, that the core has registered.
-    /// Against a statement of an earlier incarnation that the core applies to this one.
+    /// Turns are accepted only once the core has registered the incarnation of the process and its disk. Otherwise the
+    /// core could apply a declaration of an earlier incarnation to the current one.
     IncarnationRegistered,
-    /// Turns accepted for a replica that did not answer are handed to it later. Not a safeguard of what is
-    /// acknowledged: without it everything acknowledged must be there all the same.
+    /// Turns accepted for a replica that did not reply are handed to that replica later. This safeguard only restores
+    /// the replica sooner: acknowledged turns must be durable without it, too.
     HintedHandoff,
 }
 
-/// Which safeguards are in place: all of them, but for one that a test has removed.
+/// The safeguards that are in place: all of them, except one that a test may have removed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Safeguards {
     #[cfg(feature = "removable-safeguards")]
@@ -36,7 +36,7 @@
 
 #[cfg(feature = "removable-safeguards")]
 impl Safeguards {
-    /// All safeguards but this one.
+    /// All safeguards except the given one.
     #[must_use]
     pub const fn without(safeguard: Safeguard) -> Safeguards {
         Safeguards {
--- a/crates/serving/turn-replication/src/turn.rs
+++ b/crates/serving/turn-replication/src/turn.rs
@@ -1,23 +1,23 @@
-//! One finished turn of a conversation, and its header, which stores hold in memory.
+//! One finished turn of a conversation, and its header, which stores keep in memory.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// How much longer than its retention a turn is retained, in milliseconds. This covers wall clocks that differ by
-/// seconds or step, and a turn that is named in time and runs for seconds before its own write begins.
+/// Time for which a turn is kept beyond its retention, in milliseconds. The margin covers wall clocks that differ by
+/// seconds or step, and a new turn that refers to this one in time but runs for seconds before its own write begins.
 pub const RETENTION_MARGIN_MS: u64 = 15_000;
 
-/// What a turn takes beside its strings and bodies, in bytes.
+/// Bytes that a turn takes in addition to its strings and bodies.
 const OVERHEAD_BYTES: u64 = 64;
 
-/// One finished turn. Immutable: an id names the same bytes for ever.
+/// One finished turn. Turns are immutable: an id always identifies the same bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
-    /// The `X-Dunespur-Request-Id` under which it was answered.
+    /// The `X-Dunespur-Request-Id` of the request that produced the turn.
     pub id: String,
-    /// The turn that it continues; `None` at the start of a conversation.
+    /// Id of the turn that this turn continues; `None` at the start of a conversation.
     pub previous: Option<String>,
-    /// The program that it belongs to; it determines on which stores the turn is placed.
+    /// The program that the turn belongs to; placement depends on it.
     pub program: String,
     /// The new input, as the client sent it.
     pub input: Bytes,
@@ -25,7 +25,7 @@
     pub output: Bytes,
     /// When the answer ended, in milliseconds since the Unix epoch by the wall clock of the gateway.
     pub ended_at_ms: u64,
-    /// How long it is retained, with its chain, in milliseconds, counted from the end of its answer.
+    /// How long the turn and its chain are retained, in milliseconds, counted from the end of the answer.
     pub retention_ms: u64,
 }
 
@@ -47,7 +47,7 @@
         )
     }
 
-    /// Everything but the bodies.
+    /// The header of the turn: all data except the bodies.
     #[must_use]
     pub fn header(&self) -> TurnHeader {
         TurnHeader {
@@ -61,7 +61,7 @@
     }
 }
 
-/// A turn without its bodies: what placement needs, and what a store keeps of it in memory.
+/// A turn without its bodies: the data that placement needs and that a store keeps in memory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnHeader {
     /// See [`Turn::id`].
@@ -79,26 +79,26 @@
 }
 
 impl TurnHeader {
-    /// How long a turn that has just ended is retained, margin included.
+    /// Retention of a turn that has just ended, including [`RETENTION_MARGIN_MS`], in milliseconds.
     #[must_use]
     pub fn retention_with_margin_ms(&self) -> u64 {
         self.retention_ms.saturating_add(RETENTION_MARGIN_MS)
     }
 }
 
-/// Bytes that a turn with these strings and so many bytes of input and output takes.
+/// Bytes that a turn with these strings and `body_bytes` bytes of input and output takes.
 #[must_use]
 pub fn size_of_turn(id: &str, previous: Option<&str>, program: &str, body_bytes: u64) -> u64 {
     let strings = id.len() + previous.map_or(0, str::len) + program.len();
     OVERHEAD_BYTES + strings as u64 + body_bytes
 }
 
-/// A turn as one store transfers it to another, with the time for which it is still retained. A duration rather
-/// than a date, so that the clocks of the stores need not agree.
+/// A turn in a transfer between stores, with its remaining retention. The retention is a duration rather than a date,
+/// so that the clocks of the stores need not agree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetainedTurn {
-    /// The turn itself.
+    /// The transferred turn.
     pub turn: Turn,
-    /// How long it is still retained, in milliseconds.
+    /// Remaining retention of the turn, in milliseconds.
     pub remaining_ms: u64,
 }
--- a/crates/serving/turn-replication/src/write_coordinator.rs
+++ b/crates/serving/turn-replication/src/write_coordinator.rs
@@ -1,30 +1,30 @@
-//! Writes one turn, at a gateway: to its replicas, to substitutes for those that fail or are slow, at last to
-//! draining stores, until a quorum of stores has acknowledged it (a sloppy quorum, as in Dynamo).
+//! Writes one turn at a gateway until a quorum of stores has acknowledged the turn (a sloppy quorum, as in Dynamo):
+//! first to the replicas, then to substitutes for replicas that fail or are slow, and finally to draining stores.
 
 use crate::attempt::Attempt;
 use crate::membership::StoreEntry;
 use crate::placement;
 use crate::turn::TurnHeader;
 
-/// After this long without a quorum it is uncertain whether the turn is stored, in milliseconds. Stores rely on
-/// it: a new disk does not become complete before writers that knew the old one have ended.
+/// Time without a quorum after which the outcome is [`WriteOutcome::Uncertain`], in milliseconds. Stores rely on this
+/// deadline: a new disk does not become complete before writers that relied on the old disk have ended.
 pub const WRITE_DEADLINE_MS: u64 = 1_500;
 
-/// A write to be sent to one store.
+/// A write of the turn to one store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaWrite {
-    /// The store to send it to.
+    /// The store to send the turn to.
     pub store: String,
-    /// The replica that the store substitutes for.
+    /// The replica that the store substitutes for, if any.
     pub hint: Option<String>,
 }
 
-/// How the write of a turn ended.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Enough stores have synced it.
+    /// A quorum of stores has synced the turn.
     Stored,
-    /// Too few acknowledged it in time; it may be stored all the same.
+    /// Too few stores acknowledged the turn in time; the turn may still be stored.
     Uncertain,
 }
 
@@ -32,32 +32,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Acknowledged;
 
-/// Which stores a target is looked for among.
+/// The class of stores that a target belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TargetClass {
     /// Replicas and their substitutes.
     Placed,
-    /// Contacted only when no other present store is left.
+    /// Draining stores, contacted only when no other present store is left.
     Draining,
 }
 
+/// A store that the turn may be written to.
 #[derive(Debug)]
 struct Target {
     store: String,
     zone: String,
     present: bool,
-    /// One of the turn's replicas, not a substitute.
+    /// Whether the store is one of the turn's replicas rather than a substitute.
     is_replica: bool,
     class: TargetClass,
-    /// For a replica: some substitute carries a hint for it.
+    /// For a replica: whether a substitute was sent a hint for this replica.
     has_substitute: bool,
     attempt: Attempt<Acknowledged>,
 }
 
-/// One turn on its way to its stores.
+/// The write of one turn.
 #[derive(Debug)]
 pub struct WriteCoordinator {
-    /// In the order in which they are contacted.
+    /// The stores, in the order in which they are contacted.
     targets: Vec<Target>,
     required_acknowledgements: usize,
     required_zones: usize,
@@ -88,15 +89,15 @@
         coordinator
     }
 
-    /// Requires acknowledgements out of at least that many zones, for deployments that must survive the loss of
-    /// zones. Limited by the zones that are present.
+    /// Requires acknowledgements from at least `zones` zones, for deployments that must survive the loss of zones. The
+    /// number is limited to the zones that have present stores.
     #[must_use]
     pub fn spanning_zones(mut self, zones: usize) -> Self {
         self.required_zones = zones.min(self.required_acknowledgements).max(1);
         self
     }
 
-    /// The next write to be sent.
+    /// Returns the next write to be sent.
     pub fn poll(&mut self) -> Option<ReplicaWrite> {
         if self.writes.is_empty() {
             return None;
@@ -104,7 +105,7 @@
         Some(self.writes.remove(0))
     }
 
-    /// How the write ended, once it has.
+    /// Outcome of the write; `None` while it is in progress.
     #[must_use]
     pub fn outcome(&self) -> Option<WriteOutcome> {
         self.outcome
@@ -120,21 +121,21 @@
         self.set_attempt(store, Attempt::Failed { at_ms: now_ms }, now_ms);
     }
 
-    /// When [`Self::tick`] has to be called, in milliseconds of the steady clock; `None` once it has ended.
+    /// When [`Self::tick`] has to be called, in milliseconds of the steady clock; `None` once the write has ended.
     #[must_use]
     pub fn next_due(&self) -> Option<u64> {
         if self.outcome.is_some() {
             return None;
         }
         let needs_more = self.needs_more_targets();
-        let steps = self.targets.iter().filter_map(|target| {
+        let step_times = self.targets.iter().filter_map(|target| {
             let retry_at_ms = target.attempt.retry_at_ms().filter(|_| needs_more);
             target.attempt.hedge_at_ms().or(retry_at_ms)
         });
-        Some(steps.min().unwrap_or(u64::MAX).min(self.deadline_ms))
+        Some(step_times.min().unwrap_or(u64::MAX).min(self.deadline_ms))
     }
 
-    /// Time has passed.
+    /// Applies timeouts, hedges and retries that are due at `now_ms`.
     pub fn tick(&mut self, now_ms: u64) {
         if self.outcome.is_some() {
             return;
@@ -181,7 +182,7 @@
             && count_zones(acknowledged()) >= required_zones
     }
 
-    /// Contacts further stores until enough may be expected to acknowledge.
+    /// Contacts further stores until acknowledgements of enough stores and zones are expected.
     fn contact_more_targets(&mut self, now_ms: u64) {
         while self.needs_more_targets() {
             let Some(next) = self.next_target(now_ms) else {
@@ -217,7 +218,7 @@
         targets.position(|target| target.is_available(class))
     }
 
-    /// Acknowledgements are expected of fewer stores than required.
+    /// Whether acknowledgements are expected from fewer stores than required.
     fn needs_more_targets(&self) -> bool {
         let expected = self.targets.iter().filter(|target| target.is_expected());
         expected.count() < self.required_acknowledgements
@@ -227,8 +228,9 @@
         count_zones(self.targets.iter().filter(|target| target.is_expected()))
     }
 
-    /// The best store to contact next: an uncontacted present one, in an unused zone if possible; then the same
-    /// of the draining ones; then one that is absent; then one that failed long enough ago.
+    /// The best store to contact next, in this order: an uncontacted present store, preferably in an unused zone; an
+    /// uncontacted present draining store, preferably in an unused zone; an uncontacted absent store; a store whose
+    /// failed request may be retried.
     fn next_target(&self, now_ms: u64) -> Option<usize> {
         let find = |condition: &dyn Fn(&Target) -> bool| self.targets.iter().position(condition);
         self.first_in_unused_zone(TargetClass::Placed)
@@ -239,13 +241,13 @@
             .or_else(|| find(&|target| target.attempt.may_be_retried(now_ms)))
     }
 
-    fn contact(&mut self, position: usize, now_ms: u64) {
-        let hint = if self.targets[position].is_replica {
+    fn contact(&mut self, target_index: usize, now_ms: u64) {
+        let hint = if self.targets[target_index].is_replica {
             None
         } else {
             self.claim_hint()
         };
-        let target = &mut self.targets[position];
+        let target = &mut self.targets[target_index];
         target.attempt = Attempt::Pending { since_ms: now_ms };
         self.writes.push(ReplicaWrite {
             store: target.store.clone(),
@@ -253,7 +255,7 @@
         });
     }
 
-    /// A replica that needs a substitute and has none yet; from now on it has one.
+    /// Picks a replica that needs a substitute and has none yet, and marks it as having one.
     fn claim_hint(&mut self) -> Option<String> {
         let replica = self
             .targets
@@ -264,7 +266,7 @@
     }
 }
 
-/// All stores that may take turns of a program, in the order in which they are contacted.
+/// All stores that may accept turns of a program, in the order in which they are contacted.
 fn targets(program: &str, stores: &[StoreEntry], replicas: usize) -> Vec<Target> {
     let placed = placement::preference_list(program, stores)
         .into_iter()
@@ -289,12 +291,12 @@
         }
     }
 
-    /// Of the class, present and not contacted yet.
+    /// Whether the store belongs to the class, is present and was not contacted yet.
     fn is_available(&self, class: TargetClass) -> bool {
         self.attempt == Attempt::NotStarted && self.present && self.class == class
     }
 
-    /// It has acknowledged, or may be expected to.
+    /// Whether the store has acknowledged the turn, or its acknowledgement is expected in time.
     fn is_expected(&self) -> bool {
         matches!(self.attempt, Attempt::Pending { .. } | Attempt::Replied(_))
     }
--- a/crates/serving/turn-replication/tests/index.rs
+++ b/crates/serving/turn-replication/tests/index.rs
@@ -27,10 +27,10 @@
     index.insert(&header("b", Some("a")), 200);
     index.insert(&header("c", Some("b")), 900);
     index.insert(&header("d", Some("a")), 300);
-    assert_eq!(index.expire(300), ["d"]);
+    assert_eq!(index.remove_expired(300), ["d"]);
     assert_eq!(ids(&index, "c").unwrap(), ["c", "b", "a"]);
-    assert_eq!(index.expire(899), Vec::<String>::new());
-    assert_eq!(index.expire(900), ["a", "b", "c"]);
+    assert_eq!(index.remove_expired(899), Vec::<String>::new());
+    assert_eq!(index.remove_expired(900), ["a", "b", "c"]);
     assert!(index.is_empty());
     assert_eq!(index.bytes(), 0);
 }
@@ -45,7 +45,7 @@
     index.insert(&header("a", None), 50);
     assert!(!index.has_dangling());
     assert_eq!(index.first_missing("c"), None);
-    assert_eq!(index.expire(899), Vec::<String>::new());
+    assert_eq!(index.remove_expired(899), Vec::<String>::new());
 }
 
 #[test]
@@ -161,9 +161,9 @@
 fn the_same_id_with_other_contents_is_another_turn() {
     let mut index = Index::default();
     index.insert(&header("a", None), 100);
-    assert!(index.agrees_with(&header("a", None)));
-    assert!(!index.agrees_with(&header("a", Some("z"))));
+    assert!(index.contains_same_turn(&header("a", None)));
+    assert!(!index.contains_same_turn(&header("a", Some("z"))));
     let mut other = turn("a", None);
     other.program = format!("{PROGRAM}x");
-    assert!(!index.agrees_with(&other.header()));
+    assert!(!index.contains_same_turn(&other.header()));
 }
