--- a/crates/serving/turn-replication/src/anti_entropy/claims.rs
+++ b/crates/serving/turn-replication/src/anti_entropy/claims.rs
@@ -12,11 +12,11 @@
 impl Claims {
     /// Claims a turn for a pull; returns `false` if a pull has already claimed the turn.
     #[must_use]
-    pub(super) fn claim(&mut self, id: &str, pull: u64) -> bool {
+    pub(super) fn claim(&mut self, id: &str, pull_serial: u64) -> bool {
         if self.pull_by_turn.contains_key(id) {
             return false;
         }
-        self.pull_by_turn.insert(id.to_owned(), pull);
+        self.pull_by_turn.insert(id.to_owned(), pull_serial);
         true
     }
 
@@ -26,9 +26,9 @@
     }
 
     /// Releases all turns of a pull that has ended.
-    pub(super) fn release_pull(&mut self, pull: u64) {
+    pub(super) fn release_pull(&mut self, pull_serial: u64) {
         self.pull_by_turn
-            .retain(|_, claimed_by| *claimed_by != pull);
+            .retain(|_, claimed_by| *claimed_by != pull_serial);
     }
 
     pub(super) fn clear(&mut self) {
--- a/crates/serving/turn-replication/src/anti_entropy/mod.rs
+++ b/crates/serving/turn-replication/src/anti_entropy/mod.rs
@@ -168,16 +168,16 @@
     }
 
     /// A page of the listing arrived.
-    pub fn listed(&mut self, pull: u64, turns: Vec<ListedTurn>, next: Option<String>) {
-        if let Some(pull) = self.pulls.iter_mut().find(|known| known.serial == pull) {
+    pub fn listed(&mut self, serial: u64, turns: Vec<ListedTurn>, next: Option<String>) {
+        if let Some(pull) = self.pulls.iter_mut().find(|pull| pull.serial == serial) {
             pull.listed(turns, next);
         }
     }
 
     /// Fetched turns arrived; returns the turns that have to be committed.
     #[must_use]
-    pub fn fetched(&mut self, pull: u64, turns: Vec<RetainedTurn>) -> Vec<RetainedTurn> {
-        let Some(pull) = self.pulls.iter_mut().find(|known| known.serial == pull) else {
+    pub fn fetched(&mut self, serial: u64, turns: Vec<RetainedTurn>) -> Vec<RetainedTurn> {
+        let Some(pull) = self.pulls.iter_mut().find(|pull| pull.serial == serial) else {
             return Vec::new();
         };
         let ids = turns.iter().map(|retained| retained.turn.id.clone());
@@ -189,15 +189,15 @@
     }
 
     /// A page of turns that a pull fetched is on disk.
-    pub fn committed(&mut self, pull: u64) {
-        if let Some(pull) = self.pulls.iter_mut().find(|known| known.serial == pull) {
+    pub fn committed(&mut self, serial: u64) {
+        if let Some(pull) = self.pulls.iter_mut().find(|pull| pull.serial == serial) {
             pull.committed(&mut self.claims);
         }
     }
 
     /// The other store could not be reached or the disk failed: the pull starts over after [`PULL_RETRY_MS`].
-    pub fn failed(&mut self, pull: u64, now_ms: u64) {
-        let failed = self.pulls.iter().find(|known| known.serial == pull);
+    pub fn failed(&mut self, serial: u64, now_ms: u64) {
+        let failed = self.pulls.iter().find(|pull| pull.serial == serial);
         let Some(peer) = failed.map(|pull| pull.peer.clone()) else {
             return;
         };
--- a/crates/serving/turn-replication/src/node/events.rs
+++ b/crates/serving/turn-replication/src/node/events.rs
@@ -67,8 +67,13 @@
     }
 
     /// Another store replied, or could not be reached (`None`).
-    pub fn peer_replied(&mut self, request: PeerRequestId, reply: Option<StoreReply>, now_ms: u64) {
-        let Some(pending) = self.requests.remove(&request) else {
+    pub fn peer_replied(
+        &mut self,
+        request_id: PeerRequestId,
+        reply: Option<StoreReply>,
+        now_ms: u64,
+    ) {
+        let Some(pending) = self.requests.remove(&request_id) else {
             return;
         };
         match pending.purpose {
@@ -147,10 +152,10 @@
             .requests
             .iter()
             .filter(|(_, pending)| pending.deadline_ms <= now_ms)
-            .map(|(request, _)| *request)
+            .map(|(request_id, _)| *request_id)
             .collect();
-        for request in timed_out {
-            self.peer_replied(request, None, now_ms);
+        for request_id in timed_out {
+            self.peer_replied(request_id, None, now_ms);
         }
     }
 
--- a/crates/serving/turn-replication/src/node/phases.rs
+++ b/crates/serving/turn-replication/src/node/phases.rs
@@ -20,7 +20,7 @@
 pub(super) enum Lifecycle {
     /// The store is in use.
     Active,
-    /// The store hands its turns to other stores; the core ordered this in the membership epoch `epoch`.
+    /// The store hands its turns to the replicas of the membership epoch `epoch`.
     Draining { epoch: u64 },
     /// The store has declared that it is drained and accepts no turns, until the core has agreed or the epoch has
     /// ended.
--- a/crates/serving/turn-replication/src/read_coordinator.rs
+++ b/crates/serving/turn-replication/src/read_coordinator.rs
@@ -1,5 +1,5 @@
-//! Reads one chain, at a gateway: queries the replicas of the program first, then all stores, and joins the
-//! segments.
+//! Reads one chain at a gateway: queries the replicas of the program first, then all stores, and joins the segments
+//! of the chain that they reply with.
 
 use crate::attempt::Attempt;
 use crate::membership::StoreEntry;
@@ -7,12 +7,12 @@
 use crate::placement;
 use crate::turn::Turn;
 
-/// After this long without a certain reply the outcome is [`ReadOutcome::Uncertain`], in milliseconds.
+/// Time without a certain reply after which the outcome is [`ReadOutcome::Uncertain`], in milliseconds.
 pub const READ_DEADLINE_MS: u64 = 1_000;
-/// Once every present store has replied, those that are absent are waited for at most this long, in milliseconds.
+/// Maximum wait for absent stores once every present store has replied, in milliseconds.
 pub const ABSENT_STORE_WAIT_MS: u64 = 200;
 
-/// Limits of a chain.
+/// Limits of the length and size of a chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChainLimits {
     /// Maximum number of turns.
@@ -30,44 +30,45 @@
     }
 }
 
-/// A query to be sent to one store: the chain that ends in a turn.
+/// A query to one store for the chain that ends in a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChainQuery {
-    /// The store to send it to.
+    /// The store to query.
     pub store: String,
-    /// The newest turn of the wanted chain.
+    /// Id of the newest turn of the chain.
     pub id: String,
 }
 
-/// How the read ended.
+/// Outcome of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// The complete chain, oldest first.
     Chain(Vec<Turn>),
-    /// There is no such turn, or not any more.
+    /// The turn does not exist or has expired.
     Unknown,
-    /// It can't be known now.
+    /// It could not be determined in time whether the turn exists.
     Uncertain,
-    /// The chain exceeds its limits.
+    /// The chain exceeds the [`ChainLimits`].
     TooLong,
 }
 
 /// The reply of a store that does not hold the turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct NotHeld {
-    /// Whether the store holds everything that it should.
+    /// Whether the store holds all turns that it should hold.
     complete: bool,
 }
 
-/// How widely the stores are queried for the next turn.
+/// The set of stores that are queried for the next turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// One replica after the other.
+    /// The replicas, one after the other.
     Replicas,
-    /// All stores at once.
+    /// All stores at the same time.
     AllStores,
 }
 
+/// A store that may hold the chain.
 #[derive(Debug)]
 struct Source {
     store: String,
@@ -76,30 +77,30 @@
     attempt: Attempt<NotHeld>,
 }
 
-/// Part of a chain, as a store replied with it.
+/// A part of the chain, from the reply of one store.
 struct Segment {
-    /// Oldest first.
+    /// The turns, oldest first.
     turns: Vec<Turn>,
-    /// The next older turn.
+    /// The next older turn; `None` if the segment begins the chain.
     missing: Option<String>,
-    /// The store that replied holds the next older turn, too.
+    /// The same store holds the next older turn, too.
     has_more: bool,
 }
 
 /// One read of a chain.
 #[derive(Debug)]
 pub struct ReadCoordinator {
-    /// The turn that is looked for now.
+    /// Id of the turn that is being searched for.
     next_id: String,
-    /// The chain as far as it is known, newest first.
+    /// The turns of the chain that were received, newest first.
     found: Vec<Turn>,
     found_bytes: u64,
-    /// In the order in which they are queried.
+    /// The stores, in the order in which they are queried.
     sources: Vec<Source>,
-    /// All stores of the membership, retired ones too.
+    /// Names of all stores of the membership, including retired stores.
     known_stores: Vec<String>,
     stage: Stage,
-    /// A store named one that the membership does not have.
+    /// A store listed a store that is not in the membership.
     membership_is_stale: bool,
     limits: ChainLimits,
     deadline_ms: u64,
@@ -122,7 +123,7 @@
         Self::with_sources(id, stores, sources, now_ms)
     }
 
-    /// As [`Self::new`], but queries replicas of the given zone first: traffic between zones is charged.
+    /// Like [`Self::new`], but queries replicas of the given zone first, because traffic between zones is charged.
     #[must_use]
     pub fn preferring_zone(
         id: &str,
@@ -155,14 +156,14 @@
         coordinator
     }
 
-    /// Sets other limits than the usual ones.
+    /// Replaces the default limits.
     #[must_use]
     pub fn with_limits(mut self, limits: ChainLimits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// The next query to be sent.
+    /// Returns the next query to be sent.
     pub fn poll(&mut self) -> Option<ChainQuery> {
         if self.queries.is_empty() {
             return None;
@@ -170,7 +171,7 @@
         Some(self.queries.remove(0))
     }
 
-    /// How the read ended, once it has; may be taken once.
+    /// Takes the outcome once the read has ended; later calls return `None`.
     pub fn take_outcome(&mut self) -> Option<ReadOutcome> {
         self.outcome.take()
     }
@@ -191,7 +192,7 @@
                     missing,
                     has_more,
                 };
-                self.append(store, segment, now_ms);
+                self.append_segment(store, segment, now_ms);
             }
             StoreReply::Unknown {
                 complete,
@@ -210,7 +211,7 @@
         self.advance(now_ms);
     }
 
-    /// When [`Self::tick`] has to be called, in milliseconds of the steady clock; `None` once it has ended.
+    /// When [`Self::tick`] has to be called, in milliseconds of the steady clock; `None` once the read has ended.
     #[must_use]
     pub fn next_due(&self) -> Option<u64> {
         if self.is_finished {
@@ -224,7 +225,7 @@
         Some(step_times.min().unwrap_or(u64::MAX).min(self.deadline_ms))
     }
 
-    /// Time has passed.
+    /// Applies timeouts, hedges and retries that are due at `now_ms`.
     pub fn tick(&mut self, now_ms: u64) {
         if self.is_finished {
             return;
@@ -260,8 +261,9 @@
         self.advance(now_ms);
     }
 
-    /// There are enough replicas for the present stores to hold every turn: absent ones are queried only to be
-    /// certain, and the membership may be wrong about them. A caller does not wait long for that.
+    /// Shortens the deadline once every present store has replied. The present stores are enough to hold every turn;
+    /// absent stores are queried only for certainty and because the membership may be wrong about them, which does
+    /// not justify a long wait.
     fn limit_wait_for_absent_stores(&mut self, now_ms: u64) {
         let has_replied = |source: &Source| matches!(source.attempt, Attempt::Replied(_));
         let mut sources = self.sources.iter();
@@ -271,9 +273,9 @@
         }
     }
 
-    /// Adds a segment of the chain and looks for the turn before it, if there is one.
-    fn append(&mut self, store: &str, segment: Segment, now_ms: u64) {
-        if !segment.ends_in(&self.next_id) {
+    /// Adds a segment of the chain and searches for the turn before the segment, if there is one.
+    fn append_segment(&mut self, store: &str, segment: Segment, now_ms: u64) {
+        if !segment.is_valid_reply_for(&self.next_id) {
             return self.failed(store, &self.next_id.clone(), now_ms);
         }
         self.found_bytes += segment.turns.iter().map(Turn::size).sum::<u64>();
@@ -297,7 +299,7 @@
         self.advance(now_ms);
     }
 
-    /// Nobody has been queried for the next older turn yet.
+    /// Starts the search for the next older turn, for which no store has been queried yet.
     fn begin_next_segment(&mut self, older: String) {
         self.next_id = older;
         self.queries.clear();
@@ -306,7 +308,7 @@
         }
     }
 
-    /// Queries the stores that the stage asks for; ends if none is left to wait for.
+    /// Sends the queries of the current stage, and ends the read once every store has replied.
     fn advance(&mut self, now_ms: u64) {
         match self.stage {
             Stage::Replicas => self.query_next_replica(now_ms),
@@ -361,8 +363,8 @@
         });
     }
 
-    /// Prevents that a stored turn is called unknown: because part of its chain was found, because a store may
-    /// lack what it should hold, or because the membership lacks a store on which it may be.
+    /// Whether the turn certainly does not exist. Not certain if part of its chain was found, if a store may lack turns
+    /// that it should hold, or if the membership lacks a store that may hold the turn.
     fn is_certainly_unknown(&self) -> bool {
         let all_complete = self
             .sources
@@ -376,11 +378,11 @@
 }
 
 impl Segment {
-    /// Whether the reply fits the query: the segment ends in the wanted turn, each turn continues the one before
-    /// it, and the first one the missing one.
-    fn ends_in(&self, wanted: &str) -> bool {
-        let ends_right = self.turns.last().is_some_and(|turn| turn.id == wanted);
-        let starts_right = self
+    /// Whether the segment is a valid reply to the query: it ends in the requested turn, each turn continues the turn
+    /// before it, and the first turn continues the missing turn.
+    fn is_valid_reply_for(&self, requested: &str) -> bool {
+        let has_requested_end = self.turns.last().is_some_and(|turn| turn.id == requested);
+        let has_matching_start = self
             .turns
             .first()
             .is_some_and(|turn| turn.previous == self.missing);
@@ -388,7 +390,7 @@
             .turns
             .windows(2)
             .all(|pair| pair[1].previous.as_deref() == Some(pair[0].id.as_str()));
-        ends_right && starts_right && is_linked
+        has_requested_end && has_matching_start && is_linked
     }
 }
 
@@ -407,8 +409,8 @@
     }
 }
 
-/// All stores that may hold turns: the program's replicas first, then present stores before absent ones, then
-/// those of the given zone before those of others.
+/// All stores that may hold turns: the program's replicas before other stores, then present stores before absent
+/// stores, then stores of the given zone before stores of other zones.
 fn sources(
     program: &str,
     stores: &[StoreEntry],
@@ -425,8 +427,8 @@
         .map(|store| (store, false));
     let mut stores: Vec<(&StoreEntry, bool)> = placed.chain(draining).collect();
     stores.sort_by_key(|(store, is_replica)| {
-        let is_elsewhere = zone != Some(store.zone.as_str());
-        (!is_replica, !store.present, is_elsewhere)
+        let is_in_other_zone = zone != Some(store.zone.as_str());
+        (!is_replica, !store.present, is_in_other_zone)
     });
     stores
         .into_iter()
--- a/crates/serving/turn-replication/tests/anti_entropy.rs
+++ b/crates/serving/turn-replication/tests/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! A pass over the other stores: who is asked when, and that each missing turn is fetched once.
+//! Anti-entropy passes: which stores are pulled from at what time, and that each missing turn is fetched once.
 
 mod common;
 
@@ -9,13 +9,13 @@
 use dunespur_turn_replication::message::ListedTurn;
 use dunespur_turn_replication::turn::RetainedTurn;
 
-/// A listed turn of half a page: two fit one message.
-const HALF_A_PAGE: u64 = 256 << 10;
+/// Size of a turn that takes half a page: two of them fit in one message.
+const HALF_PAGE_BYTES: u64 = 256 << 10;
 
 fn listed(ids: &[&str]) -> Vec<ListedTurn> {
     let turns = ids.iter().map(|id| ListedTurn {
         id: (*id).to_owned(),
-        size: HALF_A_PAGE,
+        size: HALF_PAGE_BYTES,
     });
     turns.collect()
 }
@@ -24,8 +24,8 @@
     ids.iter().map(|id| retained(&turn(id, None))).collect()
 }
 
-/// A pass over these stores, with the listing requests that it begins with: serial number and store.
-fn begun(stores: &[&str]) -> (AntiEntropy, Vec<(u64, String)>) {
+/// Begins a pass over these stores; returns the pass and its first listing requests as serial number and store.
+fn begin_pass(stores: &[&str]) -> (AntiEntropy, Vec<(u64, String)>) {
     let mut pass = AntiEntropy::default();
     pass.begin(stores.iter().map(|store| (*store).to_owned()), 0);
     let mut listings = Vec::new();
@@ -38,7 +38,7 @@
     (pass, listings)
 }
 
-/// The next request, which has to be one for turns: serial number, store and ids.
+/// The next request, which has to be a fetch, as serial number, store and ids.
 fn next_fetch(pass: &mut AntiEntropy, index: &Index, now_ms: u64) -> (u64, String, Vec<String>) {
     match pass.next_request(index, now_ms) {
         Some((serial, PullRequest::Fetch { peer, ids })) => (serial, peer, ids),
@@ -53,10 +53,10 @@
 }
 
 #[test]
-fn three_stores_are_asked_at_the_same_time_and_the_next_one_when_one_has_ended() {
-    let (mut pass, listings) = begun(&["a", "b", "c", "d"]);
-    let asked: Vec<&str> = listings.iter().map(|(_, store)| store.as_str()).collect();
-    assert_eq!(asked, ["a", "b", "c"]);
+fn three_stores_are_pulled_from_at_the_same_time_and_the_fourth_after_one_pull_ended() {
+    let (mut pass, listings) = begin_pass(&["a", "b", "c", "d"]);
+    let listed_stores: Vec<&str> = listings.iter().map(|(_, store)| store.as_str()).collect();
+    assert_eq!(listed_stores, ["a", "b", "c"]);
     pass.listed(listings[1].0, Vec::new(), None);
     let next = pass.next_request(&Index::default(), 0);
     assert!(
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_turn_that_several_stores_list_is_fetched_from_one_of_them() {
-    let (mut pass, listings) = begun(&["a", "b"]);
+    let (mut pass, listings) = begin_pass(&["a", "b"]);
     let mut index = Index::default();
     for (serial, _) in &listings {
         pass.listed(*serial, listed(&["1", "2", "3", "4"]), None);
@@ -83,11 +83,19 @@
         (from_b.as_str(), ids),
         ("b", vec!["3".to_owned(), "4".to_owned()])
     );
-    assert_eq!(pass.next_request(&index, 0), None, "all are on their way");
+    assert_eq!(
+        pass.next_request(&index, 0),
+        None,
+        "all turns are being fetched"
+    );
     assert!(pass.missing_turns() >= 4);
     for (serial, ids) in [(first, ["1", "2"]), (second, ["3", "4"])] {
         assert_eq!(pass.fetched(serial, turns(&ids)).len(), 2);
-        assert_eq!(pass.next_request(&index, 0), None, "they are being written");
+        assert_eq!(
+            pass.next_request(&index, 0),
+            None,
+            "the turns are being written"
+        );
         insert(&mut index, &ids);
         pass.committed(serial);
     }
@@ -97,8 +105,8 @@
 }
 
 #[test]
-fn what_a_failed_store_was_to_send_is_fetched_from_another_one() {
-    let (mut pass, listings) = begun(&["a", "b"]);
+fn turns_of_a_failed_pull_are_fetched_from_another_store() {
+    let (mut pass, listings) = begin_pass(&["a", "b"]);
     let index = Index::default();
     for (serial, _) in &listings {
         pass.listed(*serial, listed(&["1"]), None);
@@ -108,18 +116,21 @@
     assert_eq!(
         pass.next_request(&index, 0),
         None,
-        "the other store waits for it"
+        "the other pull waits for the turn"
     );
     pass.failed(failed, 10);
     let (_, from, ids) = next_fetch(&mut pass, &index, 10);
     assert_eq!((from.as_str(), ids), ("b", vec!["1".to_owned()]));
-    assert!(pass.fetched(failed, turns(&["1"])).is_empty(), "too late");
+    assert!(
+        pass.fetched(failed, turns(&["1"])).is_empty(),
+        "the pull has failed before"
+    );
     assert_eq!(pass.next_due(), Some(10 + PULL_RETRY_MS));
 }
 
 #[test]
-fn what_a_store_no_longer_has_is_fetched_from_another_one() {
-    let (mut pass, listings) = begun(&["a", "b"]);
+fn a_turn_that_a_store_no_longer_has_is_fetched_from_another_store() {
+    let (mut pass, listings) = begin_pass(&["a", "b"]);
     let index = Index::default();
     for (serial, _) in &listings {
         pass.listed(*serial, listed(&["1"]), None);
@@ -131,30 +142,30 @@
 }
 
 #[test]
-fn pages_under_way_are_limited_over_all_stores() {
-    let (mut pass, listings) = begun(&["a", "b", "c"]);
+fn pages_in_flight_are_limited_over_all_pulls() {
+    let (mut pass, listings) = begin_pass(&["a", "b", "c"]);
     let index = Index::default();
     let names: Vec<String> = (0..30).map(|number| format!("{number:02}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     for (number, (serial, _)) in listings.iter().enumerate() {
         pass.listed(*serial, listed(&names[number * 10..][..10]), None);
     }
-    let mut under_way = 0;
-    // Each page is fetched at once and none is ever written.
+    let mut pages_in_flight = 0;
+    // Each page arrives immediately, but no page is ever written.
     while let Some((serial, request)) = pass.next_request(&index, 0) {
         let PullRequest::Fetch { ids, .. } = request else {
             panic!("{request:?}");
         };
         let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
         assert!(!pass.fetched(serial, turns(&ids)).is_empty());
-        under_way += 1;
+        pages_in_flight += 1;
     }
-    assert_eq!(under_way, 4);
+    assert_eq!(pages_in_flight, 4);
 }
 
 #[test]
-fn a_store_that_leaves_takes_its_pull_with_it() {
-    let (mut pass, listings) = begun(&["a", "b"]);
+fn a_pull_ends_when_its_store_leaves() {
+    let (mut pass, listings) = begin_pass(&["a", "b"]);
     let index = Index::default();
     for (serial, _) in &listings {
         pass.listed(*serial, listed(&["1"]), None);
--- a/crates/serving/turn-replication/tests/bootstrap.rs
+++ b/crates/serving/turn-replication/tests/bootstrap.rs
@@ -1,5 +1,5 @@
-//! A store and the membership: when a new disk is complete, when turns are accepted, and what is pulled when other
-//! stores come and go.
+//! A store under membership changes: when a new disk is complete, when turns are accepted, and which turns are pulled
+//! when other stores join, leave or return.
 
 mod common;
 
@@ -15,7 +15,7 @@
     let mut harness = Harness::new("storage-0", true, &[]);
     harness.change_membership(&stores(3));
     harness.reply_to_listings();
-    harness.work();
+    harness.run_disk_jobs();
     assert!(matches!(
         harness.call(chain_of("a")),
         StoreReply::Unknown {
@@ -23,10 +23,10 @@
             ..
         }
     ));
-    harness.at(WRITE_DEADLINE_MS);
+    harness.advance_to(WRITE_DEADLINE_MS);
     assert!(harness.outgoing.is_empty() && harness.declared.is_empty());
     assert_eq!(harness.node.next_due(), BOOTSTRAP_GRACE_MS);
-    harness.at(BOOTSTRAP_GRACE_MS);
+    harness.advance_to(BOOTSTRAP_GRACE_MS);
     assert_eq!(
         harness.outgoing.len(),
         2,
@@ -35,10 +35,10 @@
     harness.reply_to_listings();
     assert!(
         harness.declared.is_empty(),
-        "declared before the disk has recorded it"
+        "declared before the disk has recorded the completeness"
     );
     assert!(matches!(&harness.jobs[..], [(_, DiskWork::MarkComplete)]));
-    harness.work();
+    harness.run_disk_jobs();
     assert_eq!(harness.declared, [Declaration::Complete]);
     assert!(matches!(
         harness.call(chain_of("a")),
@@ -51,12 +51,12 @@
     let mut harness = Harness::new("storage-0", true, &[]);
     harness.change_membership(&stores(1));
     assert_eq!(harness.node.next_due(), BOOTSTRAP_GRACE_MS);
-    harness.at(BOOTSTRAP_GRACE_MS);
+    harness.advance_to(BOOTSTRAP_GRACE_MS);
     assert!(
         harness.node.next_due() > BOOTSTRAP_GRACE_MS,
-        "it wants to be called at once again"
+        "the next tick is due immediately again"
     );
-    harness.work();
+    harness.run_disk_jobs();
     assert_eq!(harness.declared, [Declaration::Complete]);
 }
 
@@ -90,17 +90,17 @@
             turns: turns.iter().map(retained).collect(),
         },
     );
-    harness.work();
+    harness.run_disk_jobs();
     assert!(!harness.node.is_complete());
-    harness.at(BOOTSTRAP_GRACE_MS);
-    // Everything is here now: the second pass fetches nothing.
+    harness.advance_to(BOOTSTRAP_GRACE_MS);
+    // All turns are stored now, so the second pass fetches nothing.
     while let Some(outgoing) = harness.outgoing.pop() {
         assert!(
             matches!(outgoing.request, StoreRequest::List { .. }),
             "{outgoing:?}"
         );
         harness.reply(&outgoing, page.clone());
-        harness.work();
+        harness.run_disk_jobs();
     }
     assert!(harness.node.is_complete());
     assert_eq!(harness.call(chain_of("c")), found(&turns));
@@ -116,7 +116,7 @@
     assert_eq!(
         harness.call(put()),
         StoreReply::Rejected(Rejection::Joining),
-        "it has no membership"
+        "the store has no membership"
     );
     let mut stores = stores(4);
     stores[3].present = false;
@@ -132,7 +132,7 @@
     assert_eq!(
         harness.call(put()),
         StoreReply::Rejected(Rejection::Joining),
-        "one store does not know of it"
+        "one store does not know the new store"
     );
     harness.reply_to_listings();
     assert_eq!(harness.call(put()), StoreReply::Stored);
@@ -149,7 +149,7 @@
     };
     harness.call(listing);
     let StoreReply::Unknown { known_stores, .. } = harness.call(chain_of("z")) else {
-        panic!("a turn that never was");
+        panic!("the reply for a turn that was never written is not Unknown");
     };
     assert_eq!(
         known_stores,
@@ -161,12 +161,12 @@
     stores.pop();
     harness.change_membership(&stores);
     let StoreReply::Unknown { known_stores, .. } = harness.call(chain_of("z")) else {
-        panic!("a turn that never was");
+        panic!("the reply for a turn that was never written is not Unknown");
     };
     assert_eq!(
         known_stores,
         ["storage-0", "storage-1", "storage-2"],
-        "the membership is newer by now"
+        "the membership has listed and removed the new store"
     );
 }
 
@@ -178,7 +178,7 @@
     harness.change_membership(&stores);
     assert!(
         harness.outgoing.is_empty(),
-        "only whether it is complete has changed"
+        "only the completeness of a store has changed"
     );
     stores[1].disk = 2;
     harness.change_membership(&stores);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_store_pulls_from_one_that_has_returned() {
+fn a_store_pulls_from_a_store_that_has_returned() {
     let mut harness = complete_store(&[]);
     let mut stores = stores(3);
     stores[2].present = false;
@@ -209,11 +209,11 @@
     stores[2].present = false;
     harness.change_membership(&stores);
     assert_eq!(harness.node.next_due(), 1_000);
-    harness.at(999);
+    harness.advance_to(999);
     assert!(harness.outgoing.is_empty());
-    harness.at(1_000);
+    harness.advance_to(1_000);
     let StoreRequest::List { candidates, .. } = harness.next_request().request else {
-        panic!("a listing is requested");
+        panic!("the next request is not a listing");
     };
     assert_eq!(candidates.len(), 2);
 }
--- a/crates/serving/turn-replication/tests/common/harness.rs
+++ b/crates/serving/turn-replication/tests/common/harness.rs
@@ -1,4 +1,4 @@
-//! A store node with a simulated disk and hand-made replies of other stores.
+//! A store node with a simulated disk, to which the test sends the replies of other stores.
 
 use std::collections::BTreeMap;
 
@@ -13,12 +13,12 @@
 
 use super::{stores, turn};
 
-/// The wall clock at the start.
+/// Time by the wall clock at the start, in milliseconds.
 const WALL_MS: u64 = 1_000_000;
-/// Retention of the turns of these tests.
+/// Retention of the turns in these tests, in milliseconds.
 pub const RETENTION_MS: u64 = 20_000;
 
-/// A request of the node to another store.
+/// A request that the node sends to another store.
 #[derive(Debug)]
 pub struct OutgoingRequest {
     pub request_id: PeerRequestId,
@@ -26,7 +26,7 @@
     pub request: StoreRequest,
 }
 
-/// The node with a disk whose work is done when the test says so.
+/// A store node and its disk; disk jobs are done only when the test runs them.
 pub struct Harness {
     pub node: StoreNode,
     pub disk: BTreeMap<String, Turn>,
@@ -39,12 +39,12 @@
 }
 
 impl Harness {
-    /// A store with these turns on its disk; `fresh` if the disk has never been complete.
+    /// A store with these turns on its disk; `fresh` means that the disk has never been complete.
     pub fn new(name: &str, fresh: bool, stored: &[Turn]) -> Self {
         Self::with_safeguards(name, fresh, stored, Safeguards::default())
     }
 
-    /// As [`Harness::new`], with these safeguards.
+    /// Like [`Harness::new`], with the given safeguards.
     pub fn with_safeguards(
         name: &str,
         fresh: bool,
@@ -124,22 +124,24 @@
         })
     }
 
-    /// Sends a request that is replied to once the disk has done its work.
+    /// Sends a request, runs all disk jobs and returns the reply.
     pub fn call(&mut self, request: StoreRequest) -> StoreReply {
         let caller = self.send(request);
-        self.work();
-        self.replies.remove(&caller).expect("a reply")
+        self.run_disk_jobs();
+        self.replies
+            .remove(&caller)
+            .expect("the node replies once all disk jobs are done")
     }
 
-    /// Does all disk work.
-    pub fn work(&mut self) {
+    /// Runs all disk jobs successfully.
+    pub fn run_disk_jobs(&mut self) {
         while !self.jobs.is_empty() {
-            self.work_once(DiskOutcome::Done);
+            self.run_next_disk_job(DiskOutcome::Done);
         }
     }
 
-    /// Does the first piece of disk work; `outcome` of anything but reads.
-    pub fn work_once(&mut self, outcome: DiskOutcome) {
+    /// Runs the first disk job. `outcome` is its result unless the job is a read.
+    pub fn run_next_disk_job(&mut self, outcome: DiskOutcome) {
         let (job, work) = self.jobs.remove(0);
         let outcome = match work {
             DiskWork::Get(ids) => DiskOutcome::Turns(
@@ -174,7 +176,7 @@
         self.take_effects();
     }
 
-    /// Replies to all listings with nothing, so that pulls end.
+    /// Replies to all listing requests with empty pages, so that the pulls end.
     pub fn reply_to_listings(&mut self) {
         while let Some(position) = self
             .outgoing
@@ -192,20 +194,20 @@
         }
     }
 
-    /// The given time has come.
-    pub fn at(&mut self, now_ms: u64) {
+    /// Advances the time and calls the node.
+    pub fn advance_to(&mut self, now_ms: u64) {
         self.now_ms = now_ms;
         self.node.tick(now_ms);
         self.take_effects();
     }
 }
 
-/// A complete store of three that are all present.
+/// A complete store in a membership of three present stores.
 pub fn complete_store(stored: &[Turn]) -> Harness {
     complete_store_with(stored, Safeguards::default())
 }
 
-/// As [`complete_store`], with these safeguards.
+/// Like [`complete_store`], with the given safeguards.
 pub fn complete_store_with(stored: &[Turn], safeguards: Safeguards) -> Harness {
     let mut harness = Harness::with_safeguards("storage-0", false, stored, safeguards);
     harness.change_membership(&stores(3));
@@ -213,7 +215,7 @@
     harness
 }
 
-/// The turn with time left.
+/// The turn with a remaining retention of 30 s.
 pub fn retained(turn: &Turn) -> RetainedTurn {
     RetainedTurn {
         turn: turn.clone(),
@@ -221,7 +223,7 @@
     }
 }
 
-/// The reply with a complete chain.
+/// The reply that contains a complete chain.
 pub fn found(turns: &[Turn]) -> StoreReply {
     StoreReply::Found {
         turns: turns.to_vec(),
--- a/crates/serving/turn-replication/tests/common/mod.rs
+++ b/crates/serving/turn-replication/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Stores and turns for the tests of single modules.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Stores and turns for the tests of individual modules.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 
 pub mod harness;
 
@@ -9,7 +9,7 @@
 use dunespur_turn_replication::membership::StoreEntry;
 use dunespur_turn_replication::turn::Turn;
 
-/// The program of all turns here.
+/// The program of all turns in these tests.
 pub const PROGRAM: &str = "3fa81c";
 
 /// A present and complete store.
@@ -28,14 +28,14 @@
     }
 }
 
-/// `count` stores, each in a zone of its own.
+/// `count` present and complete stores, each in its own zone.
 pub fn stores(count: usize) -> Vec<StoreEntry> {
     (0..count)
         .map(|number| store(&format!("storage-{number}"), &format!("zone-{number}")))
         .collect()
 }
 
-/// A turn with contents that follow from its id.
+/// A turn whose bodies are derived from its id.
 pub fn turn(id: &str, previous: Option<&str>) -> Turn {
     Turn {
         id: id.to_owned(),
--- a/crates/serving/turn-replication/tests/digests.rs
+++ b/crates/serving/turn-replication/tests/digests.rs
@@ -1,22 +1,22 @@
-//! Simulated worlds play as they did when their digests were taken: 100 seeds of each kind. A step that is meant
-//! to change nothing but names and shape leaves every one of them as it is.
+//! Compares the digests of simulations with recorded digests, for 100 seeds of each kind. A change that does not alter
+//! the behaviour, such as a renaming, leaves all digests as they are.
 //!
-//! `fixtures/world-digests.txt` has a line for each world: its kind, its seed and its digest.
+//! `fixtures/world-digests.txt` has a line for each simulation: its kind, its seed and its digest.
 
-#[allow(dead_code, unused_imports)] // Each test file uses a part of it.
+#[allow(dead_code, unused_imports)] // Each test file uses only a part of this module.
 mod world;
 
 use std::fmt::Write;
 use std::thread;
 
-use world::{Absence, FaultKind, Plan, World};
+use world::{AbsenceTimeouts, FaultKind, Plan, World};
 
 const FIXTURE: &str = include_str!("fixtures/world-digests.txt");
-/// Seeds of each kind.
+/// Number of seeds of each kind.
 const SEEDS: u64 = 100;
-/// Worlds that are played side by side.
+/// Number of simulations that run in parallel.
 const THREADS: u64 = 6;
-/// Each world is played up to here, its faults included: there are many of them.
+/// Simulated time at which each run and its faults end, in milliseconds; kept short because there are many runs.
 const END_MS: u64 = 15_000;
 
 fn plan(seed: u64, faults: &[FaultKind]) -> Plan {
@@ -43,7 +43,7 @@
 fn two_lost_at_once(seed: u64) -> Plan {
     Plan {
         stores: 6,
-        tolerated: 2,
+        tolerated_losses: 2,
         ..plan(seed, &FaultKind::ALL)
     }
 }
@@ -69,7 +69,7 @@
         FaultKind::Add,
         FaultKind::Retire,
     ];
-    let absence = Absence {
+    let absence = AbsenceTimeouts {
         lease_ms: 3_000,
         repair_ms: 300,
     };
@@ -91,13 +91,13 @@
     ("long-lease", long_lease),
 ];
 
-/// Lines of the fixture for one kind.
+/// Runs all seeds of one kind; returns their lines of the fixture.
 fn digests((name, plan): Kind) -> String {
-    let play = move |seed| World::play_unchecked(plan(seed), END_MS).digest;
+    let run_seed = move |seed| World::run_unchecked(plan(seed), END_MS).digest;
     let threads: Vec<_> = (0..THREADS)
         .map(|first| {
             let seeds = (first..SEEDS).step_by(THREADS as usize);
-            thread::spawn(move || seeds.map(|seed| (seed, play(seed))).collect::<Vec<_>>())
+            thread::spawn(move || seeds.map(|seed| (seed, run_seed(seed))).collect::<Vec<_>>())
         })
         .collect();
     let mut digests: Vec<(u64, u64)> = threads
@@ -108,26 +108,27 @@
     digests
         .into_iter()
         .fold(String::new(), |mut lines, (seed, digest)| {
-            writeln!(lines, "{name} {seed} {digest:016x}").expect("a string takes it");
+            writeln!(lines, "{name} {seed} {digest:016x}")
+                .expect("writing to a string cannot fail");
             lines
         })
 }
 
 #[test]
-fn worlds_play_as_recorded() {
-    let played: String = KINDS.into_iter().map(digests).collect();
-    let left_at = concat!(env!("CARGO_TARGET_TMPDIR"), "/world-digests.txt");
-    std::fs::write(left_at, &played).expect("the target folder is writable");
-    let differing: Vec<_> = played
+fn world_digests_are_as_recorded() {
+    let computed: String = KINDS.into_iter().map(digests).collect();
+    let output_path = concat!(env!("CARGO_TARGET_TMPDIR"), "/world-digests.txt");
+    std::fs::write(output_path, &computed).expect("the target folder is writable");
+    let differing: Vec<_> = computed
         .lines()
         .zip(FIXTURE.lines())
-        .filter(|(played, recorded)| played != recorded)
+        .filter(|(computed, recorded)| computed != recorded)
         .collect();
     assert!(
         differing.is_empty(),
-        "{} worlds differ, first {:?}",
+        "{} digests differ, the first (computed, recorded): {:?}",
         differing.len(),
         differing[0]
     );
-    assert_eq!(played.lines().count(), FIXTURE.lines().count());
+    assert_eq!(computed.lines().count(), FIXTURE.lines().count());
 }
--- a/crates/serving/turn-replication/tests/draining.rs
+++ b/crates/serving/turn-replication/tests/draining.rs
@@ -1,5 +1,5 @@
-//! A draining store: what it accepts, what it hands over, and when it may declare that it is drained. Each safeguard
-//! has its counterexample.
+//! A draining store: which turns it accepts and hands over, and when it declares that it is drained. For each safeguard
+//! a counterexample shows the failure without that safeguard.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use dunespur_turn_replication::node::Declaration;
 use dunespur_turn_replication::safeguards::{Safeguard, Safeguards};
 
-/// A membership in which the first store drains, and the two stores that are then the replicas.
+/// A membership in which the first store drains, and the two stores that are the replicas then.
 fn draining() -> (Vec<StoreEntry>, Vec<String>) {
     let mut stores = stores(4);
     stores[0].retiring = true;
@@ -28,9 +28,12 @@
     harness.change_membership(&stores);
     harness.reply_to_listings();
     let mut transferred: BTreeMap<String, usize> = BTreeMap::new();
-    harness.at(harness.now_ms + 1_000);
+    harness.advance_to(harness.now_ms + 1_000);
     while !harness.outgoing.is_empty() {
-        assert!(harness.declared.is_empty(), "before all have acknowledged");
+        assert!(
+            harness.declared.is_empty(),
+            "drained before all replicas have acknowledged"
+        );
         let outgoing = harness.next_request();
         let reply = match &outgoing.request {
             StoreRequest::Offer { ids } => StoreReply::Missing { ids: ids.clone() },
@@ -41,7 +44,7 @@
             other => panic!("{other:?}"),
         };
         harness.reply(&outgoing, reply);
-        harness.work();
+        harness.run_disk_jobs();
     }
     assert_eq!(harness.declared, [Declaration::Drained { epoch: 0 }]);
     assert_eq!(transferred.keys().collect::<Vec<_>>(), {
@@ -57,7 +60,7 @@
     assert_eq!(rejected, StoreReply::Rejected(Rejection::Retiring));
 }
 
-/// Replies to all requests as replicas that hold nothing; returns the ids that each was handed.
+/// Replies to all requests as replicas that hold no turns; returns the ids that each replica was handed.
 fn drain_into_replicas(harness: &mut Harness) -> BTreeMap<String, BTreeSet<String>> {
     let mut transferred: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     while !harness.outgoing.is_empty() {
@@ -79,7 +82,7 @@
             other => panic!("{other:?}"),
         };
         harness.reply(&outgoing, reply);
-        harness.work();
+        harness.run_disk_jobs();
     }
     transferred
 }
@@ -97,7 +100,7 @@
         }),
         StoreReply::Stored
     );
-    harness.at(400);
+    harness.advance_to(400);
     drain_into_replicas(&mut harness);
     assert_eq!(
         harness.call(StoreRequest::Put {
@@ -108,9 +111,9 @@
     );
     assert!(
         harness.declared.is_empty(),
-        "the last turn came after the replicas had all that was there before"
+        "drained before the last accepted turn was handed over"
     );
-    harness.at(3_000);
+    harness.advance_to(3_000);
     let transferred = drain_into_replicas(&mut harness);
     assert_eq!(harness.declared, [Declaration::Drained { epoch: 0 }]);
     for replica in replicas {
@@ -127,7 +130,7 @@
     let (mut stores, _) = draining();
     stores[0].epoch = 7;
     harness.change_membership(&stores);
-    harness.at(1_000);
+    harness.advance_to(1_000);
     drain_into_replicas(&mut harness);
     assert_eq!(harness.declared, [Declaration::Drained { epoch: 7 }]);
     assert_eq!(harness.node.drained_in_epoch(), Some(7));
@@ -135,7 +138,7 @@
     assert_eq!(
         harness.node.drained_in_epoch(),
         Some(7),
-        "nothing has changed"
+        "the epoch has not changed"
     );
     let put = StoreRequest::Put {
         turn: turn("d", None),
@@ -151,10 +154,10 @@
     assert_eq!(
         harness.node.drained_in_epoch(),
         None,
-        "what it has declared is void"
+        "the declaration of the earlier epoch is void"
     );
     assert_eq!(harness.call(put), StoreReply::Stored);
-    harness.at(3_000);
+    harness.advance_to(3_000);
     let transferred = drain_into_replicas(&mut harness);
     assert_eq!(
         harness.declared.last(),
@@ -162,12 +165,12 @@
     );
     assert!(
         transferred.values().all(|ids| ids.len() == 4),
-        "all is offered anew: {transferred:?}"
+        "all turns are offered again: {transferred:?}"
     );
 }
 
-/// Whether a store declares that it is drained though `change` was made to one of its replicas.
-fn is_drained_beside(change: fn(&mut StoreEntry), safeguards: Safeguards) -> bool {
+/// Whether a store declares that it is drained although `change` was made to one of its replicas.
+fn is_drained_despite(change: fn(&mut StoreEntry), safeguards: Safeguards) -> bool {
     let mut harness = complete_store_with(&chain(), safeguards);
     let (mut stores, replicas) = draining();
     let replica = stores
@@ -176,19 +179,23 @@
         .unwrap();
     change(&mut stores[replica]);
     harness.change_membership(&stores);
-    harness.at(400);
+    harness.advance_to(400);
     drain_into_replicas(&mut harness);
-    let emptied = !harness.declared.is_empty();
+    let drained_too_early = !harness.declared.is_empty();
     stores[replica] = StoreEntry {
         present: true,
         complete: true,
         ..stores[replica].clone()
     };
     harness.change_membership(&stores);
-    harness.at(2_000);
+    harness.advance_to(2_000);
     drain_into_replicas(&mut harness);
-    assert_eq!(harness.declared.len(), 1, "at last it is");
-    emptied
+    assert_eq!(
+        harness.declared.len(),
+        1,
+        "drained once the replica is present and complete"
+    );
+    drained_too_early
 }
 
 #[test]
@@ -198,22 +205,25 @@
         |replica| replica.complete = false,
     ];
     for change in changes {
-        assert!(!is_drained_beside(change, Safeguards::default()));
+        assert!(!is_drained_despite(change, Safeguards::default()));
         let without = Safeguards::without(Safeguard::ReplicasPresentAndComplete);
-        assert!(is_drained_beside(change, without), "the counterexample");
+        assert!(
+            is_drained_despite(change, without),
+            "no counterexample without the safeguard"
+        );
     }
 }
 
 #[test]
 fn a_declaration_is_void_in_another_epoch() {
-    let still_says_so = |safeguards| {
+    let declaration_remains = |safeguards| {
         let mut harness = complete_store_with(&chain(), safeguards);
         let (mut stores, replicas) = draining();
         harness.change_membership(&stores);
-        harness.at(1_000);
+        harness.advance_to(1_000);
         drain_into_replicas(&mut harness);
         stores[0].epoch = 1;
-        // A replica has lost its disk after it acknowledged.
+        // A replica loses its disk after it has acknowledged the turns.
         stores
             .iter_mut()
             .find(|store| store.name == replicas[0])
@@ -222,15 +232,15 @@
         harness.change_membership(&stores);
         harness.node.drained_in_epoch().is_some()
     };
-    assert!(!still_says_so(Safeguards::default()));
+    assert!(!declaration_remains(Safeguards::default()));
     assert!(
-        still_says_so(Safeguards::without(Safeguard::EpochsChecked)),
-        "the counterexample"
+        declaration_remains(Safeguards::without(Safeguard::EpochsChecked)),
+        "no counterexample without the safeguard"
     );
 }
 
-/// A store declares that it is drained and starts again; the core gets the declaration before it registers the new
-/// incarnation. Whether a turn that the new incarnation has acknowledged is taken away with the machine.
+/// A store declares that it is drained and restarts; the core receives the declaration before it registers the new
+/// incarnation. Returns whether a turn that the new incarnation acknowledged is lost with the removed machine.
 fn late_declaration_loses_a_turn(safeguards: Safeguards) -> bool {
     let (mut stores, _) = draining();
     let mut new_incarnation = Harness::with_safeguards("storage-0", false, &chain(), safeguards);
@@ -240,7 +250,7 @@
         turn: turn("d", None),
         hint: None,
     }) == StoreReply::Stored;
-    // The core knows only the earlier incarnation, and agrees to what that one declared.
+    // The core knows only the earlier incarnation and agrees to its declaration.
     stores[0] = StoreEntry {
         retiring: false,
         retired: true,
@@ -254,7 +264,10 @@
 fn a_late_declaration_of_an_earlier_incarnation_loses_nothing() {
     assert!(!late_declaration_loses_a_turn(Safeguards::default()));
     let without = Safeguards::without(Safeguard::IncarnationRegistered);
-    assert!(late_declaration_loses_a_turn(without), "the counterexample");
+    assert!(
+        late_declaration_loses_a_turn(without),
+        "no counterexample without the safeguard"
+    );
 }
 
 #[test]
@@ -296,18 +309,18 @@
     let (stores, _) = draining();
     harness.change_membership(&stores);
     harness.reply_to_listings();
-    harness.at(1_000);
+    harness.advance_to(1_000);
     let outgoing = harness.next_request();
     let StoreRequest::Offer { ids } = &outgoing.request else {
         panic!("{outgoing:?}");
     };
     harness.reply(&outgoing, StoreReply::Missing { ids: ids.clone() });
-    harness.work();
+    harness.run_disk_jobs();
     let handoff = harness.next_request();
     harness.reply(&handoff, StoreReply::Rejected(Rejection::Disk));
     for _ in 0..20 {
-        harness.at(harness.node.next_due());
-        harness.work();
+        harness.advance_to(harness.node.next_due());
+        harness.run_disk_jobs();
         harness
             .outgoing
             .retain(|outgoing| outgoing.store != handoff.store);
@@ -324,7 +337,7 @@
     let (mut stores, _) = draining();
     harness.change_membership(&stores);
     harness.reply_to_listings();
-    harness.at(1_000);
+    harness.advance_to(1_000);
     let first = harness.next_request();
     stores
         .iter_mut()
@@ -334,7 +347,7 @@
     harness.change_membership(&stores);
     harness.reply(&first, StoreReply::Missing { ids: Vec::new() });
     harness.reply_to_listings();
-    harness.at(2_000);
+    harness.advance_to(2_000);
     let offered_again = harness
         .outgoing
         .iter()
@@ -344,15 +357,15 @@
 }
 
 #[test]
-fn with_too_few_others_nothing_is_declared() {
+fn a_store_is_not_drained_with_too_few_other_stores() {
     let mut harness = complete_store(&chain());
     let mut stores = stores(2);
     stores[0].retiring = true;
     harness.change_membership(&stores);
     harness.reply_to_listings();
     for now_ms in (1_000..20_000).step_by(500) {
-        harness.at(now_ms);
-        harness.work();
+        harness.advance_to(now_ms);
+        harness.run_disk_jobs();
         while let Some(outgoing) = harness.outgoing.pop() {
             harness.reply(&outgoing, StoreReply::Missing { ids: Vec::new() });
         }
--- a/crates/serving/turn-replication/tests/encoding.rs
+++ b/crates/serving/turn-replication/tests/encoding.rs
@@ -1,8 +1,8 @@
-//! The encoding of what this package sends between processes: postcard goes by the position of fields and the
-//! order of variants, so a reordered one would break running systems unseen.
+//! The encoding of the types that this package sends between processes. Postcard encodes by the position of fields and
+//! the order of variants, so reordering them would break running systems without a compile error.
 //!
-//! `fixtures/encodings.txt` has one line for each value: its name and its bytes in hexadecimal digits. The bytes
-//! were written before any name was changed and stay as they are.
+//! `fixtures/encodings.txt` has one line for each value: its name and its bytes in hexadecimal digits. The
+//! fixture never changes.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -16,14 +16,14 @@
 
 const FIXTURE: &str = include_str!("fixtures/encodings.txt");
 
-/// Values checked so far, as lines of the fixture.
+/// Encodings of the values checked so far, as lines of the fixture.
 #[derive(Default)]
-struct Checked {
+struct CheckedEncodings {
     lines: Vec<String>,
 }
 
-impl Checked {
-    /// Writes a value and, if the fixture names it, reads the fixture's bytes.
+impl CheckedEncodings {
+    /// Encodes a value. If the fixture contains the name, decodes the bytes of the fixture and compares the result.
     fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(
         &mut self,
         name: &str,
@@ -36,16 +36,19 @@
             let (read, rest) =
                 postcard::take_from_bytes::<T>(&bytes).expect("the fixture can be decoded");
             assert_eq!(&read, value, "{name}");
-            assert!(rest.is_empty(), "{name}: bytes left over");
+            assert!(
+                rest.is_empty(),
+                "{name}: the fixture has bytes after the value"
+            );
         }
     }
 
-    /// Compares all lines with the fixture; what was written is left in the target folder.
+    /// Compares all lines with the fixture, after writing them to the target folder.
     fn finish(self) {
         let written = self.lines.join("\n") + "\n";
-        let left_at = concat!(env!("CARGO_TARGET_TMPDIR"), "/encodings.txt");
-        std::fs::write(left_at, &written).expect("the target folder is writable");
-        assert_eq!(written, FIXTURE, "see {left_at}");
+        let output_path = concat!(env!("CARGO_TARGET_TMPDIR"), "/encodings.txt");
+        std::fs::write(output_path, &written).expect("the target folder is writable");
+        assert_eq!(written, FIXTURE, "see {output_path}");
     }
 }
 
@@ -63,7 +66,7 @@
     Some((0..line.len()).step_by(2).map(byte).collect())
 }
 
-/// A turn whose fields all differ, with and from those of other numbers.
+/// A turn whose fields all differ from each other and from the fields of turns with other numbers.
 fn turn(number: u64) -> Turn {
     Turn {
         id: format!("request-{number}"),
@@ -105,7 +108,7 @@
         .collect()
 }
 
-/// A store of which only the flag at this position is set.
+/// A store entry in which only the boolean field at this position is set.
 fn store(flag: usize, address: &str) -> StoreEntry {
     StoreEntry {
         name: format!("storage-{flag}"),
@@ -123,7 +126,7 @@
 
 #[test]
 fn messages_and_records_keep_their_bytes() {
-    let mut checked = Checked::default();
+    let mut checked = CheckedEncodings::default();
     check_requests(&mut checked);
     check_replies(&mut checked);
     check_rejections(&mut checked);
@@ -131,12 +134,12 @@
     checked.finish();
 }
 
-fn check_requests(checked: &mut Checked) {
+fn check_requests(checked: &mut CheckedEncodings) {
     check_client_requests(checked);
     check_peer_requests(checked);
 }
 
-fn check_client_requests(checked: &mut Checked) {
+fn check_client_requests(checked: &mut CheckedEncodings) {
     let hint = Some("storage-9".to_owned());
     checked.check(
         "request/put",
@@ -160,7 +163,7 @@
     );
 }
 
-fn check_peer_requests(checked: &mut Checked) {
+fn check_peer_requests(checked: &mut CheckedEncodings) {
     let candidates = vec![candidate(3), candidate(4)];
     let (replica, after) = ("storage-5".to_owned(), Some("request-6".to_owned()));
     checked.check(
@@ -204,12 +207,12 @@
     checked.check("request/handoff", &StoreRequest::Handoff { turns });
 }
 
-fn check_replies(checked: &mut Checked) {
+fn check_replies(checked: &mut CheckedEncodings) {
     check_client_replies(checked);
     check_peer_replies(checked);
 }
 
-fn check_client_replies(checked: &mut Checked) {
+fn check_client_replies(checked: &mut CheckedEncodings) {
     checked.check("reply/stored", &StoreReply::Stored);
     checked.check("reply/rejected", &StoreReply::Rejected(Rejection::Retiring));
     let (turns, missing) = (vec![turn(21), turn(22)], Some("request-20".to_owned()));
@@ -244,7 +247,7 @@
     );
 }
 
-fn check_peer_replies(checked: &mut Checked) {
+fn check_peer_replies(checked: &mut CheckedEncodings) {
     let listed = |number: u64| ListedTurn {
         id: format!("request-{number}"),
         size: 1_000 + number,
@@ -272,7 +275,7 @@
     );
 }
 
-fn check_rejections(checked: &mut Checked) {
+fn check_rejections(checked: &mut CheckedEncodings) {
     let rejections = [
         ("joining", Rejection::Joining),
         ("retiring", Rejection::Retiring),
@@ -287,7 +290,7 @@
     }
 }
 
-fn check_records(checked: &mut Checked) {
+fn check_records(checked: &mut CheckedEncodings) {
     checked.check("turn", &turn(31));
     checked.check("turn/first", &first_turn());
     let header: TurnHeader = turn(32).header();
--- a/crates/serving/turn-replication/tests/exposure.rs
+++ b/crates/serving/turn-replication/tests/exposure.rs
@@ -1,20 +1,20 @@
-//! How long there is no spare replica after a store was wiped, replaced, or drained and taken away.
+//! Limits the time without a spare replica after a store was wiped, replaced, or drained and removed.
 //!
-//! `TURNS_FIRST` and `TURNS_SEEDS` in the environment play other worlds, and more of them.
+//! The environment variables `TURNS_FIRST` and `TURNS_SEEDS` set the first seed and the number of seeds.
 
-#[allow(dead_code, unused_imports)] // Each test file uses a part of it.
+#[allow(dead_code, unused_imports)] // Each test file uses only a part of this module.
 mod world;
 
-use world::{Absence, FaultKind, Plan, World};
+use world::{AbsenceTimeouts, FaultKind, Plan, World};
 
-/// Played unless the environment says otherwise.
+/// Number of seeds unless `TURNS_SEEDS` is set.
 const SEEDS: u64 = 6;
-/// As the core members have it, the interval at which they look included.
+/// Lease of the core members, including the interval at which they check leases, in milliseconds.
 const LEASE_MS: u64 = 1_450;
-/// As the stores have it.
+/// Time of absence after which stores replace a store, in milliseconds.
 const ABSENT_REPAIR_MS: u64 = 100;
-/// The longest that there may be no spare replica: a machine that was removed is noticed within 1.7 s, and
-/// what it held is replicated then.
+/// Maximum time without a spare replica, in milliseconds. A removed machine is detected within 1.7 s; the
+/// remaining time is for replicating its turns.
 const MAX_EXPOSURE_MS: u64 = 3_200;
 
 fn from_environment(name: &str) -> Option<u64> {
@@ -31,7 +31,7 @@
     Plan {
         stores: 3 + (seed % 3) as usize,
         faults_until_ms: 60_000,
-        absence: Absence {
+        absence: AbsenceTimeouts {
             lease_ms: LEASE_MS,
             repair_ms: ABSENT_REPAIR_MS,
         },
@@ -39,28 +39,34 @@
     }
 }
 
-/// The value below which `hundredths` of a hundred are.
-fn percentile(sorted: &[u64], hundredths: usize) -> u64 {
-    sorted[(sorted.len() - 1) * hundredths / 100]
+/// The value at this percentile of sorted values.
+fn percentile(sorted: &[u64], percent: usize) -> u64 {
+    sorted[(sorted.len() - 1) * percent / 100]
 }
 
 #[test]
-fn there_is_a_spare_replica_again_in_time() {
+fn a_spare_replica_exists_again_in_time() {
     let first = from_environment("TURNS_FIRST").unwrap_or(0);
     let count = from_environment("TURNS_SEEDS").unwrap_or(SEEDS);
     let windows: Vec<_> = (first..first + count)
-        .flat_map(|seed| World::play(plan(seed)).exposure_windows)
+        .flat_map(|seed| World::run(plan(seed)).exposure_windows)
         .collect();
     for kind in [FaultKind::Wipe, FaultKind::Replace, FaultKind::Retire] {
-        let of_kind = windows.iter().filter(|window| window.after == kind);
-        let mut lasted: Vec<u64> = of_kind.map(|window| window.lasted_ms).collect();
-        lasted.sort_unstable();
-        assert!(!lasted.is_empty(), "no {kind:?} was played");
-        let [half, most, worst] = [50, 99, 100].map(|hundredths| percentile(&lasted, hundredths));
+        let of_kind = windows.iter().filter(|window| window.fault == kind);
+        let mut durations_ms: Vec<u64> = of_kind.map(|window| window.duration_ms).collect();
+        durations_ms.sort_unstable();
+        assert!(
+            !durations_ms.is_empty(),
+            "no fault of kind {kind:?} happened"
+        );
+        let [p50, p99, worst] = [50, 99, 100].map(|percent| percentile(&durations_ms, percent));
         eprintln!(
-            "{kind:?}: {} times, p50 {half} ms, p99 {most} ms, worst {worst} ms",
-            lasted.len()
+            "{kind:?}: {} times, p50 {p50} ms, p99 {p99} ms, worst {worst} ms",
+            durations_ms.len()
+        );
+        assert!(
+            worst < MAX_EXPOSURE_MS,
+            "{kind:?}: {worst} ms, limit {MAX_EXPOSURE_MS} ms"
         );
-        assert!(worst < MAX_EXPOSURE_MS, "{kind:?}: {worst} ms");
     }
 }
--- a/crates/serving/turn-replication/tests/index.rs
+++ b/crates/serving/turn-replication/tests/index.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_ancestor_that_comes_late_is_retained_for_its_descendants() {
+fn an_ancestor_that_arrives_late_is_retained_for_its_descendants() {
     let mut index = Index::default();
     index.insert(&header("c", Some("b")), 900);
     assert_eq!(index.first_missing("c"), Some("b".to_owned()));
@@ -59,7 +59,7 @@
         (Some("a"), false)
     );
     let page = index.chain("c", 1, 0).unwrap();
-    assert_eq!(page.ids.len(), 1, "there is always one turn");
+    assert_eq!(page.ids.len(), 1, "a page contains at least one turn");
     assert_eq!((page.missing.as_deref(), page.has_more), (Some("b"), true));
 }
 
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_wall_clock_that_steps_back_retains_nothing_for_ever() {
+fn a_wall_clock_that_steps_back_does_not_retain_turns_for_ever() {
     let headers = vec![header("a", None)];
     let index = Index::load(headers, 0, 5_000);
     assert_eq!(
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn what_expired_long_ago_is_deleted_soon_after_a_start() {
+fn long_expired_turns_are_deleted_soon_after_a_start() {
     let old_ms = RETENTION_MS + RETENTION_MARGIN_MS + MAX_CLOCK_STEP_MS;
     let index = Index::load(vec![header("a", None)], 1_000_000 + old_ms, 0);
     assert_eq!(
--- a/crates/serving/turn-replication/tests/placement.rs
+++ b/crates/serving/turn-replication/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: replicas are spread over zones and evenly over stores, and few move when stores join or leave.
+//! Placement: replicas are spread over zones and evenly over stores, and a new store moves only few programs.
 
 mod common;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn draining_and_retired_stores_are_no_replicas() {
+fn draining_and_retired_stores_are_not_replicas() {
     let mut stores = stores(4);
     stores[1].retiring = true;
     stores[2].retired = true;
@@ -50,8 +50,8 @@
 }
 
 quickcheck! {
-    /// A new store takes turns from others; between the others nothing moves.
-    fn a_new_store_moves_only_what_it_wins(program: String, count: u8) -> bool {
+    /// A new store takes programs over from other stores, but no program moves between the other stores.
+    fn a_new_store_does_not_reorder_the_other_stores(program: String, count: u8) -> bool {
         let before = stores(1 + usize::from(count % 6));
         let mut after = before.clone();
         after.push(store("storage-new", "zone-new"));
--- a/crates/serving/turn-replication/tests/read_coordinator.rs
+++ b/crates/serving/turn-replication/tests/read_coordinator.rs
@@ -1,4 +1,4 @@
-//! The read of a chain: which store is queried, how segments are joined, and when a turn may be called unknown.
+//! The read of a chain: which stores are queried, how segments are joined, and when a turn counts as unknown.
 
 mod common;
 
@@ -46,14 +46,14 @@
     vec![turn("a", None), turn("b", Some("a")), turn("c", Some("b"))]
 }
 
-/// The outcome if each store replies as `reply` says for its rank.
+/// The outcome if each store sends the reply that `reply` returns for its rank in the preference list.
 fn outcome_if_all_reply(
     stores: &[StoreEntry],
     reply: impl Fn(usize) -> StoreReply,
 ) -> Option<ReadOutcome> {
     let mut coordinator = begin(stores);
-    for (number, name) in ranked_stores(PROGRAM, stores).into_iter().enumerate() {
-        coordinator.replied(&name, "c", reply(number), 1);
+    for (rank, name) in ranked_stores(PROGRAM, stores).into_iter().enumerate() {
+        coordinator.replied(&name, "c", reply(rank), 1);
     }
     coordinator.take_outcome()
 }
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_replica_of_the_own_zone_goes_first() {
+fn a_replica_of_the_preferred_zone_is_queried_first() {
     let stores = stores(4);
     let ranked = ranked_stores(PROGRAM, &stores);
     let second = stores.iter().find(|store| store.name == ranked[1]).unwrap();
@@ -85,7 +85,7 @@
     assert_eq!(
         queried_stores(&mut coordinator),
         [ranked[0].clone()],
-        "a store that is no replica does not go first"
+        "a store that is not a replica is not queried first"
     );
 }
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_turn_that_the_replica_lacks_is_queried_of_all_others_at_once() {
+fn all_other_stores_are_queried_for_a_turn_that_the_replica_lacks() {
     let stores = stores(4);
     let ranked = ranked_stores(PROGRAM, &stores);
     let mut coordinator = begin(&stores);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_store_with_more_is_queried_again() {
+fn a_store_that_holds_more_of_the_chain_is_queried_again() {
     let stores = stores(3);
     let ranked = ranked_stores(PROGRAM, &stores);
     let turns = chain();
@@ -176,8 +176,8 @@
         known_stores: Vec::new(),
     };
     for position in 0..4 {
-        let reply = |number| {
-            if number == position {
+        let reply = |rank| {
+            if rank == position {
                 incomplete.clone()
             } else {
                 unknown(&stores)
@@ -194,8 +194,8 @@
 fn a_turn_is_not_unknown_with_a_stale_membership() {
     let stale = stores(3);
     let newer = stores(4);
-    let reply = |number| {
-        if number == 1 {
+    let reply = |rank| {
+        if rank == 1 {
             unknown(&newer)
         } else {
             unknown(&stale)
@@ -238,11 +238,15 @@
         assert_eq!(
             queried_stores(&mut coordinator),
             [ranked[1].clone()],
-            "the present replica first"
+            "the present replica is queried first"
         );
         coordinator.replied(&ranked[1], "c", unknown(&stores), 1);
         coordinator.replied(&ranked[2], "c", unknown(&stores), 2);
-        assert_eq!(coordinator.take_outcome(), None, "not unknown without it");
+        assert_eq!(
+            coordinator.take_outcome(),
+            None,
+            "not unknown before the absent store replies"
+        );
         if late {
             coordinator.replied(&ranked[0], "c", found(&chain(), None), 3);
             assert_eq!(
@@ -288,19 +292,19 @@
 }
 
 #[test]
-fn a_reply_that_is_no_chain_is_ignored() {
+fn a_reply_that_is_not_a_valid_chain_is_ignored() {
     let stores = stores(2);
     let ranked = ranked_stores(PROGRAM, &stores);
     let turns = chain();
     let gap = [turns[0].clone(), turns[2].clone()];
-    for wrong in [
+    for invalid in [
         found(&turns[..2], None),
         found(&gap, None),
         found(&turns[1..], None),
         found(&[], None),
     ] {
         let mut coordinator = begin(&stores);
-        coordinator.replied(&ranked[0], "c", wrong, 1);
+        coordinator.replied(&ranked[0], "c", invalid, 1);
         assert_eq!(coordinator.take_outcome(), None);
     }
 }
--- a/crates/serving/turn-replication/tests/repair.rs
+++ b/crates/serving/turn-replication/tests/repair.rs
@@ -1,40 +1,42 @@
-//! How soon each of thousands of turns has a second replica again after unplanned losses of one store, or of two at once.
+//! Limits the time until each of thousands of turns has a second replica again, after one store or two stores are lost
+//! at the same time.
 //!
-//! `TURNS_FIRST` and `TURNS_SEEDS` in the environment play other worlds, and more of them.
+//! The environment variables `TURNS_FIRST` and `TURNS_SEEDS` set the first seed and the number of seeds.
 
-#[allow(dead_code, unused_imports)] // Each test file uses a part of it.
+#[allow(dead_code, unused_imports)] // Each test file uses only a part of this module.
 mod world;
 
 use std::thread;
 
-use world::{Absence, ExposureWindow, FaultKind, Plan, World, CATCH_UP_MS};
+use world::{AbsenceTimeouts, ExposureWindow, FaultKind, Plan, World, CATCH_UP_MS};
 
-/// Played unless the environment says otherwise.
+/// Number of seeds unless `TURNS_SEEDS` is set.
 const SEEDS: u64 = 4;
-/// Worlds that are played side by side.
+/// Number of simulations that run in parallel.
 const THREADS: u64 = 4;
-/// Some store holds at least as many turns.
+/// Minimum number of turns that some store must hold.
 const MIN_TURNS: usize = 2_000;
-/// As the core members have it, the interval at which they look included.
+/// Lease of the core members, including the interval at which they check leases, in milliseconds.
 const LEASE_MS: u64 = 1_450;
-/// As the stores have it.
+/// Time of absence after which stores replace a store, in milliseconds.
 const ABSENT_REPAIR_MS: u64 = 100;
-/// The longest that a turn may be on a single disk once the lost machine's successor has started. The next machine may be
-/// lost when the successor has had its time to catch up: half of that is kept in reserve.
+/// Maximum time that a turn may be on a single disk after the successor of the lost machine has started, in
+/// milliseconds. The next machine may be lost once the successor has had the time to catch up; half of that time is
+/// kept in reserve.
 const MAX_SECOND_REPLICA_MS: u64 = CATCH_UP_MS / 2;
 
 fn from_environment(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-fn plan(seed: u64, stores: usize, tolerated: usize) -> Plan {
+fn plan(seed: u64, stores: usize, tolerated_losses: usize) -> Plan {
     Plan {
         stores,
-        tolerated,
+        tolerated_losses,
         programs: 40,
         max_input_bytes: 6_000,
         faults_until_ms: 60_000,
-        absence: Absence {
+        absence: AbsenceTimeouts {
             lease_ms: LEASE_MS,
             repair_ms: ABSENT_REPAIR_MS,
         },
@@ -42,58 +44,64 @@
     }
 }
 
-fn windows(plan_of: impl Fn(u64) -> Plan + Sync) -> Vec<ExposureWindow> {
+fn windows(plan_for_seed: impl Fn(u64) -> Plan + Sync) -> Vec<ExposureWindow> {
     let first = from_environment("TURNS_FIRST").unwrap_or(0);
     let count = from_environment("TURNS_SEEDS").unwrap_or(SEEDS);
-    let play = |offset: u64| {
+    let run_seeds = |offset: u64| {
         let seeds = (first + offset..first + count).step_by(THREADS as usize);
         let windows = seeds.flat_map(|seed| {
-            let statistics = World::play(plan_of(seed));
+            let statistics = World::run(plan_for_seed(seed));
             assert!(statistics.max_stored_turns > MIN_TURNS, "{statistics:?}");
             statistics.exposure_windows
         });
         windows.collect::<Vec<_>>()
     };
     thread::scope(|scope| {
-        let play = &play;
+        let run_seeds = &run_seeds;
         let threads: Vec<_> = (0..THREADS)
-            .map(|offset| scope.spawn(move || play(offset)))
+            .map(|offset| scope.spawn(move || run_seeds(offset)))
             .collect();
-        let played = threads.into_iter().map(|thread| thread.join());
-        played
+        let results = threads.into_iter().map(|thread| thread.join());
+        results
             .flat_map(|windows| windows.expect("no invariant is violated"))
             .collect()
     })
 }
 
-/// The value below which `hundredths` of a hundred are.
-fn percentile(sorted: &[u64], hundredths: usize) -> u64 {
-    sorted[(sorted.len() - 1) * hundredths / 100]
+/// The value at this percentile of sorted values.
+fn percentile(sorted: &[u64], percent: usize) -> u64 {
+    sorted[(sorted.len() - 1) * percent / 100]
 }
 
-fn check(windows: &[ExposureWindow]) {
+fn check_second_replica_times(windows: &[ExposureWindow]) {
     for kind in [FaultKind::Wipe, FaultKind::Replace] {
-        let of_kind = windows.iter().filter(|window| window.after == kind);
-        let mut lasted: Vec<u64> = of_kind
+        let of_kind = windows.iter().filter(|window| window.fault == kind);
+        let mut durations_ms: Vec<u64> = of_kind
             .map(|window| window.second_replica_after_start_ms)
             .collect();
-        lasted.sort_unstable();
-        assert!(!lasted.is_empty(), "no {kind:?} was played");
-        let [half, most, worst] = [50, 99, 100].map(|hundredths| percentile(&lasted, hundredths));
+        durations_ms.sort_unstable();
+        assert!(
+            !durations_ms.is_empty(),
+            "no fault of kind {kind:?} happened"
+        );
+        let [p50, p99, worst] = [50, 99, 100].map(|percent| percentile(&durations_ms, percent));
         eprintln!(
-            "{kind:?}: {} times, p50 {half} ms, p99 {most} ms, worst {worst} ms",
-            lasted.len()
+            "{kind:?}: {} times, p50 {p50} ms, p99 {p99} ms, worst {worst} ms",
+            durations_ms.len()
+        );
+        assert!(
+            worst <= MAX_SECOND_REPLICA_MS,
+            "{kind:?}: {worst} ms, limit {MAX_SECOND_REPLICA_MS} ms"
         );
-        assert!(worst <= MAX_SECOND_REPLICA_MS, "{kind:?}: {worst} ms");
     }
 }
 
 #[test]
 fn no_turn_is_on_a_single_disk_for_long_after_one_loss() {
-    check(&windows(|seed| plan(seed, 3 + (seed % 3) as usize, 1)));
+    check_second_replica_times(&windows(|seed| plan(seed, 3 + (seed % 3) as usize, 1)));
 }
 
 #[test]
 fn no_turn_is_on_a_single_disk_for_long_after_two_losses() {
-    check(&windows(|seed| plan(seed, 6 + (seed % 3) as usize, 2)));
+    check_second_replica_times(&windows(|seed| plan(seed, 6 + (seed % 3) as usize, 2)));
 }
--- a/crates/serving/turn-replication/tests/safeguards.rs
+++ b/crates/serving/turn-replication/tests/safeguards.rs
@@ -1,6 +1,6 @@
-//! Each safeguard that is taken out makes a world violate an invariant, while worlds with all safeguards hold.
+//! Simulations with all safeguards violate no invariant; without a safeguard some simulation does.
 
-#[allow(dead_code, unused_imports)] // Each test file uses a part of it.
+#[allow(dead_code, unused_imports)] // Each test file uses only a part of this module.
 mod world;
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -8,10 +8,10 @@
 use dunespur_turn_replication::safeguards::{Safeguard, Safeguards};
 use world::{CoreSafeguards, FaultKind, Plan, Statistics, World};
 
-/// Seeds that are tried for a counterexample.
+/// Number of seeds that are tried to find a counterexample.
 const SEEDS: u64 = 400;
 
-/// Stores join and drain while others have every kind of fault.
+/// A plan in which stores join and drain while other stores have every kind of fault.
 fn plan(seed: u64) -> Plan {
     let mut faults = vec![FaultKind::Retire; 5];
     faults.extend([
@@ -32,31 +32,34 @@
     }
 }
 
-/// The statistics of a world, or the first violation.
-fn play(plan: Plan) -> Result<Statistics, String> {
-    catch_unwind(AssertUnwindSafe(|| World::play(plan))).map_err(|panic| {
+/// Runs a simulation; returns its statistics or the first violation.
+fn run(plan: Plan) -> Result<Statistics, String> {
+    catch_unwind(AssertUnwindSafe(|| World::run(plan))).map_err(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
-        text.unwrap_or_else(|| "a panic without a text".to_owned())
+        text.unwrap_or_else(|| "a panic without a message".to_owned())
     })
 }
 
-/// The first of these violations without a safeguard, if there is one.
+/// The first of these violations in simulations that `without` has changed, if there is any.
 fn counterexample(without: impl Fn(&mut Plan), violations: &[&str]) -> Option<String> {
     (0..SEEDS).find_map(|seed| {
         let mut plan = plan(seed);
         without(&mut plan);
-        play(plan)
+        run(plan)
             .err()
             .filter(|text| violations.iter().any(|violation| text.contains(violation)))
     })
 }
 
-/// What was acknowledged is lost, or has too few replicas.
+/// Messages of violations: an acknowledged turn has too few replicas or is lost.
 const VIOLATIONS: [&str; 2] = ["is stored on", "unknown: "];
 
 fn expect_counterexample(safeguards: Safeguards) {
     let found = counterexample(|plan| plan.safeguards = safeguards, &VIOLATIONS);
-    assert!(found.is_some(), "nothing went wrong");
+    assert!(
+        found.is_some(),
+        "no violation without the safeguard in {SEEDS} simulations"
+    );
     eprintln!("{found:?}");
 }
 
@@ -64,11 +67,14 @@
 fn no_invariant_is_violated_with_all_safeguards() {
     let mut retired_stores = 0;
     for seed in 0..8 {
-        let statistics = World::play(plan(seed));
+        let statistics = World::run(plan(seed));
         assert!(statistics.stored_turns > 500, "{statistics:?}");
         retired_stores += statistics.retired_stores;
     }
-    assert!(retired_stores >= 8, "only {retired_stores} in 8 worlds");
+    assert!(
+        retired_stores >= 8,
+        "only {retired_stores} stores retired in 8 simulations"
+    );
 }
 
 #[test]
@@ -76,13 +82,13 @@
     expect_counterexample(Safeguards::without(Safeguard::LateTurnsHandedOff));
 }
 
-/// A replica that does not answer for a while gets turns only by its own pulls and with chains that gateways
-/// continue.
+/// Without hinted handoff, a replica that was unreachable gets its missing turns only by its own pulls and as ancestors
+/// of new turns.
 #[test]
-fn nothing_acknowledged_depends_on_a_hint() {
+fn acknowledged_turns_do_not_depend_on_hints() {
     for seed in 0..8 {
         let safeguards = Safeguards::without(Safeguard::HintedHandoff);
-        let statistics = World::play(Plan {
+        let statistics = World::run(Plan {
             safeguards,
             ..plan(seed)
         });
@@ -90,15 +96,15 @@
     }
 }
 
-/// Worlds in which stores drain beside frozen and partitioned ones.
-const WORLDS_OF_DRAINS: u64 = 16;
+/// Number of simulations in which stores drain while other stores are frozen or partitioned.
+const DRAIN_SIMULATIONS: u64 = 16;
 
-/// Turns that were not stored in time though enough stores were available, of three of which one is draining and
-/// another one frozen or partitioned.
+/// Number of turns that were not stored in time although enough stores were available. Of three stores one is draining
+/// and another is frozen or partitioned.
 fn avoidable_uncertain_writes(safeguards: Safeguards, core_safeguards: CoreSafeguards) -> u64 {
     let faults = vec![FaultKind::Retire, FaultKind::Freeze, FaultKind::Partition];
-    let played = (0..WORLDS_OF_DRAINS).map(|seed| {
-        World::play(Plan {
+    let results = (0..DRAIN_SIMULATIONS).map(|seed| {
+        World::run(Plan {
             stores: 3,
             faults: faults.clone(),
             safeguards,
@@ -106,20 +112,26 @@
             ..plan(seed)
         })
     });
-    played
+    results
         .map(|statistics| statistics.avoidable_uncertain_writes)
         .sum()
 }
 
 #[test]
-fn draining_stores_must_stay_a_last_resort() {
+fn draining_stores_must_accept_turns_as_a_last_resort() {
     let core = CoreSafeguards::default();
-    let with_all = avoidable_uncertain_writes(Safeguards::default(), core);
-    let without = avoidable_uncertain_writes(
+    let with_safeguard = avoidable_uncertain_writes(Safeguards::default(), core);
+    let without_safeguard = avoidable_uncertain_writes(
         Safeguards::without(Safeguard::DrainingStoreAcceptsTurns),
         core,
     );
-    eprintln!("turns not stored in {WORLDS_OF_DRAINS} worlds: {with_all}, without the safeguard {without}");
-    assert_eq!(with_all, 0);
-    assert!(without > 0, "nothing went wrong");
+    eprintln!(
+        "turns not stored in {DRAIN_SIMULATIONS} simulations: {with_safeguard}, \
+         without the safeguard {without_safeguard}"
+    );
+    assert_eq!(with_safeguard, 0);
+    assert!(
+        without_safeguard > 0,
+        "without the safeguard no write was uncertain that could have been stored"
+    );
 }
--- a/crates/serving/turn-replication/tests/world/core.rs
+++ b/crates/serving/turn-replication/tests/world/core.rs
@@ -1,5 +1,5 @@
-//! The core: the agreed control state, which tracks stores by their heartbeats. Gateways and stores get the
-//! membership that follows from it, sooner or later.
+//! The core: the agreed control state, which tracks stores by their heartbeats. Gateways and stores receive the
+//! resulting membership with a delay.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,13 +12,13 @@
 use super::{Event, World};
 
 const HEARTBEAT_INTERVAL_MS: u64 = 200;
-/// What a store reports to the core usually takes up to this long.
-const USUAL_DELAY_MS: u64 = 50;
-/// Now and then it takes up to this long: its sender may have ended meanwhile, or started again.
-const MAX_DELAY_MS: u64 = 3_000;
-/// How far behind the core a store may be.
+/// Maximum delay of most reports from a store to the core, in milliseconds.
+const USUAL_REPORT_DELAY_MS: u64 = 50;
+/// Maximum delay of a report, in milliseconds; its sender may have ended or restarted before it arrives.
+const MAX_REPORT_DELAY_MS: u64 = 3_000;
+/// Maximum delay of a membership on its way to a store, in milliseconds.
 const MAX_STORE_LAG_MS: u64 = 200;
-/// How long a store that has just started waits for the membership.
+/// Maximum delay of the first membership on its way to a store that has just started, in milliseconds.
 const MAX_FIRST_MEMBERSHIP_DELAY_MS: u64 = 50;
 
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
     state: ControlState,
     pub version: u64,
     last_heartbeat_at_ms: BTreeMap<String, u64>,
-    /// The incarnation of each store that last got the membership.
+    /// For each store: the incarnation that the membership was last sent to.
     notified_incarnations: BTreeMap<String, u64>,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The membership as it is now.
+    /// The current membership.
     pub fn stores(&self) -> Vec<StoreEntry> {
         self.state.stores().collect()
     }
@@ -50,18 +50,18 @@
 
 impl World {
     pub(super) fn exchange_heartbeats(&mut self) {
-        self.after(HEARTBEAT_INTERVAL_MS, Event::Heartbeats);
-        for number in 0..self.machines.len() {
-            if self.machines[number].is_reachable() {
-                self.receive_heartbeat(number);
-                self.report_drained(number);
+        self.schedule_after(HEARTBEAT_INTERVAL_MS, Event::Heartbeats);
+        for machine_index in 0..self.machines.len() {
+            if self.machines[machine_index].is_reachable() {
+                self.receive_heartbeat(machine_index);
+                self.report_drained(machine_index);
             }
         }
         self.expire_leases();
-        self.update_new_stores();
+        self.send_membership_to_new_stores();
     }
 
-    /// Commits an operation; gateways and stores are notified of what it changes.
+    /// Commits an operation, and sends the new membership to gateways and stores if the operation changed it.
     fn commit(&mut self, operation: &Operation) -> Outcome {
         let mut changes = Vec::new();
         let outcome = self.core.state.apply(operation, &mut changes);
@@ -71,9 +71,9 @@
         outcome
     }
 
-    /// The operator orders that a store be drained.
+    /// Orders a store to be drained, as the operator does.
     pub(super) fn order_retirement(&mut self, name: &str) -> RetirementOutcome {
-        let tolerated_losses = self.plan.tolerated as u32;
+        let tolerated_losses = self.plan.tolerated_losses as u32;
         let order = |fencing_token| Operation::RetireStart {
             node: name.to_owned(),
             tolerated_losses,
@@ -85,11 +85,11 @@
         };
         match outcome {
             Outcome::Retire(outcome) => outcome,
-            other => panic!("{other:?} is no reply to an order to retire"),
+            other => panic!("{other:?} is not a valid reply to an order to retire a store"),
         }
     }
 
-    /// A store's statement that it is drained has arrived at the core.
+    /// The report of a store that it is drained has arrived at the core.
     pub(super) fn drained_received(&mut self, machine: usize, operation: &Operation) {
         self.commit(operation);
         let retirement = self.core.state.retirement(&self.machines[machine].name);
@@ -98,15 +98,15 @@
         }
     }
 
-    fn receive_heartbeat(&mut self, number: usize) {
-        let machine = &self.machines[number];
+    fn receive_heartbeat(&mut self, machine_index: usize) {
+        let machine = &self.machines[machine_index];
         let report = NodeReport {
             name: machine.name.clone(),
             kind: NodeKind::Store,
             zone: machine.zone.clone(),
-            address: SocketAddr::from((Ipv4Addr::LOCALHOST, 7_380 + number as u16)),
+            address: SocketAddr::from((Ipv4Addr::LOCALHOST, 7_380 + machine_index as u16)),
             incarnation: machine.incarnation,
-            disk: machine.disk.number,
+            disk: machine.disk.id,
             complete: machine.node.as_ref().is_some_and(|node| node.is_complete()),
         };
         let name = report.name.clone();
@@ -114,9 +114,9 @@
         self.commit(&Operation::Node(report));
     }
 
-    /// A store that has found that it is drained reports so, again and again.
-    fn report_drained(&mut self, number: usize) {
-        let machine = &self.machines[number];
+    /// Reports to the core that a store is drained; called with every heartbeat.
+    fn report_drained(&mut self, machine_index: usize) {
+        let machine = &self.machines[machine_index];
         let epoch = machine
             .node
             .as_ref()
@@ -130,16 +130,16 @@
             epoch,
         };
         let max_ms = if self.rng.u8(0..4) == 0 {
-            MAX_DELAY_MS
+            MAX_REPORT_DELAY_MS
         } else {
-            USUAL_DELAY_MS
+            USUAL_REPORT_DELAY_MS
         };
         let delay_ms = self.rng.u64(1..max_ms);
         let received = Event::DrainedReceived {
-            machine: number,
+            machine: machine_index,
             operation,
         };
-        self.after(delay_ms, received);
+        self.schedule_after(delay_ms, received);
     }
 
     fn expire_leases(&mut self) {
@@ -159,9 +159,9 @@
 
     fn publish(&mut self) {
         self.core.version += 1;
-        for number in 0..self.machines.len() {
-            if self.machines[number].is_reachable() {
-                self.send_membership(number, MAX_STORE_LAG_MS);
+        for machine_index in 0..self.machines.len() {
+            if self.machines[machine_index].is_reachable() {
+                self.send_membership(machine_index, MAX_STORE_LAG_MS);
             }
         }
         for gateway in 0..self.gateways.len() {
@@ -171,14 +171,14 @@
                 version: self.core.version,
                 stores: self.core.stores(),
             };
-            self.after(lag_ms, update);
+            self.schedule_after(lag_ms, update);
         }
     }
 
-    /// Stores that have just started, or were away, get the membership though it has not changed.
-    fn update_new_stores(&mut self) {
-        for number in 0..self.machines.len() {
-            let machine = &self.machines[number];
+    /// Sends the unchanged membership to stores that have just started or were unreachable.
+    fn send_membership_to_new_stores(&mut self) {
+        for machine_index in 0..self.machines.len() {
+            let machine = &self.machines[machine_index];
             let notified = &mut self.core.notified_incarnations;
             if !machine.is_reachable() {
                 notified.remove(&machine.name);
@@ -186,20 +186,20 @@
             }
             let incarnation = machine.incarnation;
             if notified.insert(machine.name.clone(), incarnation) != Some(incarnation) {
-                self.send_membership(number, MAX_FIRST_MEMBERSHIP_DELAY_MS);
+                self.send_membership(machine_index, MAX_FIRST_MEMBERSHIP_DELAY_MS);
             }
         }
     }
 
-    fn send_membership(&mut self, number: usize, max_lag_ms: u64) {
+    fn send_membership(&mut self, machine_index: usize, max_lag_ms: u64) {
         let lag_ms = self.rng.u64(0..max_lag_ms);
         let update = Event::MembershipToMachine {
-            machine: number,
-            incarnation: self.machines[number].incarnation,
+            machine: machine_index,
+            incarnation: self.machines[machine_index].incarnation,
             version: self.core.version,
             stores: self.core.stores(),
         };
-        self.after(lag_ms, update);
+        self.schedule_after(lag_ms, update);
     }
 
     pub(super) fn membership_to_gateway(
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Whether the membership has the store, in use or draining.
+    /// Whether the store is in the membership, in use or draining.
     pub(super) fn is_listed(&self, name: &str) -> bool {
         self.core.entry(name).is_some()
     }
--- a/crates/serving/turn-replication/tests/world/digest.rs
+++ b/crates/serving/turn-replication/tests/world/digest.rs
@@ -1,5 +1,5 @@
-//! A digest of a played world: what is sent, when, and the outcomes. It is taken over encoded messages and numbers,
-//! so that it does not change with the names in the code.
+//! A digest of a simulation: the messages, their times and the outcomes. It is taken over encoded messages and numbers,
+//! so that renaming things in the code does not change it.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
 
 use super::{Event, FaultKind, Requester, Statistics};
 
-/// A hash of everything that has happened.
+/// A hash of all events and outcomes so far.
 #[derive(Default)]
 pub struct Digest {
     hash: Xxh3,
@@ -46,7 +46,7 @@
         self.hash.update(&bytes);
     }
 
-    /// An event is about to be handled.
+    /// Adds an event that is about to be handled.
     pub fn event(&mut self, now_ms: u64, event: &Event) {
         self.number(now_ms);
         match event {
@@ -116,7 +116,9 @@
             | Event::Reply { .. }
             | Event::MembershipToMachine { .. }
             | Event::MembershipToGateway { .. }
-            | Event::DrainedReceived { .. } => unreachable!("it carries a message"),
+            | Event::DrainedReceived { .. } => {
+                unreachable!("events with messages are handled by the caller")
+            }
         }
     }
 
@@ -139,7 +141,7 @@
         }
     }
 
-    /// A store hands work to its disk.
+    /// Adds a disk job that a store begins.
     pub fn disk_work(&mut self, work: &DiskWork) {
         match work {
             DiskWork::Put(turns) => {
@@ -158,7 +160,7 @@
         }
     }
 
-    /// A store declares something to the core.
+    /// Adds a declaration of a store to the core.
     pub fn declaration(&mut self, declaration: Declaration) {
         match declaration {
             Declaration::Complete => self.number(0),
@@ -166,7 +168,7 @@
         }
     }
 
-    /// A gateway has read a chain.
+    /// Adds the outcome of a read.
     pub fn read(&mut self, outcome: &ReadOutcome) {
         match outcome {
             ReadOutcome::Chain(turns) => {
@@ -179,7 +181,7 @@
         }
     }
 
-    /// A gateway has written a turn.
+    /// Adds the outcome of a write.
     pub fn written(&mut self, outcome: WriteOutcome) {
         self.number(match outcome {
             WriteOutcome::Stored => 0,
@@ -187,7 +189,7 @@
         });
     }
 
-    /// The counts at the end.
+    /// Adds the statistics at the end.
     pub fn statistics(&mut self, counts: &Statistics) {
         self.numbers(&[
             counts.stored_turns,
@@ -205,7 +207,7 @@
             counts.max_stored_turns as u64,
         ]);
         for window in &counts.exposure_windows {
-            self.numbers(&[fault_number(window.after), window.lasted_ms]);
+            self.numbers(&[fault_number(window.fault), window.duration_ms]);
         }
     }
 }
--- a/crates/serving/turn-replication/tests/world/faults.rs
+++ b/crates/serving/turn-replication/tests/world/faults.rs
@@ -1,29 +1,29 @@
-//! Faults, never more at one time than are tolerated, each followed by the time to catch up; and the checks that
-//! belong to them.
+//! Faults and the checks after them. No more faults than tolerated happen at the same time, and each fault is followed
+//! by the time to catch up.
 
 use dunespur_control_state::RetirementOutcome;
 
 use super::machine::MachineState;
 use super::{Event, World, CATCH_UP_MS};
 
-/// The longest that a machine is frozen or partitioned.
+/// Maximum time that a machine is frozen or partitioned, in milliseconds.
 pub const MAX_IMPAIRMENT_MS: u64 = 5_000;
 
 /// A kind of fault, or an order of the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// The process ends and is started again; the disk stays.
+    /// The process ends and is restarted; the disk keeps its contents.
     Kill,
     /// The process ends and the disk is lost.
     Wipe,
     Freeze,
-    /// The machine reaches nothing and is not reached.
+    /// The machine can neither send nor receive messages.
     Partition,
     /// The machine is partitioned from the core and the other stores.
     PeerPartition,
-    /// All processes end at once; the disks stay.
+    /// All processes end at the same time; the disks keep their contents.
     KillAll,
-    /// A machine is removed and an empty one of another name joins.
+    /// A machine is removed and an empty machine with another name joins.
     Replace,
     Add,
     Retire,
@@ -44,29 +44,30 @@
     ];
 }
 
-/// One of the faults that may be there at the same time.
+/// One of the faults that may be in progress at the same time.
 #[derive(Debug, Default)]
-pub struct Slot {
+pub struct FaultSlot {
+    /// The machine with the fault.
     machine: Option<usize>,
-    /// What the machine's disk held is lost.
+    /// Whether the contents of the machine's disk are lost.
     is_disk_lost: bool,
 }
 
 impl World {
     pub(super) fn next_fault(&mut self, slot: usize) {
         if self.now_ms > self.plan.faults_until_ms {
-            return self.begin_calm();
+            return self.begin_fault_free_period();
         }
         let kind = self.plan.faults[self.rng.usize(0..self.plan.faults.len())];
         let Some(machine) = self.pick_machine() else {
-            return self.after(500, Event::NextFault { slot });
+            return self.schedule_after(500, Event::NextFault { slot });
         };
         self.statistics.faults += 1;
         if kind == FaultKind::Retire {
-            // No loss: the next fault may come while the store drains.
+            // Nothing is lost by a retirement, so the next fault may begin while the store drains.
             self.retire(machine);
             let delay_ms = self.rng.u64(0..1_500);
-            return self.after(delay_ms, Event::NextFault { slot });
+            return self.schedule_after(delay_ms, Event::NextFault { slot });
         }
         self.slots[slot].machine = Some(machine);
         self.slots[slot].is_disk_lost = matches!(kind, FaultKind::Wipe | FaultKind::Replace);
@@ -81,35 +82,38 @@
             FaultKind::Add => self.add(),
             FaultKind::Retire => 0,
         };
-        self.after(back_after_ms + CATCH_UP_MS, Event::CatchUpEnd { slot });
+        self.schedule_after(back_after_ms + CATCH_UP_MS, Event::CatchUpEnd { slot });
     }
 
-    /// A running machine without a fault.
+    /// Picks a running machine without a fault; `None` if there is none.
     fn pick_machine(&mut self) -> Option<usize> {
-        let is_faulty = |number: &usize| {
+        let is_faulty = |machine_index: &usize| {
             let mut slots = self.slots.iter();
-            slots.any(|slot| slot.machine == Some(*number))
+            slots.any(|slot| slot.machine == Some(*machine_index))
         };
-        let fit: Vec<usize> = (0..self.machines.len())
-            .filter(|number| self.machines[*number].is_reachable())
-            .filter(|number| !is_faulty(number))
+        let available: Vec<usize> = (0..self.machines.len())
+            .filter(|machine_index| self.machines[*machine_index].is_reachable())
+            .filter(|machine_index| !is_faulty(machine_index))
             .collect();
         let mut faulty = self.slots.iter().filter_map(|slot| slot.machine);
-        let struck = faulty.next().filter(|_| self.plan.in_one_zone);
-        let beside: Vec<usize> = struck.map_or_else(Vec::new, |struck| {
-            let zone = &self.machines[struck].zone;
-            let mut beside = fit.clone();
-            beside.retain(|number| self.machines[*number].zone == *zone);
-            beside
+        let faulty_machine = faulty.next().filter(|_| self.plan.faults_in_one_zone);
+        let same_zone: Vec<usize> = faulty_machine.map_or_else(Vec::new, |faulty_machine| {
+            let zone = &self.machines[faulty_machine].zone;
+            let mut same_zone = available.clone();
+            same_zone.retain(|machine_index| self.machines[*machine_index].zone == *zone);
+            same_zone
         });
-        self.rng
-            .choice(if beside.is_empty() { fit } else { beside })
+        self.rng.choice(if same_zone.is_empty() {
+            available
+        } else {
+            same_zone
+        })
     }
 
     fn kill(&mut self, machine: usize) -> u64 {
         self.end_process(machine);
         let back_after_ms = self.rng.u64(100..4_000);
-        self.after(back_after_ms, Event::Start { machine });
+        self.schedule_after(back_after_ms, Event::Start { machine });
         back_after_ms
     }
 
@@ -118,14 +122,14 @@
         self.lose_disk(machine);
         let back_after_ms = self.rng.u64(100..2_500);
         self.open_exposure(FaultKind::Wipe, back_after_ms);
-        self.after(back_after_ms, Event::Start { machine });
+        self.schedule_after(back_after_ms, Event::Start { machine });
         back_after_ms
     }
 
     fn impair(&mut self, machine: usize, state: MachineState) -> u64 {
         self.machines[machine].state = state;
         let back_after_ms = self.rng.u64(50..MAX_IMPAIRMENT_MS);
-        self.after(back_after_ms, Event::Resume { machine });
+        self.schedule_after(back_after_ms, Event::Resume { machine });
         back_after_ms
     }
 
@@ -135,13 +139,13 @@
         max_down_ms
     }
 
-    /// Ends all processes; they start again within this time.
+    /// Ends all processes; each starts again within `max_down_ms`.
     fn restart_all(&mut self, max_down_ms: u64) {
         for machine in 0..self.machines.len() {
             if self.machines[machine].is_reachable() {
                 self.end_process(machine);
                 let back_after_ms = self.rng.u64(100..max_down_ms);
-                self.after(back_after_ms, Event::Start { machine });
+                self.schedule_after(back_after_ms, Event::Start { machine });
             }
         }
     }
@@ -158,11 +162,11 @@
     fn add(&mut self) -> u64 {
         let machine = self.add_machine();
         let back_after_ms = self.rng.u64(100..2_000);
-        self.after(back_after_ms, Event::Join { machine });
+        self.schedule_after(back_after_ms, Event::Join { machine });
         back_after_ms
     }
 
-    /// The operator orders that a store be drained; the order may come again while it drains.
+    /// Orders a store to be drained, as the operator does; the order may be repeated while the store drains.
     fn retire(&mut self, machine: usize) {
         let name = self.machines[machine].name.clone();
         let is_known = self.is_listed(&name);
@@ -174,20 +178,20 @@
                 machine.retirement_ordered_at_ms.get_or_insert(now_ms);
             }
             _ if ordered_at_ms.is_some() => {
-                self.fail("an accepted order is rejected when it comes again");
+                self.fail("an accepted order to retire a store is rejected when it is repeated");
             }
             RetirementOutcome::TooFew => self.statistics.rejected_retirements += 1,
             RetirementOutcome::UnknownNode if is_known => {
-                self.fail("a known store is said to be unknown");
+                self.fail("the core reports a listed store as an unknown node");
             }
             RetirementOutcome::UnknownNode => {}
         }
     }
 
-    /// The core has agreed that a store is drained: its machine is removed at once, with its disk.
+    /// Removes the machine and the disk of a store as soon as the core has agreed that the store is drained.
     pub(super) fn remove_drained(&mut self, machine: usize) {
         let Some(ordered_at_ms) = self.machines[machine].retirement_ordered_at_ms else {
-            self.fail("a store is drained though nobody has ordered it");
+            self.fail("a store is drained without an order to retire it");
         };
         if self.machines[machine].is_retired {
             return;
@@ -209,33 +213,33 @@
 
     pub(super) fn end_catch_up(&mut self, slot: usize) {
         self.check_replicas();
-        self.slots[slot] = Slot::default();
+        self.slots[slot] = FaultSlot::default();
         let delay_ms = self.rng.u64(0..1_500);
-        self.after(delay_ms, Event::NextFault { slot });
+        self.schedule_after(delay_ms, Event::NextFault { slot });
     }
 
-    /// Everything loses power, and some disks are lost.
+    /// All machines lose power, and as many disks as tolerated are lost.
     pub(super) fn final_fault(&mut self) {
         let max_down_ms = 2_000;
-        let slots = 0..self.plan.tolerated;
+        let slots = 0..self.plan.tolerated_losses;
         let wiped: Vec<usize> = slots.filter_map(|_| self.pick_machine()).collect();
         self.restart_all(max_down_ms);
         for machine in wiped {
             self.lose_disk(machine);
         }
-        self.calm_since_ms = Some(self.now_ms + max_down_ms);
-        self.after(max_down_ms + CATCH_UP_MS, Event::CheckReplicas);
+        self.fault_free_since_ms = Some(self.now_ms + max_down_ms);
+        self.schedule_after(max_down_ms + CATCH_UP_MS, Event::CheckReplicas);
     }
 
-    fn begin_calm(&mut self) {
+    fn begin_fault_free_period(&mut self) {
         let is_any_faulty = self.slots.iter().any(|slot| slot.machine.is_some());
-        if !is_any_faulty && !self.plan.final_fault && self.calm_since_ms.is_none() {
-            self.calm_since_ms = Some(self.now_ms);
+        if !is_any_faulty && !self.plan.final_fault && self.fault_free_since_ms.is_none() {
+            self.fault_free_since_ms = Some(self.now_ms);
         }
     }
 
-    /// Every guaranteed turn is, with its chain, on as many disks as it must be; the faulty machines of other slots
-    /// count as lost, draining stores count as long as they are there.
+    /// Checks that every guaranteed turn and its chain are on enough disks. The faulty machines of other slots count as
+    /// lost; draining stores count until they are removed.
     pub(super) fn check_replicas(&mut self) {
         let slots = self.slots.iter();
         let faulty = slots.filter(|slot| slot.machine.is_some()).count();
@@ -243,7 +247,7 @@
     }
 
     fn check_replicas_without(&mut self, lost: usize) {
-        let required = (self.plan.tolerated + 1).saturating_sub(lost);
+        let required = (self.plan.tolerated_losses + 1).saturating_sub(lost);
         for id in self.history.guaranteed(self.now_ms).clone() {
             for turn in self.history.chain(&id) {
                 let disks = self.count_replicas(&turn.id);
@@ -258,7 +262,7 @@
         }
     }
 
-    /// At the end nothing is faulty any more: every store is complete or removed.
+    /// Checks that at the end, after all faults, every store is complete or removed.
     pub(super) fn check_end(&mut self) {
         self.check_replicas();
         for machine in &self.machines {
@@ -272,7 +276,7 @@
                 self.fail(&format!("{} is not drained at the end", machine.name));
             }
         }
-        if self.calm_since_ms.is_none() {
+        if self.fault_free_since_ms.is_none() {
             self.fail("the faults never ended");
         }
     }
--- a/crates/serving/turn-replication/tests/world/history.rs
+++ b/crates/serving/turn-replication/tests/world/history.rs
@@ -1,4 +1,4 @@
-//! The history of a world: all turns that were ever written, and when they were acknowledged.
+//! The history of a simulation: all turns that were ever written, and when they were acknowledged.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,13 +11,13 @@
 pub struct History {
     pub turns: BTreeMap<String, Turn>,
     pub acknowledged_at_ms: BTreeMap<String, u64>,
-    /// The acknowledged ones, the oldest first, as far as they may be guaranteed.
+    /// Acknowledged turns that may still be guaranteed, oldest first.
     recent: VecDeque<String>,
     pub last_id: u64,
 }
 
 impl History {
-    /// Whether the turn was acknowledged less than its retention ago.
+    /// Whether the turn was acknowledged less than [`RETENTION_MS`] ago.
     pub(super) fn is_guaranteed(&self, id: &str, now_ms: u64) -> bool {
         let acknowledged_at_ms = self.acknowledged_at_ms.get(id);
         acknowledged_at_ms.is_some_and(|at_ms| now_ms < at_ms + RETENTION_MS)
@@ -28,7 +28,7 @@
         self.recent.push_back(id.to_owned());
     }
 
-    /// All turns that are guaranteed to be found.
+    /// All turns that a read is guaranteed to find.
     pub(super) fn guaranteed(&mut self, now_ms: u64) -> &VecDeque<String> {
         while let Some(id) = self.recent.front() {
             if self.is_guaranteed(id, now_ms) {
--- a/crates/serving/turn-replication/tests/world/machine.rs
+++ b/crates/serving/turn-replication/tests/world/machine.rs
@@ -1,4 +1,4 @@
-//! Store machines: a process around the state machine, with its disk and its connections.
+//! Store machines: the process around a store node, with its disk and its connections.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +10,23 @@
 
 use super::{Event, Requester, World, BYTES_PER_MS};
 
-/// Whether a machine runs, and what impairs it.
+/// Whether a machine runs, is impaired or is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
     Running,
-    /// Not yet started, or its process has ended.
+    /// The process has not started yet or has ended.
     Down,
     Frozen,
-    /// Nothing reaches it and it reaches nothing.
+    /// The machine can neither send nor receive messages.
     Partitioned,
-    /// Only the gateways reach it, neither the core nor the other stores.
+    /// The machine exchanges messages with the gateways, but not with the core and the other stores.
     PartitionedFromPeers,
-    /// Taken away for good.
+    /// The machine has been removed for ever.
     Removed,
 }
 
 impl MachineState {
-    /// Whether it runs but is frozen or partitioned: what is sent to it arrives later, if at all.
+    /// Whether the machine runs but is frozen or partitioned: messages to it arrive late or not at all.
     pub(super) fn is_impaired(self) -> bool {
         matches!(
             self,
@@ -44,11 +44,11 @@
     }
 }
 
-/// What the disk holds whatever happens to the process.
+/// The contents of a disk, which survive the end of the process.
 #[derive(Debug, Default)]
 pub struct Disk {
-    /// Identifies its contents; drawn when the process first starts on it.
-    pub number: u64,
+    /// Identifies the contents of the disk; drawn when a process first starts on the disk.
+    pub id: u64,
     pub complete: bool,
     pub turns: BTreeMap<String, Turn>,
 }
@@ -57,21 +57,21 @@
     pub name: String,
     pub zone: String,
     pub state: MachineState,
-    /// Since when nothing impairs it.
+    /// Since when the machine has been running without impairment.
     pub running_since_ms: u64,
-    /// Counts the starts of its process.
+    /// Number of starts of the process.
     pub incarnation: u64,
     pub node: Option<StoreNode>,
     pub disk: Disk,
-    /// Work handed to the disk that it has not completed.
+    /// Disk jobs that have not been completed.
     pub(super) unsynced: BTreeMap<JobId, DiskWork>,
     pub(super) disk_busy_until_ms: u64,
     pub(super) last_caller: u64,
     pub(super) callers: BTreeMap<CallerId, Requester>,
-    /// What arrived while the machine was frozen or partitioned.
+    /// Events that arrived while the machine was frozen or partitioned.
     pub(super) delayed_events: Vec<Event>,
     pub(super) tick_at_ms: u64,
-    /// The newest membership that the process got.
+    /// Version of the newest membership that the process received.
     pub(super) membership_version: u64,
     pub(super) first_membership_at_ms: Option<u64>,
     pub retirement_ordered_at_ms: Option<u64>,
@@ -83,26 +83,26 @@
         self.state == MachineState::Running && self.node.is_some()
     }
 
-    /// Whether this incarnation of the process runs, be it impaired.
+    /// Whether this incarnation of the process runs, possibly impaired.
     fn runs(&self, incarnation: u64) -> bool {
         self.incarnation == incarnation && self.node.is_some()
     }
 }
 
 impl World {
-    /// Sends a request to a store by its name.
+    /// Sends a request to the store with this name.
     pub(super) fn send(&mut self, store: &str, request: StoreRequest, requester: Requester) {
         let mut machines = self.machines.iter();
         let to = machines
             .position(|machine| machine.name == store)
-            .expect("only stores of a membership are sent requests");
+            .expect("requests are sent only to stores of a membership");
         let delay_ms = self.transfer_ms(request_bytes(&request));
         let event = Event::Request {
             to,
             request,
             requester,
         };
-        self.after(delay_ms, event);
+        self.schedule_after(delay_ms, event);
     }
 
     pub(super) fn request_arrived(
@@ -126,7 +126,7 @@
             _ => {
                 let delay_ms = self.latency_ms();
                 let reply = None;
-                return self.after(delay_ms, Event::Reply { requester, reply });
+                return self.schedule_after(delay_ms, Event::Reply { requester, reply });
             }
         }
         machine.last_caller += 1;
@@ -167,15 +167,15 @@
         }
     }
 
-    pub(super) fn disk_done(&mut self, number: usize, incarnation: u64, job: JobId) {
+    pub(super) fn disk_done(&mut self, machine_index: usize, incarnation: u64, job: JobId) {
         let now_ms = self.now_ms;
-        let machine = &mut self.machines[number];
+        let machine = &mut self.machines[machine_index];
         if !machine.runs(incarnation) {
             return;
         }
         if machine.state == MachineState::Frozen {
             return machine.delayed_events.push(Event::DiskDone {
-                machine: number,
+                machine: machine_index,
                 incarnation,
                 job,
             });
@@ -184,88 +184,88 @@
             return;
         };
         let outcome = apply(&mut machine.disk, &work);
-        self.node(number).disk_done(job, outcome, now_ms);
-        let stored_turns = self.node(number).index().len();
+        self.node(machine_index).disk_done(job, outcome, now_ms);
+        let stored_turns = self.node(machine_index).index().len();
         let statistics = &mut self.statistics;
         statistics.max_stored_turns = statistics.max_stored_turns.max(stored_turns);
-        self.drain_effects(number);
+        self.drain_effects(machine_index);
     }
 
-    pub(super) fn tick(&mut self, number: usize, incarnation: u64) {
-        let machine = &mut self.machines[number];
+    pub(super) fn tick(&mut self, machine_index: usize, incarnation: u64) {
+        let machine = &mut self.machines[machine_index];
         if !machine.runs(incarnation) {
             return;
         }
         if machine.state == MachineState::Frozen {
             return machine.delayed_events.push(Event::Tick {
-                machine: number,
+                machine: machine_index,
                 incarnation,
             });
         }
         machine.tick_at_ms = u64::MAX;
         let now_ms = self.now_ms;
-        self.node(number).tick(now_ms);
-        if self.node(number).next_due() <= now_ms {
-            self.fail("a store wants to be called at once again");
+        self.node(machine_index).tick(now_ms);
+        if self.node(machine_index).next_due() <= now_ms {
+            self.fail("the next tick of a store is due immediately again");
         }
-        self.drain_effects(number);
+        self.drain_effects(machine_index);
     }
 
     pub(super) fn membership_to_machine(
         &mut self,
-        number: usize,
+        machine_index: usize,
         incarnation: u64,
         version: u64,
         stores: Vec<StoreEntry>,
     ) {
-        let machine = &mut self.machines[number];
+        let machine = &mut self.machines[machine_index];
         if !machine.runs(incarnation) || machine.state != MachineState::Running {
             return;
         }
-        // A process that follows the core always knows which of two memberships is newer.
+        // Memberships may arrive out of order; the process ignores an older one.
         if version < machine.membership_version {
             return;
         }
         machine.membership_version = version;
         machine.first_membership_at_ms.get_or_insert(self.now_ms);
         let now_ms = self.now_ms;
-        self.node(number).membership_changed(stores, now_ms);
-        self.drain_effects(number);
+        self.node(machine_index).membership_changed(stores, now_ms);
+        self.drain_effects(machine_index);
     }
 
-    fn node(&mut self, number: usize) -> &mut StoreNode {
-        let node = self.machines[number].node.as_mut();
-        node.expect("the caller has checked that the process runs")
+    fn node(&mut self, machine_index: usize) -> &mut StoreNode {
+        let node = self.machines[machine_index].node.as_mut();
+        node.expect("the caller has checked that the process is running")
     }
 
-    /// Carries out all effects of a node.
-    pub(super) fn drain_effects(&mut self, number: usize) {
-        while let Some(effect) = self.node(number).poll() {
-            self.carry_out(number, effect);
+    /// Carries out all effects of a node and schedules its next tick.
+    pub(super) fn drain_effects(&mut self, machine_index: usize) {
+        while let Some(effect) = self.node(machine_index).poll() {
+            self.carry_out(machine_index, effect);
         }
-        let due_ms = self.node(number).next_due();
-        let machine = &mut self.machines[number];
+        let due_ms = self.node(machine_index).next_due();
+        let machine = &mut self.machines[machine_index];
         if due_ms < machine.tick_at_ms {
             machine.tick_at_ms = due_ms;
             let tick = Event::Tick {
-                machine: number,
+                machine: machine_index,
                 incarnation: machine.incarnation,
             };
-            self.at(due_ms, tick);
+            self.schedule_at(due_ms, tick);
         }
     }
 
-    fn carry_out(&mut self, number: usize, effect: Effect) {
+    fn carry_out(&mut self, machine_index: usize, effect: Effect) {
         match effect {
-            Effect::Reply { caller, reply } => self.send_reply(number, caller, reply),
+            Effect::Reply { caller, reply } => self.send_reply(machine_index, caller, reply),
             Effect::SendRequest {
                 request_id,
                 store,
                 request,
             } => {
-                let machine = &self.machines[number];
+                let machine = &self.machines[machine_index];
                 let requester = Requester::Machine {
-                    machine: number,
+                    machine: machine_index,
                     incarnation: machine.incarnation,
                     request: request_id,
                 };
@@ -273,52 +273,52 @@
                     self.send(&store, request, requester);
                 }
             }
-            Effect::Disk { job, work } => self.begin_disk_work(number, job, work),
-            Effect::Declare(declaration) => self.declared(number, declaration),
+            Effect::Disk { job, work } => self.begin_disk_work(machine_index, job, work),
+            Effect::Declare(declaration) => self.declared(machine_index, declaration),
         }
     }
 
-    fn send_reply(&mut self, number: usize, caller: CallerId, reply: StoreReply) {
+    fn send_reply(&mut self, machine_index: usize, caller: CallerId, reply: StoreReply) {
         let bytes = reply_bytes(&reply);
         let statistics = &mut self.statistics;
         statistics.largest_message_bytes = statistics.largest_message_bytes.max(bytes);
-        let machine = &mut self.machines[number];
+        let machine = &mut self.machines[machine_index];
         let requester = machine.callers.remove(&caller);
-        let requester = requester.expect("each caller gets one reply");
+        let requester = requester.expect("each caller is sent exactly one reply");
         if machine.state.reaches(&requester) {
             let delay_ms = self.transfer_ms(bytes);
             let reply = Some(reply);
-            self.after(delay_ms, Event::Reply { requester, reply });
+            self.schedule_after(delay_ms, Event::Reply { requester, reply });
         }
     }
 
-    fn begin_disk_work(&mut self, number: usize, job: JobId, work: DiskWork) {
+    fn begin_disk_work(&mut self, machine_index: usize, job: JobId, work: DiskWork) {
         self.digest.disk_work(&work);
         let takes_ms = 1 + self.rng.u64(0..4) + work_bytes(&work) / BYTES_PER_MS;
-        let machine = &mut self.machines[number];
+        let machine = &mut self.machines[machine_index];
         machine.disk_busy_until_ms = machine.disk_busy_until_ms.max(self.now_ms) + takes_ms;
         machine.unsynced.insert(job, work);
         let done = Event::DiskDone {
-            machine: number,
+            machine: machine_index,
             incarnation: machine.incarnation,
             job,
         };
         let at_ms = machine.disk_busy_until_ms;
-        self.at(at_ms, done);
+        self.schedule_at(at_ms, done);
     }
 
-    fn declared(&mut self, number: usize, declaration: Declaration) {
+    fn declared(&mut self, machine_index: usize, declaration: Declaration) {
         self.digest.declaration(declaration);
         match declaration {
             Declaration::Complete => {
-                let machine = &self.machines[number];
+                let machine = &self.machines[machine_index];
                 if let Some(first_ms) = machine.first_membership_at_ms {
                     let took_ms = self.now_ms - first_ms;
                     let slowest_ms = &mut self.statistics.slowest_completion_ms;
                     *slowest_ms = took_ms.max(*slowest_ms);
                 }
             }
-            // It is reported with the heartbeats.
+            // The store reports this declaration with its heartbeats.
             Declaration::Drained { .. } => {}
         }
     }
@@ -354,7 +354,7 @@
     (1_000_000_000 + now_ms).saturating_add_signed(offset_ms)
 }
 
-/// Does a piece of work on the disk.
+/// Applies the work of a disk job to the disk.
 pub(super) fn apply(disk: &mut Disk, work: &DiskWork) -> DiskOutcome {
     match work {
         DiskWork::Put(turns) => {
--- a/crates/serving/turn-replication/tests/world/mod.rs
+++ b/crates/serving/turn-replication/tests/world/mod.rs
@@ -1,6 +1,6 @@
-//! A seeded simulation: stores with simulated disks, a core that tracks them by heartbeats, gateways that write and
-//! read turns for programs, and faults within what the deployment tolerates. No clock, no sleep: one queue of
-//! events, the same for the same seed.
+//! A seeded simulation of stores with simulated disks, a core that tracks the stores by heartbeats, and gateways that
+//! write and read turns for programs, under faults that the deployment tolerates. A single event queue replaces clocks
+//! and sleeps, so that the same seed always gives the same run.
 
 mod core;
 mod digest;
@@ -30,94 +30,95 @@
 use machine::Machine;
 use programs::{Operation, Program};
 
-/// How long a machine has to catch up after a fault, as the operators' pages give it for the first deployments.
+/// Time that a machine has to catch up after a fault, in milliseconds, as the operators state it for the first
+/// deployments.
 pub const CATCH_UP_MS: u64 = 4_200;
-/// Retention on the world's only route, in true time.
+/// Retention of all turns, in milliseconds of simulated time.
 pub const RETENTION_MS: u64 = 20_000;
-/// How long a world goes on after the last fault may begin.
-const CALM_MS: u64 = 45_000;
-/// How fast a store on half a core takes bytes in, on links that are faster.
+/// Simulated time after the last possible begin of a fault, in milliseconds.
+const FAULT_FREE_MS: u64 = 45_000;
+/// Bytes per millisecond that a store on half a core can process; its network links are faster.
 const BYTES_PER_MS: u64 = 20_000;
 
-/// When a store without heartbeats is given up.
+/// Timeouts for stores without heartbeats.
 #[derive(Clone, Copy, Debug)]
-pub struct Absence {
-    /// After this long without a heartbeat a store is absent.
+pub struct AbsenceTimeouts {
+    /// Time without a heartbeat after which a store is absent.
     pub lease_ms: u64,
-    /// After being absent for this long it is replaced by others.
+    /// Time of absence after which other stores replace the store.
     pub repair_ms: u64,
 }
 
-impl Default for Absence {
-    fn default() -> Absence {
-        Absence {
+impl Default for AbsenceTimeouts {
+    fn default() -> AbsenceTimeouts {
+        AbsenceTimeouts {
             lease_ms: 1_500,
             repair_ms: 1_000,
         }
     }
 }
 
-/// What is simulated.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Seed of all random draws.
     pub seed: u64,
     /// Number of stores at the start.
     pub stores: usize,
-    /// Number of zones that they are spread over.
+    /// Number of zones that the stores are spread over.
     pub zones: usize,
-    /// Number of machines that may be lost at one time.
-    pub tolerated: usize,
+    /// Number of machines that may be lost at the same time.
+    pub tolerated_losses: usize,
     /// Number of programs that take turns at the same time.
     pub programs: usize,
     /// Upper limit of the bytes of a turn's input.
     pub max_input_bytes: usize,
-    /// Faults begin until then.
+    /// Time until which faults may begin.
     pub faults_until_ms: u64,
-    /// The kinds of faults, drawn from evenly.
+    /// The kinds of faults, drawn with equal probability.
     pub faults: Vec<FaultKind>,
-    /// After the other faults everything loses power, and as many disks are lost as are tolerated.
+    /// Whether, after the other faults, all machines lose power and as many disks as tolerated are lost.
     pub final_fault: bool,
-    /// Faults at the same time strike machines of one zone, as far as there are.
-    pub in_one_zone: bool,
-    /// When a store without heartbeats is given up.
-    pub absence: Absence,
-    /// Those that are in place at the stores.
+    /// Whether simultaneous faults affect machines of the same zone, as far as possible.
+    pub faults_in_one_zone: bool,
+    /// Timeouts for stores without heartbeats.
+    pub absence: AbsenceTimeouts,
+    /// Safeguards that are in place at the stores.
     pub safeguards: Safeguards,
-    /// Those that are in place in the control state.
+    /// Safeguards that are in place in the control state.
     pub core_safeguards: CoreSafeguards,
 }
 
 impl Plan {
-    /// Three or four stores in three zones of which one may be lost, with faults for 90 s.
+    /// Three or four stores in three zones, of which one store may be lost, with faults for 90 s.
     pub fn new(seed: u64, faults: &[FaultKind]) -> Plan {
         Plan {
             seed,
             stores: 3 + (seed % 2) as usize,
             zones: 3,
-            tolerated: 1,
+            tolerated_losses: 1,
             programs: 12,
             max_input_bytes: 4_000,
             faults_until_ms: 90_000,
             faults: faults.to_vec(),
             final_fault: false,
-            in_one_zone: false,
-            absence: Absence::default(),
+            faults_in_one_zone: false,
+            absence: AbsenceTimeouts::default(),
             safeguards: Safeguards::default(),
             core_safeguards: CoreSafeguards::default(),
         }
     }
 }
 
-/// What was observed.
+/// Observations of a simulation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Statistics {
-    /// Turns that were acknowledged.
+    /// Number of acknowledged turns.
     pub stored_turns: u64,
     pub uncertain_writes: u64,
-    /// Those of them that enough stores were available for.
+    /// Uncertain writes for which enough stores were available.
     pub avoidable_uncertain_writes: u64,
-    /// Chains that were read.
+    /// Number of chains that were read.
     pub chains: u64,
     pub uncertain_reads: u64,
     pub unknown_reads: u64,
@@ -125,20 +126,20 @@
     pub retired_stores: u64,
     /// Orders to drain a store that were rejected because too few would be left.
     pub rejected_retirements: u64,
-    /// How long after each loss there was no spare replica.
+    /// For each loss: how long there was no spare replica.
     pub exposure_windows: Vec<ExposureWindow>,
-    /// Longest time from the first membership that a store with a new disk got until it was complete.
+    /// Longest time from the first membership that a store with a new disk received until the store was complete.
     pub slowest_completion_ms: u64,
-    /// Longest time from the order to retire a store until it was drained.
+    /// Longest time from the order to retire a store until the store was drained.
     pub slowest_drain_ms: u64,
     pub largest_message_bytes: u64,
     /// Maximum number of turns that one store held.
     pub max_stored_turns: usize,
-    /// Of all that happened, see [`Digest`].
+    /// Digest of all events and outcomes, see [`Digest`].
     pub digest: u64,
 }
 
-/// Who waits for the reply of a store.
+/// The party that waits for the reply of a store.
 #[derive(Clone, Debug)]
 enum Requester {
     Machine {
@@ -160,7 +161,7 @@
         request: StoreRequest,
         requester: Requester,
     },
-    /// A reply arrives, or it turns out that none will come.
+    /// A reply arrives, or the requester learns that no reply will arrive (`None`).
     Reply {
         requester: Requester,
         reply: Option<StoreReply>,
@@ -210,7 +211,7 @@
     },
     FinalFault,
     CheckReplicas,
-    /// A store's statement that it is drained arrives at the core.
+    /// The report of a store that it is drained arrives at the core.
     DrainedReceived {
         machine: usize,
         operation: CoreOperation,
@@ -218,21 +219,21 @@
     CountSpares,
 }
 
-/// A gateway as far as its view of the membership goes.
+/// A gateway: its membership and its wall clock.
 struct Gateway {
     stores: Vec<StoreEntry>,
     version: u64,
     wall_offset_ms: i64,
-    /// How far behind its membership may be.
+    /// Maximum delay until the gateway receives a new membership.
     max_lag_ms: u64,
 }
 
-/// The simulated world.
+/// A simulation: stores, core, gateways and programs, with the events that are scheduled for them.
 pub struct World {
     plan: Plan,
     rng: Rng,
     now_ms: u64,
-    /// Time and number of each event that is to come.
+    /// Time and number of each scheduled event.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     last_event: u64,
@@ -243,43 +244,43 @@
     operations: BTreeMap<u64, Operation>,
     last_operation: u64,
     history: History,
-    slots: Vec<faults::Slot>,
-    /// Losses after which some turn has no spare replica yet.
+    slots: Vec<faults::FaultSlot>,
+    /// Losses since which some turn has no spare replica.
     open_exposures: Vec<exposure::OpenExposure>,
-    /// One turn that has no spare replica.
+    /// A turn that has no spare replica, if any is known.
     turn_without_spare: Option<String>,
-    /// One turn that is on a single disk.
+    /// A turn that is on a single disk, if any is known.
     turn_on_one_disk: Option<String>,
-    /// There are no faults from then on.
-    calm_since_ms: Option<u64>,
+    /// Time from which there are no more faults.
+    fault_free_since_ms: Option<u64>,
     statistics: Statistics,
     digest: Digest,
 }
 
 impl World {
-    /// Plays a plan to its end; panics with the seed if an invariant is violated.
-    pub fn play(plan: Plan) -> Statistics {
+    /// Runs a simulation to its end; panics with the seed if an invariant is violated.
+    pub fn run(plan: Plan) -> Statistics {
         let mut world = World::new(plan);
-        world.play_until(world.plan.faults_until_ms + CALM_MS);
+        world.run_until(world.plan.faults_until_ms + FAULT_FREE_MS);
         world.check_end();
         world.finish()
     }
 
-    /// Plays a plan up to some time, with all its faults; nothing is checked at the end.
-    pub fn play_unchecked(plan: Plan, end_ms: u64) -> Statistics {
+    /// Runs a simulation until `end_ms`, with faults until then, and skips the checks at the end.
+    pub fn run_unchecked(plan: Plan, end_ms: u64) -> Statistics {
         let mut world = World::new(plan);
-        world.play_until(end_ms);
+        world.run_until(end_ms);
         world.finish()
     }
 
-    fn play_until(&mut self, end_ms: u64) {
+    fn run_until(&mut self, end_ms: u64) {
         while let Some(Reverse((at_ms, number))) = self.queue.pop() {
             if at_ms > end_ms {
                 break;
             }
             self.now_ms = at_ms;
             let event = self.events.remove(&number);
-            let event = event.expect("each queued event is there");
+            let event = event.expect("each queued number has an event");
             self.digest.event(at_ms, &event);
             self.handle(event);
         }
@@ -309,7 +310,7 @@
             open_exposures: Vec::new(),
             turn_without_spare: None,
             turn_on_one_disk: None,
-            calm_since_ms: None,
+            fault_free_since_ms: None,
             statistics: Statistics::default(),
             digest: Digest::default(),
             plan,
@@ -322,11 +323,11 @@
         for _ in 0..self.plan.stores {
             let machine = self.add_machine();
             let at_ms = self.rng.u64(0..300);
-            self.at(at_ms, Event::Start { machine });
+            self.schedule_at(at_ms, Event::Start { machine });
         }
         for gateway in 0..3 {
             let wall_offset_ms = self.rng.i64(-2_000..2_000);
-            // The last one lags far behind the core.
+            // The last gateway lags far behind the core.
             let max_lag_ms = if gateway == 2 { 3_000 } else { 200 };
             self.gateways.push(Gateway {
                 stores: Vec::new(),
@@ -335,28 +336,28 @@
                 max_lag_ms,
             });
         }
-        self.at(50, Event::Heartbeats);
+        self.schedule_at(50, Event::Heartbeats);
         self.set_up_programs();
-        for slot in 0..self.plan.tolerated {
-            self.slots.push(faults::Slot::default());
+        for slot in 0..self.plan.tolerated_losses {
+            self.slots.push(faults::FaultSlot::default());
             let at_ms = 8_000 + self.rng.u64(0..2_000);
-            self.at(at_ms, Event::NextFault { slot });
+            self.schedule_at(at_ms, Event::NextFault { slot });
         }
         if self.plan.final_fault {
-            // By then the stores have caught up after the last of the other faults.
-            self.at(self.plan.faults_until_ms + 16_000, Event::FinalFault);
+            // By then the stores have caught up after the last of the regular faults.
+            self.schedule_at(self.plan.faults_until_ms + 16_000, Event::FinalFault);
         }
     }
 
-    fn at(&mut self, at_ms: u64, event: Event) {
+    fn schedule_at(&mut self, at_ms: u64, event: Event) {
         self.last_event += 1;
         self.events.insert(self.last_event, event);
         let at_ms = at_ms.max(self.now_ms);
         self.queue.push(Reverse((at_ms, self.last_event)));
     }
 
-    fn after(&mut self, delay_ms: u64, event: Event) {
-        self.at(self.now_ms + delay_ms, event);
+    fn schedule_after(&mut self, delay_ms: u64, event: Event) {
+        self.schedule_at(self.now_ms + delay_ms, event);
     }
 
     fn handle(&mut self, event: Event) {
@@ -404,19 +405,20 @@
         }
     }
 
-    /// How long a short message takes between machines.
+    /// Draws the latency of a short message between machines.
     fn latency_ms(&mut self) -> u64 {
         1 + self.rng.u64(0..3)
     }
 
-    /// How long a message with so many bytes of turns takes, processing at both ends included.
+    /// Draws the time that a message with `bytes` bytes of turns takes, including the processing at both ends.
     fn transfer_ms(&mut self, bytes: u64) -> u64 {
         self.latency_ms() + bytes / BYTES_PER_MS
     }
 
-    fn fail(&self, what: &str) -> ! {
+    /// Ends the test with the seed, the simulated time and the statistics.
+    fn fail(&self, violation: &str) -> ! {
         panic!(
-            "seed {}, {} ms: {what}\n{:?}",
+            "seed {}, {} ms: {violation}\n{:?}",
             self.plan.seed, self.now_ms, self.statistics
         );
     }
--- a/crates/serving/turn-replication/tests/world/processes.rs
+++ b/crates/serving/turn-replication/tests/world/processes.rs
@@ -1,4 +1,4 @@
-//! Starts and ends of store machines' processes.
+//! Start, end and resumption of the processes on store machines.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 use super::machine::{apply, wall_ms, Disk, Machine, MachineState};
 use super::{Event, Requester, World};
 
-/// By how much the wall clock of a machine may be off when its process starts.
+/// Maximum error of a machine's wall clock when its process starts, in milliseconds.
 const MAX_CLOCK_OFFSET_MS: i64 = 60_000;
 
 impl World {
-    /// A new machine with an empty disk; it is started by an event.
+    /// Adds a machine with an empty disk; an event starts its process.
     pub(super) fn add_machine(&mut self) -> usize {
-        let number = self.machines.len();
+        let machine_index = self.machines.len();
         self.machines.push(Machine {
-            name: format!("storage-{number}"),
-            zone: format!("zone-{}", number % self.plan.zones),
+            name: format!("storage-{machine_index}"),
+            zone: format!("zone-{}", machine_index % self.plan.zones),
             state: MachineState::Down,
             running_since_ms: 0,
             incarnation: 0,
@@ -34,31 +34,31 @@
             retirement_ordered_at_ms: None,
             is_retired: false,
         });
-        number
+        machine_index
     }
 
-    /// The process starts, with whatever its disk holds.
-    pub(super) fn start(&mut self, number: usize) {
-        if self.machines[number].state != MachineState::Down {
+    /// Starts the process on the current contents of its disk.
+    pub(super) fn start(&mut self, machine_index: usize) {
+        if self.machines[machine_index].state != MachineState::Down {
             return;
         }
-        let new_disk_number = self.rng.u64(1..);
+        let new_disk_id = self.rng.u64(1..);
         let clock_offsets = -MAX_CLOCK_OFFSET_MS..MAX_CLOCK_OFFSET_MS;
         let wall_ms = wall_ms(self.now_ms, self.rng.i64(clock_offsets));
-        let machine = &mut self.machines[number];
+        let machine = &mut self.machines[machine_index];
         machine.incarnation += 1;
-        if machine.disk.number == 0 {
-            machine.disk.number = new_disk_number;
+        if machine.disk.id == 0 {
+            machine.disk.id = new_disk_id;
         }
         let disk = DiskState {
-            disk: machine.disk.number,
+            disk: machine.disk.id,
             fresh: !machine.disk.complete,
             headers: machine.disk.turns.values().map(Turn::header).collect(),
         };
         let settings = StoreSettings {
             name: machine.name.clone(),
             incarnation: machine.incarnation,
-            replication_factor: self.plan.tolerated + 1,
+            replication_factor: self.plan.tolerated_losses + 1,
             capacity_bytes: 64 << 20,
             capacity_turns: 100_000,
             absent_repair_ms: self.plan.absence.repair_ms,
@@ -72,12 +72,12 @@
         machine.first_membership_at_ms = None;
         machine.tick_at_ms = u64::MAX;
         machine.disk_busy_until_ms = self.now_ms;
-        self.drain_effects(number);
+        self.drain_effects(machine_index);
     }
 
-    /// The process ends. Of the writes in flight each is on the disk or not.
-    pub(super) fn end_process(&mut self, number: usize) {
-        let machine = &mut self.machines[number];
+    /// Ends the process. Each disk job in flight is applied or lost at random.
+    pub(super) fn end_process(&mut self, machine_index: usize) {
+        let machine = &mut self.machines[machine_index];
         machine.node = None;
         for (_, work) in std::mem::take(&mut machine.unsynced) {
             if self.rng.bool() {
@@ -91,17 +91,17 @@
         for requester in requesters {
             let delay_ms = self.latency_ms();
             let reply = None;
-            self.after(delay_ms, Event::Reply { requester, reply });
+            self.schedule_after(delay_ms, Event::Reply { requester, reply });
         }
     }
 
-    pub(super) fn lose_disk(&mut self, number: usize) {
-        self.machines[number].disk = Disk::default();
+    pub(super) fn lose_disk(&mut self, machine_index: usize) {
+        self.machines[machine_index].disk = Disk::default();
     }
 
-    /// A frozen or partitioned machine goes on: what was delayed arrives now, some of it is lost.
-    pub(super) fn resume(&mut self, number: usize) {
-        let machine = &mut self.machines[number];
+    /// Resumes a frozen or partitioned machine. Delayed events arrive now; after a partition some of them are lost.
+    pub(super) fn resume(&mut self, machine_index: usize) {
+        let machine = &mut self.machines[machine_index];
         let before = machine.state;
         if !before.is_impaired() {
             return;
@@ -112,7 +112,7 @@
             let is_lost = before != MachineState::Frozen && self.rng.bool();
             if !is_lost {
                 let delay_ms = self.latency_ms();
-                self.after(delay_ms, event);
+                self.schedule_after(delay_ms, event);
             }
         }
     }
--- a/crates/serving/turn-replication/tests/world/programs.rs
+++ b/crates/serving/turn-replication/tests/world/programs.rs
@@ -1,4 +1,4 @@
-//! Programs that take turns through gateways, and the check of the outcomes.
+//! Programs that write and read turns through gateways, and the checks of the outcomes.
 
 use bytes::Bytes;
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
@@ -9,24 +9,25 @@
 use super::machine::{wall_ms, Machine};
 use super::{Event, Requester, World, CATCH_UP_MS, RETENTION_MS};
 
-/// A store that started or returned so long ago is known to all, those far behind the core included.
+/// Time after which every gateway knows that a store has started or returned, in milliseconds, including gateways that
+/// lag far behind the core.
 const KNOWN_TO_ALL_AFTER_MS: u64 = CATCH_UP_MS;
 
-/// One program that takes turns one after the other.
+/// A program that writes one turn after the other.
 #[derive(Debug)]
 pub struct Program {
     name: String,
-    /// The newest turn that was acknowledged.
+    /// Id of the newest acknowledged turn.
     last: Option<String>,
     turns_left: u32,
 }
 
-/// What a read is for.
+/// The purpose of a read.
 #[derive(Clone, Copy, Debug)]
 pub enum ReadPurpose {
-    /// Only the outcome is checked.
+    /// Only check the outcome.
     Probe,
-    /// The program continues the turn.
+    /// Check the outcome, then let the program continue the turn.
     NextTurn { program: usize },
 }
 
@@ -47,7 +48,7 @@
     began_at_ms: u64,
 }
 
-/// Something in progress at a gateway.
+/// A read or write in progress at a gateway.
 pub enum Operation {
     Read(Read),
     Write(Write),
@@ -56,7 +57,7 @@
 /// A request of an operation to a store.
 struct Outgoing {
     store: String,
-    /// The turn that it is about.
+    /// Id of the turn that is read or written.
     id: String,
     request: StoreRequest,
 }
@@ -123,12 +124,12 @@
                 turns_left: 4,
             });
             let at_ms = 4_000 + self.rng.u64(0..1_000);
-            self.at(at_ms, Event::ProgramStep { program });
+            self.schedule_at(at_ms, Event::ProgramStep { program });
         }
-        self.at(5_000, Event::ProbeRead);
+        self.schedule_at(5_000, Event::ProbeRead);
     }
 
-    /// The program takes its next turn; one that has ended is followed by another.
+    /// Starts the next turn of a program; a program without turns left is replaced by a new program.
     pub(super) fn program_step(&mut self, program: usize) {
         if self.programs[program].turns_left == 0 {
             self.begin_program(program);
@@ -139,7 +140,7 @@
         }
     }
 
-    /// A new program, at times one that continues a turn of an earlier one.
+    /// Begins a new program, which sometimes continues a turn of an earlier program.
     fn begin_program(&mut self, program: usize) {
         let drawn = self.rng.u64(..);
         let guaranteed = self.history.guaranteed(self.now_ms);
@@ -153,9 +154,9 @@
         };
     }
 
-    /// Reads some guaranteed turn, and at times one that never was.
+    /// Reads a random guaranteed turn, or sometimes a turn that was never written.
     pub(super) fn probe_read(&mut self) {
-        self.after(120, Event::ProbeRead);
+        self.schedule_after(120, Event::ProbeRead);
         let guaranteed = self.history.guaranteed(self.now_ms);
         if guaranteed.is_empty() || self.rng.u8(0..8) == 0 {
             let never = format!("never-{:x}", self.rng.u64(..));
@@ -176,7 +177,7 @@
             ReadPurpose::Probe => program_of_turn(&id),
         };
         let stores = &self.gateways[gateway].stores;
-        let replicas = self.plan.tolerated + 1;
+        let replicas = self.plan.tolerated_losses + 1;
         let coordinator = ReadCoordinator::new(&id, &program, stores, replicas, self.now_ms);
         self.begin(Operation::Read(Read {
             coordinator,
@@ -205,7 +206,7 @@
         };
         self.history.turns.insert(turn.id.clone(), turn.clone());
         let stores = &self.gateways[gateway].stores;
-        let replicas = self.plan.tolerated + 1;
+        let replicas = self.plan.tolerated_losses + 1;
         let coordinator = WriteCoordinator::new(&turn.header(), stores, replicas, self.now_ms);
         self.begin(Operation::Write(Write {
             coordinator,
@@ -221,16 +222,16 @@
         self.advance(self.last_operation);
     }
 
-    /// Sends what an operation wants sent, ends it or waits on.
-    fn advance(&mut self, number: u64) {
-        let Some(mut operation) = self.operations.remove(&number) else {
+    /// Sends the pending requests of an operation, then ends the operation or schedules its next tick.
+    fn advance(&mut self, operation_id: u64) {
+        let Some(mut operation) = self.operations.remove(&operation_id) else {
             return;
         };
         let outgoing: Vec<Outgoing> = std::iter::from_fn(|| operation.poll()).collect();
         let due_ms = operation.next_due();
         for Outgoing { store, id, request } in outgoing {
             let requester = Requester::Gateway {
-                operation: number,
+                operation: operation_id,
                 store: store.clone(),
                 id,
             };
@@ -239,17 +240,22 @@
         let Some(operation) = self.end_if_finished(operation) else {
             return;
         };
-        self.operations.insert(number, operation);
+        self.operations.insert(operation_id, operation);
         if let Some(due_ms) = due_ms {
-            // A reply may arrive in the very moment that something is due; that call is still to come then.
+            // A due time equal to the current time is allowed: the tick for it may still be in the queue.
             if due_ms < self.now_ms {
-                self.fail("an operation was not called when it was due");
+                self.fail("an operation was not ticked when it was due");
             }
-            self.at(due_ms, Event::OperationDue { operation: number });
+            self.schedule_at(
+                due_ms,
+                Event::OperationDue {
+                    operation: operation_id,
+                },
+            );
         }
     }
 
-    /// Handles the outcome of an operation; returns one that has none yet.
+    /// Handles the outcome of a finished operation; returns an unfinished operation.
     fn end_if_finished(&mut self, operation: Operation) -> Option<Operation> {
         match operation {
             Operation::Read(mut read) => match read.coordinator.take_outcome() {
@@ -264,32 +270,32 @@
         None
     }
 
-    pub(super) fn operation_due(&mut self, number: u64) {
+    pub(super) fn operation_due(&mut self, operation_id: u64) {
         let now_ms = self.now_ms;
-        let Some(operation) = self.operations.get_mut(&number) else {
+        let Some(operation) = self.operations.get_mut(&operation_id) else {
             return;
         };
         operation.tick(now_ms);
         let next_due_ms = operation.next_due();
         if next_due_ms.is_some_and(|due_ms| due_ms <= now_ms) {
-            self.fail("an operation wants to be called at once again");
+            self.fail("the next tick of an operation is due immediately again");
         }
-        self.advance(number);
+        self.advance(operation_id);
     }
 
     pub(super) fn operation_replied(
         &mut self,
-        number: u64,
+        operation_id: u64,
         store: &str,
         id: &str,
         reply: Option<StoreReply>,
     ) {
         let now_ms = self.now_ms;
-        let Some(operation) = self.operations.get_mut(&number) else {
+        let Some(operation) = self.operations.get_mut(&operation_id) else {
             return;
         };
         operation.replied(store, id, reply, now_ms);
-        self.advance(number);
+        self.advance(operation_id);
     }
 
     fn read_ended(&mut self, outcome: &ReadOutcome, read: &Read) {
@@ -315,10 +321,12 @@
             ReadOutcome::Chain(turns) => {
                 self.statistics.chains += 1;
                 if !self.history.turns.contains_key(id) {
-                    self.fail(&format!("a chain was read for {id}, which never was"));
+                    self.fail(&format!(
+                        "a chain was read for {id}, which was never written"
+                    ));
                 }
                 if !turns.iter().eq(self.history.chain(id)) {
-                    self.fail(&format!("the chain of {id} is not what was written"));
+                    self.fail(&format!("the chain of {id} differs from the written chain"));
                 }
             }
             ReadOutcome::Unknown if is_guaranteed => {
@@ -329,10 +337,10 @@
             ReadOutcome::TooLong => self.fail(&format!("the chain of {id} is too long")),
             ReadOutcome::Uncertain => {
                 self.statistics.uncertain_reads += 1;
-                if is_guaranteed && self.is_calm(read.began_at_ms) {
+                if is_guaranteed && self.is_fault_free(read.began_at_ms) {
                     self.describe(id);
                     self.fail(&format!(
-                        "uncertain in a calm time: {id}, which was acknowledged"
+                        "uncertain without faults: {id}, which was acknowledged"
                     ));
                 }
             }
@@ -353,10 +361,12 @@
                 self.statistics.uncertain_writes += 1;
                 let was_avoidable = self.could_be_stored(write.began_at_ms);
                 self.statistics.avoidable_uncertain_writes += u64::from(was_avoidable);
-                if self.is_calm(write.began_at_ms) {
+                if self.is_fault_free(write.began_at_ms) {
                     let id = &write.turn.id;
                     self.describe(id);
-                    self.fail(&format!("uncertain in a calm time whether {id} is stored"));
+                    self.fail(&format!(
+                        "uncertain without faults whether the turn {id} is stored"
+                    ));
                 }
             }
         }
@@ -365,25 +375,26 @@
 
     fn step_later(&mut self, program: usize) {
         let delay_ms = self.rng.u64(50..600);
-        self.after(delay_ms, Event::ProgramStep { program });
+        self.schedule_after(delay_ms, Event::ProgramStep { program });
     }
 
-    /// As many stores as have to hold a turn were running, and known to be, all the time since `began_at_ms`.
+    /// Whether at least as many stores as have to hold a turn have been running, and were known to be running, since
+    /// `began_at_ms`.
     fn could_be_stored(&self, began_at_ms: u64) -> bool {
         let is_known_to_run = |machine: &&Machine| {
             let known_at_ms = machine.running_since_ms + KNOWN_TO_ALL_AFTER_MS;
             machine.is_reachable() && known_at_ms <= began_at_ms
         };
-        self.machines.iter().filter(is_known_to_run).count() > self.plan.tolerated
+        self.machines.iter().filter(is_known_to_run).count() > self.plan.tolerated_losses
     }
 
-    /// There has been no fault for long enough for every store to have caught up.
-    fn is_calm(&self, began_at_ms: u64) -> bool {
-        let calm_since_ms = self.calm_since_ms;
-        calm_since_ms.is_some_and(|since_ms| began_at_ms >= since_ms + CATCH_UP_MS)
+    /// Whether at `began_at_ms` there had been no fault for so long that every store had caught up.
+    fn is_fault_free(&self, began_at_ms: u64) -> bool {
+        let fault_free_since_ms = self.fault_free_since_ms;
+        fault_free_since_ms.is_some_and(|since_ms| began_at_ms >= since_ms + CATCH_UP_MS)
     }
 
-    /// Prints where a chain is stored.
+    /// Prints on which machines the turns of a chain are stored, and the membership.
     pub(super) fn describe(&self, id: &str) {
         for turn in self.history.chain(id) {
             let disks: Vec<String> = self
--- a/crates/serving/turn-replication/tests/write_coordinator.rs
+++ b/crates/serving/turn-replication/tests/write_coordinator.rs
@@ -1,4 +1,4 @@
-//! The write of one turn: which store is contacted when, and when there is a quorum.
+//! The write of one turn: which stores are contacted at what time, and when there is a quorum.
 
 mod common;
 
@@ -31,14 +31,18 @@
     assert!(contacted.iter().all(|write| write.hint.is_none()));
     coordinator.acknowledged(&ranked[0], 1);
     coordinator.acknowledged(&ranked[0], 2);
-    assert_eq!(coordinator.outcome(), None, "one store counted twice");
+    assert_eq!(
+        coordinator.outcome(),
+        None,
+        "an acknowledgement of one store counted twice"
+    );
     coordinator.acknowledged(&ranked[1], 3);
     assert_eq!(coordinator.outcome(), Some(WriteOutcome::Stored));
     assert_eq!(coordinator.next_due(), None);
 }
 
 #[test]
-fn a_replica_that_fails_gets_a_substitute_with_a_hint_at_once() {
+fn a_replica_that_fails_is_replaced_by_a_substitute_with_a_hint() {
     let stores = stores(4);
     let ranked = ranked_stores(PROGRAM, &stores);
     let mut coordinator = begin(&stores, 2);
@@ -58,7 +62,7 @@
 }
 
 #[test]
-fn a_slow_replica_gets_a_substitute_and_still_counts() {
+fn a_slow_replica_gets_a_substitute_but_its_acknowledgement_still_counts() {
     let stores = stores(3);
     let ranked = ranked_stores(PROGRAM, &stores);
     let mut coordinator = begin(&stores, 2);
@@ -141,7 +145,7 @@
 }
 
 #[test]
-fn two_stores_of_one_zone_are_not_two_zones() {
+fn acknowledgements_of_two_stores_in_one_zone_do_not_span_two_zones() {
     let mut stores = stores(4);
     for store in &mut stores {
         store.zone = if store.name.as_str() < "storage-2" {
@@ -161,13 +165,13 @@
     };
     let mut coordinator = begin(&stores, 2).spanning_zones(2);
     let first = writes(&mut coordinator);
-    let lost = first[1].store.clone();
+    let failed_store = first[1].store.clone();
     coordinator.acknowledged(&ranked[0], 1);
-    coordinator.failed(&lost, 1);
+    coordinator.failed(&failed_store, 1);
     let second = writes(&mut coordinator);
     assert_eq!(
         zone(&second[0].store),
-        zone(&lost),
+        zone(&failed_store),
         "the substitute is in the zone without a replica"
     );
     let same_zone = ranked
@@ -181,7 +185,7 @@
 }
 
 #[test]
-fn a_draining_store_is_contacted_last_of_those_present() {
+fn a_draining_store_is_contacted_last_among_present_stores() {
     let mut stores = stores(3);
     stores[0].retiring = true;
     let mut coordinator = begin(&stores, 2);
@@ -202,7 +206,7 @@
 }
 
 #[test]
-fn a_draining_store_goes_before_an_absent_one_and_a_retired_one_is_not_contacted() {
+fn a_draining_store_is_contacted_before_an_absent_store_and_a_retired_store_never() {
     let mut stores = stores(4);
     stores[0].retiring = true;
     stores[1].present = false;
