--- a/crates/serving/turn-replication/src/anti_entropy/mod.rs
+++ b/crates/serving/turn-replication/src/anti_entropy/mod.rs
@@ -28,8 +28,11 @@
 /// State of the pass for one store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PeerState {
+    /// The pull from the store begins at this time or later.
     Waiting { not_before_ms: u64 },
+    /// A pull from the store is in progress.
     Pulling,
+    /// The pull from the store has ended.
     Done,
 }
 
@@ -133,13 +136,13 @@
         loop {
             self.begin_pulls(now_ms);
             let mut finished = None;
-            for index_of_pull in 0..self.pulls.len() {
+            for pull_index in 0..self.pulls.len() {
                 let may_fetch = self.pages_in_flight() < MAX_PAGES_IN_FLIGHT;
-                let pull = &mut self.pulls[index_of_pull];
+                let pull = &mut self.pulls[pull_index];
                 match pull.advance(index, &mut self.claims, may_fetch) {
                     PullAction::Send(request) => return Some((pull.serial, request)),
                     PullAction::Wait => {}
-                    PullAction::Finished => finished = Some(index_of_pull),
+                    PullAction::Finished => finished = Some(pull_index),
                 }
             }
             let finished = self.pulls.remove(finished?);
--- a/crates/serving/turn-replication/src/handoff/queue.rs
+++ b/crates/serving/turn-replication/src/handoff/queue.rs
@@ -2,7 +2,7 @@
 
 use super::drain::Drain;
 use super::hints::{HintTable, HintTableFull};
-use super::transfer::{Step, Transfer, TransferSource};
+use super::transfer::{Step, Transfer, TransferReason};
 use crate::index::Index;
 use crate::membership::Candidate;
 
@@ -164,13 +164,13 @@
             now_ms,
         );
         let offered = page.turns.into_iter().map(|listed| listed.id).collect();
-        let source = TransferSource::Drain { next: page.next };
-        Some(Transfer::new(replica, source, offered))
+        let reason = TransferReason::Drain { next: page.next };
+        Some(Transfer::new(replica, reason, offered))
     }
 
     fn next_hint_page(&self, is_present: &impl Fn(&str) -> bool, now_ms: u64) -> Option<Transfer> {
         let (replica, offered) = self.hints.next_page(is_present, now_ms)?;
-        Some(Transfer::new(replica, TransferSource::Hints, offered))
+        Some(Transfer::new(replica, TransferReason::Hints, offered))
     }
 
     /// The other store replied to the offer with the turns that it does not hold.
@@ -205,12 +205,12 @@
             return;
         };
         let retry_at_ms = now_ms.saturating_add(HANDOFF_RETRY_MS);
-        match (transfer.source, &mut self.drain) {
-            (TransferSource::Hints, _) => self.hints.postpone(&transfer.peer, retry_at_ms),
-            (TransferSource::Drain { .. }, Some(drain)) => {
+        match (transfer.reason, &mut self.drain) {
+            (TransferReason::Hints, _) => self.hints.postpone(&transfer.peer, retry_at_ms),
+            (TransferReason::Drain { .. }, Some(drain)) => {
                 drain.postpone(&transfer.peer, retry_at_ms)
             }
-            (TransferSource::Drain { .. }, None) => {}
+            (TransferReason::Drain { .. }, None) => {}
         }
     }
 
@@ -219,12 +219,12 @@
         let Some(transfer) = self.transfer.take() else {
             return;
         };
-        match (transfer.source, &mut self.drain) {
-            (TransferSource::Hints, _) => self.hints.remove(&transfer.peer, &transfer.offered),
-            (TransferSource::Drain { next }, Some(drain)) => {
+        match (transfer.reason, &mut self.drain) {
+            (TransferReason::Hints, _) => self.hints.remove(&transfer.peer, &transfer.offered),
+            (TransferReason::Drain { next }, Some(drain)) => {
                 drain.finish_page(&transfer.peer, next)
             }
-            (TransferSource::Drain { .. }, None) => {}
+            (TransferReason::Drain { .. }, None) => {}
         }
     }
 
--- a/crates/serving/turn-replication/src/handoff/transfer.rs
+++ b/crates/serving/turn-replication/src/handoff/transfer.rs
@@ -5,8 +5,8 @@
 
 /// The reason for a transfer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum TransferSource {
-    /// The turns are hinted for the other store.
+pub(super) enum TransferReason {
+    /// The turns were accepted as a substitute for the other store.
     Hints,
     /// This store drains: the turns are one page of the turns that the other store should hold.
     Drain {
@@ -32,19 +32,19 @@
 #[derive(Debug)]
 pub(super) struct Transfer {
     pub(super) peer: String,
-    pub(super) source: TransferSource,
+    pub(super) reason: TransferReason,
     /// Ids of the offered turns.
     pub(super) offered: Vec<String>,
-    /// Ids of the offered turns that the other store lacks and was not sent yet, the next one last.
+    /// Ids of the offered turns that the other store lacks and that were not sent yet, the next one last.
     pub(super) missing: Vec<String>,
     pub(super) step: Step,
 }
 
 impl Transfer {
-    pub(super) fn new(peer: &str, source: TransferSource, offered: Vec<String>) -> Self {
+    pub(super) fn new(peer: &str, reason: TransferReason, offered: Vec<String>) -> Self {
         Self {
             peer: peer.to_owned(),
-            source,
+            reason,
             offered,
             missing: Vec::new(),
             step: Step::Offering,
--- a/crates/serving/turn-replication/src/node/bootstrap.rs
+++ b/crates/serving/turn-replication/src/node/bootstrap.rs
@@ -18,6 +18,7 @@
         self.is_registered |= is_registered;
     }
 
+    /// Handles the end of the disk job that records the disk as complete.
     pub(super) fn completeness_marked(&mut self, outcome: &DiskOutcome, now_ms: u64) {
         if *outcome == DiskOutcome::Failed {
             // Waits before the next attempt, so that a failing disk is not retried in a busy loop.
@@ -30,6 +31,7 @@
             .push_back(Effect::Declare(Declaration::Complete));
     }
 
+    /// Moves a new disk to the next phase once the conditions for that phase are met.
     pub(super) fn advance_bootstrap(&mut self, now_ms: u64) {
         if self.bootstrap == BootstrapPhase::Joining && self.is_known_to_all() {
             self.bootstrap = BootstrapPhase::Backfilling;
--- a/crates/serving/turn-replication/src/node/commits.rs
+++ b/crates/serving/turn-replication/src/node/commits.rs
@@ -12,6 +12,7 @@
 const MAX_REMOVALS_PER_JOB: usize = 256;
 
 impl StoreNode {
+    /// Queues turns for the next commit; if the queue is full, the waiting party is informed of the failure.
     pub(super) fn commit(&mut self, turns: Vec<RetainedTurn>, waiter: Waiter, now_ms: u64) {
         if let Err(rejection) = self.commits.push(turns, waiter.clone()) {
             self.commit_failed(waiter, rejection, now_ms);
@@ -65,6 +66,7 @@
         }
     }
 
+    /// Removes expired turns from the index, the hints and the disk, once per [`EXPIRY_SWEEP_MS`].
     pub(super) fn sweep_expired(&mut self, now_ms: u64) {
         if now_ms < self.next_sweep_at_ms {
             return;
--- a/crates/serving/turn-replication/src/node/completions.rs
+++ b/crates/serving/turn-replication/src/node/completions.rs
@@ -44,6 +44,7 @@
         }
     }
 
+    /// Starts searches for missing ancestors, and rejects puts whose missing ancestors no store has.
     pub(super) fn complete_chains(&mut self, now_ms: u64) {
         // A pull fetches turns by id, often before their ancestors, so ancestors are not
         // searched for while a pull may still bring them.
--- a/crates/serving/turn-replication/src/node/lifecycle.rs
+++ b/crates/serving/turn-replication/src/node/lifecycle.rs
@@ -7,6 +7,8 @@
 use crate::safeguards::Safeguard;
 
 impl StoreNode {
+    /// Enters the state that the membership requires, unless a valid declaration that the store is drained keeps it
+    /// drained.
     pub(super) fn update_lifecycle(&mut self, now_ms: u64) {
         match (self.lifecycle, Lifecycle::required_by(self.own_entry())) {
             // The declaration of this epoch is still valid.
@@ -63,6 +65,7 @@
         }
     }
 
+    /// Declares that the store is drained, once the conditions for this are met.
     pub(super) fn advance_drain(&mut self, now_ms: u64) {
         let Lifecycle::Draining { epoch } = self.lifecycle else {
             return;
--- a/crates/serving/turn-replication/src/node/requests.rs
+++ b/crates/serving/turn-replication/src/node/requests.rs
@@ -15,6 +15,7 @@
 const MAX_READ_BYTES_IN_FLIGHT: u64 = 16 << 20;
 
 impl StoreNode {
+    /// Stores a turn, or acknowledges it immediately if the turn and its chain are stored already.
     pub(super) fn put(&mut self, caller: CallerId, turn: Turn, hint: Option<String>, now_ms: u64) {
         let header = turn.header();
         let remaining_ms = header.retention_with_margin_ms();
@@ -71,6 +72,7 @@
         self.commit(vec![put.turn], waiter, now_ms);
     }
 
+    /// Reads the newest segment of the chain that ends in `id`, and extends the retention of the chain.
     pub(super) fn read_chain(&mut self, caller: CallerId, id: &str, now_ms: u64) {
         let Some(chain) = self.index.chain(id, CHAIN_PAGE_BYTES, now_ms) else {
             let reply = StoreReply::Unknown {
@@ -177,6 +179,7 @@
         self.reply(caller, reply);
     }
 
+    /// Adds the remaining retention to turns, and drops the turns that are no longer in the index.
     pub(super) fn with_remaining_retention(
         &self,
         turns: Vec<Turn>,
