--- a/crates/gateway/decisions/src/counter_price.rs
+++ b/crates/gateway/decisions/src/counter_price.rs
@@ -1,37 +1,39 @@
 //! The price of a call to the shared counter.
 //!
-//! Hundreds of limiters share a counter that can answer for a part of their invocations only; none hears of the
-//! others but by how quickly it answers. Each keeps a price that falls with quick answers and rises with slow ones and
-//! with none, and a call goes out by its stake over that price. So the calls of all come to what the counter bears and
-//! go where they are worth most. No clock and no random source: the caller gives time and chance.
+//! Hundreds of limiters share a counter that can handle only a part of their invocations, and the counter's response
+//! time is all that a limiter learns of the load from the others. Each limiter keeps a price that falls with quick
+//! replies and rises with slow or missing ones; the ratio of a call's stake to the price decides whether the call is
+//! made. The calls of all limiters thus add up to what the counter can handle, and the most valuable are made. There is
+//! no clock and no random source: the caller passes in the time and a random number.
 
 use crate::types::Counted;
 
-/// Weight of one answer's time in the running mean.
-const ANSWER_TIME_WEIGHT: f64 = 0.2;
-/// The price, in mean earnings, where all calls fail.
+/// Weight of one response time in the running mean.
+const RESPONSE_TIME_WEIGHT: f64 = 0.2;
+/// Price of a call, in mean earnings, when all calls fail.
 const MAX_PRICE: f64 = 10.0;
-/// Least fee of a call, as a share of the mean earnings: the price where all answers are quick.
+/// Least fee of a call, as a share of the mean earnings: the price when all replies are quick.
 const MIN_FEE: f64 = 0.01;
-/// An answer that takes half of the time-out is as bad as none: by then there is a long queue before it.
+/// Factor on response times as a share of the time-out. A reply after half of the time-out counts as none: by then the
+/// counter has a long queue.
 const TIMEOUT_SCALE: f64 = 2.0;
-/// The mean delay that a limiter starts with: hundreds may have started at once.
+/// Mean delay that a new limiter assumes; high, as hundreds of limiters may have started at once.
 const INITIAL_DELAY: f64 = 0.5;
 /// Weight of one invocation in the mean earnings.
 const EARNINGS_WEIGHT: f64 = 0.025;
-/// Time-outs after which one call goes out as a probe, whatever its stake.
+/// Time without calls, in time-outs, after which one call is made as a probe, whatever its stake.
 const PROBE_TIMEOUTS: f64 = 20.0;
-/// Failed calls in a row from which the counter counts as silent.
+/// Consecutive failed calls from which the counter counts as out of service.
 const OUTAGE_FAILURES: u32 = 3;
 
-/// What one limiter knows of the counter's load.
+/// One limiter's estimate of the counter's load.
 #[derive(Debug, Default)]
 pub struct CounterPrice {
     /// The counter's time-out in seconds.
     timeout: f64,
-    /// What one call for each invocation costs, as a share of what is earned.
+    /// Cost of calling the counter once for each invocation, as a share of the earnings.
     fee: f64,
-    /// Mean time of answers as a share of half the time-out, 1 at most; a failed call counts as 1.
+    /// Mean response time as a share of half the time-out, 1 at most; a failed call counts as 1.
     delay: f64,
     mean_earnings: f64,
     probe_at: f64,
@@ -41,7 +43,7 @@
 }
 
 impl CounterPrice {
-    /// With the counter's time-out in seconds, the fee, and the mean earnings of an invocation as configured.
+    /// Takes the counter's time-out in seconds, the fee of a call, and the configured mean earnings of an invocation.
     #[must_use]
     pub fn new(timeout: f64, fee: f64, mean_earnings: f64) -> Self {
         CounterPrice {
@@ -54,30 +56,30 @@
         }
     }
 
-    /// The mean earnings of the invocations seen lately.
+    /// Mean earnings of recent invocations.
     #[must_use]
     pub fn mean_earnings(&self) -> f64 {
         self.mean_earnings
     }
 
-    /// Takes what one more invocation earns into the mean.
+    /// Adds the earnings of one more invocation to the mean.
     pub fn add_earnings(&mut self, earnings: f64) {
         self.mean_earnings += EARNINGS_WEIGHT * (earnings - self.mean_earnings);
     }
 
-    /// Whether a call with this stake goes out now, by a chance from 0 to 1.
-    pub fn admits(&mut self, stake: f64, chance: f64, now: f64) -> bool {
+    /// Whether to make a call with this stake now; `random` is a random number from 0 to 1.
+    pub fn admits(&mut self, stake: f64, random: f64, now: f64) -> bool {
         let share = stake / self.price();
-        let admitted = chance < share * share || now >= self.probe_at;
+        let admitted = random < share * share || now >= self.probe_at;
         if admitted {
-            self.probe_at = now + PROBE_TIMEOUTS * self.timeout * (0.75 + chance / 2.0);
+            self.probe_at = now + PROBE_TIMEOUTS * self.timeout * (0.75 + random / 2.0);
         }
         admitted
     }
 
-    /// Takes in the counter's answer to one call, after so many seconds.
-    pub fn record(&mut self, answer: Counted, seconds: f64, now: f64) {
-        if matches!(answer, Counted::Total(_)) {
+    /// Records the counter's reply to one call, or its absence, and the response time in seconds.
+    pub fn record(&mut self, reply: Counted, seconds: f64, now: f64) {
+        if matches!(reply, Counted::Total(_)) {
             if self.failures >= OUTAGE_FAILURES {
                 self.outage_ended = now;
             }
@@ -93,21 +95,21 @@
         } else {
             1.0
         };
-        self.delay += ANSWER_TIME_WEIGHT * (delay - self.delay);
+        self.delay += RESPONSE_TIME_WEIGHT * (delay - self.delay);
     }
 
-    /// The price of a call: from its fee where answers are quick to several mean earnings where none come.
+    /// The price of a call: from its fee when replies are quick to several mean earnings when there are none.
     fn price(&self) -> f64 {
         self.mean_earnings * self.fee * (MAX_PRICE / self.fee).powf(self.delay)
     }
 
-    /// Since when the counter has been silent or refusing, if it is.
+    /// Start of the present outage, in which the counter does not reply or refuses; `None` if there is none.
     #[must_use]
     pub fn outage_since(&self) -> Option<f64> {
         (self.failures >= OUTAGE_FAILURES).then_some(self.outage_since)
     }
 
-    /// When its last outage ended; minus infinity if there was none.
+    /// End of the last outage; minus infinity if there was none.
     #[must_use]
     pub fn outage_ended(&self) -> f64 {
         self.outage_ended
--- a/crates/gateway/decisions/src/lib.rs
+++ b/crates/gateway/decisions/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of a quota-keeping gateway, without I/O or a clock.
+//! The admission, routing and retry decisions of a gateway that enforces quotas, without I/O or a clock.
 //!
-//! A [`Limiter`] decides on one gateway's invocations: it leases blocks of a customer's quota from a shared counter,
-//! admits from the lease, chooses the server and decides on retries. Its owner (the gateway on sockets, the adapter of
-//! the simulator) keeps connections and timers, passes on what it observes and carries out the [`types::Action`]s.
+//! A [`Limiter`] decides on the invocations of one gateway: it leases blocks of a customer's quota from a shared
+//! counter, admits invocations from the lease, chooses servers and decides on retries. The limiter's owner (the gateway
+//! or the simulator adapter) keeps connections and timers, reports events to the limiter and carries out the
+//! [`types::Action`]s that it returns.
 
 pub mod counter_price;
 mod limiter;
--- a/crates/gateway/decisions/src/limiter/accounts.rs
+++ b/crates/gateway/decisions/src/limiter/accounts.rs
@@ -1,14 +1,14 @@
-//! Accounts of customers, opened on first sight and closed when idle.
+//! Customer accounts, opened with a customer's first invocation and closed when idle.
 
 use super::tuning::{COUNTER_WINDOW, MIN_UNITS_PER_SHARE};
 use super::Limiter;
 use crate::state::{Account, Plan};
 use crate::types::Invocation;
 
-/// Accounts that each opening looks at for one to close.
+/// Accounts that are checked for idleness each time an account is opened.
 const EVICTION_STEPS: usize = 2;
 
-/// Idle for so long that it would have been full again.
+/// Whether the account has been idle for so long that its quota and its rate limit are full again.
 fn is_idle(account: &Account, plan: &Plan, now: f64) -> bool {
     let limit_refill = if plan.rate_limit.rate > 0.0 {
         plan.rate_limit.burst / plan.rate_limit.rate
@@ -23,8 +23,8 @@
 }
 
 impl Limiter {
-    /// Index of the customer's account, opened on first sight. Each opening closes idle ones, so that customers seen
-    /// once do not pile up.
+    /// Index of the customer's account, opened if there is none. An opening reuses the entry of an idle account if it
+    /// finds one, so that accounts of customers seen once do not accumulate.
     pub(super) fn account_of(&mut self, invocation: &Invocation, now: f64) -> usize {
         if let Some(&index) = self.by_customer.get(&invocation.customer) {
             return index;
@@ -50,16 +50,16 @@
     fn new_account(&self, invocation: &Invocation, now: f64) -> Account {
         let plan = &self.plans[invocation.plan];
         let gateways = f64::from(invocation.gateways.clamp(1, self.fleet_size));
-        // In a set so long that no gateway's share of the burst covers a unit a lease serves one invocation; what a
-        // refused one added would cost another call to take back, and windows forget it themselves.
+        // With so many gateways that no share of the burst covers a unit, a lease serves one invocation. Taking back
+        // the units of a refused add would cost another call; short windows drop them by themselves.
         let lease_serves_one = self.has_counter
             && plan.rate_limit.rate <= 0.0
             && plan.rate > 0.0
             && plan.burst < gateways;
-        // Where a share of the rate limit covers little, short windows bound leases whatever is forgotten.
-        let share_covers_little =
+        // Where a share of the rate limit is too small, short windows bound the leases even if the counter loses data.
+        let share_too_small =
             plan.allows_short_windows && plan.rate_limit.burst < MIN_UNITS_PER_SHARE * gateways;
-        let short_windows = lease_serves_one || share_covers_little;
+        let short_windows = lease_serves_one || share_too_small;
         let share = plan.rate_limit.share(gateways, short_windows);
         let window_length = if short_windows {
             plan.rate_limit.window(gateways).length
--- a/crates/gateway/decisions/src/limiter/admission.rs
+++ b/crates/gateway/decisions/src/limiter/admission.rs
@@ -1,23 +1,23 @@
-//! Admission: whether an invocation may be sent, now, later or never.
+//! Admission: whether an invocation is sent now, held or rejected.
 
 use super::counter_stake::WithoutCounter;
-use super::queue::Entry;
+use super::queue::QueueEntry;
 use super::tuning::{EWMA_WEIGHT, MAX_QUEUE_TIME, OVERLOAD};
 use super::Limiter;
 use crate::types::{Answer, Cause, Effect, Group, Invocation, Stage};
 
-/// Rounding that a lease allows for, in units.
+/// Rounding error in units that is tolerated when a lease is compared with an invocation.
 const LEASE_ROUNDING: f64 = 1e-6;
 
-/// Whether units for an invocation could be had.
+/// Result of taking units for an invocation.
 enum Units {
     Taken,
-    /// The answer to give instead.
-    Not(Answer),
+    /// No units were taken; the decision tells what to do with the invocation.
+    NotTaken(Answer),
 }
 
 impl Limiter {
-    /// Where to send this invocation: the ordinary path, top to bottom.
+    /// Decides where to send a new or held invocation, or to hold it, throttle it or end it.
     pub fn place(&mut self, invocation: &mut Invocation, now: f64) -> Answer {
         match invocation.stage {
             Stage::InFlight => return Answer::Hold,
@@ -31,29 +31,29 @@
         if now >= self.latest_start(invocation) {
             return self.throttle(invocation, Cause::Waited, self.latency_target, now);
         }
-        // A queue too long to clear in time is refused at once, before it costs quota.
+        // If the queue is too long to be served in time, the invocation is rejected before it takes quota.
         if invocation.stage == Stage::New {
-            let ahead = self.queue_position(invocation, Entry::First) as f64;
+            let ahead = self.queue_position(invocation, QueueEntry::FirstAttempt) as f64;
             let clears = ahead * self.fleet_latency / self.total_concurrency.max(1.0);
             if clears > MAX_QUEUE_TIME {
                 let pause = clears * self.operations[invocation.operation].latency_target;
                 return self.throttle(invocation, Cause::Queue, pause, now);
             }
         }
-        // Over the rate limit nothing else matters: no lease, no server.
+        // Over the rate limit, neither a lease nor a server is sought.
         let over_limit = self.rate_limit_wait(index, invocation, now);
         if let (Some(pause), false) = (over_limit, self.accounts[index].short_windows) {
             return self.throttle(invocation, Cause::Ceiling, pause, now);
         }
         if !invocation.has_units && !invocation.is_beyond_quota {
-            if let Units::Not(answer) = self.take_units(index, invocation, now) {
+            if let Units::NotTaken(answer) = self.take_units(index, invocation, now) {
                 return answer;
             }
             invocation.has_units = true;
         }
         if invocation.stage != Stage::Queued {
             invocation.stage = Stage::Queued;
-            if self.enqueue(invocation, Entry::First) > 0 {
+            if self.enqueue(invocation, QueueEntry::FirstAttempt) > 0 {
                 return Answer::Hold;
             }
         }
@@ -71,15 +71,15 @@
         account.demand_at = now;
     }
 
-    /// Admits from the lease while its units cover the invocation; renews it when they do not.
+    /// Takes the invocation's units from the lease, and renews the lease if its units do not cover the invocation.
     fn take_units(&mut self, index: usize, invocation: &mut Invocation, now: f64) -> Units {
         let account = &self.accounts[index];
         let plan = &self.plans[invocation.plan];
-        // A plan limited by attempts in flight gets an even whole share of the limit, at least one.
+        // The plan's limit on attempts in flight is divided evenly over the gateways, at least one for each.
         let max_in_flight = (plan.max_in_flight / account.gateways).floor().max(1.0);
         if plan.max_in_flight > 0.0 && account.in_flight >= max_in_flight {
             let target = self.latency_target;
-            return Units::Not(self.beyond_quota(invocation, Cause::Open, target, now));
+            return Units::NotTaken(self.beyond_quota(invocation, Cause::Open, target, now));
         }
         if plan.rate <= 0.0 {
             return Units::Taken;
@@ -87,16 +87,16 @@
         let covered =
             now < account.lease_expires_at && account.lease + LEASE_ROUNDING >= invocation.units;
         if covered {
-            // What was leased in a short window lies under the rate limit by itself.
+            // Units leased in a short window already lie within the rate limit.
             invocation.drew_rate_limit = account.short_windows;
-        } else if let Units::Not(answer) = self.renew_lease(index, invocation, now) {
-            return Units::Not(answer);
+        } else if let Units::NotTaken(answer) = self.renew_lease(index, invocation, now) {
+            return Units::NotTaken(answer);
         }
         self.accounts[index].lease -= invocation.units;
         Units::Taken
     }
 
-    /// Asks the counter for a lease, or decides without it: the local share, or no room.
+    /// Requests a lease from the counter, or decides without the counter: takes from the local share or rejects.
     fn renew_lease(&mut self, index: usize, invocation: &mut Invocation, now: f64) -> Units {
         let account = &mut self.accounts[index];
         let plan = &self.plans[invocation.plan];
@@ -105,14 +105,14 @@
                 account.waiting.push(invocation.num);
             }
             invocation.stage = Stage::AwaitingCounter;
-            return Units::Not(Answer::Hold);
+            return Units::NotTaken(Answer::Hold);
         }
         let room = plan.burst - account.backlog_now(plan, now);
         if account.backlog_at > 0.0 && room < invocation.units {
             let pause = (invocation.units - room) / plan.rate;
-            return Units::Not(self.beyond_quota(invocation, Cause::Quota, pause, now));
+            return Units::NotTaken(self.beyond_quota(invocation, Cause::Quota, pause, now));
         }
-        // A crowded counter is asked first where a wrong guess costs most.
+        // While the counter is busy, it is called first for invocations whose wrong decision would cost most.
         let over_limit = self.accounts[index].short_windows
             && self.rate_limit_wait(index, invocation, now).is_some();
         let without_counter = if !over_limit && self.local_share_covers(index, invocation, now) {
@@ -121,16 +121,16 @@
             WithoutCounter::Reject
         };
         let stake = self.stake(index, invocation, without_counter, now);
-        // Who waited for a call that failed decides without: asking again adds to the crowd.
-        let lately_failed = now - self.accounts[index].add_failed_at < self.counter_timeout;
-        if !lately_failed
+        // Invocations whose counter call failed are decided without the counter: another call would add to its load.
+        let recently_failed = now - self.accounts[index].add_failed_at < self.counter_timeout;
+        if !recently_failed
             && self.has_counter
             && self.counter_price.admits(stake, self.rng.f64(), now)
         {
             self.request_lease(index, invocation, now);
             self.accounts[index].waiting.push(invocation.num);
             invocation.stage = Stage::AwaitingCounter;
-            return Units::Not(Answer::Hold);
+            return Units::NotTaken(Answer::Hold);
         }
         match without_counter {
             WithoutCounter::Admit => {
@@ -139,12 +139,13 @@
             }
             WithoutCounter::Reject => {
                 let pause = self.max_retry_after;
-                Units::Not(self.beyond_quota(invocation, Cause::Unasked, pause, now))
+                Units::NotTaken(self.beyond_quota(invocation, Cause::Unasked, pause, now))
             }
         }
     }
 
-    /// Beyond the quota: throttled at once, unless the plan says that an excess pays and servers idle.
+    /// Throttles an invocation beyond the quota, or sends it where the plan earns more than it costs and servers are
+    /// idle.
     fn beyond_quota(
         &mut self,
         invocation: &mut Invocation,
@@ -162,7 +163,7 @@
         self.throttle(invocation, cause, pause, now)
     }
 
-    /// Ends an invocation without a response of a server: throttled where a repeat does no harm, else an error.
+    /// Ends an invocation without a server's response: throttles it where a repeat is harmless, else returns an error.
     pub(super) fn throttle(
         &mut self,
         invocation: &mut Invocation,
@@ -189,7 +190,8 @@
         self.finish(invocation, answer)
     }
 
-    /// Units leased for an invocation that was never sent go back to the lease, but not into another short window.
+    /// Returns the units of an invocation that was never sent to the lease, or to the local share if the lease has
+    /// expired or belongs to another short window.
     fn return_units(&mut self, invocation: &Invocation, now: f64) {
         let Some(&index) = self.by_customer.get(&invocation.customer) else {
             return;
@@ -216,23 +218,23 @@
         )
     }
 
-    /// Ends an invocation with this answer, or its time in the queue.
+    /// Removes an invocation from the queue and marks it as done; returns the decision unchanged.
     pub(super) fn finish(&mut self, invocation: &mut Invocation, answer: Answer) -> Answer {
         if invocation.stage == Stage::Queued {
-            // Guards against a queue that stands with nothing in flight: whoever leaves it wakes its head.
+            // Guards against a queue that stalls with no attempt in flight: each departure wakes the head of the queue.
             self.queue.retain(|&(_, num)| num != invocation.num);
-            self.reconsider_head();
+            self.place_queue_head();
         }
         invocation.stage = Stage::Done;
         answer
     }
 
-    /// The client disconnected, or the owner lost the invocation.
+    /// Ends an invocation whose client disconnected or that the owner lost.
     pub fn disconnected(&mut self, invocation: &mut Invocation) {
         self.finish(invocation, Answer::Done);
     }
 
-    /// Seconds to wait: for an attempt until it is abandoned, for a held invocation until it is placed again.
+    /// Seconds until the attempt in flight is abandoned, or until a held invocation is placed again.
     #[must_use]
     pub fn wait(&self, invocation: &Invocation, now: f64) -> f64 {
         match invocation.stage {
--- a/crates/gateway/decisions/src/limiter/counter_lease.rs
+++ b/crates/gateway/decisions/src/limiter/counter_lease.rs
@@ -1,5 +1,5 @@
-//! Leases on the shared counter. One add asks for a lease and reports what was admitted without one; its answer, the
-//! total of the window, shows how much room the customer has over all gateways.
+//! Leases from the shared counter. One add requests units for a lease and reports units admitted without one; the
+//! reply, the total of the window, shows how much room the customer has over all gateways.
 
 use super::counter_window::{window_at, WindowBounds};
 use super::tuning::{EVEN_CHANCE, EWMA_WEIGHT, LEASE_SHRINK_FACTOR, LEASE_SPANS};
@@ -8,52 +8,52 @@
 use crate::types::{Action, Counted, Invocation};
 use std::collections::VecDeque;
 
-/// A total that is off by less than this is left as it is.
+/// Least error of a total, in units, that is corrected.
 const MIN_CORRECTION: f64 = 0.5;
 
-/// What the counter's answer means for this limiter.
+/// Interpretation of the counter's reply to a lease request.
 struct Grant {
     /// Units leased; 0 if there is no room.
     units: f64,
-    /// Units that were free before.
+    /// Units that were free before this add.
     room: f64,
     /// Units that the window held before this add.
     total_before: f64,
-    /// The total as it should be.
+    /// The correct total after this add.
     target: f64,
-    /// What the total is off by.
+    /// Difference from the actual to the correct total.
     correction: f64,
-    /// The total is to be put right by `correction`.
+    /// Whether to send the correction to the counter.
     corrects: bool,
 }
 
 impl Account {
-    /// What the next add reports; what was admitted a while ago has been earned again at an even share.
+    /// Units to report with the next add, less the units that an even share of the rate has allowed since.
     pub(super) fn take_unreported(&mut self, plan: &Plan, now: f64) -> f64 {
         let earned = plan.rate / self.gateways * (now - self.unreported_at);
         self.unreported_at = now;
         (self.unreported - earned).max(self.unreported.min(0.0))
     }
 
-    /// The backlog, less what the rate has allowed since it was heard.
+    /// The backlog of the last reply, less the units that the rate has allowed since.
     pub(super) fn backlog_now(&self, plan: &Plan, now: f64) -> f64 {
         (self.backlog - plan.rate * (now - self.backlog_at)).max(0.0)
     }
 
-    /// How likely the customer has room, by its own answers, or by its plan's where there was none.
+    /// Probability that the customer has room, from replies about the customer, or about its plan if there are none.
     pub(super) fn likelihood_of_room(&self, plan: &Plan, repeat: bool) -> f64 {
-        let usual = plan.had_room[usize::from(repeat)];
+        let plan_likelihood = plan.had_room[usize::from(repeat)];
         if self.backlog_at <= 0.0 {
-            usual
+            plan_likelihood
         } else if repeat {
-            self.room_likelihood.min(usual)
+            self.room_likelihood.min(plan_likelihood)
         } else {
             self.room_likelihood
         }
     }
 }
 
-/// Units for this limiter: what it asked for, shrunk near the limit, and none beyond it.
+/// Units leased to this limiter: as requested, fewer near the limit, and none beyond it.
 fn grant_units(account: &Account, call: &PendingAdd, room: f64, window_over: bool) -> f64 {
     let mut units = call.requested;
     if units * account.gateways > room {
@@ -65,8 +65,8 @@
     units
 }
 
-/// Reads the counter's answer. The name holds units admitted since the window began; what stands above what the rate
-/// allows is backlog, and the burst is the most that it may be.
+/// Interprets the counter's total: the units admitted since the window began. The excess over what the rate allows is
+/// the backlog, which is at most the burst.
 fn read_total(
     account: &Account,
     plan: &Plan,
@@ -76,16 +76,22 @@
     now: f64,
 ) -> Grant {
     let total_before = total - call.add;
-    // Guards against an emptied counter: a total far under the last one heard lost its units, so what is known here is
-    // put back. Gives a peer's large return back too late by one span at worst.
+    // Guards against a counter that lost its data: if the total is far below the last known one, the backlog known here
+    // is restored. Where the cause was a large return by another limiter, its units become available one span late at
+    // worst.
     let known = account.backlog_now(plan, now);
-    let forgot = !account.short_windows
+    let counter_lost_data = !account.short_windows
         && account.window == call.window
         && total_before - bounds.allowed < known - plan.burst;
-    let least_backlog = (if forgot { known } else { call.carried } - call.returned).max(0.0);
-    // An idle customer's store holds the burst at most: the rest is written off once demand could use it. Guards
-    // against units beyond the quota, which take nothing, and what was added in vain: with hundreds of limiters their
-    // sum stood for seconds where there was room. A store is never under 0.
+    let least_backlog = if counter_lost_data {
+        known
+    } else {
+        call.carried
+    };
+    let least_backlog = (least_backlog - call.returned).max(0.0);
+    // An idle customer accumulates the burst at most: allowance beyond it is written off once demand could use it. The
+    // upper bound guards against units that were added but not leased and against units beyond the quota, which use up
+    // no allowance: with hundreds of limiters, their sum occupied free room for seconds. Room is never negative.
     let backlog = (total_before - call.returned - bounds.allowed)
         .max(least_backlog)
         .min(bounds.max_units);
@@ -94,11 +100,12 @@
     let units = grant_units(account, call, room, window_over);
     let target = bounds.allowed + (backlog + call.reported + units).min(bounds.max_units);
     let correction = target - total;
-    // In a long set one invocation says little: else a call would follow each answer.
+    // Where many gateways serve the customer, one invocation is no sign of demand: otherwise a correction would follow
+    // each reply.
     let busy =
         account.demand * account.gateways > plan.burst / 2.0 && account.demand > call.min_units;
     let may_write_off = busy || least_backlog > 0.0 || correction > plan.burst;
-    // A short window that had no room is shut until it ends, so nothing is put right there.
+    // A short window without room admits nothing until it ends, so its total is not corrected.
     let corrects = if account.short_windows {
         units > 0.0 && correction < -MIN_CORRECTION
     } else {
@@ -115,7 +122,7 @@
 }
 
 impl Limiter {
-    /// One add to the customer's window name, sized to local demand and shrunk near the limit.
+    /// Sends one add to the counter name of the customer's window, sized to local demand and smaller near the limit.
     pub(super) fn request_lease(&mut self, index: usize, invocation: &Invocation, now: f64) {
         let min_units = invocation.units;
         let account = &mut self.accounts[index];
@@ -131,13 +138,13 @@
             wanted
         };
         let same_window = account.window == window;
-        // A new name starts at nothing: the backlog known here goes over with the first add.
+        // The counter name of a new window starts at 0: the first add carries the known backlog over.
         let carried = if same_window || account.short_windows {
             0.0
         } else {
             backlog
         };
-        // Units left of the last lease go back with the same add.
+        // The same add returns the units left of the last lease.
         let returned = if same_window || !account.short_windows {
             account.lease.min(backlog).max(0.0)
         } else {
@@ -160,8 +167,8 @@
         });
     }
 
-    /// The counter's answer to the oldest add under this name, after so many seconds.
-    pub fn counted(&mut self, name: u64, answer: Counted, seconds: f64, now: f64) {
+    /// Processes the counter's reply to the oldest pending add to this name; `seconds` is the response time.
+    pub fn counted(&mut self, name: u64, reply: Counted, seconds: f64, now: f64) {
         let Some(call) = self
             .pending_adds
             .get_mut(&name)
@@ -172,20 +179,21 @@
         if self.pending_adds[&name].is_empty() {
             self.pending_adds.remove(&name);
         }
-        self.counter_price.record(answer, seconds, now);
-        match answer {
+        self.counter_price.record(reply, seconds, now);
+        match reply {
             Counted::Total(total) if call.requested > 0.0 => self.take_lease(call, total, now),
             Counted::Total(total) => self.check_correction(call, total),
             Counted::Refused => {
-                self.put_back(&call, now);
+                self.restore_refused(&call, now);
                 self.fail_add(&call, now);
             }
             Counted::Silent => self.fail_add(&call, now),
         }
     }
 
-    /// Nothing was added: what the add was to report or return goes with the next one, a write-off does not.
-    fn put_back(&mut self, call: &PendingAdd, now: f64) {
+    /// Restores the state after a refused add: its reports and returns are repeated with the next add, a write-off is
+    /// not.
+    fn restore_refused(&mut self, call: &PendingAdd, now: f64) {
         let account = &mut self.accounts[call.account];
         let plan = &self.plans[account.plan];
         let correction = if call.requested > 0.0 {
@@ -206,8 +214,8 @@
         }
     }
 
-    /// Guards against gateways that write off the same rest at once: whoever finds more than it wrote takes its own
-    /// back, else the customer would owe a whole window's rate.
+    /// Guards against gateways that write off the same unused allowance at once: a gateway that finds a total above its
+    /// own write-off takes its write-off back. Otherwise the customer would owe a whole window's rate.
     fn check_correction(&mut self, call: PendingAdd, total: f64) {
         let burst = self.plans[self.accounts[call.account].plan].burst;
         let written_twice = (total - call.min_units).min(call.add);
@@ -226,7 +234,7 @@
         let plan = &mut self.plans[account.plan];
         let bounds = WindowBounds::new(account, plan, call.window, outage_ended, now);
         let grant = read_total(account, plan, &call, &bounds, total, now);
-        let first_answer = account.backlog_at <= 0.0;
+        let first_reply = account.backlog_at <= 0.0;
         account.window = call.window;
         account.backlog_at = now;
         account.lease = grant.units;
@@ -240,21 +248,21 @@
         } else {
             grant.total_before + call.requested < bounds.allowed
         };
-        learn_room(account, plan, call.repeat, first_answer, has_room);
+        learn_room(account, plan, call.repeat, first_reply, has_room);
         if account.short_windows {
-            // Who found it full is shut out until it ends, and no longer, whatever was added beyond.
-            let shut_out = call.min_units - plan.rate * (bounds.ends - now);
+            // A full window rejects this gateway until the window ends and no longer, however far the total exceeds it.
+            let full_until_end = call.min_units - plan.rate * (bounds.ends - now);
             let free = if has_room {
                 grant.room - grant.units
             } else {
-                shut_out
+                full_until_end
             };
             account.backlog = plan.burst - free;
             account.lease_expires_at = bounds.ends;
         } else {
-            // Guards against totals that are put right a moment later: over its burst none is believed.
-            let believed = if grant.corrects { grant.target } else { total };
-            account.backlog = (believed - bounds.allowed).min(plan.burst);
+            // Guards against totals that are corrected a moment later: a backlog above the burst is not believed.
+            let corrected = if grant.corrects { grant.target } else { total };
+            account.backlog = (corrected - bounds.allowed).min(plan.burst);
             account.lease_expires_at = now + LEASE_SPANS * plan.span;
         }
         if grant.corrects {
@@ -270,27 +278,27 @@
         self.wake_waiting(index);
     }
 
-    /// Asks the owner to place the invocations again that waited for this account's add.
+    /// Asks the owner to place again all invocations that waited for this account's add.
     pub(super) fn wake_waiting(&mut self, index: usize) {
         self.actions
             .extend(self.accounts[index].waiting.drain(..).map(Action::Ask));
     }
 }
 
-/// Takes one answer into the likelihood that the customer, and customers of its plan, have room.
+/// Updates the likelihood that the customer, and customers of its plan, have room.
 fn learn_room(
     account: &mut Account,
     plan: &mut Plan,
     repeat: bool,
-    first_answer: bool,
+    first_reply: bool,
     has_room: bool,
 ) {
-    let seen = f64::from(u8::from(has_room));
-    if first_answer {
-        let usual = &mut plan.had_room[usize::from(repeat)];
-        account.room_likelihood = *usual;
-        *usual += EWMA_WEIGHT / 4.0 * (seen - *usual);
+    let sample = f64::from(u8::from(has_room));
+    if first_reply {
+        let plan_likelihood = &mut plan.had_room[usize::from(repeat)];
+        account.room_likelihood = *plan_likelihood;
+        *plan_likelihood += EWMA_WEIGHT / 4.0 * (sample - *plan_likelihood);
     }
     let weight = if account.below_rate { 1.0 } else { EVEN_CHANCE };
-    account.room_likelihood += weight * (seen - account.room_likelihood);
+    account.room_likelihood += weight * (sample - account.room_likelihood);
 }
--- a/crates/gateway/decisions/src/limiter/counter_window.rs
+++ b/crates/gateway/decisions/src/limiter/counter_window.rs
@@ -1,4 +1,4 @@
-//! Windows of the shared counter: each customer's units are counted under a name for each window.
+//! Windows of the shared counter: each customer has a counter name of its own for each window.
 
 use super::tuning::{COUNTER_NAME_LIFETIME, LEASE_SPANS};
 use super::Limiter;
@@ -7,19 +7,20 @@
 use crate::types::{About, Action};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Seed that keeps a customer's phase apart from the names of its windows.
+/// Hash seed of a customer's phase.
 const PHASE_SEED: u64 = 7;
-/// 2 to the power of 53, one more than the largest integer that a double holds among all smaller ones.
+/// 2 to the power of 53: scales the upper 53 bits of a hash, which a double represents exactly, to a fraction of 1.
 const TWO_POW_53: f64 = 9007199254740992.0;
 
-/// The same at every gateway.
-fn mix(a: u64, b: u64) -> u64 {
-    xxh3_64_with_seed(&a.to_le_bytes(), b)
+/// A hash that is the same at every gateway.
+fn hash(value: u64, seed: u64) -> u64 {
+    xxh3_64_with_seed(&value.to_le_bytes(), seed)
 }
 
-/// Windows are staggered over customers, so that leases do not all end together: seconds from 0 to `length`.
+/// Offset of the customer's windows, from 0 to `length` seconds: windows are staggered over customers, so that leases
+/// do not all expire together.
 pub(super) fn phase(customer: u64, length: f64) -> f64 {
-    (mix(customer, PHASE_SEED) >> 11) as f64 / TWO_POW_53 * length
+    (hash(customer, PHASE_SEED) >> 11) as f64 / TWO_POW_53 * length
 }
 
 /// Number of the account's window at this time.
@@ -28,17 +29,17 @@
     (since_phase / account.window_length).floor() as i64
 }
 
-/// When a window of the account starts.
+/// Start time of a window of the account.
 pub(super) fn window_start(account: &Account, window: i64) -> f64 {
     window as f64 * account.window_length - phase(account.customer, account.window_length)
 }
 
-/// What one counter window holds, as it stands at the counter's answer.
+/// End and limit of one counter window at the time of the counter's reply.
 pub(super) struct WindowBounds {
     pub ends: f64,
     /// Units that the rate has allowed since the window's start.
     pub allowed: f64,
-    /// Units beyond these that may be leased.
+    /// Units that may be leased beyond the allowed ones.
     pub max_units: f64,
 }
 
@@ -59,10 +60,11 @@
                 max_units: plan.burst,
             };
         }
-        // A short window holds what was leased in it. One that lately filled a window, or used turns, gets no more
-        // than its rate gives in one.
-        let lately_full = now - account.window_full_at.max(outage_ended) < LEASE_SPANS * plan.span;
-        let max_units = if lately_full {
+        // A short window counts only the units leased in it. After a customer recently filled a window, or limiters may
+        // have used turns in an outage, a window allows no more than the quota's rate.
+        let recently_full =
+            now - account.window_full_at.max(outage_ended) < LEASE_SPANS * plan.span;
+        let max_units = if recently_full {
             plan.rate * account.window_length
         } else {
             plan.rate_limit.window(account.gateways).max_units
@@ -76,7 +78,7 @@
 }
 
 impl Limiter {
-    /// Sends one add to the name of its window.
+    /// Sends one add to the counter name of its window.
     pub(super) fn send_add(&mut self, call: PendingAdd) {
         let account = &self.accounts[call.account];
         let plan = &self.plans[account.plan];
@@ -96,7 +98,7 @@
             rate,
             most: max_units,
         };
-        let name = mix(account.customer, call.window as u64) >> 1;
+        let name = hash(account.customer, call.window as u64) >> 1;
         self.actions.push_back(Action::Count {
             name,
             add: call.add,
--- a/crates/gateway/decisions/src/limiter/endpoints.rs
+++ b/crates/gateway/decisions/src/limiter/endpoints.rs
@@ -1,25 +1,25 @@
-//! The list of servers, as discovery reports it.
+//! Updates of the server list from discovery.
 
 use super::tuning::{HEALTHY_LATENCY, INITIAL_CONCURRENCY};
 use super::Limiter;
 use crate::types::{Action, Readiness, Server};
 
-/// Longest time between two requests for the endpoints, seconds, before it is spread out.
+/// Longest pause before a lost watch of the endpoints is renewed, seconds, without jitter.
 const MAX_WATCH_PAUSE: f64 = 0.5;
 
 impl Limiter {
-    /// The endpoints: changed entries, or the complete list.
+    /// Applies changed entries of the endpoint list, or the complete list.
     pub fn endpoints(&mut self, entries: &[Server], complete: bool, now: f64) {
         if complete {
             self.servers.is_live.fill(false);
         }
         for entry in entries {
-            self.take_entry(entry, now);
+            self.apply_entry(entry, now);
         }
-        self.reconsider_head();
+        self.place_queue_head();
     }
 
-    fn take_entry(&mut self, entry: &Server, now: f64) {
+    fn apply_entry(&mut self, entry: &Server, now: f64) {
         let index = entry.tgt;
         self.servers.grow_to(
             index,
@@ -27,8 +27,8 @@
             HEALTHY_LATENCY / 2.0,
         );
         if entry.started_at > self.servers.started_at[index] {
-            self.forget_server(index, entry.started_at);
-            // Hundreds of limiters that each send one at once push it over: first sends are spread out.
+            self.reset_server(index, entry.started_at);
+            // First sends are spread out: one from each of hundreds of limiters at once would overload the server.
             if now < entry.started_at + self.warm_up_time {
                 let interval = self.slow_start(index, now).interval;
                 let first = interval.max(self.latency_target);
@@ -42,8 +42,8 @@
         servers.cell[index] = entry.cell;
     }
 
-    /// A new start: warming up, and nothing learned of the old process holds.
-    fn forget_server(&mut self, index: usize, started_at: f64) {
+    /// Resets a restarted server: it is warming up, and the figures of the old process do not apply to it.
+    fn reset_server(&mut self, index: usize, started_at: f64) {
         let servers = &mut self.servers;
         servers.warming_since[index] = servers.warming_since[index].max(started_at);
         servers.concurrency[index] = INITIAL_CONCURRENCY / f64::from(self.fleet_size);
@@ -55,15 +55,15 @@
         servers.on_probation[index] = false;
     }
 
-    /// The watch broke; it is asked for again soon, however long latency targets are.
+    /// The watch of the endpoints was lost: it is renewed soon, however long the latency targets are.
     pub fn watch_lost(&mut self) {
         let pause = self.latency_target.min(MAX_WATCH_PAUSE) * (1.0 + self.rng.f64());
-        let again = Action::Tick(pause);
+        let renewal = Action::Tick(pause);
         self.actions
-            .extend(self.endpoints_on_request.then_some(again));
+            .extend(self.endpoints_on_request.then_some(renewal));
     }
 
-    /// The time that an [`Action::Tick`] asked for is over.
+    /// The time of an [`Action::Tick`] is over: the watch of the endpoints is renewed.
     pub fn tick(&mut self) {
         self.actions
             .extend(self.endpoints_on_request.then_some(Action::WatchEndpoints));
--- a/crates/gateway/decisions/src/limiter/local_share.rs
+++ b/crates/gateway/decisions/src/limiter/local_share.rs
@@ -1,16 +1,17 @@
-//! The local share of a quota, which stands in for a counter that is silent or too dear to ask.
+//! The local share of a quota, from which a limiter admits while the counter is silent or too expensive to call.
 
 use super::tuning::LEASE_SPANS;
 use super::Limiter;
 use crate::types::Invocation;
 
-/// Rounding that a comparison of units allows for.
+/// Rounding error in units that is tolerated when units are compared.
 const ROUNDING: f64 = 1e-9;
 
 impl Limiter {
-    /// Without the counter each limiter admits its share of the quota, opened as far as the plan's price of an excess
-    /// allows. Guards against sets so long that no share covers one invocation: where it earns more than it risks, one
-    /// is admitted for each span. What is admitted is owed to the counter.
+    /// Whether the local share covers the invocation. The share is an even part of the quota, multiplied where
+    /// exceeding the quota costs little. Guards against customers with so many gateways that no share covers one
+    /// invocation: one is admitted in each span if it earns more than it risks. Units admitted here are reported to
+    /// the counter later.
     pub(super) fn local_share_covers(
         &mut self,
         index: usize,
@@ -20,7 +21,7 @@
         let expected = self.expected_earnings(invocation, now);
         let account = &mut self.accounts[index];
         let plan = &self.plans[account.plan];
-        // A customer that was heard to use less than its rate may come unevenly: here it gets the whole.
+        // A customer below its rate may be spread unevenly over its gateways: it gets the whole quota here.
         let share = if account.below_rate {
             1.0
         } else {
@@ -30,7 +31,7 @@
         if since > plan.span {
             let room = plan.burst - account.backlog_now(plan, now);
             let likelihood = account.likelihood_of_room(plan, invocation.repeat);
-            // Where servers are short, an invocation admitted costs what it keeps out.
+            // Where servers are scarce, an admitted invocation displaces another one.
             let gains = expected * (likelihood - (1.0 - likelihood) * plan.excess_cost);
             let pays = gains > self.crowding * self.counter_price.mean_earnings();
             let least = if pays {
@@ -47,7 +48,7 @@
         account.local_units + ROUNDING >= invocation.units
     }
 
-    /// Takes units from the local share, as a lease that the counter has yet to hear of.
+    /// Takes units from the local share as a lease that has yet to be reported to the counter.
     pub(super) fn admit_without_counter(&mut self, index: usize, units: f64, now: f64) {
         let account = &mut self.accounts[index];
         let plan = &self.plans[account.plan];
--- a/crates/gateway/decisions/src/limiter/mod.rs
+++ b/crates/gateway/decisions/src/limiter/mod.rs
@@ -1,9 +1,9 @@
-//! The decisions of a [`Limiter`], a module for each concern. An invocation's way, top down: [`admission`] (queue
-//! time, rate limit, lease), [`counter_lease`] (units from the shared counter), [`server_choice`], [`retry`].
+//! The decisions of a [`Limiter`], one module for each concern. An invocation passes through [`admission`] (queue time,
+//! rate limit, lease), [`counter_lease`] (units from the shared counter), [`server_choice`] and [`retry`].
 //!
-//! The owner asks `place` (where to send this invocation, or not yet, or never), `after` (what to do after this
-//! outcome) and `wait` (how long to wait). It passes on what it observes by `endpoints`, `counted`, `disconnected`,
-//! `watch_lost`, `fleet_verdict` and `tick`, and after each call carries out what `next_action` yields.
+//! The owner calls `place` for a new or held invocation, `attempt_ended` for the end of an attempt, and `wait_time` for
+//! the time until the next timer. It reports events with `update_endpoints`, `counter_answered`, `disconnected`,
+//! `watch_lost`, `fleet_verdict` and `tick`. After each call it carries out the actions that `next_action` returns.
 
 mod accounts;
 mod admission;
--- a/crates/gateway/decisions/src/limiter/rate_limiting.rs
+++ b/crates/gateway/decisions/src/limiter/rate_limiting.rs
@@ -5,9 +5,9 @@
 use crate::types::Invocation;
 
 impl Limiter {
-    /// This limiter draws on its own share of the rate limit, so that no counter, restart or uneven entry can add up
-    /// past it. The share starts at nothing with the limiter: an earlier incarnation may have spent the rest. Over it,
-    /// the time until the share covers the invocation.
+    /// The time until this limiter's share of the rate limit covers the invocation, or `None` if it does now. Each
+    /// limiter draws on its own share, so that no counter fault, restart or uneven distribution exceeds the limit. A
+    /// new limiter's share is empty: an earlier process may have used up the rest.
     pub(super) fn rate_limit_wait(
         &mut self,
         index: usize,
@@ -20,7 +20,7 @@
             return None;
         }
         let share = limit.share(account.gateways, account.short_windows);
-        // Where no share covers a unit, the limiters admit by turns while the counter is silent.
+        // Where no share covers a unit, the limiters admit in turns while the counter is silent.
         if account.short_windows && share.burst <= 0.0 {
             let first = invocation.first_gateway % self.fleet_size;
             let rank = (self.fleet_index + self.fleet_size - first) % self.fleet_size;
@@ -38,7 +38,7 @@
         (account.rate_limit_units < invocation.units).then(|| missing / share.rate)
     }
 
-    /// Takes the units of an invocation that is sent off the rate limit, or uses the turn.
+    /// Charges an invocation that is sent to the rate limit, or uses up the turn.
     pub(super) fn draw_rate_limit(&mut self, index: usize, invocation: &mut Invocation) {
         if invocation.drew_rate_limit {
             return;
--- a/crates/gateway/decisions/src/limiter/retry.rs
+++ b/crates/gateway/decisions/src/limiter/retry.rs
@@ -1,19 +1,19 @@
-//! What to do after an attempt: done, a retry, or giving up.
+//! What follows an attempt: completion, a retry or an error.
 
-use super::queue::Entry;
+use super::queue::QueueEntry;
 use super::tuning::{EVEN_CHANCE, HEALTHY_LATENCY, MAX_QUEUE_TIME, MAX_RETRIES, OVERLOAD};
 use super::Limiter;
 use crate::types::{Answer, Cause, Effect, Ending, Invocation, Outcome, Stage};
 
 impl Limiter {
-    /// What to do after this outcome.
+    /// Records the end of an attempt and decides what to do with the invocation.
     pub fn after(&mut self, invocation: &mut Invocation, outcome: &Outcome, now: f64) -> Answer {
         let Some(&(server, sent_at)) = invocation.attempts.get(outcome.n) else {
             return Answer::Done;
         };
         invocation.in_flight = invocation.in_flight.saturating_sub(1);
         self.record_outcome(server, invocation, outcome, sent_at, now);
-        self.reconsider_head();
+        self.place_queue_head();
         let first_that_ran = invocation
             .first_possible_run
             .is_none_or(|first| outcome.n < first);
@@ -36,7 +36,7 @@
         self.finish(invocation, Answer::Error)
     }
 
-    /// Takes what the outcome tells of the customer's use into its account.
+    /// Updates the customer's account with the usage that the outcome reports.
     fn settle_account(&mut self, invocation: &Invocation, outcome: &Outcome) {
         let Some(&index) = self.by_customer.get(&invocation.customer) else {
             return;
@@ -47,7 +47,7 @@
         let over_rate = outcome
             .used
             .is_some_and(|used| used * rate > rate + invocation.units);
-        // A meter well over the rate tells without the counter that the limiters admit too much.
+        // A metered usage well above the rate shows, without the counter, that the limiters admit too much.
         if over_rate {
             account.local_units = 0.0;
             account.below_rate = false;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A retry goes out only where it is allowed, can still earn, and adds nothing to an overload.
+    /// Whether a retry is allowed, can still earn something, and does not add to an overload.
     fn may_retry(&self, invocation: &Invocation, now: f64) -> bool {
         invocation.attempts.len() < self.max_attempts.min(MAX_RETRIES + 1)
             && self.overload < OVERLOAD
@@ -71,11 +71,11 @@
         if let Some(server) = self.choose_server(invocation, now) {
             return self.send(invocation, server, now);
         }
-        self.enqueue(invocation, Entry::Again);
+        self.enqueue(invocation, QueueEntry::Retry);
         Answer::Hold
     }
 
-    /// No effect twice: whether another attempt is allowed now.
+    /// Whether another attempt is allowed now without the risk that the invocation takes effect twice.
     #[must_use]
     pub fn resendable(&self, invocation: &Invocation, now: f64) -> bool {
         let Some(first_that_ran) = invocation.first_possible_run else {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// When an unsent invocation, or one between attempts, can no longer be answered in time.
+    /// Latest time at which an attempt can start and still be answered in time.
     pub(super) fn latest_start(&self, invocation: &Invocation) -> f64 {
         let operation = &self.operations[invocation.operation];
         let target_ends = if operation.pays_late {
@@ -104,7 +104,7 @@
         if !invocation.attempts.is_empty() {
             return latest;
         }
-        // Guards against a counter that is slow beside short targets: its time-out is waited out.
+        // The counter's time-out may exceed the queue time that a short latency target allows; it is always waited for.
         let max_wait = (MAX_QUEUE_TIME * operation.latency_target).max(self.counter_timeout);
         latest.min(invocation.arrived_at + max_wait)
     }
--- a/crates/gateway/decisions/src/limiter/server_choice.rs
+++ b/crates/gateway/decisions/src/limiter/server_choice.rs
@@ -1,34 +1,35 @@
-//! The choice of a server, and sending to it.
+//! The choice of a server for an attempt, and the bookkeeping of sends.
 
 use super::tuning::{EWMA_WEIGHT, HEALTHY_LATENCY, MAX_RETRIES, OVERLOAD, TIMEOUT_MEANS};
 use super::Limiter;
 use crate::types::{Answer, Cause, Effect, Group, Invocation, Stage};
 
-/// What a response from another zone costs, as a multiple of one from the own zone.
+/// Cost of a server in another zone, as a multiple of one in the limiter's own zone.
 const OTHER_ZONE_COST: f64 = 1.05;
-/// Least success rate and latency that a server's cost is worked out with.
+/// Lower bounds of the success rate and the latency in the calculation of a server's cost.
 const MIN_SUCCESS: f64 = 0.05;
 const MIN_LATENCY: f64 = 0.02;
-/// Random part of a server's cost, so that gateways do not all choose the same.
+/// Random part of a server's cost, so that gateways do not all choose the same server.
 const JITTER: f64 = 0.1;
-/// One in so many servers stays in use, however many are ejected.
-const ALWAYS_IN_USE: usize = 4;
+/// Ejections are ignored if fewer than one in this many live servers would stay in use.
+const EJECTION_FLOOR_DIVISOR: usize = 4;
 
 /// The pace of sends to a server in slow start.
 pub(super) struct SlowStart {
     /// Seconds between two sends.
     pub interval: f64,
-    /// No server of the fleet is warm.
+    /// Whether no server of the fleet is warm.
     pub none_warm: bool,
 }
 
 impl Limiter {
-    /// The server with capacity that should answer soonest; one that was not tried before goes first.
+    /// The server with capacity and the lowest cost; servers that this invocation has not tried come first.
     pub(super) fn choose_server(&mut self, invocation: &Invocation, now: f64) -> Option<usize> {
         self.fade(now);
         let in_use = self.servers_in_use(now);
         let servers = &self.servers;
-        // A server's concurrency may be under one where many limiters share it: then not all are in use at once.
+        // A server's concurrency limit may be below one where many limiters share it; then not all servers can be in
+        // use at once.
         self.total_concurrency = in_use.iter().map(|&index| servers.concurrency[index]).sum();
         let in_flight: f64 = in_use.iter().map(|&index| servers.in_flight[index]).sum();
         if in_flight + 1.0 > self.total_concurrency.max(1.0) {
@@ -51,8 +52,8 @@
         best.map(|(_, index)| index)
     }
 
-    /// Live servers that are not ejected. Guards against a signal that condemns the whole fleet: if more than three in
-    /// four are ejected, all are in use.
+    /// Live servers that are not ejected. Guards against a fault that makes the whole fleet look unhealthy: if more
+    /// than three in four are ejected, all live servers are in use.
     fn servers_in_use(&self, now: f64) -> Vec<usize> {
         let servers = &self.servers;
         let mut in_use: Vec<usize> = (0..servers.is_live.len())
@@ -62,13 +63,14 @@
             .iter()
             .filter(|&&index| servers.ejected_until[index] > now)
             .count();
-        if (in_use.len() - ejected) * ALWAYS_IN_USE >= in_use.len() {
+        if (in_use.len() - ejected) * EJECTION_FLOOR_DIVISOR >= in_use.len() {
             in_use.retain(|&index| servers.ejected_until[index] <= now);
         }
         in_use
     }
 
-    /// Expected time of a response. A server whose ejection is over gets its probe at once, with one attempt.
+    /// Relative expected response time of a server. A server whose ejection is over costs 0, so that it is probed with
+    /// one attempt at once.
     fn cost(&mut self, index: usize) -> f64 {
         let servers = &self.servers;
         if servers.on_probation[index] {
@@ -96,9 +98,9 @@
         if in_flight + 1.0 > limit || servers.paced_until[index] > now {
             return false;
         }
-        // Guards against servers that take work and answer nothing, before any time-out tells: with attempts in flight
-        // and no response for half a target, each further one waits another half for each in flight. So one that loses
-        // a part of what it takes stays in use, a hung one hardly.
+        // Guards against servers that accept attempts and never respond, before a time-out shows it: after half a
+        // latency target without a response, a further attempt waits for another half target per attempt in flight. A
+        // server that loses some attempts stays in use; one that hangs gets hardly any.
         let half_target = HEALTHY_LATENCY * self.latency_target;
         let silent_for = now - servers.silent_since[index];
         let sent_ago = now - servers.sent_at[index];
@@ -107,7 +109,7 @@
             || silent_for.min(sent_ago) > half_target * in_flight
     }
 
-    /// Whether this server would recognise a repeat of what may have run elsewhere.
+    /// Whether this server would recognise the token of an invocation that may have run on another server.
     fn recognises_repeat(&self, invocation: &Invocation, index: usize) -> bool {
         let Some(first_that_ran) = invocation.first_possible_run else {
             return true;
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Sends an invocation to this server, if a repeat and the rate limit allow it.
+    /// Sends an invocation to this server if the rules for repeats and the rate limit allow it.
     pub(super) fn send(&mut self, invocation: &mut Invocation, server: usize, now: f64) -> Answer {
         if !self.resendable(invocation, now) {
             return self.finish(invocation, Answer::Error);
@@ -146,8 +148,8 @@
         Answer::Send(server)
     }
 
-    /// When an attempt that starts now is abandoned. Leaves time for a retry where one could follow; else the attempt
-    /// has until the end.
+    /// Time at which an attempt that starts now is abandoned. Leaves time for a retry where one could follow; otherwise
+    /// the attempt has until the client's deadline.
     fn attempt_deadline(&self, invocation: &Invocation, now: f64) -> f64 {
         let operation = &self.operations[invocation.operation];
         let may_retry = self.overload < OVERLOAD
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Takes a send into the figures of its server and of the fleet.
+    /// Records a send in the figures of its server and of the fleet.
     fn note_send(&mut self, server: usize, now: f64) {
         let decay = (-(now - self.recent_sends_at) / (2.0 * self.latency_target)).exp();
         self.recent_sends *= decay;
@@ -190,8 +192,9 @@
         }
     }
 
-    /// Time between sends to a server in slow start: it gets its present part of what a warm one gets and a lead on it,
-    /// half of what pushes it over when the warm ones are full, if the other limiters do alike.
+    /// Pace of sends to a server in slow start. With its present share of capacity it gets that share of a warm
+    /// server's load, times a lead: if all limiters do the same and the warm servers are full, that is half of the load
+    /// that would overload it.
     pub(super) fn slow_start(&self, server: usize, now: f64) -> SlowStart {
         let servers = &self.servers;
         let warm = (0..servers.is_live.len())
--- a/crates/gateway/decisions/src/limiter/setup.rs
+++ b/crates/gateway/decisions/src/limiter/setup.rs
@@ -1,4 +1,4 @@
-//! A limiter as its settings make it.
+//! Construction of a limiter from its settings.
 
 use super::tuning::{COUNTER_WINDOW, EVEN_CHANCE, HEALTHY_LATENCY, MIN_WINDOW_BURST};
 use super::Limiter;
@@ -42,7 +42,7 @@
     }
 }
 
-/// What an invocation earns on average over all operations and plans.
+/// Average earnings of an invocation over all operations and plans.
 fn mean_earnings(operations: &[Operation], plans: &[Plan]) -> f64 {
     let earnings = operations
         .iter()
@@ -51,7 +51,7 @@
 }
 
 impl Limiter {
-    /// A limiter that starts now, with nothing known of customers and servers.
+    /// A limiter that starts now, without customers and servers.
     #[must_use]
     pub fn new(settings: &Settings, now: f64) -> Self {
         let operations: Vec<Operation> = settings.operations.iter().map(Operation::from).collect();
@@ -106,12 +106,12 @@
         }
     }
 
-    /// The next thing for the owner to carry out, in order.
+    /// Takes the next action for the owner to carry out, in order.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// Number of customers with an account here.
+    /// Number of customers with an account at this limiter.
     #[must_use]
     pub fn customers(&self) -> usize {
         self.by_customer.len()
--- a/crates/gateway/decisions/src/rate_limit.rs
+++ b/crates/gateway/decisions/src/rate_limit.rs
@@ -1,42 +1,43 @@
-//! A hard rate limit kept by limiters that cannot hear each other: even shares for each, short windows for what a
-//! shared counter leases, and turns for a counter that is silent. No state and no clock; the owner of a share, a
-//! window or a turn gives the time. What may go out by each way adds up to the limit at most.
+//! A hard rate limit that limiters enforce without communicating: an even share for each limiter, short windows for
+//! units leased from a shared counter, and turns for the time when the counter is silent. Together they admit no more
+//! than the limit. There is no state and no clock: the caller passes in the time.
 
-/// Two windows meet at their border: what both lease lies within one burst.
+/// Windows whose units can be used at one moment, at the border between them; both have to fit into one burst.
 const ADJACENT_WINDOWS: f64 = 2.0;
 
-/// One customer's rate limit, in units and units a second, with the quota under it.
+/// One customer's rate limit and the quota below it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateLimit {
-    /// Units a second; 0 where there is no rate limit.
+    /// Units per second; 0 when there is no rate limit.
     pub rate: f64,
-    /// The most units at once.
+    /// Burst, units.
     pub burst: f64,
-    /// The quota's units a second.
+    /// The quota's units per second.
     pub quota_rate: f64,
-    /// The quota's most units at once.
+    /// The quota's burst, units.
     pub quota_burst: f64,
 }
 
 /// One limiter's share of a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// The most units at once; 0 where turns take the place of shares.
+    /// Burst, units; 0 where turns replace shares.
     pub burst: f64,
 }
 
-/// A short window in which a counter leases units.
+/// A short window in which units are leased from a counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
-    /// Units that may be leased in one window; over many windows, fractions add up.
+    /// Units that may be leased in one window; fractions add up over many windows.
     pub max_units: f64,
-    /// Seconds.
+    /// Length of the window, seconds.
     pub length: f64,
 }
 
-/// Whole invocations in the window with this number, of so much in each: many windows add up to all of it.
+/// Whole units of the window with this number, where `max_units` may be a fraction: rounded so that many windows
+/// together hold `max_units` each on average.
 #[must_use]
 pub fn whole_units_in(max_units: f64, window: i64) -> f64 {
     let up_to = |n: i64| (max_units * n as f64 + 1e-6).floor();
@@ -44,8 +45,8 @@
 }
 
 impl RateLimit {
-    /// One limiter's even share; with short windows for the quota, what these leave, as long as the burst covers a
-    /// unit: else none of the burst.
+    /// One limiter's even share. With short windows for the quota it is a share of what the windows leave; its burst
+    /// is 0 where it would not cover one unit.
     #[must_use]
     pub fn share(&self, gateways: f64, short_windows: bool) -> Share {
         if !short_windows {
@@ -61,8 +62,8 @@
         }
     }
 
-    /// A short window: with the shares, two windows are no more than the limit's burst, and one after the other no
-    /// more than its rate.
+    /// The short window for leases. Together with the shares, two adjacent windows stay within the limit's burst and a
+    /// sequence of windows within its rate.
     #[must_use]
     pub fn window(&self, gateways: f64) -> Window {
         if self.rate <= 0.0 {
@@ -84,10 +85,10 @@
         }
     }
 
-    /// The last turn of the limiter with this rank among the customer's gateways: the time at which it earned one
-    /// unit, if that still holds. All limiters earn the limit's rate one after the other, and a unit holds for as long
-    /// as the rate takes to fill the burst; so over any time no more is earned and held than the limit gives, if
-    /// nothing else is admitted. The phase keeps customers apart.
+    /// The last turn of the limiter with this rank among the customer's gateways: the time at which the limiter earned
+    /// one unit, or `None` if that unit has expired. The limiters earn the limit's rate one after the other, and a unit
+    /// is valid for the time in which the rate fills the burst, so the turns alone never exceed the limit. The phase
+    /// staggers the turns of different customers.
     #[must_use]
     pub fn turn(&self, gateways: f64, rank: f64, phase: f64, now: f64) -> Option<f64> {
         let round = gateways / self.rate;
--- a/crates/gateway/decisions/src/state.rs
+++ b/crates/gateway/decisions/src/state.rs
@@ -1,5 +1,5 @@
-//! What a limiter keeps about operations, plans, customers, counter calls and servers: data only. The modules of
-//! [`crate::limiter`] decide what becomes of it. Times are seconds on the owner's clock.
+//! State of a limiter: operations, plans, customer accounts, pending counter calls and servers. The logic is in the
+//! modules of [`crate::limiter`]. Times are seconds on the owner's clock.
 
 use crate::counter_price::CounterPrice;
 use crate::rate_limit::RateLimit;
@@ -12,7 +12,7 @@
     /// The latency target, seconds.
     pub latency_target: f64,
     pub billed_value: f64,
-    /// A response after the latency target still earns something.
+    /// Whether a response after the latency target still earns something.
     pub pays_late: bool,
 }
 
@@ -29,94 +29,94 @@
 
 /// One plan that customers subscribe to: its quota, rate limit and prices.
 pub(crate) struct Plan {
-    /// The quota: units a second, and the most that may be saved up.
+    /// The quota, units per second, and the most unused units that accumulate.
     pub rate: f64,
     pub burst: f64,
-    /// Most attempts in flight at once; 0 where there is no such limit.
+    /// Most attempts in flight at once; 0 when unlimited.
     pub max_in_flight: f64,
-    /// Lifetime of a lease, and the span over which demand is measured.
+    /// Time in which the rate fills the burst: the unit of lease lifetimes and of the measurement of demand.
     pub span: f64,
     pub rate_limit: RateLimit,
-    /// Leases may be counted in short windows.
+    /// Whether leases may be counted in short windows.
     pub allows_short_windows: bool,
-    /// An invocation beyond the quota earns more than it costs.
+    /// Whether an invocation beyond the quota earns more than it costs.
     pub beyond_pays: bool,
-    /// Recent share of customers with room, of those first met and asked about; the clients' repeats apart.
+    /// Recent share of customers that had room at the first counter reply about them; first requests and repeats.
     pub had_room: [f64; 2],
-    /// What one invocation earns, as a multiple of its operation's billed value.
+    /// Earnings of an invocation as a multiple of its operation's billed value.
     pub price: f64,
-    /// The part of that which an invocation beyond the quota costs.
+    /// Net cost of an invocation beyond the quota, as a share of an invocation's earnings.
     pub excess_cost: f64,
-    /// How far the local share opens while the counter is silent: the cheaper an excess, the wider.
+    /// Multiplies the local share while the counter is silent; larger where exceeding the quota costs less.
     pub local_share_factor: f64,
 }
 
-/// What this limiter knows of one customer.
+/// State of one customer at this limiter.
 #[derive(Default)]
 pub(crate) struct Account {
     pub customer: u64,
     pub plan: usize,
-    /// Number of gateways that this customer's invocations come through.
+    /// Number of gateways that serve this customer.
     pub gateways: f64,
-    /// Units wanted lately, decayed over the plan's span, and when that was last brought up to date.
+    /// Units requested recently, decayed over the plan's span, and the time of the last update.
     pub demand: f64,
     pub demand_at: f64,
     /// Units left of the lease.
     pub lease: f64,
     pub lease_expires_at: f64,
-    /// Units that the counter stood above what the rate allows, when it last answered.
+    /// Units by which the counter's total exceeded the rate's allowance at the last reply, and the time of that reply.
     pub backlog: f64,
     pub backlog_at: f64,
-    /// Number of the counter window that the lease came from.
+    /// Number of the counter window from which the lease was granted.
     pub window: i64,
-    /// Units to report with the next add: admitted without a lease, or a correction that was refused.
+    /// Units to report with the next add: admitted without a lease, or left from a correction that was refused.
     pub unreported: f64,
     pub unreported_at: f64,
-    /// The counter's last answer showed less use than the rate.
+    /// Whether the counter's last reply showed a usage below the rate.
     pub below_rate: bool,
-    /// How likely the customer has room, by the counter's answers.
+    /// Estimated probability that the customer has room, learned from the counter's replies.
     pub room_likelihood: f64,
     pub add_pending: bool,
     pub add_failed_at: f64,
     /// Invocations that wait for the pending add.
     pub waiting: Vec<u64>,
-    /// Units of the local share that stands in for a silent counter.
+    /// Units left of the local share, which replaces leases while the counter is silent.
     pub local_units: f64,
     pub local_units_at: f64,
-    /// Leases are counted in short windows, of `window_length`.
+    /// Whether leases are counted in short windows of `window_length`.
     pub short_windows: bool,
     pub window_length: f64,
-    /// When a window last had no room.
+    /// Time at which a window last had no room.
     pub window_full_at: f64,
     /// Units left of this limiter's share of the rate limit.
     pub rate_limit_units: f64,
     pub rate_limit_at: f64,
-    /// The turn that may be used now, and the last one used.
+    /// Start of the turn that may be used now, and of the last turn used.
     pub next_turn: Option<f64>,
     pub used_turn: f64,
     /// Attempts in flight.
     pub in_flight: f64,
 }
 
-/// One add that waits for the counter's answer. A correction requests nothing and expects `min_units` as the total.
+/// One add that waits for the counter's reply. A correction requests nothing and expects `min_units` as the total.
 pub(crate) struct PendingAdd {
     pub account: usize,
     pub add: f64,
     /// Units requested for the lease.
     pub requested: f64,
-    /// Fewer units would serve nobody.
+    /// Fewest units that cover one invocation.
     pub min_units: f64,
     /// Backlog carried over into a new window.
     pub carried: f64,
-    /// Units reported that were admitted without a lease.
+    /// Units admitted without a lease that this add reports.
     pub reported: f64,
-    /// Units returned from the previous lease.
+    /// Units of the previous lease that this add returns.
     pub returned: f64,
     pub window: i64,
     pub repeat: bool,
 }
 
-/// Figures about servers, by dense index.
+/// State of the servers, each field indexed by server.
 #[derive(Default)]
 pub(crate) struct Servers {
     pub is_live: Vec<bool>,
@@ -126,28 +126,28 @@
     pub started_at: Vec<f64>,
     /// Attempts of this limiter in flight.
     pub in_flight: Vec<f64>,
-    /// Attempts that this limiter may have in flight; below one where many limiters share a server.
+    /// Limit on this limiter's attempts in flight; below one where many limiters share a server.
     pub concurrency: Vec<f64>,
-    /// When the concurrency last shrank.
+    /// Time at which the concurrency limit was last reduced.
     pub shrunk_at: Vec<f64>,
     /// Recent response time as a share of the latency target.
     pub latency: Vec<f64>,
     /// Recent share of attempts that failed.
     pub failures: Vec<f64>,
-    /// Earliest time since which attempts are in flight without a response of any kind.
+    /// Time since which attempts have been in flight without any response.
     pub silent_since: Vec<f64>,
     pub sent_at: Vec<f64>,
     pub ejected_until: Vec<f64>,
-    /// Length of the last ejection.
+    /// Duration of the last ejection, seconds.
     pub ejection_time: Vec<f64>,
-    /// After an ejection, until one attempt succeeds.
+    /// Set from an ejection until an attempt succeeds.
     pub on_probation: Vec<bool>,
-    /// Slow start: nothing is sent before this time.
+    /// Slow start: no attempt is sent before this time.
     pub paced_until: Vec<f64>,
 }
 
 impl Servers {
-    /// Adds servers, none of them live, until there is one with this index.
+    /// Appends servers that are not live until this index exists.
     pub fn grow_to(&mut self, index: usize, concurrency: f64, latency: f64) {
         while self.is_live.len() <= index {
             self.is_live.push(false);
@@ -170,14 +170,14 @@
     }
 }
 
-/// One gateway's limiter: decides on its invocations and asks its owner for what has to be done.
+/// The limiter of one gateway: decides on the gateway's invocations and returns actions for its owner.
 ///
-/// All its values are plain; see [`crate::types`]. It is driven by one caller at a time.
+/// Exchanges plain values with its owner; see [`crate::types`]. It is driven by one caller at a time.
 #[derive(Default)]
 pub struct Limiter {
     pub(crate) operations: Vec<Operation>,
     pub(crate) plans: Vec<Plan>,
-    /// Number of limiters, and this one's index among them.
+    /// Number of limiters in the fleet, and the index of this one.
     pub(crate) fleet_size: u32,
     pub(crate) fleet_index: u32,
     pub(crate) zone: usize,
@@ -186,44 +186,46 @@
     /// Longest `Retry-After` that clients honour.
     pub(crate) max_retry_after: f64,
     pub(crate) max_attempts: usize,
-    /// A warming server starts with this share of its capacity and has all of it after `warm_up_time`.
+    /// A server starts with this share of its capacity and reaches all of it after `warm_up_time`.
     pub(crate) warm_up_from: f64,
     pub(crate) warm_up_time: f64,
+    /// Factor by which a warming server gets more than its present share of the load.
     pub(crate) slow_start_lead: f64,
-    /// Time that a repeat is kept clear of the end of its token's window.
+    /// Safety margin before the end of a token's window within which no repeat is sent.
     pub(crate) response_slack: f64,
     pub(crate) endpoints_on_request: bool,
-    /// The shortest latency target of all operations, the unit of time for health.
+    /// The shortest latency target of all operations: the time scale of the health figures.
     pub(crate) latency_target: f64,
     pub(crate) started_at: f64,
     pub(crate) rng: fastrand::Rng,
     pub(crate) servers: Servers,
     pub(crate) by_customer: HashMap<u64, usize>,
     pub(crate) accounts: Vec<Account>,
-    /// Where the search for idle accounts stands.
+    /// Index of the account that the search for idle accounts looked at last.
     pub(crate) eviction_hand: usize,
-    /// Adds without an answer, by the counter's name, the oldest first.
+    /// Adds that wait for a reply, by counter name, oldest first.
     pub(crate) pending_adds: HashMap<u64, VecDeque<PendingAdd>>,
     pub(crate) counter_price: CounterPrice,
-    /// Billed value of the operation and number of those that wait for a server, the dearest first.
+    /// Invocations that wait for a server, as billed value and number; the highest value first.
     pub(crate) queue: VecDeque<(f64, u64)>,
     /// Recent share of attempts that were late or rejected as overload.
     pub(crate) overload: f64,
     /// Recent share of invocations with units that got no server.
     pub(crate) crowding: f64,
-    /// Recent share of failed attempts at all servers.
+    /// Recent share of failed attempts over all servers.
     pub(crate) fleet_failures: f64,
-    /// Recent share of those awaited for long that never had a response.
+    /// Recent share of long-awaited attempts that never got a response.
     pub(crate) unanswered: f64,
+    /// Time at which the health figures were last decayed.
     pub(crate) faded_at: f64,
-    /// Sum of the concurrency of the servers in use, when last counted.
+    /// Sum of the concurrency limits of the servers in use at the last choice of a server.
     pub(crate) total_concurrency: f64,
-    /// When concurrencies below one last shrank.
+    /// Time at which concurrency limits below one were last reduced.
     pub(crate) small_limits_shrunk_at: f64,
-    /// Recent response time of all servers as a share of the latency target; with time-outs, and without.
+    /// Recent response time of all servers as a share of the latency target, including and excluding time-outs.
     pub(crate) fleet_latency: f64,
     pub(crate) answered_latency: f64,
-    /// Recent sends to warm servers.
+    /// Decayed number of recent sends to warm servers, and the time of its last update.
     pub(crate) recent_sends: f64,
     pub(crate) recent_sends_at: f64,
     pub(crate) actions: VecDeque<Action>,
--- a/crates/gateway/decisions/src/types.rs
+++ b/crates/gateway/decisions/src/types.rs
@@ -1,77 +1,77 @@
-//! Plain values that pass between the decisions and their owner. Times are seconds on one clock; servers, zones, plans
-//! and operations are small dense indices that the owner hands out.
+//! Plain values that a limiter and its owner exchange. Times are seconds on the owner's clock; servers, zones, plans
+//! and operations are small dense indices that the owner assigns.
 
-/// Which servers recognise a repeat of a tokened invocation.
+/// The servers that recognise the idempotency token of an invocation that one of them has already run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Group {
     /// All servers.
     All,
-    /// Servers of the zone in which it ran.
+    /// Servers of the zone in which the invocation ran.
     Zone,
-    /// Servers of the cell in which it ran.
+    /// Servers of the cell in which the invocation ran.
     Cell,
 }
 
-/// What running an invocation twice would do.
+/// The consequence of running an invocation twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// No harm.
+    /// A repeat is harmless.
     Idempotent,
-    /// No harm where servers of this group see the repeat within `window` seconds: they recognise its token.
+    /// A repeat is harmless on the servers of this scope within `window` seconds: they recognise its token.
     Tokened {
-        /// Which servers recognise the token.
+        /// Servers that recognise the token.
         group: Group,
-        /// For how long, seconds.
+        /// Time for which servers remember the token, seconds.
         window: f64,
     },
-    /// Its effect twice.
+    /// A repeat takes effect a second time.
     NonIdempotent,
 }
 
 /// One operation of the API, as configured.
 #[derive(Clone, Debug)]
 pub struct OperationSettings {
-    /// What a repeat would do.
+    /// The consequence of a repeat.
     pub effect: Effect,
     /// The latency target, seconds.
     pub objective: f64,
     /// Time-out of the platform between client and gateway, seconds.
     pub integration_timeout: f64,
-    /// What one invocation earns.
+    /// Earnings of one invocation, before the plan's price factor.
     pub billed_value: f64,
-    /// The share of it that is earned after the latency target.
+    /// Share of the billed value that a response after the latency target still earns.
     pub late_share: f64,
 }
 
 /// One plan that customers subscribe to, as configured.
 #[derive(Clone, Debug, Default)]
 pub struct PlanSettings {
-    /// Units a second; 0 when the plan has no rate.
+    /// Quota, units per second; 0 when the plan has no rate.
     pub rate: f64,
-    /// The most units that may be saved up.
+    /// Most unused quota units that accumulate.
     pub burst: f64,
-    /// Most attempts in flight at once; 0 when there is no such limit.
+    /// Most attempts in flight at once; 0 when unlimited.
     pub open: f64,
-    /// The hard rate limit, units a second; 0 when there is none.
+    /// The hard rate limit, units per second; 0 when there is none.
     pub hard_rate: f64,
-    /// The most units at once under the rate limit.
+    /// Burst of the hard rate limit, units.
     pub hard_burst: f64,
-    /// What an invocation beyond the quota earns, as a share of its billed value.
+    /// Earnings of an invocation beyond the quota, as a share of its billed value.
     pub beyond_quota_earnings: f64,
-    /// What an invocation beyond the quota costs, as a share of its billed value.
+    /// Cost of an invocation beyond the quota, as a share of its billed value.
     pub beyond_quota_cost: f64,
-    /// Multiplies the operation's billed value.
+    /// Factor on the operation's billed value.
     pub price: f64,
 }
 
-/// What a limiter is made from.
+/// Configuration of a limiter.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Seed of its random numbers.
+    /// Seed of the limiter's random numbers.
     pub seed: u64,
     /// Index of this limiter in the fleet.
     pub slot: u32,
-    /// Number of limiters.
+    /// Number of limiters in the fleet.
     pub fleet: u32,
     /// The zone of this limiter.
     pub zone: usize,
@@ -79,73 +79,73 @@
     pub operations: Vec<OperationSettings>,
     /// All plans, by index.
     pub plans: Vec<PlanSettings>,
-    /// There is a shared counter.
+    /// Whether there is a shared counter.
     pub counter: bool,
     /// Time-out of a call to the counter, seconds.
     pub counter_timeout: f64,
-    /// What one call for each invocation costs, as a share of all that is earned.
+    /// Cost of calling the counter once for each invocation, as a share of the total earnings.
     pub call_price: f64,
-    /// Longest pause a client honours, seconds; 0 when advice reaches nobody.
+    /// Longest `Retry-After` that clients honour, seconds; 0 when clients do not receive it.
     pub max_retry_after: f64,
     /// Most attempts of one invocation.
     pub max_attempts: u32,
-    /// Share of its capacity that a warming server starts with.
+    /// Share of its full capacity that a server has when it starts.
     pub warm_up_from: f64,
     /// Time that a server takes to warm up, seconds.
     pub warm_up_time: f64,
-    /// Multiple of its present capacity that pushes a warming server over.
+    /// Load that makes a warming server collapse, as a multiple of its present capacity.
     pub overload_multiple: f64,
-    /// Time that a repeat is kept clear of the end of its token's window, seconds.
+    /// Safety margin before the end of a token's window within which no repeat is sent, seconds.
     pub response_slack: f64,
-    /// The endpoints come only when asked for.
+    /// Whether the owner reports endpoints only after an [`Action::WatchEndpoints`].
     pub endpoints_on_request: bool,
 }
 
-/// Whether a server takes requests.
+/// Whether a server accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Readiness {
-    /// It does.
+    /// Accepts requests.
     Live,
-    /// It completes what it has and takes no more.
+    /// Completes its requests in flight and accepts no new ones.
     Draining,
-    /// It is not there any more.
+    /// No longer exists.
     Gone,
 }
 
-/// One entry of the list of endpoints.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Server {
     /// Index of the server.
     pub tgt: usize,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: usize,
-    /// Its cell: servers of one cell share what they know of tokens.
+    /// Cell of the server; servers of one cell share their idempotency tokens.
     pub cell: u64,
-    /// Latest start; 0 means long ago.
+    /// Time of the latest start; 0 if it was long ago.
     pub started_at: f64,
-    /// Whether it takes requests.
+    /// Whether the server accepts requests.
     pub readiness: Readiness,
 }
 
-/// How far an invocation is.
+/// Progress of an invocation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
     /// Not placed yet.
     New,
-    /// Waits for the counter's answer.
+    /// Waits for the counter's reply.
     AwaitingCounter,
     /// Has its units and waits for a server.
     Queued,
     /// An attempt is in flight.
     InFlight,
-    /// It has its answer.
+    /// The final response is decided.
     Done,
 }
 
-/// One invocation in the owner's hands. The owner fills in the first part and leaves the rest alone.
+/// One invocation, stored by the owner. The owner fills in the first group of fields; the limiter maintains the rest.
 #[derive(Clone, Debug)]
 pub struct Invocation {
-    /// Number by which actions name it.
+    /// Number by which actions refer to the invocation.
     pub num: u64,
     /// Hash of the customer.
     pub customer: u64,
@@ -153,41 +153,41 @@
     pub plan: usize,
     /// Index of the operation.
     pub operation: usize,
-    /// Units that it uses of the quota.
+    /// Units that the invocation takes from the quota.
     pub units: f64,
-    /// The first of the gateways that this customer's invocations come through.
+    /// Index of the first gateway that serves this customer.
     pub first_gateway: u32,
-    /// The number of these gateways.
+    /// Number of gateways that serve this customer.
     pub gateways: u32,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived_at: f64,
-    /// When its client gives up.
+    /// Time at which the client gives up.
     pub client_deadline: f64,
-    /// The client marks it as a repeat of one that it did not get.
+    /// Whether the client marked the request as a repeat of one that got no result.
     pub repeat: bool,
 
-    /// How far it is.
+    /// Progress of the invocation.
     pub stage: Stage,
-    /// Its units are taken from a lease.
+    /// Whether its units have been taken from a lease.
     pub has_units: bool,
-    /// It is admitted beyond the quota.
+    /// Whether it was admitted beyond the quota.
     pub is_beyond_quota: bool,
-    /// Its units are taken from the rate limit.
+    /// Whether its units have been taken from the rate limit.
     pub drew_rate_limit: bool,
     /// Attempts in flight.
     pub in_flight: u32,
     /// The server and the send time of each attempt.
     pub attempts: Vec<(usize, f64)>,
-    /// The first attempt that may have run.
+    /// Number of the first attempt that a server may have run.
     pub first_possible_run: Option<usize>,
-    /// When the attempt in flight is abandoned.
+    /// Time at which the attempt in flight is abandoned.
     pub attempt_deadline: f64,
 }
 
-/// What an owner knows of an invocation as it arrives; the fields are those of [`Invocation`].
+/// Properties of an invocation that are known when it arrives; the fields are those of [`Invocation`].
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Number by which actions name it.
+    /// Number by which actions refer to the invocation.
     pub num: u64,
     /// Hash of the customer.
     pub customer: u64,
@@ -195,15 +195,15 @@
     pub plan: usize,
     /// Index of the operation.
     pub operation: usize,
-    /// Units that it uses of the quota.
+    /// Units that the invocation takes from the quota.
     pub units: f64,
-    /// The first of the gateways that this customer's invocations come through.
+    /// Index of the first gateway that serves this customer.
     pub first_gateway: u32,
-    /// The number of these gateways.
+    /// Number of gateways that serve this customer.
     pub gateways: u32,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived_at: f64,
-    /// When its client gives up.
+    /// Time at which the client gives up.
     pub client_deadline: f64,
 }
 
@@ -232,84 +232,84 @@
     }
 }
 
-/// How one attempt ended.
+/// Result of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
-    /// With a good response.
+    /// The server responded successfully.
     Succeeded,
-    /// With an error of the server.
+    /// The server responded with an error.
     Error,
-    /// Rejected as overload before it ran.
+    /// The server rejected the attempt as overload, before running it.
     Full,
-    /// Without a response in time.
+    /// No response arrived in time.
     Timeout,
-    /// No connection came up.
+    /// No connection could be established.
     ConnectFailed,
     /// The connection was reset.
     Reset,
-    /// Abandoned by this gateway.
+    /// This gateway abandoned the attempt.
     Cancelled,
-    /// Never sent: its connection was gone in the moment of its use.
+    /// The attempt was never sent: its connection closed before it could be used.
     Moot,
 }
 
 impl Ending {
-    /// Whether the server surely did not run it.
+    /// Whether the server certainly did not run the attempt.
     #[must_use]
     pub fn never_ran(self) -> bool {
         matches!(self, Ending::Full | Ending::ConnectFailed | Ending::Moot)
     }
 }
 
-/// The outcome of one attempt.
+/// The end of one attempt, as the owner reports it.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     /// Number of the attempt, from 0.
     pub n: usize,
-    /// How it ended.
+    /// Result of the attempt.
     pub ending: Ending,
-    /// Seconds that it took.
+    /// Duration of the attempt, seconds.
     pub spent: f64,
-    /// The invocation has its final answer.
+    /// Whether the client already has its final response.
     pub done: bool,
-    /// The customer's use over all gateways as a share of its rate, where a meter tells.
+    /// The customer's usage over all gateways as a share of its rate, where a meter reports it.
     pub used: Option<f64>,
-    /// The settled units, where they were an estimate.
+    /// Actual units of the invocation, where the units charged were an estimate.
     pub settled: Option<f64>,
 }
 
-/// The counter's answer to one add.
+/// Reply of the shared counter to one add.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Counted {
     /// The total after the add, units.
     Total(f64),
-    /// Nothing was added.
+    /// The counter refused: nothing was added.
     Refused,
-    /// No answer; the amount may have been added.
+    /// No reply; the amount may have been added.
     Silent,
 }
 
-/// Why an invocation is throttled, for those who watch; nothing is decided by it.
+/// Why an invocation is throttled. Used in metrics and logs only; no decision depends on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Cause {
-    /// No headroom, as the counter, the meter or this gateway's own share shows it.
+    /// The quota has no headroom, according to the counter, the meter or this gateway's own share.
     Quota,
-    /// The counter was not asked, and nothing else spoke for admitting it.
+    /// The counter was not called, and the local share did not cover the invocation.
     Unasked,
     /// This limiter's share of the rate limit is used up.
     Ceiling,
-    /// As many attempts are in flight as the plan allows.
+    /// The plan's limit on attempts in flight is reached.
     Open,
-    /// The queue could not be cleared in time.
+    /// The queue is too long to be served in time.
     Queue,
-    /// It waited, for the counter or in the queue, until nothing could be earned.
+    /// The invocation waited for the counter or in the queue until it could no longer earn anything.
     Waited,
-    /// It was sent and never taken, and nothing further is allowed or can earn.
+    /// No server accepted an attempt, and a further one is not allowed or could not earn anything.
     Undelivered,
 }
 
 impl Cause {
-    /// All causes with the names that counters and logs give them.
+    /// All causes with their names in metrics and logs.
     pub const ALL: [(Cause, &'static str); 7] = [
         (Cause::Quota, "quota"),
         (Cause::Unasked, "unasked"),
@@ -321,65 +321,65 @@
     ];
 }
 
-/// The answer to a question about one invocation.
+/// What the owner has to do with one invocation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// Send it to this server.
+    /// Send the invocation to this server.
     Send(usize),
-    /// Not yet: ask again when the wait is over or when an action says so.
+    /// Keep the invocation and place it again when its wait time is over or an action asks for it.
     Hold,
-    /// Reject it; a repeat after this pause does no harm.
+    /// Reject the invocation; the client may safely repeat it after the pause.
     Throttle {
-        /// Seconds.
+        /// Advised pause before a repeat, seconds.
         pause: f64,
-        /// Why.
+        /// Reason of the rejection.
         cause: Cause,
     },
-    /// Answer it with an error: it may have run.
+    /// Respond with an error: a server may have run the invocation.
     Error,
-    /// Nothing is owed.
+    /// Send no further response.
     Done,
 }
 
-/// What an add to a counter's name is about, for whoever answers in the counter's place. Units and seconds.
+/// Context of an add to a counter name, for a quota broker that replies in the counter's place. Units and seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct About {
     /// Hash of the customer.
     pub customer: u64,
     /// Index of the customer's plan.
     pub plan: usize,
-    /// What is asked for, a part of the add; 0 for a correction. Less than `needs` would serve nobody.
+    /// The part of the add that requests new units; 0 for a correction.
     pub asked: f64,
-    /// Fewer units than this serve nobody.
+    /// Fewest units that cover one invocation; a smaller grant is useless.
     pub needs: f64,
-    /// When the name's window starts. The name is full at `most` units and at `rate` units a second more from then on.
+    /// Start of the name's window. The limit of the name is `most` there and grows by `rate`.
     pub start: f64,
-    /// Seconds that the name is in use.
+    /// Length of the name's window, seconds.
     pub length: f64,
-    /// Units a second.
+    /// Growth of the limit, units per second.
     pub rate: f64,
-    /// Units.
+    /// Limit of the name at the start of its window, units.
     pub most: f64,
 }
 
-/// Something for the owner to carry out.
+/// An instruction for the limiter's owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Ask again about this held invocation.
+    /// Call `place` again for this held invocation.
     Ask(u64),
-    /// Add to a name of the shared counter; the answer goes to `counted`.
+    /// Add to a name of the shared counter and report the reply with `counter_answered`.
     Count {
-        /// The name.
+        /// Name at the counter.
         name: u64,
         /// Units to add; negative to return some.
         add: f64,
-        /// Seconds that the counter keeps the name.
+        /// Time for which the counter keeps the name, seconds.
         life: f64,
-        /// What the add is about, for whoever answers in the counter's place.
+        /// Context for a quota broker that replies in the counter's place.
         about: About,
     },
-    /// Ask for the endpoints from now on.
+    /// Report the endpoints from now on.
     WatchEndpoints,
-    /// Call `tick` after this long.
+    /// Call `tick` after this many seconds.
     Tick(f64),
 }
