--- a/crates/gateway/decisions/src/counter_price.rs
+++ b/crates/gateway/decisions/src/counter_price.rs
@@ -6,7 +6,7 @@
 //! made. The calls of all limiters thus add up to what the counter can handle, and the most valuable are made. There is
 //! no clock and no random source: the caller passes in the time and a random number.
 
-use crate::types::Counted;
+use crate::types::CounterReply;
 
 /// Weight of one response time in the running mean.
 const RESPONSE_TIME_WEIGHT: f64 = 0.2;
@@ -78,8 +78,8 @@
     }
 
     /// Records the counter's reply to one call, or its absence, and the response time in seconds.
-    pub fn record(&mut self, reply: Counted, seconds: f64, now: f64) {
-        if matches!(reply, Counted::Total(_)) {
+    pub fn record(&mut self, reply: CounterReply, seconds: f64, now: f64) {
+        if matches!(reply, CounterReply::Total(_)) {
             if self.failures >= OUTAGE_FAILURES {
                 self.outage_ended = now;
             }
--- a/crates/gateway/decisions/src/limiter/admission.rs
+++ b/crates/gateway/decisions/src/limiter/admission.rs
@@ -4,7 +4,7 @@
 use super::queue::QueueEntry;
 use super::tuning::{EWMA_WEIGHT, MAX_QUEUE_TIME, OVERLOAD};
 use super::Limiter;
-use crate::types::{Answer, Cause, Effect, Group, Invocation, Stage};
+use crate::types::{Decision, Effect, Invocation, Stage, ThrottleCause, TokenScope};
 
 /// Rounding error in units that is tolerated when a lease is compared with an invocation.
 const LEASE_ROUNDING: f64 = 1e-6;
@@ -13,15 +13,15 @@
 enum Units {
     Taken,
     /// No units were taken; the decision tells what to do with the invocation.
-    NotTaken(Answer),
+    NotTaken(Decision),
 }
 
 impl Limiter {
     /// Decides where to send a new or held invocation, or to hold it, throttle it or end it.
-    pub fn place(&mut self, invocation: &mut Invocation, now: f64) -> Answer {
+    pub fn place(&mut self, invocation: &mut Invocation, now: f64) -> Decision {
         match invocation.stage {
-            Stage::InFlight => return Answer::Hold,
-            Stage::Done => return Answer::Done,
+            Stage::InFlight => return Decision::Hold,
+            Stage::Done => return Decision::Done,
             Stage::New | Stage::AwaitingCounter | Stage::Queued => {}
         }
         let index = self.account_of(invocation, now);
@@ -29,7 +29,12 @@
             self.note_demand(index, invocation, now);
         }
         if now >= self.latest_start(invocation) {
-            return self.throttle(invocation, Cause::Waited, self.latency_target, now);
+            return self.throttle(
+                invocation,
+                ThrottleCause::WaitedTooLong,
+                self.latency_target,
+                now,
+            );
         }
         // If the queue is too long to be served in time, the invocation is rejected before it takes quota.
         if invocation.stage == Stage::New {
@@ -37,13 +42,13 @@
             let clears = ahead * self.fleet_latency / self.total_concurrency.max(1.0);
             if clears > MAX_QUEUE_TIME {
                 let pause = clears * self.operations[invocation.operation].latency_target;
-                return self.throttle(invocation, Cause::Queue, pause, now);
+                return self.throttle(invocation, ThrottleCause::QueueTooLong, pause, now);
             }
         }
         // Over the rate limit, neither a lease nor a server is sought.
         let over_limit = self.rate_limit_wait(index, invocation, now);
         if let (Some(pause), false) = (over_limit, self.accounts[index].short_windows) {
-            return self.throttle(invocation, Cause::Ceiling, pause, now);
+            return self.throttle(invocation, ThrottleCause::RateLimit, pause, now);
         }
         if !invocation.has_units && !invocation.is_beyond_quota {
             if let Units::NotTaken(answer) = self.take_units(index, invocation, now) {
@@ -54,12 +59,12 @@
         if invocation.stage != Stage::Queued {
             invocation.stage = Stage::Queued;
             if self.enqueue(invocation, QueueEntry::FirstAttempt) > 0 {
-                return Answer::Hold;
+                return Decision::Hold;
             }
         }
         match self.choose_server(invocation, now) {
             Some(server) => self.send(invocation, server, now),
-            None => Answer::Hold,
+            None => Decision::Hold,
         }
     }
 
@@ -79,7 +84,12 @@
         let max_in_flight = (plan.max_in_flight / account.gateways).floor().max(1.0);
         if plan.max_in_flight > 0.0 && account.in_flight >= max_in_flight {
             let target = self.latency_target;
-            return Units::NotTaken(self.beyond_quota(invocation, Cause::Open, target, now));
+            return Units::NotTaken(self.beyond_quota(
+                invocation,
+                ThrottleCause::InFlightLimit,
+                target,
+                now,
+            ));
         }
         if plan.rate <= 0.0 {
             return Units::Taken;
@@ -101,16 +111,21 @@
         let account = &mut self.accounts[index];
         let plan = &self.plans[invocation.plan];
         if account.add_pending {
-            if !account.waiting.contains(&invocation.num) {
-                account.waiting.push(invocation.num);
+            if !account.waiting.contains(&invocation.id) {
+                account.waiting.push(invocation.id);
             }
             invocation.stage = Stage::AwaitingCounter;
-            return Units::NotTaken(Answer::Hold);
+            return Units::NotTaken(Decision::Hold);
         }
         let room = plan.burst - account.backlog_now(plan, now);
         if account.backlog_at > 0.0 && room < invocation.units {
             let pause = (invocation.units - room) / plan.rate;
-            return Units::NotTaken(self.beyond_quota(invocation, Cause::Quota, pause, now));
+            return Units::NotTaken(self.beyond_quota(
+                invocation,
+                ThrottleCause::Quota,
+                pause,
+                now,
+            ));
         }
         // While the counter is busy, it is called first for invocations whose wrong decision would cost most.
         let over_limit = self.accounts[index].short_windows
@@ -128,9 +143,9 @@
             && self.counter_price.admits(stake, self.rng.f64(), now)
         {
             self.request_lease(index, invocation, now);
-            self.accounts[index].waiting.push(invocation.num);
+            self.accounts[index].waiting.push(invocation.id);
             invocation.stage = Stage::AwaitingCounter;
-            return Units::NotTaken(Answer::Hold);
+            return Units::NotTaken(Decision::Hold);
         }
         match without_counter {
             WithoutCounter::Admit => {
@@ -139,7 +154,12 @@
             }
             WithoutCounter::Reject => {
                 let pause = self.max_retry_after;
-                Units::NotTaken(self.beyond_quota(invocation, Cause::Unasked, pause, now))
+                Units::NotTaken(self.beyond_quota(
+                    invocation,
+                    ThrottleCause::CounterNotCalled,
+                    pause,
+                    now,
+                ))
             }
         }
     }
@@ -149,10 +169,10 @@
     fn beyond_quota(
         &mut self,
         invocation: &mut Invocation,
-        cause: Cause,
+        cause: ThrottleCause,
         pause: f64,
         now: f64,
-    ) -> Answer {
+    ) -> Decision {
         let servers_idle = self.queue.is_empty() && self.overload < OVERLOAD / 2.0;
         if self.plans[invocation.plan].beyond_pays && servers_idle {
             invocation.is_beyond_quota = true;
@@ -167,12 +187,12 @@
     pub(super) fn throttle(
         &mut self,
         invocation: &mut Invocation,
-        cause: Cause,
+        cause: ThrottleCause,
         pause: f64,
         now: f64,
-    ) -> Answer {
+    ) -> Decision {
         let unsent = invocation.has_units && invocation.attempts.is_empty();
-        if cause == Cause::Queue || (unsent && invocation.stage == Stage::Queued) {
+        if cause == ThrottleCause::QueueTooLong || (unsent && invocation.stage == Stage::Queued) {
             self.crowding += EWMA_WEIGHT * (1.0 - self.crowding);
         }
         if unsent {
@@ -180,12 +200,12 @@
         }
         let never_ran = invocation.first_possible_run.is_none() && invocation.in_flight == 0;
         let answer = if never_ran || self.repeat_is_harmless(invocation) {
-            Answer::Throttle {
+            Decision::Throttle {
                 pause: pause.max(0.0).min(self.max_retry_after),
                 cause,
             }
         } else {
-            Answer::Error
+            Decision::Error
         };
         self.finish(invocation, answer)
     }
@@ -212,17 +232,17 @@
             self.operations[invocation.operation].effect,
             Effect::Idempotent
                 | Effect::Tokened {
-                    group: Group::All,
+                    scope: TokenScope::All,
                     ..
                 }
         )
     }
 
     /// Removes an invocation from the queue and marks it as done; returns the decision unchanged.
-    pub(super) fn finish(&mut self, invocation: &mut Invocation, answer: Answer) -> Answer {
+    pub(super) fn finish(&mut self, invocation: &mut Invocation, answer: Decision) -> Decision {
         if invocation.stage == Stage::Queued {
             // Guards against a queue that stalls with no attempt in flight: each departure wakes the head of the queue.
-            self.queue.retain(|&(_, num)| num != invocation.num);
+            self.queue.retain(|&(_, id)| id != invocation.id);
             self.place_queue_head();
         }
         invocation.stage = Stage::Done;
@@ -231,12 +251,12 @@
 
     /// Ends an invocation whose client disconnected or that the owner lost.
     pub fn disconnected(&mut self, invocation: &mut Invocation) {
-        self.finish(invocation, Answer::Done);
+        self.finish(invocation, Decision::Done);
     }
 
     /// Seconds until the attempt in flight is abandoned, or until a held invocation is placed again.
     #[must_use]
-    pub fn wait(&self, invocation: &Invocation, now: f64) -> f64 {
+    pub fn wait_time(&self, invocation: &Invocation, now: f64) -> f64 {
         match invocation.stage {
             Stage::InFlight => (invocation.attempt_deadline - now).max(0.0),
             _ => {
--- a/crates/gateway/decisions/src/limiter/counter_lease.rs
+++ b/crates/gateway/decisions/src/limiter/counter_lease.rs
@@ -5,7 +5,7 @@
 use super::tuning::{EVEN_CHANCE, EWMA_WEIGHT, LEASE_SHRINK_FACTOR, LEASE_SPANS};
 use super::Limiter;
 use crate::state::{Account, PendingAdd, Plan};
-use crate::types::{Action, Counted, Invocation};
+use crate::types::{Action, CounterReply, Invocation};
 use std::collections::VecDeque;
 
 /// Least error of a total, in units, that is corrected.
@@ -90,8 +90,9 @@
     };
     let least_backlog = (least_backlog - call.returned).max(0.0);
     // An idle customer accumulates the burst at most: allowance beyond it is written off once demand could use it. The
-    // upper bound guards against units that were added but not leased and against units beyond the quota, which use up
-    // no allowance: with hundreds of limiters, their sum occupied free room for seconds. Room is never negative.
+    // upper bound of the backlog keeps the room from becoming negative. Guards against units beyond the quota, which
+    // use up no allowance, and units that were added but not leased: with hundreds of limiters, their sum occupied free
+    // room for seconds.
     let backlog = (total_before - call.returned - bounds.allowed)
         .max(least_backlog)
         .min(bounds.max_units);
@@ -168,7 +169,7 @@
     }
 
     /// Processes the counter's reply to the oldest pending add to this name; `seconds` is the response time.
-    pub fn counted(&mut self, name: u64, reply: Counted, seconds: f64, now: f64) {
+    pub fn counter_answered(&mut self, name: u64, reply: CounterReply, seconds: f64, now: f64) {
         let Some(call) = self
             .pending_adds
             .get_mut(&name)
@@ -181,13 +182,13 @@
         }
         self.counter_price.record(reply, seconds, now);
         match reply {
-            Counted::Total(total) if call.requested > 0.0 => self.take_lease(call, total, now),
-            Counted::Total(total) => self.check_correction(call, total),
-            Counted::Refused => {
+            CounterReply::Total(total) if call.requested > 0.0 => self.take_lease(call, total, now),
+            CounterReply::Total(total) => self.check_correction(call, total),
+            CounterReply::Refused => {
                 self.restore_refused(&call, now);
                 self.fail_add(&call, now);
             }
-            Counted::Silent => self.fail_add(&call, now),
+            CounterReply::NoReply => self.fail_add(&call, now),
         }
     }
 
@@ -281,7 +282,7 @@
     /// Asks the owner to place again all invocations that waited for this account's add.
     pub(super) fn wake_waiting(&mut self, index: usize) {
         self.actions
-            .extend(self.accounts[index].waiting.drain(..).map(Action::Ask));
+            .extend(self.accounts[index].waiting.drain(..).map(Action::Place));
     }
 }
 
--- a/crates/gateway/decisions/src/limiter/counter_window.rs
+++ b/crates/gateway/decisions/src/limiter/counter_window.rs
@@ -4,7 +4,7 @@
 use super::Limiter;
 use crate::rate_limit::whole_units_in;
 use crate::state::{Account, PendingAdd, Plan};
-use crate::types::{About, Action};
+use crate::types::{Action, AddContext};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Hash seed of a customer's phase.
@@ -88,22 +88,22 @@
         } else {
             (plan.burst, plan.rate)
         };
-        let about = About {
+        let context = AddContext {
             customer: account.customer,
             plan: account.plan,
-            asked: call.requested,
-            needs: call.min_units,
-            start: window_start(account, call.window),
-            length: account.window_length,
-            rate,
-            most: max_units,
+            requested: call.requested,
+            min_units: call.min_units,
+            window_start: window_start(account, call.window),
+            window_length: account.window_length,
+            limit_rate: rate,
+            limit: max_units,
         };
         let name = hash(account.customer, call.window as u64) >> 1;
-        self.actions.push_back(Action::Count {
+        self.actions.push_back(Action::AddToCounter {
             name,
             add: call.add,
-            life: COUNTER_NAME_LIFETIME,
-            about,
+            lifetime: COUNTER_NAME_LIFETIME,
+            context,
         });
         self.pending_adds.entry(name).or_default().push_back(call);
     }
--- a/crates/gateway/decisions/src/limiter/endpoints.rs
+++ b/crates/gateway/decisions/src/limiter/endpoints.rs
@@ -9,7 +9,7 @@
 
 impl Limiter {
     /// Applies changed entries of the endpoint list, or the complete list.
-    pub fn endpoints(&mut self, entries: &[Server], complete: bool, now: f64) {
+    pub fn update_endpoints(&mut self, entries: &[Server], complete: bool, now: f64) {
         if complete {
             self.servers.is_live.fill(false);
         }
@@ -20,7 +20,7 @@
     }
 
     fn apply_entry(&mut self, entry: &Server, now: f64) {
-        let index = entry.tgt;
+        let index = entry.index;
         self.servers.grow_to(
             index,
             INITIAL_CONCURRENCY / f64::from(self.fleet_size),
@@ -58,12 +58,12 @@
     /// The watch of the endpoints was lost: it is renewed soon, however long the latency targets are.
     pub fn watch_lost(&mut self) {
         let pause = self.latency_target.min(MAX_WATCH_PAUSE) * (1.0 + self.rng.f64());
-        let renewal = Action::Tick(pause);
+        let renewal = Action::ScheduleTick(pause);
         self.actions
             .extend(self.endpoints_on_request.then_some(renewal));
     }
 
-    /// The time of an [`Action::Tick`] is over: the watch of the endpoints is renewed.
+    /// The time of an [`Action::ScheduleTick`] is over: the watch of the endpoints is renewed.
     pub fn tick(&mut self) {
         self.actions
             .extend(self.endpoints_on_request.then_some(Action::WatchEndpoints));
--- a/crates/gateway/decisions/src/limiter/queue.rs
+++ b/crates/gateway/decisions/src/limiter/queue.rs
@@ -25,13 +25,13 @@
     pub(super) fn enqueue(&mut self, invocation: &Invocation, entry: QueueEntry) -> usize {
         let ahead = self.queue_position(invocation, entry);
         let value = self.operations[invocation.operation].billed_value;
-        self.queue.insert(ahead, (value, invocation.num));
+        self.queue.insert(ahead, (value, invocation.id));
         ahead
     }
 
     /// Asks the owner to place the invocation at the head of the queue again.
     pub(super) fn place_queue_head(&mut self) {
         self.actions
-            .extend(self.queue.front().map(|&(_, num)| Action::Ask(num)));
+            .extend(self.queue.front().map(|&(_, id)| Action::Place(id)));
     }
 }
--- a/crates/gateway/decisions/src/limiter/retry.rs
+++ b/crates/gateway/decisions/src/limiter/retry.rs
@@ -3,37 +3,47 @@
 use super::queue::QueueEntry;
 use super::tuning::{EVEN_CHANCE, HEALTHY_LATENCY, MAX_QUEUE_TIME, MAX_RETRIES, OVERLOAD};
 use super::Limiter;
-use crate::types::{Answer, Cause, Effect, Ending, Invocation, Outcome, Stage};
+use crate::types::{AttemptResult, Decision, Effect, Invocation, Outcome, Stage, ThrottleCause};
 
 impl Limiter {
     /// Records the end of an attempt and decides what to do with the invocation.
-    pub fn after(&mut self, invocation: &mut Invocation, outcome: &Outcome, now: f64) -> Answer {
-        let Some(&(server, sent_at)) = invocation.attempts.get(outcome.n) else {
-            return Answer::Done;
+    pub fn attempt_ended(
+        &mut self,
+        invocation: &mut Invocation,
+        outcome: &Outcome,
+        now: f64,
+    ) -> Decision {
+        let Some(&(server, sent_at)) = invocation.attempts.get(outcome.attempt) else {
+            return Decision::Done;
         };
         invocation.in_flight = invocation.in_flight.saturating_sub(1);
         self.record_outcome(server, invocation, outcome, sent_at, now);
         self.place_queue_head();
         let first_that_ran = invocation
             .first_possible_run
-            .is_none_or(|first| outcome.n < first);
-        if !outcome.ending.never_ran() && first_that_ran {
-            invocation.first_possible_run = Some(outcome.n);
+            .is_none_or(|first| outcome.attempt < first);
+        if !outcome.result.never_ran() && first_that_ran {
+            invocation.first_possible_run = Some(outcome.attempt);
         }
         self.settle_account(invocation, outcome);
-        if outcome.done || invocation.stage == Stage::Done {
-            return self.finish(invocation, Answer::Done);
+        if outcome.answered || invocation.stage == Stage::Done {
+            return self.finish(invocation, Decision::Done);
         }
         if invocation.in_flight > 0 {
-            return Answer::Hold;
+            return Decision::Hold;
         }
-        if outcome.ending != Ending::Moot && self.may_retry(invocation, now) {
+        if outcome.result != AttemptResult::NotSent && self.may_retry(invocation, now) {
             return self.retry(invocation, now);
         }
         if invocation.first_possible_run.is_none() {
-            return self.throttle(invocation, Cause::Undelivered, self.latency_target, now);
+            return self.throttle(
+                invocation,
+                ThrottleCause::NotAccepted,
+                self.latency_target,
+                now,
+            );
         }
-        self.finish(invocation, Answer::Error)
+        self.finish(invocation, Decision::Error)
     }
 
     /// Updates the customer's account with the usage that the outcome reports.
@@ -45,15 +55,15 @@
         account.in_flight = (account.in_flight - 1.0).max(0.0);
         let rate = self.plans[invocation.plan].rate;
         let over_rate = outcome
-            .used
-            .is_some_and(|used| used * rate > rate + invocation.units);
+            .usage
+            .is_some_and(|usage| usage * rate > rate + invocation.units);
         // A metered usage well above the rate shows, without the counter, that the limiters admit too much.
         if over_rate {
             account.local_units = 0.0;
             account.below_rate = false;
             account.room_likelihood *= EVEN_CHANCE;
         }
-        if let (Some(units), true) = (outcome.settled, invocation.has_units) {
+        if let (Some(units), true) = (outcome.settled_units, invocation.has_units) {
             account.unreported += units - invocation.units;
         }
     }
@@ -66,13 +76,13 @@
             && self.resendable(invocation, now)
     }
 
-    fn retry(&mut self, invocation: &mut Invocation, now: f64) -> Answer {
+    fn retry(&mut self, invocation: &mut Invocation, now: f64) -> Decision {
         invocation.stage = Stage::Queued;
         if let Some(server) = self.choose_server(invocation, now) {
             return self.send(invocation, server, now);
         }
         self.enqueue(invocation, QueueEntry::Retry);
-        Answer::Hold
+        Decision::Hold
     }
 
     /// Whether another attempt is allowed now without the risk that the invocation takes effect twice.
@@ -104,7 +114,8 @@
         if !invocation.attempts.is_empty() {
             return latest;
         }
-        // The counter's time-out may exceed the queue time that a short latency target allows; it is always waited for.
+        // Guards against a counter time-out above the queue time that a short latency target allows: the time-out is
+        // always waited for.
         let max_wait = (MAX_QUEUE_TIME * operation.latency_target).max(self.counter_timeout);
         latest.min(invocation.arrived_at + max_wait)
     }
--- a/crates/gateway/decisions/src/limiter/server_choice.rs
+++ b/crates/gateway/decisions/src/limiter/server_choice.rs
@@ -2,7 +2,7 @@
 
 use super::tuning::{EWMA_WEIGHT, HEALTHY_LATENCY, MAX_RETRIES, OVERLOAD, TIMEOUT_MEANS};
 use super::Limiter;
-use crate::types::{Answer, Cause, Effect, Group, Invocation, Stage};
+use crate::types::{Decision, Effect, Invocation, Stage, ThrottleCause, TokenScope};
 
 /// Cost of a server in another zone, as a multiple of one in the limiter's own zone.
 const OTHER_ZONE_COST: f64 = 1.05;
@@ -115,37 +115,42 @@
             return true;
         };
         let ran_at = invocation.attempts[first_that_ran].0;
-        let Effect::Tokened { group, .. } = self.operations[invocation.operation].effect else {
+        let Effect::Tokened { scope, .. } = self.operations[invocation.operation].effect else {
             return true;
         };
-        match group {
-            Group::Zone => self.servers.zone[index] == self.servers.zone[ran_at],
-            Group::Cell => self.servers.cell[index] == self.servers.cell[ran_at],
-            Group::All => true,
+        match scope {
+            TokenScope::Zone => self.servers.zone[index] == self.servers.zone[ran_at],
+            TokenScope::Cell => self.servers.cell[index] == self.servers.cell[ran_at],
+            TokenScope::All => true,
         }
     }
 
     /// Sends an invocation to this server if the rules for repeats and the rate limit allow it.
-    pub(super) fn send(&mut self, invocation: &mut Invocation, server: usize, now: f64) -> Answer {
+    pub(super) fn send(
+        &mut self,
+        invocation: &mut Invocation,
+        server: usize,
+        now: f64,
+    ) -> Decision {
         if !self.resendable(invocation, now) {
-            return self.finish(invocation, Answer::Error);
+            return self.finish(invocation, Decision::Error);
         }
         let account = self.account_of(invocation, now);
         if let Some(pause) = self.rate_limit_wait(account, invocation, now) {
-            return self.throttle(invocation, Cause::Ceiling, pause, now);
+            return self.throttle(invocation, ThrottleCause::RateLimit, pause, now);
         }
         self.draw_rate_limit(account, invocation);
         self.accounts[account].in_flight += 1.0;
         if invocation.attempts.is_empty() {
             self.crowding -= EWMA_WEIGHT * self.crowding;
         }
-        self.finish(invocation, Answer::Done);
+        self.finish(invocation, Decision::Done);
         invocation.attempt_deadline = self.attempt_deadline(invocation, now);
         self.note_send(server, now);
         invocation.stage = Stage::InFlight;
         invocation.in_flight += 1;
         invocation.attempts.push((server, now));
-        Answer::Send(server)
+        Decision::Send(server)
     }
 
     /// Time at which an attempt that starts now is abandoned. Leaves time for a retry where one could follow; otherwise
--- a/crates/gateway/decisions/src/limiter/server_health.rs
+++ b/crates/gateway/decisions/src/limiter/server_health.rs
@@ -6,7 +6,7 @@
     INITIAL_CONCURRENCY, TIMEOUT_MEANS,
 };
 use super::Limiter;
-use crate::types::{Ending, Invocation, Outcome};
+use crate::types::{AttemptResult, Invocation, Outcome};
 
 /// Factor by which a concurrency limit is reduced.
 const SHRINK_FACTOR: f64 = 0.8;
@@ -68,12 +68,18 @@
     ) {
         let in_flight = &mut self.servers.in_flight[server];
         *in_flight = (*in_flight - 1.0).max(0.0);
-        if matches!(outcome.ending, Ending::Moot | Ending::Cancelled) {
+        if matches!(
+            outcome.result,
+            AttemptResult::NotSent | AttemptResult::Cancelled
+        ) {
             return;
         }
         let sample = self.evaluate(invocation, outcome);
         self.learn_lost_responses(invocation, &sample);
-        if !matches!(outcome.ending, Ending::Timeout | Ending::ConnectFailed) {
+        if !matches!(
+            outcome.result,
+            AttemptResult::Timeout | AttemptResult::ConnectFailed
+        ) {
             self.servers.silent_since[server] = now;
         }
         let fleet_failures = self.fleet_failures;
@@ -88,16 +94,16 @@
 
     fn evaluate(&self, invocation: &Invocation, outcome: &Outcome) -> Sample {
         let target = self.operations[invocation.operation].latency_target;
-        let latency = (outcome.spent / target).min(MAX_LATENCY);
-        let succeeded = outcome.ending == Ending::Succeeded;
-        let timed_out = outcome.ending == Ending::Timeout;
+        let latency = (outcome.duration / target).min(MAX_LATENCY);
+        let succeeded = outcome.result == AttemptResult::Succeeded;
+        let timed_out = outcome.result == AttemptResult::Timeout;
         // Guards against lost responses: while the mean response time is low, an attempt that takes several times as
         // long does not reflect load. A client that gives up before that does.
         let lost =
             self.answered_latency < 0.75 * GROWTH_LATENCY && latency > 3.0 * self.answered_latency;
         let reflects_load = succeeded || (timed_out && !lost);
-        let late =
-            outcome.ending == Ending::Full || (reflects_load && latency > 1.5 * HEALTHY_LATENCY);
+        let late = outcome.result == AttemptResult::Overloaded
+            || (reflects_load && latency > 1.5 * HEALTHY_LATENCY);
         Sample {
             latency,
             succeeded,
@@ -154,10 +160,10 @@
         }
     }
 
-    /// Adapts a server's concurrency limit, as a server with too many attempts in flight slows down and stays slow.
-    /// While responses are quick and the limit is in use, the limits of all limiters together grow by one per round of
-    /// successes, so a fresh server's limit doubles quickly. The limit shrinks only for an attempt sent since the last
-    /// reduction. A server whose work is slow by nature gets a lower limit.
+    /// Adapts a server's concurrency limit. Guards against servers that slow down under too many attempts in flight and
+    /// stay slow. While responses are quick and the limit is in use, the limits of all limiters together grow by one
+    /// per round of successes, so a fresh server's limit doubles quickly. The limit shrinks only for an attempt sent
+    /// since the last reduction. A server whose work is slow by nature gets a lower limit.
     fn adapt_concurrency(&mut self, server: usize, sample: &Sample, sent_at: f64, now: f64) {
         if self.servers.concurrency[server] < 1.0 {
             self.adapt_small_limits(sample, sent_at, now);
@@ -178,9 +184,9 @@
         }
     }
 
-    /// Adapts all concurrency limits below one together: where many limiters share a server, the responses of one
-    /// server are too few to adapt its limit alone. An attempt abandoned by the client or the gateway counts as slow,
-    /// as its server may still work on it.
+    /// Adapts all concurrency limits below one together. Guards against figures based on a handful of responses: where
+    /// many limiters share a server, the responses of one server are too few to adapt its limit alone. An attempt
+    /// abandoned by the client or the gateway counts as slow, as its server may still work on it.
     fn adapt_small_limits(&mut self, sample: &Sample, sent_at: f64, now: f64) {
         let fleet = f64::from(self.fleet_size);
         let all_in_flight = self.servers.in_flight.iter().sum::<f64>();
--- a/crates/gateway/decisions/src/limiter/setup.rs
+++ b/crates/gateway/decisions/src/limiter/setup.rs
@@ -22,7 +22,7 @@
     Plan {
         rate: settings.rate,
         burst: settings.burst,
-        max_in_flight: settings.open,
+        max_in_flight: settings.max_in_flight,
         span,
         rate_limit: RateLimit {
             rate: settings.hard_rate,
@@ -58,7 +58,7 @@
         let plans: Vec<Plan> = settings
             .plans
             .iter()
-            .map(|plan| plan_of(plan, settings.counter))
+            .map(|plan| plan_of(plan, settings.has_counter))
             .collect();
         let shortest_target = operations
             .iter()
@@ -76,10 +76,10 @@
         Limiter {
             plans,
             operations,
-            fleet_size: settings.fleet.max(1),
-            fleet_index: settings.slot,
+            fleet_size: settings.fleet_size.max(1),
+            fleet_index: settings.fleet_index,
             zone: settings.zone,
-            has_counter: settings.counter,
+            has_counter: settings.has_counter,
             counter_timeout: settings.counter_timeout,
             max_retry_after: settings.max_retry_after,
             max_attempts: settings.max_attempts.max(1) as usize,
--- a/crates/gateway/decisions/src/state.rs
+++ b/crates/gateway/decisions/src/state.rs
@@ -20,7 +20,7 @@
     fn from(settings: &OperationSettings) -> Self {
         Operation {
             effect: settings.effect,
-            latency_target: settings.objective.min(settings.integration_timeout),
+            latency_target: settings.latency_target.min(settings.integration_timeout),
             billed_value: settings.billed_value,
             pays_late: settings.late_share > 0.0,
         }
--- a/crates/gateway/decisions/src/types.rs
+++ b/crates/gateway/decisions/src/types.rs
@@ -3,7 +3,7 @@
 
 /// The servers that recognise the idempotency token of an invocation that one of them has already run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Group {
+pub enum TokenScope {
     /// All servers.
     All,
     /// Servers of the zone in which the invocation ran.
@@ -20,7 +20,7 @@
     /// A repeat is harmless on the servers of this scope within `window` seconds: they recognise its token.
     Tokened {
         /// Servers that recognise the token.
-        group: Group,
+        scope: TokenScope,
         /// Time for which servers remember the token, seconds.
         window: f64,
     },
@@ -34,7 +34,7 @@
     /// The consequence of a repeat.
     pub effect: Effect,
     /// The latency target, seconds.
-    pub objective: f64,
+    pub latency_target: f64,
     /// Time-out of the platform between client and gateway, seconds.
     pub integration_timeout: f64,
     /// Earnings of one invocation, before the plan's price factor.
@@ -51,7 +51,7 @@
     /// Most unused quota units that accumulate.
     pub burst: f64,
     /// Most attempts in flight at once; 0 when unlimited.
-    pub open: f64,
+    pub max_in_flight: f64,
     /// The hard rate limit, units per second; 0 when there is none.
     pub hard_rate: f64,
     /// Burst of the hard rate limit, units.
@@ -70,9 +70,9 @@
     /// Seed of the limiter's random numbers.
     pub seed: u64,
     /// Index of this limiter in the fleet.
-    pub slot: u32,
+    pub fleet_index: u32,
     /// Number of limiters in the fleet.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// The zone of this limiter.
     pub zone: usize,
     /// All operations, by index.
@@ -80,7 +80,7 @@
     /// All plans, by index.
     pub plans: Vec<PlanSettings>,
     /// Whether there is a shared counter.
-    pub counter: bool,
+    pub has_counter: bool,
     /// Time-out of a call to the counter, seconds.
     pub counter_timeout: f64,
     /// Cost of calling the counter once for each invocation, as a share of the total earnings.
@@ -116,7 +116,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Server {
     /// Index of the server.
-    pub tgt: usize,
+    pub index: usize,
     /// Zone of the server.
     pub zone: usize,
     /// Cell of the server; servers of one cell share their idempotency tokens.
@@ -146,7 +146,7 @@
 #[derive(Clone, Debug)]
 pub struct Invocation {
     /// Number by which actions refer to the invocation.
-    pub num: u64,
+    pub id: u64,
     /// Hash of the customer.
     pub customer: u64,
     /// Index of the customer's plan.
@@ -188,7 +188,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     /// Number by which actions refer to the invocation.
-    pub num: u64,
+    pub id: u64,
     /// Hash of the customer.
     pub customer: u64,
     /// Index of the customer's plan.
@@ -210,7 +210,7 @@
 impl From<Arrival> for Invocation {
     fn from(arrival: Arrival) -> Self {
         Invocation {
-            num: arrival.num,
+            id: arrival.id,
             customer: arrival.customer,
             plan: arrival.plan,
             operation: arrival.operation,
@@ -234,13 +234,13 @@
 
 /// Result of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ending {
+pub enum AttemptResult {
     /// The server responded successfully.
     Succeeded,
     /// The server responded with an error.
     Error,
     /// The server rejected the attempt as overload, before running it.
-    Full,
+    Overloaded,
     /// No response arrived in time.
     Timeout,
     /// No connection could be established.
@@ -250,14 +250,17 @@
     /// This gateway abandoned the attempt.
     Cancelled,
     /// The attempt was never sent: its connection closed before it could be used.
-    Moot,
+    NotSent,
 }
 
-impl Ending {
+impl AttemptResult {
     /// Whether the server certainly did not run the attempt.
     #[must_use]
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Full | Ending::ConnectFailed | Ending::Moot)
+        matches!(
+            self,
+            AttemptResult::Overloaded | AttemptResult::ConnectFailed | AttemptResult::NotSent
+        )
     }
 }
 
@@ -265,65 +268,65 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     /// Number of the attempt, from 0.
-    pub n: usize,
+    pub attempt: usize,
     /// Result of the attempt.
-    pub ending: Ending,
+    pub result: AttemptResult,
     /// Duration of the attempt, seconds.
-    pub spent: f64,
+    pub duration: f64,
     /// Whether the client already has its final response.
-    pub done: bool,
+    pub answered: bool,
     /// The customer's usage over all gateways as a share of its rate, where a meter reports it.
-    pub used: Option<f64>,
+    pub usage: Option<f64>,
     /// Actual units of the invocation, where the units charged were an estimate.
-    pub settled: Option<f64>,
+    pub settled_units: Option<f64>,
 }
 
 /// Reply of the shared counter to one add.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Counted {
+pub enum CounterReply {
     /// The total after the add, units.
     Total(f64),
     /// The counter refused: nothing was added.
     Refused,
     /// No reply; the amount may have been added.
-    Silent,
+    NoReply,
 }
 
 /// Why an invocation is throttled. Used in metrics and logs only; no decision depends on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Cause {
+pub enum ThrottleCause {
     /// The quota has no headroom, according to the counter, the meter or this gateway's own share.
     Quota,
     /// The counter was not called, and the local share did not cover the invocation.
-    Unasked,
+    CounterNotCalled,
     /// This limiter's share of the rate limit is used up.
-    Ceiling,
+    RateLimit,
     /// The plan's limit on attempts in flight is reached.
-    Open,
+    InFlightLimit,
     /// The queue is too long to be served in time.
-    Queue,
+    QueueTooLong,
     /// The invocation waited for the counter or in the queue until it could no longer earn anything.
-    Waited,
+    WaitedTooLong,
     /// No server accepted an attempt, and a further one is not allowed or could not earn anything.
-    Undelivered,
+    NotAccepted,
 }
 
-impl Cause {
+impl ThrottleCause {
     /// All causes with their names in metrics and logs.
-    pub const ALL: [(Cause, &'static str); 7] = [
-        (Cause::Quota, "quota"),
-        (Cause::Unasked, "unasked"),
-        (Cause::Ceiling, "ceiling"),
-        (Cause::Open, "open"),
-        (Cause::Queue, "queue"),
-        (Cause::Waited, "waited"),
-        (Cause::Undelivered, "undelivered"),
+    pub const ALL: [(ThrottleCause, &'static str); 7] = [
+        (ThrottleCause::Quota, "quota"),
+        (ThrottleCause::CounterNotCalled, "unasked"),
+        (ThrottleCause::RateLimit, "ceiling"),
+        (ThrottleCause::InFlightLimit, "open"),
+        (ThrottleCause::QueueTooLong, "queue"),
+        (ThrottleCause::WaitedTooLong, "waited"),
+        (ThrottleCause::NotAccepted, "undelivered"),
     ];
 }
 
 /// What the owner has to do with one invocation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum Decision {
     /// Send the invocation to this server.
     Send(usize),
     /// Keep the invocation and place it again when its wait time is over or an action asks for it.
@@ -333,7 +336,7 @@
         /// Advised pause before a repeat, seconds.
         pause: f64,
         /// Reason of the rejection.
-        cause: Cause,
+        cause: ThrottleCause,
     },
     /// Respond with an error: a server may have run the invocation.
     Error,
@@ -343,43 +346,43 @@
 
 /// Context of an add to a counter name, for a quota broker that replies in the counter's place. Units and seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct About {
+pub struct AddContext {
     /// Hash of the customer.
     pub customer: u64,
     /// Index of the customer's plan.
     pub plan: usize,
     /// The part of the add that requests new units; 0 for a correction.
-    pub asked: f64,
+    pub requested: f64,
     /// Fewest units that cover one invocation; a smaller grant is useless.
-    pub needs: f64,
-    /// Start of the name's window. The limit of the name is `most` there and grows by `rate`.
-    pub start: f64,
+    pub min_units: f64,
+    /// Start of the name's window. The limit of the name is `limit` there and grows by `limit_rate`.
+    pub window_start: f64,
     /// Length of the name's window, seconds.
-    pub length: f64,
+    pub window_length: f64,
     /// Growth of the limit, units per second.
-    pub rate: f64,
+    pub limit_rate: f64,
     /// Limit of the name at the start of its window, units.
-    pub most: f64,
+    pub limit: f64,
 }
 
 /// An instruction for the limiter's owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Call `place` again for this held invocation.
-    Ask(u64),
+    Place(u64),
     /// Add to a name of the shared counter and report the reply with `counter_answered`.
-    Count {
+    AddToCounter {
         /// Name at the counter.
         name: u64,
         /// Units to add; negative to return some.
         add: f64,
         /// Time for which the counter keeps the name, seconds.
-        life: f64,
+        lifetime: f64,
         /// Context for a quota broker that replies in the counter's place.
-        about: About,
+        context: AddContext,
     },
     /// Report the endpoints from now on.
     WatchEndpoints,
     /// Call `tick` after this many seconds.
-    Tick(f64),
+    ScheduleTick(f64),
 }
--- a/crates/gateway/decisions/tests/cold.rs
+++ b/crates/gateway/decisions/tests/cold.rs
@@ -1,62 +1,64 @@
-//! One cold server and the sum of what all limiters send it, on a clock of the test's own.
+//! The total load that all limiters put on one cold server, on a simulated clock.
 
-mod front;
+mod harness;
 
 use dunespur_decisions::types::*;
-use front::*;
+use harness::*;
 
-/// What a server takes in a second when it is warm; so many in hand at once then.
+/// Attempts per second that a warm server can serve.
 const CAPACITY: f64 = 50.0;
+/// Response time of a server, seconds.
 const WORK: f64 = 0.09;
 const SERVERS: usize = 10;
 const COLD: usize = SERVERS - 1;
 
 #[derive(Clone, Copy, Debug)]
-enum Told {
-    /// All limiters hear of the start as it happens.
-    AtOnce,
-    /// Every second one hears of it four seconds late.
+/// When the limiters are told of the restart of the cold server.
+enum Notice {
+    /// All limiters at once.
+    Immediate,
+    /// Every second limiter four seconds late.
     HalfLate,
-    /// Nobody hears of it for eight seconds, nor had heard that it was gone: it was silent.
-    Late,
+    /// All limiters eight seconds late; they were not told of the stop either, the server just did not respond.
+    AllLate,
 }
 
-/// Plays a fleet at the capacity of all servers, one of which comes back cold. Gives the most sends to it in
-/// any span of the settings' fall time over what the settings allow it then, with the part put down to chance.
-fn worst_over_its_budget(
+/// Runs a fleet at the capacity of all servers, one of which restarts cold. Returns the highest ratio, over all spans
+/// of the overload time, of the attempts sent to that server to the allowed number, with a margin for chance.
+fn worst_load_ratio(
     limiters: usize,
-    told: Told,
-    fall: (f64, f64),
+    notice: Notice,
+    overload: (f64, f64),
     warm_up_from: f64,
     seed: u64,
 ) -> f64 {
-    let (multiple, span) = fall;
+    let (multiple, span) = overload;
     let plans = vec![rate_plan(1e6, 1e6)];
     let settings = Settings {
         plans,
-        counter: false,
+        has_counter: false,
         warm_up_from,
         overload_multiple: multiple,
         ..settings(limiters as u32)
     };
-    let mut f = Front::new(settings, SERVERS);
+    let mut f = Harness::new(settings, SERVERS);
     let mut rng = fastrand::Rng::with_seed(seed);
     let step = 1.0 / (CAPACITY * SERVERS as f64);
-    let (began, mut up, mut started_at) = (f.now, true, f64::INFINITY);
-    let tell = |f: &mut Front, gates: &dyn Fn(usize) -> bool, entry: Server| {
+    let (started, mut up, mut started_at) = (f.now, true, f64::INFINITY);
+    let tell = |f: &mut Harness, gates: &dyn Fn(usize) -> bool, entry: Server| {
         (0..limiters)
-            .filter(|&gate| gates(gate))
-            .for_each(|gate| f.endpoints(gate, vec![entry], false));
+            .filter(|&gateway| gates(gateway))
+            .for_each(|gateway| f.update_endpoints(gateway, vec![entry], false));
     };
-    let (down, back, end) = (4.0, 12.0, 30.0);
+    let (stops_at, returns_at, end) = (4.0, 12.0, 30.0);
     let (mut late, mut sends) = (Vec::new(), Vec::new());
-    while f.now - began < end {
-        f.pass(step * -rng.f64().ln());
-        f.take(rng.usize(..limiters), rng.u64(..1000), 0, 0, 1.0);
-        let at = f.now - began;
-        if up && at > down && at < back {
+    while f.now - started < end {
+        f.advance(step * -rng.f64().ln());
+        f.submit(rng.usize(..limiters), rng.u64(..1000), 0, 0, 1.0);
+        let at = f.now - started;
+        if up && at > stops_at && at < returns_at {
             up = false;
-            if !matches!(told, Told::Late) {
+            if !matches!(notice, Notice::AllLate) {
                 tell(
                     &mut f,
                     &|_| true,
@@ -67,32 +69,41 @@
                 );
             }
         }
-        if !up && at > back {
+        if !up && at > returns_at {
             (up, started_at) = (true, f.now);
             let entry = Server {
                 started_at,
                 ..server(COLD)
             };
-            match told {
-                Told::AtOnce => tell(&mut f, &|_| true, entry),
-                Told::HalfLate => {
-                    tell(&mut f, &|gate| gate % 2 == 0, entry);
+            match notice {
+                Notice::Immediate => tell(&mut f, &|_| true, entry),
+                Notice::HalfLate => {
+                    tell(&mut f, &|gateway| gateway % 2 == 0, entry);
                     late.push((f.now + 4.0, entry));
                 }
-                Told::Late => late.push((f.now + 8.0, entry)),
+                Notice::AllLate => late.push((f.now + 8.0, entry)),
             }
         }
         if late.first().is_some_and(|l| l.0 < f.now) {
             let (_, entry) = late.remove(0);
             tell(&mut f, &|_| true, entry);
         }
-        let answers = |o: &Out, now: f64| now - o.at > WORK && (o.tgt != COLD || up);
-        while let Some(at) = (0..f.out.len()).find(|&i| answers(&f.out[i], f.now)) {
-            f.end(at, Ending::Succeeded);
+        let answers =
+            |o: &SentAttempt, now: f64| now - o.sent_at > WORK && (o.server_index != COLD || up);
+        while let Some(at) = (0..f.in_flight.len()).find(|&i| answers(&f.in_flight[i], f.now)) {
+            f.end_attempt(at, AttemptResult::Succeeded);
         }
-        let to_it =
-            |s: &(f64, usize, Seen)| matches!(s.2, Seen::Sent { tgt: COLD, .. }).then_some(s.0);
-        sends.extend(f.seen.drain(..).filter_map(|s| to_it(&s)));
+        let to_it = |s: &(f64, usize, Event)| {
+            matches!(
+                s.2,
+                Event::Sent {
+                    server_index: COLD,
+                    ..
+                }
+            )
+            .then_some(s.0)
+        };
+        sends.extend(f.events.drain(..).filter_map(|s| to_it(&s)));
     }
     let part =
         |at: f64| (warm_up_from + (1.0 - warm_up_from) * (at - started_at) / 10.0).clamp(0.0, 1.0);
@@ -106,7 +117,7 @@
     };
     assert!(
         sends.iter().filter(|&&at| at > started_at + 10.0).count() > 20,
-        "it is used once it is warm"
+        "the server is not used after it has warmed up"
     );
     sends
         .iter()
@@ -116,16 +127,17 @@
 }
 
 #[test]
-fn a_cold_server_gets_no_more_than_its_budget_from_all_limiters_together() {
+fn a_cold_server_gets_no_more_than_its_capacity_from_all_limiters_together() {
     for limiters in [3, 6, 20, 30] {
-        for told in [Told::AtOnce, Told::HalfLate, Told::Late] {
-            for (fall, warm_up_from) in [((4.0, 3.0), 0.16), ((2.0, 2.0), 0.27), ((3.0, 1.0), 0.2)]
+        for notice in [Notice::Immediate, Notice::HalfLate, Notice::AllLate] {
+            for (overload, warm_up_from) in
+                [((4.0, 3.0), 0.16), ((2.0, 2.0), 0.27), ((3.0, 1.0), 0.2)]
             {
                 for seed in 0..3 {
-                    let worst = worst_over_its_budget(limiters, told, fall, warm_up_from, seed);
+                    let worst = worst_load_ratio(limiters, notice, overload, warm_up_from, seed);
                     assert!(
                         worst <= 1.0,
-                        "{limiters} limiters, {told:?}, {fall:?}, seed {seed}: {worst:.2}"
+                        "{limiters} limiters, {notice:?}, overload {overload:?}, seed {seed}: load ratio {worst:.2}"
                     );
                 }
             }
--- /dev/null
+++ b/crates/gateway/decisions/tests/harness/mod.rs
@@ -0,0 +1,460 @@
+//! A test harness: several limiters, a counter and servers. The counter and the servers respond when the test says so.
+#![allow(dead_code)]
+
+use dunespur_decisions::types::*;
+use dunespur_decisions::Limiter;
+use std::collections::BTreeMap;
+
+/// Something that the harness observed.
+#[derive(Clone, Debug)]
+pub enum Event {
+    /// A client submitted an invocation.
+    Submitted {
+        gateway: usize,
+        invocation: Invocation,
+    },
+    /// An attempt was sent.
+    Sent {
+        gateway: usize,
+        id: u64,
+        attempt: usize,
+        server_index: usize,
+    },
+    /// An attempt ended; `answered` tells whether its invocation has its final response.
+    Ended {
+        gateway: usize,
+        id: u64,
+        attempt: usize,
+        result: AttemptResult,
+        answered: bool,
+    },
+    /// A limiter throttled an invocation or answered it with an error.
+    Answered {
+        gateway: usize,
+        id: u64,
+        decision: Decision,
+    },
+    /// A client disconnected.
+    Disconnected { gateway: usize, id: u64 },
+    /// A limiter was restarted without its state.
+    Restarted { gateway: usize },
+    /// A limiter was told of a changed endpoint.
+    EndpointUpdated { gateway: usize, entry: Server },
+    /// An endpoint is missing from a complete list.
+    EndpointRemoved { gateway: usize, server_index: usize },
+}
+
+/// An attempt in flight.
+#[derive(Clone, Debug)]
+pub struct SentAttempt {
+    pub gateway: usize,
+    pub id: u64,
+    pub attempt: usize,
+    pub server_index: usize,
+    pub sent_at: f64,
+    pub deadline: f64,
+}
+
+pub struct Harness {
+    pub now: f64,
+    pub settings: Settings,
+    pub limiters: Vec<Limiter>,
+    pub endpoint_lists: Vec<Vec<Server>>,
+    pub counter: BTreeMap<u64, f64>,
+    /// Open calls to the counter: gateway, counter name and units to add.
+    pub calls: Vec<(usize, u64, f64)>,
+    pub in_flight: Vec<SentAttempt>,
+    /// Unfinished invocations by id, with their gateway and the time at which they are placed again.
+    pub pending: BTreeMap<u64, (usize, Invocation, f64)>,
+    /// Time, sequence number and event.
+    pub events: Vec<(f64, usize, Event)>,
+    /// Number of calls made to the counter.
+    pub counter_calls: usize,
+    /// Whether the counter replies to each call at once.
+    pub immediate_replies: bool,
+    /// Metered usage that every outcome reports.
+    pub usage: Option<f64>,
+    /// Settled units that every successful outcome reports.
+    pub settled_units: Option<f64>,
+    last_id: u64,
+    /// Number of limiters started so far; seeds the next one.
+    starts: u64,
+}
+
+pub fn operation(effect: Effect, billed_value: f64) -> OperationSettings {
+    OperationSettings {
+        effect,
+        latency_target: 0.6,
+        integration_timeout: 2.0,
+        billed_value,
+        late_share: 0.0,
+    }
+}
+
+pub fn rate_plan(rate: f64, burst: f64) -> PlanSettings {
+    PlanSettings {
+        rate,
+        burst,
+        beyond_quota_cost: 1.0,
+        price: 1.0,
+        ..PlanSettings::default()
+    }
+}
+
+pub fn settings(fleet: u32) -> Settings {
+    Settings {
+        seed: 7,
+        fleet_index: 0,
+        fleet_size: fleet,
+        zone: 0,
+        operations: vec![operation(Effect::Idempotent, 1.0)],
+        plans: vec![rate_plan(1000.0, 1000.0)],
+        has_counter: true,
+        counter_timeout: 0.05,
+        call_price: 0.02,
+        max_retry_after: 0.5,
+        max_attempts: 6,
+        warm_up_from: 0.2,
+        warm_up_time: 10.0,
+        overload_multiple: 3.0,
+        response_slack: 0.02,
+        endpoints_on_request: false,
+    }
+}
+
+pub fn server(server_index: usize) -> Server {
+    Server {
+        index: server_index,
+        zone: server_index % 2,
+        cell: server_index as u64 / 2,
+        started_at: 0.0,
+        readiness: Readiness::Live,
+    }
+}
+
+impl Harness {
+    pub fn new(settings: Settings, servers: usize) -> Self {
+        let mut harness = Harness {
+            now: 100.0,
+            limiters: Vec::new(),
+            endpoint_lists: vec![(0..servers).map(server).collect(); settings.fleet_size as usize],
+            settings,
+            counter: BTreeMap::new(),
+            calls: Vec::new(),
+            in_flight: Vec::new(),
+            pending: BTreeMap::new(),
+            events: Vec::new(),
+            counter_calls: 0,
+            immediate_replies: true,
+            usage: None,
+            settled_units: None,
+            last_id: 0,
+            starts: 0,
+        };
+        for gateway in 0..harness.settings.fleet_size as usize {
+            let limiter = harness.limiter(gateway);
+            harness.limiters.push(limiter);
+            harness.update_endpoints(gateway, harness.endpoint_lists[gateway].clone(), true);
+        }
+        harness
+    }
+
+    fn limiter(&mut self, gateway: usize) -> Limiter {
+        self.starts += 1;
+        Limiter::new(
+            &Settings {
+                seed: self.starts,
+                fleet_index: gateway as u32,
+                ..self.settings.clone()
+            },
+            self.now,
+        )
+    }
+
+    fn record(&mut self, event: Event) {
+        self.events.push((self.now, self.events.len(), event));
+    }
+
+    /// Restarts a limiter without its state but with its last endpoint list.
+    pub fn restart(&mut self, gateway: usize) {
+        self.record(Event::Restarted { gateway });
+        self.pending.retain(|_, (owner, _, _)| *owner != gateway);
+        self.in_flight.retain(|attempt| attempt.gateway != gateway);
+        self.calls.retain(|call| call.0 != gateway);
+        self.limiters[gateway] = self.limiter(gateway);
+        self.update_endpoints(gateway, self.endpoint_lists[gateway].clone(), true);
+    }
+
+    pub fn update_endpoints(&mut self, gateway: usize, entries: Vec<Server>, complete: bool) {
+        if complete {
+            for old in std::mem::take(&mut self.endpoint_lists[gateway]) {
+                if !entries.iter().any(|entry| entry.index == old.index) {
+                    self.record(Event::EndpointRemoved {
+                        gateway,
+                        server_index: old.index,
+                    });
+                }
+            }
+        }
+        for &entry in &entries {
+            self.record(Event::EndpointUpdated { gateway, entry });
+            self.endpoint_lists[gateway].retain(|old| old.index != entry.index);
+            self.endpoint_lists[gateway].push(entry);
+        }
+        self.limiters[gateway].update_endpoints(&entries, complete, self.now);
+        self.carry_out(gateway);
+    }
+
+    pub fn submit(
+        &mut self,
+        gateway: usize,
+        customer: u64,
+        plan: usize,
+        operation: usize,
+        units: f64,
+    ) -> u64 {
+        self.last_id += 1;
+        let until = self.now + self.settings.operations[operation].integration_timeout;
+        let invocation = Invocation::from(Arrival {
+            id: self.last_id,
+            customer,
+            plan,
+            operation,
+            units,
+            first_gateway: 0,
+            gateways: self.settings.fleet_size,
+            arrived_at: self.now,
+            client_deadline: until,
+        });
+        self.record(Event::Submitted {
+            gateway,
+            invocation: invocation.clone(),
+        });
+        self.pending
+            .insert(self.last_id, (gateway, invocation, f64::INFINITY));
+        let id = self.last_id;
+        self.place(id);
+        self.carry_out(gateway);
+        id
+    }
+
+    pub fn submit_many(&mut self, gateway: usize, count: usize) {
+        (0..count).for_each(|_| _ = self.submit(gateway, 1, 0, 0, 1.0));
+    }
+
+    pub fn end_all_at_server(&mut self, server_index: usize, result: AttemptResult) {
+        let at_server = |attempt: &SentAttempt| attempt.server_index == server_index;
+        while let Some(position) = self.in_flight.iter().position(at_server) {
+            self.end_attempt(position, result);
+        }
+    }
+
+    pub fn reply_to_all(&mut self, added: bool, replied: bool) {
+        while !self.calls.is_empty() {
+            self.reply_to_call(0, added, replied);
+        }
+    }
+
+    fn place(&mut self, id: u64) {
+        let Some((gateway, invocation, _)) = self.pending.get_mut(&id) else {
+            return;
+        };
+        if matches!(invocation.stage, Stage::InFlight | Stage::Done) {
+            return;
+        }
+        let decision = self.limiters[*gateway].place(invocation, self.now);
+        self.apply(id, decision);
+    }
+
+    fn apply(&mut self, id: u64, decision: Decision) {
+        let (gateway, invocation, due) = self.pending.get_mut(&id).unwrap();
+        let gateway = *gateway;
+        let wait = self.limiters[gateway].wait_time(invocation, self.now);
+        *due = if decision == Decision::Hold && invocation.stage != Stage::InFlight {
+            self.now + wait
+        } else {
+            f64::INFINITY
+        };
+        let finished = invocation.stage == Stage::Done && invocation.in_flight == 0;
+        match decision {
+            Decision::Send(server_index) => {
+                let attempt = invocation.attempts.len() - 1;
+                let deadline = (self.now + wait).min(invocation.client_deadline);
+                self.in_flight.push(SentAttempt {
+                    gateway,
+                    id,
+                    attempt,
+                    server_index,
+                    sent_at: self.now,
+                    deadline,
+                });
+                self.record(Event::Sent {
+                    gateway,
+                    id,
+                    attempt,
+                    server_index,
+                });
+            }
+            Decision::Throttle { .. } | Decision::Error => self.record(Event::Answered {
+                gateway,
+                id,
+                decision,
+            }),
+            Decision::Hold | Decision::Done => {}
+        }
+        if finished {
+            self.pending.remove(&id);
+        }
+    }
+
+    fn carry_out(&mut self, gateway: usize) {
+        loop {
+            while let Some(action) = self.limiters[gateway].next_action() {
+                match action {
+                    Action::Place(id) => self.place(id),
+                    Action::AddToCounter { name, add, .. } => {
+                        self.counter_calls += 1;
+                        self.calls.push((gateway, name, add));
+                    }
+                    Action::WatchEndpoints | Action::ScheduleTick(_) => {}
+                }
+            }
+            let replies_now =
+                |call: &(usize, u64, f64)| self.immediate_replies && call.0 == gateway;
+            let Some(position) = self.calls.iter().position(replies_now) else {
+                return;
+            };
+            self.reply_to_call(position, true, true);
+        }
+    }
+
+    /// Ends the open call at this position: `added` tells whether the counter added the units, `replied` whether the
+    /// reply arrived.
+    pub fn reply_to_call(&mut self, position: usize, added: bool, replied: bool) {
+        let (gateway, name, add) = self.calls.remove(position);
+        let total = self.counter.entry(name).or_insert(0.0);
+        *total += if added { add } else { 0.0 };
+        let reply = match (added, replied) {
+            (true, true) => CounterReply::Total(*total),
+            (false, true) => CounterReply::Refused,
+            _ => CounterReply::NoReply,
+        };
+        self.limiters[gateway].counter_answered(name, reply, 0.0, self.now);
+        self.carry_out(gateway);
+    }
+
+    pub fn end_attempt(&mut self, position: usize, result: AttemptResult) {
+        let SentAttempt {
+            gateway,
+            id,
+            attempt,
+            sent_at,
+            ..
+        } = self.in_flight.remove(position);
+        let Some((_, invocation, _)) = self.pending.get_mut(&id) else {
+            return;
+        };
+        let succeeded = result == AttemptResult::Succeeded;
+        let answered = invocation.stage == Stage::Done || succeeded;
+        let outcome = Outcome {
+            attempt,
+            result,
+            duration: self.now - sent_at,
+            answered,
+            usage: self.usage,
+            settled_units: self.settled_units.filter(|_| succeeded),
+        };
+        self.events.push((
+            self.now,
+            self.events.len(),
+            Event::Ended {
+                gateway,
+                id,
+                attempt,
+                result,
+                answered,
+            },
+        ));
+        let decision = self.limiters[gateway].attempt_ended(invocation, &outcome, self.now);
+        self.apply(id, decision);
+        self.carry_out(gateway);
+    }
+
+    pub fn disconnect(&mut self, id: u64) {
+        let Some((gateway, invocation, _)) = self.pending.get_mut(&id) else {
+            return;
+        };
+        let gateway = *gateway;
+        self.limiters[gateway].disconnected(invocation);
+        self.record(Event::Disconnected { gateway, id });
+        self.apply(id, Decision::Done);
+        self.carry_out(gateway);
+    }
+
+    /// Lets time pass: places held invocations again when they are due and times out attempts.
+    pub fn advance(&mut self, seconds: f64) {
+        let end = self.now + seconds;
+        for round in 0.. {
+            assert!(
+                round < 100_000,
+                "the limiters placed invocations endlessly within {seconds} s"
+            );
+            let next_placed = self
+                .pending
+                .iter()
+                .map(|(&id, pending)| (pending.2, id))
+                .min_by(|a, b| a.partial_cmp(b).unwrap());
+            let next_timeout = self
+                .in_flight
+                .iter()
+                .map(|attempt| attempt.deadline)
+                .enumerate()
+                .min_by(|a, b| a.1.total_cmp(&b.1));
+            let (placed_at, id) = next_placed.unwrap_or((f64::INFINITY, 0));
+            let (position, timeout_at) = next_timeout.unwrap_or((0, f64::INFINITY));
+            if placed_at.min(timeout_at) > end {
+                break;
+            }
+            self.now = self.now.max(placed_at.min(timeout_at));
+            if timeout_at <= placed_at {
+                self.end_attempt(position, AttemptResult::Timeout);
+            } else {
+                let gateway = self.pending[&id].0;
+                self.place(id);
+                self.carry_out(gateway);
+            }
+        }
+        self.now = end;
+    }
+
+    /// The server of each attempt sent, in order.
+    pub fn sent_to(&self) -> Vec<usize> {
+        self.events
+            .iter()
+            .filter_map(|event| {
+                if let Event::Sent { server_index, .. } = event.2 {
+                    Some(server_index)
+                } else {
+                    None
+                }
+            })
+            .collect()
+    }
+
+    /// Number of throttled invocations.
+    pub fn throttled(&self) -> usize {
+        let is_throttled = |event: &Event| {
+            matches!(
+                event,
+                Event::Answered {
+                    decision: Decision::Throttle { .. },
+                    ..
+                }
+            )
+        };
+        self.events
+            .iter()
+            .filter(|event| is_throttled(&event.2))
+            .count()
+    }
+}
--- a/crates/gateway/decisions/tests/known_red.rs
+++ b/crates/gateway/decisions/tests/known_red.rs
@@ -1,8 +1,8 @@
-//! What `.ci/known-red` passes over, and what it refuses.
+//! The tests that `.ci/known-red` skips, and the lists that it rejects.
 
 use std::process::Command;
 
-/// Whether it passes with this file beside these tests, and the arguments that it prints.
+/// Runs the script with this list and these test names; returns whether it succeeded and the arguments it printed.
 fn known_red(lines: &str, tests: &[&str]) -> (bool, String) {
     let file = std::env::temp_dir().join(format!(
         "dunespur-red-{}-{}",
@@ -10,7 +10,7 @@
         lines.len()
     ));
     std::fs::write(&file, lines).unwrap();
-    let listed: Vec<_> = tests.iter().map(|t| format!("{t}: test\n")).collect();
+    let listed: Vec<_> = tests.iter().map(|test| format!("{test}: test\n")).collect();
     let mut command = Command::new("bash");
     command
         .arg(concat!(
@@ -18,7 +18,7 @@
             "/../../../.ci/known-red"
         ))
         .arg(&file);
-    // Stands for the test command: prints its list whatever it is asked.
+    // Replaces the test command: prints the list of tests for any arguments.
     command.args(["printf", "%.0s%.0s%.0s%.0s%b", "", "", "", ""]);
     command.arg(listed.concat());
     let output = command.output().unwrap();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn listed_tests_are_passed_over_and_a_wrong_list_fails() {
+fn listed_tests_are_skipped_and_an_invalid_list_fails() {
     let tests = ["a::b", "c", "d", "d", "e", "f"];
     let line = |name: &str| format!("{name}; the cause; 0.1\n");
     assert_eq!(known_red("", &tests), (true, String::new()));
--- a/crates/gateway/decisions/tests/rate_limit.rs
+++ b/crates/gateway/decisions/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Shares, windows and turns of a rate limit add up to the limit at most, for any limiter.
+//! The shares, windows and turns of a rate limit never exceed the limit together.
 
 use dunespur_decisions::rate_limit::{whole_units_in, RateLimit, Window};
 use quickcheck::quickcheck;
@@ -20,19 +20,19 @@
     )
 }
 
-/// The largest amount by which sends at these times pass a store of the rate and the burst.
-fn passed(sends: &[f64], limit: &RateLimit) -> f64 {
-    let (mut store, mut last, mut worst) = (limit.burst, f64::NEG_INFINITY, 0.0f64);
+/// The largest number of units by which sends at these times exceed the rate limit.
+fn excess(sends: &[f64], limit: &RateLimit) -> f64 {
+    let (mut units_left, mut last, mut worst) = (limit.burst, f64::NEG_INFINITY, 0.0f64);
     for &at in sends {
-        store = (store + limit.rate * (at - last)).min(limit.burst) - 1.0;
+        units_left = (units_left + limit.rate * (at - last)).min(limit.burst) - 1.0;
         last = at;
-        worst = worst.max(-store);
+        worst = worst.max(-units_left);
     }
     worst
 }
 
 quickcheck! {
-    /// Every limiter spends each turn at a moment of its own, the worst of which is all at once.
+    /// Every limiter uses each turn at some moment; the worst case is all limiters at once.
     fn turns_never_exceed_the_rate_limit(rate: u8, burst: u8, ratio: u8, gateways: u16, at_once: u8) -> bool {
         let limit = any_limit(rate, burst, ratio);
         let gateways = f64::from(gateways % 400 + 2);
@@ -47,10 +47,10 @@
                 }
             }
         }
-        passed(&sends, &limit) < 1e-6
+        excess(&sends, &limit) < 1e-6
     }
 
-    /// A window filled at its very end and the next at its start, again and again, with all shares.
+    /// Windows are filled at their very end and the next ones at their start, while all shares are used.
     fn windows_and_shares_never_exceed_the_rate_limit(rate: u8, burst: u8, ratio: u8, gateways: u16) -> bool {
         let limit = any_limit(rate, burst, ratio);
         let gateways = f64::from(gateways % 400 + 2);
@@ -68,7 +68,7 @@
         all.extend((0..ticks).map(|i| length + (i + 1) as f64 / refill));
         all.extend(sends);
         all.sort_by(f64::total_cmp);
-        passed(&all, &limit) < 1.0 + 1e-6
+        excess(&all, &limit) < 1.0 + 1e-6
     }
 }
 
@@ -83,20 +83,24 @@
     };
     assert!(
         (57..=60).contains(&with_a_turn(500.0)),
-        "{} have a unit of a burst of 60",
+        "{} limiters have a turn with a burst of 60",
         with_a_turn(500.0)
     );
-    let ever = (0..200).filter(|&r| {
+    let ever = (0..200).filter(|&rank| {
         (0..80).any(|t| {
             limit
-                .turn(gateways, f64::from(r), 0.0, f64::from(t) / 10.0)
+                .turn(gateways, f64::from(rank), 0.0, f64::from(t) / 10.0)
                 .is_some()
         })
     });
-    assert_eq!(ever.count(), 200, "some never had a turn in one round");
+    assert_eq!(
+        ever.count(),
+        200,
+        "some limiter has no turn within one round"
+    );
     assert_eq!(
         limit.turn(gateways, 200.0, 0.0, 500.0),
         None,
-        "one outside the set had a turn"
+        "a limiter outside the customer's gateways has a turn"
     );
 }
--- a/crates/gateway/decisions/tests/rules_model.rs
+++ b/crates/gateway/decisions/tests/rules_model.rs
@@ -1,115 +1,118 @@
-//! A slow, plain model of the five rules beside several limiters, on generated sequences.
+//! Checks several limiters against a plain model of the five rules, on generated sequences of steps.
 
-mod front;
+mod harness;
 
 use dunespur_decisions::types::*;
-use front::*;
+use harness::*;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
-const GRACE: f64 = 0.25;
-const MULTIPLE: f64 = 3.0;
-const TIP: f64 = 1.0;
-/// A warm server is taken to do at least this much in a second, or the most that any was sent.
+/// Time within which a gateway may still send to a server that it was told drains or is gone, seconds.
+const DRAIN_GRACE: f64 = 0.25;
+/// Most load of a warming server, as a multiple of its present capacity.
+const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// Time over which the load of a server is measured, seconds.
+const LOAD_WINDOW: f64 = 1.0;
+/// Least capacity that is assumed of a warm server, attempts per second; more if any was sent more.
 const CAPACITY: f64 = 12.0;
 
 #[derive(Clone, Debug)]
 enum Step {
-    Take {
-        gate: usize,
+    Submit {
+        gateway: usize,
         customer: u64,
         operation: usize,
-        many: usize,
+        count: usize,
     },
-    Pass(f64),
-    End {
-        at: usize,
-        ending: Ending,
+    Advance(f64),
+    EndAttempt {
+        position: usize,
+        result: AttemptResult,
     },
-    Count {
-        at: usize,
+    CounterReply {
+        position: usize,
         added: bool,
-        told: bool,
+        replied: bool,
     },
-    Empty,
-    Quick(bool),
-    Tell {
-        gate: usize,
-        tgt: usize,
+    ClearCounter,
+    ImmediateReplies(bool),
+    UpdateEndpoint {
+        gateway: usize,
+        server_index: usize,
         readiness: Readiness,
-        fresh: bool,
+        restarted: bool,
     },
-    List {
-        gate: usize,
-        none: bool,
+    ReplaceEndpoints {
+        gateway: usize,
+        empty: bool,
     },
     Restart(usize),
-    Leave(u64),
+    Disconnect(u64),
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let mut of = |n: usize| usize::arbitrary(g) % n;
-        let gate = of(3);
-        match of(40) {
+        let mut below = |n: usize| usize::arbitrary(g) % n;
+        let gateway = below(3);
+        match below(40) {
             0..=11 => {
-                let many = [1, 1, 4, 12][of(4)];
-                Step::Take {
-                    gate,
-                    customer: of(6) as u64,
-                    operation: of(5),
-                    many,
+                let count = [1, 1, 4, 12][below(4)];
+                Step::Submit {
+                    gateway,
+                    customer: below(6) as u64,
+                    operation: below(5),
+                    count,
                 }
             }
-            12..=19 => Step::Pass([0.001, 0.02, 0.1, 0.4, 2.0][of(5)]),
+            12..=19 => Step::Advance([0.001, 0.02, 0.1, 0.4, 2.0][below(5)]),
             20..=30 => {
-                use Ending::*;
+                use AttemptResult::*;
                 let all = [
                     Succeeded,
                     Succeeded,
                     Succeeded,
                     Succeeded,
                     Error,
-                    Full,
+                    Overloaded,
                     ConnectFailed,
                     Reset,
-                    Moot,
+                    NotSent,
                 ];
-                Step::End {
-                    at: of(50),
-                    ending: all[of(9)],
+                Step::EndAttempt {
+                    position: below(50),
+                    result: all[below(9)],
                 }
             }
-            31..=33 => Step::Count {
-                at: of(50),
-                added: of(4) > 0,
-                told: of(4) > 0,
+            31..=33 => Step::CounterReply {
+                position: below(50),
+                added: below(4) > 0,
+                replied: below(4) > 0,
             },
-            34 => Step::Empty,
-            35 => Step::Quick(of(3) > 0),
+            34 => Step::ClearCounter,
+            35 => Step::ImmediateReplies(below(3) > 0),
             36 | 37 => {
-                let readiness = [Readiness::Live, Readiness::Draining, Readiness::Gone][of(3)];
-                Step::Tell {
-                    gate,
-                    tgt: of(5),
+                let readiness = [Readiness::Live, Readiness::Draining, Readiness::Gone][below(3)];
+                Step::UpdateEndpoint {
+                    gateway,
+                    server_index: below(5),
                     readiness,
-                    fresh: of(2) == 0,
+                    restarted: below(2) == 0,
                 }
             }
-            38 => match of(3) {
-                0 => Step::List {
-                    gate,
-                    none: of(3) == 0,
+            38 => match below(3) {
+                0 => Step::ReplaceEndpoints {
+                    gateway,
+                    empty: below(3) == 0,
                 },
-                _ => Step::Leave(of(60) as u64),
+                _ => Step::Disconnect(below(60) as u64),
             },
-            _ => Step::Restart(gate),
+            _ => Step::Restart(gateway),
         }
     }
 }
 
-fn world(fleet: u32) -> Settings {
-    let tokened = |group| Effect::Tokened { group, window: 0.2 };
+fn model_settings(fleet: u32) -> Settings {
+    let tokened = |scope| Effect::Tokened { scope, window: 0.2 };
     let hard = PlanSettings {
         hard_rate: 3.0,
         hard_burst: 6.0,
@@ -119,9 +122,9 @@
         operations: vec![
             operation(Effect::Idempotent, 1.0),
             operation(Effect::NonIdempotent, 2.0),
-            operation(tokened(Group::All), 1.0),
-            operation(tokened(Group::Zone), 3.0),
-            operation(tokened(Group::Cell), 1.0),
+            operation(tokened(TokenScope::All), 1.0),
+            operation(tokened(TokenScope::Zone), 3.0),
+            operation(tokened(TokenScope::Cell), 1.0),
         ],
         plans: vec![
             hard.clone(),
@@ -132,7 +135,7 @@
                 ..hard
             },
             PlanSettings {
-                open: 4.0,
+                max_in_flight: 4.0,
                 ..PlanSettings::default()
             },
             rate_plan(30.0, 60.0),
@@ -146,309 +149,356 @@
     }
 }
 
-fn play(steps: &[Step], fleet: usize) -> Front {
-    let mut f = Front::new(world(fleet as u32), 5);
-    let wide = fleet / 3;
-    f.settles = Some(1.5);
+fn play(steps: &[Step], fleet: usize) -> Harness {
+    let mut f = Harness::new(model_settings(fleet as u32), 5);
+    let per_group = fleet / 3;
+    f.settled_units = Some(1.5);
     for step in steps {
         match *step {
-            Step::Take {
-                gate,
+            Step::Submit {
+                gateway,
                 customer,
                 operation,
-                many,
-            } => (0..many).for_each(|i| {
+                count,
+            } => (0..count).for_each(|i| {
                 let units =
                     [1.0, 2.0, 1.0, 2.0, 1.0, 12.0 / fleet.clamp(3, 12) as f64][customer as usize];
-                f.take(
-                    gate * wide + i % wide,
+                f.submit(
+                    gateway * per_group + i % per_group,
                     customer,
                     customer as usize,
                     operation,
                     units,
                 );
             }),
-            Step::Pass(seconds) => f.pass(seconds),
-            Step::End { at, ending } if !f.out.is_empty() => {
-                f.pass(0.005);
-                let n = f.out.len();
+            Step::Advance(seconds) => f.advance(seconds),
+            Step::EndAttempt { position, result } if !f.in_flight.is_empty() => {
+                f.advance(0.005);
+                let n = f.in_flight.len();
                 if n > 0 {
-                    f.end(at % n, ending);
+                    f.end_attempt(position % n, result);
                 }
             }
-            Step::Count { at, added, told } if !f.calls.is_empty() => {
-                let (gate, name, _) = f.calls[at % f.calls.len()];
+            Step::CounterReply {
+                position,
+                added,
+                replied,
+            } if !f.calls.is_empty() => {
+                let (gateway, name, _) = f.calls[position % f.calls.len()];
                 let first = f
                     .calls
                     .iter()
-                    .position(|c| c.0 == gate && c.1 == name)
+                    .position(|call| call.0 == gateway && call.1 == name)
                     .unwrap();
-                f.count(first, added, told);
+                f.reply_to_call(first, added, replied);
             }
-            // A counter that comes back empty was away for longer than a short window.
-            Step::Empty => {
-                let quick = std::mem::replace(&mut f.quick, false);
-                f.pass(1.1);
+            // A counter that loses its data is down for longer than a short window.
+            Step::ClearCounter => {
+                let immediate = std::mem::replace(&mut f.immediate_replies, false);
+                f.advance(1.1);
                 f.counter.clear();
-                f.quick = quick;
+                f.immediate_replies = immediate;
             }
-            Step::Quick(quick) => f.quick = quick,
-            Step::Tell {
-                gate,
-                tgt,
+            Step::ImmediateReplies(immediate) => f.immediate_replies = immediate,
+            Step::UpdateEndpoint {
+                gateway,
+                server_index,
                 readiness,
-                fresh,
+                restarted,
             } => {
-                let started_at = if fresh { f.now } else { 0.0 };
+                let started_at = if restarted { f.now } else { 0.0 };
                 let entry = Server {
                     readiness,
                     started_at,
-                    ..server(tgt)
+                    ..server(server_index)
                 };
-                (gate * wide..(gate + 1) * wide).for_each(|g| f.endpoints(g, vec![entry], false));
+                (gateway * per_group..(gateway + 1) * per_group)
+                    .for_each(|gateway| f.update_endpoints(gateway, vec![entry], false));
             }
-            Step::List { gate, none } => {
-                let all = (0..if none { 0 } else { 4 }).map(server).collect();
-                f.endpoints(gate * wide, all, true);
+            Step::ReplaceEndpoints { gateway, empty } => {
+                let all = (0..if empty { 0 } else { 4 }).map(server).collect();
+                f.update_endpoints(gateway * per_group, all, true);
             }
-            Step::Restart(gate) => f.restart(gate * wide),
-            Step::Leave(num) => f.leave(num),
+            Step::Restart(gateway) => f.restart(gateway * per_group),
+            Step::Disconnect(id) => f.disconnect(id),
             _ => {}
         }
     }
-    f.pass(5.0);
+    f.advance(5.0);
     f
 }
 
+/// What the checker knows of one invocation.
 #[derive(Default)]
-struct Life {
-    gate: usize,
-    until: f64,
+struct InvocationRecord {
+    gateway: usize,
+    deadline: f64,
     operation: usize,
-    answers: usize,
+    responses: usize,
+    /// The client disconnected, or the limiter restarted.
     closed: bool,
-    /// Server, time and, once known, whether it never ran.
-    deliveries: Vec<(usize, f64, Option<bool>)>,
+    /// Server and send time of each attempt and, once it ended, whether it certainly never ran.
+    attempts: Vec<(usize, f64, Option<bool>)>,
 }
 
-/// The rules in the words of their page, over what the front saw.
-fn broken(f: &Front) -> Option<String> {
-    let mut judge = Judge::new(&f.settings);
-    for (now, _, seen) in &f.seen {
-        if let Err(broken) = judge.see(*now, seen) {
-            return broken;
+/// The first violation of a rule in the events of the harness.
+fn first_violation(f: &Harness) -> Option<String> {
+    let mut checker = RuleChecker::new(&f.settings);
+    for (now, _, event) in &f.events {
+        if let Err(violation) = checker.check(*now, event) {
+            return violation;
         }
     }
-    let owed = judge
-        .lives
+    let unanswered = checker
+        .invocations
         .iter()
-        .find(|(_, l)| l.answers == 0 && !l.closed);
-    owed.map(|(num, _)| format!("rule 1: {num} never had its answer"))
+        .find(|(_, record)| record.responses == 0 && !record.closed);
+    unanswered.map(|(id, _)| format!("rule 1: invocation {id} never got a response"))
 }
 
-/// A broken rule; none where the front saw something of an invocation that it never took.
-type Broken = Option<String>;
+/// The text of a violation; none for an event of an unknown invocation.
+type Violation = Option<String>;
 
-/// What the rules look at, brought up to date by each thing seen.
-struct Judge<'a> {
+/// Checks the rules event by event.
+struct RuleChecker<'a> {
     settings: &'a Settings,
-    lives: BTreeMap<u64, Life>,
-    /// Of each invocation its customer, plan and units.
+    invocations: BTreeMap<u64, InvocationRecord>,
+    /// Customer, plan and units of each invocation.
     customers: BTreeMap<u64, (u64, usize, f64)>,
-    /// Since when each gateway was told that a server drains or is gone.
-    told: BTreeMap<(usize, usize), f64>,
-    up: BTreeMap<usize, f64>,
-    knows: BTreeMap<(usize, usize), f64>,
-    stores: BTreeMap<u64, (f64, f64)>,
-    /// Server, time and gateway of each delivery.
+    /// By gateway and server, the time at which the gateway was told that the server drains or is gone.
+    unavailable_since: BTreeMap<(usize, usize), f64>,
+    /// Latest start of each server.
+    started_at: BTreeMap<usize, f64>,
+    /// Latest start of each server that a gateway was told of.
+    known_starts: BTreeMap<(usize, usize), f64>,
+    /// By customer, the units left of the rate limit and the time of the last update.
+    rate_limits: BTreeMap<u64, (f64, f64)>,
+    /// Server, time and gateway of each attempt.
     sends: Vec<(usize, f64, usize)>,
-    most: f64,
+    /// Most attempts sent to a warm server within `LOAD_WINDOW`.
+    warm_load: f64,
 }
 
-impl<'a> Judge<'a> {
+impl<'a> RuleChecker<'a> {
     fn new(settings: &'a Settings) -> Self {
-        Judge {
+        RuleChecker {
             settings,
-            lives: BTreeMap::new(),
+            invocations: BTreeMap::new(),
             customers: BTreeMap::new(),
-            told: BTreeMap::new(),
-            up: BTreeMap::new(),
-            knows: BTreeMap::new(),
-            stores: BTreeMap::new(),
+            unavailable_since: BTreeMap::new(),
+            started_at: BTreeMap::new(),
+            known_starts: BTreeMap::new(),
+            rate_limits: BTreeMap::new(),
             sends: Vec::new(),
-            most: CAPACITY,
+            warm_load: CAPACITY,
         }
     }
 
-    fn see(&mut self, now: f64, seen: &Seen) -> Result<(), Broken> {
-        match seen {
-            Seen::Took { gate, inv } => {
-                let life = Life {
-                    gate: *gate,
-                    until: inv.client_deadline,
-                    operation: inv.operation,
-                    ..Life::default()
+    fn check(&mut self, now: f64, event: &Event) -> Result<(), Violation> {
+        match event {
+            Event::Submitted {
+                gateway,
+                invocation,
+            } => {
+                let record = InvocationRecord {
+                    gateway: *gateway,
+                    deadline: invocation.client_deadline,
+                    operation: invocation.operation,
+                    ..InvocationRecord::default()
                 };
-                self.lives.insert(inv.num, life);
-                self.customers
-                    .insert(inv.num, (inv.customer, inv.plan, inv.units));
+                self.invocations.insert(invocation.id, record);
+                self.customers.insert(
+                    invocation.id,
+                    (invocation.customer, invocation.plan, invocation.units),
+                );
             }
-            Seen::Told { gate, entry } => {
+            Event::EndpointUpdated { gateway, entry } => {
+                let key = (*gateway, entry.index);
                 match entry.readiness {
-                    Readiness::Live => self.told.remove(&(*gate, entry.tgt)),
-                    _ => Some(*self.told.entry((*gate, entry.tgt)).or_insert(now)),
+                    Readiness::Live => self.unavailable_since.remove(&key),
+                    _ => Some(*self.unavailable_since.entry(key).or_insert(now)),
                 };
                 if entry.started_at > 0.0 {
-                    self.up.insert(entry.tgt, entry.started_at);
-                    self.knows.insert((*gate, entry.tgt), entry.started_at);
+                    self.started_at.insert(entry.index, entry.started_at);
+                    self.known_starts.insert(key, entry.started_at);
                 }
             }
-            Seen::Withdrawn { gate, tgt } => {
-                self.told.entry((*gate, *tgt)).or_insert(now);
+            Event::EndpointRemoved {
+                gateway,
+                server_index,
+            } => {
+                let key = (*gateway, *server_index);
+                self.unavailable_since.entry(key).or_insert(now);
             }
-            Seen::Killed { gate } => {
-                // What it held is void; its clients may come again.
-                self.lives
-                    .values_mut()
-                    .for_each(|l| l.closed |= l.gate == *gate && l.answers == 0);
+            Event::Restarted { gateway } => {
+                // The limiter's pending invocations are lost; their clients may submit them again.
+                self.invocations.values_mut().for_each(|record| {
+                    record.closed |= record.gateway == *gateway && record.responses == 0;
+                });
             }
-            Seen::Sent { gate, num, n, tgt } => self.sent(now, *gate, *num, *n, *tgt)?,
-            Seen::Ended {
-                num,
-                n,
-                ending,
-                done,
+            Event::Sent {
+                gateway,
+                id,
+                attempt,
+                server_index,
+            } => self.check_sent(now, *gateway, *id, *attempt, *server_index)?,
+            Event::Ended {
+                id,
+                attempt,
+                result,
+                answered,
                 ..
             } => {
-                let life = self.lives.get_mut(num).ok_or(None)?;
-                life.deliveries[*n].2 = Some(ending.never_ran());
-                if *done && *ending == Ending::Succeeded && !life.closed {
-                    life.answers += 1;
+                let record = self.invocations.get_mut(id).ok_or(None)?;
+                record.attempts[*attempt].2 = Some(result.never_ran());
+                if *answered && *result == AttemptResult::Succeeded && !record.closed {
+                    record.responses += 1;
                 }
             }
-            Seen::Final { num, answer, .. } => self.answered(now, *num, answer)?,
-            Seen::Left { num, .. } => self.lives.get_mut(num).ok_or(None)?.closed = true,
+            Event::Answered { id, decision, .. } => self.check_answered(now, *id, decision)?,
+            Event::Disconnected { id, .. } => {
+                self.invocations.get_mut(id).ok_or(None)?.closed = true;
+            }
         }
         Ok(())
     }
 
-    fn sent(
+    fn check_sent(
         &mut self,
         now: f64,
-        gate: usize,
-        num: u64,
-        n: usize,
-        tgt: usize,
-    ) -> Result<(), Broken> {
-        self.sent_again(now, num, tgt)?;
+        gateway: usize,
+        id: u64,
+        attempt: usize,
+        server_index: usize,
+    ) -> Result<(), Violation> {
+        self.check_repeat(now, id, server_index)?;
         if self
-            .told
-            .get(&(gate, tgt))
-            .is_some_and(|&t| now > t + GRACE)
+            .unavailable_since
+            .get(&(gateway, server_index))
+            .is_some_and(|&since| now > since + DRAIN_GRACE)
         {
             return Err(Some(format!(
-                "rule 3: {tgt} got {num} while draining or gone"
+                "rule 3: invocation {id} sent to server {server_index}, which drains or is gone"
             )));
         }
-        self.sends.push((tgt, now, gate));
-        self.sent_to_cold(now, tgt)?;
-        if n == 0 {
-            self.over_ceiling(now, num)?;
+        self.sends.push((server_index, now, gateway));
+        self.check_warming_load(now, server_index)?;
+        if attempt == 0 {
+            self.check_rate_limit(now, id)?;
         }
         Ok(())
     }
 
-    /// Rules 1 and 2: not after its end, and twice only where the operation allows it.
-    fn sent_again(&mut self, now: f64, num: u64, tgt: usize) -> Result<(), Broken> {
-        let life = self.lives.get_mut(&num).ok_or(None)?;
-        if life.answers > 0 || life.closed || now > life.until {
-            return Err(Some(format!("rule 1: {num} sent after its end")));
+    /// Rules 1 and 2: no attempt after the end of an invocation, and a second one only where the operation allows it.
+    fn check_repeat(&mut self, now: f64, id: u64, server_index: usize) -> Result<(), Violation> {
+        let record = self.invocations.get_mut(&id).ok_or(None)?;
+        if record.responses > 0 || record.closed || now > record.deadline {
+            return Err(Some(format!(
+                "rule 1: invocation {id} sent after its end or deadline"
+            )));
         }
-        let effect = self.settings.operations[life.operation].effect;
-        for &(first, at, never) in &life.deliveries {
-            let may = never != Some(true);
-            let fits = match effect {
+        let effect = self.settings.operations[record.operation].effect;
+        for &(first, sent_at, never_ran) in &record.attempts {
+            let may_have_run = never_ran != Some(true);
+            let is_allowed = match effect {
                 Effect::Idempotent => true,
-                Effect::NonIdempotent => !may,
-                Effect::Tokened { group, window } => {
-                    let same = match group {
-                        Group::All => true,
-                        Group::Zone => server(first).zone == server(tgt).zone,
-                        Group::Cell => server(first).cell == server(tgt).cell,
+                Effect::NonIdempotent => !may_have_run,
+                Effect::Tokened { scope, window } => {
+                    let same_scope = match scope {
+                        TokenScope::All => true,
+                        TokenScope::Zone => server(first).zone == server(server_index).zone,
+                        TokenScope::Cell => server(first).cell == server(server_index).cell,
                     };
-                    !may || (same && now <= at + window)
+                    !may_have_run || (same_scope && now <= sent_at + window)
                 }
             };
-            if !fits || never.is_none() {
-                return Err(Some(format!("rule 2: {num} sent again")));
+            if !is_allowed || never_ran.is_none() {
+                return Err(Some(format!(
+                    "rule 2: invocation {id} sent again though it may have run"
+                )));
             }
         }
-        life.deliveries.push((tgt, now, None));
+        record.attempts.push((server_index, now, None));
         Ok(())
     }
 
-    /// Rule 4: a server that just came up gets a part of what the others do.
-    fn sent_to_cold(&mut self, now: f64, tgt: usize) -> Result<(), Broken> {
-        // Work of an earlier start is not the new one's.
-        let since = self.up.get(&tgt).copied().unwrap_or(0.0).max(now - TIP);
-        let span = || self.sends.iter().filter(|c| c.0 == tgt && c.1 > since);
-        let within = span().count() as f64;
+    /// Rule 4: a server that has just started gets only a part of a warm server's load.
+    fn check_warming_load(&mut self, now: f64, server_index: usize) -> Result<(), Violation> {
+        // Attempts sent to an earlier process of the server do not load the new one.
+        let started_at = self.started_at.get(&server_index).copied();
+        let since = started_at.unwrap_or(0.0).max(now - LOAD_WINDOW);
+        let recent = || {
+            self.sends
+                .iter()
+                .filter(|send| send.0 == server_index && send.1 > since)
+        };
+        let load = recent().count() as f64;
         let warm_up_time = self.settings.warm_up_time;
-        let Some(&started_at) = self.up.get(&tgt).filter(|&&t| now < t + warm_up_time) else {
-            self.most = within.max(self.most);
+        let Some(started_at) = started_at.filter(|&at| now < at + warm_up_time) else {
+            self.warm_load = load.max(self.warm_load);
             return Ok(());
         };
-        let part = 0.2 + 0.8 * ((now - TIP).max(started_at) - started_at) / warm_up_time;
-        let aware = |c: &&(usize, f64, usize)| self.knows.get(&(c.2, tgt)) == Some(&started_at);
-        let told_of = span().filter(aware).count() as f64 / within;
-        if within > MULTIPLE * part * self.most && told_of >= 2.0 / 3.0 {
+        let capacity =
+            0.2 + 0.8 * ((now - LOAD_WINDOW).max(started_at) - started_at) / warm_up_time;
+        let knows_start = |send: &&(usize, f64, usize)| {
+            self.known_starts.get(&(send.2, server_index)) == Some(&started_at)
+        };
+        let informed = recent().filter(knows_start).count() as f64 / load;
+        if load > OVERLOAD_MULTIPLE * capacity * self.warm_load && informed >= 2.0 / 3.0 {
             return Err(Some(format!(
-                "rule 4: {within} sent to {tgt} within {TIP} s"
+                "rule 4: {load} attempts sent to warming server {server_index} within {LOAD_WINDOW} s"
             )));
         }
         Ok(())
     }
 
-    /// Rule 5: the customer's hard ceiling.
-    fn over_ceiling(&mut self, now: f64, num: u64) -> Result<(), Broken> {
-        let (customer, plan, units) = self.customers[&num];
+    /// Rule 5: the customer's hard rate limit.
+    fn check_rate_limit(&mut self, now: f64, id: u64) -> Result<(), Violation> {
+        let (customer, plan, units) = self.customers[&id];
         let plan = &self.settings.plans[plan];
         if plan.hard_rate <= 0.0 {
             return Ok(());
         }
-        let (left, at) = self
-            .stores
+        let (left, updated_at) = self
+            .rate_limits
             .get(&customer)
             .copied()
             .unwrap_or((plan.hard_burst, now));
-        let left = (left + plan.hard_rate * (now - at)).min(plan.hard_burst) - units;
-        self.stores.insert(customer, (left, now));
+        let left = (left + plan.hard_rate * (now - updated_at)).min(plan.hard_burst) - units;
+        self.rate_limits.insert(customer, (left, now));
         if left < -1e-6 {
-            return Err(Some(format!("rule 5: customer {customer} at {left}")));
+            return Err(Some(format!(
+                "rule 5: customer {customer} has {left} units left of its rate limit"
+            )));
         }
         Ok(())
     }
 
-    fn answered(&mut self, now: f64, num: u64, answer: &Answer) -> Result<(), Broken> {
-        let life = self.lives.get_mut(&num).ok_or(None)?;
-        life.answers += 1;
-        if life.answers > 1 || life.closed || now > life.until + self.settings.response_slack {
+    fn check_answered(&mut self, now: f64, id: u64, decision: &Decision) -> Result<(), Violation> {
+        let record = self.invocations.get_mut(&id).ok_or(None)?;
+        record.responses += 1;
+        let latest = record.deadline + self.settings.response_slack;
+        if record.responses > 1 || record.closed || now > latest {
             return Err(Some(format!(
-                "rule 1: {num} answered {} times, at {now}",
-                life.answers
+                "rule 1: invocation {id} got response {} at {now}, due by {latest}, closed: {}",
+                record.responses, record.closed
             )));
         }
-        let may = life.deliveries.iter().any(|d| d.2 != Some(true));
-        let risky = match self.settings.operations[life.operation].effect {
+        let may_have_run = record
+            .attempts
+            .iter()
+            .any(|attempt| attempt.2 != Some(true));
+        let repeat_is_harmful = match self.settings.operations[record.operation].effect {
             Effect::Idempotent
             | Effect::Tokened {
-                group: Group::All, ..
+                scope: TokenScope::All,
+                ..
             } => false,
-            _ => may,
+            _ => may_have_run,
         };
-        if risky && matches!(answer, Answer::Throttle { .. }) {
+        if repeat_is_harmful && matches!(decision, Decision::Throttle { .. }) {
             return Err(Some(format!(
-                "rule 2: {num} throttled though it may have run"
+                "rule 2: invocation {id} throttled though it may have run"
             )));
         }
         Ok(())
@@ -458,7 +508,7 @@
 #[test]
 fn limiters_and_model_agree_on_what_is_allowed() {
     fn agrees<const FLEET: usize>(steps: Vec<Step>) -> Result<(), String> {
-        broken(&play(&steps, FLEET)).map_or(Ok(()), Err)
+        first_violation(&play(&steps, FLEET)).map_or(Ok(()), Err)
     }
     let gen = || Gen::from_size_and_seed(400, 20261201);
     QuickCheck::new()
--- a/crates/gateway/gateway/src/counter.rs
+++ b/crates/gateway/gateway/src/counter.rs
@@ -6,7 +6,7 @@
 use crate::message::{encode_count, take_counted};
 use crate::reducer::Event;
 use bytes::{Buf, Bytes, BytesMut};
-use dunespur_decisions::types::Counted;
+use dunespur_decisions::types::CounterReply;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -74,9 +74,9 @@
             at.and_then(|at| unwritten.remove(at)).is_some()
         });
         let counted = if never {
-            Counted::Refused
+            CounterReply::Refused
         } else {
-            Counted::Silent
+            CounterReply::NoReply
         };
         hub.tell(Event::Counted { call, counted });
     }
@@ -95,7 +95,7 @@
         for (call, _) in unwritten {
             hub.tell(Event::Counted {
                 call,
-                counted: Counted::Refused,
+                counted: CounterReply::Refused,
             });
         }
     }
@@ -256,13 +256,13 @@
         for call in self.written.drain(..) {
             hub.tell(Event::Counted {
                 call,
-                counted: Counted::Silent,
+                counted: CounterReply::NoReply,
             });
         }
         if let Some((call, _)) = self.part.take() {
             hub.tell(Event::Counted {
                 call,
-                counted: Counted::Refused,
+                counted: CounterReply::Refused,
             });
         }
     }
--- a/crates/gateway/gateway/src/fault.rs
+++ b/crates/gateway/gateway/src/fault.rs
@@ -2,7 +2,7 @@
 //! to the ending that the decisions are told and to the status that a client sees. It must never panic,
 //! log, retry or decide anything.
 
-use dunespur_decisions::types::Ending;
+use dunespur_decisions::types::AttemptResult;
 use std::fmt;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -30,14 +30,16 @@
 }
 
 impl Fault {
-    pub fn ending(&self) -> Ending {
+    pub fn ending(&self) -> AttemptResult {
         match self {
             Fault::NotConnected | Fault::Unwritten | Fault::Crowded | Fault::Config(_) => {
-                Ending::ConnectFailed
+                AttemptResult::ConnectFailed
+            }
+            Fault::Silent => AttemptResult::Timeout,
+            Fault::Withdrawn => AttemptResult::Cancelled,
+            Fault::Broken | Fault::Malformed(_) | Fault::InHand | Fault::TooLarge => {
+                AttemptResult::Reset
             }
-            Fault::Silent => Ending::Timeout,
-            Fault::Withdrawn => Ending::Cancelled,
-            Fault::Broken | Fault::Malformed(_) | Fault::InHand | Fault::TooLarge => Ending::Reset,
         }
     }
 
--- a/crates/gateway/gateway/src/fleet/audits.rs
+++ b/crates/gateway/gateway/src/fleet/audits.rs
@@ -8,7 +8,7 @@
 use crate::message::encode_count;
 use crate::message::take_counted;
 use bytes::BytesMut;
-use dunespur_decisions::types::Counted;
+use dunespur_decisions::types::CounterReply;
 use dunespur_singleton_roles::audit;
 use dunespur_singleton_roles::Slot;
 use serde_json::json;
@@ -47,7 +47,7 @@
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
             }
         };
-        if let Counted::Total(total) = counted {
+        if let CounterReply::Total(total) = counted {
             let _ = tell.send(FleetEvent::Total { name: *name, total });
         }
     }
--- a/crates/gateway/gateway/src/fleet/event.rs
+++ b/crates/gateway/gateway/src/fleet/event.rs
@@ -1,6 +1,6 @@
 //! What the rest of the process tells its part in the fleet.
 
-use dunespur_decisions::types::Counted;
+use dunespur_decisions::types::CounterReply;
 use dunespur_quota_sharing::LeaseRequest;
 use dunespur_singleton_roles::health_check::Observation;
 use dunespur_singleton_roles::Slot;
@@ -29,5 +29,5 @@
     /// This limiter asks the broker of a slot.
     Borrow { slot: Slot, request: LeaseRequest },
     /// A call of this process's own broker has ended.
-    Brokered { call: u64, counted: Counted },
+    Brokered { call: u64, counted: CounterReply },
 }
--- a/crates/gateway/gateway/src/fleet/observer.rs
+++ b/crates/gateway/gateway/src/fleet/observer.rs
@@ -4,8 +4,8 @@
 use crate::lending::BROKER;
 use crate::reducer::Effect;
 use crate::reducer::Event;
-use dunespur_decisions::types::Counted;
-use dunespur_decisions::types::Ending;
+use dunespur_decisions::types::AttemptResult;
+use dunespur_decisions::types::CounterReply;
 use std::cell::Cell;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -64,17 +64,19 @@
                     return;
                 };
                 match answered.ending {
-                    Ending::Timeout | Ending::ConnectFailed => self.tell(FleetEvent::Delivered {
-                        server,
-                        answered: false,
-                    }),
-                    Ending::Succeeded | Ending::Error | Ending::Full => {
+                    AttemptResult::Timeout | AttemptResult::ConnectFailed => {
+                        self.tell(FleetEvent::Delivered {
+                            server,
+                            answered: false,
+                        })
+                    }
+                    AttemptResult::Succeeded | AttemptResult::Error | AttemptResult::Overloaded => {
                         self.tell(FleetEvent::Delivered {
                             server,
                             answered: true,
                         });
                     }
-                    Ending::Reset | Ending::Cancelled | Ending::Moot => {}
+                    AttemptResult::Reset | AttemptResult::Cancelled | AttemptResult::NotSent => {}
                 }
             }
             Event::Counted { call, counted } => {
@@ -92,8 +94,8 @@
                 let Some((name, add)) = self.calls.borrow_mut().remove(call) else {
                     return;
                 };
-                if *counted != Counted::Refused {
-                    let answered = matches!(counted, Counted::Total(_));
+                if *counted != CounterReply::Refused {
+                    let answered = matches!(counted, CounterReply::Total(_));
                     self.tell(FleetEvent::Counted {
                         name,
                         add,
--- a/crates/gateway/gateway/src/hub.rs
+++ b/crates/gateway/gateway/src/hub.rs
@@ -9,7 +9,7 @@
 use crate::message::Names;
 use crate::reducer::{Effect, Event, Reducer};
 use crate::upstream::Upstream;
-use dunespur_decisions::types::Counted;
+use dunespur_decisions::types::CounterReply;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -165,7 +165,7 @@
                 *add,
                 *life,
                 about,
-                self.clock.now() - about.start,
+                self.clock.now() - about.window_start,
             ) {
                 return;
             }
@@ -188,7 +188,7 @@
                 Some(lending) if lending.abandon(call) => {
                     self.tell(Event::Counted {
                         call,
-                        counted: Counted::Silent,
+                        counted: CounterReply::NoReply,
                     });
                 }
                 _ => self.counter.abandon(self, call),
--- a/crates/gateway/gateway/src/lending.rs
+++ b/crates/gateway/gateway/src/lending.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::clock;
 use crate::fleet::FleetEvent;
-use dunespur_decisions::types::{About, Counted};
+use dunespur_decisions::types::{AddContext, CounterReply};
 use dunespur_quota_sharing::{
     self as quota_sharing, Answer, Borrower, CounterCall, LeaseRequest, Route,
 };
@@ -56,7 +56,7 @@
         name: u64,
         add: f64,
         lifetime: f64,
-        about: &About,
+        about: &AddContext,
         since: f64,
     ) -> bool {
         let slot = self.slot(about.customer);
@@ -110,7 +110,7 @@
     }
 
     /// A broker's answer; the counter's answer that it stands for, if the limiter still waits.
-    pub fn broker_answered(&self, call: u64, answer: Answer) -> Option<Counted> {
+    pub fn broker_answered(&self, call: u64, answer: Answer) -> Option<CounterReply> {
         self.borrower
             .borrow_mut()
             .broker_answered(call, answer, fastrand::f64(), clock())
--- a/crates/gateway/gateway/src/message.rs
+++ b/crates/gateway/gateway/src/message.rs
@@ -4,7 +4,7 @@
 
 use crate::fault::Fault;
 use bytes::{Buf, Bytes, BytesMut};
-use dunespur_decisions::types::{Counted, Ending, Readiness};
+use dunespur_decisions::types::{AttemptResult, CounterReply, Readiness};
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::header::{CONNECTION, CONTENT_LENGTH, COOKIE, HOST, RETRY_AFTER, TRANSFER_ENCODING};
@@ -66,14 +66,14 @@
 /// What a server said.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answered {
-    pub ending: Ending,
+    pub ending: AttemptResult,
     pub used: Option<f64>,
     pub body: Bytes,
 }
 
 impl Answered {
     /// Nothing was said: this is how it ended instead.
-    pub fn none(ending: Ending) -> Self {
+    pub fn none(ending: AttemptResult) -> Self {
         Answered {
             ending,
             used: None,
@@ -255,9 +255,9 @@
         .get("x-not-processed")
         .is_some_and(|v| v == "1");
     let ending = match head.status.as_u16() {
-        200 => Ending::Succeeded,
-        503 | 504 if turned_away => Ending::Full,
-        _ => Ending::Error,
+        200 => AttemptResult::Succeeded,
+        503 | 504 if turned_away => AttemptResult::Overloaded,
+        _ => AttemptResult::Error,
     };
     let used = head
         .headers
@@ -427,7 +427,7 @@
 }
 
 /// Takes one answer of the counter off the buffer, None until it is whole.
-pub fn take_counted(buffer: &mut BytesMut) -> Result<Option<Counted>, Fault> {
+pub fn take_counted(buffer: &mut BytesMut) -> Result<Option<CounterReply>, Fault> {
     let Some(end) = buffer.windows(2).position(|w| w == b"\r\n") else {
         return if buffer.len() > MOST_BODY {
             Err(Fault::TooLarge)
@@ -441,7 +441,7 @@
         // An error's wording is free: whichever it is, nothing was added.
         Some(b'-') => {
             buffer.advance(end + 2);
-            Ok(Some(Counted::Refused))
+            Ok(Some(CounterReply::Refused))
         }
         Some(b'$') => {
             let len: usize = line
@@ -460,7 +460,7 @@
                 .filter(|t: &f64| t.is_finite());
             buffer.advance(whole);
             total
-                .map(|t| Some(Counted::Total(t)))
+                .map(|t| Some(CounterReply::Total(t)))
                 .ok_or_else(|| malformed("the counter's total"))
         }
         _ => Err(malformed("the counter's answer is of no known kind")),
--- a/crates/gateway/gateway/src/reducer.rs
+++ b/crates/gateway/gateway/src/reducer.rs
@@ -5,8 +5,8 @@
 use crate::message::{Answered, Asked, Names, News, Reply};
 use crate::stats::Stats;
 use dunespur_decisions::types::{
-    About, Action, Answer, Arrival, Counted, Ending, Invocation, Outcome, Readiness, Server,
-    Settings, Stage,
+    Action, AddContext, Arrival, AttemptResult, CounterReply, Decision, Invocation, Outcome,
+    Readiness, Server, Settings, Stage,
 };
 use dunespur_decisions::Limiter;
 use std::cmp::Ordering;
@@ -33,7 +33,7 @@
     },
     Counted {
         call: u64,
-        counted: Counted,
+        counted: CounterReply,
     },
     Endpoints(News),
     WatchLost,
@@ -66,7 +66,7 @@
     Abandon {
         num: u64,
         n: usize,
-        ending: Ending,
+        ending: AttemptResult,
     },
     Reply {
         num: u64,
@@ -77,7 +77,7 @@
         name: u64,
         add: f64,
         life: f64,
-        about: About,
+        about: AddContext,
     },
     AbandonCount {
         call: u64,
@@ -193,7 +193,7 @@
                     return;
                 };
                 self.stats.counted(counted);
-                self.limiter.counted(name, counted, now - at, now);
+                self.limiter.counter_answered(name, counted, now - at, now);
             }
             Event::Endpoints(news) => self.endpoints(news, now, out),
             Event::WatchLost => {
@@ -225,7 +225,7 @@
         // The answer has to be with the client before its time is up.
         let until = now + (asked.wait - self.response_slack).max(0.0);
         let mut inv = Invocation::from(Arrival {
-            num,
+            id: num,
             customer: asked.customer,
             plan: asked.plan,
             operation: asked.operation,
@@ -260,13 +260,13 @@
     }
 
     /// Carries out one answer; what is finished with nothing out is let go.
-    fn answer(&mut self, num: u64, answer: Answer, now: f64, out: &mut Vec<Effect>) {
+    fn answer(&mut self, num: u64, answer: Decision, now: f64, out: &mut Vec<Effect>) {
         let Some(held) = self.held.get_mut(&num) else {
             return;
         };
-        let wait = self.limiter.wait(&held.inv, now);
+        let wait = self.limiter.wait_time(&held.inv, now);
         match answer {
-            Answer::Send(tgt) => {
+            Decision::Send(tgt) => {
                 let (n, until) = (
                     held.inv.attempts.len() - 1,
                     (now + wait).min(held.inv.client_deadline),
@@ -284,25 +284,25 @@
                     until,
                 }));
             }
-            Answer::Hold if held.inv.stage != Stage::InFlight && now + wait < held.due => {
+            Decision::Hold if held.inv.stage != Stage::InFlight && now + wait < held.due => {
                 held.due = now + wait;
                 self.timers.push(Due(held.due, Timer::Ask(num)));
             }
-            Answer::Throttle { pause, cause } => {
+            Decision::Throttle { pause, cause } => {
                 self.stats.throttled[cause as usize] += 1;
                 out.push(Effect::Reply {
                     num,
                     reply: Reply::Throttled { pause },
                 });
             }
-            Answer::Error => {
+            Decision::Error => {
                 self.stats.errored += 1;
                 out.push(Effect::Reply {
                     num,
                     reply: Reply::Errored,
                 });
             }
-            Answer::Hold | Answer::Done => {}
+            Decision::Hold | Decision::Done => {}
         }
         if held.inv.stage == Stage::Done && held.inv.in_flight == 0 {
             self.held.remove(&num);
@@ -317,7 +317,7 @@
         held.open &= !(1 << n);
         self.stats.ended(ending);
         let finished = held.inv.stage == Stage::Done;
-        let done = finished || ending == Ending::Succeeded;
+        let done = finished || ending == AttemptResult::Succeeded;
         if done && !finished {
             self.stats.succeeded += 1;
             out.push(Effect::Reply {
@@ -327,14 +327,14 @@
         }
         // No answer on this protocol settles units.
         let outcome = Outcome {
-            n,
-            ending,
-            spent: now - held.inv.attempts[n].1,
-            done,
-            used,
-            settled: None,
+            attempt: n,
+            result: ending,
+            duration: now - held.inv.attempts[n].1,
+            answered: done,
+            usage: used,
+            settled_units: None,
         };
-        let answer = self.limiter.after(&mut held.inv, &outcome, now);
+        let answer = self.limiter.attempt_ended(&mut held.inv, &outcome, now);
         self.answer(num, answer, now, out);
     }
 
@@ -352,10 +352,10 @@
             out.push(Effect::Abandon {
                 num,
                 n,
-                ending: Ending::Cancelled,
+                ending: AttemptResult::Cancelled,
             });
         }
-        self.answer(num, Answer::Done, now, out);
+        self.answer(num, Decision::Done, now, out);
     }
 
     fn endpoints(&mut self, news: News, now: f64, out: &mut Vec<Effect>) {
@@ -387,7 +387,7 @@
             };
             let (zone, cell, started_at, readiness) = (m.zone, m.cell, m.started_at, m.readiness);
             entries.push(Server {
-                tgt,
+                index: tgt,
                 zone,
                 cell,
                 started_at,
@@ -396,7 +396,7 @@
         }
         let shut = self.known.iter().enumerate().filter(|(_, k)| !k.live);
         out.extend(shut.map(|(tgt, _)| Effect::Retire { tgt }));
-        self.limiter.endpoints(&entries, news.complete, now);
+        self.limiter.update_endpoints(&entries, news.complete, now);
     }
 
     fn due(&mut self, now: f64, out: &mut Vec<Effect>) {
@@ -416,7 +416,7 @@
                         out.push(Effect::Abandon {
                             num,
                             n,
-                            ending: Ending::Timeout,
+                            ending: AttemptResult::Timeout,
                         });
                     }
                 }
@@ -433,12 +433,12 @@
     fn carry_out(&mut self, now: f64, out: &mut Vec<Effect>) {
         while let Some(action) = self.limiter.next_action() {
             match action {
-                Action::Ask(num) => self.place(num, now, out),
-                Action::Count {
+                Action::Place(num) => self.place(num, now, out),
+                Action::AddToCounter {
                     name,
                     add,
-                    life,
-                    about,
+                    lifetime: life,
+                    context: about,
                 } => {
                     self.last_call += 1;
                     self.stats.calls += 1;
@@ -455,7 +455,7 @@
                     });
                 }
                 Action::WatchEndpoints => out.push(Effect::Watch),
-                Action::Tick(after) => self.timers.push(Due(now + after, Timer::Tick)),
+                Action::ScheduleTick(after) => self.timers.push(Due(now + after, Timer::Tick)),
             }
         }
     }
@@ -472,7 +472,7 @@
         plans,
         operations,
         zones,
-        fleet: read.settings.fleet,
+        fleet: read.settings.fleet_size,
         most_units: read.max_units,
     }
 }
--- a/crates/gateway/gateway/src/reducer/tests.rs
+++ b/crates/gateway/gateway/src/reducer/tests.rs
@@ -3,34 +3,34 @@
 use super::*;
 use crate::message::{decode_asked, Member};
 use bytes::Bytes;
-use dunespur_decisions::types::{Effect as Run, Group, OperationSettings, PlanSettings};
+use dunespur_decisions::types::{Effect as Run, OperationSettings, PlanSettings, TokenScope};
 use std::collections::HashSet;
 
-const ENDINGS: [Ending; 5] = [
-    Ending::Succeeded,
-    Ending::Error,
-    Ending::Full,
-    Ending::ConnectFailed,
-    Ending::Reset,
+const ENDINGS: [AttemptResult; 5] = [
+    AttemptResult::Succeeded,
+    AttemptResult::Error,
+    AttemptResult::Overloaded,
+    AttemptResult::ConnectFailed,
+    AttemptResult::Reset,
 ];
 
 pub fn settings() -> Settings {
     let operation = |effect| OperationSettings {
         effect,
-        objective: 0.6,
+        latency_target: 0.6,
         integration_timeout: 2.0,
         billed_value: 1.0,
         late_share: 0.0,
     };
     let tokened = Run::Tokened {
-        group: Group::All,
+        scope: TokenScope::All,
         window: 2.5,
     };
     let effects = [Run::Idempotent, tokened, Run::NonIdempotent];
     Settings {
         seed: 1,
-        slot: 0,
-        fleet: 2,
+        fleet_index: 0,
+        fleet_size: 2,
         zone: 0,
         operations: effects.into_iter().map(operation).collect(),
         plans: vec![PlanSettings {
@@ -40,7 +40,7 @@
             price: 1.0,
             ..Default::default()
         }],
-        counter: true,
+        has_counter: true,
         counter_timeout: 0.05,
         call_price: 0.02,
         max_retry_after: 0.5,
@@ -129,8 +129,8 @@
                 }
             }
             4 if !self.calls.is_empty() => {
-                let total = Counted::Total(self.any(60) as f64);
-                let counted = [total, Counted::Refused][self.any(2)];
+                let total = CounterReply::Total(self.any(60) as f64);
+                let counted = [total, CounterReply::Refused][self.any(2)];
                 let at = self.any(self.calls.len());
                 Event::Counted {
                     call: self.calls.remove(at),
@@ -213,7 +213,7 @@
             Effect::Count { call, .. } => self.calls.push(call),
             Effect::AbandonCount { call } => {
                 self.calls.retain(|c| *c != call);
-                let counted = Counted::Silent;
+                let counted = CounterReply::NoReply;
                 let silent = Event::Counted { call, counted };
                 self.reducer.reduce(silent, now, out);
             }
@@ -243,7 +243,7 @@
             "timers or calls kept"
         );
         succeeded += reducer.stats.succeeded;
-        timed_out += reducer.stats.endings[Ending::Timeout as usize];
+        timed_out += reducer.stats.endings[AttemptResult::Timeout as usize];
     }
     assert!(
         succeeded > 1000 && timed_out > 50,
--- a/crates/gateway/gateway/src/stats.rs
+++ b/crates/gateway/gateway/src/stats.rs
@@ -1,7 +1,7 @@
 //! Counters of what the gateway takes in, sends and answers. Owns the figures and the one line that shows
 //! them, printed at exit and on SIGUSR1. Nothing is ever decided by them, and they are never reset.
 
-use dunespur_decisions::types::{Cause, Counted, Ending};
+use dunespur_decisions::types::{AttemptResult, CounterReply, ThrottleCause};
 use std::fmt;
 
 #[derive(Debug, Default)]
@@ -11,7 +11,7 @@
     pub clients_gone: u64,
     pub succeeded: u64,
     /// By cause.
-    pub throttled: [u64; Cause::ALL.len()],
+    pub throttled: [u64; ThrottleCause::ALL.len()],
     pub errored: u64,
     pub deliveries: u64,
     pub endings: [u64; 8],
@@ -26,22 +26,22 @@
 }
 
 impl Stats {
-    pub fn ended(&mut self, ending: Ending) {
+    pub fn ended(&mut self, ending: AttemptResult) {
         self.endings[ending as usize] += 1;
     }
 
-    pub fn counted(&mut self, counted: Counted) {
+    pub fn counted(&mut self, counted: CounterReply) {
         match counted {
-            Counted::Total(_) => self.totals += 1,
-            Counted::Refused => self.refused += 1,
-            Counted::Silent => self.silent += 1,
+            CounterReply::Total(_) => self.totals += 1,
+            CounterReply::Refused => self.refused += 1,
+            CounterReply::NoReply => self.silent += 1,
         }
     }
 }
 
 impl fmt::Display for Stats {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let e = |ending: Ending| self.endings[ending as usize];
+        let e = |ending: AttemptResult| self.endings[ending as usize];
         write!(
             f,
             "invocations taken={} turned_down={} client_gone={} succeeded={} throttled={} errored={}; ",
@@ -53,7 +53,7 @@
             self.errored
         )?;
         write!(f, "throttled")?;
-        for (cause, name) in Cause::ALL {
+        for (cause, name) in ThrottleCause::ALL {
             write!(f, " {name}={}", self.throttled[cause as usize])?;
         }
         write!(f, "; ")?;
@@ -62,13 +62,13 @@
             "deliveries sent={} succeeded={} error={} full={} timeout={} connect_failed={} reset={} \
              cancelled={}; ",
             self.deliveries,
-            e(Ending::Succeeded),
-            e(Ending::Error),
-            e(Ending::Full),
-            e(Ending::Timeout),
-            e(Ending::ConnectFailed),
-            e(Ending::Reset),
-            e(Ending::Cancelled)
+            e(AttemptResult::Succeeded),
+            e(AttemptResult::Error),
+            e(AttemptResult::Overloaded),
+            e(AttemptResult::Timeout),
+            e(AttemptResult::ConnectFailed),
+            e(AttemptResult::Reset),
+            e(AttemptResult::Cancelled)
         )?;
         write!(
             f,
--- a/crates/gateway/gateway/src/upstream.rs
+++ b/crates/gateway/gateway/src/upstream.rs
@@ -6,7 +6,7 @@
 use crate::hub::Hub;
 use crate::message::{decode_answer, encode_delivery, Answered, MOST_BODY};
 use crate::reducer::{Delivery, Event};
-use dunespur_decisions::types::Ending;
+use dunespur_decisions::types::AttemptResult;
 use http_body_util::{BodyExt, Limited};
 use hyper::client::conn::http1;
 use hyper::header::CONNECTION;
@@ -181,13 +181,13 @@
     }
 
     /// Ends a delivery now. What was not written whole can never have run.
-    pub fn abandon(&self, hub: &Rc<Hub>, num: u64, n: usize, ending: Ending) {
+    pub fn abandon(&self, hub: &Rc<Hub>, num: u64, n: usize, ending: AttemptResult) {
         // With no connection left its task has panicked: the invocation is owed an end all the same.
         let conn = self.out.borrow_mut().remove(&(num, n));
         let unsent = conn.is_some_and(|conn| {
             conn.job.borrow_mut().take();
             conn.close();
-            ending == Ending::Timeout && !conn.written.get().whole()
+            ending == AttemptResult::Timeout && !conn.written.get().whole()
         });
         let ending = if unsent {
             Fault::Unwritten.ending()
--- a/crates/gateway/quota-sharing/src/borrower.rs
+++ b/crates/gateway/quota-sharing/src/borrower.rs
@@ -1,7 +1,7 @@
 //! A limiter's side of the role `lend`: where each of its adds goes, by how the brokers answer.
 
 use crate::{Answer, CounterCall, Settings, Slot};
-use dunespur_decisions::types::Counted;
+use dunespur_decisions::types::CounterReply;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Answers in a row without the counter behind them after which a borrower calls the counter itself.
@@ -217,7 +217,7 @@
         answer: Answer,
         jitter: f64,
         now: f64,
-    ) -> Option<Counted> {
+    ) -> Option<CounterReply> {
         if !self.is_at_broker(call) {
             self.late_answers += u64::from(answer != Answer::Pending);
             return None;
@@ -233,7 +233,7 @@
         match answer {
             Answer::Total(total) if total.is_finite() => {
                 health.unavailable = 0;
-                Some(Counted::Total(total))
+                Some(CounterReply::Total(total))
             }
             _ => {
                 health.unavailable += 1;
@@ -241,7 +241,7 @@
                     health.unavailable = 0;
                     health.retry_at = now + self.backoff * (0.75 + jitter / 2.0);
                 }
-                Some(Counted::Refused)
+                Some(CounterReply::Refused)
             }
         }
     }
--- a/crates/gateway/quota-sharing/src/broker/blocks.rs
+++ b/crates/gateway/quota-sharing/src/broker/blocks.rs
@@ -3,7 +3,7 @@
 use super::leased_name::{LeasedName, OpenAdd, WaitingRequest};
 use super::{Broker, OpenCall, MIN_RETURN, RETENTION_WINDOWS};
 use crate::{Answer, LeaseRequest, Output};
-use dunespur_decisions::types::Counted;
+use dunespur_decisions::types::CounterReply;
 
 /// Near the limit a block is this part of the room (the paper's factor).
 const NEAR_LIMIT_DIVISOR: f64 = 2.0;
@@ -120,7 +120,7 @@
     pub fn counter_answered(
         &mut self,
         call: u64,
-        counted: Counted,
+        counted: CounterReply,
         now: f64,
         out: &mut Vec<Output>,
     ) {
@@ -134,7 +134,7 @@
             return;
         };
         match counted {
-            Counted::Total(total) if total.is_finite() => {
+            CounterReply::Total(total) if total.is_finite() => {
                 self.take_total(id, total, add, now);
                 self.serve(id, now, out);
             }
--- a/crates/gateway/quota-sharing/src/broker/mod.rs
+++ b/crates/gateway/quota-sharing/src/broker/mod.rs
@@ -5,7 +5,7 @@
 mod leased_name;
 
 use crate::{Answer, LeaseRequest, Output, Settings, Slot};
-use dunespur_decisions::types::Counted;
+use dunespur_decisions::types::CounterReply;
 use fairness::Customer;
 use leased_name::{LeasedName, WaitingRequest};
 use std::collections::BTreeMap;
@@ -175,7 +175,7 @@
                 break;
             }
             out.push(Output::AbandonCall { call });
-            self.counter_answered(call, Counted::Silent, now, out);
+            self.counter_answered(call, CounterReply::NoReply, now, out);
         }
         let interval = self.settings.reread_interval;
         if now >= self.last_flush + interval {
--- a/crates/gateway/quota-sharing/src/message.rs
+++ b/crates/gateway/quota-sharing/src/message.rs
@@ -2,7 +2,7 @@
 //! order: fields and variants keep theirs.
 
 use crate::{Name, Slot};
-use dunespur_decisions::types::About;
+use dunespur_decisions::types::AddContext;
 use serde::{Deserialize, Serialize};
 
 /// Amounts from here on are taken for none.
@@ -51,19 +51,19 @@
 impl LeaseRequest {
     /// What the decisions want added, `since_start` seconds after the name came into use.
     #[must_use]
-    pub fn new(call: CounterCall, about: &About, since_start: f64) -> Self {
+    pub fn new(call: CounterCall, context: &AddContext, since_start: f64) -> Self {
         LeaseRequest {
             seq: call.call,
             name: call.name,
-            customer: about.customer,
+            customer: context.customer,
             add: call.add,
-            requested: about.asked,
-            minimum: about.needs,
+            requested: context.requested,
+            minimum: context.min_units,
             lifetime: call.lifetime,
-            limit: about.most + about.rate * since_start.max(0.0),
-            limit_rate: about.rate,
-            elapsed: (since_start / about.length.max(1e-9)).clamp(0.0, 1.0),
-            remaining: (about.length - since_start).max(0.0),
+            limit: context.limit + context.limit_rate * since_start.max(0.0),
+            limit_rate: context.limit_rate,
+            elapsed: (since_start / context.window_length.max(1e-9)).clamp(0.0, 1.0),
+            remaining: (context.window_length - since_start).max(0.0),
         }
     }
 
--- a/crates/gateway/quota-sharing/tests/borrower.rs
+++ b/crates/gateway/quota-sharing/tests/borrower.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::settings;
-use dunespur_decisions::types::Counted;
+use dunespur_decisions::types::CounterReply;
 use dunespur_quota_sharing::{Answer, Borrower, CounterCall, Route, Slot};
 
 fn route(b: &mut Borrower, call: u64, name: u64, slot: Slot, known: bool, now: f64) -> Route {
@@ -39,7 +39,7 @@
     assert_eq!(route(&mut b, 7, 8, 0, true, 20.0), Route::Counter);
     assert_eq!(
         b.broker_answered(6, Answer::Total(3.0), 0.5, 20.01),
-        Some(Counted::Total(3.0))
+        Some(CounterReply::Total(3.0))
     );
     assert_eq!(
         b.broker_answered(6, Answer::Total(3.0), 0.5, 20.01),
@@ -57,7 +57,7 @@
         assert_eq!(route(&mut b, call, call, 0, true, 21.0), Route::Broker(0));
         assert_eq!(
             b.broker_answered(call, Answer::Unavailable, 0.5, 21.0),
-            Some(Counted::Refused)
+            Some(CounterReply::Refused)
         );
     }
     assert_eq!(route(&mut b, 18, 18, 0, true, 21.1), Route::Counter);
@@ -96,7 +96,7 @@
     b.counter_answered(3);
     assert_eq!(
         b.broker_answered(4, Answer::Total(1.0), 0.5, 0.03),
-        Some(Counted::Total(1.0))
+        Some(CounterReply::Total(1.0))
     );
     assert_eq!(b.next_due(), f64::INFINITY);
 }
--- a/crates/gateway/quota-sharing/tests/broker.rs
+++ b/crates/gateway/quota-sharing/tests/broker.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::settings;
-use dunespur_decisions::types::Counted;
+use dunespur_decisions::types::CounterReply;
 use dunespur_quota_sharing::{Answer, Broker, LeaseRequest, Output};
 
 fn request(seq: u64, requested: f64) -> LeaseRequest {
@@ -58,7 +58,7 @@
                         self.calls += 1;
                         if !self.silent {
                             self.counter += add;
-                            let total = Counted::Total(self.counter);
+                            let total = CounterReply::Total(self.counter);
                             self.broker
                                 .counter_answered(call, total, self.now, &mut next);
                         }
--- a/crates/gateway/quota-sharing/tests/fairness.rs
+++ b/crates/gateway/quota-sharing/tests/fairness.rs
@@ -2,8 +2,8 @@
 //! the same module with a broker in the counter's place.
 
 use dunespur_decisions::types::{
-    About, Action, Arrival, Counted, Effect, Ending, Invocation, OperationSettings, Outcome,
-    PlanSettings,
+    Action, AddContext, Arrival, AttemptResult, CounterReply, Effect, Invocation,
+    OperationSettings, Outcome, PlanSettings,
 };
 use dunespur_decisions::types::{Readiness, Server, Settings};
 use dunespur_decisions::Limiter;
@@ -33,7 +33,7 @@
         };
         let operation = OperationSettings {
             effect: Effect::Idempotent,
-            objective: 0.6,
+            latency_target: 0.6,
             integration_timeout: 2.0,
             billed_value: 1.0,
             late_share: 0.0,
@@ -43,12 +43,12 @@
             let mut limiter = Limiter::new(
                 &Settings {
                     seed: 7 + u64::from(slot),
-                    slot,
-                    fleet: 2,
+                    fleet_index: slot,
+                    fleet_size: 2,
                     zone: 0,
                     operations: vec![operation.clone()],
                     plans: vec![plan.clone()],
-                    counter: true,
+                    has_counter: true,
                     counter_timeout: 0.05,
                     call_price: 0.02,
                     max_retry_after: 0.5,
@@ -62,13 +62,13 @@
                 now,
             );
             let server = |tgt| Server {
-                tgt,
+                index: tgt,
                 zone: 0,
                 cell: 0,
                 started_at: 0.0,
                 readiness: Readiness::Live,
             };
-            limiter.endpoints(&[0, 1, 2, 3].map(server), true, now);
+            limiter.update_endpoints(&[0, 1, 2, 3].map(server), true, now);
             limiter
         };
         let settings = quota_sharing::Settings {
@@ -103,9 +103,16 @@
     }
 
     /// The total that an add is answered with, by the broker where there is one.
-    fn add(&mut self, gate: usize, name: u64, add: f64, lifetime: f64, a: About) -> Counted {
+    fn add(
+        &mut self,
+        gate: usize,
+        name: u64,
+        add: f64,
+        lifetime: f64,
+        a: AddContext,
+    ) -> CounterReply {
         let Some(mut broker) = self.broker.take() else {
-            return Counted::Total(self.count(name, add));
+            return CounterReply::Total(self.count(name, add));
         };
         let request = LeaseRequest::new(
             CounterCall {
@@ -115,11 +122,11 @@
                 lifetime,
             },
             &a,
-            self.now - a.start,
+            self.now - a.window_start,
         );
         let mut out = Vec::new();
         broker.request(&format!("g{gate}"), 1, 0, request, self.now, &mut out);
-        let mut told = Counted::Refused;
+        let mut told = CounterReply::Refused;
         while !out.is_empty() {
             let mut next = Vec::new();
             for o in out {
@@ -127,12 +134,17 @@
                     Output::Respond {
                         answer: Answer::Total(total),
                         ..
-                    } => told = Counted::Total(total),
+                    } => told = CounterReply::Total(total),
                     Output::CallCounter {
                         call, name, add, ..
                     } => {
                         let total = self.count(name, add);
-                        broker.counter_answered(call, Counted::Total(total), self.now, &mut next);
+                        broker.counter_answered(
+                            call,
+                            CounterReply::Total(total),
+                            self.now,
+                            &mut next,
+                        );
                     }
                     _ => {}
                 }
@@ -146,16 +158,16 @@
     fn pump(&mut self, gate: usize) {
         while let Some(action) = self.gates[gate].next_action() {
             match action {
-                Action::Count {
+                Action::AddToCounter {
                     name,
                     add,
-                    life: lifetime,
-                    about,
+                    lifetime,
+                    context: about,
                 } => {
                     let counted = self.add(gate, name, add, lifetime, about);
-                    self.gates[gate].counted(name, counted, 0.001, self.now);
+                    self.gates[gate].counter_answered(name, counted, 0.001, self.now);
                 }
-                Action::Ask(num) => self.place(num),
+                Action::Place(num) => self.place(num),
                 _ => {}
             }
         }
@@ -166,19 +178,19 @@
             return;
         };
         match self.gates[gate].place(&mut inv, self.now) {
-            dunespur_decisions::types::Answer::Send(_) => {
+            dunespur_decisions::types::Decision::Send(_) => {
                 self.sent.insert(num, gate);
                 let outcome = Outcome {
-                    n: 0,
-                    ending: Ending::Succeeded,
-                    spent: 0.02,
-                    done: true,
-                    used: None,
-                    settled: None,
+                    attempt: 0,
+                    result: AttemptResult::Succeeded,
+                    duration: 0.02,
+                    answered: true,
+                    usage: None,
+                    settled_units: None,
                 };
-                self.gates[gate].after(&mut inv, &outcome, self.now);
+                self.gates[gate].attempt_ended(&mut inv, &outcome, self.now);
             }
-            dunespur_decisions::types::Answer::Hold => _ = self.pending.insert(num, (gate, inv)),
+            dunespur_decisions::types::Decision::Hold => _ = self.pending.insert(num, (gate, inv)),
             _ => {}
         }
         self.pump(gate);
@@ -195,7 +207,7 @@
                     num += 1;
                     let until = self.now + 2.0;
                     let inv = Invocation::from(Arrival {
-                        num,
+                        id: num,
                         customer: 9,
                         plan: 0,
                         operation: 0,
--- a/crates/gateway/quota-sharing/tests/lease_model.rs
+++ b/crates/gateway/quota-sharing/tests/lease_model.rs
@@ -4,7 +4,7 @@
 //! out in turn, and the checker has to find a history that lets in more than the name holds. Time stands still
 //! in it: names that grow, the pace near the limit and shares between borrowers are not covered.
 
-use dunespur_decisions::types::Counted;
+use dunespur_decisions::types::CounterReply;
 use dunespur_quota_sharing::{
     Answer, Borrower, Broker, CounterCall, LeaseRequest, Output, Settings,
 };
@@ -109,7 +109,7 @@
                         let mut next = Vec::new();
                         s.brokers[broker].counter_answered(
                             call,
-                            Counted::Total(s.total + add),
+                            CounterReply::Total(s.total + add),
                             0.0,
                             &mut next,
                         );
@@ -124,8 +124,8 @@
     fn silent(&self, s: &mut State, broker: usize, call: u64, add: f64) {
         let mut out = Vec::new();
         let counted = match self.0.silent_is_none {
-            true => Counted::Silent,
-            false => Counted::Total(s.total + add),
+            true => CounterReply::NoReply,
+            false => CounterReply::Total(s.total + add),
         };
         s.brokers[broker].counter_answered(call, counted, 0.0, &mut out);
         self.drive(s, broker, out);
@@ -244,7 +244,7 @@
             }
             Act::Total(n) => {
                 let (broker, call, total) = s.totals.remove(n);
-                s.brokers[broker].counter_answered(call, Counted::Total(total), 0.0, &mut out);
+                s.brokers[broker].counter_answered(call, CounterReply::Total(total), 0.0, &mut out);
                 self.drive(&mut s, broker, out);
             }
             Act::LoseCall(n) => {
@@ -265,7 +265,7 @@
                 s.twice += u8::from(matches!(act, Act::ToldTwice(_)));
                 let taken = s.limiters[limiter].broker_answered(seq, answer, 0.5, 0.0);
                 let total = match (taken, answer, self.0.once) {
-                    (Some(Counted::Total(t)), _, _) | (None, Answer::Total(t), false) => t,
+                    (Some(CounterReply::Total(t)), _, _) | (None, Answer::Total(t), false) => t,
                     _ => return Some(s),
                 };
                 // The module's rule: what it added fits under what the name holds.
--- a/crates/gateway/settings/src/document.rs
+++ b/crates/gateway/settings/src/document.rs
@@ -2,7 +2,7 @@
 
 use crate::error::SettingsError;
 use crate::section::Section;
-use dunespur_decisions::types::{Effect, Group, OperationSettings, PlanSettings, Settings};
+use dunespur_decisions::types::{Effect, OperationSettings, PlanSettings, Settings, TokenScope};
 use serde_json::Value;
 
 /// The settings, and the names that invocations use.
@@ -62,8 +62,8 @@
     Ok(Settings {
         seed,
         zone: zone(document, zones)?,
-        slot: document.number("slotNo")? as u32,
-        fleet: document.positive_number("fleetSize")? as u32,
+        fleet_index: document.number("slotNo")? as u32,
+        fleet_size: document.positive_number("fleetSize")? as u32,
         operations: document
             .list("classes")?
             .map(operation)
@@ -72,7 +72,7 @@
             .list("contracts")?
             .map(plan)
             .collect::<Result<_, _>>()?,
-        counter: domain.flag("sharedCounter"),
+        has_counter: domain.flag("sharedCounter"),
         counter_timeout: domain.number("countWaitS")?,
         call_price: domain.number("callPrice")?,
         max_retry_after: if limits.flag("retryAfter") {
@@ -99,7 +99,7 @@
 fn operation(class: Section<'_>) -> Result<OperationSettings, SettingsError> {
     Ok(OperationSettings {
         effect: effect(class)?,
-        objective: class.positive_number("goalTimeS")?,
+        latency_target: class.positive_number("goalTimeS")?,
         integration_timeout: class.positive_number("deadlineS")?,
         billed_value: class.number("importance")?,
         late_share: class.number("lateShare")?,
@@ -111,18 +111,18 @@
         "free" => Ok(Effect::Idempotent),
         "single_shot" => Ok(Effect::NonIdempotent),
         "guarded" => Ok(Effect::Tokened {
-            group: group(class)?,
+            scope: group(class)?,
             window: class.number("windowS")?,
         }),
         other => Err(unknown("effect", other)),
     }
 }
 
-fn group(class: Section<'_>) -> Result<Group, SettingsError> {
+fn group(class: Section<'_>) -> Result<TokenScope, SettingsError> {
     match class.text("group")? {
-        "all" => Ok(Group::All),
-        "zone" => Ok(Group::Zone),
-        "cell" => Ok(Group::Cell),
+        "all" => Ok(TokenScope::All),
+        "zone" => Ok(TokenScope::Zone),
+        "cell" => Ok(TokenScope::Cell),
         other => Err(unknown("group", other)),
     }
 }
@@ -131,7 +131,7 @@
     Ok(PlanSettings {
         rate: contract.number("rate")?,
         burst: contract.number("burst")?,
-        open: contract.number("concurrency")?,
+        max_in_flight: contract.number("concurrency")?,
         hard_rate: contract.number("hardRate")?,
         hard_burst: contract.number("hardBurst")?,
         beyond_quota_earnings: contract.number("overWorth")?,
--- a/crates/gateway/settings/tests/document.rs
+++ b/crates/gateway/settings/tests/document.rs
@@ -1,6 +1,6 @@
 //! Each key of the settings document is read to its own field; what can't be read is named.
 
-use dunespur_decisions::types::{Effect, Group};
+use dunespur_decisions::types::{Effect, TokenScope};
 use dunespur_settings::{parse, SettingsDocument};
 use serde_json::{json, Value};
 
@@ -71,10 +71,15 @@
     );
     let settings = &read.settings;
     assert_eq!(
-        (settings.seed, settings.slot, settings.fleet, settings.zone),
+        (
+            settings.seed,
+            settings.fleet_index,
+            settings.fleet_size,
+            settings.zone
+        ),
         (99, 11, 12, 1)
     );
-    assert!(settings.counter && settings.endpoints_on_request);
+    assert!(settings.has_counter && settings.endpoints_on_request);
     assert_eq!((settings.counter_timeout, settings.call_price), (1.5, 2.5));
     assert_eq!((settings.max_retry_after, settings.max_attempts), (4.5, 13));
     assert_eq!((settings.warm_up_from, settings.warm_up_time), (7.5, 8.5));
@@ -97,15 +102,15 @@
         Effect::Idempotent,
         Effect::NonIdempotent,
         Effect::Tokened {
-            group: Group::All,
+            scope: TokenScope::All,
             window: 40.0,
         },
         Effect::Tokened {
-            group: Group::Zone,
+            scope: TokenScope::Zone,
             window: 50.0,
         },
         Effect::Tokened {
-            group: Group::Cell,
+            scope: TokenScope::Cell,
             window: 60.0,
         },
     ];
@@ -113,7 +118,7 @@
     let put = &read.settings.operations[2];
     assert_eq!(
         (
-            put.objective,
+            put.latency_target,
             put.integration_timeout,
             put.billed_value,
             put.late_share
@@ -126,7 +131,10 @@
 fn each_key_of_a_contract_is_read_to_its_own_field() {
     let read = read(&document());
     let plan = &read.settings.plans[0];
-    assert_eq!((plan.rate, plan.burst, plan.open), (70.5, 71.5, 72.5));
+    assert_eq!(
+        (plan.rate, plan.burst, plan.max_in_flight),
+        (70.5, 71.5, 72.5)
+    );
     assert_eq!((plan.hard_rate, plan.hard_burst), (73.5, 74.5));
     assert_eq!(
         (
@@ -141,7 +149,7 @@
         (
             absent.rate,
             absent.burst,
-            absent.open,
+            absent.max_in_flight,
             absent.beyond_quota_earnings,
             absent.price
         ),
@@ -177,14 +185,14 @@
     drop((top.remove("discovery"), top.remove("slotNo")));
     let read = read(&document);
     let settings = &read.settings;
-    assert!(!read.charges_by_use && !settings.counter && !settings.endpoints_on_request);
+    assert!(!read.charges_by_use && !settings.has_counter && !settings.endpoints_on_request);
     assert_eq!(
         (read.max_units, read.connect_timeout, read.idle_timeout),
         (0.0, 0.0, 0.0)
     );
     assert_eq!(
         (
-            settings.slot,
+            settings.fleet_index,
             settings.counter_timeout,
             settings.call_price,
             settings.max_retry_after
--- a/crates/testing/fleet-simulation/src/service.rs
+++ b/crates/testing/fleet-simulation/src/service.rs
@@ -7,7 +7,8 @@
 use crate::quotas::Bucket;
 use crate::trial::Quota;
 use dunespur_decisions::types::{
-    self as types, Action, Answer, Arrival, Counted, Effect, Ending, Invocation, Outcome, Readiness,
+    self as types, Action, Arrival, AttemptResult, CounterReply, Decision, Effect, Invocation,
+    Outcome, Readiness,
 };
 use dunespur_decisions::Limiter;
 use dunespur_quota_sharing::{
@@ -47,7 +48,7 @@
         epoch: u64,
         num: u64,
         n: usize,
-        ending: Ending,
+        ending: AttemptResult,
     },
     /// A call comes to the counter; its answer comes back.
     Count {
@@ -230,19 +231,19 @@
         };
         let operation = types::OperationSettings {
             effect: Effect::Idempotent,
-            objective: OBJECTIVE,
+            latency_target: OBJECTIVE,
             integration_timeout: PATIENCE,
             billed_value: 1.0,
             late_share: 0.0,
         };
         let settings = types::Settings {
             seed: self.rng.random(),
-            slot: n as u32,
-            fleet: self.limiters as u32,
+            fleet_index: n as u32,
+            fleet_size: self.limiters as u32,
             zone: n % 3,
             operations: vec![operation],
             plans: vec![plan],
-            counter: true,
+            has_counter: true,
             counter_timeout: COUNT_WAIT,
             call_price: 0.02,
             max_retry_after: 0.5,
@@ -255,14 +256,14 @@
         };
         let mut limiter = Limiter::new(&settings, now);
         let server = |tgt| types::Server {
-            tgt,
+            index: tgt,
             zone: tgt % 3,
             cell: tgt as u64,
             started_at: 0.0,
             readiness: Readiness::Live,
         };
         let servers: Vec<types::Server> = (0..q.servers).map(server).collect();
-        limiter.endpoints(&servers, true, now);
+        limiter.update_endpoints(&servers, true, now);
         Gate {
             epoch,
             up: true,
@@ -314,7 +315,7 @@
                 num,
                 n,
             } if self.lives(gate, epoch) => {
-                self.ended(gate, num, n, Ending::Timeout, now, out);
+                self.ended(gate, num, n, AttemptResult::Timeout, now, out);
             }
             Event::Served {
                 gate,
@@ -338,7 +339,7 @@
                 call,
                 total,
             } if self.lives(gate, epoch) => {
-                self.counted(gate, call, Counted::Total(total), now, out);
+                self.counted(gate, call, CounterReply::Total(total), now, out);
             }
             Event::CallLimit { gate, epoch, call }
                 if self.lives(gate, epoch) && self.gates[gate].calls.contains_key(&call) =>
@@ -347,7 +348,7 @@
                     let chance = self.rng.random();
                     self.gates[gate].borrower.abandon(call, chance, now);
                 }
-                self.counted(gate, call, Counted::Silent, now, out);
+                self.counted(gate, call, CounterReply::NoReply, now, out);
             }
             Event::Overdue { gate, epoch } if self.lives(gate, epoch) => {
                 let chance = self.rng.random();
@@ -404,7 +405,7 @@
         self.last += 1;
         let num = self.last;
         let inv = Invocation::from(Arrival {
-            num,
+            id: num,
             customer: customer as u64 * 0x9E37_79B9 + 11,
             plan: 0,
             operation: 0,
@@ -439,15 +440,15 @@
         self.carry_out(gate, now, out);
     }
 
-    fn answer(&mut self, gate: usize, num: u64, answer: Answer, now: f64, out: &mut Vec<Out>) {
+    fn answer(&mut self, gate: usize, num: u64, answer: Decision, now: f64, out: &mut Vec<Out>) {
         let g = &mut self.gates[gate];
         let (epoch, measured) = (g.epoch, now >= self.measure_from);
         let Some(held) = g.pending.get_mut(&num) else {
             return;
         };
-        let wait = g.limiter.wait(&held.inv, now);
+        let wait = g.limiter.wait_time(&held.inv, now);
         match answer {
-            Answer::Send(tgt) => {
+            Decision::Send(tgt) => {
                 let n = held.inv.attempts.len() - 1;
                 held.open += 1;
                 let first = n == 0;
@@ -470,7 +471,7 @@
                             epoch,
                             num,
                             n,
-                            ending: Ending::Succeeded,
+                            ending: AttemptResult::Succeeded,
                         },
                     ));
                 }
@@ -487,13 +488,13 @@
                     });
                 }
             }
-            Answer::Hold if held.inv.stage != types::Stage::InFlight => {
+            Decision::Hold if held.inv.stage != types::Stage::InFlight => {
                 out.push(Out::At(
                     now + wait.max(1e-4),
                     Event::Again { gate, epoch, num },
                 ));
             }
-            Answer::Throttle { cause, .. } => {
+            Decision::Throttle { cause, .. } => {
                 let (sent, customer) = (held.came, held.customer);
                 if held.inv.attempts.is_empty() {
                     let room = self.has_headroom(customer, now);
@@ -501,7 +502,7 @@
                     self.tally.refused += u64::from(measured);
                     self.tally.with_room += u64::from(measured && room);
                     if measured {
-                        let name = types::Cause::ALL
+                        let name = types::ThrottleCause::ALL
                             .iter()
                             .find(|c| c.0 == cause)
                             .map_or("", |c| c.1);
@@ -531,7 +532,7 @@
         gate: usize,
         num: u64,
         n: usize,
-        ending: Ending,
+        ending: AttemptResult,
         now: f64,
         out: &mut Vec<Out>,
     ) {
@@ -544,17 +545,17 @@
             return;
         }
         held.open -= 1;
-        let done = ending == Ending::Succeeded || held.inv.stage == types::Stage::Done;
+        let done = ending == AttemptResult::Succeeded || held.inv.stage == types::Stage::Done;
         let spent = now - held.inv.attempts[n].1;
         let outcome = Outcome {
-            n,
-            ending,
-            spent,
-            done,
-            used: None,
-            settled: None,
+            attempt: n,
+            result: ending,
+            duration: spent,
+            answered: done,
+            usage: None,
+            settled_units: None,
         };
-        let answer = g.limiter.after(&mut held.inv, &outcome, now);
+        let answer = g.limiter.attempt_ended(&mut held.inv, &outcome, now);
         self.answer(gate, num, answer, now, out);
         self.carry_out(gate, now, out);
     }
@@ -563,12 +564,12 @@
     fn carry_out(&mut self, gate: usize, now: f64, out: &mut Vec<Out>) {
         while let Some(action) = self.gates[gate].limiter.next_action() {
             match action {
-                Action::Ask(num) => self.place(gate, num, now, out),
-                Action::Count {
+                Action::Place(num) => self.place(gate, num, now, out),
+                Action::AddToCounter {
                     name,
                     add,
-                    life,
-                    about,
+                    lifetime: life,
+                    context: about,
                 } => {
                     let g = &mut self.gates[gate];
                     g.last_call += 1;
@@ -605,7 +606,7 @@
                         Route::Broker(slot) => {
                             self.tally.brokered += u64::from(now >= self.measure_from);
                             let request =
-                                LeaseRequest::new(counter_call, &about, now - about.start);
+                                LeaseRequest::new(counter_call, &about, now - about.window_start);
                             out.push(Out::Borrow {
                                 gate,
                                 slot,
@@ -662,7 +663,14 @@
         self.counter.clear();
     }
 
-    fn counted(&mut self, gate: usize, call: u64, counted: Counted, now: f64, out: &mut Vec<Out>) {
+    fn counted(
+        &mut self,
+        gate: usize,
+        call: u64,
+        counted: CounterReply,
+        now: f64,
+        out: &mut Vec<Out>,
+    ) {
         if call >= BROKER {
             let mut said = Vec::new();
             self.gates[gate]
@@ -675,7 +683,7 @@
             return;
         };
         g.borrower.counter_answered(call);
-        g.limiter.counted(name, counted, now - at, now);
+        g.limiter.counter_answered(name, counted, now - at, now);
         self.carry_out(gate, now, out);
     }
 
--- a/crates/testing/simulator-adapter/src/host.rs
+++ b/crates/testing/simulator-adapter/src/host.rs
@@ -2,7 +2,8 @@
 
 use crate::error::ProtocolError;
 use dunespur_decisions::types::{
-    Action, Answer, Arrival, Counted, Ending, Invocation, Outcome, Readiness, Server, Stage,
+    Action, Arrival, AttemptResult, CounterReply, Decision, Invocation, Outcome, Readiness, Server,
+    Stage,
 };
 use dunespur_decisions::Limiter;
 use dunespur_settings::{parse, SettingsDocument};
@@ -106,22 +107,22 @@
         &mut self,
         name: &str,
         num: u64,
-        answer: Answer,
+        answer: Decision,
         now: f64,
         out: &mut impl Write,
     ) -> Done {
         let Some((id, inv)) = self.held.get(&num) else {
             return Ok(());
         };
-        let wait = self.limiter.wait(inv, now);
+        let wait = self.limiter.wait_time(inv, now);
         match answer {
-            Answer::Send(tgt) => writeln!(
+            Decision::Send(tgt) => writeln!(
                 out,
                 "TRY {name} {id} {} {:.6}",
                 self.addresses[tgt],
                 now + wait
             ),
-            Answer::Hold if inv.stage != Stage::InFlight => {
+            Decision::Hold if inv.stage != Stage::InFlight => {
                 let due = self.due.get(&num).copied().unwrap_or(f64::INFINITY);
                 if now + wait < due {
                     self.due.insert(num, now + wait);
@@ -130,9 +131,9 @@
                     Ok(())
                 }
             }
-            Answer::Throttle { pause, .. } => writeln!(out, "PUSH_BACK {name} {id} {pause:.6}"),
-            Answer::Error => writeln!(out, "ERROR {name} {id}"),
-            Answer::Hold | Answer::Done => Ok(()),
+            Decision::Throttle { pause, .. } => writeln!(out, "PUSH_BACK {name} {id} {pause:.6}"),
+            Decision::Error => writeln!(out, "ERROR {name} {id}"),
+            Decision::Hold | Decision::Done => Ok(()),
         }?;
         if inv.stage == Stage::Done && inv.in_flight == 0 {
             self.by_id.remove(id);
@@ -156,17 +157,17 @@
     fn carry_out(&mut self, name: &str, now: f64, out: &mut impl Write) -> Done {
         while let Some(action) = self.limiter.next_action() {
             match action {
-                Action::Ask(num) => self.place(name, num, now, out)?,
-                Action::Count {
+                Action::Place(num) => self.place(name, num, now, out)?,
+                Action::AddToCounter {
                     name: count,
                     add,
-                    life,
+                    lifetime: life,
                     ..
                 } => {
                     writeln!(out, "TALLY {name} {life} {add:.6} {count}")?;
                 }
                 Action::WatchEndpoints => writeln!(out, "STREAM_CHANGES {name} 1")?,
-                Action::Tick(after) => writeln!(out, "TIMER {name} {TICK} {after:.6}")?,
+                Action::ScheduleTick(after) => writeln!(out, "TIMER {name} {TICK} {after:.6}")?,
             }
         }
         Ok(())
@@ -298,14 +299,14 @@
         for row in rows {
             let zone = position(&self.read.zones, &row.zone, "area")?;
             entries.push(Server {
-                tgt: self.tgt(&row.server),
+                index: self.tgt(&row.server),
                 zone,
                 cell: row.cell,
                 started_at: row.started_at,
                 readiness: row.readiness,
             });
         }
-        self.limiter.endpoints(&entries, complete, now);
+        self.limiter.update_endpoints(&entries, complete, now);
         Ok(())
     }
 
@@ -352,7 +353,7 @@
         self.last += 1;
         let num = self.last;
         let mut inv = Invocation::from(Arrival {
-            num,
+            id: num,
             customer,
             plan,
             operation,
@@ -379,14 +380,14 @@
         let n = fields.integer("n")? as usize;
         fields.text("server")?;
         let ending = match fields.text("result")? {
-            "ok" => Ending::Succeeded,
-            "error" => Ending::Error,
-            "full" => Ending::Full,
-            "timeout" => Ending::Timeout,
-            "connect_failed" => Ending::ConnectFailed,
-            "reset" => Ending::Reset,
-            "cancelled" => Ending::Cancelled,
-            "moot" => Ending::Moot,
+            "ok" => AttemptResult::Succeeded,
+            "error" => AttemptResult::Error,
+            "full" => AttemptResult::Overloaded,
+            "timeout" => AttemptResult::Timeout,
+            "connect_failed" => AttemptResult::ConnectFailed,
+            "reset" => AttemptResult::Reset,
+            "cancelled" => AttemptResult::Cancelled,
+            "moot" => AttemptResult::NotSent,
             other => return Err(unknown("result", other)),
         };
         let spent = fields.number("spentS")?;
@@ -403,14 +404,14 @@
             return Ok(());
         };
         let outcome = Outcome {
-            n,
-            ending,
-            spent,
-            done,
-            used,
-            settled,
+            attempt: n,
+            result: ending,
+            duration: spent,
+            answered: done,
+            usage: used,
+            settled_units: settled,
         };
-        let answer = self.limiter.after(inv, &outcome, now);
+        let answer = self.limiter.attempt_ended(inv, &outcome, now);
         Ok(self.answer(name, num, answer, now, out)?)
     }
 
@@ -429,7 +430,7 @@
             return Ok(());
         };
         self.limiter.disconnected(inv);
-        Ok(self.answer(name, num, Answer::Done, now, out)?)
+        Ok(self.answer(name, num, Decision::Done, now, out)?)
     }
 
     fn timer_due(
@@ -457,13 +458,13 @@
         let result = fields.text("result")?;
         let value = fields.number("value")?;
         let counted = match result {
-            "ok" => Counted::Total(value),
-            "full" | "connect_failed" => Counted::Refused,
-            "timeout" => Counted::Silent,
+            "ok" => CounterReply::Total(value),
+            "full" | "connect_failed" => CounterReply::Refused,
+            "timeout" => CounterReply::NoReply,
             other => return Err(unknown("result", other)),
         };
         let spent = fields.number("spentS")?;
-        self.limiter.counted(count, counted, spent, now);
+        self.limiter.counter_answered(count, counted, spent, now);
         Ok(())
     }
 }
