--- a/crates/gateway/gateway/src/fleet/quota_broker.rs
+++ b/crates/gateway/gateway/src/fleet/quota_broker.rs
@@ -6,7 +6,7 @@
 use crate::reducer::Event;
 use dunespur_peer_transport::Kind;
 use dunespur_quota_sharing as quota_sharing;
-use dunespur_quota_sharing::Answer;
+use dunespur_quota_sharing::BrokerAnswer;
 use dunespur_quota_sharing::LeaseRequest;
 use dunespur_singleton_roles::Slot;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
                         answer,
                     } => {
                         let token = self.client.token(slot, now);
-                        let answer = token.map_or(Answer::Unavailable, |_| answer);
+                        let answer = token.map_or(BrokerAnswer::Unavailable, |_| answer);
                         let msg = quota_sharing::Message::Response {
                             slot,
                             token: token.unwrap_or(0),
@@ -71,7 +71,7 @@
         else {
             return;
         };
-        let total = matches!(answer, Answer::Total(_));
+        let total = matches!(answer, BrokerAnswer::Total(_));
         let fits = run == self.identity.run && (!total || self.fencing.accept(slot, token));
         let Some(lending) = self.lending.as_ref().filter(|_| fits) else {
             return;
@@ -117,7 +117,7 @@
                     token: 0,
                     run,
                     seq: request.seq,
-                    answer: Answer::Unavailable,
+                    answer: BrokerAnswer::Unavailable,
                 };
                 self.receive_lease_response(hub, msg, now);
             }
@@ -146,7 +146,7 @@
                         run,
                         slot,
                         seq,
-                        answer: Answer::Unavailable,
+                        answer: BrokerAnswer::Unavailable,
                     });
                 }
                 self.drive_broker(hub, now);
--- a/crates/gateway/gateway/src/lending.rs
+++ b/crates/gateway/gateway/src/lending.rs
@@ -5,7 +5,7 @@
 use crate::fleet::FleetEvent;
 use dunespur_decisions::types::{AddContext, CounterReply};
 use dunespur_quota_sharing::{
-    self as quota_sharing, Answer, Borrower, CounterCall, LeaseRequest, Route,
+    self as quota_sharing, Borrower, BrokerAnswer, CounterCall, LeaseRequest, Route,
 };
 use dunespur_singleton_roles::{Slot, SlotRange};
 use std::cell::{Cell, RefCell};
@@ -110,7 +110,7 @@
     }
 
     /// A broker's answer; the counter's answer that it stands for, if the limiter still waits.
-    pub fn broker_answered(&self, call: u64, answer: Answer) -> Option<CounterReply> {
+    pub fn broker_answered(&self, call: u64, answer: BrokerAnswer) -> Option<CounterReply> {
         self.borrower
             .borrow_mut()
             .broker_answered(call, answer, fastrand::f64(), clock())
--- a/crates/gateway/gateway/tests/bytes.rs
+++ b/crates/gateway/gateway/tests/bytes.rs
@@ -28,7 +28,7 @@
         token: 402,
         run: 403,
         seq: 404,
-        answer: quota_sharing::Answer::Unavailable,
+        answer: quota_sharing::BrokerAnswer::Unavailable,
     };
     let values = [
         (
--- a/crates/gateway/quota-sharing/src/borrower.rs
+++ b/crates/gateway/quota-sharing/src/borrower.rs
@@ -1,19 +1,19 @@
-//! A limiter's side of the role `lend`: where each of its adds goes, by how the brokers answer.
+//! The borrower: routes each add of a limiter to a broker or to the counter, depending on the brokers' health.
 
-use crate::{Answer, CounterCall, Settings, Slot};
+use crate::{BrokerAnswer, CounterCall, Settings, Slot};
 use dunespur_decisions::types::CounterReply;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Answers in a row without the counter behind them after which a borrower calls the counter itself.
+/// Consecutive `Unavailable` answers of a broker after which the borrower calls the counter itself.
 const MAX_UNAVAILABLE: u32 = 8;
-/// A borrower waits this part of the broker's own wait, then it calls the counter: both fit into its time.
+/// Time-out of a broker as a part of the counter's time-out: leaves time to call the counter afterwards.
 const TIMEOUT_RATIO: f64 = 0.5;
-/// A broker that goes on failing is left alone up to so many times the stated backoff.
+/// Longest backoff from a broker that keeps failing, as a multiple of the configured backoff.
 const MAX_BACKOFF: f64 = 8.0;
-/// Doublings after which the backoff grows no more.
+/// Most doublings in the calculation of the backoff.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// Where a call goes.
+/// Destination of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Route {
     /// To the counter itself.
@@ -22,57 +22,58 @@
     Broker(Slot),
 }
 
-/// How a broker has answered lately.
+/// Recent health of a broker.
 #[derive(Clone, Debug, Default)]
 struct BrokerHealth {
-    /// Calls that are out at it.
+    /// Calls sent to the broker and not answered yet.
     in_flight: u32,
-    /// Failed in a row.
+    /// Consecutive failures.
     failures: u32,
-    /// Answers in a row without the counter behind them.
+    /// Consecutive `Unavailable` answers.
     unavailable: u32,
-    /// Until when it is left alone.
+    /// Time before which the broker is not called.
     retry_at: f64,
 }
 
 #[derive(Clone, Debug)]
 struct PendingCall {
     name: u64,
-    /// The broker that has it; else the counter.
+    /// The broker that has the call; `None` if the counter has it.
     broker: Option<Slot>,
     add: f64,
     lifetime: f64,
-    sent: f64,
+    sent_at: f64,
 }
 
-/// Calls that are out on a name, and where they went: later ones follow them.
+/// Number of pending calls on a name and their destination, which later calls on the name share.
 #[derive(Clone, Debug)]
 struct NameRoute {
     calls: u32,
     broker: Option<Slot>,
 }
 
-/// A limiter's side. Times are seconds on its own clock; `jitter` is from 0 to 1 and spreads limiters out.
+/// Routes the adds of one limiter. Times are seconds on the limiter's clock; `jitter` is a random number from 0 to 1
+/// that staggers the retries of different limiters.
 #[derive(Clone, Debug)]
 pub struct Borrower {
     backoff: f64,
-    /// A broker's answer is awaited this long, then the counter is called.
+    /// Time to wait for a broker's answer before the counter is called.
     broker_timeout: f64,
     brokers: BTreeMap<Slot, BrokerHealth>,
     calls: BTreeMap<u64, PendingCall>,
-    /// Of them, those at brokers; their numbers grow with time.
+    /// The calls that wait for a broker; numbers ascend with the time of sending.
     at_brokers: BTreeSet<u64>,
     names: BTreeMap<u64, NameRoute>,
-    /// Answers that nobody waited for.
+    /// Number of answers that arrived after their call had ended.
     pub late_answers: u64,
-    /// Calls that went to brokers.
+    /// Number of calls sent to brokers.
     pub sent_to_brokers: u64,
-    /// Calls that went to the counter at once.
+    /// Number of calls sent to the counter without trying a broker.
     pub sent_to_counter: u64,
 }
 
 impl Borrower {
-    /// One that knows of no broker yet.
+    /// A borrower that has not called any broker yet.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         Borrower {
@@ -88,16 +89,16 @@
         }
     }
 
-    /// Where this call goes; `has_broker` says whether the slot's owner is known.
+    /// Routes a call; `has_broker` tells whether the holder of the slot is known.
     pub fn route(&mut self, call: CounterCall, slot: Slot, has_broker: bool, now: f64) -> Route {
         let health = self.brokers.entry(slot).or_default();
-        // One that failed is tried with one call first.
-        let usable = health.failures == 0 || health.in_flight == 0;
-        let open = has_broker && now >= health.retry_at && usable;
-        // Guards against answers that overtake each other: calls on one name stay together.
+        // A broker that failed is probed with a single call first.
+        let may_call = health.failures == 0 || health.in_flight == 0;
+        let is_usable = has_broker && now >= health.retry_at && may_call;
+        // Guards against answers that overtake each other: all pending calls on a name have the same destination.
         let broker = match self.names.get(&call.name) {
             Some(route) if route.calls > 0 => route.broker,
-            _ => open.then_some(slot),
+            _ => is_usable.then_some(slot),
         };
         let route = self.names.entry(call.name);
         let route = route.or_insert(NameRoute { calls: 0, broker });
@@ -108,7 +109,7 @@
             broker,
             add: call.add,
             lifetime: call.lifetime,
-            sent: now,
+            sent_at: now,
         };
         self.calls.insert(call.call, pending);
         let Some(slot) = broker else {
@@ -121,7 +122,7 @@
         Route::Broker(slot)
     }
 
-    /// Forgets a call; returns it as it was.
+    /// Removes a call and returns it.
     fn finish(&mut self, call: u64) -> Option<PendingCall> {
         let pending = self.calls.remove(&call)?;
         self.at_brokers.remove(&call);
@@ -132,30 +133,33 @@
             }
         }
         if let Some(slot) = pending.broker {
-            self.left_broker(slot);
+            self.release_broker(slot);
         }
         Some(pending)
     }
 
-    fn left_broker(&mut self, slot: Slot) {
+    fn release_broker(&mut self, slot: Slot) {
         if let Some(health) = self.brokers.get_mut(&slot) {
             health.in_flight = health.in_flight.saturating_sub(1);
         }
     }
 
-    /// When a broker's answer is overdue.
+    /// Time at which the next broker's answer is overdue.
     #[must_use]
     pub fn next_due(&self) -> f64 {
-        let first = self.at_brokers.first().and_then(|c| self.calls.get(c));
-        first.map_or(f64::INFINITY, |call| call.sent + self.broker_timeout)
+        let first = self.at_brokers.first();
+        let first = first.and_then(|call| self.calls.get(call));
+        first.map_or(f64::INFINITY, |call| call.sent_at + self.broker_timeout)
     }
 
-    /// Calls whose broker is overdue, with all others on their names: they go to the counter now. What the
-    /// broker may have added all the same expires at the counter; no invocation is decided blind for it.
+    /// Calls whose broker's answer is overdue, with all other calls on their names: the caller sends them to the
+    /// counter. Units that the broker may have added nevertheless expire at the counter; every invocation is still
+    /// decided with a reply of the counter.
     pub fn take_overdue(&mut self, jitter: f64, now: f64) -> Vec<CounterCall> {
         let mut rerouted = Vec::new();
         while now >= self.next_due() {
-            let first = self.at_brokers.first().and_then(|c| self.calls.get(c));
+            let first = self.at_brokers.first();
+            let first = first.and_then(|call| self.calls.get(call));
             let Some((name, Some(slot))) = first.map(|call| (call.name, call.broker)) else {
                 break;
             };
@@ -165,7 +169,7 @@
         rerouted
     }
 
-    /// All calls on a name leave their broker for the counter.
+    /// Reroutes all calls on a name from their broker to the counter.
     fn reroute_name(&mut self, name: u64, slot: Slot, rerouted: &mut Vec<CounterCall>) {
         let on_name = |call: &&u64| self.calls[*call].name == name;
         let calls: Vec<u64> = self.at_brokers.iter().filter(on_name).copied().collect();
@@ -181,7 +185,7 @@
                 add: pending.add,
                 lifetime: pending.lifetime,
             });
-            self.left_broker(slot);
+            self.release_broker(slot);
         }
         if let Some(route) = self.names.get_mut(&name) {
             route.broker = None;
@@ -196,7 +200,7 @@
         health.retry_at = now + self.backoff * factor * (0.75 + jitter / 2.0);
     }
 
-    /// Whether a call is at a broker.
+    /// Whether a call waits for a broker.
     #[must_use]
     pub fn is_at_broker(&self, call: u64) -> bool {
         self.calls
@@ -204,26 +208,26 @@
             .is_some_and(|pending| pending.broker.is_some())
     }
 
-    /// A call that went to the counter has ended.
+    /// Ends a call that was sent to the counter.
     pub fn counter_answered(&mut self, call: u64) {
         self.finish(call);
     }
 
-    /// A broker's answer, whose token the caller's fencing check has accepted. Returns what the limiter hears
-    /// in the counter's place, if it waits.
+    /// Processes a broker's answer whose token has passed the caller's fencing check. Returns the reply for the limiter
+    /// in the counter's place, or `None` if the limiter has to keep waiting or no longer waits.
     pub fn broker_answered(
         &mut self,
         call: u64,
-        answer: Answer,
+        answer: BrokerAnswer,
         jitter: f64,
         now: f64,
     ) -> Option<CounterReply> {
         if !self.is_at_broker(call) {
-            self.late_answers += u64::from(answer != Answer::Pending);
+            self.late_answers += u64::from(answer != BrokerAnswer::Pending);
             return None;
         }
-        if answer == Answer::Pending {
-            // It goes on waiting, for as long as it would for the counter.
+        if answer == BrokerAnswer::Pending {
+            // The broker is calling the counter: the call now has the counter's time-out.
             self.at_brokers.remove(&call);
             return None;
         }
@@ -231,7 +235,7 @@
         let health = self.brokers.entry(slot).or_default();
         health.failures = 0;
         match answer {
-            Answer::Total(total) if total.is_finite() => {
+            BrokerAnswer::Total(total) if total.is_finite() => {
                 health.unavailable = 0;
                 Some(CounterReply::Total(total))
             }
@@ -246,7 +250,7 @@
         }
     }
 
-    /// Nobody waits for this call any more.
+    /// Drops a call whose result is no longer awaited; a broker that has it counts as failed.
     pub fn abandon(&mut self, call: u64, jitter: f64, now: f64) {
         if let Some(slot) = self.finish(call).and_then(|pending| pending.broker) {
             self.record_failure(slot, jitter, now);
--- a/crates/gateway/quota-sharing/src/broker/blocks.rs
+++ b/crates/gateway/quota-sharing/src/broker/blocks.rs
@@ -1,40 +1,41 @@
-//! Blocks: leased from the counter ahead of what will be requested, and sub-leased to those that wait.
+//! Blocks of units: leased from the counter ahead of demand and sub-leased to waiting requests.
 
 use super::leased_name::{LeasedName, OpenAdd, WaitingRequest};
 use super::{Broker, OpenCall, MIN_RETURN, RETENTION_WINDOWS};
-use crate::{Answer, LeaseRequest, Output};
+use crate::{BrokerAnswer, LeaseRequest, Output};
 use dunespur_decisions::types::CounterReply;
 
-/// Near the limit a block is this part of the room (the paper's factor).
+/// Near the limit a block is the room divided by this factor (from the lease paper).
 const NEAR_LIMIT_DIVISOR: f64 = 2.0;
-/// Demand from which a window counts as too small for it, as a part of what it holds.
-const PRESSED_RATIO: f64 = 0.9;
-/// How much further ahead the next block is leased, and the first one as a part of the furthest.
+/// Demand over a window, as a part of the window's limit, above which the window counts as too small.
+const HIGH_DEMAND_RATIO: f64 = 0.9;
+/// Factor by which the lead of the next block grows.
 const LEAD_GROWTH: f64 = 2.0;
+/// The first lead is the longest one divided by this.
 const FIRST_LEAD_DIVISOR: f64 = 8.0;
-/// A request that waited so many times as long as the counter may take is nobody's any more.
+/// Counter time-outs after which a waiting request has been given up by its borrower.
 const MAX_WAIT_TIMEOUTS: f64 = 2.0;
 
 impl Broker {
-    /// Answers those that wait for a name, in turn, as far as the block goes; else the counter is called.
+    /// Answers the requests that wait for a name in order while the block covers them; then calls the counter.
     pub(super) fn serve(&mut self, id: u64, now: f64, out: &mut Vec<Output>) {
         let max_wait = self.settings.counter_timeout * MAX_WAIT_TIMEOUTS;
         while let Some(waiting) = self.next_waiting(id) {
             if now > waiting.received + max_wait {
-                // Whoever requested it has given up: units granted to it would be nobody's.
+                // The borrower has given up on the request: units granted to it would be lost.
                 self.drop_first(id);
-                out.push(waiting.respond(Answer::Unavailable));
+                out.push(waiting.respond(BrokerAnswer::Unavailable));
                 continue;
             }
             let Some(total) = self.answer(id, &waiting, now) else {
                 return self.refill(id, now, out);
             };
             self.drop_first(id);
-            out.push(waiting.respond(Answer::Total(total)));
+            out.push(waiting.respond(BrokerAnswer::Total(total)));
         }
     }
 
-    /// The first that waits for a name; none while the counter is called.
+    /// The first request that waits for a name; `None` while a call to the counter is open.
     fn next_waiting(&self, id: u64) -> Option<WaitingRequest> {
         let name = self.names.get(&id).filter(|name| name.open_add.is_none())?;
         name.waiting.front().cloned()
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The total that this request gets now; none where the counter has to be called first.
+    /// The total with which to answer the request now; `None` if the counter has to be called first.
     fn answer(&mut self, id: u64, waiting: &WaitingRequest, now: f64) -> Option<f64> {
         let WaitingRequest { from, request, .. } = waiting;
         let limit = grown_limit(waiting, now);
@@ -69,7 +70,8 @@
     ) {
         let borrower = self.borrower(customer, from, now);
         if request.requested > 0.0 {
-            // What it takes less, and what it was refused where the limit grows, it takes back itself.
+            // The borrower takes back by corrections what it does not use and, where the limit grows, what it was
+            // refused.
             let granted = within_limit || request.limit_rate > 0.0;
             borrower.granted += if granted { request.requested } else { 0.0 };
         } else {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// One call to the counter for all that wait, and a block ahead of what will be requested.
+    /// Calls the counter once for all waiting requests and a block ahead of demand.
     pub(super) fn refill(&mut self, id: u64, now: f64, out: &mut Vec<Output>) {
         let Some(customer) = self.names.get(&id).map(|name| name.customer) else {
             return;
@@ -92,7 +94,7 @@
         let near = near_block(name, waiting, demand * max_lead);
         let far = far_block(name, waiting, demand, lead, max_lead);
         let ahead = near.max(far).floor();
-        // One that is full is only read, so that what is refused is not added first.
+        // A full name is only read, so that units about to be refused are not added first.
         let add = if is_full(name, now) {
             -name.block
         } else {
@@ -101,13 +103,13 @@
         let add = add.max(0.0);
         for waiting in name.waiting.iter_mut().filter(|w| !w.notified) {
             waiting.notified = true;
-            out.push(waiting.respond(Answer::Pending));
+            out.push(waiting.respond(BrokerAnswer::Pending));
         }
         self.last_call += 1;
         let call = self.last_call;
         name.open_add = Some(OpenAdd { call, add });
-        let since = now;
-        self.calls.insert(call, OpenCall { name: id, since });
+        let sent_at = now;
+        self.calls.insert(call, OpenCall { name: id, sent_at });
         out.push(Output::CallCounter {
             call,
             name: id,
@@ -116,7 +118,7 @@
         });
     }
 
-    /// The counter's answer to a call of this broker.
+    /// Processes the counter's reply to a call of this broker.
     pub fn counter_answered(
         &mut self,
         call: u64,
@@ -138,24 +140,24 @@
                 self.take_total(id, total, add, now);
                 self.serve(id, now, out);
             }
-            // What may have been added is nobody's: it expires at the counter.
+            // Units that may have been added are not used: they expire at the counter.
             _ => {
                 let waiting = std::mem::take(&mut name.waiting).into_iter();
-                out.extend(waiting.map(|w| w.respond(Answer::Unavailable)));
+                out.extend(waiting.map(|waiting| waiting.respond(BrokerAnswer::Unavailable)));
             }
         }
     }
 
-    /// The counter holds `total` with the `add` of this broker in it.
+    /// Takes over the counter's `total`, which includes this broker's `add`.
     fn take_total(&mut self, id: u64, total: f64, add: f64, now: f64) {
         let Some(name) = self.names.get_mut(&id) else {
             return;
         };
-        // A name that is read for the first time may hold what was added before this broker came.
+        // At the first read, the total may contain adds from before this broker's time.
         let others = name.counter_total.map_or(0.0, |known| total - add - known);
         (name.counter_total, name.last_read) = (Some(total), now);
-        // Guards against limiters that hear no broker and take back what stands above the limit: what
-        // was leased ahead is not counted any more, so it can't be granted.
+        // Guards against limiters without a broker that take back units above the limit: units leased ahead are
+        // then no longer counted and cannot be granted.
         name.block = (name.block + others.min(0.0)).max(name.block.min(0.0)) + add;
         let min_total = name.min_total.take();
         let missing = min_total.map_or(0.0, |least| least - (total - add));
@@ -164,8 +166,8 @@
         self.adapt_lead(customer, others.abs() > MIN_RETURN, grows, now);
     }
 
-    /// Blocks are leased further ahead with each call that shows nobody else's adds. In a window that ends
-    /// nothing is taken back, so there others only share it.
+    /// Increases the lead of the blocks with each call that shows no adds by others. In a short window nothing is taken
+    /// back, so adds by others only reduce the lead.
     fn adapt_lead(&mut self, customer: u64, shared: bool, grows: bool, now: f64) {
         let max_lead = self.settings.max_lead;
         let retention = self.settings.demand_window * RETENTION_WINDOWS;
@@ -187,14 +189,14 @@
     }
 }
 
-/// When the name of a request that waits is full now.
+/// Present limit of the name of a waiting request.
 fn grown_limit(waiting: &WaitingRequest, now: f64) -> f64 {
     let request = &waiting.request;
     request.limit + request.limit_rate * (now - waiting.received)
 }
 
-/// What the demand to come wants, as far as half of the room goes. Before the first answer nothing is known of
-/// the room.
+/// The block for future demand within the limit: at most half of the room, and nothing before the first reply of the
+/// counter.
 fn near_block(name: &LeasedName, waiting: f64, demand: f64) -> f64 {
     let headroom = name.counter_total.map_or(0.0, |known| {
         name.limit - known - (waiting - name.block).max(0.0)
@@ -202,24 +204,24 @@
     demand.min(headroom / NEAR_LIMIT_DIVISOR).max(0.0)
 }
 
-/// With nobody else about, what will come free is leased before it does, and granted when it has. In a window that
-/// ends it is what it holds, where all request more than that; else what will be requested until it ends:
-/// limiters that go past the broker find there what it leased, and are shut out.
+/// The block leased beyond the present limit while only this broker adds to the name: units that the growing limit will
+/// allow, which are granted once it does. In a short window it is the whole rest of the window if demand is high,
+/// otherwise the demand until the window ends. Limiters that bypass the broker find these units used and are rejected.
 fn far_block(name: &LeasedName, waiting: f64, demand: f64, lead: f64, max_lead: f64) -> f64 {
     if name.limit_rate > 0.0 {
         return demand.min(name.limit_rate) * lead;
     }
-    let left = (name.limit - name.counter_total.unwrap_or(waiting)).max(0.0);
-    let pressed = demand * name.window_length > PRESSED_RATIO * name.limit;
-    let want = if pressed {
-        left
+    let room = (name.limit - name.counter_total.unwrap_or(waiting)).max(0.0);
+    let demand_is_high = demand * name.window_length > HIGH_DEMAND_RATIO * name.limit;
+    let wanted = if demand_is_high {
+        room
     } else {
-        (demand * name.remaining).min(left)
+        (demand * name.remaining).min(room)
     };
-    want * lead / max_lead
+    wanted * lead / max_lead
 }
 
-/// Whether the first that waits finds no room for its minimum, or nobody waits.
+/// Whether there is no room for the minimum of the first waiting request, or no request waits.
 fn is_full(name: &LeasedName, now: f64) -> bool {
     let Some(first) = name.waiting.front() else {
         return true;
--- a/crates/gateway/quota-sharing/src/broker/fairness.rs
+++ b/crates/gateway/quota-sharing/src/broker/fairness.rs
@@ -1,26 +1,26 @@
-//! Customers and their borrowers: what each requested and was granted lately, and what it has to leave to the
-//! others (max-min fairness over the demand window).
+//! Fairness between a customer's borrowers: the units that each requested and was granted recently, and the units
+//! that it has to leave to the others (max-min fairness over the demand window).
 
 use super::Broker;
 use crate::Name;
 use std::collections::BTreeMap;
 
-/// Who has had its part leaves others up to this part of what comes free in a demand window.
+/// Upper bound of the units reserved for others: the units of a demand window divided by this.
 const MAX_RESERVED_DIVISOR: f64 = 16.0;
-/// Who has had so much less of its part than the asker is left something.
+/// Units are reserved for borrowers whose satisfaction is this much lower than the requester's.
 const BEHIND_RATIO: f64 = 0.1;
-/// What is left for each that has not, in units of the asker's invocation.
+/// Units reserved for each such borrower, as a multiple of the requester's minimum.
 const RESERVED_EACH: f64 = 2.0;
 
-/// A customer of a broker, with its borrowers.
+/// A customer and its borrowers.
 #[derive(Clone, Debug)]
 pub(super) struct Customer {
     pub(super) borrowers: BTreeMap<Name, BorrowerUsage>,
-    /// The name that was requested last.
+    /// The counter name of the last request.
     pub(super) last_name: u64,
-    /// How far ahead blocks are leased, in seconds.
+    /// Time of future demand that blocks cover, seconds.
     pub(super) lead: f64,
-    /// When a call last showed adds of somebody else.
+    /// Time of the last call that showed adds by others.
     pub(super) last_foreign_add: f64,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// One borrower of a customer: units it requested and units it was granted lately, fading over the demand window.
+/// Units that one borrower recently requested and was granted, decayed over the demand window.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BorrowerUsage {
     pub(super) demand: f64,
@@ -51,21 +51,21 @@
         self.updated = now;
     }
 
-    /// What it has had of its part, which is at most the even one.
-    fn satisfied(&self, fair: f64) -> f64 {
-        self.granted / self.demand.min(fair).max(1e-9)
+    /// Granted units as a share of the borrower's demand or of the fair share, whichever is less.
+    fn satisfaction(&self, fair_share: f64) -> f64 {
+        self.granted / self.demand.min(fair_share).max(1e-9)
     }
 }
 
 impl Broker {
-    /// This borrower's figures, brought up to now.
+    /// The usage of a borrower, decayed to the present time.
     pub(super) fn borrower(&mut self, customer: u64, from: &str, now: f64) -> &mut BorrowerUsage {
         let max_borrowers = self.settings.max_borrowers;
         let window = self.settings.demand_window;
         let borrowers = &mut self.customers.entry(customer).or_default().borrowers;
         if !borrowers.contains_key(from) && borrowers.len() >= max_borrowers {
             borrowers.retain(|_, borrower| now < borrower.updated + window);
-            // Still too many: the one heard of longest ago makes room.
+            // If there are still too many, the borrower with the oldest request is dropped.
             if borrowers.len() >= max_borrowers {
                 let by_age = |a: &(&Name, &BorrowerUsage), b: &(&Name, &BorrowerUsage)| {
                     a.1.updated.total_cmp(&b.1.updated)
@@ -81,7 +81,7 @@
         borrower
     }
 
-    /// Units a second that the customer's borrowers ask for.
+    /// Demand of all borrowers of the customer, units per second.
     pub(super) fn demand(&mut self, customer: u64, now: f64) -> f64 {
         let window = self.settings.demand_window;
         let customer = self.customers.get_mut(&customer);
@@ -94,9 +94,10 @@
         demand
     }
 
-    /// Units that this borrower must leave to others: where all ask for more than the rate gives, it leaves some
-    /// for each that has had less of its even part. Guards against a busy limiter that takes each unit as it
-    /// comes free, while a thin one finds the name full. None for one that has not had its part.
+    /// Units that this borrower must leave to others: if demand exceeds the rate, some for each borrower that has had a
+    /// smaller part of its fair share. `None` if this borrower itself has not had its fair share. Guards against a
+    /// busy limiter that takes each unit as it becomes available, while a limiter with little traffic finds the name
+    /// full.
     pub(super) fn reserved_for_others(
         &mut self,
         customer: u64,
@@ -120,23 +121,25 @@
         if rate <= 0.0 || demand <= available {
             return Some(0.0);
         }
-        let demands = borrowers.values().map(|b| b.demand).collect();
+        let demands = borrowers.values().map(|borrower| borrower.demand).collect();
         let fair = fair_share(demands, available);
-        let own = borrowers.get(from).map_or(0.0, |b| b.satisfied(fair));
-        let behind = borrowers
-            .values()
-            .filter(|b| b.demand >= minimum && b.satisfied(fair) < own - BEHIND_RATIO)
-            .count();
+        let own = borrowers
+            .get(from)
+            .map_or(0.0, |borrower| borrower.satisfaction(fair));
+        let is_behind = |borrower: &&BorrowerUsage| {
+            borrower.demand >= minimum && borrower.satisfaction(fair) < own - BEHIND_RATIO
+        };
+        let behind = borrowers.values().filter(is_behind).count();
         if behind == 0 && own < 1.0 - BEHIND_RATIO {
             return None;
         }
-        // Not more than comes free in a part of the window: else many thin ones keep the room from all.
-        let most = (available / MAX_RESERVED_DIVISOR).max(minimum);
-        Some((behind as f64 * RESERVED_EACH * minimum).min(most))
+        // At most a part of the window's units: otherwise many borrowers with little traffic would block the rest.
+        let max_reserved = (available / MAX_RESERVED_DIVISOR).max(minimum);
+        Some((behind as f64 * RESERVED_EACH * minimum).min(max_reserved))
     }
 }
 
-/// What each gets at most when small demands are met and the rest is split evenly.
+/// The max-min fair share: small demands are met and the rest is divided evenly.
 fn fair_share(mut demands: Vec<f64>, available: f64) -> f64 {
     demands.sort_by(f64::total_cmp);
     let (mut left, mut fair) = (available, 0.0);
--- a/crates/gateway/quota-sharing/src/broker/leased_name.rs
+++ b/crates/gateway/quota-sharing/src/broker/leased_name.rs
@@ -1,13 +1,13 @@
-//! One name of the counter, as a broker holds it: what is known of it, the block leased, who waits for it.
+//! A broker's state of one counter name: the last known total, the leased block and the waiting requests.
 
-use crate::{Answer, LeaseRequest, Name, Output, Settings, Slot};
+use crate::{BrokerAnswer, LeaseRequest, Name, Output, Settings, Slot};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Part of a window's units that are granted at its beginning, where the one before was used up; the rest comes
-/// evenly until it ends.
+/// Part of a window's units that may be granted at its start if the window before was used up; the rest becomes
+/// available evenly until the window ends.
 const PACED_START_RATIO: f64 = 0.5;
 
-/// A request that waits for its name.
+/// A request that waits for units of its name.
 #[derive(Clone, Debug)]
 pub(super) struct WaitingRequest {
     pub(super) from: Name,
@@ -15,12 +15,12 @@
     pub(super) slot: Slot,
     pub(super) request: LeaseRequest,
     pub(super) received: f64,
-    /// Its borrower knows that the counter is called.
+    /// Whether its borrower has been told that the counter is called.
     pub(super) notified: bool,
 }
 
 impl WaitingRequest {
-    pub(super) fn respond(&self, answer: Answer) -> Output {
+    pub(super) fn respond(&self, answer: BrokerAnswer) -> Output {
         Output::Respond {
             to: self.from.clone(),
             run: self.run,
@@ -31,55 +31,56 @@
     }
 }
 
-/// An add that is out at the counter.
+/// An add that waits for the counter's reply.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenAdd {
     pub(super) call: u64,
     pub(super) add: f64,
 }
 
-/// A counter's name, as the broker holds it.
+/// A broker's state of one counter name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LeasedName {
     pub(super) customer: u64,
-    /// The counter's total when it last answered, and when that was.
+    /// The counter's total at its last reply, and the time of that reply.
     pub(super) counter_total: Option<f64>,
     pub(super) last_read: f64,
-    /// Units that the counter has counted and nobody was granted; under 0 where refused ones stand in for it.
+    /// Units that the counter has counted and that are not granted yet; negative where refused requests
+    /// reported units that the counter has not counted yet.
     pub(super) block: f64,
     pub(super) open_add: Option<OpenAdd>,
     pub(super) waiting: VecDeque<WaitingRequest>,
     pub(super) slot: Slot,
     pub(super) lifetime: f64,
-    /// When it is full, as last heard, and by how much that grows a second.
+    /// Limit of the name at the last request, and its growth in units per second.
     pub(super) limit: f64,
     pub(super) limit_rate: f64,
-    /// Seconds left of its window, and the window's length.
+    /// Seconds left of the name's window, and the window's length.
     pub(super) remaining: f64,
     pub(super) window_length: f64,
     pub(super) last_request: f64,
-    /// Adds that were refused and that their borrowers are about to take back; no part of the total yet.
+    /// Refused adds that their borrowers are expected to take back; not part of the total yet.
     pub(super) pending_corrections: BTreeMap<Name, f64>,
-    /// What it has to hold at least when it is first read: the backlog of the customer's name before it.
+    /// Lower bound of the total at the first read: the backlog of the customer's previous name.
     pub(super) min_total: Option<f64>,
-    /// A window that was found full.
+    /// Whether the window was found full.
     pub(super) was_full: bool,
-    /// A window that follows a full one: it is granted evenly over its time.
+    /// Whether the window follows a full one, so that its units are granted evenly over time.
     pub(super) paced: bool,
 }
 
-/// What a request finds: the name's state with its minimum granted.
+/// Room for a request's minimum.
 struct Headroom {
-    /// The total without it.
+    /// The total before the request.
     before: f64,
-    /// No room for its minimum.
+    /// Whether there is no room for the minimum.
     full: bool,
-    /// Room, but it is for others or for later.
-    barred: bool,
+    /// Whether there is room, but reserved for other borrowers or for later.
+    reserved: bool,
 }
 
 impl LeasedName {
-    /// Takes over what a request says of the name.
+    /// Updates the name's properties from a request.
     pub(super) fn update(&mut self, slot: Slot, request: &LeaseRequest, now: f64) {
         self.customer = request.customer;
         self.slot = slot;
@@ -92,14 +93,15 @@
         self.window_length = self.remaining / remaining_ratio;
     }
 
-    /// What is left of the limit, if it was ever read.
+    /// Units left under the limit; `None` if the total was never read.
     pub(super) fn remaining_units(&self, now: f64) -> Option<f64> {
         let grown = self.limit_rate * (now - self.last_request).max(0.0);
         Some(self.limit + grown - (self.counter_total? - self.block))
     }
 
-    /// The total that this request gets now; none where the counter has to be called first. `limit` is when the
-    /// name is full now, `reserved` what this borrower has to leave there, if it has had its part.
+    /// The total with which to answer the request now; `None` if the counter has to be called first. `limit` is the
+    /// present limit of the name, `reserved` the units that this borrower has to leave to others, or `None` if the
+    /// borrower has not had its fair share.
     pub(super) fn answer(
         &mut self,
         from: &str,
@@ -110,16 +112,16 @@
         now: f64,
     ) -> Option<f64> {
         let before = self.counter_total? - self.block;
-        // Guards against two that are refused at once: each would take back what the other was about to.
-        // What was refused counts from its correction on, and lowers nothing that others added.
+        // Guards against two requests refused at once: each borrower would take back the other's add as well.
+        // A refused add counts only from its correction on, and the correction does not lower what others added.
         let correction = self.pending_corrections.remove(from);
         if let Some(refused) = correction.filter(|_| request.requested <= 0.0) {
-            let stays = (refused + request.add).max(0.0);
-            self.block -= stays;
-            return Some(before + stays);
+            let kept = (refused + request.add).max(0.0);
+            self.block -= kept;
+            return Some(before + kept);
         }
         let headroom = self.headroom(request, before, limit, reserved, settings, now);
-        if request.requested <= 0.0 || !(headroom.full || headroom.barred) {
+        if request.requested <= 0.0 || !(headroom.full || headroom.reserved) {
             return self.grant(request, before, reserved.unwrap_or(0.0));
         }
         self.refuse(from, request, limit, &headroom, settings, now)
@@ -135,17 +137,17 @@
         now: f64,
     ) -> Headroom {
         let interval = settings.near_limit_interval;
-        let rest = request.add - request.requested;
-        let with_minimum = before + rest + request.minimum;
+        let reported = request.add - request.requested;
+        let with_minimum = before + reported + request.minimum;
         let full = with_minimum > limit;
-        // Guards against a call for each unit that comes free, and leaves those without a broker their turn.
+        // Guards against a call for each unit that becomes available, and leaves units to limiters without a broker.
         let near_limit = with_minimum + request.limit_rate * interval > limit;
         let too_soon = near_limit
             && reserved.is_some()
             && request.add > self.block
             && now < self.last_read + interval;
         let reserved = reserved.unwrap_or(0.0);
-        // Guards against a window that is used up in its first moment, and shut for the rest of it.
+        // Guards against a window that is used up at its start and then rejects everything until it ends.
         self.was_full |= full;
         let paced_limit = (limit * (PACED_START_RATIO + request.elapsed)).min(limit);
         let too_early = self.paced && with_minimum > paced_limit;
@@ -153,23 +155,24 @@
         Headroom {
             before,
             full,
-            barred: too_soon || too_early || for_others,
+            reserved: too_soon || too_early || for_others,
         }
     }
 
-    /// A return fills the block, a request is granted out of it; what is left to others it does not see.
+    /// Grants a request from the block, or adds returned units to it. Units reserved for others are reported to the
+    /// borrower as used.
     fn grant(&mut self, request: &LeaseRequest, before: f64, reserved: f64) -> Option<f64> {
         let covered = request.add <= self.block || request.add <= 0.0;
         self.block -= if covered { request.add } else { 0.0 };
-        let unseen = if request.requested > 0.0 {
+        let hidden = if request.requested > 0.0 {
             reserved
         } else {
             0.0
         };
-        covered.then_some(before + unseen + request.add)
+        covered.then_some(before + hidden + request.add)
     }
 
-    /// Full: it is answered from what is known, and read again now and then.
+    /// Refuses a request: answers with a total over the limit, or `None` if it is time to read the full name again.
     fn refuse(
         &mut self,
         from: &str,
@@ -182,9 +185,9 @@
         if headroom.full && now >= self.last_read + settings.reread_interval {
             return None;
         }
-        // Where the limit grows the borrower takes back what it was refused; in a window that ends it does not.
-        let remembered = self.pending_corrections.len() < settings.max_borrowers;
-        if request.limit_rate > 0.0 && remembered {
+        // Where the limit grows, the borrower takes a refused add back; in a short window it does not.
+        let has_capacity = self.pending_corrections.len() < settings.max_borrowers;
+        if request.limit_rate > 0.0 && has_capacity {
             self.pending_corrections
                 .insert(from.to_owned(), request.add);
         } else {
--- a/crates/gateway/quota-sharing/src/broker/mod.rs
+++ b/crates/gateway/quota-sharing/src/broker/mod.rs
@@ -1,46 +1,46 @@
-//! The broker: takes requests, keeps time, forgets what was not requested lately.
+//! The broker: accepts requests, handles time-outs, and forgets names and borrowers without recent requests.
 
 mod blocks;
 mod fairness;
 mod leased_name;
 
-use crate::{Answer, LeaseRequest, Output, Settings, Slot};
+use crate::{BrokerAnswer, LeaseRequest, Output, Settings, Slot};
 use dunespur_decisions::types::CounterReply;
 use fairness::Customer;
 use leased_name::{LeasedName, WaitingRequest};
 use std::collections::BTreeMap;
 
-/// Least that is worth a call of its own to give back, in units.
+/// Least amount, in units, for whose return or report a call is made.
 const MIN_RETURN: f64 = 0.5;
-/// Least part of a window that counts as left.
+/// Lower bound of the remaining part of a window, from which the window's length is calculated.
 const MIN_REMAINING_RATIO: f64 = 0.05;
-/// Demand windows after which what was not requested is forgotten.
+/// Demand windows without a request after which a name or a borrower is forgotten.
 const RETENTION_WINDOWS: f64 = 4.0;
 
-/// A call to the counter that is out.
+/// A call to the counter that waits for a reply.
 #[derive(Clone, Copy, Debug)]
 struct OpenCall {
     name: u64,
-    since: f64,
+    sent_at: f64,
 }
 
-/// The side of the role's owner, over all its shards. Times are seconds on its own clock.
+/// The broker of all shards of the role `lend` that this process holds. Times are seconds on its own clock.
 #[derive(Clone, Debug)]
 pub struct Broker {
     settings: Settings,
     names: BTreeMap<u64, LeasedName>,
     customers: BTreeMap<u64, Customer>,
-    /// Numbers grow with time.
+    /// Open calls by number; numbers ascend with the time of sending.
     calls: BTreeMap<u64, OpenCall>,
     last_call: u64,
     last_sweep: f64,
     last_flush: f64,
-    /// Requests that could not be taken: unsound, or over a bound.
+    /// Number of requests rejected as invalid or over a bound.
     pub rejected: u64,
 }
 
 impl Broker {
-    /// Its calls are numbered from `first_call` on.
+    /// A broker without any state, whose calls to the counter are numbered upwards from `first_call`.
     #[must_use]
     pub fn new(settings: Settings, first_call: u64) -> Self {
         Broker {
@@ -55,32 +55,35 @@
         }
     }
 
-    /// How many names it remembers.
+    /// Number of counter names that the broker keeps.
     #[must_use]
     pub fn name_count(&self) -> usize {
         self.names.len()
     }
 
-    /// How many customers it remembers.
+    /// Number of customers that the broker keeps.
     #[must_use]
     pub fn customer_count(&self) -> usize {
         self.customers.len()
     }
 
-    /// How many borrowers it remembers of the customer that has the most.
+    /// Number of borrowers of the customer with the most borrowers.
     #[must_use]
     pub fn most_borrowers(&self) -> usize {
-        let counts = self.customers.values().map(|c| c.borrowers.len());
+        let counts = self
+            .customers
+            .values()
+            .map(|customer| customer.borrowers.len());
         counts.max().unwrap_or(0)
     }
 
-    /// Units counted at the counter and sub-leased to nobody, over all names.
+    /// Units leased from the counter and not yet sub-leased, over all names.
     #[must_use]
     pub fn unleased_units(&self) -> f64 {
         self.names.values().map(|name| name.block.max(0.0)).sum()
     }
 
-    /// A limiter requests units. The caller has seen that this one holds the slot.
+    /// Processes a limiter's request. The caller has checked that this process holds the slot.
     pub fn request(
         &mut self,
         from: &str,
@@ -98,14 +101,14 @@
             received: now,
             notified: false,
         };
-        if !request.is_sound() || !self.has_capacity(request.name, now, out) {
+        if !request.is_valid() || !self.has_capacity(request.name, now, out) {
             return self.reject(waiting, out);
         }
         if request.requested > 0.0 {
             self.borrower(request.customer, from, now).demand += request.minimum;
         }
         if !self.names.contains_key(&request.name) {
-            let name = self.follow_last_name(&request, now);
+            let name = self.successor_of_last_name(&request, now);
             self.names.insert(request.name, name);
         }
         if let Some(customer) = self.customers.get_mut(&request.customer) {
@@ -117,17 +120,17 @@
             return self.reject(waiting, out);
         }
         name.update(slot, &request, now);
-        // In turn: a limiter's adds to one name must not overtake each other.
+        // Requests are served in order: a limiter's adds to one name must not overtake each other.
         name.waiting.push_back(waiting);
         self.serve(request.name, now, out);
     }
 
     fn reject(&mut self, waiting: WaitingRequest, out: &mut Vec<Output>) {
         self.rejected += 1;
-        out.push(waiting.respond(Answer::Unavailable));
+        out.push(waiting.respond(BrokerAnswer::Unavailable));
     }
 
-    /// Whether one more name can be remembered, if it is a new one.
+    /// Whether the name is already kept or there is room for a new one.
     fn has_capacity(&mut self, name: u64, now: f64, out: &mut Vec<Output>) -> bool {
         let max_names = self.settings.max_names;
         if self.names.contains_key(&name) || self.names.len() < max_names {
@@ -137,27 +140,27 @@
         self.names.len() < max_names
     }
 
-    /// A new name starts at nothing. Each limiter brings over what it believes, which is old; here the
-    /// capacity that the one before has left is known.
-    fn follow_last_name(&self, request: &LeaseRequest, now: f64) -> LeasedName {
+    /// The state of a new name, whose total at the counter starts at 0. The limiters carry over a backlog that may be
+    /// outdated, while the broker knows the units left under the customer's previous name.
+    fn successor_of_last_name(&self, request: &LeaseRequest, now: f64) -> LeasedName {
         let customer = self.customers.get(&request.customer);
-        let last = customer.and_then(|c| self.names.get(&c.last_name));
+        let last = customer.and_then(|customer| self.names.get(&customer.last_name));
         let grows = request.limit_rate > 0.0;
-        let left = last.and_then(|name| name.remaining_units(now));
-        let left = left.filter(|_| grows);
+        let remaining = last.and_then(|name| name.remaining_units(now));
+        let remaining = remaining.filter(|_| grows);
         LeasedName {
-            min_total: left.map(|left| request.limit - left.max(0.0)),
+            min_total: remaining.map(|remaining| request.limit - remaining.max(0.0)),
             paced: !grows && last.is_some_and(|name| name.was_full),
             ..LeasedName::default()
         }
     }
 
-    /// When [`Broker::tick`] is due.
+    /// Time at which [`Broker::tick`] is due.
     #[must_use]
     pub fn next_due(&self) -> f64 {
         let call = self.calls.first_key_value();
         let call = call.map_or(f64::INFINITY, |(_, open)| {
-            open.since + self.settings.counter_timeout
+            open.sent_at + self.settings.counter_timeout
         });
         let flush = if self.names.is_empty() {
             f64::INFINITY
@@ -167,11 +170,11 @@
         call.min(flush)
     }
 
-    /// Does what is due: calls that the counter did not answer end, debts are reported, old names go.
+    /// Ends calls that timed out, reports outstanding units to the counter, and forgets idle names.
     pub fn tick(&mut self, now: f64, out: &mut Vec<Output>) {
         let timeout = self.settings.counter_timeout;
         while let Some((&call, open)) = self.calls.first_key_value() {
-            if now < open.since + timeout {
+            if now < open.sent_at + timeout {
                 break;
             }
             out.push(Output::AbandonCall { call });
@@ -179,14 +182,14 @@
         }
         let interval = self.settings.reread_interval;
         if now >= self.last_flush + interval {
-            // What was let in without the counter is reported, requested or not.
+            // Units that refused requests reported are passed on to the counter even if no further request comes.
             self.last_flush = now;
-            let owes = |name: &LeasedName| {
+            let is_in_debt = |name: &LeasedName| {
                 name.block <= -MIN_RETURN
                     && name.open_add.is_none()
                     && now > name.last_request + interval
             };
-            let due = self.names.iter().filter(|(_, name)| owes(name));
+            let due = self.names.iter().filter(|(_, name)| is_in_debt(name));
             let due: Vec<u64> = due.map(|(id, _)| *id).collect();
             due.into_iter().for_each(|name| self.refill(name, now, out));
         }
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Forgets what was not requested lately; what is left of a block goes back.
+    /// Forgets names and borrowers without recent requests and returns the rest of their blocks.
     fn sweep(&mut self, now: f64, out: &mut Vec<Output>) {
         self.last_sweep = now;
         let retention = self.settings.demand_window * RETENTION_WINDOWS;
@@ -221,7 +224,7 @@
         let Some(name) = self.names.remove(&id) else {
             return;
         };
-        // A name whose limit does not grow ends with its window, and what is left of it too.
+        // A name whose limit does not grow expires with its window, so its units need not be returned.
         if name.block >= MIN_RETURN && name.limit_rate > 0.0 {
             self.last_call += 1;
             out.push(Output::CallCounter {
@@ -233,14 +236,14 @@
         }
     }
 
-    /// The slot is another's now, or nobody's: no more is sub-leased, what is left goes back.
+    /// Stops sub-leasing for a slot that this process no longer holds, and returns the rest of its blocks.
     pub fn slot_lost(&mut self, slot: Slot, out: &mut Vec<Output>) {
         let names = self.names.iter().filter(|(_, name)| name.slot == slot);
         let names: Vec<u64> = names.map(|(id, _)| *id).collect();
         for id in names {
             if let Some(name) = self.names.get_mut(&id) {
                 let waiting = std::mem::take(&mut name.waiting).into_iter();
-                out.extend(waiting.map(|w| w.respond(Answer::Unavailable)));
+                out.extend(waiting.map(|waiting| waiting.respond(BrokerAnswer::Unavailable)));
             }
             self.return_block(id, out);
         }
--- a/crates/gateway/quota-sharing/src/lib.rs
+++ b/crates/gateway/quota-sharing/src/lib.rs
@@ -1,15 +1,16 @@
-//! Budgets that limiters share beside the counter, by sub-leases. A customer's set of limiters has one
-//! [`Broker`] at a time, which holds the singleton role `lend` for the customer's shard. It leases blocks from
-//! the counter by adding them, sized to what its borrowers lately requested and shrunk near the limit, and
-//! answers their adds in the counter's place out of the block: the paper's lease, one level higher. Each
-//! limiter has a [`Borrower`], which sends adds to the broker while that answers and to the counter while it
-//! does not.
+//! Quota sharing between limiters by sub-leases, so that fewer calls reach the shared counter. The limiters that
+//! serve a customer have one [`Broker`] at a time: the holder of the singleton role `lend` for the customer's
+//! shard. The broker leases blocks of units from the counter, sized to the recent demand of its borrowers and
+//! smaller near the limit, and answers the borrowers' adds from the block in the counter's place. Each limiter
+//! has a [`Borrower`], which sends adds to the broker while the broker responds, and otherwise to the counter.
 //!
-//! State machines without I/O or clock: messages and times in, outputs out, bounded in size and in age, with a
-//! bound under partitions that docs/shared-state.md derives. The broker must never answer with units that the
-//! counter has not counted, so two brokers, a stale view or a broker that wakes up can waste units but let
-//! nothing in twice. It must never keep a request longer than the stated wait, and what it remembers of names,
-//! customers and borrowers ends. A borrower must never make an invocation wait longer than the counter may.
+//! Both are state machines without I/O or a clock: messages and times in, outputs out. Their state is bounded in
+//! size and in age; docs/shared-state.md derives the bound that holds under partitions. Invariants:
+//! - A broker never grants units that the counter has not counted. Two brokers at once, a stale view or a broker
+//!   that resumes after a pause can waste units but never admit an invocation twice.
+//! - A broker never holds a request longer than `MAX_WAIT_TIMEOUTS` counter time-outs, and forgets idle names,
+//!   customers and borrowers.
+//! - A borrower never makes an invocation wait longer than a call to the counter may take.
 
 mod borrower;
 mod broker;
@@ -18,10 +19,10 @@
 
 pub use borrower::{Borrower, Route};
 pub use broker::Broker;
-pub use message::{Answer, CounterCall, LeaseRequest, Message, Output};
+pub use message::{BrokerAnswer, CounterCall, LeaseRequest, Message, Output};
 pub use settings::{Settings, SettingsError};
 
-/// A limiter's name, the same after a restart.
+/// A limiter's name, unchanged by a restart.
 pub type Name = String;
-/// A shard of the role `lend`, as `dunespur-singleton-roles` numbers it.
+/// Number of a shard of the role `lend`, as in `dunespur-singleton-roles`.
 pub type Slot = u32;
--- a/crates/gateway/quota-sharing/src/message.rs
+++ b/crates/gateway/quota-sharing/src/message.rs
@@ -1,55 +1,55 @@
-//! What borrowers request, what a broker answers, and what it wants done. The encoding goes by position and
-//! order: fields and variants keep theirs.
+//! Messages between borrowers and brokers, and the outputs of a broker. The encoding depends on the order of fields
+//! and variants, which therefore must not change.
 
 use crate::{Name, Slot};
 use dunespur_decisions::types::AddContext;
 use serde::{Deserialize, Serialize};
 
-/// Amounts from here on are taken for none.
+/// Requests with amounts of this size or more are rejected as malformed.
 const MAX_AMOUNT: f64 = 1e12;
 
-/// An add to a name of the counter.
+/// An add to a name at the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterCall {
-    /// The call's number.
+    /// Number of the call.
     pub call: u64,
-    /// The counter's name.
+    /// Name at the counter.
     pub name: u64,
-    /// Units to add.
+    /// Units to add; negative to return some.
     pub add: f64,
-    /// How long the counter keeps the name, in seconds.
+    /// Time for which the counter keeps the name, seconds.
     pub lifetime: f64,
 }
 
-/// One add that a limiter would make at the counter. Units, and units a second.
+/// A limiter's add, sent to a broker instead of the counter. Amounts are units.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The borrower's number for it.
+    /// The borrower's number of the request.
     pub seq: u64,
-    /// The counter's name.
+    /// Name at the counter.
     pub name: u64,
     /// Hash of the customer.
     pub customer: u64,
-    /// What is added, with earlier units that go back or are reported.
+    /// Units to add: those requested, plus those reported, less those returned.
     pub add: f64,
-    /// What is requested, a part of the add; 0 for a correction.
+    /// The part of the add that requests new units; 0 for a correction.
     pub requested: f64,
-    /// Less than this serves nobody.
+    /// Fewest units that cover one invocation; a smaller grant is useless.
     pub minimum: f64,
-    /// How long the counter keeps the name, in seconds.
+    /// Time for which the counter keeps the name, seconds.
     pub lifetime: f64,
-    /// The name is full at so many units now.
+    /// Present limit of the name.
     pub limit: f64,
-    /// The limit grows by so many units a second from now on.
+    /// Growth of the limit, units per second.
     pub limit_rate: f64,
-    /// The part of the time that the name is in use that is over, from 0 to 1.
+    /// Elapsed part of the name's window, from 0 to 1.
     pub elapsed: f64,
-    /// For so many seconds more it will be in use.
+    /// Time left of the name's window, seconds.
     pub remaining: f64,
 }
 
 impl LeaseRequest {
-    /// What the decisions want added, `since_start` seconds after the name came into use.
+    /// Builds the request for a limiter's add, `since_start` seconds after the start of the name's window.
     #[must_use]
     pub fn new(call: CounterCall, context: &AddContext, since_start: f64) -> Self {
         LeaseRequest {
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Amounts that are no amounts are refused altogether.
-    pub(crate) fn is_sound(&self) -> bool {
+    /// Whether all amounts are finite and within their ranges.
+    pub(crate) fn is_valid(&self) -> bool {
         let amounts = [
             self.add,
             self.requested,
@@ -89,74 +89,74 @@
     }
 }
 
-/// What a broker answers.
+/// A broker's answer to a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
-    /// The name's total, this add in it, as the counter would have said.
+pub enum BrokerAnswer {
+    /// The name's total after the add, as the counter would have replied.
     Total(f64),
-    /// Nothing was added: this broker can't.
+    /// Nothing was added: the broker cannot serve the request.
     Unavailable,
-    /// It lives and calls the counter first.
+    /// The broker is alive and has to call the counter first.
     Pending,
 }
 
-/// Between borrowers and brokers.
+/// A message between a borrower and a broker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// To the broker.
+    /// From a borrower to the broker.
     Request {
-        /// The customer's shard.
+        /// Shard of the customer.
         slot: Slot,
-        /// The borrower's run.
+        /// Incarnation of the borrower's process.
         run: u64,
-        /// What it wants added.
+        /// The add to make.
         request: LeaseRequest,
     },
-    /// To the borrower.
+    /// From the broker to a borrower.
     Response {
-        /// The customer's shard.
+        /// Shard of the customer.
         slot: Slot,
         /// The broker's fencing token.
         token: u64,
-        /// The borrower's run.
+        /// Incarnation of the borrower's process.
         run: u64,
-        /// The request's number.
+        /// Number of the request.
         seq: u64,
-        /// The answer.
-        answer: Answer,
+        /// The broker's answer.
+        answer: BrokerAnswer,
     },
 }
 
-/// What a broker wants done.
+/// An instruction of a broker to its owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Answer a borrower.
+    /// Send an answer to a borrower.
     Respond {
-        /// The borrower's name.
+        /// Name of the borrower.
         to: Name,
-        /// Its run.
+        /// Incarnation of the borrower's process.
         run: u64,
-        /// The customer's shard.
+        /// Shard of the customer.
         slot: Slot,
-        /// The request's number.
+        /// Number of the request.
         seq: u64,
-        /// The answer.
-        answer: Answer,
+        /// The broker's answer.
+        answer: BrokerAnswer,
     },
-    /// A call to the counter, whose end comes back by its number.
+    /// Call the counter and report the reply with [`crate::Broker::counter_answered`].
     CallCounter {
-        /// The call's number.
+        /// Number of the call.
         call: u64,
-        /// The counter's name.
+        /// Name at the counter.
         name: u64,
-        /// Units to add.
+        /// Units to add; negative to return some.
         add: f64,
-        /// How long the counter keeps the name, in seconds.
+        /// Time for which the counter keeps the name, seconds.
         lifetime: f64,
     },
-    /// Nobody waits for that call any more.
+    /// Drop a call to the counter whose reply is no longer awaited.
     AbandonCall {
-        /// The call's number.
+        /// Number of the call.
         call: u64,
     },
 }
--- a/crates/gateway/quota-sharing/src/settings.rs
+++ b/crates/gateway/quota-sharing/src/settings.rs
@@ -1,29 +1,29 @@
-//! Figures of the role `lend`, as the operators set them.
+//! Settings of the role `lend`.
 
-/// What the operators' file says. Times are seconds.
+/// Settings from the `fleet.lend` section of the operators' file. Times are seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// A block covers up to so much of the borrowers' demand to come, where nobody else adds to the name.
+    /// Longest time of future demand that a block covers, where only this broker adds to the name.
     pub max_lead: f64,
-    /// The time over which demand is measured; what is known of a name or a borrower ends after four.
+    /// Time over which demand is measured; idle names and borrowers are forgotten after four times as long.
     pub demand_window: f64,
-    /// A call to the counter is awaited this long.
+    /// Time-out of a call to the counter.
     pub counter_timeout: f64,
-    /// A name that was full is read again after this long.
+    /// Interval after which a full name is read from the counter again.
     pub reread_interval: f64,
-    /// Near the limit, what comes free is fetched this often and not unit by unit.
+    /// Interval at which units are fetched near the limit, rather than one by one as they become available.
     pub near_limit_interval: f64,
-    /// A broker that did not answer is left alone this long; longer each time it fails again.
+    /// Time for which a borrower does not call a broker that did not answer; doubles with each further failure.
     pub broker_backoff: f64,
-    /// Names remembered at once, by a broker.
+    /// Most names that a broker keeps at once.
     pub max_names: usize,
-    /// Requests that wait for one name.
+    /// Most requests that wait for one name.
     pub max_waiting: usize,
-    /// Borrowers remembered of one customer.
+    /// Most borrowers kept for one customer.
     pub max_borrowers: usize,
 }
 
-/// A setting can't be used. Keys are those of the operators' file.
+/// An invalid setting. Keys are those of the operators' file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// A time is out of its range.
@@ -31,10 +31,10 @@
     Time {
         /// The setting's key.
         key: &'static str,
-        /// What the file says.
+        /// The value in the file.
         seconds: f64,
     },
-    /// A bound lets nothing in.
+    /// A bound is 0.
     #[error("fleet.lend.{key}: 0; give 1 or more")]
     Bound {
         /// The setting's key.
@@ -46,7 +46,7 @@
     /// Checks the ranges.
     ///
     /// # Errors
-    /// The first setting that is out of its range.
+    /// Names the first setting that is out of its range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         for (key, seconds) in [
             ("ahead", self.max_lead),
--- a/crates/gateway/quota-sharing/tests/borrower.rs
+++ b/crates/gateway/quota-sharing/tests/borrower.rs
@@ -4,7 +4,7 @@
 
 use common::settings;
 use dunespur_decisions::types::CounterReply;
-use dunespur_quota_sharing::{Answer, Borrower, CounterCall, Route, Slot};
+use dunespur_quota_sharing::{Borrower, BrokerAnswer, CounterCall, Route, Slot};
 
 fn route(b: &mut Borrower, call: u64, name: u64, slot: Slot, known: bool, now: f64) -> Route {
     b.route(
@@ -38,11 +38,11 @@
     assert_eq!(route(&mut b, 6, 7, 0, true, 20.0), Route::Broker(0));
     assert_eq!(route(&mut b, 7, 8, 0, true, 20.0), Route::Counter);
     assert_eq!(
-        b.broker_answered(6, Answer::Total(3.0), 0.5, 20.01),
+        b.broker_answered(6, BrokerAnswer::Total(3.0), 0.5, 20.01),
         Some(CounterReply::Total(3.0))
     );
     assert_eq!(
-        b.broker_answered(6, Answer::Total(3.0), 0.5, 20.01),
+        b.broker_answered(6, BrokerAnswer::Total(3.0), 0.5, 20.01),
         None,
         "twice"
     );
@@ -56,7 +56,7 @@
     for call in 10..18 {
         assert_eq!(route(&mut b, call, call, 0, true, 21.0), Route::Broker(0));
         assert_eq!(
-            b.broker_answered(call, Answer::Unavailable, 0.5, 21.0),
+            b.broker_answered(call, BrokerAnswer::Unavailable, 0.5, 21.0),
             Some(CounterReply::Refused)
         );
     }
@@ -85,7 +85,7 @@
         "all on the name, in their order; the other name has time left"
     );
     assert_eq!(
-        b.broker_answered(2, Answer::Total(1.0), 0.5, 0.023),
+        b.broker_answered(2, BrokerAnswer::Total(1.0), 0.5, 0.023),
         None,
         "the broker's answer comes too late"
     );
@@ -95,7 +95,7 @@
     b.counter_answered(2);
     b.counter_answered(3);
     assert_eq!(
-        b.broker_answered(4, Answer::Total(1.0), 0.5, 0.03),
+        b.broker_answered(4, BrokerAnswer::Total(1.0), 0.5, 0.03),
         Some(CounterReply::Total(1.0))
     );
     assert_eq!(b.next_due(), f64::INFINITY);
--- a/crates/gateway/quota-sharing/tests/broker.rs
+++ b/crates/gateway/quota-sharing/tests/broker.rs
@@ -4,7 +4,7 @@
 
 use common::settings;
 use dunespur_decisions::types::CounterReply;
-use dunespur_quota_sharing::{Answer, Broker, LeaseRequest, Output};
+use dunespur_quota_sharing::{Broker, BrokerAnswer, LeaseRequest, Output};
 
 fn request(seq: u64, requested: f64) -> LeaseRequest {
     let (name, customer, minimum) = (7, 1, 1.0);
@@ -43,14 +43,14 @@
         }
     }
 
-    fn drive(&mut self, mut out: Vec<Output>) -> Vec<(u64, Answer)> {
+    fn drive(&mut self, mut out: Vec<Output>) -> Vec<(u64, BrokerAnswer)> {
         let mut told = Vec::new();
         while !out.is_empty() {
             let mut next = Vec::new();
             for o in out {
                 match o {
                     Output::Respond {
-                        answer: Answer::Pending,
+                        answer: BrokerAnswer::Pending,
                         ..
                     } => {}
                     Output::Respond { seq, answer, .. } => told.push((seq, answer)),
@@ -71,13 +71,13 @@
         told
     }
 
-    fn request(&mut self, from: &str, request: LeaseRequest) -> Vec<(u64, Answer)> {
+    fn request(&mut self, from: &str, request: LeaseRequest) -> Vec<(u64, BrokerAnswer)> {
         let mut out = Vec::new();
         self.broker.request(from, 1, 0, request, self.now, &mut out);
         self.drive(out)
     }
 
-    fn tick(&mut self, now: f64) -> Vec<(u64, Answer)> {
+    fn tick(&mut self, now: f64) -> Vec<(u64, BrokerAnswer)> {
         self.now = now;
         let mut out = Vec::new();
         self.broker.tick(now, &mut out);
@@ -92,7 +92,7 @@
     for n in 0..40 {
         rig.now = n as f64 * 0.02;
         let told = rig.request(["a", "b", "c"][n % 3], request(n as u64, 1.0));
-        let [(_, Answer::Total(total))] = told[..] else {
+        let [(_, BrokerAnswer::Total(total))] = told[..] else {
             panic!("{told:?}")
         };
         lent += if total <= 20.0 { 1.0 } else { 0.0 };
@@ -118,16 +118,16 @@
     };
     assert_eq!(
         rig.request("a", grows(1, 12.0, 12.0)),
-        [(1, Answer::Total(12.0))]
+        [(1, BrokerAnswer::Total(12.0))]
     );
     assert_eq!(
         rig.request("a", grows(2, 0.0, -6.0)),
-        [(2, Answer::Total(6.0))]
+        [(2, BrokerAnswer::Total(6.0))]
     );
     let calls = rig.calls;
     assert_eq!(
         rig.request("b", grows(3, 5.0, 5.0)),
-        [(3, Answer::Total(11.0))]
+        [(3, BrokerAnswer::Total(11.0))]
     );
     assert_eq!(
         (rig.calls, rig.broker.unleased_units()),
@@ -154,7 +154,7 @@
         // One wakes up and lends again what it holds, the other has the duty.
         std::mem::swap(&mut rig.broker, &mut old);
         for told in rig.request("a", request(n, 1.0)) {
-            lent += if matches!(told.1, Answer::Total(t) if t <= 20.0) {
+            lent += if matches!(told.1, BrokerAnswer::Total(t) if t <= 20.0) {
                 1.0
             } else {
                 0.0
@@ -177,19 +177,19 @@
         let told = rig.request("b", request(10 + n, 1.0));
         lent += told
             .iter()
-            .filter(|t| matches!(t.1, Answer::Total(_)))
+            .filter(|t| matches!(t.1, BrokerAnswer::Total(_)))
             .count() as f64;
     }
     assert!(lent <= left);
     let told = rig.tick(0.2);
     assert!(
-        !told.is_empty() && told.iter().all(|t| t.1 == Answer::Unavailable),
+        !told.is_empty() && told.iter().all(|t| t.1 == BrokerAnswer::Unavailable),
         "{told:?}"
     );
     rig.silent = false;
     assert!(matches!(
         rig.request("b", request(30, 1.0))[..],
-        [(30, Answer::Total(_))]
+        [(30, BrokerAnswer::Total(_))]
     ));
 }
 
@@ -204,7 +204,7 @@
                 ..request(1, 1.0)
             },
         );
-        assert_eq!(told, [(1, Answer::Unavailable)]);
+        assert_eq!(told, [(1, BrokerAnswer::Unavailable)]);
     }
     for n in 0..10 {
         rig.request(
@@ -245,7 +245,7 @@
     // Another one knows nothing of the eighteen, and brings nothing over.
     rig.counter = 0.0;
     let told = rig.request("b", grows(2, 8, 1.0, 1.0));
-    let [(2, Answer::Total(total))] = told[..] else {
+    let [(2, BrokerAnswer::Total(total))] = told[..] else {
         panic!("{told:?}")
     };
     assert!((total - 18.9).abs() < 0.2, "{total}");
--- a/crates/gateway/quota-sharing/tests/bytes.rs
+++ b/crates/gateway/quota-sharing/tests/bytes.rs
@@ -1,7 +1,7 @@
 //! The bytes of each message between borrowers and brokers, against a file written before the names changed.
 //! The encoding goes by position and order: a moved field breaks a fleet that runs two versions.
 
-use dunespur_quota_sharing::{Answer, LeaseRequest, Message};
+use dunespur_quota_sharing::{BrokerAnswer, LeaseRequest, Message};
 
 fn request() -> LeaseRequest {
     LeaseRequest {
@@ -19,7 +19,7 @@
     }
 }
 
-fn response(answer: Answer) -> Message {
+fn response(answer: BrokerAnswer) -> Message {
     Message::Response {
         slot: 201,
         token: 202,
@@ -42,9 +42,9 @@
                 request: request(),
             },
         ),
-        ("told-total", response(Answer::Total(8.25))),
-        ("told-not", response(Answer::Unavailable)),
-        ("told-wait", response(Answer::Pending)),
+        ("told-total", response(BrokerAnswer::Total(8.25))),
+        ("told-not", response(BrokerAnswer::Unavailable)),
+        ("told-wait", response(BrokerAnswer::Pending)),
     ];
     let mut written = String::new();
     for (label, value) in &values {
--- a/crates/gateway/quota-sharing/tests/fairness.rs
+++ b/crates/gateway/quota-sharing/tests/fairness.rs
@@ -8,7 +8,7 @@
 use dunespur_decisions::types::{Readiness, Server, Settings};
 use dunespur_decisions::Limiter;
 use dunespur_quota_sharing::{
-    self as quota_sharing, Answer, Broker, CounterCall, LeaseRequest, Output,
+    self as quota_sharing, Broker, BrokerAnswer, CounterCall, LeaseRequest, Output,
 };
 use std::collections::BTreeMap;
 
@@ -132,7 +132,7 @@
             for o in out {
                 match o {
                     Output::Respond {
-                        answer: Answer::Total(total),
+                        answer: BrokerAnswer::Total(total),
                         ..
                     } => told = CounterReply::Total(total),
                     Output::CallCounter {
--- a/crates/gateway/quota-sharing/tests/lease_model.rs
+++ b/crates/gateway/quota-sharing/tests/lease_model.rs
@@ -6,7 +6,7 @@
 
 use dunespur_decisions::types::CounterReply;
 use dunespur_quota_sharing::{
-    Answer, Borrower, Broker, CounterCall, LeaseRequest, Output, Settings,
+    Borrower, Broker, BrokerAnswer, CounterCall, LeaseRequest, Output, Settings,
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::hash::{Hash, Hasher};
@@ -41,7 +41,7 @@
     /// Answers on their way back.
     totals: Vec<(usize, u64, f64)>,
     /// Brokers' answers on their way: to which limiter, to which of its asks.
-    told: Vec<(usize, u64, Answer)>,
+    told: Vec<(usize, u64, BrokerAnswer)>,
     requests: u8,
     lost: u8,
     twice: u8,
@@ -97,7 +97,7 @@
                 Output::Respond {
                     to,
                     seq,
-                    answer: answer @ Answer::Total(_),
+                    answer: answer @ BrokerAnswer::Total(_),
                     ..
                 } => {
                     s.told.push((usize::from(to == "b"), seq, answer));
@@ -265,7 +265,8 @@
                 s.twice += u8::from(matches!(act, Act::ToldTwice(_)));
                 let taken = s.limiters[limiter].broker_answered(seq, answer, 0.5, 0.0);
                 let total = match (taken, answer, self.0.once) {
-                    (Some(CounterReply::Total(t)), _, _) | (None, Answer::Total(t), false) => t,
+                    (Some(CounterReply::Total(t)), _, _)
+                    | (None, BrokerAnswer::Total(t), false) => t,
                     _ => return Some(s),
                 };
                 // The module's rule: what it added fits under what the name holds.
--- a/crates/testing/fleet-simulation/src/service.rs
+++ b/crates/testing/fleet-simulation/src/service.rs
@@ -111,7 +111,7 @@
         run: u64,
         slot: Slot,
         seq: u64,
-        answer: quota_sharing::Answer,
+        answer: quota_sharing::BrokerAnswer,
     },
     /// A client's answer: when it came, which customer, let in or not.
     Answered {
@@ -765,7 +765,7 @@
         &mut self,
         gate: usize,
         seq: u64,
-        answer: quota_sharing::Answer,
+        answer: quota_sharing::BrokerAnswer,
         now: f64,
         out: &mut Vec<Out>,
     ) {
--- a/crates/testing/fleet-simulation/src/world/quota_service.rs
+++ b/crates/testing/fleet-simulation/src/world/quota_service.rs
@@ -47,7 +47,8 @@
                         answer,
                     } => {
                         let token = self.holds(gate, slot);
-                        let answer = token.map_or(quota_sharing::Answer::Unavailable, |_| answer);
+                        let answer =
+                            token.map_or(quota_sharing::BrokerAnswer::Unavailable, |_| answer);
                         let token = token.unwrap_or(0);
                         let Ok(to) = to[1..].parse::<usize>() else {
                             continue;
@@ -117,7 +118,8 @@
                         s.receive_request(node, &name, run, slot, request, t, out)
                     });
                 }
-                let (token, seq, answer) = (0, request.seq, quota_sharing::Answer::Unavailable);
+                let (token, seq, answer) =
+                    (0, request.seq, quota_sharing::BrokerAnswer::Unavailable);
                 let msg = quota_sharing::Message::Response {
                     slot,
                     token,
@@ -135,7 +137,7 @@
                 answer,
             } => {
                 let n = &mut self.nodes[node];
-                let total = matches!(answer, quota_sharing::Answer::Total(_));
+                let total = matches!(answer, quota_sharing::BrokerAnswer::Total(_));
                 let fits = !total || n.fencing.accept(slot, token) || !self.fenced;
                 if run == n.run && fits {
                     self.serve(|s, out| s.receive_response(node, seq, answer, t, out));
