--- a/crates/gateway/decisions/src/limiter/accounts.rs
+++ b/crates/gateway/decisions/src/limiter/accounts.rs
@@ -31,8 +31,8 @@
         }
         let account = self.new_account(invocation, now);
         for _ in 0..EVICTION_STEPS.min(self.accounts.len()) {
-            self.eviction_hand = (self.eviction_hand + 1) % self.accounts.len();
-            let index = self.eviction_hand;
+            self.eviction_cursor = (self.eviction_cursor + 1) % self.accounts.len();
+            let index = self.eviction_cursor;
             let candidate = &self.accounts[index];
             if is_idle(candidate, &self.plans[candidate.plan], now) {
                 self.by_customer.remove(&candidate.customer);
--- a/crates/gateway/decisions/src/limiter/admission.rs
+++ b/crates/gateway/decisions/src/limiter/admission.rs
@@ -26,7 +26,7 @@
         }
         let index = self.account_of(invocation, now);
         if invocation.stage == Stage::New {
-            self.note_demand(index, invocation, now);
+            self.record_demand(index, invocation, now);
         }
         if now >= self.latest_start(invocation) {
             return self.throttle(
@@ -39,9 +39,9 @@
         // If the queue is too long to be served in time, the invocation is rejected before it takes quota.
         if invocation.stage == Stage::New {
             let ahead = self.queue_position(invocation, QueueEntry::FirstAttempt) as f64;
-            let clears = ahead * self.fleet_latency / self.total_concurrency.max(1.0);
-            if clears > MAX_QUEUE_TIME {
-                let pause = clears * self.operations[invocation.operation].latency_target;
+            let queue_time = ahead * self.fleet_latency / self.total_concurrency.max(1.0);
+            if queue_time > MAX_QUEUE_TIME {
+                let pause = queue_time * self.operations[invocation.operation].latency_target;
                 return self.throttle(invocation, ThrottleCause::QueueTooLong, pause, now);
             }
         }
@@ -51,8 +51,8 @@
             return self.throttle(invocation, ThrottleCause::RateLimit, pause, now);
         }
         if !invocation.has_units && !invocation.is_beyond_quota {
-            if let Units::NotTaken(answer) = self.take_units(index, invocation, now) {
-                return answer;
+            if let Units::NotTaken(decision) = self.take_units(index, invocation, now) {
+                return decision;
             }
             invocation.has_units = true;
         }
@@ -68,7 +68,7 @@
         }
     }
 
-    fn note_demand(&mut self, index: usize, invocation: &Invocation, now: f64) {
+    fn record_demand(&mut self, index: usize, invocation: &Invocation, now: f64) {
         let account = &mut self.accounts[index];
         let span = self.plans[invocation.plan].span;
         let decay = (-(now - account.demand_at) / span).exp();
@@ -99,8 +99,8 @@
         if covered {
             // Units leased in a short window already lie within the rate limit.
             invocation.drew_rate_limit = account.short_windows;
-        } else if let Units::NotTaken(answer) = self.renew_lease(index, invocation, now) {
-            return Units::NotTaken(answer);
+        } else if let Units::NotTaken(decision) = self.renew_lease(index, invocation, now) {
+            return Units::NotTaken(decision);
         }
         self.accounts[index].lease -= invocation.units;
         Units::Taken
@@ -174,7 +174,7 @@
         now: f64,
     ) -> Decision {
         let servers_idle = self.queue.is_empty() && self.overload < OVERLOAD / 2.0;
-        if self.plans[invocation.plan].beyond_pays && servers_idle {
+        if self.plans[invocation.plan].beyond_quota_pays && servers_idle {
             invocation.is_beyond_quota = true;
             if let Some(server) = self.choose_server(invocation, now) {
                 return self.send(invocation, server, now);
@@ -199,7 +199,7 @@
             self.return_units(invocation, now);
         }
         let never_ran = invocation.first_possible_run.is_none() && invocation.in_flight == 0;
-        let answer = if never_ran || self.repeat_is_harmless(invocation) {
+        let decision = if never_ran || self.repeat_is_harmless(invocation) {
             Decision::Throttle {
                 pause: pause.max(0.0).min(self.max_retry_after),
                 cause,
@@ -207,7 +207,7 @@
         } else {
             Decision::Error
         };
-        self.finish(invocation, answer)
+        self.finish(invocation, decision)
     }
 
     /// Returns the units of an invocation that was never sent to the lease, or to the local share if the lease has
@@ -239,14 +239,14 @@
     }
 
     /// Removes an invocation from the queue and marks it as done; returns the decision unchanged.
-    pub(super) fn finish(&mut self, invocation: &mut Invocation, answer: Decision) -> Decision {
+    pub(super) fn finish(&mut self, invocation: &mut Invocation, decision: Decision) -> Decision {
         if invocation.stage == Stage::Queued {
             // Guards against a queue that stalls with no attempt in flight: each departure wakes the head of the queue.
             self.queue.retain(|&(_, id)| id != invocation.id);
             self.place_queue_head();
         }
         invocation.stage = Stage::Done;
-        answer
+        decision
     }
 
     /// Ends an invocation whose client disconnected or that the owner lost.
--- a/crates/gateway/decisions/src/limiter/retry.rs
+++ b/crates/gateway/decisions/src/limiter/retry.rs
@@ -25,7 +25,7 @@
         if !outcome.result.never_ran() && first_that_ran {
             invocation.first_possible_run = Some(outcome.attempt);
         }
-        self.settle_account(invocation, outcome);
+        self.update_account(invocation, outcome);
         if outcome.answered || invocation.stage == Stage::Done {
             return self.finish(invocation, Decision::Done);
         }
@@ -47,7 +47,7 @@
     }
 
     /// Updates the customer's account with the usage that the outcome reports.
-    fn settle_account(&mut self, invocation: &Invocation, outcome: &Outcome) {
+    fn update_account(&mut self, invocation: &Invocation, outcome: &Outcome) {
         let Some(&index) = self.by_customer.get(&invocation.customer) else {
             return;
         };
--- a/crates/gateway/decisions/src/limiter/server_choice.rs
+++ b/crates/gateway/decisions/src/limiter/server_choice.rs
@@ -146,7 +146,7 @@
         }
         self.finish(invocation, Decision::Done);
         invocation.attempt_deadline = self.attempt_deadline(invocation, now);
-        self.note_send(server, now);
+        self.record_send(server, now);
         invocation.stage = Stage::InFlight;
         invocation.in_flight += 1;
         invocation.attempts.push((server, now));
@@ -177,7 +177,7 @@
     }
 
     /// Records a send in the figures of its server and of the fleet.
-    fn note_send(&mut self, server: usize, now: f64) {
+    fn record_send(&mut self, server: usize, now: f64) {
         let decay = (-(now - self.recent_sends_at) / (2.0 * self.latency_target)).exp();
         self.recent_sends *= decay;
         self.recent_sends_at = now;
--- a/crates/gateway/decisions/src/limiter/setup.rs
+++ b/crates/gateway/decisions/src/limiter/setup.rs
@@ -37,7 +37,7 @@
         had_room: [1.0 - EVEN_CHANCE * EVEN_CHANCE, EVEN_CHANCE],
         price: settings.price,
         excess_cost: (settings.beyond_quota_cost - settings.beyond_quota_earnings).max(0.0),
-        beyond_pays: settings.beyond_quota_earnings > settings.beyond_quota_cost,
+        beyond_quota_pays: settings.beyond_quota_earnings > settings.beyond_quota_cost,
         local_share_factor: (2.0 - settings.beyond_quota_cost).clamp(1.0, 2.0),
     }
 }
--- a/crates/gateway/decisions/src/state.rs
+++ b/crates/gateway/decisions/src/state.rs
@@ -40,7 +40,7 @@
     /// Whether leases may be counted in short windows.
     pub allows_short_windows: bool,
     /// Whether an invocation beyond the quota earns more than it costs.
-    pub beyond_pays: bool,
+    pub beyond_quota_pays: bool,
     /// Recent share of customers that had room at the first counter reply about them; first requests and repeats.
     pub had_room: [f64; 2],
     /// Earnings of an invocation as a multiple of its operation's billed value.
@@ -202,7 +202,7 @@
     pub(crate) by_customer: HashMap<u64, usize>,
     pub(crate) accounts: Vec<Account>,
     /// Index of the account that the search for idle accounts looked at last.
-    pub(crate) eviction_hand: usize,
+    pub(crate) eviction_cursor: usize,
     /// Adds that wait for a reply, by counter name, oldest first.
     pub(crate) pending_adds: HashMap<u64, VecDeque<PendingAdd>>,
     pub(crate) counter_price: CounterPrice,
--- a/crates/gateway/decisions/src/types.rs
+++ b/crates/gateway/decisions/src/types.rs
@@ -104,11 +104,11 @@
 /// Whether a server accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Readiness {
-    /// Accepts requests.
+    /// The server accepts requests.
     Live,
-    /// Completes its requests in flight and accepts no new ones.
+    /// The server completes its requests in flight and accepts no new ones.
     Draining,
-    /// No longer exists.
+    /// The server no longer exists.
     Gone,
 }
 
@@ -232,7 +232,7 @@
     }
 }
 
-/// Result of one attempt.
+/// How an attempt ended, as far as the gateway can tell.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptResult {
     /// The server responded successfully.
--- a/crates/gateway/decisions/tests/cold.rs
+++ b/crates/gateway/decisions/tests/cold.rs
@@ -45,9 +45,9 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let step = 1.0 / (CAPACITY * SERVERS as f64);
     let (started, mut up, mut started_at) = (f.now, true, f64::INFINITY);
-    let tell = |f: &mut Harness, gates: &dyn Fn(usize) -> bool, entry: Server| {
+    let tell = |f: &mut Harness, is_told: &dyn Fn(usize) -> bool, entry: Server| {
         (0..limiters)
-            .filter(|&gateway| gates(gateway))
+            .filter(|&gateway| is_told(gateway))
             .for_each(|gateway| f.update_endpoints(gateway, vec![entry], false));
     };
     let (stops_at, returns_at, end) = (4.0, 12.0, 30.0);
@@ -88,31 +88,33 @@
             let (_, entry) = late.remove(0);
             tell(&mut f, &|_| true, entry);
         }
-        let answers =
-            |o: &SentAttempt, now: f64| now - o.sent_at > WORK && (o.server_index != COLD || up);
-        while let Some(at) = (0..f.in_flight.len()).find(|&i| answers(&f.in_flight[i], f.now)) {
+        let has_response = |attempt: &SentAttempt, now: f64| {
+            now - attempt.sent_at > WORK && (attempt.server_index != COLD || up)
+        };
+        while let Some(at) = (0..f.in_flight.len()).find(|&i| has_response(&f.in_flight[i], f.now))
+        {
             f.end_attempt(at, AttemptResult::Succeeded);
         }
-        let to_it = |s: &(f64, usize, Event)| {
+        let sent_to_cold = |event: &(f64, usize, Event)| {
             matches!(
-                s.2,
+                event.2,
                 Event::Sent {
                     server_index: COLD,
                     ..
                 }
             )
-            .then_some(s.0)
+            .then_some(event.0)
         };
-        sends.extend(f.events.drain(..).filter_map(|s| to_it(&s)));
+        sends.extend(f.events.drain(..).filter_map(|event| sent_to_cold(&event)));
     }
-    let part =
+    let capacity =
         |at: f64| (warm_up_from + (1.0 - warm_up_from) * (at - started_at) / 10.0).clamp(0.0, 1.0);
-    let over = |&from: &f64| {
+    let load_ratio = |&from: &f64| {
         let sent = sends
             .iter()
             .filter(|&&at| (from..=from + span).contains(&at))
             .count() as f64;
-        let allowed = multiple * CAPACITY * span * part(from + span / 2.0);
+        let allowed = multiple * CAPACITY * span * capacity(from + span / 2.0);
         sent / (allowed + 2.0 * allowed.sqrt() + 2.0)
     };
     assert!(
@@ -122,7 +124,7 @@
     sends
         .iter()
         .filter(|&&at| at >= started_at && at < started_at + 10.0)
-        .map(over)
+        .map(load_ratio)
         .fold(0.0, f64::max)
 }
 
--- a/crates/gateway/decisions/tests/failures.rs
+++ b/crates/gateway/decisions/tests/failures.rs
@@ -15,11 +15,11 @@
     )
 }
 
-fn rounds(f: &mut Harness, rounds: usize, count: usize, seconds: f64, ending: AttemptResult) {
+fn rounds(f: &mut Harness, rounds: usize, count: usize, seconds: f64, result: AttemptResult) {
     for _ in 0..rounds {
         f.submit_many(0, count);
         f.advance(seconds);
-        end_all(f, ending);
+        end_all(f, result);
     }
 }
 
@@ -32,15 +32,19 @@
     }
 }
 
-fn end_all(f: &mut Harness, ending: AttemptResult) {
+fn end_all(f: &mut Harness, result: AttemptResult) {
     while !f.in_flight.is_empty() {
-        f.end_attempt(0, ending);
+        f.end_attempt(0, result);
     }
 }
 
 /// Ends successfully every attempt in flight for which `ends` holds, given the attempt and its age.
 fn end_successfully_if(f: &mut Harness, ends: impl Fn(&SentAttempt, f64) -> bool) {
-    while let Some(at) = f.in_flight.iter().position(|o| ends(o, f.now - o.sent_at)) {
+    while let Some(at) = f
+        .in_flight
+        .iter()
+        .position(|attempt| ends(attempt, f.now - attempt.sent_at))
+    {
         f.end_attempt(at, AttemptResult::Succeeded);
     }
 }
@@ -225,27 +229,36 @@
     let mut timeouts = |rounds: usize, ends: fn(&SentAttempt, f64) -> bool| {
         let before = f.events.len();
         run_each_to_end(&mut f, rounds, 0.02, ends);
-        let timeout = |s: &Event| {
+        let is_timeout = |event: &Event| {
             matches!(
-                s,
+                event,
                 Event::Ended {
                     result: AttemptResult::Timeout,
                     ..
                 }
             )
         };
-        f.events[before..].iter().filter(|s| timeout(&s.2)).count()
+        f.events[before..]
+            .iter()
+            .filter(|event| is_timeout(&event.2))
+            .count()
+    };
+    let long = |attempt: &SentAttempt, age: f64| {
+        age > if attempt.id.is_multiple_of(10) {
+            0.35
+        } else {
+            0.01
+        }
     };
-    let long =
-        |o: &SentAttempt, spent: f64| spent > if o.id.is_multiple_of(10) { 0.35 } else { 0.01 };
     let abandoned = timeouts(200, long);
     assert!(
         abandoned <= 6,
         "{abandoned} of 20 slow invocations were started twice"
     );
     // Then responses get lost.
-    let lost =
-        |o: &SentAttempt, spent: f64| (o.attempt > 0 || !o.id.is_multiple_of(3)) && spent > 0.01;
+    let lost = |attempt: &SentAttempt, age: f64| {
+        (attempt.attempt > 0 || !attempt.id.is_multiple_of(3)) && age > 0.01
+    };
     assert!(
         timeouts(90, lost) > 20,
         "attempts whose response is lost are not abandoned"
@@ -358,7 +371,7 @@
     let valuable = f.submit(0, 1, 0, 1, 1.0);
     f.end_attempt(0, AttemptResult::Succeeded);
     assert!(
-        f.in_flight.iter().any(|o| o.id == valuable),
+        f.in_flight.iter().any(|attempt| attempt.id == valuable),
         "the invocation with the highest value was not sent first"
     );
 }
@@ -820,11 +833,10 @@
     // Guards against a time-out that is too long: where work is slow, eight mean response times exceed the latency
     // target, and none of the lost attempts, one in three, was sent again.
     let mut f = Harness::new(settings(1), 4);
-    run_each_to_end(&mut f, 240, 0.01, |o, spent| {
-        (o.attempt > 0 || !o.id.is_multiple_of(3)) && spent > 0.09
+    run_each_to_end(&mut f, 240, 0.01, |attempt, age| {
+        (attempt.attempt > 0 || !attempt.id.is_multiple_of(3)) && age > 0.09
     });
-    let again =
-        |s: &&(f64, usize, Event)| matches!(s.2, Event::Sent { attempt: 1, id, .. } if id > 180);
+    let again = |event: &&(f64, usize, Event)| matches!(event.2, Event::Sent { attempt: 1, id, .. } if id > 180);
     let again = f.events.iter().filter(again).count();
     assert!(again >= 15, "{again} of 20 lost attempts were sent again");
 }
@@ -837,7 +849,7 @@
             .filter(|gateway| (gateway + tick) % 2 == 0)
             .for_each(|gateway| f.submit_many(gateway, 1));
         f.advance(0.05);
-        end_successfully_if(f, |_, spent| spent > 0.09);
+        end_successfully_if(f, |_, age| age > 0.09);
     }
     f.sent_to().split_off(before)
 }
@@ -859,7 +871,7 @@
     (0..f.limiters.len()).for_each(|gateway| f.update_endpoints(gateway, entries.to_vec(), false));
 }
 
-fn gone(server_index: usize) -> Server {
+fn gone_server(server_index: usize) -> Server {
     Server {
         readiness: Readiness::Gone,
         ..server(server_index)
@@ -870,7 +882,7 @@
 fn a_zone_that_returns_cold_under_full_load_gets_more_as_it_warms_up() {
     // Forty limiters send all they can: their sends add up at ten cold servers.
     let mut f = busy_fleet();
-    tell_all(&mut f, &(10..20).map(gone).collect::<Vec<_>>());
+    tell_all(&mut f, &(10..20).map(gone_server).collect::<Vec<_>>());
     (0..8).for_each(|_| _ = busy_second(&mut f));
     let back: Vec<Server> = (10..20)
         .map(|server_index| Server {
@@ -906,7 +918,7 @@
         started_at: f.now,
         ..server(server_index)
     });
-    let entries: Vec<Server> = (0..12).map(gone).chain(new).collect();
+    let entries: Vec<Server> = (0..12).map(gone_server).chain(new).collect();
     let before = f.sent_to().len();
     tell_all(&mut f, &entries);
     let cold = |_| {
--- a/crates/gateway/decisions/tests/rate_limit.rs
+++ b/crates/gateway/decisions/tests/rate_limit.rs
@@ -37,12 +37,12 @@
         let limit = any_limit(rate, burst, ratio);
         let gateways = f64::from(gateways % 400 + 2);
         let step = 0.05 + f64::from(at_once) / 50.0;
-        let (mut spent, mut sends) = (vec![f64::NEG_INFINITY; gateways as usize], Vec::new());
+        let (mut used_turns, mut sends) = (vec![f64::NEG_INFINITY; gateways as usize], Vec::new());
         for round in 1..200 {
             let now = 1000.0 + f64::from(round) * step;
-            for (rank, spent) in spent.iter_mut().enumerate() {
-                if let Some(turn) = limit.turn(gateways, rank as f64, 0.3, now).filter(|turn| *turn > *spent) {
-                    *spent = turn;
+            for (rank, used_turn) in used_turns.iter_mut().enumerate() {
+                if let Some(turn) = limit.turn(gateways, rank as f64, 0.3, now).filter(|turn| *turn > *used_turn) {
+                    *used_turn = turn;
                     sends.push(now);
                 }
             }
