--- a/crates/gateway/decisions/src/limiter/admission.rs
+++ b/crates/gateway/decisions/src/limiter/admission.rs
@@ -1,69 +1,74 @@
-//! Admission: whether an invocation may be sent, now, later or never.
+//! Admission: whether an invocation is sent now, held or rejected.
 
 use super::counter_stake::WithoutCounter;
-use super::queue::Entry;
+use super::queue::QueueEntry;
 use super::tuning::{EWMA_WEIGHT, MAX_QUEUE_TIME, OVERLOAD};
 use super::Limiter;
-use crate::types::{Answer, Cause, Effect, Group, Invocation, Stage};
+use crate::types::{Decision, Effect, Invocation, Stage, ThrottleCause, TokenScope};
 
-/// Rounding that a lease allows for, in units.
+/// Rounding error in units that is tolerated when a lease is compared with an invocation.
 const LEASE_ROUNDING: f64 = 1e-6;
 
-/// Whether units for an invocation could be had.
+/// Result of taking units for an invocation.
 enum Units {
     Taken,
-    /// The answer to give instead.
-    Not(Answer),
+    /// No units were taken; the decision tells what to do with the invocation.
+    NotTaken(Decision),
 }
 
 impl Limiter {
-    /// Where to send this invocation: the ordinary path, top to bottom.
-    pub fn place(&mut self, invocation: &mut Invocation, now: f64) -> Answer {
+    /// Decides where to send a new or held invocation, or to hold it, throttle it or end it.
+    pub fn place(&mut self, invocation: &mut Invocation, now: f64) -> Decision {
         match invocation.stage {
-            Stage::InFlight => return Answer::Hold,
-            Stage::Done => return Answer::Done,
+            Stage::InFlight => return Decision::Hold,
+            Stage::Done => return Decision::Done,
             Stage::New | Stage::AwaitingCounter | Stage::Queued => {}
         }
         let index = self.account_of(invocation, now);
         if invocation.stage == Stage::New {
-            self.note_demand(index, invocation, now);
+            self.record_demand(index, invocation, now);
         }
         if now >= self.latest_start(invocation) {
-            return self.throttle(invocation, Cause::Waited, self.latency_target, now);
+            return self.throttle(
+                invocation,
+                ThrottleCause::WaitedTooLong,
+                self.latency_target,
+                now,
+            );
         }
-        // A queue too long to clear in time is refused at once, before it costs quota.
+        // If the queue is too long to be served in time, the invocation is rejected before it takes quota.
         if invocation.stage == Stage::New {
-            let ahead = self.queue_position(invocation, Entry::First) as f64;
-            let clears = ahead * self.fleet_latency / self.total_concurrency.max(1.0);
-            if clears > MAX_QUEUE_TIME {
-                let pause = clears * self.operations[invocation.operation].latency_target;
-                return self.throttle(invocation, Cause::Queue, pause, now);
+            let ahead = self.queue_position(invocation, QueueEntry::FirstAttempt) as f64;
+            let queue_time = ahead * self.fleet_latency / self.total_concurrency.max(1.0);
+            if queue_time > MAX_QUEUE_TIME {
+                let pause = queue_time * self.operations[invocation.operation].latency_target;
+                return self.throttle(invocation, ThrottleCause::QueueTooLong, pause, now);
             }
         }
-        // Over the rate limit nothing else matters: no lease, no server.
+        // Over the rate limit, neither a lease nor a server is sought.
         let over_limit = self.rate_limit_wait(index, invocation, now);
         if let (Some(pause), false) = (over_limit, self.accounts[index].short_windows) {
-            return self.throttle(invocation, Cause::Ceiling, pause, now);
+            return self.throttle(invocation, ThrottleCause::RateLimit, pause, now);
         }
         if !invocation.has_units && !invocation.is_beyond_quota {
-            if let Units::Not(answer) = self.take_units(index, invocation, now) {
-                return answer;
+            if let Units::NotTaken(decision) = self.take_units(index, invocation, now) {
+                return decision;
             }
             invocation.has_units = true;
         }
         if invocation.stage != Stage::Queued {
             invocation.stage = Stage::Queued;
-            if self.enqueue(invocation, Entry::First) > 0 {
-                return Answer::Hold;
+            if self.enqueue(invocation, QueueEntry::FirstAttempt) > 0 {
+                return Decision::Hold;
             }
         }
         match self.choose_server(invocation, now) {
             Some(server) => self.send(invocation, server, now),
-            None => Answer::Hold,
+            None => Decision::Hold,
         }
     }
 
-    fn note_demand(&mut self, index: usize, invocation: &Invocation, now: f64) {
+    fn record_demand(&mut self, index: usize, invocation: &Invocation, now: f64) {
         let account = &mut self.accounts[index];
         let span = self.plans[invocation.plan].span;
         let decay = (-(now - account.demand_at) / span).exp();
@@ -71,15 +76,20 @@
         account.demand_at = now;
     }
 
-    /// Admits from the lease while its units cover the invocation; renews it when they do not.
+    /// Takes the invocation's units from the lease, and renews the lease if its units do not cover the invocation.
     fn take_units(&mut self, index: usize, invocation: &mut Invocation, now: f64) -> Units {
         let account = &self.accounts[index];
         let plan = &self.plans[invocation.plan];
-        // A plan limited by attempts in flight gets an even whole share of the limit, at least one.
+        // The plan's limit on attempts in flight is divided evenly over the gateways, at least one for each.
         let max_in_flight = (plan.max_in_flight / account.gateways).floor().max(1.0);
         if plan.max_in_flight > 0.0 && account.in_flight >= max_in_flight {
             let target = self.latency_target;
-            return Units::Not(self.beyond_quota(invocation, Cause::Open, target, now));
+            return Units::NotTaken(self.beyond_quota(
+                invocation,
+                ThrottleCause::InFlightLimit,
+                target,
+                now,
+            ));
         }
         if plan.rate <= 0.0 {
             return Units::Taken;
@@ -87,32 +97,37 @@
         let covered =
             now < account.lease_expires_at && account.lease + LEASE_ROUNDING >= invocation.units;
         if covered {
-            // What was leased in a short window lies under the rate limit by itself.
+            // Units leased in a short window already lie within the rate limit.
             invocation.drew_rate_limit = account.short_windows;
-        } else if let Units::Not(answer) = self.renew_lease(index, invocation, now) {
-            return Units::Not(answer);
+        } else if let Units::NotTaken(decision) = self.renew_lease(index, invocation, now) {
+            return Units::NotTaken(decision);
         }
         self.accounts[index].lease -= invocation.units;
         Units::Taken
     }
 
-    /// Asks the counter for a lease, or decides without it: the local share, or no room.
+    /// Requests a lease from the counter, or decides without the counter: takes from the local share or rejects.
     fn renew_lease(&mut self, index: usize, invocation: &mut Invocation, now: f64) -> Units {
         let account = &mut self.accounts[index];
         let plan = &self.plans[invocation.plan];
         if account.add_pending {
-            if !account.waiting.contains(&invocation.num) {
-                account.waiting.push(invocation.num);
+            if !account.waiting.contains(&invocation.id) {
+                account.waiting.push(invocation.id);
             }
             invocation.stage = Stage::AwaitingCounter;
-            return Units::Not(Answer::Hold);
+            return Units::NotTaken(Decision::Hold);
         }
         let room = plan.burst - account.backlog_now(plan, now);
         if account.backlog_at > 0.0 && room < invocation.units {
             let pause = (invocation.units - room) / plan.rate;
-            return Units::Not(self.beyond_quota(invocation, Cause::Quota, pause, now));
+            return Units::NotTaken(self.beyond_quota(
+                invocation,
+                ThrottleCause::Quota,
+                pause,
+                now,
+            ));
         }
-        // A crowded counter is asked first where a wrong guess costs most.
+        // While the counter is busy, it is called first for invocations whose wrong decision would cost most.
         let over_limit = self.accounts[index].short_windows
             && self.rate_limit_wait(index, invocation, now).is_some();
         let without_counter = if !over_limit && self.local_share_covers(index, invocation, now) {
@@ -121,16 +136,16 @@
             WithoutCounter::Reject
         };
         let stake = self.stake(index, invocation, without_counter, now);
-        // Who waited for a call that failed decides without: asking again adds to the crowd.
-        let lately_failed = now - self.accounts[index].add_failed_at < self.counter_timeout;
-        if !lately_failed
+        // Invocations whose counter call failed are decided without the counter: another call would add to its load.
+        let recently_failed = now - self.accounts[index].add_failed_at < self.counter_timeout;
+        if !recently_failed
             && self.has_counter
             && self.counter_price.admits(stake, self.rng.f64(), now)
         {
             self.request_lease(index, invocation, now);
-            self.accounts[index].waiting.push(invocation.num);
+            self.accounts[index].waiting.push(invocation.id);
             invocation.stage = Stage::AwaitingCounter;
-            return Units::Not(Answer::Hold);
+            return Units::NotTaken(Decision::Hold);
         }
         match without_counter {
             WithoutCounter::Admit => {
@@ -139,21 +154,27 @@
             }
             WithoutCounter::Reject => {
                 let pause = self.max_retry_after;
-                Units::Not(self.beyond_quota(invocation, Cause::Unasked, pause, now))
+                Units::NotTaken(self.beyond_quota(
+                    invocation,
+                    ThrottleCause::CounterNotCalled,
+                    pause,
+                    now,
+                ))
             }
         }
     }
 
-    /// Beyond the quota: throttled at once, unless the plan says that an excess pays and servers idle.
+    /// Throttles an invocation beyond the quota, or sends it where the plan earns more than it costs and servers are
+    /// idle.
     fn beyond_quota(
         &mut self,
         invocation: &mut Invocation,
-        cause: Cause,
+        cause: ThrottleCause,
         pause: f64,
         now: f64,
-    ) -> Answer {
+    ) -> Decision {
         let servers_idle = self.queue.is_empty() && self.overload < OVERLOAD / 2.0;
-        if self.plans[invocation.plan].beyond_pays && servers_idle {
+        if self.plans[invocation.plan].beyond_quota_pays && servers_idle {
             invocation.is_beyond_quota = true;
             if let Some(server) = self.choose_server(invocation, now) {
                 return self.send(invocation, server, now);
@@ -162,34 +183,35 @@
         self.throttle(invocation, cause, pause, now)
     }
 
-    /// Ends an invocation without a response of a server: throttled where a repeat does no harm, else an error.
+    /// Ends an invocation without a server's response: throttles it where a repeat is harmless, else returns an error.
     pub(super) fn throttle(
         &mut self,
         invocation: &mut Invocation,
-        cause: Cause,
+        cause: ThrottleCause,
         pause: f64,
         now: f64,
-    ) -> Answer {
+    ) -> Decision {
         let unsent = invocation.has_units && invocation.attempts.is_empty();
-        if cause == Cause::Queue || (unsent && invocation.stage == Stage::Queued) {
+        if cause == ThrottleCause::QueueTooLong || (unsent && invocation.stage == Stage::Queued) {
             self.crowding += EWMA_WEIGHT * (1.0 - self.crowding);
         }
         if unsent {
             self.return_units(invocation, now);
         }
         let never_ran = invocation.first_possible_run.is_none() && invocation.in_flight == 0;
-        let answer = if never_ran || self.repeat_is_harmless(invocation) {
-            Answer::Throttle {
+        let decision = if never_ran || self.repeat_is_harmless(invocation) {
+            Decision::Throttle {
                 pause: pause.max(0.0).min(self.max_retry_after),
                 cause,
             }
         } else {
-            Answer::Error
+            Decision::Error
         };
-        self.finish(invocation, answer)
+        self.finish(invocation, decision)
     }
 
-    /// Units leased for an invocation that was never sent go back to the lease, but not into another short window.
+    /// Returns the units of an invocation that was never sent to the lease, or to the local share if the lease has
+    /// expired or belongs to another short window.
     fn return_units(&mut self, invocation: &Invocation, now: f64) {
         let Some(&index) = self.by_customer.get(&invocation.customer) else {
             return;
@@ -210,31 +232,31 @@
             self.operations[invocation.operation].effect,
             Effect::Idempotent
                 | Effect::Tokened {
-                    group: Group::All,
+                    scope: TokenScope::All,
                     ..
                 }
         )
     }
 
-    /// Ends an invocation with this answer, or its time in the queue.
-    pub(super) fn finish(&mut self, invocation: &mut Invocation, answer: Answer) -> Answer {
+    /// Removes an invocation from the queue and marks it as done; returns the decision unchanged.
+    pub(super) fn finish(&mut self, invocation: &mut Invocation, decision: Decision) -> Decision {
         if invocation.stage == Stage::Queued {
-            // Guards against a queue that stands with nothing in flight: whoever leaves it wakes its head.
-            self.queue.retain(|&(_, num)| num != invocation.num);
-            self.reconsider_head();
+            // Guards against a queue that stalls with no attempt in flight: each departure wakes the head of the queue.
+            self.queue.retain(|&(_, id)| id != invocation.id);
+            self.place_queue_head();
         }
         invocation.stage = Stage::Done;
-        answer
+        decision
     }
 
-    /// The client disconnected, or the owner lost the invocation.
+    /// Ends an invocation whose client disconnected or that the owner lost.
     pub fn disconnected(&mut self, invocation: &mut Invocation) {
-        self.finish(invocation, Answer::Done);
+        self.finish(invocation, Decision::Done);
     }
 
-    /// Seconds to wait: for an attempt until it is abandoned, for a held invocation until it is placed again.
+    /// Seconds until the attempt in flight is abandoned, or until a held invocation is placed again.
     #[must_use]
-    pub fn wait(&self, invocation: &Invocation, now: f64) -> f64 {
+    pub fn wait_time(&self, invocation: &Invocation, now: f64) -> f64 {
         match invocation.stage {
             Stage::InFlight => (invocation.attempt_deadline - now).max(0.0),
             _ => {
--- a/crates/gateway/decisions/src/limiter/setup.rs
+++ b/crates/gateway/decisions/src/limiter/setup.rs
@@ -1,4 +1,4 @@
-//! A limiter as its settings make it.
+//! Construction of a limiter from its settings.
 
 use super::tuning::{COUNTER_WINDOW, EVEN_CHANCE, HEALTHY_LATENCY, MIN_WINDOW_BURST};
 use super::Limiter;
@@ -22,7 +22,7 @@
     Plan {
         rate: settings.rate,
         burst: settings.burst,
-        max_in_flight: settings.open,
+        max_in_flight: settings.max_in_flight,
         span,
         rate_limit: RateLimit {
             rate: settings.hard_rate,
@@ -37,12 +37,12 @@
         had_room: [1.0 - EVEN_CHANCE * EVEN_CHANCE, EVEN_CHANCE],
         price: settings.price,
         excess_cost: (settings.beyond_quota_cost - settings.beyond_quota_earnings).max(0.0),
-        beyond_pays: settings.beyond_quota_earnings > settings.beyond_quota_cost,
+        beyond_quota_pays: settings.beyond_quota_earnings > settings.beyond_quota_cost,
         local_share_factor: (2.0 - settings.beyond_quota_cost).clamp(1.0, 2.0),
     }
 }
 
-/// What an invocation earns on average over all operations and plans.
+/// Average earnings of an invocation over all operations and plans.
 fn mean_earnings(operations: &[Operation], plans: &[Plan]) -> f64 {
     let earnings = operations
         .iter()
@@ -51,14 +51,14 @@
 }
 
 impl Limiter {
-    /// A limiter that starts now, with nothing known of customers and servers.
+    /// A limiter that starts now, without customers and servers.
     #[must_use]
     pub fn new(settings: &Settings, now: f64) -> Self {
         let operations: Vec<Operation> = settings.operations.iter().map(Operation::from).collect();
         let plans: Vec<Plan> = settings
             .plans
             .iter()
-            .map(|plan| plan_of(plan, settings.counter))
+            .map(|plan| plan_of(plan, settings.has_counter))
             .collect();
         let shortest_target = operations
             .iter()
@@ -76,10 +76,10 @@
         Limiter {
             plans,
             operations,
-            fleet_size: settings.fleet.max(1),
-            fleet_index: settings.slot,
+            fleet_size: settings.fleet_size.max(1),
+            fleet_index: settings.fleet_index,
             zone: settings.zone,
-            has_counter: settings.counter,
+            has_counter: settings.has_counter,
             counter_timeout: settings.counter_timeout,
             max_retry_after: settings.max_retry_after,
             max_attempts: settings.max_attempts.max(1) as usize,
@@ -106,12 +106,12 @@
         }
     }
 
-    /// The next thing for the owner to carry out, in order.
+    /// Takes the next action for the owner to carry out, in order.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// Number of customers with an account here.
+    /// Number of customers with an account at this limiter.
     #[must_use]
     pub fn customers(&self) -> usize {
         self.by_customer.len()
--- a/crates/gateway/quota-sharing/tests/bytes.rs
+++ b/crates/gateway/quota-sharing/tests/bytes.rs
@@ -1,7 +1,7 @@
-//! The bytes of each message between borrowers and brokers, against a file written before the names changed.
-//! The encoding goes by position and order: a moved field breaks a fleet that runs two versions.
+//! Compares the encoding of each message between borrowers and brokers with a fixture. The encoding depends on the
+//! order of fields and variants: a moved field breaks a fleet that runs two versions.
 
-use dunespur_quota_sharing::{Answer, LeaseRequest, Message};
+use dunespur_quota_sharing::{BrokerAnswer, LeaseRequest, Message};
 
 fn request() -> LeaseRequest {
     LeaseRequest {
@@ -19,7 +19,7 @@
     }
 }
 
-fn response(answer: Answer) -> Message {
+fn response(answer: BrokerAnswer) -> Message {
     Message::Response {
         slot: 201,
         token: 202,
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn messages_of_the_lending_protocol_keep_their_bytes() {
+fn messages_keep_their_encoding() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.hex");
     let text = std::fs::read_to_string(path).unwrap();
     let values = [
@@ -42,9 +42,9 @@
                 request: request(),
             },
         ),
-        ("told-total", response(Answer::Total(8.25))),
-        ("told-not", response(Answer::Unavailable)),
-        ("told-wait", response(Answer::Pending)),
+        ("told-total", response(BrokerAnswer::Total(8.25))),
+        ("told-not", response(BrokerAnswer::Unavailable)),
+        ("told-wait", response(BrokerAnswer::Pending)),
     ];
     let mut written = String::new();
     for (label, value) in &values {
@@ -52,7 +52,7 @@
         assert_eq!(
             &postcard::from_bytes::<Message>(&bytes).unwrap(),
             value,
-            "{label} read back"
+            "{label}: the decoded message differs"
         );
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         written.push_str(&format!("{label} {hex}\n"));
