--- a/crates/serving/budget/src/counter/clock.rs
+++ b/crates/serving/budget/src/counter/clock.rs
@@ -1,31 +1,31 @@
-//! The machines that send requests: the newest incarnation of each, and the time that their clocks imply.
+//! A logical clock derived from the clock readings in limiters' requests, and the newest incarnation of each limiter.
 
 use crate::{LimiterId, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum time between two requests of one sender. Bounds the effect of a clock that jumps.
+/// Maximum time by which one request advances its sender's clock. Bounds the effect of a clock that jumps.
 const MAX_STEP_MS: Millis = 10_000;
-/// A sender's time never lags further behind that of the others.
+/// Maximum lag of a sender's elapsed time behind the logical clock.
 const MAX_LAG_MS: Millis = 10_000;
-/// Maximum number of recorded senders; the one with the least time elapsed is evicted.
+/// Maximum number of recorded senders. Beyond it, the sender with the least elapsed time is evicted.
 const MAX_SENDERS: usize = 1_024;
 
-/// One machine that sends requests.
+/// A machine whose limiter sends requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Sender {
-    /// The newest incarnation.
+    /// The newest incarnation seen.
     incarnation: u64,
-    /// The latest reading of that incarnation's clock.
+    /// The highest clock reading of that incarnation.
     reading: Millis,
-    /// Time that elapsed for this sender.
+    /// Logical time that this sender's readings have reached.
     elapsed: Millis,
 }
 
-/// All senders, and the most time that elapsed for one of them.
+/// A clock that advances to the highest elapsed time of any sender.
 ///
-/// Replicas must not read a clock of their own, so time advances with what requests carry: for each sender by the
-/// differences of its readings. Neither a wrong clock nor one that is stepped makes it run ahead.
+/// Replicas must not read a clock of their own, so each sender's elapsed time advances by the differences between the
+/// clock readings in its requests. Neither a wrong clock nor one that is stepped makes the logical clock run ahead.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LogicalClock {
     senders: BTreeMap<Box<str>, Sender>,
@@ -33,7 +33,7 @@
 }
 
 impl LogicalClock {
-    /// Records a sender's reading and returns the time.
+    /// Records the clock reading of a limiter's request and returns the logical time.
     pub(crate) fn observe(&mut self, limiter: &LimiterId, reading: Millis) -> Millis {
         let now = self.now;
         let Some(sender) = self.senders.get_mut(limiter.node.as_str()) else {
@@ -59,7 +59,7 @@
 
     fn register(&mut self, limiter: &LimiterId, reading: Millis) {
         if self.senders.len() >= MAX_SENDERS {
-            self.evict_one();
+            self.evict_slowest();
         }
         let sender = Sender {
             incarnation: limiter.incarnation,
@@ -69,9 +69,9 @@
         self.senders.insert(limiter.node.as_str().into(), sender);
     }
 
-    fn evict_one(&mut self) {
-        let furthest_behind = self.senders.iter().min_by_key(|(_, sender)| sender.elapsed);
-        if let Some(node) = furthest_behind.map(|(node, _)| node.clone()) {
+    fn evict_slowest(&mut self) {
+        let slowest = self.senders.iter().min_by_key(|(_, sender)| sender.elapsed);
+        if let Some(node) = slowest.map(|(node, _)| node.clone()) {
             self.senders.remove(&node);
         }
     }
--- a/crates/serving/budget/src/counter/mod.rs
+++ b/crates/serving/budget/src/counter/mod.rs
@@ -1,4 +1,4 @@
-//! The counter side: what the replicas of the core apply, in the same order and with the same result.
+//! The counters of all programs. Replicas of the core apply the same requests in the same order, with the same results.
 
 mod clock;
 mod program;
@@ -11,45 +11,45 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// A program's counter is kept at least this long after its last use, far beyond any pause within a program.
-const MIN_KEPT_MS: Millis = 600_000;
-/// While more than half of the capacity is in use, it is kept at least this long.
-const MIN_KEPT_UNDER_PRESSURE_MS: Millis = 120_000;
-/// By how much longer a counter is kept than turns are: the last turn ends after the last use of its counter.
-const KEPT_BEYOND_RETENTION_MS: Millis = 30_000;
-/// The leases without units of an idle program are removed after this long.
-const COMPACT_AFTER_MS: Millis = 30_000;
-/// Maximum number of programs. New ones are rejected beyond that: bounds memory against a flood of names.
+/// Minimum idle time before a counter is evicted, far longer than any pause within a program.
+const EVICT_AFTER_IDLE_MS: Millis = 600_000;
+/// Minimum idle time before a counter is evicted while more than half of the capacity is in use.
+const EVICT_AFTER_IDLE_UNDER_PRESSURE_MS: Millis = 120_000;
+/// Idle time before eviction in addition to the retention of turns: a turn ends after the last use of its counter.
+const EVICTION_MARGIN_MS: Millis = 30_000;
+/// Idle time after which a program's leases without units are removed.
+const COMPACT_AFTER_IDLE_MS: Millis = 30_000;
+/// Maximum number of programs. Further programs are rejected, which bounds memory against a flood of names.
 const MAX_PROGRAMS: usize = 65_536;
-/// New programs are rejected while the counters take more bytes of a snapshot. The core's state has to fit its disk: what
-/// is left of it is for the counters that there are, for configurations and for registrations.
+/// New programs are rejected while the counters take this many bytes of a snapshot. The core's state must fit on its
+/// disk: the remaining space is reserved for existing counters, configurations and registrations.
 const MAX_BYTES_WITH_NEW_PROGRAMS: usize = 8 << 20;
-/// A known program gets no lease at a further limiter while the counters take more.
+/// A known program gets no lease at another limiter while the counters take this many bytes of a snapshot.
 const MAX_BYTES_WITH_NEW_LEASES: usize = 10 << 20;
-/// Programs checked for eviction with each request: more than one request can add.
+/// Programs checked for eviction with each request. More than the one program that a request can add.
 const SWEPT_PER_REQUEST: usize = 2;
 
 type Programs = BTreeMap<Box<str>, Program>;
 
 /// The counters of all programs.
 ///
-/// Deterministic: replicas that apply the same requests in the same order are equal.
+/// Deterministic: replicas that apply the same requests in the same order have equal counters.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredCounters")]
 pub struct Counters {
     programs: Programs,
     clock: LogicalClock,
-    /// The name after which the next sweep continues.
+    /// The last program checked for eviction; the sweep continues after it.
     swept: Option<Box<str>>,
-    /// How long turns are stored. It follows from the configuration, so that no snapshot of counters contains it.
+    /// How long turns are stored. Derived from the configuration, so a snapshot of counters does not contain it.
     #[serde(skip)]
     retention_ms: Millis,
-    /// Bytes that the programs take of a snapshot, at most; counted anew when one is restored.
+    /// Upper bound of the programs' size in a snapshot, in bytes; recomputed when a snapshot is restored.
     #[serde(skip)]
     bytes: usize,
 }
 
-/// What a snapshot has of the counters.
+/// The fields of [`Counters`] that a snapshot contains.
 #[derive(Deserialize)]
 struct StoredCounters {
     programs: Programs,
@@ -73,17 +73,17 @@
 }
 
 impl Counters {
-    /// Applies a committed request. `limiters` is how many limiters the core knows, 0 where it can't tell; a program
-    /// is never assumed to be served by more.
+    /// Applies a committed request. `limiters` is the number of limiters that the core knows, or 0 if unknown; it caps the
+    /// number of limiters that a program is assumed to have.
     ///
-    /// Idempotent: a repeated request gets the same reply and changes nothing.
+    /// Idempotent: a duplicate request gets the same reply and changes nothing.
     pub fn apply(&mut self, request: &CounterRequest, limiters: u32) -> CounterReply {
         if let Some(reply) = self.prior_reply(request) {
             return reply;
         }
         let now = self.clock.observe(&request.limiter, request.at_ms);
         self.sweep(now);
-        if !self.admits(request) {
+        if !self.may_apply(request) {
             return reply_without_program(&request.change);
         }
         let name = request.program.as_str();
@@ -117,50 +117,50 @@
         reply
     }
 
-    /// Turns are stored for so long: a program may come again within that time.
+    /// Sets how long turns are stored. A program may become active again within that time, so its counter is kept.
     pub fn set_retention(&mut self, retention_ms: Millis) {
         self.retention_ms = retention_ms;
     }
 
-    /// Bytes that the programs take of a snapshot, at most.
+    /// Upper bound of the programs' size in a snapshot, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Bytes beyond which new programs are rejected.
+    /// The size in bytes from which new programs are rejected.
     #[must_use]
     pub fn max_bytes() -> usize {
         MAX_BYTES_WITH_NEW_PROGRAMS
     }
 
-    /// How many programs are counted.
+    /// The number of programs that have a counter.
     #[must_use]
     pub fn programs(&self) -> usize {
         self.programs.len()
     }
 
-    /// Units of the program that were reported as used, 0 for a program that is not counted.
+    /// Units of the program that were reported as used, or 0 if the program has no counter.
     #[must_use]
     pub fn used(&self, program: &str) -> u64 {
         self.programs.get(program).map_or(0, Program::used)
     }
 
-    /// Units of the program on lease, those of dead limiters included, 0 for a program that is not counted.
+    /// Leased units of the program, including those of dead limiters, or 0 if the program has no counter.
     #[must_use]
     pub fn leased(&self, program: &str) -> u64 {
         self.programs.get(program).map_or(0, Program::leased)
     }
 
-    /// The reply to a request that was applied already, or that is older than the limiter's last.
+    /// The reply to a request that was applied before, or that is older than the limiter's last request.
     fn prior_reply(&self, request: &CounterRequest) -> Option<CounterReply> {
         let program = self.programs.get(request.program.as_str())?;
         program.prior_reply(&request.limiter, request.sequence)
     }
 
-    /// Evicts idle programs, a few with each request, so that no request pays for all.
+    /// Evicts idle programs. Each call checks only a few, so that no single request pays for a full sweep.
     fn sweep(&mut self, now: Millis) {
-        let kept_ms = self.kept_ms();
+        let evict_after_idle_ms = self.evict_after_idle_ms();
         for _ in 0..SWEPT_PER_REQUEST {
             let from = self
                 .swept
@@ -177,10 +177,10 @@
             let name = name.clone();
             let before = program_bytes(&name, program);
             let idle = program.idle(now);
-            if idle >= COMPACT_AFTER_MS {
+            if idle >= COMPACT_AFTER_IDLE_MS {
                 program.compact();
             }
-            if idle >= kept_ms {
+            if idle >= evict_after_idle_ms {
                 self.programs.remove(&name);
             }
             self.bytes = self.bytes - before + self.bytes_of(&name);
@@ -188,18 +188,18 @@
         }
     }
 
-    /// How long a counter is kept after its last use. However many there are, never less than turns are stored: a program
-    /// that comes again starts from nothing nowhere, rather are new ones rejected.
-    fn kept_ms(&self) -> Millis {
+    /// The idle time after which a counter is evicted. Never less than turns are stored, even under pressure: new programs
+    /// are rejected instead, so that a program that becomes active again does not restart from a zero counter.
+    fn evict_after_idle_ms(&self) -> Millis {
         let under_pressure =
             self.programs.len() > MAX_PROGRAMS / 2 || self.bytes > MAX_BYTES_WITH_NEW_PROGRAMS / 2;
-        let min_kept_ms = if under_pressure {
-            MIN_KEPT_UNDER_PRESSURE_MS
+        let min_idle_ms = if under_pressure {
+            EVICT_AFTER_IDLE_UNDER_PRESSURE_MS
         } else {
-            MIN_KEPT_MS
+            EVICT_AFTER_IDLE_MS
         };
-        let stored_ms = self.retention_ms.saturating_add(KEPT_BEYOND_RETENTION_MS);
-        stored_ms.max(min_kept_ms)
+        let retention_with_margin_ms = self.retention_ms.saturating_add(EVICTION_MARGIN_MS);
+        retention_with_margin_ms.max(min_idle_ms)
     }
 
     fn bytes_of(&self, name: &str) -> usize {
@@ -207,8 +207,9 @@
         program.map_or(0, |program| program_bytes(name, program))
     }
 
-    /// Whether the request is counted: a new program, or a lease at a further limiter, only while there is capacity.
-    fn admits(&self, request: &CounterRequest) -> bool {
+    /// Whether the request is applied. A new program or a lease at another limiter requires free capacity, and a request
+    /// with nothing to record creates no counter.
+    fn may_apply(&self, request: &CounterRequest) -> bool {
         let name = request.program.as_str();
         let Some(program) = self.programs.get(name) else {
             let has_capacity = self.programs.len() < MAX_PROGRAMS
@@ -222,17 +223,17 @@
     }
 }
 
-/// Bytes that a program takes of a snapshot, at most.
+/// Upper bound of a program's size in a snapshot, in bytes.
 fn program_bytes(name: &str, program: &Program) -> usize {
     name.len() + program.bytes()
 }
 
-/// Whether the request has nothing to count at a counter that does not know the program.
+/// Whether the request only returns units and reports no use, so that it needs no counter for an unknown program.
 fn only_returns(request: &CounterRequest) -> bool {
     matches!(request.change, CounterChange::Return { .. }) && request.used == 0
 }
 
-/// The reply where there is no counter of the program and none is created.
+/// The reply to a request that is not applied for lack of capacity or of a counter.
 fn reply_without_program(change: &CounterChange) -> CounterReply {
     match change {
         CounterChange::Lease { .. } => CounterReply::LeasedElsewhere { leased: 0 },
--- a/crates/serving/budget/src/counter/program.rs
+++ b/crates/serving/budget/src/counter/program.rs
@@ -1,43 +1,45 @@
-//! One program's counter: the used units, and the units on lease to each limiter.
+//! One program's counter: its used units and the units leased to each limiter.
 
 use super::clock::LogicalClock;
 use crate::{CounterReply, LimiterId, Millis};
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 
-/// Near the limit a grant is a limiter's equal part of the headroom, divided by this.
+/// Near the limit, a grant is an equal share of the headroom per active limiter, divided by this factor.
 const SHRINK_FACTOR: u64 = 2;
-/// A limiter counts as one of the program's for this long after its last request.
+/// How long a limiter without leased units counts as active after its last request.
 const RECENT_REQUEST_MS: Millis = 10_000;
-/// Units of a limiter without a request for the program for longer count as spent: three missed reports.
+/// Units of a limiter that sent no request for the program for this long count as spent. Equals three missed reports.
 const LEASE_TIMEOUT_MS: Millis = 15_000;
-/// Maximum number of leases of one program; the units of the least recently renewed one count as used.
+/// Maximum number of leases of one program. Beyond it, the least recently renewed lease is removed and its units count
+/// as used.
 const MAX_LEASES: usize = 128;
 
-/// Bytes of a program in a snapshot beside its name and its leases, usual numbers taken.
+/// Size of a program in a snapshot without its name and leases, for typical values of its integers.
 const PROGRAM_BYTES: usize = 24;
-/// Bytes of a lease in a snapshot beside its limiter's name, usual numbers taken.
+/// Size of a lease in a snapshot without its limiter's name, for typical values of its integers.
 const LEASE_BYTES: usize = 40;
 
-/// What one program's counter records of a limiter.
+/// A limiter's lease on the program's budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Lease {
     limiter: LimiterId,
-    /// Units granted, neither returned nor reported as used.
+    /// Units granted that were neither returned nor reported as used.
     outstanding: u64,
-    /// When its last request was applied.
+    /// When the limiter's last request was applied.
     renewed_at: Millis,
-    /// Its last request and the reply. One is enough, as it has one unanswered request at a time.
+    /// The limiter's last request and its reply. One suffices, as a limiter has at most one unanswered request.
     last: Option<AnsweredRequest>,
 }
 
+/// A request's number and its reply, kept to answer duplicates.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct AnsweredRequest {
     sequence: u64,
     reply: CounterReply,
 }
 
-/// Identifies a program's lease until the next one is added or removed.
+/// The index of a lease of the program. Valid until a lease is added or removed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseIndex(usize);
 
@@ -48,12 +50,12 @@
     pub(crate) budget: u64,
     pub(crate) needed: u64,
     pub(crate) wanted: u64,
-    /// How many limiters there are, 0 where that is not known.
+    /// The number of limiters in the system, or 0 if unknown.
     pub(crate) limiters: u32,
     pub(crate) now: Millis,
 }
 
-/// A program's counter. It never goes back while it exists.
+/// A program's counter. Its used units never decrease.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Program {
     /// Units reported as used.
@@ -70,31 +72,32 @@
         self.used
     }
 
-    /// Bytes that it takes of a snapshot without its name, at most.
+    /// Upper bound of the program's size in a snapshot without its name, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         let leases = self.leases.iter();
         let names: usize = leases.map(|lease| lease.limiter.node.len()).sum();
         PROGRAM_BYTES + self.leases.len() * LEASE_BYTES + names
     }
 
-    /// Whether there is a lease of this incarnation of the limiter.
+    /// Whether this incarnation of the limiter has a lease.
     pub(crate) fn has_lease_of(&self, limiter: &LimiterId) -> bool {
         self.leases.iter().any(|lease| lease.limiter == *limiter)
     }
 
-    /// Units on lease.
+    /// Units leased to all limiters.
     pub(crate) fn leased(&self) -> u64 {
         self.leases
             .iter()
             .fold(0, |sum, lease| sum.saturating_add(lease.outstanding))
     }
 
-    /// Time since the last request.
+    /// Time since the program's last request.
     pub(crate) fn idle(&self, now: Millis) -> Millis {
         now.saturating_sub(self.last_use)
     }
 
-    /// The reply to a request that was applied already; `Stale` to one older than the limiter's last.
+    /// The recorded reply if the request was applied before, `Stale` if it is older than the limiter's last request, and
+    /// `None` if it is new.
     pub(crate) fn prior_reply(&self, limiter: &LimiterId, sequence: u64) -> Option<CounterReply> {
         let lease = self.leases.iter().find(|lease| lease.limiter == *limiter)?;
         let last = lease.last.as_ref()?;
@@ -105,10 +108,10 @@
         }
     }
 
-    /// Records a limiter's new request and the units that it used; returns its lease.
+    /// Renews a limiter's lease, creating it if needed, and records the units that the limiter used.
     pub(crate) fn renew(&mut self, limiter: &LimiterId, used: u64, now: Millis) -> LeaseIndex {
         self.last_use = now;
-        let index = self.index_of(limiter);
+        let index = self.find_or_create_lease(limiter);
         let lease = &mut self.leases[index];
         lease.renewed_at = now;
         lease.outstanding = lease.outstanding.saturating_sub(used);
@@ -116,13 +119,13 @@
         LeaseIndex(index)
     }
 
-    /// Returns units, at most those on lease: a limiter cannot add to the budget.
+    /// Returns units to the budget. Units beyond the lease are ignored, so a limiter cannot increase the budget.
     pub(crate) fn return_units(&mut self, lease: LeaseIndex, units: u64) {
         let lease = &mut self.leases[lease.0];
         lease.outstanding = lease.outstanding.saturating_sub(units);
     }
 
-    /// Grants a lease, or replies why not.
+    /// Grants units, or replies why the budget does not cover the request.
     pub(crate) fn grant(&mut self, request: &LeaseRequest, clock: &LogicalClock) -> CounterReply {
         let headroom = self.headroom(request.budget);
         if headroom >= request.needed {
@@ -134,7 +137,7 @@
                 left: headroom - units,
             };
         }
-        let leased = self.recoverable(request.now, clock);
+        let leased = self.returnable(request.now, clock);
         if headroom.saturating_add(leased) >= request.needed {
             CounterReply::LeasedElsewhere { leased }
         } else {
@@ -156,12 +159,13 @@
         self.leases.shrink_to_fit();
     }
 
+    /// Units of the budget that are neither used nor leased.
     fn headroom(&self, budget: u64) -> u64 {
         budget.saturating_sub(self.used.saturating_add(self.leased()))
     }
 
-    /// The size of a grant out of a headroom that covers the need: shrunk near the limit, never below the need, and
-    /// no more than that to a new program.
+    /// The size of a grant, given a headroom that covers the needed units. A grant shrinks near the limit, but not below
+    /// the needed units. A program's first grant is exactly the needed units.
     fn grant_size(&self, request: &LeaseRequest, headroom: u64, clock: &LogicalClock) -> u64 {
         if !self.has_granted {
             return request.needed;
@@ -170,29 +174,30 @@
         request.wanted.min(limit).max(request.needed)
     }
 
-    /// How many limiters serve the program, the requesting one included.
+    /// The number of limiters that serve the program, including the requesting limiter.
     fn active_limiters(&self, request: &LeaseRequest, clock: &LogicalClock) -> u64 {
         let is_recent =
             |lease: &Lease| request.now.saturating_sub(lease.renewed_at) < RECENT_REQUEST_MS;
         let is_active = |lease: &&Lease| {
             lease.is_valid(request.now, clock) && (is_recent(lease) || lease.outstanding > 0)
         };
-        let counted = self.leases.iter().filter(is_active).count().max(1) as u64;
+        let active = self.leases.iter().filter(is_active).count().max(1) as u64;
         match request.limiters {
-            0 => counted,
-            known => counted.min(u64::from(known)),
+            0 => active,
+            known => active.min(u64::from(known)),
         }
     }
 
-    /// Units on valid leases, which may still be returned.
-    fn recoverable(&self, now: Millis, clock: &LogicalClock) -> u64 {
+    /// Units of valid leases, which limiters may still return.
+    fn returnable(&self, now: Millis, clock: &LogicalClock) -> u64 {
         self.leases
             .iter()
             .filter(|lease| lease.is_valid(now, clock))
             .fold(0, |sum, lease| sum.saturating_add(lease.outstanding))
     }
 
-    fn index_of(&mut self, limiter: &LimiterId) -> usize {
+    /// The index of the limiter's lease, which is created if needed.
+    fn find_or_create_lease(&mut self, limiter: &LimiterId) -> usize {
         let known = self
             .leases
             .iter()
@@ -201,7 +206,7 @@
             return index;
         }
         if self.leases.len() >= MAX_LEASES {
-            self.write_off_one();
+            self.write_off_oldest();
         }
         self.leases.push(Lease {
             limiter: limiter.clone(),
@@ -212,8 +217,8 @@
         self.leases.len() - 1
     }
 
-    /// Removes the least recently renewed lease; its units stay spent.
-    fn write_off_one(&mut self) {
+    /// Removes the least recently renewed lease and counts its units as used.
+    fn write_off_oldest(&mut self) {
         let oldest = self
             .leases
             .iter()
@@ -227,7 +232,7 @@
 }
 
 impl Lease {
-    /// Whether the limiter may still return its units: it has no newer incarnation, and the lease did not time out.
+    /// Whether the limiter may still return its units: no newer incarnation exists and the lease has not timed out.
     fn is_valid(&self, now: Millis, clock: &LogicalClock) -> bool {
         let superseded = clock.is_superseded(&self.limiter);
         !superseded && now.saturating_sub(self.renewed_at) < LEASE_TIMEOUT_MS
--- a/crates/serving/budget/src/lease/cached_rejections.rs
+++ b/crates/serving/budget/src/lease/cached_rejections.rs
@@ -1,17 +1,17 @@
-//! The counter's rejections, cached for a while.
+//! A cache of the counter's rejections, so that similar turns are rejected without a request.
 
 use super::admission::Rejection;
 use crate::Millis;
 
-/// A rejection that also applies to turns that need as much or more.
+/// A rejection that also applies to other turns that need at least as many units.
 #[derive(Clone, Debug)]
 struct CachedRejection {
     rejection: Rejection,
-    /// The smallest need to which it applies.
+    /// The smallest number of needed units to which the rejection applies.
     min_needed: u64,
-    /// The budget under which the need was rejected.
+    /// The budget of the rejected request; the rejection applies only to turns with the same budget.
     budget: u64,
-    /// The last moment at which it applies.
+    /// The last moment at which the rejection applies.
     expires_at: Millis,
 }
 
@@ -21,10 +21,10 @@
     }
 }
 
-/// The last final rejection and the last temporary one.
+/// The last `Spent` rejection and the last temporary rejection.
 ///
-/// What is left of a budget, leased units included, only falls, so `Spent` stays right; it expires all the same, as a
-/// limiter whose units were written off may return them.
+/// The unused part of a budget, including leased units, only decreases, so `Spent` normally stays valid. It still
+/// expires, because a limiter whose units were counted as spent may return them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CachedRejections {
     spent: Option<CachedRejection>,
@@ -32,7 +32,7 @@
 }
 
 impl CachedRejections {
-    /// The budget is spent for needs from `min_needed` up.
+    /// Caches that the budget is spent for turns that need at least `min_needed` units.
     pub(crate) fn cache_spent(&mut self, min_needed: u64, budget: u64, expires_at: Millis) {
         self.spent = Some(CachedRejection {
             rejection: Rejection::Spent,
@@ -42,7 +42,7 @@
         });
     }
 
-    /// Needs from `min_needed` up do not fit now.
+    /// Caches a temporary rejection of turns that need at least `min_needed` units.
     pub(crate) fn cache_temporary(
         &mut self,
         rejection: Rejection,
@@ -58,12 +58,12 @@
         });
     }
 
-    /// Units were granted or freed: what was rejected temporarily may fit now.
+    /// Clears the temporary rejection, because granted or freed units may now cover the turn.
     pub(crate) fn clear_temporary(&mut self) {
         self.temporary = None;
     }
 
-    /// The rejection that applies to a turn, if there is one.
+    /// The cached rejection that applies to a turn, if any.
     pub(crate) fn find(&self, needed: u64, budget: u64, now: Millis) -> Option<Rejection> {
         [&self.spent, &self.temporary]
             .into_iter()
--- a/crates/serving/budget/src/lease/demand.rs
+++ b/crates/serving/budget/src/lease/demand.rs
@@ -1,10 +1,10 @@
-//! How fast a program uses units through this limiter.
+//! The rate at which a program uses units through this limiter.
 
 use crate::Millis;
 
-/// A refill covers the expected demand of this time.
+/// A refill covers the expected demand of this period.
 const HORIZON_MS: u64 = 10_000;
-/// Demand is measured over this time at least: the first moments of a program give no rate.
+/// Minimum period over which the rate is computed, since a program's first moments give no meaningful rate.
 const MIN_SPAN_MS: u64 = 1_000;
 
 /// Units used since the program's first turn here.
@@ -15,7 +15,7 @@
 }
 
 impl Demand {
-    /// No use yet.
+    /// A program that has used no units.
     pub(crate) fn new(now: Millis) -> Self {
         Self {
             used: 0,
@@ -28,8 +28,8 @@
         self.used = self.used.saturating_add(units);
     }
 
-    /// The size of a refill: max(1, observed rate x horizon).
-    pub(crate) fn refill(&self, now: Millis) -> u64 {
+    /// Units to request in a refill: max(1, observed rate x horizon).
+    pub(crate) fn refill_size(&self, now: Millis) -> u64 {
         let span = now.saturating_sub(self.since).max(MIN_SPAN_MS);
         (self.used.saturating_mul(HORIZON_MS) / span).max(1)
     }
--- a/crates/serving/budget/src/lease/mod.rs
+++ b/crates/serving/budget/src/lease/mod.rs
@@ -1,4 +1,4 @@
-//! The limiter side: the leases of a limiter and the turns that it admits out of them.
+//! The limiter side: a limiter's leases and the turns that it admits from them.
 
 mod admission;
 mod cached_rejections;
--- a/crates/serving/budget/src/lease/program_lease.rs
+++ b/crates/serving/budget/src/lease/program_lease.rs
@@ -1,4 +1,4 @@
-//! One program's lease at this limiter.
+//! A limiter's lease on one program's budget.
 
 use super::admission::Rejection;
 use super::cached_rejections::CachedRejections;
@@ -7,29 +7,29 @@
 use crate::{CounterChange, CounterReply, CounterRequest, LeaseSettings, Millis};
 use std::collections::VecDeque;
 
-/// The budget is near its limit while fewer units than this many turns' maximum are not on lease. Units that are no
+/// A budget is near its limit while fewer free units remain than the maximum of this many turns. Units that are no
 /// longer reserved are then returned at once.
 const NEAR_LIMIT_TURNS: u64 = 4;
 
-/// What a program does next, and when.
+/// A step and the time at which it is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Planned {
+pub(crate) struct PlannedStep {
     pub(crate) at: Millis,
     pub(crate) step: Step,
 }
 
-/// What a program does at its due time.
+/// A step that a program's lease takes when it is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
-    /// Waiting turns are rejected: the counter did not reply in time.
+    /// Rejects waiting turns, because the counter did not reply in time.
     RejectWaiting,
-    /// The request in flight is sent again.
+    /// Resends the request in flight.
     Resend,
-    /// Units are returned, together with the report of use.
+    /// Returns available units and reports use.
     ReturnUnits,
-    /// Use is reported to the counter.
+    /// Reports use to the counter.
     Report,
-    /// The program is removed: nothing is leased, awaited or running any more.
+    /// Removes the program, which has no leased units, no request in flight and no turns.
     Remove,
 }
 
@@ -40,36 +40,36 @@
     since: Millis,
 }
 
-/// The lease: units granted for a program, and the request to its counter.
+/// The units leased for a program, its waiting turns and the request to its counter.
 #[derive(Clone, Debug)]
 pub(crate) struct ProgramLease {
-    /// Units on lease and not reserved.
+    /// Leased units that are not reserved for a turn.
     available: u64,
     /// Units used since the last request to the counter.
     unreported: u64,
-    /// Number of turns running or waiting.
+    /// Number of running and waiting turns.
     pub(crate) turns: usize,
-    /// Turns that wait, in the order of their arrival.
+    /// Turns that wait for the counter, in order of arrival.
     waiting: VecDeque<WaitingTurn>,
     pub(crate) request: RequestState,
     pub(crate) rejections: CachedRejections,
     pub(crate) demand: Demand,
-    /// The program's time in the schedule.
+    /// The program's due time in the schedule.
     pub(crate) due_at: Option<Millis>,
-    /// The maximum of the last turn.
+    /// The maximum of the turn that arrived last.
     last_max_units: u64,
     /// Whether the budget was near its limit at the last grant.
     near_limit: bool,
     expires_at: Millis,
-    /// When a turn last ended, if that was after the last grant.
+    /// When a turn last ended, unless units were granted or returned since.
     freed_at: Option<Millis>,
     last_end: Millis,
-    /// When the last request was answered.
+    /// When the counter last replied to a request.
     reported_at: Millis,
 }
 
 impl ProgramLease {
-    /// No lease yet.
+    /// A program without leased units or turns.
     pub(crate) fn new(now: Millis) -> Self {
         Self {
             available: 0,
@@ -89,17 +89,17 @@
         }
     }
 
-    /// Units on lease and not reserved.
+    /// Leased units that are not reserved for a turn.
     pub(crate) fn available(&self) -> u64 {
         self.available
     }
 
-    /// A turn with this maximum arrived.
+    /// Records the maximum of a turn that arrived.
     pub(crate) fn turn_arrived(&mut self, max_units: u64) {
         self.last_max_units = max_units;
     }
 
-    /// Reserves units if the lease covers them and has not expired; returns whether it did.
+    /// Reserves units if the lease covers them and has not expired; returns whether they are reserved.
     pub(crate) fn try_reserve(&mut self, units: u64, now: Millis) -> bool {
         if units == 0 {
             return true;
@@ -111,7 +111,7 @@
         true
     }
 
-    /// The counter answered a request.
+    /// Applies the counter's reply to a request.
     pub(crate) fn apply_reply(
         &mut self,
         request: &CounterRequest,
@@ -125,7 +125,7 @@
         };
         let rejection = match *reply {
             CounterReply::Granted { units, left } => {
-                return self.granted(units, left, now, settings)
+                return self.apply_grant(units, left, now, settings)
             }
             CounterReply::Spent => {
                 let expires_at = now + settings.spent_rejection_ms;
@@ -143,8 +143,8 @@
             .cache_temporary(rejection, needed, request.budget, expires_at);
     }
 
-    /// The counter granted units; `left` are not on lease after that.
-    fn granted(&mut self, units: u64, left: u64, now: Millis, settings: &LeaseSettings) {
+    /// Adds granted units to the lease; `left` units of the budget remain free.
+    fn apply_grant(&mut self, units: u64, left: u64, now: Millis, settings: &LeaseSettings) {
         self.available = self.available.saturating_add(units);
         self.expires_at = now + settings.lease_ms;
         self.near_limit = left < self.last_max_units.saturating_mul(NEAR_LIMIT_TURNS);
@@ -152,7 +152,7 @@
         self.rejections.clear_temporary();
     }
 
-    /// An admitted turn ended and freed units that it had reserved and not used.
+    /// Frees the unused reserved units of an admitted turn that ended.
     pub(crate) fn turn_ended(&mut self, units: u64, now: Millis) {
         self.available = self.available.saturating_add(units);
         self.last_end = now;
@@ -162,32 +162,33 @@
         }
     }
 
-    /// A turn used units, `beyond` of them more than it had reserved; available units cover those as far as they go.
-    pub(crate) fn record_use(&mut self, units: u64, beyond: u64) {
-        self.available = self.available.saturating_sub(beyond);
+    /// Records units used by a turn. `excess` of them exceed its reservation and are taken from the available units, as
+    /// far as those suffice.
+    pub(crate) fn record_use(&mut self, units: u64, excess: u64) {
+        self.available = self.available.saturating_sub(excess);
         self.unreported = self.unreported.saturating_add(units);
         self.demand.add(units);
     }
 
-    /// Takes the available units, for a request that returns them.
+    /// Takes all available units, for a request that returns them.
     pub(crate) fn take_available(&mut self) -> u64 {
         self.freed_at = None;
         std::mem::take(&mut self.available)
     }
 
-    /// Takes the used units, for a request that reports them.
+    /// Takes all unreported units, for a request that reports them.
     pub(crate) fn take_unreported(&mut self) -> u64 {
         std::mem::take(&mut self.unreported)
     }
 
-    /// Appends a turn to those that wait, unless it waits already.
-    pub(crate) fn wait(&mut self, turn: u64, now: Millis) {
+    /// Appends a turn to the waiting turns, unless it already waits.
+    pub(crate) fn add_waiting(&mut self, turn: u64, now: Millis) {
         if !self.waiting.iter().any(|waiting| waiting.turn == turn) {
             self.waiting.push_back(WaitingTurn { turn, since: now });
         }
     }
 
-    /// The turn no longer waits.
+    /// Removes a turn from the waiting turns.
     pub(crate) fn stop_waiting(&mut self, turn: u64) {
         self.waiting.retain(|waiting| waiting.turn != turn);
     }
@@ -197,61 +198,61 @@
         self.waiting.front().map(|waiting| waiting.turn)
     }
 
-    /// Whether a turn may not wait any longer: the counter is unavailable, or the turn's timeout has passed, maybe
-    /// through several replies.
+    /// Whether a turn must stop waiting: the counter is unavailable or the turn's timeout has passed. The timeout runs
+    /// from the start of the wait, across any number of replies.
     pub(crate) fn has_timed_out(&self, turn: u64, now: Millis, settings: &LeaseSettings) -> bool {
         let waiting = self.waiting.iter().find(|waiting| waiting.turn == turn);
         let since = waiting.map_or(now, |waiting| waiting.since);
-        now >= self.wait_ends(since, settings)
+        now >= self.wait_deadline(since, settings)
     }
 
-    /// Until when a turn may wait that waits since then.
-    fn wait_ends(&self, since: Millis, settings: &LeaseSettings) -> Millis {
+    /// The deadline of a turn that has waited since `since`.
+    fn wait_deadline(&self, since: Millis, settings: &LeaseSettings) -> Millis {
         let turn_timeout = since + settings.turn_timeout_ms;
         let counter_timeout = self
             .request
             .in_flight()
-            .map(|in_flight| in_flight.since + settings.counter_timeout_ms);
+            .map(|in_flight| in_flight.sent_at + settings.counter_timeout_ms);
         counter_timeout.map_or(turn_timeout, |at| at.min(turn_timeout))
     }
 
-    /// The next step, if nothing else happens before.
-    pub(crate) fn planned(&self, settings: &LeaseSettings) -> Option<Planned> {
+    /// The next step if no other event occurs before it is due.
+    pub(crate) fn next_step(&self, settings: &LeaseSettings) -> Option<PlannedStep> {
         match self.request.in_flight() {
             Some(in_flight) => {
-                let resend = Planned {
+                let resend = PlannedStep {
                     at: in_flight.resend_at,
                     step: Step::Resend,
                 };
-                earliest([self.reject_waiting(settings), Some(resend)])
+                earliest([self.plan_rejection(settings), Some(resend)])
             }
             None if self.turns > 0 => earliest([
-                self.return_while_running(settings),
-                Some(self.report(settings)),
+                self.plan_return_while_running(settings),
+                Some(self.plan_report(settings)),
             ]),
-            None => Some(self.planned_at_rest(settings)),
+            None => Some(self.plan_while_idle(settings)),
         }
     }
 
-    /// When the turn that has waited longest is rejected.
-    fn reject_waiting(&self, settings: &LeaseSettings) -> Option<Planned> {
+    /// The rejection of the turn that has waited longest.
+    fn plan_rejection(&self, settings: &LeaseSettings) -> Option<PlannedStep> {
         let first = self.waiting.front()?;
-        Some(Planned {
-            at: self.wait_ends(first.since, settings),
+        Some(PlannedStep {
+            at: self.wait_deadline(first.since, settings),
             step: Step::RejectWaiting,
         })
     }
 
-    /// Between turns: units are returned after a while, at once near the limit.
-    fn planned_at_rest(&self, settings: &LeaseSettings) -> Planned {
+    /// The next step while no turn is active. Units are returned after an idle time, or at once near the limit.
+    fn plan_while_idle(&self, settings: &LeaseSettings) -> PlannedStep {
         if self.available == 0 && self.unreported == 0 {
-            return Planned {
-                at: settings.batched(self.last_end + settings.remove_ms),
+            return PlannedStep {
+                at: settings.round_up_to_batch(self.last_end + settings.remove_ms),
                 step: Step::Remove,
             };
         }
         if self.near_limit {
-            return Planned {
+            return PlannedStep {
                 at: self.last_end,
                 step: Step::ReturnUnits,
             };
@@ -260,35 +261,36 @@
         if self.available > 0 {
             at = at.min(self.expires_at);
         }
-        Planned {
-            at: settings.batched(at),
+        PlannedStep {
+            at: settings.round_up_to_batch(at),
             step: Step::ReturnUnits,
         }
     }
 
-    /// While turns run: available units are returned when the lease expires, at once near the limit if a turn freed
-    /// them.
-    fn return_while_running(&self, settings: &LeaseSettings) -> Option<Planned> {
+    /// The return of available units while turns run: at the lease's expiry, or at once if a turn freed units near the
+    /// limit.
+    fn plan_return_while_running(&self, settings: &LeaseSettings) -> Option<PlannedStep> {
         if self.available == 0 {
             return None;
         }
-        let expiry = settings.batched(self.expires_at);
+        let expiry = settings.round_up_to_batch(self.expires_at);
         let freed_at = self.freed_at.filter(|_| self.near_limit);
-        Some(Planned {
+        Some(PlannedStep {
             at: freed_at.map_or(expiry, |freed_at| freed_at.min(expiry)),
             step: Step::ReturnUnits,
         })
     }
 
-    fn report(&self, settings: &LeaseSettings) -> Planned {
-        Planned {
-            at: settings.batched(self.reported_at + settings.report_ms),
+    /// The next report of use while turns run.
+    fn plan_report(&self, settings: &LeaseSettings) -> PlannedStep {
+        PlannedStep {
+            at: settings.round_up_to_batch(self.reported_at + settings.report_ms),
             step: Step::Report,
         }
     }
 }
 
-fn earliest<const N: usize>(planned: [Option<Planned>; N]) -> Option<Planned> {
+fn earliest<const N: usize>(planned: [Option<PlannedStep>; N]) -> Option<PlannedStep> {
     planned
         .into_iter()
         .flatten()
--- a/crates/serving/budget/src/lease/request_retry.rs
+++ b/crates/serving/budget/src/lease/request_retry.rs
@@ -1,16 +1,16 @@
-//! A program's request to its counter: one at a time, repeated unchanged with backoff until it is answered.
+//! The request to a program's counter: at most one in flight, resent unchanged with backoff until the reply arrives.
 
 use crate::{CounterRequest, LeaseSettings, Millis};
 
-/// The backoff between repetitions doubles this often at most.
+/// Maximum number of times that the backoff between resends doubles.
 const MAX_DOUBLINGS: u32 = 10;
 
-/// Whether a request is in flight.
+/// Whether a request to the counter is in flight.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestState {
-    /// No reply is awaited.
+    /// No request is in flight.
     Idle,
-    /// The counter's reply is awaited.
+    /// A request awaits the counter's reply.
     InFlight(InFlight),
 }
 
@@ -18,37 +18,37 @@
 #[derive(Clone, Debug)]
 pub(crate) struct InFlight {
     pub(crate) request: CounterRequest,
-    /// When it was first sent.
-    pub(crate) since: Millis,
-    /// When it is to be sent again.
+    /// When the request was first sent.
+    pub(crate) sent_at: Millis,
+    /// When to resend the request.
     pub(crate) resend_at: Millis,
-    /// How often it was sent without a reply.
+    /// Number of times that the request was resent or failed.
     failures: u32,
 }
 
 impl RequestState {
-    /// A new request is sent.
+    /// Records a new request as sent.
     pub(crate) fn begin(&mut self, request: CounterRequest, now: Millis, settings: &LeaseSettings) {
         *self = RequestState::InFlight(InFlight {
             request,
-            since: now,
+            sent_at: now,
             resend_at: now + settings.reply_timeout_ms,
             failures: 0,
         });
     }
 
-    /// A reply arrived: ends the request if it is the one in flight, and returns whether it was.
+    /// Completes the request in flight if it has this sequence number; returns whether it has.
     pub(crate) fn complete(&mut self, sequence: u64) -> bool {
-        let awaited = self
+        let is_in_flight = self
             .in_flight()
             .is_some_and(|in_flight| in_flight.request.sequence == sequence);
-        if awaited {
+        if is_in_flight {
             *self = RequestState::Idle;
         }
-        awaited
+        is_in_flight
     }
 
-    /// The request is known to have failed: it is sent again soon.
+    /// Schedules a resend of a request that is known to have failed.
     pub(crate) fn fail(&mut self, sequence: u64, now: Millis, settings: &LeaseSettings) {
         let RequestState::InFlight(in_flight) = self else {
             return;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The request to send again.
+    /// The request to resend, if one is in flight; schedules the next resend.
     pub(crate) fn resend(
         &mut self,
         now: Millis,
@@ -81,7 +81,7 @@
 }
 
 impl InFlight {
-    /// Sets the time to send the request again: after an exponential backoff.
+    /// Schedules the next resend with exponential backoff.
     fn back_off(&mut self, initial: Millis, now: Millis, settings: &LeaseSettings) {
         self.failures += 1;
         let doubled = initial.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS));
--- a/crates/serving/budget/src/lease/settings.rs
+++ b/crates/serving/budget/src/lease/settings.rs
@@ -1,43 +1,41 @@
-//! Times and bounds of a limiter's leases.
+//! Timeouts, intervals and limits of a limiter's leases.
 
 use crate::Millis;
 
-/// Times and bounds of a limiter's leases, with the project's defaults.
+/// Timeouts, intervals and limits of a limiter's leases. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseSettings {
-    /// How long a turn waits for the counter before it is rejected. Default: 1,000.
+    /// Maximum time that a turn waits for the counter before it is rejected. Default: 1,000.
     pub turn_timeout_ms: Millis,
-    /// A counter that has not answered a request for this long counts as unavailable: turns that need it are rejected
-    /// at once. Longer than a turn's timeout, so that retries of a turn may outlast a short outage. Default: 3,000.
+    /// Time without a reply after which the counter counts as unavailable and turns that need it are rejected at once.
+    /// Longer than a turn's timeout, so that retries of a turn may outlast a short outage. Default: 3,000.
     pub counter_timeout_ms: Millis,
-    /// A request without a reply is sent again after this long, doubled each time up to `max_resend_ms`. Default: 300.
+    /// Initial time without a reply after which a request is resent; doubles up to `max_resend_ms`. Default: 300.
     pub reply_timeout_ms: Millis,
-    /// A request whose sending failed is sent again after this long, doubled each time up to `max_resend_ms`.
-    /// Default: 50.
+    /// Base delay before a failed request is resent; doubles with each failure up to `max_resend_ms`. Default: 50.
     pub resend_ms: Millis,
-    /// The maximum backoff before a request is sent again. Default: 1,000.
+    /// Maximum backoff before a request is resent. Default: 1,000.
     pub max_resend_ms: Millis,
-    /// A lease expires this long after it was granted: longer than a pause between turns of a program. Default:
-    /// 10,000.
+    /// Time from a grant until the lease expires; longer than a program's pauses between turns. Default: 10,000.
     pub lease_ms: Millis,
-    /// Units are returned this long after the program's last turn here. Default: 1,000.
+    /// Time after a program's last turn on this limiter until unused units are returned. Default: 1,000.
     pub idle_return_ms: Millis,
-    /// While turns run, use is reported and the lease renewed at least this often. Default: 5,000.
+    /// Maximum interval between reports of use, which also renew the lease, while turns run. Default: 5,000.
     pub report_ms: Millis,
-    /// What is not urgent is due at multiples of this, so that the requests of many programs are sent together.
-    /// Default: 250.
+    /// Steps that are not urgent run at multiples of this interval, so that requests of many programs are sent
+    /// together. Default: 250.
     pub batch_ms: Millis,
-    /// A program is removed this long after its last turn here. Default: 30,000.
+    /// Time after a program's last turn on this limiter until the program is removed. Default: 30,000.
     pub remove_ms: Millis,
-    /// A rejected turn is to retry after this long, if the units that it needs are on lease. Default: 250.
+    /// Retry delay of a turn that was rejected because the units are leased elsewhere. Default: 250.
     pub retry_after_ms: Millis,
-    /// A temporary rejection applies for this long to turns that need as much, without a request. Default: 100.
+    /// How long a temporary rejection is cached for turns that need at least as many units. Default: 100.
     pub temporary_rejection_ms: Millis,
-    /// A rejection as spent applies for this long to turns that need as much, without a request. Default: 5,000.
+    /// How long a `Spent` rejection is cached for turns that need at least as many units. Default: 5,000.
     pub spent_rejection_ms: Millis,
     /// Maximum number of programs. Default: 8,192.
     pub max_programs: usize,
-    /// Maximum number of turns running and waiting. Default: 16,384.
+    /// Maximum number of running and waiting turns. Default: 16,384.
     pub max_turns: usize,
 }
 
@@ -64,8 +62,8 @@
 }
 
 impl LeaseSettings {
-    /// The next moment at which what is not urgent is due.
-    pub(crate) fn batched(&self, at: Millis) -> Millis {
+    /// Rounds a time up to the next multiple of `batch_ms`.
+    pub(crate) fn round_up_to_batch(&self, at: Millis) -> Millis {
         at.next_multiple_of(self.batch_ms.max(1))
     }
 }
--- a/crates/serving/budget/src/lease/table/decisions.rs
+++ b/crates/serving/budget/src/lease/table/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions on turns: out of the lease, by a cached rejection, or by the counter.
+//! Decisions on turns: from the lease, from a cached rejection, or by a request to the counter.
 
 use super::{LeaseTable, Turn};
 use crate::lease::admission::{Admission, Rejection, TurnOutcome};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 impl LeaseTable {
-    /// Records a turn that is to be decided on, unless there is no capacity for it.
+    /// Records a turn before the decision on it, unless the table is at capacity.
     pub(super) fn register(
         &mut self,
         program: &str,
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Counts a new turn of a program; returns the program's name as it is stored here.
+    /// Counts a new turn of a program, which is added if needed; returns the shared copy of the program's name.
     fn register_program(&mut self, program: &str, now: Millis) -> Result<Arc<str>, Rejection> {
         if let Some((name, _)) = self.programs.get_key_value(program) {
             let name = name.clone();
@@ -58,8 +58,8 @@
             }
             return Ok(name);
         }
-        let full = self.programs.len() >= self.settings.max_programs;
-        if full || program.len() > MAX_PROGRAM_NAME_BYTES {
+        let at_capacity = self.programs.len() >= self.settings.max_programs;
+        if at_capacity || program.len() > MAX_PROGRAM_NAME_BYTES {
             return Err(Rejection::AtCapacity);
         }
         let name: Arc<str> = program.into();
@@ -69,7 +69,7 @@
         Ok(name)
     }
 
-    /// The decision on a turn as things stand: out of the lease if that covers it, else by the counter.
+    /// Decides on a turn: admits it if the lease covers it, else rejects it or lets it wait for the counter.
     pub(super) fn decide(&mut self, turn: u64, now: Millis) -> Admission {
         let unavailable = Admission::Rejected(Rejection::CounterTimeout);
         let Some(entry) = self.turns.get_mut(&turn) else {
@@ -91,7 +91,7 @@
         if lease.has_timed_out(turn, now, &self.settings) {
             return self.reject(turn, Rejection::CounterTimeout, now);
         }
-        lease.wait(turn, now);
+        lease.add_waiting(turn, now);
         if lease.request.in_flight().is_some() {
             return Admission::Waiting;
         }
@@ -114,7 +114,7 @@
         let Some(lease) = self.programs.get_mut(&program) else {
             return unavailable;
         };
-        let wanted = lease.demand.refill(now).max(needed);
+        let wanted = lease.demand.refill_size(now).max(needed);
         let returned = lease.take_available();
         let change = CounterChange::Lease {
             needed,
@@ -124,7 +124,7 @@
         Admission::Request(self.begin_request(&program, budget, change, now))
     }
 
-    /// Begins a request to the program's counter, which is to be sent.
+    /// Creates the program's next request, records it as in flight and returns it for sending.
     pub(super) fn begin_request(
         &mut self,
         program: &str,
@@ -150,7 +150,7 @@
         request
     }
 
-    /// Decides on the waiting turns, in their order, until one has to go on waiting.
+    /// Decides on the waiting turns in order, until one has to keep waiting.
     pub(super) fn decide_waiting(&mut self, program: &str, now: Millis) {
         while let Some(turn) = self.first_waiting(program) {
             let admission = self.decide(turn, now);
@@ -168,7 +168,7 @@
         self.programs.get(program)?.first_waiting()
     }
 
-    /// Removes a turn; returns its program.
+    /// Removes a turn and frees its reserved units; returns its program.
     pub(super) fn remove_turn(&mut self, turn: u64, now: Millis) -> Option<Arc<str>> {
         let entry = self.turns.remove(&turn)?;
         let lease = self.programs.get_mut(&entry.program)?;
--- a/crates/serving/budget/src/lease/table/mod.rs
+++ b/crates/serving/budget/src/lease/table/mod.rs
@@ -1,4 +1,4 @@
-//! The leases of a limiter: its interface.
+//! The public interface of a limiter's leases.
 
 mod decisions;
 mod timers;
@@ -10,21 +10,21 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// A turn that runs or waits.
+/// A running or waiting turn.
 #[derive(Clone, Debug)]
 struct Turn {
     program: Arc<str>,
     budget: u64,
-    /// The maximum that an attempt of it uses.
+    /// Maximum units that one attempt of the turn uses.
     max_units: u64,
-    /// Units reserved for it and not used yet.
+    /// Units reserved for the turn and not used yet.
     reserved: u64,
-    /// Whether an attempt of it was admitted.
+    /// Whether any attempt of the turn was admitted.
     admitted: bool,
 }
 
 impl Turn {
-    /// What is still to be reserved for its next attempt.
+    /// Units that must still be reserved for the turn's next attempt.
     fn shortfall(&self) -> u64 {
         self.max_units.saturating_sub(self.reserved)
     }
@@ -43,18 +43,18 @@
     programs: BTreeMap<Arc<str>, ProgramLease>,
     turns: BTreeMap<u64, Turn>,
     schedule: Schedule,
-    /// Decisions on turns that waited, not returned yet.
+    /// Decisions on waiting turns that the caller has not taken yet.
     outcomes: VecDeque<TurnOutcome>,
 }
 
 impl LeaseTable {
-    /// A table with the default settings.
+    /// Creates a table with the default settings.
     #[must_use]
     pub fn new(limiter: LimiterId) -> Self {
         Self::with_settings(limiter, LeaseSettings::default())
     }
 
-    /// A table with the caller's settings.
+    /// Creates a table with the given settings.
     #[must_use]
     pub fn with_settings(limiter: LimiterId, settings: LeaseSettings) -> Self {
         Self {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Decides on a turn, or on a retry of one that runs here: what earlier attempts used stays used, and the turn's
-    /// maximum is reserved again. `turn` is the caller's key.
+    /// Decides whether to admit a turn or another attempt of a known turn. Units used by earlier attempts stay used, and
+    /// the turn's maximum is reserved again. `turn` is the caller's key for the turn.
     pub fn admit(
         &mut self,
         program: &str,
@@ -86,8 +86,8 @@
         admission
     }
 
-    /// Applies the counter's reply to a request, `None` if it is known that there will be none. Returns the decisions
-    /// on the turns that waited for it.
+    /// Applies the counter's reply to a request, or `None` if the request is known to have failed. Returns decisions on
+    /// waiting turns.
     pub fn handle_reply(
         &mut self,
         request: &CounterRequest,
@@ -109,7 +109,7 @@
         self.take_outcomes()
     }
 
-    /// Counts units that a turn delivered to its client.
+    /// Records units that a turn delivered to its client.
     pub fn record_use(&mut self, turn: u64, units: u64) {
         let Some(turn) = self.turns.get_mut(&turn) else {
             return;
@@ -117,13 +117,13 @@
         let Some(lease) = self.programs.get_mut(&turn.program) else {
             return;
         };
-        let beyond = units.saturating_sub(turn.reserved);
+        let excess = units.saturating_sub(turn.reserved);
         turn.reserved = turn.reserved.saturating_sub(units);
-        lease.record_use(units, beyond);
+        lease.record_use(units, excess);
     }
 
-    /// Ends a turn, running or waiting, and frees what it reserved and did not use. Waiting turns may be admitted by
-    /// it; see [`take_outcomes`](Self::take_outcomes).
+    /// Ends a running or waiting turn and frees its unused reserved units, which may admit waiting turns; see
+    /// [`take_outcomes`](Self::take_outcomes).
     pub fn finish(&mut self, turn: u64, now: Millis) {
         let Some(program) = self.remove_turn(turn, now) else {
             return;
@@ -132,33 +132,34 @@
         self.reschedule(&program);
     }
 
-    /// When [`handle_timeout`](Self::handle_timeout) is to be called next.
+    /// The time at which to call [`handle_timeout`](Self::handle_timeout) next.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Millis> {
         self.schedule.next()
     }
 
-    /// Does what is due and returns the requests to send: repeated ones, returned units, reports. Turns that waited
-    /// too long are rejected; see [`take_outcomes`](Self::take_outcomes).
+    /// Runs all due steps and returns the requests to send: resends, returns of units and reports of use. Rejects turns
+    /// that waited too long; see [`take_outcomes`](Self::take_outcomes).
     pub fn handle_timeout(&mut self, now: Millis) -> Vec<CounterRequest> {
         let mut requests = Vec::new();
         while let Some(program) = self.schedule.pop(now) {
             if let Some(lease) = self.programs.get_mut(&program) {
                 lease.due_at = None;
             }
-            requests.extend(self.step(&program, now));
+            requests.extend(self.run_due_step(&program, now));
             self.reschedule(&program);
         }
         requests
     }
 
-    /// Returns the decisions that [`handle_timeout`](Self::handle_timeout) and [`finish`](Self::finish) have made
-    /// since the last call; to be called after them.
+    /// Takes the decisions that [`handle_timeout`](Self::handle_timeout) and [`finish`](Self::finish) made since the
+    /// last call. Call it after either.
     pub fn take_outcomes(&mut self) -> Vec<TurnOutcome> {
         self.outcomes.drain(..).collect()
     }
 
-    /// The limiter is about to end: units are returned as soon as no turn of their program runs here.
+    /// Prepares the limiter's shutdown: from now on, units are returned as soon as no turn of their program runs on this
+    /// limiter. Returns the requests to send now.
     pub fn close(&mut self, now: Millis) -> Vec<CounterRequest> {
         self.settings.idle_return_ms = 0;
         self.settings.batch_ms = 1;
@@ -169,13 +170,13 @@
         self.handle_timeout(now)
     }
 
-    /// How many programs are known here.
+    /// The number of programs in the table.
     #[must_use]
     pub fn programs(&self) -> usize {
         self.programs.len()
     }
 
-    /// Units of the program on lease here, those reserved for turns included.
+    /// Units of the program that this limiter has leased, including those reserved for turns.
     #[must_use]
     pub fn leased(&self, program: &str) -> u64 {
         let available = self
--- a/crates/serving/budget/src/lease/table/timers.rs
+++ b/crates/serving/budget/src/lease/table/timers.rs
@@ -1,14 +1,14 @@
-//! What programs do at their due times.
+//! Execution and scheduling of the programs' timed steps.
 
 use super::LeaseTable;
 use crate::lease::program_lease::Step;
 use crate::{CounterChange, CounterRequest, Millis};
 
 impl LeaseTable {
-    /// Does a program's next step if it is due.
-    pub(super) fn step(&mut self, program: &str, now: Millis) -> Option<CounterRequest> {
+    /// Runs a program's next step if it is due; returns the request to send, if any.
+    pub(super) fn run_due_step(&mut self, program: &str, now: Millis) -> Option<CounterRequest> {
         let lease = self.programs.get_mut(program)?;
-        let planned = lease.planned(&self.settings)?;
+        let planned = lease.next_step(&self.settings)?;
         if planned.at > now {
             return None;
         }
@@ -32,14 +32,14 @@
         }
     }
 
-    /// Updates a program's time in the schedule.
+    /// Updates a program's due time in the schedule.
     pub(super) fn reschedule(&mut self, program: &str) {
         let Some((name, lease)) = self.programs.get_key_value(program) else {
             return;
         };
-        let at = lease.planned(&self.settings).map(|planned| planned.at);
-        let before = lease.due_at;
-        self.schedule.set(name, before, at);
+        let at = lease.next_step(&self.settings).map(|planned| planned.at);
+        let previous = lease.due_at;
+        self.schedule.reschedule(name, previous, at);
         if let Some(lease) = self.programs.get_mut(program) {
             lease.due_at = at;
         }
--- a/crates/serving/budget/src/lib.rs
+++ b/crates/serving/budget/src/lib.rs
@@ -1,14 +1,14 @@
 //! Token budgets of programs: a replicated counter and the leases that limiters hold on it.
 //!
-//! A program states a budget: the tokens (units) that all of its turns together may generate, through whichever
-//! limiters. One counter per program, replicated by the core ([`Counters`]), grants units of that budget to limiters as
-//! leases. Each limiter admits turns out of its lease ([`LeaseTable`]), without a request to the counter while the
-//! lease covers a turn's maximum, and returns what it does not need. What is granted and not returned counts against
-//! the budget whether the limiter is alive or not, so all limiters together never hand out more than the budget.
+//! A program's budget is the number of tokens (units) that all its turns together may generate, across all limiters.
+//! Each program has one counter, replicated by the core ([`Counters`]), which grants units of the budget to limiters as
+//! leases. A limiter admits turns from its lease ([`LeaseTable`]), sends a request to the counter only when the lease
+//! does not cover a turn's maximum, and returns unused units. Units that were granted and not returned count against
+//! the budget even if the limiter is dead, so all limiters together never exceed the budget.
 //!
-//! Both sides are state machines without I/O and clock: messages and times are inputs, messages and decisions are
-//! outputs. A message may be lost, duplicated or reordered; a limiter has at most one unanswered request per program
-//! and repeats it unchanged until it is answered, and the counter answers a repeated request as it did the first time.
+//! Counter and limiter are state machines without I/O or a clock: their inputs are messages and times, their outputs
+//! messages and decisions. Messages may be lost, duplicated or reordered. A limiter has at most one unanswered request
+//! per program and resends it unchanged until the reply arrives; the counter answers a duplicate with the same reply.
 
 mod counter;
 mod lease;
@@ -18,5 +18,5 @@
 pub use lease::{Admission, LeaseSettings, LeaseTable, Rejection, TurnOutcome};
 pub use messages::{CounterChange, CounterReply, CounterRequest, LimiterId};
 
-/// Milliseconds on a monotonic clock of the machine that reads it.
+/// Milliseconds on the local machine's monotonic clock.
 pub type Millis = u64;
--- a/crates/serving/budget/src/messages.rs
+++ b/crates/serving/budget/src/messages.rs
@@ -1,58 +1,58 @@
 //! Messages between limiters and the counter.
 //!
-//! They are encoded by position and variant order: neither may change.
+//! The encoding depends on the order of fields and variants, so neither may change.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Longest name of a program, in bytes. Names are stored, so longer ones are rejected: bounds memory.
+/// Maximum length of a program's name in bytes. Longer names are rejected to bound memory, because names are stored.
 pub(crate) const MAX_PROGRAM_NAME_BYTES: usize = 256;
 
-/// One incarnation of a limiter's process.
+/// Identifies one incarnation of a limiter's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LimiterId {
     /// The machine's name.
     pub node: String,
-    /// Rises with each start of the process on that machine: units of an incarnation below another one count as spent.
+    /// Increases with each start of the process on that machine. Units leased to a superseded incarnation count as spent.
     pub incarnation: u64,
 }
 
 /// A limiter's request to the counter of a program.
 ///
-/// A limiter has at most one unanswered request per program and repeats it unchanged until it is answered.
+/// A limiter has at most one unanswered request per program and resends it unchanged until the reply arrives.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterRequest {
     /// The program's name.
     pub program: String,
-    /// All the units that the program's turns may use.
+    /// Total units that all turns of the program may use.
     pub budget: u64,
-    /// The sender.
+    /// The limiter that sends the request.
     pub limiter: LimiterId,
-    /// Rises with each new request of the limiter; a repeated request keeps its number.
+    /// Increases with each new request of the limiter; a resent request keeps its number.
     pub sequence: u64,
     /// Units that clients received through this limiter since its previous request for the program.
     pub used: u64,
-    /// What the counter is to do.
+    /// The requested change of the lease.
     pub change: CounterChange,
-    /// The sender's clock. Only differences between readings of one sender are used, to find out what is idle.
+    /// The limiter's clock. The counter uses only differences between readings of the same limiter, to detect idleness.
     pub at_ms: Millis,
 }
 
-/// What a limiter requests of a counter, in addition to the report of used units.
+/// The change that a limiter requests, in addition to its report of used units.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CounterChange {
-    /// Returns what is left of the lease and requests a new one.
+    /// Returns the remaining units of the lease and requests a new one.
     Lease {
-        /// What the turn needs that waits for the reply: a grant is this or more.
+        /// Units that the waiting turn needs: the minimum of a grant.
         needed: u64,
-        /// The size of the lease that the limiter would like.
+        /// Units that the limiter would prefer to be granted.
         wanted: u64,
-        /// Units left of the previous lease, returned first.
+        /// Remaining units of the previous lease, returned before the new grant.
         returned: u64,
     },
-    /// Returns units; with none, only reports use and renews the lease.
+    /// Returns units. With 0 units, only reports use and renews the lease.
     Return {
-        /// Units that were leased and not used.
+        /// Unused units of the lease.
         units: u64,
     },
 }
@@ -60,22 +60,22 @@
 /// The counter's reply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CounterReply {
-    /// The limiter has these units on lease now.
+    /// The units were added to the limiter's lease.
     Granted {
         /// Units granted.
         units: u64,
-        /// Units of the budget that are not on lease after the grant.
+        /// Units of the budget that are neither used nor leased after the grant.
         left: u64,
     },
-    /// The turn would not fit even if all leased units were returned unused.
+    /// The budget could not cover the turn even if all leased units were returned unused.
     Spent,
-    /// The turn does not fit now, but would if limiters returned their leases.
+    /// The budget cannot cover the turn now, but could if limiters returned their leases.
     LeasedElsewhere {
-        /// Units on lease and not reported as used, those of the sender's running turns included.
+        /// Units that are leased and not reported as used, including those of the requesting limiter's running turns.
         leased: u64,
     },
     /// The units were returned.
     Returned,
-    /// The request is older than one already answered for the same limiter and program; it had no effect.
+    /// The counter already answered a newer request of the same limiter for the program; this one had no effect.
     Stale,
 }
--- a/crates/serving/budget/tests/common/digest.rs
+++ b/crates/serving/budget/tests/common/digest.rs
@@ -1,11 +1,11 @@
-//! A digest of all that happens in a world: messages, decisions, times and final counters, as bytes and numbers. Two
-//! texts whose worlds have one digest behave alike.
+//! A digest of a simulation's messages, decisions, times and final counters. Two versions of the code whose simulations
+//! have the same digests behave alike.
 
 use dunespur_budget::{Admission, Rejection, TurnOutcome};
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hashes what happens, in its order.
+/// Hashes the events of a simulation in order.
 #[derive(Default)]
 pub struct Digest(Xxh3);
 
@@ -14,9 +14,9 @@
         self.0.update(&number.to_le_bytes());
     }
 
-    /// Hashes a message or a state.
+    /// Hashes the encoding of a message or state.
     pub fn encoded(&mut self, value: &impl Serialize) {
-        let bytes = postcard::to_stdvec(value).expect("a value is written");
+        let bytes = postcard::to_stdvec(value).expect("the value is encodable");
         self.number(bytes.len() as u64);
         self.0.update(&bytes);
     }
--- a/crates/serving/budget/tests/common/mod.rs
+++ b/crates/serving/budget/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests: builders of requests, and a limiter run against a counter.
+//! Test helpers: request builders, and functions that run a limiter against the counters.
 #![allow(dead_code)]
 
 pub mod accounts;
@@ -48,19 +48,19 @@
 pub fn granted(reply: &CounterReply) -> u64 {
     match reply {
         CounterReply::Granted { units, .. } => *units,
-        other => panic!("no grant: {other:?}"),
+        other => panic!("expected a grant, got {other:?}"),
     }
 }
 
-/// The request with which a turn waits for the counter.
-pub fn request_of(admission: Admission) -> CounterRequest {
+/// The request to the counter in an admission; panics on any other decision.
+pub fn expect_request(admission: Admission) -> CounterRequest {
     match admission {
         Admission::Request(request) => request,
-        other => panic!("no request to the counter: {other:?}"),
+        other => panic!("expected a request to the counter, got {other:?}"),
     }
 }
 
-/// Admits a turn and, if the counter is needed, lets it answer until there is a decision.
+/// Admits a turn with the budget [`BUDGET`], applying requests to `counters` until there is a decision.
 pub fn admit(
     table: &mut LeaseTable,
     counters: &mut Counters,
@@ -73,6 +73,7 @@
 
 pub const BUDGET: u64 = 1_000;
 
+/// Admits a turn, applying requests to `counters` until there is a decision.
 pub fn admit_within(
     table: &mut LeaseTable,
     counters: &mut Counters,
@@ -90,16 +91,16 @@
     admission
 }
 
-/// The one decision in `outcomes`, which is to be on this turn.
+/// The only decision in `outcomes`, which must concern `turn`.
 pub fn decision(outcomes: Vec<TurnOutcome>, turn: u64) -> Admission {
-    assert_eq!(outcomes.len(), 1, "one decision: {outcomes:?}");
+    assert_eq!(outcomes.len(), 1, "expected one decision, got {outcomes:?}");
     let outcome = outcomes.into_iter().next().expect("one decision");
     assert_eq!(outcome.turn, turn);
     outcome.admission
 }
 
-/// Lets the counter answer everything that is due at a limiter up to `now`.
-pub fn answer_all_due(table: &mut LeaseTable, counters: &mut Counters, now: u64) {
+/// Runs all steps of a limiter that are due by `now` and applies their requests to `counters`.
+pub fn run_due_steps(table: &mut LeaseTable, counters: &mut Counters, now: u64) {
     while table.next_timeout().is_some_and(|at| at <= now) {
         for request in table.handle_timeout(now) {
             let reply = counters.apply(&request, 0);
@@ -108,33 +109,33 @@
     }
 }
 
-/// A limiter that advances the counters' time with reports about a program of its own.
-pub struct Ticker {
+/// A limiter that advances the counters' logical clock with reports for a separate program.
+pub struct ClockDriver {
     limiter: LimiterId,
     sequence: u64,
     at_ms: u64,
 }
 
-/// Time between a ticker's reports.
-const TICK_MS: u64 = 5_000;
+/// Interval between the reports of [`ClockDriver`].
+const REPORT_INTERVAL_MS: u64 = 5_000;
 
-impl Ticker {
+impl ClockDriver {
     pub fn new() -> Self {
         Self {
-            limiter: limiter("ticker", 1),
+            limiter: limiter("clock-driver", 1),
             sequence: 0,
             at_ms: 0,
         }
     }
 
-    /// Lets time pass at the counters, in short steps.
-    pub fn pass(&mut self, counters: &mut Counters, ms: u64) {
+    /// Advances the counters' logical clock by `ms`, in steps of at most [`REPORT_INTERVAL_MS`].
+    pub fn advance(&mut self, counters: &mut Counters, ms: u64) {
         let until = self.at_ms + ms;
         while self.at_ms < until {
-            self.at_ms = until.min(self.at_ms + TICK_MS);
+            self.at_ms = until.min(self.at_ms + REPORT_INTERVAL_MS);
             self.sequence += 1;
             let report = CounterRequest {
-                program: "ticking".to_owned(),
+                program: "clock-driver-program".to_owned(),
                 used: 1,
                 at_ms: self.at_ms,
                 ..request(
--- a/crates/serving/budget/tests/common/world.rs
+++ b/crates/serving/budget/tests/common/world.rs
@@ -1,8 +1,8 @@
-//! A seeded world of several limiters and one counter. Messages are lost, duplicated and reordered, the counter is
-//! unavailable at times, limiters crash and restart; programs take their turns through any of them.
+//! A seeded simulation of several limiters and one replicated counter. Messages are lost, duplicated and reordered, the
+//! counter is unavailable at times, and limiters crash and restart. Each turn of a program uses a random limiter.
 //!
-//! The world keeps accounts of its own, of the requests applied and the tokens that clients receive, and checks the
-//! guarantees against them at every step.
+//! The simulation keeps its own accounts of applied requests and received tokens, and checks the budget's guarantees
+//! against them at every step.
 
 use super::accounts::Accounts;
 use super::digest::Digest;
@@ -13,7 +13,7 @@
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What happens in a world.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub limiters: usize,
@@ -23,20 +23,21 @@
     pub span_ms: u64,
     pub max_units: u64,
     pub budget: u64,
-    /// Fraction of the messages that are lost, and that arrive twice.
+    /// Fraction of messages that are lost.
     pub lost: f64,
+    /// Fraction of messages that arrive twice.
     pub duplicated: f64,
-    /// Messages take up to this long, so they are reordered.
+    /// Maximum delay of a message; different delays reorder messages.
     pub delay_ms: u64,
-    /// Limiters that crash during the span.
+    /// Number of limiter crashes during the span.
     pub crashes: usize,
-    /// How long the counter is unavailable, once, in the middle of the span.
+    /// Length of the counter's single outage, which begins in the middle of the span.
     pub outage_ms: u64,
-    /// How often a turn that was rejected temporarily retries.
+    /// Maximum number of retries of a turn after temporary rejections.
     pub max_retries: u32,
 }
 
-/// What came out of it.
+/// The number of decisions and requests in a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tally {
     pub admitted: u64,
@@ -63,15 +64,15 @@
     program: String,
     limiter: usize,
     incarnation: u64,
-    /// Tokens that this attempt still generates.
+    /// Tokens that this attempt has yet to generate.
     remaining: u64,
-    /// Tokens after which the attempt fails and is retried, once.
-    breaks_after: Option<u64>,
+    /// Tokens after which the attempt fails; the turn is then retried once.
+    fails_after: Option<u64>,
     retries_left: u32,
     waiting_since: Option<u64>,
 }
 
-pub struct World {
+pub struct Simulation {
     plan: Plan,
     rng: Rng,
     now: u64,
@@ -87,17 +88,17 @@
     digest: Digest,
 }
 
-/// A turn that waits for its timeout plus this has waited too long.
+/// Tolerance of the check that no turn waits longer than its timeout.
 const TOLERANCE_MS: u64 = 50;
 const NODES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-impl World {
+impl Simulation {
     pub fn new(plan: Plan, seed: u64) -> Self {
         let incarnations = vec![1; plan.limiters];
         let tables = (0..plan.limiters)
             .map(|index| LeaseTable::new(id(index, 1)))
             .collect();
-        let mut world = Self {
+        let mut simulation = Self {
             plan,
             rng: Rng::with_seed(seed),
             now: 0,
@@ -112,12 +113,12 @@
             tally: Tally::default(),
             digest: Digest::default(),
         };
-        world.schedule_turns();
-        world
+        simulation.schedule_turns();
+        simulation
     }
 
-    /// Plays until no event and no timer is left.
-    pub fn play(&mut self) {
+    /// Runs until no event and no timer is left.
+    pub fn run(&mut self) {
         loop {
             let event_at = self.queue.first_key_value().map(|((at, _), _)| *at);
             let due_at = self
@@ -128,19 +129,19 @@
             let Some(at) = event_at.into_iter().chain(due_at).min() else {
                 break;
             };
-            assert!(at < 10_000_000, "the world ends");
+            assert!(at < 10_000_000, "the simulation still runs at {at} ms");
             self.now = self.now.max(at);
             if event_at.is_some_and(|event_at| event_at <= due_at.unwrap_or(u64::MAX)) {
-                let (_, event) = self.queue.pop_first().expect("an event is there");
-                self.happen(event);
+                let (_, event) = self.queue.pop_first().expect("the queue has an event");
+                self.handle_event(event);
             } else {
-                self.all_due();
+                self.run_due_steps();
             }
         }
-        assert!(self.turns.is_empty(), "every turn ended: {:?}", self.turns);
+        assert!(self.turns.is_empty(), "turns did not end: {:?}", self.turns);
         assert!(
             self.tables.iter().all(|table| table.programs() == 0),
-            "idle programs are removed"
+            "a limiter did not remove its idle programs"
         );
     }
 
@@ -159,7 +160,7 @@
         &self.counters
     }
 
-    /// The digest of the world up to now, with the counters' state and the tally.
+    /// The digest of the simulation so far, including the counters' state and the tally.
     pub fn digest(&mut self) -> u64 {
         self.digest.encoded(&self.counters);
         let Tally {
@@ -182,14 +183,14 @@
         self.digest.finish()
     }
 
-    /// Starts one more turn of a program, without message faults from now on.
-    pub fn fault_free_turn(&mut self, program: &str) {
+    /// Disables message faults from now on and runs one more turn of a program.
+    pub fn run_fault_free_turn(&mut self, program: &str) {
         self.plan.lost = 0.0;
         self.plan.duplicated = 0.0;
         let turn = 1_000_000 + self.queued;
         let limiter = self.rng.usize(..self.plan.limiters);
-        self.enter(turn, program.to_owned(), limiter, self.now);
-        self.play();
+        self.add_turn(turn, program.to_owned(), limiter, self.now);
+        self.run();
     }
 
     fn schedule_turns(&mut self) {
@@ -198,7 +199,7 @@
             for turn in 0..self.plan.turns {
                 let at = self.rng.u64(..self.plan.span_ms);
                 let limiter = self.rng.usize(..self.plan.limiters);
-                self.enter(
+                self.add_turn(
                     (index * self.plan.turns + turn) as u64,
                     program.clone(),
                     limiter,
@@ -213,15 +214,15 @@
         }
     }
 
-    fn enter(&mut self, turn: u64, program: String, limiter: usize, at: u64) {
+    fn add_turn(&mut self, turn: u64, program: String, limiter: usize, at: u64) {
         let max_units = self.plan.max_units;
-        let breaks = self.rng.f64() < 0.2;
+        let fails = self.rng.f64() < 0.2;
         let entry = Turn {
             program,
             limiter,
             incarnation: 0,
             remaining: self.rng.u64(0..=max_units),
-            breaks_after: breaks.then(|| self.rng.u64(..max_units)),
+            fails_after: fails.then(|| self.rng.u64(..max_units)),
             retries_left: self.plan.max_retries,
             waiting_since: None,
         };
@@ -234,18 +235,18 @@
         self.queue.insert((at, self.queued), event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Start(turn) | Event::Retry(turn) => self.start(turn),
-            Event::Token(turn) => self.token(turn),
-            Event::ToCounter(request) => self.at_counter(request),
-            Event::ToLimiter(request, reply) => self.at_limiter(&request, Some(&reply)),
-            Event::Unanswered(request) => self.at_limiter(&request, None),
+            Event::Start(turn) | Event::Retry(turn) => self.start_attempt(turn),
+            Event::Token(turn) => self.generate_token(turn),
+            Event::ToCounter(request) => self.deliver_to_counter(request),
+            Event::ToLimiter(request, reply) => self.deliver_to_limiter(&request, Some(&reply)),
+            Event::Unanswered(request) => self.deliver_to_limiter(&request, None),
             Event::Crash(limiter) => self.crash(limiter),
         }
     }
 
-    fn start(&mut self, key: u64) {
+    fn start_attempt(&mut self, key: u64) {
         let Some(turn) = self.turns.get_mut(&key) else {
             return;
         };
@@ -273,7 +274,7 @@
             }
             Admission::Request(request) => self.send(request),
             Admission::Waiting => {}
-            Admission::Rejected(refusal) => self.rejected(limiter, key, refusal),
+            Admission::Rejected(rejection) => self.handle_rejection(limiter, key, rejection),
         }
     }
 
@@ -293,13 +294,13 @@
         }
     }
 
-    fn rejected(&mut self, limiter: usize, key: u64, refusal: Rejection) {
+    fn handle_rejection(&mut self, limiter: usize, key: u64, rejection: Rejection) {
         let Some(turn) = self.turns.get_mut(&key) else {
-            panic!("a turn that ended is rejected")
+            panic!("turn {key} was rejected after it ended")
         };
-        let delay = match refusal {
+        let delay = match rejection {
             Rejection::Spent => {
-                let turn = self.turns.remove(&key).expect("the turn is there");
+                let turn = self.turns.remove(&key).expect("the turn is recorded");
                 self.check_spent(&turn.program);
                 self.tally.spent += 1;
                 return;
@@ -312,7 +313,9 @@
                 self.tally.timed_out += 1;
                 300
             }
-            Rejection::AtCapacity => panic!("there is capacity at limiter {limiter}"),
+            Rejection::AtCapacity => {
+                panic!("limiter {limiter} rejected turn {key} for lack of capacity")
+            }
         };
         if turn.retries_left == 0 {
             self.turns.remove(&key);
@@ -324,7 +327,7 @@
         self.schedule(self.now + delay, Event::Retry(key));
     }
 
-    fn token(&mut self, key: u64) {
+    fn generate_token(&mut self, key: u64) {
         let Some(turn) = self.turns.get_mut(&key) else {
             return;
         };
@@ -333,8 +336,8 @@
             self.turns.remove(&key);
             return;
         }
-        if turn.breaks_after == Some(0) {
-            turn.breaks_after = None;
+        if turn.fails_after == Some(0) {
+            turn.fails_after = None;
             turn.remaining = self.rng.u64(0..=self.plan.max_units);
             self.schedule(self.now, Event::Start(key));
             return;
@@ -342,11 +345,11 @@
         if turn.remaining == 0 {
             self.turns.remove(&key);
             self.tables[limiter].finish(key, self.now);
-            self.hand_out(limiter);
+            self.handle_outcomes(limiter);
             return;
         }
         turn.remaining -= 1;
-        turn.breaks_after = turn.breaks_after.map(|left| left - 1);
+        turn.fails_after = turn.fails_after.map(|left| left - 1);
         let program = turn.program.clone();
         self.accounts
             .record_use(&program, id(limiter, turn.incarnation));
@@ -356,16 +359,16 @@
         self.schedule(self.now + delay, Event::Token(key));
     }
 
-    fn all_due(&mut self) {
+    fn run_due_steps(&mut self) {
         for limiter in 0..self.tables.len() {
             for request in self.tables[limiter].handle_timeout(self.now) {
                 self.send(request);
             }
-            self.hand_out(limiter);
+            self.handle_outcomes(limiter);
         }
     }
 
-    fn hand_out(&mut self, limiter: usize) {
+    fn handle_outcomes(&mut self, limiter: usize) {
         for outcome in self.tables[limiter].take_outcomes() {
             self.handle_outcome(limiter, outcome);
         }
@@ -374,11 +377,11 @@
     fn send(&mut self, request: CounterRequest) {
         self.tally.requests += 1;
         self.digest.encoded(&(self.now, &request));
-        self.carry(Event::ToCounter(request));
+        self.transmit(Event::ToCounter(request));
     }
 
-    /// Carries a message: it may be lost, in which case its sender may be notified, or arrive twice.
-    fn carry(&mut self, event: Event) {
+    /// Sends a message, which may be lost or duplicated. The sender of a lost request may be notified of the loss.
+    fn transmit(&mut self, event: Event) {
         let deliveries = if self.rng.f64() < self.plan.duplicated {
             2
         } else {
@@ -396,33 +399,36 @@
         }
     }
 
-    fn at_counter(&mut self, request: CounterRequest) {
+    fn deliver_to_counter(&mut self, request: CounterRequest) {
         let middle = self.plan.span_ms / 2;
         if (middle..middle + self.plan.outage_ms).contains(&self.now) {
             return;
         }
-        let again = self
+        let is_duplicate = self
             .applied
             .contains(&(request.limiter.clone(), request.sequence));
-        let before = again.then(|| self.counters.clone());
+        let before = is_duplicate.then(|| self.counters.clone());
         let reply = self.counters.apply(&request, self.plan.limiters as u32);
         self.digest.encoded(&(self.now, &request, &reply));
         if let Some(before) = before {
-            assert_eq!(before, self.counters, "a repeated request changes nothing");
+            assert_eq!(
+                before, self.counters,
+                "a duplicate request changed the counters"
+            );
         } else {
             self.applied
                 .insert((request.limiter.clone(), request.sequence));
             self.accounts.record_applied(&request, &reply);
             self.check_program(&request.program);
         }
-        self.carry(Event::ToLimiter(request, reply));
+        self.transmit(Event::ToLimiter(request, reply));
     }
 
-    fn at_limiter(&mut self, request: &CounterRequest, reply: Option<&CounterReply>) {
+    fn deliver_to_limiter(&mut self, request: &CounterRequest, reply: Option<&CounterReply>) {
         let limiter = NODES
             .iter()
             .position(|node| *node == request.limiter.node)
-            .expect("the node is known");
+            .expect("the request comes from a known node");
         if request.limiter.incarnation != self.incarnations[limiter] {
             return;
         }
@@ -444,21 +450,22 @@
         }
     }
 
-    /// To be called after each change of granted or received units.
+    /// Checks a program's accounts. Called after each change of granted or received units.
     fn check_program(&self, program: &str) {
         self.accounts.check(program, self.plan.budget, self.now);
     }
 
-    /// To be called when a turn gets its decision.
+    /// Checks that a turn did not wait longer than its timeout. Called when the turn gets its decision.
     fn check_wait(&self, key: u64, since: Option<u64>) {
         let waited = since.map_or(0, |since| self.now - since);
         assert!(
             waited <= 1_000 + TOLERANCE_MS,
-            "turn {key} waited for {waited} ms"
+            "turn {key} waited for {waited} ms, longer than its timeout"
         );
     }
 
-    /// A turn is rejected as spent only if it would not fit even with all unused units of current incarnations.
+    /// Checks that a turn is rejected as spent only if it would not fit even after all current incarnations returned
+    /// their unused units.
     fn check_spent(&self, program: &str) {
         let is_current = |limiter: &LimiterId| self.is_current(limiter);
         let left = self
@@ -466,7 +473,7 @@
             .left_after_return(program, self.plan.budget, is_current);
         assert!(
             left < self.plan.max_units,
-            "{program}: {left} could still be used at {}",
+            "{program}: rejected as spent at {} ms with {left} units left",
             self.now
         );
     }
--- a/crates/serving/budget/tests/decisions.rs
+++ b/crates/serving/budget/tests/decisions.rs
@@ -1,62 +1,64 @@
-//! Which rejection a turn gets when the budget doesn't cover it, and for how long that is cached.
+//! Rejections of turns that the budget does not cover, how long they are cached, and the order of decisions.
 
 mod common;
 
 use common::{
-    admit, answer_all_due, decision, granted, lease, limiter, request, request_of, Ticker, BUDGET,
-    PROGRAM,
+    admit, decision, expect_request, granted, lease, limiter, request, run_due_steps, ClockDriver,
+    BUDGET, PROGRAM,
 };
 use dunespur_budget::{
-    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseTable, Rejection,
+    Admission, CounterChange, CounterReply, CounterRequest, Counters, LeaseTable, LimiterId,
+    Rejection,
 };
 
-/// A report of use at a time.
-fn report(by: &dunespur_budget::LimiterId, sequence: u64, at_ms: u64, used: u64) -> CounterRequest {
+/// A report of `used` units at `at_ms` on the limiter's clock.
+fn report(limiter: &LimiterId, sequence: u64, at_ms: u64, used: u64) -> CounterRequest {
     CounterRequest {
         used,
         at_ms,
-        ..request(by, sequence, BUDGET, CounterChange::Return { units: 0 })
+        ..request(
+            limiter,
+            sequence,
+            BUDGET,
+            CounterChange::Return { units: 0 },
+        )
     }
 }
 
-fn lease_request(
-    by: &dunespur_budget::LimiterId,
-    sequence: u64,
-    at_ms: u64,
-    needed: u64,
-) -> CounterRequest {
+/// A request for a lease of exactly `needed` units at `at_ms` on the limiter's clock.
+fn lease_request(limiter: &LimiterId, sequence: u64, at_ms: u64, needed: u64) -> CounterRequest {
     CounterRequest {
         at_ms,
-        ..request(by, sequence, BUDGET, lease(needed, needed))
+        ..request(limiter, sequence, BUDGET, lease(needed, needed))
     }
 }
 
 #[test]
 fn unused_units_of_others_are_leased_elsewhere_and_used_ones_are_spent() {
     let mut counters = Counters::default();
-    let (a, b) = (limiter("a", 1), limiter("b", 1));
-    counters.apply(&lease_request(&a, 1, 0, 950), 2);
+    let (limiter_a, limiter_b) = (limiter("a", 1), limiter("b", 1));
+    counters.apply(&lease_request(&limiter_a, 1, 0, 950), 2);
     assert_eq!(
-        counters.apply(&lease_request(&b, 1, 0, 100), 2),
+        counters.apply(&lease_request(&limiter_b, 1, 0, 100), 2),
         CounterReply::LeasedElsewhere { leased: 950 }
     );
-    counters.apply(&report(&a, 2, 0, 800), 2);
+    counters.apply(&report(&limiter_a, 2, 0, 800), 2);
     assert_eq!(
-        counters.apply(&lease_request(&b, 2, 0, 100), 2),
+        counters.apply(&lease_request(&limiter_b, 2, 0, 100), 2),
         CounterReply::LeasedElsewhere { leased: 150 }
     );
-    counters.apply(&report(&a, 3, 0, 101), 2);
+    counters.apply(&report(&limiter_a, 3, 0, 101), 2);
     assert_eq!(
-        counters.apply(&lease_request(&b, 3, 0, 100), 2),
+        counters.apply(&lease_request(&limiter_b, 3, 0, 100), 2),
         CounterReply::Spent
     );
-    // What is left covers a smaller turn, or would if it came back.
+    // The budget would cover a smaller turn if leased units were returned, and covers a still smaller one now.
     assert_eq!(
-        counters.apply(&lease_request(&b, 4, 0, 99), 2),
+        counters.apply(&lease_request(&limiter_b, 4, 0, 99), 2),
         CounterReply::LeasedElsewhere { leased: 49 }
     );
     assert_eq!(
-        granted(&counters.apply(&lease_request(&b, 5, 0, 50), 2)),
+        granted(&counters.apply(&lease_request(&limiter_b, 5, 0, 50), 2)),
         50
     );
 }
@@ -69,13 +71,13 @@
         admit(&mut table, &mut counters, 600, 1, 0),
         Admission::Admitted
     );
-    let put_off = admit(&mut table, &mut counters, 600, 2, 10);
+    let rejection = admit(&mut table, &mut counters, 600, 2, 10);
     assert!(
         matches!(
-            put_off,
+            rejection,
             Admission::Rejected(Rejection::LeasedElsewhere { .. })
         ),
-        "{put_off:?}"
+        "{rejection:?}"
     );
 
     table.record_use(1, 400);
@@ -131,36 +133,40 @@
         admit(&mut table, &mut counters, 100, 5, 20),
         Admission::Admitted
     );
-    // A larger budget is another decision.
-    request_of(table.clone().admit(PROGRAM, BUDGET + 1, 101, 6, 30));
-    // After a while the counter gets a request again.
-    request_of(table.admit(PROGRAM, BUDGET, 101, 6, 10_000));
+    // The cached rejection does not apply to a larger budget.
+    expect_request(table.clone().admit(PROGRAM, BUDGET + 1, 101, 6, 30));
+    // After the cached rejection expired, the counter gets a request again.
+    expect_request(table.admit(PROGRAM, BUDGET, 101, 6, 10_000));
 }
 
 #[test]
 fn units_of_a_replaced_incarnation_count_as_spent() {
     let mut counters = Counters::default();
-    let (dead, b) = (limiter("a", 1), limiter("b", 1));
-    counters.apply(&lease_request(&dead, 1, 0, 950), 2);
+    let (superseded, limiter_b) = (limiter("a", 1), limiter("b", 1));
+    counters.apply(&lease_request(&superseded, 1, 0, 950), 2);
     assert_eq!(
-        counters.apply(&lease_request(&b, 1, 0, 100), 2),
+        counters.apply(&lease_request(&limiter_b, 1, 0, 100), 2),
         CounterReply::LeasedElsewhere { leased: 950 }
     );
-    // The machine's next incarnation sends a request, if only for another program.
+    // The machine's next incarnation sends a request, even though for another program.
     let mut other = lease_request(&limiter("a", 2), 1, 0, 10);
     other.program = "another".to_owned();
     counters.apply(&other, 2);
     assert_eq!(
-        counters.apply(&lease_request(&b, 2, 0, 100), 2),
+        counters.apply(&lease_request(&limiter_b, 2, 0, 100), 2),
         CounterReply::Spent
     );
-    assert_eq!(counters.leased(PROGRAM), 950, "they stay on lease");
+    assert_eq!(
+        counters.leased(PROGRAM),
+        950,
+        "units of the superseded incarnation stay leased"
+    );
 
-    // A message of the old incarnation proves that they were not used after all.
-    let back = request(&dead, 2, BUDGET, CounterChange::Return { units: 900 });
-    counters.apply(&back, 2);
+    // A late return from the superseded incarnation makes its unused units available again.
+    let return_request = request(&superseded, 2, BUDGET, CounterChange::Return { units: 900 });
+    counters.apply(&return_request, 2);
     assert_eq!(
-        granted(&counters.apply(&lease_request(&b, 3, 0, 100), 2)),
+        granted(&counters.apply(&lease_request(&limiter_b, 3, 0, 100), 2)),
         100
     );
 }
@@ -168,11 +174,11 @@
 #[test]
 fn units_of_a_limiter_without_requests_count_as_spent_after_the_lease_timeout() {
     let mut counters = Counters::default();
-    let (timed_out, b) = (limiter("a", 1), limiter("b", 1));
+    let (timed_out, limiter_b) = (limiter("a", 1), limiter("b", 1));
     counters.apply(&lease_request(&timed_out, 1, 0, 950), 2);
     let mut spent_at = None;
     for step in 0..100 {
-        let reply = counters.apply(&lease_request(&b, step + 1, step * 500, 100), 2);
+        let reply = counters.apply(&lease_request(&limiter_b, step + 1, step * 500, 100), 2);
         if reply == CounterReply::Spent {
             spent_at = Some(step * 500);
             break;
@@ -180,28 +186,28 @@
         assert_eq!(reply, CounterReply::LeasedElsewhere { leased: 950 });
     }
     assert_eq!(spent_at, Some(15_000));
-    // One that was only partitioned may return them.
+    // A limiter that was only partitioned may still return its units.
     counters.apply(
         &request(&timed_out, 2, BUDGET, CounterChange::Return { units: 950 }),
         2,
     );
     assert_eq!(
-        granted(&counters.apply(&lease_request(&b, 101, 50_000, 100), 2)),
+        granted(&counters.apply(&lease_request(&limiter_b, 101, 50_000, 100), 2)),
         100
     );
 }
 
 #[test]
-fn a_limiter_that_was_quiet_advances_the_time_when_the_others_have_crashed() {
+fn a_quiet_limiter_advances_the_logical_clock_after_the_others_crashed() {
     let mut counters = Counters::default();
     let quiet = limiter("quiet", 1);
     counters.apply(&lease_request(&quiet, 1, 0, 10), 2);
-    let mut ticker = Ticker::new();
-    ticker.pass(&mut counters, 300_000);
-    let mut other = lease_request(&limiter("ticker", 1), 100, 300_000, 950);
+    let mut clock_driver = ClockDriver::new();
+    clock_driver.advance(&mut counters, 300_000);
+    let mut other = lease_request(&limiter("clock-driver", 1), 100, 300_000, 950);
     counters.apply(&other, 2);
-    // The ticker crashes with its lease. The quiet one's own time lags behind by ten seconds and no more, so the
-    // fifteen after which units count as spent begin then.
+    // The clock driver crashes with its lease. The quiet limiter's time lags behind by at most ten seconds, so the fifteen
+    // seconds of the lease timeout begin ten seconds later.
     other.sequence += 1;
     let mut spent_at = None;
     for step in 0..60 {
@@ -220,14 +226,17 @@
 #[test]
 fn a_limiter_whose_turn_runs_long_renews_its_lease() {
     let mut counters = Counters::default();
-    let mut a = LeaseTable::new(limiter("a", 1));
-    let b = limiter("b", 1);
-    assert_eq!(admit(&mut a, &mut counters, 950, 1, 0), Admission::Admitted);
+    let mut table_a = LeaseTable::new(limiter("a", 1));
+    let limiter_b = limiter("b", 1);
+    assert_eq!(
+        admit(&mut table_a, &mut counters, 950, 1, 0),
+        Admission::Admitted
+    );
     for step in 0..120 {
         let now = step * 500;
-        answer_all_due(&mut a, &mut counters, now);
-        a.record_use(1, 1);
-        let reply = counters.apply(&lease_request(&b, step + 1, now, 200), 2);
+        run_due_steps(&mut table_a, &mut counters, now);
+        table_a.record_use(1, 1);
+        let reply = counters.apply(&lease_request(&limiter_b, step + 1, now, 200), 2);
         assert!(
             matches!(reply, CounterReply::LeasedElsewhere { .. }),
             "{reply:?} at {now}"
@@ -239,13 +248,13 @@
 fn waiting_turns_get_their_decisions_in_order() {
     let mut counters = Counters::default();
     let mut table = LeaseTable::new(limiter("a", 1));
-    let first = request_of(table.admit(PROGRAM, BUDGET, 400, 1, 0));
+    let first = expect_request(table.admit(PROGRAM, BUDGET, 400, 1, 0));
     assert_eq!(table.admit(PROGRAM, BUDGET, 400, 2, 1), Admission::Waiting);
     assert_eq!(table.admit(PROGRAM, BUDGET, 400, 3, 2), Admission::Waiting);
     assert_eq!(
         table.admit(PROGRAM, BUDGET, 400, 2, 3),
         Admission::Waiting,
-        "admitting it again is allowed"
+        "admitting a waiting turn again must keep it waiting"
     );
 
     let reply = counters.apply(&first, 1);
@@ -256,7 +265,7 @@
         (1, &Admission::Admitted)
     );
     assert_eq!(outcomes[1].turn, 2);
-    let second = request_of(outcomes[1].admission.clone());
+    let second = expect_request(outcomes[1].admission.clone());
     let reply = counters.apply(&second, 1);
     let outcomes = table.handle_reply(&second, Some(&reply), 9);
     assert_eq!(
@@ -264,15 +273,15 @@
         (2, &Admission::Admitted)
     );
     assert_eq!(outcomes[1].turn, 3);
-    let third = request_of(outcomes[1].admission.clone());
+    let third = expect_request(outcomes[1].admission.clone());
     let reply = counters.apply(&third, 1);
-    let put_off = decision(table.handle_reply(&third, Some(&reply), 13), 3);
+    let rejection = decision(table.handle_reply(&third, Some(&reply), 13), 3);
     assert!(
         matches!(
-            put_off,
+            rejection,
             Admission::Rejected(Rejection::LeasedElsewhere { .. })
         ),
-        "{put_off:?}"
+        "{rejection:?}"
     );
 }
 
@@ -284,7 +293,7 @@
         admit(&mut table, &mut counters, 400, 1, 0),
         Admission::Admitted
     );
-    request_of(table.admit(PROGRAM, BUDGET, 300, 2, 10));
+    expect_request(table.admit(PROGRAM, BUDGET, 300, 2, 10));
     table.finish(1, 20);
     assert_eq!(decision(table.take_outcomes(), 2), Admission::Admitted);
 }
@@ -293,25 +302,25 @@
 fn a_turn_that_was_cancelled_while_it_waited_gets_no_decision_and_its_grant_is_returned() {
     let mut counters = Counters::default();
     let mut table = LeaseTable::new(limiter("a", 1));
-    let request = request_of(table.admit(PROGRAM, BUDGET, 400, 1, 0));
+    let request = expect_request(table.admit(PROGRAM, BUDGET, 400, 1, 0));
     table.finish(1, 5);
     let reply = counters.apply(&request, 1);
     assert!(table.handle_reply(&request, Some(&reply), 10).is_empty());
-    answer_all_due(&mut table, &mut counters, 2_000);
+    run_due_steps(&mut table, &mut counters, 2_000);
     assert_eq!(counters.leased(PROGRAM), 0);
 }
 
 #[test]
-fn no_turn_waits_longer_than_the_bound_through_several_answers() {
+fn no_turn_waits_longer_than_its_timeout_across_several_replies() {
     let mut table = LeaseTable::new(limiter("a", 1));
-    let mut request = request_of(table.admit(PROGRAM, BUDGET, 100, 1, 0));
+    let mut request = expect_request(table.admit(PROGRAM, BUDGET, 100, 1, 0));
     for turn in 2..6 {
         assert_eq!(
             table.admit(PROGRAM, BUDGET, 100, turn, 0),
             Admission::Waiting
         );
     }
-    // Each answer takes 400 ms and covers one turn.
+    // Each reply takes 400 ms and grants units for one turn.
     for (turn, now) in [(1, 400), (2, 800)] {
         let outcomes = table.handle_reply(
             &request,
@@ -325,7 +334,7 @@
             (outcomes[0].turn, &outcomes[0].admission),
             (turn, &Admission::Admitted)
         );
-        request = request_of(outcomes[1].admission.clone());
+        request = expect_request(outcomes[1].admission.clone());
     }
     table.handle_timeout(1_000);
     let rejected = table.take_outcomes();
@@ -344,9 +353,9 @@
 #[test]
 fn each_attempt_may_outlast_a_short_outage_and_none_waits_through_a_long_one() {
     let mut table = LeaseTable::new(limiter("a", 1));
-    let request = request_of(table.admit(PROGRAM, BUDGET, 100, 1, 0));
+    let request = expect_request(table.admit(PROGRAM, BUDGET, 100, 1, 0));
     let mut rejected = Vec::new();
-    let mut due = |table: &mut LeaseTable, now| {
+    let mut run_timeouts = |table: &mut LeaseTable, now| {
         table.handle_timeout(now);
         rejected.extend(
             table
@@ -355,17 +364,17 @@
                 .map(|outcome| (outcome.turn, now)),
         );
     };
-    due(&mut table, 1_000);
+    run_timeouts(&mut table, 1_000);
     assert_eq!(
         table.admit(PROGRAM, BUDGET, 100, 2, 1_100),
         Admission::Waiting
     );
-    due(&mut table, 2_100);
+    run_timeouts(&mut table, 2_100);
     assert_eq!(
         table.admit(PROGRAM, BUDGET, 100, 3, 2_200),
         Admission::Waiting
     );
-    due(&mut table, 3_000);
+    run_timeouts(&mut table, 3_000);
     assert_eq!(
         table.admit(PROGRAM, BUDGET, 100, 4, 3_001),
         Admission::Rejected(Rejection::CounterTimeout)
--- a/crates/serving/budget/tests/encoding.rs
+++ b/crates/serving/budget/tests/encoding.rs
@@ -1,6 +1,5 @@
-//! The bytes of the counter's messages and of its state: they go between processes of different versions and onto
-//! disks, by position and order, so no field or variant may move. The files under `encoding/` hold what the version
-//! before the renaming wrote.
+//! Checks the encoding of the counters' messages and state. Processes of different versions exchange and store these
+//! bytes, which depend on the order of fields and variants. The files under `encoding/` hold the expected bytes.
 
 mod common;
 
@@ -9,21 +8,22 @@
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::{Debug, Write};
 
-/// Checks that each value is written as the line of its name in the fixture says, and read back from those bytes.
+/// Checks that each value encodes to the bytes on its line of the fixture, and that those bytes decode to the value.
 fn assert_encoded<T>(fixture: &str, cases: &[(&str, T)])
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let mut written = String::new();
+    let mut encoded = String::new();
     for (name, value) in cases {
-        let bytes = postcard::to_stdvec(value).expect("a value is written");
-        writeln!(written, "{name} {}", to_hex(&bytes)).expect("a string takes text");
+        let bytes = postcard::to_stdvec(value).expect("the value is encodable");
+        writeln!(encoded, "{name} {}", to_hex(&bytes)).expect("writing to a string succeeds");
     }
-    assert_eq!(written, fixture);
+    assert_eq!(encoded, fixture);
     for ((name, value), line) in cases.iter().zip(fixture.lines()) {
-        let (_, hex) = line.split_once(' ').expect("a name and bytes");
-        let read: T = postcard::from_bytes(&from_hex(hex)).expect("a value is read");
-        assert_eq!(read, *value, "{name}");
+        let (_, hex) = line.split_once(' ').expect("a line has a name and bytes");
+        let decoded: T =
+            postcard::from_bytes(&from_hex(hex)).expect("the fixture's bytes are decodable");
+        assert_eq!(decoded, *value, "{name}");
     }
 }
 
@@ -83,33 +83,39 @@
     assert_encoded(include_str!("encoding/replies.txt"), &cases);
 }
 
-/// Counters in which each part holds something, made by requests alone.
+/// Counters with every part populated, built only by applying requests.
 fn populated_counters() -> Counters {
     let mut counters = Counters::default();
-    let (one, other, newer) = (limiter("one", 1), limiter("other", 2), limiter("other", 3));
+    let (first, second, second_restarted) =
+        (limiter("one", 1), limiter("other", 2), limiter("other", 3));
     let requests = [
-        request(&one, 1, BUDGET, lease(40, 90)),
-        request(&other, 2, BUDGET, lease(50, 70)),
+        request(&first, 1, BUDGET, lease(40, 90)),
+        request(&second, 2, BUDGET, lease(50, 70)),
         CounterRequest {
             used: 7,
             at_ms: 900,
-            ..request(&one, 3, BUDGET, lease(60, 80))
+            ..request(&first, 3, BUDGET, lease(60, 80))
         },
         CounterRequest {
             at_ms: 800,
-            ..request(&newer, 4, BUDGET, lease(900, 950))
+            ..request(&second_restarted, 4, BUDGET, lease(900, 950))
         },
         CounterRequest {
             used: 5,
-            ..request(&newer, 5, BUDGET, CounterChange::Return { units: 0 })
+            ..request(
+                &second_restarted,
+                5,
+                BUDGET,
+                CounterChange::Return { units: 0 },
+            )
         },
         CounterRequest {
             program: "second".to_owned(),
-            ..request(&one, 6, BUDGET, lease(11, 12))
+            ..request(&first, 6, BUDGET, lease(11, 12))
         },
         CounterRequest {
             program: "third".to_owned(),
-            ..request(&one, 7, 10, lease(11, 12))
+            ..request(&first, 7, 10, lease(11, 12))
         },
     ];
     for request in requests {
--- a/crates/serving/budget/tests/guarantees.rs
+++ b/crates/serving/budget/tests/guarantees.rs
@@ -1,14 +1,14 @@
-//! The five guarantees of the ordinary path, one test each.
+//! The five guarantees of budgets, one test each.
 
 mod common;
 
 use common::{
-    admit, answer_all_due, decision, granted, lease, limiter, request, request_of, Ticker, BUDGET,
-    PROGRAM,
+    admit, decision, expect_request, granted, lease, limiter, request, run_due_steps, ClockDriver,
+    BUDGET, PROGRAM,
 };
 use dunespur_budget::{Admission, CounterReply, Counters, LeaseSettings, LeaseTable, Rejection};
 
-/// Admission spends the local lease and reserves each turn's maximum out of it.
+/// Admission reserves each turn's maximum from the local lease.
 #[test]
 fn a_turn_reserves_its_maximum_out_of_the_lease_and_frees_what_it_did_not_use() {
     let mut counters = Counters::default();
@@ -19,8 +19,8 @@
     );
     assert_eq!(table.leased(PROGRAM), 100);
 
-    // All of the lease is reserved: a second turn may not run on it.
-    let second = request_of(table.admit(PROGRAM, BUDGET, 100, 2, 10));
+    // The first turn reserves the entire lease, so a second turn must request more units.
+    let second = expect_request(table.admit(PROGRAM, BUDGET, 100, 2, 10));
     table.handle_reply(
         &second,
         Some(&CounterReply::LeasedElsewhere { leased: 100 }),
@@ -31,7 +31,7 @@
     table.finish(1, 20);
     assert_eq!(table.leased(PROGRAM), 60);
 
-    // What the first freed covers a smaller turn, without a request to the counter.
+    // The units that the first turn freed cover a smaller turn without a request to the counter.
     assert_eq!(table.admit(PROGRAM, BUDGET, 60, 3, 30), Admission::Admitted);
     assert_eq!(table.leased(PROGRAM), 60);
 }
@@ -43,18 +43,18 @@
     let mut turn = 0;
     let mut now = 0;
     let mut used = 0;
-    let mut ticker = Ticker::new();
-    // Limiters start and end, with minutes between the turns in which no unit is on lease.
+    let mut clock_driver = ClockDriver::new();
+    // Limiters restart, and between turns no unit is leased for minutes.
     for incarnation in 1..20 {
         let mut table = LeaseTable::new(limiter("a", incarnation));
         turn += 1;
         now += 300_000;
-        ticker.pass(&mut counters, 300_000);
+        clock_driver.advance(&mut counters, 300_000);
         if admit(&mut table, &mut counters, 100, turn, now) == Admission::Admitted {
             table.record_use(turn, 100);
             used += 100;
             table.finish(turn, now + 1_000);
-            answer_all_due(&mut table, &mut counters, now + 5_000);
+            run_due_steps(&mut table, &mut counters, now + 5_000);
         }
     }
     assert_eq!(used, BUDGET);
@@ -65,30 +65,33 @@
 #[test]
 fn grants_shrink_near_the_limit_but_not_below_one_turn() {
     let mut counters = Counters::default();
-    let (a, b) = (limiter("a", 1), limiter("b", 1));
-    let grant = |counters: &mut Counters, by, sequence, needed, wanted| {
-        counters.apply(&request(by, sequence, BUDGET, lease(needed, wanted)), 0)
+    let (limiter_a, limiter_b) = (limiter("a", 1), limiter("b", 1));
+    let grant = |counters: &mut Counters, limiter, sequence, needed, wanted| {
+        counters.apply(
+            &request(limiter, sequence, BUDGET, lease(needed, wanted)),
+            0,
+        )
     };
 
-    // A new program gets its first request's units, whatever is wanted.
-    assert_eq!(granted(&grant(&mut counters, &a, 1, 50, 900)), 50);
+    // A program's first grant is exactly the needed units, whatever is wanted.
+    assert_eq!(granted(&grant(&mut counters, &limiter_a, 1, 50, 900)), 50);
     // One limiter: headroom / 1 / 2.
-    assert_eq!(granted(&grant(&mut counters, &a, 2, 50, 900)), 475);
+    assert_eq!(granted(&grant(&mut counters, &limiter_a, 2, 50, 900)), 475);
     // Two limiters: headroom / 2 / 2.
-    assert_eq!(granted(&grant(&mut counters, &b, 1, 50, 900)), 118);
-    assert_eq!(granted(&grant(&mut counters, &b, 2, 50, 900)), 89);
-    // Never more limiters than there are: headroom / 1 / 2.
+    assert_eq!(granted(&grant(&mut counters, &limiter_b, 1, 50, 900)), 118);
+    assert_eq!(granted(&grant(&mut counters, &limiter_b, 2, 50, 900)), 89);
+    // The known number of limiters caps the active ones: headroom / 1 / 2.
     let mut shared = counters.clone();
     assert_eq!(
-        granted(&shared.apply(&request(&a, 9, BUDGET, lease(50, 900)), 1)),
+        granted(&shared.apply(&request(&limiter_a, 9, BUDGET, lease(50, 900)), 1)),
         134
     );
-    // No more than is wanted, where that is little.
-    assert_eq!(granted(&grant(&mut counters, &a, 3, 20, 30)), 30);
-    // A limit of 59 is less than the turn needs.
-    assert_eq!(granted(&grant(&mut counters, &a, 4, 200, 900)), 200);
+    // A grant does not exceed the wanted units.
+    assert_eq!(granted(&grant(&mut counters, &limiter_a, 3, 20, 30)), 30);
+    // A grant covers the needed units even though the limit of 59 is smaller.
+    assert_eq!(granted(&grant(&mut counters, &limiter_a, 4, 200, 900)), 200);
     // The last units cover one more turn.
-    assert_eq!(granted(&grant(&mut counters, &a, 5, 38, 900)), 38);
+    assert_eq!(granted(&grant(&mut counters, &limiter_a, 5, 38, 900)), 38);
     assert_eq!(counters.leased(PROGRAM), BUDGET);
 }
 
@@ -103,14 +106,14 @@
     );
     first.record_use(1, 950);
     first.finish(1, 100);
-    answer_all_due(&mut first, &mut counters, 2_000);
+    run_due_steps(&mut first, &mut counters, 2_000);
 
     let mut second = LeaseTable::new(limiter("b", 1));
     let rejected = Admission::Rejected(Rejection::Spent);
     assert_eq!(admit(&mut second, &mut counters, 51, 2, 2_000), rejected);
     assert_eq!(admit(&mut first, &mut counters, 51, 3, 2_000), rejected);
     assert_eq!(first.leased(PROGRAM) + second.leased(PROGRAM), 0);
-    // A turn that fits is admitted all the same.
+    // A turn that the remaining budget covers is still admitted.
     assert_eq!(
         admit(&mut second, &mut counters, 50, 4, 2_000),
         Admission::Admitted
@@ -133,22 +136,25 @@
     table.record_use(1, 30);
     table.finish(1, 100);
 
-    // The counter becomes unavailable. The lease still serves.
+    // The counter becomes unavailable. The lease still admits turns that it covers.
     assert_eq!(
         table.admit(PROGRAM, BUDGET, 70, 2, 200),
         Admission::Admitted
     );
-    let lost = request_of(table.admit(PROGRAM, BUDGET, 1, 3, 300));
+    let lost = expect_request(table.admit(PROGRAM, BUDGET, 1, 3, 300));
     assert!(table.handle_reply(&lost, None, 310).is_empty());
     assert_eq!(table.admit(PROGRAM, BUDGET, 1, 4, 400), Admission::Waiting);
 
-    // After the timeout, waiting turns are rejected, and new ones at once.
+    // After the timeout, waiting turns are rejected, and new turns are rejected at once.
     let mut now = 300;
     let mut outcomes = Vec::new();
     while outcomes.is_empty() {
-        now = table.next_timeout().expect("something is due");
-        assert!(now <= 1_300, "the timeout has passed at {now}");
-        assert!(table.handle_timeout(now).iter().all(|again| *again == lost));
+        now = table.next_timeout().expect("a step is due");
+        assert!(now <= 1_300, "waiting turns were not rejected by {now} ms");
+        assert!(table
+            .handle_timeout(now)
+            .iter()
+            .all(|resent| *resent == lost));
         outcomes = table.take_outcomes();
     }
     assert_eq!(now, 1_300);
@@ -161,14 +167,14 @@
         Admission::Rejected(Rejection::CounterTimeout)
     );
 
-    // The counter is back: its grant to the turn that ended serves the next.
+    // The counter is available again: its grant for the rejected turn admits the next turn.
     let reply = counters.apply(&lost, 0);
     assert!(table.handle_reply(&lost, Some(&reply), 1_400).is_empty());
     assert_eq!(
         table.admit(PROGRAM, BUDGET, 1, 6, 1_401),
         Admission::Admitted
     );
-    let more = request_of(table.admit(PROGRAM, BUDGET, 500, 7, 1_402));
+    let more = expect_request(table.admit(PROGRAM, BUDGET, 500, 7, 1_402));
     let reply = counters.apply(&more, 0);
     assert_eq!(
         decision(table.handle_reply(&more, Some(&reply), 1_403), 7),
--- a/crates/serving/budget/tests/world.rs
+++ b/crates/serving/budget/tests/world.rs
@@ -1,12 +1,12 @@
-//! The guarantees, in seeded worlds of several limiters and one counter.
+//! Checks the budget's guarantees in seeded simulations of several limiters and one counter.
 
 mod common;
 
-use common::world::{Plan, Tally, World};
+use common::world::{Plan, Simulation, Tally};
 use std::fmt::Write;
 
 const SEEDS: u64 = 150;
-/// Seeds whose digests are on file.
+/// Number of seeds whose digests are recorded in `common/digests.txt`.
 const RECORDED_SEEDS: u64 = 100;
 
 fn without_faults() -> Plan {
@@ -43,59 +43,67 @@
     }
 }
 
-/// Plays a plan under many seeds; what each step checks is in the world.
-fn play_all(plan: &Plan) -> Vec<World> {
-    let play = |seed| {
-        let mut world = World::new(plan.clone(), seed);
-        world.play();
-        world
+/// Runs a plan with [`SEEDS`] seeds. The simulation itself checks the guarantees at each step.
+fn run_all(plan: &Plan) -> Vec<Simulation> {
+    let run = |seed| {
+        let mut simulation = Simulation::new(plan.clone(), seed);
+        simulation.run();
+        simulation
     };
-    (0..SEEDS).map(play).collect()
+    (0..SEEDS).map(run).collect()
 }
 
-fn assert_all_returned(world: &World) {
-    for program in world.programs() {
+fn assert_all_returned(simulation: &Simulation) {
+    for program in simulation.programs() {
         assert_eq!(
-            world.counters().leased(&program),
+            simulation.counters().leased(&program),
             0,
-            "no unit of {program} is on lease"
+            "units of {program} are still leased"
+        );
+        assert_eq!(
+            simulation.counters().used(&program),
+            simulation.received(&program)
         );
-        assert_eq!(world.counters().used(&program), world.received(&program));
     }
 }
 
 #[test]
 fn without_faults_no_turn_is_abandoned_and_every_unit_is_returned() {
-    for world in play_all(&without_faults()) {
-        assert_all_returned(&world);
-        assert_eq!(world.tally.abandoned, 0);
-        assert_eq!(world.tally.timed_out, 0);
+    for simulation in run_all(&without_faults()) {
+        assert_all_returned(&simulation);
+        assert_eq!(simulation.tally.abandoned, 0);
+        assert_eq!(simulation.tally.timed_out, 0);
     }
 }
 
 #[test]
 fn with_messages_lost_duplicated_and_reordered_every_unit_is_returned() {
-    for world in play_all(&with_message_faults()) {
-        assert_all_returned(&world);
+    for simulation in run_all(&with_message_faults()) {
+        assert_all_returned(&simulation);
     }
 }
 
 #[test]
 fn crashes_and_an_outage_do_not_exceed_the_budget() {
-    let worlds = play_all(&with_crashes());
-    for world in &worlds {
-        for program in world.programs() {
-            let counted = world.counters().used(&program) + world.counters().leased(&program);
+    let simulations = run_all(&with_crashes());
+    for simulation in &simulations {
+        for program in simulation.programs() {
+            let used_or_leased =
+                simulation.counters().used(&program) + simulation.counters().leased(&program);
             assert!(
-                world.received(&program) <= counted,
-                "what clients received is counted"
+                simulation.received(&program) <= used_or_leased,
+                "clients received more units of {program} than are used or leased"
             );
-            assert!(counted <= with_crashes().budget);
+            assert!(used_or_leased <= with_crashes().budget);
         }
     }
-    // The worlds show each decision, else they would prove little.
-    let all =
-        |count: fn(&Tally) -> u64| worlds.iter().map(|world| count(&world.tally)).sum::<u64>();
+    // The test is meaningful only if each kind of decision occurred.
+    let all = |count: fn(&Tally) -> u64| {
+        simulations
+            .iter()
+            .map(|simulation| count(&simulation.tally))
+            .sum::<u64>()
+    };
     assert!(all(|tally| tally.admitted) > 0);
     assert!(all(|tally| tally.spent) > 0);
     assert!(all(|tally| tally.leased_elsewhere) > 0);
@@ -108,10 +116,11 @@
         budget: 2 * 14 * 40,
         ..without_faults()
     };
-    for world in play_all(&plan) {
-        let put_off = world.tally.leased_elsewhere + world.tally.timed_out + world.tally.spent;
-        assert_eq!(put_off, 0, "{:?}", world.tally);
-        assert_all_returned(&world);
+    for simulation in run_all(&plan) {
+        let rejected =
+            simulation.tally.leased_elsewhere + simulation.tally.timed_out + simulation.tally.spent;
+        assert_eq!(rejected, 0, "{:?}", simulation.tally);
+        assert_all_returned(&simulation);
     }
 }
 
@@ -121,39 +130,40 @@
         turns: 40,
         ..with_message_faults()
     };
-    for mut world in play_all(&plan) {
-        for program in world.programs() {
-            let before = world.tally.clone();
-            while world.tally.spent == before.spent {
-                world.fault_free_turn(&program);
+    for mut simulation in run_all(&plan) {
+        for program in simulation.programs() {
+            let before = simulation.tally.clone();
+            while simulation.tally.spent == before.spent {
+                simulation.run_fault_free_turn(&program);
                 assert_eq!(
-                    world.tally.abandoned, before.abandoned,
-                    "a turn that fits is admitted"
+                    simulation.tally.abandoned, before.abandoned,
+                    "a turn that the budget covers was abandoned"
                 );
             }
-            assert!(plan.budget - world.received(&program) < plan.max_units);
+            assert!(plan.budget - simulation.received(&program) < plan.max_units);
         }
     }
 }
 
-/// Worlds with every kind of fault run as they did when the file was written: same messages, times and decisions.
+/// Simulations with every kind of fault produce the recorded messages, times and decisions.
 #[test]
-fn worlds_go_as_recorded() {
+fn simulations_match_the_recorded_digests() {
     let mut digests = String::new();
     for seed in 0..RECORDED_SEEDS {
-        let mut world = World::new(with_crashes(), seed);
-        world.play();
-        writeln!(digests, "{seed} {:016x}", world.digest()).expect("a string takes text");
+        let mut simulation = Simulation::new(with_crashes(), seed);
+        simulation.run();
+        writeln!(digests, "{seed} {:016x}", simulation.digest())
+            .expect("writing to a string succeeds");
     }
     assert_eq!(digests, include_str!("common/digests.txt"));
 }
 
 #[test]
-fn the_same_seed_plays_the_same_world() {
+fn the_same_seed_gives_the_same_tally() {
     let tallies = || -> Vec<Tally> {
-        play_all(&with_crashes())
+        run_all(&with_crashes())
             .into_iter()
-            .map(|world| world.tally)
+            .map(|simulation| simulation.tally)
             .collect()
     };
     assert_eq!(tallies(), tallies());
