--- a/crates/serving/configuration/src/document.rs
+++ b/crates/serving/configuration/src/document.rs
@@ -1,14 +1,14 @@
-//! A complete configuration as the operator sent it.
+//! A complete configuration, stored as the operator sent it.
 
 use crate::{location::Location, model::Model, parser, patch, Findings};
 use serde::{de::Error, Deserialize, Deserializer, Serialize, Serializer};
 use std::{str, sync::Arc};
 
-/// The generation before the first configuration.
+/// The generation number before the first configuration.
 const NO_GENERATION: u64 = 0;
 
-/// A complete, validated configuration. It is stored as text, so that it is read back as it was sent, every field and
-/// every number included; clones share the text.
+/// A complete, validated configuration. It is stored as the text that the operator sent, so that every field and number
+/// is returned unchanged. Clones share the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Document {
     text: Arc<str>,
@@ -17,7 +17,7 @@
 }
 
 impl Document {
-    /// The configuration before the first one: nothing in it.
+    /// The empty configuration that is in force before the first one.
     #[must_use]
     pub fn empty() -> Document {
         Document {
@@ -27,28 +27,28 @@
         }
     }
 
-    /// A complete configuration from the body of a request.
+    /// Parses and validates a complete configuration from the body of a request.
     ///
     /// # Errors
     ///
-    /// The findings, if it is invalid.
+    /// The findings, if the configuration is invalid.
     pub fn replace(body: &[u8]) -> Result<Document, Findings> {
         Document::validated(to_text(body)?)
     }
 
-    /// A configuration that was accepted before, from its text. It is not validated again: what an older version of
-    /// this program accepted stays in force.
+    /// Parses a configuration that was accepted before. It is not validated again, so that a configuration that an
+    /// older version of this program accepted stays in force.
     ///
     /// # Errors
     ///
-    /// The finding, if it is not JSON.
+    /// A finding, if the text is not JSON.
     pub fn from_accepted(text: impl Into<Arc<str>>) -> Result<Document, Findings> {
         let text = text.into();
         let model = parser::parse_accepted(&text)?;
-        Ok(Document::of(text, &model))
+        Ok(Document::from_model(text, &model))
     }
 
-    /// This configuration with the named items of `body` changed.
+    /// Applies the patch in `body` to this configuration and validates the result.
     ///
     /// # Errors
     ///
@@ -58,25 +58,25 @@
         Document::validated(&text)
     }
 
-    /// The number that the operator gave to it.
+    /// The generation number that the operator assigned to this configuration.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// How long turns are stored on the route that stores them the longest, in milliseconds; 0 without any route.
+    /// The longest retention time of turns among the routes in milliseconds, or 0 without routes.
     #[must_use]
     pub fn longest_retention_ms(&self) -> u64 {
         self.longest_retention_ms
     }
 
-    /// The configuration as JSON.
+    /// A copy of the configuration as JSON text.
     #[must_use]
     pub fn to_json(&self) -> String {
         self.text.as_ref().to_owned()
     }
 
-    /// The configuration as JSON, shared instead of copied.
+    /// The configuration as shared JSON text.
     #[must_use]
     pub fn json(&self) -> &Arc<str> {
         &self.text
@@ -84,10 +84,10 @@
 
     fn validated(text: &str) -> Result<Document, Findings> {
         let model = parser::validate(text)?;
-        Ok(Document::of(Arc::from(text), &model))
+        Ok(Document::from_model(Arc::from(text), &model))
     }
 
-    fn of(text: Arc<str>, model: &Model) -> Document {
+    fn from_model(text: Arc<str>, model: &Model) -> Document {
         let retentions = model.routes.iter().map(|placed| placed.route.retention_ms);
         Document {
             text,
@@ -97,14 +97,14 @@
     }
 }
 
-/// A document is encoded as its text.
+/// Encodes a document as its text.
 impl Serialize for Document {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(&self.text)
     }
 }
 
-/// An encoded document was accepted before.
+/// Decodes a document without validation, because only accepted documents are encoded.
 impl<'de> Deserialize<'de> for Document {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Document, D::Error> {
         let text = String::deserialize(deserializer)?;
--- a/crates/serving/configuration/src/draft.rs
+++ b/crates/serving/configuration/src/draft.rs
@@ -1,8 +1,8 @@
-//! A parsed configuration that is not validated yet.
+//! A parsed configuration before validation.
 
 use crate::model::{Limits, Model, PlacedRoute, Service};
 
-/// What was parsed, with gaps where an item was no object, so that items keep their indices.
+/// The parsed parts of a configuration. Items that are not objects are `None`, so that the others keep their indices.
 #[derive(Default)]
 pub(crate) struct Draft {
     pub(crate) generation: u64,
@@ -12,7 +12,7 @@
 }
 
 impl Draft {
-    /// The model of everything usable.
+    /// Converts the draft to a model, without items that could not be parsed and routes that are not usable.
     pub(crate) fn into_model(self) -> Model {
         Model {
             generation: self.generation,
@@ -28,6 +28,7 @@
     }
 }
 
+/// Whether a route has a timeout and at least one service with a weight above 0.
 fn is_usable(placed: &PlacedRoute) -> bool {
     let has_backend = placed
         .route
--- a/crates/serving/configuration/src/fields.rs
+++ b/crates/serving/configuration/src/fields.rs
@@ -1,14 +1,14 @@
-//! The fields of a JSON object, parsed by name and type; what is wrong becomes a finding.
+//! Parsing of a JSON object's fields by name and type. Missing or invalid values become findings.
 
 use crate::{location::Location, Findings};
 use serde_json::{Map, Number, Value};
 
-/// The largest integer up to which every integer is a floating-point number as well.
+/// The largest integer up to which `f64` represents every integer exactly.
 const MAX_EXACT_FLOAT: f64 = 9_007_199_254_740_992.0;
 
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// The fields of the object at a location.
+/// The fields of a JSON object and its location in the configuration.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a> {
     map: &'a Map<String, Value>,
@@ -36,7 +36,7 @@
         self.location
     }
 
-    /// The value of a field. One that is null counts as absent.
+    /// The value of a field. A field that is null counts as absent.
     pub(crate) fn value(&self, name: &str) -> Option<&'a Value> {
         self.map.get(name).filter(|value| !value.is_null())
     }
@@ -88,7 +88,7 @@
         Some(number.as_u64().unwrap_or_else(|| rounded_up(number)))
     }
 
-    /// As [`Fields::integer`]; what is too large becomes the largest.
+    /// As [`Fields::integer`], with values above the largest `u32` reduced to it.
     pub(crate) fn count(&self, name: &str, findings: &mut Findings) -> Option<u32> {
         let integer = self.integer(name, findings)?;
         Some(u32::try_from(integer).unwrap_or(u32::MAX))
@@ -103,7 +103,7 @@
         self.integer(name, findings)
     }
 
-    /// A required number that has to be an integer, in whatever notation.
+    /// A required number that must be an integer, in any notation.
     pub(crate) fn required_exact_integer(
         &self,
         name: &str,
@@ -120,7 +120,7 @@
         integer
     }
 
-    /// An optional time in seconds, as milliseconds.
+    /// An optional time in seconds, converted to milliseconds and rounded up.
     pub(crate) fn seconds_as_ms(&self, name: &str, findings: &mut Findings) -> Option<u64> {
         let seconds = self.number(name, findings)?;
         Some(ceil_saturating(seconds * MS_PER_SECOND))
@@ -138,7 +138,7 @@
         }
     }
 
-    /// An optional number of at least 0.
+    /// An optional JSON number of at least 0.
     fn json_number(&self, name: &str, findings: &mut Findings) -> Option<&'a Number> {
         let value = self.value(name)?;
         let Value::Number(number) = value else {
@@ -153,12 +153,12 @@
     }
 }
 
-/// The integer above a number of at least 0 that isn't written as an integer.
+/// Rounds a number of at least 0 up to an integer.
 fn rounded_up(number: &Number) -> u64 {
     number.as_f64().map_or(0, ceil_saturating)
 }
 
-/// The integer that `number` is, in whatever notation.
+/// The value of `number` if it is an integer, in any notation.
 fn exact_integer(number: &Number) -> Option<u64> {
     if let Some(integer) = number.as_u64() {
         return Some(integer);
@@ -168,8 +168,8 @@
     is_integer.then(|| ceil_saturating(number))
 }
 
-/// The smallest integer that is not below a number of at least 0, and the largest one for a number beyond it.
+/// Rounds a number of at least 0 up to an integer; numbers above the largest `u64` become the largest `u64`.
 pub(crate) fn ceil_saturating(number: f64) -> u64 {
-    // A cast of a float saturates.
+    // A cast from `f64` to `u64` saturates.
     number.ceil() as u64
 }
--- a/crates/serving/configuration/src/finding.rs
+++ b/crates/serving/configuration/src/finding.rs
@@ -1,14 +1,15 @@
-//! Findings: what is wrong with a configuration, and where.
+//! Findings: the problems of a configuration and their locations.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One thing that is wrong. Encoded by position in messages between processes: the order of fields may not change.
+/// One problem of a configuration. Its encoding in messages between processes depends on the order of the fields, so
+/// the order may not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// Where, such as `routes[3].timeout_ms`.
+    /// The location of the problem, such as `routes[3].timeout_ms`.
     pub location: String,
-    /// What is wrong there.
+    /// The description of the problem.
     pub problem: String,
 }
 
@@ -18,18 +19,18 @@
     }
 }
 
-/// Everything that is wrong, in the order in which it was found. Displayed one a line.
+/// All problems of a configuration, in the order in which they were found. Displayed with one finding per line.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// Whether nothing is wrong.
+    /// Whether there are no findings.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Adds one finding.
+    /// Adds a finding.
     pub fn add(&mut self, location: impl fmt::Display, problem: impl Into<String>) {
         self.0.push(Finding {
             location: location.to_string(),
@@ -37,7 +38,7 @@
         });
     }
 
-    /// `value` if nothing is wrong.
+    /// Returns `value` if there are no findings.
     ///
     /// # Errors
     ///
@@ -49,7 +50,7 @@
         }
     }
 
-    /// One finding alone.
+    /// Creates findings with a single finding.
     #[must_use]
     pub fn one(location: impl fmt::Display, problem: impl Into<String>) -> Findings {
         let mut findings = Findings::default();
--- a/crates/serving/configuration/src/lib.rs
+++ b/crates/serving/configuration/src/lib.rs
@@ -1,14 +1,14 @@
 //! The operator's configuration: parsing, validation, patches and request matching.
 //!
-//! A [`Document`] is one validated configuration, stored as the operator sent it. A [`RouteTable`] matches requests to
-//! routes for the data plane. What is wrong with a configuration is reported as [`Findings`]: everything at once, each
-//! with its location.
+//! A [`Document`] is a validated configuration, stored as the operator sent it. A [`RouteTable`] matches requests to
+//! routes for the data plane. All problems of a configuration are reported at once as [`Findings`], each with its
+//! location.
 //!
-//! Strict only where a configuration is invalid or unusable. An unknown field is stored and returned; it never makes a
-//! configuration invalid.
+//! Only problems that make a configuration invalid or unusable are reported. Unknown fields are stored and returned,
+//! and never make a configuration invalid.
 //!
-//! Parsed by hand over `serde_json` instead of by `schematic`, which stops at the first value of a wrong type and drops
-//! unknown fields.
+//! Configurations are parsed by hand with `serde_json`, because `schematic` stops at the first value of a wrong type
+//! and drops unknown fields.
 
 mod document;
 mod draft;
--- a/crates/serving/configuration/src/location.rs
+++ b/crates/serving/configuration/src/location.rs
@@ -1,8 +1,8 @@
-//! Locations in a configuration, formatted only when something is wrong there.
+//! Locations in a configuration, formatted only for findings.
 
 use std::fmt;
 
-/// A path of field names and indices from the top of the document.
+/// A path of field names and indices from the top level of the document.
 #[derive(Clone, Copy)]
 pub(crate) enum Location<'a> {
     /// The complete document.
--- a/crates/serving/configuration/src/model.rs
+++ b/crates/serving/configuration/src/model.rs
@@ -11,41 +11,41 @@
     Streaming,
 }
 
-/// How the requests of a route are handled. Which requests match it is in the [`RouteTable`](crate::RouteTable).
+/// The handling of a route's requests. The [`RouteTable`](crate::RouteTable) holds the hosts and prefixes that match.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The name by which patches refer to it.
+    /// The name that patches use for the route.
     pub name: String,
-    /// The kind of its requests.
+    /// The kind of the route's requests.
     pub kind: RequestKind,
-    /// How long a request may take, in milliseconds; never 0.
+    /// Maximum duration of a request in milliseconds; never 0.
     pub timeout_ms: u64,
     /// The latency target of responses, in milliseconds.
     pub target_ms: u64,
-    /// The latency target between two events of a streamed response, in milliseconds. The setting is `gap_aim_ms`.
+    /// The latency target between two events of a streamed response, in milliseconds. Configured as `gap_aim_ms`.
     pub gap_target_ms: Option<u64>,
-    /// Priority, 0 the highest.
+    /// The priority of the route's requests; 0 is the highest.
     pub priority: u8,
-    /// The maximum number of servers to which one request of a client may be sent.
+    /// Maximum number of servers to which one request of a client may be sent.
     pub retries: u32,
-    /// Whether its requests are turns whose inputs and events are stored.
+    /// Whether the route's requests are turns, whose inputs and events are stored.
     pub persisted: bool,
-    /// How long a turn is stored, in milliseconds.
+    /// How long turns are stored, in milliseconds.
     pub retention_ms: u64,
-    /// Whether its requests name the segments of their prompts, for prefix affinity.
+    /// Whether requests name the segments of their prompts, for prefix affinity.
     pub sticky: bool,
-    /// Whether a stream may be resumed at another server.
+    /// Whether a stream may be resumed on another server.
     pub resumable: bool,
-    /// The services that may run its requests, by weight. The weights add up to more than 0.
+    /// The services that may run the requests, with their weights. The sum of the weights is above 0.
     pub backends: Vec<WeightedBackend>,
 }
 
-/// A service with its weight in a route.
+/// A service and its weight in a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedBackend {
     /// The name of the service.
     pub backend: String,
-    /// Its weight relative to the others of the same route.
+    /// The weight relative to the other services of the route.
     pub weight: u64,
 }
 
@@ -60,23 +60,23 @@
         }
     }
 
-    /// The service for a request, by the weights. `draw` is uniformly distributed over all numbers; the same draw gives
-    /// the same service.
+    /// Chooses the service for a request by weight. `draw` must be uniformly distributed over all values of `u64`; the
+    /// same draw always chooses the same service.
     ///
     /// # Panics
     ///
-    /// Never: a route has a weight above 0.
+    /// Never, because the weights of a validated route add up to more than 0.
     #[must_use]
     pub fn backend(&self, draw: u64) -> &str {
-        let mut left = self.point(draw);
+        let mut remaining = self.scaled_draw(draw);
         for backend in &self.backends {
-            if left < u128::from(backend.weight) {
+            if remaining < u128::from(backend.weight) {
                 return &backend.backend;
             }
-            left -= u128::from(backend.weight);
+            remaining -= u128::from(backend.weight);
         }
         unreachable!(
-            "a point lies below the sum of the weights, and a validated route has a weight above 0"
+            "the scaled draw is below the sum of the weights, which is above 0 in a validated route"
         )
     }
 
@@ -88,8 +88,8 @@
             .any(|backend| backend.backend == service && backend.weight > 0)
     }
 
-    /// `draw` scaled from all of u64 to the sum of the weights.
-    fn point(&self, draw: u64) -> u128 {
+    /// Scales `draw` from the range of `u64` to the sum of the weights.
+    fn scaled_draw(&self, draw: u64) -> u128 {
         let total: u128 = self
             .backends
             .iter()
@@ -99,23 +99,23 @@
     }
 }
 
-/// A service; its servers register under its name.
+/// A service, under whose name its servers register.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// The name by which routes and servers refer to it.
+    /// The name that routes and servers use for the service.
     pub name: String,
     /// The path of health checks.
     pub health_path: String,
-    /// How many connections one server accepts from all clients together.
+    /// Maximum number of connections that one server accepts from all clients together.
     pub max_conns: u32,
-    /// The properties of its servers, if they are model servers.
+    /// The properties of the service's servers, if they are model servers.
     pub engine: Option<Engine>,
 }
 
-/// The model servers of a service.
+/// The properties of a service's model servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// How many requests one server runs at once; 0 if unknown.
+    /// Maximum number of requests that one server runs at once; 0 if unknown.
     pub slots: u32,
     /// The capacity of one server's KV cache in tokens; 0 if unknown.
     pub kv_capacity: u64,
@@ -125,25 +125,25 @@
     pub link_mbps: f64,
     /// The number of tokens in one event of a stream; never 0.
     pub chunk_tokens: u32,
-    /// The names of the models that its servers serve.
+    /// The names of the models that the servers serve.
     pub models: Vec<String>,
 }
 
-/// Limits of clients: sizes and times.
+/// Limits on clients' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The maximum size of the head of a request in bytes.
+    /// Maximum size of a request's head in bytes.
     pub max_header_bytes: usize,
-    /// The maximum size of the body of a request in bytes.
+    /// Maximum size of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// How long the head of a request may take to arrive, in milliseconds.
+    /// Maximum time in which a request's head must arrive, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may be idle between requests, in milliseconds.
+    /// Maximum idle time of a connection between requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Limits {
-    /// The limits of a configuration without limits.
+    /// The limits of a configuration that specifies none.
     pub const DEFAULT: Limits = Limits {
         max_header_bytes: 16 * 1024,
         max_body_bytes: 4 * 1024 * 1024,
@@ -161,8 +161,9 @@
 /// A route with the host and path prefix that it matches.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PlacedRoute {
-    /// In lower case.
+    /// The host in lower case.
     pub(crate) host: String,
+    /// The path prefix, which begins and ends with a slash in a validated configuration.
     pub(crate) path_prefix: String,
     pub(crate) route: Route,
 }
--- a/crates/serving/configuration/src/parser.rs
+++ b/crates/serving/configuration/src/parser.rs
@@ -1,7 +1,7 @@
 //! Parses a configuration from JSON into its typed model.
 //!
-//! Parsing continues past what is wrong, with a default in its place, so that all findings are reported at once. They
-//! come in the order in which the fields are parsed.
+//! The parser replaces invalid values by defaults and continues, so that all findings are reported at once, in the
+//! order in which the fields are parsed.
 
 use crate::{
     draft::Draft,
@@ -12,22 +12,22 @@
 };
 use serde_json::Value;
 
-/// The priority of a route without one: the middle of 0 to 9.
+/// The default priority of a route: the middle of 0 to 9.
 const DEFAULT_PRIORITY: u8 = 5;
-/// The maximum number of servers for one request of a route without one: no failover.
+/// The default maximum number of servers for one request: no failover.
 const DEFAULT_RETRIES: u32 = 1;
-/// How long turns are stored of a route without a retention time.
+/// The default retention time of a route's turns.
 const DEFAULT_RETENTION_MS: u64 = 60_000;
-/// The path of health checks of a service without one.
+/// The default path of health checks.
 const DEFAULT_HEALTH_PATH: &str = "/healthz";
-/// How many connections a server accepts of a service without a number.
+/// The default maximum number of connections of a server.
 const DEFAULT_MAX_CONNS: u32 = 100;
-/// Fractional weights are multiplied by this and rounded up.
+/// The factor by which all weights of a route are multiplied, before rounding up, if one of them is a fraction.
 const FRACTIONAL_WEIGHT_SCALE: f64 = 1_000_000.0;
-/// The largest weight: the sum over a route's services never overflows.
+/// The maximum weight of a service, low enough that the sum over a route's services never overflows.
 const MAX_WEIGHT: u64 = 1 << 50;
 
-/// Parses and validates the text of a configuration: its generation, if nothing is wrong.
+/// Parses and validates the text of a configuration.
 pub(crate) fn validate(text: &str) -> Result<Model, Findings> {
     let ParsedDraft {
         draft,
@@ -38,13 +38,13 @@
     Ok(draft.into_model())
 }
 
-/// Parses the text of a configuration that was valid when it was accepted. What an older version of this program
-/// accepted and this one would not is ignored.
+/// Parses the text of a configuration that was valid when it was accepted. Values that an older version of this program
+/// accepted and this version would reject are ignored.
 pub(crate) fn parse_accepted(text: &str) -> Result<Model, Findings> {
     Ok(parse_draft(text)?.draft.into_model())
 }
 
-/// What could be parsed of a configuration, and what is wrong with the rest.
+/// The parsed parts of a configuration, and the findings about the rest.
 struct ParsedDraft {
     draft: Draft,
     findings: Findings,
@@ -150,7 +150,7 @@
     timeout_ms.unwrap_or_default()
 }
 
-/// A route without a latency target has its timeout as one.
+/// The latency target of a route, by default its timeout.
 fn target_ms(fields: &Fields<'_>, findings: &mut Findings) -> u64 {
     let target_ms = fields.integer("target_ms", findings);
     target_ms
@@ -165,15 +165,15 @@
     u8::try_from(priority).unwrap_or(u8::MAX)
 }
 
-/// The services of a route: `backends` unless it is empty, else `backend`.
+/// The services of a route: those in `backends`, or the one in `backend` if `backends` is empty.
 fn backends(fields: &Fields<'_>, findings: &mut Findings) -> Vec<WeightedBackend> {
-    let given: Vec<_> = items(fields, "backends", findings, given_backend)
+    let configured: Vec<_> = items(fields, "backends", findings, configured_backend)
         .into_iter()
         .flatten()
         .collect();
-    if !given.is_empty() {
-        validate_weights(&given, fields, findings);
-        return weighted(given);
+    if !configured.is_empty() {
+        validate_weights(&configured, fields, findings);
+        return integer_weights(configured);
     }
     if fields.value("backends").is_some() && fields.value("backend").is_none() {
         findings.add(fields.location().field("backends"), "names no service");
@@ -188,25 +188,29 @@
     }
 }
 
-/// A service with its weight as the operator wrote it.
-struct GivenBackend {
+/// A service with its weight as the operator configured it.
+struct ConfiguredBackend {
     backend: String,
     weight: f64,
 }
 
-fn given_backend(fields: &Fields<'_>, findings: &mut Findings) -> GivenBackend {
+fn configured_backend(fields: &Fields<'_>, findings: &mut Findings) -> ConfiguredBackend {
     let backend = fields
         .required_string("backend", findings)
         .unwrap_or_default();
     let weight = fields.number("weight", findings);
-    GivenBackend {
+    ConfiguredBackend {
         backend: backend.to_owned(),
         weight: weight.unwrap_or(1.0),
     }
 }
 
-fn validate_weights(given: &[GivenBackend], fields: &Fields<'_>, findings: &mut Findings) {
-    if given.iter().all(|given| given.weight == 0.0) {
+fn validate_weights(
+    configured: &[ConfiguredBackend],
+    fields: &Fields<'_>,
+    findings: &mut Findings,
+) {
+    if configured.iter().all(|configured| configured.weight == 0.0) {
         findings.add(
             fields.location().field("backends"),
             "the weights add up to 0",
@@ -214,20 +218,22 @@
     }
 }
 
-/// Integer weights stay as they are; if one is a fraction, all are scaled.
-fn weighted(given: Vec<GivenBackend>) -> Vec<WeightedBackend> {
-    let all_integers = given.iter().all(|given| given.weight.fract() == 0.0);
+/// Converts weights to integers. If a weight is a fraction, all weights of the route are scaled.
+fn integer_weights(configured: Vec<ConfiguredBackend>) -> Vec<WeightedBackend> {
+    let all_integers = configured
+        .iter()
+        .all(|configured| configured.weight.fract() == 0.0);
     let scale = if all_integers {
         1.0
     } else {
         FRACTIONAL_WEIGHT_SCALE
     };
-    let scaled = |given: GivenBackend| WeightedBackend {
-        backend: given.backend,
-        // Rounded up, so that the smallest weight above 0 doesn't vanish.
-        weight: ceil_saturating(given.weight * scale).min(MAX_WEIGHT),
+    let scaled = |configured: ConfiguredBackend| WeightedBackend {
+        backend: configured.backend,
+        // Rounded up, so that a weight above 0 never becomes 0.
+        weight: ceil_saturating(configured.weight * scale).min(MAX_WEIGHT),
     };
-    given.into_iter().map(scaled).collect()
+    configured.into_iter().map(scaled).collect()
 }
 
 fn service(fields: &Fields<'_>, findings: &mut Findings) -> Service {
@@ -274,10 +280,10 @@
 }
 
 fn limits(fields: &Fields<'_>, findings: &mut Findings) -> Limits {
-    object(fields, "limits", findings, given_limits).unwrap_or_default()
+    object(fields, "limits", findings, limits_object).unwrap_or_default()
 }
 
-fn given_limits(fields: &Fields<'_>, findings: &mut Findings) -> Limits {
+fn limits_object(fields: &Fields<'_>, findings: &mut Findings) -> Limits {
     let default = Limits::DEFAULT;
     let bytes = |name: &str, findings: &mut Findings| {
         let bytes = fields.integer(name, findings)?;
@@ -295,7 +301,7 @@
     }
 }
 
-/// Parses an object that may be absent.
+/// Parses the optional object in the field `name`.
 fn object<T>(
     fields: &Fields<'_>,
     name: &str,
--- a/crates/serving/configuration/src/patch.rs
+++ b/crates/serving/configuration/src/patch.rs
@@ -1,15 +1,15 @@
-//! Patches: named items of a configuration removed, replaced or added.
+//! Patches, which remove, replace or add named items of a configuration.
 //!
-//! Works on the text of each item, which stays as its operator wrote it. Every array of the document can be patched,
-//! also an unknown one. Removal comes first: an item that one patch removes and upserts is present afterwards. Other
-//! fields of a patch are ignored.
+//! A patch works on the text of each item, so that unchanged items stay exactly as the operator wrote them. Every array
+//! of the document can be patched, including unknown ones. Removals are applied first: an item that a patch both
+//! removes and upserts is present afterwards. Other fields of a patch are ignored.
 
 use crate::{location::Location, raw_object::RawObject, Findings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// The text of `document` with `patch` applied, not validated yet.
+/// Applies `patch` to the text of `document`. The resulting text is not validated yet.
 pub(crate) fn apply(document: &str, patch: &str) -> Result<String, Findings> {
     let mut document = RawObject::parse(document, &Location::Top)?;
     let patch = Patch::parse(patch)?;
@@ -23,14 +23,14 @@
     arrays: BTreeMap<String, ArrayPatch<'a>>,
 }
 
-/// The changes of one array.
+/// The changes of one array, by items' names.
 #[derive(Default)]
 struct ArrayPatch<'a> {
     removed: HashSet<String>,
     upserted: Vec<NamedItem<'a>>,
 }
 
-/// An item of an array, with the name by which it is found.
+/// An item of an array with its name.
 struct NamedItem<'a> {
     name: String,
     item: &'a RawValue,
@@ -89,7 +89,8 @@
 }
 
 impl<'a> ArrayPatch<'a> {
-    /// Removes items, then puts each upserted one in the position of the one of its name, else at the end.
+    /// Removes items, then replaces each item that has the name of an upserted one and appends the other upserted
+    /// items.
     fn apply(&self, items: &mut Vec<&'a RawValue>) {
         items.retain(|item| name_of(item).is_none_or(|name| !self.removed.contains(&name)));
         let mut positions = HashMap::new();
@@ -105,7 +106,7 @@
     }
 }
 
-/// Calls `visit` for each array in the field `action` of a patch, with its name and location.
+/// Calls `visit` with the name, items and location of each array in the field `action` of a patch.
 fn for_each_array<'a>(
     patch: &RawObject<'a>,
     action: &str,
@@ -127,6 +128,7 @@
     }
 }
 
+/// The items of an array as written.
 fn array_items<'a>(
     array: &'a RawValue,
     location: &Location<'_>,
@@ -138,7 +140,7 @@
     })
 }
 
-/// The names in an array of names.
+/// Parses an array of names.
 fn names(items: &[&RawValue], location: &Location<'_>, findings: &mut Findings) -> HashSet<String> {
     let mut names = HashSet::new();
     for (index, item) in items.iter().enumerate() {
@@ -152,7 +154,7 @@
     names
 }
 
-/// The items of an array with their names. Two of one name are a finding: only one of them could be meant.
+/// Pairs each item of an array with its name. A name that occurs twice is a finding, because the patch is ambiguous.
 fn named_items<'a>(
     items: &[&'a RawValue],
     location: &Location<'_>,
@@ -178,6 +180,7 @@
     all
 }
 
+/// The `name` field of an item, if it is a string.
 fn name_of(item: &RawValue) -> Option<String> {
     #[derive(Deserialize)]
     struct Name {
--- a/crates/serving/configuration/src/raw_object.rs
+++ b/crates/serving/configuration/src/raw_object.rs
@@ -1,4 +1,4 @@
-//! JSON objects whose values stay as they were written.
+//! JSON objects whose values keep the text in which they were written.
 
 use crate::{location::Location, Findings};
 use serde::{
@@ -8,7 +8,7 @@
 use serde_json::value::RawValue;
 use std::fmt;
 
-/// The fields of an object, in their order.
+/// The fields of an object in their original order.
 #[derive(Default)]
 pub(crate) struct RawObject<'a>(Vec<RawField<'a>>);
 
@@ -17,20 +17,20 @@
     value: FieldValue<'a>,
 }
 
-/// A value as it was written, or an array made of such values.
+/// A field's value: the original text, or an array of items in their original text.
 enum FieldValue<'a> {
     Raw(&'a RawValue),
     Array(Vec<&'a RawValue>),
 }
 
 impl<'a> RawObject<'a> {
-    /// The object that `text` encodes.
+    /// Parses `text` as an object.
     pub(crate) fn parse(text: &'a str, location: &Location<'_>) -> Result<RawObject<'a>, Findings> {
         serde_json::from_str(text)
             .map_err(|error| Findings::one(location, format!("can't be read: {error}")))
     }
 
-    /// The names and values of the fields as written, but for null and replaced ones.
+    /// The names and original values of the fields, without null fields and fields that were set to arrays.
     pub(crate) fn values(&self) -> impl Iterator<Item = (&str, &'a RawValue)> {
         self.0
             .iter()
@@ -44,17 +44,17 @@
             .map(|(_, value)| value)
     }
 
-    /// Sets a field, in the position of the one of that name if there is one.
+    /// Sets a field. An existing field of that name keeps its position; a new one is appended.
     pub(crate) fn set(&mut self, name: &str, value: &'a RawValue) {
         self.set_value(name, FieldValue::Raw(value));
     }
 
-    /// Sets a field that is an array.
+    /// Sets a field to an array of items.
     pub(crate) fn set_array(&mut self, name: &str, items: Vec<&'a RawValue>) {
         self.set_value(name, FieldValue::Array(items));
     }
 
-    /// The object as JSON.
+    /// Formats the object as JSON.
     pub(crate) fn to_text(&self) -> String {
         let fields: Vec<String> = self
             .0
@@ -76,6 +76,7 @@
 }
 
 impl<'a> FieldValue<'a> {
+    /// The original text of the value, unless it is null or was set to an array.
     fn as_written(&self) -> Option<&'a RawValue> {
         match self {
             FieldValue::Raw(value) if value.get() != "null" => Some(value),
@@ -94,11 +95,12 @@
     }
 }
 
+/// Formats a field name as a JSON string.
 fn quoted(name: &str) -> String {
     serde_json::Value::from(name).to_string()
 }
 
-/// Parses the fields in their order; of two with one name the last counts, as everywhere in JSON.
+/// Parses the fields in their order. If a name occurs twice, the last value is used, as is usual in JSON.
 impl<'de: 'a, 'a> Deserialize<'de> for RawObject<'a> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<RawObject<'a>, D::Error> {
         deserializer.deserialize_map(ObjectVisitor)
--- a/crates/serving/configuration/src/route_table.rs
+++ b/crates/serving/configuration/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Lookups of the data plane: the route of a request, a service by its name.
+//! Lookups of routes and services by the data plane.
 
 use crate::{
     model::{Model, PlacedRoute},
@@ -6,11 +6,11 @@
 };
 use std::{collections::BTreeMap, rc::Rc};
 
-/// The routes and services of one configuration, indexed.
+/// The routes and services of one configuration, indexed for lookups.
 #[derive(Debug)]
 pub struct RouteTable {
     generation: u64,
-    /// By name in lower case.
+    /// Hosts by their names in lower case.
     hosts: BTreeMap<String, Host>,
     services: BTreeMap<String, Rc<Service>>,
     limits: Limits,
@@ -20,71 +20,72 @@
 #[derive(Debug, Default)]
 struct Host {
     routes: BTreeMap<String, Rc<Route>>,
+    /// Length of the longest path prefix in bytes.
     longest_prefix: usize,
 }
 
 impl RouteTable {
-    /// The table of a validated configuration.
+    /// Creates the table of a validated configuration.
     #[must_use]
     pub fn new(document: &Document) -> RouteTable {
-        // A document was parsed before it became one, and parses the same each time.
-        RouteTable::of(parser::parse_accepted(document.json()).unwrap_or_default())
+        // A document's text was parsed successfully before, so parsing it again cannot fail.
+        RouteTable::from_model(parser::parse_accepted(document.json()).unwrap_or_default())
     }
 
-    /// The table before any configuration: no routes, no services.
+    /// Creates a table without routes and services, for use before the first configuration.
     #[must_use]
     pub fn empty() -> RouteTable {
-        RouteTable::of(Model::default())
+        RouteTable::from_model(Model::default())
     }
 
-    /// The table of the text of a configuration that was accepted before, as [`Document::from_accepted`], parsed only
-    /// once.
+    /// Creates the table from the text of a configuration that was accepted before. Equivalent to a table of
+    /// [`Document::from_accepted`], but parses the text only once.
     ///
     /// # Errors
     ///
-    /// The finding, if it is not JSON.
+    /// A finding, if the text is not JSON.
     pub fn from_accepted(json: &str) -> Result<RouteTable, Findings> {
-        Ok(RouteTable::of(parser::parse_accepted(json)?))
+        Ok(RouteTable::from_model(parser::parse_accepted(json)?))
     }
 
-    /// The number that the operator gave to the configuration.
+    /// The generation number that the operator assigned to the configuration.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The route for a request: of the routes for `host`, which may have a port, the one with the longest prefix of
-    /// `path`. A query behind the path is ignored.
+    /// The route for a request: among the routes of `host`, the one with the longest prefix that matches `path`. `host`
+    /// may include a port, and a query after the path is ignored.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
-        let host = self.host(host)?;
+        let host = self.find_host(host)?;
         let path = path.split_once('?').map_or(path, |(path, _query)| path);
-        host.longest(path)
+        host.find_longest_prefix(path)
     }
 
-    /// A service by its name.
+    /// The service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Rc<Service>> {
         self.services.get(name)
     }
 
-    /// All services, by name.
+    /// All services, in order of their names.
     pub fn services(&self) -> impl Iterator<Item = &Rc<Service>> {
         self.services.values()
     }
 
-    /// All routes, by host and prefix.
+    /// All routes, in order of host and prefix.
     pub fn routes(&self) -> impl Iterator<Item = &Rc<Route>> {
         self.hosts.values().flat_map(|host| host.routes.values())
     }
 
-    /// The limits of clients.
+    /// The limits on clients' requests and connections.
     #[must_use]
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    fn of(model: Model) -> RouteTable {
+    fn from_model(model: Model) -> RouteTable {
         let mut hosts: BTreeMap<String, Host> = BTreeMap::new();
         for placed in model.routes {
             let PlacedRoute {
@@ -103,17 +104,17 @@
         }
     }
 
-    /// The routes of the host in a `Host` header. A host that is configured with a port takes precedence over the same
-    /// one without.
-    fn host(&self, named: &str) -> Option<&Host> {
+    /// The routes for the value of a `Host` header. A host that is configured with the port takes precedence over the
+    /// same host without a port.
+    fn find_host(&self, header: &str) -> Option<&Host> {
         let found = self
             .hosts
-            .get(named)
-            .or_else(|| self.hosts.get(without_port(named)));
-        if found.is_some() || !named.bytes().any(|byte| byte.is_ascii_uppercase()) {
+            .get(header)
+            .or_else(|| self.hosts.get(without_port(header)));
+        if found.is_some() || !header.bytes().any(|byte| byte.is_ascii_uppercase()) {
             return found;
         }
-        let lower = named.to_ascii_lowercase();
+        let lower = header.to_ascii_lowercase();
         self.hosts
             .get(&lower)
             .or_else(|| self.hosts.get(without_port(&lower)))
@@ -126,10 +127,10 @@
         self.routes.insert(path_prefix, Rc::new(route));
     }
 
-    /// The route with the longest prefix of `path`. Every prefix ends with a slash, so only the slashes of the path are
-    /// candidates, from the last on, and none beyond the longest prefix: that bounds the work for long paths full of
-    /// slashes.
-    fn longest(&self, path: &str) -> Option<&Rc<Route>> {
+    /// The route with the longest prefix that matches `path`. Prefixes end with a slash, so the search tries each slash
+    /// of the path from the last one back. It starts at the length of the longest prefix, which bounds the work for
+    /// long paths full of slashes.
+    fn find_longest_prefix(&self, path: &str) -> Option<&Rc<Route>> {
         let mut end = path.len().min(self.longest_prefix);
         while let Some(slash) = path.as_bytes()[..end]
             .iter()
@@ -144,7 +145,7 @@
     }
 }
 
-/// A host without the port behind it; an IPv6 address keeps the colons in its brackets.
+/// Removes the port from a host. An IPv6 address in brackets keeps its colons.
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/crates/serving/configuration/src/validation.rs
+++ b/crates/serving/configuration/src/validation.rs
@@ -1,4 +1,4 @@
-//! The invariants between the items of a configuration.
+//! Validation of the invariants between the items of a configuration.
 
 use crate::{
     draft::Draft,
@@ -8,7 +8,7 @@
 };
 use std::collections::{HashMap, HashSet};
 
-/// Validates what was parsed. Names and values that could not be parsed are findings already and are skipped.
+/// Validates a draft. Names and values that could not be parsed already are findings and are skipped.
 pub(crate) fn validate(draft: &Draft, findings: &mut Findings) {
     let route_names = draft
         .routes
@@ -25,7 +25,7 @@
     validate_service_names(&draft.routes, &draft.services, findings);
 }
 
-/// No two items of an array have one name: a patch could not distinguish them.
+/// Checks that the names in an array are unique, because patches identify items by name.
 fn validate_names<'a>(
     array: &str,
     names: impl Iterator<Item = Option<&'a str>>,
@@ -47,14 +47,14 @@
     }
 }
 
-/// Every prefix begins and ends with a slash.
+/// Checks that every path prefix begins and ends with a slash.
 fn validate_prefixes(routes: &[Option<PlacedRoute>], findings: &mut Findings) {
     let array = Location::Top.field("routes");
     for (index, route) in routes.iter().enumerate() {
         let Some(route) = route else { continue };
         let prefix = route.path_prefix.as_str();
-        let bounded = prefix.starts_with('/') && prefix.ends_with('/');
-        if !prefix.is_empty() && !bounded {
+        let has_slashes = prefix.starts_with('/') && prefix.ends_with('/');
+        if !prefix.is_empty() && !has_slashes {
             findings.add(
                 array.item(index).field("path_prefix"),
                 "doesn't begin and end with a slash",
@@ -63,7 +63,7 @@
     }
 }
 
-/// No two routes have the same host and prefix: a request would match both.
+/// Checks that no two routes have the same host and prefix, because a request would match both.
 fn validate_distinct_routes(routes: &[Option<PlacedRoute>], findings: &mut Findings) {
     let array = Location::Top.field("routes");
     let mut first_uses = HashMap::new();
@@ -81,7 +81,7 @@
     }
 }
 
-/// Every service that a route names is configured, those of weight 0 included.
+/// Checks that every service that a route names is configured, including services of weight 0.
 fn validate_service_names(
     routes: &[Option<PlacedRoute>],
     services: &[Option<Service>],
--- a/crates/serving/configuration/tests/encoding.rs
+++ b/crates/serving/configuration/tests/encoding.rs
@@ -1,22 +1,22 @@
-//! The bytes of documents and findings inside other messages: they go between processes of different versions and onto
-//! disks, by position and order, so no field may move. The files under `encoding/` hold what the version before the
-//! renaming wrote.
+//! Checks the encoding of documents and findings inside other messages. Processes of different versions exchange and
+//! store these bytes, which depend on the order of fields. The files under `encoding/` hold the expected bytes.
 
 use dunespur_configuration::{Document, Finding, Findings};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
-/// Checks that a value is written as the fixture says, and read back from those bytes.
+/// Checks that a value encodes to the fixture's bytes, and that those bytes decode to the value.
 fn assert_encoded<T>(fixture: &str, value: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
     let fixture = fixture.trim_end();
-    let bytes = postcard::to_stdvec(value).expect("a value is written");
+    let bytes = postcard::to_stdvec(value).expect("the value is encodable");
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, fixture);
-    let read: T = postcard::from_bytes(&from_hex(fixture)).expect("a value is read");
-    assert_eq!(read, *value);
+    let decoded: T =
+        postcard::from_bytes(&from_hex(fixture)).expect("the fixture's bytes are decodable");
+    assert_eq!(decoded, *value);
 }
 
 fn from_hex(text: &str) -> Vec<u8> {
--- a/crates/serving/configuration/tests/fixtures.rs
+++ b/crates/serving/configuration/tests/fixtures.rs
@@ -1,8 +1,8 @@
-//! Fixtures of configurations: good ones are accepted and read back as received, bad ones are rejected with all of
-//! their findings, patches have the expected results.
+//! Runs configurations and patches from fixture files.
 //!
-//! `good/NAME.json` is accepted. `bad/NAME.json` has the findings in `bad/NAME.findings`. A folder `patches/NAME/` has
-//! `current.json`, `patch.json`, and the result: `result.json` or `result.findings`.
+//! `good/NAME.json` is accepted and returned as received. `bad/NAME.json` is rejected with the findings in
+//! `bad/NAME.findings`. In `patches/NAME/`, applying `patch.json` to `current.json` has the result `result.json`, or
+//! the findings `result.findings`.
 
 use datatest_stable::{harness, Result};
 use dunespur_configuration::{Document, RouteTable};
@@ -12,7 +12,11 @@
 fn good(path: &Path) -> Result<()> {
     let received = fs::read_to_string(path)?;
     let document = Document::replace(received.as_bytes())?;
-    assert_eq!(document.to_json(), received, "read back as received");
+    assert_eq!(
+        document.to_json(),
+        received,
+        "the configuration is returned as received"
+    );
     let value: Value = serde_json::from_str(&received)?;
     assert_eq!(
         value["generation"].as_f64(),
@@ -23,24 +27,30 @@
     assert_eq!(table.generation(), document.generation());
     for service in value["services"].as_array().into_iter().flatten() {
         let name = service["name"].as_str().expect("a service has a name");
-        assert_eq!(table.service(name).expect("a service is found").name, name);
+        assert_eq!(
+            table
+                .service(name)
+                .expect("the service is in the table")
+                .name,
+            name
+        );
     }
     for route in value["routes"].as_array().into_iter().flatten() {
         let host = route["host"].as_str().expect("a route has a host");
         let prefix = route["path_prefix"].as_str().expect("a route has a prefix");
         let found = table
             .find(host, &format!("{prefix}rest"))
-            .expect("a route is found");
+            .expect("a route matches the path");
         assert_eq!(
             found.name, route["name"],
-            "the route of the longest prefix is found"
+            "another route matches a path below the prefix {prefix}"
         );
     }
     Ok(())
 }
 
 fn bad(path: &Path) -> Result<()> {
-    let findings = Document::replace(&fs::read(path)?).expect_err("rejected");
+    let findings = Document::replace(&fs::read(path)?).expect_err("the configuration is invalid");
     let expected = fs::read_to_string(path.with_extension("findings"))?;
     assert_eq!(findings.to_string(), expected.trim_end());
     Ok(())
--- a/crates/serving/configuration/tests/properties.rs
+++ b/crates/serving/configuration/tests/properties.rs
@@ -1,6 +1,6 @@
-//! Properties of every configuration and patch, checked on seeded random ones: damaged text is never accepted, a patch
-//! has the result of a plain model of it, untouched items stay byte for byte, and the route found is the one that a
-//! search through all routes finds.
+//! Properties of configurations and patches, checked with seeded random inputs: truncated text is rejected, damaged
+//! bytes never cause a panic, a patch has the same result as a simple reference implementation, unchanged items keep
+//! their bytes, and a lookup finds the same route as a search through all routes.
 
 use dunespur_configuration::{Document, RouteTable};
 use fastrand::Rng;
@@ -9,7 +9,7 @@
 const SEEDS: u64 = 300;
 const PAGE: &str = include_str!("good/page.json");
 
-/// Segments of paths and prefixes, few enough that they match.
+/// Segments of paths and prefixes, few enough that random paths and prefixes often match.
 const SEGMENTS: [&str; 4] = ["a", "b", "ab", "ñ"];
 
 fn name(random: &mut Rng) -> String {
@@ -37,7 +37,7 @@
     })
 }
 
-/// Routes of different names, hosts and prefixes.
+/// Routes with distinct names and distinct pairs of host and prefix.
 fn routes(random: &mut Rng) -> Vec<Value> {
     let mut routes: Vec<Value> = Vec::new();
     for index in 0..random.usize(0..12) {
@@ -58,7 +58,7 @@
     Document::replace(value.to_string().as_bytes()).expect("a valid configuration")
 }
 
-/// An item of an array; a route may be invalid.
+/// An item to upsert into an array. Routes may be invalid.
 fn patch_item(random: &mut Rng, array: &str, name: String) -> Value {
     if array != "routes" {
         return json!({ "name": name, "x": random.u32(0..9) });
@@ -68,7 +68,7 @@
     route
 }
 
-/// A patch of the known arrays and of an unknown one.
+/// A patch of known arrays and an unknown one.
 fn patch(random: &mut Rng) -> Value {
     let mut upsert = Map::new();
     let mut remove = Map::new();
@@ -91,8 +91,8 @@
     json!({ "generation": random.u32(2..100), "upsert": upsert, "remove": remove })
 }
 
-/// What the page says a patch does, on plain values.
-fn patched(current: &Value, patch: &Value) -> Value {
+/// Reference implementation of patches, on parsed JSON values.
+fn reference_result(current: &Value, patch: &Value) -> Value {
     let mut result = current.clone();
     result["generation"] = patch["generation"].clone();
     for (array, names) in patch["remove"].as_object().expect("an object") {
@@ -113,7 +113,7 @@
             }
         }
     }
-    // An array that only lost names and never existed stays absent.
+    // An array that does not exist and only has removals stays absent.
     result
         .as_object_mut()
         .expect("an object")
@@ -124,14 +124,15 @@
 #[test]
 fn a_truncated_configuration_is_rejected() {
     for end in 0..PAGE.trim_end().len() {
-        let findings = Document::replace(&PAGE.as_bytes()[..end]).expect_err("rejected");
+        let findings =
+            Document::replace(&PAGE.as_bytes()[..end]).expect_err("truncated text is invalid");
         assert_eq!(findings.0.len(), 1);
         assert_eq!(findings.0[0].location, "configuration");
     }
 }
 
 #[test]
-fn damaged_bytes_never_panic_and_valid_ones_are_read_back_as_received() {
+fn damaged_bytes_never_panic_and_valid_ones_are_returned_as_received() {
     let current = Document::replace(PAGE.as_bytes()).expect("a valid configuration");
     for seed in 0..20 * SEEDS {
         let mut random = Rng::with_seed(seed);
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn a_patch_does_what_the_plain_model_says() {
+fn a_patch_has_the_result_of_the_reference_implementation() {
     let (mut accepted, mut rejected) = (0, 0);
     for seed in 0..SEEDS {
         let mut random = Rng::with_seed(seed);
@@ -164,7 +165,7 @@
         let mut current = configuration(1, routes);
         for _ in 0..20 {
             let patch = patch(&mut random);
-            let expected = patched(&current, &patch);
+            let expected = reference_result(&current, &patch);
             match document(&current).patch(patch.to_string().as_bytes()) {
                 Ok(result) => {
                     let result: Value = serde_json::from_str(&result.to_json()).expect("JSON");
@@ -174,7 +175,7 @@
                 }
                 Err(findings) => {
                     let replaced = Document::replace(expected.to_string().as_bytes())
-                        .expect_err("rejected as a replacement as well");
+                        .expect_err("a replacement by the expected result is rejected too");
                     assert_eq!(findings, replaced, "seed {seed}");
                     rejected += 1;
                 }
@@ -183,15 +184,16 @@
     }
     assert!(
         accepted > 1_000 && rejected > 1_000,
-        "both are tried: {accepted} {rejected}"
+        "too few patches of a kind: {accepted} accepted, {rejected} rejected"
     );
 }
 
 #[test]
-fn a_patch_leaves_what_it_does_not_name_byte_for_byte() {
-    let odd = r#"{ "name" : "odd", "ratio": 1.10e0, "big": 123456789012345678901234567890, "t": "\u00f1" }"#;
-    let text =
-        format!(r#"{{"generation":1, "keys" : [ {odd} , {{"name":"n1"}} ], "other": {odd} }}"#);
+fn a_patch_keeps_the_bytes_of_items_that_it_does_not_name() {
+    let unusual_item = r#"{ "name" : "odd", "ratio": 1.10e0, "big": 123456789012345678901234567890, "t": "\u00f1" }"#;
+    let text = format!(
+        r#"{{"generation":1, "keys" : [ {unusual_item} , {{"name":"n1"}} ], "other": {unusual_item} }}"#
+    );
     let mut document = Document::replace(text.as_bytes()).expect("a valid configuration");
     for generation in 2..50 {
         let patch = format!(
@@ -199,14 +201,14 @@
         );
         document = document.patch(patch.as_bytes()).expect("a valid patch");
         let expected = format!(
-            r#"{{"generation":{generation},"keys":[{odd},{{"name":"n1","v":{generation}}}],"other":{odd}}}"#
+            r#"{{"generation":{generation},"keys":[{unusual_item},{{"name":"n1","v":{generation}}}],"other":{unusual_item}}}"#
         );
         assert_eq!(document.to_json(), expected);
     }
 }
 
 #[test]
-fn the_route_found_is_the_one_a_search_through_all_finds() {
+fn a_lookup_finds_the_same_route_as_a_search_through_all() {
     let mut found = 0;
     for seed in 0..SEEDS {
         let mut random = Rng::with_seed(seed);
@@ -233,5 +235,5 @@
             found += usize::from(expected.is_some());
         }
     }
-    assert!(found > 1_000, "{found}");
+    assert!(found > 1_000, "only {found} lookups matched a route");
 }
--- a/crates/serving/configuration/tests/route_table.rs
+++ b/crates/serving/configuration/tests/route_table.rs
@@ -21,12 +21,13 @@
     ))
 }
 
+/// The name of the route that a lookup finds.
 fn found<'a>(table: &'a RouteTable, host: &str, path: &str) -> Option<&'a str> {
     table.find(host, path).map(|route| route.name.as_str())
 }
 
 #[test]
-fn the_longest_prefix_goes_first() {
+fn the_longest_prefix_takes_precedence() {
     let table = routes(&[
         route("all", "h.example", "/"),
         route("a", "h.example", "/a/"),
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn what_no_route_takes_is_not_found() {
+fn a_request_that_matches_no_route_is_not_found() {
     let table = routes(&[route("a", "h.example", "/a/")]);
     assert_eq!(found(&table, "h.example", "/b/"), None);
     assert_eq!(found(&table, "h.example", "/a"), None);
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn a_host_may_carry_a_port_and_be_in_any_case() {
+fn a_host_may_have_a_port_and_any_case() {
     let table = routes(&[route("a", "H.Example", "/a/"), route("v6", "[::1]", "/a/")]);
     for host in [
         "h.example",
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn a_host_configured_with_a_port_goes_first() {
+fn a_host_configured_with_a_port_takes_precedence() {
     let table = routes(&[
         route("plain", "h.example", "/a/"),
         route("port", "h.example:81", "/a/"),
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn a_path_of_many_slashes_and_one_of_long_characters_are_searched() {
+fn paths_of_many_slashes_and_multi_byte_characters_are_matched() {
     let table = routes(&[
         route("a", "h.example", "/añil/"),
         route("all", "h.example", "/"),
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn what_a_route_leaves_out_has_a_default() {
+fn omitted_fields_of_a_route_have_defaults() {
     let table = routes(&[route("a", "h", "/a/")]);
     let route = table.find("h", "/a/").expect("a route");
     assert_eq!(
@@ -191,7 +192,7 @@
     Route::clone(table(&json).find("h", "/").expect("a route"))
 }
 
-/// How many of evenly spread draws fall to each of the three services.
+/// The number of evenly distributed draws that select each of the three services.
 fn counts(route: &Route) -> [u64; 3] {
     let mut counts = [0; 3];
     for step in 0..DRAWS {
@@ -199,7 +200,7 @@
         let position = ["s", "t", "u"]
             .iter()
             .position(|name| *name == route.backend(draw));
-        counts[position.expect("a service of the route")] += 1;
+        counts[position.expect("the chosen service belongs to the route")] += 1;
     }
     counts
 }
@@ -258,7 +259,7 @@
 }
 
 #[test]
-fn an_event_has_a_token_at_least() {
+fn an_event_has_at_least_one_token() {
     let table = table(
         r#"{"generation":1,"services":[{"name":"a","engine":{"chunk_tokens":0}},{"name":"b","engine":{}}]}"#,
     );
@@ -273,8 +274,8 @@
 }
 
 #[test]
-fn limits_left_out_have_defaults() {
-    let given = table(
+fn omitted_limits_have_defaults() {
+    let complete = table(
         r#"{"generation":1,"limits":{"max_header_bytes":1,"max_body_bytes":2,"header_timeout_ms":3,"idle_timeout_ms":4}}"#,
     );
     let all = Limits {
@@ -283,10 +284,10 @@
         header_timeout_ms: 3,
         idle_timeout_ms: 4,
     };
-    assert_eq!(given.limits(), all);
-    let some = table(r#"{"generation":1,"limits":{"idle_timeout_ms":4}}"#);
+    assert_eq!(complete.limits(), all);
+    let partial = table(r#"{"generation":1,"limits":{"idle_timeout_ms":4}}"#);
     assert_eq!(
-        some.limits(),
+        partial.limits(),
         Limits {
             idle_timeout_ms: 4,
             ..Limits::default()
@@ -296,31 +297,31 @@
 }
 
 #[test]
-fn what_was_taken_before_stays_in_force_whatever_is_checked_now() {
+fn an_accepted_configuration_stays_in_force_without_validation() {
     let json = r#"{"generation":7,"services":[{"name":"s","max_conns":"many"}],"routes":[
         {"name":"r","host":"h","path_prefix":"/a/","kind":"read_only","timeout_ms":9,"backend":"gone","priority":"high"},
         {"name":"r","host":"h","path_prefix":"/b/","kind":"read_only","timeout_ms":0,"backend":"s"},
         {"name":"q","host":"h","path_prefix":"/c/","kind":"read_only","timeout_ms":9,"backends":[]}]}"#;
     assert!(Document::replace(json.as_bytes()).is_err());
-    let document = Document::from_accepted(json).expect("a configuration that can be read");
+    let document = Document::from_accepted(json).expect("the configuration is valid JSON");
     assert_eq!(
         (document.generation(), document.to_json().as_str()),
         (7, json)
     );
-    let one = RouteTable::new(&document);
-    let other = RouteTable::from_accepted(json).expect("a configuration that can be read");
-    for table in [one, other] {
+    let from_document = RouteTable::new(&document);
+    let from_text = RouteTable::from_accepted(json).expect("the configuration is valid JSON");
+    for table in [from_document, from_text] {
         assert_eq!(table.generation(), 7);
         assert_eq!(found(&table, "h", "/a/"), Some("r"));
         assert_eq!(
             found(&table, "h", "/b/"),
             None,
-            "a route that can't be used is left out"
+            "a route with a timeout of 0 is in the table"
         );
         assert_eq!(
             found(&table, "h", "/c/"),
             None,
-            "a route that can't be used is left out"
+            "a route without services is in the table"
         );
         assert!(table.service("s").is_some());
     }
