--- a/crates/serving/control-state/src/accepted_requests.rs
+++ b/crates/serving/control-state/src/accepted_requests.rs
@@ -1,18 +1,18 @@
-//! The configuration requests that were accepted, so that one that is repeated is acknowledged again.
+//! Records accepted configuration requests, so that a repeated request is acknowledged again.
 
 use crate::{ConfigurationRequest, ConfigurationRequestKind};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::Xxh3;
 
-/// How many accepted requests are recorded: those of twelve days of 5,200 changes each.
+/// Maximum number of recorded requests: twelve days at 5,200 changes a day.
 const MAX_ACCEPTED: usize = 65_536;
 
-/// The accepted requests, by the generation that each builds on. Generations only rise, so at most one request was
-/// ever accepted on each.
+/// The accepted requests, by the generation that each builds on. Generations only increase, so at most one request was
+/// accepted on each generation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct AcceptedRequests {
-    /// In the order of acceptance, which is that of their generations.
+    /// In the order of acceptance, which is also the order of base generations.
     requests: VecDeque<AcceptedRequest>,
     /// The newest base generation whose request was evicted.
     newest_evicted: Option<u64>,
@@ -24,18 +24,18 @@
     content: ContentHash,
 }
 
-/// What is recorded of a request.
+/// The recorded decision on a request.
 pub(crate) enum PriorDecision {
-    /// This very request was accepted.
+    /// This exact request was accepted.
     Accepted,
-    /// It was not accepted.
+    /// No request with this content was accepted on the base generation.
     NotAccepted,
-    /// It builds on a generation whose record was evicted.
+    /// The record for the base generation was evicted.
     Unknown,
 }
 
 impl AcceptedRequests {
-    /// What is recorded of a request.
+    /// Returns the recorded decision on a request.
     pub(crate) fn prior_decision(&self, request: &ConfigurationRequest) -> PriorDecision {
         let found = self
             .requests
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Records a request that was just accepted.
+    /// Records an accepted request and evicts the oldest record if there are too many.
     pub(crate) fn record(&mut self, request: &ConfigurationRequest) {
         self.requests.push_back(AcceptedRequest {
             base: request.base,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Identifies the kind and body of a request. Not cryptographic: operators don't craft collisions against themselves.
+/// A hash of a request's kind and body. Not cryptographic, because operators gain nothing from a collision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ContentHash(u64);
 
--- a/crates/serving/control-state/src/change.rs
+++ b/crates/serving/control-state/src/change.rs
@@ -1,41 +1,41 @@
 //! Changes of the control state, as subscribers receive them.
 //!
-//! They are encoded by position and variant order: neither may change.
+//! The encoding depends on the order of fields and variants, so neither may change.
 
 use crate::ServerReport;
 use dunespur_turn_replication::membership::StoreEntry;
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, sync::Arc};
 
-/// One change of the control state. Each replaces an earlier one of the same item.
+/// One change of the control state. It replaces any earlier change of the same item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// Another configuration is current.
+    /// A new configuration is current.
     Configuration {
-        /// Its generation.
+        /// The configuration's generation.
         generation: u64,
-        /// The complete document.
+        /// The complete configuration as JSON.
         json: Arc<str>,
     },
     /// A server was registered, or its registration changed.
     Server(ServerReport),
-    /// A server deregistered, expired or was replaced at its address.
+    /// A server deregistered, its registration expired, or another server took its address.
     ServerRemoved {
-        /// Its id.
+        /// The server's id.
         id: String,
     },
     /// A store was registered, or its state changed.
     Store(StoreEntry),
     /// A retired store was decommissioned, or an absent one was evicted.
     StoreRemoved {
-        /// Its name.
+        /// The store's name.
         name: String,
     },
-    /// A gateway is present, or its registration changed.
+    /// A gateway became present, or its registration changed.
     Gateway(GatewayEntry),
     /// A gateway is no longer present.
     GatewayRemoved {
-        /// Its name.
+        /// The gateway's name.
         name: String,
     },
 }
@@ -45,10 +45,10 @@
 pub struct GatewayEntry {
     /// The machine's name.
     pub name: String,
-    /// Its failure domain.
+    /// The gateway's failure domain.
     pub zone: String,
-    /// Where other processes of the system reach it.
+    /// The address at which other processes of the system reach the gateway.
     pub address: SocketAddr,
-    /// The incarnation of its process.
+    /// The incarnation of the gateway's process.
     pub incarnation: u64,
 }
--- a/crates/serving/control-state/src/configuration.rs
+++ b/crates/serving/control-state/src/configuration.rs
@@ -1,20 +1,21 @@
-//! The operator's configuration and the requests that made it.
+//! The operator's configuration and the processing of configuration requests.
 
 use crate::{
     accepted_requests::{AcceptedRequests, PriorDecision},
-    fenced_generations::{FencedGenerations, Recording},
+    fenced_generations::{FencedGenerations, RejectionRecord},
     safeguards::{Safeguard, Safeguards},
     Change, ConfigurationRequest, ConfigurationRequestKind, Outcome,
 };
 use dunespur_configuration::{Document, Findings};
 use serde::{Deserialize, Serialize};
 
-/// The current configuration.
+/// The current configuration and the records that make configuration requests idempotent.
 ///
-/// Of two requests on one generation the first wins, and the other conflicts. An accepted request is acknowledged
-/// whenever it is repeated, also when others were accepted since: its first acknowledgement may be lost. A rejected
-/// request is accepted later only by a call made since: requests on an earlier generation, or invalid on the current
-/// one, can never be accepted anyhow, and those on a generation that is not reached yet are fenced.
+/// Of two requests on the same generation the first is accepted and the second conflicts. A repeated request that was
+/// accepted before is acknowledged again, even if others were accepted since, because its first acknowledgement may
+/// have been lost. A rejected request can be accepted later only by a call made after the rejection. A request on an
+/// earlier generation, or one that is invalid on the current generation, can never be accepted; a request on a future
+/// generation is fenced.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Configuration {
     current: Option<Document>,
@@ -28,7 +29,7 @@
         self.current.as_ref()
     }
 
-    /// Applies a request, if it may be accepted.
+    /// Applies a configuration request and returns whether it was accepted.
     pub(crate) fn apply(
         &mut self,
         request: &ConfigurationRequest,
@@ -47,16 +48,16 @@
         if request.base < current && safeguards.has(Safeguard::FirstWriterWins) {
             return Outcome::GenerationConflict { current };
         }
-        if let Some(fencing_token) = self.missing_token(request, safeguards) {
+        if let Some(fencing_token) = self.required_token(request, safeguards) {
             return Outcome::Fenced { fencing_token };
         }
-        match self.result(request) {
+        match self.resulting_document(request) {
             Ok(document) => self.accept(request, document, changes),
             Err(findings) => Outcome::Invalid(findings),
         }
     }
 
-    /// The changes that a new subscriber needs.
+    /// The change that brings a new subscriber up to date, if there is a configuration.
     pub(crate) fn initial_changes(&self) -> Option<Change> {
         let document = self.current.as_ref()?;
         Some(Change::Configuration {
@@ -65,7 +66,7 @@
         })
     }
 
-    /// Removes the record of accepted requests: what [`Safeguard::AcceptedRequestsInSnapshot`] prevents.
+    /// Discards the record of accepted requests. Used only without [`Safeguard::AcceptedRequestsInSnapshot`].
     pub(crate) fn discard_accepted_requests(&mut self) {
         self.accepted = AcceptedRequests::default();
     }
@@ -74,26 +75,30 @@
         self.current.as_ref().map_or(0, Document::generation)
     }
 
-    /// Rejects a request on a generation that is not reached yet.
+    /// Rejects a request on a future generation.
     fn reject_future(&mut self, base: u64) -> Outcome {
         match self.fenced.record_rejection(base) {
-            Recording::Recorded => Outcome::GenerationConflict {
+            RejectionRecord::Recorded => Outcome::GenerationConflict {
                 current: self.generation(),
             },
-            Recording::AtCapacity => Outcome::Undetermined,
+            RejectionRecord::AtCapacity => Outcome::Undetermined,
         }
     }
 
-    /// The token that a request would have to carry and does not.
-    fn missing_token(&self, request: &ConfigurationRequest, safeguards: Safeguards) -> Option<u64> {
+    /// The fencing token that the request must contain, if its own token is older.
+    fn required_token(
+        &self,
+        request: &ConfigurationRequest,
+        safeguards: Safeguards,
+    ) -> Option<u64> {
         self.fenced
             .token(request.base)
             .filter(|_| safeguards.has(Safeguard::RejectionsFenced))
             .filter(|token| request.fencing_token < *token)
     }
 
-    /// The configuration that a request on the current one makes.
-    fn result(&self, request: &ConfigurationRequest) -> Result<Document, Findings> {
+    /// The configuration that results from applying a request to the current configuration.
+    fn resulting_document(&self, request: &ConfigurationRequest) -> Result<Document, Findings> {
         let document = match (request.kind, &self.current) {
             (ConfigurationRequestKind::Replace, _) => Document::replace(&request.body)?,
             (ConfigurationRequestKind::Patch, Some(current)) => current.patch(&request.body)?,
--- a/crates/serving/control-state/src/departed.rs
+++ b/crates/serving/control-state/src/departed.rs
@@ -1,59 +1,60 @@
-//! The record of servers that are no longer present, so that late reports don't bring them back.
+//! Records servers that are no longer present, so that late reports do not register them again.
 
 use crate::ServerState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How many departures are recorded. Bounds memory against servers that come and go without end, and callers that
-/// invent ids: the earliest departures are evicted.
+/// Maximum number of recorded departures. Beyond it, the earliest departure is evicted, which bounds memory against
+/// endless restarts of servers and callers that invent ids.
 const MAX_DEPARTED: usize = 4_096;
 
 /// How a server departed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Departure {
-    /// It deregistered: no later report of it counts.
+    /// The server deregistered; no later report of it has any effect.
     Left,
-    /// Its registration expired, or another server took its address. A newer report brings it back.
+    /// The server's registration expired, or another server took its address. A newer report makes it present again.
     Inactive {
-        /// The sequence number of its last report that counted.
+        /// The sequence number up to which reports of the server are ignored.
         sequence: u64,
-        /// Its state then; draining is final.
+        /// The server's last state. Draining is final.
         state: ServerState,
     },
 }
 
-/// The servers that departed, by id.
+/// Departed servers, by id.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Departed {
-    servers: BTreeMap<String, Entry>,
+    servers: BTreeMap<String, DepartedServer>,
     next_number: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Entry {
+struct DepartedServer {
     departure: Departure,
-    /// Rises with each departure.
+    /// Increases with each departure; the lowest number is evicted first.
     number: u64,
 }
 
 impl Departed {
-    /// How a server departed, if that is recorded.
+    /// The recorded departure of a server, if any.
     pub(crate) fn get(&self, id: &str) -> Option<&Departure> {
         self.servers.get(id).map(|entry| &entry.departure)
     }
 
-    /// Records a departure, in place of an earlier one of the same server.
+    /// Records a departure, replacing an earlier one of the same server.
     pub(crate) fn record(&mut self, id: &str, departure: Departure) {
         let number = self.next_number;
         self.next_number += 1;
         self.servers
-            .insert(id.to_owned(), Entry { departure, number });
+            .insert(id.to_owned(), DepartedServer { departure, number });
         if self.servers.len() > MAX_DEPARTED {
             self.evict_oldest();
         }
     }
 
-    /// Replaces what is recorded of a departure, if it is recorded; its age stays.
+    /// Replaces a recorded departure without changing its place in the order of eviction. Does nothing if none is
+    /// recorded.
     pub(crate) fn amend(&mut self, id: &str, departure: Departure) {
         if let Some(entry) = self.servers.get_mut(id) {
             entry.departure = departure;
--- a/crates/serving/control-state/src/fenced_generations.rs
+++ b/crates/serving/control-state/src/fenced_generations.rs
@@ -1,16 +1,16 @@
-//! The fencing tokens of future generations on which a configuration request was rejected.
+//! Fencing tokens of future generations on which configuration requests were rejected.
 //!
-//! Such a request could be accepted once its base generation is current, and duplicates of it may be in flight. On
-//! such a generation only calls are considered that carry the token of the newest rejection.
+//! A duplicate of such a rejected request may still be in flight, and could be accepted once its base generation is
+//! current. Requests on such a generation are therefore considered only with the token of the newest rejection.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How many future generations are recorded. Bounds memory against callers that invent generations: a request on
-/// another one gets no definite answer.
+/// Maximum number of recorded future generations. Requests on further ones get no definite answer, which bounds memory
+/// against callers that invent generations.
 const MAX_GENERATIONS: usize = 1_024;
 
-/// Rejections of requests on generations that were not reached yet.
+/// Recorded rejections of requests on future generations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FencedGenerations {
     rejections: u64,
@@ -18,32 +18,32 @@
     tokens: BTreeMap<u64, u64>,
 }
 
-/// Whether a rejection was recorded.
+/// Whether a rejection could be recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Recording {
-    /// It was: duplicates of the request are fenced.
+pub(crate) enum RejectionRecord {
+    /// The rejection was recorded; duplicates of the request are fenced.
     Recorded,
-    /// There is no capacity: the request must not be rejected definitely.
+    /// No capacity is left; the request must not get a definite rejection.
     AtCapacity,
 }
 
 impl FencedGenerations {
-    /// Records a rejection on a generation.
-    pub(crate) fn record_rejection(&mut self, base: u64) -> Recording {
+    /// Records the rejection of a request on a future generation.
+    pub(crate) fn record_rejection(&mut self, base: u64) -> RejectionRecord {
         if self.tokens.len() >= MAX_GENERATIONS && !self.tokens.contains_key(&base) {
-            return Recording::AtCapacity;
+            return RejectionRecord::AtCapacity;
         }
         self.rejections += 1;
         self.tokens.insert(base, self.rejections);
-        Recording::Recorded
+        RejectionRecord::Recorded
     }
 
-    /// The token that a call on this generation has to carry, if there is one.
+    /// The token that requests on this generation must contain, if any.
     pub(crate) fn token(&self, base: u64) -> Option<u64> {
         self.tokens.get(&base).copied()
     }
 
-    /// A generation has become current: no request on an earlier one can be accepted any more.
+    /// Discards tokens of generations below the new current one, because no request on them can be accepted.
     pub(crate) fn discard_below(&mut self, generation: u64) {
         self.tokens = self.tokens.split_off(&generation);
     }
--- a/crates/serving/control-state/src/gateways.rs
+++ b/crates/serving/control-state/src/gateways.rs
@@ -1,15 +1,15 @@
-//! The gateways: which are present, for one another, and how many, for the counters of budgets.
+//! The registered gateways. Gateways need to know each other, and budget counters need the number of present gateways.
 //!
-//! Each start of a gateway's process has a higher incarnation than the one before, which orders its reports.
+//! The incarnation of a gateway's process increases with each start and orders the gateway's reports.
 
 use crate::{Change, GatewayEntry, NodeReport};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How many absent gateways are recorded. Bounds memory against machines that are added and removed without end.
+/// Maximum number of recorded absent gateways. Bounds memory while machines are added and removed without end.
 const MAX_ABSENT: usize = 1_024;
 
-/// All gateways, by name.
+/// All recorded gateways, by name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Gateways {
     gateways: BTreeMap<String, Gateway>,
@@ -22,7 +22,7 @@
 }
 
 impl Gateway {
-    /// What subscribers see of it: nothing while it is absent.
+    /// The gateway as subscribers see it, or `None` while it is absent.
     fn entry(&self) -> Option<GatewayEntry> {
         self.present.then(|| GatewayEntry {
             name: self.report.name.clone(),
@@ -42,17 +42,17 @@
             .map(|gateway| &gateway.report)
     }
 
-    /// All recorded gateways, absent ones included.
+    /// All recorded gateways, including absent ones.
     pub(crate) fn recorded(&self) -> impl Iterator<Item = &NodeReport> {
         self.gateways.values().map(|gateway| &gateway.report)
     }
 
-    /// How many gateways are present.
+    /// The number of present gateways.
     pub(crate) fn count(&self) -> u32 {
         u32::try_from(self.present().count()).unwrap_or(u32::MAX)
     }
 
-    /// Applies a report, unless it is of an earlier incarnation.
+    /// Applies a gateway's report, unless it is from an earlier incarnation.
     pub(crate) fn report(&mut self, report: &NodeReport, changes: &mut Vec<Change>) {
         let known = self.gateways.get(&report.name);
         if known.is_none_or(|known| known.report.incarnation <= report.incarnation) {
@@ -64,7 +64,8 @@
         }
     }
 
-    /// The lease of an incarnation of a gateway expired.
+    /// Makes a gateway absent because the lease of this incarnation expired. Ignored if a newer incarnation has
+    /// reported.
     pub(crate) fn expire(&mut self, name: &str, incarnation: u64, changes: &mut Vec<Change>) {
         let Some(known) = self.gateways.get(name) else {
             return;
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The changes that a new subscriber needs.
+    /// The changes that bring a new subscriber up to date.
     pub(crate) fn initial_changes(&self) -> impl Iterator<Item = Change> + '_ {
         self.gateways
             .values()
@@ -86,7 +87,7 @@
             .map(Change::Gateway)
     }
 
-    /// The only transition of a gateway.
+    /// Replaces a gateway's record and publishes the change. All changes of a gateway go through this function.
     fn replace(&mut self, gateway: Gateway, changes: &mut Vec<Change>) {
         let name = gateway.report.name.clone();
         let after = gateway.entry();
--- a/crates/serving/control-state/src/lib.rs
+++ b/crates/serving/control-state/src/lib.rs
@@ -1,11 +1,11 @@
 //! The replicated state machine of the core: configuration, servers, gateways, stores and token budgets.
 //!
-//! Every core member applies the same committed [`Operation`]s in the same order to its [`ControlState`] and so
-//! reaches the same state. The result of an operation is its [`Outcome`]; what it changes for the data plane is a
-//! list of [`Change`]s for subscribers. There is no clock and no I/O: an operation that needs a time carries it.
+//! Every core member applies the same committed [`Operation`]s in the same order to its [`ControlState`], so all
+//! members reach the same state. Applying an operation returns its [`Outcome`] and the [`Change`]s that subscribers in
+//! the data plane receive. The state machine has no clock and no I/O: an operation that needs a time contains it.
 //!
-//! Delivery is at least once and unordered, as a sender repeats an operation until it is acknowledged. So each part
-//! of the state documents how it treats operations that are duplicated, reordered or late.
+//! Operations are delivered at least once and in any order, because a sender repeats an operation until it is
+//! acknowledged. Each part of the state documents how it treats duplicated, reordered and late operations.
 
 mod accepted_requests;
 mod change;
--- a/crates/serving/control-state/src/operation.rs
+++ b/crates/serving/control-state/src/operation.rs
@@ -1,6 +1,6 @@
 //! Operations: the commands of the replicated state machine.
 //!
-//! They are encoded by position and variant order, in messages and in the log: neither may change.
+//! Their encoding in messages and in the log depends on the order of fields and variants, so neither may change.
 
 use dunespur_budget::CounterRequest;
 use serde::{Deserialize, Serialize};
@@ -13,43 +13,43 @@
     Configure(ConfigurationRequest),
     /// A server registers or renews its registration.
     Server(ServerReport),
-    /// A server deregisters: it is about to end.
+    /// A server deregisters because it is about to exit.
     ServerLeft {
-        /// Its id.
+        /// The server's id.
         id: String,
     },
     /// A server's registration was not renewed in time.
     ServerExpired {
-        /// Its id.
+        /// The server's id.
         id: String,
-        /// The sequence number of its last report that the core received.
+        /// The sequence number of the last report that the core received from the server.
         last_sequence: u64,
     },
     /// A gateway or store registers or changes its registration.
     Node(NodeReport),
     /// The lease of a gateway or store was not renewed in time.
     NodeExpired {
-        /// Its name.
+        /// The node's name.
         name: String,
-        /// The incarnation of its process whose lease expired.
+        /// The incarnation of the node's process whose lease expired.
         incarnation: u64,
     },
-    /// The operator requests that a store is emptied, so that it can be decommissioned.
+    /// The operator requests that a store is retired: emptied, so that it can be decommissioned.
     RetireStart {
         /// The store's name.
         node: String,
-        /// How many stores may be lost at once; more than that have to remain.
+        /// The number of stores that may be lost at once. More stores than that must remain.
         tolerated_losses: u32,
-        /// The token of an earlier [`Outcome::Fenced`](crate::Outcome::Fenced), else 0.
+        /// The token from an earlier [`Outcome::Fenced`](crate::Outcome::Fenced), or 0 without one.
         fencing_token: u64,
     },
-    /// A store found that everything it holds is replicated elsewhere.
+    /// A retiring store reports that everything it holds is replicated elsewhere.
     RetireDone {
         /// The store's name.
         node: String,
-        /// The incarnation of its process that found so.
+        /// The incarnation of the store's process that reports.
         incarnation: u64,
-        /// The epoch in which it found so.
+        /// The epoch in which the store found that everything is replicated.
         epoch: u64,
     },
     /// A limiter's request to the counter of a program's budget.
@@ -61,12 +61,12 @@
 pub struct ConfigurationRequest {
     /// How the body is to be applied.
     pub kind: ConfigurationRequestKind,
-    /// The generation that it builds on, 0 for none.
+    /// The generation that the request builds on, or 0 for none.
     pub base: u64,
-    /// Its body, byte for byte.
+    /// The request's body, byte for byte.
     pub body: Vec<u8>,
-    /// The token of an earlier [`Outcome::Fenced`](crate::Outcome::Fenced), else 0. Not part of the request's
-    /// identity.
+    /// The token from an earlier [`Outcome::Fenced`](crate::Outcome::Fenced), or 0 without one. Requests that differ
+    /// only in the token count as the same request.
     pub fencing_token: u64,
 }
 
@@ -82,30 +82,31 @@
 /// A server's registration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerReport {
-    /// Identifies this start of the server; every start has another.
+    /// Identifies one start of the server; every start has a new id.
     pub id: String,
-    /// The service that it belongs to.
+    /// The service that the server belongs to.
     pub backend: String,
-    /// Where it accepts requests.
+    /// The address at which the server accepts requests.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The server's failure domain.
     pub zone: String,
-    /// Of its software.
+    /// The generation of the server's software.
     pub generation: String,
-    /// How many requests it runs at once.
+    /// Maximum number of requests that the server runs at once.
     pub slots: u32,
-    /// Whether it accepts requests.
+    /// Whether the server accepts requests.
     pub state: ServerState,
-    /// Rises with each report of one id.
+    /// Increases with each report of the same id.
     pub sequence: u64,
 }
 
-/// Whether a server accepts requests. The order matters: of two states the greater one is final.
+/// Whether a server accepts requests. Of two reported states the greater one takes effect, so the order of the variants
+/// matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerState {
-    /// It accepts requests.
+    /// The server accepts requests.
     Ready,
-    /// It completes its requests in flight and accepts no new ones. It never becomes ready again.
+    /// The server completes its requests in flight and accepts no new ones. It never becomes ready again.
     Draining,
 }
 
@@ -114,25 +115,25 @@
 pub struct NodeReport {
     /// The machine's name.
     pub name: String,
-    /// Gateway or store.
+    /// Whether the node is a gateway or a store.
     pub kind: NodeKind,
-    /// Its failure domain.
+    /// The node's failure domain.
     pub zone: String,
-    /// Where other processes of the system reach it.
+    /// The address at which other processes of the system reach the node.
     pub address: SocketAddr,
-    /// The incarnation of its process; rises with each start.
+    /// The incarnation of the node's process, which increases with each start.
     pub incarnation: u64,
-    /// Of a store: identifies the content of its disk; another number means that earlier content is lost.
+    /// For a store: identifies the content of its disk. A different number means that the earlier content is lost.
     pub disk: u64,
-    /// Of a store: it holds a replica of everything that it should hold.
+    /// For a store: whether it holds a replica of everything that is assigned to it.
     pub complete: bool,
 }
 
-/// What a node does.
+/// The role of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeKind {
-    /// It forwards requests to servers.
+    /// Forwards requests to servers.
     Gateway,
-    /// It stores turns.
+    /// Stores turns.
     Store,
 }
--- a/crates/serving/control-state/src/outcome.rs
+++ b/crates/serving/control-state/src/outcome.rs
@@ -1,6 +1,6 @@
 //! The results of operations.
 //!
-//! They are encoded by position and variant order: neither may change.
+//! The encoding depends on the order of fields and variants, so neither may change.
 
 use dunespur_budget::CounterReply;
 use dunespur_configuration::Findings;
@@ -9,44 +9,45 @@
 /// The result of an operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The configuration request is accepted, now or by an earlier call.
+    /// The configuration request was accepted, by this call or an earlier one.
     Accepted,
     /// The configuration request builds on a generation that is not the current one.
     GenerationConflict {
-        /// The current generation, 0 for none.
+        /// The current generation, or 0 for none.
         current: u64,
     },
-    /// The configuration request would make an invalid configuration.
+    /// The configuration request would result in an invalid configuration.
     Invalid(Findings),
-    /// Whether the configuration request was accepted is no longer recorded: it builds on too old a generation. The
-    /// caller gets no definite answer, since an accepted request must never be rejected.
+    /// No definite answer to the configuration request is possible. It builds on a generation so old that its
+    /// acceptance is no longer recorded, or its rejection cannot be recorded. An accepted request must never be
+    /// rejected.
     Undetermined,
-    /// The request was not considered: this call may have been made before an earlier one was rejected. A caller that
-    /// still wants it calls again with this token.
+    /// The request was not considered, because this call may be older than the rejection of an earlier call. To
+    /// proceed, the caller repeats the request with this token.
     Fenced {
-        /// The token that a call has to carry.
+        /// The token that the repeated request must contain.
         fencing_token: u64,
     },
     /// The result of a request to retire a store.
     Retire(RetirementOutcome),
-    /// The counter's reply.
+    /// The counter's reply to a budget request.
     Budget(CounterReply),
-    /// Any other operation: it was applied, or was superseded and changed nothing.
+    /// Any other operation was applied, or was superseded and changed nothing.
     Done,
 }
 
 /// The result of a request to retire a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetirementOutcome {
-    /// The store is being emptied, or is empty already.
+    /// The store is being emptied or is already empty.
     Accepted,
-    /// There is no such store.
+    /// No store of this name is recorded.
     UnknownNode,
-    /// Too few stores would remain.
+    /// Too few other stores would remain.
     TooFew,
 }
 
-/// How far the retirement of a store is.
+/// The state of a store's retirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetirementState {
     /// The store is being emptied.
--- a/crates/serving/control-state/src/safeguards.rs
+++ b/crates/serving/control-state/src/safeguards.rs
@@ -1,33 +1,33 @@
-//! The single measures on which safety rests, and the seam by which tests take one of them out.
+//! The measures that keep the state machine safe, each of which tests can disable.
 //!
-//! The program always has all of them: without the cargo feature `removable-safeguards`, [`Safeguards`] has no fields
-//! and every check of it is constant. Only tests turn the feature on, by a dev-dependency; each safeguard has a test
-//! that removes it and shows what goes wrong (`tests/retirement_safeguards.rs`, `tests/operators_safeguards.rs`).
+//! The production build always has all safeguards: without the cargo feature `removable-safeguards`, [`Safeguards`] has
+//! no fields and every check is constant. Only tests enable the feature, by a dev-dependency. For each safeguard, a
+//! test removes it and shows the resulting fault (`tests/retirement_safeguards.rs`, `tests/operators_safeguards.rs`).
 
-/// One measure that the state machine takes against a fault.
+/// A measure against one kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    /// A configuration request is accepted only if it builds on the current generation. Against two requests on one
-    /// generation that are both accepted.
+    /// A configuration request is accepted only if it builds on the current generation. Without
+    /// this, two requests on the same generation could both be accepted.
     FirstWriterWins,
-    /// Which requests were accepted is part of a snapshot. Against a member that was restored from one and rejects a
-    /// request that was accepted.
+    /// A snapshot contains the record of accepted requests. Without this, a restored member could reject a request
+    /// that was accepted.
     AcceptedRequestsInSnapshot,
-    /// A request that was rejected takes effect only through a call made since. Against duplicates of it that are
-    /// still in flight.
+    /// A rejected request takes effect only through a call made after the rejection. Without this, a
+    /// duplicate still in flight could take effect.
     RejectionsFenced,
-    /// A store counts as remaining only if it is present and complete. Against emptying the last store but one while
-    /// a machine that is lost for good is still listed.
+    /// A store counts as remaining only if it is present and complete. Without this, the second-to-last store
+    /// could be emptied while a permanently lost machine is still listed.
     RemainingPresentAndComplete,
-    /// A store counts as empty only in the epoch in which it found so. Against a statement that relies on a store
-    /// which was lost, wiped or retired since.
+    /// A store's report that it is empty counts only in the epoch that the report names. Without this, a report
+    /// could take effect although it relies on a store that was lost, wiped or retired since.
     EpochsChecked,
-    /// A retirement is paused while too few stores remain. Against turns that have too few replicas for as long as the
-    /// store is being emptied.
+    /// A retirement is paused while too few stores remain. Without this, turns could have too few replicas
+    /// while a store is being emptied.
     RetirementPaused,
 }
 
-/// Which safeguards are in place: all of them, but for one that a test has removed.
+/// The active safeguards: all of them, except one that a test may have removed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Safeguards {
     #[cfg(feature = "removable-safeguards")]
@@ -36,7 +36,7 @@
 
 #[cfg(feature = "removable-safeguards")]
 impl Safeguards {
-    /// All safeguards but this one.
+    /// All safeguards except this one.
     #[must_use]
     pub const fn without(safeguard: Safeguard) -> Safeguards {
         Safeguards {
--- a/crates/serving/control-state/src/servers.rs
+++ b/crates/serving/control-state/src/servers.rs
@@ -1,7 +1,7 @@
 //! The registered servers of all services.
 //!
-//! Reports arrive on several paths and overtake each other: `sequence` orders those of one id. What is final at a
-//! server, draining and leaving, is not undone here by a late report.
+//! Reports arrive on several paths and may overtake each other; `sequence` orders the reports of one id. Draining and
+//! deregistration are final: a late report does not undo them.
 
 use crate::{
     departed::{Departed, Departure},
@@ -10,11 +10,11 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// The maximum number of registered servers. Bounds memory against callers that invent ids: further ones are not
-/// registered.
+/// Maximum number of registered servers. Further servers are not registered, which bounds memory against callers that
+/// invent ids.
 const MAX_SERVERS: usize = 8_192;
 
-/// The present servers, and the recorded departures of others.
+/// The present servers and the recorded departures of absent ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Servers {
     present: BTreeMap<String, ServerReport>,
@@ -32,28 +32,28 @@
         self.present.get(id)
     }
 
-    /// Applies a report.
+    /// Applies a server's report.
     pub(crate) fn report(&mut self, report: &ServerReport, changes: &mut Vec<Change>) {
         if let Some(known) = self.present.get(&report.id) {
-            let next = merged(known, report);
+            let next = merge_report(known, report);
             return self.insert(next, changes);
         }
         match self.departed.get(&report.id) {
             None if self.present.len() < MAX_SERVERS => self.insert(report.clone(), changes),
             None | Some(Departure::Left) => {}
             Some(&Departure::Inactive { sequence, state }) => {
-                self.report_of_inactive(report, sequence, state, changes);
+                self.report_inactive(report, sequence, state, changes);
             }
         }
     }
 
-    /// A server deregistered.
+    /// Removes a server that deregistered.
     pub(crate) fn leave(&mut self, id: &str, changes: &mut Vec<Change>) {
         self.remove(id, Departure::Left, changes);
     }
 
-    /// A server's registration expired after its report `last_sequence`. A newer report that was applied meanwhile
-    /// renewed it.
+    /// Removes a server whose registration expired after its report `last_sequence`, unless a newer report has renewed
+    /// the registration since.
     pub(crate) fn expire(&mut self, id: &str, last_sequence: u64, changes: &mut Vec<Change>) {
         let Some(known) = self.present.get(id) else {
             return;
@@ -67,14 +67,14 @@
         }
     }
 
-    /// The changes that a new subscriber needs.
+    /// The changes that bring a new subscriber up to date.
     pub(crate) fn initial_changes(&self) -> impl Iterator<Item = Change> + '_ {
         self.present.values().cloned().map(Change::Server)
     }
 
-    /// A report of an inactive server: a newer one brings it back, and an older one may still say that it was
-    /// draining.
-    fn report_of_inactive(
+    /// Applies a report of an inactive server. A newer report makes the server present again; an older one may still
+    /// show that the server was draining.
+    fn report_inactive(
         &mut self,
         report: &ServerReport,
         sequence: u64,
@@ -93,21 +93,21 @@
             .amend(&report.id, Departure::Inactive { sequence, state });
     }
 
-    /// Makes a server present, and removes another one that had its address.
+    /// Makes a server present and removes any other server at the same address.
     fn insert(&mut self, next: ServerReport, changes: &mut Vec<Change>) {
         let known = self.present.get(&next.id);
         if known.is_none_or(|known| known.address != next.address) {
-            self.remove_at(next.address, changes);
+            self.remove_server_at(next.address, changes);
         }
         let known = self.present.get(&next.id);
-        if known.is_none_or(|known| differs(known, &next)) {
+        if known.is_none_or(|known| differs_beyond_sequence(known, &next)) {
             changes.push(Change::Server(next.clone()));
         }
         self.departed.remove(&next.id);
         self.present.insert(next.id.clone(), next);
     }
 
-    /// Makes a server absent.
+    /// Makes a server absent and records its departure.
     fn remove(&mut self, id: &str, departure: Departure, changes: &mut Vec<Change>) {
         if self.present.remove(id).is_some() {
             changes.push(Change::ServerRemoved { id: id.to_owned() });
@@ -115,25 +115,25 @@
         self.departed.record(id, departure);
     }
 
-    /// Removes the server at an address where another one has started. Should the other's report have been the older
-    /// one after all, the next report of the removed one takes the address back.
-    fn remove_at(&mut self, address: SocketAddr, changes: &mut Vec<Change>) {
-        let older = self
+    /// Removes the server at an address where another server has started. If the other server's report was in fact a
+    /// late one, the next report of the removed server takes the address back.
+    fn remove_server_at(&mut self, address: SocketAddr, changes: &mut Vec<Change>) {
+        let previous = self
             .present
             .values()
             .find(|server| server.address == address);
-        let Some(older) = older else { return };
+        let Some(previous) = previous else { return };
         let departure = Departure::Inactive {
-            sequence: older.sequence,
-            state: older.state,
+            sequence: previous.sequence,
+            state: previous.state,
         };
-        let id = older.id.clone();
+        let id = previous.id.clone();
         self.remove(&id, departure, changes);
     }
 }
 
-/// A server after another report of it. Draining is final however late its report comes.
-fn merged(known: &ServerReport, report: &ServerReport) -> ServerReport {
+/// Merges another report into a server's registration. Draining is final, however late its report arrives.
+fn merge_report(known: &ServerReport, report: &ServerReport) -> ServerReport {
     let newest = if report.sequence > known.sequence {
         report
     } else {
@@ -146,7 +146,7 @@
 }
 
 /// Whether two reports of a server differ in more than their sequence number.
-fn differs(one: &ServerReport, other: &ServerReport) -> bool {
+fn differs_beyond_sequence(one: &ServerReport, other: &ServerReport) -> bool {
     ServerReport {
         sequence: one.sequence,
         ..other.clone()
--- a/crates/serving/control-state/src/snapshot.rs
+++ b/crates/serving/control-state/src/snapshot.rs
@@ -1,42 +1,42 @@
-//! Snapshots: the control state as bytes, for a member that joins or restarts.
+//! Snapshots: the encoded control state, for members that join or restart.
 //!
-//! The first byte names the format, so that an unknown format is not mistaken for a damaged snapshot.
+//! The first byte is the format's number, so that an unknown format is not mistaken for a damaged snapshot.
 
 use crate::ControlState;
 
-/// The format that is written.
+/// The number of the format that this version reads and writes.
 const FORMAT: u8 = 2;
 
-/// Why bytes are not a snapshot.
+/// The reason why bytes could not be restored as a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// They are in a format that this version does not know.
-    #[error("a snapshot of the unknown format {0}")]
+    /// The bytes are in an unknown format.
+    #[error("unknown snapshot format {0}, expected {expected}", expected = FORMAT)]
     Format(u8),
-    /// They are truncated, or encode no control state.
-    #[error("a damaged snapshot: {0}")]
+    /// The bytes are truncated or do not encode a control state.
+    #[error("damaged snapshot: {0}")]
     Damaged(#[source] postcard::Error),
     /// Bytes follow the control state.
-    #[error("{bytes} bytes behind the end of a snapshot")]
+    #[error("{bytes} unexpected bytes after the end of the snapshot")]
     TooLong {
-        /// How many bytes are left over.
+        /// The number of bytes after the control state.
         bytes: usize,
     },
 }
 
 impl ControlState {
-    /// The complete state as bytes.
+    /// Encodes the complete state.
     ///
     /// # Panics
     ///
     /// Never: encoding fails only for a failing writer or a sequence of unknown length, and there is neither.
     #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
-        postcard::to_extend(&*self.for_snapshot(), vec![FORMAT])
+        postcard::to_extend(&*self.snapshot_content(), vec![FORMAT])
             .expect("a control state is always encodable")
     }
 
-    /// The state that a snapshot encodes.
+    /// Decodes a snapshot.
     ///
     /// # Errors
     ///
--- a/crates/serving/control-state/src/state.rs
+++ b/crates/serving/control-state/src/state.rs
@@ -14,8 +14,8 @@
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// The replicated state of the core. Two replicas that applied the same operations in the same order are equal, also
-/// in their snapshots.
+/// The replicated state of the core. Replicas that applied the same operations in the same order have equal states and
+/// equal snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControlState {
     configuration: Configuration,
@@ -30,7 +30,7 @@
 
 #[cfg(feature = "removable-safeguards")]
 impl ControlState {
-    /// The same state under these safeguards, which no snapshot contains. For tests only.
+    /// The same state with other safeguards, which snapshots do not contain. For tests only.
     #[must_use]
     pub fn with_safeguards(mut self, safeguards: Safeguards) -> ControlState {
         self.safeguards = safeguards;
@@ -40,8 +40,8 @@
 }
 
 impl ControlState {
-    /// What goes into a snapshot.
-    pub(crate) fn for_snapshot(&self) -> Cow<'_, ControlState> {
+    /// The state that a snapshot encodes.
+    pub(crate) fn snapshot_content(&self) -> Cow<'_, ControlState> {
         if self.safeguards.has(Safeguard::AcceptedRequestsInSnapshot) {
             return Cow::Borrowed(self);
         }
@@ -50,7 +50,7 @@
         Cow::Owned(reduced)
     }
 
-    /// Applies a committed operation. The changes that subscribers see are added to `changes`.
+    /// Applies a committed operation and appends the resulting changes for subscribers to `changes`.
     pub fn apply(&mut self, operation: &Operation, changes: &mut Vec<Change>) -> Outcome {
         match operation {
             Operation::Configure(request) => {
@@ -90,14 +90,16 @@
         Outcome::Done
     }
 
-    /// Counters are kept for as long as the configuration has turns stored. No snapshot contains that.
+    /// Sets the counters' retention time to the longest retention of turns in the configuration. Called after a restore
+    /// too, because snapshots do not contain the retention time.
     pub(crate) fn derive_retention(&mut self) {
         let current = self.configuration.current();
         let retention_ms = current.map_or(0, Document::longest_retention_ms);
         self.counters.set_retention(retention_ms);
     }
 
-    /// The operator requests that a store is emptied. A store that retires already needs no token, as nothing changes.
+    /// Applies the operator's request to retire a store. If the store's retirement was already requested, the request
+    /// changes nothing and needs no fencing token.
     fn retire(
         &mut self,
         node: &str,
@@ -117,7 +119,7 @@
         Outcome::Retire(self.stores.retire(node, tolerated_losses, changes))
     }
 
-    /// The changes that a new subscriber needs to reach this state.
+    /// The changes that bring a new subscriber to this state.
     #[must_use]
     pub fn initial_changes(&self) -> Vec<Change> {
         let mut changes = Vec::new();
@@ -150,17 +152,17 @@
         self.gateways.present()
     }
 
-    /// All recorded gateways, absent ones that may come back included.
+    /// All recorded gateways, including absent ones, which may return.
     pub fn recorded_gateways(&self) -> impl Iterator<Item = &NodeReport> {
         self.gateways.recorded()
     }
 
-    /// The stores that are present or may come back, by name.
+    /// All recorded stores that are not decommissioned, by name.
     pub fn stores(&self) -> impl Iterator<Item = StoreEntry> + '_ {
         self.stores.entries()
     }
 
-    /// How far the retirement of a store is, if it was requested.
+    /// The state of a store's retirement, if one was requested.
     #[must_use]
     pub fn retirement(&self, node: &str) -> Option<RetirementState> {
         self.stores.retirement(node)
--- a/crates/serving/control-state/src/store.rs
+++ b/crates/serving/control-state/src/store.rs
@@ -1,14 +1,14 @@
-//! One store: its registration, whether it is present, and its retirement.
+//! One store: its registration, presence and retirement.
 
 use crate::NodeReport;
 use serde::{Deserialize, Serialize};
 
-/// The retirement of a store.
+/// A store's requested retirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Retirement {
-    /// The store is being emptied, or is to be once enough others remain.
+    /// The store is being emptied, or will be once enough other stores remain.
     Running {
-        /// How many stores may be lost at once, as the request said.
+        /// The number of stores that may be lost at once, from the retirement request.
         tolerated_losses: u32,
     },
     /// The store is empty.
@@ -23,7 +23,7 @@
     pub(crate) retirement: Option<Retirement>,
 }
 
-/// What the other stores rely on in a store. If it changes, another epoch begins.
+/// The properties of a store that the other stores rely on. A change of any of them begins a new epoch.
 #[derive(PartialEq)]
 pub(crate) struct MembershipState {
     present: bool,
@@ -34,7 +34,7 @@
 }
 
 impl Store {
-    /// A store that registers for the first time.
+    /// Creates the record of a store from its first report.
     pub(crate) fn registered(report: &NodeReport) -> Store {
         Store {
             report: report.clone(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// What the other stores rely on.
+    /// The properties that the other stores rely on.
     pub(crate) fn membership_state(&self) -> MembershipState {
         MembershipState {
             present: self.present,
@@ -54,23 +54,23 @@
         }
     }
 
-    /// Whether it was emptied and its machine was removed.
+    /// Whether the store was emptied and its machine was removed.
     pub(crate) fn is_decommissioned(&self) -> bool {
         self.retirement == Some(Retirement::Done) && !self.present
     }
 
-    /// The losses that have to be tolerated without it, while its retirement runs.
-    pub(crate) fn running_retirement(&self) -> Option<u32> {
+    /// The number of store losses to tolerate, if the store's retirement is running.
+    pub(crate) fn running_retirement_losses(&self) -> Option<u32> {
         match self.retirement {
             Some(Retirement::Running { tolerated_losses }) => Some(tolerated_losses),
             Some(Retirement::Done) | None => None,
         }
     }
 
-    /// The store after another report of it.
-    pub(crate) fn reported(&self, report: &NodeReport) -> Store {
+    /// The store's record after a further report.
+    pub(crate) fn with_report(&self, report: &NodeReport) -> Store {
         let retired = self.retirement == Some(Retirement::Done);
-        // A machine of that name with another disk is not the one that was decommissioned.
+        // A machine with the same name and another disk is not the decommissioned one.
         let another_machine = retired && report.disk != self.report.disk;
         Store {
             report: report.clone(),
--- a/crates/serving/control-state/src/stores.rs
+++ b/crates/serving/control-state/src/stores.rs
@@ -1,15 +1,15 @@
-//! The stores: which are registered, and which of them retire.
+//! The registered stores and their retirements.
 //!
-//! Each start of a store's process has a higher incarnation than the one before, which orders its reports. A store
-//! whose lease expired stays recorded as absent: its machine, and what it holds, may come back.
+//! The incarnation of a store's process increases with each start and orders the store's reports. A store whose lease
+//! expired stays recorded as absent, because its machine and data may return.
 //!
-//! **Retirement.** A store *remains* if it is present, complete and not retired or retiring. A request to retire a
-//! store is accepted only if more others remain than may be lost at once. That can change later: then the retirement
-//! is *paused*, and the store is used like any other until enough remain again.
+//! **Retirement.** A store *remains* if it is present, complete and neither retiring nor retired. A request to retire a
+//! store is accepted only if more other stores remain than may be lost at once. If too few remain later, the retirement
+//! is *paused*, and the store is used like any other until enough stores remain again.
 //!
-//! **Epochs.** Each change of a store's [`MembershipState`](crate::store::MembershipState) begins another epoch, which
-//! the retiring stores learn. One that finds itself empty names the epoch in which it found that out, and its
-//! statement counts in that epoch only: it relies on all the other stores as they are in it.
+//! **Epochs.** Each change of a store's [`MembershipState`](crate::store::MembershipState) begins a new epoch, which is
+//! published to retiring stores. A store that reports itself empty names the epoch in which it found this. The report
+//! counts only in that epoch, because it relies on the state of all other stores in that epoch.
 
 use crate::{
     safeguards::{Safeguard, Safeguards},
@@ -19,33 +19,33 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How many absent stores are recorded. Bounds memory against machines that are added and removed without end:
-/// decommissioned ones are evicted first.
+/// Maximum number of recorded absent stores. Bounds memory while machines are added and removed without end;
+/// decommissioned stores are evicted first.
 const MAX_ABSENT: usize = 1_024;
 
-/// All stores, by name.
+/// All recorded stores, by name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Stores {
     stores: BTreeMap<String, Store>,
-    /// Rises with each change of a store's membership state.
+    /// Increases with each change of a store's membership state.
     epoch: u64,
     #[serde(skip)]
     safeguards: Safeguards,
 }
 
 impl Stores {
-    /// Replaces the safeguards, which no snapshot contains.
+    /// Replaces the safeguards, which snapshots do not contain.
     #[cfg(feature = "removable-safeguards")]
     pub(crate) fn set_safeguards(&mut self, safeguards: Safeguards) {
         self.safeguards = safeguards;
     }
 
-    /// The stores that are present or may come back, by name.
+    /// All recorded stores that are not decommissioned, by name.
     pub(crate) fn entries(&self) -> impl Iterator<Item = StoreEntry> + '_ {
         self.stores.values().filter_map(|store| self.entry(store))
     }
 
-    /// How far the retirement of a store is, if it was requested.
+    /// The state of a store's retirement, if one was requested.
     pub(crate) fn retirement(&self, name: &str) -> Option<RetirementState> {
         match self.stores.get(name)?.retirement? {
             Retirement::Running { .. } => Some(RetirementState::Running),
@@ -53,19 +53,20 @@
         }
     }
 
-    /// Applies a report, unless it is of an earlier incarnation.
+    /// Applies a store's report, unless it is from an earlier incarnation.
     pub(crate) fn report(&mut self, report: &NodeReport, changes: &mut Vec<Change>) {
         match self.stores.get(&report.name) {
             None => self.replace(Store::registered(report), changes),
             Some(known) if known.report.incarnation <= report.incarnation => {
-                let next = known.reported(report);
+                let next = known.with_report(report);
                 self.replace(next, changes);
             }
             Some(_) => {}
         }
     }
 
-    /// The lease of an incarnation of a store expired.
+    /// Makes a store absent because the lease of this incarnation expired. Ignored if a newer incarnation has
+    /// reported.
     pub(crate) fn expire(&mut self, name: &str, incarnation: u64, changes: &mut Vec<Change>) {
         let Some(known) = self.stores.get(name) else {
             return;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The operator requests that a store is emptied. Idempotent.
+    /// Starts the retirement of a store, if enough other stores remain. Idempotent.
     pub(crate) fn retire(
         &mut self,
         name: &str,
@@ -103,8 +104,8 @@
         RetirementOutcome::Accepted
     }
 
-    /// A store found in an epoch that it is empty. That has no effect from an earlier incarnation of it or an earlier
-    /// epoch, nor while too few others remain.
+    /// Completes a retirement after the store reported itself empty. The report has no effect if it is from another
+    /// incarnation or epoch, or while the retirement is paused.
     pub(crate) fn complete_retirement(
         &mut self,
         name: &str,
@@ -127,12 +128,12 @@
         }
     }
 
-    /// The changes that a new subscriber needs.
+    /// The changes that bring a new subscriber up to date.
     pub(crate) fn initial_changes(&self) -> impl Iterator<Item = Change> + '_ {
         self.entries().map(Change::Store)
     }
 
-    /// What subscribers see of a store: nothing once it is decommissioned.
+    /// A store as subscribers see it, or `None` once it is decommissioned.
     fn entry(&self, store: &Store) -> Option<StoreEntry> {
         let retiring = self.is_retiring(store);
         (!store.is_decommissioned()).then(|| StoreEntry {
@@ -149,15 +150,15 @@
         })
     }
 
-    /// Whether its retirement runs and is not paused.
+    /// Whether the store's retirement is running and not paused.
     fn is_retiring(&self, store: &Store) -> bool {
         let enough = |tolerated| self.enough_remain_without(&store.report.name, tolerated);
-        store.running_retirement().is_some_and(|tolerated| {
+        store.running_retirement_losses().is_some_and(|tolerated| {
             enough(tolerated) || !self.safeguards.has(Safeguard::RetirementPaused)
         })
     }
 
-    /// Whether more stores remain without this one than may be lost at once.
+    /// Whether more stores remain besides this one than may be lost at once.
     fn enough_remain_without(&self, name: &str, tolerated_losses: u32) -> bool {
         let others = self
             .stores
@@ -166,13 +167,15 @@
         others.filter(|store| self.remains(store)).count() > tolerated_losses as usize
     }
 
+    /// Whether the store counts as remaining; see the module documentation.
     fn remains(&self, store: &Store) -> bool {
         let usable = store.present && store.report.complete;
         store.retirement.is_none()
             && (usable || !self.safeguards.has(Safeguard::RemainingPresentAndComplete))
     }
 
-    /// The only transition of a store.
+    /// Replaces a store's record, begins a new epoch if needed and publishes the changes. All changes of a store go
+    /// through this function.
     fn replace(&mut self, store: Store, changes: &mut Vec<Change>) {
         let name = store.report.name.clone();
         let before = self.affected_entries(&name);
@@ -185,10 +188,12 @@
         self.evict_oldest_absent(changes);
     }
 
-    /// What subscribers see of a store and of all retiring ones, which a change of it may affect.
+    /// The named store and all stores with a running retirement, as subscribers see them. A change of the named store
+    /// may affect all of these.
     fn affected_entries(&self, name: &str) -> BTreeMap<String, StoreEntry> {
-        let affected =
-            |store: &&Store| store.report.name == name || store.running_retirement().is_some();
+        let affected = |store: &&Store| {
+            store.report.name == name || store.running_retirement_losses().is_some()
+        };
         let entries = self
             .stores
             .values()
@@ -197,7 +202,7 @@
         entries.map(|entry| (entry.name.clone(), entry)).collect()
     }
 
-    /// Adds the changes that subscribers see after a transition of the named store.
+    /// Appends the changes for subscribers after a change of the named store.
     fn publish(
         &self,
         name: &str,
--- a/crates/serving/control-state/tests/budgets.rs
+++ b/crates/serving/control-state/tests/budgets.rs
@@ -1,8 +1,8 @@
-//! Budgets: the counters know how many gateways are present, and answer a repeated request alike.
+//! Budgets: the counters use the number of present gateways, and a duplicate request gets the same reply.
 
 mod common;
 
-use common::{gateway, Trial};
+use common::{gateway, Harness};
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest, Counters, LimiterId};
 use dunespur_control_state::{Operation, Outcome};
 
@@ -10,7 +10,7 @@
 const LIMITERS: u64 = 8;
 const NEEDED: u64 = 10;
 
-/// Twice as many limiters as there are present gateways request more than their share, one after another.
+/// Lease requests from twice as many limiters as there are present gateways, each for more than its share.
 fn requests() -> impl Iterator<Item = CounterRequest> {
     (0..40).map(|sequence| CounterRequest {
         program: "p".to_owned(),
@@ -30,42 +30,42 @@
     })
 }
 
-fn reply(trial: &mut Trial, request: &CounterRequest) -> CounterReply {
-    match trial.apply(&Operation::Budget(request.clone())) {
+fn reply(harness: &mut Harness, request: &CounterRequest) -> CounterReply {
+    match harness.apply(&Operation::Budget(request.clone())) {
         Outcome::Budget(reply) => reply,
-        other => panic!("{other:?} is no answer of a counter"),
+        other => panic!("expected a counter's reply, got {other:?}"),
     }
 }
 
 #[test]
 fn the_counters_know_how_many_gateways_are_present() {
-    let mut trial = Trial::default();
+    let mut harness = Harness::default();
     for number in 0..GATEWAYS {
-        trial.node(gateway(&format!("g{number}"), 1));
+        harness.node(gateway(&format!("g{number}"), 1));
     }
-    trial.node(gateway("gone", 1));
-    trial.changes(&Operation::NodeExpired {
+    harness.node(gateway("gone", 1));
+    harness.changes(&Operation::NodeExpired {
         name: "gone".to_owned(),
         incarnation: 1,
     });
-    let (mut counters, mut uncounted) = (Counters::default(), Counters::default());
+    let (mut counters, mut counters_without_limit) = (Counters::default(), Counters::default());
     let mut differs = false;
     for request in requests() {
         let expected = counters.apply(&request, GATEWAYS);
-        differs |= uncounted.apply(&request, 0) != expected;
-        assert_eq!(reply(&mut trial, &request), expected);
+        differs |= counters_without_limit.apply(&request, 0) != expected;
+        assert_eq!(reply(&mut harness, &request), expected);
     }
-    assert!(differs, "the number of gateways matters in this trial");
-    assert_eq!(trial.state.counters(), &counters);
+    assert!(differs, "no reply depended on the number of gateways");
+    assert_eq!(harness.state.counters(), &counters);
 }
 
 #[test]
-fn a_repeated_request_is_answered_alike_and_changes_nothing() {
-    let mut trial = Trial::default();
+fn a_duplicate_request_gets_the_same_reply_and_changes_nothing() {
+    let mut harness = Harness::default();
     for request in requests() {
-        let first = reply(&mut trial, &request);
-        let leased = trial.state.counters().leased("p");
-        assert_eq!(reply(&mut trial, &request), first);
-        assert_eq!(trial.state.counters().leased("p"), leased);
+        let first = reply(&mut harness, &request);
+        let leased = harness.state.counters().leased("p");
+        assert_eq!(reply(&mut harness, &request), first);
+        assert_eq!(harness.state.counters().leased("p"), leased);
     }
 }
--- a/crates/serving/control-state/tests/common/mod.rs
+++ b/crates/serving/control-state/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the control state share: operations with what doesn't matter filled in.
+//! Test helpers: reports and requests with default values for fields that do not matter, and a test harness.
 #![allow(dead_code)]
 
 use dunespur_control_state::{
@@ -7,12 +7,12 @@
 };
 use std::net::SocketAddr;
 
-/// An address of the port `port`.
+/// The test address with this port.
 pub fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-/// A report of a server, ready, at the address of its own port.
+/// A report of a ready server.
 pub fn server(id: &str, port: u16, sequence: u64) -> ServerReport {
     ServerReport {
         id: id.to_owned(),
@@ -26,7 +26,7 @@
     }
 }
 
-/// The same, draining.
+/// A report of a draining server.
 pub fn draining(id: &str, port: u16, sequence: u64) -> ServerReport {
     ServerReport {
         state: ServerState::Draining,
@@ -57,7 +57,7 @@
     }
 }
 
-/// A complete configuration without routes.
+/// A request that replaces the configuration by one without routes and services.
 pub fn replace(base: u64, generation: u64) -> ConfigurationRequest {
     replace_with(
         base,
@@ -65,7 +65,7 @@
     )
 }
 
-/// A complete configuration.
+/// A request that replaces the configuration by `body`.
 pub fn replace_with(base: u64, body: &str) -> ConfigurationRequest {
     ConfigurationRequest {
         kind: ConfigurationRequestKind::Replace,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Named items changed.
+/// A request that patches the configuration with `body`.
 pub fn patch(base: u64, body: &str) -> ConfigurationRequest {
     ConfigurationRequest {
         kind: ConfigurationRequestKind::Patch,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The operator's request to retire a store, with a fencing token.
+/// A request to retire a store, with a fencing token.
 pub fn retire(name: &str, tolerated_losses: u32, fencing_token: u64) -> Operation {
     Operation::RetireStart {
         node: name.to_owned(),
@@ -94,25 +94,25 @@
     }
 }
 
-/// A state under test, with all the changes that its subscribers received.
+/// A control state under test, with all changes that its subscribers received.
 #[derive(Default)]
-pub struct Trial {
+pub struct Harness {
     pub state: ControlState,
     pub notifications: Vec<Change>,
 }
 
-impl Trial {
-    /// Applies an operation: what it came to.
+impl Harness {
+    /// Applies an operation and returns its outcome.
     pub fn apply(&mut self, operation: &Operation) -> Outcome {
         self.state.apply(operation, &mut self.notifications)
     }
 
-    /// The outcome of an operator's configuration request.
+    /// Applies a configuration request and returns its outcome.
     pub fn request(&mut self, request: &ConfigurationRequest) -> Outcome {
         self.apply(&Operation::Configure(request.clone()))
     }
 
-    /// The outcome of an operator's request to retire a store, made now.
+    /// Applies a request to retire a store, repeating it with the fencing token if needed, and returns its outcome.
     pub fn retire(&mut self, name: &str, tolerated_losses: u32) -> Outcome {
         match self.apply(&retire(name, tolerated_losses, 0)) {
             Outcome::Fenced { fencing_token } => {
@@ -122,24 +122,24 @@
         }
     }
 
-    /// The changes that subscribers receive after a server's report.
+    /// Applies a server's report and returns the changes for subscribers.
     pub fn server(&mut self, report: ServerReport) -> Vec<Change> {
         self.changes(&Operation::Server(report))
     }
 
-    /// The changes that subscribers receive after a node's report.
+    /// Applies a node's report and returns the changes for subscribers.
     pub fn node(&mut self, report: NodeReport) -> Vec<Change> {
         self.changes(&Operation::Node(report))
     }
 
-    /// The changes that subscribers receive after an operation without an outcome of its own.
+    /// Applies an operation whose outcome is `Done` and returns the changes for subscribers.
     pub fn changes(&mut self, operation: &Operation) -> Vec<Change> {
         let before = self.notifications.len();
         assert_eq!(self.apply(operation), Outcome::Done);
         self.notifications[before..].to_vec()
     }
 
-    /// The ids of the servers that are there.
+    /// The ids of the present servers.
     pub fn ids(&self) -> Vec<&str> {
         self.state
             .servers()
--- a/crates/serving/control-state/tests/encoding.rs
+++ b/crates/serving/control-state/tests/encoding.rs
@@ -1,6 +1,6 @@
-//! The bytes of operations, outcomes, changes and snapshots: they go between processes of different versions and onto
-//! disks, by position and order, so no field or variant may move. The files under `encoding/` hold what the version
-//! before the renaming wrote.
+//! Checks the encoding of operations, outcomes, changes and snapshots. Processes of different versions exchange and
+//! store these bytes, which depend on the order of fields and variants. The files under `encoding/` hold the expected
+//! bytes.
 
 mod common;
 
@@ -16,21 +16,22 @@
 use std::fmt::{Debug, Write};
 use std::net::SocketAddr;
 
-/// Checks that each value is written as the line of its name in the fixture says, and read back from those bytes.
+/// Checks that each value encodes to the bytes on its line of the fixture, and that those bytes decode to the value.
 fn assert_encoded<T>(fixture: &str, cases: &[(&str, T)])
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let mut written = String::new();
+    let mut encoded = String::new();
     for (name, value) in cases {
-        let bytes = postcard::to_stdvec(value).expect("a value is written");
-        writeln!(written, "{name} {}", to_hex(&bytes)).expect("a string takes text");
+        let bytes = postcard::to_stdvec(value).expect("the value is encodable");
+        writeln!(encoded, "{name} {}", to_hex(&bytes)).expect("writing to a string succeeds");
     }
-    assert_eq!(written, fixture);
+    assert_eq!(encoded, fixture);
     for ((name, value), line) in cases.iter().zip(fixture.lines()) {
-        let (_, hex) = line.split_once(' ').expect("a name and bytes");
-        let read: T = postcard::from_bytes(&from_hex(hex)).expect("a value is read");
-        assert_eq!(read, *value, "{name}");
+        let (_, hex) = line.split_once(' ').expect("a line has a name and bytes");
+        let decoded: T =
+            postcard::from_bytes(&from_hex(hex)).expect("the fixture's bytes are decodable");
+        assert_eq!(decoded, *value, "{name}");
     }
 }
 
@@ -205,7 +206,7 @@
     assert_encoded(include_str!("encoding/outcomes.txt"), &cases);
 }
 
-/// Retirement states, which other messages carry alone.
+/// Retirement states also occur outside of outcomes, in other messages.
 #[test]
 fn retirement_states_keep_their_bytes() {
     let states = [
@@ -230,7 +231,7 @@
     }
 }
 
-/// One flag is set at a time: else two flags could be swapped unnoticed.
+/// Each change sets exactly one flag, so that swapped flags are detected.
 fn store_changes() -> [(&'static str, Change); 4] {
     let with = |set: fn(&mut StoreEntry)| {
         let mut entry = store_entry();
@@ -311,7 +312,7 @@
     ]
 }
 
-/// A state in which nothing is empty, made by operations alone.
+/// A state with every part populated, built only by applying operations.
 fn populated_state() -> ControlState {
     let body = r#"{"generation":11,"routes":[],"services":[{"name":"pool"}],"unknown":[1.50]}"#;
     let mut operations: Vec<Operation> = [replace_with(0, body), patch(11, r#"{"generation":12}"#)]
@@ -370,7 +371,7 @@
     let state = populated_state();
     let fixture = include_str!("encoding/snapshot.txt").trim_end();
     assert_eq!(to_hex(&state.snapshot()), fixture);
-    let restored = ControlState::restore(&from_hex(fixture)).expect("a snapshot is read");
+    let restored = ControlState::restore(&from_hex(fixture)).expect("the snapshot is restorable");
     assert_eq!(restored, state);
     assert_eq!(restored.initial_changes(), state.initial_changes());
 }
--- a/crates/serving/control-state/tests/nodes.rs
+++ b/crates/serving/control-state/tests/nodes.rs
@@ -1,8 +1,8 @@
-//! Gateways and stores: incarnations of their processes, absence, retirement.
+//! Gateways and stores: incarnations of their processes, expired leases, retirement.
 
 mod common;
 
-use common::{address, gateway, store, Trial};
+use common::{address, gateway, store, Harness};
 use dunespur_control_state::{
     Change, GatewayEntry, NodeReport, Operation, Outcome, RetirementOutcome, RetirementState,
     StoreEntry,
@@ -15,45 +15,50 @@
     }
 }
 
-fn entry(trial: &Trial, name: &str) -> StoreEntry {
-    trial
+fn store_entry(harness: &Harness, name: &str) -> StoreEntry {
+    harness
         .state
         .stores()
         .find(|store| store.name == name)
-        .expect("a known store")
+        .expect("the store is recorded")
 }
 
-fn retire(trial: &mut Trial, name: &str, tolerated_losses: u32) -> RetirementOutcome {
-    match trial.retire(name, tolerated_losses) {
+fn retire(harness: &mut Harness, name: &str, tolerated_losses: u32) -> RetirementOutcome {
+    match harness.retire(name, tolerated_losses) {
         Outcome::Retire(outcome) => outcome,
-        other => panic!("{other:?} is no answer to a retirement"),
+        other => panic!("expected the outcome of a retirement request, got {other:?}"),
     }
 }
 
-/// The named store finds itself empty in the current epoch.
-fn emptied(trial: &mut Trial, name: &str, incarnation: u64) -> Vec<Change> {
-    let epoch = trial
+/// The named store reports itself empty in the current epoch.
+fn report_empty(harness: &mut Harness, name: &str, incarnation: u64) -> Vec<Change> {
+    let epoch = harness
         .state
         .stores()
         .find(|store| store.name == name)
         .map_or(0, |store| store.epoch);
-    empty_in_epoch(trial, name, incarnation, epoch)
+    report_empty_in_epoch(harness, name, incarnation, epoch)
 }
 
-fn empty_in_epoch(trial: &mut Trial, name: &str, incarnation: u64, epoch: u64) -> Vec<Change> {
-    trial.changes(&Operation::RetireDone {
+fn report_empty_in_epoch(
+    harness: &mut Harness,
+    name: &str,
+    incarnation: u64,
+    epoch: u64,
+) -> Vec<Change> {
+    harness.changes(&Operation::RetireDone {
         node: name.to_owned(),
         incarnation,
         epoch,
     })
 }
 
-fn with_stores(names: &[&str]) -> Trial {
-    let mut trial = Trial::default();
+fn with_stores(names: &[&str]) -> Harness {
+    let mut harness = Harness::default();
     for name in names {
-        trial.node(store(name, 10));
+        harness.node(store(name, 10));
     }
-    trial
+    harness
 }
 
 fn present(name: &str, incarnation: u64) -> Change {
@@ -73,68 +78,72 @@
 
 #[test]
 fn gateways_are_published_by_name_and_incarnation() {
-    let mut trial = Trial::default();
-    assert_eq!(trial.node(gateway("a", 1)), [present("a", 1)]);
-    assert_eq!(trial.node(gateway("a", 1)), [], "nothing new");
-    assert_eq!(trial.node(gateway("b", 1)), [present("b", 1)]);
-    assert_eq!(trial.state.gateways().count(), 2);
+    let mut harness = Harness::default();
+    assert_eq!(harness.node(gateway("a", 1)), [present("a", 1)]);
     assert_eq!(
-        trial.node(gateway("a", 2)),
+        harness.node(gateway("a", 1)),
+        [],
+        "an unchanged report is not published"
+    );
+    assert_eq!(harness.node(gateway("b", 1)), [present("b", 1)]);
+    assert_eq!(harness.state.gateways().count(), 2);
+    assert_eq!(
+        harness.node(gateway("a", 2)),
         [present("a", 2)],
-        "another incarnation of the same gateway"
+        "a new incarnation of the same gateway is published"
     );
-    assert_eq!(trial.state.gateways().count(), 2);
+    assert_eq!(harness.state.gateways().count(), 2);
     assert_eq!(
-        trial.changes(&expired("a", 1)),
+        harness.changes(&expired("a", 1)),
         [],
-        "that incarnation had ended before"
+        "the expired incarnation is no longer the current one"
     );
-    assert_eq!(trial.changes(&expired("a", 2)), [absent("a")]);
-    assert_eq!(trial.state.gateways().count(), 1);
-    assert_eq!(trial.changes(&expired("a", 2)), []);
+    assert_eq!(harness.changes(&expired("a", 2)), [absent("a")]);
+    assert_eq!(harness.state.gateways().count(), 1);
+    assert_eq!(harness.changes(&expired("a", 2)), []);
     assert_eq!(
-        trial.node(gateway("a", 1)),
+        harness.node(gateway("a", 1)),
         [],
-        "a late report of an older incarnation"
+        "a late report of an older incarnation has no effect"
     );
     assert_eq!(
-        trial.node(gateway("a", 2)),
+        harness.node(gateway("a", 2)),
         [present("a", 2)],
-        "its lease had expired, and it is alive"
+        "a report of the expired incarnation makes the gateway present again"
     );
-    let names: Vec<&str> = trial
+    let names: Vec<&str> = harness
         .state
         .gateways()
         .map(|gateway| gateway.name.as_str())
         .collect();
     assert_eq!(names, ["a", "b"]);
     assert_eq!(
-        trial.state.initial_changes(),
+        harness.state.initial_changes(),
         [present("a", 2), present("b", 1)]
     );
 }
 
 #[test]
 fn a_gateway_at_another_address_is_published_again() {
-    let mut trial = Trial::default();
-    trial.node(gateway("a", 1));
+    let mut harness = Harness::default();
+    harness.node(gateway("a", 1));
     let moved = NodeReport {
         address: address(7_001),
         ..gateway("a", 2)
     };
     let Change::Gateway(before) = present("a", 2) else {
-        panic!("a gateway")
+        panic!("`present` returns a gateway change")
     };
     let expected = Change::Gateway(GatewayEntry {
         address: address(7_001),
         ..before
     });
-    assert_eq!(trial.node(moved), [expected]);
+    assert_eq!(harness.node(moved), [expected]);
 }
 
 #[test]
 fn a_store_is_published_whenever_its_state_changes() {
-    let mut trial = Trial::default();
+    let mut harness = Harness::default();
     let unfinished = NodeReport {
         complete: false,
         ..store("a", 1)
@@ -152,22 +161,25 @@
         epoch: 0,
     };
     assert_eq!(
-        trial.node(unfinished.clone()),
+        harness.node(unfinished.clone()),
         [Change::Store(expected.clone())]
     );
-    assert_eq!(trial.node(unfinished), []);
+    assert_eq!(harness.node(unfinished), []);
     let complete = StoreEntry {
         complete: true,
         ..expected
     };
-    assert_eq!(trial.node(store("a", 1)), [Change::Store(complete.clone())]);
+    assert_eq!(
+        harness.node(store("a", 1)),
+        [Change::Store(complete.clone())]
+    );
     let wiped = StoreEntry {
         incarnation: 2,
         disk: 2,
         ..complete
     };
     assert_eq!(
-        trial.node(NodeReport {
+        harness.node(NodeReport {
             disk: 2,
             ..store("a", 2)
         }),
@@ -177,47 +189,47 @@
 
 #[test]
 fn a_store_report_of_an_older_incarnation_is_ignored() {
-    let mut trial = with_stores(&["a"]);
+    let mut harness = with_stores(&["a"]);
     assert_eq!(
-        trial.node(NodeReport {
+        harness.node(NodeReport {
             disk: 7,
             ..store("a", 9)
         }),
         []
     );
-    assert_eq!(entry(&trial, "a").disk, 1);
+    assert_eq!(store_entry(&harness, "a").disk, 1);
 }
 
 #[test]
 fn a_store_whose_lease_expired_is_absent_and_stays_recorded() {
-    let mut trial = with_stores(&["a"]);
+    let mut harness = with_stores(&["a"]);
     assert_eq!(
-        trial.changes(&expired("a", 9)),
+        harness.changes(&expired("a", 9)),
         [],
-        "that incarnation had ended before"
+        "the expired incarnation is no longer the current one"
     );
     let absent = StoreEntry {
         present: false,
-        ..entry(&trial, "a")
+        ..store_entry(&harness, "a")
     };
-    assert_eq!(trial.changes(&expired("a", 10)), [Change::Store(absent)]);
-    assert_eq!(trial.changes(&expired("a", 10)), []);
-    assert!(!entry(&trial, "a").present);
-    trial.node(store("a", 10));
-    assert!(entry(&trial, "a").present);
+    assert_eq!(harness.changes(&expired("a", 10)), [Change::Store(absent)]);
+    assert_eq!(harness.changes(&expired("a", 10)), []);
+    assert!(!store_entry(&harness, "a").present);
+    harness.node(store("a", 10));
+    assert!(store_entry(&harness, "a").present);
 }
 
 #[test]
 fn an_unknown_store_cannot_retire() {
-    let mut trial = with_stores(&["a", "b", "c"]);
-    trial.node(gateway("front", 1));
-    assert_eq!(retire(&mut trial, "d", 1), RetirementOutcome::UnknownNode);
+    let mut harness = with_stores(&["a", "b", "c"]);
+    harness.node(gateway("front", 1));
+    assert_eq!(retire(&mut harness, "d", 1), RetirementOutcome::UnknownNode);
     assert_eq!(
-        retire(&mut trial, "front", 1),
+        retire(&mut harness, "front", 1),
         RetirementOutcome::UnknownNode
     );
-    assert_eq!(trial.state.retirement("d"), None);
-    assert_eq!(trial.state.retirement("a"), None);
+    assert_eq!(harness.state.retirement("d"), None);
+    assert_eq!(harness.state.retirement("a"), None);
 }
 
 #[test]
@@ -231,436 +243,477 @@
         (4, 2, RetirementOutcome::Accepted),
         (4, u32::MAX, RetirementOutcome::TooFew),
     ] {
-        let mut trial = with_stores(&["a", "b", "c", "d"][..stores]);
+        let mut harness = with_stores(&["a", "b", "c", "d"][..stores]);
         assert_eq!(
-            retire(&mut trial, "a", tolerated_losses),
+            retire(&mut harness, "a", tolerated_losses),
             expected,
-            "{stores} {tolerated_losses}"
+            "{stores} stores, {tolerated_losses} tolerated losses"
         );
     }
 }
 
 #[test]
 fn retiring_stores_do_not_remain() {
-    let mut trial = with_stores(&["a", "b", "c", "d"]);
-    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
-    assert_eq!(retire(&mut trial, "b", 1), RetirementOutcome::Accepted);
-    assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::TooFew);
-    emptied(&mut trial, "a", 10);
-    trial.changes(&expired("a", 10));
-    assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::TooFew);
-    trial.node(store("e", 1));
-    assert_eq!(retire(&mut trial, "c", 1), RetirementOutcome::Accepted);
+    let mut harness = with_stores(&["a", "b", "c", "d"]);
+    assert_eq!(retire(&mut harness, "a", 1), RetirementOutcome::Accepted);
+    assert_eq!(retire(&mut harness, "b", 1), RetirementOutcome::Accepted);
+    assert_eq!(retire(&mut harness, "c", 1), RetirementOutcome::TooFew);
+    report_empty(&mut harness, "a", 10);
+    harness.changes(&expired("a", 10));
+    assert_eq!(retire(&mut harness, "c", 1), RetirementOutcome::TooFew);
+    harness.node(store("e", 1));
+    assert_eq!(retire(&mut harness, "c", 1), RetirementOutcome::Accepted);
 }
 
 #[test]
 fn a_lost_store_does_not_remain() {
-    let mut trial = with_stores(&["a", "b", "c"]);
-    trial.changes(&expired("c", 10));
+    let mut harness = with_stores(&["a", "b", "c"]);
+    harness.changes(&expired("c", 10));
     assert_eq!(
-        retire(&mut trial, "a", 1),
+        retire(&mut harness, "a", 1),
         RetirementOutcome::TooFew,
-        "c is absent, maybe for good"
+        "c is absent, so only b remains"
     );
-    trial.node(NodeReport {
+    harness.node(NodeReport {
         complete: false,
         ..store("d", 1)
     });
     assert_eq!(
-        retire(&mut trial, "a", 1),
+        retire(&mut harness, "a", 1),
         RetirementOutcome::TooFew,
-        "its successor is not complete yet"
+        "d, which replaces c, is not complete yet"
     );
-    trial.node(store("d", 1));
-    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
-    emptied(&mut trial, "a", 10);
-    trial.changes(&expired("a", 10));
+    harness.node(store("d", 1));
+    assert_eq!(retire(&mut harness, "a", 1), RetirementOutcome::Accepted);
+    report_empty(&mut harness, "a", 10);
+    harness.changes(&expired("a", 10));
     assert_eq!(
-        retire(&mut trial, "b", 1),
+        retire(&mut harness, "b", 1),
         RetirementOutcome::TooFew,
-        "one would remain beside two lost stores"
+        "only d would remain"
     );
-    assert_eq!(trial.state.retirement("b"), None);
+    assert_eq!(harness.state.retirement("b"), None);
 }
 
 #[test]
 fn a_retirement_rejected_while_a_store_is_absent_is_accepted_once_it_is_back() {
-    let mut trial = with_stores(&["a", "b", "c"]);
-    trial.changes(&expired("c", 10));
-    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::TooFew);
+    let mut harness = with_stores(&["a", "b", "c"]);
+    harness.changes(&expired("c", 10));
+    assert_eq!(retire(&mut harness, "a", 1), RetirementOutcome::TooFew);
     assert_eq!(
-        retire(&mut trial, "c", 1),
+        retire(&mut harness, "c", 1),
         RetirementOutcome::Accepted,
-        "a and b remain without the absent one"
+        "a and b remain without the absent c"
     );
-    trial.node(store("c", 10));
+    harness.node(store("c", 10));
     assert_eq!(
-        retire(&mut trial, "a", 1),
+        retire(&mut harness, "a", 1),
         RetirementOutcome::TooFew,
         "c is retiring"
     );
-    trial.node(store("d", 1));
-    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
+    harness.node(store("d", 1));
+    assert_eq!(retire(&mut harness, "a", 1), RetirementOutcome::Accepted);
 }
 
 #[test]
 fn two_lost_stores_do_not_remain_until_both_successors_are_complete() {
-    let mut trial = with_stores(&["a", "b", "c", "d"]);
-    trial.changes(&expired("c", 10));
-    trial.changes(&expired("d", 10));
+    let mut harness = with_stores(&["a", "b", "c", "d"]);
+    harness.changes(&expired("c", 10));
+    harness.changes(&expired("d", 10));
     for (name, complete, expected) in [
         ("e", false, RetirementOutcome::TooFew),
         ("f", false, RetirementOutcome::TooFew),
         ("e", true, RetirementOutcome::TooFew),
         ("f", true, RetirementOutcome::Accepted),
     ] {
-        trial.node(NodeReport {
+        harness.node(NodeReport {
             complete,
             ..store(name, 11)
         });
-        assert_eq!(retire(&mut trial, "a", 2), expected, "{name} {complete}");
+        assert_eq!(
+            retire(&mut harness, "a", 2),
+            expected,
+            "after the report of {name}, complete: {complete}"
+        );
     }
 }
 
 #[test]
 fn a_retirement_is_paused_while_two_others_are_replaced() {
-    let mut trial = with_stores(&["a", "b", "c", "d", "e"]);
-    assert_eq!(retire(&mut trial, "a", 2), RetirementOutcome::Accepted);
-    trial.changes(&expired("d", 10));
-    trial.changes(&expired("e", 10));
-    assert!(!entry(&trial, "a").retiring, "only two others remain");
-    assert_eq!(emptied(&mut trial, "a", 10), []);
-    // One of them comes back with an empty disk, the other has a successor of another name.
+    let mut harness = with_stores(&["a", "b", "c", "d", "e"]);
+    assert_eq!(retire(&mut harness, "a", 2), RetirementOutcome::Accepted);
+    harness.changes(&expired("d", 10));
+    harness.changes(&expired("e", 10));
+    assert!(
+        !store_entry(&harness, "a").retiring,
+        "only two other stores remain"
+    );
+    assert_eq!(report_empty(&mut harness, "a", 10), []);
+    // d returns with an empty disk, and f replaces e.
     let wiped = NodeReport {
         disk: 2,
         complete: false,
         ..store("d", 11)
     };
-    trial.node(wiped.clone());
-    trial.node(NodeReport {
+    harness.node(wiped.clone());
+    harness.node(NodeReport {
         complete: false,
         ..store("f", 1)
     });
-    assert!(!entry(&trial, "a").retiring, "both are still being filled");
-    trial.node(NodeReport {
+    assert!(
+        !store_entry(&harness, "a").retiring,
+        "d and f are not complete yet"
+    );
+    harness.node(NodeReport {
         complete: true,
         ..wiped
     });
-    assert!(entry(&trial, "a").retiring, "three remain");
-    emptied(&mut trial, "a", 10);
-    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Done));
+    assert!(
+        store_entry(&harness, "a").retiring,
+        "three other stores remain"
+    );
+    report_empty(&mut harness, "a", 10);
+    assert_eq!(harness.state.retirement("a"), Some(RetirementState::Done));
     assert_eq!(
-        retire(&mut trial, "b", 2),
+        retire(&mut harness, "b", 2),
         RetirementOutcome::TooFew,
-        "the second successor is not complete"
+        "f is not complete yet"
     );
-    trial.node(store("f", 1));
-    assert_eq!(retire(&mut trial, "b", 2), RetirementOutcome::Accepted);
+    harness.node(store("f", 1));
+    assert_eq!(retire(&mut harness, "b", 2), RetirementOutcome::Accepted);
 }
 
 #[test]
 fn a_retirement_that_leaves_too_few_is_paused_until_enough_remain() {
-    let mut trial = with_stores(&["a", "b", "c"]);
-    retire(&mut trial, "a", 1);
-    let before = trial.notifications.len();
-    trial.changes(&expired("b", 10));
-    assert!(!entry(&trial, "a").retiring, "it is used like any other");
+    let mut harness = with_stores(&["a", "b", "c"]);
+    retire(&mut harness, "a", 1);
+    let before = harness.notifications.len();
+    harness.changes(&expired("b", 10));
+    assert!(
+        !store_entry(&harness, "a").retiring,
+        "a paused store is not published as retiring"
+    );
     assert!(
-        trial.notifications[before..].contains(&Change::Store(entry(&trial, "a"))),
-        "and the change is published"
+        harness.notifications[before..].contains(&Change::Store(store_entry(&harness, "a"))),
+        "the pause is published"
     );
-    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Running));
     assert_eq!(
-        retire(&mut trial, "a", 1),
+        harness.state.retirement("a"),
+        Some(RetirementState::Running)
+    );
+    assert_eq!(
+        retire(&mut harness, "a", 1),
         RetirementOutcome::Accepted,
-        "the request stays accepted"
+        "a paused retirement stays accepted"
     );
     assert_eq!(
-        emptied(&mut trial, "a", 10),
+        report_empty(&mut harness, "a", 10),
         [],
-        "nor is it completed meanwhile"
+        "a paused retirement is not completed"
     );
-    trial.node(NodeReport {
+    harness.node(NodeReport {
         complete: false,
         disk: 2,
         ..store("b", 11)
     });
     assert!(
-        !entry(&trial, "a").retiring,
-        "a new disk that is being filled does not remain yet"
+        !store_entry(&harness, "a").retiring,
+        "b does not remain while its new disk is incomplete"
     );
-    trial.node(NodeReport {
+    harness.node(NodeReport {
         disk: 2,
         ..store("b", 11)
     });
-    assert!(entry(&trial, "a").retiring);
-    assert_eq!(emptied(&mut trial, "a", 10).len(), 1);
-    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Done));
+    assert!(store_entry(&harness, "a").retiring);
+    assert_eq!(report_empty(&mut harness, "a", 10).len(), 1);
+    assert_eq!(harness.state.retirement("a"), Some(RetirementState::Done));
 }
 
 #[test]
 fn two_retirements_are_paused_together_and_complete_one_by_one() {
-    let mut trial = with_stores(&["a", "b", "c", "d"]);
-    retire(&mut trial, "a", 1);
-    retire(&mut trial, "b", 1);
-    trial.changes(&expired("c", 10));
-    assert!(!entry(&trial, "a").retiring && !entry(&trial, "b").retiring);
-    trial.node(store("c", 10));
-    assert!(entry(&trial, "a").retiring && entry(&trial, "b").retiring);
-    let epoch_of_b = entry(&trial, "b").epoch;
-    assert_eq!(
-        emptied(&mut trial, "a", 10).len(),
+    let mut harness = with_stores(&["a", "b", "c", "d"]);
+    retire(&mut harness, "a", 1);
+    retire(&mut harness, "b", 1);
+    harness.changes(&expired("c", 10));
+    assert!(!store_entry(&harness, "a").retiring && !store_entry(&harness, "b").retiring);
+    harness.node(store("c", 10));
+    assert!(store_entry(&harness, "a").retiring && store_entry(&harness, "b").retiring);
+    let epoch_of_b = store_entry(&harness, "b").epoch;
+    assert_eq!(
+        report_empty(&mut harness, "a", 10).len(),
         2,
-        "a is empty, and b learns of another epoch"
+        "the retirement of a and the new epoch of b are published"
     );
     assert_eq!(
-        empty_in_epoch(&mut trial, "b", 10, epoch_of_b),
+        report_empty_in_epoch(&mut harness, "b", 10, epoch_of_b),
         [],
-        "it may rely on what a stored"
+        "the report of b may rely on data that a stored"
     );
-    assert_eq!(emptied(&mut trial, "b", 10).len(), 1);
+    assert_eq!(report_empty(&mut harness, "b", 10).len(), 1);
 }
 
 #[test]
 fn a_statement_of_an_earlier_epoch_has_no_effect() {
-    let events: [fn(&mut Trial) -> Vec<Change>; 4] = [
-        |trial| {
-            trial.node(NodeReport {
+    let events: [fn(&mut Harness) -> Vec<Change>; 4] = [
+        |harness| {
+            harness.node(NodeReport {
                 disk: 2,
                 ..store("b", 11)
             })
         },
-        |trial| [trial.changes(&expired("b", 10)), trial.node(store("b", 10))].concat(),
-        |trial| {
-            trial.node(NodeReport {
+        |harness| {
+            [
+                harness.changes(&expired("b", 10)),
+                harness.node(store("b", 10)),
+            ]
+            .concat()
+        },
+        |harness| {
+            harness.node(NodeReport {
                 complete: false,
                 ..store("b", 10)
             })
         },
-        |trial| trial.node(store("e", 10)),
+        |harness| harness.node(store("e", 10)),
     ];
     for (number, event) in events.into_iter().enumerate() {
-        let mut trial = with_stores(&["a", "b", "c", "d"]);
-        retire(&mut trial, "a", 1);
-        let epoch = entry(&trial, "a").epoch;
-        event(&mut trial);
+        let mut harness = with_stores(&["a", "b", "c", "d"]);
+        retire(&mut harness, "a", 1);
+        let epoch = store_entry(&harness, "a").epoch;
+        event(&mut harness);
         assert!(
-            entry(&trial, "a").epoch > epoch,
-            "{number}: it learns of another epoch"
+            store_entry(&harness, "a").epoch > epoch,
+            "case {number}: the new epoch is published"
         );
-        assert_eq!(empty_in_epoch(&mut trial, "a", 10, epoch), [], "{number}");
         assert_eq!(
-            trial.state.retirement("a"),
+            report_empty_in_epoch(&mut harness, "a", 10, epoch),
+            [],
+            "{number}"
+        );
+        assert_eq!(
+            harness.state.retirement("a"),
             Some(RetirementState::Running),
             "{number}"
         );
         assert_eq!(
-            emptied(&mut trial, "a", 10).len(),
+            report_empty(&mut harness, "a", 10).len(),
             1,
-            "{number}: repeated in this epoch it counts"
+            "case {number}: a report in the new epoch takes effect"
         );
     }
 }
 
 #[test]
 fn a_retirement_runs_and_is_done() {
-    let mut trial = with_stores(&["a", "b", "c"]);
-    let before = trial.notifications.len();
-    let standing = entry(&trial, "a");
-    assert_eq!(retire(&mut trial, "a", 1), RetirementOutcome::Accepted);
-    let epoch = entry(&trial, "a").epoch;
+    let mut harness = with_stores(&["a", "b", "c"]);
+    let before = harness.notifications.len();
+    let entry_before_retirement = store_entry(&harness, "a");
+    assert_eq!(retire(&mut harness, "a", 1), RetirementOutcome::Accepted);
+    let epoch = store_entry(&harness, "a").epoch;
     let retiring = StoreEntry {
         retiring: true,
         epoch,
-        ..standing.clone()
+        ..entry_before_retirement.clone()
     };
-    assert_eq!(trial.notifications[before..], [Change::Store(retiring)]);
-    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Running));
+    assert_eq!(harness.notifications[before..], [Change::Store(retiring)]);
     assert_eq!(
-        retire(&mut trial, "a", 1),
+        harness.state.retirement("a"),
+        Some(RetirementState::Running)
+    );
+    assert_eq!(
+        retire(&mut harness, "a", 1),
         RetirementOutcome::Accepted,
-        "repeated"
+        "a repeated request is accepted"
     );
 
     let retired = StoreEntry {
         retired: true,
-        ..standing
+        ..entry_before_retirement
     };
-    assert_eq!(emptied(&mut trial, "a", 10), [Change::Store(retired)]);
-    assert_eq!(emptied(&mut trial, "a", 10), []);
-    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Done));
     assert_eq!(
-        retire(&mut trial, "a", 1),
+        report_empty(&mut harness, "a", 10),
+        [Change::Store(retired)]
+    );
+    assert_eq!(report_empty(&mut harness, "a", 10), []);
+    assert_eq!(harness.state.retirement("a"), Some(RetirementState::Done));
+    assert_eq!(
+        retire(&mut harness, "a", 1),
         RetirementOutcome::Accepted,
-        "repeated when it is done"
+        "a request repeated after the retirement is accepted"
     );
-    assert_eq!(trial.notifications.len(), before + 2);
+    assert_eq!(harness.notifications.len(), before + 2);
 }
 
 #[test]
 fn a_retirement_is_not_completed_by_an_earlier_incarnation_or_unrequested() {
-    let mut trial = with_stores(&["a", "b", "c"]);
-    assert_eq!(emptied(&mut trial, "a", 10), []);
-    assert_eq!(emptied(&mut trial, "nobody", 10), []);
-    retire(&mut trial, "a", 1);
-    trial.node(store("a", 11));
-    assert_eq!(emptied(&mut trial, "a", 10), []);
-    assert_eq!(emptied(&mut trial, "a", 12), []);
-    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Running));
-    assert_eq!(emptied(&mut trial, "a", 11).len(), 1);
+    let mut harness = with_stores(&["a", "b", "c"]);
+    assert_eq!(report_empty(&mut harness, "a", 10), []);
+    assert_eq!(report_empty(&mut harness, "nobody", 10), []);
+    retire(&mut harness, "a", 1);
+    harness.node(store("a", 11));
+    assert_eq!(report_empty(&mut harness, "a", 10), []);
+    assert_eq!(report_empty(&mut harness, "a", 12), []);
+    assert_eq!(
+        harness.state.retirement("a"),
+        Some(RetirementState::Running)
+    );
+    assert_eq!(report_empty(&mut harness, "a", 11).len(), 1);
 }
 
 #[test]
 fn a_retiring_store_goes_on_retiring_after_a_restart_or_a_lost_disk() {
-    let mut trial = with_stores(&["a", "b", "c"]);
-    retire(&mut trial, "a", 1);
-    trial.changes(&expired("a", 10));
-    assert!(entry(&trial, "a").retiring);
-    trial.node(NodeReport {
+    let mut harness = with_stores(&["a", "b", "c"]);
+    retire(&mut harness, "a", 1);
+    harness.changes(&expired("a", 10));
+    assert!(store_entry(&harness, "a").retiring);
+    harness.node(NodeReport {
         disk: 2,
         ..store("a", 11)
     });
-    assert!(entry(&trial, "a").retiring && entry(&trial, "a").present);
+    assert!(store_entry(&harness, "a").retiring && store_entry(&harness, "a").present);
 }
 
 #[test]
 fn a_decommissioned_store_is_removed_and_its_retirement_stays_done() {
-    let mut trial = with_stores(&["a", "b", "c"]);
-    retire(&mut trial, "a", 1);
-    emptied(&mut trial, "a", 10);
-    trial.node(store("a", 10));
+    let mut harness = with_stores(&["a", "b", "c"]);
+    retire(&mut harness, "a", 1);
+    report_empty(&mut harness, "a", 10);
+    harness.node(store("a", 10));
     assert!(
-        entry(&trial, "a").retired,
-        "a later report doesn't bring it back into use"
+        store_entry(&harness, "a").retired,
+        "a later report does not undo the retirement"
     );
     assert_eq!(
-        trial.changes(&expired("a", 10)),
+        harness.changes(&expired("a", 10)),
         [Change::StoreRemoved {
             name: "a".to_owned()
         }]
     );
-    assert_eq!(trial.state.retirement("a"), Some(RetirementState::Done));
+    assert_eq!(harness.state.retirement("a"), Some(RetirementState::Done));
     assert_eq!(
-        trial
+        harness
             .state
             .stores()
             .map(|store| store.name)
             .collect::<Vec<_>>(),
         ["b", "c"]
     );
-    trial.node(store("a", 11));
-    assert!(entry(&trial, "a").retired, "the same disk again");
+    harness.node(store("a", 11));
+    assert!(
+        store_entry(&harness, "a").retired,
+        "the store returned with the same disk"
+    );
 }
 
 #[test]
 fn another_machine_of_a_retired_stores_name_is_a_new_store() {
-    let mut trial = with_stores(&["a", "b", "c"]);
-    retire(&mut trial, "a", 1);
-    emptied(&mut trial, "a", 10);
-    trial.changes(&expired("a", 10));
-    trial.node(NodeReport {
+    let mut harness = with_stores(&["a", "b", "c"]);
+    retire(&mut harness, "a", 1);
+    report_empty(&mut harness, "a", 10);
+    harness.changes(&expired("a", 10));
+    harness.node(NodeReport {
         disk: 2,
         ..store("a", 11)
     });
-    let new = entry(&trial, "a");
+    let new = store_entry(&harness, "a");
     assert!(new.present && !new.retired && !new.retiring);
-    assert_eq!(trial.state.retirement("a"), None);
+    assert_eq!(harness.state.retirement("a"), None);
 }
 
 #[test]
 fn absent_machines_are_bounded() {
-    let mut trial = Trial::default();
+    let mut harness = Harness::default();
     for number in 0..2_000 {
         let name = format!("n{number}");
         for report in [store(&name, number), gateway(&name, number)] {
-            trial.node(report);
+            harness.node(report);
         }
-        trial.changes(&expired(&name, number));
+        harness.changes(&expired(&name, number));
     }
-    assert_eq!(trial.state.stores().count(), 1_024);
+    assert_eq!(harness.state.stores().count(), 1_024);
     assert_eq!(
-        trial
+        harness
             .state
             .stores()
             .filter(|store| store.incarnation < 976)
             .count(),
         0,
-        "the oldest went first"
+        "the oldest absent gateway was evicted first"
     );
-    assert_eq!(trial.state.gateways().count(), 0);
+    assert_eq!(harness.state.gateways().count(), 0);
 }
 
 #[test]
 fn decommissioned_stores_are_evicted_before_absent_ones() {
-    let mut trial = with_stores(&["b", "c"]);
+    let mut harness = with_stores(&["b", "c"]);
     for number in 0..1_030 {
         let name = format!("n{number}");
-        // The first few are only absent, although they are the oldest; all others are decommissioned as planned.
-        trial.node(store(&name, 11 + number));
+        // The first stores, which are the oldest, are only absent; all others are decommissioned.
+        harness.node(store(&name, 11 + number));
         if number >= 8 {
-            assert_eq!(retire(&mut trial, &name, 1), RetirementOutcome::Accepted);
-            emptied(&mut trial, &name, 11 + number);
+            assert_eq!(retire(&mut harness, &name, 1), RetirementOutcome::Accepted);
+            report_empty(&mut harness, &name, 11 + number);
         }
-        trial.changes(&expired(&name, 11 + number));
+        harness.changes(&expired(&name, 11 + number));
     }
-    assert_eq!(trial.state.stores().count(), 2 + 8);
-    assert_eq!(trial.state.retirement("n8"), None);
-    assert_eq!(trial.state.retirement("n14"), Some(RetirementState::Done));
+    assert_eq!(harness.state.stores().count(), 2 + 8);
+    assert_eq!(harness.state.retirement("n8"), None);
+    assert_eq!(harness.state.retirement("n14"), Some(RetirementState::Done));
 }
 
 #[test]
 fn a_duplicate_of_a_rejected_retirement_request_does_not_take_effect_later() {
-    let mut trial = with_stores(&["a", "b"]);
-    let Outcome::Fenced { fencing_token } = trial.apply(&common::retire("a", 1, 0)) else {
-        panic!("no fencing token")
+    let mut harness = with_stores(&["a", "b"]);
+    let Outcome::Fenced { fencing_token } = harness.apply(&common::retire("a", 1, 0)) else {
+        panic!("the request was not fenced")
     };
     let duplicate = common::retire("a", 1, fencing_token);
     assert_eq!(
-        trial.apply(&duplicate),
+        harness.apply(&duplicate),
         Outcome::Retire(RetirementOutcome::TooFew)
     );
-    trial.node(store("c", 10));
-    assert!(matches!(trial.apply(&duplicate), Outcome::Fenced { .. }));
-    assert_eq!(trial.state.retirement("a"), None);
+    harness.node(store("c", 10));
+    assert!(matches!(harness.apply(&duplicate), Outcome::Fenced { .. }));
+    assert_eq!(harness.state.retirement("a"), None);
     assert_eq!(
-        retire(&mut trial, "a", 1),
+        retire(&mut harness, "a", 1),
         RetirementOutcome::Accepted,
-        "a call made since"
+        "a call made after the rejection is accepted"
     );
     assert_eq!(
-        trial.apply(&duplicate),
+        harness.apply(&duplicate),
         Outcome::Retire(RetirementOutcome::Accepted),
-        "it is accepted now"
+        "a duplicate of an accepted request is accepted"
     );
 }
 
 #[test]
 fn a_duplicate_retirement_request_does_not_apply_to_the_next_machine_of_that_name() {
-    let mut trial = with_stores(&["a", "b", "c", "d"]);
-    let Outcome::Fenced { fencing_token } = trial.apply(&common::retire("a", 1, 0)) else {
-        panic!("no fencing token")
+    let mut harness = with_stores(&["a", "b", "c", "d"]);
+    let Outcome::Fenced { fencing_token } = harness.apply(&common::retire("a", 1, 0)) else {
+        panic!("the request was not fenced")
     };
     let duplicate = common::retire("a", 1, fencing_token);
     assert_eq!(
-        trial.apply(&duplicate),
+        harness.apply(&duplicate),
         Outcome::Retire(RetirementOutcome::Accepted)
     );
-    emptied(&mut trial, "a", 10);
+    report_empty(&mut harness, "a", 10);
     assert_eq!(
-        trial.apply(&duplicate),
+        harness.apply(&duplicate),
         Outcome::Retire(RetirementOutcome::Accepted),
-        "repeated after it was done"
+        "a duplicate after the retirement is accepted"
     );
-    trial.changes(&expired("a", 10));
+    harness.changes(&expired("a", 10));
     assert_eq!(
-        trial.apply(&duplicate),
+        harness.apply(&duplicate),
         Outcome::Retire(RetirementOutcome::Accepted),
-        "and after the machine was decommissioned"
+        "a duplicate after the machine was decommissioned is accepted"
     );
-    trial.node(NodeReport {
+    harness.node(NodeReport {
         disk: 2,
         ..store("a", 20)
     });
-    assert!(matches!(trial.apply(&duplicate), Outcome::Fenced { .. }));
-    assert_eq!(trial.state.retirement("a"), None);
+    assert!(matches!(harness.apply(&duplicate), Outcome::Fenced { .. }));
+    assert_eq!(harness.state.retirement("a"), None);
 }
--- a/crates/serving/control-state/tests/operators.rs
+++ b/crates/serving/control-state/tests/operators.rs
@@ -1,20 +1,23 @@
-//! Configuration requests and reads are linearizable for operators who meet partitions, suspended processes and losses
-//! of power and disks, and repeat what got no definite answer.
+//! Configuration requests and reads are linearizable under partitions, suspended processes and losses of power and
+//! disks, when operators repeat requests that got no definite answer.
 
 mod world;
 
-use world::fault_plan::play;
+use world::fault_plan::run;
 use world::history::Tally;
 use world::Setup;
 
+/// Number of groups of faults in each simulation.
 const FAULT_GROUPS: usize = 3;
-/// Seeds that are played for each size of the core.
+/// Number of simulated seeds for each core size.
 const SEEDS: u64 = 40;
+/// Numbers of core members.
 const SIZES: [usize; 4] = [3, 4, 5, 6];
 
-fn is_linearizable(machines: usize) {
+/// Runs [`SEEDS`] simulations of a core with this many members and panics at the first violation.
+fn assert_linearizable(machines: usize) {
     for seed in 0..SEEDS {
-        if let Err(violation) = play(Setup::new(seed, machines), FAULT_GROUPS) {
+        if let Err(violation) = run(Setup::new(seed, machines), FAULT_GROUPS) {
             panic!("{violation}");
         }
     }
@@ -22,27 +25,28 @@
 
 #[test]
 fn three_members() {
-    is_linearizable(SIZES[0]);
+    assert_linearizable(SIZES[0]);
 }
 
 #[test]
 fn four_members() {
-    is_linearizable(SIZES[1]);
+    assert_linearizable(SIZES[1]);
 }
 
 #[test]
 fn five_members() {
-    is_linearizable(SIZES[2]);
+    assert_linearizable(SIZES[2]);
 }
 
 #[test]
 fn six_members() {
-    is_linearizable(SIZES[3]);
+    assert_linearizable(SIZES[3]);
 }
 
-/// Seeds that failed before a fix, each with its core's size. 1,025 was the checker's fault, which judged a request
-/// both rejected and accepted though another call was made in between; the others showed stale state to followers.
-const ONCE_BROKEN: [(u64, usize); 8] = [
+/// Seeds that failed before a fix, each with its core size. Seed 1,025 was a fault of the checker, which reported a
+/// request as both rejected and accepted although another call was made in between. With the others, members showed
+/// stale state to followers.
+const REGRESSION_SEEDS: [(u64, usize); 8] = [
     (1_017, 4),
     (1_025, 4),
     (22, 6),
@@ -55,15 +59,15 @@
 
 #[test]
 fn seeds_that_once_broke() {
-    for (seed, machines) in ONCE_BROKEN {
-        play(Setup::new(seed, machines), FAULT_GROUPS)
+    for (seed, machines) in REGRESSION_SEEDS {
+        run(Setup::new(seed, machines), FAULT_GROUPS)
             .unwrap_or_else(|violation| panic!("{violation}"));
     }
 }
 
-/// As many seeds as requested: `FIRST` and `SEEDS` in the environment.
+/// Runs the seeds that the environment variables `FIRST` and `SEEDS` select.
 #[test]
-#[ignore = "runs for as long as its settings say"]
+#[ignore = "its duration depends on the number of seeds"]
 fn many_seeds() {
     let number = |name: &str| {
         std::env::var(name)
@@ -73,7 +77,7 @@
     let first = number("FIRST").unwrap_or(1_000);
     let (mut violations, mut sum) = (0, Tally::default());
     for seed in first..first + number("SEEDS").unwrap_or(1_000) {
-        match play(
+        match run(
             Setup::new(seed, SIZES[seed as usize % SIZES.len()]),
             FAULT_GROUPS,
         ) {
--- a/crates/serving/control-state/tests/operators_safeguards.rs
+++ b/crates/serving/control-state/tests/operators_safeguards.rs
@@ -1,45 +1,49 @@
-//! Each safeguard removed in turn lets the fault happen that it prevents, in worlds that are linearizable with all
-//! safeguards in place.
+//! Removes each safeguard in turn and shows that the fault it prevents then happens, in simulations that are
+//! linearizable with all safeguards.
 
 mod world;
 
 use dunespur_chain_replication::Safeguard as ChainSafeguard;
 use dunespur_control_state::Safeguard;
-use world::fault_plan::play;
+use world::fault_plan::run;
 use world::violation::Violation;
 use world::{Safeguards, Setup};
 
+/// Number of groups of faults in each simulation.
 const FAULT_GROUPS: usize = 3;
-/// Seeds that are tried for a counterexample.
+/// Number of seeds that are searched for a counterexample.
 const SEEDS: u64 = 400;
-/// Duplicates of rejected requests that meet the very state in which they could be accepted are rare: one of the next
-/// seeds has one.
+/// First seed of the search for a duplicate of a rejected configuration request that arrives when the request could be
+/// accepted. Such duplicates are rare.
 const RARE_SEED: u64 = 1_587;
-/// The same for requests to retire a store.
+/// First seed of the search for such a duplicate of a request to retire a store.
 const RARE_STORE_SEED: u64 = 31;
 
-/// The first violation without some safeguards. It has to be the one that they prevent, not another.
-fn counterexample(safeguards: Safeguards, sign: &str) -> Violation {
-    counterexample_from(0, safeguards, sign)
+/// Returns the first violation with these safeguards whose description contains `expected`, the mark of the fault that
+/// the removed safeguard prevents.
+fn counterexample(safeguards: Safeguards, expected: &str) -> Violation {
+    counterexample_from(0, safeguards, expected)
 }
 
-fn counterexample_from(first: u64, safeguards: Safeguards, sign: &str) -> Violation {
+/// As [`counterexample`], but searches from the seed `first`.
+fn counterexample_from(first: u64, safeguards: Safeguards, expected: &str) -> Violation {
     let found = (first..first + SEEDS).find_map(|seed| {
         let setup = Setup {
             safeguards,
             ..Setup::new(seed, 3 + seed as usize % 4)
         };
-        play(setup, FAULT_GROUPS)
+        run(setup, FAULT_GROUPS)
             .err()
-            .filter(|violation| violation.mentions(sign))
+            .filter(|violation| violation.mentions(expected))
     });
-    let found = found.unwrap_or_else(|| panic!("in {SEEDS} seeds nothing went wrong"));
+    let found = found
+        .unwrap_or_else(|| panic!("no violation with {expected:?} in {SEEDS} seeds from {first}"));
     eprintln!("{found}");
     found
 }
 
 #[test]
-fn a_rejection_needs_its_commit() {
+fn a_rejection_must_be_committed() {
     let safeguards = Safeguards {
         rejects_unconfirmed: true,
         ..Safeguards::default()
@@ -104,7 +108,7 @@
             control,
             ..Safeguards::default()
         },
-        "was as well",
+        "had been accepted after that base",
     );
 }
 
@@ -130,18 +134,18 @@
             control,
             ..Safeguards::default()
         },
-        "is being emptied, and every call",
+        "is being emptied, although every call",
     );
 }
 
 #[test]
-fn what_is_acknowledged_is_on_disk() {
+fn acknowledged_data_is_on_disk() {
     let chain = dunespur_chain_replication::Safeguards::without(ChainSafeguard::PersistBeforeSend);
     counterexample(
         Safeguards {
             chain,
             ..Safeguards::default()
         },
-        "commits something else",
+        "commits another payload at index",
     );
 }
--- a/crates/serving/control-state/tests/replicas.rs
+++ b/crates/serving/control-state/tests/replicas.rs
@@ -1,5 +1,5 @@
-//! Replicas that apply the same operations are equal, and subscribers that receive the changes reach the state of a
-//! new one. Seeded sequences of operations of which some are duplicated and some reordered.
+//! Seeded sequences of operations, some duplicated and some reordered: replicas stay equal, and a subscriber that
+//! receives the changes has the same state as a new subscriber.
 
 mod common;
 
@@ -14,18 +14,18 @@
 
 const SEEDS: u64 = 60;
 const OPERATIONS: usize = 800;
-/// How many operations are under way at once.
+/// Number of operations in flight at once.
 const WINDOW: usize = 6;
 
-/// Makes up operations on a few servers, nodes and programs, so that they meet.
-struct Author {
+/// Generates random operations on a few servers, nodes and programs, so that operations affect the same items.
+struct OperationGenerator {
     random: Rng,
     sequence: u64,
-    /// What the operations that have arrived lead to, so that some requests build on the newest configuration.
+    /// The state after the operations that have arrived, so that some requests build on the current configuration.
     state: ControlState,
 }
 
-impl Author {
+impl OperationGenerator {
     fn operation(&mut self) -> Operation {
         self.sequence += 1;
         match self.random.u32(0..20) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Mostly of a store's current incarnation and the current epoch.
+    /// A report of an empty store, mostly from the current incarnation and in the current epoch.
     fn retire_done(&mut self) -> Operation {
         let node = self.name("n", 6);
         let known = self
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Mostly on the newest generation, else on one near it; some of them invalid.
+    /// A configuration request, mostly on the newest generation, else on a recent one. Some requests are invalid.
     fn request(&mut self) -> ConfigurationRequest {
         let newest = self
             .state
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Mostly the present one, as a call made now learns it.
+    /// A fencing token for a retirement request, mostly the current one.
     fn retirement_token(&mut self) -> u64 {
         match self
             .state
@@ -149,15 +149,15 @@
         format!("{prefix}{}", self.random.u32(0..names))
     }
 
-    /// A number that is as high as the newest or a little lower.
+    /// The newest sequence number or a slightly lower one.
     fn recent(&mut self) -> u64 {
         self.sequence.saturating_sub(self.random.u64(0..20))
     }
 }
 
-/// Operations of a seed as they arrive, some duplicated, some reordered.
+/// The operations of a seed in the order of their arrival, some duplicated, some reordered.
 fn operations(seed: u64) -> Vec<Operation> {
-    let mut author = Author {
+    let mut generator = OperationGenerator {
         random: Rng::with_seed(seed),
         sequence: 0,
         state: ControlState::default(),
@@ -166,20 +166,20 @@
     let mut arrived = Vec::new();
     while arrived.len() < OPERATIONS {
         while in_flight.len() < WINDOW {
-            in_flight.push(author.operation());
+            in_flight.push(generator.operation());
         }
-        let next = author.random.usize(0..WINDOW);
-        let operation = match author.random.u32(0..4) {
+        let next = generator.random.usize(0..WINDOW);
+        let operation = match generator.random.u32(0..4) {
             0 => in_flight[next].clone(),
             _ => in_flight.swap_remove(next),
         };
-        author.state.apply(&operation, &mut Vec::new());
+        generator.state.apply(&operation, &mut Vec::new());
         arrived.push(operation);
     }
     arrived
 }
 
-/// A subscriber's state after it received changes.
+/// The state that a subscriber builds from changes.
 #[derive(Debug, Default, PartialEq)]
 struct Subscriber {
     configuration: Option<String>,
@@ -194,7 +194,8 @@
             match change {
                 Change::Configuration { json, .. } => self.configuration = Some(json.to_string()),
                 Change::Server(report) => {
-                    // A new sequence number alone is not published, so it differs from the state of a new subscriber.
+                    // Subscribers' sequence numbers may differ, because a change of the sequence number alone is not
+                    // published.
                     let known = Change::Server(ServerReport {
                         sequence: 0,
                         ..report.clone()
@@ -204,27 +205,35 @@
                 Change::ServerRemoved { id } => {
                     assert!(
                         self.servers.remove(id).is_some(),
-                        "{id} was published before"
+                        "server {id} was removed but not published before"
                     );
                 }
                 Change::Store(entry) => {
                     let before = self.stores.insert(entry.name.clone(), change.clone());
-                    assert_ne!(before.as_ref(), Some(change), "a change changes something");
+                    assert_ne!(
+                        before.as_ref(),
+                        Some(change),
+                        "a published change must differ from the earlier one"
+                    );
                 }
                 Change::StoreRemoved { name } => {
                     assert!(
                         self.stores.remove(name).is_some(),
-                        "{name} was published before"
+                        "{name} was removed but not published before"
                     );
                 }
                 Change::Gateway(entry) => {
                     let before = self.gateways.insert(entry.name.clone(), change.clone());
-                    assert_ne!(before.as_ref(), Some(change), "a change changes something");
+                    assert_ne!(
+                        before.as_ref(),
+                        Some(change),
+                        "a published change must differ from the earlier one"
+                    );
                 }
                 Change::GatewayRemoved { name } => {
                     assert!(
                         self.gateways.remove(name).is_some(),
-                        "{name} was published before"
+                        "{name} was removed but not published before"
                     );
                 }
             }
@@ -241,21 +250,21 @@
 #[test]
 fn replicas_are_equal_byte_for_byte() {
     for seed in 0..SEEDS {
-        let (mut one, mut other) = (ControlState::default(), ControlState::default());
-        let (mut changes_of_one, mut changes_of_other) = (Vec::new(), Vec::new());
+        let (mut first, mut second) = (ControlState::default(), ControlState::default());
+        let (mut changes_of_first, mut changes_of_second) = (Vec::new(), Vec::new());
         for operation in operations(seed) {
-            let outcome = one.apply(&operation, &mut changes_of_one);
-            // The other replica is stopped and started again from its snapshot between any two operations.
-            other = ControlState::restore(&other.snapshot()).expect("a snapshot is read");
+            let outcome = first.apply(&operation, &mut changes_of_first);
+            // The second replica is restored from its snapshot before each operation.
+            second = ControlState::restore(&second.snapshot()).expect("the snapshot is restorable");
             assert_eq!(
-                other.apply(&operation, &mut changes_of_other),
+                second.apply(&operation, &mut changes_of_second),
                 outcome,
                 "seed {seed}"
             );
         }
-        assert_eq!(one, other, "seed {seed}");
-        assert_eq!(one.snapshot(), other.snapshot(), "seed {seed}");
-        assert_eq!(changes_of_one, changes_of_other, "seed {seed}");
+        assert_eq!(first, second, "seed {seed}");
+        assert_eq!(first.snapshot(), second.snapshot(), "seed {seed}");
+        assert_eq!(changes_of_first, changes_of_second, "seed {seed}");
     }
 }
 
@@ -284,24 +293,24 @@
         for operation in operations(seed) {
             let outcome = state.apply(&operation, &mut Vec::new());
             let mut changes = Vec::new();
-            let again = state.apply(&operation, &mut changes);
+            let repeated = state.apply(&operation, &mut changes);
             assert_eq!(changes, [], "seed {seed}, {operation:?}");
             match outcome {
-                // A duplicate of a rejected request is void, so that it can't be accepted later.
+                // A duplicate of a rejected request is fenced, so that it cannot be accepted later.
                 Outcome::Retire(RetirementOutcome::TooFew | RetirementOutcome::UnknownNode) => {
                     assert!(
-                        matches!(again, Outcome::Fenced { .. }),
-                        "seed {seed}, {operation:?}: {again:?}"
+                        matches!(repeated, Outcome::Fenced { .. }),
+                        "seed {seed}, {operation:?}: {repeated:?}"
                     );
                 }
-                outcome => assert_eq!(again, outcome, "seed {seed}, {operation:?}"),
+                outcome => assert_eq!(repeated, outcome, "seed {seed}, {operation:?}"),
             }
         }
     }
 }
 
 #[test]
-fn what_must_not_come_back_does_not_come_back() {
+fn final_states_and_accepted_requests_are_never_undone() {
     for seed in 0..SEEDS {
         let mut state = ControlState::default();
         let (mut left, mut drained) = (BTreeSet::new(), BTreeSet::new());
@@ -317,7 +326,7 @@
                     let other = accepted.insert(request.base, request.clone());
                     assert!(
                         other.is_none_or(|other| other == *request),
-                        "two requests on {}",
+                        "two requests were accepted on generation {}",
                         request.base
                     );
                 }
@@ -326,13 +335,13 @@
             for server in state.servers() {
                 assert!(
                     !left.contains(&server.id),
-                    "seed {seed}: {} left",
+                    "seed {seed}: {} is present after it left",
                     server.id
                 );
                 let ready = server.state == ServerState::Ready;
                 assert!(
                     !ready || !drained.contains(&server.id),
-                    "seed {seed}: {} was draining",
+                    "seed {seed}: {} is ready after it was draining",
                     server.id
                 );
             }
@@ -340,51 +349,54 @@
             assert_eq!(
                 addresses.len(),
                 state.servers().count(),
-                "seed {seed}: one server at each address"
+                "seed {seed}: two servers have the same address"
             );
             let generation = state
                 .configuration()
                 .map_or(0, |document| document.generation());
-            assert!(generation >= newest, "seed {seed}: a generation went back");
+            assert!(
+                generation >= newest,
+                "seed {seed}: the generation decreased"
+            );
             newest = generation;
         }
         assert!(
             accepted.len() > 20,
-            "seed {seed}: requests are accepted now and then"
+            "seed {seed}: too few requests were accepted"
         );
         for request in accepted.into_values() {
-            let again = state.apply(&Operation::Configure(request), &mut Vec::new());
-            assert_eq!(again, Outcome::Accepted, "seed {seed}");
+            let repeated = state.apply(&Operation::Configure(request), &mut Vec::new());
+            assert_eq!(repeated, Outcome::Accepted, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn operations_and_changes_go_through_bytes() {
+fn operations_outcomes_and_changes_survive_encoding() {
     let mut state = ControlState::default();
     for operation in operations(1) {
-        let bytes = postcard::to_stdvec(&operation).expect("an operation is written");
+        let bytes = postcard::to_stdvec(&operation).expect("the operation is encodable");
         assert_eq!(
-            postcard::from_bytes::<Operation>(&bytes).expect("an operation is read"),
+            postcard::from_bytes::<Operation>(&bytes).expect("the operation is decodable"),
             operation
         );
         let outcome = state.apply(&operation, &mut Vec::new());
-        let bytes = postcard::to_stdvec(&outcome).expect("an outcome is written");
+        let bytes = postcard::to_stdvec(&outcome).expect("the outcome is encodable");
         assert_eq!(
-            postcard::from_bytes::<Outcome>(&bytes).expect("an outcome is read"),
+            postcard::from_bytes::<Outcome>(&bytes).expect("the outcome is decodable"),
             outcome
         );
     }
     let initial_changes = state.initial_changes();
-    let bytes = postcard::to_stdvec(&initial_changes).expect("changes are written");
+    let bytes = postcard::to_stdvec(&initial_changes).expect("the changes are encodable");
     assert_eq!(
-        postcard::from_bytes::<Vec<Change>>(&bytes).expect("changes are read"),
+        postcard::from_bytes::<Vec<Change>>(&bytes).expect("the changes are decodable"),
         initial_changes
     );
 }
 
 #[test]
-fn bytes_that_are_no_snapshot_are_rejected() {
+fn invalid_snapshots_are_rejected() {
     let mut state = ControlState::default();
     for operation in operations(2) {
         state.apply(&operation, &mut Vec::new());
@@ -411,7 +423,7 @@
                 ControlState::restore(&snapshot[..end]),
                 Err(SnapshotError::Damaged(_))
             ),
-            "{end}"
+            "truncated to {end} bytes"
         );
     }
 }
--- a/crates/serving/control-state/tests/retirement_safeguards.rs
+++ b/crates/serving/control-state/tests/retirement_safeguards.rs
@@ -1,37 +1,37 @@
-//! Each safeguard of the retirement of stores removed in turn lets the fault happen that it prevents.
+//! Removes each safeguard of store retirement in turn and shows that the fault it prevents then happens.
 
 mod common;
 
-use common::{store, Trial};
+use common::{store, Harness};
 use dunespur_control_state::{
     ControlState, Operation, Outcome, RetirementOutcome, RetirementState, Safeguard, Safeguards,
 };
 
-fn with_stores(safeguards: Safeguards, names: &[&str]) -> Trial {
-    let mut trial = Trial {
+fn with_stores(safeguards: Safeguards, names: &[&str]) -> Harness {
+    let mut harness = Harness {
         state: ControlState::default().with_safeguards(safeguards),
         notifications: Vec::new(),
     };
     for name in names {
-        trial.node(store(name, 10));
+        harness.node(store(name, 10));
     }
-    trial
+    harness
 }
 
-fn retire(trial: &mut Trial, name: &str) -> Outcome {
-    trial.retire(name, 1)
+fn retire(harness: &mut Harness, name: &str) -> Outcome {
+    harness.retire(name, 1)
 }
 
-fn expired(trial: &mut Trial, name: &str) {
-    trial.changes(&Operation::NodeExpired {
+fn expired(harness: &mut Harness, name: &str) {
+    harness.changes(&Operation::NodeExpired {
         name: name.to_owned(),
         incarnation: 10,
     });
 }
 
-/// The present and complete stores that turns are placed on.
-fn usable_stores(trial: &Trial) -> usize {
-    let usable = trial
+/// The number of present and complete stores on which turns are placed.
+fn usable_stores(harness: &Harness) -> usize {
+    let usable = harness
         .state
         .stores()
         .filter(|store| store.present && store.complete);
@@ -40,95 +40,101 @@
         .count()
 }
 
-fn epoch_of(trial: &Trial, name: &str) -> u64 {
-    trial
+fn epoch_of(harness: &Harness, name: &str) -> u64 {
+    harness
         .state
         .stores()
         .find(|store| store.name == name)
-        .expect("a known store")
+        .expect("the store is recorded")
         .epoch
 }
 
-fn says_empty(trial: &mut Trial, name: &str, epoch: u64) {
-    trial.changes(&Operation::RetireDone {
+fn report_empty(harness: &mut Harness, name: &str, epoch: u64) {
+    harness.changes(&Operation::RetireDone {
         node: name.to_owned(),
         incarnation: 10,
         epoch,
     });
 }
 
-/// An unplanned replacement, then two requests to retire: how many usable stores are left.
-fn replacement_and_two_orders(safeguards: Safeguards) -> usize {
-    let mut trial = with_stores(safeguards, &["a", "b", "c"]);
-    expired(&mut trial, "c");
-    trial.node(store("d", 10));
+/// The number of usable stores after c is replaced by d and retirements of a and b are requested.
+fn usable_after_replacement_and_retirements(safeguards: Safeguards) -> usize {
+    let mut harness = with_stores(safeguards, &["a", "b", "c"]);
+    expired(&mut harness, "c");
+    harness.node(store("d", 10));
     for name in ["a", "b"] {
-        if retire(&mut trial, name) == Outcome::Retire(RetirementOutcome::Accepted) {
-            let epoch = epoch_of(&trial, name);
-            says_empty(&mut trial, name, epoch);
-            expired(&mut trial, name);
+        if retire(&mut harness, name) == Outcome::Retire(RetirementOutcome::Accepted) {
+            let epoch = epoch_of(&harness, name);
+            report_empty(&mut harness, name, epoch);
+            expired(&mut harness, name);
         }
     }
-    usable_stores(&trial)
+    usable_stores(&harness)
 }
 
 #[test]
 fn a_lost_store_must_not_remain() {
-    assert_eq!(replacement_and_two_orders(Safeguards::default()), 2);
+    assert_eq!(
+        usable_after_replacement_and_retirements(Safeguards::default()),
+        2
+    );
     let without = Safeguards::without(Safeguard::RemainingPresentAndComplete);
     assert_eq!(
-        replacement_and_two_orders(without),
+        usable_after_replacement_and_retirements(without),
         1,
-        "the last store but one is emptied"
+        "without the safeguard the second-to-last store is emptied"
     );
 }
 
-/// The usable stores that are left while one store is being emptied and another is lost.
-fn loss_during_a_retirement(safeguards: Safeguards) -> usize {
-    let mut trial = with_stores(safeguards, &["a", "b", "c"]);
-    retire(&mut trial, "a");
-    expired(&mut trial, "b");
-    usable_stores(&trial)
+/// The number of usable stores while a is being emptied and b is lost.
+fn usable_after_loss_during_retirement(safeguards: Safeguards) -> usize {
+    let mut harness = with_stores(safeguards, &["a", "b", "c"]);
+    retire(&mut harness, "a");
+    expired(&mut harness, "b");
+    usable_stores(&harness)
 }
 
 #[test]
 fn a_retirement_must_be_paused() {
-    assert_eq!(loss_during_a_retirement(Safeguards::default()), 2);
+    assert_eq!(
+        usable_after_loss_during_retirement(Safeguards::default()),
+        2
+    );
     let without = Safeguards::without(Safeguard::RetirementPaused);
     assert_eq!(
-        loss_during_a_retirement(without),
+        usable_after_loss_during_retirement(without),
         1,
-        "no turn is stored on two disks any more"
+        "without the safeguard turns are stored on one disk only"
     );
 }
 
-/// A store finds itself empty; before that is committed, another that it relied on has lost its disk.
-fn wiped_after_its_statement(safeguards: Safeguards) -> Option<RetirementState> {
-    let mut trial = with_stores(safeguards, &["a", "b", "c"]);
-    retire(&mut trial, "a");
-    let epoch = epoch_of(&trial, "a");
-    trial.node(dunespur_control_state::NodeReport {
+/// The state of a's retirement after a reports itself empty, and b loses its disk before that report is committed.
+fn retirement_after_outdated_report(safeguards: Safeguards) -> Option<RetirementState> {
+    let mut harness = with_stores(safeguards, &["a", "b", "c"]);
+    retire(&mut harness, "a");
+    let epoch = epoch_of(&harness, "a");
+    harness.node(dunespur_control_state::NodeReport {
         disk: 2,
         complete: false,
         ..store("b", 11)
     });
-    trial.node(dunespur_control_state::NodeReport {
+    harness.node(dunespur_control_state::NodeReport {
         disk: 2,
         ..store("b", 11)
     });
-    says_empty(&mut trial, "a", epoch);
-    trial.state.retirement("a")
+    report_empty(&mut harness, "a", epoch);
+    harness.state.retirement("a")
 }
 
 #[test]
-fn a_statement_must_be_of_the_current_epoch() {
+fn a_report_of_an_empty_store_must_be_of_the_current_epoch() {
     assert_eq!(
-        wiped_after_its_statement(Safeguards::default()),
+        retirement_after_outdated_report(Safeguards::default()),
         Some(RetirementState::Running)
     );
     let without = Safeguards::without(Safeguard::EpochsChecked);
     assert_eq!(
-        wiped_after_its_statement(without),
+        retirement_after_outdated_report(without),
         Some(RetirementState::Done)
     );
 }
--- a/crates/serving/control-state/tests/servers.rs
+++ b/crates/serving/control-state/tests/servers.rs
@@ -1,8 +1,8 @@
-//! Servers: reports overtake each other, addresses are reused, and what ended doesn't come back.
+//! Servers: reordered reports, reused addresses, and departures that late reports do not undo.
 
 mod common;
 
-use common::{address, draining, server, Trial};
+use common::{address, draining, server, Harness};
 use dunespur_control_state::{Change, Operation, ServerReport, ServerState};
 
 fn left(id: &str) -> Operation {
@@ -20,234 +20,234 @@
     Change::ServerRemoved { id: id.to_owned() }
 }
 
-fn state_of(trial: &Trial, id: &str) -> Option<ServerState> {
-    trial.state.server(id).map(|server| server.state)
+fn state_of(harness: &Harness, id: &str) -> Option<ServerState> {
+    harness.state.server(id).map(|server| server.state)
 }
 
 #[test]
 fn a_new_server_is_published_and_an_unchanged_report_is_not() {
-    let mut trial = Trial::default();
+    let mut harness = Harness::default();
     assert_eq!(
-        trial.server(server("a", 1, 1)),
+        harness.server(server("a", 1, 1)),
         [Change::Server(server("a", 1, 1))]
     );
-    assert_eq!(trial.server(server("a", 1, 2)), []);
-    assert_eq!(trial.server(server("a", 1, 2)), []);
-    assert_eq!(trial.state.server("a").expect("a server").sequence, 2);
+    assert_eq!(harness.server(server("a", 1, 2)), []);
+    assert_eq!(harness.server(server("a", 1, 2)), []);
+    assert_eq!(harness.state.server("a").expect("a server").sequence, 2);
 }
 
 #[test]
 fn a_report_that_was_overtaken_changes_nothing() {
-    let mut trial = Trial::default();
+    let mut harness = Harness::default();
     let newer = ServerReport {
         slots: 9,
         ..server("a", 1, 5)
     };
-    trial.server(newer.clone());
-    assert_eq!(trial.server(server("a", 1, 4)), []);
-    assert_eq!(trial.server(server("a", 1, 5)), []);
-    assert_eq!(trial.state.server("a"), Some(&newer));
+    harness.server(newer.clone());
+    assert_eq!(harness.server(server("a", 1, 4)), []);
+    assert_eq!(harness.server(server("a", 1, 5)), []);
+    assert_eq!(harness.state.server("a"), Some(&newer));
     assert_eq!(
-        trial.server(server("a", 1, 6)),
+        harness.server(server("a", 1, 6)),
         [Change::Server(server("a", 1, 6))]
     );
 }
 
 #[test]
 fn draining_never_becomes_ready_again() {
-    let mut trial = Trial::default();
-    trial.server(server("a", 1, 1));
+    let mut harness = Harness::default();
+    harness.server(server("a", 1, 1));
     assert_eq!(
-        trial.server(draining("a", 1, 2)),
+        harness.server(draining("a", 1, 2)),
         [Change::Server(draining("a", 1, 2))]
     );
-    assert_eq!(trial.server(server("a", 1, 3)), []);
-    assert_eq!(trial.server(server("a", 1, 1)), []);
-    assert_eq!(state_of(&trial, "a"), Some(ServerState::Draining));
+    assert_eq!(harness.server(server("a", 1, 3)), []);
+    assert_eq!(harness.server(server("a", 1, 1)), []);
+    assert_eq!(state_of(&harness, "a"), Some(ServerState::Draining));
 }
 
 #[test]
 fn draining_counts_even_if_it_was_overtaken() {
-    let mut trial = Trial::default();
-    trial.server(server("a", 1, 9));
+    let mut harness = Harness::default();
+    harness.server(server("a", 1, 9));
     assert_eq!(
-        trial.server(draining("a", 1, 8)),
+        harness.server(draining("a", 1, 8)),
         [Change::Server(draining("a", 1, 9))]
     );
-    assert_eq!(state_of(&trial, "a"), Some(ServerState::Draining));
+    assert_eq!(state_of(&harness, "a"), Some(ServerState::Draining));
 }
 
 #[test]
 fn a_server_that_left_never_comes_back() {
-    let mut trial = Trial::default();
-    trial.server(server("a", 1, 1));
-    assert_eq!(trial.changes(&left("a")), [removed("a")]);
-    assert_eq!(trial.changes(&left("a")), []);
-    assert_eq!(trial.server(server("a", 1, 99)), []);
-    assert_eq!(trial.changes(&expired("a", 100)), []);
-    assert_eq!(trial.server(server("a", 1, 101)), []);
-    assert_eq!(trial.ids(), [""; 0]);
+    let mut harness = Harness::default();
+    harness.server(server("a", 1, 1));
+    assert_eq!(harness.changes(&left("a")), [removed("a")]);
+    assert_eq!(harness.changes(&left("a")), []);
+    assert_eq!(harness.server(server("a", 1, 99)), []);
+    assert_eq!(harness.changes(&expired("a", 100)), []);
+    assert_eq!(harness.server(server("a", 1, 101)), []);
+    assert_eq!(harness.ids(), [""; 0]);
 }
 
 #[test]
 fn a_leave_that_overtakes_the_first_report_is_final() {
-    let mut trial = Trial::default();
-    assert_eq!(trial.changes(&left("a")), []);
-    assert_eq!(trial.server(server("a", 1, 1)), []);
-    assert_eq!(trial.ids(), [""; 0]);
+    let mut harness = Harness::default();
+    assert_eq!(harness.changes(&left("a")), []);
+    assert_eq!(harness.server(server("a", 1, 1)), []);
+    assert_eq!(harness.ids(), [""; 0]);
 }
 
 #[test]
 fn an_expired_server_comes_back_with_a_newer_report_only() {
-    let mut trial = Trial::default();
-    trial.server(server("a", 1, 5));
-    assert_eq!(trial.changes(&expired("a", 5)), [removed("a")]);
-    assert_eq!(trial.server(server("a", 1, 4)), []);
-    assert_eq!(trial.server(server("a", 1, 5)), []);
+    let mut harness = Harness::default();
+    harness.server(server("a", 1, 5));
+    assert_eq!(harness.changes(&expired("a", 5)), [removed("a")]);
+    assert_eq!(harness.server(server("a", 1, 4)), []);
+    assert_eq!(harness.server(server("a", 1, 5)), []);
     assert_eq!(
-        trial.server(server("a", 1, 6)),
+        harness.server(server("a", 1, 6)),
         [Change::Server(server("a", 1, 6))]
     );
 }
 
 #[test]
-fn an_expiry_means_nothing_once_a_newer_report_came() {
-    let mut trial = Trial::default();
-    trial.server(server("a", 1, 6));
-    assert_eq!(trial.changes(&expired("a", 5)), []);
-    assert_eq!(trial.ids(), ["a"]);
-    assert_eq!(trial.changes(&expired("nobody", 5)), []);
-    assert_eq!(trial.server(server("nobody", 2, 1)).len(), 1);
+fn an_expiry_has_no_effect_after_a_newer_report() {
+    let mut harness = Harness::default();
+    harness.server(server("a", 1, 6));
+    assert_eq!(harness.changes(&expired("a", 5)), []);
+    assert_eq!(harness.ids(), ["a"]);
+    assert_eq!(harness.changes(&expired("nobody", 5)), []);
+    assert_eq!(harness.server(server("nobody", 2, 1)).len(), 1);
 }
 
 #[test]
 fn an_expiry_covers_reports_that_the_core_did_not_receive() {
-    let mut trial = Trial::default();
-    trial.server(server("a", 1, 1));
-    trial.changes(&expired("a", 40));
-    assert_eq!(trial.server(server("a", 1, 40)), []);
-    assert_eq!(trial.server(server("a", 1, 41)).len(), 1);
+    let mut harness = Harness::default();
+    harness.server(server("a", 1, 1));
+    harness.changes(&expired("a", 40));
+    assert_eq!(harness.server(server("a", 1, 40)), []);
+    assert_eq!(harness.server(server("a", 1, 41)).len(), 1);
 }
 
 #[test]
 fn an_expired_server_that_was_draining_comes_back_draining() {
-    let mut trial = Trial::default();
-    trial.server(draining("a", 1, 5));
-    trial.changes(&expired("a", 5));
+    let mut harness = Harness::default();
+    harness.server(draining("a", 1, 5));
+    harness.changes(&expired("a", 5));
     assert_eq!(
-        trial.server(server("a", 1, 6)),
+        harness.server(server("a", 1, 6)),
         [Change::Server(draining("a", 1, 6))]
     );
 
-    trial.server(server("b", 2, 5));
-    trial.changes(&expired("b", 5));
-    assert_eq!(trial.server(draining("b", 2, 4)), []);
+    harness.server(server("b", 2, 5));
+    harness.changes(&expired("b", 5));
+    assert_eq!(harness.server(draining("b", 2, 4)), []);
     assert_eq!(
-        trial.server(server("b", 2, 6)),
+        harness.server(server("b", 2, 6)),
         [Change::Server(draining("b", 2, 6))]
     );
 }
 
 #[test]
 fn a_server_that_expired_may_still_leave() {
-    let mut trial = Trial::default();
-    trial.server(server("a", 1, 5));
-    trial.changes(&expired("a", 5));
-    trial.changes(&left("a"));
-    assert_eq!(trial.server(server("a", 1, 6)), []);
+    let mut harness = Harness::default();
+    harness.server(server("a", 1, 5));
+    harness.changes(&expired("a", 5));
+    harness.changes(&left("a"));
+    assert_eq!(harness.server(server("a", 1, 6)), []);
 }
 
 #[test]
 fn a_new_server_takes_the_address_of_an_older_one() {
-    let mut trial = Trial::default();
-    trial.server(server("a", 1, 5));
+    let mut harness = Harness::default();
+    harness.server(server("a", 1, 5));
     let newer = ServerReport {
         backend: "other".to_owned(),
         ..server("b", 1, 1)
     };
     assert_eq!(
-        trial.server(newer.clone()),
+        harness.server(newer.clone()),
         [removed("a"), Change::Server(newer)]
     );
     assert_eq!(
-        trial.server(server("a", 1, 5)),
+        harness.server(server("a", 1, 5)),
         [],
-        "an earlier report of the older one doesn't count"
+        "a late report of the replaced server has no effect"
     );
-    assert_eq!(trial.ids(), ["b"]);
+    assert_eq!(harness.ids(), ["b"]);
 }
 
 #[test]
-fn a_server_of_which_a_late_report_took_the_address_takes_it_back() {
-    let mut trial = Trial::default();
-    trial.server(server("new", 1, 3));
+fn a_server_takes_its_address_back_from_a_late_report_of_another() {
+    let mut harness = Harness::default();
+    harness.server(server("new", 1, 3));
     assert_eq!(
-        trial.server(server("old", 1, 80)).len(),
+        harness.server(server("old", 1, 80)).len(),
         2,
-        "the first report of the older one is late"
+        "a late report of the old server takes the address"
     );
     let back = server("new", 1, 4);
     assert_eq!(
-        trial.server(back.clone()),
+        harness.server(back.clone()),
         [removed("old"), Change::Server(back)]
     );
-    assert_eq!(trial.server(server("old", 1, 80)), []);
-    assert_eq!(trial.ids(), ["new"]);
+    assert_eq!(harness.server(server("old", 1, 80)), []);
+    assert_eq!(harness.ids(), ["new"]);
 }
 
 #[test]
 fn a_server_that_moves_takes_the_address_there() {
-    let mut trial = Trial::default();
-    trial.server(server("a", 1, 1));
-    trial.server(server("b", 2, 1));
+    let mut harness = Harness::default();
+    harness.server(server("a", 1, 1));
+    harness.server(server("b", 2, 1));
     assert_eq!(
-        trial.server(server("a", 2, 2)),
+        harness.server(server("a", 2, 2)),
         [removed("b"), Change::Server(server("a", 2, 2))]
     );
     assert_eq!(
-        trial.server(server("c", 1, 1)),
+        harness.server(server("c", 1, 1)),
         [Change::Server(server("c", 1, 1))]
     );
     assert_eq!(
-        trial.state.server("a").expect("a server").address,
+        harness.state.server("a").expect("a server").address,
         address(2)
     );
 }
 
 #[test]
 fn a_departed_server_leaves_its_address_free() {
-    let mut trial = Trial::default();
-    trial.server(server("a", 1, 1));
-    trial.changes(&left("a"));
+    let mut harness = Harness::default();
+    harness.server(server("a", 1, 1));
+    harness.changes(&left("a"));
     assert_eq!(
-        trial.server(server("b", 1, 1)),
+        harness.server(server("b", 1, 1)),
         [Change::Server(server("b", 1, 1))]
     );
 }
 
 #[test]
 fn departed_servers_are_recorded_up_to_a_bound() {
-    let mut trial = Trial::default();
+    let mut harness = Harness::default();
     for number in 0..5_000 {
-        trial.changes(&left(&format!("s{number}")));
+        harness.changes(&left(&format!("s{number}")));
     }
-    assert_eq!(trial.server(server("s4999", 1, 1)), []);
-    assert_eq!(trial.server(server("s2000", 1, 1)), []);
+    assert_eq!(harness.server(server("s4999", 1, 1)), []);
+    assert_eq!(harness.server(server("s2000", 1, 1)), []);
     assert_eq!(
-        trial.server(server("s0", 1, 1)).len(),
+        harness.server(server("s0", 1, 1)).len(),
         1,
-        "the oldest is forgotten"
+        "the oldest departure is no longer recorded"
     );
 }
 
 #[test]
-fn invented_servers_are_bounded() {
-    let mut trial = Trial::default();
+fn registered_servers_are_bounded() {
+    let mut harness = Harness::default();
     for number in 0..8_300_u32 {
         let [_, _, high, low] = number.to_be_bytes();
         let mut report = server(&format!("s{number}"), 1, 1);
         report.address.set_ip([10, 1, high, low].into());
-        trial.server(report);
+        harness.server(report);
     }
-    assert_eq!(trial.state.servers().count(), 8_192);
+    assert_eq!(harness.state.servers().count(), 8_192);
 }
--- a/crates/serving/control-state/tests/world/answers.rs
+++ b/crates/serving/control-state/tests/world/answers.rs
@@ -1,29 +1,29 @@
-//! The answers of a member to calls, which are those of the program.
+//! A member's answers to calls, which match those of the real program.
 
-use super::callers::{Answer, CallId, Question};
+use super::callers::{CallAnswer, CallContent, CallId};
 use super::machines::Arrival;
-use super::{Event, World};
+use super::{Event, Simulation};
 use dunespur_chain_replication::{Input, Millis};
 use dunespur_control_state::{ConfigurationRequest, Operation, Outcome, RetirementOutcome};
 
 const TOLERATED_LOSSES: u32 = 1;
-/// A call that is not decided after this time is answered without a definite answer.
+/// Time after which a member answers an undecided call without a definite answer.
 const CALL_LIMIT: Millis = 850;
 
-/// A call that is not answered yet.
+/// A call that the member has not answered yet.
 pub struct PendingCall {
-    question: Question,
+    content: CallContent,
     since: Millis,
 }
 
-impl World {
-    pub fn called(&mut self, index: usize, call: CallId, question: Question) {
+impl Simulation {
+    pub fn handle_call(&mut self, index: usize, call: CallId, content: CallContent) {
         let clock = self.clock(index);
         let process = self.process(index);
         process.pending.insert(
             call,
             PendingCall {
-                question: question.clone(),
+                content: content.clone(),
                 since: clock,
             },
         );
@@ -37,32 +37,34 @@
                 arrival: Arrival::Deadline { call },
             },
         );
-        match question {
-            Question::Configure(_) | Question::Retire(_) => self.execute(index, call, &question, 0),
-            Question::Configuration => {
+        match content {
+            CallContent::Configure(_) | CallContent::Retire(_) => {
+                self.execute(index, call, &content, 0)
+            }
+            CallContent::Configuration => {
                 let ticket = self.take_ticket();
                 self.process(index).tickets.insert(ticket, call);
                 self.step(index, Input::Read { ticket });
             }
-            Question::Watch => {
+            CallContent::Watch => {
                 let process = self.process(index);
                 let generation = process
                     .state
                     .configuration()
                     .map_or(0, |document| document.generation());
-                let follows = process.member.is_up_to_date(clock);
-                let answer = if follows {
-                    Answer::Watched { generation }
+                let is_up_to_date = process.member.is_up_to_date(clock);
+                let answer = if is_up_to_date {
+                    CallAnswer::Watched { generation }
                 } else {
-                    Answer::Indefinite
+                    CallAnswer::Indefinite
                 };
                 self.answer(index, call, answer);
             }
         }
     }
 
-    fn execute(&mut self, index: usize, call: CallId, question: &Question, fencing_token: u64) {
-        let Some(operation) = operation(question, fencing_token) else {
+    fn execute(&mut self, index: usize, call: CallId, content: &CallContent, fencing_token: u64) {
+        let Some(operation) = operation(content, fencing_token) else {
             return;
         };
         let clock = self.clock(index);
@@ -74,40 +76,40 @@
                 outcome,
                 Outcome::GenerationConflict { .. } | Outcome::Invalid(_)
             ) {
-                return self.decided(index, call, outcome);
+                return self.answer_outcome(index, call, outcome);
             }
         }
         if !process.member.can_commit(clock) {
-            return self.answer(index, call, Answer::Indefinite);
+            return self.answer(index, call, CallAnswer::Indefinite);
         }
-        let payload = postcard::to_stdvec(&operation).expect("an operation");
+        let payload = postcard::to_stdvec(&operation).expect("the operation is encodable");
         let ticket = self.take_ticket();
         self.process(index).tickets.insert(ticket, call);
         self.step(index, Input::Submit { ticket, payload });
     }
 
-    pub fn decided(&mut self, index: usize, call: CallId, outcome: Outcome) {
+    pub fn answer_outcome(&mut self, index: usize, call: CallId, outcome: Outcome) {
         match outcome {
-            Outcome::Accepted => self.answer(index, call, Answer::Accepted),
+            Outcome::Accepted => self.answer(index, call, CallAnswer::Accepted),
             Outcome::GenerationConflict {
                 current: generation,
-            } => self.answer(index, call, Answer::Current { generation }),
-            Outcome::Invalid(_) => self.answer(index, call, Answer::Invalid),
+            } => self.answer(index, call, CallAnswer::Current { generation }),
+            Outcome::Invalid(_) => self.answer(index, call, CallAnswer::Invalid),
             Outcome::Fenced { fencing_token } => {
-                let question = self
+                let content = self
                     .process(index)
                     .pending
                     .get(&call)
-                    .map(|pending| pending.question.clone());
-                if let Some(question) = question {
-                    self.execute(index, call, &question, fencing_token);
+                    .map(|pending| pending.content.clone());
+                if let Some(content) = content {
+                    self.execute(index, call, &content, fencing_token);
                 }
             }
             Outcome::Retire(RetirementOutcome::Accepted) => {
-                self.answer(index, call, Answer::Retired)
+                self.answer(index, call, CallAnswer::Retired)
             }
-            Outcome::Retire(_) => self.answer(index, call, Answer::NotRetired),
-            _ => self.answer(index, call, Answer::Indefinite),
+            Outcome::Retire(_) => self.answer(index, call, CallAnswer::NotRetired),
+            _ => self.answer(index, call, CallAnswer::Indefinite),
         }
     }
 
@@ -118,23 +120,23 @@
         };
         let document = process.state.configuration();
         let configuration = document.map(|document| (document.generation(), document.to_json()));
-        self.answer(index, call, Answer::Configuration(configuration));
+        self.answer(index, call, CallAnswer::Configuration(configuration));
     }
 
-    /// Answers a call, without a definite answer if that took too long: the process may have been suspended.
-    pub fn answer(&mut self, index: usize, call: CallId, answer: Answer) {
+    /// Answers a call. If the answer is late, for example because the process was suspended, it is `Indefinite`.
+    pub fn answer(&mut self, index: usize, call: CallId, answer: CallAnswer) {
         let clock = self.clock(index);
         let Some(pending) = self.process(index).pending.remove(&call) else {
             return;
         };
         let late = clock > pending.since + CALL_LIMIT;
-        let answer = if late { Answer::Indefinite } else { answer };
+        let answer = if late { CallAnswer::Indefinite } else { answer };
         self.send_answer(index, call, answer);
     }
 
-    /// A payload that means nothing.
-    pub fn submit_filling(&mut self, index: usize) {
-        let node = "-".repeat(self.setup.filling);
+    /// Submits a filler payload, which has no effect on the state.
+    pub fn submit_filler(&mut self, index: usize) {
+        let node = "-".repeat(self.setup.filler_bytes);
         self.submit(
             index,
             &Operation::RetireDone {
@@ -145,7 +147,7 @@
         );
     }
 
-    /// An operation whose outcome nobody awaits.
+    /// Submits an operation whose outcome no caller awaits.
     pub fn submit(&mut self, index: usize, operation: &Operation) {
         if self.machines[index].process.is_none() || self.machines[index].frozen {
             return;
@@ -156,24 +158,24 @@
             index,
             Input::Submit {
                 ticket,
-                payload: payload.expect("an operation"),
+                payload: payload.expect("the operation is encodable"),
             },
         );
     }
 }
 
-/// The operation that a call submits.
-fn operation(question: &Question, fencing_token: u64) -> Option<Operation> {
-    match question {
-        Question::Configure(request) => Some(Operation::Configure(ConfigurationRequest {
+/// The operation that a call submits, if any.
+fn operation(content: &CallContent, fencing_token: u64) -> Option<Operation> {
+    match content {
+        CallContent::Configure(request) => Some(Operation::Configure(ConfigurationRequest {
             fencing_token,
             ..request.clone()
         })),
-        Question::Retire(node) => Some(Operation::RetireStart {
+        CallContent::Retire(node) => Some(Operation::RetireStart {
             node: node.clone(),
             tolerated_losses: TOLERATED_LOSSES,
             fencing_token,
         }),
-        Question::Configuration | Question::Watch => None,
+        CallContent::Configuration | CallContent::Watch => None,
     }
 }
--- a/crates/serving/control-state/tests/world/callers.rs
+++ b/crates/serving/control-state/tests/world/callers.rs
@@ -1,27 +1,27 @@
-//! Callers of the members: operators who change and read the configuration, and followers. A call times out after a
-//! second, and a request without a definite answer is repeated, unchanged, to any machine.
+//! Callers of the members: operators, who change and read the configuration, and followers. A call times out after a
+//! second, and a request without a definite answer is repeated unchanged at any machine.
 
 use super::history::{CallKind, RequestId};
 use super::links::Endpoint;
 use super::machines::Arrival;
-use super::{Event, World};
+use super::{Event, Simulation};
 use dunespur_chain_replication::Millis;
 use dunespur_control_state::{ConfigurationRequest, ConfigurationRequestKind};
 
 const OPERATORS: usize = 3;
 const FOLLOWERS: usize = 2;
 const RETIREMENT_OPERATORS: usize = 1;
-/// A call without an answer is given up after this.
+/// Time after which a caller abandons a call without an answer.
 const CALL_TIMEOUT: Millis = 1_000;
-/// An operator thinks this long at most between two calls.
-const MAX_THINK_TIME: Millis = 500;
-/// An operator without a definite answer abandons a request after so many calls at most.
+/// Maximum pause of an operator between two calls.
+const MAX_PAUSE: Millis = 500;
+/// Maximum number of calls for one request before an operator abandons it.
 const MAX_ATTEMPTS: u32 = 25;
-/// Of a hundred answers so many are lost on their way.
+/// Percentage of answers that are lost.
 const LOST_PERCENT: u32 = 10;
-/// A follower polls at this interval.
-const WATCH_EVERY: Millis = 200;
-/// What a member shows to followers is no older than this: what was acknowledged earlier is in it.
+/// Polling interval of followers.
+const POLL_INTERVAL: Millis = 200;
+/// Maximum staleness of the state that a member shows to followers: it includes all changes acknowledged earlier.
 pub const MAX_STALENESS: Millis = 2_000;
 
 /// One call of a caller.
@@ -31,33 +31,34 @@
     pub number: u64,
 }
 
+/// The request that a call sends to a member.
 #[derive(Clone, Debug)]
-pub enum Question {
+pub enum CallContent {
     Configure(ConfigurationRequest),
     Configuration,
     Watch,
-    /// To have a store emptied.
+    /// Retires the named store.
     Retire(String),
 }
 
-/// What a call is answered.
+/// A member's answer, with the status that the program would return.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// 200 to a configuration request.
+pub enum CallAnswer {
+    /// Status 200 to a configuration request.
     Accepted,
-    /// 412: another version is current.
+    /// Status 412 to a configuration request: another generation is current.
     Current { generation: u64 },
-    /// 400.
+    /// Status 400 to a configuration request.
     Invalid,
-    /// 200 or 404 to a read.
+    /// Status 200 or 404 to a read.
     Configuration(Option<(u64, String)>),
-    /// 200 to a request to retire a store.
+    /// Status 200 to a request to retire a store.
     Retired,
-    /// 404 or 409.
+    /// Status 404 or 409 to a request to retire a store.
     NotRetired,
-    /// To a follower.
+    /// The generation that a member shows to a follower.
     Watched { generation: u64 },
-    /// 503.
+    /// Status 503: no definite answer.
     Indefinite,
 }
 
@@ -66,7 +67,7 @@
 pub enum Wake {
     Next,
     Timeout { number: u64 },
-    Answered { number: u64, answer: Answer },
+    Answered { number: u64, answer: CallAnswer },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,32 +77,33 @@
     RetirementOperator,
 }
 
-/// A request that an operator wants decided.
+/// A request without a definite answer yet, which the operator repeats.
 #[derive(Clone, Copy, Debug)]
-struct Wanted {
+struct PendingRequest {
     request: RequestId,
     attempts_left: u32,
 }
 
-/// A call that waits for its answer.
+/// A call that awaits its answer.
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct OpenCall {
     number: u64,
-    entry: Option<usize>,
+    /// The call's index in the history, if it is recorded there.
+    history_index: Option<usize>,
 }
 
 pub struct Caller {
     role: Role,
     machine: usize,
     next_number: u64,
-    open: Option<Open>,
-    /// The newest generation that it has learned of.
+    open_call: Option<OpenCall>,
+    /// The newest generation that the caller knows.
     known: u64,
-    wanted: Option<Wanted>,
+    pending_request: Option<PendingRequest>,
     requests: Vec<RequestId>,
 }
 
-impl World {
+impl Simulation {
     pub fn add_callers(&mut self) {
         let roles = [Role::Operator; OPERATORS]
             .into_iter()
@@ -112,9 +114,9 @@
                 role,
                 machine: caller % self.setup.machines,
                 next_number: 1,
-                open: None,
+                open_call: None,
                 known: 0,
-                wanted: None,
+                pending_request: None,
                 requests: Vec::new(),
             });
             self.schedule(
@@ -127,9 +129,9 @@
         }
     }
 
-    pub fn caller_wakes(&mut self, caller: usize, wake: Wake) {
+    pub fn wake_caller(&mut self, caller: usize, wake: Wake) {
         match wake {
-            Wake::Next if self.callers[caller].open.is_none() => self.next_call(caller),
+            Wake::Next if self.callers[caller].open_call.is_none() => self.next_call(caller),
             Wake::Next => {}
             Wake::Timeout { number } => self.call_ended(caller, number, None),
             Wake::Answered { number, answer } => self.call_ended(caller, number, Some(answer)),
@@ -138,35 +140,39 @@
 
     fn next_call(&mut self, caller: usize) {
         match self.callers[caller].role {
-            Role::Follower => self.call(caller, Question::Watch, None),
-            Role::Operator => self.next_of_operator(caller),
+            Role::Follower => self.call(caller, CallContent::Watch, None),
+            Role::Operator => self.next_operator_call(caller),
             Role::RetirementOperator => self.next_retirement_call(caller),
         }
     }
 
-    fn next_of_operator(&mut self, caller: usize) {
+    fn next_operator_call(&mut self, caller: usize) {
         self.choose_machine(caller);
-        if self.callers[caller].wanted.is_none() {
-            self.callers[caller].wanted = self.next_request(caller);
+        if self.callers[caller].pending_request.is_none() {
+            self.callers[caller].pending_request = self.next_request(caller);
         }
-        match self.callers[caller].wanted {
-            Some(wanted) => {
-                let question = Question::Configure(self.history.request(wanted.request));
-                self.call(caller, question, Some(CallKind::Configure(wanted.request)));
+        match self.callers[caller].pending_request {
+            Some(pending_request) => {
+                let content = CallContent::Configure(self.history.request(pending_request.request));
+                self.call(
+                    caller,
+                    content,
+                    Some(CallKind::Configure(pending_request.request)),
+                );
             }
-            None => self.call(caller, Question::Configuration, Some(CallKind::Read)),
+            None => self.call(caller, CallContent::Configuration, Some(CallKind::Read)),
         }
     }
 
-    /// Mostly another machine than before.
+    /// Chooses a random machine for the next call in two of three cases.
     pub fn choose_machine(&mut self, caller: usize) {
         if self.rng.u32(0..3) > 0 {
             self.callers[caller].machine = self.rng.usize(..self.setup.machines);
         }
     }
 
-    /// Another request, an old one again, or none: then it reads.
-    fn next_request(&mut self, caller: usize) -> Option<Wanted> {
+    /// Chooses a new request, an earlier request again, or `None` for a read.
+    fn next_request(&mut self, caller: usize) -> Option<PendingRequest> {
         let attempts_left = 1 + self.rng.u32(0..MAX_ATTEMPTS);
         let choice = self.rng.u32(0..10);
         let known = self.callers[caller].known;
@@ -175,12 +181,13 @@
         let request = match choice {
             0..=2 => return None,
             3 if old > 0 => self.callers[caller].requests[self.rng.usize(..old)],
-            // On a generation that isn't reached yet, and on one that is over.
+            // The request builds on a future generation.
             4 => self.new_request(caller, known + ahead),
+            // The request builds on an earlier generation.
             5 => self.new_request(caller, known.saturating_sub(behind)),
             _ => self.new_request(caller, known),
         };
-        Some(Wanted {
+        Some(PendingRequest {
             request,
             attempts_left,
         })
@@ -208,11 +215,14 @@
         id
     }
 
-    pub fn call(&mut self, caller: usize, question: Question, kind: Option<CallKind>) {
-        let entry = kind.map(|kind| self.history.begin(kind, self.now));
+    pub fn call(&mut self, caller: usize, content: CallContent, kind: Option<CallKind>) {
+        let history_index = kind.map(|kind| self.history.begin(kind, self.now));
         let number = self.callers[caller].next_number;
         self.callers[caller].next_number += 1;
-        self.callers[caller].open = Some(Open { number, entry });
+        self.callers[caller].open_call = Some(OpenCall {
+            number,
+            history_index,
+        });
         self.schedule(
             self.now + CALL_TIMEOUT,
             Event::Caller {
@@ -232,7 +242,7 @@
             if self.machines[machine].powered {
                 let wake = Wake::Answered {
                     number,
-                    answer: Answer::Indefinite,
+                    answer: CallAnswer::Indefinite,
                 };
                 self.schedule(at, Event::Caller { caller, wake });
             }
@@ -241,7 +251,7 @@
         let run = self.machines[machine].run;
         let arrival = Arrival::Call {
             call: CallId { caller, number },
-            question,
+            content,
         };
         self.schedule(
             at,
@@ -253,14 +263,14 @@
         );
     }
 
-    /// A machine answers a call.
-    pub fn send_answer(&mut self, machine: usize, call: CallId, answer: Answer) {
-        if let Answer::Watched { generation } = answer {
-            self.check_age(machine, generation);
+    /// Sends a machine's answer to a call; the answer may be lost.
+    pub fn send_answer(&mut self, machine: usize, call: CallId, answer: CallAnswer) {
+        if let CallAnswer::Watched { generation } = answer {
+            self.check_staleness(machine, generation);
         }
-        if answer == Answer::Accepted {
-            if let Some(fault) = self.at_next_acknowledgement.take() {
-                self.schedule(self.now, Event::Fault(fault.at(machine)));
+        if answer == CallAnswer::Accepted {
+            if let Some(fault) = self.fault_at_next_acknowledgement.take() {
+                self.schedule(self.now, Event::Fault(fault.on_machine(machine)));
             }
         }
         self.digest.answer(self.now, machine, call, &answer);
@@ -278,24 +288,24 @@
         self.schedule(at, Event::Caller { caller, wake });
     }
 
-    /// Whether what a member shows to those who follow it is too old.
-    fn check_age(&mut self, machine: usize, generation: u64) {
+    /// Checks that the generation that a member shows to followers is not too old.
+    fn check_staleness(&mut self, machine: usize, generation: u64) {
         let Some(since) = self.history.acknowledged_beyond(generation) else {
             return;
         };
-        let age = self.now - since;
-        self.history.max_staleness = self.history.max_staleness.max(age);
-        if age > MAX_STALENESS {
-            self.violate(format!(
-                "m{machine} shows {generation} as current, {age} ms after another was accepted"
+        let staleness = self.now - since;
+        self.history.max_staleness = self.history.max_staleness.max(staleness);
+        if staleness > MAX_STALENESS {
+            self.report_violation(format!(
+                "m{machine} shows generation {generation} as current, {staleness} ms after a newer one was accepted"
             ));
         }
     }
 
-    fn call_ended(&mut self, caller: usize, number: u64, answer: Option<Answer>) {
-        let Some(open) = self.callers[caller]
-            .open
-            .take_if(|open| open.number == number)
+    fn call_ended(&mut self, caller: usize, number: u64, answer: Option<CallAnswer>) {
+        let Some(open_call) = self.callers[caller]
+            .open_call
+            .take_if(|open_call| open_call.number == number)
         else {
             return;
         };
@@ -305,10 +315,10 @@
                 self.callers[caller].machine
             )
         });
-        if let (Some(entry), Some(answer)) = (open.entry, &answer) {
-            self.history.end(entry, self.now, answer.clone());
+        if let (Some(index), Some(answer)) = (open_call.history_index, &answer) {
+            self.history.end(index, self.now, answer.clone());
         }
-        let definite = answer.filter(|answer| *answer != Answer::Indefinite);
+        let definite = answer.filter(|answer| *answer != CallAnswer::Indefinite);
         let delay = match self.callers[caller].role {
             Role::Follower => self.watch_ended(caller, definite.is_some()),
             Role::Operator => self.request_ended(caller, definite),
@@ -327,32 +337,32 @@
         if !answered {
             self.callers[caller].machine = self.rng.usize(..self.setup.machines);
         }
-        WATCH_EVERY
+        POLL_INTERVAL
     }
 
-    fn request_ended(&mut self, caller: usize, definite: Option<Answer>) -> Millis {
+    fn request_ended(&mut self, caller: usize, definite: Option<CallAnswer>) -> Millis {
         let learned = match &definite {
-            Some(Answer::Accepted) => self.callers[caller]
-                .wanted
-                .map(|wanted| self.history.generation_of(wanted.request)),
-            Some(Answer::Current { generation }) => Some(*generation),
-            Some(Answer::Configuration(configuration)) => {
+            Some(CallAnswer::Accepted) => self.callers[caller]
+                .pending_request
+                .map(|pending_request| self.history.generation_of(pending_request.request)),
+            Some(CallAnswer::Current { generation }) => Some(*generation),
+            Some(CallAnswer::Configuration(configuration)) => {
                 configuration.as_ref().map(|(generation, _)| *generation)
             }
             _ => None,
         };
         let operator = &mut self.callers[caller];
         operator.known = operator.known.max(learned.unwrap_or(0));
-        let done = match &mut operator.wanted {
-            Some(wanted) => {
-                wanted.attempts_left -= 1;
-                definite.is_some() || wanted.attempts_left == 0
+        let done = match &mut operator.pending_request {
+            Some(pending_request) => {
+                pending_request.attempts_left -= 1;
+                definite.is_some() || pending_request.attempts_left == 0
             }
             None => true,
         };
         if done {
-            operator.wanted = None;
+            operator.pending_request = None;
         }
-        1 + self.rng.u64(0..MAX_THINK_TIME)
+        1 + self.rng.u64(0..MAX_PAUSE)
     }
 }
--- a/crates/serving/control-state/tests/world/digest.rs
+++ b/crates/serving/control-state/tests/world/digest.rs
@@ -1,14 +1,14 @@
-//! A digest of all that happens in a world: messages between members, commits with what they come to, answers, times
-//! and final states, as bytes and numbers. Two texts whose worlds have one digest behave alike.
+//! A digest of a simulation: messages between members, commits with their outcomes, answers, times and final states.
+//! Two versions of the code whose simulations have the same digests behave alike.
 
-use super::callers::{Answer, CallId};
+use super::callers::{CallAnswer, CallId};
 use super::history::Tally;
 use super::violation::Violation;
-use super::World;
+use super::Simulation;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hashes what happens, in its order.
+/// Hashes the events of a simulation in order.
 #[derive(Default)]
 pub struct Digest(Xxh3);
 
@@ -26,25 +26,25 @@
         self.0.update(bytes);
     }
 
-    /// Hashes an event: its kind, its numbers and what it carries.
-    pub fn event<const N: usize>(&mut self, kind: u8, numbers: [u64; N], carried: &impl Serialize) {
+    /// Hashes an event: its kind, its numbers and its encoded content.
+    pub fn event<const N: usize>(&mut self, kind: u8, numbers: [u64; N], content: &impl Serialize) {
         self.bytes(&[kind]);
         self.numbers(numbers);
-        self.bytes(&postcard::to_stdvec(carried).expect("a value is written"));
+        self.bytes(&postcard::to_stdvec(content).expect("the content is encodable"));
     }
 
     /// Hashes the answer to a call.
-    pub fn answer(&mut self, now: u64, machine: usize, call: CallId, answer: &Answer) {
+    pub fn answer(&mut self, now: u64, machine: usize, call: CallId, answer: &CallAnswer) {
         let (kind, number, text) = match answer {
-            Answer::Accepted => (1, 0, ""),
-            Answer::Current { generation } => (2, *generation, ""),
-            Answer::Invalid => (3, 0, ""),
-            Answer::Configuration(None) => (4, 0, ""),
-            Answer::Configuration(Some((generation, json))) => (5, *generation, json.as_str()),
-            Answer::Retired => (6, 0, ""),
-            Answer::NotRetired => (7, 0, ""),
-            Answer::Watched { generation } => (8, *generation, ""),
-            Answer::Indefinite => (9, 0, ""),
+            CallAnswer::Accepted => (1, 0, ""),
+            CallAnswer::Current { generation } => (2, *generation, ""),
+            CallAnswer::Invalid => (3, 0, ""),
+            CallAnswer::Configuration(None) => (4, 0, ""),
+            CallAnswer::Configuration(Some((generation, json))) => (5, *generation, json.as_str()),
+            CallAnswer::Retired => (6, 0, ""),
+            CallAnswer::NotRetired => (7, 0, ""),
+            CallAnswer::Watched { generation } => (8, *generation, ""),
+            CallAnswer::Indefinite => (9, 0, ""),
         };
         let numbers = [now, machine as u64, call.caller as u64, call.number, number];
         self.event(kind, numbers, &text);
@@ -67,11 +67,11 @@
     }
 }
 
-impl World {
-    /// The digest of the world up to now, with its verdict and the states of its members.
-    pub fn finish_digest(mut self, verdict: Result<Tally, Violation>) -> u64 {
-        self.digest.number(u64::from(verdict.is_ok()));
-        if let Ok(tally) = &verdict {
+impl Simulation {
+    /// The digest of the simulation, including its result and the final states of its members.
+    pub fn finish_digest(mut self, result: Result<Tally, Violation>) -> u64 {
+        self.digest.number(u64::from(result.is_ok()));
+        if let Ok(tally) = &result {
             self.digest.tally(tally);
         }
         for machine in &self.machines {
--- a/crates/serving/control-state/tests/world/fault_plan.rs
+++ b/crates/serving/control-state/tests/world/fault_plan.rs
@@ -1,22 +1,24 @@
-//! A seeded plan of faults, and the play of a world through it.
+//! A seeded plan of faults, and functions that run a simulation with it.
 
-use super::faults::{Acknowledgement, Fault, DOWNTIME};
+use super::faults::{AcknowledgementFault, Fault, DOWNTIME};
 use super::history::{check, Tally};
 use super::links::Endpoint;
 use super::violation::Violation;
-use super::{Event, Setup, World};
+use super::{Event, Setup, Simulation};
 use dunespur_chain_replication::Millis;
 use fastrand::Rng;
 
-/// After a loss of a disk, and before one, this long without another fault: what is lost at once stays bounded.
+/// Time without other faults before and after a disk loss, so that members catch up and simultaneous losses stay
+/// bounded.
 const CATCH_UP: Millis = 4_500;
+/// Time before which no fault occurs.
 const FIRST_FAULT: Millis = 3_000;
-/// How long calls go on after the last fault.
-const CALM: Millis = 4_000;
-/// How long the plan waits for a machine that acknowledges a request.
+/// Time for which calls continue after the last fault.
+const QUIET_PERIOD: Millis = 4_000;
+/// Time that the plan reserves for a machine to acknowledge a request.
 const ACKNOWLEDGEMENT_WAIT: Millis = 3_000;
 
-/// Which messages of an isolated machine are lost.
+/// The direction in which an isolated machine's messages are blocked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
     Outward,
@@ -24,13 +26,13 @@
     Both,
 }
 
-/// A fault and its time.
+/// A fault and the time at which it occurs.
 struct PlannedFault {
     at: Millis,
     fault: Fault,
 }
 
-/// A plan of faults, and when the last of them ends.
+/// A plan of faults and the time at which the last one ends.
 struct FaultPlan {
     faults: Vec<PlannedFault>,
     end_at: Millis,
@@ -55,8 +57,8 @@
     };
     for _ in 0..fault_groups {
         match planner.rng.u32(0..3) {
-            0 => planner.disk_lost(),
-            _ => planner.mixture(),
+            0 => planner.add_disk_loss(),
+            _ => planner.add_mixed_faults(),
         }
     }
     planner.plan
@@ -68,7 +70,8 @@
         self.plan.end_at = self.plan.end_at.max(at);
     }
 
-    /// From a tenth of a second to a minute, mostly around the protocol's times and the twenty seconds of a partition.
+    /// A random duration from 0.1 to 60 seconds, mostly close to the protocol's timeouts, or the 20 seconds of a
+    /// partition.
     fn random_duration(&mut self) -> Millis {
         match self.rng.u32(0..8) {
             0..=1 => self.rng.u64(100..1_000),
@@ -78,7 +81,7 @@
         }
     }
 
-    fn mixture(&mut self) {
+    fn add_mixed_faults(&mut self) {
         let begin = self.plan.end_at + self.rng.u64(0..2_000);
         for _ in 0..self.rng.usize(1..4) {
             let at = begin + self.rng.u64(0..1_500);
@@ -89,33 +92,33 @@
 
     fn add_random_fault(&mut self, at: Millis, duration: Millis) {
         let machine = self.rng.usize(..self.machines);
-        let back_after = duration.min(3_000);
+        let restart_after = duration.min(3_000);
         match self.rng.u32(0..14) {
             0 => {
                 let fault = Fault::Kill {
                     machine,
-                    back_after,
+                    restart_after,
                 };
-                self.push_until(at, fault, back_after);
+                self.push_until(at, fault, restart_after);
             }
             1 => {
                 let fault = Fault::PowerLoss {
                     machine,
-                    back_after,
+                    restart_after,
                 };
-                self.push_until(at, fault, back_after);
+                self.push_until(at, fault, restart_after);
             }
             2..=4 => {
                 self.push(at, Fault::Freeze { machine });
                 self.push(at + duration, Fault::Thaw { machine });
             }
-            5..=6 => self.split(at, duration),
-            7 => self.isolate(at, duration, machine, Direction::Outward),
-            8 => self.isolate(at, duration, machine, Direction::Inward),
-            9 => self.isolate(at, duration, machine, Direction::Both),
+            5..=6 => self.add_split(at, duration),
+            7 => self.add_isolation(at, duration, machine, Direction::Outward),
+            8 => self.add_isolation(at, duration, machine, Direction::Inward),
+            9 => self.add_isolation(at, duration, machine, Direction::Both),
             10 => {
                 let other = self.rng.usize(..self.machines);
-                self.partition_for(
+                self.add_partition(
                     at,
                     duration,
                     Endpoint::Machine(machine),
@@ -123,8 +126,8 @@
                 );
             }
             11 => {
-                self.push(at, Fault::Doubling { on: true });
-                self.push(at + duration, Fault::Doubling { on: false });
+                self.push(at, Fault::Duplicating { on: true });
+                self.push(at + duration, Fault::Duplicating { on: false });
             }
             12 => {
                 self.push(at, Fault::Losing { on: true });
@@ -132,8 +135,8 @@
             }
             _ => {
                 let fault = match self.rng.bool() {
-                    true => Acknowledgement::PowerLoss,
-                    false => Acknowledgement::Blackout,
+                    true => AcknowledgementFault::PowerLoss,
+                    false => AcknowledgementFault::Blackout,
                 };
                 self.push_until(
                     at,
@@ -149,15 +152,15 @@
         self.plan.end_at = self.plan.end_at.max(at + duration);
     }
 
-    fn partition_for(&mut self, at: Millis, duration: Millis, from: Endpoint, to: Endpoint) {
+    fn add_partition(&mut self, at: Millis, duration: Millis, from: Endpoint, to: Endpoint) {
         if from != to {
             self.push(at, Fault::Partition { from, to });
             self.push(at + duration, Fault::Heal { from, to });
         }
     }
 
-    /// Machines and callers fall apart into two sides.
-    fn split(&mut self, at: Millis, duration: Millis) {
+    /// Partitions machines and callers into two random sides.
+    fn add_split(&mut self, at: Millis, duration: Millis) {
         let machines = (0..self.machines).map(Endpoint::Machine);
         let endpoints: Vec<Endpoint> = machines
             .chain((0..self.callers).map(Endpoint::Caller))
@@ -166,27 +169,34 @@
         for (one, side) in endpoints.iter().zip(&sides) {
             for (other, other_side) in endpoints.iter().zip(&sides) {
                 if side != other_side {
-                    self.partition_for(at, duration, *one, *other);
+                    self.add_partition(at, duration, *one, *other);
                 }
             }
         }
     }
 
-    /// One machine is partitioned from all others, callers reach it.
-    fn isolate(&mut self, at: Millis, duration: Millis, machine: usize, direction: Direction) {
+    /// Partitions one machine from all others; callers still reach it.
+    fn add_isolation(
+        &mut self,
+        at: Millis,
+        duration: Millis,
+        machine: usize,
+        direction: Direction,
+    ) {
         for other in (0..self.machines).filter(|other| *other != machine) {
             let (one, other) = (Endpoint::Machine(machine), Endpoint::Machine(other));
             if direction != Direction::Inward {
-                self.partition_for(at, duration, one, other);
+                self.add_partition(at, duration, one, other);
             }
             if direction != Direction::Outward {
-                self.partition_for(at, duration, other, one);
+                self.add_partition(at, duration, other, one);
             }
         }
     }
 
-    /// The disk is lost that has just acknowledged a request, or any other, at times while all others lose power.
-    fn disk_lost(&mut self) {
+    /// Adds the loss of a disk: a random one, or the disk of a machine that has just acknowledged a request, in the
+    /// latter case sometimes while all other machines lose power.
+    fn add_disk_loss(&mut self) {
         let at = self.plan.end_at + CATCH_UP + self.rng.u64(0..500);
         match self.rng.u32(0..3) {
             0 => {
@@ -195,13 +205,13 @@
                     at,
                     Fault::Wipe {
                         machine,
-                        back_after: DOWNTIME,
+                        restart_after: DOWNTIME,
                     },
                     DOWNTIME,
                 );
             }
             1 => {
-                let fault = Acknowledgement::DiskLoss;
+                let fault = AcknowledgementFault::DiskLoss;
                 self.push_until(
                     at,
                     Fault::AtAcknowledgement { fault },
@@ -209,7 +219,7 @@
                 );
             }
             _ => {
-                let fault = Acknowledgement::DiskLossInBlackout;
+                let fault = AcknowledgementFault::DiskLossInBlackout;
                 self.push_until(
                     at,
                     Fault::AtAcknowledgement { fault },
@@ -221,35 +231,35 @@
     }
 }
 
-/// Plays a world through a plan of faults and checks what its operators observed.
-pub fn play(setup: Setup, fault_groups: usize) -> Result<Tally, Violation> {
-    play_in(&mut World::new(setup), fault_groups)
+/// Runs a simulation with a plan of faults and checks the history of its operators.
+pub fn run(setup: Setup, fault_groups: usize) -> Result<Tally, Violation> {
+    run_plan(&mut Simulation::new(setup), fault_groups)
 }
 
-/// Plays a world through a plan of faults: the digest of all that happened in it.
+/// Runs a simulation with a plan of faults and returns its digest.
 pub fn digest(setup: Setup, fault_groups: usize) -> u64 {
-    let mut world = World::new(setup);
-    let verdict = play_in(&mut world, fault_groups);
-    world.finish_digest(verdict)
+    let mut simulation = Simulation::new(setup);
+    let result = run_plan(&mut simulation, fault_groups);
+    simulation.finish_digest(result)
 }
 
-fn play_in(world: &mut World, fault_groups: usize) -> Result<Tally, Violation> {
-    let setup = world.setup;
-    let plan = plan_faults(&setup, world.callers.len(), fault_groups);
+fn run_plan(simulation: &mut Simulation, fault_groups: usize) -> Result<Tally, Violation> {
+    let setup = simulation.setup;
+    let plan = plan_faults(&setup, simulation.callers.len(), fault_groups);
     for PlannedFault { at, fault } in plan.faults {
-        world.schedule(at, Event::Fault(fault));
+        simulation.schedule(at, Event::Fault(fault));
     }
-    world.play_to(plan.end_at + CALM)?;
-    check(&world.history).map_err(|violation| world.describe(&violation))?;
-    let snapshots = world.snapshots_installed;
+    simulation.run_until(plan.end_at + QUIET_PERIOD)?;
+    check(&simulation.history).map_err(|violation| simulation.describe(&violation))?;
+    let snapshots = simulation.snapshots_installed;
     let (emptied, rejected_retirements) = (
-        world.retirement_operator.retirements_begun,
-        world.retirement_operator.rejected,
+        simulation.retirement_operator.retirements_begun,
+        simulation.retirement_operator.rejected,
     );
     Ok(Tally {
         snapshots,
         emptied,
         rejected_retirements,
-        ..world.history.tally()
+        ..simulation.history.tally()
     })
 }
--- a/crates/serving/control-state/tests/world/faults.rs
+++ b/crates/serving/control-state/tests/world/faults.rs
@@ -1,29 +1,29 @@
-//! Faults, and what each does to the world.
+//! Faults and their effects on a simulation.
 
 use super::links::Endpoint;
-use super::World;
+use super::Simulation;
 use dunespur_chain_replication::Millis;
 
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// The process ends, connections are reset, and it starts again.
+    /// A process ends, its connections are reset, and it restarts.
     Kill {
         machine: usize,
-        back_after: Millis,
+        restart_after: Millis,
     },
-    /// Power is lost without a word.
+    /// A machine loses power, without notice to its peers, and restarts.
     PowerLoss {
         machine: usize,
-        back_after: Millis,
+        restart_after: Millis,
     },
-    /// Power is lost and the disk with it.
+    /// A machine loses power and its disk, and restarts with an empty disk.
     Wipe {
         machine: usize,
-        back_after: Millis,
+        restart_after: Millis,
     },
-    /// All machines lose power.
+    /// All machines lose power and restart.
     Blackout {
-        back_after: Millis,
+        restart_after: Millis,
     },
     Freeze {
         machine: usize,
@@ -39,116 +39,118 @@
         from: Endpoint,
         to: Endpoint,
     },
-    Doubling {
+    Duplicating {
         on: bool,
     },
     Losing {
         on: bool,
     },
-    /// This happens to the machine that gives the next 200 to a request.
+    /// A fault occurs at the machine that next accepts a configuration request.
     AtAcknowledgement {
-        fault: Acknowledgement,
+        fault: AcknowledgementFault,
     },
 }
 
-/// What happens to the machine that gives a 200.
+/// A fault at the machine that accepts a configuration request.
 #[derive(Clone, Copy, Debug)]
-pub enum Acknowledgement {
+pub enum AcknowledgementFault {
     PowerLoss,
     DiskLoss,
-    /// All lose power.
+    /// All machines lose power.
     Blackout,
-    /// Its disk is lost, and all others lose power.
+    /// The machine loses its disk, and all others lose power.
     DiskLossInBlackout,
 }
 
-/// How long a machine is down that fails at an acknowledgement.
+/// Time for which a machine that fails at an acknowledgement is down.
 pub const DOWNTIME: Millis = 700;
 
 impl Fault {
-    /// The fault on this machine.
-    pub fn at(self, machine: usize) -> Fault {
+    /// The same fault at this machine.
+    pub fn on_machine(self, machine: usize) -> Fault {
         match self {
-            Fault::PowerLoss { back_after, .. } => Fault::PowerLoss {
+            Fault::PowerLoss { restart_after, .. } => Fault::PowerLoss {
                 machine,
-                back_after,
+                restart_after,
             },
-            Fault::Wipe { back_after, .. } => Fault::Wipe {
+            Fault::Wipe { restart_after, .. } => Fault::Wipe {
                 machine,
-                back_after,
+                restart_after,
             },
             other => other,
         }
     }
 }
 
-impl World {
+impl Simulation {
     pub fn inject(&mut self, fault: Fault) {
         self.log(|| format!("{fault:?}"));
         match fault {
             Fault::Kill {
                 machine,
-                back_after,
-            } => self.end_and_start(machine, true, back_after),
+                restart_after,
+            } => self.end_and_start(machine, true, restart_after),
             Fault::PowerLoss {
                 machine,
-                back_after,
-            } => self.end_and_start(machine, false, back_after),
+                restart_after,
+            } => self.end_and_start(machine, false, restart_after),
             Fault::Wipe {
                 machine,
-                back_after,
+                restart_after,
             } => {
                 self.end_process(machine, false);
                 self.wipe(machine);
-                self.start_at(machine, self.now + back_after);
+                self.start_at(machine, self.now + restart_after);
             }
-            Fault::Blackout { back_after } => self.black_out(back_after),
+            Fault::Blackout { restart_after } => self.black_out(restart_after),
             Fault::Freeze { machine } => self.freeze(machine),
             Fault::Thaw { machine } => self.thaw(machine),
             Fault::Partition { from, to } => self.links.partition(from, to),
             Fault::Heal { from, to } => self.heal(from, to),
-            Fault::Doubling { on } => self.doubling = on,
+            Fault::Duplicating { on } => self.duplicating = on,
             Fault::Losing { on } => self.losing = on,
             Fault::AtAcknowledgement { fault } => self.await_acknowledgement(fault),
         }
         if matches!(fault, Fault::Wipe { .. }) && std::mem::take(&mut self.blackout_after_wipe) {
             self.inject(Fault::Blackout {
-                back_after: DOWNTIME,
+                restart_after: DOWNTIME,
             });
         }
     }
 
-    fn black_out(&mut self, back_after: Millis) {
+    fn black_out(&mut self, restart_after: Millis) {
         for machine in 0..self.machines.len() {
             if self.machines[machine].powered {
-                let back_after = back_after + self.rng.u64(0..300);
-                self.end_and_start(machine, false, back_after);
+                let restart_after = restart_after + self.rng.u64(0..300);
+                self.end_and_start(machine, false, restart_after);
             }
         }
     }
 
-    fn await_acknowledgement(&mut self, fault: Acknowledgement) {
-        // The machine is not known yet: it is filled in when it acknowledges.
-        let (machine, back_after) = (0, DOWNTIME);
+    fn await_acknowledgement(&mut self, fault: AcknowledgementFault) {
+        // A placeholder: the machine is known only when it acknowledges a request.
+        let (machine, restart_after) = (0, DOWNTIME);
         let first = match fault {
-            Acknowledgement::PowerLoss => Fault::PowerLoss {
+            AcknowledgementFault::PowerLoss => Fault::PowerLoss {
                 machine,
-                back_after,
-            },
-            Acknowledgement::Blackout => Fault::Blackout { back_after },
-            Acknowledgement::DiskLoss | Acknowledgement::DiskLossInBlackout => Fault::Wipe {
-                machine,
-                back_after,
+                restart_after,
             },
+            AcknowledgementFault::Blackout => Fault::Blackout { restart_after },
+            AcknowledgementFault::DiskLoss | AcknowledgementFault::DiskLossInBlackout => {
+                Fault::Wipe {
+                    machine,
+                    restart_after,
+                }
+            }
         };
-        if matches!(fault, Acknowledgement::DiskLossInBlackout) {
+        if matches!(fault, AcknowledgementFault::DiskLossInBlackout) {
             self.blackout_after_wipe = true;
         }
-        self.at_next_acknowledgement = Some(first);
+        self.fault_at_next_acknowledgement = Some(first);
     }
 
-    fn end_and_start(&mut self, machine: usize, with_power: bool, back_after: Millis) {
+    fn end_and_start(&mut self, machine: usize, with_power: bool, restart_after: Millis) {
         self.end_process(machine, with_power);
-        self.start_at(machine, self.now + back_after);
+        self.start_at(machine, self.now + restart_after);
     }
 }
