--- a/crates/serving/control-state/tests/world/history.rs
+++ b/crates/serving/control-state/tests/world/history.rs
@@ -1,23 +1,22 @@
-//! What the operators observed, and a check that configuration requests and reads are linearizable.
+//! The history of operators' calls, and a check that configuration requests and reads are linearizable.
 //!
-//! Every request has a unique body, and generations only rise. So there is one candidate for the sequence of
-//! configurations, and a history is linearizable if and only if
-//!
-//! * each configuration that is observed was requested before, builds on the one before it, and none is skipped
-//!   between a request and what it builds on;
-//! * no accepted request is rejected, and none that was rejected is accepted but by a call made since;
-//! * what is seen never goes back: from one call's end to another's begin.
+//! Every request has a unique body and generations only increase, so there is one possible order of configurations. A
+//! history is linearizable if and only if:
+//! * each observed configuration was requested before and builds on the one before it, with none in between;
+//! * no accepted request is rejected, and a rejected one is accepted only by a later call;
+//! * a call never observes an older generation than a call that ended before it began.
 
-use super::callers::Answer;
+use super::callers::CallAnswer;
 use super::violation::Violation;
 use dunespur_chain_replication::Millis;
 use dunespur_control_state::ConfigurationRequest;
 use std::collections::BTreeMap;
 
+/// The index of a request among the issued requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(usize);
 
-/// What a call was about.
+/// The kind of a recorded call.
 #[derive(Clone, Copy, Debug)]
 pub enum CallKind {
     Configure(RequestId),
@@ -28,27 +27,27 @@
     request: ConfigurationRequest,
     generation: u64,
     valid: bool,
-    /// When it was first sent.
+    /// When the request was first sent.
     since: Option<Millis>,
 }
 
 struct Call {
     kind: CallKind,
     since: Millis,
-    end: Option<(Millis, Answer)>,
+    end: Option<(Millis, CallAnswer)>,
 }
 
 #[derive(Default)]
 pub struct History {
     issued: Vec<IssuedRequest>,
     calls: Vec<Call>,
-    /// When the first operator knew of this generation or a later one, as it rose.
+    /// Generations in increasing order, each with the time at which an operator first learned of its acceptance.
     acknowledged: Vec<(u64, Millis)>,
-    /// The oldest state that was shown to a follower: how long before another had been acknowledged.
+    /// The longest time for which a follower was shown a generation after a newer one had been acknowledged.
     pub max_staleness: Millis,
 }
 
-/// The size of a history.
+/// Counts of the calls and events of a simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     pub calls: u64,
@@ -57,8 +56,9 @@
     pub reads: u64,
     pub indefinite: u64,
     pub snapshots: u64,
-    /// Retirements that began, and requests for one that were rejected.
+    /// Retirements that began.
     pub emptied: u64,
+    /// Requests to retire a store that were rejected.
     pub rejected_retirements: u64,
     pub max_staleness: Millis,
 }
@@ -117,8 +117,8 @@
         self.calls.len() - 1
     }
 
-    pub fn end(&mut self, entry: usize, now: Millis, answer: Answer) {
-        if let (CallKind::Configure(id), Answer::Accepted) = (self.calls[entry].kind, &answer) {
+    pub fn end(&mut self, call: usize, now: Millis, answer: CallAnswer) {
+        if let (CallKind::Configure(id), CallAnswer::Accepted) = (self.calls[call].kind, &answer) {
             let generation = self.issued[id.0].generation;
             if self
                 .acknowledged
@@ -128,10 +128,10 @@
                 self.acknowledged.push((generation, now));
             }
         }
-        self.calls[entry].end = Some((now, answer));
+        self.calls[call].end = Some((now, answer));
     }
 
-    /// When a generation beyond this one was first acknowledged.
+    /// When a generation newer than this one was first acknowledged.
     pub fn acknowledged_beyond(&self, generation: u64) -> Option<Millis> {
         let first = self
             .acknowledged
@@ -147,9 +147,9 @@
         for call in &self.calls {
             tally.calls += 1;
             match &call.end {
-                Some((_, Answer::Accepted)) => tally.accepted += 1,
-                Some((_, Answer::Current { .. } | Answer::Invalid)) => tally.rejected += 1,
-                Some((_, Answer::Configuration(_))) => tally.reads += 1,
+                Some((_, CallAnswer::Accepted)) => tally.accepted += 1,
+                Some((_, CallAnswer::Current { .. } | CallAnswer::Invalid)) => tally.rejected += 1,
+                Some((_, CallAnswer::Configuration(_))) => tally.reads += 1,
                 _ => tally.indefinite += 1,
             }
         }
@@ -157,65 +157,68 @@
     }
 }
 
-/// What was seen at one time.
-struct Sight {
+/// A generation that a call observed.
+struct Observation {
     since: Millis,
     until: Millis,
-    /// The state was at this generation at some time in between, or is known to have been at it by the end.
+    /// If exact, the generation that was current at some time between `since` and `until`; else a generation that had
+    /// been reached by `until`.
     generation: u64,
-    /// Whether it was at just this generation.
+    /// Whether exactly this generation was current.
     exact: bool,
 }
 
-/// Judges a history.
-pub struct Judge<'a> {
+/// The state of a linearizability check.
+pub struct LinearizabilityCheck<'a> {
     history: &'a History,
     /// Requests that are known to have been accepted, by their generation.
     accepted: BTreeMap<u64, RequestId>,
-    sights: Vec<Sight>,
+    observations: Vec<Observation>,
 }
 
 /// Returns the first violation of linearizability, if there is one.
 pub fn check(history: &History) -> Result<(), Violation> {
-    let mut judge = Judge {
+    let mut linearizability = LinearizabilityCheck {
         history,
         accepted: BTreeMap::new(),
-        sights: Vec::new(),
+        observations: Vec::new(),
     };
-    judge.gather()?;
-    judge.check_sequence()?;
-    judge.check_rejections()?;
-    judge.check_times()
+    linearizability.collect_observations()?;
+    linearizability.check_sequence()?;
+    linearizability.check_rejections()?;
+    linearizability.check_times()
 }
 
-impl Judge<'_> {
-    fn gather(&mut self) -> Result<(), Violation> {
+impl LinearizabilityCheck<'_> {
+    fn collect_observations(&mut self) -> Result<(), Violation> {
         for call in &self.history.calls {
             let Some((until, answer)) = &call.end else {
                 continue;
             };
-            let sight = |generation, exact| Sight {
+            let observation = |generation, exact| Observation {
                 since: call.since,
                 until: *until,
                 generation,
                 exact,
             };
             match (call.kind, answer) {
-                (CallKind::Configure(id), Answer::Accepted) => {
+                (CallKind::Configure(id), CallAnswer::Accepted) => {
                     self.record_accepted(id)?;
-                    self.sights
-                        .push(sight(self.history.generation_of(id), false));
+                    self.observations
+                        .push(observation(self.history.generation_of(id), false));
+                }
+                (CallKind::Configure(_), CallAnswer::Current { generation }) => {
+                    self.observations.push(observation(*generation, true))
                 }
-                (CallKind::Configure(_), Answer::Current { generation }) => {
-                    self.sights.push(sight(*generation, true))
+                (CallKind::Configure(id), CallAnswer::Invalid) => self
+                    .observations
+                    .push(observation(self.history.issued[id.0].request.base, true)),
+                (CallKind::Read, CallAnswer::Configuration(None)) => {
+                    self.observations.push(observation(0, true))
                 }
-                (CallKind::Configure(id), Answer::Invalid) => self
-                    .sights
-                    .push(sight(self.history.issued[id.0].request.base, true)),
-                (CallKind::Read, Answer::Configuration(None)) => self.sights.push(sight(0, true)),
-                (CallKind::Read, Answer::Configuration(Some((generation, json)))) => {
+                (CallKind::Read, CallAnswer::Configuration(Some((generation, json)))) => {
                     self.record_accepted(self.requested_by(*generation, json)?)?;
-                    self.sights.push(sight(*generation, true));
+                    self.observations.push(observation(*generation, true));
                 }
                 _ => {}
             }
@@ -223,7 +226,7 @@
         Ok(())
     }
 
-    /// The request with this content.
+    /// The request that asked for this configuration.
     fn requested_by(&self, generation: u64, json: &str) -> Result<RequestId, Violation> {
         let of = |issued: &IssuedRequest| {
             issued.generation == generation
@@ -233,7 +236,7 @@
         let position = self.history.issued.iter().position(of);
         position.map(RequestId).ok_or_else(|| {
             Violation::new(format!(
-                "nobody requested what was read as {generation}: {json}"
+                "the configuration read as generation {generation} was never requested: {json}"
             ))
         })
     }
@@ -243,12 +246,14 @@
         let other = *self.accepted.entry(issued.generation).or_insert(id);
         if other != id {
             return Err(Violation::new(format!(
-                "two requests were accepted as {}: {other:?} and {id:?}",
+                "two requests were accepted as generation {}: {other:?} and {id:?}",
                 issued.generation
             )));
         }
         if !issued.valid {
-            return Err(Violation::new(format!("the invalid {id:?} was accepted")));
+            return Err(Violation::new(format!(
+                "the invalid request {id:?} was accepted"
+            )));
         }
         Ok(())
     }
@@ -259,78 +264,80 @@
                 continue;
             };
             let issued = &self.history.issued[id.0];
-            let rejected = matches!(answer, Answer::Current { .. } | Answer::Invalid);
+            let rejected = matches!(answer, CallAnswer::Current { .. } | CallAnswer::Invalid);
             if rejected && self.accepted.get(&issued.generation) == Some(&id) {
                 self.check_accepted_by_another_call(id, *until, answer)?;
             }
-            if *answer == Answer::Invalid && issued.valid {
+            if *answer == CallAnswer::Invalid && issued.valid {
                 return Err(Violation::new(format!(
-                    "the valid {id:?} was rejected as invalid at {until}"
+                    "the valid request {id:?} was rejected as invalid at {until} ms"
                 )));
             }
             if *answer
-                == (Answer::Current {
+                == (CallAnswer::Current {
                     generation: issued.request.base,
                 })
             {
                 return Err(Violation::new(format!(
-                    "{id:?} was rejected at {until} as what it builds on is current"
+                    "{id:?} was rejected at {until} ms although it builds on the current generation"
                 )));
             }
         }
         Ok(())
     }
 
-    /// A request that came too early may be accepted by a call made after its rejection, and by none made before.
+    /// Checks that a request that was rejected and accepted was rejected only because its base generation was in the
+    /// future, and that a call was made for it after the rejection.
     fn check_accepted_by_another_call(
         &self,
         id: RequestId,
         rejected_at: Millis,
-        answer: &Answer,
+        answer: &CallAnswer,
     ) -> Result<(), Violation> {
         let base = self.history.issued[id.0].request.base;
-        let early = matches!(answer, Answer::Current { generation } if *generation < base);
+        let early = matches!(answer, CallAnswer::Current { generation } if *generation < base);
         let is_of = |call: &&Call| matches!(call.kind, CallKind::Configure(other) if other == id);
         let mut calls = self.history.calls.iter().filter(is_of);
         if early && calls.any(|call| call.since > rejected_at) {
             return Ok(());
         }
         Err(Violation::new(format!(
-            "{id:?} was accepted, and rejected at {rejected_at}: {answer:?}"
+            "{id:?} was accepted, and rejected at {rejected_at} ms: {answer:?}"
         )))
     }
 
-    /// An accepted request builds on the configuration just before.
+    /// Checks that each accepted request builds on the configuration just before it.
     fn check_sequence(&self) -> Result<(), Violation> {
         let mut before = 0;
         for (generation, id) in &self.accepted {
             let base = self.history.issued[id.0].request.base;
             if base < before {
                 return Err(Violation::new(format!(
-                    "{id:?} was accepted as {generation} on {base}, and {before} was as well"
+                    "{id:?} was accepted as generation {generation} on base {base}, but generation {before} had been accepted after that base"
                 )));
             }
             before = *generation;
         }
-        for sight in &self.sights {
-            let next = self.accepted.range(sight.generation + 1..).next();
-            let left_out =
-                next.filter(|(_, id)| self.history.issued[id.0].request.base < sight.generation);
-            if let Some((generation, id)) = left_out {
+        for observation in &self.observations {
+            let next = self.accepted.range(observation.generation + 1..).next();
+            let skipping = next
+                .filter(|(_, id)| self.history.issued[id.0].request.base < observation.generation);
+            if let Some((generation, id)) = skipping {
                 return Err(Violation::new(format!(
-                    "{id:?} was accepted as {generation} past {}",
-                    sight.generation
+                    "{id:?} was accepted as generation {generation} on a base before the observed generation {}",
+                    observation.generation
                 )));
             }
         }
         Ok(())
     }
 
+    /// Checks that no call observes an older generation than a call that ended before it began.
     fn check_times(&self) -> Result<(), Violation> {
         let mut ends: Vec<(Millis, u64)> = self
-            .sights
+            .observations
             .iter()
-            .map(|sight| (sight.until, sight.generation))
+            .map(|observation| (observation.until, observation.generation))
             .collect();
         ends.sort_unstable();
         let mut newest = 0;
@@ -344,29 +351,33 @@
                 .checked_sub(1)
                 .map_or(0, |position| ends[position].1)
         };
-        for sight in self.sights.iter().filter(|sight| sight.exact) {
-            let seen = seen_before(sight.since);
-            if seen > sight.generation {
-                let Sight {
+        for observation in self
+            .observations
+            .iter()
+            .filter(|observation| observation.exact)
+        {
+            let seen = seen_before(observation.since);
+            if seen > observation.generation {
+                let Observation {
                     since,
                     until,
                     generation,
                     ..
-                } = sight;
+                } = observation;
                 return Err(Violation::new(format!(
-                    "{generation} was current between {since} and {until}, after {seen}"
+                    "generation {generation} was current between {since} and {until} ms, after generation {seen} had been observed"
                 )));
             }
         }
-        for sight in &self.sights {
-            self.check_not_early(sight)?;
+        for observation in &self.observations {
+            self.check_requested_before(observation)?;
         }
         for id in self.accepted.values() {
             let issued = &self.history.issued[id.0];
             let seen = issued.since.map_or(0, seen_before);
             if seen > issued.request.base {
                 return Err(Violation::new(format!(
-                    "{id:?} on {} was accepted after {seen}",
+                    "{id:?} on base {} was accepted after generation {seen} had been observed",
                     issued.request.base
                 )));
             }
@@ -374,9 +385,10 @@
         Ok(())
     }
 
-    /// What is observed was requested before.
-    fn check_not_early(&self, sight: &Sight) -> Result<(), Violation> {
-        let made = |issued: &&IssuedRequest| issued.generation == sight.generation && issued.valid;
+    /// Checks that an observed generation was requested before the observation ended.
+    fn check_requested_before(&self, observation: &Observation) -> Result<(), Violation> {
+        let made =
+            |issued: &&IssuedRequest| issued.generation == observation.generation && issued.valid;
         let first = self
             .history
             .issued
@@ -384,11 +396,12 @@
             .filter(made)
             .filter_map(|issued| issued.since)
             .min();
-        let early = sight.generation > 0 && first.is_none_or(|first| first > sight.until);
+        let early =
+            observation.generation > 0 && first.is_none_or(|first| first > observation.until);
         if early {
             return Err(Violation::new(format!(
-                "{} was seen at {} and requested at {first:?}",
-                sight.generation, sight.until
+                "generation {} was observed at {} ms but first requested at {first:?}",
+                observation.generation, observation.until
             )));
         }
         Ok(())
--- a/crates/serving/control-state/tests/world/links.rs
+++ b/crates/serving/control-state/tests/world/links.rs
@@ -1,26 +1,27 @@
-//! Connections: those between members keep their order and delay what is sent while they are partitioned; calls of
-//! callers are lost then.
+//! Connections between members keep messages in order and delay them during a partition. Calls and answers of callers
+//! are lost during a partition.
 
 use super::machines::Arrival;
-use super::{Event, World};
+use super::{Event, Simulation};
 use dunespur_chain_replication::{Input, MemberId, Message, Millis};
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// One direction of a connection between two members.
 #[derive(Default)]
 struct Link {
-    queue: VecDeque<Carried>,
+    queue: VecDeque<QueuedMessage>,
     last_arrival: Millis,
 }
 
-struct Carried {
+/// A message on its way between two members.
+struct QueuedMessage {
     sender: MemberId,
     to: Option<MemberId>,
     message: Message,
     arrival: Millis,
 }
 
-/// Where messages come from or go to.
+/// The sender or receiver of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Endpoint {
     Machine(usize),
@@ -49,8 +50,8 @@
     }
 }
 
-impl World {
-    /// Delayed messages arrive now, or are lost with the connection.
+impl Simulation {
+    /// Ends a partition. Delayed messages arrive now, or are lost because the connection is reset.
     pub fn heal(&mut self, from: Endpoint, to: Endpoint) {
         if !self.links.partitioned.remove(&(from, to)) {
             return;
@@ -65,13 +66,14 @@
         let link = self.links.link(from, to);
         link.queue
             .iter_mut()
-            .for_each(|carried| carried.arrival = carried.arrival.max(now));
+            .for_each(|queued| queued.arrival = queued.arrival.max(now));
         for _ in 0..link.queue.len() {
             self.schedule(now, Event::Deliver { from, to });
         }
     }
 
-    /// Messages in flight are lost; with `notify`, both ends learn of it unless they are partitioned.
+    /// Resets a connection: messages in flight are lost. With `notify`, both ends are notified unless they are
+    /// partitioned.
     pub fn reset_connection(&mut self, one: usize, other: usize, notify: bool) {
         if one == other {
             return;
@@ -82,12 +84,12 @@
         self.links.link(one, other).queue.clear();
         self.links.link(other, one).queue.clear();
         if notify && !partitioned {
-            self.tell_disconnected(one, other);
-            self.tell_disconnected(other, one);
+            self.notify_disconnected(one, other);
+            self.notify_disconnected(other, one);
         }
     }
 
-    fn tell_disconnected(&mut self, to: usize, peer: usize) {
+    fn notify_disconnected(&mut self, to: usize, peer: usize) {
         let run = self.machines[to].run;
         let at = self.now + self.rng.u64(1..4);
         let arrival = Arrival::Chain(Input::Disconnected {
@@ -109,7 +111,7 @@
         let now = self.now;
         self.digest
             .event(20, [now, from as u64, to as u64], &message);
-        if self.doubling && self.rng.u32(0..50) == 0 {
+        if self.duplicating && self.rng.u32(0..50) == 0 {
             let at = now + self.rng.u64(10..2_000);
             let input = Input::Received {
                 from: sender.clone(),
@@ -129,7 +131,7 @@
         let link = self.links.link(from, to);
         link.last_arrival = link.last_arrival.max(now + delay);
         let arrival = link.last_arrival;
-        link.queue.push_back(Carried {
+        link.queue.push_back(QueuedMessage {
             sender,
             to: identity,
             message,
@@ -147,17 +149,13 @@
             return;
         }
         let link = self.links.link(from, to);
-        if link
-            .queue
-            .front()
-            .is_none_or(|carried| carried.arrival > now)
-        {
+        if link.queue.front().is_none_or(|queued| queued.arrival > now) {
             return;
         }
-        let carried = link.queue.pop_front().expect("just seen");
+        let queued = link.queue.pop_front().expect("a message is queued");
         if self.machines[to].process.is_none() {
             if self.machines[to].powered {
-                let peer = carried.to.unwrap_or_else(|| self.id(to));
+                let peer = queued.to.unwrap_or_else(|| self.id(to));
                 let run = self.machines[from].run;
                 let arrival = Arrival::Chain(Input::Disconnected { peer });
                 self.schedule(
@@ -174,8 +172,8 @@
         self.arrive(
             to,
             Arrival::Chain(Input::Received {
-                from: carried.sender,
-                message: carried.message,
+                from: queued.sender,
+                message: queued.message,
             }),
         );
     }
--- a/crates/serving/control-state/tests/world/machines.rs
+++ b/crates/serving/control-state/tests/world/machines.rs
@@ -1,8 +1,8 @@
-//! Machines of the core: a disk, a member of the chain, and the control state that it applies commits to.
+//! Machines of the core, each with a disk, a member of the chain and the control state to which commits are applied.
 
 use super::answers::PendingCall;
-use super::callers::{Answer, CallId, Question};
-use super::{Event, World};
+use super::callers::{CallAnswer, CallContent, CallId};
+use super::{Event, Simulation};
 use dunespur_chain_replication::{
     DurableState, Input, Member, MemberConfig, MemberId, Millis, Output, Peer, View, Write,
 };
@@ -11,31 +11,31 @@
 use std::hash::{DefaultHasher, Hasher};
 use std::net::SocketAddr;
 
-/// The reading of a process's clock at its start.
+/// The reading of a process's clock when it starts.
 const FIRST_MOMENT: Millis = 1;
 
-/// What reaches a process.
+/// An input that arrives at a process.
 #[derive(Clone, Debug)]
 pub enum Arrival {
     Chain(Input),
-    Call { call: CallId, question: Question },
+    Call { call: CallId, content: CallContent },
     Deadline { call: CallId },
 }
 
-/// A batch that the disk hasn't finished.
-pub struct Flight {
+/// A batch of writes that the disk has not finished.
+pub struct PendingBatch {
     batch: u64,
     writes: Vec<Write>,
 }
 
 pub struct Process {
     pub member: Member,
-    /// The process's clock starts at this time, as steady clocks may.
+    /// The simulated time at which the process started; its clock counts from there, as monotonic clocks may.
     clock_zero: Millis,
     tick_at: Millis,
     applied: u64,
     pub state: ControlState,
-    /// Calls by the ticket that they wait for.
+    /// Calls by the ticket whose outcome they await.
     pub tickets: HashMap<u64, CallId>,
     pub pending: HashMap<CallId, PendingCall>,
 }
@@ -45,19 +45,20 @@
     address: SocketAddr,
     disk: u64,
     pub saved: DurableState,
-    flight: Option<Flight>,
+    pending_batch: Option<PendingBatch>,
     pub frozen: bool,
-    /// What came while it was frozen.
+    /// Inputs that arrived while the process was frozen.
     backlog: VecDeque<Arrival>,
-    /// Counts starts, so that events of an earlier run are ignored.
+    /// The number of the process's run, so that events of an earlier run are ignored.
     pub run: u64,
     pub process: Option<Process>,
-    /// Without power, connections to it hang; without a process, they are rejected.
+    /// Whether the machine has power. Connections to a machine without power hang; those to a machine without a process
+    /// are rejected.
     pub powered: bool,
-    may_found: bool,
+    may_bootstrap: bool,
 }
 
-impl World {
+impl Simulation {
     pub fn add_machine(&mut self) -> usize {
         let index = self.machines.len();
         self.machines.push(Machine {
@@ -65,13 +66,13 @@
             address: SocketAddr::from(([10, 0, 0, index as u8], 7380)),
             disk: self.rng.u64(1..),
             saved: DurableState::default(),
-            flight: None,
+            pending_batch: None,
             frozen: false,
             backlog: VecDeque::new(),
             run: 1,
             process: None,
             powered: true,
-            may_found: true,
+            may_bootstrap: true,
         });
         index
     }
@@ -124,7 +125,7 @@
                 id,
                 address: machine.address,
             },
-            may_bootstrap: machine.may_found,
+            may_bootstrap: machine.may_bootstrap,
             seed,
         };
         let durable = machine.saved.clone();
@@ -138,7 +139,7 @@
             tickets: HashMap::new(),
             pending: HashMap::new(),
         });
-        let first_start = machine.may_found && run == 1;
+        let first_start = machine.may_bootstrap && run == 1;
         self.log(|| format!("m{index} starts"));
         let input = if first_start {
             Input::Tick
@@ -148,7 +149,7 @@
         self.arrive(index, Arrival::Chain(input));
     }
 
-    /// The process ends; the machine keeps what is on its disk. A batch under way may have reached it.
+    /// Ends the process. The machine keeps its disk, which may or may not include an unfinished batch.
     pub fn end_process(&mut self, index: usize, with_power: bool) {
         let keeps_batch = self.rng.bool();
         let machine = &mut self.machines[index];
@@ -157,8 +158,8 @@
         machine.backlog.clear();
         machine.frozen = false;
         machine.powered = with_power;
-        if let Some(flight) = machine.flight.take().filter(|_| keeps_batch) {
-            flight
+        if let Some(pending_batch) = machine.pending_batch.take().filter(|_| keeps_batch) {
+            pending_batch
                 .writes
                 .iter()
                 .for_each(|write| machine.saved.apply(write));
@@ -168,11 +169,12 @@
         }
     }
 
+    /// Replaces the machine's disk by an empty one.
     pub fn wipe(&mut self, index: usize) {
         let disk = self.rng.u64(1..);
         let machine = &mut self.machines[index];
         machine.saved = DurableState::default();
-        machine.may_found = false;
+        machine.may_bootstrap = false;
         machine.disk = disk;
     }
 
@@ -180,7 +182,7 @@
         self.machines[index].frozen = true;
     }
 
-    /// The process resumes, and handles what has filled its sockets before anything new.
+    /// Resumes the process, which first handles the inputs that arrived while it was frozen.
     pub fn thaw(&mut self, index: usize) {
         if !std::mem::take(&mut self.machines[index].frozen) {
             return;
@@ -195,14 +197,14 @@
         let machine = &mut self.machines[index];
         if machine.run != run
             || machine
-                .flight
+                .pending_batch
                 .as_ref()
-                .is_none_or(|flight| flight.batch != batch)
+                .is_none_or(|pending_batch| pending_batch.batch != batch)
         {
             return;
         }
-        let flight = machine.flight.take().expect("just seen");
-        flight
+        let pending_batch = machine.pending_batch.take().expect("a batch is pending");
+        pending_batch
             .writes
             .iter()
             .for_each(|write| machine.saved.apply(write));
@@ -237,8 +239,8 @@
         }
         match arrival {
             Arrival::Chain(input) => self.step(index, input),
-            Arrival::Call { call, question } => self.called(index, call, question),
-            Arrival::Deadline { call } => self.answer(index, call, Answer::Indefinite),
+            Arrival::Call { call, content } => self.handle_call(index, call, content),
+            Arrival::Deadline { call } => self.answer(index, call, CallAnswer::Indefinite),
         }
     }
 
@@ -246,7 +248,7 @@
         self.machines[index]
             .process
             .as_mut()
-            .expect("a running process")
+            .expect("the machine has a running process")
     }
 
     pub fn clock(&mut self, index: usize) -> Millis {
@@ -263,16 +265,16 @@
             .next_tick()
             .saturating_sub(FIRST_MOMENT)
             .saturating_add(process.clock_zero);
-        let due = next.max(now + 1);
-        if due < process.tick_at {
-            process.tick_at = due;
+        let tick_at = next.max(now + 1);
+        if tick_at < process.tick_at {
+            process.tick_at = tick_at;
             let run = self.machines[index].run;
             self.schedule(
-                due,
+                tick_at,
                 Event::Tick {
                     machine: index,
                     run,
-                    at: due,
+                    at: tick_at,
                 },
             );
         }
@@ -296,7 +298,7 @@
             Output::Persist { batch, writes } => {
                 let sync = self.rng.u64(1..self.setup.max_sync_ms);
                 let run = self.machines[index].run;
-                self.machines[index].flight = Some(Flight { batch, writes });
+                self.machines[index].pending_batch = Some(PendingBatch { batch, writes });
                 self.schedule(
                     self.now + sync,
                     Event::DiskDone {
@@ -314,7 +316,7 @@
             Output::ReadReady { ticket } => self.read_ready(index, ticket),
             Output::Dropped { ticket } => {
                 if let Some(call) = self.process(index).tickets.remove(&ticket) {
-                    self.answer(index, call, Answer::Indefinite);
+                    self.answer(index, call, CallAnswer::Indefinite);
                 }
             }
             Output::TakeSnapshot => self.take_snapshot(index),
@@ -354,7 +356,7 @@
     fn install_snapshot(&mut self, index: usize, at: u64, bytes: &[u8]) {
         let safeguards = self.setup.safeguards.control;
         let state = ControlState::restore(bytes)
-            .expect("a snapshot")
+            .expect("the snapshot is restorable")
             .with_safeguards(safeguards);
         self.snapshots_installed += 1;
         self.digest.event(22, [self.now, index as u64, at], &bytes);
@@ -372,30 +374,32 @@
     fn commit(&mut self, index: usize, at: u64, payload: &[u8], ticket: Option<u64>) {
         let mut digest = DefaultHasher::new();
         digest.write(payload);
-        let first = self.committed_at(index, at, digest.finish());
-        let operation: Operation = postcard::from_bytes(payload).expect("an operation");
+        let first = self.check_commit(index, at, digest.finish());
+        let operation: Operation =
+            postcard::from_bytes(payload).expect("the payload is an operation");
         let process = self.process(index);
         process.applied = at;
-        let begins = retired_before(&process.state, &operation);
+        let starting_retirement = starting_retirement(&process.state, &operation);
         let mut changes = Vec::new();
         let outcome = process.state.apply(&operation, &mut changes);
-        let begins = begins.filter(|node| first && process.state.retirement(node).is_some());
+        let starting_retirement =
+            starting_retirement.filter(|node| first && process.state.retirement(node).is_some());
         let call = ticket.and_then(|ticket| process.tickets.remove(&ticket));
         self.digest.event(
             21,
             [self.now, index as u64, at],
             &(payload, &outcome, &changes),
         );
-        if let Some(node) = begins {
-            self.retirement_begins(&node);
+        if let Some(node) = starting_retirement {
+            self.check_retirement_begun(&node);
         }
         let Some(call) = call else { return };
-        self.decided(index, call, outcome);
+        self.answer_outcome(index, call, outcome);
     }
 }
 
-/// The store that an operation may begin to empty.
-fn retired_before(state: &ControlState, operation: &Operation) -> Option<String> {
+/// The store whose retirement an operation may start.
+fn starting_retirement(state: &ControlState, operation: &Operation) -> Option<String> {
     match operation {
         Operation::RetireStart { node, .. } if state.retirement(node).is_none() => {
             Some(node.clone())
--- a/crates/serving/control-state/tests/world/mod.rs
+++ b/crates/serving/control-state/tests/world/mod.rs
@@ -1,8 +1,8 @@
-//! A seeded world of the core with its callers: members with disks that apply what is committed to the control state,
-//! operators, readers and followers on all sides of partitions, and the faults that happen to them.
+//! A seeded simulation of the core and its callers, with faults. Members have disks and apply committed operations to
+//! the control state; operators and followers call them from all sides of partitions.
 //!
-//! Callers keep a history of what they saw, and [`history::check`] judges it. Besides, the committed sequence has to
-//! be the same everywhere, and what a member shows to those who follow it may not be too old.
+//! Calls and answers are recorded in a history, which [`history::check`] verifies. In addition, all members must commit
+//! the same sequence, and the state that a member shows to followers must not be too old.
 #![allow(dead_code)]
 
 pub mod answers;
@@ -25,32 +25,34 @@
 use std::collections::BinaryHeap;
 use violation::Violation;
 
-/// The founder sets the first view at this time, and again after this until it was decided.
-const FOUND_AT: Millis = 400;
-const FOUND_AGAIN: Millis = 300;
-/// Processes start at most this long after the world does.
+/// Time at which the first member proposes the first view.
+const BOOTSTRAP_AT: Millis = 400;
+/// Interval at which the first view is proposed again until it is decided.
+const BOOTSTRAP_RETRY: Millis = 300;
+/// Latest start of a process, in milliseconds.
 const LATEST_START: u64 = 300;
-/// Payloads that mean nothing come this often, so that logs grow beyond what a member keeps.
-const FILL_EVERY: u64 = 120;
+/// Maximum interval between filler payloads, in milliseconds. They make logs grow beyond the length that members keep.
+const MAX_FILLER_INTERVAL: u64 = 120;
 
-/// Safeguards that may be removed.
+/// The safeguards of a simulation, which tests may remove.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Safeguards {
     pub chain: dunespur_chain_replication::Safeguards,
     pub control: dunespur_control_state::Safeguards,
-    /// A member rejects requests by its own replica of the state, without having them committed. The safeguard against
-    /// this is that only the commit of a request answers it.
+    /// Removes the safeguard that a request is answered only after its commit: members then reject requests by their
+    /// own replica of the state.
     pub rejects_unconfirmed: bool,
 }
 
-/// How a world is set up.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
     pub seed: u64,
     pub machines: usize,
     pub safeguards: Safeguards,
-    /// Bytes of payloads that mean nothing: large ones bring on snapshots.
-    pub filling: usize,
+    /// Size of filler payloads in bytes, or 0 for none. Large payloads cause snapshots.
+    pub filler_bytes: usize,
+    /// Upper bound of the time that a disk takes to sync a batch.
     pub max_sync_ms: Millis,
 }
 
@@ -60,7 +62,7 @@
             seed,
             machines,
             safeguards: Safeguards::default(),
-            filling: if seed % 3 == 1 { 24_000 } else { 0 },
+            filler_bytes: if seed % 3 == 1 { 24_000 } else { 0 },
             max_sync_ms: if seed % 4 == 2 { 60 } else { 4 },
         }
     }
@@ -73,24 +75,24 @@
         run: u64,
     },
     Bootstrap,
-    Fill,
+    SubmitFiller,
     Tick {
         machine: usize,
         run: u64,
         at: Millis,
     },
-    /// The next message of a connection between members.
+    /// Delivers the next message of a connection between members.
     Deliver {
         from: usize,
         to: usize,
     },
-    /// Something reaches a process, if it is still that run of it.
+    /// An input arrives at a process, if the process is still in this run.
     Arrive {
         machine: usize,
         run: u64,
         arrival: Arrival,
     },
-    /// Something reaches whatever process is there.
+    /// An input arrives at a machine, whichever run its process is in.
     ArriveLate {
         machine: usize,
         arrival: Arrival,
@@ -133,7 +135,7 @@
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub setup: Setup,
     pub now: Millis,
     pub rng: Rng,
@@ -144,14 +146,15 @@
     pub callers: Vec<callers::Caller>,
     pub history: History,
     pub retirement_operator: retirements::RetirementOperator,
-    /// Messages between members come again late, or are lost, now and then.
-    pub doubling: bool,
+    /// Whether some messages between members arrive a second time, later.
+    pub duplicating: bool,
+    /// Whether some messages between members are lost.
     pub losing: bool,
-    /// The fault of the machine that gives the next 200 to a request.
-    pub at_next_acknowledgement: Option<faults::Fault>,
-    /// Then all machines lose power as well.
+    /// The fault to inject at the machine that next accepts a configuration request.
+    pub fault_at_next_acknowledgement: Option<faults::Fault>,
+    /// Whether all machines lose power after the next disk loss.
     blackout_after_wipe: bool,
-    /// Digests of the committed payloads, in their order; that of index 1 is at 0.
+    /// Digests of the committed payloads in order; the digest of index 1 is at position 0.
     sequence: Vec<u64>,
     next_ticket: u64,
     pub snapshots_installed: u64,
@@ -160,9 +163,9 @@
     pub digest: digest::Digest,
 }
 
-impl World {
-    pub fn new(setup: Setup) -> World {
-        let mut world = World {
+impl Simulation {
+    pub fn new(setup: Setup) -> Simulation {
+        let mut simulation = Simulation {
             setup,
             now: 0,
             rng: Rng::with_seed(setup.seed),
@@ -173,9 +176,9 @@
             callers: Vec::new(),
             history: History::default(),
             retirement_operator: retirements::RetirementOperator::default(),
-            doubling: false,
+            duplicating: false,
             losing: false,
-            at_next_acknowledgement: None,
+            fault_at_next_acknowledgement: None,
             blackout_after_wipe: false,
             sequence: Vec::new(),
             next_ticket: 1,
@@ -185,14 +188,14 @@
             digest: digest::Digest::default(),
         };
         for _ in 0..setup.machines {
-            let machine = world.add_machine();
-            let start = world.rng.u64(0..LATEST_START);
-            world.schedule(start, Event::Start { machine, run: 1 });
+            let machine = simulation.add_machine();
+            let start = simulation.rng.u64(0..LATEST_START);
+            simulation.schedule(start, Event::Start { machine, run: 1 });
         }
-        world.schedule(FOUND_AT, Event::Bootstrap);
-        world.schedule(FOUND_AT, Event::Fill);
-        world.add_callers();
-        world
+        simulation.schedule(BOOTSTRAP_AT, Event::Bootstrap);
+        simulation.schedule(BOOTSTRAP_AT, Event::SubmitFiller);
+        simulation.add_callers();
+        simulation
     }
 
     pub fn schedule(&mut self, at: Millis, event: Event) {
@@ -204,8 +207,8 @@
         }));
     }
 
-    /// Plays up to a time, or to the first violation.
-    pub fn play_to(&mut self, end: Millis) -> Result<(), Violation> {
+    /// Runs until a time or the first violation.
+    pub fn run_until(&mut self, end: Millis) -> Result<(), Violation> {
         while self
             .events
             .peek()
@@ -215,7 +218,7 @@
                 break;
             };
             self.now = next.at;
-            self.happen(next.event);
+            self.handle_event(next.event);
             if let Some(violation) = self.violation.take() {
                 return Err(self.describe(&violation));
             }
@@ -224,11 +227,11 @@
         Ok(())
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Start { machine, run } => self.start(machine, run),
-            Event::Bootstrap => self.found(),
-            Event::Fill => self.fill(),
+            Event::Bootstrap => self.bootstrap(),
+            Event::SubmitFiller => self.schedule_filler(),
             Event::Tick { machine, run, at } => self.tick(machine, run, at),
             Event::Deliver { from, to } => self.deliver(from, to),
             Event::Arrive {
@@ -246,43 +249,44 @@
                 run,
                 batch,
             } => self.disk_done(machine, run, batch),
-            Event::Caller { caller, wake } => self.caller_wakes(caller, wake),
+            Event::Caller { caller, wake } => self.wake_caller(caller, wake),
             Event::Fault(fault) => self.inject(fault),
         }
     }
 
-    /// The next commit of the sequence, as one member delivers it; returns whether it is the first to do so.
-    pub fn committed_at(&mut self, machine: usize, index: u64, payload: u64) -> bool {
+    /// Checks that a member commits the same payload at an index as the others; returns whether it is the first member
+    /// to commit at this index.
+    pub fn check_commit(&mut self, machine: usize, index: u64, payload: u64) -> bool {
         let position = index as usize - 1;
         let first = position == self.sequence.len();
         if first {
             self.sequence.push(payload);
         } else if self.sequence.get(position) != Some(&payload) {
-            self.violate(format!(
-                "m{machine} commits something else at {index} than was committed before"
+            self.report_violation(format!(
+                "m{machine} commits another payload at index {index} than was committed there before"
             ));
         }
         first
     }
 
-    fn found(&mut self) {
+    fn bootstrap(&mut self) {
         let view = self.first_view();
         if self
             .machines
             .iter()
             .all(|machine| machine.saved.decided.is_none())
         {
-            self.schedule(self.now + FOUND_AGAIN, Event::Bootstrap);
+            self.schedule(self.now + BOOTSTRAP_RETRY, Event::Bootstrap);
         }
         self.arrive(0, Arrival::Chain(Input::Bootstrap { view }));
     }
 
-    fn fill(&mut self) {
-        let next = self.now + 1 + self.rng.u64(0..FILL_EVERY);
-        self.schedule(next, Event::Fill);
-        if self.setup.filling > 0 {
+    fn schedule_filler(&mut self) {
+        let next = self.now + 1 + self.rng.u64(0..MAX_FILLER_INTERVAL);
+        self.schedule(next, Event::SubmitFiller);
+        if self.setup.filler_bytes > 0 {
             let machine = self.rng.usize(..self.machines.len());
-            self.submit_filling(machine);
+            self.submit_filler(machine);
         }
     }
 
@@ -297,11 +301,11 @@
         }
     }
 
-    pub fn violate(&mut self, text: String) {
+    pub fn report_violation(&mut self, text: String) {
         self.violation.get_or_insert(Violation::new(text));
     }
 
-    /// The violation with the world and the time in which it was found.
+    /// Adds the seed, the number of members and the current time to a violation.
     pub fn describe(&self, violation: &Violation) -> Violation {
         Violation::new(format!(
             "seed {} with {} members at {} ms: {violation}",
--- a/crates/serving/control-state/tests/world/retirements.rs
+++ b/crates/serving/control-state/tests/world/retirements.rs
@@ -1,36 +1,37 @@
-//! The operator of stores: it retires them while they register, disappear and return with other disks. A request to
-//! retire a store may take effect only while a call for it is pending: after a definite answer, no duplicate of an
-//! earlier call counts.
+//! An operator that retires stores while they register, disappear and return with other disks. A request to retire a
+//! store may take effect only while a call for it is pending: after a definite answer, duplicates of earlier calls must
+//! have no effect.
 
-use super::callers::{Answer, Question, Wake};
-use super::{Event, World};
+use super::callers::{CallAnswer, CallContent, Wake};
+use super::{Event, Simulation};
 use dunespur_control_state::{NodeKind, NodeReport, Operation};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 const STORES: u64 = 3;
-/// The operator waits this long at most between two actions, in milliseconds.
-const MAX_REST: u64 = 250;
-/// A request without a definite answer is abandoned after so many calls at most.
+/// Maximum pause of the operator between two actions, in milliseconds.
+const MAX_PAUSE: u64 = 250;
+/// Maximum number of calls for one request before the operator abandons it.
 const MAX_ATTEMPTS: u32 = 12;
 
-/// The operator's knowledge and the request that it wants decided.
+/// The state of the operator that retires stores.
 #[derive(Default)]
 pub struct RetirementOperator {
-    /// Incarnations and disks are numbered.
-    next_number: u64,
-    wanted: Option<(String, u32)>,
-    /// Whether a call was made for a store since its last definite answer.
+    /// The last number used for an incarnation or a disk.
+    last_number: u64,
+    /// The store of the pending request, and the number of calls left for it.
+    pending_request: Option<(String, u32)>,
+    /// Whether a call was made for a store since the last definite answer for it.
     in_flight: BTreeMap<String, bool>,
     pub retirements_begun: u64,
     pub rejected: u64,
 }
 
-impl World {
+impl Simulation {
     pub fn next_retirement_call(&mut self, caller: usize) {
-        if self.retirement_operator.wanted.is_none() && self.rng.u32(0..3) > 0 {
-            self.store_changes();
-            let at = self.now + self.rng.u64(1..MAX_REST);
+        if self.retirement_operator.pending_request.is_none() && self.rng.u32(0..3) > 0 {
+            self.submit_store_operation();
+            let at = self.now + self.rng.u64(1..MAX_PAUSE);
             return self.schedule(
                 at,
                 Event::Caller {
@@ -39,23 +40,28 @@
                 },
             );
         }
-        if self.retirement_operator.wanted.is_none() {
+        if self.retirement_operator.pending_request.is_none() {
             let node = format!("s{}", self.rng.u64(0..STORES));
-            self.retirement_operator.wanted = Some((node, 1 + self.rng.u32(0..MAX_ATTEMPTS)));
+            self.retirement_operator.pending_request =
+                Some((node, 1 + self.rng.u32(0..MAX_ATTEMPTS)));
         }
-        let (node, _) = self.retirement_operator.wanted.clone().expect("just set");
+        let (node, _) = self
+            .retirement_operator
+            .pending_request
+            .clone()
+            .expect("a request is pending");
         self.retirement_operator
             .in_flight
             .insert(node.clone(), true);
         self.choose_machine(caller);
-        self.call(caller, Question::Retire(node), None);
+        self.call(caller, CallContent::Retire(node), None);
     }
 
-    /// A store registers, expires, is empty, or is another one of the same name.
-    fn store_changes(&mut self) {
+    /// Submits an operation of a random store: it registers, maybe with another disk, expires, or reports itself empty.
+    fn submit_store_operation(&mut self) {
         let node = format!("s{}", self.rng.u64(0..STORES));
-        self.retirement_operator.next_number += 1;
-        let number = self.retirement_operator.next_number;
+        self.retirement_operator.last_number += 1;
+        let number = self.retirement_operator.last_number;
         let disk = if self.rng.bool() { number } else { 1 };
         let processes = self
             .machines
@@ -89,25 +95,25 @@
         self.submit(machine, &operation);
     }
 
-    /// A call of the operator of stores ended.
-    pub fn retirement_call_ended(&mut self, definite: Option<Answer>) -> u64 {
-        if let Some((node, attempts_left)) = self.retirement_operator.wanted.take() {
+    /// Handles the end of a call to retire a store; returns the pause before the next action.
+    pub fn retirement_call_ended(&mut self, definite: Option<CallAnswer>) -> u64 {
+        if let Some((node, attempts_left)) = self.retirement_operator.pending_request.take() {
             if let Some(answer) = &definite {
                 self.retirement_operator.in_flight.insert(node, false);
-                self.retirement_operator.rejected += u64::from(*answer == Answer::NotRetired);
+                self.retirement_operator.rejected += u64::from(*answer == CallAnswer::NotRetired);
             } else if attempts_left > 1 {
-                self.retirement_operator.wanted = Some((node, attempts_left - 1));
+                self.retirement_operator.pending_request = Some((node, attempts_left - 1));
             }
         }
-        1 + self.rng.u64(0..MAX_REST)
+        1 + self.rng.u64(0..MAX_PAUSE)
     }
 
-    /// A store begins to be emptied.
-    pub fn retirement_begins(&mut self, node: &str) {
+    /// Checks that a call is pending for a store whose retirement begins.
+    pub fn check_retirement_begun(&mut self, node: &str) {
         self.retirement_operator.retirements_begun += 1;
         if self.retirement_operator.in_flight.get(node) != Some(&true) {
-            self.violate(format!(
-                "{node} is being emptied, and every call for it was decided before"
+            self.report_violation(format!(
+                "{node} is being emptied, although every call to retire it had a definite answer"
             ));
         }
     }
--- a/crates/serving/control-state/tests/world/violation.rs
+++ b/crates/serving/control-state/tests/world/violation.rs
@@ -1,18 +1,18 @@
-//! What a check of a world reports.
+//! Violations that the checks of a simulation report.
 
 use std::fmt;
 
-/// A guarantee that a world violated.
+/// A description of a violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation(String);
 
 impl Violation {
-    /// A violation with its description.
+    /// Creates a violation with this description.
     pub fn new(description: String) -> Violation {
         Violation(description)
     }
 
-    /// Whether the description contains a text, by which tests tell violations apart.
+    /// Whether the description contains `text`. Tests distinguish violations by their descriptions.
     pub fn mentions(&self, text: &str) -> bool {
         self.0.contains(text)
     }
--- a/crates/serving/control-state/tests/world_digests.rs
+++ b/crates/serving/control-state/tests/world_digests.rs
@@ -1,4 +1,4 @@
-//! The simulated worlds run as they did when `world/digests.txt` was written: same messages, same times, same states.
+//! Simulations produce the messages, times and states whose digests are recorded in `world/digests.txt`.
 
 mod world;
 
@@ -6,24 +6,26 @@
 use world::fault_plan::digest;
 use world::Setup;
 
+/// Number of groups of faults in each simulation.
 const FAULT_GROUPS: usize = 1;
+/// Number of recorded seeds.
 const SEEDS: u64 = 100;
-/// Large payloads, which bring on snapshots, take most of the time: only some seeds have them.
+/// Every this many seeds have large filler payloads, which cause snapshots but make the simulation slow.
 const LARGE_PAYLOADS_EVERY: u64 = 20;
 const LARGE_PAYLOAD_BYTES: usize = 24_000;
 
 #[test]
-fn worlds_go_as_recorded() {
+fn simulations_match_the_recorded_digests() {
     let mut digests = String::new();
     for seed in 0..SEEDS {
         let large = seed % LARGE_PAYLOADS_EVERY == 1;
-        let filling = if large { LARGE_PAYLOAD_BYTES } else { 0 };
+        let filler_bytes = if large { LARGE_PAYLOAD_BYTES } else { 0 };
         let setup = Setup {
-            filling,
+            filler_bytes,
             ..Setup::new(seed, 3 + seed as usize % 4)
         };
         writeln!(digests, "{seed} {:016x}", digest(setup, FAULT_GROUPS))
-            .expect("a string takes text");
+            .expect("writing to a string succeeds");
     }
     assert_eq!(digests, include_str!("world/digests.txt"));
 }
