--- a/crates/serving/budget/src/counter/mod.rs
+++ b/crates/serving/budget/src/counter/mod.rs
@@ -73,8 +73,8 @@
 }
 
 impl Counters {
-    /// Applies a committed request. `limiters` is the number of limiters that the core knows, or 0 if unknown; it caps the
-    /// number of limiters that a program is assumed to have.
+    /// Applies a committed request. `limiters` is the number of limiters that the core knows, or 0 if unknown; it caps
+    /// the number of limiters that a program is assumed to have.
     ///
     /// Idempotent: a duplicate request gets the same reply and changes nothing.
     pub fn apply(&mut self, request: &CounterRequest, limiters: u32) -> CounterReply {
@@ -188,8 +188,8 @@
         }
     }
 
-    /// The idle time after which a counter is evicted. Never less than turns are stored, even under pressure: new programs
-    /// are rejected instead, so that a program that becomes active again does not restart from a zero counter.
+    /// The idle time after which a counter is evicted. Never less than turns are stored, even under pressure: new
+    /// programs are rejected instead, so that a program that becomes active again does not restart from a zero counter.
     fn evict_after_idle_ms(&self) -> Millis {
         let under_pressure =
             self.programs.len() > MAX_PROGRAMS / 2 || self.bytes > MAX_BYTES_WITH_NEW_PROGRAMS / 2;
@@ -207,8 +207,8 @@
         program.map_or(0, |program| program_bytes(name, program))
     }
 
-    /// Whether the request is applied. A new program or a lease at another limiter requires free capacity, and a request
-    /// with nothing to record creates no counter.
+    /// Whether the request is applied. A new program or a lease at another limiter requires free capacity, and a
+    /// request with nothing to record creates no counter.
     fn may_apply(&self, request: &CounterRequest) -> bool {
         let name = request.program.as_str();
         let Some(program) = self.programs.get(name) else {
--- a/crates/serving/budget/src/counter/program.rs
+++ b/crates/serving/budget/src/counter/program.rs
@@ -96,8 +96,8 @@
         now.saturating_sub(self.last_use)
     }
 
-    /// The recorded reply if the request was applied before, `Stale` if it is older than the limiter's last request, and
-    /// `None` if it is new.
+    /// The recorded reply if the request was applied before, `Stale` if it is older than the limiter's last request,
+    /// and `None` if it is new.
     pub(crate) fn prior_reply(&self, limiter: &LimiterId, sequence: u64) -> Option<CounterReply> {
         let lease = self.leases.iter().find(|lease| lease.limiter == *limiter)?;
         let last = lease.last.as_ref()?;
@@ -164,8 +164,8 @@
         budget.saturating_sub(self.used.saturating_add(self.leased()))
     }
 
-    /// The size of a grant, given a headroom that covers the needed units. A grant shrinks near the limit, but not below
-    /// the needed units. A program's first grant is exactly the needed units.
+    /// The size of a grant, given a headroom that covers the needed units. A grant shrinks near the limit, but not
+    /// below the needed units. A program's first grant is exactly the needed units.
     fn grant_size(&self, request: &LeaseRequest, headroom: u64, clock: &LogicalClock) -> u64 {
         if !self.has_granted {
             return request.needed;
--- a/crates/serving/budget/src/lease/demand.rs
+++ b/crates/serving/budget/src/lease/demand.rs
@@ -7,7 +7,7 @@
 /// Minimum period over which the rate is computed, since a program's first moments give no meaningful rate.
 const MIN_SPAN_MS: u64 = 1_000;
 
-/// Units used since the program's first turn here.
+/// Units that a program used through this limiter, and the time since which they are counted.
 #[derive(Clone, Debug)]
 pub(crate) struct Demand {
     used: u64,
--- a/crates/serving/budget/src/lease/table/mod.rs
+++ b/crates/serving/budget/src/lease/table/mod.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Decides whether to admit a turn or another attempt of a known turn. Units used by earlier attempts stay used, and
-    /// the turn's maximum is reserved again. `turn` is the caller's key for the turn.
+    /// Decides whether to admit a turn or another attempt of a known turn. Units used by earlier attempts stay used,
+    /// and the turn's maximum is reserved again. `turn` is the caller's key for the turn.
     pub fn admit(
         &mut self,
         program: &str,
@@ -158,8 +158,8 @@
         self.outcomes.drain(..).collect()
     }
 
-    /// Prepares the limiter's shutdown: from now on, units are returned as soon as no turn of their program runs on this
-    /// limiter. Returns the requests to send now.
+    /// Prepares the limiter's shutdown: from now on, units are returned as soon as no turn of their program runs on
+    /// this limiter. Returns the requests to send now.
     pub fn close(&mut self, now: Millis) -> Vec<CounterRequest> {
         self.settings.idle_return_ms = 0;
         self.settings.batch_ms = 1;
--- a/crates/serving/budget/src/messages.rs
+++ b/crates/serving/budget/src/messages.rs
@@ -13,7 +13,8 @@
 pub struct LimiterId {
     /// The machine's name.
     pub node: String,
-    /// Increases with each start of the process on that machine. Units leased to a superseded incarnation count as spent.
+    /// Increases with each start of the process on that machine. Units leased to a superseded incarnation count as
+    /// spent.
     pub incarnation: u64,
 }
 
--- a/crates/serving/budget/tests/common/accounts.rs
+++ b/crates/serving/budget/tests/common/accounts.rs
@@ -49,8 +49,8 @@
             .sum()
     }
 
-    /// Checks that a program's leased and received units stay within the budget and each limiter's use within its leases.
-    /// Called after each change of granted or received units.
+    /// Checks that a program's leased and received units stay within the budget and each limiter's use within its
+    /// leases. Called after each change of granted or received units.
     pub fn check(&self, program: &str, budget: u64, now: u64) {
         let leased = self.leased(program);
         assert!(
--- a/crates/serving/budget/tests/decisions.rs
+++ b/crates/serving/budget/tests/decisions.rs
@@ -206,8 +206,8 @@
     clock_driver.advance(&mut counters, 300_000);
     let mut other = lease_request(&limiter("clock-driver", 1), 100, 300_000, 950);
     counters.apply(&other, 2);
-    // The clock driver crashes with its lease. The quiet limiter's time lags behind by at most ten seconds, so the fifteen
-    // seconds of the lease timeout begin ten seconds later.
+    // The clock driver crashes with its lease. The quiet limiter's time lags behind by at most ten seconds, so the
+    // fifteen seconds of the lease timeout begin ten seconds later.
     other.sequence += 1;
     let mut spent_at = None;
     for step in 0..60 {
--- a/crates/serving/budget/tests/guarantees.rs
+++ b/crates/serving/budget/tests/guarantees.rs
@@ -73,7 +73,7 @@
         )
     };
 
-    // A program's first grant is exactly the needed units, whatever is wanted.
+    // A program's first grant is exactly the needed units, even if more are wanted.
     assert_eq!(granted(&grant(&mut counters, &limiter_a, 1, 50, 900)), 50);
     // One limiter: headroom / 1 / 2.
     assert_eq!(granted(&grant(&mut counters, &limiter_a, 2, 50, 900)), 475);
