--- a/crates/serving/budget/src/counter/program.rs
+++ b/crates/serving/budget/src/counter/program.rs
@@ -47,8 +47,11 @@
 pub(crate) struct LeaseRequest {
     /// The limiter's previous lease.
     pub(crate) lease: LeaseIndex,
+    /// The program's budget.
     pub(crate) budget: u64,
+    /// Minimum units of a grant.
     pub(crate) needed: u64,
+    /// Units that the limiter would prefer.
     pub(crate) wanted: u64,
     /// The number of limiters in the system, or 0 if unknown.
     pub(crate) limiters: u32,
@@ -62,6 +65,7 @@
     used: u64,
     /// Whether units were ever granted.
     has_granted: bool,
+    /// When the program's last request was applied.
     last_use: Millis,
     leases: Vec<Lease>,
 }
--- a/crates/serving/budget/src/lease/program_lease.rs
+++ b/crates/serving/budget/src/lease/program_lease.rs
@@ -36,7 +36,9 @@
 /// A turn that waits for the counter.
 #[derive(Clone, Copy, Debug)]
 struct WaitingTurn {
+    /// The caller's key for the turn.
     turn: u64,
+    /// When the turn began to wait.
     since: Millis,
 }
 
@@ -60,9 +62,11 @@
     last_max_units: u64,
     /// Whether the budget was near its limit at the last grant.
     near_limit: bool,
+    /// When the lease expires.
     expires_at: Millis,
-    /// When a turn last ended, unless units were granted or returned since.
+    /// When an admitted turn last ended, unless units were granted or returned since.
     freed_at: Option<Millis>,
+    /// When an admitted turn last ended, or when the program was added if none has.
     last_end: Millis,
     /// When the counter last replied to a request.
     reported_at: Millis,
--- a/crates/serving/budget/src/lease/table/decisions.rs
+++ b/crates/serving/budget/src/lease/table/decisions.rs
@@ -9,7 +9,7 @@
 
 impl LeaseTable {
     /// Records a turn before the decision on it, unless the table is at capacity.
-    pub(super) fn register(
+    pub(super) fn register_turn(
         &mut self,
         program: &str,
         budget: u64,
@@ -22,7 +22,7 @@
             self.finish(turn, now);
         }
         if !self.turns.contains_key(&turn) {
-            self.register_new(program, turn, now)?;
+            self.add_turn(program, turn, now)?;
         }
         let entry = self.turns.get_mut(&turn).ok_or(Rejection::AtCapacity)?;
         entry.budget = budget;
@@ -33,7 +33,7 @@
         Ok(())
     }
 
-    fn register_new(&mut self, program: &str, turn: u64, now: Millis) -> Result<(), Rejection> {
+    fn add_turn(&mut self, program: &str, turn: u64, now: Millis) -> Result<(), Rejection> {
         if self.turns.len() >= self.settings.max_turns {
             return Err(Rejection::AtCapacity);
         }
@@ -71,12 +71,12 @@
 
     /// Decides on a turn: admits it if the lease covers it, else rejects it or lets it wait for the counter.
     pub(super) fn decide(&mut self, turn: u64, now: Millis) -> Admission {
-        let unavailable = Admission::Rejected(Rejection::CounterTimeout);
+        let counter_timeout = Admission::Rejected(Rejection::CounterTimeout);
         let Some(entry) = self.turns.get_mut(&turn) else {
-            return unavailable;
+            return counter_timeout;
         };
         let Some(lease) = self.programs.get_mut(&entry.program) else {
-            return unavailable;
+            return counter_timeout;
         };
         let shortfall = entry.shortfall();
         if lease.try_reserve(shortfall, now) {
@@ -105,14 +105,14 @@
 
     /// Requests a lease that covers a turn.
     fn request_lease(&mut self, turn: u64, now: Millis) -> Admission {
-        let unavailable = Admission::Rejected(Rejection::CounterTimeout);
+        let counter_timeout = Admission::Rejected(Rejection::CounterTimeout);
         let Some(entry) = self.turns.get(&turn) else {
-            return unavailable;
+            return counter_timeout;
         };
         let (program, budget) = (entry.program.clone(), entry.budget);
         let needed = entry.shortfall();
         let Some(lease) = self.programs.get_mut(&program) else {
-            return unavailable;
+            return counter_timeout;
         };
         let wanted = lease.demand.refill_size(now).max(needed);
         let returned = lease.take_available();
--- a/crates/serving/budget/src/lease/table/mod.rs
+++ b/crates/serving/budget/src/lease/table/mod.rs
@@ -78,7 +78,7 @@
         turn: u64,
         now: Millis,
     ) -> Admission {
-        if let Err(rejection) = self.register(program, budget, max_units, turn, now) {
+        if let Err(rejection) = self.register_turn(program, budget, max_units, turn, now) {
             return Admission::Rejected(rejection);
         }
         let admission = self.decide(turn, now);
