--- a/crates/serving/dunespur/src/core/applied_state.rs
+++ b/crates/serving/dunespur/src/core/applied_state.rs
@@ -1,41 +1,41 @@
-//! The control state as this member has applied it, with the changes for those who watch it.
+//! The control state as this member has applied it, with its recent changes for watches.
 
 use super::change_log::ChangeLog;
 use dunespur_control_state::{ControlState, Operation, Outcome};
 
-/// The control state after the operations committed so far.
+/// The control state after all operations committed so far.
 #[derive(Default)]
 pub struct AppliedState {
     state: ControlState,
     changes: ChangeLog,
-    /// What was committed here or installed at this index could not be read: the state is not the one of the index.
+    /// Index of the first operation or snapshot that could not be decoded; the state has not followed the chain since.
     unreadable_since: Option<u64>,
 }
 
 impl AppliedState {
-    /// The state.
+    /// The applied control state.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// The recent changes.
+    /// The retained changes, by index.
     pub fn changes(&self) -> &ChangeLog {
         &self.changes
     }
 
-    /// Whether the state is that of the newest index. Against a member that answers with an old state, after a
-    /// snapshot or an operation of another version of the program.
+    /// Whether the state is that of the newest index. A snapshot or operation that another version of the program
+    /// wrote may be undecodable; this member must not answer with its outdated state then.
     pub fn is_readable(&self) -> bool {
         self.unreadable_since.is_none()
     }
 
-    /// Applies the operation committed at `index`; none if it could not be read.
+    /// Applies the operation committed at `index`; `None` if it could not be decoded.
     pub fn commit(&mut self, index: u64, payload: &[u8]) -> Option<Outcome> {
         let mut changes = Vec::new();
         let outcome = match postcard::from_bytes::<Operation>(payload) {
             Ok(operation) => Some(self.state.apply(&operation, &mut changes)),
             Err(error) => {
-                self.fall_behind(index, &format!("the operation can't be read: {error}"));
+                self.mark_unreadable(index, &format!("the operation can't be decoded: {error}"));
                 None
             }
         };
@@ -43,23 +43,25 @@
         outcome
     }
 
-    /// Takes the state of `index` in the place of this one; a readable one ends what was unreadable before.
+    /// Replaces the state by a snapshot taken at `index`. A readable snapshot makes the state readable again.
     pub fn install(&mut self, index: u64, bytes: &[u8]) {
         match ControlState::restore(bytes) {
             Ok(state) => {
                 self.state = state;
                 self.unreadable_since = None;
             }
-            Err(error) => self.fall_behind(index, &format!("the snapshot can't be read: {error}")),
+            Err(error) => {
+                self.mark_unreadable(index, &format!("the snapshot can't be decoded: {error}"))
+            }
         }
         self.changes.reset(index);
     }
 
-    /// The state falls behind from this index on; logged once.
-    fn fall_behind(&mut self, index: u64, reason: &str) {
+    /// Marks the state as unreadable from this index on; logged only the first time.
+    fn mark_unreadable(&mut self, index: u64, reason: &str) {
         if self.unreadable_since.is_none() {
             log::error!(
-                "control state at index {index}: {reason}; this member answers nothing from now on"
+                "control state at index {index}: {reason}; this member answers no requests until it installs a readable snapshot"
             );
             self.unreadable_since = Some(index);
         }
--- a/crates/serving/dunespur/src/core/applied_state/tests.rs
+++ b/crates/serving/dunespur/src/core/applied_state/tests.rs
@@ -1,55 +1,55 @@
-//! Changes by index, and states that can not be read.
+//! Retention of changes by index, and unreadable control states.
 
 use super::AppliedState;
 use dunespur_control_state::{
     ConfigurationRequest, ConfigurationRequestKind, ControlState, Operation,
 };
 
-fn configured(state: &mut AppliedState, index: u64, generation: u64) {
+fn apply_configuration(state: &mut AppliedState, index: u64, generation: u64) {
     let body = format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#);
-    let order = ConfigurationRequest {
+    let request = ConfigurationRequest {
         kind: ConfigurationRequestKind::Replace,
         base: generation - 1,
         body: body.into_bytes(),
         fencing_token: 0,
     };
-    let payload =
-        postcard::to_stdvec(&Operation::Configure(order)).expect("an operation can be written");
+    let payload = postcard::to_stdvec(&Operation::Configure(request))
+        .expect("the operation should be encodable");
     state
         .commit(index, &payload)
-        .expect("an operation that was written can be read");
+        .expect("the encoded operation should be decodable");
 }
 
 #[test]
 fn changes_are_retained_by_their_index() {
     let mut state = AppliedState::default();
-    configured(&mut state, 1, 1);
-    configured(&mut state, 2, 2);
-    assert_eq!(state.changes().newest(), 2);
-    assert!(state.changes().has_after(1));
-    assert!(!state.changes().has_after(2));
+    apply_configuration(&mut state, 1, 1);
+    apply_configuration(&mut state, 2, 2);
+    assert_eq!(state.changes().newest_index(), 2);
+    assert!(state.changes().has_changes_after(1));
+    assert!(!state.changes().has_changes_after(2));
     assert!(state.is_readable());
 }
 
 #[test]
-fn a_state_that_misses_an_operation_is_not_readable() {
+fn a_state_with_an_undecodable_operation_is_not_readable() {
     let mut state = AppliedState::default();
-    configured(&mut state, 1, 1);
+    apply_configuration(&mut state, 1, 1);
     assert_eq!(state.commit(2, &[0xff; 4]), None);
     assert!(!state.is_readable());
-    configured(&mut state, 3, 2);
+    apply_configuration(&mut state, 3, 2);
     assert!(!state.is_readable());
 }
 
 #[test]
-fn a_snapshot_that_cannot_be_read_leaves_a_state_that_answers_nothing_until_one_can() {
+fn an_undecodable_snapshot_makes_the_state_unreadable_until_a_readable_one_is_installed() {
     let mut state = AppliedState::default();
-    configured(&mut state, 1, 1);
-    let mut spoilt = state.state().snapshot();
-    spoilt[0] = 0xff;
-    state.install(9, &spoilt);
+    apply_configuration(&mut state, 1, 1);
+    let mut corrupt_snapshot = state.state().snapshot();
+    corrupt_snapshot[0] = 0xff;
+    state.install(9, &corrupt_snapshot);
     assert!(!state.is_readable());
     state.install(10, &ControlState::default().snapshot());
     assert!(state.is_readable());
-    assert_eq!(state.changes().newest(), 10);
+    assert_eq!(state.changes().newest_index(), 10);
 }
--- a/crates/serving/dunespur/src/core/change_log.rs
+++ b/crates/serving/dunespur/src/core/change_log.rs
@@ -1,15 +1,15 @@
-//! The newest changes of the control state by their index, for those who watch it.
+//! Recent changes of the control state by index, for watches.
 
 use dunespur_control_state::Change;
 use std::collections::VecDeque;
 
-/// Indices with changes that are retained; a watch that is further behind gets the complete state.
+/// Maximum number of retained indices with changes; a watch that is further behind receives the complete state.
 const MAX_RETAINED: usize = 1024;
 
 /// A bounded log of changes.
 #[derive(Default)]
 pub struct ChangeLog {
-    /// Changes after this index are retained.
+    /// All changes after this index are retained.
     floor: u64,
     /// The newest index, with or without changes.
     newest: u64,
@@ -17,7 +17,7 @@
 }
 
 impl ChangeLog {
-    /// Adds the changes of one index.
+    /// Appends the changes made at `index`.
     pub fn push(&mut self, index: u64, changes: Vec<Change>) {
         self.newest = index;
         if changes.is_empty() {
@@ -32,20 +32,20 @@
         }
     }
 
-    /// The state was replaced by one of this index.
+    /// Drops all changes after a snapshot taken at `index` has replaced the state.
     pub fn reset(&mut self, index: u64) {
         self.floor = index;
         self.newest = index;
         self.retained.clear();
     }
 
-    /// The newest index.
-    pub fn newest(&self) -> u64 {
+    /// The newest applied index.
+    pub fn newest_index(&self) -> u64 {
         self.newest
     }
 
     /// Whether there are changes after `index`.
-    pub fn has_after(&self, index: u64) -> bool {
+    pub fn has_changes_after(&self, index: u64) -> bool {
         index < self.floor
             || self
                 .retained
@@ -54,11 +54,13 @@
     }
 
     /// The changes after `index`; `None` if some of them are no longer retained.
-    pub fn after(&self, index: u64) -> Option<Vec<Change>> {
+    pub fn changes_after(&self, index: u64) -> Option<Vec<Change>> {
         if index < self.floor {
             return None;
         }
-        let start = self.retained.partition_point(|(at, _)| *at <= index);
+        let start = self
+            .retained
+            .partition_point(|(changed_at, _)| *changed_at <= index);
         Some(
             self.retained
                 .range(start..)
--- a/crates/serving/dunespur/src/core/coordinator/lease_sweeps.rs
+++ b/crates/serving/dunespur/src/core/coordinator/lease_sweeps.rs
@@ -1,23 +1,23 @@
-//! Leases of servers and nodes: gossip of renewals between core members, and the expiry of those not renewed in time.
+//! Lease sweeps: gossip of lease renewals between core members, and expiry of leases that were not renewed in time.
 
 use super::Coordinator;
 use crate::messages::{encode, LeaseRenewals, Request};
 use std::net::SocketAddr;
 
 impl Coordinator {
-    /// Leases that another member reports as renewed, or a store its own.
+    /// Records lease renewals reported by another member, or by a store for its own lease.
     pub fn receive_renewals(&self, renewals: &LeaseRenewals) {
         let now = self.clock.now();
-        // A process that was frozen finds renewals of long ago in its sockets.
+        // After a process was frozen, its sockets may hold outdated renewals.
         if self.replica.borrow().is_current(now) {
             self.leases.borrow_mut().renew_from_member(renewals, now);
         }
     }
 
-    /// Processes that may have lost the core: those that seeds name or that are remembered, and did not renew their
-    /// lease lately. A machine without a disk that restarts knows only its seeds, and these may have restarted too.
-    /// Empty unless this member follows the chain; remembered ones only at its head, which learns of all renewals.
-    pub fn unreached(&self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
+    /// Addresses of processes that may have lost contact with the core: seeds and remembered nodes that have not
+    /// renewed their lease recently. A restarted machine without a disk knows only its seeds, which may have restarted
+    /// too. Empty unless this member is up to date; remembered nodes only at the head, which learns of all renewals.
+    pub fn unreached_processes(&self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
         let now = self.clock.now();
         let replica = self.replica.borrow();
         if !replica.serves_reads(now) {
@@ -25,14 +25,13 @@
         }
         self.leases
             .borrow()
-            .unreached(&replica, &self.own.id, seeds, now)
+            .unreached_processes(&replica, &self.own.id, seeds, now)
     }
 
-    /// Reports to the other members which leases were renewed here; the head of the chain proposes the operations
-    /// for those that have expired.
+    /// Gossips renewals to the other members; at the head of the chain also proposes the operations for expired leases.
     pub(super) fn run_lease_sweep(&self, now: u64) {
-        let gossips = self.leases.borrow_mut().begin_sweep(now);
-        if gossips {
+        let gossip_due = self.leases.borrow_mut().begin_sweep(now);
+        if gossip_due {
             self.gossip_renewals();
         }
         let operations =
@@ -40,7 +39,7 @@
                 .borrow_mut()
                 .expired(&self.replica.borrow(), &self.own.id, now);
         for operation in operations {
-            log::info!("lapsed: {operation:?}");
+            log::info!("a lease has expired; proposing {operation:?}");
             drop(self.propose(&operation));
         }
     }
--- a/crates/serving/dunespur/src/core/coordinator/mod.rs
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -1,4 +1,4 @@
-//! The owner of a core member: feeds inputs to the state machine and performs every output that it asks for.
+//! Runs a core member: feeds inputs to the chain's state machine and performs its outputs.
 
 mod lease_sweeps;
 mod requests;
@@ -28,30 +28,30 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// The file of a core member in its data folder.
+/// File name of a core member's database in its data folder.
 const DISK_FILE: &str = "core.redb";
 
-/// Which member of the core this process is.
+/// Identity and settings of this process as a core member.
 #[derive(Clone, Debug)]
 pub struct CoreIdentity {
     /// The machine's name.
     pub node: String,
-    /// Where other processes of the system reach it.
+    /// Internal address, at which other processes of the system call this one.
     pub address: SocketAddr,
-    /// Whether it may take part in a first view.
+    /// Whether this machine may take part in the first view.
     pub bootstrap: bool,
-    /// Interval between heartbeats of a server, in milliseconds.
+    /// Interval between a server's heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
 }
 
-/// Whether those who watch the control state have to look at it again.
+/// Whether an output changed the control state or the view, so that watches have to be notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchEffect {
     Unchanged,
     Changed,
 }
 
-/// A core member with its disk and links.
+/// A core member with its disk and its connections to other members.
 pub struct Coordinator {
     own: Peer,
     clock: Clock,
@@ -62,24 +62,25 @@
     operations: RefCell<PendingOperations>,
     reads: RefCell<PendingReads>,
     last_ticket: Cell<u64>,
-    /// Notified when there are changes or another view.
+    /// Notified when the control state or the view has changed.
     state_changed: Notify,
-    /// Notified when the time of the next tick has changed.
+    /// Notified when the time of the next tick may have changed.
     rescheduled: Notify,
 }
 
 impl Coordinator {
-    /// Opens the disk and starts the member's tasks.
+    /// Opens the disk and starts the tasks of the member.
     ///
     /// # Errors
     ///
-    /// If the data folder can't be made, its file can't be opened, or the disk's thread can't be started.
+    /// If the data folder can't be created, its database can't be opened, or the disk thread can't be started.
     pub fn start(
         identity: CoreIdentity,
         data: &Path,
         clock: Clock,
     ) -> anyhow::Result<Rc<Coordinator>> {
-        std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
+        std::fs::create_dir_all(data)
+            .with_context(|| format!("creating the data folder {}", data.display()))?;
         let Opened {
             disk,
             identity: disk_identity,
@@ -125,37 +126,37 @@
         Ok(coordinator)
     }
 
-    /// This member as others know it.
+    /// Id and address of this member.
     pub fn peer(&self) -> Peer {
         self.own.clone()
     }
 
-    /// The newest view that this member knows.
+    /// The newest view known to this member.
     pub fn view(&self) -> Option<View> {
         self.replica.borrow().view().cloned()
     }
 
-    /// Takes part in the first view of the system.
+    /// Starts the chain with the first view of the system.
     pub fn bootstrap(&self, view: View) {
         self.step(Input::Bootstrap { view });
     }
 
-    /// Asks the members at these addresses to take this one in.
+    /// Requests membership from the members at these addresses.
     pub fn join(&self, contacts: Vec<SocketAddr>) {
         self.step(Input::Join { contacts });
     }
 
-    /// Asks to be removed from the chain, before a planned end.
+    /// Requests removal from the chain before a planned shutdown.
     pub fn leave(&self) {
         self.step(Input::Leave);
     }
 
-    /// Receives a message of another member.
+    /// Receives a message from another member.
     pub fn receive(&self, from: MemberId, message: Message) {
         self.step(Input::Received { from, message });
     }
 
-    /// Gives the state machine an input and performs what it asks for.
+    /// Feeds an input to the state machine and performs its outputs.
     fn step(&self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         let mut outputs = Vec::new();
@@ -176,7 +177,7 @@
         self.rescheduled.notify_one();
     }
 
-    /// Performs one output; further inputs go to `inputs`.
+    /// Performs one output; resulting inputs are appended to `inputs`.
     fn perform(&self, output: Output, inputs: &mut VecDeque<Input>) -> WatchEffect {
         match output {
             Output::Send { to, message } => self.send_message(to.address, message),
@@ -212,7 +213,7 @@
         WatchEffect::Unchanged
     }
 
-    /// Sends a message of the state machine to the member at an address.
+    /// Sends a message from the state machine to the member at an address.
     fn send_message(&self, address: SocketAddr, message: Message) {
         let request = Request::Chain {
             from: self.own.id.clone(),
@@ -221,28 +222,28 @@
         self.links.send(address, encode(&request));
     }
 
-    /// Applies a committed operation and answers whoever waits for it.
+    /// Applies a committed operation and sends its outcome to waiting callers.
     fn apply_committed(&self, index: u64, payload: &[u8], ticket: Option<u64>) -> WatchEffect {
         let mut replica = self.replica.borrow_mut();
         let outcome = replica.applied_mut().commit(index, payload);
         if let Some(ticket) = ticket {
             self.operations.borrow_mut().complete(ticket, outcome);
         }
-        if replica.applied().changes().has_after(index - 1) {
+        if replica.applied().changes().has_changes_after(index - 1) {
             WatchEffect::Changed
         } else {
             WatchEffect::Unchanged
         }
     }
 
-    /// The state machine has given up an operation or a read.
+    /// Answers the callers of an operation or read that the state machine has dropped.
     fn drop_ticket(&self, ticket: u64) {
         self.reads.borrow_mut().drop_ticket(ticket);
         self.operations.borrow_mut().complete(ticket, None);
     }
 
-    /// A number that names an operation or a read of this process.
-    fn take_ticket(&self) -> u64 {
+    /// Allocates the number that identifies one operation or read of this process.
+    fn allocate_ticket(&self) -> u64 {
         let ticket = self.last_ticket.get() + 1;
         self.last_ticket.set(ticket);
         ticket
@@ -255,7 +256,7 @@
         }
     }
 
-    /// When the next tick is due, in steady milliseconds.
+    /// Time of the next tick of the state machine or the next lease sweep, in steady milliseconds.
     fn next_tick(&self) -> u64 {
         self.replica
             .borrow()
@@ -278,8 +279,8 @@
     view.chain.iter().map(|id| id.node.as_str()).collect()
 }
 
-/// Reports a lost connection to the state machine. A link may be lost within [`Coordinator::step`]: the state machine
-/// learns of it afterwards.
+/// Reports a lost connection to the state machine. This runs in a task of its own, as a connection may be lost during
+/// [`Coordinator::step`].
 fn report_disconnected(owner: &Weak<Coordinator>, address: SocketAddr) {
     let Some(coordinator) = owner.upgrade() else {
         return;
@@ -295,9 +296,9 @@
 
 async fn drive_timers(coordinator: Rc<Coordinator>) {
     loop {
-        let due = coordinator.clock.instant(coordinator.next_tick());
+        let next_tick = coordinator.clock.instant(coordinator.next_tick());
         tokio::select! {
-            () = sleep_until(due.into()) => coordinator.tick(),
+            () = sleep_until(next_tick.into()) => coordinator.tick(),
             () = coordinator.rescheduled.notified() => {}
         }
     }
--- a/crates/serving/dunespur/src/core/coordinator/status.rs
+++ b/crates/serving/dunespur/src/core/coordinator/status.rs
@@ -1,20 +1,20 @@
-//! What a core member says of itself.
+//! The status of a core member.
 
 use super::Coordinator;
 use crate::status::CoreStatus;
 use dunespur_budget::Counters;
 
-/// What the counter of this member says of one program.
+/// Usage of one program's budget, by this member's counter.
 #[derive(Clone, Copy, Debug)]
-pub struct CountedBudget {
-    /// Tokens that were reported as used.
+pub struct BudgetUsage {
+    /// Tokens reported as used.
     pub used: u64,
-    /// Tokens that limiters lease.
+    /// Tokens leased to limiters.
     pub leased: u64,
 }
 
 impl Coordinator {
-    /// The status of this member, with so many leases at most.
+    /// The status of this member, with at most `max_leases` leases.
     pub fn status(&self, max_leases: usize) -> CoreStatus {
         let now = self.clock.now();
         let replica = self.replica.borrow();
@@ -35,11 +35,11 @@
         }
     }
 
-    /// A program's budget by the counter of this member.
-    pub fn budget_of(&self, program: &str) -> CountedBudget {
+    /// Usage of a program's budget, by this member's counter.
+    pub fn budget_usage(&self, program: &str) -> BudgetUsage {
         let replica = self.replica.borrow();
         let counters = replica.state().counters();
-        CountedBudget {
+        BudgetUsage {
             used: counters.used(program),
             leased: counters.leased(program),
         }
--- a/crates/serving/dunespur/src/core/coordinator/watches.rs
+++ b/crates/serving/dunespur/src/core/coordinator/watches.rs
@@ -1,19 +1,19 @@
-//! Watches: gateways and stores follow the control state at one core member, and renew leases on the way.
+//! Watches: gateways and stores follow the control state at one core member, and renew leases with each watch.
 
 use super::Coordinator;
 use crate::messages::{Reply, WatchRequest};
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A watch without changes is answered after this time: the caller sees that this member runs.
+/// A watch without changes is answered after this time, which shows the caller that this member is alive.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl Coordinator {
-    /// Answers a watch: at once if there are changes, else when there are some or after [`WATCH_TIMEOUT`].
+    /// Answers a watch immediately if there are changes, else at the next change or after [`WATCH_TIMEOUT`].
     pub async fn watch(&self, request: WatchRequest) -> Reply {
         let now = self.clock.now();
         if self.replica.borrow().is_current(now) {
-            // A process that was frozen finds renewals of long ago in its sockets.
+            // After a process was frozen, its sockets may hold outdated renewals.
             self.leases
                 .borrow_mut()
                 .renew_from_watch(&request.renewals, now);
--- a/crates/serving/dunespur/src/core/disk_writer.rs
+++ b/crates/serving/dunespur/src/core/disk_writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes a core member's disk: syncs block, and a slow disk must not delay the data plane.
+//! The thread that writes to a core member's disk: syncs block, and a slow disk must not delay the data plane.
 
 use crate::status::DiskStatus;
 use dunespur_chain_replication::Write;
@@ -10,27 +10,27 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Delay before a write that failed (a full disk, for example) is retried; nothing is acknowledged meanwhile.
+/// Delay before a failed write is retried, for example on a full disk; nothing is acknowledged meanwhile.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Stack of the thread in bytes.
+/// Stack size of the thread in bytes.
 const STACK_SIZE: usize = 256 * 1024;
 
 /// Writes that are synced together.
 pub struct Batch {
-    /// By which the state machine knows it.
+    /// The number by which the state machine identifies the batch.
     pub number: u64,
-    /// In the order in which they are applied.
+    /// The writes, in the order in which they are applied.
     pub writes: Vec<Write>,
 }
 
-/// Hands batches to the disk's thread.
+/// Queues batches for the disk thread.
 pub struct DiskWriter {
     batches: mpsc::Sender<Batch>,
     queued: Cell<u64>,
     progress: Arc<Progress>,
 }
 
-/// What the thread has done so far.
+/// Counters that the disk thread updates.
 #[derive(Default)]
 struct Progress {
     done: AtomicU64,
@@ -38,8 +38,8 @@
 }
 
 impl DiskWriter {
-    /// Starts the thread; `persisted` gets the number of each batch that is synced. Both queues are bounded by what
-    /// the chain has under way.
+    /// Starts the disk thread, which sends the number of each synced batch to `persisted`. The number of uncommitted
+    /// operations in the chain bounds both queues.
     pub fn start(disk: CoreDisk, persisted: UnboundedSender<u64>) -> std::io::Result<DiskWriter> {
         let (batches, queue) = mpsc::channel::<Batch>();
         let progress = Arc::new(Progress::default());
@@ -69,7 +69,7 @@
         let _ = self.batches.send(batch);
     }
 
-    /// Batches queued, done and failed.
+    /// Numbers of waiting batches, completed batches and failed write attempts.
     pub fn status(&self) -> DiskStatus {
         let done = self.progress.done.load(Ordering::Relaxed);
         DiskStatus {
@@ -84,8 +84,9 @@
     while let Err(error) = disk.write(&batch.writes) {
         failed.fetch_add(1, Ordering::Relaxed);
         log::error!(
-            "the core's disk failed to write batch {}: {}",
+            "core disk: writing batch {} failed, retrying in {} ms: {}",
             batch.number,
+            RETRY_DELAY.as_millis(),
             error.with_causes()
         );
         thread::sleep(RETRY_DELAY);
--- a/crates/serving/dunespur/src/core/lease_expiry.rs
+++ b/crates/serving/dunespur/src/core/lease_expiry.rs
@@ -1,5 +1,5 @@
-//! Which leases have expired, and the operations for that. The head of the chain decides, in sweeps at a fixed
-//! interval.
+//! Detects expired leases and creates the operations that record them. Only the head of the chain decides on expiry,
+//! in sweeps at a fixed interval.
 
 use super::lease_table::{LeaseKind, LeaseTable};
 use super::replica::Replica;
@@ -10,22 +10,22 @@
 use std::collections::{BTreeSet, HashSet};
 use std::net::SocketAddr;
 
-/// How often expired leases are looked for, in milliseconds.
+/// Interval between two sweeps for expired leases, in milliseconds.
 const LEASE_SWEEP_INTERVAL_MS: u64 = 250;
-/// Renewals are gossiped to the other members at each second sweep.
+/// Renewals are gossiped to the other members at every second sweep.
 const SWEEPS_PER_GOSSIP: u64 = 2;
 
-/// The leases of one core member, and its part in their expiry.
+/// The leases known to one core member, and the schedule of its sweeps.
 pub struct LeaseExpiry {
     table: LeaseTable,
     next_sweep: u64,
     sweeps: u64,
-    /// Whether this member decided on leases at the last sweep.
+    /// Whether this member decided on expiry at the last sweep.
     decided_last_sweep: bool,
 }
 
 impl LeaseExpiry {
-    /// No leases yet; the first sweep is due an interval after `now`.
+    /// Creates an empty table; the first sweep is due one interval after `now`.
     pub fn new(heartbeat_ms: u64, now: u64) -> LeaseExpiry {
         LeaseExpiry {
             table: LeaseTable::new(heartbeat_ms),
@@ -35,12 +35,12 @@
         }
     }
 
-    /// When the next sweep is due, in steady milliseconds.
+    /// Time of the next sweep, in steady milliseconds.
     pub fn next_sweep(&self) -> u64 {
         self.next_sweep
     }
 
-    /// A sweep takes place now; returns whether renewals are to be gossiped with it.
+    /// Starts a sweep and schedules the next one; returns whether this sweep also gossips renewals.
     #[must_use]
     pub fn begin_sweep(&mut self, now: u64) -> bool {
         self.next_sweep = now + LEASE_SWEEP_INTERVAL_MS;
@@ -48,22 +48,22 @@
         self.sweeps.is_multiple_of(SWEEPS_PER_GOSSIP)
     }
 
-    /// Renewals that a gateway or store sent with its watch; they are reported to the other members.
+    /// Records renewals that a gateway or store sent with its watch, to be reported to the other members.
     pub fn renew_from_watch(&mut self, renewals: &LeaseRenewals, now: u64) {
         self.table.renew_and_report(renewals, now);
     }
 
-    /// Renewals that another member or a store has reported.
+    /// Records renewals reported by another member, or by a store itself.
     pub fn renew_from_member(&mut self, renewals: &LeaseRenewals, now: u64) {
         self.table.renew(renewals, now);
     }
 
-    /// Renewals that have to be reported to the other members.
+    /// Takes the renewals that are not yet reported to the other members.
     pub fn take_unreported(&mut self) -> LeaseRenewals {
         self.table.take_unreported()
     }
 
-    /// The leases, so many at most.
+    /// Status of at most `max_leases` leases.
     pub fn status(&self, state: &ControlState, max_leases: usize, now: u64) -> Vec<LeaseStatus> {
         let stores: HashSet<NodeLease> = store_leases(state).collect();
         let kind_of = |node: &NodeLease| {
@@ -76,8 +76,7 @@
         self.table.status(kind_of, max_leases, now)
     }
 
-    /// Operations for what has expired, if this member decides on that: it is the head of the chain, and was at the
-    /// last sweep.
+    /// Operations for expired leases. Empty unless this member is the head of the chain and was so at the last sweep.
     pub fn expired(&mut self, replica: &Replica, own: &MemberId, now: u64) -> Vec<Operation> {
         let decides =
             replica.is_head(own) && replica.is_current(now) && replica.applied().is_readable();
@@ -93,13 +92,13 @@
         operations
     }
 
-    /// Forgets the leases of what the control state does not know any more, and starts those of what is new to it.
+    /// Removes leases of servers and nodes that left the control state, and starts leases of new ones.
     fn retain_known(&mut self, state: &ControlState, now: u64) {
         self.table
             .retain_servers(state.servers().map(|server| server.id.as_str()), now);
         self.table
             .retain_nodes(store_leases(state).chain(gateway_leases(state)), now);
-        let names: Vec<String> = remembered(state)
+        let names: Vec<String> = remembered_nodes(state)
             .into_iter()
             .map(|node| node.name)
             .collect();
@@ -133,9 +132,9 @@
             .collect()
     }
 
-    /// Seeds, and at the head of the chain gateways and stores that may come back, that are no members and did not
-    /// renew their lease lately.
-    pub fn unreached(
+    /// Addresses of processes that are not core members and have not renewed their lease recently: seeds, and at the
+    /// head of the chain also gateways and stores that may come back.
+    pub fn unreached_processes(
         &self,
         replica: &Replica,
         own: &MemberId,
@@ -143,26 +142,26 @@
         now: u64,
     ) -> Vec<SocketAddr> {
         let mut reached: BTreeSet<SocketAddr> = replica.member_addresses().collect();
-        let mut wanted: BTreeSet<SocketAddr> = seeds.iter().copied().collect();
-        for node in remembered(replica.state()) {
-            if self.table.renewed_lately(&node.name, now) {
+        let mut candidates: BTreeSet<SocketAddr> = seeds.iter().copied().collect();
+        for node in remembered_nodes(replica.state()) {
+            if self.table.renewed_recently(&node.name, now) {
                 reached.insert(node.address);
             } else if replica.is_head(own) {
-                wanted.insert(node.address);
+                candidates.insert(node.address);
             }
         }
-        wanted.difference(&reached).copied().collect()
+        candidates.difference(&reached).copied().collect()
     }
 }
 
-/// A gateway or store that may come back.
+/// A gateway or store that may return after its lease has expired.
 struct RememberedNode {
     name: String,
     address: SocketAddr,
 }
 
-/// All gateways and stores that may come back.
-fn remembered(state: &ControlState) -> Vec<RememberedNode> {
+/// All gateways and stores that may return after their lease has expired.
+fn remembered_nodes(state: &ControlState) -> Vec<RememberedNode> {
     let gateways = state.recorded_gateways().map(|gateway| RememberedNode {
         name: gateway.name.clone(),
         address: gateway.address,
@@ -175,7 +174,7 @@
     gateways.chain(stores).collect()
 }
 
-/// The leases of the stores that are there.
+/// Leases of the present stores.
 fn store_leases(state: &ControlState) -> impl Iterator<Item = NodeLease> + '_ {
     let present = state.stores().filter(|store| store.present);
     present.map(|store| NodeLease {
@@ -184,7 +183,7 @@
     })
 }
 
-/// The leases of the gateways that are there.
+/// Leases of the present gateways.
 fn gateway_leases(state: &ControlState) -> impl Iterator<Item = NodeLease> + '_ {
     let present = state.gateways();
     present.map(|gateway| NodeLease {
--- a/crates/serving/dunespur/src/core/lease_table/tests.rs
+++ b/crates/serving/dunespur/src/core/lease_table/tests.rs
@@ -1,4 +1,4 @@
-//! When leases of each kind expire.
+//! Expiry of leases of each kind.
 
 use super::{LeaseKind, LeaseTable};
 use crate::messages::{LeaseRenewals, NodeLease};
@@ -14,8 +14,8 @@
     ["silent", "first", "second"].map(lease).to_vec()
 }
 
-/// A table in which all nodes but the silent one renew until `now`.
-fn renewed_until(now: u64) -> LeaseTable {
+/// A table in which all nodes except `silent` renewed their lease at `now`.
+fn table_renewed_at(now: u64) -> LeaseTable {
     let mut table = LeaseTable::new(1_000);
     table.retain_nodes(nodes().into_iter(), 0);
     let renewals = LeaseRenewals {
@@ -27,23 +27,23 @@
 }
 
 #[test]
-fn the_lease_of_a_store_expires_sooner_than_that_of_a_gateway() {
-    for (kind, lasts_ms) in [(LeaseKind::Store, 1_200), (LeaseKind::Gateway, 2_500)] {
-        let expired = |now| renewed_until(now).expired_nodes(kind, nodes().into_iter(), now);
-        assert_eq!(expired(lasts_ms), []);
-        assert_eq!(expired(lasts_ms + 1), [lease("silent")]);
+fn a_store_lease_expires_sooner_than_a_gateway_lease() {
+    for (kind, duration_ms) in [(LeaseKind::Store, 1_200), (LeaseKind::Gateway, 2_500)] {
+        let expired = |now| table_renewed_at(now).expired_nodes(kind, nodes().into_iter(), now);
+        assert_eq!(expired(duration_ms), []);
+        assert_eq!(expired(duration_ms + 1), [lease("silent")]);
     }
 }
 
 #[test]
 fn nothing_expires_while_most_leases_of_a_kind_are_not_renewed() {
-    let table = renewed_until(100);
+    let table = table_renewed_at(100);
     let expired = table.expired_nodes(LeaseKind::Store, nodes().into_iter(), 5_000);
     assert_eq!(expired, []);
 }
 
 #[test]
-fn the_status_tells_how_long_a_lease_of_each_kind_lasts() {
+fn the_status_reports_the_duration_of_each_kind_of_lease() {
     let kind_of = |node: &NodeLease| {
         if node.name == "silent" {
             LeaseKind::Gateway
@@ -51,7 +51,7 @@
             LeaseKind::Store
         }
     };
-    let status = renewed_until(700).status(kind_of, 10, 1_000);
+    let status = table_renewed_at(700).status(kind_of, 10, 1_000);
     let leases: Vec<_> = status
         .iter()
         .map(|lease| (lease.holder.as_str(), lease.silent_ms, lease.lease_ms))
--- a/crates/serving/dunespur/src/core/mod.rs
+++ b/crates/serving/dunespur/src/core/mod.rs
@@ -1,10 +1,10 @@
-//! A member of the core: runs the replica's state machine with its disk and its links, applies what is committed to
-//! the control state, and answers gateways and stores.
+//! A member of the core: runs the chain's state machine with a disk and connections to the other members, applies
+//! committed operations to the control state, and answers gateways and stores.
 //!
-//! The way of a change, step by step: [`coordinator`] *receives* an operation (`coordinator/requests.rs`), *proposes*
-//! it to the state machine, *sends* the messages that come of it over its links ([`peer_links`]), which replicate it
-//! along the chain, *persists* what the state machine writes ([`disk_writer`]), *applies* what the chain has committed
-//! ([`applied_state`]), and *notifies* callers ([`pending_operations`]) and watches (`coordinator/watches.rs`).
+//! Steps of an operation: [`coordinator`] receives it (`coordinator/requests.rs`) and proposes it to the state
+//! machine, sends the resulting messages to the other members ([`peer_links`]), which replicate the operation along
+//! the chain, persists the state machine's writes ([`disk_writer`]), applies committed operations
+//! ([`applied_state`]), and notifies callers ([`pending_operations`]) and watches (`coordinator/watches.rs`).
 
 mod applied_state;
 mod change_log;
--- a/crates/serving/dunespur/src/core/peer_links.rs
+++ b/crates/serving/dunespur/src/core/peer_links.rs
@@ -1,4 +1,4 @@
-//! Connections to the other core members: one client for each address, made when it is first needed.
+//! Connections to the other core members: one client per address, created on first use.
 
 use bytes::Bytes;
 use dunespur_rpc::Client;
@@ -7,17 +7,17 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Called with the address of a member whose connection is lost.
+/// Called with the address of a member to which the connection was lost.
 pub type DisconnectHandler = Rc<dyn Fn(SocketAddr)>;
 
-/// The clients of one core member.
+/// RPC clients for the other members of the core.
 pub struct PeerLinks {
     clients: RefCell<HashMap<SocketAddr, Rc<Client>>>,
     on_disconnect: DisconnectHandler,
 }
 
 impl PeerLinks {
-    /// No connections yet.
+    /// Creates the links without any connection.
     pub fn new(on_disconnect: DisconnectHandler) -> PeerLinks {
         PeerLinks {
             clients: RefCell::default(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Queues a message. One that can't be queued is lost: the state machine sends again what is not acknowledged.
+    /// Queues a message. A message that can't be queued is dropped: the state machine resends unacknowledged messages.
     pub fn send(&self, address: SocketAddr, payload: Bytes) {
         let _ = self.client(address).notify(payload);
     }
--- a/crates/serving/dunespur/src/core/pending_operations.rs
+++ b/crates/serving/dunespur/src/core/pending_operations.rs
@@ -1,53 +1,54 @@
-//! Operations that were proposed here and are not committed yet, and the callers that wait for them.
+//! Operations that this member proposed and that are not committed yet, with their waiting callers.
 
 use dunespur_control_state::{Operation, Outcome};
 use std::collections::HashMap;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The outcome of an operation, or none if the chain has dropped it.
-pub type OperationAnswer = oneshot::Receiver<Option<Outcome>>;
+/// Receives the outcome of an operation, or `None` if the chain dropped it.
+pub type OutcomeReceiver = oneshot::Receiver<Option<Outcome>>;
 
-/// What has to be done with an operation that was registered.
+/// How an operation was registered.
 #[derive(Debug)]
 pub enum Registration {
-    /// It has to be proposed under its ticket.
-    New(OperationAnswer),
-    /// The same request is pending already: its answer is this one's too.
-    Joined(OperationAnswer),
+    /// The operation is new: the caller has to propose it under its ticket.
+    New(OutcomeReceiver),
+    /// An identical request is already pending, and its outcome answers this one too.
+    Joined(OutcomeReceiver),
 }
 
 struct PendingOperation {
     callers: Vec<oneshot::Sender<Option<Outcome>>>,
-    /// The request, if an equal one may join it.
+    /// The encoded request, if identical requests may join it.
     payload: Option<Rc<[u8]>>,
 }
 
-/// The pending operations, by ticket.
+/// Pending operations by ticket.
 #[derive(Default)]
 pub struct PendingOperations {
     pending: HashMap<u64, PendingOperation>,
-    /// Tickets of pending requests that callers repeat unchanged.
+    /// Tickets of pending requests that identical requests may join, by encoded request.
     joinable: HashMap<Rc<[u8]>, u64>,
 }
 
 impl PendingOperations {
-    /// How many are pending.
+    /// Number of pending operations.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Registers an operation. A limiter repeats a request to a counter unchanged until it is answered: while the first
-    /// is pending, a repeated one waits for the same commit. A core that is slow would otherwise get several times the
-    /// work for it.
+    /// Registers an operation. A limiter repeats a counter request unchanged until it is answered, so a repetition
+    /// joins the pending request instead of being proposed again, which would multiply the work of a slow core.
     pub fn register(&mut self, ticket: u64, operation: &Operation, payload: &[u8]) -> Registration {
-        let (sender, answer) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let is_joinable = matches!(operation, Operation::Budget(_));
-        if let Some(first) = self.joinable.get(payload).filter(|_| is_joinable) {
-            if let Some(first) = self.pending.get_mut(first) {
-                first.callers.retain(|caller| !caller.is_closed());
-                first.callers.push(sender);
-                return Registration::Joined(answer);
+        if let Some(pending_ticket) = self.joinable.get(payload).filter(|_| is_joinable) {
+            if let Some(pending_operation) = self.pending.get_mut(pending_ticket) {
+                pending_operation
+                    .callers
+                    .retain(|caller| !caller.is_closed());
+                pending_operation.callers.push(sender);
+                return Registration::Joined(receiver);
             }
         }
         let payload: Option<Rc<[u8]>> = is_joinable.then(|| payload.into());
@@ -61,10 +62,10 @@
                 payload,
             },
         );
-        Registration::New(answer)
+        Registration::New(receiver)
     }
 
-    /// The operation was committed, or dropped.
+    /// Sends the outcome to all callers of an operation; `None` if the chain dropped it.
     pub fn complete(&mut self, ticket: u64, outcome: Option<Outcome>) {
         let Some(operation) = self.pending.remove(&ticket) else {
             return;
--- a/crates/serving/dunespur/src/core/pending_operations/tests.rs
+++ b/crates/serving/dunespur/src/core/pending_operations/tests.rs
@@ -1,6 +1,6 @@
-//! Which operations join a pending one, and who gets the outcome.
+//! Which operations join a pending operation, and which callers receive the outcome.
 
-use super::{OperationAnswer, PendingOperations, Registration};
+use super::{OutcomeReceiver, PendingOperations, Registration};
 use dunespur_budget::{CounterChange, CounterRequest, LimiterId};
 use dunespur_control_state::{Operation, Outcome};
 
@@ -27,26 +27,28 @@
     pending.register(ticket, operation, &postcard::to_stdvec(operation).unwrap())
 }
 
-fn new(registration: Registration) -> OperationAnswer {
+fn expect_new(registration: Registration) -> OutcomeReceiver {
     match registration {
-        Registration::New(answer) => answer,
-        Registration::Joined(_) => panic!("it joined another"),
+        Registration::New(receiver) => receiver,
+        Registration::Joined(_) => panic!("expected a new operation, but it joined a pending one"),
     }
 }
 
-fn joined(registration: Registration) -> OperationAnswer {
+fn expect_joined(registration: Registration) -> OutcomeReceiver {
     match registration {
-        Registration::Joined(answer) => answer,
-        Registration::New(_) => panic!("it is another one"),
+        Registration::Joined(receiver) => receiver,
+        Registration::New(_) => {
+            panic!("expected the operation to join a pending one, but it is new")
+        }
     }
 }
 
 #[test]
 fn a_repeated_request_waits_for_the_first() {
     let mut pending = PendingOperations::default();
-    let mut first = new(register(&mut pending, 1, &request(1)));
-    let mut second = joined(register(&mut pending, 2, &request(1)));
-    let mut other = new(register(&mut pending, 3, &request(2)));
+    let mut first = expect_new(register(&mut pending, 1, &request(1)));
+    let mut second = expect_joined(register(&mut pending, 2, &request(1)));
+    let mut other = expect_new(register(&mut pending, 3, &request(2)));
     assert_eq!(pending.len(), 2);
     pending.complete(1, Some(Outcome::Done));
     assert_eq!(first.try_recv().unwrap(), Some(Outcome::Done));
@@ -54,27 +56,27 @@
     assert!(other.try_recv().is_err());
 }
 
-/// The caller gives up before the core does: what it sends again still finds the first.
+/// A caller may give up before the core does: its repeated request still joins the first.
 #[test]
 fn a_request_whose_caller_gave_up_is_joined_as_well() {
     let mut pending = PendingOperations::default();
-    drop(new(register(&mut pending, 1, &request(1))));
-    let mut second = joined(register(&mut pending, 2, &request(1)));
+    drop(expect_new(register(&mut pending, 1, &request(1))));
+    let mut second = expect_joined(register(&mut pending, 2, &request(1)));
     pending.complete(1, Some(Outcome::Done));
     assert_eq!(second.try_recv().unwrap(), Some(Outcome::Done));
     assert_eq!(pending.len(), 0);
 }
 
 #[test]
-fn after_its_end_a_request_is_new_again() {
+fn a_request_is_new_again_after_the_first_was_dropped() {
     let mut pending = PendingOperations::default();
-    let mut dropped = new(register(&mut pending, 1, &request(1)));
+    let mut dropped = expect_new(register(&mut pending, 1, &request(1)));
     pending.complete(1, None);
     assert_eq!(dropped.try_recv().unwrap(), None);
-    new(register(&mut pending, 2, &request(1)));
+    expect_new(register(&mut pending, 2, &request(1)));
 }
 
-/// Only counters' requests are repeated unchanged; two operators may send the same.
+/// Only counter requests are repeated unchanged; two operators may send identical operations independently.
 #[test]
 fn other_operations_do_not_join() {
     let mut pending = PendingOperations::default();
@@ -82,7 +84,7 @@
         name: "front".to_owned(),
         incarnation: 1,
     };
-    new(register(&mut pending, 1, &operation));
-    new(register(&mut pending, 2, &operation));
+    expect_new(register(&mut pending, 1, &operation));
+    expect_new(register(&mut pending, 2, &operation));
     assert_eq!(pending.len(), 2);
 }
--- a/crates/serving/dunespur/src/core/replica.rs
+++ b/crates/serving/dunespur/src/core/replica.rs
@@ -1,4 +1,4 @@
-//! The replicated part of a core member: the state machine of the chain, and the control state that it has committed.
+//! The replicated part of a core member: the state machine of the chain, and the control state after its commits.
 
 use super::applied_state::AppliedState;
 use crate::messages::{StateUpdate, WatchRequest};
@@ -6,16 +6,16 @@
 use dunespur_control_state::ControlState;
 use std::net::SocketAddr;
 
-/// The state machine of the chain with the state that is applied.
+/// The chain's state machine together with the applied control state.
 pub struct Replica {
     member: Member,
     applied: AppliedState,
-    /// Rejected snapshots that have been logged.
+    /// Counts of rejected snapshots at the last log line, by reason.
     logged_rejections: SnapshotRejections,
 }
 
 impl Replica {
-    /// A replica whose control state is empty until the state machine commits or installs one.
+    /// Creates a replica with an empty control state, which the state machine's commits and snapshots fill.
     pub fn new(member: Member) -> Replica {
         Replica {
             member,
@@ -24,30 +24,30 @@
         }
     }
 
-    /// Gives the state machine an input; what it asks for is added to `outputs`.
+    /// Feeds an input to the state machine and appends its outputs to `outputs`.
     pub fn step(&mut self, input: Input, now: u64, outputs: &mut Vec<Output>) {
         self.member.step(input, now, outputs);
         self.log_new_rejections();
     }
 
-    /// Each reason is logged once in a process; all are counted.
+    /// Logs each rejection reason once per process; later rejections are only counted.
     fn log_new_rejections(&mut self) {
         let rejections = self.member.snapshot_rejections();
         if rejections == self.logged_rejections {
             return;
         }
         for reason in rejections.first_since(&self.logged_rejections) {
-            log::warn!("a member's snapshot is rejected: {reason}; later ones are only counted");
+            log::warn!("rejected a snapshot from another core member: {reason}; further rejections for this reason are only counted");
         }
         self.logged_rejections = rejections;
     }
 
-    /// When the state machine wants the next tick, in steady milliseconds.
+    /// Time of the state machine's next tick, in steady milliseconds.
     pub fn next_tick(&self) -> u64 {
         self.member.next_tick()
     }
 
-    /// The newest view that this member knows.
+    /// The newest view known to this member.
     pub fn view(&self) -> Option<&View> {
         self.member.view()
     }
@@ -63,7 +63,7 @@
         self.members().iter().map(|peer| peer.address)
     }
 
-    /// Addresses of the members of the view but this one.
+    /// Addresses of the view's members except this one.
     pub fn other_members(&self, own: &MemberId) -> Vec<SocketAddr> {
         let others = self.members().iter().filter(|peer| peer.id != *own);
         others.map(|peer| peer.address).collect()
@@ -82,32 +82,32 @@
         self.view().is_some_and(|view| view.is_head(own))
     }
 
-    /// Whether it is connected with a majority of the view.
+    /// Whether this member is connected to a majority of the view.
     pub fn is_current(&self, now: u64) -> bool {
         self.member.has_quorum(now)
     }
 
-    /// Index up to which operations are committed here.
+    /// Index of the last operation that this member knows to be committed.
     pub fn committed(&self) -> u64 {
         self.member.commit_index()
     }
 
-    /// How many snapshots of others, and parts of them, were rejected.
+    /// Number of rejected snapshots and snapshot chunks from other members.
     pub fn rejected_snapshots(&self) -> u64 {
         self.member.snapshot_rejections().total()
     }
 
-    /// Whether an operation may be proposed here. What it comes to, its commit tells.
+    /// Whether operations may be proposed at this member. The outcome is known only once an operation is committed.
     pub fn accepts_operations(&self, now: u64) -> bool {
         self.member.can_commit(now) && self.applied.is_readable()
     }
 
-    /// Whether this member may show its state: it follows the chain, and its state is that of what it has followed.
+    /// Whether this member may answer reads: it is up to date with the chain, and its control state is readable.
     pub fn serves_reads(&self, now: u64) -> bool {
         self.member.is_up_to_date(now) && self.applied.is_readable()
     }
 
-    /// The control state that is applied.
+    /// The applied control state.
     pub fn state(&self) -> &ControlState {
         self.applied.state()
     }
@@ -117,42 +117,42 @@
         &self.applied
     }
 
-    /// The applied state, to commit to it.
+    /// The applied state, mutable for commits and snapshots.
     pub fn applied_mut(&mut self) -> &mut AppliedState {
         &mut self.applied
     }
 
-    /// The input that hands the state machine a snapshot. `None` for a state that has fallen behind: it must not be
-    /// handed on as that of the newest index.
+    /// Takes a snapshot as input for the state machine. `None` if the applied state is unreadable: it must not be
+    /// passed on as the state of the newest index.
     pub fn snapshot(&self) -> Option<Input> {
         if !self.applied.is_readable() {
             return None;
         }
         Some(Input::SnapshotTaken {
-            index: self.applied.changes().newest(),
+            index: self.applied.changes().newest_index(),
             bytes: self.state().snapshot(),
         })
     }
 
-    /// Whether there is any update for a watch.
+    /// Whether a watch has a newer view or changes to receive.
     pub fn has_updates_for(&self, request: &WatchRequest) -> bool {
         let newer_view = self.view().is_some_and(|view| view.number > request.view);
         newer_view
             || request
                 .after
-                .is_none_or(|after| self.applied.changes().has_after(after))
+                .is_none_or(|after| self.applied.changes().has_changes_after(after))
     }
 
-    /// The answer to a watch: the changes after its index, or the complete state where they are no longer retained.
+    /// Answers a watch with the changes after its index, or with the complete state if those are no longer retained.
     pub fn updates_for(&self, request: &WatchRequest) -> StateUpdate {
         let view = self
             .view()
             .filter(|view| view.number > request.view)
             .cloned();
-        let newest = self.applied.changes().newest();
+        let newest = self.applied.changes().newest_index();
         let retained = request
             .after
-            .and_then(|after| self.applied.changes().after(after));
+            .and_then(|after| self.applied.changes().changes_after(after));
         let complete = retained.is_none();
         let changes = retained.unwrap_or_else(|| self.state().initial_changes());
         let index = if complete {
--- a/crates/serving/dunespur/src/core_membership.rs
+++ b/crates/serving/dunespur/src/core_membership.rs
@@ -50,12 +50,12 @@
 
 /// Announces the view to processes that did not renew their lease lately, some at a time.
 fn announce(coordinator: &Coordinator, directory: &Directory, next: &mut usize) {
-    let unreached = coordinator.unreached(&directory.seeds());
-    let count = unreached.len().min(MAX_ANNOUNCED);
-    for address in unreached
+    let unreached_processes = coordinator.unreached_processes(&directory.seeds());
+    let count = unreached_processes.len().min(MAX_ANNOUNCED);
+    for address in unreached_processes
         .iter()
         .cycle()
-        .skip(*next % unreached.len().max(1))
+        .skip(*next % unreached_processes.len().max(1))
         .take(count)
     {
         directory.announce(*address);
--- a/crates/serving/dunespur/src/status_collection.rs
+++ b/crates/serving/dunespur/src/status_collection.rs
@@ -106,7 +106,7 @@
         let counted = self
             .coordinator
             .as_ref()
-            .map(|coordinator| coordinator.budget_of(name));
+            .map(|coordinator| coordinator.budget_usage(name));
         ProgramStatus {
             name: name.to_owned(),
             leased_here: Some(self.budgets.leased(name)),
