--- a/crates/serving/dunespur/src/budgets.rs
+++ b/crates/serving/dunespur/src/budgets.rs
@@ -1,5 +1,4 @@
-//! Leases on the budgets of programs: carries the requests of a [`LeaseTable`] to the core and its decisions to the
-//! turns that wait.
+//! Leases on programs' budgets: sends the requests of a [`LeaseTable`] to the core, and its decisions to waiting turns.
 
 use crate::clock::Clock;
 use crate::directory::Directory;
@@ -17,26 +16,26 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep_until;
 
-/// The core gets so long for one request; the lease table sends it again.
+/// Timeout of one counter request to the core; the lease table repeats it afterwards.
 const COUNTER_TIMEOUT: Duration = Duration::from_millis(900);
-/// When a turn may come back that could not be decided on, in milliseconds.
+/// Delay after which a client may retry a turn without a decision, in milliseconds.
 const UNDECIDED_RETRY_MS: u64 = 300;
 
-/// The budgets of programs that are active on this gateway.
+/// Budgets of the programs that are active on this gateway.
 pub struct Budgets {
     clock: Clock,
     directory: Rc<Directory>,
     leases: RefCell<LeaseTable>,
-    /// Turns that wait for a decision.
+    /// Senders of the decisions to waiting turns, by turn.
     waiting: RefCell<HashMap<u64, oneshot::Sender<Admission>>>,
     next_turn: Cell<u64>,
-    /// Notified when the next due time may have changed.
+    /// Notified when the time of the next timeout may have changed.
     rescheduled: Notify,
     this: Weak<Budgets>,
 }
 
 impl Budgets {
-    /// No programs yet; starts the task that renews leases and returns them.
+    /// Starts without programs, and spawns the task that renews and returns leases.
     pub fn start(limiter: LimiterId, directory: Rc<Directory>, clock: Clock) -> Rc<Budgets> {
         let budgets = Rc::new_cyclic(|this| Budgets {
             clock,
@@ -51,7 +50,7 @@
         budgets
     }
 
-    /// Reserves the most tokens that a turn may generate.
+    /// Reserves the maximum number of tokens that a turn may generate.
     pub async fn reserve(&self, request: AdmissionRequest<'_>) -> AdmissionDecision {
         let turn = self.next_turn.replace(self.next_turn.get() + 1);
         let now = self.clock.now();
@@ -66,7 +65,7 @@
         let admission = match admission {
             Admission::Request(request) => {
                 let decision = self.await_decision(turn);
-                drop(self.exchange(request));
+                drop(self.send_counter_request(request));
                 decision.await
             }
             Admission::Waiting => self.await_decision(turn).await,
@@ -84,7 +83,7 @@
         }
     }
 
-    /// The decision on a turn that waits. A future that is dropped before it is ready takes the turn out.
+    /// Waits for the decision on a turn. Dropping the future before then removes the turn.
     fn await_decision(&self, turn: u64) -> impl Future<Output = Admission> + '_ {
         let (sender, decision) = oneshot::channel();
         self.waiting.borrow_mut().insert(turn, sender);
@@ -103,7 +102,7 @@
         }
     }
 
-    /// How many programs and turns there are.
+    /// Numbers of active programs and waiting turns.
     pub fn status(&self) -> BudgetStatus {
         BudgetStatus {
             programs: self.leases.borrow().programs(),
@@ -111,17 +110,17 @@
         }
     }
 
-    /// Tokens of a program that are leased here.
+    /// Tokens of a program that this gateway leases.
     pub fn leased(&self, program: &str) -> u64 {
         self.leases.borrow().leased(program)
     }
 
-    /// Tokens of a turn that are about to be sent to its client.
+    /// Records tokens of a turn that are about to be sent to its client.
     pub fn record_tokens(&self, turn: TurnKey, tokens: u64) {
         self.leases.borrow_mut().record_use(turn.0, tokens);
     }
 
-    /// A turn has ended.
+    /// Ends a turn and releases its unused tokens.
     pub fn release(&self, turn: TurnKey) {
         self.finish(turn.0);
     }
@@ -136,20 +135,20 @@
         self.rescheduled.notify_one();
     }
 
-    /// Gives back what is leased, before the end of the process.
+    /// Returns all leases to the core before the process ends.
     pub async fn close(&self) {
         let requests = self.leases.borrow_mut().close(self.clock.now());
-        let exchanges: Vec<_> = requests
+        let counter_requests: Vec<_> = requests
             .into_iter()
-            .filter_map(|request| self.exchange(request))
+            .filter_map(|request| self.send_counter_request(request))
             .collect();
-        for exchange in exchanges {
-            let _ = exchange.await;
+        for counter_request in counter_requests {
+            let _ = counter_request.await;
         }
     }
 
-    /// Brings a request to the core and its answer to the lease table.
-    fn exchange(&self, request: CounterRequest) -> Option<JoinHandle<()>> {
+    /// Sends a request to the core in the background and passes its reply to the lease table.
+    fn send_counter_request(&self, request: CounterRequest) -> Option<JoinHandle<()>> {
         let budgets = self.this.upgrade()?;
         Some(spawn_local(async move {
             let stopwatch = Stopwatch::start(budgets.clock);
@@ -172,18 +171,18 @@
         }))
     }
 
-    /// Sends decisions to the turns that wait for them.
+    /// Sends decisions to waiting turns, and new requests to the core.
     fn notify(&self, outcomes: Vec<TurnOutcome>) {
         for TurnOutcome { turn, admission } in outcomes {
             match admission {
-                Admission::Request(request) => drop(self.exchange(request)),
+                Admission::Request(request) => drop(self.send_counter_request(request)),
                 Admission::Waiting => {}
                 decided => self.complete(turn, decided),
             }
         }
     }
 
-    /// Sends its decision to a turn; one whose client is disconnected has ended.
+    /// Sends the decision to a waiting turn; ends the turn if its client has disconnected.
     fn complete(&self, turn: u64, admission: Admission) {
         let waiting = self.waiting.borrow_mut().remove(&turn);
         let Some(sender) = waiting else { return };
@@ -192,7 +191,7 @@
         }
     }
 
-    /// Sends the requests that are due.
+    /// Sends the due requests to the core and the resulting decisions to waiting turns.
     fn handle_timeout(&self) {
         let (requests, outcomes) = {
             let mut leases = self.leases.borrow_mut();
@@ -201,12 +200,12 @@
         };
         requests
             .into_iter()
-            .for_each(|request| drop(self.exchange(request)));
+            .for_each(|request| drop(self.send_counter_request(request)));
         self.notify(outcomes);
     }
 }
 
-/// Takes a turn out whose client disconnected while it waited.
+/// Removes a turn if its client disconnects while the turn waits for a decision.
 struct WaitingTurn<'a> {
     budgets: &'a Budgets,
     turn: u64,
@@ -224,11 +223,11 @@
 
 async fn drive_timers(budgets: Rc<Budgets>) {
     loop {
-        let due = budgets.leases.borrow().next_timeout();
-        match due {
-            Some(due) => {
+        let next_timeout = budgets.leases.borrow().next_timeout();
+        match next_timeout {
+            Some(next_timeout) => {
                 tokio::select! {
-                    () = sleep_until(budgets.clock.instant(due).into()) => budgets.handle_timeout(),
+                    () = sleep_until(budgets.clock.instant(next_timeout).into()) => budgets.handle_timeout(),
                     () = budgets.rescheduled.notified() => {}
                 }
             }
--- a/crates/serving/dunespur/src/check.rs
+++ b/crates/serving/dunespur/src/check.rs
@@ -1,5 +1,5 @@
-//! `dunespur check`: whether a settings file or an operator's configuration can be used. Judges by the very code
-//! that a process runs at its start, and that the core runs on a submitted configuration.
+//! `dunespur check`: checks a settings file or an operator's configuration, with the same code that a process runs at
+//! its start and that the core runs on a submitted configuration.
 
 use crate::settings::{Role, Settings};
 use dunespur_configuration::{Document, Findings};
@@ -8,58 +8,58 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Something in it can't be used.
-const HAS_FINDINGS: u8 = 1;
-/// It can't be read, or is neither of the two.
-const UNREADABLE: u8 = 2;
+/// Exit code if the file has findings.
+const EXIT_HAS_FINDINGS: u8 = 1;
+/// Exit code if the file can't be read, or its kind can't be told.
+const EXIT_UNREADABLE: u8 = 2;
 
 /// The file name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// What a file contains.
+/// The kind of a checked file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FileKind {
     /// Settings of a process.
     Settings,
-    /// A configuration of the operator.
+    /// An operator's configuration.
     Configuration,
 }
 
-impl Kind {
+impl FileKind {
     fn name(self) -> &'static str {
         match self {
-            Kind::Settings => "settings",
-            Kind::Configuration => "configuration",
+            FileKind::Settings => "settings",
+            FileKind::Configuration => "configuration",
         }
     }
 }
 
-/// Which file is checked, and as what.
+/// Arguments of `dunespur check`.
 #[derive(Clone, Debug)]
 pub struct Check {
-    /// Its path; `-` for standard input.
+    /// Path of the file; `-` for standard input.
     pub file: PathBuf,
-    /// Guessed from the content where it is not given.
-    pub kind: Option<Kind>,
-    /// Of settings: the role whose needs are checked as well.
+    /// Kind of the file; guessed from its content if not given.
+    pub kind: Option<FileKind>,
+    /// For settings: the role whose required fields are checked as well.
     pub role: Option<Role>,
 }
 
-/// Checks a file; prints all findings on standard output, one a line, each behind the file's name and its place.
+/// Checks a file and prints all findings on standard output, one per line, as file name, place and problem.
 pub fn run(check: &Check) -> ExitCode {
     let name = check.file.display();
     let bytes = match read(&check.file) {
         Ok(bytes) => bytes,
         Err(error) => {
             eprintln!("{name}: {error}");
-            return ExitCode::from(UNREADABLE);
+            return ExitCode::from(EXIT_UNREADABLE);
         }
     };
-    let Some(kind) = check.kind.or_else(|| guess(&bytes)) else {
+    let Some(kind) = check.kind.or_else(|| guess_kind(&bytes)) else {
         eprintln!(
-            "{name}: neither settings nor a configuration; --settings or --configuration checks it as such"
+            "{name}: neither settings nor a configuration by its fields; use --settings or --configuration to choose"
         );
-        return ExitCode::from(UNREADABLE);
+        return ExitCode::from(EXIT_UNREADABLE);
     };
     match summary(&bytes, kind, check.role) {
         Ok(summary) => {
@@ -70,7 +70,7 @@
             for finding in &findings.0 {
                 println!("{name}: {finding}");
             }
-            ExitCode::from(HAS_FINDINGS)
+            ExitCode::from(EXIT_HAS_FINDINGS)
         }
     }
 }
@@ -84,26 +84,26 @@
     Ok(bytes)
 }
 
-/// Which of the two the content looks like. What is no JSON is the same finding for either.
-fn guess(bytes: &[u8]) -> Option<Kind> {
+/// Guesses the kind of a file from its top-level fields. Invalid JSON yields the same finding for either kind.
+fn guess_kind(bytes: &[u8]) -> Option<FileKind> {
     let Ok(value) = serde_json::from_slice::<Value>(bytes) else {
-        return Some(Kind::Configuration);
+        return Some(FileKind::Configuration);
     };
     let has = |name: &&str| value.get(*name).is_some();
     if ["routes", "services", "generation"].iter().any(has) {
-        return Some(Kind::Configuration);
+        return Some(FileKind::Configuration);
     }
     ["node", "port_range", "listen", "seeds"]
         .iter()
         .any(has)
-        .then_some(Kind::Settings)
+        .then_some(FileKind::Settings)
 }
 
-/// The summary of a file that can be used.
-fn summary(bytes: &[u8], kind: Kind, role: Option<Role>) -> Result<String, Findings> {
+/// Summarizes a usable file.
+fn summary(bytes: &[u8], kind: FileKind, role: Option<Role>) -> Result<String, Findings> {
     let subject = match kind {
-        Kind::Settings => format!("{} of {}", kind.name(), Settings::parse(bytes, role)?.node),
-        Kind::Configuration => {
+        FileKind::Settings => format!("{} of {}", kind.name(), Settings::parse(bytes, role)?.node),
+        FileKind::Configuration => {
             format!("{} {}", kind.name(), Document::replace(bytes)?.generation())
         }
     };
--- a/crates/serving/dunespur/src/clock.rs
+++ b/crates/serving/dunespur/src/clock.rs
@@ -1,39 +1,38 @@
-//! The clocks of a process: a steady one for timers, the time of day for what outlives the process.
+//! The clocks of a process: a steady clock for timers, and the wall clock for times that outlive the process.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds of the steady clock since the process started.
+/// A steady clock in milliseconds, counted from the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
-/// A steady time before the start of the process does not exist; the first moment is this one, so that zero can
-/// stand for "never".
+/// The steady time at the start of the process, so that 0 can stand for "never".
 const FIRST_MILLISECOND: u64 = 1;
 
 impl Clock {
-    /// The clock of a process that starts now.
+    /// Starts the clock.
     pub fn start() -> Clock {
         Clock {
             start: Instant::now(),
         }
     }
 
-    /// Steady milliseconds.
+    /// The current steady time in milliseconds.
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_millis() as u64 + FIRST_MILLISECOND
     }
 
-    /// The moment of a steady time.
-    pub fn instant(&self, at: u64) -> Instant {
-        self.start + Duration::from_millis(at.saturating_sub(FIRST_MILLISECOND))
+    /// Converts a steady time in milliseconds to an [`Instant`].
+    pub fn instant(&self, steady_ms: u64) -> Instant {
+        self.start + Duration::from_millis(steady_ms.saturating_sub(FIRST_MILLISECOND))
     }
 }
 
-/// Milliseconds of the time of day.
+/// The wall clock time in milliseconds since 1970.
 pub fn wall_clock_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |time| time.as_millis() as u64)
+        .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
--- a/crates/serving/dunespur/src/control_api/handlers.rs
+++ b/crates/serving/dunespur/src/control_api/handlers.rs
@@ -1,7 +1,7 @@
-//! What the control interface does with a request: heartbeats, configurations and retirements.
+//! Request handlers of the control interface: heartbeats, configurations and retirements.
 
 use super::heartbeat::{self, Heartbeat};
-use super::request::{base_version, RetireBody, Target};
+use super::request::{base_version, Endpoint, RetireBody};
 use super::responses::{self, HttpResponse};
 use super::ControlApi;
 use crate::directory::Unavailable;
@@ -18,18 +18,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Bytes of a configuration or heartbeat.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// The caller goes on to another gateway after a second without a response; this one responds before that.
+/// Timeout of a request. Callers move to another gateway after a second without a response; this is shorter.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(850);
-/// A request with a large body is given longer by its caller.
+/// Timeout of a request with a large body, for which callers wait longer.
 const LARGE_REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Bytes from which a body is large.
+/// Size from which a body counts as large, in bytes.
 const LARGE_BODY: usize = 64 * 1024;
 
 impl ControlApi {
     pub(super) async fn respond(&self, request: Request<Incoming>) -> HttpResponse {
-        let target = Target::of(request.method(), request.uri().path());
+        let endpoint = Endpoint::of(request.method(), request.uri().path());
         let base = base_version(&request);
         let Ok(body) = Limited::new(request.into_body(), MAX_BODY_BYTES)
             .collect()
@@ -41,21 +41,21 @@
             );
         };
         let body = body.to_bytes();
-        match target {
-            Target::Heartbeat(id) => self.heartbeat(id, &body).await,
-            Target::Leave(id) => self.execute(&Operation::ServerLeft { id }).await,
-            Target::Replace => {
+        match endpoint {
+            Endpoint::Heartbeat(id) => self.heartbeat(id, &body).await,
+            Endpoint::Leave(id) => self.execute(&Operation::ServerLeft { id }).await,
+            Endpoint::Replace => {
                 self.configure(ConfigurationRequestKind::Replace, base, body)
                     .await
             }
-            Target::Patch => {
+            Endpoint::Patch => {
                 self.configure(ConfigurationRequestKind::Patch, base, body)
                     .await
             }
-            Target::GetConfiguration => self.configuration().await,
-            Target::RetireStart(node) => self.retire(node, &body).await,
-            Target::RetirementState(node) => self.retirement(&node).await,
-            Target::Unknown => responses::error(StatusCode::NOT_FOUND, "no such interface"),
+            Endpoint::GetConfiguration => self.configuration().await,
+            Endpoint::RetireStart(node) => self.retire(node, &body).await,
+            Endpoint::RetirementState(node) => self.retirement(&node).await,
+            Endpoint::Unknown => responses::error(StatusCode::NOT_FOUND, "no such interface"),
         }
     }
 
@@ -66,8 +66,8 @@
         };
         let report = heartbeat.report(id);
         if self.directory.has_lost_contact() {
-            // Renewed here the lease would expire all the same, as no core member learns of it: the server has to call
-            // another gateway.
+            // No core member would learn of the renewal, so the lease would expire: the server has to call another
+            // gateway.
             return responses::unavailable();
         }
         let heartbeat_address = self.heartbeat_address(&report);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Where a server's later heartbeats are wanted: at the load aggregator of its service in its zone.
+    /// The address for a server's next heartbeats: the control address of the load aggregator of its service and zone.
     fn heartbeat_address(&self, report: &ServerReport) -> Option<SocketAddr> {
         let aggregator = self
             .load_exchange
@@ -93,7 +93,7 @@
         Some(SocketAddr::new(aggregator.ip(), self.control_port))
     }
 
-    /// Executes an operation that can only succeed.
+    /// Executes an operation whose outcome carries no rejection.
     async fn execute(&self, operation: &Operation) -> HttpResponse {
         match self.directory.execute(operation, REQUEST_TIMEOUT).await {
             Ok(_) => responses::accepted(),
@@ -101,18 +101,18 @@
         }
     }
 
-    /// Has an operator's operation decided on. If others were rejected before, it counts only with the fencing token
-    /// that this call is given.
-    async fn decide(
+    /// Executes an operator's operation. If the core answers with a newer fencing token, the operation is repeated with
+    /// that token.
+    async fn execute_fenced(
         &self,
         operation: impl Fn(u64) -> Operation,
         timeout: Duration,
     ) -> Result<Outcome, Unavailable> {
-        let end = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let mut token = 0;
         loop {
-            let left = end.saturating_duration_since(Instant::now());
-            match self.directory.execute(&operation(token), left).await? {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match self.directory.execute(&operation(token), remaining).await? {
                 Outcome::Fenced {
                     fencing_token: newer,
                 } if newer > token => token = newer,
@@ -146,11 +146,11 @@
                 fencing_token: token,
             })
         };
-        match self.decide(operation, timeout).await {
+        match self.execute_fenced(operation, timeout).await {
             Ok(Outcome::Accepted) => responses::accepted(),
             Ok(Outcome::GenerationConflict { current }) => {
-                let text = json!({ "error": "another version is current", "generation": current });
-                responses::json(StatusCode::PRECONDITION_FAILED, text.to_string())
+                let body = json!({ "error": "another version is current", "generation": current });
+                responses::json(StatusCode::PRECONDITION_FAILED, body.to_string())
             }
             Ok(Outcome::Invalid(findings)) => {
                 let findings: Vec<_> = findings
@@ -158,8 +158,8 @@
                     .iter()
                     .map(|finding| json!({ "place": finding.location, "problem": finding.problem }))
                     .collect();
-                let text = json!({ "error": "the configuration is invalid", "findings": findings });
-                responses::json(StatusCode::BAD_REQUEST, text.to_string())
+                let body = json!({ "error": "the configuration is invalid", "findings": findings });
+                responses::json(StatusCode::BAD_REQUEST, body.to_string())
             }
             _ => responses::unavailable(),
         }
@@ -183,7 +183,7 @@
             tolerated_losses,
             fencing_token: token,
         };
-        match self.decide(operation, REQUEST_TIMEOUT).await {
+        match self.execute_fenced(operation, REQUEST_TIMEOUT).await {
             Ok(Outcome::Retire(RetirementOutcome::Accepted)) => responses::accepted(),
             Ok(Outcome::Retire(RetirementOutcome::UnknownNode)) => {
                 responses::error(StatusCode::NOT_FOUND, "no such store machine")
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Why a store can't be retired now, by what this gateway knows of the others.
+    /// The reason why a store can't be retired now, by this gateway's knowledge of the other stores.
     fn too_few_stores_without(&self, node: &str) -> String {
         let known = self.directory.known();
         let others = known.stores.values().filter(|store| store.name != node);
--- a/crates/serving/dunespur/src/control_api/heartbeat.rs
+++ b/crates/serving/dunespur/src/control_api/heartbeat.rs
@@ -1,12 +1,12 @@
-//! Heartbeats of servers. One that says nothing new only renews the server's lease; anything else is an operation
-//! for the core, and is acknowledged once it is committed.
+//! Heartbeats of servers. A heartbeat without new information only renews the server's lease; any other is executed as
+//! an operation at the core and acknowledged once it is committed.
 
 use crate::directory::KnownState;
 use dunespur_control_state::{ServerReport, ServerState};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The body of a heartbeat. Fields that are not listed are ignored.
+/// The body of a heartbeat. Unknown fields are ignored.
 #[derive(Deserialize)]
 pub struct Heartbeat {
     backend: String,
@@ -29,7 +29,7 @@
 }
 
 impl Heartbeat {
-    /// The report for the core; `id` stood in the path.
+    /// Converts the heartbeat to a report for the core; `id` comes from the request's path.
     pub fn report(self, id: String) -> ServerReport {
         let state = match self.state {
             State::Ready => ServerState::Ready,
@@ -48,14 +48,14 @@
     }
 }
 
-/// Whether the control state says the same of this server already. A server that has reported to be draining stays so,
-/// whatever an overtaken heartbeat says.
+/// Whether the control state already holds this report. A server that has reported that it is draining stays draining,
+/// even if a delayed older heartbeat says otherwise.
 pub fn is_known(known: &KnownState, report: &ServerReport) -> bool {
     let Some(entry) = known.servers.get(&report.id) else {
         return false;
     };
     let same_address = entry.backend == report.backend && entry.address == report.address;
-    let same_kind = entry.zone == report.zone && entry.generation == report.generation;
+    let same_version = entry.zone == report.zone && entry.generation == report.generation;
     let same_state = entry.state == report.state || entry.state == ServerState::Draining;
-    same_address && same_kind && entry.slots == report.slots && same_state
+    same_address && same_version && entry.slots == report.slots && same_state
 }
--- a/crates/serving/dunespur/src/control_api/mod.rs
+++ b/crates/serving/dunespur/src/control_api/mod.rs
@@ -1,5 +1,5 @@
-//! The `control` address: heartbeats of servers, the operator's configurations and retirements, as HTTP/1.1 with
-//! JSON bodies.
+//! The control interface, HTTP/1.1 with JSON bodies: heartbeats of servers, configurations and retirements by the
+//! operator.
 
 mod handlers;
 mod heartbeat;
@@ -18,20 +18,20 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// A caller that sends its head slower than this is disconnected.
+/// A connection whose request head is not complete within this time is closed.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(3);
 /// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What the interface reads and calls.
+/// State and clients that the request handlers use.
 pub struct ControlApi {
-    /// The way to the core.
+    /// The known control state and the client of the core.
     pub directory: Rc<Directory>,
-    /// Where the load aggregators are.
+    /// Gives the addresses of the load aggregators.
     pub load_exchange: Rc<LoadExchange>,
-    /// The port of this interface, the same on all machines.
+    /// Port of the control interface, the same on all machines.
     pub control_port: u16,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at the same time.
     pub tolerated_losses: u32,
 }
 
@@ -40,17 +40,17 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                spawn_local(connection(api.clone(), stream));
+                spawn_local(serve_connection(api.clone(), stream));
             }
             Err(error) => {
-                log::warn!("control: accept failed: {error}");
+                log::warn!("control: accepting a connection failed: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection(api: Rc<ControlApi>, stream: TcpStream) {
+async fn serve_connection(api: Rc<ControlApi>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let api = api.clone();
@@ -62,6 +62,6 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        log::debug!("control: a connection ended: {error}");
+        log::debug!("control: a connection failed: {error}");
     }
 }
--- a/crates/serving/dunespur/src/control_api/responses.rs
+++ b/crates/serving/dunespur/src/control_api/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of the control interface: JSON bodies with their status.
+//! Responses of the control interface: a status with a JSON body.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -6,18 +6,18 @@
 use hyper::{Response, StatusCode};
 use std::net::SocketAddr;
 
-/// When to come back after a 503, in seconds.
+/// Value of `Retry-After` in a 503 response, in seconds.
 const RETRY_SECONDS: &str = "0.3";
 
 /// A response with a complete body.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// The request was executed.
+/// 200: the request was executed.
 pub fn accepted() -> HttpResponse {
     json(StatusCode::OK, "{}".to_owned())
 }
 
-/// A heartbeat is acknowledged; later ones go to the address, if there is one.
+/// 200: the heartbeat is acknowledged; the server sends its next heartbeats to `heartbeat_address`, if given.
 pub fn heartbeat_acknowledged(heartbeat_address: Option<SocketAddr>) -> HttpResponse {
     match heartbeat_address {
         Some(address) => json(
@@ -28,7 +28,7 @@
     }
 }
 
-/// Nobody can tell now whether the request was executed.
+/// 503: the core did not answer, so the request may or may not have been executed.
 pub fn unavailable() -> HttpResponse {
     let mut response = error(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -40,12 +40,12 @@
     response
 }
 
-/// An error, with what is wrong.
+/// An error response with a description of the problem.
 pub fn error(status: StatusCode, problem: &str) -> HttpResponse {
     json(status, serde_json::json!({ "error": problem }).to_string())
 }
 
-/// A JSON body.
+/// A response with a JSON body.
 pub fn json(status: StatusCode, text: String) -> HttpResponse {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
--- a/crates/serving/dunespur/src/data_plane.rs
+++ b/crates/serving/dunespur/src/data_plane.rs
@@ -1,4 +1,4 @@
-//! The data plane's side of a gateway: the [`Node`] of its [`ProxyServer`](dunespur_proxy::ProxyServer).
+//! The data plane of a gateway: the [`Node`] behind its [`ProxyServer`](dunespur_proxy::ProxyServer).
 
 use crate::budgets::Budgets;
 use crate::clock::Clock;
@@ -16,7 +16,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// One gateway's data plane.
+/// Routes requests, admits turns, and stores and reads turns for one gateway.
 pub struct DataPlane {
     clock: Clock,
     directory: Rc<Directory>,
@@ -28,19 +28,21 @@
 }
 
 impl DataPlane {
-    /// `required_replicas`: how many stores must have a turn before it is acknowledged.
+    /// Creates a data plane. `required_replicas` is the number of stores that must have a turn on disk before the turn
+    /// is acknowledged.
     pub fn new(
         directory: Rc<Directory>,
-        own: Identity,
+        identity: Identity,
         budgets: Rc<Budgets>,
         required_replicas: usize,
         clock: Clock,
     ) -> Rc<DataPlane> {
         let balancer = Rc::new(RefCell::new(Balancer::new(
-            own.zone.clone(),
+            identity.zone.clone(),
             fastrand::u64(..),
         )));
-        let load_exchange = LoadExchange::start(own, directory.clone(), balancer.clone(), clock);
+        let load_exchange =
+            LoadExchange::start(identity, directory.clone(), balancer.clone(), clock);
         let data_plane = Rc::new(DataPlane {
             clock,
             balancer,
@@ -59,17 +61,17 @@
         data_plane
     }
 
-    /// No new clients are wanted from now on.
+    /// Reports the gateway as not ready from now on, so that it gets no new clients.
     pub fn leave(&self) {
         self.leaving.set(true);
     }
 
-    /// This gateway's part in the exchange of loads.
+    /// The exchange of service loads with other gateways.
     pub fn load_exchange(&self) -> Rc<LoadExchange> {
         self.load_exchange.clone()
     }
 
-    /// What this gateway has in flight at servers; those without any are left out.
+    /// Loads that this gateway has in flight, for each server with any.
     pub fn loads(&self) -> Vec<LoadReport> {
         self.balancer.borrow().load_reports()
     }
@@ -86,7 +88,7 @@
         let servers = known
             .servers
             .values()
-            .map(|report| server(report, table))
+            .map(|report| balancer_server(report, table))
             .collect();
         self.balancer
             .borrow_mut()
@@ -94,8 +96,8 @@
     }
 }
 
-/// A server as the balancer sees it; what its service is comes from the configuration.
-fn server(report: &ServerReport, table: Option<&RouteTable>) -> Server {
+/// Converts a server's report for the balancer, with parameters of its service from the configuration.
+fn balancer_server(report: &ServerReport, table: Option<&RouteTable>) -> Server {
     let service = table.and_then(|table| table.service(&report.backend));
     let engine = service
         .and_then(|service| service.engine.as_ref())
--- a/crates/serving/dunespur/src/deadline.rs
+++ b/crates/serving/dunespur/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Time limits that apply to a process that was frozen as well.
+//! Time limits that hold even if the process was frozen.
 
 #[cfg(test)]
 mod tests;
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// What the future comes to, if it does so within the limit. A plain timeout also gives out what is found there when
-/// it looks for the first time long after the limit: an answer that says nothing on the present state.
+/// The future's output if it completes within the limit. After a freeze a plain timeout would still return an answer
+/// that it finds long after the limit, and such an answer may be outdated.
 pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
-    let end = Instant::now() + limit;
-    let found = timeout(limit, future).await.ok();
-    found.filter(|_| Instant::now() <= end)
+    let deadline = Instant::now() + limit;
+    let output = timeout(limit, future).await.ok();
+    output.filter(|_| Instant::now() <= deadline)
 }
--- a/crates/serving/dunespur/src/deadline/tests.rs
+++ b/crates/serving/dunespur/src/deadline/tests.rs
@@ -1,4 +1,4 @@
-//! Time limits of a process that was frozen.
+//! Time limits in a process that was frozen.
 
 use super::within;
 use std::future::{poll_fn, Future};
@@ -11,8 +11,8 @@
 const LIMIT: Duration = Duration::from_millis(850);
 const FREEZE: Duration = Duration::from_secs(20);
 
-/// The answer of a call that comes after some time, to a process that doesn't look in between.
-async fn answer_after(time: Duration) -> Option<u32> {
+/// The result of a call that is answered after `time`, in a process that does not poll in between.
+async fn result_after(time: Duration) -> Option<u32> {
     let (answer, answered) = oneshot::channel();
     let mut waiting = pin!(within(LIMIT, answered));
     poll_fn(|context| {
@@ -21,16 +21,20 @@
     })
     .await;
     advance(time).await;
-    answer.send(7).expect("it is waited for");
-    waiting.await.map(|answer| answer.expect("it was sent"))
+    answer
+        .send(7)
+        .expect("the call should still wait for its answer");
+    waiting
+        .await
+        .map(|answer| answer.expect("the answer should have been sent"))
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_answer_in_time_counts() {
-    assert_eq!(answer_after(LIMIT / 2).await, Some(7));
+    assert_eq!(result_after(LIMIT / 2).await, Some(7));
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_is_found_after_a_freeze_does_not_count() {
-    assert_eq!(answer_after(FREEZE).await, None);
+async fn an_answer_found_after_a_freeze_does_not_count() {
+    assert_eq!(result_after(FREEZE).await, None);
 }
--- a/crates/serving/dunespur/src/directory/contact/tests.rs
+++ b/crates/serving/dunespur/src/directory/contact/tests.rs
@@ -1,4 +1,4 @@
-//! When contact with the core counts as lost.
+//! Loss of contact with the core.
 
 use super::{Contact, CONTACT_TIMEOUT_MS};
 
@@ -19,11 +19,14 @@
     assert!(contact.is_lost(WATCH_STARTED_AT + CONTACT_TIMEOUT_MS));
     let thawed = WATCH_STARTED_AT + 20_000;
     contact.confirm(WATCH_STARTED_AT);
-    assert!(contact.is_lost(thawed), "the answer lay in the socket");
+    assert!(
+        contact.is_lost(thawed),
+        "an answer found in the socket after a freeze must not restore contact"
+    );
     contact.confirm(thawed);
     contact.confirm(WATCH_STARTED_AT + 400);
     assert!(
         contact.is_present(thawed + 1),
-        "a late answer takes nothing back"
+        "a late answer to an older watch must not shorten contact"
     );
 }
--- a/crates/serving/dunespur/src/directory/core_calls.rs
+++ b/crates/serving/dunespur/src/directory/core_calls.rs
@@ -1,4 +1,4 @@
-//! Operations and reads at the core, and calls of other processes.
+//! Operations and reads at the core, and calls to other processes.
 
 use super::unavailable::Unavailable;
 use super::Directory;
@@ -12,11 +12,11 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// One core member gets so long for an operation before another one is tried.
+/// Timeout of a call to one core member, after which another one is tried.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Delay after all known members were tried in vain.
+/// Delay after calls to all known members have failed.
 const CORE_RETRY_DELAY: Duration = Duration::from_millis(60);
-/// A process is given so long to tell the view that it knows.
+/// Timeout of a query for the view that another process knows.
 const VIEW_QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Directory {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The newest configuration, confirmed by the core.
+    /// Reads the newest configuration, confirmed by the core.
     ///
     /// # Errors
     ///
@@ -52,7 +52,7 @@
         }
     }
 
-    /// How far a retirement is, confirmed by the core.
+    /// Reads the state of a store's retirement, confirmed by the core.
     ///
     /// # Errors
     ///
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Calls core members in turn until one answers or the time is over. An answer that is found when it is over says
-    /// nothing on the present state: this process may have been frozen since it came.
+    /// Calls core members in turn until one answers or the timeout passes. An answer found after the timeout is
+    /// discarded: this process may have been frozen since the answer arrived, so it may be outdated.
     async fn call_core(&self, request: &Request, timeout: Duration) -> Result<Reply, Unavailable> {
         let payload = encode(request);
-        let end = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let reply = within(timeout, async {
             loop {
-                if let Some(reply) = self.call_members(&payload, end).await {
+                if let Some(reply) = self.call_members(&payload, deadline).await {
                     return reply;
                 }
                 sleep(CORE_RETRY_DELAY).await;
@@ -87,11 +87,11 @@
         reply.await.ok_or(Unavailable)
     }
 
-    /// The answer of the first member that has one.
-    async fn call_members(&self, payload: &Bytes, end: Instant) -> Option<Reply> {
+    /// Calls the members one after the other and returns the first answer other than [`Reply::Unavailable`].
+    async fn call_members(&self, payload: &Bytes, deadline: Instant) -> Option<Reply> {
         for address in self.members() {
-            let left = end.saturating_duration_since(Instant::now());
-            let timeout = ATTEMPT_TIMEOUT.min(left);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let timeout = ATTEMPT_TIMEOUT.min(remaining);
             match self.call(address, payload.clone(), timeout).await {
                 Ok(Reply::Unavailable) | Err(_) => {}
                 Ok(reply) => return Some(reply),
@@ -100,7 +100,7 @@
         None
     }
 
-    /// Queries the view that one process knows.
+    /// Queries the newest view that the process at `address` knows.
     pub async fn query_view(&self, address: SocketAddr) -> Option<View> {
         match self
             .call(address, encode(&Request::QueryView), VIEW_QUERY_TIMEOUT)
@@ -111,18 +111,18 @@
         }
     }
 
-    /// Tells a process of the view that this one knows.
+    /// Sends the view that this process knows to the process at `address`.
     pub fn announce(&self, address: SocketAddr) {
         if let Some(view) = self.view() {
             self.links.notify(address, encode(&Request::Announce(view)));
         }
     }
 
-    /// Calls one process of the system.
+    /// Calls the process at `address`.
     ///
     /// # Errors
     ///
-    /// [`CallError`] if there is no answer within the timeout, or none that can be decoded.
+    /// [`CallError`] if no answer arrives within the timeout, or the answer can't be decoded.
     pub async fn call(
         &self,
         address: SocketAddr,
--- a/crates/serving/dunespur/src/directory/known_state.rs
+++ b/crates/serving/dunespur/src/directory/known_state.rs
@@ -1,4 +1,4 @@
-//! The control state as far as a process knows it, and how a change of it is applied.
+//! A process's copy of the control state, and the application of updates to it.
 
 use crate::messages::StateUpdate;
 use dunespur_configuration::{Document, RouteTable};
@@ -9,41 +9,41 @@
 /// The parts of the control state that data planes and stores act on.
 #[derive(Default)]
 pub struct KnownState {
-    /// Index of the control state; `None` until the first update.
+    /// Index of the newest applied update; `None` until the first update.
     pub index: Option<u64>,
-    /// The configuration in force here.
+    /// Routes of the configuration in force in this process.
     pub table: Option<Rc<RouteTable>>,
-    /// The servers of all services, by id.
+    /// Servers of all services, by id.
     pub servers: BTreeMap<String, ServerReport>,
-    /// The gateways that are there, by name.
+    /// Present gateways, by name.
     pub gateways: BTreeMap<String, GatewayEntry>,
-    /// All stores, by name.
+    /// All stores, present or not, by name.
     pub stores: BTreeMap<String, StoreEntry>,
 }
 
-/// Which parts of the control state an update has changed.
+/// The parts of the control state that an update has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateChanges {
-    /// Another configuration.
+    /// The configuration has changed.
     pub configuration: bool,
-    /// Any server.
+    /// Servers have changed.
     pub servers: bool,
-    /// Any store.
+    /// Stores have changed.
     pub stores: bool,
-    /// Any gateway.
+    /// Gateways have changed.
     pub gateways: bool,
 }
 
 impl StateChanges {
-    /// Whether anything has changed.
+    /// Whether any part has changed.
     pub fn any(self) -> bool {
         self != StateChanges::default()
     }
 }
 
 impl KnownState {
-    /// Applies what a watch has brought. The index never goes back: an update from a member that is behind says
-    /// nothing.
+    /// Applies an update received by a watch. An update that is not newer than the known index is ignored: it comes
+    /// from a member that is behind.
     pub(super) fn update(&mut self, update: StateUpdate) -> StateChanges {
         if self.index.is_some_and(|index| update.index <= index) {
             return StateChanges::default();
@@ -99,15 +99,17 @@
         }
     }
 
-    /// Applies a newer generation; true if it was newer, even if the document could not be used.
+    /// Applies a newer configuration. Returns whether the generation was newer, even if the document was unusable.
     fn apply_configuration(&mut self, generation: u64, json: &str) -> bool {
-        let in_force = self.table.as_ref().map(|table| table.generation());
-        if in_force.is_some_and(|in_force| in_force >= generation) {
+        let generation_in_force = self.table.as_ref().map(|table| table.generation());
+        if generation_in_force.is_some_and(|in_force| in_force >= generation) {
             return false;
         }
         match Document::replace(json.as_bytes()) {
             Ok(document) => self.table = Some(Rc::new(RouteTable::new(&document))),
-            Err(findings) => log::error!("configuration {generation} can't be used: {findings}"),
+            Err(findings) => {
+                log::error!("configuration {generation} is unusable and ignored: {findings}");
+            }
         }
         true
     }
--- a/crates/serving/dunespur/src/directory/mod.rs
+++ b/crates/serving/dunespur/src/directory/mod.rs
@@ -1,5 +1,5 @@
-//! What a process knows of the control state, updated by a watch on one core member, and its way to the
-//! core for operations and reads.
+//! A process's copy of the control state, updated by a watch on one core member, and its client for operations and
+//! reads at the core.
 
 mod contact;
 mod core_calls;
@@ -23,31 +23,31 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Called after a change of the state.
+/// Called after a change of the known control state.
 type ChangeHandler = Box<dyn Fn(StateChanges)>;
 
-/// Follows the control state.
+/// Follows the control state and calls the core.
 pub struct Directory {
     clock: Clock,
     known: RefCell<KnownState>,
     view: RefCell<Option<View>>,
-    /// Addresses to query while no view is known, or none of its members answers.
+    /// Addresses queried for a view while none is known or no member of the known view answers.
     seeds: RefCell<Vec<SocketAddr>>,
     links: ProcessLinks,
-    /// The member that answered last.
+    /// The core member that last answered a watch.
     followed_member: Cell<Option<SocketAddr>>,
     contact: Contact,
-    /// Servers whose heartbeats came in since the last watch.
+    /// Servers whose heartbeats arrived since the last watch.
     renewed_servers: RefCell<BTreeSet<String>>,
     /// This process's own lease, if it has one.
     own_lease: RefCell<Option<NodeLease>>,
-    /// Notified when the view or a part of the state has changed.
+    /// Notified when the view or the known state has changed.
     changed: Notify,
     change_handler: RefCell<Option<ChangeHandler>>,
 }
 
 impl Directory {
-    /// Knows nothing yet.
+    /// Creates a directory without a known view or control state.
     pub fn new(clock: Clock, seeds: Vec<SocketAddr>) -> Rc<Directory> {
         Rc::new(Directory {
             clock,
@@ -64,32 +64,32 @@
         })
     }
 
-    /// The process's clock.
+    /// The clock of the process.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Calls `handler` after every change of the state.
+    /// Sets the handler that is called after every change of the known control state.
     pub fn on_change(&self, handler: ChangeHandler) {
         *self.change_handler.borrow_mut() = Some(handler);
     }
 
-    /// Addresses that the settings name.
+    /// Seed addresses from the settings.
     pub fn seeds(&self) -> Vec<SocketAddr> {
         self.seeds.borrow().clone()
     }
 
-    /// The settings name other seeds.
+    /// Replaces the seed addresses after a reload of the settings.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.borrow_mut() = seeds;
     }
 
-    /// Renews this lease with every watch.
+    /// Sets this process's lease, which every watch renews.
     pub fn set_own_lease(&self, lease: NodeLease) {
         *self.own_lease.borrow_mut() = Some(lease);
     }
 
-    /// Renews this process's own lease with the head of the chain, if another member is followed.
+    /// Renews this process's lease directly with the head of the chain, unless the watch already goes there.
     pub fn renew_lease_with_head(&self) {
         let head = self.view.borrow().as_ref().and_then(head_address);
         let Some(head) = head.filter(|head| self.followed_member.get() != Some(*head)) else {
@@ -103,47 +103,47 @@
             .notify(head, encode(&Request::LeaseRenewals(renewals)));
     }
 
-    /// Renews the lease of a server, whose heartbeat came in, with the next watch.
+    /// Renews a server's lease with the next watch, after its heartbeat has arrived.
     pub fn renew_server_lease(&self, server: &str) {
         self.renewed_servers.borrow_mut().insert(server.to_owned());
     }
 
-    /// Whether a core member has answered lately.
+    /// Whether a core member has recently answered a watch.
     pub fn has_contact(&self) -> bool {
         self.contact.is_present(self.clock.now())
     }
 
-    /// Whether core members have answered before, but not lately.
+    /// Whether core members have answered watches before, but not recently.
     pub fn has_lost_contact(&self) -> bool {
         self.contact.is_lost(self.clock.now())
     }
 
-    /// Time since the newest watch was sent that a core member has answered; none until the first.
+    /// Time since the newest answered watch was sent; `None` until the first answer.
     pub fn silent_ms(&self) -> Option<u64> {
         self.contact.silent_ms(self.clock.now())
     }
 
-    /// The core member that answered last.
+    /// The core member that last answered a watch.
     pub fn followed_member(&self) -> Option<SocketAddr> {
         self.followed_member.get()
     }
 
-    /// Calls made so far, and how they ended.
+    /// Counters of calls made so far and of their failures.
     pub fn link_counters(&self) -> LinkStatus {
         self.links.counters()
     }
 
-    /// What is known now.
+    /// The known control state.
     pub fn known(&self) -> Ref<'_, KnownState> {
         self.known.borrow()
     }
 
-    /// The newest view that this process knows of.
+    /// The newest view known to this process.
     pub fn view(&self) -> Option<View> {
         self.view.borrow().clone()
     }
 
-    /// Learns a view; older ones are ignored.
+    /// Stores a view if it is newer than the known one.
     pub fn learn_view(&self, view: View) {
         let mut known = self.view.borrow_mut();
         if known
@@ -157,12 +157,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Waits for the next change of the view or of the state.
+    /// Waits for the next change of the view or of the known state.
     pub async fn next_change(&self) {
         self.changed.notified().await;
     }
 
-    /// Core members in the order in which they are tried: the one that answered last first.
+    /// Addresses of the core members in random order, except that the followed member comes first.
     fn members(&self) -> Vec<SocketAddr> {
         let view = self.view.borrow();
         let members = view
@@ -177,7 +177,7 @@
     }
 }
 
-/// Where the head of the chain takes requests.
+/// Address of the head of the chain.
 fn head_address(view: &View) -> Option<SocketAddr> {
     let head = view.chain.first()?;
     let mut members = view.members.iter();
--- a/crates/serving/dunespur/src/directory/process_links.rs
+++ b/crates/serving/dunespur/src/directory/process_links.rs
@@ -1,5 +1,5 @@
-//! Connections to the other processes of the system: one client for each address, made when it is first needed, and
-//! counters of the calls over them.
+//! Connections to the other processes of the system, one client per address, created on first use, with counters of
+//! their calls.
 
 use crate::messages::{decode, Reply};
 use crate::status::LinkStatus;
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The clients of one process.
+/// RPC clients of this process, by address.
 #[derive(Default)]
 pub(super) struct ProcessLinks {
     clients: RefCell<HashMap<SocketAddr, Rc<Client>>>,
@@ -19,43 +19,43 @@
 }
 
 impl ProcessLinks {
-    /// Calls one process.
+    /// Calls the process at `address` and decodes its reply.
     pub(super) async fn call(
         &self,
         address: SocketAddr,
         payload: Bytes,
         timeout: Duration,
     ) -> Result<Reply, CallError> {
-        self.count(|counters| counters.calls += 1);
+        self.update_counters(|counters| counters.calls += 1);
         let response = self.client(address).call(payload, timeout).await;
         let reply = response.and_then(|bytes| decode(&bytes).ok_or(CallError::Closed));
         if reply.is_err() {
-            self.count(|counters| counters.failed += 1);
+            self.update_counters(|counters| counters.failed += 1);
         }
         reply
     }
 
-    /// Queues a message that is not answered. One that can't be queued is lost.
+    /// Queues a message that is not answered. A message that can't be queued is dropped.
     pub(super) fn notify(&self, address: SocketAddr, payload: Bytes) {
         let _ = self.client(address).notify(payload);
     }
 
-    /// Ends the connection; the next call opens another one.
+    /// Closes the connection; the next call opens a new one.
     pub(super) fn disconnect(&self, address: SocketAddr) {
         self.client(address).disconnect();
     }
 
-    /// A watch has failed.
+    /// Counts a failed watch.
     pub(super) fn count_lost_watch(&self) {
-        self.count(|counters| counters.watches_lost += 1);
+        self.update_counters(|counters| counters.watches_lost += 1);
     }
 
-    /// Calls made so far, and how they ended.
+    /// Counters of calls made so far and of their failures.
     pub(super) fn counters(&self) -> LinkStatus {
         self.counters.get()
     }
 
-    fn count(&self, change: impl FnOnce(&mut LinkStatus)) {
+    fn update_counters(&self, change: impl FnOnce(&mut LinkStatus)) {
         let mut counters = self.counters.get();
         change(&mut counters);
         self.counters.set(counters);
--- a/crates/serving/dunespur/src/directory/unavailable.rs
+++ b/crates/serving/dunespur/src/directory/unavailable.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// No core member has answered in time: the operation may or may not be executed.
+/// No core member answered in time. An operation may or may not have been executed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the core did not answer in time")]
 pub struct Unavailable;
--- a/crates/serving/dunespur/src/directory/watching.rs
+++ b/crates/serving/dunespur/src/directory/watching.rs
@@ -1,4 +1,4 @@
-//! The watch: follows the control state at one core member, and goes on at another one if that does not answer.
+//! The watch: follows the control state at one core member, and moves to another one if that member does not answer.
 
 use super::Directory;
 use crate::messages::{encode, LeaseRenewals, Reply, Request, StateUpdate, WatchRequest};
@@ -10,7 +10,7 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// A core member answers a watch within this time, or another one is tried. It answers after 0.4 s at the latest.
+/// Timeout of a watch at one core member, after which another one is tried. A working member answers within 0.4 s.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(900);
 /// Delay after the watch has failed at all known members.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(60);
@@ -18,9 +18,9 @@
 /// How a watch at one member ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchOutcome {
-    /// The member answered: the next watch goes there too.
+    /// The member answered: the next watch goes to it too.
     Answered,
-    /// Another member has to be tried.
+    /// The member did not answer or was unavailable: another one has to be tried.
     Failed,
 }
 
@@ -47,12 +47,12 @@
                 self.apply_update(update);
                 return WatchOutcome::Answered;
             }
-            // A connection over a partitioned network stays silent for long.
+            // Over a partitioned network the connection would stay silent for a long time.
             Err(CallError::TimedOut) => self.links.disconnect(address),
             Ok(_) | Err(_) => {}
         }
         self.links.count_lost_watch();
-        // These renewals go with the next watch.
+        // The next watch has to carry these renewals.
         self.renewed_servers.borrow_mut().extend(servers);
         WatchOutcome::Failed
     }
@@ -82,7 +82,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Calls all seeds at once, and goes on as soon as a view is learnt, from one of them or announced by a member.
+    /// Queries all seeds at once; returns as soon as a view is learnt, from a seed or announced by a core member.
     async fn discover_view(self: &Rc<Self>) {
         let learnt = self.changed.notified();
         tokio::pin!(learnt);
--- a/crates/serving/dunespur/src/explain.rs
+++ b/crates/serving/dunespur/src/explain.rs
@@ -1,48 +1,48 @@
-//! `dunespur explain`: the trace of one request, out of log lines at debug level of any number of processes.
+//! `dunespur explain`: prints the trace of one request from the debug log lines of any number of processes.
 
 mod record;
 mod render;
 mod source;
 mod trace;
 
-use source::Source;
+use source::LogSource;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use trace::RequestTrace;
 
-/// No line names the request.
-const UNKNOWN_REQUEST: u8 = 1;
-/// A file can't be read.
-const UNREADABLE: u8 = 2;
+/// Exit code if no log line names the request.
+const EXIT_UNKNOWN_REQUEST: u8 = 1;
+/// Exit code if a log file can't be read.
+const EXIT_UNREADABLE: u8 = 2;
 
-/// Which request is explained, and from which logs.
+/// Arguments of `dunespur explain`.
 #[derive(Clone, Debug)]
 pub struct Explain {
-    /// The request's `X-Dunespur-Request-Id`.
+    /// The `X-Dunespur-Request-Id` of the request.
     pub request: String,
-    /// Logs; standard input where none is named.
+    /// Log files; standard input if none is given.
     pub files: Vec<PathBuf>,
 }
 
 /// Prints the request's trace on standard output.
 pub fn run(explain: Explain) -> ExitCode {
-    let trace = Source::open(explain.files)
+    let trace = LogSource::open(explain.files)
         .and_then(|source| RequestTrace::read(&explain.request, &source));
     match trace {
         Ok(trace) if trace.is_empty() => {
             eprintln!(
-                "{}: no line names it; logs at debug level do",
+                "no log line names request {}; request lines are only written with --log debug",
                 explain.request
             );
-            ExitCode::from(UNKNOWN_REQUEST)
+            ExitCode::from(EXIT_UNKNOWN_REQUEST)
         }
         Ok(trace) => {
-            print!("{}", render::of(&trace));
+            print!("{}", render::render(&trace));
             ExitCode::SUCCESS
         }
         Err(error) => {
             eprintln!("{error:#}");
-            ExitCode::from(UNREADABLE)
+            ExitCode::from(EXIT_UNREADABLE)
         }
     }
 }
--- a/crates/serving/dunespur/src/explain/record.rs
+++ b/crates/serving/dunespur/src/explain/record.rs
@@ -1,44 +1,44 @@
-//! One log line with an event, in either format.
+//! Parses a log line with an event, in either log format.
 
 use serde::Deserialize;
 
-/// What an event's text begins with.
-const BEGIN: &str = "event=";
-/// What stands between the head of a text line and its event.
-const BEHIND_HEAD: &str = "] event=";
+/// Prefix of an event's text.
+const EVENT_PREFIX: &str = "event=";
+/// Separator between the level of a plain text line and its event.
+const EVENT_SEPARATOR: &str = "] event=";
 
-/// An event with when and where it was written.
+/// An event with the time and process that logged it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogRecord {
-    /// When it was written, as RFC 3339.
+    /// Time of the log line, as RFC 3339.
     pub time: String,
     /// The machine's name.
     pub node: String,
-    /// The role of its process.
+    /// The role of the process.
     pub role: String,
-    /// The event.
+    /// The logged event.
     pub event: Event,
 }
 
-/// What happened.
+/// A named event with its fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its name.
+    /// Name of the event.
     pub name: String,
-    /// Keys and values, as they stood.
+    /// Fields in the order in which they were logged.
     pub fields: Vec<Field>,
 }
 
-/// A key with its value.
+/// A key and its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// Its key.
+    /// The key.
     pub key: String,
-    /// Its value, without quotation marks.
+    /// The value, without quotation marks.
     pub value: String,
 }
 
-/// A line of `--log-format json`.
+/// A log line written with `--log-format json`.
 #[derive(Deserialize)]
 struct JsonRecord {
     time: String,
@@ -48,7 +48,7 @@
 }
 
 impl LogRecord {
-    /// The event of a log line; none if it has none.
+    /// Parses a log line; `None` if it holds no event.
     pub fn read(text: &str) -> Option<LogRecord> {
         let text = text.trim();
         if text.starts_with('{') {
@@ -68,15 +68,17 @@
         LogRecord::read_text(text)
     }
 
-    /// `TIME NODE ROLE [LEVEL] event=...`, whatever a collector of logs has put before.
+    /// Parses `TIME NODE ROLE [LEVEL] event=...`, ignoring any prefix that a log collector has added.
     fn read_text(text: &str) -> Option<LogRecord> {
-        let behind_head = text.find(BEHIND_HEAD)?;
-        let event = Event::read(text[behind_head..].trim_start_matches("] "))?;
-        let mut known_sentence = text[..behind_head].rsplit(' ');
-        let _level = known_sentence.next().filter(|word| word.starts_with('['))?;
-        let role = known_sentence.next()?.to_owned();
-        let node = known_sentence.next()?.to_owned();
-        let time = known_sentence.next()?.to_owned();
+        let level_end = text.find(EVENT_SEPARATOR)?;
+        let event = Event::read(text[level_end..].trim_start_matches("] "))?;
+        let mut words_before_event = text[..level_end].rsplit(' ');
+        let _level = words_before_event
+            .next()
+            .filter(|word| word.starts_with('['))?;
+        let role = words_before_event.next()?.to_owned();
+        let node = words_before_event.next()?.to_owned();
+        let time = words_before_event.next()?.to_owned();
         Some(LogRecord {
             time,
             node,
@@ -88,12 +90,12 @@
 
 impl Event {
     fn read(text: &str) -> Option<Event> {
-        text.strip_prefix(BEGIN)?;
+        text.strip_prefix(EVENT_PREFIX)?;
         let mut fields = Vec::new();
         let mut rest = text;
-        while let Some((field, behind)) = Field::read(rest) {
+        while let Some((field, remainder)) = Field::read(rest) {
             fields.push(field);
-            rest = behind;
+            rest = remainder;
         }
         let name = fields.remove(0).value;
         Some(Event { name, fields })
@@ -109,14 +111,14 @@
 }
 
 impl Field {
-    /// The first field of a text, and what stands behind it.
+    /// Parses the first field of a text; also returns the remaining text.
     fn read(text: &str) -> Option<(Field, &str)> {
         let (key, rest) = text.trim_start().split_once('=')?;
         if key.is_empty() || key.contains(' ') {
             return None;
         }
-        let (value, behind) = match rest.starts_with('"') {
-            true => quoted(rest)?,
+        let (value, remainder) = match rest.starts_with('"') {
+            true => read_quoted(rest)?,
             false => {
                 let end = rest.find(' ').unwrap_or(rest.len());
                 (rest[..end].to_owned(), &rest[end..])
@@ -127,13 +129,13 @@
                 key: key.to_owned(),
                 value,
             },
-            behind,
+            remainder,
         ))
     }
 }
 
-/// The value in quotation marks that a text begins with.
-fn quoted(text: &str) -> Option<(String, &str)> {
+/// Parses the quoted value at the start of a text; also returns the remaining text.
+fn read_quoted(text: &str) -> Option<(String, &str)> {
     let mut values = serde_json::Deserializer::from_str(text).into_iter::<String>();
     let value = values.next()?.ok()?;
     Some((value, &text[values.byte_offset()..]))
--- a/crates/serving/dunespur/src/explain/record/tests.rs
+++ b/crates/serving/dunespur/src/explain/record/tests.rs
@@ -1,7 +1,7 @@
-//! Log lines in both formats are read as they were written.
+//! Parsing of log lines in both formats.
 
 use super::{Event, Field, LogRecord};
-use crate::request_events::Value;
+use crate::request_events::FieldValue;
 
 fn fields(pairs: &[(&str, &str)]) -> Vec<Field> {
     pairs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn text_lines_are_read_whatever_stands_before() {
+fn text_lines_are_read_with_or_without_a_prefix() {
     let text = "2026-12-02T05:15:03.123Z front-1 gateway [DEBUG] event=put request=a store=s-1\n";
     let event = Event {
         name: "put".to_owned(),
@@ -48,7 +48,7 @@
 
 #[test]
 fn lines_without_an_event_are_none() {
-    let none = [
+    let lines_without_event = [
         "",
         "event=put",
         "2026-12-02T05:15:03.123Z front-1 gateway [INFO] front-1 serves",
@@ -57,7 +57,7 @@
         "{}",
         r#"{"time":"t","node":"n","role":"r","text":"front-1 serves"}"#,
     ];
-    for text in none {
+    for text in lines_without_event {
         assert_eq!(LogRecord::read(text), None, "{text}");
     }
 }
@@ -81,7 +81,7 @@
     for value in values {
         let text = format!(
             "2026-12-02T05:15:03.123Z front-1 gateway [DEBUG] event=put request={} store=s",
-            Value(value)
+            FieldValue(value)
         );
         assert_eq!(text.lines().count(), 1, "{value:?}");
         let read = LogRecord::read(&text).unwrap_or_else(|| panic!("{text}"));
--- a/crates/serving/dunespur/src/explain/render.rs
+++ b/crates/serving/dunespur/src/explain/render.rs
@@ -1,4 +1,4 @@
-//! A trace as text for people.
+//! Formats a trace as text for people.
 
 use super::record::{Event, Field, LogRecord};
 use super::trace::RequestTrace;
@@ -8,8 +8,8 @@
 const MINUTES_PER_HOUR: u64 = 60;
 const MS_PER_SECOND: u64 = 1000;
 
-/// The complete text: a line an event, with the milliseconds since the first.
-pub fn of(trace: &RequestTrace) -> String {
+/// Renders a trace with one line per event, each with the milliseconds since the first event.
+pub fn render(trace: &RequestTrace) -> String {
     let mut text = String::new();
     let first = trace
         .records
@@ -28,10 +28,11 @@
         .max()
         .unwrap_or(0);
     for record in &trace.records {
-        let since = since(first, &record.time).map_or("?".to_owned(), |ms| ms.to_string());
+        let elapsed_ms =
+            ms_between(first, &record.time).map_or("?".to_owned(), |ms| ms.to_string());
         let _ = writeln!(
             text,
-            "{since:>6}  {:<width$}  {}",
+            "{elapsed_ms:>6}  {:<width$}  {}",
             process(record),
             sentence(&record.event)
         );
@@ -43,17 +44,17 @@
     format!("{} {}", record.node, record.role)
 }
 
-/// Milliseconds between two times of a day or of two that follow each other.
-fn since(first: &str, time: &str) -> Option<u64> {
-    let day = 24 * MINUTES_PER_HOUR * SECONDS_PER_MINUTE * MS_PER_SECOND;
+/// Milliseconds between two times on the same day or on consecutive days.
+fn ms_between(first: &str, time: &str) -> Option<u64> {
+    let day_ms = 24 * MINUTES_PER_HOUR * SECONDS_PER_MINUTE * MS_PER_SECOND;
     let (first_date, first) = first.split_once('T')?;
     let (date, time) = time.split_once('T')?;
-    let passed = if date == first_date { 0 } else { day };
-    (passed + of_day(time)?).checked_sub(of_day(first)?)
+    let date_offset_ms = if date == first_date { 0 } else { day_ms };
+    (date_offset_ms + ms_of_day(time)?).checked_sub(ms_of_day(first)?)
 }
 
 /// Milliseconds since midnight of `HH:MM:SS.mmmZ`.
-fn of_day(time: &str) -> Option<u64> {
+fn ms_of_day(time: &str) -> Option<u64> {
     let (clock, ms) = time.strip_suffix('Z')?.split_once('.')?;
     let fields: Vec<u64> = clock
         .split(':')
@@ -67,10 +68,10 @@
     Some(seconds * MS_PER_SECOND + ms.parse::<u64>().ok()?)
 }
 
-/// An event as a sentence.
+/// An event described as a sentence.
 struct Sentence {
     text: String,
-    /// Keys whose values stand in the text.
+    /// Keys whose values the text already contains.
     shown: &'static [&'static str],
 }
 
@@ -80,24 +81,24 @@
     }
 }
 
-/// The sentence of an event, and behind it the values that the sentence does not show. An event that is not known here
-/// is rendered as it was written.
+/// Describes an event, followed by the fields that the description does not contain. An unknown event is rendered by
+/// its name and fields.
 fn sentence(event: &Event) -> String {
     let Sentence { text, shown } =
         known_sentence(event).unwrap_or_else(|| Sentence::new(event.name.clone(), &[]));
-    let is_hidden = |field: &&Field| {
+    let is_not_shown = |field: &&Field| {
         field.key != "request" && !field.value.is_empty() && !shown.contains(&field.key.as_str())
     };
-    let hidden: Vec<String> = event
+    let not_shown: Vec<String> = event
         .fields
         .iter()
-        .filter(is_hidden)
+        .filter(is_not_shown)
         .map(key_and_value)
         .collect();
-    if hidden.is_empty() {
+    if not_shown.is_empty() {
         text
     } else {
-        format!("{text} ({})", hidden.join(", "))
+        format!("{text} ({})", not_shown.join(", "))
     }
 }
 
@@ -112,7 +113,7 @@
         .or_else(|| turn_sentence(event))
 }
 
-/// A value, or a question mark.
+/// The value of a key, or a question mark if the event lacks it.
 fn value<'a>(event: &'a Event, key: &str) -> &'a str {
     event.get(key).unwrap_or("?")
 }
@@ -166,7 +167,7 @@
     Some(sentence)
 }
 
-/// Events of the choice of a server and of attempts.
+/// Events of server choices and attempts.
 fn attempt_sentence(event: &Event) -> Option<Sentence> {
     let get = |key| value(event, key);
     let sentence = match event.name.as_str() {
@@ -203,7 +204,7 @@
     Some(sentence)
 }
 
-/// Events of turns that are looked up and stored.
+/// Events of reading and storing turns.
 fn turn_sentence(event: &Event) -> Option<Sentence> {
     let get = |key| value(event, key);
     let sentence = match event.name.as_str() {
--- a/crates/serving/dunespur/src/explain/trace.rs
+++ b/crates/serving/dunespur/src/explain/trace.rs
@@ -1,26 +1,26 @@
-//! Which lines belong to a request.
+//! Selects the log lines that belong to a request.
 //!
-//! Lines that name the request do. Others belong to it if they share a key with them: an attempt's ticket or a turn's
-//! admission within the same process, else the turn that it continues, else its program. A ticket and an admission have
-//! an end, after which another incarnation of the process may use the same number; what is shared by name counts only
-//! while the request was in flight anywhere.
+//! Lines that name the request belong to it. Other lines belong to it if they share a key with those: an attempt's
+//! ticket or a turn's admission within the same process, else the turn that it continues, else its program. A ticket
+//! and an admission are valid until their end event, as a later start of the process may reuse the number. Turns and
+//! programs count only while the request was in flight in any process.
 
 use super::record::LogRecord;
-use super::source::Source;
+use super::source::LogSource;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The key of a request's id.
 const REQUEST: &str = "request";
-/// Keys that name something within one process alone.
+/// Keys that are valid within one process only.
 const PROCESS_KEYS: [&str; 2] = ["ticket", "turn"];
-/// Keys that name the same thing in all processes, the narrowest first.
+/// Keys that are valid in all processes, the most specific first.
 const SYSTEM_KEYS: [&str; 2] = ["previous", "program"];
-/// A choice's reasons, written right before the choice itself.
+/// The event with the reasons of a choice, logged right before the choice itself.
 const CHOICE_REASON: &str = "choice_reason";
-/// Events after which a key of a process names nothing any more.
+/// Events that end the validity of a process key: event name and key.
 const END_EVENTS: [(&str, &str); 2] = [("outcome", "ticket"), ("release", "turn")];
 
-/// A process, as far as log lines name it.
+/// A process, as identified in log lines.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Process {
     node: String,
@@ -36,37 +36,37 @@
     }
 }
 
-/// The lines of one request, in the order of their times.
+/// The log records of one request, ordered by time.
 #[derive(Clone, Debug)]
 pub struct RequestTrace {
-    /// Its id.
+    /// Id of the request.
     pub request: String,
-    /// The lines that belong to it.
+    /// Records that belong to the request.
     pub records: Vec<LogRecord>,
 }
 
 impl RequestTrace {
-    /// Collects the lines that belong to a request.
+    /// Collects the records that belong to a request.
     ///
     /// # Errors
     ///
     /// If a log can't be read.
-    pub fn read(request: &str, source: &Source) -> anyhow::Result<RequestTrace> {
+    pub fn read(request: &str, source: &LogSource) -> anyhow::Result<RequestTrace> {
         let mut keys = RequestKeys::default();
-        source.each(|record| {
+        source.for_each_record(|record| {
             if record.event.get(REQUEST) == Some(request) {
                 keys.add(&record);
             }
         })?;
         let mut records = Vec::new();
         let mut reasons: BTreeMap<Process, LogRecord> = BTreeMap::new();
-        source.each(|record| {
+        source.for_each_record(|record| {
             let process = Process::of(&record);
-            let before = reasons.remove(&process);
+            let reason = reasons.remove(&process);
             match record.event.get(REQUEST) {
                 Some(other) if other != request => {}
                 Some(_) => {
-                    records.extend(before);
+                    records.extend(reason);
                     records.push(record);
                 }
                 None if record.event.name == CHOICE_REASON
@@ -78,20 +78,20 @@
                 None => {}
             }
         })?;
-        records.sort_by(|one, other| one.time.cmp(&other.time));
+        records.sort_by(|left, right| left.time.cmp(&right.time));
         Ok(RequestTrace {
             request: request.to_owned(),
             records,
         })
     }
 
-    /// Whether no line belongs to the request.
+    /// Whether no record belongs to the request.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 }
 
-/// A key with its value, valid within one process.
+/// A key with its value that is valid within one process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ProcessKey {
     process: Process,
@@ -99,35 +99,35 @@
     value: String,
 }
 
-/// A key with its value, valid in all processes.
+/// A key with its value that is valid in all processes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SystemKey {
     key: &'static str,
     value: String,
 }
 
-/// The keys of the lines that name the request.
+/// The keys of all records that name the request.
 #[derive(Default)]
 struct RequestKeys {
     process_keys: BTreeSet<ProcessKey>,
-    /// Those of them that have ended.
+    /// Process keys whose end event has been read.
     ended: BTreeSet<ProcessKey>,
     system_keys: BTreeSet<SystemKey>,
-    /// First and last time in each process.
-    spans: BTreeMap<Process, Span>,
-    /// First and last time in any process.
-    total: Option<Span>,
+    /// Time span of the request in each process.
+    spans: BTreeMap<Process, TimeSpan>,
+    /// Time span of the request over all processes.
+    total_span: Option<TimeSpan>,
 }
 
 #[derive(Clone, Debug)]
-struct Span {
+struct TimeSpan {
     first: String,
     last: String,
 }
 
-impl Span {
-    fn at(time: &str) -> Span {
-        Span {
+impl TimeSpan {
+    fn at(time: &str) -> TimeSpan {
+        TimeSpan {
             first: time.to_owned(),
             last: time.to_owned(),
         }
@@ -171,16 +171,16 @@
         let time = record.time.as_str();
         self.spans
             .entry(process)
-            .or_insert_with(|| Span::at(time))
+            .or_insert_with(|| TimeSpan::at(time))
             .extend_to(time);
-        self.total
-            .get_or_insert_with(|| Span::at(time))
+        self.total_span
+            .get_or_insert_with(|| TimeSpan::at(time))
             .extend_to(time);
     }
 
-    /// Whether a line that names no request belongs to this one.
+    /// Whether a record that names no request belongs to this request.
     fn covers_record(&mut self, process: &Process, record: &LogRecord) -> bool {
-        if let Some((key, value)) = first_of(&PROCESS_KEYS, record) {
+        if let Some((key, value)) = first_key(&PROCESS_KEYS, record) {
             let process = process.clone();
             return self.covers_process_key(
                 ProcessKey {
@@ -191,33 +191,33 @@
                 record,
             );
         }
-        // The first key decides: another turn of the same program continues another turn.
-        let key = first_of(&SYSTEM_KEYS, record).map(|(key, value)| SystemKey { key, value });
-        let is_shared = key.is_some_and(|key| self.system_keys.contains(&key));
-        is_shared
+        // Only the most specific key decides: another turn of the same program continues a different turn.
+        let key = first_key(&SYSTEM_KEYS, record).map(|(key, value)| SystemKey { key, value });
+        let shares_key = key.is_some_and(|key| self.system_keys.contains(&key));
+        shares_key
             && self
-                .total
+                .total_span
                 .as_ref()
                 .is_some_and(|span| span.covers(&record.time))
     }
 
-    fn covers_process_key(&mut self, id: ProcessKey, record: &LogRecord) -> bool {
+    fn covers_process_key(&mut self, key: ProcessKey, record: &LogRecord) -> bool {
         let has_begun = self
             .spans
-            .get(&id.process)
+            .get(&key.process)
             .is_some_and(|span| span.first <= record.time);
-        if !has_begun || !self.process_keys.contains(&id) || self.ended.contains(&id) {
+        if !has_begun || !self.process_keys.contains(&key) || self.ended.contains(&key) {
             return false;
         }
-        if END_EVENTS.contains(&(record.event.name.as_str(), id.key)) {
-            self.ended.insert(id);
+        if END_EVENTS.contains(&(record.event.name.as_str(), key.key)) {
+            self.ended.insert(key);
         }
         true
     }
 }
 
-/// The first of these keys that a record has, with its value.
-fn first_of(keys: &[&'static str], record: &LogRecord) -> Option<(&'static str, String)> {
+/// The first of the given keys that a record has, with its value.
+fn first_key(keys: &[&'static str], record: &LogRecord) -> Option<(&'static str, String)> {
     keys.iter()
         .find_map(|key| Some((*key, record.event.get(key)?.to_owned())))
 }
--- a/crates/serving/dunespur/src/gateway.rs
+++ b/crates/serving/dunespur/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The `gateway` process: data plane, control interface, and the core's part on machines with a disk.
+//! The `gateway` process: data plane, control interface and, on machines with a disk, a core member.
 
 use crate::budgets::Budgets;
 use crate::clock::{wall_clock_ms, Clock};
@@ -24,20 +24,20 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Descriptors reserved for files, internal connections and the control interface.
-const SPARE_DESCRIPTORS: u64 = 500;
-/// Sockets of clients and servers, however few descriptors the machine grants.
+/// File descriptors reserved for files, internal connections and the control interface.
+const RESERVED_DESCRIPTORS: u64 = 500;
+/// Minimum number of sockets for clients and servers, even if the machine grants fewer descriptors.
 const MIN_SOCKETS: u64 = 64;
-/// A draining process ends after this time at the latest; the platform kills it a little later.
+/// Maximum time for draining; the platform kills the process shortly afterwards.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(7_000);
-/// Units of programs' budgets are given back within this time.
+/// Maximum time for returning leases on programs' budgets.
 const BUDGET_RETURN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs the process until it is asked to end and has drained.
+/// Runs the process until SIGTERM or SIGINT, and then until it has drained.
 ///
 /// # Errors
 ///
-/// If its data folder can't be opened, or one of its addresses can't be listened on.
+/// If its data folder can't be opened, or one of its addresses can't be bound.
 pub async fn run(settings: Settings, path: PathBuf) -> anyhow::Result<()> {
     let gateway = Gateway::assemble(settings)?;
     gateway.start_internal().await?;
@@ -51,10 +51,10 @@
         Role::Gateway,
         gateway.directory.clone(),
     ));
-    log::info!("{} serves", gateway.settings.node);
+    log::info!("{} has started", gateway.settings.node);
 
     signals::termination_requested().await?;
-    log::info!("{} leaves", gateway.settings.node);
+    log::info!("{} is shutting down", gateway.settings.node);
     gateway.data_plane.leave();
     registration.leave();
     gateway.drain().await;
@@ -65,10 +65,10 @@
 struct Gateway {
     settings: Settings,
     clock: Clock,
-    /// Names this run of the process.
+    /// Identifies this start of the process.
     incarnation: u64,
     directory: Rc<Directory>,
-    /// On a machine with a disk.
+    /// The core member; only on a machine with a disk that counts for the quorum.
     coordinator: Option<Rc<Coordinator>>,
     budgets: Rc<Budgets>,
     data_plane: Rc<DataPlane>,
@@ -86,13 +86,19 @@
             incarnation,
         };
         let budgets = Budgets::start(limiter, directory.clone(), clock);
-        let own = Identity {
+        let identity = Identity {
             name: settings.node.as_str().into(),
             zone: settings.zone.as_str().into(),
             incarnation,
         };
         let replicas = settings.required_replicas();
-        let data_plane = DataPlane::new(directory.clone(), own, budgets.clone(), replicas, clock);
+        let data_plane = DataPlane::new(
+            directory.clone(),
+            identity,
+            budgets.clone(),
+            replicas,
+            clock,
+        );
         let proxy = ProxyServer::new(data_plane.clone(), proxy_settings(&settings));
         Ok(Gateway {
             settings,
@@ -113,11 +119,11 @@
             coordinator: self.coordinator.clone(),
             data_plane: self.data_plane.clone(),
             budgets: self.budgets.clone(),
-            front: self.proxy.clone(),
+            proxy: self.proxy.clone(),
         }
     }
 
-    /// Listens for the other processes of the system.
+    /// Starts the listener for the other processes of the system.
     async fn start_internal(&self) -> anyhow::Result<()> {
         let address = self.settings.internal_address();
         let first_seed = self.settings.seed_addresses().first().copied();
@@ -137,7 +143,7 @@
         Ok(())
     }
 
-    /// Listens for servers and the operator.
+    /// Starts the listener for servers and operators.
     async fn start_control(&self) -> anyhow::Result<()> {
         let Some(address) = self.settings.listen.control else {
             return Ok(());
@@ -152,7 +158,7 @@
         Ok(())
     }
 
-    /// Listens for readiness checks and clients.
+    /// Starts the listeners for readiness checks and clients.
     async fn start_client_listeners(&self) -> anyhow::Result<()> {
         if let Some(address) = self.settings.listen.ready {
             spawn_local(serve_readiness(
@@ -181,8 +187,8 @@
         GatewayRegistration::start(&self.settings, self.incarnation, self.directory.clone())
     }
 
-    /// Starts draining, leaves the chain, waits for the requests in flight, and returns the leases on budgets. Each
-    /// wait is bounded.
+    /// Drains the proxy, leaves the chain, waits for requests in flight, and returns the leases on budgets. Each wait
+    /// is bounded.
     async fn drain(&self) {
         let node = &self.settings.node;
         self.proxy.drain();
@@ -191,7 +197,7 @@
         }
         if timeout(DRAIN_TIMEOUT, self.proxy.drained()).await.is_err() {
             log::warn!(
-                "{node} ends with requests in flight: {:?}",
+                "{node}: drain timeout passed, ending with requests in flight: {:?}",
                 self.proxy.counters()
             );
         }
@@ -199,13 +205,13 @@
             .await
             .is_err()
         {
-            log::warn!("{node} ends without having given all units back");
+            log::warn!("{node}: ending before all leases on budgets were returned");
         }
     }
 }
 
 fn start_core(settings: &Settings, clock: Clock) -> anyhow::Result<Option<Rc<Coordinator>>> {
-    let Some(data) = settings.core_disk() else {
+    let Some(data_dir) = settings.core_data_dir() else {
         return Ok(None);
     };
     let identity = CoreIdentity {
@@ -214,17 +220,17 @@
         bootstrap: settings.bootstrap,
         heartbeat_ms: settings.heartbeat_ms,
     };
-    Coordinator::start(identity, data, clock).map(Some)
+    Coordinator::start(identity, data_dir, clock).map(Some)
 }
 
 fn proxy_settings(settings: &Settings) -> ProxySettings {
-    let spare = settings.limits.max_fds.saturating_sub(SPARE_DESCRIPTORS);
-    let sockets = spare.max(MIN_SOCKETS) as usize;
-    let memory = (settings.limits.memory_mb as usize) << 20;
+    let available = settings.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS);
+    let sockets = available.max(MIN_SOCKETS) as usize;
+    let memory_bytes = (settings.limits.memory_mb as usize) << 20;
     ProxySettings {
         max_connections: sockets / 2,
         max_endpoint_connections: sockets / 2,
-        body_memory_bytes: memory / 4,
+        body_memory_bytes: memory_bytes / 4,
         ..ProxySettings::default()
     }
 }
--- a/crates/serving/dunespur/src/lib.rs
+++ b/crates/serving/dunespur/src/lib.rs
@@ -1,4 +1,4 @@
-//! `dunespur`: the processes of the serving tier, each a role, and the tools of those who run it.
+//! `dunespur`: the processes of the serving tier, one role each, and the command-line tools for operators.
 
 mod allocator;
 mod budgets;
@@ -30,62 +30,62 @@
 mod utc;
 
 use command::{Command, Logging};
-use logging::Origin;
+use logging::LogOrigin;
 use settings::{Role, Settings, SETTINGS_VARIABLE};
 use std::future::Future;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 
-/// Settings that can't be used.
-const UNUSABLE_SETTINGS: u8 = 2;
+/// Exit code for unusable settings.
+const EXIT_UNUSABLE_SETTINGS: u8 = 2;
 
-/// Runs the command line of this process; the program's exit code.
+/// Runs the command line of this process and returns its exit code.
 pub fn run() -> ExitCode {
     let command = match command::parse() {
         Ok(command) => command,
         Err(code) => return code,
     };
     match command {
-        Command::Gateway(logging) => play(Role::Gateway, &logging, gateway::run),
-        Command::Store(logging) => play(Role::Store, &logging, store::run),
+        Command::Gateway(logging) => run_role(Role::Gateway, &logging, gateway::run),
+        Command::Store(logging) => run_role(Role::Store, &logging, store::run),
         Command::Check(check) => check::run(&check),
         Command::Explain(explain) => explain::run(explain),
-        Command::Status(query) => ended(block_on(status::run(query))),
+        Command::Status(query) => exit_code(block_on(status::run(query))),
     }
 }
 
-/// Plays a role with the settings that the environment names.
-fn play<F: Future<Output = anyhow::Result<()>>>(
+/// Runs a role with the settings file that [`SETTINGS_VARIABLE`] names.
+fn run_role<F: Future<Output = anyhow::Result<()>>>(
     role: Role,
     logging: &Logging,
     run: impl FnOnce(Settings, PathBuf) -> F,
 ) -> ExitCode {
     let Some(path) = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from) else {
-        eprintln!("{SETTINGS_VARIABLE}: is not set");
-        return ExitCode::from(UNUSABLE_SETTINGS);
+        eprintln!("{SETTINGS_VARIABLE} is not set: it must name the settings file");
+        return ExitCode::from(EXIT_UNUSABLE_SETTINGS);
     };
     let settings = match Settings::read(&path, role) {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(UNUSABLE_SETTINGS);
+            return ExitCode::from(EXIT_UNUSABLE_SETTINGS);
         }
     };
-    allocator::keep_little();
+    allocator::limit_retained_memory();
     logging::start(
         logging.level,
         logging.format,
-        Origin {
+        LogOrigin {
             node: settings.node.clone(),
             role,
         },
     );
-    ended(block_on(run(settings, path)))
+    exit_code(block_on(run(settings, path)))
 }
 
-/// How the program ends; an error is written to standard error.
-fn ended(result: anyhow::Result<()>) -> ExitCode {
+/// The exit code of a result; an error is written to standard error.
+fn exit_code(result: anyhow::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -95,9 +95,9 @@
     }
 }
 
-fn block_on(role: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
+fn block_on(future: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, role)
+    LocalSet::new().block_on(&runtime, future)
 }
--- a/crates/serving/dunespur/src/load_exchange.rs
+++ b/crates/serving/dunespur/src/load_exchange.rs
@@ -1,7 +1,7 @@
-//! Exchange of service loads: carries the reports of [`LoadDistribution`] to other gateways, and brings the loads of
-//! the others to the balancer.
+//! Exchange of service loads: sends the reports of [`LoadDistribution`] to other gateways, and passes their loads to
+//! the balancer.
 //!
-//! Nothing is done while no request is in flight here and no other gateway reports.
+//! The exchange is idle while no request is in flight here and no other gateway reports.
 
 use crate::clock::Clock;
 use crate::directory::Directory;
@@ -21,25 +21,25 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// This gateway's loads are read this often at most, in milliseconds.
+/// Minimum interval between two readings of this gateway's loads, in milliseconds.
 const EXCHANGE_INTERVAL_MS: u64 = 250;
 
-/// This gateway's part in the exchange of service loads, which are soft state.
+/// This gateway's part in the exchange of service loads, which are soft state: nothing of them is stored.
 pub struct LoadExchange {
     clock: Clock,
     directory: Rc<Directory>,
     balancer: Rc<RefCell<Balancer>>,
     distribution: RefCell<LoadDistribution>,
-    /// Notified when a request has begun or ended, or another gateway has reported.
+    /// Notified when a request has started or ended, or another gateway has reported.
     active: Notify,
-    /// Notified when the time of the next call has changed.
+    /// Notified when the time of the next call may have changed.
     rescheduled: Notify,
 }
 
 impl LoadExchange {
-    /// Takes part from now on.
+    /// Starts the exchange.
     pub fn start(
-        own: Identity,
+        identity: Identity,
         directory: Rc<Directory>,
         balancer: Rc<RefCell<Balancer>>,
         clock: Clock,
@@ -48,7 +48,7 @@
             clock,
             directory,
             balancer,
-            distribution: RefCell::new(LoadDistribution::new(own)),
+            distribution: RefCell::new(LoadDistribution::new(identity)),
             active: Notify::new(),
             rescheduled: Notify::new(),
         });
@@ -56,12 +56,12 @@
         load_exchange
     }
 
-    /// A request has begun or ended here.
+    /// Notes that a request has started or ended at this gateway.
     pub fn report_activity(&self) {
         self.active.notify_one();
     }
 
-    /// The core knows other gateways than before.
+    /// Applies the core's changed list of gateways.
     pub fn gateways_changed(&self) {
         let gateways = self
             .directory
@@ -74,7 +74,7 @@
         self.rescheduled.notify_one();
     }
 
-    /// Where the load aggregator of a service in a zone listens for other gateways.
+    /// Internal address of the load aggregator of a service in a zone.
     pub fn aggregator_address(&self, service: &str, zone: &str) -> Option<SocketAddr> {
         self.distribution
             .borrow()
@@ -83,7 +83,7 @@
             .map(|aggregator| aggregator.address)
     }
 
-    /// Answers the report of another gateway.
+    /// Handles the report of another gateway and returns the update for it.
     pub fn receive_report(&self, report: &Report) -> Update {
         let update = self
             .distribution
@@ -93,7 +93,7 @@
         update
     }
 
-    /// Reports this gateway's loads, and makes the calls that are due.
+    /// Reads this gateway's loads and makes the due calls to other gateways.
     fn exchange(self: &Rc<Self>) {
         let now = self.clock.now();
         for (service, loads) in self.own_loads() {
@@ -109,7 +109,7 @@
         self.apply_updates();
     }
 
-    /// What this gateway has in flight, by service; services that were busy before are listed as well.
+    /// Loads that this gateway has in flight, by service; services that were busy before are included even if idle now.
     fn own_loads(&self) -> BTreeMap<Rc<str>, Vec<ServerLoad>> {
         let busy_before = self.distribution.borrow().busy_services();
         let mut services: BTreeMap<Rc<str>, Vec<ServerLoad>> = busy_before
@@ -131,7 +131,7 @@
         services
     }
 
-    /// Servers on which this gateway has anything in flight, or at which it sees faults.
+    /// Loads of all servers at which this gateway has requests in flight or sees faults.
     fn loads(&self) -> Vec<ServerLoad> {
         let balancer = self.balancer.borrow();
         let mut loads: Vec<ServerLoad> = balancer
@@ -173,7 +173,7 @@
         self.rescheduled.notify_one();
     }
 
-    /// Passes on to the balancer what the other gateways have in flight.
+    /// Passes the loads of other gateways to the balancer.
     fn apply_updates(&self) {
         let remote = self.distribution.borrow_mut().take_remote_loads();
         for remote in remote {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Passes on to the balancer at which servers other gateways see faults.
+    /// Passes the servers at which other gateways see faults to the balancer.
     fn apply_fault_hints(&self, remote: &RemoteLoads) {
         let known = self.directory.known();
         let servers = known
@@ -231,15 +231,15 @@
     loop {
         load_exchange.exchange();
         let next_exchange = load_exchange.clock.now() + EXCHANGE_INTERVAL_MS;
-        let due = load_exchange.distribution.borrow().next_due();
-        let due = async {
-            match due {
-                Some(at) => sleep_until(load_exchange.clock.instant(at).into()).await,
+        let next_call = load_exchange.distribution.borrow().next_due();
+        let call_due = async {
+            match next_call {
+                Some(next_call) => sleep_until(load_exchange.clock.instant(next_call).into()).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            () = due => {}
+            () = call_due => {}
             () = load_exchange.rescheduled.notified() => {}
             () = load_exchange.active.notified() => sleep_until(load_exchange.clock.instant(next_exchange).into()).await,
         }
--- a/crates/serving/dunespur/src/logging.rs
+++ b/crates/serving/dunespur/src/logging.rs
@@ -1,7 +1,8 @@
-//! Log lines on standard error: time, machine, role, level, text; or the same as JSON, an object a line.
+//! Log lines on standard error with time, machine, role, level and text, either as plain text or as one JSON object per
+//! line.
 //!
-//! A line is written by one system call: lines of several processes that share a file do not mix, and processor
-//! time is priced.
+//! Each line is written by one system call, so that lines of processes that share a file do not mix, and to save
+//! processor time, which is priced.
 
 use crate::clock::wall_clock_ms;
 use crate::settings::Role;
@@ -14,21 +15,21 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// A line's buffer is given back if it has grown beyond this.
-const KEEP_CAPACITY: usize = 16 * 1024;
+/// The line buffer is shrunk to this capacity after a longer line, in bytes.
+const MAX_RETAINED_CAPACITY: usize = 16 * 1024;
 
-/// How a line looks.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text, for people.
     Text,
-    /// For programs.
+    /// One JSON object per line, for programs.
     Json,
 }
 
-/// A text that names no log format.
+/// The error for a text that is not the name of a log format.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("a log format is text or json")]
+#[error("unknown log format: use text or json")]
 pub struct UnknownLogFormat;
 
 impl FromStr for LogFormat {
@@ -52,24 +53,24 @@
     }
 }
 
-/// Whose lines they are.
+/// The process that writes the log lines.
 #[derive(Clone, Debug)]
-pub struct Origin {
+pub struct LogOrigin {
     /// The machine's name.
     pub node: String,
-    /// The role of its process.
+    /// The role of the process.
     pub role: Role,
 }
 
-/// Starts logging.
-pub fn start(level: LevelFilter, format: LogFormat, origin: Origin) {
+/// Installs the logger of the process.
+pub fn start(level: LevelFilter, format: LogFormat, origin: LogOrigin) {
     match format {
         LogFormat::Text => start_text(level, &origin),
         LogFormat::Json => start_json(level, origin),
     }
 }
 
-fn start_text(level: LevelFilter, origin: &Origin) {
+fn start_text(level: LevelFilter, origin: &LogOrigin) {
     let config = ConfigBuilder::new()
         .set_time_level(LevelFilter::Off)
         .set_thread_level(LevelFilter::Off)
@@ -87,13 +88,13 @@
     );
 }
 
-fn start_json(level: LevelFilter, origin: Origin) {
+fn start_json(level: LevelFilter, origin: LogOrigin) {
     if log::set_boxed_logger(Box::new(JsonLogger { level, origin })).is_ok() {
         log::set_max_level(level);
     }
 }
 
-/// Puts time, machine and role before each line, which is written in chunks.
+/// Collects the chunks of a line, prefixes it with time, machine and role, and writes it at once.
 struct TextWriter {
     prefix: String,
     buffer: Vec<u8>,
@@ -101,10 +102,10 @@
 
 impl TextWriter {
     fn flush_line(&mut self) -> io::Result<()> {
-        let written = io::stderr().write_all(&self.buffer);
+        let result = io::stderr().write_all(&self.buffer);
         self.buffer.clear();
-        self.buffer.shrink_to(KEEP_CAPACITY);
-        written
+        self.buffer.shrink_to(MAX_RETAINED_CAPACITY);
+        result
     }
 }
 
@@ -130,10 +131,10 @@
 /// Writes each record as one JSON object.
 struct JsonLogger {
     level: LevelFilter,
-    origin: Origin,
+    origin: LogOrigin,
 }
 
-/// One line. `explain` reads it back.
+/// One JSON log line, which `explain` reads back.
 #[derive(Serialize)]
 struct JsonRecord<'a> {
     time: String,
@@ -163,7 +164,7 @@
             return;
         };
         bytes.push(b'\n');
-        // There is nobody to tell that a log line can't be written.
+        // A failure to write a log line can't be reported anywhere.
         let _ = io::stderr().write_all(&bytes);
     }
 
--- a/crates/serving/dunespur/src/messages.rs
+++ b/crates/serving/dunespur/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between the processes of the system, as postcard payloads of `dunespur-rpc` frames.
 //!
-//! Postcard goes by position and order: a field or variant that moves is another message. `tests/bytes` has the bytes
-//! of every variant.
+//! Postcard encodes fields and variants by position, so their order is part of the protocol. `tests/bytes` holds the
+//! encoded bytes of every variant.
 
 use bytes::Bytes;
 use dunespur_chain_replication::{MemberId, Message, Peer, View};
@@ -11,66 +11,66 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// A call or message to a process.
+/// A request or one-way message to a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// From one core member to another; not answered.
+    /// A state machine message between core members; one-way.
     Chain {
-        /// The sender.
+        /// The sending member.
         from: MemberId,
-        /// For its state machine.
+        /// The message for the receiver's state machine.
         message: Message,
     },
-    /// Queries the newest view that the process knows of.
+    /// Queries the newest view known to the process.
     QueryView,
     /// A machine with an empty disk at the first start of the system applies for membership of the first view.
     Candidate {
-        /// The machine.
+        /// The applying machine.
         peer: Peer,
     },
-    /// Executes an operation; answered once it is committed.
+    /// Executes an operation; answered once the operation is committed.
     Execute(Operation),
-    /// The newest configuration, confirmed by the complete chain.
+    /// Reads the newest configuration, confirmed by the complete chain.
     ReadConfiguration,
-    /// How far a retirement is, confirmed by the complete chain.
+    /// Reads the state of a store's retirement, confirmed by the complete chain.
     ReadRetirement {
         /// The store's name.
         node: String,
     },
-    /// Changes of the control state after an index; waits for some, a bounded time.
+    /// Requests changes of the control state after an index; waits for a bounded time if there are none.
     Watch(WatchRequest),
-    /// Leases whose renewals reached another core member.
+    /// Lease renewals, gossiped by another core member or sent by a store for its own lease; one-way.
     LeaseRenewals(LeaseRenewals),
-    /// To a store.
+    /// A request to a store.
     Store(StoreRequest),
-    /// A core member tells the view to a process that may know none; not answered.
+    /// A core member sends the view to a process that may not know one; one-way.
     Announce(View),
-    /// Queries the status of the process, and of the budget of a program.
+    /// Queries the status of the process, optionally with the budget of one program.
     Status {
-        /// The program's name; none leaves its budget out.
+        /// The program's name; `None` omits budgets of programs.
         program: Option<String>,
     },
-    /// From one gateway to another as the load aggregator of a service.
+    /// A load report from one gateway to another, which is the load aggregator of a service.
     LoadReport(Report),
 }
 
-/// Requests changes, and renews leases on the way.
+/// Requests changes of the control state and renews leases.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// The newest index that the caller knows; `None` requests everything.
+    /// The newest index known to the caller; `None` requests the complete state.
     pub after: Option<u64>,
-    /// Number of the newest view that the caller knows.
+    /// Number of the newest view known to the caller; 0 if it knows none.
     pub view: u64,
-    /// Leases renewed at the caller since its watch before.
+    /// Leases renewed at the caller since its previous watch.
     pub renewals: LeaseRenewals,
 }
 
-/// Servers and nodes that renewed their leases.
+/// Renewed leases of servers and nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRenewals {
-    /// Ids of servers.
+    /// Ids of the servers.
     pub servers: Vec<String>,
-    /// Gateways and stores.
+    /// Leases of gateways and stores.
     pub nodes: Vec<NodeLease>,
 }
 
@@ -79,12 +79,12 @@
 pub struct NodeLease {
     /// The machine's name.
     pub name: String,
-    /// Rises with each start of its process.
+    /// Number of the process start; later starts have higher numbers.
     pub incarnation: u64,
 }
 
 impl NodeLease {
-    /// The lease of a node that reports itself so.
+    /// The lease that belongs to a node's report.
     #[must_use]
     pub fn of(report: &NodeReport) -> NodeLease {
         NodeLease {
@@ -94,63 +94,63 @@
     }
 }
 
-/// Answers.
+/// The reply to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The process can't answer this now; another one may.
+    /// The process can't answer the request now; another process may.
     Unavailable,
-    /// The newest view that the process knows of; also acknowledges messages that have no other answer.
+    /// The newest view known to the process; also acknowledges messages that have no other reply.
     View(Option<View>),
-    /// To a candidate for the first view.
+    /// The answer to a candidate for the first view.
     Candidacy(Candidacy),
-    /// What the operation came to.
+    /// The outcome of the operation.
     Executed(Outcome),
-    /// The newest configuration as JSON; `None` where there is none yet.
+    /// The newest configuration as JSON; `None` if there is none yet.
     Configuration(Option<String>),
-    /// How far the retirement is; `None` where there is none.
+    /// State of the store's retirement; `None` if none was requested.
     Retirement(Option<RetirementState>),
-    /// To a watch.
+    /// The answer to a watch.
     StateUpdate(StateUpdate),
-    /// Of a store.
+    /// The reply of a store.
     Store(StoreReply),
     /// A [`Status`](crate::status::Status) as JSON.
     Status(String),
-    /// Of a load aggregator.
+    /// The reply of a load aggregator.
     LoadUpdate(Update),
 }
 
 /// The answer to a candidate for the first view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Candidacy {
-    /// Apply again soon.
+    /// No first view yet, or another machine founds it: apply again soon.
     Wait,
-    /// The first view, with the asking machine in it.
+    /// The first view; the asking machine is the head of its chain and starts it.
     Found(View),
-    /// The system stands already: join it.
+    /// The system already has this view: join it.
     Join(View),
 }
 
 /// Changes after the index of a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StateUpdate {
-    /// The index up to which these changes go.
+    /// The index of the control state after these changes.
     pub index: u64,
-    /// The changes are the complete state, and replace what the caller has.
+    /// Whether the changes are the complete state, which replaces the caller's.
     pub complete: bool,
-    /// The changes, in their order.
+    /// The changes, oldest first.
     pub changes: Vec<Change>,
-    /// The view, if it is newer than the caller's.
+    /// The newest view, if it is newer than the caller's.
     pub view: Option<View>,
 }
 
-/// The payload of a message.
+/// Encodes a message.
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
     postcard::to_stdvec(message)
         .map(Bytes::from)
         .unwrap_or_default()
 }
 
-/// The message of a payload, if it is one.
+/// Decodes a message; `None` if the payload is malformed.
 #[must_use]
 pub fn decode<T: DeserializeOwned>(payload: &[u8]) -> Option<T> {
     postcard::from_bytes(payload).ok()
--- a/crates/serving/dunespur/src/registration.rs
+++ b/crates/serving/dunespur/src/registration.rs
@@ -1,5 +1,5 @@
-//! A gateway's registration: it reports itself to the core once per incarnation, renews its lease with each watch, and
-//! reports when it leaves. A planned departure is reported as [`Operation::NodeExpired`], as an expired lease is.
+//! A gateway's registration with the core: the gateway reports itself once per incarnation, renews its lease with each
+//! watch, and reports a planned shutdown like an expired lease, as [`Operation::NodeExpired`].
 
 use crate::directory::{Directory, KnownState};
 use crate::messages::NodeLease;
@@ -11,21 +11,21 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Delay before a report is repeated that the core did not acknowledge.
+/// Delay after each report before the gateway checks whether the core knows it.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The core gets so long for a report.
+/// Timeout of a report to the core.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What a gateway wants its registration to be.
+/// The registration state that a gateway aims for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DesiredState {
-    /// Among the gateways that the core knows.
+    /// The core lists the gateway.
     Registered,
-    /// Removed, as its process is about to end.
+    /// The core has removed the gateway, as its process is about to end.
     Leaving,
 }
 
-/// One gateway's entry among the gateways that the core knows.
+/// Keeps one gateway's entry in the core up to date.
 pub struct GatewayRegistration {
     directory: Rc<Directory>,
     report: RefCell<NodeReport>,
@@ -33,7 +33,7 @@
 }
 
 impl GatewayRegistration {
-    /// Keeps this incarnation of the process registered from now on.
+    /// Starts the task that keeps this incarnation of the process registered.
     pub fn start(
         settings: &Settings,
         incarnation: u64,
@@ -59,15 +59,15 @@
         registration
     }
 
-    /// The process is about to end: others must not count on it any more. Reported as [`Operation::NodeExpired`], as an
-    /// expired lease is.
+    /// Removes the registration before the process ends, so that other processes stop relying on this gateway. Reported
+    /// like an expired lease, as [`Operation::NodeExpired`].
     pub fn leave(self: &Rc<Self>) {
         self.desired_state.set(DesiredState::Leaving);
         spawn_local(maintain_registration(self.clone()));
     }
 
-    /// The operation that the core still has to execute.
-    fn unreported(&self) -> Option<Operation> {
+    /// The operation that brings the core's entry to the desired state; `None` if it is there already.
+    fn outstanding_report(&self) -> Option<Operation> {
         let known = self.directory.known();
         known.index?;
         match self.desired_state.get() {
@@ -82,7 +82,7 @@
             return Some(Operation::Node(report.clone()));
         };
         if entry.incarnation > report.incarnation {
-            // The clock went back between two incarnations of this process: the present one is the newer one.
+            // The wall clock went back between two starts of this process. The new incarnation needs the higher number.
             report.incarnation = entry.incarnation + 1;
             self.directory.set_own_lease(NodeLease::of(&report));
         }
@@ -94,19 +94,19 @@
     fn missing_deregistration(&self, known: &KnownState) -> Option<Operation> {
         let report = self.report.borrow();
         let entry = known.gateways.get(&report.name)?;
-        let ours = entry.incarnation <= report.incarnation;
-        ours.then(|| Operation::NodeExpired {
+        let is_own_entry = entry.incarnation <= report.incarnation;
+        is_own_entry.then(|| Operation::NodeExpired {
             name: report.name.clone(),
             incarnation: report.incarnation,
         })
     }
 }
 
-/// Reports to the core what it does not know of this gateway yet, for as long as its desired state stays the same.
+/// Sends outstanding reports to the core until the desired state changes.
 async fn maintain_registration(registration: Rc<GatewayRegistration>) {
     let desired_state = registration.desired_state.get();
     while registration.desired_state.get() == desired_state {
-        match registration.unreported() {
+        match registration.outstanding_report() {
             Some(operation) => {
                 let _ = registration
                     .directory
--- a/crates/serving/dunespur/src/request_events.rs
+++ b/crates/serving/dunespur/src/request_events.rs
@@ -1,8 +1,9 @@
-//! Lines at debug level that say what was decided on a request and why, for `dunespur explain`.
+//! Debug log lines that record the decisions on a request and their reasons, for `dunespur explain`.
 //!
-//! Each is `event=NAME key=value ...`. Keys join the lines of one request, over processes: `request` is the id that
-//! the client gave, `ticket` names a send and `turn` an admission within one process, `previous` the turn that a
-//! turn goes on from, `program` its agent program. Nothing of this is formatted, let alone written, above debug.
+//! A line is `event=NAME key=value ...`. Keys connect the lines of one request across processes: `request` is the id
+//! given by the client, `ticket` identifies one attempt and `turn` one admission within a process, `previous` is the
+//! turn that a turn continues, and `program` its agent program. At log levels above debug nothing is formatted or
+//! written.
 
 use crate::clock::Clock;
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest};
@@ -11,63 +12,65 @@
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use std::fmt;
 
-/// Servers whose load is written with a choice; guards against lines of hundreds of servers.
+/// Maximum number of server loads in one line, as a gateway may know hundreds of servers.
 const MAX_LOADS: usize = 32;
 
-/// Whether these lines are written.
+/// Whether event lines are logged.
 pub fn enabled() -> bool {
     log::log_enabled!(log::Level::Debug)
 }
 
-/// Measures how long something takes, where that is written.
+/// Measures a duration for an event line; does nothing unless event lines are logged.
 pub struct Stopwatch(Option<(Clock, u64)>);
 
 impl Stopwatch {
-    /// Starts to measure.
+    /// Starts the measurement.
     pub fn start(clock: Clock) -> Stopwatch {
         Stopwatch(enabled().then(|| (clock, clock.now())))
     }
 
-    /// The time since the start; none where nothing is written.
+    /// Time since the start; `None` if event lines are not logged.
     pub fn took_ms(&self) -> Option<u64> {
         let (clock, started_at) = self.0.as_ref()?;
         Some(clock.now() - started_at)
     }
 }
 
-/// A value as it stands behind its key: in quotation marks if it would not end where it ends.
-pub struct Value<'a>(pub &'a str);
+/// Formats a field's value: as a JSON string if it is empty or contains spaces, quotation marks, backslashes or
+/// non-ASCII characters.
+pub struct FieldValue<'a>(pub &'a str);
 
-impl fmt::Display for Value<'_> {
+impl fmt::Display for FieldValue<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let is_plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '\\';
+        let is_plain =
+            |character: char| character.is_ascii_graphic() && character != '"' && character != '\\';
         if !self.0.is_empty() && self.0.chars().all(is_plain) {
             return f.write_str(self.0);
         }
-        // A text can always be written as JSON.
+        // Encoding a string as JSON can't fail.
         f.write_str(&serde_json::to_string(self.0).unwrap_or_default())
     }
 }
 
-/// A key with its value, behind a space; nothing where there is no value.
-struct Field<'a>(&'a str, Option<&'a str>);
+/// Formats an optional field, preceded by a space; empty without a value.
+struct OptionalField<'a>(&'a str, Option<&'a str>);
 
-impl fmt::Display for Field<'_> {
+impl fmt::Display for OptionalField<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.1 {
-            Some(value) => write!(f, " {}={}", self.0, Value(value)),
+            Some(value) => write!(f, " {}={}", self.0, FieldValue(value)),
             None => Ok(()),
         }
     }
 }
 
-/// A server was chosen, or none; `loads` is what this gateway had in flight at servers before.
+/// Logs the choice of a server, or that none was chosen; `loads` are this gateway's loads in flight before the choice.
 pub fn choice(request: &RoutingRequest, choice: &Choice, loads: &[LoadReport]) {
-    let program = Field("program", request.program);
-    let session = Field("session", request.session);
+    let program = OptionalField("program", request.program);
+    let session = OptionalField("session", request.session);
     let attempt = format!(
         "backend={} left_ms={} prompt={} max_tokens={} tried={}{program}{session}",
-        Value(request.backend),
+        FieldValue(request.backend),
         request.time_left_ms,
         request.prompt_tokens,
         request.max_tokens,
@@ -77,20 +80,20 @@
         Choice::Send(ticket) => log::debug!(
             "event=choice_reason ticket={} server={} address={} zone={} loads={} {attempt}",
             ticket.key,
-            Value(&ticket.server.id),
+            FieldValue(&ticket.server.id),
             ticket.server.address,
-            Value(&ticket.server.zone),
-            Value(&loads_text(loads)),
+            FieldValue(&ticket.server.zone),
+            FieldValue(&loads_text(loads)),
         ),
         Choice::Reject { retry_after_ms } => log::debug!(
             "event=choice_reason verdict=refuse retry_after_ms={retry_after_ms} loads={} {attempt}",
-            Value(&loads_text(loads))
+            FieldValue(&loads_text(loads))
         ),
         Choice::NoServer => log::debug!("event=choice_reason verdict=no_server {attempt}"),
     }
 }
 
-/// `server:requests` of each, such as `i-1:3,i-2:0`.
+/// Formats loads as `server:requests`, such as `i-1:3,i-2:0`.
 fn loads_text(loads: &[LoadReport]) -> String {
     let texts = loads
         .iter()
@@ -99,12 +102,12 @@
     texts.collect::<Vec<_>>().join(",")
 }
 
-/// The first event of a stream, or the head of a plain answer, has come.
+/// Logs that the first event of a stream, or the head of a plain response, has arrived.
 pub fn first_event(ticket: u64) {
     log::debug!("event=first_event ticket={ticket}");
 }
 
-/// An attempt has ended.
+/// Logs the outcome of an attempt.
 pub fn outcome(ticket: u64, outcome: Outcome) {
     match outcome {
         Outcome::Served { tokens_out } => {
@@ -125,7 +128,7 @@
     }
 }
 
-/// A turn was admitted or not; `waited_ms` is how long the decision took.
+/// Logs the admission decision on a turn; `waited_ms` is the time until the decision.
 pub fn budget(
     request: &AdmissionRequest,
     verdict: &AdmissionDecision,
@@ -141,18 +144,18 @@
     };
     log::debug!(
         "event=budget program={} budget={} max_tokens={} {verdict} leased={leased} waited_ms={waited_ms}",
-        Value(request.program),
+        FieldValue(request.program),
         request.budget,
         request.max_tokens,
     );
 }
 
-/// A turn has ended.
+/// Logs that an admitted turn has ended.
 pub fn release(turn: u64) {
     log::debug!("event=release turn={turn}");
 }
 
-/// The core's counter has answered a request of this limiter, or has not.
+/// Logs a counter request to the core with its reply; `None` if there was no reply.
 pub fn counter(request: &CounterRequest, reply: Option<&CounterReply>, took_ms: u64) {
     let change = match request.change {
         CounterChange::Lease {
@@ -178,13 +181,13 @@
     };
     log::debug!(
         "event=counter program={} sequence={} used={} {change} {reply} took_ms={took_ms}",
-        Value(&request.program),
+        FieldValue(&request.program),
         request.sequence,
         request.used,
     );
 }
 
-/// The turn that another one continues was looked up.
+/// Logs the result of reading the history that ends in the turn `previous`.
 pub fn history(program: &str, previous: &str, found: &History, took_ms: u64) {
     let outcome = match found {
         History::Found(messages) => {
@@ -198,52 +201,52 @@
     };
     log::debug!(
         "event=history previous={} program={} {outcome} took_ms={took_ms}",
-        Value(previous),
-        Value(program),
+        FieldValue(previous),
+        FieldValue(program),
     );
 }
 
-/// A store was called for the chain that ends in a turn.
+/// Logs a request to a store for the chain of turns that ends in `turn`.
 pub fn chain_request(previous: &str, turn: &str, store: &str) {
     log::debug!(
         "event=chain_request previous={} of={} store={}",
-        Value(previous),
-        Value(turn),
-        Value(store)
+        FieldValue(previous),
+        FieldValue(turn),
+        FieldValue(store)
     );
 }
 
-/// It answered, or could not be reached.
+/// Logs a store's reply to a request for a chain; `None` if there was no reply.
 pub fn chain_reply(previous: &str, store: &str, reply: Option<&StoreReply>) {
     log::debug!(
         "event=chain_reply previous={} store={} reply={}",
-        Value(previous),
-        Value(store),
+        FieldValue(previous),
+        FieldValue(store),
         reply_name(reply)
     );
 }
 
-/// A turn was put to a store.
+/// Logs a request to a store to store a turn.
 pub fn put(request: &str, store: &str, hint: Option<&str>) {
     log::debug!(
         "event=put request={} store={}{}",
-        Value(request),
-        Value(store),
-        Field("hint", hint)
+        FieldValue(request),
+        FieldValue(store),
+        OptionalField("hint", hint)
     );
 }
 
-/// The store answered, or could not be reached.
+/// Logs a store's reply to a request to store a turn; `None` if there was no reply.
 pub fn put_reply(request: &str, store: &str, reply: Option<&StoreReply>) {
     log::debug!(
         "event=put_reply request={} store={} reply={}",
-        Value(request),
-        Value(store),
+        FieldValue(request),
+        FieldValue(store),
         reply_name(reply)
     );
 }
 
-/// Whether enough stores have a turn on their disks.
+/// Logs whether enough stores have a turn on disk.
 pub fn persisted(
     request: &str,
     previous: Option<&str>,
@@ -253,39 +256,39 @@
 ) {
     log::debug!(
         "event=persisted request={}{} program={} verdict={} took_ms={took_ms}",
-        Value(request),
-        Field("previous", previous),
-        Value(program),
+        FieldValue(request),
+        OptionalField("previous", previous),
+        FieldValue(program),
         if persisted { "persisted" } else { "uncertain" },
     );
 }
 
-/// At a store: a request of a gateway or another store was answered.
+/// Logs, at a store, the reply to a request from a gateway or another store.
 pub fn store_answered(subject: &StoreSubject, reply: Option<&StoreReply>, took_ms: u64) {
     let reply = reply_name(reply);
     match subject {
         StoreSubject::Put { id, hint } => log::debug!(
             "event=stored request={}{} reply={reply} took_ms={took_ms}",
-            Value(id),
-            Field("hint", hint.as_deref()),
+            FieldValue(id),
+            OptionalField("hint", hint.as_deref()),
         ),
         StoreSubject::Chain { id } => {
             log::debug!(
                 "event=chain_read previous={} reply={reply} took_ms={took_ms}",
-                Value(id)
+                FieldValue(id)
             );
         }
     }
 }
 
-/// What a request to a store is about, as far as it belongs to one turn.
+/// The turn that a request to a store belongs to.
 pub enum StoreSubject {
     Put { id: String, hint: Option<String> },
     Chain { id: String },
 }
 
 impl StoreSubject {
-    /// None where nothing is written, or the request belongs to no turn.
+    /// `None` if event lines are not logged, or the request does not belong to one turn.
     pub fn of(request: &StoreRequest) -> Option<StoreSubject> {
         if !enabled() {
             return None;
--- a/crates/serving/dunespur/src/service.rs
+++ b/crates/serving/dunespur/src/service.rs
@@ -1,4 +1,4 @@
-//! What a gateway process answers to the other processes of the system.
+//! Internal RPC service of a gateway process: answers requests from the other processes of the system.
 
 use crate::clock::Clock;
 use crate::core::Coordinator;
@@ -13,19 +13,19 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Answers internal calls; the core's part is there on machines with a disk.
+/// Answers internal calls. Requests to the core are answered only on machines with a core member.
 pub struct GatewayService {
     /// The clock of the process.
     pub clock: Clock,
-    /// What it knows of the control state.
+    /// The known control state and the client of the core.
     pub directory: Rc<Directory>,
-    /// Its core member, on a machine with a disk.
+    /// The core member; only on a machine with a disk that counts for the quorum.
     pub coordinator: Option<Rc<Coordinator>>,
-    /// Its part in the exchange of loads.
+    /// The exchange of service loads.
     pub load_exchange: Rc<LoadExchange>,
-    /// Only at the process that founds the system.
+    /// The founder's state; only in the process that founds the system.
     pub founding: Option<RefCell<Founding>>,
-    /// What it reports of itself.
+    /// The parts that a status query reports on.
     pub status: GatewayStatus,
 }
 
@@ -44,7 +44,7 @@
                 self.directory.learn_view(view);
                 Reply::View(None)
             }
-            Request::Candidate { peer } => self.candidate(peer),
+            Request::Candidate { peer } => self.answer_candidate(peer),
             Request::LoadReport(report) => {
                 Reply::LoadUpdate(self.load_exchange.receive_report(&report))
             }
@@ -52,23 +52,26 @@
                 Reply::Status(self.status.status(program.as_deref()).to_json())
             }
             request => match &self.coordinator {
-                Some(coordinator) => core_answer(coordinator, request).await,
+                Some(coordinator) => answer_core_request(coordinator, request).await,
                 None => Reply::Unavailable,
             },
         }
     }
 
-    /// The newest view that this process knows of, as a member or by its watch.
+    /// The newest view known to this process, from its core member or its watch.
     fn view(&self) -> Option<View> {
-        let own = self
+        let member_view = self
             .coordinator
             .as_ref()
             .and_then(|coordinator| coordinator.view());
-        let learnt = self.directory.view();
-        own.into_iter().chain(learnt).max_by_key(|view| view.number)
+        let learnt_view = self.directory.view();
+        member_view
+            .into_iter()
+            .chain(learnt_view)
+            .max_by_key(|view| view.number)
     }
 
-    fn candidate(&self, peer: Peer) -> Reply {
+    fn answer_candidate(&self, peer: Peer) -> Reply {
         let Some(founding) = &self.founding else {
             return Reply::Unavailable;
         };
@@ -79,7 +82,7 @@
     }
 }
 
-async fn core_answer(coordinator: &Coordinator, request: Request) -> Reply {
+async fn answer_core_request(coordinator: &Coordinator, request: Request) -> Reply {
     match request {
         Request::Chain { from, message } => {
             coordinator.receive(from, message);
--- a/crates/serving/dunespur/src/settings.rs
+++ b/crates/serving/dunespur/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings file of a process (JSON), named by [`SETTINGS_VARIABLE`]. Unknown fields are ignored: newer
-//! platforms add some. All findings are reported at once, each with its place in the file.
+//! The settings file of a process (JSON), named by [`SETTINGS_VARIABLE`]. Unknown fields are ignored, as newer
+//! platforms add fields. All findings are reported at once, each with its place in the file.
 
 mod fields;
 mod read;
@@ -13,17 +13,17 @@
 /// The environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "DUNESPUR_CONFIG";
 
-/// What a process does.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Carries the traffic; a member of the core where it has a disk that counts.
+    /// Serves clients; also a member of the core on a machine with a disk that counts for the quorum.
     Gateway,
-    /// Keeps turns.
+    /// Stores turns.
     Store,
 }
 
 impl Role {
-    /// Its name, which is the subcommand that plays it.
+    /// Name of the role, which is also the subcommand that runs it.
     pub fn name(self) -> &'static str {
         match self {
             Role::Gateway => "gateway",
@@ -32,9 +32,9 @@
     }
 }
 
-/// A text that names no role.
+/// The error for a text that is not the name of a role.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("a role is gateway or store")]
+#[error("unknown role: use gateway or store")]
 pub struct UnknownRole;
 
 impl FromStr for Role {
@@ -56,67 +56,67 @@
     pub node: String,
     /// The machine's address.
     pub ip: IpAddr,
-    /// Where it stands; empty in a system of one place.
+    /// The machine's zone; empty in a system with a single zone.
     pub zone: String,
-    /// Where it listens for others than itself.
+    /// Addresses on which the process listens for clients, readiness checks, servers and operators.
     pub listen: Listen,
-    /// First and last port for traffic between the processes.
+    /// Ports for traffic between the processes of the system.
     pub port_range: PortRange,
-    /// Addresses of `control` of some machines, as the operator's list had them when the file was written.
+    /// Control addresses of some machines, from the operator's list at the time the file was written.
     pub seeds: Vec<SocketAddr>,
-    /// True at the first start of the complete system.
+    /// Whether this is the first start of the complete system.
     pub bootstrap: bool,
     /// Whether the loss of this machine counts against `fault_tolerance`.
     pub counts_for_quorum: bool,
-    /// What the machine grants it.
+    /// Resources that the machine grants the process.
     pub limits: ProcessLimits,
-    /// The folder of its files, on a machine with a disk.
+    /// The data folder; only on a machine with a disk.
     pub data_dir: Option<PathBuf>,
-    /// Interval between heartbeats of a server, in milliseconds.
+    /// Interval between a server's heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// What may be lost at once.
+    /// The losses that the system must tolerate.
     pub fault_tolerance: FaultTolerance,
 }
 
-/// Ports, both ends included.
+/// A range of ports, including both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
-    /// The first one.
+    /// The first port.
     pub first: u16,
-    /// The last one.
+    /// The last port.
     pub last: u16,
 }
 
-/// Addresses that the process listens on for others than itself.
+/// Addresses on which the process listens for callers outside the system.
 #[derive(Clone, Debug, Default)]
 pub struct Listen {
-    /// Clients.
+    /// Address for clients.
     pub front: Option<SocketAddr>,
-    /// Readiness checks.
+    /// Address for readiness checks.
     pub ready: Option<SocketAddr>,
-    /// Servers and the operator.
+    /// Address for servers and operators.
     pub control: Option<SocketAddr>,
 }
 
-/// What the machine grants the process.
+/// Resources that the machine grants the process.
 #[derive(Clone, Debug)]
 pub struct ProcessLimits {
     /// Memory in megabytes.
     pub memory_mb: u64,
-    /// Descriptors.
+    /// Maximum number of file descriptors.
     pub max_fds: u64,
-    /// Disk in megabytes, where it is stated.
+    /// Disk in megabytes, if stated.
     pub disk_mb: Option<u64>,
 }
 
-/// What may be lost at once.
+/// The losses that the system must tolerate.
 #[derive(Clone, Debug, Default)]
 pub struct FaultTolerance {
-    /// Machines.
+    /// Number of machines that may be lost at the same time.
     pub machines: u32,
 }
 
-/// Why settings can't be used. One line, however many findings there are.
+/// The error for unusable settings. Its text is a single line, however many findings there are.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -124,30 +124,30 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What reading it came to.
+        /// The error of reading the file.
         source: std::io::Error,
     },
-    /// What stands in it can't be used.
-    #[error("{}: {}", path.display(), one_line(findings))]
+    /// The file has findings.
+    #[error("{}: {}", path.display(), join_findings(findings))]
     Unusable {
         /// The file.
         path: PathBuf,
-        /// All that can't be used.
+        /// All findings.
         findings: Findings,
     },
 }
 
-fn one_line(findings: &Findings) -> String {
+fn join_findings(findings: &Findings) -> String {
     let findings: Vec<String> = findings.0.iter().map(ToString::to_string).collect();
     findings.join("; ")
 }
 
 impl Settings {
-    /// Reads and checks the file of a process with this role.
+    /// Reads and checks the settings file of a process with this role.
     ///
     /// # Errors
     ///
-    /// If the file can't be read, or anything in it can't be used.
+    /// If the file can't be read, or has findings.
     pub fn read(path: &Path, role: Role) -> Result<Settings, SettingsError> {
         let bytes = std::fs::read(path).map_err(|source| SettingsError::Unreadable {
             path: path.to_owned(),
@@ -159,21 +159,21 @@
         })
     }
 
-    /// Reads settings out of their bytes. What one role alone needs is checked only where the role is known.
+    /// Parses and checks settings. Fields that only one role requires are checked only if `role` is given.
     ///
     /// # Errors
     ///
-    /// All that can't be used.
+    /// All findings.
     pub fn parse(bytes: &[u8], role: Option<Role>) -> Result<Settings, Findings> {
         read::settings(bytes, role)
     }
 
-    /// Where this process listens for the others of the system.
+    /// Address on which this process listens for other processes of the system.
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.port_range.first)
     }
 
-    /// Internal addresses of the seeds: the port is alike on all machines.
+    /// Internal addresses of the seeds, sorted; the internal port is the same on all machines.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         let mut addresses: Vec<_> = self
             .seeds
@@ -185,14 +185,15 @@
         addresses
     }
 
-    /// Whether this process may be a member of the core: it has a disk, and its loss counts.
-    pub fn core_disk(&self) -> Option<&Path> {
+    /// The data folder of the core member, if this machine has one: it needs a disk and a control address, and its loss
+    /// has to count for the quorum.
+    pub fn core_data_dir(&self) -> Option<&Path> {
         self.data_dir
             .as_deref()
             .filter(|_| self.counts_for_quorum && self.listen.control.is_some())
     }
 
-    /// Machines that have to store what is acknowledged.
+    /// Number of stores that must have a turn on disk before it is acknowledged.
     pub fn required_replicas(&self) -> usize {
         self.fault_tolerance.machines as usize + 1
     }
--- a/crates/serving/dunespur/src/settings/fields.rs
+++ b/crates/serving/dunespur/src/settings/fields.rs
@@ -1,27 +1,27 @@
-//! The fields of one JSON object of the settings, read by name and type; what can't be used becomes a finding.
+//! Typed access to the fields of one JSON object of the settings; unusable values become findings.
 
 use dunespur_configuration::Findings;
 use serde_json::{Map, Value};
 use std::fmt::Display;
 use std::str::FromStr;
 
-/// The place of findings about the complete file.
-const TOP: &str = "settings";
+/// Place given in findings about the complete file.
+const ROOT_PATH: &str = "settings";
 
-/// The fields of an object. One that is null, or an empty text, counts as absent: the platform leaves fields
-/// empty that do not matter to a process.
+/// The fields of an object. A field that is null or an empty text counts as absent: the platform leaves fields empty
+/// that do not apply to a process.
 pub struct Fields<'a> {
     object: Option<&'a Map<String, Value>>,
-    /// What stands before a field's name in its place.
+    /// Path of the object with a trailing dot, which precedes field names in findings.
     prefix: String,
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of the complete file.
-    pub fn top(value: &'a Value, findings: &mut Findings) -> Fields<'a> {
+    /// The fields of the file's top-level object.
+    pub fn root(value: &'a Value, findings: &mut Findings) -> Fields<'a> {
         let object = value.as_object();
         if object.is_none() {
-            findings.add(TOP, "is not an object");
+            findings.add(ROOT_PATH, "is not an object");
         }
         Fields {
             object,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The fields of an object inside; none where it is absent.
+    /// The fields of a nested object; empty if the object is absent.
     pub fn object(&self, name: &str, findings: &mut Findings) -> Fields<'a> {
         let value = self.value(name);
         let object = value.and_then(Value::as_object);
@@ -42,19 +42,19 @@
         }
     }
 
-    /// The place of a field.
+    /// The path of a field, for findings.
     pub fn path_of(&self, name: &str) -> String {
         format!("{}{name}", self.prefix)
     }
 
-    /// Adds a finding if the field is absent. Without its object, that is the finding.
-    pub fn need(&self, name: &str, problem: &str, findings: &mut Findings) {
+    /// Adds a finding if the field is absent. If the whole object is missing, that has its own finding already.
+    pub fn require(&self, name: &str, problem: &str, findings: &mut Findings) {
         if self.object.is_some() && self.value(name).is_none() {
             findings.add(self.path_of(name), problem);
         }
     }
 
-    /// A text.
+    /// Reads a text field.
     pub fn text(&self, name: &str, findings: &mut Findings) -> Option<&'a str> {
         let value = self.value(name)?;
         let text = value.as_str();
@@ -64,31 +64,36 @@
         text
     }
 
-    /// A text that stands for something, such as an address.
-    pub fn parsed<T: FromStr>(&self, name: &str, what: &str, findings: &mut Findings) -> Option<T> {
+    /// Reads a text field and parses it; `expected` describes valid values, such as an address.
+    pub fn parsed<T: FromStr>(
+        &self,
+        name: &str,
+        expected: &str,
+        findings: &mut Findings,
+    ) -> Option<T> {
         let text = self.text(name, findings)?;
-        parse(text, self.path_of(name), what, findings)
+        parse(text, self.path_of(name), expected, findings)
     }
 
-    /// A list of such texts; what can't be used is left out of it.
+    /// Reads a list of texts and parses each; unusable items are left out.
     pub fn parsed_array<T: FromStr>(
         &self,
         name: &str,
-        what: &str,
+        expected: &str,
         findings: &mut Findings,
     ) -> Vec<T> {
         let mut array = Vec::new();
         for (index, item) in self.array(name, findings).iter().enumerate() {
             let item_path = format!("{}[{index}]", self.path_of(name));
             match item.as_str() {
-                Some(text) => array.extend(parse::<T>(text, item_path, what, findings)),
+                Some(text) => array.extend(parse::<T>(text, item_path, expected, findings)),
                 None => findings.add(item_path, format!("is {item}, not a text")),
             }
         }
         array
     }
 
-    /// The items of an array; none where it is absent.
+    /// The items of an array field; empty if the field is absent.
     pub fn array(&self, name: &str, findings: &mut Findings) -> &'a [Value] {
         match self.value(name) {
             None => &[],
@@ -100,22 +105,22 @@
         }
     }
 
-    /// A boolean; false where it is absent.
-    pub fn flag(&self, name: &str, findings: &mut Findings) -> bool {
+    /// Reads a boolean field; false if the field is absent.
+    pub fn boolean(&self, name: &str, findings: &mut Findings) -> bool {
         let Some(value) = self.value(name) else {
             return false;
         };
-        let flag = value.as_bool();
-        if flag.is_none() {
+        let boolean = value.as_bool();
+        if boolean.is_none() {
             findings.add(
                 self.path_of(name),
                 format!("is {value}, neither true nor false"),
             );
         }
-        flag.unwrap_or(false)
+        boolean.unwrap_or(false)
     }
 
-    /// A number from 0 up; a fraction is truncated.
+    /// Reads a non-negative number; fractions are truncated.
     pub fn unsigned(&self, name: &str, findings: &mut Findings) -> Option<u64> {
         let value = self.value(name)?;
         let number = value.as_u64().or_else(|| value.as_f64().and_then(truncate));
@@ -142,12 +147,12 @@
 fn parse<T: FromStr>(
     text: &str,
     path: impl Display,
-    what: &str,
+    expected: &str,
     findings: &mut Findings,
 ) -> Option<T> {
     let parsed = text.parse().ok();
     if parsed.is_none() {
-        findings.add(path, format!("is {text:?}, not {what}"));
+        findings.add(path, format!("is {text:?}, not {expected}"));
     }
     parsed
 }
--- a/crates/serving/dunespur/src/settings/read.rs
+++ b/crates/serving/dunespur/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reads settings from JSON. Reading goes on past what can't be used, so that all findings come at once.
+//! Reads settings from JSON. Reading continues after unusable values, so that all findings are reported at once.
 
 use super::fields::Fields;
 use super::{FaultTolerance, Listen, PortRange, ProcessLimits, Role, Settings};
@@ -7,22 +7,22 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Memory of a process that the platform states nothing of.
+/// Memory of a process if the platform states none, in megabytes.
 const DEFAULT_MEMORY_MB: u64 = 256;
-/// Descriptors of such a process.
+/// File descriptors of a process if the platform states none.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// Interval between heartbeats of a server where none is stated.
+/// Interval between a server's heartbeats if none is stated, in milliseconds.
 const DEFAULT_HEARTBEAT_MS: u64 = 1000;
 
-/// What addresses have to be.
-const ADDRESS: &str = "an IP address with a port";
+/// Description of a valid address, for findings.
+const EXPECTED_ADDRESS: &str = "an IP address with a port";
 
 /// Reads and checks the bytes of a settings file.
 pub fn settings(bytes: &[u8], role: Option<Role>) -> Result<Settings, Findings> {
     let value: Value = serde_json::from_slice(bytes)
         .map_err(|error| Findings::one("settings", error.to_string()))?;
     let mut findings = Findings::default();
-    let fields = Fields::top(&value, &mut findings);
+    let fields = Fields::root(&value, &mut findings);
     let settings = read(&fields, &mut findings);
     check_role(&fields, role, &mut findings);
     if let Some(settings) = &settings {
@@ -34,22 +34,22 @@
     }
 }
 
-/// The settings with what can't be used left out; none where a needed field can't be used.
+/// Reads the settings without unusable values; `None` if a required field is missing or unusable.
 fn read(fields: &Fields, findings: &mut Findings) -> Option<Settings> {
     for name in ["node", "ip", "port_range"] {
-        fields.need(name, "is missing", findings);
+        fields.require(name, "is missing", findings);
     }
     let node = fields.text("node", findings);
     let ip = fields.parsed("ip", "an IP address", findings);
     let zone = fields.text("zone", findings).unwrap_or_default();
     let port_range = port_range(fields, findings);
     let listen = listen(&fields.object("listen", findings), findings);
-    let seeds = fields.parsed_array("seeds", ADDRESS, findings);
-    let bootstrap = fields.flag("bootstrap", findings);
-    let counts_for_quorum = fields.flag("counts_for_quorum", findings);
+    let seeds = fields.parsed_array("seeds", EXPECTED_ADDRESS, findings);
+    let bootstrap = fields.boolean("bootstrap", findings);
+    let counts_for_quorum = fields.boolean("counts_for_quorum", findings);
     let limits = limits(&fields.object("limits", findings), findings);
     let data_dir = fields.text("data_dir", findings).map(PathBuf::from);
-    let heartbeat_ms = heartbeat(fields, findings);
+    let heartbeat_ms = heartbeat_interval(fields, findings);
     let fault_tolerance = fault_tolerance(&fields.object("fault_tolerance", findings), findings);
     Some(Settings {
         node: node?.to_owned(),
@@ -111,9 +111,9 @@
 
 fn listen(fields: &Fields, findings: &mut Findings) -> Listen {
     Listen {
-        front: fields.parsed("front", ADDRESS, findings),
-        ready: fields.parsed("ready", ADDRESS, findings),
-        control: fields.parsed("control", ADDRESS, findings),
+        front: fields.parsed("front", EXPECTED_ADDRESS, findings),
+        ready: fields.parsed("ready", EXPECTED_ADDRESS, findings),
+        control: fields.parsed("control", EXPECTED_ADDRESS, findings),
     }
 }
 
@@ -129,7 +129,7 @@
     }
 }
 
-fn heartbeat(fields: &Fields, findings: &mut Findings) -> u64 {
+fn heartbeat_interval(fields: &Fields, findings: &mut Findings) -> u64 {
     let heartbeat_ms = fields
         .unsigned("heartbeat_ms", findings)
         .unwrap_or(DEFAULT_HEARTBEAT_MS);
@@ -146,27 +146,27 @@
     }
 }
 
-/// What one role alone needs.
+/// Checks the fields that only one role requires.
 fn check_role(fields: &Fields, role: Option<Role>, findings: &mut Findings) {
     if role == Some(Role::Store) {
-        fields.need("data_dir", "is missing, and a store needs a disk", findings);
+        fields.require("data_dir", "is missing, and a store needs a disk", findings);
     }
 }
 
-/// Guards against two listeners at one address: the second one would fail only at the start.
+/// Checks that no two listeners share an address: the second one would fail only at the start of the process.
 fn check_addresses(settings: &Settings, findings: &mut Findings) {
     let listen = &settings.listen;
-    let named = [
+    let listeners = [
         ("listen.front", listen.front),
         ("listen.ready", listen.ready),
         ("listen.control", listen.control),
     ];
-    let mut taken: Vec<(&str, SocketAddr)> = vec![("port_range[0]", settings.internal_address())];
-    for (path, address) in named {
+    let mut used: Vec<(&str, SocketAddr)> = vec![("port_range[0]", settings.internal_address())];
+    for (path, address) in listeners {
         let Some(address) = address else { continue };
-        if let Some((other, _)) = taken.iter().find(|(_, other)| *other == address) {
+        if let Some((other, _)) = used.iter().find(|(_, other)| *other == address) {
             findings.add(path, format!("is {address}, the address of {other} too"));
         }
-        taken.push((path, address));
+        used.push((path, address));
     }
 }
--- a/crates/serving/dunespur/src/sockets.rs
+++ b/crates/serving/dunespur/src/sockets.rs
@@ -8,7 +8,7 @@
 ///
 /// # Errors
 ///
-/// If the address can't be listened on.
+/// If the address can't be bound.
 pub async fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
     TcpListener::bind(address)
         .await
--- a/crates/serving/dunespur/src/status.rs
+++ b/crates/serving/dunespur/src/status.rs
@@ -1,6 +1,6 @@
-//! What a process reports of itself over the internal link, and `dunespur status`, which queries it.
+//! The status of a process, and `dunespur status`, which queries it over the internal address.
 //!
-//! The answer is JSON: a newer `dunespur status` reads the answer of an older process, and the other way round.
+//! A status is sent as JSON, so that older and newer versions of `dunespur status` and of the processes can be mixed.
 
 mod query;
 
--- a/crates/serving/dunespur/src/status/query.rs
+++ b/crates/serving/dunespur/src/status/query.rs
@@ -1,4 +1,4 @@
-//! `dunespur status`: asks a process for its status and prints it.
+//! `dunespur status`: queries the status of a process and prints it.
 
 use super::report::Status;
 use super::table;
@@ -8,39 +8,39 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A process that has not answered by then is reported as not answering.
+/// Timeout of the query, after which the process counts as not answering.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Which process is queried, and how its answer is shown.
+/// Arguments of `dunespur status`.
 #[derive(Clone, Debug)]
 pub struct StatusQuery {
-    /// Prints JSON instead of tables.
+    /// Whether to print JSON instead of tables.
     pub json: bool,
-    /// A program whose budget is shown as well.
+    /// An agent program whose budget is included.
     pub program: Option<String>,
-    /// Where the process listens for the others of the system.
+    /// Internal address of the process.
     pub address: SocketAddr,
 }
 
-/// Queries the process, and prints its answer on standard output.
+/// Queries the process and prints its status on standard output.
 ///
 /// # Errors
 ///
-/// If there is no answer, or one that is no status.
+/// If there is no answer, or the answer is not a status.
 pub async fn run(query: StatusQuery) -> anyhow::Result<()> {
-    let text = answer(&query)
+    let json = query_status(&query)
         .await
         .with_context(|| query.address.to_string())?;
     if query.json {
-        println!("{text}");
+        println!("{json}");
         return Ok(());
     }
-    let status: Status = serde_json::from_str(&text).context("an answer that is no status")?;
-    print!("{}", table::of(&status));
+    let status: Status = serde_json::from_str(&json).context("the answer is not a valid status")?;
+    print!("{}", table::render(&status));
     Ok(())
 }
 
-async fn answer(query: &StatusQuery) -> anyhow::Result<String> {
+async fn query_status(query: &StatusQuery) -> anyhow::Result<String> {
     let request = encode(&Request::Status {
         program: query.program.clone(),
     });
@@ -49,6 +49,6 @@
         .await?;
     match decode(&answer) {
         Some(Reply::Status(json)) => Ok(json),
-        _ => bail!("it does not tell its status: an older version, or no process of this system"),
+        _ => bail!("the process did not answer with a status: it is an older version, or not a dunespur process"),
     }
 }
--- a/crates/serving/dunespur/src/status/report.rs
+++ b/crates/serving/dunespur/src/status/report.rs
@@ -1,45 +1,45 @@
-//! The form of a status. Fields that a process does not tell have their defaults; unknown ones are ignored.
+//! The fields of a status. Missing fields have their defaults when a status is read; unknown ones are ignored.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// All that a process says of itself.
+/// The status of a process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
     /// The machine's name.
     pub node: String,
-    /// Its role: `gateway` or `store`.
+    /// The role of the process: `gateway` or `store`.
     pub role: String,
-    /// Of its program.
+    /// Version of the program.
     pub version: String,
     /// The zone of the machine.
     pub zone: String,
-    /// Time since its start.
+    /// Time since the start of the process, in milliseconds.
     pub up_ms: u64,
-    /// What the process takes of its machine.
+    /// Resource usage of the process.
     pub process: ProcessStatus,
-    /// Calls to other processes.
+    /// Counters of calls to other processes.
     pub link: LinkStatus,
-    /// What it knows of the control state.
+    /// The known control state.
     pub control: ControlStatus,
-    /// The newest view that it knows of.
+    /// The newest known view of the core.
     pub view: Option<ViewStatus>,
-    /// Of a core member.
+    /// Status of the core member, in a process that has one.
     pub core: Option<CoreStatus>,
     /// The gateways that the core knows.
     pub gateways: Vec<GatewayEntryStatus>,
-    /// Services with their servers.
+    /// Services with their servers, from a gateway.
     pub services: Vec<ServiceStatus>,
     /// The stores that the core knows.
     pub stores: Vec<StoreStatus>,
-    /// Of a gateway.
+    /// Counters of the data plane, from a gateway.
     pub front: Option<FrontStatus>,
-    /// Of a gateway.
+    /// Leases on budgets, from a gateway.
     pub budgets: Option<BudgetStatus>,
-    /// Of a store.
+    /// Turns on the disk, from a store.
     pub turns: Option<TurnsStatus>,
-    /// Of the program that was queried.
+    /// Budget of the queried agent program.
     pub program: Option<ProgramStatus>,
 }
 
@@ -48,25 +48,25 @@
     ///
     /// # Panics
     ///
-    /// Never: a status holds nothing that JSON can't.
+    /// Never: every field of a status can be encoded as JSON.
     #[must_use]
     pub fn to_json(&self) -> String {
-        // Only a map with keys that are no texts, or a writer that fails, makes this fail; neither is there.
-        serde_json::to_string_pretty(self).expect("a status can be written")
+        // Encoding fails only for maps with keys that are not strings, or for a failing writer; neither occurs here.
+        serde_json::to_string_pretty(self).expect("a status should be encodable as JSON")
     }
 }
 
-/// What the process takes of its machine.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ProcessStatus {
     /// Resident memory in kilobytes.
     pub memory_kb: u64,
-    /// The most of it so far.
+    /// Peak resident memory in kilobytes.
     pub peak_memory_kb: u64,
     /// Processor time in milliseconds, user and system together.
     pub processor_ms: u64,
-    /// Open descriptors.
+    /// Open file descriptors.
     pub descriptors: u64,
 }
 
@@ -78,33 +78,33 @@
     pub calls: u64,
     /// Calls without an answer.
     pub failed: u64,
-    /// Watches that were not answered: the next one went to another core member, or to the same one again.
+    /// Watches that failed, after which another core member or the same one was tried.
     pub watches_lost: u64,
 }
 
-/// What it knows of the control state.
+/// The control state known to the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ControlStatus {
-    /// Index of the control state; none until the first answer.
+    /// Index of the known control state; `None` until the first update.
     pub index: Option<u64>,
-    /// Generation of the configuration in force here.
+    /// Generation of the configuration in force in this process.
     pub generation: Option<u64>,
-    /// Whether a core member has answered lately.
+    /// Whether a core member has recently answered a watch.
     pub in_touch: bool,
-    /// Time since the last answer of a core member; none until the first.
+    /// Time in milliseconds since the newest answered watch was sent; `None` until the first answer.
     pub silent_ms: Option<u64>,
-    /// The core member that answered last.
+    /// Address of the core member that last answered a watch.
     pub follows: Option<SocketAddr>,
 }
 
-/// Who is in the core, and in which order.
+/// A view of the core: its members and their order in the chain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ViewStatus {
     /// The view's number.
     pub number: u64,
-    /// Its members.
+    /// Members of the view.
     pub members: Vec<MemberStatus>,
 }
 
@@ -113,36 +113,36 @@
 pub struct MemberStatus {
     /// The machine's name.
     pub node: String,
-    /// Where other processes of the system reach it.
+    /// Internal address of the process.
     pub address: SocketAddr,
-    /// Its position in the chain, the head's is 0; none for a voter that is out of the chain.
+    /// Position in the chain, 0 for the head; `None` for a voter outside the chain.
     #[serde(rename = "place")]
     pub chain_position: Option<usize>,
 }
 
-/// What a core member says of its part.
+/// The status of a core member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CoreStatus {
-    /// It is connected with a majority of the view.
+    /// Whether the member is connected to a majority of the view.
     pub current: bool,
-    /// Commits come in here as they are made.
+    /// Whether the member is up to date with the chain and answers reads.
     pub follows: bool,
-    /// Index up to which operations are committed here.
+    /// Index of the last operation that the member knows to be committed.
     pub committed: u64,
-    /// Operations that wait here for their commit.
+    /// Operations that wait for their commit at this member.
     pub waiting: usize,
-    /// Snapshots of others, and chunks of them, that were rejected.
+    /// Rejected snapshots and snapshot chunks from other members.
     pub refused_snapshots: u64,
-    /// Programs with a counter.
+    /// Agent programs with a counter.
     pub programs: usize,
-    /// Bytes of the state that the counters take, at most.
+    /// Upper estimate of the bytes that the counters take in the state.
     pub counter_bytes: usize,
-    /// Above this many bytes of counters new programs have to wait.
+    /// Limit on the bytes of counters, above which new programs have to wait.
     pub max_counter_bytes: usize,
-    /// Its disk.
+    /// Work of the disk.
     pub disk: DiskStatus,
-    /// The leases that it knows, those of nodes first.
+    /// Known leases, in the order of their duration and holder.
     pub leases: Vec<LeaseStatus>,
 }
 
@@ -150,49 +150,49 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DiskStatus {
-    /// Jobs that are queued and not done.
+    /// Queued jobs that are not done.
     pub waiting: u64,
     /// Jobs done so far.
     pub done: u64,
-    /// Attempts at a job that failed.
+    /// Failed attempts at jobs.
     pub failed: u64,
 }
 
-/// A lease as a core member hears of it.
+/// A lease as one core member knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStatus {
     /// A server's id or a machine's name.
     pub holder: String,
-    /// Since it was last renewed.
+    /// Time since the last renewal, in milliseconds.
     pub silent_ms: u64,
-    /// Without renewal it expires after this time.
+    /// Time without a renewal after which the lease expires, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// A service with the servers that are known here.
+/// A service with its known servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceStatus {
     /// The service's name.
     pub name: String,
-    /// Its servers.
+    /// Servers of the service.
     pub servers: Vec<ServerStatus>,
 }
 
 /// A server of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// Names one start of the server.
+    /// Id of one start of the server.
     pub id: String,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Requests that it handles at once.
+    /// Number of requests that the server handles at the same time.
     pub slots: u32,
-    /// It takes no new requests.
+    /// Whether the server takes no new requests.
     pub draining: bool,
-    /// Requests of this gateway that it is at work on.
+    /// Requests of this gateway in flight at the server.
     pub in_flight: u32,
 }
 
@@ -201,9 +201,9 @@
 pub struct GatewayEntryStatus {
     /// The machine's name.
     pub name: String,
-    /// Where other processes of the system reach it.
+    /// Internal address of the process.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
 }
 
@@ -212,18 +212,18 @@
 pub struct StoreStatus {
     /// The machine's name.
     pub name: String,
-    /// Where other processes of the system reach it.
+    /// Internal address of the process.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Its lease has not expired.
+    /// Whether the store's lease has not expired.
     pub present: bool,
-    /// All that it should store is there.
+    /// Whether the store has every turn that it should hold.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// It is being emptied.
+    /// Whether the store is being emptied.
     pub retiring: bool,
-    /// It has been emptied and removed.
+    /// Whether the store has been emptied and removed.
     pub retired: bool,
 }
 
@@ -231,13 +231,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FrontStatus {
-    /// Clients are wanted: a configuration and servers are known, and the process does not end.
+    /// Whether the gateway takes clients: it knows a configuration and servers, and is not shutting down.
     pub ready: bool,
     /// Open connections of clients.
     pub connections: usize,
     /// Connections of clients accepted so far.
     pub accepted: u64,
-    /// Requests so far.
+    /// Requests received so far.
     pub requests: u64,
     /// Requests rejected by this gateway.
     pub refused: u64,
@@ -255,9 +255,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct BudgetStatus {
-    /// Programs with a lease here.
+    /// Programs with a lease at this gateway.
     pub programs: usize,
-    /// Turns that wait for a verdict.
+    /// Turns that wait for an admission decision.
     pub waiting: usize,
 }
 
@@ -267,22 +267,22 @@
 pub struct TurnsStatus {
     /// Turns stored.
     pub turns: usize,
-    /// Bytes of their bodies.
+    /// Bytes of the stored turns' bodies.
     pub bytes: u64,
-    /// The most bytes of bodies that it stores.
+    /// Maximum bytes of bodies that the store holds.
     pub capacity_bytes: u64,
-    /// All that it should store is there.
+    /// Whether the store has every turn that it should hold.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// All that it stored is replicated elsewhere.
+    /// Whether every turn of the store is replicated elsewhere.
     pub emptied: bool,
-    /// Some turns go on from others that are not here yet.
+    /// Whether some turns continue turns that the store does not have yet.
     pub incomplete: bool,
-    /// Turns that it should hold, is known to lack and is fetching.
+    /// Turns that the store should hold but lacks, and is fetching.
     pub missing: usize,
-    /// Requests that wait for their answer.
+    /// Requests that wait for an answer.
     pub waiting: usize,
-    /// Its disk.
+    /// Work of the disk.
     pub disk: DiskStatus,
 }
 
@@ -292,12 +292,12 @@
 pub struct ProgramStatus {
     /// The program's name.
     pub name: String,
-    /// Tokens that this gateway leases.
+    /// Tokens leased by this gateway.
     #[serde(rename = "held_here")]
     pub leased_here: Option<u64>,
-    /// Tokens that were reported as used, by this core member's counter.
+    /// Tokens reported as used, by this core member's counter.
     pub used: Option<u64>,
-    /// Tokens that limiters lease, by this core member's counter.
+    /// Tokens leased to all limiters, by this core member's counter.
     #[serde(rename = "held")]
     pub leased: Option<u64>,
 }
--- a/crates/serving/dunespur/src/status/table.rs
+++ b/crates/serving/dunespur/src/status/table.rs
@@ -1,4 +1,4 @@
-//! A status as tables for people.
+//! Formats a status as text with tables, for people.
 
 use super::report::{
     ControlStatus, CoreStatus, DiskStatus, FrontStatus, GatewayEntryStatus, ProcessStatus,
@@ -6,20 +6,20 @@
 };
 use std::fmt::Write;
 
-/// Spaces between two columns.
-const GAP: usize = 2;
+/// Spaces between two columns of a table.
+const COLUMN_GAP: usize = 2;
 const KB_PER_MB: f64 = 1024.0;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// The complete text.
-pub fn of(status: &Status) -> String {
+/// Renders the complete status.
+pub fn render(status: &Status) -> String {
     let mut text = String::new();
-    push(&mut text, head(status));
-    push(&mut text, process(status.process));
-    push(&mut text, control(&status.control));
+    push_line(&mut text, header(status));
+    push_line(&mut text, process(status.process));
+    push_line(&mut text, control(&status.control));
     let link = status.link;
-    push(
+    push_line(
         &mut text,
         format!(
             "link: calls {}, unanswered {}, watches lost {}",
@@ -27,16 +27,16 @@
         ),
     );
     if let Some(known) = &status.view {
-        push(&mut text, view(known));
+        push_line(&mut text, view(known));
     }
     if let Some(member) = &status.core {
-        push(&mut text, core(member));
+        push_line(&mut text, core(member));
     }
     if let Some(counters) = status.front {
-        push(&mut text, front(counters));
+        push_line(&mut text, front(counters));
     }
     if let Some(budgets) = status.budgets {
-        push(
+        push_line(
             &mut text,
             format!(
                 "budgets: programs {}, turns waiting {}",
@@ -45,10 +45,10 @@
         );
     }
     if let Some(budget) = &status.program {
-        push(&mut text, program(budget));
+        push_line(&mut text, program(budget));
     }
     if let Some(stored) = status.turns {
-        push(&mut text, turns(stored));
+        push_line(&mut text, turns(stored));
     }
     push_table(&mut text, gateways(&status.gateways));
     push_table(&mut text, services(&status.services));
@@ -59,12 +59,12 @@
     text
 }
 
-fn push(text: &mut String, line: String) {
+fn push_line(text: &mut String, line: String) {
     text.push_str(&line);
     text.push('\n');
 }
 
-fn head(status: &Status) -> String {
+fn header(status: &Status) -> String {
     let Status {
         node,
         role,
@@ -103,7 +103,7 @@
             format!("configuration {number}")
         });
     let last_answer = match (control.follows, control.silent_ms) {
-        (Some(member), Some(silent)) => format!("{member} answered {} ago", seconds(silent)),
+        (Some(member), Some(silent_ms)) => format!("{member} answered {} ago", seconds(silent_ms)),
         _ => "no core member has answered".to_owned(),
     };
     let contact = if control.in_touch {
@@ -123,25 +123,25 @@
     chain.sort_by_key(|member| member.chain_position);
     let chain: Vec<&str> = chain.iter().map(|member| member.node.as_str()).collect();
     let mut text = format!("view {}: chain {}", view.number, chain.join(" > "));
-    let out = view
+    let outside_chain = view
         .members
         .iter()
         .filter(|member| member.chain_position.is_none());
-    let out: Vec<&str> = out.map(|member| member.node.as_str()).collect();
-    if !out.is_empty() {
-        let _ = write!(text, "; OUT OF THE CHAIN {}", out.join(", "));
+    let outside_chain: Vec<&str> = outside_chain.map(|member| member.node.as_str()).collect();
+    if !outside_chain.is_empty() {
+        let _ = write!(text, "; OUT OF THE CHAIN {}", outside_chain.join(", "));
     }
     text
 }
 
 fn core(core: &CoreStatus) -> String {
-    let stands = match (core.current, core.follows) {
+    let state = match (core.current, core.follows) {
         (_, true) => "follows",
-        (true, false) => "HEARS A MAJORITY, GETS NO COMMITS",
-        (false, false) => "HEARS NO MAJORITY",
+        (true, false) => "CONNECTED TO A MAJORITY, NOT UP TO DATE",
+        (false, false) => "NOT CONNECTED TO A MAJORITY",
     };
     format!(
-        "core member: {stands}; committed {}, operations waiting {}, programs counted {} in {:.1} of {:.1} MB; {}",
+        "core member: {state}; committed {}, operations waiting {}, programs counted {} in {:.1} of {:.1} MB; {}",
         core.committed,
         core.waiting,
         core.programs,
@@ -281,7 +281,7 @@
 }
 
 fn leases(core: &CoreStatus) -> Vec<Row> {
-    let mut rows = vec![row(["LEASE", "SILENT", "LAPSES AFTER"])];
+    let mut rows = vec![row(["LEASE", "SILENT", "EXPIRES AFTER"])];
     for lease in &core.leases {
         rows.push(vec![
             lease.holder.clone(),
@@ -296,7 +296,7 @@
     cells.iter().map(|cell| (*cell).to_owned()).collect()
 }
 
-/// Adds a table, if it has more than its head; columns are as wide as their widest cell.
+/// Appends a table unless it has only its header; columns are as wide as their widest cell.
 fn push_table(text: &mut String, rows: Vec<Row>) {
     if rows.len() < 2 {
         return;
@@ -313,9 +313,9 @@
     for row in &rows {
         let mut line = String::new();
         for (cell, width) in row.iter().zip(&widths) {
-            let _ = write!(line, "{cell:<width$}{:GAP$}", "");
+            let _ = write!(line, "{cell:<width$}{:COLUMN_GAP$}", "");
         }
-        push(text, line.trim_end().to_owned());
+        push_line(text, line.trim_end().to_owned());
     }
 }
 
--- a/crates/serving/dunespur/src/status_collection.rs
+++ b/crates/serving/dunespur/src/status_collection.rs
@@ -1,4 +1,4 @@
-//! Collects the status of a process from its parts.
+//! Collects the status of a process from its components.
 
 mod process_usage;
 
@@ -17,11 +17,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// Items of each array; against an answer that takes more memory than the rest of the process.
+/// Maximum number of items per array, so that a status does not take more memory than the rest of the process.
 const MAX_LISTED: usize = 4_096;
 
-/// What processes of all roles report.
-pub fn basics(settings: &Settings, role: Role, directory: &Directory) -> Status {
+/// The fields of a status that processes of all roles report.
+pub fn common_status(settings: &Settings, role: Role, directory: &Directory) -> Status {
     Status {
         node: settings.node.clone(),
         role: role.name().to_owned(),
@@ -30,54 +30,57 @@
         up_ms: directory.clock().now(),
         process: process_usage::read(),
         link: directory.link_counters(),
-        control: control(directory),
-        view: directory.view().as_ref().map(view),
-        gateways: gateways(directory),
-        stores: stores(directory),
+        control: control_status(directory),
+        view: directory.view().as_ref().map(view_status),
+        gateways: gateway_statuses(directory),
+        stores: store_statuses(directory),
         ..Status::default()
     }
 }
 
-/// The parts of a gateway that its status reports on.
+/// The components of a gateway that its status reports on.
 pub struct GatewayStatus {
     /// The settings of the process.
     pub settings: Settings,
-    /// What it knows of the control state.
+    /// The known control state.
     pub directory: Rc<Directory>,
-    /// Its core member, on a machine with a disk.
+    /// The core member; only on a machine with a disk that counts for the quorum.
     pub coordinator: Option<Rc<Coordinator>>,
-    /// Its data plane.
+    /// The data plane.
     pub data_plane: Rc<DataPlane>,
-    /// Its leases on programs' budgets.
+    /// The leases on programs' budgets.
     pub budgets: Rc<Budgets>,
-    /// Its listener for clients.
-    pub front: Rc<ProxyServer<DataPlane>>,
+    /// The proxy that serves clients.
+    pub proxy: Rc<ProxyServer<DataPlane>>,
 }
 
 impl GatewayStatus {
-    /// The status; that of one program's budget as well, if it is named.
+    /// Collects the status, including the budget of `program` if given.
     #[must_use]
     pub fn status(&self, program: Option<&str>) -> Status {
-        let mut status = basics(&self.settings, Role::Gateway, &self.directory);
-        if let Some(own) = self
+        let mut status = common_status(&self.settings, Role::Gateway, &self.directory);
+        if let Some(member_view) = self
             .coordinator
             .as_ref()
             .and_then(|coordinator| coordinator.view())
         {
-            status.view = Some(view(&own));
+            status.view = Some(view_status(&member_view));
         }
         status.core = self
             .coordinator
             .as_ref()
             .map(|coordinator| coordinator.status(MAX_LISTED));
-        status.services = self.services();
-        status.front = Some(front(self.front.counters(), self.data_plane.is_ready()));
+        status.services = self.service_statuses();
+        status.front = Some(front_status(
+            self.proxy.counters(),
+            self.data_plane.is_ready(),
+        ));
         status.budgets = Some(self.budgets.status());
-        status.program = program.map(|name| self.program(name));
+        status.program = program.map(|name| self.program_status(name));
         status
     }
 
-    fn services(&self) -> Vec<ServiceStatus> {
+    fn service_statuses(&self) -> Vec<ServiceStatus> {
         let loads: HashMap<String, u32> = self
             .data_plane
             .loads()
@@ -91,7 +94,7 @@
             services
                 .entry(&report.backend)
                 .or_default()
-                .push(server(report, in_flight));
+                .push(server_status(report, in_flight));
         }
         let services = services.into_iter();
         services
@@ -102,21 +105,21 @@
             .collect()
     }
 
-    fn program(&self, name: &str) -> ProgramStatus {
-        let counted = self
+    fn program_status(&self, name: &str) -> ProgramStatus {
+        let usage = self
             .coordinator
             .as_ref()
             .map(|coordinator| coordinator.budget_usage(name));
         ProgramStatus {
             name: name.to_owned(),
             leased_here: Some(self.budgets.leased(name)),
-            used: counted.map(|budget| budget.used),
-            leased: counted.map(|budget| budget.leased),
+            used: usage.map(|usage| usage.used),
+            leased: usage.map(|usage| usage.leased),
         }
     }
 }
 
-fn control(directory: &Directory) -> ControlStatus {
+fn control_status(directory: &Directory) -> ControlStatus {
     let known = directory.known();
     ControlStatus {
         index: known.index,
@@ -127,7 +130,7 @@
     }
 }
 
-fn view(view: &View) -> ViewStatus {
+fn view_status(view: &View) -> ViewStatus {
     let chain_position = |node| view.chain.iter().position(|id| *id == node);
     let members = view.members.iter().map(|peer| MemberStatus {
         node: peer.id.node.clone(),
@@ -140,7 +143,7 @@
     }
 }
 
-fn gateways(directory: &Directory) -> Vec<GatewayEntryStatus> {
+fn gateway_statuses(directory: &Directory) -> Vec<GatewayEntryStatus> {
     let known = directory.known();
     let gateways = known.gateways.values().take(MAX_LISTED);
     gateways
@@ -152,7 +155,7 @@
         .collect()
 }
 
-fn stores(directory: &Directory) -> Vec<StoreStatus> {
+fn store_statuses(directory: &Directory) -> Vec<StoreStatus> {
     let known = directory.known();
     let stores = known.stores.values().take(MAX_LISTED);
     stores
@@ -168,7 +171,7 @@
         .collect()
 }
 
-fn server(report: &ServerReport, in_flight: u32) -> ServerStatus {
+fn server_status(report: &ServerReport, in_flight: u32) -> ServerStatus {
     ServerStatus {
         id: report.id.clone(),
         address: report.address,
@@ -179,7 +182,7 @@
     }
 }
 
-fn front(counters: Counters, ready: bool) -> FrontStatus {
+fn front_status(counters: Counters, ready: bool) -> FrontStatus {
     FrontStatus {
         ready,
         connections: counters.connections,
--- a/crates/serving/dunespur/src/status_collection/process_usage.rs
+++ b/crates/serving/dunespur/src/status_collection/process_usage.rs
@@ -1,15 +1,15 @@
-//! What this process takes of its machine, as the kernel tells it.
+//! Resource usage of this process, read from /proc.
 
 use crate::status::report::ProcessStatus;
 use std::fs;
 
-/// Processor time in /proc is counted in hundredths of a second.
+/// Unit of processor time in /proc: a hundredth of a second, in milliseconds.
 const TICK_MS: u64 = 10;
-/// Places of user and system time behind the name in /proc/self/stat.
+/// Positions of user and system time in /proc/self/stat, counted after the process name.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// Zeros where the kernel tells nothing.
+/// Reads the usage of this process; fields that can't be read are 0.
 pub fn read() -> ProcessStatus {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
@@ -18,7 +18,7 @@
         memory_kb: kilobytes(&status, "VmRSS:"),
         peak_memory_kb: kilobytes(&status, "VmHWM:"),
         processor_ms: processor_ms(&stat),
-        // The list itself is one of them.
+        // Reading the folder opened one of the counted descriptors.
         descriptors: descriptors.saturating_sub(1),
     }
 }
@@ -29,10 +29,11 @@
         .unwrap_or(0)
 }
 
-/// The name may hold spaces and parentheses; the fields are counted from behind its last one.
+/// Processor time from /proc/self/stat. The process name in parentheses may itself contain spaces and parentheses, so
+/// fields are counted after the last closing parenthesis.
 fn processor_ms(stat: &str) -> u64 {
-    let behind_name = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
-    let fields: Vec<&str> = behind_name.split_whitespace().collect();
+    let after_name = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = |field: usize| {
         fields
             .get(field)
--- a/crates/serving/dunespur/src/store/disk_thread.rs
+++ b/crates/serving/dunespur/src/store/disk_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that works on a store's disk: syncs block, and a slow disk must not delay requests.
+//! The thread that performs a store's disk jobs: syncs block, and a slow disk must not delay requests.
 
 use dunespur_storage::turns::TurnDisk;
 use dunespur_turn_replication::ids::JobId;
@@ -7,26 +7,27 @@
 use std::thread;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Stack of the thread in bytes.
+/// Stack size of the thread in bytes.
 const STACK_SIZE: usize = 512 * 1024;
 
-/// Work for the disk, under the number by which the state machine knows it.
+/// A job for the disk thread.
 pub struct DiskJob {
-    /// The number.
+    /// The id by which the state machine knows the job.
     pub id: JobId,
-    /// What is to be done.
+    /// The work to perform.
     pub work: DiskWork,
 }
 
-/// How a job ended.
+/// The completion of a disk job.
 pub struct DiskCompletion {
-    /// The job's number.
+    /// Id of the completed job.
     pub id: JobId,
-    /// Its result.
+    /// Result of the job.
     pub outcome: DiskOutcome,
 }
 
-/// Starts the thread; jobs are done in the order in which they are sent. Without a thread no job completes.
+/// Starts the disk thread, which performs jobs in the order in which they are sent. If the thread can't be started, no
+/// job ever completes.
 pub fn start(
     disk: TurnDisk,
     completions: UnboundedSender<DiskCompletion>,
@@ -35,7 +36,7 @@
     let run = move || {
         while let Ok(DiskJob { id, work }) = queue.recv() {
             let outcome = disk.perform(&work).unwrap_or_else(|error| {
-                log::error!("the disk failed a job: {}", error.with_causes());
+                log::error!("store disk: a job failed: {}", error.with_causes());
                 DiskOutcome::Failed
             });
             if completions.send(DiskCompletion { id, outcome }).is_err() {
@@ -47,7 +48,9 @@
         .name("turns".to_owned())
         .stack_size(STACK_SIZE);
     if let Err(error) = thread.spawn(run) {
-        log::error!("no thread for the disk: {error}");
+        log::error!(
+            "store disk: starting the thread failed, no turn can be stored or read: {error}"
+        );
     }
     jobs
 }
--- a/crates/serving/dunespur/src/store/lease_renewal.rs
+++ b/crates/serving/dunespur/src/store/lease_renewal.rs
@@ -1,14 +1,14 @@
-//! Renews the lease of a store with the head of the chain, which decides on expiry.
+//! Renews a store's lease directly with the head of the chain, which decides on expiry.
 //!
-//! Each watch renews the lease too, but at one core member, which gossips it to the others: a store whose member is lost
-//! would go unheard for longer than its short lease lasts.
+//! Each watch renews the lease too, but only at one core member, which gossips the renewal to the others. If that
+//! member is lost, the head would receive no renewal for longer than the store's short lease lasts.
 
 use crate::directory::Directory;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// How often the lease is renewed.
+/// Interval between two renewals.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Renews the lease for as long as the task runs.
--- a/crates/serving/dunespur/src/store/mod.rs
+++ b/crates/serving/dunespur/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The `store` process: stores turns on its disk, around the state machine of `dunespur-turn-replication`.
+//! The `store` process: runs the state machine of `dunespur-turn-replication`, which stores turns on a disk.
 
 mod capacity;
 mod disk_thread;
@@ -16,11 +16,11 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// Runs the process until it is asked to end.
+/// Runs the process until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// If its data folder can't be opened, or its address can't be listened on.
+/// If its data folder can't be opened, or its address can't be bound.
 pub async fn run(settings: Settings, path: PathBuf) -> anyhow::Result<()> {
     let clock = Clock::start();
     let directory = Directory::new(clock, settings.seed_addresses());
@@ -39,8 +39,8 @@
     spawn_local(lease_renewal::renew_lease(directory.clone()));
     spawn_local(directory.clone().follow());
     spawn_local(signals::follow_settings(path, Role::Store, directory));
-    log::info!("{} serves", settings.node);
+    log::info!("{} has started", settings.node);
     signals::termination_requested().await?;
-    log::info!("{} leaves", settings.node);
+    log::info!("{} is shutting down", settings.node);
     Ok(())
 }
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -1,4 +1,4 @@
-//! One store process: carries requests to the state machine, and performs the effects that it asks for.
+//! One store process: passes requests to the state machine and performs the resulting effects.
 
 use super::capacity::Capacity;
 use super::disk_thread::{self, DiskCompletion, DiskJob};
@@ -8,7 +8,7 @@
 use crate::request_events::{self, Stopwatch, StoreSubject};
 use crate::settings::{Role, Settings};
 use crate::status::{DiskStatus, Status, TurnsStatus};
-use crate::status_collection::basics;
+use crate::status_collection::common_status;
 use crate::store_client::{address_of, call_store};
 use anyhow::Context;
 use bytes::Bytes;
@@ -31,18 +31,18 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// The file of a store in its data folder.
+/// File name of a store's database in its data folder.
 const DISK_FILE: &str = "turns.redb";
-/// A store whose lease has expired for this long has its turns replicated elsewhere, in milliseconds: one that was only
-/// slow has registered again by then. A machine that is lost for good may have a successor a tenth of a second later,
-/// and stops counting as lost once that had its time to catch up (some four seconds); by then there have to be enough
-/// replicas again, with time in reserve.
+/// Delay in milliseconds between the expiry of a store's lease and the replication of its turns elsewhere; a store that
+/// was only slow has registered again by then. A machine that is lost for good may have a successor a tenth of a second
+/// later and stops counting as lost after the successor's time to catch up, about four seconds. By then there must be
+/// enough replicas again, with time in reserve.
 const ABSENT_REPAIR_MS: u64 = 100;
 
-/// Jobs that the disk's thread has completed.
+/// Receives the jobs that the disk thread has completed.
 pub type Completions = mpsc::UnboundedReceiver<DiskCompletion>;
 
-/// One store process.
+/// A store process: its state machine, disk thread and callers.
 pub struct StoreProcess {
     clock: Clock,
     pub(super) directory: Rc<Directory>,
@@ -50,24 +50,24 @@
     callers: RefCell<HashMap<CallerId, oneshot::Sender<StoreReply>>>,
     next_caller: Cell<u64>,
     jobs: thread_queue::Sender<DiskJob>,
-    /// What the core has to know of this store.
+    /// The report that the core has to hold of this store.
     pub(super) report: RefCell<NodeReport>,
     settings: Settings,
     capacity: Capacity,
     disk: Cell<DiskStatus>,
-    /// Notified when the time of the next tick has changed.
+    /// Notified when the time of the next tick may have changed.
     rescheduled: Notify,
-    /// Notified when there may be something to report to the core.
+    /// Notified when there may be a new report for the core.
     pub(super) report_changed: Notify,
     this: Weak<StoreProcess>,
 }
 
 impl StoreProcess {
-    /// Opens the disk and starts its thread.
+    /// Opens the disk and starts the disk thread.
     ///
     /// # Errors
     ///
-    /// If the settings name no data folder, or its file can't be opened.
+    /// If the settings name no data folder, or its database can't be opened.
     pub fn open(
         settings: &Settings,
         directory: Rc<Directory>,
@@ -76,8 +76,9 @@
         let data = settings
             .data_dir
             .as_deref()
-            .context("data_dir: a store needs a disk")?;
-        std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
+            .context("the settings have no data_dir: a store needs a disk")?;
+        std::fs::create_dir_all(data)
+            .with_context(|| format!("creating the data folder {}", data.display()))?;
         let file = data.join(DISK_FILE);
         let Opened {
             disk,
@@ -121,14 +122,14 @@
         Ok((process, completions))
     }
 
-    /// The core knows other stores than before.
+    /// Passes the core's changed list of stores to the state machine.
     pub fn stores_changed(&self) {
         let stores = self.directory.known().stores.values().cloned().collect();
         self.with_node(|node, now| node.membership_changed(stores, now));
         self.report_changed.notify_one();
     }
 
-    /// Answers a request; the state machine may take its time with the disk.
+    /// Answers a request once the state machine has replied, possibly after disk work. `None` if it drops the request.
     async fn store_request(&self, request: StoreRequest) -> Option<StoreReply> {
         let caller = CallerId(self.next_caller.replace(self.next_caller.get() + 1));
         let (sender, reply) = oneshot::channel();
@@ -143,7 +144,7 @@
         reply
     }
 
-    /// Lets the state machine act, and performs what it asks for.
+    /// Runs `act` on the state machine and performs the resulting effects.
     fn with_node(&self, act: impl FnOnce(&mut StoreNode, u64)) {
         act(&mut self.node.borrow_mut(), self.clock.now());
         loop {
@@ -165,9 +166,9 @@
                 request_id,
                 store,
                 request,
-            } => self.call_peer(request_id, &store, request),
+            } => self.call_peer_store(request_id, &store, request),
             Effect::Disk { job, work } => {
-                self.count(|disk| disk.waiting += 1);
+                self.update_disk_status(|disk| disk.waiting += 1);
                 let _ = self.jobs.send(DiskJob { id: job, work });
             }
             Effect::Declare(Declaration::Complete) => {
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Sends a request of the state machine to another store.
-    fn call_peer(&self, request_id: PeerRequestId, store: &str, request: StoreRequest) {
+    /// Sends a request from the state machine to another store.
+    fn call_peer_store(&self, request_id: PeerRequestId, store: &str, request: StoreRequest) {
         let Some(process) = self.this.upgrade() else {
             return;
         };
@@ -195,7 +196,7 @@
         });
     }
 
-    fn count(&self, change: impl FnOnce(&mut DiskStatus)) {
+    fn update_disk_status(&self, change: impl FnOnce(&mut DiskStatus)) {
         let mut disk = self.disk.get();
         change(&mut disk);
         self.disk.set(disk);
@@ -216,7 +217,7 @@
         };
         Status {
             turns: Some(turns),
-            ..basics(&self.settings, Role::Store, &self.directory)
+            ..common_status(&self.settings, Role::Store, &self.directory)
         }
     }
 }
@@ -248,10 +249,10 @@
     }
 }
 
-/// Hands completed disk jobs to the state machine.
+/// Passes completed disk jobs to the state machine.
 pub async fn report_completions(process: Rc<StoreProcess>, mut completions: Completions) {
     while let Some(DiskCompletion { id, outcome }) = completions.recv().await {
-        process.count(|disk| {
+        process.update_disk_status(|disk| {
             disk.waiting = disk.waiting.saturating_sub(1);
             disk.done += 1;
             disk.failed += u64::from(outcome == DiskOutcome::Failed);
@@ -260,12 +261,12 @@
     }
 }
 
-/// Ticks the state machine whenever it wants to be.
+/// Ticks the state machine whenever its next tick is due.
 pub async fn drive_timers(process: Rc<StoreProcess>) {
     loop {
-        let due = process.node.borrow().next_due();
+        let next_tick = process.node.borrow().next_due();
         tokio::select! {
-            () = sleep_until(process.clock.instant(due).into()) => {
+            () = sleep_until(process.clock.instant(next_tick).into()) => {
                 process.with_node(|node, now| node.tick(now));
             }
             () = process.rescheduled.notified() => {}
--- a/crates/serving/dunespur/src/store/registration.rs
+++ b/crates/serving/dunespur/src/store/registration.rs
@@ -1,5 +1,5 @@
-//! Tells the core what it does not know of this store yet: its incarnation, its disk, whether it is complete, and
-//! whether it has been emptied.
+//! A store's registration with the core: reports its incarnation, its disk, whether it is complete, and whether it has
+//! been emptied, until the core's entry agrees.
 
 use super::process::StoreProcess;
 use crate::messages::NodeLease;
@@ -8,15 +8,15 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Delay before a report is repeated that the core did not acknowledge.
+/// Delay after each report before the store checks whether the core knows it.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The core gets so long for a report.
+/// Timeout of a report to the core.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Keeps the core's entry of this store up to date for as long as the task runs.
 pub async fn maintain_registration(store: Rc<StoreProcess>) {
     loop {
-        match store.missing_report() {
+        match store.outstanding_report() {
             Some(operation) => {
                 let _ = store.directory.execute(&operation, REPORT_TIMEOUT).await;
                 sleep(REPORT_RETRY_DELAY).await;
@@ -32,8 +32,8 @@
 }
 
 impl StoreProcess {
-    /// The operation that the core still has to execute.
-    fn missing_report(&self) -> Option<Operation> {
+    /// The operation that updates the core's entry of this store; `None` if the entry is up to date.
+    fn outstanding_report(&self) -> Option<Operation> {
         let known = self.directory.known();
         known.index?;
         let mut report = self.report.borrow_mut();
@@ -41,7 +41,7 @@
             return Some(Operation::Node(report.clone()));
         };
         if entry.incarnation > report.incarnation {
-            // The clock went back between two incarnations of this process: the present one is the newer one.
+            // The wall clock went back between two starts of this process. The new incarnation needs the higher number.
             report.incarnation = entry.incarnation + 1;
             self.node.borrow_mut().set_incarnation(report.incarnation);
             self.directory.set_own_lease(NodeLease::of(&report));
