--- a/crates/serving/dunespur/src/store_client.rs
+++ b/crates/serving/dunespur/src/store_client.rs
@@ -1,4 +1,4 @@
-//! Turns stored and looked up: performs at the stores what the state machines of `dunespur-turn-replication` ask for.
+//! Stores and reads turns: sends the requests of the coordinators of `dunespur-turn-replication` to the stores.
 
 use crate::clock::wall_clock_ms;
 use crate::directory::Directory;
@@ -19,27 +19,28 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// A store that has not answered by then has failed.
+/// Timeout of a call to one store, after which the call counts as failed.
 const STORE_TIMEOUT: Duration = Duration::from_millis(WRITE_DEADLINE_MS);
-/// When a client may come back whose history could not be read, in milliseconds.
+/// Delay after which a client may retry if its history could not be read, in milliseconds.
 const HISTORY_RETRY_MS: u64 = 300;
 
-/// A store's answer to one request.
+/// A store's answer to one request for a turn.
 struct StoreAnswer {
     store: String,
-    /// The turn that was requested, or stored.
+    /// Id of the turn that was requested or stored.
     id: String,
     reply: Option<StoreReply>,
 }
 
-/// Reaches the stores for one gateway.
+/// A gateway's client for the stores.
 pub struct StoreClient {
     directory: Rc<Directory>,
     required_replicas: usize,
 }
 
 impl StoreClient {
-    /// `required_replicas`: how many stores must have a turn on their disks.
+    /// Creates a client. `required_replicas` is the number of stores that must have a turn on disk before it counts as
+    /// stored.
     pub fn new(directory: Rc<Directory>, required_replicas: usize) -> StoreClient {
         StoreClient {
             directory,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The messages of the turns that a turn continues, oldest first.
+    /// Reads the messages of the turn `previous` and of all turns that it continues, oldest first.
     pub async fn history(&self, program: &str, previous: &str) -> History {
         let stores = self.stores();
         if stores.is_empty() {
@@ -73,7 +74,7 @@
                 self.call(&stores, query.store, query.id, request, &answers);
             }
             match read.take_outcome() {
-                Some(ReadOutcome::Chain(turns)) => return History::Found(messages(turns)),
+                Some(ReadOutcome::Chain(turns)) => return History::Found(messages_of(turns)),
                 Some(ReadOutcome::Unknown) => return History::Unknown,
                 Some(ReadOutcome::Uncertain | ReadOutcome::TooLong) => {
                     return History::Unavailable {
@@ -82,7 +83,7 @@
                 }
                 None => {}
             }
-            let due = clock.instant(read.next_due().unwrap_or(clock.now()));
+            let next_tick = clock.instant(read.next_due().unwrap_or(clock.now()));
             tokio::select! {
                 Some(answer) = queue.recv() => {
                     let now = clock.now();
@@ -94,12 +95,12 @@
                         None => read.failed(&answer.store, &answer.id, now),
                     }
                 }
-                () = sleep_until(due.into()) => read.tick(clock.now()),
+                () = sleep_until(next_tick.into()) => read.tick(clock.now()),
             }
         }
     }
 
-    /// Stores a turn; true once enough stores have it on their disks.
+    /// Stores a turn; true once `required_replicas` stores have it on disk.
     pub async fn persist(&self, completed: CompletedTurn) -> bool {
         let stores = self.stores();
         let clock = self.directory.clock();
@@ -112,9 +113,9 @@
             ended_at_ms: wall_clock_ms(),
             retention_ms: completed.retention_ms,
         };
-        let began_at = clock.now();
+        let started_at = clock.now();
         let mut write =
-            WriteCoordinator::new(&turn.header(), &stores, self.required_replicas, began_at);
+            WriteCoordinator::new(&turn.header(), &stores, self.required_replicas, started_at);
         let (answers, mut queue) = mpsc::unbounded_channel();
         loop {
             while let Some(put) = write.poll() {
@@ -127,7 +128,7 @@
             }
             if let Some(outcome) = write.outcome() {
                 let persisted = outcome == WriteOutcome::Stored;
-                let took_ms = clock.now() - began_at;
+                let took_ms = clock.now() - started_at;
                 request_events::persisted(
                     &turn.id,
                     turn.previous.as_deref(),
@@ -137,7 +138,7 @@
                 );
                 return persisted;
             }
-            let due = clock.instant(write.next_due().unwrap_or(clock.now()));
+            let next_tick = clock.instant(write.next_due().unwrap_or(clock.now()));
             tokio::select! {
                 Some(answer) = queue.recv() => {
                     let now = clock.now();
@@ -149,7 +150,7 @@
                         _ => write.failed(&answer.store, now),
                     }
                 }
-                () = sleep_until(due.into()) => write.tick(clock.now()),
+                () = sleep_until(next_tick.into()) => write.tick(clock.now()),
             }
         }
     }
@@ -158,7 +159,7 @@
         self.directory.known().stores.values().cloned().collect()
     }
 
-    /// Calls one store; its answer goes to `answers`, if anybody still waits for it.
+    /// Calls one store in the background; the answer goes to `answers`, unless its receiver is gone.
     fn call(
         &self,
         stores: &[StoreEntry],
@@ -184,7 +185,7 @@
     }
 }
 
-/// Calls the store at an address; `None` without an answer.
+/// Calls the store at an address; `None` if it does not answer within `limit`.
 pub async fn call_store(
     directory: &Directory,
     address: SocketAddr,
@@ -200,7 +201,7 @@
     }
 }
 
-/// Where one of these stores listens.
+/// Address of the store with this name.
 pub fn address_of(stores: &[StoreEntry], name: &str) -> Option<SocketAddr> {
     stores
         .iter()
@@ -208,7 +209,7 @@
         .map(|store| store.address)
 }
 
-fn messages(turns: Vec<Turn>) -> Vec<bytes::Bytes> {
+fn messages_of(turns: Vec<Turn>) -> Vec<bytes::Bytes> {
     turns
         .into_iter()
         .flat_map(|turn| [turn.input, turn.output])
--- a/crates/serving/dunespur/tests/cli.rs
+++ b/crates/serving/dunespur/tests/cli.rs
@@ -290,7 +290,7 @@
         time.starts_with("20") && time.ends_with('Z') && time.len() == 24,
         "{line}"
     );
-    assert_eq!(rest, "front-1 gateway [INFO] front-1 serves\n");
+    assert_eq!(rest, "front-1 gateway [INFO] front-1 has started\n");
 
     write(Ports::default().first_internal);
     let line = Running::start(&["--log-format", "json"], &settings).line();
@@ -298,6 +298,6 @@
     assert_eq!(reported["node"], "front-1");
     assert_eq!(reported["role"], "gateway");
     assert_eq!(reported["level"], "INFO");
-    assert_eq!(reported["text"], "front-1 serves");
+    assert_eq!(reported["text"], "front-1 has started");
     assert!(reported["time"].as_str().unwrap().ends_with('Z'));
 }
--- a/crates/serving/dunespur/tests/status.rs
+++ b/crates/serving/dunespur/tests/status.rs
@@ -234,7 +234,7 @@
     )
     .unwrap();
     let mut alone = Running::start(&[], &settings);
-    assert!(alone.line().contains("serves"));
+    assert!(alone.line().contains("has started"));
     let table = table_of(SocketAddr::new(ip, port)).await;
     assert!(
         table.contains("OUT OF CONTACT") && table.contains("NOT READY"),
