--- a/crates/serving/dunespur/tests/budgets.rs
+++ b/crates/serving/dunespur/tests/budgets.rs
@@ -1,4 +1,5 @@
-//! Budgets of programs over whole programs: rejected before any server sees the turn, never exceeded.
+//! Budgets of agent programs in a running system: turns over budget are rejected before any server sees them, and a
+//! budget is never exceeded.
 
 mod support;
 
@@ -7,12 +8,12 @@
 use dunespur_emulator::scene::{usual_program, Scene, ScenePlan};
 use std::net::SocketAddr;
 use std::time::Duration;
-use support::{expect_no_violation, programs_for, stage, LATER, RECOVERY};
+use support::{expect_no_violation, run_programs_for, serving_scene, RECOVERY_LIMIT, RETRY_LATER};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-/// A program whose budget is spent after so many turns.
-fn of_turns(turns: u64) -> ProgramPlan {
+/// A program whose budget is is_spent after this many turns.
+fn program_of_turns(turns: u64) -> ProgramPlan {
     let plan = usual_program();
     ProgramPlan {
         budget: turns * plan.max_tokens,
@@ -22,8 +23,8 @@
 
 #[tokio::test]
 async fn a_spent_budget_is_402_before_any_server_sees_the_turn() {
-    let scene = stage(ScenePlan::default()).await;
-    let mut conversation = Conversation::new(&scene.client, &of_turns(4));
+    let scene = serving_scene(ScenePlan::default()).await;
+    let mut conversation = Conversation::new(&scene.client, &program_of_turns(4));
     for number in 0..4 {
         let served = conversation
             .turn(&scene.client, &format!("turn {number}").into())
@@ -36,10 +37,10 @@
     expect_no_violation(&scene);
 }
 
-/// One more turn is 402 at this gateway, and no server sees it. Until the gateway of the last turn has reported what was
-/// used, its units are on lease, and the answer is 503 with a time.
+/// Expects 402 for one more turn at this gateway, without any server seeing the turn. Until the gateway of the last turn
+/// has reported its use, its units are still leased, and the answer is 503 with a retry delay.
 async fn expect_spent(scene: &Scene, front: SocketAddr, conversation: &Conversation) {
-    let until = Instant::now() + RECOVERY;
+    let deadline = Instant::now() + RECOVERY_LIMIT;
     loop {
         let request = conversation.next_request(&scene.client, &"one more".into());
         let served = scene.client.send_to(front, &request).await;
@@ -47,26 +48,26 @@
         if served.status() == Some(402) {
             return;
         }
-        assert_eq!(served.status(), Some(LATER), "{served:?}");
+        assert_eq!(served.status(), Some(RETRY_LATER), "{served:?}");
         let wait_ms = served.answer().and_then(|answered| answered.retry_after_ms);
-        let wait_ms = wait_ms.unwrap_or_else(|| panic!("no time to come again: {served:?}"));
-        assert!(Instant::now() < until, "{served:?}");
+        let wait_ms = wait_ms.unwrap_or_else(|| panic!("503 without a retry delay: {served:?}"));
+        assert!(Instant::now() < deadline, "{served:?}");
         sleep(Duration::from_millis(wait_ms)).await;
     }
 }
 
 #[tokio::test]
 async fn turns_through_all_gateways_at_once_keep_the_budget_and_use_all_of_it() {
-    let scene = stage(ScenePlan::default()).await;
-    let plan = of_turns(6);
+    let scene = serving_scene(ScenePlan::default()).await;
+    let plan = program_of_turns(6);
     let trunk = Conversation::new(&scene.client, &plan);
-    let until = Instant::now() + RECOVERY;
-    let mut handed = 0;
-    let mut spent = false;
-    while !spent {
+    let deadline = Instant::now() + RECOVERY_LIMIT;
+    let mut served_tokens = 0;
+    let mut is_spent = false;
+    while !is_spent {
         assert!(
-            Instant::now() < until,
-            "{handed} of {} tokens were handed out",
+            Instant::now() < deadline,
+            "{served_tokens} of {} tokens were served",
             plan.budget
         );
         let mut turns = JoinSet::new();
@@ -79,23 +80,23 @@
             });
         }
         for served in turns.join_all().await {
-            handed += served.answer().map_or(0, |answered| {
+            served_tokens += served.answer().map_or(0, |answered| {
                 answered.events.len() as u64 * plan.chunk_tokens
             });
-            spent |= served.status() == Some(402);
+            is_spent |= served.status() == Some(402);
         }
     }
     assert_eq!(
-        handed, plan.budget,
-        "a turn was refused though it fitted, or went through though it did not"
+        served_tokens, plan.budget,
+        "a turn within the budget was rejected, or one beyond it was admitted"
     );
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
 async fn a_budget_survives_a_kill_of_all_processes() {
-    let mut scene = stage(ScenePlan::default()).await;
-    let plan = of_turns(4);
+    let mut scene = serving_scene(ScenePlan::default()).await;
+    let plan = program_of_turns(4);
     let mut conversation = Conversation::new(&scene.client, &plan);
     for number in 0..3 {
         assert!(conversation
@@ -115,18 +116,18 @@
             .await;
         ended |= served.status() == Some(402);
     }
-    assert!(ended, "the budget came back with the processes");
-    programs_for(&scene, Duration::from_millis(200)).await;
+    assert!(ended, "the used budget was forgotten with the processes");
+    run_programs_for(&scene, Duration::from_millis(200)).await;
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
-async fn failed_attempts_count() {
+async fn failed_attempts_use_the_budget() {
     use dunespur_emulator::server::ServerFault;
-    let scene = stage(ScenePlan::default()).await;
+    let scene = serving_scene(ScenePlan::default()).await;
     let plan = ProgramPlan {
         retries: 0,
-        ..of_turns(3)
+        ..program_of_turns(3)
     };
     for engine in &scene.engines {
         engine
@@ -136,7 +137,7 @@
             .always(Some(ServerFault::TruncateBody { after: 150 }));
     }
     let conversation = Conversation::new(&scene.client, &plan);
-    let until = Instant::now() + RECOVERY;
+    let deadline = Instant::now() + RECOVERY_LIMIT;
     loop {
         let served = scene
             .client
@@ -146,8 +147,8 @@
             break;
         }
         assert!(
-            Instant::now() < until,
-            "broken tries are not counted: {served:?}"
+            Instant::now() < deadline,
+            "failed attempts are not counted: {served:?}"
         );
     }
     let runs = scene
--- a/crates/serving/dunespur/tests/bytes/main.rs
+++ b/crates/serving/dunespur/tests/bytes/main.rs
@@ -1,7 +1,7 @@
-//! The bytes that processes of this program exchange, against those that the program before wrote.
+//! Compares the encoded messages between processes with recorded bytes of earlier versions.
 //!
-//! Messages between processes are postcard: a field or variant that moves, or a type that changes its size, changes
-//! these bytes, and no other test would see it. A process of an earlier version would not read them.
+//! Messages are encoded with postcard: moving a field or variant, or changing the size of a type, changes the bytes, and
+//! processes of an earlier version could not decode them. No other test would detect that.
 
 mod replies;
 mod requests;
@@ -24,12 +24,13 @@
 }
 
 fn bytes_of(hex: &str) -> Vec<u8> {
-    let digits =
-        |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hexadecimal digits");
+    let digits = |start: usize| {
+        u8::from_str_radix(&hex[start..start + 2], 16).expect("two hexadecimal digits")
+    };
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
-/// Each value is written to the bytes of its line, and read from them.
+/// Asserts that each value is encoded to the bytes of its recorded line and decoded from them.
 fn expect_recorded<T>(values: Vec<(&'static str, T)>, recorded: &str)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -46,17 +47,17 @@
 }
 
 #[test]
-fn requests_are_written_and_read_as_before() {
+fn requests_are_encoded_and_decoded_as_recorded() {
     expect_recorded(requests::all(), REQUESTS);
 }
 
 #[test]
-fn replies_are_written_and_read_as_before() {
+fn replies_are_encoded_and_decoded_as_recorded() {
     expect_recorded(replies::all(), REPLIES);
 }
 
 #[test]
-fn a_status_is_written_and_read_as_before() {
+fn a_status_is_encoded_and_decoded_as_recorded() {
     for (status, recorded) in [
         (status::complete(), STATUS),
         (Status::default(), EMPTY_STATUS),
@@ -66,9 +67,9 @@
     }
 }
 
-/// What an earlier version does not say has its default, and what a later one adds is passed over.
+/// Fields that an earlier version lacks have their defaults, and fields that a later version adds are ignored.
 #[test]
-fn a_status_of_another_version_is_read_as_far_as_it_is_known() {
+fn a_status_of_another_version_is_read_as_far_as_known() {
     let status: Status = serde_json::from_str(r#"{"node":"core-1","colour":"blue"}"#).unwrap();
     assert_eq!(
         status,
--- a/crates/serving/dunespur/tests/bytes/replies.rs
+++ b/crates/serving/dunespur/tests/bytes/replies.rs
@@ -1,4 +1,4 @@
-//! One value of each kind of reply, of outcome and of change.
+//! One value of each kind of reply, outcome and change.
 
 use super::values::{address, loads, server_report, turn, view};
 use dunespur::messages::{Candidacy, Reply, StateUpdate};
@@ -10,7 +10,7 @@
 use dunespur_load_distribution::Update;
 use dunespur_turn_replication::message::{Rejection, StoreReply};
 
-/// All of them, with their names.
+/// All replies with the names of their recorded lines.
 pub fn all() -> Vec<(&'static str, Reply)> {
     let mut replies = vec![
         ("unavailable", Reply::Unavailable),
--- a/crates/serving/dunespur/tests/bytes/requests.rs
+++ b/crates/serving/dunespur/tests/bytes/requests.rs
@@ -1,4 +1,4 @@
-//! One value of each kind of request, and in `Execute` of each kind of operation.
+//! One value of each kind of request, with `Execute` for each kind of operation.
 
 use super::values::{address, lease_renewals, loads, member, peer, server_report, turn, view};
 use dunespur::messages::{Request, WatchRequest};
@@ -10,7 +10,7 @@
 use dunespur_load_distribution::{KnownVersion, LoadTable, Report, Reporter};
 use dunespur_turn_replication::message::StoreRequest;
 
-/// All of them, with their names.
+/// All requests with the names of their recorded lines.
 pub fn all() -> Vec<(&'static str, Request)> {
     let mut requests = vec![
         (
@@ -74,12 +74,15 @@
 
 fn operations() -> Vec<(&'static str, Operation)> {
     let lease = lease_request();
-    let giving_back = CounterRequest {
+    let return_request = CounterRequest {
         change: CounterChange::Return { units: 19 },
         ..lease.clone()
     };
     vec![
-        ("execute configure", Operation::Configure(order())),
+        (
+            "execute configure",
+            Operation::Configure(configuration_request()),
+        ),
         ("execute server", Operation::Server(server_report())),
         (
             "execute server left",
@@ -119,7 +122,7 @@
             },
         ),
         ("execute budget lease", Operation::Budget(lease)),
-        ("execute budget return", Operation::Budget(giving_back)),
+        ("execute budget return", Operation::Budget(return_request)),
     ]
 }
 
@@ -135,7 +138,7 @@
     }
 }
 
-fn order() -> ConfigurationRequest {
+fn configuration_request() -> ConfigurationRequest {
     ConfigurationRequest {
         kind: ConfigurationRequestKind::Patch,
         base: 11,
--- a/crates/serving/dunespur/tests/bytes/status.rs
+++ b/crates/serving/dunespur/tests/bytes/status.rs
@@ -1,4 +1,4 @@
-//! A status in which each field has a value of its own.
+//! A status in which every field has a distinct value.
 
 use super::values::address;
 use dunespur::status::report::{
@@ -7,7 +7,7 @@
     ServiceStatus, Status, StoreStatus, TurnsStatus, ViewStatus,
 };
 
-/// A status in which each field has a value of its own.
+/// A status in which every number is distinct.
 pub fn complete() -> Status {
     Status {
         node: "core-1".to_owned(),
--- a/crates/serving/dunespur/tests/bytes/values.rs
+++ b/crates/serving/dunespur/tests/bytes/values.rs
@@ -1,4 +1,4 @@
-//! Values that several messages hold.
+//! Values used in several messages.
 
 use bytes::Bytes;
 use dunespur::messages::{LeaseRenewals, NodeLease};
@@ -8,8 +8,8 @@
 use dunespur_turn_replication::turn::Turn;
 use std::net::SocketAddr;
 
-pub fn address(last: u8, port: u16) -> SocketAddr {
-    SocketAddr::from(([10, 1, 2, last], port))
+pub fn address(last_octet: u8, port: u16) -> SocketAddr {
+    SocketAddr::from(([10, 1, 2, last_octet], port))
 }
 
 pub fn member(number: u8) -> MemberId {
--- a/crates/serving/dunespur/tests/cli.rs
+++ b/crates/serving/dunespur/tests/cli.rs
@@ -1,16 +1,16 @@
-//! The command line: its output and exit codes, what a process does whose settings can't be used.
+//! The command line: output, exit codes, and starts with unusable settings.
 
 mod running;
 
 use dunespur_emulator::system::{AddressBlock, Ports, TemporaryFolder};
-use running::Running;
+use running::RunningGateway;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 
-/// Ends of the program.
-const DONE: i32 = 0;
+/// Exit codes.
+const SUCCESS: i32 = 0;
 const HAS_FINDINGS: i32 = 1;
 const UNUSABLE: i32 = 2;
 
@@ -20,25 +20,25 @@
     command
 }
 
-/// What the program says with these arguments, and how it ends.
+/// Runs the program with these arguments.
 fn run(arguments: &[&str]) -> Output {
     dunespur().args(arguments).output().unwrap()
 }
 
-fn code(output: &Output) -> i32 {
+fn exit_code(output: &Output) -> i32 {
     output.status.code().unwrap()
 }
 
-fn out(output: &Output) -> &str {
+fn stdout_of(output: &Output) -> &str {
     std::str::from_utf8(&output.stdout).unwrap()
 }
 
-fn err(output: &Output) -> &str {
+fn stderr_of(output: &Output) -> &str {
     std::str::from_utf8(&output.stderr).unwrap()
 }
 
-/// Files of this folder of test data with this extension.
-fn data(folder: &str, extension: &str) -> Vec<PathBuf> {
+/// Files with this extension in a folder of test data, sorted.
+fn test_files(folder: &str, extension: &str) -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests")
         .join(folder);
@@ -53,12 +53,12 @@
     files
 }
 
-fn text(path: &Path) -> &str {
+fn path_text(path: &Path) -> &str {
     path.to_str().unwrap()
 }
 
-/// The lines of findings, each behind the file's name.
-fn reported(file: &Path, findings: &str) -> String {
+/// The expected output for findings: one per line, each preceded by the file's name.
+fn expected_findings(file: &Path, findings: &str) -> String {
     findings
         .lines()
         .map(|line| format!("{}: {line}\n", file.display()))
@@ -68,7 +68,7 @@
 #[test]
 fn help_names_each_command_and_option() {
     let overview = run(&["--help"]);
-    assert_eq!(code(&overview), DONE);
+    assert_eq!(exit_code(&overview), SUCCESS);
     let commands = [
         (
             "gateway",
@@ -83,22 +83,26 @@
         ("explain", &["ID", "FILE", "--log debug"]),
     ];
     for (command, words) in commands {
-        assert!(out(&overview).contains(command), "{}", out(&overview));
+        assert!(
+            stdout_of(&overview).contains(command),
+            "{}",
+            stdout_of(&overview)
+        );
         let help = run(&[command, "--help"]);
-        assert_eq!(code(&help), DONE);
+        assert_eq!(exit_code(&help), SUCCESS);
         for word in words {
             assert!(
-                out(&help).contains(word),
+                stdout_of(&help).contains(word),
                 "{command} {word}: {}",
-                out(&help)
+                stdout_of(&help)
             );
         }
     }
-    assert!(out(&run(&["--version"])).contains(env!("CARGO_PKG_VERSION")));
+    assert!(stdout_of(&run(&["--version"])).contains(env!("CARGO_PKG_VERSION")));
 }
 
 #[test]
-fn a_wrong_command_line_ends_with_2_and_its_reason() {
+fn a_wrong_command_line_exits_with_2_and_its_reason() {
     let wrong: [&[&str]; 9] = [
         &[],
         &["serve"],
@@ -112,9 +116,9 @@
     ];
     for arguments in wrong {
         let output = run(arguments);
-        assert_eq!(code(&output), UNUSABLE, "{arguments:?}");
+        assert_eq!(exit_code(&output), UNUSABLE, "{arguments:?}");
         assert!(
-            !err(&output).is_empty() && out(&output).is_empty(),
+            !stderr_of(&output).is_empty() && stdout_of(&output).is_empty(),
             "{arguments:?}"
         );
     }
@@ -122,43 +126,43 @@
 
 #[test]
 fn check_prints_all_findings_of_settings_with_their_places() {
-    for file in data("settings/bad", "json") {
+    for file in test_files("settings/bad", "json") {
         let findings = std::fs::read_to_string(file.with_extension("findings")).unwrap();
-        let output = run(&["check", "--settings", text(&file)]);
-        assert_eq!(out(&output), reported(&file, &findings));
-        assert_eq!(code(&output), HAS_FINDINGS, "{}", file.display());
-        assert!(err(&output).is_empty());
+        let output = run(&["check", "--settings", path_text(&file)]);
+        assert_eq!(stdout_of(&output), expected_findings(&file, &findings));
+        assert_eq!(exit_code(&output), HAS_FINDINGS, "{}", file.display());
+        assert!(stderr_of(&output).is_empty());
     }
 }
 
 #[test]
-fn check_takes_settings_with_fields_that_are_unknown_or_empty() {
-    for file in data("settings/good", "json") {
-        let output = run(&["check", text(&file)]);
-        assert_eq!(code(&output), DONE, "{}", out(&output));
+fn check_accepts_settings_with_unknown_or_empty_fields() {
+    for file in test_files("settings/good", "json") {
+        let output = run(&["check", path_text(&file)]);
+        assert_eq!(exit_code(&output), SUCCESS, "{}", stdout_of(&output));
         assert!(
-            out(&output).contains("settings of front-"),
+            stdout_of(&output).contains("settings of front-"),
             "{}",
-            out(&output)
+            stdout_of(&output)
         );
     }
 }
 
 #[test]
-fn check_prints_what_a_role_needs() {
-    let file = data("settings/good", "json")
+fn check_prints_missing_fields_of_a_role() {
+    let file = test_files("settings/good", "json")
         .into_iter()
         .find(|file| file.ends_with("least.json"))
         .unwrap();
-    let output = run(&["check", "--role", "store", text(&file)]);
+    let output = run(&["check", "--role", "store", path_text(&file)]);
     assert_eq!(
-        out(&output),
-        reported(&file, "data_dir: is missing, and a store needs a disk")
+        stdout_of(&output),
+        expected_findings(&file, "data_dir: is missing, and a store needs a disk")
     );
-    assert_eq!(code(&output), HAS_FINDINGS);
+    assert_eq!(exit_code(&output), HAS_FINDINGS);
     assert_eq!(
-        code(&run(&["check", "--role", "gateway", text(&file)])),
-        DONE
+        exit_code(&run(&["check", "--role", "gateway", path_text(&file)])),
+        SUCCESS
     );
 }
 
@@ -175,51 +179,55 @@
         ],
     });
     std::fs::write(&file, configuration.to_string()).unwrap();
-    let output = run(&["check", text(&file)]);
-    assert_eq!(code(&output), HAS_FINDINGS);
-    let locations: Vec<&str> = out(&output)
+    let output = run(&["check", path_text(&file)]);
+    assert_eq!(exit_code(&output), HAS_FINDINGS);
+    let locations: Vec<&str> = stdout_of(&output)
         .lines()
         .map(|line| line.split(": ").nth(1).unwrap())
         .collect();
     assert_eq!(locations, ["routes[0].timeout_ms", "routes[1]"]);
 
-    let mended = configuration
+    let corrected = configuration
         .to_string()
         .replace(r#""timeout_ms":0"#, r#""timeout_ms":9"#);
     std::fs::write(
         &file,
-        mended.replace(r#""backend":"b""#, r#""backend":"a""#),
+        corrected.replace(r#""backend":"b""#, r#""backend":"a""#),
     )
     .unwrap();
-    let output = run(&["check", text(&file)]);
+    let output = run(&["check", path_text(&file)]);
     assert_eq!(
-        out(&output),
-        reported(&file, "configuration 4, no findings")
+        stdout_of(&output),
+        expected_findings(&file, "configuration 4, no findings")
     );
-    assert_eq!(code(&output), DONE);
+    assert_eq!(exit_code(&output), SUCCESS);
 }
 
 #[test]
-fn the_example_of_the_operators_page_can_be_used() {
-    for file in data("../../../../deploy/example", "json") {
-        let output = run(&["check", text(&file)]);
-        assert_eq!(code(&output), DONE, "{}", out(&output));
+fn the_example_configurations_are_valid() {
+    for file in test_files("../../../../deploy/example", "json") {
+        let output = run(&["check", path_text(&file)]);
+        assert_eq!(exit_code(&output), SUCCESS, "{}", stdout_of(&output));
     }
 }
 
 #[test]
-fn check_ends_with_2_for_what_it_cannot_judge() {
+fn check_exits_with_2_for_an_unreadable_or_unrecognized_file() {
     let folder = TemporaryFolder::new("dunespur-check").unwrap();
     let absent = folder.path().join("absent.json");
-    let output = run(&["check", text(&absent)]);
-    assert_eq!(code(&output), UNUSABLE);
-    assert!(err(&output).starts_with(text(&absent)), "{}", err(&output));
+    let output = run(&["check", path_text(&absent)]);
+    assert_eq!(exit_code(&output), UNUSABLE);
+    assert!(
+        stderr_of(&output).starts_with(path_text(&absent)),
+        "{}",
+        stderr_of(&output)
+    );
 
     let other = folder.path().join("other.json");
     std::fs::write(&other, "{}").unwrap();
-    assert_eq!(code(&run(&["check", text(&other)])), UNUSABLE);
+    assert_eq!(exit_code(&run(&["check", path_text(&other)])), UNUSABLE);
     assert_eq!(
-        code(&run(&["check", "--settings", text(&other)])),
+        exit_code(&run(&["check", "--settings", path_text(&other)])),
         HAS_FINDINGS
     );
 }
@@ -239,9 +247,9 @@
         .write_all(br#"{"node":"a"}"#)
         .unwrap();
     let output = child.wait_with_output().unwrap();
-    assert_eq!(code(&output), HAS_FINDINGS);
+    assert_eq!(exit_code(&output), HAS_FINDINGS);
     assert_eq!(
-        out(&output),
+        stdout_of(&output),
         "-: ip: is missing\n-: port_range: is missing\n"
     );
 }
@@ -250,22 +258,32 @@
 fn unusable_settings_are_one_line_and_exit_code_2() {
     for role in ["gateway", "store"] {
         let unset = run(&[role]);
-        assert_eq!(code(&unset), UNUSABLE);
-        assert_eq!(err(&unset).lines().count(), 1, "{}", err(&unset));
-        for file in data("settings/bad", "json") {
+        assert_eq!(exit_code(&unset), UNUSABLE);
+        assert_eq!(
+            stderr_of(&unset).lines().count(),
+            1,
+            "{}",
+            stderr_of(&unset)
+        );
+        for file in test_files("settings/bad", "json") {
             let output = dunespur()
                 .arg(role)
                 .env("DUNESPUR_CONFIG", &file)
                 .output()
                 .unwrap();
-            assert_eq!(code(&output), UNUSABLE, "{role} {}", file.display());
-            assert_eq!(err(&output).lines().count(), 1, "{}", err(&output));
+            assert_eq!(exit_code(&output), UNUSABLE, "{role} {}", file.display());
+            assert_eq!(
+                stderr_of(&output).lines().count(),
+                1,
+                "{}",
+                stderr_of(&output)
+            );
             let findings = std::fs::read_to_string(file.with_extension("findings")).unwrap();
             for finding in findings.lines() {
                 assert!(
-                    err(&output).contains(finding),
+                    stderr_of(&output).contains(finding),
                     "{finding}: {}",
-                    err(&output)
+                    stderr_of(&output)
                 );
             }
         }
@@ -284,7 +302,7 @@
     };
 
     write(Ports::default().first_internal);
-    let line = Running::start(&[], &settings).line();
+    let line = RunningGateway::start(&[], &settings).next_log_line();
     let (time, rest) = line.split_once(' ').unwrap();
     assert!(
         time.starts_with("20") && time.ends_with('Z') && time.len() == 24,
@@ -293,7 +311,7 @@
     assert_eq!(rest, "front-1 gateway [INFO] front-1 has started\n");
 
     write(Ports::default().first_internal);
-    let line = Running::start(&["--log-format", "json"], &settings).line();
+    let line = RunningGateway::start(&["--log-format", "json"], &settings).next_log_line();
     let reported: Value = serde_json::from_str(&line).unwrap();
     assert_eq!(reported["node"], "front-1");
     assert_eq!(reported["role"], "gateway");
--- a/crates/serving/dunespur/tests/explain.rs
+++ b/crates/serving/dunespur/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `dunespur explain`: the trace of a request out of logs that were written down, and out of those of processes.
+//! `dunespur explain`: the trace of a request, from recorded logs and from the logs of running processes.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
-use support::{continue_conversation, conversation_of, lookup, program};
+use support::{continue_conversation, conversation_of, lookup_request, program};
 
 const EXPLAINED: i32 = 0;
 const UNKNOWN_REQUEST: i32 = 1;
@@ -36,7 +36,7 @@
     std::str::from_utf8(&output.stdout).unwrap()
 }
 
-fn data(name: &str) -> PathBuf {
+fn test_data(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/explain")
         .join(name)
@@ -44,16 +44,16 @@
 
 fn logs() -> Vec<PathBuf> {
     ["front-1.log", "front-2.log", "store-1.log"]
-        .map(data)
+        .map(test_data)
         .to_vec()
 }
 
 #[test]
-fn a_request_is_followed_over_processes_without_the_lines_of_others() {
+fn a_request_is_traced_across_processes_without_lines_of_other_requests() {
     let explained = explain("r-2", &logs()).output().unwrap();
     assert_eq!(
         trace(&explained),
-        fs::read_to_string(data("trace.txt")).unwrap()
+        fs::read_to_string(test_data("trace.txt")).unwrap()
     );
 }
 
@@ -76,21 +76,21 @@
         .unwrap();
     assert_eq!(
         trace(&explained),
-        fs::read_to_string(data("trace.txt")).unwrap()
+        fs::read_to_string(test_data("trace.txt")).unwrap()
     );
 }
 
 #[test]
-fn what_no_line_names_is_1_and_what_cannot_be_read_2() {
+fn an_unknown_request_is_exit_code_1_and_an_unreadable_file_2() {
     let unknown = explain("r-404", &logs()).output().unwrap();
     assert_eq!(unknown.status.code(), Some(UNKNOWN_REQUEST));
     assert!(unknown.stdout.is_empty() && !unknown.stderr.is_empty());
-    let unreadable = explain("r-2", &[data("absent.log")]).output().unwrap();
+    let unreadable = explain("r-2", &[test_data("absent.log")]).output().unwrap();
     assert_eq!(unreadable.status.code(), Some(UNREADABLE));
     assert!(String::from_utf8_lossy(&unreadable.stderr).contains("absent.log"));
 }
 
-/// A program that logs at debug level, whatever it is started with.
+/// Writes a script that runs the program with debug logging, whatever its arguments.
 fn program_that_logs_at_debug(folder: &Path, format: &str) -> PathBuf {
     let script = folder.join("dunespur");
     let text = format!(
@@ -102,8 +102,8 @@
     script
 }
 
-/// The logs of all machines, as files.
-fn written(scene: &Scene, folder: &Path) -> Vec<PathBuf> {
+/// Writes the logs of all machines to files.
+fn write_logs(scene: &Scene, folder: &Path) -> Vec<PathBuf> {
     let machines = scene.system.machines().iter();
     machines
         .map(|machine| {
@@ -124,7 +124,7 @@
         let first = conversation.previous().unwrap().to_string();
         continue_conversation(&scene, &mut conversation, "second").await;
         let second = conversation.previous().unwrap().to_string();
-        let explained = explain(&second, &written(&scene, folder.path()))
+        let explained = explain(&second, &write_logs(&scene, folder.path()))
             .output()
             .unwrap();
         let trace = trace(&explained);
@@ -146,16 +146,16 @@
     let folder = TemporaryFolder::new("dunespur-explain").unwrap();
     let program = program_that_logs_at_debug(folder.path(), "text");
     let scene = Scene::start(&program, ScenePlan::default()).await.unwrap();
-    let served = scene.client.send(&lookup()).await;
+    let served = scene.client.send(&lookup_request()).await;
     assert!(served.succeeded(), "{served:?}");
-    let refused = scene
+    let rejected = scene
         .client
         .send(&RequestSpec::get(HOST, "/nowhere/x"))
         .await;
-    assert_eq!(refused.status(), Some(404));
+    assert_eq!(rejected.status(), Some(404));
     let conversation = conversation_of(&scene, 1).await;
     let turn = conversation.previous().unwrap().to_string();
-    let files = written(&scene, folder.path());
+    let files = write_logs(&scene, folder.path());
 
     let explained = explain(&served.request.to_string(), &files)
         .output()
@@ -174,7 +174,7 @@
             trace(&explained)
         );
     }
-    let explained = explain(&refused.request.to_string(), &files)
+    let explained = explain(&rejected.request.to_string(), &files)
         .output()
         .unwrap();
     assert!(
--- a/crates/serving/dunespur/tests/founding.rs
+++ b/crates/serving/dunespur/tests/founding.rs
@@ -1,4 +1,4 @@
-//! The first start: every machine knows three seeds and nothing else, and processes may end at any moment of it.
+//! The first start of a system: every machine knows only three seeds, and processes may be killed at any time.
 
 mod support;
 
@@ -10,16 +10,16 @@
 use serde_json::Value;
 use std::time::Duration;
 use support::{
-    begin, expect_no_violation, machines_of, programs_for, stage, Stage, CATCH_UP, ORDER_LIMIT,
-    RECOVERY,
+    expect_no_violation, machines_of, run_programs_for, serving_scene, started_scene, TestScene,
+    CATCH_UP_TIME, OPERATOR_REQUEST_LIMIT, RECOVERY_LIMIT,
 };
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// A call that is only a look.
-const LOOK: Duration = Duration::from_millis(300);
+/// Timeout of a call that probes a gateway.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Gateways without a disk come first, so that the seeds are no members of the core.
+/// A plan whose first machines are gateways without a disk, so that the seeds are not members of the core.
 fn seeds_without_disks() -> ScenePlan {
     let mut plan = ScenePlan {
         engines: 1,
@@ -34,43 +34,50 @@
     plan
 }
 
-/// Whether this gateway's core answers: with a configuration or that there is none.
-async fn reads(scene: &Scene, index: usize) -> bool {
+/// Whether the core answers a read through this gateway, with a configuration or with 404 for none.
+async fn answers_reads(scene: &Scene, index: usize) -> bool {
     let answer = call(
         scene.system.control(index),
         &Call::get("/api/config/get"),
-        LOOK,
+        PROBE_TIMEOUT,
     )
     .await;
     answer.is_ok_and(|answer| [200, 404].contains(&answer.status))
 }
 
-/// Ends once some core member answers for the core.
-async fn somebody_reads(scene: &Scene) {
-    let until = Instant::now() + RECOVERY;
+/// Waits until any core member answers reads.
+async fn wait_until_core_answers(scene: &Scene) {
+    let deadline = Instant::now() + RECOVERY_LIMIT;
     loop {
         for member in machines_of(scene, Role::Core) {
-            if reads(scene, member).await {
+            if answers_reads(scene, member).await {
                 return;
             }
         }
-        assert!(Instant::now() < until, "no core comes up");
+        assert!(
+            Instant::now() < deadline,
+            "no core member answers reads in time"
+        );
     }
 }
 
-/// Ends once this machine's control address takes connections.
-async fn listens(scene: &Scene, index: usize) {
-    let until = Instant::now() + RECOVERY;
+/// Waits until this machine's control address accepts connections.
+async fn wait_until_listening(scene: &Scene, index: usize) {
+    let deadline = Instant::now() + RECOVERY_LIMIT;
     while TcpStream::connect(scene.system.control(index))
         .await
         .is_err()
     {
-        assert!(Instant::now() < until, "machine {index} does not come up");
+        assert!(
+            Instant::now() < deadline,
+            "machine {index} does not listen in time"
+        );
     }
 }
 
-/// There is one system: each gateway takes an order on top of what the one before took, and all read the same.
-async fn expect_one_system(scene: &mut Stage) {
+/// Asserts that all gateways belong to one system: each accepts a change based on the previous gateway's version, and
+/// all read the same version in the end.
+async fn expect_one_system(scene: &mut TestScene) {
     scene.configure().await.unwrap();
     scene.wait_until_serving().await.unwrap();
     let controls = scene.system.controls();
@@ -82,7 +89,7 @@
         let body = patch(version + 1, &[route], &[]);
         let answer = scene
             .operator
-            .patch(version, &body, RECOVERY)
+            .patch(version, &body, RECOVERY_LIMIT)
             .await
             .unwrap();
         assert_eq!(
@@ -95,7 +102,7 @@
     }
     for control in &controls {
         scene.operator.set_controls(vec![*control]);
-        let answer = scene.operator.get(ORDER_LIMIT).await.unwrap();
+        let answer = scene.operator.get(OPERATOR_REQUEST_LIMIT).await.unwrap();
         let configuration: Value = serde_json::from_slice(&answer.body).unwrap();
         assert_eq!(configuration["generation"], version, "{control}");
     }
@@ -103,17 +110,17 @@
 }
 
 #[tokio::test]
-async fn a_system_comes_up_whose_seeds_have_no_disks() {
-    let mut scene = begin(seeds_without_disks()).await;
+async fn a_system_starts_with_seeds_without_disks() {
+    let mut scene = started_scene(seeds_without_disks()).await;
     expect_one_system(&mut scene).await;
-    programs_for(&scene, Duration::from_millis(500)).await;
+    run_programs_for(&scene, Duration::from_millis(500)).await;
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
-async fn the_founder_may_be_killed_before_it_has_founded_anything() {
-    let mut scene = begin(seeds_without_disks()).await;
-    listens(&scene, 0).await;
+async fn the_founder_may_be_killed_before_it_decides_the_first_view() {
+    let mut scene = started_scene(seeds_without_disks()).await;
+    wait_until_listening(&scene, 0).await;
     scene.system.machine(0).kill();
     scene.system.restart_bootstrapping(0).unwrap();
     expect_one_system(&mut scene).await;
@@ -122,8 +129,8 @@
 #[tokio::test]
 async fn the_founder_may_be_killed_when_it_has_answered_the_first_member() {
     for _ in 0..4 {
-        let mut scene = begin(seeds_without_disks()).await;
-        somebody_reads(&scene).await;
+        let mut scene = started_scene(seeds_without_disks()).await;
+        wait_until_core_answers(&scene).await;
         scene.system.machine(0).kill();
         scene.system.restart_bootstrapping(0).unwrap();
         expect_one_system(&mut scene).await;
@@ -131,15 +138,15 @@
 }
 
 #[tokio::test]
-async fn a_founder_with_a_disk_may_be_killed_when_the_core_stands() {
+async fn a_founder_with_a_disk_may_be_killed_once_the_core_answers() {
     for _ in 0..4 {
-        let mut scene = begin(ScenePlan {
+        let mut scene = started_scene(ScenePlan {
             engines: 1,
             plains: 1,
             ..ScenePlan::default()
         })
         .await;
-        somebody_reads(&scene).await;
+        wait_until_core_answers(&scene).await;
         scene.system.machine(0).kill();
         scene.system.restart_bootstrapping(0).unwrap();
         expect_one_system(&mut scene).await;
@@ -149,8 +156,8 @@
 #[tokio::test]
 async fn all_processes_may_be_killed_while_the_core_is_founded() {
     for _ in 0..4 {
-        let mut scene = begin(seeds_without_disks()).await;
-        somebody_reads(&scene).await;
+        let mut scene = started_scene(seeds_without_disks()).await;
+        wait_until_core_answers(&scene).await;
         scene.system.kill_all();
         for index in 0..scene.system.machines().len() {
             scene.system.restart_bootstrapping(index).unwrap();
@@ -160,29 +167,29 @@
 }
 
 #[tokio::test]
-async fn a_member_that_comes_late_joins_though_its_settings_say_bootstrap() {
-    let mut scene = begin(seeds_without_disks()).await;
+async fn a_late_member_joins_although_its_settings_say_bootstrap() {
+    let mut scene = started_scene(seeds_without_disks()).await;
     let late = machines_of(&scene, Role::Core)[2];
     scene.system.machine(late).kill();
     scene.system.machine(late).wipe().unwrap();
     scene.configure().await.unwrap();
     scene.system.restart_bootstrapping(late).unwrap();
     scene.wait_until_serving().await.unwrap();
-    programs_for(&scene, CATCH_UP).await;
+    run_programs_for(&scene, CATCH_UP_TIME).await;
     let other = machines_of(&scene, Role::Core)[0];
     scene.system.machine(other).kill();
     let route = RoutePlan::new("later", HOST, "/later/", Kind::ReadOnly, TOOLS);
     let answer = scene
         .operator
-        .patch(1, &patch(2, &[route], &[]), RECOVERY)
+        .patch(1, &patch(2, &[route], &[]), RECOVERY_LIMIT)
         .await
         .unwrap();
     assert_eq!(answer.status, 200);
 }
 
 #[tokio::test]
-async fn a_machine_comes_up_with_one_seed_left() {
-    let mut scene = stage(ScenePlan {
+async fn a_machine_starts_with_a_single_remaining_seed() {
+    let mut scene = serving_scene(ScenePlan {
         engines: 1,
         plains: 1,
         ..ScenePlan::default()
@@ -200,11 +207,19 @@
         .system
         .join(MachinePlan::new(Role::Gateway, "zone-b"))
         .unwrap();
-    scene.system.ready_one(joined, RECOVERY).await.unwrap();
+    scene
+        .system
+        .ready_one(joined, RECOVERY_LIMIT)
+        .await
+        .unwrap();
     scene.serves(joined).await.unwrap();
     scene.system.machine(joined).kill();
     scene.system.restart(joined).unwrap();
-    scene.system.ready_one(joined, RECOVERY).await.unwrap();
+    scene
+        .system
+        .ready_one(joined, RECOVERY_LIMIT)
+        .await
+        .unwrap();
     scene.serves(joined).await.unwrap();
     expect_no_violation(&scene);
 }
--- a/crates/serving/dunespur/tests/frozen.rs
+++ b/crates/serving/dunespur/tests/frozen.rs
@@ -1,5 +1,5 @@
-//! A process that was frozen and goes on finds stale requests and responses in its sockets: it answers by nothing
-//! that it knew before.
+//! A process that continues after a freeze finds stale requests and responses in its sockets. It must not answer from
+//! the state that it knew before the freeze.
 
 mod support;
 
@@ -12,42 +12,51 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
-use support::{expect_no_violation, machines_of, programs_for, stage, Stage, ORDER_LIMIT};
+use support::{
+    expect_no_violation, machines_of, run_programs_for, serving_scene, TestScene,
+    OPERATOR_REQUEST_LIMIT,
+};
 use tokio::task::JoinSet;
 
-/// Calls of each kind that lie in the sockets of the frozen process.
+/// Calls of each kind that wait in the sockets of the frozen process.
 const CALLS: usize = 30;
-/// They wait as long as it takes.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// A gateway without an answer of the core for this long is out of touch.
-const OUT_OF_TOUCH: Duration = Duration::from_millis(2_600);
-/// A server is told within this time.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(1);
+/// Timeout of the calls to the frozen process, long enough for the whole test.
+const FROZEN_CALL_TIMEOUT: Duration = Duration::from_secs(60);
+/// A gateway has lost contact after this time without an answer of the core.
+const CONTACT_LOSS_TIME: Duration = Duration::from_millis(2_600);
+/// A heartbeat is answered within this time.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 const HEARTBEATS: usize = 20;
 
 fn route(name: &str) -> RoutePlan {
     RoutePlan::new(name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS)
 }
 
-fn order(base: u64, body: &Value) -> Call {
-    let mut order = Call::post("/api/config/patch", body.to_string());
-    order.headers.push(name::BASE_VERSION, base.to_string());
-    order
+fn patch_call(base: u64, body: &Value) -> Call {
+    let mut patch_call = Call::post("/api/config/patch", body.to_string());
+    patch_call
+        .headers
+        .push(name::BASE_VERSION, base.to_string());
+    patch_call
 }
 
-/// What is called while the process stands still.
+/// Kind of a call that is made while the process is frozen.
 #[derive(Clone, Copy, Debug)]
 enum FrozenCall {
     Read,
-    /// An order that has lost.
+    /// A change whose base version is outdated.
     Lost,
-    /// An order that may be taken.
+    /// A change that may be accepted.
     Fresh,
     UnknownMachine,
 }
 
-async fn take(scene: &mut Stage, base: u64, body: &Value) {
-    let answer = scene.operator.patch(base, body, ORDER_LIMIT).await.unwrap();
+async fn expect_accepted(scene: &mut TestScene, base: u64, body: &Value) {
+    let answer = scene
+        .operator
+        .patch(base, body, OPERATOR_REQUEST_LIMIT)
+        .await
+        .unwrap();
     assert_eq!(
         answer.status,
         200,
@@ -57,10 +66,11 @@
 }
 
 fn generation(answer: &CallAnswer) -> Value {
-    serde_json::from_slice::<Value>(&answer.body).expect("a body")["generation"].clone()
+    serde_json::from_slice::<Value>(&answer.body).expect("the body should be JSON")["generation"]
+        .clone()
 }
 
-/// The newest version is 7, or 8 if the fresh order was taken.
+/// Asserts that the answer reflects the newest version: 7, or 8 if the fresh change was accepted.
 fn expect_current(call_kind: FrozenCall, answer: &CallAnswer) {
     let newest = [json!(7), json!(8)];
     let text = String::from_utf8_lossy(&answer.body);
@@ -77,8 +87,8 @@
 }
 
 #[tokio::test]
-async fn a_thawed_core_member_answers_nothing_out_of_its_old_state() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn a_thawed_core_member_answers_nothing_from_its_outdated_state() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let member = machines_of(&scene, Role::Core)[0];
     let frozen = scene.system.control(member);
     let others: Vec<SocketAddr> = scene
@@ -87,7 +97,7 @@
         .into_iter()
         .filter(|control| *control != frozen)
         .collect();
-    take(&mut scene, 1, &patch(3, &[route("before")], &[])).await;
+    expect_accepted(&mut scene, 1, &patch(3, &[route("before")], &[])).await;
     scene.system.machine(member).freeze().unwrap();
     let (lost, fresh) = (
         patch(5, &[route("lost")], &[]),
@@ -101,35 +111,37 @@
     for number in 0..CALLS {
         let call_kind = [
             (FrozenCall::Read, Call::get("/api/config/get")),
-            (FrozenCall::Lost, order(3, &lost)),
+            (FrozenCall::Lost, patch_call(3, &lost)),
             (FrozenCall::UnknownMachine, unknown.clone()),
         ];
-        let fresh = (number == 0).then(|| (FrozenCall::Fresh, order(7, &fresh)));
+        let fresh = (number == 0).then(|| (FrozenCall::Fresh, patch_call(7, &fresh)));
         for (call_kind, request) in call_kind.into_iter().chain(fresh) {
-            calls.spawn(async move { (call_kind, call(frozen, &request, PATIENCE).await) });
+            calls.spawn(
+                async move { (call_kind, call(frozen, &request, FROZEN_CALL_TIMEOUT).await) },
+            );
         }
     }
     scene.operator.set_controls(others);
-    take(&mut scene, 3, &patch(4, &[route("first")], &[])).await;
-    take(&mut scene, 4, &patch(7, &[route("second")], &[])).await;
+    expect_accepted(&mut scene, 3, &patch(4, &[route("first")], &[])).await;
+    expect_accepted(&mut scene, 4, &patch(7, &[route("second")], &[])).await;
     scene.system.machine(member).thaw().unwrap();
     while let Some(answered) = calls.join_next().await {
         let (call_kind, answer) = answered.unwrap();
         let answer = answer.unwrap_or_else(|error| panic!("{call_kind:?}: {error}"));
         expect_current(call_kind, &answer);
     }
-    take(&mut scene, 7, &fresh).await;
+    expect_accepted(&mut scene, 7, &fresh).await;
     expect_no_violation(&scene);
 }
 
-/// The status of a heartbeat that says nothing new.
+/// Sends a heartbeat without new information and returns the response's status.
 async fn send_heartbeat(control: SocketAddr) -> Option<u16> {
     let body = json!({
         "backend": TOOLS, "address": "127.0.0.9:9", "zone": "zone-a", "generation": "v1", "slots": 1,
         "state": "ready", "cold_left_ms": 0, "seq": 1,
     });
     let request = Call::post("/api/instances/i-beats/heartbeat", body.to_string());
-    call(control, &request, ANSWERED_WITHIN)
+    call(control, &request, HEARTBEAT_TIMEOUT)
         .await
         .ok()
         .map(|answer| answer.status)
@@ -142,8 +154,8 @@
 }
 
 #[tokio::test]
-async fn a_thawed_gateway_acknowledges_no_heartbeat_by_an_old_answer() {
-    let mut scene = stage(ScenePlan {
+async fn a_thawed_gateway_acknowledges_no_heartbeat_based_on_an_old_answer() {
+    let mut scene = serving_scene(ScenePlan {
         engines: 2,
         ..ScenePlan::default()
     })
@@ -153,12 +165,15 @@
     while send_heartbeat(control).await != Some(200) {}
     scene.system.machine(gateway).freeze().unwrap();
     let fronts = scene.system.fronts();
-    let own = scene.system.front(gateway);
-    scene
-        .client
-        .set_fronts(fronts.into_iter().filter(|front| *front != own).collect());
-    programs_for(&scene, OUT_OF_TOUCH).await;
-    // Now the core's last answer lies in the gateway's socket, and no other one comes.
+    let frozen_front = scene.system.front(gateway);
+    scene.client.set_fronts(
+        fronts
+            .into_iter()
+            .filter(|front| *front != frozen_front)
+            .collect(),
+    );
+    run_programs_for(&scene, CONTACT_LOSS_TIME).await;
+    // The core's last answer now waits in the gateway's socket, and no other answer follows.
     freeze_core(&mut scene).await;
     scene.system.machine(gateway).thaw().unwrap();
     for number in 0..HEARTBEATS {
--- a/crates/serving/dunespur/tests/large_state.rs
+++ b/crates/serving/dunespur/tests/large_state.rs
@@ -1,8 +1,8 @@
-//! A control state near its bounds, in real processes: what makes it so is refused in time, and a member that lost its
-//! disk is given all of it while changes go on.
+//! A control state near its size limit, in real processes: operations that would exceed the limit are rejected, and a
+//! member that lost its disk receives the complete state while changes continue.
 //!
-//! `LARGE_STATE_PROGRAMS` and `LARGE_STATE_NAME_BYTES` in the environment have other numbers of programs counted, with
-//! names of another length.
+//! The environment variables `LARGE_STATE_PROGRAMS` and `LARGE_STATE_NAME_BYTES` override the number of programs and the
+//! length of their names.
 
 mod support;
 
@@ -18,21 +18,23 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use support::{add_route, expect_no_violation, machines_of, programs_for, stage, RECOVERY};
+use support::{
+    add_route, expect_no_violation, machines_of, run_programs_for, serving_scene, RECOVERY_LIMIT,
+};
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::{sleep, Instant};
 
-/// Programs counted unless the environment says otherwise: more than fit.
+/// Default number of programs, more than fit into the state.
 const PROGRAMS: u64 = 33_000;
-/// Bytes of a program's name: long ones fill the state sooner.
+/// Default length of a program's name in bytes; long names fill the state sooner.
 const NAME_BYTES: u64 = 230;
 const ROUTES: u64 = 2_000;
 const SERVERS: u64 = 1_000;
-/// Operations at one time.
+/// Operations executed at the same time.
 const CONCURRENCY: usize = 256;
-/// The largest deployments give a member so long to catch up.
-const CATCH_UP_LARGE: Duration = Duration::from_secs(6);
-/// Between two looks at the status of a member.
+/// Time within which a member has to catch up in the largest deployments.
+const LARGE_CATCH_UP_LIMIT: Duration = Duration::from_secs(6);
+/// Pause between two attempts of an operation or queries of a status.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -45,16 +47,19 @@
     SocketAddr::new(ip, Ports::default().first_internal)
 }
 
-/// Executes an operation at a core member, again until it is done.
+/// Executes an operation at a core member, repeating it until it is answered.
 async fn execute(core: &Rc<Client>, operation: &Operation) -> Outcome {
     let payload = encode(&Request::Execute(operation.clone()));
-    let until = Instant::now() + RECOVERY;
+    let deadline = Instant::now() + RECOVERY_LIMIT;
     loop {
         let answer = core.call(payload.clone(), CALL_TIMEOUT).await;
         if let Some(Reply::Executed(outcome)) = answer.ok().and_then(|bytes| decode(&bytes)) {
             return outcome;
         }
-        assert!(Instant::now() < until, "no answer to an operation");
+        assert!(
+            Instant::now() < deadline,
+            "no answer to an operation in time"
+        );
         sleep(POLL_INTERVAL).await;
     }
 }
@@ -83,15 +88,15 @@
     })
 }
 
-/// Executes many operations, some at the same time; the outcomes in no order.
+/// Executes operations, [`CONCURRENCY`] at a time; returns the outcomes in no particular order.
 async fn execute_all(core: &Rc<Client>, operations: Vec<Operation>) -> Vec<Outcome> {
     let operations = Rc::new(operations);
     let mut workers = JoinSet::new();
-    for first in 0..CONCURRENCY {
+    for worker in 0..CONCURRENCY {
         let (core, operations) = (core.clone(), operations.clone());
         workers.spawn_local(async move {
             let mut outcomes = Vec::new();
-            for operation in operations.iter().skip(first).step_by(CONCURRENCY) {
+            for operation in operations.iter().skip(worker).step_by(CONCURRENCY) {
                 outcomes.push(execute(&core, operation).await);
             }
             outcomes
@@ -100,8 +105,8 @@
     workers.join_all().await.into_iter().flatten().collect()
 }
 
-/// Asks for a lease of each program; how many get one.
-async fn count_programs(core: &Rc<Client>, programs: u64) -> u64 {
+/// Requests a lease for each program; returns the number of granted leases.
+async fn lease_for_programs(core: &Rc<Client>, programs: u64) -> u64 {
     let operations = (0..programs).map(|number| lease(number, 1)).collect();
     let outcomes = execute_all(core, operations).await.into_iter();
     let granted = outcomes.filter(|outcome| match outcome {
@@ -126,7 +131,7 @@
     execute_all(core, reports.map(Operation::Server).collect()).await;
 }
 
-/// One change of the configuration that adds all the routes.
+/// Adds [`ROUTES`] routes with one change of the configuration.
 async fn add_routes(scene: &mut Scene) -> u64 {
     let generation = 4;
     let routes: Vec<RoutePlan> = (0..ROUTES)
@@ -139,7 +144,11 @@
     let plan = plan.patched(generation, &routes, &[]);
     scene.configurations.push(plan);
     let body = patch(generation, &routes, &[]);
-    let answer = scene.operator.patch(1, &body, RECOVERY).await.unwrap();
+    let answer = scene
+        .operator
+        .patch(1, &body, RECOVERY_LIMIT)
+        .await
+        .unwrap();
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     assert_eq!(answer.status, 200, "{text}");
     generation
@@ -156,58 +165,70 @@
     status.get("core").cloned()
 }
 
-/// How long until the member follows the chain and has committed that much.
+/// Waits until the member is up to date and has committed at least `committed` operations; returns the time taken.
 async fn time_to_follow(address: SocketAddr, committed: u64) -> Duration {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
         if let Some(core) = core_status(address).await {
             let reached = core["committed"].as_u64().unwrap_or(0) >= committed;
             if core["follows"] == true && reached {
-                return begun.elapsed();
+                return started_at.elapsed();
             }
         }
-        assert!(begun.elapsed() < RECOVERY, "it does not follow");
+        assert!(
+            started_at.elapsed() < RECOVERY_LIMIT,
+            "the member does not catch up in time"
+        );
         sleep(POLL_INTERVAL).await;
     }
 }
 
 #[tokio::test]
-async fn a_state_near_its_bounds_is_handed_over_and_grows_no_further() {
-    LocalSet::new().run_until(play_large_state()).await;
+async fn a_state_near_its_limit_is_transferred_and_grows_no_further() {
+    LocalSet::new().run_until(run_large_state()).await;
 }
 
-async fn play_large_state() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn run_large_state() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let version = add_routes(&mut scene).await;
     let members = machines_of(&scene, Role::Core);
     let core = Client::new(internal(&scene, members[0]));
     register_servers(&core).await;
-    let asked = from_environment("LARGE_STATE_PROGRAMS").unwrap_or(PROGRAMS);
-    let begun = Instant::now();
-    let counted = count_programs(&core, asked).await;
-    eprintln!("{counted} of {asked} programs in {:?}", begun.elapsed());
+    let requested_programs = from_environment("LARGE_STATE_PROGRAMS").unwrap_or(PROGRAMS);
+    let started_at = Instant::now();
+    let granted_programs = lease_for_programs(&core, requested_programs).await;
+    eprintln!(
+        "{granted_programs} of {requested_programs} programs in {:?}",
+        started_at.elapsed()
+    );
     let status = core_status(internal(&scene, members[0])).await.unwrap();
     eprintln!("{status}");
     let (bytes, bound) = (&status["counter_bytes"], &status["max_counter_bytes"]);
     assert!(bytes.as_u64() <= bound.as_u64().map(|bound| bound + 1_024));
-    if asked == PROGRAMS {
-        assert!(counted < asked, "new programs are refused at the bound");
+    if requested_programs == PROGRAMS {
+        assert!(
+            granted_programs < requested_programs,
+            "new programs should be rejected at the limit"
+        );
     }
     let committed = status["committed"].as_u64().unwrap();
 
     scene.system.wipe(members[1]).unwrap();
     let took = time_to_follow(internal(&scene, members[1]), committed).await;
-    eprintln!("the wiped member follows after {took:?}");
-    assert!(took < CATCH_UP_LARGE, "{took:?}");
+    eprintln!("the wiped member caught up after {took:?}");
+    assert!(took < LARGE_CATCH_UP_LIMIT, "{took:?}");
     let newest = add_route(&mut scene, version).await;
     assert_eq!(newest, support::generation(&mut scene).await);
 
-    // A known program goes on.
-    let again = execute(&core, &lease(0, 2)).await;
-    let is_granted = matches!(again, Outcome::Budget(CounterReply::Granted { .. }));
-    assert!(is_granted, "{again:?}");
-    if counted == asked {
-        programs_for(&scene, Duration::from_millis(500)).await;
+    // A known program can still lease tokens.
+    let repeated_lease = execute(&core, &lease(0, 2)).await;
+    let is_granted = matches!(
+        repeated_lease,
+        Outcome::Budget(CounterReply::Granted { .. })
+    );
+    assert!(is_granted, "{repeated_lease:?}");
+    if granted_programs == requested_programs {
+        run_programs_for(&scene, Duration::from_millis(500)).await;
     }
     expect_no_violation(&scene);
 }
--- a/crates/serving/dunespur/tests/leaving.rs
+++ b/crates/serving/dunespur/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Planned ends: SIGTERM, retirement, settings that can't be used.
+//! Planned shutdowns by SIGTERM, retirement of stores, and starts with unusable settings.
 
 mod support;
 
@@ -10,19 +10,20 @@
 use std::process::Command;
 use std::time::Duration;
 use support::{
-    continue_conversation, conversation_of, engine_of_a_turn, expect_no_violation, lookup,
-    machines_of, program, programs_for, stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
+    continue_conversation, conversation_of, engine_of_a_turn, expect_no_violation, lookup_request,
+    machines_of, program, run_programs_for, serving_scene, CATCH_UP_TIME, OPERATOR_REQUEST_LIMIT,
+    RECOVERY_LIMIT,
 };
 use tokio::time::Instant;
 
 /// The platform kills a process this long after SIGTERM.
-const GRACE: Duration = Duration::from_secs(8);
-/// A process counts as one that takes clients no longer than this after SIGTERM.
+const TERMINATION_GRACE: Duration = Duration::from_secs(8);
+/// A process is no longer ready within this time after SIGTERM.
 const READY_LIMIT: Duration = Duration::from_secs(4);
 
 #[tokio::test]
-async fn a_gateway_that_is_terminated_completes_its_streams() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn a_terminated_gateway_completes_its_streams() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let leaving = machines_of(&scene, Role::Gateway)[0];
     for engine in &scene.engines {
         engine.server.gate.close();
@@ -50,15 +51,20 @@
     }
     let served = turn.await.unwrap();
     assert!(served.succeeded(), "{served:?}");
-    let status = scene.system.machine(leaving).wait(GRACE).await.unwrap();
+    let status = scene
+        .system
+        .machine(leaving)
+        .wait(TERMINATION_GRACE)
+        .await
+        .unwrap();
     assert!(status.success(), "{status}");
     conversation.set_previous(Some(served.request));
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
-async fn gateways_that_are_terminated_are_not_ready_while_they_still_serve() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn terminated_gateways_are_not_ready_while_they_still_serve() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let leaving = [
         machines_of(&scene, Role::Gateway)[0],
         machines_of(&scene, Role::Core)[0],
@@ -90,7 +96,11 @@
         while status == Some(200) {
             status = scene.system.readiness(index).await;
         }
-        assert_eq!(status, Some(503), "it still runs, and says so");
+        assert_eq!(
+            status,
+            Some(503),
+            "the process should still run and report that it is not ready"
+        );
     }
     assert!(
         requested_at.elapsed() < READY_LIMIT,
@@ -99,7 +109,7 @@
     );
     assert!(
         turns.iter().all(|turn| !turn.is_finished()),
-        "their turns are still in hand"
+        "the turns should still be in flight"
     );
     scene
         .engines
@@ -113,8 +123,8 @@
 }
 
 #[tokio::test]
-async fn a_gateway_whose_settings_change_interrupts_nothing() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn a_settings_reload_interrupts_no_request() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let gateway = machines_of(&scene, Role::Gateway)[0];
     scene
         .engines
@@ -134,9 +144,13 @@
     scene.system.set_seeds(seeds);
     scene.system.rewrite_settings(gateway).unwrap();
     scene.system.machine(gateway).hang_up().unwrap();
-    // Behind the signal, and by a process that still runs.
+    // These requests follow the signal, and the process must still run.
     assert_eq!(scene.system.readiness(gateway).await, Some(200));
-    assert!(scene.client.send_to(front, &lookup()).await.succeeded());
+    assert!(scene
+        .client
+        .send_to(front, &lookup_request())
+        .await
+        .succeeded());
     scene
         .engines
         .iter()
@@ -149,25 +163,25 @@
 
 #[tokio::test]
 async fn gateways_leave_and_return_in_turn_under_load() {
-    let mut scene = stage(ScenePlan::default()).await;
-    let mut version_conversation = conversation_of(&scene, 1).await;
+    let mut scene = serving_scene(ScenePlan::default()).await;
+    let mut conversation = conversation_of(&scene, 1).await;
     for index in scene
         .system
         .machine_indices(|plan| plan.role != Role::Store)
     {
         scene.terminate(index).unwrap();
-        continue_conversation(
-            &scene,
-            &mut version_conversation,
-            &format!("while {index} leaves"),
-        )
-        .await;
-        let status = scene.system.machine(index).wait(GRACE).await.unwrap();
+        continue_conversation(&scene, &mut conversation, &format!("while {index} leaves")).await;
+        let status = scene
+            .system
+            .machine(index)
+            .wait(TERMINATION_GRACE)
+            .await
+            .unwrap();
         assert!(status.success(), "{status}");
         scene.system.restart(index).unwrap();
         scene.client.set_fronts(scene.system.fronts());
         scene.wait_until_serving().await.unwrap();
-        programs_for(&scene, CATCH_UP).await;
+        run_programs_for(&scene, CATCH_UP_TIME).await;
     }
     expect_no_violation(&scene);
 }
@@ -176,30 +190,41 @@
 async fn a_store_is_emptied_and_retired() {
     let mut plan = ScenePlan::default();
     plan.machines.push(MachinePlan::new(Role::Store, "zone-a"));
-    let mut scene = stage(plan).await;
+    let mut scene = serving_scene(plan).await;
     let mut conversations = Vec::new();
     for _ in 0..8 {
         conversations.push(conversation_of(&scene, 2).await);
     }
     let retired = machines_of(&scene, Role::Store)[0];
     let name = scene.system.machines()[retired].name().to_owned();
-    let answer = scene.operator.retire(&name, 10, ORDER_LIMIT).await.unwrap();
+    let answer = scene
+        .operator
+        .retire(&name, 10, OPERATOR_REQUEST_LIMIT)
+        .await
+        .unwrap();
     assert_eq!(
         answer.status,
         200,
         "{}",
         String::from_utf8_lossy(&answer.body)
     );
-    let until = Instant::now() + RECOVERY;
+    let deadline = Instant::now() + RECOVERY_LIMIT;
     loop {
-        let answer = scene.operator.retirement(&name, ORDER_LIMIT).await.unwrap();
+        let answer = scene
+            .operator
+            .retirement(&name, OPERATOR_REQUEST_LIMIT)
+            .await
+            .unwrap();
         let state: Value = serde_json::from_slice(&answer.body).unwrap();
         if state["state"] == "done" {
             break;
         }
         assert_eq!(state["state"], "running");
-        assert!(Instant::now() < until, "the store is not emptied");
-        programs_for(&scene, Duration::from_millis(50)).await;
+        assert!(
+            Instant::now() < deadline,
+            "the store is not emptied in time"
+        );
+        run_programs_for(&scene, Duration::from_millis(50)).await;
     }
     scene.system.machine(retired).kill();
     for conversation in &mut conversations {
@@ -208,10 +233,14 @@
     expect_no_violation(&scene);
 }
 
-/// Orders a store to retire; the status of the answer, which is 200, or 409 with a reason.
-async fn order_retirement(scene: &mut Scene, store: usize) -> u16 {
+/// Requests the retirement of a store and returns the status, which has to be 200, or 409 with a reason.
+async fn request_retirement(scene: &mut Scene, store: usize) -> u16 {
     let name = scene.system.machines()[store].name().to_owned();
-    let answer = scene.operator.retire(&name, 10, ORDER_LIMIT).await.unwrap();
+    let answer = scene
+        .operator
+        .retire(&name, 10, OPERATOR_REQUEST_LIMIT)
+        .await
+        .unwrap();
     let reason = String::from_utf8_lossy(&answer.body).into_owned();
     match answer.status {
         200 => {}
@@ -222,26 +251,29 @@
 }
 
 #[tokio::test]
-async fn a_retirement_of_an_unknown_store_is_404_and_of_one_too_many_409() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn retiring_an_unknown_store_is_404_and_one_store_too_many_409() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let answer = scene
         .operator
-        .retire("nobody", 10, ORDER_LIMIT)
+        .retire("nobody", 10, OPERATOR_REQUEST_LIMIT)
         .await
         .unwrap();
     assert_eq!(answer.status, 404);
     let stores = machines_of(&scene, Role::Store);
-    let until = Instant::now() + RECOVERY;
-    // Until the two others are complete, which they are some seconds after their start, the order is rejected.
-    while order_retirement(&mut scene, stores[0]).await != 200 {
-        assert!(Instant::now() < until, "the order is never taken");
-        programs_for(&scene, Duration::from_millis(50)).await;
+    let deadline = Instant::now() + RECOVERY_LIMIT;
+    // The request is rejected until the two other stores are complete, some seconds after their start.
+    while request_retirement(&mut scene, stores[0]).await != 200 {
+        assert!(
+            Instant::now() < deadline,
+            "the retirement is not accepted in time"
+        );
+        run_programs_for(&scene, Duration::from_millis(50)).await;
     }
     for store in &stores[1..] {
-        let status = order_retirement(&mut scene, *store).await;
-        assert_eq!(status, 409, "two copies need two stores");
+        let status = request_retirement(&mut scene, *store).await;
+        assert_eq!(status, 409, "two replicas need two stores");
     }
-    programs_for(&scene, Duration::from_millis(200)).await;
+    run_programs_for(&scene, Duration::from_millis(200)).await;
     expect_no_violation(&scene);
 }
 
@@ -281,12 +313,12 @@
     expect_single_line(&output, "no variable");
 }
 
-fn expect_single_line(output: &std::process::Output, what: &str) {
+fn expect_single_line(output: &std::process::Output, description: &str) {
     let reported = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(2), "{what:?}: {reported}");
+    assert_eq!(output.status.code(), Some(2), "{description:?}: {reported}");
     assert_eq!(
         reported.trim_end().lines().count(),
         1,
-        "{what:?}: {reported}"
+        "{description:?}: {reported}"
     );
 }
--- a/crates/serving/dunespur/tests/load_aggregators.rs
+++ b/crates/serving/dunespur/tests/load_aggregators.rs
@@ -1,5 +1,4 @@
-//! Load aggregators of services as servers see them: which gateway is named for their later heartbeats, and what
-//! happens when it is lost.
+//! Load aggregators of services, as servers see them: which gateway heartbeat responses name, and how it is replaced.
 
 mod support;
 
@@ -9,17 +8,19 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
-use support::{engine_of_a_turn, expect_no_violation, machines_of, stage, ORDER_LIMIT};
+use support::{
+    engine_of_a_turn, expect_no_violation, machines_of, serving_scene, OPERATOR_REQUEST_LIMIT,
+};
 use tokio::time::{sleep, Instant};
 
 /// A heartbeat is answered within this time.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(1);
-/// Pause between two checks of what is to become so.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The zone that has a core member and another gateway.
 const ZONE: &str = "zone-a";
 
-/// Sends a heartbeat of a server that no route leads to: the address that it names for later ones.
+/// Sends a heartbeat of a server without routes; returns the address that the response names for later heartbeats.
 async fn send_heartbeat(control: SocketAddr, service: &str, seq: u64) -> Option<SocketAddr> {
     let body = json!({
         "backend": service,
@@ -35,7 +36,7 @@
     let answer = call(
         control,
         &Call::post(target, body.to_string()),
-        ANSWERED_WITHIN,
+        HEARTBEAT_TIMEOUT,
     )
     .await
     .ok()?;
@@ -43,42 +44,42 @@
     answer["beat_addr"].as_str()?.parse().ok()
 }
 
-/// The gateways of the zone: one with the core's disk and one without.
-fn gateways(scene: &Scene) -> [usize; 2] {
+/// The two gateways of [`ZONE`]: first a core member, then a gateway without a disk.
+fn zone_gateways(scene: &Scene) -> [usize; 2] {
     [
         machines_of(scene, Role::Core)[0],
         machines_of(scene, Role::Gateway)[0],
     ]
 }
 
-/// Waits until `by` names `aggregator` for the service's heartbeats.
-async fn named(by: SocketAddr, service: &str, aggregator: SocketAddr) {
-    let until = Instant::now() + READY_TIMEOUT;
+/// Waits until the gateway at `control` names `aggregator` for the service's heartbeats.
+async fn wait_until_named(control: SocketAddr, service: &str, aggregator: SocketAddr) {
+    let deadline = Instant::now() + READY_TIMEOUT;
     let mut seq = 100;
     loop {
         seq += 1;
-        let named = send_heartbeat(by, service, seq).await;
+        let named = send_heartbeat(control, service, seq).await;
         if named == Some(aggregator) {
             return;
         }
         assert!(
-            Instant::now() < until,
-            "{by} names {named:?}, not {aggregator}"
+            Instant::now() < deadline,
+            "{control} names {named:?}, not {aggregator}"
         );
         sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A service whose load aggregator in the zone is the gateway `machine`, as all gateways agree after a while.
-async fn service_at(scene: &Scene, machine: usize) -> String {
+/// Finds a service for which all gateways name the gateway `machine` as load aggregator of the zone.
+async fn service_aggregated_by(scene: &Scene, machine: usize) -> String {
     let controls = scene.system.controls();
-    let aggregators: Vec<SocketAddr> = gateways(scene)
+    let aggregators: Vec<SocketAddr> = zone_gateways(scene)
         .into_iter()
         .map(|machine| scene.system.control(machine))
         .collect();
     for number in 0.. {
         let service = format!("service-{number}");
-        let until = Instant::now() + READY_TIMEOUT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             let mut named = Vec::new();
             for control in &controls {
@@ -96,56 +97,56 @@
                 }
                 break;
             }
-            assert!(Instant::now() < until, "{service}: {named:?}");
+            assert!(Instant::now() < deadline, "{service}: {named:?}");
         }
     }
-    unreachable!("one of some names falls to each gateway")
+    unreachable!("some service name is assigned to each gateway")
 }
 
 #[tokio::test]
 async fn a_killed_load_aggregator_is_replaced_by_the_other_gateway_and_takes_over_again() {
-    let mut scene = stage(ScenePlan::default()).await;
-    let [other, aggregator] = gateways(&scene);
-    let service = service_at(&scene, aggregator).await;
+    let mut scene = serving_scene(ScenePlan::default()).await;
+    let [other, aggregator] = zone_gateways(&scene);
+    let service = service_aggregated_by(&scene, aggregator).await;
     let (aggregator_control, other_control) = (
         scene.system.control(aggregator),
         scene.system.control(other),
     );
-    let queried = scene.system.control(machines_of(&scene, Role::Core)[1]);
+    let other_member_control = scene.system.control(machines_of(&scene, Role::Core)[1]);
     scene.system.machine(aggregator).kill();
-    named(queried, &service, other_control).await;
-    named(other_control, &service, other_control).await;
+    wait_until_named(other_member_control, &service, other_control).await;
+    wait_until_named(other_control, &service, other_control).await;
     scene.system.restart(aggregator).unwrap();
-    named(queried, &service, aggregator_control).await;
-    named(aggregator_control, &service, aggregator_control).await;
+    wait_until_named(other_member_control, &service, aggregator_control).await;
+    wait_until_named(aggregator_control, &service, aggregator_control).await;
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
 async fn a_draining_gateway_is_no_load_aggregator_while_it_still_serves() {
-    let mut scene = stage(ScenePlan::default()).await;
-    let [other, aggregator] = gateways(&scene);
-    let service = service_at(&scene, aggregator).await;
+    let mut scene = serving_scene(ScenePlan::default()).await;
+    let [other, aggregator] = zone_gateways(&scene);
+    let service = service_aggregated_by(&scene, aggregator).await;
     for engine in &scene.engines {
         engine.server.gate.close();
     }
-    let turn = waiting_turn(&scene, aggregator).await;
+    let turn = hold_turn(&scene, aggregator).await;
     scene.terminate(aggregator).unwrap();
-    let queried = scene.system.control(machines_of(&scene, Role::Core)[1]);
-    named(queried, &service, scene.system.control(other)).await;
+    let other_member_control = scene.system.control(machines_of(&scene, Role::Core)[1]);
+    wait_until_named(other_member_control, &service, scene.system.control(other)).await;
     assert!(
         scene.system.machine(aggregator).is_running(),
-        "it was named until its end"
+        "the draining gateway was named until its end"
     );
     for engine in &scene.engines {
         engine.server.gate.open();
     }
-    assert!(turn.await.unwrap(), "its stream is complete");
+    assert!(turn.await.unwrap(), "the stream should be completed");
     expect_no_violation(&scene);
 }
 
-/// A turn through the gateway `machine` that waits at a server.
-async fn waiting_turn(scene: &Scene, machine: usize) -> tokio::task::JoinHandle<bool> {
+/// Starts a turn through the gateway `machine` that a server holds.
+async fn hold_turn(scene: &Scene, machine: usize) -> tokio::task::JoinHandle<bool> {
     let request = scene.turn_request();
     let (client, front) = (scene.client.clone(), scene.system.front(machine));
     let turn = tokio::spawn(async move { client.send_to(front, &request).await.succeeded() });
@@ -155,46 +156,46 @@
 
 #[tokio::test]
 async fn a_server_drains_in_time_while_its_load_aggregator_is_frozen() {
-    // The next server after three engines stands in the zone that has two gateways.
-    let mut scene = stage(ScenePlan {
+    // After three engines, the next server is placed in the zone with two gateways.
+    let mut scene = serving_scene(ScenePlan {
         engines: 3,
         ..ScenePlan::default()
     })
     .await;
-    let [_, aggregator] = gateways(&scene);
-    let service = service_at(&scene, aggregator).await;
+    let [_, aggregator] = zone_gateways(&scene);
+    let service = service_aggregated_by(&scene, aggregator).await;
     let address = scene.system.server_address().unwrap();
     let server = scene.add_plain_at(address, &service).await.unwrap();
     assert_eq!(scene.plains[server].server.handle.identity.zone, ZONE);
     scene.plains[server].registration.known().await;
     scene.system.machine(aggregator).freeze().unwrap();
-    let queried = Instant::now();
+    let started_at = Instant::now();
     scene.plains[server].registration.drain().await;
-    let took = queried.elapsed();
+    let took = started_at.elapsed();
     scene.system.machine(aggregator).thaw().unwrap();
-    assert!(took < ORDER_LIMIT, "{took:?}");
+    assert!(took < OPERATOR_REQUEST_LIMIT, "{took:?}");
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
 async fn servers_whose_load_aggregator_has_lost_the_core_go_elsewhere() {
-    let mut scene = stage(ScenePlan::default()).await;
-    let [_, aggregator] = gateways(&scene);
-    let service = service_at(&scene, aggregator).await;
+    let mut scene = serving_scene(ScenePlan::default()).await;
+    let [_, aggregator] = zone_gateways(&scene);
+    let service = service_aggregated_by(&scene, aggregator).await;
     for core in machines_of(&scene, Role::Core) {
         scene.system.machine(core).freeze().unwrap();
     }
     let control = scene.system.control(aggregator);
-    let until = Instant::now() + READY_TIMEOUT;
+    let deadline = Instant::now() + READY_TIMEOUT;
     while send_heartbeat(control, &service, 200).await.is_some() {
         assert!(
-            Instant::now() < until,
-            "it takes heartbeats that nobody hears of"
+            Instant::now() < deadline,
+            "the gateway still acknowledges heartbeats without contact with the core"
         );
         sleep(POLL_INTERVAL).await;
     }
     for core in machines_of(&scene, Role::Core) {
         scene.system.machine(core).thaw().unwrap();
     }
-    named(control, &service, control).await;
+    wait_until_named(control, &service, control).await;
 }
--- a/crates/serving/dunespur/tests/losses.rs
+++ b/crates/serving/dunespur/tests/losses.rs
@@ -1,19 +1,19 @@
-//! Losses: kills, power-cycles and wiped disks take nothing that was acknowledged.
+//! Kills, power cycles and wiped disks lose nothing that was acknowledged.
 
 mod support;
 
 use dunespur_emulator::client::RequestSpec;
 use dunespur_emulator::scene::{Scene, ScenePlan, HOST};
 use dunespur_emulator::system::{MachinePlan, Role};
-use support::disk::with_standstills_apart;
+use support::disk::retry_on_disk_stalls;
 use support::{
     add_route, continue_within, conversation_of, expect_no_violation, generation, machines_of,
-    programs_for, stage, CATCH_UP, ORDER_LIMIT, RECOVERY,
+    run_programs_for, serving_scene, CATCH_UP_TIME, OPERATOR_REQUEST_LIMIT, RECOVERY_LIMIT,
 };
 use tokio::time::Instant;
 
-/// Every running gateway serves this route.
-async fn serves_route(scene: &Scene, generation: u64) {
+/// Waits until every running gateway serves the route of this generation.
+async fn wait_until_route_served(scene: &Scene, generation: u64) {
     let request = RequestSpec::get(HOST, &format!("/route-{generation}/x"));
     for index in scene
         .system
@@ -29,25 +29,25 @@
 }
 
 #[tokio::test]
-async fn orders_and_programs_go_on_without_any_one_core_member() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn changes_and_programs_continue_without_any_one_core_member() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let mut version = 1;
     for member in machines_of(&scene, Role::Core) {
         scene.system.machine(member).kill();
         version = add_route(&mut scene, version).await;
-        serves_route(&scene, version).await;
+        wait_until_route_served(&scene, version).await;
         scene.system.restart(member).unwrap();
         scene.wait_until_serving().await.unwrap();
-        serves_route(&scene, version).await;
-        programs_for(&scene, CATCH_UP).await;
+        wait_until_route_served(&scene, version).await;
+        run_programs_for(&scene, CATCH_UP_TIME).await;
     }
     assert_eq!(generation(&mut scene).await, version);
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
-async fn what_was_acknowledged_is_there_after_all_processes_were_killed() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn acknowledged_data_survives_a_kill_of_all_processes() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let mut version = 1;
     let mut conversation = conversation_of(&scene, 2).await;
     for round in 0..3 {
@@ -62,34 +62,34 @@
             &scene,
             &mut conversation,
             &format!("after {round}"),
-            RECOVERY,
+            RECOVERY_LIMIT,
         )
         .await;
         scene.wait_until_serving().await.unwrap();
-        serves_route(&scene, version).await;
+        wait_until_route_served(&scene, version).await;
     }
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
-async fn a_wiped_core_member_comes_back_and_the_next_one_may_go() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn a_wiped_core_member_rejoins_and_the_next_one_may_be_wiped() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let mut version = 1;
     for member in machines_of(&scene, Role::Core) {
         version = add_route(&mut scene, version).await;
         scene.system.wipe(member).unwrap();
-        programs_for(&scene, CATCH_UP).await;
+        run_programs_for(&scene, CATCH_UP_TIME).await;
     }
     assert_eq!(generation(&mut scene).await, version);
     version = add_route(&mut scene, version).await;
     scene.wait_until_serving().await.unwrap();
-    serves_route(&scene, version).await;
+    wait_until_route_served(&scene, version).await;
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
 async fn a_core_member_is_replaced_by_an_empty_machine_at_another_address() {
-    let mut scene = stage(ScenePlan::default()).await;
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let mut version = add_route(&mut scene, 1).await;
     let members = machines_of(&scene, Role::Core);
     for member in &members[..2] {
@@ -99,22 +99,24 @@
             .system
             .join(MachinePlan::new(Role::Core, &zone))
             .unwrap();
-        let (fronts, controls) = running(&scene);
+        let (fronts, controls) = running_gateway_addresses(&scene);
         scene.client.set_fronts(fronts);
         scene.operator.set_controls(controls);
-        programs_for(&scene, CATCH_UP).await;
+        run_programs_for(&scene, CATCH_UP_TIME).await;
         version = add_route(&mut scene, version).await;
     }
     scene.wait_until_serving().await.unwrap();
-    serves_route(&scene, version).await;
+    wait_until_route_served(&scene, version).await;
     scene.system.machine(members[2]).kill();
     version = add_route(&mut scene, version).await;
     assert_eq!(generation(&mut scene).await, version);
     expect_no_violation(&scene);
 }
 
-/// Addresses of gateways that run: `front` and `control`.
-fn running(scene: &Scene) -> (Vec<std::net::SocketAddr>, Vec<std::net::SocketAddr>) {
+/// Client and control addresses of the running gateways.
+fn running_gateway_addresses(
+    scene: &Scene,
+) -> (Vec<std::net::SocketAddr>, Vec<std::net::SocketAddr>) {
     let running: Vec<usize> = scene
         .system
         .machine_indices(|plan| plan.role != Role::Store)
@@ -133,16 +135,16 @@
 }
 
 #[tokio::test]
-async fn a_wiped_store_is_repaired_and_the_next_one_may_go() {
-    with_standstills_apart(|| async {
-        let mut scene = stage(ScenePlan::default()).await;
+async fn a_wiped_store_is_repaired_and_the_next_one_may_be_wiped() {
+    retry_on_disk_stalls(|| async {
+        let mut scene = serving_scene(ScenePlan::default()).await;
         let mut conversations = Vec::new();
         for _ in 0..8 {
             conversations.push(conversation_of(&scene, 3).await);
         }
         for store in machines_of(&scene, Role::Store) {
             scene.system.wipe(store).unwrap();
-            programs_for(&scene, CATCH_UP).await;
+            run_programs_for(&scene, CATCH_UP_TIME).await;
             for conversation in &mut conversations {
                 support::continue_conversation(
                     &scene,
@@ -158,8 +160,8 @@
 }
 
 #[tokio::test]
-async fn turns_go_on_without_any_one_store() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn turns_continue_without_any_one_store() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let mut conversation = conversation_of(&scene, 2).await;
     for store in machines_of(&scene, Role::Store) {
         scene.system.machine(store).kill();
@@ -167,20 +169,26 @@
             &scene,
             &mut conversation,
             &format!("without {store}"),
-            ORDER_LIMIT,
+            OPERATOR_REQUEST_LIMIT,
         )
         .await;
-        let mut new = conversation_of(&scene, 1).await;
+        let mut new_conversation = conversation_of(&scene, 1).await;
         scene.system.restart(store).unwrap();
-        programs_for(&scene, CATCH_UP).await;
-        continue_within(&scene, &mut new, "with all", ORDER_LIMIT).await;
+        run_programs_for(&scene, CATCH_UP_TIME).await;
+        continue_within(
+            &scene,
+            &mut new_conversation,
+            "with all",
+            OPERATOR_REQUEST_LIMIT,
+        )
+        .await;
     }
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
-async fn a_frozen_core_member_delays_nothing_for_long() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn a_frozen_core_member_delays_changes_only_briefly() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let mut version = 1;
     for member in machines_of(&scene, Role::Core) {
         scene.system.machine(member).freeze().unwrap();
@@ -194,12 +202,12 @@
         scene.client.set_fronts(others);
         let frozen = Instant::now();
         version = add_route(&mut scene, version).await;
-        assert!(frozen.elapsed() < RECOVERY);
+        assert!(frozen.elapsed() < RECOVERY_LIMIT);
         scene.system.machine(member).thaw().unwrap();
         scene.client.set_fronts(scene.system.fronts());
         scene.wait_until_serving().await.unwrap();
-        serves_route(&scene, version).await;
-        programs_for(&scene, CATCH_UP).await;
+        wait_until_route_served(&scene, version).await;
+        run_programs_for(&scene, CATCH_UP_TIME).await;
     }
     expect_no_violation(&scene);
 }
--- a/crates/serving/dunespur/tests/quiet.rs
+++ b/crates/serving/dunespur/tests/quiet.rs
@@ -1,4 +1,4 @@
-//! A quiet system: programs are served, servers come and go.
+//! A system without failures of its own processes: programs are served while servers register, drain and fail.
 
 mod support;
 
@@ -6,12 +6,12 @@
 use dunespur_emulator::program::{play, Conversation, End, SubAgents, Tool};
 use dunespur_emulator::record::Fate;
 use dunespur_emulator::scene::{usual_program, ScenePlan, HOST, LOOKUP, RECORD, TURNS};
-use support::{expect_no_violation, lookup, stage, DRAIN};
+use support::{expect_no_violation, lookup_request, serving_scene, DRAIN_DELAY};
 use tokio::time::Instant;
 
 #[tokio::test]
 async fn programs_with_persisted_turns_tools_and_sub_agents_are_served() {
-    let scene = stage(ScenePlan::default()).await;
+    let scene = serving_scene(ScenePlan::default()).await;
     let mut plan = usual_program();
     plan.tools = vec![
         Tool {
@@ -42,7 +42,7 @@
 
 #[tokio::test]
 async fn programs_that_send_their_complete_history_are_served() {
-    let scene = stage(ScenePlan::default()).await;
+    let scene = serving_scene(ScenePlan::default()).await;
     let mut plan = usual_program();
     plan.target = format!("{TURNS}chat");
     plan.persisted = false;
@@ -54,8 +54,8 @@
 }
 
 #[tokio::test]
-async fn several_turns_may_continue_the_same_one() {
-    let scene = stage(ScenePlan::default()).await;
+async fn several_turns_may_continue_the_same_turn() {
+    let scene = serving_scene(ScenePlan::default()).await;
     let mut trunk = Conversation::new(&scene.client, &usual_program());
     assert!(trunk.turn(&scene.client, &"root".into()).await.succeeded());
     for name in ["left", "middle", "right"] {
@@ -71,8 +71,8 @@
 }
 
 #[tokio::test]
-async fn a_turn_that_continues_an_unknown_one_is_404_and_runs_nowhere() {
-    let scene = stage(ScenePlan::default()).await;
+async fn a_turn_that_continues_an_unknown_turn_is_404_and_runs_nowhere() {
+    let scene = serving_scene(ScenePlan::default()).await;
     let mut conversation = Conversation::new(&scene.client, &usual_program());
     conversation.set_previous(Some(scene.identities.request()));
     let served = conversation.turn(&scene.client, &"hello".into()).await;
@@ -83,7 +83,7 @@
 
 #[tokio::test]
 async fn requests_without_a_route_are_404_and_run_nowhere() {
-    let scene = stage(ScenePlan::default()).await;
+    let scene = serving_scene(ScenePlan::default()).await;
     for (host, target) in [
         (HOST, "/nowhere/x"),
         ("other.example", "/lookup/x"),
@@ -97,13 +97,13 @@
 }
 
 #[tokio::test]
-async fn a_draining_server_gets_nothing_once_that_is_known() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn a_draining_server_gets_no_requests_once_draining_is_acknowledged() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     scene.plains[0].registration.drain().await;
     scene.engines[0].registration.drain().await;
     let acknowledged = Instant::now();
-    while acknowledged.elapsed() < DRAIN + DRAIN / 4 {
-        assert!(scene.client.send(&lookup()).await.succeeded());
+    while acknowledged.elapsed() < DRAIN_DELAY + DRAIN_DELAY / 4 {
+        assert!(scene.client.send(&lookup_request()).await.succeeded());
         let played = play(&scene.client, &usual_program()).await;
         assert_eq!(played.end, End::Finished, "{played:?}");
     }
@@ -113,18 +113,18 @@
     scene.plains.remove(0);
     scene.engines.remove(0);
     for _ in 0..20 {
-        let served = scene.client.send(&lookup()).await;
+        let served = scene.client.send(&lookup_request()).await;
         assert!(served.succeeded() && served.attempts == 1, "{served:?}");
     }
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
-async fn a_mutating_request_runs_once_though_its_response_is_lost() {
+async fn a_mutating_request_runs_at_most_once_if_its_response_is_lost() {
     use dunespur_emulator::server::ServerFault;
-    let scene = stage(ScenePlan::default()).await;
+    let scene = serving_scene(ScenePlan::default()).await;
     let request = RequestSpec::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once");
-    for trouble in [
+    for fault in [
         ServerFault::AnswerLost,
         ServerFault::SendGarbage,
         ServerFault::TruncateBody { after: 10 },
@@ -132,7 +132,7 @@
         ServerFault::Fail,
     ] {
         for plain in &scene.plains {
-            plain.server.handle.faults.once(trouble);
+            plain.server.handle.faults.once(fault);
         }
         for _ in 0..6 {
             let served = scene.client.send(&request).await;
@@ -141,17 +141,17 @@
                 .iter()
                 .filter(|observation| observation.fate == Fate::Run)
                 .count();
-            assert!(ran <= 1, "{trouble:?}: {served:?}");
+            assert!(ran <= 1, "{fault:?}: {served:?}");
         }
     }
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
-async fn an_idempotent_request_is_served_though_a_server_spoils_its_responses() {
+async fn an_idempotent_request_is_served_despite_broken_responses() {
     use dunespur_emulator::server::ServerFault;
-    let scene = stage(ScenePlan::default()).await;
-    for trouble in [
+    let scene = serving_scene(ScenePlan::default()).await;
+    for fault in [
         ServerFault::AnswerLost,
         ServerFault::SendGarbage,
         ServerFault::Surplus,
@@ -161,9 +161,9 @@
         ServerFault::Reject { status: 429 },
     ] {
         for _ in 0..6 {
-            scene.plains[0].server.handle.faults.once(trouble);
-            let served = scene.client.send(&lookup()).await;
-            assert!(served.succeeded(), "{trouble:?}: {served:?}");
+            scene.plains[0].server.handle.faults.once(fault);
+            let served = scene.client.send(&lookup_request()).await;
+            assert!(served.succeeded(), "{fault:?}: {served:?}");
         }
     }
     expect_no_violation(&scene);
--- a/crates/serving/dunespur/tests/replacing.rs
+++ b/crates/serving/dunespur/tests/replacing.rs
@@ -1,19 +1,19 @@
-//! Machines lost for good, with an empty one at another address in their place: after the time to catch up the
-//! next one may go.
+//! Stores lost for good and replaced by empty machines at other addresses: after the time to catch up, the next store
+//! may be lost.
 
 mod support;
 
 use dunespur_emulator::scene::ScenePlan;
 use dunespur_emulator::system::{MachinePlan, Role};
-use support::disk::with_standstills_apart;
+use support::disk::retry_on_disk_stalls;
 use support::{
     continue_conversation, continue_within, conversation_of, expect_no_violation, machines_of,
-    programs_for, stage, CATCH_UP, RECOVERY,
+    run_programs_for, serving_scene, CATCH_UP_TIME, RECOVERY_LIMIT,
 };
 
 #[tokio::test]
-async fn a_store_is_replaced_and_the_next_one_may_go() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn a_store_is_replaced_and_the_next_one_may_be_lost() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let mut conversations = Vec::new();
     for _ in 0..12 {
         conversations.push(conversation_of(&scene, 2).await);
@@ -26,7 +26,7 @@
             .system
             .join(MachinePlan::new(Role::Store, &zone))
             .unwrap();
-        programs_for(&scene, CATCH_UP).await;
+        run_programs_for(&scene, CATCH_UP_TIME).await;
         for conversation in &mut conversations {
             continue_conversation(&scene, conversation, &format!("after replacement {round}"))
                 .await;
@@ -37,8 +37,8 @@
 
 #[tokio::test]
 async fn a_store_is_replaced_and_another_one_wiped() {
-    with_standstills_apart(|| async {
-        let mut scene = stage(ScenePlan::default()).await;
+    retry_on_disk_stalls(|| async {
+        let mut scene = serving_scene(ScenePlan::default()).await;
         let mut conversations = Vec::new();
         for _ in 0..12 {
             conversations.push(conversation_of(&scene, 2).await);
@@ -50,10 +50,10 @@
             .system
             .join(MachinePlan::new(Role::Store, &zone))
             .unwrap();
-        programs_for(&scene, CATCH_UP).await;
+        run_programs_for(&scene, CATCH_UP_TIME).await;
         scene.system.wipe(stores[1]).unwrap();
         for conversation in &mut conversations {
-            continue_within(&scene, conversation, "after both", RECOVERY).await;
+            continue_within(&scene, conversation, "after both", RECOVERY_LIMIT).await;
         }
         expect_no_violation(&scene);
     })
--- a/crates/serving/dunespur/tests/running/mod.rs
+++ b/crates/serving/dunespur/tests/running/mod.rs
@@ -1,17 +1,17 @@
-//! One gateway process by itself, whose log is read.
+//! A single gateway process whose log the test reads.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// A gateway that ends with this.
-pub struct Running {
+/// A running gateway process, which is killed on drop.
+pub struct RunningGateway {
     child: Child,
     log: BufReader<ChildStderr>,
 }
 
-impl Running {
-    pub fn start(arguments: &[&str], settings: &Path) -> Running {
+impl RunningGateway {
+    pub fn start(arguments: &[&str], settings: &Path) -> RunningGateway {
         let mut child = Command::new(env!("CARGO_BIN_EXE_dunespur"))
             .env_clear()
             .env("DUNESPUR_CONFIG", settings)
@@ -22,18 +22,18 @@
             .spawn()
             .unwrap();
         let log = BufReader::new(child.stderr.take().unwrap());
-        Running { child, log }
+        RunningGateway { child, log }
     }
 
-    /// The next line of its log; waits for it.
-    pub fn line(&mut self) -> String {
+    /// Waits for the next line of the process's log.
+    pub fn next_log_line(&mut self) -> String {
         let mut line = String::new();
         self.log.read_line(&mut line).unwrap();
         line
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGateway {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/serving/dunespur/tests/servers.rs
+++ b/crates/serving/dunespur/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Servers that come, go and lie: what the system believes of them, and what becomes of requests.
+//! Servers that register, drain, crash and send outdated heartbeats: which of them get requests, and how requests end.
 
 mod support;
 
@@ -8,37 +8,38 @@
 use dunespur_emulator::record::Fate;
 use dunespur_emulator::scene::{Engine, Scene, ScenePlan, HOST, LOOKUP, RECORD};
 use support::{
-    engine_of_a_turn, expect_no_violation, lookup, programs_for, stage, Stage, DRAIN, RECOVERY,
+    engine_of_a_turn, expect_no_violation, lookup_request, run_programs_for, serving_scene,
+    TestScene, DRAIN_DELAY, RECOVERY_LIMIT,
 };
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// How long the client of a turn that a test holds waits for it.
-const PATIENCE_MS: u64 = 20_000;
+/// How long a client waits for a turn that the test holds at a server.
+const HELD_TURN_TIMEOUT_MS: u64 = 20_000;
 
-fn record() -> RequestSpec {
+fn record_request() -> RequestSpec {
     RequestSpec::post(HOST, &format!("{RECORD}x"), Kind::Mutating, "once")
 }
 
-/// A scene whose routes hold requests for as long as the others are watched.
-async fn patient_stage() -> Stage {
+/// A scene whose route timeouts are long enough for a turn to be held while other requests are observed.
+async fn scene_with_long_timeouts() -> TestScene {
     let mut plan = ScenePlan::default();
     plan.configuration
         .routes
         .iter_mut()
-        .for_each(|route| route.timeout_ms = PATIENCE_MS);
-    stage(plan).await
+        .for_each(|route| route.timeout_ms = HELD_TURN_TIMEOUT_MS);
+    serving_scene(plan).await
 }
 
-/// A turn that one of the engines holds, and which one that is.
-async fn waiting_turn(scene: &Scene) -> (usize, JoinHandle<Served>) {
+/// Starts a turn that an engine holds; returns the engine's index and the turn.
+async fn hold_turn(scene: &Scene) -> (usize, JoinHandle<Served>) {
     scene
         .engines
         .iter()
         .for_each(|engine| engine.server.gate.close());
     let request = RequestSpec {
-        deadline_ms: PATIENCE_MS,
-        max_gap_ms: PATIENCE_MS,
+        deadline_ms: HELD_TURN_TIMEOUT_MS,
+        max_gap_ms: HELD_TURN_TIMEOUT_MS,
         ..scene.turn_request()
     };
     let client = scene.client.clone();
@@ -46,26 +47,28 @@
     (engine_of_a_turn(scene).await, turn)
 }
 
-/// Requests that an engine has seen.
-fn seen_at(scene: &Scene, engine: &Engine) -> usize {
+/// Number of requests that an engine has seen.
+fn observation_count(scene: &Scene, engine: &Engine) -> usize {
     scene
         .record
         .observations_at(&engine.server.handle.identity.instance)
         .len()
 }
 
-/// Serves turns until long after it was acknowledged that this engine is not to get any more, and sees that it gets
-/// none by then.
-async fn others_serve(scene: &Scene, engine_with_turn: usize) {
+/// Runs programs until [`DRAIN_DELAY`] has passed, and asserts that this engine gets no requests afterwards.
+async fn expect_no_new_requests(scene: &Scene, engine_with_turn: usize) {
     scene.engines[1 - engine_with_turn].server.gate.open();
-    programs_for(scene, DRAIN).await;
-    let before = seen_at(scene, &scene.engines[engine_with_turn]);
-    programs_for(scene, DRAIN / 4).await;
-    assert_eq!(seen_at(scene, &scene.engines[engine_with_turn]), before);
+    run_programs_for(scene, DRAIN_DELAY).await;
+    let before = observation_count(scene, &scene.engines[engine_with_turn]);
+    run_programs_for(scene, DRAIN_DELAY / 4).await;
+    assert_eq!(
+        observation_count(scene, &scene.engines[engine_with_turn]),
+        before
+    );
 }
 
-/// The engine lets go of the turn that it held, which ends whole.
-async fn completes(scene: &Scene, engine_with_turn: usize, turn: JoinHandle<Served>) {
+/// Opens the engine's gate and asserts that the held turn expect_turn_completes.
+async fn expect_turn_completes(scene: &Scene, engine_with_turn: usize, turn: JoinHandle<Served>) {
     scene.engines[engine_with_turn].server.gate.open();
     let served = turn.await.unwrap();
     assert!(served.succeeded() && served.attempts == 1, "{served:?}");
@@ -73,52 +76,52 @@
 }
 
 #[tokio::test]
-async fn a_server_that_leaves_without_draining_completes_what_it_has_and_gets_nothing_new() {
-    let scene = patient_stage().await;
-    let (engine_with_turn, turn) = waiting_turn(&scene).await;
+async fn a_server_that_leaves_without_draining_completes_its_turn_and_gets_no_new_ones() {
+    let scene = scene_with_long_timeouts().await;
+    let (engine_with_turn, turn) = hold_turn(&scene).await;
     let leaving = &scene.engines[engine_with_turn].registration;
     leaving.leave().await;
     for control in scene.system.controls() {
-        // Heartbeats of before that come seconds late.
+        // Outdated heartbeats that arrive late.
         leaving.send_out_of_order(control, 1, false).await;
         leaving.send_out_of_order(control, 1_000, false).await;
     }
-    others_serve(&scene, engine_with_turn).await;
-    completes(&scene, engine_with_turn, turn).await;
+    expect_no_new_requests(&scene, engine_with_turn).await;
+    expect_turn_completes(&scene, engine_with_turn, turn).await;
 }
 
 #[tokio::test]
-async fn a_server_that_drains_for_seconds_beyond_the_bound_completes_what_it_has() {
-    let scene = patient_stage().await;
-    let (engine_with_turn, turn) = waiting_turn(&scene).await;
+async fn a_server_that_drains_for_seconds_beyond_the_bound_completes_its_turn() {
+    let scene = scene_with_long_timeouts().await;
+    let (engine_with_turn, turn) = hold_turn(&scene).await;
     scene.engines[engine_with_turn].registration.drain().await;
-    others_serve(&scene, engine_with_turn).await;
-    completes(&scene, engine_with_turn, turn).await;
+    expect_no_new_requests(&scene, engine_with_turn).await;
+    expect_turn_completes(&scene, engine_with_turn, turn).await;
 }
 
 #[tokio::test]
-async fn a_server_that_crashed_delays_nothing_and_expires() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn a_crashed_server_delays_no_request_and_expires() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let crashed = scene.plains.remove(0);
     crashed.registration.fall_silent();
     drop(crashed);
-    let until = Instant::now() + RECOVERY;
+    let deadline = Instant::now() + RECOVERY_LIMIT;
     let mut clean = 0;
     while clean < 40 {
-        let served = scene.client.send(&lookup()).await;
+        let served = scene.client.send(&lookup_request()).await;
         assert!(served.succeeded(), "{served:?}");
         clean = if served.attempts == 1 { clean + 1 } else { 0 };
         assert!(
-            Instant::now() < until,
-            "the server is tried again and again"
+            Instant::now() < deadline,
+            "the crashed server is still tried"
         );
     }
     expect_no_violation(&scene);
 }
 
 #[tokio::test]
-async fn a_draining_server_stays_so_whatever_comes_late() {
-    let scene = stage(ScenePlan::default()).await;
+async fn a_draining_server_stays_draining_despite_late_heartbeats() {
+    let scene = serving_scene(ScenePlan::default()).await;
     let draining = &scene.plains[0];
     draining.registration.drain().await;
     let acknowledged = Instant::now();
@@ -132,8 +135,8 @@
             .send_out_of_order(control, 1_000, false)
             .await;
     }
-    while acknowledged.elapsed() < DRAIN + DRAIN / 4 {
-        assert!(scene.client.send(&lookup()).await.succeeded());
+    while acknowledged.elapsed() < DRAIN_DELAY + DRAIN_DELAY / 4 {
+        assert!(scene.client.send(&lookup_request()).await.succeeded());
     }
     expect_no_violation(&scene);
     let before = scene
@@ -141,7 +144,7 @@
         .observations_at(&draining.server.handle.identity.instance)
         .len();
     for _ in 0..50 {
-        assert!(scene.client.send(&lookup()).await.succeeded());
+        assert!(scene.client.send(&lookup_request()).await.succeeded());
     }
     assert_eq!(
         scene
@@ -153,7 +156,7 @@
 }
 
 #[tokio::test]
-async fn an_address_used_again_by_another_service_runs_nothing_of_the_first() {
+async fn a_reused_address_runs_no_requests_of_its_former_service() {
     let mut plan = ScenePlan::default();
     let other = ServicePlan {
         name: "other".to_owned(),
@@ -161,7 +164,7 @@
         engine: None,
     };
     plan.configuration.services.push(other);
-    let mut scene = stage(plan).await;
+    let mut scene = serving_scene(plan).await;
     let crashed = scene.plains.remove(0);
     let address = crashed.server.handle.identity.address;
     crashed.registration.fall_silent();
@@ -169,10 +172,10 @@
     tokio::task::yield_now().await;
     let other = scene.add_plain_at(address, "other").await.unwrap();
     let instance = scene.plains[other].server.handle.identity.instance.clone();
-    let until = Instant::now() + DRAIN;
-    while Instant::now() < until {
-        assert!(scene.client.send(&lookup()).await.succeeded());
-        assert!(scene.client.send(&record()).await.succeeded());
+    let deadline = Instant::now() + DRAIN_DELAY;
+    while Instant::now() < deadline {
+        assert!(scene.client.send(&lookup_request()).await.succeeded());
+        assert!(scene.client.send(&record_request()).await.succeeded());
     }
     let observations = scene.record.observations_at(&instance);
     let ran = observations
@@ -184,8 +187,8 @@
 }
 
 #[tokio::test]
-async fn requests_queue_or_are_rejected_in_time_where_all_slots_are_taken() {
-    let scene = stage(ScenePlan::default()).await;
+async fn requests_queue_or_are_rejected_in_time_when_all_slots_are_taken() {
+    let scene = serving_scene(ScenePlan::default()).await;
     for plain in &scene.plains {
         plain.server.gate.close();
     }
@@ -195,7 +198,7 @@
         let client = scene.client.clone();
         let request = RequestSpec {
             deadline_ms: 2_000,
-            ..record()
+            ..record_request()
         };
         waiting.spawn(async move { client.send(&request).await });
     }
@@ -221,17 +224,17 @@
 
 #[tokio::test]
 async fn servers_replaced_one_after_the_other_lose_nothing() {
-    let mut scene = stage(ScenePlan::default()).await;
+    let mut scene = serving_scene(ScenePlan::default()).await;
     for round in 0..4 {
-        let new = scene.add_plain().await.unwrap();
-        scene.plains[new].registration.known().await;
-        let new = scene.add_engine().await.unwrap();
-        scene.engines[new].registration.known().await;
+        let new_plain = scene.add_plain().await.unwrap();
+        scene.plains[new_plain].registration.known().await;
+        let new_engine = scene.add_engine().await.unwrap();
+        scene.engines[new_engine].registration.known().await;
         scene.plains[0].registration.drain().await;
         scene.engines[0].registration.drain().await;
-        programs_for(&scene, DRAIN / 4).await;
+        run_programs_for(&scene, DRAIN_DELAY / 4).await;
         for _ in 0..20 {
-            let served = scene.client.send(&record()).await;
+            let served = scene.client.send(&record_request()).await;
             assert!(served.succeeded(), "round {round}: {served:?}");
         }
         scene.plains[0].registration.leave().await;
--- a/crates/serving/dunespur/tests/status.rs
+++ b/crates/serving/dunespur/tests/status.rs
@@ -1,4 +1,4 @@
-//! `dunespur status`: what processes report of themselves, as JSON and as tables.
+//! `dunespur status`: the status of processes, as JSON and as tables.
 
 mod running;
 mod support;
@@ -6,17 +6,17 @@
 use dunespur_emulator::program::{play, End};
 use dunespur_emulator::scene::{usual_program, Scene, ScenePlan, MODELS, READY_TIMEOUT, TOOLS};
 use dunespur_emulator::system::{AddressBlock, Ports, Role, TemporaryFolder};
-use running::Running;
+use running::RunningGateway;
 use serde_json::{json, Value};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::{Command, Output, Stdio};
-use support::{conversation_of, machines_of, program, stage};
+use support::{conversation_of, machines_of, program, serving_scene};
 use tokio::time::Instant;
 
 const ANSWERED: i32 = 0;
 const NO_ANSWER: i32 = 1;
 
-/// The output of `dunespur status`. Servers and clients of the scene go on meanwhile.
+/// Runs `dunespur status` without blocking the servers and clients of the scene.
 async fn query(address: SocketAddr, arguments: &[&str]) -> Output {
     let mut command = Command::new(program());
     command
@@ -37,7 +37,7 @@
     )
 }
 
-async fn json_of(address: SocketAddr, arguments: &[&str]) -> Value {
+async fn query_json(address: SocketAddr, arguments: &[&str]) -> Value {
     let output = query(address, &[&["--json"], arguments].concat()).await;
     assert_eq!(
         output.status.code(),
@@ -48,23 +48,23 @@
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-/// The status as soon as it is as wanted: what a process knows of others comes a moment later.
-async fn json_that(
+/// Repeats the query until the status meets the condition, as a process learns of others with a delay.
+async fn wait_for_json(
     address: SocketAddr,
     arguments: &[&str],
-    wanted: impl Fn(&Value) -> bool,
+    expected: impl Fn(&Value) -> bool,
 ) -> Value {
-    let until = Instant::now() + READY_TIMEOUT;
+    let deadline = Instant::now() + READY_TIMEOUT;
     loop {
-        let status = json_of(address, arguments).await;
-        if wanted(&status) {
+        let status = query_json(address, arguments).await;
+        if expected(&status) {
             return status;
         }
-        assert!(Instant::now() < until, "{status:#}");
+        assert!(Instant::now() < deadline, "{status:#}");
     }
 }
 
-async fn table_of(address: SocketAddr) -> String {
+async fn query_table(address: SocketAddr) -> String {
     let output = query(address, &[]).await;
     assert_eq!(
         output.status.code(),
@@ -75,15 +75,15 @@
     String::from_utf8(output.stdout).unwrap()
 }
 
-/// The tables as soon as all these words stand in them.
-async fn table_with(address: SocketAddr, words: &[&str]) {
-    let until = Instant::now() + READY_TIMEOUT;
+/// Repeats the query until the tables contain all these words.
+async fn wait_for_table(address: SocketAddr, words: &[&str]) {
+    let deadline = Instant::now() + READY_TIMEOUT;
     loop {
-        let table = table_of(address).await;
+        let table = query_table(address).await;
         let Some(missing) = words.iter().find(|word| !table.contains(**word)) else {
             return;
         };
-        assert!(Instant::now() < until, "{missing}: {table}");
+        assert!(Instant::now() < deadline, "{missing}: {table}");
     }
 }
 
@@ -98,7 +98,7 @@
 
 #[tokio::test]
 async fn every_process_reports_its_status() {
-    let scene = stage(ScenePlan::default()).await;
+    let scene = serving_scene(ScenePlan::default()).await;
     for _ in 0..2 {
         assert_eq!(
             play(&scene.client, &usual_program()).await.end,
@@ -119,14 +119,14 @@
     }
     let mut persisted = 0;
     for store in machines_of(&scene, Role::Store) {
-        let status = json_of(internal(&scene, store), &[]).await;
+        let status = query_json(internal(&scene, store), &[]).await;
         persisted += status["turns"]["turns"].as_u64().unwrap();
     }
     let replicas = u64::from(scene.plan.tolerated_losses) + 1;
     assert!(persisted >= sent_turns * replicas, "{persisted}");
 }
 
-/// What processes of all roles report, once they know all members, all stores and the configuration.
+/// Checks the fields that processes of all roles report, once they know all members, all stores and the configuration.
 async fn expect_process_status(scene: &Scene, machine: usize) {
     let core_names: Vec<&str> = machines_of(scene, Role::Core)
         .iter()
@@ -139,7 +139,7 @@
         let is_known = members == core_names && names(&status["stores"], "name").len() == stores;
         is_known && status["control"]["in_touch"] == true && status["control"]["generation"] == 1
     };
-    let status = json_that(internal(scene, machine), &[], knows_all).await;
+    let status = wait_for_json(internal(scene, machine), &[], knows_all).await;
     let machine = &scene.system.machines()[machine];
     let role = machine.plan().role;
     assert_eq!(status["node"], machine.name());
@@ -154,7 +154,7 @@
     assert_eq!(status["core"].is_null(), role != Role::Core);
 }
 
-/// The requests that a gateway reports, once it knows all servers and is ready.
+/// Number of requests that a gateway reports, once it knows all servers and is ready.
 async fn requests_at_gateway(scene: &Scene, gateway: usize) -> u64 {
     let serves_all = |status: &Value| {
         let servers = status["services"][0]["servers"]
@@ -163,58 +163,58 @@
         let is_served = names(&status["services"], "name") == [MODELS, TOOLS];
         is_served && servers == scene.engines.len() && status["front"]["ready"] == true
     };
-    let status = json_that(internal(scene, gateway), &[], serves_all).await;
+    let status = wait_for_json(internal(scene, gateway), &[], serves_all).await;
     status["front"]["requests"].as_u64().unwrap()
 }
 
-/// What a core member reports, once it follows and knows all leases.
+/// Checks the status of a core member, once it is up to date and knows all leases.
 async fn expect_core_status(scene: &Scene, core: usize) {
     let stores = machines_of(scene, Role::Store).len();
     let has_all = |status: &Value| {
         let leases = names(&status["core"]["leases"], "holder").len();
         status["core"]["follows"] == true && leases >= scene.servers().count() + stores
     };
-    let status = json_that(internal(scene, core), &[], has_all).await;
+    let status = wait_for_json(internal(scene, core), &[], has_all).await;
     assert!(status["core"]["committed"].as_u64().unwrap() > 0);
     assert!(status["core"]["disk"]["done"].as_u64().unwrap() > 0);
 }
 
 #[tokio::test]
-async fn tables_name_what_there_is() {
-    let scene = stage(ScenePlan::default()).await;
+async fn tables_list_processes_servers_and_leases() {
+    let scene = serving_scene(ScenePlan::default()).await;
     let core = machines_of(&scene, Role::Core)[0];
-    let mut wanted = vec![
+    let mut expected = vec![
         "in contact",
         "front: ready",
         "core member: follows",
         "configuration 1",
     ];
-    wanted.extend(["GATEWAY", "SERVICE", "STORE", "LEASE"]);
-    wanted.extend(scene.system.machines().iter().map(|machine| machine.name()));
-    wanted.extend(
+    expected.extend(["GATEWAY", "SERVICE", "STORE", "LEASE"]);
+    expected.extend(scene.system.machines().iter().map(|machine| machine.name()));
+    expected.extend(
         scene
             .servers()
             .map(|server| server.identity.instance.as_str()),
     );
-    table_with(internal(&scene, core), &wanted).await;
+    wait_for_table(internal(&scene, core), &expected).await;
     let store = machines_of(&scene, Role::Store)[0];
-    table_with(internal(&scene, store), &["turns: ", "in contact"]).await;
+    wait_for_table(internal(&scene, store), &["turns: ", "in contact"]).await;
 }
 
 #[tokio::test]
 async fn the_budget_of_one_program_is_reported() {
-    let scene = stage(ScenePlan::default()).await;
+    let scene = serving_scene(ScenePlan::default()).await;
     let conversation = conversation_of(&scene, 1).await;
     let name = conversation.program().to_owned();
     let core = machines_of(&scene, Role::Core)[0];
-    let counted = |status: &Value| {
+    let has_usage = |status: &Value| {
         let of_program = |field: &str| status["program"][field].as_u64().unwrap();
         of_program("used") + of_program("held") > 0
     };
-    let status = json_that(internal(&scene, core), &["--program", &name], counted).await;
+    let status = wait_for_json(internal(&scene, core), &["--program", &name], has_usage).await;
     assert_eq!(status["program"]["name"], *name);
     let gateway = machines_of(&scene, Role::Gateway)[0];
-    let status = json_of(internal(&scene, gateway), &["--program", &name]).await;
+    let status = query_json(internal(&scene, gateway), &["--program", &name]).await;
     assert!(
         status["program"]["held_here"].is_u64() && status["program"]["used"].is_null(),
         "{status}"
@@ -233,9 +233,9 @@
         json!({"node": "front-1", "ip": ip, "port_range": [port, port]}).to_string(),
     )
     .unwrap();
-    let mut alone = Running::start(&[], &settings);
-    assert!(alone.line().contains("has started"));
-    let table = table_of(SocketAddr::new(ip, port)).await;
+    let mut alone = RunningGateway::start(&[], &settings);
+    assert!(alone.next_log_line().contains("has started"));
+    let table = query_table(SocketAddr::new(ip, port)).await;
     assert!(
         table.contains("OUT OF CONTACT") && table.contains("NOT READY"),
         "{table}"
@@ -243,7 +243,7 @@
 }
 
 #[tokio::test]
-async fn no_answer_is_exit_code_1() {
+async fn a_missing_answer_is_exit_code_1() {
     let nobody = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 255, 255, 1)), 1);
     let output = query(nobody, &[]).await;
     assert_eq!(output.status.code(), Some(NO_ANSWER));
--- a/crates/serving/dunespur/tests/support/disk.rs
+++ b/crates/serving/dunespur/tests/support/disk.rs
@@ -1,8 +1,7 @@
-//! The machine's own disk, measured. The stores and core members of a scene are written as if each had a disk of
-//! its own; here all of them have the one disk of this machine, which may stand still for seconds while others
-//! use it. Then no turn can be kept and no budget counted, the program answers "later", as it should, and a copy
-//! takes longer. That time is measured by syncs of a file of ours and is not held against the program; a scene
-//! over which the disk did not stand still is judged as ever.
+//! Measures stalls of this machine's disk. All stores and core members of a scene share that disk, which may stall for
+//! seconds while other programs use it. During a stall no turn can be stored and no budget counted, so the program
+//! correctly answers 503, and replication takes longer. Stalls are detected by syncing a file of this module; a scene
+//! without a stall gets no allowance.
 
 use std::fs::File;
 use std::future::Future;
@@ -13,99 +12,104 @@
 use std::time::{Duration, Instant};
 use tokio::task::{spawn_local, LocalSet};
 
-/// A sync that takes longer is a disk that stands still. Over half of the shortest time that the program gives
-/// to a write on several disks: one of ours may begin when half of a standstill is over.
-const STANDSTILL: Duration = Duration::from_millis(500);
-/// Between two syncs.
-const PAUSE: Duration = Duration::from_millis(50);
-/// How often a scene is played that was answered "later" while the disk stood still.
-const PLAYS: usize = 5;
+/// A sync of at least this duration counts as a stall. More than half of the program's shortest time limit for a write
+/// on several disks, as a sync of this module may start halfway through a stall.
+const STALL_THRESHOLD: Duration = Duration::from_millis(500);
+/// Pause between two syncs.
+const SYNC_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of runs of a scene that fails with 503 during disk stalls.
+const MAX_RUNS: usize = 5;
 
-/// What this machine's disk did since the first scene.
+/// Stalls of this machine's disk since the first scene.
 #[derive(Default)]
-struct Watched {
-    standstills: Vec<(Instant, Instant)>,
-    /// The sync that is under way.
-    begun: Option<Instant>,
+struct DiskStalls {
+    /// Start and end of each stall.
+    stalls: Vec<(Instant, Instant)>,
+    /// Start of the running sync.
+    sync_started_at: Option<Instant>,
 }
 
-/// Said, as the panic of a test, where the program answered "later" though all was well with its machines.
-struct Later(String);
+/// Panic payload of a scene in which the program answered 503 although all its machines were available.
+struct UnexpectedUnavailable(String);
 
-fn watched() -> &'static Mutex<Watched> {
-    static WATCHED: OnceLock<Mutex<Watched>> = OnceLock::new();
-    WATCHED.get_or_init(|| {
-        thread::spawn(watch);
+fn disk_stalls() -> &'static Mutex<DiskStalls> {
+    static DISK_STALLS: OnceLock<Mutex<DiskStalls>> = OnceLock::new();
+    DISK_STALLS.get_or_init(|| {
+        thread::spawn(sync_repeatedly);
         Mutex::default()
     })
 }
 
-/// Syncs a file again and again, until the test program ends.
-fn watch() {
+/// Syncs a file repeatedly until the test program ends.
+fn sync_repeatedly() {
     let path = std::env::temp_dir().join(format!("dunespur-disk-watch-{}", std::process::id()));
-    let mut file = File::create(&path).expect("a file beside the scenes' folders");
-    std::fs::remove_file(&path).expect("it is there");
+    let mut file = File::create(&path).expect("creating the file to sync in the temporary folder");
+    std::fs::remove_file(&path).expect("removing the name of the file to sync");
     loop {
-        let begun = Instant::now();
-        watched().lock().unwrap().begun = Some(begun);
+        let sync_started_at = Instant::now();
+        disk_stalls().lock().unwrap().sync_started_at = Some(sync_started_at);
         file.write_all(b"sync")
             .and_then(|()| file.sync_data())
-            .expect("a sync");
-        let mut watched = watched().lock().unwrap();
-        watched.begun = None;
-        if begun.elapsed() >= STANDSTILL {
-            watched.standstills.push((begun, Instant::now()));
+            .expect("syncing the file");
+        let mut disk_stalls = disk_stalls().lock().unwrap();
+        disk_stalls.sync_started_at = None;
+        if sync_started_at.elapsed() >= STALL_THRESHOLD {
+            disk_stalls.stalls.push((sync_started_at, Instant::now()));
         }
-        drop(watched);
-        thread::sleep(PAUSE);
+        drop(disk_stalls);
+        thread::sleep(SYNC_INTERVAL);
     }
 }
 
-/// Begins to watch.
-pub fn begin() {
-    watched();
+/// Starts monitoring the disk.
+pub fn start_monitoring() {
+    disk_stalls();
 }
 
-/// How long the disk has stood still since then.
-pub fn stood_still_since(since: Instant) -> Duration {
-    let watched = watched().lock().unwrap();
-    let under_way = watched.begun.map(|begun| (begun, Instant::now()));
-    let under_way = under_way.filter(|(begun, now)| *now - *begun >= STANDSTILL);
-    let spans = watched.standstills.iter().chain(under_way.iter());
-    spans
-        .map(|(begun, ended)| ended.saturating_duration_since(since.max(*begun)))
+/// Total duration of disk stalls since a point in time.
+pub fn stalled_since(since: Instant) -> Duration {
+    let disk_stalls = disk_stalls().lock().unwrap();
+    let running_sync = disk_stalls
+        .sync_started_at
+        .map(|start| (start, Instant::now()));
+    let running_stall = running_sync.filter(|(start, now)| *now - *start >= STALL_THRESHOLD);
+    let stalls = disk_stalls.stalls.iter().chain(running_stall.iter());
+    stalls
+        .map(|(start, end)| end.saturating_duration_since(since.max(*start)))
         .sum()
 }
 
-/// Fails the test: the program answered "later" and was not to.
-pub fn fail_as_late(what: String) -> ! {
-    eprintln!("answered \"later\": {what}");
-    std::panic::panic_any(Later(what))
+/// Fails the scene with an unexpected 503; [`retry_on_disk_stalls`] repeats it if the disk stalled meanwhile.
+pub fn fail_as_unavailable(description: String) -> ! {
+    eprintln!("unexpected 503: {description}");
+    std::panic::panic_any(UnexpectedUnavailable(description))
 }
 
-/// Plays a scene. It is played again, some times at most, only if it failed because the program answered
-/// "later" and the disk stood still meanwhile; any other failure, and each without a standstill, is the test's.
-pub async fn with_standstills_apart<F: Future<Output = ()> + 'static>(scene: impl Fn() -> F) {
-    begin();
-    for play in 1.. {
-        let begun = Instant::now();
-        let played = LocalSet::new()
+/// Runs a scene, and repeats it at most [`MAX_RUNS`] times if it failed with an unexpected 503 and the disk stalled
+/// meanwhile. Any other failure fails the test.
+pub async fn retry_on_disk_stalls<F: Future<Output = ()> + 'static>(scene: impl Fn() -> F) {
+    start_monitoring();
+    for run in 1.. {
+        let run_started_at = Instant::now();
+        let result = LocalSet::new()
             .run_until(async { spawn_local(scene()).await })
             .await;
-        let Err(failure) = played else { return };
+        let Err(failure) = result else { return };
         let failure = failure.into_panic();
-        let Some(Later(what)) = failure.downcast_ref::<Later>() else {
+        let Some(UnexpectedUnavailable(description)) =
+            failure.downcast_ref::<UnexpectedUnavailable>()
+        else {
             resume_unwind(failure)
         };
-        let stood_still = stood_still_since(begun);
+        let stalled_for = stalled_since(run_started_at);
         assert!(
-            !stood_still.is_zero(),
-            "answered \"later\" while the disk went on: {what}"
+            !stalled_for.is_zero(),
+            "unexpected 503 without a disk stall: {description}"
         );
         assert!(
-            play < PLAYS,
-            "answered \"later\" in each of {PLAYS} plays: {what}"
+            run < MAX_RUNS,
+            "unexpected 503 in each of {MAX_RUNS} runs: {description}"
         );
-        eprintln!("play {play}: the disk stood still for {stood_still:?}, so it is played again");
+        eprintln!("run {run}: the disk stalled for {stalled_for:?}, repeating the scene");
     }
 }
--- a/crates/serving/dunespur/tests/support/mod.rs
+++ b/crates/serving/dunespur/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! What the tests of whole programs have in common.
+//! Helpers shared by the tests that run whole systems.
 #![allow(dead_code)]
 
 pub mod disk;
 
-use disk::{fail_as_late, stood_still_since};
+use disk::{fail_as_unavailable, stalled_since};
 use dunespur_emulator::client::{Kind, RequestSpec};
 use dunespur_emulator::configuration::{patch, RoutePlan};
 use dunespur_emulator::program::{play, Conversation, End};
@@ -16,25 +16,25 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::Instant;
 
-/// An order of the operator is acknowledged within this time while the core is stable.
-pub const ORDER_LIMIT: Duration = Duration::from_secs(4);
-/// A machine counts as lost for this long after its return.
-pub const CATCH_UP: Duration = Duration::from_millis(4_200);
-/// After a loss the system serves again within this time.
-pub const RECOVERY: Duration = Duration::from_secs(12);
-/// What is drained gets no requests this long after it was acknowledged.
-pub const DRAIN: Duration = Duration::from_millis(2_000);
+/// An operator's request is acknowledged within this time while the core is stable.
+pub const OPERATOR_REQUEST_LIMIT: Duration = Duration::from_secs(4);
+/// A machine still counts as lost for this long after its return.
+pub const CATCH_UP_TIME: Duration = Duration::from_millis(4_200);
+/// The system serves again within this time after a loss.
+pub const RECOVERY_LIMIT: Duration = Duration::from_secs(12);
+/// A draining server gets no new requests from this time after the acknowledgement on.
+pub const DRAIN_DELAY: Duration = Duration::from_millis(2_000);
 
-/// Scenes of one test program at the same time: each is some ten processes.
+/// Limits the scenes that one test program runs at the same time, as each has about ten processes.
 static SCENES: Semaphore = Semaphore::const_new(2);
 
-/// A scene with its place among those that run at once.
-pub struct Stage {
+/// A scene with its permit to run.
+pub struct TestScene {
     scene: Scene,
     _permit: SemaphorePermit<'static>,
 }
 
-impl Deref for Stage {
+impl Deref for TestScene {
     type Target = Scene;
 
     fn deref(&self) -> &Scene {
@@ -42,7 +42,7 @@
     }
 }
 
-impl DerefMut for Stage {
+impl DerefMut for TestScene {
     fn deref_mut(&mut self) -> &mut Scene {
         &mut self.scene
     }
@@ -53,68 +53,76 @@
     PathBuf::from(env!("CARGO_BIN_EXE_dunespur"))
 }
 
-/// A scene that serves.
-pub async fn stage(plan: ScenePlan) -> Stage {
-    stage_of(&program(), plan).await
+/// Starts a scene of the program under test and waits until it serves.
+pub async fn serving_scene(plan: ScenePlan) -> TestScene {
+    serving_scene_of(&program(), plan).await
 }
 
-/// A scene of this program that serves.
-pub async fn stage_of(program: &Path, plan: ScenePlan) -> Stage {
-    let permit = SCENES.acquire().await.expect("never closed");
+/// Starts a scene of the given program and waits until it serves.
+pub async fn serving_scene_of(program: &Path, plan: ScenePlan) -> TestScene {
+    let permit = SCENES
+        .acquire()
+        .await
+        .expect("the semaphore is never closed");
     let scene = Scene::start(program, plan)
         .await
         .unwrap_or_else(|error| panic!("{error:#}"));
-    Stage {
+    TestScene {
         scene,
         _permit: permit,
     }
 }
 
-/// A scene whose processes have been started, without any order of the operator.
-pub async fn begin(plan: ScenePlan) -> Stage {
-    let permit = SCENES.acquire().await.expect("never closed");
+/// Starts the processes of a scene, without any request of the operator.
+pub async fn started_scene(plan: ScenePlan) -> TestScene {
+    let permit = SCENES
+        .acquire()
+        .await
+        .expect("the semaphore is never closed");
     let scene = Scene::begin(&program(), plan)
         .await
         .unwrap_or_else(|error| panic!("{error:#}"));
-    Stage {
+    TestScene {
         scene,
         _permit: permit,
     }
 }
 
-/// Places of machines of a role.
+/// Indices of the machines with a role.
 pub fn machines_of(scene: &Scene, role: Role) -> Vec<usize> {
     scene.system.machine_indices(|plan| plan.role == role)
 }
 
-/// No rule is broken by what servers and clients of the scene saw.
+/// Asserts that the observations of servers and clients violate no rule.
 pub fn expect_no_violation(scene: &Scene) {
     let violations: Vec<String> = scene.violations().iter().map(ToString::to_string).collect();
     assert!(violations.is_empty(), "{}", violations.join("\n"));
-    assert!(!scene.record.overflowed(), "the record has overflowed");
+    assert!(
+        !scene.record.overflowed(),
+        "the record of observations has overflowed"
+    );
 }
 
-/// The answer to what can't be done at this moment.
-pub const LATER: u16 = 503;
+/// Status of a response that asks the client to retry later.
+pub const RETRY_LATER: u16 = 503;
 
-/// Plays programs one after the other until `time` has passed in which the disk did not stand still; all have to
-/// finish.
-pub async fn programs_for(scene: &Scene, time: Duration) {
-    let begun = std::time::Instant::now();
-    while begun.elapsed() < time + stood_still_since(begun) {
+/// Runs programs one after the other for `time`, not counting disk stalls; all have to finish.
+pub async fn run_programs_for(scene: &Scene, time: Duration) {
+    let started_at = std::time::Instant::now();
+    while started_at.elapsed() < time + stalled_since(started_at) {
         let played = play(&scene.client, &usual_program()).await;
         if played.end
             == (End::Failed {
-                status: Some(LATER),
+                status: Some(RETRY_LATER),
             })
         {
-            fail_as_late(format!("{played:?}"));
+            fail_as_unavailable(format!("{played:?}"));
         }
         assert_eq!(played.end, End::Finished, "{played:?}");
     }
 }
 
-/// Waits until one of the two engines, whose gates are held, has a turn; which one that is.
+/// Waits until one of the two engines, whose gates are closed, has a turn, and returns its index.
 pub async fn engine_of_a_turn(scene: &Scene) -> usize {
     let [first, second] = [&scene.engines[0].server.gate, &scene.engines[1].server.gate];
     tokio::select! {
@@ -123,7 +131,7 @@
     }
 }
 
-/// A conversation of so many turns, each answered completely.
+/// Runs a conversation of `turns` turns, each of which has to be answered completely.
 pub async fn conversation_of(scene: &Scene, turns: u32) -> Conversation {
     let mut conversation = Conversation::new(&scene.client, &usual_program());
     for number in 0..turns {
@@ -132,25 +140,25 @@
     conversation
 }
 
-/// The conversation's next turn, which has to be answered completely.
+/// Sends the conversation's next turn, which has to be answered completely.
 pub async fn continue_conversation(scene: &Scene, conversation: &mut Conversation, input: &str) {
     let served = conversation
         .turn(&scene.client, &input.to_owned().into())
         .await;
-    if served.status() == Some(LATER) {
-        fail_as_late(format!("{input}: {served:?}"));
+    if served.status() == Some(RETRY_LATER) {
+        fail_as_unavailable(format!("{input}: {served:?}"));
     }
     assert!(served.succeeded(), "{input}: {served:?}");
 }
 
-/// The conversation's next turn, repeated until it is answered completely; a 404 is none.
+/// Repeats the conversation's next turn until it is answered completely; must not be answered with 404.
 pub async fn continue_within(
     scene: &Scene,
     conversation: &mut Conversation,
     input: &str,
     limit: Duration,
 ) {
-    let until = Instant::now() + limit;
+    let deadline = Instant::now() + limit;
     loop {
         let served = conversation
             .turn(&scene.client, &input.to_owned().into())
@@ -159,19 +167,19 @@
             return;
         }
         assert_ne!(served.status(), Some(404), "{input}: {served:?}");
-        if Instant::now() >= until && served.status() == Some(LATER) {
-            fail_as_late(format!("{input}: {served:?}"));
+        if Instant::now() >= deadline && served.status() == Some(RETRY_LATER) {
+            fail_as_unavailable(format!("{input}: {served:?}"));
         }
-        assert!(Instant::now() < until, "{input}: {served:?}");
+        assert!(Instant::now() < deadline, "{input}: {served:?}");
     }
 }
 
-/// A lookup that has no influence on anything.
-pub fn lookup() -> RequestSpec {
+/// A read-only request without effects.
+pub fn lookup_request() -> RequestSpec {
     RequestSpec::get(HOST, &format!("{LOOKUP}x"))
 }
 
-/// Adds one route on top of `base`.
+/// Adds one route to the configuration version `base` and returns the new version.
 pub async fn add_route(scene: &mut Scene, base: u64) -> u64 {
     let generation = base + 3;
     let name = format!("route-{generation}");
@@ -185,7 +193,7 @@
     scene.configurations.push(plan);
     let answer = scene
         .operator
-        .patch(base, &patch(generation, &[route], &[]), RECOVERY)
+        .patch(base, &patch(generation, &[route], &[]), RECOVERY_LIMIT)
         .await
         .unwrap();
     assert_eq!(
@@ -197,9 +205,9 @@
     generation
 }
 
-/// The newest version as any gateway reads it back.
+/// Reads the newest configuration version from any gateway.
 pub async fn generation(scene: &mut Scene) -> u64 {
-    let answer = scene.operator.get(RECOVERY).await.unwrap();
+    let answer = scene.operator.get(RECOVERY_LIMIT).await.unwrap();
     assert_eq!(answer.status, 200);
     let configuration: Value = serde_json::from_slice(&answer.body).unwrap();
     configuration["generation"].as_u64().unwrap()
--- a/crates/serving/dunespur/tests/unreadable.rs
+++ b/crates/serving/dunespur/tests/unreadable.rs
@@ -1,5 +1,5 @@
-//! Files that a start finds spoilt: the machine logs it, sets the file aside and comes back as a joiner; nothing that
-//! was acknowledged is lost, and the next machine may go the same way.
+//! Corrupt database files found at a start: the machine logs the corruption, sets the file aside and rejoins with an
+//! empty disk. Nothing acknowledged is lost, and the next machine may lose its file the same way.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use support::{
     add_route, continue_conversation, conversation_of, expect_no_violation, generation,
-    machines_of, programs_for, stage, CATCH_UP,
+    machines_of, run_programs_for, serving_scene, CATCH_UP_TIME,
 };
 
 const CORE_FILE: &str = "core.redb";
@@ -21,8 +21,8 @@
     file.set_len(length / 2).unwrap();
 }
 
-/// Both roots in the header.
-fn spoil_header(path: &Path) {
+/// Inverts both roots in the database header.
+fn corrupt_header(path: &Path) {
     let mut bytes = fs::read(path).unwrap();
     bytes[64..320].iter_mut().for_each(|byte| *byte ^= 0xff);
     fs::write(path, bytes).unwrap();
@@ -32,18 +32,23 @@
     fs::write(path, "no database").unwrap();
 }
 
-const SPOILERS: [fn(&Path); 3] = [truncate, spoil_header, replace_by_text];
+const CORRUPTIONS: [fn(&Path); 3] = [truncate, corrupt_header, replace_by_text];
 
-/// Kills a machine, spoils its file, and starts it again.
-fn spoil(scene: &mut Scene, machine: usize, name: &str, spoiler: fn(&Path)) -> PathBuf {
+/// Kills a machine, corrupts its database file, and restarts it.
+fn restart_with_corrupt_file(
+    scene: &mut Scene,
+    machine: usize,
+    name: &str,
+    corruption: fn(&Path),
+) -> PathBuf {
     scene.system.machine(machine).kill();
     let path = scene.system.machines()[machine].data_folder().join(name);
-    spoiler(&path);
+    corruption(&path);
     scene.system.restart(machine).unwrap();
     path
 }
 
-/// The machine runs, has said why, and holds one file that was set aside.
+/// Asserts that the machine has logged and set aside one unreadable file, and has a new file.
 fn expect_set_aside(scene: &Scene, machine: usize, path: &Path) {
     let machine = &scene.system.machines()[machine];
     let reports = machine
@@ -56,13 +61,13 @@
 }
 
 #[tokio::test]
-async fn core_members_with_spoilt_files_come_back_one_after_the_other() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn core_members_with_corrupt_files_rejoin_one_after_the_other() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let mut version = 1;
-    for (member, spoiler) in machines_of(&scene, Role::Core).into_iter().zip(SPOILERS) {
+    for (member, corruption) in machines_of(&scene, Role::Core).into_iter().zip(CORRUPTIONS) {
         version = add_route(&mut scene, version).await;
-        let path = spoil(&mut scene, member, CORE_FILE, spoiler);
-        programs_for(&scene, CATCH_UP).await;
+        let path = restart_with_corrupt_file(&mut scene, member, CORE_FILE, corruption);
+        run_programs_for(&scene, CATCH_UP_TIME).await;
         expect_set_aside(&scene, member, &path);
     }
     assert_eq!(generation(&mut scene).await, version);
@@ -73,15 +78,18 @@
 }
 
 #[tokio::test]
-async fn stores_with_spoilt_files_are_repaired_one_after_the_other() {
-    let mut scene = stage(ScenePlan::default()).await;
+async fn stores_with_corrupt_files_are_repaired_one_after_the_other() {
+    let mut scene = serving_scene(ScenePlan::default()).await;
     let mut conversations = Vec::new();
     for _ in 0..8 {
         conversations.push(conversation_of(&scene, 3).await);
     }
-    for (store, spoiler) in machines_of(&scene, Role::Store).into_iter().zip(SPOILERS) {
-        let path = spoil(&mut scene, store, TURNS_FILE, spoiler);
-        programs_for(&scene, CATCH_UP).await;
+    for (store, corruption) in machines_of(&scene, Role::Store)
+        .into_iter()
+        .zip(CORRUPTIONS)
+    {
+        let path = restart_with_corrupt_file(&mut scene, store, TURNS_FILE, corruption);
+        run_programs_for(&scene, CATCH_UP_TIME).await;
         expect_set_aside(&scene, store, &path);
         for conversation in &mut conversations {
             continue_conversation(&scene, conversation, &format!("after store {store}")).await;
--- a/crates/serving/dunespur/tests/upgrading.rs
+++ b/crates/serving/dunespur/tests/upgrading.rs
@@ -1,8 +1,8 @@
-//! Another version of the program takes the place of the one that runs, while turns go on and from the data folders
-//! that the earlier one wrote.
+//! Upgrades: the program under test replaces an earlier version while turns continue, using the data folders that the
+//! earlier version wrote.
 //!
-//! The environment variable `DUNESPUR_EARLIER_PROGRAM` names the earlier program. Where it is not set, the program
-//! under test is its own predecessor: then the scenes still show that a replacement loses nothing.
+//! The environment variable `DUNESPUR_EARLIER_PROGRAM` names the earlier program. If it is not set, the program under
+//! test replaces itself, which still shows that a replacement loses nothing.
 
 mod support;
 
@@ -12,28 +12,29 @@
 use dunespur_emulator::system::Role;
 use std::path::PathBuf;
 use std::time::Duration;
-use support::disk::{fail_as_late, with_standstills_apart};
+use support::disk::{fail_as_unavailable, retry_on_disk_stalls};
 use support::{
     add_route, continue_within, conversation_of, expect_no_violation, generation, program,
-    programs_for, stage_of, Stage, CATCH_UP, LATER, ORDER_LIMIT, RECOVERY,
+    run_programs_for, serving_scene_of, TestScene, CATCH_UP_TIME, OPERATOR_REQUEST_LIMIT,
+    RECOVERY_LIMIT, RETRY_LATER,
 };
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Names the program that runs before.
+/// Environment variable with the path of the earlier program.
 const EARLIER_PROGRAM: &str = "DUNESPUR_EARLIER_PROGRAM";
-/// Conversations that begin under the earlier program and go on under the later one.
+/// Conversations that start under the earlier program and continue under the later one.
 const CONVERSATIONS: usize = 12;
 /// The platform kills a process this long after SIGTERM.
-const GRACE: Duration = Duration::from_secs(8);
+const TERMINATION_GRACE: Duration = Duration::from_secs(8);
 
 fn earlier_program() -> PathBuf {
     std::env::var_os(EARLIER_PROGRAM).map_or_else(program, PathBuf::from)
 }
 
-/// A scene of the earlier program with conversations and a configuration of two versions.
-async fn earlier_stage() -> (Stage, Vec<Conversation>, u64) {
-    let mut scene = stage_of(&earlier_program(), ScenePlan::default()).await;
+/// Starts a scene of the earlier program with conversations and a second configuration version.
+async fn earlier_scene() -> (TestScene, Vec<Conversation>, u64) {
+    let mut scene = serving_scene_of(&earlier_program(), ScenePlan::default()).await;
     let mut conversations = Vec::new();
     for _ in 0..CONVERSATIONS {
         conversations.push(conversation_of(&scene, 2).await);
@@ -42,7 +43,7 @@
     (scene, conversations, version)
 }
 
-/// Programs that are played one after the other until they are asked to stop.
+/// Runs agent programs one after the other until stopped.
 struct Traffic {
     stop: watch::Sender<bool>,
     playing: JoinHandle<Vec<End>>,
@@ -62,14 +63,18 @@
         Traffic { stop, playing }
     }
 
-    /// Lets the program that is being played end; how all of them ended.
+    /// Waits for the running program and returns how all programs ended.
     async fn stop(self) -> Vec<End> {
-        self.stop.send(true).expect("the programs are still played");
-        self.playing.await.expect("programs end without a panic")
+        self.stop
+            .send(true)
+            .expect("the traffic task should still run");
+        self.playing
+            .await
+            .expect("the traffic task should not panic")
     }
 }
 
-/// Starts the program under test in the place of the earlier one on a machine, after a planned end of that.
+/// Terminates the earlier program on a machine and starts the program under test in its place.
 async fn replace_program(scene: &mut Scene, machine: usize) {
     let is_gateway = scene.system.machines()[machine].plan().role != Role::Store;
     if is_gateway {
@@ -77,7 +82,12 @@
     } else {
         scene.system.machine(machine).terminate().unwrap();
     }
-    let status = scene.system.machine(machine).wait(GRACE).await.unwrap();
+    let status = scene
+        .system
+        .machine(machine)
+        .wait(TERMINATION_GRACE)
+        .await
+        .unwrap();
     assert!(status.success(), "{status}");
     scene.system.machine(machine).set_program(program());
     scene.system.restart(machine).unwrap();
@@ -85,11 +95,17 @@
     scene.client.set_fronts(scene.system.fronts());
 }
 
-/// The configuration and the conversations that the earlier program was told are there.
-async fn expect_continued(scene: &mut Stage, conversations: &mut [Conversation], version: u64) {
+/// Asserts that the configuration and the conversations of the earlier program are still there.
+async fn expect_continued(scene: &mut TestScene, conversations: &mut [Conversation], version: u64) {
     assert_eq!(generation(scene).await, version);
     for conversation in &mut *conversations {
-        continue_within(scene, conversation, "under the later program", RECOVERY).await;
+        continue_within(
+            scene,
+            conversation,
+            "under the later program",
+            RECOVERY_LIMIT,
+        )
+        .await;
     }
     let version = add_route(scene, version).await;
     scene.wait_until_serving().await.unwrap();
@@ -97,25 +113,25 @@
     expect_no_violation(scene);
 }
 
-/// None of the programs has failed.
+/// Asserts that all programs have finished.
 fn expect_finished(ends: &[End]) {
     assert!(!ends.is_empty());
     for end in ends {
         if *end
             == (End::Failed {
-                status: Some(LATER),
+                status: Some(RETRY_LATER),
             })
         {
-            fail_as_late(format!("{ends:?}"));
+            fail_as_unavailable(format!("{ends:?}"));
         }
         assert_eq!(*end, End::Finished, "{ends:?}");
     }
 }
 
 #[tokio::test]
-async fn processes_are_replaced_one_after_another_while_turns_go_on() {
-    with_standstills_apart(|| async {
-        let (mut scene, mut conversations, version) = earlier_stage().await;
+async fn processes_are_replaced_one_after_another_while_turns_continue() {
+    retry_on_disk_stalls(|| async {
+        let (mut scene, mut conversations, version) = earlier_scene().await;
         let traffic = Traffic::start(&scene.client);
         for machine in 0..scene.system.machines().len() {
             replace_program(&mut scene, machine).await;
@@ -124,11 +140,11 @@
                     &scene,
                     conversation,
                     &format!("after machine {machine}"),
-                    ORDER_LIMIT,
+                    OPERATOR_REQUEST_LIMIT,
                 )
                 .await;
             }
-            programs_for(&scene, CATCH_UP).await;
+            run_programs_for(&scene, CATCH_UP_TIME).await;
         }
         expect_finished(&traffic.stop().await);
         expect_continued(&mut scene, &mut conversations, version).await;
@@ -138,8 +154,8 @@
 
 #[tokio::test]
 async fn a_complete_system_is_replaced_at_once() {
-    with_standstills_apart(|| async {
-        let (mut scene, mut conversations, version) = earlier_stage().await;
+    retry_on_disk_stalls(|| async {
+        let (mut scene, mut conversations, version) = earlier_scene().await;
         scene.system.kill_all();
         for machine in 0..scene.system.machines().len() {
             scene.system.machine(machine).set_program(program());
@@ -147,7 +163,7 @@
         }
         scene.wait_until_serving().await.unwrap();
         expect_continued(&mut scene, &mut conversations, version).await;
-        programs_for(&scene, CATCH_UP).await;
+        run_programs_for(&scene, CATCH_UP_TIME).await;
         expect_no_violation(&scene);
     })
     .await;
