--- a/crates/serving/dunespur/src/core/coordinator/lease_sweeps.rs
+++ b/crates/serving/dunespur/src/core/coordinator/lease_sweeps.rs
@@ -25,7 +25,7 @@
         }
         self.leases
             .borrow()
-            .unreached_processes(&replica, &self.own.id, seeds, now)
+            .unreached_processes(&replica, &self.own_peer.id, seeds, now)
     }
 
     /// Gossips renewals to the other members; at the head of the chain also proposes the operations for expired leases.
@@ -37,7 +37,7 @@
         let operations =
             self.leases
                 .borrow_mut()
-                .expired(&self.replica.borrow(), &self.own.id, now);
+                .expired(&self.replica.borrow(), &self.own_peer.id, now);
         for operation in operations {
             log::info!("a lease has expired; proposing {operation:?}");
             drop(self.propose(&operation));
@@ -50,7 +50,7 @@
             return;
         }
         let payload = encode(&Request::LeaseRenewals(renewals));
-        for address in self.replica.borrow().other_members(&self.own.id) {
+        for address in self.replica.borrow().other_members(&self.own_peer.id) {
             self.links.send(address, payload.clone());
         }
     }
--- a/crates/serving/dunespur/src/core/coordinator/mod.rs
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -29,7 +29,7 @@
 use tokio::time::sleep_until;
 
 /// File name of a core member's database in its data folder.
-const DISK_FILE: &str = "core.redb";
+const DATABASE_FILE: &str = "core.redb";
 
 /// Identity and settings of this process as a core member.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
 
 /// A core member with its disk and its connections to other members.
 pub struct Coordinator {
-    own: Peer,
+    own_peer: Peer,
     clock: Clock,
     replica: RefCell<Replica>,
     leases: RefCell<LeaseExpiry>,
@@ -76,16 +76,16 @@
     /// If the data folder can't be created, its database can't be opened, or the disk thread can't be started.
     pub fn start(
         identity: CoreIdentity,
-        data: &Path,
+        data_dir: &Path,
         clock: Clock,
     ) -> anyhow::Result<Rc<Coordinator>> {
-        std::fs::create_dir_all(data)
-            .with_context(|| format!("creating the data folder {}", data.display()))?;
+        std::fs::create_dir_all(data_dir)
+            .with_context(|| format!("creating the data folder {}", data_dir.display()))?;
         let Opened {
             disk,
             identity: disk_identity,
             contents: durable,
-        } = CoreDisk::open(&data.join(DISK_FILE))?;
+        } = CoreDisk::open(&data_dir.join(DATABASE_FILE))?;
         let id = MemberId {
             node: identity.node.clone(),
             disk: disk_identity.disk,
@@ -105,7 +105,7 @@
         let coordinator = Rc::new_cyclic(|this: &Weak<Coordinator>| {
             let owner = this.clone();
             Coordinator {
-                own: Peer {
+                own_peer: Peer {
                     id,
                     address: identity.address,
                 },
@@ -128,7 +128,7 @@
 
     /// Id and address of this member.
     pub fn peer(&self) -> Peer {
-        self.own.clone()
+        self.own_peer.clone()
     }
 
     /// The newest view known to this member.
@@ -216,7 +216,7 @@
     /// Sends a message from the state machine to the member at an address.
     fn send_message(&self, address: SocketAddr, message: Message) {
         let request = Request::Chain {
-            from: self.own.id.clone(),
+            from: self.own_peer.id.clone(),
             message,
         };
         self.links.send(address, encode(&request));
--- a/crates/serving/dunespur/src/core/lease_expiry.rs
+++ b/crates/serving/dunespur/src/core/lease_expiry.rs
@@ -77,12 +77,12 @@
     }
 
     /// Operations for expired leases. Empty unless this member is the head of the chain and was so at the last sweep.
-    pub fn expired(&mut self, replica: &Replica, own: &MemberId, now: u64) -> Vec<Operation> {
-        let decides =
-            replica.is_head(own) && replica.is_current(now) && replica.applied().is_readable();
-        if !decides || !self.decided_last_sweep {
+    pub fn expired(&mut self, replica: &Replica, own_id: &MemberId, now: u64) -> Vec<Operation> {
+        let decides_expiry =
+            replica.is_head(own_id) && replica.is_current(now) && replica.applied().is_readable();
+        if !decides_expiry || !self.decided_last_sweep {
             self.table.renew_all(now);
-            self.decided_last_sweep = decides;
+            self.decided_last_sweep = decides_expiry;
             return Vec::new();
         }
         let state = replica.state();
@@ -137,7 +137,7 @@
     pub fn unreached_processes(
         &self,
         replica: &Replica,
-        own: &MemberId,
+        own_id: &MemberId,
         seeds: &[SocketAddr],
         now: u64,
     ) -> Vec<SocketAddr> {
@@ -146,7 +146,7 @@
         for node in remembered_nodes(replica.state()) {
             if self.table.renewed_recently(&node.name, now) {
                 reached.insert(node.address);
-            } else if replica.is_head(own) {
+            } else if replica.is_head(own_id) {
                 candidates.insert(node.address);
             }
         }
--- a/crates/serving/dunespur/src/core/replica.rs
+++ b/crates/serving/dunespur/src/core/replica.rs
@@ -64,8 +64,8 @@
     }
 
     /// Addresses of the view's members except this one.
-    pub fn other_members(&self, own: &MemberId) -> Vec<SocketAddr> {
-        let others = self.members().iter().filter(|peer| peer.id != *own);
+    pub fn other_members(&self, own_id: &MemberId) -> Vec<SocketAddr> {
+        let others = self.members().iter().filter(|peer| peer.id != *own_id);
         others.map(|peer| peer.address).collect()
     }
 
@@ -78,8 +78,8 @@
     }
 
     /// Whether this member is the head of the chain.
-    pub fn is_head(&self, own: &MemberId) -> bool {
-        self.view().is_some_and(|view| view.is_head(own))
+    pub fn is_head(&self, own_id: &MemberId) -> bool {
+        self.view().is_some_and(|view| view.is_head(own_id))
     }
 
     /// Whether this member is connected to a majority of the view.
--- a/crates/serving/dunespur/src/explain/render.rs
+++ b/crates/serving/dunespur/src/explain/render.rs
@@ -24,7 +24,7 @@
     let width = trace
         .records
         .iter()
-        .map(|record| process(record).chars().count())
+        .map(|record| process_name(record).chars().count())
         .max()
         .unwrap_or(0);
     for record in &trace.records {
@@ -33,14 +33,14 @@
         let _ = writeln!(
             text,
             "{elapsed_ms:>6}  {:<width$}  {}",
-            process(record),
+            process_name(record),
             sentence(&record.event)
         );
     }
     text
 }
 
-fn process(record: &LogRecord) -> String {
+fn process_name(record: &LogRecord) -> String {
     format!("{} {}", record.node, record.role)
 }
 
--- a/crates/serving/dunespur/src/status/table.rs
+++ b/crates/serving/dunespur/src/status/table.rs
@@ -15,9 +15,9 @@
 /// Renders the complete status.
 pub fn render(status: &Status) -> String {
     let mut text = String::new();
-    push_line(&mut text, header(status));
-    push_line(&mut text, process(status.process));
-    push_line(&mut text, control(&status.control));
+    push_line(&mut text, header_line(status));
+    push_line(&mut text, process_line(status.process));
+    push_line(&mut text, control_line(&status.control));
     let link = status.link;
     push_line(
         &mut text,
@@ -27,13 +27,13 @@
         ),
     );
     if let Some(known) = &status.view {
-        push_line(&mut text, view(known));
+        push_line(&mut text, view_line(known));
     }
     if let Some(member) = &status.core {
-        push_line(&mut text, core(member));
+        push_line(&mut text, core_line(member));
     }
     if let Some(counters) = status.front {
-        push_line(&mut text, front(counters));
+        push_line(&mut text, front_line(counters));
     }
     if let Some(budgets) = status.budgets {
         push_line(
@@ -45,16 +45,16 @@
         );
     }
     if let Some(budget) = &status.program {
-        push_line(&mut text, program(budget));
+        push_line(&mut text, program_line(budget));
     }
     if let Some(stored) = status.turns {
-        push_line(&mut text, turns(stored));
+        push_line(&mut text, turns_line(stored));
     }
-    push_table(&mut text, gateways(&status.gateways));
-    push_table(&mut text, services(&status.services));
-    push_table(&mut text, stores(&status.stores));
+    push_table(&mut text, gateway_rows(&status.gateways));
+    push_table(&mut text, service_rows(&status.services));
+    push_table(&mut text, store_rows(&status.stores));
     if let Some(member) = &status.core {
-        push_table(&mut text, leases(member));
+        push_table(&mut text, lease_rows(member));
     }
     text
 }
@@ -64,7 +64,7 @@
     text.push('\n');
 }
 
-fn header(status: &Status) -> String {
+fn header_line(status: &Status) -> String {
     let Status {
         node,
         role,
@@ -83,7 +83,7 @@
     )
 }
 
-fn process(process: ProcessStatus) -> String {
+fn process_line(process: ProcessStatus) -> String {
     format!(
         "process: memory {:.1} MB, {:.1} at most; processor {}; descriptors {}",
         process.memory_kb as f64 / KB_PER_MB,
@@ -93,7 +93,7 @@
     )
 }
 
-fn control(control: &ControlStatus) -> String {
+fn control_line(control: &ControlStatus) -> String {
     let index = control
         .index
         .map_or("nothing yet".to_owned(), |index| format!("index {index}"));
@@ -114,7 +114,7 @@
     format!("control state: {index}, {generation}; {contact}, {last_answer}")
 }
 
-fn view(view: &ViewStatus) -> String {
+fn view_line(view: &ViewStatus) -> String {
     let mut chain: Vec<_> = view
         .members
         .iter()
@@ -134,7 +134,7 @@
     text
 }
 
-fn core(core: &CoreStatus) -> String {
+fn core_line(core: &CoreStatus) -> String {
     let state = match (core.current, core.follows) {
         (_, true) => "follows",
         (true, false) => "CONNECTED TO A MAJORITY, NOT UP TO DATE",
@@ -147,18 +147,18 @@
         core.programs,
         core.counter_bytes as f64 / BYTES_PER_MB,
         core.max_counter_bytes as f64 / BYTES_PER_MB,
-        disk(core.disk),
+        disk_summary(core.disk),
     )
 }
 
-fn disk(disk: DiskStatus) -> String {
+fn disk_summary(disk: DiskStatus) -> String {
     format!(
         "disk: done {}, waiting {}, failed {}",
         disk.done, disk.waiting, disk.failed
     )
 }
 
-fn front(front: FrontStatus) -> String {
+fn front_line(front: FrontStatus) -> String {
     format!(
         "front: {}; clients {} open, {} accepted; requests {}, rejected {}, failed {}; connections to servers {} \
          open, {} opened; bodies {:.1} MB",
@@ -174,7 +174,7 @@
     )
 }
 
-fn program(program: &ProgramStatus) -> String {
+fn program_line(program: &ProgramStatus) -> String {
     let number =
         |value: Option<u64>| value.map_or("unknown here".to_owned(), |value| value.to_string());
     format!(
@@ -186,7 +186,7 @@
     )
 }
 
-fn turns(turns: TurnsStatus) -> String {
+fn turns_line(turns: TurnsStatus) -> String {
     let mut state = vec![if turns.complete {
         "complete"
     } else {
@@ -209,13 +209,13 @@
         turns.capacity_bytes as f64 / BYTES_PER_MB,
         state.join(", "),
         turns.waiting,
-        disk(turns.disk),
+        disk_summary(turns.disk),
     )
 }
 
 type Row = Vec<String>;
 
-fn gateways(gateways: &[GatewayEntryStatus]) -> Vec<Row> {
+fn gateway_rows(gateways: &[GatewayEntryStatus]) -> Vec<Row> {
     let mut rows = vec![row(["GATEWAY", "ADDRESS", "ZONE"])];
     for gateway in gateways {
         rows.push(vec![
@@ -227,7 +227,7 @@
     rows
 }
 
-fn services(services: &[ServiceStatus]) -> Vec<Row> {
+fn service_rows(services: &[ServiceStatus]) -> Vec<Row> {
     let mut rows = vec![row([
         "SERVICE",
         "SERVER",
@@ -254,7 +254,7 @@
     rows
 }
 
-fn stores(stores: &[StoreStatus]) -> Vec<Row> {
+fn store_rows(stores: &[StoreStatus]) -> Vec<Row> {
     let mut rows = vec![row(["STORE", "ADDRESS", "ZONE", "STATE"])];
     for store in stores {
         rows.push(vec![
@@ -280,7 +280,7 @@
     state.join(", ")
 }
 
-fn leases(core: &CoreStatus) -> Vec<Row> {
+fn lease_rows(core: &CoreStatus) -> Vec<Row> {
     let mut rows = vec![row(["LEASE", "SILENT", "EXPIRES AFTER"])];
     for lease in &core.leases {
         rows.push(vec![
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -9,7 +9,7 @@
 use crate::settings::{Role, Settings};
 use crate::status::{DiskStatus, Status, TurnsStatus};
 use crate::status_collection::common_status;
-use crate::store_client::{address_of, call_store};
+use crate::store_client::{call_store, store_address};
 use anyhow::Context;
 use bytes::Bytes;
 use dunespur_control_state::{NodeKind, NodeReport};
@@ -32,7 +32,7 @@
 use tokio::time::sleep_until;
 
 /// File name of a store's database in its data folder.
-const DISK_FILE: &str = "turns.redb";
+const DATABASE_FILE: &str = "turns.redb";
 /// Delay in milliseconds between the expiry of a store's lease and the replication of its turns elsewhere; a store that
 /// was only slow has registered again by then. A machine that is lost for good may have a successor a tenth of a second
 /// later and stops counting as lost after the successor's time to catch up, about four seconds. By then there must be
@@ -73,13 +73,13 @@
         directory: Rc<Directory>,
         clock: Clock,
     ) -> anyhow::Result<(Rc<StoreProcess>, Completions)> {
-        let data = settings
+        let data_dir = settings
             .data_dir
             .as_deref()
             .context("the settings have no data_dir: a store needs a disk")?;
-        std::fs::create_dir_all(data)
-            .with_context(|| format!("creating the data folder {}", data.display()))?;
-        let file = data.join(DISK_FILE);
+        std::fs::create_dir_all(data_dir)
+            .with_context(|| format!("creating the data folder {}", data_dir.display()))?;
+        let file = data_dir.join(DATABASE_FILE);
         let Opened {
             disk,
             identity,
@@ -185,7 +185,7 @@
             return;
         };
         let stores: Vec<_> = self.directory.known().stores.values().cloned().collect();
-        let address = address_of(&stores, store);
+        let address = store_address(&stores, store);
         spawn_local(async move {
             let timeout = Duration::from_millis(PEER_REQUEST_TIMEOUT_MS);
             let reply = match address {
--- a/crates/serving/dunespur/src/store_client.rs
+++ b/crates/serving/dunespur/src/store_client.rs
@@ -169,7 +169,7 @@
         answers: &mpsc::UnboundedSender<StoreAnswer>,
     ) {
         let answers = answers.clone();
-        let Some(address) = address_of(stores, &store) else {
+        let Some(address) = store_address(stores, &store) else {
             let _ = answers.send(StoreAnswer {
                 store,
                 id,
@@ -202,7 +202,7 @@
 }
 
 /// Address of the store with this name.
-pub fn address_of(stores: &[StoreEntry], name: &str) -> Option<SocketAddr> {
+pub fn store_address(stores: &[StoreEntry], name: &str) -> Option<SocketAddr> {
     stores
         .iter()
         .find(|store| store.name == name)
--- a/crates/serving/dunespur/tests/orders.rs
+++ b/crates/serving/dunespur/tests/configuration_changes.rs
@@ -253,13 +253,13 @@
     let mut scene = serving_scene(ScenePlan::default()).await;
     for round in 0..5 {
         let base = 1 + round * 10;
-        let mut orders = tokio::task::JoinSet::new();
+        let mut changes = tokio::task::JoinSet::new();
         for side in 0..2 {
             let mut operator = scene.operator.clone();
             let name = format!("side-{side}");
             let route = RoutePlan::new(&name, HOST, &format!("/{name}/"), Kind::ReadOnly, TOOLS);
             let body = patch(base + 10, &[route], &[]);
-            orders.spawn(async move {
+            changes.spawn(async move {
                 operator
                     .patch(base, &body, OPERATOR_REQUEST_LIMIT)
                     .await
@@ -267,7 +267,7 @@
                     .status
             });
         }
-        let mut statuses = orders.join_all().await;
+        let mut statuses = changes.join_all().await;
         statuses.sort_unstable();
         assert_eq!(statuses, [200, 412], "round {round}");
     }
