--- a/crates/gateway/gateway/src/clock.rs
+++ b/crates/gateway/gateway/src/clock.rs
@@ -1,8 +1,8 @@
-//! The clock of the fleet.
+//! The clock of the fleet protocols.
 
-/// Seconds on a clock that goes on while the process, or the whole machine, stands still.
+/// Seconds since boot. The clock continues while the process is stopped or the machine is suspended.
 #[must_use]
 pub fn clock() -> f64 {
-    let t = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    t.tv_sec as f64 + t.tv_nsec as f64 * 1e-9
+    let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
+    time.tv_sec as f64 + time.tv_nsec as f64 * 1e-9
 }
--- a/crates/gateway/gateway/src/fleet/addresses.rs
+++ b/crates/gateway/gateway/src/fleet/addresses.rs
@@ -1,41 +1,53 @@
-//! Where the other limiters are reached.
+//! Addresses of the other limiters.
 
-use crate::fleet::Fleet;
+use crate::fleet::FleetMember;
 use std::net::SocketAddrV4;
 
-/// Names are reached where they were last heard; two of one name both.
+/// A name is contacted at its most recent addresses; if two processes share a name, at those of both.
 pub(super) const MAX_ADDRESSES_PER_NAME: usize = 3;
 
-pub(super) const ADDRESS_EXPIRY: f64 = 30.0;
+pub(super) const ADDRESS_EXPIRY_S: f64 = 30.0;
 
-impl Fleet {
-    pub(super) fn learn_address(&mut self, name: &str, at: SocketAddrV4, now: f64) {
-        if name == self.identity.name && at == self.plan.listen {
+impl FleetMember {
+    pub(super) fn learn_address(&mut self, name: &str, address: SocketAddrV4, now: f64) {
+        if name == self.identity.name && address == self.config.listen {
             return;
         }
-        // Bounded by the fleet's size in the file, and by time.
-        let most = self.plan.members.expected_members as usize * 2 + 16;
-        if !self.addresses.contains_key(name) && self.addresses.len() >= most {
+        // Limited by the fleet size in the file; expired addresses are removed first.
+        let max_names = self.config.members.expected_members as usize * 2 + 16;
+        if !self.addresses.contains_key(name) && self.addresses.len() >= max_names {
             self.addresses
-                .retain(|_, p| p.iter().any(|p| p.1 > now - ADDRESS_EXPIRY));
-            if self.addresses.len() >= most {
+                .retain(|_, heard| heard.iter().any(|entry| entry.1 > now - ADDRESS_EXPIRY_S));
+            if self.addresses.len() >= max_names {
                 return;
             }
         }
-        let places = self.addresses.entry(name.to_owned()).or_default();
-        places.retain(|p| p.0 != at && p.1 > now - ADDRESS_EXPIRY);
-        places.insert(0, (at, now));
-        places.truncate(MAX_ADDRESSES_PER_NAME);
+        let addresses = self.addresses.entry(name.to_owned()).or_default();
+        addresses.retain(|entry| entry.0 != address && entry.1 > now - ADDRESS_EXPIRY_S);
+        addresses.insert(0, (address, now));
+        addresses.truncate(MAX_ADDRESSES_PER_NAME);
     }
 
-    /// Where a name is reached.
+    /// The addresses of a name: recent ones, or else the one in the voter list or the membership.
     pub(super) fn addresses_of(&self, name: &str) -> Vec<SocketAddrV4> {
-        let heard = self.addresses.get(name).into_iter().flatten().map(|p| p.0);
-        let mut places: Vec<SocketAddrV4> = heard.collect();
-        if places.is_empty() {
-            let listed = self.plan.voters.iter().find(|v| v.0 == name).map(|v| v.1);
-            places.extend(listed.or_else(|| self.members.find(name).map(|m| m.address)));
+        let heard = self
+            .addresses
+            .get(name)
+            .into_iter()
+            .flatten()
+            .map(|entry| entry.0);
+        let mut addresses: Vec<SocketAddrV4> = heard.collect();
+        if addresses.is_empty() {
+            let configured = self
+                .config
+                .voters
+                .iter()
+                .find(|voter| voter.0 == name)
+                .map(|voter| voter.1);
+            addresses.extend(
+                configured.or_else(|| self.membership.find(name).map(|member| member.address)),
+            );
         }
-        places
+        addresses
     }
 }
--- a/crates/gateway/gateway/src/fleet/audits.rs
+++ b/crates/gateway/gateway/src/fleet/audits.rs
@@ -1,12 +1,12 @@
-//! Audits of the counter: what was added to a name is compared with what the counter holds.
+//! Audits of the counter: compares the units added to a name with the total that the counter holds.
 
+use crate::event_loop::EventLoop;
 use crate::fleet::event::FleetEvent;
 use crate::fleet::health_checks::HEALTH_CHECK_TIMEOUT;
 use crate::fleet::work::Work;
-use crate::fleet::Fleet;
-use crate::hub::Hub;
-use crate::message::encode_count;
-use crate::message::take_counted;
+use crate::fleet::FleetMember;
+use crate::protocol::decode_counter_reply;
+use crate::protocol::encode_counter_call;
 use bytes::BytesMut;
 use dunespur_decisions::types::CounterReply;
 use dunespur_singleton_roles::audit;
@@ -20,68 +20,73 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Names that are read from the counter at once.
+/// Names read from the counter over one connection.
 pub(super) const MAX_NAMES_PER_READ: usize = 256;
 
-/// Reads names by adding nothing to them; one that is gone comes to be for a millisecond.
+/// Reads the totals of names by adding zero to each. A name that no longer exists is created for one millisecond.
 pub(super) async fn read_totals(
-    at: SocketAddr,
+    counter: SocketAddr,
     names: &[u64],
-    tell: &mpsc::UnboundedSender<FleetEvent>,
+    events: &mpsc::UnboundedSender<FleetEvent>,
 ) -> std::io::Result<()> {
-    let mut stream = TcpStream::connect(at).await?;
+    let mut stream = TcpStream::connect(counter).await?;
     let mut calls = BytesMut::new();
     names
         .iter()
-        .for_each(|n| calls.extend_from_slice(&encode_count(*n, 0.0, 0.001)));
+        .for_each(|name| calls.extend_from_slice(&encode_counter_call(*name, 0.0, 0.001)));
     stream.write_all(&calls).await?;
-    let mut answers = BytesMut::new();
+    let mut replies = BytesMut::new();
     for name in names {
-        let counted = loop {
-            match take_counted(&mut answers) {
-                Ok(Some(counted)) => break counted,
+        let reply = loop {
+            match decode_counter_reply(&mut replies) {
+                Ok(Some(reply)) => break reply,
                 Ok(None) => {}
                 Err(_) => return Err(std::io::ErrorKind::InvalidData.into()),
             }
-            if stream.read_buf(&mut answers).await? == 0 {
+            if stream.read_buf(&mut replies).await? == 0 {
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
             }
         };
-        if let CounterReply::Total(total) = counted {
-            let _ = tell.send(FleetEvent::Total { name: *name, total });
+        if let CounterReply::Total(total) = reply {
+            let _ = events.send(FleetEvent::AuditTotal { name: *name, total });
         }
     }
     Ok(())
 }
 
-impl Fleet {
-    /// What was added and is quiet goes to the auditor; what an auditor holds and is quiet is read.
-    pub(super) fn exchange_usage(&mut self, hub: &Rc<Hub>, now: f64) {
-        self.next_audit = now + self.plan.audit.quiet_period / 4.0;
-        let mut by: BTreeMap<Slot, Vec<audit::Usage>> = BTreeMap::new();
-        for u in self.tally.take_due(now, &self.plan.audit) {
-            if let Some(slot) = Fleet::shard_of(self.audit_slots, u.name) {
-                by.entry(slot).or_default().push(u);
+impl FleetMember {
+    /// Sends the usage of names without recent calls to their auditors, and reads the totals of such names that this
+    /// process audits.
+    pub(super) fn exchange_usage(&mut self, event_loop: &Rc<EventLoop>, now: f64) {
+        self.next_audit = now + self.config.audit.quiet_period / 4.0;
+        let mut by_slot: BTreeMap<Slot, Vec<audit::Usage>> = BTreeMap::new();
+        for usage in self.usage_tally.take_due(now, &self.config.audit) {
+            if let Some(slot) = FleetMember::shard_of(self.audit_slots, usage.name) {
+                by_slot.entry(slot).or_default().push(usage);
             }
         }
-        for (slot, uses) in by {
-            let names: Vec<u64> = uses.iter().map(|u| u.name).collect();
+        for (slot, usages) in by_slot {
+            let names: Vec<u64> = usages.iter().map(|usage| usage.name).collect();
             let message = audit::Message::Usages {
                 run: self.identity.run,
-                usages: uses,
+                usages,
             };
-            if !self.send_to_owner(hub, slot, Work::Audit { slot, message }, now) {
-                self.tally.mark_unreported(names.into_iter());
+            if !self.send_to_owner(event_loop, slot, Work::Audit { slot, message }, now) {
+                self.usage_tally.mark_unreported(names.into_iter());
             }
         }
-        let due = self.auditor.take_due(now, &self.plan.audit);
-        let Some(counter) = hub.counter.address().filter(|_| !due.is_empty()) else {
+        let names_to_read = self.auditor.take_due(now, &self.config.audit);
+        let Some(counter) = event_loop
+            .counter_client
+            .address()
+            .filter(|_| !names_to_read.is_empty())
+        else {
             return;
         };
-        let tell = self.events.clone();
+        let events = self.events.clone();
         tokio::task::spawn_local(async move {
-            for names in due.chunks(MAX_NAMES_PER_READ) {
-                let read = read_totals(counter, names, &tell);
+            for names in names_to_read.chunks(MAX_NAMES_PER_READ) {
+                let read = read_totals(counter, names, &events);
                 if !matches!(
                     tokio::time::timeout(HEALTH_CHECK_TIMEOUT, read).await,
                     Ok(Ok(()))
@@ -92,29 +97,29 @@
         });
     }
 
-    pub(super) fn judge_total(&mut self, name: u64, total: f64, now: f64) {
-        let Some(slot) = Fleet::shard_of(self.audit_slots, name)
-            .filter(|s| self.client.token(*s, now).is_some())
+    pub(super) fn audit_total(&mut self, name: u64, total: f64, now: f64) {
+        let Some(slot) = FleetMember::shard_of(self.audit_slots, name)
+            .filter(|s| self.role_client.token(*s, now).is_some())
         else {
             return;
         };
-        self.client.record_progress(slot, now);
-        let Some(verdict) = self.auditor.judge(name, total, &self.plan.audit) else {
+        self.role_client.record_progress(slot, now);
+        let Some(verdict) = self.auditor.judge(name, total, &self.config.audit) else {
             return;
         };
-        let (n, what, value) = match verdict {
+        let (result_index, label, value) = match verdict {
             audit::Verdict::Agrees => (0, "agrees", 0.0),
             audit::Verdict::Lost(units) => (1, "lost", units),
             audit::Verdict::Surplus(units) => (2, "surplus", units),
         };
-        self.audit_results[n] += 1;
-        if n > 0 {
+        self.audit_results[result_index] += 1;
+        if result_index > 0 {
             ::log::warn!(
-                "fleet: audit of {name:016x}: the counter holds {total}, {what} {value:.3} units"
+                "fleet: audit of {name:016x}: the counter holds {total}, {label} {value:.3} units"
             );
         }
         self.write_history(
-            json!({"line": "counted", "t": now, "what": format!("audit {what}"), "value": value}),
+            json!({"line": "counted", "t": now, "what": format!("audit {label}"), "value": value}),
         );
     }
 }
--- a/crates/gateway/gateway/src/fleet/discovery_relaying.rs
+++ b/crates/gateway/gateway/src/fleet/discovery_relaying.rs
@@ -1,9 +1,9 @@
-//! The relay of discovery's list within a zone.
+//! Relays discovery's endpoint list within a zone.
 
-use crate::fleet::Fleet;
-use crate::hub::Hub;
-use crate::message::decode_endpoints;
-use crate::reducer::Event;
+use crate::event_loop::EventLoop;
+use crate::fleet::FleetMember;
+use crate::protocol::decode_endpoints;
+use crate::state_machine::Event;
 use dunespur_gossip_membership as members;
 use dunespur_peer_transport::Kind;
 use dunespur_singleton_roles::discovery_relay;
@@ -13,18 +13,18 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-impl Fleet {
+impl FleetMember {
     pub(super) fn receive_relay_message(
         &mut self,
-        hub: &Rc<Hub>,
+        event_loop: &Rc<EventLoop>,
         from: String,
         message: discovery_relay::Message,
         now: f64,
     ) {
-        let Some(slot) = self.relay.as_ref().map(|r| r.1) else {
+        let Some(slot) = self.relay.as_ref().map(|relay| relay.1) else {
             return;
         };
-        let fits = match &message {
+        let accepted = match &message {
             discovery_relay::Message::RequestEndpoints { slot: s } => *s == slot,
             discovery_relay::Message::Heartbeat { slot: s, token, .. }
             | discovery_relay::Message::Update { slot: s, token, .. } => {
@@ -32,76 +32,83 @@
                 s == slot && self.accept_token(&from, s, token, now)
             }
         };
-        if !fits {
+        if !accepted {
             return;
         }
-        let token = self.client.token(slot, now);
+        let token = self.role_client.token(slot, now);
         let mut actions = Vec::new();
         if let Some((relay, _)) = &mut self.relay {
             relay.receive(&from, message, token, now, &mut actions);
         }
-        self.perform_relay(hub, actions, now);
+        self.perform_relay_actions(event_loop, actions, now);
     }
 
-    /// Takes a list into the whole one; says whether it was complete, and its revision.
-    pub(super) fn merge_list(&mut self, value: &Value) -> Option<(u64, bool)> {
+    /// Merges an update into the complete list; returns its revision and whether it was complete.
+    pub(super) fn merge_endpoints(&mut self, value: &Value) -> Option<(u64, bool)> {
         let revision = value["revision"].as_u64()?;
         let complete = value["complete"].as_bool().unwrap_or(false);
         if complete {
-            self.discovered.clear();
+            self.endpoints_by_id.clear();
         }
-        for m in value["members"].as_array().into_iter().flatten() {
-            let Some(id) = m["id"].as_str() else { continue };
-            if m["phase"] == "Gone" {
-                self.discovered.remove(id);
+        for member in value["members"].as_array().into_iter().flatten() {
+            let Some(id) = member["id"].as_str() else {
+                continue;
+            };
+            if member["phase"] == "Gone" {
+                self.endpoints_by_id.remove(id);
             } else {
-                self.discovered.insert(id.to_owned(), m.clone());
+                self.endpoints_by_id.insert(id.to_owned(), member.clone());
             }
         }
         Some((revision, complete))
     }
 
-    pub(super) fn perform_relay(&mut self, hub: &Rc<Hub>, actions: Vec<Action>, now: f64) {
+    pub(super) fn perform_relay_actions(
+        &mut self,
+        event_loop: &Rc<EventLoop>,
+        actions: Vec<Action>,
+        now: f64,
+    ) {
         for action in actions {
             match action {
                 Action::OpenWatch | Action::CloseWatch => {
                     let own = action == Action::OpenWatch;
                     ::log::info!(
-                        "fleet: its own watch {}",
+                        "fleet: own discovery watch {}",
                         if own { "opens" } else { "closes" }
                     );
-                    let who = self.identity.name.clone();
+                    let name = self.identity.name.clone();
                     let value = if own { 1.0 } else { 0.0 };
                     self.write_history(
-                        json!({"line": "counted", "t": now, "what": format!("watch {who}"), "value": value}),
+                        json!({"line": "counted", "t": now, "what": format!("watch {name}"), "value": value}),
                     );
-                    hub.discovery.set_own_watch(own);
+                    event_loop.discovery_watch.set_own_watch(own);
                 }
                 Action::Broadcast(message) => {
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
-                    let zone = |m: &&members::Member| {
-                        m.zone == self.identity.zone && m.name != self.identity.name
+                    let is_zone_peer = |member: &&members::Member| {
+                        member.zone == self.identity.zone && member.name != self.identity.name
                     };
                     let to: Vec<_> = self
-                        .members
+                        .membership
                         .alive()
-                        .filter(zone)
-                        .map(|m| m.address)
+                        .filter(is_zone_peer)
+                        .map(|member| member.address)
                         .collect();
                     to.into_iter()
-                        .for_each(|at| self.links.send(at, Kind::Watch, body.clone()));
+                        .for_each(|at| self.transport.send(at, Kind::Watch, body.clone()));
                 }
                 Action::Send { to, message } => {
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
                     for at in self.addresses_of(&to) {
-                        self.links.send(at, Kind::Watch, body.clone());
+                        self.transport.send(at, Kind::Watch, body.clone());
                     }
                 }
                 Action::SendEndpoints { to, token } => {
                     let Some((relay, slot)) = &self.relay else {
                         continue;
                     };
-                    let members: Vec<&Value> = self.discovered.values().collect();
+                    let members: Vec<&Value> = self.endpoints_by_id.values().collect();
                     let revision = relay.revision();
                     let whole = json!({"revision": revision, "complete": true, "members": members});
                     let endpoints = whole.to_string().into_bytes();
@@ -114,7 +121,7 @@
                     };
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
                     for at in self.addresses_of(&to) {
-                        self.links.send(at, Kind::Watch, body.clone());
+                        self.transport.send(at, Kind::Watch, body.clone());
                     }
                 }
                 Action::ApplyEndpoints {
@@ -124,22 +131,27 @@
                     let Ok(value) = serde_json::from_slice::<Value>(&endpoints) else {
                         continue;
                     };
-                    let Ok(news) = decode_endpoints(&value, &hub.names) else {
+                    let Ok(update) = decode_endpoints(&value, &event_loop.names) else {
                         continue;
                     };
-                    self.merge_list(&value);
+                    self.merge_endpoints(&value);
                     self.relayed_updates += 1;
-                    // Its own watch would go on from here.
-                    hub.discovery.set_revision(revision);
-                    hub.tell(Event::Endpoints(news));
+                    // An own watch would continue from this revision.
+                    event_loop.discovery_watch.set_revision(revision);
+                    event_loop.handle(Event::EndpointsUpdated(update));
                 }
             }
         }
     }
 
-    pub(super) fn receive_update(&mut self, hub: &Rc<Hub>, line: Option<Value>, now: f64) {
-        let list = line.and_then(|value| {
-            let (revision, complete) = self.merge_list(&value)?;
+    pub(super) fn receive_update(
+        &mut self,
+        event_loop: &Rc<EventLoop>,
+        line: Option<Value>,
+        now: f64,
+    ) {
+        let update = line.and_then(|value| {
+            let (revision, complete) = self.merge_endpoints(&value)?;
             Some(DiscoveryUpdate {
                 revision,
                 complete,
@@ -149,12 +161,12 @@
         let token = self
             .relay
             .as_ref()
-            .and_then(|r| self.client.token(r.1, now));
+            .and_then(|r| self.role_client.token(r.1, now));
         let mut actions = Vec::new();
         if let Some((relay, slot)) = &mut self.relay {
-            relay.receive_update(list, token, now, &mut actions);
-            self.client.record_progress(*slot, now);
+            relay.receive_update(update, token, now, &mut actions);
+            self.role_client.record_progress(*slot, now);
         }
-        self.perform_relay(hub, actions, now);
+        self.perform_relay_actions(event_loop, actions, now);
     }
 }
--- a/crates/gateway/gateway/src/fleet/event.rs
+++ b/crates/gateway/gateway/src/fleet/event.rs
@@ -1,4 +1,4 @@
-//! What the rest of the process tells its part in the fleet.
+//! Events that the rest of the process sends to the fleet task.
 
 use dunespur_decisions::types::CounterReply;
 use dunespur_quota_sharing::LeaseRequest;
@@ -7,27 +7,27 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// What the rest of the process tells the fleet.
+/// An event for the fleet task.
 pub enum FleetEvent {
-    /// Discovery's own watch brought a line, or a sign of life.
-    Line(Option<Value>),
-    /// SIGTERM: hand over and say goodbye.
+    /// The own watch of discovery received a list, or `None` for an empty line.
+    WatchLine(Option<Value>),
+    /// SIGTERM: hand the roles over and leave the fleet.
     Leave,
-    /// SIGUSR1.
+    /// SIGUSR1: log the statistics.
     Report,
-    /// A delivery to this server ended, with any answer or with none.
-    Delivered { server: SocketAddr, answered: bool },
-    /// A call to the counter ended: answered, or nobody knows.
-    Counted { name: u64, add: f64, answered: bool },
-    /// A probe of this server is over.
-    Probed {
+    /// An attempt at this server ended, with any response (`answered`) or none.
+    AttemptEnded { server: SocketAddr, answered: bool },
+    /// A counter call ended, with a total (`answered`) or an unknown outcome.
+    CounterCallEnded { name: u64, add: f64, answered: bool },
+    /// A health check of this server ended.
+    HealthCheckEnded {
         server: String,
         observation: Observation,
     },
-    /// The counter's total for a name, read for the audit.
-    Total { name: u64, total: f64 },
-    /// This limiter asks the broker of a slot.
-    Borrow { slot: Slot, request: LeaseRequest },
-    /// A call of this process's own broker has ended.
-    Brokered { call: u64, counted: CounterReply },
+    /// The counter's total for a name, read for an audit.
+    AuditTotal { name: u64, total: f64 },
+    /// The limiter of this process requests a lease from the broker of a slot.
+    LeaseRequested { slot: Slot, request: LeaseRequest },
+    /// A counter call of this process's own broker ended.
+    BrokerCallEnded { call: u64, reply: CounterReply },
 }
--- a/crates/gateway/gateway/src/fleet/gossip.rs
+++ b/crates/gateway/gateway/src/fleet/gossip.rs
@@ -1,8 +1,8 @@
-//! Carries out what the gossip on membership asks for, and gives all that comes from peers to its receiver.
+//! Performs the outputs of the gossip membership, and passes received frames to their handlers.
 
+use crate::event_loop::EventLoop;
 use crate::fleet::work::Work;
-use crate::fleet::Fleet;
-use crate::hub::Hub;
+use crate::fleet::FleetMember;
 use dunespur_gossip_membership as members;
 use dunespur_gossip_membership::DuplicateName;
 use dunespur_peer_transport::FrameError;
@@ -12,16 +12,18 @@
 use serde_json::json;
 use std::rc::Rc;
 
-impl Fleet {
-    pub(super) fn perform_gossip(&mut self, out: Vec<members::Output>, now: f64) {
-        for o in out {
-            match o {
+impl FleetMember {
+    pub(super) fn perform_gossip_outputs(&mut self, outputs: Vec<members::Output>, now: f64) {
+        for output in outputs {
+            match output {
                 members::Output::Datagram { to, bytes } => {
-                    self.links.send_datagram(to, Kind::Gossip, bytes)
+                    self.transport.send_datagram(to, Kind::Gossip, bytes)
                 }
-                members::Output::Up(m) => ::log::info!("fleet: {} is up at {}", m.name, m.address),
-                members::Output::Down(m) => {
-                    ::log::info!("fleet: {} at {} is gone", m.name, m.address)
+                members::Output::Up(member) => {
+                    ::log::info!("fleet: {} is up at {}", member.name, member.address)
+                }
+                members::Output::Down(member) => {
+                    ::log::info!("fleet: {} at {} is down", member.name, member.address)
                 }
                 members::Output::DuplicateName(duplicate) => {
                     let DuplicateName {
@@ -33,9 +35,9 @@
                     ::log::error!(
                         "fleet: {text} (runs {first_instance:x} and {second_instance:x})"
                     );
-                    let who = self.identity.name.clone();
+                    let name = self.identity.name.clone();
                     self.write_history(
-                        json!({"line": "report", "t": now, "who": who, "loud": true, "text": text}),
+                        json!({"line": "report", "t": now, "who": name, "loud": true, "text": text}),
                     );
                 }
                 members::Output::Stalled { seconds } => {
@@ -45,27 +47,27 @@
         }
     }
 
-    pub(super) fn receive(&mut self, hub: &Rc<Hub>, came: Received, now: f64) {
-        let Received { kind, frame } = came;
+    pub(super) fn receive(&mut self, event_loop: &Rc<EventLoop>, received: Received, now: f64) {
+        let Received { kind, frame } = received;
         self.learn_address(&frame.sender, frame.sender_address, now);
-        let spoilt = |links: &Transport| links.reject(FrameError::UnknownKind);
+        let reject_frame = |transport: &Transport| transport.reject(FrameError::UnknownKind);
         match kind {
             Kind::Gossip => {
-                let mut out = Vec::new();
-                self.members.receive(&frame.body, now, &mut out);
-                self.perform_gossip(out, now);
+                let mut outputs = Vec::new();
+                self.membership.receive(&frame.body, now, &mut outputs);
+                self.perform_gossip_outputs(outputs, now);
             }
             Kind::SingletonRoles => match postcard::from_bytes(&frame.body) {
                 Ok(message) => self.receive_role_message(frame.sender, message, now),
-                Err(_) => spoilt(&self.links),
+                Err(_) => reject_frame(&self.transport),
             },
             Kind::Watch => match postcard::from_bytes(&frame.body) {
-                Ok(message) => self.receive_relay_message(hub, frame.sender, message, now),
-                Err(_) => spoilt(&self.links),
+                Ok(message) => self.receive_relay_message(event_loop, frame.sender, message, now),
+                Err(_) => reject_frame(&self.transport),
             },
             Kind::Work => match postcard::from_bytes::<Work>(&frame.body) {
-                Ok(work) => self.receive_work(hub, &frame.sender, work, now),
-                Err(_) => spoilt(&self.links),
+                Ok(work) => self.receive_work(event_loop, &frame.sender, work, now),
+                Err(_) => reject_frame(&self.transport),
             },
         }
     }
--- a/crates/gateway/gateway/src/fleet/health_checks.rs
+++ b/crates/gateway/gateway/src/fleet/health_checks.rs
@@ -1,10 +1,10 @@
-//! Health checks of servers that someone complained of, by the owner of the server's slot.
+//! Health checks of servers that limiters complained about, run by the owner of the server's slot.
 
+use crate::event_loop::EventLoop;
 use crate::fleet::event::FleetEvent;
 use crate::fleet::work::Work;
-use crate::fleet::Fleet;
-use crate::hub::Hub;
-use crate::reducer::Event;
+use crate::fleet::FleetMember;
+use crate::state_machine::Event;
 use dunespur_peer_transport::Kind;
 use dunespur_singleton_roles::health_check;
 use dunespur_singleton_roles::health_check::Observation;
@@ -16,24 +16,25 @@
 use tokio::net::TcpStream;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A probe waits this long for a connection, and again for any answer.
+/// Timeout of a health check for connecting, and again for the response.
 pub(super) const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tries a server with a request that is no invocation: any response shows that it is alive.
-pub(super) async fn check_health(at: SocketAddr) -> Observation {
-    let Ok(Ok(stream)) = tokio::time::timeout(HEALTH_CHECK_TIMEOUT, TcpStream::connect(at)).await
+/// Checks a server with a request that is no invocation: any response shows that it is alive.
+pub(super) async fn check_health(server: SocketAddr) -> Observation {
+    let Ok(Ok(stream)) =
+        tokio::time::timeout(HEALTH_CHECK_TIMEOUT, TcpStream::connect(server)).await
     else {
         return Observation::Refused;
     };
     let answered = async {
         let io = hyper_util::rt::TokioIo::new(stream);
         let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.ok()?;
-        let request = hyper::Request::get("/").header("host", at.to_string());
+        let request = hyper::Request::get("/").header("host", server.to_string());
         let request = request
             .body(http_body_util::Empty::<bytes::Bytes>::new())
             .ok()?;
         tokio::select! {
-            answer = sender.send_request(request) => answer.ok().map(|_| ()),
+            response = sender.send_request(request) => response.ok().map(|_| ()),
             _ = connection => None,
         }
     };
@@ -43,12 +44,12 @@
     }
 }
 
-impl Fleet {
+impl FleetMember {
     pub(super) fn health_check_slot(&self, server: &str) -> Option<Slot> {
-        Fleet::shard_of(self.health_check_slots, xxh3_64(server.as_bytes()))
+        FleetMember::shard_of(self.health_check_slots, xxh3_64(server.as_bytes()))
     }
 
-    /// As the role's owner: a limiter reported a server.
+    /// Handles a complaint of a limiter about a server, as the owner of the server's slot.
     pub(super) fn receive_complaint(&mut self, from: &str, server: String, now: f64) {
         let Some(slot) = self.health_check_slot(&server) else {
             return;
@@ -57,21 +58,21 @@
             return;
         };
         let listed = self
-            .discovered
+            .endpoints_by_id
             .values()
             .any(|m| m["host_port"] == server.as_str());
-        // Evidence about a server that is not on the list is none.
-        if !listed || self.client.token(slot, now).is_none() {
+        // Complaints about servers that are not in the list are ignored.
+        if !listed || self.role_client.token(slot, now).is_none() {
             return;
         }
         if self
             .health_checker
-            .receive_complaint(from, &server, now, &self.plan.probe)
+            .receive_complaint(from, &server, now, &self.config.probe)
         {
-            let tell = self.events.clone();
+            let events = self.events.clone();
             tokio::task::spawn_local(async move {
                 let observation = check_health(address).await;
-                let _ = tell.send(FleetEvent::Probed {
+                let _ = events.send(FleetEvent::HealthCheckEnded {
                     server,
                     observation,
                 });
@@ -79,10 +80,10 @@
         }
     }
 
-    /// As the owner: the check is over; its result goes to all members alive, if this one still owns the role.
+    /// Handles the end of a health check: sends the result to all live members if this process still owns the slot.
     pub(super) fn finish_check(
         &mut self,
-        hub: &Rc<Hub>,
+        event_loop: &Rc<EventLoop>,
         server: String,
         observation: Observation,
         now: f64,
@@ -90,11 +91,11 @@
         let Some(slot) = self.health_check_slot(&server) else {
             return;
         };
-        let Some(token) = self.client.token(slot, now) else {
+        let Some(token) = self.role_client.token(slot, now) else {
             return;
         };
-        self.client.record_progress(slot, now);
-        self.apply_observation(hub, &server, observation, 0.0, now);
+        self.role_client.record_progress(slot, now);
+        self.apply_observation(event_loop, &server, observation, 0.0, now);
         let work = Work::Probe(health_check::Message::Observed {
             slot,
             token,
@@ -103,42 +104,43 @@
             age: 0.0,
         });
         let body = postcard::to_stdvec(&work).unwrap_or_default();
-        let to: Vec<_> = self.members.alive().map(|m| m.address).collect();
+        let to: Vec<_> = self.membership.alive().map(|m| m.address).collect();
         to.into_iter()
-            .for_each(|at| self.links.send_datagram(at, Kind::Work, body.clone()));
+            .for_each(|at| self.transport.send_datagram(at, Kind::Work, body.clone()));
     }
 
-    /// What a check saw goes to the limiter, as far as this process's own experience allows.
+    /// Passes the result of a health check to the limiter, unless this process's own experience with the server
+    /// contradicts it.
     pub(super) fn apply_observation(
         &mut self,
-        hub: &Rc<Hub>,
+        event_loop: &Rc<EventLoop>,
         server: &str,
         observation: Observation,
         age: f64,
         now: f64,
     ) {
-        let judged = self.experience.judge(
+        let verdict = self.server_experience.judge(
             server,
             observation,
             age,
             fastrand::f64(),
             now,
-            &self.plan.probe,
+            &self.config.probe,
         );
-        if let (Some(judged), Ok(address)) = (judged, server.parse()) {
-            let (bad, pause) = match judged {
+        if let (Some(verdict), Ok(address)) = (verdict, server.parse()) {
+            let (bad, pause) = match verdict {
                 health_check::Verdict::Unhealthy(pause) => (true, pause),
                 health_check::Verdict::Healthy(pause) => (false, pause),
             };
-            hub.tell(Event::FleetVerdict {
+            event_loop.handle(Event::FleetVerdict {
                 address,
                 bad,
                 pause,
             });
         }
         self.observations += 1;
-        ::log::info!("fleet: a probe of {server}: {observation:?}");
-        let what = format!("probe {observation:?} {server}");
-        self.write_history(json!({"line": "counted", "t": now, "what": what, "value": 1.0}));
+        ::log::info!("fleet: health check of {server}: {observation:?}");
+        let description = format!("probe {observation:?} {server}");
+        self.write_history(json!({"line": "counted", "t": now, "what": description, "value": 1.0}));
     }
 }
--- a/crates/gateway/gateway/src/fleet/mod.rs
+++ b/crates/gateway/gateway/src/fleet/mod.rs
@@ -1,8 +1,7 @@
-//! This process's part in a fleet of limiters: carries the state machines of gossip, singleton roles and the relayed
-//! watch over the links to its peers, and keeps the voter's disk on a thread of its own.
+//! This process as a member of a fleet of limiters. Runs the state machines of gossip membership, singleton roles and
+//! the discovery relay over the transport to the peers; a thread of its own writes the voter's disk.
 //!
-//! Runs only where the operators' file has a `fleet` section. It never holds up an invocation: nothing that serves waits
-//! for it, and what it can't do is left undone.
+//! Active only if the operators' file has a `fleet` section. Serving invocations never waits for the fleet.
 
 mod addresses;
 mod audits;
@@ -19,14 +18,14 @@
 mod work;
 
 pub use event::FleetEvent;
-pub use observer::HubObserver;
+pub use observer::EventObserver;
 pub use run::start;
 pub use work::Work;
 
 use crate::clock::clock;
-use crate::hub::Hub;
-use crate::lending::Lending;
-use crate::operators::Plan;
+use crate::counter_router::CounterRouter;
+use crate::event_loop::EventLoop;
+use crate::operators_file::FleetConfig;
 use dunespur_gossip_membership::Membership;
 use dunespur_peer_transport::Transport;
 use dunespur_quota_sharing as quota_sharing;
@@ -52,39 +51,39 @@
 /// Shards of a role whose owners each limiter tracks.
 pub(super) const MAX_TRACKED_SHARDS: u32 = 32;
 
-/// One limiter's part in the fleet.
-pub struct Fleet {
-    plan: Plan,
+/// This process as a member of the fleet.
+pub struct FleetMember {
+    config: FleetConfig,
     identity: Identity,
-    links: Rc<Transport>,
-    members: Membership,
-    client: RoleClient,
+    transport: Rc<Transport>,
+    membership: Membership,
+    role_client: RoleClient,
     voter: Option<Voter>,
-    fencing: FencingCheck,
+    fencing_check: FencingCheck,
     /// The relay of discovery's list, and the slot whose owner watches discovery for the zone.
     relay: Option<(Relay, Slot)>,
-    /// Queue of the voter's writes.
-    disk: Option<std::sync::mpsc::Sender<WriteBatch>>,
-    /// The complete list of servers as the own or the relayed watch gave it, by server.
-    discovered: BTreeMap<String, Value>,
+    /// Queue of the voter's disk writes.
+    disk_writes: Option<std::sync::mpsc::Sender<WriteBatch>>,
+    /// Complete list of servers from the own or the relayed watch, by server id.
+    endpoints_by_id: BTreeMap<String, Value>,
     /// Last known addresses of each name, and when they were heard.
     addresses: BTreeMap<String, Vec<(SocketAddrV4, f64)>>,
     history: Option<std::io::BufWriter<std::fs::File>>,
-    /// Slots of the roles that are asked for by key.
+    /// Slots of the sharded roles, which are looked up by key.
     health_check_slots: Option<SlotRange>,
     audit_slots: Option<SlotRange>,
-    experience: ServerExperience,
+    server_experience: ServerExperience,
     health_checker: HealthChecker,
-    tally: UsageTally,
+    usage_tally: UsageTally,
     auditor: Auditor,
     next_audit: f64,
     broker: Broker,
-    /// None where the role `lend` is not on.
-    lending: Option<Rc<Lending>>,
-    /// Names that agreed, that lost units and that had a surplus.
+    /// `None` if the role `lend` is not enabled.
+    counter_router: Option<Rc<CounterRouter>>,
+    /// Audited names by result: agreeing, with lost units, with a surplus.
     audit_results: [u64; 3],
     observations: u64,
-    /// What the broker wants done, until the hub is at hand.
+    /// Outputs of the broker that have not been performed yet.
     broker_outputs: Vec<quota_sharing::Output>,
     events: mpsc::UnboundedSender<FleetEvent>,
     next_trial_effect: f64,
@@ -94,16 +93,16 @@
     relayed_updates: u64,
 }
 
-impl Fleet {
+impl FleetMember {
     pub(super) fn next_due(&self) -> f64 {
-        let mut due = self.client.next_due().min(self.members.next_due());
+        let mut due = self.role_client.next_due().min(self.membership.next_due());
         if let Some(voter) = &self.voter {
             due = due.min(voter.next_due());
         }
         if let Some((relay, _)) = &self.relay {
             due = due.min(relay.next_due());
         }
-        if self.plan.trial.effects > 0.0 {
+        if self.config.trial.effects > 0.0 {
             due = due.min(self.next_trial_effect);
         }
         if self.audit_slots.is_some() {
@@ -112,89 +111,97 @@
         if !self.broker_outputs.is_empty() {
             return 0.0;
         }
-        let late = self
-            .lending
+        let lease_overdue = self
+            .counter_router
             .as_ref()
-            .map_or(f64::INFINITY, |l| l.next_due());
-        due.min(self.broker.next_due()).min(late)
+            .map_or(f64::INFINITY, |counter_router| counter_router.next_due());
+        due.min(self.broker.next_due()).min(lease_overdue)
     }
 
-    pub(super) fn tick(&mut self, hub: &Rc<Hub>, now: f64) {
-        let (mut out, mut said, mut actions) = (Vec::new(), Vec::new(), Vec::new());
-        // The trial's effect first: a process that stood still is in the middle of one.
-        if self.plan.trial.effects > 0.0 && now >= self.next_trial_effect {
+    pub(super) fn tick(&mut self, event_loop: &Rc<EventLoop>, now: f64) {
+        let (mut role_outputs, mut gossip_outputs, mut relay_actions) =
+            (Vec::new(), Vec::new(), Vec::new());
+        // Trial effects are sent first, so that a process resumed after a stall sends one before it notices that its
+        // leases expired.
+        if self.config.trial.effects > 0.0 && now >= self.next_trial_effect {
             self.send_trial_effects(now);
         }
         if self.audit_slots.is_some() && now >= self.next_audit {
-            self.exchange_usage(hub, now);
+            self.exchange_usage(event_loop, now);
         }
-        if self.client.next_due() <= now {
-            self.client.tick(now, &mut out);
+        if self.role_client.next_due() <= now {
+            self.role_client.tick(now, &mut role_outputs);
         }
-        if let Some(voter) = self.voter.as_mut().filter(|v| v.next_due() <= now) {
-            voter.tick(now, &mut out);
+        if let Some(voter) = self.voter.as_mut().filter(|voter| voter.next_due() <= now) {
+            voter.tick(now, &mut role_outputs);
         }
-        self.perform(out, now);
+        self.perform(role_outputs, now);
         if self.broker.next_due() <= now {
             self.broker.tick(now, &mut self.broker_outputs);
         }
-        self.drive_broker(hub, now);
+        self.drive_broker(event_loop, now);
         self.publish_known_slots(now);
         for call in self
-            .lending
+            .counter_router
             .as_ref()
-            .map(|l| l.overdue())
+            .map(|counter_router| counter_router.take_overdue())
             .unwrap_or_default()
         {
-            hub.call_counter(call.call, call.name, call.add, call.lifetime);
+            event_loop.call_counter(call.call, call.name, call.add, call.lifetime);
         }
-        if self.members.next_due() <= now {
-            self.members.tick(now, &mut said);
-            self.perform_gossip(said, now);
+        if self.membership.next_due() <= now {
+            self.membership.tick(now, &mut gossip_outputs);
+            self.perform_gossip_outputs(gossip_outputs, now);
         }
-        if let Some((relay, slot)) = self.relay.as_mut().filter(|r| r.0.next_due() <= now) {
-            let token = self.client.token(*slot, now);
-            relay.tick(token, now, &mut actions);
+        if let Some((relay, slot)) = self
+            .relay
+            .as_mut()
+            .filter(|relay| relay.0.next_due() <= now)
+        {
+            let token = self.role_client.token(*slot, now);
+            relay.tick(token, now, &mut relay_actions);
             if token.is_some() {
-                self.client.record_progress(*slot, now);
+                self.role_client.record_progress(*slot, now);
             }
-            self.perform_relay(hub, actions, now);
+            self.perform_relay_actions(event_loop, relay_actions, now);
         }
     }
 
     pub(super) fn report(&self) {
-        let c = self.links.statistics();
-        let lent = self.lending.as_ref().map_or((0, 0, 0), |l| l.counts());
-        let (leads, votes) = self
-            .voter
+        let transport_statistics = self.transport.statistics();
+        let lease_counts = self
+            .counter_router
             .as_ref()
-            .map_or((false, false), |v| (v.is_leader(), v.is_voting()));
+            .map_or((0, 0, 0), |counter_router| counter_router.call_counts());
+        let (leads, votes) = self.voter.as_ref().map_or((false, false), |voter| {
+            (voter.is_leader(), voter.is_voting())
+        });
         ::log::info!(
             "fleet: members={} held={} began={} ended={} votes={votes} leads={leads} doubled={} relayed={} \
              outcomes={} probes={} brokered={} direct={} late={} names={} unlent={:.1} audit agreed={} lost={} surplus={} fenced={} links={} sent={} sent_bytes={} came={} refused={} dropped={}",
-            self.members.count(),
-            self.client.assignments(clock()).count(),
+            self.membership.count(),
+            self.role_client.assignments(clock()).count(),
             self.roles_acquired,
             self.roles_lost,
-            self.client.has_duplicate_name() || self.members.is_duplicate(&self.identity.name),
+            self.role_client.has_duplicate_name() || self.membership.is_duplicate(&self.identity.name),
             self.relayed_updates,
             self.observations,
             self.health_checker.checks,
-            lent.0,
-            lent.1,
-            lent.2,
+            lease_counts.0,
+            lease_counts.1,
+            lease_counts.2,
             self.broker.name_count(),
             self.broker.unleased_units(),
             self.audit_results[0],
             self.audit_results[1],
             self.audit_results[2],
-            self.fencing.rejected,
-            self.links.connections(),
-            c.sent,
-            c.sent_bytes,
-            c.received,
-            c.rejected() + self.members.rejected_datagrams(),
-            c.dropped(),
+            self.fencing_check.rejected,
+            self.transport.connections(),
+            transport_statistics.sent,
+            transport_statistics.sent_bytes,
+            transport_statistics.received,
+            transport_statistics.rejected() + self.membership.rejected_datagrams(),
+            transport_statistics.dropped(),
         );
     }
 }
--- a/crates/gateway/gateway/src/fleet/observer.rs
+++ b/crates/gateway/gateway/src/fleet/observer.rs
@@ -1,9 +1,9 @@
-//! Observes what passes through the hub, for the health checks and the audit.
+//! Reports events and effects of the event loop to the fleet task, for the health checks and the audit.
 
+use crate::counter_router::FIRST_BROKER_CALL;
 use crate::fleet::event::FleetEvent;
-use crate::lending::BROKER;
-use crate::reducer::Effect;
-use crate::reducer::Event;
+use crate::state_machine::Effect;
+use crate::state_machine::Event;
 use dunespur_decisions::types::AttemptResult;
 use dunespur_decisions::types::CounterReply;
 use std::cell::Cell;
@@ -13,65 +13,79 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Reports that may wait for the fleet's task.
+/// Reports that may be queued for the fleet task.
 pub(super) const MAX_QUEUED_REPORTS: usize = 4096;
 
-/// Listens to what passes through the hub. What the fleet can't take in time is dropped and counted: nothing
-/// that serves waits for it.
-pub struct HubObserver {
-    to: mpsc::UnboundedSender<FleetEvent>,
-    pub(super) waiting: Rc<Cell<usize>>,
+/// Observes the events and effects of the event loop. Reports beyond the queue limit are dropped and counted, so that
+/// serving never waits for the fleet.
+pub struct EventObserver {
+    fleet_events: mpsc::UnboundedSender<FleetEvent>,
+    pub(super) queued: Rc<Cell<usize>>,
     dropped: Rc<Cell<u64>>,
-    /// Deliveries and calls that are out.
-    sent: RefCell<HashMap<(u64, usize), SocketAddr>>,
-    calls: RefCell<HashMap<u64, (u64, f64)>>,
+    /// Servers of the attempts in flight.
+    attempts: RefCell<HashMap<(u64, usize), SocketAddr>>,
+    /// Name and units of the counter calls in flight.
+    counter_calls: RefCell<HashMap<u64, (u64, f64)>>,
 }
 
-impl HubObserver {
-    pub fn new(to: mpsc::UnboundedSender<FleetEvent>) -> Self {
-        let (waiting, dropped) = (Rc::default(), Rc::default());
-        HubObserver {
-            to,
-            waiting,
+impl EventObserver {
+    pub fn new(fleet_events: mpsc::UnboundedSender<FleetEvent>) -> Self {
+        let (queued, dropped) = (Rc::default(), Rc::default());
+        EventObserver {
+            fleet_events,
+            queued,
             dropped,
-            sent: RefCell::default(),
-            calls: RefCell::default(),
+            attempts: RefCell::default(),
+            counter_calls: RefCell::default(),
         }
     }
 
-    fn tell(&self, told: FleetEvent) {
-        if self.waiting.get() >= MAX_QUEUED_REPORTS {
+    fn report(&self, event: FleetEvent) {
+        if self.queued.get() >= MAX_QUEUED_REPORTS {
             self.dropped.set(self.dropped.get() + 1);
-        } else if self.to.send(told).is_ok() {
-            self.waiting.set(self.waiting.get() + 1);
+        } else if self.fleet_events.send(event).is_ok() {
+            self.queued.set(self.queued.get() + 1);
         }
     }
 
-    pub fn effect(&self, effect: &Effect) {
+    pub fn observe_effect(&self, effect: &Effect) {
         match effect {
-            Effect::Send(d) => _ = self.sent.borrow_mut().insert((d.num, d.n), d.address),
-            Effect::Count {
+            Effect::SendAttempt(attempt) => {
+                _ = self
+                    .attempts
+                    .borrow_mut()
+                    .insert((attempt.invocation_id, attempt.index), attempt.address)
+            }
+            Effect::CallCounter {
                 call, name, add, ..
-            } => _ = self.calls.borrow_mut().insert(*call, (*name, *add)),
+            } => _ = self.counter_calls.borrow_mut().insert(*call, (*name, *add)),
             _ => {}
         }
     }
 
-    pub fn event(&self, event: &Event) {
+    pub fn observe_event(&self, event: &Event) {
         match event {
-            Event::Ended { num, n, answered } => {
-                let Some(server) = self.sent.borrow_mut().remove(&(*num, *n)) else {
+            Event::AttemptEnded {
+                invocation_id,
+                attempt,
+                response,
+            } => {
+                let Some(server) = self
+                    .attempts
+                    .borrow_mut()
+                    .remove(&(*invocation_id, *attempt))
+                else {
                     return;
                 };
-                match answered.ending {
+                match response.result {
                     AttemptResult::Timeout | AttemptResult::ConnectFailed => {
-                        self.tell(FleetEvent::Delivered {
+                        self.report(FleetEvent::AttemptEnded {
                             server,
                             answered: false,
                         })
                     }
                     AttemptResult::Succeeded | AttemptResult::Error | AttemptResult::Overloaded => {
-                        self.tell(FleetEvent::Delivered {
+                        self.report(FleetEvent::AttemptEnded {
                             server,
                             answered: true,
                         });
@@ -79,24 +93,24 @@
                     AttemptResult::Reset | AttemptResult::Cancelled | AttemptResult::NotSent => {}
                 }
             }
-            Event::Counted { call, counted } => {
-                if *call >= BROKER
+            Event::CounterReplied { call, reply } => {
+                if *call >= FIRST_BROKER_CALL
                     && self
-                        .to
-                        .send(FleetEvent::Brokered {
+                        .fleet_events
+                        .send(FleetEvent::BrokerCallEnded {
                             call: *call,
-                            counted: *counted,
+                            reply: *reply,
                         })
                         .is_err()
                 {
                     return;
                 }
-                let Some((name, add)) = self.calls.borrow_mut().remove(call) else {
+                let Some((name, add)) = self.counter_calls.borrow_mut().remove(call) else {
                     return;
                 };
-                if *counted != CounterReply::Refused {
-                    let answered = matches!(counted, CounterReply::Total(_));
-                    self.tell(FleetEvent::Counted {
+                if *reply != CounterReply::Refused {
+                    let answered = matches!(reply, CounterReply::Total(_));
+                    self.report(FleetEvent::CounterCallEnded {
                         name,
                         add,
                         answered,
--- a/crates/gateway/gateway/src/fleet/quota_broker.rs
+++ b/crates/gateway/gateway/src/fleet/quota_broker.rs
@@ -1,9 +1,9 @@
-//! Leases that brokers grant in the counter's place: this process as a broker and as a borrower.
+//! Leases that brokers grant in place of the counter: this process as a broker and as a borrower.
 
+use crate::event_loop::EventLoop;
 use crate::fleet::work::Work;
-use crate::fleet::Fleet;
-use crate::hub::Hub;
-use crate::reducer::Event;
+use crate::fleet::FleetMember;
+use crate::state_machine::Event;
 use dunespur_peer_transport::Kind;
 use dunespur_quota_sharing as quota_sharing;
 use dunespur_quota_sharing::BrokerAnswer;
@@ -11,12 +11,13 @@
 use dunespur_singleton_roles::Slot;
 use std::rc::Rc;
 
-impl Fleet {
-    /// What the broker wants done; its answers under the token that it holds at this moment.
-    pub(super) fn drive_broker(&mut self, hub: &Rc<Hub>, now: f64) {
+impl FleetMember {
+    /// Performs the outputs of the broker. Responses carry the fencing token that is valid now; without one the
+    /// broker answers that it is unavailable.
+    pub(super) fn drive_broker(&mut self, event_loop: &Rc<EventLoop>, now: f64) {
         while !self.broker_outputs.is_empty() {
-            for o in std::mem::take(&mut self.broker_outputs) {
-                match o {
+            for output in std::mem::take(&mut self.broker_outputs) {
+                match output {
                     quota_sharing::Output::Respond {
                         to,
                         run,
@@ -24,9 +25,9 @@
                         seq,
                         answer,
                     } => {
-                        let token = self.client.token(slot, now);
+                        let token = self.role_client.token(slot, now);
                         let answer = token.map_or(BrokerAnswer::Unavailable, |_| answer);
-                        let msg = quota_sharing::Message::Response {
+                        let message = quota_sharing::Message::Response {
                             slot,
                             token: token.unwrap_or(0),
                             run,
@@ -34,10 +35,11 @@
                             answer,
                         };
                         if to == self.identity.name {
-                            self.receive_lease_response(hub, msg, now);
+                            self.receive_lease_response(event_loop, message, now);
                         } else if let Some(at) = self.addresses_of(&to).first() {
-                            let body = postcard::to_stdvec(&Work::Lend(msg)).unwrap_or_default();
-                            self.links.send(*at, Kind::Work, body);
+                            let body =
+                                postcard::to_stdvec(&Work::Lend(message)).unwrap_or_default();
+                            self.transport.send(*at, Kind::Work, body);
                         }
                     }
                     quota_sharing::Output::CallCounter {
@@ -46,19 +48,22 @@
                         add,
                         lifetime,
                     } => {
-                        hub.call_counter(call, name, add, lifetime);
+                        event_loop.call_counter(call, name, add, lifetime);
+                    }
+                    quota_sharing::Output::AbandonCall { call } => {
+                        event_loop.counter_client.abandon(event_loop, call)
                     }
-                    quota_sharing::Output::AbandonCall { call } => hub.counter.abandon(hub, call),
                 }
             }
         }
     }
 
-    /// A broker's answer. One under an older token than was seen is refused; a no changes nothing.
+    /// Handles the response of a broker. A total under an older fencing token than already seen is rejected; a
+    /// refusal needs no token.
     pub(super) fn receive_lease_response(
         &mut self,
-        hub: &Rc<Hub>,
-        msg: quota_sharing::Message,
+        event_loop: &Rc<EventLoop>,
+        message: quota_sharing::Message,
         now: f64,
     ) {
         let quota_sharing::Message::Response {
@@ -67,76 +72,78 @@
             run,
             seq,
             answer,
-        } = msg
+        } = message
         else {
             return;
         };
         let total = matches!(answer, BrokerAnswer::Total(_));
-        let fits = run == self.identity.run && (!total || self.fencing.accept(slot, token));
-        let Some(lending) = self.lending.as_ref().filter(|_| fits) else {
+        let accepted =
+            run == self.identity.run && (!total || self.fencing_check.accept(slot, token));
+        let Some(counter_router) = self.counter_router.as_ref().filter(|_| accepted) else {
             return;
         };
-        if let Some(counted) = lending.broker_answered(seq, answer) {
-            self.client.record_progress(slot, now);
-            hub.tell(Event::Counted { call: seq, counted });
+        if let Some(reply) = counter_router.broker_answered(seq, answer) {
+            self.role_client.record_progress(slot, now);
+            event_loop.handle(Event::CounterReplied { call: seq, reply });
         }
     }
 
-    /// This limiter's own ask goes to whoever holds the slot.
+    /// Sends a lease request of this limiter to the owner of the slot.
     pub(super) fn request_lease(
         &mut self,
-        hub: &Rc<Hub>,
+        event_loop: &Rc<EventLoop>,
         slot: Slot,
         request: LeaseRequest,
         now: f64,
     ) {
-        let (me, run) = (self.identity.name.clone(), self.identity.run);
-        if self.client.token(slot, now).is_some() {
+        let (own_name, run) = (self.identity.name.clone(), self.identity.run);
+        if self.role_client.token(slot, now).is_some() {
             self.broker
-                .request(&me, run, slot, request, now, &mut self.broker_outputs);
-            return self.drive_broker(hub, now);
+                .request(&own_name, run, slot, request, now, &mut self.broker_outputs);
+            return self.drive_broker(event_loop, now);
         }
-        let holder = self
-            .client
+        let owner = self
+            .role_client
             .owners()
             .get(&slot)
-            .filter(|h| **h != me)
+            .filter(|owner| **owner != own_name)
             .cloned();
-        match holder.and_then(|h| self.addresses_of(&h).first().copied()) {
+        match owner.and_then(|owner| self.addresses_of(&owner).first().copied()) {
             Some(at) => {
                 let work = Work::Lend(quota_sharing::Message::Request { slot, run, request });
-                self.links.send(
+                self.transport.send(
                     at,
                     Kind::Work,
                     postcard::to_stdvec(&work).unwrap_or_default(),
                 );
             }
             None => {
-                let msg = quota_sharing::Message::Response {
+                let message = quota_sharing::Message::Response {
                     slot,
                     token: 0,
                     run,
                     seq: request.seq,
                     answer: BrokerAnswer::Unavailable,
                 };
-                self.receive_lease_response(hub, msg, now);
+                self.receive_lease_response(event_loop, message, now);
             }
         }
     }
 
-    /// Another limiter asks this one, or its broker answers.
+    /// Handles a lease request of another limiter, or the response of a broker.
     pub(super) fn receive_lease_message(
         &mut self,
-        hub: &Rc<Hub>,
+        event_loop: &Rc<EventLoop>,
         from: &str,
-        msg: quota_sharing::Message,
+        message: quota_sharing::Message,
         now: f64,
     ) {
-        match msg {
+        match message {
             quota_sharing::Message::Request { slot, run, request } => {
-                let ours = self.lending.is_some() && self.plan.roles.slot_info(slot).role == "lend";
-                if ours && self.client.token(slot, now).is_some() {
-                    self.client.record_progress(slot, now);
+                let is_broker = self.counter_router.is_some()
+                    && self.config.roles.slot_info(slot).role == "lend";
+                if is_broker && self.role_client.token(slot, now).is_some() {
+                    self.role_client.record_progress(slot, now);
                     self.broker
                         .request(from, run, slot, request, now, &mut self.broker_outputs);
                 } else {
@@ -149,22 +156,24 @@
                         answer: BrokerAnswer::Unavailable,
                     });
                 }
-                self.drive_broker(hub, now);
+                self.drive_broker(event_loop, now);
             }
-            told => self.receive_lease_response(hub, told, now),
+            response => self.receive_lease_response(event_loop, response, now),
         }
     }
 
-    /// Which slots have a holder that is known here.
+    /// Publishes the slots whose owners are known to this process.
     pub(super) fn publish_known_slots(&self, now: f64) {
-        let Some(lending) = &self.lending else { return };
-        let held = self.client.assignments(now).map(|held| held.slot);
+        let Some(counter_router) = &self.counter_router else {
+            return;
+        };
+        let held = self.role_client.assignments(now).map(|held| held.slot);
         let known = self
-            .client
+            .role_client
             .owners()
             .iter()
-            .filter(|h| *h.1 != self.identity.name)
-            .map(|h| *h.0);
-        *lending.known.borrow_mut() = held.chain(known).collect();
+            .filter(|owner| *owner.1 != self.identity.name)
+            .map(|owner| *owner.0);
+        *counter_router.owned_slots.borrow_mut() = held.chain(known).collect();
     }
 }
--- a/crates/gateway/gateway/src/fleet/run.rs
+++ b/crates/gateway/gateway/src/fleet/run.rs
@@ -1,14 +1,14 @@
-//! The task that drives this process's part in the fleet for as long as the process lives.
+//! The task that runs this process as a member of the fleet, for as long as the process lives.
 
 use super::event::FleetEvent;
-use super::observer::HubObserver;
+use super::observer::EventObserver;
 use super::setup::DiskResult;
 use super::work::Work;
-use super::Fleet;
+use super::FleetMember;
 use crate::clock::clock;
-use crate::fault::Fault;
-use crate::hub::Hub;
-use crate::operators::Plan;
+use crate::error::GatewayError;
+use crate::event_loop::EventLoop;
+use crate::operators_file::FleetConfig;
 use dunespur_peer_transport::Received;
 use dunespur_singleton_roles::audit::CallOutcome;
 use dunespur_singleton_roles::health_check::Delivery;
@@ -17,59 +17,60 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Frames from peers that wait for the fleet's task.
-const INBOX: usize = 1024;
-/// Longest time between two looks at the timers, seconds.
-const MAX_WAIT: f64 = 1.0;
+/// Frames from peers that may be queued for the fleet task.
+const MAX_QUEUED_FRAMES: usize = 1024;
+/// Longest time between two checks of the timers, in seconds.
+const MAX_TIMER_WAIT_S: f64 = 1.0;
 
-/// Whether the voter's disk still has results to come.
+/// Whether more results of the voter's disk can arrive.
 #[derive(Clone, Copy, PartialEq)]
 enum DiskState {
     Open,
     Closed,
 }
 
-/// Opens what the plan names, then drives this process's part in the fleet for as long as it lives.
+/// Opens the resources that the configuration names, then runs the fleet member as a task.
 ///
 /// # Errors
 ///
-/// [`Fault::Config`] where the voter's disk, the listening address or the history can't be used.
+/// [`GatewayError::Config`] if the voter's disk, the listen address or the history file cannot be used.
 pub async fn start(
-    hub: Rc<Hub>,
-    plan: Plan,
+    event_loop: Rc<EventLoop>,
+    config: FleetConfig,
     name: String,
     seed: u64,
-    events: mpsc::UnboundedSender<FleetEvent>,
-    inbound: mpsc::UnboundedReceiver<FleetEvent>,
-) -> Result<(), Fault> {
-    let (to_inbox, inbox) = mpsc::channel(INBOX);
-    let (fleet, disk_results) = Fleet::open(plan, name, seed, to_inbox, events.clone()).await?;
-    let observer = HubObserver::new(events);
-    let queued_reports = observer.waiting.clone();
-    *hub.observer.borrow_mut() = Some(observer);
-    *hub.lending.borrow_mut() = fleet.lending.clone();
+    event_sender: mpsc::UnboundedSender<FleetEvent>,
+    events: mpsc::UnboundedReceiver<FleetEvent>,
+) -> Result<(), GatewayError> {
+    let (to_inbox, inbox) = mpsc::channel(MAX_QUEUED_FRAMES);
+    let (fleet, disk_results) =
+        FleetMember::open(config, name, seed, to_inbox, event_sender.clone()).await?;
+    let observer = EventObserver::new(event_sender);
+    let queued_reports = observer.queued.clone();
+    *event_loop.observer.borrow_mut() = Some(observer);
+    *event_loop.counter_router.borrow_mut() = fleet.counter_router.clone();
     let driver = Driver {
         fleet,
-        hub: hub.clone(),
+        event_loop: event_loop.clone(),
         queued_reports,
     };
-    let task = tokio::task::spawn_local(driver.run(disk_results, inbox, inbound));
-    // Guards against a defect of the fleet's part: it ends alone, and the own watch stands again.
+    let task = tokio::task::spawn_local(driver.run(disk_results, inbox, events));
+    // If the fleet task panics, the gateway keeps serving without the fleet and opens its own discovery watch again.
     tokio::task::spawn_local(async move {
         if let Err(e) = task.await {
-            *hub.lending.borrow_mut() = None;
-            ::log::error!("fleet: {e}; this limiter serves on without it");
-            hub.discovery.set_own_watch(true);
+            *event_loop.counter_router.borrow_mut() = None;
+            ::log::error!("fleet: task ended: {e}; this limiter keeps serving without the fleet");
+            event_loop.discovery_watch.set_own_watch(true);
         }
     });
     Ok(())
 }
 
-/// The fleet's part with what it reports to.
+/// The fleet member with the event loop that it reports to.
 struct Driver {
-    fleet: Fleet,
-    hub: Rc<Hub>,
-    /// Reports of the observer that have not been taken yet.
+    fleet: FleetMember,
+    event_loop: Rc<EventLoop>,
+    /// Number of queued reports of the observer.
     queued_reports: Rc<Cell<usize>>,
 }
 
@@ -78,11 +79,11 @@
         mut self,
         mut disk_results: mpsc::UnboundedReceiver<DiskResult>,
         mut inbox: mpsc::Receiver<Received>,
-        mut inbound: mpsc::UnboundedReceiver<FleetEvent>,
+        mut events: mpsc::UnboundedReceiver<FleetEvent>,
     ) {
         let mut disk = DiskState::Open;
         loop {
-            let wait = (self.fleet.next_due() - clock()).clamp(0.0, MAX_WAIT);
+            let wait = (self.fleet.next_due() - clock()).clamp(0.0, MAX_TIMER_WAIT_S);
             tokio::select! {
                 biased;
                 result = disk_results.recv(), if disk == DiskState::Open => {
@@ -91,10 +92,10 @@
                 () = tokio::time::sleep(Duration::from_secs_f64(wait)), if wait > 0.0 => {}
                 received = inbox.recv() => {
                     if let Some(received) = received {
-                        self.fleet.receive(&self.hub, received, clock());
+                        self.fleet.receive(&self.event_loop, received, clock());
                     }
                 }
-                event = inbound.recv() => match event {
+                event = events.recv() => match event {
                     Some(event) => self.receive_event(event),
                     None => return,
                 },
@@ -102,7 +103,7 @@
             }
             let now = clock();
             if self.fleet.next_due() <= now {
-                self.fleet.tick(&self.hub, now);
+                self.fleet.tick(&self.event_loop, now);
             }
         }
     }
@@ -115,7 +116,7 @@
                 voter.written(number, clock(), &mut outputs);
             }
             (Some(DiskResult::Failed(e)), Some(voter)) => {
-                ::log::error!("fleet: {e}");
+                ::log::error!("fleet: writing the voter's disk failed: {e}");
                 voter.disk_failed(&mut outputs);
             }
             _ => state = DiskState::Closed,
@@ -125,16 +126,16 @@
     }
 
     fn receive_event(&mut self, event: FleetEvent) {
-        let hub = &self.hub;
+        let event_loop = &self.event_loop;
         let fleet = &mut self.fleet;
         match event {
-            FleetEvent::Line(line) => fleet.receive_update(hub, line, clock()),
+            FleetEvent::WatchLine(line) => fleet.receive_update(event_loop, line, clock()),
             FleetEvent::Report => fleet.report(),
-            FleetEvent::Delivered { server, answered } => {
+            FleetEvent::AttemptEnded { server, answered } => {
                 self.report_taken();
                 self.record_delivery(&server.to_string(), answered);
             }
-            FleetEvent::Counted {
+            FleetEvent::CounterCallEnded {
                 name,
                 add,
                 answered,
@@ -142,23 +143,25 @@
                 self.report_taken();
                 self.record_call(name, add, answered);
             }
-            FleetEvent::Probed {
+            FleetEvent::HealthCheckEnded {
                 server,
                 observation,
-            } => fleet.finish_check(hub, server, observation, clock()),
-            FleetEvent::Total { name, total } => fleet.judge_total(name, total, clock()),
-            FleetEvent::Borrow { slot, request } => {
-                if let Some(lending) = &fleet.lending {
-                    lending.waiting.set(lending.waiting.get().saturating_sub(1));
+            } => fleet.finish_check(event_loop, server, observation, clock()),
+            FleetEvent::AuditTotal { name, total } => fleet.audit_total(name, total, clock()),
+            FleetEvent::LeaseRequested { slot, request } => {
+                if let Some(counter_router) = &fleet.counter_router {
+                    counter_router
+                        .queued_requests
+                        .set(counter_router.queued_requests.get().saturating_sub(1));
                 }
-                fleet.request_lease(hub, slot, request, clock());
+                fleet.request_lease(event_loop, slot, request, clock());
             }
-            FleetEvent::Brokered { call, counted } => {
+            FleetEvent::BrokerCallEnded { call, reply } => {
                 let now = clock();
                 fleet
                     .broker
-                    .counter_answered(call, counted, now, &mut fleet.broker_outputs);
-                fleet.drive_broker(hub, now);
+                    .counter_answered(call, reply, now, &mut fleet.broker_outputs);
+                fleet.drive_broker(event_loop, now);
             }
             FleetEvent::Leave => self.leave(),
         }
@@ -177,11 +180,12 @@
             Delivery::Unanswered
         };
         let fleet = &mut self.fleet;
-        let complaint = fleet
-            .experience
-            .record_delivery(server, delivery, now, &fleet.plan.probe);
+        let complaint =
+            fleet
+                .server_experience
+                .record_delivery(server, delivery, now, &fleet.config.probe);
         if let (Some(message), Some(slot)) = (complaint, fleet.health_check_slot(server)) {
-            fleet.send_to_owner(&self.hub, slot, Work::Probe(message), now);
+            fleet.send_to_owner(&self.event_loop, slot, Work::Probe(message), now);
         }
     }
 
@@ -196,20 +200,20 @@
             CallOutcome::Unknown
         };
         fleet
-            .tally
-            .record_call(name, add, outcome, clock(), &fleet.plan.audit);
+            .usage_tally
+            .record_call(name, add, outcome, clock(), &fleet.config.audit);
     }
 
-    /// Hands the roles over and says goodbye.
+    /// Hands the roles over and announces the departure to the members.
     fn leave(&mut self) {
         let now = clock();
         let mut role_outputs = Vec::new();
         let mut gossip_outputs = Vec::new();
         let fleet = &mut self.fleet;
-        fleet.client.leave(now, &mut role_outputs);
-        fleet.members.leave(now, &mut gossip_outputs);
+        fleet.role_client.leave(now, &mut role_outputs);
+        fleet.membership.leave(now, &mut gossip_outputs);
         fleet.perform(role_outputs, now);
-        fleet.drive_broker(&self.hub, now);
-        fleet.perform_gossip(gossip_outputs, now);
+        fleet.drive_broker(&self.event_loop, now);
+        fleet.perform_gossip_outputs(gossip_outputs, now);
     }
 }
--- a/crates/gateway/gateway/src/fleet/setup.rs
+++ b/crates/gateway/gateway/src/fleet/setup.rs
@@ -1,13 +1,14 @@
-//! Opens what the plan names: the voter's disk, the links to peers, the relay of discovery.
+//! Opens the resources of a fleet member: the voter's disk, the transport to the peers, the history and the discovery
+//! relay.
 
 use crate::clock::clock;
-use crate::fault::Fault;
+use crate::counter_router::CounterRouter;
+use crate::counter_router::FIRST_BROKER_CALL;
+use crate::error::GatewayError;
 use crate::fleet::event::FleetEvent;
-use crate::fleet::Fleet;
+use crate::fleet::FleetMember;
 use crate::fleet::MAX_TRACKED_SHARDS;
-use crate::lending::Lending;
-use crate::lending::BROKER;
-use crate::operators::Plan;
+use crate::operators_file::FleetConfig;
 use dunespur_gossip_membership as members;
 use dunespur_gossip_membership::Membership;
 use dunespur_peer_transport::Received;
@@ -41,185 +42,209 @@
     Failed(String),
 }
 
-/// A voter's state machine, and the way of its writes to the disk.
-pub(super) type OpenVoter = (Voter, std::sync::mpsc::Sender<WriteBatch>);
+/// The state machine of a voter and the queue of its disk writes.
+pub(super) type RunningVoter = (Voter, std::sync::mpsc::Sender<WriteBatch>);
 
-/// The voter that this limiter is, if it is one; a thread of its own does the writes.
+/// Opens the voter if this limiter is one, and starts the thread that writes its disk.
 pub(super) fn open_voter(
-    plan: &Plan,
+    config: &FleetConfig,
     name: &str,
     seed: u64,
     now: f64,
-    saved: mpsc::UnboundedSender<DiskResult>,
-    out: &mut Vec<Output>,
-) -> Result<Option<OpenVoter>, Fault> {
-    let votes = plan.voters.iter().any(|v| v.0 == name);
-    let Some(path) = plan.disk.as_ref().filter(|_| votes) else {
+    results: mpsc::UnboundedSender<DiskResult>,
+    outputs: &mut Vec<Output>,
+) -> Result<Option<RunningVoter>, GatewayError> {
+    let is_voter = config.voters.iter().any(|voter| voter.0 == name);
+    let Some(path) = config.disk.as_ref().filter(|_| is_voter) else {
         return Ok(None);
     };
-    let opened = VoterStorage::open(path, &plan.roles.fleet, name);
+    let opened = VoterStorage::open(path, &config.roles.fleet, name);
     let OpenedVoter {
         storage,
         saved: head,
-    } = opened.map_err(|error| Fault::Config(error.to_string()))?;
-    let voter = Voter::new(plan.roles.clone(), name.to_owned(), head, seed, now, out);
-    let voter = voter.map_err(|e| Fault::Config(e.to_string()))?;
-    let (tx, rx) = std::sync::mpsc::channel::<WriteBatch>();
-    let slow = plan.trial.slow_disk.clone();
-    std::thread::spawn(move || write_batches(storage, rx, slow, saved));
-    Ok(Some((voter, tx)))
+    } = opened.map_err(|error| GatewayError::Config(error.to_string()))?;
+    let voter = Voter::new(
+        config.roles.clone(),
+        name.to_owned(),
+        head,
+        seed,
+        now,
+        outputs,
+    );
+    let voter = voter.map_err(|e| GatewayError::Config(e.to_string()))?;
+    let (batch_sender, batches) = std::sync::mpsc::channel::<WriteBatch>();
+    let slow_disk = config.trial.slow_disk.clone();
+    std::thread::spawn(move || write_batches(storage, batches, slow_disk, results));
+    Ok(Some((voter, batch_sender)))
 }
 
-/// Writes what comes, in order, and says so; the first write that fails is the last.
+/// Writes batches in order and reports each result. Ends after the first failed write.
 pub(super) fn write_batches(
     storage: VoterStorage,
     batches: std::sync::mpsc::Receiver<WriteBatch>,
-    slow: Option<PathBuf>,
-    saved: mpsc::UnboundedSender<DiskResult>,
+    slow_disk: Option<PathBuf>,
+    results: mpsc::UnboundedSender<DiskResult>,
 ) {
     for batch in batches {
-        let by = slow.as_ref().and_then(|p| std::fs::read_to_string(p).ok());
-        let by = by.and_then(|t| t.trim().parse::<f64>().ok()).unwrap_or(0.0);
-        std::thread::sleep(Duration::try_from_secs_f64(by).unwrap_or_default());
-        let said = match storage.write(&batch) {
+        let delay = slow_disk
+            .as_ref()
+            .and_then(|p| std::fs::read_to_string(p).ok());
+        let delay = delay
+            .and_then(|t| t.trim().parse::<f64>().ok())
+            .unwrap_or(0.0);
+        std::thread::sleep(Duration::try_from_secs_f64(delay).unwrap_or_default());
+        let result = match storage.write(&batch) {
             Ok(()) => DiskResult::Saved(batch.number),
             Err(e) => DiskResult::Failed(e.to_string()),
         };
-        let failed = matches!(said, DiskResult::Failed(_));
-        if saved.send(said).is_err() || failed {
+        let failed = matches!(result, DiskResult::Failed(_));
+        if results.send(result).is_err() || failed {
             return;
         }
     }
 }
 
-pub(super) async fn open_links(
-    plan: &Plan,
+pub(super) async fn open_transport(
+    config: &FleetConfig,
     name: &str,
     inbox: mpsc::Sender<Received>,
-) -> Result<Rc<Transport>, Fault> {
-    let links = Transport::open(
-        plan.roles.fleet.clone(),
+) -> Result<Rc<Transport>, GatewayError> {
+    let transport = Transport::open(
+        config.roles.fleet.clone(),
         name.to_owned(),
-        plan.listen,
-        plan.bounds.clone(),
-        plan.via.clone(),
+        config.listen,
+        config.transport_limits.clone(),
+        config.via.clone(),
         inbox,
     );
-    links
+    transport
         .await
-        .map_err(|e| Fault::Config(format!("fleet.listen: {}: {e}", plan.listen)))
+        .map_err(|e| GatewayError::Config(format!("fleet.listen: {}: {e}", config.listen)))
 }
 
 pub(super) fn open_history(
-    plan: &Plan,
-) -> Result<Option<std::io::BufWriter<std::fs::File>>, Fault> {
-    let Some(path) = &plan.trial.history else {
+    config: &FleetConfig,
+) -> Result<Option<std::io::BufWriter<std::fs::File>>, GatewayError> {
+    let Some(path) = &config.trial.history else {
         return Ok(None);
     };
     let file = std::fs::OpenOptions::new()
         .create(true)
         .append(true)
         .open(path);
-    let file = file.map_err(|e| Fault::Config(format!("{}: {e}", path.display())))?;
+    let file = file.map_err(|e| GatewayError::Config(format!("{}: {e}", path.display())))?;
     Ok(Some(std::io::BufWriter::new(file)))
 }
 
-/// The relay of discovery's list within the zone, and the slot it goes by.
-pub(super) fn open_relay(plan: &Plan, now: f64) -> Option<(Relay, Slot)> {
-    let zone = plan
+/// The discovery relay of this zone and its slot; `None` if the zone has none.
+pub(super) fn open_relay(config: &FleetConfig, now: f64) -> Option<(Relay, Slot)> {
+    let zone = config
         .roles
         .zones
         .iter()
-        .position(|z| *z == plan.zone)
+        .position(|z| *z == config.zone)
         .unwrap_or(0) as u32;
-    let slot = plan
+    let slot = config
         .roles
         .slots_of("watch")
         .filter(|range| zone < range.count)
         .map(|range| range.first + zone);
     let jitter = fastrand::f64();
-    slot.map(|slot| (Relay::new(plan.watch.clone(), slot, 0, jitter, now), slot))
+    slot.map(|slot| (Relay::new(config.watch.clone(), slot, 0, jitter, now), slot))
 }
 
-impl Fleet {
-    /// Opens store and sockets; the error says what can't be used.
+impl FleetMember {
+    /// Opens the disk and the sockets; the error names the resource that cannot be used.
     pub(super) async fn open(
-        plan: Plan,
+        config: FleetConfig,
         name: String,
         seed: u64,
         inbox: mpsc::Sender<Received>,
         events: mpsc::UnboundedSender<FleetEvent>,
-    ) -> Result<(Self, mpsc::UnboundedReceiver<DiskResult>), Fault> {
+    ) -> Result<(Self, mpsc::UnboundedReceiver<DiskResult>), GatewayError> {
         let now = clock();
-        let wall = SystemTime::now()
+        let wall_clock = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let wall = ((wall.as_secs_f64() + plan.trial.wall).max(0.0) * 1e3) as u64;
-        let run = seed ^ (wall << 20) ^ u64::from(std::process::id());
+        let wall_clock = ((wall_clock.as_secs_f64() + config.trial.wall).max(0.0) * 1e3) as u64;
+        let run = seed ^ (wall_clock << 20) ^ u64::from(std::process::id());
         let identity = Identity {
             name: name.clone(),
             run,
-            zone: plan.zone.clone(),
-            machine: plan.machine.clone(),
+            zone: config.zone.clone(),
+            machine: config.machine.clone(),
         };
-        let (saved_tx, saved_rx) = mpsc::unbounded_channel();
-        let mut out = Vec::new();
-        let (voter, disk) = open_voter(&plan, &name, seed, now, saved_tx, &mut out)?.unzip();
-        let links = open_links(&plan, &name, inbox).await?;
-        let version = plan
+        let (result_sender, results) = mpsc::unbounded_channel();
+        let mut outputs = Vec::new();
+        let (voter, disk_writes) =
+            open_voter(&config, &name, seed, now, result_sender, &mut outputs)?.unzip();
+        let transport = open_transport(&config, &name, inbox).await?;
+        let version = config
             .trial
             .version
             .unwrap_or(dunespur_peer_transport::VERSION);
-        links.set_version(version);
+        transport.set_version(version);
         let member = members::Member {
-            precedence: wall,
-            address: plan.listen,
+            precedence: wall_clock,
+            address: config.listen,
             version,
-            voter: plan.voters.iter().any(|v| v.0 == name),
+            voter: config.voters.iter().any(|voter| voter.0 == name),
             name,
             instance: run,
-            zone: plan.zone.clone(),
-            machine: plan.machine.clone(),
+            zone: config.zone.clone(),
+            machine: config.machine.clone(),
         };
-        let history = open_history(&plan)?;
-        let relay = open_relay(&plan, now);
-        let broker = Broker::new(plan.lend.clone(), BROKER);
-        let lends = plan
+        let history = open_history(&config)?;
+        let relay = open_relay(&config, now);
+        let broker = Broker::new(config.lend.clone(), FIRST_BROKER_CALL);
+        let lend_slots = config
             .roles
             .slots_of("lend")
             .map(|range| range.truncated(MAX_TRACKED_SHARDS))
             .filter(|range| range.count > 0);
-        let lending = lends.map(|range| Lending::new(&plan.lend, range, events.clone()));
-        let health_check_slots = plan.roles.slots_of("probe").filter(|range| range.count > 0);
-        let audit_slots = plan.roles.slots_of("audit").filter(|range| range.count > 0);
-        let lookups = [health_check_slots, audit_slots, lends]
+        let counter_router =
+            lend_slots.map(|range| CounterRouter::new(&config.lend, range, events.clone()));
+        let health_check_slots = config
+            .roles
+            .slots_of("probe")
+            .filter(|range| range.count > 0);
+        let audit_slots = config
+            .roles
+            .slots_of("audit")
+            .filter(|range| range.count > 0);
+        let tracked_slots = [health_check_slots, audit_slots, lend_slots]
             .into_iter()
             .flatten();
-        let lookups = lookups
+        let tracked_slots = tracked_slots
             .flat_map(|range| range.truncated(MAX_TRACKED_SHARDS).slots())
             .collect();
-        let mut fleet = Fleet {
-            members: Membership::new(plan.members.clone(), member, seed, now),
-            client: RoleClient::new(plan.roles.clone(), identity.clone(), lookups, now),
-            fencing: FencingCheck::new(plan.roles.slots()),
+        let mut fleet = FleetMember {
+            membership: Membership::new(config.members.clone(), member, seed, now),
+            role_client: RoleClient::new(
+                config.roles.clone(),
+                identity.clone(),
+                tracked_slots,
+                now,
+            ),
+            fencing_check: FencingCheck::new(config.roles.slots()),
             health_check_slots,
             audit_slots,
-            plan,
+            config,
             identity,
-            links,
+            transport,
             voter,
             relay,
-            disk,
-            discovered: BTreeMap::new(),
+            disk_writes,
+            endpoints_by_id: BTreeMap::new(),
             addresses: BTreeMap::new(),
             history,
-            experience: ServerExperience::default(),
+            server_experience: ServerExperience::default(),
             health_checker: HealthChecker::default(),
-            tally: UsageTally::default(),
+            usage_tally: UsageTally::default(),
             auditor: Auditor::default(),
             next_audit: now,
             broker,
-            lending,
+            counter_router,
             audit_results: [0; 3],
             observations: 0,
             broker_outputs: Vec::new(),
@@ -233,7 +258,7 @@
         fleet.write_history(
             json!({"line": "started", "t": now, "who": fleet.identity.name, "run": run}),
         );
-        fleet.perform(out, now);
-        Ok((fleet, saved_rx))
+        fleet.perform(outputs, now);
+        Ok((fleet, results))
     }
 }
--- a/crates/gateway/gateway/src/fleet/work.rs
+++ b/crates/gateway/gateway/src/fleet/work.rs
@@ -1,8 +1,8 @@
-//! Messages of the singleton roles' work, to whoever owns a slot.
+//! Messages that limiters exchange to do the work of the singleton roles.
 
-use crate::fleet::Fleet;
+use crate::event_loop::EventLoop;
+use crate::fleet::FleetMember;
 use crate::fleet::MAX_TRACKED_SHARDS;
-use crate::hub::Hub;
 use dunespur_peer_transport::Kind;
 use dunespur_quota_sharing as quota_sharing;
 use dunespur_singleton_roles::audit;
@@ -13,33 +13,39 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// Messages by which limiters do the work of the singleton roles. The encoding goes by position and order.
+/// A work message of the singleton roles. The encoding depends on the order of variants and fields.
 #[derive(Serialize, Deserialize)]
 pub enum Work {
     /// An effect of a trial.
     Effect {
-        /// The slot that its sender held.
+        /// The slot that the sender held.
         slot: Slot,
-        /// The fencing token under which it did.
+        /// The sender's fencing token for the slot.
         token: u64,
     },
-    /// Complaints about servers, and what checks of them saw.
+    /// Complaints about servers, and results of health checks.
     Probe(health_check::Message),
-    /// What a limiter added to the counter, for the auditor.
+    /// Units that a limiter added to the counter, for the auditor.
     Audit {
         /// The shard of the counter's names.
         slot: Slot,
-        /// The sums.
+        /// The usage by name.
         message: audit::Message,
     },
-    /// Between borrowers and brokers of the counter's units.
+    /// Lease requests and responses between borrowers and brokers.
     Lend(quota_sharing::Message),
 }
 
-impl Fleet {
-    pub(super) fn receive_work(&mut self, hub: &Rc<Hub>, from: &str, work: Work, now: f64) {
+impl FleetMember {
+    pub(super) fn receive_work(
+        &mut self,
+        event_loop: &Rc<EventLoop>,
+        from: &str,
+        work: Work,
+        now: f64,
+    ) {
         match work {
-            Work::Lend(msg) => self.receive_lease_message(hub, from, msg, now),
+            Work::Lend(message) => self.receive_lease_message(event_loop, from, message, now),
             Work::Effect { slot, token } => _ = self.accept_token(from, slot, token, now),
             Work::Probe(health_check::Message::Complaint { server, .. }) => {
                 self.receive_complaint(from, server, now)
@@ -51,44 +57,44 @@
                 observation,
                 age,
             }) => {
-                let known = (0.0..60.0).contains(&age) && server.len() < 64;
-                if known && self.accept_token(from, slot, token, now) {
-                    self.apply_observation(hub, &server, observation, age, now);
+                let plausible = (0.0..60.0).contains(&age) && server.len() < 64;
+                if plausible && self.accept_token(from, slot, token, now) {
+                    self.apply_observation(event_loop, &server, observation, age, now);
                 }
             }
             Work::Audit { slot, message } => {
-                if self.client.token(slot, now).is_some() {
-                    self.auditor.receive(from, message, now, &self.plan.audit);
+                if self.role_client.token(slot, now).is_some() {
+                    self.auditor.receive(from, message, now, &self.config.audit);
                 }
             }
         }
     }
 
-    /// The slot of a duty with shards that a key belongs to.
-    pub(super) fn shard_of(of: Option<SlotRange>, key: u64) -> Option<Slot> {
-        of.map(|range| {
+    /// The slot of a sharded role that a key belongs to.
+    pub(super) fn shard_of(range: Option<SlotRange>, key: u64) -> Option<Slot> {
+        range.map(|range| {
             let count = range.truncated(MAX_TRACKED_SHARDS).count;
             range.first + (key % u64::from(count)) as Slot
         })
     }
 
-    /// To whoever holds the slot, as far as it is known; this process included. False where nobody is known.
+    /// Sends work to the owner of the slot, which may be this process. Returns false if no owner is known.
     pub(super) fn send_to_owner(
         &mut self,
-        hub: &Rc<Hub>,
+        event_loop: &Rc<EventLoop>,
         slot: Slot,
         work: Work,
         now: f64,
     ) -> bool {
-        if self.client.token(slot, now).is_some() {
-            let me = self.identity.name.clone();
-            self.receive_work(hub, &me, work, now);
+        if self.role_client.token(slot, now).is_some() {
+            let own_name = self.identity.name.clone();
+            self.receive_work(event_loop, &own_name, work, now);
             true
-        } else if let Some(name) = self.client.owner(slot).cloned() {
+        } else if let Some(name) = self.role_client.owner(slot).cloned() {
             let body = postcard::to_stdvec(&work).unwrap_or_default();
             self.addresses_of(&name)
                 .into_iter()
-                .for_each(|at| self.links.send(at, Kind::Work, body.clone()));
+                .for_each(|at| self.transport.send(at, Kind::Work, body.clone()));
             true
         } else {
             false
--- a/crates/gateway/gateway/src/log.rs
+++ b/crates/gateway/gateway/src/log.rs
@@ -1,6 +1,5 @@
-//! The logger behind the `log` crate: one line an entry on standard error. Owns the format, the level
-//! (`RELAY_LOG`, else info) and how much is written. It must never keep entries, flood whoever reads them,
-//! or fail or panic when nobody does.
+//! Logger of the `log` crate: writes one line per record to standard error. The level comes from `RELAY_LOG`, else it
+//! is info. The number of lines per second is limited, records are not kept, and write errors are ignored.
 
 use log::{Level, LevelFilter, Log, Metadata, Record};
 use std::io::Write;
@@ -8,30 +7,36 @@
 use std::sync::OnceLock;
 use std::time::Instant;
 
-/// Lines in a second; what is over is left out and counted.
-const MOST: u64 = 100;
+/// Lines written per second; further lines are dropped and counted.
+const MAX_LINES_PER_SECOND: u64 = 100;
 
 #[derive(Default)]
-struct Lines {
-    began: OnceLock<Instant>,
+struct RateLimitedLogger {
+    started: OnceLock<Instant>,
     second: AtomicU64,
     lines: AtomicU64,
 }
 
-impl Lines {
-    /// Whether one more line is due, and how many were left out in an earlier second.
+impl RateLimitedLogger {
+    /// Whether one more line may be written, and how many lines were dropped in an earlier second.
     fn admit(&self, second: u64) -> (bool, u64) {
-        let mut left_out = 0;
+        let mut dropped = 0;
         if self.second.swap(second, Ordering::Relaxed) != second {
-            left_out = self.lines.swap(0, Ordering::Relaxed).saturating_sub(MOST);
+            dropped = self
+                .lines
+                .swap(0, Ordering::Relaxed)
+                .saturating_sub(MAX_LINES_PER_SECOND);
         }
-        (self.lines.fetch_add(1, Ordering::Relaxed) < MOST, left_out)
+        (
+            self.lines.fetch_add(1, Ordering::Relaxed) < MAX_LINES_PER_SECOND,
+            dropped,
+        )
     }
 }
 
-impl Log for Lines {
+impl Log for RateLimitedLogger {
     fn enabled(&self, metadata: &Metadata) -> bool {
-        // The libraries' own entries are worth reading only when something is wrong with them.
+        // Of other crates, only warnings and errors are logged.
         metadata.target().starts_with("dunespur") || metadata.level() <= Level::Warn
     }
 
@@ -39,12 +44,13 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let (due, left_out) = self.admit(self.began.get_or_init(Instant::now).elapsed().as_secs());
+        let (admitted, dropped) =
+            self.admit(self.started.get_or_init(Instant::now).elapsed().as_secs());
         let mut text = String::new();
-        if left_out > 0 {
-            text += &format!("warn {left_out} lines left out\n");
+        if dropped > 0 {
+            text += &format!("warn {dropped} lines left out\n");
         }
-        if due {
+        if admitted {
             text += &format!(
                 "{} {}\n",
                 record.level().as_str().to_ascii_lowercase(),
@@ -57,12 +63,12 @@
     fn flush(&self) {}
 }
 
-/// Starts logging; a second call changes nothing.
+/// Installs the logger; a second call has no effect.
 pub fn start(level: Option<&str>) {
     let level = level
         .and_then(|l| l.parse().ok())
         .unwrap_or(LevelFilter::Info);
-    if log::set_boxed_logger(Box::new(Lines::default())).is_ok() {
+    if log::set_boxed_logger(Box::new(RateLimitedLogger::default())).is_ok() {
         log::set_max_level(level);
     }
 }
--- a/crates/gateway/gateway/src/log/tests.rs
+++ b/crates/gateway/gateway/src/log/tests.rs
@@ -1,13 +1,15 @@
-//! Tests of the bound on log lines.
+//! Tests of the bound on log logger.
 
-use super::{Lines, MOST};
+use super::{RateLimitedLogger, MAX_LINES_PER_SECOND};
 
 #[test]
-fn a_flood_is_cut_and_counted() {
-    let lines = Lines::default();
-    let written = (0..MOST + 7).filter(|_| lines.admit(5).0).count() as u64;
+fn lines_beyond_the_limit_are_dropped_and_counted() {
+    let logger = RateLimitedLogger::default();
+    let written = (0..MAX_LINES_PER_SECOND + 7)
+        .filter(|_| logger.admit(5).0)
+        .count() as u64;
     assert_eq!(
-        (written, lines.admit(6), lines.admit(6)),
-        (MOST, (true, 7), (true, 0))
+        (written, logger.admit(6), logger.admit(6)),
+        (MAX_LINES_PER_SECOND, (true, 7), (true, 0))
     );
 }
--- a/crates/gateway/gateway/src/main.rs
+++ b/crates/gateway/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `dunespur-gateway`. All of it is in the library, so that the laboratory starts the same text.
+//! The program `dunespur-gateway`. Its code is in the library, so that the fleet simulation runs the same code.
 
 use std::process::ExitCode;
 
--- a/crates/gateway/gateway/src/operators.rs
+++ b/crates/gateway/gateway/src/operators_file.rs
@@ -1,8 +1,8 @@
-//! The operators' file: what is theirs to switch on beside the platform's configuration. Owns its form and
-//! its checks. It must never be needed: without it, or without its `fleet` section, nothing of it runs.
+//! Reads and validates the operators' file, which configures the fleet beside the platform's configuration. The file
+//! is optional: without it, or without its `fleet` section, this process is not part of a fleet.
 
-use crate::fault::Fault;
-use dunespur_gossip_membership::Settings as Members;
+use crate::error::GatewayError;
+use dunespur_gossip_membership::Settings as MembershipSettings;
 use dunespur_peer_transport::Limits;
 use dunespur_quota_sharing as quota_sharing;
 use dunespur_singleton_roles::{
@@ -13,19 +13,19 @@
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 
-/// The variable that names the file.
-pub const VARIABLE: &str = "DUNESPUR_OPERATORS";
+/// Environment variable that holds the path of the file.
+pub const PATH_VARIABLE: &str = "DUNESPUR_OPERATORS";
 
-/// What makes the operators' file unusable, with its remedy. Keys are those of the file.
+/// Reasons why the operators' file is rejected, with the remedy where it is not obvious. Keys are those of the file.
 #[derive(Debug, thiserror::Error)]
-pub enum OperatorsError {
-    /// The file can't be read.
+pub enum OperatorsFileError {
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] std::io::Error),
-    /// The text is not of the file's form.
+    /// The text is not valid TOML or does not match the expected structure.
     #[error("line {line}: {message}")]
     Syntax { line: usize, message: String },
-    /// The group's settings or the roles.
+    /// The settings of the fleet or its roles are invalid.
     #[error(transparent)]
     Roles(#[from] SettingsError),
     #[error(transparent)]
@@ -38,13 +38,13 @@
     Lend(#[from] quota_sharing::SettingsError),
     #[error(transparent)]
     Members(#[from] dunespur_gossip_membership::SettingsError),
-    #[error("{key}: {text} is no IPv4 address with a port; write it like 10.0.0.4:7100")]
+    #[error("{key}: {text} is not an IPv4 address with a port; write it like 10.0.0.4:7100")]
     Address { key: &'static str, text: String },
     #[error("fleet.zone: {zone} is not among the zones {}", zones.join(", "))]
     UnknownZone { zone: String, zones: Vec<String> },
-    #[error("fleet.disk: {name} is a voter and needs a file on a disk that persists")]
+    #[error("fleet.disk: {name} is a voter and needs a file on a persistent disk")]
     VoterWithoutDisk { name: String },
-    #[error("fleet.listen: {listen}, but the voters' list has {name} at {listed}")]
+    #[error("fleet.listen: {listen} differs from the address {listed} of {name} in the voters' list; use the same address in both")]
     ListenAddress {
         listen: SocketAddrV4,
         name: String,
@@ -62,29 +62,29 @@
         idle: f64,
     },
     #[error(
-        "fleet.lend.wait: {wait} is no less than the counter's time-out of {counter_timeout}; a borrower would \
-         never hear of it"
+        "fleet.lend.wait: {wait} must be less than the counter's timeout of {counter_timeout}; otherwise the borrower \
+         gives up before it gets an answer"
     )]
     LendWait { wait: f64, counter_timeout: f64 },
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
-    fleet: Option<Fleet>,
+struct OperatorsFile {
+    fleet: Option<FleetSection>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Voter {
+struct VoterEntry {
     name: String,
     address: String,
 }
 
-/// The `fleet` section as it is written. Times are seconds.
+/// The `fleet` section as written in the file. Times are in seconds.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Fleet {
+struct FleetSection {
     name: String,
     listen: String,
     #[serde(default)]
@@ -93,49 +93,49 @@
     zones: Option<Vec<String>>,
     #[serde(default)]
     machine: Option<String>,
-    /// About how many limiters there are.
-    #[serde(default = "thirty")]
+    /// Approximate number of limiters in the fleet.
+    #[serde(default = "default_size")]
     size: u32,
     #[serde(rename = "voter")]
-    voters: Vec<Voter>,
-    /// Where a voter keeps its part of the log.
+    voters: Vec<VoterEntry>,
+    /// File in which a voter stores its log.
     #[serde(default)]
     disk: Option<PathBuf>,
-    #[serde(default = "two")]
+    #[serde(default = "default_lease")]
     lease: f64,
-    #[serde(default = "half")]
+    #[serde(default = "default_renew")]
     renew: f64,
-    #[serde(default = "hundredth")]
+    #[serde(default = "default_drift")]
     drift: f64,
     #[serde(default)]
     stall: f64,
-    #[serde(default = "tick")]
+    #[serde(default = "default_tick")]
     tick: f64,
-    #[serde(default = "sixty_four")]
+    #[serde(default = "default_moves")]
     moves: usize,
-    #[serde(default = "ten")]
+    #[serde(default = "default_disk_wait")]
     disk_wait: f64,
-    #[serde(default = "duties", rename = "duty")]
+    #[serde(default = "default_duties", rename = "duty")]
     duties: Vec<Role>,
     #[serde(default)]
-    members: MembersPart,
+    members: MembersSection,
     #[serde(default)]
-    links: LinksPart,
+    links: LinksSection,
     #[serde(default)]
-    watch: WatchPart,
+    watch: WatchSection,
     #[serde(default)]
-    probe: ProbePart,
+    probe: ProbeSection,
     #[serde(default)]
-    audit: AuditPart,
+    audit: AuditSection,
     #[serde(default)]
-    lend: LendPart,
+    lend: LendSection,
     #[serde(default)]
     trial: Option<Trial>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct MembersPart {
+struct MembersSection {
     probe: f64,
     answer: f64,
     suspect: f64,
@@ -144,9 +144,9 @@
     datagram: usize,
 }
 
-impl Default for MembersPart {
+impl Default for MembersSection {
     fn default() -> Self {
-        MembersPart {
+        MembersSection {
             probe: 1.0,
             answer: 0.3,
             suspect: 4.0,
@@ -159,7 +159,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct LinksPart {
+struct LinksSection {
     peers: usize,
     queue: usize,
     frame: usize,
@@ -167,9 +167,9 @@
     idle: f64,
 }
 
-impl Default for LinksPart {
+impl Default for LinksSection {
     fn default() -> Self {
-        LinksPart {
+        LinksSection {
             peers: 64,
             queue: 256,
             frame: 1 << 20,
@@ -181,16 +181,16 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct WatchPart {
+struct WatchSection {
     beat: f64,
     stale: f64,
     spread: f64,
     trust: f64,
 }
 
-impl Default for WatchPart {
+impl Default for WatchSection {
     fn default() -> Self {
-        WatchPart {
+        WatchSection {
             beat: 0.5,
             stale: 1.6,
             spread: 0.5,
@@ -201,7 +201,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct ProbePart {
+struct ProbeSection {
     unanswered: u32,
     many: usize,
     window: f64,
@@ -209,9 +209,9 @@
     servers: usize,
 }
 
-impl Default for ProbePart {
+impl Default for ProbeSection {
     fn default() -> Self {
-        ProbePart {
+        ProbeSection {
             unanswered: 1,
             many: 2,
             window: 5.0,
@@ -223,15 +223,15 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct AuditPart {
+struct AuditSection {
     quiet: f64,
     names: usize,
     units: f64,
 }
 
-impl Default for AuditPart {
+impl Default for AuditSection {
     fn default() -> Self {
-        AuditPart {
+        AuditSection {
             quiet: 2.0,
             names: 10_000,
             units: 0.01,
@@ -241,7 +241,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct LendPart {
+struct LendSection {
     ahead: f64,
     span: f64,
     wait: f64,
@@ -253,10 +253,10 @@
     borrowers: usize,
 }
 
-impl Default for LendPart {
+impl Default for LendSection {
     fn default() -> Self {
         let (names, waiting, borrowers) = (20_000, 1024, 1024);
-        LendPart {
+        LendSection {
             ahead: 1.0,
             span: 4.0,
             wait: 0.0,
@@ -270,69 +270,70 @@
     }
 }
 
-/// For trials alone: never in service.
+/// Settings for trials only, never for production.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Trial {
-    /// Where a peer is really reached.
+    /// Actual addresses of peers, by the address that the file gives them.
     pub via: BTreeMap<String, String>,
-    /// What it holds and accepts, a JSON line each.
+    /// File to which held roles and accepted tokens are written, one JSON object per line.
     pub history: Option<PathBuf>,
-    /// Effects a second for each slot it holds, sent to members and receivers.
+    /// Trial effects per second for each held slot, sent to members and receivers.
     pub effects: f64,
     pub receivers: Vec<SocketAddrV4>,
-    /// Added to the wall clock.
+    /// Seconds added to the wall clock.
     pub wall: f64,
-    /// A file that holds how many seconds longer each write to the disk takes, read before each.
+    /// File that holds the extra delay of each disk write in seconds, read before each write.
     pub slow_disk: Option<PathBuf>,
-    /// Plays this version of the talk between limiters; one over ours also sends kinds we don't know.
+    /// Protocol version to announce to other limiters; a version above this build's also sends frames of an unknown
+    /// kind.
     pub version: Option<u16>,
 }
 
-fn thirty() -> u32 {
+fn default_size() -> u32 {
     30
 }
-fn two() -> f64 {
+fn default_lease() -> f64 {
     2.0
 }
-fn half() -> f64 {
+fn default_renew() -> f64 {
     0.5
 }
-fn hundredth() -> f64 {
+fn default_drift() -> f64 {
     0.01
 }
-fn tick() -> f64 {
+fn default_tick() -> f64 {
     0.05
 }
-fn ten() -> f64 {
+fn default_disk_wait() -> f64 {
     10.0
 }
-fn sixty_four() -> usize {
+fn default_moves() -> usize {
     64
 }
-fn duties() -> Vec<Role> {
-    let duty = |name: &str, by_zone| Role {
+fn default_duties() -> Vec<Role> {
+    let role = |name: &str, by_zone| Role {
         name: name.into(),
         shards: 1,
         by_zone,
     };
     vec![
-        duty("watch", true),
-        duty("probe", false),
-        duty("audit", false),
+        role("watch", true),
+        role("probe", false),
+        role("audit", false),
     ]
 }
 
-/// What the fleet's part of the process is made from.
-pub struct Plan {
+/// Validated configuration of this process as a member of the fleet.
+pub struct FleetConfig {
     pub listen: SocketAddrV4,
     pub zone: String,
     pub machine: String,
     pub voters: Vec<(String, SocketAddrV4)>,
     pub disk: Option<PathBuf>,
     pub roles: RoleSettings,
-    pub members: Members,
-    pub bounds: Limits,
+    pub members: MembershipSettings,
+    pub transport_limits: Limits,
     pub watch: discovery_relay::Settings,
     pub probe: health_check::Settings,
     pub audit: audit::Settings,
@@ -341,22 +342,22 @@
     pub via: BTreeMap<SocketAddrV4, SocketAddrV4>,
 }
 
-fn address(key: &'static str, text: &str) -> Result<SocketAddrV4, OperatorsError> {
-    text.parse().map_err(|_| OperatorsError::Address {
+fn parse_address(key: &'static str, text: &str) -> Result<SocketAddrV4, OperatorsFileError> {
+    text.parse().map_err(|_| OperatorsFileError::Address {
         key,
         text: text.to_owned(),
     })
 }
 
-/// Reads the file's text for the limiter of this name and zone, in a platform with these zones.
-pub fn read(
+/// Parses and validates the text of the file for the limiter with this name and zone, on a platform with these zones.
+pub fn parse(
     text: &str,
     name: &str,
     zones: &[String],
     zone: usize,
     counter_timeout: f64,
-) -> Result<Option<Plan>, OperatorsError> {
-    let Some(fleet) = parse(text)?.fleet else {
+) -> Result<Option<FleetConfig>, OperatorsFileError> {
+    let Some(fleet) = parse_toml(text)?.fleet else {
         return Ok(None);
     };
     let voters = fleet.voter_addresses()?;
@@ -366,13 +367,13 @@
         .clone()
         .unwrap_or_else(|| zones.get(zone).cloned().unwrap_or_default());
     if !zones.contains(&zone) {
-        return Err(OperatorsError::UnknownZone { zone, zones });
+        return Err(OperatorsFileError::UnknownZone { zone, zones });
     }
     let roles = fleet.role_settings(&voters, zones)?;
     let listen = fleet.listen_address(&voters, name)?;
-    let seeds = voters.iter().map(|v| v.1).collect();
+    let seeds = voters.iter().map(|voter| voter.1).collect();
     let members = fleet.members.settings(fleet.size, seeds)?;
-    let bounds = fleet.links.bounds(voters.len())?;
+    let transport_limits = fleet.links.transport_limits(voters.len())?;
     let watch = fleet.watch.settings()?;
     let probe = fleet.probe.settings()?;
     let audit = fleet.audit.settings()?;
@@ -381,11 +382,11 @@
     let via = trial
         .via
         .iter()
-        .map(|(a, b)| Ok((address("via", a)?, address("via", b)?)));
-    let via = via.collect::<Result<_, OperatorsError>>()?;
+        .map(|(peer, actual)| Ok((parse_address("via", peer)?, parse_address("via", actual)?)));
+    let via = via.collect::<Result<_, OperatorsFileError>>()?;
     let machine = fleet.machine.unwrap_or_else(|| name.to_owned());
     let disk = fleet.disk;
-    Ok(Some(Plan {
+    Ok(Some(FleetConfig {
         listen,
         zone,
         machine,
@@ -393,7 +394,7 @@
         disk,
         roles,
         members,
-        bounds,
+        transport_limits,
         watch,
         probe,
         audit,
@@ -403,21 +404,26 @@
     }))
 }
 
-fn parse(text: &str) -> Result<File, OperatorsError> {
+fn parse_toml(text: &str) -> Result<OperatorsFile, OperatorsFileError> {
     toml::from_str(text).map_err(|error| {
         let before = error.span().map(|span| &text[..span.start.min(text.len())]);
-        OperatorsError::Syntax {
+        OperatorsFileError::Syntax {
             line: before.map_or(1, |before| before.matches('\n').count() + 1),
             message: error.message().replace('\n', " "),
         }
     })
 }
 
-impl Fleet {
-    fn voter_addresses(&self) -> Result<Vec<(String, SocketAddrV4)>, OperatorsError> {
+impl FleetSection {
+    fn voter_addresses(&self) -> Result<Vec<(String, SocketAddrV4)>, OperatorsFileError> {
         let voters = self.voters.iter();
         voters
-            .map(|v| Ok((v.name.clone(), address("fleet.voter.address", &v.address)?)))
+            .map(|v| {
+                Ok((
+                    v.name.clone(),
+                    parse_address("fleet.voter.address", &v.address)?,
+                ))
+            })
             .collect()
     }
 
@@ -425,10 +431,10 @@
         &self,
         voters: &[(String, SocketAddrV4)],
         zones: Vec<String>,
-    ) -> Result<RoleSettings, OperatorsError> {
+    ) -> Result<RoleSettings, OperatorsFileError> {
         let roles = RoleSettings {
             fleet: self.name.clone(),
-            voters: voters.iter().map(|v| v.0.clone()).collect(),
+            voters: voters.iter().map(|voter| voter.0.clone()).collect(),
             zones,
             roles: self.duties.clone(),
             lease_duration: self.lease,
@@ -443,20 +449,21 @@
         Ok(roles)
     }
 
-    /// Where it listens; a voter's has to be the address that the voters' list has, and it needs a disk.
+    /// Returns the listen address. That of a voter must equal its address in the voter list, and a voter needs a
+    /// disk.
     fn listen_address(
         &self,
         voters: &[(String, SocketAddrV4)],
         name: &str,
-    ) -> Result<SocketAddrV4, OperatorsError> {
-        let listen = address("fleet.listen", &self.listen)?;
-        let votes = voters.iter().find(|v| v.0 == name);
-        if votes.is_some() && self.disk.is_none() {
+    ) -> Result<SocketAddrV4, OperatorsFileError> {
+        let listen = parse_address("fleet.listen", &self.listen)?;
+        let voter = voters.iter().find(|voter| voter.0 == name);
+        if voter.is_some() && self.disk.is_none() {
             let name = name.to_owned();
-            return Err(OperatorsError::VoterWithoutDisk { name });
+            return Err(OperatorsFileError::VoterWithoutDisk { name });
         }
-        if let Some((_, listed)) = votes.filter(|v| v.1 != listen) {
-            return Err(OperatorsError::ListenAddress {
+        if let Some((_, listed)) = voter.filter(|voter| voter.1 != listen) {
+            return Err(OperatorsFileError::ListenAddress {
                 listen,
                 name: name.to_owned(),
                 listed: *listed,
@@ -466,9 +473,13 @@
     }
 }
 
-impl MembersPart {
-    fn settings(&self, size: u32, seeds: Vec<SocketAddrV4>) -> Result<Members, OperatorsError> {
-        let members = Members {
+impl MembersSection {
+    fn settings(
+        &self,
+        size: u32,
+        seeds: Vec<SocketAddrV4>,
+    ) -> Result<MembershipSettings, OperatorsFileError> {
+        let members = MembershipSettings {
             expected_members: size,
             seeds,
             probe_interval: self.probe,
@@ -483,9 +494,9 @@
     }
 }
 
-impl LinksPart {
-    fn bounds(&self, voters: usize) -> Result<Limits, OperatorsError> {
-        let LinksPart {
+impl LinksSection {
+    fn transport_limits(&self, voters: usize) -> Result<Limits, OperatorsFileError> {
+        let LinksSection {
             peers,
             queue,
             frame,
@@ -493,7 +504,7 @@
             idle,
         } = *self;
         if peers < voters || queue == 0 || frame < 4096 || !(dial > 0.0 && idle > 0.0) {
-            return Err(OperatorsError::Links {
+            return Err(OperatorsFileError::Links {
                 peers,
                 queue,
                 frame,
@@ -511,9 +522,9 @@
     }
 }
 
-impl WatchPart {
-    fn settings(&self) -> Result<discovery_relay::Settings, OperatorsError> {
-        let WatchPart {
+impl WatchSection {
+    fn settings(&self) -> Result<discovery_relay::Settings, OperatorsFileError> {
+        let WatchSection {
             beat,
             stale,
             spread,
@@ -530,9 +541,9 @@
     }
 }
 
-impl ProbePart {
-    fn settings(&self) -> Result<health_check::Settings, OperatorsError> {
-        let ProbePart {
+impl ProbeSection {
+    fn settings(&self) -> Result<health_check::Settings, OperatorsFileError> {
+        let ProbeSection {
             unanswered,
             many,
             window,
@@ -551,9 +562,9 @@
     }
 }
 
-impl AuditPart {
-    fn settings(&self) -> Result<audit::Settings, OperatorsError> {
-        let AuditPart {
+impl AuditSection {
+    fn settings(&self) -> Result<audit::Settings, OperatorsFileError> {
+        let AuditSection {
             quiet,
             names,
             units,
@@ -568,13 +579,16 @@
     }
 }
 
-impl LendPart {
-    /// `count_wait` is how long the counter's answer is awaited, in seconds.
-    fn settings(&self, counter_timeout: f64) -> Result<quota_sharing::Settings, OperatorsError> {
+impl LendSection {
+    /// `counter_timeout` is how long the limiter waits for a reply of the counter, in seconds.
+    fn settings(
+        &self,
+        counter_timeout: f64,
+    ) -> Result<quota_sharing::Settings, OperatorsFileError> {
         let lend = quota_sharing::Settings {
             max_lead: self.ahead,
             demand_window: self.span,
-            // A borrower has to hear of it before its own time is up.
+            // The broker must give up before the borrower does, so that its answer arrives in time.
             counter_timeout: if self.wait > 0.0 {
                 self.wait
             } else {
@@ -589,7 +603,7 @@
         };
         lend.validate()?;
         if lend.counter_timeout >= counter_timeout {
-            return Err(OperatorsError::LendWait {
+            return Err(OperatorsFileError::LendWait {
                 wait: lend.counter_timeout,
                 counter_timeout,
             });
@@ -598,19 +612,19 @@
     }
 }
 
-/// The plan that the environment names; none where it names no file.
-pub fn plan(
+/// Loads the fleet configuration from the file that the environment names; `None` without one.
+pub fn load(
     name: &str,
     zones: &[String],
     zone: usize,
     counter_timeout: f64,
-) -> Result<Option<Plan>, Fault> {
-    let Ok(path) = std::env::var(VARIABLE) else {
+) -> Result<Option<FleetConfig>, GatewayError> {
+    let Ok(path) = std::env::var(PATH_VARIABLE) else {
         return Ok(None);
     };
-    let fail = |e: OperatorsError| Fault::Config(format!("{path}: {e}"));
-    let text = std::fs::read_to_string(&path).map_err(|e| fail(e.into()))?;
-    read(&text, name, zones, zone, counter_timeout).map_err(fail)
+    let config_error = |error: OperatorsFileError| GatewayError::Config(format!("{path}: {error}"));
+    let text = std::fs::read_to_string(&path).map_err(|e| config_error(e.into()))?;
+    parse(&text, name, zones, zone, counter_timeout).map_err(config_error)
 }
 
 #[cfg(test)]
--- a/crates/gateway/gateway/src/operators/tests.rs
+++ b/crates/gateway/gateway/src/operators_file/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the operators' file: what is read, and what is refused with its remedy.
+//! Tests of parsing the operators' file and of its errors.
 
 use super::*;
 
-const GOOD: &str = r#"
+const VALID_FILE: &str = r#"
 [fleet]
 name = "f"
 listen = "127.0.0.1:7001"
@@ -14,32 +14,32 @@
 ]
 "#;
 
-fn refused(text: &str, name: &str) -> String {
-    read(text, name, &["a".into(), "b".into()], 1, 0.05)
+fn parse_error(text: &str, name: &str) -> String {
+    parse(text, name, &["a".into(), "b".into()], 1, 0.05)
         .err()
         .unwrap()
         .to_string()
 }
 
 #[test]
-fn a_file_that_can_be_used_is_read_and_nothing_runs_without_its_section() {
-    let plan = read(GOOD, "n1", &["a".into(), "b".into()], 1, 0.05)
+fn a_valid_file_is_parsed_and_without_a_fleet_section_there_is_no_configuration() {
+    let config = parse(VALID_FILE, "n1", &["a".into(), "b".into()], 1, 0.05)
         .unwrap()
         .unwrap();
     assert_eq!(
         (
-            plan.zone.as_str(),
-            plan.machine.as_str(),
-            plan.roles.slots()
+            config.zone.as_str(),
+            config.machine.as_str(),
+            config.roles.slots()
         ),
         ("b", "n1", 4)
     );
-    assert!(read("", "n1", &["a".into()], 0, 0.05).unwrap().is_none());
+    assert!(parse("", "n1", &["a".into()], 0, 0.05).unwrap().is_none());
 }
 
 #[test]
-fn what_can_not_be_used_is_named_with_its_remedy() {
-    let with = |from: &str, to: &str| GOOD.replace(from, to);
+fn invalid_values_are_reported_with_their_remedy() {
+    let with = |from: &str, to: &str| VALID_FILE.replace(from, to);
     let cases = [
         (
             with("    { name = \"n3\", address = \"127.0.0.1:7003\" },\n", ""),
@@ -50,11 +50,14 @@
             with("disk = \"voter.redb\"", "lease = 1.0\ndisk = \"v\""),
             "shorter than three renewals",
         ),
-        (with("127.0.0.1:7003", "[::1]:7003"), "no IPv4 address"),
+        (
+            with("127.0.0.1:7003", "[::1]:7003"),
+            "is not an IPv4 address",
+        ),
         (with("disk = \"voter.redb\"\n", ""), "needs a file"),
         (
             with("listen = \"127.0.0.1:7001\"", "listen = \"127.0.0.1:7009\""),
-            "the voters' list has n1",
+            "of n1 in the voters' list",
         ),
         (with("disk =", "dusk ="), "line 5: unknown field `dusk`"),
         (
@@ -63,16 +66,19 @@
         ),
         (with("disk =", "drift = 0.7\ndisk ="), "a share from 0"),
         (
-            format!("{GOOD}[fleet.lend]\nspan = -1.0\n"),
+            format!("{VALID_FILE}[fleet.lend]\nspan = -1.0\n"),
             "fleet.lend.span: -1; give seconds over 0",
         ),
         (
-            format!("{GOOD}[fleet.lend]\nwait = 0.05\n"),
-            "no less than the counter's time-out of 0.05",
+            format!("{VALID_FILE}[fleet.lend]\nwait = 0.05\n"),
+            "less than the counter's timeout of 0.05",
         ),
     ];
-    for (text, says) in cases {
-        let said = refused(&text, "n1");
-        assert!(said.contains(says), "{said} does not say {says}");
+    for (text, expected) in cases {
+        let error = parse_error(&text, "n1");
+        assert!(
+            error.contains(expected),
+            "{error:?} does not contain {expected:?}"
+        );
     }
 }
--- a/crates/gateway/gateway/src/upstream/tests.rs
+++ b/crates/gateway/gateway/src/server_connections/tests.rs
@@ -1,8 +1,9 @@
 use super::Written;
 
-/// A socket takes in more than one body unread, so a break before the last byte can't be had on one.
+/// Tested without a socket: the kernel buffers more than a whole body, so a write cannot be made to stop before its
+/// last byte.
 #[test]
-fn only_the_last_byte_makes_a_delivery_whole() {
+fn an_attempt_is_complete_only_with_its_last_byte() {
     for (text, body_left) in [
         (&b"GET / HTTP/1.1\r\nhost: a\r\n\r\n"[..], 0),
         (b"P\r\n\r\n\r\n\r\nx", 5),
@@ -13,9 +14,9 @@
                 ..Written::default()
             };
             written.count(&text[..split]);
-            assert!(!written.whole(), "{split} of {} bytes", text.len());
+            assert!(!written.is_complete(), "{split} of {} bytes", text.len());
             written.count(&text[split..]);
-            assert!(written.whole(), "all, split at {split}");
+            assert!(written.is_complete(), "all, split at {split}");
         }
     }
 }
--- a/crates/gateway/gateway/tests/common/mod.rs
+++ b/crates/gateway/gateway/tests/common/mod.rs
@@ -14,38 +14,38 @@
 
 /// What a stand-in does with what reaches it.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Mood {
-    Well,
+pub enum Behavior {
+    Normal,
     /// Takes everything, answers nothing.
     Silent,
     /// Answers well, after a while.
     Slow,
     /// Reads one whole message, then resets.
-    Resets,
+    ReadThenReset,
     /// Turns away: it never ran.
-    Full,
+    Overloaded,
     /// Answers with an error of its own.
-    Fails,
+    ServerError,
     /// Counts the call, then resets without an answer.
-    AddsAndResets,
+    CountThenReset,
     /// Answers calls on the first name it saw late and with no number, all others well.
-    SpoilsFirst,
+    CorruptFirstName,
 }
 
-pub struct StandIn {
+pub struct FakeService {
     pub address: SocketAddr,
-    pub mood: Arc<Mutex<Mood>>,
+    pub behavior: Arc<Mutex<Behavior>>,
     /// What came in whole, each as text.
-    pub seen: Arc<Mutex<Vec<String>>>,
+    pub received: Arc<Mutex<Vec<String>>>,
     pub connections: Arc<AtomicUsize>,
     /// Connections that the other side has ended.
-    pub ended: Arc<AtomicUsize>,
+    pub closed_connections: Arc<AtomicUsize>,
     /// Lines for the watches.
-    pub news: Arc<Mutex<Vec<String>>>,
+    pub list_lines: Arc<Mutex<Vec<String>>>,
 }
 
 /// One HTTP message: everything up to the end of its body.
-pub fn message(stream: &mut TcpStream) -> Option<String> {
+pub fn read_message(stream: &mut TcpStream) -> Option<String> {
     let (mut bytes, mut byte) = (Vec::new(), [0]);
     while !bytes.ends_with(b"\r\n\r\n") {
         if stream.read(&mut byte).ok()? == 0 {
@@ -70,14 +70,14 @@
 }
 
 /// From now on this connection's end is a reset.
-pub fn ends_by_reset(stream: &TcpStream) {
+pub fn reset_on_close(stream: &TcpStream) {
     socket2::SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
 }
 
 /// A 200 with this body.
-pub fn ok(body: &str) -> String {
+pub fn ok_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -85,7 +85,7 @@
 }
 
 /// The id that a message carries.
-pub fn id(message: &str) -> &str {
+pub fn request_id(message: &str) -> &str {
     let at = message.to_ascii_lowercase().find("x-request-id: ").unwrap() + "x-request-id: ".len();
     message[at..].split('\r').next().unwrap()
 }
@@ -99,61 +99,61 @@
         .unwrap();
     socket.listen(0).unwrap();
     let listener = TcpListener::from(socket);
-    let fills = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (listener, fills)
+    let backlog_filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    (listener, backlog_filler)
 }
 
-impl StandIn {
+impl FakeService {
     pub fn start(
-        mood: Mood,
-        serve: impl Fn(&StandIn, TcpStream) + Send + Sync + 'static,
-    ) -> Arc<StandIn> {
-        Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), mood, serve)
+        behavior: Behavior,
+        serve: impl Fn(&FakeService, TcpStream) + Send + Sync + 'static,
+    ) -> Arc<FakeService> {
+        Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), behavior, serve)
     }
 
     pub fn on(
         listener: TcpListener,
-        mood: Mood,
-        serve: impl Fn(&StandIn, TcpStream) + Send + Sync + 'static,
-    ) -> Arc<StandIn> {
-        let stand_in = Arc::new(StandIn {
+        behavior: Behavior,
+        serve: impl Fn(&FakeService, TcpStream) + Send + Sync + 'static,
+    ) -> Arc<FakeService> {
+        let service = Arc::new(FakeService {
             address: listener.local_addr().unwrap(),
-            mood: Arc::new(Mutex::new(mood)),
-            seen: Arc::default(),
+            behavior: Arc::new(Mutex::new(behavior)),
+            received: Arc::default(),
             connections: Arc::default(),
-            ended: Arc::default(),
-            news: Arc::default(),
+            closed_connections: Arc::default(),
+            list_lines: Arc::default(),
         });
-        let (shared, serve) = (stand_in.clone(), Arc::new(serve));
+        let (shared, serve) = (service.clone(), Arc::new(serve));
         spawn(move || {
             for stream in listener.incoming().flatten() {
                 shared.connections.fetch_add(1, Ordering::SeqCst);
                 let (shared, serve) = (shared.clone(), serve.clone());
                 spawn(move || {
                     serve(&shared, stream);
-                    shared.ended.fetch_add(1, Ordering::SeqCst);
+                    shared.closed_connections.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
-        stand_in
+        service
     }
 
-    pub fn server(mood: Mood) -> Arc<StandIn> {
-        Self::start(mood, |me, mut stream| {
-            while let Some(message) = message(&mut stream) {
-                me.seen.lock().unwrap().push(message);
-                if me.mood() == Mood::Slow {
+    pub fn server(behavior: Behavior) -> Arc<FakeService> {
+        Self::start(behavior, |me, mut stream| {
+            while let Some(message) = read_message(&mut stream) {
+                me.received.lock().unwrap().push(message);
+                if me.behavior() == Behavior::Slow {
                     sleep(Duration::from_millis(300));
                 }
-                let answer = match me.mood() {
-                    Mood::Well | Mood::Slow => {
+                let answer = match me.behavior() {
+                    Behavior::Normal | Behavior::Slow => {
                         "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nX-Allowance-Used: 40\r\n\r\nserved"
                     }
-                    Mood::Full => {
+                    Behavior::Overloaded => {
                         "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Not-Processed: 1\r\n\r\n"
                     }
-                    Mood::Fails => "HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\nno",
-                    Mood::Silent => continue,
+                    Behavior::ServerError => "HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\nno",
+                    Behavior::Silent => continue,
                     _ => return reset(stream),
                 };
                 if stream.write_all(answer.as_bytes()).is_err() {
@@ -165,11 +165,11 @@
 
     /// A server that does with each message what the test says, until that says false.
     pub fn scripted(
-        script: impl Fn(&StandIn, &str, &mut TcpStream) -> bool + Send + Sync + 'static,
-    ) -> Arc<StandIn> {
-        Self::start(Mood::Well, move |me, mut stream| {
-            while let Some(message) = message(&mut stream) {
-                me.seen.lock().unwrap().push(message.clone());
+        script: impl Fn(&FakeService, &str, &mut TcpStream) -> bool + Send + Sync + 'static,
+    ) -> Arc<FakeService> {
+        Self::start(Behavior::Normal, move |me, mut stream| {
+            while let Some(message) = read_message(&mut stream) {
+                me.received.lock().unwrap().push(message.clone());
                 if !script(me, &message, &mut stream) {
                     return;
                 }
@@ -177,8 +177,8 @@
         })
     }
 
-    pub fn counter(mood: Mood) -> Arc<StandIn> {
-        Self::start(mood, |me, mut stream| {
+    pub fn counter(behavior: Behavior) -> Arc<FakeService> {
+        Self::start(behavior, |me, mut stream| {
             let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
             let mut mute = false;
             let mut line = || {
@@ -193,51 +193,51 @@
                 let call: Option<Vec<String>> =
                     (0..parts).map(|_| line().and_then(|_| line())).collect();
                 let Some(call) = call else { return };
-                let mut seen = me.seen.lock().unwrap();
-                seen.push(call.join(" "));
+                let mut received = me.received.lock().unwrap();
+                received.push(call.join(" "));
                 let added = |c: &String| c.split(' ').nth(1) == Some(call[1].as_str());
                 let amount = |c: &String| c.split(' ').nth(2).unwrap().parse::<f64>().unwrap();
-                let first = added(&seen[0]);
-                let total: f64 = seen.iter().filter(|c| added(c)).map(amount).sum();
-                drop(seen);
+                let first = added(&received[0]);
+                let total: f64 = received.iter().filter(|c| added(c)).map(amount).sum();
+                drop(received);
                 let total = format!("{total}");
                 // Answers come in order, so a connection that left one out stays silent.
-                mute |= me.mood() == Mood::Silent;
-                match me.mood() {
+                mute |= me.behavior() == Behavior::Silent;
+                match me.behavior() {
                     _ if mute => {}
-                    Mood::Well => {
+                    Behavior::Normal => {
                         _ = stream.write_all(format!("${}\r\n{total}\r\n", total.len()).as_bytes())
                     }
-                    Mood::Full => _ = stream.write_all(b"-BUSY crowded\r\n"),
-                    Mood::SpoilsFirst if first => {
+                    Behavior::Overloaded => _ = stream.write_all(b"-BUSY crowded\r\n"),
+                    Behavior::CorruptFirstName if first => {
                         sleep(Duration::from_millis(300));
                         _ = stream.write_all(b"$3\r\n?!?\r\n");
                         mute = true;
                     }
-                    Mood::SpoilsFirst => {
+                    Behavior::CorruptFirstName => {
                         _ = stream.write_all(format!("${}\r\n{total}\r\n", total.len()).as_bytes());
                     }
-                    Mood::AddsAndResets => _ = stream.shutdown(Shutdown::Both),
+                    Behavior::CountThenReset => _ = stream.shutdown(Shutdown::Both),
                     _ => {}
                 }
             }
         })
     }
 
-    pub fn discovery(list: String, mood: Mood) -> Arc<StandIn> {
-        let discovery = Self::start(mood, |me, mut stream| {
-            let Some(asked) = message(&mut stream) else {
+    pub fn discovery(list: String, behavior: Behavior) -> Arc<FakeService> {
+        let discovery = Self::start(behavior, |me, mut stream| {
+            let Some(asked) = read_message(&mut stream) else {
                 return;
             };
-            me.seen.lock().unwrap().push(asked);
-            if me.mood() == Mood::Silent {
+            me.received.lock().unwrap().push(asked);
+            if me.behavior() == Behavior::Silent {
                 return sleep(Duration::from_secs(60));
             }
             _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            let mut told = 0;
+            let mut sent_lines = 0;
             loop {
-                let lines = me.news.lock().unwrap()[told..].to_vec();
-                told += lines.len();
+                let lines = me.list_lines.lock().unwrap()[sent_lines..].to_vec();
+                sent_lines += lines.len();
                 for line in lines
                     .iter()
                     .chain(lines.is_empty().then_some(&String::new()))
@@ -252,20 +252,24 @@
                 sleep(Duration::from_millis(20));
             }
         });
-        discovery.news.lock().unwrap().push(list);
+        discovery.list_lines.lock().unwrap().push(list);
         discovery
     }
 
-    pub fn mood(&self) -> Mood {
-        *self.mood.lock().unwrap()
+    pub fn behavior(&self) -> Behavior {
+        *self.behavior.lock().unwrap()
     }
 
-    pub fn seen(&self) -> usize {
-        self.seen.lock().unwrap().len()
+    pub fn received_count(&self) -> usize {
+        self.received.lock().unwrap().len()
     }
 }
 
-pub fn list(revision: u64, complete: bool, servers: &[(usize, SocketAddr, &str)]) -> String {
+pub fn endpoint_list(
+    revision: u64,
+    complete: bool,
+    servers: &[(usize, SocketAddr, &str)],
+) -> String {
     let member = |&(id, address, phase): &(usize, SocketAddr, &str)| {
         format!(
             r#"{{"id":"s-{id}","host_port":"{address}","locality":"a","flavor":"m","cell":0,
@@ -285,19 +289,19 @@
 
 /// Held while a program is started: until that has begun to run it holds all that this process has open, and an
 /// address or a connection that is closed meanwhile is not.
-static STARTS: Mutex<()> = Mutex::new(());
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-pub fn spawned(command: &mut Command) -> Child {
-    let _alone = STARTS.lock();
+pub fn spawn_alone(command: &mut Command) -> Child {
+    let _lock = SPAWN_LOCK.lock();
     command.spawn().unwrap()
 }
 
 /// On a loopback address of its own, so that nothing else on the machine takes the port meanwhile.
 pub fn free_address() -> SocketAddr {
-    static LAST: AtomicUsize = AtomicUsize::new(1);
-    let _alone = STARTS.lock();
+    static NEXT: AtomicUsize = AtomicUsize::new(1);
+    let _lock = SPAWN_LOCK.lock();
     let process = 1 + std::process::id() % 250;
-    let host = format!("127.{process}.1.{}:0", LAST.fetch_add(1, Ordering::SeqCst));
+    let host = format!("127.{process}.1.{}:0", NEXT.fetch_add(1, Ordering::SeqCst));
     TcpListener::bind(host).unwrap().local_addr().unwrap()
 }
 
@@ -323,32 +327,33 @@
 }
 
 impl Gateway {
-    pub fn with(
-        known: &str,
+    pub fn with_discovery(
+        initial_list: &str,
         discovery: SocketAddr,
         counter: SocketAddr,
         sockets: usize,
     ) -> Gateway {
-        Self::of(known, discovery, counter, sockets, SETTINGS)
+        Self::start_ready(initial_list, discovery, counter, sockets, SETTINGS)
     }
 
-    pub fn of(
-        known: &str,
+    pub fn start_ready(
+        initial_list: &str,
         discovery: SocketAddr,
         counter: SocketAddr,
         sockets: usize,
         settings: &str,
     ) -> Gateway {
-        let mut gateway = Self::started(known, discovery, counter, sockets, settings);
-        let began = Instant::now();
+        let mut gateway = Gateway::start(initial_list, discovery, counter, sockets, settings);
+        let started = Instant::now();
         while gateway
-            .ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             .is_none_or(|a| !a.contains(" 200 "))
         {
-            if began.elapsed() > Duration::from_secs(10) {
+            if started.elapsed() > Duration::from_secs(10) {
                 gateway.signal("-KILL");
-                let told = String::from_utf8_lossy(&gateway.output().stderr).into_owned();
-                panic!("the gateway was never ready: {told}");
+                let stderr =
+                    String::from_utf8_lossy(&gateway.wait_for_output().stderr).into_owned();
+                panic!("the gateway was never ready: {stderr}");
             }
             sleep(Duration::from_millis(10));
         }
@@ -356,25 +361,25 @@
     }
 
     /// One that may not listen yet.
-    pub fn started(
-        known: &str,
+    pub fn start(
+        initial_list: &str,
         discovery: SocketAddr,
         counter: SocketAddr,
         sockets: usize,
         settings: &str,
     ) -> Gateway {
-        static LAST: AtomicUsize = AtomicUsize::new(0);
+        static NEXT: AtomicUsize = AtomicUsize::new(0);
         let address = free_address();
         let name = format!(
             "dunespur-{}-{}.json",
             std::process::id(),
-            LAST.fetch_add(1, Ordering::SeqCst)
+            NEXT.fetch_add(1, Ordering::SeqCst)
         );
         let config = std::env::temp_dir().join(name);
         let text = format!(
             r#"{{"name":"n0","listen":"{address}","discovery":"{discovery}","counter":"{counter}",
                 "seed":"8c1f30d27a5be964","limits":{{"sockets":{sockets},"memory_mb":32}},
-                "known":{known},"settings":{settings}}}"#
+                "known":{initial_list},"settings":{settings}}}"#
         );
         std::fs::write(&config, text).unwrap();
         let child = start_within(&config, sockets);
@@ -386,32 +391,35 @@
     }
 
     /// One with these servers, a counter and discovery that are well.
-    pub fn before(servers: &[SocketAddr]) -> (Gateway, Arc<StandIn>, Arc<StandIn>) {
-        Self::within(servers, 256, SETTINGS)
+    pub fn with_servers(servers: &[SocketAddr]) -> (Gateway, Arc<FakeService>, Arc<FakeService>) {
+        Self::with_sockets(servers, 256, SETTINGS)
     }
 
-    pub fn before_by(
+    pub fn with_settings(
         servers: &[SocketAddr],
         settings: &str,
-    ) -> (Gateway, Arc<StandIn>, Arc<StandIn>) {
-        Self::within(servers, 256, settings)
+    ) -> (Gateway, Arc<FakeService>, Arc<FakeService>) {
+        Self::with_sockets(servers, 256, settings)
     }
 
-    pub fn within(
+    pub fn with_sockets(
         servers: &[SocketAddr],
         sockets: usize,
         settings: &str,
-    ) -> (Gateway, Arc<StandIn>, Arc<StandIn>) {
+    ) -> (Gateway, Arc<FakeService>, Arc<FakeService>) {
         let live: Vec<_> = servers
             .iter()
             .enumerate()
             .map(|(id, &a)| (id, a, "Ready"))
             .collect();
-        let (known, counter) = (list(1, true, &live), StandIn::counter(Mood::Well));
-        let discovery = StandIn::discovery(known.clone(), Mood::Well);
+        let (initial_list, counter) = (
+            endpoint_list(1, true, &live),
+            FakeService::counter(Behavior::Normal),
+        );
+        let discovery = FakeService::discovery(initial_list.clone(), Behavior::Normal);
         (
-            Gateway::of(
-                &known,
+            Gateway::start_ready(
+                &initial_list,
                 discovery.address,
                 counter.address,
                 sockets,
@@ -431,29 +439,29 @@
     }
 
     /// The answer to one message on a connection of its own; None where the connection just ended.
-    pub fn ask(&self, text: &str) -> Option<String> {
+    pub fn send(&self, text: &str) -> Option<String> {
         let mut stream = self.connect()?;
         stream.write_all(text.as_bytes()).ok()?;
-        message(&mut stream)
+        read_message(&mut stream)
     }
 
-    pub fn read(&self) -> String {
-        self.ask(&invocation("GET", "read", 2000, "")).unwrap()
+    pub fn send_read(&self) -> String {
+        self.send(&invocation("GET", "read", 2000, "")).unwrap()
     }
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.as_ref().unwrap().id().to_string();
-        assert!(spawned(Command::new("kill").args([name, &pid]))
+        assert!(spawn_alone(Command::new("kill").args([name, &pid]))
             .wait()
             .unwrap()
             .success());
     }
 
     /// Does this while the process stands still: all that happens meanwhile reaches it in one moment.
-    pub fn paused(&self, act: impl FnOnce()) {
+    pub fn while_stopped(&self, act: impl FnOnce()) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.as_ref().unwrap().id());
-        until("it stands still", || {
+        wait_until("it stands still", || {
             std::fs::read_to_string(&stat).unwrap().contains(") T ")
         });
         act();
@@ -461,16 +469,16 @@
     }
 
     /// A connection that has been answered once and rests.
-    pub fn rested(&self) -> TcpStream {
+    pub fn idle_client(&self) -> TcpStream {
         let mut stream = self.connect().unwrap();
         stream
             .write_all(invocation("GET", "read", 2000, "").as_bytes())
             .unwrap();
-        assert!(message(&mut stream).unwrap().ends_with("served"));
+        assert!(read_message(&mut stream).unwrap().ends_with("served"));
         stream
     }
 
-    pub fn output(&mut self) -> Output {
+    pub fn wait_for_output(&mut self) -> Output {
         self.child.take().unwrap().wait_with_output().unwrap()
     }
 }
@@ -499,7 +507,7 @@
     start_by(Command::new(env!("CARGO_BIN_EXE_dunespur-gateway")), config)
 }
 
-/// The same where the machine lets it hold no more descriptors than it was told.
+/// The same where the machine lets it hold no more descriptors than it was response.
 pub fn start_within(config: &PathBuf, sockets: usize) -> Child {
     let mut command = Command::new("sh");
     command.args([
@@ -511,7 +519,7 @@
 }
 
 fn start_by(mut command: Command, config: &PathBuf) -> Child {
-    spawned(
+    spawn_alone(
         command
             .env("RELAY_CONFIG", config)
             .stdout(Stdio::piped())
@@ -519,9 +527,9 @@
     )
 }
 
-pub fn invocation(method: &str, operation: &str, wait_ms: u32, body: &str) -> String {
-    static LAST: AtomicUsize = AtomicUsize::new(1);
-    let id = LAST.fetch_add(1, Ordering::SeqCst);
+pub fn invocation(method: &str, operation: &str, timeout_ms: u32, body: &str) -> String {
+    static NEXT: AtomicUsize = AtomicUsize::new(1);
+    let id = NEXT.fetch_add(1, Ordering::SeqCst);
     let length = if body.is_empty() {
         String::new()
     } else {
@@ -530,17 +538,17 @@
     format!(
         "{method} /api?n=7 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: {id:016x}\r\n\
          X-Priority-Class: {operation}\r\n\
-         X-Tariff: small\r\nCookie: account=00000000b4d65521\r\nX-Timeout-Ms: {wait_ms}\r\n\
+         X-Tariff: small\r\nCookie: account=00000000b4d65521\r\nX-Timeout-Ms: {timeout_ms}\r\n\
          X-Weight: units=1,spread=1,first=0\r\nIdempotency-Key: 5c0f6e1a\r\n{length}\r\n{body}"
     )
 }
 
-pub fn until(what: &str, holds: impl Fn() -> bool) {
-    let began = Instant::now();
+pub fn wait_until(condition: &str, holds: impl Fn() -> bool) {
+    let started = Instant::now();
     while !holds() {
         assert!(
-            began.elapsed() < Duration::from_secs(8),
-            "not in time: {what}"
+            started.elapsed() < Duration::from_secs(8),
+            "condition not met within 8 s: {condition}"
         );
         sleep(Duration::from_millis(5));
     }
