--- a/crates/gateway/gateway/tests/attempts.rs
+++ b/crates/gateway/gateway/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Deliveries whose connection breaks, comes up late or says too much, over loopback sockets.
+//! Attempts whose connection breaks, connects late or receives surplus bytes, over loopback sockets.
 
 mod common;
 
@@ -10,35 +10,35 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Three effects: each with its operation and whether it may be sent again after it may have run.
+/// The three kinds of operations: method, name, and whether it may be repeated after it may have run.
 const EFFECTS: [(&str, &str, bool); 3] = [
     ("GET", "read", true),
     ("POST", "write", true),
     ("POST", "once", false),
 ];
 
-/// A second copy of an answer comes some milliseconds after it, and would be taken for the answer to the next
-/// delivery if that was written by then. Until then the connection is a resting one, on which bytes end it.
+/// A duplicate response arrives some milliseconds after the response. Were the next request already written, the
+/// duplicate would be taken for its response; on an idle connection, surplus bytes close the connection.
 #[test]
-fn a_connection_rests_between_an_answer_and_the_next_delivery() {
+fn a_connection_stays_idle_between_a_response_and_the_next_attempt() {
     let gaps: Arc<Mutex<Vec<Duration>>> = Arc::default();
     let received = gaps.clone();
     let server = FakeService::start(Behavior::Normal, move |_, mut stream| {
-        let mut answered = None::<Instant>;
+        let mut responded_at = None::<Instant>;
         while read_message(&mut stream).is_some() {
             received
                 .lock()
                 .unwrap()
-                .extend(answered.map(|a| a.elapsed()));
-            // Before it is on its way: this thread may stand still right after.
-            answered = Some(Instant::now());
+                .extend(responded_at.map(|time| time.elapsed()));
+            // Taken before the write, since this thread may be suspended right after it.
+            responded_at = Some(Instant::now());
             _ = stream.write_all(ok_response("served").as_bytes());
         }
     });
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     (0..12).for_each(|_| assert!(gateway.send_read().ends_with("served")));
     let gaps = gaps.lock().unwrap();
-    assert!(gaps.len() > 5, "{gaps:?}: a connection is used again");
+    assert!(gaps.len() > 5, "connections were hardly reused: {gaps:?}");
     assert!(
         gaps.iter().all(|&g| g >= Duration::from_millis(10)),
         "{gaps:?}"
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn a_connection_that_idled_too_long_is_not_used_again_though_no_sweep_came() {
+fn an_expired_connection_is_not_reused_without_a_sweep() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let mut idle_client = gateway.idle_client();
     gateway.while_stopped(|| {
-        // The server would close it after a second; three quarters of that are what it is trusted for.
+        // The server would close the connection after one second; the gateway reuses it for three quarters of that.
         sleep(Duration::from_millis(850));
         idle_client
             .write_all(invocation("GET", "read", 2000, "").as_bytes())
@@ -61,38 +61,39 @@
     assert_eq!(
         server.connections.load(Ordering::SeqCst),
         2,
-        "over a new one"
+        "the expired connection was reused"
     );
 }
 
 #[test]
-fn a_connection_that_idled_too_long_is_not_used_between_two_sweeps() {
-    // Trusted for six seconds of eight; a sweep comes each second from the start on.
+fn an_expired_connection_is_not_reused_between_two_sweeps() {
+    // The gateway reuses the connection for six of eight seconds; a sweep runs every second from the start.
     let settings = SETTINGS.replace("\"keepaliveS\":1.0", "\"keepaliveS\":8.0");
     let server = FakeService::server(Behavior::Normal);
     let started = Instant::now();
     let (gateway, _discovery, _counter) = Gateway::with_settings(&[server.address], &settings);
-    let at =
+    let sleep_until =
         |seconds: f64| sleep(Duration::from_secs_f64(seconds).saturating_sub(started.elapsed()));
-    at(0.2);
+    sleep_until(0.2);
     assert!(gateway.send_read().ends_with("served"));
-    // Six seconds and some after it; the last sweep was a moment too early for it, the next one is to come.
-    at(6.6);
+    // Just over six seconds later: the last sweep was too early to close the connection, and the next one is still to
+    // come.
+    sleep_until(6.6);
     assert_eq!(
         server.closed_connections.load(Ordering::SeqCst),
         0,
-        "no sweep has closed it"
+        "a sweep closed the connection too early"
     );
     assert!(gateway.send_read().ends_with("served"));
     assert_eq!(
         server.connections.load(Ordering::SeqCst),
         2,
-        "over a new one"
+        "the expired connection was reused"
     );
 }
 
 #[test]
-fn a_window_for_repeats_that_ends_while_the_connection_comes_up_is_heeded() {
+fn nothing_is_sent_after_the_repeat_window_ends_during_the_connect() {
     let (listener, backlog_filler) = full_listener();
     let address = listener.local_addr().unwrap();
     let settings = SETTINGS
@@ -103,8 +104,8 @@
         )
         .replace("\"windowS\":2.5", "\"windowS\":0.6");
     assert!(settings.contains("0.6}"));
-    // The first message is reset once the listener is full again; it is full for longer than the window
-    // lasts, then the dial comes up and what comes over it is answered.
+    // Resets the first message once the backlog is full again. The backlog stays full for longer than the repeat
+    // window; then the connection is accepted, and any message on it gets a response.
     let served = spawn(move || {
         drop(listener.accept().unwrap());
         drop(backlog_filler);
@@ -126,17 +127,17 @@
         .unwrap();
     assert!(
         answer.starts_with("HTTP/1.1 502 "),
-        "it may have run: {answer}"
+        "expected 502, since the request may have run: {answer}"
     );
     drop(gateway);
     assert!(
         !served.join().unwrap(),
-        "it is not sent again once the window is over"
+        "the request was sent again after the window"
     );
 }
 
 #[test]
-fn a_server_that_vanishes_in_its_answer_is_followed_only_where_that_is_harmless() {
+fn after_a_reset_within_a_response_only_repeatable_operations_are_retried() {
     let begun = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nser";
     let parts = [
         begun,
@@ -144,16 +145,16 @@
         "HTTP/1.1 200 OK\r\n\r\nserved",
         "HTTP/1.1 200 OK\r\n\r\n",
     ];
-    for (part, (method, operation, again)) in parts
+    for (part, (method, operation, repeatable)) in parts
         .iter()
         .flat_map(|p| EFFECTS.map(|e| (p.to_string(), e)))
     {
-        let server = FakeService::scripted(move |me, _, stream| {
-            if me.received_count() > 1 {
+        let server = FakeService::scripted(move |service, _, stream| {
+            if service.received_count() > 1 {
                 return stream.write_all(ok_response("served").as_bytes()).is_ok();
             }
             stream.write_all(part.as_bytes()).unwrap();
-            // The part is on its way before the reset, which would overtake it here and there.
+            // Waits until the partial response is delivered; the reset might otherwise overtake it.
             sleep(Duration::from_millis(30));
             reset_on_close(stream);
             false
@@ -162,7 +163,7 @@
         let answer = gateway
             .send(&invocation(method, operation, 2000, ""))
             .unwrap();
-        if again {
+        if repeatable {
             assert!(
                 answer.ends_with("served") && server.received_count() == 2,
                 "{operation}: {answer}"
@@ -177,7 +178,7 @@
 }
 
 #[test]
-fn an_answer_without_length_ends_with_its_connection() {
+fn a_response_without_length_ends_with_its_connection() {
     let server = FakeService::scripted(|_, _, stream| {
         _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nser");
         sleep(Duration::from_millis(30));
@@ -199,15 +200,15 @@
 }
 
 #[test]
-fn an_answer_that_never_ends_costs_its_time_and_no_more() {
+fn an_endless_response_is_cut_off_at_the_deadline() {
     let bodies = [
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n",
         "HTTP/1.1 2",
     ];
     for begin in bodies {
-        let server = FakeService::scripted(move |me, _, stream| {
-            if me.behavior() == Behavior::Normal {
+        let server = FakeService::scripted(move |service, _, stream| {
+            if service.behavior() == Behavior::Normal {
                 return stream.write_all(ok_response("served").as_bytes()).is_ok();
             }
             _ = stream.write_all(begin.as_bytes());
@@ -224,20 +225,20 @@
             answer.starts_with("HTTP/1.1 502 ") && started.elapsed() < Duration::from_millis(700)
         );
         assert_eq!(server.received_count(), 1);
-        wait_until("its connection is closed", || {
+        wait_until("the connection is closed", || {
             server.closed_connections.load(Ordering::SeqCst) == 1
         });
         *server.behavior.lock().unwrap() = Behavior::Normal;
-        wait_until("it is used again", || {
+        wait_until("the server is used again", || {
             gateway.send_read().ends_with("served")
         });
     }
 }
 
 #[test]
-fn half_a_line_on_a_resting_connection_ends_that_connection() {
-    let server = FakeService::scripted(|me, _, stream| {
-        let first = me.received_count() == 1;
+fn a_partial_line_on_an_idle_connection_closes_it() {
+    let server = FakeService::scripted(|service, _, stream| {
+        let first = service.received_count() == 1;
         _ = stream.write_all(ok_response("served").as_bytes());
         if first {
             sleep(Duration::from_millis(30));
@@ -247,7 +248,7 @@
     });
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     assert!(gateway.send_read().ends_with("served"));
-    wait_until("it is closed", || {
+    wait_until("the connection is closed", || {
         server.closed_connections.load(Ordering::SeqCst) == 1
     });
     assert!(gateway.send_read().ends_with("served"));
@@ -261,23 +262,25 @@
 }
 
 #[test]
-fn a_connection_that_ends_in_the_moment_of_its_use_costs_no_attempt() {
-    let server = FakeService::scripted(|me, _, stream| {
+fn a_connection_that_closes_as_it_is_reused_costs_no_attempt() {
+    let server = FakeService::scripted(|service, _, stream| {
         _ = stream.write_all(ok_response("served").as_bytes());
-        if me.received_count() == 1 {
-            wait_until("it stands still", || me.behavior() == Behavior::Slow);
+        if service.received_count() == 1 {
+            wait_until("the gateway is stopped", || {
+                service.behavior() == Behavior::Slow
+            });
         }
-        me.received_count() > 1
+        service.received_count() > 1
     });
     let settings = SETTINGS.replace("\"keepaliveS\":1.0", "\"keepaliveS\":10.0");
     let (mut gateway, _discovery, _counter) = Gateway::with_settings(&[server.address], &settings);
     let mut idle_client = gateway.idle_client();
     gateway.while_stopped(|| {
         *server.behavior.lock().unwrap() = Behavior::Slow;
-        wait_until("the connection has ended", || {
+        wait_until("the server has closed the connection", || {
             server.closed_connections.load(Ordering::SeqCst) == 1
         });
-        // A busy machine passes the end on a little later.
+        // A busy machine may deliver the end of the stream a little later.
         sleep(Duration::from_millis(50));
         idle_client
             .write_all(invocation("POST", "once", 2000, "").as_bytes())
@@ -294,14 +297,16 @@
 }
 
 #[test]
-fn bytes_that_came_while_it_stood_still_spoil_no_answer() {
-    // Half a line and the next message reach it in the same moment.
-    let server: Arc<FakeService> = FakeService::scripted(|me, _, stream| {
+fn surplus_bytes_received_while_stopped_are_not_taken_for_a_response() {
+    // The surplus response and the next request reach the gateway at the same moment.
+    let server: Arc<FakeService> = FakeService::scripted(|service, _, stream| {
         _ = stream.write_all(ok_response("served").as_bytes());
-        if me.received_count() == 1 {
-            wait_until("it stands still", || me.behavior() == Behavior::Slow);
-            _ = stream.write_all(ok_response("spoilt").as_bytes());
-            *me.behavior.lock().unwrap() = Behavior::Normal;
+        if service.received_count() == 1 {
+            wait_until("the gateway is stopped", || {
+                service.behavior() == Behavior::Slow
+            });
+            _ = stream.write_all(ok_response("surplus").as_bytes());
+            *service.behavior.lock().unwrap() = Behavior::Normal;
         }
         true
     });
@@ -310,7 +315,7 @@
     let mut idle_client = gateway.idle_client();
     gateway.while_stopped(|| {
         *server.behavior.lock().unwrap() = Behavior::Slow;
-        wait_until("the bytes are there", || {
+        wait_until("the surplus bytes are sent", || {
             server.behavior() == Behavior::Normal
         });
         idle_client
--- a/crates/gateway/gateway/tests/bytes.rs
+++ b/crates/gateway/gateway/tests/bytes.rs
@@ -1,5 +1,5 @@
-//! The bytes of the messages by which limiters do the duties' work, against a file written before the names
-//! changed. The encoding goes by position and order: a moved variant breaks a fleet that runs two versions.
+//! Compares the encoding of work messages between limiters with a stored file. The encoding depends on the order of
+//! variants and fields: a moved variant would break a fleet that runs two versions.
 
 use dunespur_gateway::Work;
 use dunespur_quota_sharing as quota_sharing;
@@ -8,12 +8,12 @@
 fn decode_hex(text: &str) -> Vec<u8> {
     (0..text.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .map(|offset| u8::from_str_radix(&text[offset..offset + 2], 16).unwrap())
         .collect()
 }
 
 #[test]
-fn messages_of_the_duties_work_keep_their_bytes() {
+fn work_messages_keep_their_encoding() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/work.hex");
     let text = std::fs::read_to_string(path).unwrap();
     let usages = vec![audit::Usage {
@@ -23,7 +23,7 @@
         least_unknown: -2.5,
         most_unknown: 3.5,
     }];
-    let told = quota_sharing::Message::Response {
+    let lease_response = quota_sharing::Message::Response {
         slot: 401,
         token: 402,
         run: 403,
@@ -52,43 +52,43 @@
                 message: audit::Message::Usages { run: 304, usages },
             },
         ),
-        ("lend", Work::Lend(told)),
+        ("lend", Work::Lend(lease_response)),
     ];
-    let mut written = String::new();
+    let mut encoded = String::new();
     for (label, value) in &values {
         let hex: String = postcard::to_stdvec(value)
             .unwrap()
             .iter()
             .map(|byte| format!("{byte:02x}"))
             .collect();
-        written.push_str(&format!("{label} {hex}\n"));
+        encoded.push_str(&format!("{label} {hex}\n"));
     }
-    assert_eq!(written, text);
+    assert_eq!(encoded, text);
 
-    let read: Vec<Work> = text
+    let decoded: Vec<Work> = text
         .lines()
         .map(|line| postcard::from_bytes(&decode_hex(line.split_once(' ').unwrap().1)).unwrap())
         .collect();
     assert!(matches!(
-        read[0],
+        decoded[0],
         Work::Effect {
             slot: 101,
             token: 102
         }
     ));
     assert!(matches!(
-        &read[1],
+        &decoded[1],
         Work::Probe(health_check::Message::Complaint { failures: 201, .. })
     ));
     assert!(matches!(
-        &read[2],
+        &decoded[2],
         Work::Audit {
             slot: 303,
             message: audit::Message::Usages { run: 304, .. }
         }
     ));
     assert!(matches!(
-        &read[3],
+        &decoded[3],
         Work::Lend(quota_sharing::Message::Response {
             slot: 401,
             token: 402,
--- a/crates/gateway/gateway/tests/clients.rs
+++ b/crates/gateway/gateway/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, flood or fill the descriptors, over loopback sockets.
+//! Clients that disconnect, flood the gateway or use up its descriptors, over loopback sockets.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-fn sent(gateway: &Gateway, operation: &str, timeout_ms: u32) -> TcpStream {
+fn send_request(gateway: &Gateway, operation: &str, timeout_ms: u32) -> TcpStream {
     let mut stream = gateway.connect().unwrap();
     stream
         .write_all(invocation("GET", operation, timeout_ms, "").as_bytes())
@@ -18,48 +18,48 @@
 }
 
 #[test]
-fn a_client_that_sent_more_and_left_is_seen_to_have_gone() {
+fn a_client_that_disconnects_after_extra_input_is_detected() {
     let server = FakeService::server(Behavior::Silent);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
-    // A few bytes, a whole message more, more than any message may hold, much more.
+    // A few bytes, a complete message, more than a message may hold, and far more.
     let whole = invocation("GET", "read", 2000, "");
     let floods = [300_000, 5_000_000].map(|bytes| "x".repeat(bytes));
     for (at, more) in ["GET", &whole, &floods[0], &floods[1]].iter().enumerate() {
-        let mut stream = sent(&gateway, "once", 2000);
-        wait_until("the delivery has come", || {
+        let mut stream = send_request(&gateway, "once", 2000);
+        wait_until("the attempt has arrived", || {
             server.received_count() == at + 1
         });
         stream.write_all(more.as_bytes()).unwrap();
-        // What came has been read by then, so that only the end is new.
+        // The gateway has read the input by now, so that only the end of the stream is new.
         sleep(Duration::from_millis(50));
-        let left = Instant::now();
+        let disconnected_at = Instant::now();
         drop(stream);
-        wait_until("its connection is closed", || {
+        wait_until("the connection to the server is closed", || {
             server.closed_connections.load(Ordering::SeqCst) == at + 1
         });
         assert!(
-            left.elapsed() < Duration::from_millis(500),
-            "at once, not by a time-out"
+            disconnected_at.elapsed() < Duration::from_millis(500),
+            "detected at once, not by a timeout"
         );
         assert_eq!(
             server.received_count(),
             at + 1,
-            "nothing that came behind it is sent on"
+            "extra input is not forwarded"
         );
     }
 }
 
 #[test]
-fn who_floods_behind_a_message_without_end_has_gone() {
+fn a_client_that_floods_during_an_invocation_counts_as_disconnected() {
     let server = FakeService::server(Behavior::Silent);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
-    let mut stream = sent(&gateway, "once", 8000);
-    wait_until("the delivery has come", || server.received_count() == 1);
+    let mut stream = send_request(&gateway, "once", 8000);
+    wait_until("the attempt has arrived", || server.received_count() == 1);
     let writes = (0..2000)
         .take_while(|_| stream.write_all(&[b'x'; 65536]).is_ok())
         .count();
-    assert!(writes < 2000, "130 MB are not read");
-    wait_until("the delivery is given up", || {
+    assert!(writes < 2000, "the gateway read 130 MB of input");
+    wait_until("the attempt is cancelled", || {
         server.closed_connections.load(Ordering::SeqCst) == 1
     });
     *server.behavior.lock().unwrap() = Behavior::Normal;
@@ -67,14 +67,15 @@
 }
 
 #[test]
-fn a_message_that_becomes_whole_as_it_is_to_be_cut_is_answered_and_so_is_the_next() {
+fn a_message_completed_just_as_it_times_out_is_answered_and_so_is_the_next() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let mut client = gateway.idle_client();
     let text = invocation("GET", "read", 2000, "");
     client.write_all(&text.as_bytes()[..40]).unwrap();
     sleep(Duration::from_millis(1700));
-    // Its two seconds pass, the rest of it comes, and a sweep is due: all in one moment.
+    // While the gateway is stopped, the message timeout passes, the rest of the message arrives and a sweep becomes
+    // due.
     gateway.while_stopped(|| {
         client.write_all(&text.as_bytes()[40..]).unwrap();
         sleep(Duration::from_millis(700));
@@ -91,36 +92,36 @@
 }
 
 #[test]
-fn a_client_that_resets_or_ends_its_sending_has_gone() {
+fn a_client_that_resets_or_shuts_down_its_write_side_is_disconnected() {
     let server = FakeService::server(Behavior::Silent);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     for at in 0..2 {
-        let stream = sent(&gateway, "once", 2000);
-        wait_until("the delivery has come", || {
+        let stream = send_request(&gateway, "once", 2000);
+        wait_until("the attempt has arrived", || {
             server.received_count() == at + 1
         });
-        let left = Instant::now();
+        let disconnected_at = Instant::now();
         if at == 0 {
             reset_on_close(&stream);
             drop(stream);
         } else {
             stream.shutdown(std::net::Shutdown::Write).unwrap();
         }
-        wait_until("its connection is closed", || {
+        wait_until("the connection to the server is closed", || {
             server.closed_connections.load(Ordering::SeqCst) == at + 1
         });
         assert!(
-            left.elapsed() < Duration::from_millis(500),
-            "at once, not by a time-out"
+            disconnected_at.elapsed() < Duration::from_millis(500),
+            "detected at once, not by a timeout"
         );
     }
 }
 
 #[test]
-fn one_that_left_before_its_message_was_looked_at_is_not_sent_on() {
+fn a_request_is_not_forwarded_if_its_client_left_before_it_was_read() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
-    // A new connection to the server and one that is there already.
+    // Once with a new connection to the server, once with an existing one.
     for received in [0, 1] {
         let mut idle_client = if received > 0 {
             gateway.idle_client()
@@ -132,46 +133,46 @@
                 .write_all(invocation("GET", "read", 2000, "").as_bytes())
                 .unwrap();
             drop(idle_client);
-            drop(sent(&gateway, "read", 2000));
+            drop(send_request(&gateway, "read", 2000));
         });
         sleep(Duration::from_millis(300));
         assert_eq!(
             server.received_count(),
             received,
-            "of those whose clients have gone none is sent on"
+            "a request of a disconnected client was forwarded"
         );
     }
     assert!(gateway.send_read().ends_with("served"));
 }
 
 #[test]
-fn none_is_sent_on_whose_client_left_while_the_counter_was_asked() {
+fn a_request_is_not_forwarded_if_its_client_left_during_the_counter_call() {
     let (server, slow) = (
         FakeService::server(Behavior::Normal),
         SETTINGS.replace("0.01,", "0.5,"),
     );
     let (gateway, _discovery, counter) = Gateway::with_settings(&[server.address], &slow);
     *counter.behavior.lock().unwrap() = Behavior::Silent;
-    let stream = sent(&gateway, "read", 2000);
-    wait_until("the counter is asked", || counter.received_count() == 1);
+    let stream = send_request(&gateway, "read", 2000);
+    wait_until("the counter is called", || counter.received_count() == 1);
     drop(stream);
     sleep(Duration::from_millis(900));
     assert_eq!(
         server.received_count(),
         0,
-        "its client had gone when the call's time was up"
+        "forwarded although the client left before the counter call timed out"
     );
 }
 
 #[test]
-fn none_is_sent_on_whose_client_left_while_the_connection_came_up() {
+fn a_request_is_not_forwarded_if_its_client_left_during_the_connect() {
     let (listener, backlog_filler) = full_listener();
     let address = listener.local_addr().unwrap();
     let (gateway, _discovery, counter) = Gateway::with_settings(
         &[address],
         &SETTINGS.replace("\"dialTimeoutS\":0.25", "\"dialTimeoutS\":3"),
     );
-    let stream = sent(&gateway, "once", 2000);
+    let stream = send_request(&gateway, "once", 2000);
     wait_until("its units are leased", || counter.received_count() > 0);
     sleep(Duration::from_millis(100));
     drop(stream);
@@ -185,13 +186,13 @@
     assert_eq!(
         server.received_count(),
         0,
-        "the connection that came up late carried nothing"
+        "an attempt was sent over the late connection"
     );
 }
 
 #[test]
-fn no_further_delivery_follows_a_reset_when_the_client_has_gone_by_then() {
-    // The first message is held until the test resets it, all others are answered.
+fn no_attempt_follows_a_reset_if_the_client_has_disconnected() {
+    // The server holds the first message until the test resets it, and responds to all others.
     let (reset_sender, reset_receiver) = std::sync::mpsc::channel::<()>();
     let reset_receiver = std::sync::Mutex::new(reset_receiver);
     let server = FakeService::scripted(move |me, _, stream| {
@@ -204,13 +205,13 @@
     });
     let settings = SETTINGS.replace("\"keepaliveS\":1.0", "\"keepaliveS\":10.0");
     let (gateway, _discovery, _counter) = Gateway::with_settings(&[server.address], &settings);
-    let stream = sent(&gateway, "read", 2000);
-    wait_until("the delivery has come", || server.received_count() == 1);
-    // Another connection stands ready, so that nothing delays the next delivery.
+    let stream = send_request(&gateway, "read", 2000);
+    wait_until("the attempt has arrived", || server.received_count() == 1);
+    // An idle connection to the server is available, so that nothing delays the next attempt.
     assert!(gateway.send_read().ends_with("served"));
     gateway.while_stopped(|| {
         reset_sender.send(()).unwrap();
-        wait_until("it is reset", || {
+        wait_until("the connection is reset", || {
             server.closed_connections.load(Ordering::SeqCst) == 1
         });
         drop(stream);
@@ -219,16 +220,20 @@
     assert_eq!(
         server.received_count(),
         2,
-        "the one that had gone was not sent again"
+        "the request of the disconnected client was sent again"
     );
 }
 
 #[test]
-fn hundreds_that_leave_at_once_leave_nothing_behind() {
+fn hundreds_of_simultaneous_disconnects_leave_no_attempts() {
     let server = FakeService::server(Behavior::Silent);
     let (gateway, _discovery, _counter) = Gateway::with_sockets(&[server.address], 1024, SETTINGS);
-    let streams: Vec<_> = (0..300).map(|_| sent(&gateway, "read", 4000)).collect();
-    wait_until("some are out", || server.received_count() > 0);
+    let streams: Vec<_> = (0..300)
+        .map(|_| send_request(&gateway, "read", 4000))
+        .collect();
+    wait_until("some attempts are in flight", || {
+        server.received_count() > 0
+    });
     sleep(Duration::from_millis(100));
     drop(streams);
     sleep(Duration::from_millis(100));
@@ -236,21 +241,21 @@
         server.received_count(),
         server.connections.load(Ordering::SeqCst),
     );
-    wait_until("all deliveries end", || {
+    wait_until("all attempts end", || {
         server.closed_connections.load(Ordering::SeqCst) == open
     });
     sleep(Duration::from_millis(700));
     assert_eq!(
         server.received_count(),
         received,
-        "nothing is sent for who has gone"
+        "an attempt was sent for a disconnected client"
     );
     *server.behavior.lock().unwrap() = Behavior::Normal;
     assert!(gateway.send_read().ends_with("served"));
 }
 
 #[test]
-fn a_flood_without_a_message_ends_its_connection_only() {
+fn a_flood_without_a_message_ends_only_its_connection() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let mut flood = gateway.connect().unwrap();
@@ -260,7 +265,7 @@
         .count();
     assert!(
         writes < 200 || flood.read(&mut [0; 16]).is_ok_and(|n| n < 16),
-        "13 MB are not read"
+        "the gateway read 13 MB of input"
     );
     assert!(started.elapsed() < Duration::from_secs(5));
     assert!(gateway.send_read().ends_with("served"));
@@ -269,14 +274,14 @@
 
 #[test]
 fn descriptors_full_of_idle_clients_leave_room_for_discovery_servers_and_the_counter() {
-    let (kept, drains) = (
+    let (stays, drains) = (
         FakeService::server(Behavior::Normal),
         FakeService::server(Behavior::Normal),
     );
     let initial_list = endpoint_list(
         1,
         true,
-        &[(0, kept.address, "Ready"), (1, drains.address, "Ready")],
+        &[(0, stays.address, "Ready"), (1, drains.address, "Ready")],
     );
     let (discovery, counter) = (
         FakeService::discovery(initial_list.clone(), Behavior::Silent),
@@ -285,27 +290,33 @@
     let mut gateway =
         Gateway::with_discovery(&initial_list, discovery.address, counter.address, 64);
     let mut clients = Vec::new();
-    // Twice as many as there are descriptors, each rests after an answer or before its first message.
+    // Twice as many clients as descriptors; each is idle after a response or before its first message.
     for at in 0..64 {
         clients.push(gateway.idle_client());
         clients.extend(gateway.connect().filter(|_| at % 2 == 0));
     }
     assert!(
         gateway.send_read().ends_with("served"),
-        "while discovery is silent"
+        "not served while discovery is silent"
     );
     discovery.list_lines.lock().unwrap()[0] =
         endpoint_list(2, false, &[(1, drains.address, "Terminating")]);
-    let asked = discovery.received_count();
+    let watches = discovery.received_count();
     *discovery.behavior.lock().unwrap() = Behavior::Normal;
-    wait_until("it is watched again", || discovery.received_count() > asked);
+    wait_until("the list is watched again", || {
+        discovery.received_count() > watches
+    });
     sleep(Duration::from_millis(100));
     let (before, calls) = (drains.received_count(), counter.received_count());
     let other =
         |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
     (0..20).for_each(|n| assert!(gateway.send(&other(n)).unwrap().ends_with("served")));
-    assert_eq!(drains.received_count(), before, "the drain is heeded");
-    assert!(counter.received_count() > calls, "the counter is asked");
+    assert_eq!(
+        drains.received_count(),
+        before,
+        "a draining server got a request"
+    );
+    assert!(counter.received_count() > calls, "the counter is called");
     gateway.signal("-KILL");
     let stderr = String::from_utf8_lossy(&gateway.wait_for_output().stderr).into_owned();
     assert!(!stderr.contains("Too many open files"), "{stderr}");
@@ -313,7 +324,7 @@
 }
 
 #[test]
-fn a_connection_that_makes_room_ends_in_order_and_takes_nothing_more() {
+fn an_evicted_connection_ends_without_reset_and_accepts_nothing_more() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_sockets(&[server.address], 32, SETTINGS);
     let mut clients: Vec<_> = (0..60).map(|_| gateway.idle_client()).collect();
@@ -325,23 +336,27 @@
         let mut response = Vec::new();
         assert!(
             client.read_to_end(&mut response).is_ok() && response.is_empty(),
-            "an end, no reset"
+            "the connection ended with a reset or with data"
         );
         let before = server.received_count();
         _ = client.write_all(invocation("GET", "read", 2000, "").as_bytes());
         assert!(
             !client.read(&mut [0; 64]).is_ok_and(|n| n > 0),
-            "nothing is answered after the end"
+            "a response after the end of the connection"
+        );
+        assert_eq!(
+            server.received_count(),
+            before,
+            "a request after the end of the connection was forwarded"
         );
-        assert_eq!(server.received_count(), before, "nor sent on");
         ended += 1;
     }
-    assert_eq!(ended, 30, "the oldest went first");
+    assert_eq!(ended, 30, "the oldest connections were not closed first");
     assert!(gateway.send_read().ends_with("served"));
 }
 
 #[test]
-fn large_bodies_of_many_clients_stay_within_the_memory_there_is() {
+fn large_bodies_of_many_clients_stay_within_the_memory_limit() {
     let server = FakeService::server(Behavior::Silent);
     let (gateway, _discovery, _counter) = Gateway::with_sockets(&[server.address], 1024, SETTINGS);
     let body = "x".repeat(60_000);
@@ -350,7 +365,7 @@
     for at in 0..500 {
         let text = invocation("POST", "write", 1500, &body);
         let mut client = gateway.connect().unwrap();
-        // Half of them send all, half of them never send the end.
+        // Half of the clients send everything, the other half omit the last byte.
         _ = client.write_all(&text.as_bytes()[..text.len() - at % 2]);
         clients.push(client);
     }
@@ -362,7 +377,7 @@
         "/proc/{}/status",
         gateway.child.as_ref().unwrap().id()
     ));
-    let most: usize = status
+    let peak_kb: usize = status
         .unwrap()
         .lines()
         .find_map(|l| {
@@ -373,11 +388,14 @@
                 .ok()
         })
         .unwrap();
-    assert!(most < 32 * 1024, "{most} kB of 32 MB");
-    assert!(refused > 100, "{refused} were response to come again");
+    assert!(
+        peak_kb < 32 * 1024,
+        "peak memory {peak_kb} kB exceeds 32 MB"
+    );
+    assert!(refused > 100, "only {refused} requests got a 503");
     drop(clients);
     *server.behavior.lock().unwrap() = Behavior::Normal;
-    wait_until("there is room again", || {
+    wait_until("body memory is free again", || {
         gateway
             .send(&invocation("POST", "write", 1500, &body))
             .is_some_and(|a| a.ends_with("served"))
--- a/crates/gateway/gateway/tests/common/mod.rs
+++ b/crates/gateway/gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests on sockets share: the program, started with its own configuration, and small stand-ins for
-//! servers, the counter and discovery. They follow the published protocol and do only what a test tells them.
+//! Shared by the socket tests: starts the gateway with its own configuration, and fakes servers, the counter and
+//! discovery. The fakes follow the published protocol and behave as a test tells them.
 
 #![allow(dead_code)]
 
@@ -12,39 +12,39 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// What a stand-in does with what reaches it.
+/// How a fake service reacts to requests.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Behavior {
     Normal,
-    /// Takes everything, answers nothing.
+    /// Reads requests and never responds.
     Silent,
-    /// Answers well, after a while.
+    /// Responds normally after a delay.
     Slow,
-    /// Reads one whole message, then resets.
+    /// Reads one complete message, then resets the connection.
     ReadThenReset,
-    /// Turns away: it never ran.
+    /// Responds that the request was not processed.
     Overloaded,
-    /// Answers with an error of its own.
+    /// Responds with an application error.
     ServerError,
-    /// Counts the call, then resets without an answer.
+    /// Counts the call, then closes the connection without a reply.
     CountThenReset,
-    /// Answers calls on the first name it saw late and with no number, all others well.
+    /// Sends a late, non-numeric reply to calls on the first name received; replies normally to all others.
     CorruptFirstName,
 }
 
 pub struct FakeService {
     pub address: SocketAddr,
     pub behavior: Arc<Mutex<Behavior>>,
-    /// What came in whole, each as text.
+    /// Complete messages received, as text.
     pub received: Arc<Mutex<Vec<String>>>,
     pub connections: Arc<AtomicUsize>,
-    /// Connections that the other side has ended.
+    /// Connections that have ended.
     pub closed_connections: Arc<AtomicUsize>,
-    /// Lines for the watches.
+    /// Lists to send on watches, one per line.
     pub list_lines: Arc<Mutex<Vec<String>>>,
 }
 
-/// One HTTP message: everything up to the end of its body.
+/// Reads one HTTP message including its body; `None` at the end of the stream.
 pub fn read_message(stream: &mut TcpStream) -> Option<String> {
     let (mut bytes, mut byte) = (Vec::new(), [0]);
     while !bytes.ends_with(b"\r\n\r\n") {
@@ -64,19 +64,19 @@
     Some(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// Closing with unread input makes the kernel send a reset.
+/// Closes the connection; with unread input the kernel sends a reset.
 pub fn reset(stream: TcpStream) {
     drop(stream);
 }
 
-/// From now on this connection's end is a reset.
+/// Makes the kernel send a reset when the connection is closed.
 pub fn reset_on_close(stream: &TcpStream) {
     socket2::SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
 }
 
-/// A 200 with this body.
+/// A 200 response with this body.
 pub fn ok_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -84,14 +84,15 @@
     )
 }
 
-/// The id that a message carries.
+/// The request id in a message.
 pub fn request_id(message: &str) -> &str {
     let at = message.to_ascii_lowercase().find("x-request-id: ").unwrap() + "x-request-id: ".len();
     message[at..].split('\r').next().unwrap()
 }
 
-/// A listener that no further connection reaches until one is accepted: the machine lets a dial wait, and it
-/// comes up with its next try, a second later. The connection that fills it comes with it.
+/// A listener whose backlog is full. The kernel drops further connection attempts until one connection is accepted; a
+/// waiting client then connects with its next retry, a second later. Also returns the connection that fills the
+/// backlog.
 pub fn full_listener() -> (TcpListener, TcpStream) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket
@@ -139,13 +140,13 @@
     }
 
     pub fn server(behavior: Behavior) -> Arc<FakeService> {
-        Self::start(behavior, |me, mut stream| {
+        Self::start(behavior, |service, mut stream| {
             while let Some(message) = read_message(&mut stream) {
-                me.received.lock().unwrap().push(message);
-                if me.behavior() == Behavior::Slow {
+                service.received.lock().unwrap().push(message);
+                if service.behavior() == Behavior::Slow {
                     sleep(Duration::from_millis(300));
                 }
-                let answer = match me.behavior() {
+                let response = match service.behavior() {
                     Behavior::Normal | Behavior::Slow => {
                         "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nX-Allowance-Used: 40\r\n\r\nserved"
                     }
@@ -156,21 +157,21 @@
                     Behavior::Silent => continue,
                     _ => return reset(stream),
                 };
-                if stream.write_all(answer.as_bytes()).is_err() {
+                if stream.write_all(response.as_bytes()).is_err() {
                     return;
                 }
             }
         })
     }
 
-    /// A server that does with each message what the test says, until that says false.
+    /// A server that runs `script` for each message and ends the connection when it returns false.
     pub fn scripted(
         script: impl Fn(&FakeService, &str, &mut TcpStream) -> bool + Send + Sync + 'static,
     ) -> Arc<FakeService> {
-        Self::start(Behavior::Normal, move |me, mut stream| {
+        Self::start(Behavior::Normal, move |service, mut stream| {
             while let Some(message) = read_message(&mut stream) {
-                me.received.lock().unwrap().push(message.clone());
-                if !script(me, &message, &mut stream) {
+                service.received.lock().unwrap().push(message.clone());
+                if !script(service, &message, &mut stream) {
                     return;
                 }
             }
@@ -178,9 +179,9 @@
     }
 
     pub fn counter(behavior: Behavior) -> Arc<FakeService> {
-        Self::start(behavior, |me, mut stream| {
+        Self::start(behavior, |service, mut stream| {
             let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
-            let mut mute = false;
+            let mut stay_silent = false;
             let mut line = || {
                 let mut line = String::new();
                 std::io::BufRead::read_line(&mut reader, &mut line)
@@ -193,26 +194,29 @@
                 let call: Option<Vec<String>> =
                     (0..parts).map(|_| line().and_then(|_| line())).collect();
                 let Some(call) = call else { return };
-                let mut received = me.received.lock().unwrap();
+                let mut received = service.received.lock().unwrap();
                 received.push(call.join(" "));
-                let added = |c: &String| c.split(' ').nth(1) == Some(call[1].as_str());
-                let amount = |c: &String| c.split(' ').nth(2).unwrap().parse::<f64>().unwrap();
-                let first = added(&received[0]);
-                let total: f64 = received.iter().filter(|c| added(c)).map(amount).sum();
+                let same_name =
+                    |call_text: &String| call_text.split(' ').nth(1) == Some(call[1].as_str());
+                let units = |call_text: &String| {
+                    call_text.split(' ').nth(2).unwrap().parse::<f64>().unwrap()
+                };
+                let is_first_name = same_name(&received[0]);
+                let total: f64 = received.iter().filter(|c| same_name(c)).map(units).sum();
                 drop(received);
                 let total = format!("{total}");
-                // Answers come in order, so a connection that left one out stays silent.
-                mute |= me.behavior() == Behavior::Silent;
-                match me.behavior() {
-                    _ if mute => {}
+                // Replies are in order, so a connection that skipped one stays silent.
+                stay_silent |= service.behavior() == Behavior::Silent;
+                match service.behavior() {
+                    _ if stay_silent => {}
                     Behavior::Normal => {
                         _ = stream.write_all(format!("${}\r\n{total}\r\n", total.len()).as_bytes())
                     }
                     Behavior::Overloaded => _ = stream.write_all(b"-BUSY crowded\r\n"),
-                    Behavior::CorruptFirstName if first => {
+                    Behavior::CorruptFirstName if is_first_name => {
                         sleep(Duration::from_millis(300));
                         _ = stream.write_all(b"$3\r\n?!?\r\n");
-                        mute = true;
+                        stay_silent = true;
                     }
                     Behavior::CorruptFirstName => {
                         _ = stream.write_all(format!("${}\r\n{total}\r\n", total.len()).as_bytes());
@@ -225,18 +229,18 @@
     }
 
     pub fn discovery(list: String, behavior: Behavior) -> Arc<FakeService> {
-        let discovery = Self::start(behavior, |me, mut stream| {
-            let Some(asked) = read_message(&mut stream) else {
+        let discovery = Self::start(behavior, |service, mut stream| {
+            let Some(request) = read_message(&mut stream) else {
                 return;
             };
-            me.received.lock().unwrap().push(asked);
-            if me.behavior() == Behavior::Silent {
+            service.received.lock().unwrap().push(request);
+            if service.behavior() == Behavior::Silent {
                 return sleep(Duration::from_secs(60));
             }
             _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             let mut sent_lines = 0;
             loop {
-                let lines = me.list_lines.lock().unwrap()[sent_lines..].to_vec();
+                let lines = service.list_lines.lock().unwrap()[sent_lines..].to_vec();
                 sent_lines += lines.len();
                 for line in lines
                     .iter()
@@ -276,7 +280,7 @@
                 "phase":"{phase}","size":1,"up_since_ms":0}}"#
         )
     };
-    // A watch holds each list on one line.
+    // A list is sent on one line.
     let members: Vec<_> = servers
         .iter()
         .map(|m| member(m).replace('\n', ""))
@@ -287,8 +291,8 @@
     )
 }
 
-/// Held while a program is started: until that has begun to run it holds all that this process has open, and an
-/// address or a connection that is closed meanwhile is not.
+/// Serializes process starts and binds. Between fork and exec a child process holds every descriptor of this process,
+/// so addresses and connections closed meanwhile would stay open.
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 pub fn spawn_alone(command: &mut Command) -> Child {
@@ -296,7 +300,7 @@
     command.spawn().unwrap()
 }
 
-/// On a loopback address of its own, so that nothing else on the machine takes the port meanwhile.
+/// Returns a free port on a loopback address of its own, so that no other process takes the port.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let _lock = SPAWN_LOCK.lock();
@@ -319,7 +323,7 @@
  "limits":{"maxRetryAfterS":0.5,"retryAfter":true,"tryLimit":6,"dialTimeoutS":0.25,"keepaliveS":1.0},
  "rules":{"coldFrom":0.2,"coldS":10,"fallMultiple":4,"answerSlackS":0.016},"slotNo":0,"zone":"a"}"#;
 
-/// The program, ended with its test.
+/// The gateway process, killed when the test ends.
 pub struct Gateway {
     pub child: Option<Child>,
     pub address: SocketAddr,
@@ -353,14 +357,14 @@
                 gateway.signal("-KILL");
                 let stderr =
                     String::from_utf8_lossy(&gateway.wait_for_output().stderr).into_owned();
-                panic!("the gateway was never ready: {stderr}");
+                panic!("the gateway was not ready within 10 s: {stderr}");
             }
             sleep(Duration::from_millis(10));
         }
         gateway
     }
 
-    /// One that may not listen yet.
+    /// Starts a gateway without waiting until it is ready.
     pub fn start(
         initial_list: &str,
         discovery: SocketAddr,
@@ -390,7 +394,7 @@
         }
     }
 
-    /// One with these servers, a counter and discovery that are well.
+    /// Starts a gateway with these servers and with a normally behaving counter and discovery.
     pub fn with_servers(servers: &[SocketAddr]) -> (Gateway, Arc<FakeService>, Arc<FakeService>) {
         Self::with_sockets(servers, 256, SETTINGS)
     }
@@ -438,7 +442,7 @@
         Some(stream)
     }
 
-    /// The answer to one message on a connection of its own; None where the connection just ended.
+    /// Sends one message on its own connection and returns the response; `None` if the connection ended without one.
     pub fn send(&self, text: &str) -> Option<String> {
         let mut stream = self.connect()?;
         stream.write_all(text.as_bytes()).ok()?;
@@ -457,18 +461,19 @@
             .success());
     }
 
-    /// Does this while the process stands still: all that happens meanwhile reaches it in one moment.
-    pub fn while_stopped(&self, act: impl FnOnce()) {
+    /// Runs `action` while the gateway is stopped by SIGSTOP, so that everything that happens meanwhile reaches it at
+    /// once.
+    pub fn while_stopped(&self, action: impl FnOnce()) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.as_ref().unwrap().id());
-        wait_until("it stands still", || {
+        wait_until("the gateway is stopped", || {
             std::fs::read_to_string(&stat).unwrap().contains(") T ")
         });
-        act();
+        action();
         self.signal("-CONT");
     }
 
-    /// A connection that has been answered once and rests.
+    /// An idle client connection that has received one response.
     pub fn idle_client(&self) -> TcpStream {
         let mut stream = self.connect().unwrap();
         stream
@@ -489,7 +494,7 @@
             let ended = child.try_wait().unwrap();
             assert!(
                 std::thread::panicking() || ended.is_none(),
-                "the gateway ended by itself"
+                "the gateway exited before its test ended"
             );
             _ = child.kill();
             match child.wait_with_output() {
@@ -507,7 +512,7 @@
     start_by(Command::new(env!("CARGO_BIN_EXE_dunespur-gateway")), config)
 }
 
-/// The same where the machine lets it hold no more descriptors than it was response.
+/// Starts the gateway with a limit on its file descriptors.
 pub fn start_within(config: &PathBuf, sockets: usize) -> Child {
     let mut command = Command::new("sh");
     command.args([
--- a/crates/gateway/gateway/tests/shutdown.rs
+++ b/crates/gateway/gateway/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! What happens between SIGTERM and the exit, and at the start, over loopback sockets.
+//! Shutdown after SIGTERM, and signals during the start, over loopback sockets.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Serves what comes with GET and is silent on all else.
+/// A server that responds to GET requests and never to others.
 fn answers_only_gets() -> Arc<FakeService> {
     FakeService::scripted(|_, message, stream| {
         !message.starts_with("GET") || stream.write_all(ok_response("served").as_bytes()).is_ok()
@@ -24,52 +24,54 @@
     stream
         .write_all(invocation("POST", "once", 2000, "").as_bytes())
         .unwrap();
-    wait_until("it is out", || server.received_count() > before);
+    wait_until("the attempt has arrived", || {
+        server.received_count() > before
+    });
     stream
 }
 
 #[test]
-fn idle_connections_to_servers_are_closed_in_time_while_it_leaves() {
+fn idle_server_connections_are_closed_in_time_during_the_shutdown() {
     let server = answers_only_gets();
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
-    let _held = send_unanswered_post(&gateway, &server);
+    let _unanswered = send_unanswered_post(&gateway, &server);
     assert!(gateway.send_read().ends_with("served"));
     let started = Instant::now();
     gateway.signal("-TERM");
-    wait_until("the idle one is closed", || {
+    wait_until("the idle connection is closed", || {
         server.closed_connections.load(Ordering::SeqCst) == 1
     });
     assert!(
         started.elapsed() < Duration::from_millis(1400),
-        "before its server would, not at the exit"
+        "not closed until the exit"
     );
 }
 
-/// From the signal to the close of the listener.
+/// Time from SIGTERM to the close of the listener.
 const SIGTERM_TO_CLOSE: Duration = Duration::from_millis(500);
-/// How often a gateway is asked to leave until this machine stops one before its close.
+/// Number of gateways started until one is stopped before its close; slow machines need several.
 const ATTEMPTS: usize = 20;
 
-/// Asks the gateway to leave and does this while it stands still and the time at which it closes passes. False,
-/// with nothing done, where the machine was so slow that the gateway may have closed before it stood still.
-fn stopped_during_close(gateway: &Gateway, act: impl FnOnce()) -> bool {
-    let asked = Instant::now();
+/// Sends SIGTERM, then runs `action` while the gateway is stopped and the time of its close passes. Returns false
+/// without running it if the gateway may have closed before it was stopped.
+fn stopped_during_close(gateway: &Gateway, action: impl FnOnce()) -> bool {
+    let signaled_at = Instant::now();
     gateway.signal("-TERM");
     let ready = || {
         gateway
             .send("GET /-/ready HTTP/1.1\r\n\r\n")
             .is_some_and(|a| a.contains(" 200 "))
     };
-    wait_until("it leaves", || !ready());
-    let seen_to_leave = Instant::now();
+    wait_until("the gateway shuts down", || !ready());
+    let shutdown_seen_at = Instant::now();
     let mut in_time = false;
     gateway.while_stopped(|| {
-        in_time = asked.elapsed() < SIGTERM_TO_CLOSE;
+        in_time = signaled_at.elapsed() < SIGTERM_TO_CLOSE;
         if in_time {
-            act();
+            action();
             sleep(
                 (SIGTERM_TO_CLOSE + Duration::from_millis(50))
-                    .saturating_sub(seen_to_leave.elapsed()),
+                    .saturating_sub(shutdown_seen_at.elapsed()),
             );
         }
     });
@@ -77,10 +79,10 @@
 }
 
 #[test]
-fn what_the_machine_accepted_before_the_close_is_answered() {
+fn connections_accepted_by_the_kernel_before_the_close_are_answered() {
     assert!(
         (0..ATTEMPTS).any(|_| accepted_before_the_close()),
-        "no gateway stood still before its close"
+        "no gateway could be stopped before its close"
     );
 }
 
@@ -102,7 +104,7 @@
         return false;
     }
     for client in clients.iter_mut().chain([&mut idle_client]) {
-        let answer = read_message(client).expect("an answer");
+        let answer = read_message(client).expect("no response");
         assert!(
             answer.ends_with("served") && answer.contains("connection: close"),
             "{answer}"
@@ -114,7 +116,7 @@
 }
 
 #[test]
-fn what_comes_after_the_end_was_sent_is_not_sent_on() {
+fn requests_after_the_end_of_the_connection_are_not_forwarded() {
     let server = answers_only_gets();
     let (mut gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let mut idle_client = gateway.idle_client();
@@ -125,23 +127,24 @@
     _ = idle_client.write_all(invocation("GET", "read", 2000, "").as_bytes());
     assert!(
         !idle_client.read(&mut [0; 64]).is_ok_and(|n| n > 0),
-        "nothing is answered after the end"
+        "a response after the end of the connection"
     );
     drop(idle_client);
     assert!(gateway.wait_for_output().status.success());
     assert_eq!(server.received_count(), 1);
 }
 
-/// Clients that go on sending on kept connections while a third of what is sent is never answered: each
-/// message gets one answer in its time, or its connection ends without any and it was never sent on.
+/// Clients keep sending on persistent connections while a third of the requests is never answered. Each request must
+/// get a response in time, or its connection ends without one and the request was never forwarded.
 #[test]
-fn clients_that_send_to_the_last_lose_nothing_while_servers_hang() {
-    let server = FakeService::scripted(|me, _, stream| {
-        me.received_count() % 3 == 0 || stream.write_all(ok_response("served").as_bytes()).is_ok()
+fn clients_that_send_until_the_end_lose_no_request_while_servers_hang() {
+    let server = FakeService::scripted(|service, _, stream| {
+        service.received_count() % 3 == 0
+            || stream.write_all(ok_response("served").as_bytes()).is_ok()
     });
     let (mut gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let address = gateway.address;
-    let sends = move |at: u64| {
+    let send_until_closed = move |at: u64| {
         let (mut answered, mut unanswered) = (0, Vec::new());
         let mut stream = TcpStream::connect(address).unwrap();
         stream
@@ -162,12 +165,14 @@
             }
             assert!(
                 started.elapsed() < Duration::from_millis(1500),
-                "answered in its time"
+                "the response came too late"
             );
             sleep(Duration::from_millis(7 + at));
         }
     };
-    let clients: Vec<_> = (0..12).map(|at| spawn(move || sends(at))).collect();
+    let clients: Vec<_> = (0..12)
+        .map(|at| spawn(move || send_until_closed(at)))
+        .collect();
     sleep(Duration::from_millis(300));
     let started = Instant::now();
     gateway.signal("-TERM");
@@ -181,11 +186,15 @@
     );
     let answered: usize = ends.iter().map(|e| e.0).sum();
     let received = server.received.lock().unwrap();
-    let lost = |lost: &String| received.iter().any(|m| request_id(m) == lost);
-    let lost: Vec<_> = ends.iter().flat_map(|e| &e.1).filter(|l| lost(l)).collect();
+    let forwarded = |lost: &String| received.iter().any(|m| request_id(m) == lost);
+    let lost: Vec<_> = ends
+        .iter()
+        .flat_map(|e| &e.1)
+        .filter(|id| forwarded(id))
+        .collect();
     assert!(
         answered > 50 && lost.is_empty(),
-        "{answered} answered, sent on and never answered: {lost:?}"
+        "{answered} answered; forwarded but never answered: {lost:?}"
     );
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
@@ -194,9 +203,10 @@
     );
 }
 
-/// A close over bytes that nobody read is a reset, which takes with it what the client has not read yet.
+/// Closing a socket with unread input resets the connection and destroys the part of the response that the client has
+/// not read.
 #[test]
-fn a_slow_reader_gets_its_whole_answer_though_more_lies_behind_its_message() {
+fn a_slow_reader_gets_its_whole_response_despite_unread_input() {
     let body = "a long answer ".repeat(4000);
     let answer = ok_response(&body);
     let server =
@@ -214,7 +224,7 @@
     text.push_str(&"x".repeat(200_000));
     let mut writer = client.try_clone().unwrap();
     let writes = spawn(move || _ = writer.write_all(text.as_bytes()));
-    wait_until("it is sent on", || server.received_count() == 1);
+    wait_until("the request is forwarded", || server.received_count() == 1);
     gateway.signal("-TERM");
     let mut response = Vec::new();
     let mut part = [0; 1024];
@@ -229,20 +239,20 @@
     let response = String::from_utf8_lossy(&response);
     assert!(
         response.contains(&body),
-        "{} bytes of {}",
+        "response cut off: {} bytes received, {} expected",
         response.len(),
         body.len()
     );
     drop(client);
     assert!(gateway.wait_for_output().status.success());
-    assert_eq!(server.received_count(), 1, "nothing behind it was sent on");
+    assert_eq!(server.received_count(), 1, "unread input was forwarded");
 }
 
 #[test]
-fn a_message_that_comes_in_while_it_closes_is_answered_or_cut_unsent() {
+fn a_message_arriving_during_the_close_is_answered_or_not_forwarded() {
     assert!(
         (0..ATTEMPTS).any(|_| message_over_the_close()),
-        "no gateway stood still before its close"
+        "no gateway could be stopped before its close"
     );
 }
 
@@ -253,12 +263,12 @@
     let text = invocation("GET", "read", 2000, "");
     let (first, rest) = text.split_at(text.len() / 2);
     let in_time = stopped_during_close(&gateway, || {
-        // Half of it lies there when it closes, the other half is there as well, or never comes.
+        // At the close, the first half has arrived; the second half has arrived too, or never does.
         quick.write_all(first.as_bytes()).unwrap();
         quick.write_all(rest.as_bytes()).unwrap();
         slow.write_all(first.as_bytes()).unwrap();
     });
-    let went_on = Instant::now();
+    let resumed_at = Instant::now();
     if !in_time {
         drop((quick, slow));
         assert!(gateway.wait_for_output().status.success());
@@ -267,40 +277,40 @@
     assert!(read_message(&mut quick).unwrap().ends_with("served"));
     let mut response = Vec::new();
     slow.read_to_end(&mut response).unwrap();
-    assert!(response.is_empty(), "an end and no reset");
+    assert!(response.is_empty(), "the connection ended with data");
     drop((quick, slow));
     assert!(gateway.wait_for_output().status.success());
     assert!(
-        went_on.elapsed() < Duration::from_millis(1400),
-        "half a message is not waited for"
+        resumed_at.elapsed() < Duration::from_millis(1400),
+        "the gateway waited for the rest of a message"
     );
     assert_eq!(server.received_count(), 3);
     true
 }
 
 #[test]
-fn further_signals_while_it_leaves_change_nothing() {
+fn further_signals_during_the_shutdown_have_no_effect() {
     let server = answers_only_gets();
     let (mut gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
-    let mut held = send_unanswered_post(&gateway, &server);
+    let mut unanswered = send_unanswered_post(&gateway, &server);
     for name in ["-TERM", "-HUP", "-INT", "-TERM", "-USR1"] {
         gateway.signal(name);
         sleep(Duration::from_millis(50));
     }
     assert!(gateway.send_read().ends_with("served"));
     assert!(
-        read_message(&mut held)
+        read_message(&mut unanswered)
             .unwrap()
             .starts_with("HTTP/1.1 502 "),
-        "what is in hand has its time"
+        "an invocation in flight must keep its deadline"
     );
-    drop(held);
+    drop(unanswered);
     assert!(gateway.wait_for_output().status.success());
 }
 
-/// The configuration comes through a pipe, which holds the process between its start and its first line.
+/// The configuration comes through a named pipe, which blocks the process between its start and its first read.
 #[test]
-fn a_reload_in_the_middle_of_the_start_does_not_end_it() {
+fn sighup_during_the_start_does_not_end_the_process() {
     let path = std::env::temp_dir().join(format!("dunespur-pipe-{}", std::process::id()));
     assert!(spawn_alone(Command::new("mkfifo").arg(&path))
         .wait()
@@ -324,16 +334,16 @@
         address,
         config: path.clone(),
     };
-    // Opening the pipe waits for the process to open it: from here to the write it reads.
+    // Opening the pipe blocks until the process opens it; it then blocks in the read until the write below.
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
     gateway.signal("-HUP");
     sleep(Duration::from_millis(100));
     pipe.write_all(text.as_bytes()).unwrap();
     drop(pipe);
-    wait_until("it listens", || gateway.connect().is_some());
-    // It reads the file again, as it was response.
+    wait_until("the gateway listens", || gateway.connect().is_some());
+    // For the reload that the SIGHUP requested.
     std::fs::write(&path, &text).unwrap();
-    wait_until("it is ready", || {
+    wait_until("the gateway is ready", || {
         gateway.connect().is_some()
             && gateway
                 .send("GET /-/ready HTTP/1.1\r\n\r\n")
--- a/crates/gateway/gateway/tests/sockets.rs
+++ b/crates/gateway/gateway/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Starts the program and speaks to it over loopback sockets.
+//! Starts the program and talks to it over loopback sockets.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn an_invocation_passes_on_unchanged_and_its_answer_comes_back() {
+fn an_invocation_is_forwarded_unchanged_and_its_response_returned() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, counter) = Gateway::with_servers(&[server.address]);
     let answer = gateway
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn connections_to_servers_are_reused_and_dropped_before_they_idle_out() {
+fn server_connections_are_reused_and_closed_before_the_server_closes_them() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     (0..5).for_each(|_| assert!(gateway.send_read().contains("200 OK")));
     assert_eq!(
         server.connections.load(Ordering::SeqCst),
         1,
-        "one connection carries all of them in turn"
+        "one connection must serve all requests"
     );
     let started = Instant::now();
     wait_until("the idle connection is closed", || {
@@ -65,60 +65,57 @@
     });
     assert!(
         started.elapsed() < Duration::from_secs(1),
-        "before the second after which servers close it"
+        "not closed before the server's idle timeout of 1 s"
     );
     assert!(gateway.send_read().contains("200 OK"));
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_delivery_with_it() {
+fn a_disconnect_cancels_the_attempt() {
     let server = FakeService::server(Behavior::Silent);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let mut stream = gateway.connect().unwrap();
     stream
         .write_all(invocation("GET", "once", 2000, "").as_bytes())
         .unwrap();
-    wait_until("the delivery has come", || server.received_count() == 1);
+    wait_until("the attempt has arrived", || server.received_count() == 1);
     let left = Instant::now();
     drop(stream);
-    wait_until("its connection is closed", || {
+    wait_until("the connection to the server is closed", || {
         server.closed_connections.load(Ordering::SeqCst) == 1
     });
     assert!(
         left.elapsed() < Duration::from_millis(500),
-        "at once, not by a time-out"
+        "cancelled at once, not by a timeout"
     );
     *server.behavior.lock().unwrap() = Behavior::Normal;
     assert!(gateway.send_read().contains("200 OK"));
 }
 
 #[test]
-fn a_reset_after_the_last_byte_may_have_run_and_a_refused_connection_cannot_have() {
+fn a_reset_after_the_last_byte_gives_502_and_a_refused_connection_gives_429() {
     let server = FakeService::server(Behavior::ReadThenReset);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let after = gateway.send(&invocation("GET", "once", 2000, "")).unwrap();
-    assert!(
-        after.starts_with("HTTP/1.1 502 "),
-        "not to be repeated: {after}"
-    );
-    assert_eq!(server.received_count(), 1, "nor sent again");
-    // Nothing listens there: no byte was ever written.
+    assert!(after.starts_with("HTTP/1.1 502 "), "expected 502: {after}");
+    assert_eq!(server.received_count(), 1, "the request was sent again");
+    // Nothing listens at this address, so no byte is ever written.
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[free_address()]);
     let before = gateway.send(&invocation("GET", "once", 2000, "")).unwrap();
     assert!(
         before.starts_with("HTTP/1.1 429 ") && before.contains("retry-after: 0."),
-        "harmless: {before}"
+        "expected 429 with retry-after: {before}"
     );
 }
 
 #[test]
-fn a_server_that_turns_away_or_breaks_has_another_take_over() {
+fn another_server_takes_over_from_one_that_rejects_or_fails() {
     for behavior in [
         Behavior::Overloaded,
         Behavior::ReadThenReset,
         Behavior::ServerError,
     ] {
-        // Two bad ones: which is tried first is left to chance, and a third delivery is allowed.
+        // Two failing servers: the order is random, and a third attempt is allowed.
         let (bad, worse) = (FakeService::server(behavior), FakeService::server(behavior));
         let good = FakeService::server(Behavior::Normal);
         let (gateway, _discovery, _counter) =
@@ -134,7 +131,7 @@
 }
 
 #[test]
-fn a_silent_server_is_given_up_in_time() {
+fn attempts_at_an_unresponsive_server_time_out() {
     let servers = [
         FakeService::server(Behavior::Normal),
         FakeService::server(Behavior::Normal),
@@ -142,14 +139,14 @@
     let (gateway, _discovery, _counter) =
         Gateway::with_servers(&[servers[0].address, servers[1].address]);
     (0..40).for_each(|_| assert!(gateway.send_read().ends_with("served")));
-    // The one that is used rather falls silent: its deliveries move to the other within the objective.
+    // The preferred server stops responding: attempts move to the other one within the latency objective.
     let silent = usize::from(servers[1].received_count() > servers[0].received_count());
     *servers[silent].behavior.lock().unwrap() = Behavior::Silent;
     let before = servers[silent].received_count();
     (0..3).for_each(|_| assert!(gateway.send_read().ends_with("served")));
     assert!(
         servers[silent].received_count() > before,
-        "the silent one was tried"
+        "the unresponsive server was not tried"
     );
     *servers[1 - silent].behavior.lock().unwrap() = Behavior::Silent;
     let started = Instant::now();
@@ -161,7 +158,7 @@
 }
 
 #[test]
-fn without_the_counter_invocations_still_pass_and_quotas_still_bind() {
+fn without_the_counter_invocations_pass_and_quotas_hold() {
     for behavior in [
         Behavior::Silent,
         Behavior::CountThenReset,
@@ -171,7 +168,7 @@
         let (gateway, _discovery, counter) = Gateway::with_servers(&[server.address]);
         *counter.behavior.lock().unwrap() = behavior;
         (0..20).for_each(|_| assert!(gateway.send_read().ends_with("served")));
-        assert!(counter.received_count() > 0, "the counter was asked");
+        assert!(counter.received_count() > 0, "the counter was not called");
         let tiny = invocation("GET", "read", 2000, "")
             .replace("small", "tiny")
             .replace("b4d6", "b4d7");
@@ -191,9 +188,9 @@
     *counter.behavior.lock().unwrap() = Behavior::Silent;
     (0..5).for_each(|_| assert!(gateway.send_read().ends_with("served")));
     *counter.behavior.lock().unwrap() = Behavior::Normal;
-    // A connection that stays silent is taken for dead after a while, and another one opened.
+    // A connection without replies is considered dead after a while, and another one is opened.
     let before = counter.received_count();
-    wait_until("it is asked on a new connection", || {
+    wait_until("the counter is called on a new connection", || {
         let other = invocation("GET", "read", 2000, "")
             .replace("b4d65521", &format!("{:08x}", counter.received_count()));
         gateway.send(&other).unwrap();
@@ -202,8 +199,8 @@
 }
 
 #[test]
-fn a_spoilt_answer_of_the_counter_costs_few_other_calls() {
-    // On one connection all calls behind it were lost with it, and customers throttled for that.
+fn a_malformed_reply_of_the_counter_loses_few_other_calls() {
+    // With a single connection, all calls behind the malformed reply would be lost and their customers throttled.
     let server = FakeService::server(Behavior::Normal);
     let (mut gateway, _discovery, counter) = Gateway::with_servers(&[server.address]);
     *counter.behavior.lock().unwrap() = Behavior::CorruptFirstName;
@@ -211,11 +208,13 @@
         |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
     let mut first = gateway.connect().unwrap();
     first.write_all(other(0).as_bytes()).unwrap();
-    wait_until("its call is on its way", || counter.received_count() == 1);
-    // A counter not known yet is asked for some of them only.
+    wait_until("the first call has arrived", || {
+        counter.received_count() == 1
+    });
+    // While nothing is known of the counter, only some of the requests call it.
     (1..120).for_each(|n| assert!(gateway.send(&other(n)).unwrap().ends_with("served")));
     assert!(read_message(&mut first).unwrap().ends_with("served"));
-    // Eight at once; the spoilt one may have been opened anew by now.
+    // Eight connections; the one with the malformed reply may have been reopened by now.
     let open = counter.connections.load(Ordering::SeqCst);
     assert!(
         (2..=9).contains(&open),
@@ -241,7 +240,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
+fn no_new_attempts_go_to_a_draining_or_removed_server() {
     let (a, b) = (
         FakeService::server(Behavior::Normal),
         FakeService::server(Behavior::Normal),
@@ -261,9 +260,9 @@
         sleep(Duration::from_millis(100));
         let before = (a.received_count(), b.received_count());
         (0..20).for_each(|_| assert!(gateway.send_read().ends_with("served")));
-        let came = (a.received_count() - before.0, b.received_count() - before.1);
+        let new_attempts = (a.received_count() - before.0, b.received_count() - before.1);
         assert_eq!(
-            came,
+            new_attempts,
             if phases[0] == "Ready" {
                 (20, 0)
             } else {
@@ -272,15 +271,15 @@
             "while {phases:?}"
         );
     }
-    let asked = discovery.received.lock().unwrap()[0].clone();
+    let watch_request = discovery.received.lock().unwrap()[0].clone();
     assert!(
-        asked.starts_with("GET /api/targets?follow=1&since=1 "),
-        "{asked}"
+        watch_request.starts_with("GET /api/targets?follow=1&since=1 "),
+        "{watch_request}"
     );
 }
 
 #[test]
-fn a_server_that_moved_gets_nothing_new_at_its_old_address() {
+fn a_moved_server_gets_no_new_attempts_at_its_old_address() {
     let (old, new) = (
         FakeService::server(Behavior::Slow),
         FakeService::server(Behavior::Normal),
@@ -289,7 +288,7 @@
     let mut out = gateway.connect().unwrap();
     out.write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
-    wait_until("it is out", || old.received_count() == 1);
+    wait_until("the attempt has arrived", || old.received_count() == 1);
     discovery.list_lines.lock().unwrap().push(endpoint_list(
         2,
         false,
@@ -297,28 +296,28 @@
     ));
     assert!(
         read_message(&mut out).unwrap().ends_with("served"),
-        "what was out there is still answered"
+        "the attempt in flight must still be answered"
     );
     assert!(gateway.send_read().ends_with("served"));
     assert_eq!(
         (old.received_count(), new.received_count()),
         (1, 1),
-        "the connection that was in use is not used again"
+        "the old connection was reused"
     );
-    wait_until("it is closed", || {
+    wait_until("the old connection is closed", || {
         old.closed_connections.load(Ordering::SeqCst) == 1
     });
 }
 
 #[test]
-fn a_mute_discovery_leaves_the_known_list_and_is_asked_again() {
+fn the_initial_list_stays_in_use_while_an_unresponsive_discovery_is_retried() {
     let server = FakeService::server(Behavior::Normal);
     let initial_list = endpoint_list(7, true, &[(0, server.address, "Ready")]);
     let discovery = FakeService::discovery(initial_list.clone(), Behavior::Silent);
     let counter = FakeService::counter(Behavior::Normal);
     let gateway = Gateway::with_discovery(&initial_list, discovery.address, counter.address, 256);
     assert!(gateway.send_read().ends_with("served"));
-    // Else the first watch may come when discovery is well again, and stands for good.
+    // Otherwise the first watch might arrive after discovery behaves normally again, and stay open.
     wait_until("the first watch is not answered", || {
         discovery.received_count() == 1
     });
@@ -330,8 +329,9 @@
 }
 
 #[test]
-fn a_discovery_with_no_room_is_asked_less_and_less_often_and_nothing_waits_for_it() {
-    // Hundreds that start at once and ask ten times a second each keep it from answering any.
+fn an_overloaded_discovery_is_retried_with_backoff_and_blocks_no_invocation() {
+    // Hundreds of gateways that start together and each retry ten times per second would keep an overloaded discovery
+    // from answering any of them.
     let server = FakeService::server(Behavior::Normal);
     let overloaded_discovery =
         FakeService::start(Behavior::ReadThenReset, |_, stream| reset(stream));
@@ -347,19 +347,19 @@
     (0..20).for_each(|_| {
         assert!(
             gateway.send_read().ends_with("served"),
-            "from the list it was given"
+            "not served from the initial list"
         )
     });
     sleep(Duration::from_secs(3));
-    let asked = overloaded_discovery.connections.load(Ordering::SeqCst) - before;
+    let retries = overloaded_discovery.connections.load(Ordering::SeqCst) - before;
     assert!(
-        (1..=12).contains(&asked),
-        "{asked} times in 3 s, about 30 without a pause that grows"
+        (1..=12).contains(&retries),
+        "{retries} retries in 3 s; without backoff there would be about 30"
     );
 }
 
 #[test]
-fn malformed_and_oversized_input_gets_a_plain_4xx_and_the_process_lives() {
+fn malformed_and_oversized_input_gets_a_4xx_and_the_process_survives() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let good = invocation("GET", "read", 2000, "");
@@ -394,18 +394,25 @@
         ),
     ];
     for text in &bad {
-        // A connection that ends while much is still unread may cut off its answer.
+        // A connection that closes with much unread input may lose its response.
         let answer = gateway.send(text);
-        let four = answer.as_ref().is_none_or(|a| a.starts_with("HTTP/1.1 4"))
+        let is_4xx = answer.as_ref().is_none_or(|a| a.starts_with("HTTP/1.1 4"))
             && (answer.is_some() || text.len() > 9000);
-        assert!(four, "{:?} to {}", answer, &text[..text.len().min(300)]);
+        assert!(is_4xx, "{:?} to {}", answer, &text[..text.len().min(300)]);
     }
-    assert!(gateway.send_read().ends_with("served"), "it lives");
-    assert_eq!(server.received_count(), 1, "and passed none of them on");
+    assert!(
+        gateway.send_read().ends_with("served"),
+        "the gateway must keep serving"
+    );
+    assert_eq!(
+        server.received_count(),
+        1,
+        "an invalid request was forwarded"
+    );
 }
 
 #[test]
-fn nothing_hides_behind_a_body_with_two_lengths() {
+fn a_request_hidden_behind_a_body_with_two_lengths_is_not_forwarded() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let hidden = invocation("GET", "read", 2000, "");
@@ -430,35 +437,31 @@
             "{response}"
         );
     }
-    assert_eq!(
-        server.received_count(),
-        0,
-        "neither the one nor the other is passed on"
-    );
+    assert_eq!(server.received_count(), 0, "a request was forwarded");
 }
 
 #[test]
-fn an_id_in_hand_is_turned_down_and_its_owner_is_answered() {
+fn a_duplicate_request_id_is_rejected_and_the_first_request_answered() {
     let server = FakeService::server(Behavior::Slow);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let text = invocation("GET", "once", 2000, "");
     let mut owner = gateway.connect().unwrap();
     owner.write_all(text.as_bytes()).unwrap();
-    wait_until("it is out", || server.received_count() == 1);
+    wait_until("the attempt has arrived", || server.received_count() == 1);
     assert!(gateway.send(&text).unwrap().starts_with("HTTP/1.1 409 "));
     assert!(read_message(&mut owner).unwrap().ends_with("served"));
-    assert_eq!(server.received_count(), 1, "the copy was not passed on");
+    assert_eq!(server.received_count(), 1, "the duplicate was forwarded");
     assert!(
         gateway.send(&text).unwrap().ends_with("served"),
-        "later the id is as good as any"
+        "the id must be usable again"
     );
 }
 
 #[test]
-fn more_clients_than_there_is_room_for_are_served_in_turn() {
+fn more_clients_than_connections_are_served_in_turn() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_sockets(&[server.address], 32, SETTINGS);
-    // More connections than it keeps: idle ones, half a head, half a body.
+    // More connections than the gateway keeps: idle ones, partial heads and partial bodies.
     let half = invocation("POST", "write", 1500, &"x".repeat(100));
     let parts = ["", "GET /api HTTP/1.1\r\nHost:", &half[..half.len() - 50]];
     let mut clients: Vec<_> = (0..72).filter_map(|_| gateway.connect()).collect();
@@ -469,9 +472,9 @@
     (0..10).for_each(|_| assert!(gateway.send_read().ends_with("served")));
 }
 
-/// Guards against a process that ends on SIGHUP, that loses what is in hand or keeps to the old addresses.
+/// SIGHUP must neither end the process nor lose invocations in flight, and must apply the new addresses.
 #[test]
-fn sighup_moves_discovery_and_the_counter_and_keeps_all_in_hand() {
+fn sighup_changes_the_addresses_and_keeps_invocations_in_flight() {
     let (first, second) = (
         FakeService::server(Behavior::Slow),
         FakeService::server(Behavior::Normal),
@@ -488,7 +491,7 @@
     let mut out = gateway.connect().unwrap();
     out.write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
-    wait_until("it is out", || first.received_count() == 1);
+    wait_until("the attempt has arrived", || first.received_count() == 1);
     let text = std::fs::read_to_string(&gateway.config).unwrap();
     let moved = text.replace(
         &old_discovery.address.to_string(),
@@ -498,14 +501,14 @@
         &old_counter.address.to_string(),
         &counter.address.to_string(),
     );
-    // One that is written in part changes nothing.
+    // A partially written file changes nothing.
     std::fs::write(&gateway.config, &moved[..moved.len() / 2]).unwrap();
     gateway.signal("-HUP");
     sleep(Duration::from_millis(100));
     let other =
         |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
     assert!(gateway.send(&other(1)).unwrap().ends_with("served"));
-    assert_eq!(old_discovery.received_count(), 1, "the old addresses hold");
+    assert_eq!(old_discovery.received_count(), 1, "the addresses changed");
     std::fs::write(&gateway.config, &moved).unwrap();
     gateway.signal("-HUP");
     wait_until("the list is watched at its new address", || {
@@ -516,16 +519,16 @@
     });
     assert!(
         discovery.received.lock().unwrap()[0].contains("since=1 "),
-        "it goes on from where it was"
+        "the watch must continue from its revision"
     );
     assert!(gateway.send(&other(2)).unwrap().ends_with("served"));
-    assert!(counter.received_count() > 0, "calls go to the new counter");
+    assert!(counter.received_count() > 0, "the new counter got no call");
     let before = old_counter.received_count();
     assert!(gateway.send(&other(3)).unwrap().ends_with("served"));
     assert_eq!(
         old_counter.received_count(),
         before,
-        "and none to the old one"
+        "the old counter got a call"
     );
     let open = old_counter.connections.load(Ordering::SeqCst);
     wait_until("the old connections are closed", || {
@@ -533,7 +536,7 @@
     });
     assert!(
         read_message(&mut out).unwrap().ends_with("served"),
-        "what was out there is still answered"
+        "the attempt in flight must still be answered"
     );
     wait_until("the new list's server is used", || {
         gateway.send_read().ends_with("served") && second.received_count() > 0
@@ -541,7 +544,7 @@
 }
 
 #[test]
-fn silence_and_half_messages_are_cut_and_idle_clients_are_not() {
+fn silent_and_partial_messages_time_out_and_idle_clients_stay() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let half = invocation("POST", "write", 1500, &"x".repeat(100));
@@ -561,23 +564,23 @@
         _ = client.read_to_end(&mut response);
         assert!(
             started.elapsed() < Duration::from_millis(2900),
-            "never cut after {part:?}"
+            "not closed in time after {part:?}"
         );
     }
     assert!(
         started.elapsed() > Duration::from_millis(1900),
-        "each had its two seconds"
+        "closed before the message timeout"
     );
     idle.write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
     assert!(
         read_message(&mut idle).unwrap().ends_with("served"),
-        "one between messages stays"
+        "an idle connection must stay open"
     );
 }
 
 #[test]
-fn sigterm_answers_what_is_in_hand_and_what_still_comes() {
+fn sigterm_answers_requests_in_flight_and_new_ones() {
     let (server, slow) = (
         FakeService::server(Behavior::Normal),
         FakeService::server(Behavior::Silent),
@@ -590,7 +593,7 @@
     *server.behavior.lock().unwrap() = Behavior::Silent;
     held.write_all(invocation("GET", "once", 1200, "").as_bytes())
         .unwrap();
-    wait_until("it is out", || server.received_count() == 2);
+    wait_until("the attempt has arrived", || server.received_count() == 2);
     *server.behavior.lock().unwrap() = Behavior::Normal;
     gateway.signal("-TERM");
     sleep(Duration::from_millis(200));
@@ -600,17 +603,17 @@
         .contains(" 503 "));
     assert!(
         gateway.send_read().ends_with("served"),
-        "a new connection is still served"
+        "a new connection must still be served"
     );
     kept.write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
     assert!(
         read_message(&mut kept).unwrap().ends_with("served"),
-        "and one that was open"
+        "an open connection must still be served"
     );
     assert!(
         read_message(&mut held).unwrap().contains("502"),
-        "what is in hand gets its answer"
+        "the invocation in flight must get its response"
     );
     let output = gateway.wait_for_output();
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -625,13 +628,16 @@
 }
 
 #[test]
-fn counters_are_printed_on_request() {
+fn statistics_are_printed_on_sigusr1() {
     let server = FakeService::server(Behavior::Normal);
     let (mut gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     (0..3).for_each(|_| assert!(gateway.send_read().ends_with("served")));
     gateway.signal("-USR1");
     sleep(Duration::from_millis(100));
-    assert!(gateway.send_read().ends_with("served"), "it goes on");
+    assert!(
+        gateway.send_read().ends_with("served"),
+        "the gateway must keep serving"
+    );
     gateway.signal("-KILL");
     let stderr = String::from_utf8_lossy(&gateway.wait_for_output().stderr).into_owned();
     assert!(
@@ -641,7 +647,7 @@
 }
 
 #[test]
-fn a_bad_configuration_gets_one_plain_line() {
+fn an_invalid_configuration_gives_a_one_line_error() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let good = format!(
         r#"{{"listen":"{}","discovery":"127.0.0.1:1","seed":"1f","settings":{SETTINGS}}}"#,
--- a/crates/gateway/gateway/tests/watches.rs
+++ b/crates/gateway/gateway/tests/watches.rs
@@ -1,4 +1,5 @@
-//! Watches on the list that fall silent, break, trickle, are refused or moved, over loopback sockets.
+//! Discovery watches that stop sending, break, trickle, are refused or move to another address, over loopback
+//! sockets.
 
 mod common;
 
@@ -9,7 +10,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// What discovery could tell counts as response after so long.
+/// Time within which a change known to discovery must be applied.
 const CHANGE_DEADLINE: Duration = Duration::from_secs(6);
 
 const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -18,10 +19,10 @@
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// Two servers, of which the second is to drain, and a gateway that knows both from before.
+/// Two servers, of which the second will drain, and a gateway that knows both initially.
 struct Case {
-    kept: Arc<FakeService>,
-    drains: Arc<FakeService>,
+    stays: Arc<FakeService>,
+    draining: Arc<FakeService>,
     gateway: Gateway,
     _counter: Arc<FakeService>,
 }
@@ -41,14 +42,14 @@
             sleep(Duration::from_millis(15));
             stream.write_all(ok_response("served").as_bytes()).is_ok()
         };
-        let (kept, drains) = (FakeService::scripted(works), FakeService::scripted(works));
+        let (stays, draining) = (FakeService::scripted(works), FakeService::scripted(works));
         let initial_list = endpoint_list(
             1,
             true,
-            &[(0, kept.address, "Ready"), (1, drains.address, "Ready")],
+            &[(0, stays.address, "Ready"), (1, draining.address, "Ready")],
         );
         let (discovery, counter) = (
-            discovery(&kept, &drains),
+            discovery(&stays, &draining),
             FakeService::counter(Behavior::Normal),
         );
         let gateway = Gateway::start_ready(
@@ -60,8 +61,8 @@
         );
         (
             Case {
-                kept,
-                drains,
+                stays,
+                draining,
                 gateway,
                 _counter: counter,
             },
@@ -69,9 +70,10 @@
         )
     }
 
-    /// Whether the drain is heeded by now: of some sent together none goes there, as half of them else do.
+    /// Whether the drain is applied: of several simultaneous requests none goes to the draining server, which would
+    /// otherwise get half of them.
     fn drain_applied(&self) -> bool {
-        let before = (self.kept.received_count(), self.drains.received_count());
+        let before = (self.stays.received_count(), self.draining.received_count());
         let mut clients: Vec<_> = (0..4).map(|_| self.gateway.connect().unwrap()).collect();
         for client in &mut clients {
             client
@@ -81,26 +83,26 @@
         clients
             .iter_mut()
             .for_each(|c| assert!(read_message(c).unwrap().ends_with("served")));
-        assert!(self.kept.received_count() > before.0);
-        self.drains.received_count() == before.1
+        assert!(self.stays.received_count() > before.0);
+        self.draining.received_count() == before.1
     }
 }
 
-fn drain_update(drains: &FakeService) -> String {
-    endpoint_list(2, false, &[(1, drains.address, "Terminating")])
+fn drain_update(draining: &FakeService) -> String {
+    endpoint_list(2, false, &[(1, draining.address, "Terminating")])
 }
 
-/// A discovery whose first watch goes wrong as the test says and whose later ones tell of the drain.
+/// A discovery whose first watch fails as the test says and whose later watches send the drain.
 fn failing_first_watch(
     news: String,
     first: impl Fn(&mut dyn Write) + Send + Sync + 'static,
 ) -> Arc<FakeService> {
-    FakeService::start(Behavior::Normal, move |me, mut stream| {
-        let Some(asked) = read_message(&mut stream) else {
+    FakeService::start(Behavior::Normal, move |service, mut stream| {
+        let Some(request) = read_message(&mut stream) else {
             return;
         };
-        me.received.lock().unwrap().push(asked);
-        if me.received_count() == 1 {
+        service.received.lock().unwrap().push(request);
+        if service.received_count() == 1 {
             return first(&mut stream);
         }
         _ = stream.write_all(RESPONSE_HEAD);
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn a_watch_that_goes_wrong_right_before_a_drain_is_opened_anew_in_time() {
+fn a_watch_that_fails_right_before_a_drain_is_reopened_in_time() {
     type FirstWatch = fn(&mut dyn Write);
     let failures: [(&str, FirstWatch); 7] = [
         ("silent from its first byte", |_| {
@@ -140,7 +142,7 @@
                 sleep(Duration::from_millis(300));
             }
         }),
-        ("spoilt", |to| {
+        ("invalid JSON", |to| {
             _ = to.write_all(&[RESPONSE_HEAD, &chunk("{\"revision\":oh}\n")].concat())
         }),
         ("ended", |_| {}),
@@ -148,7 +150,7 @@
     let cases = failures.map(|(what, fail)| {
         std::thread::spawn(move || {
             let (case, discovery) =
-                Case::with(|_, drains| failing_first_watch(drain_update(drains), fail));
+                Case::with(|_, draining| failing_first_watch(drain_update(draining), fail));
             wait_until("the first watch", || discovery.received_count() > 0);
             let started = Instant::now();
             wait_until(what, || discovery.received_count() > 1);
@@ -164,7 +166,7 @@
 }
 
 #[test]
-fn a_watch_on_request_is_asked_for_in_time_however_long_the_objectives_are() {
+fn a_watch_on_request_is_reopened_in_time_despite_long_objectives() {
     let settings = SETTINGS
         .replace("\"pushed\"", "\"on_request\"")
         .replace(
@@ -179,13 +181,15 @@
         _ = to.write_all(&[RESPONSE_HEAD, &chunk("\n")].concat());
         sleep(Duration::from_secs(20));
     };
-    let (case, discovery) = Case::by(&settings, |_, drains| {
-        failing_first_watch(drain_update(drains), silent)
+    let (case, discovery) = Case::by(&settings, |_, draining| {
+        failing_first_watch(drain_update(draining), silent)
     });
     wait_until("the first watch", || discovery.received_count() > 0);
     let started = Instant::now();
-    wait_until("another is asked for", || discovery.received_count() > 1);
-    wait_until("the drain is heeded", || case.drain_applied());
+    wait_until("another watch is requested", || {
+        discovery.received_count() > 1
+    });
+    wait_until("the drain is applied", || case.drain_applied());
     assert!(
         started.elapsed() < CHANGE_DEADLINE - Duration::from_millis(300),
         "{:?}",
@@ -194,13 +198,13 @@
 }
 
 #[test]
-fn a_silent_discovery_is_asked_so_often_that_its_return_is_never_missed_for_long() {
-    let asked: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let times = asked.clone();
+fn a_silent_discovery_is_retried_often_enough_to_notice_its_return() {
+    let request_times: Arc<Mutex<Vec<Instant>>> = Arc::default();
+    let times = request_times.clone();
     let (_case, discovery) = Case::with(|_, _| {
-        FakeService::start(Behavior::Silent, move |me, mut stream| {
+        FakeService::start(Behavior::Silent, move |service, mut stream| {
             while let Some(message) = read_message(&mut stream) {
-                me.received.lock().unwrap().push(message);
+                service.received.lock().unwrap().push(message);
                 times.lock().unwrap().push(Instant::now());
             }
         })
@@ -209,98 +213,110 @@
     while discovery.received_count() < 8 && started.elapsed() < Duration::from_secs(20) {
         sleep(Duration::from_millis(50));
     }
-    let asked = asked.lock().unwrap();
-    let longest = asked.windows(2).map(|w| w[1] - w[0]).max().unwrap();
-    // In the worst case discovery is back just after one of them was written.
+    let request_times = request_times.lock().unwrap();
+    let longest = request_times.windows(2).map(|w| w[1] - w[0]).max().unwrap();
+    // In the worst case discovery returns just after a watch request was written.
     assert!(
         longest < Duration::from_millis(2800),
-        "{longest:?} between two: {asked:?}"
+        "{longest:?} between two requests: {request_times:?}"
     );
 }
 
 #[test]
-fn a_return_of_discovery_between_two_attempts_is_heard_at_once() {
-    let back: Arc<Mutex<bool>> = Arc::default();
-    let held = back.clone();
-    let (case, discovery) = Case::with(|_, drains| {
-        let news = drain_update(drains);
-        // Like an agent that is cut off: it takes what is asked, and answers all of it when it is back.
-        FakeService::start(Behavior::Silent, move |me, mut stream| {
-            let Some(asked) = read_message(&mut stream) else {
+fn a_return_of_discovery_between_two_watches_is_noticed_at_once() {
+    let returned: Arc<Mutex<bool>> = Arc::default();
+    let held = returned.clone();
+    let (case, discovery) = Case::with(|_, draining| {
+        let news = drain_update(draining);
+        // Like an agent behind a network partition: it receives all requests and answers them when it returns.
+        FakeService::start(Behavior::Silent, move |service, mut stream| {
+            let Some(request) = read_message(&mut stream) else {
                 return;
             };
-            me.received.lock().unwrap().push(asked);
-            wait_until("it is back", || *held.lock().unwrap());
+            service.received.lock().unwrap().push(request);
+            wait_until("discovery is back", || *held.lock().unwrap());
             _ = stream.write_all(&[RESPONSE_HEAD, &chunk(&format!("{news}\n"))].concat());
             while stream.write_all(&chunk("\n")).is_ok() {
                 sleep(Duration::from_millis(200));
             }
         })
     });
-    // By the fourth the pause is half a second at least, and begins a second after it was asked.
-    wait_until("four were asked in vain", || {
+    // After the fourth request the delay is at least half a second, and starts one second after the request.
+    wait_until("four watch requests got no response", || {
         discovery.received_count() == 4
     });
     sleep(Duration::from_millis(1150));
-    assert_eq!(discovery.received_count(), 4, "in the pause");
-    *back.lock().unwrap() = true;
+    assert_eq!(
+        discovery.received_count(),
+        4,
+        "a watch was requested during the delay"
+    );
+    *returned.lock().unwrap() = true;
     let started = Instant::now();
-    wait_until("the drain is heeded", || case.drain_applied());
+    wait_until("the drain is applied", || case.drain_applied());
     assert!(
         started.elapsed() < Duration::from_millis(300),
         "{:?}",
         started.elapsed()
     );
-    assert_eq!(discovery.received_count(), 4, "over a watch that was there");
+    assert_eq!(
+        discovery.received_count(),
+        4,
+        "the drain must arrive on an existing watch"
+    );
 }
 
 #[test]
-fn a_reload_cuts_the_pause_before_the_next_watch_short() {
+fn a_reload_ends_the_delay_before_the_next_watch() {
     let (case, old) = Case::with(|_, _| {
-        FakeService::start(Behavior::Silent, |me, mut stream| {
+        FakeService::start(Behavior::Silent, |service, mut stream| {
             while let Some(message) = read_message(&mut stream) {
-                me.received.lock().unwrap().push(message);
+                service.received.lock().unwrap().push(message);
             }
         })
     });
-    let moved = FakeService::discovery(drain_update(&case.drains), Behavior::Normal);
-    // By the fourth the pause is half a second at least, and begins a second after it was asked.
-    wait_until("four watches were in vain", || old.received_count() == 4);
+    let moved = FakeService::discovery(drain_update(&case.draining), Behavior::Normal);
+    // After the fourth request the delay is at least half a second, and starts one second after the request.
+    wait_until("four watch requests got no response", || {
+        old.received_count() == 4
+    });
     sleep(Duration::from_millis(1150));
     let text = std::fs::read_to_string(&case.gateway.config).unwrap();
     let text = text.replace(&old.address.to_string(), &moved.address.to_string());
     std::fs::write(&case.gateway.config, text).unwrap();
     let started = Instant::now();
     case.gateway.signal("-HUP");
-    wait_until("the new one is asked", || moved.received_count() == 1);
+    wait_until("the new address gets a watch request", || {
+        moved.received_count() == 1
+    });
     assert!(
         started.elapsed() < Duration::from_millis(300),
         "{:?}",
         started.elapsed()
     );
-    wait_until("the drain is heeded", || case.drain_applied());
+    wait_until("the drain is applied", || case.drain_applied());
 }
 
 #[test]
-fn lists_may_come_indented_and_in_pieces() {
-    let (case, discovery) = Case::with(|kept, drains| {
+fn lists_may_be_indented_and_split_into_chunks() {
+    let (case, discovery) = Case::with(|stays, draining| {
         let flat = endpoint_list(
             2,
             true,
             &[
-                (0, kept.address, "Ready"),
-                (1, drains.address, "Terminating"),
+                (0, stays.address, "Ready"),
+                (1, draining.address, "Terminating"),
             ],
         );
         let indented = flat
             .replace(",", ",\n  ")
             .replace("{", "{\n")
             .replace("}", "\r\n}");
-        FakeService::start(Behavior::Normal, move |me, mut stream| {
-            let Some(asked) = read_message(&mut stream) else {
+        FakeService::start(Behavior::Normal, move |service, mut stream| {
+            let Some(request) = read_message(&mut stream) else {
                 return;
             };
-            me.received.lock().unwrap().push(asked);
+            service.received.lock().unwrap().push(request);
             _ = stream.write_all(RESPONSE_HEAD);
             for piece in indented.as_bytes().chunks(7) {
                 _ = stream.write_all(&chunk(std::str::from_utf8(piece).unwrap()));
@@ -310,42 +326,44 @@
             }
         })
     });
-    wait_until("the drain is heeded", || case.drain_applied());
-    assert_eq!(discovery.received_count(), 1, "one watch response it");
+    wait_until("the drain is applied", || case.drain_applied());
+    assert_eq!(discovery.received_count(), 1, "one watch must be enough");
 }
 
 #[test]
-fn a_spoilt_member_costs_no_news_of_the_others_and_is_asked_for_again() {
-    let (case, discovery) = Case::with(|kept, drains| {
+fn an_invalid_endpoint_does_not_hide_the_others_and_is_requested_again() {
+    let (case, discovery) = Case::with(|stays, draining| {
         let good = endpoint_list(
             2,
             true,
             &[
-                (0, kept.address, "Ready"),
-                (1, drains.address, "Terminating"),
+                (0, stays.address, "Ready"),
+                (1, draining.address, "Terminating"),
             ],
         );
-        let spoilt = good.replacen("\"Ready\"", "\"Rea\"", 1);
+        let invalid = good.replacen("\"Ready\"", "\"Rea\"", 1);
         let first = move |to: &mut dyn Write| {
-            _ = to.write_all(&[RESPONSE_HEAD, &chunk(&format!("{spoilt}\n"))].concat());
+            _ = to.write_all(&[RESPONSE_HEAD, &chunk(&format!("{invalid}\n"))].concat());
             sleep(Duration::from_secs(20));
         };
         failing_first_watch(good, first)
     });
-    wait_until("it is asked again", || discovery.received_count() == 2);
+    wait_until("the list is requested again", || {
+        discovery.received_count() == 2
+    });
     let again = discovery.received.lock().unwrap()[1].clone();
     assert!(
         again.contains("since=1 "),
-        "from before the list that could not be read whole: {again}"
+        "the second watch must start before the invalid list: {again}"
     );
     assert!(
         case.drain_applied(),
-        "what could be read holds, and the one that could not stays in use"
+        "the valid endpoint must be applied and the invalid one stays"
     );
 }
 
 #[test]
-fn a_client_that_comes_before_the_first_list_waits_for_it() {
+fn a_client_that_connects_before_the_first_list_waits_for_it() {
     let (gone, new) = (
         FakeService::server(Behavior::Normal),
         FakeService::server(Behavior::Normal),
@@ -370,7 +388,7 @@
         256,
         SETTINGS,
     );
-    wait_until("it listens", || gateway.connect().is_some());
+    wait_until("the gateway listens", || gateway.connect().is_some());
     let mut client = gateway.connect().unwrap();
     client
         .write_all(invocation("GET", "read", 2000, "").as_bytes())
@@ -380,27 +398,30 @@
     assert_eq!(
         (gone.received_count(), new.received_count()),
         (0, 1),
-        "by the list that discovery had from the first moment"
+        "the request must follow the list from discovery"
     );
 }
 
 #[test]
-fn it_is_not_ready_before_it_has_heard_what_discovery_holds() {
+fn the_gateway_is_not_ready_before_the_first_list_arrives() {
     let list_sent: Arc<Mutex<bool>> = Arc::default();
     let held = list_sent.clone();
-    let (case, _discovery) = Case::with(|_, drains| {
-        let news = drain_update(drains);
+    let (case, _discovery) = Case::with(|_, draining| {
+        let news = drain_update(draining);
         FakeService::start(Behavior::Normal, move |_, mut stream| {
             let Some(_) = read_message(&mut stream) else {
                 return;
             };
-            // Long enough for one that does not wait to be ready.
+            // Long enough that a gateway that does not wait would be ready.
             sleep(Duration::from_millis(400));
             *held.lock().unwrap() = true;
             _ = stream.write_all(&[RESPONSE_HEAD, &chunk(&format!("{news}\n"))].concat());
             sleep(Duration::from_secs(20));
         })
     });
-    assert!(*list_sent.lock().unwrap(), "ready before");
-    assert!(case.drain_applied(), "from the first invocation on");
+    assert!(*list_sent.lock().unwrap(), "ready before the list was sent");
+    assert!(
+        case.drain_applied(),
+        "the drain must be applied from the first request on"
+    );
 }
