--- a/crates/gateway/gateway/src/event_loop.rs
+++ b/crates/gateway/gateway/src/event_loop.rs
@@ -39,6 +39,7 @@
     }
 }
 
+/// The event loop and the modules that perform its effects.
 pub struct EventLoop {
     pub clock: Clock,
     pub names: ConfiguredNames,
@@ -55,6 +56,7 @@
     busy: Cell<bool>,
     /// The time at which the timer fires next.
     timer_due: Cell<f64>,
+    /// Signals that a timer is due before `timer_due`.
     due_earlier: Notify,
 }
 
@@ -211,13 +213,13 @@
     /// Runs the timer: tells the state machine when a deadline is reached.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
-            let due = self
+            let next_due = self
                 .state_machine
                 .borrow()
                 .next_due()
                 .unwrap_or(f64::INFINITY);
-            self.timer_due.set(due);
-            let wait = (due - self.clock.now()).clamp(0.0, 3600.0);
+            self.timer_due.set(next_due);
+            let wait = (next_due - self.clock.now()).clamp(0.0, 3600.0);
             tokio::select! {
                 biased;
                 _ = self.due_earlier.notified() => {}
--- a/crates/gateway/gateway/src/fleet/addresses.rs
+++ b/crates/gateway/gateway/src/fleet/addresses.rs
@@ -6,9 +6,11 @@
 /// A name is contacted at its most recent addresses; if two processes share a name, at those of both.
 pub(super) const MAX_ADDRESSES_PER_NAME: usize = 3;
 
+/// Seconds after which an address that sent no further frame is forgotten.
 pub(super) const ADDRESS_EXPIRY_S: f64 = 30.0;
 
 impl FleetMember {
+    /// Records the address from which a frame of the named limiter arrived.
     pub(super) fn learn_address(&mut self, name: &str, address: SocketAddrV4, now: f64) {
         if name == self.identity.name && address == self.config.listen {
             return;
@@ -30,13 +32,13 @@
 
     /// The addresses of a name: recent ones, or else the one in the voter list or the membership.
     pub(super) fn addresses_of(&self, name: &str) -> Vec<SocketAddrV4> {
-        let heard = self
+        let recent = self
             .addresses
             .get(name)
             .into_iter()
             .flatten()
             .map(|entry| entry.0);
-        let mut addresses: Vec<SocketAddrV4> = heard.collect();
+        let mut addresses: Vec<SocketAddrV4> = recent.collect();
         if addresses.is_empty() {
             let configured = self
                 .config
--- a/crates/gateway/gateway/src/fleet/audits.rs
+++ b/crates/gateway/gateway/src/fleet/audits.rs
@@ -97,9 +97,10 @@
         });
     }
 
+    /// Compares a total of the counter with the reported usage, if this process still owns the audit of the name.
     pub(super) fn audit_total(&mut self, name: u64, total: f64, now: f64) {
         let Some(slot) = FleetMember::shard_of(self.audit_slots, name)
-            .filter(|s| self.role_client.token(*s, now).is_some())
+            .filter(|slot| self.role_client.token(*slot, now).is_some())
         else {
             return;
         };
@@ -115,7 +116,7 @@
         self.audit_results[result_index] += 1;
         if result_index > 0 {
             ::log::warn!(
-                "fleet: audit of {name:016x}: the counter holds {total}, {label} {value:.3} units"
+                "fleet: audit of {name:016x}: the counter holds {total} units, {label} {value:.3}"
             );
         }
         self.write_history(
--- a/crates/gateway/gateway/src/fleet/discovery_relaying.rs
+++ b/crates/gateway/gateway/src/fleet/discovery_relaying.rs
@@ -25,11 +25,15 @@
             return;
         };
         let accepted = match &message {
-            discovery_relay::Message::RequestEndpoints { slot: s } => *s == slot,
-            discovery_relay::Message::Heartbeat { slot: s, token, .. }
-            | discovery_relay::Message::Update { slot: s, token, .. } => {
-                let (s, token) = (*s, *token);
-                s == slot && self.accept_token(&from, s, token, now)
+            discovery_relay::Message::RequestEndpoints { slot: requested } => *requested == slot,
+            discovery_relay::Message::Heartbeat {
+                slot: sent, token, ..
+            }
+            | discovery_relay::Message::Update {
+                slot: sent, token, ..
+            } => {
+                let (sent, token) = (*sent, *token);
+                sent == slot && self.accept_token(&from, sent, token, now)
             }
         };
         if !accepted {
@@ -44,20 +48,20 @@
     }
 
     /// Merges an update into the complete list; returns its revision and whether it was complete.
-    pub(super) fn merge_endpoints(&mut self, value: &Value) -> Option<(u64, bool)> {
-        let revision = value["revision"].as_u64()?;
-        let complete = value["complete"].as_bool().unwrap_or(false);
+    pub(super) fn merge_endpoints(&mut self, list: &Value) -> Option<(u64, bool)> {
+        let revision = list["revision"].as_u64()?;
+        let complete = list["complete"].as_bool().unwrap_or(false);
         if complete {
             self.endpoints_by_id.clear();
         }
-        for member in value["members"].as_array().into_iter().flatten() {
-            let Some(id) = member["id"].as_str() else {
+        for endpoint in list["members"].as_array().into_iter().flatten() {
+            let Some(id) = endpoint["id"].as_str() else {
                 continue;
             };
-            if member["phase"] == "Gone" {
+            if endpoint["phase"] == "Gone" {
                 self.endpoints_by_id.remove(id);
             } else {
-                self.endpoints_by_id.insert(id.to_owned(), member.clone());
+                self.endpoints_by_id.insert(id.to_owned(), endpoint.clone());
             }
         }
         Some((revision, complete))
@@ -89,39 +93,41 @@
                     let is_zone_peer = |member: &&members::Member| {
                         member.zone == self.identity.zone && member.name != self.identity.name
                     };
-                    let to: Vec<_> = self
+                    let addresses: Vec<_> = self
                         .membership
                         .alive()
                         .filter(is_zone_peer)
                         .map(|member| member.address)
                         .collect();
-                    to.into_iter()
-                        .for_each(|at| self.transport.send(at, Kind::Watch, body.clone()));
+                    addresses.into_iter().for_each(|address| {
+                        self.transport.send(address, Kind::Watch, body.clone())
+                    });
                 }
                 Action::Send { to, message } => {
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
-                    for at in self.addresses_of(&to) {
-                        self.transport.send(at, Kind::Watch, body.clone());
+                    for address in self.addresses_of(&to) {
+                        self.transport.send(address, Kind::Watch, body.clone());
                     }
                 }
                 Action::SendEndpoints { to, token } => {
                     let Some((relay, slot)) = &self.relay else {
                         continue;
                     };
-                    let members: Vec<&Value> = self.endpoints_by_id.values().collect();
+                    let endpoints: Vec<&Value> = self.endpoints_by_id.values().collect();
                     let revision = relay.revision();
-                    let whole = json!({"revision": revision, "complete": true, "members": members});
-                    let endpoints = whole.to_string().into_bytes();
+                    let complete_list =
+                        json!({"revision": revision, "complete": true, "members": endpoints});
+                    let encoded_list = complete_list.to_string().into_bytes();
                     let message = discovery_relay::Message::Update {
                         slot: *slot,
                         token,
                         since: None,
                         revision,
-                        endpoints,
+                        endpoints: encoded_list,
                     };
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
-                    for at in self.addresses_of(&to) {
-                        self.transport.send(at, Kind::Watch, body.clone());
+                    for address in self.addresses_of(&to) {
+                        self.transport.send(address, Kind::Watch, body.clone());
                     }
                 }
                 Action::ApplyEndpoints {
@@ -161,7 +167,7 @@
         let token = self
             .relay
             .as_ref()
-            .and_then(|r| self.role_client.token(r.1, now));
+            .and_then(|relay| self.role_client.token(relay.1, now));
         let mut actions = Vec::new();
         if let Some((relay, slot)) = &mut self.relay {
             relay.receive_update(update, token, now, &mut actions);
--- a/crates/gateway/gateway/src/fleet/health_checks.rs
+++ b/crates/gateway/gateway/src/fleet/health_checks.rs
@@ -26,7 +26,7 @@
     else {
         return Observation::Refused;
     };
-    let answered = async {
+    let exchange = async {
         let io = hyper_util::rt::TokioIo::new(stream);
         let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.ok()?;
         let request = hyper::Request::get("/").header("host", server.to_string());
@@ -38,7 +38,7 @@
             _ = connection => None,
         }
     };
-    match tokio::time::timeout(HEALTH_CHECK_TIMEOUT, answered).await {
+    match tokio::time::timeout(HEALTH_CHECK_TIMEOUT, exchange).await {
         Ok(Some(())) => Observation::Answered,
         _ => Observation::Silent,
     }
@@ -60,7 +60,7 @@
         let listed = self
             .endpoints_by_id
             .values()
-            .any(|m| m["host_port"] == server.as_str());
+            .any(|endpoint| endpoint["host_port"] == server.as_str());
         // Complaints about servers that are not in the list are ignored.
         if !listed || self.role_client.token(slot, now).is_none() {
             return;
@@ -104,9 +104,15 @@
             age: 0.0,
         });
         let body = postcard::to_stdvec(&work).unwrap_or_default();
-        let to: Vec<_> = self.membership.alive().map(|m| m.address).collect();
-        to.into_iter()
-            .for_each(|at| self.transport.send_datagram(at, Kind::Work, body.clone()));
+        let addresses: Vec<_> = self
+            .membership
+            .alive()
+            .map(|member| member.address)
+            .collect();
+        addresses.into_iter().for_each(|address| {
+            self.transport
+                .send_datagram(address, Kind::Work, body.clone())
+        });
     }
 
     /// Passes the result of a health check to the limiter, unless this process's own experience with the server
--- a/crates/gateway/gateway/src/fleet/mod.rs
+++ b/crates/gateway/gateway/src/fleet/mod.rs
@@ -94,19 +94,20 @@
 }
 
 impl FleetMember {
+    /// When `tick` must be called next.
     pub(super) fn next_due(&self) -> f64 {
-        let mut due = self.role_client.next_due().min(self.membership.next_due());
+        let mut next_due = self.role_client.next_due().min(self.membership.next_due());
         if let Some(voter) = &self.voter {
-            due = due.min(voter.next_due());
+            next_due = next_due.min(voter.next_due());
         }
         if let Some((relay, _)) = &self.relay {
-            due = due.min(relay.next_due());
+            next_due = next_due.min(relay.next_due());
         }
         if self.config.trial.effects > 0.0 {
-            due = due.min(self.next_trial_effect);
+            next_due = next_due.min(self.next_trial_effect);
         }
         if self.audit_slots.is_some() {
-            due = due.min(self.next_audit);
+            next_due = next_due.min(self.next_audit);
         }
         if !self.broker_outputs.is_empty() {
             return 0.0;
@@ -115,7 +116,7 @@
             .counter_router
             .as_ref()
             .map_or(f64::INFINITY, |counter_router| counter_router.next_due());
-        due.min(self.broker.next_due()).min(lease_overdue)
+        next_due.min(self.broker.next_due()).min(lease_overdue)
     }
 
     pub(super) fn tick(&mut self, event_loop: &Rc<EventLoop>, now: f64) {
@@ -135,7 +136,7 @@
         if let Some(voter) = self.voter.as_mut().filter(|voter| voter.next_due() <= now) {
             voter.tick(now, &mut role_outputs);
         }
-        self.perform(role_outputs, now);
+        self.perform_role_outputs(role_outputs, now);
         if self.broker.next_due() <= now {
             self.broker.tick(now, &mut self.broker_outputs);
         }
@@ -167,7 +168,8 @@
         }
     }
 
-    pub(super) fn report(&self) {
+    /// Logs the statistics of the fleet member.
+    pub(super) fn log_statistics(&self) {
         let transport_statistics = self.transport.statistics();
         let lease_counts = self
             .counter_router
--- a/crates/gateway/gateway/src/fleet/quota_broker.rs
+++ b/crates/gateway/gateway/src/fleet/quota_broker.rs
@@ -36,10 +36,10 @@
                         };
                         if to == self.identity.name {
                             self.receive_lease_response(event_loop, message, now);
-                        } else if let Some(at) = self.addresses_of(&to).first() {
+                        } else if let Some(address) = self.addresses_of(&to).first() {
                             let body =
                                 postcard::to_stdvec(&Work::Lend(message)).unwrap_or_default();
-                            self.transport.send(*at, Kind::Work, body);
+                            self.transport.send(*address, Kind::Work, body);
                         }
                     }
                     quota_sharing::Output::CallCounter {
@@ -109,10 +109,10 @@
             .filter(|owner| **owner != own_name)
             .cloned();
         match owner.and_then(|owner| self.addresses_of(&owner).first().copied()) {
-            Some(at) => {
+            Some(address) => {
                 let work = Work::Lend(quota_sharing::Message::Request { slot, run, request });
                 self.transport.send(
-                    at,
+                    address,
                     Kind::Work,
                     postcard::to_stdvec(&work).unwrap_or_default(),
                 );
--- a/crates/gateway/gateway/src/fleet/role_messages.rs
+++ b/crates/gateway/gateway/src/fleet/role_messages.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 impl FleetMember {
-    pub(super) fn perform(&mut self, outputs: Vec<Output>, now: f64) {
+    pub(super) fn perform_role_outputs(&mut self, outputs: Vec<Output>, now: f64) {
         let mut messages_to_self = Vec::new();
         for output in outputs {
             let (name, run) = (self.identity.name.clone(), self.identity.run);
@@ -19,8 +19,9 @@
                 }
                 Output::Send { to, message } => {
                     let body = postcard::to_stdvec(&message).unwrap_or_default();
-                    for at in self.addresses_of(&to) {
-                        self.transport.send(at, Kind::SingletonRoles, body.clone());
+                    for address in self.addresses_of(&to) {
+                        self.transport
+                            .send(address, Kind::SingletonRoles, body.clone());
                     }
                 }
                 Output::Write(batch) => {
@@ -74,10 +75,10 @@
     /// Handles a message about singleton roles, from a peer or from this process itself.
     pub(super) fn receive_role_message(&mut self, from: String, message: Message, now: f64) {
         let mut outputs = Vec::new();
-        let mut renewed = None;
+        let mut renewal = None;
         match &message {
             Message::Renewed { response, run } => {
-                renewed = (*run == self.identity.run).then_some((response.seq, response.index));
+                renewal = (*run == self.identity.run).then_some((response.seq, response.index));
                 self.role_client.receive(&from, message, now, &mut outputs);
             }
             Message::NotLeader { .. }
@@ -91,7 +92,7 @@
                 }
             }
         }
-        if let Some((seq, index)) = renewed.filter(|_| self.history.is_some()) {
+        if let Some((seq, index)) = renewal.filter(|_| self.history.is_some()) {
             if let Some(sent_at) = self.role_client.granted_renewal_sent_at(seq) {
                 let name = self.identity.name.clone();
                 self.write_history(
@@ -99,16 +100,16 @@
                 );
             }
         }
-        self.perform(outputs, now);
+        self.perform_role_outputs(outputs, now);
     }
 
     /// Checks the fencing token of a message and records the result in the history.
     pub(super) fn accept_token(&mut self, from: &str, slot: Slot, token: u64, now: f64) -> bool {
         let accepted = self.fencing_check.accept(slot, token);
         let line = if accepted { "accepted" } else { "refused" };
-        let at = self.identity.name.clone();
+        let receiver = self.identity.name.clone();
         self.write_history(
-            json!({"line": line, "t": now, "at": at, "who": from, "slot": slot, "token": token}),
+            json!({"line": line, "t": now, "at": receiver, "who": from, "slot": slot, "token": token}),
         );
         accepted
     }
--- a/crates/gateway/gateway/src/fleet/run.rs
+++ b/crates/gateway/gateway/src/fleet/run.rs
@@ -42,19 +42,19 @@
     event_sender: mpsc::UnboundedSender<FleetEvent>,
     events: mpsc::UnboundedReceiver<FleetEvent>,
 ) -> Result<(), GatewayError> {
-    let (to_inbox, inbox) = mpsc::channel(MAX_QUEUED_FRAMES);
+    let (frame_sender, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
     let (fleet, disk_results) =
-        FleetMember::open(config, name, seed, to_inbox, event_sender.clone()).await?;
+        FleetMember::open(config, name, seed, frame_sender, event_sender.clone()).await?;
     let observer = EventObserver::new(event_sender);
     let queued_reports = observer.queued.clone();
     *event_loop.observer.borrow_mut() = Some(observer);
     *event_loop.counter_router.borrow_mut() = fleet.counter_router.clone();
-    let driver = Driver {
+    let fleet_task = FleetTask {
         fleet,
         event_loop: event_loop.clone(),
         queued_reports,
     };
-    let task = tokio::task::spawn_local(driver.run(disk_results, inbox, events));
+    let task = tokio::task::spawn_local(fleet_task.run(disk_results, frames, events));
     // If the fleet task panics, the gateway keeps serving without the fleet and opens its own discovery watch again.
     tokio::task::spawn_local(async move {
         if let Err(e) = task.await {
@@ -67,18 +67,18 @@
 }
 
 /// The fleet member with the event loop that it reports to.
-struct Driver {
+struct FleetTask {
     fleet: FleetMember,
     event_loop: Rc<EventLoop>,
     /// Number of queued reports of the observer.
     queued_reports: Rc<Cell<usize>>,
 }
 
-impl Driver {
+impl FleetTask {
     async fn run(
         mut self,
         mut disk_results: mpsc::UnboundedReceiver<DiskResult>,
-        mut inbox: mpsc::Receiver<Received>,
+        mut frames: mpsc::Receiver<Received>,
         mut events: mpsc::UnboundedReceiver<FleetEvent>,
     ) {
         let mut disk = DiskState::Open;
@@ -90,7 +90,7 @@
                     disk = self.receive_disk_result(result);
                 }
                 () = tokio::time::sleep(Duration::from_secs_f64(wait)), if wait > 0.0 => {}
-                received = inbox.recv() => {
+                received = frames.recv() => {
                     if let Some(received) = received {
                         self.fleet.receive(&self.event_loop, received, clock());
                     }
@@ -115,13 +115,13 @@
             (Some(DiskResult::Saved(number)), Some(voter)) => {
                 voter.written(number, clock(), &mut outputs);
             }
-            (Some(DiskResult::Failed(e)), Some(voter)) => {
-                ::log::error!("fleet: writing the voter's disk failed: {e}");
+            (Some(DiskResult::Failed(error)), Some(voter)) => {
+                ::log::error!("fleet: writing the voter's disk failed: {error}");
                 voter.disk_failed(&mut outputs);
             }
             _ => state = DiskState::Closed,
         }
-        self.fleet.perform(outputs, clock());
+        self.fleet.perform_role_outputs(outputs, clock());
         state
     }
 
@@ -130,18 +130,18 @@
         let fleet = &mut self.fleet;
         match event {
             FleetEvent::WatchLine(line) => fleet.receive_update(event_loop, line, clock()),
-            FleetEvent::Report => fleet.report(),
+            FleetEvent::Report => fleet.log_statistics(),
             FleetEvent::AttemptEnded { server, answered } => {
-                self.report_taken();
-                self.record_delivery(&server.to_string(), answered);
+                self.report_dequeued();
+                self.record_attempt(&server.to_string(), answered);
             }
             FleetEvent::CounterCallEnded {
                 name,
                 add,
                 answered,
             } => {
-                self.report_taken();
-                self.record_call(name, add, answered);
+                self.report_dequeued();
+                self.record_counter_call(name, add, answered);
             }
             FleetEvent::HealthCheckEnded {
                 server,
@@ -167,12 +167,12 @@
         }
     }
 
-    fn report_taken(&self) {
+    fn report_dequeued(&self) {
         let queued = self.queued_reports.get();
         self.queued_reports.set(queued.saturating_sub(1));
     }
 
-    fn record_delivery(&mut self, server: &str, answered: bool) {
+    fn record_attempt(&mut self, server: &str, answered: bool) {
         let now = clock();
         let delivery = if answered {
             Delivery::Answered
@@ -189,7 +189,7 @@
         }
     }
 
-    fn record_call(&mut self, name: u64, add: f64, answered: bool) {
+    fn record_counter_call(&mut self, name: u64, add: f64, answered: bool) {
         let fleet = &mut self.fleet;
         if fleet.audit_slots.is_none() {
             return;
@@ -212,7 +212,7 @@
         let fleet = &mut self.fleet;
         fleet.role_client.leave(now, &mut role_outputs);
         fleet.membership.leave(now, &mut gossip_outputs);
-        fleet.perform(role_outputs, now);
+        fleet.perform_role_outputs(role_outputs, now);
         fleet.drive_broker(&self.event_loop, now);
         fleet.perform_gossip_outputs(gossip_outputs, now);
     }
--- a/crates/gateway/gateway/src/fleet/setup.rs
+++ b/crates/gateway/gateway/src/fleet/setup.rs
@@ -37,6 +37,7 @@
 use std::time::UNIX_EPOCH;
 use tokio::sync::mpsc;
 
+/// The result of a disk write of the voter: the number of the saved batch, or the error.
 pub(super) enum DiskResult {
     Saved(u64),
     Failed(String),
@@ -61,12 +62,12 @@
     let opened = VoterStorage::open(path, &config.roles.fleet, name);
     let OpenedVoter {
         storage,
-        saved: head,
+        saved: saved_state,
     } = opened.map_err(|error| GatewayError::Config(error.to_string()))?;
     let voter = Voter::new(
         config.roles.clone(),
         name.to_owned(),
-        head,
+        saved_state,
         seed,
         now,
         outputs,
@@ -88,14 +89,14 @@
     for batch in batches {
         let delay = slow_disk
             .as_ref()
-            .and_then(|p| std::fs::read_to_string(p).ok());
+            .and_then(|path| std::fs::read_to_string(path).ok());
         let delay = delay
-            .and_then(|t| t.trim().parse::<f64>().ok())
+            .and_then(|text| text.trim().parse::<f64>().ok())
             .unwrap_or(0.0);
         std::thread::sleep(Duration::try_from_secs_f64(delay).unwrap_or_default());
         let result = match storage.write(&batch) {
             Ok(()) => DiskResult::Saved(batch.number),
-            Err(e) => DiskResult::Failed(e.to_string()),
+            Err(error) => DiskResult::Failed(error.to_string()),
         };
         let failed = matches!(result, DiskResult::Failed(_));
         if results.send(result).is_err() || failed {
@@ -107,7 +108,7 @@
 pub(super) async fn open_transport(
     config: &FleetConfig,
     name: &str,
-    inbox: mpsc::Sender<Received>,
+    frames: mpsc::Sender<Received>,
 ) -> Result<Rc<Transport>, GatewayError> {
     let transport = Transport::open(
         config.roles.fleet.clone(),
@@ -115,7 +116,7 @@
         config.listen,
         config.transport_limits.clone(),
         config.via.clone(),
-        inbox,
+        frames,
     );
     transport
         .await
@@ -142,7 +143,7 @@
         .roles
         .zones
         .iter()
-        .position(|z| *z == config.zone)
+        .position(|name| *name == config.zone)
         .unwrap_or(0) as u32;
     let slot = config
         .roles
@@ -159,7 +160,7 @@
         config: FleetConfig,
         name: String,
         seed: u64,
-        inbox: mpsc::Sender<Received>,
+        frames: mpsc::Sender<Received>,
         events: mpsc::UnboundedSender<FleetEvent>,
     ) -> Result<(Self, mpsc::UnboundedReceiver<DiskResult>), GatewayError> {
         let now = clock();
@@ -178,7 +179,7 @@
         let mut outputs = Vec::new();
         let (voter, disk_writes) =
             open_voter(&config, &name, seed, now, result_sender, &mut outputs)?.unzip();
-        let transport = open_transport(&config, &name, inbox).await?;
+        let transport = open_transport(&config, &name, frames).await?;
         let version = config
             .trial
             .version
@@ -258,7 +259,7 @@
         fleet.write_history(
             json!({"line": "started", "t": now, "who": fleet.identity.name, "run": run}),
         );
-        fleet.perform(outputs, now);
+        fleet.perform_role_outputs(outputs, now);
         Ok((fleet, results))
     }
 }
--- a/crates/gateway/gateway/src/fleet/trial_effects.rs
+++ b/crates/gateway/gateway/src/fleet/trial_effects.rs
@@ -28,7 +28,7 @@
         if self.transport.version() > dunespur_peer_transport::VERSION {
             members
                 .iter()
-                .for_each(|at| self.transport.send_unknown_kind(*at));
+                .for_each(|address| self.transport.send_unknown_kind(*address));
         }
         for Assignment { slot, token } in held {
             self.role_client.record_progress(slot, now);
@@ -42,9 +42,9 @@
                 );
             }
             if !self.config.trial.receivers.is_empty() {
-                let at = self.config.trial.receivers
+                let receiver = self.config.trial.receivers
                     [self.trial_turn % self.config.trial.receivers.len()];
-                self.transport.send_datagram(at, Kind::Work, body);
+                self.transport.send_datagram(receiver, Kind::Work, body);
             }
         }
     }
--- a/crates/gateway/gateway/src/fleet/work.rs
+++ b/crates/gateway/gateway/src/fleet/work.rs
@@ -94,7 +94,7 @@
             let body = postcard::to_stdvec(&work).unwrap_or_default();
             self.addresses_of(&name)
                 .into_iter()
-                .for_each(|at| self.transport.send(at, Kind::Work, body.clone()));
+                .for_each(|address| self.transport.send(address, Kind::Work, body.clone()));
             true
         } else {
             false
--- a/crates/gateway/gateway/src/operators_file.rs
+++ b/crates/gateway/gateway/src/operators_file.rs
@@ -379,10 +379,12 @@
     let audit = fleet.audit.settings()?;
     let lend = fleet.lend.settings(counter_timeout)?;
     let trial = fleet.trial.unwrap_or_default();
-    let via = trial
-        .via
-        .iter()
-        .map(|(peer, actual)| Ok((parse_address("via", peer)?, parse_address("via", actual)?)));
+    let via = trial.via.iter().map(|(peer, actual)| {
+        Ok((
+            parse_address("fleet.trial.via", peer)?,
+            parse_address("fleet.trial.via", actual)?,
+        ))
+    });
     let via = via.collect::<Result<_, OperatorsFileError>>()?;
     let machine = fleet.machine.unwrap_or_else(|| name.to_owned());
     let disk = fleet.disk;
@@ -406,9 +408,9 @@
 
 fn parse_toml(text: &str) -> Result<OperatorsFile, OperatorsFileError> {
     toml::from_str(text).map_err(|error| {
-        let before = error.span().map(|span| &text[..span.start.min(text.len())]);
+        let text_before = error.span().map(|span| &text[..span.start.min(text.len())]);
         OperatorsFileError::Syntax {
-            line: before.map_or(1, |before| before.matches('\n').count() + 1),
+            line: text_before.map_or(1, |text| text.matches('\n').count() + 1),
             message: error.message().replace('\n', " "),
         }
     })
@@ -418,10 +420,10 @@
     fn voter_addresses(&self) -> Result<Vec<(String, SocketAddrV4)>, OperatorsFileError> {
         let voters = self.voters.iter();
         voters
-            .map(|v| {
+            .map(|voter| {
                 Ok((
-                    v.name.clone(),
-                    parse_address("fleet.voter.address", &v.address)?,
+                    voter.name.clone(),
+                    parse_address("fleet.voter.address", &voter.address)?,
                 ))
             })
             .collect()
--- a/crates/gateway/gateway/src/server_connections.rs
+++ b/crates/gateway/gateway/src/server_connections.rs
@@ -30,29 +30,31 @@
 
 /// How much of the current attempt has been written.
 #[derive(Clone, Copy, Default)]
-struct Written {
+struct WriteProgress {
+    /// The last four bytes of the head written so far.
     last_four: u32,
-    head: bool,
+    head_complete: bool,
+    /// Bytes of the body that have not been written.
     body_left: usize,
 }
 
-impl Written {
-    fn count(&mut self, bytes: &[u8]) {
+impl WriteProgress {
+    fn record(&mut self, bytes: &[u8]) {
         let mut bytes = bytes.iter();
-        while !self.head {
-            let Some(&b) = bytes.next() else { return };
-            self.last_four = self.last_four << 8 | u32::from(b);
-            self.head = self.last_four == u32::from_be_bytes(*b"\r\n\r\n");
+        while !self.head_complete {
+            let Some(&byte) = bytes.next() else { return };
+            self.last_four = self.last_four << 8 | u32::from(byte);
+            self.head_complete = self.last_four == u32::from_be_bytes(*b"\r\n\r\n");
         }
         self.body_left = self.body_left.saturating_sub(bytes.len());
     }
 
     fn has_begun(self) -> bool {
-        self.head || self.last_four != 0
+        self.head_complete || self.last_four != 0
     }
 
     fn is_complete(self) -> bool {
-        self.head && self.body_left == 0
+        self.head_complete && self.body_left == 0
     }
 }
 
@@ -60,10 +62,10 @@
 struct Connection {
     server: usize,
     /// Number of times that the server's connections had been retired when this one was opened.
-    retired: u64,
+    retirements: u64,
     stream: RefCell<Option<TokioIo<TcpStream>>>,
     attempt: RefCell<Option<Attempt>>,
-    written: Cell<Written>,
+    written: Cell<WriteProgress>,
     closed: Cell<bool>,
     idle_since: Cell<f64>,
     wake: Notify,
@@ -103,7 +105,7 @@
         let result = self.0.poll(|stream| stream.poll_write(cx, bytes));
         if let Poll::Ready(Ok(n)) = result {
             let mut written = self.0.written.get();
-            written.count(&bytes[..n]);
+            written.record(&bytes[..n]);
             self.0.written.set(written);
         }
         result
@@ -118,6 +120,7 @@
     }
 }
 
+/// The connections to all servers.
 pub struct ServerConnections {
     connect_timeout: Duration,
     max_idle_s: f64,
@@ -125,20 +128,22 @@
     open: Cell<usize>,
     /// Idle connections by server, the most recently used last.
     idle: RefCell<Vec<Vec<Rc<Connection>>>>,
-    retired: RefCell<Vec<u64>>,
+    /// Number of retirements by server.
+    retirements: RefCell<Vec<u64>>,
+    /// Connections with an attempt, by invocation id and attempt index.
     in_use: RefCell<HashMap<(u64, usize), Rc<Connection>>>,
 }
 
 impl ServerConnections {
     pub fn new(connect_timeout: Duration, max_idle_s: f64, max_open: usize) -> Self {
-        let (idle, retired, in_use) = Default::default();
+        let (idle, retirements, in_use) = Default::default();
         ServerConnections {
             connect_timeout,
             max_idle_s,
             max_open,
             open: Cell::new(0),
             idle,
-            retired,
+            retirements,
             in_use,
         }
     }
@@ -152,7 +157,7 @@
             ..
         } = attempt;
         if let Some(connection) = self.take_idle(server, event_loop.clock.now()) {
-            connection.written.set(Written::default());
+            connection.written.set(WriteProgress::default());
             *connection.attempt.borrow_mut() = Some(attempt);
             connection.wake.notify_one();
             self.in_use
@@ -175,7 +180,7 @@
         }
         let connection = Rc::new(Connection {
             server,
-            retired: self.retirements(server),
+            retirements: self.retirements(server),
             stream: RefCell::default(),
             attempt: RefCell::new(Some(attempt)),
             written: Cell::default(),
@@ -226,11 +231,11 @@
     /// Retires the connections of a server that left, moved or restarted: idle ones close now, those in use after
     /// their response.
     pub fn retire(&self, server: usize) {
-        let mut retired = self.retired.borrow_mut();
-        if retired.len() <= server {
-            retired.resize(server + 1, 0);
+        let mut retirements = self.retirements.borrow_mut();
+        if retirements.len() <= server {
+            retirements.resize(server + 1, 0);
         }
-        retired[server] += 1;
+        retirements[server] += 1;
         let connections = self.idle.borrow_mut().get_mut(server).map(std::mem::take);
         connections
             .into_iter()
@@ -239,16 +244,16 @@
     }
 
     fn retirements(&self, server: usize) -> u64 {
-        self.retired.borrow().get(server).copied().unwrap_or(0)
+        self.retirements.borrow().get(server).copied().unwrap_or(0)
     }
 
     /// Closes connections that have been idle so long that the server might close them first.
     pub fn sweep(&self, now: f64) {
         for connections in self.idle.borrow_mut().iter_mut() {
-            let old = connections
+            let expired = connections
                 .partition_point(|connection| now - connection.idle_since.get() > self.max_idle_s);
             connections
-                .drain(..old)
+                .drain(..expired)
                 .for_each(|connection| connection.close());
         }
     }
@@ -259,10 +264,10 @@
     fn take_idle(&self, server: usize, now: f64) -> Option<Rc<Connection>> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(server)?;
-        let old = connections
+        let expired = connections
             .partition_point(|connection| now - connection.idle_since.get() > self.max_idle_s);
         connections
-            .drain(..old)
+            .drain(..expired)
             .for_each(|connection| connection.close());
         let usable = connections
             .partition_point(|connection| now - connection.idle_since.get() >= MIN_IDLE_S);
@@ -284,7 +289,7 @@
     }
 
     fn keep(&self, connection: &Rc<Connection>, now: f64) {
-        if connection.retired != self.retirements(connection.server) {
+        if connection.retirements != self.retirements(connection.server) {
             return connection.close();
         }
         connection.idle_since.set(now);
@@ -413,13 +418,13 @@
                 continue;
             };
             let now = event_loop.clock.now();
-            let rest = connection.idle_since.get() + MIN_IDLE_S - now;
-            if rest > 0.0 {
+            let idle_time_left = connection.idle_since.get() + MIN_IDLE_S - now;
+            if idle_time_left > 0.0 {
                 tokio::select! {
                     biased;
                     _ = connection.wake.notified() => {}
                     _ = &mut driver => return self.retry_on_other_connection(),
-                    _ = sleep(Duration::from_secs_f64(rest)) => {}
+                    _ = sleep(Duration::from_secs_f64(idle_time_left)) => {}
                 }
                 continue;
             }
@@ -439,9 +444,9 @@
                 self.report(Err(GatewayError::ClosedBeforeSent));
                 continue;
             }
-            connection.written.set(Written {
+            connection.written.set(WriteProgress {
                 body_left: attempt.request.body_len(),
-                ..Written::default()
+                ..WriteProgress::default()
             });
             let request = encode_server_request(&attempt.request, attempt.deadline - now);
             let mut exchange = pin!(async {
--- a/crates/gateway/gateway/src/server_connections/tests.rs
+++ b/crates/gateway/gateway/src/server_connections/tests.rs
@@ -1,4 +1,4 @@
-use super::Written;
+use super::WriteProgress;
 
 /// Tested without a socket: the kernel buffers more than a whole body, so a write cannot be made to stop before its
 /// last byte.
@@ -9,13 +9,13 @@
         (b"P\r\n\r\n\r\n\r\nx", 5),
     ] {
         for split in 0..text.len() {
-            let mut written = Written {
+            let mut written = WriteProgress {
                 body_left,
-                ..Written::default()
+                ..WriteProgress::default()
             };
-            written.count(&text[..split]);
+            written.record(&text[..split]);
             assert!(!written.is_complete(), "{split} of {} bytes", text.len());
-            written.count(&text[split..]);
+            written.record(&text[split..]);
             assert!(written.is_complete(), "all, split at {split}");
         }
     }
