--- a/crates/gateway/gateway/tests/attempts.rs
+++ b/crates/gateway/gateway/tests/attempts.rs
@@ -70,10 +70,10 @@
     // The gateway reuses the connection for six of eight seconds; a sweep runs every second from the start.
     let settings = SETTINGS.replace("\"keepaliveS\":1.0", "\"keepaliveS\":8.0");
     let server = FakeService::server(Behavior::Normal);
-    let started = Instant::now();
+    let started_at = Instant::now();
     let (gateway, _discovery, _counter) = Gateway::with_settings(&[server.address], &settings);
     let sleep_until =
-        |seconds: f64| sleep(Duration::from_secs_f64(seconds).saturating_sub(started.elapsed()));
+        |seconds: f64| sleep(Duration::from_secs_f64(seconds).saturating_sub(started_at.elapsed()));
     sleep_until(0.2);
     assert!(gateway.send_read().ends_with("served"));
     // Just over six seconds later: the last sweep was too early to close the connection, and the next one is still to
@@ -122,12 +122,12 @@
         came
     });
     let (gateway, _discovery, _counter) = Gateway::with_settings(&[address], &settings);
-    let answer = gateway
+    let response = gateway
         .send(&invocation("POST", "write", 4000, ""))
         .unwrap();
     assert!(
-        answer.starts_with("HTTP/1.1 502 "),
-        "expected 502, since the request may have run: {answer}"
+        response.starts_with("HTTP/1.1 502 "),
+        "expected 502, since the request may have run: {response}"
     );
     drop(gateway);
     assert!(
@@ -160,18 +160,18 @@
             false
         });
         let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
-        let answer = gateway
+        let response = gateway
             .send(&invocation(method, operation, 2000, ""))
             .unwrap();
         if repeatable {
             assert!(
-                answer.ends_with("served") && server.received_count() == 2,
-                "{operation}: {answer}"
+                response.ends_with("served") && server.received_count() == 2,
+                "{operation}: {response}"
             );
         } else {
             assert!(
-                answer.starts_with("HTTP/1.1 502 ") && server.received_count() == 1,
-                "{operation}: {answer}"
+                response.starts_with("HTTP/1.1 502 ") && server.received_count() == 1,
+                "{operation}: {response}"
             );
         }
     }
@@ -188,12 +188,12 @@
     });
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     for (method, operation, _) in EFFECTS {
-        let answer = gateway
+        let response = gateway
             .send(&invocation(method, operation, 2000, ""))
             .unwrap();
         assert!(
-            answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("served"),
-            "{answer}"
+            response.starts_with("HTTP/1.1 200 ") && response.ends_with("served"),
+            "{response}"
         );
     }
     assert_eq!(server.received_count(), 3);
@@ -219,10 +219,11 @@
         });
         let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
         *server.behavior.lock().unwrap() = Behavior::Slow;
-        let started = Instant::now();
-        let answer = gateway.send(&invocation("POST", "once", 600, "")).unwrap();
+        let started_at = Instant::now();
+        let response = gateway.send(&invocation("POST", "once", 600, "")).unwrap();
         assert!(
-            answer.starts_with("HTTP/1.1 502 ") && started.elapsed() < Duration::from_millis(700)
+            response.starts_with("HTTP/1.1 502 ")
+                && started_at.elapsed() < Duration::from_millis(700)
         );
         assert_eq!(server.received_count(), 1);
         wait_until("the connection is closed", || {
@@ -322,6 +323,6 @@
             .write_all(invocation("GET", "read", 2000, "").as_bytes())
             .unwrap();
     });
-    let answer = read_message(&mut idle_client).unwrap();
-    assert!(answer.ends_with("served"), "{answer}");
+    let response = read_message(&mut idle_client).unwrap();
+    assert!(response.ends_with("served"), "{response}");
 }
--- a/crates/gateway/gateway/tests/clients.rs
+++ b/crates/gateway/gateway/tests/clients.rs
@@ -24,18 +24,18 @@
     // A few bytes, a complete message, more than a message may hold, and far more.
     let whole = invocation("GET", "read", 2000, "");
     let floods = [300_000, 5_000_000].map(|bytes| "x".repeat(bytes));
-    for (at, more) in ["GET", &whole, &floods[0], &floods[1]].iter().enumerate() {
+    for (index, extra_input) in ["GET", &whole, &floods[0], &floods[1]].iter().enumerate() {
         let mut stream = send_request(&gateway, "once", 2000);
         wait_until("the attempt has arrived", || {
-            server.received_count() == at + 1
+            server.received_count() == index + 1
         });
-        stream.write_all(more.as_bytes()).unwrap();
+        stream.write_all(extra_input.as_bytes()).unwrap();
         // The gateway has read the input by now, so that only the end of the stream is new.
         sleep(Duration::from_millis(50));
         let disconnected_at = Instant::now();
         drop(stream);
         wait_until("the connection to the server is closed", || {
-            server.closed_connections.load(Ordering::SeqCst) == at + 1
+            server.closed_connections.load(Ordering::SeqCst) == index + 1
         });
         assert!(
             disconnected_at.elapsed() < Duration::from_millis(500),
@@ -43,8 +43,8 @@
         );
         assert_eq!(
             server.received_count(),
-            at + 1,
-            "extra input is not forwarded"
+            index + 1,
+            "extra input was forwarded"
         );
     }
 }
@@ -81,13 +81,13 @@
         sleep(Duration::from_millis(700));
     });
     assert!(read_message(&mut client)
-        .expect("an answer")
+        .expect("a response")
         .ends_with("served"));
     client
         .write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
     assert!(read_message(&mut client)
-        .expect("an answer")
+        .expect("a response")
         .ends_with("served"));
 }
 
@@ -95,20 +95,20 @@
 fn a_client_that_resets_or_shuts_down_its_write_side_is_disconnected() {
     let server = FakeService::server(Behavior::Silent);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
-    for at in 0..2 {
+    for index in 0..2 {
         let stream = send_request(&gateway, "once", 2000);
         wait_until("the attempt has arrived", || {
-            server.received_count() == at + 1
+            server.received_count() == index + 1
         });
         let disconnected_at = Instant::now();
-        if at == 0 {
+        if index == 0 {
             reset_on_close(&stream);
             drop(stream);
         } else {
             stream.shutdown(std::net::Shutdown::Write).unwrap();
         }
         wait_until("the connection to the server is closed", || {
-            server.closed_connections.load(Ordering::SeqCst) == at + 1
+            server.closed_connections.load(Ordering::SeqCst) == index + 1
         });
         assert!(
             disconnected_at.elapsed() < Duration::from_millis(500),
@@ -122,8 +122,8 @@
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     // Once with a new connection to the server, once with an existing one.
-    for received in [0, 1] {
-        let mut idle_client = if received > 0 {
+    for expected in [0, 1] {
+        let mut idle_client = if expected > 0 {
             gateway.idle_client()
         } else {
             gateway.connect().unwrap()
@@ -138,7 +138,7 @@
         sleep(Duration::from_millis(300));
         assert_eq!(
             server.received_count(),
-            received,
+            expected,
             "a request of a disconnected client was forwarded"
         );
     }
@@ -259,7 +259,7 @@
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let mut flood = gateway.connect().unwrap();
-    let started = Instant::now();
+    let started_at = Instant::now();
     let writes = (0..200)
         .take_while(|_| flood.write_all(&[b'x'; 65536]).is_ok())
         .count();
@@ -267,21 +267,21 @@
         writes < 200 || flood.read(&mut [0; 16]).is_ok_and(|n| n < 16),
         "the gateway read 13 MB of input"
     );
-    assert!(started.elapsed() < Duration::from_secs(5));
+    assert!(started_at.elapsed() < Duration::from_secs(5));
     assert!(gateway.send_read().ends_with("served"));
     assert_eq!(server.received_count(), 1);
 }
 
 #[test]
 fn descriptors_full_of_idle_clients_leave_room_for_discovery_servers_and_the_counter() {
-    let (stays, drains) = (
+    let (stays, draining) = (
         FakeService::server(Behavior::Normal),
         FakeService::server(Behavior::Normal),
     );
     let initial_list = endpoint_list(
         1,
         true,
-        &[(0, stays.address, "Ready"), (1, drains.address, "Ready")],
+        &[(0, stays.address, "Ready"), (1, draining.address, "Ready")],
     );
     let (discovery, counter) = (
         FakeService::discovery(initial_list.clone(), Behavior::Silent),
@@ -300,23 +300,31 @@
         "not served while discovery is silent"
     );
     discovery.list_lines.lock().unwrap()[0] =
-        endpoint_list(2, false, &[(1, drains.address, "Terminating")]);
+        endpoint_list(2, false, &[(1, draining.address, "Terminating")]);
     let watches = discovery.received_count();
     *discovery.behavior.lock().unwrap() = Behavior::Normal;
     wait_until("the list is watched again", || {
         discovery.received_count() > watches
     });
     sleep(Duration::from_millis(100));
-    let (before, calls) = (drains.received_count(), counter.received_count());
-    let other =
+    let (before, calls) = (draining.received_count(), counter.received_count());
+    let read_of_customer =
         |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
-    (0..20).for_each(|n| assert!(gateway.send(&other(n)).unwrap().ends_with("served")));
+    (0..20).for_each(|n| {
+        assert!(gateway
+            .send(&read_of_customer(n))
+            .unwrap()
+            .ends_with("served"))
+    });
     assert_eq!(
-        drains.received_count(),
+        draining.received_count(),
         before,
         "a draining server got a request"
     );
-    assert!(counter.received_count() > calls, "the counter is called");
+    assert!(
+        counter.received_count() > calls,
+        "the counter was not called"
+    );
     gateway.signal("-KILL");
     let stderr = String::from_utf8_lossy(&gateway.wait_for_output().stderr).into_owned();
     assert!(!stderr.contains("Too many open files"), "{stderr}");
@@ -328,7 +336,7 @@
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_sockets(&[server.address], 32, SETTINGS);
     let mut clients: Vec<_> = (0..60).map(|_| gateway.idle_client()).collect();
-    let mut ended = 0;
+    let mut closed = 0;
     for client in &mut clients[..30] {
         client
             .set_read_timeout(Some(Duration::from_secs(2)))
@@ -349,9 +357,9 @@
             before,
             "a request after the end of the connection was forwarded"
         );
-        ended += 1;
+        closed += 1;
     }
-    assert_eq!(ended, 30, "the oldest connections were not closed first");
+    assert_eq!(closed, 30, "the oldest connections were not closed first");
     assert!(gateway.send_read().ends_with("served"));
 }
 
@@ -370,8 +378,8 @@
         clients.push(client);
     }
     for client in &mut clients {
-        let answer = read_message(client).unwrap_or_default();
-        refused += usize::from(answer.starts_with("HTTP/1.1 503 "));
+        let response = read_message(client).unwrap_or_default();
+        refused += usize::from(response.starts_with("HTTP/1.1 503 "));
     }
     let status = std::fs::read_to_string(format!(
         "/proc/{}/status",
--- a/crates/gateway/gateway/tests/common/mod.rs
+++ b/crates/gateway/gateway/tests/common/mod.rs
@@ -348,12 +348,12 @@
         settings: &str,
     ) -> Gateway {
         let mut gateway = Gateway::start(initial_list, discovery, counter, sockets, settings);
-        let started = Instant::now();
+        let started_at = Instant::now();
         while gateway
             .send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             .is_none_or(|a| !a.contains(" 200 "))
         {
-            if started.elapsed() > Duration::from_secs(10) {
+            if started_at.elapsed() > Duration::from_secs(10) {
                 gateway.signal("-KILL");
                 let stderr =
                     String::from_utf8_lossy(&gateway.wait_for_output().stderr).into_owned();
@@ -549,10 +549,10 @@
 }
 
 pub fn wait_until(condition: &str, holds: impl Fn() -> bool) {
-    let started = Instant::now();
+    let started_at = Instant::now();
     while !holds() {
         assert!(
-            started.elapsed() < Duration::from_secs(8),
+            started_at.elapsed() < Duration::from_secs(8),
             "condition not met within 8 s: {condition}"
         );
         sleep(Duration::from_millis(5));
--- a/crates/gateway/gateway/tests/shutdown.rs
+++ b/crates/gateway/gateway/tests/shutdown.rs
@@ -36,13 +36,13 @@
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let _unanswered = send_unanswered_post(&gateway, &server);
     assert!(gateway.send_read().ends_with("served"));
-    let started = Instant::now();
+    let started_at = Instant::now();
     gateway.signal("-TERM");
     wait_until("the idle connection is closed", || {
         server.closed_connections.load(Ordering::SeqCst) == 1
     });
     assert!(
-        started.elapsed() < Duration::from_millis(1400),
+        started_at.elapsed() < Duration::from_millis(1400),
         "not closed until the exit"
     );
 }
@@ -104,10 +104,10 @@
         return false;
     }
     for client in clients.iter_mut().chain([&mut idle_client]) {
-        let answer = read_message(client).expect("no response");
+        let response = read_message(client).expect("no response");
         assert!(
-            answer.ends_with("served") && answer.contains("connection: close"),
-            "{answer}"
+            response.ends_with("served") && response.contains("connection: close"),
+            "{response}"
         );
     }
     drop((clients, idle_client));
@@ -152,7 +152,7 @@
             .unwrap();
         loop {
             let text = invocation("GET", ["read", "once"][at as usize % 2], 1000, "");
-            let started = Instant::now();
+            let started_at = Instant::now();
             if stream.write_all(text.as_bytes()).is_err() {
                 return (answered, unanswered);
             }
@@ -164,7 +164,7 @@
                 }
             }
             assert!(
-                started.elapsed() < Duration::from_millis(1500),
+                started_at.elapsed() < Duration::from_millis(1500),
                 "the response came too late"
             );
             sleep(Duration::from_millis(7 + at));
@@ -174,15 +174,15 @@
         .map(|at| spawn(move || send_until_closed(at)))
         .collect();
     sleep(Duration::from_millis(300));
-    let started = Instant::now();
+    let started_at = Instant::now();
     gateway.signal("-TERM");
     let ends: Vec<_> = clients.into_iter().map(|c| c.join().unwrap()).collect();
     let output = gateway.wait_for_output();
     assert!(output.status.success());
     assert!(
-        started.elapsed() < Duration::from_millis(500 + 1000 + 1200),
+        started_at.elapsed() < Duration::from_millis(500 + 1000 + 1200),
         "{:?}",
-        started.elapsed()
+        started_at.elapsed()
     );
     let answered: usize = ends.iter().map(|e| e.0).sum();
     let received = server.received.lock().unwrap();
@@ -208,9 +208,9 @@
 #[test]
 fn a_slow_reader_gets_its_whole_response_despite_unread_input() {
     let body = "a long answer ".repeat(4000);
-    let answer = ok_response(&body);
+    let response = ok_response(&body);
     let server =
-        FakeService::scripted(move |_, _, stream| stream.write_all(answer.as_bytes()).is_ok());
+        FakeService::scripted(move |_, _, stream| stream.write_all(response.as_bytes()).is_ok());
     let (mut gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
--- a/crates/gateway/gateway/tests/sockets.rs
+++ b/crates/gateway/gateway/tests/sockets.rs
@@ -13,12 +13,12 @@
 fn an_invocation_is_forwarded_unchanged_and_its_response_returned() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, counter) = Gateway::with_servers(&[server.address]);
-    let answer = gateway
+    let response = gateway
         .send(&invocation("POST", "write", 1500, "some body"))
         .unwrap();
     assert!(
-        answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("served"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 200 ") && response.ends_with("served"),
+        "{response}"
     );
     let received = server.received.lock().unwrap()[0].to_ascii_lowercase();
     assert!(
@@ -59,12 +59,12 @@
         1,
         "one connection must serve all requests"
     );
-    let started = Instant::now();
+    let started_at = Instant::now();
     wait_until("the idle connection is closed", || {
         server.closed_connections.load(Ordering::SeqCst) == 1
     });
     assert!(
-        started.elapsed() < Duration::from_secs(1),
+        started_at.elapsed() < Duration::from_secs(1),
         "not closed before the server's idle timeout of 1 s"
     );
     assert!(gateway.send_read().contains("200 OK"));
@@ -149,11 +149,11 @@
         "the unresponsive server was not tried"
     );
     *servers[1 - silent].behavior.lock().unwrap() = Behavior::Silent;
-    let started = Instant::now();
-    let answer = gateway.send(&invocation("GET", "once", 700, "")).unwrap();
+    let started_at = Instant::now();
+    let response = gateway.send(&invocation("GET", "once", 700, "")).unwrap();
     assert!(
-        answer.starts_with("HTTP/1.1 502 ") && started.elapsed() < Duration::from_millis(700),
-        "{answer}"
+        response.starts_with("HTTP/1.1 502 ") && started_at.elapsed() < Duration::from_millis(700),
+        "{response}"
     );
 }
 
@@ -172,8 +172,8 @@
         let tiny = invocation("GET", "read", 2000, "")
             .replace("small", "tiny")
             .replace("b4d6", "b4d7");
-        let answers: Vec<_> = (0..20).map(|_| gateway.send(&tiny).unwrap()).collect();
-        let throttled = answers.iter().filter(|a| a.contains(" 429 ")).count();
+        let responses: Vec<_> = (0..20).map(|_| gateway.send(&tiny).unwrap()).collect();
+        let throttled = responses.iter().filter(|a| a.contains(" 429 ")).count();
         assert!(
             (17..20).contains(&throttled),
             "{throttled} of 20 throttled beyond a burst of 1"
@@ -191,9 +191,9 @@
     // A connection without replies is considered dead after a while, and another one is opened.
     let before = counter.received_count();
     wait_until("the counter is called on a new connection", || {
-        let other = invocation("GET", "read", 2000, "")
+        let request = invocation("GET", "read", 2000, "")
             .replace("b4d65521", &format!("{:08x}", counter.received_count()));
-        gateway.send(&other).unwrap();
+        gateway.send(&request).unwrap();
         counter.received_count() > before + 3 && counter.connections.load(Ordering::SeqCst) > 1
     });
 }
@@ -204,15 +204,20 @@
     let server = FakeService::server(Behavior::Normal);
     let (mut gateway, _discovery, counter) = Gateway::with_servers(&[server.address]);
     *counter.behavior.lock().unwrap() = Behavior::CorruptFirstName;
-    let other =
+    let read_of_customer =
         |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
     let mut first = gateway.connect().unwrap();
-    first.write_all(other(0).as_bytes()).unwrap();
+    first.write_all(read_of_customer(0).as_bytes()).unwrap();
     wait_until("the first call has arrived", || {
         counter.received_count() == 1
     });
     // While nothing is known of the counter, only some of the requests call it.
-    (1..120).for_each(|n| assert!(gateway.send(&other(n)).unwrap().ends_with("served")));
+    (1..120).for_each(|n| {
+        assert!(gateway
+            .send(&read_of_customer(n))
+            .unwrap()
+            .ends_with("served"))
+    });
     assert!(read_message(&mut first).unwrap().ends_with("served"));
     // Eight connections; the one with the malformed reply may have been reopened by now.
     let open = counter.connections.load(Ordering::SeqCst);
@@ -395,10 +400,12 @@
     ];
     for text in &bad {
         // A connection that closes with much unread input may lose its response.
-        let answer = gateway.send(text);
-        let is_4xx = answer.as_ref().is_none_or(|a| a.starts_with("HTTP/1.1 4"))
-            && (answer.is_some() || text.len() > 9000);
-        assert!(is_4xx, "{:?} to {}", answer, &text[..text.len().min(300)]);
+        let response = gateway.send(text);
+        let is_4xx = response
+            .as_ref()
+            .is_none_or(|a| a.starts_with("HTTP/1.1 4"))
+            && (response.is_some() || text.len() > 9000);
+        assert!(is_4xx, "{:?} to {}", response, &text[..text.len().min(300)]);
     }
     assert!(
         gateway.send_read().ends_with("served"),
@@ -505,9 +512,12 @@
     std::fs::write(&gateway.config, &moved[..moved.len() / 2]).unwrap();
     gateway.signal("-HUP");
     sleep(Duration::from_millis(100));
-    let other =
+    let read_of_customer =
         |n: u64| invocation("GET", "read", 2000, "").replace("b4d65521", &format!("{n:08x}"));
-    assert!(gateway.send(&other(1)).unwrap().ends_with("served"));
+    assert!(gateway
+        .send(&read_of_customer(1))
+        .unwrap()
+        .ends_with("served"));
     assert_eq!(old_discovery.received_count(), 1, "the addresses changed");
     std::fs::write(&gateway.config, &moved).unwrap();
     gateway.signal("-HUP");
@@ -521,10 +531,16 @@
         discovery.received.lock().unwrap()[0].contains("since=1 "),
         "the watch must continue from its revision"
     );
-    assert!(gateway.send(&other(2)).unwrap().ends_with("served"));
+    assert!(gateway
+        .send(&read_of_customer(2))
+        .unwrap()
+        .ends_with("served"));
     assert!(counter.received_count() > 0, "the new counter got no call");
     let before = old_counter.received_count();
-    assert!(gateway.send(&other(3)).unwrap().ends_with("served"));
+    assert!(gateway
+        .send(&read_of_customer(3))
+        .unwrap()
+        .ends_with("served"));
     assert_eq!(
         old_counter.received_count(),
         before,
@@ -548,7 +564,7 @@
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
     let half = invocation("POST", "write", 1500, &"x".repeat(100));
-    let started = Instant::now();
+    let started_at = Instant::now();
     let mut idle = gateway.connect().unwrap();
     idle.write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
@@ -563,12 +579,12 @@
         let mut response = Vec::new();
         _ = client.read_to_end(&mut response);
         assert!(
-            started.elapsed() < Duration::from_millis(2900),
+            started_at.elapsed() < Duration::from_millis(2900),
             "not closed in time after {part:?}"
         );
     }
     assert!(
-        started.elapsed() > Duration::from_millis(1900),
+        started_at.elapsed() > Duration::from_millis(1900),
         "closed before the message timeout"
     );
     idle.write_all(invocation("GET", "read", 2000, "").as_bytes())
--- a/crates/gateway/gateway/tests/watches.rs
+++ b/crates/gateway/gateway/tests/watches.rs
@@ -20,29 +20,32 @@
 }
 
 /// Two servers, of which the second will drain, and a gateway that knows both initially.
-struct Case {
+struct DrainSetup {
     stays: Arc<FakeService>,
     draining: Arc<FakeService>,
     gateway: Gateway,
     _counter: Arc<FakeService>,
 }
 
-impl Case {
-    fn with(
+impl DrainSetup {
+    fn new(
         discovery: impl FnOnce(&FakeService, &FakeService) -> Arc<FakeService>,
-    ) -> (Case, Arc<FakeService>) {
-        Self::by(SETTINGS, discovery)
+    ) -> (DrainSetup, Arc<FakeService>) {
+        Self::with_settings(SETTINGS, discovery)
     }
 
-    fn by(
+    fn with_settings(
         settings: &str,
         discovery: impl FnOnce(&FakeService, &FakeService) -> Arc<FakeService>,
-    ) -> (Case, Arc<FakeService>) {
-        let works = |_: &FakeService, _: &str, stream: &mut TcpStream| {
+    ) -> (DrainSetup, Arc<FakeService>) {
+        let respond = |_: &FakeService, _: &str, stream: &mut TcpStream| {
             sleep(Duration::from_millis(15));
             stream.write_all(ok_response("served").as_bytes()).is_ok()
         };
-        let (stays, draining) = (FakeService::scripted(works), FakeService::scripted(works));
+        let (stays, draining) = (
+            FakeService::scripted(respond),
+            FakeService::scripted(respond),
+        );
         let initial_list = endpoint_list(
             1,
             true,
@@ -60,7 +63,7 @@
             settings,
         );
         (
-            Case {
+            DrainSetup {
                 stays,
                 draining,
                 gateway,
@@ -94,7 +97,7 @@
 
 /// A discovery whose first watch fails as the test says and whose later watches send the drain.
 fn failing_first_watch(
-    news: String,
+    update: String,
     first: impl Fn(&mut dyn Write) + Send + Sync + 'static,
 ) -> Arc<FakeService> {
     FakeService::start(Behavior::Normal, move |service, mut stream| {
@@ -106,7 +109,7 @@
             return first(&mut stream);
         }
         _ = stream.write_all(RESPONSE_HEAD);
-        _ = stream.write_all(&chunk(&format!("{news}\n")));
+        _ = stream.write_all(&chunk(&format!("{update}\n")));
         while stream.write_all(&chunk("\n")).is_ok() {
             sleep(Duration::from_millis(200));
         }
@@ -120,45 +123,45 @@
         ("silent from its first byte", |_| {
             sleep(Duration::from_secs(20))
         }),
-        ("silent after a line", |to| {
-            _ = to.write_all(&[RESPONSE_HEAD, &chunk("\n")].concat());
+        ("silent after a line", |stream| {
+            _ = stream.write_all(&[RESPONSE_HEAD, &chunk("\n")].concat());
             sleep(Duration::from_secs(20));
         }),
-        ("a head that never ends", |to| {
-            _ = to.write_all(b"HTTP/1.1 200 OK\r\n");
-            while to.write_all(b"A: b\r\n").is_ok() {
+        ("a head that never ends", |stream| {
+            _ = stream.write_all(b"HTTP/1.1 200 OK\r\n");
+            while stream.write_all(b"A: b\r\n").is_ok() {
                 sleep(Duration::from_millis(300));
             }
         }),
-        ("bytes that never make a line", |to| {
-            _ = to.write_all(RESPONSE_HEAD);
-            while to.write_all(&chunk(" ")).is_ok() {
+        ("bytes that never make a line", |stream| {
+            _ = stream.write_all(RESPONSE_HEAD);
+            while stream.write_all(&chunk(" ")).is_ok() {
                 sleep(Duration::from_millis(300));
             }
         }),
-        ("a list that never ends", |to| {
-            _ = to.write_all(RESPONSE_HEAD);
-            while to.write_all(&chunk("{\"revision\":[[\n")).is_ok() {
+        ("a list that never ends", |stream| {
+            _ = stream.write_all(RESPONSE_HEAD);
+            while stream.write_all(&chunk("{\"revision\":[[\n")).is_ok() {
                 sleep(Duration::from_millis(300));
             }
         }),
-        ("invalid JSON", |to| {
-            _ = to.write_all(&[RESPONSE_HEAD, &chunk("{\"revision\":oh}\n")].concat())
+        ("invalid JSON", |stream| {
+            _ = stream.write_all(&[RESPONSE_HEAD, &chunk("{\"revision\":oh}\n")].concat())
         }),
         ("ended", |_| {}),
     ];
     let cases = failures.map(|(what, fail)| {
         std::thread::spawn(move || {
-            let (case, discovery) =
-                Case::with(|_, draining| failing_first_watch(drain_update(draining), fail));
+            let (setup, discovery) =
+                DrainSetup::new(|_, draining| failing_first_watch(drain_update(draining), fail));
             wait_until("the first watch", || discovery.received_count() > 0);
-            let started = Instant::now();
+            let started_at = Instant::now();
             wait_until(what, || discovery.received_count() > 1);
-            wait_until(what, || case.drain_applied());
+            wait_until(what, || setup.drain_applied());
             assert!(
-                started.elapsed() < CHANGE_DEADLINE - Duration::from_millis(700),
+                started_at.elapsed() < CHANGE_DEADLINE - Duration::from_millis(700),
                 "{what}: {:?}",
-                started.elapsed()
+                started_at.elapsed()
             );
         })
     });
@@ -177,23 +180,23 @@
             "\"goalTimeS\":0.5,\"deadlineS\":1.5",
             "\"goalTimeS\":9.0,\"deadlineS\":20.0",
         );
-    let silent = |to: &mut dyn Write| {
-        _ = to.write_all(&[RESPONSE_HEAD, &chunk("\n")].concat());
+    let silent = |stream: &mut dyn Write| {
+        _ = stream.write_all(&[RESPONSE_HEAD, &chunk("\n")].concat());
         sleep(Duration::from_secs(20));
     };
-    let (case, discovery) = Case::by(&settings, |_, draining| {
+    let (setup, discovery) = DrainSetup::with_settings(&settings, |_, draining| {
         failing_first_watch(drain_update(draining), silent)
     });
     wait_until("the first watch", || discovery.received_count() > 0);
-    let started = Instant::now();
+    let started_at = Instant::now();
     wait_until("another watch is requested", || {
         discovery.received_count() > 1
     });
-    wait_until("the drain is applied", || case.drain_applied());
+    wait_until("the drain is applied", || setup.drain_applied());
     assert!(
-        started.elapsed() < CHANGE_DEADLINE - Duration::from_millis(300),
+        started_at.elapsed() < CHANGE_DEADLINE - Duration::from_millis(300),
         "{:?}",
-        started.elapsed()
+        started_at.elapsed()
     );
 }
 
@@ -201,7 +204,7 @@
 fn a_silent_discovery_is_retried_often_enough_to_notice_its_return() {
     let request_times: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let times = request_times.clone();
-    let (_case, discovery) = Case::with(|_, _| {
+    let (_setup, discovery) = DrainSetup::new(|_, _| {
         FakeService::start(Behavior::Silent, move |service, mut stream| {
             while let Some(message) = read_message(&mut stream) {
                 service.received.lock().unwrap().push(message);
@@ -209,8 +212,8 @@
             }
         })
     });
-    let started = Instant::now();
-    while discovery.received_count() < 8 && started.elapsed() < Duration::from_secs(20) {
+    let started_at = Instant::now();
+    while discovery.received_count() < 8 && started_at.elapsed() < Duration::from_secs(20) {
         sleep(Duration::from_millis(50));
     }
     let request_times = request_times.lock().unwrap();
@@ -226,8 +229,8 @@
 fn a_return_of_discovery_between_two_watches_is_noticed_at_once() {
     let returned: Arc<Mutex<bool>> = Arc::default();
     let held = returned.clone();
-    let (case, discovery) = Case::with(|_, draining| {
-        let news = drain_update(draining);
+    let (setup, discovery) = DrainSetup::new(|_, draining| {
+        let update = drain_update(draining);
         // Like an agent behind a network partition: it receives all requests and answers them when it returns.
         FakeService::start(Behavior::Silent, move |service, mut stream| {
             let Some(request) = read_message(&mut stream) else {
@@ -235,7 +238,7 @@
             };
             service.received.lock().unwrap().push(request);
             wait_until("discovery is back", || *held.lock().unwrap());
-            _ = stream.write_all(&[RESPONSE_HEAD, &chunk(&format!("{news}\n"))].concat());
+            _ = stream.write_all(&[RESPONSE_HEAD, &chunk(&format!("{update}\n"))].concat());
             while stream.write_all(&chunk("\n")).is_ok() {
                 sleep(Duration::from_millis(200));
             }
@@ -252,12 +255,12 @@
         "a watch was requested during the delay"
     );
     *returned.lock().unwrap() = true;
-    let started = Instant::now();
-    wait_until("the drain is applied", || case.drain_applied());
+    let started_at = Instant::now();
+    wait_until("the drain is applied", || setup.drain_applied());
     assert!(
-        started.elapsed() < Duration::from_millis(300),
+        started_at.elapsed() < Duration::from_millis(300),
         "{:?}",
-        started.elapsed()
+        started_at.elapsed()
     );
     assert_eq!(
         discovery.received_count(),
@@ -268,38 +271,38 @@
 
 #[test]
 fn a_reload_ends_the_delay_before_the_next_watch() {
-    let (case, old) = Case::with(|_, _| {
+    let (setup, old) = DrainSetup::new(|_, _| {
         FakeService::start(Behavior::Silent, |service, mut stream| {
             while let Some(message) = read_message(&mut stream) {
                 service.received.lock().unwrap().push(message);
             }
         })
     });
-    let moved = FakeService::discovery(drain_update(&case.draining), Behavior::Normal);
+    let moved = FakeService::discovery(drain_update(&setup.draining), Behavior::Normal);
     // After the fourth request the delay is at least half a second, and starts one second after the request.
     wait_until("four watch requests got no response", || {
         old.received_count() == 4
     });
     sleep(Duration::from_millis(1150));
-    let text = std::fs::read_to_string(&case.gateway.config).unwrap();
+    let text = std::fs::read_to_string(&setup.gateway.config).unwrap();
     let text = text.replace(&old.address.to_string(), &moved.address.to_string());
-    std::fs::write(&case.gateway.config, text).unwrap();
-    let started = Instant::now();
-    case.gateway.signal("-HUP");
+    std::fs::write(&setup.gateway.config, text).unwrap();
+    let started_at = Instant::now();
+    setup.gateway.signal("-HUP");
     wait_until("the new address gets a watch request", || {
         moved.received_count() == 1
     });
     assert!(
-        started.elapsed() < Duration::from_millis(300),
+        started_at.elapsed() < Duration::from_millis(300),
         "{:?}",
-        started.elapsed()
+        started_at.elapsed()
     );
-    wait_until("the drain is applied", || case.drain_applied());
+    wait_until("the drain is applied", || setup.drain_applied());
 }
 
 #[test]
 fn lists_may_be_indented_and_split_into_chunks() {
-    let (case, discovery) = Case::with(|stays, draining| {
+    let (setup, discovery) = DrainSetup::new(|stays, draining| {
         let flat = endpoint_list(
             2,
             true,
@@ -326,13 +329,13 @@
             }
         })
     });
-    wait_until("the drain is applied", || case.drain_applied());
+    wait_until("the drain is applied", || setup.drain_applied());
     assert_eq!(discovery.received_count(), 1, "one watch must be enough");
 }
 
 #[test]
 fn an_invalid_endpoint_does_not_hide_the_others_and_is_requested_again() {
-    let (case, discovery) = Case::with(|stays, draining| {
+    let (setup, discovery) = DrainSetup::new(|stays, draining| {
         let good = endpoint_list(
             2,
             true,
@@ -342,8 +345,8 @@
             ],
         );
         let invalid = good.replacen("\"Ready\"", "\"Rea\"", 1);
-        let first = move |to: &mut dyn Write| {
-            _ = to.write_all(&[RESPONSE_HEAD, &chunk(&format!("{invalid}\n"))].concat());
+        let first = move |stream: &mut dyn Write| {
+            _ = stream.write_all(&[RESPONSE_HEAD, &chunk(&format!("{invalid}\n"))].concat());
             sleep(Duration::from_secs(20));
         };
         failing_first_watch(good, first)
@@ -357,18 +360,18 @@
         "the second watch must start before the invalid list: {again}"
     );
     assert!(
-        case.drain_applied(),
+        setup.drain_applied(),
         "the valid endpoint must be applied and the invalid one stays"
     );
 }
 
 #[test]
 fn a_client_that_connects_before_the_first_list_waits_for_it() {
-    let (gone, new) = (
+    let (removed, new) = (
         FakeService::server(Behavior::Normal),
         FakeService::server(Behavior::Normal),
     );
-    let news = endpoint_list(2, true, &[(1, new.address, "Ready")]);
+    let update = endpoint_list(2, true, &[(1, new.address, "Ready")]);
     let sent: Arc<Mutex<bool>> = Arc::default();
     let held = sent.clone();
     let discovery = FakeService::start(Behavior::Normal, move |_, mut stream| {
@@ -376,11 +379,11 @@
             return;
         };
         wait_until("the client has sent", || *held.lock().unwrap());
-        _ = stream.write_all(&[RESPONSE_HEAD, &chunk(&format!("{news}\n"))].concat());
+        _ = stream.write_all(&[RESPONSE_HEAD, &chunk(&format!("{update}\n"))].concat());
         sleep(Duration::from_secs(20));
     });
     let counter = FakeService::counter(Behavior::Normal);
-    let initial_list = endpoint_list(1, true, &[(0, gone.address, "Ready")]);
+    let initial_list = endpoint_list(1, true, &[(0, removed.address, "Ready")]);
     let gateway = Gateway::start(
         &initial_list,
         discovery.address,
@@ -396,7 +399,7 @@
     *sent.lock().unwrap() = true;
     assert!(read_message(&mut client).unwrap().ends_with("served"));
     assert_eq!(
-        (gone.received_count(), new.received_count()),
+        (removed.received_count(), new.received_count()),
         (0, 1),
         "the request must follow the list from discovery"
     );
@@ -406,8 +409,8 @@
 fn the_gateway_is_not_ready_before_the_first_list_arrives() {
     let list_sent: Arc<Mutex<bool>> = Arc::default();
     let held = list_sent.clone();
-    let (case, _discovery) = Case::with(|_, draining| {
-        let news = drain_update(draining);
+    let (setup, _discovery) = DrainSetup::new(|_, draining| {
+        let update = drain_update(draining);
         FakeService::start(Behavior::Normal, move |_, mut stream| {
             let Some(_) = read_message(&mut stream) else {
                 return;
@@ -415,13 +418,13 @@
             // Long enough that a gateway that does not wait would be ready.
             sleep(Duration::from_millis(400));
             *held.lock().unwrap() = true;
-            _ = stream.write_all(&[RESPONSE_HEAD, &chunk(&format!("{news}\n"))].concat());
+            _ = stream.write_all(&[RESPONSE_HEAD, &chunk(&format!("{update}\n"))].concat());
             sleep(Duration::from_secs(20));
         })
     });
     assert!(*list_sent.lock().unwrap(), "ready before the list was sent");
     assert!(
-        case.drain_applied(),
+        setup.drain_applied(),
         "the drain must be applied from the first request on"
     );
 }
