--- a/crates/gateway/gateway/src/client_listener/tests.rs
+++ b/crates/gateway/gateway/src/client_listener/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::counter_client::CounterClient;
 use crate::discovery_watch::DiscoveryWatch;
-use crate::event_loop::Clock;
+use crate::event_loop::UnixClock;
 use crate::protocol::ConfiguredNames;
 use crate::server_connections::ServerConnections;
 use crate::state_machine::tests::settings;
@@ -12,7 +12,7 @@
 
 /// An event loop whose servers, counter and discovery are unreachable.
 fn event_loop() -> Rc<EventLoop> {
-    let clock = Clock::start();
+    let clock = UnixClock::start();
     let names = ConfiguredNames {
         plans: vec!["p".into()],
         operations: vec!["read".into()],
--- a/crates/gateway/gateway/src/counter_client.rs
+++ b/crates/gateway/gateway/src/counter_client.rs
@@ -56,6 +56,7 @@
         self.queues.len()
     }
 
+    /// Queues a call that adds `add` to a name and keeps the name for `lifetime` seconds.
     pub fn call(&self, call: u64, name: u64, add: f64, lifetime: f64) {
         // All calls on a name use one connection, so that its totals arrive in the order of its calls.
         let queue = &self.queues[(name % self.queues.len() as u64) as usize];
@@ -157,7 +158,9 @@
     /// Completely written calls that await their reply.
     written: VecDeque<u64>,
     buffer: BytesMut,
+    /// When the last bytes arrived, or the wait for a reply began.
     last_read: Instant,
+    /// The counter has moved: no further calls are written.
     draining: bool,
 }
 
--- a/crates/gateway/gateway/src/error.rs
+++ b/crates/gateway/gateway/src/error.rs
@@ -55,6 +55,7 @@
     }
 }
 
+/// The texts for `Malformed`, `DuplicateId`, `TooLarge` and `OutOfBodyMemory` are sent to clients as response bodies.
 impl fmt::Display for GatewayError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
--- a/crates/gateway/gateway/src/event_loop.rs
+++ b/crates/gateway/gateway/src/event_loop.rs
@@ -18,17 +18,17 @@
 
 /// Unix time, read once at the start and advanced by the monotonic clock. Rate windows must agree between gateways
 /// and start times between endpoints, and steps of the system clock must not disturb them.
-pub struct Clock {
+pub struct UnixClock {
     started: Instant,
     unix: f64,
 }
 
-impl Clock {
+impl UnixClock {
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        Clock {
+        UnixClock {
             started: Instant::now(),
             unix: unix.as_secs_f64(),
         }
@@ -41,7 +41,7 @@
 
 /// The event loop and the modules that perform its effects.
 pub struct EventLoop {
-    pub clock: Clock,
+    pub clock: UnixClock,
     pub names: ConfiguredNames,
     pub client_listener: ClientListener,
     pub server_connections: ServerConnections,
@@ -71,7 +71,7 @@
 
 impl EventLoop {
     pub fn new(
-        clock: Clock,
+        clock: UnixClock,
         names: ConfiguredNames,
         state_machine: StateMachine,
         client_listener: ClientListener,
--- a/crates/gateway/gateway/src/fleet/observer.rs
+++ b/crates/gateway/gateway/src/fleet/observer.rs
@@ -20,6 +20,7 @@
 /// serving never waits for the fleet.
 pub struct EventObserver {
     fleet_events: mpsc::UnboundedSender<FleetEvent>,
+    /// Number of reports in the queue.
     pub(super) queued: Rc<Cell<usize>>,
     dropped: Rc<Cell<u64>>,
     /// Servers of the attempts in flight.
--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -23,7 +23,7 @@
 use crate::counter_client::CounterClient;
 use crate::discovery_watch::DiscoveryWatch;
 use crate::error::GatewayError;
-use crate::event_loop::{Clock, EventLoop};
+use crate::event_loop::{EventLoop, UnixClock};
 use crate::server_connections::ServerConnections;
 use crate::state_machine::{Event, StateMachine};
 use dunespur_settings::SettingsDocument;
@@ -189,7 +189,7 @@
 async fn run() -> Result<(), GatewayError> {
     let mut signals = Signals::install()?;
     let mut config = read_config(std::env::var("RELAY_CONFIG").ok())?;
-    let clock = Clock::start();
+    let clock = UnixClock::start();
     let settings_document = &config.settings_document;
     let names = state_machine::configured_names(settings_document);
     let initial_endpoints = match &config.initial_endpoints {
--- a/crates/gateway/gateway/src/state_machine.rs
+++ b/crates/gateway/gateway/src/state_machine.rs
@@ -96,10 +96,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Timer {
+    /// Asks the limiter for another decision on an invocation.
     Reconsider(u64),
+    /// Ends the wait for an attempt, by invocation id and attempt index.
     AttemptDeadline(u64, usize),
+    /// Ends the wait for a counter call.
     CounterCallDeadline(u64),
-    Tick,
+    /// Runs the periodic work of the limiter.
+    LimiterTick,
 }
 
 #[derive(PartialEq)]
@@ -120,6 +124,7 @@
     }
 }
 
+/// An invocation that is not finished or has attempts in flight.
 struct PendingInvocation {
     request: Rc<ClientRequest>,
     invocation: Invocation,
@@ -129,6 +134,7 @@
     open_attempts: u64,
 }
 
+/// A server that discovery has listed.
 struct KnownServer {
     address: SocketAddr,
     started_at: f64,
@@ -144,6 +150,7 @@
     /// Name and start time of each counter call in flight.
     counter_calls: HashMap<u64, (u64, f64)>,
     last_counter_call: u64,
+    /// Index in `servers` by endpoint id.
     server_indices: HashMap<String, usize>,
     servers: Vec<KnownServer>,
     pub stats: Stats,
@@ -504,7 +511,7 @@
                         effects.push(Effect::AbandonCounterCall { call });
                     }
                 }
-                Timer::Tick => self.limiter.tick(),
+                Timer::LimiterTick => self.limiter.tick(),
             }
         }
     }
@@ -536,9 +543,9 @@
                     });
                 }
                 Action::WatchEndpoints => effects.push(Effect::OpenWatch),
-                Action::ScheduleTick(after) => {
-                    self.timers.push(ScheduledTimer(now + after, Timer::Tick))
-                }
+                Action::ScheduleTick(after) => self
+                    .timers
+                    .push(ScheduledTimer(now + after, Timer::LimiterTick)),
             }
         }
     }
