--- a/crates/gateway/gateway/tests/attempts.rs
+++ b/crates/gateway/gateway/tests/attempts.rs
@@ -117,9 +117,9 @@
         sleep(Duration::from_millis(700));
         drop((listener.accept().unwrap(), backlog_filler));
         let (mut late, _) = listener.accept().unwrap();
-        let came = read_message(&mut late).is_some();
+        let received_request = read_message(&mut late).is_some();
         _ = late.write_all(ok_response("served").as_bytes());
-        came
+        received_request
     });
     let (gateway, _discovery, _counter) = Gateway::with_settings(&[address], &settings);
     let response = gateway
--- a/crates/gateway/gateway/tests/sockets.rs
+++ b/crates/gateway/gateway/tests/sockets.rs
@@ -116,16 +116,20 @@
         Behavior::ServerError,
     ] {
         // Two failing servers: the order is random, and a third attempt is allowed.
-        let (bad, worse) = (FakeService::server(behavior), FakeService::server(behavior));
-        let good = FakeService::server(Behavior::Normal);
-        let (gateway, _discovery, _counter) =
-            Gateway::with_servers(&[bad.address, worse.address, good.address]);
+        let (first_failing, second_failing) =
+            (FakeService::server(behavior), FakeService::server(behavior));
+        let working = FakeService::server(Behavior::Normal);
+        let (gateway, _discovery, _counter) = Gateway::with_servers(&[
+            first_failing.address,
+            second_failing.address,
+            working.address,
+        ]);
         (0..10).for_each(|_| assert!(gateway.send_read().ends_with("served")));
-        let received = bad.received_count() + worse.received_count();
+        let received = first_failing.received_count() + second_failing.received_count();
         assert!(
-            received > 0 && good.received_count() == 10,
+            received > 0 && working.received_count() == 10,
             "{received} and {} received",
-            good.received_count()
+            working.received_count()
         );
     }
 }
@@ -367,38 +371,38 @@
 fn malformed_and_oversized_input_gets_a_4xx_and_the_process_survives() {
     let server = FakeService::server(Behavior::Normal);
     let (gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
-    let good = invocation("GET", "read", 2000, "");
-    let bad = [
-        good.replace("X-Tariff: small", "X-Tariff: huge"),
-        good.replace("Class: read", "Class: dance"),
-        good.replace("X-Timeout-Ms: 2000", "X-Timeout-Ms: soon"),
-        good.replace("account=", "account=zz"),
-        good.replace("Cookie", "Biscuit"),
-        good.replace("units=1", "units=-1"),
-        good.replace("units=1", "units=NaN"),
-        good.replace("units=1", "units=9"),
-        good.replace("spread=1", "spread=0"),
-        good.replace("spread=1", "spread=2"),
-        good.replace("first=0", "first=1"),
-        good.replace("account=00000000", "account=00000002"),
-        good.replace("account=00000000", "account=+0000000"),
-        good.replace("account=00000000", "account="),
-        good.replace("Ms: 2000", "Ms: 0"),
-        good.replace("Ms: 2000", "Ms: 60001"),
-        good.replace("X-Weight", "X-Tariff: small\r\nX-Weight"),
-        good.replace("X-Request-ID: 0", "X-Request-ID: \r\nX-Other: 0"),
-        good.replace("X-Weight: units=1,spread=1,first=0", "X-Weight: heavy"),
-        good.replace("X-Request-ID", "X-Other"),
-        good.replace("HTTP/1.1", "HTTP/9"),
-        good.replace("\r\n\r\n", "\r\nContent-Length: 99999999999\r\n\r\n"),
+    let valid = invocation("GET", "read", 2000, "");
+    let invalid = [
+        valid.replace("X-Tariff: small", "X-Tariff: huge"),
+        valid.replace("Class: read", "Class: dance"),
+        valid.replace("X-Timeout-Ms: 2000", "X-Timeout-Ms: soon"),
+        valid.replace("account=", "account=zz"),
+        valid.replace("Cookie", "Biscuit"),
+        valid.replace("units=1", "units=-1"),
+        valid.replace("units=1", "units=NaN"),
+        valid.replace("units=1", "units=9"),
+        valid.replace("spread=1", "spread=0"),
+        valid.replace("spread=1", "spread=2"),
+        valid.replace("first=0", "first=1"),
+        valid.replace("account=00000000", "account=00000002"),
+        valid.replace("account=00000000", "account=+0000000"),
+        valid.replace("account=00000000", "account="),
+        valid.replace("Ms: 2000", "Ms: 0"),
+        valid.replace("Ms: 2000", "Ms: 60001"),
+        valid.replace("X-Weight", "X-Tariff: small\r\nX-Weight"),
+        valid.replace("X-Request-ID: 0", "X-Request-ID: \r\nX-Other: 0"),
+        valid.replace("X-Weight: units=1,spread=1,first=0", "X-Weight: heavy"),
+        valid.replace("X-Request-ID", "X-Other"),
+        valid.replace("HTTP/1.1", "HTTP/9"),
+        valid.replace("\r\n\r\n", "\r\nContent-Length: 99999999999\r\n\r\n"),
         "\u{1}\u{2}\u{3}\r\n\r\n".into(),
         invocation("POST", "write", 1500, &"x".repeat(64 * 1024 + 1)),
-        good.replace(
+        valid.replace(
             "\r\n\r\n",
             &format!("\r\nX-Long: {}\r\n\r\n", "x".repeat(128 * 1024)),
         ),
     ];
-    for text in &bad {
+    for text in &invalid {
         // A connection that closes with much unread input may lose its response.
         let response = gateway.send(text);
         let is_4xx = response
@@ -602,12 +606,15 @@
         FakeService::server(Behavior::Silent),
     );
     let (mut gateway, _discovery, _counter) = Gateway::with_servers(&[server.address]);
-    let (mut kept, mut held) = (gateway.connect().unwrap(), gateway.connect().unwrap());
-    kept.write_all(invocation("GET", "read", 2000, "").as_bytes())
+    let (mut idle_client, mut pending_client) =
+        (gateway.connect().unwrap(), gateway.connect().unwrap());
+    idle_client
+        .write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
-    assert!(read_message(&mut kept).unwrap().ends_with("served"));
+    assert!(read_message(&mut idle_client).unwrap().ends_with("served"));
     *server.behavior.lock().unwrap() = Behavior::Silent;
-    held.write_all(invocation("GET", "once", 1200, "").as_bytes())
+    pending_client
+        .write_all(invocation("GET", "once", 1200, "").as_bytes())
         .unwrap();
     wait_until("the attempt has arrived", || server.received_count() == 2);
     *server.behavior.lock().unwrap() = Behavior::Normal;
@@ -621,14 +628,15 @@
         gateway.send_read().ends_with("served"),
         "a new connection must still be served"
     );
-    kept.write_all(invocation("GET", "read", 2000, "").as_bytes())
+    idle_client
+        .write_all(invocation("GET", "read", 2000, "").as_bytes())
         .unwrap();
     assert!(
-        read_message(&mut kept).unwrap().ends_with("served"),
+        read_message(&mut idle_client).unwrap().ends_with("served"),
         "an open connection must still be served"
     );
     assert!(
-        read_message(&mut held).unwrap().contains("502"),
+        read_message(&mut pending_client).unwrap().contains("502"),
         "the invocation in flight must get its response"
     );
     let output = gateway.wait_for_output();
@@ -664,37 +672,37 @@
 
 #[test]
 fn an_invalid_configuration_gives_a_one_line_error() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let good = format!(
+    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
+    let valid = format!(
         r#"{{"listen":"{}","discovery":"127.0.0.1:1","seed":"1f","settings":{SETTINGS}}}"#,
-        taken.local_addr().unwrap()
+        occupied.local_addr().unwrap()
     );
-    let bad = [
+    let invalid = [
         ("{".to_owned(), "EOF"),
-        (good.replace("\"listen\":\"", "\"listen\":\"x"), "listen"),
-        (good.replace("\"1f\"", "\"seed\""), "seed"),
-        (good.replace("\"free\"", "\"fre\""), "fre"),
+        (valid.replace("\"listen\":\"", "\"listen\":\"x"), "listen"),
+        (valid.replace("\"1f\"", "\"seed\""), "seed"),
+        (valid.replace("\"free\"", "\"fre\""), "fre"),
         (
-            good.replace("\"dialTimeoutS\":0.25", "\"dialTimeoutS\":1e300"),
+            valid.replace("\"dialTimeoutS\":0.25", "\"dialTimeoutS\":1e300"),
             "dialTimeoutS",
         ),
         (
-            good.replace(
+            valid.replace(
                 "\"seed\":\"1f\"",
                 "\"seed\":\"1f\",\"limits\":{\"sockets\":3}",
             ),
             "sockets",
         ),
         (
-            good.replace(
+            valid.replace(
                 "\"seed\":\"1f\"",
                 "\"seed\":\"1f\",\"limits\":{\"memory_mb\":3}",
             ),
             "memory_mb",
         ),
-        (good.clone(), "listen"),
+        (valid.clone(), "listen"),
     ];
-    for (at, (text, word)) in bad.iter().enumerate() {
+    for (at, (text, expected)) in invalid.iter().enumerate() {
         let path =
             std::env::temp_dir().join(format!("dunespur-bad-{}-{at}.json", std::process::id()));
         std::fs::write(&path, text).unwrap();
@@ -702,8 +710,8 @@
         _ = std::fs::remove_file(&path);
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            !output.status.success() && stderr.lines().count() == 1 && stderr.contains(word),
-            "{word}: {stderr}"
+            !output.status.success() && stderr.lines().count() == 1 && stderr.contains(expected),
+            "{expected}: {stderr}"
         );
     }
 }
