--- a/crates/serving/proxy/src/active_request.rs
+++ b/crates/serving/proxy/src/active_request.rs
@@ -1,7 +1,7 @@
-//! One request on its way to the endpoints: its deadline, which endpoints it was sent to, and the choice of the next.
+//! The state that all attempts of one request share: its deadline, the endpoints tried, and the choice of the next
+//! endpoint.
 //!
-//! The state that all attempts of a request share. `attempt` and `dispatch` add what is done with it; this module knows
-//! neither of them.
+//! `attempt` and `dispatch` add the methods that send the request; this module does not depend on them.
 
 use crate::classification::{EndedBy, Idempotency};
 use crate::deadline::RequestDeadline;
@@ -10,7 +10,7 @@
 use crate::in_flight::InFlight;
 use crate::node::Node;
 use crate::outbound_request::OutboundRequest;
-use crate::parsed_request::{text, ParsedRequest};
+use crate::parsed_request::{header_text, ParsedRequest};
 use crate::rejection::Rejection;
 use crate::shared::Shared;
 use crate::trace;
@@ -21,15 +21,16 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// Sends of one request, those that endpoints rejected included. Protects against an endless loop when all of them
-/// reject it.
+/// The most sends of one request, rejected ones included. Protects against an endless loop when all endpoints reject
+/// the request.
 const MAX_SENDS: u32 = 8;
-/// An idempotent request leaves an endpoint that has sent nothing for so many times the latency target of its route.
+/// The response timeout as a multiple of the route's latency target. An idempotent request fails over from an endpoint
+/// that has sent nothing for this time.
 const RESPONSE_TIMEOUT_TARGETS: u64 = 4;
 
-/// A request with the endpoints that it was sent to.
+/// A request that is being sent to endpoints.
 ///
-/// `attempt` sends it once, `dispatch` until there is a response for the client.
+/// `attempt` sends the request once, `dispatch` until there is a response for the client.
 pub(crate) struct ActiveRequest<N: Node> {
     pub(crate) shared: Rc<Shared<N>>,
     pub(crate) route: Rc<Route>,
@@ -37,15 +38,17 @@
     pub(crate) outbound: OutboundRequest,
     pub(crate) deadline: RequestDeadline,
     table: Rc<RouteTable>,
+    /// The service that the next endpoint is chosen from.
     backend: String,
+    /// The endpoints that the request was sent to.
     tried: SmallVec<[ServerId; 2]>,
-    /// The endpoint that the request goes to from one that is unresponsive or has failed.
+    /// The endpoint that the request fails over to from an unresponsive or failed endpoint.
     reserved_next: Option<ChosenEndpoint<N>>,
     sends: u32,
-    pub(crate) record: ExecutionRecord,
+    pub(crate) execution_record: ExecutionRecord,
 }
 
-/// An endpoint that the request counts as in flight at.
+/// An endpoint chosen for the next send. The node counts the request as in flight there.
 pub(crate) struct ChosenEndpoint<N: Node> {
     pub(crate) ticket: Ticket,
     pub(crate) in_flight: InFlight<N>,
@@ -56,8 +59,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionChoice {
     PooledOrNew,
-    /// Only one that carries it alone. Protects against a duplicate of an earlier attempt's response: it carries the
-    /// same id, so that nothing would tell it from the response to the next attempt.
+    /// Only a new connection. Protects against a duplicate response to an earlier attempt: it carries the same request
+    /// id, so it could not be told from the response to this attempt.
     New,
 }
 
@@ -72,7 +75,8 @@
     ) -> ActiveRequest<N> {
         let backend = route.backend(fastrand::u64(..)).to_owned();
         let max_endpoints = route.retries as usize;
-        let record = ExecutionRecord::new(idempotency(&route), max_endpoints, shared.safeguards);
+        let execution_record =
+            ExecutionRecord::new(idempotency(&route), max_endpoints, shared.safeguards);
         ActiveRequest {
             shared,
             route,
@@ -84,7 +88,7 @@
             tried: SmallVec::new(),
             reserved_next: None,
             sends: 0,
-            record,
+            execution_record,
         }
     }
 
@@ -92,13 +96,13 @@
         idempotency(&self.route)
     }
 
-    /// The service whose endpoint was chosen last.
+    /// Returns the service of the endpoint chosen last.
     pub(crate) fn service(&self) -> Option<&Rc<Service>> {
         self.table.service(&self.backend)
     }
 
-    /// What comes next of a response's body.
-    pub(crate) async fn next_of(&mut self, body: &mut EndpointBody) -> BodyEvent {
+    /// Waits for the next chunk or the end of a response's body.
+    pub(crate) async fn next_body_event(&mut self, body: &mut EndpointBody) -> BodyEvent {
         let safeguards = self.shared.safeguards;
         let next = self
             .wait_for(poll_fn(|cx| body.poll_next(safeguards, cx)))
@@ -106,60 +110,60 @@
         next.unwrap_or(BodyEvent::Truncated(EndedBy::Timeout))
     }
 
-    /// What `work` gives; None once the deadline has passed, or once the request leaves an unresponsive endpoint for
-    /// another one.
+    /// Waits for `work`. Returns None once the deadline has passed, or once the current endpoint is unresponsive and
+    /// another endpoint is reserved.
     pub(crate) async fn wait_for<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         let mut work = pin!(work);
         loop {
-            let done = self.deadline.bound(work.as_mut()).await;
-            if done.is_some() || self.deadline.remaining_ms() == 0 || self.reserve_next() {
+            let done = self.deadline.limit(work.as_mut()).await;
+            if done.is_some() || self.deadline.remaining_ms() == 0 || self.reserve_next_endpoint() {
                 return done;
             }
             self.deadline.clear_response_timeout();
         }
     }
 
-    /// The endpoint may send nothing for a multiple of the latency target, where another one could be tried.
+    /// Starts the response timeout, a multiple of the latency target, if the request may fail over to another endpoint.
     pub(crate) fn start_response_timeout(&mut self) {
-        if self.record.may_fail_over() {
+        if self.execution_record.may_fail_over() {
             let timeout_ms = RESPONSE_TIMEOUT_TARGETS * self.route.target_ms;
             self.deadline.start_response_timeout(timeout_ms);
         }
     }
 
-    /// An event of a stream has arrived: the next may take a multiple of the target for the gap between them.
-    pub(crate) fn event_arrived(&mut self) {
+    /// Restarts the response timeout after an event of a stream: a multiple of the target for the gap between events.
+    pub(crate) fn record_event_arrival(&mut self) {
         let target_ms = self.route.gap_target_ms.unwrap_or(self.route.target_ms);
         self.deadline
             .restart_response_timeout(RESPONSE_TIMEOUT_TARGETS * target_ms);
     }
 
-    /// The endpoint for the next send.
+    /// Returns the endpoint for the next send, or the rejection if there is none.
     pub(crate) fn next_endpoint(&mut self) -> Result<ChosenEndpoint<N>, Rejection> {
         if !self.has_send_left() {
-            return Err(self.record.rejection());
+            return Err(self.execution_record.rejection());
         }
         if let Some(reserved) = self.reserved_next.take() {
             return Ok(self.count_send(reserved.ticket, reserved.in_flight));
         }
-        match self.choose() {
+        match self.choose_endpoint() {
             Choice::Send(ticket) => {
-                let in_flight = self.in_flight(&ticket);
+                let in_flight = self.start_in_flight(&ticket);
                 Ok(self.count_send(ticket, in_flight))
             }
-            Choice::Reject { retry_after_ms } if self.record.has_not_run() => {
+            Choice::Reject { retry_after_ms } if self.execution_record.has_not_run() => {
                 Err(Rejection::RetryLater { retry_after_ms })
             }
-            Choice::Reject { .. } | Choice::NoServer => Err(self.record.rejection()),
+            Choice::Reject { .. } | Choice::NoServer => Err(self.execution_record.rejection()),
         }
     }
 
-    /// Chooses an endpoint to go to from one that is unresponsive or has failed; false where there is none, so that
-    /// this one is waited for, or its failure forwarded.
-    pub(crate) fn reserve_next(&mut self) -> bool {
+    /// Reserves an untried endpoint to fail over to. Returns false if there is none: the request keeps waiting for the
+    /// unresponsive endpoint, or forwards the failed endpoint's response.
+    pub(crate) fn reserve_next_endpoint(&mut self) -> bool {
         let backend = self.backend.clone();
-        if let Choice::Send(ticket) = self.choose() {
-            let in_flight = self.in_flight(&ticket);
+        if let Choice::Send(ticket) = self.choose_endpoint() {
+            let in_flight = self.start_in_flight(&ticket);
             if !self.tried.contains(&ticket.server.id) {
                 let connection = ConnectionChoice::PooledOrNew;
                 self.reserved_next = Some(ChosenEndpoint {
@@ -175,12 +179,12 @@
         false
     }
 
-    /// Whether there is time for a further send, and the request was not sent too often.
+    /// Whether the deadline and [`MAX_SENDS`] allow a further send.
     pub(crate) fn has_send_left(&self) -> bool {
         self.deadline.remaining_ms() > 0 && self.sends < MAX_SENDS
     }
 
-    fn in_flight(&self, ticket: &Ticket) -> InFlight<N> {
+    fn start_in_flight(&self, ticket: &Ticket) -> InFlight<N> {
         let Shared { node, clock, .. } = &*self.shared;
         InFlight::new(node, clock, ticket.key, self.deadline.deadline_ms())
     }
@@ -200,16 +204,17 @@
         }
     }
 
-    /// The choice among the endpoints of the service that was drawn; where it has none left, of another one that the
-    /// route allows.
-    fn choose(&mut self) -> Choice {
-        let choice = self.choose_of(&self.backend);
+    /// Chooses an endpoint of the current service, or of another service of the route if the current one has none
+    /// left.
+    fn choose_endpoint(&mut self) -> Choice {
+        let choice = self.choose_from_service(&self.backend);
         if !matches!(choice, Choice::NoServer) {
             return choice;
         }
         let others = self.route.backends.iter();
         let others = others.filter(|other| other.weight > 0 && other.backend != self.backend);
-        let mut choices = others.map(|other| (&other.backend, self.choose_of(&other.backend)));
+        let mut choices =
+            others.map(|other| (&other.backend, self.choose_from_service(&other.backend)));
         match choices.find(|(_, choice)| !matches!(choice, Choice::NoServer)) {
             Some((backend, choice)) => {
                 self.backend = backend.clone();
@@ -219,11 +224,11 @@
         }
     }
 
-    fn choose_of(&self, backend: &str) -> Choice {
+    fn choose_from_service(&self, backend: &str) -> Choice {
         let choice = self.shared.node.choose(&RoutingRequest {
             backend,
-            program: text(self.parsed.program.as_ref()),
-            session: text(self.parsed.session.as_ref()),
+            program: header_text(self.parsed.program.as_ref()),
+            session: header_text(self.parsed.session.as_ref()),
             prefix: &self.parsed.prefix,
             prompt_tokens: self.parsed.prompt_tokens,
             max_tokens: self.parsed.max_tokens,
--- a/crates/serving/proxy/src/admission.rs
+++ b/crates/serving/proxy/src/admission.rs
@@ -1,15 +1,15 @@
-//! Admits a request: what its turn continues is looked up, what it may generate is reserved from its budget.
+//! Admits a request: looks up the stored turns that it continues, and reserves the tokens that it may generate.
 //!
-//! It comes after the body is read, so that a slow client reserves nothing, and before an endpoint is chosen, so that a
-//! turn that waits for its admission occupies none. The budget comes last: a turn that continues an unknown one costs
-//! nothing.
+//! Runs after the body is read, so that a slow client reserves no tokens, and before an endpoint is chosen, so that a
+//! turn waiting for admission occupies no endpoint. Tokens are reserved last: a turn that continues an unknown turn
+//! uses no budget.
 
 use crate::admitted_turn::AdmittedTurn;
 use crate::body_memory::MemoryReservation;
 use crate::deadline::RequestDeadline;
 use crate::event_relay::PendingTurn;
 use crate::node::{AdmissionDecision, AdmissionRequest, CompletedTurn, History, Node};
-use crate::parsed_request::{text, ParsedRequest};
+use crate::parsed_request::{header_text, ParsedRequest};
 use crate::rejection::Rejection;
 use crate::shared::Shared;
 use crate::trace;
@@ -17,12 +17,12 @@
 use dunespur_configuration::{RequestKind, Route};
 use smallvec::SmallVec;
 
-/// When a client may retry, in milliseconds, whose request was not admitted: its deadline passed while it waited for
-/// its history or its admission, or it resumes a persisted response by a Last-Event-Id.
+/// `Retry-After` of a request that was not admitted: its deadline passed while it waited for its history or its
+/// admission, or it resumes a persisted response by `Last-Event-Id`.
 const NOT_ADMITTED_RETRY_MS: u64 = 300;
 
-/// The body for the endpoint: the turns that this one continues, then its input.
-pub(crate) async fn prompt<N: Node>(
+/// Returns the body for the endpoint: the stored turns that the request continues, then its own input.
+pub(crate) async fn build_prompt<N: Node>(
     shared: &Shared<N>,
     route: &Route,
     parsed: &ParsedRequest,
@@ -32,15 +32,15 @@
 ) -> Result<SmallVec<[Bytes; 1]>, Rejection> {
     let mut chunks = SmallVec::new();
     if route.persisted && parsed.last_event_id.is_some() {
-        // The endpoint would send only the rest; storing that as the complete output would be wrong.
+        // The endpoint would send only the remaining events; they must not be stored as the complete output.
         return Err(Rejection::RetryLater {
             retry_after_ms: NOT_ADMITTED_RETRY_MS,
         });
     }
-    let previous = text(parsed.previous.as_ref()).filter(|_| route.persisted);
+    let previous = header_text(parsed.previous.as_ref()).filter(|_| route.persisted);
     if let Some(previous) = previous {
-        let program = text(parsed.program.as_ref()).unwrap_or_default();
-        match deadline.bound(shared.node.history(program, previous)).await {
+        let program = header_text(parsed.program.as_ref()).unwrap_or_default();
+        match deadline.limit(shared.node.history(program, previous)).await {
             Some(History::Found(found)) => {
                 memory.grow(found.iter().map(Bytes::len).sum())?;
                 chunks.extend(found);
@@ -60,14 +60,15 @@
     Ok(chunks)
 }
 
-/// Reserves what a turn may generate. Requests that state no budget are no turns.
+/// Reserves the tokens that a turn may generate. Returns None for a request that is not a turn with a budget.
 pub(crate) async fn admit<N: Node>(
     shared: &Shared<N>,
     route: &Route,
     parsed: &ParsedRequest,
     deadline: &mut RequestDeadline,
 ) -> Result<Option<AdmittedTurn<N>>, Rejection> {
-    let (Some(budget), Some(program)) = (parsed.budget, text(parsed.program.as_ref())) else {
+    let (Some(budget), Some(program)) = (parsed.budget, header_text(parsed.program.as_ref()))
+    else {
         return Ok(None);
     };
     if route.kind != RequestKind::Streaming {
@@ -78,7 +79,7 @@
         budget,
         max_tokens: parsed.max_turn_tokens(),
     };
-    match deadline.bound(shared.node.admit(turn)).await {
+    match deadline.limit(shared.node.admit(turn)).await {
         Some(AdmissionDecision::Admitted(key)) => {
             trace::admitted(parsed, key.0);
             Ok(Some(AdmittedTurn::new(&shared.node, key)))
@@ -93,7 +94,7 @@
     }
 }
 
-/// What is stored of the turn once its response is complete; None where its route does not persist turns.
+/// Returns the turn to be stored once its response is complete; None if its route does not persist turns.
 pub(crate) fn pending_turn<N: Node>(
     shared: &Shared<N>,
     route: &Route,
@@ -102,8 +103,10 @@
 ) -> Option<PendingTurn> {
     let turn = CompletedTurn {
         id: parsed.id.to_str().ok()?.to_owned(),
-        previous: text(parsed.previous.as_ref()).map(str::to_owned),
-        program: text(parsed.program.as_ref()).unwrap_or_default().to_owned(),
+        previous: header_text(parsed.previous.as_ref()).map(str::to_owned),
+        program: header_text(parsed.program.as_ref())
+            .unwrap_or_default()
+            .to_owned(),
         input,
         output: Bytes::new(),
         retention_ms: route.retention_ms,
--- a/crates/serving/proxy/src/admitted_turn.rs
+++ b/crates/serving/proxy/src/admitted_turn.rs
@@ -1,9 +1,9 @@
-//! An admitted turn: its tokens are counted, and what it leaves of its budget is released however it ends.
+//! Counts the tokens of an admitted turn, and releases its unused budget however the turn ends.
 
 use crate::node::{Node, TurnKey};
 use std::rc::Rc;
 
-/// Holds a turn's budget reservation until it is dropped.
+/// A turn with a budget reservation, which is released on drop.
 pub(crate) struct AdmittedTurn<N: Node> {
     node: Rc<N>,
     key: TurnKey,
@@ -28,43 +28,44 @@
     }
 }
 
-/// Counts the tokens of a turn's events, those of all its endpoints together.
+/// Counts the tokens of a turn's events, across all endpoints that send parts of the stream.
 #[derive(Debug)]
 pub(crate) struct TokenCounter {
     tokens_per_event: u64,
     max_tokens: u64,
-    counted: u64,
+    total: u64,
 }
 
 impl TokenCounter {
-    /// Of a turn that generates at most `max_tokens`.
+    /// Creates the counter of a turn that may generate `max_tokens`.
     pub(crate) fn new(max_tokens: u64) -> TokenCounter {
         TokenCounter {
             tokens_per_event: 1,
             max_tokens,
-            counted: 0,
+            total: 0,
         }
     }
 
-    /// From now on an event holds so many tokens.
+    /// Sets how many tokens each further event holds.
     pub(crate) fn set_tokens_per_event(&mut self, tokens: u64) {
         self.tokens_per_event = tokens.max(1);
     }
 
-    /// The tokens of the next event. The one that reaches the maximum is counted up to it; events beyond, which no
-    /// endpoint should send, count in full.
-    pub(crate) fn next_event(&mut self) -> u64 {
-        let remaining = self.max_tokens.saturating_sub(self.counted);
+    /// Counts one event and returns its tokens. The event that reaches the maximum counts only up to the maximum;
+    /// further events, which no endpoint should send, count in full.
+    pub(crate) fn count_event(&mut self) -> u64 {
+        let remaining = self.max_tokens.saturating_sub(self.total);
         let tokens = if remaining > 0 {
             self.tokens_per_event.min(remaining)
         } else {
             self.tokens_per_event
         };
-        self.counted += tokens;
+        self.total += tokens;
         tokens
     }
 
-    pub(crate) fn counted(&self) -> u64 {
-        self.counted
+    /// Returns the tokens counted so far.
+    pub(crate) fn total(&self) -> u64 {
+        self.total
     }
 }
--- a/crates/serving/proxy/src/attempt.rs
+++ b/crates/serving/proxy/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt to get a response: one connection, one send, the head of one response.
 //!
-//! It ends with the head, as that decides whether the response is for the client at all: up to here nothing has been
-//! forwarded, and the request may still go elsewhere.
+//! An attempt ends with the head of the response, which decides whether the response is for the client. Until then
+//! nothing has been forwarded, and the request may still be sent to another endpoint.
 
 use crate::active_request::{ActiveRequest, ConnectionChoice};
 use crate::attempt_error::AttemptError;
@@ -19,7 +19,7 @@
 use hyper::body::Incoming;
 use tokio::time::Duration;
 
-/// A response whose head answers the request, with what the head says.
+/// A response whose head was received and belongs to the request.
 pub(crate) struct ReceivedHead {
     connection: EndpointConnection,
     pub(crate) head: Parts,
@@ -29,12 +29,12 @@
 }
 
 impl ReceivedHead {
-    /// What the head of the response allows.
+    /// Returns whether the request may be sent again, judged by the response's head.
     pub(crate) fn retry(&self) -> RetryRule {
         self.attempt_so_far(EndedBy::Nobody).classify().retry
     }
 
-    /// The body, as it will arrive.
+    /// Splits the response into its head and the body that is still to arrive.
     pub(crate) fn into_head_and_body(self) -> (Parts, EndpointBody) {
         let terms = KeepAliveTerms::parse(&self.head.headers);
         let body = EndpointBody::new(
@@ -62,7 +62,7 @@
 }
 
 impl<N: Node> ActiveRequest<N> {
-    /// Sends the request to one endpoint and waits for the head of its response.
+    /// Sends the request to one endpoint, over a pooled or a new connection, and waits for the head of its response.
     pub(crate) async fn attempt(
         &mut self,
         ticket: &Ticket,
@@ -72,17 +72,17 @@
         if let Some(connection) = self.pooled_connection(ticket, choice) {
             trace::attempt(&self.parsed, ticket, ConnectionOrigin::Pooled);
             match self.exchange(connection, ticket).await {
-                // The connection ended as it was reused: that says nothing about the endpoint, which is tried over a new one.
+                // The pooled connection ended on reuse. The endpoint may be fine: retry it over a new connection.
                 Err(AttemptError::Ended(attempt)) if self.may_reconnect(attempt) => {
-                    self.record
-                        .record(&ticket.server.id, attempt.classify().execution);
+                    self.execution_record
+                        .record_attempt(&ticket.server.id, attempt.classify().execution);
                 }
                 result => return result,
             }
         }
         let shared = self.shared.clone();
         let connecting = shared.pool.connect(&ticket.server, self.route.target_ms);
-        let connected = self.deadline.bound(connecting).await;
+        let connected = self.deadline.limit(connecting).await;
         let connection = connected
             .unwrap_or(Err(ConnectError::TimeUp))
             .map_err(AttemptError::Connect)?;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Whether the same endpoint is tried over a new connection, after an attempt over a pooled one.
+    /// Whether to retry the same endpoint over a new connection, after this attempt over a pooled one.
     fn may_reconnect(&self, attempt: Attempt) -> bool {
         match attempt.classify().execution {
             Execution::NotRun => true,
@@ -117,6 +117,7 @@
         }
     }
 
+    /// Sends the request over `connection` and waits for the head of its response.
     async fn exchange(
         &mut self,
         mut connection: EndpointConnection,
--- a/crates/serving/proxy/src/attempt_error.rs
+++ b/crates/serving/proxy/src/attempt_error.rs
@@ -1,4 +1,4 @@
-//! Why an attempt brought no usable response, and what follows.
+//! The errors of an attempt, and what they mean for the request and its endpoint.
 
 use crate::classification::{Attempt, Execution, RetryRule};
 use crate::endpoint_connection::ConnectError;
@@ -6,13 +6,13 @@
 use dunespur_routing::Outcome;
 use thiserror::Error;
 
-/// Why an attempt brought no response that can be used.
+/// Why an attempt returned no usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum AttemptError {
-    /// It had no connection.
+    /// No connection to the endpoint could be opened.
     #[error("no connection to the endpoint")]
     Connect(#[source] ConnectError),
-    /// It ended so.
+    /// The attempt ended before a usable response arrived.
     #[error("the attempt ended early: {0:?}")]
     Ended(Attempt),
 }
@@ -32,11 +32,11 @@
         }
     }
 
-    /// What it says about its endpoint.
+    /// Returns the outcome to be reported for the endpoint.
     pub(crate) fn outcome(self) -> Outcome {
         match self {
             AttemptError::Connect(ConnectError::Unreachable) => Outcome::Unreachable,
-            // The endpoint is not to blame.
+            // The shortage is in this process; it must not count against the endpoint.
             AttemptError::Connect(ConnectError::NoConnectionLeft) => Outcome::Cancelled,
             AttemptError::Connect(ConnectError::TurnedAway) => Outcome::Rejected,
             AttemptError::Connect(ConnectError::TimeUp) => Outcome::Failed,
--- a/crates/serving/proxy/src/body_memory.rs
+++ b/crates/serving/proxy/src/body_memory.rs
@@ -1,14 +1,14 @@
-//! The memory that the bodies of all requests under way may use together.
+//! The memory limit for the bodies of all active requests together.
 
 use crate::rejection::Rejection;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// When a client may retry for whose body there is no memory.
+/// `Retry-After` of a request whose body does not fit into the memory.
 const NO_MEMORY_RETRY_MS: u64 = 300;
 
-/// Bytes for the bodies of all requests. Protects against clients that each send a large one at once, or half of one:
-/// together they would use more than the process may have.
+/// Memory for the bodies of all requests. Protects against many clients that send large bodies at once, or parts of
+/// them: together they would exceed the memory of the process.
 pub(crate) struct BodyMemory {
     limit_bytes: usize,
     reserved_bytes: Cell<usize>,
@@ -26,7 +26,7 @@
         self.reserved_bytes.get()
     }
 
-    /// A reservation of nothing yet.
+    /// Returns a reservation of 0 bytes.
     pub(crate) fn empty_reservation(self: &Rc<Self>) -> MemoryReservation {
         MemoryReservation {
             memory: self.clone(),
@@ -35,14 +35,14 @@
     }
 }
 
-/// What one request has reserved, released when it is dropped.
+/// The memory that one request has reserved. Dropping it releases the memory.
 pub(crate) struct MemoryReservation {
     memory: Rc<BodyMemory>,
     bytes: usize,
 }
 
 impl MemoryReservation {
-    /// Reserves so many bytes more.
+    /// Reserves `bytes` more.
     pub(crate) fn grow(&mut self, bytes: usize) -> Result<(), Rejection> {
         let reserved_bytes = self.memory.reserved_bytes.get().saturating_add(bytes);
         if reserved_bytes > self.memory.limit_bytes {
--- a/crates/serving/proxy/src/classification.rs
+++ b/crates/serving/proxy/src/classification.rs
@@ -1,43 +1,43 @@
-//! Classifies how an attempt to get a response ended: what that means for the request, its client and the endpoint's
-//! connection. No clock, no I/O.
+//! Classifies the end of an attempt: its consequences for the request, the client and the endpoint connection. Pure
+//! logic, without a clock or I/O.
 //!
-//! An [`Attempt`] is one send of a request over one connection. It has three explicit states: how far the request was
-//! sent ([`SendProgress`]), how much of a response came ([`ResponseProgress`]), and who ended it ([`EndedBy`]).
-//! [`Attempt::classify`] is the table over all of them; the data plane decides by nothing else.
+//! An [`Attempt`] is one send of a request over one connection. Its state has three parts: how much of the request was
+//! sent ([`SendProgress`]), how much of a response arrived ([`ResponseProgress`]), and who ended the attempt
+//! ([`EndedBy`]). [`Attempt::classify`] is the table over all combinations; the data plane uses no other rules.
 //!
-//! Two things of HTTP make the table longer than it looks:
+//! Two properties of HTTP add rows to the table:
 //!
-//! - A server may answer, and so run, a request whose body it has not read (RFC 9112 section 9.3). So a request may
-//!   have run as soon as its head was written, not only once all of it was.
-//! - A body without a length ends with its connection (RFC 9112 section 6.3). Closed in order it is complete, reset it
-//!   is not.
+//! - A server may answer, and therefore run, a request whose body it has not read (RFC 9112 section 9.3). So a request
+//!   may have run as soon as its head was written.
+//! - A body without a length ends with its connection (RFC 9112 section 6.3). The body is complete if the connection
+//!   was closed in order, and incomplete if it was reset.
 
 use crate::safeguards::Safeguards;
 
-/// Whether a request may run more than once (RFC 9110 section 9.2.2); its route says so.
+/// Whether a request may run more than once (RFC 9110 section 9.2.2), as configured for its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Idempotency {
-    /// Running it again does no harm.
+    /// The request may run more than once.
     Idempotent,
-    /// It must not run twice.
+    /// The request must not run twice.
     NotIdempotent,
 }
 
 /// How much of a request was written to its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SendProgress {
-    /// No byte.
+    /// No byte of the request.
     Nothing,
-    /// Some of its head, or all but the end of it.
+    /// Part of the head.
     PartialHead,
-    /// Its head, and less than its body.
+    /// The head, and not all of the body.
     PartialBody,
-    /// All of it.
+    /// The whole request.
     Complete,
 }
 
 impl SendProgress {
-    /// All states, in order.
+    /// All values, in order.
     pub const ALL: [SendProgress; 4] = [
         SendProgress::Nothing,
         SendProgress::PartialHead,
@@ -45,28 +45,28 @@
         SendProgress::Complete,
     ];
 
-    /// Whether a server that has received this much may work on the request.
+    /// Whether a server that has received this much may run the request.
     #[must_use]
     pub fn may_run(self) -> bool {
         self >= SendProgress::PartialBody
     }
 }
 
-/// What the head of a response says about the request.
+/// The kind of a response, judged by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ResponseKind {
     /// The endpoint's response, to be forwarded.
     Final,
-    /// A failure of the endpoint's own: the request has run.
+    /// A failure reported by the endpoint: the request has run.
     Failure,
-    /// The endpoint has not run the request.
+    /// The endpoint confirms that it has not run the request.
     NotExecuted,
-    /// Another instance has the address; it has not run the request.
+    /// Another instance has the endpoint's address; it has not run the request.
     OtherInstance,
-    /// The status means that the request has not run, and no header confirms it: it may have.
+    /// The status implies that the request has not run, but no header confirms it: the request may have run.
     UnconfirmedRejection,
-    /// It does not answer this request: a stale response to another one, bytes that form none, or one that no endpoint
-    /// vouches for.
+    /// Not a response to this request: a stale response to another request, bytes that are not a response, or a success
+    /// without the stamp of an endpoint.
     Unrelated,
 }
 
@@ -90,34 +90,34 @@
 /// What marks the end of a response's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Framing {
-    /// Its length, its last chunk, or having no body at all.
+    /// A length or a last chunk; or the response has no body.
     Delimited,
     /// The end of the connection.
     UntilClose,
 }
 
-/// How much of a response came.
+/// How much of a response arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ResponseProgress {
     /// No byte of a response.
     Nothing,
-    /// Interim responses (1xx) alone. They say nothing of whether the request runs, and the HTTP library does not
-    /// report them.
+    /// Only interim responses (1xx). They do not show whether the request runs, and the HTTP library does not report
+    /// them.
     Interim,
-    /// The head, and less than the body.
+    /// The head, and not all of the body.
     Partial {
-        /// What the head says.
+        /// The kind of the response.
         kind: ResponseKind,
-        /// What would have marked the end.
+        /// What would have marked the end of the body.
         framing: Framing,
-        /// Whether the client has received some of it already.
+        /// Whether the client has already received part of the response.
         forwarded: bool,
     },
-    /// All of it.
+    /// The whole response.
     Complete {
-        /// What the head says.
+        /// The kind of the response.
         kind: ResponseKind,
-        /// What marked the end.
+        /// What marked the end of the body.
         framing: Framing,
     },
 }
@@ -136,22 +136,22 @@
 /// Who ended an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndedBy {
-    /// Nobody: its response is complete, and the connection stays open.
+    /// Nobody: the response is complete, and the connection stays open.
     Nobody,
     /// The endpoint closed the connection in order.
     Endpoint,
     /// The connection was reset, or failed.
     Reset,
-    /// The deadline of the request, or the response timeout of its endpoint, has passed.
+    /// The request's deadline or the endpoint's response timeout has passed.
     Timeout,
     /// The client disconnected.
     Client,
-    /// The proxy itself: what came can't be used.
+    /// The proxy itself: the received bytes cannot be used.
     Proxy,
 }
 
 impl EndedBy {
-    /// All of them.
+    /// All values.
     pub const ALL: [EndedBy; 6] = [
         EndedBy::Nobody,
         EndedBy::Endpoint,
@@ -162,19 +162,19 @@
     ];
 }
 
-/// Whether a request that was sent has run.
+/// Whether a sent request has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Execution {
-    /// It has not, and never will.
+    /// The request has not run, and never will.
     NotRun,
-    /// It may have run, and is finished.
+    /// The request may have run, and is no longer running.
     MayHaveRun,
-    /// It may have run, and may be running still.
+    /// The request may have run, and may still be running.
     MayBeRunning,
 }
 
 impl Execution {
-    /// What a client gets whose request no endpoint has a usable response for.
+    /// Returns what the client gets if no endpoint returns a usable response.
     #[must_use]
     pub fn without_response(self) -> ClientResponse {
         match self {
@@ -188,68 +188,68 @@
 /// Whether a request may be sent again after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryRule {
-    /// Yes: it has not run.
+    /// It may be sent again, as it has not run.
     Allowed,
-    /// Only an idempotent one.
+    /// It may be sent again only if it is idempotent.
     IfIdempotent,
-    /// Only to resume behind the events that the client has, on a route that allows it.
+    /// It may be sent again only to resume after the events that the client has, on a route that allows this.
     IfResumable,
-    /// No: the client has its response, or has disconnected.
+    /// It may not be sent again: the client has its response, or has disconnected.
     Never,
 }
 
 /// Whether a connection may carry another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionReuse {
-    /// It may, unless the endpoint closes it or surplus bytes come.
+    /// The connection may be reused, unless the endpoint closes it or surplus bytes arrive.
     Reusable,
-    /// It closes now.
+    /// The connection has to be closed.
     Closes,
 }
 
-/// What the client gets where the request is not sent again.
+/// What the client gets if the request is not sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ClientResponse {
     /// The endpoint's response.
     Forwarded,
-    /// The beginning of the endpoint's response, and a connection that closes before its end.
+    /// The beginning of the endpoint's response; the connection closes before the end.
     Truncated,
-    /// A 503 of the proxy's own: the request has not run.
+    /// A 503 from the proxy: the request has not run.
     Rejected,
-    /// A 502: the request may have run.
+    /// A 502 from the proxy: the request may have run.
     BadGateway,
-    /// A 504: the request may have run, and its deadline has passed.
+    /// A 504 from the proxy: the request may have run, and its deadline has passed.
     GatewayTimeout,
-    /// Nothing: it has disconnected.
+    /// Nothing: the client has disconnected.
     Nothing,
 }
 
-/// One attempt to get a response, as far as it came.
+/// The state of one attempt to get a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
-    /// How far the request was sent.
+    /// How much of the request was sent.
     pub request: SendProgress,
-    /// What came back.
+    /// How much of a response arrived.
     pub response: ResponseProgress,
-    /// Who ended it.
+    /// Who ended the attempt.
     pub ended_by: EndedBy,
 }
 
-/// What follows from an attempt.
+/// The consequences of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Classification {
     /// Whether the request has run.
     pub execution: Execution,
-    /// Whether it may be sent again.
+    /// Whether the request may be sent again.
     pub retry: RetryRule,
-    /// Whether its connection may be used again.
+    /// Whether the connection may be used again.
     pub connection: ConnectionReuse,
-    /// What the client gets unless the request is sent again.
+    /// What the client gets if the request is not sent again.
     pub client: ClientResponse,
 }
 
 impl Attempt {
-    /// One that ended before any of its response came.
+    /// Returns an attempt that ended before any byte of a response.
     #[must_use]
     pub fn unanswered(request: SendProgress, ended_by: EndedBy) -> Attempt {
         Attempt {
@@ -259,7 +259,7 @@
         }
     }
 
-    /// The table.
+    /// Classifies the attempt: the table over all states.
     #[must_use]
     pub fn classify(self) -> Classification {
         let execution = self.execution();
@@ -274,7 +274,7 @@
     fn execution(self) -> Execution {
         let may_run = match self.response.kind() {
             Some(ResponseKind::NotExecuted | ResponseKind::OtherInstance) => false,
-            // It carries the request's id, so that the endpoint has it.
+            // The response carries the request's id, so the endpoint has received the request.
             Some(
                 ResponseKind::Final | ResponseKind::Failure | ResponseKind::UnconfirmedRejection,
             ) => true,
@@ -312,8 +312,8 @@
                 framing: Framing::Delimited
             }
         );
-        // Protects against an early response to a long body: the endpoint may read on, and what comes next over the
-        // connection would be taken for the rest of that body.
+        // Protects against an early response to a long body: the endpoint may still be reading the body, and would take
+        // the next request for the rest of it.
         let is_request_complete = self.request == SendProgress::Complete;
         if is_response_complete && is_request_complete && self.ended_by == EndedBy::Nobody {
             ConnectionReuse::Reusable
@@ -338,7 +338,7 @@
     }
 }
 
-/// Whether a body that ends with its connection is complete where the connection ended so.
+/// Whether a body without a length is complete after its connection has ended in this way.
 pub(crate) fn close_completes_body(ended_by: EndedBy, safeguards: Safeguards) -> bool {
     match ended_by {
         EndedBy::Endpoint => true,
--- a/crates/serving/proxy/src/classification/tests.rs
+++ b/crates/serving/proxy/src/classification/tests.rs
@@ -1,4 +1,4 @@
-//! Properties of the table: each is checked in every row.
+//! Properties of the classification table, each checked in every row.
 
 use super::{
     close_completes_body, Attempt, Classification, ClientResponse, ConnectionReuse, EndedBy,
@@ -13,7 +13,7 @@
         .flat_map(move |kind| framings.map(|framing| (kind, framing)))
 }
 
-fn all_received() -> Vec<ResponseProgress> {
+fn all_response_states() -> Vec<ResponseProgress> {
     let mut all = vec![ResponseProgress::Nothing, ResponseProgress::Interim];
     for (kind, framing) in kinds_and_framings() {
         all.push(ResponseProgress::Complete { kind, framing });
@@ -28,12 +28,12 @@
     all
 }
 
-/// Every row of the table.
+/// Returns every row of the table.
 fn rows() -> impl Iterator<Item = (Attempt, Classification)> {
-    let response = all_received();
+    let response_states = all_response_states();
     SendProgress::ALL.into_iter().flat_map(move |request| {
-        let response = response.clone();
-        response.into_iter().flat_map(move |response| {
+        let response_states = response_states.clone();
+        response_states.into_iter().flat_map(move |response| {
             EndedBy::ALL.into_iter().map(move |ended_by| {
                 let attempt = Attempt {
                     request,
@@ -47,48 +47,48 @@
 }
 
 #[test]
-fn the_table_has_a_row_for_every_attempt() {
+fn the_table_has_a_row_for_every_state_of_an_attempt() {
     assert_eq!(rows().count(), 4 * (2 + 12 + 24) * 6);
 }
 
 #[test]
-fn a_request_that_may_have_arrived_counts_as_run_unless_the_endpoint_denies_it() {
-    for (attempt, classify) in rows() {
+fn a_request_that_may_have_arrived_counts_as_run_unless_the_endpoint_denies_running_it() {
+    for (attempt, classification) in rows() {
         let denies_run = matches!(
             attempt.response.kind(),
             Some(ResponseKind::NotExecuted | ResponseKind::OtherInstance)
         );
         if attempt.request.may_run() && !denies_run {
-            assert_ne!(classify.execution, Execution::NotRun, "{attempt:?}");
+            assert_ne!(classification.execution, Execution::NotRun, "{attempt:?}");
         }
         if denies_run {
-            assert_eq!(classify.execution, Execution::NotRun, "{attempt:?}");
+            assert_eq!(classification.execution, Execution::NotRun, "{attempt:?}");
         }
     }
 }
 
 #[test]
 fn only_a_request_that_has_not_run_may_be_retried_unconditionally() {
-    for (attempt, classify) in rows() {
-        if classify.retry == RetryRule::Allowed {
-            assert_eq!(classify.execution, Execution::NotRun, "{attempt:?}");
+    for (attempt, classification) in rows() {
+        if classification.retry == RetryRule::Allowed {
+            assert_eq!(classification.execution, Execution::NotRun, "{attempt:?}");
         }
     }
 }
 
 #[test]
-fn a_rejection_promises_only_what_is_true() {
-    for (attempt, classify) in rows() {
-        if classify.client == ClientResponse::Rejected {
-            assert_eq!(classify.execution, Execution::NotRun, "{attempt:?}");
+fn a_rejected_request_has_not_run() {
+    for (attempt, classification) in rows() {
+        if classification.client == ClientResponse::Rejected {
+            assert_eq!(classification.execution, Execution::NotRun, "{attempt:?}");
         }
     }
 }
 
 #[test]
-fn the_client_gets_an_endpoints_response_only_complete_and_only_its_own() {
-    for (attempt, classify) in rows() {
-        if classify.client == ClientResponse::Forwarded {
+fn only_complete_responses_to_the_request_itself_are_forwarded() {
+    for (attempt, classification) in rows() {
+        if classification.client == ClientResponse::Forwarded {
             let kind = attempt.response.kind();
             assert!(
                 matches!(attempt.response, ResponseProgress::Complete { .. }),
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn behind_a_forwarded_part_nothing_but_the_rest_may_come() {
-    for (attempt, classify) in rows() {
+fn after_a_forwarded_part_the_response_is_resumed_or_truncated() {
+    for (attempt, classification) in rows() {
         let forwarded = matches!(
             attempt.response,
             ResponseProgress::Partial {
@@ -113,16 +113,20 @@
             }
         );
         if forwarded && attempt.ended_by != EndedBy::Client {
-            assert_eq!(classify.client, ClientResponse::Truncated, "{attempt:?}");
-            assert_eq!(classify.retry, RetryRule::IfResumable, "{attempt:?}");
+            assert_eq!(
+                classification.client,
+                ClientResponse::Truncated,
+                "{attempt:?}"
+            );
+            assert_eq!(classification.retry, RetryRule::IfResumable, "{attempt:?}");
         }
     }
 }
 
 #[test]
 fn a_connection_is_reused_only_where_both_messages_are_complete() {
-    for (attempt, classify) in rows() {
-        if classify.connection == ConnectionReuse::Reusable {
+    for (attempt, classification) in rows() {
+        if classification.connection == ConnectionReuse::Reusable {
             assert_eq!(
                 (attempt.request, attempt.ended_by),
                 (SendProgress::Complete, EndedBy::Nobody),
@@ -141,18 +145,26 @@
 }
 
 #[test]
-fn a_disconnected_client_gets_nothing_and_nothing_is_sent_for_it() {
-    for (attempt, classify) in rows() {
+fn after_a_client_disconnects_nothing_is_sent_or_retried() {
+    for (attempt, classification) in rows() {
         if attempt.ended_by == EndedBy::Client {
-            assert_eq!(classify.client, ClientResponse::Nothing, "{attempt:?}");
-            assert_eq!(classify.retry, RetryRule::Never, "{attempt:?}");
-            assert_eq!(classify.connection, ConnectionReuse::Closes, "{attempt:?}");
+            assert_eq!(
+                classification.client,
+                ClientResponse::Nothing,
+                "{attempt:?}"
+            );
+            assert_eq!(classification.retry, RetryRule::Never, "{attempt:?}");
+            assert_eq!(
+                classification.connection,
+                ConnectionReuse::Closes,
+                "{attempt:?}"
+            );
         }
     }
 }
 
 #[test]
-fn an_interim_response_says_nothing() {
+fn an_interim_response_is_classified_like_no_response() {
     for request in SendProgress::ALL {
         for ended_by in EndedBy::ALL {
             let interim = Attempt {
@@ -169,7 +181,7 @@
 }
 
 #[test]
-fn a_body_until_close_is_complete_only_where_the_close_is_in_order() {
+fn a_body_until_close_is_complete_only_after_an_orderly_close() {
     for ended_by in EndedBy::ALL {
         assert_eq!(
             close_completes_body(ended_by, Safeguards::default()),
--- a/crates/serving/proxy/src/client_body.rs
+++ b/crates/serving/proxy/src/client_body.rs
@@ -1,7 +1,7 @@
-//! The body of a response to a client: complete in memory, or produced chunk by chunk while the client reads it.
+//! The body of a response to a client: either complete in memory, or produced chunk by chunk as the client reads it.
 //!
-//! A producer is polled only when the client's connection can take more, so that a slow client slows its endpoint down
-//! instead of filling memory.
+//! A producer is polled only when the client connection can take more bytes: a slow client slows its endpoint down
+//! instead of filling the proxy's memory.
 
 use crate::client_connection::ClientConnection;
 use bytes::Bytes;
@@ -13,23 +13,23 @@
 use std::task::{Context, Poll};
 use thiserror::Error;
 
-/// A response that can't be finished: its connection closes, so that it looks as truncated as it is.
+/// A response that cannot be completed. Its client connection closes, so that the client sees the truncation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the response can't be finished")]
-pub(crate) struct Truncated;
+#[error("the response is truncated")]
+pub(crate) struct TruncatedResponse;
 
-/// Where a producer hands over the chunks of a response, one at a time.
+/// Passes the chunks of a response from its producer to its body, one at a time.
 #[derive(Clone, Default)]
 pub(crate) struct ChunkSlot(Rc<RefCell<Option<Bytes>>>);
 
 impl ChunkSlot {
-    /// Hands a chunk over; goes on once it is taken.
+    /// Puts a chunk into the slot and waits until the body has taken it. Skips empty chunks.
     pub(crate) async fn put(&self, chunk: Bytes) {
         if chunk.is_empty() {
             return;
         }
         *self.0.borrow_mut() = Some(chunk);
-        // No waker is needed: whoever takes the chunk polls the producer again for the next one.
+        // No waker is needed: the body polls the producer again for the next chunk.
         poll_fn(|_| {
             if self.0.borrow().is_none() {
                 Poll::Ready(())
@@ -45,32 +45,32 @@
     }
 }
 
-type Producer = Pin<Box<dyn Future<Output = Result<(), Truncated>>>>;
+type Producer = Pin<Box<dyn Future<Output = Result<(), TruncatedResponse>>>>;
 
-enum State {
+enum BodyState {
     Complete(Bytes),
     Producing {
         producer: Producer,
         slot: ChunkSlot,
         length: Option<u64>,
     },
-    /// What was handed over is written first, then the response ends truncated.
-    Truncating(Truncated),
+    /// The producer has failed: the bytes so far are written, then the body ends with the error.
+    Truncating(TruncatedResponse),
     Finished,
 }
 
 /// The body of a response to a client.
 pub(crate) struct ClientBody {
-    state: State,
+    state: BodyState,
     client: Rc<ClientConnection>,
 }
 
 impl ClientBody {
     pub(crate) fn complete(bytes: Bytes, client: &Rc<ClientConnection>) -> ClientBody {
         let state = if bytes.is_empty() {
-            State::Finished
+            BodyState::Finished
         } else {
-            State::Complete(bytes)
+            BodyState::Complete(bytes)
         };
         ClientBody {
             state,
@@ -78,14 +78,14 @@
         }
     }
 
-    /// One whose chunks `producer` puts into `slot`; `length` in bytes, where it is known.
+    /// Creates a body whose chunks `producer` puts into `slot`. `length` is in bytes, if it is known.
     pub(crate) fn produced(
-        producer: impl Future<Output = Result<(), Truncated>> + 'static,
+        producer: impl Future<Output = Result<(), TruncatedResponse>> + 'static,
         slot: ChunkSlot,
         length: Option<u64>,
         client: &Rc<ClientConnection>,
     ) -> ClientBody {
-        let state = State::Producing {
+        let state = BodyState::Producing {
             producer: Box::pin(producer),
             slot,
             length,
@@ -102,18 +102,18 @@
         slot: ChunkSlot,
         length: Option<u64>,
         cx: &mut Context,
-    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         match producer.as_mut().poll(cx) {
             Poll::Ready(Ok(())) => return Poll::Ready(None),
             Poll::Ready(Err(truncated)) => {
-                self.state = State::Truncating(truncated);
+                self.state = BodyState::Truncating(truncated);
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
             Poll::Pending => {}
         }
         let chunk = slot.take();
-        self.state = State::Producing {
+        self.state = BodyState::Producing {
             producer,
             slot,
             length,
@@ -127,17 +127,17 @@
 
 impl Body for ClientBody {
     type Data = Bytes;
-    type Error = Truncated;
+    type Error = TruncatedResponse;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
-    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
-        match std::mem::replace(&mut self.state, State::Finished) {
-            State::Finished => Poll::Ready(None),
-            State::Complete(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
-            State::Truncating(truncated) => Poll::Ready(Some(Err(truncated))),
-            State::Producing {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
+        match std::mem::replace(&mut self.state, BodyState::Finished) {
+            BodyState::Finished => Poll::Ready(None),
+            BodyState::Complete(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
+            BodyState::Truncating(truncated) => Poll::Ready(Some(Err(truncated))),
+            BodyState::Producing {
                 producer,
                 slot,
                 length,
@@ -146,18 +146,20 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self.state, State::Finished)
+        matches!(self.state, BodyState::Finished)
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.state {
-            State::Finished => SizeHint::with_exact(0),
-            State::Complete(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            State::Producing {
+            BodyState::Finished => SizeHint::with_exact(0),
+            BodyState::Complete(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            BodyState::Producing {
                 length: Some(length),
                 ..
             } => SizeHint::with_exact(*length),
-            State::Producing { length: None, .. } | State::Truncating(_) => SizeHint::default(),
+            BodyState::Producing { length: None, .. } | BodyState::Truncating(_) => {
+                SizeHint::default()
+            }
         }
     }
 }
--- a/crates/serving/proxy/src/client_connection.rs
+++ b/crates/serving/proxy/src/client_connection.rs
@@ -1,7 +1,7 @@
-//! A client's connection: how far it has come with its present message, and how it closes.
+//! The state of a client connection: the progress of its current message, and how it closes.
 //!
-//! hyper owns the protocol and tells neither when a head begins nor when a response is written. [`ClientIo`] sees both
-//! at the socket, so that the server can expire clients that make no progress.
+//! hyper handles the protocol but does not report when a request head begins or when a response has been written.
+//! [`ClientIo`] observes both at the socket, so that the server can expire clients that make no progress.
 
 use crate::clock::Clock;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -19,38 +19,46 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Duration};
 
-/// How long bytes of a rejected request are read and dropped behind its response.
+/// How long the unread bytes of a rejected request are read and discarded after its response. Also limits writing the
+/// response to a slow head.
 const DRAIN_UNREAD_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most of them; nothing beyond is read.
+/// The most unread bytes of a rejected request that are discarded.
 const MAX_UNREAD_BYTES: usize = 1024 * 1024;
-/// The response to a head that does not arrive in time.
+/// The response to a request head that does not arrive in time.
 const SLOW_HEAD_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// How far a connection has come with its present message.
+/// The progress of a connection's current message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// Between messages.
     Idle { since_ms: u64 },
-    /// The head of a message has begun.
+    /// The head of a request is arriving.
     ReadingHead { since_ms: u64 },
     /// A request is being handled.
     Handling,
-    /// Its response is being written, and given up then.
-    Responding { until_ms: u64 },
-    /// The response has been handed to the HTTP library completely, and is being written.
-    Flushing { until_ms: u64 },
+    /// The response is being written, and is aborted at the given time.
+    Responding { abort_at_ms: u64 },
+    /// The HTTP library has all of the response and is still writing it; aborted at the given time.
+    Flushing { abort_at_ms: u64 },
 }
 
 impl Stage {
-    /// What is to be done about it, by the time that has passed.
-    pub(crate) fn due(self, now_ms: u64, header_timeout_ms: u64, idle_timeout_ms: u64) -> Command {
+    /// Returns the command for a connection that has been in this stage until `now_ms`.
+    pub(crate) fn overdue_command(
+        self,
+        now_ms: u64,
+        header_timeout_ms: u64,
+        idle_timeout_ms: u64,
+    ) -> Command {
         match self {
             Stage::Idle { since_ms } if now_ms >= since_ms + idle_timeout_ms => Command::Close,
             Stage::ReadingHead { since_ms } if now_ms >= since_ms + header_timeout_ms => {
                 Command::RejectSlowHead
             }
-            Stage::Responding { until_ms } | Stage::Flushing { until_ms } if now_ms >= until_ms => {
+            Stage::Responding { abort_at_ms } | Stage::Flushing { abort_at_ms }
+                if now_ms >= abort_at_ms =>
+            {
                 Command::Abort
             }
             _ => Command::Continue,
@@ -58,28 +66,28 @@
     }
 }
 
-/// What the server wants of the connection's task.
+/// A command of the server to a connection's task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Command {
-    /// Go on.
+    /// Keep serving.
     Continue,
-    /// Close as soon as no message is being handled.
+    /// Close as soon as no request is being handled.
     Close,
-    /// Respond that the message came too slowly, and close.
+    /// Respond with a 408 to the slow request head, and close.
     RejectSlowHead,
-    /// Close now.
+    /// Close at once.
     Abort,
 }
 
-/// Shared by its task, by what the HTTP library reads and writes, and by the server, which may close it.
+/// A client connection, shared by its task, its [`ClientIo`] and the server.
 pub(crate) struct ClientConnection {
     stream: RefCell<TokioIo<TcpStream>>,
     stage: Cell<Stage>,
     command: Cell<Command>,
-    /// Its request was rejected with bytes of it unread.
-    rejected_unread: Cell<bool>,
-    /// The command has changed.
-    changed: Notify,
+    /// Whether a request was rejected before all of it was read.
+    has_unread_rejection: Cell<bool>,
+    /// Notified when the command changes.
+    command_changed: Notify,
 }
 
 impl ClientConnection {
@@ -88,8 +96,8 @@
             stream: RefCell::new(TokioIo::new(stream)),
             stage: Cell::new(Stage::Idle { since_ms: now_ms }),
             command: Cell::new(Command::Continue),
-            rejected_unread: Cell::new(false),
-            changed: Notify::new(),
+            has_unread_rejection: Cell::new(false),
+            command_changed: Notify::new(),
         })
     }
 
@@ -105,47 +113,47 @@
         self.command.get()
     }
 
-    /// Commands its task; a command is never taken back.
-    pub(crate) fn command(&self, command: Command) {
+    /// Sends a command to the connection's task. Commands are never withdrawn; only `Abort` replaces an earlier one.
+    pub(crate) fn send_command(&self, command: Command) {
         if self.command.get() == Command::Continue || command == Command::Abort {
             self.command.set(command);
-            self.changed.notify_one();
+            self.command_changed.notify_one();
         }
     }
 
-    /// Ready once there is a new command.
-    pub(crate) async fn commanded(&self) {
-        self.changed.notified().await;
+    /// Waits for a new command.
+    pub(crate) async fn command_received(&self) {
+        self.command_changed.notified().await;
     }
 
-    /// The response says that the request was rejected before all of it was read.
-    pub(crate) fn reject_unread(&self) {
-        self.rejected_unread.set(true);
+    /// Records that a request was rejected before all of it was read.
+    pub(crate) fn record_unread_rejection(&self) {
+        self.has_unread_rejection.set(true);
     }
 
-    /// Whether it closes with its present response.
+    /// Whether the connection closes after the current response.
     pub(crate) fn is_closing(&self) -> bool {
-        self.rejected_unread.get() || self.command.get() != Command::Continue
+        self.has_unread_rejection.get() || self.command.get() != Command::Continue
     }
 
-    /// The response has been handed over completely.
+    /// Records that the HTTP library has taken all of the response.
     pub(crate) fn finish_response(&self) {
-        if let Stage::Responding { until_ms } = self.stage.get() {
-            self.stage.set(Stage::Flushing { until_ms });
+        if let Stage::Responding { abort_at_ms } = self.stage.get() {
+            self.stage.set(Stage::Flushing { abort_at_ms });
         }
     }
 
-    /// Whether bytes of a next message have arrived that were not read yet.
-    pub(crate) fn has_unread(&self) -> bool {
+    /// Whether the operating system holds bytes of a further request that were not read yet.
+    pub(crate) fn has_unread_bytes(&self) -> bool {
         let stream = self.stream.borrow();
         SockRef::from(stream.inner())
             .peek(&mut [MaybeUninit::uninit()])
             .is_ok_and(|bytes| bytes > 0)
     }
 
-    /// Responds that the message came too slowly.
+    /// Responds with a 408 to a request head that did not arrive in time.
     pub(crate) async fn respond_slow_head(&self) {
-        self.rejected_unread.set(true);
+        self.has_unread_rejection.set(true);
         let mut remaining = SLOW_HEAD_RESPONSE;
         let write = poll_fn(|cx| loop {
             let mut stream = self.stream.borrow_mut();
@@ -160,11 +168,11 @@
         let _ = timeout(DRAIN_UNREAD_TIMEOUT, write).await;
     }
 
-    /// Closes it in order. Behind a rejection the end is sent first, then what still comes is read and dropped: a close
-    /// over unread bytes would be a reset, which takes the rejection with it (RFC 9112 section 9.6). Otherwise
-    /// nothing more is read: a request that comes now is unread, and its client may send it again.
+    /// Closes the connection. After the rejection of a partly read request, shuts down the write side first, then reads
+    /// and discards the rest: closing with unread bytes would reset the connection and lose the response (RFC 9112
+    /// section 9.6). Otherwise nothing more is read; a request that arrives now was not read, so the client may retry.
     pub(crate) async fn close(&self) {
-        if !self.rejected_unread.get() {
+        if !self.has_unread_rejection.get() {
             return;
         }
         let shutdown =
@@ -185,7 +193,7 @@
         }
     }
 
-    /// How many bytes were read; 0 at the end, orderly or not.
+    /// Returns the number of bytes read; 0 at the end of the stream and after an error.
     fn poll_bytes(&self, cx: &mut Context, bytes: &mut [u8]) -> Poll<usize> {
         let mut buffer = ReadBuf::new(bytes);
         let mut stream = self.stream.borrow_mut();
@@ -194,7 +202,7 @@
     }
 }
 
-/// The side of a client's connection that the HTTP library reads and writes; it notes when a message begins and when a
+/// The I/O half of a client connection that the HTTP library uses. It records when a request head begins and when a
 /// response has been written.
 pub(crate) struct ClientIo {
     pub(crate) client: Rc<ClientConnection>,
@@ -244,7 +252,7 @@
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<IoResult<()>> {
         ready!(self.poll(|stream| stream.poll_flush(cx)))?;
-        // hyper flushes once all that it had buffered is written.
+        // hyper flushes the socket once its write buffer is empty.
         if let Stage::Flushing { .. } = self.client.stage.get() {
             let since_ms = self.clock.now_ms();
             self.client.stage.set(Stage::Idle { since_ms });
--- a/crates/serving/proxy/src/client_task.rs
+++ b/crates/serving/proxy/src/client_task.rs
@@ -1,7 +1,7 @@
-//! The task of one client's connection: its requests are handled one after another until it closes.
+//! The task of one client connection, which handles the connection's requests one after another.
 //!
-//! The task owns everything of a request under way. It ends with the connection, and drops the request with it: the
-//! endpoint's connection closes, and whatever was reserved is released.
+//! The task owns the active request. When the connection ends, the task drops the request: its endpoint connection
+//! closes, and its reservations are released.
 
 use crate::client_connection::{ClientConnection, ClientIo, Command};
 use crate::handler;
@@ -13,35 +13,35 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// The line before a head comes on top of the bytes that its headers may have.
+/// Allowance for the request line, on top of the limit on header bytes.
 const REQUEST_LINE_BYTES: usize = 4 * 1024;
-/// What is read ahead of a client's message, and written ahead of what the client reads.
+/// The least size of the read and write buffers of a client connection.
 const BUFFER_BYTES: usize = 64 * 1024;
-/// Headers of a request.
+/// The most headers of a request.
 const MAX_HEADERS: usize = 160;
 
-/// Why a client's connection ends.
-enum End {
-    /// Either side wanted it.
+/// Why a client connection ends.
+enum ConnectionEnd {
+    /// Either side closed it.
     InOrder,
-    /// What came is no request, and was rejected as such.
+    /// The client sent bytes that are not an HTTP request; hyper has rejected them.
     Malformed,
-    /// A head did not arrive in time.
+    /// The head of a request did not arrive in time.
     SlowHead,
-    /// Its client does not read its response.
+    /// The client does not read its response.
     Aborted,
 }
 
-impl End {
-    fn of(result: Result<(), hyper::Error>) -> End {
+impl ConnectionEnd {
+    fn from_result(result: Result<(), hyper::Error>) -> ConnectionEnd {
         match result {
-            Err(error) if error.is_parse() => End::Malformed,
-            Ok(()) | Err(_) => End::InOrder,
+            Err(error) if error.is_parse() => ConnectionEnd::Malformed,
+            Ok(()) | Err(_) => ConnectionEnd::InOrder,
         }
     }
 }
 
-/// Serves a client's connection until its end; heads may have so many bytes of headers.
+/// Serves a client connection until it ends. The headers of a request may take up to `max_header_bytes`.
 pub(crate) async fn serve<N: Node>(
     shared: Rc<Shared<N>>,
     client: Rc<ClientConnection>,
@@ -51,7 +51,7 @@
     let mut builder = http1::Builder::new();
     builder
         .auto_date_header(false)
-        // Slow heads are the server's to expire: one timer for all clients, and a 408 in place of a reset.
+        // The server expires slow heads itself: with one timer for all clients, and with a 408 instead of a reset.
         .header_read_timeout(None)
         .max_headers(MAX_HEADERS)
         .max_header_size(max_head_bytes)
@@ -62,7 +62,7 @@
     };
     let service = service_fn(|request| {
         let (shared, client) = (shared.clone(), client.clone());
-        // Boxed, so that an idle connection takes no memory for a request.
+        // Boxed, so that an idle connection holds no memory for a request.
         Box::pin(async move { Ok::<_, Infallible>(handler::handle(shared, client, request).await) })
     });
     let end = {
@@ -70,25 +70,25 @@
         loop {
             tokio::select! {
                 biased;
-                result = &mut connection => break End::of(result),
-                () = client.commanded() => match client.last_command() {
+                result = &mut connection => break ConnectionEnd::from_result(result),
+                () = client.command_received() => match client.last_command() {
                     Command::Continue => {}
-                    // A message that has arrived is answered first; its response closes the connection.
-                    Command::Close if client.has_unread() => {}
+                    // A request that has arrived is handled first; its response closes the connection.
+                    Command::Close if client.has_unread_bytes() => {}
                     Command::Close => connection.as_mut().graceful_shutdown(),
-                    Command::RejectSlowHead => break End::SlowHead,
-                    Command::Abort => break End::Aborted,
+                    Command::RejectSlowHead => break ConnectionEnd::SlowHead,
+                    Command::Abort => break ConnectionEnd::Aborted,
                 },
             }
         }
-        // A request being handled ends with hyper's side of the connection, before anything else happens here.
+        // Dropping hyper's connection here ends an active request before the code below runs.
     };
     match end {
-        End::Aborted => return,
-        End::SlowHead => Box::pin(client.respond_slow_head()).await,
-        End::Malformed => client.reject_unread(),
-        End::InOrder => {}
+        ConnectionEnd::Aborted => return,
+        ConnectionEnd::SlowHead => Box::pin(client.respond_slow_head()).await,
+        ConnectionEnd::Malformed => client.record_unread_rejection(),
+        ConnectionEnd::InOrder => {}
     }
-    // Boxed, so that a connection takes no memory for its close before that.
+    // Boxed, so that an open connection holds no memory for closing.
     Box::pin(client.close()).await;
 }
--- a/crates/serving/proxy/src/clock.rs
+++ b/crates/serving/proxy/src/clock.rs
@@ -1,8 +1,8 @@
-//! The monotonic clock of the data plane, in milliseconds since its start.
+//! The monotonic clock of the data plane.
 
 use tokio::time::{Duration, Instant};
 
-/// Counts milliseconds from its creation.
+/// Measures milliseconds since its creation.
 pub(crate) struct Clock {
     origin: Instant,
 }
@@ -18,7 +18,7 @@
         u64::try_from(self.origin.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// The moment at which this clock shows `at_ms`.
+    /// Converts a time of this clock to a tokio `Instant`.
     pub(crate) fn instant(&self, at_ms: u64) -> Instant {
         self.origin + Duration::from_millis(at_ms)
     }
--- a/crates/serving/proxy/src/connection_permit.rs
+++ b/crates/serving/proxy/src/connection_permit.rs
@@ -1,16 +1,16 @@
-//! A bounded number of connections: each holds a permit, released however it ends.
+//! Permits that count open connections. Dropping a permit releases it, however the connection ends.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// One open connection, counted until it is dropped.
+/// Counts one open connection until it is dropped.
 pub(crate) struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl ConnectionPermit {
-    /// Counts one more among those `open`.
-    pub(crate) fn new(open: &Rc<Cell<usize>>) -> ConnectionPermit {
-        open.set(open.get() + 1);
-        ConnectionPermit(open.clone())
+    /// Adds one connection to `open_count`.
+    pub(crate) fn new(open_count: &Rc<Cell<usize>>) -> ConnectionPermit {
+        open_count.set(open_count.get() + 1);
+        ConnectionPermit(open_count.clone())
     }
 }
 
--- a/crates/serving/proxy/src/connection_pool.rs
+++ b/crates/serving/proxy/src/connection_pool.rs
@@ -1,8 +1,8 @@
-//! All connections to endpoints: pooled for the next request where that is safe, bounded in number, closed when they
-//! are idle for long.
+//! The connections to endpoints: pooled for reuse where that is safe, bounded in number, and closed after a long idle
+//! time.
 //!
-//! Reuse saves a round trip and risks a connection that its endpoint is about to close: [`IdleAge`] bounds that risk by
-//! what would be lost, and a connection with surplus bytes carries nothing any more.
+//! Reuse saves a round trip, but the endpoint may be about to close the connection. [`IdleAge`] limits this risk, more
+//! strictly for requests that are not idempotent. A connection with surplus bytes is never reused.
 
 use crate::classification::Idempotency;
 use crate::clock::Clock;
@@ -19,24 +19,24 @@
 use std::rc::Rc;
 use tokio::time::Duration;
 
-/// Idle connections kept to one endpoint.
+/// The most idle connections kept to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 24;
-/// Idle connections kept to all endpoints. Each takes some tens of kilobytes.
+/// The most idle connections kept to all endpoints. Each takes some tens of kilobytes.
 const MAX_IDLE: usize = 160;
 
-/// All connections to endpoints.
+/// Opens, counts and pools the connections to all endpoints.
 pub(crate) struct ConnectionPool {
     max_open: usize,
-    /// How long a new connection is watched before it carries a request.
-    watch: Duration,
+    /// How long a new connection must stay open before it carries a request.
+    watch_time: Duration,
     safeguards: Safeguards,
-    open: Rc<Cell<usize>>,
-    opened: Cell<u64>,
-    /// Of each endpoint those that are idle, the one used last at the end.
+    open_count: Rc<Cell<usize>>,
+    opened_count: Cell<u64>,
+    /// The idle connections of each endpoint, the most recently used last.
     idle: RefCell<HashMap<ServerId, Vec<IdleConnection>>>,
 }
 
-/// A connection without a request.
+/// A pooled connection.
 struct IdleConnection {
     connection: EndpointConnection,
     since_ms: u64,
@@ -51,37 +51,42 @@
         }
     }
 
-    /// Whether it can carry a request.
+    /// Whether the connection can carry a request.
     fn is_ready(&mut self, safeguards: Safeguards) -> bool {
         self.connection.is_ready()
-            && (self.connection.is_quiet() || !safeguards.surplus_bytes_close_connection())
+            && (self.connection.has_nothing_to_read()
+                || !safeguards.surplus_bytes_close_connection())
     }
 }
 
 impl ConnectionPool {
-    /// At most so many, each watched for a moment before it carries a request.
-    pub(crate) fn new(max_open: usize, watch: Duration, safeguards: Safeguards) -> ConnectionPool {
+    /// Creates an empty pool of at most `max_open` connections.
+    pub(crate) fn new(
+        max_open: usize,
+        watch_time: Duration,
+        safeguards: Safeguards,
+    ) -> ConnectionPool {
         ConnectionPool {
             max_open,
-            watch,
+            watch_time,
             safeguards,
-            open: Rc::default(),
-            opened: Cell::new(0),
+            open_count: Rc::default(),
+            opened_count: Cell::new(0),
             idle: RefCell::default(),
         }
     }
 
-    /// Connections that are open, idle ones included.
-    pub(crate) fn open(&self) -> usize {
-        self.open.get()
+    /// Returns the number of open connections, idle ones included.
+    pub(crate) fn open_count(&self) -> usize {
+        self.open_count.get()
     }
 
-    /// Connections opened so far.
-    pub(crate) fn opened(&self) -> u64 {
-        self.opened.get()
+    /// Returns the number of connections opened since the start, failed ones included.
+    pub(crate) fn opened_count(&self) -> u64 {
+        self.opened_count.get()
     }
 
-    /// An idle connection that is safe for the request, the one used last first.
+    /// Takes an idle connection that is safe for the request, the most recently used that has cooled down first.
     pub(crate) fn check_out(
         &self,
         endpoint: &Server,
@@ -96,8 +101,9 @@
                 .iter()
                 .rposition(|idle| idle.age(now_ms).has_cooled_down());
             // A late duplicate of the last response does no harm to an idempotent request.
-            let may_be_warm = idempotency == Idempotency::Idempotent && !connections.is_empty();
-            let index = cooled_down.or(may_be_warm.then_some(0))?;
+            let may_skip_cooldown =
+                idempotency == Idempotency::Idempotent && !connections.is_empty();
+            let index = cooled_down.or(may_skip_cooldown.then_some(0))?;
             if !connections[index].age(now_ms).is_safe_for(idempotency) {
                 return None;
             }
@@ -108,29 +114,29 @@
         }
     }
 
-    /// A new connection, for a request with this latency target.
+    /// Opens a new connection for a request with this latency target.
     pub(crate) async fn connect(
         &self,
         endpoint: &Server,
         target_ms: u64,
     ) -> Result<EndpointConnection, ConnectError> {
-        if self.open.get() >= self.max_open && !self.close_oldest_idle() {
+        if self.open_count.get() >= self.max_open && !self.close_oldest_idle() {
             return Err(ConnectError::NoConnectionLeft);
         }
-        let permit = ConnectionPermit::new(&self.open);
-        self.opened.set(self.opened.get() + 1);
+        let permit = ConnectionPermit::new(&self.open_count);
+        self.opened_count.set(self.opened_count.get() + 1);
         let stream = dial(endpoint, target_ms).await?;
         let mut connection = EndpointConnection::new(endpoint.id.clone(), stream, permit).await?;
-        // Protects against an endpoint that has too many connections and resets a new one: a request written to it by
-        // then might have run, as far as anyone could tell.
-        if connection.stays_open_for(self.watch).await {
+        // Protects against an endpoint with too many connections that resets a new one: a request already written to it
+        // would have to count as possibly run.
+        if connection.stays_open_for(self.watch_time).await {
             Ok(connection)
         } else {
             Err(ConnectError::TurnedAway)
         }
     }
 
-    /// Pools a connection after a complete response, unless something speaks against it.
+    /// Pools a connection after a complete response. Closes it if the response says so or the connection has ended.
     pub(crate) fn check_in(
         &self,
         mut connection: EndpointConnection,
@@ -155,7 +161,7 @@
         });
     }
 
-    /// Closes what has been idle for so long that the endpoint might close it first, and what has ended.
+    /// Closes the idle connections that the endpoint may be about to close, and drops those that have ended.
     pub(crate) fn expire(&self, now_ms: u64) {
         self.idle.borrow_mut().retain(|_, connections| {
             connections
@@ -168,7 +174,7 @@
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Closes the connection that has been idle longest; false where none is idle.
+    /// Closes the longest idle connection. Returns false if no connection is idle.
     fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let non_empty = idle
@@ -184,7 +190,7 @@
     }
 }
 
-/// What a response says about its connection (RFC 9112 section 9.6, and `Keep-Alive`).
+/// The `Connection` (RFC 9112 section 9.6) and `Keep-Alive` headers of a response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KeepAliveTerms {
     closes: bool,
@@ -194,7 +200,7 @@
 impl KeepAliveTerms {
     pub(crate) fn parse(headers: &HeaderMap) -> KeepAliveTerms {
         KeepAliveTerms {
-            closes: http_headers::says_close(headers),
+            closes: http_headers::has_connection_close(headers),
             keep_alive_ms: http_headers::keep_alive_ms(headers),
         }
     }
--- a/crates/serving/proxy/src/counters.rs
+++ b/crates/serving/proxy/src/counters.rs
@@ -1,30 +1,30 @@
-//! What the proxy counts, for `status` and metrics.
+//! The counters of the proxy, for `status` and metrics.
 
 use crate::rejection::Rejection;
 use std::cell::Cell;
 
-/// Totals since the start, and what is in use now.
+/// Totals since the start, and the resources in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Client connections that are open.
+    /// Open client connections.
     pub connections: usize,
-    /// Client connections accepted so far.
+    /// Client connections accepted since the start.
     pub accepted: u64,
     /// Requests whose head was read.
     pub requests: u64,
-    /// Requests rejected by a 503 of the proxy's own.
+    /// Requests that the proxy rejected with a 503.
     pub rejected: u64,
-    /// Requests that ended in a 502 or 504 of the proxy's own.
+    /// Requests that the proxy ended with a 502 or 504.
     pub failed: u64,
-    /// Endpoint connections that are open, idle ones included.
+    /// Open endpoint connections, idle ones included.
     pub endpoint_connections: usize,
-    /// Endpoint connections opened so far.
+    /// Endpoint connections opened since the start, failed ones included.
     pub endpoint_connections_opened: u64,
-    /// Bytes that the bodies of requests under way take.
+    /// Bytes reserved for the bodies of active requests.
     pub body_bytes: usize,
 }
 
-/// Requests by how they ended.
+/// Counts requests, rejections and failures.
 #[derive(Debug, Default)]
 pub(crate) struct RequestCounters {
     requests: Cell<u64>,
--- a/crates/serving/proxy/src/deadline.rs
+++ b/crates/serving/proxy/src/deadline.rs
@@ -1,6 +1,6 @@
-//! The deadline of a request, and how long an unresponsive endpoint is waited for before it.
+//! The deadline of a request, and the response timeout of its current endpoint.
 //!
-//! One timer for both, and one that is not reset at every event: a stream has thousands of them.
+//! Both share one timer. The timer is not reset at every event, because a stream has thousands of events.
 
 use crate::clock::Clock;
 use std::cell::Cell;
@@ -10,18 +10,18 @@
 use std::task::{ready, Context, Poll};
 use tokio::time::Sleep;
 
-/// An endpoint responds at the deadline it was given; its response is waited for a little beyond.
+/// How long after the deadline a response is still accepted: an endpoint may respond right at the deadline.
 const RESPONSE_GRACE_MS: u64 = 100;
-/// One request in so many may leave an unresponsive endpoint. Protects against an overload in which all endpoints are
-/// slow: each request that left one would be work for two.
+/// One request in this many may fail over from an unresponsive endpoint. Protects against an overload in which all
+/// endpoints are slow: each failover makes two endpoints work on the same request.
 const REQUESTS_PER_FAILOVER: u32 = 20;
-/// So many may leave at once.
+/// The most failovers that can be saved up for a burst.
 const MAX_SAVED_FAILOVERS: u32 = 10;
 
-/// A retry budget: how many requests may still leave an unresponsive endpoint.
+/// A retry budget for failovers from unresponsive endpoints.
 #[derive(Debug)]
 pub(crate) struct FailoverBudget {
-    /// In requests; a failover costs [`REQUESTS_PER_FAILOVER`] of them.
+    /// Requests counted and not yet spent; a failover costs [`REQUESTS_PER_FAILOVER`].
     saved_requests: Cell<u32>,
 }
 
@@ -38,8 +38,8 @@
             .set(saved_requests.min(MAX_SAVED_FAILOVERS * REQUESTS_PER_FAILOVER));
     }
 
-    /// Spends one failover; false where none is left.
-    fn spend(&self) -> bool {
+    /// Spends one failover. Returns false if none is left.
+    fn try_spend(&self) -> bool {
         let left = self.saved_requests.get().checked_sub(REQUESTS_PER_FAILOVER);
         self.saved_requests
             .set(left.unwrap_or(self.saved_requests.get()));
@@ -47,15 +47,15 @@
     }
 }
 
-/// The deadline and the response timeout of one request, by one timer.
+/// The deadline and the response timeout of one request, with their common timer.
 pub(crate) struct RequestDeadline {
     clock: Rc<Clock>,
     failover_budget: Rc<FailoverBudget>,
     deadline_ms: u64,
     response_timeout: Option<ResponseTimeout>,
     timer: Pin<Box<Sleep>>,
-    /// When the timer fires.
-    armed_ms: u64,
+    /// The time at which the timer fires.
+    timer_ms: u64,
 }
 
 /// How long an endpoint may send nothing.
@@ -77,19 +77,19 @@
         failover_budget: &Rc<FailoverBudget>,
         deadline_ms: u64,
     ) -> RequestDeadline {
-        let armed_ms = deadline_ms + RESPONSE_GRACE_MS;
-        let timer = tokio::time::sleep_until(clock.instant(armed_ms));
+        let timer_ms = deadline_ms + RESPONSE_GRACE_MS;
+        let timer = tokio::time::sleep_until(clock.instant(timer_ms));
         RequestDeadline {
             clock: clock.clone(),
             failover_budget: failover_budget.clone(),
             deadline_ms,
             response_timeout: None,
             timer: Box::pin(timer),
-            armed_ms,
+            timer_ms,
         }
     }
 
-    /// The deadline, by the proxy's clock.
+    /// Returns the deadline as a time of the proxy's clock.
     pub(crate) fn deadline_ms(&self) -> u64 {
         self.deadline_ms
     }
@@ -98,7 +98,7 @@
         self.deadline_ms.saturating_sub(self.clock.now_ms())
     }
 
-    /// From now on an endpoint may send nothing for so long.
+    /// Starts the response timeout: an endpoint may be silent for `timeout_ms` from now on.
     pub(crate) fn start_response_timeout(&mut self, timeout_ms: u64) {
         let response_timeout = ResponseTimeout {
             started_ms: self.clock.now_ms(),
@@ -108,8 +108,8 @@
         self.set_timer(response_timeout.expires_ms());
     }
 
-    /// The endpoint has sent something; until it sends more it may be silent for so long. A timer that fires before
-    /// is left as it is, and checks again then.
+    /// Restarts a running response timeout after bytes from the endpoint. A timer that fires earlier is not reset;
+    /// `poll` re-arms it when it fires.
     pub(crate) fn restart_response_timeout(&mut self, timeout_ms: u64) {
         if self.response_timeout.is_none() {
             return;
@@ -119,17 +119,18 @@
             timeout_ms,
         };
         self.response_timeout = Some(response_timeout);
-        if response_timeout.expires_ms() < self.armed_ms {
+        if response_timeout.expires_ms() < self.timer_ms {
             self.set_timer(response_timeout.expires_ms());
         }
     }
 
-    /// From now on the endpoint may be silent until the deadline.
+    /// Stops the response timeout: the endpoint may be silent until the deadline.
     pub(crate) fn clear_response_timeout(&mut self) {
         self.response_timeout = None;
     }
 
-    /// Ready once the deadline has passed, or the response timeout where a failover is left to spend.
+    /// Ready once the deadline and its grace time have passed, or once the response timeout has passed and a failover
+    /// could be spent.
     pub(crate) fn poll(&mut self, cx: &mut Context) -> Poll<()> {
         loop {
             ready!(self.timer.as_mut().poll(cx));
@@ -141,7 +142,7 @@
                 .response_timeout
                 .map_or(u64::MAX, ResponseTimeout::expires_ms);
             if now_ms >= expires_ms {
-                if self.failover_budget.spend() {
+                if self.failover_budget.try_spend() {
                     return Poll::Ready(());
                 }
                 self.response_timeout = None;
@@ -153,8 +154,8 @@
         }
     }
 
-    /// What `work` gives, or None once the time is up.
-    pub(crate) async fn bound<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
+    /// Waits for `work`; returns None once [`RequestDeadline::poll`] is ready.
+    pub(crate) async fn limit<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         let mut work = pin!(work);
         poll_fn(|cx| {
             if let Poll::Ready(value) = work.as_mut().poll(cx) {
@@ -170,8 +171,8 @@
     }
 
     fn set_timer(&mut self, at_ms: u64) {
-        self.armed_ms = at_ms.min(self.final_ms());
-        let at = self.clock.instant(self.armed_ms);
+        self.timer_ms = at_ms.min(self.final_ms());
+        let at = self.clock.instant(self.timer_ms);
         self.timer.as_mut().reset(at);
     }
 }
--- a/crates/serving/proxy/src/dial.rs
+++ b/crates/serving/proxy/src/dial.rs
@@ -8,23 +8,28 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::{timeout, Duration};
 
-/// A connection that has not come up in half of the request's latency target does not: its endpoint is unreachable,
-/// and nothing was sent. Within these bounds.
+/// The least connect timeout. The timeout is half of the request's latency target, within these bounds; an endpoint
+/// that does not accept in time counts as unreachable.
 const MIN_CONNECT_TIMEOUT_MS: u64 = 100;
+/// The greatest connect timeout.
 const MAX_CONNECT_TIMEOUT_MS: u64 = 400;
-/// This machine, or this process, has no descriptors, buffers or ports left (Linux's numbers).
+/// Linux error numbers for a lack of file descriptors, ports or buffers in this process or on this machine.
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
 const EADDRNOTAVAIL: i32 = 99;
 const ENOBUFS: i32 = 105;
 
-/// A new connection, for a request with this latency target.
+/// Opens a connection to `endpoint` for a request with this latency target.
 pub(crate) async fn dial(endpoint: &Server, target_ms: u64) -> Result<TcpStream, ConnectError> {
     let timeout_ms = (target_ms / 2).clamp(MIN_CONNECT_TIMEOUT_MS, MAX_CONNECT_TIMEOUT_MS);
     match timeout(Duration::from_millis(timeout_ms), connect(endpoint.address)).await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(error)) => {
-            log::debug!("endpoint {} at {}: {error}", endpoint.id, endpoint.address);
+            log::debug!(
+                "connecting to endpoint {} at {} failed: {error}",
+                endpoint.id,
+                endpoint.address
+            );
             Err(connect_error(&error))
         }
         Err(_) => Err(ConnectError::Unreachable),
@@ -42,8 +47,8 @@
     socket.connect(address).await
 }
 
-/// Whether the endpoint can't be reached or wants no more connections, or this machine has nothing left to reach it
-/// with.
+/// Classifies an I/O error: the endpoint is unreachable, the endpoint refuses more connections, or this machine lacks
+/// the resources for a connection.
 fn connect_error(error: &Error) -> ConnectError {
     match (error.raw_os_error(), error.kind()) {
         (Some(ENFILE | EMFILE | ENOBUFS | EADDRNOTAVAIL), _) => ConnectError::NoConnectionLeft,
--- a/crates/serving/proxy/src/dispatch.rs
+++ b/crates/serving/proxy/src/dispatch.rs
@@ -1,8 +1,8 @@
-//! Sends a request from endpoint to endpoint until one of them has a response for the client. Retries after a
-//! failure are decided here, those after silence in [`ActiveRequest::wait_for`].
+//! Sends a request to one endpoint after another until one has a response for the client. Decides about retries after
+//! a failure; [`ActiveRequest::wait_for`] decides when to fail over from an unresponsive endpoint.
 //!
-//! It is the only place that sends a request again: each decision takes the classification of the last attempt together
-//! with the record of all earlier ones, as an attempt that has not run says nothing about those before it.
+//! Every decision to send a request again is made here, from the classification of the last attempt and the record of
+//! all earlier attempts: that the last attempt has not run does not mean that no earlier one has.
 
 use crate::active_request::{ActiveRequest, ChosenEndpoint, ConnectionChoice};
 use crate::attempt::ReceivedHead;
@@ -17,7 +17,7 @@
 use dunespur_routing::{Outcome, Server, Ticket};
 
 impl<N: Node> ActiveRequest<N> {
-    /// Sends the request until an endpoint's response has come that is to be forwarded.
+    /// Sends the request until an endpoint returns a response to be forwarded.
     pub(crate) async fn dispatch(&mut self) -> Result<EndpointResponse<N>, Rejection> {
         loop {
             let ChosenEndpoint {
@@ -31,8 +31,8 @@
         }
     }
 
-    /// The response was truncated behind its head: the request, changed meanwhile where it is to resume behind what
-    /// was forwarded, is sent again if it may be.
+    /// Sends the request again after a response that was truncated in its body, if the request may be sent again. To
+    /// resume a stream, the caller has first set `Last-Event-Id` in the request.
     pub(crate) async fn dispatch_again(
         &mut self,
         truncated: ResponseSource<N>,
@@ -45,10 +45,10 @@
             ticket,
         } = truncated;
         let classification = body.truncated_attempt(ended_by, forwarded).classify();
-        // Its connection closes before the request goes anywhere else.
+        // Closes the connection before the request is sent again.
         drop(body);
-        self.record
-            .record(&ticket.server.id, classification.execution);
+        self.execution_record
+            .record_attempt(&ticket.server.id, classification.execution);
         if self.try_count_resend(classification.execution) {
             let connection = ConnectionChoice::New;
             if let Some(response) = self.attempt_at(ticket, in_flight, connection).await? {
@@ -61,7 +61,7 @@
         self.dispatch().await
     }
 
-    /// Sends the request to one endpoint; None where it goes to another one.
+    /// Sends the request to one endpoint. Returns None if the request is to be sent to another endpoint.
     async fn attempt_at(
         &mut self,
         ticket: Ticket,
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Decides about a response by its head; None where the request goes to another endpoint.
+    /// Decides by its head whether a response is forwarded. Returns None if the request is to be sent to another
+    /// endpoint.
     fn accept_response(
         &mut self,
         received: ReceivedHead,
@@ -101,15 +102,16 @@
             }
             ResponseKind::OtherInstance => {
                 in_flight.finish(Outcome::Misdirected);
-                self.record.record_departed(&ticket.server.id);
+                self.execution_record.record_departed(&ticket.server.id);
             }
             ResponseKind::Failure if self.try_reserve_alternative(&ticket.server, retry) => {
                 in_flight.finish(Outcome::Failed);
                 body.return_connection_if_complete(&self.shared);
-                self.record.record(&ticket.server.id, Execution::MayHaveRun);
+                self.execution_record
+                    .record_attempt(&ticket.server.id, Execution::MayHaveRun);
             }
             _ => {
-                self.record.record_run(&ticket.server.id);
+                self.execution_record.record_run(&ticket.server.id);
                 let source = ResponseSource {
                     body,
                     in_flight,
@@ -124,31 +126,34 @@
 
     fn record_error(&mut self, endpoint: &Server, error: AttemptError) {
         if error == AttemptError::Connect(ConnectError::Unreachable) {
-            self.record.record_departed(&endpoint.id);
+            self.execution_record.record_departed(&endpoint.id);
         }
-        self.record.record(&endpoint.id, error.execution());
+        self.execution_record
+            .record_attempt(&endpoint.id, error.execution());
     }
 
-    /// Counts one more send to the same endpoint; false if the request may not be sent there again.
+    /// Counts one more send to the same endpoint. Returns false if the request may not be sent there again.
     fn try_count_resend(&mut self, execution: Execution) -> bool {
         execution == Execution::MayHaveRun
             && self.deadline.remaining_ms() > 0
-            && self.record.take_resend()
+            && self.execution_record.try_take_resend()
     }
 
-    /// Whether the request may be sent to one more endpoint, after an attempt that came to nothing.
+    /// Returns the rejection for the client if the request may not be sent to one more endpoint.
     fn check_may_retry(&self, rule: RetryRule) -> Result<(), Rejection> {
-        if self.record.may_retry(rule) {
+        if self.execution_record.may_retry(rule) {
             Ok(())
         } else {
-            Err(self.record.rejection())
+            Err(self.execution_record.rejection())
         }
     }
 
-    /// Records that this endpoint has run the request, and reserves another one to be tried instead of forwarding the
-    /// failure; false if there is none or the request may not be sent again: the client gets the failure.
+    /// Records that `endpoint` has run the request, and reserves another endpoint. Returns false, so that the client
+    /// gets the failure, if there is no other endpoint or the request may not be sent again.
     fn try_reserve_alternative(&mut self, endpoint: &Server, rule: RetryRule) -> bool {
-        self.record.record_run(&endpoint.id);
-        self.record.may_retry(rule) && self.has_send_left() && self.reserve_next()
+        self.execution_record.record_run(&endpoint.id);
+        self.execution_record.may_retry(rule)
+            && self.has_send_left()
+            && self.reserve_next_endpoint()
     }
 }
--- a/crates/serving/proxy/src/endpoint_connection.rs
+++ b/crates/serving/proxy/src/endpoint_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint: one request at a time, driven by whoever waits for the response.
+//! A connection to an endpoint. It carries one request at a time, and makes progress only while its user polls it.
 
 use crate::classification::{
     Attempt, EndedBy, Framing, ResponseKind, ResponseProgress, SendProgress,
@@ -20,46 +20,46 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Duration};
 
-/// What is read ahead of a response, its head above all, and written ahead of what the endpoint reads.
+/// The size of the read and write buffers; the head of a response has to fit into it.
 const BUFFER_BYTES: usize = 64 * 1024;
-/// Bytes that the other side has not acknowledged for so long end the connection. Protects against a machine without
-/// power or behind a network partition, which sends nothing.
+/// How long sent bytes may stay unacknowledged before the connection ends. Protects against a machine that has lost
+/// power or is behind a network partition, and sends nothing.
 pub(crate) const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The body of a request up to this length fits into the sockets' buffers whether the endpoint reads it or not. Of a
-/// longer one the rest waits here until the endpoint reads on, and the operating system would take an endpoint that
-/// leaves it unread for dead: it has as long as the request.
+/// The longest request body that fits into the sockets' buffers even if the endpoint does not read it. The rest of a
+/// longer body waits until the endpoint reads on. The operating system would take an endpoint that pauses reading for
+/// dead, so for longer bodies the peer timeout is the request's remaining time.
 const MAX_BUFFERED_BODY_BYTES: u64 = 32 * 1024;
-/// Headers of a response.
+/// The most headers of a response.
 const MAX_HEADERS: usize = 160;
 
-/// Why no connection came up.
+/// Why no connection could be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum ConnectError {
-    /// Nobody listens there, or nobody answered in time.
-    #[error("nobody accepts connections there, or not in time")]
+    /// No process listens at the address, or the endpoint did not accept in time.
+    #[error("the endpoint did not accept the connection, or not in time")]
     Unreachable,
-    /// All connections that this process may have are in use.
-    #[error("all connections that this process may have are in use")]
+    /// This process has reached its limit of endpoint connections, or the machine lacks descriptors, ports or buffers.
+    #[error("no endpoint connection, file descriptor, port or buffer is left")]
     NoConnectionLeft,
-    /// The endpoint closed it as soon as it had come up: it has too many.
+    /// The endpoint closed the new connection at once because it has too many.
     #[error("the endpoint closed the new connection")]
     TurnedAway,
-    /// The deadline of the request passed first.
-    #[error("the request's deadline passed first")]
+    /// The deadline of the request passed before the connection was open.
+    #[error("the request's deadline passed before the connection was open")]
     TimeUp,
 }
 
-/// A connection to one endpoint.
+/// An open connection, with hyper's sender and the driver that does its I/O.
 pub(crate) struct EndpointConnection {
     endpoint: ServerId,
     transport: Rc<Transport>,
     sender: http1::SendRequest<OutboundBody>,
-    /// None once it has ended.
+    /// None once the connection has ended.
     driver: Option<Driver>,
     _permit: ConnectionPermit,
 }
 
-/// The HTTP library's half of a connection, which has to be polled.
+/// hyper's connection future, which has to be polled for the connection to make progress.
 type Driver = Box<http1::Connection<TransportIo, OutboundBody>>;
 
 impl EndpointConnection {
@@ -82,15 +82,15 @@
         })
     }
 
-    /// Whether it is still open so long from now.
-    pub(crate) async fn stays_open_for(&mut self, watch: Duration) -> bool {
-        let mut watch = pin!(sleep(watch));
+    /// Watches the connection for `watch_time`. Returns whether it is still open then.
+    pub(crate) async fn stays_open_for(&mut self, watch_time: Duration) -> bool {
+        let mut timer = pin!(sleep(watch_time));
         poll_fn(|cx| {
             drive(&mut self.driver, cx);
             if self.driver.is_none() {
                 return Poll::Ready(false);
             }
-            watch.as_mut().poll(cx).map(|()| true)
+            timer.as_mut().poll(cx).map(|()| true)
         })
         .await
     }
@@ -99,23 +99,23 @@
         &self.endpoint
     }
 
-    /// Whether the other side has sent nothing since the last response, not even the end of the connection. Asks the
-    /// operating system: protects against bytes that the event loop has not seen yet.
-    pub(crate) fn is_quiet(&self) -> bool {
-        self.transport.is_quiet()
+    /// Whether neither bytes nor an end of the stream have arrived since the last response. Asks the operating system,
+    /// because the event loop may not have seen the latest bytes yet.
+    pub(crate) fn has_nothing_to_read(&self) -> bool {
+        self.transport.has_nothing_to_read()
     }
 
-    /// How much of the present request was written.
+    /// Returns how much of the current request has been written.
     pub(crate) fn send_progress(&self) -> SendProgress {
         self.transport.progress()
     }
 
-    /// Who ended it, as far as a read or write has met the end.
+    /// Returns who ended the connection, as far as a read or write has noticed it.
     pub(crate) fn ended_by(&self) -> EndedBy {
         self.transport.ended_by()
     }
 
-    /// Sends a request, whose deadline is in `remaining`, and waits for the head of its response.
+    /// Sends a request whose deadline is in `remaining`, and waits for the head of its response.
     pub(crate) async fn exchange(
         &mut self,
         head: Request<()>,
@@ -141,9 +141,9 @@
         responded.await.map_err(|error| self.failed_attempt(&error))
     }
 
-    /// The attempt that ended with this error before the head of a response.
+    /// Describes the attempt that ended with `error` before the head of a response.
     fn failed_attempt(&self, error: &hyper::Error) -> Attempt {
-        log::debug!("endpoint {}: {error}", self.endpoint);
+        log::debug!("exchange with endpoint {} failed: {error}", self.endpoint);
         let response = if error.is_parse() {
             ResponseProgress::Partial {
                 kind: ResponseKind::Unrelated,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// The next bytes of the response's body; None at its end.
+    /// Polls for the next bytes of the response's body; None at its end.
     pub(crate) fn poll_body(
         &mut self,
         body: &mut Incoming,
@@ -184,21 +184,21 @@
         }
     }
 
-    /// Whether it can carry a request.
+    /// Whether the connection is open and can carry a request.
     pub(crate) fn is_ready(&mut self) -> bool {
-        // Nobody needs to be woken by it until it is used again.
+        // An idle connection wakes no task; it is polled again when it is next used.
         drive(&mut self.driver, &mut Context::from_waker(Waker::noop()));
         self.driver.is_some() && self.sender.is_ready()
     }
 }
 
-/// Lets a connection make progress; takes its driver out once it has ended.
+/// Polls a connection's driver, and drops the driver once the connection has ended.
 fn drive(driver: &mut Option<Driver>, cx: &mut Context) {
     let has_ended = driver
         .as_mut()
         .is_some_and(|driver| Pin::new(driver).poll(cx).is_ready());
     if has_ended {
-        // A request that it has not begun to write is completed only by this.
+        // A request that was not yet written completes, with an error, only when the driver is dropped.
         *driver = None;
     }
 }
--- a/crates/serving/proxy/src/endpoint_io.rs
+++ b/crates/serving/proxy/src/endpoint_io.rs
@@ -1,7 +1,7 @@
-//! What the HTTP library reads and writes on an endpoint connection: the request's body, and the socket, with how much
-//! of the request has been written.
+//! The I/O of an endpoint connection that the HTTP library uses: the request's body and the socket.
 //!
-//! Counted at the socket, below the HTTP library's buffers: only bytes that were written can have reached the endpoint.
+//! Tracks at the socket, below the HTTP library's buffers, how much of the request was written: only bytes written to
+//! the socket can have reached the endpoint.
 
 use crate::classification::{EndedBy, SendProgress};
 use crate::monitored_stream::MonitoredStream;
@@ -22,7 +22,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Duration;
 
-/// A socket, with how much of the present request has been written.
+/// The socket of an endpoint connection, with the send progress of its current request.
 pub(crate) struct Transport {
     stream: RefCell<TokioIo<MonitoredStream>>,
     tracker: Cell<SendTracker>,
@@ -30,55 +30,57 @@
 }
 
 impl Transport {
-    /// Over a socket whose unacknowledged bytes end it after `peer_timeout`.
+    /// Wraps a socket whose TCP user timeout is already `peer_timeout`.
     pub(crate) fn new(stream: TcpStream, peer_timeout: Duration) -> Rc<Transport> {
         Rc::new(Transport {
             stream: RefCell::new(TokioIo::new(MonitoredStream::new(stream))),
-            tracker: Cell::new(SendTracker::of_request(0)),
+            tracker: Cell::new(SendTracker::new(0)),
             peer_timeout: Cell::new(peer_timeout),
         })
     }
 
-    /// A request with so many bytes of body is to be written next.
+    /// Resets the send progress for a request with `body_bytes` of body.
     pub(crate) fn begin_request(&self, body_bytes: u64) {
-        self.tracker.set(SendTracker::of_request(body_bytes));
+        self.tracker.set(SendTracker::new(body_bytes));
     }
 
-    /// How long the other side may leave bytes unacknowledged, or unread.
+    /// Sets how long the endpoint may leave bytes unacknowledged or unread (the TCP user timeout).
     pub(crate) fn set_peer_timeout(&self, peer_timeout: Duration) {
         if self.peer_timeout.replace(peer_timeout) != peer_timeout {
             let stream = self.stream.borrow();
             let set =
                 SockRef::from(stream.inner().socket()).set_tcp_user_timeout(Some(peer_timeout));
-            set.unwrap_or_else(|error| log::debug!("peer timeout: {error}"));
+            set.unwrap_or_else(|error| {
+                log::debug!("setting the TCP user timeout to {peer_timeout:?} failed: {error}");
+            });
         }
     }
 
-    /// How much of the present request was written.
+    /// Returns how much of the current request has been written.
     pub(crate) fn progress(&self) -> SendProgress {
         self.tracker.get().progress()
     }
 
-    /// Who ended the connection, as far as a read or write has met the end.
+    /// Returns who ended the connection, as far as a read or write has noticed it.
     pub(crate) fn ended_by(&self) -> EndedBy {
         self.stream.borrow().inner().ended_by()
     }
 
-    /// Whether the operating system has neither bytes nor an end of the connection to be read.
-    pub(crate) fn is_quiet(&self) -> bool {
+    /// Whether the operating system has neither bytes nor an end of the stream to read.
+    pub(crate) fn has_nothing_to_read(&self) -> bool {
         let stream = self.stream.borrow();
         let peeked = SockRef::from(stream.inner().socket()).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    fn track(&self, change: impl FnOnce(&mut SendTracker)) {
+    fn track(&self, update: impl FnOnce(&mut SendTracker)) {
         let mut tracker = self.tracker.get();
-        change(&mut tracker);
+        update(&mut tracker);
         self.tracker.set(tracker);
     }
 }
 
-/// The body of a request to an endpoint.
+/// The body of a request to an endpoint, which records when its last chunk is taken.
 pub(crate) struct OutboundBody {
     chunks: smallvec::IntoIter<[Bytes; 1]>,
     remaining_bytes: u64,
@@ -126,7 +128,7 @@
     }
 }
 
-/// The side of a transport that the HTTP library reads and writes.
+/// The I/O half of a transport that the HTTP library uses.
 pub(crate) struct TransportIo(pub(crate) Rc<Transport>);
 
 impl TransportIo {
@@ -176,7 +178,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<IoResult<()>> {
-        // hyper flushes once all that it had buffered is written.
+        // hyper flushes the socket once its write buffer is empty.
         self.0.track(SendTracker::record_flushed);
         self.poll(|stream| stream.poll_flush(cx))
     }
--- a/crates/serving/proxy/src/endpoint_response.rs
+++ b/crates/serving/proxy/src/endpoint_response.rs
@@ -1,4 +1,4 @@
-//! An endpoint's response on its way to the client, with the connection that it comes over.
+//! An endpoint's response that is being forwarded, with the connection that it arrives on.
 
 use crate::classification::{
     close_completes_body, Attempt, ConnectionReuse, EndedBy, Framing, ResponseKind,
@@ -16,35 +16,35 @@
 use hyper::body::Incoming;
 use std::task::{Context, Poll, Waker};
 
-/// A response whose head has come.
+/// A response whose head has arrived.
 pub(crate) struct EndpointResponse<N: Node> {
     pub(crate) head: Parts,
     pub(crate) source: ResponseSource<N>,
 }
 
-/// Where the rest of a response comes from.
+/// The rest of a response: its body, and the endpoint that sends it.
 pub(crate) struct ResponseSource<N: Node> {
     pub(crate) body: EndpointBody,
     pub(crate) in_flight: InFlight<N>,
     pub(crate) ticket: Ticket,
 }
 
-/// The body of a response, as it arrives.
+/// The arriving body of a response.
 pub(crate) struct EndpointBody {
     incoming: Incoming,
     kind: ResponseKind,
     framing: Framing,
-    /// None once it was returned to the pool, or closed.
+    /// None once the connection was returned to the pool or closed.
     connection: Option<EndpointConnection>,
     terms: KeepAliveTerms,
 }
 
-/// What came next of a response's body.
+/// The next part of a response's body.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum BodyEvent {
     Chunk(Bytes),
     End,
-    /// It was truncated.
+    /// The body ended before it was complete.
     Truncated(EndedBy),
 }
 
@@ -73,17 +73,17 @@
         let Some(connection) = &mut self.connection else {
             return Poll::Ready(BodyEvent::End);
         };
-        let next = std::task::ready!(connection.poll_body(&mut self.incoming, cx));
+        let polled = std::task::ready!(connection.poll_body(&mut self.incoming, cx));
         let ended_by = connection.ended_by();
-        let is_complete = match (self.framing, &next) {
+        let is_complete = match (self.framing, &polled) {
             (_, Some(Ok(_))) => false,
-            (Framing::Delimited, next) => next.is_none(),
+            (Framing::Delimited, polled) => polled.is_none(),
             (Framing::UntilClose, None) => close_completes_body(ended_by, safeguards),
             (Framing::UntilClose, Some(Err(_))) => {
                 ended_by == EndedBy::Reset && close_completes_body(ended_by, safeguards)
             }
         };
-        Poll::Ready(match next {
+        Poll::Ready(match polled {
             Some(Ok(bytes)) => BodyEvent::Chunk(bytes),
             _ if is_complete => BodyEvent::End,
             _ if ended_by == EndedBy::Nobody => BodyEvent::Truncated(EndedBy::Proxy),
@@ -91,10 +91,10 @@
         })
     }
 
-    /// The attempt whose response came only in part, of which the client has some if it was `forwarded`.
+    /// Describes the attempt of a truncated response; `forwarded` says how much of it the client has received.
     pub(crate) fn truncated_attempt(&self, ended_by: EndedBy, forwarded: Forwarded) -> Attempt {
         let Self { kind, framing, .. } = *self;
-        let forwarded = forwarded == Forwarded::InPart;
+        let forwarded = forwarded == Forwarded::Partial;
         let response = ResponseProgress::Partial {
             kind,
             framing,
@@ -123,7 +123,7 @@
             .map_or(SendProgress::Complete, EndpointConnection::send_progress)
     }
 
-    /// After the complete response: returns the connection to the pool, or closes it.
+    /// Returns the connection to the pool after the complete response, or closes it if it cannot be reused.
     pub(crate) fn return_connection<N: Node>(&mut self, shared: &Shared<N>) {
         let reuse = self.complete_attempt().classify().connection;
         let Some(connection) = self.connection.take() else {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Returns the connection to the pool if nothing is left of the response but what has come by now.
+    /// Returns the connection to the pool if the whole response has already arrived.
     pub(crate) fn return_connection_if_complete<N: Node>(&mut self, shared: &Shared<N>) {
         let mut cx = Context::from_waker(Waker::noop());
         loop {
@@ -151,17 +151,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Forwarded {
     Nothing,
-    InPart,
+    Partial,
 }
 
 impl<N: Node> ResponseSource<N> {
-    /// The response was truncated and nothing can be done about it.
+    /// Reports a truncated response that is not retried.
     pub(crate) fn fail(self, ended_by: EndedBy) {
         self.in_flight.finish(outcome_of_truncated(ended_by));
     }
 }
 
-/// What a truncated response says about its endpoint.
+/// Returns the outcome to be reported for the endpoint of a truncated response.
 pub(crate) fn outcome_of_truncated(ended_by: EndedBy) -> Outcome {
     match ended_by {
         EndedBy::Timeout => Outcome::TimedOut,
--- a/crates/serving/proxy/src/event_relay.rs
+++ b/crates/serving/proxy/src/event_relay.rs
@@ -1,11 +1,11 @@
-//! Forwards responses that are streams of events: as they arrive, with their tokens counted, stored where the route
-//! says so, and resumed at an endpoint after a truncation.
+//! Forwards event streams: counts their tokens, stores the turn if its route says so, and resumes a truncated stream at
+//! an endpoint.
 
 use crate::active_request::ActiveRequest;
 use crate::admitted_turn::{AdmittedTurn, TokenCounter};
 use crate::body_memory::MemoryReservation;
 use crate::classification::EndedBy;
-use crate::client_body::{ChunkSlot, ClientBody, Truncated};
+use crate::client_body::{ChunkSlot, ClientBody, TruncatedResponse};
 use crate::client_connection::ClientConnection;
 use crate::endpoint_response::{BodyEvent, EndpointResponse, Forwarded, ResponseSource};
 use crate::event_stream::{Event, EventSplitter};
@@ -19,14 +19,14 @@
 use http::{Response, StatusCode};
 use std::rc::Rc;
 
-/// The most output of one turn that is collected until it is stored. A longer one can't be stored, so its response
-/// ends truncated: complete, it would promise that a later turn can continue from it.
+/// The most output of a turn that can be stored. The response to a turn with a longer output is truncated: a complete
+/// response would promise that a later turn can continue from it.
 const MAX_OUTPUT_BYTES: usize = 4 * 1024 * 1024;
 
-/// The content type of a stream of events, unless it states none.
+/// The content type of an event stream; a response without a content type also counts as one.
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-/// Whether a response is a stream of events.
+/// Whether a response is an event stream.
 pub(crate) fn is_event_stream(kind: RequestKind, head: &Parts) -> bool {
     let has_event_type = head.headers.get(CONTENT_TYPE).is_none_or(|content_type| {
         let media_type = content_type.as_bytes().get(..EVENT_STREAM.len());
@@ -43,59 +43,60 @@
 }
 
 impl PendingTurn {
-    /// Protects against outputs that would take more memory than there is.
-    fn reserve_output(&mut self, bytes: usize) -> Result<(), Truncated> {
+    /// Reserves memory for further output. Protects against outputs that exceed the memory limit.
+    fn reserve_output(&mut self, bytes: usize) -> Result<(), TruncatedResponse> {
         if self.output.len() + bytes > MAX_OUTPUT_BYTES {
-            return Err(Truncated);
+            return Err(TruncatedResponse);
         }
-        self.memory.grow(bytes).map_err(|_| Truncated)
+        self.memory.grow(bytes).map_err(|_| TruncatedResponse)
     }
 }
 
-/// The state of a stream, over all the endpoints that it came from.
+/// The state of one client's stream, across all endpoints that send parts of it.
 pub(crate) struct EventRelay<N: Node> {
     splitter: EventSplitter,
-    /// The event that the client had already.
-    start_id: Option<u64>,
-    last_id: Option<u64>,
+    /// The last event that the client had before this request.
+    start_event_id: Option<u64>,
+    /// The last event that was taken for the client.
+    last_event_id: Option<u64>,
     tokens: TokenCounter,
     turn: Option<AdmittedTurn<N>>,
-    pending: Option<PendingTurn>,
+    pending_turn: Option<PendingTurn>,
 }
 
-/// How a stream begins.
+/// The result of waiting for the first events of a stream.
 pub(crate) enum StreamStart {
-    /// With these events, or with its end where there are none.
+    /// The first events; empty if the stream has ended without any.
     Events(Bytes),
-    /// It was truncated before the first.
+    /// The stream was truncated before its first event.
     Truncated(EndedBy),
 }
 
 impl<N: Node> EventRelay<N> {
-    /// `start_id` is the event that the client has already.
+    /// Creates the state of a stream; `start_event_id` is the last event that the client already has.
     pub(crate) fn new(
         tokens: TokenCounter,
         turn: Option<AdmittedTurn<N>>,
-        pending: Option<PendingTurn>,
-        start_id: Option<u64>,
+        pending_turn: Option<PendingTurn>,
+        start_event_id: Option<u64>,
     ) -> EventRelay<N> {
         let splitter = EventSplitter::default();
         EventRelay {
             splitter,
-            start_id,
-            last_id: start_id,
+            start_event_id,
+            last_event_id: start_event_id,
             tokens,
             turn,
-            pending,
+            pending_turn,
         }
     }
 
-    /// Whether the turn is stored once its response is complete.
+    /// Whether the turn is to be stored once its response is complete.
     pub(crate) fn is_persisted(&self) -> bool {
-        self.pending.is_some()
+        self.pending_turn.is_some()
     }
 
-    /// Waits for the first event: until then another endpoint may start the stream anew.
+    /// Waits for the first event. Until it arrives, another endpoint may start the stream from the beginning.
     pub(crate) async fn start(
         &mut self,
         request: &mut ActiveRequest<N>,
@@ -103,20 +104,20 @@
     ) -> StreamStart {
         self.set_tokens_per_event(request);
         self.splitter.clear();
-        self.last_id = self.start_id;
-        if let Some(pending) = &mut self.pending {
+        self.last_event_id = self.start_event_id;
+        if let Some(pending) = &mut self.pending_turn {
             pending.output.clear();
         }
         loop {
-            match request.next_of(&mut source.body).await {
-                BodyEvent::Chunk(bytes) => match self.take(bytes) {
+            match request.next_body_event(&mut source.body).await {
+                BodyEvent::Chunk(bytes) => match self.add_received(bytes) {
                     Ok(events) if events.is_empty() => {}
                     Ok(events) => {
-                        request.event_arrived();
-                        source.in_flight.first_event();
+                        request.record_event_arrival();
+                        source.in_flight.record_first_event();
                         return StreamStart::Events(events);
                     }
-                    Err(Truncated) => return StreamStart::Truncated(EndedBy::Proxy),
+                    Err(TruncatedResponse) => return StreamStart::Truncated(EndedBy::Proxy),
                 },
                 BodyEvent::End if self.splitter.is_empty() => {
                     return StreamStart::Events(Bytes::new());
@@ -127,19 +128,19 @@
         }
     }
 
-    /// The response to the client: the head of the first endpoint, then the events of all.
+    /// Returns the client's response: the head from the first endpoint, then the events of all endpoints.
     pub(crate) fn respond(
         self,
         request: Box<ActiveRequest<N>>,
         response: EndpointResponse<N>,
-        begun: Bytes,
+        first_events: Bytes,
         client: &Rc<ClientConnection>,
     ) -> Response<ClientBody> {
         let EndpointResponse { mut head, source } = response;
-        // Without a length its end is a chunk of its own, which waits until the turn is stored.
+        // Without a length the body ends with a last chunk, which is held back until the turn is stored.
         head.headers.remove(CONTENT_LENGTH);
         let slot = ChunkSlot::default();
-        let producer = self.run(request, source, begun, slot.clone());
+        let producer = self.run(request, source, first_events, slot.clone());
         let body = ClientBody::produced(producer, slot, None, client);
         Response::from_parts(client_head(head), body)
     }
@@ -148,45 +149,45 @@
         mut self,
         mut request: Box<ActiveRequest<N>>,
         mut source: ResponseSource<N>,
-        begun: Bytes,
+        first_events: Bytes,
         slot: ChunkSlot,
-    ) -> Result<(), Truncated> {
-        slot.put(begun).await;
+    ) -> Result<(), TruncatedResponse> {
+        slot.put(first_events).await;
         loop {
-            let ended_by = match request.next_of(&mut source.body).await {
-                BodyEvent::Chunk(bytes) => match self.take(bytes) {
+            let ended_by = match request.next_body_event(&mut source.body).await {
+                BodyEvent::Chunk(bytes) => match self.add_received(bytes) {
                     Ok(events) => {
-                        request.event_arrived();
+                        request.record_event_arrival();
                         slot.put(events).await;
                         continue;
                     }
-                    Err(Truncated) => EndedBy::Proxy,
+                    Err(TruncatedResponse) => EndedBy::Proxy,
                 },
                 BodyEvent::End if self.splitter.is_empty() => break,
                 BodyEvent::End => EndedBy::Endpoint,
                 BodyEvent::Truncated(ended_by) => ended_by,
             };
-            // Boxed, as it is rare and would take memory in every stream.
+            // Boxed, because resuming is rare and its state would enlarge the future of every stream.
             source = Box::pin(self.resume(&mut request, source, ended_by)).await?;
         }
-        let tokens_out = u32::try_from(self.tokens.counted()).unwrap_or(u32::MAX);
+        let tokens_out = u32::try_from(self.tokens.total()).unwrap_or(u32::MAX);
         source.in_flight.finish(Outcome::Served { tokens_out });
         source.body.return_connection(&request.shared);
         self.persist(&mut request).await
     }
 
-    /// Takes what arrived; gives the complete events, counted, to be forwarded.
-    fn take(&mut self, bytes: Bytes) -> Result<Bytes, Truncated> {
-        let events = self.splitter.push(bytes).map_err(|_| Truncated)?;
+    /// Adds received bytes; checks and counts the complete events and returns them, to be forwarded.
+    fn add_received(&mut self, bytes: Bytes) -> Result<Bytes, TruncatedResponse> {
+        let events = self.splitter.push(bytes).map_err(|_| TruncatedResponse)?;
         let mut tokens = 0;
-        for event in Event::all(&events) {
+        for event in Event::parse_all(&events) {
             self.check_id(&event)?;
-            tokens += self.tokens.next_event();
-            if let Some(pending) = &mut self.pending {
+            tokens += self.tokens.count_event();
+            if let Some(pending) = &mut self.pending_turn {
                 event.append_data(&mut pending.output);
             }
         }
-        if let Some(pending) = &mut self.pending {
+        if let Some(pending) = &mut self.pending_turn {
             pending.reserve_output(events.len())?;
         }
         if let Some(turn) = &self.turn {
@@ -195,45 +196,48 @@
         Ok(events)
     }
 
-    /// Protects against events that come twice, or out of another run.
-    fn check_id(&mut self, event: &Event) -> Result<(), Truncated> {
+    /// Protects against repeated events, and events of another run of the request.
+    fn check_id(&mut self, event: &Event) -> Result<(), TruncatedResponse> {
         let Some(id) = event.id else {
             return Ok(());
         };
-        if self.last_id.is_some_and(|last_id| id <= last_id) {
-            return Err(Truncated);
+        if self
+            .last_event_id
+            .is_some_and(|last_event_id| id <= last_event_id)
+        {
+            return Err(TruncatedResponse);
         }
-        self.last_id = Some(id);
+        self.last_event_id = Some(id);
         Ok(())
     }
 
-    /// Resumes the stream behind the last event that was forwarded.
+    /// Resumes the stream after the last forwarded event.
     async fn resume(
         &mut self,
         request: &mut ActiveRequest<N>,
         truncated: ResponseSource<N>,
         ended_by: EndedBy,
-    ) -> Result<ResponseSource<N>, Truncated> {
+    ) -> Result<ResponseSource<N>, TruncatedResponse> {
         self.splitter.clear();
-        let Some(last_id) = self.last_id.filter(|_| request.route.resumable) else {
+        let Some(last_event_id) = self.last_event_id.filter(|_| request.route.resumable) else {
             truncated.fail(ended_by);
-            return Err(Truncated);
+            return Err(TruncatedResponse);
         };
-        request.outbound.resume_after(last_id);
+        request.outbound.resume_after(last_event_id);
         let dispatched = request
-            .dispatch_again(truncated, ended_by, Forwarded::InPart)
+            .dispatch_again(truncated, ended_by, Forwarded::Partial)
             .await;
-        let response = dispatched.map_err(|_| Truncated)?;
+        let response = dispatched.map_err(|_| TruncatedResponse)?;
         if !is_event_stream(request.route.kind, &response.head) {
             response.source.fail(EndedBy::Proxy);
-            return Err(Truncated);
+            return Err(TruncatedResponse);
         }
-        response.source.in_flight.first_event();
+        response.source.in_flight.record_first_event();
         self.set_tokens_per_event(request);
         Ok(response.source)
     }
 
-    /// Reads how many tokens an event of the present endpoint holds.
+    /// Sets the tokens per event from the configuration of the current endpoint's service.
     fn set_tokens_per_event(&mut self, request: &ActiveRequest<N>) {
         let engine = request
             .service()
@@ -242,23 +246,23 @@
         self.tokens.set_tokens_per_event(tokens);
     }
 
-    /// Stores the turn, so that the end of its response may be sent.
-    async fn persist(self, request: &mut ActiveRequest<N>) -> Result<(), Truncated> {
+    /// Stores the turn; fails unless it is durable. The response may end only after that.
+    async fn persist(self, request: &mut ActiveRequest<N>) -> Result<(), TruncatedResponse> {
         let Some(PendingTurn {
             mut turn,
             output,
             memory: _memory,
-        }) = self.pending
+        }) = self.pending_turn
         else {
             return Ok(());
         };
         turn.output = output.freeze();
         let node = request.shared.node.clone();
-        let is_durable = request.deadline.bound(node.persist(turn)).await;
+        let is_durable = request.deadline.limit(node.persist(turn)).await;
         if is_durable == Some(true) {
             Ok(())
         } else {
-            Err(Truncated)
+            Err(TruncatedResponse)
         }
     }
 }
--- a/crates/serving/proxy/src/event_stream.rs
+++ b/crates/serving/proxy/src/event_stream.rs
@@ -1,30 +1,30 @@
-//! Streams of events (`text/event-stream`, the HTML standard's server-sent events): split at the ends of events, read,
-//! never changed.
+//! Parses event streams (`text/event-stream`, the server-sent events of the HTML standard). Splits the bytes at event
+//! boundaries and never changes them.
 
 use bytes::{Bytes, BytesMut};
 use smallvec::SmallVec;
 use thiserror::Error;
 
-/// The most bytes of one event. Protects against an endpoint that never ends one.
+/// The most bytes of one event. Protects against an endpoint that never ends an event.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// An event is longer than any may be.
+/// An event exceeds the maximum length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("an event of more than {MAX_EVENT_BYTES} bytes")]
+#[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
-/// Buffers the part of an event that has not arrived completely.
+/// Splits a stream after its complete events, and buffers the event that is still incomplete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes what arrived; gives the complete events so far, unchanged and contiguous.
+    /// Adds received bytes and returns all complete events, unchanged and contiguous.
     ///
     /// # Errors
     ///
-    /// [`EventTooLong`] if the event under way is longer than any may be.
+    /// [`EventTooLong`] if the incomplete event exceeds the maximum length.
     pub fn push(&mut self, bytes: Bytes) -> Result<Bytes, EventTooLong> {
         if self.partial.is_empty() {
             return self.split(bytes);
@@ -34,19 +34,19 @@
         self.split(joined)
     }
 
-    /// Whether nothing is buffered.
+    /// Whether no part of an event is buffered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// How many bytes are buffered.
+    /// Returns the number of buffered bytes.
     #[must_use]
     pub fn partial_bytes(&self) -> usize {
         self.partial.len()
     }
 
-    /// Drops the part of an event that will never be complete.
+    /// Discards the buffered part of an event.
     pub fn clear(&mut self) {
         self.partial.clear();
     }
@@ -61,36 +61,36 @@
     }
 }
 
-/// Where the last complete event ends: behind its empty line.
+/// Returns the end of the last complete event, just after its empty line; 0 if there is none.
 fn end_of_last_event(bytes: &[u8]) -> usize {
     let mut end = bytes.len();
-    while let Some(feed) = bytes[..end].iter().rposition(|byte| *byte == b'\n') {
-        if is_empty_line_end(&bytes[..feed]) {
-            return feed + 1;
+    while let Some(line_feed) = bytes[..end].iter().rposition(|byte| *byte == b'\n') {
+        if ends_in_empty_line(&bytes[..line_feed]) {
+            return line_feed + 1;
         }
-        end = feed;
+        end = line_feed;
     }
     0
 }
 
-/// Whether a line feed behind `before` ends an empty line that another line came before.
-fn is_empty_line_end(before: &[u8]) -> bool {
-    let line = before.strip_suffix(b"\r").unwrap_or(before);
-    line.ends_with(b"\n")
+/// Whether a line feed after these bytes would end an empty line that follows another line.
+fn ends_in_empty_line(bytes: &[u8]) -> bool {
+    let without_return = bytes.strip_suffix(b"\r").unwrap_or(bytes);
+    without_return.ends_with(b"\n")
 }
 
 /// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event<'a> {
-    /// Its id, where it is a number.
+    /// The event's id, if it is a number.
     pub id: Option<u64>,
-    /// Its lines of data.
+    /// The values of the event's `data` lines.
     pub data: SmallVec<[&'a [u8]; 1]>,
 }
 
 impl<'a> Event<'a> {
-    /// The events in what an [`EventSplitter`] gave. What has no data is a comment, and no event.
-    pub fn all(complete: &'a [u8]) -> impl Iterator<Item = Event<'a>> {
+    /// Parses the complete events that an [`EventSplitter`] returned. Skips blocks without data, such as comments.
+    pub fn parse_all(complete: &'a [u8]) -> impl Iterator<Item = Event<'a>> {
         let mut lines = Lines(complete);
         std::iter::from_fn(move || {
             let mut event = Event {
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Appends its data, each line followed by a line feed.
+    /// Appends the event's data lines, each followed by a line feed.
     pub fn append_data(&self, output: &mut BytesMut) {
         for line in &self.data {
             output.extend_from_slice(line);
@@ -117,37 +117,37 @@
     }
 
     fn read_line(&mut self, line: &'a [u8]) {
-        let field = Field::of(line);
+        let field = Field::parse(line);
         match field.name {
             b"data" => self.data.push(field.value),
-            b"id" => self.id = number(field.value),
+            b"id" => self.id = parse_number(field.value),
             _ => {}
         }
     }
 }
 
-/// Lines without their ends; a last one without an end is none.
+/// Iterates over lines without their line ends; skips a last line without a line end.
 struct Lines<'a>(&'a [u8]);
 
 impl<'a> Iterator for Lines<'a> {
     type Item = &'a [u8];
 
     fn next(&mut self) -> Option<&'a [u8]> {
-        let feed = self.0.iter().position(|byte| *byte == b'\n')?;
-        let line = &self.0[..feed];
-        self.0 = &self.0[feed + 1..];
+        let line_feed = self.0.iter().position(|byte| *byte == b'\n')?;
+        let line = &self.0[..line_feed];
+        self.0 = &self.0[line_feed + 1..];
         Some(line.strip_suffix(b"\r").unwrap_or(line))
     }
 }
 
-/// A line's name and value; one space behind the colon belongs to neither.
+/// The field name and value of a line, without the colon and one optional space after it.
 struct Field<'a> {
     name: &'a [u8],
     value: &'a [u8],
 }
 
 impl<'a> Field<'a> {
-    fn of(line: &'a [u8]) -> Field<'a> {
+    fn parse(line: &'a [u8]) -> Field<'a> {
         match line.iter().position(|byte| *byte == b':') {
             Some(colon) => {
                 let value = &line[colon + 1..];
@@ -164,6 +164,6 @@
     }
 }
 
-fn number(text: &[u8]) -> Option<u64> {
+fn parse_number(text: &[u8]) -> Option<u64> {
     std::str::from_utf8(text).ok()?.trim().parse().ok()
 }
--- a/crates/serving/proxy/src/execution_record.rs
+++ b/crates/serving/proxy/src/execution_record.rs
@@ -1,7 +1,8 @@
-//! Which endpoints may have run a request, and whether it may be sent to another one. No clock, no I/O.
+//! Records which endpoints may have run a request, and decides whether it may be sent to another endpoint. Pure logic,
+//! without a clock or I/O.
 //!
-//! Protects against running a request twice that must run once, and an idempotent one at more endpoints than its route
-//! allows.
+//! Protects against running a request twice that is not idempotent, and against running an idempotent request at more
+//! endpoints than its route allows.
 
 use crate::classification::{ClientResponse, Execution, Idempotency, RetryRule};
 use crate::rejection::Rejection;
@@ -9,27 +10,27 @@
 use dunespur_routing::ServerId;
 use smallvec::SmallVec;
 
-/// Sends to an endpoint that may have run the request before. Protects against an endpoint that truncates every
-/// response.
+/// The most sends of a request to an endpoint that may have run it before. Protects against an endpoint that truncates
+/// every response.
 const MAX_RESENDS: u32 = 2;
-/// When a client may retry whose request found no endpoint.
+/// `Retry-After` of a request for which no endpoint was found.
 const NO_ENDPOINT_RETRY_MS: u64 = 200;
 
-/// What the attempts of one request came to, taken together.
+/// The results of all attempts of one request.
 #[derive(Debug)]
 pub(crate) struct ExecutionRecord {
     idempotency: Idempotency,
     max_endpoints: usize,
     safeguards: Safeguards,
-    /// Those that may have run it and are not known to have crashed since.
+    /// The endpoints that may have run the request and are not known to have crashed since.
     endpoints: SmallVec<[ServerId; 2]>,
-    /// Of the last attempt that may have run it.
+    /// The result of the last attempt that may have run the request; `NotRun` if there is none.
     execution: Execution,
     resends: u32,
 }
 
 impl ExecutionRecord {
-    /// Of a request that may run at so many endpoints, and at more than one only if it is idempotent.
+    /// Creates the record of a request that may run at `max_endpoints`, or at one endpoint if it is not idempotent.
     pub(crate) fn new(
         idempotency: Idempotency,
         max_endpoints: usize,
@@ -45,33 +46,34 @@
         }
     }
 
-    /// An attempt at this endpoint came to this.
-    pub(crate) fn record(&mut self, endpoint: &ServerId, execution: Execution) {
+    /// Records the result of an attempt at `endpoint`.
+    pub(crate) fn record_attempt(&mut self, endpoint: &ServerId, execution: Execution) {
         if execution != Execution::NotRun {
             self.record_run(endpoint);
             self.execution = execution;
         }
     }
 
-    /// The endpoint has run it, and its response may yet be forwarded.
+    /// Records that `endpoint` has run the request, while its response may still be forwarded.
     pub(crate) fn record_run(&mut self, endpoint: &ServerId) {
         if !self.endpoints.contains(endpoint) {
             self.endpoints.push(endpoint.clone());
         }
     }
 
-    /// The endpoint has crashed, if it ever ran the request: it no longer counts among those that were sent to.
+    /// Records that `endpoint` has departed: even if it ran the request, it no longer counts towards the endpoint
+    /// limit.
     pub(crate) fn record_departed(&mut self, endpoint: &ServerId) {
         self.endpoints.retain(|id| id != endpoint);
     }
 
-    /// Whether the request can't have run anywhere.
+    /// Whether the request cannot have run at any endpoint.
     pub(crate) fn has_not_run(&self) -> bool {
         self.execution == Execution::NotRun
     }
 
-    /// Whether the request may be sent to one more endpoint after an attempt with this rule. What the earlier
-    /// attempts came to may forbid it.
+    /// Whether the request may be sent to one more endpoint after an attempt with this rule. The results of earlier
+    /// attempts may forbid it.
     pub(crate) fn may_retry(&self, rule: RetryRule) -> bool {
         match rule {
             RetryRule::Never => false,
@@ -82,21 +84,21 @@
         }
     }
 
-    /// Whether the request may still go to another endpoint after one more that was unresponsive.
+    /// Whether the request may still be sent to another endpoint if the current endpoint turns out unresponsive.
     pub(crate) fn may_fail_over(&self) -> bool {
         self.is_repeatable() && self.endpoints.len() + 1 < self.max_endpoints
     }
 
-    /// Whether the request is sent to the same endpoint again, which is counted: it may be sent to no other,
-    /// and is idempotent. Should the endpoint turn out to have crashed, it no longer counts.
-    pub(crate) fn take_resend(&mut self) -> bool {
+    /// Counts one more send to the same endpoint, if that is allowed: the request is idempotent and may be sent to no
+    /// other endpoint. Returns whether it was allowed.
+    pub(crate) fn try_take_resend(&mut self) -> bool {
         let may_resend =
             self.is_repeatable() && self.is_at_endpoint_limit() && self.resends < MAX_RESENDS;
         self.resends += u32::from(may_resend);
         may_resend
     }
 
-    /// The response where no endpoint's can be had.
+    /// Returns the rejection for the client if no endpoint returns a usable response.
     pub(crate) fn rejection(&self) -> Rejection {
         match self.execution.without_response() {
             ClientResponse::Rejected => Rejection::RetryLater {
@@ -107,12 +109,12 @@
         }
     }
 
-    /// Protects against running twice what may run once.
+    /// Whether the request may run more than once.
     fn is_repeatable(&self) -> bool {
         self.idempotency == Idempotency::Idempotent || !self.safeguards.only_idempotent_retried()
     }
 
-    /// Whether as many endpoints may have run it as the route allows.
+    /// Whether the request may have run at as many endpoints as its route allows.
     fn is_at_endpoint_limit(&self) -> bool {
         self.endpoints.len() >= self.max_endpoints.max(1)
     }
--- a/crates/serving/proxy/src/handler.rs
+++ b/crates/serving/proxy/src/handler.rs
@@ -1,4 +1,4 @@
-//! One request of a client, from its head to the head of its response: match, read, admit, dispatch, relay.
+//! Handles one request of a client, from its head to the head of its response: match, read, admit, dispatch, relay.
 
 use crate::active_request::ActiveRequest;
 use crate::admission;
@@ -13,7 +13,7 @@
 use crate::outbound_request::OutboundRequest;
 use crate::rejection::Rejection;
 use crate::relay::{self, BufferedBody};
-use crate::request_body::{discard_body, read_body, Discarded};
+use crate::request_body::{discard_body, read_body, DiscardResult};
 use crate::route_match::MatchedRequest;
 use crate::shared::Shared;
 use crate::trace::{self, LoggedId};
@@ -23,12 +23,12 @@
 use hyper::body::Incoming;
 use std::rc::Rc;
 
-/// A response may still be written for so long after the deadline of its request; then nobody reads it.
+/// How long a response may still be written after its request's deadline; the client has given up by then.
 const WRITE_GRACE_MS: u64 = 500;
-/// A rejection may be written for so long where the request has no deadline yet.
+/// How long a rejection may be written if the request's deadline is not known.
 const REJECTION_TIMEOUT_MS: u64 = 2000;
 
-/// Handles a request of `client`.
+/// Handles a request of `client` and returns the endpoint's response or a rejection.
 pub(crate) async fn handle<N: Node>(
     shared: Rc<Shared<N>>,
     client: Rc<ClientConnection>,
@@ -38,14 +38,15 @@
     shared.count_request();
     let arrived_ms = shared.clock.now_ms();
     let mut deadline_ms = arrived_ms + REJECTION_TIMEOUT_MS;
-    let logged = LoggedId::of(&request);
-    let mut response = match serve(&shared, &client, request, arrived_ms, &mut deadline_ms).await {
+    let logged_id = LoggedId::from_request(&request);
+    let mut response = match process(&shared, &client, request, arrived_ms, &mut deadline_ms).await
+    {
         Ok(response) => {
-            logged.responded(response.status());
+            logged_id.responded(response.status());
             response
         }
         Err(rejection) => {
-            logged.rejected(rejection);
+            logged_id.rejected(rejection);
             reject(&shared, &client, rejection)
         }
     };
@@ -54,8 +55,8 @@
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    let until_ms = deadline_ms.max(shared.clock.now_ms()) + WRITE_GRACE_MS;
-    client.set_stage(Stage::Responding { until_ms });
+    let abort_at_ms = deadline_ms.max(shared.clock.now_ms()) + WRITE_GRACE_MS;
+    client.set_stage(Stage::Responding { abort_at_ms });
     response
 }
 
@@ -66,7 +67,7 @@
 ) -> Response<ClientBody> {
     shared.counters.count_rejection(rejection);
     if rejection.leaves_unread_bytes() {
-        client.reject_unread();
+        client.record_unread_rejection();
     }
     let reason = Bytes::from_static(rejection.reason().as_bytes());
     rejection
@@ -74,8 +75,8 @@
         .map(|()| ClientBody::complete(reason, client))
 }
 
-/// The steps of a request, in order. `deadline_ms` is set once the route is known.
-async fn serve<N: Node>(
+/// Runs the steps of a request in order. Sets `deadline_ms` once the route is known.
+async fn process<N: Node>(
     shared: &Rc<Shared<N>>,
     client: &Rc<ClientConnection>,
     request: Request<Incoming>,
@@ -87,68 +88,72 @@
         table,
         route,
         parsed,
-    } = match MatchedRequest::of(shared, &head).await {
+    } = match MatchedRequest::find(shared, &head).await {
         Ok(matched) => matched,
         Err(rejection) => {
-            if discard_body(body).await == Discarded::InPart {
-                client.reject_unread();
+            if discard_body(body).await == DiscardResult::Partial {
+                client.record_unread_rejection();
             }
             return Err(rejection);
         }
     };
-    let time_ms = parsed.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
-    *deadline_ms = arrived_ms.saturating_add(time_ms);
-    trace::arrived(&head, &route, &parsed, time_ms);
+    let timeout_ms = parsed.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
+    *deadline_ms = arrived_ms.saturating_add(timeout_ms);
+    trace::arrived(&head, &route, &parsed, timeout_ms);
     let mut deadline = RequestDeadline::new(&shared.clock, &shared.failover_budget, *deadline_ms);
     let mut memory = shared.body_memory.empty_reservation();
     let max_body_bytes = table.limits().max_body_bytes;
     let input = read_body(body, max_body_bytes, &mut deadline, &mut memory).await?;
     let body_chunks =
-        admission::prompt(shared, &route, &parsed, &input, &mut deadline, &mut memory).await?;
+        admission::build_prompt(shared, &route, &parsed, &input, &mut deadline, &mut memory)
+            .await?;
     let turn = admission::admit(shared, &route, &parsed, &mut deadline).await?;
-    let pending = admission::pending_turn(shared, &route, &parsed, input);
+    let pending_turn = admission::pending_turn(shared, &route, &parsed, input);
     let outbound = OutboundRequest::new(head, body_chunks, memory);
     let request = ActiveRequest::new(shared.clone(), table, route, parsed, outbound, deadline);
-    dispatch_and_relay(Box::new(request), turn, pending, client).await
+    dispatch_and_relay(Box::new(request), turn, pending_turn, client).await
 }
 
-/// Sends a request, and turns the endpoint's response into the client's. As long as nothing of a response has been
-/// forwarded, a truncated one is had from another endpoint, where the request may be sent again.
+/// Sends a request, and turns the endpoint's response into the client's. If the response is truncated before any of it
+/// was forwarded, the request is sent again if that is allowed.
 async fn dispatch_and_relay<N: Node>(
     mut request: Box<ActiveRequest<N>>,
     turn: Option<AdmittedTurn<N>>,
-    pending: Option<PendingTurn>,
+    pending_turn: Option<PendingTurn>,
     client: &Rc<ClientConnection>,
 ) -> Result<Response<ClientBody>, Rejection> {
     let tokens = TokenCounter::new(request.parsed.max_turn_tokens());
-    let mut events = EventRelay::new(tokens, turn, pending, request.parsed.last_event_id());
+    let last_event_id = request.parsed.last_event_id();
+    let mut event_relay = EventRelay::new(tokens, turn, pending_turn, last_event_id);
     let mut response = request.dispatch().await?;
     loop {
         let ended_by = if is_event_stream(request.route.kind, &response.head) {
-            match events.start(&mut request, &mut response.source).await {
-                StreamStart::Events(begun) => {
-                    return Ok(events.respond(request, response, begun, client));
+            match event_relay.start(&mut request, &mut response.source).await {
+                StreamStart::Events(first_events) => {
+                    return Ok(event_relay.respond(request, response, first_events, client));
                 }
                 StreamStart::Truncated(ended_by) => ended_by,
             }
-        } else if events.is_persisted() && response.head.status.is_success() {
-            // Forwarded, it would promise that a later turn can continue from it.
+        } else if event_relay.is_persisted() && response.head.status.is_success() {
+            // Without events no turn can be stored: the response would wrongly promise that a later turn can continue.
             EndedBy::Proxy
         } else {
-            response.source.in_flight.first_event();
+            response.source.in_flight.record_first_event();
             request.deadline.clear_response_timeout();
             match relay::buffer_body(&mut request, &mut response.source).await {
                 BufferedBody::Complete(body) => {
                     return Ok(relay::buffered_response(&request, response, body, client));
                 }
-                BufferedBody::Longer(begun) => {
-                    return Ok(relay::streamed_response(request, response, begun, client));
+                BufferedBody::OverLimit(beginning) => {
+                    return Ok(relay::streamed_response(
+                        request, response, beginning, client,
+                    ));
                 }
                 BufferedBody::Truncated(ended_by) => ended_by,
             }
         };
-        // Boxed, as it is rare and would take memory in every request.
-        let again = request.dispatch_again(response.source, ended_by, Forwarded::Nothing);
-        response = Box::pin(again).await?;
+        // Boxed, because retries are rare and their state would enlarge the future of every request.
+        let retried = request.dispatch_again(response.source, ended_by, Forwarded::Nothing);
+        response = Box::pin(retried).await?;
     }
 }
--- a/crates/serving/proxy/src/http_headers.rs
+++ b/crates/serving/proxy/src/http_headers.rs
@@ -1,4 +1,4 @@
-//! The protocol's own headers, and those that concern only one connection (hop-by-hop, RFC 9110 section 7.6.1).
+//! The headers of this protocol, and hop-by-hop headers (RFC 9110 section 7.6.1).
 
 use http::header::{
     HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, EXPECT, TE, TRAILER,
@@ -14,8 +14,8 @@
     HeaderName::from_static("x-dunespur-expect-instance");
 pub(crate) const TOKEN_COUNT: HeaderName = HeaderName::from_static("x-dunespur-token-count");
 pub(crate) const PROMPT_PREFIX: HeaderName = HeaderName::from_static("x-dunespur-prompt-prefix");
-/// Set by the proxy alone, which does not set it so far. Protects against a client that has endpoints respond with 421,
-/// and so taken for departed, by a version that none has.
+/// Removed from client requests, and not set by the proxy so far. Protects against a client that states a version that
+/// no endpoint has: endpoints would respond with 421, and the proxy would take them for departed.
 const EXPECT_VERSION: HeaderName = HeaderName::from_static("expect-version");
 pub(crate) const PRIORITY: HeaderName = HeaderName::from_static("priority");
 pub(crate) const PROGRAM: HeaderName = HeaderName::from_static("program");
@@ -26,7 +26,7 @@
 pub(crate) const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Headers that never concern more than one connection.
+/// Headers that are always hop-by-hop.
 const HOP_BY_HOP: [HeaderName; 6] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -36,10 +36,10 @@
     TRANSFER_ENCODING,
 ];
 
-/// Removes the headers that concern only the connection that the message came over.
+/// Removes the hop-by-hop headers of a message.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     if headers.contains_key(CONNECTION) {
-        strip_named(headers);
+        strip_listed_in_connection(headers);
     }
     for name in HOP_BY_HOP {
         headers.remove(name);
@@ -47,8 +47,8 @@
     headers.remove(UPGRADE);
 }
 
-/// Removes the headers that `Connection` names.
-fn strip_named(headers: &mut HeaderMap) {
+/// Removes the headers that are listed in `Connection`.
+fn strip_listed_in_connection(headers: &mut HeaderMap) {
     let values = headers
         .get_all(CONNECTION)
         .iter()
@@ -62,8 +62,8 @@
     }
 }
 
-/// Turns the headers of a client's request into those for an endpoint: those that the proxy sets itself are removed,
-/// so that no client sets them.
+/// Turns the headers of a client's request into headers for an endpoint. Removes the headers that only the proxy may
+/// set.
 pub(crate) fn prepare_request(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     headers.remove(CONTENT_LENGTH);
@@ -73,8 +73,8 @@
     headers.remove(PRIORITY);
 }
 
-/// Whether the other side closes the connection after this message.
-pub(crate) fn says_close(headers: &HeaderMap) -> bool {
+/// Whether `Connection` contains `close`: the sender closes the connection after this message.
+pub(crate) fn has_connection_close(headers: &HeaderMap) -> bool {
     let mut values = headers
         .get_all(CONNECTION)
         .iter()
@@ -86,7 +86,7 @@
     })
 }
 
-/// The idle time that `Keep-Alive` states, in milliseconds.
+/// Returns the idle timeout that `Keep-Alive` states, in milliseconds.
 pub(crate) fn keep_alive_ms(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value
@@ -95,7 +95,7 @@
     Some(seconds.trim().parse::<u64>().ok()?.saturating_mul(1000))
 }
 
-/// A number as a header value.
-pub(crate) fn number(value: u64) -> HeaderValue {
+/// Formats a number as a header value.
+pub(crate) fn number_value(value: u64) -> HeaderValue {
     HeaderValue::from(value)
 }
--- a/crates/serving/proxy/src/idle_age.rs
+++ b/crates/serving/proxy/src/idle_age.rs
@@ -1,24 +1,24 @@
-//! Which idle connections may carry another request. No clock, no I/O.
+//! Decides which idle connections may carry another request. Pure logic, without a clock or I/O.
 
 use crate::classification::Idempotency;
 
-/// A connection stays idle for so long between a response and the next request. Protects against a duplicate of the
-/// response, some milliseconds late: it would be taken for the next one.
+/// How long a connection stays idle between a response and the next request. Protects against a duplicate of the
+/// response some milliseconds later, which would be taken for the next response.
 const COOLDOWN_MS: u64 = 10;
-/// A connection is used up to so much before the end of its stated keep-alive time: the server counts from its last
-/// byte, and the next request takes time to arrive.
+/// How long before the end of the stated keep-alive time a connection is no longer used: the server counts from its
+/// last byte, and the next request takes time to arrive.
 const KEEP_ALIVE_MARGIN_MS: u64 = 500;
-/// The longest that a connection stays idle, whatever the server states.
+/// The longest idle time of a connection, whatever keep-alive time the server states.
 const MAX_IDLE_MS: u64 = 10_000;
-/// The longest that one stays idle whose server states no keep-alive time: it is below the second that could be stated.
+/// The longest idle time if the server states no keep-alive time: below 1 s, the shortest time that can be stated.
 const MAX_UNSTATED_IDLE_MS: u64 = 700;
-/// The longest that one may have been idle for a request that is not idempotent. Protects against a connection that
-/// the server has given up meanwhile: the request might have run, and could go nowhere else.
+/// The longest idle time before a request that is not idempotent. Protects against a connection that the server has
+/// closed meanwhile: the request would count as possibly run, and could not be sent again.
 const MAX_FRESH_IDLE_MS: u64 = 5_000;
-/// The same where the server states no keep-alive time.
+/// The longest idle time before a request that is not idempotent, if the server states no keep-alive time.
 const MAX_UNSTATED_FRESH_IDLE_MS: u64 = 100;
 
-/// How long a connection has been idle, and for how long its server keeps it, where that was stated.
+/// How long a connection has been idle, and the keep-alive time that its server stated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct IdleAge {
     pub(crate) idle_ms: u64,
@@ -26,17 +26,17 @@
 }
 
 impl IdleAge {
-    /// Whether no late duplicate of its last response is to be expected any more.
+    /// Whether a late duplicate of the last response is no longer expected.
     pub(crate) fn has_cooled_down(self) -> bool {
         self.idle_ms >= COOLDOWN_MS
     }
 
-    /// Whether the server may close it before the next request arrives.
+    /// Whether the server may close the connection before the next request arrives.
     pub(crate) fn is_expired(self) -> bool {
         self.idle_ms >= self.max_idle_ms()
     }
 
-    /// Whether it may carry a request of this kind.
+    /// Whether the connection may carry a request of this idempotency.
     pub(crate) fn is_safe_for(self, idempotency: Idempotency) -> bool {
         let max_idle_ms = match idempotency {
             Idempotency::Idempotent => self.max_idle_ms(),
--- a/crates/serving/proxy/src/idle_age/tests.rs
+++ b/crates/serving/proxy/src/idle_age/tests.rs
@@ -1,4 +1,4 @@
-//! How long idle connections may be used again.
+//! The idle times after which connections may be reused.
 
 use super::IdleAge;
 use crate::classification::Idempotency;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_stated_keep_alive_time_is_not_used_to_its_end() {
+fn a_connection_expires_before_its_stated_keep_alive_time() {
     assert!(age(4499, Some(5000)).is_safe_for(Idempotency::Idempotent));
     assert!(!age(4500, Some(5000)).is_safe_for(Idempotency::Idempotent));
     assert!(age(4500, Some(5000)).is_expired());
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_longest_idle_time_holds_whatever_is_stated() {
+fn a_long_stated_keep_alive_time_does_not_exceed_the_longest_idle_time() {
     assert!(!age(10_000, Some(600_000)).is_safe_for(Idempotency::Idempotent));
     assert!(age(9_999, Some(600_000)).is_safe_for(Idempotency::Idempotent));
 }
@@ -46,6 +46,6 @@
     assert!(!age(5000, Some(600_000)).is_safe_for(Idempotency::NotIdempotent));
     assert!(
         !age(1500, Some(2000)).is_safe_for(Idempotency::NotIdempotent),
-        "nor one that is too old for anything"
+        "nor a connection that is expired for every request"
     );
 }
--- a/crates/serving/proxy/src/in_flight.rs
+++ b/crates/serving/proxy/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request in flight at an endpoint: its outcome is reported to the node, however it ends.
+//! Reports the outcome of each request in flight to the node, however the request ends.
 
 use crate::clock::Clock;
 use crate::node::Node;
@@ -6,13 +6,13 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A client that disconnects so shortly before its request's deadline has waited for all of it.
+/// A client that disconnects this shortly before the deadline counts as having waited for the whole time.
 const DEADLINE_MARGIN_MS: u64 = 100;
-/// A client that disconnects after so long without a response does so for want of it.
-const UNRESPONSIVE_MS: u64 = 2000;
+/// A client that disconnects after this time without a response counts as having given up on the endpoint.
+const UNRESPONSIVE_AFTER_MS: u64 = 2000;
 
-/// Reports to the node how a send ended, once. One that is dropped was abandoned by its client, be it because the
-/// endpoint did not respond.
+/// A request in flight at an endpoint. Reports the outcome to the node exactly once. Dropped without an outcome, it
+/// reports that the client disconnected: a timeout if the endpoint was unresponsive, otherwise a cancellation.
 pub(crate) struct InFlight<N: Node> {
     node: Rc<N>,
     clock: Rc<Clock>,
@@ -24,7 +24,7 @@
 }
 
 impl<N: Node> InFlight<N> {
-    /// Of a request with this deadline.
+    /// Starts tracking a request that was just assigned to an endpoint.
     pub(crate) fn new(
         node: &Rc<N>,
         clock: &Rc<Clock>,
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(crate) fn first_event(&self) {
+    pub(crate) fn record_first_event(&self) {
         if !self.has_responded.replace(true) {
             self.node.first_event(self.key);
         }
@@ -61,7 +61,7 @@
     fn was_unresponsive(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let has_waited_long = now_ms + DEADLINE_MARGIN_MS >= self.deadline_ms
-            || now_ms >= self.sent_at_ms + UNRESPONSIVE_MS;
+            || now_ms >= self.sent_at_ms + UNRESPONSIVE_AFTER_MS;
         !self.has_responded.get() && has_waited_long
     }
 }
--- a/crates/serving/proxy/src/monitored_stream.rs
+++ b/crates/serving/proxy/src/monitored_stream.rs
@@ -1,4 +1,4 @@
-//! The socket of an endpoint connection, which remembers how it ended.
+//! The socket of an endpoint connection, with a record of how the connection ended.
 
 use crate::classification::EndedBy;
 use std::io::{IoSlice, Result as IoResult};
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A socket with its end, as far as a read or a write has met it.
+/// A socket that records the first end or error that a read or write reports.
 pub(crate) struct MonitoredStream {
     stream: TcpStream,
     ended_by: EndedBy,
@@ -29,20 +29,19 @@
         self.ended_by
     }
 
-    /// The first end that is met counts. Protects against an orderly end that is none: the operating system reports
-    /// an error of a socket once, to the call that meets it first. Behind one that a write has met, reads report the
-    /// end of the stream.
+    /// Records how the connection ended; only the first call counts. The operating system reports a socket error only
+    /// once: after a write has failed, reads report the end of the stream, which must not count as an orderly end.
     fn record_end(&mut self, ended_by: EndedBy) {
         if self.ended_by == EndedBy::Nobody {
             self.ended_by = ended_by;
         }
     }
 
-    fn record_error<T>(&mut self, polled: Poll<IoResult<T>>) -> Poll<IoResult<T>> {
-        if let Poll::Ready(Err(_)) = &polled {
+    fn record_error<T>(&mut self, result: Poll<IoResult<T>>) -> Poll<IoResult<T>> {
+        if let Poll::Ready(Err(_)) = &result {
             self.record_end(EndedBy::Reset);
         }
-        polled
+        result
     }
 }
 
@@ -53,12 +52,12 @@
         buffer: &mut ReadBuf,
     ) -> Poll<IoResult<()>> {
         let filled_before = buffer.filled().len();
-        let polled = Pin::new(&mut self.stream).poll_read(cx, buffer);
+        let result = Pin::new(&mut self.stream).poll_read(cx, buffer);
         let is_end = buffer.filled().len() == filled_before && buffer.remaining() > 0;
-        if matches!(polled, Poll::Ready(Ok(()))) && is_end {
+        if matches!(result, Poll::Ready(Ok(()))) && is_end {
             self.record_end(EndedBy::Endpoint);
         }
-        self.record_error(polled)
+        self.record_error(result)
     }
 }
 
@@ -68,8 +67,8 @@
         cx: &mut Context,
         bytes: &[u8],
     ) -> Poll<IoResult<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.record_error(polled)
+        let result = Pin::new(&mut self.stream).poll_write(cx, bytes);
+        self.record_error(result)
     }
 
     fn poll_write_vectored(
@@ -77,8 +76,8 @@
         cx: &mut Context,
         slices: &[IoSlice],
     ) -> Poll<IoResult<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, slices);
-        self.record_error(polled)
+        let result = Pin::new(&mut self.stream).poll_write_vectored(cx, slices);
+        self.record_error(result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -86,8 +85,8 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<IoResult<()>> {
-        let polled = Pin::new(&mut self.stream).poll_flush(cx);
-        self.record_error(polled)
+        let result = Pin::new(&mut self.stream).poll_flush(cx);
+        self.record_error(result)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<IoResult<()>> {
--- a/crates/serving/proxy/src/node.rs
+++ b/crates/serving/proxy/src/node.rs
@@ -1,4 +1,4 @@
-//! What the data plane asks of its node. All decisions outside HTTP lie behind it.
+//! The interface of the data plane to its node, which makes all decisions that are not about HTTP.
 
 use bytes::Bytes;
 use dunespur_configuration::RouteTable;
@@ -8,41 +8,42 @@
 
 /// The node that a [`crate::ProxyServer`] belongs to.
 pub trait Node: 'static {
-    /// The routes of the configuration in force; none before the first has come.
+    /// Returns the routes of the current configuration; None before the first configuration has arrived.
     fn route_table(&self) -> Option<Rc<RouteTable>>;
 
-    /// Whether the configuration may be another one by now, as no update has arrived for too long.
+    /// Whether the configuration may be outdated, because no update has arrived for too long.
     fn is_configuration_stale(&self) -> bool;
 
-    /// Ready once what the node knows has changed, the configuration or anything else.
+    /// Waits until the configuration or any other state of the node has changed.
     fn next_change(&self) -> impl Future<Output = ()>;
 
-    /// Whether new client connections are wanted.
+    /// Whether the platform should send new client connections to this node.
     fn is_ready(&self) -> bool;
 
-    /// The endpoint for a request. With [`Choice::Send`] the request counts as in flight there until `finished`.
+    /// Chooses an endpoint for a request. After [`Choice::Send`] the request counts as in flight there until
+    /// [`Node::finished`].
     fn choose(&self, request: &RoutingRequest) -> Choice;
 
-    /// The first event of a stream, or the head of a plain response, has come.
+    /// Records the first event of a stream, or the head of a plain response.
     fn first_event(&self, key: TicketKey);
 
-    /// The outcome of a request that was sent. Called once for each ticket, whatever happens.
+    /// Records the outcome of a request in flight. Called exactly once for each ticket.
     fn finished(&self, key: TicketKey, outcome: Outcome);
 
-    /// Reserves the most tokens that a turn may generate. A future that is dropped before it is ready leaves nothing
+    /// Reserves the most tokens that a turn may generate. If the future is dropped before it is ready, nothing stays
     /// reserved.
     fn admit(&self, turn: AdmissionRequest<'_>) -> impl Future<Output = AdmissionDecision>;
 
-    /// Tokens of a turn that are about to be forwarded to its client.
+    /// Records tokens of a turn that are about to be forwarded to the client.
     fn record_tokens(&self, turn: TurnKey, tokens: u64);
 
-    /// A turn has ended: what it has not used is free. Called once for each admitted turn, whatever happens.
+    /// Ends a turn and releases its unused tokens. Called exactly once for each admitted turn.
     fn release(&self, turn: TurnKey);
 
-    /// The turns that a turn continues.
+    /// Returns the stored turns up to and including `previous`.
     fn history(&self, program: &str, previous: &str) -> impl Future<Output = History>;
 
-    /// Stores a turn; true once it is durable. Only then does its client get the last byte.
+    /// Stores a turn; returns true once it is durable. Only then does the client get the last byte.
     fn persist(&self, turn: CompletedTurn) -> impl Future<Output = bool>;
 }
 
@@ -53,22 +54,22 @@
     pub program: &'a str,
     /// Tokens that all turns of the program may generate.
     pub budget: u64,
-    /// The most tokens that this turn generates.
+    /// The most tokens that this turn may generate.
     pub max_tokens: u64,
 }
 
-/// Names an admitted turn until it is released.
+/// Identifies an admitted turn until it is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TurnKey(pub u64);
 
 /// Whether a turn may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It may.
+    /// The turn may run.
     Admitted(TurnKey),
-    /// The budget is spent: it never runs.
+    /// The budget is spent; the turn must not run.
     BudgetSpent,
-    /// Not now: it isn't known whether the budget allows it.
+    /// It is not known at present whether the budget allows the turn.
     RetryLater {
         /// When the client may retry.
         retry_after_ms: u64,
@@ -78,30 +79,30 @@
 /// The stored turns that a turn continues.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum History {
-    /// The inputs and outputs of the chain, from the oldest on.
+    /// The inputs and outputs of the turns, oldest first.
     Found(Vec<Bytes>),
-    /// There is no such turn.
+    /// The previous turn does not exist.
     Unknown,
-    /// Not all stores that may have it could be asked.
+    /// Not all stores that may have the turns could be queried.
     Unavailable {
         /// When the client may retry.
         retry_after_ms: u64,
     },
 }
 
-/// A turn with a complete response.
+/// A turn with a complete response, to be stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletedTurn {
-    /// Its `X-Dunespur-Request-Id`.
+    /// The `X-Dunespur-Request-Id` of the turn's request.
     pub id: String,
-    /// The turn that it continued.
+    /// The id of the turn that this turn continues.
     pub previous: Option<String>,
     /// The agent program; empty where the client named none.
     pub program: String,
-    /// What the client sent.
+    /// The body of the client's request.
     pub input: Bytes,
-    /// The data of each event, followed by a line feed.
+    /// The data lines of all events, each followed by a line feed.
     pub output: Bytes,
-    /// How long it is to be retained from now on.
+    /// How long the turn is to be retained from now on, in milliseconds.
     pub retention_ms: u64,
 }
--- a/crates/serving/proxy/src/outbound_request.rs
+++ b/crates/serving/proxy/src/outbound_request.rs
@@ -1,4 +1,4 @@
-//! The request that is sent, whichever endpoint gets it.
+//! The request that is sent to endpoints.
 
 use crate::body_memory::MemoryReservation;
 use crate::http_headers;
@@ -9,18 +9,18 @@
 use http::{HeaderMap, HeaderValue, Method, Request, Uri};
 use smallvec::SmallVec;
 
-/// What all endpoints get alike.
+/// The parts of a request that are the same for every endpoint.
 pub(crate) struct OutboundRequest {
     pub(crate) method: Method,
     uri: Uri,
     headers: HeaderMap,
     pub(crate) body_chunks: SmallVec<[Bytes; 1]>,
-    /// What the body takes of the memory for all.
+    /// Keeps the memory of the body reserved.
     _memory: MemoryReservation,
 }
 
 impl OutboundRequest {
-    /// The client's request with this body, without what concerned only the client's connection.
+    /// Creates the request from the client's head and this body, without the client connection's hop-by-hop headers.
     pub(crate) fn new(
         head: Parts,
         body_chunks: SmallVec<[Bytes; 1]>,
@@ -46,15 +46,15 @@
         }
     }
 
-    /// From now on only the events behind this one are requested.
+    /// Makes further sends request only the events after `last_event_id`.
     pub(crate) fn resume_after(&mut self, last_event_id: u64) {
         self.headers.insert(
             http_headers::LAST_EVENT_ID,
-            http_headers::number(last_event_id),
+            http_headers::number_value(last_event_id),
         );
     }
 
-    /// The head for one endpoint, which has so much time left.
+    /// Returns the head for one endpoint, with `remaining_ms` until the deadline.
     pub(crate) fn head_for(&self, ticket: &Ticket, remaining_ms: u64) -> Request<()> {
         let mut head = Request::new(());
         *head.method_mut() = self.method.clone();
@@ -62,7 +62,7 @@
         let mut headers = self.headers.clone();
         headers.insert(
             http_headers::DEADLINE,
-            http_headers::number(remaining_ms.max(1)),
+            http_headers::number_value(remaining_ms.max(1)),
         );
         if let Ok(id) = HeaderValue::from_str(&ticket.server.id) {
             headers.insert(http_headers::EXPECT_INSTANCE, id);
@@ -70,7 +70,7 @@
         if let Some(priority) = ticket.engine_priority {
             headers.insert(
                 http_headers::PRIORITY,
-                http_headers::number(u64::from(priority)),
+                http_headers::number_value(u64::from(priority)),
             );
         }
         *head.headers_mut() = headers;
@@ -78,7 +78,7 @@
     }
 }
 
-/// Path and query as they came, without scheme and host (RFC 9112 section 3.2.1).
+/// Strips scheme and authority from a request target, so that path and query remain (RFC 9112 section 3.2.1).
 fn origin_form(uri: Uri) -> Uri {
     if uri.authority().is_none() {
         return uri;
--- a/crates/serving/proxy/src/readiness.rs
+++ b/crates/serving/proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The address at which the platform checks whether clients may come.
+//! Serves the readiness check of the platform.
 
 use crate::connection_permit::ConnectionPermit;
 use crate::node::Node;
@@ -12,27 +12,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Duration};
 
-/// The path of the check.
+/// The path of the readiness check.
 const READY_PATH: &str = "/api/readyz";
-/// A connection may stay open for so long.
+/// The longest that a connection may stay open.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
-/// Connections at once. Protects against callers that never close theirs.
+/// The most concurrent connections. Protects against callers that never close their connections.
 const MAX_CONNECTIONS: usize = 64;
-/// After a failure to accept, so long passes until the next attempt.
+/// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Answers `GET /api/readyz` at `listener` by what the node says. Runs within a `LocalSet`, without an end.
+/// Responds to `GET /api/readyz` at `listener` with the readiness of the node: 200 or 503. Never returns. Must run
+/// within a `LocalSet`.
 pub async fn serve_readiness<N: Node>(node: Rc<N>, listener: TcpListener) {
-    let open = Rc::new(Cell::new(0));
+    let open_count = Rc::new(Cell::new(0));
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if open.get() < MAX_CONNECTIONS => {
-                let permit = ConnectionPermit::new(&open);
+            Ok((stream, _)) if open_count.get() < MAX_CONNECTIONS => {
+                let permit = ConnectionPermit::new(&open_count);
                 tokio::task::spawn_local(serve_connection(node.clone(), stream, permit));
             }
             Ok(_) => {}
             Err(error) => {
-                log::warn!("accept: {error}");
+                log::warn!("accepting a readiness connection failed: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/crates/serving/proxy/src/rejection.rs
+++ b/crates/serving/proxy/src/rejection.rs
@@ -1,36 +1,36 @@
-//! The responses that the proxy gives itself, in place of an endpoint's.
+//! The responses that the proxy generates in place of an endpoint's response.
 
 use http::header::{HeaderValue, CONTENT_TYPE, RETRY_AFTER};
 use http::{Response, StatusCode};
 
-/// Why a request gets no endpoint's response.
+/// Why a request gets a response from the proxy instead of an endpoint.
 ///
-/// A 402, 408 or 503 promises that the request has not run and never will, so only what no endpoint has the head of,
-/// or what was rejected there, ends as one ([`crate::classification`]). A 502 or 504 promises nothing.
+/// A 402, 408 or 503 guarantees that the request has not run and never will: every endpoint that received its whole
+/// head has rejected it ([`crate::classification`]). A 502 or 504 guarantees nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Rejection {
-    /// It is no request of this protocol.
+    /// The request does not conform to the protocol.
     Malformed,
-    /// It carries no id.
+    /// The request has no request id.
     MissingId,
-    /// No route matches it.
+    /// No route matches the request.
     NoRoute,
-    /// Its body is beyond the limit.
+    /// The body exceeds the limit.
     BodyTooLarge,
-    /// Its body did not arrive in time.
+    /// The body did not arrive in time.
     RequestTimeout,
-    /// Only HTTP/1.1 is spoken. Protects against clients to whom the end of the connection is the end of the
-    /// response, as a truncated response would look complete to them.
+    /// The request is not HTTP/1.1. Older clients may take the end of the connection for the end of the response, so a
+    /// truncated response would look complete to them.
     UnsupportedVersion,
-    /// The budget of its program is spent.
+    /// The token budget of the program is spent.
     BudgetSpent,
-    /// The turn that it continues is not known.
+    /// The turn that the request continues is unknown.
     UnknownTurn,
-    /// It has not run; the client may retry.
+    /// The request has not run; the client may retry.
     RetryLater { retry_after_ms: u64 },
-    /// It may have run.
+    /// The request may have run, and no complete response arrived.
     BadGateway,
-    /// It may have run, and its deadline has passed.
+    /// The request may have run, and its deadline has passed.
     GatewayTimeout,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The body of the response. Clients see it: these texts are part of the wire.
+    /// Returns the body of the response. Clients see these texts; they are part of the wire format.
     pub(crate) fn reason(self) -> &'static str {
         match self {
             Rejection::Malformed => "malformed request\n",
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Whether part of the client's message was left unread, so that the connection can't go on.
+    /// Whether part of the client's request may be unread, so that the connection has to close.
     pub(crate) fn leaves_unread_bytes(self) -> bool {
         matches!(
             self,
@@ -77,7 +77,7 @@
         )
     }
 
-    /// The head of the response; its body is the reason.
+    /// Returns the head of the response; the body is the reason.
     pub(crate) fn head(self) -> Response<()> {
         let mut head = Response::new(());
         *head.status_mut() = self.status();
@@ -90,7 +90,7 @@
     }
 }
 
-/// Milliseconds as seconds with a fraction.
+/// Formats milliseconds as fractional seconds for `Retry-After`.
 fn fractional_seconds(ms: u64) -> HeaderValue {
     let text = format!("{}.{:03}", ms / 1000, ms % 1000);
     HeaderValue::try_from(text).expect("digits and a dot form a header value")
--- a/crates/serving/proxy/src/relay.rs
+++ b/crates/serving/proxy/src/relay.rs
@@ -1,11 +1,11 @@
-//! Forwards responses that are no streams of events.
+//! Forwards responses that are not event streams.
 //!
-//! The outcome is reported and the connection returned before the client gets its last byte: once it has that, nobody
-//! polls the producer again.
+//! The outcome is reported and the connection returned to the pool before the client gets the last byte: after the last
+//! byte, the producer is not polled again.
 
 use crate::active_request::ActiveRequest;
 use crate::classification::EndedBy;
-use crate::client_body::{ChunkSlot, ClientBody, Truncated};
+use crate::client_body::{ChunkSlot, ClientBody, TruncatedResponse};
 use crate::client_connection::ClientConnection;
 use crate::endpoint_response::{BodyEvent, EndpointResponse, ResponseSource};
 use crate::http_headers;
@@ -17,19 +17,19 @@
 use http::{HeaderMap, Response, StatusCode};
 use std::rc::Rc;
 
-/// A response up to this length is buffered, so that a truncated one can still become an error status, or be had from
-/// another endpoint. A longer one is forwarded while it arrives.
+/// The longest response that is buffered. If a buffered response is truncated, the request can still be sent again or
+/// end with an error status. A longer response is forwarded as it arrives.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// A body as far as it was buffered.
+/// The result of buffering a body.
 pub(crate) enum BufferedBody {
     Complete(Bytes),
-    /// Longer than that: what has arrived.
-    Longer(Bytes),
+    /// The body exceeds [`MAX_BUFFERED_BYTES`]; holds the bytes received.
+    OverLimit(Bytes),
     Truncated(EndedBy),
 }
 
-/// Waits for the body of a response.
+/// Buffers the body of a response up to [`MAX_BUFFERED_BYTES`].
 pub(crate) async fn buffer_body<N: Node>(
     request: &mut ActiveRequest<N>,
     source: &mut ResponseSource<N>,
@@ -37,23 +37,23 @@
     let mut rest = BytesMut::new();
     let mut first = Bytes::new();
     loop {
-        match request.next_of(&mut source.body).await {
+        match request.next_body_event(&mut source.body).await {
             BodyEvent::Chunk(bytes) if first.is_empty() && rest.is_empty() => first = bytes,
             BodyEvent::Chunk(bytes) => {
                 rest.extend_from_slice(&std::mem::take(&mut first));
                 rest.extend_from_slice(&bytes);
             }
-            BodyEvent::End => return BufferedBody::Complete(joined(first, rest)),
+            BodyEvent::End => return BufferedBody::Complete(join_chunks(first, rest)),
             BodyEvent::Truncated(ended_by) => return BufferedBody::Truncated(ended_by),
         }
         if first.len() + rest.len() > MAX_BUFFERED_BYTES {
-            return BufferedBody::Longer(joined(first, rest));
+            return BufferedBody::OverLimit(join_chunks(first, rest));
         }
     }
 }
 
-/// Copies only a body that arrived in several chunks.
-fn joined(first: Bytes, rest: BytesMut) -> Bytes {
+/// Joins the buffered chunks; a single chunk is not copied.
+fn join_chunks(first: Bytes, rest: BytesMut) -> Bytes {
     if rest.is_empty() {
         first
     } else {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The head for the client of a response with this head.
+/// Turns the head of an endpoint's response into the head for the client.
 pub(crate) fn client_head(mut head: Parts) -> Parts {
     http_headers::strip_hop_by_hop(&mut head.headers);
     if matches!(
@@ -73,7 +73,7 @@
     head
 }
 
-/// The response to the client where the endpoint's was buffered completely.
+/// Returns the client's response for a completely buffered endpoint response.
 pub(crate) fn buffered_response<N: Node>(
     request: &ActiveRequest<N>,
     response: EndpointResponse<N>,
@@ -81,35 +81,35 @@
     client: &Rc<ClientConnection>,
 ) -> Response<ClientBody> {
     let EndpointResponse { head, mut source } = response;
-    source.in_flight.finish(outcome(head.status));
+    source.in_flight.finish(outcome_of_complete(head.status));
     source.body.return_connection(&request.shared);
     Response::from_parts(client_head(head), ClientBody::complete(body, client))
 }
 
-/// The response to the client where the rest of the endpoint's is forwarded while it arrives.
+/// Returns the client's response for an endpoint response whose rest is forwarded as it arrives.
 pub(crate) fn streamed_response<N: Node>(
     request: Box<ActiveRequest<N>>,
     response: EndpointResponse<N>,
-    begun: Bytes,
+    beginning: Bytes,
     client: &Rc<ClientConnection>,
 ) -> Response<ClientBody> {
     let EndpointResponse { head, source } = response;
     let status = head.status;
     let length = stated_length(&head.headers);
     let slot = ChunkSlot::default();
-    let relay = Relay {
+    let relay = BodyRelay {
         request,
         source,
         status,
         remaining_bytes: length,
         slot: slot.clone(),
     };
-    let body = ClientBody::produced(relay.run(begun), slot, length, client);
+    let body = ClientBody::produced(relay.run(beginning), slot, length, client);
     Response::from_parts(client_head(head), body)
 }
 
-/// The outcome of a response that came completely.
-fn outcome(status: StatusCode) -> Outcome {
+/// Returns the outcome of a complete response with this status.
+fn outcome_of_complete(status: StatusCode) -> Outcome {
     if status.is_server_error() {
         Outcome::Failed
     } else {
@@ -117,35 +117,35 @@
     }
 }
 
-/// The length that the headers of a response state.
+/// Returns the `Content-Length` of a response.
 fn stated_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
 /// Forwards the rest of a response.
-struct Relay<N: Node> {
+struct BodyRelay<N: Node> {
     request: Box<ActiveRequest<N>>,
     source: ResponseSource<N>,
     status: StatusCode,
-    /// Bytes to come, where the length is known.
+    /// Bytes still to be forwarded, if the response states its length.
     remaining_bytes: Option<u64>,
     slot: ChunkSlot,
 }
 
-impl<N: Node> Relay<N> {
-    async fn run(mut self, begun: Bytes) -> Result<(), Truncated> {
-        let mut chunk = begun;
+impl<N: Node> BodyRelay<N> {
+    async fn run(mut self, beginning: Bytes) -> Result<(), TruncatedResponse> {
+        let mut chunk = beginning;
         loop {
             let chunk_bytes = chunk.len() as u64;
             self.remaining_bytes = self
                 .remaining_bytes
                 .map(|remaining| remaining.saturating_sub(chunk_bytes));
-            // Once the client has the last byte nobody polls this again: it comes after all else.
+            // This future is not polled again after the last byte: the last chunk is forwarded after all other steps.
             if self.remaining_bytes == Some(0) {
                 break;
             }
             self.slot.put(chunk).await;
-            chunk = match self.request.next_of(&mut self.source.body).await {
+            chunk = match self.request.next_body_event(&mut self.source.body).await {
                 BodyEvent::Chunk(bytes) => bytes,
                 BodyEvent::End => {
                     chunk = Bytes::new();
@@ -155,27 +155,27 @@
             };
         }
         if self.remaining_bytes == Some(0) {
-            match self.request.next_of(&mut self.source.body).await {
+            match self.request.next_body_event(&mut self.source.body).await {
                 BodyEvent::End => {}
                 BodyEvent::Truncated(ended_by) => return self.truncate(ended_by),
                 BodyEvent::Chunk(_) => return self.truncate(EndedBy::Proxy),
             }
         }
-        let Relay {
+        let BodyRelay {
             request,
             mut source,
             status,
             slot,
             ..
         } = self;
-        source.in_flight.finish(outcome(status));
+        source.in_flight.finish(outcome_of_complete(status));
         source.body.return_connection(&request.shared);
         slot.put(chunk).await;
         Ok(())
     }
 
-    fn truncate(self, ended_by: EndedBy) -> Result<(), Truncated> {
+    fn truncate(self, ended_by: EndedBy) -> Result<(), TruncatedResponse> {
         self.source.fail(ended_by);
-        Err(Truncated)
+        Err(TruncatedResponse)
     }
 }
--- a/crates/serving/proxy/src/request_body.rs
+++ b/crates/serving/proxy/src/request_body.rs
@@ -1,6 +1,7 @@
-//! The bodies of clients' requests: read completely before any endpoint is chosen, bounded in length, memory and time.
+//! Reads the bodies of client requests, bounded in length, memory and time.
 //!
-//! Read first, as a slow client would otherwise occupy an endpoint, and as only a buffered body can be sent again.
+//! The whole body is read before an endpoint is chosen: a slow client must not occupy an endpoint, and only a buffered
+//! body can be sent again.
 
 use crate::body_memory::MemoryReservation;
 use crate::deadline::RequestDeadline;
@@ -12,12 +13,12 @@
 use std::pin::Pin;
 use tokio::time::{timeout, Duration};
 
-/// The most bytes of a body that are read only to be dropped, so that its connection can go on.
+/// The most bytes of an unwanted body that are read and discarded, so that its connection can be used again.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// How long they are waited for.
+/// The longest that discarding a body may take.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Reads all of a client's body.
+/// Reads the whole body of a client's request.
 pub(crate) async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
@@ -35,7 +36,7 @@
     let mut buffer = BodyBuffer::new(stated_bytes);
     loop {
         let next = deadline
-            .bound(poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)))
+            .limit(poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)))
             .await;
         let frame = match next {
             None => return Err(Rejection::RequestTimeout),
@@ -49,14 +50,14 @@
         if buffer.len + bytes.len() > max_bytes {
             return Err(Rejection::BodyTooLarge);
         }
-        let beyond = (buffer.len + bytes.len()).saturating_sub(buffer.reserved);
-        memory.grow(beyond)?;
-        buffer.reserved += beyond;
+        let additional_bytes = (buffer.len + bytes.len()).saturating_sub(buffer.reserved);
+        memory.grow(additional_bytes)?;
+        buffer.reserved += additional_bytes;
         buffer.push(bytes);
     }
 }
 
-/// A body as it arrives; copied only if it arrives in several chunks.
+/// Collects the chunks of a body; copies them only if there are several.
 struct BodyBuffer {
     first: Bytes,
     rest: BytesMut,
@@ -98,19 +99,19 @@
     }
 }
 
-/// Whether a body that nobody wants could be read off its connection.
+/// Whether an unwanted body was read to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Discarded {
-    /// All of it was read: the connection can go on.
-    Completely,
-    /// It is too long or too slow for that.
-    InPart,
+pub(crate) enum DiscardResult {
+    /// The whole body was read: the connection can be used again.
+    Complete,
+    /// The body is too long, too slow or broken: the connection has to close.
+    Partial,
 }
 
-/// Reads a body that nobody wants.
-pub(crate) async fn discard_body(mut body: Incoming) -> Discarded {
+/// Reads and discards the body of a request that was rejected by its head.
+pub(crate) async fn discard_body(mut body: Incoming) -> DiscardResult {
     if body.is_end_stream() {
-        return Discarded::Completely;
+        return DiscardResult::Complete;
     }
     let read_all = async {
         let mut remaining = MAX_DISCARDED_BYTES;
@@ -121,7 +122,7 @@
         Some(())
     };
     match timeout(DISCARD_TIMEOUT, read_all).await {
-        Ok(Some(())) => Discarded::Completely,
-        Ok(None) | Err(_) => Discarded::InPart,
+        Ok(Some(())) => DiscardResult::Complete,
+        Ok(None) | Err(_) => DiscardResult::Partial,
     }
 }
--- a/crates/serving/proxy/src/response_head.rs
+++ b/crates/serving/proxy/src/response_head.rs
@@ -1,4 +1,4 @@
-//! What the head of an endpoint's response says about the request.
+//! Interprets the head of an endpoint's response.
 
 use crate::classification::{Framing, ResponseKind};
 use crate::http_headers;
@@ -7,19 +7,19 @@
 use http::response::Parts;
 use http::{Method, StatusCode};
 
-/// The kind of a response to the request with this id.
+/// Returns the kind of a response to the request with this id.
 pub(crate) fn response_kind(
     head: &Parts,
     id: &HeaderValue,
     safeguards: Safeguards,
 ) -> ResponseKind {
-    // Protects against a stale response to an earlier request of the connection, and against bytes that happen to
-    // form a response: each response repeats the id of its request.
+    // Each response repeats the id of its request. Protects against a stale response to an earlier request of the
+    // connection, and against stray bytes that happen to form a response.
     if safeguards.response_ids_compared() && head.headers.get(http_headers::REQUEST_ID) != Some(id)
     {
         return ResponseKind::Unrelated;
     }
-    // Clients ask for bodies without an encoding; with one it isn't the endpoint's body.
+    // Clients do not ask for encoded bodies, so an encoded body does not come from the endpoint.
     if head
         .headers
         .get(CONTENT_ENCODING)
@@ -41,7 +41,7 @@
     }
 }
 
-/// What marks the end of the response to a request of this method (RFC 9112 section 6.3).
+/// Returns what marks the end of a response to a request with this method (RFC 9112 section 6.3).
 pub(crate) fn response_framing(head: &Parts, method: &Method) -> Framing {
     let has_no_body = matches!(
         head.status,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Protects against a success that no endpoint vouches for.
+/// A success without the stamp of an endpoint is not a response of the endpoint.
 fn kind_of_success(head: &Parts) -> ResponseKind {
     if head.headers.contains_key(http_headers::STAMP) {
         ResponseKind::Final
--- a/crates/serving/proxy/src/route_match.rs
+++ b/crates/serving/proxy/src/route_match.rs
@@ -1,11 +1,10 @@
-//! Finds the route of a request, and the configuration that it is handled by.
+//! Finds the route of a request.
 //!
-//! It comes before the body is read: the route says how long the client may take for it, and a request without a route
-//! needs no memory for one. Each request keeps the configuration that it was matched by, whatever comes into force
-//! meanwhile.
+//! Runs before the body is read: the route limits the time for the body, and a request without a route needs no memory
+//! for a body. Each request keeps the route table that it was matched with, even if a new configuration arrives.
 
 use crate::node::Node;
-use crate::parsed_request::{text, ParsedRequest};
+use crate::parsed_request::{header_text, ParsedRequest};
 use crate::rejection::Rejection;
 use crate::shared::Shared;
 use dunespur_configuration::{Route, RouteTable};
@@ -16,12 +15,13 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A request that comes before the first configuration waits for it so long at most. Protects against losing, just
-/// after a start of all processes, clients that retry only a few times.
+/// The longest that a request waits for the first configuration. Protects clients that retry only a few times from
+/// failing just after all processes have started.
 const MAX_TABLE_WAIT_MS: u64 = 500;
-/// It waits for no more than this fraction of its time: a retry at another gateway needs the rest.
-const TABLE_WAIT_FRACTION: u64 = 4;
-/// When a client may retry that has waited in vain for the first configuration.
+/// A request waits for the first configuration for at most `1 / TABLE_WAIT_DIVISOR` of its time; a retry at another
+/// gateway needs the rest.
+const TABLE_WAIT_DIVISOR: u64 = 4;
+/// `Retry-After` of a request without a configuration, or without a route while the configuration is stale.
 const NO_TABLE_RETRY_MS: u64 = 200;
 
 /// A well-formed request with its route.
@@ -32,7 +32,7 @@
 }
 
 impl MatchedRequest {
-    pub(crate) async fn of<N: Node>(
+    pub(crate) async fn find<N: Node>(
         shared: &Shared<N>,
         head: &Parts,
     ) -> Result<MatchedRequest, Rejection> {
@@ -41,11 +41,11 @@
         }
         let table = match shared.node.route_table() {
             Some(table) => table,
-            // Boxed, as it is rare and would take memory in every request.
-            None => Box::pin(first_table(shared, head)).await?,
+            // Boxed, because the wait is rare and its state would enlarge the future of every request.
+            None => Box::pin(wait_for_first_table(shared, head)).await?,
         };
         let route = match find_route(&table, head) {
-            // The route may have been added since.
+            // A newer configuration may have the route.
             Err(Rejection::NoRoute) if shared.node.is_configuration_stale() => {
                 return Err(Rejection::RetryLater {
                     retry_after_ms: NO_TABLE_RETRY_MS,
@@ -62,18 +62,18 @@
     }
 }
 
-/// The routes of the first configuration, waited for while the process starts.
-async fn first_table<N: Node>(
+/// Waits for the routes of the first configuration while the process starts.
+async fn wait_for_first_table<N: Node>(
     shared: &Shared<N>,
     head: &Parts,
 ) -> Result<Rc<RouteTable>, Rejection> {
     let retry_later = Rejection::RetryLater {
         retry_after_ms: NO_TABLE_RETRY_MS,
     };
-    let time_ms = ParsedRequest::parse(&head.headers)?
+    let timeout_ms = ParsedRequest::parse(&head.headers)?
         .deadline_ms
         .unwrap_or(u64::MAX);
-    let wait_ms = (time_ms / TABLE_WAIT_FRACTION).min(MAX_TABLE_WAIT_MS);
+    let wait_ms = (timeout_ms / TABLE_WAIT_DIVISOR).min(MAX_TABLE_WAIT_MS);
     if wait_ms == 0 {
         return Err(retry_later);
     }
@@ -90,9 +90,10 @@
         .map_err(|_| retry_later)
 }
 
-/// A target with an authority names its host, otherwise the `Host` header does (RFC 9112 section 3.2.2).
+/// Finds the route for the host and path of a request. The host is the authority of the request target, or else the
+/// `Host` header (RFC 9112 section 3.2.2).
 fn find_route(table: &RouteTable, head: &Parts) -> Result<Rc<Route>, Rejection> {
-    let host_header = || text(head.headers.get(HOST));
+    let host_header = || header_text(head.headers.get(HOST));
     let authority = head.uri.authority().map(|authority| authority.as_str());
     let host = authority.or_else(host_header).ok_or(Rejection::Malformed)?;
     table
