--- a/crates/serving/proxy/src/safeguards.rs
+++ b/crates/serving/proxy/src/safeguards.rs
@@ -1,22 +1,22 @@
-//! Safeguards that tests take out one at a time, to show what each protects against.
+//! Safeguards that tests disable one at a time, to show what each protects against.
 //!
-//! With the cargo feature `removable-safeguards`, which only this crate's own tests turn on, [`Safeguards`] has a
-//! switch for each of them. Without the feature the type is empty and every check is a constant: no shipped program
-//! can run without a safeguard.
+//! With the cargo feature `removable-safeguards`, which only this crate's own tests enable, [`Safeguards`] has a
+//! switch for each safeguard. Without the feature the type is empty and every check is the constant `true`: no
+//! shipped program can run without a safeguard.
 
-/// The safeguards in force: all of them, unless a test has taken one out.
+/// The enabled safeguards: all of them, unless a test has disabled one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(not(feature = "removable-safeguards"), derive(Default))]
 pub struct Safeguards {
     /// A request that may have run and is not idempotent is not sent again. Protects against running it twice.
     #[cfg(feature = "removable-safeguards")]
     pub only_idempotent_retried: bool,
-    /// A response counts only with the id of its request. Protects against a late or duplicate response to an earlier
-    /// request where the next one is due.
+    /// A response is accepted only if it repeats the id of the request. Protects against a late or duplicate response
+    /// to an earlier request of the connection.
     #[cfg(feature = "removable-safeguards")]
     pub response_ids_compared: bool,
-    /// Bytes that no request asked for close an idle connection before it carries another request. Protects against
-    /// reading them as the next request's response.
+    /// An idle connection with unrequested bytes closes before it carries another request. Protects against reading the
+    /// bytes as the response to the next request.
     #[cfg(feature = "removable-safeguards")]
     pub surplus_bytes_close_connection: bool,
     /// A body that ends with its connection is complete only if the endpoint closed the connection in order. Protects
@@ -37,7 +37,7 @@
     }
 }
 
-/// The checks of the tests' build: each asks its switch.
+/// The checks of the test build: each returns its switch.
 #[cfg(feature = "removable-safeguards")]
 impl Safeguards {
     pub(crate) const fn only_idempotent_retried(self) -> bool {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The checks of a shipped program: all safeguards are in force.
+/// The checks of a shipped program: all safeguards are enabled.
 #[cfg(not(feature = "removable-safeguards"))]
 impl Safeguards {
     pub(crate) const fn only_idempotent_retried(self) -> bool {
--- a/crates/serving/proxy/src/send_tracker.rs
+++ b/crates/serving/proxy/src/send_tracker.rs
@@ -1,23 +1,23 @@
-//! Tracks how much of a request has been written. No I/O.
+//! Tracks how much of a request has been written. Pure logic, without I/O.
 
 use crate::classification::SendProgress;
 
-/// The bytes that end a head.
+/// The bytes that end a request head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// How much of a connection's present request has been written.
+/// Tracks how much of a connection's current request has been written.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SendTracker {
     any_written: bool,
-    /// Bytes of [`HEAD_END`] that the last ones written agree with; all of them once the head is written.
+    /// How many bytes of [`HEAD_END`] the last written bytes match; its full length once the head is written.
     head_end_matched: usize,
     body_taken: bool,
     is_complete: bool,
 }
 
 impl SendTracker {
-    /// Of a request of which nothing has been written.
-    pub(crate) fn of_request(body_bytes: u64) -> SendTracker {
+    /// Starts tracking a request with `body_bytes` of body, of which nothing has been written.
+    pub(crate) fn new(body_bytes: u64) -> SendTracker {
         SendTracker {
             any_written: false,
             head_end_matched: 0,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// These bytes were written to the socket.
+    /// Records bytes written to the socket.
     pub(crate) fn record_written(&mut self, written: &[u8]) {
         self.any_written |= !written.is_empty();
         for byte in written {
@@ -41,12 +41,12 @@
         }
     }
 
-    /// The last chunk of the body was taken, to be written.
+    /// Records that the HTTP library has taken the last chunk of the body.
     pub(crate) fn record_body_taken(&mut self) {
         self.body_taken = true;
     }
 
-    /// All that was taken has been written.
+    /// Records that all bytes taken so far have been written.
     pub(crate) fn record_flushed(&mut self) {
         self.is_complete |= self.any_written && self.body_taken;
     }
--- a/crates/serving/proxy/src/send_tracker/tests.rs
+++ b/crates/serving/proxy/src/send_tracker/tests.rs
@@ -1,4 +1,4 @@
-//! How much of a request counts as sent, wherever its bytes are split.
+//! How much of a request counts as sent, for any split of its bytes into writes.
 
 use super::SendTracker;
 use crate::classification::SendProgress;
@@ -6,9 +6,9 @@
 const HEAD: &[u8] = b"POST /\r/a HTTP/1.1\r\nHost: h\r\n\r\n";
 
 #[test]
-fn a_head_counts_once_its_last_byte_is_written_wherever_it_is_split() {
+fn a_head_counts_as_sent_after_its_last_byte_for_any_split() {
     for first in 1..HEAD.len() {
-        let mut tracker = SendTracker::of_request(5);
+        let mut tracker = SendTracker::new(5);
         assert_eq!(tracker.progress(), SendProgress::Nothing);
         tracker.record_written(&HEAD[..first]);
         assert_eq!(
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn a_request_is_complete_once_all_of_its_body_was_taken_and_written() {
-    let mut tracker = SendTracker::of_request(5);
+fn a_request_is_complete_once_its_whole_body_is_taken_and_written() {
+    let mut tracker = SendTracker::new(5);
     tracker.record_written(HEAD);
     tracker.record_flushed();
     assert_eq!(tracker.progress(), SendProgress::PartialBody);
@@ -41,12 +41,12 @@
 
 #[test]
 fn a_request_without_a_body_is_complete_with_its_head() {
-    let mut tracker = SendTracker::of_request(0);
+    let mut tracker = SendTracker::new(0);
     tracker.record_flushed();
     assert_eq!(
         tracker.progress(),
         SendProgress::Nothing,
-        "a flush before the first byte says nothing"
+        "a flush before the first byte has no effect"
     );
     tracker.record_written(HEAD);
     tracker.record_flushed();
--- a/crates/serving/proxy/src/server.rs
+++ b/crates/serving/proxy/src/server.rs
@@ -1,4 +1,4 @@
-//! The clients' side: the listener, its connections, and the graceful shutdown.
+//! The client side of the proxy: listener, client connections and graceful shutdown.
 
 use crate::body_memory::BodyMemory;
 use crate::client_connection::{ClientConnection, Command, Stage};
@@ -17,29 +17,29 @@
 use tokio::sync::Notify;
 use tokio::time::{interval, timeout, Duration, MissedTickBehavior};
 
-/// How often overdue clients and idle connections are expired.
+/// How often overdue client connections and idle endpoint connections are closed.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
-/// After a failure to accept, for want of descriptors above all, so long passes until the next attempt.
+/// Pause after a failed accept, which is mostly due to a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Once the listener is to close, it stays open for so long after the last connection that came over it.
+/// Before the listener closes, it waits this long for each further pending connection.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(5);
-/// And no longer than this.
+/// Upper limit on accepting pending connections before the listener closes.
 const MAX_FINAL_ACCEPT: Duration = Duration::from_millis(200);
 
 /// The limits of the data plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxySettings {
-    /// Client connections at once. Beyond, the one that has been idle longest is closed.
+    /// The most concurrent client connections. At the limit the longest idle connection is closed.
     pub max_connections: usize,
-    /// Endpoint connections at once, idle ones included.
+    /// The most concurrent endpoint connections, idle ones included.
     pub max_endpoint_connections: usize,
-    /// How long a new endpoint connection is watched before a request goes over it, in milliseconds: an endpoint with
-    /// too many connections resets it within a round trip.
+    /// How long a new endpoint connection must stay open before it carries a request, in milliseconds. An endpoint with
+    /// too many connections resets a new connection within a round trip.
     pub connection_watch_ms: u64,
-    /// Bytes that the bodies of all requests under way may take.
+    /// Memory for the bodies of all active requests together, in bytes.
     pub body_memory_bytes: usize,
-    /// How long new connections are still accepted after [`ProxyServer::drain`], in milliseconds: what the entry needs
-    /// to notice.
+    /// How long new connections are still accepted after [`ProxyServer::drain`], in milliseconds. The load balancer in
+    /// front of the gateways needs this time to notice that the gateway is not ready.
     pub drain_accept_ms: u64,
 }
 
@@ -55,16 +55,16 @@
     }
 }
 
-/// How far the server has come in its life cycle.
+/// The phase of the server's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It accepts clients.
+    /// The server accepts clients.
     Serving,
-    /// It accepts them still, and closes each connection with its next response.
+    /// The server still accepts clients, and closes each connection after its next response.
     Draining { since_ms: u64 },
-    /// It accepts no more.
+    /// The server accepts no clients; existing connections are closing.
     Closing,
-    /// It has none left.
+    /// All client connections are closed.
     Closed,
 }
 
@@ -73,19 +73,22 @@
     shared: Rc<Shared<N>>,
     settings: ProxySettings,
     phase: Cell<Phase>,
+    /// The open client connections by connection number.
     clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    /// Connections accepted since the start; also the number of the latest connection.
     accepted: Cell<u64>,
-    /// The phase has changed, or a client has disconnected.
+    /// Notified when draining starts, when the server has closed, and when a client of a full or closing server
+    /// disconnects.
     changed: Notify,
 }
 
 impl<N: Node> ProxyServer<N> {
-    /// A server without a listener yet.
+    /// Creates a server; [`ProxyServer::serve`] attaches it to a listener.
     pub fn new(node: Rc<N>, settings: ProxySettings) -> Rc<ProxyServer<N>> {
         ProxyServer::build(node, settings, Safeguards::default())
     }
 
-    /// The same with these safeguards; for tests, which take single ones out.
+    /// Creates a server with the given safeguards. For tests, which disable single safeguards.
     #[cfg(feature = "removable-safeguards")]
     pub fn with_safeguards(
         node: Rc<N>,
@@ -109,18 +112,18 @@
         })
     }
 
-    /// Serves the clients of `listener`, until the server has drained. Runs within a `LocalSet`.
+    /// Serves the clients of `listener` until the server has drained. Must run within a `LocalSet`.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut expiry = interval(EXPIRY_INTERVAL);
         expiry.set_missed_tick_behavior(MissedTickBehavior::Delay);
         while !self.is_closing() {
-            let has_capacity = self.make_capacity();
+            let has_capacity = self.ensure_capacity();
             tokio::select! {
                 biased;
                 accepted = listener.accept(), if has_capacity => match accepted {
                     Ok((stream, _)) => self.accept(stream),
                     Err(error) => {
-                        log::warn!("accept: {error}");
+                        log::warn!("accepting a client connection failed: {error}");
                         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
@@ -131,7 +134,7 @@
         self.accept_pending(&listener).await;
         drop(listener);
         for client in self.clients.borrow().values() {
-            client.command(Command::Close);
+            client.send_command(Command::Close);
         }
         while !self.clients.borrow().is_empty() {
             tokio::select! {
@@ -143,8 +146,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Starts the graceful shutdown: connections close with their next response, and once the entry has had time to
-    /// notice no new ones are accepted.
+    /// Starts the graceful shutdown: each connection closes after its next response, and after
+    /// [`ProxySettings::drain_accept_ms`] no new connections are accepted.
     pub fn drain(&self) {
         if self.phase.get() == Phase::Serving {
             let since_ms = self.shared.clock.now_ms();
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Completes once the server has drained: it accepts no more clients, has none left, and `serve` has ended.
+    /// Completes once the listener and all client connections are closed and `serve` is ending.
     pub async fn drained(&self) {
         loop {
             let mut changed = pin!(self.changed.notified());
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Totals so far, and what is in use now.
+    /// Returns the totals since the start and the resources in use.
     #[must_use]
     pub fn counters(&self) -> Counters {
         let shared = &self.shared;
@@ -176,8 +179,8 @@
             requests: shared.counters.requests(),
             rejected: shared.counters.rejected(),
             failed: shared.counters.failed(),
-            endpoint_connections: shared.pool.open(),
-            endpoint_connections_opened: shared.pool.opened(),
+            endpoint_connections: shared.pool.open_count(),
+            endpoint_connections_opened: shared.pool.opened_count(),
             body_bytes: shared.body_memory.reserved_bytes(),
         }
     }
@@ -193,8 +196,8 @@
             .map_or(Limits::DEFAULT, |table| table.limits())
     }
 
-    /// Whether one more client may connect; else the one that has been idle longest is commanded to close.
-    fn make_capacity(&self) -> bool {
+    /// Whether one more client may connect. If not, commands the longest idle connection to close.
+    fn ensure_capacity(&self) -> bool {
         let clients = self.clients.borrow();
         if clients.len() < self.settings.max_connections {
             return true;
@@ -205,41 +208,44 @@
             }
             _ => None,
         });
-        if let Some((_, longest)) = idle.min_by_key(|(since_ms, _)| *since_ms) {
-            longest.command(Command::Close);
+        if let Some((_, longest_idle)) = idle.min_by_key(|(since_ms, _)| *since_ms) {
+            longest_idle.send_command(Command::Close);
         }
         false
     }
 
-    /// Accepts what the operating system has accepted already, and no more: those clients would see a reset.
+    /// Accepts the connections that the operating system has already accepted; closing the listener would reset them.
     async fn accept_pending(self: &Rc<Self>, listener: &TcpListener) {
         let accept_all = async {
             while let Ok(Ok((stream, _))) = timeout(FINAL_ACCEPT_TIMEOUT, listener.accept()).await {
                 self.accept(stream);
             }
         };
-        // Protects against clients that keep connecting.
+        // The limit protects against clients that keep connecting.
         let _ = timeout(MAX_FINAL_ACCEPT, accept_all).await;
     }
 
     fn accept(self: &Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let number = self.accepted.get() + 1;
-        self.accepted.set(number);
+        let connection_number = self.accepted.get() + 1;
+        self.accepted.set(connection_number);
         let client = ClientConnection::new(stream, self.shared.clock.now_ms());
-        self.clients.borrow_mut().insert(number, client.clone());
-        let entry = ClientEntry {
+        self.clients
+            .borrow_mut()
+            .insert(connection_number, client.clone());
+        let registered = RegisteredClient {
             server: self.clone(),
-            number,
+            connection_number,
         };
         tokio::task::spawn_local(async move {
-            let max_header_bytes = entry.server.limits().max_header_bytes;
-            client_task::serve(entry.server.shared.clone(), client, max_header_bytes).await;
+            let max_header_bytes = registered.server.limits().max_header_bytes;
+            client_task::serve(registered.server.shared.clone(), client, max_header_bytes).await;
         });
     }
 
-    /// Protects against clients that send nothing, begin a message and never end it, or do not read their response:
-    /// they would keep their connections for good.
+    /// Closes overdue client connections and expired idle endpoint connections, and ends the drain's accept time.
+    /// Protects against clients that send nothing, never finish a message, or do not read their response: they would
+    /// keep their connections forever.
     fn expire(&self) {
         let now_ms = self.shared.clock.now_ms();
         if let Phase::Draining { since_ms } = self.phase.get() {
@@ -250,30 +256,31 @@
         self.shared.pool.expire(now_ms);
         let limits = self.limits();
         for client in self.clients.borrow().values() {
-            let command =
-                client
-                    .stage()
-                    .due(now_ms, limits.header_timeout_ms, limits.idle_timeout_ms);
+            let command = client.stage().overdue_command(
+                now_ms,
+                limits.header_timeout_ms,
+                limits.idle_timeout_ms,
+            );
             if command != Command::Continue {
-                client.command(command);
+                client.send_command(command);
             }
         }
     }
 }
 
-/// A client's entry in the server's list, removed however its task ends.
-struct ClientEntry<N: Node> {
+/// A client in the server's map of connections. Dropping it removes the client, however the client's task ends.
+struct RegisteredClient<N: Node> {
     server: Rc<ProxyServer<N>>,
-    number: u64,
+    connection_number: u64,
 }
 
-impl<N: Node> Drop for ClientEntry<N> {
+impl<N: Node> Drop for RegisteredClient<N> {
     fn drop(&mut self) {
         let server = &self.server;
-        server.clients.borrow_mut().remove(&self.number);
-        let others = server.clients.borrow().len();
-        // Nobody else waits for a client to disconnect.
-        if others + 1 >= server.settings.max_connections || server.is_closing() {
+        server.clients.borrow_mut().remove(&self.connection_number);
+        let remaining = server.clients.borrow().len();
+        // Only a full or closing server waits for clients to disconnect.
+        if remaining + 1 >= server.settings.max_connections || server.is_closing() {
             server.changed.notify_waiters();
         }
     }
--- a/crates/serving/proxy/src/shared.rs
+++ b/crates/serving/proxy/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of one proxy share.
+//! The state that all requests of one proxy share.
 
 use crate::body_memory::BodyMemory;
 use crate::clock::Clock;
@@ -10,7 +10,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The state that requests share. The server makes it; every step of a request may read it.
+/// The state that all requests of one [`crate::ProxyServer`] share.
 pub(crate) struct Shared<N: Node> {
     pub(crate) node: Rc<N>,
     pub(crate) clock: Rc<Clock>,
@@ -41,13 +41,13 @@
         })
     }
 
-    /// The head of a request was read.
+    /// Counts a request whose head was read.
     pub(crate) fn count_request(&self) {
         self.counters.count_request();
         self.failover_budget.count_request();
     }
 
-    /// From now on each client connection closes with its next response.
+    /// Makes each client connection close after its next response.
     pub(crate) fn start_draining(&self) {
         self.is_draining.set(true);
     }
--- a/crates/serving/proxy/tests/events.rs
+++ b/crates/serving/proxy/tests/events.rs
@@ -11,7 +11,7 @@
         event.append_data(&mut output);
         String::from_utf8(output.to_vec()).unwrap()
     };
-    Event::all(complete)
+    Event::parse_all(complete)
         .map(|event| (event.id, data(event)))
         .collect()
 }
