--- a/crates/serving/dunespur/src/data_plane.rs
+++ b/crates/serving/dunespur/src/data_plane.rs
@@ -149,14 +149,14 @@
         choice
     }
 
-    fn first_event(&self, key: u64) {
+    fn record_first_event(&self, key: u64) {
         request_events::first_event(key);
         self.balancer
             .borrow_mut()
             .record_first_event(key, self.clock.now());
     }
 
-    fn finished(&self, key: u64, outcome: Outcome) {
+    fn record_outcome(&self, key: u64, outcome: Outcome) {
         self.load_exchange.report_activity();
         request_events::outcome(key, outcome);
         self.balancer
--- a/crates/serving/proxy/src/in_flight.rs
+++ b/crates/serving/proxy/src/in_flight.rs
@@ -44,7 +44,7 @@
 
     pub(crate) fn record_first_event(&self) {
         if !self.has_responded.replace(true) {
-            self.node.first_event(self.key);
+            self.node.record_first_event(self.key);
         }
     }
 
@@ -54,7 +54,7 @@
 
     fn report(&mut self, outcome: Outcome) {
         if !std::mem::replace(&mut self.is_reported, true) {
-            self.node.finished(self.key, outcome);
+            self.node.record_outcome(self.key, outcome);
         }
     }
 
--- a/crates/serving/proxy/src/node.rs
+++ b/crates/serving/proxy/src/node.rs
@@ -21,14 +21,14 @@
     fn is_ready(&self) -> bool;
 
     /// Chooses an endpoint for a request. After [`Choice::Send`] the request counts as in flight there until
-    /// [`Node::finished`].
+    /// [`Node::record_outcome`].
     fn choose(&self, request: &RoutingRequest) -> Choice;
 
     /// Records the first event of a stream, or the head of a plain response.
-    fn first_event(&self, key: TicketKey);
+    fn record_first_event(&self, key: TicketKey);
 
     /// Records the outcome of a request in flight. Called exactly once for each ticket.
-    fn finished(&self, key: TicketKey, outcome: Outcome);
+    fn record_outcome(&self, key: TicketKey, outcome: Outcome);
 
     /// Reserves the most tokens that a turn may generate. If the future is dropped before it is ready, nothing stays
     /// reserved.
--- a/crates/serving/proxy/tests/random_load.rs
+++ b/crates/serving/proxy/tests/random_load.rs
@@ -229,7 +229,7 @@
     let calls = proxy.node.calls();
     let count = |wanted: fn(&NodeCall) -> bool| calls.iter().filter(|calls| wanted(calls)).count();
     assert_eq!(
-        count(|calls| matches!(calls, NodeCall::Finished(_))),
+        count(|calls| matches!(calls, NodeCall::RecordOutcome(_))),
         proxy.node.sends()
     );
     assert_eq!(
--- a/crates/serving/proxy/tests/requests.rs
+++ b/crates/serving/proxy/tests/requests.rs
@@ -562,7 +562,7 @@
         drop(client);
         proxy
             .node
-            .called_with(&NodeCall::Finished(Outcome::TimedOut))
+            .called_with(&NodeCall::RecordOutcome(Outcome::TimedOut))
             .await;
     });
 }
--- a/crates/serving/proxy/tests/streams.rs
+++ b/crates/serving/proxy/tests/streams.rs
@@ -117,10 +117,10 @@
             [
                 admission(),
                 NodeCall::RecordTokens(3),
-                NodeCall::FirstEvent,
+                NodeCall::RecordFirstEvent,
                 NodeCall::RecordTokens(3),
                 NodeCall::RecordTokens(2),
-                NodeCall::Finished(served(8)),
+                NodeCall::RecordOutcome(served(8)),
                 NodeCall::Release
             ]
         );
@@ -141,7 +141,8 @@
         let truncated = stream.client.next_chunk().await;
         assert_eq!(truncated, None, "neither a partial event nor a clean end");
         let node = stream.proxy.node;
-        node.called_with(&NodeCall::Finished(Outcome::Failed)).await;
+        node.called_with(&NodeCall::RecordOutcome(Outcome::Failed))
+            .await;
         assert_eq!(node.recorded_tokens(), 8);
     });
 }
@@ -407,7 +408,10 @@
         assert_eq!(stream.client.message().await.status(), 200);
         assert_eq!(
             stream.proxy.node.calls(),
-            [NodeCall::FirstEvent, NodeCall::Finished(served(0))]
+            [
+                NodeCall::RecordFirstEvent,
+                NodeCall::RecordOutcome(served(0))
+            ]
         );
     });
 }
--- a/crates/serving/proxy/tests/support/test_node.rs
+++ b/crates/serving/proxy/tests/support/test_node.rs
@@ -42,8 +42,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeCall {
     AwaitChange,
-    FirstEvent,
-    Finished(Outcome),
+    RecordFirstEvent,
+    RecordOutcome(Outcome),
     Admit {
         program: String,
         budget: u64,
@@ -131,7 +131,7 @@
         let log = self.log.borrow();
         log.iter()
             .filter_map(|call| {
-                if let NodeCall::Finished(outcome) = call {
+                if let NodeCall::RecordOutcome(outcome) = call {
                     Some(*outcome)
                 } else {
                     None
@@ -239,12 +239,12 @@
         }
     }
 
-    fn first_event(&self, _key: u64) {
-        self.record(NodeCall::FirstEvent);
+    fn record_first_event(&self, _key: u64) {
+        self.record(NodeCall::RecordFirstEvent);
     }
 
-    fn finished(&self, _key: u64, outcome: Outcome) {
-        self.record(NodeCall::Finished(outcome));
+    fn record_outcome(&self, _key: u64, outcome: Outcome) {
+        self.record(NodeCall::RecordOutcome(outcome));
     }
 
     async fn admit(&self, turn: AdmissionRequest<'_>) -> AdmissionDecision {
