--- a/crates/serving/proxy/tests/classification.rs
+++ b/crates/serving/proxy/tests/classification.rs
@@ -1,9 +1,8 @@
-//! The classification of attempts, each of its rows that an endpoint or a client can cause driven over loopback. What
-//! is expected stands in the table itself, not here a second time.
+//! Runs the rows of the classification table over loopback connections, as far as an endpoint or a client can cause
+//! them. The expected results come from the table itself.
 //!
-//! Not driven: a head that was written in part (it fits the socket's buffer, so that it is sent completely or not at
-//! all; `send_tracker` has its tests), and what came without any byte sent, but for pooled connections that have ended
-//! (`connections.rs`).
+//! Not covered here: a partly written head, because a head fits into the socket's buffer (see the tests of
+//! `send_tracker`); and attempts without any byte sent. `connections.rs` covers those on ended pooled connections.
 
 mod support;
 
@@ -14,17 +13,18 @@
 use support::{get, pass_time, post, run_test, Peer, TestEndpoint, TestProxy};
 use tokio::time::Duration;
 
-/// A body longer than the sockets' buffers: a sender's are 4 MB at most.
-const LONG_BODY: usize = 6 * 1024 * 1024;
-/// A part of a response that is forwarded at once, and the length of all of it.
+/// The length of a body that exceeds the sockets' buffers; a send buffer holds at most 4 MB.
+const LONG_BODY_BYTES: usize = 6 * 1024 * 1024;
+/// The length of a partial response that is long enough to be forwarded as it arrives.
 const FORWARDED_BYTES: usize = 80_000;
+/// The complete length of the response that is forwarded in part.
 const RESPONSE_BYTES: usize = 200_000;
-/// Beyond the deadline of every request of these tests.
+/// Longer than the time to the deadline of every request of these tests.
 const PAST_ALL_DEADLINES: Duration = Duration::from_millis(15_200);
 
-/// The head of a response of this kind, but for what marks its end.
+/// Returns the head of a response of this kind, without the headers that frame the body.
 fn head_of(kind: ResponseKind) -> String {
-    let (status, id, more) = match kind {
+    let (status, id, more_headers) = match kind {
         ResponseKind::Final => (200, "r1", ""),
         ResponseKind::Failure => (500, "r1", ""),
         ResponseKind::NotExecuted => (503, "r1", "X-Dunespur-Not-Executed: full\r\n"),
@@ -32,12 +32,12 @@
         ResponseKind::UnconfirmedRejection => (503, "r1", ""),
         ResponseKind::Unrelated => (200, "another", ""),
     };
-    format!("HTTP/1.1 {status} X\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s\r\n{more}")
+    format!("HTTP/1.1 {status} X\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s\r\n{more_headers}")
 }
 
-/// What the endpoint sends so that this is received.
+/// Returns the bytes that the endpoint sends for this response state.
 fn bytes_of(response: ResponseProgress) -> String {
-    let (kind, framing, length, part) = match response {
+    let (kind, framing, length, sent_bytes) = match response {
         ResponseProgress::Nothing => return String::new(),
         ResponseProgress::Interim => {
             return "HTTP/1.1 103 Early Hints\r\nX-Any: 1\r\n\r\n".to_owned()
@@ -58,34 +58,36 @@
         Framing::Delimited => format!("Content-Length: {length}\r\n\r\n"),
         Framing::UntilClose => "\r\n".to_owned(),
     };
-    head_of(kind) + &end_of_head + &"x".repeat(part)
+    head_of(kind) + &end_of_head + &"x".repeat(sent_bytes)
 }
 
-/// What a row came to over loopback.
+/// The observable result of a row.
 #[derive(Debug, PartialEq, Eq)]
-struct Seen {
+struct RowResult {
+    /// Whether the request was sent to the second endpoint.
     resent: bool,
     client: ClientResponse,
 }
 
+/// A row of the classification table, with the conditions for a retry.
 struct Row {
     attempt: Attempt,
     idempotent: bool,
-    /// Whether there is another endpoint.
+    /// Whether there is a second endpoint.
     has_alternative: bool,
 }
 
 impl Row {
-    fn expected(&self) -> Seen {
+    fn expected(&self) -> RowResult {
         let Classification { retry, client, .. } = self.attempt.classify();
         let has_time = self.attempt.ended_by != EndedBy::Timeout;
-        let may = match retry {
+        let may_retry = match retry {
             RetryRule::Allowed => true,
             RetryRule::IfIdempotent => self.idempotent,
             RetryRule::IfResumable | RetryRule::Never => false,
         };
-        let resent = may && has_time && self.has_alternative;
-        Seen {
+        let resent = may_retry && has_time && self.has_alternative;
+        RowResult {
             resent,
             client: if resent {
                 ClientResponse::Forwarded
@@ -95,14 +97,15 @@
         }
     }
 
-    async fn drive(&self) {
+    /// Runs the row and checks the client's response and the endpoint connection.
+    async fn run(&self) {
         let Attempt {
             request,
             response,
             ended_by,
         } = self.attempt;
         let (first, second) = (
-            TestEndpoint::narrow("i-1").await,
+            TestEndpoint::with_small_buffer("i-1").await,
             TestEndpoint::start("i-2").await,
         );
         let endpoints = if self.has_alternative {
@@ -117,7 +120,7 @@
         let body = if request == SendProgress::Complete {
             "x".to_owned()
         } else {
-            "x".repeat(LONG_BODY)
+            "x".repeat(LONG_BODY_BYTES)
         };
         let path = if self.idempotent {
             "/read2/"
@@ -131,7 +134,7 @@
         let mut connection = first.accept().await;
         let head = connection.head().await;
         if request == SendProgress::Complete {
-            connection.body_of(&head).await.unwrap();
+            connection.read_body(&head).await.unwrap();
         }
         connection.send(bytes_of(response).as_bytes()).await;
         if matches!(
@@ -141,15 +144,15 @@
                 ..
             }
         ) {
-            client.as_mut().unwrap().until("xx").await;
+            client.as_mut().unwrap().read_until("xx").await;
         }
         let mut connection = Some(connection);
         match ended_by {
             EndedBy::Nobody | EndedBy::Proxy => {}
-            EndedBy::Endpoint => connection.as_mut().unwrap().end_in_order().await,
+            EndedBy::Endpoint => connection.as_mut().unwrap().shut_down_write().await,
             EndedBy::Reset => connection.take().unwrap().reset(),
             EndedBy::Timeout => {
-                // The data plane has seen what was sent before the time passes.
+                // The data plane reads the sent bytes before the time passes.
                 for _ in 0..50 {
                     tokio::task::yield_now().await;
                 }
@@ -158,16 +161,16 @@
             EndedBy::Client => drop(client.take()),
         }
 
-        let seen = self.observe(client, &second).await;
-        assert_eq!(seen, self.expected(), "{:?}", self.attempt);
+        let result = self.observe(client, &second).await;
+        assert_eq!(result, self.expected(), "{:?}", self.attempt);
         if let Some(connection) = connection {
             self.check_connection(&proxy, connection).await;
         }
     }
 
-    async fn observe(&self, client: Option<Peer>, second: &TestEndpoint) -> Seen {
+    async fn observe(&self, client: Option<Peer>, second: &TestEndpoint) -> RowResult {
         let Some(mut client) = client else {
-            return Seen {
+            return RowResult {
                 resent: false,
                 client: ClientResponse::Nothing,
             };
@@ -178,13 +181,13 @@
             assert_eq!(message.id(), "r1");
             connection.respond(200, "r1", "", "second").await;
             assert_eq!(client.message().await.text(), "second");
-            return Seen {
+            return RowResult {
                 resent: true,
                 client: ClientResponse::Forwarded,
             };
         }
         let response = if expected.client == ClientResponse::Truncated {
-            client.rest().await;
+            client.read_to_end().await;
             ClientResponse::Truncated
         } else {
             let response = client.message().await;
@@ -196,30 +199,31 @@
                 (None, 502) => ClientResponse::BadGateway,
                 (None, 503) => ClientResponse::Rejected,
                 (None, 504) => ClientResponse::GatewayTimeout,
-                other => panic!("{other:?}"),
+                other => panic!("unexpected stamp and status: {other:?}"),
             }
         };
-        Seen {
+        RowResult {
             resent: !second.has_no_connection().await,
             client: response,
         }
     }
 
-    /// A connection that may be used again carries the next request, another one ends.
+    /// Checks that a reusable connection carries the next request, and that any other connection ends.
     async fn check_connection(&self, proxy: &TestProxy, mut connection: Peer) {
         match self.attempt.classify().connection {
             ConnectionReuse::Closes => {
-                connection.rest().await;
+                connection.read_to_end().await;
             }
             ConnectionReuse::Reusable => {
-                let _client = proxy.request(&get("/read/", "next")).await;
+                let _client = proxy.send_request(&get("/read/", "next")).await;
                 assert_eq!(connection.message().await.id(), "next");
             }
         }
     }
 }
 
-fn drive(request: SendProgress, response: ResponseProgress, ended_by: EndedBy) {
+/// Runs all rows with this state of the attempt.
+fn run_rows(request: SendProgress, response: ResponseProgress, ended_by: EndedBy) {
     let attempt = Attempt {
         request,
         response,
@@ -232,7 +236,7 @@
                 idempotent,
                 has_alternative,
             };
-            run_test(async move { row.drive().await });
+            run_test(async move { row.run().await });
         }
     }
 }
@@ -240,7 +244,7 @@
 const SEND_STATES: [SendProgress; 2] = [SendProgress::PartialBody, SendProgress::Complete];
 
 #[test]
-fn no_response_or_interim_ones_alone() {
+fn no_response_or_only_interim_responses() {
     for request in SEND_STATES {
         for response in [ResponseProgress::Nothing, ResponseProgress::Interim] {
             for ended_by in [
@@ -249,14 +253,14 @@
                 EndedBy::Timeout,
                 EndedBy::Client,
             ] {
-                drive(request, response, ended_by);
+                run_rows(request, response, ended_by);
             }
         }
     }
 }
 
 #[test]
-fn a_partial_response_that_was_not_forwarded() {
+fn a_partial_response_before_it_is_forwarded() {
     for request in SEND_STATES {
         for kind in [ResponseKind::Final, ResponseKind::Failure] {
             let response = ResponseProgress::Partial {
@@ -270,24 +274,24 @@
                 EndedBy::Timeout,
                 EndedBy::Client,
             ] {
-                // A failure of one endpoint is not waited for where another one may be asked.
+                // The rest of a failure is not waited for if the request may be sent to another endpoint.
                 if kind == ResponseKind::Final || ended_by != EndedBy::Timeout {
-                    drive(request, response, ended_by);
+                    run_rows(request, response, ended_by);
                 }
             }
-            // Closed in order, a body without a length is complete.
+            // Without a length, an orderly close would complete the body.
             let response = ResponseProgress::Partial {
                 kind,
                 framing: Framing::UntilClose,
                 forwarded: false,
             };
-            drive(request, response, EndedBy::Reset);
+            run_rows(request, response, EndedBy::Reset);
         }
     }
 }
 
 #[test]
-fn a_partial_response_that_was_forwarded() {
+fn a_partial_response_after_it_is_forwarded() {
     for request in SEND_STATES {
         let kind = ResponseKind::Final;
         for ended_by in [
@@ -301,7 +305,7 @@
                 framing: Framing::Delimited,
                 forwarded: true,
             };
-            drive(request, response, ended_by);
+            run_rows(request, response, ended_by);
         }
         for ended_by in [EndedBy::Reset, EndedBy::Timeout, EndedBy::Client] {
             let response = ResponseProgress::Partial {
@@ -309,7 +313,7 @@
                 framing: Framing::UntilClose,
                 forwarded: true,
             };
-            drive(request, response, ended_by);
+            run_rows(request, response, ended_by);
         }
     }
 }
@@ -322,7 +326,7 @@
             ResponseKind::Failure,
             ResponseKind::NotExecuted,
         ] {
-            drive(
+            run_rows(
                 request,
                 ResponseProgress::Complete {
                     kind,
@@ -336,7 +340,7 @@
             ResponseKind::Failure,
             ResponseKind::NotExecuted,
         ] {
-            drive(
+            run_rows(
                 request,
                 ResponseProgress::Complete {
                     kind,
@@ -349,7 +353,7 @@
             kind: ResponseKind::OtherInstance,
             framing: Framing::Delimited,
         };
-        drive(request, response, EndedBy::Nobody);
+        run_rows(request, response, EndedBy::Nobody);
     }
 }
 
@@ -358,7 +362,7 @@
     for request in SEND_STATES {
         for kind in [ResponseKind::UnconfirmedRejection, ResponseKind::Unrelated] {
             for framing in [Framing::Delimited, Framing::UntilClose] {
-                drive(
+                run_rows(
                     request,
                     ResponseProgress::Partial {
                         kind,
@@ -367,7 +371,7 @@
                     },
                     EndedBy::Proxy,
                 );
-                drive(
+                run_rows(
                     request,
                     ResponseProgress::Complete { kind, framing },
                     EndedBy::Proxy,
--- a/crates/serving/proxy/tests/connections.rs
+++ b/crates/serving/proxy/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Client and endpoint connections: pooled, closed, bounded, drained; and what the HTTP library does with malformed
+//! Client and endpoint connections: pooling, closing, limits and draining; and how the HTTP library handles malformed
 //! messages.
 
 mod support;
@@ -9,11 +9,11 @@
 use support::{event, get, post, run_test, two_endpoints, Peer, TestEndpoint, TestNode, TestProxy};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Serves one request over a new connection to `endpoint`, which it returns.
-async fn serve_first(proxy: &TestProxy, endpoint: &TestEndpoint, more: &str) -> Peer {
-    let mut client = proxy.request(&get("/read/", "first")).await;
+/// Serves one request over a new connection to `endpoint` and returns that connection.
+async fn serve_first(proxy: &TestProxy, endpoint: &TestEndpoint, more_headers: &str) -> Peer {
+    let mut client = proxy.send_request(&get("/read/", "first")).await;
     let (mut connection, _) = endpoint.next_request().await;
-    connection.respond(200, "first", more, "ok").await;
+    connection.respond(200, "first", more_headers, "ok").await;
     assert_eq!(client.message().await.text(), "ok");
     connection
 }
@@ -35,7 +35,7 @@
             assert_eq!(
                 response.header("connection"),
                 None,
-                "the endpoint's close is not the client's"
+                "Connection: close of the endpoint is not forwarded"
             );
         }
         assert_eq!(proxy.server.counters().accepted, 1);
@@ -43,15 +43,18 @@
 }
 
 #[test]
-fn a_pipelined_request_is_answered_after_the_one_before() {
+fn pipelined_requests_are_handled_one_after_another() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let both = get("/read/", "r1") + &get("/read/", "r2");
-        let mut client = proxy.request(&both).await;
+        let mut client = proxy.send_request(&both).await;
         for id in ["r1", "r2"] {
             let (mut connection, message) = endpoint.next_request().await;
             assert_eq!(message.id(), id);
-            assert!(endpoint.has_no_connection().await, "one at a time");
+            assert!(
+                endpoint.has_no_connection().await,
+                "the second request is not sent before the first response"
+            );
             connection
                 .respond(200, id, "Connection: close\r\n", id)
                 .await;
@@ -61,11 +64,11 @@
 }
 
 #[test]
-fn a_client_that_asks_for_a_close_gets_it() {
+fn a_client_connection_closes_on_the_clients_request() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = get("/read/", "r1").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
-        let mut client = proxy.request(&request).await;
+        let mut client = proxy.send_request(&request).await;
         let (mut connection, message) = endpoint.next_request().await;
         assert_eq!(message.header("connection"), None);
         connection.respond(200, "r1", "", "ok").await;
@@ -79,7 +82,7 @@
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut connection = serve_first(&proxy, &endpoint, "Keep-Alive: timeout=5\r\n").await;
-        let mut client = proxy.request(&get("/read/", "r2")).await;
+        let mut client = proxy.send_request(&get("/read/", "r2")).await;
         assert_eq!(connection.message().await.id(), "r2");
         connection.respond(200, "r2", "", "again").await;
         assert_eq!(client.message().await.text(), "again");
@@ -103,7 +106,7 @@
 fn bytes_behind_a_response_close_its_connection() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut client = proxy.request(&get("/read/", "r1")).await;
+        let mut client = proxy.send_request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
         let twice = "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 2\r\n\r\nok".repeat(2);
         connection.send(twice.as_bytes()).await;
@@ -118,7 +121,7 @@
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut connection = serve_first(&proxy, &endpoint, "Keep-Alive: timeout=5\r\n").await;
-        let mut client = proxy.request(&get("/read/", "r2")).await;
+        let mut client = proxy.send_request(&get("/read/", "r2")).await;
         connection.message().await;
         connection.respond(200, "first", "", "late").await;
         let (mut connection, message) = endpoint.next_request().await;
@@ -133,7 +136,7 @@
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         drop(serve_first(&proxy, &endpoint, "Keep-Alive: timeout=5\r\n").await);
-        let mut client = proxy.request(&post("/write/", "r2", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r2", "", "x")).await;
         let (mut connection, message) = endpoint.next_request().await;
         assert_eq!(message.id(), "r2");
         connection.respond(200, "r2", "", "ok").await;
@@ -142,11 +145,11 @@
 }
 
 #[test]
-fn an_idempotent_request_survives_a_pooled_connection_that_breaks_as_it_is_used() {
+fn an_idempotent_request_is_resent_if_its_pooled_connection_is_reset() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut connection = serve_first(&proxy, &endpoint, "Keep-Alive: timeout=5\r\n").await;
-        let mut client = proxy.request(&get("/read/", "r2")).await;
+        let mut client = proxy.send_request(&get("/read/", "r2")).await;
         connection.message().await;
         connection.reset();
         let (mut connection, message) = endpoint.next_request().await;
@@ -168,14 +171,14 @@
             max_endpoint_connections: 1,
             ..ProxySettings::default()
         };
-        let proxy = TestProxy::with(&[&first], settings).await;
+        let proxy = TestProxy::with_settings(&[&first], settings).await;
         let mut idle = serve_first(&proxy, &first, "Keep-Alive: timeout=5\r\n").await;
-        // An idle one is closed for another.
-        *proxy.node.endpoints.borrow_mut() = vec![second.endpoint()];
-        let mut client = proxy.request(&post("/write/", "r2", "", "x")).await;
+        // An idle connection is closed to make room for a new one.
+        *proxy.node.endpoints.borrow_mut() = vec![second.server()];
+        let mut client = proxy.send_request(&post("/write/", "r2", "", "x")).await;
         let (mut connection, _) = second.next_request().await;
         assert!(idle.is_closed().await);
-        // One in use is not.
+        // A connection in use is not closed.
         let response = proxy.response(&post("/write/", "r3", "", "x")).await;
         assert_eq!(response.status(), 503);
         connection.respond(200, "r2", "", "ok").await;
@@ -184,28 +187,28 @@
 }
 
 #[test]
-fn clients_beyond_the_limit_replace_the_one_that_was_idle_longest() {
+fn at_the_limit_a_new_client_replaces_the_longest_idle_client() {
     run_test(async {
         let settings = ProxySettings {
             max_connections: 2,
             ..ProxySettings::default()
         };
-        let proxy = TestProxy::with(&[], settings).await;
-        let mut longest = proxy.request(&get("/nowhere/", "r1")).await;
-        longest.message().await;
-        let mut other = proxy.request(&get("/nowhere/", "r2")).await;
+        let proxy = TestProxy::with_settings(&[], settings).await;
+        let mut longest_idle = proxy.send_request(&get("/nowhere/", "r1")).await;
+        longest_idle.message().await;
+        let mut other = proxy.send_request(&get("/nowhere/", "r2")).await;
         other.message().await;
         assert_eq!(proxy.response(&get("/nowhere/", "r3")).await.status(), 404);
-        assert!(longest.is_closed().await);
+        assert!(longest_idle.is_closed().await);
     });
 }
 
 #[test]
-fn bodies_come_with_a_length_or_in_chunks() {
+fn bodies_with_a_length_and_chunked_bodies_are_forwarded() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy
-            .request("POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
+            .send_request("POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
             .await;
         let (mut connection, message) = endpoint.next_request().await;
         assert_eq!(message.text(), "abcde");
@@ -226,12 +229,12 @@
 }
 
 #[test]
-fn a_body_over_the_limit_is_rejected_unread() {
+fn a_body_over_the_limit_is_rejected_before_it_is_read_completely() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head = "POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n";
         let mut client = proxy
-            .request(&format!("{head}Content-Length: 100001\r\n\r\n"))
+            .send_request(&format!("{head}Content-Length: 100001\r\n\r\n"))
             .await;
         let response = client.message().await;
         assert_eq!(
@@ -240,10 +243,10 @@
         );
 
         let mut client = proxy
-            .request(&format!("{head}Transfer-Encoding: chunked\r\n\r\n"))
+            .send_request(&format!("{head}Transfer-Encoding: chunked\r\n\r\n"))
             .await;
-        client.chunk(&"x".repeat(60_000)).await;
-        client.chunk(&"x".repeat(60_000)).await;
+        client.send_chunk(&"x".repeat(60_000)).await;
+        client.send_chunk(&"x".repeat(60_000)).await;
         assert_eq!(client.message().await.status(), 413);
         assert!(endpoint.has_no_connection().await);
         assert_eq!(proxy.server.counters().body_bytes, 0);
@@ -255,7 +258,7 @@
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let body = "x".repeat(100_000);
-        let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", &body)).await;
         let (mut connection, message) = endpoint.next_request().await;
         assert_eq!(message.text(), body);
         connection.respond(200, "r1", "", "ok").await;
@@ -264,16 +267,16 @@
 }
 
 #[test]
-fn bodies_take_no_more_memory_than_there_is() {
+fn bodies_take_no_more_than_the_memory_limit() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let settings = ProxySettings {
             body_memory_bytes: 1000,
             ..ProxySettings::default()
         };
-        let proxy = TestProxy::with(&[&endpoint], settings).await;
+        let proxy = TestProxy::with_settings(&[&endpoint], settings).await;
         let mut first = proxy
-            .request(&post("/write/", "r1", "", &"x".repeat(600)))
+            .send_request(&post("/write/", "r1", "", &"x".repeat(600)))
             .await;
         let (mut connection, _) = endpoint.next_request().await;
         let rejected = proxy
@@ -286,19 +289,19 @@
             .await;
         assert_eq!(first.message().await.status(), 200);
         let _third = proxy
-            .request(&post("/write/", "r3", "", &"x".repeat(600)))
+            .send_request(&post("/write/", "r3", "", &"x".repeat(600)))
             .await;
         assert_eq!(endpoint.next_request().await.1.id(), "r3");
     });
 }
 
 #[test]
-fn heads_up_to_the_limit_are_served_and_longer_ones_rejected() {
+fn heads_up_to_the_limit_are_served_and_longer_heads_are_rejected() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         for length in [9_000, 16_000] {
             let mut client = proxy
-                .request(&post(
+                .send_request(&post(
                     "/write/",
                     "r1",
                     &format!("X-Long: {}\r\n", "y".repeat(length)),
@@ -307,15 +310,15 @@
                 .await;
             let (mut connection, message) = endpoint.next_request().await;
             assert_eq!(message.header("x-long").unwrap().len(), length);
-            let more = format!("Connection: close\r\nX-Long: {}\r\n", "z".repeat(length));
-            connection.respond(200, "r1", &more, "ok").await;
+            let more_headers = format!("Connection: close\r\nX-Long: {}\r\n", "z".repeat(length));
+            connection.respond(200, "r1", &more_headers, "ok").await;
             assert_eq!(
                 client.message().await.header("x-long").unwrap().len(),
                 length
             );
         }
         let mut client = proxy
-            .request(&post(
+            .send_request(&post(
                 "/write/",
                 "r1",
                 &format!("X-Long: {}\r\n", "y".repeat(30_000)),
@@ -328,13 +331,13 @@
 }
 
 #[test]
-fn a_hundred_and_fifty_headers_pass_both_ways() {
+fn a_hundred_and_fifty_headers_are_forwarded_in_both_directions() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let many: String = (0..150)
             .map(|number| format!("X-H{number}: {number}\r\n"))
             .collect();
-        let mut client = proxy.request(&post("/write/", "r1", &many, "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", &many, "x")).await;
         let (mut connection, message) = endpoint.next_request().await;
         assert_eq!(message.header("x-h149"), Some("149"));
         connection.respond(200, "r1", &many, "ok").await;
@@ -353,7 +356,7 @@
 }
 
 #[test]
-fn a_length_beside_chunks_smuggles_nothing() {
+fn a_request_with_a_length_and_chunks_smuggles_no_second_request() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         for lengths in [
@@ -364,7 +367,7 @@
                 "POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n{lengths}\r\n2\r\nab\r\n0\r\n\r\n{}",
                 get("/read/", "smuggled")
             );
-            let mut client = proxy.request(&request).await;
+            let mut client = proxy.send_request(&request).await;
             let (mut connection, message) = endpoint.next_request().await;
             assert_eq!((message.id(), message.text()), ("r1", "ab"));
             assert_eq!(message.header("content-length"), Some("2"));
@@ -379,7 +382,7 @@
 }
 
 #[test]
-fn an_incomplete_body_reaches_no_endpoint() {
+fn a_request_with_an_incomplete_body_reaches_no_endpoint() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head = "POST /write/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n";
@@ -388,7 +391,7 @@
             "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
             "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
         ] {
-            drop(proxy.request(&format!("{head}{rest}")).await);
+            drop(proxy.send_request(&format!("{head}{rest}")).await);
         }
         while proxy.server.counters().connections > 0 || proxy.server.counters().requests < 3 {
             tokio::task::yield_now().await;
@@ -406,7 +409,7 @@
         proxy
             .node
             .edit_configuration(&[(r#""header_timeout_ms":3000"#, r#""header_timeout_ms":1"#)]);
-        let mut client = proxy.request("GET /read/ HTTP/1.1\r\nHost").await;
+        let mut client = proxy.send_request("GET /read/ HTTP/1.1\r\nHost").await;
         assert_eq!(client.message().await.status(), 408);
         assert!(client.is_closed().await);
     });
@@ -417,7 +420,7 @@
     run_test(async {
         let proxy = TestProxy::start(&[]).await;
         let request = "POST /short/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\nContent-Length: 10\r\n\r\nhalf";
-        let mut client = proxy.request(request).await;
+        let mut client = proxy.send_request(request).await;
         let response = client.message().await;
         assert_eq!(
             (response.status(), response.header("connection")),
@@ -434,7 +437,7 @@
             .node
             .edit_configuration(&[(r#""idle_timeout_ms":15000"#, r#""idle_timeout_ms":1"#)]);
         let mut silent = proxy.client().await;
-        let mut used = proxy.request(&get("/nowhere/", "r1")).await;
+        let mut used = proxy.send_request(&get("/nowhere/", "r1")).await;
         assert_eq!(used.message().await.status(), 404);
         assert!(used.is_closed().await);
         assert!(silent.is_closed().await);
@@ -442,14 +445,14 @@
 }
 
 #[test]
-fn errors_of_one_connection_harm_no_other() {
+fn errors_on_one_connection_do_not_affect_others() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut client = proxy.request(&get("/read/", "r1")).await;
+        let mut client = proxy.send_request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
-        proxy.request("\x00\x00").await.reset();
+        proxy.send_request("\x00\x00").await.reset();
         proxy.client().await.reset();
-        drop(proxy.request("GET").await);
+        drop(proxy.send_request("GET").await);
         connection.respond(200, "r1", "", "ok").await;
         assert_eq!(client.message().await.text(), "ok");
     });
@@ -463,23 +466,23 @@
             drain_accept_ms: 0,
             ..ProxySettings::default()
         };
-        let proxy = TestProxy::with(&[&endpoint], settings).await;
-        let mut resting = proxy.request(&get("/nowhere/", "r0")).await;
-        assert_eq!(resting.message().await.header("connection"), None);
-        let mut client = proxy.request(&post("/stream/", "r1", "", "x")).await;
+        let proxy = TestProxy::with_settings(&[&endpoint], settings).await;
+        let mut idle_client = proxy.send_request(&get("/nowhere/", "r0")).await;
+        assert_eq!(idle_client.message().await.header("connection"), None);
+        let mut client = proxy.send_request(&post("/stream/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
+        connection.send_stream_head("r1", "").await;
+        connection.send_chunk(&event(1)).await;
         client.head().await;
 
         proxy.server.drain();
-        assert!(resting.is_closed().await);
-        // Nothing listens any more, and the stream is still forwarded.
+        assert!(idle_client.is_closed().await);
+        // The listener is closed, and the stream is still forwarded.
         while TcpStream::connect(proxy.address).await.is_ok() {
             tokio::task::yield_now().await;
         }
-        connection.chunk(&event(2)).await;
-        connection.last_chunk().await;
+        connection.send_chunk(&event(2)).await;
+        connection.send_last_chunk().await;
         assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
         assert_eq!(client.next_chunk().await.unwrap(), event(2).as_bytes());
         assert_eq!(client.next_chunk().await.unwrap(), b"");
@@ -492,7 +495,7 @@
 fn while_draining_each_response_closes_its_connection() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut client = proxy.request(&get("/nowhere/", "r0")).await;
+        let mut client = proxy.send_request(&get("/nowhere/", "r0")).await;
         client.message().await;
         proxy.server.drain();
         client.send(get("/read/", "r1").as_bytes()).await;
@@ -504,13 +507,13 @@
             ("ok", Some("close"))
         );
         assert!(client.is_closed().await);
-        let mut new = proxy.request(&get("/nowhere/", "r2")).await;
+        let mut new = proxy.send_request(&get("/nowhere/", "r2")).await;
         assert_eq!(new.message().await.header("connection"), Some("close"));
     });
 }
 
 #[test]
-fn the_readiness_address_says_what_the_node_says() {
+fn the_readiness_check_reports_the_readiness_of_the_node() {
     run_test(async {
         let node = TestNode::new(Vec::new());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -549,7 +552,7 @@
 }
 
 #[test]
-fn a_rejection_with_its_body_under_way_keeps_the_connection() {
+fn a_rejection_whose_request_body_still_arrives_keeps_the_connection() {
     run_test(async {
         let proxy = TestProxy::start(&[]).await;
         let mut client = proxy.client().await;
@@ -580,8 +583,8 @@
             connection_watch_ms: 300,
             ..ProxySettings::default()
         };
-        let proxy = TestProxy::with(&[&full, &endpoint], settings).await;
-        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let proxy = TestProxy::with_settings(&[&full, &endpoint], settings).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         full.accept().await.reset();
         let (mut connection, _) = endpoint.next_request().await;
         connection.respond(200, "r1", "", "ok").await;
--- a/crates/serving/proxy/tests/deadlines.rs
+++ b/crates/serving/proxy/tests/deadlines.rs
@@ -1,26 +1,26 @@
-//! Deadlines: what endpoints are told of the remaining time, and what happens when it is up.
+//! Deadlines: the remaining time that endpoints receive, and the end of requests at their deadline.
 
 mod support;
 
 use dunespur_routing::Outcome;
 use support::{
-    event, events, get, post, run_test, two_endpoints, Message, TestEndpoint, TestProxy, TURN,
+    event, events, get, post, run_test, two_endpoints, Message, TestEndpoint, TestProxy,
+    TURN_HEADERS,
 };
 
-/// For how many times the latency target of its route an endpoint may be silent before an idempotent request fails
-/// over.
+/// The response timeout as a multiple of the latency target, after which an idempotent request fails over.
 const RESPONSE_TIMEOUT_TARGETS: u64 = 4;
 
-/// The remaining time that a request states.
+/// Returns the remaining time that a request states.
 fn stated_deadline_ms(message: &Message) -> u64 {
     message
         .header("x-dunespur-deadline-ms")
-        .expect("every send tells the time")
+        .expect("every send states the remaining time")
         .parse()
         .unwrap()
 }
 
-/// A proxy whose streams time out after 50 ms.
+/// Starts a proxy whose streams time out after 50 ms.
 async fn proxy_with_short_streams(endpoint: &TestEndpoint) -> TestProxy {
     let proxy = TestProxy::start(&[endpoint]).await;
     proxy.node.edit_configuration(&[(
@@ -35,7 +35,7 @@
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = "GET /read/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n\r\n";
-        let mut client = proxy.request(request).await;
+        let mut client = proxy.send_request(request).await;
         let (mut connection, message) = endpoint.next_request().await;
         assert!((1..=20_000).contains(&stated_deadline_ms(&message)));
         connection.respond(200, "r1", "", "answer").await;
@@ -51,8 +51,8 @@
         proxy
             .node
             .edit_configuration(&[(r#""target_ms":150"#, r#""target_ms":20"#)]);
-        let mut client = proxy.request(&get("/read2/", "r1")).await;
-        let (_held, first) = silent.next_request().await;
+        let mut client = proxy.send_request(&get("/read2/", "r1")).await;
+        let (_unresponsive, first) = silent.next_request().await;
         let (mut connection, message) = second.next_request().await;
         assert!(
             stated_deadline_ms(&message) + RESPONSE_TIMEOUT_TARGETS * 20
@@ -71,19 +71,21 @@
         proxy
             .node
             .edit_configuration(&[(r#""gap_aim_ms":300"#, r#""gap_aim_ms":10"#)]);
-        let mut client = proxy.request(&post("/resume2/", "r1", TURN, "x")).await;
-        let (mut held, first) = silent.next_request().await;
-        held.stream_head("r1", "").await;
-        held.chunk(&event(1)).await;
+        let mut client = proxy
+            .send_request(&post("/resume2/", "r1", TURN_HEADERS, "x"))
+            .await;
+        let (mut unresponsive, first) = silent.next_request().await;
+        unresponsive.send_stream_head("r1", "").await;
+        unresponsive.send_chunk(&event(1)).await;
         let (mut connection, message) = second.next_request().await;
         assert_eq!(message.header("last-event-id"), Some("1"));
         assert!(
             stated_deadline_ms(&message) + RESPONSE_TIMEOUT_TARGETS * 10
                 <= stated_deadline_ms(&first)
         );
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(2)).await;
-        connection.last_chunk().await;
+        connection.send_stream_head("r1", "").await;
+        connection.send_chunk(&event(2)).await;
+        connection.send_last_chunk().await;
         assert_eq!(client.message().await.text(), events(1..=2));
     });
 }
@@ -93,10 +95,10 @@
     run_test(async {
         let (full, second) = two_endpoints().await;
         let proxy = TestProxy::start(&[&full, &second]).await;
-        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, first) = full.next_request().await;
-        // Time passes meanwhile: as much as the timeout of another request.
-        let mut other = proxy.request(&post("/short/", "r2", "", "x")).await;
+        // Meanwhile time passes: the timeout of another request.
+        let mut other = proxy.send_request(&post("/short/", "r2", "", "x")).await;
         let (_silent, short) = full.next_request().await;
         assert_eq!(other.message().await.status(), 504);
         connection
@@ -112,18 +114,24 @@
 }
 
 #[test]
-fn a_stream_ends_with_the_timeout_of_its_route_though_its_client_would_wait() {
+fn a_stream_ends_at_the_timeout_of_its_route_even_if_the_clients_deadline_is_later() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = proxy_with_short_streams(&endpoint).await;
-        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
+        let mut client = proxy
+            .send_request(&post("/stream/", "r1", TURN_HEADERS, "x"))
+            .await;
         let (mut connection, message) = endpoint.next_request().await;
         assert!(stated_deadline_ms(&message) <= 50);
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
+        connection.send_stream_head("r1", "").await;
+        connection.send_chunk(&event(1)).await;
         client.head().await;
         assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
-        assert_eq!(client.next_chunk().await, None, "truncated, not complete");
+        assert_eq!(
+            client.next_chunk().await,
+            None,
+            "the stream is truncated, not complete"
+        );
         assert!(connection.is_closed().await);
         assert_eq!(proxy.node.outcomes(), [Outcome::TimedOut]);
     });
@@ -134,21 +142,25 @@
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = proxy_with_short_streams(&endpoint).await;
-        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
+        let mut client = proxy
+            .send_request(&post("/stream/", "r1", TURN_HEADERS, "x"))
+            .await;
         let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
+        connection.send_stream_head("r1", "").await;
         assert_eq!(client.message().await.status(), 504);
         assert!(connection.is_closed().await);
     });
 }
 
 #[test]
-fn a_turn_that_is_not_admitted_in_time_is_rejected_unsent() {
+fn a_turn_that_is_not_admitted_in_time_is_rejected_without_being_sent() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = proxy_with_short_streams(&endpoint).await;
         proxy.node.admission_permits.forget_permits(1000);
-        let mut client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
+        let mut client = proxy
+            .send_request(&post("/stream/", "r1", TURN_HEADERS, "x"))
+            .await;
         assert_eq!(client.message().await.status(), 503);
         assert!(endpoint.has_no_connection().await);
     });
--- a/crates/serving/proxy/tests/events.rs
+++ b/crates/serving/proxy/tests/events.rs
@@ -1,11 +1,12 @@
-//! Streams of events, split at any byte, and read.
+//! Splitting and parsing event streams, for any split of the bytes into chunks.
 
 use bytes::{Bytes, BytesMut};
 use dunespur_proxy::{Event, EventSplitter};
 
 const STREAM: &str = "id: 1\ndata: a\n\nversions: 2\nid: 2\ndata:b\ndata: c\n\n: comment\n\nid: 3\r\ndata: d\r\n\r\nid: 10\ndata\n\n";
 
-fn read(complete: &[u8]) -> Vec<(Option<u64>, String)> {
+/// Parses complete events into their ids and data.
+fn parse(complete: &[u8]) -> Vec<(Option<u64>, String)> {
     let data = |event: Event| {
         let mut output = BytesMut::new();
         event.append_data(&mut output);
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn events_are_read() {
+fn events_are_parsed() {
     let expected = [
         (Some(1), "a\n"),
         (Some(2), "b\nc\n"),
@@ -28,29 +29,29 @@
         .into_iter()
         .map(|(id, data)| (id, data.to_owned()))
         .collect();
-    assert_eq!(read(STREAM.as_bytes()), expected);
+    assert_eq!(parse(STREAM.as_bytes()), expected);
 }
 
 #[test]
 fn wherever_bytes_are_split_the_same_events_come_once() {
     let bytes = Bytes::from_static(STREAM.as_bytes());
-    let all = read(&bytes);
+    let all = parse(&bytes);
     for first in 0..=bytes.len() {
         for second in first..=bytes.len() {
             let mut splitter = EventSplitter::default();
-            let mut came = Vec::new();
-            let mut passed = Vec::new();
+            let mut received = Vec::new();
+            let mut forwarded = Vec::new();
             for chunk in [
                 bytes.slice(..first),
                 bytes.slice(first..second),
                 bytes.slice(second..),
             ] {
                 let complete = splitter.push(chunk).unwrap();
-                came.extend(read(&complete));
-                passed.extend_from_slice(&complete);
+                received.extend(parse(&complete));
+                forwarded.extend_from_slice(&complete);
             }
-            assert_eq!(passed, bytes, "cut at {first} and {second}");
-            assert_eq!(came, all, "cut at {first} and {second}");
+            assert_eq!(forwarded, bytes, "split at {first} and {second}");
+            assert_eq!(received, all, "split at {first} and {second}");
             assert!(splitter.is_empty());
         }
     }
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn an_event_without_end_is_an_error() {
+fn an_event_over_the_maximum_length_is_an_error() {
     let mut splitter = EventSplitter::default();
     let chunk = Bytes::from(vec![b'x'; 600 * 1024]);
     assert!(splitter.push(chunk.clone()).is_ok());
--- a/crates/serving/proxy/tests/generated_exchanges.rs
+++ b/crates/serving/proxy/tests/generated_exchanges.rs
@@ -1,9 +1,9 @@
-//! Generated exchanges over the real stack: clients that send in chunks and disconnect anywhere, endpoints that read no
-//! more than a head, respond in chunks of any bytes, truncate at any byte, send duplicates at once or late, become
-//! unresponsive, close or reset. What comes of each is checked by the rules of the classification.
+//! Generated exchanges over real sockets. Clients send in chunks and disconnect at any point. Endpoints respond early,
+//! in arbitrary chunks, truncate at any byte, send immediate or late duplicates, become unresponsive, close or reset.
+//! All results are checked against the rules of the classification.
 //!
-//! A case is one request with all its attempts. CI runs [`CASES`]; `EXCHANGE_CASES=100000` in the environment of a
-//! release build runs that many.
+//! A case is one request with all its attempts. CI runs [`CASES`]; the environment variable `EXCHANGE_CASES` sets
+//! another number, for example 100000 in a release build.
 
 mod generated;
 mod support;
@@ -11,9 +11,9 @@
 use dunespur_proxy::Safeguards;
 use generated::{run_cases, Violation};
 
-/// Cases that are run unless the environment says otherwise.
+/// The default number of cases.
 const CASES: u64 = 4_000;
-/// The most that are run for a counterexample.
+/// The most cases to run in search of a counterexample.
 const COUNTEREXAMPLE_CASES: u64 = 8_000;
 
 fn cases() -> u64 {
@@ -24,23 +24,24 @@
 }
 
 #[test]
-fn generated_exchanges_keep_the_rules() {
+fn generated_exchanges_violate_no_rule() {
     let summary = run_cases(cases(), Safeguards::default());
     eprintln!("{summary}");
     assert_eq!(summary.violations, []);
     assert!(summary.covers_every_end(), "{summary}");
 }
 
-fn counterexample(safeguards: Safeguards, is_wanted: impl Fn(&Violation) -> bool) {
+/// Asserts that the exchanges without a safeguard violate the expected rule.
+fn assert_counterexample(safeguards: Safeguards, is_expected: impl Fn(&Violation) -> bool) {
     let summary = run_cases(COUNTEREXAMPLE_CASES, safeguards);
     let found = summary
         .violations
         .iter()
-        .find(|violation| is_wanted(violation));
+        .find(|violation| is_expected(violation));
     eprintln!("{found:?}");
     assert!(
         found.is_some(),
-        "none of the wanted kind in {summary}: {:?}",
+        "no violation of the expected kind in {summary}: {:?}",
         summary.violations
     );
 }
@@ -51,19 +52,19 @@
         only_idempotent_retried: false,
         ..Safeguards::default()
     };
-    counterexample(safeguards, |violation| {
+    assert_counterexample(safeguards, |violation| {
         matches!(violation, Violation::RunTwice { .. })
     });
 }
 
 #[test]
-fn without_the_id_check_a_client_gets_another_response() {
+fn without_the_id_check_a_client_gets_the_response_to_another_request() {
     let safeguards = Safeguards {
         response_ids_compared: false,
         ..Safeguards::default()
     };
-    counterexample(safeguards, |violation| {
-        matches!(violation, Violation::WrongAnswer { .. })
+    assert_counterexample(safeguards, |violation| {
+        matches!(violation, Violation::WrongResponse { .. })
     });
 }
 
@@ -73,7 +74,7 @@
         reset_truncates_body: false,
         ..Safeguards::default()
     };
-    counterexample(safeguards, |violation| {
-        matches!(violation, Violation::WrongAnswer { .. })
+    assert_counterexample(safeguards, |violation| {
+        matches!(violation, Violation::WrongResponse { .. })
     });
 }
--- a/crates/serving/proxy/tests/log_lines.rs
+++ b/crates/serving/proxy/tests/log_lines.rs
@@ -1,19 +1,19 @@
-//! The lines at debug level that `dunespur explain` reads, compared with files in `fixtures/log_lines`.
+//! The debug log lines that `dunespur explain` parses, compared with the files in `fixtures/log_lines`.
 
 mod support;
 
 use std::cell::RefCell;
 use support::fixtures::{assert_fixture, without_times};
-use support::{event, get, post, run_test, two_endpoints, TestEndpoint, TestProxy, TURN};
+use support::{event, get, post, run_test, two_endpoints, TestEndpoint, TestProxy, TURN_HEADERS};
 
 thread_local! {
     static LINES: RefCell<String> = const { RefCell::new(String::new()) };
 }
 
-/// Collects the lines of each test's thread.
-struct Lines;
+/// Collects the `event=` lines of each test's thread.
+struct LineCollector;
 
-impl log::Log for Lines {
+impl log::Log for LineCollector {
     fn enabled(&self, _: &log::Metadata) -> bool {
         true
     }
@@ -28,10 +28,10 @@
     fn flush(&self) {}
 }
 
-/// Runs a test and compares the lines that it wrote.
+/// Runs a test and compares the log lines that it wrote with the fixture.
 fn run_logged(name: &str, test: impl std::future::Future<Output = ()>) {
-    // Only the first test of the binary sets it.
-    let _ = log::set_logger(&Lines);
+    // Only the first call in the test binary succeeds; further tests use the same logger.
+    let _ = log::set_logger(&LineCollector);
     log::set_max_level(log::LevelFilter::Debug);
     LINES.take();
     run_test(test);
@@ -40,16 +40,16 @@
 }
 
 #[test]
-fn of_a_request_that_is_served() {
+fn lines_of_a_served_request() {
     run_logged("served", async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection
             .respond(200, "r1", "Keep-Alive: timeout=5\r\n", "ok")
             .await;
         client.message().await;
-        let mut client = proxy.request(&get("/read/", "r2")).await;
+        let mut client = proxy.send_request(&get("/read/", "r2")).await;
         connection.message().await;
         connection.respond(200, "r2", "", "ok").await;
         client.message().await;
@@ -57,12 +57,12 @@
 }
 
 #[test]
-fn of_a_request_that_is_retried() {
+fn lines_of_a_retried_request() {
     run_logged("next_server", async {
         let dead = TestEndpoint::dead("i-dead").await;
         let (full, good) = two_endpoints().await;
         let proxy = TestProxy::start(&[&dead, &full, &good]).await;
-        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = full.next_request().await;
         connection
             .respond(503, "r1", "X-Dunespur-Not-Executed: full\r\n", "full")
@@ -74,27 +74,27 @@
 }
 
 #[test]
-fn of_a_turn() {
+fn lines_of_a_turn() {
     run_logged("turn", async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy
-            .request(&post(
+            .send_request(&post(
                 "/turn/",
                 "r 1",
-                &format!("{TURN}Previous: r0\r\n"),
+                &format!("{TURN_HEADERS}Previous: r0\r\n"),
                 "x",
             ))
             .await;
         let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r 1", "").await;
-        connection.chunk(&event(1)).await;
-        connection.last_chunk().await;
+        connection.send_stream_head("r 1", "").await;
+        connection.send_chunk(&event(1)).await;
+        connection.send_last_chunk().await;
         client.message().await;
     });
 }
 
 #[test]
-fn of_rejected_requests() {
+fn lines_of_rejected_requests() {
     run_logged("rejected", async {
         let proxy = TestProxy::start(&[]).await;
         proxy.response(&get("/nowhere/", "r1")).await;
@@ -105,10 +105,10 @@
 }
 
 #[test]
-fn of_an_unresponsive_endpoint() {
+fn lines_of_a_request_to_an_unresponsive_endpoint() {
     run_logged("unresponsive", async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut client = proxy.request(&post("/short/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/short/", "r1", "", "x")).await;
         let (_connection, _) = endpoint.next_request().await;
         client.message().await;
     });
--- a/crates/serving/proxy/tests/random_load.rs
+++ b/crates/serving/proxy/tests/random_load.rs
@@ -1,5 +1,5 @@
-//! Many clients at once, and endpoints that do all that endpoints may do. Whatever happens, and in whichever order, the
-//! rules of the data plane hold.
+//! Concurrent clients and endpoints with random behavior. Guards against violations of the data plane's rules that
+//! depend on the order of events.
 
 mod support;
 
@@ -15,11 +15,11 @@
 const EVENTS: u64 = 6;
 const SEEDS: u64 = 6;
 
-/// Which endpoints ran each request, one entry a run.
+/// The endpoints that ran each request, with one entry for each run.
 type Runs = Rc<RefCell<HashMap<String, Vec<String>>>>;
 
-/// An endpoint that draws what it does with each request, until the test ends.
-fn random_endpoint(mut rng: Rng, endpoint: TestEndpoint, runs: Runs) {
+/// Starts an endpoint that handles each request in a random way, until the test ends.
+fn start_random_endpoint(mut rng: Rng, endpoint: TestEndpoint, runs: Runs) {
     spawn_local(async move {
         loop {
             let peer = endpoint.accept().await;
@@ -43,7 +43,7 @@
                     .await;
                 continue;
             }
-            // Another instance says so, and that one has not run it before.
+            // A 421 comes from another instance, so only an instance that has not run the request may send it.
             1 if !has_run(&runs, &id, &endpoint) => {
                 peer.respond(421, &id, "", "").await;
                 continue;
@@ -62,8 +62,8 @@
             6 => peer.respond(200, "another", "", "another's").await,
             7 => return peer.send(b"\x00garbage\r\n\r\n").await,
             8 => return peer.send(format!("HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 20\r\n\r\nhalf").as_bytes()).await,
-            9 if streams => return broken_stream(&mut rng, &mut peer, &request).await,
-            _ if streams => stream(&mut peer, &request, EVENTS).await,
+            9 if streams => return send_broken_stream(&mut rng, &mut peer, &request).await,
+            _ if streams => send_stream(&mut peer, &request, EVENTS).await,
             9 => {
                 peer.respond(200, &id, "Keep-Alive: timeout=5\r\n", &id).await;
                 peer.respond(200, &id, "Keep-Alive: timeout=5\r\n", &id).await;
@@ -77,54 +77,59 @@
 fn has_run(runs: &Runs, id: &str, endpoint: &str) -> bool {
     runs.borrow()
         .get(id)
-        .is_some_and(|endpoints| endpoints.iter().any(|ran| ran == endpoint))
+        .is_some_and(|endpoints| endpoints.iter().any(|other| other == endpoint))
 }
 
-fn first_event(request: &Message) -> u64 {
+fn first_event_id(request: &Message) -> u64 {
     request
         .header("last-event-id")
         .map_or(1, |id| id.parse::<u64>().unwrap() + 1)
 }
 
-async fn stream(peer: &mut Peer, request: &Message, last: u64) {
-    peer.stream_head(request.id(), "Keep-Alive: timeout=5\r\n")
+/// Sends a complete stream, from the event after the request's `Last-Event-Id` on.
+async fn send_stream(peer: &mut Peer, request: &Message, last: u64) {
+    peer.send_stream_head(request.id(), "Keep-Alive: timeout=5\r\n")
         .await;
-    for id in first_event(request)..=last {
-        peer.chunk(&event(id)).await;
+    for id in first_event_id(request)..=last {
+        peer.send_chunk(&event(id)).await;
     }
-    peer.last_chunk().await;
+    peer.send_last_chunk().await;
 }
 
-/// One that is truncated within an event, or sends one twice.
-async fn broken_stream(rng: &mut Rng, peer: &mut Peer, request: &Message) {
-    let first = first_event(request);
-    peer.stream_head(request.id(), "").await;
+/// Sends a stream that is truncated, possibly within an event, or repeats an event.
+async fn send_broken_stream(rng: &mut Rng, peer: &mut Peer, request: &Message) {
+    let first = first_event_id(request);
+    peer.send_stream_head(request.id(), "").await;
     for id in first..=rng.u64(1..=EVENTS) {
-        peer.chunk(&event(id)).await;
+        peer.send_chunk(&event(id)).await;
     }
     match rng.u32(0..3) {
-        0 => peer.chunk("id: 7\nda").await,
-        1 if first > 1 => peer.chunk(&event(first - 1)).await,
-        1 => peer.chunk(&event(1)).await,
+        0 => peer.send_chunk("id: 7\nda").await,
+        1 if first > 1 => peer.send_chunk(&event(first - 1)).await,
+        1 => peer.send_chunk(&event(1)).await,
         _ => {}
     }
 }
 
-/// What a client got for a request.
-struct Got {
+/// The response that a client got to a request.
+struct ClientResponse {
     id: String,
-    kind: &'static str,
+    path: &'static str,
     status: u16,
     stamped: bool,
     body: Result<Vec<u8>, Vec<u8>>,
 }
 
-async fn load_client(mut rng: Rng, proxy: Rc<TestProxy>, number: u64) -> Vec<Got> {
-    let mut got = Vec::new();
+async fn load_client(
+    mut rng: Rng,
+    proxy: Rc<TestProxy>,
+    client_number: u64,
+) -> Vec<ClientResponse> {
+    let mut responses = Vec::new();
     let mut client = proxy.client().await;
     for request in 0..REQUESTS_PER_CLIENT {
-        let id = format!("c{number}r{request}");
-        let kind = [
+        let id = format!("c{client_number}r{request}");
+        let path = [
             "/read/",
             "/read2/",
             "/write/",
@@ -132,69 +137,75 @@
             "/resume/",
             "/resume2/",
         ][rng.usize(0..6)];
-        let more = "Program: p\r\nBudget: 100000\r\nX-Dunespur-Token-Count: 10,100\r\n";
-        client.send(post(kind, &id, more, &id).as_bytes()).await;
+        let more_headers = "Program: p\r\nBudget: 100000\r\nX-Dunespur-Token-Count: 10,100\r\n";
+        client
+            .send(post(path, &id, more_headers, &id).as_bytes())
+            .await;
         if rng.u32(0..10) == 0 {
-            // It disconnects without its response.
+            // The client disconnects without waiting for the response.
             client = proxy.client().await;
             continue;
         }
         let head = client.head().await;
-        let body = client.body_of(&head).await;
+        let body = client.read_body(&head).await;
         if body.is_err() || head.header("connection") == Some("close") {
             client = proxy.client().await;
         }
         let stamped = head.header("x-dunespur-response-stamp").is_some();
-        got.push(Got {
+        responses.push(ClientResponse {
             id,
-            kind,
+            path,
             status: head.status(),
             stamped,
             body,
         });
     }
-    got
+    responses
 }
 
-fn check(got: &Got, runs: &[String]) {
-    let Got {
+/// Checks a response against the runs of its request.
+fn check(response: &ClientResponse, runs: &[String]) {
+    let ClientResponse {
         id,
-        kind,
+        path,
         status,
         stamped,
         body,
-    } = got;
-    let streams = kind.starts_with("/stream") || kind.starts_with("/resume");
+    } = response;
+    let streams = path.starts_with("/stream") || path.starts_with("/resume");
     match (status, body) {
         (200, Ok(body)) if streams => assert_eq!(body, events(1..=EVENTS).as_bytes(), "{id}"),
         (200, Ok(body)) => assert_eq!(body, id.as_bytes(), "{id}"),
         (200, Err(part)) => {
-            assert!(streams, "{id}: a short response is complete or absent");
+            assert!(streams, "{id}: a truncated response that is not a stream");
             assert!(events(1..=EVENTS).as_bytes().starts_with(part), "{id}");
             assert!(part.is_empty() || part.ends_with(b"\n\n"), "{id}");
         }
         (500, Ok(body)) => assert_eq!(body, b"failed", "{id}"),
-        (503, Ok(_)) => assert!(runs.is_empty(), "{id}: said not to have run"),
-        (502, Ok(_)) => assert!(!runs.is_empty(), "{id}: never sent"),
+        (503, Ok(_)) => assert!(runs.is_empty(), "{id}: a 503 although it has run"),
+        (502, Ok(_)) => assert!(!runs.is_empty(), "{id}: a 502 although it was never sent"),
         other => panic!("{id}: {other:?}"),
     }
     assert_eq!(*stamped, matches!(status, 200 | 500), "{id}");
     assert!(
         !runs.is_empty() || *status == 503,
-        "{id}: answered by nobody"
+        "{id}: not run, but status {status} instead of 503"
     );
     let endpoints: HashSet<_> = runs.iter().collect();
-    let most_servers = if kind.ends_with("2/") { 2 } else { 1 };
+    let max_endpoints = if path.ends_with("2/") { 2 } else { 1 };
     assert!(
-        endpoints.len() <= most_servers,
-        "{id}: run at {endpoints:?}"
+        endpoints.len() <= max_endpoints,
+        "{id}: run at more than {max_endpoints} endpoints: {endpoints:?}"
+    );
+    let must_run_once = matches!(*path, "/write/" | "/stream/");
+    assert!(
+        !must_run_once || runs.len() <= 1,
+        "{id}: run more than once: {runs:?}"
     );
-    let once = matches!(*kind, "/write/" | "/stream/");
-    assert!(!once || runs.len() <= 1, "{id}: run at {runs:?}");
 }
 
 #[test]
-fn promises_hold_under_random_load() {
+fn the_rules_hold_under_random_load() {
     for seed in 0..SEEDS {
         run_test(random_load(seed));
     }
@@ -209,32 +220,32 @@
     }
     let proxy = Rc::new(TestProxy::start(&endpoints.iter().collect::<Vec<_>>()).await);
     for endpoint in endpoints {
-        random_endpoint(rng.fork(), endpoint, runs.clone());
+        start_random_endpoint(rng.fork(), endpoint, runs.clone());
     }
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| spawn_local(load_client(rng.fork(), proxy.clone(), number)))
         .collect();
-    let mut all = Vec::new();
+    let mut responses = Vec::new();
     for client in clients {
-        all.extend(client.await.unwrap());
+        responses.extend(client.await.unwrap());
     }
-    // Requests of disconnected clients end as well.
+    // Waits for the end of the requests of disconnected clients.
     while proxy.server.counters().connections > 0 {
         tokio::task::yield_now().await;
     }
     let runs = runs.borrow();
-    for got in &all {
-        check(got, runs.get(&got.id).map_or(&[], Vec::as_slice));
+    for response in &responses {
+        check(response, runs.get(&response.id).map_or(&[], Vec::as_slice));
     }
     let calls = proxy.node.calls();
-    let count = |wanted: fn(&NodeCall) -> bool| calls.iter().filter(|calls| wanted(calls)).count();
+    let count = |wanted: fn(&NodeCall) -> bool| calls.iter().filter(|call| wanted(call)).count();
     assert_eq!(
-        count(|calls| matches!(calls, NodeCall::RecordOutcome(_))),
+        count(|call| matches!(call, NodeCall::RecordOutcome(_))),
         proxy.node.sends()
     );
     assert_eq!(
-        count(|calls| matches!(calls, NodeCall::Admit { .. })),
-        count(|calls| *calls == NodeCall::Release)
+        count(|call| matches!(call, NodeCall::Admit { .. })),
+        count(|call| *call == NodeCall::Release)
     );
     assert_eq!(proxy.server.counters().body_bytes, 0);
 }
--- a/crates/serving/proxy/tests/requests.rs
+++ b/crates/serving/proxy/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests and plain responses: what is forwarded, what is rejected, what is retried.
+//! Requests and plain responses: forwarding, rejections and retries.
 
 mod support;
 
@@ -19,7 +19,7 @@
             "X-Other: kept\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\n",
             "body",
         );
-        let mut client = proxy.request(&request).await;
+        let mut client = proxy.send_request(&request).await;
 
         let (mut connection, message) = endpoint.next_request().await;
         assert_eq!(message.first_line, "POST /write/a%20b?c=d&e HTTP/1.1");
@@ -64,7 +64,7 @@
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.node.engine_priority.set(Some(2));
         let _client = proxy
-            .request(&post(
+            .send_request(&post(
                 "/write/",
                 "r1",
                 "Priority: 0\r\nX-Dunespur-Expect-Instance: i-9\r\nExpect-Version: 3\r\n",
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn requests_that_can_not_be_served_are_rejected() {
+fn requests_that_cannot_be_served_are_rejected() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let cases = [
@@ -116,14 +116,14 @@
 }
 
 #[test]
-fn with_a_stale_configuration_an_unknown_route_may_exist() {
+fn a_request_without_a_route_may_be_retried_while_the_configuration_is_stale() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.node.configuration_stale.set(true);
         let response = proxy.response(&get("/nowhere/", "r1")).await;
         assert_eq!(response.status(), 503);
         assert!(response.header("retry-after").is_some());
-        let _client = proxy.request(&get("/read/", "r2")).await;
+        let _client = proxy.send_request(&get("/read/", "r2")).await;
         endpoint.next_request().await;
     });
 }
@@ -144,13 +144,13 @@
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         *proxy.node.table.borrow_mut() = None;
-        let mut client = proxy.request(&post("/write/", "r1", "", "body")).await;
-        proxy.node.called_with(&NodeCall::AwaitChange).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "body")).await;
+        proxy.node.wait_for_call(&NodeCall::AwaitChange).await;
 
-        // Something else has changed: the request still waits.
-        proxy.node.log.borrow_mut().clear();
+        // A change of other state: the request keeps waiting.
+        proxy.node.call_log.borrow_mut().clear();
         proxy.node.set_table(None);
-        proxy.node.called_with(&NodeCall::AwaitChange).await;
+        proxy.node.wait_for_call(&NodeCall::AwaitChange).await;
 
         proxy.node.set_table(Some(table(CONFIGURATION)));
         let (mut connection, message) = endpoint.next_request().await;
@@ -165,9 +165,10 @@
     run_test(async {
         let proxy = TestProxy::start(&[]).await;
         *proxy.node.table.borrow_mut() = None;
-        let hurried = "GET /read/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n\
+        let urgent_request =
+            "GET /read/ HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: r1\r\n\
                        X-Dunespur-Deadline-Ms: 3\r\n\r\n";
-        let response = proxy.response(hurried).await;
+        let response = proxy.response(urgent_request).await;
         assert_eq!(response.status(), 503);
         assert_eq!(proxy.node.calls(), []);
     });
@@ -198,7 +199,7 @@
             TestEndpoint::start("i-3").await,
         );
         let proxy = TestProxy::start(&[&dead, &full, &moved, &good]).await;
-        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
 
         let (mut connection, _) = full.next_request().await;
         connection
@@ -235,7 +236,7 @@
     run_test(async {
         let full = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&full]).await;
-        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = full.next_request().await;
         connection
             .respond(429, "r1", "X-Dunespur-Not-Executed: full\r\n", "")
@@ -252,7 +253,7 @@
     run_test(async {
         let (first, second) = two_endpoints().await;
         let proxy = TestProxy::start(&[&first, &second]).await;
-        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         let (connection, _) = first.next_request().await;
         connection.reset();
         let response = client.message().await;
@@ -268,7 +269,7 @@
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         for (status, id) in [(503, "r1"), (429, "r2"), (408, "r3")] {
-            let mut client = proxy.request(&post("/write/", id, "", "x")).await;
+            let mut client = proxy.send_request(&post("/write/", id, "", "x")).await;
             let (mut connection, _) = endpoint.next_request().await;
             connection
                 .respond(status, id, "Connection: close\r\n", "")
@@ -281,7 +282,7 @@
 }
 
 #[test]
-fn an_endpoints_own_failure_is_forwarded() {
+fn a_failure_reported_by_the_endpoint_is_forwarded() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         for (status, id, path) in [
@@ -289,7 +290,7 @@
             (504, "r2", "/write/"),
             (500, "r3", "/read/"),
         ] {
-            let mut client = proxy.request(&post(path, id, "", "x")).await;
+            let mut client = proxy.send_request(&post(path, id, "", "x")).await;
             let (mut connection, _) = endpoint.next_request().await;
             connection
                 .respond(status, id, "Connection: close\r\n", "failed")
@@ -314,7 +315,7 @@
             TestEndpoint::start("i-3").await,
         ];
         let proxy = TestProxy::start(&[&endpoints[0], &endpoints[1], &endpoints[2]]).await;
-        let mut client = proxy.request(&get("/read2/", "r1")).await;
+        let mut client = proxy.send_request(&get("/read2/", "r1")).await;
         let (mut connection, _) = endpoints[0].next_request().await;
         connection
             .respond(500, "r1", "Connection: close\r\n", "")
@@ -325,7 +326,7 @@
             .await;
         assert_eq!(client.message().await.text(), "ok");
 
-        let mut client = proxy.request(&get("/read2/", "r2")).await;
+        let mut client = proxy.send_request(&get("/read2/", "r2")).await;
         let (connection, _) = endpoints[0].next_request().await;
         connection.reset();
         let (mut connection, _) = endpoints[1].next_request().await;
@@ -339,17 +340,17 @@
 fn an_unrelated_response_is_not_forwarded() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let spoilt = [
-            ("another request's", "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: other\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 2\r\n\r\nok"),
+        let unrelated_responses = [
+            ("another request's id", "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: other\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 2\r\n\r\nok"),
             ("without an id", "HTTP/1.1 200 OK\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 2\r\n\r\nok"),
             ("without a stamp", "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nContent-Length: 2\r\n\r\nok"),
             ("encoded", "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok"),
-            ("not run, and yet a success", "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\nX-Dunespur-Not-Executed: x\r\nContent-Length: 2\r\n\r\nok"),
-            ("no HTTP", "\x01\x02garbage\r\n\r\n"),
+            ("a success marked as not run", "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\nX-Dunespur-Not-Executed: x\r\nContent-Length: 2\r\n\r\nok"),
+            ("not HTTP", "\x01\x02garbage\r\n\r\n"),
             ("two lengths", "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nokk"),
         ];
-        for (name, bytes) in spoilt {
-            let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        for (name, bytes) in unrelated_responses {
+            let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
             let (mut connection, _) = endpoint.next_request().await;
             connection.send(bytes.as_bytes()).await;
             let response = client.message().await;
@@ -361,7 +362,7 @@
 }
 
 #[test]
-fn a_short_response_that_is_truncated_becomes_a_502() {
+fn a_truncated_short_response_becomes_a_502() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head =
@@ -371,7 +372,7 @@
             "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
             "Transfer-Encoding: chunked\r\n\r\n4\r\nha",
         ] {
-            let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+            let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
             let (mut connection, _) = endpoint.next_request().await;
             connection.send(format!("{head}{rest}").as_bytes()).await;
             drop(connection);
@@ -381,7 +382,7 @@
 }
 
 #[test]
-fn a_long_response_that_is_truncated_looks_truncated() {
+fn a_truncated_long_response_is_truncated_for_the_client() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head =
@@ -391,7 +392,7 @@
             "Content-Length: 200000\r\n\r\n".to_owned(),
             "Transfer-Encoding: chunked\r\n\r\n30d40\r\n".to_owned(),
         ] {
-            let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+            let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
             let (mut connection, _) = endpoint.next_request().await;
             connection
                 .send(format!("{head}{framing}{part}").as_bytes())
@@ -404,11 +405,11 @@
 }
 
 #[test]
-fn a_long_response_comes_completely() {
+fn a_long_response_is_forwarded_completely() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let body = "0123456789".repeat(30_000);
-        let mut client = proxy.request(&get("/read/", "r1")).await;
+        let mut client = proxy.send_request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
         let (response, ()) =
             tokio::join!(client.message(), connection.respond(200, "r1", "", &body));
@@ -421,7 +422,7 @@
 fn an_unresponsive_endpoint_is_given_up_at_the_timeout_of_the_route() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut client = proxy.request(&post("/short/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/short/", "r1", "", "x")).await;
         let (mut connection, message) = endpoint.next_request().await;
         let deadline: u64 = message
             .header("x-dunespur-deadline-ms")
@@ -439,7 +440,7 @@
 fn a_client_that_disconnects_ends_its_request_at_once() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         drop(client);
         assert!(connection.is_closed().await);
@@ -451,10 +452,10 @@
 fn a_client_that_disconnects_during_a_long_response_ends_its_request() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut client = proxy.request(&get("/read/", "r1")).await;
+        let mut client = proxy.send_request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection.send(b"HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\nTransfer-Encoding: chunked\r\n\r\n").await;
-        connection.chunk(&"x".repeat(70_000)).await;
+        connection.send_chunk(&"x".repeat(70_000)).await;
         client.head().await;
         drop(client);
         assert!(connection.is_closed().await);
@@ -463,11 +464,13 @@
 }
 
 #[test]
-fn the_choice_gets_what_the_request_states() {
+fn the_choice_gets_the_attributes_that_the_request_states() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let more = "Program: p1\r\nSession: s1\r\nX-Dunespur-Token-Count: 1460,80\r\nX-Dunespur-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410\r\n";
-        let _client = proxy.request(&post("/resume/", "r1", more, "x")).await;
+        let more_headers = "Program: p1\r\nSession: s1\r\nX-Dunespur-Token-Count: 1460,80\r\nX-Dunespur-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410\r\n";
+        let _client = proxy
+            .send_request(&post("/resume/", "r1", more_headers, "x"))
+            .await;
         endpoint.next_request().await;
         let choices = proxy.node.choices();
         let request = &choices[0];
@@ -484,15 +487,15 @@
 }
 
 #[test]
-fn an_idempotent_request_is_resent_to_its_endpoint_where_no_other_may_run_it() {
+fn an_idempotent_request_is_resent_to_its_endpoint_if_no_other_may_run_it() {
     run_test(async {
         let (endpoint, other) = two_endpoints().await;
         let proxy = TestProxy::start(&[&endpoint, &other]).await;
-        let mut client = proxy.request(&get("/read/", "r1")).await;
+        let mut client = proxy.send_request(&get("/read/", "r1")).await;
         let (connection, _) = endpoint.next_request().await;
         connection.reset();
         let (mut connection, _) = endpoint.next_request().await;
-        connection.respond(200, "other", "", "spoilt").await;
+        connection.respond(200, "other", "", "unrelated").await;
         let (mut connection, _) = endpoint.next_request().await;
         connection.respond(200, "r1", "", "ok").await;
         assert_eq!(client.message().await.text(), "ok");
@@ -502,10 +505,10 @@
 }
 
 #[test]
-fn an_endpoint_that_truncates_every_response_is_not_tried_for_ever() {
+fn resends_to_an_endpoint_that_truncates_every_response_are_limited() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut client = proxy.request(&get("/read/", "r1")).await;
+        let mut client = proxy.send_request(&get("/read/", "r1")).await;
         for _ in 0..3 {
             let (connection, _) = endpoint.next_request().await;
             connection.reset();
@@ -524,9 +527,9 @@
             TestEndpoint::start("i-2").await,
         );
         let proxy = TestProxy::start(&[&endpoint, &other]).await;
-        let mut client = proxy.request(&get("/read/", "r1")).await;
+        let mut client = proxy.send_request(&get("/read/", "r1")).await;
         let (connection, _) = endpoint.next_request().await;
-        endpoint.die();
+        endpoint.stop_listening();
         connection.reset();
         let (mut connection, _) = other.next_request().await;
         connection.respond(200, "r1", "", "ok").await;
@@ -536,7 +539,7 @@
 }
 
 #[test]
-fn a_service_without_endpoints_is_replaced_by_another_of_its_route() {
+fn a_service_without_endpoints_is_replaced_by_another_service_of_the_route() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.node.edit_configuration(&[(r#""timeout_ms":20000,"target_ms":500,"priority":1,"backend":"plain""#, r#""timeout_ms":20000,"target_ms":500,"priority":1,"backends":[{"backend":"engine","weight":100},{"backend":"plain","weight":1}]"#)]);
@@ -545,7 +548,7 @@
             .services_without_endpoints
             .borrow_mut()
             .push("engine".to_owned());
-        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection.respond(200, "r1", "", "ok").await;
         assert_eq!(client.message().await.text(), "ok");
@@ -557,12 +560,12 @@
 fn a_client_that_disconnects_at_its_deadline_counts_against_the_endpoint() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let client = proxy.request(&post("/short/", "r1", "", "x")).await;
+        let client = proxy.send_request(&post("/short/", "r1", "", "x")).await;
         endpoint.next_request().await;
         drop(client);
         proxy
             .node
-            .called_with(&NodeCall::RecordOutcome(Outcome::TimedOut))
+            .wait_for_call(&NodeCall::RecordOutcome(Outcome::TimedOut))
             .await;
     });
 }
@@ -597,7 +600,7 @@
             ),
         ] {
             let mut client = proxy
-                .request(&get("/write/", "r1").replace("GET", method))
+                .send_request(&get("/write/", "r1").replace("GET", method))
                 .await;
             let (mut connection, message) = endpoint.next_request().await;
             assert!(message.first_line.starts_with(method));
@@ -619,11 +622,11 @@
 }
 
 #[test]
-fn an_absolute_target_names_its_host() {
+fn the_authority_of_an_absolute_target_is_the_host() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = get("/write/a?b=c", "r1").replace("GET ", "GET http://h.example:80");
-        let _client = proxy.request(&request).await;
+        let _client = proxy.send_request(&request).await;
         assert_eq!(
             endpoint.next_request().await.1.first_line,
             "GET /write/a?b=c HTTP/1.1"
@@ -646,7 +649,7 @@
             "/write/a;b=c:d@e!$'()*+,",
             "/write/?",
         ] {
-            let _client = proxy.request(&get(target, "r1")).await;
+            let _client = proxy.send_request(&get(target, "r1")).await;
             assert_eq!(
                 endpoint.next_request().await.1.first_line,
                 format!("GET {target} HTTP/1.1")
@@ -662,12 +665,12 @@
         let head =
             "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n\r\n";
         for body in ["".to_owned(), "ok".to_owned(), "x".repeat(200_000)] {
-            let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+            let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
             let (mut connection, _) = endpoint.next_request().await;
             let response = format!("{head}{body}");
             let (response, ()) = tokio::join!(client.message(), async {
                 connection.send(response.as_bytes()).await;
-                connection.end_in_order().await;
+                connection.shut_down_write().await;
             });
             assert_eq!((response.status(), response.text()), (200, body.as_str()));
             assert!(connection.is_closed().await);
@@ -680,7 +683,7 @@
 fn a_body_without_a_length_is_incomplete_while_its_connection_is_open() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut client = proxy.request(&post("/short/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/short/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection
             .send(b"HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n\r\nok")
@@ -703,7 +706,7 @@
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let head =
             "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n\r\n";
-        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection.send(format!("{head}half").as_bytes()).await;
         connection.reset();
@@ -716,16 +719,16 @@
             (502, None)
         );
 
-        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection
             .send(format!("{head}{}", "x".repeat(80_000)).as_bytes())
             .await;
-        client.until("xx").await;
+        client.read_until("xx").await;
         connection.reset();
         assert!(
-            !client.rest().await.ends_with(b"0\r\n\r\n"),
-            "no last chunk"
+            !client.read_to_end().await.ends_with(b"0\r\n\r\n"),
+            "the truncated response ends with a last chunk"
         );
         assert_eq!(proxy.node.outcomes(), [Outcome::Failed; 2]);
     });
--- a/crates/serving/proxy/tests/stale_responses.rs
+++ b/crates/serving/proxy/tests/stale_responses.rs
@@ -1,5 +1,5 @@
-//! Responses and bytes that belong to no request, or to another one than is waited for: none reaches another client.
-//! And what each safeguard protects against, shown with the safeguard taken out.
+//! Stale responses, duplicates and stray bytes never reach a client whose request they do not belong to. Also shows
+//! what each safeguard protects against, by disabling it.
 
 mod support;
 
@@ -14,10 +14,10 @@
 
 const HEAD: &str =
     "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: r1\r\nX-Dunespur-Response-Stamp: s\r\n";
-/// More than the sockets' buffers hold of a request that its endpoint does not read.
-const LONG_BODY: usize = 6 * 1024 * 1024;
+/// The length of a body that exceeds the sockets' buffers.
+const LONG_BODY_BYTES: usize = 6 * 1024 * 1024;
 
-async fn proxy_without(endpoints: &[&TestEndpoint], safeguards: Safeguards) -> TestProxy {
+async fn proxy_with_safeguards(endpoints: &[&TestEndpoint], safeguards: Safeguards) -> TestProxy {
     TestProxy::with_safeguards(endpoints, ProxySettings::default(), safeguards).await
 }
 
@@ -27,7 +27,7 @@
         .edit_configuration(&[(r#""max_body_bytes":100000"#, r#""max_body_bytes":20000000"#)]);
 }
 
-/// Bytes that differ at every offset.
+/// Returns a body of consecutive numbers, so that misplaced bytes are detected.
 fn numbered_body(bytes: usize) -> String {
     (0..)
         .flat_map(|number: u32| format!("{number},").into_bytes())
@@ -36,9 +36,10 @@
         .collect()
 }
 
-/// Serves one request over a connection that is pooled and has cooled down, so that any request may go over it next.
+/// Serves one request, and returns its endpoint connection once it is pooled and has cooled down: it may then carry
+/// any request.
 async fn cooled_down_connection(proxy: &TestProxy, endpoint: &TestEndpoint) -> Peer {
-    let mut client = proxy.request(&get("/read/", "first")).await;
+    let mut client = proxy.send_request(&get("/read/", "first")).await;
     let (mut connection, _) = endpoint.next_request().await;
     connection
         .respond(200, "first", "Keep-Alive: timeout=5\r\n", "ok")
@@ -51,11 +52,11 @@
 #[test]
 fn an_early_response_closes_the_connection_and_the_endpoint_reads_only_its_body() {
     run_test(async {
-        let endpoint = TestEndpoint::narrow("i-1").await;
+        let endpoint = TestEndpoint::with_small_buffer("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         allow_long_bodies(&proxy);
-        let body = numbered_body(LONG_BODY);
-        let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
+        let body = numbered_body(LONG_BODY_BYTES);
+        let mut client = proxy.send_request(&post("/write/", "r1", "", &body)).await;
         let mut connection = endpoint.accept().await;
         connection.head().await;
         connection
@@ -63,10 +64,16 @@
             .await;
         assert_eq!(client.message().await.text(), "early");
 
-        let _other = proxy.request(&post("/write/", "r2", "", "other")).await;
+        let _other = proxy
+            .send_request(&post("/write/", "r2", "", "other"))
+            .await;
         let (_, message) = endpoint.next_request().await;
-        assert_eq!(message.id(), "r2", "over another connection");
-        let read = connection.rest().await;
+        assert_eq!(
+            message.id(),
+            "r2",
+            "the next request uses another connection"
+        );
+        let read = connection.read_to_end().await;
         assert!(read.len() < body.len() && body.as_bytes().starts_with(&read));
     });
 }
@@ -74,11 +81,11 @@
 #[test]
 fn an_endpoint_that_reads_on_while_it_responds_gets_the_complete_body() {
     run_test(async {
-        let endpoint = TestEndpoint::narrow("i-1").await;
+        let endpoint = TestEndpoint::with_small_buffer("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         allow_long_bodies(&proxy);
-        let body = numbered_body(LONG_BODY);
-        let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
+        let body = numbered_body(LONG_BODY_BYTES);
+        let mut client = proxy.send_request(&post("/write/", "r1", "", &body)).await;
         let mut connection = endpoint.accept().await;
         let head = connection.head().await;
         connection
@@ -87,12 +94,12 @@
                     .as_bytes(),
             )
             .await;
-        connection.chunk("early").await;
-        assert!(connection.body_of(&head).await.unwrap() == body.as_bytes());
-        connection.last_chunk().await;
+        connection.send_chunk("early").await;
+        assert!(connection.read_body(&head).await.unwrap() == body.as_bytes());
+        connection.send_last_chunk().await;
         assert_eq!(client.message().await.text(), "early");
 
-        let _other = proxy.request(&get("/read/", "r2")).await;
+        let _other = proxy.send_request(&get("/read/", "r2")).await;
         assert_eq!(connection.message().await.id(), "r2");
     });
 }
@@ -101,57 +108,61 @@
 fn an_endpoint_that_has_read_only_the_head_may_have_run_the_request() {
     run_test(async {
         let (first, second) = (
-            TestEndpoint::narrow("i-1").await,
+            TestEndpoint::with_small_buffer("i-1").await,
             TestEndpoint::start("i-2").await,
         );
         let proxy = TestProxy::start(&[&first, &second]).await;
         allow_long_bodies(&proxy);
-        let body = numbered_body(LONG_BODY);
-        let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
+        let body = numbered_body(LONG_BODY_BYTES);
+        let mut client = proxy.send_request(&post("/write/", "r1", "", &body)).await;
         let mut connection = first.accept().await;
         connection.head().await;
         connection.reset();
-        assert_eq!(client.message().await.status(), 502, "not sent again");
+        assert_eq!(
+            client.message().await.status(),
+            502,
+            "the request is not sent again"
+        );
 
-        let mut client = proxy.request(&post("/write/", "r2", "", &body)).await;
+        let mut client = proxy.send_request(&post("/write/", "r2", "", &body)).await;
         let mut connection = first.accept().await;
         connection.head().await;
         pass_time(Duration::from_millis(15_200)).await;
         assert_eq!(
             client.message().await.status(),
             504,
-            "not said not to have run"
+            "the client is not told that the request has not run"
         );
         assert!(second.has_no_connection().await);
     });
 }
 
-/// Returns once this machine has given up a connection whose other side leaves bytes unread, after `peer_timeout`.
+/// Waits until the operating system has ended another connection with this TCP user timeout, whose peer reads nothing.
 async fn wait_for_user_timeout(peer_timeout: Duration) {
-    let unread = TestEndpoint::narrow("unread").await;
+    let unread = TestEndpoint::with_small_buffer("unread").await;
     let mut stream = TcpStream::connect(unread.address).await.unwrap();
     socket2::SockRef::from(&stream)
         .set_tcp_user_timeout(Some(peer_timeout))
         .unwrap();
-    let written = stream.write_all(&vec![0; LONG_BODY]).await;
+    let written = stream.write_all(&vec![0; LONG_BODY_BYTES]).await;
     assert_eq!(written.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
 }
 
 #[test]
 fn an_endpoint_that_reads_a_long_body_late_gets_it() {
     run_test(async {
-        let endpoint = TestEndpoint::narrow("i-1").await;
+        let endpoint = TestEndpoint::with_small_buffer("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         allow_long_bodies(&proxy);
-        let body = numbered_body(LONG_BODY);
-        let mut client = proxy.request(&post("/write/", "r1", "", &body)).await;
+        let body = numbered_body(LONG_BODY_BYTES);
+        let mut client = proxy.send_request(&post("/write/", "r1", "", &body)).await;
         let mut connection = endpoint.accept().await;
         let head = connection.head().await;
         wait_for_user_timeout(Duration::from_millis(1500)).await;
-        let read = connection.body_of(&head).await;
+        let read = connection.read_body(&head).await;
         assert!(
             read.is_ok_and(|read| read == body.as_bytes()),
-            "all of the body"
+            "the endpoint receives the whole body"
         );
         connection.respond(200, "r1", "", "late").await;
         assert_eq!(client.message().await.text(), "late");
@@ -165,7 +176,7 @@
 }
 
 async fn pending_request(proxy: &TestProxy, endpoint: &TestEndpoint, id: &str) -> PendingRequest {
-    let client = proxy.request(&post("/write/", id, "", "x")).await;
+    let client = proxy.send_request(&post("/write/", id, "", "x")).await;
     let (connection, _) = endpoint.next_request().await;
     PendingRequest { client, connection }
 }
@@ -201,15 +212,15 @@
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut connection = cooled_down_connection(&proxy, &endpoint).await;
-        let left = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let disconnected = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         assert_eq!(connection.message().await.id(), "r1");
-        drop(left);
-        // No time passes: the end of the client's connection closes the endpoint's.
+        drop(disconnected);
+        // The end of the client connection closes the endpoint connection at once.
         assert!(connection.is_closed().await);
         connection
-            .respond(200, "r1", "", "for one that has left")
+            .respond(200, "r1", "", "for the disconnected client")
             .await;
-        let mut client = proxy.request(&post("/write/", "r2", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r2", "", "x")).await;
         let (mut connection, message) = endpoint.next_request().await;
         assert_eq!(message.id(), "r2");
         connection.respond(200, "r2", "", "mine").await;
@@ -217,29 +228,29 @@
     });
 }
 
-/// A duplicate of a response has the id of the request that is sent again.
+/// Guards against a duplicate of the first response: it has the same id as the resent request, so it would be accepted.
 #[test]
 fn a_rejected_request_is_not_sent_over_the_same_connection_again() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.node.offers_tried_again.set(true);
-        let mut client = proxy.request(&get("/read/", "r1")).await;
+        let mut client = proxy.send_request(&get("/read/", "r1")).await;
         let (mut connection, _) = endpoint.next_request().await;
         let full = "X-Dunespur-Not-Executed: full\r\nKeep-Alive: timeout=5\r\n";
         connection.respond(503, "r1", full, "").await;
-        let (mut again, message) = endpoint.next_request().await;
+        let (mut new_connection, message) = endpoint.next_request().await;
         assert_eq!(message.id(), "r1");
         connection.respond(503, "r1", full, "").await;
-        again.respond(200, "r1", "", "ok").await;
+        new_connection.respond(200, "r1", "", "ok").await;
         assert_eq!(client.message().await.text(), "ok");
     });
 }
 
 #[test]
-fn interim_responses_are_no_response() {
+fn interim_responses_are_not_forwarded_as_the_response() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+        let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
         let (mut connection, _) = endpoint.next_request().await;
         connection
             .send(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nX-Any: 1\r\n\r\n")
@@ -250,17 +261,17 @@
     });
 }
 
-// What each safeguard protects against.
+// The effect of disabling each safeguard.
 
-/// Whether a request that is not idempotent reaches a second endpoint after it may have run at the first.
+/// Returns whether a request that is not idempotent is sent to a second endpoint after it may have run at the first.
 async fn runs_twice(safeguards: Safeguards) -> bool {
     let (first, second) = two_endpoints().await;
-    let proxy = proxy_without(&[&first, &second], safeguards).await;
+    let proxy = proxy_with_safeguards(&[&first, &second], safeguards).await;
     proxy.node.edit_configuration(&[(
         r#""target_ms":500,"priority":1,"backend":"plain","retries":1"#,
         r#""target_ms":500,"priority":1,"backend":"plain","retries":2"#,
     )]);
-    let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+    let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
     first.next_request().await.0.reset();
     tokio::select! {
         (mut connection, _) = second.next_request() => {
@@ -275,7 +286,7 @@
 }
 
 #[test]
-fn a_request_that_is_not_idempotent_must_run_once() {
+fn without_the_retry_check_a_request_that_is_not_idempotent_runs_twice() {
     run_test(async {
         assert!(!runs_twice(Safeguards::default()).await);
         assert!(
@@ -288,12 +299,12 @@
     });
 }
 
-/// What a client gets where the response to an earlier request comes instead of its own.
-async fn response_behind_a_stale_one(safeguards: Safeguards) -> String {
+/// Returns the response that a client gets when a stale response arrives before its own.
+async fn response_after_a_stale_response(safeguards: Safeguards) -> String {
     let endpoint = TestEndpoint::start("i-1").await;
-    let proxy = proxy_without(&[&endpoint], safeguards).await;
+    let proxy = proxy_with_safeguards(&[&endpoint], safeguards).await;
     let mut connection = cooled_down_connection(&proxy, &endpoint).await;
-    let mut client = proxy.request(&get("/read/", "r2")).await;
+    let mut client = proxy.send_request(&get("/read/", "r2")).await;
     connection.message().await;
     connection.respond(200, "first", "", "another's").await;
     tokio::select! {
@@ -309,22 +320,25 @@
 fn the_ids_of_responses_must_be_compared() {
     run_test(async {
         assert_eq!(
-            response_behind_a_stale_one(Safeguards::default()).await,
+            response_after_a_stale_response(Safeguards::default()).await,
             "its own"
         );
         let safeguards = Safeguards {
             response_ids_compared: false,
             ..Safeguards::default()
         };
-        assert_eq!(response_behind_a_stale_one(safeguards).await, "another's");
+        assert_eq!(
+            response_after_a_stale_response(safeguards).await,
+            "another's"
+        );
     });
 }
 
-/// Whether a request goes over a connection on which surplus bytes arrived in the last moment before it was sent, so
-/// that no event loop has seen them.
-async fn is_sent_behind_surplus_bytes(safeguards: Safeguards) -> bool {
+/// Returns whether a request is sent over a connection on which surplus bytes arrived just before, so that the event
+/// loop has not read them yet.
+async fn is_sent_after_surplus_bytes(safeguards: Safeguards) -> bool {
     let endpoint = TestEndpoint::start("i-1").await;
-    let proxy = proxy_without(&[&endpoint], safeguards).await;
+    let proxy = proxy_with_safeguards(&[&endpoint], safeguards).await;
     let mut connection = cooled_down_connection(&proxy, &endpoint).await;
     let mut writer = connection.writer();
     let surplus = format!(
@@ -334,7 +348,7 @@
     *proxy.node.on_next_choice.borrow_mut() = Some(Box::new(move || {
         writer.write_all(surplus.as_bytes()).unwrap()
     }));
-    let mut client = proxy.request(&post("/write/", "r2", "", "x")).await;
+    let mut client = proxy.send_request(&post("/write/", "r2", "", "x")).await;
     tokio::select! {
         response = client.message() => {
             assert_eq!((response.status(), connection.message().await.id()), (502, "r2"));
@@ -351,20 +365,20 @@
 #[test]
 fn surplus_bytes_must_close_their_connection() {
     run_test(async {
-        assert!(!is_sent_behind_surplus_bytes(Safeguards::default()).await);
+        assert!(!is_sent_after_surplus_bytes(Safeguards::default()).await);
         let safeguards = Safeguards {
             surplus_bytes_close_connection: false,
             ..Safeguards::default()
         };
-        assert!(is_sent_behind_surplus_bytes(safeguards).await);
+        assert!(is_sent_after_surplus_bytes(safeguards).await);
     });
 }
 
-/// The response that a client gets where the endpoint resets one without a length.
-async fn reset_response(safeguards: Safeguards) -> (u16, String) {
+/// Returns the response that a client gets when the endpoint resets a response without a length.
+async fn response_after_a_reset(safeguards: Safeguards) -> (u16, String) {
     let endpoint = TestEndpoint::start("i-1").await;
-    let proxy = proxy_without(&[&endpoint], safeguards).await;
-    let mut client = proxy.request(&post("/write/", "r1", "", "x")).await;
+    let proxy = proxy_with_safeguards(&[&endpoint], safeguards).await;
+    let mut client = proxy.send_request(&post("/write/", "r1", "", "x")).await;
     let (mut connection, _) = endpoint.next_request().await;
     connection.send(format!("{HEAD}\r\nhalf").as_bytes()).await;
     connection.reset();
@@ -375,12 +389,15 @@
 #[test]
 fn a_reset_must_truncate_a_body() {
     run_test(async {
-        assert_eq!(reset_response(Safeguards::default()).await.0, 502);
+        assert_eq!(response_after_a_reset(Safeguards::default()).await.0, 502);
         let safeguards = Safeguards {
             reset_truncates_body: false,
             ..Safeguards::default()
         };
-        assert_eq!(reset_response(safeguards).await, (200, "half".to_owned()));
+        assert_eq!(
+            response_after_a_reset(safeguards).await,
+            (200, "half".to_owned())
+        );
     });
 }
 
@@ -398,14 +415,17 @@
                 .parse()
                 .unwrap()
         };
-        let _client = proxy.request(&get("/read2/", "r1")).await;
+        let _client = proxy.send_request(&get("/read2/", "r1")).await;
         let (connection, message) = first.next_request().await;
         let first_ms = deadline(&message);
         assert!(first_ms <= 15_000 && first_ms > 10_000, "{first_ms}");
         pass_time(Duration::from_millis(700)).await;
         connection.reset();
         let second_ms = deadline(&second.next_request().await.1);
-        assert!(second_ms <= first_ms - 700, "{second_ms} after {first_ms}");
+        assert!(
+            second_ms <= first_ms - 700,
+            "remaining {second_ms} ms after {first_ms} ms and a pause of 700 ms"
+        );
     });
 }
 
@@ -414,7 +434,7 @@
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let request = get("/read/", "r1").replace("X-Dunespur-Deadline-Ms: 15000\r\n", "");
-        let _client = proxy.request(&request).await;
+        let _client = proxy.send_request(&request).await;
         let (_, message) = endpoint.next_request().await;
         let deadline: u64 = message
             .header("x-dunespur-deadline-ms")
@@ -429,11 +449,14 @@
 fn a_response_comes_at_the_timeout_of_the_route() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let patient = post("/write/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000");
-        let mut client = proxy.request(&patient).await;
+        let request = post("/write/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000");
+        let mut client = proxy.send_request(&request).await;
         let (mut connection, _) = endpoint.next_request().await;
         pass_time(Duration::from_millis(19_000)).await;
-        assert!(client.is_silent().await, "not before its time");
+        assert!(
+            client.is_silent().await,
+            "no response before the timeout of the route"
+        );
         pass_time(Duration::from_millis(1_300)).await;
         assert_eq!(client.message().await.status(), 504);
         assert!(connection.is_closed().await);
@@ -445,11 +468,11 @@
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let mut client = proxy
-            .request(&post("/stream/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000"))
+            .send_request(&post("/stream/", "r1", "", "x").replace("Ms: 15000", "Ms: 60000"))
             .await;
         let (mut connection, _) = endpoint.next_request().await;
-        connection.stream_head("r1", "").await;
-        connection.chunk(&event(1)).await;
+        connection.send_stream_head("r1", "").await;
+        connection.send_chunk(&event(1)).await;
         client.head().await;
         assert_eq!(client.next_chunk().await.unwrap(), event(1).as_bytes());
         pass_time(Duration::from_millis(20_300)).await;
--- a/crates/serving/proxy/tests/streams.rs
+++ b/crates/serving/proxy/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events: forwarded as they arrive, counted, stored, truncated, resumed at another endpoint.
+//! Event streams: forwarding, counting, storing, truncation, and resuming at another endpoint.
 
 mod support;
 
@@ -6,14 +6,14 @@
 use dunespur_routing::Outcome;
 use support::{
     bytes, event, events, post, run_test, two_endpoints, Message, NodeCall, Peer, TestEndpoint,
-    TestNode, TestProxy, TURN,
+    TestNode, TestProxy, TURN_HEADERS,
 };
 
 fn served(tokens_out: u32) -> Outcome {
     Outcome::Served { tokens_out }
 }
 
-/// The call by which a node admits the turns of these tests.
+/// Returns the node call that admits the turns of these tests.
 fn admission() -> NodeCall {
     NodeCall::Admit {
         program: "p1".to_owned(),
@@ -22,7 +22,7 @@
     }
 }
 
-/// A client's turn at the first endpoint, which drives the endpoint's connection and reads what the client gets.
+/// A turn of a client at an endpoint: both connections, driven by the test.
 struct Stream {
     proxy: TestProxy,
     client: Peer,
@@ -31,9 +31,16 @@
 }
 
 impl Stream {
-    /// A turn that its endpoint has received.
-    async fn request(proxy: TestProxy, endpoint: &TestEndpoint, path: &str, more: &str) -> Stream {
-        let client = proxy.request(&post(path, "r1", more, "x")).await;
+    /// Sends a turn and waits until `endpoint` has received it.
+    async fn request(
+        proxy: TestProxy,
+        endpoint: &TestEndpoint,
+        path: &str,
+        more_headers: &str,
+    ) -> Stream {
+        let client = proxy
+            .send_request(&post(path, "r1", more_headers, "x"))
+            .await;
         let (connection, request) = endpoint.next_request().await;
         Stream {
             proxy,
@@ -43,37 +50,41 @@
         }
     }
 
-    /// A turn whose endpoint, the first of these, has begun a stream of events.
+    /// Starts a proxy and a turn; the first endpoint has sent the head of an event stream.
     async fn start(endpoints: &[&TestEndpoint], path: &str) -> Stream {
         let proxy = TestProxy::start(endpoints).await;
-        let mut stream = Stream::request(proxy, endpoints[0], path, TURN).await;
-        stream.connection.stream_head("r1", "").await;
+        let mut stream = Stream::request(proxy, endpoints[0], path, TURN_HEADERS).await;
+        stream.connection.send_stream_head("r1", "").await;
         stream
     }
 
-    /// The same with these first events on their way to the client, which has read the head.
-    async fn start_with(endpoints: &[&TestEndpoint], path: &str, first: &str) -> Stream {
+    /// Starts a proxy and a turn; the first endpoint has also sent `first_events`, and the client has read the head.
+    async fn start_with(endpoints: &[&TestEndpoint], path: &str, first_events: &str) -> Stream {
         let mut stream = Stream::start(endpoints, path).await;
-        stream.connection.chunk(first).await;
+        stream.connection.send_chunk(first_events).await;
         stream.client.head().await;
         stream
     }
 
-    /// The next chunk that the client gets; empty at the end of the response.
+    /// Returns the next chunk that the client receives; empty at the end of the response.
     async fn next_chunk(&mut self) -> String {
-        let chunk = self.client.next_chunk().await.expect("a chunk");
+        let chunk = self
+            .client
+            .next_chunk()
+            .await
+            .expect("the response is not truncated");
         String::from_utf8(chunk).unwrap()
     }
 
-    /// Whether the client's connection ends instead of a further chunk.
+    /// Returns whether the client's connection ends without a further chunk.
     async fn is_truncated(&mut self) -> bool {
         self.client.next_chunk().await.is_none()
     }
 
-    /// The endpoint sends these events and the end of its response.
+    /// Sends these events and the end of the response from the endpoint.
     async fn finish_with(&mut self, events: &str) {
-        self.connection.chunk(events).await;
-        self.connection.last_chunk().await;
+        self.connection.send_chunk(events).await;
+        self.connection.send_last_chunk().await;
     }
 
     fn outcomes(&self) -> Vec<Outcome> {
@@ -81,10 +92,10 @@
     }
 }
 
-/// The request at the endpoint that gets it next, which begins a stream of its own.
+/// Accepts the resent request at `endpoint` and sends the head of a stream.
 async fn resume_at(endpoint: &TestEndpoint) -> (Peer, Message) {
     let (mut connection, request) = endpoint.next_request().await;
-    connection.stream_head("r1", "").await;
+    connection.send_stream_head("r1", "").await;
     (connection, request)
 }
 
@@ -92,26 +103,26 @@
 fn events_are_forwarded_as_they_arrive() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut stream = Stream::request(proxy, &endpoint, "/stream/", TURN).await;
+        let mut stream = Stream::request(proxy, &endpoint, "/stream/", TURN_HEADERS).await;
         stream
             .connection
-            .stream_head("r1", "X-Versions: 1\r\n")
+            .send_stream_head("r1", "X-Versions: 1\r\n")
             .await;
-        stream.connection.chunk(&event(1)).await;
+        stream.connection.send_chunk(&event(1)).await;
         let head = stream.client.head().await;
         assert_eq!(head.status(), 200);
         assert_eq!(head.header("x-dunespur-response-stamp"), Some("s.r1"));
         assert_eq!(head.header("x-versions"), Some("1"));
         assert_eq!(stream.next_chunk().await, event(1));
-        // The next is sent only once the one before has arrived.
+        // Each event is sent only after the client has received the previous one.
         for id in 2..=3 {
-            stream.connection.chunk(&event(id)).await;
+            stream.connection.send_chunk(&event(id)).await;
             assert_eq!(stream.next_chunk().await, event(id));
         }
-        stream.connection.last_chunk().await;
+        stream.connection.send_last_chunk().await;
         assert_eq!(stream.next_chunk().await, "");
         let node = &stream.proxy.node;
-        node.called_with(&NodeCall::Release).await;
+        node.wait_for_call(&NodeCall::Release).await;
         assert_eq!(
             node.calls(),
             [
@@ -133,15 +144,15 @@
         let endpoint = TestEndpoint::start("i-1").await;
         let mut stream = Stream::start_with(&[&endpoint], "/stream/", &event(1)).await;
         assert_eq!(stream.next_chunk().await, event(1));
-        stream.connection.chunk("id: 2\nda").await;
+        stream.connection.send_chunk("id: 2\nda").await;
         let rest = format!("ta: word2\n\n{}id: 4", event(3));
-        stream.connection.chunk(&rest).await;
+        stream.connection.send_chunk(&rest).await;
         assert_eq!(stream.next_chunk().await, events(2..=3));
         drop(stream.connection);
         let truncated = stream.client.next_chunk().await;
-        assert_eq!(truncated, None, "neither a partial event nor a clean end");
+        assert_eq!(truncated, None, "neither a partial event nor a last chunk");
         let node = stream.proxy.node;
-        node.called_with(&NodeCall::RecordOutcome(Outcome::Failed))
+        node.wait_for_call(&NodeCall::RecordOutcome(Outcome::Failed))
             .await;
         assert_eq!(node.recorded_tokens(), 8);
     });
@@ -153,19 +164,19 @@
         let endpoint = TestEndpoint::start("i-1").await;
         let partial = format!("{}id: 2\ndata: wo", event(1));
         let mut stream = Stream::start_with(&[&endpoint], "/stream/", &partial).await;
-        stream.connection.last_chunk().await;
+        stream.connection.send_last_chunk().await;
         assert_eq!(stream.next_chunk().await, event(1));
         assert!(stream.is_truncated().await);
     });
 }
 
 #[test]
-fn an_event_that_comes_twice_is_not_forwarded() {
+fn a_repeated_event_is_not_forwarded() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let mut stream = Stream::start_with(&[&endpoint], "/stream/", &events(1..=2)).await;
         assert_eq!(stream.next_chunk().await, events(1..=2));
-        stream.connection.chunk(&event(2)).await;
+        stream.connection.send_chunk(&event(2)).await;
         assert!(stream.is_truncated().await);
         assert!(stream.connection.is_closed().await);
     });
@@ -176,7 +187,7 @@
     run_test(async {
         let (first, second) = two_endpoints().await;
         let mut stream = Stream::start(&[&first, &second], "/stream/").await;
-        stream.connection.chunk("id: 1\nda").await;
+        stream.connection.send_chunk("id: 1\nda").await;
         drop(stream.connection);
         let response = stream.client.message().await;
         assert_eq!(response.status(), 502);
@@ -187,7 +198,7 @@
 }
 
 #[test]
-fn before_the_first_event_a_resumable_stream_starts_anew() {
+fn before_the_first_event_a_resumable_stream_starts_from_the_beginning() {
     run_test(async {
         let (first, second) = two_endpoints().await;
         let mut stream = Stream::start(&[&first, &second], "/resume2/").await;
@@ -196,7 +207,7 @@
         assert_eq!(stream.request.header("last-event-id"), None);
         assert_eq!(stream.request.text(), "x");
         let head = "X-From: second\r\n";
-        stream.connection.stream_head("r1", head).await;
+        stream.connection.send_stream_head("r1", head).await;
         stream.finish_with(&events(1..=2)).await;
         let response = stream.client.message().await;
         assert_eq!(response.header("x-from"), Some("second"));
@@ -210,11 +221,11 @@
     run_test(async {
         let (first, second) = two_endpoints().await;
         let proxy = TestProxy::start(&[&first, &second]).await;
-        let mut stream = Stream::request(proxy, &first, "/resume2/", TURN).await;
+        let mut stream = Stream::request(proxy, &first, "/resume2/", TURN_HEADERS).await;
         let head = "X-From: first\r\n";
-        stream.connection.stream_head("r1", head).await;
-        let begun = format!("{}id: 3\nda", events(1..=2));
-        stream.connection.chunk(&begun).await;
+        stream.connection.send_stream_head("r1", head).await;
+        let partial = format!("{}id: 3\nda", events(1..=2));
+        stream.connection.send_chunk(&partial).await;
         let head = stream.client.head().await;
         assert_eq!(stream.next_chunk().await, events(1..=2));
         stream.connection.reset();
@@ -222,10 +233,10 @@
         assert_eq!(stream.request.header("last-event-id"), Some("2"));
         assert_eq!(stream.request.id(), "r1");
         let second_head = "X-From: second\r\n";
-        stream.connection.stream_head("r1", second_head).await;
-        stream.connection.chunk(&event(3)).await;
+        stream.connection.send_stream_head("r1", second_head).await;
+        stream.connection.send_chunk(&event(3)).await;
         assert_eq!(stream.next_chunk().await, event(3));
-        stream.connection.last_chunk().await;
+        stream.connection.send_last_chunk().await;
         assert_eq!(stream.next_chunk().await, "");
         assert_eq!(head.header("x-from"), Some("first"));
         assert_eq!(stream.outcomes(), [Outcome::Failed, served(8)]);
@@ -244,8 +255,8 @@
         for _ in 0..3 {
             let (mut connection, request) = second.next_request().await;
             assert_eq!(request.header("last-event-id"), Some("2"));
-            connection.stream_head("r1", "").await;
-            connection.chunk(&events(1..=3)).await;
+            connection.send_stream_head("r1", "").await;
+            connection.send_chunk(&events(1..=3)).await;
             assert!(connection.is_closed().await);
         }
         assert_eq!(stream.client.next_chunk().await, None);
@@ -254,7 +265,7 @@
 }
 
 #[test]
-fn a_truncated_stream_is_resumed_at_its_endpoint_where_no_other_may_run_it() {
+fn a_truncated_stream_is_resumed_at_its_endpoint_if_no_other_may_run_it() {
     run_test(async {
         let (endpoint, other) = two_endpoints().await;
         let endpoints = [&endpoint, &other];
@@ -274,13 +285,13 @@
 }
 
 #[test]
-fn an_endpoint_that_crashed_during_a_stream_no_longer_counts() {
+fn an_endpoint_that_crashed_during_a_stream_no_longer_counts_towards_the_limit() {
     run_test(async {
         let (mut endpoint, other) = two_endpoints().await;
         let endpoints = [&endpoint, &other];
         let mut stream = Stream::start_with(&endpoints, "/resume/", &event(1)).await;
         assert_eq!(stream.next_chunk().await, event(1));
-        endpoint.die();
+        endpoint.stop_listening();
         stream.connection.reset();
         (stream.connection, stream.request) = resume_at(&other).await;
         assert_eq!(stream.request.header("last-event-id"), Some("1"));
@@ -302,7 +313,7 @@
         connection.respond(421, "r1", "", "").await;
         (stream.connection, stream.request) = resume_at(&other).await;
         assert_eq!(stream.request.header("last-event-id"), Some("1"));
-        stream.connection.last_chunk().await;
+        stream.connection.send_last_chunk().await;
         assert_eq!(stream.next_chunk().await, event(1));
         assert_eq!(stream.next_chunk().await, "");
         assert_eq!(stream.outcomes(), [Outcome::Misdirected, served(3)]);
@@ -310,7 +321,7 @@
 }
 
 #[test]
-fn a_stream_that_can_not_be_resumed_ends_where_it_is_truncated() {
+fn a_stream_that_cannot_be_resumed_is_truncated_for_the_client() {
     run_test(async {
         let (endpoint, other) = two_endpoints().await;
         let endpoints = [&endpoint, &other];
@@ -328,10 +339,10 @@
 fn a_client_that_resumes_a_stream_gets_the_events_behind_its_last() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let more = "Last-Event-Id: 4\r\n";
-        let mut stream = Stream::request(proxy, &endpoint, "/resume/", more).await;
+        let more_headers = "Last-Event-Id: 4\r\n";
+        let mut stream = Stream::request(proxy, &endpoint, "/resume/", more_headers).await;
         assert_eq!(stream.request.header("last-event-id"), Some("4"));
-        stream.connection.stream_head("r1", "").await;
+        stream.connection.send_stream_head("r1", "").await;
         stream.finish_with(&events(5..=6)).await;
         assert_eq!(stream.client.message().await.text(), events(5..=6));
     });
@@ -341,7 +352,7 @@
 fn a_failure_instead_of_a_stream_is_forwarded() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut stream = Stream::request(proxy, &endpoint, "/stream/", TURN).await;
+        let mut stream = Stream::request(proxy, &endpoint, "/stream/", TURN_HEADERS).await;
         stream.connection.respond(500, "r1", "", "broken").await;
         let response = stream.client.message().await;
         assert_eq!((response.status(), response.text()), (500, "broken"));
@@ -355,12 +366,12 @@
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let mut stream = Stream::start(&[&endpoint], "/turn/").await;
-        stream.connection.chunk(&event(1)).await;
-        stream.client.until("\n\n").await;
+        stream.connection.send_chunk(&event(1)).await;
+        stream.client.read_until("\n\n").await;
         drop(stream.client);
         assert!(stream.connection.is_closed().await);
         let proxy = stream.proxy;
-        proxy.node.called_with(&NodeCall::Release).await;
+        proxy.node.wait_for_call(&NodeCall::Release).await;
         assert_eq!(proxy.node.outcomes(), [Outcome::Cancelled]);
         assert_eq!(proxy.server.counters().body_bytes, 0);
         let calls = proxy.node.calls();
@@ -377,10 +388,14 @@
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let admission = &proxy.node.admission;
         admission.set(AdmissionDecision::BudgetSpent);
-        let response = proxy.response(&post("/stream/", "r1", TURN, "x")).await;
+        let response = proxy
+            .response(&post("/stream/", "r1", TURN_HEADERS, "x"))
+            .await;
         assert_eq!(response.status(), 402);
         admission.set(AdmissionDecision::RetryLater { retry_after_ms: 80 });
-        let response = proxy.response(&post("/stream/", "r2", TURN, "x")).await;
+        let response = proxy
+            .response(&post("/stream/", "r2", TURN_HEADERS, "x"))
+            .await;
         let retry_after = response.header("retry-after");
         assert_eq!((response.status(), retry_after), (503, Some("0.080")));
         assert!(endpoint.has_no_connection().await);
@@ -392,7 +407,9 @@
 fn a_turn_without_an_endpoint_releases_its_budget() {
     run_test(async {
         let proxy = TestProxy::start(&[]).await;
-        let response = proxy.response(&post("/stream/", "r1", TURN, "x")).await;
+        let response = proxy
+            .response(&post("/stream/", "r1", TURN_HEADERS, "x"))
+            .await;
         assert_eq!(response.status(), 503);
         assert_eq!(proxy.node.calls().last(), Some(&NodeCall::Release));
     });
@@ -402,8 +419,8 @@
 fn tool_calls_reserve_no_budget() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let more = "Program: p1\r\nSession: s1\r\nBudget: 5\r\n";
-        let mut stream = Stream::request(proxy, &endpoint, "/write/", more).await;
+        let more_headers = "Program: p1\r\nSession: s1\r\nBudget: 5\r\n";
+        let mut stream = Stream::request(proxy, &endpoint, "/write/", more_headers).await;
         stream.connection.respond(200, "r1", "", "ok").await;
         assert_eq!(stream.client.message().await.status(), 200);
         assert_eq!(
@@ -424,12 +441,12 @@
         let history = vec![bytes("first "), bytes("answer\n")];
         *node.history.borrow_mut() = History::Found(history);
         node.persist_permits.forget_permits(1000);
-        let more = format!("{TURN}Previous: r0\r\n");
-        let mut stream = Stream::request(proxy, &endpoint, "/turn/", &more).await;
+        let more_headers = format!("{TURN_HEADERS}Previous: r0\r\n");
+        let mut stream = Stream::request(proxy, &endpoint, "/turn/", &more_headers).await;
         assert_eq!(stream.request.text(), "first answer\nx");
         assert_eq!(stream.request.header("previous"), Some("r0"));
-        stream.connection.stream_head("r1", "").await;
-        stream.connection.chunk(&event(1)).await;
+        stream.connection.send_stream_head("r1", "").await;
+        stream.connection.send_chunk(&event(1)).await;
         let second = "versions: 2\nid: 2\ndata: a\ndata: b\n\n";
         stream.finish_with(second).await;
         let stored = NodeCall::Persist(CompletedTurn {
@@ -440,17 +457,21 @@
             output: bytes("word1\na\nb\n"),
             retention_ms: 60_000,
         });
-        node.called_with(&stored).await;
-        stream.client.until("data: b\n\n\r\n").await;
-        assert_eq!(stream.client.unread(), b"", "all events, and not the end");
+        node.wait_for_call(&stored).await;
+        stream.client.read_until("data: b\n\n\r\n").await;
+        assert_eq!(
+            stream.client.unread(),
+            b"",
+            "the last chunk is held back until the turn is stored"
+        );
         node.persist_permits.add_permits(1);
         assert_eq!(stream.next_chunk().await, "");
-        node.called_with(&NodeCall::Release).await;
+        node.wait_for_call(&NodeCall::Release).await;
     });
 }
 
 #[test]
-fn a_turn_that_is_not_stored_ends_truncated() {
+fn the_response_to_a_turn_that_is_not_stored_is_truncated() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let mut stream = Stream::start(&[&endpoint], "/turn/").await;
@@ -462,11 +483,11 @@
 }
 
 #[test]
-fn a_turn_with_a_stated_length_waits_for_its_store_as_well() {
+fn a_turn_with_a_content_length_also_ends_only_once_it_is_stored() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         proxy.node.persists.set(false);
-        let mut stream = Stream::request(proxy, &endpoint, "/turn/", TURN).await;
+        let mut stream = Stream::request(proxy, &endpoint, "/turn/", TURN_HEADERS).await;
         let event_type = "Content-Type: text/event-stream\r\n";
         let connection = &mut stream.connection;
         connection.respond(200, "r1", event_type, &event(1)).await;
@@ -476,18 +497,22 @@
 }
 
 #[test]
-fn a_turn_continues_only_a_known_one() {
+fn a_turn_that_continues_an_unknown_or_unavailable_turn_is_rejected() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let history = &proxy.node.history;
-        let more = format!("{TURN}Previous: r0\r\n");
+        let more_headers = format!("{TURN_HEADERS}Previous: r0\r\n");
         *history.borrow_mut() = History::Unknown;
-        let response = proxy.response(&post("/turn/", "r1", &more, "x")).await;
+        let response = proxy
+            .response(&post("/turn/", "r1", &more_headers, "x"))
+            .await;
         assert_eq!(response.status(), 404);
         *history.borrow_mut() = History::Unavailable {
             retry_after_ms: 300,
         };
-        let response = proxy.response(&post("/turn/", "r2", &more, "x")).await;
+        let response = proxy
+            .response(&post("/turn/", "r2", &more_headers, "x"))
+            .await;
         let retry_after = response.header("retry-after");
         assert_eq!((response.status(), retry_after), (503, Some("0.300")));
         assert!(endpoint.has_no_connection().await);
@@ -495,20 +520,20 @@
 }
 
 #[test]
-fn turns_are_persisted_only_where_the_route_says_so() {
+fn turns_are_persisted_only_on_routes_with_persistence() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let more = format!("{TURN}Previous: r0\r\n");
-        let mut stream = Stream::request(proxy, &endpoint, "/stream/", &more).await;
+        let more_headers = format!("{TURN_HEADERS}Previous: r0\r\n");
+        let mut stream = Stream::request(proxy, &endpoint, "/stream/", &more_headers).await;
         let previous = stream.request.header("previous");
         assert_eq!((previous, stream.request.text()), (Some("r0"), "x"));
-        stream.connection.stream_head("r1", "").await;
+        stream.connection.send_stream_head("r1", "").await;
         stream.finish_with(&event(1)).await;
         assert_eq!(stream.client.message().await.text(), event(1));
         let calls = stream.proxy.node.calls();
-        let is_of_persisted =
+        let is_store_call =
             |call: &NodeCall| matches!(call, NodeCall::Persist(_) | NodeCall::History { .. });
-        assert!(!calls.iter().any(is_of_persisted));
+        assert!(!calls.iter().any(is_store_call));
     });
 }
 
@@ -518,8 +543,10 @@
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
         let node = &proxy.node;
         node.admission_permits.forget_permits(1000);
-        let client = proxy.request(&post("/stream/", "r1", TURN, "x")).await;
-        node.called_with(&admission()).await;
+        let client = proxy
+            .send_request(&post("/stream/", "r1", TURN_HEADERS, "x"))
+            .await;
+        node.wait_for_call(&admission()).await;
         drop(client);
         // The connection is closed once the request is dropped.
         while proxy.server.counters().connections > 0 {
@@ -533,7 +560,7 @@
     });
 }
 
-/// Long timeouts before the first event, and short ones between events.
+/// Sets a long response timeout before the first event, and a short one between events.
 fn set_short_gap_timeouts(node: &TestNode) {
     node.edit_configuration(&[
         (r#""target_ms":200"#, r#""target_ms":20000"#),
@@ -541,13 +568,13 @@
     ]);
 }
 
-/// A turn with short timeouts between events, at the first of these endpoints, which has sent one event.
+/// Starts a turn with short timeouts between events; the first endpoint has sent one event.
 async fn start_with_short_gap_timeouts(endpoints: &[&TestEndpoint], path: &str) -> Stream {
     let proxy = TestProxy::start(endpoints).await;
     set_short_gap_timeouts(&proxy.node);
-    let mut stream = Stream::request(proxy, endpoints[0], path, TURN).await;
-    stream.connection.stream_head("r1", "").await;
-    stream.connection.chunk(&event(1)).await;
+    let mut stream = Stream::request(proxy, endpoints[0], path, TURN_HEADERS).await;
+    stream.connection.send_stream_head("r1", "").await;
+    stream.connection.send_chunk(&event(1)).await;
     stream
 }
 
@@ -561,7 +588,7 @@
         assert_eq!(message.header("last-event-id"), Some("1"));
         assert!(stream.connection.is_closed().await);
         stream.connection = connection;
-        stream.connection.stream_head("r1", "").await;
+        stream.connection.send_stream_head("r1", "").await;
         stream.finish_with(&event(2)).await;
         assert_eq!(stream.client.message().await.text(), events(1..=2));
         assert_eq!(stream.outcomes(), [Outcome::TimedOut, served(6)]);
@@ -573,7 +600,7 @@
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let mut stream = start_with_short_gap_timeouts(&[&endpoint], "/resume2/").await;
-        // An endpoint is chosen when the request comes, and again when the first is unresponsive.
+        // The second choice takes place once the endpoint is unresponsive.
         while stream.proxy.node.choices().len() < 2 {
             tokio::task::yield_now().await;
         }
@@ -589,16 +616,16 @@
         let (first, second) = two_endpoints().await;
         let endpoints = [&first, &second];
         let mut stream = start_with_short_gap_timeouts(&endpoints, "/stream/").await;
-        // Another one, which is idempotent, fails over meanwhile.
-        let request = post("/resume2/", "r2", TURN, "x");
-        let mut other = stream.proxy.request(&request).await;
+        // Meanwhile an idempotent request fails over.
+        let request = post("/resume2/", "r2", TURN_HEADERS, "x");
+        let mut other = stream.proxy.send_request(&request).await;
         let (mut unresponsive, _) = first.next_request().await;
-        unresponsive.stream_head("r2", "").await;
-        unresponsive.chunk(&event(1)).await;
+        unresponsive.send_stream_head("r2", "").await;
+        unresponsive.send_chunk(&event(1)).await;
         let (mut resumed, message) = second.next_request().await;
         assert_eq!(message.id(), "r2");
-        resumed.stream_head("r2", "").await;
-        resumed.last_chunk().await;
+        resumed.send_stream_head("r2", "").await;
+        resumed.send_last_chunk().await;
         assert_eq!(other.message().await.text(), event(1));
         stream.finish_with(&event(2)).await;
         assert_eq!(stream.client.message().await.text(), events(1..=2));
@@ -606,10 +633,10 @@
 }
 
 #[test]
-fn a_persisted_turn_needs_an_event_stream_for_a_response() {
+fn a_response_to_a_persisted_turn_that_is_not_an_event_stream_becomes_a_502() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let mut stream = Stream::request(proxy, &endpoint, "/turn/", TURN).await;
+        let mut stream = Stream::request(proxy, &endpoint, "/turn/", TURN_HEADERS).await;
         let json = "Content-Type: application/json\r\n";
         stream.connection.respond(200, "r1", json, "{}").await;
         assert_eq!(stream.client.message().await.status(), 502);
@@ -620,27 +647,29 @@
 fn a_persisted_turn_can_not_be_resumed() {
     run_test(async {
         let (proxy, endpoint) = TestProxy::with_endpoint().await;
-        let more = format!("{TURN}Last-Event-Id: 3\r\n");
-        let response = proxy.response(&post("/turn/", "r1", &more, "x")).await;
+        let more_headers = format!("{TURN_HEADERS}Last-Event-Id: 3\r\n");
+        let response = proxy
+            .response(&post("/turn/", "r1", &more_headers, "x"))
+            .await;
         assert_eq!(response.status(), 503);
         assert!(endpoint.has_no_connection().await);
     });
 }
 
 #[test]
-fn an_output_too_long_to_be_stored_ends_truncated() {
+fn a_response_with_an_output_too_long_to_be_stored_is_truncated() {
     run_test(async {
         let endpoint = TestEndpoint::start("i-1").await;
         let settings = ProxySettings {
             body_memory_bytes: 1000,
             ..ProxySettings::default()
         };
-        let proxy = TestProxy::with(&[&endpoint], settings).await;
-        let mut stream = Stream::request(proxy, &endpoint, "/turn/", TURN).await;
-        stream.connection.stream_head("r1", "").await;
-        stream.connection.chunk(&event(1)).await;
+        let proxy = TestProxy::with_settings(&[&endpoint], settings).await;
+        let mut stream = Stream::request(proxy, &endpoint, "/turn/", TURN_HEADERS).await;
+        stream.connection.send_stream_head("r1", "").await;
+        stream.connection.send_chunk(&event(1)).await;
         let long = format!("id: 2\ndata: {}\n\n", "x".repeat(2000));
-        stream.connection.chunk(&long).await;
+        stream.connection.send_chunk(&long).await;
         let truncated = stream.client.message_or_truncated().await.unwrap_err();
         assert_eq!(truncated.body, event(1).as_bytes());
         assert!(stream.connection.is_closed().await);
--- a/crates/serving/proxy/tests/support/fixtures.rs
+++ b/crates/serving/proxy/tests/support/fixtures.rs
@@ -1,10 +1,10 @@
-//! Files with the expected output of the data plane, byte by byte.
+//! Fixture files with the exact expected output of the data plane.
 //!
-//! `WRITE_FIXTURES=1` in the environment writes those that are missing; one that exists is never changed.
+//! With `WRITE_FIXTURES=1` in the environment, missing fixtures are written; existing ones are never changed.
 
 use std::path::PathBuf;
 
-/// Compares these bytes with the file of this name.
+/// Asserts that `bytes` equal the fixture file `name`.
 pub fn assert_fixture(name: &str, bytes: &[u8]) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
@@ -12,7 +12,8 @@
     if !path.exists() && std::env::var_os("WRITE_FIXTURES").is_some() {
         std::fs::write(&path, bytes).unwrap();
     }
-    let expected = std::fs::read(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
+    let expected = std::fs::read(&path)
+        .unwrap_or_else(|error| panic!("reading fixture {name} failed: {error}"));
     assert_eq!(
         bytes.escape_ascii().to_string(),
         expected.escape_ascii().to_string(),
@@ -20,7 +21,7 @@
     );
 }
 
-/// The text with the digits behind each of these labels replaced by `N`: times differ from run to run.
+/// Replaces the digits after each label by `N`, because times differ from run to run.
 pub fn without_times(text: &str, labels: &[&str]) -> String {
     labels.iter().fold(text.to_owned(), |text, label| {
         let mut sections = text.split(label);
@@ -28,7 +29,8 @@
         for section in sections {
             output.push_str(label);
             output.push('N');
-            output.push_str(section.trim_start_matches(|c: char| c.is_ascii_digit()));
+            output
+                .push_str(section.trim_start_matches(|character: char| character.is_ascii_digit()));
         }
         output
     })
--- a/crates/serving/proxy/tests/support/mod.rs
+++ b/crates/serving/proxy/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the data plane run with: a node that answers as it is told, endpoints and clients that are driven
-//! byte by byte. All of it waits for what happens, nothing for time to pass.
+//! The test harness of the data plane: a scripted node, and endpoints and clients that tests drive byte by byte. Tests
+//! wait for events, never for time to pass.
 #![allow(dead_code)] // Each test binary uses a part of it.
 
 pub mod fixtures;
@@ -23,10 +23,10 @@
 use tokio::task::LocalSet;
 use tokio::time::{timeout, Duration};
 
-/// Stops a test that hangs; none comes near it.
+/// Stops a test that hangs. Passing tests are far below it.
 const WATCHDOG: Duration = Duration::from_secs(30);
 
-/// Runs a test on one thread.
+/// Runs a test on a single-threaded runtime, with a watchdog.
 pub fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -34,18 +34,20 @@
         .unwrap();
     let local = LocalSet::new();
     runtime.block_on(local.run_until(async {
-        timeout(WATCHDOG, test).await.expect("the test hangs");
+        timeout(WATCHDOG, test)
+            .await
+            .expect("the test exceeds the watchdog timeout of 30 s");
     }));
 }
 
-/// Lets so much time pass for the data plane and its timers, at once.
+/// Advances the clock of the data plane and its timers by `time` at once.
 pub async fn pass_time(time: Duration) {
     tokio::time::pause();
     tokio::time::advance(time).await;
     tokio::time::resume();
 }
 
-/// Routes of every kind, all to the services `plain` and `engine`.
+/// A configuration with routes of every kind, to the services `plain` and `engine`.
 pub const CONFIGURATION: &str = r#"{"generation":1,
     "routes":[
         {"name":"read","host":"h.example","path_prefix":"/read/","kind":"read_only","timeout_ms":20000,"target_ms":150,"priority":1,"backend":"plain","retries":1},
@@ -66,33 +68,33 @@
 
 pub fn table(json: &str) -> Rc<RouteTable> {
     Rc::new(RouteTable::new(
-        &Document::replace(json.as_bytes()).expect("a proper configuration"),
+        &Document::replace(json.as_bytes()).expect("the test's configuration is valid"),
     ))
 }
 
-/// The headers of an agent program's turn of at most 8 tokens.
-pub const TURN: &str =
+/// The headers of an agent program's turn that generates at most 8 tokens.
+pub const TURN_HEADERS: &str =
     "Program: p1\r\nSession: s1\r\nBudget: 1000\r\nX-Dunespur-Token-Count: 1460,8\r\n";
 
-/// A request without a body.
+/// Returns a GET request without a body.
 pub fn get(path: &str, id: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Deadline-Ms: 15000\r\n\r\n")
 }
 
-/// A request with a body.
-pub fn post(path: &str, id: &str, more: &str, body: &str) -> String {
+/// Returns a POST request with a body and further headers.
+pub fn post(path: &str, id: &str, more_headers: &str, body: &str) -> String {
     format!(
-        "POST {path} HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Deadline-Ms: 15000\r\n{more}Content-Length: {}\r\n\r\n{body}",
+        "POST {path} HTTP/1.1\r\nHost: h.example\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Deadline-Ms: 15000\r\n{more_headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// An event with this id.
+/// Returns the bytes of an event with this id.
 pub fn event(id: u64) -> String {
     format!("id: {id}\ndata: word{id}\n\n")
 }
 
-/// The bytes of several events.
+/// Returns the bytes of the events with these ids.
 pub fn events(ids: std::ops::RangeInclusive<u64>) -> String {
     ids.map(event).collect()
 }
--- a/crates/serving/proxy/tests/support/peer.rs
+++ b/crates/serving/proxy/tests/support/peer.rs
@@ -1,18 +1,18 @@
-//! One side of a connection, client or endpoint, driven byte by byte.
+//! A client or endpoint connection that a test drives byte by byte.
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Iterations of the event loop after which nothing is left to do but to wait for a timer.
+/// Iterations of the event loop after which only timers are pending.
 const ITERATIONS_TO_IDLE: usize = 50;
 
-/// The other side of a connection.
+/// The test's end of a connection to the proxy.
 pub struct Peer {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-/// A message as it came over the wire.
+/// A request or response as received.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub first_line: String,
@@ -24,12 +24,13 @@
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .find(|(header_name, _)| header_name.eq_ignore_ascii_case(name))
             .map(|(_, value)| value.as_str())
     }
 
     pub fn id(&self) -> &str {
-        self.header("x-dunespur-request-id").expect("an id")
+        self.header("x-dunespur-request-id")
+            .expect("the message has a request id")
     }
 
     pub fn status(&self) -> u16 {
@@ -41,7 +42,7 @@
     }
 }
 
-/// What came of the body of a truncated message.
+/// The received part of the body of a truncated message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TruncatedMessage {
     pub body: Vec<u8>,
@@ -56,48 +57,48 @@
         }
     }
 
-    /// Sends this, unless the other side has disconnected.
+    /// Sends bytes; ignores a disconnect of the proxy.
     pub async fn send(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes).await;
     }
 
-    /// A response with a length to the request with this id.
-    pub async fn respond(&mut self, status: u16, id: &str, more: &str, body: &str) {
+    /// Sends a response with a `Content-Length` to the request with this id.
+    pub async fn respond(&mut self, status: u16, id: &str, more_headers: &str, body: &str) {
         let text = format!(
-            "HTTP/1.1 {status} X\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s.{id}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+            "HTTP/1.1 {status} X\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s.{id}\r\n{more_headers}Content-Length: {}\r\n\r\n{body}",
             body.len()
         );
         self.send(text.as_bytes()).await;
     }
 
-    /// The head of a stream of events.
-    pub async fn stream_head(&mut self, id: &str, more: &str) {
+    /// Sends the head of an event stream.
+    pub async fn send_stream_head(&mut self, id: &str, more_headers: &str) {
         let text = format!(
-            "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s.{id}\r\n{more}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+            "HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s.{id}\r\n{more_headers}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
         );
         self.send(text.as_bytes()).await;
     }
 
-    pub async fn chunk(&mut self, text: &str) {
+    pub async fn send_chunk(&mut self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
         self.send(chunk.as_bytes()).await;
     }
 
-    pub async fn last_chunk(&mut self) {
+    pub async fn send_last_chunk(&mut self) {
         self.send(b"0\r\n\r\n").await;
     }
 
-    /// Reads more; false at the end of the connection.
-    pub async fn more(&mut self) -> bool {
+    /// Reads further bytes into the buffer. Returns false at the end of the connection.
+    pub async fn read_more(&mut self) -> bool {
         matches!(self.stream.read_buf(&mut self.buffer).await, Ok(read) if read > 0)
     }
 
-    /// What has arrived and was not taken.
+    /// Returns the bytes that were read but not yet consumed.
     pub fn unread(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Whether neither bytes nor an end have arrived, once all that is due has been done.
+    /// Whether neither bytes nor an end of the connection have arrived once only timers are pending.
     pub async fn is_silent(&self) -> bool {
         for _ in 0..ITERATIONS_TO_IDLE {
             tokio::task::yield_now().await;
@@ -108,29 +109,29 @@
             && peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Waits for the end of the connection; whether nothing came before it.
+    /// Waits for further bytes or the end of the connection. Returns whether it has ended with no bytes left.
     pub async fn is_closed(&mut self) -> bool {
-        !self.more().await && self.buffer.is_empty()
+        !self.read_more().await && self.buffer.is_empty()
     }
 
-    /// Waits until this has arrived, and takes all up to its end.
-    pub async fn until(&mut self, wanted: &str) -> Vec<u8> {
+    /// Reads until `wanted` has arrived, and returns everything up to its end.
+    pub async fn read_until(&mut self, wanted: &str) -> Vec<u8> {
         loop {
-            if let Some(at) = find(&self.buffer, wanted.as_bytes()) {
-                return self.buffer.drain(..at + wanted.len()).collect();
+            if let Some(start) = find(&self.buffer, wanted.as_bytes()) {
+                return self.buffer.drain(..start + wanted.len()).collect();
             }
-            let came = self.more().await;
+            let is_open = self.read_more().await;
             assert!(
-                came,
-                "no {wanted:?} in {:?}",
+                is_open,
+                "the connection ended before {wanted:?}, after {:?}",
                 String::from_utf8_lossy(&self.buffer)
             );
         }
     }
 
-    /// The head of the next message.
+    /// Reads the head of the next message.
     pub async fn head(&mut self) -> Message {
-        let head = String::from_utf8(self.until("\r\n\r\n").await).unwrap();
+        let head = String::from_utf8(self.read_until("\r\n\r\n").await).unwrap();
         let mut lines = head.trim_end().split("\r\n");
         let first_line = lines.next().unwrap().to_owned();
         let header = |line: &str| {
@@ -144,42 +145,42 @@
         }
     }
 
-    /// The next complete message.
+    /// Reads the next message, which must be complete.
     pub async fn message(&mut self) -> Message {
         self.message_or_truncated()
             .await
-            .expect("a complete message")
+            .expect("the message is complete")
     }
 
-    /// The next message, or what of its body came before the connection ended.
+    /// Reads the next message, or the part of its body that arrived before the connection ended.
     pub async fn message_or_truncated(&mut self) -> Result<Message, TruncatedMessage> {
         let mut message = self.head().await;
         message.body = self
-            .body_of(&message)
+            .read_body(&message)
             .await
             .map_err(|body| TruncatedMessage { body })?;
         Ok(message)
     }
 
-    /// The head of the next message; None where the connection ends before it is complete.
+    /// Reads the head of the next message; None if the connection ends before the head is complete.
     pub async fn next_head(&mut self) -> Option<Message> {
         while find(&self.buffer, b"\r\n\r\n").is_none() {
-            if !self.more().await {
+            if !self.read_more().await {
                 return None;
             }
         }
         Some(self.head().await)
     }
 
-    /// The next message; None where the connection ends before it is complete.
+    /// Reads the next message; None if the connection ends before the message is complete.
     pub async fn next_message(&mut self) -> Option<Message> {
         let mut message = self.next_head().await?;
-        message.body = self.body_of(&message).await.ok()?;
+        message.body = self.read_body(&message).await.ok()?;
         Some(message)
     }
 
-    /// The body of the message with this head, or what of it came before the connection ended.
-    pub async fn body_of(&mut self, head: &Message) -> Result<Vec<u8>, Vec<u8>> {
+    /// Reads the body of the message with this head, or the part that arrived before the connection ended.
+    pub async fn read_body(&mut self, head: &Message) -> Result<Vec<u8>, Vec<u8>> {
         let mut body = Vec::new();
         if head.header("transfer-encoding") == Some("chunked") {
             loop {
@@ -194,14 +195,14 @@
             .header("content-length")
             .map_or(0, |length| length.parse().unwrap());
         while self.buffer.len() < length {
-            if !self.more().await {
+            if !self.read_more().await {
                 return Err(std::mem::take(&mut self.buffer));
             }
         }
         Ok(self.buffer.drain(..length).collect())
     }
 
-    /// The next chunk, an empty one at the end; None where the connection ends before it.
+    /// Reads the next chunk, empty at the end of the body; None if the connection ends before it.
     pub async fn next_chunk(&mut self) -> Option<Vec<u8>> {
         loop {
             if let Some(line) = find(&self.buffer, b"\r\n") {
@@ -214,20 +215,20 @@
                     return Some(chunk);
                 }
             }
-            if !self.more().await {
+            if !self.read_more().await {
                 return None;
             }
         }
     }
 
-    /// The bytes of the next message, from its first line to the end of its body.
+    /// Reads the raw bytes of the next message, from its first line to the end of its body.
     pub async fn raw_message(&mut self) -> Vec<u8> {
-        let mut bytes = self.until("\r\n\r\n").await;
+        let mut bytes = self.read_until("\r\n\r\n").await;
         let head = String::from_utf8(bytes.clone())
             .unwrap()
             .to_ascii_lowercase();
         if head.contains("\r\ntransfer-encoding: chunked\r\n") {
-            bytes.extend(self.until("0\r\n\r\n").await);
+            bytes.extend(self.read_until("0\r\n\r\n").await);
             return bytes;
         }
         let length = head
@@ -235,29 +236,32 @@
             .find_map(|line| line.strip_prefix("content-length: "));
         let length: usize = length.map_or(0, |length| length.parse().unwrap());
         while self.buffer.len() < length {
-            assert!(self.more().await, "the message ends before its length");
+            assert!(
+                self.read_more().await,
+                "the connection ended before the message's Content-Length"
+            );
         }
         bytes.extend(self.buffer.drain(..length));
         bytes
     }
 
-    /// Ends the connection in order towards the other side, and goes on reading.
-    pub async fn end_in_order(&mut self) {
+    /// Closes the write side of the connection; reading is still possible.
+    pub async fn shut_down_write(&mut self) {
         let _ = self.stream.shutdown().await;
     }
 
-    /// All that comes until the connection ends, however it does.
-    pub async fn rest(&mut self) -> Vec<u8> {
-        while self.more().await {}
+    /// Reads everything until the connection closes or is reset.
+    pub async fn read_to_end(&mut self) -> Vec<u8> {
+        while self.read_more().await {}
         std::mem::take(&mut self.buffer)
     }
 
-    /// A second handle of the socket, to write to it in the midst of something else.
+    /// Returns a second handle of the socket, for writes at a moment when the peer itself is in use.
     pub fn writer(&self) -> std::net::TcpStream {
         std::net::TcpStream::from(socket2::SockRef::from(&self.stream).try_clone().unwrap())
     }
 
-    /// Ends the connection at once, so that the other side sees a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         self.stream.set_zero_linger().unwrap();
     }
--- a/crates/serving/proxy/tests/support/test_endpoint.rs
+++ b/crates/serving/proxy/tests/support/test_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that a test drives.
+//! An endpoint whose connections a test drives.
 
 use super::{Message, Peer};
 use dunespur_routing::Server;
@@ -7,10 +7,10 @@
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// What a narrow endpoint's socket holds of what it has not read.
-const NARROW_BYTES: u32 = 16 * 1024;
+/// The size of the receive buffer of an endpoint with a small buffer.
+const SMALL_BUFFER_BYTES: u32 = 16 * 1024;
 
-/// An endpoint whose connections a test drives.
+/// A listening endpoint; the test accepts its connections.
 pub struct TestEndpoint {
     pub id: String,
     pub address: SocketAddr,
@@ -27,10 +27,10 @@
         }
     }
 
-    /// One whose connections hold little that it has not read, so that a long request stays with its sender.
-    pub async fn narrow(id: &str) -> TestEndpoint {
+    /// Starts an endpoint with a small receive buffer, so that most of an unread long request stays with the proxy.
+    pub async fn with_small_buffer(id: &str) -> TestEndpoint {
         let socket = TcpSocket::new_v4().unwrap();
-        socket.set_recv_buffer_size(NARROW_BYTES).unwrap();
+        socket.set_recv_buffer_size(SMALL_BUFFER_BYTES).unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let listener = socket.listen(64).unwrap();
         TestEndpoint {
@@ -40,19 +40,20 @@
         }
     }
 
-    /// One at whose port nobody listens.
+    /// Returns an endpoint that does not listen at its port.
     pub async fn dead(id: &str) -> TestEndpoint {
-        let mut dead = TestEndpoint::start(id).await;
-        dead.die();
-        dead
+        let mut endpoint = TestEndpoint::start(id).await;
+        endpoint.stop_listening();
+        endpoint
     }
 
-    /// Stops listening; connections that are open stay.
-    pub fn die(&mut self) {
+    /// Stops listening; open connections stay open.
+    pub fn stop_listening(&mut self) {
         self.listener = None;
     }
 
-    pub fn endpoint(&self) -> Rc<Server> {
+    /// Describes the endpoint as the node knows it.
+    pub fn server(&self) -> Rc<Server> {
         Rc::new(Server {
             id: self.id.as_str().into(),
             backend: "plain".into(),
@@ -70,7 +71,7 @@
         Peer::new(
             self.listener
                 .as_ref()
-                .expect("it listens")
+                .expect("the endpoint listens")
                 .accept()
                 .await
                 .unwrap()
@@ -78,22 +79,26 @@
         )
     }
 
-    /// The next connection with the first request on it.
+    /// Accepts the next connection and reads the first request on it.
     pub async fn next_request(&self) -> (Peer, Message) {
         let mut peer = self.accept().await;
         let message = peer.message().await;
         (peer, message)
     }
 
-    /// Whether nobody has connected so far.
+    /// Whether no further connection is waiting to be accepted.
     pub async fn has_no_connection(&self) -> bool {
-        let mut accept = std::pin::pin!(self.listener.as_ref().expect("it listens").accept());
+        let mut accept = std::pin::pin!(self
+            .listener
+            .as_ref()
+            .expect("the endpoint listens")
+            .accept());
         std::future::poll_fn(|cx| std::task::Poll::Ready(accept.as_mut().poll(cx).is_pending()))
             .await
     }
 }
 
-/// Two endpoints with the ids `i-1` and `i-2`.
+/// Starts two endpoints with the ids `i-1` and `i-2`.
 pub async fn two_endpoints() -> (TestEndpoint, TestEndpoint) {
     (
         TestEndpoint::start("i-1").await,
--- a/crates/serving/proxy/tests/support/test_node.rs
+++ b/crates/serving/proxy/tests/support/test_node.rs
@@ -1,4 +1,4 @@
-//! A node that answers as the test says.
+//! A node whose decisions a test sets.
 
 use super::{table, CONFIGURATION};
 use dunespur_configuration::RouteTable;
@@ -8,37 +8,40 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, Semaphore};
 
-/// Answers as the test says, and records every call.
+/// A node whose decisions a test sets, and that records every call.
 pub struct TestNode {
     pub table: RefCell<Option<Rc<RouteTable>>>,
     pub is_ready: Cell<bool>,
     pub configuration_stale: Cell<bool>,
-    /// Chosen in this order, those tried before left out.
+    /// The endpoints, chosen in this order; endpoints that a request has tried are skipped.
     pub endpoints: RefCell<Vec<Rc<Server>>>,
-    /// Services without an endpoint.
+    /// The services for which the choice is [`Choice::NoServer`].
     pub services_without_endpoints: RefCell<Vec<String>>,
-    /// Every choice is a rejection that names this time.
+    /// If set, every choice is a rejection with this time to the retry.
     pub reject_after_ms: Cell<Option<u64>>,
     pub engine_priority: Cell<Option<u8>>,
-    /// Whether an endpoint that was tried is offered again once there is no other.
+    /// Whether the first endpoint is chosen again once all endpoints were tried.
     pub offers_tried_again: Cell<bool>,
-    /// Done once, in the very moment in which an endpoint is chosen next.
+    /// Called once, during the next choice of an endpoint.
     pub on_next_choice: RefCell<Option<Box<dyn FnOnce()>>>,
     pub admission: Cell<AdmissionDecision>,
-    /// Permits of turns that may be admitted; none waits unless a test takes them away.
+    /// One permit per admission. Admissions wait only if a test removes the permits.
     pub admission_permits: Semaphore,
     pub history: RefCell<History>,
+    /// Whether storing a turn succeeds.
     pub persists: Cell<bool>,
-    /// Permits of turns that may be stored; none waits unless a test takes them away.
+    /// One permit per stored turn. Turns wait only if a test removes the permits.
     pub persist_permits: Semaphore,
-    pub log: RefCell<Vec<NodeCall>>,
+    /// All calls so far, in order.
+    pub call_log: RefCell<Vec<NodeCall>>,
     choices: RefCell<Vec<RecordedChoice>>,
     last_key: Cell<u64>,
-    changed: Notify,
+    /// Notified at every recorded call.
+    call_recorded: Notify,
     configuration_changed: Notify,
 }
 
-/// A call of the node.
+/// A recorded call of a [`Node`] method; choices are recorded separately.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeCall {
     AwaitChange,
@@ -58,7 +61,7 @@
     Persist(CompletedTurn),
 }
 
-/// What a choice was asked with.
+/// The arguments of a recorded choice.
 #[derive(Clone, Debug)]
 pub struct RecordedChoice {
     pub backend: String,
@@ -89,25 +92,25 @@
             history: RefCell::new(History::Found(Vec::new())),
             persists: Cell::new(true),
             persist_permits: Semaphore::new(1000),
-            log: RefCell::default(),
+            call_log: RefCell::default(),
             choices: RefCell::default(),
             last_key: Cell::new(0),
-            changed: Notify::new(),
+            call_recorded: Notify::new(),
             configuration_changed: Notify::new(),
         })
     }
 
-    /// Another table comes into force, or none, and the data plane is notified.
+    /// Replaces the route table and notifies the data plane.
     pub fn set_table(&self, table: Option<Rc<RouteTable>>) {
         *self.table.borrow_mut() = table;
         self.configuration_changed.notify_waiters();
     }
 
-    /// Replaces parts of the configuration that tests start with, without a notification.
+    /// Replaces parts of [`CONFIGURATION`], without a notification.
     pub fn edit_configuration(&self, replacements: &[(&str, &str)]) {
         let mut text = CONFIGURATION.to_owned();
         for (from, to) in replacements {
-            assert!(text.contains(from), "{from}");
+            assert!(text.contains(from), "not in the configuration: {from}");
             text = text.replace(from, to);
         }
         *self.table.borrow_mut() = Some(table(&text));
@@ -117,19 +120,20 @@
         self.choices.borrow().clone()
     }
 
-    /// How many sends it has allowed.
+    /// Returns the number of sends that the node has allowed.
     pub fn sends(&self) -> usize {
         self.last_key.get() as usize
     }
 
     pub fn calls(&self) -> Vec<NodeCall> {
-        self.log.borrow().clone()
+        self.call_log.borrow().clone()
     }
 
-    /// Outcomes of the sends so far, in order.
+    /// Returns the outcomes of the sends so far, in order.
     pub fn outcomes(&self) -> Vec<Outcome> {
-        let log = self.log.borrow();
-        log.iter()
+        let call_log = self.call_log.borrow();
+        call_log
+            .iter()
             .filter_map(|call| {
                 if let NodeCall::RecordOutcome(outcome) = call {
                     Some(*outcome)
@@ -140,9 +144,9 @@
             .collect()
     }
 
-    /// Tokens counted so far.
+    /// Returns the number of tokens recorded so far.
     pub fn recorded_tokens(&self) -> u64 {
-        self.log
+        self.call_log
             .borrow()
             .iter()
             .map(|call| {
@@ -156,19 +160,19 @@
     }
 
     fn record(&self, call: NodeCall) {
-        self.log.borrow_mut().push(call);
-        self.changed.notify_waiters();
+        self.call_log.borrow_mut().push(call);
+        self.call_recorded.notify_waiters();
     }
 
-    /// Waits for this call.
-    pub async fn called_with(&self, wanted: &NodeCall) {
+    /// Waits until this call has been recorded.
+    pub async fn wait_for_call(&self, wanted: &NodeCall) {
         loop {
-            let mut changed = std::pin::pin!(self.changed.notified());
-            changed.as_mut().enable();
-            if self.log.borrow().contains(wanted) {
+            let mut recorded = std::pin::pin!(self.call_recorded.notified());
+            recorded.as_mut().enable();
+            if self.call_log.borrow().contains(wanted) {
                 return;
             }
-            changed.await;
+            recorded.await;
         }
     }
 }
@@ -199,7 +203,7 @@
             prefix: request
                 .prefix
                 .iter()
-                .map(|part| (part.id, part.tokens))
+                .map(|segment| (segment.id, segment.tokens))
                 .collect(),
             prompt_tokens: request.prompt_tokens,
             max_tokens: request.max_tokens,
@@ -207,8 +211,8 @@
             time_left_ms: request.time_left_ms,
             tried: request.tried.iter().map(|id| id.to_string()).collect(),
         });
-        if let Some(act) = self.on_next_choice.borrow_mut().take() {
-            act();
+        if let Some(action) = self.on_next_choice.borrow_mut().take() {
+            action();
         }
         if let Some(retry_after_ms) = self.reject_after_ms.get() {
             return Choice::Reject { retry_after_ms };
--- a/crates/serving/proxy/tests/support/test_proxy.rs
+++ b/crates/serving/proxy/tests/support/test_proxy.rs
@@ -1,4 +1,4 @@
-//! The data plane under test.
+//! A proxy under test.
 
 use super::{Message, Peer, TestEndpoint, TestNode};
 use dunespur_proxy::{ProxyServer, ProxySettings, Safeguards};
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A proxy on a socket of its own.
+/// A proxy that listens on its own port.
 pub struct TestProxy {
     pub node: Rc<TestNode>,
     pub server: Rc<ProxyServer<TestNode>>,
@@ -15,32 +15,27 @@
 
 impl TestProxy {
     pub async fn start(endpoints: &[&TestEndpoint]) -> TestProxy {
-        TestProxy::with(endpoints, ProxySettings::default()).await
+        TestProxy::with_settings(endpoints, ProxySettings::default()).await
     }
 
-    /// One with a single endpoint, `i-1`.
+    /// Starts a proxy with a single endpoint, `i-1`.
     pub async fn with_endpoint() -> (TestProxy, TestEndpoint) {
         let endpoint = TestEndpoint::start("i-1").await;
         let proxy = TestProxy::start(&[&endpoint]).await;
         (proxy, endpoint)
     }
 
-    pub async fn with(endpoints: &[&TestEndpoint], settings: ProxySettings) -> TestProxy {
+    pub async fn with_settings(endpoints: &[&TestEndpoint], settings: ProxySettings) -> TestProxy {
         TestProxy::with_safeguards(endpoints, settings, Safeguards::default()).await
     }
 
-    /// One with single safeguards taken out.
+    /// Starts a proxy with the given safeguards.
     pub async fn with_safeguards(
         endpoints: &[&TestEndpoint],
         settings: ProxySettings,
         safeguards: Safeguards,
     ) -> TestProxy {
-        let node = TestNode::new(
-            endpoints
-                .iter()
-                .map(|endpoint| endpoint.endpoint())
-                .collect(),
-        );
+        let node = TestNode::new(endpoints.iter().map(|endpoint| endpoint.server()).collect());
         let server = ProxyServer::with_safeguards(node.clone(), settings, safeguards);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -56,13 +51,13 @@
         Peer::new(TcpStream::connect(self.address).await.unwrap())
     }
 
-    /// The response to this request, sent by a new client.
+    /// Sends a request from a new client and returns the response.
     pub async fn response(&self, request: &str) -> Message {
-        self.request(request).await.message().await
+        self.send_request(request).await.message().await
     }
 
-    /// A new client that has sent this.
-    pub async fn request(&self, request: &str) -> Peer {
+    /// Sends a request from a new client and returns the client.
+    pub async fn send_request(&self, request: &str) -> Peer {
         let mut client = self.client().await;
         client.send(request.as_bytes()).await;
         client
