--- a/crates/serving/proxy/src/node.rs
+++ b/crates/serving/proxy/src/node.rs
@@ -71,7 +71,7 @@
     BudgetSpent,
     /// It is not known at present whether the budget allows the turn.
     RetryLater {
-        /// When the client may retry.
+        /// Milliseconds until the client may retry.
         retry_after_ms: u64,
     },
 }
@@ -85,7 +85,7 @@
     Unknown,
     /// Not all stores that may have the turns could be queried.
     Unavailable {
-        /// When the client may retry.
+        /// Milliseconds until the client may retry.
         retry_after_ms: u64,
     },
 }
@@ -97,7 +97,7 @@
     pub id: String,
     /// The id of the turn that this turn continues.
     pub previous: Option<String>,
-    /// The agent program; empty where the client named none.
+    /// The agent program; empty if the client named none.
     pub program: String,
     /// The body of the client's request.
     pub input: Bytes,
--- a/crates/serving/proxy/src/route_match.rs
+++ b/crates/serving/proxy/src/route_match.rs
@@ -32,6 +32,7 @@
 }
 
 impl MatchedRequest {
+    /// Checks the version and the headers of a request and finds its route.
     pub(crate) async fn find<N: Node>(
         shared: &Shared<N>,
         head: &Parts,
--- a/crates/serving/proxy/tests/random_load.rs
+++ b/crates/serving/proxy/tests/random_load.rs
@@ -12,6 +12,7 @@
 
 const CLIENTS: u64 = 8;
 const REQUESTS_PER_CLIENT: u64 = 25;
+/// The number of events of a complete stream.
 const EVENTS: u64 = 6;
 const SEEDS: u64 = 6;
 
@@ -34,7 +35,7 @@
             return;
         };
         let id = request.id().to_owned();
-        let streams =
+        let is_stream =
             request.first_line.contains("/stream/") || request.first_line.contains("/resume");
         let draw = rng.u32(0..14);
         match draw {
@@ -62,8 +63,8 @@
             6 => peer.respond(200, "another", "", "another's").await,
             7 => return peer.send(b"\x00garbage\r\n\r\n").await,
             8 => return peer.send(format!("HTTP/1.1 200 OK\r\nX-Dunespur-Request-Id: {id}\r\nX-Dunespur-Response-Stamp: s\r\nContent-Length: 20\r\n\r\nhalf").as_bytes()).await,
-            9 if streams => return send_broken_stream(&mut rng, &mut peer, &request).await,
-            _ if streams => send_stream(&mut peer, &request, EVENTS).await,
+            9 if is_stream => return send_broken_stream(&mut rng, &mut peer, &request).await,
+            _ if is_stream => send_stream(&mut peer, &request, EVENTS).await,
             9 => {
                 peer.respond(200, &id, "Keep-Alive: timeout=5\r\n", &id).await;
                 peer.respond(200, &id, "Keep-Alive: timeout=5\r\n", &id).await;
@@ -172,12 +173,12 @@
         stamped,
         body,
     } = response;
-    let streams = path.starts_with("/stream") || path.starts_with("/resume");
+    let is_stream = path.starts_with("/stream") || path.starts_with("/resume");
     match (status, body) {
-        (200, Ok(body)) if streams => assert_eq!(body, events(1..=EVENTS).as_bytes(), "{id}"),
+        (200, Ok(body)) if is_stream => assert_eq!(body, events(1..=EVENTS).as_bytes(), "{id}"),
         (200, Ok(body)) => assert_eq!(body, id.as_bytes(), "{id}"),
         (200, Err(part)) => {
-            assert!(streams, "{id}: a truncated response that is not a stream");
+            assert!(is_stream, "{id}: a truncated 200 that is not a stream");
             assert!(events(1..=EVENTS).as_bytes().starts_with(part), "{id}");
             assert!(part.is_empty() || part.ends_with(b"\n\n"), "{id}");
         }
--- a/crates/serving/proxy/tests/support/peer.rs
+++ b/crates/serving/proxy/tests/support/peer.rs
@@ -79,11 +79,13 @@
         self.send(text.as_bytes()).await;
     }
 
+    /// Sends one chunk of a chunked body.
     pub async fn send_chunk(&mut self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
         self.send(chunk.as_bytes()).await;
     }
 
+    /// Sends the end of a chunked body.
     pub async fn send_last_chunk(&mut self) {
         self.send(b"0\r\n\r\n").await;
     }
--- a/crates/serving/proxy/tests/support/test_node.rs
+++ b/crates/serving/proxy/tests/support/test_node.rs
@@ -17,7 +17,7 @@
     pub endpoints: RefCell<Vec<Rc<Server>>>,
     /// The services for which the choice is [`Choice::NoServer`].
     pub services_without_endpoints: RefCell<Vec<String>>,
-    /// If set, every choice is a rejection with this time to the retry.
+    /// If set, every choice is a rejection with this retry time.
     pub reject_after_ms: Cell<Option<u64>>,
     pub engine_priority: Cell<Option<u8>>,
     /// Whether the first endpoint is chosen again once all endpoints were tried.
