--- a/crates/serving/storage/examples/commit_latency.rs
+++ b/crates/serving/storage/examples/commit_latency.rs
@@ -1,8 +1,8 @@
-//! How long the commits of a turn store take while its file grows from nothing.
+//! Prints the commit latency of a turn store whose file grows from empty: median, 99th percentile and maximum, in
+//! microseconds.
 //!
-//! `cargo run --release -p dunespur-storage --example commit_latency -- FOLDER` writes a file in FOLDER, on the disk
-//! that is to be measured, and removes it again. It prints the median, the 99th percentile and the maximum of the
-//! commits in microseconds.
+//! Run `cargo run --release -p dunespur-storage --example commit_latency -- FOLDER`. It writes a file to FOLDER, which
+//! should be on the disk to be tested, and removes the file at the end.
 
 use dunespur_storage::turns::TurnDisk;
 use dunespur_turn_replication::turn::Turn;
@@ -45,7 +45,12 @@
     drop(disk);
     fs::remove_file(&path)?;
     latencies_us.sort_unstable();
-    let at = |hundredths: usize| latencies_us[(latencies_us.len() - 1) * hundredths / 100];
-    println!("p50 {} us, p99 {} us, max {} us", at(50), at(99), at(100));
+    let percentile = |percent: usize| latencies_us[(latencies_us.len() - 1) * percent / 100];
+    println!(
+        "p50 {} us, p99 {} us, max {} us",
+        percentile(50),
+        percentile(99),
+        percentile(100)
+    );
     Ok(())
 }
--- a/crates/serving/storage/src/bounded_file.rs
+++ b/crates/serving/storage/src/bounded_file.rs
@@ -1,4 +1,4 @@
-//! A file as the database's storage backend, with reads bounded by its length.
+//! A storage backend for database files that refuses reads beyond the end of the file.
 
 use crate::durable_length::DurableLength;
 use redb::backends::FileBackend;
@@ -7,8 +7,9 @@
 use std::io::{Error, ErrorKind, Result};
 use std::path::Path;
 
-/// A file of which nothing is read beyond its end. Against a corrupt length: the library allocates that many bytes
-/// before it reads, and a process that doesn't get them is ended by the allocator, without unwinding.
+/// A file backend that rejects reads beyond the end of the file. The library allocates the buffer before it reads, so a
+/// corrupt length in the file could request more memory than is available, and the allocator would abort the process
+/// without unwinding.
 #[derive(Debug)]
 struct BoundedFile(FileBackend);
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// Opens a file that exists. An empty one is no database.
+/// Opens an existing database file. An empty file is an error.
 pub fn open(builder: &Builder, path: &Path) -> std::result::Result<Database, DatabaseError> {
     let file = OpenOptions::new().read(true).write(true).open(path)?;
     if file.metadata()?.len() == 0 {
@@ -47,7 +48,7 @@
     builder.create_with_backend(backend(file)?)
 }
 
-/// Makes an empty database in a file that must not exist yet.
+/// Creates an empty database. The file must not exist yet.
 pub fn create(builder: &Builder, path: &Path) -> std::result::Result<Database, DatabaseError> {
     let mut options = OpenOptions::new();
     let file = options.read(true).write(true).create_new(true).open(path)?;
--- a/crates/serving/storage/src/core/mod.rs
+++ b/crates/serving/storage/src/core/mod.rs
@@ -1,7 +1,7 @@
-//! The disk of a core member: the log, the snapshot, views and votes of [`dunespur_chain_replication`], in one database.
+//! The database of a core member: the log, the snapshot, views and votes of [`dunespur_chain_replication`].
 //!
-//! What [`CoreDisk::write`] has returned from is on the disk; of a call that a loss of power interrupted, either all or
-//! nothing is there.
+//! Once [`CoreDisk::write`] has returned, its writes are on the disk. If a power loss interrupts a call, either all of
+//! its writes are on the disk or none.
 
 mod reader;
 mod tables;
@@ -27,11 +27,11 @@
 }
 
 impl CoreDisk {
-    /// Opens the file, or makes it with a new identity if there is none. One that can't be read is set aside, and
-    /// counts as none: the member that wrote it is no more, and its votes don't count.
+    /// Opens the file, or creates it with a new identity. An unreadable file is set aside and replaced by a new one: the
+    /// new identity is another member, for which the earlier member's votes don't count.
     ///
     /// # Errors
-    /// The file can't be made or opened, for a reason that says nothing of its contents; it stays as it is.
+    /// The file can't be created or opened, and its contents are not the cause. The file is left unchanged.
     pub fn open(path: &Path) -> Result<Opened<CoreDisk, DurableState>> {
         open_or_set_aside(path, || Self::open_file(path))
     }
@@ -40,15 +40,15 @@
         let fresh = !path.exists();
         if fresh {
             new_file::create(path, tables::create)
-                .map_err(StorageError::operation("making", path))?;
+                .map_err(StorageError::operation("creating", path))?;
         }
         let database = open_checked(path).map_err(StorageError::operation("opening", path))?;
-        let database = ReopeningDatabase::of_file(database, path);
+        let database = ReopeningDatabase::from_file(database, path);
         Self::load(database, fresh).map_err(StorageError::operation("reading", path))
     }
 
-    /// Opens another backend than a file; an empty one is given an identity. `backend` gives access to it, again after
-    /// each error.
+    /// Opens a backend that is not a file; an empty one gets its tables and an identity. `backend` is called for the
+    /// first opening and for each reopening after an error.
     ///
     /// # Errors
     /// The backend can't be opened or read.
@@ -86,10 +86,10 @@
         })
     }
 
-    /// Brings all writes to the disk with one sync, all or none of them.
+    /// Applies all writes in one atomic, synced commit.
     ///
     /// # Errors
-    /// Nothing of it is on the disk, or it is not known to be. The same call may be made again.
+    /// The commit failed: none of the writes is on the disk, or whether they are is unknown. The call may be repeated.
     pub fn write(&self, writes: &[Write]) -> Result<()> {
         self.database.with(|database| {
             let transaction = begin_synced_write(database)?;
--- a/crates/serving/storage/src/core/reader.rs
+++ b/crates/serving/storage/src/core/reader.rs
@@ -1,4 +1,4 @@
-//! Reads at the start what a core member's database contains.
+//! Loads the contents of a core member's database at the start.
 
 use super::tables::{
     decode, get, SnapshotHeader, ENTRIES, FORMAT, KEY_ACCEPTED, KEY_DECIDED, KEY_DISK, KEY_FORMAT,
@@ -8,7 +8,7 @@
 use dunespur_chain_replication::{DurableState, Entry, Snapshot};
 use redb::{Database, ReadTransaction};
 
-/// The number of the disk, from a file of the known format.
+/// Reads the disk number, after checking the file's format.
 pub fn disk_number(database: &Database) -> Result<u64> {
     let values = database.begin_read()?.open_table(VALUES)?;
     let found: Option<u64> = get(&values, KEY_FORMAT)?;
@@ -18,10 +18,10 @@
             known: FORMAT,
         });
     }
-    get(&values, KEY_DISK)?.ok_or_else(|| missing("identity"))
+    get(&values, KEY_DISK)?.ok_or_else(|| missing("disk number"))
 }
 
-/// All that a member continues from.
+/// Loads the state from which a member continues after a restart.
 pub fn durable_state(database: &Database) -> Result<DurableState> {
     let transaction = database.begin_read()?;
     let values = transaction.open_table(VALUES)?;
@@ -49,7 +49,7 @@
     for number in 0..header.chunks {
         let chunk = chunks
             .get(number)?
-            .ok_or_else(|| missing(&format!("part {number} of the snapshot")))?;
+            .ok_or_else(|| missing(&format!("chunk {number} of the snapshot")))?;
         bytes.extend_from_slice(chunk.value());
     }
     Ok(Snapshot {
@@ -58,12 +58,12 @@
     })
 }
 
-/// The log from an index on.
+/// Reads the log entries from `first_index` on.
 fn entries(transaction: &ReadTransaction, first_index: u64) -> Result<Vec<Entry>> {
     let mut entries = Vec::new();
     for row in transaction.open_table(ENTRIES)?.range(first_index..)? {
         let (index, entry) = row?;
-        let record = || format!("entry {}", index.value());
+        let record = || format!("log entry {}", index.value());
         entries.push(decode(entry.value(), record)?);
     }
     Ok(entries)
--- a/crates/serving/storage/src/core/tables.rs
+++ b/crates/serving/storage/src/core/tables.rs
@@ -1,5 +1,5 @@
-//! Tables and records of a core member's database. Names and encodings are those of stored data: they stay as they are,
-//! or [`FORMAT`] changes.
+//! Tables and records of a core member's database. Names and encodings are part of the stored format: changing one
+//! requires a new [`FORMAT`].
 
 use crate::database::begin_synced_write;
 use crate::error::{Result, StorageError};
@@ -9,14 +9,15 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Changes whenever older files can't be read any more.
+/// Version of the stored format. It increases when files of the earlier format can no longer be read.
 pub const FORMAT: u64 = 2;
 
-/// Single values, each in postcard under its own key.
+/// Single values by key, encoded in postcard.
 pub const VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("values");
-/// The bytes of the snapshot in chunks, numbered from 0.
+/// Chunks of the snapshot by number, from 0 up.
 pub const SNAPSHOT_CHUNKS: TableDefinition<u32, &[u8]> = TableDefinition::new("snapshot_parts");
-/// The log's entries by index, in postcard. Some that the snapshot covers may still be there.
+/// Log entries by index, encoded in postcard. Entries that the snapshot covers are removed gradually, so some may
+/// remain.
 pub const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 
 pub const KEY_FORMAT: &str = "format";
@@ -27,14 +28,14 @@
 pub const KEY_SYNCED_VIEW: &str = "synced_view";
 pub const KEY_SNAPSHOT: &str = "snapshot";
 
-/// What is stored of a snapshot beside its chunks.
+/// Position of the snapshot and number of its chunks.
 #[derive(Serialize, Deserialize)]
 pub struct SnapshotHeader {
     pub position: Position,
     pub chunks: u32,
 }
 
-/// Gives a new file its tables and its identity.
+/// Creates the tables of an empty database and draws its disk number.
 pub fn create(database: &Database) -> Result<()> {
     let transaction = begin_synced_write(database)?;
     {
@@ -48,7 +49,7 @@
     Ok(())
 }
 
-/// Reads a single value, if it is there.
+/// Reads the value under `key`, if present.
 pub fn get<T: DeserializeOwned>(
     values: &impl ReadableTable<&'static str, &'static [u8]>,
     key: &str,
@@ -59,14 +60,14 @@
     decode(stored.value(), || format!("value of {key}")).map(Some)
 }
 
-/// Writes a single value.
+/// Writes the value under `key`.
 pub fn put<T: Serialize>(values: &mut Table<&str, &[u8]>, key: &str, value: &T) -> Result<()> {
     let bytes = encode(value, || format!("value of {key}"))?;
     values.insert(key, bytes.as_slice())?;
     Ok(())
 }
 
-/// Reads a record.
+/// Decodes a record; `record` names it in errors.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8], record: impl Fn() -> String) -> Result<T> {
     postcard::from_bytes(bytes).map_err(|source| StorageError::Decode {
         record: record(),
@@ -74,7 +75,7 @@
     })
 }
 
-/// The bytes of a record.
+/// Encodes a record; `record` names it in errors.
 pub fn encode<T: Serialize>(value: &T, record: impl Fn() -> String) -> Result<Vec<u8>> {
     postcard::to_stdvec(value).map_err(|source| StorageError::Encode {
         record: record(),
--- a/crates/serving/storage/src/core/writer.rs
+++ b/crates/serving/storage/src/core/writer.rs
@@ -1,4 +1,4 @@
-//! Writes of a core member as changes of its tables.
+//! Applies a core member's writes to the tables of its database.
 
 use super::tables::{
     encode, put, SnapshotHeader, ENTRIES, KEY_ACCEPTED, KEY_DECIDED, KEY_PROMISED, KEY_SNAPSHOT,
@@ -8,18 +8,18 @@
 use dunespur_chain_replication::{Entry, Snapshot, Write};
 use redb::{ReadableTable, Table, WriteTransaction};
 
-/// Bytes of one chunk of the snapshot. The library looks for contiguous space for each value: one large value makes the
-/// file grow to many times its size. It rounds the space up to a power of two: a chunk and what the library stores with
-/// it fill 16 KiB, one of 16 KiB would take 32.
+/// Size of a snapshot chunk. The library stores each value in contiguous space, so that one large value would make the
+/// file grow to many times its size. It rounds that space up to a power of two: a chunk with the library's overhead
+/// fills 16 KiB, while a chunk of 16 KiB would take 32 KiB.
 const CHUNK_BYTES: usize = (16 << 10) - 128;
-/// Entries that are removed with one write, for each that it adds, once the snapshot covers them.
-/// All removed at once made the file grow to ten times its contents, as pages are free again only after the commit.
+/// Entries covered by the snapshot that a commit removes for each entry that it adds. Removing all of them in one commit
+/// made the file grow to ten times its contents, as pages become free only after the commit.
 const REMOVED_PER_ENTRY: usize = 4;
-/// Entries that are removed with any write.
+/// Entries covered by the snapshot that every commit removes, even if it adds none.
 const REMOVED_PER_WRITE: usize = 8;
 
-/// Does to the tables what [`DurableState::apply`](dunespur_chain_replication::DurableState::apply) does in memory;
-/// gives the index of the last entry that the snapshot covers.
+/// Applies the writes to the tables, as [`DurableState::apply`](dunespur_chain_replication::DurableState::apply) does in
+/// memory. Returns the index of the last entry that the snapshot covers.
 pub fn apply(transaction: &WriteTransaction, writes: &[Write], snapshot_index: u64) -> Result<u64> {
     let mut values = transaction.open_table(VALUES)?;
     let mut entries = transaction.open_table(ENTRIES)?;
@@ -53,7 +53,7 @@
 }
 
 fn insert_entry(entries: &mut Table<u64, &[u8]>, entry: &Entry) -> Result<()> {
-    let bytes = encode(entry, || format!("entry {}", entry.index()))?;
+    let bytes = encode(entry, || format!("log entry {}", entry.index()))?;
     entries.insert(entry.index(), bytes.as_slice())?;
     Ok(())
 }
@@ -76,7 +76,7 @@
     put(values, KEY_SNAPSHOT, &header)
 }
 
-/// Removes the oldest entries that the snapshot covers, `max_removed` at most.
+/// Removes at most `max_removed` of the oldest entries that the snapshot covers.
 fn remove_covered(
     entries: &mut Table<u64, &[u8]>,
     snapshot_index: u64,
--- a/crates/serving/storage/src/database.rs
+++ b/crates/serving/storage/src/database.rs
@@ -1,31 +1,31 @@
-//! A database that is opened again after an error, and writes that are synced.
+//! A database handle that reopens after an error, and synced write transactions.
 
 use crate::bounded_file;
 use crate::durable_length::DurableLength;
 use crate::error::{Result, StorageError};
-use crate::recovery::without_panic;
+use crate::recovery::catch_library_panic;
 use redb::{Builder, Database, DatabaseError, Durability, StorageBackend, WriteTransaction};
 use std::cell::RefCell;
 use std::fmt;
 use std::path::Path;
 
-/// Memory in which the library keeps pages.
+/// Size of the library's page cache.
 const CACHE_BYTES: usize = 1 << 20;
 
-/// Opens the same database once more.
+/// Opens the database, for the first time or again after an error.
 type Opener = Box<dyn Fn() -> std::result::Result<Database, DatabaseError> + Send>;
 
-/// A database that is opened anew after an error: the library takes no further write and reads no page otherwise, also
-/// when the disk has space again.
+/// A database that is reopened after an error. Without reopening, the library refuses all later writes and page reads,
+/// even once the disk has space again.
 pub struct ReopeningDatabase {
     opener: Opener,
-    /// None after an error, until the database could be opened again.
+    /// `None` after an error, until the database has been reopened.
     database: RefCell<Option<Database>>,
 }
 
 impl ReopeningDatabase {
-    /// A database that was opened from a file.
-    pub fn of_file(database: Database, path: &Path) -> ReopeningDatabase {
+    /// Wraps a database that was opened from the file at `path`.
+    pub fn from_file(database: Database, path: &Path) -> ReopeningDatabase {
         let path = path.to_owned();
         ReopeningDatabase {
             opener: Box::new(move || bounded_file::open(&builder(), &path)),
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Opens a database on another backend than a file. `backend` gives access to it, again after each error.
+    /// Opens a database on a backend that is not a file. `backend` is called for the first opening and for each
+    /// reopening after an error.
     pub fn open_backend<B: StorageBackend>(
         backend: impl Fn() -> B + Send + 'static,
     ) -> Result<ReopeningDatabase> {
@@ -43,9 +44,9 @@
         Ok(ReopeningDatabase { opener, database })
     }
 
-    /// Works on the database.
+    /// Runs `work` on the database, which is reopened first if the previous call failed.
     pub fn with<T>(&self, work: impl FnOnce(&Database) -> Result<T>) -> Result<T> {
-        without_panic(|| {
+        catch_library_panic(|| {
             let mut open = self.database.borrow_mut();
             let database = match open.take() {
                 Some(database) => database,
@@ -53,9 +54,9 @@
                     source: Box::new(error.into()),
                 })?,
             };
-            let done = work(&database)?;
+            let result = work(&database)?;
             *open = Some(database);
-            Ok(done)
+            Ok(result)
         })
     }
 }
@@ -69,14 +70,14 @@
     }
 }
 
-/// How databases are opened.
+/// The options with which every database is opened.
 pub fn builder() -> Builder {
     let mut builder = Database::builder();
     builder.set_cache_size(CACHE_BYTES);
     builder
 }
 
-/// A transaction whose commit returns once it is synced.
+/// Begins a write transaction whose commit returns only after it has been synced to the disk.
 pub fn begin_synced_write(database: &Database) -> Result<WriteTransaction> {
     let mut transaction = database.begin_write()?;
     transaction.set_durability(Durability::Immediate);
--- a/crates/serving/storage/src/durable_length.rs
+++ b/crates/serving/storage/src/durable_length.rs
@@ -1,19 +1,19 @@
-//! A storage backend whose file never lacks a length that the database relies on.
+//! A storage backend that syncs each change of the file's length before later writes depend on it.
 //!
-//! The library writes its header, which says how long the file is, between two syncs and in no order with the change of
-//! the length itself. A loss of power may keep the header and lose the growth; the library then refuses the file for
-//! good, with all that was acknowledged in it.
+//! Between two syncs, the library changes the file's length and writes a header that records the new length, without
+//! ordering the two. A power loss may keep the header and lose the growth; the library then permanently refuses the
+//! file, with all acknowledged data in it.
 
 use redb::StorageBackend;
 use std::io::Result;
 
-/// Makes each change of the file's length durable by itself: the header that follows can't outlive the length that it
-/// names. The file's length changes seldom, as it doubles, so that a commit hardly ever pays for a second sync.
+/// Syncs each change of the file's length separately, so that a header can't survive a power loss without the length
+/// that it records. The file grows by doubling, so few commits pay for the additional sync.
 #[derive(Debug)]
 pub struct DurableLength<B>(B);
 
 impl<B: StorageBackend> DurableLength<B> {
-    /// Changes of the length are made durable on this backend.
+    /// Wraps `backend`.
     pub fn new(backend: B) -> DurableLength<B> {
         DurableLength(backend)
     }
@@ -29,7 +29,7 @@
     }
 
     fn set_len(&self, len: u64) -> Result<()> {
-        // Before a file is shortened, the header that names the shorter length is durable.
+        // The header that records the shorter length must be durable before the file is truncated.
         if len < self.0.len()? {
             self.0.sync_data(false)?;
         }
--- a/crates/serving/storage/src/error.rs
+++ b/crates/serving/storage/src/error.rs
@@ -1,94 +1,96 @@
-//! What can go wrong with a database file.
+//! Errors of opening, reading and writing a database file.
 
 use std::io::{self, ErrorKind};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a database can't be opened, read or written. The causes of an error are its
-/// [`source`](std::error::Error::source)s.
+/// Why a database can't be opened, read or written. Underlying errors are available through
+/// [`source`](std::error::Error::source).
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum StorageError {
-    /// The database library refused or failed.
+    /// The database library returned an error.
     #[error(transparent)]
     Database(Box<redb::Error>),
-    /// The operating system refused or failed.
+    /// A file-system call failed.
     #[error("{operation} {}", path.display())]
     File {
-        /// What was tried.
+        /// The operation that failed.
         operation: &'static str,
         /// The file or folder.
         path: PathBuf,
-        /// Why it failed.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file's layout is one that this program doesn't know. The file may be complete: another version of the
-    /// program reads it.
-    #[error("format {found:?} is not {known}, the one that this program knows")]
+    /// This program does not support the file's format. The file may be intact: it belongs to another version of the
+    /// program.
+    #[error("file format {found:?} is not supported: this program reads format {known}")]
     UnknownFormat {
-        /// What the file says of itself.
+        /// The format that the file records, if any.
         found: Option<u64>,
-        /// What this program reads and writes.
+        /// The format that this program reads and writes.
         known: u64,
     },
-    /// A record that has to be there is not.
-    #[error("no {record}")]
+    /// A required record is missing.
+    #[error("the file has no {record}")]
     Missing {
-        /// Which one.
+        /// The missing record.
         record: String,
     },
-    /// The bytes of a record are not its encoding.
+    /// The stored bytes of a record can't be decoded.
     #[error("{record} can't be decoded")]
     Decode {
-        /// Which one.
+        /// The record that was read.
         record: String,
-        /// What the decoder says.
+        /// The decoder's error.
         source: postcard::Error,
     },
-    /// A value can't be written as a record.
+    /// A value can't be encoded as a record.
     #[error("{record} can't be encoded")]
     Encode {
-        /// Which record.
+        /// The record that was to be written.
         record: String,
-        /// What the encoder says.
+        /// The encoder's error.
         source: postcard::Error,
     },
-    /// The body of a turn has another length than its header says.
-    #[error("turn {id} has {bytes} bytes, its header says otherwise")]
+    /// The length of a turn's stored body differs from the length in the turn's header.
+    #[error(
+        "the body of turn {id} has {bytes} bytes, which is not the length that its header records"
+    )]
     BodyLength {
-        /// The turn.
+        /// Id of the turn.
         id: String,
-        /// How many bytes its body has.
+        /// Length of the stored body.
         bytes: usize,
     },
-    /// The database library panicked, as it does on some broken files.
-    #[error("the file is broken: {panic}")]
+    /// The database library panicked, as it does on some corrupt files.
+    #[error("the database library panicked, the file is probably corrupt: {panic}")]
     Panicked {
-        /// The text of the panic.
+        /// Message of the panic.
         panic: String,
     },
     /// An operation on a database file failed.
     #[error("{operation} {}", path.display())]
     Operation {
-        /// What was tried.
+        /// The operation that failed.
         operation: &'static str,
-        /// The file.
+        /// The database file.
         path: PathBuf,
-        /// Why it failed.
+        /// Why the operation failed.
         source: Box<StorageError>,
     },
-    /// A database that had failed could not be opened again.
-    #[error("opening the database again after an error")]
+    /// The database could not be reopened after an earlier error.
+    #[error("reopening the database after an error")]
     Reopen {
-        /// Why it failed.
+        /// Why the reopening failed.
         source: Box<StorageError>,
     },
 }
 
-/// A result of this package.
+/// The result type of this package.
 pub(crate) type Result<T> = std::result::Result<T, StorageError>;
 
-/// The library has an error type for each operation; all of them are parts of [`redb::Error`].
+/// Converts the library's error types, one for each operation: all of them convert to [`redb::Error`].
 impl<E: Into<redb::Error>> From<E> for StorageError {
     fn from(error: E) -> StorageError {
         StorageError::Database(Box::new(error.into()))
@@ -96,7 +98,7 @@
 }
 
 impl StorageError {
-    /// For `map_err` on calls of the operating system.
+    /// For `map_err` on file-system calls: adds the operation and the path.
     pub(crate) fn file<'a>(
         operation: &'static str,
         path: &'a Path,
@@ -108,7 +110,7 @@
         }
     }
 
-    /// For `map_err`: names the operation and the file.
+    /// For `map_err` on database calls: adds the operation and the file.
     pub(crate) fn operation<'a>(
         operation: &'static str,
         path: &'a Path,
@@ -120,8 +122,8 @@
         }
     }
 
-    /// Whether the contents of the file are the cause. Rights, a full disk, another process that has the file open and
-    /// another format say nothing of them.
+    /// Whether the file's contents caused the error. Missing permissions, a full disk, a file that is open in another
+    /// process and an unknown format are not such causes.
     pub(crate) fn is_unreadable(&self) -> bool {
         match self {
             StorageError::Operation { source, .. } | StorageError::Reopen { source } => {
@@ -142,7 +144,7 @@
         }
     }
 
-    /// The error and its causes in one line.
+    /// The error and its chain of causes on one line.
     #[must_use]
     pub fn with_causes(&self) -> String {
         let mut text = self.to_string();
--- a/crates/serving/storage/src/identity.rs
+++ b/crates/serving/storage/src/identity.rs
@@ -1,36 +1,36 @@
-//! Which incarnation of its contents a disk has.
+//! Identity of a disk's contents.
 //!
-//! It is not the incarnation of a process: that one names a run of the process and changes with each restart, while
-//! that of a disk's contents outlasts restarts and changes only when the contents are lost and the file is made anew.
+//! A process's incarnation changes with each restart. A disk's identity survives restarts, and changes only when the
+//! contents are lost and the file is created again.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
 use std::time::SystemTime;
 
-/// Names the contents of a disk. A disk that was lost or wiped comes back under another number: acknowledgements of its
-/// earlier contents don't hold for it.
+/// Identifies the contents of a disk. A disk that was lost or wiped gets another number, so that acknowledgements given
+/// for the earlier contents are not attributed to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiskIdentity {
-    /// Drawn at random when the file was made.
+    /// Random number, drawn when the file was created.
     pub disk: u64,
-    /// Nothing may be expected of the contents. Of a core member's disk: the file was made just now. Of a turn store's:
-    /// it was never marked complete, see [`TurnDisk::mark_complete`](crate::turns::TurnDisk::mark_complete).
+    /// Whether the disk may lack data that it should hold. A core member's disk is fresh if the file was created just
+    /// now; a turn store's until [`TurnDisk::mark_complete`](crate::turns::TurnDisk::mark_complete) was called.
     pub fresh: bool,
 }
 
-/// A disk that was opened, and what was found on it.
+/// An opened disk, its identity and its stored contents.
 #[derive(Debug)]
 pub struct Opened<D, C> {
-    /// For reading and writing.
+    /// The open database.
     pub disk: D,
-    /// Which incarnation of the contents it is; not that of the process that opened it.
+    /// Identity of the contents.
     pub identity: DiskIdentity,
-    /// What was found.
+    /// The contents that were loaded.
     pub contents: C,
 }
 
-/// A number for a new file. The standard library's hash keys come from the operating system's random source; time and
-/// process are mixed in should that be poor.
+/// Draws a number for a new file. The standard library's hash keys come from the operating system's random source; the
+/// time and the process id are mixed in, in case that source is weak.
 pub(crate) fn random_disk_number() -> u64 {
     let mut hasher = RandomState::new().build_hasher();
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
--- a/crates/serving/storage/src/lib.rs
+++ b/crates/serving/storage/src/lib.rs
@@ -1,8 +1,8 @@
-//! Databases of the serving tier's processes, on `redb`: what is acknowledged has been synced to the disk.
+//! Databases of the serving tier's processes, on `redb`. Every acknowledged write has been synced to the disk.
 //!
-//! [`core::CoreDisk`] keeps the log, snapshot and votes of a core member, [`turns::TurnDisk`] the turns of a store. All
-//! calls block: the caller has a thread for them. Each file is opened by [`recovery`], which sets files aside that can't
-//! be read.
+//! [`core::CoreDisk`] stores the log, snapshot and votes of a core member, [`turns::TurnDisk`] the turns of a turn store.
+//! All calls block, so callers run them on a separate thread. Files are opened through [`recovery`], which sets
+//! unreadable files aside.
 
 mod bounded_file;
 pub mod core;
--- a/crates/serving/storage/src/new_file.rs
+++ b/crates/serving/storage/src/new_file.rs
@@ -1,4 +1,4 @@
-//! Making of a database file: what bears the right name is complete, whenever power is lost.
+//! Creation of a database file. A file under its final name is complete, even if power is lost during the creation.
 
 use crate::bounded_file;
 use crate::database::builder;
@@ -8,20 +8,20 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Makes a file under another name, has it filled and closed, and gives it its name.
+/// Creates the file under a temporary name, fills and closes it, and renames it to `path`.
 pub fn create(path: &Path, fill: impl FnOnce(&Database) -> Result<()>) -> Result<()> {
-    let unfinished = unfinished_path(path);
-    if unfinished.exists() {
-        fs::remove_file(&unfinished).map_err(StorageError::file("removing", &unfinished))?;
+    let temporary = temporary_path(path);
+    if temporary.exists() {
+        fs::remove_file(&temporary).map_err(StorageError::file("removing", &temporary))?;
     }
-    let database = bounded_file::create(&builder(), &unfinished)?;
+    let database = bounded_file::create(&builder(), &temporary)?;
     fill(&database)?;
     drop(database);
-    fs::rename(&unfinished, path).map_err(StorageError::file("renaming", &unfinished))?;
+    fs::rename(&temporary, path).map_err(StorageError::file("renaming", &temporary))?;
     sync_folder(path)
 }
 
-fn unfinished_path(path: &Path) -> PathBuf {
+fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".unfinished");
     PathBuf::from(name)
--- a/crates/serving/storage/src/turns/mod.rs
+++ b/crates/serving/storage/src/turns/mod.rs
@@ -1,5 +1,5 @@
-//! The turns of one store machine in one database: headers and bodies in tables of their own, so that a start reads
-//! the headers only. One synced commit for many turns.
+//! The database of a turn store. Headers and bodies are in separate tables, so that a start reads only the headers. Many
+//! turns share one synced commit.
 
 mod record;
 mod tables;
@@ -23,26 +23,27 @@
 }
 
 impl TurnDisk {
-    /// Opens the file, or makes it. One that can't be read is set aside: that is a new incarnation of the disk, and the
-    /// store fetches from others what it should have.
+    /// Opens the file, or creates it. An unreadable file is set aside: the disk gets a new identity, and the store fetches
+    /// its turns from other stores.
     ///
     /// # Errors
-    /// The file can't be made or opened, for a reason that says nothing of its contents; it stays as it is.
+    /// The file can't be created or opened, and its contents are not the cause. The file is left unchanged.
     pub fn open(path: &Path) -> Result<Opened<TurnDisk, Vec<TurnHeader>>> {
         open_or_set_aside(path, || Self::open_file(path))
     }
 
     fn open_file(path: &Path) -> Result<Opened<TurnDisk, Vec<TurnHeader>>> {
         if !path.exists() {
-            let made = new_file::create(path, |database| tables::create(database).map(drop));
-            made.map_err(StorageError::operation("making", path))?;
+            let created = new_file::create(path, |database| tables::create(database).map(drop));
+            created.map_err(StorageError::operation("creating", path))?;
         }
         let database = open_checked(path).map_err(StorageError::operation("opening", path))?;
-        Self::load(ReopeningDatabase::of_file(database, path))
+        Self::load(ReopeningDatabase::from_file(database, path))
             .map_err(StorageError::operation("reading", path))
     }
 
-    /// Opens another backend than a file; `backend` gives access to it, again after each error.
+    /// Opens a backend that is not a file. `backend` is called for the first opening and for each reopening after an
+    /// error.
     ///
     /// # Errors
     /// The backend can't be opened or read.
@@ -67,7 +68,7 @@
     /// Writes turns in one synced commit.
     ///
     /// # Errors
-    /// None of them is on the disk, or they are not known to be.
+    /// The commit failed: none of the turns is on the disk, or whether they are is unknown.
     pub fn put(&self, turns: &[Turn]) -> Result<()> {
         self.database.with(|database| {
             let transaction = begin_synced_write(database)?;
@@ -89,7 +90,7 @@
         })
     }
 
-    /// Reads one turn.
+    /// Reads the turn with the given id, if it is stored.
     ///
     /// # Errors
     /// The database can't be read.
@@ -97,7 +98,7 @@
         Ok(self.get_many(std::slice::from_ref(&id))?.pop())
     }
 
-    /// Reads turns in the order of the ids; those that are not there are left out.
+    /// Reads turns in the order of `ids`. Ids without a stored turn are skipped.
     ///
     /// # Errors
     /// The database can't be read.
@@ -121,7 +122,7 @@
     /// Deletes turns in one synced commit.
     ///
     /// # Errors
-    /// None of them is deleted, or they are not known to be.
+    /// The commit failed: none of the turns is deleted, or whether they are is unknown.
     pub fn remove(&self, ids: &[impl AsRef<str>]) -> Result<()> {
         self.database.with(|database| {
             let transaction = begin_synced_write(database)?;
@@ -138,10 +139,10 @@
         })
     }
 
-    /// Records, synced, that everything that should be on this disk is there.
+    /// Records in a synced commit that this disk holds all the turns that it should hold.
     ///
     /// # Errors
-    /// It is not recorded, or not known to be.
+    /// The commit failed: the mark is not recorded, or whether it is is unknown.
     pub fn mark_complete(&self) -> Result<()> {
         self.database.with(|database| {
             let transaction = begin_synced_write(database)?;
@@ -151,10 +152,11 @@
         })
     }
 
-    /// Performs a job of the store's state machine.
+    /// Performs disk work that the store's state machine requests.
     ///
     /// # Errors
-    /// Those of the method that the job stands for.
+    /// Those of [`put`](Self::put), [`get_many`](Self::get_many), [`remove`](Self::remove) or
+    /// [`mark_complete`](Self::mark_complete).
     pub fn perform(&self, work: &DiskWork) -> Result<DiskOutcome> {
         match work {
             DiskWork::Put(turns) => self.put(turns)?,
--- a/crates/serving/storage/src/turns/record.rs
+++ b/crates/serving/storage/src/turns/record.rs
@@ -1,11 +1,11 @@
-//! Encoding of a turn: its header in postcard, its body as input and output, one behind the other.
+//! Stored records of a turn: the header in postcard, and the body as the input followed by the output.
 
 use crate::error::{Result, StorageError};
 use bytes::Bytes;
 use dunespur_turn_replication::turn::{size_of_turn, Turn, TurnHeader};
 use serde::{Deserialize, Serialize};
 
-/// A header as it is stored. The order of the fields is that of the stored bytes.
+/// The stored header of a turn. The order of the fields determines the stored bytes.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeaderRecord<'a> {
     previous: Option<&'a str>,
@@ -16,7 +16,7 @@
     retention_ms: u64,
 }
 
-/// The header's record of a turn.
+/// Encodes the header of a turn.
 pub fn encode_header(turn: &Turn) -> Result<Vec<u8>> {
     let header = HeaderRecord {
         previous: turn.previous.as_deref(),
@@ -32,7 +32,7 @@
     })
 }
 
-/// Reads a header's record.
+/// Decodes the header of a turn.
 pub fn decode_header(bytes: &[u8]) -> Result<HeaderRecord<'_>> {
     postcard::from_bytes(bytes).map_err(|source| StorageError::Decode {
         record: "the header of a turn".to_owned(),
@@ -40,7 +40,7 @@
     })
 }
 
-/// What the store's index keeps of a turn.
+/// Builds the header that the store's in-memory index keeps.
 pub fn turn_header(id: &str, header: &HeaderRecord<'_>) -> TurnHeader {
     let body_bytes = header.input_bytes + header.output_bytes;
     TurnHeader {
@@ -53,7 +53,7 @@
     }
 }
 
-/// A turn from its two records.
+/// Builds a turn from its header and body records.
 pub fn turn(id: &str, header: &HeaderRecord<'_>, body: &[u8]) -> Result<Turn> {
     if body.len() as u64 != header.input_bytes + header.output_bytes {
         return Err(StorageError::BodyLength {
--- a/crates/serving/storage/src/turns/tables.rs
+++ b/crates/serving/storage/src/turns/tables.rs
@@ -1,4 +1,4 @@
-//! Tables of a turn store's database. Names are those of stored data: they stay as they are, or [`FORMAT`] changes.
+//! Tables of a turn store's database. The names are part of the stored format: changing one requires a new [`FORMAT`].
 
 use super::record;
 use crate::database::begin_synced_write;
@@ -7,21 +7,21 @@
 use dunespur_turn_replication::turn::TurnHeader;
 use redb::{Database, ReadableTable, TableDefinition, TableError};
 
-/// Layout of the tables; a file of another is refused.
+/// Version of the table layout. A file with another version is refused.
 const FORMAT: u64 = 1;
 
-/// What the file says of itself.
+/// Format, disk number and completeness of the file.
 pub const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 const META_FORMAT: &str = "format";
 const META_DISK: &str = "disk";
-/// There once the disk was marked complete.
+/// Present once the disk was marked complete.
 pub const META_COMPLETE: &str = "whole";
-/// Id to [`record::HeaderRecord`], encoded.
+/// Turn id to the encoded [`record::HeaderRecord`].
 pub const HEADERS: TableDefinition<&str, &[u8]> = TableDefinition::new("headers");
-/// Id to input and output, one behind the other.
+/// Turn id to the input followed by the output.
 pub const BODIES: TableDefinition<&str, &[u8]> = TableDefinition::new("bodies");
 
-/// Reads which disk it is; a new one is given its tables and its number.
+/// Reads the identity of the disk. An empty database first gets its tables and a disk number.
 pub fn identity(database: &Database) -> Result<DiskIdentity> {
     match stored_identity(database)? {
         Some(identity) => Ok(identity),
@@ -29,7 +29,7 @@
     }
 }
 
-/// Gives a new file its tables and its identity.
+/// Creates the tables of an empty database and draws its disk number.
 pub fn create(database: &Database) -> Result<DiskIdentity> {
     let disk = random_disk_number();
     let transaction = begin_synced_write(database)?;
@@ -62,7 +62,7 @@
         }
     }
     let disk = number(META_DISK)?.ok_or_else(|| StorageError::Missing {
-        record: "identity in the file of turns".to_owned(),
+        record: "disk number".to_owned(),
     })?;
     let fresh = number(META_COMPLETE)?.is_none();
     Ok(Some(DiskIdentity { disk, fresh }))
--- a/crates/serving/storage/tests/compatibility/core.rs
+++ b/crates/serving/storage/tests/compatibility/core.rs
@@ -1,6 +1,6 @@
-//! Files of core members.
+//! Compatibility of core members' files.
 
-use crate::dump::{dump, shown};
+use crate::dump::{dump, format_value};
 use dunespur_budget::{CounterChange, CounterReply, CounterRequest, LimiterId};
 use dunespur_chain_replication::{
     AcceptedView, DecidedView, DurableState, Entry, MemberId, Origin, Payload, Peer, Position,
@@ -21,7 +21,7 @@
 const SNAPSHOT_CHUNKS: TableDefinition<u32, &[u8]> = TableDefinition::new("snapshot_parts");
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 
-/// The identity that the fixture's disk was given.
+/// Disk number in the fixture.
 const FIXTURE_DISK: u64 = 9_936_915_957_175_005_276;
 const CONFIGURATION: &str = concat!(
     r#"{"generation":11,"routes":[{"name":"r1","host":"h1.example","path_prefix":"/p1/","kind":"read_only","#,
@@ -77,8 +77,8 @@
     }
 }
 
-/// One write of each kind, each field with a value of its own. The snapshot needs three rows.
-fn one_of_each() -> Vec<Write> {
+/// One write of each kind, with distinct values in all fields. The snapshot takes three chunks.
+fn writes_of_each_kind() -> Vec<Write> {
     let accepted = AcceptedView {
         proposal_number: proposal_number(21, 2, 22),
         proposal: view(8),
@@ -119,18 +119,18 @@
     Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// All rows but that of the identity, which is drawn at random.
+/// Dumps all rows. The disk number is masked, as it is random.
 fn records(path: &Path) -> String {
     let database = Database::open(path).expect("the library opens it");
     let values = dump(&database, VALUES, |key, value| match key {
         "disk" => (key.to_owned(), "drawn at random".to_owned()),
-        _ => (key.to_owned(), shown(value)),
+        _ => (key.to_owned(), format_value(value)),
     });
     let chunks = dump(&database, SNAPSHOT_CHUNKS, |number, chunk| {
-        (number.to_string(), shown(chunk))
+        (number.to_string(), format_value(chunk))
     });
     let entries = dump(&database, ENTRIES, |index, entry| {
-        (index.to_string(), shown(entry))
+        (index.to_string(), format_value(entry))
     });
     values + &chunks + &entries
 }
@@ -139,17 +139,17 @@
 fn records_of_a_core_member_have_the_bytes_of_the_earlier_revision() {
     let folder = TemporaryFolder::new("storage-core-records");
     let path = folder.file("core.redb");
-    let Opened { disk, .. } = CoreDisk::open(&path).expect("a new file");
-    // The entries that the snapshot covers go with the next commit; here they stay for the comparison.
-    let (snapshot, others) = one_of_each()
+    let Opened { disk, .. } = CoreDisk::open(&path).expect("the file is created");
+    // The commit of the snapshot removes the entries that it covers, so the dump before it is compared as well.
+    let (snapshot, others) = writes_of_each_kind()
         .split_last()
         .map(|(last, rest)| (last.clone(), rest.to_vec()))
         .expect("some");
-    disk.write(&others).expect("the disk accepts it");
+    disk.write(&others).expect("the write succeeds");
     drop(disk);
     fixtures().assert_text("core-before-snapshot.txt", &records(&path));
     let Opened { disk, .. } = CoreDisk::open(&path).expect("it opens again");
-    disk.write(&[snapshot]).expect("the disk accepts it");
+    disk.write(&[snapshot]).expect("the write succeeds");
     drop(disk);
     fixtures().assert_text("core-after-snapshot.txt", &records(&path));
 }
@@ -196,7 +196,7 @@
     })
 }
 
-/// What the fixture's snapshot contains.
+/// Operations that the fixture's snapshot covers.
 fn operations_before_snapshot() -> Vec<Operation> {
     let body = CONFIGURATION.as_bytes().to_vec();
     vec![
@@ -222,7 +222,7 @@
     ]
 }
 
-/// What the fixture's log has behind the snapshot.
+/// Operations in the fixture's log after the snapshot.
 fn operations_after_snapshot() -> Vec<Operation> {
     vec![
         budget(2, 250, CounterChange::Return { units: 20 }),
@@ -242,7 +242,7 @@
         .collect()
 }
 
-/// The batches that wrote the fixture.
+/// The batches of writes from which the fixture was created.
 fn batches() -> Vec<Vec<Write>> {
     let before = operations_before_snapshot();
     let mut state = ControlState::default();
@@ -291,13 +291,13 @@
 }
 
 #[test]
-fn a_core_members_file_of_the_earlier_revision_opens_with_all_that_it_contains() {
+fn a_core_members_file_of_the_earlier_revision_opens_with_all_its_contents() {
     let folder = TemporaryFolder::new("storage-core-file");
     let path = folder.file("core.redb");
-    let Opened { disk, .. } = CoreDisk::open(&path).expect("a new file");
+    let Opened { disk, .. } = CoreDisk::open(&path).expect("the file is created");
     batches()
         .iter()
-        .for_each(|batch| disk.write(batch).expect("the disk accepts it"));
+        .for_each(|batch| disk.write(batch).expect("the write succeeds"));
     drop(disk);
     fixtures().keep_packed("core.redb.packed", &path);
     let written_now = records(&path);
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn the_control_state_in_a_file_of_the_earlier_revision_is_found_by_value() {
+fn the_control_state_in_a_file_of_the_earlier_revision_has_its_values() {
     let folder = TemporaryFolder::new("storage-core-state");
     let path = folder.file("core.redb");
     fixtures().unpack_to("core.redb.packed", &path);
--- a/crates/serving/storage/tests/compatibility/dump.rs
+++ b/crates/serving/storage/tests/compatibility/dump.rs
@@ -1,13 +1,13 @@
-//! Dumps of tables.
+//! Text dumps of database tables.
 
 use dunespur_test_fixtures::hex;
 use redb::{Database, Key, ReadableTable, TableDefinition, Value};
 use std::fmt::Write as _;
 
-/// Values that are longer are shown by their beginning, length and checksum.
+/// Longer values are dumped as their first bytes, length and checksum.
 const MAX_SHOWN_BYTES: usize = 400;
 
-/// Rows of a table, a line each.
+/// Dumps a table, one line for each row.
 pub fn dump<K: Key + 'static, V: Value + 'static>(
     database: &Database,
     table: TableDefinition<K, V>,
@@ -28,8 +28,8 @@
     text
 }
 
-/// A value in hexadecimal.
-pub fn shown(bytes: &[u8]) -> String {
+/// Formats a value in hexadecimal.
+pub fn format_value(bytes: &[u8]) -> String {
     if bytes.len() <= MAX_SHOWN_BYTES {
         return hex(bytes);
     }
--- a/crates/serving/storage/tests/compatibility/main.rs
+++ b/crates/serving/storage/tests/compatibility/main.rs
@@ -1,8 +1,8 @@
-//! Stored data stays readable: each record has the bytes that revision 52a1591 wrote, and files of that revision open
-//! with everything in them found by value.
+//! Stored data stays readable: each record has the bytes that revision 52a1591 wrote, and a file of that revision opens
+//! with all its contents.
 //!
-//! The files under `tests/fixtures` were written by that revision, by these same tests with
-//! [`dunespur_test_fixtures::WRITE_FIXTURES`] in the environment. They are never written again, unless a new format of the files replaces this one.
+//! Revision 52a1591 wrote the files under `tests/fixtures` with these tests and the environment variable
+//! [`dunespur_test_fixtures::WRITE_FIXTURES`]. They are only written again if the file format changes.
 
 mod core;
 mod dump;
--- a/crates/serving/storage/tests/compatibility/turns.rs
+++ b/crates/serving/storage/tests/compatibility/turns.rs
@@ -1,6 +1,6 @@
-//! Files of turn stores.
+//! Compatibility of turn stores' files.
 
-use crate::dump::{dump, shown};
+use crate::dump::{dump, format_value};
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
 use dunespur_storage::{DiskIdentity, Opened};
@@ -13,10 +13,10 @@
 const HEADERS: TableDefinition<&str, &[u8]> = TableDefinition::new("headers");
 const BODIES: TableDefinition<&str, &[u8]> = TableDefinition::new("bodies");
 
-/// The identity that the fixture's disk was given.
+/// Disk number in the fixture.
 const FIXTURE_DISK: u64 = 15_136_454_498_391_037_391;
 
-/// Three turns of one program, the first without a turn before it, the last without bodies.
+/// Three turns of one program: the first has no previous turn, and the last has an empty body.
 fn turns() -> Vec<Turn> {
     let turn = |id: &str,
                 previous: Option<&str>,
@@ -67,7 +67,7 @@
     Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// All rows but that of the identity, which is drawn at random.
+/// Dumps all rows. The disk number is masked, as it is random.
 fn records(path: &Path) -> String {
     let database = Database::open(path).expect("the library opens it");
     let meta = dump(&database, META, |key, value| match key {
@@ -75,19 +75,22 @@
         _ => (key.to_owned(), value.to_string()),
     });
     let headers = dump(&database, HEADERS, |id, header| {
-        (id.to_owned(), shown(header))
+        (id.to_owned(), format_value(header))
+    });
+    let bodies = dump(&database, BODIES, |id, body| {
+        (id.to_owned(), format_value(body))
     });
-    let bodies = dump(&database, BODIES, |id, body| (id.to_owned(), shown(body)));
     meta + &headers + &bodies
 }
 
-/// Writes what the fixture contains.
+/// Writes the contents of the fixture.
 fn write(path: &Path) {
-    let Opened { disk, .. } = TurnDisk::open(path).expect("a new file");
-    disk.put(&turns()).expect("it puts");
-    disk.put(&[removed_turn()]).expect("it puts");
-    disk.remove(&[removed_turn().id]).expect("it removes");
-    disk.mark_complete().expect("it marks");
+    let Opened { disk, .. } = TurnDisk::open(path).expect("the file is created");
+    disk.put(&turns()).expect("the put succeeds");
+    disk.put(&[removed_turn()]).expect("the put succeeds");
+    disk.remove(&[removed_turn().id])
+        .expect("the removal succeeds");
+    disk.mark_complete().expect("the mark is written");
 }
 
 #[test]
@@ -99,7 +102,7 @@
 }
 
 #[test]
-fn a_turn_stores_file_of_the_earlier_revision_opens_with_all_that_it_contains() {
+fn a_turn_stores_file_of_the_earlier_revision_opens_with_all_its_contents() {
     let folder = TemporaryFolder::new("storage-turn-file");
     let path = folder.file("turns.redb");
     write(&path);
@@ -129,7 +132,7 @@
     );
     assert_eq!(
         disk.get_many(&["turn-1", "turn-2", "turn-3", "turn-4"])
-            .expect("it reads"),
+            .expect("the read succeeds"),
         turns()
     );
 }
--- a/crates/serving/storage/tests/core.rs
+++ b/crates/serving/storage/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core member's file contains what [`DurableState::apply`] says, over restarts, and its identity stays.
+//! After restarts, a core member's file has the state that [`DurableState::apply`] computes and an unchanged identity.
 
 use dunespur_chain_replication::{
     AcceptedView, DecidedView, DurableState, Entry, MemberId, Origin, Payload, Peer, Position,
@@ -66,21 +66,21 @@
     }
 }
 
-/// Writes as a member makes them, drawn from a small random source.
-struct Writer {
-    state: u64,
-    last: u64,
-    snapshot: u64,
+/// Generates random valid writes of a member.
+struct WriteGenerator {
+    random_state: u64,
+    last_index: u64,
+    snapshot_index: u64,
     view: u64,
 }
 
-impl Writer {
+impl WriteGenerator {
     fn below(&mut self, bound: u64) -> u64 {
-        self.state = self
-            .state
+        self.random_state = self
+            .random_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.state >> 33) % bound
+        (self.random_state >> 33) % bound
     }
 
     fn next(&mut self) -> Write {
@@ -105,24 +105,27 @@
             }
             3 => Write::Synced { view: self.view },
             4 => {
-                self.last = self.snapshot + self.below(self.last - self.snapshot + 1);
-                Write::Truncate { index: self.last }
+                self.last_index =
+                    self.snapshot_index + self.below(self.last_index - self.snapshot_index + 1);
+                Write::Truncate {
+                    index: self.last_index,
+                }
             }
             5 => {
-                self.snapshot += self.below(self.last - self.snapshot + 1);
+                self.snapshot_index += self.below(self.last_index - self.snapshot_index + 1);
                 let position = Position {
-                    index: self.snapshot,
+                    index: self.snapshot_index,
                     view: self.view,
                 };
-                let bytes = Payload::from(vec![self.snapshot as u8; 10_000]);
+                let bytes = Payload::from(vec![self.snapshot_index as u8; 10_000]);
                 Write::Snapshot {
                     snapshot: Snapshot { position, bytes },
                 }
             }
             _ => {
-                self.last += 1;
+                self.last_index += 1;
                 Write::Entry {
-                    entry: entry(self.last, self.view),
+                    entry: entry(self.last_index, self.view),
                 }
             }
         }
@@ -130,13 +133,13 @@
 }
 
 #[test]
-fn what_was_written_is_found_again() {
+fn a_reopened_file_has_the_state_that_was_written() {
     for seed in 0..6 {
         let folder = TemporaryFolder::new(&format!("storage-writes-{seed}"));
-        let mut writer = Writer {
-            state: seed,
-            last: 0,
-            snapshot: 0,
+        let mut generator = WriteGenerator {
+            random_state: seed,
+            last_index: 0,
+            snapshot_index: 0,
             view: 1,
         };
         let mut expected = DurableState::default();
@@ -148,8 +151,9 @@
             } = CoreDisk::open(&folder.file("core.redb")).expect("the file opens");
             assert_eq!(found, expected);
             for _ in 0..8 {
-                let writes: Vec<Write> = (0..writer.below(12)).map(|_| writer.next()).collect();
-                disk.write(&writes).expect("the disk accepts it");
+                let writes: Vec<Write> =
+                    (0..generator.below(12)).map(|_| generator.next()).collect();
+                disk.write(&writes).expect("the write succeeds");
                 writes.iter().for_each(|write| expected.apply(write));
             }
         }
@@ -158,13 +162,13 @@
 }
 
 #[test]
-fn the_identity_lasts_as_long_as_the_file() {
+fn the_identity_changes_only_when_the_file_is_created_again() {
     let folder = TemporaryFolder::new("storage-identity");
     let Opened {
         disk,
         identity: first,
         contents: saved,
-    } = CoreDisk::open(&folder.file("core.redb")).expect("the file is made");
+    } = CoreDisk::open(&folder.file("core.redb")).expect("the file is created");
     assert!(first.fresh && saved.is_empty());
     drop(disk);
     let Opened {
@@ -175,66 +179,69 @@
     assert!(!second.fresh);
     assert_eq!(first.disk, second.disk);
     drop(disk);
-    fs::remove_file(folder.file("core.redb")).expect("the file goes");
+    fs::remove_file(folder.file("core.redb")).expect("the file is removed");
     let Opened {
         identity: third,
         contents: saved,
         ..
-    } = CoreDisk::open(&folder.file("core.redb")).expect("the file is made anew");
+    } = CoreDisk::open(&folder.file("core.redb")).expect("the file is created again");
     assert!(third.fresh && saved.is_empty());
     assert_ne!(first.disk, third.disk);
 }
 
 #[test]
-fn a_file_that_was_never_finished_is_made_anew() {
+fn an_unfinished_file_is_created_again() {
     let folder = TemporaryFolder::new("storage-unfinished");
-    fs::write(folder.file("core.redb.unfinished"), b"half a file").expect("a torn file");
+    fs::write(folder.file("core.redb.unfinished"), b"half a file")
+        .expect("an unfinished file is written");
     let Opened {
         identity,
         contents: saved,
         ..
-    } = CoreDisk::open(&folder.file("core.redb")).expect("the file is made");
+    } = CoreDisk::open(&folder.file("core.redb")).expect("the file is created");
     assert!(identity.fresh && saved.is_empty());
 }
 
-/// See unreadable.rs for files that were corrupted, and for those that stay as they are.
+/// unreadable.rs tests corrupt database files, and files that must not be set aside.
 #[test]
-fn what_is_no_file_of_ours_is_set_aside() {
+fn a_file_that_is_no_database_is_set_aside() {
     let folder = TemporaryFolder::new("storage-foreign");
-    fs::write(folder.file("core.redb"), b"not a database").expect("some file");
+    fs::write(folder.file("core.redb"), b"not a database").expect("a foreign file is written");
     let Opened {
         identity,
         contents: saved,
         ..
-    } = CoreDisk::open(&folder.file("core.redb")).expect("the file is made anew");
+    } = CoreDisk::open(&folder.file("core.redb")).expect("a new file is created");
     assert!(identity.fresh && saved.is_empty());
-    let aside = fs::read(folder.file("core.redb").with_extension("unreadable")).expect("it stays");
+    let aside = fs::read(folder.file("core.redb").with_extension("unreadable"))
+        .expect("the file that was set aside");
     assert_eq!(aside, b"not a database");
 }
 
-/// Entries between two snapshots, as the chain requests them.
+/// Entries between two snapshots, as in the chain.
 const ENTRIES_PER_SNAPSHOT: u64 = 2_000;
-/// Bytes of a snapshot.
+/// Size of a snapshot.
 const SNAPSHOT_BYTES: usize = 400_000;
-/// What the file may grow to with some 400 kB of snapshot and 500 kB of entries; disks of core machines have 64 MB.
+/// Largest allowed file size with about 400 kB of snapshot and 500 kB of entries. Core machines have disks of 64 MB.
 const MAX_FILE_BYTES: u64 = 12 << 20;
 
-/// Guards against what filled the disks of a grown deployment's core: each snapshot removed thousands of entries in
-/// one commit and wrote itself as one value, and the file grew by tens of megabytes.
+/// Guards against a file that fills the disk of a core machine. A snapshot that was stored as one value, and whose commit
+/// removed thousands of entries, made the file grow by tens of megabytes.
 #[test]
 fn the_file_stays_small_over_many_snapshots() {
     let folder = TemporaryFolder::new("storage-small");
-    let Opened { disk, .. } = CoreDisk::open(&folder.file("core.redb")).expect("a new file");
+    let Opened { disk, .. } =
+        CoreDisk::open(&folder.file("core.redb")).expect("the file is created");
     let mut index = 0;
     for _ in 0..4 {
         for _ in 0..ENTRIES_PER_SNAPSHOT / 4 {
             let writes: Vec<Write> = (1..=4)
-                .map(|step| Write::Entry {
-                    entry: entry(index + step, 1),
+                .map(|offset| Write::Entry {
+                    entry: entry(index + offset, 1),
                 })
                 .collect();
             index += 4;
-            disk.write(&writes).expect("the disk accepts it");
+            disk.write(&writes).expect("the write succeeds");
         }
         let position = Position {
             index: index - 10,
@@ -245,13 +252,16 @@
             bytes: vec![7; SNAPSHOT_BYTES].into(),
         };
         disk.write(&[Write::Snapshot { snapshot }])
-            .expect("the disk accepts it");
+            .expect("the write succeeds");
     }
     drop(disk);
     let size = fs::metadata(folder.file("core.redb"))
-        .expect("the file is there")
+        .expect("the metadata of the file")
         .len();
-    assert!(size < MAX_FILE_BYTES, "{size} bytes");
+    assert!(
+        size < MAX_FILE_BYTES,
+        "the file has {size} bytes, at most {MAX_FILE_BYTES} are allowed"
+    );
     let saved = reopened(&folder.file("core.redb"));
     let snapshot = saved.snapshot.expect("a snapshot");
     assert_eq!(snapshot.position.index, index - 10);
--- a/crates/serving/storage/tests/full/core.rs
+++ b/crates/serving/storage/tests/full/core.rs
@@ -1,4 +1,5 @@
-//! A core member's disk that was full accepts writes again, and has of each write all or nothing.
+//! After its disk was full, a core member's database accepts writes again, and each write was applied fully or not at
+//! all.
 
 use crate::support::Storage;
 use dunespur_chain_replication::{DurableState, Entry, Origin, Payload, Position, Write};
@@ -32,58 +33,58 @@
     }
 }
 
-fn indexes(saved: &DurableState) -> Vec<u64> {
+fn entry_indices(saved: &DurableState) -> Vec<u64> {
     saved.entries.iter().map(Entry::index).collect()
 }
 
 #[test]
-fn a_disk_that_was_full_takes_the_same_write_again() {
+fn a_write_can_be_repeated_after_the_disk_was_full() {
     for writes_left in 0..60 {
         let storage = Storage::default();
         let (disk, _) = open(&storage);
         disk.write(&[entry(1)]).expect("there is space");
         storage.fills_and_recovers(writes_left, || disk.write(&[entry(2), entry(3)]));
-        disk.write(&[entry(4)]).expect("it goes on");
+        disk.write(&[entry(4)]).expect("writes succeed again");
         drop(disk);
-        assert_eq!(indexes(&open(&storage).1), [1, 2, 3, 4]);
+        assert_eq!(entry_indices(&open(&storage).1), [1, 2, 3, 4]);
     }
 }
 
 #[test]
-fn a_process_that_ends_while_the_disk_is_full_finds_all_or_nothing() {
+fn a_write_to_a_full_disk_is_applied_fully_or_not_at_all() {
     for writes_left in 0..60 {
         let storage = Storage::default();
         let (disk, _) = open(&storage);
         disk.write(&[entry(1)]).expect("there is space");
         storage.full_after(writes_left);
-        let taken = disk.write(&[entry(2), entry(3)]).is_ok();
+        let acknowledged = disk.write(&[entry(2), entry(3)]).is_ok();
         drop(disk);
         storage.has_space();
-        let found = indexes(&open(&storage).1);
+        let found = entry_indices(&open(&storage).1);
         assert!(
-            found == [1, 2, 3] || (!taken && found == [1]),
+            found == [1, 2, 3] || (!acknowledged && found == [1]),
             "{found:?} after {writes_left} writes"
         );
     }
 }
 
 #[test]
-fn an_identity_outlives_a_full_disk() {
+fn the_identity_survives_a_full_disk() {
     let storage = Storage::default();
-    let named = storage.clone();
+    let backend = storage.clone();
     let Opened {
         disk,
         identity: first,
         ..
-    } = CoreDisk::open_backend(move || named.clone()).expect("the storage opens");
+    } = CoreDisk::open_backend(move || backend.clone()).expect("the storage opens");
     assert!(first.fresh);
     storage.full_after(0);
     disk.write(&[entry(1)]).expect_err("there is no space");
     drop(disk);
     storage.has_space();
-    let named = storage.clone();
+    let backend = storage.clone();
     let Opened {
         identity: second, ..
-    } = CoreDisk::open_backend(move || named.clone()).expect("the storage opens");
+    } = CoreDisk::open_backend(move || backend.clone()).expect("the storage opens");
     assert_eq!((second.disk, second.fresh), (first.disk, false));
 }
--- a/crates/serving/storage/tests/full/main.rs
+++ b/crates/serving/storage/tests/full/main.rs
@@ -1,4 +1,4 @@
-//! Disks that are full for a while.
+//! Disks that are temporarily full.
 
 mod core;
 mod support;
--- a/crates/serving/storage/tests/full/support.rs
+++ b/crates/serving/storage/tests/full/support.rs
@@ -1,17 +1,17 @@
-//! A disk in memory that is full for a while.
+//! An in-memory disk that can be temporarily full.
 
 use redb::StorageBackend;
 use std::io::{self, Error, ErrorKind};
 use std::sync::{Arc, Mutex};
 
-/// The storage behind the backends that a test gives away: each opening of the same file gets one.
+/// An in-memory file. Clones share it, so that a test can open the same file several times.
 #[derive(Clone, Debug, Default)]
 pub struct Storage(Arc<Mutex<State>>);
 
 #[derive(Debug)]
 struct State {
     bytes: Vec<u8>,
-    /// Writes that it accepts before it is full.
+    /// Writes that succeed before the disk is full.
     writes_left: u64,
 }
 
@@ -25,18 +25,18 @@
 }
 
 impl Storage {
-    /// From now on it accepts so many writes more.
+    /// Makes the disk full after `writes_left` further writes.
     pub fn full_after(&self, writes_left: u64) {
         self.state().writes_left = writes_left;
     }
 
-    /// It has space again.
+    /// Ends the lack of space.
     pub fn has_space(&self) {
         self.full_after(u64::MAX);
     }
 
-    /// It is full after so many writes more. A write that it refuses then is repeated; it has space again before the
-    /// sixth, which has to succeed.
+    /// Makes the disk full after `writes_left` further writes and repeats `write` until it succeeds. After five failed
+    /// attempts the disk has space again, and the sixth must succeed.
     pub fn fills_and_recovers<E>(&self, writes_left: u64, write: impl Fn() -> Result<(), E>) {
         const ATTEMPTS_WHILE_FULL: usize = 5;
         self.full_after(writes_left);
@@ -44,22 +44,24 @@
         self.has_space();
         assert!(
             !refused || write().is_ok(),
-            "refused with space again, after {writes_left} writes"
+            "the write fails although the disk has space again; it was full after {writes_left} writes"
         );
     }
 
-    /// Length of the file.
+    /// Length of the file in bytes.
     pub fn length(&self) -> usize {
         self.state().bytes.len()
     }
 
     fn state(&self) -> std::sync::MutexGuard<'_, State> {
-        self.0.lock().expect("no test panics within")
+        self.0
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
 
 impl State {
-    fn take_one(&mut self) -> io::Result<()> {
+    fn use_one_write(&mut self) -> io::Result<()> {
         match self.writes_left.checked_sub(1) {
             Some(left) => {
                 self.writes_left = left;
@@ -88,7 +90,7 @@
     fn set_len(&self, len: u64) -> io::Result<()> {
         let mut state = self.state();
         if len as usize > state.bytes.len() {
-            state.take_one()?;
+            state.use_one_write()?;
         }
         state.bytes.resize(len as usize, 0);
         Ok(())
@@ -101,7 +103,7 @@
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let offset = offset as usize;
         let mut state = self.state();
-        state.take_one()?;
+        state.use_one_write()?;
         state.bytes[offset..offset + data.len()].copy_from_slice(data);
         Ok(())
     }
--- a/crates/serving/storage/tests/power/main.rs
+++ b/crates/serving/storage/tests/power/main.rs
@@ -1,5 +1,5 @@
-//! Losses of power: each write since the last sync is there, missing or torn, or all of them are lost. What was
-//! acknowledged before is found again; with a disk that does not sync it is not, and these tests notice.
+//! Power losses: each write since the last sync is applied, missing or torn, or all of them are missing. Acknowledged
+//! writes must survive. To validate the tests, one uses a disk that ignores syncs and expects losses.
 
 mod support;
 mod turns;
--- a/crates/serving/storage/tests/power/support.rs
+++ b/crates/serving/storage/tests/power/support.rs
@@ -1,10 +1,10 @@
-//! A disk in memory that can lose its power.
+//! An in-memory disk that simulates power losses.
 
 use redb::StorageBackend;
 use std::io::{Error, ErrorKind, Result};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A small random source: the same for the same seed.
+/// A pseudo-random number generator with a fixed seed.
 #[derive(Clone, Debug)]
 pub struct Random(u64);
 
@@ -21,11 +21,11 @@
     }
 }
 
-/// Whether the disk does what a sync requests.
+/// Whether the disk performs syncs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Syncs {
     Honest,
-    /// It says so and does nothing.
+    /// The disk reports success without syncing.
     Ignored,
 }
 
@@ -38,26 +38,26 @@
 
 #[derive(Debug)]
 struct State {
-    /// What the process reads.
-    seen: Vec<u8>,
-    /// What a loss of power leaves for sure.
+    /// The file as the process reads it.
+    current: Vec<u8>,
+    /// The file as of the last sync, which a power loss can't change.
     durable: Vec<u8>,
-    /// Changes since, in their order.
+    /// Changes since the last sync, in order.
     unsynced: Vec<Change>,
-    /// Handles of an earlier incarnation do nothing any more.
+    /// Number of power losses. Handles of an earlier incarnation fail.
     incarnation: u64,
-    /// Changes that it still accepts before the power is lost.
+    /// Changes that succeed before the power is lost.
     changes_left: u64,
     syncs: Syncs,
-    /// Writes that followed a change of the length with no sync between them.
+    /// Writes after a change of the file's length without a sync in between.
     writes_on_unsynced_length: u64,
 }
 
-/// The disk; clones are the same one.
+/// The disk. Clones share its contents.
 #[derive(Clone, Debug)]
 pub struct Disk(Arc<Mutex<State>>);
 
-/// One process's access to it.
+/// The access of one process to the disk.
 #[derive(Clone, Debug)]
 pub struct Handle {
     disk: Disk,
@@ -66,9 +66,9 @@
 
 impl Disk {
     pub fn new(syncs: Syncs) -> Disk {
-        let (seen, durable, unsynced) = (Vec::new(), Vec::new(), Vec::new());
+        let (current, durable, unsynced) = (Vec::new(), Vec::new(), Vec::new());
         Disk(Arc::new(Mutex::new(State {
-            seen,
+            current,
             durable,
             unsynced,
             incarnation: 0,
@@ -85,39 +85,41 @@
         }
     }
 
-    /// After so many changes more nothing reaches the disk.
-    pub fn loses_power_after(&self, changes_left: u64) {
+    /// Makes all changes fail after `changes_left` further ones.
+    pub fn lose_power_after(&self, changes_left: u64) {
         self.state().changes_left = changes_left;
     }
 
-    /// The power goes and comes back: all handles are dead, the file is what survived of it.
+    /// Simulates a power loss and a restart: all handles fail, and the file keeps a random part of the unsynced changes.
     pub fn lose_power(&self, random: &mut Random) {
         let mut state = self.state();
         let nothing_survives = random.below(4) == 0;
         let mut file = std::mem::take(&mut state.durable);
         for change in std::mem::take(&mut state.unsynced) {
             if !nothing_survives {
-                apply_partly(&mut file, change, random);
+                apply_randomly(&mut file, change, random);
             }
         }
         state.durable.clone_from(&file);
-        state.seen = file;
+        state.current = file;
         state.incarnation += 1;
         state.changes_left = u64::MAX;
     }
 
-    /// Writes so far that could outlive a change of the length which came before them.
+    /// Number of writes that could survive a power loss without the change of the file's length before them.
     pub fn writes_on_unsynced_length(&self) -> u64 {
         self.state().writes_on_unsynced_length
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.0.lock().expect("no test panics within")
+        self.0
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
 
-/// A change is there, missing or torn at a sector.
-fn apply_partly(file: &mut Vec<u8>, change: Change, random: &mut Random) {
+/// Applies a change fully, not at all, or only some of its sectors.
+fn apply_randomly(file: &mut Vec<u8>, change: Change, random: &mut Random) {
     const SECTOR: usize = 512;
     match (change, random.below(3)) {
         (_, 0) => {}
@@ -157,13 +159,13 @@
             .checked_sub(1)
             .ok_or(Error::from(ErrorKind::BrokenPipe))?;
         match &change {
-            Change::Length(length) => state.seen.resize(*length, 0),
+            Change::Length(length) => state.current.resize(*length, 0),
             Change::Bytes { offset, data } => {
                 let unsynced = &mut state.unsynced.iter();
                 if unsynced.any(|change| matches!(change, Change::Length(_))) {
                     state.writes_on_unsynced_length += 1;
                 }
-                write(&mut state.seen, *offset, data);
+                write(&mut state.current, *offset, data);
             }
         }
         state.unsynced.push(change);
@@ -173,14 +175,14 @@
 
 impl StorageBackend for Handle {
     fn len(&self) -> Result<u64> {
-        Ok(self.state()?.seen.len() as u64)
+        Ok(self.state()?.current.len() as u64)
     }
 
     fn read(&self, offset: u64, len: usize) -> Result<Vec<u8>> {
         let offset = offset as usize;
         let state = self.state()?;
         let bytes = state
-            .seen
+            .current
             .get(offset..offset + len)
             .ok_or(Error::from(ErrorKind::UnexpectedEof))?;
         Ok(bytes.to_vec())
@@ -197,7 +199,7 @@
             .checked_sub(1)
             .ok_or(Error::from(ErrorKind::BrokenPipe))?;
         if state.syncs == Syncs::Honest {
-            state.durable = state.seen.clone();
+            state.durable = state.current.clone();
             state.unsynced.clear();
         }
         Ok(())
--- a/crates/serving/storage/tests/power/turns.rs
+++ b/crates/serving/storage/tests/power/turns.rs
@@ -1,4 +1,4 @@
-//! Turns over losses of power.
+//! A turn store's database over power losses.
 
 use crate::support::{Disk, Random, Syncs};
 use bytes::Bytes;
@@ -9,11 +9,11 @@
 use std::panic::catch_unwind;
 use std::thread;
 
-/// Losses of power over one disk.
+/// Power losses of each disk.
 const POWER_LOSSES: u64 = 6;
-/// Disks that lose their power: 2,004 losses in all.
+/// Simulated disks, with 2,004 power losses in all.
 const DISKS: u64 = 334;
-/// Threads that the disks are divided among.
+/// Threads that share the disks.
 const THREADS: u64 = 4;
 
 type OpenedTurns = Result<Opened<TurnDisk, Vec<TurnHeader>>, StorageError>;
@@ -37,7 +37,7 @@
     }
 }
 
-/// What a caller got acknowledged.
+/// State that was acknowledged to the caller.
 #[derive(Default)]
 struct Acknowledged {
     turns: BTreeMap<String, Turn>,
@@ -45,8 +45,8 @@
     complete: bool,
 }
 
-/// Puts and removes until the power goes.
-fn work(turns: &TurnDisk, acknowledged: &mut Acknowledged, random: &mut Random) {
+/// Puts and removes random turns until the power is lost.
+fn run_workload(turns: &TurnDisk, acknowledged: &mut Acknowledged, random: &mut Random) {
     for _ in 0..40 {
         let batch: Vec<Turn> = (0..1 + random.below(5))
             .map(|_| {
@@ -75,11 +75,11 @@
         return;
     };
     acknowledged.turns.remove(&id);
-    // It may come back or not.
+    // The removal is not acknowledged here, so the turn may or may not survive.
     let _ = turns.remove(&[id]);
 }
 
-/// The first fault after a loss of power, if anything.
+/// Returns the first fault found after a power loss, if any.
 fn first_fault(
     opened: &OpenedTurns,
     identity: DiskIdentity,
@@ -87,35 +87,40 @@
 ) -> Option<String> {
     let Opened {
         disk: turns,
-        identity: now,
-        contents: entries,
+        identity: current,
+        contents: headers,
     } = match opened {
         Ok(opened) => opened,
-        Err(error) => return Some(format!("it does not open: {}", error.with_causes())),
+        Err(error) => {
+            return Some(format!(
+                "the database does not open: {}",
+                error.with_causes()
+            ))
+        }
     };
-    if now.disk != identity.disk {
-        return Some("it is another disk".to_owned());
+    if current.disk != identity.disk {
+        return Some("the disk number has changed".to_owned());
     }
-    if acknowledged.complete && now.fresh {
-        return Some("it has lost that it was complete".to_owned());
+    if acknowledged.complete && current.fresh {
+        return Some("the completeness mark is lost".to_owned());
     }
     for (id, turn) in &acknowledged.turns {
-        if !entries.iter().any(|entry| entry.id == *id) {
-            return Some(format!("{id} is not listed"));
+        if !headers.iter().any(|header| header.id == *id) {
+            return Some(format!("turn {id} has no header"));
         }
         match turns.get(id) {
             Ok(Some(found)) if found == *turn => {}
-            other => return Some(format!("{id} is read as {other:?}")),
+            other => return Some(format!("turn {id} is read as {other:?}")),
         }
     }
-    let unreadable = entries
+    let unreadable = headers
         .iter()
-        .find(|entry| !matches!(turns.get(&entry.id), Ok(Some(_))));
-    unreadable.map(|entry| format!("{} is listed and can't be read", entry.id))
+        .find(|header| !matches!(turns.get(&header.id), Ok(Some(_))));
+    unreadable.map(|header| format!("turn {} has a header but can't be read", header.id))
 }
 
-/// Several losses of power on one disk; the first fault.
-fn play(seed: u64, syncs: Syncs) -> Option<String> {
+/// Runs a workload with several power losses on one disk; returns the first fault, if any.
+fn run_seed(seed: u64, syncs: Syncs) -> Option<String> {
     let mut random = Random::new(seed);
     let disk = Disk::new(syncs);
     let mut acknowledged = Acknowledged::default();
@@ -125,10 +130,10 @@
         ..
     } = open(&disk).expect("a new disk opens");
     for _ in 0..POWER_LOSSES {
-        disk.loses_power_after(random.below(600));
-        work(&turns, &mut acknowledged, &mut random);
+        disk.lose_power_after(random.below(600));
+        run_workload(&turns, &mut acknowledged, &mut random);
         disk.lose_power(&mut random);
-        // What the old process still does on its end reaches nothing.
+        // Closing the database of the earlier process does not change the disk any more.
         drop(turns);
         let opened = open(&disk);
         if let Some(fault) = first_fault(&opened, identity, &acknowledged) {
@@ -140,15 +145,17 @@
 }
 
 #[test]
-fn what_was_acknowledged_is_found_after_losses_of_power() {
-    // The library's own order of pages differs between runs: what a seed does not show once, it may show later.
-    let play_some = |first: u64| {
+fn acknowledged_writes_survive_power_losses() {
+    // The library's page order differs between runs, so a seed that passes once may find a fault in a later run.
+    let run_seeds = |first: u64| {
         let seeds = (first..DISKS).step_by(THREADS as usize);
-        seeds.filter_map(|seed| play(seed, Syncs::Honest)).collect()
+        seeds
+            .filter_map(|seed| run_seed(seed, Syncs::Honest))
+            .collect()
     };
     let faults: Vec<String> = thread::scope(|scope| {
         let started: Vec<_> = (0..THREADS)
-            .map(|first| scope.spawn(move || -> Vec<String> { play_some(first) }))
+            .map(|first| scope.spawn(move || -> Vec<String> { run_seeds(first) }))
             .collect();
         let ended = started.into_iter().map(|thread| thread.join());
         ended
@@ -158,25 +165,29 @@
     assert!(faults.is_empty(), "{faults:#?}");
 }
 
-/// Against a header that names a length of which the file has lost the growth.
+/// Guards against a power loss that keeps a header and loses the growth of the file that the header records.
 #[test]
-fn no_write_may_outlive_the_length_before_it() {
+fn a_length_change_is_synced_before_the_next_write() {
     let disk = Disk::new(Syncs::Honest);
     let turns = open(&disk).expect("a new disk opens").disk;
     let mut random = Random::new(1);
     let mut acknowledged = Acknowledged::default();
-    work(&turns, &mut acknowledged, &mut random);
+    run_workload(&turns, &mut acknowledged, &mut random);
     let ids: Vec<String> = acknowledged.turns.into_keys().collect();
-    turns.remove(&ids).expect("it removes");
-    // As it closes, the library shortens the file.
+    turns.remove(&ids).expect("the removal succeeds");
+    // The library truncates the file when it closes the database.
     drop(turns);
     assert_eq!(disk.writes_on_unsynced_length(), 0);
 }
 
 #[test]
-fn a_disk_that_does_not_sync_is_noticed() {
-    // On such a file the library may assert.
-    let notices = |seed: u64| !matches!(catch_unwind(|| play(seed, Syncs::Ignored)), Ok(None));
-    let noticed = (0..20).filter(|seed| notices(*seed)).count();
-    assert!(noticed >= 18, "only {noticed} of 20 seeds notice it");
+fn a_disk_that_ignores_syncs_is_detected() {
+    // The library may panic on a file whose syncs were ignored.
+    let detects_loss =
+        |seed: u64| !matches!(catch_unwind(|| run_seed(seed, Syncs::Ignored)), Ok(None));
+    let detected = (0..20).filter(|seed| detects_loss(*seed)).count();
+    assert!(
+        detected >= 18,
+        "only {detected} of 20 seeds detect the ignored syncs"
+    );
 }
--- a/crates/serving/storage/tests/turns.rs
+++ b/crates/serving/storage/tests/turns.rs
@@ -1,4 +1,4 @@
-//! The turns' file: what was put is found again after a restart; what can't be read is made anew.
+//! A turn store's file: stored turns survive a restart, and an unreadable file is replaced by a new one.
 
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
@@ -21,27 +21,30 @@
 }
 
 #[test]
-fn turns_and_identity_outlive_a_restart() {
+fn turns_and_identity_survive_a_restart() {
     let folder = TemporaryFolder::new("storage-restart");
     let turns = [turn("b", Some("a")), turn("a", None)];
     let Opened {
         disk,
         identity: first,
-        contents: entries,
-    } = TurnDisk::open(&folder.file("turns.redb")).expect("a new file");
-    assert!(first.fresh && entries.is_empty());
-    disk.put(&turns).expect("it puts");
-    disk.mark_complete().expect("it marks");
+        contents: headers,
+    } = TurnDisk::open(&folder.file("turns.redb")).expect("the file is created");
+    assert!(first.fresh && headers.is_empty());
+    disk.put(&turns).expect("the put succeeds");
+    disk.mark_complete().expect("the mark is written");
     drop(disk);
     let Opened {
         disk,
         identity: second,
-        contents: entries,
-    } = TurnDisk::open(&folder.file("turns.redb")).expect("it opens again");
+        contents: headers,
+    } = TurnDisk::open(&folder.file("turns.redb")).expect("the file opens again");
     assert_eq!((second.disk, second.fresh), (first.disk, false));
-    assert_eq!(entries, [turns[1].header(), turns[0].header()]);
-    assert_eq!(disk.get("b").expect("it reads"), Some(turns[0].clone()));
-    assert_eq!(disk.get("z").expect("it reads"), None);
+    assert_eq!(headers, [turns[1].header(), turns[0].header()]);
+    assert_eq!(
+        disk.get("b").expect("the read succeeds"),
+        Some(turns[0].clone())
+    );
+    assert_eq!(disk.get("z").expect("the read succeeds"), None);
 }
 
 #[test]
@@ -51,35 +54,35 @@
         disk,
         identity: first,
         ..
-    } = TurnDisk::open(&folder.file("turns.redb")).expect("a new file");
-    disk.put(&[turn("a", None)]).expect("it puts");
+    } = TurnDisk::open(&folder.file("turns.redb")).expect("the file is created");
+    disk.put(&[turn("a", None)]).expect("the put succeeds");
     drop(disk);
     let Opened {
         identity: second, ..
-    } = TurnDisk::open(&folder.file("turns.redb")).expect("it opens again");
+    } = TurnDisk::open(&folder.file("turns.redb")).expect("the file opens again");
     assert_eq!(
         second, first,
-        "a store that was killed while it was filled is not whole"
+        "a store that was killed before it was marked complete is still fresh"
     );
 }
 
 #[test]
-fn each_new_file_is_another_disk() {
-    let (one, two) = (
+fn each_new_file_has_its_own_disk_number() {
+    let (first, second) = (
         TemporaryFolder::new("storage-one"),
         TemporaryFolder::new("storage-two"),
     );
-    let number = |folder: &TemporaryFolder| {
+    let disk_number = |folder: &TemporaryFolder| {
         TurnDisk::open(&folder.file("turns.redb"))
-            .expect("a new file")
+            .expect("the file is created")
             .identity
             .disk
     };
-    assert_ne!(number(&one), number(&two));
+    assert_ne!(disk_number(&first), disk_number(&second));
 }
 
 #[test]
-fn a_file_that_can_not_be_read_is_a_new_disk() {
+fn an_unreadable_file_is_replaced_by_a_new_disk() {
     for (name, contents) in [
         ("garbage", vec![7; 20_000]),
         ("zeros", vec![0; 20_000]),
@@ -90,36 +93,38 @@
         let Opened {
             disk,
             identity,
-            contents: entries,
-        } = TurnDisk::open(&folder.file("turns.redb")).expect("it is made anew");
-        assert!(identity.fresh && entries.is_empty());
-        disk.put(&[turn("a", None)]).expect("it puts");
+            contents: headers,
+        } = TurnDisk::open(&folder.file("turns.redb")).expect("a new file is created");
+        assert!(identity.fresh && headers.is_empty());
+        disk.put(&[turn("a", None)]).expect("the put succeeds");
         drop(disk);
         let Opened {
-            identity: again,
-            contents: entries,
+            identity: reopened_identity,
+            contents: headers,
             ..
-        } = TurnDisk::open(&folder.file("turns.redb")).expect("it opens again");
-        assert_eq!((again, entries.len()), (identity, 1));
+        } = TurnDisk::open(&folder.file("turns.redb")).expect("the file opens again");
+        assert_eq!((reopened_identity, headers.len()), (identity, 1));
     }
 }
 
 #[test]
-fn a_file_that_was_never_finished_is_made_anew() {
+fn an_unfinished_file_is_created_again() {
     let folder = TemporaryFolder::new("storage-turns-unfinished");
-    fs::write(folder.file("turns.redb.unfinished"), b"half a file").expect("a torn file");
-    let opened = TurnDisk::open(&folder.file("turns.redb")).expect("a new file");
+    fs::write(folder.file("turns.redb.unfinished"), b"half a file")
+        .expect("an unfinished file is written");
+    let opened = TurnDisk::open(&folder.file("turns.redb")).expect("the file is created");
     assert!(opened.identity.fresh && opened.contents.is_empty());
-    let names = fs::read_dir(folder.file("")).expect("the folder").count();
-    assert_eq!(names, 1, "only the file itself is left");
+    let file_count = fs::read_dir(folder.file("")).expect("the folder").count();
+    assert_eq!(file_count, 1, "only the database file is left");
 }
 
 #[test]
-fn a_truncated_file_is_a_new_disk() {
+fn a_truncated_file_is_replaced_by_a_new_disk() {
     for twentieths in 1..20 {
         let folder = TemporaryFolder::new(&format!("storage-truncated-{twentieths}"));
-        let Opened { disk, .. } = TurnDisk::open(&folder.file("turns.redb")).expect("a new file");
-        disk.put(&[turn("a", None)]).expect("it puts");
+        let Opened { disk, .. } =
+            TurnDisk::open(&folder.file("turns.redb")).expect("the file is created");
+        disk.put(&[turn("a", None)]).expect("the put succeeds");
         drop(disk);
         let file = fs::OpenOptions::new()
             .write(true)
@@ -132,27 +137,33 @@
         let Opened {
             disk,
             identity,
-            contents: entries,
-        } = TurnDisk::open(&folder.file("turns.redb")).expect("it opens");
-        assert!(identity.fresh && entries.is_empty());
-        disk.put(&[turn("b", None)]).expect("it puts");
+            contents: headers,
+        } = TurnDisk::open(&folder.file("turns.redb")).expect("a file opens");
+        assert!(identity.fresh && headers.is_empty());
+        disk.put(&[turn("b", None)]).expect("the put succeeds");
     }
 }
 
 #[test]
-fn work_of_the_state_machine_is_done_in_its_order() {
+fn disk_work_puts_gets_and_removes_turns() {
     let folder = TemporaryFolder::new("storage-work");
-    let Opened { disk, .. } = TurnDisk::open(&folder.file("turns.redb")).expect("a new file");
+    let Opened { disk, .. } =
+        TurnDisk::open(&folder.file("turns.redb")).expect("the file is created");
     let put = DiskWork::Put(vec![turn("a", None), turn("b", Some("a"))]);
-    assert_eq!(disk.perform(&put).expect("done"), DiskOutcome::Done);
+    assert_eq!(
+        disk.perform(&put).expect("the work succeeds"),
+        DiskOutcome::Done
+    );
     let get = |ids: &[&str]| DiskWork::Get(ids.iter().map(|id| id.to_string()).collect());
-    let found = disk.perform(&get(&["b", "z", "a"])).expect("done");
+    let found = disk
+        .perform(&get(&["b", "z", "a"]))
+        .expect("the work succeeds");
     assert_eq!(
         found,
         DiskOutcome::Turns(vec![turn("b", Some("a")), turn("a", None)])
     );
     disk.perform(&DiskWork::Remove(vec!["a".to_owned()]))
-        .expect("done");
-    let found = disk.perform(&get(&["a", "b"])).expect("done");
+        .expect("the work succeeds");
+    let found = disk.perform(&get(&["a", "b"])).expect("the work succeeds");
     assert_eq!(found, DiskOutcome::Turns(vec![turn("b", Some("a"))]));
 }
