--- a/crates/serving/rpc/src/client.rs
+++ b/crates/serving/rpc/src/client.rs
@@ -1,4 +1,4 @@
-//! The side that calls: one persistent connection to one address, opened when it is needed.
+//! The client: one persistent connection to one address, opened by the first call.
 
 use crate::connection::{connect, MAX_QUEUED_FRAMES};
 use crate::frame::{write_frames, CallId, Frame, FrameReader, MAX_FRAME_BYTES};
@@ -14,24 +14,24 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// What a frame takes besides its payload, generously.
+/// Upper bound on the size of a frame without its payload.
 const FRAME_OVERHEAD_BYTES: usize = 64;
 
-/// Why a call has no response. Whether it was carried out is not known, unless nothing was sent. A call is sent once:
-/// it is never sent again over another connection, so that its caller alone decides on retries.
+/// Why a call failed. The server may have executed the call unless the request was not sent. The client never sends a
+/// request twice: only the caller decides on retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// No connection could be opened: nothing was sent.
-    #[error("no connection came up")]
+    /// No connection could be established, so the request was not sent.
+    #[error("no connection could be established")]
     Unreachable,
-    /// The connection ended before the response.
-    #[error("the connection ended before the answer")]
+    /// The connection was closed before the response arrived.
+    #[error("the connection was closed before the response arrived")]
     Closed,
-    /// No response within the caller's time.
-    #[error("no answer in time")]
+    /// No response arrived within the caller's time limit.
+    #[error("no response arrived within the time limit")]
     TimedOut,
-    /// Too many frames are queued already, or this one is too large: nothing was sent.
-    #[error("too much waits for this connection")]
+    /// The connection's queue is full or the frame is too large, so the frame was not sent.
+    #[error("the queue of the connection is full or the frame is too large")]
     Full,
 }
 
@@ -43,27 +43,27 @@
 
 type PendingCalls = HashMap<CallId, oneshot::Sender<Result<Bytes, CallError>>>;
 
-/// Calls one address. Dropping it ends the connection.
+/// Sends calls and one-way messages to one address. Dropping the client closes its connection.
 pub struct Client {
     address: SocketAddr,
     connection: RefCell<Option<Connection>>,
-    /// Calls without a response. A response to any other id is dropped.
+    /// Calls that wait for a response. Responses with other call ids are discarded.
     pending: RefCell<PendingCalls>,
-    /// Never used twice, over however many connections. Against a late or second response to an earlier call: it would
-    /// be taken for that to a later one.
+    /// Id of the next call. Ids are never reused, even over new connections, so that a late or duplicate response to an
+    /// earlier call can't be mistaken for the response to a later one.
     next_call: Cell<u64>,
-    /// Called whenever a connection ends or can't be opened.
+    /// Called whenever a connection is closed or can't be established.
     on_closed: Option<Box<dyn Fn()>>,
 }
 
 impl Client {
-    /// A client of `address`; it connects with the first call.
+    /// Creates a client of `address`, which connects at the first call or message.
     #[must_use]
     pub fn new(address: SocketAddr) -> Rc<Client> {
         Client::build(address, None)
     }
 
-    /// The same; `on_closed` is called whenever a connection ends or can't be opened.
+    /// Creates a client of `address` that calls `on_closed` whenever a connection is closed or can't be established.
     #[must_use]
     pub fn with_close_observer(address: SocketAddr, on_closed: Box<dyn Fn()>) -> Rc<Client> {
         Client::build(address, Some(on_closed))
@@ -79,16 +79,16 @@
         })
     }
 
-    /// The address that it calls.
+    /// The address that the client connects to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Calls and waits for the response, `time_limit` at most.
+    /// Sends a request and waits for the response, at most for `time_limit`.
     ///
     /// # Errors
-    /// See [`CallError`]: each tells whether the call may have been carried out.
+    /// Each [`CallError`] states whether the server may have executed the call.
     pub async fn call(
         self: &Rc<Self>,
         payload: Bytes,
@@ -106,10 +106,10 @@
         }
     }
 
-    /// Sends a one-way message. Messages of one connection arrive in order; they are lost with it.
+    /// Queues a one-way message. Messages on one connection arrive in order; if it is closed, unsent ones are lost.
     ///
     /// # Errors
-    /// [`CallError::Full`]: this message was not sent.
+    /// [`CallError::Full`]: the message was not queued.
     pub fn notify(self: &Rc<Self>, payload: Bytes) -> Result<(), CallError> {
         let call = CallId::ONE_WAY;
         self.enqueue(Frame { call, payload })
@@ -120,17 +120,17 @@
             return Err(CallError::Full);
         }
         let mut connection = self.connection.borrow_mut();
-        let open = connection.get_or_insert_with(|| self.open());
-        if open.queue.try_send(frame).is_ok() {
+        let connected = connection.get_or_insert_with(|| self.open());
+        if connected.queue.try_send(frame).is_ok() {
             return Ok(());
         }
         drop(connection);
-        // Calls that are queued already may have been sent: only this frame was not.
+        // Calls that were queued earlier may have been sent. Only the new frame certainly was not.
         self.close(CallError::Closed);
         Err(CallError::Full)
     }
 
-    /// Ends the connection, if there is one; the next call opens another.
+    /// Closes the connection, if there is one. The next call opens a new connection.
     pub fn disconnect(&self) {
         self.close(CallError::Closed);
     }
@@ -180,7 +180,7 @@
     }
 }
 
-/// Removes a call from the pending ones however its future ends.
+/// Removes a pending call when its future completes or is dropped.
 struct PendingGuard<'a> {
     client: &'a Client,
     call: CallId,
@@ -192,7 +192,7 @@
     }
 }
 
-/// One connection from its opening to its end; gives what calls without a response get.
+/// Runs one connection until it is closed. Returns the error for the calls that are still pending.
 async fn run_connection(
     address: SocketAddr,
     frames: mpsc::Receiver<Frame>,
--- a/crates/serving/rpc/src/connection.rs
+++ b/crates/serving/rpc/src/connection.rs
@@ -1,4 +1,4 @@
-//! What both sides of a connection have in common: how it is opened, its socket options and its queue.
+//! Connection establishment, socket options and queue limits, shared by client and server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,18 +6,18 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// Unacknowledged bytes end a connection after this time (`TCP_USER_TIMEOUT`, RFC 5482). Against network partitions,
-/// of which the socket reports nothing.
+/// A connection is closed if sent bytes stay unacknowledged for this time (`TCP_USER_TIMEOUT`, RFC 5482). Without it,
+/// the socket would not report a network partition.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A connection that is not established within this time has failed.
+/// Time within which a connection must be established.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// After this time without an established connection a further attempt is made beside the earlier ones.
+/// Time without a result after which a further connection attempt is started in parallel.
 const CONNECT_HEDGE_DELAY: Duration = Duration::from_millis(150);
 
-/// Frames that may wait in a connection's queue. With more, the oldest state is stale anyway and the connection is
-/// ended.
+/// Maximum number of frames in a connection's queue. If the queue is full, its oldest frames are stale and the client
+/// closes the connection.
 pub const MAX_QUEUED_FRAMES: usize = 4096;
 
 /// Opens a connection within [`CONNECT_TIMEOUT`].
@@ -29,8 +29,8 @@
     Some(stream)
 }
 
-/// An attempt without a result is joined by a further one after a short time. Against a machine that was unreachable
-/// when the first packet came: TCP repeats that only after a second, while the machine may be back long before.
+/// Starts parallel connection attempts, [`CONNECT_HEDGE_DELAY`] apart, and returns the first result. TCP repeats a lost
+/// SYN packet only after a second, although an unreachable machine may be back much earlier.
 async fn connect_hedged(address: SocketAddr) -> Option<TcpStream> {
     let mut attempts = JoinSet::new();
     loop {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Sets what every connection needs: no delay for small frames, an end for silent peers.
+/// Sets the socket options of a connection: `TCP_NODELAY` for small frames, and [`PEER_TIMEOUT`].
 pub fn configure(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     socket2::SockRef::from(stream).set_tcp_user_timeout(Some(PEER_TIMEOUT))
--- a/crates/serving/rpc/src/frame.rs
+++ b/crates/serving/rpc/src/frame.rs
@@ -1,44 +1,43 @@
-//! The form of a frame: length of the rest, checksum of the rest, id of the call (zero for one-way messages), payload.
-//! All numbers are little-endian.
+//! Frame format: length of call id and payload, their checksum, call id (zero for one-way messages), payload. Length,
+//! checksum and call id are little-endian.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::mpsc;
 
-/// Bytes that one frame may have, without length and checksum. A larger length is taken for a stream of another
-/// protocol.
+/// Maximum size of a frame without length and checksum. A larger length indicates a stream of another protocol.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
-/// Length and checksum.
+/// Size of length and checksum.
 const HEADER_BYTES: usize = 8;
-/// The call's id in front of the payload.
+/// Size of the call id.
 const CALL_ID_BYTES: usize = 8;
-/// What one read of the socket requests.
+/// Minimum free space in the buffer for one read of the socket.
 const READ_BYTES: usize = 4096;
-/// A buffer that a large frame has grown beyond this is freed once it is empty.
+/// An empty buffer with more capacity than this, left over from a large frame, is freed.
 const MAX_IDLE_CAPACITY: usize = 64 * 1024;
 
-/// Why bytes are no frame.
+/// Why no frame could be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The length is beyond [`MAX_FRAME_BYTES`] or below the least.
-    #[error("the length is out of range")]
+    /// The length exceeds [`MAX_FRAME_BYTES`] or is too small for a call id.
+    #[error("the length of a frame is out of range")]
     Length,
-    /// The checksum does not fit the bytes.
-    #[error("the checksum does not fit")]
+    /// The checksum does not match the bytes.
+    #[error("the checksum of a frame does not match")]
     Checksum,
-    /// The connection ended, or failed.
+    /// The connection was closed or failed.
     #[error("the connection is closed")]
     Closed,
 }
 
-/// Which call a frame belongs to: unique for a client, over all of its connections.
+/// Identifies the call that a frame belongs to. Unique for a client over all its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CallId(pub u64);
 
 impl CallId {
-    /// That of messages without a response.
+    /// The id of one-way messages, which get no response.
     pub const ONE_WAY: CallId = CallId(0);
 }
 
@@ -61,7 +60,7 @@
     buffer.put_slice(&frame.payload);
 }
 
-/// Takes the next complete frame out of `buffer`, if there is one.
+/// Removes the next complete frame from `buffer`, if there is one.
 fn decode(buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
     if buffer.len() < HEADER_BYTES {
         return Ok(None);
@@ -84,7 +83,7 @@
     Ok(Some(Frame { call, payload }))
 }
 
-/// Reads frames off one connection.
+/// Reads frames from one connection.
 pub struct FrameReader<R> {
     input: R,
     buffer: BytesMut,
@@ -98,7 +97,7 @@
         }
     }
 
-    /// The next frame; waits for it.
+    /// Waits for the next frame and returns it.
     pub async fn next(&mut self) -> Result<Frame, FrameError> {
         loop {
             if let Some(frame) = decode(&mut self.buffer)? {
@@ -116,7 +115,7 @@
     }
 }
 
-/// Writes the frames of a queue, all that wait at a time with one write, until the queue or the connection ends.
+/// Writes the frames of a queue until the queue or the connection is closed. All frames queued at one time share a write.
 pub async fn write_frames(mut output: impl AsyncWrite + Unpin, mut queue: mpsc::Receiver<Frame>) {
     while let Some(frame) = queue.recv().await {
         let mut buffer = BytesMut::new();
--- a/crates/serving/rpc/src/lib.rs
+++ b/crates/serving/rpc/src/lib.rs
@@ -1,9 +1,8 @@
 //! Remote procedure calls between the processes of the serving tier, over persistent TCP connections: requests with
-//! responses, and one-way messages, as frames with a length and a checksum. The payload of a frame is the caller's
-//! business.
+//! responses, and one-way messages. Each is a frame with a length and a checksum; the payload is opaque to this package.
 //!
-//! Both sides run on one thread (`tokio` current-thread with a `LocalSet`). Queues are bounded; a peer that does
-//! not read, or is silent behind a network partition, ends its connection within [`PEER_TIMEOUT`].
+//! Client and server run on one thread (`tokio` current-thread with a `LocalSet`). Queues are bounded. A connection is
+//! closed if the peer stops reading, or if a network partition leaves sent bytes unacknowledged for [`PEER_TIMEOUT`].
 
 mod client;
 mod connection;
--- a/crates/serving/rpc/src/server.rs
+++ b/crates/serving/rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! The side that is called: accepts connections and hands each request to a [`Service`].
+//! The server: accepts connections and passes each request to a [`Service`].
 
 use crate::connection::{configure, MAX_QUEUED_FRAMES};
 use crate::frame::{write_frames, CallId, Frame, FrameReader};
@@ -13,19 +13,19 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Calls of one connection that may be in flight; further ones wait unread.
+/// Maximum number of calls in flight on one connection. Further requests stay unread in the socket.
 const MAX_CONCURRENT_CALLS: usize = 1024;
-/// Delay after a failed accept (no descriptor left), against a loop that takes all processor time.
+/// Delay after a failed accept, e.g. for lack of file descriptors. Without it, the loop would occupy the processor.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Carries out calls.
+/// Executes calls.
 pub trait Service: 'static {
-    /// The response to one call; `None` ends the connection (a payload that can't be understood). For one-way messages
-    /// the result only says whether the connection goes on.
+    /// Executes a call and returns the response, or `None` for an invalid payload, which closes the connection. The
+    /// response to a one-way message is not sent.
     fn call(self: Rc<Self>, payload: Bytes) -> impl Future<Output = Option<Bytes>>;
 }
 
-/// Serves connections for as long as the task runs.
+/// Accepts and serves connections until the task is aborted.
 pub async fn serve<S: Service>(listener: TcpListener, service: Rc<S>) {
     loop {
         match listener.accept().await {
@@ -33,7 +33,7 @@
                 spawn_local(serve_connection(stream, peer, service.clone()));
             }
             Err(error) => {
-                log::warn!("accept failed: {error}");
+                log::warn!("accepting a connection failed: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -66,7 +66,7 @@
                 spawn_local(call.run(request));
             }
             Err(error) => {
-                log::debug!("connection from {peer} ended: {error}");
+                log::debug!("connection from {peer} closed: {error}");
                 break;
             }
         }
@@ -75,11 +75,11 @@
     writer.abort();
 }
 
-/// What one call in flight needs of its connection.
+/// A call in flight on a connection.
 struct Call<S> {
     service: Rc<S>,
     responses: mpsc::Sender<Frame>,
-    /// Notified of a payload that can't be understood.
+    /// Notified if the service rejects a payload as invalid.
     rejected: Rc<Notify>,
     permit: OwnedSemaphorePermit,
 }
--- a/crates/serving/rpc/tests/calls.rs
+++ b/crates/serving/rpc/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls over loopback: responses, one-way messages, ended connections, bytes that are no frames.
+//! Calls over loopback: responses, one-way messages, closed connections and invalid frames.
 
 mod common;
 
@@ -15,17 +15,17 @@
 
 const TIME_LIMIT: Duration = Duration::from_secs(10);
 
-/// Responds with the payload reversed; `end` ends the connection, `never` gets no response.
+/// Responds with the payload reversed. The payload `end` closes the connection, `never` gets no response.
 #[derive(Default)]
 struct Echo {
-    seen: RefCell<Vec<Bytes>>,
-    noticed: Notify,
+    received: RefCell<Vec<Bytes>>,
+    call_received: Notify,
 }
 
 impl Service for Echo {
     async fn call(self: Rc<Self>, payload: Bytes) -> Option<Bytes> {
-        self.seen.borrow_mut().push(payload.clone());
-        self.noticed.notify_one();
+        self.received.borrow_mut().push(payload.clone());
+        self.call_received.notify_one();
         if payload == "end" {
             return None;
         }
@@ -36,7 +36,7 @@
     }
 }
 
-async fn started() -> (Rc<Echo>, std::net::SocketAddr) {
+async fn start_echo() -> (Rc<Echo>, std::net::SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let service = Rc::new(Echo::default());
@@ -45,23 +45,23 @@
 }
 
 #[test]
-fn calls_get_each_its_own_response() {
+fn each_call_gets_its_own_response() {
     run(async {
-        let (_, address) = started().await;
+        let (_, address) = start_echo().await;
         let client = Client::new(address);
-        let (a, b) = tokio::join!(
+        let (first, second) = tokio::join!(
             client.call(Bytes::from_static(b"abc"), TIME_LIMIT),
             client.call(Bytes::from_static(b"xyz"), TIME_LIMIT)
         );
-        assert_eq!(a.unwrap(), "cba");
-        assert_eq!(b.unwrap(), "zyx");
+        assert_eq!(first.unwrap(), "cba");
+        assert_eq!(second.unwrap(), "zyx");
     });
 }
 
 #[test]
-fn large_payloads_pass_and_larger_ones_are_refused_unsent() {
+fn large_payloads_are_sent_and_too_large_ones_are_refused() {
     run(async {
-        let (service, address) = started().await;
+        let (service, address) = start_echo().await;
         let client = Client::new(address);
         let large = Bytes::from(vec![7; 3 * 1024 * 1024]);
         assert_eq!(client.call(large.clone(), TIME_LIMIT).await.unwrap(), large);
@@ -70,14 +70,14 @@
             client.call(too_large, TIME_LIMIT).await,
             Err(CallError::Full)
         );
-        assert_eq!(service.seen.borrow().len(), 1);
+        assert_eq!(service.received.borrow().len(), 1);
     });
 }
 
 #[test]
 fn messages_arrive_in_order() {
     run(async {
-        let (service, address) = started().await;
+        let (service, address) = start_echo().await;
         let client = Client::new(address);
         for text in ["one", "two", "three"] {
             client.notify(Bytes::from_static(text.as_bytes())).unwrap();
@@ -86,7 +86,7 @@
             .call(Bytes::from_static(b"last"), TIME_LIMIT)
             .await
             .unwrap();
-        assert_eq!(*service.seen.borrow(), ["one", "two", "three", "last"]);
+        assert_eq!(*service.received.borrow(), ["one", "two", "three", "last"]);
     });
 }
 
@@ -96,53 +96,55 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         drop(listener);
-        let notices = Rc::new(Cell::new(0));
-        let counted = notices.clone();
-        let client =
-            Client::with_close_observer(address, Box::new(move || counted.set(counted.get() + 1)));
+        let close_count = Rc::new(Cell::new(0));
+        let observed = close_count.clone();
+        let client = Client::with_close_observer(
+            address,
+            Box::new(move || observed.set(observed.get() + 1)),
+        );
         assert_eq!(
             client.call(Bytes::new(), TIME_LIMIT).await,
             Err(CallError::Unreachable)
         );
-        assert_eq!(notices.get(), 1);
+        assert_eq!(close_count.get(), 1);
     });
 }
 
-/// Fills the backlog of a listener with connections that nobody has accepted, so that it ignores further ones, as an
-/// unreachable machine does.
-async fn ignoring_listener() -> (TcpListener, Vec<TcpStream>) {
+/// Returns a listener whose backlog is full of unaccepted connections, so that it ignores further ones like an
+/// unreachable machine.
+async fn listener_with_full_backlog() -> (TcpListener, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
     let address = listener.local_addr().unwrap();
-    let mut taken = Vec::new();
+    let mut unaccepted = Vec::new();
     for _ in 0..2 {
-        taken.push(TcpStream::connect(address).await.unwrap());
+        unaccepted.push(TcpStream::connect(address).await.unwrap());
     }
-    (listener, taken)
+    (listener, unaccepted)
 }
 
 #[test]
-fn a_machine_that_comes_back_is_reached_before_the_first_attempt_is_given_up() {
+fn a_machine_that_becomes_reachable_is_connected_to_by_a_parallel_attempt() {
     run(async {
-        let (listener, taken) = ignoring_listener().await;
+        let (listener, unaccepted) = listener_with_full_backlog().await;
         let client = Client::new(listener.local_addr().unwrap());
         let call =
             spawn_local(async move { client.call(Bytes::from_static(b"abc"), TIME_LIMIT).await });
-        // The first attempt goes out, and is ignored.
+        // The listener ignores the first attempt.
         for _ in 0..10 {
             yield_now().await;
         }
-        drop(taken);
+        drop(unaccepted);
         spawn_local(serve(listener, Rc::new(Echo::default())));
         assert_eq!(call.await.unwrap().unwrap(), "cba");
     });
 }
 
 #[test]
-fn a_connection_that_ends_fails_its_calls_and_the_next_call_opens_another() {
+fn a_closed_connection_fails_its_calls_and_the_next_call_opens_another() {
     run(async {
-        let (_, address) = started().await;
+        let (_, address) = start_echo().await;
         let client = Client::new(address);
         let (hanging, ending) = tokio::join!(
             client.call(Bytes::from_static(b"never"), TIME_LIMIT),
@@ -161,9 +163,9 @@
 }
 
 #[test]
-fn bytes_that_are_no_frame_end_only_their_connection() {
+fn an_invalid_frame_closes_only_its_own_connection() {
     run(async {
-        let (service, address) = started().await;
+        let (service, address) = start_echo().await;
         let client = Client::new(address);
         client
             .call(Bytes::from_static(b"ab"), TIME_LIMIT)
@@ -173,10 +175,10 @@
             &b"GET / HTTP/1.1\r\n\r\n"[..],
             &[9, 0, 0, 0, 1, 2, 3, 4, 0, 0, 0, 0, 0, 0, 0, 0, 65],
         ] {
-            let mut stranger = TcpStream::connect(address).await.unwrap();
-            stranger.write_all(malformed).await.unwrap();
+            let mut stream = TcpStream::connect(address).await.unwrap();
+            stream.write_all(malformed).await.unwrap();
             let mut rest = Vec::new();
-            let _ = stranger.read_to_end(&mut rest).await;
+            let _ = stream.read_to_end(&mut rest).await;
             assert!(rest.is_empty());
         }
         assert_eq!(
@@ -186,12 +188,12 @@
                 .unwrap(),
             "dc"
         );
-        assert_eq!(service.seen.borrow().len(), 2);
+        assert_eq!(service.received.borrow().len(), 2);
     });
 }
 
 #[test]
-fn a_dropped_client_ends_its_connection() {
+fn a_dropped_client_closes_its_connection() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let client = Client::new(listener.local_addr().unwrap());
--- a/crates/serving/rpc/tests/frames.rs
+++ b/crates/serving/rpc/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames on the connection have the bytes of revision 52a1591, which wrote the files under `tests/fixtures`.
+//! Client and server write frames with the bytes of revision 52a1591, which wrote the files under `tests/fixtures`.
 
 mod common;
 
@@ -13,14 +13,15 @@
 use tokio::task::spawn_local;
 
 const TIME_LIMIT: Duration = Duration::from_secs(10);
+
 fn fixtures() -> Fixtures {
     Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Responds to a call with `<payload>.`.
-struct Dot;
+/// Responds to a call with the payload and a dot.
+struct AppendDot;
 
-impl Service for Dot {
+impl Service for AppendDot {
     async fn call(self: Rc<Self>, payload: Bytes) -> Option<Bytes> {
         Some([&payload[..], b"."].concat().into())
     }
@@ -32,9 +33,9 @@
     bytes
 }
 
-/// Length, checksum, call id and payload by hand.
-fn frame(number: u64, payload: &[u8]) -> Vec<u8> {
-    let rest = [&number.to_le_bytes()[..], payload].concat();
+/// Encodes a frame independently of the package: length, checksum, call id, payload.
+fn frame(call_id: u64, payload: &[u8]) -> Vec<u8> {
+    let rest = [&call_id.to_le_bytes()[..], payload].concat();
     [
         &(rest.len() as u32).to_le_bytes()[..],
         &crc32fast::hash(&rest).to_le_bytes()[..],
@@ -68,8 +69,8 @@
         let written = read(&mut stream, expected.len()).await;
         assert_eq!(written, expected);
         fixtures().assert_bytes("client.hex", &written);
-        for (number, payload) in [(2, &b"two"[..]), (1, b""), (3, b"three")] {
-            stream.write_all(&frame(number, payload)).await.unwrap();
+        for (call_id, payload) in [(2, &b"two"[..]), (1, b""), (3, b"three")] {
+            stream.write_all(&frame(call_id, payload)).await.unwrap();
         }
         let mut responses = Vec::new();
         for call in calls {
@@ -86,7 +87,7 @@
         let mut stream = TcpStream::connect(listener.local_addr().unwrap())
             .await
             .unwrap();
-        spawn_local(serve(listener, Rc::new(Dot)));
+        spawn_local(serve(listener, Rc::new(AppendDot)));
         let requests = fixtures().bytes("client.hex");
         stream.write_all(&requests).await.unwrap();
         let expected = [
@@ -96,7 +97,7 @@
         ]
         .concat();
         let written = read(&mut stream, expected.len()).await;
-        assert_eq!(written, expected, "the message has no response");
+        assert_eq!(written, expected, "the one-way message gets no response");
         fixtures().assert_bytes("server.hex", &written);
     });
 }
--- a/crates/serving/rpc/tests/late_responses.rs
+++ b/crates/serving/rpc/tests/late_responses.rs
@@ -1,4 +1,4 @@
-//! Late, second and unexpected responses: none is taken for the response to another call. A call is sent once.
+//! A late, duplicate or unexpected response is never taken for the response to another call, and no call is sent twice.
 
 mod common;
 
@@ -14,27 +14,27 @@
 use tokio::task::{spawn_local, yield_now, JoinHandle};
 
 const TIME_LIMIT: Duration = Duration::from_secs(10);
-/// Elapsed before anything else happens.
+/// A time limit that has elapsed before a response can arrive.
 const NO_WAIT: Duration = Duration::ZERO;
-/// The call id in front of a payload.
+/// Size of the call id in front of a payload.
 const CALL_ID_BYTES: usize = 8;
 const SEEDS: u64 = 300;
 const CALLS: u64 = 12;
 
-/// A process that is called, byte by byte.
-struct CalledProcess {
+/// A server that reads and writes frames independently of the package.
+struct RawServer {
     stream: TcpStream,
 }
 
-impl CalledProcess {
-    async fn accept(listener: &TcpListener) -> CalledProcess {
-        CalledProcess {
+impl RawServer {
+    async fn accept(listener: &TcpListener) -> RawServer {
+        RawServer {
             stream: listener.accept().await.unwrap().0,
         }
     }
 
-    /// The next call: its id and payload.
-    async fn call(&mut self) -> (u64, Bytes) {
+    /// Reads the next call: its id and payload.
+    async fn read_call(&mut self) -> (u64, Bytes) {
         let mut head = [0; 8];
         self.stream.read_exact(&mut head).await.unwrap();
         let length = u32::from_le_bytes(head[..4].try_into().unwrap()) as usize;
@@ -48,8 +48,8 @@
         (rest.get_u64_le(), rest)
     }
 
-    async fn respond(&mut self, number: u64, payload: &[u8]) {
-        let mut rest = number.to_le_bytes().to_vec();
+    async fn respond(&mut self, call_id: u64, payload: &[u8]) {
+        let mut rest = call_id.to_le_bytes().to_vec();
         rest.extend(payload);
         let mut frame = (rest.len() as u32).to_le_bytes().to_vec();
         frame.extend(crc32fast::hash(&rest).to_le_bytes());
@@ -59,97 +59,97 @@
     }
 }
 
-async fn listening() -> (TcpListener, Rc<Client>) {
+async fn listener_and_client() -> (TcpListener, Rc<Client>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = Client::new(listener.local_addr().unwrap());
     (listener, client)
 }
 
-fn call(client: &Rc<Client>, payload: &str) -> JoinHandle<Result<Bytes, CallError>> {
+fn start_call(client: &Rc<Client>, payload: &str) -> JoinHandle<Result<Bytes, CallError>> {
     let (client, payload) = (client.clone(), Bytes::copy_from_slice(payload.as_bytes()));
     spawn_local(async move { client.call(payload, TIME_LIMIT).await })
 }
 
 #[test]
-fn the_late_response_to_a_call_that_timed_out_is_not_that_to_the_next() {
+fn a_late_response_to_a_timed_out_call_is_not_taken_for_the_next_one() {
     run(async {
-        let (listener, client) = listening().await;
+        let (listener, client) = listener_and_client().await;
         let first = client.call(Bytes::from_static(b"first"), NO_WAIT).await;
         assert_eq!(first, Err(CallError::TimedOut));
-        let second = call(&client, "second");
-        let mut called = CalledProcess::accept(&listener).await;
-        let (first_id, payload) = called.call().await;
+        let second = start_call(&client, "second");
+        let mut server = RawServer::accept(&listener).await;
+        let (first_id, payload) = server.read_call().await;
         assert_eq!(payload, "first");
-        let (second_id, _) = called.call().await;
-        called.respond(first_id, b"to the first").await;
-        called.respond(first_id, b"to the first, again").await;
-        called.respond(second_id, b"to the second").await;
+        let (second_id, _) = server.read_call().await;
+        server.respond(first_id, b"to the first").await;
+        server.respond(first_id, b"to the first, again").await;
+        server.respond(second_id, b"to the second").await;
         assert_eq!(second.await.unwrap().unwrap(), "to the second");
     });
 }
 
 #[test]
-fn a_second_response_and_one_to_no_call_are_dropped() {
+fn duplicate_and_unexpected_responses_are_dropped() {
     run(async {
-        let (listener, client) = listening().await;
-        let first = call(&client, "first");
-        let mut called = CalledProcess::accept(&listener).await;
-        let (first_id, _) = called.call().await;
-        called.respond(first_id, b"one").await;
+        let (listener, client) = listener_and_client().await;
+        let first = start_call(&client, "first");
+        let mut server = RawServer::accept(&listener).await;
+        let (first_id, _) = server.read_call().await;
+        server.respond(first_id, b"one").await;
         assert_eq!(first.await.unwrap().unwrap(), "one");
-        let second = call(&client, "second");
-        let (second_id, _) = called.call().await;
+        let second = start_call(&client, "second");
+        let (second_id, _) = server.read_call().await;
         for unexpected in [first_id, 0, second_id + 1, u64::MAX] {
-            called.respond(unexpected, b"unexpected").await;
+            server.respond(unexpected, b"unexpected").await;
         }
-        called.respond(second_id, b"two").await;
+        server.respond(second_id, b"two").await;
         assert_eq!(second.await.unwrap().unwrap(), "two");
     });
 }
 
 #[test]
-fn responses_may_overtake_each_other() {
+fn responses_may_arrive_in_any_order() {
     run(async {
-        let (listener, client) = listening().await;
-        let (first, second) = (call(&client, "first"), call(&client, "second"));
-        let mut called = CalledProcess::accept(&listener).await;
-        let (first_id, _) = called.call().await;
-        let (second_id, _) = called.call().await;
-        called.respond(second_id, b"two").await;
-        called.respond(first_id, b"one").await;
+        let (listener, client) = listener_and_client().await;
+        let (first, second) = (start_call(&client, "first"), start_call(&client, "second"));
+        let mut server = RawServer::accept(&listener).await;
+        let (first_id, _) = server.read_call().await;
+        let (second_id, _) = server.read_call().await;
+        server.respond(second_id, b"two").await;
+        server.respond(first_id, b"one").await;
         assert_eq!(first.await.unwrap().unwrap(), "one");
         assert_eq!(second.await.unwrap().unwrap(), "two");
     });
 }
 
 #[test]
-fn ids_go_on_over_a_new_connection() {
+fn call_ids_are_not_reused_on_a_new_connection() {
     run(async {
-        let (listener, client) = listening().await;
-        let first = call(&client, "first");
-        let mut called = CalledProcess::accept(&listener).await;
-        let (first_id, _) = called.call().await;
-        drop(called);
+        let (listener, client) = listener_and_client().await;
+        let first = start_call(&client, "first");
+        let mut server = RawServer::accept(&listener).await;
+        let (first_id, _) = server.read_call().await;
+        drop(server);
         assert_eq!(first.await.unwrap(), Err(CallError::Closed));
-        let second = call(&client, "second");
-        let mut called = CalledProcess::accept(&listener).await;
-        let (second_id, payload) = called.call().await;
-        assert_eq!(payload, "second", "the first is not sent again");
+        let second = start_call(&client, "second");
+        let mut server = RawServer::accept(&listener).await;
+        let (second_id, payload) = server.read_call().await;
+        assert_eq!(payload, "second", "the first call is not sent again");
         assert!(second_id > first_id);
-        called.respond(first_id, b"to the first").await;
-        called.respond(second_id, b"to the second").await;
+        server.respond(first_id, b"to the first").await;
+        server.respond(second_id, b"to the second").await;
         assert_eq!(second.await.unwrap().unwrap(), "to the second");
     });
 }
 
-/// Only the call that finds the queue full was surely not sent.
+/// When the queue is full, earlier calls may have been sent; only the rejected frame certainly was not.
 #[test]
-fn calls_behind_a_full_queue_may_have_been_sent() {
+fn a_full_queue_fails_pending_calls_as_possibly_sent() {
     run(async {
-        let (listener, client) = listening().await;
-        let first = call(&client, "first");
-        let mut called = CalledProcess::accept(&listener).await;
-        assert_eq!(called.call().await.1, "first");
+        let (listener, client) = listener_and_client().await;
+        let first = start_call(&client, "first");
+        let mut server = RawServer::accept(&listener).await;
+        assert_eq!(server.read_call().await.1, "first");
         let full = loop {
             if let Err(error) = client.notify(Bytes::from_static(b"message")) {
                 break error;
@@ -161,22 +161,23 @@
 }
 
 #[test]
-fn whatever_responses_come_each_call_gets_its_own() {
+fn each_call_gets_its_own_response_in_random_sequences() {
     for seed in 0..SEEDS {
-        run(generated(Rng::with_seed(seed)));
+        run(run_random_calls(Rng::with_seed(seed)));
     }
 }
 
-/// Calls that get responses in any order, twice, late, never or over connections that end; some time out.
-async fn generated(mut rng: Rng) {
+/// Runs calls with responses in random order, duplicate, late or missing; some calls time out, and some connections are
+/// closed.
+async fn run_random_calls(mut rng: Rng) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let closed = Rc::new(Notify::new());
-    let notice = closed.clone();
+    let on_closed = closed.clone();
     let client = Client::with_close_observer(
         listener.local_addr().unwrap(),
-        Box::new(move || notice.notify_one()),
+        Box::new(move || on_closed.notify_one()),
     );
-    let mut called: Option<CalledProcess> = None;
+    let mut server: Option<RawServer> = None;
     let mut calls = Vec::new();
     let mut requests: Vec<(u64, Bytes)> = Vec::new();
     for number in 0..CALLS {
@@ -185,30 +186,30 @@
             let timed_out = client.call(Bytes::from(payload.clone()), NO_WAIT).await;
             assert_eq!(timed_out, Err(CallError::TimedOut));
         } else {
-            calls.push((payload.clone(), call(&client, &payload)));
+            calls.push((payload.clone(), start_call(&client, &payload)));
             yield_now().await;
         }
-        if called.is_none() {
-            called = Some(CalledProcess::accept(&listener).await);
+        if server.is_none() {
+            server = Some(RawServer::accept(&listener).await);
         }
-        let connection = called.as_mut().unwrap();
-        let taken = connection.call().await;
-        assert_eq!(taken.1, payload, "sent once, in order");
-        assert!(requests.iter().all(|(other, _)| *other != taken.0));
-        requests.push(taken);
+        let connection = server.as_mut().unwrap();
+        let request = connection.read_call().await;
+        assert_eq!(request.1, payload, "each call is sent once, in order");
+        assert!(requests.iter().all(|(other, _)| *other != request.0));
+        requests.push(request);
         for _ in 0..rng.usize(0..3) {
-            let (number, payload) = requests[rng.usize(0..requests.len())].clone();
-            connection.respond(number, &payload).await;
+            let (call_id, payload) = requests[rng.usize(0..requests.len())].clone();
+            connection.respond(call_id, &payload).await;
         }
         if rng.u32(0..6) == 0 {
-            called = None;
+            server = None;
             closed.notified().await;
         }
     }
-    drop((called, listener));
+    drop((server, listener));
     for (payload, call) in calls {
         match call.await.unwrap() {
-            Ok(answer) => assert_eq!(answer, payload),
+            Ok(response) => assert_eq!(response, payload),
             Err(error) => assert!(
                 matches!(error, CallError::Closed | CallError::Unreachable),
                 "{error:?}"
