--- a/crates/gateway/voter-storage/src/error.rs
+++ b/crates/gateway/voter-storage/src/error.rs
@@ -1,25 +1,25 @@
-//! What can go wrong with a voter's file.
+//! Errors of opening, reading and writing a voter's file.
 
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a voter's file can't be opened: the file, the cause and, where there is one, the remedy.
+/// Why a voter's file can't be opened, with its path and, where there is one, the remedy.
 #[derive(Debug, Error)]
 #[error("{}: {cause}", path.display())]
 pub struct OpenError {
-    /// The file.
+    /// Path of the voter's file.
     pub path: PathBuf,
-    /// Why it can't be opened.
+    /// The underlying error.
     #[source]
     pub cause: VoterStorageError,
 }
 
-/// Whose file it is.
+/// The voter that a file belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileOwner {
-    /// The fleet that the voter belongs to.
+    /// Name of the voter's fleet.
     pub fleet: String,
     /// The voter's name.
     pub name: String,
@@ -35,50 +35,50 @@
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum VoterStorageError {
-    /// The database library refused or failed.
+    /// The database library returned an error.
     #[error(transparent)]
     Database(Box<redb::Error>),
-    /// The folder of the file can't be made.
+    /// The folder of the file can't be created.
     #[error(transparent)]
     Folder(io::Error),
-    /// The bytes of a record are not its encoding.
-    #[error("{record} can't be read ({source}); move the file away")]
+    /// The stored bytes of a record can't be decoded.
+    #[error("{record} can't be decoded ({source}); move the file away")]
     Decode {
-        /// Which record.
+        /// The record that was read.
         record: &'static str,
-        /// What the decoder says.
+        /// The decoder's error.
         source: postcard::Error,
     },
-    /// A value can't be written as a record.
+    /// A value can't be encoded as a record.
     #[error(transparent)]
     Encode(postcard::Error),
     /// A newer version of the program wrote the file.
-    #[error("of format {found}, this program knows {known}; use the newer one")]
+    #[error("the file has format {found}, but this program reads only formats up to {known}; use a newer program")]
     NewerFormat {
-        /// That of the file.
+        /// Format of the file.
         found: u32,
-        /// The newest one that this program reads.
+        /// The newest format that this program reads.
         known: u32,
     },
-    /// The file belongs to another voter or to one of another fleet.
-    #[error("is the store of {found}, not of {} in {}", expected.name, expected.fleet)]
+    /// The file belongs to another voter, of the same or another fleet.
+    #[error("the file belongs to {found}, not to {expected}")]
     OtherOwner {
-        /// Whose it is.
+        /// The voter that the file belongs to.
         found: FileOwner,
-        /// Whose it should be.
+        /// The voter that opened the file.
         expected: FileOwner,
     },
-    /// An entry of the log is stored under the index of another one.
-    #[error("entry {entry} stands at {index}; move the file away")]
+    /// A log entry is stored under the index of another entry.
+    #[error("log entry {entry} is stored under index {index}; move the file away")]
     MisplacedEntry {
-        /// The entry's own index.
+        /// Index that the entry records.
         entry: u64,
-        /// Where it was found.
+        /// Index under which the entry is stored.
         index: u64,
     },
 }
 
-/// The library has an error type for each operation; all of them are parts of [`redb::Error`].
+/// Converts the library's error types, one for each operation: all of them convert to [`redb::Error`].
 impl<E: Into<redb::Error>> From<E> for VoterStorageError {
     fn from(error: E) -> VoterStorageError {
         VoterStorageError::Database(Box::new(error.into()))
--- a/crates/gateway/voter-storage/src/lib.rs
+++ b/crates/gateway/voter-storage/src/lib.rs
@@ -1,7 +1,8 @@
-//! A voter's durable state on `redb`: one file, each batch complete or not at all, synced before it returns.
+//! Durable state of a voter of the singleton roles' log, in one `redb` file. Each batch of writes is atomic and is synced
+//! before the call returns; a failed sync is reported as an error.
 //!
-//! The file is never opened for another fleet, another voter or by a program older than its format, and nothing is
-//! reported as written when the sync failed. Calls block: they belong on a thread of their own.
+//! A file is refused if it belongs to another fleet or voter, or if its format is newer than this program. All calls
+//! block, so callers run them on a separate thread.
 
 mod error;
 mod records;
--- a/crates/gateway/voter-storage/src/records.rs
+++ b/crates/gateway/voter-storage/src/records.rs
@@ -1,17 +1,17 @@
-//! Tables and records of a voter's file. Names and encodings are those of stored data: they stay as they are, or
-//! [`FORMAT`] changes.
+//! Tables and records of a voter's file. Names and encodings are part of the stored format: changing one requires a new
+//! [`FORMAT`].
 
 use crate::error::{FileOwner, VoterStorageError};
 use redb::{ReadableTable, Table, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Rises when older programs can't read the file any more.
+/// Version of the stored format. It increases when older programs can no longer read the file.
 pub const FORMAT: u32 = 1;
 
-/// Single values, each in postcard under its own key.
-pub const HEAD: TableDefinition<&str, &[u8]> = TableDefinition::new("head");
-/// The log's entries by index, in postcard.
+/// Single values by key, encoded in postcard.
+pub const VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("head");
+/// Log entries by index, encoded in postcard.
 pub const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
 pub const KEY_OWNER: &str = "owner";
@@ -19,13 +19,21 @@
 pub const KEY_HARD_STATE: &str = "hard";
 pub const KEY_SNAPSHOT: &str = "snap";
 
-pub type HeadTable<'transaction> = Table<'transaction, &'static str, &'static [u8]>;
+/// The open table of single values.
+pub type ValuesTable<'transaction> = Table<'transaction, &'static str, &'static [u8]>;
 
-/// Makes a new file that of `expected`; refuses one of somebody else or of a newer format.
-pub fn check_owner(head: &mut HeadTable, expected: &FileOwner) -> Result<(), VoterStorageError> {
-    let stored = get(head, KEY_OWNER, "its owner")?;
+/// Checks that the file belongs to `expected` and has a known format. A new file is assigned to `expected`.
+pub fn check_owner(
+    values: &mut ValuesTable,
+    expected: &FileOwner,
+) -> Result<(), VoterStorageError> {
+    let stored = get(values, KEY_OWNER, "the file's owner")?;
     let Some((format, fleet, name)): Option<(u32, String, String)> = stored else {
-        return put(head, KEY_OWNER, &(FORMAT, &expected.fleet, &expected.name));
+        return put(
+            values,
+            KEY_OWNER,
+            &(FORMAT, &expected.fleet, &expected.name),
+        );
     };
     if format > FORMAT {
         return Err(VoterStorageError::NewerFormat {
@@ -41,29 +49,29 @@
     Ok(())
 }
 
-/// Reads a single value, if it is there. `record` names it in errors.
+/// Reads the value under `key`, if present. `record` names it in errors.
 pub fn get<T: DeserializeOwned>(
-    head: &HeadTable,
+    values: &ValuesTable,
     key: &str,
     record: &'static str,
 ) -> Result<Option<T>, VoterStorageError> {
-    let Some(stored) = head.get(key)? else {
+    let Some(stored) = values.get(key)? else {
         return Ok(None);
     };
     decode(stored.value(), record).map(Some)
 }
 
-/// Writes a single value.
+/// Writes the value under `key`.
 pub fn put(
-    head: &mut HeadTable,
+    values: &mut ValuesTable,
     key: &str,
     value: &impl Serialize,
 ) -> Result<(), VoterStorageError> {
-    head.insert(key, encode(value)?.as_slice())?;
+    values.insert(key, encode(value)?.as_slice())?;
     Ok(())
 }
 
-/// Reads a record. `record` names it in errors.
+/// Decodes a record. `record` names it in errors.
 pub fn decode<T: DeserializeOwned>(
     bytes: &[u8],
     record: &'static str,
@@ -71,7 +79,7 @@
     postcard::from_bytes(bytes).map_err(|source| VoterStorageError::Decode { record, source })
 }
 
-/// The bytes of a record.
+/// Encodes a record.
 pub fn encode(value: &impl Serialize) -> Result<Vec<u8>, VoterStorageError> {
     postcard::to_stdvec(value).map_err(VoterStorageError::Encode)
 }
--- a/crates/gateway/voter-storage/src/storage.rs
+++ b/crates/gateway/voter-storage/src/storage.rs
@@ -1,34 +1,34 @@
-//! The open file: what it holds at the start, and batches of writes.
+//! Opening a voter's file, loading its contents and writing batches.
 
 use crate::error::{FileOwner, OpenError, VoterStorageError};
 use crate::records::{
-    check_owner, decode, encode, get, put, HEAD, KEY_HARD_STATE, KEY_META, KEY_SNAPSHOT, LOG,
+    check_owner, decode, encode, get, put, KEY_HARD_STATE, KEY_META, KEY_SNAPSHOT, LOG, VALUES,
 };
 use dunespur_singleton_roles::raft_types::Entry;
 use dunespur_singleton_roles::records::{DiskState, WriteBatch};
 use redb::{Database, Durability, ReadableTable, WriteTransaction};
 use std::path::Path;
 
-/// A voter's open file.
+/// The open database file of a voter.
 #[derive(Debug)]
 pub struct VoterStorage {
     database: Database,
 }
 
-/// A file that was opened, and what was found in it.
+/// An opened file and its contents.
 #[derive(Debug)]
 pub struct OpenedVoter {
-    /// For writing.
+    /// The open file.
     pub storage: VoterStorage,
-    /// What the voter continues from; empty if the file is new.
+    /// State from which the voter continues; empty if the file is new.
     pub saved: DiskState,
 }
 
 impl VoterStorage {
-    /// Opens or makes the file of the voter `name` of `fleet`.
+    /// Opens or creates the file of the voter `name` in `fleet`.
     ///
     /// # Errors
-    /// The file is in use, damaged, of another owner or of a newer format, or can't be made.
+    /// The file is in use or corrupt, belongs to another voter, has a newer format or can't be created.
     pub fn open(path: &Path, fleet: &str, name: &str) -> Result<OpenedVoter, OpenError> {
         let owner = FileOwner {
             fleet: fleet.to_owned(),
@@ -55,10 +55,10 @@
         })
     }
 
-    /// Writes one batch; when it returns without an error, the batch is synced.
+    /// Writes one batch atomically and syncs it before returning.
     ///
     /// # Errors
-    /// Nothing of the batch is on the disk, or it is not known to be.
+    /// The commit failed: nothing of the batch is on the disk, or whether it is is unknown.
     pub fn write(&self, batch: &WriteBatch) -> Result<(), VoterStorageError> {
         let mut transaction = self.database.begin_write()?;
         transaction.set_durability(Durability::Immediate);
@@ -69,12 +69,12 @@
 }
 
 fn load(transaction: &WriteTransaction, owner: &FileOwner) -> Result<DiskState, VoterStorageError> {
-    let mut head = transaction.open_table(HEAD)?;
-    check_owner(&mut head, owner)?;
+    let mut values = transaction.open_table(VALUES)?;
+    check_owner(&mut values, owner)?;
     Ok(DiskState {
-        meta: get(&head, KEY_META, "its head")?.unwrap_or_default(),
-        hard_state: get(&head, KEY_HARD_STATE, "its term and vote")?.unwrap_or_default(),
-        snapshot: get(&head, KEY_SNAPSHOT, "its snapshot")?.unwrap_or_default(),
+        meta: get(&values, KEY_META, "the voter's metadata")?.unwrap_or_default(),
+        hard_state: get(&values, KEY_HARD_STATE, "the term and vote")?.unwrap_or_default(),
+        snapshot: get(&values, KEY_SNAPSHOT, "the snapshot")?.unwrap_or_default(),
         entries: load_entries(transaction)?,
     })
 }
@@ -83,7 +83,7 @@
     let mut entries = Vec::new();
     for row in transaction.open_table(LOG)?.iter()? {
         let (index, bytes) = row?;
-        let entry: Entry = decode(bytes.value(), "an entry of its log")?;
+        let entry: Entry = decode(bytes.value(), "a log entry")?;
         if entry.index != index.value() {
             return Err(VoterStorageError::MisplacedEntry {
                 entry: entry.index,
@@ -95,24 +95,24 @@
     Ok(entries)
 }
 
-/// Does to the tables what [`DiskState::apply`] does in memory.
+/// Applies a batch to the tables, as [`DiskState::apply`] does in memory.
 fn apply(transaction: &WriteTransaction, batch: &WriteBatch) -> Result<(), VoterStorageError> {
-    let mut head = transaction.open_table(HEAD)?;
+    let mut values = transaction.open_table(VALUES)?;
     let mut log = transaction.open_table(LOG)?;
     if batch.wipe {
         for key in [KEY_META, KEY_HARD_STATE, KEY_SNAPSHOT] {
-            head.remove(key)?;
+            values.remove(key)?;
         }
         log.retain(|_, _| false)?;
     }
     if let Some(meta) = &batch.meta {
-        put(&mut head, KEY_META, meta)?;
+        put(&mut values, KEY_META, meta)?;
     }
     if let Some(hard_state) = &batch.hard_state {
-        put(&mut head, KEY_HARD_STATE, hard_state)?;
+        put(&mut values, KEY_HARD_STATE, hard_state)?;
     }
     if let Some(snapshot) = &batch.snapshot {
-        put(&mut head, KEY_SNAPSHOT, snapshot)?;
+        put(&mut values, KEY_SNAPSHOT, snapshot)?;
         log.retain_in(..=snapshot.index, |_, _| false)?;
     }
     if let Some(first) = batch.entries.first() {
--- a/crates/gateway/voter-storage/tests/compatibility.rs
+++ b/crates/gateway/voter-storage/tests/compatibility.rs
@@ -1,5 +1,5 @@
 //! A voter's file stays readable: its records have the bytes that revision 52a1591 wrote, and a file of that revision
-//! opens with everything in it found by value. That revision wrote the files under `tests/fixtures`.
+//! opens with all its contents. That revision wrote the files under `tests/fixtures`.
 
 use dunespur_singleton_roles::raft_types::{Entry, HardState, Snapshot, VoterConfig};
 use dunespur_singleton_roles::records::{DiskMeta, DiskProgress, DiskState, WriteBatch};
@@ -11,7 +11,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-const HEAD: TableDefinition<&str, &[u8]> = TableDefinition::new("head");
+const VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("head");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const FLEET: &str = "fleet-1";
 const NAME: &str = "limiter-2";
@@ -20,8 +20,8 @@
     Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The voter's file in a folder.
-fn file(folder: &TemporaryFolder) -> PathBuf {
+/// Path of the voter's file in a folder.
+fn voter_file(folder: &TemporaryFolder) -> PathBuf {
     folder.file("voter.redb")
 }
 
@@ -42,13 +42,13 @@
 
 fn records(path: &Path) -> String {
     let database = Database::open(path).expect("the library opens it");
-    let head = dump(&database, HEAD, |key, value| {
+    let values = dump(&database, VALUES, |key, value| {
         format!("head {key}: {}\n", hex(value))
     });
     let log = dump(&database, LOG, |index, entry| {
         format!("log {index}: {}\n", hex(entry))
     });
-    head + &log
+    values + &log
 }
 
 fn entry(kind: u8, index: u64) -> Entry {
@@ -61,13 +61,13 @@
     }
 }
 
-/// All that the fixture contains, each field with a value of its own.
+/// The batches that the fixture was created from, with distinct values in all fields.
 fn batches() -> Vec<WriteBatch> {
-    let seen = |number: u64| DiskProgress {
-        starts: number + 1,
-        nonce: number + 2,
-        term: number + 3,
-        last_index: number + 4,
+    let progress = |base: u64| DiskProgress {
+        starts: base + 1,
+        nonce: base + 2,
+        term: base + 3,
+        last_index: base + 4,
     };
     let meta = DiskMeta {
         disk: 1_001,
@@ -82,22 +82,22 @@
                 name: "limiter-3".to_owned(),
             },
         ]),
-        peers: BTreeMap::from([(1_005, seen(2_000)), (1_006, seen(3_000))]),
+        peers: BTreeMap::from([(1_005, progress(2_000)), (1_006, progress(3_000))]),
     };
-    let conf = VoterConfig {
+    let config = VoterConfig {
         voters: vec![1_011, 1_012],
         outgoing: vec![1_013],
         learners: vec![1_014],
         learners_next: vec![1_015],
         auto_leave: true,
     };
-    let snap = Snapshot {
+    let snapshot = Snapshot {
         index: 2,
         term: 1_021,
-        config: conf,
+        config,
         data: vec![21, 22, 23],
     };
-    let hard = HardState {
+    let hard_state = HardState {
         term: 1_031,
         vote: 1_032,
         commit: 1_033,
@@ -124,8 +124,8 @@
         },
         WriteBatch {
             number: 4,
-            hard_state: Some(hard),
-            snapshot: Some(snap),
+            hard_state: Some(hard_state),
+            snapshot: Some(snapshot),
             ..WriteBatch::default()
         },
         WriteBatch {
@@ -137,24 +137,25 @@
 }
 
 fn write(path: &Path) {
-    let OpenedVoter { storage, saved } = VoterStorage::open(path, FLEET, NAME).expect("a new file");
+    let OpenedVoter { storage, saved } =
+        VoterStorage::open(path, FLEET, NAME).expect("the file is created");
     assert_eq!(saved, DiskState::default());
     batches()
         .iter()
-        .for_each(|batch| storage.write(batch).expect("the disk takes it"));
+        .for_each(|batch| storage.write(batch).expect("the write succeeds"));
 }
 
 #[test]
 fn records_have_the_bytes_of_the_earlier_revision() {
     let folder = TemporaryFolder::new("voter-records");
-    write(&file(&folder));
-    fixtures().assert_text("records.txt", &records(&file(&folder)));
+    write(&voter_file(&folder));
+    fixtures().assert_text("records.txt", &records(&voter_file(&folder)));
 }
 
 #[test]
-fn a_file_of_the_earlier_revision_opens_with_all_that_it_contains() {
+fn a_file_of_the_earlier_revision_opens_with_all_its_contents() {
     let folder = TemporaryFolder::new("voter-file");
-    let path = file(&folder);
+    let path = voter_file(&folder);
     write(&path);
     fixtures().keep_packed("voter.redb.packed", &path);
     fixtures().unpack_to("voter.redb.packed", &path);
@@ -209,10 +210,10 @@
 #[test]
 fn errors_name_the_file_the_cause_and_the_remedy() {
     let folder = TemporaryFolder::new("voter-errors");
-    let path = file(&folder);
+    let path = voter_file(&folder);
     let error = |fleet: &str, name: &str| {
         let error = VoterStorage::open(&path, fleet, name)
-            .expect_err("it does not open")
+            .expect_err("the file is refused")
             .to_string();
         let prefix = format!("{}: ", path.display());
         error
@@ -223,40 +224,40 @@
     write(&path);
     assert_eq!(
         error("g", NAME),
-        "is the store of limiter-2 in fleet fleet-1, not of limiter-2 in g"
+        "the file belongs to limiter-2 in fleet fleet-1, not to limiter-2 in fleet g"
     );
     assert_eq!(
         error(FLEET, "n"),
-        "is the store of limiter-2 in fleet fleet-1, not of n in fleet-1"
+        "the file belongs to limiter-2 in fleet fleet-1, not to n in fleet fleet-1"
     );
     let overwrite = |key: &str, value: &[u8]| {
         let database = Database::open(&path).expect("the library opens it");
         let transaction = database.begin_write().expect("a transaction");
         transaction
-            .open_table(HEAD)
+            .open_table(VALUES)
             .expect("the table")
             .insert(key, value)
             .expect("a row");
         transaction.commit().expect("a commit");
     };
     overwrite("meta", &[255]);
-    assert!(error(FLEET, NAME).starts_with("its head can't be read ("));
+    assert!(error(FLEET, NAME).starts_with("the voter's metadata can't be decoded ("));
     assert!(error(FLEET, NAME).ends_with("); move the file away"));
     overwrite("owner", &[2, 1, b'f', 1, b'n']);
     assert_eq!(
         error("f", "n"),
-        "of format 2, this program knows 1; use the newer one"
+        "the file has format 2, but this program reads only formats up to 1; use a newer program"
     );
     overwrite("owner", &[]);
-    assert!(error(FLEET, NAME).starts_with("its owner can't be read ("));
-    fs::write(&path, b"something else").expect("a file");
+    assert!(error(FLEET, NAME).starts_with("the file's owner can't be decoded ("));
+    fs::write(&path, b"something else").expect("the file is overwritten");
     assert!(!error(FLEET, NAME).is_empty());
 }
 
 #[test]
-fn an_entry_at_anothers_index_is_an_error() {
+fn a_log_entry_under_another_entrys_index_is_an_error() {
     let folder = TemporaryFolder::new("voter-index");
-    let path = file(&folder);
+    let path = voter_file(&folder);
     write(&path);
     let database = Database::open(&path).expect("the library opens it");
     let transaction = database.begin_write().expect("a transaction");
@@ -273,12 +274,12 @@
     transaction.commit().expect("a commit");
     drop(database);
     let error = VoterStorage::open(&path, FLEET, NAME)
-        .expect_err("it does not open")
+        .expect_err("the file is refused")
         .to_string();
     assert_eq!(
         error,
         format!(
-            "{}: entry 5 stands at 7; move the file away",
+            "{}: log entry 5 is stored under index 7; move the file away",
             path.display()
         )
     );
--- a/crates/gateway/voter-storage/tests/restarts.rs
+++ b/crates/gateway/voter-storage/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! What was written is found again after restarts; a file that can't be used is refused.
+//! Written batches survive restarts, and an unusable file is refused.
 
 use dunespur_singleton_roles::raft_types::{Entry, HardState, Snapshot};
 use dunespur_singleton_roles::records::{DiskMeta, DiskState, WriteBatch};
@@ -15,11 +15,11 @@
     }
 }
 
-/// What the file has after any sequence of batches is what [`DiskState`] has in memory.
+/// After each batch and restart, the file has the same state as a [`DiskState`] in memory.
 #[test]
-fn it_has_what_the_form_in_memory_has_over_restarts() {
+fn a_reopened_file_has_the_state_that_was_written() {
     let folder = TemporaryFolder::new("voter-restarts");
-    // The folder is made if it is missing.
+    // Opening the file creates its missing folder.
     let path = folder.file("data").join("voter.redb");
     let mut expected = DiskState::default();
     let snapshot = Snapshot {
@@ -78,21 +78,21 @@
 }
 
 #[test]
-fn it_refuses_another_owner_a_second_process_and_a_damaged_file() {
+fn a_file_of_another_owner_an_open_file_and_a_corrupt_file_are_refused() {
     let folder = TemporaryFolder::new("voter-refusals");
     let path = folder.file("voter.redb");
     let opened = VoterStorage::open(&path, "f", "n1").unwrap();
     assert!(
         VoterStorage::open(&path, "f", "n1").is_err(),
-        "it is open already"
+        "the file is already open"
     );
     drop(opened);
     let error = |fleet: &str, name: &str| VoterStorage::open(&path, fleet, name).err();
     let other_fleet = error("g", "n1").unwrap().to_string();
-    assert!(other_fleet.contains("not of n1 in g"));
+    assert!(other_fleet.contains("not to n1 in fleet g"));
     let other_name = error("f", "n2").unwrap().to_string();
-    assert!(other_name.contains("not of n2 in f"));
-    let damaged = b"something else altogether, and longer than nothing";
-    std::fs::write(&path, damaged).unwrap();
+    assert!(other_name.contains("not to n2 in fleet f"));
+    let corrupt = b"something else altogether, and longer than nothing";
+    std::fs::write(&path, corrupt).unwrap();
     assert!(error("f", "n1").is_some());
 }
