--- a/crates/gateway/peer-transport/src/frame.rs
+++ b/crates/gateway/peer-transport/src/frame.rs
@@ -1,27 +1,27 @@
-//! One message between limiters as bytes. The envelope's form is fixed for all versions; the form of a body depends on
-//! its kind. An older version meets kinds and bodies of a newer one that it can't read: it skips and counts them, and
-//! the connection stays.
+//! Encoding of messages between limiters. The envelope is the same in all protocol versions, and the encoding of the body
+//! depends on its kind. A limiter that receives a kind or body of a newer version skips and counts it, and keeps the
+//! connection open.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// Version of the protocol between limiters. Greater ones may be received; what they add is skipped.
+/// Version of the protocol between limiters. Frames of newer versions are accepted; kinds that they add are skipped.
 pub const VERSION: u16 = 1;
 
-/// Bytes of length and checksum in front of each frame on TCP; on UDP there is the checksum alone.
+/// Size of the length and checksum in front of each frame on TCP. A UDP datagram has only the checksum.
 pub const HEADER_BYTES: usize = 8;
 
-/// What a body is. Numbers are never used again for something else.
+/// Kind of a message, which determines the encoding of the body. Numbers on the wire are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Datagrams of the membership protocol.
     Gossip,
     /// Messages of the singleton roles.
     SingletonRoles,
-    /// Messages of the relay of discovery's endpoint list.
+    /// Messages that relay the endpoint list of service discovery.
     Watch,
-    /// Work between a role's holder and other limiters.
+    /// Requests and responses between the holder of a role and other limiters.
     Work,
 }
 
@@ -33,14 +33,14 @@
         (Kind::Work, 4),
     ];
 
-    /// Its number on the wire.
+    /// The number of this kind on the wire.
     #[must_use]
     pub fn number(self) -> u16 {
         let row = Kind::NUMBERS.iter().find(|(kind, _)| *kind == self);
         row.map_or(0, |(_, number)| *number)
     }
 
-    /// The kind of a number on the wire, if this version knows it.
+    /// The kind with this number on the wire, if this version knows it.
     #[must_use]
     pub fn from_number(number: u16) -> Option<Kind> {
         let row = Kind::NUMBERS.iter().find(|(_, known)| *known == number);
@@ -48,73 +48,74 @@
     }
 }
 
-/// A message with its envelope. The order of the fields is that of the bytes on the wire.
+/// A message with its envelope. The order of the fields determines the bytes on the wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// Version of the sender.
+    /// Protocol version of the sender.
     pub version: u16,
     /// The fleet that sender and receiver belong to.
     pub fleet: String,
     /// Name of the sender.
     pub sender: String,
-    /// Where the sender listens.
+    /// Address on which the sender listens.
     pub sender_address: SocketAddrV4,
-    /// Number of the [`Kind`]; one of a newer version may be unknown here.
+    /// Number of the [`Kind`]. A newer version may send an unknown number.
     pub kind: u16,
-    /// The message, in the form of its kind.
+    /// The message, encoded as its kind requires.
     pub body: Vec<u8>,
 }
 
 /// Why a frame is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The bytes are not those that were sent.
-    #[error("checksum")]
+    /// The checksum does not match the bytes.
+    #[error("the checksum does not match")]
     Checksum,
-    /// The bytes are no envelope.
-    #[error("malformed")]
+    /// The bytes can't be decoded as an envelope.
+    #[error("the envelope can't be decoded")]
     Malformed,
     /// The frame is longer than the limit.
-    #[error("too large")]
+    #[error("the frame is too large")]
     TooLarge,
     /// The frame is from another fleet.
-    #[error("another fleet")]
+    #[error("the sender belongs to another fleet")]
     OtherFleet,
-    /// This version does not know the kind, or can't read the body.
-    #[error("unknown kind")]
+    /// This version does not know the kind, or can't decode the body.
+    #[error("the kind is unknown or the body can't be decoded")]
     UnknownKind,
 }
 
-/// What stands in front of a frame on a stream.
+/// The header in front of each frame on a TCP stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamHeader {
-    /// Bytes of the frame behind the header.
+    /// Size of the frame without the header.
     pub length: usize,
     /// CRC-32 of the frame.
     pub checksum: u32,
 }
 
 impl StreamHeader {
-    /// Reads a header; a frame may have `max_length` bytes.
+    /// Decodes a header.
     ///
     /// # Errors
-    /// [`FrameError::TooLarge`] if it is longer.
+    /// [`FrameError::TooLarge`] if the frame has more than `max_length` bytes.
     pub fn decode(
         bytes: &[u8; HEADER_BYTES],
         max_length: usize,
     ) -> Result<StreamHeader, FrameError> {
-        let [a, b, c, d, e, f, g, h] = *bytes;
-        let length = u32::from_le_bytes([a, b, c, d]) as usize;
+        let [length0, length1, length2, length3, checksum0, checksum1, checksum2, checksum3] =
+            *bytes;
+        let length = u32::from_le_bytes([length0, length1, length2, length3]) as usize;
         if length > max_length {
             return Err(FrameError::TooLarge);
         }
-        let checksum = u32::from_le_bytes([e, f, g, h]);
+        let checksum = u32::from_le_bytes([checksum0, checksum1, checksum2, checksum3]);
         Ok(StreamHeader { length, checksum })
     }
 }
 
 impl Frame {
-    /// The frame as a datagram: checksum and frame.
+    /// Encodes the frame as a datagram: checksum, frame.
     #[must_use]
     pub fn to_datagram(&self) -> Vec<u8> {
         let body = self.encode();
@@ -123,7 +124,7 @@
         bytes
     }
 
-    /// The frame for a stream: length, checksum, frame.
+    /// Encodes the frame for a TCP stream: length, checksum, frame.
     #[must_use]
     pub fn to_stream(&self) -> Vec<u8> {
         let body = self.encode();
@@ -137,10 +138,10 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a datagram of `fleet`.
+    /// Decodes a datagram and checks that its sender belongs to `fleet`.
     ///
     /// # Errors
-    /// The bytes are no frame, or one of another fleet.
+    /// The bytes are not a valid frame, or the sender belongs to another fleet.
     pub fn from_datagram(bytes: &[u8], fleet: &str) -> Result<Frame, FrameError> {
         let (checksum, body) = bytes
             .split_first_chunk::<4>()
@@ -148,10 +149,10 @@
         Frame::decode(u32::from_le_bytes(*checksum), body, fleet)
     }
 
-    /// Reads a frame of `fleet` whose checksum came before it.
+    /// Decodes a frame, verifies its checksum and checks that its sender belongs to `fleet`.
     ///
     /// # Errors
-    /// The bytes are no frame, or one of another fleet.
+    /// The bytes are not a valid frame, or the sender belongs to another fleet.
     pub fn decode(checksum: u32, body: &[u8], fleet: &str) -> Result<Frame, FrameError> {
         if crc32fast::hash(body) != checksum {
             return Err(FrameError::Checksum);
@@ -163,10 +164,10 @@
         Ok(frame)
     }
 
-    /// What the body is.
+    /// The kind of the message.
     ///
     /// # Errors
-    /// [`FrameError::UnknownKind`] if this version does not know it.
+    /// [`FrameError::UnknownKind`] if this version does not know the kind.
     pub fn kind(&self) -> Result<Kind, FrameError> {
         Kind::from_number(self.kind).ok_or(FrameError::UnknownKind)
     }
--- a/crates/gateway/peer-transport/src/incoming.rs
+++ b/crates/gateway/peer-transport/src/incoming.rs
@@ -1,4 +1,4 @@
-//! The receiving side: datagrams, and connections that peers open.
+//! Receiving: datagrams, and frames on connections that peers open.
 
 use crate::frame::{Frame, FrameError, Kind, StreamHeader, HEADER_BYTES};
 use crate::limits::Limits;
@@ -12,42 +12,43 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Largest datagram that UDP allows, rounded up.
+/// Maximum size of a UDP datagram, rounded up.
 const DATAGRAM_BUFFER_BYTES: usize = 65_536;
-/// Delay after a failed receive, against a loop that takes all processor time.
+/// Delay after a failed receive. Without it, the loop would occupy the processor.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(1);
 /// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// A connection may be idle here this many times longer than at the peer that opened it, which closes it in order.
+/// The idle timeout of accepted connections is this many times that of outgoing ones, so that the peer that opened a
+/// connection closes it first.
 const IDLE_TIMEOUT_FACTOR: f64 = 4.0;
-/// Each frame on a connection is acknowledged by this byte.
+/// The byte that acknowledges a frame on a connection.
 const ACKNOWLEDGEMENT: [u8; 1] = [1];
 
-/// A frame that was received and accepted.
+/// A received frame of this fleet and of a known kind.
 #[derive(Debug)]
 pub struct Received {
-    /// What its body is.
+    /// Kind of the message.
     pub kind: Kind,
-    /// The frame.
+    /// The envelope and the encoded message.
     pub frame: Frame,
 }
 
-/// Receives frames and hands them to the process.
+/// Receives frames and puts them into the inbox of the process.
 pub(crate) struct Receiver {
     pub fleet: String,
     pub limits: Limits,
     pub inbox: mpsc::Sender<Received>,
     pub statistics: Rc<RefCell<Statistics>>,
-    /// How many accepted connections are open.
+    /// Number of open accepted connections.
     pub connections: Cell<usize>,
 }
 
 impl Receiver {
-    /// Receives datagrams for as long as the task runs.
+    /// Receives datagrams until the task is aborted.
     pub async fn receive_datagrams(self: Rc<Self>, socket: Rc<UdpSocket>) {
         let mut buffer = vec![0; DATAGRAM_BUFFER_BYTES];
         loop {
-            // An error is an unreachable peer's reply to an earlier datagram: nothing is wrong here.
+            // Such an error is an ICMP reply to an earlier datagram for an unreachable peer; the socket remains usable.
             let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
                 sleep(RECEIVE_RETRY_DELAY).await;
                 continue;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Accepts connections for as long as the task runs.
+    /// Accepts connections until the task is aborted.
     pub async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Reads frames until the connection ends, is idle for too long or brings a corrupt frame: after that the bounds of
-    /// frames are lost.
+    /// Reads frames until the connection is closed or idle for too long, or until a frame is corrupt: the position of the
+    /// next frame is then unknown.
     async fn read_frames(&self, mut stream: TcpStream) -> io::Result<()> {
         let idle_timeout =
             Duration::from_secs_f64(self.limits.idle_timeout_s * IDLE_TIMEOUT_FACTOR);
@@ -127,11 +128,11 @@
         Ok(Received { kind, frame })
     }
 
-    /// Counts a rejected frame; the first and then each thousandth of a cause is logged.
+    /// Counts a rejected frame. For each cause, logs the first rejection and then every thousandth.
     pub fn reject(&self, error: FrameError) {
         let count = self.statistics.borrow_mut().count_rejected(error);
         if count % 1000 == 1 {
-            log::warn!("peer: a message was rejected ({error}), {count} so far");
+            log::warn!("peer: rejected a frame: {error} ({count} rejected for this cause so far)");
         }
     }
 }
--- a/crates/gateway/peer-transport/src/lib.rs
+++ b/crates/gateway/peer-transport/src/lib.rs
@@ -1,8 +1,8 @@
-//! Transport between the limiters of a fleet: UDP for gossip, TCP for all else, IPv4.
+//! Transport between the limiters of a fleet over IPv4: UDP for gossip, TCP for all other messages.
 //!
-//! Frames are checked and decoded once. The transport never has more pending than its [`Limits`], never ends the
-//! process on account of what it receives, and never lets a caller wait: what does not fit is dropped and counted.
-//! Nothing is encrypted and nobody is authenticated: whoever reaches the address is believed.
+//! Queues and connections are bounded by [`Limits`]. Sending never blocks: frames beyond a limit are dropped and counted.
+//! Received bytes never end the process. Frames are neither encrypted nor authenticated: any sender that can reach the
+//! address is trusted.
 
 pub mod frame;
 mod incoming;
--- a/crates/gateway/peer-transport/src/limits.rs
+++ b/crates/gateway/peer-transport/src/limits.rs
@@ -1,15 +1,15 @@
-//! Bounds of the transport.
+//! Limits of the transport.
 
-/// Bounds, from the operators' file.
+/// Limits on connections, queues, frames and times, from the operators' settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Peers with a connection from here, and also connections that are accepted.
+    /// Maximum number of peers with a queue, and of accepted connections.
     pub peers: usize,
-    /// Frames that wait for one peer.
+    /// Maximum number of frames in the queue of one peer.
     pub queued_frames: usize,
-    /// Bytes of the largest frame.
+    /// Maximum size of a frame in bytes.
     pub frame_bytes: usize,
-    /// Seconds that opening a connection may take.
+    /// Seconds within which a connection must be established.
     pub connect_timeout_s: f64,
     /// Seconds after which an idle connection is closed.
     pub idle_timeout_s: f64,
--- a/crates/gateway/peer-transport/src/outgoing.rs
+++ b/crates/gateway/peer-transport/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! The sending side: a bounded queue and a connection for each peer.
+//! Sending: a bounded queue and a connection for each peer.
 
 use crate::limits::Limits;
 use crate::statistics::Statistics;
@@ -13,29 +13,29 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A connection on which nothing was acknowledged for this long while something was sent is closed.
+/// A connection is closed if sent frames stay unacknowledged for this time.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Least time that writing one frame may take. A peer that reads nothing for so long counts as failed.
+/// Minimum time limit for writing one frame. A peer that reads nothing for this time is considered failed.
 const MIN_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// First and longest delay between attempts to connect, in seconds, before it is randomised.
+/// Initial and maximum delay between connection attempts in seconds, before randomisation.
 const MIN_BACKOFF_S: f64 = 0.02;
 const MAX_BACKOFF_S: f64 = 1.0;
 
-/// Queues and connections to peers.
+/// Queues of frames for the peers, and the connections to them.
 pub(crate) struct Sender {
     pub limits: Limits,
-    /// Addresses under which peers are reached in place of their own; for tests with a network between.
+    /// Maps peer addresses to the addresses to connect to instead, for tests with a simulated network between limiters.
     pub address_overrides: BTreeMap<SocketAddrV4, SocketAddrV4>,
     pub statistics: Rc<RefCell<Statistics>>,
     pub peers: RefCell<BTreeMap<SocketAddrV4, Rc<PeerQueue>>>,
 }
 
-/// Frames that wait for one peer.
+/// Queue of frames for one peer.
 #[derive(Default)]
 pub(crate) struct PeerQueue {
     frames: RefCell<VecDeque<Vec<u8>>>,
-    /// Notified of each new frame.
-    added: Notify,
+    /// Notified when a frame is queued.
+    frame_added: Notify,
 }
 
 impl PeerQueue {
@@ -45,17 +45,17 @@
 }
 
 impl Sender {
-    /// The address under which a peer is reached.
+    /// The address to which frames for `peer` are sent.
     pub fn resolve(&self, peer: SocketAddrV4) -> SocketAddrV4 {
         self.address_overrides.get(&peer).copied().unwrap_or(peer)
     }
 
-    /// How many peers have a queue.
+    /// Number of peers that have a queue.
     pub fn peer_count(&self) -> usize {
         self.peers.borrow().len()
     }
 
-    /// Queues a frame; of a full queue the oldest frame is dropped, since it is the least useful one.
+    /// Queues a frame. If the queue is full, its oldest frame is dropped, as it is the least useful one.
     pub fn enqueue(self: &Rc<Self>, peer: SocketAddrV4, frame: Vec<u8>) {
         let Some(queue) = self.queue_of(peer) else {
             self.statistics.borrow_mut().peers_full += 1;
@@ -69,10 +69,10 @@
         }
         statistics.count_sent(frame.len());
         frames.push_back(frame);
-        queue.added.notify_one();
+        queue.frame_added.notify_one();
     }
 
-    /// The queue of a peer; none if there are too many peers for another.
+    /// Returns the queue of a peer, creating it if needed; `None` if the limit of peers is reached.
     fn queue_of(self: &Rc<Self>, peer: SocketAddrV4) -> Option<Rc<PeerQueue>> {
         let mut peers = self.peers.borrow_mut();
         if let Some(queue) = peers.get(&peer) {
@@ -83,12 +83,13 @@
         }
         let queue = Rc::new(PeerQueue::default());
         peers.insert(peer, queue.clone());
-        tokio::task::spawn_local(self.clone().drive(peer, queue.clone()));
+        tokio::task::spawn_local(self.clone().send_queued_frames(peer, queue.clone()));
         Some(queue)
     }
 
-    /// Keeps the connection to one peer open while there are frames to send.
-    async fn drive(self: Rc<Self>, peer: SocketAddrV4, queue: Rc<PeerQueue>) {
+    /// Sends the frames queued for one peer over a connection that is opened as needed. Ends when no frame was queued for
+    /// the idle timeout.
+    async fn send_queued_frames(self: Rc<Self>, peer: SocketAddrV4, queue: Rc<PeerQueue>) {
         let mut backoff = Backoff::default();
         let mut open: Option<Connection> = None;
         while self.wait_for_frame(&queue).await {
@@ -97,7 +98,7 @@
                 None => self.connect(peer).await,
             };
             let Some(mut connection) = connection else {
-                // Nobody is there: what waits is stale by the time somebody is.
+                // The peer is unreachable: the queued frames would be stale by the time it is reachable again.
                 queue.frames.borrow_mut().clear();
                 backoff.wait().await;
                 continue;
@@ -115,12 +116,12 @@
         self.peers.borrow_mut().remove(&peer);
     }
 
-    /// Waits until there is a frame to send. False if there was none for the idle time.
+    /// Waits for a queued frame. Returns false if none was queued for the idle timeout.
     async fn wait_for_frame(&self, queue: &PeerQueue) -> bool {
         let idle_timeout = Duration::from_secs_f64(self.limits.idle_timeout_s);
         while queue.is_empty() {
-            let added = timeout(idle_timeout, queue.added.notified()).await;
-            if added.is_err() && queue.is_empty() {
+            let notified = timeout(idle_timeout, queue.frame_added.notified()).await;
+            if notified.is_err() && queue.is_empty() {
                 return false;
             }
         }
@@ -143,7 +144,7 @@
     }
 }
 
-/// Delays between attempts to connect: doubled each time, and randomised between a half and one and a half.
+/// Exponential backoff between connection attempts. Each delay is randomised to between 0.5 and 1.5 times its value.
 struct Backoff {
     delay_s: f64,
 }
@@ -164,16 +165,17 @@
     }
 }
 
-/// An open connection. Its peer acknowledges each frame by a byte. Against a connection that stands and leads nowhere.
+/// An open connection. The peer acknowledges each frame with one byte, so that a connection that is established but no
+/// longer delivers frames is detected.
 struct Connection {
     stream: TcpStream,
     unacknowledged_frames: usize,
-    /// When a frame was last acknowledged, or the first one sent after all were.
+    /// Time of the last acknowledgement, or of the first frame sent after all earlier ones were acknowledged.
     acknowledged_at: Instant,
 }
 
 impl Connection {
-    /// Writes a frame. After an error the connection is of no more use.
+    /// Writes a frame. After an error the connection must be dropped.
     async fn send(&mut self, frame: &[u8], time_limit: Duration) -> io::Result<()> {
         let written = timeout(time_limit, self.stream.write_all(frame)).await;
         if self.unacknowledged_frames == 0 {
@@ -189,7 +191,7 @@
         Ok(())
     }
 
-    /// Takes the acknowledgements that have arrived; an error once the connection is closed.
+    /// Counts the acknowledgements that have arrived. Fails if the connection is closed.
     fn read_acknowledgements(&mut self) -> io::Result<()> {
         let mut bytes = [0; 256];
         loop {
--- a/crates/gateway/peer-transport/src/transport.rs
+++ b/crates/gateway/peer-transport/src/transport.rs
@@ -1,4 +1,4 @@
-//! The sockets of one limiter: one UDP socket, one TCP listener, a connection and a bounded queue to each peer.
+//! The transport of one limiter: a UDP socket, a TCP listener, and a connection with a bounded queue to each peer.
 
 use crate::frame::{Frame, FrameError, Kind, HEADER_BYTES, VERSION};
 use crate::incoming::{Received, Receiver};
@@ -26,9 +26,9 @@
 }
 
 impl Transport {
-    /// Binds both sockets at `address`, and listens for frames of `fleet`, which go to `inbox`. `name` is that of this
-    /// limiter. `address_overrides` says where peers are reached in place of their own addresses; it is for tests with a
-    /// network between, and otherwise empty.
+    /// Binds the UDP socket and the TCP listener at `address`. Received frames of `fleet` go to `inbox`. `name` is the name
+    /// of this limiter. `address_overrides` maps peer addresses to the addresses to connect to instead, for tests with a
+    /// simulated network; otherwise it is empty.
     ///
     /// # Errors
     /// The address can't be bound.
@@ -70,24 +70,24 @@
         }))
     }
 
-    /// The version that its frames name.
+    /// The protocol version that sent frames state.
     #[must_use]
     pub fn version(&self) -> u16 {
         self.version.get()
     }
 
-    /// Names another version in its frames; for tests of mixed fleets.
+    /// Sets the protocol version that sent frames state, for tests of fleets with mixed versions.
     pub fn set_version(&self, version: u16) {
         self.version.set(version);
     }
 
-    /// What was transferred and dropped so far.
+    /// Counts of transferred, rejected and dropped frames so far.
     #[must_use]
     pub fn statistics(&self) -> Ref<'_, Statistics> {
         self.statistics.borrow()
     }
 
-    /// Peers with a queue, and connections that were accepted.
+    /// Number of peers with a queue plus number of open accepted connections.
     #[must_use]
     pub fn connections(&self) -> usize {
         self.sender.peer_count() + self.receiver.connections.get()
@@ -104,14 +104,14 @@
         }
     }
 
-    /// Sends a datagram; it may be lost.
+    /// Sends a datagram, which may be lost.
     pub fn send_datagram(&self, peer: SocketAddrV4, kind: Kind, body: Vec<u8>) {
         let bytes = self.frame(kind, body).to_datagram();
         self.statistics.borrow_mut().count_sent(bytes.len());
         self.try_send_datagram(peer, &bytes);
     }
 
-    /// For tests of mixed fleets: what a newer version may send, of a kind that this one does not know.
+    /// Sends a datagram of an unknown kind, as a newer version might, for tests of fleets with mixed versions.
     pub fn send_unknown_kind(&self, peer: SocketAddrV4) {
         let frame = Frame {
             kind: u16::MAX,
@@ -125,7 +125,7 @@
         let _ = self.socket.try_send_to(bytes, address.into());
     }
 
-    /// Sends over the connection to this peer: in order, at most once, perhaps never.
+    /// Queues a message for the connection to this peer. Messages arrive in order and at most once, and may be lost.
     pub fn send(&self, peer: SocketAddrV4, kind: Kind, body: Vec<u8>) {
         let bytes = self.frame(kind, body).to_stream();
         if bytes.len() > self.sender.limits.frame_bytes + HEADER_BYTES {
@@ -135,7 +135,7 @@
         self.sender.enqueue(peer, bytes);
     }
 
-    /// Counts a frame that its receiver could not read.
+    /// Counts a received frame whose body the process could not decode.
     pub fn reject(&self, error: FrameError) {
         self.receiver.reject(error);
     }
--- a/crates/gateway/peer-transport/tests/frames.rs
+++ b/crates/gateway/peer-transport/tests/frames.rs
@@ -1,5 +1,5 @@
-//! Frames between limiters are checked and read back, and have the bytes of revision 52a1591, which wrote the files
-//! under `tests/fixtures`.
+//! Encoded frames decode to the same frames and have the bytes of revision 52a1591, which wrote the files under
+//! `tests/fixtures`. Corrupt frames are rejected.
 
 use dunespur_peer_transport::frame::{StreamHeader, HEADER_BYTES};
 use dunespur_peer_transport::{Frame, FrameError, Kind};
@@ -37,8 +37,8 @@
         );
         let name = format!("datagram-{name}.hex");
         fixtures().assert_bytes(&name, &frame(number).to_datagram());
-        let read = Frame::from_datagram(&fixtures().bytes(&name), "fleet-1").unwrap();
-        assert_eq!((read.kind(), read), (Ok(kind), frame(number)));
+        let decoded = Frame::from_datagram(&fixtures().bytes(&name), "fleet-1").unwrap();
+        assert_eq!((decoded.kind(), decoded), (Ok(kind), frame(number)));
     }
 }
 
@@ -51,13 +51,13 @@
         let (header, body) = bytes.split_first_chunk::<HEADER_BYTES>().unwrap();
         let header = StreamHeader::decode(header, 1_000).unwrap();
         assert_eq!(header.length, body.len());
-        let read = Frame::decode(header.checksum, body, "fleet-1").unwrap();
-        assert_eq!((read.kind(), read), (Ok(kind), frame(number)));
+        let decoded = Frame::decode(header.checksum, body, "fleet-1").unwrap();
+        assert_eq!((decoded.kind(), decoded), (Ok(kind), frame(number)));
     }
 }
 
 #[test]
-fn numbers_of_no_kind_are_unknown() {
+fn unassigned_kind_numbers_are_unknown() {
     for number in [0, 5, 999, u16::MAX] {
         assert_eq!(Kind::from_number(number), None);
         assert_eq!(frame(number).kind(), Err(FrameError::UnknownKind));
@@ -65,18 +65,22 @@
 }
 
 #[test]
-fn a_frame_comes_back_and_any_flipped_bit_is_detected() {
+fn a_frame_is_decoded_and_any_flipped_bit_is_detected() {
     let newer = frame(Kind::SingletonRoles.number());
     let bytes = newer.to_datagram();
-    let read = Frame::from_datagram(&bytes, "fleet-1");
-    assert_eq!(read, Ok(newer), "a newer version's envelope is read");
-    let other = Frame::from_datagram(&bytes, "fleet-2");
-    assert_eq!(other, Err(FrameError::OtherFleet));
+    let decoded = Frame::from_datagram(&bytes, "fleet-1");
+    assert_eq!(
+        decoded,
+        Ok(newer),
+        "the envelope of a newer version is decoded"
+    );
+    let other_fleet = Frame::from_datagram(&bytes, "fleet-2");
+    assert_eq!(other_fleet, Err(FrameError::OtherFleet));
     for bit in 0..bytes.len() * 8 {
         let mut flipped = bytes.clone();
         flipped[bit / 8] ^= 1 << (bit % 8);
-        let read = Frame::from_datagram(&flipped, "fleet-1");
-        assert!(read.is_err(), "bit {bit}");
+        let decoded = Frame::from_datagram(&flipped, "fleet-1");
+        assert!(decoded.is_err(), "flipped bit {bit} is not detected");
     }
     for length in 0..bytes.len() {
         assert!(Frame::from_datagram(&bytes[..length], "fleet-1").is_err());
@@ -86,8 +90,8 @@
 #[test]
 fn a_newer_kind_is_distinguished_from_a_corrupt_frame() {
     let newer = frame(999);
-    let read = Frame::from_datagram(&newer.to_datagram(), "fleet-1").unwrap();
-    assert_eq!(read.kind(), Err(FrameError::UnknownKind));
+    let decoded = Frame::from_datagram(&newer.to_datagram(), "fleet-1").unwrap();
+    assert_eq!(decoded.kind(), Err(FrameError::UnknownKind));
     let known = frame(Kind::SingletonRoles.number());
     let stream = known.to_stream();
     let header: [u8; HEADER_BYTES] = stream[..HEADER_BYTES].try_into().unwrap();
@@ -95,6 +99,6 @@
     assert_eq!(too_large, Err(FrameError::TooLarge));
     let header = StreamHeader::decode(&header, 1000).unwrap();
     assert_eq!(header.length, stream.len() - HEADER_BYTES);
-    let read = Frame::decode(header.checksum, &stream[HEADER_BYTES..], "fleet-1");
-    assert_eq!(read, Ok(known));
+    let decoded = Frame::decode(header.checksum, &stream[HEADER_BYTES..], "fleet-1");
+    assert_eq!(decoded, Ok(known));
 }
--- a/crates/gateway/peer-transport/tests/transport.rs
+++ b/crates/gateway/peer-transport/tests/transport.rs
@@ -1,4 +1,4 @@
-//! Two transports over loopback: delivery, rejected frames, bounds.
+//! Two transports over loopback: delivery, rejected frames and limits.
 
 use dunespur_peer_transport::{Frame, Kind, Limits, Received, Transport, VERSION};
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     match listener.local_addr().unwrap() {
         SocketAddr::V4(address) => address,
-        SocketAddr::V6(_) => unreachable!("it was bound to an address of version 4"),
+        SocketAddr::V6(_) => unreachable!("the listener was bound to an IPv4 address"),
     }
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A frame as this limiter's transport makes it.
+    /// Builds a frame as this limiter's transport does.
     fn frame(&self, kind: Kind, body: Vec<u8>) -> Frame {
         Frame {
             version: VERSION,
@@ -79,38 +79,45 @@
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(&[0xFF; 64]).await.unwrap();
     let mut rest = [0];
-    let ended = timeout(TIME_LIMIT, stream.read(&mut rest)).await.unwrap();
-    assert!(!matches!(ended, Ok(count) if count > 0), "closed or reset");
+    let read = timeout(TIME_LIMIT, stream.read(&mut rest)).await.unwrap();
+    assert!(
+        !matches!(read, Ok(count) if count > 0),
+        "the connection is closed or reset"
+    );
 }
 
 #[tokio::test]
-async fn both_ways_of_sending_arrive_and_corrupt_bytes_end_only_their_connection() {
+async fn frames_arrive_over_udp_and_tcp_and_corrupt_bytes_close_only_their_connection() {
     let test = async {
-        let (mut a, mut b) = (Limiter::open("a").await, Limiter::open("b").await);
-        a.transport.send(b.address, Kind::SingletonRoles, vec![1]);
-        assert_eq!(b.next().await.frame.body, [1]);
-        b.transport.send_datagram(a.address, Kind::Gossip, vec![2]);
-        let received = a.next().await;
+        let (mut first, mut second) = (Limiter::open("a").await, Limiter::open("b").await);
+        first
+            .transport
+            .send(second.address, Kind::SingletonRoles, vec![1]);
+        assert_eq!(second.next().await.frame.body, [1]);
+        second
+            .transport
+            .send_datagram(first.address, Kind::Gossip, vec![2]);
+        let received = first.next().await;
         let sender = received.frame.sender.as_str();
         assert_eq!((received.kind, sender), (Kind::Gossip, "b"));
 
-        write_corrupt_bytes(b.address).await;
+        write_corrupt_bytes(second.address).await;
         let other_fleet = Frame {
             fleet: "g".into(),
-            ..a.frame(Kind::SingletonRoles, vec![3])
+            ..first.frame(Kind::SingletonRoles, vec![3])
         };
         let newer = Frame {
             kind: 77,
-            ..a.frame(Kind::SingletonRoles, vec![4])
+            ..first.frame(Kind::SingletonRoles, vec![4])
         };
-        let readable = a.frame(Kind::SingletonRoles, vec![5]);
-        let mut stream = TcpStream::connect(b.address).await.unwrap();
+        let readable = first.frame(Kind::SingletonRoles, vec![5]);
+        let mut stream = TcpStream::connect(second.address).await.unwrap();
         for frame in [other_fleet, newer, readable] {
             stream.write_all(&frame.to_stream()).await.unwrap();
         }
-        let received = b.next().await.frame.body;
-        assert_eq!(received, [5], "what it can't read is skipped");
-        let statistics = b.transport.statistics().clone();
+        let received = second.next().await.frame.body;
+        assert_eq!(received, [5], "unreadable frames are skipped");
+        let statistics = second.transport.statistics().clone();
         let rejected = (
             statistics.too_large,
             statistics.other_fleet,
@@ -118,9 +125,11 @@
         );
         assert_eq!(rejected, (1, 1, 1));
 
-        a.transport.send(b.address, Kind::SingletonRoles, vec![6]);
-        let received = b.next().await.frame.body;
-        assert_eq!(received, [6], "the first connection still stands");
+        first
+            .transport
+            .send(second.address, Kind::SingletonRoles, vec![6]);
+        let received = second.next().await.frame.body;
+        assert_eq!(received, [6], "the first connection is still open");
     };
     LocalSet::new().run_until(test).await;
 }
@@ -128,14 +137,14 @@
 #[tokio::test]
 async fn queues_and_peers_are_bounded() {
     let test = async {
-        let a = Limiter::open("a").await.transport;
-        let nobody = free_address();
-        (0..20).for_each(|number| a.send(nobody, Kind::SingletonRoles, vec![number]));
-        assert_eq!(a.statistics().queue_full, 12);
-        a.send(nobody, Kind::SingletonRoles, vec![0; 2000]);
-        assert_eq!(a.statistics().too_large, 1);
-        (0..6).for_each(|_| a.send(free_address(), Kind::SingletonRoles, vec![1]));
-        assert!(a.statistics().peers_full >= 3);
+        let transport = Limiter::open("a").await.transport;
+        let unreachable = free_address();
+        (0..20).for_each(|number| transport.send(unreachable, Kind::SingletonRoles, vec![number]));
+        assert_eq!(transport.statistics().queue_full, 12);
+        transport.send(unreachable, Kind::SingletonRoles, vec![0; 2000]);
+        assert_eq!(transport.statistics().too_large, 1);
+        (0..6).for_each(|_| transport.send(free_address(), Kind::SingletonRoles, vec![1]));
+        assert!(transport.statistics().peers_full >= 3);
     };
     LocalSet::new().run_until(test).await;
 }
