--- a/crates/gateway/gossip-membership/src/health.rs
+++ b/crates/gateway/gossip-membership/src/health.rs
@@ -1,22 +1,22 @@
-//! Local health: how far this process trusts its own judgement of others (Lifeguard's local health multiplier).
+//! Local health multiplier of Lifeguard: after a stall, this process waits longer before it judges other members.
 
-/// Each stall lowers the health by this much.
+/// Increase of the penalty for each stall.
 const STALL_PENALTY: f64 = 2.0;
-/// Lowest health.
+/// Maximum penalty.
 const MAX_PENALTY: f64 = 8.0;
-/// The penalty is halved after so many probe intervals.
+/// Number of probe intervals after which the penalty is halved.
 const PROBES_PER_HALVING: f64 = 10.0;
-/// Below this the penalty is over.
+/// A penalty below this is reset to 0 instead of being halved.
 const MIN_PENALTY: f64 = 0.25;
 
-/// Health of this process: a penalty from 0 to [`MAX_PENALTY`] that halves with time.
+/// Health of this process: a penalty from 0 (healthy) to [`MAX_PENALTY`], which is halved over time.
 pub struct LocalHealth {
     penalty: f64,
     changed_at: f64,
 }
 
 impl LocalHealth {
-    /// Full health.
+    /// Starts without a penalty.
     pub fn new(now: f64) -> LocalHealth {
         LocalHealth {
             penalty: 0.0,
@@ -24,18 +24,18 @@
         }
     }
 
-    /// How many times slower timers run that judge others.
+    /// Factor by which timers that judge other members are prolonged.
     pub fn multiplier(&self) -> f64 {
         1.0 + self.penalty
     }
 
-    /// This process was stalled.
-    pub fn stalled(&mut self, now: f64) {
+    /// Increases the penalty after a stall of this process.
+    pub fn record_stall(&mut self, now: f64) {
         self.penalty = (self.penalty + STALL_PENALTY).min(MAX_PENALTY);
         self.changed_at = now;
     }
 
-    /// Time has passed.
+    /// Halves the penalty once [`PROBES_PER_HALVING`] probe intervals have passed since it changed.
     pub fn recover(&mut self, probe_interval: f64, now: f64) {
         if self.penalty > 0.0 && now > self.changed_at + probe_interval * PROBES_PER_HALVING {
             self.changed_at = now;
--- a/crates/gateway/gossip-membership/src/lib.rs
+++ b/crates/gateway/gossip-membership/src/lib.rs
@@ -1,12 +1,12 @@
 //! Membership of the fleet as one limiter sees it.
 //!
-//! The protocol is SWIM (Das, Gupta, Motivala 2002) by the `foca` library, which does no I/O. This package adds names
-//! and instances of processes, the way out of a network partition, detection of duplicate names, and local health
-//! awareness after a stall (Lifeguard; Dadgar, Phillips, Currey 2018). Datagrams and times go in, [`Output`]s come out;
-//! times are seconds on one clock of the caller.
+//! The protocol is SWIM (Das, Gupta, Motivala 2002), implemented by the `foca` library. This package adds process names
+//! and instances, rejoining after a network partition, detection of duplicate names, and local health awareness after a
+//! stall (Lifeguard; Dadgar, Phillips, Currey 2018). It does no I/O: the caller passes in datagrams and the time, and
+//! carries out the returned [`Output`]s. All times are seconds on one clock of the caller.
 //!
-//! [`Membership`] never reports a member as down at once for being slow, never lets a timer from before a stall fire
-//! as if nothing had been, and never grows with restarts.
+//! [`Membership`] reports a slow member as down only after a suspicion timeout, postpones its timers by the length of a
+//! stall, and does not use more memory with each restart of a member.
 
 mod health;
 mod member;
--- a/crates/gateway/gossip-membership/src/member.rs
+++ b/crates/gateway/gossip-membership/src/member.rs
@@ -1,31 +1,33 @@
-//! Identity of a process of the fleet.
+//! Identity of a member of the fleet.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// By how much a renewed identity's precedence rises, in milliseconds of the wall clock: it has to stand above a
-/// process that started while the clock was ahead by up to about two hours.
+/// Increase of the precedence when an identity is renewed, in milliseconds. The renewed identity must take precedence
+/// over a process that started while its wall clock was up to about two hours ahead.
 pub(crate) const RENEWAL_PRECEDENCE: u64 = 1 << 23;
 
-/// One process of the fleet. The order of the fields is that of the bytes on the wire.
+/// One process of the fleet. The order of the fields determines the bytes on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Name of the limiter, the same over restarts.
+    /// Name of the limiter, which stays the same over restarts.
     pub name: String,
-    /// Names this run of the process: every start has another. (SWIM's incarnation numbers are the library's.)
+    /// Identifies this run of the process; each start uses another number. SWIM's incarnation numbers are separate and kept
+    /// by the library.
     pub instance: u64,
-    /// Of two processes at one address the greater takes precedence; starts from the wall clock in milliseconds.
+    /// Of two processes at one address, the one with the greater value is the current one. Starts as the wall clock time
+    /// in milliseconds.
     pub precedence: u64,
-    /// Where it listens.
+    /// Address on which the process listens.
     pub address: SocketAddrV4,
-    /// Its failure domain.
+    /// Failure domain of the process.
     pub zone: String,
-    /// Its machine.
+    /// Name of the machine that the process runs on.
     pub machine: String,
-    /// Version of the protocol between limiters that it speaks.
+    /// Version of the protocol between limiters that the process uses.
     pub version: u16,
-    /// Whether it is a voter of the singleton roles' log.
+    /// Whether the process is a voter of the singleton roles' log.
     pub voter: bool,
 }
 
--- a/crates/gateway/gossip-membership/src/membership.rs
+++ b/crates/gateway/gossip-membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The state machine around the library.
+//! The membership state machine, around the SWIM library.
 
 use crate::health::LocalHealth;
 use crate::member::Member;
@@ -16,22 +16,22 @@
 
 type Swim = Foca<Member, PostcardCodec, Xoshiro256PlusPlus, foca::NoCustomBroadcast>;
 
-/// Each limiter passes an update on at least so often: with three, as the library has it for ten members, some
-/// suspects never heard of the suspicion where a third of all datagrams was lost.
+/// Minimum number of times that each limiter passes on an update. With three, the library's value for ten members, some
+/// suspects never learned of the suspicion when a third of all datagrams was lost.
 const MIN_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(12).expect("twelve is not zero");
-/// Members that a round of gossip goes to.
+/// Number of members that each round of gossip is sent to.
 const GOSSIP_FANOUT: usize = 3;
-/// Members that are up and get an announcement at a time.
+/// Number of members that are up and that each periodic announcement is sent to.
 const ANNOUNCE_FANOUT: usize = 1;
-/// Members that are down and get an announcement at a time.
+/// Number of members that are down and that each rejoin announcement is sent to.
 const REJOIN_FANOUT: usize = 2;
-/// Announcements to members that are up take so many rejoin intervals.
+/// Rejoin intervals between announcements to members that are up.
 const ANNOUNCE_REJOIN_INTERVALS: f64 = 2.0;
-/// Announcements to seeds take so many rejoin intervals, if no member is up.
+/// Rejoin intervals between announcements to the seeds while no other member is up.
 const ALONE_REJOIN_INTERVALS: f64 = 0.25;
-/// The same, if some are up.
+/// Rejoin intervals between announcements to the seeds while other members are up.
 const SEED_REJOIN_INTERVALS: f64 = 4.0;
-/// Probe intervals after which a dead member is surely no longer counted as living, besides its suspicion.
+/// Probe intervals within which the failure of a member is detected, not counting the suspicion timeout.
 const DETECTION_PROBES: f64 = 4.0;
 
 /// Membership of the fleet as one limiter sees it.
@@ -47,7 +47,7 @@
 }
 
 impl Membership {
-    /// Starts with `own` as the only member. `seed` is that of the random choice of members.
+    /// Starts with this process, `own`, as the only member. `seed` seeds the random choice of members to contact.
     #[must_use]
     pub fn new(settings: Settings, own: Member, seed: u64, now: f64) -> Membership {
         let random = Xoshiro256PlusPlus::seed_from_u64(seed);
@@ -64,13 +64,13 @@
         }
     }
 
-    /// This process as others see it.
+    /// The identity under which other members know this process.
     #[must_use]
     pub fn own(&self) -> &Member {
         self.swim.identity()
     }
 
-    /// When [`tick`](Self::tick) is to be called next.
+    /// Time at which [`tick`](Self::tick) must be called next.
     #[must_use]
     pub fn next_due(&self) -> f64 {
         let timer = self.timers.next_due();
@@ -79,16 +79,16 @@
             .min(self.next_duplicate_check)
     }
 
-    /// A datagram was received.
+    /// Processes a received datagram.
     pub fn receive(&mut self, bytes: &[u8], now: f64, outputs: &mut Vec<Output>) {
         self.handle(now, outputs, |swim, runtime| {
             swim.handle_data(bytes, runtime).is_ok()
         });
     }
 
-    /// Time has passed.
+    /// Processes all timers that are due at `now`.
     pub fn tick(&mut self, now: f64, outputs: &mut Vec<Output>) {
-        self.notice_stall(now, outputs);
+        self.detect_stall(now, outputs);
         self.health.recover(self.settings.probe_interval, now);
         while let Some(timer) = self.timers.pop_due(now) {
             if !self.is_refuted(&timer) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Tells others at once that this process leaves.
+    /// Announces to other members that this process leaves the fleet.
     pub fn leave(&mut self, now: f64, outputs: &mut Vec<Output>) {
         self.handle(now, outputs, |swim, runtime| {
             let _ = swim.gossip(&mut *runtime);
@@ -114,36 +114,37 @@
         });
     }
 
-    /// The members that are up, this process not among them; of several instances of a name the latest alone.
+    /// The members that are up, without this process. Of several instances of a name, only the latest is included.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.peers.alive()
     }
 
-    /// The latest instance of a name, if it is up.
+    /// The latest instance of a name, if one is up.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<&Member> {
         self.peers.find(name)
     }
 
-    /// Whether two living processes have this name.
+    /// Whether two running processes use this name.
     #[must_use]
     pub fn is_duplicate(&self, name: &str) -> bool {
         self.peers.is_duplicate(name)
     }
 
-    /// How many members are up, each instance counted.
+    /// Number of members that are up, counting each instance.
     #[must_use]
     pub fn count(&self) -> usize {
         self.peers.count()
     }
 
-    /// How many datagrams could not be read.
+    /// Number of received datagrams that could not be processed.
     #[must_use]
     pub fn rejected_datagrams(&self) -> u64 {
         self.rejected_datagrams
     }
 
-    /// Has the library handle one event, and takes over what it reports of members. `event` gives whether it went well.
+    /// Lets the library handle one event, and applies the member changes that it reports. `event` returns whether the
+    /// library accepted the event.
     fn handle(
         &mut self,
         now: f64,
@@ -164,18 +165,19 @@
         self.peers.apply(changes, now, outputs);
     }
 
-    /// If this process was stalled, replies may lie unread: every timer gets its time again.
-    fn notice_stall(&mut self, now: f64, outputs: &mut Vec<Output>) {
+    /// Detects a stall of this process by an overdue timer. As received replies may still be unread, all timers are
+    /// postponed by the length of the stall.
+    fn detect_stall(&mut self, now: f64, outputs: &mut Vec<Output>) {
         let seconds = now - self.next_due();
         if seconds > self.settings.probe_timeout {
             self.timers.postpone(seconds);
-            self.health.stalled(now);
+            self.health.record_stall(now);
             outputs.push(Output::Stalled { seconds });
         }
     }
 
-    /// Whether a timer ends a suspicion that was refuted. Against the library's message at the end of each suspicion
-    /// that the suspect is down, refuted or not, on which the suspect takes a new identity.
+    /// Whether a timer would end a suspicion that was already refuted. The library would tell even a suspect that refuted
+    /// the suspicion that it is down, and the suspect would renew its identity.
     fn is_refuted(&self, timer: &Timer<Member>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -193,8 +195,8 @@
         !self.swim.iter_membership_state().any(is_suspect)
     }
 
-    /// Alone, it announces itself to the seeds often; with others up it does so now and then, as a seed that lost all
-    /// its peers has nobody to ask.
+    /// Announces this process to the seeds: frequently while no other member is up, otherwise rarely, as a seed that lost
+    /// all its peers can't contact anyone itself.
     fn announce_to_seeds(&mut self, now: f64, outputs: &mut Vec<Output>) {
         let alone = self.swim.num_members() == 0;
         let intervals = if alone {
@@ -226,8 +228,8 @@
     }
 
     fn find_duplicates(&mut self, now: f64, outputs: &mut Vec<Output>) {
-        let detection = self.settings.probe_interval * DETECTION_PROBES;
-        let min_uptime = self.settings.suspicion_timeout + detection;
+        let detection_time = self.settings.probe_interval * DETECTION_PROBES;
+        let min_uptime = self.settings.suspicion_timeout + detection_time;
         let own = self.swim.identity();
         self.peers.find_duplicates(own, min_uptime, now, outputs);
     }
--- a/crates/gateway/gossip-membership/src/output.rs
+++ b/crates/gateway/gossip-membership/src/output.rs
@@ -1,38 +1,38 @@
-//! What the membership protocol wants done, and what it reports.
+//! Datagrams to send and events that the membership protocol reports.
 
 use crate::member::Member;
 use std::net::SocketAddrV4;
 
-/// Two living processes that have one name.
+/// Two running processes that use the same name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DuplicateName {
-    /// The name.
+    /// The shared name.
     pub name: String,
-    /// One of the two.
+    /// Instance of one process.
     pub first_instance: u64,
-    /// The other.
+    /// Instance of the other process.
     pub second_instance: u64,
 }
 
-/// One thing to do or to know.
+/// A datagram to send or an event that the caller is notified of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a datagram.
+    /// A datagram to send.
     Datagram {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddrV4,
-        /// Its bytes.
+        /// Contents of the datagram.
         bytes: Vec<u8>,
     },
     /// A member is up.
     Up(Member),
     /// A member is down, or has left.
     Down(Member),
-    /// Two living processes have one name.
+    /// Two running processes use the same name.
     DuplicateName(DuplicateName),
-    /// This process was stalled (suspended, or without processor time); it trusts what it timed meanwhile less.
+    /// This process was stalled (suspended, or without processor time), so timers that judge other members are prolonged.
     Stalled {
-        /// For how long.
+        /// Length of the stall.
         seconds: f64,
     },
 }
--- a/crates/gateway/gossip-membership/src/peers.rs
+++ b/crates/gateway/gossip-membership/src/peers.rs
@@ -1,15 +1,15 @@
-//! The members that are up, and names that two of them have.
+//! The members that are up, and detection of duplicate names.
 
 use crate::member::Member;
 use crate::output::{DuplicateName, Output};
 use crate::runtime::MemberChanges;
 use std::collections::BTreeMap;
 
-/// The members that are up, this process not among them.
+/// The members that are up, without this process.
 #[derive(Default)]
 pub struct Peers {
     up: BTreeMap<PeerKey, Peer>,
-    /// Names that two living processes have.
+    /// Names that two running processes use.
     duplicates: BTreeMap<String, DuplicateName>,
 }
 
@@ -21,8 +21,8 @@
 
 struct Peer {
     member: Member,
-    /// Since when it is up.
-    since: f64,
+    /// Time at which the member was first reported as up.
+    up_since: f64,
 }
 
 impl PeerKey {
@@ -35,7 +35,7 @@
 }
 
 impl Peers {
-    /// Takes over what the library reports, and reports what is new of it.
+    /// Applies the changes that the library reports, and outputs members that are newly up or down.
     pub fn apply(&mut self, changes: MemberChanges, now: f64, outputs: &mut Vec<Output>) {
         for member in changes.down {
             if let Some(peer) = self.up.remove(&PeerKey::of(&member)) {
@@ -48,18 +48,24 @@
                 Some(peer) => peer.member = member,
                 None => {
                     outputs.push(Output::Up(member.clone()));
-                    self.up.insert(key, Peer { member, since: now });
+                    self.up.insert(
+                        key,
+                        Peer {
+                            member,
+                            up_since: now,
+                        },
+                    );
                 }
             }
         }
     }
 
-    /// How many are up.
+    /// Number of members that are up.
     pub fn count(&self) -> usize {
         self.up.len()
     }
 
-    /// The members that are up; of several instances of a name the latest alone.
+    /// The members that are up. Of several instances of a name, only the latest is included.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.up
             .values()
@@ -72,7 +78,7 @@
             .all(|peer| peer.member.precedence <= member.precedence)
     }
 
-    /// The latest instance of a name.
+    /// The latest instance of a name, if one is up.
     pub fn find(&self, name: &str) -> Option<&Member> {
         self.instances(name)
             .map(|peer| &peer.member)
@@ -87,14 +93,14 @@
         self.up.range(key(0)..=key(u64::MAX)).map(|(_, peer)| peer)
     }
 
-    /// Whether two living processes have this name.
+    /// Whether two running processes use this name.
     pub fn is_duplicate(&self, name: &str) -> bool {
         self.duplicates.contains_key(name)
     }
 
-    /// Looks for names that two living processes have; reports each once for as long as it lasts. An instance counts
-    /// once it has been up for `min_uptime`: longer than a dead one would count as living. `own` is this process, which
-    /// lives for sure.
+    /// Finds names that two running processes use, and outputs each once until the duplicate ends. Instances are only
+    /// compared once they have been up for `min_uptime`, as a failed instance counts as up for a shorter time. `own` is
+    /// this process, which is always compared.
     pub fn find_duplicates(
         &mut self,
         own: &Member,
@@ -105,13 +111,13 @@
         let mut found = BTreeMap::new();
         let mut previous: Option<&Peer> = None;
         for peer in self.up.values() {
-            let counts = |peer: &Peer| now > peer.since + min_uptime;
+            let is_confirmed = |peer: &Peer| now > peer.up_since + min_uptime;
             let member = &peer.member;
-            if member.name == own.name && member.instance != own.instance && counts(peer) {
+            if member.name == own.name && member.instance != own.instance && is_confirmed(peer) {
                 found.insert(own.name.clone(), duplicate(own, member));
             }
             if let Some(previous) = previous.filter(|other| other.member.name == member.name) {
-                if counts(peer) && counts(previous) {
+                if is_confirmed(peer) && is_confirmed(previous) {
                     found.insert(member.name.clone(), duplicate(&previous.member, member));
                 }
             }
--- a/crates/gateway/gossip-membership/src/runtime.rs
+++ b/crates/gateway/gossip-membership/src/runtime.rs
@@ -1,4 +1,4 @@
-//! What the library wants done while it handles one event.
+//! Runtime that collects the library's datagrams, timers and notifications.
 
 use crate::member::Member;
 use crate::output::Output;
@@ -6,10 +6,10 @@
 use foca::{Notification, Runtime, Timer};
 use std::time::Duration;
 
-/// Collects what the library wants done while it handles one event.
+/// Collects the datagrams, timers and notifications that the library emits while it handles one event.
 pub struct EventRuntime<'a> {
     pub now: f64,
-    /// How many times slower timers run that judge others.
+    /// Factor by which timers that judge other members are prolonged.
     pub health_multiplier: f64,
     pub timers: &'a mut Timers,
     pub outputs: &'a mut Vec<Output>,
@@ -29,7 +29,7 @@
             Notification::MemberUp(member) => self.changes.up.push(member.clone()),
             Notification::MemberDown(member) => self.changes.down.push(member.clone()),
             Notification::Rename(old, new) => {
-                // The same process under a renewed identity was never down.
+                // A process that only renewed its identity was not down.
                 if (&old.name, old.instance) != (&new.name, new.instance) {
                     self.changes.down.push(old.clone());
                 }
@@ -56,7 +56,7 @@
         } else {
             1.0
         };
-        let due = self.now + after.as_secs_f64() * multiplier;
-        self.timers.add(due, timer);
+        let due_at = self.now + after.as_secs_f64() * multiplier;
+        self.timers.add(due_at, timer);
     }
 }
--- a/crates/gateway/gossip-membership/src/settings.rs
+++ b/crates/gateway/gossip-membership/src/settings.rs
@@ -3,66 +3,66 @@
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// Longest interval, in seconds.
+/// Upper bound of intervals, in seconds.
 const MAX_INTERVAL: f64 = 86_400.0;
-/// Sizes of datagrams that can be set, in bytes.
+/// Range of the maximum datagram size that can be set, in bytes.
 const MIN_DATAGRAM_BYTES: usize = 512;
 const MAX_DATAGRAM_BYTES: usize = 65_000;
 
-/// Settings of the protocol; times are seconds.
+/// Settings of the protocol. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many limiters there are about.
+    /// Approximate number of limiters in the fleet.
     pub expected_members: u32,
-    /// Where to announce itself: any limiters that are likely to be up.
+    /// Addresses of limiters that are likely to be up, to which this limiter announces itself.
     pub seeds: Vec<SocketAddrV4>,
-    /// One member is probed in each of these intervals.
+    /// Interval between probes, each of one member.
     pub probe_interval: f64,
-    /// A direct reply to a probe is awaited this long.
+    /// Time to wait for the direct reply to a probe, before indirect probes are sent.
     pub probe_timeout: f64,
-    /// A suspect has this long to refute the suspicion.
+    /// Time that a suspect has to refute the suspicion before it is considered down.
     pub suspicion_timeout: f64,
-    /// Updates go to three other members this often.
+    /// Interval between rounds of gossip, each to three other members.
     pub gossip_interval: f64,
-    /// Members that are down are sent an announcement this often, so that two partitions find each other again.
+    /// Interval between announcements to members that are down, so that two partitions rejoin.
     pub rejoin_interval: f64,
-    /// Largest datagram, in bytes.
+    /// Maximum size of a datagram in bytes.
     pub max_datagram_bytes: usize,
 }
 
-/// What is out of range, by its key in the operators' file, with the remedy.
+/// A setting that is out of range, with its key in the operators' settings file and the allowed values.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// An interval.
-    #[error("fleet.members.{key}: {seconds}; give seconds over 0 and under a day")]
+    /// An interval is out of range.
+    #[error("fleet.members.{key} is {seconds}; set it to more than 0 and less than 86400 seconds")]
     Interval {
-        /// Its key.
+        /// Key of the setting.
         key: &'static str,
-        /// What it is set to.
+        /// The rejected value.
         seconds: f64,
     },
-    /// The probe's timeout leaves no time for indirect probes.
+    /// The probe timeout leaves no time for indirect probes.
     #[error(
-        "fleet.members.answer: {timeout} leaves no time for asking through others in a probe of {interval}"
+        "fleet.members.answer is {timeout} seconds; set it to at most half of fleet.members.probe, which is {interval} seconds, to leave time for indirect probes"
     )]
     ProbeTimeout {
-        /// The timeout, in seconds.
+        /// The probe timeout, in seconds.
         timeout: f64,
         /// The probe interval, in seconds.
         interval: f64,
     },
-    /// The size of datagrams.
+    /// The maximum size of datagrams is out of range.
     #[error(
-        "fleet.members.datagram: {bytes}; give {MIN_DATAGRAM_BYTES} to {MAX_DATAGRAM_BYTES} bytes"
+        "fleet.members.datagram is {bytes}; set it to {MIN_DATAGRAM_BYTES} to {MAX_DATAGRAM_BYTES} bytes"
     )]
     DatagramBytes {
-        /// What it is set to.
+        /// The rejected value.
         bytes: usize,
     },
 }
 
 impl Settings {
-    /// Checks what an operator has set.
+    /// Checks that all settings are in range.
     ///
     /// # Errors
     /// The first setting that is out of range.
--- a/crates/gateway/gossip-membership/src/timers.rs
+++ b/crates/gateway/gossip-membership/src/timers.rs
@@ -1,41 +1,44 @@
-//! Timers of the protocol, in the order in which they are due.
+//! Queue of the protocol's timers, ordered by the time at which they are due.
 
 use crate::member::Member;
 use foca::Timer;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Pending timers. Of two that are due at the same time the one that was added first goes first.
+/// Pending timers. Timers that are due at the same time fire in the order in which they were added.
 #[derive(Default)]
 pub struct Timers {
     pending: BinaryHeap<PendingTimer>,
-    added: u64,
+    /// Number of timers added so far.
+    added_count: u64,
 }
 
 struct PendingTimer {
-    due: f64,
-    /// Of all timers, in the order in which they were added.
+    due_at: f64,
+    /// Position of the timer in the order in which all timers were added.
     sequence: u64,
     timer: Timer<Member>,
 }
 
 impl Timers {
     /// Adds a timer.
-    pub fn add(&mut self, due: f64, timer: Timer<Member>) {
-        self.added += 1;
+    pub fn add(&mut self, due_at: f64, timer: Timer<Member>) {
+        self.added_count += 1;
         self.pending.push(PendingTimer {
-            due,
-            sequence: self.added,
+            due_at,
+            sequence: self.added_count,
             timer,
         });
     }
 
-    /// When the next timer is due; infinity if there is none.
+    /// Time at which the next timer is due; infinity if none is pending.
     pub fn next_due(&self) -> f64 {
-        self.pending.peek().map_or(f64::INFINITY, |next| next.due)
+        self.pending
+            .peek()
+            .map_or(f64::INFINITY, |next| next.due_at)
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the next timer that is due at `now`.
     pub fn pop_due(&mut self, now: f64) -> Option<Timer<Member>> {
         if self.next_due() > now {
             return None;
@@ -43,10 +46,10 @@
         self.pending.pop().map(|next| next.timer)
     }
 
-    /// Makes all timers due later.
+    /// Postpones all timers by `seconds`.
     pub fn postpone(&mut self, seconds: f64) {
         let postponed = self.pending.drain().map(|pending| PendingTimer {
-            due: pending.due + seconds,
+            due_at: pending.due_at + seconds,
             ..pending
         });
         self.pending = postponed.collect();
@@ -62,9 +65,9 @@
 impl Eq for PendingTimer {}
 
 impl Ord for PendingTimer {
-    /// The earliest is the greatest, as the heap gives the greatest first.
+    /// Orders the earliest timer as the greatest, as the heap returns the greatest first.
     fn cmp(&self, other: &Self) -> Ordering {
-        let by_time = other.due.total_cmp(&self.due);
+        let by_time = other.due_at.total_cmp(&self.due_at);
         by_time.then(other.sequence.cmp(&self.sequence))
     }
 }
--- a/crates/gateway/gossip-membership/tests/behaviour.rs
+++ b/crates/gateway/gossip-membership/tests/behaviour.rs
@@ -1,6 +1,5 @@
-//! What members do is what revision 52a1591 did: the same datagrams at the same times, byte for byte, and the same
-//! reports, in worlds with losses, partitions, stalls, restarts and departures. That revision wrote the files
-//! under `tests/fixtures`.
+//! Members send the same datagrams at the same times, byte for byte, and report the same events as in revision 52a1591,
+//! over losses, partitions, stalls, restarts and departures. That revision wrote the files under `tests/fixtures`.
 
 mod common;
 
@@ -13,7 +12,7 @@
 const SEEDS: u64 = 100;
 const LIMITERS: u16 = 5;
 const STEP: f64 = 0.02;
-/// Each seed's world runs this many steps.
+/// Steps of the simulation for each seed.
 const STEPS: usize = 3_000;
 
 fn fixtures() -> Fixtures {
@@ -22,7 +21,7 @@
 
 fn member(port: u16, instance: u64) -> Member {
     Member {
-        // Ports beyond the first are second processes of the same names.
+        // Ports above LIMITERS belong to processes with duplicate names.
         name: format!("limiter-{}", (port - 1) % LIMITERS + 1),
         instance,
         precedence: instance,
@@ -34,7 +33,7 @@
     }
 }
 
-/// A small random source: the same for the same seed.
+/// A pseudo-random number generator with a fixed seed.
 struct Random(u64);
 
 impl Random {
@@ -47,7 +46,7 @@
     }
 }
 
-/// FNV-1a of 64 bits.
+/// A 64-bit FNV-1a digest.
 struct Digest(u64);
 
 impl Digest {
@@ -65,15 +64,15 @@
     }
 }
 
-/// How many outputs there were of each kind, in the order of [`Output`].
+/// Number of outputs of each kind, in the order of the variants of [`Output`].
 type Counts = [u64; 5];
 
 struct World {
     random: Random,
     now: f64,
     limiters: BTreeMap<u16, Membership>,
-    /// Time until which a process is stalled.
-    stalled: BTreeMap<u16, f64>,
+    /// Time until which each stalled process is stalled, by port.
+    stalled_until: BTreeMap<u16, f64>,
     partitioned_until: f64,
     loss_percent: u64,
     digest: Digest,
@@ -88,7 +87,7 @@
             random,
             now: 0.0,
             limiters: BTreeMap::new(),
-            stalled: BTreeMap::new(),
+            stalled_until: BTreeMap::new(),
             partitioned_until: 0.0,
             loss_percent,
             digest: Digest(0xcbf2_9ce4_8422_2325),
@@ -112,7 +111,9 @@
 
     fn is_lost(&mut self, from: u16, to: u16) -> bool {
         let partitioned = self.now < self.partitioned_until && (from <= 2) != (to <= 2);
-        partitioned || self.stalled.contains_key(&to) || self.random.below(100) < self.loss_percent
+        partitioned
+            || self.stalled_until.contains_key(&to)
+            || self.random.below(100) < self.loss_percent
     }
 
     fn record(&mut self, from: u16, output: &Output) {
@@ -147,10 +148,10 @@
         self.counts[usize::from(kind)] += 1;
     }
 
-    /// Delivers datagrams, and those that are sent on account of them, a few times over.
+    /// Delivers datagrams and their replies, in up to ten rounds.
     fn deliver(&mut self, mut outputs: Vec<(u16, Output)>) {
         for _ in 0..10 {
-            let mut caused = Vec::new();
+            let mut replies = Vec::new();
             for (from, output) in outputs {
                 self.record(from, &output);
                 let Output::Datagram { to, bytes } = output else {
@@ -159,39 +160,44 @@
                 if self.is_lost(from, to.port()) {
                     continue;
                 }
-                if let Some(node) = self.limiters.get_mut(&to.port()) {
-                    let mut out = Vec::new();
-                    node.receive(&bytes, self.now, &mut out);
-                    caused.extend(out.into_iter().map(|output| (to.port(), output)));
+                if let Some(limiter) = self.limiters.get_mut(&to.port()) {
+                    let mut limiter_outputs = Vec::new();
+                    limiter.receive(&bytes, self.now, &mut limiter_outputs);
+                    replies.extend(
+                        limiter_outputs
+                            .into_iter()
+                            .map(|output| (to.port(), output)),
+                    );
                 }
             }
-            outputs = caused;
+            outputs = replies;
         }
     }
 
     fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
-        self.stalled.retain(|_, until| now < *until);
+        self.stalled_until.retain(|_, until| now < *until);
         let mut outputs = Vec::new();
-        for (port, node) in self
+        for (port, limiter) in self
             .limiters
             .iter_mut()
-            .filter(|(port, _)| !self.stalled.contains_key(*port))
+            .filter(|(port, _)| !self.stalled_until.contains_key(*port))
         {
-            let mut out = Vec::new();
-            node.tick(now, &mut out);
-            outputs.extend(out.into_iter().map(|output| (*port, output)));
+            let mut limiter_outputs = Vec::new();
+            limiter.tick(now, &mut limiter_outputs);
+            outputs.extend(limiter_outputs.into_iter().map(|output| (*port, output)));
         }
         self.deliver(outputs);
     }
 
-    fn disturb(&mut self, step: u64) {
+    /// Injects a random partition, stall, restart, duplicate name or departure.
+    fn inject_fault(&mut self, step: u64) {
         let port = 1 + self.random.below(u64::from(LIMITERS)) as u16;
         let seconds = 1.0 + self.random.below(12) as f64;
         match self.random.below(5) {
             0 => self.partitioned_until = self.now + seconds,
-            1 => drop(self.stalled.insert(port, self.now + seconds)),
+            1 => drop(self.stalled_until.insert(port, self.now + seconds)),
             2 => self.start(port, 1_000_000 + step),
             3 => self.start(LIMITERS + port, 2_000_000 + step),
             _ => self.leave(port),
@@ -199,37 +205,38 @@
     }
 
     fn leave(&mut self, port: u16) {
-        let Some(mut node) = self.limiters.remove(&port) else {
+        let Some(mut limiter) = self.limiters.remove(&port) else {
             return;
         };
-        let mut out = Vec::new();
-        node.leave(self.now, &mut out);
-        self.deliver(out.into_iter().map(|output| (port, output)).collect());
+        let mut outputs = Vec::new();
+        limiter.leave(self.now, &mut outputs);
+        self.deliver(outputs.into_iter().map(|output| (port, output)).collect());
         self.start(port, 3_000_000 + u64::from(port));
     }
 
-    /// All that each node sees at the end.
+    /// Adds the members that each limiter sees to the digest.
     fn add_views(&mut self) {
-        for node in self.limiters.values() {
-            node.alive()
+        for limiter in self.limiters.values() {
+            limiter
+                .alive()
                 .for_each(|member| self.digest.add_member(member));
-            let (count, refused) = (node.count() as u64, node.rejected_datagrams());
+            let (count, rejected) = (limiter.count() as u64, limiter.rejected_datagrams());
             self.digest.add(&count.to_le_bytes());
-            self.digest.add(&refused.to_le_bytes());
-            self.digest.add(&node.next_due().to_bits().to_le_bytes());
+            self.digest.add(&rejected.to_le_bytes());
+            self.digest.add(&limiter.next_due().to_bits().to_le_bytes());
         }
     }
 }
 
 #[test]
-fn worlds_of_the_earlier_revision_run_alike() {
+fn simulations_have_the_digests_of_the_earlier_revision() {
     let mut text = String::new();
     let mut total: Counts = [0; 5];
     for seed in 0..SEEDS {
         let mut world = World::new(seed);
         for step in 0..STEPS {
             if world.random.below(400) == 0 {
-                world.disturb(step as u64);
+                world.inject_fault(step as u64);
             }
             world.step();
         }
@@ -242,7 +249,7 @@
     }
     assert!(
         total.iter().all(|count| *count > 0),
-        "each kind of output occurs: {total:?}"
+        "a kind of output did not occur: {total:?}"
     );
     fixtures().assert_text("digests.txt", &text);
 }
@@ -258,8 +265,8 @@
         first.tick(now, &mut from_first);
         second.tick(now, &mut from_second);
         for _ in 0..3 {
-            let to_second = show("1", &from_first, &mut text);
-            let to_first = show("2", &from_second, &mut text);
+            let to_second = record_datagrams("1", &from_first, &mut text);
+            let to_first = record_datagrams("2", &from_second, &mut text);
             (from_first, from_second) = (Vec::new(), Vec::new());
             to_first
                 .iter()
@@ -274,8 +281,8 @@
     fixtures().assert_text("datagrams.txt", &text);
 }
 
-/// Adds datagrams in hexadecimal to a text; gives their bytes.
-fn show(from: &str, outputs: &[Output], text: &mut String) -> Vec<Vec<u8>> {
+/// Appends datagrams to `text` in hexadecimal and returns their bytes.
+fn record_datagrams(from: &str, outputs: &[Output], text: &mut String) -> Vec<Vec<u8>> {
     let mut datagrams = Vec::new();
     for output in outputs {
         if let Output::Datagram { bytes, .. } = output {
--- a/crates/gateway/gossip-membership/tests/common/mod.rs
+++ b/crates/gateway/gossip-membership/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use dunespur_gossip_membership::Settings;
 use std::net::SocketAddrV4;
 
-/// Settings for a few members, with seeds at these ports.
+/// Settings for a few members, with seeds at the given ports.
 pub fn settings(seeds: &[u16]) -> Settings {
     Settings {
         expected_members: 8,
@@ -17,7 +17,7 @@
     }
 }
 
-/// The address of a port on the loopback interface.
+/// The loopback address with the given port.
 pub fn address(port: u16) -> SocketAddrV4 {
     SocketAddrV4::new([127, 0, 0, 1].into(), port)
 }
