--- a/crates/gateway/settings/src/document.rs
+++ b/crates/gateway/settings/src/document.rs
@@ -1,47 +1,47 @@
-//! The document as the decisions take it.
+//! Conversion of the settings document to the settings of the decisions.
 
 use crate::error::SettingsError;
 use crate::section::Section;
 use dunespur_decisions::types::{Effect, OperationSettings, PlanSettings, Settings, TokenScope};
 use serde_json::Value;
 
-/// The settings, and the names that invocations use.
+/// The settings, and the names of plans, operations and zones.
 pub struct SettingsDocument {
-    /// What the decisions need.
+    /// Settings of the decisions.
     pub settings: Settings,
-    /// Names of the contracts, in the order of `settings.plans`.
+    /// Names of the document's contracts, in the order of `settings.plans`.
     pub plans: Vec<String>,
-    /// Names of the classes, in the order of `settings.operations`.
+    /// Names of the document's classes, in the order of `settings.operations`.
     pub operations: Vec<String>,
-    /// Names of the failure domains; `settings.zone` is an index of them.
+    /// Names of the failure domains; `settings.zone` is an index into them.
     pub zones: Vec<String>,
-    /// An invocation's price is charged by what it used.
+    /// Whether an invocation is charged by its actual use.
     pub charges_by_use: bool,
-    /// The largest invocation, in units; 0 where no bound is given.
+    /// Maximum size of an invocation in units; 0 for no limit.
     pub max_units: f64,
-    /// Seconds that opening a connection may take.
+    /// Seconds within which a connection must be established.
     pub connect_timeout: f64,
-    /// Seconds that a connection may be idle.
+    /// Seconds after which an idle connection is closed.
     pub idle_timeout: f64,
 }
 
-/// Reads the document from its text. `seed` is that of the decisions' random numbers.
+/// Reads the document from JSON text. `seed` seeds the random numbers of the decisions.
 ///
 /// # Errors
-/// The text is no JSON, or a value is missing or out of range.
+/// The text is not valid JSON, or a value is missing or invalid.
 pub fn parse(document: &str, seed: u64) -> Result<SettingsDocument, SettingsError> {
     read(&serde_json::from_str(document)?, seed)
 }
 
-/// Reads the document from its JSON value. `seed` is that of the decisions' random numbers.
+/// Reads the document from a JSON value. `seed` seeds the random numbers of the decisions.
 ///
 /// # Errors
-/// A value is missing or out of range.
+/// A value is missing or invalid.
 pub fn read(document: &Value, seed: u64) -> Result<SettingsDocument, SettingsError> {
     let document = Section(document);
     let domain = document.section("domain");
     let limits = document.section("limits");
-    let zones = document.texts("failureDomains")?;
+    let zones = document.strings("failureDomains")?;
     let settings = settings(document, &zones, seed)?;
     Ok(SettingsDocument {
         settings,
@@ -89,9 +89,9 @@
     })
 }
 
-/// Index of the gateway's own zone.
+/// Returns the index of the gateway's zone in the failure domains.
 fn zone(document: Section<'_>, zones: &[String]) -> Result<usize, SettingsError> {
-    let own = document.text("zone")?;
+    let own = document.string("zone")?;
     let index = zones.iter().position(|zone| zone == own);
     index.ok_or(SettingsError::UnlistedZone)
 }
@@ -107,23 +107,23 @@
 }
 
 fn effect(class: Section<'_>) -> Result<Effect, SettingsError> {
-    match class.text("effect")? {
+    match class.string("effect")? {
         "free" => Ok(Effect::Idempotent),
         "single_shot" => Ok(Effect::NonIdempotent),
         "guarded" => Ok(Effect::Tokened {
             scope: group(class)?,
             window: class.number("windowS")?,
         }),
-        other => Err(unknown("effect", other)),
+        other => Err(unknown_value("effect", other)),
     }
 }
 
 fn group(class: Section<'_>) -> Result<TokenScope, SettingsError> {
-    match class.text("group")? {
+    match class.string("group")? {
         "all" => Ok(TokenScope::All),
         "zone" => Ok(TokenScope::Zone),
         "cell" => Ok(TokenScope::Cell),
-        other => Err(unknown("group", other)),
+        other => Err(unknown_value("group", other)),
     }
 }
 
@@ -136,7 +136,7 @@
         hard_burst: contract.number("hardBurst")?,
         beyond_quota_earnings: contract.number("overWorth")?,
         beyond_quota_cost: contract.number("beyondCosts")?,
-        price: if contract.lacks("worthFactor") {
+        price: if contract.is_absent("worthFactor") {
             1.0
         } else {
             contract.number("worthFactor")?
@@ -147,11 +147,11 @@
 fn names(document: Section<'_>, key: &'static str) -> Result<Vec<String>, SettingsError> {
     let items = document.list(key)?;
     items
-        .map(|item| item.text("name").map(str::to_owned))
+        .map(|item| item.string("name").map(str::to_owned))
         .collect()
 }
 
-fn unknown(key: &'static str, value: &str) -> SettingsError {
+fn unknown_value(key: &'static str, value: &str) -> SettingsError {
     SettingsError::Unknown {
         key,
         value: value.to_owned(),
--- a/crates/gateway/settings/src/error.rs
+++ b/crates/gateway/settings/src/error.rs
@@ -1,53 +1,53 @@
-//! What can be wrong with the document.
+//! Errors of reading the settings document.
 
 use thiserror::Error;
 
-/// Why the document can't be read; names the key.
+/// Why the document can't be read, with the key of the invalid value.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// The text is no JSON.
+    /// The text is not valid JSON.
     #[error("settings: {0}")]
     Syntax(#[from] serde_json::Error),
-    /// A number is something else, or negative.
-    #[error("settings: {key} is not a number from 0 up")]
+    /// A value is not a number, or is negative.
+    #[error("settings: {key} is not a non-negative number")]
     NotANumber {
-        /// Its key.
+        /// Key of the value.
         key: &'static str,
     },
-    /// A number that has to be positive is not there, or 0.
+    /// A number that must be positive is missing or 0.
     #[error("settings: {key} is missing or 0")]
     MissingOrZero {
-        /// Its key.
+        /// Key of the value.
         key: &'static str,
     },
-    /// A text is something else, or not there.
-    #[error("settings: {key} is not a text")]
-    NotAText {
-        /// Its key.
+    /// A value is missing or not a string.
+    #[error("settings: {key} is not a string")]
+    NotAString {
+        /// Key of the value.
         key: &'static str,
     },
-    /// A list is something else, or not there.
+    /// A value is missing or not a list.
     #[error("settings: {key} is not a list")]
     NotAList {
-        /// Its key.
+        /// Key of the value.
         key: &'static str,
     },
-    /// A list of texts has something else in it.
-    #[error("settings: {key} holds no texts")]
-    NotTexts {
-        /// Its key.
+    /// A list of strings contains another type.
+    #[error("settings: {key} is not a list of strings")]
+    NotStrings {
+        /// Key of the value.
         key: &'static str,
     },
-    /// A text is none of those that are known.
-    #[error("settings: {key} {value} is unknown")]
+    /// A string is not one of the allowed values.
+    #[error("settings: {key} has the unknown value \"{value}\"")]
     Unknown {
-        /// Its key.
+        /// Key of the value.
         key: &'static str,
-        /// The text.
+        /// The unknown value.
         value: String,
     },
-    /// The gateway's zone is not among the failure domains.
-    #[error("settings: zone is not listed")]
+    /// The gateway's zone is not one of the failure domains.
+    #[error("settings: zone is not listed in failureDomains")]
     UnlistedZone,
 }
--- a/crates/gateway/settings/src/lib.rs
+++ b/crates/gateway/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the settings document that the gateway's hosts are given. Unknown keys are skipped; absent optional ones have
-//! the meaning that the wire's page gives them.
+//! Reads the JSON settings document of the gateway's hosts. Unknown keys are ignored, and absent optional keys have the
+//! defaults of the wire protocol: 0, false, or 1 for `worthFactor`.
 
 mod document;
 mod error;
--- a/crates/gateway/settings/src/section.rs
+++ b/crates/gateway/settings/src/section.rs
@@ -1,24 +1,24 @@
-//! Typed access to the keys of a JSON object.
+//! Typed access to the values of a JSON object.
 
 use crate::error::SettingsError;
 use serde_json::Value;
 
-/// An object of the document.
+/// A JSON object of the document.
 #[derive(Clone, Copy)]
 pub struct Section<'document>(pub &'document Value);
 
 impl<'document> Section<'document> {
-    /// An object within this one. All keys of one that is not there are absent.
+    /// Returns the nested object under `key`. If it is missing, all its keys count as absent.
     pub fn section(self, key: &'static str) -> Section<'document> {
         Section(&self.0[key])
     }
 
-    /// Whether a key is absent.
-    pub fn lacks(self, key: &'static str) -> bool {
+    /// Whether `key` is absent or null.
+    pub fn is_absent(self, key: &'static str) -> bool {
         self.0[key].is_null()
     }
 
-    /// A number from 0 up; 0 if it is absent.
+    /// Reads a non-negative number; 0 if it is absent.
     pub fn number(self, key: &'static str) -> Result<f64, SettingsError> {
         match &self.0[key] {
             Value::Null => Ok(0.0),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A number above 0.
+    /// Reads a required number above 0.
     pub fn positive_number(self, key: &'static str) -> Result<f64, SettingsError> {
         let number = self.number(key)?;
         if number > 0.0 {
@@ -39,25 +39,27 @@
         }
     }
 
-    /// A truth value; false if it is absent or something else.
+    /// Reads a boolean; false if it is absent or of another type.
     pub fn flag(self, key: &'static str) -> bool {
         self.0[key].as_bool().unwrap_or(false)
     }
 
-    /// A text.
-    pub fn text(self, key: &'static str) -> Result<&'document str, SettingsError> {
-        self.0[key].as_str().ok_or(SettingsError::NotAText { key })
+    /// Reads a required string.
+    pub fn string(self, key: &'static str) -> Result<&'document str, SettingsError> {
+        self.0[key]
+            .as_str()
+            .ok_or(SettingsError::NotAString { key })
     }
 
-    /// A list of texts.
-    pub fn texts(self, key: &'static str) -> Result<Vec<String>, SettingsError> {
+    /// Reads a required list of strings.
+    pub fn strings(self, key: &'static str) -> Result<Vec<String>, SettingsError> {
         self.list(key)?
             .map(|item| item.0.as_str().map(str::to_owned))
             .collect::<Option<_>>()
-            .ok_or(SettingsError::NotTexts { key })
+            .ok_or(SettingsError::NotStrings { key })
     }
 
-    /// A list of objects.
+    /// Reads a required list of objects.
     pub fn list(
         self,
         key: &'static str,
--- a/crates/gateway/settings/tests/document.rs
+++ b/crates/gateway/settings/tests/document.rs
@@ -1,10 +1,10 @@
-//! Each key of the settings document is read to its own field; what can't be read is named.
+//! Each key of the settings document is read into its own field, and errors name the key of an invalid value.
 
 use dunespur_decisions::types::{Effect, TokenScope};
 use dunespur_settings::{parse, SettingsDocument};
 use serde_json::{json, Value};
 
-/// A whole document, each number another one.
+/// A complete document with distinct numbers.
 fn document() -> Value {
     json!({
         "failureDomains": ["zone-a", "zone-b", "zone-c"],
@@ -33,7 +33,7 @@
             },
             { "name": "plan-2" }
         ],
-        "a key that is not known": {}
+        "an unknown key": {}
     })
 }
 
@@ -51,12 +51,12 @@
 fn error(document: &Value) -> String {
     parse(&document.to_string(), 99)
         .err()
-        .expect("it can't be read")
+        .expect("the document is rejected")
         .to_string()
 }
 
 #[test]
-fn each_key_is_read_to_its_own_field() {
+fn each_key_is_read_into_its_own_field() {
     let read = read(&document());
     assert_eq!(read.plans, ["plan-1", "plan-2"]);
     assert_eq!(
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn each_key_of_a_class_is_read_to_its_own_field() {
+fn each_key_of_a_class_is_read_into_its_own_field() {
     let read = read(&document());
     let effects: Vec<Effect> = read
         .settings
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn each_key_of_a_contract_is_read_to_its_own_field() {
+fn each_key_of_a_contract_is_read_into_its_own_field() {
     let read = read(&document());
     let plan = &read.settings.plans[0];
     assert_eq!(
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn absent_optional_keys_have_their_meaning() {
+fn absent_optional_keys_have_their_defaults() {
     let mut document = document();
     for (section, keys) in [
         (
@@ -210,55 +210,67 @@
     assert_eq!(settings.response_slack, 0.0);
 }
 
-/// Place, value in JSON and what is said of it.
-const UNREADABLE: [(&str, &str, &str); 22] = [
+/// Pointer to a value, invalid JSON value to replace it by, and expected error.
+const INVALID_VALUES: [(&str, &str, &str); 22] = [
     ("/fleetSize", "0", "fleetSize is missing or 0"),
     ("/fleetSize", "null", "fleetSize is missing or 0"),
     (
         "/fleetSize",
         r#""12""#,
-        "fleetSize is not a number from 0 up",
+        "fleetSize is not a non-negative number",
+    ),
+    ("/slotNo", "-1", "slotNo is not a non-negative number"),
+    ("/zone", "7", "zone is not a string"),
+    (
+        "/zone",
+        r#""zone-d""#,
+        "zone is not listed in failureDomains",
     ),
-    ("/slotNo", "-1", "slotNo is not a number from 0 up"),
-    ("/zone", "7", "zone is not a text"),
-    ("/zone", r#""zone-d""#, "zone is not listed"),
     ("/failureDomains", "null", "failureDomains is not a list"),
-    ("/failureDomains/1", "1", "failureDomains holds no texts"),
+    (
+        "/failureDomains/1",
+        "1",
+        "failureDomains is not a list of strings",
+    ),
     ("/classes", "{}", "classes is not a list"),
     (
         "/classes/1/effect",
         r#""unheard of""#,
-        "effect unheard of is unknown",
+        r#"effect has the unknown value "unheard of""#,
+    ),
+    ("/classes/1/effect", "null", "effect is not a string"),
+    (
+        "/classes/2/group",
+        r#""row""#,
+        r#"group has the unknown value "row""#,
     ),
-    ("/classes/1/effect", "null", "effect is not a text"),
-    ("/classes/2/group", r#""row""#, "group row is unknown"),
-    ("/classes/2/group", "null", "group is not a text"),
+    ("/classes/2/group", "null", "group is not a string"),
     (
         "/classes/2/windowS",
         "[]",
-        "windowS is not a number from 0 up",
+        "windowS is not a non-negative number",
     ),
     ("/classes/0/goalTimeS", "0.0", "goalTimeS is missing or 0"),
     ("/classes/0/deadlineS", "null", "deadlineS is missing or 0"),
-    ("/classes/0/name", "null", "name is not a text"),
-    ("/contracts/0/name", "3", "name is not a text"),
+    ("/classes/0/name", "null", "name is not a string"),
+    ("/contracts/0/name", "3", "name is not a string"),
     (
         "/contracts/0/worthFactor",
         r#""much""#,
-        "worthFactor is not a number from 0 up",
+        "worthFactor is not a non-negative number",
     ),
     ("/contracts", "null", "contracts is not a list"),
     ("/limits/tryLimit", "null", "tryLimit is missing or 0"),
     (
         "/limits/maxRetryAfterS",
         "true",
-        "maxRetryAfterS is not a number from 0 up",
+        "maxRetryAfterS is not a non-negative number",
     ),
 ];
 
 #[test]
-fn what_can_not_be_read_is_named() {
-    for (pointer, value, expected) in UNREADABLE {
+fn errors_name_the_key_of_an_invalid_value() {
+    for (pointer, value, expected) in INVALID_VALUES {
         let mut document = document();
         let value: Value = serde_json::from_str(value).expect(value);
         *document.pointer_mut(pointer).expect(pointer) = value;
@@ -271,9 +283,9 @@
 }
 
 #[test]
-fn a_text_that_is_no_json_is_named() {
+fn invalid_json_is_reported() {
     let Err(error) = parse("{", 1) else {
-        panic!("it is read")
+        panic!("invalid JSON is accepted")
     };
     let expected = "settings: EOF while parsing an object at line 1 column 1";
     assert_eq!(error.to_string(), expected);
