--- a/crates/gateway/gateway/src/fleet/gossip.rs
+++ b/crates/gateway/gateway/src/fleet/gossip.rs
@@ -7,7 +7,7 @@
 use dunespur_gossip_membership::DuplicateName;
 use dunespur_peer_transport::FrameError;
 use dunespur_peer_transport::Kind;
-use dunespur_peer_transport::Received;
+use dunespur_peer_transport::ReceivedFrame;
 use dunespur_peer_transport::Transport;
 use serde_json::json;
 use std::rc::Rc;
@@ -45,8 +45,8 @@
         }
     }
 
-    pub(super) fn receive(&mut self, hub: &Rc<Hub>, came: Received, now: f64) {
-        let Received { kind, frame } = came;
+    pub(super) fn receive(&mut self, hub: &Rc<Hub>, came: ReceivedFrame, now: f64) {
+        let ReceivedFrame { kind, frame } = came;
         self.learn_address(&frame.sender, frame.sender_address, now);
         let spoilt = |links: &Transport| links.reject(FrameError::UnknownKind);
         match kind {
--- a/crates/gateway/gateway/src/fleet/run.rs
+++ b/crates/gateway/gateway/src/fleet/run.rs
@@ -9,7 +9,7 @@
 use crate::fault::Fault;
 use crate::hub::Hub;
 use crate::operators::Plan;
-use dunespur_peer_transport::Received;
+use dunespur_peer_transport::ReceivedFrame;
 use dunespur_singleton_roles::audit::CallOutcome;
 use dunespur_singleton_roles::health_check::Delivery;
 use std::cell::Cell;
@@ -77,7 +77,7 @@
     async fn run(
         mut self,
         mut disk_results: mpsc::UnboundedReceiver<DiskResult>,
-        mut inbox: mpsc::Receiver<Received>,
+        mut inbox: mpsc::Receiver<ReceivedFrame>,
         mut inbound: mpsc::UnboundedReceiver<FleetEvent>,
     ) {
         let mut disk = DiskState::Open;
--- a/crates/gateway/gateway/src/fleet/setup.rs
+++ b/crates/gateway/gateway/src/fleet/setup.rs
@@ -10,7 +10,7 @@
 use crate::operators::Plan;
 use dunespur_gossip_membership as members;
 use dunespur_gossip_membership::Membership;
-use dunespur_peer_transport::Received;
+use dunespur_peer_transport::ReceivedFrame;
 use dunespur_peer_transport::Transport;
 use dunespur_quota_sharing::Broker;
 use dunespur_singleton_roles::audit::Auditor;
@@ -95,7 +95,7 @@
 pub(super) async fn open_links(
     plan: &Plan,
     name: &str,
-    inbox: mpsc::Sender<Received>,
+    inbox: mpsc::Sender<ReceivedFrame>,
 ) -> Result<Rc<Transport>, Fault> {
     let links = Transport::open(
         plan.roles.fleet.clone(),
@@ -147,7 +147,7 @@
         plan: Plan,
         name: String,
         seed: u64,
-        inbox: mpsc::Sender<Received>,
+        inbox: mpsc::Sender<ReceivedFrame>,
         events: mpsc::UnboundedSender<FleetEvent>,
     ) -> Result<(Self, mpsc::UnboundedReceiver<DiskResult>), Fault> {
         let now = clock();
--- a/crates/gateway/peer-transport/src/incoming.rs
+++ b/crates/gateway/peer-transport/src/incoming.rs
@@ -26,7 +26,7 @@
 
 /// A received frame of this fleet and of a known kind.
 #[derive(Debug)]
-pub struct Received {
+pub struct ReceivedFrame {
     /// Kind of the message.
     pub kind: Kind,
     /// The envelope and the encoded message.
@@ -37,7 +37,7 @@
 pub(crate) struct Receiver {
     pub fleet: String,
     pub limits: Limits,
-    pub inbox: mpsc::Sender<Received>,
+    pub inbox: mpsc::Sender<ReceivedFrame>,
     pub statistics: Rc<RefCell<Statistics>>,
     /// Number of open accepted connections.
     pub connections: Cell<usize>,
@@ -122,10 +122,10 @@
         }
     }
 
-    fn accept(&self, frame: Frame) -> Result<Received, FrameError> {
+    fn accept(&self, frame: Frame) -> Result<ReceivedFrame, FrameError> {
         let kind = frame.kind()?;
         self.statistics.borrow_mut().received += 1;
-        Ok(Received { kind, frame })
+        Ok(ReceivedFrame { kind, frame })
     }
 
     /// Counts a rejected frame. For each cause, logs the first rejection and then every thousandth.
--- a/crates/gateway/peer-transport/src/transport.rs
+++ b/crates/gateway/peer-transport/src/transport.rs
@@ -1,7 +1,7 @@
 //! The transport of one limiter: a UDP socket, a TCP listener, and a connection with a bounded queue to each peer.
 
 use crate::frame::{Frame, FrameError, Kind, HEADER_BYTES, VERSION};
-use crate::incoming::{Received, Receiver};
+use crate::incoming::{ReceivedFrame, Receiver};
 use crate::limits::Limits;
 use crate::outgoing::Sender;
 use crate::statistics::Statistics;
@@ -26,7 +26,7 @@
 }
 
 impl Transport {
-    /// Binds the UDP socket and the TCP listener at `address`. Received frames of `fleet` go to `inbox`. `name` is the name
+    /// Binds the UDP socket and the TCP listener at `address`. ReceivedFrame frames of `fleet` go to `inbox`. `name` is the name
     /// of this limiter. `address_overrides` maps peer addresses to the addresses to connect to instead, for tests with a
     /// simulated network; otherwise it is empty.
     ///
@@ -38,7 +38,7 @@
         address: SocketAddrV4,
         limits: Limits,
         address_overrides: BTreeMap<SocketAddrV4, SocketAddrV4>,
-        inbox: mpsc::Sender<Received>,
+        inbox: mpsc::Sender<ReceivedFrame>,
     ) -> io::Result<Rc<Transport>> {
         let socket = Rc::new(UdpSocket::bind(address).await?);
         let listener = TcpListener::bind(address).await?;
--- a/crates/gateway/peer-transport/tests/transport.rs
+++ b/crates/gateway/peer-transport/tests/transport.rs
@@ -1,6 +1,6 @@
 //! Two transports over loopback: delivery, rejected frames and limits.
 
-use dunespur_peer_transport::{Frame, Kind, Limits, Received, Transport, VERSION};
+use dunespur_peer_transport::{Frame, Kind, Limits, ReceivedFrame, Transport, VERSION};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -34,7 +34,7 @@
 /// One limiter of fleet "f".
 struct Limiter {
     transport: Rc<Transport>,
-    inbox: mpsc::Receiver<Received>,
+    inbox: mpsc::Receiver<ReceivedFrame>,
     name: String,
     address: SocketAddrV4,
 }
@@ -67,7 +67,7 @@
         }
     }
 
-    async fn next(&mut self) -> Received {
+    async fn next(&mut self) -> ReceivedFrame {
         timeout(TIME_LIMIT, self.inbox.recv())
             .await
             .unwrap()
--- a/crates/serving/dunespur/src/core/coordinator/mod.rs
+++ b/crates/serving/dunespur/src/core/coordinator/mod.rs
@@ -18,7 +18,7 @@
     Input, Member, MemberConfig, MemberId, Message, Output, Peer, View,
 };
 use dunespur_storage::core::CoreDisk;
-use dunespur_storage::Opened;
+use dunespur_storage::OpenedDisk;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -80,7 +80,7 @@
         clock: Clock,
     ) -> anyhow::Result<Rc<Coordinator>> {
         std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
-        let Opened {
+        let OpenedDisk {
             disk,
             identity: disk_identity,
             contents: durable,
--- a/crates/serving/dunespur/src/store/process.rs
+++ b/crates/serving/dunespur/src/store/process.rs
@@ -16,7 +16,7 @@
 use dunespur_rpc::Service;
 use dunespur_storage::recovery::set_aside_bytes;
 use dunespur_storage::turns::TurnDisk;
-use dunespur_storage::Opened;
+use dunespur_storage::OpenedDisk;
 use dunespur_turn_replication::ids::{CallerId, PeerRequestId};
 use dunespur_turn_replication::message::{StoreReply, StoreRequest};
 use dunespur_turn_replication::node::{
@@ -79,7 +79,7 @@
             .context("data_dir: a store needs a disk")?;
         std::fs::create_dir_all(data).with_context(|| format!("making {}", data.display()))?;
         let file = data.join(DISK_FILE);
-        let Opened {
+        let OpenedDisk {
             disk,
             identity,
             contents: headers,
--- a/crates/serving/storage/src/core/mod.rs
+++ b/crates/serving/storage/src/core/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::database::{begin_synced_write, ReopeningDatabase};
 use crate::error::{Result, StorageError};
-use crate::identity::{DiskIdentity, Opened};
+use crate::identity::{DiskIdentity, OpenedDisk};
 use crate::integrity::open_checked;
 use crate::new_file;
 use crate::recovery::open_or_set_aside;
@@ -32,11 +32,11 @@
     ///
     /// # Errors
     /// The file can't be created or opened, and its contents are not the cause. The file is left unchanged.
-    pub fn open(path: &Path) -> Result<Opened<CoreDisk, DurableState>> {
+    pub fn open(path: &Path) -> Result<OpenedDisk<CoreDisk, DurableState>> {
         open_or_set_aside(path, || Self::open_file(path))
     }
 
-    fn open_file(path: &Path) -> Result<Opened<CoreDisk, DurableState>> {
+    fn open_file(path: &Path) -> Result<OpenedDisk<CoreDisk, DurableState>> {
         let fresh = !path.exists();
         if fresh {
             new_file::create(path, tables::create)
@@ -54,7 +54,7 @@
     /// The backend can't be opened or read.
     pub fn open_backend<B: StorageBackend>(
         backend: impl Fn() -> B + Send + 'static,
-    ) -> Result<Opened<CoreDisk, DurableState>> {
+    ) -> Result<OpenedDisk<CoreDisk, DurableState>> {
         let database = ReopeningDatabase::open_backend(backend)?;
         let fresh = database.with(|database| {
             let empty = database.begin_read()?.list_tables()?.next().is_none();
@@ -66,14 +66,17 @@
         Self::load(database, fresh)
     }
 
-    fn load(database: ReopeningDatabase, fresh: bool) -> Result<Opened<CoreDisk, DurableState>> {
+    fn load(
+        database: ReopeningDatabase,
+        fresh: bool,
+    ) -> Result<OpenedDisk<CoreDisk, DurableState>> {
         let (number, state) = database.with(|database| {
             let number = reader::disk_number(database)?;
             Ok((number, reader::durable_state(database)?))
         })?;
         let snapshot = state.snapshot.as_ref();
         let snapshot_index = snapshot.map_or(0, |snapshot| snapshot.position.index);
-        Ok(Opened {
+        Ok(OpenedDisk {
             disk: CoreDisk {
                 database,
                 snapshot_index: Cell::new(snapshot_index),
--- a/crates/serving/storage/src/identity.rs
+++ b/crates/serving/storage/src/identity.rs
@@ -20,7 +20,7 @@
 
 /// An opened disk, its identity and its stored contents.
 #[derive(Debug)]
-pub struct Opened<D, C> {
+pub struct OpenedDisk<D, C> {
     /// The open database.
     pub disk: D,
     /// Identity of the contents.
--- a/crates/serving/storage/src/lib.rs
+++ b/crates/serving/storage/src/lib.rs
@@ -16,4 +16,4 @@
 pub mod turns;
 
 pub use error::StorageError;
-pub use identity::{DiskIdentity, Opened};
+pub use identity::{DiskIdentity, OpenedDisk};
--- a/crates/serving/storage/src/turns/mod.rs
+++ b/crates/serving/storage/src/turns/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::database::{begin_synced_write, ReopeningDatabase};
 use crate::error::{Result, StorageError};
-use crate::identity::Opened;
+use crate::identity::OpenedDisk;
 use crate::integrity::open_checked;
 use crate::new_file;
 use crate::recovery::open_or_set_aside;
@@ -28,11 +28,11 @@
     ///
     /// # Errors
     /// The file can't be created or opened, and its contents are not the cause. The file is left unchanged.
-    pub fn open(path: &Path) -> Result<Opened<TurnDisk, Vec<TurnHeader>>> {
+    pub fn open(path: &Path) -> Result<OpenedDisk<TurnDisk, Vec<TurnHeader>>> {
         open_or_set_aside(path, || Self::open_file(path))
     }
 
-    fn open_file(path: &Path) -> Result<Opened<TurnDisk, Vec<TurnHeader>>> {
+    fn open_file(path: &Path) -> Result<OpenedDisk<TurnDisk, Vec<TurnHeader>>> {
         if !path.exists() {
             let created = new_file::create(path, |database| tables::create(database).map(drop));
             created.map_err(StorageError::operation("creating", path))?;
@@ -49,16 +49,16 @@
     /// The backend can't be opened or read.
     pub fn open_backend<B: StorageBackend>(
         backend: impl Fn() -> B + Send + 'static,
-    ) -> Result<Opened<TurnDisk, Vec<TurnHeader>>> {
+    ) -> Result<OpenedDisk<TurnDisk, Vec<TurnHeader>>> {
         Self::load(ReopeningDatabase::open_backend(backend)?)
     }
 
-    fn load(database: ReopeningDatabase) -> Result<Opened<TurnDisk, Vec<TurnHeader>>> {
+    fn load(database: ReopeningDatabase) -> Result<OpenedDisk<TurnDisk, Vec<TurnHeader>>> {
         let (identity, headers) = database.with(|database| {
             let identity = tables::identity(database)?;
             Ok((identity, tables::headers(database)?))
         })?;
-        Ok(Opened {
+        Ok(OpenedDisk {
             disk: TurnDisk { database },
             identity,
             contents: headers,
--- a/crates/serving/storage/tests/compatibility/core.rs
+++ b/crates/serving/storage/tests/compatibility/core.rs
@@ -11,7 +11,7 @@
     Outcome, ServerReport, ServerState,
 };
 use dunespur_storage::core::CoreDisk;
-use dunespur_storage::{DiskIdentity, Opened};
+use dunespur_storage::{DiskIdentity, OpenedDisk};
 use dunespur_test_fixtures::{Fixtures, TemporaryFolder};
 use redb::{Database, TableDefinition};
 use std::net::SocketAddr;
@@ -139,7 +139,7 @@
 fn records_of_a_core_member_have_the_bytes_of_the_earlier_revision() {
     let folder = TemporaryFolder::new("storage-core-records");
     let path = folder.file("core.redb");
-    let Opened { disk, .. } = CoreDisk::open(&path).expect("the file is created");
+    let OpenedDisk { disk, .. } = CoreDisk::open(&path).expect("the file is created");
     // The commit of the snapshot removes the entries that it covers, so the dump before it is compared as well.
     let (snapshot, others) = writes_of_each_kind()
         .split_last()
@@ -148,7 +148,7 @@
     disk.write(&others).expect("the write succeeds");
     drop(disk);
     fixtures().assert_text("core-before-snapshot.txt", &records(&path));
-    let Opened { disk, .. } = CoreDisk::open(&path).expect("it opens again");
+    let OpenedDisk { disk, .. } = CoreDisk::open(&path).expect("it opens again");
     disk.write(&[snapshot]).expect("the write succeeds");
     drop(disk);
     fixtures().assert_text("core-after-snapshot.txt", &records(&path));
@@ -294,7 +294,7 @@
 fn a_core_members_file_of_the_earlier_revision_opens_with_all_its_contents() {
     let folder = TemporaryFolder::new("storage-core-file");
     let path = folder.file("core.redb");
-    let Opened { disk, .. } = CoreDisk::open(&path).expect("the file is created");
+    let OpenedDisk { disk, .. } = CoreDisk::open(&path).expect("the file is created");
     batches()
         .iter()
         .for_each(|batch| disk.write(batch).expect("the write succeeds"));
@@ -304,7 +304,7 @@
 
     fixtures().unpack_to("core.redb.packed", &path);
     assert_eq!(records(&path), written_now);
-    let Opened {
+    let OpenedDisk {
         identity,
         contents: saved,
         ..
@@ -340,7 +340,7 @@
     let folder = TemporaryFolder::new("storage-core-state");
     let path = folder.file("core.redb");
     fixtures().unpack_to("core.redb.packed", &path);
-    let Opened {
+    let OpenedDisk {
         contents: saved, ..
     } = CoreDisk::open(&path).expect("the earlier revision's file opens");
     let snapshot = saved.snapshot.expect("it has a snapshot");
--- a/crates/serving/storage/tests/compatibility/turns.rs
+++ b/crates/serving/storage/tests/compatibility/turns.rs
@@ -3,7 +3,7 @@
 use crate::dump::{dump, format_value};
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
-use dunespur_storage::{DiskIdentity, Opened};
+use dunespur_storage::{DiskIdentity, OpenedDisk};
 use dunespur_test_fixtures::{Fixtures, TemporaryFolder};
 use dunespur_turn_replication::turn::{Turn, TurnHeader};
 use redb::{Database, TableDefinition};
@@ -85,7 +85,7 @@
 
 /// Writes the contents of the fixture.
 fn write(path: &Path) {
-    let Opened { disk, .. } = TurnDisk::open(path).expect("the file is created");
+    let OpenedDisk { disk, .. } = TurnDisk::open(path).expect("the file is created");
     disk.put(&turns()).expect("the put succeeds");
     disk.put(&[removed_turn()]).expect("the put succeeds");
     disk.remove(&[removed_turn().id])
@@ -111,7 +111,7 @@
 
     fixtures().unpack_to("turns.redb.packed", &path);
     assert_eq!(records(&path), written_now);
-    let Opened {
+    let OpenedDisk {
         disk,
         identity,
         contents: headers,
--- a/crates/serving/storage/tests/core.rs
+++ b/crates/serving/storage/tests/core.rs
@@ -5,13 +5,13 @@
     ProposalNumber, Snapshot, View, Write,
 };
 use dunespur_storage::core::CoreDisk;
-use dunespur_storage::Opened;
+use dunespur_storage::OpenedDisk;
 use dunespur_test_fixtures::TemporaryFolder;
 use std::fs;
 use std::path::Path;
 
 fn reopened(path: &Path) -> DurableState {
-    let Opened {
+    let OpenedDisk {
         identity,
         contents: saved,
         ..
@@ -144,7 +144,7 @@
         };
         let mut expected = DurableState::default();
         for _ in 0..6 {
-            let Opened {
+            let OpenedDisk {
                 disk,
                 contents: found,
                 ..
@@ -164,14 +164,14 @@
 #[test]
 fn the_identity_changes_only_when_the_file_is_created_again() {
     let folder = TemporaryFolder::new("storage-identity");
-    let Opened {
+    let OpenedDisk {
         disk,
         identity: first,
         contents: saved,
     } = CoreDisk::open(&folder.file("core.redb")).expect("the file is created");
     assert!(first.fresh && saved.is_empty());
     drop(disk);
-    let Opened {
+    let OpenedDisk {
         disk,
         identity: second,
         ..
@@ -180,7 +180,7 @@
     assert_eq!(first.disk, second.disk);
     drop(disk);
     fs::remove_file(folder.file("core.redb")).expect("the file is removed");
-    let Opened {
+    let OpenedDisk {
         identity: third,
         contents: saved,
         ..
@@ -194,7 +194,7 @@
     let folder = TemporaryFolder::new("storage-unfinished");
     fs::write(folder.file("core.redb.unfinished"), b"half a file")
         .expect("an unfinished file is written");
-    let Opened {
+    let OpenedDisk {
         identity,
         contents: saved,
         ..
@@ -207,7 +207,7 @@
 fn a_file_that_is_no_database_is_set_aside() {
     let folder = TemporaryFolder::new("storage-foreign");
     fs::write(folder.file("core.redb"), b"not a database").expect("a foreign file is written");
-    let Opened {
+    let OpenedDisk {
         identity,
         contents: saved,
         ..
@@ -230,7 +230,7 @@
 #[test]
 fn the_file_stays_small_over_many_snapshots() {
     let folder = TemporaryFolder::new("storage-small");
-    let Opened { disk, .. } =
+    let OpenedDisk { disk, .. } =
         CoreDisk::open(&folder.file("core.redb")).expect("the file is created");
     let mut index = 0;
     for _ in 0..4 {
--- a/crates/serving/storage/tests/core_growth.rs
+++ b/crates/serving/storage/tests/core_growth.rs
@@ -4,7 +4,7 @@
 use dunespur_chain_replication::limits::{MAX_COMPACTION_BYTES, MIN_COMPACTION_BYTES};
 use dunespur_chain_replication::{Entry, Origin, Payload, Position, Snapshot, Write};
 use dunespur_storage::core::CoreDisk;
-use dunespur_storage::Opened;
+use dunespur_storage::OpenedDisk;
 
 /// Disk size of a core machine, less the space for an unreadable file that was set aside.
 const DISK_BYTES: u64 = (64 << 20) - dunespur_storage::recovery::MAX_SET_ASIDE_BYTES;
@@ -85,7 +85,7 @@
     ));
     std::fs::create_dir_all(&folder).expect("a folder for the test");
     let path = folder.join("core.redb");
-    let Opened { disk, .. } = CoreDisk::open(&path).expect("the file is created");
+    let OpenedDisk { disk, .. } = CoreDisk::open(&path).expect("the file is created");
     let mut writer = Writer {
         disk,
         index: 0,
--- a/crates/serving/storage/tests/full/core.rs
+++ b/crates/serving/storage/tests/full/core.rs
@@ -4,13 +4,13 @@
 use crate::support::Storage;
 use dunespur_chain_replication::{DurableState, Entry, Origin, Payload, Position, Write};
 use dunespur_storage::core::CoreDisk;
-use dunespur_storage::Opened;
+use dunespur_storage::OpenedDisk;
 
 const ENTRY_BYTES: usize = 20_000;
 
 fn open(storage: &Storage) -> (CoreDisk, DurableState) {
     let storage = storage.clone();
-    let Opened {
+    let OpenedDisk {
         disk,
         contents: saved,
         ..
@@ -72,7 +72,7 @@
 fn the_identity_survives_a_full_disk() {
     let storage = Storage::default();
     let backend = storage.clone();
-    let Opened {
+    let OpenedDisk {
         disk,
         identity: first,
         ..
@@ -83,7 +83,7 @@
     drop(disk);
     storage.has_space();
     let backend = storage.clone();
-    let Opened {
+    let OpenedDisk {
         identity: second, ..
     } = CoreDisk::open_backend(move || backend.clone()).expect("the storage opens");
     assert_eq!((second.disk, second.fresh), (first.disk, false));
--- a/crates/serving/storage/tests/full/turns.rs
+++ b/crates/serving/storage/tests/full/turns.rs
@@ -3,12 +3,12 @@
 use crate::support::Storage;
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
-use dunespur_storage::Opened;
+use dunespur_storage::OpenedDisk;
 use dunespur_turn_replication::turn::{Turn, TurnHeader};
 
 fn open(storage: &Storage) -> (TurnDisk, Vec<TurnHeader>) {
     let storage = storage.clone();
-    let Opened {
+    let OpenedDisk {
         disk,
         contents: headers,
         ..
--- a/crates/serving/storage/tests/growth.rs
+++ b/crates/serving/storage/tests/growth.rs
@@ -2,7 +2,7 @@
 //! the share of its disk that a store may fill depends on this ratio.
 
 use dunespur_storage::turns::TurnDisk;
-use dunespur_storage::Opened;
+use dunespur_storage::OpenedDisk;
 use dunespur_turn_replication::turn::Turn;
 
 /// Largest allowed ratio of the file's size to the size of the turns, from [`MIN_CHECKED_BYTES`] on.
@@ -34,7 +34,7 @@
         ));
         std::fs::create_dir_all(&folder).expect("a folder for the test");
         let path = folder.join("turns.redb");
-        let Opened { disk, .. } = TurnDisk::open(&path).expect("the file is created");
+        let OpenedDisk { disk, .. } = TurnDisk::open(&path).expect("the file is created");
         let (mut turn_bytes, mut first_number, mut excess) = (0, 0, (0, 0));
         while turn_bytes < TURN_BYTES {
             let turns: Vec<Turn> = (first_number..first_number + TURNS_PER_BATCH)
--- a/crates/serving/storage/tests/power/turns.rs
+++ b/crates/serving/storage/tests/power/turns.rs
@@ -3,7 +3,7 @@
 use crate::support::{Disk, Random, Syncs};
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
-use dunespur_storage::{DiskIdentity, Opened, StorageError};
+use dunespur_storage::{DiskIdentity, OpenedDisk, StorageError};
 use dunespur_turn_replication::turn::{Turn, TurnHeader};
 use std::collections::BTreeMap;
 use std::panic::catch_unwind;
@@ -16,7 +16,7 @@
 /// Threads that share the disks.
 const THREADS: u64 = 4;
 
-type OpenedTurns = Result<Opened<TurnDisk, Vec<TurnHeader>>, StorageError>;
+type OpenedTurns = Result<OpenedDisk<TurnDisk, Vec<TurnHeader>>, StorageError>;
 
 fn open(disk: &Disk) -> OpenedTurns {
     let handle = disk.handle();
@@ -85,7 +85,7 @@
     identity: DiskIdentity,
     acknowledged: &Acknowledged,
 ) -> Option<String> {
-    let Opened {
+    let OpenedDisk {
         disk: turns,
         identity: current,
         contents: headers,
@@ -124,7 +124,7 @@
     let mut random = Random::new(seed);
     let disk = Disk::new(syncs);
     let mut acknowledged = Acknowledged::default();
-    let Opened {
+    let OpenedDisk {
         disk: mut turns,
         identity,
         ..
--- a/crates/serving/storage/tests/turns.rs
+++ b/crates/serving/storage/tests/turns.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use dunespur_storage::turns::TurnDisk;
-use dunespur_storage::Opened;
+use dunespur_storage::OpenedDisk;
 use dunespur_test_fixtures::TemporaryFolder;
 use dunespur_turn_replication::node::{DiskOutcome, DiskWork};
 use dunespur_turn_replication::turn::Turn;
@@ -24,7 +24,7 @@
 fn turns_and_identity_survive_a_restart() {
     let folder = TemporaryFolder::new("storage-restart");
     let turns = [turn("b", Some("a")), turn("a", None)];
-    let Opened {
+    let OpenedDisk {
         disk,
         identity: first,
         contents: headers,
@@ -33,7 +33,7 @@
     disk.put(&turns).expect("the put succeeds");
     disk.mark_complete().expect("the mark is written");
     drop(disk);
-    let Opened {
+    let OpenedDisk {
         disk,
         identity: second,
         contents: headers,
@@ -50,14 +50,14 @@
 #[test]
 fn a_disk_that_was_never_complete_is_fresh_after_a_restart() {
     let folder = TemporaryFolder::new("storage-filling");
-    let Opened {
+    let OpenedDisk {
         disk,
         identity: first,
         ..
     } = TurnDisk::open(&folder.file("turns.redb")).expect("the file is created");
     disk.put(&[turn("a", None)]).expect("the put succeeds");
     drop(disk);
-    let Opened {
+    let OpenedDisk {
         identity: second, ..
     } = TurnDisk::open(&folder.file("turns.redb")).expect("the file opens again");
     assert_eq!(
@@ -90,7 +90,7 @@
     ] {
         let folder = TemporaryFolder::new(name);
         fs::write(folder.file("turns.redb"), contents).expect("a file");
-        let Opened {
+        let OpenedDisk {
             disk,
             identity,
             contents: headers,
@@ -98,7 +98,7 @@
         assert!(identity.fresh && headers.is_empty());
         disk.put(&[turn("a", None)]).expect("the put succeeds");
         drop(disk);
-        let Opened {
+        let OpenedDisk {
             identity: reopened_identity,
             contents: headers,
             ..
@@ -122,7 +122,7 @@
 fn a_truncated_file_is_replaced_by_a_new_disk() {
     for twentieths in 1..20 {
         let folder = TemporaryFolder::new(&format!("storage-truncated-{twentieths}"));
-        let Opened { disk, .. } =
+        let OpenedDisk { disk, .. } =
             TurnDisk::open(&folder.file("turns.redb")).expect("the file is created");
         disk.put(&[turn("a", None)]).expect("the put succeeds");
         drop(disk);
@@ -134,7 +134,7 @@
         file.set_len(length * twentieths / 20)
             .expect("it is truncated");
         drop(file);
-        let Opened {
+        let OpenedDisk {
             disk,
             identity,
             contents: headers,
@@ -147,7 +147,7 @@
 #[test]
 fn disk_work_puts_gets_and_removes_turns() {
     let folder = TemporaryFolder::new("storage-work");
-    let Opened { disk, .. } =
+    let OpenedDisk { disk, .. } =
         TurnDisk::open(&folder.file("turns.redb")).expect("the file is created");
     let put = DiskWork::Put(vec![turn("a", None), turn("b", Some("a"))]);
     assert_eq!(
--- a/crates/serving/storage/tests/unreadable.rs
+++ b/crates/serving/storage/tests/unreadable.rs
@@ -6,7 +6,7 @@
 use dunespur_storage::core::CoreDisk;
 use dunespur_storage::recovery::{set_aside_bytes, MAX_SET_ASIDE_BYTES};
 use dunespur_storage::turns::TurnDisk;
-use dunespur_storage::Opened;
+use dunespur_storage::OpenedDisk;
 use dunespur_test_fixtures::TemporaryFolder;
 use dunespur_turn_replication::turn::Turn;
 use std::fs;
@@ -76,7 +76,7 @@
 
 fn core_file(folder: &TemporaryFolder) -> CoreFile {
     let path = folder.file("core.redb");
-    let Opened {
+    let OpenedDisk {
         disk,
         identity,
         contents: mut saved,
@@ -126,7 +126,7 @@
     written: &CoreFile,
     context: &str,
 ) -> OpenOutcome {
-    let Opened {
+    let OpenedDisk {
         disk,
         identity,
         contents: saved,
@@ -145,7 +145,7 @@
             ["core.redb", "core.unreadable"],
             "{context}"
         );
-        let Opened {
+        let OpenedDisk {
             identity: reopened, ..
         } = CoreDisk::open(path).expect("the new file opens");
         assert_eq!(
@@ -310,7 +310,7 @@
 /// A turn store's disk number and its file, as a killed process leaves it and after it was closed.
 fn turn_files(folder: &TemporaryFolder) -> (u64, Vec<Vec<u8>>) {
     let path = folder.file("turns.redb");
-    let Opened { disk, identity, .. } = TurnDisk::open(&path).expect("the file is created");
+    let OpenedDisk { disk, identity, .. } = TurnDisk::open(&path).expect("the file is created");
     for number in 0..60 {
         disk.put(&[turn(number, 5_000)]).expect("the put succeeds");
     }
@@ -322,7 +322,7 @@
 }
 
 fn open_turns(folder: &TemporaryFolder, path: &Path, disk: u64, context: &str) -> OpenOutcome {
-    let Opened {
+    let OpenedDisk {
         disk: turns,
         identity,
         contents: entries,
@@ -394,7 +394,7 @@
 fn only_the_latest_set_aside_file_remains_and_is_truncated_to_the_bound() {
     let folder = TemporaryFolder::new("storage-bound");
     let path = write_only_file(&folder, "core.redb", b"the first");
-    let Opened {
+    let OpenedDisk {
         identity: first, ..
     } = CoreDisk::open(&path).expect("a new file is created");
     assert_eq!(
@@ -402,7 +402,7 @@
         b"the first"
     );
     fs::write(&path, vec![9; MAX_SET_ASIDE_BYTES as usize * 3]).expect("a large file");
-    let Opened {
+    let OpenedDisk {
         identity: second, ..
     } = CoreDisk::open(&path).expect("a new file is created");
     assert!(second.fresh && second.disk != first.disk);
@@ -416,7 +416,7 @@
     let folder = TemporaryFolder::new("storage-locked");
     let written = core_file(&folder);
     let path = write_only_file(&folder, "core.redb", &written.closed);
-    let Opened { disk: first, .. } = CoreDisk::open(&path).expect("it opens");
+    let OpenedDisk { disk: first, .. } = CoreDisk::open(&path).expect("it opens");
     assert!(
         CoreDisk::open(&path).is_err(),
         "the file is open in two processes"
