--- a/crates/gateway/gossip-membership/src/member.rs
+++ b/crates/gateway/gossip-membership/src/member.rs
@@ -13,11 +13,11 @@
 pub struct Member {
     /// Name of the limiter, which stays the same over restarts.
     pub name: String,
-    /// Identifies this run of the process; each start uses another number. SWIM's incarnation numbers are separate and kept
-    /// by the library.
+    /// Identifies this run of the process; each start uses another number. SWIM's incarnation numbers are separate and
+    /// kept by the library.
     pub instance: u64,
-    /// Of two processes at one address, the one with the greater value is the current one. Starts as the wall clock time
-    /// in milliseconds.
+    /// Of two processes at one address, the one with the greater value is the current one. Starts as the wall clock
+    /// time in milliseconds.
     pub precedence: u64,
     /// Address on which the process listens.
     pub address: SocketAddrV4,
--- a/crates/gateway/gossip-membership/src/membership.rs
+++ b/crates/gateway/gossip-membership/src/membership.rs
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Whether a timer would end a suspicion that was already refuted. The library would tell even a suspect that refuted
-    /// the suspicion that it is down, and the suspect would renew its identity.
+    /// Whether a timer would end a suspicion that was already refuted. The library would tell even a suspect that
+    /// refuted the suspicion that it is down, and the suspect would renew its identity.
     fn is_refuted(&self, timer: &Timer<Member>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -195,8 +195,8 @@
         !self.swim.iter_membership_state().any(is_suspect)
     }
 
-    /// Announces this process to the seeds: frequently while no other member is up, otherwise rarely, as a seed that lost
-    /// all its peers can't contact anyone itself.
+    /// Announces this process to the seeds: frequently while no other member is up, otherwise rarely, as a seed that
+    /// lost all its peers can't contact anyone itself.
     fn announce_to_seeds(&mut self, now: f64, outputs: &mut Vec<Output>) {
         let alone = self.swim.num_members() == 0;
         let intervals = if alone {
--- a/crates/gateway/gossip-membership/src/output.rs
+++ b/crates/gateway/gossip-membership/src/output.rs
@@ -30,7 +30,8 @@
     Down(Member),
     /// Two running processes use the same name.
     DuplicateName(DuplicateName),
-    /// This process was stalled (suspended, or without processor time), so timers that judge other members are prolonged.
+    /// This process was stalled (suspended, or without processor time), so timers that judge other members are
+    /// prolonged.
     Stalled {
         /// Length of the stall.
         seconds: f64,
--- a/crates/gateway/gossip-membership/src/settings.rs
+++ b/crates/gateway/gossip-membership/src/settings.rs
@@ -43,7 +43,8 @@
     },
     /// The probe timeout leaves no time for indirect probes.
     #[error(
-        "fleet.members.answer is {timeout} seconds; set it to at most half of fleet.members.probe, which is {interval} seconds, to leave time for indirect probes"
+        "fleet.members.answer is {timeout} seconds; set it to at most half of \
+         fleet.members.probe, which is {interval} seconds, to leave time for indirect probes"
     )]
     ProbeTimeout {
         /// The probe timeout, in seconds.
--- a/crates/gateway/gossip-membership/tests/membership.rs
+++ b/crates/gateway/gossip-membership/tests/membership.rs
@@ -138,7 +138,7 @@
 fn a_restart_replaces_its_earlier_instance_and_a_departure_is_seen_at_once() {
     let mut world = World::new(4);
     world.run(10.0, lossless);
-    // Restart at the same address with a wall clock that was set back.
+    // Restart at the same address with a wall clock that was set back by an hour.
     world.limiters.remove(&3);
     let restarted = Member {
         precedence: 0,
--- a/crates/gateway/gossip-membership/tests/settings.rs
+++ b/crates/gateway/gossip-membership/tests/settings.rs
@@ -58,7 +58,8 @@
         probe_timeout: 0.6,
         ..settings(&[])
     };
-    let text = "fleet.members.answer is 0.6 seconds; set it to at most half of fleet.members.probe, which is 1 seconds, to leave time for indirect probes";
+    let text = "fleet.members.answer is 0.6 seconds; set it to at most half of \
+                fleet.members.probe, which is 1 seconds, to leave time for indirect probes";
     assert_eq!(error(long_timeout), text);
     for bytes in [511, 65_001] {
         let text = format!("fleet.members.datagram is {bytes}; set it to 512 to 65000 bytes");
--- a/crates/gateway/peer-transport/src/frame.rs
+++ b/crates/gateway/peer-transport/src/frame.rs
@@ -1,6 +1,6 @@
-//! Encoding of messages between limiters. The envelope is the same in all protocol versions, and the encoding of the body
-//! depends on its kind. A limiter that receives a kind or body of a newer version skips and counts it, and keeps the
-//! connection open.
+//! Encoding of messages between limiters. The envelope is the same in all protocol versions, and the encoding of the
+//! body depends on its kind. A limiter that receives a kind or body of a newer version skips and counts it, and keeps
+//! the connection open.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
--- a/crates/gateway/peer-transport/src/incoming.rs
+++ b/crates/gateway/peer-transport/src/incoming.rs
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Reads frames until the connection is closed or idle for too long, or until a frame is corrupt: the position of the
-    /// next frame is then unknown.
+    /// Reads frames until the connection is closed or idle for too long, or until a frame is corrupt: the position of
+    /// the next frame is then unknown.
     async fn read_frames(&self, mut stream: TcpStream) -> io::Result<()> {
         let idle_timeout =
             Duration::from_secs_f64(self.limits.idle_timeout_s * IDLE_TIMEOUT_FACTOR);
--- a/crates/gateway/peer-transport/src/lib.rs
+++ b/crates/gateway/peer-transport/src/lib.rs
@@ -1,8 +1,8 @@
 //! Transport between the limiters of a fleet over IPv4: UDP for gossip, TCP for all other messages.
 //!
-//! Queues and connections are bounded by [`Limits`]. Sending never blocks: frames beyond a limit are dropped and counted.
-//! ReceivedFrame bytes never end the process. Frames are neither encrypted nor authenticated: any sender that can reach the
-//! address is trusted.
+//! Queues and connections are bounded by [`Limits`]. Sending never blocks: frames beyond a limit are dropped and
+//! counted. Received bytes never end the process. Frames are neither encrypted nor authenticated: any sender that
+//! can reach the address is trusted.
 
 pub mod frame;
 mod incoming;
--- a/crates/gateway/peer-transport/src/outgoing.rs
+++ b/crates/gateway/peer-transport/src/outgoing.rs
@@ -87,8 +87,8 @@
         Some(queue)
     }
 
-    /// Sends the frames queued for one peer over a connection that is opened as needed. Ends when no frame was queued for
-    /// the idle timeout.
+    /// Sends the frames queued for one peer over a connection that is opened as needed. Ends when no frame was queued
+    /// for the idle timeout.
     async fn send_queued_frames(self: Rc<Self>, peer: SocketAddrV4, queue: Rc<PeerQueue>) {
         let mut backoff = Backoff::default();
         let mut open: Option<Connection> = None;
--- a/crates/gateway/peer-transport/src/transport.rs
+++ b/crates/gateway/peer-transport/src/transport.rs
@@ -26,9 +26,9 @@
 }
 
 impl Transport {
-    /// Binds the UDP socket and the TCP listener at `address`. ReceivedFrame frames of `fleet` go to `inbox`. `name` is the name
-    /// of this limiter. `address_overrides` maps peer addresses to the addresses to connect to instead, for tests with a
-    /// simulated network; otherwise it is empty.
+    /// Binds the UDP socket and the TCP listener at `address`. Received frames of `fleet` go to `inbox`. `name` is
+    /// the name of this limiter. `address_overrides` maps peer addresses to the addresses to connect to instead, for
+    /// tests with a simulated network; otherwise it is empty.
     ///
     /// # Errors
     /// The address can't be bound.
--- a/crates/gateway/settings/src/document.rs
+++ b/crates/gateway/settings/src/document.rs
@@ -111,14 +111,14 @@
         "free" => Ok(Effect::Idempotent),
         "single_shot" => Ok(Effect::NonIdempotent),
         "guarded" => Ok(Effect::Tokened {
-            scope: group(class)?,
+            scope: token_scope(class)?,
             window: class.number("windowS")?,
         }),
         other => Err(unknown_value("effect", other)),
     }
 }
 
-fn group(class: Section<'_>) -> Result<TokenScope, SettingsError> {
+fn token_scope(class: Section<'_>) -> Result<TokenScope, SettingsError> {
     match class.string("group")? {
         "all" => Ok(TokenScope::All),
         "zone" => Ok(TokenScope::Zone),
--- a/crates/gateway/voter-storage/src/lib.rs
+++ b/crates/gateway/voter-storage/src/lib.rs
@@ -1,5 +1,5 @@
-//! Durable state of a voter of the singleton roles' log, in one `redb` file. Each batch of writes is atomic and is synced
-//! before the call returns; a failed sync is reported as an error.
+//! Durable state of a voter of the singleton roles' log, in one `redb` file. Each batch of writes is atomic and is
+//! synced before the call returns; a failed sync is reported as an error.
 //!
 //! A file is refused if it belongs to another fleet or voter, or if its format is newer than this program. All calls
 //! block, so callers run them on a separate thread.
--- a/crates/gateway/voter-storage/src/records.rs
+++ b/crates/gateway/voter-storage/src/records.rs
@@ -23,7 +23,7 @@
 pub type ValuesTable<'transaction> = Table<'transaction, &'static str, &'static [u8]>;
 
 /// Checks that the file belongs to `expected` and has a known format. A new file is assigned to `expected`.
-pub fn check_owner(
+pub fn check_or_set_owner(
     values: &mut ValuesTable,
     expected: &FileOwner,
 ) -> Result<(), VoterStorageError> {
--- a/crates/gateway/voter-storage/src/storage.rs
+++ b/crates/gateway/voter-storage/src/storage.rs
@@ -2,7 +2,8 @@
 
 use crate::error::{FileOwner, OpenError, VoterStorageError};
 use crate::records::{
-    check_owner, decode, encode, get, put, KEY_HARD_STATE, KEY_META, KEY_SNAPSHOT, LOG, VALUES,
+    check_or_set_owner, decode, encode, get, put, KEY_HARD_STATE, KEY_META, KEY_SNAPSHOT, LOG,
+    VALUES,
 };
 use dunespur_singleton_roles::raft_types::Entry;
 use dunespur_singleton_roles::records::{DiskState, WriteBatch};
@@ -58,7 +59,7 @@
     /// Writes one batch atomically and syncs it before returning.
     ///
     /// # Errors
-    /// The commit failed: nothing of the batch is on the disk, or whether it is is unknown.
+    /// The commit failed: nothing of the batch was stored, or the outcome is unknown.
     pub fn write(&self, batch: &WriteBatch) -> Result<(), VoterStorageError> {
         let mut transaction = self.database.begin_write()?;
         transaction.set_durability(Durability::Immediate);
@@ -70,7 +71,7 @@
 
 fn load(transaction: &WriteTransaction, owner: &FileOwner) -> Result<DiskState, VoterStorageError> {
     let mut values = transaction.open_table(VALUES)?;
-    check_owner(&mut values, owner)?;
+    check_or_set_owner(&mut values, owner)?;
     Ok(DiskState {
         meta: get(&values, KEY_META, "the voter's metadata")?.unwrap_or_default(),
         hard_state: get(&values, KEY_HARD_STATE, "the term and vote")?.unwrap_or_default(),
--- a/crates/gateway/voter-storage/tests/compatibility.rs
+++ b/crates/gateway/voter-storage/tests/compatibility.rs
@@ -34,7 +34,7 @@
     let table = transaction.open_table(table).expect("the table");
     let rows = table
         .iter()
-        .expect("its rows")
+        .expect("the rows")
         .map(|row| row.expect("a row"));
     rows.map(|(key, value)| show(key.value(), value.value()))
         .collect()
--- a/crates/serving/rpc/src/connection.rs
+++ b/crates/serving/rpc/src/connection.rs
@@ -25,7 +25,7 @@
     let stream = timeout(CONNECT_TIMEOUT, connect_hedged(address))
         .await
         .ok()??;
-    configure(&stream).ok()?;
+    set_socket_options(&stream).ok()?;
     Some(stream)
 }
 
@@ -44,7 +44,7 @@
 }
 
 /// Sets the socket options of a connection: `TCP_NODELAY` for small frames, and [`PEER_TIMEOUT`].
-pub fn configure(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     socket2::SockRef::from(stream).set_tcp_user_timeout(Some(PEER_TIMEOUT))
 }
--- a/crates/serving/rpc/src/frame.rs
+++ b/crates/serving/rpc/src/frame.rs
@@ -115,7 +115,8 @@
     }
 }
 
-/// Writes the frames of a queue until the queue or the connection is closed. All frames queued at one time share a write.
+/// Writes the frames of a queue until the queue or the connection is closed. All frames queued at one time share a
+/// write.
 pub async fn write_frames(mut output: impl AsyncWrite + Unpin, mut queue: mpsc::Receiver<Frame>) {
     while let Some(frame) = queue.recv().await {
         let mut buffer = BytesMut::new();
--- a/crates/serving/rpc/src/server.rs
+++ b/crates/serving/rpc/src/server.rs
@@ -1,6 +1,6 @@
 //! The server: accepts connections and passes each request to a [`Service`].
 
-use crate::connection::{configure, MAX_QUEUED_FRAMES};
+use crate::connection::{set_socket_options, MAX_QUEUED_FRAMES};
 use crate::frame::{write_frames, CallId, Frame, FrameReader};
 use bytes::Bytes;
 use std::future::Future;
@@ -41,7 +41,7 @@
 }
 
 async fn serve_connection<S: Service>(stream: TcpStream, peer: SocketAddr, service: Rc<S>) {
-    if configure(&stream).is_err() {
+    if set_socket_options(&stream).is_err() {
         return;
     }
     let (input, output) = stream.into_split();
--- a/crates/serving/storage/src/core/mod.rs
+++ b/crates/serving/storage/src/core/mod.rs
@@ -27,8 +27,8 @@
 }
 
 impl CoreDisk {
-    /// Opens the file, or creates it with a new identity. An unreadable file is set aside and replaced by a new one: the
-    /// new identity is another member, for which the earlier member's votes don't count.
+    /// Opens the file, or creates it with a new identity. An unreadable file is set aside and replaced by a new one:
+    /// the new identity is another member, for which the earlier member's votes don't count.
     ///
     /// # Errors
     /// The file can't be created or opened, and its contents are not the cause. The file is left unchanged.
@@ -92,7 +92,7 @@
     /// Applies all writes in one atomic, synced commit.
     ///
     /// # Errors
-    /// The commit failed: none of the writes is on the disk, or whether they are is unknown. The call may be repeated.
+    /// The commit failed: none of the writes was stored, or the outcome is unknown. The call may be repeated.
     pub fn write(&self, writes: &[Write]) -> Result<()> {
         self.database.with(|database| {
             let transaction = begin_synced_write(database)?;
--- a/crates/serving/storage/src/core/writer.rs
+++ b/crates/serving/storage/src/core/writer.rs
@@ -12,14 +12,14 @@
 /// file grow to many times its size. It rounds that space up to a power of two: a chunk with the library's overhead
 /// fills 16 KiB, while a chunk of 16 KiB would take 32 KiB.
 const CHUNK_BYTES: usize = (16 << 10) - 128;
-/// Entries covered by the snapshot that a commit removes for each entry that it adds. Removing all of them in one commit
-/// made the file grow to ten times its contents, as pages become free only after the commit.
+/// Entries covered by the snapshot that a commit removes for each entry that it adds. Removing all of them in one
+/// commit made the file grow to ten times its contents, as pages become free only after the commit.
 const REMOVED_PER_ENTRY: usize = 4;
 /// Entries covered by the snapshot that every commit removes, even if it adds none.
 const REMOVED_PER_WRITE: usize = 8;
 
-/// Applies the writes to the tables, as [`DurableState::apply`](dunespur_chain_replication::DurableState::apply) does in
-/// memory. Returns the index of the last entry that the snapshot covers.
+/// Applies the writes to the tables, as [`DurableState::apply`](dunespur_chain_replication::DurableState::apply) does
+/// in memory. Returns the index of the last entry that the snapshot covers.
 pub fn apply(transaction: &WriteTransaction, writes: &[Write], snapshot_index: u64) -> Result<u64> {
     let mut values = transaction.open_table(VALUES)?;
     let mut entries = transaction.open_table(ENTRIES)?;
--- a/crates/serving/storage/src/recovery.rs
+++ b/crates/serving/storage/src/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery from unreadable files: a file is renamed, and the process starts with an empty disk.
 //!
-//! On some corrupt files the library panics instead of returning an error. `open_or_set_aside`, through which every file
-//! is opened and verified, handles a panic like an error. This requires unwinding.
+//! On some corrupt files the library panics instead of returning an error. `open_or_set_aside`, through which every
+//! file is opened and verified, handles a panic like an error. This requires unwinding.
 
 use crate::error::{Result, StorageError};
 use std::any::Any;
@@ -19,9 +19,9 @@
 /// File name extension of a file that was set aside.
 const SET_ASIDE_EXTENSION: &str = "unreadable";
 
-/// Opens a file with `open`, which creates a missing file. If the contents are unreadable, sets the file aside and calls
-/// `open` again. Errors that the contents don't cause (permissions, a full disk, a file that is open in another process,
-/// an unknown format) are returned, and the file stays.
+/// Opens a file with `open`, which creates a missing file. If the contents are unreadable, sets the file aside and
+/// calls `open` again. Errors that the contents don't cause (permissions, a full disk, a file that is open in another
+/// process, an unknown format) are returned, and the file stays.
 pub(crate) fn open_or_set_aside<T>(path: &Path, open: impl Fn() -> Result<T>) -> Result<T> {
     let reason = match catch_panic(&open) {
         Ok(Ok(opened)) => return Ok(opened),
--- a/crates/serving/storage/src/turns/mod.rs
+++ b/crates/serving/storage/src/turns/mod.rs
@@ -1,5 +1,5 @@
-//! The database of a turn store. Headers and bodies are in separate tables, so that a start reads only the headers. Many
-//! turns share one synced commit.
+//! The database of a turn store. Headers and bodies are in separate tables, so that a start reads only the headers.
+//! Many turns share one synced commit.
 
 mod record;
 mod tables;
@@ -23,8 +23,8 @@
 }
 
 impl TurnDisk {
-    /// Opens the file, or creates it. An unreadable file is set aside: the disk gets a new identity, and the store fetches
-    /// its turns from other stores.
+    /// Opens the file, or creates it. An unreadable file is set aside: the disk gets a new identity, and the store
+    /// fetches its turns from other stores.
     ///
     /// # Errors
     /// The file can't be created or opened, and its contents are not the cause. The file is left unchanged.
@@ -55,7 +55,7 @@
 
     fn load(database: ReopeningDatabase) -> Result<OpenedDisk<TurnDisk, Vec<TurnHeader>>> {
         let (identity, headers) = database.with(|database| {
-            let identity = tables::identity(database)?;
+            let identity = tables::load_or_create_identity(database)?;
             Ok((identity, tables::headers(database)?))
         })?;
         Ok(OpenedDisk {
@@ -68,7 +68,7 @@
     /// Writes turns in one synced commit.
     ///
     /// # Errors
-    /// The commit failed: none of the turns is on the disk, or whether they are is unknown.
+    /// The commit failed: none of the turns was stored, or the outcome is unknown.
     pub fn put(&self, turns: &[Turn]) -> Result<()> {
         self.database.with(|database| {
             let transaction = begin_synced_write(database)?;
@@ -122,7 +122,7 @@
     /// Deletes turns in one synced commit.
     ///
     /// # Errors
-    /// The commit failed: none of the turns is deleted, or whether they are is unknown.
+    /// The commit failed: none of the turns was deleted, or the outcome is unknown.
     pub fn remove(&self, ids: &[impl AsRef<str>]) -> Result<()> {
         self.database.with(|database| {
             let transaction = begin_synced_write(database)?;
@@ -142,7 +142,7 @@
     /// Records in a synced commit that this disk holds all the turns that it should hold.
     ///
     /// # Errors
-    /// The commit failed: the mark is not recorded, or whether it is is unknown.
+    /// The commit failed: the mark was not recorded, or the outcome is unknown.
     pub fn mark_complete(&self) -> Result<()> {
         self.database.with(|database| {
             let transaction = begin_synced_write(database)?;
--- a/crates/serving/storage/src/turns/tables.rs
+++ b/crates/serving/storage/src/turns/tables.rs
@@ -22,7 +22,7 @@
 pub const BODIES: TableDefinition<&str, &[u8]> = TableDefinition::new("bodies");
 
 /// Reads the identity of the disk. An empty database first gets its tables and a disk number.
-pub fn identity(database: &Database) -> Result<DiskIdentity> {
+pub fn load_or_create_identity(database: &Database) -> Result<DiskIdentity> {
     match stored_identity(database)? {
         Some(identity) => Ok(identity),
         None => create(database),
--- a/crates/serving/storage/tests/compatibility/core.rs
+++ b/crates/serving/storage/tests/compatibility/core.rs
@@ -144,11 +144,11 @@
     let (snapshot, others) = writes_of_each_kind()
         .split_last()
         .map(|(last, rest)| (last.clone(), rest.to_vec()))
-        .expect("some");
+        .expect("at least one write");
     disk.write(&others).expect("the write succeeds");
     drop(disk);
     fixtures().assert_text("core-before-snapshot.txt", &records(&path));
-    let OpenedDisk { disk, .. } = CoreDisk::open(&path).expect("it opens again");
+    let OpenedDisk { disk, .. } = CoreDisk::open(&path).expect("the file opens again");
     disk.write(&[snapshot]).expect("the write succeeds");
     drop(disk);
     fixtures().assert_text("core-after-snapshot.txt", &records(&path));
@@ -343,7 +343,7 @@
     let OpenedDisk {
         contents: saved, ..
     } = CoreDisk::open(&path).expect("the earlier revision's file opens");
-    let snapshot = saved.snapshot.expect("it has a snapshot");
+    let snapshot = saved.snapshot.expect("the file has a snapshot");
     assert_eq!(snapshot.position, Position { index: 6, view: 6 });
     let mut state = ControlState::restore(snapshot.bytes.bytes()).expect("the snapshot is read");
 
--- a/crates/serving/storage/tests/compatibility/dump.rs
+++ b/crates/serving/storage/tests/compatibility/dump.rs
@@ -19,7 +19,7 @@
         .open_table(table)
         .expect("the table")
         .iter()
-        .expect("its rows")
+        .expect("the rows")
     {
         let (key, value) = row.expect("a row");
         let (key, value) = show(key.value(), value.value());
--- a/crates/serving/storage/tests/core.rs
+++ b/crates/serving/storage/tests/core.rs
@@ -225,8 +225,8 @@
 /// Largest allowed file size with about 400 kB of snapshot and 500 kB of entries. Core machines have disks of 64 MB.
 const MAX_FILE_BYTES: u64 = 12 << 20;
 
-/// Guards against a file that fills the disk of a core machine. A snapshot that was stored as one value, and whose commit
-/// removed thousands of entries, made the file grow by tens of megabytes.
+/// Guards against a file that fills the disk of a core machine. A snapshot that was stored as one value, and whose
+/// commit removed thousands of entries, made the file grow by tens of megabytes.
 #[test]
 fn the_file_stays_small_over_many_snapshots() {
     let folder = TemporaryFolder::new("storage-small");
--- a/crates/serving/storage/tests/core_growth.rs
+++ b/crates/serving/storage/tests/core_growth.rs
@@ -1,5 +1,5 @@
-//! With the largest control state, a core member's file must fit on the disk of a core machine, over many snapshots that
-//! are taken while entries are written.
+//! With the largest control state, a core member's file must fit on the disk of a core machine, over many snapshots
+//! that are taken while entries are written.
 
 use dunespur_chain_replication::limits::{MAX_COMPACTION_BYTES, MIN_COMPACTION_BYTES};
 use dunespur_chain_replication::{Entry, Origin, Payload, Position, Snapshot, Write};
--- a/crates/serving/storage/tests/growth.rs
+++ b/crates/serving/storage/tests/growth.rs
@@ -1,5 +1,6 @@
 //! The size of a turn store's file relative to the turns in it. The library doubles the file when it needs more space;
-//! the share of its disk that a store may fill depends on this ratio.
+//! the share of its disk that a store may fill (`DISK_PERCENT` in crates/serving/dunespur/src/store) depends on this
+//! ratio.
 
 use dunespur_storage::turns::TurnDisk;
 use dunespur_storage::OpenedDisk;
--- a/crates/serving/storage/tests/power/support.rs
+++ b/crates/serving/storage/tests/power/support.rs
@@ -90,7 +90,8 @@
         self.state().changes_left = changes_left;
     }
 
-    /// Simulates a power loss and a restart: all handles fail, and the file keeps a random part of the unsynced changes.
+    /// Simulates a power loss and a restart: all handles fail, and the file keeps a random part of the unsynced
+    /// changes.
     pub fn lose_power(&self, random: &mut Random) {
         let mut state = self.state();
         let nothing_survives = random.below(4) == 0;
--- a/crates/serving/storage/tests/turns.rs
+++ b/crates/serving/storage/tests/turns.rs
@@ -130,9 +130,9 @@
             .write(true)
             .open(folder.file("turns.redb"))
             .expect("the file");
-        let length = file.metadata().expect("its length").len();
+        let length = file.metadata().expect("the metadata of the file").len();
         file.set_len(length * twentieths / 20)
-            .expect("it is truncated");
+            .expect("the file is truncated");
         drop(file);
         let OpenedDisk {
             disk,
--- a/crates/serving/storage/tests/unreadable.rs
+++ b/crates/serving/storage/tests/unreadable.rs
@@ -1,6 +1,6 @@
 //! Truncated and corrupted files: opening one either finds everything that was written, or sets the file aside and
-//! creates a new one. It must not fail at each start, and a member must not keep its identity if acknowledged writes are
-//! lost.
+//! creates a new one. It must not fail at each start, and a member must not keep its identity if acknowledged writes
+//! are lost.
 
 use dunespur_chain_replication::{DurableState, Entry, Origin, Payload, Position, Snapshot, Write};
 use dunespur_storage::core::CoreDisk;
@@ -273,8 +273,8 @@
     );
 }
 
-/// In the file of a killed process, a corrupt byte in the last commit looks like a power loss during that commit, so that
-/// the last batch may be lost. The batches before it may not.
+/// In the file of a killed process, a corrupt byte in the last commit looks like a power loss during that commit, so
+/// that the last batch may be lost. The batches before it may not.
 #[test]
 fn a_corrupt_core_file_of_a_killed_process_loses_at_most_the_last_batch() {
     let folder = TemporaryFolder::new("storage-core-killed");
@@ -416,7 +416,7 @@
     let folder = TemporaryFolder::new("storage-locked");
     let written = core_file(&folder);
     let path = write_only_file(&folder, "core.redb", &written.closed);
-    let OpenedDisk { disk: first, .. } = CoreDisk::open(&path).expect("it opens");
+    let OpenedDisk { disk: first, .. } = CoreDisk::open(&path).expect("the file opens");
     assert!(
         CoreDisk::open(&path).is_err(),
         "the file is open in two processes"
@@ -444,7 +444,7 @@
     let folder = TemporaryFolder::new("storage-format");
     let path = folder.file("core.redb");
     drop(CoreDisk::open(&path).expect("the file is created"));
-    let database = Database::open(&path).expect("it opens");
+    let database = Database::open(&path).expect("the file opens");
     let write = database.begin_write().expect("a write");
     {
         let values: TableDefinition<&str, &[u8]> = TableDefinition::new("values");
