--- a/crates/gateway/gossip-membership/src/settings.rs
+++ b/crates/gateway/gossip-membership/src/settings.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
     /// An interval is out of range.
-    #[error("fleet.members.{key} is {seconds}; set it to more than 0 and less than 86400 seconds")]
+    #[error("fleet.members.{key}: {seconds}; give seconds over 0 and under a day")]
     Interval {
         /// Key of the setting.
         key: &'static str,
@@ -43,8 +43,7 @@
     },
     /// The probe timeout leaves no time for indirect probes.
     #[error(
-        "fleet.members.answer is {timeout} seconds; set it to at most half of \
-         fleet.members.probe, which is {interval} seconds, to leave time for indirect probes"
+        "fleet.members.answer: {timeout}; give at most half of fleet.members.probe ({interval}) for indirect probes"
     )]
     ProbeTimeout {
         /// The probe timeout, in seconds.
@@ -54,7 +53,7 @@
     },
     /// The maximum size of datagrams is out of range.
     #[error(
-        "fleet.members.datagram is {bytes}; set it to {MIN_DATAGRAM_BYTES} to {MAX_DATAGRAM_BYTES} bytes"
+        "fleet.members.datagram: {bytes}; give {MIN_DATAGRAM_BYTES} to {MAX_DATAGRAM_BYTES} bytes"
     )]
     DatagramBytes {
         /// The rejected value.
--- a/crates/gateway/gossip-membership/tests/settings.rs
+++ b/crates/gateway/gossip-membership/tests/settings.rs
@@ -20,7 +20,7 @@
     };
     assert_eq!(
         error(probe_interval),
-        "fleet.members.probe is 0; set it to more than 0 and less than 86400 seconds"
+        "fleet.members.probe: 0; give seconds over 0 and under a day"
     );
     let probe_timeout = Settings {
         probe_timeout: 86_400.0,
@@ -28,7 +28,7 @@
     };
     assert_eq!(
         error(probe_timeout),
-        "fleet.members.answer is 86400; set it to more than 0 and less than 86400 seconds"
+        "fleet.members.answer: 86400; give seconds over 0 and under a day"
     );
     let suspicion_timeout = Settings {
         suspicion_timeout: f64::NAN,
@@ -36,7 +36,7 @@
     };
     assert_eq!(
         error(suspicion_timeout),
-        "fleet.members.suspect is NaN; set it to more than 0 and less than 86400 seconds"
+        "fleet.members.suspect: NaN; give seconds over 0 and under a day"
     );
     let gossip_interval = Settings {
         gossip_interval: -1.5,
@@ -44,7 +44,7 @@
     };
     assert_eq!(
         error(gossip_interval),
-        "fleet.members.gossip is -1.5; set it to more than 0 and less than 86400 seconds"
+        "fleet.members.gossip: -1.5; give seconds over 0 and under a day"
     );
     let rejoin_interval = Settings {
         rejoin_interval: f64::INFINITY,
@@ -52,17 +52,16 @@
     };
     assert_eq!(
         error(rejoin_interval),
-        "fleet.members.again is inf; set it to more than 0 and less than 86400 seconds"
+        "fleet.members.again: inf; give seconds over 0 and under a day"
     );
     let long_timeout = Settings {
         probe_timeout: 0.6,
         ..settings(&[])
     };
-    let text = "fleet.members.answer is 0.6 seconds; set it to at most half of \
-                fleet.members.probe, which is 1 seconds, to leave time for indirect probes";
+    let text = "fleet.members.answer: 0.6; give at most half of fleet.members.probe (1) for indirect probes";
     assert_eq!(error(long_timeout), text);
     for bytes in [511, 65_001] {
-        let text = format!("fleet.members.datagram is {bytes}; set it to 512 to 65000 bytes");
+        let text = format!("fleet.members.datagram: {bytes}; give 512 to 65000 bytes");
         assert_eq!(
             error(Settings {
                 max_datagram_bytes: bytes,
