--- a/crates/gateway/gateway/src/operators/tests.rs
+++ b/crates/gateway/gateway/src/operators/tests.rs
@@ -45,7 +45,7 @@
             with("    { name = \"n3\", address = \"127.0.0.1:7003\" },\n", ""),
             "3, 5 or 7",
         ),
-        (with("\"n3\"", "\"n2\""), "stands there twice"),
+        (with("\"n3\"", "\"n2\""), "is listed twice"),
         (
             with("disk = \"voter.redb\"", "lease = 1.0\ndisk = \"v\""),
             "shorter than three renewals",
--- a/crates/gateway/singleton-roles/src/audit.rs
+++ b/crates/gateway/singleton-roles/src/audit.rs
@@ -1,29 +1,33 @@
-//! The role `audit`: what each limiter added to a counter's name, summed over the fleet, against what the
-//! counter says. It reports drift by name and corrects nothing. No I/O, no clock. Reports are cumulative by
-//! limiter and run, so they may come late, twice and out of order. It must never count a call whose fate is
-//! unknown as certain, and never take two runs of a limiter for one.
+//! The role `audit`: compares a counter's total for each name with the sum of what all limiters added to it.
+//! It reports drift by name and corrects nothing. No I/O, no clock.
+//!
+//! Usage reports are cumulative for each limiter and run, so they may arrive late, twice and out of order. A
+//! call with an unknown outcome must never count as certain, and two runs of a limiter must never be merged.
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A name is forgotten this many seconds after its last add: names end with their windows.
+/// Seconds after its last change until a name is forgotten; names are not used beyond their rate-limit window.
 const NAME_RETENTION: f64 = 60.0;
 
-/// What the operators' file says. Times are seconds.
+/// Settings of the audit, from the operators' file. Times are seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// A name is read when nothing was added to it for this long.
+    /// The counter's total for a name is read once nothing was added to the name for this long.
     pub quiet_period: f64,
-    /// Names remembered at once, at a limiter and at an auditor.
+    /// Maximum number of names that a limiter or an auditor tracks at a time.
     pub max_names: usize,
-    /// Drift up to this many units is none.
+    /// Drift up to this many units is ignored.
     pub tolerance: f64,
 }
 
-/// The settings can't be used.
+/// A setting of the audit is out of range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("fleet.audit: quiet {quiet} (over 0, under 30 s), names {names} (1 or more), units {units} (0 or more)")]
+#[error(
+    "fleet.audit: quiet {quiet}, names {names}, units {units}; quiet must be over 0 and under \
+     30 s, names at least 1, units at least 0"
+)]
 pub struct SettingsError {
     quiet: f64,
     names: usize,
@@ -31,10 +35,10 @@
 }
 
 impl Settings {
-    /// Checks the ranges.
+    /// Checks that every setting is in its range.
     ///
     /// # Errors
-    /// A setting is out of its range.
+    /// A setting is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let quiet = self.quiet_period;
         if !(quiet > 0.0 && quiet < 30.0 && self.max_names > 0 && self.tolerance >= 0.0) {
@@ -48,46 +52,46 @@
     }
 }
 
-/// One limiter's adds to one name so far.
+/// What one limiter has added to one counter name since its start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// The counter's name.
     pub name: u64,
-    /// Calls that were answered.
+    /// Number of calls that the counter answered.
     pub calls: u64,
-    /// Units of those calls.
+    /// Units added by the answered calls.
     pub units: f64,
-    /// The least that the units of calls whose fate is unknown may sum to.
+    /// Lower bound of the units added by calls with an unknown outcome.
     pub least_unknown: f64,
-    /// The most that they may sum to.
+    /// Upper bound of the units added by calls with an unknown outcome.
     pub most_unknown: f64,
 }
 
-/// From limiters to the auditor of a shard.
+/// A message from a limiter to the auditor of a shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// What a limiter added so far.
+    /// What a limiter has added so far.
     Usages {
-        /// The limiter's run.
+        /// The run (process start) of the limiter.
         run: u64,
-        /// Sums since that run's start.
+        /// Cumulative usage since the start of the run.
         usages: Vec<Usage>,
     },
 }
 
-/// How a call to the counter ended.
+/// The outcome of a call to the counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The counter answered: the units are in its total.
+    /// The counter answered: its total includes the units.
     Answered,
-    /// Nobody knows whether the units are in its total.
+    /// The outcome is unknown: the counter's total may or may not include the units.
     Unknown,
 }
 
 struct LocalUsage {
     usage: Usage,
     last_add: f64,
-    /// When the first add came that is not reported yet.
+    /// Time of the first add that is not reported yet.
     unreported_since: f64,
     reported: bool,
 }
@@ -106,16 +110,16 @@
     }
 }
 
-/// A limiter's side: what it added, by name.
+/// The limiter's side of the audit: what it added, by name.
 #[derive(Default)]
 pub struct UsageTally {
     names: BTreeMap<u64, LocalUsage>,
-    /// Calls that were not counted because too many names were remembered.
+    /// Calls that were not counted because too many names were tracked.
     pub dropped: u64,
 }
 
 impl UsageTally {
-    /// A call that adds units to a name has ended.
+    /// Records a finished call that adds units to a name.
     pub fn record_call(
         &mut self,
         name: u64,
@@ -149,14 +153,14 @@
         }
     }
 
-    /// What was not reported yet and has been for half of the quiet period, quiet or not: an auditor that
-    /// reads a name has to have heard of all who still add to it.
+    /// Returns the usages with adds that have been unreported for half of the quiet period, even if more adds
+    /// arrive: before the auditor reads a name, it must have a report from every limiter that still adds to it.
     pub fn take_due(&mut self, now: f64, settings: &Settings) -> Vec<Usage> {
         let mut usages = Vec::new();
-        let due = |local: &&mut LocalUsage| {
+        let is_due = |local: &&mut LocalUsage| {
             !local.reported && now > local.unreported_since + settings.quiet_period / 2.0
         };
-        for local in self.names.values_mut().filter(due) {
+        for local in self.names.values_mut().filter(is_due) {
             local.reported = true;
             usages.push(local.usage.clone());
         }
@@ -165,7 +169,7 @@
         usages
     }
 
-    /// Nobody was there to take these reports: they are due again.
+    /// Marks reports that no auditor received as due again.
     pub fn mark_unreported(&mut self, names: impl Iterator<Item = u64>) {
         for name in names {
             if let Some(local) = self.names.get_mut(&name) {
@@ -175,14 +179,15 @@
     }
 }
 
-/// What the counter says against what the fleet says.
+/// How a counter's total compares with what the fleet added.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Within the tolerance.
+    /// The total is within the tolerance.
     Agrees,
-    /// The counter holds this many units fewer than were surely added: it forgot.
+    /// The total is this many units below the least that was added: the counter lost updates.
     Lost(f64),
-    /// It holds this many more than may have been added: someone died before it reported what it added.
+    /// The total is this many units above the most that was reported: a limiter died before it reported its
+    /// adds.
     Surplus(f64),
 }
 
@@ -190,25 +195,26 @@
 struct FleetUsage {
     by_run: BTreeMap<(Name, u64), Usage>,
     last_change: f64,
-    read: bool,
+    /// The counter's total was requested after the last change.
+    total_requested: bool,
 }
 
-/// The side of the role's owner.
+/// The auditor's side, run by the limiter that owns the shard.
 #[derive(Default)]
 pub struct Auditor {
     names: BTreeMap<u64, FleetUsage>,
-    /// Reports that were not taken: amounts that are none, or too many names.
+    /// Usages that were rejected because of invalid amounts or too many names.
     pub dropped: u64,
 }
 
 impl Auditor {
-    /// A limiter's report came.
+    /// Takes a limiter's report.
     pub fn receive(&mut self, from: &str, message: Message, now: f64, settings: &Settings) {
         let Message::Usages { run, usages } = message;
         for usage in usages {
             let full =
                 !self.names.contains_key(&usage.name) && self.names.len() >= settings.max_names;
-            if !is_sound(&usage) || full {
+            if !has_valid_amounts(&usage) || full {
                 self.dropped += 1;
                 continue;
             }
@@ -217,22 +223,22 @@
                 ..FleetUsage::default()
             });
             let key = (from.to_owned(), run);
-            // Sums only grow in calls; an older one that comes late changes nothing.
-            let progress = |u: &Usage| (u.calls, u.most_unknown - u.least_unknown);
+            // Call counts and unknown amounts only grow, so an older report that arrives late is ignored.
+            let progress = |usage: &Usage| (usage.calls, usage.most_unknown - usage.least_unknown);
             let known = fleet.by_run.get(&key);
             if known.is_none_or(|known| progress(known) < progress(&usage)) {
                 fleet.by_run.insert(key, usage);
-                (fleet.last_change, fleet.read) = (now, false);
+                (fleet.last_change, fleet.total_requested) = (now, false);
             }
         }
     }
 
-    /// Names that have been quiet for long enough to be read now.
+    /// Returns the names that were quiet for the quiet period; the caller reads their totals from the counter.
     pub fn take_due(&mut self, now: f64, settings: &Settings) -> Vec<u64> {
         let mut names = Vec::new();
         for (name, fleet) in &mut self.names {
-            if !fleet.read && now > fleet.last_change + settings.quiet_period {
-                fleet.read = true;
+            if !fleet.total_requested && now > fleet.last_change + settings.quiet_period {
+                fleet.total_requested = true;
                 names.push(*name);
             }
         }
@@ -241,11 +247,14 @@
         names
     }
 
-    /// Compares the counter's total for a name, read now, with what the fleet added. None for a name that
-    /// was not due, or was added to since.
+    /// Compares the counter's total for a name, just read, with what the fleet added. Returns None for a name
+    /// that was not due or has changed since.
     #[must_use]
     pub fn judge(&self, name: u64, total: f64, settings: &Settings) -> Option<Verdict> {
-        let fleet = self.names.get(&name).filter(|fleet| fleet.read)?;
+        let fleet = self
+            .names
+            .get(&name)
+            .filter(|fleet| fleet.total_requested)?;
         let usages = || fleet.by_run.values();
         let certain: f64 = usages().map(|usage| usage.units).sum();
         let least = certain + usages().map(|usage| usage.least_unknown).sum::<f64>();
@@ -259,14 +268,14 @@
         })
     }
 
-    /// The role was lost: the next owner gathers anew.
+    /// Forgets all reports after this limiter lost the role; the next owner collects its own.
     pub fn clear(&mut self) {
         self.names.clear();
     }
 }
 
-/// Amounts that are no numbers say nothing.
-fn is_sound(usage: &Usage) -> bool {
+/// Whether all amounts are finite and the unknown bounds include 0.
+fn has_valid_amounts(usage: &Usage) -> bool {
     let amounts = [usage.units, usage.least_unknown, usage.most_unknown];
     amounts.iter().all(|amount| amount.is_finite())
         && usage.least_unknown <= 0.0
--- a/crates/gateway/singleton-roles/src/client.rs
+++ b/crates/gateway/singleton-roles/src/client.rs
@@ -1,6 +1,8 @@
-//! A limiter's side: it renews its lease, learns what it holds, and knows at any moment whether it still
-//! does. It must never hold past a lease counted from before its request, and never take up again what it
-//! released.
+//! The limiter's side of the roles: renews the lease, receives slot assignments, and tells at any moment which
+//! slots the limiter holds.
+//!
+//! The lease counts from before the renewal request was sent, and no slot may be held beyond it. A released
+//! slot must not be taken up again under the same token.
 
 use crate::lease::ClientLease;
 use crate::message::{report, Release, RenewRequest, RenewResponse};
@@ -8,43 +10,43 @@
 use crate::{Identity, Message, Name, Output, Settings, Severity, Slot};
 use std::collections::BTreeMap;
 
-/// Parts of the renewal interval: after these a request counts as lost, and the leader as unknown.
-const LOST_AFTER: f64 = 0.9;
-const LEADER_UNKNOWN_AFTER: f64 = 1.5;
-/// A lost request is followed by another after this part of the interval: an answer lost here and there must
-/// not cost the lease.
-const RETRY_INTERVAL: f64 = 0.4;
-/// A leader that another process named is asked after this part of the interval.
-const REDIRECT_INTERVAL: f64 = 0.125;
+/// Renewal intervals without a response after which a request counts as lost.
+const REQUEST_TIMEOUT_INTERVALS: f64 = 0.9;
+/// Renewal intervals without a response after which the leader counts as unknown.
+const LEADER_TIMEOUT_INTERVALS: f64 = 1.5;
+/// Renewal intervals until a lost request is retried; short, so that a few lost responses don't cost the lease.
+const RETRY_INTERVALS: f64 = 0.4;
+/// Renewal intervals until a newly named leader is asked.
+const REDIRECT_INTERVALS: f64 = 0.125;
 
 struct OwnedSlot {
     token: u64,
-    /// When the work on it last got on.
+    /// When the work on the slot last made progress.
     last_progress: f64,
 }
 
-/// Given up and not yet seen to be gone from the assignments.
+/// A slot that was given up but may still be in the leader's assignments.
 struct ReleasedSlot {
     token: u64,
     stalled: bool,
 }
 
-/// The client of the voters' group in one limiter. Times are seconds on its own clock.
+/// A limiter's client of the voter group. Times are seconds on the limiter's own clock.
 pub struct RoleClient {
     settings: Settings,
     identity: Identity,
     lease: ClientLease<f64>,
-    /// What the last assignments said; a slot counts as held while the lease does.
+    /// Slots of the last assignments; they are held only while the lease is valid.
     owned: BTreeMap<Slot, OwnedSlot>,
-    /// Of the last assignments.
+    /// Version of the last assignments; 0 requests all of them.
     version: u64,
     released: BTreeMap<Slot, ReleasedSlot>,
     seq: u64,
     next_renewal: f64,
-    /// The leader, as far as it is known; else the voters are asked in turn.
+    /// The leader, if it is known; otherwise the voters are asked in turn.
     leader: Option<Name>,
     next_voter: usize,
-    last_answer: f64,
+    last_response: f64,
     lookups: Vec<Slot>,
     owners: BTreeMap<Slot, Name>,
     leaving: bool,
@@ -54,7 +56,8 @@
 }
 
 impl RoleClient {
-    /// A client that holds nothing and asks at once. `lookups` are slots whose owners it wants to know.
+    /// Creates a client that holds no slots and sends its first renewal at once. `lookups` are the slots whose
+    /// owners it asks for.
     #[must_use]
     pub fn new(settings: Settings, identity: Identity, lookups: Vec<Slot>, now: f64) -> Self {
         let hash = xxhash_rust::xxh3::xxh3_64(identity.name.as_bytes());
@@ -70,7 +73,7 @@
             next_renewal: now,
             leader: None,
             next_voter,
-            last_answer: now,
+            last_response: now,
             lookups,
             owners: BTreeMap::new(),
             leaving: false,
@@ -80,14 +83,14 @@
         }
     }
 
-    /// The token under which it holds a slot at this moment. Ask right before each effect.
+    /// The token under which this limiter holds a slot at this moment. Call it right before each effect.
     #[must_use]
     pub fn token(&self, slot: Slot, now: f64) -> Option<u64> {
         let owned = self.owned.get(&slot).filter(|_| self.lease.is_valid(now));
         owned.map(|owned| owned.token)
     }
 
-    /// All that it holds at this moment.
+    /// All slots that this limiter holds at this moment.
     pub fn assignments(&self, now: f64) -> impl Iterator<Item = Assignment> + '_ {
         let valid = self.lease.is_valid(now);
         let owned = self.owned.iter().filter(move |_| valid);
@@ -97,25 +100,25 @@
         })
     }
 
-    /// The last known owner of a slot that it looks up.
+    /// The last known owner of a slot in `lookups`.
     #[must_use]
     pub fn owner(&self, slot: Slot) -> Option<&Name> {
         self.owners.get(&slot)
     }
 
-    /// The last known owners of the slots that it looks up.
+    /// The last known owners of the slots in `lookups`.
     #[must_use]
     pub fn owners(&self) -> &BTreeMap<Slot, Name> {
         &self.owners
     }
 
-    /// Whether another living process has its name.
+    /// Whether another running process uses this limiter's name.
     #[must_use]
     pub fn has_duplicate_name(&self) -> bool {
         self.duplicate_name
     }
 
-    /// The work on a slot got on. What makes no progress for the stall timeout is released.
+    /// Records that the work on a slot made progress. Slots without progress for the stall timeout are released.
     pub fn record_progress(&mut self, slot: Slot, now: f64) {
         if let Some(owned) = self.owned.get_mut(&slot) {
             owned.last_progress = now;
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Does what is due: drops what the lease no longer covers, releases what stalled, renews.
+    /// Drops all slots if the lease has expired, releases stalled slots, and renews the lease when it is time.
     pub fn tick(&mut self, now: f64, out: &mut Vec<Output>) {
         if !self.lease.is_valid(now) && !self.owned.is_empty() {
             self.lose_all(out);
@@ -156,7 +159,7 @@
             let token = owned.token;
             out.push(Output::Lost { slot, token });
         }
-        // The next response has to repeat all assignments.
+        // The next response has to repeat all assignments, even unchanged ones.
         self.version = 0;
     }
 
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Stops all at once and says so; nothing is taken up after it.
+    /// Gives up all slots at once and tells the leader; no slot is taken up afterwards.
     pub fn leave(&mut self, now: f64, out: &mut Vec<Output>) {
         self.leaving = true;
         self.lose_all(out);
@@ -178,9 +181,9 @@
 
     fn renew(&mut self, now: f64, out: &mut Vec<Output>) {
         let interval = self.settings.renew_interval;
-        let lost = self.seq > 0 && now > self.last_answer + interval * LOST_AFTER;
-        self.next_renewal = now + interval * if lost { RETRY_INTERVAL } else { 1.0 };
-        if now > self.last_answer + interval * LEADER_UNKNOWN_AFTER {
+        let lost = self.seq > 0 && now > self.last_response + interval * REQUEST_TIMEOUT_INTERVALS;
+        self.next_renewal = now + interval * if lost { RETRY_INTERVALS } else { 1.0 };
+        if now > self.last_response + interval * LEADER_TIMEOUT_INTERVALS {
             self.leader = None;
         }
         let voters = &self.settings.voters;
@@ -209,59 +212,66 @@
         out.push(Output::Send { to, message });
     }
 
-    /// Takes a message of a voter. Those to another run of this name are ignored.
+    /// Handles a message from a voter. Messages for another run of this name are ignored.
     pub fn receive(&mut self, from: &str, message: Message, now: f64, out: &mut Vec<Output>) {
         let own_run = self.identity.run;
         match message {
             Message::Renewed { run, response } if run == own_run && !self.leaving => {
-                self.renewed(from, response, now, out);
+                self.handle_renewed(from, response, now, out);
             }
             Message::NotLeader { run, seq, leader } if run == own_run && seq == self.seq => {
-                self.redirected(leader, now);
+                self.handle_redirect(leader, now);
             }
             Message::DuplicateName { run } if run == own_run => {
-                self.last_answer = now;
+                self.last_response = now;
                 self.lose_all(out);
                 self.lease.surrender();
                 if !std::mem::replace(&mut self.duplicate_name, true) {
                     let name = &self.identity.name;
                     let text = format!(
-                        "another living process has the name {name}; this one holds nothing"
+                        "another running process uses the name {name}: this one holds no slots \
+                         until one of them stops"
                     );
                     report(out, Severity::Warning, text);
                 }
             }
             Message::AssignmentsChanged { run } if run == own_run && !self.leaving => {
                 self.leader = Some(from.into());
-                self.last_answer = now;
+                self.last_response = now;
                 self.next_renewal = now;
             }
             _ => {}
         }
     }
 
-    fn renewed(&mut self, from: &str, response: RenewResponse, now: f64, out: &mut Vec<Output>) {
+    fn handle_renewed(
+        &mut self,
+        from: &str,
+        response: RenewResponse,
+        now: f64,
+        out: &mut Vec<Output>,
+    ) {
         let duration = self.settings.lease_duration;
         if !self.lease.granted(response.seq, duration) {
             return;
         }
-        self.last_answer = now;
+        self.last_response = now;
         self.last_expiry = self.lease.expiry();
         self.leader = Some(from.into());
         if std::mem::take(&mut self.duplicate_name) {
             let name = &self.identity.name;
-            let text = format!("{name} is the only process of its name again");
+            let text = format!("the name {name} is unique again: this process may hold slots");
             report(out, Severity::Warning, text);
         }
         if !self.lookups.is_empty() {
             let owners = response.owners.into_iter();
-            self.owners = owners.map(|o| (o.slot, o.owner)).collect();
+            self.owners = owners.map(|lookup| (lookup.slot, lookup.owner)).collect();
         }
         if let Some(tokens) = response.tokens {
             self.has_tokens = true;
             out.push(Output::Tokens(tokens));
         }
-        // An answer may be late; then nothing is held by it.
+        // A response may arrive after the lease it granted has expired.
         if !self.lease.is_valid(now) {
             return;
         }
@@ -274,16 +284,16 @@
         revoked.for_each(|slot| self.release(slot, false, out));
     }
 
-    fn redirected(&mut self, leader: Option<Name>, now: f64) {
+    fn handle_redirect(&mut self, leader: Option<Name>, now: f64) {
         if leader.is_some() {
-            self.last_answer = now;
+            self.last_response = now;
         }
         let leader_is_new = leader.is_some() && leader != self.leader;
         self.leader = leader;
         if leader_is_new {
-            // Not in a circle: a leader that redirects is asked again at the usual pace.
-            let soon = now + self.settings.renew_interval * REDIRECT_INTERVAL;
-            self.next_renewal = self.next_renewal.min(soon);
+            // Only a newly named leader is asked early, so that redirects in a circle keep the usual pace.
+            let redirect_at = now + self.settings.renew_interval * REDIRECT_INTERVALS;
+            self.next_renewal = self.next_renewal.min(redirect_at);
         }
     }
 
@@ -293,9 +303,11 @@
         now: f64,
         out: &mut Vec<Output>,
     ) {
-        let pairs = assignments.into_iter().map(|a| (a.slot, a.token));
+        let pairs = assignments
+            .into_iter()
+            .map(|assignment| (assignment.slot, assignment.token));
         let assigned: BTreeMap<Slot, u64> = pairs.collect();
-        // What is no longer assigned under that token is gone for good.
+        // A released slot can be forgotten once it is no longer assigned under the released token.
         self.released
             .retain(|slot, released| assigned.get(slot) == Some(&released.token));
         let owned = self.owned.iter();
@@ -321,13 +333,13 @@
         }
     }
 
-    /// When the renewal that was granted last went out, if it is this one; for histories.
+    /// When the renewal `seq` was sent, if it was the last one granted; recorded in histories.
     #[must_use]
     pub fn granted_renewal_sent_at(&self, seq: u64) -> Option<f64> {
         self.lease.granted_renewal_sent_at(seq)
     }
 
-    /// Until when the last lease ran.
+    /// When the last granted lease expires or expired.
     #[must_use]
     pub fn last_expiry(&self) -> f64 {
         self.last_expiry
--- a/crates/gateway/singleton-roles/src/discovery_relay.rs
+++ b/crates/gateway/singleton-roles/src/discovery_relay.rs
@@ -1,30 +1,31 @@
-//! The role `watch`: one limiter of a zone watches discovery and relays to the others what it hears. They
-//! close their own watch while the relay is fresh, and open it again, spread out, when it is not. No I/O, no
-//! clock; lists of endpoints are bytes to it. It must never take a list under an older token, and never leave
-//! a limiter with neither a fresh relay nor its own watch for longer than `stale_after` and
-//! `reopen_spread` together.
+//! The role `watch`: one limiter of a zone watches service discovery and relays its updates to the others. The
+//! others close their own watch while the relay is fresh, and reopen it at spread-out times when it is not.
+//! No I/O, no clock; endpoint lists are opaque bytes.
+//!
+//! A list under an older token must never be accepted, and no limiter may be without both a fresh relay and
+//! its own watch for longer than `stale_after` plus `reopen_spread`.
 
 use crate::{Name, Slot};
 use serde::{Deserialize, Serialize};
 
-/// What the operators' file says. Times are seconds.
+/// Settings of the relay, from the operators' file. Times are seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The relaying limiter says this often that it is there.
+    /// Time between two heartbeats of the relaying limiter.
     pub heartbeat_interval: f64,
-    /// A relay that says nothing for this long is not fresh any more.
+    /// Time without a message after which the relay is no longer fresh.
     pub stale_after: f64,
-    /// Those who then watch for themselves do so within this time, each at its own moment.
+    /// Limiters reopen their own watch at times spread over this period after the relay went stale.
     pub reopen_spread: f64,
-    /// A relaying limiter whose own watch said nothing for this long is no source.
+    /// A relay is ignored if its own watch received nothing for this long.
     pub max_source_age: f64,
 }
 
-/// The settings can't be used.
+/// A setting of the relay is out of range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error(
-    "fleet.watch: beat {heartbeat}, stale {stale}, spread {spread}, trust {trust}; stale has to be over \
-     two beats, trust over one, all over 0"
+    "fleet.watch: beat {heartbeat}, stale {stale}, spread {spread}, trust {trust}; beat must be over 0, stale \
+     over twice the beat, spread at least 0, trust over the beat"
 )]
 pub struct SettingsError {
     heartbeat: f64,
@@ -34,10 +35,10 @@
 }
 
 impl Settings {
-    /// Checks the ranges.
+    /// Checks that every setting is in its range.
     ///
     /// # Errors
-    /// A setting is out of its range.
+    /// A setting is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let (heartbeat, stale) = (self.heartbeat_interval, self.stale_after);
         let (spread, trust) = (self.reopen_spread, self.max_source_age);
@@ -53,103 +54,105 @@
     }
 }
 
-/// Between the limiters of a zone.
+/// A message between the limiters of a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The relaying limiter is there.
+    /// The relaying limiter is alive.
     Heartbeat {
         /// The role's slot in this zone.
         slot: Slot,
-        /// Its fencing token.
+        /// The relaying limiter's fencing token.
         token: u64,
-        /// The revision of its list.
+        /// The revision of the relaying limiter's list.
         revision: u64,
-        /// How long ago its own watch last said something, in seconds.
+        /// Seconds since the relaying limiter's own watch last received something.
         age: f64,
     },
-    /// The list changed.
+    /// The endpoint list changed.
     Update {
         /// The role's slot in this zone.
         slot: Slot,
-        /// Its fencing token.
+        /// The relaying limiter's fencing token.
         token: u64,
-        /// The revision that this follows; none for a complete list.
+        /// The revision that the changes apply to; None for a complete list.
         since: Option<u64>,
-        /// The revision of the list with these changes.
+        /// The revision of the list after these changes.
         revision: u64,
-        /// What changed, or the complete list.
+        /// The changes, or the complete list.
         endpoints: Vec<u8>,
     },
-    /// The sender needs the complete list.
+    /// Requests the complete list.
     RequestEndpoints {
         /// The role's slot in this zone.
         slot: Slot,
     },
 }
 
-/// What the relay wants done.
+/// An action that the caller carries out for the relay.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Watch discovery itself.
+    /// Open this limiter's own watch on discovery.
     OpenWatch,
-    /// Close its own watch.
+    /// Close this limiter's own watch.
     CloseWatch,
-    /// To all other limiters of the zone.
+    /// Send a message to all other limiters of the zone.
     Broadcast(Message),
-    /// The complete list, to one.
+    /// Send the complete list to one limiter.
     SendEndpoints {
-        /// Who needs it.
+        /// The limiter that requested the list.
         to: Name,
         /// The fencing token to send it under.
         token: u64,
     },
-    /// A message to one.
+    /// Send a message to one limiter.
     Send {
         /// The receiver.
         to: Name,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
-    /// This list came through the relay.
+    /// Apply endpoints that arrived through the relay.
     ApplyEndpoints {
-        /// What changed, or the complete list.
+        /// The changes, or the complete list.
         endpoints: Vec<u8>,
-        /// Its revision.
+        /// The revision of the list after applying them.
         revision: u64,
     },
 }
 
-/// What discovery itself said.
+/// An update from this limiter's own watch on discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryUpdate {
     /// The revision of the list.
     pub revision: u64,
-    /// The list is complete; else it has what changed.
+    /// Whether `endpoints` is the complete list rather than changes.
     pub complete: bool,
-    /// The list.
+    /// The encoded endpoints.
     pub endpoints: Vec<u8>,
 }
 
-/// One limiter's part in the relay of its zone. Times are seconds on its own clock.
+/// One limiter's state in the relay of its zone. Times are seconds on the limiter's own clock.
 pub struct Relay {
     settings: Settings,
     slot: Slot,
     revision: u64,
     watching: bool,
-    /// It holds the role.
+    /// Whether this limiter holds the role.
     relaying: bool,
-    /// When its own watch last said something.
+    /// When this limiter's own watch last received something.
     last_update: f64,
     fresh_until: f64,
     fresh_since: f64,
     next_heartbeat: f64,
-    /// This one's part of the spread, from 0 to 1.
+    /// Position of this limiter within `reopen_spread`, from 0 to 1.
     jitter: f64,
-    endpoints_requested: f64,
+    /// When the complete list was last requested.
+    endpoints_requested_at: f64,
 }
 
 impl Relay {
-    /// One that watches for itself until a relay has proved itself. `jitter` is from 0 to 1.
+    /// Creates the state of a limiter that watches discovery itself until a relay has been fresh for a while.
+    /// `jitter` is from 0 to 1.
     #[must_use]
     pub fn new(settings: Settings, slot: Slot, revision: u64, jitter: f64, now: f64) -> Self {
         Relay {
@@ -163,23 +166,23 @@
             fresh_since: now,
             next_heartbeat: now,
             jitter,
-            endpoints_requested: f64::NEG_INFINITY,
+            endpoints_requested_at: f64::NEG_INFINITY,
         }
     }
 
-    /// The revision of the list.
+    /// The revision of this limiter's list.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether it watches discovery itself.
+    /// Whether this limiter has its own watch open.
     #[must_use]
     pub fn is_watching(&self) -> bool {
         self.watching
     }
 
-    /// Whether the relay spoke lately.
+    /// Whether the relay was heard within `stale_after`.
     #[must_use]
     pub fn is_fresh(&self, now: f64) -> bool {
         now < self.fresh_until
@@ -199,7 +202,8 @@
         self.fresh_until + self.settings.reopen_spread * self.jitter
     }
 
-    /// Does what is due. `token` is what it holds the role under at this moment, if it does.
+    /// Broadcasts a heartbeat if one is due, and opens or closes this limiter's own watch. `token` is the token
+    /// under which this limiter holds the role now, if it does.
     pub fn tick(&mut self, token: Option<u64>, now: f64, out: &mut Vec<Action>) {
         self.relaying = token.is_some();
         if now >= self.next_heartbeat {
@@ -213,14 +217,15 @@
             }
             self.next_heartbeat = now + self.settings.heartbeat_interval;
         }
-        // Not at the first heartbeat: a relay has to be there for a while before it is relied on.
-        let proven = self.is_fresh(now) && now >= self.fresh_since + self.settings.stale_after;
-        let wanted = if self.watching {
-            !proven
+        // The own watch is closed only after the relay has been fresh for `stale_after`.
+        let relay_is_stable =
+            self.is_fresh(now) && now >= self.fresh_since + self.settings.stale_after;
+        let needs_watch = if self.watching {
+            !relay_is_stable
         } else {
             now >= self.reopen_at()
         };
-        let watching = self.relaying || wanted;
+        let watching = self.relaying || needs_watch;
         if watching != self.watching {
             self.watching = watching;
             self.last_update = now;
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Its own watch said something; `update` where it was more than a sign of life.
+    /// Handles a message of this limiter's own watch; `update` is None for a keep-alive.
     pub fn receive_update(
         &mut self,
         update: Option<DiscoveryUpdate>,
@@ -255,7 +260,7 @@
         }
     }
 
-    /// A message of the zone, whose token the caller's fencing check has accepted.
+    /// Handles a message of another limiter of the zone, after the caller's fencing check accepted its token.
     pub fn receive(
         &mut self,
         from: &str,
@@ -313,8 +318,8 @@
     }
 
     fn request_endpoints(&mut self, from: &str, now: f64, out: &mut Vec<Action>) {
-        if now > self.endpoints_requested + self.settings.heartbeat_interval {
-            self.endpoints_requested = now;
+        if now > self.endpoints_requested_at + self.settings.heartbeat_interval {
+            self.endpoints_requested_at = now;
             let message = Message::RequestEndpoints { slot: self.slot };
             out.push(Action::Send {
                 to: from.into(),
--- a/crates/gateway/singleton-roles/src/fencing.rs
+++ b/crates/gateway/singleton-roles/src/fencing.rs
@@ -1,7 +1,8 @@
-//! The receiver's fencing check: whoever carries out an effect of a role refuses a token older than one it
-//! has seen. One number for each slot; the slots are fixed, so it can't grow. It must never go back, not by a
-//! restart either: a new one takes nothing until it knows what the log granted up to a moment after its
-//! start. (Kleppmann, "How to do distributed locking", 2016.)
+//! The receiver's fencing check: a process that carries out effects of a role refuses any token older than the
+//! greatest one it has seen for the slot. It keeps one number for each of the fixed slots.
+//!
+//! That number must never decrease, not even across a restart: a new check refuses all tokens until it knows
+//! the tokens that the log had granted after the start. (Kleppmann, "How to do distributed locking", 2016.)
 
 use crate::Slot;
 
@@ -10,12 +11,12 @@
 pub struct FencingCheck {
     highest: Vec<u64>,
     initialized: bool,
-    /// How many effects were refused.
+    /// Number of effects that were refused.
     pub rejected: u64,
 }
 
 impl FencingCheck {
-    /// One that knows no tokens yet and refuses all.
+    /// Creates a check that knows no tokens yet and refuses all of them.
     #[must_use]
     pub fn new(slots: u32) -> Self {
         FencingCheck {
@@ -25,7 +26,7 @@
         }
     }
 
-    /// One whose tokens outlive a restart, or whose receiver never took any.
+    /// Creates a check from tokens that survived a restart, or for a receiver that never accepted any.
     #[must_use]
     pub fn restored(highest: Vec<u64>) -> Self {
         FencingCheck {
@@ -35,14 +36,14 @@
         }
     }
 
-    /// Takes what the log granted up to now, by slot.
+    /// Sets the tokens that the log has granted so far, by slot; from now on newer tokens are accepted.
     pub fn initialize(&mut self, tokens: &[u64]) {
         let pairs = self.highest.iter_mut().zip(tokens);
         pairs.for_each(|(highest, token)| *highest = (*highest).max(*token));
         self.initialized = true;
     }
 
-    /// Whether an effect under this token may be carried out. A slot that is not there is refused.
+    /// Whether an effect under this token may be carried out. Unknown slots are refused.
     pub fn accept(&mut self, slot: Slot, token: u64) -> bool {
         match self.highest.get_mut(slot as usize) {
             Some(highest) if self.initialized && token > 0 && token >= *highest => {
--- a/crates/gateway/singleton-roles/src/health_check.rs
+++ b/crates/gateway/singleton-roles/src/health_check.rs
@@ -1,30 +1,35 @@
-//! The role `probe`: limiters that gave up on a server say so to the one that owns its shard; when several
-//! did, that one tries the server and tells all what it saw. What it saw is an observation with an age, no
-//! verdict: each limiter's decisions judge for themselves. No I/O, no clock. It must never check a server on
-//! one limiter's word, nor more often than stated, and what it remembers of servers ends.
+//! The role `probe`: a limiter that gets no answers from a server sends a complaint to the owner of the server's
+//! shard. After complaints from several limiters the owner checks the server and sends its observation, with
+//! an age, to all limiters; each limiter decides for itself what to do with it. No I/O, no clock.
+//!
+//! A server must never be checked on the complaint of a single limiter, nor more often than configured, and
+//! the memory used for servers is bounded.
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What the operators' file says. Times are seconds.
+/// Settings of the health checks, from the operators' file. Times are seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Deliveries without any answer in a row, at one limiter, that make a complaint.
+    /// Consecutive unanswered deliveries at one limiter that cause a complaint.
     pub failure_threshold: u32,
-    /// Limiters that have to complain before a server is checked.
+    /// Number of limiters that must complain before a server is checked.
     pub min_complainants: usize,
-    /// How long a complaint counts.
+    /// How long a complaint stays valid.
     pub complaint_window: f64,
-    /// Shortest time between two checks of one server.
+    /// Minimum time between two checks of one server.
     pub min_interval: f64,
-    /// Servers remembered at once.
+    /// Maximum number of servers that are tracked at a time.
     pub max_servers: usize,
 }
 
-/// The settings can't be used.
+/// A setting of the health checks is out of range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("fleet.probe: unanswered {unanswered}, many {many} (2 or more), window {window}, again {again}, servers {servers}; all over 0")]
+#[error(
+    "fleet.probe: unanswered {unanswered}, many {many}, window {window}, again {again}, servers \
+     {servers}; all must be over 0, many at least 2, window and again finite"
+)]
 pub struct SettingsError {
     unanswered: u32,
     many: usize,
@@ -34,10 +39,10 @@
 }
 
 impl Settings {
-    /// Checks the ranges.
+    /// Checks that every setting is in its range.
     ///
     /// # Errors
-    /// A setting is out of its range.
+    /// A setting is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let (window, again) = (self.complaint_window, self.min_interval);
         let times = window > 0.0 && again > 0.0 && window.is_finite() && again.is_finite();
@@ -56,28 +61,28 @@
     }
 }
 
-/// What a check of a server saw.
+/// The result of a check of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Observation {
-    /// Any answer at all.
+    /// The server sent an answer of any kind.
     Answered,
-    /// No connection came up.
+    /// No connection could be established.
     Refused,
-    /// A connection, and nothing on it.
+    /// A connection was established, but no answer arrived on it.
     Silent,
 }
 
-/// Between limiters and the owner of a server's shard.
+/// A message between limiters and the owner of a server's shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A limiter gave up on a server.
+    /// A limiter gets no answers from a server.
     Complaint {
         /// The server's address.
         server: String,
-        /// Deliveries in a row that got no answer.
+        /// Number of consecutive unanswered deliveries.
         failures: u32,
     },
-    /// What a check saw.
+    /// The result of a check by the shard's owner.
     Observed {
         /// The shard's slot.
         slot: u32,
@@ -85,48 +90,48 @@
         token: u64,
         /// The server's address.
         server: String,
-        /// What was seen.
+        /// The result of the check.
         observation: Observation,
-        /// How long ago, in seconds.
+        /// Seconds since the check.
         age: f64,
     },
 }
 
-/// How a delivery to a server ended, as far as its health goes.
+/// Whether the server answered a delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// With any answer at all.
+    /// The server sent an answer of any kind.
     Answered,
-    /// Without one.
+    /// The server sent no answer.
     Unanswered,
 }
 
-/// Deliveries in a row that got no answer, and when the last one ended.
+/// Consecutive unanswered deliveries, and when the last one ended.
 #[derive(Debug)]
 struct FailureRun {
     count: u32,
     last: f64,
 }
 
-/// A limiter's own experience of the servers.
+/// The outcomes of a limiter's own deliveries, by server.
 #[derive(Debug, Default)]
 pub struct ServerExperience {
     failures: BTreeMap<String, FailureRun>,
-    /// When a server last answered here.
+    /// When each server last answered this limiter.
     last_answers: BTreeMap<String, f64>,
 }
 
-/// What a limiter makes of an observation.
+/// What a limiter concludes from an observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// The server rests for so many seconds.
+    /// The server gets no requests for this many seconds.
     Unhealthy(f64),
-    /// Its rest ends within so many seconds.
+    /// The server gets requests again after this many seconds.
     Healthy(f64),
 }
 
 impl ServerExperience {
-    /// A delivery ended; returns the complaint that its server is due now.
+    /// Records a finished delivery; returns a complaint if one is due now.
     pub fn record_delivery(
         &mut self,
         server: &str,
@@ -174,18 +179,18 @@
         }
         run.count += 1;
         run.last = now;
-        // Said once for each so many: what is lost on the way is said again.
-        let due = run.count.is_multiple_of(settings.failure_threshold);
-        due.then(|| Message::Complaint {
+        // Repeated at every multiple of the threshold, because a complaint may be lost on the way.
+        let complaint_due = run.count.is_multiple_of(settings.failure_threshold);
+        complaint_due.then(|| Message::Complaint {
             server: server.to_owned(),
             failures: run.count,
         })
     }
 
-    /// Judges what was seen `age` seconds ago beside what this limiter saw itself: an answer since then goes
-    /// before any word of others, so that a check over a bad link takes no server from those it answers. A
-    /// rest lasts until the next check is due, and ends for each limiter at its own moment: `jitter` is from
-    /// 0 to 1.
+    /// Evaluates an observation made `age` seconds ago together with this limiter's own deliveries. A recent
+    /// answer to this limiter overrides a failed check, so that a check over a bad link doesn't take a server
+    /// from limiters that it answers. The pause lasts until the next check is due; `jitter`, from 0 to 1,
+    /// spreads its end over the limiters.
     #[must_use]
     pub fn judge(
         &self,
@@ -208,7 +213,7 @@
         (!answered).then_some(Verdict::Unhealthy(interval * (1.0 + jitter)))
     }
 
-    /// How many servers' answers it remembers.
+    /// Number of servers whose last answer is remembered.
     #[must_use]
     pub fn remembered_answers(&self) -> usize {
         self.last_answers.len()
@@ -229,16 +234,16 @@
     }
 }
 
-/// The side of the role's owner.
+/// The checker's side, run by the limiter that owns the shard.
 #[derive(Default)]
 pub struct HealthChecker {
     servers: BTreeMap<String, SuspectServer>,
-    /// How many checks it asked for.
+    /// Number of checks that were requested.
     pub checks: u64,
 }
 
 impl HealthChecker {
-    /// A complaint came; says whether the server is to be checked now.
+    /// Takes a complaint; returns whether the server is to be checked now.
     pub fn receive_complaint(
         &mut self,
         from: &str,
@@ -259,21 +264,21 @@
         let suspect = self.servers.entry(server.to_owned()).or_default();
         suspect.complaints.insert(from.to_owned(), now);
         suspect.complaints.retain(|_, at| now <= *at + window);
-        let enough = suspect.complaints.len() >= settings.min_complainants;
-        let due = enough && now >= suspect.last_check + interval;
-        if due {
+        let enough_complainants = suspect.complaints.len() >= settings.min_complainants;
+        let check_due = enough_complainants && now >= suspect.last_check + interval;
+        if check_due {
             suspect.last_check = now;
             self.checks += 1;
         }
-        due
+        check_due
     }
 
-    /// The role was lost: what is under way is nobody's business any more.
+    /// Forgets all complaints and checks after this limiter lost the role.
     pub fn clear(&mut self) {
         self.servers.clear();
     }
 
-    /// How many servers it remembers.
+    /// Number of servers that are tracked.
     #[must_use]
     pub fn remembered(&self) -> usize {
         self.servers.len()
--- a/crates/gateway/singleton-roles/src/lib.rs
+++ b/crates/gateway/singleton-roles/src/lib.rs
@@ -1,9 +1,11 @@
-//! Which limiter may do what only one may: a small group of voters replicates one log by Raft, and in it who
-//! is registered and who holds which slot of which singleton role under which fencing token. Two state
-//! machines, [`voter::Voter`] and [`client::RoleClient`]: messages and times go in, [`Output`]s come out. No
-//! sockets, clock, disk or task. It must never let two limiters hold one slot at one time, as far as clocks
-//! keep within the stated drift, and never give a token that is not greater than all before it.
-//! docs/duties.md has the argument.
+//! Singleton roles: work that only one limiter of the fleet may do at a time. A small group of voters
+//! replicates a log by Raft; the log records which limiters are registered and which limiter holds each slot
+//! of each role, under which fencing token.
+//!
+//! The crate has two state machines, [`voter::Voter`] and [`client::RoleClient`]. They take messages and times
+//! and return [`Output`]s; they use no sockets, clock, disk or tasks. Two limiters must never hold one slot at
+//! the same time, as long as clocks stay within the configured drift, and every new token must be greater than
+//! all tokens before it. docs/duties.md has the argument.
 
 pub mod audit;
 pub mod client;
@@ -23,7 +25,7 @@
 pub use message::{Identity, Message, Output, Severity};
 pub use settings::{Role, Settings, SettingsError, SlotRange};
 
-/// A limiter's name, the same after a restart.
+/// A limiter's name; it stays the same across restarts.
 pub type Name = String;
-/// One shard of one role, numbered densely over all roles.
+/// The number of one shard of one role; slots are numbered without gaps over all roles.
 pub type Slot = u32;
--- a/crates/gateway/singleton-roles/src/memory_log.rs
+++ b/crates/gateway/singleton-roles/src/memory_log.rs
@@ -1,4 +1,4 @@
-//! The voters' log in memory, as the consensus library reads it.
+//! The in-memory copy of a voter's log, as the consensus library reads it.
 
 use crate::raft_types::{Entry, HardState, Snapshot, VoterConfig};
 use crate::records::DiskState;
@@ -15,7 +15,7 @@
 }
 
 impl MemoryLog {
-    /// None where entries are missing or of no known kind.
+    /// Loads the log from disk. None if entries are missing or of an unknown kind.
     pub(crate) fn new(disk: &DiskState) -> Option<Self> {
         let entries = disk.entries.iter().map(Entry::to_raft);
         let entries = entries.collect::<Option<Vec<_>>>()?;
@@ -42,16 +42,16 @@
         self.snapshot.index + self.entries.len() as u64
     }
 
-    /// The first of these and all after it are replaced.
+    /// Appends entries; existing entries from the first new index on are replaced.
     pub(crate) fn append(&mut self, entries: &[pb::Entry]) {
         if let Some(first) = entries.first() {
-            let remaining = first.index.saturating_sub(self.first()) as usize;
-            self.entries.truncate(remaining);
+            let kept = first.index.saturating_sub(self.first()) as usize;
+            self.entries.truncate(kept);
             self.entries.extend_from_slice(entries);
         }
     }
 
-    /// A snapshot that came, or one of its own that lets the entries before it go.
+    /// Installs a received or own snapshot and drops the entries that it covers.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
         let covered = (snapshot.index + 1).saturating_sub(self.first()) as usize;
         let same_term = self
--- a/crates/gateway/singleton-roles/src/message.rs
+++ b/crates/gateway/singleton-roles/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between limiters about singleton roles, and what the state machines want done. The encoding
-//! goes by position and order: fields and variants keep theirs.
+//! Messages between limiters about singleton roles, and the outputs of the state machines. The encoding is
+//! positional, so the order of fields and variants must not change.
 
 use crate::raft_types::RaftMessage;
 use crate::records::WriteBatch;
@@ -7,239 +7,239 @@
 use crate::{Name, Slot};
 use serde::{Deserialize, Serialize};
 
-/// A limiter as its client presents it.
+/// The identity of a limiter, as its client sends it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name, the same after a restart.
+    /// The limiter's name; it stays the same across restarts.
     pub name: Name,
-    /// Differs with every start.
+    /// The number of this run; it differs with every start.
     pub run: u64,
-    /// The failure domain it runs in.
+    /// The failure domain that the limiter runs in.
     pub zone: String,
-    /// The machine it runs on.
+    /// The machine that the limiter runs on.
     pub machine: String,
 }
 
 /// A slot that a client stopped working on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Release {
-    /// The slot.
+    /// The released slot.
     pub slot: Slot,
     /// The token under which it was held.
     pub token: u64,
-    /// It was given up because the work on it made no progress.
+    /// The slot was released because the work on it made no progress.
     pub stalled: bool,
 }
 
-/// A limiter renews its lease: one message renews all that it holds.
+/// A limiter's request to renew its lease, which covers all slots that it holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RenewRequest {
-    /// Who renews.
+    /// The limiter that renews its lease.
     pub identity: Identity,
-    /// Number of the request; the response repeats it.
+    /// Number of the request, repeated in the response.
     pub seq: u64,
-    /// Of the assignments it last got; the response repeats them only if they changed.
+    /// Version of the last assignments received; the response has assignments only if they changed since.
     pub version: u64,
-    /// Slots it stopped.
+    /// Slots that the limiter stopped working on.
     pub released: Vec<Release>,
-    /// It shuts down and wants nothing more.
+    /// The limiter is shutting down and takes no more slots.
     pub leaving: bool,
-    /// It started and knows no tokens yet: its fencing check would take any.
+    /// The limiter has just started and needs all tokens for its fencing check.
     pub needs_tokens: bool,
-    /// Slots whose owners it wants to know; a few.
+    /// Slots whose owners the limiter asks for.
     pub lookups: Vec<Slot>,
 }
 
-/// Who owns a slot.
+/// A looked-up slot and the limiter that holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SlotOwner {
-    /// The slot.
+    /// The owned slot.
     pub slot: Slot,
-    /// Its owner's name.
+    /// Name of the limiter that owns the slot.
     pub owner: Name,
 }
 
-/// What a leader answers to a renewal, after a majority has confirmed that it leads.
+/// A leader's response to a renewal, sent after a majority has confirmed that it leads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RenewResponse {
-    /// Number of the request.
+    /// Number of the renewal request.
     pub seq: u64,
-    /// The last log entry that changed the limiter's assignments.
+    /// Index of the last log entry that changed the limiter's assignments.
     pub version: u64,
-    /// How far the leader's log was applied when it answered; never runs back.
+    /// Index up to which the leader had applied the log; it never decreases.
     pub index: u64,
-    /// All slots that the limiter holds, if they changed since the version that it has.
+    /// All slots assigned to the limiter, if they changed since the version in the request.
     pub assignments: Option<Vec<Assignment>>,
-    /// Slots that another is better placed to hold: stop and say so.
+    /// Slots that the limiter must release because another limiter is preferred for them.
     pub revoked: Vec<Slot>,
-    /// Every slot's token, for one that asked for them.
+    /// The last token of every slot, if the request asked for them.
     pub tokens: Option<Vec<u64>>,
-    /// Who holds the slots it asked about.
+    /// Owners of the slots that the request looked up.
     pub owners: Vec<SlotOwner>,
 }
 
-/// Where a voter's disk stands, as it says when it starts.
+/// The state of a voter's disk, sent by the voter when it starts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoterHello {
     /// The voter's name.
     pub name: Name,
-    /// Its disk's identity.
+    /// Identity of the voter's disk.
     pub disk: u64,
-    /// How often it started with this disk.
+    /// How often the voter has started with this disk.
     pub starts: u64,
-    /// Tells this start from another one of a copy of the disk.
+    /// Distinguishes this start from a start with a copy of the disk.
     pub nonce: u64,
-    /// The term on its disk.
+    /// The term stored on the disk.
     pub term: u64,
-    /// The last entry on its disk.
+    /// Index of the last log entry on the disk.
     pub last_index: u64,
-    /// It has a vote as far as it knows.
+    /// Whether the voter believes that its disk has a vote.
     pub is_voter: bool,
 }
 
-/// The leader that a voter knows of; all 0 where it knows none. Later terms order after earlier ones.
+/// The leader that a voter knows, all 0 if it knows none. Ordered by term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KnownLeader {
-    /// Its term.
+    /// The leader's term.
     pub term: u64,
-    /// Its disk.
+    /// Identity of the leader's disk.
     pub disk: u64,
 }
 
-/// What another voter answers to a hello.
+/// Another voter's response to a [`VoterHello`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HelloResponse {
-    /// It has formed no group either.
+    /// The responding voter belongs to no group.
     Empty {
-        /// Its own disk.
+        /// Identity of the responding voter's disk.
         disk: u64,
     },
-    /// It belongs to a group.
+    /// The responding voter belongs to a group.
     Formed {
-        /// Its own disk.
+        /// Identity of the responding voter's disk.
         disk: u64,
-        /// The group as it was formed.
+        /// The original members of the group.
         group: Group,
-        /// What it holds of the asker's disk.
+        /// The responding voter's verdict on the disk of the hello.
         verdict: DiskVerdict,
-        /// The leader, as far as it knows.
+        /// The leader that the responding voter knows.
         leader: KnownLeader,
     },
 }
 
-/// What a voter holds of another one's disk.
+/// A voter's verdict on the disk of another voter.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DiskVerdict {
-    /// Nothing newer of this disk was seen.
+    /// No newer state of this disk is known.
     Current,
-    /// This disk is behind what was seen of it: an older copy was put back.
+    /// A newer state of this disk is known: an older copy was restored.
     Outdated,
-    /// This disk has no vote, as the name has or had another.
+    /// This disk has no vote; the voter's name belongs or belonged to another disk.
     Unknown,
 }
 
-/// Between limiters.
+/// A message between limiters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Between voters of one group.
+    /// A message of the consensus protocol between voters of one group.
     Raft {
         /// The group's number.
         group: u64,
-        /// What the consensus library wants said.
+        /// The message of the consensus library.
         message: RaftMessage,
     },
-    /// A voter that starts presents its disk.
+    /// A voter that starts describes its disk.
     Hello(VoterHello),
-    /// Answers a hello.
+    /// A voter's response to the hello of another voter.
     HelloResponse {
-        /// The disk that said hello.
+        /// The disk of the hello.
         disk: u64,
-        /// The nonce of that hello: an answer to an earlier start says nothing of this one.
+        /// The nonce of the hello, so that responses to an earlier start are ignored.
         nonce: u64,
-        /// The answer.
+        /// The responding voter's state.
         response: HelloResponse,
     },
-    /// A client renews its lease.
+    /// A client's request to renew its lease.
     Renew(RenewRequest),
-    /// The leader renewed it.
+    /// The leader renewed the lease.
     Renewed {
-        /// The client's run.
+        /// Run of the client that the message is for.
         run: u64,
-        /// Lease and assignments.
+        /// The renewed lease and the assignments.
         response: RenewResponse,
     },
-    /// Not the leader; perhaps another one is.
+    /// The voter that was asked to renew is not the leader.
     NotLeader {
-        /// The client's run.
+        /// Run of the client that the message is for.
         run: u64,
-        /// Number of the request.
+        /// Number of the renewal request.
         seq: u64,
-        /// The leader, if it is known.
+        /// Name of the leader, if it is known.
         leader: Option<Name>,
     },
-    /// Two living processes have this name: neither holds anything.
+    /// Two running processes use the client's name; neither may hold slots.
     DuplicateName {
-        /// The client's run.
+        /// Run of the client that the message is for.
         run: u64,
     },
-    /// Something changed for this limiter: renew now.
+    /// The limiter's assignments changed; it should renew now.
     AssignmentsChanged {
-        /// The client's run.
+        /// Run of the client that the message is for.
         run: u64,
     },
 }
 
-/// How much a report matters to operators.
+/// Importance of a report to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// In the ordinary course of things.
+    /// An expected event.
     Info,
-    /// Operators should look.
+    /// An event that operators should look into.
     Warning,
 }
 
 impl Severity {
-    /// Whether operators should look.
+    /// Whether operators should look into the report.
     #[must_use]
     pub fn is_warning(self) -> bool {
         self == Severity::Warning
     }
 }
 
-/// What a state machine wants done.
+/// An effect that the caller carries out for a state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message to every process of this name.
+    /// Send a message to every process with this name.
     Send {
         /// The receiver's name.
         to: Name,
-        /// What to send.
+        /// The message to send.
         message: Message,
     },
-    /// Put this on the disk, in order, with fsync, then say so by its number.
+    /// Write the batch to disk with fsync, in order, then report its number to [`crate::voter::Voter::written`].
     Write(WriteBatch),
-    /// A slot is held from now on.
+    /// The limiter holds a slot from now on.
     Acquired {
-        /// The slot.
+        /// The acquired slot.
         slot: Slot,
         /// The token under which it is held.
         token: u64,
     },
-    /// A slot is held no more.
+    /// The limiter no longer holds a slot.
     Lost {
-        /// The slot.
+        /// The lost slot.
         slot: Slot,
         /// The token under which it was held.
         token: u64,
     },
     /// A line for the operators' log.
     Report {
-        /// How much it matters.
+        /// Importance to operators.
         severity: Severity,
-        /// What happened.
+        /// Description of the event.
         text: String,
     },
-    /// Every slot's token as of after this limiter's start: its fencing check can be used.
+    /// The last token of every slot, read after this limiter's start; initializes its fencing check.
     Tokens(Vec<u64>),
 }
 
--- a/crates/gateway/singleton-roles/src/placement.rs
+++ b/crates/gateway/singleton-roles/src/placement.rs
@@ -1,6 +1,6 @@
-//! Who should hold a slot: rendezvous hashing (Thaler and Ravishankar, 1998) over the living limiters by
-//! name, so that a restart keeps its slots, a join moves its share and no more, and what a dead limiter held
-//! is spread over the others.
+//! Chooses the preferred limiter for each slot by rendezvous hashing (Thaler and Ravishankar, 1998) over the
+//! names of live limiters: a restarted limiter keeps its slots, a join moves only the new limiter's share, and
+//! the slots of a dead limiter are spread over the others.
 
 use crate::table::Session;
 use crate::{Settings, Slot};
@@ -14,19 +14,19 @@
     zone: String,
 }
 
-/// Orders by score; the session decides between equal ones.
+/// How well a session is placed for a slot; ordered by score, ties by session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
     score: u64,
     session: u64,
 }
 
-/// Each slot's best placed session, kept up to date as sessions come and go.
+/// The preferred session of each slot, updated as sessions join and leave.
 #[derive(Debug, Default)]
 pub struct Placement {
     preferred: Vec<Option<Preference>>,
     candidates: BTreeMap<u64, Candidate>,
-    /// The zone that each slot is bound to.
+    /// The zone that each slot is bound to, if any.
     zones: Vec<Option<String>>,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl Placement {
-    /// One without any session yet.
+    /// Creates a placement without sessions.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         let zone = |slot| settings.slot_info(slot).zone.map(str::to_owned);
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Takes the sessions that may hold slots now. Costs the slots once for each that joined, and all
-    /// sessions once for each slot of one that left.
+    /// Sets the sessions that may hold slots. The cost is one score per slot for each session that joined, and
+    /// one score per session for each slot of a session that left.
     pub fn update(&mut self, sessions: &BTreeMap<u64, Session>, live: &BTreeSet<u64>) {
         let known = self.candidates.keys();
         let left: Vec<u64> = known.filter(|id| !live.contains(id)).copied().collect();
@@ -76,10 +76,10 @@
 
     fn update_slot(&mut self, slot: Slot, left: &[u64], joined: &[u64]) {
         let current = self.preferred[slot as usize];
-        let orphan = current.is_some_and(|preference| left.contains(&preference.session));
-        let best = if orphan {
-            let all = self.candidates.keys().copied();
-            all.filter_map(|id| self.preference(slot, id)).max()
+        let preferred_left = current.is_some_and(|preference| left.contains(&preference.session));
+        let best = if preferred_left {
+            let candidates = self.candidates.keys().copied();
+            candidates.filter_map(|id| self.preference(slot, id)).max()
         } else {
             let new = joined.iter().filter_map(|id| self.preference(slot, *id));
             current.max(new.max())
@@ -87,24 +87,24 @@
         self.preferred[slot as usize] = best;
     }
 
-    /// How well a session is placed; none if it is in another zone than the slot is bound to.
+    /// The session's preference for a slot; None if the slot is bound to another zone.
     fn preference(&self, slot: Slot, session: u64) -> Option<Preference> {
         let candidate = self.candidates.get(&session)?;
         let zone = self.zones[slot as usize].as_deref();
-        let fits = zone.is_none_or(|zone| zone == candidate.zone);
-        fits.then(|| Preference {
+        let zone_matches = zone.is_none_or(|zone| zone == candidate.zone);
+        zone_matches.then(|| Preference {
             score: score(candidate.name_hash, slot),
             session,
         })
     }
 
-    /// The session that should hold a slot.
+    /// The preferred session of a slot.
     #[must_use]
     pub fn preferred(&self, slot: Slot) -> Option<u64> {
         self.preferred[slot as usize].map(|preference| preference.session)
     }
 
-    /// The best placed session that is not excluded.
+    /// The best placed session for a slot that is not excluded.
     pub fn preferred_except(&self, slot: Slot, excluded: impl Fn(u64) -> bool) -> Option<u64> {
         let preferred = self.preferred(slot);
         if preferred.is_none_or(|session| !excluded(session)) {
--- a/crates/gateway/singleton-roles/src/raft_types.rs
+++ b/crates/gateway/singleton-roles/src/raft_types.rs
@@ -1,6 +1,6 @@
-//! Plain forms of the consensus library's values: messages between voters, and what goes to disk. Nothing of
-//! the library's own decoder reads bytes from outside. The encoding goes by position and order: fields keep
-//! theirs.
+//! Serializable counterparts of the consensus library's types, for messages between voters and records on
+//! disk, so that the library's own decoder doesn't read bytes from outside. The encoding is positional, so the
+//! order of fields must not change.
 
 use protobuf::SingularPtrField;
 use raft::eraftpb as pb;
@@ -9,61 +9,61 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// 0 an ordinary one, 2 a change of the voters.
+    /// The entry's type: 0 for commands, 2 for a change of the voters.
     pub kind: u8,
-    /// The term in which it was proposed.
+    /// The term in which the entry was proposed.
     pub term: u64,
-    /// Its position in the log.
+    /// The entry's position in the log.
     pub index: u64,
     /// Encoded commands, or the change of the voters.
     pub data: Vec<u8>,
-    /// With a change of the voters, the name and disk that come in.
+    /// For a change of the voters, the name and disk of the new voter.
     pub context: Vec<u8>,
 }
 
-/// Who votes; the configuration of Raft's joint consensus. All are disks.
+/// The configuration of Raft's joint consensus; each member is the identity of a disk.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VoterConfig {
-    /// The voters.
+    /// Disks with a vote.
     pub voters: Vec<u64>,
-    /// During a change, the voters before it.
+    /// During a change, the voters of the previous configuration.
     pub outgoing: Vec<u64>,
-    /// Those that follow without a vote.
+    /// Disks that receive the log but have no vote.
     pub learners: Vec<u64>,
-    /// During a change, those that will follow without a vote.
+    /// During a change, disks that become learners at its end.
     pub learners_next: Vec<u64>,
-    /// The change ends by itself once it is committed.
+    /// The joint configuration ends automatically once it is committed.
     pub auto_leave: bool,
 }
 
-/// Stands for all entries up to its own.
+/// The state after all entries up to `index`; replaces these entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that it stands for.
+    /// Index of the last entry that the snapshot covers.
     pub index: u64,
-    /// That entry's term.
+    /// Term of the entry at `index`.
     pub term: u64,
-    /// Who votes as of that entry.
+    /// The voters as of that entry.
     pub config: VoterConfig,
     /// The encoded role table.
     pub data: Vec<u8>,
 }
 
-/// What a voter may not forget.
+/// State that a voter must keep on disk across restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term it has seen.
+    /// The latest term that the voter has seen.
     pub term: u64,
-    /// The disk it voted for in that term, or 0.
+    /// The disk that the voter voted for in that term, or 0.
     pub vote: u64,
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     pub commit: u64,
 }
 
 /// One message between voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RaftMessage {
-    /// The library's number for its type.
+    /// The library's number for the message type.
     pub kind: u8,
     /// The receiver's disk.
     pub to: u64,
@@ -73,28 +73,28 @@
     pub term: u64,
     /// The term of the entry at `index`.
     pub log_term: u64,
-    /// What it means goes by the type: the entry before the first one here, or the last that was taken.
+    /// Depends on the type: index of the entry before `entries`, or of the last entry that was accepted.
     pub index: u64,
     /// Entries to append.
     pub entries: Vec<Entry>,
-    /// The last entry that the sender knows to be committed.
+    /// Index of the last entry that the sender knows to be committed.
     pub commit: u64,
-    /// That entry's term.
+    /// Term of the entry at `commit`.
     pub commit_term: u64,
     /// A snapshot to restore from.
     pub snapshot: Option<Snapshot>,
-    /// The entry from which on a follower wants a snapshot.
+    /// Index of the entry from which a follower requests a snapshot.
     pub request_snapshot: u64,
     /// The receiver's request was rejected.
     pub reject: bool,
-    /// Where a follower's log may fit the leader's.
+    /// Index at which a follower's log may match the leader's.
     pub reject_hint: u64,
-    /// Comes back unchanged with the answer.
+    /// Returned unchanged with the response.
     pub context: Vec<u8>,
 }
 
-/// A changed configuration's encoding is a few dozen bytes; nothing longer is decoded.
-const MAX_CHANGE_BYTES: usize = 256;
+/// Maximum length of an encoded configuration change; a valid one takes a few dozen bytes.
+const MAX_CONFIG_CHANGE_BYTES: usize = 256;
 
 impl From<&pb::Entry> for Entry {
     fn from(entry: &pb::Entry) -> Self {
@@ -109,12 +109,12 @@
 }
 
 impl Entry {
-    /// The library's form; none for kinds that are not known.
+    /// Converts to the library's type; None for an unknown kind.
     #[must_use]
     pub fn to_raft(&self) -> Option<pb::Entry> {
         let kind = match self.kind {
             0 => pb::EntryType::EntryNormal,
-            2 if self.data.len() <= MAX_CHANGE_BYTES => pb::EntryType::EntryConfChangeV2,
+            2 if self.data.len() <= MAX_CONFIG_CHANGE_BYTES => pb::EntryType::EntryConfChangeV2,
             _ => return None,
         };
         let mut entry = pb::Entry {
@@ -130,7 +130,7 @@
 }
 
 impl VoterConfig {
-    /// Just these voters, with no change under way.
+    /// A configuration of these voters, with no change in progress.
     #[must_use]
     pub fn of(voters: Vec<u64>) -> Self {
         VoterConfig {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The library's form.
+    /// Converts to the library's type.
     #[must_use]
     pub fn to_raft(&self) -> pb::ConfState {
         let mut config = pb::ConfState::default();
@@ -177,7 +177,7 @@
 }
 
 impl Snapshot {
-    /// The library's form.
+    /// Converts to the library's type.
     #[must_use]
     pub fn to_raft(&self) -> pb::Snapshot {
         let mut snapshot = pb::Snapshot::default();
@@ -214,29 +214,29 @@
 }
 
 impl RaftMessage {
-    /// Whether it is of this type.
+    /// Whether the message has this type.
     #[must_use]
     pub fn is(&self, kind: pb::MessageType) -> bool {
         self.kind == kind as u8
     }
 
-    /// An append says at most of this many entries that they are committed; heartbeats tell of the rest.
+    /// Limits the commit index of an append message to `index`; heartbeats announce later commits.
     pub fn limit_commit(&mut self, index: u64) {
         if self.is(pb::MessageType::MsgAppend) {
             self.commit = self.commit.min(index);
         }
     }
 
-    /// The library's form; none for types that only ever stand inside one process or are not known.
+    /// Converts to the library's type; None for unknown types and for types used only within one process.
     #[must_use]
     pub fn to_raft(&self) -> Option<pb::Message> {
         use protobuf::ProtobufEnum;
         let kind = pb::MessageType::from_i32(i32::from(self.kind))?;
-        let proposal = matches!(
+        let is_proposal = matches!(
             kind,
             pb::MessageType::MsgPropose | pb::MessageType::MsgReadIndex
         );
-        if raft::raw_node::is_local_msg(kind) || proposal {
+        if raft::raw_node::is_local_msg(kind) || is_proposal {
             return None;
         }
         let mut message = pb::Message {
--- a/crates/gateway/singleton-roles/src/records.rs
+++ b/crates/gateway/singleton-roles/src/records.rs
@@ -1,59 +1,59 @@
-//! The records on a voter's disk. The encoding goes by position and order: fields keep theirs.
+//! The records on a voter's disk. The encoding is positional, so the order of fields must not change.
 
 use crate::raft_types::{Entry, HardState, Snapshot};
 use crate::table::Group;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a voter knows of its own disk and of others'.
+/// A voter's record of its own disk and of the other voters' disks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DiskMeta {
-    /// Drawn when the disk was first used: a vote belongs to a disk, not to a name.
+    /// Random identity, drawn when the disk was first used; a vote belongs to a disk, not to a name.
     pub disk: u64,
-    /// How often a voter started with it.
+    /// How often a voter has started with this disk.
     pub starts: u64,
-    /// The group it belongs to, as it was formed.
+    /// The original members of the group that the disk belongs to, if any.
     pub group: Option<Group>,
-    /// What each other voter's disk was known to hold.
+    /// Known progress of the other voters' disks.
     pub peers: BTreeMap<u64, DiskProgress>,
 }
 
-/// How far another voter's disk was known to reach.
+/// Known progress of another voter's disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DiskProgress {
-    /// How often it started.
+    /// How often its voter had started.
     pub starts: u64,
-    /// The nonce of that start.
+    /// The nonce of the last known start.
     pub nonce: u64,
-    /// The term in which it acknowledged `last_index`.
+    /// The latest term known from the voter's messages.
     pub term: u64,
-    /// The furthest entry it acknowledged.
+    /// The greatest index known to be on the disk in that term.
     pub last_index: u64,
 }
 
-/// One write, all of it or nothing.
+/// One atomic write to the disk.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WriteBatch {
-    /// Grows with every write of a start.
+    /// Number of the write; it grows with every write since the start.
     pub number: u64,
-    /// All that was there before goes first.
+    /// Erase everything on the disk first.
     pub wipe: bool,
-    /// Replaces what is known of the disks.
+    /// Replaces the record of the disks.
     pub meta: Option<DiskMeta>,
-    /// Replaces term and vote.
+    /// Replaces the term, vote and commit index.
     pub hard_state: Option<HardState>,
-    /// Stands for all entries up to its own.
+    /// Replaces the snapshot and removes the entries that it covers.
     pub snapshot: Option<Snapshot>,
-    /// The first of these and all after it are replaced.
+    /// Appended; stored entries from the first new index on are replaced.
     pub entries: Vec<Entry>,
 }
 
-/// What a disk held at the start.
+/// The contents of a disk when its voter starts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DiskState {
-    /// What is known of the disks.
+    /// The record of the disks.
     pub meta: DiskMeta,
-    /// Term and vote.
+    /// Term, vote and commit index.
     pub hard_state: HardState,
     /// The last snapshot.
     pub snapshot: Snapshot,
@@ -62,7 +62,7 @@
 }
 
 impl DiskState {
-    /// What a disk holds after this write; for disks that exist in memory only.
+    /// Applies a write; used for disks that exist only in memory.
     pub fn apply(&mut self, batch: &WriteBatch) {
         if batch.wipe {
             *self = DiskState::default();
--- a/crates/gateway/singleton-roles/src/settings.rs
+++ b/crates/gateway/singleton-roles/src/settings.rs
@@ -1,22 +1,22 @@
-//! Settings of the voters' group and of the singleton roles, as the operators' file gives them.
+//! Settings of the voter group and the singleton roles, from the operators' file.
 
 use crate::{Name, Slot};
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
 
-/// Most slots over all roles.
+/// Maximum number of slots over all roles.
 pub const MAX_SLOTS: u32 = 65_536;
 
-/// One singleton role, as it stands in the operators' file.
+/// One singleton role in the operators' file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Role {
-    /// What the role is called in the file and in the log.
+    /// The role's name in the file and in logs.
     pub name: String,
-    /// How many shards it has; with `by_zone` one for each zone, whatever stands here.
+    /// Number of shards; ignored with `by_zone`, which gives one shard per zone.
     #[serde(default = "one_shard")]
     pub shards: u32,
-    /// Shard n belongs to the n-th zone and is held by a limiter of it.
+    /// Shard n belongs to the n-th zone and is held by a limiter of that zone.
     #[serde(default)]
     pub by_zone: bool,
 }
@@ -25,94 +25,99 @@
     1
 }
 
-/// What the operators' file says of the group. Times are seconds.
+/// Settings of the voter group and the roles. Times are seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The fleet's name; groups of different fleets never talk to each other.
+    /// The fleet's name; voter groups of different fleets ignore each other's messages.
     pub fleet: String,
-    /// The limiters that vote: 3, 5 or 7 names.
+    /// Names of the limiters that vote: 3, 5 or 7.
     pub voters: Vec<Name>,
     /// Names of the failure domains that limiters run in.
     pub zones: Vec<String>,
-    /// The singleton roles, in the order that numbers their slots.
+    /// The singleton roles; their order determines the slot numbers.
     pub roles: Vec<Role>,
-    /// How long a renewal holds, counted by the client from before its request.
+    /// How long a renewed lease is valid, counted by the client from before its request.
     pub lease_duration: f64,
-    /// How much faster one machine's clock may run than another's, as a share.
+    /// How much faster one machine's clock may run than another's, as a fraction.
     pub clock_drift: f64,
     /// Time from one renewal to the next.
     pub renew_interval: f64,
-    /// An owner that makes no progress for this long releases the slot; 0 watches nobody.
+    /// Time without progress after which an owner releases a slot; 0 disables this.
     pub stall_timeout: f64,
-    /// The voters' time step; a leader that is not heard for 10 to 20 of them is replaced.
+    /// The voters' time step; a leader that is silent for 10 to 20 ticks is replaced.
     pub tick_interval: f64,
-    /// Most slots that are revoked from living owners in one time step.
+    /// Maximum number of slots that are being revoked from live owners at a time.
     pub max_revocations: usize,
-    /// A voter that starts waits this long for so many others that an older disk can't go unseen; then half
-    /// of the others will do. Very long where a put-back disk is the greater danger.
+    /// How long a starting voter waits for enough other voters to confirm that its disk is not an older copy;
+    /// after that, half of the other voters suffice. Use a very long time where a restored older disk
+    /// is the greater danger.
     pub disk_check_timeout: f64,
 }
 
-/// What makes the settings unusable, with its remedy. Keys are those of the operators' file.
+/// An invalid setting, with its remedy. Keys are those of the operators' file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// A group needs an odd number of voters.
-    #[error("fleet.voters: {count} names; give 3, 5 or 7, an odd number over several machines")]
+    /// The number of voters is not 3, 5 or 7.
+    #[error("fleet.voters: {count} names; list 3, 5 or 7 limiters on different machines")]
     VoterCount {
-        /// How many names the file has.
+        /// Number of names in the file.
         count: usize,
     },
-    /// A name is in the list of voters more than once.
-    #[error("fleet.voters: {name} stands there twice; each voter is another limiter")]
+    /// A name is listed as a voter more than once.
+    #[error("fleet.voters: {name} is listed twice; list each voter once")]
     DuplicateVoter {
-        /// The name that is there twice.
+        /// The name that is listed twice.
         name: Name,
     },
-    /// A time is not a positive number.
-    #[error("fleet.{key}: {seconds}; give seconds over 0")]
+    /// A time is not a positive, finite number of seconds.
+    #[error("fleet.{key}: {seconds}; give a finite number of seconds over 0")]
     NotPositive {
         /// The setting's key.
         key: &'static str,
-        /// What the file says.
+        /// The value in the file.
         seconds: f64,
     },
-    /// The share by which clocks may drift is out of range.
+    /// The clock drift is out of range.
     #[error("fleet.drift: {ratio}; give a share from 0 to under 0.5")]
     ClockDrift {
-        /// What the file says.
+        /// The value in the file.
         ratio: f64,
     },
-    /// The stall timeout is within the lease.
-    #[error("fleet.stall: {seconds}; give more than the lease, or 0 for none")]
+    /// The stall timeout is not longer than the lease.
+    #[error("fleet.stall: {seconds}; give more seconds than fleet.lease, or 0 to disable it")]
     StallTimeout {
-        /// What the file says.
+        /// The value in the file.
         seconds: f64,
     },
-    /// A lost renewal or two would cost the lease.
+    /// The lease would be lost after one or two lost renewals.
     #[error(
-        "fleet.lease: {lease} is shorter than three renewals of {renew}; lengthen it or renew more often"
+        "fleet.lease: {lease} s is shorter than three renewals of {renew} s; increase fleet.lease \
+         or reduce fleet.renew"
     )]
     LeaseTooShort {
         /// The lease, in seconds.
         lease: f64,
-        /// Time between renewals, in seconds.
+        /// The time between renewals, in seconds.
         renew: f64,
     },
-    /// The voters' time step is too coarse for the lease.
-    #[error("fleet.lease: {lease} is under two ticks of {tick}")]
+    /// The lease is shorter than two of the voters' time steps.
+    #[error(
+        "fleet.lease: {lease} s is shorter than two ticks of {tick} s; increase fleet.lease or \
+         reduce fleet.tick"
+    )]
     LeaseUnderTwoTicks {
         /// The lease, in seconds.
         lease: f64,
         /// The voters' time step, in seconds.
         tick: f64,
     },
-    /// A role has no name or no shard.
-    #[error("fleet.duties: a duty needs a name and a shard or more")]
+    /// A role has no name or no shards.
+    #[error("fleet.duties: a role lacks a name or shards; give it a name and at least 1 shard")]
     IncompleteRole,
     /// The roles have more slots than [`MAX_SLOTS`].
-    #[error("fleet.duties: {slots} shards in all; the bound is {MAX_SLOTS}")]
+    #[error("fleet.duties: {slots} shards over all roles; give at most {MAX_SLOTS}")]
     TooManySlots {
-        /// Slots over all roles.
+        /// Number of slots over all roles.
         slots: u64,
     },
 }
@@ -120,14 +125,14 @@
 /// The slots of one role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotRange {
-    /// The slot of its first shard.
+    /// The slot of the role's first shard.
     pub first: Slot,
-    /// How many shards it has.
+    /// Number of shards of the role.
     pub count: u32,
 }
 
 impl SlotRange {
-    /// The first `max` of these slots.
+    /// The first `max` slots of the range.
     #[must_use]
     pub fn truncated(self, max: u32) -> Self {
         SlotRange {
@@ -136,29 +141,29 @@
         }
     }
 
-    /// The slots by number.
+    /// The slot numbers of the range.
     #[must_use]
     pub fn slots(self) -> Range<Slot> {
         self.first..self.first + self.count
     }
 }
 
-/// What a slot stands for.
+/// The role and shard of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotInfo<'a> {
-    /// The role's name; empty for a slot that no role has.
+    /// The role's name; empty if no role has this slot.
     pub role: &'a str,
     /// The shard within the role.
     pub shard: u32,
-    /// The zone that its owner has to be in.
+    /// The zone that the slot's owner must be in, if the slot is bound to one.
     pub zone: Option<&'a str>,
 }
 
 impl Settings {
-    /// Checks ranges and how the settings fit together.
+    /// Checks the ranges of the settings and their relations.
     ///
     /// # Errors
-    /// The first setting that can't be used.
+    /// The first invalid setting.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.validate_voters()?;
         self.validate_times()?;
@@ -233,13 +238,13 @@
         }
     }
 
-    /// How many slots all roles have together.
+    /// Number of slots over all roles.
     #[must_use]
     pub fn slots(&self) -> u32 {
         self.roles.iter().map(|role| self.shards(role)).sum()
     }
 
-    /// The slots of a role, if the file has it.
+    /// The slots of a role, if the role is configured.
     #[must_use]
     pub fn slots_of(&self, role: &str) -> Option<SlotRange> {
         let mut first = 0;
@@ -253,7 +258,7 @@
         None
     }
 
-    /// What a slot stands for.
+    /// The role and shard of a slot.
     #[must_use]
     pub fn slot_info(&self, slot: Slot) -> SlotInfo<'_> {
         let mut first = 0;
@@ -277,8 +282,8 @@
         }
     }
 
-    /// How long the granting side waits after the last renewal before it gives a limiter's slots to another,
-    /// in seconds: the lease on the client's clock, however far the two clocks drift apart.
+    /// Seconds that the granter waits after a limiter's last renewal before it expires the session: long enough
+    /// for the lease to end on the client's clock too, at the largest clock drift.
     #[must_use]
     pub fn expiry_wait(&self) -> f64 {
         self.lease_duration * (1.0 + self.clock_drift) / (1.0 - self.clock_drift)
--- a/crates/gateway/singleton-roles/src/table.rs
+++ b/crates/gateway/singleton-roles/src/table.rs
@@ -1,120 +1,121 @@
-//! What the log says: who is registered, and who holds which slot under which token. The same commands give
-//! the same table everywhere. A token is the index of the log entry that granted it, so it grows with every
-//! grant. The encoding goes by position and order: fields and variants keep theirs.
+//! The replicated state machine: registered limiters, and the owner and token of each slot. Applying the same
+//! commands gives the same table on every voter. A token is the index of the log entry that granted the slot,
+//! so it grows with every grant. The encoding is positional, so the order of fields and variants must not
+//! change.
 
 use crate::{Name, Settings, Slot};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One voter of a group as it was formed.
+/// An original member of a voter group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GroupMember {
-    /// Its disk: a vote belongs to a disk, not to a name.
+    /// Identity of the voter's disk; a vote belongs to a disk, not to a name.
     pub disk: u64,
-    /// Its name.
+    /// The voter's name.
     pub name: Name,
 }
 
-/// The voters' group as it was formed, in the order of their disks.
+/// The original members of a voter group, ordered by disk.
 pub type Group = Vec<GroupMember>;
 
-/// One limiter's registration, until its lease expires. Its id is the index of the entry that registered it.
+/// A limiter's registration, which lasts until its lease expires. The table keeps it under a session id.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Session {
     /// The limiter's name.
     pub name: Name,
-    /// Its run.
+    /// The limiter's run.
     pub run: u64,
-    /// Its failure domain.
+    /// The limiter's failure domain.
     pub zone: String,
-    /// Its machine.
+    /// The machine that the limiter runs on.
     pub machine: String,
-    /// Another run of the same name came after it: it is not renewed any more.
+    /// The name was registered by another run later, or is a duplicate; the session is not renewed any more.
     pub replaced: bool,
 }
 
-/// One change of the table, as it stands in the log.
+/// A change of the table, as stored in the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// A limiter is registered.
+    /// Registers a limiter.
     Register {
-        /// Its name.
+        /// The limiter's name.
         name: Name,
-        /// Its run.
+        /// The limiter's run.
         run: u64,
-        /// Its failure domain.
+        /// The limiter's failure domain.
         zone: String,
-        /// Its machine.
+        /// The machine that the limiter runs on.
         machine: String,
     },
-    /// Its lease expired, or it left and holds nothing.
+    /// Removes a session whose lease expired or whose limiter left, and frees its slots.
     Expire {
-        /// The session.
+        /// The session to remove.
         session: u64,
     },
-    /// The owner stopped.
+    /// Frees a slot whose owner released it.
     Release {
-        /// The slot.
+        /// The released slot.
         slot: Slot,
         /// The token under which it was held.
         token: u64,
     },
-    /// To this session, if the slot is free and stands where the granter saw it.
+    /// Grants a slot to a session, if the slot is free and unchanged since the granter read it.
     Grant {
-        /// The slot.
+        /// The granted slot.
         slot: Slot,
-        /// The slot's last token as the granter saw it.
+        /// The slot's last token when the granter read it.
         token: u64,
-        /// The session that gets it.
+        /// The session that gets the slot.
         session: u64,
     },
-    /// Two living processes have this name.
+    /// Marks a name that two running processes use.
     MarkDuplicate {
-        /// The name.
+        /// The duplicate name.
         name: Name,
     },
-    /// One living process has this name again.
+    /// Clears the mark of a name that only one running process uses again.
     ClearDuplicate {
-        /// The name.
+        /// The name that is unique again.
         name: Name,
     },
 }
 
-/// Who holds a slot, and under which token.
+/// The owner of a slot and the slot's last token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SlotState {
-    /// The last token that was granted; 0 when none was.
+    /// The last token that was granted for the slot, or 0.
     pub token: u64,
-    /// The owner's session; 0 when the slot is free.
+    /// The owner's session id; 0 while the slot is free.
     pub session: u64,
 }
 
 /// A slot that a limiter holds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Assignment {
-    /// The slot.
+    /// The held slot.
     pub slot: Slot,
-    /// The token under which it is held.
+    /// The token under which the slot is held.
     pub token: u64,
 }
 
-/// The replicated state: what all commands up to an index made of it.
+/// The replicated state after all commands up to an index of the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoleTable {
-    /// The voters by disk.
+    /// Names of the voters, by disk.
     pub voters: BTreeMap<u64, Name>,
-    /// The registered limiters by session id.
+    /// The registered limiters, by session id.
     pub sessions: BTreeMap<u64, Session>,
-    /// Every slot, by number.
+    /// The state of every slot, by slot number.
     pub slots: Vec<SlotState>,
-    /// Names that two living processes have.
+    /// Names that two running processes use.
     pub duplicates: BTreeSet<Name>,
-    /// Of each session the last entry that changed what it holds.
+    /// For each session id, the index of the last entry that changed the session's assignments.
     pub versions: BTreeMap<u64, u64>,
 }
 
 impl RoleTable {
-    /// The table of a group that was just formed: all slots free.
+    /// The table of a newly formed group; all slots are free.
     #[must_use]
     pub fn new(settings: &Settings, group: &Group) -> Self {
         let voters = group
@@ -127,7 +128,7 @@
         }
     }
 
-    /// The session of this run, unless it was replaced.
+    /// The session id of this run, unless the session was replaced.
     #[must_use]
     pub fn session_of(&self, name: &str, run: u64) -> Option<u64> {
         let mut sessions = self.sessions.iter();
@@ -135,7 +136,7 @@
         found.map(|(id, _)| *id)
     }
 
-    /// The slots that a session holds.
+    /// The slots assigned to a session.
     #[must_use]
     pub fn assignments_of(&self, session: u64) -> Vec<Assignment> {
         let slots = self.slots.iter().enumerate();
@@ -148,7 +149,8 @@
             .collect()
     }
 
-    /// Applies the command of the entry with this index; returns the session whose assignments it changed.
+    /// Applies a command of the entry at `index`; returns the session whose assignments the command changed, if
+    /// that session still exists.
     pub fn apply(&mut self, index: u64, command: &Command) -> Option<u64> {
         match command {
             Command::Register {
@@ -212,7 +214,8 @@
 
     fn register(&mut self, index: u64, session: Session) -> u64 {
         self.mark_replaced(&session.name);
-        // Several may register in one entry; ids stay apart and grow.
+        // The id is the entry's index, or greater if several limiters register in one entry: ids are unique and
+        // grow.
         let last = self.sessions.keys().next_back();
         let id = last.map_or(index, |last| index.max(last + 1));
         self.sessions.insert(id, session);
