--- a/crates/gateway/singleton-roles/src/voter/disk_check.rs
+++ b/crates/gateway/singleton-roles/src/voter/disk_check.rs
@@ -1,6 +1,6 @@
-//! Before a voter votes: the group is formed by voters whose disks are all empty, a disk that was lost is
-//! admitted anew, and a disk that was put back to an older state is found out. A vote belongs to a disk: one
-//! that may have forgotten a vote must not cast another.
+//! Checks before a voter may vote. Voters whose disks are all empty form the group; the leader admits the new
+//! disk of a voter that lost its old one; and a disk restored to an older state is detected. A vote belongs to
+//! a disk: a disk that may have lost a vote must not cast another.
 
 use super::{Phase, Voter};
 use crate::memory_log::MemoryLog;
@@ -14,7 +14,7 @@
 
 impl Voter {
     pub(super) fn send_hello(&mut self, out: &mut Vec<Output>) {
-        // Not before the start itself is on the disk.
+        // The start itself must be on the disk first.
         if !self.pending_writes.is_empty() {
             return;
         }
@@ -39,11 +39,14 @@
     pub(super) fn receive_hello(&mut self, from: &str, hello: VoterHello, out: &mut Vec<Output>) {
         if hello.name != from || !self.settings.voters.contains(&hello.name) {
             let name = &hello.name;
-            let text = format!("{from} says it votes as {name}, which the file does not list");
+            let text = format!(
+                "{from} sent a hello as voter {name}; the name must be its own and listed in \
+                 fleet.voters"
+            );
             report(out, Severity::Warning, text);
             return;
         }
-        let answer = |response| Output::Send {
+        let respond = |response| Output::Send {
             to: from.into(),
             message: Message::HelloResponse {
                 disk: hello.disk,
@@ -52,7 +55,7 @@
             },
         };
         let Some(group) = self.meta.group.clone() else {
-            out.push(answer(HelloResponse::Empty {
+            out.push(respond(HelloResponse::Empty {
                 disk: self.meta.disk,
             }));
             if !hello.is_voter {
@@ -67,16 +70,16 @@
         let known = self.meta.peers.get(&hello.disk).copied();
         let known = known.unwrap_or_default();
         let same_start = hello.starts == known.starts && hello.nonce == known.nonce;
-        let verdict = self.judge_disk(&group, &hello);
+        let verdict = self.check_disk(&group, &hello);
         if verdict == DiskVerdict::Current && !same_start {
-            // Remembered on the disk; the answer goes out with the next hello, when that is done.
+            // The start is written to disk first; the voter's next hello is answered after the write.
             let known = self.meta.peers.entry(hello.disk).or_default();
             (known.starts, known.nonce) = (hello.starts, hello.nonce);
             self.batch.meta = Some(self.meta.clone());
-            self.write_binding(0, Vec::new(), out);
+            self.write_barrier(0, Vec::new(), out);
             return;
         }
-        out.push(answer(HelloResponse::Formed {
+        out.push(respond(HelloResponse::Formed {
             disk: self.meta.disk,
             group,
             verdict,
@@ -87,11 +90,11 @@
         }
     }
 
-    /// What this voter holds of the disk that says hello.
-    fn judge_disk(&self, group: &Group, hello: &VoterHello) -> DiskVerdict {
+    /// This voter's verdict on the disk that sent a hello.
+    fn check_disk(&self, group: &Group, hello: &VoterHello) -> DiskVerdict {
         let voters = &self.table.voters;
-        let formed_it = group.iter().any(|member| member.disk == hello.disk);
-        let is_member = formed_it || voters.contains_key(&hello.disk);
+        let is_original = group.iter().any(|member| member.disk == hello.disk);
+        let is_member = is_original || voters.contains_key(&hello.disk);
         let removed = !voters.is_empty() && !voters.contains_key(&hello.disk);
         if !is_member || (removed && self.is_voting() && self.applied > 1) {
             return DiskVerdict::Unknown;
@@ -99,7 +102,7 @@
         let known = self.meta.peers.get(&hello.disk).copied();
         let known = known.unwrap_or_default();
         let same_start = hello.starts == known.starts && hello.nonce == known.nonce;
-        // Acknowledged entries are only ever taken back in a later term.
+        // Acknowledged entries are removed from a log only in a later term.
         let behind = (hello.term, hello.last_index) < (known.term, known.last_index);
         if (hello.starts <= known.starts && !same_start) || (hello.is_voter && behind) {
             DiskVerdict::Outdated
@@ -117,7 +120,8 @@
         })
     }
 
-    /// The leader swaps a voter's lost disk for its new one, through both majorities.
+    /// As leader, proposes to replace a voter's lost disk by its new one, in a joint change that needs the
+    /// majorities of both configurations.
     fn admit(&mut self, name: Name, disk: u64, out: &mut Vec<Output>) {
         let (now, interval) = (self.now, self.settings.lease_duration);
         let Some(leadership) = &mut self.leadership else {
@@ -129,15 +133,17 @@
         let Some(raft) = self.raft.as_mut() else {
             return;
         };
-        leadership.admitted(now);
+        leadership.admission_proposed(now);
         let replaced = self.table.voters.iter().find(|v| *v.1 == name);
-        let mut changes = vec![single_change(disk, ConfChangeType::AddNode)];
-        changes.extend(replaced.map(|(old, _)| single_change(*old, ConfChangeType::RemoveNode)));
+        let mut changes = vec![single_config_change(disk, ConfChangeType::AddNode)];
+        changes.extend(
+            replaced.map(|(old, _)| single_config_change(*old, ConfChangeType::RemoveNode)),
+        );
         let mut change = ConfChangeV2::default();
         change.set_changes(changes.into());
         let context = postcard::to_stdvec(&(name.clone(), disk)).unwrap_or_default();
         if raft.propose_conf_change(context, change).is_ok() {
-            let text = format!("voter {name} comes with another disk and is admitted anew");
+            let text = format!("voter {name} has a new disk: its admission is proposed");
             report(out, Severity::Warning, text);
         }
     }
@@ -159,7 +165,7 @@
                 verdict,
                 leader,
             } => match &mut self.phase {
-                Phase::Forming { .. } => self.join_formed(from, group, verdict, out),
+                Phase::Forming { .. } => self.join_group(from, group, verdict, out),
                 Phase::VerifyingDisk {
                     confirmed_by,
                     leader: known,
@@ -181,8 +187,8 @@
         }
     }
 
-    /// Another voter has formed a group: this one is in it, or waits to be admitted.
-    fn join_formed(
+    /// Joins the group that another voter belongs to, or waits to be admitted if this disk is no member.
+    fn join_group(
         &mut self,
         from: &str,
         group: Group,
@@ -194,34 +200,40 @@
             name: self.name.clone(),
         };
         if group.contains(&own) {
-            self.begin(group, out);
+            self.start_group(group, out);
         } else if verdict == DiskVerdict::Unknown {
             let name = &self.name;
-            let text = format!("{from} knows another disk of voter {name}; this one waits");
+            let text = format!(
+                "voter {name}: {from} knows another disk of this voter; waiting until the leader \
+                 admits the new disk"
+            );
             report(out, Severity::Warning, text);
-            // Adopts the group's number, so that it understands the leader that admits it.
+            // Messages of the leader that admits this voter carry the group's number.
             self.meta.group = Some(group);
             self.batch.meta = Some(self.meta.clone());
-            self.write_binding(0, Vec::new(), out);
-            self.listen_without_vote(out);
+            self.write_barrier(0, Vec::new(), out);
+            self.follow_without_vote(out);
         }
     }
 
     fn reject_own_disk(&mut self, from: &str, verdict: DiskVerdict, out: &mut Vec<Output>) {
-        let what = if verdict == DiskVerdict::Outdated {
-            "is older than what was seen of it"
+        let reason = if verdict == DiskVerdict::Outdated {
+            "is older than its last known state"
         } else {
             "has no vote"
         };
         let name = &self.name;
-        let text = format!("voter {name}: {from} says this disk {what}; it starts empty");
+        let text = format!(
+            "voter {name}: {from} reports that this disk {reason}; starting over with an empty \
+             disk"
+        );
         report(out, Severity::Warning, text);
         self.start_empty(out);
     }
 
-    /// Whether this disk is the newest of its voter. So many others have to say so that no majority with it is
-    /// left without one of them, and the leader, which counts what this disk acknowledged before its start.
-    /// Where those are gone for longer than the stated wait, half of the others are believed.
+    /// Starts voting once enough other voters have confirmed that this disk is not an older copy: so many that
+    /// every majority including this voter contains one of them, and the leader, which counts the entries that
+    /// this disk acknowledged before its start. After `disk_check_timeout`, half of the other voters suffice.
     fn check_confirmations(&mut self, out: &mut Vec<Output>) {
         let Phase::VerifyingDisk {
             confirmed_by,
@@ -234,14 +246,16 @@
         let (name, voters) = (&self.name, self.settings.voters.len());
         let waited = self.now > since + self.settings.disk_check_timeout;
         let leader = leader.disk;
-        let by_leader = leader == 0 || leader == self.meta.disk || confirmed_by.contains(&leader);
+        let leader_confirmed =
+            leader == 0 || leader == self.meta.disk || confirmed_by.contains(&leader);
         let confirmations = confirmed_by.len();
-        if confirmations >= voters - voters / 2 && by_leader {
-            let text = format!("voter {name}: its disk is the newest, it votes");
+        if confirmations >= voters - voters / 2 && leader_confirmed {
+            let text = format!("voter {name}: its disk is confirmed as current; it votes");
             report(out, Severity::Info, text);
         } else if confirmations >= voters / 2 && waited {
             let text = format!(
-                "voter {name}: {confirmations} others found its disk current, the rest is gone"
+                "voter {name}: only {confirmations} of the other voters confirmed its disk within \
+                 fleet.disk_wait; it votes"
             );
             report(out, Severity::Warning, text);
         } else {
@@ -250,12 +264,12 @@
         self.phase = Phase::Voting;
     }
 
-    /// A disk that was put back is no voter's any more: a new one takes its place, and waits to be admitted.
+    /// Discards the contents of an outdated disk: it gets a new identity, which waits to be admitted.
     pub(super) fn start_empty(&mut self, out: &mut Vec<Output>) {
         self.raft = None;
         self.leadership = None;
         for write in &mut self.pending_writes {
-            write.detach();
+            write.discard_messages();
         }
         self.pending_snapshot = None;
         self.meta = DiskMeta {
@@ -272,11 +286,11 @@
             meta: Some(self.meta.clone()),
             ..Default::default()
         };
-        self.write_binding(0, Vec::new(), out);
+        self.write_barrier(0, Vec::new(), out);
     }
 
-    /// Listens as one with an empty log: it votes for nobody until the group's change names it.
-    fn listen_without_vote(&mut self, out: &mut Vec<Output>) {
+    /// Follows the leader with an empty log and without a vote until a change of the voters admits this disk.
+    fn follow_without_vote(&mut self, out: &mut Vec<Output>) {
         if let Err(error) = self.start_raft(MemoryLog::default()) {
             report(out, Severity::Warning, error.to_string());
         }
@@ -284,7 +298,8 @@
         self.phase = Phase::NonVoting;
     }
 
-    /// All voters of the file have empty disks: they form the group, each for itself, alike.
+    /// Forms the group once the empty disks of all configured voters are known. Every voter computes the same
+    /// group by itself.
     fn form_group(&mut self, out: &mut Vec<Output>) {
         let Phase::Forming { disks } = &self.phase else {
             return;
@@ -303,10 +318,11 @@
             name: self.name.clone(),
         });
         group.sort();
-        self.begin(group, out);
+        self.start_group(group, out);
     }
 
-    fn begin(&mut self, group: Group, out: &mut Vec<Output>) {
+    /// Starts the log of a new group with a snapshot that all its voters create alike.
+    fn start_group(&mut self, group: Group, out: &mut Vec<Output>) {
         let table = RoleTable::new(&self.settings, &group);
         let voters = group.iter().map(|member| member.disk).collect();
         let snapshot = Snapshot {
@@ -337,14 +353,14 @@
         self.batch.meta = Some(self.meta.clone());
         self.batch.hard_state = Some(hard_state);
         self.batch.snapshot = Some(snapshot);
-        self.write_binding(0, Vec::new(), out);
+        self.write_barrier(0, Vec::new(), out);
         self.phase = Phase::Voting;
-        let text = format!("voter {}: the group is formed", self.name);
+        let text = format!("voter {}: the voter group is formed", self.name);
         report(out, Severity::Info, text);
     }
 }
 
-fn single_change(disk: u64, kind: ConfChangeType) -> ConfChangeSingle {
+fn single_config_change(disk: u64, kind: ConfChangeType) -> ConfChangeSingle {
     let mut change = ConfChangeSingle {
         node_id: disk,
         ..Default::default()
--- a/crates/gateway/singleton-roles/src/voter/leadership.rs
+++ b/crates/gateway/singleton-roles/src/voter/leadership.rs
@@ -1,5 +1,5 @@
-//! What a leader knows beside the log: renewals that wait, leases, and which slots should move. A new leader
-//! begins anew.
+//! The leader's state outside the log: waiting renewals, leases, and slots to be moved. It is not replicated; a
+//! new leader starts without it.
 
 use crate::lease::LeaseGranter;
 use crate::message::{report, RenewRequest};
@@ -8,62 +8,64 @@
 use crate::{Identity, Message, Name, Output, Settings, Severity, Slot};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Renewals that wait for a majority's word; more are dropped, their senders ask again.
-const MAX_WAITING: usize = 8_192;
-/// Commands in one entry.
-const MAX_COMMANDS: usize = 1_024;
-/// Leases after which a run that renews no more is forgotten.
-const RUN_LEASES: f64 = 3.0;
-/// A limiter that made no progress in a slot does not get it again for so many stall timeouts.
+/// Maximum number of renewals that wait for a confirmation of leadership; more are dropped, and the clients
+/// retry.
+const MAX_WAITING_RENEWALS: usize = 8_192;
+/// Maximum number of commands in one log entry.
+const MAX_COMMANDS_PER_ENTRY: usize = 1_024;
+/// Lease durations without a renewal after which a run is forgotten.
+const RUN_RETENTION_LEASES: f64 = 3.0;
+/// Stall timeouts for which a limiter is barred from a slot on which it made no progress.
 const BARRED_STALL_TIMEOUTS: f64 = 4.0;
 
-/// A renewal and when it came.
+/// A renewal request and when it was received.
 pub(super) struct WaitingRenewal {
     pub(super) request: RenewRequest,
     pub(super) received: f64,
 }
 
-/// A question to the majority, and the renewals that wait for its answer.
+/// A read-index request, and the renewals that wait for its confirmation.
 struct Confirmation {
     number: u64,
     sent: f64,
     renewals: Vec<WaitingRenewal>,
 }
 
-/// Commands that are under way to the log.
+/// Commands that were proposed to the log and are not applied yet.
 #[derive(Clone, Copy)]
 struct Proposal {
     number: u64,
     sent: f64,
 }
 
+/// The state of this voter as leader of one term.
 pub(super) struct Leadership {
     term: u64,
     since: f64,
-    /// An entry of its own term is applied: the table is up to date.
+    /// The first entry of the term is applied, so the table is up to date.
     ready: bool,
     granter: LeaseGranter<f64>,
-    /// Renewals that came since the last question to the majority.
+    /// Renewals received since the last read-index request.
     waiting: Vec<WaitingRenewal>,
     confirmation: Option<Confirmation>,
-    /// Commands that go to the log next.
+    /// Commands to propose next.
     queued: VecDeque<Command>,
     proposal: Option<Proposal>,
     placement: Placement,
-    /// Slots revoked from living owners, with their sessions.
+    /// Slots being revoked from live owners, with the owners' sessions.
     revoking: BTreeMap<Slot, u64>,
-    /// Who made no progress in a slot, and until when it doesn't get it again.
-    barred: BTreeMap<(Slot, Name), f64>,
+    /// Until when a limiter that made no progress on a slot is barred from it.
+    barred_until: BTreeMap<(Slot, Name), f64>,
     /// When each run of a name last renewed.
-    runs: BTreeMap<(Name, u64), f64>,
-    /// Since when each session is replaced by a later run.
-    replaced: BTreeMap<u64, f64>,
-    /// Sessions whose assignments changed; they are notified at once.
-    changed: BTreeSet<u64>,
-    /// When a voter was last admitted; one at a time.
+    last_renewal_of_run: BTreeMap<(Name, u64), f64>,
+    /// When each replaced session was replaced by a later run.
+    replaced_at: BTreeMap<u64, f64>,
+    /// Sessions whose assignments changed and that are not notified yet.
+    changed_sessions: BTreeSet<u64>,
+    /// When the admission of a voter was last proposed; voters are admitted one at a time.
     last_admission: f64,
-    /// Sessions whose end is under way in the log: not renewed any more, however alive they are.
-    ending: BTreeSet<u64>,
+    /// Sessions whose `Expire` command may be in the log already; they are not renewed any more.
+    expiring: BTreeSet<u64>,
 }
 
 impl Leadership {
@@ -79,12 +81,12 @@
             proposal: None,
             placement: Placement::new(settings),
             revoking: BTreeMap::new(),
-            barred: BTreeMap::new(),
-            runs: BTreeMap::new(),
-            replaced: BTreeMap::new(),
-            changed: BTreeSet::new(),
+            barred_until: BTreeMap::new(),
+            last_renewal_of_run: BTreeMap::new(),
+            replaced_at: BTreeMap::new(),
+            changed_sessions: BTreeSet::new(),
             last_admission: f64::NEG_INFINITY,
-            ending: BTreeSet::new(),
+            expiring: BTreeSet::new(),
         }
     }
 
@@ -96,16 +98,16 @@
         self.ready
     }
 
-    /// Whether a voter may be admitted now; `interval` lies between two.
+    /// Whether a voter may be admitted now, at least `interval` after the last admission.
     pub(super) fn may_admit(&self, now: f64, interval: f64) -> bool {
         self.ready && now > self.last_admission + interval
     }
 
-    pub(super) fn admitted(&mut self, now: f64) {
+    pub(super) fn admission_proposed(&mut self, now: f64) {
         self.last_admission = now;
     }
 
-    /// The first entry of a term is applied; whatever a predecessor granted counts from now.
+    /// Handles the first applied entry of the term: leases granted by a predecessor count as renewed now.
     pub(super) fn term_began(&mut self, term: u64, table: &RoleTable, now: f64) {
         if self.ready || self.term != term {
             return;
@@ -114,10 +116,10 @@
         self.since = now;
         self.granter = LeaseGranter::take_over(table.sessions.keys().copied(), now);
         let replaced = table.sessions.iter().filter(|(_, s)| s.replaced);
-        self.replaced = replaced.map(|(id, _)| (*id, now)).collect();
+        self.replaced_at = replaced.map(|(id, _)| (*id, now)).collect();
     }
 
-    /// A command was applied; `changed` is the session whose assignments it changed.
+    /// Updates the state for an applied command; `changed` is the session whose assignments changed.
     pub(super) fn applied(
         &mut self,
         command: &Command,
@@ -131,13 +133,13 @@
                     self.granter.renew(session, now);
                 }
                 for (id, _) in table.sessions.iter().filter(|(_, s)| s.replaced) {
-                    self.replaced.entry(*id).or_insert(now);
+                    self.replaced_at.entry(*id).or_insert(now);
                 }
             }
             Command::Expire { session } => {
                 self.granter.forget(*session);
-                self.ending.remove(session);
-                self.replaced.remove(session);
+                self.expiring.remove(session);
+                self.replaced_at.remove(session);
             }
             Command::Release { slot, .. } => {
                 self.revoking.remove(slot);
@@ -146,16 +148,16 @@
             | Command::MarkDuplicate { .. }
             | Command::ClearDuplicate { .. } => {}
         }
-        self.changed.extend(changed);
+        self.changed_sessions.extend(changed);
     }
 
-    /// Takes a renewal; false where too many wait.
+    /// Queues a renewal; returns false if too many are waiting.
     pub(super) fn enqueue(&mut self, request: RenewRequest, now: f64) -> bool {
-        if self.waiting.len() >= MAX_WAITING {
+        if self.waiting.len() >= MAX_WAITING_RENEWALS {
             return false;
         }
         let run = (request.identity.name.clone(), request.identity.run);
-        self.runs.insert(run, now);
+        self.last_renewal_of_run.insert(run, now);
         self.waiting.push(WaitingRenewal {
             request,
             received: now,
@@ -163,11 +165,11 @@
         true
     }
 
-    /// Whether renewals wait and no question to the majority is under way for less than `timeout`.
+    /// Whether renewals wait and no read-index request was sent within the last `timeout` seconds.
     pub(super) fn needs_confirmation(&self, timeout: f64, now: f64) -> bool {
-        let under_way = self.confirmation.as_ref();
-        let under_way = under_way.is_some_and(|c| now <= c.sent + timeout);
-        !self.waiting.is_empty() && !under_way
+        let in_progress = self.confirmation.as_ref();
+        let in_progress = in_progress.is_some_and(|c| now <= c.sent + timeout);
+        !self.waiting.is_empty() && !in_progress
     }
 
     pub(super) fn confirmation_sent(&mut self, number: u64, now: f64) {
@@ -178,14 +180,14 @@
         });
     }
 
-    /// The renewals of the question with this context; none if it is an older one.
+    /// Takes the renewals of the read-index request with this context; None for an outdated request.
     pub(super) fn take_confirmed(&mut self, context: &[u8]) -> Option<Vec<WaitingRenewal>> {
-        let asked = |c: &mut Confirmation| c.number.to_le_bytes() == context;
-        let confirmation = self.confirmation.take_if(asked)?;
+        let is_current = |pending: &mut Confirmation| pending.number.to_le_bytes() == context;
+        let confirmation = self.confirmation.take_if(is_current)?;
         Some(confirmation.renewals)
     }
 
-    /// What the client stopped is released, if it still stands as the client knew it.
+    /// Queues the release of slots that the client gave up, if they still have the client's token and an owner.
     pub(super) fn release(
         &mut self,
         request: &RenewRequest,
@@ -204,59 +206,65 @@
             }
             if released.stalled {
                 let until = now + settings.stall_timeout * BARRED_STALL_TIMEOUTS;
-                self.barred.insert((slot, name.clone()), until);
+                self.barred_until.insert((slot, name.clone()), until);
                 let info = settings.slot_info(slot);
                 let (role, shard) = (info.role, info.shard);
-                let text = format!("{name} made no progress in {role} {shard}; another takes it");
+                let text = format!(
+                    "{name} made no progress on role {role}, shard {shard}; another limiter takes \
+                     the slot"
+                );
                 report(out, Severity::Warning, text);
             }
         }
     }
 
-    /// Queues a command unless it is queued already; says whether it was not.
+    /// Queues a command unless it is queued already; returns whether it was added.
     pub(super) fn queue_once(&mut self, command: Command) -> bool {
-        let new = !self.queued.contains(&command);
-        if new {
+        let is_new = !self.queued.contains(&command);
+        if is_new {
             self.queued.push_back(command);
         }
-        new
+        is_new
     }
 
-    /// Renews a session's lease; false where its end may be in the log already: what is renewed now would be
-    /// granted to another meanwhile.
+    /// Renews a session's lease. Returns false if the session's `Expire` command may be in the log already: its
+    /// slots could be granted to another limiter during the renewed lease.
     pub(super) fn renew(&mut self, session: u64, leaving: bool, received: f64) -> bool {
         if leaving {
-            self.ending.insert(session);
+            self.expiring.insert(session);
         }
-        if self.ending.contains(&session) {
+        if self.expiring.contains(&session) {
             return false;
         }
         self.granter.renew(session, received);
-        self.changed.remove(&session);
+        self.changed_sessions.remove(&session);
         true
     }
 
-    /// Whether another run of the name renewed within a lease.
+    /// Whether another run of the name sent a renewal within the last `lease` seconds.
     pub(super) fn other_run_is_alive(&self, identity: &Identity, lease: f64, now: f64) -> bool {
-        self.runs.iter().any(|((name, run), at)| {
+        self.last_renewal_of_run.iter().any(|((name, run), at)| {
             *name == identity.name && *run != identity.run && *at > now - lease
         })
     }
 
-    /// Since when a session is replaced by a later run, as far as this leader knows.
+    /// When the session was replaced by a later run; the start of this leadership if unknown.
     pub(super) fn replaced_since(&self, session: u64) -> f64 {
-        self.replaced.get(&session).copied().unwrap_or(self.since)
+        self.replaced_at
+            .get(&session)
+            .copied()
+            .unwrap_or(self.since)
     }
 
-    /// The slots that a session is asked to give back.
+    /// The slots being revoked from a session.
     pub(super) fn revoked_from(&self, session: u64) -> Vec<Slot> {
         let revoked = self.revoking.iter().filter(|(_, from)| **from == session);
         revoked.map(|(slot, _)| *slot).collect()
     }
 
-    /// Whose assignments changed is notified at once; the lease itself goes by its renewal.
+    /// Tells clients whose assignments changed to renew at once; the notice itself renews no lease.
     pub(super) fn notify_changed(&mut self, table: &RoleTable, out: &mut Vec<Output>) {
-        for session in std::mem::take(&mut self.changed) {
+        for session in std::mem::take(&mut self.changed_sessions) {
             if let Some(session) = table.sessions.get(&session) {
                 out.push(Output::Send {
                     to: session.name.clone(),
@@ -266,7 +274,7 @@
         }
     }
 
-    /// Whether commands are under way to the log; after a lease they count as lost.
+    /// Whether proposed commands are not applied yet; after `lease` seconds a proposal counts as lost.
     pub(super) fn is_proposing(&mut self, lease: f64, now: f64) -> bool {
         self.proposal = self.proposal.filter(|p| now <= p.sent + lease);
         self.proposal.is_some()
@@ -276,16 +284,17 @@
         self.proposal = Some(Proposal { number, sent: now });
     }
 
-    /// Whether these were the commands under way; the next ones may follow.
+    /// Clears the pending proposal if it has this number; returns whether it did.
     pub(super) fn proposal_applied(&mut self, number: u64) -> bool {
         self.proposal.take_if(|p| p.number == number).is_some()
     }
 
-    /// Queues what the state of the table and the leases call for.
+    /// Queues the commands and revocations that the table and the leases require now.
     pub(super) fn maintain(&mut self, table: &RoleTable, settings: &Settings, now: f64) {
         let lease = settings.lease_duration;
-        self.runs.retain(|_, at| *at > now - lease * RUN_LEASES);
-        self.barred.retain(|_, until| *until > now);
+        self.last_renewal_of_run
+            .retain(|_, at| *at > now - lease * RUN_RETENTION_LEASES);
+        self.barred_until.retain(|_, until| *until > now);
         self.expire_sessions(table, settings, now);
         self.clear_duplicates(table, lease, now);
         let live = self.live_sessions(table, lease, now);
@@ -296,10 +305,10 @@
     fn expire_sessions(&mut self, table: &RoleTable, settings: &Settings, now: f64) {
         let wait = settings.expiry_wait();
         for session in table.sessions.keys().copied() {
-            // One that leaves is as good as expired; what was proposed may have been lost.
+            // A leaving session counts as expired. Queued again each time, because a proposal may be lost.
             let expired = self.granter.has_expired(session, wait, now);
-            if expired || self.ending.contains(&session) {
-                self.ending.insert(session);
+            if expired || self.expiring.contains(&session) {
+                self.expiring.insert(session);
                 self.queued.push_back(Command::Expire { session });
             }
         }
@@ -307,8 +316,11 @@
 
     fn clear_duplicates(&mut self, table: &RoleTable, lease: f64, now: f64) {
         for name in &table.duplicates {
-            let runs = self.runs.keys().filter(|(other, _)| other == name);
-            if runs.count() <= 1 && now > self.since + lease * RUN_LEASES {
+            let runs = self
+                .last_renewal_of_run
+                .keys()
+                .filter(|(other, _)| other == name);
+            if runs.count() <= 1 && now > self.since + lease * RUN_RETENTION_LEASES {
                 let name = name.clone();
                 self.queued.push_back(Command::ClearDuplicate { name });
             }
@@ -321,13 +333,14 @@
             let renewed = renewal.is_some_and(|at| now < at + lease);
             !session.replaced
                 && renewed
-                && !self.ending.contains(id)
+                && !self.expiring.contains(id)
                 && !table.duplicates.contains(&session.name)
         });
         live.map(|(id, _)| *id).collect()
     }
 
-    /// Free slots go to their best placed session; those of worse placed ones are revoked, a few at a time.
+    /// Grants free slots to their preferred sessions, and revokes slots of other sessions, a limited number at a
+    /// time.
     fn assign_slots(&mut self, table: &RoleTable, settings: &Settings, live: &BTreeSet<u64>) {
         let mut revocations = settings.max_revocations.saturating_sub(self.revoking.len());
         self.revoking.retain(|slot, session| {
@@ -340,7 +353,7 @@
             };
             let SlotState { token, session } = *state;
             if session == 0 {
-                if self.queued.len() < MAX_COMMANDS {
+                if self.queued.len() < MAX_COMMANDS_PER_ENTRY {
                     let session = best;
                     self.queued.push_back(Command::Grant {
                         slot,
@@ -354,26 +367,26 @@
                 && self.revoking.insert(slot, session).is_none()
             {
                 revocations -= 1;
-                self.changed.insert(session);
+                self.changed_sessions.insert(session);
             }
         }
     }
 
     fn preferred(&self, slot: Slot, table: &RoleTable) -> Option<u64> {
-        if self.barred.is_empty() {
+        if self.barred_until.is_empty() {
             return self.placement.preferred(slot);
         }
         self.placement.preferred_except(slot, |session| {
             let session = table.sessions.get(&session);
             let name = session.map(|s| s.name.clone()).unwrap_or_default();
-            self.barred.contains_key(&(slot, name))
+            self.barred_until.contains_key(&(slot, name))
         })
     }
 
-    /// The next commands for one entry. A slot released and granted in one entry would get no greater token:
-    /// while anything else is queued, grants are dropped; they are queued again afterwards.
+    /// Takes the next commands for one log entry. A slot released and granted in the same entry would get no
+    /// greater token, so grants are dropped while other commands are queued; `maintain` queues them again.
     pub(super) fn next_commands(&mut self) -> Option<Vec<Command>> {
-        let count = self.queued.len().min(MAX_COMMANDS);
+        let count = self.queued.len().min(MAX_COMMANDS_PER_ENTRY);
         let commands = self.queued.drain(..count);
         let (grants, others): (Vec<_>, Vec<_>) =
             commands.partition(|command| matches!(command, Command::Grant { .. }));
--- a/crates/gateway/singleton-roles/src/voter/mod.rs
+++ b/crates/gateway/singleton-roles/src/voter/mod.rs
@@ -1,12 +1,13 @@
-//! One voter: its part in the log, and, while it leads, who is registered and who holds what. It must never
-//! send what says that something is on its disk before it is, never renew a lease before a majority confirmed
-//! that it leads, and never vote with a disk that may have forgotten a vote.
+//! One voter: it replicates the log and, while it leads, registers limiters, renews leases and assigns slots.
 //!
-//! - `disk_check`: forming the group, a lost disk, an older disk put back.
-//! - `writes`: what waits for the disk.
+//! A voter must never send a message that promises data on its disk before the data is written, never renew a
+//! lease before a majority confirmed that it leads, and never vote with a disk that may have lost a vote.
+//!
+//! - `disk_check`: forming the group, admitting a new disk, detecting a restored older disk.
+//! - `writes`: pending disk writes and the messages that wait for them.
 //! - `replication`: the consensus library's input and output, and applying the log.
-//! - `renewals`: the leader's answers to clients.
-//! - `leadership`: what a leader knows beside the log, and how it assigns slots.
+//! - `renewals`: the leader's responses to clients.
+//! - `leadership`: the leader's state outside the log, and the assignment of slots.
 
 mod disk_check;
 mod leadership;
@@ -28,60 +29,69 @@
 use writes::PendingWrite;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Ticks without a word of the leader after which a voter may stand for election; up to twice as many.
+/// Minimum election timeout in ticks; each timeout is drawn from this up to twice as many.
 const ELECTION_TICKS: usize = 10;
 /// Ticks between a leader's heartbeats.
 const HEARTBEAT_TICKS: usize = 2;
-/// Bytes of entries in one message, and messages on their way to one voter.
+/// Maximum bytes of entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 64 * 1024;
+/// Maximum number of unacknowledged append messages to one voter.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// Ticks between two hellos of a voter that may not vote yet.
+/// Average ticks between two hellos of a voter that may not vote yet.
 const HELLO_TICKS: f64 = 5.0;
 
-/// Why a voter can't go on with what its disk holds.
+/// Why a voter can't start with the contents of its disk.
 #[derive(Debug, thiserror::Error)]
 pub enum VoterError {
-    /// Entries are missing.
-    #[error("the voter's store has a gap in its log; move it away")]
+    /// Log entries are missing.
+    #[error("the voter's store lacks log entries; move the store away to start with an empty one")]
     LogGap,
-    /// The snapshot is of no known form.
-    #[error("the voter's snapshot can't be read ({source}); move the store away")]
+    /// The snapshot can't be decoded.
+    #[error(
+        "the snapshot in the voter's store can't be decoded ({source}); move the store away to \
+         start with an empty one"
+    )]
     Snapshot {
-        /// What the decoder says.
+        /// The decoder's error.
         source: postcard::Error,
     },
-    /// The settings have other roles than the store was made for.
+    /// The store was created for another number of slots than the settings have.
     #[error(
-        "the store has {stored} slots, fleet.duties {configured}: duties can't be changed yet"
+        "the voter's store has {stored} slots, fleet.duties gives {configured}: duties can't be \
+         changed yet; restore the old fleet.duties"
     )]
     SlotsChanged {
-        /// Slots of the store.
+        /// Number of slots in the store.
         stored: usize,
-        /// Slots of the settings.
+        /// Number of slots in the settings.
         configured: usize,
     },
-    /// The consensus library refuses the log.
-    #[error("the voter's log: {source}")]
+    /// The consensus library rejects the log.
+    #[error("the consensus library rejects the log in the voter's store: {source}")]
     Raft {
-        /// What the library says.
+        /// The library's error.
         source: raft::Error,
     },
 }
 
-/// How far a voter is from having a vote.
+/// A voter's progress towards having a vote.
 enum Phase {
-    /// No group yet: what others said of their disks.
+    /// The voter belongs to no group yet.
     Forming {
+        /// The empty disks of other voters, by voter name.
         disks: BTreeMap<Name, u64>,
     },
-    /// A group, but whether this disk is the newest of its voter has to be heard from others.
+    /// The disk belongs to a group, but other voters must confirm that it is not an older copy.
     VerifyingDisk {
+        /// Disks of the voters that confirmed it.
         confirmed_by: BTreeSet<u64>,
+        /// The latest leader that these voters know.
         leader: KnownLeader,
         since: f64,
     },
-    /// This disk has no vote; the leader may admit it.
+    /// The disk has no vote; the leader may admit it.
     NonVoting,
+    /// The disk has a vote.
     Voting,
 }
 
@@ -93,16 +103,16 @@
     }
 }
 
-/// A snapshot that is under way to the disk.
+/// A snapshot that is being written to the disk.
 #[derive(Clone, Copy)]
 struct PendingSnapshot {
-    /// The library's number for what it came with.
+    /// The number of the library's `Ready` that contained the snapshot.
     ready: u64,
-    /// Its last entry.
+    /// Index of the last entry that the snapshot covers.
     index: u64,
 }
 
-/// A voter's state machine. Times are seconds on its own clock.
+/// A voter's state machine. Times are seconds on the voter's own clock.
 pub struct Voter {
     settings: Settings,
     name: Name,
@@ -111,23 +121,26 @@
     phase: Phase,
     raft: Option<RawNode<MemoryLog>>,
     table: RoleTable,
-    /// The last entry that the table has.
+    /// Index of the last entry applied to the table.
     applied: u64,
+    /// Number of the last write.
     last_write: u64,
-    /// The last write that an answer to a heartbeat waits for: it changed the term, the vote or the disk itself.
-    last_binding_write: u64,
-    /// What was known of the others' disks when it was last written.
+    /// Number of the last barrier write, which changed the term, the vote or the disk's identity. Responses to
+    /// heartbeats wait for barrier writes.
+    last_barrier_write: u64,
+    /// The progress of other voters' disks as last submitted for writing.
     written_peers: BTreeMap<u64, DiskProgress>,
-    /// Written, not yet on the disk.
+    /// Writes that the disk has not completed yet.
     pending_writes: VecDeque<PendingWrite>,
-    /// What goes into the next write.
+    /// The contents of the next write.
     batch: WriteBatch,
+    /// The leader's state, while this voter leads.
     leadership: Option<Leadership>,
     next_tick: f64,
     next_hello: f64,
-    /// Number of the last proposal or question to the majority; begins at the seed.
-    last_number: u64,
-    /// Tells this start from any other with the same disk.
+    /// Number of the last proposal or read-index request; starts at the seed.
+    last_request_number: u64,
+    /// Distinguishes this start from any other start with the same disk.
     nonce: u64,
     /// The voters changed since the last snapshot.
     voters_changed: bool,
@@ -136,10 +149,10 @@
 }
 
 impl Voter {
-    /// Starts with what the disk held. Writes that it started before it says anything.
+    /// Starts a voter with the contents of its disk. The start is written to disk before any message is sent.
     ///
     /// # Errors
-    /// What the disk held can't be used.
+    /// The contents of the disk can't be used.
     pub fn new(
         settings: Settings,
         name: Name,
@@ -153,7 +166,10 @@
         let log = MemoryLog::new(&disk).ok_or(VoterError::LogGap)?;
         if meta.disk == 0 {
             meta.disk = rng.random_range(1..u64::MAX);
-            let text = format!("an empty disk: voter {name} has no vote until it is admitted");
+            let text = format!(
+                "voter {name}: the disk is empty; no vote until a group is formed or the leader \
+                 admits the disk"
+            );
             report(out, Severity::Warning, text);
         }
         meta.starts += 1;
@@ -171,14 +187,14 @@
             table: RoleTable::default(),
             applied: 0,
             last_write: 0,
-            last_binding_write: 0,
+            last_barrier_write: 0,
             written_peers: BTreeMap::new(),
             pending_writes: VecDeque::new(),
             batch,
             leadership: None,
             next_tick: now,
             next_hello: now,
-            last_number: seed,
+            last_request_number: seed,
             nonce,
             voters_changed: false,
             pending_snapshot: None,
@@ -193,7 +209,7 @@
                 since: now,
             };
         }
-        voter.write_binding(0, Vec::new(), out);
+        voter.write_barrier(0, Vec::new(), out);
         Ok(voter)
     }
 
@@ -214,7 +230,7 @@
             id: self.meta.disk,
             election_tick: ELECTION_TICKS,
             heartbeat_tick: HEARTBEAT_TICKS,
-            // Drawn anew from the seed in `tick`, before the library looks at it.
+            // `tick` replaces the drawn timeout by one from the seeded generator before the library uses it.
             min_election_tick: ELECTION_TICKS,
             max_election_tick: 2 * ELECTION_TICKS,
             applied: self.applied,
@@ -230,7 +246,8 @@
         Ok(())
     }
 
-    /// A group's number, from who formed it; 0 for none.
+    /// A number that identifies the group, derived from its original members and the fleet's name; 0 without a
+    /// group.
     fn group_number(&self) -> u64 {
         let Some(group) = &self.meta.group else {
             return 0;
@@ -251,31 +268,31 @@
         self.next_tick
     }
 
-    /// Whether it leads, as it believes.
+    /// Whether this voter believes that it leads and its table is up to date.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.leadership.as_ref().is_some_and(Leadership::is_ready)
     }
 
-    /// Whether it has a vote.
+    /// Whether this voter's disk has a vote.
     #[must_use]
     pub fn is_voting(&self) -> bool {
         matches!(self.phase, Phase::Voting)
     }
 
-    /// The latest term it has seen.
+    /// The latest term that this voter has seen.
     #[must_use]
     pub fn term(&self) -> u64 {
         self.raft.as_ref().map_or(0, |raft| raft.raft.term)
     }
 
-    /// The identity of its disk; 0 once it has failed.
+    /// The identity of the voter's disk; 0 after the disk has failed.
     #[must_use]
     pub fn disk(&self) -> u64 {
         self.meta.disk
     }
 
-    /// The disk can't be written: it says nothing more.
+    /// Stops the voter after a failed disk write; it sends no more messages.
     pub fn disk_failed(&mut self, out: &mut Vec<Output>) {
         self.raft = None;
         self.leadership = None;
@@ -283,18 +300,19 @@
         self.phase = Phase::NonVoting;
         self.meta.disk = 0;
         let name = &self.name;
-        let text = format!("voter {name} can't write its disk and has stopped voting");
+        let text =
+            format!("voter {name}: a disk write failed; it stops voting until it is restarted");
         report(out, Severity::Warning, text);
     }
 
-    /// Does what is due by the voters' time step.
+    /// Advances the voter by one time step if the step is due: timeouts, hellos, and the leader's maintenance.
     pub fn tick(&mut self, now: f64, out: &mut Vec<Output>) {
         self.now = now;
         if now < self.next_tick || self.meta.disk == 0 {
             return;
         }
         let tick = self.settings.tick_interval;
-        // Half more or less by chance, so that voters which started together don't stand for election together.
+        // Steps vary randomly by up to half, so that voters started together don't start elections together.
         self.next_tick = now + tick * (0.5 + self.rng.random::<f64>());
         if !self.is_voting() {
             if now >= self.next_hello {
@@ -316,7 +334,7 @@
         self.process_ready(out);
     }
 
-    /// Takes a message of another limiter or of this one's own client.
+    /// Handles a message from another limiter or from this limiter's own client.
     pub fn receive(&mut self, from: &str, message: Message, now: f64, out: &mut Vec<Output>) {
         self.now = now;
         if self.meta.disk == 0 {
--- a/crates/gateway/singleton-roles/src/voter/renewals.rs
+++ b/crates/gateway/singleton-roles/src/voter/renewals.rs
@@ -1,14 +1,14 @@
-//! The leader's answers to clients. A lease is renewed only after a majority has confirmed that the leader
-//! led after the request came (the read index of Raft, section 6.4 of Ongaro's dissertation).
+//! The leader's responses to clients. A lease is renewed only after a majority has confirmed that the leader
+//! still led after the request arrived (Raft's read index, section 6.4 of Ongaro's dissertation).
 
 use super::Voter;
 use crate::message::{RenewRequest, RenewResponse, SlotOwner};
 use crate::table::Command;
 use crate::{Message, Output, Slot};
 
-/// Slots that one request may look up.
+/// Maximum number of slots that one request may look up.
 const MAX_LOOKUPS: usize = 64;
-/// Ticks after which a question to the majority counts as lost.
+/// Ticks after which a read-index request counts as lost.
 const CONFIRMATION_TICKS: f64 = 4.0;
 
 impl Voter {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Asks the other voters whether this one still leads, once for all requests that wait.
+    /// Asks the other voters to confirm that this voter still leads, once for all waiting renewals.
     pub(super) fn confirm_leadership(&mut self) {
         let timeout = self.settings.tick_interval * CONFIRMATION_TICKS;
         let leadership = self.leadership.as_mut().filter(|l| l.is_ready());
@@ -42,26 +42,26 @@
         if !leadership.needs_confirmation(timeout, self.now) {
             return;
         }
-        self.last_number = self.last_number.wrapping_add(1);
-        leadership.confirmation_sent(self.last_number, self.now);
+        self.last_request_number = self.last_request_number.wrapping_add(1);
+        leadership.confirmation_sent(self.last_request_number, self.now);
         if let Some(raft) = &mut self.raft {
-            raft.read_index(self.last_number.to_le_bytes().to_vec());
+            raft.read_index(self.last_request_number.to_le_bytes().to_vec());
         }
     }
 
-    /// A majority confirmed that it led after these requests had come.
+    /// Handles a majority's confirmation of leadership: responds to the renewals that waited for it.
     pub(super) fn leadership_confirmed(&mut self, context: &[u8], out: &mut Vec<Output>) {
         let leadership = self.leadership.as_mut().filter(|l| l.is_ready());
         let confirmed = leadership.and_then(|l| l.take_confirmed(context));
         let Some(confirmed) = confirmed else { return };
         for waiting in confirmed {
-            self.answer(&waiting.request, waiting.received, out);
+            self.respond(&waiting.request, waiting.received, out);
         }
         self.maintain(out);
         self.confirm_leadership();
     }
 
-    fn answer(&mut self, request: &RenewRequest, received: f64, out: &mut Vec<Output>) {
+    fn respond(&mut self, request: &RenewRequest, received: f64, out: &mut Vec<Output>) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
@@ -86,7 +86,7 @@
         out.push(Output::Send { to, message });
     }
 
-    /// A limiter without a session gets one, unless a later run of its name replaced it.
+    /// Registers a limiter that has no session, unless a later run of its name replaced it.
     fn register(&mut self, request: &RenewRequest, received: f64) {
         let Some(leadership) = &mut self.leadership else {
             return;
@@ -95,12 +95,12 @@
         let mut sessions = self.table.sessions.iter();
         let replaced = sessions.find(|(_, s)| s.name == identity.name && s.run == identity.run);
         if let Some((session, _)) = replaced {
-            // Replaced by a later run, and still there when its lease is long over: both live.
-            let other_is_alive =
+            // Still renewing two intervals after a later run replaced it: both processes are running.
+            let other_run_is_alive =
                 leadership.other_run_is_alive(identity, self.settings.lease_duration, self.now);
             let since = leadership.replaced_since(*session);
             let name = identity.name.clone();
-            if other_is_alive && received > since + self.settings.renew_interval * 2.0 {
+            if other_run_is_alive && received > since + self.settings.renew_interval * 2.0 {
                 leadership.queue_once(Command::MarkDuplicate { name });
             }
             return;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// What the leader does unasked: expired sessions go, free slots are granted, misplaced ones revoked.
+    /// The leader's maintenance: expires sessions, grants free slots and revokes misplaced ones.
     pub(super) fn maintain(&mut self, out: &mut Vec<Output>) {
         let leadership = self.leadership.as_mut().filter(|l| l.is_ready());
         let Some(leadership) = leadership else {
@@ -155,8 +155,8 @@
         let Some(commands) = leadership.next_commands() else {
             return;
         };
-        self.last_number = self.last_number.wrapping_add(1);
-        let number = self.last_number;
+        self.last_request_number = self.last_request_number.wrapping_add(1);
+        let number = self.last_request_number;
         let Ok(data) = postcard::to_stdvec(&(number, commands)) else {
             return;
         };
--- a/crates/gateway/singleton-roles/src/voter/replication.rs
+++ b/crates/gateway/singleton-roles/src/voter/replication.rs
@@ -1,5 +1,5 @@
-//! The consensus library's input and output: messages of other voters go in, what is ready goes to the disk
-//! and to the others, committed entries are applied to the role table.
+//! The consensus library's input and output: passes messages of other voters to the library, writes and sends
+//! the library's output, and has_committed committed entries to the role table.
 
 use super::{PendingSnapshot, Phase, Voter};
 use crate::memory_log::MemoryLog;
@@ -11,16 +11,16 @@
 use raft::eraftpb::{self as pb, ConfChangeV2, EntryType, MessageType};
 use raft::{RawNode, Ready, StateRole, Storage};
 
-/// Entries that stay behind the snapshot until the next one is made.
+/// Number of applied entries after the last snapshot that triggers the next snapshot.
 const COMPACTION_ENTRIES: u64 = 2_000;
 
-/// What a turn of the library wants written.
+/// Whether one `Ready` of the library needs a disk write.
 #[derive(Default)]
-struct WriteNeed {
-    /// Something has to go to the disk.
-    any: bool,
-    /// Answers to heartbeats wait for it.
-    binding: bool,
+struct RequiredWrite {
+    /// A write is needed.
+    needed: bool,
+    /// The write is a barrier: responses to heartbeats wait for it.
+    barrier: bool,
 }
 
 impl Voter {
@@ -33,32 +33,33 @@
             return;
         };
         self.record_peer_progress(&message);
-        // A leader never says in a heartbeat that more is committed than this disk acknowledged to it.
+        // A leader's heartbeat never carries a greater commit index than this disk has acknowledged to it.
         let is_behind = |raft: &RawNode<MemoryLog>| {
             message.term >= raft.raft.term && message.commit > raft.store().last()
         };
-        let heartbeat = message.is(MessageType::MsgHeartbeat);
-        if heartbeat && self.raft.as_ref().is_some_and(is_behind) && self.is_voting() {
+        let is_heartbeat = message.is(MessageType::MsgHeartbeat);
+        if is_heartbeat && self.raft.as_ref().is_some_and(is_behind) && self.is_voting() {
             let name = &self.name;
             let text = format!(
-                "voter {name} acknowledged entries that its disk does not have; it starts empty"
+                "voter {name}: the disk lacks entries that it acknowledged; starting over with an \
+                 empty disk"
             );
             report(out, Severity::Warning, text);
             self.start_empty(out);
             return;
         }
         if let Some(raft) = &mut self.raft {
-            // What the library refuses is out of date; its sender finds out by itself.
+            // The library rejects only outdated messages; their sender catches up by itself.
             let _ = raft.step(parsed);
         }
     }
 
-    /// What a message proves of its sender's disk: its term was written before it was said, an acknowledged
-    /// entry before that, and of a leader's log as much as it says is committed: no more than it has written.
+    /// Records what a message proves about its sender's disk. The sender wrote its term and any acknowledged
+    /// entry before it sent the message, and a leader announces no commit index beyond its own written log.
     fn record_peer_progress(&mut self, message: &RaftMessage) {
-        let pre_vote = message.is(MessageType::MsgRequestPreVote)
+        let is_pre_vote = message.is(MessageType::MsgRequestPreVote)
             || message.is(MessageType::MsgRequestPreVoteResponse);
-        if pre_vote {
+        if is_pre_vote {
             return;
         }
         let last_index = if message.is(MessageType::MsgAppendResponse) && !message.reject {
@@ -86,17 +87,17 @@
         }
     }
 
-    /// Whose disk this is, by the table or else by the group as it was formed.
+    /// The name of the voter with this disk, from the table or else from the group's original members.
     fn voter_name(&self, disk: u64) -> Option<Name> {
-        let current = self.table.voters.get(&disk).cloned();
-        current.or_else(|| {
-            let mut formed = self.meta.group.iter().flatten();
-            let member = formed.find(|member| member.disk == disk);
+        let name = self.table.voters.get(&disk).cloned();
+        name.or_else(|| {
+            let mut members = self.meta.group.iter().flatten();
+            let member = members.find(|member| member.disk == disk);
             member.map(|member| member.name.clone())
         })
     }
 
-    /// Takes what the library has ready until it has nothing more.
+    /// Processes the library's output until it has no more.
     pub(super) fn process_ready(&mut self, out: &mut Vec<Output>) {
         while let Some(raft) = self.raft.as_mut().filter(|raft| raft.has_ready()) {
             let ready = raft.ready();
@@ -107,35 +108,35 @@
     fn handle_ready(&mut self, mut ready: Ready, out: &mut Vec<Output>) {
         let mut messages = self.immediate_messages(&mut ready);
         let persisted = ready.take_persisted_messages();
-        let (heartbeat_answers, after_write): (Vec<_>, Vec<_>) = persisted
+        let (heartbeat_responses, after_write): (Vec<_>, Vec<_>) = persisted
             .iter()
             .map(RaftMessage::from)
             .partition(|message| message.is(MessageType::MsgHeartbeatResponse));
         let read_states = ready.take_read_states();
         let committed = ready.take_committed_entries();
-        // What was learnt of the others' disks is written before it is forgotten, but nothing waits for it.
-        let learnt = self.meta.peers != self.written_peers;
-        let mut need = WriteNeed {
-            any: !after_write.is_empty() || (!heartbeat_answers.is_empty() && learnt),
-            binding: false,
+        // New progress of other voters' disks is written too, but no message waits for that write.
+        let peers_changed = self.meta.peers != self.written_peers;
+        let mut write = RequiredWrite {
+            needed: !after_write.is_empty() || (!heartbeat_responses.is_empty() && peers_changed),
+            barrier: false,
         };
-        self.stage_writes(&ready, &mut need);
+        self.stage_writes(&ready, &mut write);
         let number = ready.number();
         if let Some(raft) = &mut self.raft {
             raft.advance_append_async(ready);
         }
-        self.submit_writes(number, after_write, &need, out);
-        match self.messages_after_binding_write() {
-            Some(waiting) => waiting.extend(heartbeat_answers),
-            None => messages.extend(heartbeat_answers),
+        self.submit_writes(number, after_write, &write, out);
+        match self.messages_after_barrier() {
+            Some(waiting) => waiting.extend(heartbeat_responses),
+            None => messages.extend(heartbeat_responses),
         }
         self.send_raft(messages, out);
         self.update_leadership(out);
-        let applies = !committed.is_empty();
+        let has_committed = !committed.is_empty();
         for entry in committed {
             self.apply(&entry, out);
         }
-        if let Some(raft) = self.raft.as_mut().filter(|_| applies) {
+        if let Some(raft) = self.raft.as_mut().filter(|_| has_committed) {
             raft.advance_apply_to(self.applied);
         }
         for read in read_states {
@@ -144,11 +145,11 @@
         self.compact();
     }
 
-    /// Messages that wait for no write.
+    /// Messages that may be sent before the next write.
     fn immediate_messages(&self, ready: &mut Ready) -> Vec<RaftMessage> {
         let messages = ready.take_messages();
         let mut messages: Vec<_> = messages.iter().map(RaftMessage::from).collect();
-        // Others take what a leader says is committed for what its own disk holds.
+        // Other voters take a leader's commit index as proof of what its own disk holds.
         let on_disk = self.raft.as_ref();
         let on_disk = on_disk.map_or(0, |raft| raft.raft.raft_log.persisted);
         messages
@@ -157,8 +158,8 @@
         messages
     }
 
-    /// Takes snapshot, entries and hard state into the log in memory and into the next write.
-    fn stage_writes(&mut self, ready: &Ready, need: &mut WriteNeed) {
+    /// Adds the snapshot, entries and hard state to the log in memory and to the next write.
+    fn stage_writes(&mut self, ready: &Ready, write: &mut RequiredWrite) {
         let Some(raft) = &mut self.raft else { return };
         if !ready.snapshot().is_empty() {
             let snapshot = Snapshot::from(ready.snapshot());
@@ -178,12 +179,12 @@
             log.config = snapshot.config.clone();
             log.compact(snapshot.clone());
             self.batch.snapshot = Some(snapshot);
-            (need.any, need.binding) = (true, true);
+            (write.needed, write.barrier) = (true, true);
         }
         if !ready.entries().is_empty() {
             raft.mut_store().append(ready.entries());
             self.batch.entries = ready.entries().iter().map(Entry::from).collect();
-            need.any = true;
+            write.needed = true;
         }
         if let Some(changed) = ready.hs() {
             let hard_state = HardState {
@@ -191,30 +192,32 @@
                 vote: changed.vote,
                 commit: changed.commit,
             };
-            let before = std::mem::replace(&mut raft.mut_store().hard_state, hard_state);
+            let previous = std::mem::replace(&mut raft.mut_store().hard_state, hard_state);
             self.batch.hard_state = Some(hard_state);
-            let voted = (hard_state.term, hard_state.vote) != (before.term, before.vote);
-            need.binding |= voted;
+            let term_or_vote_changed =
+                (hard_state.term, hard_state.vote) != (previous.term, previous.vote);
+            write.barrier |= term_or_vote_changed;
         }
-        need.any |= ready.must_sync();
+        write.needed |= ready.must_sync();
     }
 
+    /// Submits the staged write if one is needed; `after_write` are the messages that wait for it.
     fn submit_writes(
         &mut self,
         number: u64,
         after_write: Vec<RaftMessage>,
-        need: &WriteNeed,
+        write: &RequiredWrite,
         out: &mut Vec<Output>,
     ) {
-        if need.any {
+        if write.needed {
             self.batch.meta = Some(self.meta.clone());
-            if need.binding {
-                self.write_binding(number, after_write, out);
+            if write.barrier {
+                self.write_barrier(number, after_write, out);
             } else {
                 self.write(number, after_write, out);
             }
         } else if let Some(last) = self.pending_writes.back_mut() {
-            // Nothing of its own to write: it is done when the writes before it are.
+            // Without a write of its own, this `Ready` is persisted when the pending writes are.
             last.ready = number;
         } else if let Some(raft) = &mut self.raft {
             raft.on_persist_ready(number);
@@ -223,8 +226,8 @@
 
     fn update_leadership(&mut self, out: &mut Vec<Output>) {
         let Some(raft) = &self.raft else { return };
-        let (leads, term) = (raft.raft.state == StateRole::Leader, raft.raft.term);
-        if !leads {
+        let (is_leader, term) = (raft.raft.state == StateRole::Leader, raft.raft.term);
+        if !is_leader {
             self.leadership = None;
         } else if self.leadership.as_ref().is_none_or(|l| l.term() != term) {
             let text = format!("voter {} leads in term {term}", self.name);
@@ -239,7 +242,7 @@
         match entry.get_entry_type() {
             EntryType::EntryConfChangeV2 => self.apply_voter_change(entry, out),
             _ if entry.get_data().is_empty() => {
-                // The first entry of a leader's term: the table is up to date.
+                // The empty entry that begins a leader's term: the table is now up to date.
                 if let Some(leadership) = &mut self.leadership {
                     leadership.term_began(entry.term, &self.table, self.now);
                 }
@@ -266,7 +269,7 @@
         let has_vote = self.table.voters.contains_key(&self.meta.disk);
         if matches!(self.phase, Phase::NonVoting) && has_vote {
             self.phase = Phase::Voting;
-            let text = format!("voter {}: admitted anew, it votes", self.name);
+            let text = format!("voter {}: the new disk is admitted; it votes", self.name);
             report(out, Severity::Warning, text);
         }
     }
@@ -274,7 +277,7 @@
     fn apply_commands(&mut self, entry: &pb::Entry, out: &mut Vec<Output>) {
         let decoded = postcard::from_bytes::<(u64, Vec<Command>)>(entry.get_data());
         let Ok((number, commands)) = decoded else {
-            let text = format!("entry {} of the log can't be read", entry.index);
+            let text = format!("log entry {} can't be decoded; it is skipped", entry.index);
             report(out, Severity::Warning, text);
             return;
         };
@@ -285,7 +288,10 @@
             };
             leadership.applied(command, changed, &self.table, self.now);
             if let Command::MarkDuplicate { name } = command {
-                let text = format!("two living processes have the name {name}: neither holds");
+                let text = format!(
+                    "two running processes use the name {name}: neither may hold slots; stop one \
+                     of them"
+                );
                 report(out, Severity::Warning, text);
             }
         }
@@ -295,17 +301,17 @@
         }
     }
 
-    /// A snapshot of the table stands for the entries up to here, once there are many.
+    /// Replaces the applied entries by a snapshot of the table, once there are many or the voters changed.
     fn compact(&mut self) {
         let applied = self.applied;
-        // Who was just admitted takes no snapshot that does not name it.
+        // A newly admitted voter needs a snapshot whose configuration includes it.
         let voters_changed = std::mem::take(&mut self.voters_changed);
         let Some(raft) = self.raft.as_mut() else {
             return;
         };
         let log = raft.mut_store();
-        let few = applied < log.first() + COMPACTION_ENTRIES && !voters_changed;
-        if few || applied < log.first() || applied > log.last() {
+        let is_early = applied < log.first() + COMPACTION_ENTRIES && !voters_changed;
+        if is_early || applied < log.first() || applied > log.last() {
             return;
         }
         let (Ok(term), Ok(data)) = (log.term(applied), postcard::to_stdvec(&self.table)) else {
--- a/crates/gateway/singleton-roles/tests/voters.rs
+++ b/crates/gateway/singleton-roles/tests/voters.rs
@@ -319,11 +319,11 @@
     fleet.start(first);
     fleet.run(20.0);
     assert!(
-        fleet.reported("is older than what was seen of it"),
+        fleet.reported("is older than its last known state"),
         "{:?}",
         fleet.reports
     );
-    assert!(fleet.reported("is admitted anew") && fleet.all_slots_owned());
+    assert!(fleet.reported("has a new disk: its admission is proposed") && fleet.all_slots_owned());
     assert!(fleet.nodes[..3]
         .iter()
         .all(|n| n.voter.as_ref().unwrap().is_voting()));
@@ -376,7 +376,10 @@
         "one of the others could know better"
     );
     fleet.run(12.0);
-    assert!(fleet.reported("the rest is gone") && fleet.all_slots_owned());
+    assert!(
+        fleet.reported("of the other voters confirmed its disk within fleet.disk_wait")
+            && fleet.all_slots_owned()
+    );
 }
 
 #[test]
@@ -507,7 +510,7 @@
     fleet.start(leader);
     fleet.run(2.0);
     assert!(
-        !fleet.reported("is older than what was seen of it"),
+        !fleet.reported("is older than its last known state"),
         "{:?}",
         fleet.reports
     );
