--- a/crates/gateway/singleton-roles/tests/audit.rs
+++ b/crates/gateway/singleton-roles/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit of the counter: sums over limiters, calls whose fate is unknown, restarts, bad amounts.
+//! The audit of the counter: sums over limiters, calls with unknown outcomes, restarts, invalid amounts.
 
 use dunespur_singleton_roles::audit::{
     Auditor, CallOutcome, Message, Settings, Usage, UsageTally, Verdict,
@@ -12,90 +12,103 @@
     }
 }
 
-/// Two limiters add to a name, one call's fate is unknown; reports come twice and out of order.
-fn summed() -> Auditor {
-    let (s, mut a) = (settings(), Auditor::default());
-    let (mut x, mut y) = (UsageTally::default(), UsageTally::default());
-    x.record_call(7, 3.0, CallOutcome::Answered, 0.0, &s);
-    let early = x.take_due(1.5, &s);
-    x.mark_unreported([7].into_iter());
-    assert_eq!(x.take_due(1.5, &s), early, "said again, as nobody heard it");
-    x.record_call(7, 2.0, CallOutcome::Answered, 1.6, &s);
-    x.record_call(7, 4.0, CallOutcome::Unknown, 1.7, &s);
-    y.record_call(7, -1.0, CallOutcome::Answered, 0.0, &s);
-    let late = x.take_due(3.0, &s);
-    assert_eq!(x.take_due(3.1, &s), [], "said once");
+/// An auditor after two limiters added to name 7, one call with an unknown outcome; their reports arrive twice and
+/// out of order.
+fn auditor_with_reports() -> Auditor {
+    let (settings, mut auditor) = (settings(), Auditor::default());
+    let (mut first, mut second) = (UsageTally::default(), UsageTally::default());
+    first.record_call(7, 3.0, CallOutcome::Answered, 0.0, &settings);
+    let early = first.take_due(1.5, &settings);
+    first.mark_unreported([7].into_iter());
+    assert_eq!(
+        first.take_due(1.5, &settings),
+        early,
+        "the report is repeated because no auditor received it"
+    );
+    first.record_call(7, 2.0, CallOutcome::Answered, 1.6, &settings);
+    first.record_call(7, 4.0, CallOutcome::Unknown, 1.7, &settings);
+    second.record_call(7, -1.0, CallOutcome::Answered, 0.0, &settings);
+    let late = first.take_due(3.0, &settings);
+    assert_eq!(first.take_due(3.1, &settings), [], "a report is sent once");
     let mut busy = UsageTally::default();
-    (0..40).for_each(|n| busy.record_call(9, 1.0, CallOutcome::Answered, n as f64 * 0.1, &s));
+    (0..40)
+        .for_each(|n| busy.record_call(9, 1.0, CallOutcome::Answered, n as f64 * 0.1, &settings));
     assert_eq!(
-        busy.take_due(4.0, &s).len(),
+        busy.take_due(4.0, &settings).len(),
         1,
-        "said though it never was quiet"
+        "usage is reported although adds never pause"
     );
     for (from, run, usages) in [
         ("x", 1, late.clone()),
         ("x", 1, early),
         ("x", 1, late),
-        ("y", 1, y.take_due(3.0, &s)),
+        ("y", 1, second.take_due(3.0, &settings)),
     ] {
-        a.receive(from, Message::Usages { run, usages }, 3.0, &s);
+        auditor.receive(from, Message::Usages { run, usages }, 3.0, &settings);
     }
-    assert_eq!(a.take_due(4.0, &s), [] as [u64; 0]);
-    assert_eq!(a.take_due(5.1, &s), [7]);
-    a
+    assert_eq!(auditor.take_due(4.0, &settings), [] as [u64; 0]);
+    assert_eq!(auditor.take_due(5.1, &settings), [7]);
+    auditor
 }
 
 #[test]
-fn what_may_have_been_added_is_not_taken_for_drift() {
-    let (s, a) = (settings(), summed());
-    assert_eq!(a.judge(7, 4.0, &s), Some(Verdict::Agrees));
-    assert_eq!(a.judge(7, 8.0, &s), Some(Verdict::Agrees));
-    assert_eq!(a.judge(7, 1.0, &s), Some(Verdict::Lost(3.0)));
-    assert_eq!(a.judge(7, 10.0, &s), Some(Verdict::Surplus(2.0)));
-    assert_eq!(a.judge(8, 0.0, &s), None);
+fn totals_within_the_unknown_bounds_agree() {
+    let (settings, auditor) = (settings(), auditor_with_reports());
+    assert_eq!(auditor.judge(7, 4.0, &settings), Some(Verdict::Agrees));
+    assert_eq!(auditor.judge(7, 8.0, &settings), Some(Verdict::Agrees));
+    assert_eq!(auditor.judge(7, 1.0, &settings), Some(Verdict::Lost(3.0)));
+    assert_eq!(
+        auditor.judge(7, 10.0, &settings),
+        Some(Verdict::Surplus(2.0))
+    );
+    assert_eq!(auditor.judge(8, 0.0, &settings), None);
 }
 
 #[test]
-fn a_restarted_limiter_counts_beside_its_older_run_and_bad_amounts_are_dropped() {
-    let (s, mut a) = (settings(), summed());
-    let one = |units: f64| Usage {
+fn runs_of_a_restarted_limiter_are_added_and_invalid_amounts_are_dropped() {
+    let (settings, mut auditor) = (settings(), auditor_with_reports());
+    let usage = |units: f64| Usage {
         name: 7,
         calls: 1,
         units,
         ..Usage::default()
     };
-    a.receive(
+    auditor.receive(
         "x",
         Message::Usages {
             run: 2,
-            usages: vec![one(5.0)],
+            usages: vec![usage(5.0)],
         },
         5.2,
-        &s,
+        &settings,
     );
-    a.receive(
+    auditor.receive(
         "z",
         Message::Usages {
             run: 1,
-            usages: vec![one(f64::INFINITY)],
+            usages: vec![usage(f64::INFINITY)],
         },
         5.2,
-        &s,
+        &settings,
     );
-    let wrong = Usage {
+    let invalid = Usage {
         least_unknown: 1.0,
-        ..one(1.0)
+        ..usage(1.0)
     };
-    a.receive(
+    auditor.receive(
         "z",
         Message::Usages {
             run: 1,
-            usages: vec![wrong],
+            usages: vec![invalid],
         },
         5.2,
-        &s,
+        &settings,
+    );
+    assert_eq!(auditor.dropped, 2);
+    assert_eq!(
+        auditor.take_due(7.3, &settings),
+        [7],
+        "the counter is read again after the new report"
     );
-    assert_eq!(a.dropped, 2);
-    assert_eq!(a.take_due(7.3, &s), [7], "it is read anew");
-    assert_eq!(a.judge(7, 9.0, &s), Some(Verdict::Agrees));
+    assert_eq!(auditor.judge(7, 9.0, &settings), Some(Verdict::Agrees));
 }
--- a/crates/gateway/singleton-roles/tests/bytes.rs
+++ b/crates/gateway/singleton-roles/tests/bytes.rs
@@ -1,6 +1,6 @@
-//! The bytes of each message between limiters and of each record on a voter's disk. The encoding goes by
-//! position and order, so a moved field or variant breaks a fleet that runs two versions and a disk that an
-//! older one wrote; the files under `fixtures/` were written before the names changed and stay as they are.
+//! The encoding of each message between limiters and of each record on a voter's disk. It is positional, so a
+//! moved field or variant breaks a fleet that runs two versions, and disks written by an older one. The files
+//! under `fixtures/` were written before items were renamed, and must not change.
 
 use dunespur_singleton_roles::message::{
     DiskVerdict, HelloResponse, KnownLeader, Release, RenewRequest, RenewResponse, SlotOwner,
@@ -16,12 +16,14 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// Values by the label under which the fixture file holds their bytes.
+/// The expected bytes of a fixture file, by label.
 struct Fixtures {
     file: &'static str,
     bytes: BTreeMap<String, Vec<u8>>,
-    wrong: Vec<String>,
-    used: usize,
+    /// Labels and encodings of values that differ from the file.
+    mismatches: Vec<String>,
+    /// Number of values checked.
+    checked: usize,
 }
 
 impl Fixtures {
@@ -35,42 +37,43 @@
         Fixtures {
             file,
             bytes: bytes.collect(),
-            wrong: Vec::new(),
-            used: 0,
+            mismatches: Vec::new(),
+            checked: 0,
         }
     }
 
-    /// The value is written to the file's bytes, and they are read back to it.
+    /// Checks that the value is encoded to the file's bytes, and that these are decoded to the value.
     fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(
         &mut self,
         label: &str,
         value: T,
     ) {
-        self.used += 1;
-        let written = postcard::to_stdvec(&value).unwrap();
+        self.checked += 1;
+        let encoded = postcard::to_stdvec(&value).unwrap();
         let expected = self.bytes.get(label).cloned().unwrap_or_default();
-        if written != expected {
-            self.wrong.push(format!("{label} {}", encode_hex(&written)));
+        if encoded != expected {
+            self.mismatches
+                .push(format!("{label} {}", encode_hex(&encoded)));
         } else {
             assert_eq!(
                 postcard::from_bytes::<T>(&expected).unwrap(),
                 value,
-                "{label} read back"
+                "{label}: decoded value"
             );
         }
     }
 
     fn finish(self) {
         assert!(
-            self.wrong.is_empty(),
-            "{}: written otherwise now:\n{}",
+            self.mismatches.is_empty(),
+            "{}: these values are encoded differently now:\n{}",
             self.file,
-            self.wrong.join("\n")
+            self.mismatches.join("\n")
         );
         assert_eq!(
-            self.used,
+            self.checked,
             self.bytes.len(),
-            "{}: some were not looked at",
+            "{}: number of labels checked",
             self.file
         );
     }
@@ -83,7 +86,7 @@
 fn decode_hex(text: &str) -> Vec<u8> {
     (0..text.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .map(|start| u8::from_str_radix(&text[start..start + 2], 16).unwrap())
         .collect()
 }
 
@@ -331,7 +334,7 @@
 }
 
 #[test]
-fn messages_of_the_roles_work_keep_their_bytes() {
+fn messages_of_relay_health_check_and_audit_keep_their_bytes() {
     let mut fixtures = Fixtures::open("work.hex");
     let (slot, token) = (1001, 1002);
     fixtures.check(
@@ -377,12 +380,12 @@
             failures: 1007,
         },
     );
-    let outcomes = [
+    let observations = [
         ("probe-answered", health_check::Observation::Answered),
         ("probe-refused", health_check::Observation::Refused),
         ("probe-silent", health_check::Observation::Silent),
     ];
-    for (label, observation) in outcomes {
+    for (label, observation) in observations {
         fixtures.check(
             label,
             health_check::Message::Observed {
@@ -394,14 +397,14 @@
             },
         );
     }
-    let one = audit::Usage {
+    let full_usage = audit::Usage {
         name: 1008,
         calls: 1009,
         units: 1.5,
         least_unknown: -2.5,
         most_unknown: 3.5,
     };
-    let other = audit::Usage {
+    let empty_usage = audit::Usage {
         name: 1010,
         ..audit::Usage::default()
     };
@@ -409,7 +412,7 @@
         "audit-uses",
         audit::Message::Usages {
             run: 1011,
-            usages: vec![one, other],
+            usages: vec![full_usage, empty_usage],
         },
     );
     fixtures.finish();
@@ -455,7 +458,10 @@
         replaced,
     };
     let table = RoleTable {
-        voters: group().into_iter().map(|m| (m.disk, m.name)).collect(),
+        voters: group()
+            .into_iter()
+            .map(|member| (member.disk, member.name))
+            .collect(),
         sessions: [(1120, session(1, true)), (1121, session(2, false))].into(),
         slots: vec![
             SlotState {
@@ -546,17 +552,17 @@
     fixtures.finish();
 }
 
-/// Numbers of the message kinds come from the consensus library; a newer one must not move them.
+/// The numbers of message kinds come from the consensus library; a newer version must not change them.
 #[test]
-fn kinds_that_voters_send_are_read_by_the_consensus_library() {
-    let known: Vec<u8> = (0..=u8::MAX)
+fn message_kinds_keep_their_numbers_in_the_consensus_library() {
+    let readable_kinds: Vec<u8> = (0..=u8::MAX)
         .filter(|kind| raft_message(*kind).to_raft().is_some())
         .collect();
-    assert_eq!(known, [3, 4, 5, 6, 7, 8, 9, 13, 14, 16, 17, 18]);
+    assert_eq!(readable_kinds, [3, 4, 5, 6, 7, 8, 9, 13, 14, 16, 17, 18]);
     let expected = raft_message(3);
-    let read = RaftMessage::from(&expected.to_raft().unwrap());
+    let converted = RaftMessage::from(&expected.to_raft().unwrap());
     assert_eq!(
-        read, expected,
-        "nothing is lost on the way through the library's form"
+        converted, expected,
+        "the conversion to the library's type and back keeps every field"
     );
 }
--- a/crates/gateway/singleton-roles/tests/discovery_relay.rs
+++ b/crates/gateway/singleton-roles/tests/discovery_relay.rs
@@ -1,4 +1,5 @@
-//! The relay of discovery within a zone: when a limiter closes and opens its own watch, and what it takes.
+//! The relay of discovery within a zone: when a limiter closes and reopens its own watch, and which messages it
+//! accepts.
 
 use dunespur_singleton_roles::discovery_relay::{Action, Message, Relay, Settings};
 
@@ -22,43 +23,46 @@
 }
 
 #[test]
-fn it_closes_its_own_watch_once_the_relay_has_proved_itself_and_opens_it_in_time() {
-    let (mut r, mut out) = (relay(0.8), Vec::new());
-    let mut t = 0.0;
-    while t < 4.0 {
-        r.receive("h", heartbeat(10, 0.1), None, t, &mut out);
-        r.tick(None, t, &mut out);
-        assert_eq!(r.is_watching(), t < 1.6, "at {t}");
-        t += 0.4;
+fn the_own_watch_closes_once_the_relay_is_stable_and_reopens_when_it_is_stale() {
+    let (mut relay, mut out) = (relay(0.8), Vec::new());
+    let mut now = 0.0;
+    while now < 4.0 {
+        relay.receive("h", heartbeat(10, 0.1), None, now, &mut out);
+        relay.tick(None, now, &mut out);
+        assert_eq!(relay.is_watching(), now < 1.6, "watching at {now} s");
+        now += 0.4;
     }
     assert_eq!(out, [Action::CloseWatch]);
     out.clear();
-    let last = t - 0.4;
-    while !r.is_watching() {
-        t = r.next_due();
-        r.tick(None, t, &mut out);
+    let last_heartbeat = now - 0.4;
+    while !relay.is_watching() {
+        now = relay.next_due();
+        relay.tick(None, now, &mut out);
     }
-    assert!(t <= last + 1.6 + 0.5, "open again {t} after {last}");
+    assert!(
+        now <= last_heartbeat + 1.6 + 0.5,
+        "reopened at {now} s, last heartbeat at {last_heartbeat} s"
+    );
     assert_eq!(out, [Action::OpenWatch]);
 }
 
 #[test]
-fn a_relay_whose_own_watch_is_silent_or_behind_is_no_source() {
-    let (mut r, mut out) = (relay(0.0), Vec::new());
+fn a_relay_with_a_silent_watch_or_an_older_list_is_ignored() {
+    let (mut relay, mut out) = (relay(0.0), Vec::new());
     for n in 0..10 {
-        let t = n as f64 * 0.4;
-        r.receive("h", heartbeat(10, 6.0), None, t, &mut out);
-        r.receive("h", heartbeat(9, 0.0), None, t, &mut out);
-        r.receive("h", heartbeat(10, -1.0), None, t, &mut out);
-        r.receive("h", heartbeat(10, f64::NAN), None, t, &mut out);
-        r.tick(None, t, &mut out);
+        let now = n as f64 * 0.4;
+        relay.receive("h", heartbeat(10, 6.0), None, now, &mut out);
+        relay.receive("h", heartbeat(9, 0.0), None, now, &mut out);
+        relay.receive("h", heartbeat(10, -1.0), None, now, &mut out);
+        relay.receive("h", heartbeat(10, f64::NAN), None, now, &mut out);
+        relay.tick(None, now, &mut out);
     }
-    assert!(r.is_watching() && out.is_empty());
+    assert!(relay.is_watching() && out.is_empty());
 }
 
 #[test]
-fn updates_that_skip_some_request_the_list_and_older_ones_change_nothing() {
-    let (mut r, mut out) = (relay(0.0), Vec::new());
+fn an_update_after_a_gap_requests_the_list_and_older_updates_are_ignored() {
+    let (mut relay, mut out) = (relay(0.0), Vec::new());
     let update = |since, revision| Message::Update {
         slot: 0,
         token: 4,
@@ -66,7 +70,7 @@
         revision,
         endpoints: vec![revision as u8],
     };
-    r.receive("h", update(Some(12), 13), None, 0.0, &mut out);
+    relay.receive("h", update(Some(12), 13), None, 0.0, &mut out);
     assert_eq!(
         out,
         [Action::Send {
@@ -75,17 +79,17 @@
         }]
     );
     out.clear();
-    r.receive("h", update(None, 13), None, 0.1, &mut out);
-    r.receive("h", update(Some(12), 13), None, 0.1, &mut out);
-    r.receive("h", update(Some(13), 14), None, 0.2, &mut out);
-    r.receive("h", update(Some(10), 11), None, 0.3, &mut out);
+    relay.receive("h", update(None, 13), None, 0.1, &mut out);
+    relay.receive("h", update(Some(12), 13), None, 0.1, &mut out);
+    relay.receive("h", update(Some(13), 14), None, 0.2, &mut out);
+    relay.receive("h", update(Some(10), 11), None, 0.3, &mut out);
     let apply = |revision| Action::ApplyEndpoints {
         endpoints: vec![revision as u8],
         revision,
     };
     assert_eq!(out, [apply(13), apply(14)]);
     out.clear();
-    r.receive(
+    relay.receive(
         "x",
         Message::RequestEndpoints { slot: 0 },
         Some(9),
--- a/crates/gateway/singleton-roles/tests/health_check.rs
+++ b/crates/gateway/singleton-roles/tests/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: who complains, when a server is checked, and what an observation counts for.
+//! Health checks: when a limiter complains, when a server is checked, and the effect of an observation.
 
 use dunespur_singleton_roles::health_check::{
     Delivery, HealthChecker, Observation, ServerExperience, Settings, Verdict,
@@ -15,79 +15,92 @@
 }
 
 #[test]
-fn one_limiter_alone_brings_no_probe_and_several_bring_one() {
-    let (s, mut p) = (settings(), HealthChecker::default());
-    assert!(!p.receive_complaint("a", "x", 0.0, &s));
+fn one_limiter_causes_no_check_and_several_cause_one() {
+    let (settings, mut checker) = (settings(), HealthChecker::default());
+    assert!(!checker.receive_complaint("a", "x", 0.0, &settings));
     assert!(
-        !p.receive_complaint("a", "x", 0.5, &s),
-        "the same one again"
+        !checker.receive_complaint("a", "x", 0.5, &settings),
+        "a second complaint of the same limiter"
     );
-    assert!(p.receive_complaint("b", "x", 1.0, &s));
-    assert!(!p.receive_complaint("c", "x", 1.5, &s), "too soon");
-    assert!(p.receive_complaint("c", "x", 3.1, &s));
-    assert!(!p.receive_complaint("a", "y", 4.0, &s));
+    assert!(checker.receive_complaint("b", "x", 1.0, &settings));
     assert!(
-        !p.receive_complaint("b", "y", 9.5, &s),
-        "the first complaint is too old"
+        !checker.receive_complaint("c", "x", 1.5, &settings),
+        "within the minimum interval of the last check"
+    );
+    assert!(checker.receive_complaint("c", "x", 3.1, &settings));
+    assert!(!checker.receive_complaint("a", "y", 4.0, &settings));
+    assert!(
+        !checker.receive_complaint("b", "y", 9.5, &settings),
+        "the first complaint has expired"
     );
     for n in 0..20 {
-        p.receive_complaint("a", &format!("s{n}"), 10.0, &s);
+        checker.receive_complaint("a", &format!("s{n}"), 10.0, &settings);
     }
-    assert!(p.remembered() <= 4);
-    assert!(!p.receive_complaint("a", "late", 10.1, &s));
+    assert!(checker.remembered() <= 4);
+    assert!(!checker.receive_complaint("a", "late", 10.1, &settings));
     assert!(
-        !p.receive_complaint("a", "late", 20.0, &s) && p.remembered() <= 4,
-        "old ones make room"
+        !checker.receive_complaint("a", "late", 20.0, &settings) && checker.remembered() <= 4,
+        "expired complaints are removed for new ones"
     );
 }
 
 #[test]
-fn what_it_saw_itself_goes_before_a_probe_and_old_words_are_none() {
-    let (s, mut c) = (settings(), ServerExperience::default());
-    let judge =
-        |c: &ServerExperience, observation, age, now| c.judge("x", observation, age, 0.5, now, &s);
+fn an_own_recent_answer_overrides_a_failed_check_and_old_observations_are_ignored() {
+    let (settings, mut experience) = (settings(), ServerExperience::default());
+    let judge = |experience: &ServerExperience, observation, age, now| {
+        experience.judge("x", observation, age, 0.5, now, &settings)
+    };
     assert_eq!(
-        judge(&c, Observation::Silent, 0.1, 1.0),
+        judge(&experience, Observation::Silent, 0.1, 1.0),
         Some(Verdict::Unhealthy(3.0))
     );
     assert_eq!(
-        judge(&c, Observation::Answered, 0.1, 1.0),
+        judge(&experience, Observation::Answered, 0.1, 1.0),
         Some(Verdict::Healthy(1.0))
     );
     for age in [-1.0, 5.0, f64::NAN] {
-        assert_eq!(judge(&c, Observation::Silent, age, 1.0), None);
+        assert_eq!(judge(&experience, Observation::Silent, age, 1.0), None);
     }
-    c.record_delivery("x", Delivery::Answered, 1.0, &s);
+    experience.record_delivery("x", Delivery::Answered, 1.0, &settings);
     assert_eq!(
-        judge(&c, Observation::Refused, 0.1, 2.0),
+        judge(&experience, Observation::Refused, 0.1, 2.0),
         None,
-        "it answers here"
+        "the server answered this limiter recently"
     );
     assert_eq!(
-        judge(&c, Observation::Refused, 0.1, 3.2),
+        judge(&experience, Observation::Refused, 0.1, 3.2),
         Some(Verdict::Unhealthy(3.0)),
-        "it did, a while ago"
+        "the last answer is too old"
     );
     for n in 0..9 {
-        c.record_delivery(&format!("s{n}"), Delivery::Answered, 4.0, &s);
+        experience.record_delivery(&format!("s{n}"), Delivery::Answered, 4.0, &settings);
     }
-    assert!(c.remembered_answers() <= 4);
+    assert!(experience.remembered_answers() <= 4);
 }
 
 #[test]
-fn a_row_is_ended_by_any_answer_and_by_time() {
-    let (s, mut c) = (settings(), ServerExperience::default());
-    let mut end = |delivery, now| c.record_delivery("x", delivery, now, &s).is_some();
+fn consecutive_failures_are_reset_by_an_answer_and_by_time() {
+    let (settings, mut experience) = (settings(), ServerExperience::default());
+    let mut complains_after = |delivery, now| {
+        experience
+            .record_delivery("x", delivery, now, &settings)
+            .is_some()
+    };
+    assert!(
+        !complains_after(Delivery::Unanswered, 0.0)
+            && !complains_after(Delivery::Unanswered, 0.1)
+            && complains_after(Delivery::Unanswered, 0.2)
+    );
+    assert!(
+        !complains_after(Delivery::Unanswered, 0.3) && !complains_after(Delivery::Answered, 0.4)
+    );
     assert!(
-        !end(Delivery::Unanswered, 0.0)
-            && !end(Delivery::Unanswered, 0.1)
-            && end(Delivery::Unanswered, 0.2)
+        !complains_after(Delivery::Unanswered, 0.5)
+            && !complains_after(Delivery::Unanswered, 0.6)
+            && complains_after(Delivery::Unanswered, 0.7)
     );
-    assert!(!end(Delivery::Unanswered, 0.3) && !end(Delivery::Answered, 0.4));
     assert!(
-        !end(Delivery::Unanswered, 0.5)
-            && !end(Delivery::Unanswered, 0.6)
-            && end(Delivery::Unanswered, 0.7)
+        !complains_after(Delivery::Unanswered, 9.0),
+        "old failures are not counted"
     );
-    assert!(!end(Delivery::Unanswered, 9.0), "a row of long ago is none");
 }
--- a/crates/gateway/singleton-roles/tests/lease_model.rs
+++ b/crates/gateway/singleton-roles/tests/lease_model.rs
@@ -1,47 +1,53 @@
-//! The lease layer under a model checker: three contenders for one slot that may stall at any moment, a
-//! granter that may restart, messages that come late, twice or never. The model drives the text that serves,
-//! `ClientLease`, `LeaseGranter` and `FencingCheck`. Each guard is then taken out in turn, and the checker has to find a
-//! history in which that breaks something: a model that can't fail would prove nothing.
+//! Model check of the lease with the production types `ClientLease`, `LeaseGranter` and `FencingCheck`: two
+//! contenders for one slot that may stall at any moment, a granter that may restart, and messages that arrive
+//! late, twice or never. Each safeguard is also removed in turn, and the checker must then find a
+//! counterexample, which shows that the model can fail.
 
 use dunespur_singleton_roles::fencing::FencingCheck;
 use dunespur_singleton_roles::lease::{ClientLease, LeaseGranter};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-/// Time runs in steps. A lease of 2, and one step of allowance for what clocks differ.
+/// Length of a lease in time steps.
 const LEASE: u8 = 2;
-const WAIT: u8 = LEASE + 1;
+/// Time steps until the granter expires a lease: one more, for clock drift.
+const EXPIRY_WAIT: u8 = LEASE + 1;
+/// Last time step of the model.
 const END: u8 = 5;
 const CONTENDERS: usize = 2;
 
 #[derive(Clone, Copy, PartialEq)]
 struct Safeguards {
-    token: bool,
-    counted_before: bool,
+    /// The receiver checks fencing tokens.
+    fencing_check: bool,
+    /// The client counts the lease from before its request.
+    counts_from_request: bool,
+    /// A restarted granter waits for leases granted before.
     waits_after_restart: bool,
+    /// The granter waits for the full lease and the drift.
     waits_full_lease: bool,
 }
 
-const ALL: Safeguards = Safeguards {
-    token: true,
-    counted_before: true,
+const ALL_SAFEGUARDS: Safeguards = Safeguards {
+    fencing_check: true,
+    counts_from_request: true,
     waits_after_restart: true,
     waits_full_lease: true,
 };
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Mail {
-    /// Of a contender, with the number of its ask and when it was sent.
-    Ask {
-        who: usize,
+enum Message {
+    /// A contender's renewal request.
+    Renew {
+        contender: usize,
         seq: u64,
     },
     Granted {
-        who: usize,
+        contender: usize,
         seq: u64,
         token: u64,
     },
     Effect {
-        who: usize,
+        contender: usize,
         token: u64,
     },
 }
@@ -51,8 +57,8 @@
     lease: ClientLease<u8>,
     token: u64,
     seq: u64,
-    /// In the middle of an effect: it looked, and goes on whatever happens.
-    looked: Option<u64>,
+    /// Token of an effect in progress: the contender checked its lease and will not check it again.
+    effect_token: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -60,49 +66,53 @@
     now: u8,
     contenders: Vec<Contender>,
     granter: LeaseGranter<u8>,
-    /// What is in the log: it survives the granter.
+    /// Owner and token are in the log and survive a restart of the granter.
     owner: Option<usize>,
     token: u64,
-    mail: Vec<Mail>,
-    /// The receiver's last token, what it took, and whether one came out of order.
-    seen: u64,
-    disorder: bool,
+    messages: Vec<Message>,
+    /// The greatest token that the receiver accepted.
+    highest_token: u64,
+    /// The receiver accepted an effect under an older token.
+    out_of_order: bool,
+    /// Two contenders held the slot at the same time.
     overlap: bool,
     restarts: u8,
     effects: u8,
-    twice: u8,
+    duplicated_messages: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum Event {
     Tick,
-    Ask(usize),
+    Renew(usize),
     Deliver(usize),
-    /// It comes again later. What is never delivered was lost, or is still on its way.
+    /// Delivers a message that will be delivered again. A message that is never delivered counts as lost.
     DeliverAndKeep(usize),
-    Look(usize),
+    /// Checks the lease and starts an effect under its token.
+    StartEffect(usize),
     Restart,
 }
 
-struct Lease(Safeguards);
+struct LeaseModel(Safeguards);
 
-impl Lease {
-    fn owns(&self, s: &State, who: usize) -> bool {
-        s.contenders[who].token > 0 && s.contenders[who].lease.is_valid(s.now)
+impl LeaseModel {
+    fn owns(&self, state: &State, contender: usize) -> bool {
+        state.contenders[contender].token > 0
+            && state.contenders[contender].lease.is_valid(state.now)
     }
 
-    fn wait(&self) -> u8 {
+    fn expiry_wait(&self) -> u8 {
         if self.0.waits_full_lease {
-            WAIT
+            EXPIRY_WAIT
         } else {
             0
         }
     }
 }
 
-impl Model for Lease {
+impl Model for LeaseModel {
     type State = State;
-    type Action = Act;
+    type Action = Event;
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
@@ -111,140 +121,163 @@
             granter: LeaseGranter::default(),
             owner: None,
             token: 0,
-            mail: vec![],
-            seen: 0,
-            disorder: false,
+            messages: vec![],
+            highest_token: 0,
+            out_of_order: false,
             overlap: false,
             restarts: 0,
             effects: 0,
-            twice: 0,
+            duplicated_messages: 0,
         }]
     }
 
-    fn actions(&self, s: &State, acts: &mut Vec<Act>) {
-        if s.now < END {
-            acts.push(Act::Tick);
+    fn actions(&self, state: &State, events: &mut Vec<Event>) {
+        if state.now < END {
+            events.push(Event::Tick);
         }
-        for who in 0..CONTENDERS {
-            if s.contenders[who].seq < 2 {
-                acts.push(Act::Ask(who));
+        for contender in 0..CONTENDERS {
+            if state.contenders[contender].seq < 2 {
+                events.push(Event::Renew(contender));
             }
-            // It looks at any moment at which it holds; what it saw is acted on at any later one.
-            if self.owns(s, who) && s.contenders[who].looked.is_none() && s.effects < 2 {
-                acts.push(Act::Look(who));
+            // A contender may start an effect whenever it holds the slot; the effect may arrive at any later time.
+            if self.owns(state, contender)
+                && state.contenders[contender].effect_token.is_none()
+                && state.effects < 2
+            {
+                events.push(Event::StartEffect(contender));
             }
         }
-        for n in 0..s.mail.len() {
-            acts.push(Act::Deliver(n));
-            if s.twice < 1 {
-                acts.push(Act::DeliverAndKeep(n));
+        for n in 0..state.messages.len() {
+            events.push(Event::Deliver(n));
+            if state.duplicated_messages < 1 {
+                events.push(Event::DeliverAndKeep(n));
             }
         }
-        if s.restarts < 1 {
-            acts.push(Act::Restart);
+        if state.restarts < 1 {
+            events.push(Event::Restart);
         }
     }
 
-    fn next_state(&self, last: &State, act: Act) -> Option<State> {
-        let mut s = last.clone();
-        let again = match &act {
-            Act::DeliverAndKeep(n) => Some(s.mail[*n].clone()),
+    fn next_state(&self, last: &State, event: Event) -> Option<State> {
+        let mut state = last.clone();
+        let kept_message = match &event {
+            Event::DeliverAndKeep(n) => Some(state.messages[*n].clone()),
             _ => None,
         };
-        s.twice += u8::from(again.is_some());
-        match act {
-            Act::Tick => s.now += 1,
-            Act::Ask(who) => {
-                let now = s.now;
-                let c = &mut s.contenders[who];
-                c.seq += 1;
-                c.lease.renewal_sent(c.seq, now);
-                s.mail.push(Mail::Ask { who, seq: c.seq });
+        state.duplicated_messages += u8::from(kept_message.is_some());
+        match event {
+            Event::Tick => state.now += 1,
+            Event::Renew(contender) => {
+                let now = state.now;
+                let renewing = &mut state.contenders[contender];
+                renewing.seq += 1;
+                renewing.lease.renewal_sent(renewing.seq, now);
+                state.messages.push(Message::Renew {
+                    contender,
+                    seq: renewing.seq,
+                });
             }
-            Act::Look(who) => {
-                let token = s.contenders[who].token;
-                s.contenders[who].looked = Some(token);
-                s.effects += 1;
-                s.mail.push(Mail::Effect { who, token });
+            Event::StartEffect(contender) => {
+                let token = state.contenders[contender].token;
+                state.contenders[contender].effect_token = Some(token);
+                state.effects += 1;
+                state.messages.push(Message::Effect { contender, token });
             }
-            Act::Restart => {
-                s.restarts += 1;
-                s.granter = if self.0.waits_after_restart {
-                    LeaseGranter::take_over(s.owner.iter().map(|h| *h as u64), s.now)
+            Event::Restart => {
+                state.restarts += 1;
+                state.granter = if self.0.waits_after_restart {
+                    LeaseGranter::take_over(
+                        state.owner.iter().map(|owner| *owner as u64),
+                        state.now,
+                    )
                 } else {
                     LeaseGranter::default()
                 };
             }
-            Act::Deliver(n) | Act::DeliverAndKeep(n) => match s.mail.remove(n) {
-                Mail::Ask { who, seq } => {
-                    let free = match s.owner {
+            Event::Deliver(n) | Event::DeliverAndKeep(n) => match state.messages.remove(n) {
+                Message::Renew { contender, seq } => {
+                    let is_free = match state.owner {
                         None => true,
-                        Some(h) => h != who && s.granter.has_expired(h as u64, self.wait(), s.now),
+                        Some(owner) => {
+                            owner != contender
+                                && state.granter.has_expired(
+                                    owner as u64,
+                                    self.expiry_wait(),
+                                    state.now,
+                                )
+                        }
                     };
-                    if free {
-                        if let Some(h) = s.owner {
-                            s.granter.forget(h as u64);
+                    if is_free {
+                        if let Some(owner) = state.owner {
+                            state.granter.forget(owner as u64);
                         }
-                        s.owner = Some(who);
-                        s.token += 1;
+                        state.owner = Some(contender);
+                        state.token += 1;
                     }
-                    if s.owner == Some(who) {
-                        s.granter.renew(who as u64, s.now);
-                        s.mail.push(Mail::Granted {
-                            who,
+                    if state.owner == Some(contender) {
+                        state.granter.renew(contender as u64, state.now);
+                        state.messages.push(Message::Granted {
+                            contender,
                             seq,
-                            token: s.token,
+                            token: state.token,
                         });
                     }
                 }
-                Mail::Granted { who, seq, token } => {
-                    let now = s.now;
-                    let c = &mut s.contenders[who];
-                    let took = if self.0.counted_before {
-                        c.lease.granted(seq, LEASE)
+                Message::Granted {
+                    contender,
+                    seq,
+                    token,
+                } => {
+                    let now = state.now;
+                    let receiver = &mut state.contenders[contender];
+                    let granted = if self.0.counts_from_request {
+                        receiver.lease.granted(seq, LEASE)
                     } else {
-                        // Counted from the answer instead.
-                        c.lease.granted(seq, LEASE) && {
-                            c.lease.renewal_sent(100 + seq, now);
-                            c.lease.granted(100 + seq, LEASE)
+                        // Without the safeguard, the lease counts from the response.
+                        receiver.lease.granted(seq, LEASE) && {
+                            receiver.lease.renewal_sent(100 + seq, now);
+                            receiver.lease.granted(100 + seq, LEASE)
                         }
                     };
-                    if took {
-                        c.token = token;
-                        let other = (0..CONTENDERS).any(|o| o != who && self.owns(&s, o));
-                        s.overlap |= other && self.owns(&s, who);
+                    if granted {
+                        receiver.token = token;
+                        let other_owns = (0..CONTENDERS)
+                            .any(|other| other != contender && self.owns(&state, other));
+                        state.overlap |= other_owns && self.owns(&state, contender);
                     }
                 }
-                Mail::Effect { who, token } => {
-                    s.contenders[who].looked = None;
-                    let mut check = FencingCheck::restored(vec![s.seen]);
-                    if !self.0.token || check.accept(0, token) {
-                        s.disorder |= token < s.seen;
-                        s.seen = s.seen.max(token);
+                Message::Effect { contender, token } => {
+                    state.contenders[contender].effect_token = None;
+                    let mut check = FencingCheck::restored(vec![state.highest_token]);
+                    if !self.0.fencing_check || check.accept(0, token) {
+                        state.out_of_order |= token < state.highest_token;
+                        state.highest_token = state.highest_token.max(token);
                     }
                 }
             },
         }
-        s.mail.extend(again);
-        s.mail.sort();
-        Some(s)
+        state.messages.extend(kept_message);
+        state.messages.sort();
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one holder at a time", |_, s: &State| !s.overlap),
-            Property::always("effects in the order of their tokens", |_, s: &State| {
-                !s.disorder
-            }),
-            Property::sometimes("the slot changes hands", |_, s: &State| {
-                s.token >= 2 && s.seen >= 2
+            Property::always("one holder at a time", |_, state: &State| !state.overlap),
+            Property::always(
+                "effects in the order of their tokens",
+                |_, state: &State| !state.out_of_order,
+            ),
+            Property::sometimes("the slot changes hands", |_, state: &State| {
+                state.token >= 2 && state.highest_token >= 2
             }),
         ]
     }
 }
 
-fn broken(safeguards: Safeguards) -> Vec<&'static str> {
-    let checker = Lease(safeguards)
+/// Names of the properties that the checker finds violated with these safeguards.
+fn violated_properties(safeguards: Safeguards) -> Vec<&'static str> {
+    let checker = LeaseModel(safeguards)
         .checker()
         .threads(4)
         .finish_when(HasDiscoveries::AnyFailures)
@@ -253,13 +286,13 @@
     let found = checker.discoveries();
     found
         .into_keys()
-        .filter(|k| *k != "the slot changes hands")
+        .filter(|property| *property != "the slot changes hands")
         .collect()
 }
 
 #[test]
-fn with_all_guards_nothing_breaks() {
-    let checker = Lease(ALL)
+fn no_property_is_violated_with_all_safeguards() {
+    let checker = LeaseModel(ALL_SAFEGUARDS)
         .checker()
         .threads(4)
         .finish_when(HasDiscoveries::AnyFailures)
@@ -270,38 +303,38 @@
     let found = checker.discoveries();
     assert!(
         found.contains_key("the slot changes hands"),
-        "the model plays what it is for"
+        "the model must reach a change of owner"
     );
     assert_eq!(found.len(), 1);
 }
 
 #[test]
-fn each_guard_taken_out_gives_a_counterexample() {
+fn removing_any_safeguard_gives_a_counterexample() {
     assert_eq!(
-        broken(Safeguards {
-            token: false,
-            ..ALL
+        violated_properties(Safeguards {
+            fencing_check: false,
+            ..ALL_SAFEGUARDS
         }),
         ["effects in the order of their tokens"]
     );
     assert_eq!(
-        broken(Safeguards {
-            counted_before: false,
-            ..ALL
+        violated_properties(Safeguards {
+            counts_from_request: false,
+            ..ALL_SAFEGUARDS
         }),
         ["one holder at a time"]
     );
     assert_eq!(
-        broken(Safeguards {
+        violated_properties(Safeguards {
             waits_after_restart: false,
-            ..ALL
+            ..ALL_SAFEGUARDS
         }),
         ["one holder at a time"]
     );
     assert_eq!(
-        broken(Safeguards {
+        violated_properties(Safeguards {
             waits_full_lease: false,
-            ..ALL
+            ..ALL_SAFEGUARDS
         }),
         ["one holder at a time"]
     );
--- a/crates/gateway/singleton-roles/tests/placement.rs
+++ b/crates/gateway/singleton-roles/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of slots: joins and losses move no more than they have to.
+//! Placement of slots: a join or loss of a limiter moves no more slots than necessary.
 
 use dunespur_singleton_roles::placement::Placement;
 use dunespur_singleton_roles::table::Session;
@@ -43,52 +43,58 @@
 }
 
 #[test]
-fn a_join_moves_only_what_it_gains_and_a_loss_is_spread() {
+fn a_join_moves_only_slots_to_the_new_limiter_and_a_loss_is_spread() {
     let settings = settings(4096);
-    let mut all = BTreeMap::new();
+    let mut sessions = BTreeMap::new();
     for i in 0..20u64 {
-        all.insert(i, session(&format!("n{i}"), ["x", "y"][i as usize % 2]));
+        sessions.insert(i, session(&format!("n{i}"), ["x", "y"][i as usize % 2]));
     }
     let mut placement = Placement::new(&settings);
-    placement.update(&all, &(0..19).collect());
+    placement.update(&sessions, &(0..19).collect());
     let before: Vec<_> = (0..settings.slots())
-        .map(|s| placement.preferred(s).unwrap())
+        .map(|slot| placement.preferred(slot).unwrap())
         .collect();
     assert!(
         before[0] % 2 == 0 && before[1] % 2 == 1,
         "a zone's slot stays in its zone"
     );
-    placement.update(&all, &(0..20).collect());
+    placement.update(&sessions, &(0..20).collect());
     let moved: Vec<_> = (0..settings.slots())
-        .filter(|s| placement.preferred(*s) != Some(before[*s as usize]))
+        .filter(|slot| placement.preferred(*slot) != Some(before[*slot as usize]))
         .collect();
     assert!(
-        moved.iter().all(|s| placement.preferred(*s) == Some(19)),
-        "only the newcomer gains"
+        moved
+            .iter()
+            .all(|slot| placement.preferred(*slot) == Some(19)),
+        "only the new limiter gains slots"
     );
-    assert!(moved.len() < 4096 / 20 * 3 / 2, "{} moved", moved.len());
-    // Five is lost: no other gets more than a few times its share of what it had.
-    placement.update(&all, &(0..19).collect());
-    placement.update(&all, &(0..19).filter(|s| *s != 5).collect());
+    assert!(
+        moved.len() < 4096 / 20 * 3 / 2,
+        "{} slots moved",
+        moved.len()
+    );
+    // Session 5 is lost: no other session gains more than a few times its share of the freed slots.
+    placement.update(&sessions, &(0..19).collect());
+    placement.update(&sessions, &(0..19).filter(|s| *s != 5).collect());
     let mut gained = BTreeMap::new();
-    for s in (0..settings.slots()).filter(|s| before[*s as usize] == 5) {
+    for slot in (0..settings.slots()).filter(|slot| before[*slot as usize] == 5) {
         *gained
-            .entry(placement.preferred(s).unwrap())
+            .entry(placement.preferred(slot).unwrap())
             .or_insert(0u32) += 1;
     }
     assert!(
         gained.len() > 10 && gained.values().all(|n| *n < 40),
-        "{gained:?}"
+        "slots gained by session: {gained:?}"
     );
-    let again: Vec<_> = (0..settings.slots())
-        .map(|s| placement.preferred(s))
+    let incremental: Vec<_> = (0..settings.slots())
+        .map(|slot| placement.preferred(slot))
         .collect();
-    let mut anew = Placement::new(&settings);
-    anew.update(&all, &(0..19).filter(|s| *s != 5).collect());
+    let mut rebuilt = Placement::new(&settings);
+    rebuilt.update(&sessions, &(0..19).filter(|s| *s != 5).collect());
     assert_eq!(
-        again,
+        incremental,
         (0..settings.slots())
-            .map(|s| anew.preferred(s))
+            .map(|slot| rebuilt.preferred(slot))
             .collect::<Vec<_>>()
     );
 }
--- a/crates/gateway/singleton-roles/tests/voters.rs
+++ b/crates/gateway/singleton-roles/tests/voters.rs
@@ -1,5 +1,5 @@
-//! Three voters and their holders in one process, on one clock and links without delay: what trials found,
-//! each in its smallest form.
+//! Three voters and their clients in one process, on one clock and with links without delay: minimal
+//! reproductions of failures found in simulated trials.
 
 use dunespur_singleton_roles::client::RoleClient;
 use dunespur_singleton_roles::fencing::FencingCheck;
@@ -13,12 +13,13 @@
     voter: Option<Voter>,
     client: RoleClient,
     disk: DiskState,
-    /// What this disk held at each second.
+    /// Contents of the disk at each second.
     disk_history: Vec<DiskState>,
     up: bool,
-    /// It stands still: nothing reaches it, nothing is lost.
-    still: bool,
-    mail: VecDeque<(String, Message)>,
+    /// The process is paused: it handles no messages, but none are lost.
+    paused: bool,
+    /// Received messages with their senders.
+    inbox: VecDeque<(String, Message)>,
 }
 
 struct Fleet {
@@ -27,16 +28,18 @@
     now: f64,
     runs: u64,
     reports: Vec<String>,
+    /// The tokens last received, by node.
     tokens: Vec<Vec<u64>>,
-    /// How long a write takes, and what is under way.
+    /// Seconds that a write takes.
     fsync: f64,
-    /// Of one disk, in place of the others' time.
+    /// A node whose disk takes another number of seconds for a write.
     slow_disk: Option<(usize, f64)>,
-    saving: VecDeque<(f64, usize, WriteBatch)>,
-    /// How many writes were asked for.
+    /// Pending writes: completion time, node and batch.
+    pending_writes: VecDeque<(f64, usize, WriteBatch)>,
+    /// Number of writes submitted.
     writes: usize,
-    /// Who wakes up reads what came before it looks at its timers.
-    mail_first: bool,
+    /// Whether a node handles its inbox before its timers.
+    inbox_first: bool,
 }
 
 fn settings() -> Settings {
@@ -71,9 +74,9 @@
             tokens: vec![vec![]; limiters],
             fsync: 0.0,
             slow_disk: None,
-            saving: VecDeque::new(),
+            pending_writes: VecDeque::new(),
             writes: 0,
-            mail_first: false,
+            inbox_first: false,
         };
         for n in 0..limiters {
             let identity = Identity {
@@ -89,13 +92,16 @@
                 disk: DiskState::default(),
                 disk_history: vec![],
                 up: false,
-                still: false,
-                mail: VecDeque::new(),
+                paused: false,
+                inbox: VecDeque::new(),
             });
             fleet.start(n);
         }
         fleet.run(4.0);
-        assert!(fleet.all_slots_owned(), "all slots are held at first");
+        assert!(
+            fleet.all_slots_owned(),
+            "all slots are held after the start"
+        );
         fleet
     }
 
@@ -111,7 +117,7 @@
         };
         let node = &mut self.nodes[n];
         node.client = RoleClient::new(self.settings.clone(), identity, vec![], now);
-        node.mail.clear();
+        node.inbox.clear();
         node.up = true;
         let mut out = Vec::new();
         if self.settings.voters.contains(&name) {
@@ -119,31 +125,38 @@
             node.voter =
                 Some(Voter::new(self.settings.clone(), name, disk, run, now, &mut out).unwrap());
         }
-        self.take(n, out);
+        self.handle_outputs(n, out);
     }
 
     fn kill(&mut self, n: usize) {
-        self.saving.retain(|write| write.1 != n);
+        self.pending_writes.retain(|write| write.1 != n);
         self.nodes[n].up = false;
         self.nodes[n].voter = None;
-        self.nodes[n].mail.clear();
+        self.nodes[n].inbox.clear();
     }
 
-    fn take(&mut self, n: usize, out: Vec<Output>) {
-        for o in out {
-            match o {
+    fn handle_outputs(&mut self, n: usize, out: Vec<Output>) {
+        for output in out {
+            match output {
                 Output::Send { to, message } => {
                     let from = self.nodes[n].name.clone();
-                    if let Some(to) = self.nodes.iter_mut().find(|t| t.name == to && t.up) {
-                        to.mail.push_back((from, message));
+                    if let Some(to) = self
+                        .nodes
+                        .iter_mut()
+                        .find(|node| node.name == to && node.up)
+                    {
+                        to.inbox.push_back((from, message));
                     }
                 }
                 Output::Write(batch) => {
                     self.writes += 1;
                     let slow = self.slow_disk.filter(|slow| slow.0 == n).map(|slow| slow.1);
-                    self.saving
-                        .push_back((self.now + slow.unwrap_or(self.fsync), n, batch));
-                    self.sync();
+                    self.pending_writes.push_back((
+                        self.now + slow.unwrap_or(self.fsync),
+                        n,
+                        batch,
+                    ));
+                    self.complete_writes();
                 }
                 Output::Report { text, .. } => self.reports.push(text),
                 Output::Tokens(tokens) => self.tokens[n] = tokens,
@@ -152,16 +165,22 @@
         }
     }
 
-    /// All disks that stood still go on, and have written what waited.
-    fn disks_go_on(&mut self) {
+    /// Ends the stall of all disks: pending writes complete now.
+    fn resume_disks(&mut self) {
         self.fsync = 0.0;
-        self.saving.iter_mut().for_each(|write| write.0 = self.now);
+        self.pending_writes
+            .iter_mut()
+            .for_each(|write| write.0 = self.now);
     }
 
-    /// Writes whose time has come are on the disk, and said to be.
-    fn sync(&mut self) {
-        while let Some(at) = self.saving.iter().position(|write| write.0 <= self.now) {
-            let Some((_, n, batch)) = self.saving.remove(at) else {
+    /// Completes all writes that are due and reports them to their voters.
+    fn complete_writes(&mut self) {
+        while let Some(position) = self
+            .pending_writes
+            .iter()
+            .position(|write| write.0 <= self.now)
+        {
+            let Some((_, n, batch)) = self.pending_writes.remove(position) else {
                 return;
             };
             if !self.nodes[n].up {
@@ -170,36 +189,37 @@
             self.nodes[n].disk.apply(&batch);
             let mut out = Vec::new();
             let now = self.now;
-            if let Some(v) = &mut self.nodes[n].voter {
-                v.written(batch.number, now, &mut out);
+            if let Some(voter) = &mut self.nodes[n].voter {
+                voter.written(batch.number, now, &mut out);
             }
-            self.take(n, out);
+            self.handle_outputs(n, out);
         }
     }
 
-    fn timers(&mut self, n: usize) {
+    fn run_timers(&mut self, n: usize) {
         let now = self.now;
         let mut out = Vec::new();
-        if let Some(v) = &mut self.nodes[n].voter {
-            v.tick(now, &mut out);
+        if let Some(voter) = &mut self.nodes[n].voter {
+            voter.tick(now, &mut out);
         }
         self.nodes[n].client.tick(now, &mut out);
-        self.take(n, out);
+        self.handle_outputs(n, out);
     }
 
-    /// One step of all nodes: timers first, as a process that wakes up finds them due, then its mail.
+    /// Runs one step of all nodes: timers, as they are due when a process wakes up, then the inbox; the other way
+    /// round with `inbox_first`.
     fn step(&mut self) {
         self.now += 0.005;
         let now = self.now;
-        self.sync();
+        self.complete_writes();
         for n in 0..self.nodes.len() {
-            if !self.nodes[n].up || self.nodes[n].still {
+            if !self.nodes[n].up || self.nodes[n].paused {
                 continue;
             }
-            if !self.mail_first {
-                self.timers(n);
+            if !self.inbox_first {
+                self.run_timers(n);
             }
-            for (from, message) in std::mem::take(&mut self.nodes[n].mail) {
+            for (from, message) in std::mem::take(&mut self.nodes[n].inbox) {
                 let mut out = Vec::new();
                 let node = &mut self.nodes[n];
                 match message {
@@ -210,37 +230,42 @@
                         node.client.receive(&from, message, now, &mut out);
                     }
                     _ => {
-                        if let Some(v) = &mut node.voter {
-                            v.receive(&from, message, now, &mut out);
+                        if let Some(voter) = &mut node.voter {
+                            voter.receive(&from, message, now, &mut out);
                         }
                     }
                 }
-                self.take(n, out);
+                self.handle_outputs(n, out);
             }
-            if self.mail_first {
-                self.timers(n);
+            if self.inbox_first {
+                self.run_timers(n);
             }
         }
-        // One holder at a time, on the one clock; standing still takes nothing from what a lease says.
+        // At most one node holds a slot; a paused node still counts as long as its lease is valid.
         for slot in 0..self.settings.slots() {
             let owners = self
                 .nodes
                 .iter()
                 .filter(|n| n.up && n.client.token(slot, now).is_some());
             let owners: Vec<_> = owners.map(|n| n.name.clone()).collect();
-            assert!(owners.len() <= 1, "{owners:?} hold {slot} at {now}");
+            assert!(
+                owners.len() <= 1,
+                "{owners:?} all hold slot {slot} at {now}"
+            );
         }
-        let leads: Vec<_> = self
+        let leaders: Vec<_> = self
             .nodes
             .iter()
             .filter_map(|n| n.voter.as_ref())
             .filter(|v| v.is_leader())
             .collect();
-        for (i, a) in leads.iter().enumerate() {
+        for (i, leader) in leaders.iter().enumerate() {
             assert!(
-                leads[i + 1..].iter().all(|b| b.term() != a.term()),
-                "two lead in term {}",
-                a.term()
+                leaders[i + 1..]
+                    .iter()
+                    .all(|other| other.term() != leader.term()),
+                "two leaders in term {}",
+                leader.term()
             );
         }
     }
@@ -259,12 +284,12 @@
     }
 
     fn all_slots_owned(&self) -> bool {
-        let all_slots_owned = |slot| {
+        let is_owned = |slot| {
             self.nodes
                 .iter()
                 .any(|n| n.up && n.client.token(slot, self.now).is_some())
         };
-        (0..self.settings.slots()).all(all_slots_owned)
+        (0..self.settings.slots()).all(is_owned)
     }
 
     fn leader(&self) -> usize {
@@ -274,38 +299,38 @@
             .unwrap()
     }
 
-    fn reported(&self, what: &str) -> bool {
-        self.reports.iter().any(|r| r.contains(what))
+    fn reported(&self, text: &str) -> bool {
+        self.reports.iter().any(|report| report.contains(text))
     }
 }
 
 #[test]
-fn a_session_whose_end_is_under_way_is_not_renewed() {
+fn an_expiring_session_is_not_renewed() {
     let mut fleet = Fleet::new(5);
-    // All stand still for longer than a lease. Awake, the leader finds all sessions lapsed and says so to the
-    // log, having heard some ask the moment before; heartbeats come back before the entries are written.
+    // All nodes pause for longer than a lease. The leader then receives some renewals just before it proposes to
+    // expire all sessions, and responses to heartbeats arrive before the entries are written.
     fleet.fsync = 0.06;
-    fleet.mail_first = true;
+    fleet.inbox_first = true;
     for round in 0..6 {
-        fleet.nodes.iter_mut().for_each(|n| n.still = true);
+        fleet.nodes.iter_mut().for_each(|n| n.paused = true);
         fleet.run(3.0 + 0.3 * f64::from(round));
-        fleet.nodes[3..].iter_mut().for_each(|n| n.still = false);
+        fleet.nodes[3..].iter_mut().for_each(|n| n.paused = false);
         fleet.run(0.01);
-        fleet.nodes.iter_mut().for_each(|n| n.still = false);
+        fleet.nodes.iter_mut().for_each(|n| n.paused = false);
         fleet.run(0.04);
-        // Who was renewed in that moment stands still again, and holds as long as it was told.
-        fleet.nodes[3..].iter_mut().for_each(|n| n.still = true);
+        // The nodes that may have been renewed at that moment pause again, and would hold for a full lease.
+        fleet.nodes[3..].iter_mut().for_each(|n| n.paused = true);
         fleet.run(1.8);
-        fleet.nodes[3..].iter_mut().for_each(|n| n.still = false);
+        fleet.nodes[3..].iter_mut().for_each(|n| n.paused = false);
         fleet.run(6.0);
         assert!(fleet.all_slots_owned());
     }
 }
 
 #[test]
-fn a_leader_whose_disk_was_put_back_does_not_lead_its_term_again() {
+fn a_leader_with_a_restored_older_disk_does_not_lead_its_term_again() {
     let mut fleet = Fleet::new(5);
-    // The next leader has one term more; its disk is put back to before it led.
+    // The next leader has a later term; its disk is restored to a state from before it led.
     let first = fleet.leader();
     fleet.kill(first);
     fleet.run(4.0);
@@ -330,13 +355,13 @@
 }
 
 #[test]
-fn a_voter_without_its_disk_has_no_vote_until_it_is_let_in() {
+fn a_voter_that_lost_its_disk_has_no_vote_until_it_is_admitted() {
     let mut fleet = Fleet::new(4);
     let lost = (fleet.leader() + 1) % 3;
     fleet.kill(lost);
     fleet.nodes[lost].disk = DiskState::default();
     let other = (lost + 1) % 3;
-    // Alone with it the other voter is no majority: nobody leads, duties lapse, nobody acts.
+    // The other voter and a voter without a vote are no majority: no leader, and all leases expire.
     let third = 3 - lost - other;
     fleet.kill(third);
     fleet.start(lost);
@@ -350,7 +375,8 @@
         .nodes
         .iter()
         .all(|n| n.client.token(s, fleet.now).is_none())));
-    // With the third back there is a majority, which lets it in; then it counts like any other.
+    // With the third voter there is a majority, which admits the new disk; afterwards the new disk counts towards
+    // a majority.
     fleet.start(third);
     fleet.run(16.0);
     assert!(
@@ -364,7 +390,7 @@
 }
 
 #[test]
-fn a_restart_while_another_is_down_votes_after_the_stated_wait() {
+fn a_restarted_voter_votes_after_the_disk_check_timeout_while_another_is_down() {
     let mut fleet = Fleet::new(4);
     fleet.kill(2);
     fleet.kill(1);
@@ -373,7 +399,7 @@
     fleet.run(3.0);
     assert!(
         !fleet.nodes[1].voter.as_ref().unwrap().is_voting(),
-        "one of the others could know better"
+        "the stopped voter may know a newer state of the disk"
     );
     fleet.run(12.0);
     assert!(
@@ -383,7 +409,7 @@
 }
 
 #[test]
-fn a_fencing_check_takes_nothing_until_it_knows_the_tokens() {
+fn a_fencing_check_refuses_all_tokens_until_it_is_initialized() {
     let mut fleet = Fleet::new(4);
     let token = fleet
         .nodes
@@ -393,7 +419,7 @@
     let mut check = FencingCheck::new(8);
     assert!(
         !check.accept(0, token),
-        "started anew, it could take one that is older than what it took"
+        "a restarted check could accept a token older than one accepted before"
     );
     fleet.kill(3);
     fleet.run(5.0);
@@ -414,7 +440,7 @@
 }
 
 #[test]
-fn a_graceful_shutdown_hands_over_at_once_and_a_crash_within_lease_and_election() {
+fn slots_move_at_once_on_a_graceful_shutdown_and_within_lease_and_election_on_a_crash() {
     let mut fleet = Fleet::new(5);
     let slot = (0..8)
         .find(|s| {
@@ -430,43 +456,49 @@
     let mut out = Vec::new();
     let now = fleet.now;
     fleet.nodes[owner].client.leave(now, &mut out);
-    fleet.take(owner, out);
+    fleet.handle_outputs(owner, out);
     fleet.run(0.1);
-    assert!(fleet.all_slots_owned(), "within a tenth of a second");
+    assert!(
+        fleet.all_slots_owned(),
+        "all slots are held 0.1 s after the shutdown"
+    );
     let leader = fleet.leader();
     fleet.kill(leader);
     fleet.run(4.5);
-    assert!(fleet.all_slots_owned(), "leader and holder in one");
+    assert!(
+        fleet.all_slots_owned(),
+        "all slots are held again after a crash of the leader, which held slots"
+    );
 }
 
-/// Runs with a look at each step that nobody who held a slot lost it.
-fn run_with_no_lapse(fleet: &mut Fleet, seconds: f64, slots: &[u32]) {
+/// Runs the fleet and asserts at each step that every one of the slots is held.
+fn run_with_slots_held(fleet: &mut Fleet, seconds: f64, slots: &[u32]) {
     let end = fleet.now + seconds;
     while fleet.now < end {
         fleet.step();
         for slot in slots {
-            let all_slots_owned = fleet
+            let is_owned = fleet
                 .nodes
                 .iter()
                 .any(|n| n.up && n.client.token(*slot, fleet.now).is_some());
-            assert!(all_slots_owned, "nobody holds {slot} at {}", fleet.now);
+            assert!(is_owned, "no node holds slot {slot} at {}", fleet.now);
         }
     }
 }
 
 #[test]
-fn leases_that_are_only_renewed_write_nothing() {
+fn renewing_leases_writes_nothing_to_disk() {
     let mut fleet = Fleet::new(5);
     let (leader, all) = (fleet.leader(), (0..8).collect::<Vec<_>>());
     let writes = fleet.writes;
-    // All disks stand still, for longer than a lease with its election.
+    // All disks stall for longer than a lease and an election.
     fleet.fsync = 8.0;
-    run_with_no_lapse(&mut fleet, 12.0, &all);
+    run_with_slots_held(&mut fleet, 12.0, &all);
     assert_eq!((fleet.leader(), fleet.writes), (leader, writes));
 }
 
 #[test]
-fn a_grant_that_waits_for_the_disks_costs_no_other_lease() {
+fn a_grant_that_waits_for_stalled_disks_costs_no_other_lease() {
     let mut fleet = Fleet::new(5);
     let leader = fleet.leader();
     let lost = fleet.nodes[4].name.clone();
@@ -474,12 +506,12 @@
         (0..8).partition(|slot| fleet.nodes[4].client.token(*slot, fleet.now).is_some());
     assert!(
         !of_lost.is_empty() && !others.is_empty(),
-        "{lost} holds some, not all"
+        "{lost} holds some slots, but not all"
     );
     fleet.fsync = 8.0;
     fleet.kill(4);
-    // Its session's end and the grants of its slots are in the log, and on no disk.
-    run_with_no_lapse(&mut fleet, 8.0, &others);
+    // The expiry of the session and the grants of its slots are in the log, but on no disk.
+    run_with_slots_held(&mut fleet, 8.0, &others);
     let free = |fleet: &Fleet| {
         of_lost.iter().all(|s| {
             fleet
@@ -488,19 +520,22 @@
                 .all(|n| !n.up || n.client.token(*s, fleet.now).is_none())
         })
     };
-    assert!(free(&fleet), "nothing is granted that no disk holds");
-    fleet.disks_go_on();
-    run_with_no_lapse(&mut fleet, 8.0, &others);
+    assert!(
+        free(&fleet),
+        "no slot is granted before the grant is on a disk"
+    );
+    fleet.resume_disks();
+    run_with_slots_held(&mut fleet, 8.0, &others);
     assert!(fleet.all_slots_owned());
     assert_eq!(fleet.leader(), leader);
 }
 
 #[test]
-fn a_leader_that_lost_what_only_others_wrote_keeps_its_vote() {
+fn a_leader_restarted_without_entries_that_only_others_wrote_keeps_its_vote() {
     let mut fleet = Fleet::new(5);
     let leader = fleet.leader();
     fleet.slow_disk = Some((leader, 60.0));
-    // The end of its session is written by the two others and settled; the leader's disk does not get to it.
+    // The expiry of node 4's session is committed by the two other voters; the leader's disk never writes it.
     fleet.kill(4);
     fleet.run(4.0);
     assert_eq!(fleet.leader(), leader);
@@ -515,7 +550,7 @@
         fleet.reports
     );
     assert!(fleet.nodes[leader].voter.as_ref().unwrap().is_voting());
-    // With its vote the group stands without a third.
+    // With its vote the group has a majority without the third voter.
     let third = (0..3)
         .find(|n| *n != leader && *n != fleet.leader())
         .unwrap();
