--- a/crates/gateway/gateway/src/fleet/audits.rs
+++ b/crates/gateway/gateway/src/fleet/audits.rs
@@ -99,13 +99,13 @@
             return;
         };
         self.client.record_progress(slot, now);
-        let Some(verdict) = self.auditor.judge(name, total, &self.plan.audit) else {
+        let Some(verdict) = self.auditor.compare(name, total, &self.plan.audit) else {
             return;
         };
         let (n, what, value) = match verdict {
-            audit::Verdict::Agrees => (0, "agrees", 0.0),
-            audit::Verdict::Lost(units) => (1, "lost", units),
-            audit::Verdict::Surplus(units) => (2, "surplus", units),
+            audit::AuditResult::Agrees => (0, "agrees", 0.0),
+            audit::AuditResult::Lost(units) => (1, "lost", units),
+            audit::AuditResult::Surplus(units) => (2, "surplus", units),
         };
         self.audit_results[n] += 1;
         if n > 0 {
--- a/crates/gateway/gateway/src/fleet/health_checks.rs
+++ b/crates/gateway/gateway/src/fleet/health_checks.rs
@@ -117,7 +117,7 @@
         age: f64,
         now: f64,
     ) {
-        let judged = self.experience.judge(
+        let judged = self.experience.evaluate(
             server,
             observation,
             age,
@@ -127,8 +127,8 @@
         );
         if let (Some(judged), Ok(address)) = (judged, server.parse()) {
             let (bad, pause) = match judged {
-                health_check::Verdict::Unhealthy(pause) => (true, pause),
-                health_check::Verdict::Healthy(pause) => (false, pause),
+                health_check::HealthDecision::Unhealthy(pause) => (true, pause),
+                health_check::HealthDecision::Healthy(pause) => (false, pause),
             };
             hub.tell(Event::FleetVerdict {
                 address,
--- a/crates/gateway/gateway/src/fleet/mod.rs
+++ b/crates/gateway/gateway/src/fleet/mod.rs
@@ -36,8 +36,8 @@
 use dunespur_singleton_roles::client::RoleClient;
 use dunespur_singleton_roles::discovery_relay::Relay;
 use dunespur_singleton_roles::fencing::FencingCheck;
+use dunespur_singleton_roles::health_check::DeliveryHistory;
 use dunespur_singleton_roles::health_check::HealthChecker;
-use dunespur_singleton_roles::health_check::ServerExperience;
 use dunespur_singleton_roles::records::WriteBatch;
 use dunespur_singleton_roles::voter::Voter;
 use dunespur_singleton_roles::Identity;
@@ -73,7 +73,7 @@
     /// Slots of the roles that are asked for by key.
     health_check_slots: Option<SlotRange>,
     audit_slots: Option<SlotRange>,
-    experience: ServerExperience,
+    experience: DeliveryHistory,
     health_checker: HealthChecker,
     tally: UsageTally,
     auditor: Auditor,
--- a/crates/gateway/gateway/src/fleet/setup.rs
+++ b/crates/gateway/gateway/src/fleet/setup.rs
@@ -18,8 +18,8 @@
 use dunespur_singleton_roles::client::RoleClient;
 use dunespur_singleton_roles::discovery_relay::Relay;
 use dunespur_singleton_roles::fencing::FencingCheck;
+use dunespur_singleton_roles::health_check::DeliveryHistory;
 use dunespur_singleton_roles::health_check::HealthChecker;
-use dunespur_singleton_roles::health_check::ServerExperience;
 use dunespur_singleton_roles::records::WriteBatch;
 use dunespur_singleton_roles::voter::Voter;
 use dunespur_singleton_roles::Identity;
@@ -213,7 +213,7 @@
             discovered: BTreeMap::new(),
             addresses: BTreeMap::new(),
             history,
-            experience: ServerExperience::default(),
+            experience: DeliveryHistory::default(),
             health_checker: HealthChecker::default(),
             tally: UsageTally::default(),
             auditor: Auditor::default(),
--- a/crates/gateway/singleton-roles/src/audit.rs
+++ b/crates/gateway/singleton-roles/src/audit.rs
@@ -181,7 +181,7 @@
 
 /// How a counter's total compares with what the fleet added.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum AuditResult {
     /// The total is within the tolerance.
     Agrees,
     /// The total is this many units below the least that was added: the counter lost updates.
@@ -250,7 +250,7 @@
     /// Compares the counter's total for a name, just read, with what the fleet added. Returns None for a name
     /// that was not due or has changed since.
     #[must_use]
-    pub fn judge(&self, name: u64, total: f64, settings: &Settings) -> Option<Verdict> {
+    pub fn compare(&self, name: u64, total: f64, settings: &Settings) -> Option<AuditResult> {
         let fleet = self
             .names
             .get(&name)
@@ -260,11 +260,11 @@
         let least = certain + usages().map(|usage| usage.least_unknown).sum::<f64>();
         let most = certain + usages().map(|usage| usage.most_unknown).sum::<f64>();
         Some(if total < least - settings.tolerance {
-            Verdict::Lost(least - total)
+            AuditResult::Lost(least - total)
         } else if total > most + settings.tolerance {
-            Verdict::Surplus(total - most)
+            AuditResult::Surplus(total - most)
         } else {
-            Verdict::Agrees
+            AuditResult::Agrees
         })
     }
 
--- a/crates/gateway/singleton-roles/src/health_check.rs
+++ b/crates/gateway/singleton-roles/src/health_check.rs
@@ -115,7 +115,7 @@
 
 /// The outcomes of a limiter's own deliveries, by server.
 #[derive(Debug, Default)]
-pub struct ServerExperience {
+pub struct DeliveryHistory {
     failures: BTreeMap<String, FailureRun>,
     /// When each server last answered this limiter.
     last_answers: BTreeMap<String, f64>,
@@ -123,14 +123,14 @@
 
 /// What a limiter concludes from an observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum HealthDecision {
     /// The server gets no requests for this many seconds.
     Unhealthy(f64),
     /// The server gets requests again after this many seconds.
     Healthy(f64),
 }
 
-impl ServerExperience {
+impl DeliveryHistory {
     /// Records a finished delivery; returns a complaint if one is due now.
     pub fn record_delivery(
         &mut self,
@@ -192,7 +192,7 @@
     /// from limiters that it answers. The pause lasts until the next check is due; `jitter`, from 0 to 1,
     /// spreads its end over the limiters.
     #[must_use]
-    pub fn judge(
+    pub fn evaluate(
         &self,
         server: &str,
         observation: Observation,
@@ -200,17 +200,17 @@
         jitter: f64,
         now: f64,
         settings: &Settings,
-    ) -> Option<Verdict> {
+    ) -> Option<HealthDecision> {
         if !(age >= 0.0 && age < settings.complaint_window) {
             return None;
         }
         let interval = settings.min_interval;
         if observation == Observation::Answered {
-            return Some(Verdict::Healthy(interval * jitter));
+            return Some(HealthDecision::Healthy(interval * jitter));
         }
         let last_answer = self.last_answers.get(server);
         let answered = last_answer.is_some_and(|at| *at + interval > now - age);
-        (!answered).then_some(Verdict::Unhealthy(interval * (1.0 + jitter)))
+        (!answered).then_some(HealthDecision::Unhealthy(interval * (1.0 + jitter)))
     }
 
     /// Number of servers whose last answer is remembered.
--- a/crates/gateway/singleton-roles/tests/audit.rs
+++ b/crates/gateway/singleton-roles/tests/audit.rs
@@ -1,7 +1,7 @@
 //! The audit of the counter: sums over limiters, calls with unknown outcomes, restarts, invalid amounts.
 
 use dunespur_singleton_roles::audit::{
-    Auditor, CallOutcome, Message, Settings, Usage, UsageTally, Verdict,
+    AuditResult, Auditor, CallOutcome, Message, Settings, Usage, UsageTally,
 };
 
 fn settings() -> Settings {
@@ -54,14 +54,23 @@
 #[test]
 fn totals_within_the_unknown_bounds_agree() {
     let (settings, auditor) = (settings(), auditor_with_reports());
-    assert_eq!(auditor.judge(7, 4.0, &settings), Some(Verdict::Agrees));
-    assert_eq!(auditor.judge(7, 8.0, &settings), Some(Verdict::Agrees));
-    assert_eq!(auditor.judge(7, 1.0, &settings), Some(Verdict::Lost(3.0)));
     assert_eq!(
-        auditor.judge(7, 10.0, &settings),
-        Some(Verdict::Surplus(2.0))
+        auditor.compare(7, 4.0, &settings),
+        Some(AuditResult::Agrees)
     );
-    assert_eq!(auditor.judge(8, 0.0, &settings), None);
+    assert_eq!(
+        auditor.compare(7, 8.0, &settings),
+        Some(AuditResult::Agrees)
+    );
+    assert_eq!(
+        auditor.compare(7, 1.0, &settings),
+        Some(AuditResult::Lost(3.0))
+    );
+    assert_eq!(
+        auditor.compare(7, 10.0, &settings),
+        Some(AuditResult::Surplus(2.0))
+    );
+    assert_eq!(auditor.compare(8, 0.0, &settings), None);
 }
 
 #[test]
@@ -110,5 +119,8 @@
         [7],
         "the counter is read again after the new report"
     );
-    assert_eq!(auditor.judge(7, 9.0, &settings), Some(Verdict::Agrees));
+    assert_eq!(
+        auditor.compare(7, 9.0, &settings),
+        Some(AuditResult::Agrees)
+    );
 }
--- a/crates/gateway/singleton-roles/tests/health_check.rs
+++ b/crates/gateway/singleton-roles/tests/health_check.rs
@@ -1,7 +1,7 @@
 //! Health checks: when a limiter complains, when a server is checked, and the effect of an observation.
 
 use dunespur_singleton_roles::health_check::{
-    Delivery, HealthChecker, Observation, ServerExperience, Settings, Verdict,
+    Delivery, DeliveryHistory, HealthChecker, HealthDecision, Observation, Settings,
 };
 
 fn settings() -> Settings {
@@ -46,43 +46,43 @@
 
 #[test]
 fn an_own_recent_answer_overrides_a_failed_check_and_old_observations_are_ignored() {
-    let (settings, mut experience) = (settings(), ServerExperience::default());
-    let judge = |experience: &ServerExperience, observation, age, now| {
-        experience.judge("x", observation, age, 0.5, now, &settings)
+    let (settings, mut history) = (settings(), DeliveryHistory::default());
+    let evaluate = |history: &DeliveryHistory, observation, age, now| {
+        history.evaluate("x", observation, age, 0.5, now, &settings)
     };
     assert_eq!(
-        judge(&experience, Observation::Silent, 0.1, 1.0),
-        Some(Verdict::Unhealthy(3.0))
+        evaluate(&history, Observation::Silent, 0.1, 1.0),
+        Some(HealthDecision::Unhealthy(3.0))
     );
     assert_eq!(
-        judge(&experience, Observation::Answered, 0.1, 1.0),
-        Some(Verdict::Healthy(1.0))
+        evaluate(&history, Observation::Answered, 0.1, 1.0),
+        Some(HealthDecision::Healthy(1.0))
     );
     for age in [-1.0, 5.0, f64::NAN] {
-        assert_eq!(judge(&experience, Observation::Silent, age, 1.0), None);
+        assert_eq!(evaluate(&history, Observation::Silent, age, 1.0), None);
     }
-    experience.record_delivery("x", Delivery::Answered, 1.0, &settings);
+    history.record_delivery("x", Delivery::Answered, 1.0, &settings);
     assert_eq!(
-        judge(&experience, Observation::Refused, 0.1, 2.0),
+        evaluate(&history, Observation::Refused, 0.1, 2.0),
         None,
         "the server answered this limiter recently"
     );
     assert_eq!(
-        judge(&experience, Observation::Refused, 0.1, 3.2),
-        Some(Verdict::Unhealthy(3.0)),
+        evaluate(&history, Observation::Refused, 0.1, 3.2),
+        Some(HealthDecision::Unhealthy(3.0)),
         "the last answer is too old"
     );
     for n in 0..9 {
-        experience.record_delivery(&format!("s{n}"), Delivery::Answered, 4.0, &settings);
+        history.record_delivery(&format!("s{n}"), Delivery::Answered, 4.0, &settings);
     }
-    assert!(experience.remembered_answers() <= 4);
+    assert!(history.remembered_answers() <= 4);
 }
 
 #[test]
 fn consecutive_failures_are_reset_by_an_answer_and_by_time() {
-    let (settings, mut experience) = (settings(), ServerExperience::default());
+    let (settings, mut history) = (settings(), DeliveryHistory::default());
     let mut complains_after = |delivery, now| {
-        experience
+        history
             .record_delivery("x", delivery, now, &settings)
             .is_some()
     };
