--- a/crates/gateway/singleton-roles/src/audit.rs
+++ b/crates/gateway/singleton-roles/src/audit.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Seconds after its last change until a name is forgotten; names are not used beyond their rate-limit window.
+/// A name is forgotten this many seconds after its last change; names end with their rate-limit window.
 const NAME_RETENTION: f64 = 60.0;
 
 /// Settings of the audit, from the operators' file. Times are seconds.
--- a/crates/gateway/singleton-roles/src/memory_log.rs
+++ b/crates/gateway/singleton-roles/src/memory_log.rs
@@ -34,18 +34,20 @@
         &self.snapshot
     }
 
-    pub(crate) fn first(&self) -> u64 {
+    /// Index of the first entry after the snapshot, whether or not it exists yet.
+    pub(crate) fn first_log_index(&self) -> u64 {
         self.snapshot.index + 1
     }
 
-    pub(crate) fn last(&self) -> u64 {
+    /// Index of the last entry, or of the snapshot if no entries follow it.
+    pub(crate) fn last_log_index(&self) -> u64 {
         self.snapshot.index + self.entries.len() as u64
     }
 
     /// Appends entries; existing entries from the first new index on are replaced.
     pub(crate) fn append(&mut self, entries: &[pb::Entry]) {
         if let Some(first) = entries.first() {
-            let kept = first.index.saturating_sub(self.first()) as usize;
+            let kept = first.index.saturating_sub(self.first_log_index()) as usize;
             self.entries.truncate(kept);
             self.entries.extend_from_slice(entries);
         }
@@ -53,7 +55,7 @@
 
     /// Installs a received or own snapshot and drops the entries that it covers.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
-        let covered = (snapshot.index + 1).saturating_sub(self.first()) as usize;
+        let covered = (snapshot.index + 1).saturating_sub(self.first_log_index()) as usize;
         let same_term = self
             .term(snapshot.index)
             .is_ok_and(|term| term == snapshot.term);
@@ -84,13 +86,13 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<pb::Entry>> {
-        if low < self.first() {
+        if low < self.first_log_index() {
             return Err(StorageError::Compacted.into());
         }
-        if high > self.last() + 1 {
+        if high > self.last_log_index() + 1 {
             return Err(StorageError::Unavailable.into());
         }
-        let position = |index: u64| (index - self.first()) as usize;
+        let position = |index: u64| (index - self.first_log_index()) as usize;
         let mut entries = self.entries[position(low)..position(high)].to_vec();
         raft::util::limit_size(&mut entries, max_size.into());
         Ok(entries)
@@ -100,20 +102,20 @@
         if index == self.snapshot.index {
             return Ok(self.snapshot.term);
         }
-        if index < self.first() {
+        if index < self.first_log_index() {
             return Err(StorageError::Compacted.into());
         }
-        let entry = self.entries.get((index - self.first()) as usize);
+        let entry = self.entries.get((index - self.first_log_index()) as usize);
         let term = entry.map(|entry| entry.term);
         term.ok_or(StorageError::Unavailable.into())
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.first())
+        Ok(self.first_log_index())
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.last())
+        Ok(self.last_log_index())
     }
 
     fn snapshot(&self, wanted: u64, _: u64) -> raft::Result<pb::Snapshot> {
--- a/crates/gateway/singleton-roles/src/voter/disk_check.rs
+++ b/crates/gateway/singleton-roles/src/voter/disk_check.rs
@@ -25,7 +25,7 @@
             starts: self.meta.starts,
             nonce: self.nonce,
             term: log.map_or(0, |log| log.hard_state.term),
-            last_index: log.map_or(0, MemoryLog::last),
+            last_index: log.map_or(0, MemoryLog::last_log_index),
             is_voter: matches!(self.phase, Phase::VerifyingDisk { .. }),
         };
         for to in self.settings.voters.iter().filter(|v| **v != self.name) {
@@ -69,9 +69,9 @@
         }
         let known = self.meta.peers.get(&hello.disk).copied();
         let known = known.unwrap_or_default();
-        let same_start = hello.starts == known.starts && hello.nonce == known.nonce;
+        let is_same_start = hello.starts == known.starts && hello.nonce == known.nonce;
         let verdict = self.check_disk(&group, &hello);
-        if verdict == DiskVerdict::Current && !same_start {
+        if verdict == DiskVerdict::Current && !is_same_start {
             // The start is written to disk first; the voter's next hello is answered after the write.
             let known = self.meta.peers.entry(hello.disk).or_default();
             (known.starts, known.nonce) = (hello.starts, hello.nonce);
@@ -95,16 +95,16 @@
         let voters = &self.table.voters;
         let is_original = group.iter().any(|member| member.disk == hello.disk);
         let is_member = is_original || voters.contains_key(&hello.disk);
-        let removed = !voters.is_empty() && !voters.contains_key(&hello.disk);
-        if !is_member || (removed && self.is_voting() && self.applied > 1) {
+        let was_removed = !voters.is_empty() && !voters.contains_key(&hello.disk);
+        if !is_member || (was_removed && self.is_voting() && self.applied > 1) {
             return DiskVerdict::Unknown;
         }
         let known = self.meta.peers.get(&hello.disk).copied();
         let known = known.unwrap_or_default();
-        let same_start = hello.starts == known.starts && hello.nonce == known.nonce;
+        let is_same_start = hello.starts == known.starts && hello.nonce == known.nonce;
         // Acknowledged entries are removed from a log only in a later term.
-        let behind = (hello.term, hello.last_index) < (known.term, known.last_index);
-        if (hello.starts <= known.starts && !same_start) || (hello.is_voter && behind) {
+        let is_behind = (hello.term, hello.last_index) < (known.term, known.last_index);
+        if (hello.starts <= known.starts && !is_same_start) || (hello.is_voter && is_behind) {
             DiskVerdict::Outdated
         } else {
             DiskVerdict::Current
--- a/crates/gateway/singleton-roles/src/voter/leadership.rs
+++ b/crates/gateway/singleton-roles/src/voter/leadership.rs
@@ -41,15 +41,16 @@
 /// The state of this voter as leader of one term.
 pub(super) struct Leadership {
     term: u64,
+    /// When this leadership began; once it is ready, when it became ready.
     since: f64,
     /// The first entry of the term is applied, so the table is up to date.
     ready: bool,
     granter: LeaseGranter<f64>,
     /// Renewals received since the last read-index request.
-    waiting: Vec<WaitingRenewal>,
+    waiting_renewals: Vec<WaitingRenewal>,
     confirmation: Option<Confirmation>,
     /// Commands to propose next.
-    queued: VecDeque<Command>,
+    queued_commands: VecDeque<Command>,
     proposal: Option<Proposal>,
     placement: Placement,
     /// Slots being revoked from live owners, with the owners' sessions.
@@ -75,9 +76,9 @@
             since: now,
             ready: false,
             granter: LeaseGranter::default(),
-            waiting: Vec::new(),
+            waiting_renewals: Vec::new(),
             confirmation: None,
-            queued: VecDeque::new(),
+            queued_commands: VecDeque::new(),
             proposal: None,
             placement: Placement::new(settings),
             revoking: BTreeMap::new(),
@@ -153,12 +154,12 @@
 
     /// Queues a renewal; returns false if too many are waiting.
     pub(super) fn enqueue(&mut self, request: RenewRequest, now: f64) -> bool {
-        if self.waiting.len() >= MAX_WAITING_RENEWALS {
+        if self.waiting_renewals.len() >= MAX_WAITING_RENEWALS {
             return false;
         }
         let run = (request.identity.name.clone(), request.identity.run);
         self.last_renewal_of_run.insert(run, now);
-        self.waiting.push(WaitingRenewal {
+        self.waiting_renewals.push(WaitingRenewal {
             request,
             received: now,
         });
@@ -169,14 +170,14 @@
     pub(super) fn needs_confirmation(&self, timeout: f64, now: f64) -> bool {
         let in_progress = self.confirmation.as_ref();
         let in_progress = in_progress.is_some_and(|c| now <= c.sent + timeout);
-        !self.waiting.is_empty() && !in_progress
+        !self.waiting_renewals.is_empty() && !in_progress
     }
 
     pub(super) fn confirmation_sent(&mut self, number: u64, now: f64) {
         self.confirmation = Some(Confirmation {
             number,
             sent: now,
-            renewals: std::mem::take(&mut self.waiting),
+            renewals: std::mem::take(&mut self.waiting_renewals),
         });
     }
 
@@ -220,9 +221,9 @@
 
     /// Queues a command unless it is queued already; returns whether it was added.
     pub(super) fn queue_once(&mut self, command: Command) -> bool {
-        let is_new = !self.queued.contains(&command);
+        let is_new = !self.queued_commands.contains(&command);
         if is_new {
-            self.queued.push_back(command);
+            self.queued_commands.push_back(command);
         }
         is_new
     }
@@ -309,7 +310,7 @@
             let expired = self.granter.has_expired(session, wait, now);
             if expired || self.expiring.contains(&session) {
                 self.expiring.insert(session);
-                self.queued.push_back(Command::Expire { session });
+                self.queued_commands.push_back(Command::Expire { session });
             }
         }
     }
@@ -322,7 +323,8 @@
                 .filter(|(other, _)| other == name);
             if runs.count() <= 1 && now > self.since + lease * RUN_RETENTION_LEASES {
                 let name = name.clone();
-                self.queued.push_back(Command::ClearDuplicate { name });
+                self.queued_commands
+                    .push_back(Command::ClearDuplicate { name });
             }
         }
     }
@@ -353,9 +355,9 @@
             };
             let SlotState { token, session } = *state;
             if session == 0 {
-                if self.queued.len() < MAX_COMMANDS_PER_ENTRY {
+                if self.queued_commands.len() < MAX_COMMANDS_PER_ENTRY {
                     let session = best;
-                    self.queued.push_back(Command::Grant {
+                    self.queued_commands.push_back(Command::Grant {
                         slot,
                         token,
                         session,
@@ -386,8 +388,8 @@
     /// Takes the next commands for one log entry. A slot released and granted in the same entry would get no
     /// greater token, so grants are dropped while other commands are queued; `maintain` queues them again.
     pub(super) fn next_commands(&mut self) -> Option<Vec<Command>> {
-        let count = self.queued.len().min(MAX_COMMANDS_PER_ENTRY);
-        let commands = self.queued.drain(..count);
+        let count = self.queued_commands.len().min(MAX_COMMANDS_PER_ENTRY);
+        let commands = self.queued_commands.drain(..count);
         let (grants, others): (Vec<_>, Vec<_>) =
             commands.partition(|command| matches!(command, Command::Grant { .. }));
         let commands = if others.is_empty() { grants } else { others };
--- a/crates/gateway/singleton-roles/src/voter/mod.rs
+++ b/crates/gateway/singleton-roles/src/voter/mod.rs
@@ -87,6 +87,7 @@
         confirmed_by: BTreeSet<u64>,
         /// The latest leader that these voters know.
         leader: KnownLeader,
+        /// When the voter started to wait for confirmations.
         since: f64,
     },
     /// The disk has no vote; the leader may admit it.
--- a/crates/gateway/singleton-roles/src/voter/replication.rs
+++ b/crates/gateway/singleton-roles/src/voter/replication.rs
@@ -35,7 +35,7 @@
         self.record_peer_progress(&message);
         // A leader's heartbeat never carries a greater commit index than this disk has acknowledged to it.
         let is_behind = |raft: &RawNode<MemoryLog>| {
-            message.term >= raft.raft.term && message.commit > raft.store().last()
+            message.term >= raft.raft.term && message.commit > raft.store().last_log_index()
         };
         let is_heartbeat = message.is(MessageType::MsgHeartbeat);
         if is_heartbeat && self.raft.as_ref().is_some_and(is_behind) && self.is_voting() {
@@ -310,8 +310,8 @@
             return;
         };
         let log = raft.mut_store();
-        let is_early = applied < log.first() + COMPACTION_ENTRIES && !voters_changed;
-        if is_early || applied < log.first() || applied > log.last() {
+        let is_early = applied < log.first_log_index() + COMPACTION_ENTRIES && !voters_changed;
+        if is_early || applied < log.first_log_index() || applied > log.last_log_index() {
             return;
         }
         let (Ok(term), Ok(data)) = (log.term(applied), postcard::to_stdvec(&self.table)) else {
