--- a/crates/gateway/singleton-roles/src/client.rs
+++ b/crates/gateway/singleton-roles/src/client.rs
@@ -40,7 +40,9 @@
     owned: BTreeMap<Slot, OwnedSlot>,
     /// Version of the last assignments; 0 requests all of them.
     version: u64,
+    /// Slots given up; each renewal request lists them until the leader has removed them.
     released: BTreeMap<Slot, ReleasedSlot>,
+    /// Number of the last renewal request.
     seq: u64,
     next_renewal: f64,
     /// The leader, if it is known; otherwise the voters are asked in turn.
@@ -48,8 +50,10 @@
     next_voter: usize,
     last_response: f64,
     lookups: Vec<Slot>,
+    /// Last known owners of the slots in `lookups`.
     owners: BTreeMap<Slot, Name>,
     leaving: bool,
+    /// The tokens of all slots were received after the start.
     has_tokens: bool,
     last_expiry: f64,
     duplicate_name: bool,
@@ -92,8 +96,8 @@
 
     /// All slots that this limiter holds at this moment.
     pub fn assignments(&self, now: f64) -> impl Iterator<Item = Assignment> + '_ {
-        let valid = self.lease.is_valid(now);
-        let owned = self.owned.iter().filter(move |_| valid);
+        let lease_is_valid = self.lease.is_valid(now);
+        let owned = self.owned.iter().filter(move |_| lease_is_valid);
         owned.map(|(slot, owned)| Assignment {
             slot: *slot,
             token: owned.token,
@@ -181,8 +185,9 @@
 
     fn renew(&mut self, now: f64, out: &mut Vec<Output>) {
         let interval = self.settings.renew_interval;
-        let lost = self.seq > 0 && now > self.last_response + interval * REQUEST_TIMEOUT_INTERVALS;
-        self.next_renewal = now + interval * if lost { RETRY_INTERVALS } else { 1.0 };
+        let request_lost =
+            self.seq > 0 && now > self.last_response + interval * REQUEST_TIMEOUT_INTERVALS;
+        self.next_renewal = now + interval * if request_lost { RETRY_INTERVALS } else { 1.0 };
         if now > self.last_response + interval * LEADER_TIMEOUT_INTERVALS {
             self.leader = None;
         }
@@ -275,8 +280,8 @@
         if !self.lease.is_valid(now) {
             return;
         }
-        let current = response.version >= self.version;
-        if let Some(assignments) = response.assignments.filter(|_| current) {
+        let is_current = response.version >= self.version;
+        if let Some(assignments) = response.assignments.filter(|_| is_current) {
             self.version = response.version;
             self.update_assignments(assignments, now, out);
         }
--- a/crates/gateway/singleton-roles/src/discovery_relay.rs
+++ b/crates/gateway/singleton-roles/src/discovery_relay.rs
@@ -141,7 +141,9 @@
     relaying: bool,
     /// When this limiter's own watch last received something.
     last_update: f64,
+    /// Until when the relay is fresh without another message.
     fresh_until: f64,
+    /// Since when the relay has been fresh without a gap.
     fresh_since: f64,
     next_heartbeat: f64,
     /// Position of this limiter within `reopen_spread`, from 0 to 1.
--- a/crates/gateway/singleton-roles/src/voter/disk_check.rs
+++ b/crates/gateway/singleton-roles/src/voter/disk_check.rs
@@ -208,7 +208,7 @@
                  admits the new disk"
             );
             report(out, Severity::Warning, text);
-            // Messages of the leader that admits this voter carry the group's number.
+            // With the group's number stored, this voter accepts messages of the leader that admits it.
             self.meta.group = Some(group);
             self.batch.meta = Some(self.meta.clone());
             self.write_barrier(0, Vec::new(), out);
@@ -244,7 +244,7 @@
             return;
         };
         let (name, voters) = (&self.name, self.settings.voters.len());
-        let waited = self.now > since + self.settings.disk_check_timeout;
+        let timed_out = self.now > since + self.settings.disk_check_timeout;
         let leader = leader.disk;
         let leader_confirmed =
             leader == 0 || leader == self.meta.disk || confirmed_by.contains(&leader);
@@ -252,7 +252,7 @@
         if confirmations >= voters - voters / 2 && leader_confirmed {
             let text = format!("voter {name}: its disk is confirmed as current; it votes");
             report(out, Severity::Info, text);
-        } else if confirmations >= voters / 2 && waited {
+        } else if confirmations >= voters / 2 && timed_out {
             let text = format!(
                 "voter {name}: only {confirmations} of the other voters confirmed its disk within \
                  fleet.disk_wait; it votes"
