--- a/crates/gateway/gateway/src/fleet/audits.rs
+++ b/crates/gateway/gateway/src/fleet/audits.rs
@@ -105,13 +105,13 @@
             return;
         };
         self.role_client.record_progress(slot, now);
-        let Some(verdict) = self.auditor.judge(name, total, &self.config.audit) else {
+        let Some(verdict) = self.auditor.compare(name, total, &self.config.audit) else {
             return;
         };
         let (result_index, label, value) = match verdict {
-            audit::Verdict::Agrees => (0, "agrees", 0.0),
-            audit::Verdict::Lost(units) => (1, "lost", units),
-            audit::Verdict::Surplus(units) => (2, "surplus", units),
+            audit::AuditResult::Agrees => (0, "agrees", 0.0),
+            audit::AuditResult::Lost(units) => (1, "lost", units),
+            audit::AuditResult::Surplus(units) => (2, "surplus", units),
         };
         self.audit_results[result_index] += 1;
         if result_index > 0 {
--- a/crates/gateway/gateway/src/fleet/gossip.rs
+++ b/crates/gateway/gateway/src/fleet/gossip.rs
@@ -7,7 +7,7 @@
 use dunespur_gossip_membership::DuplicateName;
 use dunespur_peer_transport::FrameError;
 use dunespur_peer_transport::Kind;
-use dunespur_peer_transport::Received;
+use dunespur_peer_transport::ReceivedFrame;
 use dunespur_peer_transport::Transport;
 use serde_json::json;
 use std::rc::Rc;
@@ -47,8 +47,13 @@
         }
     }
 
-    pub(super) fn receive(&mut self, event_loop: &Rc<EventLoop>, received: Received, now: f64) {
-        let Received { kind, frame } = received;
+    pub(super) fn receive(
+        &mut self,
+        event_loop: &Rc<EventLoop>,
+        received: ReceivedFrame,
+        now: f64,
+    ) {
+        let ReceivedFrame { kind, frame } = received;
         self.learn_address(&frame.sender, frame.sender_address, now);
         let reject_frame = |transport: &Transport| transport.reject(FrameError::UnknownKind);
         match kind {
--- a/crates/gateway/gateway/src/fleet/health_checks.rs
+++ b/crates/gateway/gateway/src/fleet/health_checks.rs
@@ -125,7 +125,7 @@
         age: f64,
         now: f64,
     ) {
-        let verdict = self.server_experience.judge(
+        let verdict = self.server_experience.evaluate(
             server,
             observation,
             age,
@@ -135,8 +135,8 @@
         );
         if let (Some(verdict), Ok(address)) = (verdict, server.parse()) {
             let (bad, pause) = match verdict {
-                health_check::Verdict::Unhealthy(pause) => (true, pause),
-                health_check::Verdict::Healthy(pause) => (false, pause),
+                health_check::HealthDecision::Unhealthy(pause) => (true, pause),
+                health_check::HealthDecision::Healthy(pause) => (false, pause),
             };
             event_loop.handle(Event::FleetVerdict {
                 address,
--- a/crates/gateway/gateway/src/fleet/mod.rs
+++ b/crates/gateway/gateway/src/fleet/mod.rs
@@ -35,8 +35,8 @@
 use dunespur_singleton_roles::client::RoleClient;
 use dunespur_singleton_roles::discovery_relay::Relay;
 use dunespur_singleton_roles::fencing::FencingCheck;
+use dunespur_singleton_roles::health_check::DeliveryHistory;
 use dunespur_singleton_roles::health_check::HealthChecker;
-use dunespur_singleton_roles::health_check::ServerExperience;
 use dunespur_singleton_roles::records::WriteBatch;
 use dunespur_singleton_roles::voter::Voter;
 use dunespur_singleton_roles::Identity;
@@ -72,7 +72,7 @@
     /// Slots of the sharded roles, which are looked up by key.
     health_check_slots: Option<SlotRange>,
     audit_slots: Option<SlotRange>,
-    server_experience: ServerExperience,
+    server_experience: DeliveryHistory,
     health_checker: HealthChecker,
     usage_tally: UsageTally,
     auditor: Auditor,
--- a/crates/gateway/gateway/src/fleet/run.rs
+++ b/crates/gateway/gateway/src/fleet/run.rs
@@ -9,7 +9,7 @@
 use crate::error::GatewayError;
 use crate::event_loop::EventLoop;
 use crate::operators_file::FleetConfig;
-use dunespur_peer_transport::Received;
+use dunespur_peer_transport::ReceivedFrame;
 use dunespur_singleton_roles::audit::CallOutcome;
 use dunespur_singleton_roles::health_check::Delivery;
 use std::cell::Cell;
@@ -78,7 +78,7 @@
     async fn run(
         mut self,
         mut disk_results: mpsc::UnboundedReceiver<DiskResult>,
-        mut frames: mpsc::Receiver<Received>,
+        mut frames: mpsc::Receiver<ReceivedFrame>,
         mut events: mpsc::UnboundedReceiver<FleetEvent>,
     ) {
         let mut disk = DiskState::Open;
--- a/crates/gateway/gateway/src/fleet/setup.rs
+++ b/crates/gateway/gateway/src/fleet/setup.rs
@@ -11,7 +11,7 @@
 use crate::operators_file::FleetConfig;
 use dunespur_gossip_membership as members;
 use dunespur_gossip_membership::Membership;
-use dunespur_peer_transport::Received;
+use dunespur_peer_transport::ReceivedFrame;
 use dunespur_peer_transport::Transport;
 use dunespur_quota_sharing::Broker;
 use dunespur_singleton_roles::audit::Auditor;
@@ -19,8 +19,8 @@
 use dunespur_singleton_roles::client::RoleClient;
 use dunespur_singleton_roles::discovery_relay::Relay;
 use dunespur_singleton_roles::fencing::FencingCheck;
+use dunespur_singleton_roles::health_check::DeliveryHistory;
 use dunespur_singleton_roles::health_check::HealthChecker;
-use dunespur_singleton_roles::health_check::ServerExperience;
 use dunespur_singleton_roles::records::WriteBatch;
 use dunespur_singleton_roles::voter::Voter;
 use dunespur_singleton_roles::Identity;
@@ -108,7 +108,7 @@
 pub(super) async fn open_transport(
     config: &FleetConfig,
     name: &str,
-    frames: mpsc::Sender<Received>,
+    frames: mpsc::Sender<ReceivedFrame>,
 ) -> Result<Rc<Transport>, GatewayError> {
     let transport = Transport::open(
         config.roles.fleet.clone(),
@@ -160,7 +160,7 @@
         config: FleetConfig,
         name: String,
         seed: u64,
-        frames: mpsc::Sender<Received>,
+        frames: mpsc::Sender<ReceivedFrame>,
         events: mpsc::UnboundedSender<FleetEvent>,
     ) -> Result<(Self, mpsc::UnboundedReceiver<DiskResult>), GatewayError> {
         let now = clock();
@@ -239,7 +239,7 @@
             endpoints_by_id: BTreeMap::new(),
             addresses: BTreeMap::new(),
             history,
-            server_experience: ServerExperience::default(),
+            server_experience: DeliveryHistory::default(),
             health_checker: HealthChecker::default(),
             usage_tally: UsageTally::default(),
             auditor: Auditor::default(),
