--- a/crates/gateway/gateway/tests/common/mod.rs
+++ b/crates/gateway/gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests on sockets share: the program, started with its own configuration, and small stand-ins for
-//! servers, the counter and discovery. They follow the published protocol and do only what a test tells them.
+//! Shared by the socket tests: starts the gateway with its own configuration, and fakes servers, the counter and
+//! discovery. The fakes follow the published protocol and behave as a test tells them.
 
 #![allow(dead_code)]
 
@@ -12,40 +12,40 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// What a stand-in does with what reaches it.
+/// How a fake service reacts to requests.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Mood {
-    Well,
-    /// Takes everything, answers nothing.
+pub enum Behavior {
+    Normal,
+    /// Reads requests and never responds.
     Silent,
-    /// Answers well, after a while.
+    /// Responds normally after a delay.
     Slow,
-    /// Reads one whole message, then resets.
-    Resets,
-    /// Turns away: it never ran.
-    Full,
-    /// Answers with an error of its own.
-    Fails,
-    /// Counts the call, then resets without an answer.
-    AddsAndResets,
-    /// Answers calls on the first name it saw late and with no number, all others well.
-    SpoilsFirst,
+    /// Reads one complete message, then resets the connection.
+    ReadThenReset,
+    /// Responds that the request was not processed.
+    Overloaded,
+    /// Responds with an application error.
+    ServerError,
+    /// Counts the call, then closes the connection without a reply.
+    CountThenReset,
+    /// Sends a late, non-numeric reply to calls on the first name received; replies normally to all others.
+    CorruptFirstName,
 }
 
-pub struct StandIn {
+pub struct FakeService {
     pub address: SocketAddr,
-    pub mood: Arc<Mutex<Mood>>,
-    /// What came in whole, each as text.
-    pub seen: Arc<Mutex<Vec<String>>>,
+    pub behavior: Arc<Mutex<Behavior>>,
+    /// Complete messages received, as text.
+    pub received: Arc<Mutex<Vec<String>>>,
     pub connections: Arc<AtomicUsize>,
-    /// Connections that the other side has ended.
-    pub ended: Arc<AtomicUsize>,
-    /// Lines for the watches.
-    pub news: Arc<Mutex<Vec<String>>>,
+    /// Connections that have ended.
+    pub closed_connections: Arc<AtomicUsize>,
+    /// Lists to send on watches, one per line.
+    pub list_lines: Arc<Mutex<Vec<String>>>,
 }
 
-/// One HTTP message: everything up to the end of its body.
-pub fn message(stream: &mut TcpStream) -> Option<String> {
+/// Reads one HTTP message including its body; `None` at the end of the stream.
+pub fn read_message(stream: &mut TcpStream) -> Option<String> {
     let (mut bytes, mut byte) = (Vec::new(), [0]);
     while !bytes.ends_with(b"\r\n\r\n") {
         if stream.read(&mut byte).ok()? == 0 {
@@ -64,34 +64,35 @@
     Some(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// Closing with unread input makes the kernel send a reset.
+/// Closes the connection; with unread input the kernel sends a reset.
 pub fn reset(stream: TcpStream) {
     drop(stream);
 }
 
-/// From now on this connection's end is a reset.
-pub fn ends_by_reset(stream: &TcpStream) {
+/// Makes the kernel send a reset when the connection is closed.
+pub fn reset_on_close(stream: &TcpStream) {
     socket2::SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
 }
 
-/// A 200 with this body.
-pub fn ok(body: &str) -> String {
+/// A 200 response with this body.
+pub fn ok_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// The id that a message carries.
-pub fn id(message: &str) -> &str {
+/// The request id in a message.
+pub fn request_id(message: &str) -> &str {
     let at = message.to_ascii_lowercase().find("x-request-id: ").unwrap() + "x-request-id: ".len();
     message[at..].split('\r').next().unwrap()
 }
 
-/// A listener that no further connection reaches until one is accepted: the machine lets a dial wait, and it
-/// comes up with its next try, a second later. The connection that fills it comes with it.
+/// A listener whose backlog is full. The kernel drops further connection attempts until one connection is accepted; a
+/// waiting client then connects with its next retry, a second later. Also returns the connection that fills the
+/// backlog.
 pub fn full_listener() -> (TcpListener, TcpStream) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket
@@ -99,88 +100,88 @@
         .unwrap();
     socket.listen(0).unwrap();
     let listener = TcpListener::from(socket);
-    let fills = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (listener, fills)
+    let backlog_filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    (listener, backlog_filler)
 }
 
-impl StandIn {
+impl FakeService {
     pub fn start(
-        mood: Mood,
-        serve: impl Fn(&StandIn, TcpStream) + Send + Sync + 'static,
-    ) -> Arc<StandIn> {
-        Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), mood, serve)
+        behavior: Behavior,
+        serve: impl Fn(&FakeService, TcpStream) + Send + Sync + 'static,
+    ) -> Arc<FakeService> {
+        Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), behavior, serve)
     }
 
     pub fn on(
         listener: TcpListener,
-        mood: Mood,
-        serve: impl Fn(&StandIn, TcpStream) + Send + Sync + 'static,
-    ) -> Arc<StandIn> {
-        let stand_in = Arc::new(StandIn {
+        behavior: Behavior,
+        serve: impl Fn(&FakeService, TcpStream) + Send + Sync + 'static,
+    ) -> Arc<FakeService> {
+        let service = Arc::new(FakeService {
             address: listener.local_addr().unwrap(),
-            mood: Arc::new(Mutex::new(mood)),
-            seen: Arc::default(),
+            behavior: Arc::new(Mutex::new(behavior)),
+            received: Arc::default(),
             connections: Arc::default(),
-            ended: Arc::default(),
-            news: Arc::default(),
+            closed_connections: Arc::default(),
+            list_lines: Arc::default(),
         });
-        let (shared, serve) = (stand_in.clone(), Arc::new(serve));
+        let (shared, serve) = (service.clone(), Arc::new(serve));
         spawn(move || {
             for stream in listener.incoming().flatten() {
                 shared.connections.fetch_add(1, Ordering::SeqCst);
                 let (shared, serve) = (shared.clone(), serve.clone());
                 spawn(move || {
                     serve(&shared, stream);
-                    shared.ended.fetch_add(1, Ordering::SeqCst);
+                    shared.closed_connections.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
-        stand_in
+        service
     }
 
-    pub fn server(mood: Mood) -> Arc<StandIn> {
-        Self::start(mood, |me, mut stream| {
-            while let Some(message) = message(&mut stream) {
-                me.seen.lock().unwrap().push(message);
-                if me.mood() == Mood::Slow {
+    pub fn server(behavior: Behavior) -> Arc<FakeService> {
+        Self::start(behavior, |service, mut stream| {
+            while let Some(message) = read_message(&mut stream) {
+                service.received.lock().unwrap().push(message);
+                if service.behavior() == Behavior::Slow {
                     sleep(Duration::from_millis(300));
                 }
-                let answer = match me.mood() {
-                    Mood::Well | Mood::Slow => {
+                let response = match service.behavior() {
+                    Behavior::Normal | Behavior::Slow => {
                         "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nX-Allowance-Used: 40\r\n\r\nserved"
                     }
-                    Mood::Full => {
+                    Behavior::Overloaded => {
                         "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Not-Processed: 1\r\n\r\n"
                     }
-                    Mood::Fails => "HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\nno",
-                    Mood::Silent => continue,
+                    Behavior::ServerError => "HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\nno",
+                    Behavior::Silent => continue,
                     _ => return reset(stream),
                 };
-                if stream.write_all(answer.as_bytes()).is_err() {
+                if stream.write_all(response.as_bytes()).is_err() {
                     return;
                 }
             }
         })
     }
 
-    /// A server that does with each message what the test says, until that says false.
+    /// A server that runs `script` for each message and ends the connection when it returns false.
     pub fn scripted(
-        script: impl Fn(&StandIn, &str, &mut TcpStream) -> bool + Send + Sync + 'static,
-    ) -> Arc<StandIn> {
-        Self::start(Mood::Well, move |me, mut stream| {
-            while let Some(message) = message(&mut stream) {
-                me.seen.lock().unwrap().push(message.clone());
-                if !script(me, &message, &mut stream) {
+        script: impl Fn(&FakeService, &str, &mut TcpStream) -> bool + Send + Sync + 'static,
+    ) -> Arc<FakeService> {
+        Self::start(Behavior::Normal, move |service, mut stream| {
+            while let Some(message) = read_message(&mut stream) {
+                service.received.lock().unwrap().push(message.clone());
+                if !script(service, &message, &mut stream) {
                     return;
                 }
             }
         })
     }
 
-    pub fn counter(mood: Mood) -> Arc<StandIn> {
-        Self::start(mood, |me, mut stream| {
+    pub fn counter(behavior: Behavior) -> Arc<FakeService> {
+        Self::start(behavior, |service, mut stream| {
             let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
-            let mut mute = false;
+            let mut stay_silent = false;
             let mut line = || {
                 let mut line = String::new();
                 std::io::BufRead::read_line(&mut reader, &mut line)
@@ -193,51 +194,54 @@
                 let call: Option<Vec<String>> =
                     (0..parts).map(|_| line().and_then(|_| line())).collect();
                 let Some(call) = call else { return };
-                let mut seen = me.seen.lock().unwrap();
-                seen.push(call.join(" "));
-                let added = |c: &String| c.split(' ').nth(1) == Some(call[1].as_str());
-                let amount = |c: &String| c.split(' ').nth(2).unwrap().parse::<f64>().unwrap();
-                let first = added(&seen[0]);
-                let total: f64 = seen.iter().filter(|c| added(c)).map(amount).sum();
-                drop(seen);
+                let mut received = service.received.lock().unwrap();
+                received.push(call.join(" "));
+                let same_name =
+                    |call_text: &String| call_text.split(' ').nth(1) == Some(call[1].as_str());
+                let units = |call_text: &String| {
+                    call_text.split(' ').nth(2).unwrap().parse::<f64>().unwrap()
+                };
+                let is_first_name = same_name(&received[0]);
+                let total: f64 = received.iter().filter(|c| same_name(c)).map(units).sum();
+                drop(received);
                 let total = format!("{total}");
-                // Answers come in order, so a connection that left one out stays silent.
-                mute |= me.mood() == Mood::Silent;
-                match me.mood() {
-                    _ if mute => {}
-                    Mood::Well => {
+                // Replies are in order, so a connection that skipped one stays silent.
+                stay_silent |= service.behavior() == Behavior::Silent;
+                match service.behavior() {
+                    _ if stay_silent => {}
+                    Behavior::Normal => {
                         _ = stream.write_all(format!("${}\r\n{total}\r\n", total.len()).as_bytes())
                     }
-                    Mood::Full => _ = stream.write_all(b"-BUSY crowded\r\n"),
-                    Mood::SpoilsFirst if first => {
+                    Behavior::Overloaded => _ = stream.write_all(b"-BUSY crowded\r\n"),
+                    Behavior::CorruptFirstName if is_first_name => {
                         sleep(Duration::from_millis(300));
                         _ = stream.write_all(b"$3\r\n?!?\r\n");
-                        mute = true;
+                        stay_silent = true;
                     }
-                    Mood::SpoilsFirst => {
+                    Behavior::CorruptFirstName => {
                         _ = stream.write_all(format!("${}\r\n{total}\r\n", total.len()).as_bytes());
                     }
-                    Mood::AddsAndResets => _ = stream.shutdown(Shutdown::Both),
+                    Behavior::CountThenReset => _ = stream.shutdown(Shutdown::Both),
                     _ => {}
                 }
             }
         })
     }
 
-    pub fn discovery(list: String, mood: Mood) -> Arc<StandIn> {
-        let discovery = Self::start(mood, |me, mut stream| {
-            let Some(asked) = message(&mut stream) else {
+    pub fn discovery(list: String, behavior: Behavior) -> Arc<FakeService> {
+        let discovery = Self::start(behavior, |service, mut stream| {
+            let Some(request) = read_message(&mut stream) else {
                 return;
             };
-            me.seen.lock().unwrap().push(asked);
-            if me.mood() == Mood::Silent {
+            service.received.lock().unwrap().push(request);
+            if service.behavior() == Behavior::Silent {
                 return sleep(Duration::from_secs(60));
             }
             _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            let mut told = 0;
+            let mut sent_lines = 0;
             loop {
-                let lines = me.news.lock().unwrap()[told..].to_vec();
-                told += lines.len();
+                let lines = service.list_lines.lock().unwrap()[sent_lines..].to_vec();
+                sent_lines += lines.len();
                 for line in lines
                     .iter()
                     .chain(lines.is_empty().then_some(&String::new()))
@@ -252,27 +256,31 @@
                 sleep(Duration::from_millis(20));
             }
         });
-        discovery.news.lock().unwrap().push(list);
+        discovery.list_lines.lock().unwrap().push(list);
         discovery
     }
 
-    pub fn mood(&self) -> Mood {
-        *self.mood.lock().unwrap()
+    pub fn behavior(&self) -> Behavior {
+        *self.behavior.lock().unwrap()
     }
 
-    pub fn seen(&self) -> usize {
-        self.seen.lock().unwrap().len()
+    pub fn received_count(&self) -> usize {
+        self.received.lock().unwrap().len()
     }
 }
 
-pub fn list(revision: u64, complete: bool, servers: &[(usize, SocketAddr, &str)]) -> String {
+pub fn endpoint_list(
+    revision: u64,
+    complete: bool,
+    servers: &[(usize, SocketAddr, &str)],
+) -> String {
     let member = |&(id, address, phase): &(usize, SocketAddr, &str)| {
         format!(
             r#"{{"id":"s-{id}","host_port":"{address}","locality":"a","flavor":"m","cell":0,
                 "phase":"{phase}","size":1,"up_since_ms":0}}"#
         )
     };
-    // A watch holds each list on one line.
+    // A list is sent on one line.
     let members: Vec<_> = servers
         .iter()
         .map(|m| member(m).replace('\n', ""))
@@ -283,21 +291,21 @@
     )
 }
 
-/// Held while a program is started: until that has begun to run it holds all that this process has open, and an
-/// address or a connection that is closed meanwhile is not.
-static STARTS: Mutex<()> = Mutex::new(());
+/// Serializes process starts and binds. Between fork and exec a child process holds every descriptor of this process,
+/// so addresses and connections closed meanwhile would stay open.
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-pub fn spawned(command: &mut Command) -> Child {
-    let _alone = STARTS.lock();
+pub fn spawn_alone(command: &mut Command) -> Child {
+    let _lock = SPAWN_LOCK.lock();
     command.spawn().unwrap()
 }
 
-/// On a loopback address of its own, so that nothing else on the machine takes the port meanwhile.
+/// Returns a free port on a loopback address of its own, so that no other process takes the port.
 pub fn free_address() -> SocketAddr {
-    static LAST: AtomicUsize = AtomicUsize::new(1);
-    let _alone = STARTS.lock();
+    static NEXT: AtomicUsize = AtomicUsize::new(1);
+    let _lock = SPAWN_LOCK.lock();
     let process = 1 + std::process::id() % 250;
-    let host = format!("127.{process}.1.{}:0", LAST.fetch_add(1, Ordering::SeqCst));
+    let host = format!("127.{process}.1.{}:0", NEXT.fetch_add(1, Ordering::SeqCst));
     TcpListener::bind(host).unwrap().local_addr().unwrap()
 }
 
@@ -315,7 +323,7 @@
  "limits":{"maxRetryAfterS":0.5,"retryAfter":true,"tryLimit":6,"dialTimeoutS":0.25,"keepaliveS":1.0},
  "rules":{"coldFrom":0.2,"coldS":10,"fallMultiple":4,"answerSlackS":0.016},"slotNo":0,"zone":"a"}"#;
 
-/// The program, ended with its test.
+/// The gateway process, killed when the test ends.
 pub struct Gateway {
     pub child: Option<Child>,
     pub address: SocketAddr,
@@ -323,58 +331,59 @@
 }
 
 impl Gateway {
-    pub fn with(
-        known: &str,
+    pub fn with_discovery(
+        initial_list: &str,
         discovery: SocketAddr,
         counter: SocketAddr,
         sockets: usize,
     ) -> Gateway {
-        Self::of(known, discovery, counter, sockets, SETTINGS)
+        Self::start_ready(initial_list, discovery, counter, sockets, SETTINGS)
     }
 
-    pub fn of(
-        known: &str,
+    pub fn start_ready(
+        initial_list: &str,
         discovery: SocketAddr,
         counter: SocketAddr,
         sockets: usize,
         settings: &str,
     ) -> Gateway {
-        let mut gateway = Self::started(known, discovery, counter, sockets, settings);
-        let began = Instant::now();
+        let mut gateway = Gateway::start(initial_list, discovery, counter, sockets, settings);
+        let started_at = Instant::now();
         while gateway
-            .ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             .is_none_or(|a| !a.contains(" 200 "))
         {
-            if began.elapsed() > Duration::from_secs(10) {
+            if started_at.elapsed() > Duration::from_secs(10) {
                 gateway.signal("-KILL");
-                let told = String::from_utf8_lossy(&gateway.output().stderr).into_owned();
-                panic!("the gateway was never ready: {told}");
+                let stderr =
+                    String::from_utf8_lossy(&gateway.wait_for_output().stderr).into_owned();
+                panic!("the gateway was not ready within 10 s: {stderr}");
             }
             sleep(Duration::from_millis(10));
         }
         gateway
     }
 
-    /// One that may not listen yet.
-    pub fn started(
-        known: &str,
+    /// Starts a gateway without waiting until it is ready.
+    pub fn start(
+        initial_list: &str,
         discovery: SocketAddr,
         counter: SocketAddr,
         sockets: usize,
         settings: &str,
     ) -> Gateway {
-        static LAST: AtomicUsize = AtomicUsize::new(0);
+        static NEXT: AtomicUsize = AtomicUsize::new(0);
         let address = free_address();
         let name = format!(
             "dunespur-{}-{}.json",
             std::process::id(),
-            LAST.fetch_add(1, Ordering::SeqCst)
+            NEXT.fetch_add(1, Ordering::SeqCst)
         );
         let config = std::env::temp_dir().join(name);
         let text = format!(
             r#"{{"name":"n0","listen":"{address}","discovery":"{discovery}","counter":"{counter}",
                 "seed":"8c1f30d27a5be964","limits":{{"sockets":{sockets},"memory_mb":32}},
-                "known":{known},"settings":{settings}}}"#
+                "known":{initial_list},"settings":{settings}}}"#
         );
         std::fs::write(&config, text).unwrap();
         let child = start_within(&config, sockets);
@@ -385,33 +394,36 @@
         }
     }
 
-    /// One with these servers, a counter and discovery that are well.
-    pub fn before(servers: &[SocketAddr]) -> (Gateway, Arc<StandIn>, Arc<StandIn>) {
-        Self::within(servers, 256, SETTINGS)
+    /// Starts a gateway with these servers and with a normally behaving counter and discovery.
+    pub fn with_servers(servers: &[SocketAddr]) -> (Gateway, Arc<FakeService>, Arc<FakeService>) {
+        Self::with_sockets(servers, 256, SETTINGS)
     }
 
-    pub fn before_by(
+    pub fn with_settings(
         servers: &[SocketAddr],
         settings: &str,
-    ) -> (Gateway, Arc<StandIn>, Arc<StandIn>) {
-        Self::within(servers, 256, settings)
+    ) -> (Gateway, Arc<FakeService>, Arc<FakeService>) {
+        Self::with_sockets(servers, 256, settings)
     }
 
-    pub fn within(
+    pub fn with_sockets(
         servers: &[SocketAddr],
         sockets: usize,
         settings: &str,
-    ) -> (Gateway, Arc<StandIn>, Arc<StandIn>) {
+    ) -> (Gateway, Arc<FakeService>, Arc<FakeService>) {
         let live: Vec<_> = servers
             .iter()
             .enumerate()
             .map(|(id, &a)| (id, a, "Ready"))
             .collect();
-        let (known, counter) = (list(1, true, &live), StandIn::counter(Mood::Well));
-        let discovery = StandIn::discovery(known.clone(), Mood::Well);
+        let (initial_list, counter) = (
+            endpoint_list(1, true, &live),
+            FakeService::counter(Behavior::Normal),
+        );
+        let discovery = FakeService::discovery(initial_list.clone(), Behavior::Normal);
         (
-            Gateway::of(
-                &known,
+            Gateway::start_ready(
+                &initial_list,
                 discovery.address,
                 counter.address,
                 sockets,
@@ -430,47 +442,48 @@
         Some(stream)
     }
 
-    /// The answer to one message on a connection of its own; None where the connection just ended.
-    pub fn ask(&self, text: &str) -> Option<String> {
+    /// Sends one message on its own connection and returns the response; `None` if the connection ended without one.
+    pub fn send(&self, text: &str) -> Option<String> {
         let mut stream = self.connect()?;
         stream.write_all(text.as_bytes()).ok()?;
-        message(&mut stream)
+        read_message(&mut stream)
     }
 
-    pub fn read(&self) -> String {
-        self.ask(&invocation("GET", "read", 2000, "")).unwrap()
+    pub fn send_read(&self) -> String {
+        self.send(&invocation("GET", "read", 2000, "")).unwrap()
     }
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.as_ref().unwrap().id().to_string();
-        assert!(spawned(Command::new("kill").args([name, &pid]))
+        assert!(spawn_alone(Command::new("kill").args([name, &pid]))
             .wait()
             .unwrap()
             .success());
     }
 
-    /// Does this while the process stands still: all that happens meanwhile reaches it in one moment.
-    pub fn paused(&self, act: impl FnOnce()) {
+    /// Runs `action` while the gateway is stopped by SIGSTOP, so that everything that happens meanwhile reaches it at
+    /// once.
+    pub fn while_stopped(&self, action: impl FnOnce()) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.as_ref().unwrap().id());
-        until("it stands still", || {
+        wait_until("the gateway is stopped", || {
             std::fs::read_to_string(&stat).unwrap().contains(") T ")
         });
-        act();
+        action();
         self.signal("-CONT");
     }
 
-    /// A connection that has been answered once and rests.
-    pub fn rested(&self) -> TcpStream {
+    /// An idle client connection that has received one response.
+    pub fn idle_client(&self) -> TcpStream {
         let mut stream = self.connect().unwrap();
         stream
             .write_all(invocation("GET", "read", 2000, "").as_bytes())
             .unwrap();
-        assert!(message(&mut stream).unwrap().ends_with("served"));
+        assert!(read_message(&mut stream).unwrap().ends_with("served"));
         stream
     }
 
-    pub fn output(&mut self) -> Output {
+    pub fn wait_for_output(&mut self) -> Output {
         self.child.take().unwrap().wait_with_output().unwrap()
     }
 }
@@ -481,7 +494,7 @@
             let ended = child.try_wait().unwrap();
             assert!(
                 std::thread::panicking() || ended.is_none(),
-                "the gateway ended by itself"
+                "the gateway exited before its test ended"
             );
             _ = child.kill();
             match child.wait_with_output() {
@@ -499,7 +512,7 @@
     start_by(Command::new(env!("CARGO_BIN_EXE_dunespur-gateway")), config)
 }
 
-/// The same where the machine lets it hold no more descriptors than it was told.
+/// Starts the gateway with a limit on its file descriptors.
 pub fn start_within(config: &PathBuf, sockets: usize) -> Child {
     let mut command = Command::new("sh");
     command.args([
@@ -511,7 +524,7 @@
 }
 
 fn start_by(mut command: Command, config: &PathBuf) -> Child {
-    spawned(
+    spawn_alone(
         command
             .env("RELAY_CONFIG", config)
             .stdout(Stdio::piped())
@@ -519,9 +532,9 @@
     )
 }
 
-pub fn invocation(method: &str, operation: &str, wait_ms: u32, body: &str) -> String {
-    static LAST: AtomicUsize = AtomicUsize::new(1);
-    let id = LAST.fetch_add(1, Ordering::SeqCst);
+pub fn invocation(method: &str, operation: &str, timeout_ms: u32, body: &str) -> String {
+    static NEXT: AtomicUsize = AtomicUsize::new(1);
+    let id = NEXT.fetch_add(1, Ordering::SeqCst);
     let length = if body.is_empty() {
         String::new()
     } else {
@@ -530,17 +543,17 @@
     format!(
         "{method} /api?n=7 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: {id:016x}\r\n\
          X-Priority-Class: {operation}\r\n\
-         X-Tariff: small\r\nCookie: account=00000000b4d65521\r\nX-Timeout-Ms: {wait_ms}\r\n\
+         X-Tariff: small\r\nCookie: account=00000000b4d65521\r\nX-Timeout-Ms: {timeout_ms}\r\n\
          X-Weight: units=1,spread=1,first=0\r\nIdempotency-Key: 5c0f6e1a\r\n{length}\r\n{body}"
     )
 }
 
-pub fn until(what: &str, holds: impl Fn() -> bool) {
-    let began = Instant::now();
+pub fn wait_until(condition: &str, holds: impl Fn() -> bool) {
+    let started_at = Instant::now();
     while !holds() {
         assert!(
-            began.elapsed() < Duration::from_secs(8),
-            "not in time: {what}"
+            started_at.elapsed() < Duration::from_secs(8),
+            "condition not met within 8 s: {condition}"
         );
         sleep(Duration::from_millis(5));
     }
