--- a/crates/gateway/decisions/src/limiter/endpoints.rs
+++ b/crates/gateway/decisions/src/limiter/endpoints.rs
@@ -4,11 +4,12 @@
 use super::Limiter;
 use crate::types::{Action, Readiness, Server};
 
-/// Longest pause before a lost watch of the endpoints is renewed, seconds, without jitter.
+/// Maximum pause before a lost watch of the endpoints is renewed, in seconds, before jitter, which at most doubles it.
 const MAX_WATCH_PAUSE: f64 = 0.5;
 
 impl Limiter {
-    /// Applies changed entries of the endpoint list, or the complete list.
+    /// Applies changed entries of the endpoint list. If the list is `complete`, servers without an entry are no longer
+    /// live. Then places the head of the queue again, as it may have a server now.
     pub fn update_endpoints(&mut self, entries: &[Server], complete: bool, now: f64) {
         if complete {
             self.servers.is_live.fill(false);
@@ -55,7 +56,9 @@
         servers.on_probation[index] = false;
     }
 
-    /// The watch of the endpoints was lost: it is renewed soon, however long the latency targets are.
+    /// Schedules the renewal of a lost watch of the endpoints, if endpoints are reported on request. The pause is the
+    /// latency target, but at most [`MAX_WATCH_PAUSE`], so that a long latency target does not delay the renewal;
+    /// jitter is added.
     pub fn watch_lost(&mut self) {
         let pause = self.latency_target.min(MAX_WATCH_PAUSE) * (1.0 + self.rng.f64());
         let renewal = Action::ScheduleTick(pause);
@@ -63,7 +66,8 @@
             .extend(self.endpoints_on_request.then_some(renewal));
     }
 
-    /// The time of an [`Action::ScheduleTick`] is over: the watch of the endpoints is renewed.
+    /// Renews the watch of the endpoints. The owner calls this once the pause of an [`Action::ScheduleTick`] has
+    /// passed.
     pub fn tick(&mut self) {
         self.actions
             .extend(self.endpoints_on_request.then_some(Action::WatchEndpoints));
--- a/crates/gateway/decisions/tests/failures.rs
+++ b/crates/gateway/decisions/tests/failures.rs
@@ -108,9 +108,9 @@
     f.immediate_replies = false;
     for i in 0..40 {
         f.submit(0, 1, 0, 0, 1.0);
-        while let Some(&(_, _, add)) = f.calls.first() {
+        while let Some(units) = f.calls.first().map(|call| call.units) {
             // The counter refuses the first write-off of an idle customer's window.
-            f.reply_to_call(0, add < 20.0 || i > 0, true);
+            f.reply_to_call(0, units < 20.0 || i > 0, true);
         }
         end_all(&mut f, AttemptResult::Succeeded);
         f.advance(0.5);
@@ -268,7 +268,7 @@
         .iter()
         .rev()
         .take(90)
-        .filter(|s| matches!(s.2, Event::Answered { .. }))
+        .filter(|s| matches!(s.2, Event::AnsweredByLimiter { .. }))
         .count();
     assert_eq!(late, 0, "the next attempt is answered in time");
 }
@@ -480,8 +480,8 @@
         f.immediate_replies = false;
         for i in 0..300u64 {
             f.submit(0, i, 0, 0, 1.0);
-            while let Some(&(_, name, _)) = f.calls.first() {
-                f.counter.insert(name, total);
+            while let Some(counter_name) = f.calls.first().map(|call| call.counter_name) {
+                f.counter.insert(counter_name, total);
                 f.reply_to_call(0, i < 100, i < 100);
             }
             end_all(&mut f, AttemptResult::Succeeded);
@@ -726,7 +726,7 @@
         f.advance(-rng.f64().ln() / rate);
         f.submit(rng.usize(..90), 1, 0, 0, 1.0);
         let at = f.now - began;
-        while let Some(&(gateway, ..)) = f.calls.first() {
+        while let Some(gateway) = f.calls.first().map(|call| call.gateway) {
             let lost = gateway < cut_off && (5.0..heals).contains(&at);
             f.reply_to_call(0, !lost, !lost);
         }
--- a/crates/gateway/decisions/tests/harness/mod.rs
+++ b/crates/gateway/decisions/tests/harness/mod.rs
@@ -1,4 +1,5 @@
-//! A test harness: several limiters, a counter and servers. The counter and the servers respond when the test says so.
+//! A test harness: several limiters, a counter and servers. The counter replies at once unless `immediate_replies` is
+//! false; attempts end when the test ends them or when they time out in `advance`.
 #![allow(dead_code)]
 
 use dunespur_decisions::types::*;
@@ -20,7 +21,7 @@
         attempt: usize,
         server_index: usize,
     },
-    /// An attempt ended; `answered` tells whether its invocation has its final response.
+    /// An attempt ended; `answered` tells whether the client has its final response, from this or an earlier attempt.
     Ended {
         gateway: usize,
         id: u64,
@@ -29,7 +30,7 @@
         answered: bool,
     },
     /// A limiter throttled an invocation or answered it with an error.
-    Answered {
+    AnsweredByLimiter {
         gateway: usize,
         id: u64,
         decision: Decision,
@@ -55,26 +56,41 @@
     pub deadline: f64,
 }
 
+/// An open call to the counter, which adds `units` to the counter of this name.
+#[derive(Clone, Debug)]
+pub struct OpenCall {
+    pub gateway: usize,
+    pub counter_name: u64,
+    pub units: f64,
+}
+
+/// An unfinished invocation.
+pub struct PendingInvocation {
+    pub gateway: usize,
+    pub invocation: Invocation,
+    /// The time at which a held invocation is placed again; infinite for others.
+    pub place_at: f64,
+}
+
 pub struct Harness {
     pub now: f64,
     pub settings: Settings,
     pub limiters: Vec<Limiter>,
     pub endpoint_lists: Vec<Vec<Server>>,
     pub counter: BTreeMap<u64, f64>,
-    /// Open calls to the counter: gateway, counter name and units to add.
-    pub calls: Vec<(usize, u64, f64)>,
+    pub calls: Vec<OpenCall>,
     pub in_flight: Vec<SentAttempt>,
-    /// Unfinished invocations by id, with their gateway and the time at which they are placed again.
-    pub pending: BTreeMap<u64, (usize, Invocation, f64)>,
+    /// Unfinished invocations by id.
+    pub pending: BTreeMap<u64, PendingInvocation>,
     /// Time, sequence number and event.
     pub events: Vec<(f64, usize, Event)>,
     /// Number of calls made to the counter.
     pub counter_calls: usize,
     /// Whether the counter replies to each call at once.
     pub immediate_replies: bool,
-    /// Metered usage that every outcome reports.
+    /// The customer's usage over all gateways, as a share of its rate, that every outcome reports.
     pub usage: Option<f64>,
-    /// Settled units that every successful outcome reports.
+    /// Actual units of the invocation that every successful outcome reports, where the charged units were an estimate.
     pub settled_units: Option<f64>,
     last_id: u64,
     /// Number of limiters started so far; seeds the next one.
@@ -178,9 +194,9 @@
     /// Restarts a limiter without its state but with its last endpoint list.
     pub fn restart(&mut self, gateway: usize) {
         self.record(Event::Restarted { gateway });
-        self.pending.retain(|_, (owner, _, _)| *owner != gateway);
+        self.pending.retain(|_, pending| pending.gateway != gateway);
         self.in_flight.retain(|attempt| attempt.gateway != gateway);
-        self.calls.retain(|call| call.0 != gateway);
+        self.calls.retain(|call| call.gateway != gateway);
         self.limiters[gateway] = self.limiter(gateway);
         self.update_endpoints(gateway, self.endpoint_lists[gateway].clone(), true);
     }
@@ -202,7 +218,7 @@
             self.endpoint_lists[gateway].push(entry);
         }
         self.limiters[gateway].update_endpoints(&entries, complete, self.now);
-        self.carry_out(gateway);
+        self.run_actions(gateway);
     }
 
     pub fn submit(
@@ -214,7 +230,7 @@
         units: f64,
     ) -> u64 {
         self.last_id += 1;
-        let until = self.now + self.settings.operations[operation].integration_timeout;
+        let client_deadline = self.now + self.settings.operations[operation].integration_timeout;
         let invocation = Invocation::from(Arrival {
             id: self.last_id,
             customer,
@@ -224,17 +240,21 @@
             first_gateway: 0,
             gateways: self.settings.fleet_size,
             arrived_at: self.now,
-            client_deadline: until,
+            client_deadline,
         });
         self.record(Event::Submitted {
             gateway,
             invocation: invocation.clone(),
         });
-        self.pending
-            .insert(self.last_id, (gateway, invocation, f64::INFINITY));
+        let pending = PendingInvocation {
+            gateway,
+            invocation,
+            place_at: f64::INFINITY,
+        };
+        self.pending.insert(self.last_id, pending);
         let id = self.last_id;
         self.place(id);
-        self.carry_out(gateway);
+        self.run_actions(gateway);
         id
     }
 
@@ -249,6 +269,7 @@
         }
     }
 
+    /// Ends all open calls in the way that [`Harness::reply_to_call`] ends one.
     pub fn reply_to_all(&mut self, added: bool, replied: bool) {
         while !self.calls.is_empty() {
             self.reply_to_call(0, added, replied);
@@ -256,21 +277,23 @@
     }
 
     fn place(&mut self, id: u64) {
-        let Some((gateway, invocation, _)) = self.pending.get_mut(&id) else {
+        let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
+        let invocation = &mut pending.invocation;
         if matches!(invocation.stage, Stage::InFlight | Stage::Done) {
             return;
         }
-        let decision = self.limiters[*gateway].place(invocation, self.now);
-        self.apply(id, decision);
+        let decision = self.limiters[pending.gateway].place(invocation, self.now);
+        self.apply_decision(id, decision);
     }
 
-    fn apply(&mut self, id: u64, decision: Decision) {
-        let (gateway, invocation, due) = self.pending.get_mut(&id).unwrap();
-        let gateway = *gateway;
+    fn apply_decision(&mut self, id: u64, decision: Decision) {
+        let pending = self.pending.get_mut(&id).unwrap();
+        let gateway = pending.gateway;
+        let invocation = &pending.invocation;
         let wait = self.limiters[gateway].wait_time(invocation, self.now);
-        *due = if decision == Decision::Hold && invocation.stage != Stage::InFlight {
+        pending.place_at = if decision == Decision::Hold && invocation.stage != Stage::InFlight {
             self.now + wait
         } else {
             f64::INFINITY
@@ -295,7 +318,7 @@
                     server_index,
                 });
             }
-            Decision::Throttle { .. } | Decision::Error => self.record(Event::Answered {
+            Decision::Throttle { .. } | Decision::Error => self.record(Event::AnsweredByLimiter {
                 gateway,
                 id,
                 decision,
@@ -307,20 +330,24 @@
         }
     }
 
-    fn carry_out(&mut self, gateway: usize) {
+    /// Runs the actions that a limiter requests, and the immediate replies of the counter, until none is left.
+    fn run_actions(&mut self, gateway: usize) {
         loop {
             while let Some(action) = self.limiters[gateway].next_action() {
                 match action {
                     Action::Place(id) => self.place(id),
                     Action::AddToCounter { name, add, .. } => {
                         self.counter_calls += 1;
-                        self.calls.push((gateway, name, add));
+                        self.calls.push(OpenCall {
+                            gateway,
+                            counter_name: name,
+                            units: add,
+                        });
                     }
                     Action::WatchEndpoints | Action::ScheduleTick(_) => {}
                 }
             }
-            let replies_now =
-                |call: &(usize, u64, f64)| self.immediate_replies && call.0 == gateway;
+            let replies_now = |call: &OpenCall| self.immediate_replies && call.gateway == gateway;
             let Some(position) = self.calls.iter().position(replies_now) else {
                 return;
             };
@@ -331,16 +358,20 @@
     /// Ends the open call at this position: `added` tells whether the counter added the units, `replied` whether the
     /// reply arrived.
     pub fn reply_to_call(&mut self, position: usize, added: bool, replied: bool) {
-        let (gateway, name, add) = self.calls.remove(position);
-        let total = self.counter.entry(name).or_insert(0.0);
-        *total += if added { add } else { 0.0 };
+        let OpenCall {
+            gateway,
+            counter_name,
+            units,
+        } = self.calls.remove(position);
+        let total = self.counter.entry(counter_name).or_insert(0.0);
+        *total += if added { units } else { 0.0 };
         let reply = match (added, replied) {
             (true, true) => CounterReply::Total(*total),
             (false, true) => CounterReply::Refused,
             _ => CounterReply::NoReply,
         };
-        self.limiters[gateway].counter_answered(name, reply, 0.0, self.now);
-        self.carry_out(gateway);
+        self.limiters[gateway].counter_answered(counter_name, reply, 0.0, self.now);
+        self.run_actions(gateway);
     }
 
     pub fn end_attempt(&mut self, position: usize, result: AttemptResult) {
@@ -351,9 +382,10 @@
             sent_at,
             ..
         } = self.in_flight.remove(position);
-        let Some((_, invocation, _)) = self.pending.get_mut(&id) else {
+        let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
+        let invocation = &mut pending.invocation;
         let succeeded = result == AttemptResult::Succeeded;
         let answered = invocation.stage == Stage::Done || succeeded;
         let outcome = Outcome {
@@ -376,19 +408,19 @@
             },
         ));
         let decision = self.limiters[gateway].attempt_ended(invocation, &outcome, self.now);
-        self.apply(id, decision);
-        self.carry_out(gateway);
+        self.apply_decision(id, decision);
+        self.run_actions(gateway);
     }
 
     pub fn disconnect(&mut self, id: u64) {
-        let Some((gateway, invocation, _)) = self.pending.get_mut(&id) else {
+        let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        let gateway = *gateway;
-        self.limiters[gateway].disconnected(invocation);
+        let gateway = pending.gateway;
+        self.limiters[gateway].disconnected(&mut pending.invocation);
         self.record(Event::Disconnected { gateway, id });
-        self.apply(id, Decision::Done);
-        self.carry_out(gateway);
+        self.apply_decision(id, Decision::Done);
+        self.run_actions(gateway);
     }
 
     /// Lets time pass: places held invocations again when they are due and times out attempts.
@@ -402,7 +434,7 @@
             let next_placed = self
                 .pending
                 .iter()
-                .map(|(&id, pending)| (pending.2, id))
+                .map(|(&id, pending)| (pending.place_at, id))
                 .min_by(|a, b| a.partial_cmp(b).unwrap());
             let next_timeout = self
                 .in_flight
@@ -419,9 +451,9 @@
             if timeout_at <= placed_at {
                 self.end_attempt(position, AttemptResult::Timeout);
             } else {
-                let gateway = self.pending[&id].0;
+                let gateway = self.pending[&id].gateway;
                 self.place(id);
-                self.carry_out(gateway);
+                self.run_actions(gateway);
             }
         }
         self.now = end;
@@ -446,7 +478,7 @@
         let is_throttled = |event: &Event| {
             matches!(
                 event,
-                Event::Answered {
+                Event::AnsweredByLimiter {
                     decision: Decision::Throttle { .. },
                     ..
                 }
--- a/crates/gateway/decisions/tests/rules_model.rs
+++ b/crates/gateway/decisions/tests/rules_model.rs
@@ -184,11 +184,13 @@
                 added,
                 replied,
             } if !f.calls.is_empty() => {
-                let (gateway, name, _) = f.calls[position % f.calls.len()];
+                let chosen = f.calls[position % f.calls.len()].clone();
                 let first = f
                     .calls
                     .iter()
-                    .position(|call| call.0 == gateway && call.1 == name)
+                    .position(|call| {
+                        call.gateway == chosen.gateway && call.counter_name == chosen.counter_name
+                    })
                     .unwrap();
                 f.reply_to_call(first, added, replied);
             }
@@ -355,7 +357,9 @@
                     record.responses += 1;
                 }
             }
-            Event::Answered { id, decision, .. } => self.check_answered(now, *id, decision)?,
+            Event::AnsweredByLimiter { id, decision, .. } => {
+                self.check_answered(now, *id, decision)?
+            }
             Event::Disconnected { id, .. } => {
                 self.invocations.get_mut(id).ok_or(None)?.closed = true;
             }
