--- a/crates/serving/load-distribution/src/subscription.rs
+++ b/crates/serving/load-distribution/src/subscription.rs
@@ -1,4 +1,5 @@
-//! A subscription to a load aggregator: sends reports to it, and stores the loads of its updates.
+//! A subscription to a load aggregator. It sends reports to the aggregator and stores the total loads that the
+//! aggregator returns.
 //!
 //! No reports are sent while the reporter has no load, because it then needs no loads of other gateways.
 
@@ -27,14 +28,14 @@
     pub(crate) min_interval_ms: u64,
 }
 
-/// The event that a subscription waits for.
+/// What a subscription does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// A load to report.
+    /// Has nothing to report.
     Idle,
-    /// The time of the next report.
+    /// Sends the next report at this time.
     Due { at: Millis },
-    /// The update that answers the report with this number.
+    /// Waits for the update that answers report `number`.
     AwaitingUpdate {
         number: u64,
         aggregator: Rc<str>,
@@ -62,6 +63,8 @@
     settings: SubscriptionSettings,
     state: State,
     failover: Failover,
+    /// When the last report was sent or made unnecessary by an aggregator's report. `None` if the next report is due at
+    /// once: there was none yet, the last one failed, or the aggregator asked for the table.
     reported_at: Option<Millis>,
     version: u64,
     loads: LoadsByServer,
@@ -69,8 +72,9 @@
     acknowledged: AggregatorVersion<u64>,
     /// The loads of the last report.
     reported_loads: LoadsByServer,
-    /// The version of the aggregator's table that is stored in `totals`, and this aggregator.
-    known: AggregatorVersion<KnownVersion>,
+    /// The version of `totals`, and the aggregator that sent them. Reports carry this version, so that the aggregator
+    /// sends only changes.
+    known_totals: AggregatorVersion<KnownVersion>,
     /// The total loads from the aggregator's updates.
     totals: LoadsByServer,
 }
@@ -86,7 +90,7 @@
             loads: LoadsByServer::new(),
             acknowledged: AggregatorVersion::default(),
             reported_loads: LoadsByServer::new(),
-            known: AggregatorVersion::default(),
+            known_totals: AggregatorVersion::default(),
             totals: LoadsByServer::new(),
         }
     }
@@ -130,6 +134,7 @@
         }
         let ranked = membership.ranked(&self.settings.service, &self.settings.zone);
         let Some(aggregator) = self.failover.choose(&ranked, now) else {
+            // Retries at the end of the first backoff, or after the renewal interval if no gateway is present.
             let retry_at = self.failover.next_retry(&ranked);
             let at = retry_at.unwrap_or(now + RENEWAL_INTERVAL_MS);
             self.set_state(State::Due {
@@ -151,8 +156,8 @@
         Some(outgoing)
     }
 
-    /// Handles the update that answers report `number`, which had the table of `reported_version`. Returns false for an
-    /// update that is not awaited, which is ignored.
+    /// Handles the update that answers report `number`; `reported_version` is the version of the reporter's loads in
+    /// that report. Ignores an update that is not awaited, and returns false for it.
     #[must_use]
     pub(crate) fn handle_update(
         &mut self,
@@ -177,7 +182,7 @@
                 version: reported_version,
             }
         };
-        self.known = AggregatorVersion {
+        self.known_totals = AggregatorVersion {
             aggregator: Some(aggregator),
             version: KnownVersion {
                 incarnation: update.incarnation,
@@ -199,7 +204,8 @@
         true
     }
 
-    /// Handles the failure of report `number`: the next gateway in order gets a report at once.
+    /// Handles the failure of report `number`: the aggregator goes into backoff, and the next gateway in rendezvous
+    /// order gets a report at once.
     pub(crate) fn handle_failure(&mut self, number: u64, now: Millis) {
         let State::AwaitingUpdate {
             number: awaited_number,
@@ -220,8 +226,8 @@
         self.reschedule(now);
     }
 
-    /// Records that an aggregator has reported to this gateway. Its update has the reporter's loads, so they need not
-    /// be reported to it.
+    /// Records that an aggregator has sent a report to this gateway. The update that answers it contains this
+    /// reporter's loads, so they need no report of their own.
     pub(crate) fn acknowledge(&mut self, aggregator: &Rc<str>, now: Millis) {
         let acknowledged_by_another = self
             .acknowledged
@@ -265,8 +271,8 @@
             version: self.version,
             loads: to_server_loads(&self.loads),
         });
-        let known = if self.known.aggregator.as_ref() == Some(aggregator) {
-            self.known.version
+        let known = if self.known_totals.aggregator.as_ref() == Some(aggregator) {
+            self.known_totals.version
         } else {
             KnownVersion::default()
         };
@@ -306,7 +312,6 @@
         self.set_state(State::Due { at });
     }
 
-    /// Changes the state; nothing else does.
     fn set_state(&mut self, state: State) {
         self.state = state;
     }
--- a/crates/serving/load-distribution/tests/faults.rs
+++ b/crates/serving/load-distribution/tests/faults.rs
@@ -11,10 +11,11 @@
 const SEEDS: u64 = 60;
 const DIGEST_SEEDS: u64 = 100;
 const SERVICES: [&str; 2] = ["pool", "apps"];
-/// Time within which tables become stale, backoffs end and sums are published.
+/// Wait after the last fault, long enough for tables to become stale, backoffs to end and sums to be published.
 const SETTLING_MS: u64 = 14_000;
-/// Four times the upper bound of the time between two faults.
-const MAX_FAULT_MS: u64 = 3_000;
+/// Draws below this bound are divided by 4 for the time between two faults, which is therefore below 750 ms. The
+/// digests depend on these draws.
+const FAULT_GAP_DRAW_BOUND: u64 = 3_000;
 
 fn random_loads(random: &mut Rng) -> Vec<ServerLoad> {
     let busy: Vec<u32> = (0..6).filter(|_| random.bool()).collect();
@@ -78,7 +79,7 @@
     for _ in 0..12 {
         inject_fault(&mut cluster, &mut random);
         change_loads(&mut cluster, &mut random);
-        cluster.advance(random.u64(1..MAX_FAULT_MS) / 4);
+        cluster.advance(random.u64(1..FAULT_GAP_DRAW_BOUND) / 4);
     }
     cluster
 }
@@ -139,7 +140,16 @@
 }
 
 #[test]
-fn the_number_of_calls_is_bounded_after_faults() {
+fn the_number_of_calls_is_bounded_despite_faults() {
+    /// Duration of the 100 steps of 50 ms.
+    const SECONDS: u64 = 5;
+    /// Reports of a gateway to the aggregator of its zone, per service.
+    const SUBSCRIBER_REPORTS_PER_S: u64 = 4;
+    /// Reports of an aggregator to each other zone, per service.
+    const AGGREGATOR_REPORTS_PER_S: u64 = 2;
+    const OTHER_ZONES: u64 = 2;
+    /// Failures may double the number of calls.
+    const FAILURE_FACTOR: u64 = 2;
     for seed in 0..SEEDS {
         let mut cluster = faulty_cluster(seed);
         let mut random = Rng::with_seed(seed);
@@ -148,9 +158,12 @@
             change_loads(&mut cluster, &mut random);
             cluster.advance(50);
         }
-        // In 5 seconds, each gateway makes per service 4 reports a second to its aggregator and, as an aggregator, 2 a
-        // second to each of the 2 other zones. The last factor 2 allows as many calls again after failures.
-        let bound = 2 * 5 * (4 + 2 * 2) * 2 * cluster.nodes.len() as u64;
+        let reports_per_gateway = SUBSCRIBER_REPORTS_PER_S + AGGREGATOR_REPORTS_PER_S * OTHER_ZONES;
+        let bound = SERVICES.len() as u64
+            * SECONDS
+            * reports_per_gateway
+            * FAILURE_FACTOR
+            * cluster.nodes.len() as u64;
         assert!(
             cluster.calls() - before <= bound,
             "seed {seed}: {} calls",
@@ -159,7 +172,8 @@
     }
 }
 
-/// Guards against changed messages, times and updates: each seed must give the digest that an earlier version stored.
+/// Detects unintended changes of messages, times and updates: each seed must have the digest in
+/// `fixtures/world_digests.txt`, which was recorded with an earlier version of the code.
 #[test]
 fn clusters_keep_their_digests() {
     let mut digests = String::new();
