--- a/crates/serving/routing/src/load/tests.rs
+++ b/crates/serving/routing/src/load/tests.rs
@@ -1,9 +1,9 @@
-//! Load of own requests and of peers' reports, and the expiry of reports.
+//! Tests of an endpoint's load: from this gateway's requests, from other gateways' reports, and the expiry of reports.
 
 use super::*;
 
 #[test]
-fn taken_slots_follow_the_last_report_at_once_and_the_smoothed_load_gradually() {
+fn in_flight_follows_the_last_report_at_once_and_smoothed_in_flight_gradually() {
     let mut load = EndpointLoad::default();
     load.apply_peer_report(1, 8, 1_000, 0);
     load.apply_peer_report(2, 2, 0, 0);
--- a/crates/serving/routing/src/prefix_statistics.rs
+++ b/crates/serving/routing/src/prefix_statistics.rs
@@ -1,19 +1,19 @@
 //! Statistics of prompt segments: which are shared by several programs, and in what fraction of the requests.
 //!
 //! A prompt begins with segments that it shares with other programs' prompts, followed by segments of its own program.
-//! For segments that are too new to classify, the length of the shortest prompts is used instead: these are programs'
-//! first turns, in which only the last segment is not shared.
+//! If a prompt's segments are too new to have been seen in several programs, its shared prefix is estimated from its
+//! length. The shortest prompts are first turns of programs, in which all segments but the last are shared.
 
 use crate::rendezvous::IdMap;
 use crate::types::PromptSegment;
 
-/// Number of requests after which all counts are halved and unused segments removed.
+/// Number of requests after which all counts are halved. Segments whose count becomes 0 are removed.
 const HALVING_REQUESTS: u32 = 1024;
 /// Maximum number of segments with statistics. Bounds memory against callers that name ever new segments.
 const MAX_SEGMENTS: usize = 2048;
-/// Number of prompt lengths, in segments, that are counted separately; longer prompts share the last count.
+/// Number of counts by prompt length in segments. Prompts of `MAX_LENGTHS - 1` or more segments share the last count.
 const MAX_LENGTHS: usize = 16;
-/// Quantile of prompt lengths up to which prompts count as first turns.
+/// Prompts up to this quantile of prompt lengths are taken to be first turns.
 const FIRST_TURN_QUANTILE: f64 = 0.1;
 
 /// The programs and requests that use one segment.
@@ -22,7 +22,7 @@
     /// Hash of the first program that used the segment.
     program: u64,
     /// Requests whose prompt has the segment.
-    hits: u32,
+    requests: u32,
     /// Whether several programs have used the segment.
     shared: bool,
 }
@@ -57,6 +57,7 @@
     ) -> Option<SharedPrefix> {
         self.count_request(prefix.len());
         let known = self.observe_segments(prefix, program);
+        // Index of the last but one segment of a first turn, as its last one is not shared; none for a single segment.
         let presumed = self.first_turn_length().min(prefix.len()).checked_sub(2);
         let index = known.max(presumed)?;
         let tokens = prefix[..=index]
@@ -92,14 +93,14 @@
     /// Counts a segment, and returns whether several programs use it.
     fn observe_segment(&mut self, id: u64, program: u64) -> bool {
         if let Some(statistics) = self.segments.get_mut(&id) {
-            statistics.hits += 1;
+            statistics.requests += 1;
             statistics.shared |= statistics.program != program;
             return statistics.shared;
         }
         if self.segments.len() < MAX_SEGMENTS {
             let statistics = SegmentStatistics {
                 program,
-                hits: 1,
+                requests: 1,
                 shared: false,
             };
             self.segments.insert(id, statistics);
@@ -109,11 +110,11 @@
 
     /// Fraction of the requests whose prompt has this segment, from 0 to 1.
     fn popularity(&self, id: u64) -> f64 {
-        let hits = self
+        let requests = self
             .segments
             .get(&id)
-            .map_or(0, |statistics| statistics.hits);
-        (f64::from(hits) / f64::from(self.requests)).min(1.0)
+            .map_or(0, |statistics| statistics.requests);
+        (f64::from(requests) / f64::from(self.requests)).min(1.0)
     }
 
     /// Number of segments of a first turn's prompt, of which only the last is not shared.
@@ -146,8 +147,8 @@
             *requests /= 2;
         }
         self.segments.retain(|_, statistics| {
-            statistics.hits /= 2;
-            statistics.hits > 0
+            statistics.requests /= 2;
+            statistics.requests > 0
         });
     }
 }
--- a/crates/serving/routing/tests/hints.rs
+++ b/crates/serving/routing/tests/hints.rs
@@ -57,6 +57,8 @@
     balancer.set_servers(servers(), 0);
     let hinted = servers()[0].id.clone();
     let to_hinted = requests_to_hinted(&mut balancer, &hinted, Outcome::Failed, 500);
+    // The server gets a trial request every few seconds, which would show a recovery. Without hints and failures it
+    // would get about 125 requests.
     assert!(
         (1..=5).contains(&to_hinted),
         "the hinted server got {to_hinted} of 500 requests in ten seconds"
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn servers_ejected_for_faults_are_reported_and_full_ones_are_not() {
+fn unreachable_servers_are_reported_as_ejected_and_rejecting_ones_are_not() {
     let mut balancer = Balancer::new("a".into(), 1);
     balancer.set_servers(servers(), 0);
     for (step, outcome) in [Outcome::Rejected, Outcome::Unreachable]
--- a/crates/serving/routing/tests/plain_fleet/mod.rs
+++ b/crates/serving/routing/tests/plain_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of gateways and servers without an engine, simulated event by event from a seed.
+//! Discrete-event simulation, from a seed, of gateways and of servers that are not model engines.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -9,19 +9,25 @@
 use crate::common::{plain_request, plain_server};
 
 pub const SERVERS: usize = 7;
-const SLOTS: usize = 6;
-const QUEUE: usize = 4;
+const SLOTS_PER_SERVER: usize = 6;
+/// Requests that wait at a server when all its slots are taken.
+const QUEUE_PER_SERVER: usize = 4;
 const GATEWAYS: usize = 9;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const REPORT_INTERVAL_US: u64 = 300_000;
-pub const LENGTH_US: u64 = 20_000_000;
+pub const SIMULATION_US: u64 = 20_000_000;
+/// Delay of a request to a server and of a response to the gateway.
+const NETWORK_DELAY_US: u64 = 1_000;
+/// Delay before another attempt after a failure or rejection.
+const RETRY_DELAY_US: u64 = 1_000;
+const US_PER_MS: u64 = 1_000;
 const MAX_ATTEMPTS: usize = 3;
 /// Mean work and latency target of each kind of request, in milliseconds.
 const REQUEST_KINDS: [(f64, u64); 3] = [(26.0, 150), (104.0, 500), (69.0, 300)];
 /// Ratio of taken slots from which a server slows down.
 const NEARLY_FULL_RATIO: f64 = 0.8;
-/// Slowness factor of a server that is nearly full.
-const NEARLY_FULL_SLOWNESS: f64 = 1.3;
+/// Factor by which a server that is nearly full slows down.
+const NEARLY_FULL_SLOWDOWN: f64 = 1.3;
 
 /// The policy by which servers are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,25 +38,26 @@
     LeastOwnRequests,
 }
 
-/// The parameters of a simulated day.
+/// The parameters of a simulation.
 #[derive(Debug, Clone)]
-pub struct Day {
+pub struct Scenario {
     pub seed: u64,
     pub requests_per_s: f64,
+    /// Factor on the work of each request, by server.
     pub slowness: [f64; SERVERS],
     /// A server that responds with errors, and the time range in microseconds.
     pub failing: Option<(usize, std::ops::Range<u64>)>,
     pub length_us: u64,
 }
 
-/// The measured results of a simulated day.
+/// The measured results of a simulation.
 #[derive(Debug, Default)]
-pub struct DayResult {
+pub struct ScenarioResult {
     pub requests: usize,
     pub not_served: usize,
     /// Requests served after their latency target.
     pub late: usize,
-    /// Sum of the times of all served requests.
+    /// Sum of the response times of all served requests, in microseconds.
     pub total_us: u64,
     pub served: usize,
     /// Dispatches to a server of another zone.
@@ -61,9 +68,9 @@
     pub dispatches_after_fault: usize,
 }
 
-impl DayResult {
+impl ScenarioResult {
     pub fn mean_ms(&self) -> f64 {
-        self.total_us as f64 / self.served.max(1) as f64 / 1_000.0
+        self.total_us as f64 / self.served.max(1) as f64 / US_PER_MS as f64
     }
 }
 
@@ -77,21 +84,21 @@
     key: u64,
 }
 
-/// An event of the simulation. Requests, servers and gateways are given by number, in this order.
+/// An event of the simulation. Requests, servers and gateways are given by number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum SimEvent {
     /// A gateway dispatches a request.
     Dispatch(usize),
     /// A request arrives at a server.
-    Arrive(usize, usize),
+    Arrive { request: usize, server: usize },
     /// A server has completed a request.
-    Done(usize, usize),
+    Done { request: usize, server: usize },
     /// A gateway sends its load report to the others.
     SendReport(usize),
 }
 
 struct Fleet {
-    day: Day,
+    scenario: Scenario,
     policy: Policy,
     servers: Vec<Server>,
     running: Vec<usize>,
@@ -102,25 +109,25 @@
     queue: BinaryHeap<Reverse<(u64, u64, SimEvent)>>,
     order: u64,
     random: fastrand::Rng,
-    result: DayResult,
+    result: ScenarioResult,
     digest: Digest,
 }
 
-/// Simulates a day with the given policy.
-pub fn simulate(day: &Day, policy: Policy) -> DayResult {
-    simulate_fleet(day, policy).result
+/// Simulates a scenario with the given policy.
+pub fn simulate(scenario: &Scenario, policy: Policy) -> ScenarioResult {
+    simulate_fleet(scenario, policy).result
 }
 
-fn simulate_fleet(day: &Day, policy: Policy) -> Fleet {
+fn simulate_fleet(scenario: &Scenario, policy: Policy) -> Fleet {
     let servers: Vec<Server> = (0..SERVERS)
         .map(|number| plain_server(number, ZONES[number % 3]))
         .collect();
     let balancers = (0..GATEWAYS)
-        .map(|gateway| balancer(&servers, gateway, day.seed))
+        .map(|gateway| balancer(&servers, gateway, scenario.seed))
         .collect();
     let mut fleet = Fleet {
-        random: fastrand::Rng::with_seed(day.seed),
-        day: day.clone(),
+        random: fastrand::Rng::with_seed(scenario.seed),
+        scenario: scenario.clone(),
         policy,
         servers,
         running: vec![0; SERVERS],
@@ -130,10 +137,10 @@
         requests: vec![],
         queue: BinaryHeap::new(),
         order: 0,
-        result: DayResult::default(),
+        result: ScenarioResult::default(),
         digest: Digest::new(),
     };
-    fleet.schedule_day();
+    fleet.schedule_requests();
     while let Some(Reverse((now, _, event))) = fleet.queue.pop() {
         fleet.handle(now, event);
     }
@@ -147,12 +154,12 @@
 }
 
 impl Fleet {
-    /// Schedules all requests of the day, which are the same for every policy, and the load reports.
-    fn schedule_day(&mut self) {
-        let mut random = fastrand::Rng::with_seed(self.day.seed * 7 + 1);
+    /// Schedules all requests, which are the same for every policy, and the load reports.
+    fn schedule_requests(&mut self) {
+        let mut random = fastrand::Rng::with_seed(self.scenario.seed * 7 + 1);
         let mut now = 0;
-        while now < self.day.length_us {
-            let gap = -random.f64().max(1e-12).ln() * 1_000_000.0 / self.day.requests_per_s;
+        while now < self.scenario.length_us {
+            let gap = -random.f64().max(1e-12).ln() * 1_000_000.0 / self.scenario.requests_per_s;
             now += gap as u64;
             let kind = random.usize(..REQUEST_KINDS.len());
             let work_ms = REQUEST_KINDS[kind].0 * (0.5 + random.f64());
@@ -183,8 +190,8 @@
     fn handle(&mut self, now: u64, event: SimEvent) {
         match event {
             SimEvent::Dispatch(request) => self.dispatch(request, now),
-            SimEvent::Arrive(request, server) => self.arrive(request, server, now),
-            SimEvent::Done(request, server) => self.done(request, server, now),
+            SimEvent::Arrive { request, server } => self.arrive(request, server, now),
+            SimEvent::Done { request, server } => self.done(request, server, now),
             SimEvent::SendReport(gateway) => self.send_report(gateway, now),
         }
     }
@@ -207,7 +214,11 @@
             self.result.cross_zone += 1;
         }
         self.own_in_flight[request.gateway][server] += 1;
-        self.schedule(now + 1_000, SimEvent::Arrive(number, server));
+        let arrival = SimEvent::Arrive {
+            request: number,
+            server,
+        };
+        self.schedule(now + NETWORK_DELAY_US, arrival);
     }
 
     fn choose(&mut self, number: usize, now: u64) -> Option<usize> {
@@ -241,7 +252,7 @@
         routing_request.tried = &tried;
         routing_request.target_ms = REQUEST_KINDS[request.kind].1;
         self.digest.number(now);
-        match self.balancers[request.gateway].choose(&routing_request, now / 1_000) {
+        match self.balancers[request.gateway].choose(&routing_request, now / US_PER_MS) {
             Choice::Send(ticket) => {
                 self.digest.text(&ticket.server.id);
                 self.digest.number(ticket.key);
@@ -262,29 +273,29 @@
         if self.is_failing(server, now) {
             self.result.failed_dispatches += 1;
             self.end(number, server, Outcome::Failed, now);
-            self.schedule(now + 1_000, SimEvent::Dispatch(number));
+            self.schedule(now + RETRY_DELAY_US, SimEvent::Dispatch(number));
             return;
         }
         if self
-            .day
+            .scenario
             .failing
             .as_ref()
             .is_some_and(|(failing, when)| *failing == server && now >= when.end)
         {
             self.result.dispatches_after_fault += 1;
         }
-        if self.running[server] < SLOTS {
+        if self.running[server] < SLOTS_PER_SERVER {
             self.start(number, server, now);
-        } else if self.waiting[server].len() < QUEUE {
+        } else if self.waiting[server].len() < QUEUE_PER_SERVER {
             self.waiting[server].push_back(number);
         } else {
             self.end(number, server, Outcome::Rejected, now);
-            self.schedule(now + 1_000, SimEvent::Dispatch(number));
+            self.schedule(now + RETRY_DELAY_US, SimEvent::Dispatch(number));
         }
     }
 
     fn is_failing(&self, server: usize, now: u64) -> bool {
-        self.day
+        self.scenario
             .failing
             .as_ref()
             .is_some_and(|(failing, when)| *failing == server && when.contains(&now))
@@ -292,10 +303,20 @@
 
     fn start(&mut self, number: usize, server: usize, now: u64) {
         self.running[server] += 1;
-        let crowded = self.running[server] as f64 >= NEARLY_FULL_RATIO * SLOTS as f64;
-        let slowness = self.day.slowness[server] * if crowded { NEARLY_FULL_SLOWNESS } else { 1.0 };
-        let took_us = (self.requests[number].work_ms * slowness * 1_000.0) as u64;
-        self.schedule(now + took_us, SimEvent::Done(number, server));
+        let is_nearly_full =
+            self.running[server] as f64 >= NEARLY_FULL_RATIO * SLOTS_PER_SERVER as f64;
+        let slowdown = self.scenario.slowness[server]
+            * if is_nearly_full {
+                NEARLY_FULL_SLOWDOWN
+            } else {
+                1.0
+            };
+        let took_us = (self.requests[number].work_ms * slowdown * US_PER_MS as f64) as u64;
+        let completion = SimEvent::Done {
+            request: number,
+            server,
+        };
+        self.schedule(now + took_us, completion);
     }
 
     fn done(&mut self, number: usize, server: usize, now: u64) {
@@ -307,13 +328,13 @@
             number,
             server,
             Outcome::Served { tokens_out: 0 },
-            now + 1_000,
+            now + NETWORK_DELAY_US,
         );
         let request = &self.requests[number];
-        let took_us = now + 1_000 - request.started_at;
+        let took_us = now + NETWORK_DELAY_US - request.started_at;
         self.result.served += 1;
         self.result.total_us += took_us;
-        if took_us > REQUEST_KINDS[request.kind].1 * 1_000 {
+        if took_us > REQUEST_KINDS[request.kind].1 * US_PER_MS {
             self.result.late += 1;
         }
     }
@@ -323,9 +344,9 @@
         self.own_in_flight[gateway][server] -= 1;
         if self.policy == Policy::Balanced {
             if matches!(outcome, Outcome::Served { .. }) {
-                self.balancers[gateway].record_first_event(key, now / 1_000);
+                self.balancers[gateway].record_first_event(key, now / US_PER_MS);
             }
-            self.balancers[gateway].record_outcome(key, outcome, now / 1_000);
+            self.balancers[gateway].record_outcome(key, outcome, now / US_PER_MS);
         }
     }
 
@@ -336,26 +357,27 @@
         let reports: Vec<LoadReport> = self.balancers[gateway].load_reports();
         self.digest.number(now);
         self.digest.reports(&reports);
-        for faulty in self.balancers[gateway].ejected_for_faults(now / 1_000) {
+        for faulty in self.balancers[gateway].ejected_for_faults(now / US_PER_MS) {
             self.digest.text(&faulty);
         }
         let name = format!("gateway-{gateway}");
         for (other, balancer) in self.balancers.iter_mut().enumerate() {
             if other != gateway {
-                balancer.apply_peer_load(&reports, &name, now / 1_000);
+                balancer.apply_peer_load(&reports, &name, now / US_PER_MS);
             }
         }
-        if now < self.day.length_us {
+        if now < self.scenario.length_us {
             self.schedule(now + REPORT_INTERVAL_US, SimEvent::SendReport(gateway));
         }
     }
 }
 
-/// A digest of all choices, their times and the load reports of a day with the balancer.
-pub fn digest(day: &Day) -> u64 {
+/// A digest of the choices, their times, the load reports, the ejected servers and the final counts of a simulation
+/// with [`Policy::Balanced`].
+pub fn digest(scenario: &Scenario) -> u64 {
     let Fleet {
         mut digest, result, ..
-    } = simulate_fleet(day, Policy::Balanced);
+    } = simulate_fleet(scenario, Policy::Balanced);
     let counts = [
         result.not_served,
         result.late,
--- a/crates/serving/routing/tests/plain_simulation.rs
+++ b/crates/serving/routing/tests/plain_simulation.rs
@@ -1,18 +1,19 @@
-//! Simulated days of requests on modelled servers without an engine, from fixed seeds: compares the balancer with
+//! Simulations, from fixed seeds, of requests to servers that are not model engines: compares the balancer with
 //! baselines, also while a server fails.
 
 mod common;
 mod plain_fleet;
 
 use common::digest::assert_digests;
-use plain_fleet::{digest, simulate, Day, DayResult, Policy, LENGTH_US, SERVERS};
+use plain_fleet::{digest, simulate, Policy, Scenario, ScenarioResult, SERVERS, SIMULATION_US};
 
-const DIGEST_LENGTH_US: u64 = 4_000_000;
+/// Length of the simulations whose digests are compared.
+const DIGEST_SIMULATION_US: u64 = 4_000_000;
 
-fn sum(day: impl Fn(u64) -> Day, policy: Policy) -> DayResult {
-    let mut sum = DayResult::default();
+fn sum(scenario: impl Fn(u64) -> Scenario, policy: Policy) -> ScenarioResult {
+    let mut sum = ScenarioResult::default();
     for seed in 1..=3 {
-        let result = simulate(&day(seed), policy);
+        let result = simulate(&scenario(seed), policy);
         sum.requests += result.requests;
         sum.not_served += result.not_served;
         sum.late += result.late;
@@ -25,20 +26,20 @@
     sum
 }
 
-fn day(seed: u64, requests_per_s: f64) -> Day {
-    Day {
+fn scenario(seed: u64, requests_per_s: f64) -> Scenario {
+    Scenario {
         seed,
         requests_per_s,
         slowness: [0.8, 1.0, 1.4, 0.9, 1.1, 1.8, 1.0],
         failing: None,
-        length_us: LENGTH_US,
+        length_us: SIMULATION_US,
     }
 }
 
-/// Simulates the same days with the balancer and with each baseline.
-fn compare(rate: f64) -> [DayResult; 3] {
+/// Simulates the same scenarios with the balancer and with each baseline.
+fn compare(rate: f64) -> [ScenarioResult; 3] {
     [Policy::Balanced, Policy::Random, Policy::LeastOwnRequests]
-        .map(|policy| sum(|seed| day(seed, rate), policy))
+        .map(|policy| sum(|seed| scenario(seed, rate), policy))
 }
 
 #[test]
@@ -91,9 +92,9 @@
 #[test]
 fn a_failing_server_is_ejected_and_used_again_after_it_has_recovered() {
     for rate in [50.0, 250.0] {
-        let failing = |seed| Day {
+        let failing = |seed| Scenario {
             failing: Some((1, 5_000_000..10_000_000)),
-            ..day(seed, rate)
+            ..scenario(seed, rate)
         };
         let [balanced, least_own] =
             [Policy::Balanced, Policy::LeastOwnRequests].map(|policy| sum(failing, policy));
@@ -109,20 +110,21 @@
     }
 }
 
-/// A short day whose load and failing server depend on the seed.
-fn varied_day(seed: u64) -> Day {
-    Day {
+/// A short scenario whose load and failing server depend on the seed.
+fn varied_scenario(seed: u64) -> Scenario {
+    Scenario {
         failing: (seed % 2 == 1).then_some((seed as usize % SERVERS, 500_000..2_000_000)),
-        length_us: DIGEST_LENGTH_US,
-        ..day(seed, [50.0, 250.0, 450.0, 800.0][seed as usize / 2 % 4])
+        length_us: DIGEST_SIMULATION_US,
+        ..scenario(seed, [50.0, 250.0, 450.0, 800.0][seed as usize / 2 % 4])
     }
 }
 
-/// Guards against changed choices: each seed must give the digest that an earlier version stored.
+/// Detects unintended changes of choices: each seed must have the digest in `fixtures/plain_day_digests.txt`, which was
+/// recorded with an earlier version of the code.
 #[test]
-fn days_keep_their_digests() {
+fn simulations_keep_their_digests() {
     assert_digests(
-        |seed| digest(&varied_day(seed)),
+        |seed| digest(&varied_scenario(seed)),
         include_str!("fixtures/plain_day_digests.txt"),
     );
 }
