--- a/crates/gateway/decisions/src/limiter/admission.rs
+++ b/crates/gateway/decisions/src/limiter/admission.rs
@@ -2,7 +2,7 @@
 
 use super::counter_stake::WithoutCounter;
 use super::queue::QueueEntry;
-use super::tuning::{EWMA_WEIGHT, MAX_QUEUE_TIME, OVERLOAD};
+use super::tuning::{EWMA_WEIGHT, MAX_QUEUE_TIME, OVERLOAD_SHARE};
 use super::Limiter;
 use crate::types::{Decision, Effect, Invocation, Stage, ThrottleCause, TokenScope};
 
@@ -173,7 +173,7 @@
         pause: f64,
         now: f64,
     ) -> Decision {
-        let servers_idle = self.queue.is_empty() && self.overload < OVERLOAD / 2.0;
+        let servers_idle = self.queue.is_empty() && self.overload_share < OVERLOAD_SHARE / 2.0;
         if self.plans[invocation.plan].beyond_quota_pays && servers_idle {
             invocation.is_beyond_quota = true;
             if let Some(server) = self.choose_server(invocation, now) {
@@ -193,7 +193,7 @@
     ) -> Decision {
         let unsent = invocation.has_units && invocation.attempts.is_empty();
         if cause == ThrottleCause::QueueTooLong || (unsent && invocation.stage == Stage::Queued) {
-            self.crowding += EWMA_WEIGHT * (1.0 - self.crowding);
+            self.unserved_share += EWMA_WEIGHT * (1.0 - self.unserved_share);
         }
         if unsent {
             self.return_units(invocation, now);
--- a/crates/gateway/decisions/src/limiter/local_share.rs
+++ b/crates/gateway/decisions/src/limiter/local_share.rs
@@ -33,16 +33,16 @@
             let likelihood = account.likelihood_of_room(plan, invocation.repeat);
             // Where servers are scarce, an admitted invocation displaces another one.
             let gains = expected * (likelihood - (1.0 - likelihood) * plan.excess_cost);
-            let pays = gains > self.crowding * self.counter_price.mean_earnings();
-            let least = if pays {
+            let admission_pays = gains > self.unserved_share * self.counter_price.mean_earnings();
+            let min_units = if admission_pays {
                 invocation.units.min(room)
             } else {
                 0.0
             };
-            account.local_units = (room * share).max(least);
+            account.local_units = (room * share).max(min_units);
         } else {
-            let most = (plan.burst * share).max(invocation.units);
-            account.local_units = (account.local_units + since * plan.rate * share).min(most);
+            let max_units = (plan.burst * share).max(invocation.units);
+            account.local_units = (account.local_units + since * plan.rate * share).min(max_units);
         }
         account.local_units_at = now;
         account.local_units + ROUNDING >= invocation.units
--- a/crates/gateway/decisions/src/limiter/retry.rs
+++ b/crates/gateway/decisions/src/limiter/retry.rs
@@ -1,7 +1,7 @@
 //! What follows an attempt: completion, a retry or an error.
 
 use super::queue::QueueEntry;
-use super::tuning::{EVEN_CHANCE, HEALTHY_LATENCY, MAX_QUEUE_TIME, MAX_RETRIES, OVERLOAD};
+use super::tuning::{EVEN_CHANCE, HEALTHY_LATENCY, MAX_QUEUE_TIME, MAX_RETRIES, OVERLOAD_SHARE};
 use super::Limiter;
 use crate::types::{AttemptResult, Decision, Effect, Invocation, Outcome, Stage, ThrottleCause};
 
@@ -19,10 +19,10 @@
         invocation.in_flight = invocation.in_flight.saturating_sub(1);
         self.record_outcome(server, invocation, outcome, sent_at, now);
         self.place_queue_head();
-        let first_that_ran = invocation
+        let is_earliest = invocation
             .first_possible_run
             .is_none_or(|first| outcome.attempt < first);
-        if !outcome.result.never_ran() && first_that_ran {
+        if !outcome.result.never_ran() && is_earliest {
             invocation.first_possible_run = Some(outcome.attempt);
         }
         self.update_account(invocation, outcome);
@@ -71,7 +71,7 @@
     /// Whether a retry is allowed, can still earn something, and does not add to an overload.
     fn may_retry(&self, invocation: &Invocation, now: f64) -> bool {
         invocation.attempts.len() < self.max_attempts.min(MAX_RETRIES + 1)
-            && self.overload < OVERLOAD
+            && self.overload_share < OVERLOAD_SHARE
             && now < self.latest_start(invocation)
             && self.resendable(invocation, now)
     }
@@ -88,13 +88,13 @@
     /// Whether another attempt is allowed now without the risk that the invocation takes effect twice.
     #[must_use]
     pub fn resendable(&self, invocation: &Invocation, now: f64) -> bool {
-        let Some(first_that_ran) = invocation.first_possible_run else {
+        let Some(first_possible_run) = invocation.first_possible_run else {
             return true;
         };
         match self.operations[invocation.operation].effect {
             Effect::Idempotent => true,
             Effect::Tokened { window, .. } => {
-                let sent_at = invocation.attempts[first_that_ran].1;
+                let sent_at = invocation.attempts[first_possible_run].1;
                 now < sent_at + window - self.response_slack
             }
             Effect::NonIdempotent => false,
--- a/crates/gateway/decisions/src/limiter/server_choice.rs
+++ b/crates/gateway/decisions/src/limiter/server_choice.rs
@@ -1,13 +1,14 @@
 //! The choice of a server for an attempt, and the bookkeeping of sends.
 
-use super::tuning::{EWMA_WEIGHT, HEALTHY_LATENCY, MAX_RETRIES, OVERLOAD, TIMEOUT_MEANS};
+use super::tuning::{EWMA_WEIGHT, HEALTHY_LATENCY, MAX_RETRIES, OVERLOAD_SHARE, TIMEOUT_MEANS};
 use super::Limiter;
 use crate::types::{Decision, Effect, Invocation, Stage, ThrottleCause, TokenScope};
 
 /// Cost of a server in another zone, as a multiple of one in the limiter's own zone.
 const OTHER_ZONE_COST: f64 = 1.05;
-/// Lower bounds of the success rate and the latency in the calculation of a server's cost.
+/// Lower bound of a server's success rate in the calculation of its cost.
 const MIN_SUCCESS: f64 = 0.05;
+/// Lower bound of a server's latency, as a share of the latency target, in the calculation of its cost.
 const MIN_LATENCY: f64 = 0.02;
 /// Random part of a server's cost, so that gateways do not all choose the same server.
 const JITTER: f64 = 0.1;
@@ -25,7 +26,7 @@
 impl Limiter {
     /// The server with capacity and the lowest cost; servers that this invocation has not tried come first.
     pub(super) fn choose_server(&mut self, invocation: &Invocation, now: f64) -> Option<usize> {
-        self.fade(now);
+        self.decay_health(now);
         let in_use = self.servers_in_use(now);
         let servers = &self.servers;
         // A server's concurrency limit may be below one where many limiters share it; then not all servers can be in
@@ -76,14 +77,14 @@
         if servers.on_probation[index] {
             return 0.0;
         }
-        let distance = if servers.zone[index] == self.zone {
+        let zone_cost = if servers.zone[index] == self.zone {
             1.0
         } else {
             OTHER_ZONE_COST
         };
         let success = (1.0 - servers.failures[index]).max(MIN_SUCCESS);
         let latency = servers.latency[index].max(MIN_LATENCY);
-        let cost = (servers.in_flight[index] + 1.0) * latency * distance / (success * success);
+        let cost = (servers.in_flight[index] + 1.0) * latency * zone_cost / (success * success);
         cost * (1.0 + JITTER * self.rng.f64())
     }
 
@@ -111,10 +112,10 @@
 
     /// Whether this server would recognise the token of an invocation that may have run on another server.
     fn recognises_repeat(&self, invocation: &Invocation, index: usize) -> bool {
-        let Some(first_that_ran) = invocation.first_possible_run else {
+        let Some(first_possible_run) = invocation.first_possible_run else {
             return true;
         };
-        let ran_at = invocation.attempts[first_that_ran].0;
+        let ran_at = invocation.attempts[first_possible_run].0;
         let Effect::Tokened { scope, .. } = self.operations[invocation.operation].effect else {
             return true;
         };
@@ -142,7 +143,7 @@
         self.draw_rate_limit(account, invocation);
         self.accounts[account].in_flight += 1.0;
         if invocation.attempts.is_empty() {
-            self.crowding -= EWMA_WEIGHT * self.crowding;
+            self.unserved_share -= EWMA_WEIGHT * self.unserved_share;
         }
         self.finish(invocation, Decision::Done);
         invocation.attempt_deadline = self.attempt_deadline(invocation, now);
@@ -157,18 +158,19 @@
     /// the attempt has until the client's deadline.
     fn attempt_deadline(&self, invocation: &Invocation, now: f64) -> f64 {
         let operation = &self.operations[invocation.operation];
-        let may_retry = self.overload < OVERLOAD
+        let may_retry = self.overload_share < OVERLOAD_SHARE
             && invocation.attempts.len() < MAX_RETRIES
             && invocation.attempts.len() + 1 < self.max_attempts
             && operation.effect != Effect::NonIdempotent;
         let target_ends = invocation.arrived_at + operation.latency_target;
-        let means = if self.unanswered > HEALTHY_LATENCY {
+        let timeout_means = if self.lost_response_share > HEALTHY_LATENCY {
             TIMEOUT_MEANS / 2.0
         } else {
             TIMEOUT_MEANS
         };
-        let half_the_rest = (target_ends - now) * HEALTHY_LATENCY;
-        let timeout = half_the_rest.max(means * self.fleet_latency * operation.latency_target);
+        let half_of_time_left = (target_ends - now) * HEALTHY_LATENCY;
+        let timeout =
+            half_of_time_left.max(timeout_means * self.fleet_latency * operation.latency_target);
         if may_retry && now + timeout < target_ends {
             now + timeout
         } else {
@@ -207,12 +209,13 @@
             .filter(|&index| now - servers.warming_since[index] >= self.warm_up_time)
             .count();
         let warm_for = now - servers.warming_since[server];
-        let part = self.warm_up_from + (1.0 - self.warm_up_from) * warm_for / self.warm_up_time;
+        let capacity_share =
+            self.warm_up_from + (1.0 - self.warm_up_from) * warm_for / self.warm_up_time;
         let sends_to_each = self.recent_sends / 2.0 / warm.max(1) as f64;
-        let least = 1.0 / f64::from(self.fleet_size);
-        let rate = sends_to_each.max(least) / self.latency_target;
+        let min_sends = 1.0 / f64::from(self.fleet_size);
+        let rate = sends_to_each.max(min_sends) / self.latency_target;
         SlowStart {
-            interval: 1.0 / (rate * part * self.slow_start_lead),
+            interval: 1.0 / (rate * capacity_share * self.slow_start_lead),
             none_warm: warm == 0,
         }
     }
--- a/crates/gateway/decisions/src/limiter/server_health.rs
+++ b/crates/gateway/decisions/src/limiter/server_health.rs
@@ -2,7 +2,7 @@
 //! ejection.
 
 use super::tuning::{
-    EJECTION_FAILURES, EWMA_WEIGHT, FADE_TARGETS, GROWTH_LATENCY, HEALTHY_LATENCY,
+    EJECTION_FAILURES, EWMA_WEIGHT, GROWTH_LATENCY, HEALTHY_LATENCY, HEALTH_DECAY_TARGETS,
     INITIAL_CONCURRENCY, TIMEOUT_MEANS,
 };
 use super::Limiter;
@@ -27,6 +27,7 @@
     late: bool,
 }
 
+/// Weight of a sample in a running mean; 0 if it does not count.
 fn weight(counts: bool) -> f64 {
     if counts {
         EWMA_WEIGHT / 2.0
@@ -35,17 +36,19 @@
     }
 }
 
-fn as_share(counts: bool) -> f64 {
-    f64::from(u8::from(counts))
+/// 1 if the condition holds, otherwise 0.
+fn one_if(condition: bool) -> f64 {
+    f64::from(u8::from(condition))
 }
 
 impl Limiter {
     /// Decays the figures of all servers over a few latency targets: high latencies to the fleet's, failures to 0, and
     /// low concurrency limits to the initial one. Guards against stale figures: a slow or failing server gets too few
     /// attempts to show that it has recovered. A server that stays unhealthy costs one attempt now and then.
-    pub(super) fn fade(&mut self, now: f64) {
-        let step = 1.0 - ((self.faded_at - now) / (FADE_TARGETS * self.latency_target)).exp();
-        self.faded_at = now;
+    pub(super) fn decay_health(&mut self, now: f64) {
+        let step = 1.0
+            - ((self.health_decayed_at - now) / (HEALTH_DECAY_TARGETS * self.latency_target)).exp();
+        self.health_decayed_at = now;
         let initial = INITIAL_CONCURRENCY / f64::from(self.fleet_size);
         let servers = &mut self.servers;
         for index in 0..servers.is_live.len() {
@@ -121,19 +124,20 @@
         let awaited_to_deadline = invocation.attempt_deadline >= invocation.client_deadline;
         let is_conclusive = sample.succeeded || (sample.timed_out && awaited_to_deadline);
         if sample.latency > TIMEOUT_MEANS / 2.0 * self.fleet_latency && is_conclusive {
-            self.unanswered += EWMA_WEIGHT * (as_share(sample.timed_out) - self.unanswered);
+            self.lost_response_share +=
+                EWMA_WEIGHT * (one_if(sample.timed_out) - self.lost_response_share);
         }
     }
 
     /// Updates the failure shares. A rejection counts as a failure: a server that rejects quickly would otherwise
     /// attract more and more attempts.
     fn learn_failures(&mut self, server: usize, sample: &Sample) {
-        let failed = as_share(!sample.succeeded);
+        let failed = one_if(!sample.succeeded);
         self.fleet_failures += EWMA_WEIGHT / 4.0 * (failed - self.fleet_failures);
         let failures = &mut self.servers.failures[server];
         *failures += 2.0 * EWMA_WEIGHT * (failed - *failures);
         if *failures < EJECTION_FAILURES {
-            self.overload += EWMA_WEIGHT / 2.0 * (as_share(sample.late) - self.overload);
+            self.overload_share += EWMA_WEIGHT / 2.0 * (one_if(sample.late) - self.overload_share);
         }
     }
 
--- a/crates/gateway/decisions/src/limiter/setup.rs
+++ b/crates/gateway/decisions/src/limiter/setup.rs
@@ -96,7 +96,7 @@
                 settings.call_price,
                 earnings,
             ),
-            faded_at: now,
+            health_decayed_at: now,
             small_limits_shrunk_at: now,
             fleet_latency: HEALTHY_LATENCY / 2.0,
             answered_latency: HEALTHY_LATENCY / 2.0,
--- a/crates/gateway/decisions/src/limiter/tuning.rs
+++ b/crates/gateway/decisions/src/limiter/tuning.rs
@@ -26,13 +26,13 @@
 /// Longest time in the queue as a share of the latency target; a longer queue makes every response late.
 pub(super) const MAX_QUEUE_TIME: f64 = 0.1;
 /// Share of recent attempts that were late or rejected from which the fleet counts as overloaded.
-pub(super) const OVERLOAD: f64 = 0.2;
+pub(super) const OVERLOAD_SHARE: f64 = 0.2;
 /// Share of failed attempts above which a server is ejected, if other servers fail less.
 pub(super) const EJECTION_FAILURES: f64 = 0.5;
 /// Initial concurrency limit of one server, shared evenly by all limiters: enough to measure response times.
 pub(super) const INITIAL_CONCURRENCY: f64 = 3.0;
 /// Time constant, in latency targets, with which the figures about a server decay.
-pub(super) const FADE_TARGETS: f64 = 4.0;
+pub(super) const HEALTH_DECAY_TARGETS: f64 = 4.0;
 /// Weight of one new sample in the exponentially weighted means.
 pub(super) const EWMA_WEIGHT: f64 = 0.1;
 /// Time-out of an attempt in mean response times. With fewer, under load one attempt in ten was abandoned, ran to its
--- a/crates/gateway/decisions/src/state.rs
+++ b/crates/gateway/decisions/src/state.rs
@@ -29,10 +29,11 @@
 
 /// One plan that customers subscribe to: its quota, rate limit and prices.
 pub(crate) struct Plan {
-    /// The quota, units per second, and the most unused units that accumulate.
+    /// The quota, units per second.
     pub rate: f64,
+    /// Maximum number of unused quota units that accumulate.
     pub burst: f64,
-    /// Most attempts in flight at once; 0 when unlimited.
+    /// Maximum number of attempts in flight at once; 0 when unlimited.
     pub max_in_flight: f64,
     /// Time in which the rate fills the burst: the unit of lease lifetimes and of the measurement of demand.
     pub span: f64,
@@ -41,7 +42,8 @@
     pub allows_short_windows: bool,
     /// Whether an invocation beyond the quota earns more than it costs.
     pub beyond_quota_pays: bool,
-    /// Recent share of customers that had room at the first counter reply about them; first requests and repeats.
+    /// Recent share of customers whose quota had room at the first counter reply about them; the first element is for
+    /// first requests, the second for repeats.
     pub had_room: [f64; 2],
     /// Earnings of an invocation as a multiple of its operation's billed value.
     pub price: f64,
@@ -58,19 +60,22 @@
     pub plan: usize,
     /// Number of gateways that serve this customer.
     pub gateways: f64,
-    /// Units requested recently, decayed over the plan's span, and the time of the last update.
+    /// Units requested recently, decayed over the plan's span.
     pub demand: f64,
+    /// Time at which `demand` was last updated.
     pub demand_at: f64,
     /// Units left of the lease.
     pub lease: f64,
     pub lease_expires_at: f64,
-    /// Units by which the counter's total exceeded the rate's allowance at the last reply, and the time of that reply.
+    /// Units by which the counter's total exceeded the rate's allowance at the last reply.
     pub backlog: f64,
+    /// Time of the last reply with a total; 0 if there was none.
     pub backlog_at: f64,
     /// Number of the counter window from which the lease was granted.
     pub window: i64,
     /// Units to report with the next add: admitted without a lease, or left from a correction that was refused.
     pub unreported: f64,
+    /// Time at which `unreported` was last updated.
     pub unreported_at: f64,
     /// Whether the counter's last reply showed a usage below the rate.
     pub below_rate: bool,
@@ -82,6 +87,7 @@
     pub waiting: Vec<u64>,
     /// Units left of the local share, which replaces leases while the counter is silent.
     pub local_units: f64,
+    /// Time at which `local_units` was last updated.
     pub local_units_at: f64,
     /// Whether leases are counted in short windows of `window_length`.
     pub short_windows: bool,
@@ -91,14 +97,16 @@
     /// Units left of this limiter's share of the rate limit.
     pub rate_limit_units: f64,
     pub rate_limit_at: f64,
-    /// Start of the turn that may be used now, and of the last turn used.
+    /// Time of the turn that may be used now; see [`RateLimit::turn`].
     pub next_turn: Option<f64>,
+    /// Time of the last turn that was used.
     pub used_turn: f64,
     /// Attempts in flight.
     pub in_flight: f64,
 }
 
-/// One add that waits for the counter's reply. A correction requests nothing and expects `min_units` as the total.
+/// An add that waits for the counter's reply. A correction has no `requested` units; its `min_units` is the expected
+/// total.
 pub(crate) struct PendingAdd {
     pub account: usize,
     pub add: f64,
@@ -177,8 +185,9 @@
 pub struct Limiter {
     pub(crate) operations: Vec<Operation>,
     pub(crate) plans: Vec<Plan>,
-    /// Number of limiters in the fleet, and the index of this one.
+    /// Number of limiters in the fleet.
     pub(crate) fleet_size: u32,
+    /// Index of this limiter in the fleet.
     pub(crate) fleet_index: u32,
     pub(crate) zone: usize,
     pub(crate) has_counter: bool,
@@ -209,24 +218,27 @@
     /// Invocations that wait for a server, as billed value and number; the highest value first.
     pub(crate) queue: VecDeque<(f64, u64)>,
     /// Recent share of attempts that were late or rejected as overload.
-    pub(crate) overload: f64,
+    pub(crate) overload_share: f64,
     /// Recent share of invocations with units that got no server.
-    pub(crate) crowding: f64,
+    pub(crate) unserved_share: f64,
     /// Recent share of failed attempts over all servers.
     pub(crate) fleet_failures: f64,
     /// Recent share of long-awaited attempts that never got a response.
-    pub(crate) unanswered: f64,
+    pub(crate) lost_response_share: f64,
     /// Time at which the health figures were last decayed.
-    pub(crate) faded_at: f64,
+    pub(crate) health_decayed_at: f64,
     /// Sum of the concurrency limits of the servers in use at the last choice of a server.
     pub(crate) total_concurrency: f64,
     /// Time at which concurrency limits below one were last reduced.
     pub(crate) small_limits_shrunk_at: f64,
-    /// Recent response time of all servers as a share of the latency target, including and excluding time-outs.
+    /// Recent duration of all servers' attempts as a share of the latency target. Time-outs count unless the response
+    /// was probably lost.
     pub(crate) fleet_latency: f64,
+    /// Recent duration of all servers' successful attempts as a share of the latency target.
     pub(crate) answered_latency: f64,
-    /// Decayed number of recent sends to warm servers, and the time of its last update.
+    /// Decayed number of recent sends to warm servers.
     pub(crate) recent_sends: f64,
+    /// Time at which `recent_sends` was last updated.
     pub(crate) recent_sends_at: f64,
     pub(crate) actions: VecDeque<Action>,
 }
--- a/crates/gateway/decisions/src/types.rs
+++ b/crates/gateway/decisions/src/types.rs
@@ -48,9 +48,9 @@
 pub struct PlanSettings {
     /// Quota, units per second; 0 when the plan has no rate.
     pub rate: f64,
-    /// Most unused quota units that accumulate.
+    /// Maximum number of unused quota units that accumulate.
     pub burst: f64,
-    /// Most attempts in flight at once; 0 when unlimited.
+    /// Maximum number of attempts in flight at once; 0 when unlimited.
     pub max_in_flight: f64,
     /// The hard rate limit, units per second; 0 when there is none.
     pub hard_rate: f64,
@@ -87,7 +87,7 @@
     pub call_price: f64,
     /// Longest `Retry-After` that clients honour, seconds; 0 when clients do not receive it.
     pub max_retry_after: f64,
-    /// Most attempts of one invocation.
+    /// Maximum number of attempts of one invocation.
     pub max_attempts: u32,
     /// Share of its full capacity that a server has when it starts.
     pub warm_up_from: f64,
@@ -286,9 +286,9 @@
 pub enum CounterReply {
     /// The total after the add, units.
     Total(f64),
-    /// The counter refused: nothing was added.
+    /// The counter refused the add: nothing was added.
     Refused,
-    /// No reply; the amount may have been added.
+    /// The counter did not reply; the units may have been added.
     NoReply,
 }
 
