--- a/crates/gateway/quota-sharing/src/broker/blocks.rs
+++ b/crates/gateway/quota-sharing/src/broker/blocks.rs
@@ -91,9 +91,9 @@
             return;
         };
         let waiting: f64 = name.waiting.iter().map(|w| w.request.add).sum();
-        let near = near_block(name, waiting, demand * max_lead);
-        let far = far_block(name, waiting, demand, lead, max_lead);
-        let ahead = near.max(far).floor();
+        let within_limit = block_within_limit(name, waiting, demand * max_lead);
+        let beyond_limit = block_beyond_limit(name, waiting, demand, lead, max_lead);
+        let ahead = within_limit.max(beyond_limit).floor();
         // A full name is only read, so that units about to be refused are not added first.
         let add = if is_full(name, now) {
             -name.block
@@ -168,19 +168,19 @@
 
     /// Increases the lead of the blocks with each call that shows no adds by others. In a short window nothing is taken
     /// back, so adds by others only reduce the lead.
-    fn adapt_lead(&mut self, customer: u64, shared: bool, grows: bool, now: f64) {
+    fn adapt_lead(&mut self, customer: u64, others_added: bool, grows: bool, now: f64) {
         let max_lead = self.settings.max_lead;
         let retention = self.settings.demand_window * RETENTION_WINDOWS;
         let Some(customer) = self.customers.get_mut(&customer) else {
             return;
         };
-        if shared && grows {
+        if others_added && grows {
             customer.last_foreign_add = now;
         }
         let alone = now > customer.last_foreign_add + retention;
         customer.lead = if !alone {
             0.0
-        } else if shared {
+        } else if others_added {
             customer.lead / LEAD_GROWTH
         } else {
             let longer = customer.lead * LEAD_GROWTH;
@@ -197,7 +197,7 @@
 
 /// The block for future demand within the limit: at most half of the room, and nothing before the first reply of the
 /// counter.
-fn near_block(name: &LeasedName, waiting: f64, demand: f64) -> f64 {
+fn block_within_limit(name: &LeasedName, waiting: f64, demand: f64) -> f64 {
     let headroom = name.counter_total.map_or(0.0, |known| {
         name.limit - known - (waiting - name.block).max(0.0)
     });
@@ -207,7 +207,13 @@
 /// The block leased beyond the present limit while only this broker adds to the name: units that the growing limit will
 /// allow, which are granted once it does. In a short window it is the whole rest of the window if demand is high,
 /// otherwise the demand until the window ends. Limiters that bypass the broker find these units used and are rejected.
-fn far_block(name: &LeasedName, waiting: f64, demand: f64, lead: f64, max_lead: f64) -> f64 {
+fn block_beyond_limit(
+    name: &LeasedName,
+    waiting: f64,
+    demand: f64,
+    lead: f64,
+    max_lead: f64,
+) -> f64 {
     if name.limit_rate > 0.0 {
         return demand.min(name.limit_rate) * lead;
     }
--- a/crates/gateway/quota-sharing/src/broker/fairness.rs
+++ b/crates/gateway/quota-sharing/src/broker/fairness.rs
@@ -67,8 +67,8 @@
             borrowers.retain(|_, borrower| now < borrower.updated + window);
             // If there are still too many, the borrower with the oldest request is dropped.
             if borrowers.len() >= max_borrowers {
-                let by_age = |a: &(&Name, &BorrowerUsage), b: &(&Name, &BorrowerUsage)| {
-                    a.1.updated.total_cmp(&b.1.updated)
+                let by_age = |left: &(&Name, &BorrowerUsage), right: &(&Name, &BorrowerUsage)| {
+                    left.1.updated.total_cmp(&right.1.updated)
                 };
                 let oldest = borrowers.iter().min_by(by_age);
                 if let Some(oldest) = oldest.map(|(name, _)| name.clone()) {
--- a/crates/gateway/quota-sharing/src/broker/leased_name.rs
+++ b/crates/gateway/quota-sharing/src/broker/leased_name.rs
@@ -11,6 +11,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct WaitingRequest {
     pub(super) from: Name,
+    /// Incarnation of the borrower's process.
     pub(super) run: u64,
     pub(super) slot: Slot,
     pub(super) request: LeaseRequest,
@@ -42,8 +43,9 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct LeasedName {
     pub(super) customer: u64,
-    /// The counter's total at its last reply, and the time of that reply.
+    /// The counter's total at its last reply.
     pub(super) counter_total: Option<f64>,
+    /// Time of the counter's last reply.
     pub(super) last_read: f64,
     /// Units that the counter has counted and that are not granted yet; negative where refused requests
     /// reported units that the counter has not counted yet.
@@ -52,11 +54,13 @@
     pub(super) waiting: VecDeque<WaitingRequest>,
     pub(super) slot: Slot,
     pub(super) lifetime: f64,
-    /// Limit of the name at the last request, and its growth in units per second.
+    /// Limit of the name at the last request.
     pub(super) limit: f64,
+    /// Growth of the limit, units per second.
     pub(super) limit_rate: f64,
-    /// Seconds left of the name's window, and the window's length.
+    /// Seconds left of the name's window at the last request.
     pub(super) remaining: f64,
+    /// Length of the name's window, seconds.
     pub(super) window_length: f64,
     pub(super) last_request: f64,
     /// Refused adds that their borrowers are expected to take back; not part of the total yet.
--- a/crates/gateway/quota-sharing/src/broker/mod.rs
+++ b/crates/gateway/quota-sharing/src/broker/mod.rs
@@ -10,7 +10,7 @@
 use leased_name::{LeasedName, WaitingRequest};
 use std::collections::BTreeMap;
 
-/// Least amount, in units, for whose return or report a call is made.
+/// Minimum number of units for which a call is made only to return or report them.
 const MIN_RETURN: f64 = 0.5;
 /// Lower bound of the remaining part of a window, from which the window's length is calculated.
 const MIN_REMAINING_RATIO: f64 = 0.05;
@@ -189,9 +189,11 @@
                     && name.open_add.is_none()
                     && now > name.last_request + interval
             };
-            let due = self.names.iter().filter(|(_, name)| is_in_debt(name));
-            let due: Vec<u64> = due.map(|(id, _)| *id).collect();
-            due.into_iter().for_each(|name| self.refill(name, now, out));
+            let indebted = self.names.iter().filter(|(_, name)| is_in_debt(name));
+            let indebted: Vec<u64> = indebted.map(|(id, _)| *id).collect();
+            indebted
+                .into_iter()
+                .for_each(|name| self.refill(name, now, out));
         }
         if now >= self.last_sweep + self.settings.demand_window {
             self.sweep(now, out);
--- a/crates/gateway/quota-sharing/src/settings.rs
+++ b/crates/gateway/quota-sharing/src/settings.rs
@@ -15,11 +15,11 @@
     pub near_limit_interval: f64,
     /// Time for which a borrower does not call a broker that did not answer; doubles with each further failure.
     pub broker_backoff: f64,
-    /// Most names that a broker keeps at once.
+    /// Maximum number of names that a broker keeps at once.
     pub max_names: usize,
-    /// Most requests that wait for one name.
+    /// Maximum number of requests that wait for one name.
     pub max_waiting: usize,
-    /// Most borrowers kept for one customer.
+    /// Maximum number of borrowers kept for one customer.
     pub max_borrowers: usize,
 }
 
@@ -34,7 +34,7 @@
         /// The value in the file.
         seconds: f64,
     },
-    /// A bound is 0.
+    /// A maximum number of names, requests or borrowers is 0.
     #[error("fleet.lend.{key}: 0; give 1 or more")]
     Bound {
         /// The setting's key.
