--- a/crates/serving/load-distribution/src/aggregator.rs
+++ b/crates/serving/load-distribution/src/aggregator.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Time after which the table of a reporter that was not seen becomes stale; more than two renewal intervals.
+/// Time without a report after which a reporter's table is removed; more than two renewal intervals.
 const STALE_AFTER_MS: u64 = 2_500;
 /// Maximum number of reporters. Bounds memory against an unlimited number of names.
 const MAX_REPORTERS: usize = 1_024;
@@ -220,7 +220,8 @@
         true
     }
 
-    /// Replaces a reporter's table and updates the totals; no other function stores tables.
+    /// Replaces a reporter's table and updates the totals, unless the stored table is newer or a new reporter would
+    /// exceed [`MAX_REPORTERS`].
     fn replace_table(&mut self, reporter: Reporter, state: ReporterState) {
         let stored = self.reporters.get(&reporter);
         if stored.is_some_and(|stored| stored.is_newer_than(&state)) {
--- a/crates/serving/load-distribution/src/distribution.rs
+++ b/crates/serving/load-distribution/src/distribution.rs
@@ -15,8 +15,8 @@
 const SUBSCRIBER_INTERVAL_MS: u64 = 250;
 /// Minimum interval between the reports of one aggregator to another one of the same service.
 const AGGREGATOR_INTERVAL_MS: u64 = 500;
-/// Addition to this interval for the one of two aggregators whose zone has the greater name. It mostly gets the other
-/// one's report first, which makes its own report unnecessary.
+/// Added to [`AGGREGATOR_INTERVAL_MS`] for one of each pair of aggregators: the one whose zone has the greater name. It
+/// mostly gets the report of the other one first, which makes its own report unnecessary.
 const AGGREGATOR_STAGGER_MS: u64 = 60;
 /// Minimum interval at which an aggregator publishes the sum of its subscribers' loads.
 const PUBLISH_INTERVAL_MS: u64 = 250;
@@ -191,7 +191,7 @@
         update
     }
 
-    /// Records that an aggregator of another zone gets an update, which has the sum of this zone's loads.
+    /// Records that another zone's aggregator is answered with an update, which contains the sum of this zone's loads.
     fn acknowledge_peer(
         &mut self,
         service: &Rc<str>,
@@ -292,8 +292,8 @@
             .find_map(|zone| self.poll_subscription(name, Some(zone), now))
     }
 
-    /// Returns the next call of one subscription: this gateway's own, or its own as an aggregator to `peer_zone`.
-    /// Reports of this gateway to itself are handled at once, without a call.
+    /// Returns the next call of one subscription: to the aggregator of this gateway's zone, or, as an aggregator, to
+    /// the one of `peer_zone`. Reports of this gateway to itself are handled at once, without a call.
     fn poll_subscription(
         &mut self,
         name: &Rc<str>,
