--- a/crates/serving/routing/src/admission.rs
+++ b/crates/serving/routing/src/admission.rs
@@ -5,13 +5,14 @@
 
 /// Minimum time that a client waits for the first event of a stream before it cancels the request.
 const MIN_STREAM_TIMEOUT_MS: u64 = 2_000;
-/// Client timeout for the first event of a stream, as a multiple of the latency target, if that is longer.
+/// Client timeout for the first event of a stream, as a multiple of the latency target, if that is longer than
+/// [`MIN_STREAM_TIMEOUT_MS`].
 const STREAM_TIMEOUT_TARGETS: u64 = 4;
-/// Factor by which the expected time of a request of priority 0 is assumed to be too high at most.
+/// Maximum factor by which the expected time of a request of priority 0 is assumed to be overestimated.
 const MAX_OVERESTIMATE: f64 = 2.0;
-/// Reduction of the factor per priority level, so that less urgent requests are rejected first.
+/// Reduction of [`MAX_OVERESTIMATE`] per priority level, so that less urgent requests are rejected first.
 const OVERESTIMATE_STEP: f64 = 0.25;
-/// Lower bound of the factor.
+/// Lower bound of the assumed overestimate, for any priority.
 const MIN_OVERESTIMATE: f64 = 1.0;
 /// Lower bound of the retry time.
 const MIN_RETRY_AFTER_MS: u64 = 50;
@@ -54,7 +55,7 @@
     Some(excess_ms.clamp(MIN_RETRY_AFTER_MS, max_retry_after_ms))
 }
 
-/// Factor by which the expected time is assumed to be too high at most.
+/// Maximum factor by which the expected time of a request of this priority is assumed to be overestimated.
 fn max_overestimate(priority: u8) -> f64 {
     (MAX_OVERESTIMATE - OVERESTIMATE_STEP * f64::from(priority)).max(MIN_OVERESTIMATE)
 }
--- a/crates/serving/routing/src/attempt.rs
+++ b/crates/serving/routing/src/attempt.rs
@@ -6,9 +6,10 @@
 use crate::outlier::HealthSignal;
 use crate::types::{Millis, Outcome};
 
-/// A client that disconnects before the first event counts as a failure of the endpoint only after this time.
+/// Minimum time after which a client's disconnect before the first event counts as a failure of the endpoint.
 const MIN_OVERDUE_MS: u64 = 1_000;
-/// The disconnect must also come after this multiple of the latency target to count as a failure.
+/// Multiple of the latency target after which such a disconnect counts as a failure, if that is longer than
+/// [`MIN_OVERDUE_MS`].
 const OVERDUE_TARGETS: u64 = 3;
 
 /// One attempt in flight.
--- a/crates/serving/routing/src/fault_hint.rs
+++ b/crates/serving/routing/src/fault_hint.rs
@@ -1,4 +1,4 @@
-//! Hints of other gateways that a server is faulty: it gets fewer requests until it serves one of this gateway's.
+//! Hints of other gateways that a server is faulty: it gets fewer requests until it serves a request of this gateway.
 //!
 //! A hint never ejects a server, because the other gateway may be wrong about it or partitioned from it. The server
 //! counts as slower until a request dispatched after the hint is served, but gets one trial request every few seconds.
@@ -99,7 +99,6 @@
         }
     }
 
-    /// Changes the hint; nothing else does.
     fn set(&mut self, hint: FaultHint) {
         *self = hint;
     }
--- a/crates/serving/routing/src/outlier.rs
+++ b/crates/serving/routing/src/outlier.rs
@@ -38,9 +38,9 @@
     Success,
     /// An error, a reset or a broken response.
     Failure,
-    /// No response in time.
+    /// The endpoint sent no response in time.
     Timeout,
-    /// No connection was established.
+    /// No connection to the endpoint was established.
     Unreachable,
     /// Rejected because all slots were taken.
     Rejected,
@@ -233,7 +233,6 @@
         self.recent_failures = self.recent_failures * DECAY + failed;
     }
 
-    /// Changes the state; nothing else does.
     fn set_state(&mut self, state: HealthState) {
         self.state = state;
     }
--- a/crates/serving/routing/tests/fleet/conversation.rs
+++ b/crates/serving/routing/tests/fleet/conversation.rs
@@ -4,7 +4,7 @@
 
 use dunespur_routing::{PromptSegment, RoutingRequest};
 
-use super::day::{ENGINES, TARGET_MS};
+use super::scenario::{ENGINES, TARGET_MS};
 
 /// A sequence of turns of one program.
 #[derive(Debug, Clone)]
--- a/crates/serving/routing/tests/fleet/event_queue.rs
+++ b/crates/serving/routing/tests/fleet/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events of a simulated day, ordered by time.
+//! The events of a simulation, ordered by time.
 
 use std::rc::Rc;
 
--- a/crates/serving/routing/tests/fleet/mod.rs
+++ b/crates/serving/routing/tests/fleet/mod.rs
@@ -1,11 +1,11 @@
 //! A discrete-event simulation of gateways and engines that serve agent programs, from a seed.
 
 mod conversation;
-pub mod day;
 pub mod engine;
 mod event_queue;
 pub mod result;
 pub mod router;
+pub mod scenario;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -15,11 +15,11 @@
 
 use crate::common::digest::Digest;
 use conversation::{Conversation, Turn};
-use day::{gateway_in, router, server, Day, Growth, Policy};
 use engine::{Engine, EngineModel, Event, Job};
 use event_queue::{ScheduledEvent, SimEvent};
-use result::DayResult;
+use result::ScenarioResult;
 use router::{Router, RoutingDecision};
+use scenario::{gateway_in, router, server, Growth, Policy, Scenario};
 
 const REPORT_INTERVAL_MS: f64 = 300.0;
 const REPORT_DELAY_MS: f64 = 20.0;
@@ -28,16 +28,17 @@
 /// Timeout of a gateway for the first event of an attempt.
 const FIRST_EVENT_TIMEOUT_MS: f64 = 2_000.0;
 
-/// Simulates a day with the given policy.
-pub fn simulate(day: &Day, policy: Policy) -> DayResult {
-    Fleet::new(day.clone(), policy).run().result
+/// Simulates a scenario with the given policy.
+pub fn simulate(scenario: &Scenario, policy: Policy) -> ScenarioResult {
+    Fleet::new(scenario.clone(), policy).run().result
 }
 
-/// A digest of all choices, their times and the load reports of a day with the balancer.
-pub fn digest(day: &Day) -> u64 {
+/// A digest of the choices, their times, the load reports and the final results of a simulation with
+/// [`Policy::Balanced`].
+pub fn digest(scenario: &Scenario) -> u64 {
     let Fleet {
         mut digest, result, ..
-    } = Fleet::new(day.clone(), Policy::Balanced).run();
+    } = Fleet::new(scenario.clone(), Policy::Balanced).run();
     for count in [
         result.turns,
         result.failed,
@@ -57,7 +58,7 @@
 }
 
 struct Fleet {
-    day: Day,
+    scenario: Scenario,
     servers: Vec<Server>,
     engines: Vec<Engine>,
     /// Whether each engine has a step scheduled.
@@ -72,30 +73,30 @@
     random: fastrand::Rng,
     /// The greatest length in which each prompt segment has been dispatched.
     max_dispatched_tokens: HashMap<u64, u32>,
-    result: DayResult,
+    result: ScenarioResult,
     digest: Digest,
 }
 
 impl Fleet {
-    fn new(day: Day, policy: Policy) -> Self {
-        let servers: Vec<Server> = (0..day.engines)
-            .map(|number| server(&day, number))
+    fn new(scenario: Scenario, policy: Policy) -> Self {
+        let servers: Vec<Server> = (0..scenario.engines)
+            .map(|number| server(&scenario, number))
             .collect();
         let mut engines = Vec::new();
-        for number in 0..day.engines {
-            let slow = day.slow.iter().find(|(slow, _)| *slow == number);
+        for number in 0..scenario.engines {
+            let slow = scenario.slow.iter().find(|(slow, _)| *slow == number);
             let slowness = slow.map_or(1.0, |(_, slowness)| *slowness);
             engines.push(Engine::new(EngineModel {
                 slowness,
-                ..day.model
+                ..scenario.model
             }));
         }
-        let routers = (0..day.gateways)
-            .map(|gateway| router(&day, &servers, policy, gateway))
+        let routers = (0..scenario.gateways)
+            .map(|gateway| router(&scenario, &servers, policy, gateway))
             .collect();
         Self {
-            random: fastrand::Rng::with_seed(day.seed),
-            stepping: vec![false; day.engines],
+            random: fastrand::Rng::with_seed(scenario.seed),
+            stepping: vec![false; scenario.engines],
             servers,
             engines,
             routers,
@@ -105,22 +106,22 @@
             last_turn: 0,
             programs: 0,
             max_dispatched_tokens: HashMap::new(),
-            result: DayResult::default(),
+            result: ScenarioResult::default(),
             digest: Digest::new(),
-            day,
+            scenario,
         }
     }
 
     fn run(mut self) -> Self {
         self.schedule(0.0, SimEvent::StartProgram);
-        for gateway in 0..self.day.gateways {
+        for gateway in 0..self.scenario.gateways {
             self.schedule(
-                REPORT_INTERVAL_MS * gateway as f64 / self.day.gateways as f64,
+                REPORT_INTERVAL_MS * gateway as f64 / self.scenario.gateways as f64,
                 SimEvent::SendReport(gateway),
             );
         }
         while let Some(Reverse(scheduled)) = self.queue.pop() {
-            if scheduled.time > self.day.length_ms + 20_000.0 {
+            if scheduled.time > self.scenario.length_ms + 20_000.0 {
                 break;
             }
             self.handle(scheduled.time, scheduled.event);
@@ -161,38 +162,38 @@
     }
 
     fn start_program(&mut self, now: f64) {
-        if now > self.day.length_ms {
+        if now > self.scenario.length_ms {
             return;
         }
-        let gap = -self.random.f64().max(1e-12).ln() * 1000.0 / self.day.programs_per_s;
+        let gap = -self.random.f64().max(1e-12).ln() * 1000.0 / self.scenario.programs_per_s;
         self.schedule(now + gap, SimEvent::StartProgram);
         self.programs += 1;
         let number = self.programs;
-        let zone = self.random.usize(..self.day.zones);
+        let zone = self.random.usize(..self.scenario.zones);
         // The minimum of two draws makes low subject numbers more frequent.
         let shared_prefix = self
             .random
-            .usize(..self.day.subjects)
-            .min(self.random.usize(..self.day.subjects));
+            .usize(..self.scenario.subjects)
+            .min(self.random.usize(..self.scenario.subjects));
         let conversation = Conversation {
             program: format!("program-{number}").into(),
             session: format!("session-{number}").into(),
             zone,
-            gateway: gateway_in(&self.day, zone, &mut self.random),
+            gateway: gateway_in(&self.scenario, zone, &mut self.random),
             prefix: vec![
                 PromptSegment {
                     id: 1,
-                    tokens: self.day.common_tokens,
+                    tokens: self.scenario.common_tokens,
                 },
                 PromptSegment {
                     id: 100 + shared_prefix as u64,
-                    tokens: self.day.subject_tokens,
+                    tokens: self.scenario.subject_tokens,
                 },
             ],
-            turns_left: self.day.turns,
+            turns_left: self.scenario.turns,
             is_main: true,
             last_engine: None,
-            random: fastrand::Rng::with_seed(self.day.seed << 32 | number),
+            random: fastrand::Rng::with_seed(self.scenario.seed << 32 | number),
         };
         self.next_turn(conversation, now);
     }
@@ -201,9 +202,9 @@
         conversation.turns_left -= 1;
         let extra = conversation
             .random
-            .u32(self.day.turn_tokens / 2..=self.day.turn_tokens * 3 / 2);
+            .u32(self.scenario.turn_tokens / 2..=self.scenario.turn_tokens * 3 / 2);
         let grows_last_segment = conversation.prefix.len() > 2
-            && self.day.growth == Growth::LastSegment
+            && self.scenario.growth == Growth::LastSegment
             && !conversation.is_new_subagent();
         if grows_last_segment {
             let last = conversation
@@ -218,10 +219,10 @@
                 .push(PromptSegment { id, tokens: extra });
         }
         conversation.clear_new_subagent();
-        let gateway = if self.day.keeps_gateway {
+        let gateway = if self.scenario.keeps_gateway {
             conversation.gateway
         } else {
-            gateway_in(&self.day, conversation.zone, &mut conversation.random)
+            gateway_in(&self.scenario, conversation.zone, &mut conversation.random)
         };
         self.last_turn += 1;
         let turn = Turn {
@@ -249,7 +250,7 @@
             return;
         }
         turn.attempts += 1;
-        let request = turn.request(self.day.output_tokens * 3 / 2, time_left as u64);
+        let request = turn.request(self.scenario.output_tokens * 3 / 2, time_left as u64);
         self.digest.float(now);
         match self.routers[turn.gateway].choose(&request, now as Millis) {
             RoutingDecision::Dispatch(target) => {
@@ -288,7 +289,7 @@
     }
 
     fn arrive(&mut self, number: usize, engine: usize, priority: u8, now: f64) {
-        let low = self.day.output_tokens / 2;
+        let low = self.scenario.output_tokens / 2;
         let Some(turn) = self.turns.get_mut(&number) else {
             return;
         };
@@ -316,7 +317,7 @@
             self.schedule(now + GATEWAY_DELAY_MS, SimEvent::Dispatch(number));
             return;
         }
-        if engine % self.day.zones != turn.conversation.zone {
+        if engine % self.scenario.zones != turn.conversation.zone {
             self.result.cross_zone += 1;
         }
         if turn
@@ -346,7 +347,7 @@
     }
 
     fn step(&mut self, engine: usize, now: f64) {
-        if let Some((frozen, when)) = &self.day.frozen {
+        if let Some((frozen, when)) = &self.scenario.frozen {
             if *frozen == engine && when.contains(&now) {
                 let end = when.end;
                 self.schedule(end, SimEvent::Step(engine));
@@ -386,7 +387,7 @@
                     .remove(&number)
                     .expect("the turn was found above");
                 let served = Outcome::Served {
-                    tokens_out: self.day.output_tokens,
+                    tokens_out: self.scenario.output_tokens,
                 };
                 self.routers[turn.gateway].record_outcome(key, served, now as Millis);
                 self.result.turn_ms.push(now - turn.started_at);
@@ -413,7 +414,7 @@
         if conversation.turns_left == 0 {
             return;
         }
-        if conversation.is_main && conversation.random.f64() < self.day.subagent_probability {
+        if conversation.is_main && conversation.random.f64() < self.scenario.subagent_probability {
             for agent in 0..2 {
                 let mut child = conversation.clone();
                 child.session = format!(
@@ -428,7 +429,7 @@
                 self.next_turn(child, now);
             }
         }
-        let think_time_ms = self.day.think_time_ms * (0.5 + conversation.random.f64());
+        let think_time_ms = self.scenario.think_time_ms * (0.5 + conversation.random.f64());
         self.next_turn(conversation, now + think_time_ms);
     }
 
@@ -441,7 +442,7 @@
                 reports,
             },
         );
-        if now < self.day.length_ms {
+        if now < self.scenario.length_ms {
             self.schedule(now + REPORT_INTERVAL_MS, SimEvent::SendReport(gateway));
         }
     }
--- a/crates/serving/routing/tests/fleet/result.rs
+++ b/crates/serving/routing/tests/fleet/result.rs
@@ -1,10 +1,10 @@
-//! The measured results of a simulated day.
+//! The measured results of a simulation.
 
-use super::day::TARGET_MS;
+use super::scenario::TARGET_MS;
 
-/// The measured results of one or several days.
+/// The measured results of one or several simulations.
 #[derive(Debug, Clone, Default)]
-pub struct DayResult {
+pub struct ScenarioResult {
     pub turns: usize,
     /// Turns without attempts or time left.
     pub failed: usize,
@@ -29,21 +29,21 @@
     pub migrated: usize,
 }
 
-impl DayResult {
-    /// Adds the results of another day.
-    pub fn add(&mut self, day: DayResult) {
-        self.turns += day.turns;
-        self.failed += day.failed;
-        self.rejected += day.rejected;
-        self.deferred += day.deferred;
-        self.timed_out += day.timed_out;
-        self.preempted += day.preempted;
-        self.first_ms.extend(day.first_ms);
-        self.turn_ms.extend(day.turn_ms);
-        self.prefilled_tokens += day.prefilled_tokens;
-        self.new_tokens += day.new_tokens;
-        self.cross_zone += day.cross_zone;
-        self.migrated += day.migrated;
+impl ScenarioResult {
+    /// Adds the results of another simulation.
+    pub fn add(&mut self, other: ScenarioResult) {
+        self.turns += other.turns;
+        self.failed += other.failed;
+        self.rejected += other.rejected;
+        self.deferred += other.deferred;
+        self.timed_out += other.timed_out;
+        self.preempted += other.preempted;
+        self.first_ms.extend(other.first_ms);
+        self.turn_ms.extend(other.turn_ms);
+        self.prefilled_tokens += other.prefilled_tokens;
+        self.new_tokens += other.new_tokens;
+        self.cross_zone += other.cross_zone;
+        self.migrated += other.migrated;
     }
 
     pub fn mean_first_ms(&self) -> f64 {
@@ -78,7 +78,7 @@
     }
 }
 
-impl std::fmt::Display for DayResult {
+impl std::fmt::Display for ScenarioResult {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             out,
--- a/crates/serving/routing/tests/fleet/router.rs
+++ b/crates/serving/routing/tests/fleet/router.rs
@@ -1,4 +1,4 @@
-//! The routers of a simulated day: the balancer, and the baselines with which it is compared.
+//! The routers of a simulation: the balancer, and the baselines with which it is compared.
 
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/crates/serving/routing/tests/fleet/scenario.rs
+++ b/crates/serving/routing/tests/fleet/scenario.rs
@@ -1,4 +1,4 @@
-//! The parameters of a simulated day, and the servers and routers built from them.
+//! The parameters of a simulation, and the servers and routers built from them.
 
 use dunespur_routing::{Balancer, EngineParameters, Server};
 
@@ -19,9 +19,9 @@
     NewSegments,
 }
 
-/// The parameters of a simulated day.
+/// The parameters of a simulation.
 #[derive(Debug, Clone)]
-pub struct Day {
+pub struct Scenario {
     pub seed: u64,
     pub zones: usize,
     pub gateways: usize,
@@ -58,23 +58,23 @@
     Baseline(BaselinePolicy),
 }
 
-pub fn gateway_in(day: &Day, zone: usize, random: &mut fastrand::Rng) -> usize {
-    let in_zone = day.gateways / day.zones;
-    zone + day.zones * random.usize(..in_zone)
+pub fn gateway_in(scenario: &Scenario, zone: usize, random: &mut fastrand::Rng) -> usize {
+    let in_zone = scenario.gateways / scenario.zones;
+    zone + scenario.zones * random.usize(..in_zone)
 }
 
-pub fn server(day: &Day, number: usize) -> Server {
+pub fn server(scenario: &Scenario, number: usize) -> Server {
     let parameters = EngineParameters {
-        kv_capacity: day.model.kv_capacity,
-        slots: day.model.slots as u32,
-        chunk_tokens: day.model.chunk_tokens,
+        kv_capacity: scenario.model.kv_capacity,
+        slots: scenario.model.slots as u32,
+        chunk_tokens: scenario.model.chunk_tokens,
     };
     Server {
-        id: format!("engine-{}-{number}", day.seed).into(),
+        id: format!("engine-{}-{number}", scenario.seed).into(),
         backend: ENGINES.into(),
         address: ([10, 0, 0, number as u8], 8080).into(),
-        zone: format!("zone-{}", number % day.zones).into(),
-        slots: day.model.slots as u32,
+        zone: format!("zone-{}", number % scenario.zones).into(),
+        slots: scenario.model.slots as u32,
         draining: false,
         warmup_left_ms: 0,
         engine: Some(parameters),
@@ -82,12 +82,17 @@
     }
 }
 
-pub fn router(day: &Day, servers: &[Server], policy: Policy, gateway: usize) -> Box<dyn Router> {
-    let seed = day.seed * 1_000 + gateway as u64;
+pub fn router(
+    scenario: &Scenario,
+    servers: &[Server],
+    policy: Policy,
+    gateway: usize,
+) -> Box<dyn Router> {
+    let seed = scenario.seed * 1_000 + gateway as u64;
     match policy {
         Policy::Baseline(policy) => Box::new(Baseline::new(policy, servers, seed)),
         Policy::Balanced => {
-            let zone = format!("zone-{}", gateway % day.zones);
+            let zone = format!("zone-{}", gateway % scenario.zones);
             let mut balancer = Balancer::new(zone.into(), seed);
             balancer.set_servers(servers.to_vec(), 0);
             Box::new(Balanced(balancer))
