--- a/crates/gateway/decisions/tests/cold.rs
+++ b/crates/gateway/decisions/tests/cold.rs
@@ -10,10 +10,11 @@
 /// Response time of a server, seconds.
 const WORK: f64 = 0.09;
 const SERVERS: usize = 10;
+/// Index of the server that restarts.
 const COLD: usize = SERVERS - 1;
 
-#[derive(Clone, Copy, Debug)]
 /// When the limiters are told of the restart of the cold server.
+#[derive(Clone, Copy, Debug)]
 enum Notice {
     /// All limiters at once.
     Immediate,
@@ -45,9 +46,9 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let step = 1.0 / (CAPACITY * SERVERS as f64);
     let (started, mut up, mut started_at) = (f.now, true, f64::INFINITY);
-    let tell = |f: &mut Harness, is_told: &dyn Fn(usize) -> bool, entry: Server| {
+    let update_endpoint = |f: &mut Harness, is_informed: &dyn Fn(usize) -> bool, entry: Server| {
         (0..limiters)
-            .filter(|&gateway| is_told(gateway))
+            .filter(|&gateway| is_informed(gateway))
             .for_each(|gateway| f.update_endpoints(gateway, vec![entry], false));
     };
     let (stops_at, returns_at, end) = (4.0, 12.0, 30.0);
@@ -59,7 +60,7 @@
         if up && at > stops_at && at < returns_at {
             up = false;
             if !matches!(notice, Notice::AllLate) {
-                tell(
+                update_endpoint(
                     &mut f,
                     &|_| true,
                     Server {
@@ -76,17 +77,17 @@
                 ..server(COLD)
             };
             match notice {
-                Notice::Immediate => tell(&mut f, &|_| true, entry),
+                Notice::Immediate => update_endpoint(&mut f, &|_| true, entry),
                 Notice::HalfLate => {
-                    tell(&mut f, &|gateway| gateway % 2 == 0, entry);
+                    update_endpoint(&mut f, &|gateway| gateway % 2 == 0, entry);
                     late.push((f.now + 4.0, entry));
                 }
                 Notice::AllLate => late.push((f.now + 8.0, entry)),
             }
         }
-        if late.first().is_some_and(|l| l.0 < f.now) {
+        if late.first().is_some_and(|(due_at, _)| *due_at < f.now) {
             let (_, entry) = late.remove(0);
-            tell(&mut f, &|_| true, entry);
+            update_endpoint(&mut f, &|_| true, entry);
         }
         let has_response = |attempt: &SentAttempt, now: f64| {
             now - attempt.sent_at > WORK && (attempt.server_index != COLD || up)
@@ -95,15 +96,15 @@
         {
             f.end_attempt(at, AttemptResult::Succeeded);
         }
-        let sent_to_cold = |event: &(f64, usize, Event)| {
+        let sent_to_cold = |timed: &TimedEvent| {
             matches!(
-                event.2,
+                timed.event,
                 Event::Sent {
                     server_index: COLD,
                     ..
                 }
             )
-            .then_some(event.0)
+            .then_some(timed.at)
         };
         sends.extend(f.events.drain(..).filter_map(|event| sent_to_cold(&event)));
     }
--- a/crates/gateway/decisions/tests/counter_price.rs
+++ b/crates/gateway/decisions/tests/counter_price.rs
@@ -5,7 +5,7 @@
 
 /// Runs limiters with random invocations for 20 s against a counter that serves `calls_per_second` in order. Returns
 /// the calls per second for each of two stakes and the share of failed calls, both in the second half.
-fn run(limiters: usize, invocations: f64, calls_per_second: f64) -> ([f64; 2], f64) {
+fn simulate(limiters: usize, invocations: f64, calls_per_second: f64) -> ([f64; 2], f64) {
     let mut rng = fastrand::Rng::with_seed(5);
     let mut prices: Vec<CounterPrice> = (0..limiters)
         .map(|_| CounterPrice::new(0.05, 0.02, 1.0))
@@ -59,7 +59,7 @@
 #[test]
 fn calls_of_all_limiters_add_up_to_the_capacity_of_the_counter() {
     for limiters in [3, 30, 300] {
-        let (calls, failed) = run(limiters, 2000.0, 600.0);
+        let (calls, failed) = simulate(limiters, 2000.0, 600.0);
         let all = calls[0] + calls[1];
         assert!(
             (350.0..=1000.0).contains(&all),
@@ -67,7 +67,7 @@
         );
         assert!(
             failed < 0.4,
-            "a share of {failed} of the calls of {limiters} limiters failed; 0.7 if all were made"
+            "a share of {failed} of the calls of {limiters} limiters failed; it would be 0.7 if all calls were made"
         );
         assert!(
             calls[1] > 2.0 * calls[0],
@@ -78,7 +78,7 @@
 
 #[test]
 fn every_call_goes_out_where_the_counter_has_capacity() {
-    let (calls, failed) = run(30, 500.0, 5000.0);
+    let (calls, failed) = simulate(30, 500.0, 5000.0);
     assert!(
         calls[0] + calls[1] > 490.0 && failed == 0.0,
         "{calls:?} calls a second by stake for 500 invocations, a share of {failed} failed"
@@ -89,7 +89,11 @@
 fn an_outage_begins_with_the_first_failure_and_ends_with_an_answer() {
     let mut price = CounterPrice::new(0.05, 0.02, 1.0);
     (0..2).for_each(|i| price.record(CounterReply::NoReply, 0.05, 10.0 + f64::from(i)));
-    assert_eq!(price.outage_since(), None, "two failures are no outage");
+    assert_eq!(
+        price.outage_since(),
+        None,
+        "two failures must not count as an outage"
+    );
     price.record(CounterReply::Refused, 0.001, 12.0);
     assert_eq!(price.outage_since(), Some(10.0));
     assert!(
--- a/crates/gateway/decisions/tests/failures.rs
+++ b/crates/gateway/decisions/tests/failures.rs
@@ -240,7 +240,7 @@
         };
         f.events[before..]
             .iter()
-            .filter(|event| is_timeout(&event.2))
+            .filter(|timed| is_timeout(&timed.event))
             .count()
     };
     let long = |attempt: &SentAttempt, age: f64| {
@@ -268,7 +268,7 @@
         .iter()
         .rev()
         .take(90)
-        .filter(|s| matches!(s.2, Event::AnsweredByLimiter { .. }))
+        .filter(|timed| matches!(timed.event, Event::AnsweredByLimiter { .. }))
         .count();
     assert_eq!(late, 0, "the next attempt is answered in time");
 }
@@ -646,7 +646,7 @@
 }
 
 /// Gives quick counter replies until every lease request goes to the counter.
-fn learn_quick(f: &mut Harness) {
+fn learn_quick_replies(f: &mut Harness) {
     f.immediate_replies = true;
     for i in 1000..1400u64 {
         f.submit(i as usize % 2, i, 0, 0, 1.0);
@@ -662,7 +662,7 @@
     // Guards against two gateways that write off the same unused allowance of an idle customer: the customer owed a
     // whole window's rate.
     let mut f = with_plan(rate_plan(20.0, 35.0), 2, 10);
-    learn_quick(&mut f);
+    learn_quick_replies(&mut f);
     for customer in 0..20 {
         (0..2).for_each(|gateway| _ = f.submit(gateway, customer, 0, 0, 1.0));
         f.reply_to_all(true, true);
@@ -684,7 +684,7 @@
     // Guards against a total that is read after two write-offs and before one is taken back: it was believed and
     // restored for a whole window.
     let mut f = with_plan(rate_plan(20.0, 35.0), 2, 10);
-    learn_quick(&mut f);
+    learn_quick_replies(&mut f);
     (0..20).for_each(|customer| {
         (0..2).for_each(|gateway| _ = f.submit(gateway, customer, 0, 0, 1.0));
         (0..4).for_each(|_| f.reply_to_call(0, true, true));
@@ -709,8 +709,15 @@
 }
 
 /// The fewest units left of the rate limit during the load of one uneven customer: four invocations a second, then
-/// `rush` a second. The first `cut_off` of ninety gateways cannot reach the counter from five seconds until `heals`.
-fn lowest_units_left(plan: &PlanSettings, cut_off: usize, rush: f64, heals: f64, seed: u64) -> f64 {
+/// `rush_rate` a second for four seconds. The first `cut_off` of ninety gateways cannot reach the counter from five
+/// seconds until `healed_at`.
+fn lowest_units_left(
+    plan: &PlanSettings,
+    cut_off: usize,
+    rush_rate: f64,
+    healed_at: f64,
+    seed: u64,
+) -> f64 {
     let mut f = with_plan(plan.clone(), 90, 60);
     f.immediate_replies = false;
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -719,7 +726,7 @@
     while f.now - began < 20.0 {
         let at = f.now - began;
         let rate = if (12.0..16.0).contains(&at) {
-            rush
+            rush_rate
         } else {
             4.0
         };
@@ -727,7 +734,7 @@
         f.submit(rng.usize(..90), 1, 0, 0, 1.0);
         let at = f.now - began;
         while let Some(gateway) = f.calls.first().map(|call| call.gateway) {
-            let lost = gateway < cut_off && (5.0..heals).contains(&at);
+            let lost = gateway < cut_off && (5.0..healed_at).contains(&at);
             f.reply_to_call(0, !lost, !lost);
         }
         units_left = (units_left + plan.hard_rate * (f.now - last)).min(plan.hard_burst)
@@ -749,18 +756,19 @@
         ..rate_plan(13.0, 31.0)
     };
     for cut_off in [0, 10, 30, 60, 90] {
-        for (rush, heals) in [
+        for (rush_rate, healed_at) in [
             (65.0, 20.0),
             (96.0, 20.0),
             (96.0, 12.5),
             (96.0, 13.0),
             (400.0, 12.3),
         ] {
-            let lowest = (0..4).map(|seed| lowest_units_left(&plan, cut_off, rush, heals, seed));
+            let lowest =
+                (0..4).map(|seed| lowest_units_left(&plan, cut_off, rush_rate, healed_at, seed));
             let lowest = lowest.fold(f64::INFINITY, f64::min);
             assert!(
                 lowest >= 0.0,
-                "{lowest} units left with {cut_off} of 90 gateways cut off until {heals} s, {rush} invocations a second"
+                "{lowest} units left with {cut_off} of 90 gateways cut off until {healed_at} s, {rush_rate} invocations a second"
             );
         }
     }
@@ -836,9 +844,13 @@
     run_each_to_end(&mut f, 240, 0.01, |attempt, age| {
         (attempt.attempt > 0 || !attempt.id.is_multiple_of(3)) && age > 0.09
     });
-    let again = |event: &&(f64, usize, Event)| matches!(event.2, Event::Sent { attempt: 1, id, .. } if id > 180);
-    let again = f.events.iter().filter(again).count();
-    assert!(again >= 15, "{again} of 20 lost attempts were sent again");
+    let is_retry =
+        |timed: &&TimedEvent| matches!(timed.event, Event::Sent { attempt: 1, id, .. } if id > 180);
+    let retries = f.events.iter().filter(is_retry).count();
+    assert!(
+        retries >= 15,
+        "{retries} of 20 lost attempts were sent again"
+    );
 }
 
 /// Runs a busy fleet for one second with ten invocations at each limiter; returns the server of each attempt sent.
@@ -867,7 +879,7 @@
     )
 }
 
-fn tell_all(f: &mut Harness, entries: &[Server]) {
+fn update_all_endpoints(f: &mut Harness, entries: &[Server]) {
     (0..f.limiters.len()).for_each(|gateway| f.update_endpoints(gateway, entries.to_vec(), false));
 }
 
@@ -882,7 +894,7 @@
 fn a_zone_that_returns_cold_under_full_load_gets_more_as_it_warms_up() {
     // Forty limiters send all they can: their sends add up at ten cold servers.
     let mut f = busy_fleet();
-    tell_all(&mut f, &(10..20).map(gone_server).collect::<Vec<_>>());
+    update_all_endpoints(&mut f, &(10..20).map(gone_server).collect::<Vec<_>>());
     (0..8).for_each(|_| _ = busy_second(&mut f));
     let back: Vec<Server> = (10..20)
         .map(|server_index| Server {
@@ -890,7 +902,7 @@
             ..server(server_index)
         })
         .collect();
-    tell_all(&mut f, &back);
+    update_all_endpoints(&mut f, &back);
     let cold = |_| {
         busy_second(&mut f)
             .iter()
@@ -920,7 +932,7 @@
     });
     let entries: Vec<Server> = (0..12).map(gone_server).chain(new).collect();
     let before = f.sent_to().len();
-    tell_all(&mut f, &entries);
+    update_all_endpoints(&mut f, &entries);
     let cold = |_| {
         let sent = busy_second(&mut f);
         (
--- a/crates/gateway/decisions/tests/harness/mod.rs
+++ b/crates/gateway/decisions/tests/harness/mod.rs
@@ -6,7 +6,7 @@
 use dunespur_decisions::Limiter;
 use std::collections::BTreeMap;
 
-/// Something that the harness observed.
+/// Something that happened to a client, a limiter or an endpoint.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A client submitted an invocation.
@@ -45,6 +45,13 @@
     EndpointRemoved { gateway: usize, server_index: usize },
 }
 
+/// An event with the time at which it happened.
+#[derive(Clone, Debug)]
+pub struct TimedEvent {
+    pub at: f64,
+    pub event: Event,
+}
+
 /// An attempt in flight.
 #[derive(Clone, Debug)]
 pub struct SentAttempt {
@@ -82,9 +89,9 @@
     pub in_flight: Vec<SentAttempt>,
     /// Unfinished invocations by id.
     pub pending: BTreeMap<u64, PendingInvocation>,
-    /// Time, sequence number and event.
-    pub events: Vec<(f64, usize, Event)>,
-    /// Number of calls made to the counter.
+    /// All events, in order.
+    pub events: Vec<TimedEvent>,
+    /// Number of calls made to the counter so far.
     pub counter_calls: usize,
     /// Whether the counter replies to each call at once.
     pub immediate_replies: bool,
@@ -188,7 +195,10 @@
     }
 
     fn record(&mut self, event: Event) {
-        self.events.push((self.now, self.events.len(), event));
+        self.events.push(TimedEvent {
+            at: self.now,
+            event,
+        });
     }
 
     /// Restarts a limiter without its state but with its last endpoint list.
@@ -396,17 +406,16 @@
             usage: self.usage,
             settled_units: self.settled_units.filter(|_| succeeded),
         };
-        self.events.push((
-            self.now,
-            self.events.len(),
-            Event::Ended {
+        self.events.push(TimedEvent {
+            at: self.now,
+            event: Event::Ended {
                 gateway,
                 id,
                 attempt,
                 result,
                 answered,
             },
-        ));
+        });
         let decision = self.limiters[gateway].attempt_ended(invocation, &outcome, self.now);
         self.apply_decision(id, decision);
         self.run_actions(gateway);
@@ -463,8 +472,8 @@
     pub fn sent_to(&self) -> Vec<usize> {
         self.events
             .iter()
-            .filter_map(|event| {
-                if let Event::Sent { server_index, .. } = event.2 {
+            .filter_map(|timed| {
+                if let Event::Sent { server_index, .. } = timed.event {
                     Some(server_index)
                 } else {
                     None
@@ -486,7 +495,7 @@
         };
         self.events
             .iter()
-            .filter(|event| is_throttled(&event.2))
+            .filter(|timed| is_throttled(&timed.event))
             .count()
     }
 }
--- a/crates/gateway/decisions/tests/rules_model.rs
+++ b/crates/gateway/decisions/tests/rules_model.rs
@@ -7,13 +7,13 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
-/// Time within which a gateway may still send to a server that it was told drains or is gone, seconds.
+/// Time for which a gateway may still send to a server after it was told that the server drains or is gone, seconds.
 const DRAIN_GRACE: f64 = 0.25;
-/// Most load of a warming server, as a multiple of its present capacity.
+/// Maximum load of a warming server, as a multiple of its present capacity.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// Time over which the load of a server is measured, seconds.
 const LOAD_WINDOW: f64 = 1.0;
-/// Least capacity that is assumed of a warm server, attempts per second; more if any was sent more.
+/// Assumed capacity of a warm server, attempts per second; if a warm server was sent more, that number counts instead.
 const CAPACITY: f64 = 12.0;
 
 #[derive(Clone, Debug)]
@@ -51,8 +51,8 @@
 }
 
 impl Arbitrary for Step {
-    fn arbitrary(g: &mut Gen) -> Step {
-        let mut below = |n: usize| usize::arbitrary(g) % n;
+    fn arbitrary(generator: &mut Gen) -> Step {
+        let mut below = |n: usize| usize::arbitrary(generator) % n;
         let gateway = below(3);
         match below(40) {
             0..=11 => {
@@ -149,7 +149,7 @@
     }
 }
 
-fn play(steps: &[Step], fleet: usize) -> Harness {
+fn run_steps(steps: &[Step], fleet: usize) -> Harness {
     let mut f = Harness::new(model_settings(fleet as u32), 5);
     let per_group = fleet / 3;
     f.settled_units = Some(1.5);
@@ -230,14 +230,14 @@
     f
 }
 
-/// What the checker knows of one invocation.
+/// The events of one invocation, as far as the rules depend on them.
 #[derive(Default)]
 struct InvocationRecord {
     gateway: usize,
     deadline: f64,
     operation: usize,
     responses: usize,
-    /// The client disconnected, or the limiter restarted.
+    /// Whether the client disconnected or the limiter restarted, so that no response is due.
     closed: bool,
     /// Server and send time of each attempt and, once it ended, whether it certainly never ran.
     attempts: Vec<(usize, f64, Option<bool>)>,
@@ -246,8 +246,8 @@
 /// The first violation of a rule in the events of the harness.
 fn first_violation(f: &Harness) -> Option<String> {
     let mut checker = RuleChecker::new(&f.settings);
-    for (now, _, event) in &f.events {
-        if let Err(violation) = checker.check(*now, event) {
+    for timed in &f.events {
+        if let Err(violation) = checker.check(timed.at, &timed.event) {
             return violation;
         }
     }
@@ -277,7 +277,7 @@
     rate_limits: BTreeMap<u64, (f64, f64)>,
     /// Server, time and gateway of each attempt.
     sends: Vec<(usize, f64, usize)>,
-    /// Most attempts sent to a warm server within `LOAD_WINDOW`.
+    /// Highest number of attempts sent to a warm server within [`LOAD_WINDOW`]; at least [`CAPACITY`].
     warm_load: f64,
 }
 
@@ -510,19 +510,19 @@
 }
 
 #[test]
-fn limiters_and_model_agree_on_what_is_allowed() {
-    fn agrees<const FLEET: usize>(steps: Vec<Step>) -> Result<(), String> {
-        first_violation(&play(&steps, FLEET)).map_or(Ok(()), Err)
+fn limiters_violate_no_rule_in_generated_sequences_of_steps() {
+    fn obeys_rules<const FLEET: usize>(steps: Vec<Step>) -> Result<(), String> {
+        first_violation(&run_steps(&steps, FLEET)).map_or(Ok(()), Err)
     }
     let gen = || Gen::from_size_and_seed(400, 20261201);
     QuickCheck::new()
         .rng(gen())
         .tests(1200)
         .max_tests(1200)
-        .quickcheck(agrees::<3> as fn(Vec<Step>) -> _);
+        .quickcheck(obeys_rules::<3> as fn(Vec<Step>) -> _);
     QuickCheck::new()
         .rng(gen())
         .tests(60)
         .max_tests(60)
-        .quickcheck(agrees::<300> as fn(Vec<Step>) -> _);
+        .quickcheck(obeys_rules::<300> as fn(Vec<Step>) -> _);
 }
