--- a/crates/gateway/quota-sharing/tests/broker.rs
+++ b/crates/gateway/quota-sharing/tests/broker.rs
@@ -7,14 +7,13 @@
 use dunespur_quota_sharing::{Broker, BrokerAnswer, LeaseRequest, Output};
 
 fn request(seq: u64, requested: f64) -> LeaseRequest {
-    let (name, customer, minimum) = (7, 1, 1.0);
     LeaseRequest {
         seq,
-        name,
-        customer,
+        name: 7,
+        customer: 1,
         add: requested,
         requested,
-        minimum,
+        minimum: 1.0,
         lifetime: 60.0,
         limit: 20.0,
         limit_rate: 0.0,
@@ -43,7 +42,9 @@
         }
     }
 
-    fn drive(&mut self, mut out: Vec<Output>) -> Vec<(u64, BrokerAnswer)> {
+    /// Processes the outputs of the broker and those that follow from counter replies. Returns the answers other than
+    /// `Pending`, each with its request number.
+    fn process_outputs(&mut self, mut out: Vec<Output>) -> Vec<(u64, BrokerAnswer)> {
         let mut answers = Vec::new();
         while !out.is_empty() {
             let mut next = Vec::new();
@@ -74,14 +75,14 @@
     fn request(&mut self, from: &str, request: LeaseRequest) -> Vec<(u64, BrokerAnswer)> {
         let mut out = Vec::new();
         self.broker.request(from, 1, 0, request, self.now, &mut out);
-        self.drive(out)
+        self.process_outputs(out)
     }
 
     fn tick(&mut self, now: f64) -> Vec<(u64, BrokerAnswer)> {
         self.now = now;
         let mut out = Vec::new();
         self.broker.tick(now, &mut out);
-        self.drive(out)
+        self.process_outputs(out)
     }
 }
 
--- a/crates/gateway/quota-sharing/tests/fairness.rs
+++ b/crates/gateway/quota-sharing/tests/fairness.rs
@@ -18,12 +18,14 @@
     counter: BTreeMap<u64, f64>,
     calls: u64,
     broker: Option<Broker>,
+    /// Held invocations by id, with their gateway.
     pending: BTreeMap<u64, (usize, Invocation)>,
+    /// The gateway that sent each invocation, by id.
     sent: BTreeMap<u64, usize>,
 }
 
 impl Harness {
-    fn new(broker: bool) -> Self {
+    fn new(with_broker: bool) -> Self {
         let plan = PlanSettings {
             rate: 26.0,
             burst: 26.0,
@@ -82,7 +84,7 @@
             max_waiting: 100,
             max_borrowers: 10,
         };
-        let broker = broker.then(|| Broker::new(settings, 0));
+        let broker = with_broker.then(|| Broker::new(settings, 0));
         let (limiters, counter, pending) = (
             vec![gateway(0), gateway(1)],
             BTreeMap::new(),
@@ -159,7 +161,7 @@
         reply
     }
 
-    fn carry_out(&mut self, gateway: usize) {
+    fn run_actions(&mut self, gateway: usize) {
         while let Some(action) = self.limiters[gateway].next_action() {
             match action {
                 Action::AddToCounter {
@@ -199,7 +201,7 @@
             }
             _ => {}
         }
-        self.carry_out(gateway);
+        self.run_actions(gateway);
     }
 
     /// Runs sixty seconds of 50 invocations a second at one limiter and 2 at the other; returns the sends of each.
@@ -211,7 +213,7 @@
                 let interval = [2, 50][gateway];
                 if step % interval == 0 {
                     id += 1;
-                    let until = self.now + 2.0;
+                    let client_deadline = self.now + 2.0;
                     let invocation = Invocation::from(Arrival {
                         id,
                         customer: 9,
@@ -221,7 +223,7 @@
                         first_gateway: 0,
                         gateways: 2,
                         arrived_at: self.now,
-                        client_deadline: until,
+                        client_deadline,
                     });
                     self.pending.insert(id, (gateway, invocation));
                     self.place(id);
