--- a/crates/serving/routing/src/load/tests.rs
+++ b/crates/serving/routing/src/load/tests.rs
@@ -2,14 +2,17 @@
 
 use super::*;
 
+const PEER: u64 = 1;
+const OTHER_PEER: u64 = 2;
+
 #[test]
 fn in_flight_follows_the_last_report_at_once_and_smoothed_in_flight_gradually() {
     let mut load = EndpointLoad::default();
-    load.apply_peer_report(1, 8, 1_000, 0);
-    load.apply_peer_report(2, 2, 0, 0);
+    load.apply_peer_report(PEER, 8, 1_000, 0);
+    load.apply_peer_report(OTHER_PEER, 2, 0, 0);
     assert_eq!(load.in_flight(10), 10.0);
     assert_eq!(load.smoothed_in_flight(10), 10.0);
-    load.apply_peer_report(1, 0, 0, 20);
+    load.apply_peer_report(PEER, 0, 0, 20);
     assert_eq!(load.in_flight(20), 2.0);
     assert!((load.smoothed_in_flight(20) - (2.0 + 8.0 * (1.0 - REPORT_SMOOTHING))).abs() < 1e-9);
     assert!(load.smoothed_prefill_tokens(20) < 1_000.0);
@@ -18,7 +21,7 @@
 #[test]
 fn reports_that_are_not_renewed_expire_gradually() {
     let mut load = EndpointLoad::default();
-    load.apply_peer_report(1, 8, 0, 0);
+    load.apply_peer_report(PEER, 8, 0, 0);
     assert_eq!(load.in_flight(REPORT_FRESH_MS), 8.0);
     let halfway = load.in_flight((REPORT_FRESH_MS + REPORT_EXPIRED_MS) / 2);
     assert!((halfway - 4.0).abs() < 1e-9);
@@ -28,9 +31,9 @@
 #[test]
 fn a_gateway_that_reports_no_load_any_more_is_removed() {
     let mut load = EndpointLoad::default();
-    load.apply_peer_report(1, 8, 0, 0);
+    load.apply_peer_report(PEER, 8, 0, 0);
     for repeat in 1..40 {
-        load.apply_peer_report(1, 0, 0, repeat * 100);
+        load.apply_peer_report(PEER, 0, 0, repeat * 100);
     }
     assert!(load.peers.is_empty());
 }
--- a/crates/serving/routing/tests/common/digest.rs
+++ b/crates/serving/routing/tests/common/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of decisions and reports, compared with the digests that an earlier version stored.
+//! Digests of decisions and reports, compared with the digests in a fixture, which an earlier version recorded.
 
 use dunespur_routing::LoadReport;
 use xxhash_rust::xxh3::Xxh3;
@@ -14,25 +14,25 @@
         Self(Xxh3::new())
     }
 
-    pub fn text(&mut self, text: &str) {
-        self.number(text.len() as u64);
+    pub fn hash_text(&mut self, text: &str) {
+        self.hash_number(text.len() as u64);
         self.0.update(text.as_bytes());
     }
 
-    pub fn number(&mut self, number: u64) {
+    pub fn hash_number(&mut self, number: u64) {
         self.0.update(&number.to_le_bytes());
     }
 
-    pub fn float(&mut self, number: f64) {
-        self.number(number.to_bits());
+    pub fn hash_float(&mut self, number: f64) {
+        self.hash_number(number.to_bits());
     }
 
-    pub fn reports(&mut self, reports: &[LoadReport]) {
-        self.number(reports.len() as u64);
+    pub fn hash_reports(&mut self, reports: &[LoadReport]) {
+        self.hash_number(reports.len() as u64);
         for report in reports {
-            self.text(&report.server);
-            self.number(u64::from(report.in_flight));
-            self.number(report.prefill_tokens);
+            self.hash_text(&report.server);
+            self.hash_number(u64::from(report.in_flight));
+            self.hash_number(report.prefill_tokens);
         }
     }
 
--- a/crates/serving/routing/tests/fleet/mod.rs
+++ b/crates/serving/routing/tests/fleet/mod.rs
@@ -47,13 +47,13 @@
         result.timed_out,
         result.migrated,
     ] {
-        digest.number(count as u64);
+        digest.hash_number(count as u64);
     }
     for ms in result.first_ms.iter().chain(&result.turn_ms) {
-        digest.float(*ms);
+        digest.hash_float(*ms);
     }
-    digest.number(result.prefilled_tokens);
-    digest.number(result.preempted);
+    digest.hash_number(result.prefilled_tokens);
+    digest.hash_number(result.preempted);
     digest.value()
 }
 
@@ -251,12 +251,12 @@
         }
         turn.attempts += 1;
         let request = turn.request(self.scenario.output_tokens * 3 / 2, time_left as u64);
-        self.digest.float(now);
+        self.digest.hash_float(now);
         match self.routers[turn.gateway].choose(&request, now as Millis) {
             RoutingDecision::Dispatch(target) => {
-                self.digest.text(&target.server);
-                self.digest.number(target.key);
-                self.digest.number(u64::from(target.priority));
+                self.digest.hash_text(&target.server);
+                self.digest.hash_number(target.key);
+                self.digest.hash_number(u64::from(target.priority));
                 let engine = self
                     .servers
                     .iter()
@@ -280,7 +280,7 @@
                 );
             }
             RoutingDecision::RetryAfter(after_ms) => {
-                self.digest.number(after_ms);
+                self.digest.hash_number(after_ms);
                 turn.tried.clear();
                 self.result.deferred += 1;
                 self.schedule(now + after_ms as f64, SimEvent::Dispatch(number));
@@ -449,8 +449,8 @@
 
     fn deliver_report(&mut self, from: usize, reports: &[LoadReport], now: f64) {
         let name = format!("gateway-{from}");
-        self.digest.float(now);
-        self.digest.reports(reports);
+        self.digest.hash_float(now);
+        self.digest.hash_reports(reports);
         for (gateway, router) in self.routers.iter_mut().enumerate() {
             if gateway != from {
                 router.apply_peer_load(reports, &name, now as Millis);
--- a/crates/serving/routing/tests/plain_fleet/mod.rs
+++ b/crates/serving/routing/tests/plain_fleet/mod.rs
@@ -251,18 +251,18 @@
         let mut routing_request = plain_request();
         routing_request.tried = &tried;
         routing_request.target_ms = REQUEST_KINDS[request.kind].1;
-        self.digest.number(now);
+        self.digest.hash_number(now);
         match self.balancers[request.gateway].choose(&routing_request, now / US_PER_MS) {
             Choice::Send(ticket) => {
-                self.digest.text(&ticket.server.id);
-                self.digest.number(ticket.key);
+                self.digest.hash_text(&ticket.server.id);
+                self.digest.hash_number(ticket.key);
                 self.requests[number].key = ticket.key;
                 self.servers
                     .iter()
                     .position(|server| server.id == ticket.server.id)
             }
             Choice::Reject { retry_after_ms } => {
-                self.digest.number(retry_after_ms);
+                self.digest.hash_number(retry_after_ms);
                 None
             }
             Choice::NoServer => None,
@@ -355,10 +355,10 @@
             return;
         }
         let reports: Vec<LoadReport> = self.balancers[gateway].load_reports();
-        self.digest.number(now);
-        self.digest.reports(&reports);
+        self.digest.hash_number(now);
+        self.digest.hash_reports(&reports);
         for faulty in self.balancers[gateway].ejected_for_faults(now / US_PER_MS) {
-            self.digest.text(&faulty);
+            self.digest.hash_text(&faulty);
         }
         let name = format!("gateway-{gateway}");
         for (other, balancer) in self.balancers.iter_mut().enumerate() {
@@ -386,8 +386,8 @@
         result.failed_dispatches,
     ];
     for count in counts {
-        digest.number(count as u64);
+        digest.hash_number(count as u64);
     }
-    digest.number(result.total_us);
+    digest.hash_number(result.total_us);
     digest.value()
 }
--- a/crates/serving/routing/tests/properties.rs
+++ b/crates/serving/routing/tests/properties.rs
@@ -9,6 +9,7 @@
 use dunespur_routing::{Balancer, Choice, LoadReport, Outcome, PromptSegment, Server, ServerId};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
+/// Seed of the generated call sequences.
 const SEED: u64 = 20_261_202;
 const CALL_SEQUENCES: u64 = 200;
 const MAX_CALLS: usize = 400;
@@ -28,8 +29,11 @@
     balancer: Balancer,
     random: fastrand::Rng,
     servers: Vec<Server>,
+    /// Listed servers that answered with a misdirected request.
     replaced: BTreeSet<ServerId>,
+    /// The server of each attempt in flight, by ticket key.
     in_flight: HashMap<u64, ServerId>,
+    /// All ticket keys issued so far.
     keys: BTreeSet<u64>,
     now: u64,
     digest: Digest,
@@ -55,11 +59,11 @@
         self.now += self.random.u64(..200);
         match call % 16 {
             0 => self.update_servers(),
-            1 => self.report(),
+            1 => self.apply_random_report(),
             2..=5 => return self.choose_plain(),
             6..=9 => return self.choose_engine(),
             10 | 11 => self.record_first_event(),
-            _ => self.finish(),
+            _ => self.end_attempt(),
         }
         Ok(())
     }
@@ -84,7 +88,8 @@
         self.servers = servers;
     }
 
-    fn report(&mut self) {
+    /// Passes a random load report of another gateway to the balancer.
+    fn apply_random_report(&mut self) {
         let mut reports = vec![];
         for server in &self.servers {
             let (in_flight, prefill_tokens) = (self.random.u32(..40), self.random.u64(..50_000));
@@ -98,7 +103,8 @@
         self.balancer.apply_peer_load(&reports, &from, self.now);
     }
 
-    fn tried(&mut self) -> Vec<ServerId> {
+    /// Up to two random servers, to be excluded as tried.
+    fn random_tried(&mut self) -> Vec<ServerId> {
         let mut tried: Vec<ServerId> = self
             .servers
             .iter()
@@ -111,7 +117,7 @@
     }
 
     fn choose_plain(&mut self) -> Result<(), String> {
-        let tried = self.tried();
+        let tried = self.random_tried();
         let mut request = plain_request();
         request.tried = &tried;
         let choice = self.balancer.choose(&request, self.now);
@@ -119,7 +125,7 @@
     }
 
     fn choose_engine(&mut self) -> Result<(), String> {
-        let tried = self.tried();
+        let tried = self.random_tried();
         let program = format!("program-{}", self.random.u8(..20));
         let prefix = [
             PromptSegment {
@@ -197,16 +203,16 @@
     }
 
     fn hash_choice(&mut self, choice: &Choice) {
-        self.digest.number(self.now);
+        self.digest.hash_number(self.now);
         match choice {
             Choice::Send(ticket) => {
-                self.digest.text(&ticket.server.id);
-                self.digest.number(ticket.key);
+                self.digest.hash_text(&ticket.server.id);
+                self.digest.hash_number(ticket.key);
                 self.digest
-                    .number(ticket.engine_priority.map_or(u64::MAX, u64::from));
+                    .hash_number(ticket.engine_priority.map_or(u64::MAX, u64::from));
             }
-            Choice::Reject { retry_after_ms } => self.digest.number(*retry_after_ms),
-            Choice::NoServer => self.digest.text("none"),
+            Choice::Reject { retry_after_ms } => self.digest.hash_number(*retry_after_ms),
+            Choice::NoServer => self.digest.hash_text("none"),
         }
     }
 
@@ -238,7 +244,8 @@
         }
     }
 
-    fn finish(&mut self) {
+    /// Ends a random attempt with a random outcome.
+    fn end_attempt(&mut self) {
         let Some(key) = self.any_key() else {
             return;
         };
@@ -313,14 +320,15 @@
         }
         checked.call(call).expect("every choice must be valid");
         let faulty = checked.balancer.ejected_for_faults(checked.now);
-        faulty.iter().for_each(|id| checked.digest.text(id));
+        faulty.iter().for_each(|id| checked.digest.hash_text(id));
         let reports = checked.balancer.load_reports();
-        checked.digest.reports(&reports);
+        checked.digest.hash_reports(&reports);
     }
     checked.digest.value()
 }
 
-/// Guards against changed choices: each seed must give the digest that an earlier version stored.
+/// Detects unintended changes of choices: each seed must have the digest in `fixtures/call_digests.txt`, which was
+/// recorded with an earlier version of the code.
 #[test]
 fn calls_keep_their_digests() {
     assert_digests(digest_of_calls, include_str!("fixtures/call_digests.txt"));
