--- a/crates/gateway/decisions/src/counter_price.rs
+++ b/crates/gateway/decisions/src/counter_price.rs
@@ -36,8 +36,11 @@
     /// Mean response time as a share of half the time-out, 1 at most; a failed call counts as 1.
     delay: f64,
     mean_earnings: f64,
+    /// Time of the next probe, unless another call is made before.
     probe_at: f64,
+    /// Consecutive failed calls.
     failures: u32,
+    /// Time of the first of the consecutive failed calls.
     outage_since: f64,
     outage_ended: f64,
 }
--- a/crates/gateway/decisions/src/limiter/accounts.rs
+++ b/crates/gateway/decisions/src/limiter/accounts.rs
@@ -51,7 +51,7 @@
         let plan = &self.plans[invocation.plan];
         let gateways = f64::from(invocation.gateways.clamp(1, self.fleet_size));
         // With so many gateways that no share of the burst covers a unit, a lease serves one invocation. Taking back
-        // the units of a refused add would cost another call; short windows drop them by themselves.
+        // the units of a refused add would cost another call; in a short window they expire with it.
         let lease_serves_one = self.has_counter
             && plan.rate_limit.rate <= 0.0
             && plan.rate > 0.0
--- a/crates/gateway/decisions/src/limiter/counter_lease.rs
+++ b/crates/gateway/decisions/src/limiter/counter_lease.rs
@@ -24,7 +24,7 @@
     /// Difference from the actual to the correct total.
     correction: f64,
     /// Whether to send the correction to the counter.
-    corrects: bool,
+    sends_correction: bool,
 }
 
 impl Account {
@@ -107,7 +107,7 @@
         account.demand * account.gateways > plan.burst / 2.0 && account.demand > call.min_units;
     let may_write_off = busy || least_backlog > 0.0 || correction > plan.burst;
     // A short window without room admits nothing until it ends, so its total is not corrected.
-    let corrects = if account.short_windows {
+    let sends_correction = if account.short_windows {
         units > 0.0 && correction < -MIN_CORRECTION
     } else {
         correction < -MIN_CORRECTION || (correction > MIN_CORRECTION && may_write_off)
@@ -118,7 +118,7 @@
         total_before,
         target,
         correction,
-        corrects,
+        sends_correction,
     }
 }
 
@@ -139,7 +139,7 @@
             wanted
         };
         let same_window = account.window == window;
-        // The counter name of a new window starts at 0: the first add carries the known backlog over.
+        // The total of a new window's counter name starts at 0: the first add carries the known backlog over.
         let carried = if same_window || account.short_windows {
             0.0
         } else {
@@ -249,7 +249,7 @@
         } else {
             grant.total_before + call.requested < bounds.allowed
         };
-        learn_room(account, plan, call.repeat, first_reply, has_room);
+        learn_likelihood_of_room(account, plan, call.repeat, first_reply, has_room);
         if account.short_windows {
             // A full window rejects this gateway until the window ends and no longer, however far the total exceeds it.
             let full_until_end = call.min_units - plan.rate * (bounds.ends - now);
@@ -262,11 +262,15 @@
             account.lease_expires_at = bounds.ends;
         } else {
             // Guards against totals that are corrected a moment later: a backlog above the burst is not believed.
-            let corrected = if grant.corrects { grant.target } else { total };
+            let corrected = if grant.sends_correction {
+                grant.target
+            } else {
+                total
+            };
             account.backlog = (corrected - bounds.allowed).min(plan.burst);
             account.lease_expires_at = now + LEASE_SPANS * plan.span;
         }
-        if grant.corrects {
+        if grant.sends_correction {
             self.send_add(PendingAdd {
                 add: grant.correction,
                 requested: 0.0,
@@ -287,7 +291,7 @@
 }
 
 /// Updates the likelihood that the customer, and customers of its plan, have room.
-fn learn_room(
+fn learn_likelihood_of_room(
     account: &mut Account,
     plan: &mut Plan,
     repeat: bool,
--- a/crates/gateway/decisions/src/limiter/local_share.rs
+++ b/crates/gateway/decisions/src/limiter/local_share.rs
@@ -9,9 +9,8 @@
 
 impl Limiter {
     /// Whether the local share covers the invocation. The share is an even part of the quota, multiplied where
-    /// exceeding the quota costs little. Guards against customers with so many gateways that no share covers one
-    /// invocation: one is admitted in each span if it earns more than it risks. Units admitted here are reported to
-    /// the counter later.
+    /// exceeding the quota costs little. If a customer has so many gateways that no share covers one invocation, one is
+    /// admitted in each span if it earns more than it risks. Units admitted here are reported to the counter later.
     pub(super) fn local_share_covers(
         &mut self,
         index: usize,
--- a/crates/gateway/decisions/src/limiter/server_choice.rs
+++ b/crates/gateway/decisions/src/limiter/server_choice.rs
@@ -199,9 +199,9 @@
         }
     }
 
-    /// Pace of sends to a server in slow start. With its present share of capacity it gets that share of a warm
-    /// server's load, times a lead: if all limiters do the same and the warm servers are full, that is half of the load
-    /// that would overload it.
+    /// Pace of sends to a server in slow start: its present share of its capacity, applied to a warm server's load,
+    /// times a lead. If all limiters do the same and the warm servers are full, the server gets half of the load that
+    /// would overload it.
     pub(super) fn slow_start(&self, server: usize, now: f64) -> SlowStart {
         let servers = &self.servers;
         let warm = (0..servers.is_live.len())
--- a/crates/gateway/decisions/src/rate_limit.rs
+++ b/crates/gateway/decisions/src/rate_limit.rs
@@ -45,8 +45,8 @@
 }
 
 impl RateLimit {
-    /// One limiter's even share. With short windows for the quota it is a share of what the windows leave; its burst
-    /// is 0 where it would not cover one unit.
+    /// One limiter's even share of the limit; with short windows for the quota, of the part that the windows leave. In
+    /// that case the burst is 0 if it would not cover one unit.
     #[must_use]
     pub fn share(&self, gateways: f64, short_windows: bool) -> Share {
         if !short_windows {
