--- a/crates/gateway/quota-sharing/src/broker/fairness.rs
+++ b/crates/gateway/quota-sharing/src/broker/fairness.rs
@@ -44,7 +44,8 @@
 }
 
 impl BorrowerUsage {
-    fn fade(&mut self, window: f64, now: f64) {
+    /// Decays the usage to the present time.
+    fn decay(&mut self, window: f64, now: f64) {
         let keep = (-(now - self.updated).max(0.0) / window).exp();
         self.demand *= keep;
         self.granted *= keep;
@@ -77,7 +78,7 @@
             }
         }
         let borrower = borrowers.entry(from.to_owned()).or_default();
-        borrower.fade(window, now);
+        borrower.decay(window, now);
         borrower
     }
 
@@ -88,7 +89,7 @@
         let borrowers = customer.map(|c| &mut c.borrowers).into_iter();
         let mut demand = 0.0;
         for borrower in borrowers.flat_map(BTreeMap::values_mut) {
-            borrower.fade(window, now);
+            borrower.decay(window, now);
             demand += borrower.demand / window;
         }
         demand
@@ -115,7 +116,7 @@
         };
         let mut demand = 0.0;
         for borrower in borrowers.values_mut() {
-            borrower.fade(window, now);
+            borrower.decay(window, now);
             demand += borrower.demand;
         }
         if rate <= 0.0 || demand <= available {
--- a/crates/gateway/quota-sharing/src/broker/leased_name.rs
+++ b/crates/gateway/quota-sharing/src/broker/leased_name.rs
@@ -168,12 +168,12 @@
     fn grant(&mut self, request: &LeaseRequest, before: f64, reserved: f64) -> Option<f64> {
         let covered = request.add <= self.block || request.add <= 0.0;
         self.block -= if covered { request.add } else { 0.0 };
-        let hidden = if request.requested > 0.0 {
+        let withheld = if request.requested > 0.0 {
             reserved
         } else {
             0.0
         };
-        covered.then_some(before + hidden + request.add)
+        covered.then_some(before + withheld + request.add)
     }
 
     /// Refuses a request: answers with a total over the limit, or `None` if it is time to read the full name again.
