--- a/crates/serving/routing/src/engine_selection.rs
+++ b/crates/serving/routing/src/engine_selection.rs
@@ -13,7 +13,8 @@
 
 /// Minimum number of engines in the gateway's zone for affinity to be confined to that zone.
 const MIN_ENGINES_IN_ZONE: usize = 2;
-/// A shared prefix with a fraction p of the requests is assigned to this multiple of p of the engines.
+/// A shared prefix that occurs in a fraction p of the requests is assigned to a fraction of p times this of the
+/// engines.
 const SHARED_PREFIX_SPREAD: f64 = 1.0;
 /// Fraction of a prompt that the preferred engine is presumed to cache because of other gateways' dispatches.
 const PRESUMED_CACHED_RATIO: f64 = 0.95;
@@ -124,8 +125,8 @@
     }
 }
 
-/// The candidates for the preferred engine: those in the gateway's zone if it has enough of them, at least half of an
-/// even share, otherwise all.
+/// The candidates for the preferred engine: those in the gateway's zone if they are at least [`MIN_ENGINES_IN_ZONE`]
+/// and at least half of an even share per zone, otherwise all.
 fn affinity_candidates(pool: &Pool, candidates: &[usize]) -> Vec<usize> {
     let local: Vec<usize> = candidates
         .iter()
