--- a/crates/testing/simulator-adapter/src/error.rs
+++ b/crates/testing/simulator-adapter/src/error.rs
@@ -1,12 +1,12 @@
-//! What makes a line of the bench's protocol unusable. Names of fields are the protocol's.
+//! Errors of the simulator's line protocol. Field names are those of the protocol.
 
 use std::io;
 
-/// A line can't be used.
+/// Why a line can't be processed.
 #[derive(Debug, thiserror::Error)]
 pub enum ProtocolError {
-    #[error("{0} is missing")]
-    Missing(&'static str),
+    #[error("field '{0}' is missing")]
+    MissingField(&'static str),
     #[error("{field} '{text}' is not a number")]
     NotANumber { field: &'static str, text: String },
     #[error("{field} '{text}' is not a whole number")]
@@ -14,28 +14,28 @@
     #[error("{field} '{name}' is not in the settings")]
     NotInSettings { field: &'static str, name: String },
     #[error("{field} '{text}' is unknown")]
-    Unknown { field: &'static str, text: String },
-    #[error("list {list} lacks {left} entries")]
-    ListIncomplete { list: u64, left: usize },
-    #[error("list {0} was never given")]
+    UnknownValue { field: &'static str, text: String },
+    #[error("endpoint list {list} lacks {missing} ROW lines")]
+    ListIncomplete { list: u64, missing: usize },
+    #[error("endpoint list {0} is unknown: INVENTORY must define it before VIEW")]
     UnknownList(u64),
-    #[error("a batch starts inside another")]
+    #[error("MARK inside a batch: EOF_BATCH must end the previous batch first")]
     NestedBatch,
-    #[error("'{0}' stands outside a batch")]
+    #[error("'{0}' is outside a batch: MARK must come first")]
     OutsideBatch(String),
-    #[error("instance '{0}' was never started")]
-    NeverStarted(String),
+    #[error("instance '{0}' was never started or has been stopped")]
+    NotRunning(String),
     #[error(transparent)]
     Settings(#[from] dunespur_settings::SettingsError),
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// A line can't be used, and which one it is.
+/// A protocol error with the number of its line.
 #[derive(Debug, thiserror::Error)]
 #[error("line {number}: {source}")]
 pub struct LineError {
-    /// From 1.
+    /// Line number, from 1.
     pub number: u64,
     pub source: ProtocolError,
 }
