--- a/crates/testing/test-fixtures/src/lib.rs
+++ b/crates/testing/test-fixtures/src/lib.rs
@@ -1,4 +1,4 @@
-//! What tests with files have in common: fixtures under a package's `tests/fixtures`, and temporary folders.
+//! Helpers for tests that use files: fixtures under a package's `tests/fixtures`, and temporary folders.
 
 mod encoding;
 mod fixtures;
--- a/crates/testing/test-fixtures/src/temporary_folder.rs
+++ b/crates/testing/test-fixtures/src/temporary_folder.rs
@@ -1,33 +1,34 @@
-//! A folder of one test.
+//! Temporary folders for tests.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A folder of one test, removed at its end.
+/// A temporary folder for one test, removed when the value is dropped.
 #[derive(Debug)]
 pub struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
-    /// Makes an empty folder. Its name has to differ from those of all tests that run beside it.
+    /// Creates an empty folder. Tests that run in the same process need different names.
     ///
     /// # Panics
-    /// It can't be made.
+    /// Panics if the folder can't be created.
     #[must_use]
     pub fn new(name: &str) -> TemporaryFolder {
-        let unique = format!("dunespur-{}-{name}", std::process::id());
-        let path = std::env::temp_dir().join(unique);
+        let folder_name = format!("dunespur-{}-{name}", std::process::id());
+        let path = std::env::temp_dir().join(folder_name);
         let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).expect("a folder for the test");
+        fs::create_dir_all(&path)
+            .unwrap_or_else(|error| panic!("can't create the folder {}: {error}", path.display()));
         TemporaryFolder(path)
     }
 
-    /// Where it is.
+    /// The path of the folder.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.0
     }
 
-    /// The path of a file in it.
+    /// The path of a file in the folder.
     #[must_use]
     pub fn file(&self, name: &str) -> PathBuf {
         self.0.join(name)
--- a/crates/testing/test-fixtures/tests/fixtures.rs
+++ b/crates/testing/test-fixtures/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! What differs from a fixture is noticed; packed files come back.
+//! Comparisons with fixtures detect every difference; unpacking restores a packed file.
 
 use dunespur_test_fixtures::{hex, pack, unpack, Fixtures, TemporaryFolder};
 use std::fs;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_text_or_bytes_that_differ_are_noticed() {
+fn text_or_bytes_that_differ_from_a_fixture_are_detected() {
     let (folder, fixtures) = folder_with_fixtures("fixtures-differ");
     let path = folder.path().join("tests/fixtures");
     fs::write(path.join("text"), "one\ntwo\n").unwrap();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn packed_files_come_back() {
+fn unpacking_restores_a_packed_file() {
     let mut file = vec![0; 40_000];
     file[700] = 1;
     file.extend([255; 5_000]);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_temporary_folder_is_empty_and_removed_at_its_end() {
+fn a_temporary_folder_starts_empty_and_is_removed_when_dropped() {
     let folder = TemporaryFolder::new("fixtures-folder");
     let path = folder.path().to_owned();
     assert_eq!(fs::read_dir(&path).unwrap().count(), 0);
