--- a/crates/testing/test-servers/src/counter.rs
+++ b/crates/testing/test-servers/src/counter.rs
@@ -1,4 +1,4 @@
-//! The shared counter: names with totals that expire, spoken to in RESP, the protocol of Redis.
+//! A shared counter that speaks RESP, the protocol of Redis: it keeps a total for each name until the name expires.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,46 +10,46 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, Instant};
 
-/// How often a silent counter checks whether it may respond.
+/// Interval at which a connection checks whether the counter is still silent.
 const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest lifetime of a name, in milliseconds.
 const MAX_LIFETIME_MS: u64 = 60_000;
-/// Expired names are removed once in this many calls.
+/// Expired names are removed after each such number of calls.
 const CALLS_BETWEEN_SWEEPS: u64 = 4096;
-/// Most words of a call that are read.
+/// Maximum number of words that are read of a call. The rest of a longer call is taken for the next call.
 const MAX_WORDS: usize = 8;
 
-/// A name's total, and when it expires.
+/// The total of a name and the time at which it expires.
 #[derive(Clone, Copy)]
-struct Entry {
+struct ExpiringTotal {
     total: f64,
     expires: Instant,
 }
 
-/// The counter: adds to names whose totals expire.
+/// The shared counter: adds to the totals of names that expire.
 pub struct Counter {
-    /// Address on loopback.
+    /// Loopback address and port.
     pub address: SocketAddr,
-    /// While set, no call is responded to.
+    /// While set, the counter responds to no call.
     pub silent: Cell<bool>,
-    /// Additions so far.
+    /// `CNT.ADD` calls so far.
     pub calls: Cell<u64>,
-    names: RefCell<BTreeMap<String, Entry>>,
+    totals: RefCell<BTreeMap<String, ExpiringTotal>>,
 }
 
 impl Counter {
-    /// Starts a counter without names.
+    /// Starts a counter that has no names yet.
     ///
     /// # Errors
     ///
-    /// Fails where no port on loopback can be bound.
+    /// Fails if no loopback port can be bound.
     pub async fn start() -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let counter = Rc::new(Counter {
             address: listener.local_addr()?,
             silent: Cell::new(false),
             calls: Cell::new(0),
-            names: RefCell::default(),
+            totals: RefCell::default(),
         });
         let shared = counter.clone();
         tokio::task::spawn_local(async move {
@@ -63,10 +63,10 @@
 
     /// Removes all names.
     pub fn empty(&self) {
-        self.names.borrow_mut().clear();
+        self.totals.borrow_mut().clear();
     }
 
-    /// Serves one connection until it ends or sends what is no call.
+    /// Serves one connection until it closes or sends a malformed call.
     async fn serve(&self, stream: TcpStream) -> Option<()> {
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The response to a call; `None` where its numbers are malformed.
+    /// Returns the response to a call, or `None` if one of its numbers is malformed.
     fn respond(&self, words: &[&str]) -> Option<String> {
         Some(match words {
             ["CNT.ADD", name, amount, lifetime_ms] => {
@@ -101,22 +101,22 @@
         })
     }
 
-    /// Adds to a name; returns its total.
+    /// Adds to the total of a name and returns the new total, or `None` if a number is malformed.
     fn add(&self, name: &str, amount: &str, lifetime_ms: &str) -> Option<f64> {
         self.calls.set(self.calls.get() + 1);
         let now = Instant::now();
         let lifetime_ms = lifetime_ms.parse::<u64>().ok()?.clamp(1, MAX_LIFETIME_MS);
-        let mut names = self.names.borrow_mut();
+        let mut totals = self.totals.borrow_mut();
         if self.calls.get().is_multiple_of(CALLS_BETWEEN_SWEEPS) {
-            names.retain(|_, entry| entry.expires > now);
+            totals.retain(|_, entry| entry.expires > now);
         }
-        let fresh = Entry {
+        let new_total = ExpiringTotal {
             total: 0.0,
             expires: now + Duration::from_millis(lifetime_ms),
         };
-        let entry = names.entry(name.to_owned()).or_insert(fresh);
+        let entry = totals.entry(name.to_owned()).or_insert(new_total);
         if entry.expires <= now {
-            *entry = fresh;
+            *entry = new_total;
         }
         entry.total += amount.parse::<f64>().ok()?;
         Some(entry.total)
--- a/crates/testing/test-servers/src/discovery.rs
+++ b/crates/testing/test-servers/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: a list of endpoints, and watches that receive each change.
+//! A discovery service: serves a list of endpoints, and sends each change to open watches.
 
 use bytes::Bytes;
 use http_body_util::StreamBody;
@@ -18,28 +18,28 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// Interval of the empty lines by which an idle watch shows that it is alive.
+/// Interval of the empty lines that keep an idle watch alive.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Frames of a response that may wait to be written.
-const FRAMES_IN_FLIGHT: usize = 8;
+/// Maximum number of body frames of a response that wait to be written.
+const MAX_QUEUED_FRAMES: usize = 8;
 
-/// A frame of a response's body.
+/// One frame of a response body.
 type BodyFrame = Result<Frame<Bytes>, Infallible>;
 
-/// Discovery: serves a list of endpoints, once or as a watch.
+/// A discovery service that returns its endpoint list once, or as a watch with each change.
 pub struct Discovery {
-    /// Address on loopback.
+    /// Loopback address and port.
     pub address: SocketAddr,
-    /// Revision of the present list.
+    /// Revision of the current list.
     pub revision: Cell<u64>,
     list: watch::Sender<String>,
-    /// Watches that are open now.
+    /// Number of responses in progress: open watches, and lists being sent once.
     pub watches: Cell<usize>,
     /// Requests so far.
     pub calls: Cell<u64>,
 }
 
-/// Counts one open watch until this is dropped.
+/// Counts one response in [`Discovery::watches`] until dropped.
 struct OpenWatch(Rc<Discovery>);
 
 impl OpenWatch {
@@ -56,11 +56,11 @@
 }
 
 impl Discovery {
-    /// Starts discovery with a list as [`list`] writes it.
+    /// Starts a discovery service with a list in the format of [`list`].
     ///
     /// # Errors
     ///
-    /// Fails where no port on loopback can be bound.
+    /// Fails if no loopback port can be bound.
     pub async fn start(revision: u64, list: String) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let discovery = Rc::new(Discovery {
@@ -79,7 +79,7 @@
         Ok(discovery)
     }
 
-    /// Replaces the list; open watches receive it.
+    /// Replaces the list and sends the new one to open watches.
     pub fn set(&self, revision: u64, list: String) {
         self.revision.set(revision);
         self.list.send_replace(list);
@@ -95,38 +95,38 @@
             .await;
     }
 
-    /// A response whose body is the list, followed by each change where the request asks for a watch.
+    /// Responds with the list, and with each later change if the request asks for a watch (`follow=1`).
     fn respond(
         self: Rc<Self>,
         request: &Request<Incoming>,
     ) -> Response<StreamBody<impl futures_core::Stream<Item = BodyFrame>>> {
         self.calls.set(self.calls.get() + 1);
-        let follows = request
+        let is_watch = request
             .uri()
             .query()
             .is_some_and(|query| query.contains("follow=1"));
-        let (sender, mut receiver) = mpsc::channel(FRAMES_IN_FLIGHT);
+        let (sender, mut receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
         let list = self.list.subscribe();
-        let open = OpenWatch::begin(self);
+        let open_watch = OpenWatch::begin(self);
         tokio::task::spawn_local(async move {
-            let _open = open;
-            send_lists(list, &sender, follows).await;
+            let _open_watch = open_watch;
+            send_lists(list, &sender, is_watch).await;
         });
-        Response::new(StreamBody::new(stream_of(move |context| {
+        Response::new(StreamBody::new(stream_from_poll(move |context| {
             receiver.poll_recv(context)
         })))
     }
 }
 
-/// Sends the list, and each change of it where the caller follows.
+/// Sends the list, and for a watch also each later change.
 async fn send_lists(
     mut list: watch::Receiver<String>,
     sender: &mpsc::Sender<BodyFrame>,
-    follows: bool,
+    is_watch: bool,
 ) {
     loop {
         let line = format!("{}\n", *list.borrow_and_update());
-        if sender.send(Ok(Frame::data(line.into()))).await.is_err() || !follows {
+        if sender.send(Ok(Frame::data(line.into()))).await.is_err() || !is_watch {
             return;
         }
         if !next_change(&mut list, sender).await {
@@ -135,7 +135,7 @@
     }
 }
 
-/// Waits for a change and keeps the watch alive; false once the caller has disconnected or discovery has ended.
+/// Waits for a change while keeping the watch alive. Returns false if the client disconnected or the service ended.
 async fn next_change(list: &mut watch::Receiver<String>, sender: &mpsc::Sender<BodyFrame>) -> bool {
     loop {
         tokio::select! {
@@ -151,12 +151,12 @@
     }
 }
 
-/// A stream that polls by a closure.
-fn stream_of<T>(
+/// Builds a stream from a poll function.
+fn stream_from_poll<T>(
     poll: impl FnMut(&mut Context<'_>) -> Poll<Option<T>>,
 ) -> impl futures_core::Stream<Item = T> {
-    struct Polled<F>(F);
-    impl<T, F> futures_core::Stream for Polled<F>
+    struct PollStream<F>(F);
+    impl<T, F> futures_core::Stream for PollStream<F>
     where
         F: FnMut(&mut Context<'_>) -> Poll<Option<T>> + Unpin,
     {
@@ -166,10 +166,10 @@
             (self.0)(context)
         }
     }
-    Polled(Box::new(poll))
+    PollStream(Box::new(poll))
 }
 
-/// A list of servers (id, address, zone, phase) in the format of discovery.
+/// Builds the JSON of an endpoint list from the servers' id, address, zone and phase.
 #[must_use]
 pub fn list(revision: u64, servers: &[(String, SocketAddr, String, &str)]) -> String {
     let members: Vec<_> = servers
--- a/crates/testing/test-servers/src/lib.rs
+++ b/crates/testing/test-servers/src/lib.rs
@@ -1,6 +1,6 @@
-//! Scripted servers that a gateway meets, written from the published protocol: servers of requests, the shared counter
-//! and discovery with its watches. They run on the caller's tokio `LocalSet`, on loopback, and do what their switches
-//! say. None of them knows what a correct response of the gateway would be.
+//! Test doubles of the services that a gateway calls, written from the published protocol: HTTP servers, the shared
+//! counter and discovery. They run on the caller's tokio `LocalSet`, listen on loopback, and are controlled by their
+//! public fields. None of them checks the gateway's responses.
 
 mod counter;
 mod discovery;
--- a/crates/testing/test-servers/src/server.rs
+++ b/crates/testing/test-servers/src/server.rs
@@ -1,4 +1,4 @@
-//! A server of requests that responds after a set time.
+//! An HTTP server that responds to each request after a configurable time.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -15,36 +15,35 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// How often a hanging request checks whether it may proceed.
+/// Interval at which a request checks whether the server still hangs.
 const HANG_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A server: responds 200 after `takes` seconds, or not at all while it hangs. The body is the request's id.
+/// An HTTP server that responds 200 after `response_time`, with the request's `x-request-id` as the body.
 pub struct Server {
-    /// Address on loopback.
+    /// Loopback address and port.
     pub address: SocketAddr,
-    /// Duration of each request, in seconds.
-    pub takes: Cell<f64>,
-    /// While set, no request is responded to.
+    /// Time that each request takes, in seconds.
+    pub response_time: Cell<f64>,
+    /// While set, the server responds to no request.
     pub hangs: Cell<bool>,
-    /// Requests that have begun so far.
-    pub began: Cell<u64>,
+    /// Requests received so far.
+    pub requests: Cell<u64>,
 }
 
 impl Server {
-    /// Starts a server whose requests take `takes` seconds.
+    /// Starts a server whose requests take `response_time` seconds.
     ///
     /// # Errors
     ///
-    /// Fails where no port on loopback can be bound.
-    pub async fn start(takes: f64) -> io::Result<Rc<Self>> {
+    /// Fails if no loopback port can be bound.
+    pub async fn start(response_time: f64) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (takes, hangs, began) = (Cell::new(takes), Cell::new(false), Cell::new(0));
         let server = Rc::new(Server {
             address,
-            takes,
-            hangs,
-            began,
+            response_time: Cell::new(response_time),
+            hangs: Cell::new(false),
+            requests: Cell::new(0),
         });
         let shared = server.clone();
         tokio::task::spawn_local(async move {
@@ -62,8 +61,8 @@
             async move {
                 let id = request.headers().get("x-request-id").cloned();
                 let _ = request.into_body().collect().await;
-                server.began.set(server.began.get() + 1);
-                sleep(Duration::from_secs_f64(server.takes.get())).await;
+                server.requests.set(server.requests.get() + 1);
+                sleep(Duration::from_secs_f64(server.response_time.get())).await;
                 while server.hangs.get() {
                     sleep(HANG_POLL_INTERVAL).await;
                 }
