--- a/crates/testing/fleet-simulation/src/processes.rs
+++ b/crates/testing/fleet-simulation/src/processes.rs
@@ -10,7 +10,7 @@
 use dunespur_gateway::{clock, Work};
 use dunespur_peer_transport::Frame;
 use dunespur_singleton_roles::fencing::FencingCheck;
-use dunespur_test_servers::{list, Counter, Discovery, Server};
+use dunespur_test_servers::{endpoint_list, Counter, Discovery, Server};
 use http_body_util::{BodyExt, Empty};
 use hyper_util::rt::TokioIo;
 use rand::{RngExt, SeedableRng};
@@ -311,7 +311,7 @@
         let zone = trial.fleet.zones[n % trial.fleet.zones.len()].clone();
         servers.push((format!("s-{n}"), server.address, zone, "Ready"));
     }
-    let discovery = Discovery::start(1, list(1, &servers)).await?;
+    let discovery = Discovery::start(1, endpoint_list(1, &servers)).await?;
     let limiters = (0..trial.fleet.limiters).map(|n| Limiter::new(trial, n, &dir));
     let limiters = limiters.collect::<std::io::Result<Vec<_>>>()?;
     let via = proxy_all(&rules, &limiters).await?;
@@ -962,7 +962,7 @@
             self.servers[server].hangs.set(on);
         }
         match fault.kind {
-            Kind::Forget if on => self.counter.empty(),
+            Kind::Forget if on => self.counter.clear(),
             Kind::Silence => self.counter.silent.set(on),
             _ => {}
         }
--- a/crates/testing/test-servers/src/counter.rs
+++ b/crates/testing/test-servers/src/counter.rs
@@ -62,7 +62,7 @@
     }
 
     /// Removes all names.
-    pub fn empty(&self) {
+    pub fn clear(&self) {
         self.totals.borrow_mut().clear();
     }
 
--- a/crates/testing/test-servers/src/discovery.rs
+++ b/crates/testing/test-servers/src/discovery.rs
@@ -56,7 +56,7 @@
 }
 
 impl Discovery {
-    /// Starts a discovery service with a list in the format of [`list`].
+    /// Starts a discovery service with a list in the format of [`endpoint_list`].
     ///
     /// # Errors
     ///
@@ -171,7 +171,7 @@
 
 /// Builds the JSON of an endpoint list from the servers' id, address, zone and phase.
 #[must_use]
-pub fn list(revision: u64, servers: &[(String, SocketAddr, String, &str)]) -> String {
+pub fn endpoint_list(revision: u64, servers: &[(String, SocketAddr, String, &str)]) -> String {
     let members: Vec<_> = servers
         .iter()
         .map(|(id, address, zone, phase)| {
--- a/crates/testing/test-servers/src/lib.rs
+++ b/crates/testing/test-servers/src/lib.rs
@@ -7,5 +7,5 @@
 mod server;
 
 pub use counter::Counter;
-pub use discovery::{list, Discovery};
+pub use discovery::{endpoint_list, Discovery};
 pub use server::Server;
