--- a/crates/testing/emulator/src/client/attempt.rs
+++ b/crates/testing/emulator/src/client/attempt.rs
@@ -13,23 +13,23 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Bytes of a body that are stored; the digest covers all.
-const MAX_RECORDED_BODY: usize = 64 * 1024;
-/// Time to open a connection.
+/// Body bytes kept in the record; the digest covers the whole body.
+const MAX_RECORDED_BODY_BYTES: usize = 64 * 1024;
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long surplus bytes are awaited where the connection stays open.
+/// Time to wait for surplus bytes after a complete response on a connection that stays open.
 const SURPLUS_TIMEOUT: Duration = Duration::from_millis(2);
 
 /// Time-outs of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Deadline of the operation.
-    pub until: Instant,
-    /// Longest time between two parts of a stream.
+    /// Deadline of the operation, common to all its attempts.
+    pub deadline: Instant,
+    /// Longest wait for a stream's head and between two parts of its body.
     pub idle: Duration,
 }
 
-/// An attempt, ready to be made.
+/// One attempt of a request at one gateway.
 pub(super) struct Attempt<'a> {
     pub spec: &'a RequestSpec,
     pub request: RequestId,
@@ -39,8 +39,8 @@
 
 impl Attempt<'_> {
     /// Sends the request and reads the response.
-    pub async fn carry_out(&self) -> AttemptOutcome {
-        match timeout_at(self.timeouts.until, self.exchange()).await {
+    pub async fn send(&self) -> AttemptOutcome {
+        match timeout_at(self.timeouts.deadline, self.exchange()).await {
             Ok(outcome) => outcome,
             Err(_) => AttemptOutcome::GivenUp,
         }
@@ -53,11 +53,11 @@
         };
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
-        let left = self
+        let remaining = self
             .timeouts
-            .until
+            .deadline
             .saturating_duration_since(Instant::now());
-        let head = self.spec.head(self.request, left.as_millis() as u64);
+        let head = self.spec.head(self.request, remaining.as_millis() as u64);
         if write
             .write_all(&request_bytes(&head, &self.spec.body))
             .await
@@ -65,14 +65,14 @@
         {
             return AttemptOutcome::NotSent;
         }
-        let outcome = Receiving::new(self, read, started).receive().await;
+        let outcome = ResponseReceiver::new(self, read, started).receive().await;
         drop(write);
         outcome
     }
 }
 
-/// A response that is being received.
-struct Receiving<'a> {
+/// Reads the response to an attempt and collects what the record stores about it.
+struct ResponseReceiver<'a> {
     attempt: &'a Attempt<'a>,
     reader: MessageReader<OwnedReadHalf>,
     started: Instant,
@@ -83,15 +83,15 @@
     last_event: Option<Instant>,
 }
 
-/// Why receiving ended early.
-enum Stop {
+/// Why a response was not received completely.
+enum ReceiveError {
     Wire(WireError),
     Timeout,
 }
 
-impl<'a> Receiving<'a> {
+impl<'a> ResponseReceiver<'a> {
     fn new(attempt: &'a Attempt<'a>, read: OwnedReadHalf, started: Instant) -> Self {
-        Receiving {
+        ResponseReceiver {
             attempt,
             reader: MessageReader::new(read),
             started,
@@ -104,43 +104,47 @@
     }
 
     async fn receive(mut self) -> AttemptOutcome {
-        let head = match self.head_within_timeout().await {
+        let head = match self.response_head().await {
             Ok(head) => head,
-            Err(stop) => return without_head(stop),
+            Err(error) => return outcome_without_head(error),
         };
-        self.take_head(&head);
-        let streaming = is_stream(&head);
+        self.record_head(&head);
+        let streaming = is_event_stream(&head);
         loop {
             match self.next_data(streaming).await {
-                Ok(Some(data)) => self.take_data(&data, streaming),
+                Ok(Some(data)) => self.record_data(&data, streaming),
                 Ok(None) => return self.complete().await,
-                Err(stop) => return self.broken(stop),
+                Err(error) => return self.incomplete(error),
             }
         }
     }
 
-    async fn head_within_timeout(&mut self) -> Result<ResponseHead, Stop> {
+    async fn response_head(&mut self) -> Result<ResponseHead, ReceiveError> {
         let streaming = matches!(self.attempt.spec.kind, Kind::Streaming { .. });
         if !streaming {
-            return self.reader.response_head().await.map_err(Stop::Wire);
+            return self
+                .reader
+                .response_head()
+                .await
+                .map_err(ReceiveError::Wire);
         }
         match timeout(self.attempt.timeouts.idle, self.reader.response_head()).await {
-            Ok(head) => head.map_err(Stop::Wire),
-            Err(_) => Err(Stop::Timeout),
+            Ok(head) => head.map_err(ReceiveError::Wire),
+            Err(_) => Err(ReceiveError::Timeout),
         }
     }
 
-    async fn next_data(&mut self, streaming: bool) -> Result<Option<Bytes>, Stop> {
+    async fn next_data(&mut self, streaming: bool) -> Result<Option<Bytes>, ReceiveError> {
         if !streaming {
-            return self.reader.next_data().await.map_err(Stop::Wire);
+            return self.reader.next_data().await.map_err(ReceiveError::Wire);
         }
         match timeout(self.attempt.timeouts.idle, self.reader.next_data()).await {
-            Ok(data) => data.map_err(Stop::Wire),
-            Err(_) => Err(Stop::Timeout),
+            Ok(data) => data.map_err(ReceiveError::Wire),
+            Err(_) => Err(ReceiveError::Timeout),
         }
     }
 
-    fn take_head(&mut self, head: &ResponseHead) {
+    fn record_head(&mut self, head: &ResponseHead) {
         let headers = &head.headers;
         self.answered.status = head.status;
         self.answered.request = headers.get(name::REQUEST_ID).and_then(RequestId::parse);
@@ -153,18 +157,18 @@
         self.answered.retry_after_ms = seconds.map(|seconds| (seconds * 1_000.0) as u64);
     }
 
-    fn take_data(&mut self, data: &[u8], streaming: bool) {
+    fn record_data(&mut self, data: &[u8], streaming: bool) {
         self.digester.push(data);
-        let free = MAX_RECORDED_BODY
+        let recorded_bytes = MAX_RECORDED_BODY_BYTES
             .saturating_sub(self.body.len())
             .min(data.len());
-        self.body.extend_from_slice(&data[..free]);
+        self.body.extend_from_slice(&data[..recorded_bytes]);
         if !streaming {
             return;
         }
         self.events.push(data);
         while let Some(event) = self.events.take() {
-            self.event_came();
+            self.record_event_time();
             match event {
                 Ok(event) => self.answered.events.push(event),
                 Err(_) => self.answered.garbled_events += 1,
@@ -172,15 +176,15 @@
         }
     }
 
-    fn event_came(&mut self) {
+    fn record_event_time(&mut self) {
         let now = Instant::now();
         match self.last_event {
             None => {
-                let since = now.duration_since(self.started);
-                self.answered.first_event_us = Some(since.as_micros() as u64);
+                let elapsed = now.duration_since(self.started);
+                self.answered.first_event_us = Some(elapsed.as_micros() as u64);
             }
-            Some(last) => {
-                let gap = now.duration_since(last).as_millis() as u64;
+            Some(last_event) => {
+                let gap = now.duration_since(last_event).as_millis() as u64;
                 self.answered.longest_gap_ms = self.answered.longest_gap_ms.max(gap);
             }
         }
@@ -193,11 +197,13 @@
         AttemptOutcome::Answered(self.finish())
     }
 
-    fn broken(self, stop: Stop) -> AttemptOutcome {
-        match stop {
-            Stop::Timeout => AttemptOutcome::GivenUp,
-            Stop::Wire(WireError::Garbled(reason)) => AttemptOutcome::Garbled(reason.to_owned()),
-            Stop::Wire(_) => AttemptOutcome::BrokenOff(self.finish()),
+    fn incomplete(self, error: ReceiveError) -> AttemptOutcome {
+        match error {
+            ReceiveError::Timeout => AttemptOutcome::GivenUp,
+            ReceiveError::Wire(WireError::Garbled(reason)) => {
+                AttemptOutcome::Garbled(reason.to_owned())
+            }
+            ReceiveError::Wire(_) => AttemptOutcome::BrokenOff(self.finish()),
         }
     }
 
@@ -230,18 +236,21 @@
     }
 }
 
-fn without_head(stop: Stop) -> AttemptOutcome {
-    match stop {
-        Stop::Timeout => AttemptOutcome::GivenUp,
-        Stop::Wire(WireError::Garbled(reason)) => AttemptOutcome::Garbled(reason.to_owned()),
-        Stop::Wire(WireError::BrokenOff) => {
-            AttemptOutcome::Garbled("a response's head is incomplete".to_owned())
+fn outcome_without_head(error: ReceiveError) -> AttemptOutcome {
+    match error {
+        ReceiveError::Timeout => AttemptOutcome::GivenUp,
+        ReceiveError::Wire(WireError::Garbled(reason)) => {
+            AttemptOutcome::Garbled(reason.to_owned())
+        }
+        ReceiveError::Wire(WireError::BrokenOff) => {
+            AttemptOutcome::Garbled("the connection ended inside the response's head".to_owned())
         }
-        Stop::Wire(WireError::Ended | WireError::Failed(_)) => AttemptOutcome::Closed,
+        ReceiveError::Wire(WireError::Ended | WireError::Failed(_)) => AttemptOutcome::Closed,
     }
 }
 
-fn is_stream(head: &ResponseHead) -> bool {
-    let content = head.headers.get(name::CONTENT_TYPE);
-    head.status == 200 && content.is_some_and(|content| content.starts_with("text/event-stream"))
+fn is_event_stream(head: &ResponseHead) -> bool {
+    let content_type = head.headers.get(name::CONTENT_TYPE);
+    head.status == 200
+        && content_type.is_some_and(|content_type| content_type.starts_with("text/event-stream"))
 }
--- a/crates/testing/emulator/src/client/call.rs
+++ b/crates/testing/emulator/src/client/call.rs
@@ -1,4 +1,4 @@
-//! Single calls on connections of their own, as servers, operator and platform make them.
+//! Single requests without retries, each on a new connection, as servers, the operator and the platform send them.
 
 use crate::wire::{name, request_bytes, Headers, MessageReader, RequestHead, WireError};
 use bytes::Bytes;
@@ -9,21 +9,21 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A request.
+/// A request that is sent on its own connection.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// Headers beside `Host`, `Connection` and the body's length.
+    /// Headers other than `Host`, `Connection` and `Content-Length`, which are added when the call is sent.
     pub headers: Headers,
-    /// Body; empty for none.
+    /// Body; empty where the call has none.
     pub body: Bytes,
 }
 
 impl Call {
-    /// A call without a body.
+    /// A GET request without a body.
     pub fn get(target: impl Into<String>) -> Call {
         Call {
             method: "GET",
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A call with a JSON body.
+    /// A POST request with a JSON body.
     pub fn post(target: impl Into<String>, body: impl Into<Bytes>) -> Call {
         let headers = Headers::new().with(name::CONTENT_TYPE, "application/json");
         Call {
@@ -56,34 +56,34 @@
     pub body: Bytes,
 }
 
-/// Why a call had no response.
+/// Why a call received no complete response.
 #[derive(Clone, Debug)]
 pub enum CallError {
     /// The connection was refused or could not be opened.
     NoConnection(std::io::ErrorKind),
     /// The response was not a complete HTTP message.
     Broken(WireError),
-    /// No complete response came in time.
+    /// No complete response arrived within the call's time limit.
     Timeout,
 }
 
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CallError::NoConnection(kind) => write!(f, "no connection: {kind}"),
+            CallError::NoConnection(kind) => write!(f, "could not connect: {kind}"),
             CallError::Broken(error) => write!(f, "{error}"),
-            CallError::Timeout => write!(f, "no answer in time"),
+            CallError::Timeout => write!(f, "no complete response within the time limit"),
         }
     }
 }
 
 impl std::error::Error for CallError {}
 
-/// Calls `address` and reads the complete response, within `limit`.
+/// Sends `request` to `address` and reads the complete response, within `limit`.
 ///
 /// # Errors
 ///
-/// [`CallError`] where no connection could be opened, the response was no complete message, or `limit` passed.
+/// [`CallError`] where no connection could be opened, the response was not a complete message, or `limit` passed.
 pub async fn call(
     address: SocketAddr,
     request: &Call,
@@ -108,11 +108,11 @@
         target: request.target.clone(),
         headers,
     };
-    let failed = |error: std::io::Error| CallError::Broken(WireError::Failed(error.kind()));
+    let write_failed = |error: std::io::Error| CallError::Broken(WireError::Failed(error.kind()));
     write
         .write_all(&request_bytes(&head, &request.body))
         .await
-        .map_err(failed)?;
+        .map_err(write_failed)?;
     let mut reader = MessageReader::new(read);
     let head = reader.response_head().await.map_err(CallError::Broken)?;
     let body = reader.body().await.map_err(CallError::Broken)?;
--- a/crates/testing/emulator/src/client/mod.rs
+++ b/crates/testing/emulator/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Clients of the system: attempts, retries as the protocol defines them, streams read event by event.
+//! Clients of the system: they send requests, retry as the protocol allows, and read streams event by event.
 
 mod attempt;
 pub mod call;
--- a/crates/testing/emulator/src/client/request.rs
+++ b/crates/testing/emulator/src/client/request.rs
@@ -1,4 +1,4 @@
-//! Requests, as a client describes them.
+//! Requests that a client sends, with their limits and headers.
 
 use crate::digest::Digest;
 use crate::identity::RequestId;
@@ -9,9 +9,9 @@
 /// Kind of a request, as its route defines it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Changes nothing: may run any number of times.
+    /// Changes no state: may run any number of times.
     ReadOnly,
-    /// Changes something: may run at most once.
+    /// Changes state: may run at most once.
     Mutating,
     /// A turn, answered by a stream of events.
     Streaming {
@@ -28,22 +28,22 @@
     }
 }
 
-/// The headers of a program's turn.
+/// What the headers of a program's turn state.
 #[derive(Clone, Debug, Default)]
 pub struct Turn {
     /// Name of the model.
     pub model: String,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u64,
-    /// Most tokens that the turn may generate.
+    /// Maximum number of tokens that the turn may generate.
     pub max_tokens: u64,
     /// Value of the header that lists the prompt's segments.
     pub prefix: String,
-    /// Tokens in one event.
+    /// Tokens in one event of the response.
     pub chunk_tokens: u64,
-    /// Token budget of the program; none for calls of tools.
+    /// Token budget of the program; `None` for tool calls.
     pub budget: Option<u64>,
-    /// The turn that this one continues, where the system stores turns.
+    /// Id of the turn that this one continues, where the system stores turns.
     pub previous: Option<RequestId>,
 }
 
@@ -56,7 +56,7 @@
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// Kind of its route: decides whether a retry may follow.
+    /// Kind of the request's route; decides whether the client may retry.
     pub kind: Kind,
     /// Body as the client sends it.
     pub body: Bytes,
@@ -68,22 +68,22 @@
     pub target_ms: u64,
     /// Longest gap wanted between two events, in milliseconds.
     pub max_gap_ms: u64,
-    /// Attempts beyond the first.
+    /// Maximum number of attempts after the first.
     pub retries: u32,
-    /// Id of the agent program, if one sends it.
+    /// Id of the agent program that sends the request, if any.
     pub program: Option<String>,
     /// Id of the program's session.
     pub session: Option<String>,
-    /// Time that is left to the program, in milliseconds.
+    /// Remaining time of the program, in milliseconds.
     pub finish_ms: Option<u64>,
-    /// Headers of a turn; none for other requests.
+    /// Headers of a turn; `None` for other requests.
     pub turn: Option<Turn>,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Headers,
 }
 
 impl RequestSpec {
-    /// A request with no body on a plain route.
+    /// A GET request without a body, on a read-only route.
     #[must_use]
     pub fn get(host: &str, target: &str) -> RequestSpec {
         RequestSpec {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A request with a body.
+    /// A POST request with a body.
     pub fn post(host: &str, target: &str, kind: Kind, body: impl Into<Bytes>) -> RequestSpec {
         let body = body.into();
         let expected = Some(Digest::of(&body));
@@ -118,15 +118,18 @@
         }
     }
 
-    pub(super) fn head(&self, request: RequestId, left_ms: u64) -> RequestHead {
+    pub(super) fn head(&self, request: RequestId, remaining_ms: u64) -> RequestHead {
         let mut headers = Headers::new()
             .with(name::HOST, self.host.clone())
             .with(name::REQUEST_ID, request.to_string())
-            .with(name::DEADLINE, left_ms.to_string());
+            .with(name::DEADLINE, remaining_ms.to_string());
         let optional = [
             (name::PROGRAM, self.program.clone()),
             (name::SESSION, self.session.clone()),
-            (name::FINISH, self.finish_ms.map(|left| left.to_string())),
+            (
+                name::FINISH,
+                self.finish_ms.map(|finish_ms| finish_ms.to_string()),
+            ),
         ];
         for (name, value) in optional {
             if let Some(value) = value {
--- a/crates/testing/emulator/src/client/retry.rs
+++ b/crates/testing/emulator/src/client/retry.rs
@@ -1,4 +1,4 @@
-//! Attempts and retries, as the protocol defines them for clients.
+//! Sends requests to the gateways and retries failed attempts as the protocol allows clients to.
 
 use super::attempt::{Attempt, Timeouts};
 use super::request::RequestSpec;
@@ -11,18 +11,18 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Shortest idle time-out of a stream.
+/// Lower bound of a stream's idle time-out.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A stream's idle time-out is at least this many latency targets.
-const IDLE_TARGETS: u32 = 4;
-/// And at least this many of its longest gaps.
-const IDLE_GAPS: u32 = 8;
-/// Backoff before a retry where the response states no time, and its jitter.
+/// A stream's idle time-out is at least this many times its latency target.
+const IDLE_TIMEOUT_TARGETS: u32 = 4;
+/// A stream's idle time-out is at least this many times its longest wanted gap between events.
+const IDLE_TIMEOUT_GAPS: u32 = 8;
+/// Backoff before a retry where the response has no `Retry-After`; random jitter adds up to as much again.
 const RETRY_BACKOFF_MS: u64 = 30;
-/// `Retry-After` is respected up to the remaining time divided by this.
+/// The wait for `Retry-After` is limited to the remaining time divided by this.
 const RETRY_AFTER_DIVISOR: u32 = 3;
 
-/// A client of all gateways; clones share it.
+/// A client that spreads its requests over all gateways; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Client {
     shared: Arc<Shared>,
@@ -34,7 +34,8 @@
     record: Record,
     identities: IdentitySource,
     fronts: Mutex<Vec<SocketAddr>>,
-    operation: AtomicU64,
+    /// Number of the next operation.
+    next_operation: AtomicU64,
 }
 
 /// The result of an operation with all its attempts.
@@ -44,16 +45,16 @@
     pub request: RequestId,
     /// How the last attempt ended.
     pub outcome: AttemptOutcome,
-    /// Number of attempts, the first one counted.
+    /// Number of attempts, including the first.
     pub attempts: u32,
-    /// From the first attempt to the first event, or to the end where there are no events, in milliseconds.
+    /// Time from the first attempt to the first event, or to the end where there are no events, in milliseconds.
     pub first_ms: u64,
-    /// From the first attempt to the end of the last, in milliseconds.
+    /// Time from the start of the first attempt to the end of the last, in milliseconds.
     pub took_ms: u64,
 }
 
 impl Served {
-    /// The response, where a complete one came.
+    /// The last attempt's response, if it is complete.
     pub fn answer(&self) -> Option<&Answered> {
         match &self.outcome {
             AttemptOutcome::Answered(answered) => Some(answered),
@@ -61,12 +62,12 @@
         }
     }
 
-    /// The status of a complete response.
+    /// The status of the last attempt's response, if it is complete.
     pub fn status(&self) -> Option<u16> {
         self.answer().map(|answered| answered.status)
     }
 
-    /// Whether a complete response with a 2xx status came.
+    /// Whether the last attempt's response is complete and has a 2xx status.
     pub fn succeeded(&self) -> bool {
         self.status()
             .is_some_and(|status| (200..300).contains(&status))
@@ -74,7 +75,7 @@
 }
 
 impl Client {
-    /// A client that sends to `fronts` in turn and writes its attempts to `record`.
+    /// A client that sends to the gateways at `fronts` in turn and writes its attempts to `record`.
     #[must_use]
     pub fn new(
         clock: Clock,
@@ -89,12 +90,12 @@
                 record,
                 identities,
                 fronts,
-                operation: AtomicU64::new(0),
+                next_operation: AtomicU64::new(0),
             }),
         }
     }
 
-    /// Replaces the gateways' addresses for new connections.
+    /// Replaces the gateways' addresses; attempts under way keep their connections.
     pub fn set_fronts(&self, fronts: Vec<SocketAddr>) {
         *self
             .shared
@@ -115,14 +116,14 @@
         self.shared.clock
     }
 
-    /// Sends a request, with retries at other gateways.
+    /// Sends a request; retries go to the next gateways in turn.
     pub async fn send(&self, spec: &RequestSpec) -> Served {
-        self.send_by(spec, None).await
+        self.send_with_retries(spec, None).await
     }
 
     /// Makes one attempt at one gateway.
     pub async fn send_to(&self, front: SocketAddr, spec: &RequestSpec) -> Served {
-        self.send_by(
+        self.send_with_retries(
             &RequestSpec {
                 retries: 0,
                 ..spec.clone()
@@ -132,12 +133,12 @@
         .await
     }
 
-    async fn send_by(&self, spec: &RequestSpec, front: Option<SocketAddr>) -> Served {
-        let operation = self.shared.operation.fetch_add(1, Ordering::SeqCst);
+    async fn send_with_retries(&self, spec: &RequestSpec, front: Option<SocketAddr>) -> Served {
+        let operation = self.shared.next_operation.fetch_add(1, Ordering::SeqCst);
         let started = Instant::now();
-        let until = started + Duration::from_millis(spec.deadline_ms);
+        let deadline = started + Duration::from_millis(spec.deadline_ms);
         let timeouts = Timeouts {
-            until,
+            deadline,
             idle: idle_timeout(spec),
         };
         let mut attempts = 0;
@@ -145,24 +146,24 @@
             let attempt = Attempt {
                 spec,
                 request: self.shared.identities.request(),
-                front: front.unwrap_or_else(|| self.front(operation + u64::from(attempts))),
+                front: front.unwrap_or_else(|| self.front_at(operation + u64::from(attempts))),
                 timeouts,
             };
             let attempt_started = Instant::now();
-            let recording = AttemptRecorder::begin(&self.shared, &attempt, operation);
-            let outcome = recording.end(attempt.carry_out().await);
+            let recorder = AttemptRecorder::begin(&self.shared, &attempt, operation);
+            let outcome = recorder.end(attempt.send().await);
             attempts += 1;
-            let backoff = backoff_before_retry(spec, &outcome, until, &self.shared.identities);
-            let ended = attempts > spec.retries || Instant::now() >= until;
+            let backoff = backoff_before_retry(spec, &outcome, deadline, &self.shared.identities);
+            let exhausted = attempts > spec.retries || Instant::now() >= deadline;
             match backoff {
-                Some(backoff) if !ended => sleep(backoff).await,
+                Some(backoff) if !exhausted => sleep(backoff).await,
                 _ => return served(&attempt, outcome, attempts, started, attempt_started),
             }
         }
     }
 
-    /// The gateways in turn, starting at an offset that differs between requests.
-    fn front(&self, offset: u64) -> SocketAddr {
+    /// The gateway at `offset`, counted round the list of gateways.
+    fn front_at(&self, offset: u64) -> SocketAddr {
         let fronts = self
             .shared
             .fronts
@@ -172,7 +173,7 @@
     }
 }
 
-/// Records an attempt; as given up where its client is dropped before it ends.
+/// Records an attempt when dropped; an attempt whose client is dropped before it ends is recorded as given up.
 struct AttemptRecorder<'a> {
     shared: &'a Shared,
     attempt: &'a Attempt<'a>,
@@ -244,14 +245,15 @@
     attempt_started: Instant,
 ) -> Served {
     let took_ms = started.elapsed().as_millis() as u64;
-    let before_ms = attempt_started.duration_since(started).as_millis() as u64;
-    let first_event = match &outcome {
+    let earlier_attempts_ms = attempt_started.duration_since(started).as_millis() as u64;
+    let first_event_us = match &outcome {
         AttemptOutcome::Answered(answered) | AttemptOutcome::BrokenOff(answered) => {
             answered.first_event_us
         }
         _ => None,
     };
-    let first_ms = first_event.map_or(took_ms, |first| before_ms + first / 1_000);
+    let first_ms =
+        first_event_us.map_or(took_ms, |first_us| earlier_attempts_ms + first_us / 1_000);
     Served {
         request: attempt.request,
         outcome,
@@ -262,40 +264,43 @@
 }
 
 fn idle_timeout(spec: &RequestSpec) -> Duration {
-    let objective = Duration::from_millis(spec.target_ms) * IDLE_TARGETS;
-    let backoff = Duration::from_millis(spec.max_gap_ms) * IDLE_GAPS;
-    MIN_IDLE_TIMEOUT.max(objective).max(backoff)
+    let by_target = Duration::from_millis(spec.target_ms) * IDLE_TIMEOUT_TARGETS;
+    let by_gap = Duration::from_millis(spec.max_gap_ms) * IDLE_TIMEOUT_GAPS;
+    MIN_IDLE_TIMEOUT.max(by_target).max(by_gap)
 }
 
-/// The backoff before a retry; `None` where there must be none.
+/// The backoff before a retry; `None` where the attempt must not be retried.
 fn backoff_before_retry(
     spec: &RequestSpec,
     outcome: &AttemptOutcome,
-    until: Instant,
+    deadline: Instant,
     identities: &IdentitySource,
 ) -> Option<Duration> {
     let idempotent = spec.kind.idempotent();
-    let usual = Duration::from_millis(RETRY_BACKOFF_MS + identities.below(RETRY_BACKOFF_MS));
+    let default_backoff =
+        Duration::from_millis(RETRY_BACKOFF_MS + identities.below(RETRY_BACKOFF_MS));
     match outcome {
-        AttemptOutcome::NotSent => Some(usual),
+        AttemptOutcome::NotSent => Some(default_backoff),
         AttemptOutcome::Answered(answered) => {
-            if is_final(answered.status) || !(idempotent || is_promise(answered.status)) {
+            if is_final(answered.status)
+                || !(idempotent || guarantees_not_executed(answered.status))
+            {
                 return None;
             }
-            let max_wait = until.saturating_duration_since(Instant::now()) / RETRY_AFTER_DIVISOR;
+            let max_wait = deadline.saturating_duration_since(Instant::now()) / RETRY_AFTER_DIVISOR;
             let retry_after = answered.retry_after_ms.map(Duration::from_millis);
-            Some(retry_after.map_or(usual, |retry_after| retry_after.min(max_wait)))
+            Some(retry_after.map_or(default_backoff, |retry_after| retry_after.min(max_wait)))
         }
-        _ => idempotent.then_some(usual),
+        _ => idempotent.then_some(default_backoff),
     }
 }
 
-/// Statuses after which nothing is retried.
+/// Whether a request is never retried after this status.
 fn is_final(status: u16) -> bool {
     matches!(status, 200..300 | 400 | 401 | 402 | 403 | 404 | 413 | 431)
 }
 
-/// Statuses that promise that the request has not run and never will.
-fn is_promise(status: u16) -> bool {
+/// Whether this status guarantees that the request has not run and never will.
+fn guarantees_not_executed(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
