--- a/crates/testing/emulator/src/engine/batch.rs
+++ b/crates/testing/emulator/src/engine/batch.rs
@@ -1,50 +1,50 @@
-//! Continuous batching of a model server: a state machine without a clock. The owner begins a step, waits as long as
-//! it takes, and finishes it.
+//! Continuous batching of a model server: a state machine without a clock. The caller begins a step, waits for the
+//! step's duration, and finishes the step.
 
 use super::memory::Memory;
 use super::prompt::Prompt;
 use std::collections::VecDeque;
 
-/// Durations of the parts of a step.
+/// Parameters from which the duration of a step is computed.
 #[derive(Clone, Copy, Debug)]
-pub struct Speeds {
+pub struct StepParameters {
     /// Duration of a step without prefill, in microseconds.
     pub step_us: u64,
     /// Additional duration for each running request, in microseconds.
     pub per_running_us: u64,
     /// Prompt tokens prefilled in a millisecond.
-    pub read_per_ms: f64,
-    /// Most prompt tokens prefilled in one step.
+    pub prefill_tokens_per_ms: f64,
+    /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_chunk_tokens: u64,
 }
 
-impl Default for Speeds {
+impl Default for StepParameters {
     fn default() -> Self {
-        Speeds {
+        StepParameters {
             step_us: 5_470,
             per_running_us: 120,
-            read_per_ms: 38.7,
+            prefill_tokens_per_ms: 38.7,
             prefill_chunk_tokens: 512,
         }
     }
 }
 
-/// Identifies a request in the batch; rises with each.
+/// Identifies a request in the batch; each new request has a higher number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// The queue is full, or the request could never fit the memory.
+/// Error of [`Batch::enqueue`]: the queue is full, or the request could never fit the memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full;
+pub struct EnqueueError;
 
-/// One more token for a request.
+/// A token that was generated for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Produced {
-    /// The request.
+pub struct GeneratedToken {
+    /// The request that the token belongs to.
     pub ticket: Ticket,
-    /// Tokens generated so far.
+    /// Tokens generated for the request so far, including this one.
     pub generated: u64,
-    /// Whether the request has ended with it.
+    /// Whether the request ends with this token.
     pub last: bool,
 }
 
@@ -54,43 +54,48 @@
     ticket: Ticket,
     prompt: Prompt,
     /// Tokens of the prompt that are still to be prefilled.
-    to_read: u64,
-    /// Tokens generated since its last admission.
-    since_admission: u64,
-    /// Tokens generated in all.
+    to_prefill: u64,
+    /// Tokens generated since the request was last admitted.
+    generated_since_admission: u64,
+    /// Tokens generated over all admissions.
     generated: u64,
 }
 
 /// Waiting and running requests and their memory.
 #[derive(Debug)]
 pub struct Batch {
-    speeds: Speeds,
+    step_parameters: StepParameters,
     slots: usize,
-    queue: usize,
+    queue_capacity: usize,
     memory: Memory,
     waiting: VecDeque<Request>,
     running: Vec<Request>,
-    tickets: u64,
+    last_ticket: u64,
     prompt_tokens_prefilled: u64,
     prompt_tokens_admitted: u64,
-    preempted: u64,
+    preemptions: u64,
 }
 
 impl Batch {
-    /// An empty batch of at most `slots` requests, with a queue of `queue` more.
+    /// An empty batch of at most `slots` running requests, with a queue of at most `queue_capacity` more.
     #[must_use]
-    pub fn new(speeds: Speeds, slots: usize, queue: usize, memory: Memory) -> Batch {
+    pub fn new(
+        step_parameters: StepParameters,
+        slots: usize,
+        queue_capacity: usize,
+        memory: Memory,
+    ) -> Batch {
         Batch {
-            speeds,
+            step_parameters,
             slots,
-            queue,
+            queue_capacity,
             memory,
             waiting: VecDeque::new(),
             running: Vec::new(),
-            tickets: 0,
+            last_ticket: 0,
             prompt_tokens_prefilled: 0,
             prompt_tokens_admitted: 0,
-            preempted: 0,
+            preemptions: 0,
         }
     }
 
@@ -98,20 +103,20 @@
     ///
     /// # Errors
     ///
-    /// [`Full`] where the queue is full or the prompt could never fit the memory.
-    pub fn enqueue(&mut self, prompt: Prompt) -> Result<Ticket, Full> {
-        let free = self.slots.saturating_sub(self.running.len());
+    /// [`EnqueueError`] where the queue is full or the prompt could never fit the memory.
+    pub fn enqueue(&mut self, prompt: Prompt) -> Result<Ticket, EnqueueError> {
+        let free_slots = self.slots.saturating_sub(self.running.len());
         let too_large = prompt.tokens() + prompt.max_tokens > self.memory.total();
-        if too_large || self.waiting.len() >= self.queue + free {
-            return Err(Full);
+        if too_large || self.waiting.len() >= self.queue_capacity + free_slots {
+            return Err(EnqueueError);
         }
-        self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
         let request = Request {
             ticket,
             prompt,
-            to_read: 0,
-            since_admission: 0,
+            to_prefill: 0,
+            generated_since_admission: 0,
             generated: 0,
         };
         self.insert_waiting(request);
@@ -137,17 +142,22 @@
         if self.running.is_empty() {
             return None;
         }
-        let read = self.prefill_chunk();
-        let reading = (read as f64 * 1_000.0 / self.speeds.read_per_ms) as u64;
-        Some(self.speeds.step_us + self.speeds.per_running_us * self.running.len() as u64 + reading)
+        let prefilled_tokens = self.prefill_chunk();
+        let prefill_us =
+            (prefilled_tokens as f64 * 1_000.0 / self.step_parameters.prefill_tokens_per_ms) as u64;
+        Some(
+            self.step_parameters.step_us
+                + self.step_parameters.per_running_us * self.running.len() as u64
+                + prefill_us,
+        )
     }
 
-    /// Ends a step: each request whose prompt is prefilled has one more token.
-    pub fn finish_step(&mut self) -> Vec<Produced> {
+    /// Ends a step: generates one token for each running request whose prompt is completely prefilled.
+    pub fn finish_step(&mut self) -> Vec<GeneratedToken> {
         let tickets: Vec<Ticket> = self
             .running
             .iter()
-            .filter(|request| request.to_read == 0)
+            .filter(|request| request.to_prefill == 0)
             .map(|request| request.ticket)
             .collect();
         tickets
@@ -156,13 +166,13 @@
             .collect()
     }
 
-    /// Requests in the batch.
+    /// Number of running requests.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests that wait for admission.
+    /// Number of requests that wait for admission.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
@@ -186,13 +196,13 @@
         self.prompt_tokens_admitted
     }
 
-    /// Preemptions so far.
+    /// Number of preemptions so far.
     #[must_use]
-    pub fn preempted(&self) -> u64 {
-        self.preempted
+    pub fn preemptions(&self) -> u64 {
+        self.preemptions
     }
 
-    /// Orders the queue by priority, then by arrival.
+    /// Inserts a request into the queue, which is ordered by priority, then by arrival.
     fn insert_waiting(&mut self, request: Request) {
         let key = |request: &Request| (request.prompt.priority, request.ticket);
         let position = self
@@ -212,11 +222,11 @@
             let Some(mut request) = self.waiting.pop_front() else {
                 return;
             };
-            match self.memory.take(&request.prompt.segments) {
-                Some(found) => {
-                    request.to_read = found.to_read + request.generated;
-                    self.prompt_tokens_admitted += found.cached + found.to_read;
-                    request.since_admission = 0;
+            match self.memory.reserve(&request.prompt.segments) {
+                Some(prefix) => {
+                    request.to_prefill = prefix.to_prefill + request.generated;
+                    self.prompt_tokens_admitted += prefix.cached + prefix.to_prefill;
+                    request.generated_since_admission = 0;
                     self.running.push(request);
                 }
                 None => {
@@ -229,7 +239,7 @@
         }
     }
 
-    /// Preempts the newest of the least urgent requests, if it is less urgent than `priority`.
+    /// Preempts the newest of the least urgent running requests, if it is less urgent than `priority`.
     fn preempt_below(&mut self, priority: u8) -> bool {
         match self.least_urgent() {
             Some(index) if self.running[index].prompt.priority > priority => {
@@ -241,48 +251,50 @@
     }
 
     fn least_urgent(&self) -> Option<usize> {
-        let keys = self.running.iter().enumerate();
-        keys.max_by_key(|(_, request)| (request.prompt.priority, request.ticket))
+        let running = self.running.iter().enumerate();
+        running
+            .max_by_key(|(_, request)| (request.prompt.priority, request.ticket))
             .map(|(index, _)| index)
     }
 
     fn preempt(&mut self, index: usize) {
         let request = self.running.remove(index);
         self.release(&request);
-        self.preempted += 1;
+        self.preemptions += 1;
         self.insert_waiting(request);
     }
 
     fn release(&mut self, request: &Request) {
-        if request.to_read > 0 {
-            let read = request.prompt.tokens().saturating_sub(request.to_read);
+        if request.to_prefill > 0 {
+            let prefilled = request.prompt.tokens().saturating_sub(request.to_prefill);
             self.memory
-                .release_partly_prefilled(&request.prompt.segments, read);
+                .release_partly_prefilled(&request.prompt.segments, prefilled);
         } else {
             self.memory
-                .release(&request.prompt.segments, request.since_admission);
+                .release(&request.prompt.segments, request.generated_since_admission);
         }
     }
 
     fn prefill_chunk(&mut self) -> u64 {
-        let mut left = self.speeds.prefill_chunk_tokens;
+        let mut remaining = self.step_parameters.prefill_chunk_tokens;
         for request in &mut self.running {
-            let chunk = request.to_read.min(left);
-            request.to_read -= chunk;
-            left -= chunk;
+            let chunk = request.to_prefill.min(remaining);
+            request.to_prefill -= chunk;
+            remaining -= chunk;
         }
-        let read = self.speeds.prefill_chunk_tokens - left;
-        self.prompt_tokens_prefilled += read;
-        read
+        let prefilled = self.step_parameters.prefill_chunk_tokens - remaining;
+        self.prompt_tokens_prefilled += prefilled;
+        prefilled
     }
 
-    /// Generates one more token for a request; `None` where it had to be preempted.
-    fn generate(&mut self, ticket: Ticket) -> Option<Produced> {
-        while !self.memory.grow() {
+    /// Generates one more token for a request, preempting other requests where memory is short; `None` where the
+    /// request itself is preempted.
+    fn generate(&mut self, ticket: Ticket) -> Option<GeneratedToken> {
+        while !self.memory.reserve_generated_token() {
             let index = self.least_urgent()?;
-            let own = self.running[index].ticket == ticket;
+            let is_own = self.running[index].ticket == ticket;
             self.preempt(index);
-            if own {
+            if is_own {
                 return None;
             }
         }
@@ -295,17 +307,17 @@
             return None;
         };
         let request = &mut self.running[index];
-        request.since_admission += 1;
+        request.generated_since_admission += 1;
         request.generated += 1;
-        let produced = Produced {
+        let token = GeneratedToken {
             ticket,
             generated: request.generated,
             last: request.generated >= request.prompt.max_tokens,
         };
-        if produced.last {
+        if token.last {
             let request = self.running.remove(index);
             self.release(&request);
         }
-        Some(produced)
+        Some(token)
     }
 }
--- a/crates/testing/emulator/src/engine/mod.rs
+++ b/crates/testing/emulator/src/engine/mod.rs
@@ -7,7 +7,7 @@
 mod settings;
 mod work;
 
-pub use batch::{Batch, Full, Produced, Speeds, Ticket};
+pub use batch::{Batch, EnqueueError, GeneratedToken, StepParameters, Ticket};
 pub use memory::{Memory, PrefixLookup};
 pub use prompt::{Prompt, PromptSegment};
 pub use settings::{EngineSettings, Load};
@@ -24,7 +24,7 @@
 pub struct EngineServer {
     /// The server's identity, faults and counters.
     pub handle: Arc<ServerHandle>,
-    /// Each step of the batch waits here; a step is one token for each running request.
+    /// Each step of the batch waits at this gate; a step generates one token for each running request.
     pub gate: Gate,
     work: Arc<EngineWork>,
     steps: JoinHandle<()>,
@@ -32,7 +32,7 @@
 }
 
 impl EngineServer {
-    /// Starts on `listener`, whose address is that of `identity`.
+    /// Starts a model server on `listener`, whose address must be that of `identity`.
     pub fn start(
         listener: TcpListener,
         identity: Identity,
@@ -60,19 +60,19 @@
         }
     }
 
-    /// Prompt tokens prefilled, cached ones not counted.
+    /// Prompt tokens prefilled so far, without those found in the cache.
     #[must_use]
     pub fn prompt_tokens_prefilled(&self) -> u64 {
         self.work.prompt_tokens_prefilled()
     }
 
-    /// Tokens of all prompts admitted, cached ones counted as well.
+    /// Tokens of all prompts admitted so far, including those found in the cache.
     #[must_use]
     pub fn prompt_tokens_admitted(&self) -> u64 {
         self.work.prompt_tokens_admitted()
     }
 
-    /// The present load.
+    /// The current load.
     #[must_use]
     pub fn load(&self) -> Load {
         self.work.load()
--- a/crates/testing/emulator/src/engine/prompt.rs
+++ b/crates/testing/emulator/src/engine/prompt.rs
@@ -1,11 +1,11 @@
-//! The prompt, as the headers of a request describe it.
+//! Prompts, described by the headers of a request.
 
 use crate::wire::{name, Headers};
 
-/// One segment of a prompt, shared between requests by its id.
+/// One segment of a prompt; requests share it by its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PromptSegment {
-    /// Id; segments with the same id are the same text.
+    /// Id of the segment; segments with the same id have the same text.
     pub id: u64,
     /// Length in tokens.
     pub tokens: u64,
@@ -14,33 +14,33 @@
 /// A prompt and the number of tokens to generate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// Segments from the beginning of the prompt.
+    /// Segments in the order of the prompt.
     pub segments: Vec<PromptSegment>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// 0 is admitted first.
+    /// Priority of the request; lower numbers are admitted first.
     pub priority: u8,
 }
 
-/// Priority of a request that names none.
-const ORDINARY_PRIORITY: u8 = 5;
+/// Priority of a request without a priority header.
+const DEFAULT_PRIORITY: u8 = 5;
 
 impl Prompt {
-    /// Reads the headers; missing counts are taken as 1.
+    /// Reads a prompt from the headers; missing or malformed token counts are taken as 1.
     pub fn read(headers: &Headers) -> Prompt {
-        let (total, max_tokens) = headers
+        let (total_tokens, max_tokens) = headers
             .get(name::TOKEN_COUNT)
-            .and_then(counts)
+            .and_then(parse_token_counts)
             .unwrap_or((1, 1));
         let mut segments = headers
             .get(name::PROMPT_PREFIX)
-            .map(segments)
+            .map(parse_segments)
             .unwrap_or_default();
-        let named: u64 = segments.iter().map(|segment| segment.tokens).sum();
-        if named < total {
+        let listed_tokens: u64 = segments.iter().map(|segment| segment.tokens).sum();
+        if listed_tokens < total_tokens {
             segments.push(PromptSegment {
                 id: u64::MAX,
-                tokens: total - named,
+                tokens: total_tokens - listed_tokens,
             });
         }
         let priority = headers
@@ -49,7 +49,7 @@
         Prompt {
             segments,
             max_tokens: max_tokens.max(1),
-            priority: priority.unwrap_or(ORDINARY_PRIORITY),
+            priority: priority.unwrap_or(DEFAULT_PRIORITY),
         }
     }
 
@@ -60,16 +60,16 @@
     }
 }
 
-fn counts(text: &str) -> Option<(u64, u64)> {
+fn parse_token_counts(text: &str) -> Option<(u64, u64)> {
     let (prompt, max_tokens) = text.split_once(',')?;
     Some((prompt.trim().parse().ok()?, max_tokens.trim().parse().ok()?))
 }
 
-fn segments(text: &str) -> Vec<PromptSegment> {
-    text.split(',').filter_map(segment).collect()
+fn parse_segments(text: &str) -> Vec<PromptSegment> {
+    text.split(',').filter_map(parse_segment).collect()
 }
 
-fn segment(text: &str) -> Option<PromptSegment> {
+fn parse_segment(text: &str) -> Option<PromptSegment> {
     let (id, tokens) = text.trim().split_once(':')?;
     Some(PromptSegment {
         id: u64::from_str_radix(id, 16).ok()?,
--- a/crates/testing/emulator/src/engine/settings.rs
+++ b/crates/testing/emulator/src/engine/settings.rs
@@ -1,35 +1,35 @@
 //! Settings and load of a model server.
 
-use super::batch::Speeds;
+use super::batch::StepParameters;
 use crate::server::ConnectionSettings;
 
 /// Settings of a model server.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Duration of steps.
-    pub speeds: Speeds,
-    /// Capacity of the queue.
+    /// Parameters from which the duration of a step is computed.
+    pub step_parameters: StepParameters,
+    /// Number of requests that may wait for admission.
     pub queue: usize,
-    /// Capacity of its memory in tokens.
+    /// Capacity of the KV memory in tokens.
     pub memory_tokens: u64,
     /// Tokens in one event.
     pub chunk_tokens: u64,
-    /// Real time for a millisecond of the model; 0 for no waiting.
+    /// Real milliseconds for each millisecond of a step's computed duration; 0 for no waiting.
     pub time_scale: f64,
     /// Id of a stream's first event.
     pub first_event: u64,
-    /// Difference between the ids of two events in a row.
+    /// Difference between the ids of two consecutive events.
     pub event_stride: u64,
-    /// Names of its models.
+    /// Names of the served models.
     pub models: Vec<String>,
-    /// Treatment of connections.
+    /// Limits and time-outs of connections, and the health check's path.
     pub connections: ConnectionSettings,
 }
 
 impl Default for EngineSettings {
     fn default() -> Self {
         EngineSettings {
-            speeds: Speeds::default(),
+            step_parameters: StepParameters::default(),
             queue: 4,
             memory_tokens: 232_000,
             chunk_tokens: 3,
@@ -45,9 +45,9 @@
 /// Load of a model server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests in the batch.
+    /// Number of running requests.
     pub running: usize,
-    /// Requests that wait for admission.
+    /// Number of requests that wait for admission.
     pub queued: usize,
     /// Tokens in use by running requests.
     pub memory_used: u64,
--- a/crates/testing/emulator/src/engine/work.rs
+++ b/crates/testing/emulator/src/engine/work.rs
@@ -1,6 +1,6 @@
-//! Connects the batch with requests: delivers tokens to their requests and lets steps take their time.
+//! Runs the steps of the batch for their computed duration and delivers the generated tokens to the requests.
 
-use super::batch::{Batch, Produced, Ticket};
+use super::batch::{Batch, GeneratedToken, Ticket};
 use super::memory::Memory;
 use super::prompt::Prompt;
 use super::settings::{EngineSettings, Load};
@@ -17,7 +17,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// Time limit of a request without a deadline.
-const MAX_WORK: Duration = Duration::from_secs(120);
+const DEFAULT_TIME_LIMIT: Duration = Duration::from_secs(120);
 
 /// State shared by the requests and the task that runs steps.
 #[derive(Debug)]
@@ -26,29 +26,30 @@
     clock: Clock,
     gate: Gate,
     state: Mutex<State>,
-    arrived: Notify,
+    /// Wakes the task that runs steps when a request is added to the batch.
+    enqueued: Notify,
 }
 
 #[derive(Debug)]
 struct State {
     batch: Batch,
-    listeners: HashMap<Ticket, mpsc::UnboundedSender<Produced>>,
+    token_senders: HashMap<Ticket, mpsc::UnboundedSender<GeneratedToken>>,
 }
 
 impl EngineWork {
     pub fn new(settings: EngineSettings, slots: usize, clock: Clock, gate: Gate) -> EngineWork {
         let memory = Memory::new(settings.memory_tokens);
-        let batch = Batch::new(settings.speeds, slots, settings.queue, memory);
+        let batch = Batch::new(settings.step_parameters, slots, settings.queue, memory);
         let state = Mutex::new(State {
             batch,
-            listeners: HashMap::new(),
+            token_senders: HashMap::new(),
         });
         EngineWork {
             settings,
             clock,
             gate,
             state,
-            arrived: Notify::new(),
+            enqueued: Notify::new(),
         }
     }
 
@@ -74,17 +75,17 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a request to the batch; its tokens come through the channel. `None` where the server is full.
-    fn enter(self: &Arc<Self>, prompt: Prompt) -> Option<Entered> {
+    /// Adds a request to the batch and returns the channel of its tokens; `None` where the server is full.
+    fn enqueue(self: &Arc<Self>, prompt: Prompt) -> Option<BatchedRequest> {
         let (sender, tokens) = mpsc::unbounded_channel();
         let ticket = {
             let mut state = self.lock();
             let ticket = state.batch.enqueue(prompt).ok()?;
-            state.listeners.insert(ticket, sender);
+            state.token_senders.insert(ticket, sender);
             ticket
         };
-        self.arrived.notify_one();
-        Some(Entered {
+        self.enqueued.notify_one();
+        Some(BatchedRequest {
             work: self.clone(),
             ticket,
             tokens,
@@ -93,12 +94,12 @@
 
     fn finish_step(&self) {
         let mut state = self.lock();
-        for produced in state.batch.finish_step() {
-            if let Some(listener) = state.listeners.get(&produced.ticket) {
-                let _ = listener.send(produced);
+        for token in state.batch.finish_step() {
+            if let Some(sender) = state.token_senders.get(&token.ticket) {
+                let _ = sender.send(token);
             }
-            if produced.last {
-                state.listeners.remove(&produced.ticket);
+            if token.last {
+                state.token_senders.remove(&token.ticket);
             }
         }
     }
@@ -108,7 +109,7 @@
 pub(super) async fn run_steps(work: Arc<EngineWork>) {
     loop {
         if work.load().running + work.load().queued == 0 {
-            work.arrived.notified().await;
+            work.enqueued.notified().await;
             continue;
         }
         work.gate.pass().await;
@@ -117,42 +118,45 @@
             yield_now().await;
             continue;
         };
-        let scaled = Duration::from_micros((duration as f64 * work.settings.time_scale) as u64);
-        if scaled.is_zero() {
+        let waiting_time =
+            Duration::from_micros((duration as f64 * work.settings.time_scale) as u64);
+        if waiting_time.is_zero() {
             yield_now().await;
         } else {
-            sleep(scaled).await;
+            sleep(waiting_time).await;
         }
         work.finish_step();
     }
 }
 
-/// A request in the batch; dropping this cancels it.
-struct Entered {
+/// A request in the batch; dropping this cancels the request.
+struct BatchedRequest {
     work: Arc<EngineWork>,
     ticket: Ticket,
-    tokens: mpsc::UnboundedReceiver<Produced>,
+    tokens: mpsc::UnboundedReceiver<GeneratedToken>,
 }
 
-impl Drop for Entered {
+impl Drop for BatchedRequest {
     fn drop(&mut self) {
         let mut state = self.work.lock();
         state.batch.cancel(self.ticket);
-        state.listeners.remove(&self.ticket);
+        state.token_senders.remove(&self.ticket);
     }
 }
 
-/// Implemented for `Arc`, as admitted requests keep a reference to the work.
+/// Implemented for `Arc`, as requests in the batch hold a reference to the `EngineWork`.
 impl Work for Arc<EngineWork> {
-    async fn work(&self, arrived: ReceivedRequest, reply: &mut Reply) {
-        let limit = arrived.deadline_ms.map_or(MAX_WORK, Duration::from_millis);
+    async fn work(&self, received: ReceivedRequest, reply: &mut Reply) {
+        let limit = received
+            .deadline_ms
+            .map_or(DEFAULT_TIME_LIMIT, Duration::from_millis);
         let deadline = Instant::now() + limit;
-        let Some(mut entered) = self.enter(Prompt::read(&arrived.head.headers)) else {
+        let Some(mut request) = self.enqueue(Prompt::read(&received.head.headers)) else {
             reply.reject(503).await;
             return;
         };
         let first = tokio::select! {
-            first = entered.tokens.recv() => first,
+            first = request.tokens.recv() => first,
             () = sleep_until(deadline) => None,
         };
         let Some(first) = first else {
@@ -164,7 +168,7 @@
             return;
         }
         tokio::select! {
-            () = self.stream(&arrived, first, &mut entered, reply) => {}
+            () = self.stream(&received, first, &mut request, reply) => {}
             () = sleep_until(deadline) => {}
         }
     }
@@ -193,41 +197,40 @@
 }
 
 impl EngineWork {
-    /// Sends events as their tokens are generated; the last one may have fewer tokens.
+    /// Sends an event whenever enough tokens are generated; the last event may hold fewer tokens. Events up to the
+    /// request's `Last-Event-Id` are not sent.
     async fn stream(
         &self,
-        arrived: &ReceivedRequest,
-        first: Produced,
-        entered: &mut Entered,
+        received: &ReceivedRequest,
+        first: GeneratedToken,
+        request: &mut BatchedRequest,
         reply: &mut Reply,
     ) {
-        let after = arrived.head.headers.number(name::LAST_EVENT_ID);
-        let mut events = 0;
+        let last_event_id = received.head.headers.number(name::LAST_EVENT_ID);
+        let mut event_count = 0;
         let mut next = Some(first);
-        while let Some(produced) = next {
-            let full = produced
-                .generated
-                .is_multiple_of(self.settings.chunk_tokens);
-            if full || produced.last {
-                let event = self.event(arrived, events);
-                events += 1;
-                let is_new = after.is_none_or(|after| event.id > after);
+        while let Some(token) = next {
+            let event_full = token.generated.is_multiple_of(self.settings.chunk_tokens);
+            if event_full || token.last {
+                let event = self.event(received, event_count);
+                event_count += 1;
+                let is_new = last_event_id.is_none_or(|last_event_id| event.id > last_event_id);
                 if is_new && !reply.event(&event).await {
                     return;
                 }
             }
-            if produced.last {
+            if token.last {
                 reply.end_stream().await;
                 return;
             }
-            next = entered.tokens.recv().await;
+            next = request.tokens.recv().await;
         }
     }
 
-    /// The data states request, index and time, so that events of two runs differ.
-    fn event(&self, arrived: &ReceivedRequest, index: u64) -> Event {
+    /// An event whose data states the request, the index and the time, so that the events of two runs differ.
+    fn event(&self, received: &ReceivedRequest, index: u64) -> Event {
         let id = self.settings.first_event + index * self.settings.event_stride;
-        let data = format!("{} {index} {}", arrived.request, self.clock.now_us());
+        let data = format!("{} {index} {}", received.request, self.clock.now_us());
         Event { id, data }
     }
 }
--- a/crates/testing/emulator/src/experiment/stage.rs
+++ b/crates/testing/emulator/src/experiment/stage.rs
@@ -2,7 +2,7 @@
 
 use super::file::Experiment;
 use dunespur_emulator::configuration::ConfigurationPlan;
-use dunespur_emulator::engine::{EngineSettings, Speeds};
+use dunespur_emulator::engine::{EngineSettings, StepParameters};
 use dunespur_emulator::plain::PlainSettings;
 use dunespur_emulator::scene::{usual_configuration, ScenePlan, MODELS};
 use dunespur_emulator::server::ConnectionSettings;
@@ -14,14 +14,14 @@
     let services = &experiment.services;
     let models = &services.models;
     let tools = &services.tools;
-    let speeds = Speeds {
+    let step_parameters = StepParameters {
         step_us: models.step_us,
         per_running_us: models.per_running_us,
-        read_per_ms: models.read_per_ms,
+        prefill_tokens_per_ms: models.read_per_ms,
         prefill_chunk_tokens: models.prefill_chunk_tokens,
     };
     let engine = EngineSettings {
-        speeds,
+        step_parameters,
         queue: models.queue,
         memory_tokens: models.memory_tokens,
         chunk_tokens: models.chunk_tokens,
--- a/crates/testing/emulator/tests/batch.rs
+++ b/crates/testing/emulator/tests/batch.rs
@@ -1,6 +1,6 @@
 //! The batch and the memory of a model server.
 
-use dunespur_emulator::engine::{Batch, Memory, Prompt, PromptSegment, Speeds, Ticket};
+use dunespur_emulator::engine::{Batch, Memory, Prompt, PromptSegment, StepParameters, Ticket};
 
 fn segment(id: u64, tokens: u64) -> PromptSegment {
     PromptSegment { id, tokens }
@@ -15,7 +15,7 @@
 }
 
 fn batch(slots: usize, queue: usize, memory: u64) -> Batch {
-    Batch::new(Speeds::default(), slots, queue, Memory::new(memory))
+    Batch::new(StepParameters::default(), slots, queue, Memory::new(memory))
 }
 
 /// Steps until the batch is idle; the order in which requests ended, and how long it took.
@@ -28,8 +28,8 @@
             batch
                 .finish_step()
                 .into_iter()
-                .filter(|produced| produced.last)
-                .map(|p| p.ticket),
+                .filter(|token| token.last)
+                .map(|token| token.ticket),
         );
         assert!(took < 60_000_000, "the batch does not come to an end");
     }
@@ -56,12 +56,22 @@
 #[test]
 fn a_cached_segment_counts_only_behind_cached_ones() {
     let mut memory = Memory::new(1_000);
-    memory.take(&[segment(1, 100), segment(2, 100)]).unwrap();
-    assert_eq!(memory.look(&[segment(1, 100), segment(2, 100)]).to_read, 0);
-    assert_eq!(memory.look(&[segment(9, 10), segment(2, 100)]).to_read, 110);
+    memory.reserve(&[segment(1, 100), segment(2, 100)]).unwrap();
     assert_eq!(
         memory
-            .look(&[segment(1, 100), segment(9, 10), segment(2, 100)])
+            .look_up(&[segment(1, 100), segment(2, 100)])
+            .to_prefill,
+        0
+    );
+    assert_eq!(
+        memory
+            .look_up(&[segment(9, 10), segment(2, 100)])
+            .to_prefill,
+        110
+    );
+    assert_eq!(
+        memory
+            .look_up(&[segment(1, 100), segment(9, 10), segment(2, 100)])
             .cached,
         100
     );
@@ -72,14 +82,14 @@
     let mut memory = Memory::new(301);
     for id in 1..=3 {
         let segments = [segment(id, 100)];
-        memory.take(&segments).unwrap();
+        memory.reserve(&segments).unwrap();
         memory.release(&segments, 0);
     }
-    memory.take(&[segment(1, 100)]).unwrap();
-    memory.take(&[segment(4, 100)]).unwrap();
-    assert_eq!(memory.look(&[segment(1, 100)]).cached, 100);
-    assert_eq!(memory.look(&[segment(2, 100)]).cached, 0);
-    assert_eq!(memory.look(&[segment(3, 100)]).cached, 100);
+    memory.reserve(&[segment(1, 100)]).unwrap();
+    memory.reserve(&[segment(4, 100)]).unwrap();
+    assert_eq!(memory.look_up(&[segment(1, 100)]).cached, 100);
+    assert_eq!(memory.look_up(&[segment(2, 100)]).cached, 0);
+    assert_eq!(memory.look_up(&[segment(3, 100)]).cached, 100);
     assert_eq!(memory.in_use(), 200);
 }
 
@@ -103,7 +113,7 @@
     let urgent = batch.enqueue(prompt(&[segment(2, 10)], 5, 0)).unwrap();
     let (ended, _) = run(&mut batch);
     assert_eq!(ended, [urgent, ordinary]);
-    assert_eq!(batch.preempted(), 1);
+    assert_eq!(batch.preemptions(), 1);
 }
 
 #[test]
@@ -113,7 +123,7 @@
         .map(|id| batch.enqueue(prompt(&[segment(id, 100)], 90, 5)).unwrap())
         .collect();
     let (ended, _) = run(&mut batch);
-    assert!(batch.preempted() > 0);
+    assert!(batch.preemptions() > 0);
     assert_eq!(ended.len(), 3);
     assert_eq!(ended[0], tickets[0]);
     assert_eq!(batch.memory().in_use(), 0);
@@ -130,7 +140,7 @@
     assert_eq!((batch.running(), batch.waiting()), (0, 0));
     assert_eq!(batch.memory().in_use(), 0);
     assert_eq!(
-        batch.memory().look(&[segment(1, 5_000)]).cached,
+        batch.memory().look_up(&[segment(1, 5_000)]).cached,
         0,
         "a segment whose prefill is incomplete is not cached"
     );
