--- a/crates/testing/emulator/src/engine/work.rs
+++ b/crates/testing/emulator/src/engine/work.rs
@@ -163,7 +163,7 @@
             reply.reject(503).await;
             return;
         };
-        reply.run();
+        reply.mark_running();
         if !reply.begin_stream().await {
             return;
         }
@@ -215,7 +215,7 @@
                 let event = self.event(received, event_count);
                 event_count += 1;
                 let is_new = last_event_id.is_none_or(|last_event_id| event.id > last_event_id);
-                if is_new && !reply.event(&event).await {
+                if is_new && !reply.send_event(&event).await {
                     return;
                 }
             }
--- a/crates/testing/emulator/src/plain.rs
+++ b/crates/testing/emulator/src/plain.rs
@@ -127,7 +127,7 @@
             reply.reject(503).await;
             return;
         };
-        reply.run();
+        reply.mark_running();
         let worked = match deadline {
             Some(deadline) => timeout(deadline, self.work_through()).await.is_ok(),
             None => {
--- a/crates/testing/emulator/src/server/connection.rs
+++ b/crates/testing/emulator/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of a server: one request at a time on each.
+//! Connections of a server; each serves one request at a time.
 
 use super::handle::ServerHandle;
 use super::reply::Reply;
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// Accepts connections until the task is aborted, which closes them too.
+/// Accepts connections until the task is aborted; aborting the task also closes its connections.
 pub(super) async fn accept<W: Work>(
     listener: TcpListener,
     handle: Arc<ServerHandle>,
@@ -26,27 +26,27 @@
         tokio::select! {
             accepted = listener.accept() => {
                 let Ok((stream, _)) = accepted else { return };
-                if !handle.enter() {
+                if !handle.acquire_connection_slot() {
                     let _ = stream.set_zero_linger();
                     continue;
                 }
-                connections.spawn(entered(stream, handle.clone(), work.clone()));
+                connections.spawn(serve_connection(stream, handle.clone(), work.clone()));
             }
             Some(_) = connections.join_next() => {}
         }
     }
 }
 
-/// Releases the connection's slot however the connection ends.
+/// Releases a connection's slot when the connection ends.
 struct ConnectionSlot(Arc<ServerHandle>);
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.0.left();
+        self.0.release_connection_slot();
     }
 }
 
-async fn entered<W: Work>(stream: TcpStream, handle: Arc<ServerHandle>, work: Arc<W>) {
+async fn serve_connection<W: Work>(stream: TcpStream, handle: Arc<ServerHandle>, work: Arc<W>) {
     let _slot = ConnectionSlot(handle.clone());
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
@@ -62,15 +62,16 @@
 
 struct Connection<W> {
     reader: MessageReader<OwnedReadHalf>,
-    /// Absent while a reply owns it.
+    /// `None` while a [`Reply`] owns the write half.
     write: Option<OwnedWriteHalf>,
     handle: Arc<ServerHandle>,
     work: Arc<W>,
+    /// A copy of the last response, sent before the next one because of `ServerFault::LateSurplus`.
     surplus: Option<Bytes>,
 }
 
 impl<W: Work> Connection<W> {
-    /// Serves one request; false once the connection is to end.
+    /// Serves one request; false where the connection has to be closed afterwards.
     async fn serve_one(&mut self) -> bool {
         let idle = self.handle.settings.idle;
         let Ok(Ok(head)) = timeout(idle, self.reader.request_head()).await else {
@@ -85,16 +86,16 @@
             }
         }
         if head.method == "GET" && head.target == self.handle.settings.health_path {
-            return self.health(&head).await;
+            return self.answer_health_check(&head).await;
         }
         if head.method == "GET" && head.target == "/api/report" {
-            return self.report().await;
+            return self.answer_report().await;
         }
-        self.request(head, body).await
+        self.serve_request(head, body).await
     }
 
-    async fn health(&mut self, head: &RequestHead) -> bool {
-        self.handle.probed();
+    async fn answer_health_check(&mut self, head: &RequestHead) -> bool {
+        self.handle.count_probe();
         let status = if self.handle.healthy() { 200 } else { 503 };
         let mut headers =
             Headers::new().with(name::INSTANCE_ID, self.handle.identity.instance.clone());
@@ -108,8 +109,8 @@
         .await
     }
 
-    async fn report(&mut self) -> bool {
-        self.handle.probed();
+    async fn answer_report(&mut self) -> bool {
+        self.handle.count_probe();
         let report = self.work.report();
         let status = if report.is_some() { 200 } else { 404 };
         let body = report.unwrap_or_default();
@@ -121,12 +122,12 @@
         self.write_bytes(&bytes).await
     }
 
-    async fn request(&mut self, head: RequestHead, body: Bytes) -> bool {
+    async fn serve_request(&mut self, head: RequestHead, body: Bytes) -> bool {
         let id = head
             .headers
             .get(name::REQUEST_ID)
             .and_then(RequestId::parse);
-        let observation = self.observation(&head, &body, id);
+        let observation = self.record_observation(&head, &body, id);
         let Some(write) = self.write.take() else {
             return false;
         };
@@ -136,38 +137,39 @@
             id.unwrap_or(RequestId(0)),
             observation,
         );
-        let refusal = self.refusal(&head, id).or(reply.ordered_rejection());
-        let done = match (refusal, id) {
+        let rejection = self.rejection(&head, id).or(reply.injected_rejection());
+        let connected = match (rejection, id) {
             (None, Some(request)) => {
                 let deadline_ms = head.headers.number(name::DEADLINE);
-                let arrived = ReceivedRequest {
+                let received = ReceivedRequest {
                     head,
                     body,
                     request,
                     deadline_ms,
                 };
                 tokio::select! {
-                    () = self.work.work(arrived, &mut reply) => true,
+                    () = self.work.work(received, &mut reply) => true,
                     () = self.reader.closed() => false,
                 }
             }
-            (refusal, _) => {
-                reply.reject(refusal.unwrap_or(400)).await;
+            (rejection, _) => {
+                reply.reject(rejection.unwrap_or(400)).await;
                 true
             }
         };
-        if !done {
-            self.abandoned(observation);
+        if !connected {
+            self.mark_abandoned(observation);
             return false;
         }
-        let keeps = reply.keeps();
+        let keep_alive = reply.keeps_connection();
         self.surplus = reply.take_surplus();
         self.write = Some(reply.into_write());
-        keeps
+        keep_alive
     }
 
-    /// The status with which a request is rejected before it reaches the work, if it is.
-    fn refusal(&self, head: &RequestHead, id: Option<RequestId>) -> Option<u16> {
+    /// The status with which a request is rejected before it is passed to the server's work; `None` where it is
+    /// admitted.
+    fn rejection(&self, head: &RequestHead, id: Option<RequestId>) -> Option<u16> {
         let expected = head.headers.get(name::EXPECT_INSTANCE);
         if expected.is_some_and(|expected| expected != self.handle.identity.instance) {
             return Some(421);
@@ -178,7 +180,13 @@
         None
     }
 
-    fn observation(&self, head: &RequestHead, body: &Bytes, request: Option<RequestId>) -> usize {
+    /// Adds the request to the record; returns the number of the observation.
+    fn record_observation(
+        &self,
+        head: &RequestHead,
+        body: &Bytes,
+        request: Option<RequestId>,
+    ) -> usize {
         let context = &self.handle.context;
         let observation = Observation {
             number: 0,
@@ -204,7 +212,8 @@
         context.record.record_observation(observation, body)
     }
 
-    fn abandoned(&self, observation: usize) {
+    /// Marks a request as abandoned whose caller disconnected before it ran.
+    fn mark_abandoned(&self, observation: usize) {
         self.handle
             .context
             .record
--- a/crates/testing/emulator/src/server/fault.rs
+++ b/crates/testing/emulator/src/server/fault.rs
@@ -3,38 +3,38 @@
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 
-/// A fault that one request meets.
+/// How a server mishandles one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerFault {
-    /// Runs it and closes the connection without a response.
+    /// Runs the request and closes the connection without a response.
     AnswerLost,
-    /// Runs it and closes the connection inside the response's body.
+    /// Runs the request and closes the connection inside the response's body.
     TruncateBody {
-        /// Bytes of the body that are sent.
+        /// Number of body bytes that are sent.
         after: usize,
     },
-    /// Runs it and sends bytes that are no response.
+    /// Runs the request and sends bytes that are not an HTTP response.
     SendGarbage,
-    /// Runs it, responds, and at once sends the response a second time.
+    /// Runs the request, responds, and immediately sends the response a second time.
     Surplus,
-    /// Runs it, responds, and sends the response a second time in place of the next one.
+    /// Runs the request, responds, and sends the same response again before the next one on the connection.
     LateSurplus,
-    /// Runs it and never responds.
+    /// Runs the request and never responds.
     NeverAnswer,
-    /// Runs it and answers 500.
+    /// Runs the request and responds with 500.
     Fail,
-    /// Responds 503 without the header that says that it did not run.
+    /// Responds with 503, without the header that states that the request did not run.
     Unavailable,
-    /// Rejects it as not run.
+    /// Rejects the request, with the header that states that it did not run.
     Reject {
-        /// HTTP status.
+        /// HTTP status of the rejection.
         status: u16,
     },
-    /// Responds as usual and closes the connection afterwards.
+    /// Runs the request, responds, and closes the connection afterwards.
     Close,
 }
 
-/// The faults of the next requests; none beyond them.
+/// The faults to be injected into the next requests.
 #[derive(Debug, Default)]
 pub struct ServerFaults {
     state: Mutex<State>,
@@ -42,22 +42,25 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// One fault for each of the next requests.
     next: VecDeque<ServerFault>,
+    /// Fault of all requests once `next` is empty.
     always: Option<ServerFault>,
 }
 
 impl ServerFaults {
-    /// One of the next requests meets this fault.
+    /// Injects `fault` into one request, after the faults that were added before.
     pub fn once(&self, fault: ServerFault) {
         self.change(|state| state.next.push_back(fault));
     }
 
-    /// All requests meet this fault, once those injected by [`Self::once`] are used up.
+    /// Injects `fault` into all requests, once the faults added by [`Self::once`] are used up; `None` ends it.
     pub fn always(&self, fault: Option<ServerFault>) {
         self.change(|state| state.always = fault);
     }
 
-    pub(super) fn draw(&self) -> Option<ServerFault> {
+    /// Takes the fault of the next request.
+    pub(super) fn next_fault(&self) -> Option<ServerFault> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.next.pop_front().or(state.always)
     }
--- a/crates/testing/emulator/src/server/handle.rs
+++ b/crates/testing/emulator/src/server/handle.rs
@@ -1,18 +1,18 @@
-//! The part of a server that tests, heartbeats and connections share: identity, faults, limits and counters.
+//! State of a server that tests, heartbeats and connections share: identity, faults, limits and counters.
 
 use super::fault::ServerFaults;
 use super::identity::{Identity, TestContext};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Treatment of connections.
+/// Limits and time-outs of connections, and the health check's path.
 #[derive(Clone, Debug)]
 pub struct ConnectionSettings {
     /// Path of the health check.
     pub health_path: String,
-    /// Connections from all callers together; more are reset.
+    /// Maximum number of open connections from all callers together; further ones are reset.
     pub max_connections: usize,
-    /// Idle connections are closed after this time; `Keep-Alive` states it in whole seconds.
+    /// Time after which an idle connection is closed; the `Keep-Alive` header states it in whole seconds.
     pub idle: Duration,
 }
 
@@ -26,27 +26,28 @@
     }
 }
 
-/// What tests, heartbeats and connections of a server share.
+/// State of a server that tests, heartbeats and connections share.
 #[derive(Debug)]
 pub struct ServerHandle {
-    /// Who the server is.
+    /// Identity of the server.
     pub identity: Identity,
-    /// Clock and record of the test.
+    /// Clock and record that the test's servers share.
     pub context: TestContext,
-    /// Faults that the next requests meet.
+    /// Faults to be injected into the next requests.
     pub faults: ServerFaults,
     pub(super) settings: ConnectionSettings,
     leaving: AtomicBool,
     healthy: AtomicBool,
-    open: AtomicUsize,
+    open_connections: AtomicUsize,
     accepted: AtomicU64,
     reset: AtomicU64,
     probes: AtomicU64,
-    answers: AtomicU64,
+    /// Number of stamps given to responses.
+    stamps: AtomicU64,
 }
 
 impl ServerHandle {
-    /// The handle of a healthy server without connections.
+    /// The handle of a server that is healthy and has no connections.
     #[must_use]
     pub fn new(
         identity: Identity,
@@ -60,15 +61,15 @@
             settings,
             leaving: AtomicBool::new(false),
             healthy: AtomicBool::new(true),
-            open: AtomicUsize::new(0),
+            open_connections: AtomicUsize::new(0),
             accepted: AtomicU64::new(0),
             reset: AtomicU64::new(0),
             probes: AtomicU64::new(0),
-            answers: AtomicU64::new(0),
+            stamps: AtomicU64::new(0),
         }
     }
 
-    /// From now on responses close their connection and the health check fails.
+    /// Starts the server's shutdown: responses close their connection and the health check fails.
     pub fn set_leaving(&self) {
         self.leaving.store(true, Ordering::SeqCst);
     }
@@ -78,7 +79,7 @@
         self.leaving.load(Ordering::SeqCst)
     }
 
-    /// Sets what the health check answers.
+    /// Sets whether the health check succeeds.
     pub fn set_healthy(&self, healthy: bool) {
         self.healthy.store(healthy, Ordering::SeqCst);
     }
@@ -87,30 +88,30 @@
         self.healthy.load(Ordering::SeqCst) && !self.leaving()
     }
 
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub fn accepted(&self) -> u64 {
         self.accepted.load(Ordering::SeqCst)
     }
 
-    /// Connections reset because there were too many.
+    /// Number of connections reset so far because the limit was reached.
     pub fn reset(&self) -> u64 {
         self.reset.load(Ordering::SeqCst)
     }
 
-    /// Health checks and reports answered so far.
+    /// Number of health checks and reports answered so far.
     pub fn probes(&self) -> u64 {
         self.probes.load(Ordering::SeqCst)
     }
 
-    pub(super) fn probed(&self) {
+    pub(super) fn count_probe(&self) {
         self.probes.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Takes a slot for one more connection; false where all are taken.
-    pub(super) fn enter(&self) -> bool {
-        let before = self.open.fetch_add(1, Ordering::SeqCst);
-        if before >= self.settings.max_connections {
-            self.left();
+    /// Acquires the slot of a new connection; false where the limit of connections is reached.
+    pub(super) fn acquire_connection_slot(&self) -> bool {
+        let open = self.open_connections.fetch_add(1, Ordering::SeqCst);
+        if open >= self.settings.max_connections {
+            self.release_connection_slot();
             self.reset.fetch_add(1, Ordering::SeqCst);
             return false;
         }
@@ -118,13 +119,14 @@
         true
     }
 
-    pub(super) fn left(&self) {
-        self.open.fetch_sub(1, Ordering::SeqCst);
+    /// Releases the slot of a connection that has ended.
+    pub(super) fn release_connection_slot(&self) {
+        self.open_connections.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// A stamp that no other response has.
-    pub(super) fn stamp(&self) -> String {
-        let number = self.answers.fetch_add(1, Ordering::SeqCst);
+    /// A new stamp, different from those of all other responses.
+    pub(super) fn next_stamp(&self) -> String {
+        let number = self.stamps.fetch_add(1, Ordering::SeqCst);
         format!(
             "{}.{number:x}",
             self.identity.instance.trim_start_matches("i-")
--- a/crates/testing/emulator/src/server/listener.rs
+++ b/crates/testing/emulator/src/server/listener.rs
@@ -7,14 +7,14 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// The task of a running server; dropping this stops it and closes its connections.
+/// The task that accepts a server's connections; dropping this stops the task and closes the connections.
 #[derive(Debug)]
 pub struct ListenerTask {
     task: JoinHandle<()>,
 }
 
 impl ListenerTask {
-    /// Serves the connections of `listener` by `work`.
+    /// Accepts the connections of `listener` and passes admitted requests to `work`.
     pub fn start<W: Work>(
         listener: TcpListener,
         handle: Arc<ServerHandle>,
--- a/crates/testing/emulator/src/server/mod.rs
+++ b/crates/testing/emulator/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! What plain servers and model servers have in common: connections, checks before a request is admitted, faults
-//! that a test injects, and the record of the requests.
+//! Common parts of plain servers and model servers: connections, checks before a request is admitted, injected faults
+//! and the record of requests.
 
 mod connection;
 mod fault;
--- a/crates/testing/emulator/src/server/reply.rs
+++ b/crates/testing/emulator/src/server/reply.rs
@@ -1,4 +1,4 @@
-//! The response to one request, altered where the test injected a fault.
+//! Writes the response to one request and injects the fault that the test ordered for it.
 
 use super::fault::ServerFault;
 use super::handle::ServerHandle;
@@ -12,32 +12,35 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
-/// What [`ServerFault::SendGarbage`] sends in place of a response.
+/// The bytes that [`ServerFault::SendGarbage`] sends in place of a response.
 const GARBAGE: &[u8] = b"\x00\x07 no answer at all \xff\xfe\r\n\r\n";
 
 /// Progress of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Nothing,
+    /// Nothing has been sent.
+    NotStarted,
+    /// The head of a stream has been sent.
     Streaming,
-    /// Complete; the connection may take another request.
+    /// The complete response has been sent; the connection may serve another request.
     Complete,
-    /// Altered by a fault or not written: the connection ends.
+    /// A fault has cut the response short, or a write has failed: the connection has to be closed.
     Ended,
 }
 
-/// Writes the answer to one request.
+/// Writes the response to one request.
 pub struct Reply {
     handle: Arc<ServerHandle>,
     write: OwnedWriteHalf,
     request: RequestId,
+    /// Number of the request's observation in the record.
     observation: usize,
     stamp: String,
     fault: Option<ServerFault>,
     state: State,
     sent_digest: Digester,
     sent_bytes: usize,
-    /// The response once more, to be sent before the next one.
+    /// A copy of the response, to be sent before the connection's next one because of [`ServerFault::LateSurplus`].
     surplus: Option<Bytes>,
 }
 
@@ -48,8 +51,8 @@
         request: RequestId,
         observation: usize,
     ) -> Reply {
-        let stamp = handle.stamp();
-        let fault = handle.faults.draw();
+        let stamp = handle.next_stamp();
+        let fault = handle.faults.next_fault();
         Reply {
             handle,
             write,
@@ -57,7 +60,7 @@
             observation,
             stamp,
             fault,
-            state: State::Nothing,
+            state: State::NotStarted,
             sent_digest: Digester::default(),
             sent_bytes: 0,
             surplus: None,
@@ -72,57 +75,57 @@
         self.surplus.take()
     }
 
-    /// Whether the connection can take another request.
-    pub(super) fn keeps(&self) -> bool {
+    /// Whether the connection may serve another request.
+    pub(super) fn keeps_connection(&self) -> bool {
         self.state == State::Complete
             && self.fault != Some(ServerFault::Close)
             && !self.handle.leaving()
     }
 
-    /// The status with which a fault rejects the request, if it does.
-    pub fn ordered_rejection(&self) -> Option<u16> {
+    /// The status with which an injected [`ServerFault::Reject`] rejects the request.
+    pub fn injected_rejection(&self) -> Option<u16> {
         match self.fault {
             Some(ServerFault::Reject { status }) => Some(status),
             _ => None,
         }
     }
 
-    /// Records that the request runs.
-    pub fn run(&mut self) {
+    /// Records that the server has begun to run the request.
+    pub fn mark_running(&mut self) {
         self.update_observation(|observation| observation.fate = Fate::Run);
     }
 
-    /// Rejects the request: the response says that it did not run.
+    /// Rejects the request with a response that states that it did not run.
     pub async fn reject(&mut self, status: u16) {
         self.update_observation(|observation| observation.fate = Fate::Rejected);
         let headers = self.headers().with(name::NOT_EXECUTED, "1");
         self.send_complete(status, headers, Bytes::new()).await;
     }
 
-    /// Responds to a request that ran.
+    /// Responds to a request that has run.
     pub async fn answer(&mut self, status: u16, body: Bytes) {
-        if self.faulted_before_answer().await {
+        if self.inject_response_fault().await {
             return;
         }
         match self.fault {
             Some(ServerFault::TruncateBody { after }) => {
                 self.send_truncated(status, &body, after).await
             }
-            _ => self.stamped(status, body).await,
+            _ => self.send_stamped(status, body).await,
         }
     }
 
-    /// Begins a stream; false where a fault has ended the response.
+    /// Sends the head of a stream; false where a fault or a failed write has ended the response.
     pub async fn begin_stream(&mut self) -> bool {
-        if self.faulted_before_answer().await {
+        if self.inject_response_fault().await {
             return false;
         }
-        self.stream_head().await;
+        self.send_stream_head().await;
         self.state == State::Streaming
     }
 
-    /// Sends one event; false where the response has ended.
-    pub async fn event(&mut self, event: &Event) -> bool {
+    /// Sends one event of the stream; false where a fault or a failed write has ended the response.
+    pub async fn send_event(&mut self, event: &Event) -> bool {
         let mut bytes = event.bytes();
         let truncated = match self.fault {
             Some(ServerFault::TruncateBody { after }) if self.sent_bytes + bytes.len() > after => {
@@ -159,12 +162,12 @@
         self.complete_if_written(State::Streaming);
     }
 
-    /// Ends the connection inside the response.
+    /// Marks the response as cut short by a fault, so that the connection is closed.
     pub fn break_off(&mut self) {
         self.end_with_fault();
     }
 
-    async fn stream_head(&mut self) {
+    async fn send_stream_head(&mut self) {
         let headers = self
             .stamped_headers()
             .with(name::CONTENT_TYPE, "text/event-stream")
@@ -178,11 +181,11 @@
         self.write(&response_head(200, &headers)).await;
     }
 
-    /// Applies faults that replace the response; true if one did.
-    async fn faulted_before_answer(&mut self) -> bool {
+    /// Injects a fault that replaces the whole response; true where there is one.
+    async fn inject_response_fault(&mut self) -> bool {
         match self.fault {
-            Some(ServerFault::Fail) => self.stamped(500, Bytes::new()).await,
-            Some(ServerFault::Unavailable) => self.stamped(503, Bytes::new()).await,
+            Some(ServerFault::Fail) => self.send_stamped(500, Bytes::new()).await,
+            Some(ServerFault::Unavailable) => self.send_stamped(503, Bytes::new()).await,
             Some(ServerFault::AnswerLost) => self.end_with_fault(),
             Some(ServerFault::NeverAnswer) => {
                 self.update_observation(|observation| observation.faulted = true);
@@ -197,7 +200,7 @@
         true
     }
 
-    async fn stamped(&mut self, status: u16, body: Bytes) {
+    async fn send_stamped(&mut self, status: u16, body: Bytes) {
         let headers = self.stamped_headers();
         let stamp = self.stamp.clone();
         self.update_observation(|observation| observation.stamp = Some(stamp));
@@ -229,16 +232,16 @@
             observation.status = Some(status);
             observation.sent_digest = Some(digest);
         });
-        let twice = self.fault == Some(ServerFault::Surplus);
+        let send_twice = self.fault == Some(ServerFault::Surplus);
         let bytes = Bytes::from(bytes);
         if self.fault == Some(ServerFault::LateSurplus) {
             self.surplus = Some(bytes.clone());
         }
         self.write(&bytes).await;
-        if twice {
+        if send_twice {
             self.write(&bytes).await;
         }
-        self.complete_if_written(State::Nothing);
+        self.complete_if_written(State::NotStarted);
     }
 
     fn headers(&self) -> Headers {
@@ -262,9 +265,9 @@
         }
     }
 
-    /// The response is complete if no write since `before` has failed.
-    fn complete_if_written(&mut self, before: State) {
-        if self.state == before {
+    /// Marks the response as complete, unless a failed write has changed the state from `expected`.
+    fn complete_if_written(&mut self, expected: State) {
+        if self.state == expected {
             self.state = State::Complete;
             let now = self.handle.context.clock.now_us();
             self.update_observation(|observation| {
--- a/crates/testing/emulator/src/server/work.rs
+++ b/crates/testing/emulator/src/server/work.rs
@@ -1,4 +1,4 @@
-//! What kinds of servers do with requests that were admitted.
+//! The interface through which a kind of server runs admitted requests.
 
 use super::reply::Reply;
 use crate::identity::RequestId;
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use std::future::Future;
 
-/// A request that has passed the checks and may run.
+/// A request that has passed the server's checks and may run.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     /// Request line and headers.
@@ -15,16 +15,17 @@
     pub body: Bytes,
     /// Id of the attempt.
     pub request: RequestId,
-    /// Time that is left to the request, in milliseconds.
+    /// Remaining time of the request on arrival, in milliseconds.
     pub deadline_ms: Option<u64>,
 }
 
-/// What a kind of server does with a request.
+/// How a kind of server runs its requests.
 pub trait Work: Send + Sync + 'static {
     /// Runs the request and responds, or rejects it. The future is dropped when the caller disconnects.
-    fn work(&self, arrived: ReceivedRequest, reply: &mut Reply) -> impl Future<Output = ()> + Send;
+    fn work(&self, received: ReceivedRequest, reply: &mut Reply)
+        -> impl Future<Output = ()> + Send;
 
-    /// The body of `GET /api/report`, where the server has one.
+    /// The body of the response to `GET /api/report`; `None` where the server has no report.
     fn report(&self) -> Option<String> {
         None
     }
