--- a/crates/testing/emulator/src/judge/answers.rs
+++ b/crates/testing/emulator/src/judge/answers.rs
@@ -1,12 +1,12 @@
-//! MIXED: a response that is not the server's, or not this request's.
+//! MIXED: a client received a response that no server sent to this request.
 
+use super::indexed_record::IndexedRecord;
 use super::rule::{Rule, Violation};
-use super::view::View;
 use crate::record::{Answered, AttemptOutcome, AttemptRecord, Observation};
 
-pub(super) fn judge(view: &View, violations: &mut Vec<Violation>) {
-    for attempt in &view.attempts {
-        if let Some(problem) = problem(view, attempt) {
+pub(super) fn judge(record: &IndexedRecord, violations: &mut Vec<Violation>) {
+    for attempt in &record.attempts {
+        if let Some(problem) = problem(record, attempt) {
             let detail = format!("{} {}: {problem}", attempt.request, attempt.target);
             violations.push(Violation {
                 rule: Rule::Mixed,
@@ -16,66 +16,78 @@
     }
 }
 
-fn problem(view: &View, attempt: &AttemptRecord) -> Option<String> {
+/// The problem with the response to an attempt, if any.
+fn problem(record: &IndexedRecord, attempt: &AttemptRecord) -> Option<String> {
     if let AttemptOutcome::Garbled(reason) = &attempt.outcome {
-        return Some(format!("bytes that are no answer: {reason}"));
+        return Some(format!("the response is not valid HTTP: {reason}"));
     }
     let answered = attempt.answered()?;
     if answered.surplus > 0 {
-        return Some(format!("{} bytes behind the answer", answered.surplus));
+        return Some(format!(
+            "{} surplus bytes after the response",
+            answered.surplus
+        ));
     }
     if answered
         .request
         .is_some_and(|request| request != attempt.request)
     {
-        return Some("the answer to another request".to_owned());
+        return Some("the response names another request".to_owned());
     }
-    let source = source(view, attempt, answered);
+    let observation = observation_with_stamp(record, attempt, answered);
     if (200..300).contains(&answered.status) {
-        return success(answered, source);
+        return problem_with_success(answered, observation);
     }
-    match (&answered.stamp, source) {
-        (Some(_), None) => Some("a stamp that no server gave to this request".to_owned()),
-        (Some(_), Some(source)) if source.status != Some(answered.status) => Some(format!(
-            "a failure {} under the stamp of {:?}",
-            answered.status, source.status
-        )),
+    match (&answered.stamp, observation) {
+        (Some(_), None) => {
+            Some("the response has a stamp that no server issued for this request".to_owned())
+        }
+        (Some(_), Some(observation)) if observation.status != Some(answered.status) => {
+            Some(format!(
+                "the response has status {}, the server sent {:?} with the same stamp",
+                answered.status, observation.status
+            ))
+        }
         _ => None,
     }
 }
 
-/// What is wrong with a success.
-fn success(answered: &Answered, source: Option<&Observation>) -> Option<String> {
+/// The problem with a successful response, if any.
+fn problem_with_success(answered: &Answered, observation: Option<&Observation>) -> Option<String> {
     if answered.stamp.is_none() {
-        return Some("a success without a stamp".to_owned());
+        return Some("a successful response without a stamp".to_owned());
     }
-    let Some(source) = source else {
-        return Some("a success that no server gave to this request".to_owned());
+    let Some(observation) = observation else {
+        return Some(
+            "a successful response whose stamp no server issued for this request".to_owned(),
+        );
     };
-    if source.status != Some(answered.status) {
+    if observation.status != Some(answered.status) {
         return Some(format!(
-            "a success where the server answered {:?}",
-            source.status
+            "a successful response where the server sent status {:?}",
+            observation.status
         ));
     }
-    if !source.complete {
-        return Some("complete, though the server's response was not".to_owned());
+    if !observation.complete {
+        return Some("a complete response, though the server did not complete it".to_owned());
     }
-    if answered.encoding.is_some() || source.sent_digest != Some(answered.digest) {
+    if answered.encoding.is_some() || observation.sent_digest != Some(answered.digest) {
         return Some(format!(
-            "a body of {:?}, the server sent {:?}",
-            answered.digest, source.sent_digest
+            "the response's body has {:?}, the server sent {:?}",
+            answered.digest, observation.sent_digest
         ));
     }
     None
 }
 
-fn source<'a>(
-    view: &'a View,
+/// The observation whose response had the stamp that the client received.
+fn observation_with_stamp<'a>(
+    record: &'a IndexedRecord,
     attempt: &AttemptRecord,
     answered: &Answered,
 ) -> Option<&'a Observation> {
     let stamp = answered.stamp.as_ref()?;
-    view.observations_of(attempt.request)
+    record
+        .observations_of(attempt.request)
         .find(|observation| observation.stamp.as_ref() == Some(stamp))
 }
--- a/crates/testing/emulator/src/judge/denied.rs
+++ b/crates/testing/emulator/src/judge/denied.rs
@@ -1,27 +1,27 @@
-//! DENIED: too many proper requests end with a 3xx or 4xx of the system's own.
+//! DENIED: the system itself answers too many valid requests with a 3xx or 4xx status.
 
+use super::indexed_record::IndexedRecord;
 use super::rule::{Rule, Violation};
-use super::view::View;
 
-/// Requests that may end with a 4xx of the system's own, though they are proper: so many, and one in so many more.
-const DENIED_FREE: usize = 5;
-const DENIED_ONE_IN: usize = 500;
+/// Number of valid requests that may be denied, however few requests there are.
+const ALLOWED_DENIALS: usize = 5;
+/// One more request may be denied for each this many attempts.
+const ATTEMPTS_PER_ALLOWED_DENIAL: usize = 500;
 
-/// Proper requests that ended with a 3xx or 4xx of the system's own.
-pub(super) fn judge(view: &View, violations: &mut Vec<Violation>) {
-    let denied = view.attempts.iter().filter(|attempt| {
+pub(super) fn judge(record: &IndexedRecord, violations: &mut Vec<Violation>) {
+    let denied = record.attempts.iter().filter(|attempt| {
         let Some(answered) = attempt.answered() else {
             return false;
         };
-        let own = answered.stamp.is_none() && !answered.not_executed;
-        let owed = !matches!(answered.status, 402 | 404 | 408 | 421 | 429);
-        own && owed && (300..500).contains(&answered.status)
+        let by_system = answered.stamp.is_none() && !answered.not_executed;
+        let unexpected = !matches!(answered.status, 402 | 404 | 408 | 421 | 429);
+        by_system && unexpected && (300..500).contains(&answered.status)
     });
     let count = denied.count();
-    if count > DENIED_FREE + view.attempts.len() / DENIED_ONE_IN {
+    if count > ALLOWED_DENIALS + record.attempts.len() / ATTEMPTS_PER_ALLOWED_DENIAL {
         let detail = format!(
-            "{count} proper requests of {} were denied",
-            view.attempts.len()
+            "the system denied {count} valid requests of {}",
+            record.attempts.len()
         );
         violations.push(Violation {
             rule: Rule::Denied,
--- a/crates/testing/emulator/src/judge/view.rs
+++ b/crates/testing/emulator/src/judge/indexed_record.rs
@@ -1,4 +1,4 @@
-//! The record, ordered for the judge.
+//! The record of a test, indexed by request.
 
 use crate::identity::RequestId;
 use crate::record::{
@@ -6,7 +6,8 @@
 };
 use std::collections::HashMap;
 
-pub(super) struct View {
+/// Copy of a record's entries, with the observations and the attempt of each request.
+pub(super) struct IndexedRecord {
     pub observations: Vec<Observation>,
     pub attempts: Vec<AttemptRecord>,
     pub acknowledgements: Vec<Acknowledgement>,
@@ -14,8 +15,8 @@
     attempts_by_request: HashMap<RequestId, usize>,
 }
 
-impl View {
-    pub fn of(record: &Record) -> View {
+impl IndexedRecord {
+    pub fn of(record: &Record) -> IndexedRecord {
         let observations = record.observations();
         let attempts = record.attempts();
         let mut observations_by_request: HashMap<RequestId, Vec<usize>> = HashMap::new();
@@ -32,7 +33,7 @@
             .enumerate()
             .map(|(index, attempt)| (attempt.request, index))
             .collect();
-        View {
+        IndexedRecord {
             observations,
             attempts,
             acknowledgements: record.acknowledgements(),
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Observations of an attempt.
+    /// All observations of the attempt with this id.
     pub fn observations_of(&self, request: RequestId) -> impl Iterator<Item = &Observation> {
         let indices = self
             .observations_by_request
@@ -51,12 +52,13 @@
         indices.iter().map(|index| &self.observations[*index])
     }
 
-    /// Runs of an attempt.
+    /// Observations of servers that ran the attempt with this id.
     pub fn runs_of(&self, request: RequestId) -> impl Iterator<Item = &Observation> {
         self.observations_of(request)
             .filter(|observation| observation.fate == Fate::Run)
     }
 
+    /// The client's attempt with this id.
     pub fn attempt_of(&self, request: RequestId) -> Option<&AttemptRecord> {
         self.attempts_by_request
             .get(&request)
@@ -65,7 +67,7 @@
 }
 
 impl AttemptRecord {
-    /// The complete response, if one came.
+    /// The attempt's response, if it is complete.
     pub(super) fn answered(&self) -> Option<&Answered> {
         match &self.outcome {
             AttemptOutcome::Answered(answered) => Some(answered),
@@ -73,7 +75,7 @@
         }
     }
 
-    /// The response, complete or not.
+    /// The attempt's response, complete or cut short.
     pub(super) fn received(&self) -> Option<&Answered> {
         match &self.outcome {
             AttemptOutcome::Answered(answered) | AttemptOutcome::BrokenOff(answered) => {
--- a/crates/testing/emulator/src/judge/mod.rs
+++ b/crates/testing/emulator/src/judge/mod.rs
@@ -1,36 +1,36 @@
-//! Checks of the record against the rules of the protocol. Independent of the program under test: the judge
-//! knows only the record.
+//! Checks a test's record against the rules of the protocol. The checks use nothing but the record, so that they are
+//! independent of the program under test.
 
 mod answers;
 mod config;
 mod denied;
 mod drain;
+mod indexed_record;
 mod planned;
 mod programs;
 mod rule;
 mod runs;
 mod settings;
 mod streams;
-mod view;
 
 pub use rule::{Rule, Violation};
 pub use settings::{JudgeSettings, Span, CONFIG_APPLY_MS, DRAIN_MS};
 
 use crate::record::Record;
-use view::View;
+use indexed_record::IndexedRecord;
 
-/// All that is broken in the record.
+/// Returns all violations of the rules in `record`.
 #[must_use]
 pub fn judge(record: &Record, settings: &JudgeSettings) -> Vec<Violation> {
-    let view = View::of(record);
+    let indexed_record = IndexedRecord::of(record);
     let mut violations = Vec::new();
-    answers::judge(&view, &mut violations);
-    streams::judge(&view, &mut violations);
-    runs::judge(&view, settings, &mut violations);
-    programs::judge(&view, settings, &mut violations);
-    drain::judge(&view, settings, &mut violations);
-    config::judge(&view, settings, &mut violations);
-    planned::judge(&view, settings, &mut violations);
-    denied::judge(&view, &mut violations);
+    answers::judge(&indexed_record, &mut violations);
+    streams::judge(&indexed_record, &mut violations);
+    runs::judge(&indexed_record, settings, &mut violations);
+    programs::judge(&indexed_record, settings, &mut violations);
+    drain::judge(&indexed_record, settings, &mut violations);
+    config::judge(&indexed_record, settings, &mut violations);
+    planned::judge(&indexed_record, settings, &mut violations);
+    denied::judge(&indexed_record, &mut violations);
     violations
 }
--- a/crates/testing/emulator/src/judge/programs.rs
+++ b/crates/testing/emulator/src/judge/programs.rs
@@ -1,33 +1,37 @@
-//! Agent programs: the BUDGET of tokens, and turns LOST.
+//! Agent programs: the BUDGET of tokens, LOST turns, and turns that continue an unknown turn (UNASKED).
 
+use super::indexed_record::IndexedRecord;
 use super::rule::{Rule, Violation};
 use super::settings::JudgeSettings;
-use super::view::View;
 use crate::record::AttemptRecord;
 use std::collections::HashMap;
 
-/// Statuses for a turn that is not found.
-const NO_SUCH_TURN: [u16; 2] = [404, 410];
+/// Statuses that report that the previous turn does not exist.
+const TURN_NOT_FOUND: [u16; 2] = [404, 410];
 
-/// Tokens that a program received, and its limits.
-#[derive(Clone, Copy, Debug, Default)]
+/// Tokens that a program received, its budget and the longest of its turns, all in tokens.
+#[derive(Default)]
 struct ReceivedTokens {
     tokens: u64,
     budget: u64,
     max_tokens: u64,
 }
 
-pub(super) fn judge(view: &View, settings: &JudgeSettings, violations: &mut Vec<Violation>) {
-    budgets(view, violations);
-    for attempt in &view.attempts {
-        if let Some(problem) = lost(view, settings, attempt) {
+pub(super) fn judge(
+    record: &IndexedRecord,
+    settings: &JudgeSettings,
+    violations: &mut Vec<Violation>,
+) {
+    check_budgets(record, violations);
+    for attempt in &record.attempts {
+        if let Some(problem) = lost_previous_turn(record, settings, attempt) {
             let detail = format!("{} {}: {problem}", attempt.request, attempt.target);
             violations.push(Violation {
                 rule: Rule::Lost,
                 detail,
             });
         }
-        if let Some(problem) = invented(view, attempt) {
+        if let Some(problem) = unknown_previous_turn(record, attempt) {
             let detail = format!("{} {}: {problem}", attempt.request, attempt.target);
             violations.push(Violation {
                 rule: Rule::Unasked,
@@ -37,9 +41,9 @@
     }
 }
 
-fn budgets(view: &View, violations: &mut Vec<Violation>) {
+fn check_budgets(record: &IndexedRecord, violations: &mut Vec<Violation>) {
     let mut programs: HashMap<&str, ReceivedTokens> = HashMap::new();
-    for attempt in &view.attempts {
+    for attempt in &record.attempts {
         let Some(program) = &attempt.program else {
             continue;
         };
@@ -57,7 +61,10 @@
     }
     for (program, received) in programs {
         if received.tokens > received.budget + received.max_tokens {
-            let detail = format!("program {program} received {received:?}");
+            let detail = format!(
+                "program {program} received {} tokens of a budget of {}, with at most {} tokens a turn",
+                received.tokens, received.budget, received.max_tokens
+            );
             violations.push(Violation {
                 rule: Rule::Budget,
                 detail,
@@ -66,13 +73,17 @@
     }
 }
 
-/// Whether the previous turn was completed and is still to be retained, and yet is not found.
-fn lost(view: &View, settings: &JudgeSettings, attempt: &AttemptRecord) -> Option<String> {
+/// The problem where the previous turn was completed and has to be retained still, but is reported as not found.
+fn lost_previous_turn(
+    record: &IndexedRecord,
+    settings: &JudgeSettings,
+    attempt: &AttemptRecord,
+) -> Option<String> {
     let answered = attempt.answered()?;
-    if !NO_SUCH_TURN.contains(&answered.status) {
+    if !TURN_NOT_FOUND.contains(&answered.status) {
         return None;
     }
-    let previous = view.attempt_of(attempt.program.as_ref()?.previous?)?;
+    let previous = record.attempt_of(attempt.program.as_ref()?.previous?)?;
     if previous
         .answered()
         .is_none_or(|answered| answered.status != 200)
@@ -85,14 +96,18 @@
         .map(|route| route.retention_s)
         .fold(0.0, f64::max);
     let age_ms = attempt.ended_ms.saturating_sub(previous.ended_ms);
-    ((age_ms as f64) < retention_s * 1_000.0)
-        .then(|| format!("{} was answered {age_ms} ms before", previous.request))
+    ((age_ms as f64) < retention_s * 1_000.0).then(|| {
+        format!(
+            "its previous turn {} was completed {age_ms} ms before and is not found",
+            previous.request
+        )
+    })
 }
 
-/// A turn that ran although its previous one does not exist.
-fn invented(view: &View, attempt: &AttemptRecord) -> Option<String> {
+/// The problem where a turn ran although its previous turn does not exist.
+fn unknown_previous_turn(record: &IndexedRecord, attempt: &AttemptRecord) -> Option<String> {
     let previous = attempt.program.as_ref()?.previous?;
-    let known = view.attempt_of(previous).is_some();
-    let ran = view.runs_of(attempt.request).next().is_some();
-    (ran && !known).then(|| format!("it ran, though there is no turn {previous}"))
+    let known = record.attempt_of(previous).is_some();
+    let ran = record.runs_of(attempt.request).next().is_some();
+    (ran && !known).then(|| format!("it ran, though its previous turn {previous} does not exist"))
 }
--- a/crates/testing/emulator/src/judge/rule.rs
+++ b/crates/testing/emulator/src/judge/rule.rs
@@ -1,40 +1,40 @@
-//! The rules of the protocol, by name.
+//! Names of the protocol's rules, and violations of them.
 
 use std::fmt;
 
-/// A rule, by its name.
+/// A rule of the protocol; each variant describes what breaks the rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// A response that is not the server's, or belongs to another request.
+    /// A client received a response that no server sent to this request.
     Mixed,
-    /// A server ran what no client sent.
+    /// A server ran a request that no client sent.
     Unasked,
-    /// A request that must not be repeated ran twice.
+    /// A request that may run only once ran twice.
     Twice,
-    /// A request was rejected as not run, and ran.
+    /// A request that the system rejected as not run has run.
     Refused,
-    /// Proper requests were denied.
+    /// The system denied too many valid requests.
     Denied,
-    /// More tokens or attempts than the budget allows.
+    /// A program received more tokens, or requests ran on more servers, than allowed.
     Budget,
-    /// A request ran at a service that its route does not lead to.
+    /// A request ran at a service that is not a backend of its route.
     Route,
-    /// A request reached a server long after its draining was acknowledged.
+    /// A request reached a server too long after the server's draining was acknowledged.
     Drain,
-    /// A request was handled by a superseded configuration.
+    /// A request was handled in a way that only a superseded configuration allows.
     Config,
-    /// Something acknowledged is missing, or a request was closed by planned work.
+    /// Acknowledged data is missing, or planned work closed a request's connection.
     Lost,
-    /// A stream with events missing, repeated or mixed.
+    /// A stream misses an event, repeats one, or mixes events of two runs.
     Order,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The broken rule.
     pub rule: Rule,
-    /// What was seen, with the ids of requests and servers.
+    /// What was observed, with the ids of requests and servers.
     pub detail: String,
 }
 
--- a/crates/testing/emulator/src/judge/runs.rs
+++ b/crates/testing/emulator/src/judge/runs.rs
@@ -1,21 +1,25 @@
-//! What ran at servers: UNASKED, TWICE, REFUSED, ROUTE and the BUDGET of servers for an attempt.
+//! Requests that ran at servers: UNASKED, TWICE, REFUSED, ROUTE, and the BUDGET of servers for one attempt.
 
+use super::indexed_record::IndexedRecord;
 use super::rule::{Rule, Violation};
 use super::settings::JudgeSettings;
-use super::view::View;
 use crate::record::{AttemptRecord, Fate, Observation};
 use std::collections::{HashMap, HashSet};
 
-/// Attempts that may run on more servers than their route allows.
-const ATTEMPTS_OVER_RETRIES: usize = 3;
+/// Number of attempts that may run on more servers than their route allows.
+const ALLOWED_ATTEMPTS_OVER_RETRIES: usize = 3;
 
-pub(super) fn judge(view: &View, settings: &JudgeSettings, violations: &mut Vec<Violation>) {
-    for observation in view
+pub(super) fn judge(
+    record: &IndexedRecord,
+    settings: &JudgeSettings,
+    violations: &mut Vec<Violation>,
+) {
+    for observation in record
         .observations
         .iter()
         .filter(|observation| observation.fate == Fate::Run)
     {
-        if let Some(problem) = unasked(view, observation) {
+        if let Some(problem) = unasked(record, observation) {
             let detail = format!(
                 "{:?} at {}: {problem}",
                 observation.request, observation.instance
@@ -25,7 +29,7 @@
                 detail,
             });
         }
-        if let Some(problem) = misrouted(view, settings, observation) {
+        if let Some(problem) = misrouted(record, settings, observation) {
             let detail = format!(
                 "{:?} at {}: {problem}",
                 observation.request, observation.instance
@@ -36,8 +40,8 @@
             });
         }
     }
-    for attempt in &view.attempts {
-        let runs = view.runs_of(attempt.request).count();
+    for attempt in &record.attempts {
+        let runs = record.runs_of(attempt.request).count();
         if runs > 1 && !attempt.idempotent {
             let detail = format!("{} {} ran {runs} times", attempt.request, attempt.target);
             violations.push(Violation {
@@ -46,41 +50,50 @@
             });
         }
         if runs > 0 && ran_despite_rejection(attempt) {
-            let detail = format!("{} {} was refused and ran", attempt.request, attempt.target);
+            let detail = format!(
+                "{} {} was rejected as not run, but ran",
+                attempt.request, attempt.target
+            );
             violations.push(Violation {
                 rule: Rule::Refused,
                 detail,
             });
         }
     }
-    operation_ran_twice(view, violations);
-    exceeded_retries(view, settings, violations);
+    check_operations_run_once(record, violations);
+    check_retries(record, settings, violations);
 }
 
-fn unasked(view: &View, observation: &Observation) -> Option<String> {
+/// The problem where no client sent the request as the server received it.
+fn unasked(record: &IndexedRecord, observation: &Observation) -> Option<String> {
     let Some(request) = observation.request else {
-        return Some("no id".to_owned());
+        return Some("the request has no id".to_owned());
     };
-    let Some(attempt) = view.attempt_of(request) else {
-        return Some("no client sent it".to_owned());
+    let Some(attempt) = record.attempt_of(request) else {
+        return Some("no client sent this request".to_owned());
     };
     if observation.method != attempt.method || observation.target != attempt.target {
         return Some(format!(
-            "{} {} became {} {}",
+            "the client sent {} {}, the server received {} {}",
             attempt.method, attempt.target, observation.method, observation.target
         ));
     }
     let expected = attempt.expected?;
     (observation.digest != expected).then(|| {
         format!(
-            "a body of {:?} where {:?} was to be",
+            "the server received a body of {:?} instead of {:?}",
             observation.digest, expected
         )
     })
 }
 
-fn misrouted(view: &View, settings: &JudgeSettings, observation: &Observation) -> Option<String> {
-    let attempt = view.attempt_of(observation.request?)?;
+/// The problem where no version of the configuration routes the request to the service that ran it.
+fn misrouted(
+    record: &IndexedRecord,
+    settings: &JudgeSettings,
+    observation: &Observation,
+) -> Option<String> {
+    let attempt = record.attempt_of(observation.request?)?;
     let allowed = settings
         .routes_for(&attempt.host, &attempt.target)
         .flat_map(|route| route.backends.iter())
@@ -93,7 +106,7 @@
     })
 }
 
-/// Whether the system itself responded that the request has not run.
+/// Whether the system itself rejected an attempt as not run, with a status and no server's stamp.
 fn ran_despite_rejection(attempt: &AttemptRecord) -> bool {
     let Some(answered) = attempt.answered() else {
         return false;
@@ -102,22 +115,25 @@
     promises_no_run && answered.stamp.is_none() && !attempt.idempotent
 }
 
-/// An operation that ran in two attempts, though it is not idempotent.
-fn operation_ran_twice(view: &View, violations: &mut Vec<Violation>) {
+/// Finds operations that ran in more than one attempt, though they are not idempotent.
+fn check_operations_run_once(record: &IndexedRecord, violations: &mut Vec<Violation>) {
     let mut ran: HashMap<u64, HashSet<usize>> = HashMap::new();
-    for attempt in view.attempts.iter().filter(|attempt| !attempt.idempotent) {
-        if view.runs_of(attempt.request).next().is_some() {
+    for attempt in record.attempts.iter().filter(|attempt| !attempt.idempotent) {
+        if record.runs_of(attempt.request).next().is_some() {
             ran.entry(attempt.operation)
                 .or_default()
                 .insert(attempt.number);
         }
     }
     for attempts in ran.values().filter(|attempts| attempts.len() > 1) {
-        let names: Vec<String> = attempts
+        let request_ids: Vec<String> = attempts
             .iter()
-            .map(|number| view.attempts[*number].request.to_string())
+            .map(|number| record.attempts[*number].request.to_string())
             .collect();
-        let detail = format!("one operation ran in the attempts {}", names.join(" and "));
+        let detail = format!(
+            "one operation ran in the attempts {}",
+            request_ids.join(" and ")
+        );
         violations.push(Violation {
             rule: Rule::Twice,
             detail,
@@ -125,13 +141,17 @@
     }
 }
 
-fn exceeded_retries(view: &View, settings: &JudgeSettings, violations: &mut Vec<Violation>) {
-    let over_limit: Vec<&AttemptRecord> = view
+fn check_retries(
+    record: &IndexedRecord,
+    settings: &JudgeSettings,
+    violations: &mut Vec<Violation>,
+) {
+    let over_limit: Vec<&AttemptRecord> = record
         .attempts
         .iter()
-        .filter(|attempt| exceeds_retries(view, settings, attempt))
+        .filter(|attempt| exceeds_retries(record, settings, attempt))
         .collect();
-    if over_limit.len() > ATTEMPTS_OVER_RETRIES {
+    if over_limit.len() > ALLOWED_ATTEMPTS_OVER_RETRIES {
         let detail = format!(
             "{} attempts ran on more servers than their route allows",
             over_limit.len()
@@ -143,12 +163,17 @@
     }
 }
 
-fn exceeds_retries(view: &View, settings: &JudgeSettings, attempt: &AttemptRecord) -> bool {
+/// Whether an attempt ran on more servers than its route allows.
+fn exceeds_retries(
+    record: &IndexedRecord,
+    settings: &JudgeSettings,
+    attempt: &AttemptRecord,
+) -> bool {
     let allowed = settings
         .routes_for(&attempt.host, &attempt.target)
         .map(|route| route.retries)
         .max();
-    let servers: HashSet<&str> = view
+    let servers: HashSet<&str> = record
         .runs_of(attempt.request)
         .map(|observation| observation.instance.as_str())
         .collect();
--- a/crates/testing/emulator/src/judge/settings.rs
+++ b/crates/testing/emulator/src/judge/settings.rs
@@ -1,25 +1,26 @@
-//! Configurations and time bounds by which the judge decides.
+//! Configurations and time bounds that the judge checks a record against.
 
 use crate::configuration::{ConfigurationPlan, RoutePlan};
 
-/// Time from the acknowledgement of draining to the last request, in milliseconds.
+/// Time after the acknowledgement of a server's draining within which requests may still arrive, in milliseconds.
 pub const DRAIN_MS: u64 = 2_000;
-/// Time within which an acknowledged configuration is in force, in milliseconds.
+/// Time after its acknowledgement within which a configuration must come into force, in milliseconds.
 pub const CONFIG_APPLY_MS: u64 = 2_000;
-/// Configurations and time bounds by which the judge decides.
+
+/// Configurations and time bounds that the judge checks a record against.
 #[derive(Clone, Debug)]
 pub struct JudgeSettings {
-    /// All configurations that were ever sent and may be in force.
+    /// All configurations that were sent during the test and may be in force.
     pub versions: Vec<ConfigurationPlan>,
-    /// Time from the acknowledgement of draining to the last request, in milliseconds.
+    /// Time after the acknowledgement of a server's draining within which requests may still arrive, in milliseconds.
     pub drain_ms: u64,
-    /// Time from the acknowledgement of a configuration to its effect, in milliseconds.
+    /// Time after its acknowledgement within which a configuration must come into force, in milliseconds.
     pub config_apply_ms: u64,
-    /// When machines had no contact because of unplanned faults: rules with a time bound are not checked then.
+    /// Periods in which machines had no contact because of unplanned faults; rules with a time bound are not checked then.
     pub disturbances: Vec<Span>,
 }
 
-/// A stretch of time, both ends included.
+/// A period of time, including both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
     /// Beginning, in milliseconds of the shared clock.
@@ -35,7 +36,7 @@
 }
 
 impl JudgeSettings {
-    /// Settings for these versions with the usual bounds and no disturbances.
+    /// Settings for `versions` with the default time bounds and no disturbances.
     #[must_use]
     pub fn of(versions: Vec<ConfigurationPlan>) -> JudgeSettings {
         JudgeSettings {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The routes that take a request, one of each version that has one.
+    /// The route of a request in each version that has one.
     pub(super) fn routes_for<'a>(
         &'a self,
         host: &'a str,
--- a/crates/testing/emulator/src/judge/streams.rs
+++ b/crates/testing/emulator/src/judge/streams.rs
@@ -1,15 +1,15 @@
-//! ORDER: a stream misses an event, repeats one, or mixes events of two runs.
+//! ORDER: a stream misses an event, repeats one, or mixes the events of two runs.
 
+use super::indexed_record::IndexedRecord;
 use super::rule::{Rule, Violation};
-use super::view::View;
 use crate::record::{Answered, AttemptRecord};
 
-pub(super) fn judge(view: &View, violations: &mut Vec<Violation>) {
-    for attempt in &view.attempts {
+pub(super) fn judge(record: &IndexedRecord, violations: &mut Vec<Violation>) {
+    for attempt in &record.attempts {
         let Some(received) = attempt.received() else {
             continue;
         };
-        if let Some(problem) = problem(view, attempt, received) {
+        if let Some(problem) = problem(record, attempt, received) {
             let detail = format!("{} {}: {problem}", attempt.request, attempt.target);
             violations.push(Violation {
                 rule: Rule::Order,
@@ -19,25 +19,26 @@
     }
 }
 
-fn problem(view: &View, attempt: &AttemptRecord, received: &Answered) -> Option<String> {
+/// The problem with the events that an attempt received, if any.
+fn problem(record: &IndexedRecord, attempt: &AttemptRecord, received: &Answered) -> Option<String> {
     if received.garbled_events > 0 {
-        return Some("a block that is no event".to_owned());
+        return Some("the stream contains a malformed event".to_owned());
     }
-    let rising = received
+    let increasing = received
         .events
         .windows(2)
         .all(|pair| pair[0].id < pair[1].id);
-    if !rising {
-        return Some("ids that do not rise".to_owned());
+    if !increasing {
+        return Some("the ids of the events do not increase".to_owned());
     }
     if received.events.is_empty() {
         return None;
     }
-    let mut runs = view
+    let mut runs = record
         .runs_of(attempt.request)
         .filter(|run| run.events.starts_with(&received.events));
     if runs.next().is_none() && !attempt.idempotent {
-        return Some("pieces that are not the beginning of one run".to_owned());
+        return Some("the events are not the beginning of any single run's events".to_owned());
     }
     None
 }
