--- a/crates/testing/emulator/src/system/error.rs
+++ b/crates/testing/emulator/src/system/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the platform that starts and stops processes.
+//! Errors of starting, signalling and observing processes.
 
 use std::io;
 use std::path::PathBuf;
@@ -8,44 +8,44 @@
 /// Why a system could not be started, changed or observed.
 #[derive(Debug, thiserror::Error)]
 pub enum SystemError {
-    /// Each block of loopback addresses is in use.
-    #[error("no free block of addresses on loopback")]
+    /// No block of loopback addresses could be reserved.
+    #[error("no free block of loopback addresses")]
     NoFreeBlock,
-    /// A block has no address left.
-    #[error("all addresses of the block are used")]
+    /// All addresses of a block have been given out.
+    #[error("all addresses of the system's block of loopback addresses are used")]
     BlockExhausted,
     /// A file or folder could not be created, written or removed.
-    #[error("{purpose}: {}", path.display())]
+    #[error("could not create, write or remove {purpose}: {}", path.display())]
     File {
         /// What the file or folder is for.
         purpose: &'static str,
-        /// Its path.
+        /// Path of the file or folder.
         path: PathBuf,
         /// The cause.
         source: io::Error,
     },
     /// The program could not be started.
-    #[error("{}", program.display())]
+    #[error("could not start the program {}", program.display())]
     Spawn {
         /// Path of the program.
         program: PathBuf,
         /// The cause.
         source: io::Error,
     },
-    /// A machine's process runs already.
-    #[error("{machine} runs already")]
+    /// A machine's process was to be started while it runs.
+    #[error("{machine}: its process is already running")]
     RunsAlready {
         /// Name of the machine.
         machine: String,
     },
-    /// A machine has no process.
-    #[error("no process runs on {machine}")]
+    /// A machine's process was needed, but none runs.
+    #[error("{machine}: no process is running")]
     NotRunning {
         /// Name of the machine.
         machine: String,
     },
     /// The command that sends signals could not be run.
-    #[error("kill -{signal} {process}")]
+    #[error("could not run kill -{signal} {process}")]
     SignalCommand {
         /// Name of the signal.
         signal: &'static str,
@@ -55,7 +55,7 @@
         source: io::Error,
     },
     /// A signal could not be sent.
-    #[error("kill -{signal} {process}: {status}")]
+    #[error("kill -{signal} {process} failed: {status}")]
     Signal {
         /// Name of the signal.
         signal: &'static str,
@@ -64,38 +64,38 @@
         /// Exit status of the command.
         status: ExitStatus,
     },
-    /// A process has not ended in time.
-    #[error("{machine} has not ended after {limit:?}")]
+    /// A process did not end in time.
+    #[error("{machine}: its process has not ended within {limit:?}")]
     StillRuns {
         /// Name of the machine.
         machine: String,
-        /// The time it had.
+        /// Time limit that has passed.
         limit: Duration,
     },
     /// A process ended before it was ready.
-    #[error("{machine} ended by itself: {status}\n{log}")]
+    #[error("{machine}: its process ended before it was ready: {status}\n{log}")]
     Ended {
         /// Name of the machine.
         machine: String,
         /// Exit status of the process.
         status: ExitStatus,
-        /// End of its log.
+        /// Last part of the process's log.
         log: String,
     },
     /// A process was not ready in time.
-    #[error("{machine} is not ready after {limit:?}\n{log}")]
+    #[error("{machine}: not ready within {limit:?}\n{log}")]
     NotReady {
         /// Name of the machine.
         machine: String,
-        /// The time it had.
+        /// Time limit that has passed.
         limit: Duration,
-        /// End of its log.
+        /// Last part of the process's log.
         log: String,
     },
 }
 
 impl SystemError {
-    /// Turns the failure of an operation on a file or folder into an error.
+    /// Returns a function that wraps the I/O error of an operation on the file or folder at `path`.
     pub(super) fn file(
         purpose: &'static str,
         path: impl Into<PathBuf>,
--- a/crates/testing/emulator/src/system/machine.rs
+++ b/crates/testing/emulator/src/system/machine.rs
@@ -9,29 +9,30 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Interval at which a process is polled for its end.
+/// Interval at which the end of a process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Bytes of a log that are shown when something fails.
-const LOG_TAIL: usize = 4_000;
-/// Processor time in /proc is counted in hundredths of a second.
+/// Number of bytes at the end of a log that errors show.
+const LOG_TAIL_BYTES: usize = 4_000;
+/// Unit of processor time in /proc: hundredths of a second.
 const TICK_MS: u64 = 10;
-/// Index of the user time behind the name in /proc/PID/stat.
+/// Index of the user time among the fields after the program's name in /proc/PID/stat.
 const USER_TIME_FIELD: usize = 11;
+/// Index of the system time among the same fields.
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// What a process has used so far.
+/// Resources that a process has used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Processor time, in milliseconds.
     pub processor_ms: u64,
     /// Peak resident memory, in kibibytes.
     pub peak_memory_kb: u64,
-    /// Times that a thread went to sleep and was woken.
+    /// Number of voluntary context switches: how often the main thread went to sleep and was woken.
     pub wake_ups: u64,
 }
 
 impl Usage {
-    /// The sum for two processes, one after the other.
+    /// The usage of two processes of a machine, of which `later` started after the first one ended.
     #[must_use]
     pub fn and(self, later: Usage) -> Usage {
         Usage {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// What was used since `earlier`.
+    /// The usage since `earlier`; the peak memory is that of the whole time.
     #[must_use]
     pub fn since(self, earlier: Usage) -> Usage {
         Usage {
@@ -52,7 +53,7 @@
     }
 }
 
-/// A machine whose process runs or not. The process ends with it.
+/// A machine, whether or not its process is running. Dropping this kills the process.
 #[derive(Debug)]
 pub struct Machine {
     plan: MachinePlan,
@@ -64,7 +65,7 @@
     starts: u32,
     /// Whether the present process has been sent SIGKILL.
     kill_sent: bool,
-    /// Of processes that have been killed.
+    /// Usage of earlier processes that were killed.
     used_before: Usage,
 }
 
@@ -105,25 +106,25 @@
         self.ip
     }
 
-    /// Role and zone.
+    /// The machine's role and zone.
     #[must_use]
     pub fn plan(&self) -> &MachinePlan {
         &self.plan
     }
 
-    /// The process's settings file.
+    /// Path of the process's settings file.
     #[must_use]
     pub fn settings_path(&self) -> PathBuf {
         self.folder.join("node.json")
     }
 
-    /// The folder that stands for the disk.
+    /// Path of the folder that serves as the machine's disk.
     #[must_use]
     pub fn data_folder(&self) -> PathBuf {
         self.folder.join("data")
     }
 
-    /// The program that the machine runs from its next start on.
+    /// Sets the program that the machine runs from its next start on.
     pub fn set_program(&mut self, program: PathBuf) {
         self.program = program;
     }
@@ -134,14 +135,14 @@
         self.child.is_some()
     }
 
-    /// How the process ended by itself, if it did.
+    /// The exit status of the process, if it has ended by itself since the last call.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok().flatten()?;
         self.child = None;
         Some(status)
     }
 
-    /// Sends SIGTERM: the process is to shut down gracefully.
+    /// Sends SIGTERM, on which the process shuts down gracefully.
     ///
     /// # Errors
     ///
@@ -150,7 +151,7 @@
         self.signal("TERM")
     }
 
-    /// Sends SIGHUP: the process is to read its settings again.
+    /// Sends SIGHUP, on which the process reads its settings again.
     ///
     /// # Errors
     ///
@@ -159,7 +160,7 @@
         self.signal("HUP")
     }
 
-    /// Freezes the process.
+    /// Freezes the process with SIGSTOP.
     ///
     /// # Errors
     ///
@@ -168,7 +169,7 @@
         self.signal("STOP")
     }
 
-    /// Wakes a frozen process.
+    /// Resumes a frozen process with SIGCONT.
     ///
     /// # Errors
     ///
@@ -185,13 +186,13 @@
         }
     }
 
-    /// Waits for the process to end by itself, `limit` at most.
+    /// Waits up to `limit` for the process to end by itself.
     ///
     /// # Errors
     ///
     /// Fails where no process runs or it has not ended within `limit`.
     pub async fn wait(&mut self, limit: Duration) -> Result<ExitStatus, SystemError> {
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         loop {
             if let Some(status) = self.ended() {
                 return Ok(status);
@@ -199,7 +200,7 @@
             if self.child.is_none() {
                 return Err(self.not_running());
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(SystemError::StillRuns {
                     machine: self.name.clone(),
                     limit,
@@ -209,28 +210,28 @@
         }
     }
 
-    /// What the machine's processes have used so far; of those that ended by themselves it is not known.
+    /// Resources used by the machine's processes so far; the usage of processes that ended by themselves is not known.
     #[must_use]
     pub fn usage(&self) -> Usage {
-        let present = self
+        let current = self
             .child
             .as_ref()
             .filter(|_| !self.kill_sent)
             .and_then(|child| usage_of(child.id()));
-        self.used_before.and(present.unwrap_or_default())
+        self.used_before.and(current.unwrap_or_default())
     }
 
-    /// How often a process was started here.
+    /// Number of times that a process was started on this machine.
     #[must_use]
     pub fn starts(&self) -> u32 {
         self.starts
     }
 
-    /// The end of the processes' log.
+    /// The last part of the log of the machine's processes.
     #[must_use]
     pub fn log_tail(&self) -> String {
         let bytes = std::fs::read(self.log_path()).unwrap_or_default();
-        let start = bytes.len().saturating_sub(LOG_TAIL);
+        let start = bytes.len().saturating_sub(LOG_TAIL_BYTES);
         String::from_utf8_lossy(&bytes[start..]).into_owned()
     }
 
@@ -282,16 +283,20 @@
         }
     }
 
-    /// Empties the disk of a machine that does not run.
+    /// Empties the disk of a machine whose process is not running.
     ///
     /// # Errors
     ///
     /// Fails where the folder could not be removed or created anew.
     pub fn wipe(&self) -> Result<(), SystemError> {
-        std::fs::remove_dir_all(self.data_folder())
-            .map_err(SystemError::file("wiping a disk", self.data_folder()))?;
-        std::fs::create_dir_all(self.data_folder())
-            .map_err(SystemError::file("an empty disk", self.data_folder()))
+        std::fs::remove_dir_all(self.data_folder()).map_err(SystemError::file(
+            "the contents of a data folder",
+            self.data_folder(),
+        ))?;
+        std::fs::create_dir_all(self.data_folder()).map_err(SystemError::file(
+            "an empty data folder",
+            self.data_folder(),
+        ))
     }
 
     fn log_path(&self) -> PathBuf {
@@ -338,7 +343,7 @@
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
     let ticks = |field: usize| fields.get(field).and_then(|text| text.parse::<u64>().ok());
     let processor_ms = (ticks(USER_TIME_FIELD)? + ticks(SYSTEM_TIME_FIELD)?) * TICK_MS;
-    let line = |name: &str| {
+    let number_after = |name: &str| {
         let value = status.lines().find_map(|line| line.strip_prefix(name))?;
         value
             .trim()
@@ -347,8 +352,8 @@
             .parse::<u64>()
             .ok()
     };
-    let peak_memory_kb = line("VmHWM:")?;
-    let wake_ups = line("voluntary_ctxt_switches:")?;
+    let peak_memory_kb = number_after("VmHWM:")?;
+    let wake_ups = number_after("voluntary_ctxt_switches:")?;
     Some(Usage {
         processor_ms,
         peak_memory_kb,
--- a/crates/testing/emulator/src/system/mod.rs
+++ b/crates/testing/emulator/src/system/mod.rs
@@ -1,4 +1,4 @@
-//! The platform: starts real processes, each machine under an address of its own on loopback, and ends them.
+//! The platform: starts and ends real processes, one for each machine; each machine has its own loopback address.
 
 mod addresses;
 mod error;
@@ -26,7 +26,7 @@
 /// Time-out of a readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A running system. Its processes and its folder end with it.
+/// A running system. Dropping this kills its processes and removes its folder.
 #[derive(Debug)]
 pub struct System {
     plan: SystemPlan,
@@ -38,7 +38,7 @@
 }
 
 impl System {
-    /// Starts all machines, as at the first start of the whole system.
+    /// Starts all machines with bootstrap settings, as at the first start of a system.
     ///
     /// # Errors
     ///
@@ -78,7 +78,7 @@
         Ok(index)
     }
 
-    /// Starts a machine that is not running, with the settings of this moment.
+    /// Starts a machine whose process is not running, with newly written settings.
     ///
     /// # Errors
     ///
@@ -88,7 +88,7 @@
         self.machines[index].start()
     }
 
-    /// Starts a machine that is not running with the settings of the first start of the whole system.
+    /// Starts a machine whose process is not running, with the bootstrap settings of a system's first start.
     ///
     /// # Errors
     ///
@@ -98,12 +98,12 @@
         self.machines[index].start()
     }
 
-    /// Sets the seeds for settings files that are written from now on.
+    /// Sets the seeds for all settings files written from now on.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Writes a machine's settings anew while its process runs.
+    /// Rewrites a machine's settings file while its process is running.
     ///
     /// # Errors
     ///
@@ -116,14 +116,14 @@
     ///
     /// # Errors
     ///
-    /// Fails where the disk could not be emptied or the process not be started.
+    /// Fails where the disk could not be emptied or the process could not be started.
     pub fn wipe(&mut self, index: usize) -> Result<(), SystemError> {
         self.machines[index].kill();
         self.machines[index].wipe()?;
         self.restart(index)
     }
 
-    /// Kills all processes at the same moment.
+    /// Kills all processes at once: no process is waited for before all have been sent SIGKILL.
     pub fn kill_all(&mut self) {
         for machine in &mut self.machines {
             machine.send_kill();
@@ -133,22 +133,22 @@
         }
     }
 
-    /// The machine with this index, to be changed.
+    /// The machine with this index, for changes.
     pub fn machine(&mut self, index: usize) -> &mut Machine {
         &mut self.machines[index]
     }
 
-    /// All machines, by index.
+    /// All machines, in the order of their indices.
     #[must_use]
     pub fn machines(&self) -> &[Machine] {
         &self.machines
     }
 
-    /// Indices of the machines that `wanted` accepts.
-    pub fn machine_indices(&self, wanted: impl Fn(&MachinePlan) -> bool) -> Vec<usize> {
+    /// Indices of the machines whose plan fulfils `predicate`.
+    pub fn machine_indices(&self, predicate: impl Fn(&MachinePlan) -> bool) -> Vec<usize> {
         let machines = self.machines.iter().enumerate();
         machines
-            .filter(|(_, machine)| wanted(machine.plan()))
+            .filter(|(_, machine)| predicate(machine.plan()))
             .map(|(index, _)| index)
             .collect()
     }
@@ -156,16 +156,16 @@
     /// `control` addresses of all gateways.
     #[must_use]
     pub fn controls(&self) -> Vec<SocketAddr> {
-        self.of_gateways(self.ports.control)
+        self.gateway_addresses(self.ports.control)
     }
 
     /// `front` addresses of all gateways.
     #[must_use]
     pub fn fronts(&self) -> Vec<SocketAddr> {
-        self.of_gateways(self.ports.front)
+        self.gateway_addresses(self.ports.front)
     }
 
-    /// Address of a gateway for clients.
+    /// Address at which this gateway accepts clients.
     #[must_use]
     pub fn front(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machines[index].ip(), self.ports.front)
@@ -177,13 +177,13 @@
         SocketAddr::new(self.machines[index].ip(), self.ports.ready)
     }
 
-    /// Address of a gateway for servers and the operator.
+    /// Address at which this gateway accepts servers and the operator.
     #[must_use]
     pub fn control(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.machines[index].ip(), self.ports.control)
     }
 
-    /// An address for a server, other than those of all machines.
+    /// A new address for a server; no machine and no other server has it.
     ///
     /// # Errors
     ///
@@ -199,7 +199,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where a gateway has ended or is not ready within `limit`; its log is in the error.
+    /// Fails where a gateway has ended or is not ready within `limit`; the error shows the end of its log.
     pub async fn ready(&mut self, limit: Duration) -> Result<(), SystemError> {
         for index in self.machine_indices(|plan| plan.role != Role::Store) {
             if self.machines[index].is_running() {
@@ -213,10 +213,10 @@
     ///
     /// # Errors
     ///
-    /// Fails where it has ended or is not ready within `limit`; its log is in the error.
+    /// Fails where it has ended or is not ready within `limit`; the error shows the end of its log.
     pub async fn ready_one(&mut self, index: usize, limit: Duration) -> Result<(), SystemError> {
         let address = SocketAddr::new(self.machines[index].ip(), self.ports.ready);
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         loop {
             if readiness(address).await == Some(200) {
                 return Ok(());
@@ -229,7 +229,7 @@
                     log: self.machines[index].log_tail(),
                 });
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(SystemError::NotReady {
                     machine,
                     limit,
@@ -240,12 +240,12 @@
         }
     }
 
-    /// What this gateway's readiness check answers now.
+    /// The status with which this gateway answers a readiness check now; `None` where it does not answer.
     pub async fn readiness(&self, index: usize) -> Option<u16> {
         readiness(SocketAddr::new(self.machines[index].ip(), self.ports.ready)).await
     }
 
-    /// The ends of all logs.
+    /// The last parts of all machines' logs.
     #[must_use]
     pub fn log_tails(&self) -> String {
         let tails = self
@@ -255,13 +255,13 @@
         tails.collect::<Vec<_>>().join("\n")
     }
 
-    /// Where the files of the system lie.
+    /// The folder that holds the system's files.
     #[must_use]
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    fn of_gateways(&self, port: u16) -> Vec<SocketAddr> {
+    fn gateway_addresses(&self, port: u16) -> Vec<SocketAddr> {
         let gateways = self
             .machines
             .iter()
--- a/crates/testing/emulator/src/system/plan.rs
+++ b/crates/testing/emulator/src/system/plan.rs
@@ -1,33 +1,33 @@
-//! What a system consists of: machines with their roles and zones.
+//! Plan of a system: its machines with their roles and zones.
 
 use std::path::PathBuf;
 
-/// What a system consists of.
+/// Machines and settings of a system.
 #[derive(Clone, Debug)]
 pub struct SystemPlan {
-    /// The program that plays all roles.
+    /// Path of the program, which has a subcommand for each role.
     pub program: PathBuf,
-    /// Machines of the first start.
+    /// Machines that are started with the system.
     pub machines: Vec<MachinePlan>,
     /// Heartbeat interval of servers, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at once.
     pub tolerated_losses: u32,
 }
 
-/// What a machine does.
+/// Role of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// A gateway without a disk.
     Gateway,
-    /// A gateway with a disk: a member of the core.
+    /// A gateway with a disk, which is a member of the core.
     Core,
-    /// Stores replicas of turns.
+    /// A store, which holds replicas of turns.
     Store,
 }
 
 impl Role {
-    /// The subcommand that plays the role.
+    /// The program's subcommand for the role.
     #[must_use]
     pub fn command(self) -> &'static str {
         match self {
@@ -40,7 +40,7 @@
 /// A machine to be started.
 #[derive(Clone, Debug)]
 pub struct MachinePlan {
-    /// What the machine does.
+    /// Role of the machine.
     pub role: Role,
     /// Failure domain.
     pub zone: String,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The machine's name, by its number in the system.
+    /// The name of the machine with this number in the system.
     #[must_use]
     pub fn name(&self, number: usize) -> String {
         let class = match self.role {
--- a/crates/testing/emulator/src/system/settings.rs
+++ b/crates/testing/emulator/src/system/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process.
+//! Contents of a process's settings file.
 
 use super::addresses::Ports;
 use super::machine::Machine;
@@ -6,12 +6,14 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Memory, descriptors and disk that settings name: ample, as nothing enforces them here.
+/// Memory limit that the settings state, in megabytes; nothing enforces it in tests.
 const MEMORY_MB: u64 = 260;
-const DESCRIPTORS: u64 = 4_100;
+/// Limit of file descriptors that the settings state; nothing enforces it in tests.
+const MAX_DESCRIPTORS: u64 = 4_100;
+/// Disk limit that the settings state, in megabytes; nothing enforces it in tests.
 const DISK_MB: u64 = 320;
 
-/// The settings file of `machine`, as JSON.
+/// The contents of `machine`'s settings file, as JSON.
 pub(super) fn text(
     machine: &Machine,
     system: &SystemPlan,
@@ -47,7 +49,7 @@
         "bootstrap": bootstrap,
         "counts_for_quorum": role != Role::Gateway,
         "limits": {
-            "cpu_share": 0.45, "cores": 1, "memory_mb": MEMORY_MB, "max_fds": DESCRIPTORS,
+            "cpu_share": 0.45, "cores": 1, "memory_mb": MEMORY_MB, "max_fds": MAX_DESCRIPTORS,
             "link_mbps": 1000.0, "disk_mb": DISK_MB,
         },
         "data_dir": disk,
@@ -66,7 +68,7 @@
     .to_string()
 }
 
-/// The addresses that a machine listens on for clients, the platform and servers.
+/// The addresses on which a machine listens for clients, readiness checks, servers and the operator.
 fn listeners(machine: &Machine, ports: Ports) -> Value {
     let at = |port: u16| SocketAddr::new(machine.ip(), port).to_string();
     match machine.plan().role {
