--- a/crates/testing/emulator/src/scene/error.rs
+++ b/crates/testing/emulator/src/scene/error.rs
@@ -12,39 +12,39 @@
     /// Processes could not be started, signalled or observed.
     #[error(transparent)]
     System(#[from] SystemError),
-    /// An order of the operator had no clear response.
+    /// An order of the operator received no clear response.
     #[error(transparent)]
     Order(#[from] Unclear),
-    /// A server's address could not be bound.
-    #[error("{address}")]
+    /// The address of a server could not be bound.
+    #[error("could not bind the server address {address}")]
     Bind {
         /// The address.
         address: SocketAddr,
         /// The cause.
         source: io::Error,
     },
-    /// The first configuration was rejected.
-    #[error("the first configuration: {status} {text}")]
+    /// The scene's configuration was rejected.
+    #[error("the configuration of the scene was rejected with status {status}: {text}")]
     ConfigurationRejected {
         /// Status of the response.
         status: u16,
         /// Body of the response.
         text: String,
     },
-    /// A gateway does not serve in time.
-    #[error("{front} does not serve {target}: {last:?}")]
+    /// A gateway did not serve a request in time.
+    #[error("the gateway at {front} does not serve {target}; last result: {last:?}")]
     NotServing {
         /// Address of the gateway.
         front: SocketAddr,
-        /// Path that was requested.
+        /// Path of the request.
         target: String,
-        /// The last result.
+        /// Result of the last request.
         last: Box<Served>,
     },
-    /// The system did not come up.
-    #[error("{logs}")]
+    /// The system did not start to serve.
+    #[error("the system did not start to serve; the logs of its machines end with:\n{logs}")]
     SetUp {
-        /// The ends of all logs.
+        /// The last parts of all machines' logs.
         logs: String,
         /// The cause.
         source: Box<SceneError>,
--- a/crates/testing/emulator/src/scene/mod.rs
+++ b/crates/testing/emulator/src/scene/mod.rs
@@ -1,4 +1,4 @@
-//! A running system with its servers, clients and operator, set up until requests are served.
+//! Scenes: a running system with its servers, client and operator.
 
 mod error;
 mod plan;
@@ -27,12 +27,12 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, Instant};
 
-/// Time for a system to start, and to apply an order.
+/// Time limit for a system to start to serve, and to acknowledge an order.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A model server with its registration.
+/// A running model server with its registration.
 #[derive(Debug)]
 pub struct Engine {
     /// The server.
@@ -42,7 +42,7 @@
 }
 
 impl Engine {
-    /// Returns once it has neither running nor waiting requests.
+    /// Returns once the server has neither running nor waiting requests.
     pub async fn drained(&self) {
         while self.server.load().running + self.server.load().queued > 0 {
             sleep(POLL_INTERVAL).await;
@@ -50,7 +50,7 @@
     }
 }
 
-/// A plain server with its registration.
+/// A running plain server with its registration.
 #[derive(Debug)]
 pub struct Plain {
     /// The server.
@@ -66,26 +66,26 @@
     pub system: System,
     /// The clock of the record.
     pub clock: Clock,
-    /// What servers, clients and operator saw.
+    /// What servers, clients and operator observed.
     pub record: Record,
-    /// Source of ids.
+    /// Source of all ids of the scene.
     pub identities: IdentitySource,
-    /// A client of all gateways.
+    /// A client that sends to all gateways.
     pub client: Client,
-    /// The operator.
+    /// The operator, who configures the system.
     pub operator: Operator,
-    /// Model servers that run.
+    /// Running model servers.
     pub engines: Vec<Engine>,
-    /// Plain servers that run.
+    /// Running plain servers.
     pub plains: Vec<Plain>,
-    /// The configuration first sent; tests that send others add them to `configurations`.
+    /// Plan of the scene, with the first configuration; tests that send further ones add them to `configurations`.
     pub plan: ScenePlan,
-    /// All configurations sent, for the judge.
+    /// All configurations sent so far, for the judge.
     pub configurations: Vec<ConfigurationPlan>,
 }
 
 impl Scene {
-    /// Starts the processes and the servers without any order of the operator.
+    /// Starts the processes and the servers, without sending a configuration.
     ///
     /// # Errors
     ///
@@ -127,11 +127,12 @@
         Ok(scene)
     }
 
-    /// A scene in which the configuration is in force and every gateway serves.
+    /// Starts a scene, sends its configuration and waits until every gateway serves.
     ///
     /// # Errors
     ///
-    /// As [`Self::begin`], and where the system does not serve within [`READY_TIMEOUT`]; the logs are in the error.
+    /// Fails as [`Self::begin`] does, and where the system does not serve within [`READY_TIMEOUT`]; the error then shows
+    /// the ends of the logs.
     pub async fn start(program: &Path, plan: ScenePlan) -> Result<Scene, SceneError> {
         let mut scene = Scene::begin(program, plan).await?;
         match scene.set_up().await {
@@ -148,7 +149,7 @@
         self.wait_until_serving().await
     }
 
-    /// Sends the plan's configuration until it is acknowledged.
+    /// Sends the plan's configuration; returns once it is acknowledged.
     ///
     /// # Errors
     ///
@@ -188,7 +189,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where it does not serve within [`READY_TIMEOUT`].
+    /// Fails where the gateway does not serve within [`READY_TIMEOUT`].
     pub async fn serves(&self, index: usize) -> Result<(), SceneError> {
         let front = self.system.front(index);
         if !self.plains.is_empty() {
@@ -202,19 +203,19 @@
         Ok(())
     }
 
-    /// Returns once a gateway answers `spec` with success.
+    /// Sends `spec` to the gateway at `front` until a response has a 2xx status.
     ///
     /// # Errors
     ///
     /// Fails where no attempt succeeds within [`READY_TIMEOUT`].
     pub async fn answers(&self, front: SocketAddr, spec: &RequestSpec) -> Result<(), SceneError> {
-        let until = Instant::now() + READY_TIMEOUT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             let served = self.client.send_to(front, spec).await;
             if served.succeeded() {
                 return Ok(());
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(SceneError::NotServing {
                     front,
                     target: spec.target.clone(),
@@ -225,11 +226,11 @@
         }
     }
 
-    /// The first turn of a new program.
+    /// The request of a new program's first turn.
     #[must_use]
     pub fn turn_request(&self) -> RequestSpec {
-        let line = crate::program::Conversation::new(&self.client, &usual_program());
-        line.next_request(&self.client, &"settle".into())
+        let conversation = crate::program::Conversation::new(&self.client, &usual_program());
+        conversation.next_request(&self.client, &"settle".into())
     }
 
     /// Starts and registers a model server; returns its index.
@@ -238,7 +239,7 @@
     ///
     /// Fails where its address could not be bound.
     pub async fn add_engine(&mut self) -> Result<usize, SceneError> {
-        let (listener, identity) = self.identity(MODELS, self.plan.engine_slots).await?;
+        let (listener, identity) = self.new_identity(MODELS, self.plan.engine_slots).await?;
         let settings = self.plan.engine.clone();
         let models = settings.models.clone();
         let server = EngineServer::start(listener, identity, settings, self.context());
@@ -256,7 +257,8 @@
         Ok(self.engines.len() - 1)
     }
 
-    /// Starts a plain server of another incarnation, and maybe another service, at an address that was used before.
+    /// Starts and registers a plain server of the service `backend` at an address that an earlier server used; returns
+    /// its index.
     ///
     /// # Errors
     ///
@@ -267,7 +269,7 @@
         backend: &str,
     ) -> Result<usize, SceneError> {
         let (listener, identity) = self
-            .identity_at(address, backend, self.plan.plain_slots)
+            .new_identity_at(address, backend, self.plan.plain_slots)
             .await?;
         Ok(self.start_plain(listener, identity))
     }
@@ -278,7 +280,7 @@
     ///
     /// Fails where its address could not be bound.
     pub async fn add_plain(&mut self) -> Result<usize, SceneError> {
-        let (listener, identity) = self.identity(TOOLS, self.plan.plain_slots).await?;
+        let (listener, identity) = self.new_identity(TOOLS, self.plan.plain_slots).await?;
         Ok(self.start_plain(listener, identity))
     }
 
@@ -308,13 +310,13 @@
         engines.chain(self.plains.iter().map(|plain| plain.server.handle.as_ref()))
     }
 
-    /// All rules that the record breaks.
+    /// All violations of the rules in the record.
     #[must_use]
     pub fn violations(&self) -> Vec<Violation> {
         self.violations_except(Vec::new())
     }
 
-    /// All rules that the record breaks, given the times of unplanned faults.
+    /// All violations of the rules in the record; rules with a time bound are not checked during `disturbances`.
     #[must_use]
     pub fn violations_except(&self, disturbances: Vec<Span>) -> Vec<Violation> {
         let settings = JudgeSettings {
@@ -324,7 +326,7 @@
         judge(&self.record, &settings)
     }
 
-    /// Sends SIGTERM to a gateway; clients use the others from now on.
+    /// Sends SIGTERM to a gateway and removes it from the gateways that the client uses.
     ///
     /// # Errors
     ///
@@ -345,16 +347,16 @@
         Ok(())
     }
 
-    async fn identity(
+    async fn new_identity(
         &mut self,
         backend: &str,
         slots: u32,
     ) -> Result<(TcpListener, Identity), SceneError> {
         let address = self.system.server_address()?;
-        self.identity_at(address, backend, slots).await
+        self.new_identity_at(address, backend, slots).await
     }
 
-    async fn identity_at(
+    async fn new_identity_at(
         &mut self,
         address: SocketAddr,
         backend: &str,
--- a/crates/testing/emulator/src/scene/plan.rs
+++ b/crates/testing/emulator/src/scene/plan.rs
@@ -1,4 +1,4 @@
-//! Contents of a scene, and the usual configuration and program of the tests.
+//! Plans of scenes, and the default configuration and program of the tests.
 
 use crate::client::Kind;
 use crate::configuration::{ConfigurationPlan, EnginePlan, LimitsPlan, RoutePlan, ServicePlan};
@@ -7,47 +7,47 @@
 use crate::program::{ProgramPlan, SharedPrefix};
 use crate::system::{MachinePlan, Role};
 
-/// Host of the usual configuration.
+/// Host of the routes in the default configuration.
 pub const HOST: &str = "agents.example";
-/// Service of model servers.
+/// Name of the service of model servers.
 pub const MODELS: &str = "models";
-/// Service of plain servers.
+/// Name of the service of plain servers.
 pub const TOOLS: &str = "tools";
-/// Turns that the system stores.
+/// Path prefix of turns that the system stores.
 pub const PERSISTED_TURNS: &str = "/kept/";
-/// Turns that it does not store.
+/// Path prefix of turns that the system does not store.
 pub const TURNS: &str = "/turns/";
-/// Read-only calls of tools.
+/// Path prefix of read-only tool calls.
 pub const LOOKUP: &str = "/lookup/";
-/// Mutating calls of tools.
+/// Path prefix of mutating tool calls.
 pub const RECORD: &str = "/record/";
 
-/// Contents of a scene.
+/// Machines, servers and configuration of a scene.
 #[derive(Clone, Debug)]
 pub struct ScenePlan {
-    /// Machines of the system.
+    /// Machines that are started with the system.
     pub machines: Vec<MachinePlan>,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at once.
     pub tolerated_losses: u32,
     /// Heartbeat interval of servers, in milliseconds.
     pub heartbeat_ms: u64,
     /// Number of model servers.
     pub engines: usize,
-    /// Requests that a model server runs at once.
+    /// Maximum number of requests that a model server runs at once.
     pub engine_slots: u32,
     /// Settings of the model servers.
     pub engine: EngineSettings,
     /// Number of plain servers.
     pub plains: usize,
-    /// Requests that a plain server runs at once.
+    /// Maximum number of requests that a plain server runs at once.
     pub plain_slots: u32,
     /// Settings of the plain servers.
     pub plain: PlainSettings,
-    /// First configuration of the operator.
+    /// Configuration that the operator sends first.
     pub configuration: ConfigurationPlan,
-    /// Seed of all ids.
+    /// Seed from which all ids are drawn.
     pub seed: u64,
-    /// Whether the record stores the bodies that servers receive.
+    /// Whether the record stores the request bodies that servers receive.
     pub keep_bodies: bool,
 }
 
@@ -78,7 +78,8 @@
     }
 }
 
-/// One service of model servers, one of plain servers, a route for each kind of request.
+/// The default configuration: a service of model servers, a service of plain servers, and four routes: for turns that
+/// are stored, turns that are not, read-only tool calls and mutating tool calls.
 #[must_use]
 pub fn usual_configuration() -> ConfigurationPlan {
     let streaming = Kind::Streaming { resumable: false };
@@ -116,7 +117,7 @@
     }
 }
 
-/// A program of a few stored turns.
+/// The default program: three stored turns without tools.
 #[must_use]
 pub fn usual_program() -> ProgramPlan {
     ProgramPlan {
