--- a/crates/testing/emulator/src/experiment/check.rs
+++ b/crates/testing/emulator/src/experiment/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds of experiments: processes, servers, time and requests are few enough for one machine.
+//! Bounds of experiments, which keep processes, servers, duration and rates low enough for one machine.
 
 use super::file::{Experiment, Fault, FaultKind};
 use dunespur_emulator::system::Role;
@@ -10,36 +10,45 @@
 const MAX_IDLE_S: f64 = 60.0;
 const MAX_RATE: f64 = 2_000.0;
 
-/// Findings that keep an experiment from being played, each with its field.
-pub fn check(experiment: &Experiment) -> Vec<String> {
-    let mut findings = Findings::default();
+/// The reasons why an experiment cannot be played, each with the name of its field.
+pub fn problems(experiment: &Experiment) -> Vec<String> {
+    let mut problems = Problems::default();
     let machines = &experiment.machines;
     let count = machines.core + machines.gateways + machines.stores;
-    findings.expect(!machines.zones.is_empty(), "machines.zones: is empty");
-    findings.expect(
+    problems.expect(
+        !machines.zones.is_empty(),
+        "machines.zones: must name at least one zone",
+    );
+    problems.expect(
         (1..=MAX_CORE).contains(&machines.core),
-        "machines.core: is not 1 to 7",
+        "machines.core: must be 1 to 7",
+    );
+    problems.expect(
+        count <= MAX_MACHINES,
+        "machines: must be at most 40 in total",
     );
-    findings.expect(count <= MAX_MACHINES, "machines: are more than 40");
     let services = &experiment.services;
     let servers = services.models.servers + services.tools.servers;
-    findings.expect(servers <= MAX_SERVERS, "service: servers are more than 64");
-    findings.expect(
+    problems.expect(
+        servers <= MAX_SERVERS,
+        "service: servers must be at most 64 in total",
+    );
+    problems.expect(
         services.models.chunk_tokens > 0,
-        "service.models.chunk_tokens: is 0",
+        "service.models.chunk_tokens: must be above 0",
     );
-    findings.expect(
+    problems.expect(
         services.models.read_per_ms > 0.0,
-        "service.models.read_per_ms: is not above 0",
+        "service.models.read_per_ms: must be above 0",
     );
-    findings.expect(
+    problems.expect(
         within(experiment.traffic_s, MAX_TRAFFIC_S),
-        "traffic_s: is not above 0 and at most 300",
+        "traffic_s: must be above 0 and at most 300",
     );
     let idle = experiment.idle_s;
-    findings.expect(
+    problems.expect(
         idle == 0.0 || within(idle, MAX_IDLE_S),
-        "idle_s: is not 0 to 60",
+        "idle_s: must be 0 to 60",
     );
     let programs = experiment
         .programs
@@ -50,27 +59,30 @@
         .iter()
         .map(|class| (&class.name, class.rate));
     for (name, rate) in programs.chain(requests) {
-        findings.expect(
+        problems.expect(
             within(rate, MAX_RATE),
-            &format!("{name}.rate: is not above 0 and at most 2000"),
+            &format!("{name}.rate: must be above 0 and at most 2000"),
         );
     }
     for (index, fault) in experiment.faults.iter().enumerate() {
-        let known = fault.number < targets(experiment, fault);
-        findings.expect(
-            known,
-            &format!("fault {index}: there is no number {}", fault.number),
+        let target_exists = fault.number < target_count(experiment, fault);
+        problems.expect(
+            target_exists,
+            &format!(
+                "fault {index}.number: there is no machine or server with number {}",
+                fault.number
+            ),
         );
-        findings.expect(
+        problems.expect(
             fault.lasts_s >= 0.0,
-            &format!("fault {index}.lasts_s: is below 0"),
+            &format!("fault {index}.lasts_s: must be 0 or above"),
         );
     }
-    findings.0
+    problems.0
 }
 
-/// How many there are of what a fault names by a number.
-fn targets(experiment: &Experiment, fault: &Fault) -> usize {
+/// Number of machines or servers from which a fault's `number` selects one.
+fn target_count(experiment: &Experiment, fault: &Fault) -> usize {
     let machines = &experiment.machines;
     match (fault.kind.role(), fault.kind) {
         (Some(Role::Core), _) => machines.core,
@@ -89,9 +101,9 @@
 }
 
 #[derive(Default)]
-struct Findings(Vec<String>);
+struct Problems(Vec<String>);
 
-impl Findings {
+impl Problems {
     fn expect(&mut self, condition: bool, problem: &str) {
         if !condition {
             self.0.push(problem.to_owned());
--- a/crates/testing/emulator/src/experiment/faults/carry_out.rs
+++ b/crates/testing/emulator/src/experiment/faults/execute.rs
@@ -1,6 +1,6 @@
-//! The steps of faults, carried out.
+//! Execution of the steps that faults consist of.
 
-use super::step::{Action, Step};
+use super::step::{ScheduledStep, Step};
 use super::Faults;
 use anyhow::ensure;
 use dunespur_emulator::client::Kind;
@@ -10,33 +10,33 @@
 use dunespur_emulator::system::MachinePlan;
 use std::time::Duration;
 
-/// Time for an order to be acknowledged.
+/// Time limit for the acknowledgement of an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Interval at which a machine that is being emptied is polled.
+/// Interval at which the retirement of a machine is polled.
 const RETIRE_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for a machine to be emptied; afterwards it stays.
+/// Time limit for a machine's retirement; a machine that is not empty by then stays in the system.
 const RETIRE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Deadline, in seconds, that an order to empty a machine states.
+/// Deadline that an order to retire a machine states, in seconds.
 const RETIRE_DEADLINE_S: u64 = 10;
 
 impl Faults {
-    pub(super) async fn carry_out(
+    pub(super) async fn execute(
         &mut self,
         scene: &mut Scene,
-        action: Action,
+        step: ScheduledStep,
     ) -> anyhow::Result<()> {
-        if action
+        if step
             .step
-            .signals()
+            .signalled_machine()
             .is_some_and(|index| !scene.system.machines()[index].is_running())
         {
             return Ok(());
         }
-        match action.step {
+        match step.step {
             Step::Kill(index) => scene.system.machine(index).kill(),
             Step::Start(index) => start(scene, index)?,
             Step::Terminate(index) => scene.terminate(index)?,
-            Step::StartAfterLeave { index, process } => {
+            Step::StartAfterGracePeriod { index, process } => {
                 if scene.system.machines()[index].starts() == process {
                     scene.system.machine(index).kill();
                     start(scene, index)?;
@@ -51,9 +51,9 @@
             Step::Replace(index) => {
                 self.add(scene, scene.system.machines()[index].plan().clone())?
             }
-            Step::Retire(index) => self.retire(scene, index, action.at).await?,
-            Step::AwaitRetired { index, until } => {
-                self.await_retired(scene, index, until, action.at).await?
+            Step::Retire(index) => self.retire(scene, index, step.at).await?,
+            Step::AwaitRetired { index, deadline } => {
+                self.await_retired(scene, index, deadline, step.at).await?
             }
             Step::Add(role) => {
                 let zone = scene.system.machines()[0].plan().zone.clone();
@@ -89,12 +89,12 @@
     fn decommission(&mut self, scene: &mut Scene, index: usize) {
         scene.system.machine(index).kill();
         self.removed.insert(index);
-        self.machines_changed(scene);
+        self.update_gateway_addresses(scene);
     }
 
     fn add(&mut self, scene: &mut Scene, plan: MachinePlan) -> anyhow::Result<()> {
         scene.system.join(plan)?;
-        self.machines_changed(scene);
+        self.update_gateway_addresses(scene);
         Ok(())
     }
 
@@ -111,15 +111,15 @@
             .await?;
         ensure!(
             [200, 409].contains(&answer.status),
-            "retiring {name}: {}",
+            "the order to retire {name} was answered with status {}",
             answer.status
         );
         if answer.status == 200 {
             let step = Step::AwaitRetired {
                 index,
-                until: at + RETIRE_TIMEOUT,
+                deadline: at + RETIRE_TIMEOUT,
             };
-            self.actions.push(Action {
+            self.steps.push(ScheduledStep {
                 at: at + RETIRE_POLL_INTERVAL,
                 step,
             });
@@ -131,7 +131,7 @@
         &mut self,
         scene: &mut Scene,
         index: usize,
-        until: Duration,
+        deadline: Duration,
         at: Duration,
     ) -> anyhow::Result<()> {
         if self.removed.contains(&index) {
@@ -143,19 +143,20 @@
             self.decommission(scene, index);
             return Ok(());
         }
-        if at < until {
-            let step = Step::AwaitRetired { index, until };
-            self.actions.push(Action {
+        if at < deadline {
+            let step = Step::AwaitRetired { index, deadline };
+            self.steps.push(ScheduledStep {
                 at: at + RETIRE_POLL_INTERVAL,
                 step,
             });
             return Ok(());
         }
-        eprintln!("{name} is not empty after {RETIRE_TIMEOUT:?}");
+        eprintln!("the retirement of {name} has not finished within {RETIRE_TIMEOUT:?}; the machine stays");
         Ok(())
     }
 }
 
+/// Starts a machine, unless its process is running.
 fn start(scene: &mut Scene, index: usize) -> anyhow::Result<()> {
     if scene.system.machines()[index].is_running() {
         return Ok(());
@@ -164,7 +165,7 @@
     Ok(())
 }
 
-/// Starts a new server, then drains the old one.
+/// Starts a new model server, then drains the old one in the background.
 async fn drain_model(scene: &mut Scene, server: usize) -> anyhow::Result<()> {
     scene.add_engine().await?;
     let old = scene.engines.swap_remove(server);
@@ -191,6 +192,10 @@
         .operator
         .patch(current.generation, &body, ORDER_TIMEOUT)
         .await?;
-    ensure!(answer.status == 200, "a patch: {}", answer.status);
+    ensure!(
+        answer.status == 200,
+        "the patch that adds a route was answered with status {}",
+        answer.status
+    );
     Ok(())
 }
--- a/crates/testing/emulator/src/experiment/faults/mod.rs
+++ b/crates/testing/emulator/src/experiment/faults/mod.rs
@@ -1,6 +1,6 @@
-//! What happens to the system while traffic runs: faults of the file, taken apart into steps with their times.
+//! Faults of an experiment: each is split into steps, which are executed at their times while traffic runs.
 
-mod carry_out;
+mod execute;
 mod step;
 
 use super::file::{Experiment, Fault, FaultKind};
@@ -10,17 +10,19 @@
 use dunespur_emulator::system::Role;
 use std::collections::BTreeSet;
 use std::time::Duration;
-use step::{Action, Step};
+use step::{ScheduledStep, Step};
 
-/// A process is killed this long after SIGTERM.
+/// Time from SIGTERM until a process is killed, in seconds.
 const GRACE_S: f64 = 8.0;
-/// A machine has contact again this long after its fault.
+/// Time after the end of its fault within which a machine has contact again, in milliseconds.
 const CONTACT_MS: u64 = 3_000;
 
-/// All that is still to be done, by time.
+/// Faults that have not begun and steps that have not been executed.
 pub struct Faults {
-    planned: Vec<Fault>,
-    actions: Vec<Action>,
+    /// Faults that have not begun.
+    pending: Vec<Fault>,
+    /// Steps of begun faults that have not been executed.
+    steps: Vec<ScheduledStep>,
     /// Indices of decommissioned machines.
     removed: BTreeSet<usize>,
     disturbances: Vec<Span>,
@@ -31,119 +33,122 @@
     pub fn new(scene: &Scene, experiment: &Experiment) -> Faults {
         let ingress = Ingress::start(scene.client.clone(), entries(scene, &BTreeSet::new()));
         Faults {
-            planned: experiment.faults.clone(),
-            actions: Vec::new(),
+            pending: experiment.faults.clone(),
+            steps: Vec::new(),
             removed: BTreeSet::new(),
             disturbances: Vec::new(),
             ingress,
         }
     }
 
-    /// Does all that is due by now.
-    pub async fn due(&mut self, scene: &mut Scene, now: Duration) -> anyhow::Result<()> {
-        let (due, planned) = std::mem::take(&mut self.planned)
+    /// Begins the faults and executes the steps that are due at `now`.
+    pub async fn execute_due(&mut self, scene: &mut Scene, now: Duration) -> anyhow::Result<()> {
+        let (due, pending) = std::mem::take(&mut self.pending)
             .into_iter()
             .partition(|fault| now.as_secs_f64() >= fault.at_s);
-        self.planned = planned;
+        self.pending = pending;
         for fault in due {
             self.begin(scene, &fault);
         }
-        self.actions.sort_by_key(|action| action.at);
-        while self.actions.first().is_some_and(|action| action.at <= now) {
-            let action = self.actions.remove(0);
-            self.carry_out(scene, action).await?;
+        self.steps.sort_by_key(|step| step.at);
+        while self.steps.first().is_some_and(|step| step.at <= now) {
+            let step = self.steps.remove(0);
+            self.execute(scene, step).await?;
         }
         Ok(())
     }
 
-    /// Whether everything has been done.
-    pub fn ended(&self) -> bool {
-        self.planned.is_empty() && self.actions.is_empty()
+    /// Whether all faults have begun and all their steps have been executed.
+    pub fn have_ended(&self) -> bool {
+        self.pending.is_empty() && self.steps.is_empty()
     }
 
-    /// When machines were without contact.
+    /// Periods in which machines were without contact.
     pub fn disturbances(&self) -> Vec<Span> {
         self.disturbances.clone()
     }
 
     fn begin(&mut self, scene: &Scene, fault: &Fault) {
-        if !fault.kind.leaves_in_touch() {
+        if !fault.kind.keeps_contact() {
             let from_ms = scene.clock.now_ms();
-            let lasting_ms = (fault.lasts_s * 1_000.0) as u64;
+            let duration_ms = (fault.lasts_s * 1_000.0) as u64;
             self.disturbances.push(Span {
                 from_ms,
-                to_ms: from_ms + lasting_ms + CONTACT_MS,
+                to_ms: from_ms + duration_ms + CONTACT_MS,
             });
         }
-        let at = |after: f64| Duration::from_secs_f64(fault.at_s + after);
-        let actions = self.steps(scene, fault).into_iter();
-        self.actions.extend(actions.map(|step| Action {
-            at: at(step.after_s),
-            step: step.step,
+        let at = |delay_s: f64| Duration::from_secs_f64(fault.at_s + delay_s);
+        let steps = self.steps_of(scene, fault).into_iter();
+        self.steps.extend(steps.map(|delayed| ScheduledStep {
+            at: at(delayed.delay_s),
+            step: delayed.step,
         }));
     }
 
     /// The steps of a fault; none where its machine was decommissioned.
-    fn steps(&self, scene: &Scene, fault: &Fault) -> Vec<Timed> {
+    fn steps_of(&self, scene: &Scene, fault: &Fault) -> Vec<DelayedStep> {
         let Some(target) = self.target(scene, fault) else {
             return Vec::new();
         };
-        let lasting = |first, then| vec![now(first), after(fault.lasts_s, then)];
+        let for_duration = |first, last| vec![immediately(first), after(fault.lasts_s, last)];
         match fault.kind {
             FaultKind::KillCore | FaultKind::KillGateway | FaultKind::KillStore => {
-                lasting(Step::Kill(target), Step::Start(target))
+                for_duration(Step::Kill(target), Step::Start(target))
             }
-            FaultKind::KillAll => lasting(Step::KillAll, Step::StartAll),
+            FaultKind::KillAll => for_duration(Step::KillAll, Step::StartAll),
             FaultKind::TerminateCore | FaultKind::TerminateGateway => {
                 let process = scene.system.machines()[target].starts();
-                let start = Step::StartAfterLeave {
+                let start = Step::StartAfterGracePeriod {
                     index: target,
                     process,
                 };
-                vec![now(Step::Terminate(target)), after(GRACE_S, start)]
+                vec![immediately(Step::Terminate(target)), after(GRACE_S, start)]
             }
             FaultKind::FreezeCore | FaultKind::FreezeStore => {
-                lasting(Step::Freeze(target), Step::Thaw(target))
+                for_duration(Step::Freeze(target), Step::Thaw(target))
             }
-            FaultKind::WipeCore | FaultKind::WipeStore => vec![now(Step::Wipe(target))],
+            FaultKind::WipeCore | FaultKind::WipeStore => vec![immediately(Step::Wipe(target))],
             FaultKind::ReplaceCore | FaultKind::ReplaceStore => {
-                lasting(Step::Decommission(target), Step::Replace(target))
+                for_duration(Step::Decommission(target), Step::Replace(target))
             }
-            FaultKind::RetireStore => vec![now(Step::Retire(target))],
-            FaultKind::AddGateway => vec![now(Step::Add(Role::Gateway))],
-            FaultKind::AddStore => vec![now(Step::Add(Role::Store))],
-            FaultKind::LoseAnswers => lasting(Step::LoseAnswers(target), Step::EndFault(target)),
-            FaultKind::ReplaceModel => vec![now(Step::DrainModel(target))],
-            FaultKind::CrashModel => vec![now(Step::CrashModel(target))],
-            FaultKind::Patch => vec![now(Step::Patch)],
+            FaultKind::RetireStore => vec![immediately(Step::Retire(target))],
+            FaultKind::AddGateway => vec![immediately(Step::Add(Role::Gateway))],
+            FaultKind::AddStore => vec![immediately(Step::Add(Role::Store))],
+            FaultKind::LoseAnswers => {
+                for_duration(Step::LoseAnswers(target), Step::EndFault(target))
+            }
+            FaultKind::ReplaceModel => vec![immediately(Step::DrainModel(target))],
+            FaultKind::CrashModel => vec![immediately(Step::CrashModel(target))],
+            FaultKind::Patch => vec![immediately(Step::Patch)],
         }
     }
 
-    /// The machine or server that a fault is about.
+    /// Index of the machine or number of the server that a fault affects; `None` where no machine of the role is left.
     fn target(&self, scene: &Scene, fault: &Fault) -> Option<usize> {
         let Some(role) = fault.kind.role() else {
             return Some(fault.number);
         };
         let machine_indices = scene.system.machine_indices(|plan| plan.role == role);
-        let left: Vec<usize> = machine_indices
+        let remaining: Vec<usize> = machine_indices
             .into_iter()
             .filter(|index| !self.removed.contains(index))
             .collect();
-        if left.is_empty() {
+        if remaining.is_empty() {
             return None;
         }
-        Some(left[fault.number % left.len()])
+        Some(remaining[fault.number % remaining.len()])
     }
 
-    fn machines_changed(&mut self, scene: &mut Scene) {
+    /// Passes the addresses of the remaining gateways to the ingress, the operator and the servers.
+    fn update_gateway_addresses(&mut self, scene: &mut Scene) {
         self.ingress.set_entries(entries(scene, &self.removed));
         let controls = scene
             .system
             .machine_indices(|plan| plan.role != Role::Store);
-        let left = controls
+        let remaining = controls
             .into_iter()
             .filter(|index| !self.removed.contains(index));
-        let controls: Vec<_> = left.map(|index| scene.system.control(index)).collect();
+        let controls: Vec<_> = remaining.map(|index| scene.system.control(index)).collect();
         scene.operator.set_controls(controls.clone());
         for engine in &scene.engines {
             engine.registration.set_controls(controls.clone());
@@ -154,30 +159,31 @@
     }
 }
 
-/// A step and its time from the fault's beginning.
-struct Timed {
-    after_s: f64,
+/// A step and its delay from the beginning of its fault, in seconds.
+struct DelayedStep {
+    delay_s: f64,
     step: Step,
 }
 
-fn now(step: Step) -> Timed {
+fn immediately(step: Step) -> DelayedStep {
     after(0.0, step)
 }
 
-fn after(after_s: f64, step: Step) -> Timed {
-    Timed { after_s, step }
+fn after(delay_s: f64, step: Step) -> DelayedStep {
+    DelayedStep { delay_s, step }
 }
 
 fn entries(scene: &Scene, removed: &BTreeSet<usize>) -> Vec<Entry> {
     let gateways = scene
         .system
         .machine_indices(|plan| plan.role != Role::Store);
-    let left = gateways
+    let remaining = gateways
         .into_iter()
         .filter(|index| !removed.contains(index));
-    left.map(|index| Entry {
-        ready: scene.system.ready_address(index),
-        front: scene.system.front(index),
-    })
-    .collect()
+    remaining
+        .map(|index| Entry {
+            ready: scene.system.ready_address(index),
+            front: scene.system.front(index),
+        })
+        .collect()
 }
--- a/crates/testing/emulator/src/experiment/faults/step.rs
+++ b/crates/testing/emulator/src/experiment/faults/step.rs
@@ -1,23 +1,24 @@
-//! Steps that faults consist of.
+//! Steps that faults are executed in.
 
 use dunespur_emulator::system::Role;
 use std::time::Duration;
 
-/// A step and the time at which it is due, from the beginning of the traffic.
+/// A step and the time at which it is due, from the start of the traffic.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Action {
+pub(super) struct ScheduledStep {
     pub at: Duration,
     pub step: Step,
 }
 
-/// One step of a fault; machines by index, servers by number.
+/// One step of a fault. Machines are identified by their index, servers by their number.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Step {
     Kill(usize),
     Start(usize),
     Terminate(usize),
-    /// The grace period after SIGTERM has passed for the process with this number.
-    StartAfterLeave {
+    /// The grace period after SIGTERM has passed: kills the machine's process with this number, if it is the current
+    /// one, and starts the machine.
+    StartAfterGracePeriod {
         index: usize,
         process: u32,
     },
@@ -26,15 +27,15 @@
     Wipe(usize),
     KillAll,
     StartAll,
-    /// A machine is lost for good.
+    /// Kills a machine for good.
     Decommission(usize),
-    /// An empty machine replaces one that was lost.
+    /// Adds an empty machine with the role and zone of a decommissioned one.
     Replace(usize),
     Retire(usize),
-    /// Checks whether the machine is empty, until the time given.
+    /// Polls the retirement of a machine until the deadline; decommissions the machine when it is done.
     AwaitRetired {
         index: usize,
-        until: Duration,
+        deadline: Duration,
     },
     Add(Role),
     LoseAnswers(usize),
@@ -45,8 +46,9 @@
 }
 
 impl Step {
-    /// The machine whose process gets a signal that it outlives at first; nothing happens where none runs.
-    pub(super) fn signals(self) -> Option<usize> {
+    /// The machine to which the step sends SIGTERM, SIGSTOP or SIGCONT; the step is skipped where its process is not
+    /// running.
+    pub(super) fn signalled_machine(self) -> Option<usize> {
         match self {
             Step::Terminate(index) | Step::Freeze(index) | Step::Thaw(index) => Some(index),
             _ => None,
--- a/crates/testing/emulator/src/experiment/file.rs
+++ b/crates/testing/emulator/src/experiment/file.rs
@@ -1,4 +1,4 @@
-//! The experiment file.
+//! Format of experiment files.
 
 use dunespur_emulator::system::Role;
 use serde::Deserialize;
@@ -7,12 +7,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Everything random is drawn from this.
-    #[serde(default = "one")]
+    /// Seed of all random numbers.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// How long new requests and programs begin.
+    /// Duration of the traffic, in seconds: no request or program starts afterwards.
     pub traffic_s: f64,
-    /// How long the system is left alone before, to measure what rest costs.
+    /// Time without load before the traffic, in seconds, to measure the system's usage when idle.
     #[serde(default)]
     pub idle_s: f64,
     pub machines: Machines,
@@ -26,7 +26,7 @@
     pub faults: Vec<Fault>,
 }
 
-/// Machines by role, spread over the zones in turn.
+/// Number of machines of each role; they are spread over the zones in turn.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machines {
@@ -34,9 +34,9 @@
     pub core: usize,
     pub gateways: usize,
     pub stores: usize,
-    #[serde(default = "one_loss")]
+    #[serde(default = "default_tolerated_losses")]
     pub tolerated_losses: u32,
-    #[serde(default = "usual_heartbeat")]
+    #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
 }
 
@@ -107,12 +107,12 @@
     }
 }
 
-/// Programs that begin at a rate.
+/// A class of programs that start at a rate.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProgramClass {
     pub name: String,
-    /// Programs that begin in a second.
+    /// Programs that start per second.
     pub rate: f64,
     /// Whether the system stores the turns.
     #[serde(rename = "kept")]
@@ -121,29 +121,30 @@
     #[serde(default)]
     pub shared_tokens: u64,
     pub input_tokens: u64,
-    #[serde(default = "usual_input")]
+    #[serde(default = "default_input_bytes")]
     pub input_bytes: usize,
-    /// The most that a turn generates.
+    /// Maximum number of tokens that a turn generates.
     #[serde(rename = "most")]
     pub max_tokens: u64,
-    /// Enough for all turns where it is left out.
+    /// Token budget of a program; where it is left out, a budget that is enough for all turns.
     pub budget: Option<u64>,
-    /// Reading and recording calls after each turn.
+    /// Read-only tool calls after each turn.
     #[serde(default)]
     pub lookups: usize,
+    /// Mutating tool calls after each turn.
     #[serde(default)]
     pub records: usize,
-    /// Share of the programs that start two sub-agents of two turns after their first turn.
+    /// Share of the programs that start two sub-agents, of two turns each, after their first turn.
     #[serde(default)]
     pub sub_agents: f64,
-    /// A program that has ended by then is in time.
+    /// Time within which a program has to finish to count as in time, in milliseconds.
     #[serde(rename = "aim_ms")]
     pub target_ms: u64,
-    #[serde(default = "usual_retries")]
+    #[serde(default = "default_retries")]
     pub retries: u32,
 }
 
-/// Requests that are sent at a rate, beside the programs' own.
+/// A class of requests that are sent at a rate, in addition to those of programs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
@@ -153,11 +154,11 @@
     #[serde(rename = "aim_ms")]
     pub target_ms: u64,
     pub deadline_ms: u64,
-    #[serde(default = "usual_retries")]
+    #[serde(default = "default_retries")]
     pub retries: u32,
 }
 
-/// What a request is.
+/// Kind of the requests of a class.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestKind {
@@ -165,23 +166,23 @@
     Mutating,
 }
 
-/// Something that happens to the system.
+/// A fault or an operation that the experiment carries out.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// From the beginning of traffic.
+    /// When it begins, in seconds from the start of the traffic.
     pub at_s: f64,
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// Which machine of its role, or which server.
+    /// Number of the affected machine among those of its role, or of the affected server.
     #[serde(default)]
     pub number: usize,
-    /// Duration: afterwards a machine is started again or thawed, or a server's fault ends.
-    #[serde(default = "short")]
+    /// Duration in seconds, after which a machine is started again or thawed, or a server's fault ends.
+    #[serde(default = "default_duration_s")]
     pub lasts_s: f64,
 }
 
-/// What happens.
+/// Kind of a fault or an operation.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
@@ -202,19 +203,19 @@
     RetireStore,
     AddGateway,
     AddStore,
-    /// A plain server runs requests and closes without an answer.
+    /// A plain server runs requests and closes their connections without a response.
     LoseAnswers,
-    /// A model server drains and departs, and another one takes its place.
+    /// A model server is drained and leaves, after another one has been started in its place.
     ReplaceModel,
-    /// A model server crashes, and another one takes its place.
+    /// A model server crashes, after another one has been started in its place.
     CrashModel,
     /// A route is added by a patch.
     Patch,
 }
 
 impl FaultKind {
-    /// Whether it is planned work or a fault of servers, by which no machine loses contact.
-    pub fn leaves_in_touch(self) -> bool {
+    /// Whether no machine loses contact: the kind is planned work or a fault of servers.
+    pub fn keeps_contact(self) -> bool {
         matches!(
             self,
             FaultKind::TerminateCore
@@ -229,7 +230,7 @@
         )
     }
 
-    /// The role of the machines that it is about; nothing where it is about servers or all machines.
+    /// The role of the affected machine; `None` where servers or all machines are affected.
     pub fn role(self) -> Option<Role> {
         match self {
             FaultKind::KillCore
@@ -277,26 +278,26 @@
     }
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-fn one_loss() -> u32 {
+fn default_tolerated_losses() -> u32 {
     1
 }
 
-fn usual_heartbeat() -> u64 {
+fn default_heartbeat_ms() -> u64 {
     1_200
 }
 
-fn usual_input() -> usize {
+fn default_input_bytes() -> usize {
     2_000
 }
 
-fn usual_retries() -> u32 {
+fn default_retries() -> u32 {
     1
 }
 
-fn short() -> f64 {
+fn default_duration_s() -> f64 {
     0.5
 }
--- a/crates/testing/emulator/src/experiment/findings.rs
+++ b/crates/testing/emulator/src/experiment/findings.rs
@@ -1,9 +1,9 @@
-//! What an experiment has shown, as a table and as JSON.
+//! Findings of an experiment, as a table and as JSON.
 
 use super::file::Experiment;
 use super::listing::{self, outcome};
-use super::measure::{ProcessUse, Spans};
-use super::traffic::{Ended, Outcome};
+use super::measure::{Measurements, ProcessUsage};
+use super::traffic::{Outcome, OutcomeKind};
 use dunespur_emulator::judge::Violation;
 use dunespur_emulator::record::{AttemptRecord, Fate, Observation};
 use dunespur_emulator::scene::Scene;
@@ -12,30 +12,30 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 
-/// Violations that the table lists.
+/// Maximum number of violations that the table lists.
 const LISTED_VIOLATIONS: usize = 20;
 
-/// All that was measured.
+/// Measurements and violations of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Findings {
     pub seconds: f64,
     pub classes: Vec<ClassFinding>,
-    /// From a request's arrival at its server to the first event there.
+    /// Time from a request's arrival at a server to the server's first event.
     pub server_first_ms: Quantiles,
-    /// What the way through the system adds to that for the client.
+    /// Time that the system adds to the server's time to the first event, as the client sees it.
     pub added_ms: Quantiles,
     pub prompt_tokens: PromptTokens,
     pub answers: BTreeMap<String, usize>,
     pub server_connections: u64,
     pub probes: u64,
-    pub processes: Vec<ProcessUse>,
+    pub processes: Vec<ProcessUsage>,
     pub violations: Vec<String>,
-    /// All attempts, for other tools.
+    /// Table of all attempts, written to a file of its own.
     #[serde(skip)]
     pub attempts: String,
 }
 
-/// One class of programs or requests.
+/// Results of one class of programs or requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassFinding {
     pub name: String,
@@ -44,7 +44,7 @@
     pub refused: usize,
     pub failed: usize,
     pub skipped: usize,
-    /// Time to the first event, or to the answer.
+    /// Time to the first event of a turn, or to the response of a request.
     pub first_ms: Quantiles,
     pub took_ms: Quantiles,
 }
@@ -57,13 +57,13 @@
     pub p99: f64,
 }
 
-/// Prompts, in tokens.
+/// Prompt tokens of all model servers.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct PromptTokens {
-    /// In all prompts that ran.
+    /// Tokens of all admitted prompts.
     #[serde(rename = "asked")]
     pub admitted: u64,
-    /// By servers that did not have them.
+    /// Tokens that servers had to prefill, as they were not cached.
     #[serde(rename = "read")]
     pub prefilled: u64,
 }
@@ -73,7 +73,7 @@
         scene: &Scene,
         experiment: &Experiment,
         outcomes: &[Outcome],
-        spans: &Spans,
+        measurements: &Measurements,
         violations: &[Violation],
     ) -> Findings {
         let observations = scene.record.observations();
@@ -83,10 +83,12 @@
         let names = programs.chain(requests).enumerate();
         let mut violations: Vec<String> = violations.iter().map(ToString::to_string).collect();
         if scene.record.overflowed() {
-            violations.push("the record has overflowed".to_owned());
+            violations.push(
+                "the record has overflowed: some observations or attempts are missing".to_owned(),
+            );
         }
         Findings {
-            seconds: spans.loaded_s(),
+            seconds: measurements.loaded_s(),
             classes: names
                 .map(|(class, name)| class_finding(name, class, outcomes))
                 .collect(),
@@ -96,7 +98,7 @@
             answers: answers(&attempts),
             server_connections: scene.servers().map(|handle| handle.accepted()).sum(),
             probes: scene.servers().map(|handle| handle.probes()).sum(),
-            processes: spans.processes(scene),
+            processes: measurements.processes(scene),
             violations,
             attempts: listing::attempts(scene),
         }
@@ -198,8 +200,8 @@
 impl Quantiles {
     fn of(mut times: Vec<f64>) -> Quantiles {
         times.sort_by(f64::total_cmp);
-        let at = |segment: f64| {
-            let index = (times.len() as f64 * segment).ceil() as usize;
+        let at = |quantile: f64| {
+            let index = (times.len() as f64 * quantile).ceil() as usize;
             times
                 .get(index.saturating_sub(1))
                 .copied()
@@ -218,23 +220,29 @@
 }
 
 fn class_finding(name: String, class: usize, outcomes: &[Outcome]) -> ClassFinding {
-    let own: Vec<&Outcome> = outcomes
+    let of_class: Vec<&Outcome> = outcomes
         .iter()
         .filter(|outcome| outcome.class == class)
         .collect();
-    let count = |ended| own.iter().filter(|outcome| outcome.ended == ended).count();
-    let served = own
+    let count = |kind| {
+        of_class
+            .iter()
+            .filter(|outcome| outcome.kind == kind)
+            .count()
+    };
+    let served = of_class
         .iter()
-        .filter(|outcome| matches!(outcome.ended, Ended::InTime | Ended::Late));
+        .filter(|outcome| matches!(outcome.kind, OutcomeKind::InTime | OutcomeKind::Late));
     ClassFinding {
         name,
-        in_time: count(Ended::InTime),
-        late: count(Ended::Late),
-        refused: count(Ended::Refused),
-        failed: count(Ended::Failed),
-        skipped: count(Ended::Skipped),
+        in_time: count(OutcomeKind::InTime),
+        late: count(OutcomeKind::Late),
+        refused: count(OutcomeKind::Refused),
+        failed: count(OutcomeKind::Failed),
+        skipped: count(OutcomeKind::Skipped),
         first_ms: Quantiles::of(
-            own.iter()
+            of_class
+                .iter()
                 .flat_map(|outcome| &outcome.first_ms)
                 .map(|ms| *ms as f64)
                 .collect(),
@@ -243,7 +251,7 @@
     }
 }
 
-/// Of the requests that ran.
+/// Time to the first event at the server, over all requests that ran.
 fn server_first(observations: &[Observation]) -> Quantiles {
     let ran = observations
         .iter()
@@ -254,7 +262,7 @@
     )
 }
 
-/// What the way through the system added to the time that the server took to its first event.
+/// Difference between the client's and the server's time to the first event, over all attempts that ran.
 fn added(observations: &[Observation], attempts: &[AttemptRecord]) -> Quantiles {
     let mut at_server: HashMap<RequestId, u64> = HashMap::new();
     for observation in observations
--- a/crates/testing/emulator/src/experiment/hunt.rs
+++ b/crates/testing/emulator/src/experiment/hunt.rs
@@ -1,23 +1,23 @@
-//! Experiments drawn from a seed: machines, load and faults, one loss of a counted machine at a time.
+//! Experiments drawn at random from a seed: machines, load and faults. Losses of core members and stores never overlap.
 
 use super::file::{
     Experiment, Fault, Machines, ModelService, ProgramClass, RequestClass, RequestKind,
 };
 use super::file::{FaultKind, Services, ToolService};
 
-/// A machine counts as lost for this long after its return.
+/// A machine counts as lost for this long after its return, in seconds.
 const CATCH_UP_S: f64 = 4.2;
-/// Traffic before the first fault.
-const CALM_S: f64 = 2.0;
-/// What is left between two faults beyond the least.
-const SPREAD_S: f64 = 1.0;
-/// Grace period after SIGTERM.
+/// Time from the start of the traffic to the first fault, in seconds.
+const FIRST_FAULT_S: f64 = 2.0;
+/// Upper bound of the random addition to the time between two faults, in seconds.
+const MAX_EXTRA_GAP_S: f64 = 1.0;
+/// Grace period after SIGTERM, in seconds.
 const GRACE_S: f64 = 8.0;
-/// The longest that a fault lasts.
-const LONGEST_FAULT_S: f64 = 2.0;
+/// Longest duration of a fault, in seconds.
+const MAX_FAULT_S: f64 = 2.0;
 
-/// Faults of machines that count: one at a time.
-const LOSSES: [FaultKind; 11] = [
+/// Faults by which core members or stores are lost; they never overlap.
+const MACHINE_LOSSES: [FaultKind; 11] = [
     FaultKind::KillCore,
     FaultKind::KillStore,
     FaultKind::KillAll,
@@ -31,8 +31,8 @@
     FaultKind::RetireStore,
 ];
 
-/// Faults that may come at any time.
-const OTHERS: [FaultKind; 8] = [
+/// Faults that may happen at any time.
+const OTHER_FAULTS: [FaultKind; 8] = [
     FaultKind::KillGateway,
     FaultKind::TerminateGateway,
     FaultKind::AddGateway,
@@ -43,7 +43,7 @@
     FaultKind::Patch,
 ];
 
-/// The experiment of a seed.
+/// Draws the experiment of a seed.
 pub fn draw(seed: u64, traffic_s: f64) -> Experiment {
     let mut random = fastrand::Rng::with_seed(seed);
     let machines = Machines {
@@ -114,26 +114,26 @@
 
 fn faults(random: &mut fastrand::Rng, traffic_s: f64) -> Vec<Fault> {
     let mut faults = Vec::new();
-    let mut at_s = CALM_S;
-    while at_s < traffic_s - LONGEST_FAULT_S {
-        let fault = drawn(random, &LOSSES, at_s);
+    let mut at_s = FIRST_FAULT_S;
+    while at_s < traffic_s - MAX_FAULT_S {
+        let fault = draw_fault(random, &MACHINE_LOSSES, at_s);
         let grace_s = if fault.kind == FaultKind::TerminateCore {
             GRACE_S
         } else {
             0.0
         };
-        at_s += fault.lasts_s.max(grace_s) + CATCH_UP_S + random.f64() * SPREAD_S;
+        at_s += fault.lasts_s.max(grace_s) + CATCH_UP_S + random.f64() * MAX_EXTRA_GAP_S;
         faults.push(fault);
     }
     for _ in 0..(traffic_s / 4.0) as usize {
         let at_s = random.f64() * traffic_s;
-        faults.push(drawn(random, &OTHERS, at_s));
+        faults.push(draw_fault(random, &OTHER_FAULTS, at_s));
     }
     faults
 }
 
-fn drawn(random: &mut fastrand::Rng, among: &[FaultKind], at_s: f64) -> Fault {
-    let kind = among[random.usize(..among.len())];
+fn draw_fault(random: &mut fastrand::Rng, kinds: &[FaultKind], at_s: f64) -> Fault {
+    let kind = kinds[random.usize(..kinds.len())];
     let number = if kind.role().is_some() {
         random.usize(..8)
     } else {
@@ -143,6 +143,6 @@
         at_s,
         kind,
         number,
-        lasts_s: random.f64() * LONGEST_FAULT_S,
+        lasts_s: random.f64() * MAX_FAULT_S,
     }
 }
--- a/crates/testing/emulator/src/experiment/listing.rs
+++ b/crates/testing/emulator/src/experiment/listing.rs
@@ -1,4 +1,4 @@
-//! A table of all attempts for other tools, one on each line.
+//! A table of all attempts for other tools, with one line for each attempt.
 
 use dunespur_emulator::record::{AttemptOutcome, AttemptRecord, Fate, Observation};
 use dunespur_emulator::scene::Scene;
@@ -6,25 +6,29 @@
 use std::collections::HashMap;
 use std::fmt::Write;
 
-/// Columns, separated by tabs.
-const HEAD: &str =
+/// Names of the columns, separated by tabs.
+const HEADER: &str =
     "sent_ms\tended_ms\tfront\ttarget\trequest\tprogram\toutcome\tfirst_ms\tserver\tserver_first_ms\n";
 
-/// Every attempt with its last run at a server.
+/// The table of all attempts, each with its last run at a server.
 pub fn attempts(scene: &Scene) -> String {
     let observations = scene.record.observations();
-    let mut last: HashMap<RequestId, &Observation> = HashMap::new();
+    let mut last_runs: HashMap<RequestId, &Observation> = HashMap::new();
     for observation in observations
         .iter()
         .filter(|observation| observation.fate == Fate::Run)
     {
         if let Some(request) = observation.request {
-            last.insert(request, observation);
+            last_runs.insert(request, observation);
         }
     }
-    let mut text = HEAD.to_owned();
+    let mut text = HEADER.to_owned();
     for attempt in scene.record.attempts() {
-        write_row(&mut text, &attempt, last.get(&attempt.request).copied());
+        write_row(
+            &mut text,
+            &attempt,
+            last_runs.get(&attempt.request).copied(),
+        );
     }
     text
 }
@@ -45,7 +49,7 @@
     );
 }
 
-/// How an attempt ended, in short.
+/// Short name of an attempt's outcome: the status of a complete response, or how the attempt failed.
 pub fn outcome(outcome: &AttemptOutcome) -> String {
     match outcome {
         AttemptOutcome::Answered(answered) => answered.status.to_string(),
--- a/crates/testing/emulator/src/experiment/mod.rs
+++ b/crates/testing/emulator/src/experiment/mod.rs
@@ -1,15 +1,15 @@
-//! Experiments: a system, its load and its faults, read from a file, played and measured.
+//! Experiments: a system, its load and its faults are read from a file, played against real processes and measured.
 
-mod check;
-mod ending;
+mod bounds;
 mod faults;
 mod file;
+mod final_checks;
 mod findings;
 mod hunt;
 mod listing;
 mod measure;
 mod read;
-mod stage;
+mod scene_plan;
 mod traffic;
 
 pub use file::Experiment;
@@ -20,46 +20,51 @@
 use dunespur_emulator::program::Conversation;
 use dunespur_emulator::scene::Scene;
 use faults::Faults;
-use measure::{Meter, Spans};
+use measure::{Measurements, UsageSnapshot};
 use std::path::Path;
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 use traffic::{Outcome, Traffic};
 
-/// Conversations that are continued after the traffic.
+/// Number of conversations that are continued after the traffic.
 const CONTINUED_CONVERSATIONS: usize = 20;
-/// Interval at which due faults are started while traffic runs.
+/// Interval at which faults that are due are started while traffic runs.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Plays the whole experiment.
+/// Plays an experiment with the program at `program` and returns what it measured.
 pub async fn play(program: &Path, experiment: &Experiment) -> anyhow::Result<Findings> {
-    let mut scene = Scene::start(program, stage::plan(experiment)).await?;
-    let up = Meter::read(&scene);
-    rest(experiment.idle_s).await;
-    let idle = Meter::read(&scene);
+    let mut scene = Scene::start(program, scene_plan::scene_plan(experiment)).await?;
+    let after_start = UsageSnapshot::read(&scene);
+    wait_seconds(experiment.idle_s).await;
+    let after_idle = UsageSnapshot::read(&scene);
     let started = Instant::now();
     let mut traffic = Traffic::start(&scene, experiment);
     let mut faults = Faults::new(&scene, experiment);
-    while !(traffic.ended() && faults.ended()) {
-        faults.due(&mut scene, started.elapsed()).await?;
-        traffic.take_ended();
+    while !(traffic.has_ended() && faults.have_ended()) {
+        faults.execute_due(&mut scene, started.elapsed()).await?;
+        traffic.collect_outcomes();
         sleep_until(Instant::now() + POLL_INTERVAL).await;
     }
-    let loaded = Meter::read(&scene);
-    let spans = Spans { up, idle, loaded };
+    let after_load = UsageSnapshot::read(&scene);
+    let measurements = Measurements {
+        after_start,
+        after_idle,
+        after_load,
+    };
     let outcomes = traffic.into_outcomes();
-    let ending = ending::judge(&mut scene, conversations(&outcomes)).await;
+    let final_violations =
+        final_checks::judge(&mut scene, conversations_to_continue(&outcomes)).await;
     let mut violations = scene.violations_except(faults.disturbances());
-    violations.extend(ending);
-    let findings = Findings::new(&scene, experiment, &outcomes, &spans, &violations);
+    violations.extend(final_violations);
+    let findings = Findings::new(&scene, experiment, &outcomes, &measurements, &violations);
     if !violations.is_empty() {
         eprintln!("{}", scene.system.log_tails());
     }
     Ok(findings)
 }
 
-/// Some conversations of finished programs, spread over the run, to be continued at the end.
-fn conversations(outcomes: &[Outcome]) -> Vec<Conversation> {
+/// A selection of the finished programs' conversations, spread over the run, newest first.
+fn conversations_to_continue(outcomes: &[Outcome]) -> Vec<Conversation> {
     let conversations: Vec<&Conversation> = outcomes
         .iter()
         .filter_map(|outcome| outcome.conversation.as_ref())
@@ -73,6 +78,6 @@
         .collect()
 }
 
-async fn rest(seconds: f64) {
+async fn wait_seconds(seconds: f64) {
     sleep_until(Instant::now() + Duration::from_secs_f64(seconds)).await;
 }
--- a/crates/testing/emulator/src/experiment/read.rs
+++ b/crates/testing/emulator/src/experiment/read.rs
@@ -1,6 +1,6 @@
 //! Reads experiment files.
 
-use super::check::check;
+use super::bounds::problems;
 use super::file::Experiment;
 use anyhow::{bail, Context};
 use std::path::Path;
@@ -9,17 +9,18 @@
 ///
 /// # Errors
 ///
-/// Fails where the file cannot be read or parsed, or breaks a bound; all findings are reported at once.
+/// Fails where the file cannot be read or parsed, or breaks a bound; the error lists all broken bounds.
 pub fn read(path: &Path) -> anyhow::Result<Experiment> {
-    let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
-    parse(&text).with_context(|| path.display().to_string())
+    let text = std::fs::read_to_string(path)
+        .with_context(|| format!("could not read the experiment file {}", path.display()))?;
+    parse(&text).with_context(|| format!("invalid experiment file {}", path.display()))
 }
 
 fn parse(text: &str) -> anyhow::Result<Experiment> {
     let experiment: Experiment = toml::from_str(text)?;
-    let findings = check(&experiment);
-    if !findings.is_empty() {
-        bail!("{}", findings.join("; "));
+    let problems = problems(&experiment);
+    if !problems.is_empty() {
+        bail!("{}", problems.join("; "));
     }
     Ok(experiment)
 }
--- a/crates/testing/emulator/src/experiment/stage.rs
+++ b/crates/testing/emulator/src/experiment/scene_plan.rs
@@ -1,4 +1,4 @@
-//! The scene of an experiment.
+//! The scene plan of an experiment.
 
 use super::file::Experiment;
 use dunespur_emulator::configuration::ConfigurationPlan;
@@ -9,8 +9,8 @@
 use dunespur_emulator::system::{MachinePlan, Role};
 use std::time::Duration;
 
-/// Machines, servers and configuration as the file wants them.
-pub fn plan(experiment: &Experiment) -> ScenePlan {
+/// Plan of a scene with the machines, servers and configuration that the experiment's file describes.
+pub fn scene_plan(experiment: &Experiment) -> ScenePlan {
     let services = &experiment.services;
     let models = &services.models;
     let tools = &services.tools;
@@ -77,8 +77,8 @@
     let mut configuration = usual_configuration();
     let services = &experiment.services;
     for service in &mut configuration.services {
-        let models = service.name == MODELS;
-        service.max_conns = if models {
+        let is_models = service.name == MODELS;
+        service.max_conns = if is_models {
             services.models.max_connections
         } else {
             services.tools.max_connections
--- a/crates/testing/emulator/src/experiment/traffic.rs
+++ b/crates/testing/emulator/src/experiment/traffic.rs
@@ -1,4 +1,4 @@
-//! The load: programs and requests that begin at their rates, whatever becomes of those before.
+//! The load: programs and requests start at their classes' rates, independent of how long earlier ones take.
 
 use super::file::{Experiment, ProgramClass, RequestClass, RequestKind};
 use dunespur_emulator::client::{Client, Kind, RequestSpec};
@@ -12,64 +12,67 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// Programs and requests under way at once; more are not begun and counted so.
+/// Maximum number of programs or requests of a class under way at once; further ones are skipped and counted as such.
 const MAX_UNDER_WAY: usize = 4_000;
-/// Where a budget is left out, it is enough for so many times the turns.
-const AMPLE_BUDGET: u64 = 8;
+/// Where a class states no budget, its programs get this many times the tokens of all turns of the main conversation.
+const DEFAULT_BUDGET_FACTOR: u64 = 8;
 
 /// How a program or a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum OutcomeKind {
+    /// Succeeded within the target time.
     InTime,
+    /// Succeeded after the target time.
     Late,
-    /// By a promise that it has not run, 402 included.
+    /// OutcomeKind with a status that guarantees that the request has not run, including 402.
     Refused,
+    /// OutcomeKind without success in any other way.
     Failed,
-    /// Not begun: too many were under way.
+    /// Not started, as too many were under way.
     Skipped,
 }
 
-/// What became of one program or request.
+/// Outcome of one program or request.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Place of its class: programs first, then requests.
+    /// Index of its class; the classes of programs come before those of requests.
     pub class: usize,
-    pub ended: Ended,
+    pub kind: OutcomeKind,
     pub took_ms: u64,
-    /// Times to the first event of its turns, or to its answer.
+    /// Times to the first events of a program's turns, or to a request's response.
     pub first_ms: Vec<u64>,
     /// The conversation of a finished program whose turns are stored.
     pub conversation: Option<Conversation>,
 }
 
-/// The load while it runs.
+/// The load of a running experiment.
 pub struct Traffic {
     under_way: JoinSet<Vec<Outcome>>,
     outcomes: Vec<Outcome>,
 }
 
 impl Traffic {
-    /// Starts all classes.
+    /// Starts the load of all classes.
     pub fn start(scene: &Scene, experiment: &Experiment) -> Traffic {
         let mut under_way = JoinSet::new();
-        let length = Duration::from_secs_f64(experiment.traffic_s);
+        let duration = Duration::from_secs_f64(experiment.traffic_s);
         let programs = experiment
             .programs
             .iter()
-            .map(|class| Work::Program(class.clone(), chunk(experiment)));
+            .map(|class| LoadClass::Program(class.clone(), chunk_tokens(experiment)));
         let requests = experiment
             .requests
             .iter()
-            .map(|class| Work::Request(class.clone()));
-        for (class, work) in programs.chain(requests).enumerate() {
+            .map(|class| LoadClass::Request(class.clone()));
+        for (class, load) in programs.chain(requests).enumerate() {
             let random = fastrand::Rng::with_seed(experiment.seed ^ (class as u64 + 1) << 32);
-            let source = Source {
+            let generator = LoadGenerator {
                 class,
-                work,
+                load,
                 client: scene.client.clone(),
                 random,
             };
-            under_way.spawn(source.run(length));
+            under_way.spawn(generator.run(duration));
         }
         Traffic {
             under_way,
@@ -77,13 +80,13 @@
         }
     }
 
-    /// Whether all that began has ended.
-    pub fn ended(&self) -> bool {
+    /// Whether the load of all classes has ended.
+    pub fn has_ended(&self) -> bool {
         self.under_way.is_empty()
     }
 
-    /// Takes in what has ended.
-    pub fn take_ended(&mut self) {
+    /// Collects the outcomes of the classes that have ended.
+    pub fn collect_outcomes(&mut self) {
         while let Some(ended) = self.under_way.try_join_next() {
             self.outcomes.extend(ended.unwrap_or_default());
         }
@@ -94,41 +97,42 @@
     }
 }
 
-fn chunk(experiment: &Experiment) -> u64 {
+fn chunk_tokens(experiment: &Experiment) -> u64 {
     experiment.services.models.chunk_tokens
 }
 
-/// What a class does once.
+/// A class of programs or requests.
 #[derive(Clone)]
-enum Work {
+enum LoadClass {
+    /// A class of programs, and the tokens in one event of its turns.
     Program(ProgramClass, u64),
     Request(RequestClass),
 }
 
-impl Work {
+impl LoadClass {
     fn rate(&self) -> f64 {
         match self {
-            Work::Program(class, _) => class.rate,
-            Work::Request(class) => class.rate,
+            LoadClass::Program(class, _) => class.rate,
+            LoadClass::Request(class) => class.rate,
         }
     }
 }
 
-/// Begins what a class does, at its rate.
-struct Source {
+/// Starts the programs or requests of a class at the class's rate.
+struct LoadGenerator {
     class: usize,
-    work: Work,
+    load: LoadClass,
     client: Client,
     random: fastrand::Rng,
 }
 
-impl Source {
-    async fn run(mut self, length: Duration) -> Vec<Outcome> {
+impl LoadGenerator {
+    async fn run(mut self, duration: Duration) -> Vec<Outcome> {
         let started = Instant::now();
         let mut under_way = JoinSet::new();
         let mut outcomes = Vec::new();
         let mut next = started + self.time_to_next();
-        while next < started + length {
+        while next < started + duration {
             sleep_until(next).await;
             next += self.time_to_next();
             if under_way.len() >= MAX_UNDER_WAY {
@@ -136,9 +140,9 @@
                 continue;
             }
             let sub_agents = self.random.f64();
-            under_way.spawn(once(
+            under_way.spawn(run_once(
                 self.class,
-                self.work.clone(),
+                self.load.clone(),
                 self.client.clone(),
                 sub_agents,
             ));
@@ -155,60 +159,60 @@
     fn skipped(&self) -> Outcome {
         Outcome {
             class: self.class,
-            ended: Ended::Skipped,
+            kind: OutcomeKind::Skipped,
             took_ms: 0,
             first_ms: Vec::new(),
             conversation: None,
         }
     }
 
-    /// Time to the next beginning: independent of all others.
+    /// Draws the time to the next start from an exponential distribution, so that starts are independent of each other.
     fn time_to_next(&mut self) -> Duration {
         let drawn = 1.0 - self.random.f64();
-        Duration::from_secs_f64(-drawn.ln() / self.work.rate())
+        Duration::from_secs_f64(-drawn.ln() / self.load.rate())
     }
 }
 
-async fn once(class: usize, work: Work, client: Client, sub_agents: f64) -> Outcome {
-    match work {
-        Work::Program(program, chunk) => {
-            once_program(class, &program, chunk, &client, sub_agents).await
+async fn run_once(class: usize, load: LoadClass, client: Client, sub_agents: f64) -> Outcome {
+    match load {
+        LoadClass::Program(program, chunk_tokens) => {
+            run_program(class, &program, chunk_tokens, &client, sub_agents).await
         }
-        Work::Request(request) => once_request(class, &request, &client).await,
+        LoadClass::Request(request) => send_request(class, &request, &client).await,
     }
 }
 
-async fn once_program(
+async fn run_program(
     class: usize,
     program: &ProgramClass,
-    chunk: u64,
+    chunk_tokens: u64,
     client: &Client,
     sub_agents: f64,
 ) -> Outcome {
     let played = play(
         client,
-        &plan(program, chunk, sub_agents < program.sub_agents),
+        &plan(program, chunk_tokens, sub_agents < program.sub_agents),
     )
     .await;
-    let ended = match played.end {
-        End::Finished if played.took_ms <= program.target_ms => Ended::InTime,
-        End::Finished => Ended::Late,
-        End::Spent => Ended::Refused,
-        End::Failed { status } => without_success(status),
+    let kind = match played.end {
+        End::Finished if played.took_ms <= program.target_ms => OutcomeKind::InTime,
+        End::Finished => OutcomeKind::Late,
+        End::Spent => OutcomeKind::Refused,
+        End::Failed { status } => failure_outcome(status),
     };
     let first_ms = played.turns.iter().map(|turn| turn.first_ms).collect();
     let conversation =
         Some(played.conversation).filter(|_| program.persisted && played.end == End::Finished);
     Outcome {
         class,
-        ended,
+        kind,
         took_ms: played.took_ms,
         first_ms,
         conversation,
     }
 }
 
-async fn once_request(class: usize, request: &RequestClass, client: &Client) -> Outcome {
+async fn send_request(class: usize, request: &RequestClass, client: &Client) -> Outcome {
     let mut spec = match request.kind {
         RequestKind::ReadOnly => RequestSpec::get(HOST, &format!("{LOOKUP}x")),
         RequestKind::Mutating => {
@@ -218,24 +222,24 @@
     spec.deadline_ms = request.deadline_ms;
     spec.retries = request.retries;
     let served = client.send(&spec).await;
-    let ended = match served.succeeded() {
-        true if served.took_ms <= request.target_ms => Ended::InTime,
-        true => Ended::Late,
-        false => without_success(served.status()),
+    let kind = match served.succeeded() {
+        true if served.took_ms <= request.target_ms => OutcomeKind::InTime,
+        true => OutcomeKind::Late,
+        false => failure_outcome(served.status()),
     };
     Outcome {
         class,
-        ended,
+        kind,
         took_ms: served.took_ms,
         first_ms: vec![served.first_ms],
         conversation: None,
     }
 }
 
-fn without_success(status: Option<u16>) -> Ended {
+fn failure_outcome(status: Option<u16>) -> OutcomeKind {
     match status {
-        Some(402 | 408 | 421 | 429 | 503) => Ended::Refused,
-        _ => Ended::Failed,
+        Some(402 | 408 | 421 | 429 | 503) => OutcomeKind::Refused,
+        _ => OutcomeKind::Failed,
     }
 }
 
@@ -264,7 +268,7 @@
         persisted: class.persisted,
         turns: class.turns,
         shared: SharedPrefix {
-            id: shared_id(&class.name),
+            id: shared_prefix_id(&class.name),
             tokens: class.shared_tokens,
         },
         input_bytes: class.input_bytes,
@@ -273,7 +277,7 @@
         chunk_tokens,
         budget: class
             .budget
-            .unwrap_or(AMPLE_BUDGET * u64::from(class.turns) * class.max_tokens),
+            .unwrap_or(DEFAULT_BUDGET_FACTOR * u64::from(class.turns) * class.max_tokens),
         tools: lookups.chain(records).collect(),
         sub_agents: sub_agents.then_some(SubAgents {
             after_turn: 1,
@@ -286,7 +290,7 @@
     }
 }
 
-/// The same for all programs of a class.
-fn shared_id(name: &str) -> String {
+/// Id of the prompt prefix that all programs of a class share.
+fn shared_prefix_id(name: &str) -> String {
     format!("{:x}", dunespur_emulator::Digest::of(name.as_bytes()).hash)
 }
