--- a/crates/testing/emulator/src/clock.rs
+++ b/crates/testing/emulator/src/clock.rs
@@ -2,14 +2,14 @@
 
 use std::time::Instant;
 
-/// Time since the test's start.
+/// A monotonic clock that counts from the start of a test.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts at zero now.
+    /// Starts a clock at zero.
     #[must_use]
     pub fn start() -> Clock {
         Clock {
--- a/crates/testing/emulator/src/configuration.rs
+++ b/crates/testing/emulator/src/configuration.rs
@@ -1,33 +1,33 @@
-//! Configurations as an operator writes them.
+//! Configurations and patches that the operator sends, and their JSON form.
 
 use crate::client::Kind;
 use serde_json::{json, Value};
 
-/// A configuration.
+/// A complete configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigurationPlan {
     /// Version; each accepted configuration has a higher one.
     pub generation: u64,
     /// Routes, matched by host and longest path prefix.
     pub routes: Vec<RoutePlan>,
-    /// Services that routes lead to.
+    /// Services that routes refer to.
     pub services: Vec<ServicePlan>,
-    /// Limits of what clients may send.
+    /// Limits for clients' requests and connections.
     pub limits: LimitsPlan,
 }
 
-/// A route.
+/// A route: which requests go to which services, and how.
 #[derive(Clone, Debug)]
 pub struct RoutePlan {
     /// Name, unique among routes.
     pub name: String,
-    /// Host that the route is for.
+    /// Host of the requests that the route matches.
     pub host: String,
-    /// Beginning of the paths that the route is for.
+    /// Prefix of the paths that the route matches.
     pub path_prefix: String,
-    /// Kind of its requests.
+    /// Kind of the route's requests.
     pub kind: Kind,
-    /// Longest that a request may take, in milliseconds.
+    /// Time limit of a request, in milliseconds.
     pub timeout_ms: u64,
     /// Latency target to the first event or the response, in milliseconds.
     pub target_ms: u64,
@@ -35,11 +35,11 @@
     pub priority: u8,
     /// Services that share the route's requests.
     pub backends: Vec<WeightedBackend>,
-    /// Most retries by the gateway.
+    /// Maximum number of retries by the gateway.
     pub retries: u32,
-    /// Whether the system stores the turns.
+    /// Whether the system stores the route's turns.
     pub persisted: bool,
-    /// How long a stored turn is retained, in seconds.
+    /// Time for which a stored turn is retained, in seconds.
     pub retention_s: f64,
     /// Longest gap wanted between two events, in milliseconds; `gap_aim_ms` on the wire.
     pub gap_target_ms: u64,
@@ -50,27 +50,27 @@
 pub struct WeightedBackend {
     /// Name of the service.
     pub backend: String,
-    /// Relative weight; 0 for none of the requests.
+    /// Relative weight; a service of weight 0 receives no requests.
     pub weight: u64,
 }
 
-/// A service.
+/// A service, to which routes send requests.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
-    /// Name, by which routes refer to it.
+    /// Name, by which routes refer to the service.
     pub name: String,
-    /// Most connections to one server, from all gateways together.
+    /// Maximum number of connections to one server, from all gateways together.
     pub max_conns: u32,
-    /// Present for services of model servers.
+    /// Properties of the model servers; `None` for a service of plain servers.
     pub engine: Option<EnginePlan>,
 }
 
-/// The model servers of a service.
+/// Properties of a service's model servers.
 #[derive(Clone, Debug)]
 pub struct EnginePlan {
-    /// Requests that one server runs at once.
+    /// Maximum number of requests that one server runs at once.
     pub slots: u32,
-    /// Tokens that a server's KV cache holds.
+    /// Capacity of a server's KV cache, in tokens.
     pub kv_capacity: u64,
     /// Tokens in one event.
     pub chunk_tokens: u64,
@@ -78,16 +78,16 @@
     pub models: Vec<String>,
 }
 
-/// Limits of what clients may send.
+/// Limits for clients' requests and connections.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitsPlan {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub max_header_bytes: u64,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// Longest that a head may take to arrive, in milliseconds.
+    /// Time limit for the arrival of a head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest that a connection may be idle, in milliseconds.
+    /// Time after which an idle connection is closed, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -103,7 +103,7 @@
 }
 
 impl RoutePlan {
-    /// A route with one service and usual bounds.
+    /// A route with one service and default limits.
     #[must_use]
     pub fn new(name: &str, host: &str, path_prefix: &str, kind: Kind, backend: &str) -> RoutePlan {
         RoutePlan {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The route as the operator sends it.
+    /// The route in the JSON form that the operator sends.
     #[must_use]
     pub fn json(&self) -> Value {
         let mut route = json!({
@@ -160,7 +160,7 @@
 }
 
 impl ServicePlan {
-    /// The service as the operator sends it.
+    /// The service in the JSON form that the operator sends.
     #[must_use]
     pub fn json(&self) -> Value {
         let mut service = json!({
@@ -190,7 +190,8 @@
 }
 
 impl ConfigurationPlan {
-    /// The next version: with these routes added or replaced by name, and those removed.
+    /// The configuration after a patch: the routes of `upsert` are added or replaced by name, those named in `remove` are
+    /// removed.
     #[must_use]
     pub fn patched(
         &self,
@@ -198,13 +199,13 @@
         upsert: &[RoutePlan],
         remove: &[&str],
     ) -> ConfigurationPlan {
-        let replaced = |route: &RoutePlan| {
+        let is_replaced_or_removed = |route: &RoutePlan| {
             remove.contains(&route.name.as_str()) || upsert.iter().any(|new| new.name == route.name)
         };
         let mut routes: Vec<RoutePlan> = self
             .routes
             .iter()
-            .filter(|route| !replaced(route))
+            .filter(|route| !is_replaced_or_removed(route))
             .cloned()
             .collect();
         routes.extend_from_slice(upsert);
@@ -215,7 +216,7 @@
         }
     }
 
-    /// The complete configuration as the operator sends it.
+    /// The configuration in the JSON form that the operator sends.
     pub fn json(&self) -> Value {
         json!({
             "generation": self.generation,
@@ -231,7 +232,8 @@
     }
 }
 
-/// A patch that adds or replaces routes and removes others by name.
+/// A patch in the JSON form that the operator sends: adds or replaces the routes of `upsert` and removes those named
+/// in `remove`.
 pub fn patch(generation: u64, upsert: &[RoutePlan], remove: &[&str]) -> Value {
     json!({
         "generation": generation,
--- a/crates/testing/emulator/src/digest.rs
+++ b/crates/testing/emulator/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests, by which bodies are compared without being stored.
+//! Digests of bodies, so that bodies can be compared without being stored.
 
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Builds the digest of a body from its chunks.
+/// Computes the digest of a body that arrives in chunks.
 #[derive(Clone, Default)]
 pub(crate) struct Digester {
     state: Xxh3,
--- a/crates/testing/emulator/src/experiment/faults/mod.rs
+++ b/crates/testing/emulator/src/experiment/faults/mod.rs
@@ -4,7 +4,7 @@
 mod step;
 
 use super::file::{Experiment, Fault, FaultKind};
-use dunespur_emulator::ingress::{Entry, Ingress};
+use dunespur_emulator::ingress::{GatewayAddresses, Ingress};
 use dunespur_emulator::judge::Span;
 use dunespur_emulator::scene::Scene;
 use dunespur_emulator::system::Role;
@@ -31,7 +31,10 @@
 
 impl Faults {
     pub fn new(scene: &Scene, experiment: &Experiment) -> Faults {
-        let ingress = Ingress::start(scene.client.clone(), entries(scene, &BTreeSet::new()));
+        let ingress = Ingress::start(
+            scene.client.clone(),
+            gateway_addresses(scene, &BTreeSet::new()),
+        );
         Faults {
             pending: experiment.faults.clone(),
             steps: Vec::new(),
@@ -141,7 +144,8 @@
 
     /// Passes the addresses of the remaining gateways to the ingress, the operator and the servers.
     fn update_gateway_addresses(&mut self, scene: &mut Scene) {
-        self.ingress.set_entries(entries(scene, &self.removed));
+        self.ingress
+            .set_gateways(gateway_addresses(scene, &self.removed));
         let controls = scene
             .system
             .machine_indices(|plan| plan.role != Role::Store);
@@ -173,7 +177,8 @@
     DelayedStep { delay_s, step }
 }
 
-fn entries(scene: &Scene, removed: &BTreeSet<usize>) -> Vec<Entry> {
+/// Addresses of all gateways that have not been decommissioned.
+fn gateway_addresses(scene: &Scene, removed: &BTreeSet<usize>) -> Vec<GatewayAddresses> {
     let gateways = scene
         .system
         .machine_indices(|plan| plan.role != Role::Store);
@@ -181,7 +186,7 @@
         .into_iter()
         .filter(|index| !removed.contains(index));
     remaining
-        .map(|index| Entry {
+        .map(|index| GatewayAddresses {
             ready: scene.system.ready_address(index),
             front: scene.system.front(index),
         })
--- a/crates/testing/emulator/src/gate.rs
+++ b/crates/testing/emulator/src/gate.rs
@@ -1,9 +1,9 @@
-//! Gates, by which a test controls the progress of servers.
+//! Gates, through which a test controls the progress of servers.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::Notify;
 
-/// A point at which servers wait until the test lets them proceed. Open at first.
+/// A point at which servers wait until the test lets them proceed. A new gate is open.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     inner: Arc<Inner>,
@@ -18,6 +18,7 @@
 #[derive(Debug, Default)]
 struct State {
     closed: bool,
+    /// Number of callers that may still pass while the gate is closed.
     permits: u64,
     waiting: usize,
 }
@@ -31,7 +32,7 @@
         gate
     }
 
-    /// Closes the gate: nothing passes without a permit.
+    /// Closes the gate: callers need a permit to pass. Unused permits are dropped.
     pub fn close(&self) {
         self.change(|state| {
             state.closed = true;
@@ -39,36 +40,37 @@
         });
     }
 
-    /// Lets `count` waiting or later ones pass.
+    /// Lets `count` callers pass, whether they wait already or arrive later.
     pub fn release(&self, count: u64) {
         self.change(|state| state.permits += count);
     }
 
-    /// Opens the gate for all.
+    /// Opens the gate for all callers.
     pub fn open(&self) {
         self.change(|state| state.closed = false);
     }
 
     /// Returns once the gate lets the caller pass.
     pub async fn pass(&self) {
-        let _waiting = Waiting::begin(&self.inner);
-        self.until(|state| {
+        let _waiting = WaitingCaller::begin(&self.inner);
+        self.wait_until(|state| {
             if !state.closed {
                 return true;
             }
-            let passes = state.permits > 0;
-            state.permits -= u64::from(passes);
-            passes
+            let has_permit = state.permits > 0;
+            state.permits -= u64::from(has_permit);
+            has_permit
         })
         .await;
     }
 
-    /// Returns once `count` callers wait here, which shows that requests have arrived.
+    /// Returns once at least `count` callers wait at the gate, which shows that their requests have arrived.
     pub async fn waiting(&self, count: usize) {
-        self.until(|state| state.waiting >= count).await;
+        self.wait_until(|state| state.waiting >= count).await;
     }
 
-    async fn until(&self, mut condition: impl FnMut(&mut State) -> bool) {
+    /// Returns once the gate's state fulfils `condition`.
+    async fn wait_until(&self, mut condition: impl FnMut(&mut State) -> bool) {
         loop {
             let changed = self.inner.changed.notified();
             tokio::pin!(changed);
@@ -92,22 +94,22 @@
     }
 }
 
-/// Counts one waiting caller, also when it is dropped while waiting.
-struct Waiting {
+/// Counts one caller as waiting until this is dropped, even if the caller is dropped while it waits.
+struct WaitingCaller {
     inner: Arc<Inner>,
 }
 
-impl Waiting {
-    fn begin(inner: &Arc<Inner>) -> Waiting {
+impl WaitingCaller {
+    fn begin(inner: &Arc<Inner>) -> WaitingCaller {
         inner.lock().waiting += 1;
         inner.changed.notify_waiters();
-        Waiting {
+        WaitingCaller {
             inner: inner.clone(),
         }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingCaller {
     fn drop(&mut self) {
         self.inner.lock().waiting -= 1;
     }
--- a/crates/testing/emulator/src/heartbeat.rs
+++ b/crates/testing/emulator/src/heartbeat.rs
@@ -1,5 +1,5 @@
-//! Registration of a server with the gateways: heartbeats, draining and departure, sent to the first gateway that
-//! acknowledges.
+//! Registration of a server with the gateways: announces by heartbeats that the server is ready, draining or leaving.
+//! Each message is sent to one gateway after the other until one acknowledges it.
 
 use crate::client::call::{call, Call, CallAnswer, CallError};
 use crate::record::Acknowledged;
@@ -12,19 +12,20 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// A later acknowledgement does not count.
+/// Time limit for an acknowledgement; a later one counts as a failure.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A longer acknowledgement does not count either.
+/// Size limit of an acknowledgement's body; a longer one counts as a failure.
 const MAX_ACKNOWLEDGEMENT_BYTES: usize = 4 * 1024;
-/// Time until the next attempt once all gateways have failed.
+/// Pause before the next attempt after all gateways have failed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the next message announces.
+/// Phase of the server that the next message announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Ready,
     Draining,
     Leaving,
+    /// No further messages are sent.
     Silent,
 }
 
@@ -41,23 +42,25 @@
 struct Shared {
     controls: Mutex<Vec<SocketAddr>>,
     phase: watch::Sender<Phase>,
+    /// The last phase that a gateway has acknowledged.
     acknowledged: watch::Sender<Option<Phase>>,
-    now: Notify,
+    /// Wakes the sender before its next interval.
+    send_now: Notify,
 }
 
 /// Contents and interval of a server's heartbeats.
 #[derive(Clone, Debug)]
 pub struct HeartbeatSettings {
-    /// Time between two heartbeats.
+    /// Interval between two heartbeats.
     pub interval: Duration,
-    /// Remaining warm-up time, in milliseconds, as each heartbeat states it.
+    /// Remaining warm-up time that each heartbeat states, in milliseconds.
     pub warm_up_left_ms: u64,
-    /// Names of its models; none for a plain server.
+    /// Names of the server's models; empty for a plain server.
     pub models: Vec<String>,
 }
 
 impl Registration {
-    /// Begins to register the server of `handle` with the gateways at `controls`.
+    /// Starts to send heartbeats of the server of `handle` to the gateways at `controls`.
     pub fn start(
         handle: Arc<ServerHandle>,
         controls: Vec<SocketAddr>,
@@ -67,7 +70,7 @@
             controls: Mutex::new(controls),
             phase: watch::Sender::new(Phase::Ready),
             acknowledged: watch::Sender::new(None),
-            now: Notify::new(),
+            send_now: Notify::new(),
         });
         let sender = HeartbeatSender {
             handle: handle.clone(),
@@ -99,18 +102,19 @@
         self.wait_for_acknowledgement(Phase::Ready).await;
     }
 
-    /// Announces that the server is draining; returns with the acknowledgement.
+    /// Announces that the server is draining; returns once a gateway has acknowledged it.
     pub async fn drain(&self) {
-        self.enter(Phase::Draining).await;
+        self.announce(Phase::Draining).await;
         self.handle.set_leaving();
     }
 
-    /// Announces that the server departs; returns with the acknowledgement.
+    /// Announces that the server is leaving; returns once a gateway has acknowledged it.
     pub async fn leave(&self) {
-        self.enter(Phase::Leaving).await;
+        self.announce(Phase::Leaving).await;
     }
 
-    /// Sends one extra heartbeat with these values to `control`; returns the status of the response.
+    /// Sends one extra heartbeat with this sequence number and state to `control`; returns the status of the response, if
+    /// one came.
     pub async fn send_out_of_order(
         &self,
         control: SocketAddr,
@@ -122,26 +126,26 @@
         } else {
             Phase::Ready
         };
-        let body = body(&self.handle.identity, &self.heartbeat, phase, seq);
+        let body = heartbeat_body(&self.handle.identity, &self.heartbeat, phase, seq);
         let call = Call::post(
             format!("/api/instances/{}/heartbeat", self.handle.identity.instance),
             body,
         );
-        call_within(control, &call)
+        call_with_timeout(control, &call)
             .await
             .ok()
             .map(|answer| answer.status)
     }
 
-    /// Stops all heartbeats, as a crashed server does.
+    /// Stops all heartbeats, as if the server had crashed.
     pub fn fall_silent(&self) {
         self.shared.phase.send_replace(Phase::Silent);
         self.task.abort();
     }
 
-    async fn enter(&self, phase: Phase) {
+    async fn announce(&self, phase: Phase) {
         self.shared.phase.send_replace(phase);
-        self.shared.now.notify_one();
+        self.shared.send_now.notify_one();
         self.wait_for_acknowledgement(phase).await;
     }
 
@@ -159,14 +163,16 @@
     }
 }
 
+/// Sends the messages of one registration.
 struct HeartbeatSender {
     handle: Arc<ServerHandle>,
     shared: Arc<Shared>,
     heartbeat: HeartbeatSettings,
+    /// Sequence number of the next message.
     seq: u64,
     /// Index of the gateway to call next.
     next: usize,
-    /// The gateway that an earlier response named for heartbeats.
+    /// The gateway that an earlier acknowledgement named as the address for heartbeats.
     preferred: Option<SocketAddr>,
 }
 
@@ -187,16 +193,16 @@
             }
             tokio::select! {
                 () = sleep(self.heartbeat.interval) => {}
-                () = self.shared.now.notified() => {}
+                () = self.shared.send_now.notified() => {}
             }
         }
     }
 
-    /// Calls one gateway after the other until one acknowledges; false when all have failed.
+    /// Sends the message to one gateway after the other until one acknowledges it; false where all have failed.
     async fn send(&mut self, phase: Phase) -> bool {
         let requested_ms = self.handle.context.clock.now_ms();
         if let Some(preferred) = self.preferred {
-            if self.send_one(preferred, phase, requested_ms).await {
+            if self.send_to(preferred, phase, requested_ms).await {
                 return true;
             }
             self.preferred = None;
@@ -209,7 +215,7 @@
             .clone();
         for offset in 0..controls.len() {
             let address = controls[(self.next + offset) % controls.len()];
-            if self.send_one(address, phase, requested_ms).await {
+            if self.send_to(address, phase, requested_ms).await {
                 self.next += offset;
                 return true;
             }
@@ -217,23 +223,23 @@
         false
     }
 
-    async fn send_one(&mut self, address: SocketAddr, phase: Phase, requested_ms: u64) -> bool {
+    async fn send_to(&mut self, address: SocketAddr, phase: Phase, requested_ms: u64) -> bool {
         let id = &self.handle.identity.instance;
         let call = match phase {
             Phase::Leaving => Call::post(format!("/api/instances/{id}/leave"), String::from("{}")),
             _ => Call::post(
                 format!("/api/instances/{id}/heartbeat"),
-                body(&self.handle.identity, &self.heartbeat, phase, self.seq),
+                heartbeat_body(&self.handle.identity, &self.heartbeat, phase, self.seq),
             ),
         };
         self.seq += 1;
-        let Ok(answer) = call_within(address, &call).await else {
+        let Ok(answer) = call_with_timeout(address, &call).await else {
             return false;
         };
         if !(200..300).contains(&answer.status) || answer.body.len() > MAX_ACKNOWLEDGEMENT_BYTES {
             return false;
         }
-        self.preferred = preferred(&answer.body).or(self.preferred);
+        self.preferred = preferred_gateway(&answer.body).or(self.preferred);
         self.record_acknowledgement(phase, requested_ms);
         true
     }
@@ -252,7 +258,12 @@
     }
 }
 
-fn body(identity: &Identity, heartbeat: &HeartbeatSettings, phase: Phase, seq: u64) -> String {
+fn heartbeat_body(
+    identity: &Identity,
+    heartbeat: &HeartbeatSettings,
+    phase: Phase,
+    seq: u64,
+) -> String {
     let state = if phase == Phase::Draining {
         "draining"
     } else {
@@ -276,11 +287,12 @@
     body.to_string()
 }
 
-async fn call_within(address: SocketAddr, event: &Call) -> Result<CallAnswer, CallError> {
-    call(address, event, ACKNOWLEDGEMENT_TIMEOUT).await
+async fn call_with_timeout(address: SocketAddr, message: &Call) -> Result<CallAnswer, CallError> {
+    call(address, message, ACKNOWLEDGEMENT_TIMEOUT).await
 }
 
-fn preferred(body: &[u8]) -> Option<SocketAddr> {
+/// The gateway that an acknowledgement names as the address for heartbeats, if it names one.
+fn preferred_gateway(body: &[u8]) -> Option<SocketAddr> {
     let answer: serde_json::Value = serde_json::from_slice(body).ok()?;
     answer.get("beat_addr")?.as_str()?.parse().ok()
 }
--- a/crates/testing/emulator/src/identity.rs
+++ b/crates/testing/emulator/src/identity.rs
@@ -1,4 +1,4 @@
-//! Ids of requests, programs and servers: drawn from a seed, so that a run can be repeated.
+//! Ids of requests, programs and servers, drawn from a seed so that a run can be repeated.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,7 +8,7 @@
 pub struct RequestId(pub u64);
 
 impl RequestId {
-    /// Parses the value of a header: 16 hexadecimal digits.
+    /// Parses an id from the value of a header; `None` unless the value is 16 hexadecimal digits.
     pub fn parse(text: &str) -> Option<RequestId> {
         let well_formed = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         well_formed
@@ -45,25 +45,25 @@
         }
     }
 
-    /// The id of a new attempt.
+    /// Draws the id of a new attempt.
     #[must_use]
     pub fn request(&self) -> RequestId {
         RequestId(self.draw())
     }
 
-    /// The id of a program, a session or a prompt segment.
+    /// Draws the id of a program, a session or a prompt segment.
     #[must_use]
     pub fn short(&self) -> String {
         format!("{:06x}", self.draw() & 0xff_ffff)
     }
 
-    /// The id of a server's incarnation.
+    /// Draws the id of a server's incarnation.
     #[must_use]
     pub fn instance(&self) -> String {
         format!("i-{:08x}", self.draw() & 0xffff_ffff)
     }
 
-    /// A number below `bound`.
+    /// Draws a number below `bound`; 0 where `bound` is 0.
     #[must_use]
     pub fn below(&self, bound: u64) -> u64 {
         if bound == 0 {
@@ -72,7 +72,7 @@
         self.draw() % bound
     }
 
-    /// A number from 0 up to 1.
+    /// Draws a number from 0 to 1, excluding 1.
     pub fn fraction(&self) -> f64 {
         self.random
             .lock()
--- a/crates/testing/emulator/src/ingress.rs
+++ b/crates/testing/emulator/src/ingress.rs
@@ -1,5 +1,5 @@
-//! The platform's load balancer: checks each gateway's readiness every second and sends clients to those that are
-//! ready.
+//! The platform's load balancer: checks the readiness of each gateway every second and directs clients to the ready
+//! gateways.
 
 use crate::client::call::{call, Call};
 use crate::client::Client;
@@ -11,39 +11,45 @@
 
 /// Interval of the readiness checks.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// A readiness check fails after this time.
+/// Time-out of a readiness check.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 /// A gateway that fails this many checks in a row receives no new connections.
-const MAX_MISSED_PROBES: u32 = 2;
+const MAX_FAILED_PROBES: u32 = 2;
 
 /// The addresses of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct GatewayAddresses {
     /// Address of the readiness check.
     pub ready: SocketAddr,
     /// Address for clients.
     pub front: SocketAddr,
 }
 
-/// Keeps a client's gateway addresses up to date until this is dropped.
+/// Sets a client's gateway addresses by readiness checks until this is dropped.
 #[derive(Debug)]
 pub struct Ingress {
-    entries: Arc<Mutex<Vec<Entry>>>,
+    listed_gateways: Arc<Mutex<Vec<GatewayAddresses>>>,
     task: JoinHandle<()>,
 }
 
 impl Ingress {
-    /// Begins to check `entries` and to keep the addresses of `client` up to date.
+    /// Starts to check the gateways of `listed_gateways` and to update the addresses of `client`.
     #[must_use]
-    pub fn start(client: Client, entries: Vec<Entry>) -> Ingress {
-        let entries = Arc::new(Mutex::new(entries));
-        let task = tokio::spawn(keep(client, entries.clone()));
-        Ingress { entries, task }
+    pub fn start(client: Client, listed_gateways: Vec<GatewayAddresses>) -> Ingress {
+        let listed_gateways = Arc::new(Mutex::new(listed_gateways));
+        let task = tokio::spawn(run_checks(client, listed_gateways.clone()));
+        Ingress {
+            listed_gateways,
+            task,
+        }
     }
 
     /// Replaces the gateways.
-    pub fn set_entries(&self, entries: Vec<Entry>) {
-        *self.entries.lock().unwrap_or_else(PoisonError::into_inner) = entries;
+    pub fn set_gateways(&self, listed_gateways: Vec<GatewayAddresses>) {
+        *self
+            .listed_gateways
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = listed_gateways;
     }
 }
 
@@ -53,51 +59,58 @@
     }
 }
 
-/// A gateway as the platform sees it.
-struct Seen {
-    entry: Entry,
-    misses: u32,
+/// A gateway and the number of readiness checks that it has failed in a row.
+struct CheckedGateway {
+    addresses: GatewayAddresses,
+    failed_probes: u32,
 }
 
-async fn keep(client: Client, entries: Arc<Mutex<Vec<Entry>>>) {
-    let mut seen: Vec<Seen> = Vec::new();
+/// Checks all gateways at each interval and updates the client's addresses, until the task is aborted.
+async fn run_checks(client: Client, listed_gateways: Arc<Mutex<Vec<GatewayAddresses>>>) {
+    let mut gateways: Vec<CheckedGateway> = Vec::new();
     loop {
-        let listed = entries
+        let listed = listed_gateways
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        seen.retain(|gateway| listed.contains(&gateway.entry));
-        for entry in listed {
-            if !seen.iter().any(|gateway| gateway.entry == entry) {
-                seen.push(Seen {
-                    entry,
-                    misses: MAX_MISSED_PROBES,
+        gateways.retain(|gateway| listed.contains(&gateway.addresses));
+        for addresses in listed {
+            if !gateways
+                .iter()
+                .any(|gateway| gateway.addresses == addresses)
+            {
+                gateways.push(CheckedGateway {
+                    addresses,
+                    failed_probes: MAX_FAILED_PROBES,
                 });
             }
         }
         let mut answers = JoinSet::new();
-        for (index, gateway) in seen.iter().enumerate() {
-            let ready = gateway.entry.ready;
+        for (index, gateway) in gateways.iter().enumerate() {
+            let ready = gateway.addresses.ready;
             answers.spawn(async move { (index, is_ready(ready).await) });
         }
         while let Some(Ok((index, ready))) = answers.join_next().await {
-            let misses = &mut seen[index].misses;
-            *misses = if ready { 0 } else { *misses + 1 };
+            let failed_probes = &mut gateways[index].failed_probes;
+            *failed_probes = if ready { 0 } else { *failed_probes + 1 };
         }
-        client.set_fronts(open(&seen));
+        client.set_fronts(fronts_for_new_connections(&gateways));
         sleep(PROBE_INTERVAL).await;
     }
 }
 
-/// Gateways for new connections: the ready ones, or all where fewer than half are ready.
-fn open(seen: &[Seen]) -> Vec<SocketAddr> {
-    let ready: Vec<SocketAddr> = seen
+/// Addresses for new connections: those of the ready gateways, or of all gateways where fewer than half are ready.
+fn fronts_for_new_connections(gateways: &[CheckedGateway]) -> Vec<SocketAddr> {
+    let ready: Vec<SocketAddr> = gateways
         .iter()
-        .filter(|gateway| gateway.misses < MAX_MISSED_PROBES)
-        .map(|gateway| gateway.entry.front)
+        .filter(|gateway| gateway.failed_probes < MAX_FAILED_PROBES)
+        .map(|gateway| gateway.addresses.front)
         .collect();
-    if ready.len() * 2 < seen.len() {
-        return seen.iter().map(|gateway| gateway.entry.front).collect();
+    if ready.len() * 2 < gateways.len() {
+        return gateways
+            .iter()
+            .map(|gateway| gateway.addresses.front)
+            .collect();
     }
     ready
 }
--- a/crates/testing/emulator/src/lib.rs
+++ b/crates/testing/emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Emulation of the serving tier's environment: model servers, plain servers, clients, agent programs, the
-//! operator and the platform that starts processes; and a judge that checks what they saw against the rules.
+//! Emulation of the serving tier's environment: model servers, plain servers, clients, agent programs, the operator
+//! and the platform that starts processes. A judge checks what they observed against the rules of the protocol.
 //!
-//! Complete programs are tested with it over loopback, each machine under its own address. A server is either timed
-//! by parameters or proceeds only when the test lets it ([`Gate`]), so that no test has to sleep.
+//! Tests run the real processes over loopback, where each machine has its own address. An emulated server takes the
+//! time that its parameters state or proceeds only when the test lets it ([`Gate`]), so that no test has to sleep.
 
 pub mod client;
 mod clock;
--- a/crates/testing/emulator/src/main.rs
+++ b/crates/testing/emulator/src/main.rs
@@ -9,21 +9,21 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Rules were broken.
+/// Exit code where rules were broken.
 const RULES_BROKEN: u8 = 3;
 
 /// Plays experiments against real processes on loopback.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Arguments {
-    /// The program of the serving tier; target/release/dunespur where it is left out
+    /// Path of the serving tier's program; target/release/dunespur if omitted
     #[bpaf(
         long,
         argument("PATH"),
         fallback(PathBuf::from("target/release/dunespur"))
     )]
     program: PathBuf,
-    /// Where every attempt of the last experiment is written, one a line
+    /// File to which all attempts of the last experiment are written, one per line
     #[bpaf(long("tries"), argument("PATH"))]
     attempts: Option<PathBuf>,
     #[bpaf(external)]
@@ -35,10 +35,10 @@
     /// Plays one experiment
     #[bpaf(command)]
     Play {
-        /// Where the measurements are written as JSON
+        /// File to which the measurements are written as JSON
         #[bpaf(long, argument("PATH"))]
         json: Option<PathBuf>,
-        /// The experiment (TOML)
+        /// The experiment file (TOML)
         #[bpaf(positional("EXPERIMENT"))]
         experiment: PathBuf,
     },
@@ -48,10 +48,10 @@
         /// The first seed
         #[bpaf(long, argument("SEED"), fallback(1), display_fallback)]
         first: u64,
-        /// How many seeds
+        /// Number of seeds
         #[bpaf(long, argument("COUNT"), fallback(10), display_fallback)]
         count: u64,
-        /// Length of each experiment's traffic
+        /// Duration of each experiment's traffic
         #[bpaf(long, argument("SECONDS"), fallback(40.0), display_fallback)]
         seconds: f64,
     },
@@ -68,18 +68,19 @@
     }
 }
 
-/// False where rules were broken.
+/// Runs the command; returns false where rules were broken.
 fn run(arguments: &Arguments) -> anyhow::Result<bool> {
     let program = arguments
         .program
         .canonicalize()
-        .with_context(|| arguments.program.display().to_string())?;
+        .with_context(|| format!("could not find the program {}", arguments.program.display()))?;
     match &arguments.command {
         Command::Play { json, experiment } => {
             let findings = arguments.play(&program, &experiment::read(experiment)?)?;
             if let Some(path) = json {
-                std::fs::write(path, findings.json())
-                    .with_context(|| path.display().to_string())?;
+                std::fs::write(path, findings.json()).with_context(|| {
+                    format!("could not write the measurements to {}", path.display())
+                })?;
             }
             Ok(findings.violations.is_empty())
         }
@@ -99,7 +100,8 @@
         let findings = runtime.block_on(experiment::play(program, experiment))?;
         print!("{}", findings.table());
         if let Some(path) = &self.attempts {
-            std::fs::write(path, &findings.attempts).with_context(|| path.display().to_string())?;
+            std::fs::write(path, &findings.attempts)
+                .with_context(|| format!("could not write the attempts to {}", path.display()))?;
         }
         Ok(findings)
     }
--- a/crates/testing/emulator/src/operator.rs
+++ b/crates/testing/emulator/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator: orders are retried, unchanged and at any gateway, until there is a clear response.
+//! The operator: sends orders to the gateways. An order is repeated unchanged at one gateway after the other until a
+//! response says clearly whether the order was accepted.
 
 use crate::client::call::{call, Call, CallAnswer};
 use crate::clock::Clock;
@@ -10,22 +11,24 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Time for a gateway to respond before the next one is called.
+/// Time limit of a call, after which the next gateway is called.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Most redirections followed.
+/// Maximum number of redirections that are followed.
 const MAX_REDIRECTIONS: u32 = 2;
-/// Backoff after the first failure; it doubles with each.
+/// Backoff after the first failure; it doubles with each further failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
+/// Upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
-/// This many other 4xx responses end an order.
-const MAX_UNCLEAR_REFUSALS: u32 = 3;
+/// Number of 4xx responses to an order after which a status that may be temporary ends the order; 408 and 429 never do.
+const MAX_REJECTIONS: u32 = 3;
 
-/// An operator that knows the gateways.
+/// An operator who sends orders to the gateways at `controls`.
 #[derive(Clone, Debug)]
 pub struct Operator {
     clock: Clock,
     record: Record,
     controls: Vec<SocketAddr>,
+    /// Index of the gateway to call next.
     next: usize,
 }
 
@@ -36,32 +39,32 @@
     pub status: u16,
     /// Body of the response.
     pub body: Bytes,
-    /// From the first attempt to the response, in milliseconds.
+    /// Time from the first attempt to the response, in milliseconds.
     pub took_ms: u64,
     /// Number of attempts.
     pub attempts: u32,
 }
 
-/// No clear response came in time.
+/// Error of an order that received no clear response within its time limit.
 #[derive(Clone, Debug)]
-pub struct Unclear {
+pub struct NoClearResponse {
     /// Status of the last response, if any came.
     pub last: Option<u16>,
     /// Number of attempts.
     pub attempts: u32,
 }
 
-impl std::fmt::Display for Unclear {
+impl std::fmt::Display for NoClearResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
-            "no clear response in {} attempts, the last one {:?}",
+            "no clear response after {} attempts; status of the last response: {:?}",
             self.attempts, self.last
         )
     }
 }
 
-impl std::error::Error for Unclear {}
+impl std::error::Error for NoClearResponse {}
 
 impl Operator {
     /// An operator that sends to the gateways at `controls`.
@@ -80,47 +83,47 @@
         self.controls = controls;
     }
 
-    /// Replaces the configuration of version `base`.
+    /// Replaces the whole configuration, which must have version `base`.
     ///
     /// # Errors
     ///
-    /// [`Unclear`] where no clear response came within `limit`.
+    /// [`NoClearResponse`] where no clear response came within `limit`.
     pub async fn replace(
         &mut self,
         base: u64,
         body: &Value,
         limit: Duration,
-    ) -> Result<OrderAnswer, Unclear> {
+    ) -> Result<OrderAnswer, NoClearResponse> {
         self.configure("/api/config/replace", base, body, limit)
             .await
     }
 
-    /// Changes named items of the configuration of version `base`.
+    /// Applies a patch to the configuration, which must have version `base`.
     ///
     /// # Errors
     ///
-    /// [`Unclear`] where no clear response came within `limit`.
+    /// [`NoClearResponse`] where no clear response came within `limit`.
     pub async fn patch(
         &mut self,
         base: u64,
         body: &Value,
         limit: Duration,
-    ) -> Result<OrderAnswer, Unclear> {
+    ) -> Result<OrderAnswer, NoClearResponse> {
         self.configure("/api/config/patch", base, body, limit).await
     }
 
-    /// Sends a body as it is, valid or not.
+    /// Sends an order with an arbitrary body, which need not be valid.
     ///
     /// # Errors
     ///
-    /// [`Unclear`] where no clear response came within `limit`.
+    /// [`NoClearResponse`] where no clear response came within `limit`.
     pub async fn send_raw(
         &mut self,
         target: &str,
         base: u64,
         body: impl Into<Bytes>,
         limit: Duration,
-    ) -> Result<OrderAnswer, Unclear> {
+    ) -> Result<OrderAnswer, NoClearResponse> {
         let mut order = Call::post(target, body);
         order.headers.push(name::BASE_VERSION, base.to_string());
         self.order(&order, limit).await
@@ -130,22 +133,22 @@
     ///
     /// # Errors
     ///
-    /// [`Unclear`] where no clear response came within `limit`.
-    pub async fn get(&mut self, limit: Duration) -> Result<OrderAnswer, Unclear> {
+    /// [`NoClearResponse`] where no clear response came within `limit`.
+    pub async fn get(&mut self, limit: Duration) -> Result<OrderAnswer, NoClearResponse> {
         self.order(&Call::get("/api/config/get"), limit).await
     }
 
-    /// Starts to retire a storage machine: its data moves to others.
+    /// Starts the retirement of a storage machine, whose data then moves to other machines.
     ///
     /// # Errors
     ///
-    /// [`Unclear`] where no clear response came within `limit`.
+    /// [`NoClearResponse`] where no clear response came within `limit`.
     pub async fn retire(
         &mut self,
         node: &str,
         deadline_s: u64,
         limit: Duration,
-    ) -> Result<OrderAnswer, Unclear> {
+    ) -> Result<OrderAnswer, NoClearResponse> {
         let body = serde_json::json!({ "deadline_s": deadline_s }).to_string();
         self.order(
             &Call::post(format!("/api/retire/{node}/start"), body),
@@ -158,12 +161,12 @@
     ///
     /// # Errors
     ///
-    /// [`Unclear`] where no clear response came within `limit`.
+    /// [`NoClearResponse`] where no clear response came within `limit`.
     pub async fn retirement(
         &mut self,
         node: &str,
         limit: Duration,
-    ) -> Result<OrderAnswer, Unclear> {
+    ) -> Result<OrderAnswer, NoClearResponse> {
         self.order(&Call::get(format!("/api/retire/{node}/get")), limit)
             .await
     }
@@ -174,7 +177,7 @@
         base: u64,
         body: &Value,
         limit: Duration,
-    ) -> Result<OrderAnswer, Unclear> {
+    ) -> Result<OrderAnswer, NoClearResponse> {
         let requested_ms = self.clock.now_ms();
         let answer = self.send_raw(target, base, body.to_string(), limit).await?;
         if answer.status == 200 {
@@ -189,23 +192,27 @@
         Ok(answer)
     }
 
-    async fn order(&mut self, order: &Call, limit: Duration) -> Result<OrderAnswer, Unclear> {
+    async fn order(
+        &mut self,
+        order: &Call,
+        limit: Duration,
+    ) -> Result<OrderAnswer, NoClearResponse> {
         let started = Instant::now();
-        let mut unclear = Unclear {
+        let mut failure = NoClearResponse {
             last: None,
             attempts: 0,
         };
-        let mut refusals = 0;
+        let mut rejections = 0;
         let mut backoff = MIN_BACKOFF;
         while started.elapsed() < limit {
             let address = self.controls[self.next % self.controls.len()];
-            unclear.attempts += 1;
-            if let Some(answer) = follow(address, order).await {
-                unclear.last = Some(answer.status);
-                refusals += u32::from((400..500).contains(&answer.status));
-                if is_clear(answer.status, refusals) {
+            failure.attempts += 1;
+            if let Some(answer) = call_with_redirections(address, order).await {
+                failure.last = Some(answer.status);
+                rejections += u32::from((400..500).contains(&answer.status));
+                if is_clear(answer.status, rejections) {
                     let took_ms = started.elapsed().as_millis() as u64;
-                    let attempts = unclear.attempts;
+                    let attempts = failure.attempts;
                     return Ok(OrderAnswer {
                         status: answer.status,
                         body: answer.body,
@@ -218,12 +225,12 @@
             sleep(backoff).await;
             backoff = (backoff * 2).min(MAX_BACKOFF);
         }
-        Err(unclear)
+        Err(failure)
     }
 }
 
-/// One call, with redirections followed.
-async fn follow(mut address: SocketAddr, order: &Call) -> Option<CallAnswer> {
+/// Calls the gateway at `address` and follows redirections; `None` where no usable response came.
+async fn call_with_redirections(mut address: SocketAddr, order: &Call) -> Option<CallAnswer> {
     let mut order = order.clone();
     for _ in 0..=MAX_REDIRECTIONS {
         let answer = call(address, &order, CALL_TIMEOUT).await.ok()?;
@@ -242,11 +249,12 @@
     None
 }
 
-fn is_clear(status: u16, refusals: u32) -> bool {
+/// Whether a response with this status ends an order, after this many 4xx responses in all.
+fn is_clear(status: u16, rejections: u32) -> bool {
     match status {
         200..300 | 400 | 409 | 412 | 413 | 422 => true,
         408 | 429 => false,
-        400..500 => refusals >= MAX_UNCLEAR_REFUSALS,
+        400..500 => rejections >= MAX_REJECTIONS,
         _ => false,
     }
 }
--- a/crates/testing/emulator/src/plain.rs
+++ b/crates/testing/emulator/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain server: some slots, a short queue, and work that takes a set time or waits for a gate.
+//! A plain server: it has a number of slots and a short queue, and each request takes a set time or waits at a gate.
 
 use crate::gate::Gate;
 use crate::server::{
@@ -16,13 +16,13 @@
 /// Settings of a plain server.
 #[derive(Clone, Debug)]
 pub struct PlainSettings {
-    /// Capacity of the queue.
+    /// Number of requests that may wait for a slot.
     pub queue: usize,
-    /// Duration of a request's work.
+    /// Duration of a request.
     pub work_time: Duration,
     /// Length of the response's body in bytes.
     pub body_bytes: usize,
-    /// Treatment of connections.
+    /// Limits and time-outs of connections, and the health check's path.
     pub connections: ConnectionSettings,
 }
 
@@ -42,13 +42,13 @@
 pub struct PlainServer {
     /// The server's identity, faults and counters.
     pub handle: Arc<ServerHandle>,
-    /// Running requests wait here.
+    /// Running requests wait at this gate.
     pub gate: Gate,
     _listener_task: ListenerTask,
 }
 
 impl PlainServer {
-    /// Starts on `listener`, whose address is that of `identity`.
+    /// Starts a plain server on `listener`, whose address must be that of `identity`.
     pub fn start(
         listener: TcpListener,
         identity: Identity,
@@ -59,7 +59,7 @@
         let work = PlainWork {
             slots: Semaphore::new(identity.slots as usize),
             waiting: AtomicUsize::new(0),
-            queue: settings.queue,
+            queue_capacity: settings.queue,
             work_time: settings.work_time,
             body_bytes: settings.body_bytes,
             gate: gate.clone(),
@@ -77,22 +77,23 @@
 struct PlainWork {
     slots: Semaphore,
     waiting: AtomicUsize,
-    queue: usize,
+    queue_capacity: usize,
     work_time: Duration,
     body_bytes: usize,
     gate: Gate,
 }
 
-/// Counts one queued request, also when its caller disconnects.
-struct Queued<'a>(&'a AtomicUsize);
+/// Counts one request as queued until this is dropped, even if its caller disconnects.
+struct QueuedRequest<'a>(&'a AtomicUsize);
 
-impl Drop for Queued<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 impl PlainWork {
+    /// Waits in the queue for a slot; `None` where the queue is full or the deadline has passed.
     async fn acquire_slot(
         &self,
         deadline: Option<Duration>,
@@ -100,9 +101,9 @@
         if let Ok(permit) = self.slots.try_acquire() {
             return Some(permit);
         }
-        let before = self.waiting.fetch_add(1, Ordering::SeqCst);
-        let _queued = Queued(&self.waiting);
-        if before >= self.queue {
+        let waiting_before = self.waiting.fetch_add(1, Ordering::SeqCst);
+        let _queued = QueuedRequest(&self.waiting);
+        if waiting_before >= self.queue_capacity {
             return None;
         }
         let acquired = self.slots.acquire();
@@ -112,7 +113,7 @@
         }
     }
 
-    async fn work_through(&self) {
+    async fn run(&self) {
         self.gate.pass().await;
         if !self.work_time.is_zero() {
             sleep(self.work_time).await;
@@ -121,29 +122,29 @@
 }
 
 impl Work for PlainWork {
-    async fn work(&self, arrived: ReceivedRequest, reply: &mut Reply) {
-        let deadline = arrived.deadline_ms.map(Duration::from_millis);
+    async fn work(&self, received: ReceivedRequest, reply: &mut Reply) {
+        let deadline = received.deadline_ms.map(Duration::from_millis);
         let Some(_permit) = self.acquire_slot(deadline).await else {
             reply.reject(503).await;
             return;
         };
         reply.mark_running();
-        let worked = match deadline {
-            Some(deadline) => timeout(deadline, self.work_through()).await.is_ok(),
+        let in_time = match deadline {
+            Some(deadline) => timeout(deadline, self.run()).await.is_ok(),
             None => {
-                self.work_through().await;
+                self.run().await;
                 true
             }
         };
-        let status = if worked { 200 } else { 504 };
-        reply.answer(status, self.body(&arrived)).await;
+        let status = if in_time { 200 } else { 504 };
+        reply.answer(status, self.body(&received)).await;
     }
 }
 
 impl PlainWork {
     /// A body that differs from request to request, so that mixed responses are noticed.
-    fn body(&self, arrived: &ReceivedRequest) -> Bytes {
-        let unit = format!("{} {};", arrived.request, arrived.head.target);
+    fn body(&self, received: &ReceivedRequest) -> Bytes {
+        let unit = format!("{} {};", received.request, received.head.target);
         let mut text = unit.repeat(self.body_bytes / unit.len() + 1);
         text.truncate(self.body_bytes);
         Bytes::from(text)
--- a/crates/testing/emulator/src/program.rs
+++ b/crates/testing/emulator/src/program.rs
@@ -1,4 +1,5 @@
-//! Agent programs: conversations, tools between turns, sub-agents side by side, one budget for all.
+//! Agent programs: a conversation of turns, tool calls between the turns, and concurrent sub-agents, all under one token
+//! budget.
 
 use crate::client::{Client, Kind, RequestSpec, Served, Turn};
 use crate::digest::Digester;
@@ -8,13 +9,14 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-/// How often a turn whose attempts have all failed is started again.
-const MAX_RENEWALS: u32 = 2;
-/// Shortest backoff before that, in milliseconds.
-const RENEWAL_BACKOFF_MS: u64 = 100;
-const RENEWAL_JITTER_MS: u64 = 300;
+/// Number of times that a turn is started again after all its attempts have failed.
+const MAX_TURN_RESTARTS: u32 = 2;
+/// Minimum backoff before a turn is started again, in milliseconds.
+const RESTART_BACKOFF_MS: u64 = 100;
+/// Upper bound of the random addition to that backoff, in milliseconds.
+const RESTART_JITTER_MS: u64 = 300;
 
-/// A beginning of prompts that many programs share.
+/// A prompt prefix that many programs share.
 #[derive(Clone, Debug)]
 pub struct SharedPrefix {
     /// Id in hexadecimal digits.
@@ -23,79 +25,79 @@
     pub tokens: u64,
 }
 
-/// A tool that is called after each turn but the last.
+/// A tool that is called after each turn except the last.
 #[derive(Clone, Debug)]
 pub struct Tool {
-    /// Path of its calls.
+    /// Path of the tool's calls.
     pub target: String,
-    /// Kind of its calls.
+    /// Kind of the tool's calls.
     pub kind: Kind,
-    /// Time for one call, in milliseconds.
+    /// Time limit of one call, in milliseconds.
     pub deadline_ms: u64,
-    /// Attempts of a call beyond the first.
+    /// Maximum number of attempts of a call after the first.
     pub retries: u32,
 }
 
-/// Sub-agents, started side by side.
+/// Sub-agents, which run concurrently.
 #[derive(Clone, Copy, Debug)]
 pub struct SubAgents {
-    /// They start after this many turns of the main conversation.
+    /// Number of turns of the main conversation after which the sub-agents start.
     pub after_turn: u32,
     /// Number of sub-agents.
     pub count: u32,
-    /// Turns of each sub-agent.
+    /// Number of turns of each sub-agent.
     pub turns: u32,
 }
 
-/// What a program is to do.
+/// Plan of a program: its turns, tools, sub-agents and limits.
 #[derive(Clone, Debug)]
 pub struct ProgramPlan {
     /// Value of `Host`.
     pub host: String,
-    /// Path of its turns.
+    /// Path of the program's turns.
     pub target: String,
     /// Whether the system stores the turns.
     pub persisted: bool,
-    /// Turns of the main conversation.
+    /// Number of turns of the main conversation.
     pub turns: u32,
-    /// Beginning of the prompts.
+    /// Prefix of all prompts.
     pub shared: SharedPrefix,
-    /// New input of each turn.
+    /// Length of the new input of each turn, in bytes.
     pub input_bytes: usize,
-    /// The same in tokens.
+    /// Length of the new input of each turn, in tokens.
     pub input_tokens: u64,
-    /// Most tokens that a turn generates.
+    /// Maximum number of tokens that a turn generates.
     pub max_tokens: u64,
     /// Tokens in one event.
     pub chunk_tokens: u64,
     /// Token budget of the whole program.
     pub budget: u64,
-    /// Tools called side by side after a turn.
+    /// Tools, which are called concurrently after a turn.
     pub tools: Vec<Tool>,
-    /// Sub-agents, if any.
+    /// Sub-agents of the program, if any; they take the place of the tool calls after their turn.
     pub sub_agents: Option<SubAgents>,
     /// Name of the model.
     pub model: String,
-    /// Time for one turn, in milliseconds.
+    /// Time limit of one turn, in milliseconds.
     pub deadline_ms: u64,
     /// Latency target to a turn's first event, in milliseconds.
     pub target_ms: u64,
     /// Longest gap wanted between two events, in milliseconds.
     pub max_gap_ms: u64,
-    /// Attempts of a turn beyond the first.
+    /// Maximum number of attempts of a turn after the first.
     pub retries: u32,
-    /// Time within which the program is to finish, in milliseconds.
+    /// Time within which the program has to finish, in milliseconds.
     pub finish_ms: u64,
 }
 
 /// How a program ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// All turns and calls succeeded.
+    /// All turns and tool calls succeeded.
     Finished,
-    /// A 402: the budget is spent.
+    /// A turn was answered with 402: the budget is spent.
     Spent,
-    /// A turn or a tool failed; the status of its last answer.
+    /// A turn or a tool call failed.
     Failed {
         /// Status of the last response, if any came.
         status: Option<u16>,
@@ -104,27 +106,27 @@
 
 /// The result of a program.
 #[derive(Clone, Debug)]
-pub struct Played {
+pub struct ProgramResult {
     /// Id of the program.
     pub program: String,
-    /// How it ended.
+    /// How the program ended.
     pub end: End,
     /// Completed turns of all conversations.
-    pub turns: Vec<TurnDone>,
-    /// From its start to its end, in milliseconds.
+    pub turns: Vec<CompletedTurn>,
+    /// Time from the program's start to its end, in milliseconds.
     pub took_ms: u64,
-    /// The main conversation at its end.
+    /// The main conversation after its last turn.
     pub conversation: Conversation,
 }
 
 /// A completed turn.
 #[derive(Clone, Debug)]
-pub struct TurnDone {
+pub struct CompletedTurn {
     /// Id of the successful attempt.
     pub request: RequestId,
-    /// From the first attempt to the first event, in milliseconds.
+    /// Time from the first attempt to the first event, in milliseconds.
     pub first_ms: u64,
-    /// From the first attempt to the end, in milliseconds.
+    /// Time from the first attempt to the end of the turn, in milliseconds.
     pub took_ms: u64,
     /// Number of events.
     pub events: usize,
@@ -132,7 +134,7 @@
     pub attempts: u32,
 }
 
-/// A conversation: its transcript so far, and the turn that the next one continues.
+/// A conversation: its transcript so far, and the id of the turn that the next turn continues.
 #[derive(Clone, Debug)]
 pub struct Conversation {
     plan: ProgramPlan,
@@ -140,7 +142,7 @@
     session: String,
     previous: Option<RequestId>,
     transcript_digest: Digester,
-    /// Stored only where the client has to send all of it.
+    /// The transcript; stored only where each turn has to send it, as the system does not store the turns.
     transcript: BytesMut,
     segments: Vec<String>,
     prompt_tokens: u64,
@@ -164,7 +166,7 @@
         }
     }
 
-    /// A conversation that continues from here as another session.
+    /// A conversation that continues this one as another session.
     #[must_use]
     pub fn branch(&self, client: &Client) -> Conversation {
         Conversation {
@@ -179,18 +181,18 @@
         &self.program
     }
 
-    /// The turn that the next one continues.
+    /// Id of the turn that the next turn continues.
     #[must_use]
     pub fn previous(&self) -> Option<RequestId> {
         self.previous
     }
 
-    /// Makes the next turn continue another turn.
+    /// Sets the turn that the next turn continues.
     pub fn set_previous(&mut self, previous: Option<RequestId>) {
         self.previous = previous;
     }
 
-    /// The request of the next turn.
+    /// The request of the next turn, with `input` as its new input.
     pub fn next_request(&self, client: &Client, input: &Bytes) -> RequestSpec {
         let plan = &self.plan;
         let expected = self.transcript_digest.clone().with(input).finish();
@@ -198,12 +200,12 @@
             true => input.clone(),
             false => [&self.transcript[..], &input[..]].concat().into(),
         };
-        let own = format!("{}:{}", client.identities().short(), plan.input_tokens);
+        let input_segment = format!("{}:{}", client.identities().short(), plan.input_tokens);
         let prefix = self
             .segments
             .iter()
             .cloned()
-            .chain([own])
+            .chain([input_segment])
             .collect::<Vec<_>>()
             .join(",");
         let mut spec = RequestSpec::post(
@@ -232,7 +234,7 @@
         spec
     }
 
-    /// Makes one turn, with retries.
+    /// Sends the next turn, with retries, and adds it to the conversation if it succeeds.
     pub async fn turn(&mut self, client: &Client, input: &Bytes) -> Served {
         let spec = self.next_request(client, input);
         let served = client.send(&spec).await;
@@ -293,8 +295,8 @@
     }
 }
 
-/// Plays a program to its end.
-pub async fn play(client: &Client, plan: &ProgramPlan) -> Played {
+/// Runs a program to its end.
+pub async fn play(client: &Client, plan: &ProgramPlan) -> ProgramResult {
     let started = Instant::now();
     let mut conversation = Conversation::new(client, plan);
     let mut turns = Vec::new();
@@ -303,7 +305,7 @@
         Err(end) => end,
     };
     let took_ms = started.elapsed().as_millis() as u64;
-    Played {
+    ProgramResult {
         program: conversation.program.clone(),
         end,
         turns,
@@ -315,11 +317,11 @@
 async fn main_conversation(
     client: &Client,
     conversation: &mut Conversation,
-    turns: &mut Vec<TurnDone>,
+    turns: &mut Vec<CompletedTurn>,
 ) -> Result<(), End> {
     let plan = conversation.plan.clone();
     for number in 1..=plan.turns {
-        turns.push(turn_with_renewals(client, conversation, number).await?);
+        turns.push(turn_with_restarts(client, conversation, number).await?);
         if number == plan.turns {
             break;
         }
@@ -331,19 +333,19 @@
     Ok(())
 }
 
-/// Makes a turn and starts it again where it failed.
-async fn turn_with_renewals(
+/// Sends a turn and starts it again where all its attempts have failed.
+async fn turn_with_restarts(
     client: &Client,
     conversation: &mut Conversation,
     number: u32,
-) -> Result<TurnDone, End> {
+) -> Result<CompletedTurn, End> {
     let input = input(&conversation.session, number, conversation.plan.input_bytes);
-    for renewal in 0..=MAX_RENEWALS {
+    for restart in 0..=MAX_TURN_RESTARTS {
         let served = conversation.turn(client, &input).await;
         if served.succeeded() {
             let events = served.answer().map_or(0, |answered| answered.events.len());
             let (request, attempts) = (served.request, served.attempts);
-            return Ok(TurnDone {
+            return Ok(CompletedTurn {
                 request,
                 first_ms: served.first_ms,
                 took_ms: served.took_ms,
@@ -358,10 +360,10 @@
                     status: Some(status),
                 })
             }
-            status if renewal == MAX_RENEWALS => return Err(End::Failed { status }),
+            status if restart == MAX_TURN_RESTARTS => return Err(End::Failed { status }),
             _ => {}
         }
-        let backoff = RENEWAL_BACKOFF_MS + client.identities().below(RENEWAL_JITTER_MS);
+        let backoff = RESTART_BACKOFF_MS + client.identities().below(RESTART_JITTER_MS);
         sleep(Duration::from_millis(backoff)).await;
     }
     Err(End::Failed { status: None })
@@ -391,7 +393,7 @@
     client: &Client,
     conversation: &Conversation,
     agents: SubAgents,
-) -> Result<Vec<TurnDone>, End> {
+) -> Result<Vec<CompletedTurn>, End> {
     let mut conversations = JoinSet::new();
     for _ in 0..agents.count {
         let (client, conversation) = (client.clone(), conversation.branch(client));
@@ -408,15 +410,15 @@
     client: &Client,
     mut conversation: Conversation,
     count: u32,
-) -> Result<Vec<TurnDone>, End> {
+) -> Result<Vec<CompletedTurn>, End> {
     let mut turns = Vec::new();
     for number in 1..=count {
-        turns.push(turn_with_renewals(client, &mut conversation, number).await?);
+        turns.push(turn_with_restarts(client, &mut conversation, number).await?);
     }
     Ok(turns)
 }
 
-/// An input that differs from session to session and turn to turn.
+/// The input of a turn; it differs between sessions and between turns.
 fn input(session: &str, number: u32, bytes: usize) -> Bytes {
     let unit = format!("{session} says {number}; ");
     let mut text = unit.repeat(bytes / unit.len() + 1);
--- a/crates/testing/emulator/src/record.rs
+++ b/crates/testing/emulator/src/record.rs
@@ -1,5 +1,5 @@
-//! What servers, clients and operator saw, for the judge and for tests. Bounded: an overflow is an error of the test,
-//! see [`Record::overflowed`].
+//! Record of what servers, clients and the operator observed, for the judge and for tests. The record is bounded; tests
+//! treat an overflow as an error, see [`Record::overflowed`].
 
 use crate::digest::Digest;
 use crate::identity::RequestId;
@@ -8,15 +8,15 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// Most entries of each kind.
+/// Maximum number of observations, and of attempts.
 const MAX_ENTRIES: usize = 400_000;
 
 /// When a request was received or sent, and its response began and ended, in microseconds of the shared clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Timings {
-    /// When it was sent or received.
+    /// When the request was sent or received.
     pub started_us: u64,
-    /// When the first event came, or the complete response where there are no events.
+    /// When the first event came, or the complete response of a request without events.
     pub first_us: Option<u64>,
     /// When the response was complete, or the attempt ended.
     pub ended_us: Option<u64>,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// From the start to the first event.
+    /// Time from the start to the first event, in microseconds.
     #[must_use]
     pub fn to_first_us(&self) -> Option<u64> {
         Some(self.first_us?.saturating_sub(self.started_us))
@@ -42,9 +42,9 @@
 /// A request as a server observed it.
 #[derive(Clone, Debug)]
 pub struct Observation {
-    /// Rises with each observation of all servers.
+    /// Number of the observation, in the order of arrival at all servers.
     pub number: usize,
-    /// When it arrived, in milliseconds of the shared clock.
+    /// When the request arrived, in milliseconds of the shared clock.
     pub at_ms: u64,
     /// Id of the server's incarnation.
     pub instance: String,
@@ -58,13 +58,13 @@
     pub target: String,
     /// Digest of the request's body.
     pub digest: Digest,
-    /// Present only where the record stores bodies.
+    /// Body of the request; `None` where the record stores no bodies.
     pub body: Option<Bytes>,
     /// Id of the program, where the request names one.
     pub program: Option<String>,
-    /// The deadline that the request states, in milliseconds.
+    /// Remaining time that the request states on arrival, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// What became of it.
+    /// How far the server got with the request.
     pub fate: Fate,
     /// The stamp that the server gave to its response.
     pub stamp: Option<String>,
@@ -72,33 +72,33 @@
     pub status: Option<u16>,
     /// Digest of the body that the server sent, or began to send.
     pub sent_digest: Option<Digest>,
-    /// Events sent.
+    /// Events that the server sent.
     pub events: Vec<Event>,
     /// Whether the complete response was written.
     pub complete: bool,
     /// Whether an injected fault altered the response.
     pub faulted: bool,
-    /// When it arrived and was answered.
+    /// When the request arrived and was answered.
     pub timings: Timings,
 }
 
-/// What became of a request at a server.
+/// How far a server got with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It is queued and has not run.
+    /// The request is queued and has not run.
     Waiting,
-    /// The server has begun to run it.
+    /// The server has begun to run the request.
     Run,
-    /// The server rejected it as not run.
+    /// The server rejected the request as not run.
     Rejected,
-    /// The caller disconnected before it ran.
+    /// The caller disconnected before the request ran.
     Abandoned,
 }
 
 /// An attempt as a client observed it.
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
-    /// Rises with each attempt of all clients.
+    /// Number of the attempt, in the order in which the attempts of all clients ended.
     pub number: usize,
     /// Id of the attempt.
     pub request: RequestId,
@@ -106,9 +106,9 @@
     pub operation: u64,
     /// The gateway's address.
     pub front: std::net::SocketAddr,
-    /// When it was sent, in milliseconds of the shared clock.
+    /// When the attempt was sent, in milliseconds of the shared clock.
     pub sent_ms: u64,
-    /// When it ended, in milliseconds of the shared clock.
+    /// When the attempt ended, in milliseconds of the shared clock.
     pub ended_ms: u64,
     /// Value of `Host`.
     pub host: String,
@@ -118,45 +118,45 @@
     pub target: String,
     /// Digest of the body that a server is to receive; `None` where it is not compared.
     pub expected: Option<Digest>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Data of the agent program, if one sent it.
+    /// Data of the agent program that sent the attempt, if any.
     pub program: Option<ProgramAttempt>,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// When it was sent and answered.
+    /// When the attempt was sent and answered.
     pub timings: Timings,
 }
 
-/// What an attempt states about its program.
+/// Data of the agent program that sent an attempt.
 #[derive(Clone, Debug)]
 pub struct ProgramAttempt {
     /// Id of the program.
     pub program: String,
-    /// The program's token budget; `None` for calls of tools.
+    /// The program's token budget; `None` for tool calls.
     pub budget: Option<u64>,
-    /// Most tokens that the turn may generate.
+    /// Maximum number of tokens that the turn may generate.
     pub max_tokens: u64,
     /// Tokens in one event.
     pub chunk_tokens: u64,
-    /// The turn that this one continues.
+    /// Id of the turn that this one continues.
     pub previous: Option<RequestId>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
 pub enum AttemptOutcome {
-    /// A complete response.
+    /// A complete response was received.
     Answered(Answered),
     /// The connection ended inside a response.
     BrokenOff(Answered),
     /// The connection ended before a response, after the request had been written.
     Closed,
-    /// No connection, or it ended before the request had been written.
+    /// The connection could not be opened, or ended before the request had been written.
     NotSent,
     /// The client gave up: its deadline or an idle time-out passed.
     GivenUp,
-    /// Bytes that are no response.
+    /// The received bytes are not an HTTP response; the text names the malformed part.
     Garbled(String),
 }
 
@@ -165,31 +165,31 @@
 pub struct Answered {
     /// HTTP status.
     pub status: u16,
-    /// Id that the response names.
+    /// Request id that the response names.
     pub request: Option<RequestId>,
-    /// The server's stamp; none on responses of the system's own.
+    /// The server's stamp; `None` on responses that the system itself generated.
     pub stamp: Option<String>,
     /// Content coding, if any.
     pub encoding: Option<String>,
     /// Whether the response says that the request did not run.
     pub not_executed: bool,
-    /// When the response says to retry, in milliseconds.
+    /// Value of `Retry-After`, in milliseconds.
     pub retry_after_ms: Option<u64>,
     /// Digest of the body as received.
     pub digest: Digest,
-    /// Beginning of the body; bounded.
+    /// Beginning of the body, up to a size limit.
     pub body: Bytes,
     /// Events received.
     pub events: Vec<Event>,
-    /// Blocks of the stream that are no events.
+    /// Number of malformed blocks in the stream.
     pub garbled_events: usize,
-    /// Bytes after the last complete event.
+    /// Number of bytes after the last complete event.
     pub trailing_bytes: usize,
-    /// From the start of the attempt to the first event, in microseconds.
+    /// Time from the start of the attempt to the first event, in microseconds.
     pub first_event_us: Option<u64>,
     /// Longest gap between two events, in milliseconds.
     pub longest_gap_ms: u64,
-    /// Bytes received after the complete response.
+    /// Number of bytes received after the complete response.
     pub surplus: usize,
 }
 
@@ -214,12 +214,12 @@
     acknowledgements: Vec<Acknowledgement>,
 }
 
-/// An acknowledgement of the system to a server or to the operator.
+/// An acknowledgement that the system sent to a server or to the operator, or a machine's termination.
 #[derive(Clone, Debug)]
 pub struct Acknowledgement {
-    /// When the acknowledgement came, in milliseconds of the shared clock.
+    /// When the acknowledgement arrived, in milliseconds of the shared clock.
     pub at_ms: u64,
-    /// When it was first requested, in milliseconds of the shared clock.
+    /// When the acknowledged request was first sent, in milliseconds of the shared clock.
     pub requested_ms: u64,
     /// What was acknowledged.
     pub event: Acknowledged,
@@ -228,30 +228,30 @@
 /// What was acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Acknowledged {
-    /// That the server is draining.
+    /// The system knows that the server is draining.
     Draining {
         /// Id of the server.
         instance: String,
     },
-    /// That the server has left.
+    /// The system knows that the server has left.
     Left {
         /// Id of the server.
         instance: String,
     },
-    /// A configuration with this version.
+    /// The system has accepted a configuration.
     Configuration {
         /// Version of the configuration.
         generation: u64,
     },
-    /// Not by the system: the platform has sent SIGTERM to a machine.
+    /// The platform has sent SIGTERM to a machine; the system acknowledges nothing here.
     Terminated {
-        /// Address for clients of the machine.
+        /// The machine's address for clients.
         front: std::net::SocketAddr,
     },
 }
 
 impl Record {
-    /// A record that stores the bodies that servers receive.
+    /// A record that also stores the request bodies that servers receive.
     #[must_use]
     pub fn with_bodies() -> Record {
         let record = Record::default();
@@ -275,7 +275,7 @@
         number
     }
 
-    /// Changes an observation.
+    /// Changes the observation with this number.
     pub fn update(&self, number: usize, change: impl FnOnce(&mut Observation)) {
         if let Some(observation) = self.lock().observations.get_mut(number) {
             change(observation);
@@ -283,7 +283,7 @@
         self.inner.changed.notify_waiters();
     }
 
-    /// Adds an attempt and numbers it.
+    /// Adds an attempt and sets its number.
     pub fn record_attempt(&self, mut attempt: AttemptRecord) {
         let mut entries = self.lock();
         attempt.number = entries.attempts.len();
@@ -324,7 +324,7 @@
         self.lock().acknowledgements.clone()
     }
 
-    /// Observations of one attempt.
+    /// All observations of one attempt.
     #[must_use]
     pub fn observations_of(&self, request: RequestId) -> Vec<Observation> {
         self.lock()
@@ -335,7 +335,7 @@
             .collect()
     }
 
-    /// Observations at one server.
+    /// All observations of one server.
     #[must_use]
     pub fn observations_at(&self, instance: &str) -> Vec<Observation> {
         self.lock()
--- a/crates/testing/emulator/src/scene/error.rs
+++ b/crates/testing/emulator/src/scene/error.rs
@@ -1,7 +1,7 @@
 //! Errors of setting up and changing a scene.
 
 use crate::client::Served;
-use crate::operator::Unclear;
+use crate::operator::NoClearResponse;
 use crate::system::SystemError;
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
     System(#[from] SystemError),
     /// An order of the operator received no clear response.
     #[error(transparent)]
-    Order(#[from] Unclear),
+    Order(#[from] NoClearResponse),
     /// The address of a server could not be bound.
     #[error("could not bind the server address {address}")]
     Bind {
--- a/crates/testing/emulator/src/wire/event.rs
+++ b/crates/testing/emulator/src/wire/event.rs
@@ -2,17 +2,17 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// One event.
+/// One server-sent event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Id; rises within a stream.
+    /// Id of the event; increases within a stream.
     pub id: u64,
-    /// The data, lines joined by line feeds.
+    /// Data of the event; its lines are joined by line feeds.
     pub data: String,
 }
 
 impl Event {
-    /// The event as a server sends it.
+    /// The event in the form in which a server sends it.
     #[must_use]
     pub fn bytes(&self) -> Bytes {
         let mut text = format!("id: {}\n", self.id);
@@ -66,7 +66,7 @@
         self.buffer.extend_from_slice(data);
     }
 
-    /// The next complete event, or the error of a malformed block.
+    /// Takes the next complete event, or an error for a malformed block; `None` where no block is complete.
     pub fn take(&mut self) -> Option<Result<Event, GarbledEvent>> {
         let end = self
             .buffer
@@ -79,7 +79,7 @@
         Some(event.ok_or(GarbledEvent))
     }
 
-    /// Bytes of an incomplete event.
+    /// Number of bytes of an incomplete event.
     #[must_use]
     pub fn left(&self) -> usize {
         self.buffer.len()
--- a/crates/testing/emulator/src/wire/headers.rs
+++ b/crates/testing/emulator/src/wire/headers.rs
@@ -28,7 +28,7 @@
         });
     }
 
-    /// The same with one more field.
+    /// Returns the headers with one more field at the end.
     #[must_use]
     pub fn with(mut self, name: &str, value: impl Into<String>) -> Headers {
         self.push(name, value);
@@ -48,11 +48,11 @@
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0
             .iter()
-            .filter(move |h| h.name.eq_ignore_ascii_case(name))
-            .map(|h| h.value.as_str())
+            .filter(move |header| header.name.eq_ignore_ascii_case(name))
+            .map(|header| header.value.as_str())
     }
 
-    /// The value as a number.
+    /// The value of the first field of that name as a number; `None` where it is not one.
     #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         self.get(name)?.trim().parse().ok()
@@ -101,7 +101,7 @@
         Some(RequestHead {
             method,
             target,
-            headers: headers(lines)?,
+            headers: parse_headers(lines)?,
         })
     }
 }
@@ -114,17 +114,17 @@
         let status = first.get(..3)?.parse().ok()?;
         Some(ResponseHead {
             status,
-            headers: headers(lines)?,
+            headers: parse_headers(lines)?,
         })
     }
 }
 
-fn headers<'a>(lines: impl Iterator<Item = &'a str>) -> Option<Headers> {
+fn parse_headers<'a>(lines: impl Iterator<Item = &'a str>) -> Option<Headers> {
     let mut headers = Headers::new();
     for line in lines.filter(|line| !line.is_empty()) {
         let (name, value) = line.split_once(':')?;
-        let token = !name.is_empty() && !name.contains(char::is_whitespace);
-        if !token {
+        let is_token = !name.is_empty() && !name.contains(char::is_whitespace);
+        if !is_token {
             return None;
         }
         headers.push(name, value.trim());
--- a/crates/testing/emulator/src/wire/mod.rs
+++ b/crates/testing/emulator/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as bytes: a reader and writers of its own, so that tests see exactly what was sent and can send what
-//! no library would. Strict: a malformed message is an error, never repaired.
+//! Reading and writing of HTTP/1.1 messages. It uses no HTTP library, so that tests see exactly which bytes were sent
+//! and can send malformed messages. The reader is strict: a malformed message is an error and never repaired.
 
 mod body;
 mod event;
--- a/crates/testing/emulator/src/wire/name.rs
+++ b/crates/testing/emulator/src/wire/name.rs
@@ -1,38 +1,38 @@
-//! Names of the headers of the protocol.
+//! Names of the headers that the protocol uses.
 
 /// Id of the attempt.
 pub const REQUEST_ID: &str = "X-Dunespur-Request-Id";
-/// A server's stamp on its response.
+/// Stamp that a server gives to its response; each response has another one.
 pub const STAMP: &str = "X-Dunespur-Response-Stamp";
-/// Says that the request did not run.
+/// States that the request did not run.
 pub const NOT_EXECUTED: &str = "X-Dunespur-Not-Executed";
-/// Incarnation that the request is meant for.
+/// Server incarnation that the request is meant for.
 pub const EXPECT_INSTANCE: &str = "X-Dunespur-Expect-Instance";
-/// Incarnation that answers a health check.
+/// Server incarnation that answers a health check.
 pub const INSTANCE_ID: &str = "X-Dunespur-Instance-Id";
-/// Time that is left, in milliseconds.
+/// Remaining time of the request, in milliseconds.
 pub const DEADLINE: &str = "X-Dunespur-Deadline-Ms";
 /// Name of the model.
 pub const MODEL: &str = "X-Dunespur-Model";
-/// Tokens of the prompt and most tokens to generate.
+/// Number of the prompt's tokens and maximum number of tokens to generate.
 pub const TOKEN_COUNT: &str = "X-Dunespur-Token-Count";
 /// Segments of the prompt.
 pub const PROMPT_PREFIX: &str = "X-Dunespur-Prompt-Prefix";
-/// Version that a configuration change builds on.
+/// Version of the configuration that a change is based on.
 pub const BASE_VERSION: &str = "X-Dunespur-Base-Version";
 /// Id of the agent program.
 pub const PROGRAM: &str = "Program";
 /// Id of the session.
 pub const SESSION: &str = "Session";
-/// Time that is left to the program, in milliseconds.
+/// Remaining time of the program, in milliseconds.
 pub const FINISH: &str = "Finish-Ms";
 /// Token budget of the program.
 pub const BUDGET: &str = "Budget";
-/// The turn that this one continues.
+/// Id of the turn that this one continues.
 pub const PREVIOUS: &str = "Previous";
 /// Priority of the request.
 pub const PRIORITY: &str = "Priority";
-/// Last event that the client has (HTML standard, server-sent events).
+/// Id of the last event that the client has received (HTML standard, server-sent events).
 pub const LAST_EVENT_ID: &str = "Last-Event-Id";
 /// When to retry (RFC 9110, section 10.2.3).
 pub const RETRY_AFTER: &str = "Retry-After";
--- a/crates/testing/emulator/src/wire/reader.rs
+++ b/crates/testing/emulator/src/wire/reader.rs
@@ -1,4 +1,4 @@
-//! Reads messages from a stream of bytes.
+//! Reader of HTTP messages from a stream of bytes.
 
 use super::body::Framing;
 use super::headers::{RequestHead, ResponseHead};
@@ -6,13 +6,13 @@
 use std::fmt;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// A longer head is an error, which bounds memory.
+/// Size limit of a head, which bounds the reader's memory.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// A longer body is an error, for the same reason.
+/// Size limit of a body that is read as a whole, which bounds the reader's memory.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
-/// Most bytes read ahead of the next message.
+/// Maximum number of bytes read ahead of the next message.
 const MAX_AHEAD_BYTES: usize = 64 * 1024;
-/// Longest line of a chunk's length.
+/// Maximum length of the line that states a chunk's length.
 const MAX_CHUNK_LINE_BYTES: usize = 64;
 
 /// Why no message could be read.
@@ -22,9 +22,9 @@
     Ended,
     /// The connection ended inside a message.
     BrokenOff,
-    /// The bytes are no message.
+    /// The bytes are not a valid message; the text names the malformed part.
     Garbled(&'static str),
-    /// The connection was reset, or the like.
+    /// Reading or writing failed, for instance as the connection was reset.
     Failed(std::io::ErrorKind),
 }
 
@@ -33,7 +33,7 @@
         match self {
             WireError::Ended => write!(f, "the connection ended"),
             WireError::BrokenOff => write!(f, "the connection ended inside a message"),
-            WireError::Garbled(reason) => write!(f, "no message: {reason}"),
+            WireError::Garbled(reason) => write!(f, "malformed message: {reason}"),
             WireError::Failed(kind) => write!(f, "the connection failed: {kind}"),
         }
     }
@@ -41,23 +41,25 @@
 
 impl std::error::Error for WireError {}
 
-/// What is still to come of the body being read.
+/// The part of the current body that has not been read.
 #[derive(Clone, Copy, Debug)]
-enum Rest {
+enum RemainingBody {
+    /// This many bytes.
     Length(u64),
-    /// The line of a chunk's length is next.
+    /// Chunks; the line that states the next chunk's length comes next.
     ChunkLine,
-    /// The rest of a chunk, then its line end.
+    /// Chunks; this many bytes of the current chunk and its line end come next.
     Chunk(u64),
+    /// All bytes up to the end of the connection.
     UntilClose,
     Nothing,
 }
 
-/// Reads one message after the other.
+/// Reads HTTP messages one after the other.
 pub struct MessageReader<R> {
     stream: R,
     buffer: BytesMut,
-    rest: Rest,
+    remaining_body: RemainingBody,
 }
 
 impl<R: AsyncRead + Unpin> MessageReader<R> {
@@ -66,7 +68,7 @@
         MessageReader {
             stream,
             buffer: BytesMut::new(),
-            rest: Rest::Nothing,
+            remaining_body: RemainingBody::Nothing,
         }
     }
 
@@ -74,25 +76,27 @@
     ///
     /// # Errors
     ///
-    /// [`WireError`] where the connection ends or the bytes are no request.
+    /// [`WireError`] where the connection ends or the bytes are not a valid request.
     pub async fn request_head(&mut self) -> Result<RequestHead, WireError> {
         let bytes = self.head_bytes().await?;
-        let head = RequestHead::parse(&bytes).ok_or(WireError::Garbled("a request's head"))?;
-        let framing = Framing::of_request(&head).ok_or(WireError::Garbled("a request's length"))?;
+        let head = RequestHead::parse(&bytes).ok_or(WireError::Garbled("the head of a request"))?;
+        let framing =
+            Framing::of_request(&head).ok_or(WireError::Garbled("the body length of a request"))?;
         self.expect_body(framing);
         Ok(head)
     }
 
-    /// Reads the next response's head; the body is then read in the same way.
+    /// Reads the next response's head; the body is then read by [`Self::next_data`] or [`Self::body`].
     ///
     /// # Errors
     ///
-    /// [`WireError`] where the connection ends or the bytes are no response.
+    /// [`WireError`] where the connection ends or the bytes are not a valid response.
     pub async fn response_head(&mut self) -> Result<ResponseHead, WireError> {
         let bytes = self.head_bytes().await?;
-        let head = ResponseHead::parse(&bytes).ok_or(WireError::Garbled("an answer's head"))?;
-        let framing =
-            Framing::of_response(&head).ok_or(WireError::Garbled("an answer's length"))?;
+        let head =
+            ResponseHead::parse(&bytes).ok_or(WireError::Garbled("the head of a response"))?;
+        let framing = Framing::of_response(&head)
+            .ok_or(WireError::Garbled("the body length of a response"))?;
         self.expect_body(framing);
         Ok(head)
     }
@@ -106,7 +110,7 @@
         let mut complete = BytesMut::new();
         while let Some(data) = self.next_data().await? {
             if complete.len() + data.len() > MAX_BODY_BYTES {
-                return Err(WireError::Garbled("a body beyond all bounds"));
+                return Err(WireError::Garbled("a body longer than 64 MiB"));
             }
             complete.extend_from_slice(&data);
         }
@@ -120,21 +124,25 @@
     /// [`WireError`] where the connection ends inside the body or a chunk is malformed.
     pub async fn next_data(&mut self) -> Result<Option<Bytes>, WireError> {
         loop {
-            match self.rest {
-                Rest::Nothing | Rest::Length(0) => {
-                    self.rest = Rest::Nothing;
+            match self.remaining_body {
+                RemainingBody::Nothing | RemainingBody::Length(0) => {
+                    self.remaining_body = RemainingBody::Nothing;
                     return Ok(None);
                 }
-                Rest::Length(left) => return self.some_of(left, Rest::Length).await.map(Some),
-                Rest::Chunk(0) => self.chunk_end().await?,
-                Rest::Chunk(left) => return self.some_of(left, Rest::Chunk).await.map(Some),
-                Rest::ChunkLine => self.chunk_line().await?,
-                Rest::UntilClose => return self.until_close().await,
+                RemainingBody::Length(left) => {
+                    return self.read_up_to(left, RemainingBody::Length).await.map(Some)
+                }
+                RemainingBody::Chunk(0) => self.chunk_end().await?,
+                RemainingBody::Chunk(left) => {
+                    return self.read_up_to(left, RemainingBody::Chunk).await.map(Some)
+                }
+                RemainingBody::ChunkLine => self.chunk_line().await?,
+                RemainingBody::UntilClose => return self.until_close().await,
             }
         }
     }
 
-    /// Returns once the peer has closed the connection, or has sent too many bytes ahead.
+    /// Returns once the peer has closed the connection, or has sent too many bytes ahead of the next message.
     pub async fn closed(&mut self) {
         while self.buffer.len() < MAX_AHEAD_BYTES {
             match self.fill().await {
@@ -144,16 +152,16 @@
         }
     }
 
-    /// Received bytes that belong to no message read so far.
+    /// Number of received bytes that belong to no message read so far.
     pub fn ahead(&self) -> usize {
         self.buffer.len()
     }
 
     fn expect_body(&mut self, framing: Framing) {
-        self.rest = match framing {
-            Framing::Length(length) => Rest::Length(length),
-            Framing::Chunked => Rest::ChunkLine,
-            Framing::UntilClose => Rest::UntilClose,
+        self.remaining_body = match framing {
+            Framing::Length(length) => RemainingBody::Length(length),
+            Framing::Chunked => RemainingBody::ChunkLine,
+            Framing::UntilClose => RemainingBody::UntilClose,
         };
     }
 
@@ -165,7 +173,7 @@
                 return Ok(head);
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
-                return Err(WireError::Garbled("a head without end"));
+                return Err(WireError::Garbled("a head longer than 64 KiB"));
             }
             let started = !self.buffer.is_empty();
             if self.fill().await? == 0 {
@@ -178,7 +186,12 @@
         }
     }
 
-    async fn some_of(&mut self, left: u64, rest: fn(u64) -> Rest) -> Result<Bytes, WireError> {
+    /// Reads available bytes of a part of which `left` bytes remain.
+    async fn read_up_to(
+        &mut self,
+        left: u64,
+        rest: fn(u64) -> RemainingBody,
+    ) -> Result<Bytes, WireError> {
         if self.buffer.is_empty() && self.fill().await? == 0 {
             return Err(WireError::BrokenOff);
         }
@@ -186,7 +199,7 @@
             .buffer
             .len()
             .min(usize::try_from(left).unwrap_or(usize::MAX));
-        self.rest = rest(left - taken as u64);
+        self.remaining_body = rest(left - taken as u64);
         Ok(self.buffer.split_to(taken).freeze())
     }
 
@@ -194,24 +207,24 @@
         let line = self.line().await?;
         let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
         let digits = std::str::from_utf8(digits).unwrap_or_default();
-        let length =
-            u64::from_str_radix(digits, 16).map_err(|_| WireError::Garbled("a chunk's length"))?;
+        let length = u64::from_str_radix(digits, 16)
+            .map_err(|_| WireError::Garbled("the length of a chunk"))?;
         if length > 0 {
-            self.rest = Rest::Chunk(length);
+            self.remaining_body = RemainingBody::Chunk(length);
             return Ok(());
         }
         if !self.line().await?.is_empty() {
             return Err(WireError::Garbled("trailers after the last chunk"));
         }
-        self.rest = Rest::Nothing;
+        self.remaining_body = RemainingBody::Nothing;
         Ok(())
     }
 
     async fn chunk_end(&mut self) -> Result<(), WireError> {
         if !self.line().await?.is_empty() {
-            return Err(WireError::Garbled("a chunk's end"));
+            return Err(WireError::Garbled("the end of a chunk"));
         }
-        self.rest = Rest::ChunkLine;
+        self.remaining_body = RemainingBody::ChunkLine;
         Ok(())
     }
 
@@ -223,7 +236,9 @@
                 return Ok(line);
             }
             if self.buffer.len() > MAX_CHUNK_LINE_BYTES {
-                return Err(WireError::Garbled("a chunk's line without end"));
+                return Err(WireError::Garbled(
+                    "a chunk's length line longer than 64 bytes",
+                ));
             }
             if self.fill().await? == 0 {
                 return Err(WireError::BrokenOff);
@@ -233,7 +248,7 @@
 
     async fn until_close(&mut self) -> Result<Option<Bytes>, WireError> {
         if self.buffer.is_empty() && self.fill().await? == 0 {
-            self.rest = Rest::Nothing;
+            self.remaining_body = RemainingBody::Nothing;
             return Ok(None);
         }
         Ok(Some(self.buffer.split().freeze()))
@@ -247,8 +262,8 @@
     }
 }
 
-fn find(bytes: &[u8], wanted: &[u8]) -> Option<usize> {
+fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
     bytes
-        .windows(wanted.len())
-        .position(|window| window == wanted)
+        .windows(pattern.len())
+        .position(|window| window == pattern)
 }
--- a/crates/testing/emulator/src/wire/write.rs
+++ b/crates/testing/emulator/src/wire/write.rs
@@ -1,18 +1,18 @@
-//! Messages as bytes.
+//! Writer of HTTP messages.
 
 use super::headers::{Headers, RequestHead};
 use super::name;
 use bytes::{Bytes, BytesMut};
 
-/// The end of a body in chunks.
+/// The last chunk, which ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// A request with its body; the length is added where there is a body.
+/// The bytes of a request; `Content-Length` is added where there is a body or the method is POST.
 #[must_use]
 pub fn request_bytes(head: &RequestHead, body: &[u8]) -> Bytes {
     let mut bytes = BytesMut::new();
     bytes.extend_from_slice(format!("{} {} HTTP/1.1\r\n", head.method, head.target).as_bytes());
-    lines(&mut bytes, &head.headers);
+    write_headers(&mut bytes, &head.headers);
     if !body.is_empty() || head.method == "POST" {
         bytes.extend_from_slice(format!("{}: {}\r\n", name::CONTENT_LENGTH, body.len()).as_bytes());
     }
@@ -21,17 +21,17 @@
     bytes.freeze()
 }
 
-/// Status line and headers, with the empty line.
+/// The bytes of a response's head: status line, headers and the empty line.
 #[must_use]
 pub fn response_head(status: u16, headers: &Headers) -> Bytes {
     let mut bytes = BytesMut::new();
-    bytes.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
-    lines(&mut bytes, headers);
+    bytes.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)).as_bytes());
+    write_headers(&mut bytes, headers);
     bytes.extend_from_slice(b"\r\n");
     bytes.freeze()
 }
 
-/// One chunk of a body.
+/// The bytes of one chunk of a chunked body.
 #[must_use]
 pub fn chunk(data: &[u8]) -> Bytes {
     let mut bytes = BytesMut::new();
@@ -41,13 +41,13 @@
     bytes.freeze()
 }
 
-fn lines(bytes: &mut BytesMut, headers: &Headers) {
+fn write_headers(bytes: &mut BytesMut, headers: &Headers) {
     for header in &headers.0 {
         bytes.extend_from_slice(format!("{}: {}\r\n", header.name, header.value).as_bytes());
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
